--- a/request/placement/board.go
+++ b/request/placement/board.go
@@ -6,130 +6,131 @@
 	"time"
 )
 
-// Guesses before anything was measured, and weights of what is.
+// Initial estimates, and parameters of the estimates that replace them.
 const (
-	// firstTokenTime is the time to read one token at a prefill replica.
-	firstTokenTime = 25 * time.Microsecond
-	// decodeSlowdown is how much longer a decode replica takes for it.
+	// initialPrefillTokenTime is the time in which a prefill replica reads one token.
+	initialPrefillTokenTime = 25 * time.Microsecond
+	// decodeSlowdown is how many times longer a decode replica takes to read a token.
 	decodeSlowdown = 2
-	// firstReadStart is what a replica takes to begin with a prompt and to answer
-	// for it.
-	firstReadStart = 25 * time.Millisecond
-	// firstStart is what a request takes from its moved prompt to its first token.
-	firstStart = 35 * time.Millisecond
-	// startSamples is how many measures of that a small service remembers.
-	startSamples = 20
-	// defaultKVTokens is a replica's memory where the sheet does not tell it.
+	// initialReadOverhead is the fixed time that a replica takes to start a prompt and to
+	// respond.
+	initialReadOverhead = 25 * time.Millisecond
+	// initialDecodeStartTime is the time from a transferred prompt to the first token.
+	initialDecodeStartTime = 35 * time.Millisecond
+	// decodeStartSamples is the sample window of that time in a small service.
+	decodeStartSamples = 20
+	// defaultKVTokens is the KV cache capacity of a replica if the sheet has none.
 	defaultKVTokens = 400_000
-	// cacheShare is the part of a memory that is believed to keep parts.
-	cacheShare = 0.9
-	// forgetAfter is how long a request counts of which nothing was heard beyond
-	// its deadline.
-	forgetAfter = 2 * time.Second
-	// expirePause is the time between two looks for such requests.
-	expirePause = 100 * time.Millisecond
+	// cachedShare is the share of the KV cache capacity that is assumed to hold cached parts.
+	cachedShare = 0.9
+	// expiryGrace is the time past its deadline after which a request that sent no further
+	// notes is dropped.
+	expiryGrace = 2 * time.Second
+	// expiryInterval is the time between two searches for such requests.
+	expiryInterval = 100 * time.Millisecond
 )
 
-// Board knows of all requests in flight to the replicas of one service.
+// Board tracks all requests in flight to the replicas of one service.
 type Board struct {
 	sheet    Sheet
 	replicas map[string]*replica
 	names    []string // sorted
 	index    *index
-	placed   map[Key]*placed
-	// paces are the measured times of reading, by role: where the request runs
-	// up to its first token, else until the prompt is handed over.
-	paces [2]pace
-	// startTime is the measured time from a read prompt's move to its first token.
-	startTime time.Duration
-	changes   map[string]change
-	lateness  recentShare // of the requests with an objective
-	objective objective
-	fairness  map[class]*fairness
-	tenants   tenants
-	// confinement keeps requests that may end replicas apart from all others.
-	confinement confinement
-	expireAt    time.Duration // when requests are next looked at that may be lost
-	answers     Answers       // since the last summary
+	inFlight map[Key]*placedRequest
+	// readTimes holds the measured read times by role. For decode replicas they run up to
+	// the first token, for prefill replicas until the prompt is handed over.
+	readTimes [2]readTime
+	// decodeStartTime is the measured time from the transfer of a read prompt to the first
+	// token.
+	decodeStartTime time.Duration
+	changes         map[string]roleChange
+	lateness        recentShare // share of late requests among those with an objective
+	objective       meanObjective
+	fairness        map[class]*fairness
+	tenants         tenants
+	// isolation keeps requests that may crash replicas apart from all others.
+	isolation isolation
+	expireAt  time.Duration // time of the next search for expired requests
+	answers   Answers       // since the last summary
 }
 
-// placed is one request in flight.
-type placed struct {
-	ask       Ask
-	answer    Answer
-	at        time.Duration
-	expires   time.Duration
-	unreadAt  *replica
-	reading   int  // tokens still to be read there
-	alone     bool // nobody else was being read there when it was placed
-	runningAt *replica
-	readAt    time.Duration // when the prompt was read; 0 if it is not
-	behind    time.Duration // what was to be read first where it runs, at readAt
-	started   bool
-	startedAt time.Duration
-	adopted   bool // by TakeOver
+// placedRequest is a request in flight.
+type placedRequest struct {
+	request       Ask
+	answer        Answer
+	placedAt      time.Duration
+	expiresAt     time.Duration
+	queuedOn      *replica // whose queue holds the request; nil once the prompt is read
+	unreadTokens  int      // tokens still to be read there
+	readAlone     bool     // nothing else was being read there at placement
+	runningOn     *replica
+	readAt        time.Duration // when the prompt was read; 0 before
+	backlogAtRead time.Duration // the read backlog on the generator at readAt
+	started       bool
+	startedAt     time.Duration
+	adopted       bool // placed by another board; added by TakeOver
 }
 
-// replica is what the board knows of one replica.
+// replica is the state that the board tracks for one replica.
 type replica struct {
 	Replica
-	cache cache
-	place position
-	// visited and isListed number the last choice that looked at the replica, and that
-	// compared it.
+	cache    cache
+	position position
+	// visited and isListed hold the number of the last choice that examined the replica, and
+	// of the last one that added it to a shortlist.
 	visited, isListed uint64
-	isForgotten       bool // listed no more
-	// queue holds what is to be read, in order. current is the one of them that is
-	// believed to be read, since currentSince.
-	queue        []*placed
-	current      *placed
+	isRemoved         bool // removed from the list of replicas
+	// queue holds the prompts to be read, in order. current is the one that is assumed to
+	// be read, since currentSince.
+	queue        []*placedRequest
+	current      *placedRequest
 	currentSince time.Duration
 	readAt       time.Duration // when the last read ended
-	running      map[*placed]struct{}
+	running      map[*placedRequest]struct{}
 
-	// foreign is how many requests the replica had that are not on the board, when
-	// it was last told, at foreignAt: of proxies that place by themselves.
-	foreign   int
-	foreignAt time.Duration
+	// untrackedRequests is the number of requests on the replica that the board does not
+	// track, sent by proxies that place requests on their own, as reported at untrackedAt.
+	untrackedRequests int
+	untrackedAt       time.Duration
 
-	suspicion   time.Duration // how long the last one lasts; 0 once the replica has answered
-	refusal     time.Duration // how long the last refusal counts
-	suspectedAt time.Duration
-	suspectTill time.Duration
-	trial       *placed // the request that shows whether a suspect answers again
-	failureRate float64
-	// saysLeaving is set once the replica has said that it leaves, whatever is listed.
-	saysLeaving bool
-	// absence is how long the replica is passed over since another one answered at its
-	// address, until absentTill.
-	absence     time.Duration
-	absentSince time.Duration
-	absentTill  time.Duration
+	suspicionPeriod time.Duration // length of the current suspicion; 0 once the replica has answered
+	refusalBackoff  time.Duration // length of the backoff after the last refusal
+	suspectedAt     time.Duration
+	suspectUntil    time.Duration
+	probe           *placedRequest // the request that probes whether a suspected replica answers again
+	failureRate     float64
+	// announcedLeaving is set once the replica has announced that it leaves, whatever is listed.
+	announcedLeaving bool
+	// banPeriod is the length of the last ban, until bannedUntil. The replica is banned when
+	// its address does not lead to it.
+	banPeriod   time.Duration
+	bannedSince time.Duration
+	bannedUntil time.Duration
 }
 
 // NewBoard returns a board without replicas.
 func NewBoard() *Board {
 	return &Board{
-		replicas:  map[string]*replica{},
-		index:     newIndex(),
-		placed:    map[Key]*placed{},
-		startTime: firstStart,
-		changes:   map[string]change{},
-		lateness:  newRecentShare(latenessMemory),
-		fairness:  map[class]*fairness{},
-		tenants:   tenants{},
-		paces: [2]pace{
-			RoleDecode:  newPace(firstReadStart+firstStart, decodeSlowdown*firstTokenTime),
-			RolePrefill: newPace(firstReadStart, firstTokenTime),
+		replicas:        map[string]*replica{},
+		index:           newIndex(),
+		inFlight:        map[Key]*placedRequest{},
+		decodeStartTime: initialDecodeStartTime,
+		changes:         map[string]roleChange{},
+		lateness:        newRecentShare(latenessTimeConstant),
+		fairness:        map[class]*fairness{},
+		tenants:         tenants{},
+		readTimes: [2]readTime{
+			RoleDecode:  newReadTime(initialReadOverhead+initialDecodeStartTime, decodeSlowdown*initialPrefillTokenTime),
+			RolePrefill: newReadTime(initialReadOverhead, initialPrefillTokenTime),
 		},
 	}
 }
 
-// SetReplicas replaces the replicas; what is known of those that stay is kept.
-func (b *Board) SetReplicas(sheet Sheet, listed []Replica) {
+// SetReplicas replaces the list of replicas and keeps the state of those that remain.
+func (b *Board) SetReplicas(sheet Sheet, entries []Replica) {
 	b.sheet = sheet
 	gone := maps.Clone(b.replicas)
-	for _, entry := range listed {
+	for _, entry := range entries {
 		b.Put(entry)
 		delete(gone, entry.Name)
 	}
@@ -138,7 +139,7 @@
 	}
 }
 
-// Put takes in what is listed of one replica; what is known of its process is kept.
+// Put adds or updates one replica and keeps its state if it is still the same process.
 func (b *Board) Put(entry Replica) {
 	known := b.replicas[entry.Name]
 	if known != nil && (known.Role != entry.Role || known.Zone != entry.Zone || known.isAnotherProcess(&entry)) {
@@ -146,17 +147,18 @@
 		known = nil
 	}
 	if known == nil {
-		known = &replica{running: map[*placed]struct{}{}}
+		known = &replica{running: map[*placedRequest]struct{}{}}
 		known.cache = newCache(known, b.index)
 		b.replicas[entry.Name] = known
-		place, _ := slices.BinarySearch(b.names, entry.Name)
-		b.names = slices.Insert(b.names, place, entry.Name)
+		pos, _ := slices.BinarySearch(b.names, entry.Name)
+		b.names = slices.Insert(b.names, pos, entry.Name)
 	}
 	known.Replica = entry
 	b.index.move(known)
 }
 
-// Remove forgets a replica, if it is known. What was in flight there ends when its daemon says so.
+// Remove drops a replica if it is listed. Its requests in flight stay until their daemons
+// report their end.
 func (b *Board) Remove(name string) {
 	known := b.replicas[name]
 	if known == nil {
@@ -164,99 +166,99 @@
 	}
 	b.index.forget(known)
 	delete(b.replicas, name)
-	if place, found := slices.BinarySearch(b.names, name); found {
-		b.names = slices.Delete(b.names, place, place+1)
+	if pos, found := slices.BinarySearch(b.names, name); found {
+		b.names = slices.Delete(b.names, pos, pos+1)
 	}
 }
 
-// isAnotherProcess reports whether the entry is of a process that was born after this one:
-// it keeps nothing, and what was in flight here has ended.
+// isAnotherProcess reports whether the entry is of a different process than this replica.
+// A new process has an empty cache, and the requests of the old one have ended.
 func (r *replica) isAnotherProcess(entry *Replica) bool {
 	return r.Born != 0 && entry.Born != 0 && r.Born != entry.Born
 }
 
-// Place decides where the request goes and counts it there until it ends; one
-// that is to wait is counted nowhere.
-func (b *Board) Place(now time.Duration, key Key, ask Ask) Answer {
-	answer := b.place(now, key, ask)
-	b.answers.count(&answer)
+// Place decides where the request goes and counts it there until it ends. A request that
+// is told to wait is not counted.
+func (b *Board) Place(now time.Duration, key Key, request Ask) Answer {
+	answer := b.place(now, key, request)
+	b.answers.add(&answer)
 	return answer
 }
 
-func (b *Board) place(now time.Duration, key Key, ask Ask) Answer {
+func (b *Board) place(now time.Duration, key Key, request Ask) Answer {
 	b.expire(now)
 	b.end(now, key)
-	ask.surging = b.tenants.ask(now, &ask)
-	if wait := b.confinement.admit(b, now, &ask); wait > 0 {
-		return b.waitAlone(&ask, wait)
+	request.surging = b.tenants.recordRequest(now, &request)
+	if wait := b.isolation.admit(b, now, &request); wait > 0 {
+		return b.delaySuspect(&request, wait)
 	}
-	chosen, found := b.chooseInOrder(now, &ask)
+	chosen, found := b.chooseOrDefer(now, &request)
 	if !found {
-		return b.nowhere(now, &ask)
+		return b.answerWithoutGenerator(now, &request)
 	}
 	answer := chosen.answer()
 	if chosen.wait == 0 {
-		ask.group = b.fairnessOf(now, &ask).ask(now, ask.Prompt)
+		request.group = b.fairnessOf(now, &request).recordRequest(now, request.Prompt)
 	}
 	if answer.Generator == "" {
 		return answer
 	}
-	answer.Deferred = ask.deferred
-	answer.Alone = ask.Suspect && len(chosen.generator.running) == 0
-	p := &placed{ask: ask, answer: answer, at: now, expires: now + ask.Deadline + forgetAfter}
-	p.runningAt = chosen.generator
-	p.unreadAt = chosen.readsAt()
-	p.reading = chosen.unread
-	p.unreadAt.enqueue(now, p)
-	p.runningAt.running[p] = struct{}{}
-	p.unreadAt.try(p)
-	p.runningAt.try(p)
-	b.index.move(p.unreadAt)
-	b.index.move(p.runningAt)
-	p.unreadAt.cache.expect(ask.Parts)
-	b.placed[key] = p
+	answer.Deferred = request.deferred
+	answer.Alone = request.Suspect && len(chosen.generator.running) == 0
+	p := &placedRequest{request: request, answer: answer, placedAt: now, expiresAt: now + request.Deadline + expiryGrace}
+	p.runningOn = chosen.generator
+	p.queuedOn = chosen.readingReplica()
+	p.unreadTokens = chosen.unread
+	p.queuedOn.enqueue(now, p)
+	p.runningOn.running[p] = struct{}{}
+	p.queuedOn.startProbe(p)
+	p.runningOn.startProbe(p)
+	b.index.move(p.queuedOn)
+	b.index.move(p.runningOn)
+	p.queuedOn.cache.addPending(request.Parts)
+	b.inFlight[key] = p
 	return p.answer
 }
 
 func (b *Board) cacheLimit() int64 {
 	if b.sheet.KVTokens > 0 {
-		return int64(cacheShare * float64(b.sheet.KVTokens))
+		return int64(cachedShare * float64(b.sheet.KVTokens))
 	}
 	return defaultKVTokens
 }
 
-// Kept takes in what a replica is believed to keep, the part used last at the end.
+// Kept adds parts that a replica is assumed to have cached, the most recently used last.
 func (b *Board) Kept(name string, parts []Part) {
 	if known := b.replicas[name]; known != nil {
 		known.cache.use(parts, b.cacheLimit())
 	}
 }
 
-// coldParts is how few known parts make a replica a cold one: the first requests
-// after a start bring a few.
+// coldParts is the number of cached parts below which a replica is cold. The first requests
+// after a start already cache a few.
 const coldParts = 24
 
-// Cold returns the replicas of which next to nothing is known to be kept, by name.
+// Cold returns the names of the replicas that have next to nothing cached, sorted.
 func (b *Board) Cold() []string {
 	var names []string
 	for _, name := range b.names {
-		if known := b.replicas[name]; known.cache.order.Len() < coldParts && !known.isLeaving() {
+		if known := b.replicas[name]; known.cache.lru.Len() < coldParts && !known.isLeaving() {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// Note takes in how far a request has come.
+// Note updates the board with the progress of a request.
 func (b *Board) Note(now time.Duration, key Key, note Note) {
 	if note.Step == StepLeaving {
-		b.leave(note.Replica)
+		b.recordLeaving(note.Replica)
 		return
 	}
-	p := b.placed[key]
+	p := b.inFlight[key]
 	switch note.Step {
 	case StepFailed, StepErred, StepRefused, StepMisdirected, StepGone:
-		b.fail(now, note, p)
+		b.recordFailure(now, note, p)
 	}
 	if p == nil {
 		return
@@ -267,140 +269,140 @@
 	}
 	switch note.Step {
 	case StepRead:
-		p.unreadAt.told(now, note.Told)
-		b.read(now, p)
+		p.queuedOn.recordReportedLoad(now, note.Told)
+		b.recordRead(now, p)
 	case StepStarted:
-		p.runningAt.told(now, note.Told)
-		b.read(now, p)
-		b.start(now, p)
+		p.runningOn.recordReportedLoad(now, note.Told)
+		b.recordRead(now, p)
+		b.recordStart(now, p)
 	case StepEnded, StepFailed, StepErred, StepRefused, StepMisdirected, StepGone:
 		b.end(now, key)
 	}
 }
 
-// readElsewhere moves a request to its generator whose reader has not read the prompt:
-// its start then tells nothing of the reader.
-func (b *Board) readElsewhere(now time.Duration, p *placed) {
+// readElsewhere makes the generator read the prompt that the reader has not read. Its start
+// then says nothing about the reader.
+func (b *Board) readElsewhere(now time.Duration, p *placedRequest) {
 	reader := b.replicas[p.answer.Reader]
 	p.answer.Reader = ""
-	if p.unreadAt == nil || p.unreadAt == p.runningAt {
+	if p.queuedOn == nil || p.queuedOn == p.runningOn {
 		return
 	}
-	reader.endTrial(p)
+	reader.endProbe(p)
 	b.unqueue(now, p)
-	p.at = now
-	p.unreadAt = p.runningAt
-	p.reading = max(p.ask.Prompt-p.runningAt.cache.leading(p.ask.Parts), 0)
-	p.unreadAt.enqueue(now, p)
-	p.unreadAt.cache.expect(p.ask.Parts)
-	b.index.move(p.unreadAt)
+	p.placedAt = now
+	p.queuedOn = p.runningOn
+	p.unreadTokens = max(p.request.Prompt-p.runningOn.cache.leadingTokens(p.request.Parts), 0)
+	p.queuedOn.enqueue(now, p)
+	p.queuedOn.cache.addPending(p.request.Parts)
+	b.index.move(p.queuedOn)
 }
 
-// Bounds of a start that shows a wrong belief: the parts that were to be kept
-// had to be read.
+// Limits of the read time, beyond the estimate, above which parts that were to be fetched
+// are assumed to have been missing and read again.
 const (
-	wrongFactor = 2
-	wrongSlack  = 150 * time.Millisecond
+	staleCacheFactor = 2
+	staleCacheSlack  = 150 * time.Millisecond
 )
 
-// start notes that the first token has come: the generator keeps the prompt now.
-func (b *Board) start(now time.Duration, p *placed) {
+// recordStart records the first token: the generator has cached the prompt.
+func (b *Board) recordStart(now time.Duration, p *placedRequest) {
 	if p.started {
 		return
 	}
 	p.started, p.startedAt = true, now
-	b.fairnessOf(now, &p.ask).start(now, p.ask.group)
-	b.learnStart(now, p)
-	p.runningAt.succeed(p)
-	b.index.move(p.runningAt)
-	p.runningAt.cache.use(p.ask.Parts, b.cacheLimit())
+	b.fairnessOf(now, &p.request).recordStart(now, p.request.group)
+	b.learnDecodeStart(now, p)
+	p.runningOn.recordSuccess(p)
+	b.index.move(p.runningOn)
+	p.runningOn.cache.use(p.request.Parts, b.cacheLimit())
 }
 
-// learnStart takes in how long a request with a moved prompt took to start.
-func (b *Board) learnStart(now time.Duration, p *placed) {
+// learnDecodeStart updates decodeStartTime from a request with a transferred prompt.
+func (b *Board) learnDecodeStart(now time.Duration, p *placedRequest) {
 	reader := b.replicas[p.answer.Reader]
 	if reader == nil || p.readAt == 0 || p.adopted {
 		return
 	}
-	moved, _ := b.move(p.ask.Prompt, reader.Zone, p.runningAt.Zone)
-	spent := clampOutlier(now-p.readAt-moved-p.behind, b.startTime)
-	b.startTime += time.Duration(float64(spent-b.startTime) / samplesKept(startSamples, len(b.names)))
+	transferTime, _ := b.transfer(p.request.Prompt, reader.Zone, p.runningOn.Zone)
+	spent := clampOutlier(now-p.readAt-transferTime-p.backlogAtRead, b.decodeStartTime)
+	b.decodeStartTime += time.Duration(float64(spent-b.decodeStartTime) / sampleWindow(decodeStartSamples, len(b.names)))
 }
 
-// read takes the request off the queue of its reader and learns the pace. A read
-// that took far longer than it should have shows that who was to keep parts did
-// not; whoever that was is believed to keep none of them any more.
-func (b *Board) read(now time.Duration, p *placed) {
-	at := p.unreadAt
+// recordRead takes the request off the queue of its reader and updates the read times. A read
+// that took far longer than estimated means that the replica to fetch from did not have
+// the parts, so they are dropped from its tracked cache.
+func (b *Board) recordRead(now time.Duration, p *placedRequest) {
+	at := p.queuedOn
 	if at == nil {
 		return
 	}
-	if keeper := b.replicas[p.answer.Fetch]; keeper != nil && now-p.at > wrongFactor*p.answer.Estimate+wrongSlack {
-		keeper.cache.drop(p.ask.Parts)
+	if holder := b.replicas[p.answer.Fetch]; holder != nil && now-p.placedAt > staleCacheFactor*p.answer.Estimate+staleCacheSlack {
+		holder.cache.drop(p.request.Parts)
 	}
 	b.learnRead(now, p)
 	p.readAt = now
-	p.behind = p.runningAt.backlog(now, b.paces[p.runningAt.Role].perToken(), &p.ask)
-	at.succeed(p)
+	p.backlogAtRead = p.runningOn.backlog(now, b.readTimes[p.runningOn.Role].perToken(), &p.request)
+	at.recordSuccess(p)
 	b.unqueue(now, p)
 	at.readAt = now
-	at.cache.use(p.ask.Parts, b.cacheLimit())
+	at.cache.use(p.request.Parts, b.cacheLimit())
 }
 
-// learnRead takes in what a read took that has just ended, for the pace of its role.
-func (b *Board) learnRead(now time.Duration, p *placed) {
+// learnRead updates the read times of the role with a read that has just ended.
+func (b *Board) learnRead(now time.Duration, p *placedRequest) {
 	if p.adopted {
 		return
 	}
-	at, pace := p.unreadAt, &b.paces[p.unreadAt.Role]
-	pace.learn(readSample{tokens: p.reading, took: now - max(p.at, at.readAt), alone: p.alone}, len(b.names))
+	at, readTime := p.queuedOn, &b.readTimes[p.queuedOn.Role]
+	readTime.learn(readSample{tokens: p.unreadTokens, took: now - max(p.placedAt, at.readAt), alone: p.readAlone}, len(b.names))
 }
 
-// unqueue takes the request off the queue of whoever reads it.
-func (b *Board) unqueue(now time.Duration, p *placed) {
-	at := p.unreadAt
-	p.unreadAt = nil
-	at.cache.arrived(p.ask.Parts)
+// unqueue takes the request off the queue that it is in.
+func (b *Board) unqueue(now time.Duration, p *placedRequest) {
+	at := p.queuedOn
+	p.queuedOn = nil
+	at.cache.removePending(p.request.Parts)
 	at.dequeue(now, p)
 	b.index.move(at)
 }
 
-// end forgets a request.
+// end removes a request.
 func (b *Board) end(now time.Duration, key Key) {
-	p := b.placed[key]
+	p := b.inFlight[key]
 	if p == nil {
 		return
 	}
-	if p.unreadAt != nil {
+	if p.queuedOn != nil {
 		b.unqueue(now, p)
 	}
-	p.runningAt.endTrial(p)
-	b.replicas[p.answer.Reader].endTrial(p)
-	delete(p.runningAt.running, p)
-	b.index.move(p.runningAt)
-	delete(b.placed, key)
+	p.runningOn.endProbe(p)
+	b.replicas[p.answer.Reader].endProbe(p)
+	delete(p.runningOn.running, p)
+	b.index.move(p.runningOn)
+	delete(b.inFlight, key)
 }
 
-// expire forgets requests of which nothing more was heard: their daemons are
-// gone, or the word was lost. It looks at all of them, so it does that a few
-// times a second and not for each question.
+// expire removes requests whose daemon is gone or whose end was never reported. Since it
+// scans all requests, it runs a few times a second rather than on each placement.
 func (b *Board) expire(now time.Duration) {
 	if now < b.expireAt {
 		return
 	}
-	b.expireAt = now + expirePause
-	for key, p := range b.placed {
-		if now > p.expires {
+	b.expireAt = now + expiryInterval
+	for key, p := range b.inFlight {
+		if now > p.expiresAt {
 			b.end(now, key)
 		}
 	}
 }
 
-// foreignMemory is how long a told load counts.
-const foreignMemory = time.Second
+// untrackedMaxAge is how long a reported load is used.
+const untrackedMaxAge = time.Second
 
-// told takes in how many requests the replica said to have.
-func (r *replica) told(now time.Duration, requests int) {
+// recordReportedLoad updates the number of untracked requests from the number of requests
+// that the replica reports.
+func (r *replica) recordReportedLoad(now time.Duration, requests int) {
 	if r == nil || requests == 0 {
 		return
 	}
@@ -408,14 +410,14 @@
 	if r.Role == RolePrefill {
 		known = len(r.queue)
 	}
-	r.foreign, r.foreignAt = max(requests-known, 0), now
+	r.untrackedRequests, r.untrackedAt = max(requests-known, 0), now
 }
 
-// strangers is how many requests the replica is believed to have that are not on
-// the board.
-func (r *replica) strangers(now time.Duration) int {
-	if r.foreignAt == 0 || now-r.foreignAt > foreignMemory {
+// untracked returns the estimated number of requests on the replica that the board does not
+// track.
+func (r *replica) untracked(now time.Duration) int {
+	if r.untrackedAt == 0 || now-r.untrackedAt > untrackedMaxAge {
 		return 0
 	}
-	return r.foreign
+	return r.untrackedRequests
 }
--- a/request/placement/board_test.go
+++ b/request/placement/board_test.go
@@ -13,7 +13,7 @@
 
 var testSheet = Sheet{KVTokens: 400_000, BytesPerTok: 18_432, LinkMbps: 370_000, GapObjective: 300 * ms}
 
-// newTestBoard has two readers and two generators in one zone.
+// newTestBoard returns a board with two readers and two generators in one zone.
 func newTestBoard() *Board {
 	b := NewBoard()
 	b.SetReplicas(testSheet, []Replica{
@@ -27,20 +27,20 @@
 
 func key(number uint64) Key { return Key{Daemon: "proxy", Number: number} }
 
-// owns counts the parts of their own that requests have.
-var owns int
+// ownParts counts the unshared parts of test requests, for unique names.
+var ownParts int
 
-// ask is a request with a shared part and one of its own.
-func ask(shared string, sharedTokens, own int) Ask {
-	owns++
+// newRequest returns a request with a shared part and one of its own.
+func newRequest(shared string, sharedTokens, own int) Ask {
+	ownParts++
 	return Ask{
 		Prompt: sharedTokens + own, Output: 100, Zone: "a", Deadline: 5 * time.Second,
-		Parts: []Part{{ID: shared, Tokens: sharedTokens}, {ID: fmt.Sprint("own-", owns), Tokens: own}},
+		Parts: []Part{{ID: shared, Tokens: sharedTokens}, {ID: fmt.Sprint("own-", ownParts), Tokens: own}},
 	}
 }
 
-// run carries a placed request to its end.
-func run(b *Board, now time.Duration, number uint64, answer Answer) {
+// finishRequest reports all stages of a placed request.
+func finishRequest(b *Board, now time.Duration, number uint64, answer Answer) {
 	if answer.Reader != "" {
 		b.Note(now, key(number), Note{Step: StepRead})
 	}
@@ -48,155 +48,155 @@
 	b.Note(now, key(number), Note{Step: StepEnded})
 }
 
-func TestLongPromptsAreReadApartAndShortOnesWhereTheyRun(t *testing.T) {
+func TestOnlyLongPromptsUseASeparateReader(t *testing.T) {
 	b := newTestBoard()
-	long := b.Place(0, key(1), ask("p", 13_000, 4_000))
+	long := b.Place(0, key(1), newRequest("p", 13_000, 4_000))
 	must.NotEq(t, "", long.Reader)
 	must.NotEq(t, "", long.Generator)
 	must.Eq(t, 17_000, long.Unread)
-	short := b.Place(0, key(2), ask("q", 0, 60))
+	short := b.Place(0, key(2), newRequest("q", 0, 60))
 	must.Eq(t, "", short.Reader)
 }
 
 func TestRequestsSpreadOverQueues(t *testing.T) {
 	b := newTestBoard()
-	first := b.Place(0, key(1), ask("p", 13_000, 4_000))
-	second := b.Place(0, key(2), ask("q", 13_000, 4_000))
+	first := b.Place(0, key(1), newRequest("p", 13_000, 4_000))
+	second := b.Place(0, key(2), newRequest("q", 13_000, 4_000))
 	must.NotEq(t, first.Reader, second.Reader)
 }
 
-func TestKeptPartsAreNotReadAgain(t *testing.T) {
+func TestCachedPartsAreNotReadAgain(t *testing.T) {
 	b := newTestBoard()
-	first := b.Place(0, key(1), ask("p", 13_000, 100))
-	run(b, 500*ms, 1, first)
-	again := b.Place(time.Second, key(2), ask("p", 13_000, 200))
+	first := b.Place(0, key(1), newRequest("p", 13_000, 100))
+	finishRequest(b, 500*ms, 1, first)
+	again := b.Place(time.Second, key(2), newRequest("p", 13_000, 200))
 	must.Eq(t, 200, again.Unread)
 }
 
-func TestPartsAreFetchedFromWhoKeepsThem(t *testing.T) {
+func TestCachedPartsAreFetched(t *testing.T) {
 	b := newTestBoard()
 	b.Kept("make-1", []Part{{ID: "p", Tokens: 20_000}})
-	// make-1 is busy reading, so that another replica should take the request.
+	// make-1 has prompts to read, so that another replica should take the request.
 	for number := range uint64(4) {
 		b.Place(0, key(100+number), Ask{Prompt: 3_000, Zone: "a", Deadline: time.Second})
 	}
-	chosen := b.Place(0, key(1), ask("p", 20_000, 400))
+	chosen := b.Place(0, key(1), newRequest("p", 20_000, 400))
 	must.Eq(t, 400, chosen.Unread)
 	if chosen.Reader != "" || chosen.Generator != "make-1" {
 		must.Eq(t, "make-1", chosen.Fetch)
 	}
 }
 
-// A read that took far too long shows that the keeper did not keep the parts.
-func TestWrongBeliefIsDropped(t *testing.T) {
+// A read that took far too long means that the replica to fetch from did not have the parts.
+func TestSlowReadDropsPartsOfFetchSource(t *testing.T) {
 	b := newTestBoard()
 	parts := []Part{{ID: "p", Tokens: 20_000}}
 	b.Kept("make-1", parts)
-	question := ask("p", 20_000, 400)
-	question.Excluded = []string{"make-1"}
-	must.Eq(t, "make-1", b.Place(0, key(1), question).Fetch)
+	request := newRequest("p", 20_000, 400)
+	request.Excluded = []string{"make-1"}
+	must.Eq(t, "make-1", b.Place(0, key(1), request).Fetch)
 	b.Note(3*time.Second, key(1), Note{Step: StepRead})
-	must.Eq(t, 0, b.replicas["make-1"].cache.leading(parts))
+	must.Eq(t, 0, b.replicas["make-1"].cache.leadingTokens(parts))
 }
 
-func TestSuspectsAreAvoidedButNotBanned(t *testing.T) {
+func TestSuspectedReplicasAreAvoidedButNotBanned(t *testing.T) {
 	b := newTestBoard()
 	b.Note(0, key(9), Note{Step: StepFailed, Replica: "make-1"})
 	must.Eq(t, "make-2", b.Place(0, key(1), Ask{Prompt: 100, Zone: "a", Deadline: time.Second}).Generator)
 	b.Note(0, key(9), Note{Step: StepFailed, Replica: "make-2"})
 	must.NotEq(t, "", b.Place(0, key(2), Ask{Prompt: 100, Zone: "a", Deadline: time.Second}).Generator)
 	answer := b.Place(time.Minute, key(3), Ask{Prompt: 100, Zone: "a", Deadline: time.Second, Excluded: []string{"make-2"}})
-	must.Eq(t, "make-1", answer.Generator, must.Sprint("suspicion ends"))
+	must.Eq(t, "make-1", answer.Generator, must.Sprint("the suspicion has ended"))
 }
 
-// A replica that refuses everything is idle: it must not draw everything to it.
-func TestRefusingReplicaDrawsNothing(t *testing.T) {
+// A replica that refuses all requests looks idle, and must not attract them.
+func TestRefusingReplicaGetsNoRequests(t *testing.T) {
 	b := newTestBoard()
 	short := Ask{Prompt: 100, Zone: "a", Deadline: time.Second}
 	refused := func(now time.Duration) time.Duration {
 		b.Note(now, key(9), Note{Step: StepRefused, Replica: "make-1"})
-		return b.replicas["make-1"].suspectTill
+		return b.replicas["make-1"].suspectUntil
 	}
 	till := refused(0)
-	must.Eq(t, firstRefusal, till)
-	must.Eq(t, till, refused(till/2), must.Sprint("refusals of requests that were on their way tell nothing new"))
+	must.Eq(t, minRefusal, till)
+	must.Eq(t, till, refused(till/2), must.Sprint("refusals of requests already sent must not extend the backoff"))
 	for number := range uint64(8) {
 		must.Eq(t, "make-2", b.Place(till/2, key(number), short).Generator)
 	}
-	must.Eq(t, 3*firstRefusal, refused(till), must.Sprint("the next one that was tried doubles it"))
-	for now := 3 * firstRefusal; now < time.Minute; {
+	must.Eq(t, 3*minRefusal, refused(till), must.Sprint("a refusal after the backoff doubles it"))
+	for now := 3 * minRefusal; now < time.Minute; {
 		now = refused(now)
 	}
-	must.Eq(t, maxRefusal, b.replicas["make-1"].refusal)
+	must.Eq(t, maxRefusal, b.replicas["make-1"].refusalBackoff)
 	answer := b.Place(2*time.Minute, key(20), Ask{Prompt: 100, Zone: "a", Deadline: time.Second, Excluded: []string{"make-2"}})
 	must.Eq(t, "make-1", answer.Generator)
-	run(b, 2*time.Minute, 20, answer)
-	must.Eq(t, 2*time.Minute+firstRefusal, refused(2*time.Minute), must.Sprint("a run begins it anew"))
+	finishRequest(b, 2*time.Minute, 20, answer)
+	must.Eq(t, 2*time.Minute+minRefusal, refused(2*time.Minute), must.Sprint("a completed request resets the backoff"))
 }
 
 // Another replica has the address of one that is gone but still listed. Only a ban keeps
-// requests off it: it runs nothing, and with the others far behind it is cheaper than
-// they are whatever it costs.
-func TestReplicaThatIsGoneFromItsAddressDrawsNothing(t *testing.T) {
+// requests off it: it runs nothing, and once the others have long queues it is the cheapest
+// at any finite cost.
+func TestMisdirectedReplicaGetsNoRequests(t *testing.T) {
 	b := newTestBoard()
-	ask := Ask{Prompt: 100, Zone: "a", Deadline: time.Hour}
+	request := Ask{Prompt: 100, Zone: "a", Deadline: time.Hour}
 	alone := Ask{Prompt: 100, Zone: "a", Deadline: time.Hour, Excluded: []string{"make-2"}}
 	b.Note(0, key(1000), Note{Step: StepMisdirected, Replica: "make-1"})
 	for number := range uint64(1000) {
-		must.Eq(t, "make-2", b.Place(firstAbsence-1, key(number), ask).Generator)
+		must.Eq(t, "make-2", b.Place(minBan-1, key(number), request).Generator)
 	}
-	must.Eq(t, "", b.Place(firstAbsence-1, key(1001), alone).Generator)
-	b.Note(firstAbsence-1, key(1000), Note{Step: StepMisdirected, Replica: "make-1"})
-	must.Eq(t, "make-1", b.Place(firstAbsence, key(1002), alone).Generator, must.Sprint("what was on its way tells nothing new"))
+	must.Eq(t, "", b.Place(minBan-1, key(1001), alone).Generator)
+	b.Note(minBan-1, key(1000), Note{Step: StepMisdirected, Replica: "make-1"})
+	must.Eq(t, "make-1", b.Place(minBan, key(1002), alone).Generator, must.Sprint("a report of a request already sent must not extend the ban"))
 
-	for now := firstAbsence; now < time.Minute; now = b.replicas["make-1"].absentTill {
+	for now := minBan; now < time.Minute; now = b.replicas["make-1"].bannedUntil {
 		b.Note(now, key(1000), Note{Step: StepMisdirected, Replica: "make-1"})
 	}
-	must.Eq(t, maxAbsence, b.replicas["make-1"].absence)
-	b.replicas["make-1"].succeed(&placed{at: time.Minute})
-	must.False(t, b.replicas["make-1"].isAbsent(time.Minute))
+	must.Eq(t, maxBan, b.replicas["make-1"].banPeriod)
+	b.replicas["make-1"].recordSuccess(&placedRequest{placedAt: time.Minute})
+	must.False(t, b.replicas["make-1"].isBanned(time.Minute))
 }
 
 func TestAnsweredFailuresRaiseNoSuspicion(t *testing.T) {
 	b := newTestBoard()
 	b.Note(0, key(9), Note{Step: StepErred, Replica: "make-1"})
-	must.Eq(t, 0, b.replicas["make-1"].suspectTill)
+	must.Eq(t, 0, b.replicas["make-1"].suspectUntil)
 	must.Greater(t, 0.0, b.replicas["make-1"].failureRate)
 }
 
-func TestPaceIsLearntFromReads(t *testing.T) {
+func TestReadTimeIsLearnedFromReads(t *testing.T) {
 	b := newTestBoard()
 	now := time.Duration(0)
 	for number := range uint64(80) {
 		prompt := 8_000 + 12_000*int(number%2)
 		answer := b.Place(now, key(number), Ask{Prompt: prompt, Zone: "a", Deadline: time.Minute})
 		must.NotEq(t, "", answer.Reader)
-		took := firstReadStart + time.Duration(prompt)*10*time.Microsecond
+		took := initialReadOverhead + time.Duration(prompt)*10*time.Microsecond
 		b.Note(now+took, key(number), Note{Step: StepRead})
 		b.Note(now+took, key(number), Note{Step: StepEnded})
 		now += time.Second
 	}
-	must.Between(t, 9*time.Microsecond, b.paces[RolePrefill].perToken(), 12*time.Microsecond)
+	must.Between(t, 9*time.Microsecond, b.readTimes[RolePrefill].perToken(), 12*time.Microsecond)
 }
 
-func TestLostRequestsAreForgotten(t *testing.T) {
+func TestExpiredRequestsAreRemoved(t *testing.T) {
 	b := newTestBoard()
 	answer := b.Place(0, key(1), Ask{Prompt: 10_000, Zone: "a", Deadline: time.Second})
 	must.NotEq(t, "", answer.Reader)
 	b.Place(time.Minute, key(2), Ask{Prompt: 10, Zone: "a", Deadline: time.Second})
-	must.MapLen(t, 1, b.placed)
+	must.MapLen(t, 1, b.inFlight)
 	must.SliceEmpty(t, b.replicas[answer.Reader].queue)
 }
 
-func TestStrangersCountForAWhile(t *testing.T) {
+func TestUntrackedRequestsExpire(t *testing.T) {
 	b := newTestBoard()
 	answer := b.Place(time.Second, key(1), Ask{Prompt: 10, Zone: "a", Deadline: time.Second})
 	b.Note(time.Second, key(1), Note{Step: StepStarted, Told: 41})
-	must.Eq(t, 40, b.replicas[answer.Generator].strangers(1500*ms))
-	must.Eq(t, 0, b.replicas[answer.Generator].strangers(3*time.Second))
+	must.Eq(t, 40, b.replicas[answer.Generator].untracked(1500*ms))
+	must.Eq(t, 0, b.replicas[answer.Generator].untracked(3*time.Second))
 }
 
-func TestColdReplicasAreThoseOfWhichLittleIsKnown(t *testing.T) {
+func TestColdReplicasHaveFewCachedParts(t *testing.T) {
 	b := newTestBoard()
 	var parts []Part
 	for i := range coldParts {
@@ -206,17 +206,17 @@
 	must.Eq(t, []string{"make-1", "make-2", "read-2"}, b.Cold())
 }
 
-func TestNoReplicaMeansNoAnswer(t *testing.T) {
+func TestNoUsableReplicaMeansEmptyAnswer(t *testing.T) {
 	b := NewBoard()
 	must.Eq(t, Answer{}, b.Place(0, key(1), Ask{Prompt: 100}))
 	b.SetReplicas(testSheet, []Replica{{Name: "m", Zone: "a", Leaving: true}})
 	must.Eq(t, Answer{}, b.Place(0, key(1), Ask{Prompt: 100}))
 }
 
-// Whatever happens, an answer names only replicas that may take the request, the
-// queues hold exactly the requests that are not read yet, and a board with the
-// same past gives the same answers.
-func TestAnswersFitTheBoard(t *testing.T) {
+// Under any sequence of placements and notes, an answer names only replicas that may take the
+// request, the queues hold exactly the unread requests, and two boards with the same input give
+// the same answers.
+func TestAnswersAreValidAndDeterministic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		first, second := newTestBoard(), newTestBoard()
 		now := time.Duration(0)
@@ -234,7 +234,7 @@
 				second.Note(now, key(number), note)
 			} else {
 				excluded := rapid.SliceOfN(rapid.SampledFrom([]string{"make-1", "read-1"}), 0, 2).Draw(t, "excluded")
-				next := ask(rapid.SampledFrom([]string{"p", "q", "r"}).Draw(t, "part"), 9_000, rapid.IntRange(0, 9_000).Draw(t, "own"))
+				next := newRequest(rapid.SampledFrom([]string{"p", "q", "r"}).Draw(t, "part"), 9_000, rapid.IntRange(0, 9_000).Draw(t, "own"))
 				next.Excluded = excluded
 				answer := first.Place(now, key(number), next)
 				must.Eq(t, answer, second.Place(now, key(number), next))
@@ -255,18 +255,18 @@
 }
 
 func checkQueues(t *rapid.T, b *Board) {
-	queued := map[*placed]bool{}
+	queued := map[*placedRequest]bool{}
 	for _, r := range b.replicas {
 		for _, p := range r.queue {
 			must.False(t, queued[p])
 			queued[p] = true
-			must.True(t, p.unreadAt == r)
+			must.True(t, p.queuedOn == r)
 		}
 	}
-	for _, p := range b.placed {
-		must.Eq(t, p.unreadAt != nil, queued[p])
-		_, running := p.runningAt.running[p]
+	for _, p := range b.inFlight {
+		must.Eq(t, p.queuedOn != nil, queued[p])
+		_, running := p.runningOn.running[p]
 		must.True(t, running)
 	}
-	must.LessEq(t, len(b.placed), len(queued))
+	must.LessEq(t, len(b.inFlight), len(queued))
 }
--- a/request/placement/cache.go
+++ b/request/placement/cache.go
@@ -2,17 +2,17 @@
 
 import "container/list"
 
-// cache is what a replica is believed to keep of prompts: whole parts, the one
-// used last in front, as many as its memory holds.
+// cache models the prompt parts that a replica has cached: whole parts, evicted in LRU
+// order at the capacity of its memory. The most recently used part is at the front.
 type cache struct {
-	order  *list.List
+	lru    *list.List
 	parts  map[string]*list.Element
 	tokens int64
-	// pending counts requests in the replica's queue that bring a part there. A
-	// replica matches a prompt when it takes it up, so nobody finds such a part,
-	// not even who is queued behind them: it can only be waited for.
+	// pending counts, by part, the queued requests of the replica that will cache it. A
+	// replica looks up its cache when it starts a request, so not even a request queued
+	// behind these finds the part: it can only be waited for.
 	pending map[string]int
-	// owner is the replica, which index holds by what is kept there.
+	// owner is the replica of the cache; index maps parts to it.
 	owner *replica
 	index *index
 }
@@ -23,11 +23,11 @@
 }
 
 func newCache(owner *replica, index *index) cache {
-	return cache{order: list.New(), parts: map[string]*list.Element{}, pending: map[string]int{}, owner: owner, index: index}
+	return cache{lru: list.New(), parts: map[string]*list.Element{}, pending: map[string]int{}, owner: owner, index: index}
 }
 
-// leading returns how many tokens of the leading parts are kept.
-func (c *cache) leading(parts []Part) int {
+// leadingTokens returns the number of tokens in the leading parts that are cached.
+func (c *cache) leadingTokens(parts []Part) int {
 	tokens := 0
 	for _, part := range parts {
 		if c.parts[part.ID] == nil {
@@ -38,9 +38,9 @@
 	return tokens
 }
 
-// keepsAll reports whether all of the parts are kept.
-func (c *cache) keepsAll(parts []Part) bool {
-	for i := len(parts) - 1; i >= 0; i-- { // the last is the rarest
+// containsAll reports whether all of the parts are cached.
+func (c *cache) containsAll(parts []Part) bool {
+	for i := len(parts) - 1; i >= 0; i-- { // the last is the least likely to be cached
 		if c.parts[parts[i].ID] == nil {
 			return false
 		}
@@ -48,51 +48,52 @@
 	return true
 }
 
-// expect notes that a queued request brings the parts; arrived ends that.
-func (c *cache) expect(parts []Part) {
+// addPending records that a queued request will cache the parts.
+func (c *cache) addPending(parts []Part) {
 	for _, part := range parts {
 		c.pending[part.ID]++
-		c.index.expect(c.owner, part.ID)
+		c.index.addPending(c.owner, part.ID)
 	}
 }
 
-func (c *cache) arrived(parts []Part) {
+// removePending reverts one addPending.
+func (c *cache) removePending(parts []Part) {
 	for _, part := range parts {
 		if c.pending[part.ID]--; c.pending[part.ID] <= 0 {
 			delete(c.pending, part.ID)
-			c.index.arrived(c.owner, part.ID)
+			c.index.removePending(c.owner, part.ID)
 		}
 	}
 }
 
-// drop forgets the parts: the replica has shown that it does not keep them.
+// drop removes the parts: the replica turned out not to have them.
 func (c *cache) drop(parts []Part) {
 	for _, part := range parts {
 		known := c.parts[part.ID]
 		if known == nil {
 			continue
 		}
-		c.tokens -= c.order.Remove(known).(cachedPart).tokens
+		c.tokens -= c.lru.Remove(known).(cachedPart).tokens
 		delete(c.parts, part.ID)
-		c.index.release(c.owner, part.ID)
+		c.index.removeHolder(c.owner, part.ID)
 	}
 }
 
-// use puts the parts in front and drops those used longest ago beyond limit tokens.
+// use moves the parts to the front and evicts the least recently used beyond limit tokens.
 func (c *cache) use(parts []Part, limit int64) {
 	for _, part := range parts {
 		if known := c.parts[part.ID]; known != nil {
-			c.order.MoveToFront(known)
+			c.lru.MoveToFront(known)
 			continue
 		}
-		c.parts[part.ID] = c.order.PushFront(cachedPart{id: part.ID, tokens: int64(part.Tokens)})
+		c.parts[part.ID] = c.lru.PushFront(cachedPart{id: part.ID, tokens: int64(part.Tokens)})
 		c.tokens += int64(part.Tokens)
-		c.index.hold(c.owner, part.ID)
+		c.index.addHolder(c.owner, part.ID)
 	}
-	for c.tokens > limit && c.order.Len() > 0 {
-		oldest := c.order.Remove(c.order.Back()).(cachedPart)
+	for c.tokens > limit && c.lru.Len() > 0 {
+		oldest := c.lru.Remove(c.lru.Back()).(cachedPart)
 		delete(c.parts, oldest.id)
-		c.index.release(c.owner, oldest.id)
+		c.index.removeHolder(c.owner, oldest.id)
 		c.tokens -= oldest.tokens
 	}
 }
--- a/request/placement/change.go
+++ b/request/placement/change.go
@@ -2,43 +2,42 @@
 
 import "time"
 
-// change is a replica that was told to take another role. Nothing is placed on
-// it until it has done so; what is listed of it lags.
-type change struct {
-	role    Role
-	readyAt time.Duration // when it has the role at the earliest
-	overAt  time.Duration // when it is taken for what it is listed as
+// roleChange is a role change that a replica was told to make. The replica gets no requests until
+// the change is done, since its listed role lags behind.
+type roleChange struct {
+	role      Role
+	readyAt   time.Duration // earliest time at which the change can be done
+	expiresAt time.Duration // time from which the listed role is used in any case
 }
 
-// Change keeps requests off a replica that is about to take the role. It takes
-// so long at least; if it is not listed with the role after overAfter, it is
-// taken for what it is listed as.
+// Change keeps requests off a replica that is changing to the role, for at least takes. If
+// it is not listed with the role after overAfter, its listed role is used.
 func (b *Board) Change(now time.Duration, name string, role Role, takes, overAfter time.Duration) {
-	b.changes[name] = change{role: role, readyAt: now + takes, overAt: now + overAfter}
+	b.changes[name] = roleChange{role: role, readyAt: now + takes, expiresAt: now + overAfter}
 }
 
-// isChanging reports whether the replica takes no requests because of a change.
+// isChanging reports whether the replica gets no requests because of a role change.
 func (b *Board) isChanging(now time.Duration, r *replica) bool {
-	under, found := b.changes[r.Name]
+	pending, found := b.changes[r.Name]
 	if !found {
 		return false
 	}
-	if now < under.readyAt || r.Role != under.role && now < under.overAt {
+	if now < pending.readyAt || r.Role != pending.role && now < pending.expiresAt {
 		return true
 	}
 	delete(b.changes, r.Name)
 	return false
 }
 
-// Occupancy is what the board knows of one replica's work.
+// Occupancy is the work of one replica.
 type Occupancy struct {
 	Replica
-	Running  int // requests that have begun to make tokens there
-	Queued   int // prompts that wait to be read there
+	Running  int // requests that have started to generate
+	Queued   int // prompts in the read queue
 	Changing bool
 }
 
-// Occupancies returns the work of all replicas that stay, by name.
+// Occupancies returns the work of all replicas that are not leaving, sorted by name.
 func (b *Board) Occupancies(now time.Duration) []Occupancy {
 	var all []Occupancy
 	for _, name := range b.names {
@@ -46,41 +45,41 @@
 		if known.isLeaving() {
 			continue
 		}
-		shown := Occupancy{Replica: known.Replica, Queued: len(known.queue), Changing: b.isChanging(now, known)}
+		occupancy := Occupancy{Replica: known.Replica, Queued: len(known.queue), Changing: b.isChanging(now, known)}
 		for p := range known.running {
 			if p.started {
-				shown.Running++
+				occupancy.Running++
 			}
 		}
-		all = append(all, shown)
+		all = append(all, occupancy)
 	}
 	return all
 }
 
-// Idle reports whether nothing that was placed on the replica is under way.
+// Idle reports whether the replica has no requests in flight.
 func (b *Board) Idle(name string) bool {
 	known := b.replicas[name]
 	return known == nil || len(known.running)+len(known.queue) == 0
 }
 
-// objective is the mean objective of the requests placed lately.
-type objective time.Duration
+// meanObjective is a moving average of the objectives of placed requests.
+type meanObjective time.Duration
 
-// objectiveWeight is the weight of the last one.
+// objectiveWeight is the weight of the latest objective in the average.
 const objectiveWeight = 0.05
 
-func (o *objective) note(next time.Duration) {
+func (o *meanObjective) add(next time.Duration) {
 	if *o == 0 {
-		*o = objective(next)
+		*o = meanObjective(next)
 	}
-	*o += objective(objectiveWeight * float64(next-time.Duration(*o)))
+	*o += meanObjective(objectiveWeight * float64(next-time.Duration(*o)))
 }
 
-// Starting returns which part of the mean objective it takes from a read and
-// moved prompt to its first token: it grows when the generators have too much to do.
+// Starting returns decodeStartTime as a share of the mean objective. It rises when the
+// generators are overloaded.
 func (b *Board) Starting() float64 {
 	if b.objective == 0 {
 		return 0
 	}
-	return float64(b.startTime) / float64(b.objective)
+	return float64(b.decodeStartTime) / float64(b.objective)
 }
--- a/request/placement/choose.go
+++ b/request/placement/choose.go
@@ -5,57 +5,56 @@
 	"time"
 )
 
-// Costs of options beside the time to the first token, in time.
+// Costs of an option beside its time to first token, as time.
 const (
-	// runningCost is what each stream that a replica runs adds: tokens of all of
-	// them come slower.
-	runningCost = 1500 * time.Microsecond
-	// moveSetup is what a move of memory takes before its bytes flow.
-	moveSetup = 8 * time.Millisecond
-	// movePrice keeps moves rare that win little: per 1,000 tokens moved.
-	movePrice = 500 * time.Microsecond
-	// otherZoneFactor is how much more a move between zones takes and costs.
-	otherZoneFactor = 2
-	// connectCost is what a new connection costs: a round trip and the replica's time to
-	// take it in, and a place among the connections that the replica bounds. It makes
-	// each daemon use the few replicas that it is connected to as long as others are
-	// hardly better.
-	connectCost = 10 * time.Millisecond
-	// otherZoneCost is what a request's own way between zones costs.
-	otherZoneCost = time.Millisecond
-	// fullCost keeps requests off replicas without a free place.
-	fullCost = 500 * time.Millisecond
-	// disturbShare is the part of the gap objective by which reading a prompt
-	// may hold up the streams beside it; beyond, each stream counts disturbCost, and
-	// pressedCost for a request that would else be late.
-	disturbShare = 0.45
-	disturbCost  = 60 * time.Millisecond
-	pressedCost  = 30 * time.Millisecond
-	// defaultGap is the gap objective where none is known.
-	defaultGap = 300 * time.Millisecond
-	// strangerTokens is what a request that is not on the board is taken to have
-	// still to be read.
-	strangerTokens = 1500
-	// minimumFetch is how many tokens a fetch must save.
-	minimumFetch = 256
+	// perStreamCost is charged for each stream that a replica runs, since each slows the
+	// tokens of all others.
+	perStreamCost = 1500 * time.Microsecond
+	// transferSetup is the time before a KV cache transfer moves its first byte.
+	transferSetup = 8 * time.Millisecond
+	// transferCostPerThousand is charged per 1,000 tokens, so that transfers that save little stay rare.
+	transferCostPerThousand = 500 * time.Microsecond
+	// crossZoneFactor multiplies the time and cost of a transfer between zones.
+	crossZoneFactor = 2
+	// newConnectionCost covers the round trip, the replica's time to accept the connection
+	// and a place among the connections that the replica limits. It makes each daemon use the
+	// few replicas that it is connected to as long as others are hardly better.
+	newConnectionCost = 10 * time.Millisecond
+	// crossZoneCost is charged if the generator is in another zone than the daemon.
+	crossZoneCost = time.Millisecond
+	// noFreeSlotCost keeps requests off replicas without a free slot.
+	noFreeSlotCost = 500 * time.Millisecond
+	// disturbanceShare is the share of the gap objective up to which reading a prompt may
+	// stall the streams on the same replica. Beyond it, each of these streams costs
+	// disturbedStreamCost, or lateDisturbedStreamCost for a request that would be late
+	// otherwise.
+	disturbanceShare        = 0.45
+	disturbedStreamCost     = 60 * time.Millisecond
+	lateDisturbedStreamCost = 30 * time.Millisecond
+	// defaultGapObjective is the inter-token gap objective where none is configured.
+	defaultGapObjective = 300 * time.Millisecond
+	// untrackedRequestTokens is the assumed number of unread tokens of an untracked request.
+	untrackedRequestTokens = 1500
+	// minFetchTokens is the smallest number of tokens that a fetch may save.
+	minFetchTokens = 256
 )
 
 // option is one way to serve a request.
 type option struct {
 	generator *replica
-	reader    *replica // nil when the generator reads
+	reader    *replica // nil if the generator reads the prompt
 	fetch     *replica
 	unread    int
-	// first is the expected time to the first token, cost that and all else.
-	first time.Duration
-	cost  time.Duration
-	// wait, if not 0, is how long to wait before anything of this is done.
+	// first is the expected time to first token; cost adds the other costs.
+	timeToFirstToken time.Duration
+	cost             time.Duration
+	// wait, if not 0, is the time to wait before the request is placed at all.
 	wait time.Duration
-	// refused is true where no way is of any use.
+	// refused marks a request that no option serves in time.
 	refused bool
 }
 
-func (o *option) readsAt() *replica {
+func (o *option) readingReplica() *replica {
 	if o.reader != nil {
 		return o.reader
 	}
@@ -64,12 +63,12 @@
 
 func (o *option) answer() Answer {
 	if o.refused {
-		return Answer{Refused: true, RetryAfter: o.first}
+		return Answer{Refused: true, RetryAfter: o.timeToFirstToken}
 	}
 	if o.wait > 0 {
 		return Answer{Wait: o.wait}
 	}
-	answer := Answer{Generator: o.generator.Name, Unread: o.unread, Estimate: o.first}
+	answer := Answer{Generator: o.generator.Name, Unread: o.unread, Estimate: o.timeToFirstToken}
 	if o.reader != nil {
 		answer.Reader = o.reader.Name
 	}
@@ -79,44 +78,44 @@
 	return answer
 }
 
-// choose returns the cheapest way to serve the request: at once, or after a wait
-// for parts that are being read for others.
-func (b *Board) choose(now time.Duration, ask *Ask) (option, bool) {
-	among := b.compared(now, ask)
-	best, found := b.chooseNow(now, ask, among)
-	if !found || ask.Continued {
+// choose returns the cheapest option for the request: placed now, or after a wait for parts
+// that are being read for other requests.
+func (b *Board) choose(now time.Duration, request *Ask) (option, bool) {
+	candidates := b.candidates(now, request)
+	best, found := b.chooseNow(now, request, candidates)
+	if !found || request.Continued {
 		return best, found
 	}
-	if later, brought := b.chooseLater(now, ask, among); brought && later.cost < best.cost {
+	if later, available := b.chooseAfterWait(now, request, candidates); available && later.cost < best.cost {
 		return later, true
 	}
 	return best, true
 }
 
-// comparison is what one request is compared by: replicas of each role that may take it, by
-// name, and the one of each zone that keeps most of its prompt.
-type comparison struct {
-	generators []*replica
-	readers    []*replica
-	keepers    map[string]keeper
+// candidateReplicas are the replicas compared for one request: usable replicas of each role,
+// sorted by name, and for each zone the replica that has most of the prompt cached.
+type candidateReplicas struct {
+	generators    []*replica
+	readers       []*replica
+	prefixHolders map[string]prefixHolder
 }
 
-// compared returns the replicas that the request is compared at.
-func (b *Board) compared(now time.Duration, ask *Ask) comparison {
-	among := comparison{keepers: b.keepers(now, ask)}
-	among.generators = b.shortlist(now, RoleDecode, ask, among.keepers)
-	if !ask.Continued {
-		among.readers = b.shortlist(now, RolePrefill, ask, among.keepers)
+// candidates returns the replicas that are compared for the request.
+func (b *Board) candidates(now time.Duration, request *Ask) candidateReplicas {
+	candidates := candidateReplicas{prefixHolders: b.prefixHolders(now, request)}
+	candidates.generators = b.shortlist(now, RoleDecode, request, candidates.prefixHolders)
+	if !request.Continued {
+		candidates.readers = b.shortlist(now, RolePrefill, request, candidates.prefixHolders)
 	}
-	return among
+	return candidates
 }
 
-// chooseNow compares all ways to serve the request at once and returns the cheapest.
+// chooseNow returns the cheapest option that places the request at once.
 //
-// What a split costs is the sum of its reader's part, its generator's part and a
-// move that depends on their zones alone. So the best reader and the best
-// generator of each zone hold the best split, and no other pair is looked at.
-func (b *Board) chooseNow(now time.Duration, ask *Ask, among comparison) (option, bool) {
+// The cost of a split is the sum of the reader's half, the generator's half and a transfer
+// that depends on their zones alone. So the best split consists of the best reader and the
+// best generator of some pair of zones, and no other pairs are compared.
+func (b *Board) chooseNow(now time.Duration, request *Ask, candidates candidateReplicas) (option, bool) {
 	var best option
 	found := false
 	consider := func(next option) {
@@ -124,100 +123,100 @@
 			best, found = next, true
 		}
 	}
-	var generators candidates
-	for _, generator := range among.generators {
-		consider(b.direct(now, ask, generator, among.keepers))
-		generators.add(b.handover(now, ask, generator))
+	var generators cheapestByZone
+	for _, generator := range candidates.generators {
+		consider(b.directOption(now, request, generator, candidates.prefixHolders))
+		generators.add(b.generationHalf(now, request, generator))
 	}
-	if ask.Continued || !found {
+	if request.Continued || !found {
 		return best, found
 	}
-	var readers candidates
-	for _, reader := range among.readers {
-		read := b.reading(now, ask, reader, among.keepers)
-		readers.add(candidate{way: read, cost: read.cost, zone: reader.Zone})
+	var readers cheapestByZone
+	for _, reader := range candidates.readers {
+		read := b.readOption(now, request, reader, candidates.prefixHolders)
+		readers.add(splitHalf{option: read, cost: read.cost, zone: reader.Zone})
 	}
 	for _, read := range readers {
-		for _, made := range generators {
-			consider(b.split(ask, read.way, made))
+		for _, generation := range generators {
+			consider(b.splitOption(request, read.option, generation))
 		}
 	}
 	return best, found
 }
 
-// handover is the making of tokens at a replica from a prompt that was read elsewhere.
-// It waits behind the prompts that are to be read there.
-func (b *Board) handover(now time.Duration, ask *Ask, generator *replica) candidate {
-	first := generator.backlog(now, b.paces[RoleDecode].perToken(), ask) + b.startTime
-	return candidate{
-		way:  option{generator: generator, first: first},
-		cost: first + b.generating(now, ask, generator) + generator.failureTime(now) + ask.connecting(generator),
-		zone: generator.Zone,
+// generationHalf is the half of a split that generates from a prompt read elsewhere. It
+// waits behind the prompts that the generator still has to read.
+func (b *Board) generationHalf(now time.Duration, request *Ask, generator *replica) splitHalf {
+	first := generator.backlog(now, b.readTimes[RoleDecode].perToken(), request) + b.decodeStartTime
+	return splitHalf{
+		option: option{generator: generator, timeToFirstToken: first},
+		cost:   first + b.generationCost(now, request, generator) + generator.failureCost(now) + request.connectionCost(generator),
+		zone:   generator.Zone,
 	}
 }
 
-// candidate is one replica for one part of a split, and what it adds to the cost.
-type candidate struct {
-	way  option
-	cost time.Duration
-	zone string
+// splitHalf is one replica for one half of a split, with its share of the cost.
+type splitHalf struct {
+	option option
+	cost   time.Duration
+	zone   string
 }
 
-// candidates holds the cheapest candidate of each zone, sorted by name.
-type candidates []candidate
+// cheapestByZone holds the cheapest half of each zone, sorted by replica name.
+type cheapestByZone []splitHalf
 
-// add takes a candidate in; they come sorted by name, and the first of equal
-// ones stays.
-func (c *candidates) add(next candidate) {
-	place := slices.IndexFunc(*c, func(known candidate) bool { return known.zone == next.zone })
-	if place >= 0 {
-		if (*c)[place].cost <= next.cost {
+// add considers another half. Halves must be added sorted by name; of equal ones the first
+// stays.
+func (c *cheapestByZone) add(next splitHalf) {
+	pos := slices.IndexFunc(*c, func(known splitHalf) bool { return known.zone == next.zone })
+	if pos >= 0 {
+		if (*c)[pos].cost <= next.cost {
 			return
 		}
-		*c = slices.Delete(*c, place, place+1)
+		*c = slices.Delete(*c, pos, pos+1)
 	}
 	*c = append(*c, next)
 }
 
-// isThere reports whether the replica is at its address and takes requests.
-func (r *replica) isThere(now time.Duration) bool { return !r.Leaving && !r.isAbsent(now) }
+// acceptsRequests reports whether the replica is at its address and not listed as leaving.
+func (r *replica) acceptsRequests(now time.Duration) bool { return !r.Leaving && !r.isBanned(now) }
 
-// keeper is a replica that keeps leading parts of a prompt.
-type keeper struct {
+// prefixHolder is a replica that has leading parts of a prompt cached.
+type prefixHolder struct {
 	replica *replica
 	tokens  int
 }
 
-// keepers returns the replica of each zone that keeps most of the prompt.
-func (b *Board) keepers(now time.Duration, ask *Ask) map[string]keeper {
-	best := map[string]keeper{}
-	for last := len(ask.Parts) - 1; last >= 0; last-- {
-		leading := ask.Parts[:last+1]
-		tokens := tokensOf(leading)
-		for _, holders := range b.index.holdersByZone(ask.Parts[last].ID) {
+// prefixHolders returns, for each zone, the replica that has most of the prompt cached.
+func (b *Board) prefixHolders(now time.Duration, request *Ask) map[string]prefixHolder {
+	best := map[string]prefixHolder{}
+	for last := len(request.Parts) - 1; last >= 0; last-- {
+		leading := request.Parts[:last+1]
+		tokens := totalTokens(leading)
+		for _, holders := range b.index.holdersByZone(request.Parts[last].ID) {
 			if _, found := best[holders[0].Zone]; found || tokens == 0 {
 				continue
 			}
-			if holder := b.firstKeeper(now, holders, leading); holder != nil {
-				best[holder.Zone] = keeper{replica: holder, tokens: tokens}
+			if holder := b.firstHolder(now, holders, leading); holder != nil {
+				best[holder.Zone] = prefixHolder{replica: holder, tokens: tokens}
 			}
 		}
 	}
 	return best
 }
 
-// firstKeeper returns the first of the replicas that keeps all of the parts and can be asked
-// for them, or nil.
-func (b *Board) firstKeeper(now time.Duration, holders []*replica, parts []Part) *replica {
+// firstHolder returns the first of the replicas that has all of the parts cached and from
+// which they can be fetched, or nil.
+func (b *Board) firstHolder(now time.Duration, holders []*replica, parts []Part) *replica {
 	for _, holder := range holders {
-		if holder.isThere(now) && !holder.isDoubted(now) && !b.isChanging(now, holder) && holder.cache.keepsAll(parts) {
+		if holder.acceptsRequests(now) && !holder.isSuspected(now) && !b.isChanging(now, holder) && holder.cache.containsAll(parts) {
 			return holder
 		}
 	}
 	return nil
 }
 
-func tokensOf(parts []Part) int {
+func totalTokens(parts []Part) int {
 	tokens := 0
 	for _, part := range parts {
 		tokens += part.Tokens
@@ -225,128 +224,127 @@
 	return tokens
 }
 
-// reading is the reading of the prompt at a replica, with a fetch of what
-// another one keeps where that wins time.
-func (b *Board) reading(now time.Duration, ask *Ask, at *replica, keepers map[string]keeper) option {
-	kept := at.cache.leading(ask.Parts)
-	if own := keepers[at.Zone]; own.replica == at {
-		kept = max(kept, own.tokens)
+// readOption is the reading of the prompt on a replica, with a fetch of parts that another
+// replica has cached if that saves time.
+func (b *Board) readOption(now time.Duration, request *Ask, at *replica, prefixHolders map[string]prefixHolder) option {
+	cachedTokens := at.cache.leadingTokens(request.Parts)
+	if own := prefixHolders[at.Zone]; own.replica == at {
+		cachedTokens = max(cachedTokens, own.tokens)
 	}
-	pace := b.paces[at.Role].perToken()
-	best := option{reader: at, unread: max(ask.Prompt-kept, 0)}
-	best.first = time.Duration(best.unread) * pace
-	best.cost = best.first
-	for _, other := range keepers {
-		saved := other.tokens - kept
-		if other.replica == at || saved < minimumFetch {
+	perToken := b.readTimes[at.Role].perToken()
+	best := option{reader: at, unread: max(request.Prompt-cachedTokens, 0)}
+	best.timeToFirstToken = time.Duration(best.unread) * perToken
+	best.cost = best.timeToFirstToken
+	for _, other := range prefixHolders {
+		saved := other.tokens - cachedTokens
+		if other.replica == at || saved < minFetchTokens {
 			continue
 		}
-		moved, price := b.move(saved, other.replica.Zone, at.Zone)
-		unread := max(ask.Prompt-other.tokens, 0)
-		first := moved + time.Duration(unread)*pace
-		if first+price < best.cost || first+price == best.cost && other.replica.Name < nameOf(best.fetch) {
-			best = option{reader: at, fetch: other.replica, unread: unread, first: first, cost: first + price}
+		transferTime, transferCost := b.transfer(saved, other.replica.Zone, at.Zone)
+		unread := max(request.Prompt-other.tokens, 0)
+		first := transferTime + time.Duration(unread)*perToken
+		if first+transferCost < best.cost || first+transferCost == best.cost && other.replica.Name < nameOrEmpty(best.fetch) {
+			best = option{reader: at, fetch: other.replica, unread: unread, timeToFirstToken: first, cost: first + transferCost}
 		}
 	}
-	backlog := at.backlog(now, pace, ask)
+	backlog := at.backlog(now, perToken, request)
 	if at.Role == RolePrefill {
-		backlog += time.Duration(at.strangers(now)*strangerTokens) * pace
+		backlog += time.Duration(at.untracked(now)*untrackedRequestTokens) * perToken
 	}
-	start := b.paces[at.Role].start()
-	best.first += backlog + start
-	best.cost += backlog + start + at.failureTime(now) + ask.connecting(at)
+	start := b.readTimes[at.Role].fixed()
+	best.timeToFirstToken += backlog + start
+	best.cost += backlog + start + at.failureCost(now) + request.connectionCost(at)
 	return best
 }
 
-// connecting is what it costs that the asking daemon has no connection to the replica.
-func (a *Ask) connecting(to *replica) time.Duration {
+// connectionCost is the cost of a new connection if the daemon has none to the replica.
+func (a *Ask) connectionCost(to *replica) time.Duration {
 	if slices.Contains(a.Connected, to.Name) {
 		return 0
 	}
-	return connectCost
+	return newConnectionCost
 }
 
-func nameOf(r *replica) string {
+func nameOrEmpty(r *replica) string {
 	if r == nil {
 		return ""
 	}
 	return r.Name
 }
 
-// failureTime is what the replica's failures make it cost.
-func (r *replica) failureTime(now time.Duration) time.Duration {
-	cost := time.Duration(r.failureRate * float64(failureCost))
-	if r.isDoubted(now) || r.saysLeaving {
+// failureCost is the cost of the replica's recent failures.
+func (r *replica) failureCost(now time.Duration) time.Duration {
+	cost := time.Duration(r.failureRate * float64(fullFailureCost))
+	if r.isSuspected(now) || r.announcedLeaving {
 		cost += suspectCost
 	}
 	return cost
 }
 
-// move returns how long moving so many tokens takes, and what it is to be worth
-// beside that.
-func (b *Board) move(tokens int, from, to string) (took, price time.Duration) {
+// transfer returns the time that a transfer of the tokens takes, and the cost charged on
+// top of it.
+func (b *Board) transfer(tokens int, from, to string) (took, price time.Duration) {
 	factor := 1
 	if from != to {
-		factor = otherZoneFactor
+		factor = crossZoneFactor
 	}
-	took = moveSetup
+	took = transferSetup
 	if b.sheet.LinkMbps > 0 {
 		bits := float64(tokens) * float64(b.sheet.BytesPerTok) * 8
 		took += time.Duration(float64(factor) * bits / (b.sheet.LinkMbps * 1e6) * float64(time.Second))
 	}
-	price = time.Duration(factor*tokens/1000) * movePrice
+	price = time.Duration(factor*tokens/1000) * transferCostPerThousand
 	return took, price
 }
 
-// direct is the reading of the prompt where the tokens are made.
-func (b *Board) direct(now time.Duration, ask *Ask, generator *replica, keepers map[string]keeper) option {
-	next := b.reading(now, ask, generator, keepers)
+// directOption is the option in which the generator reads the prompt itself.
+func (b *Board) directOption(now time.Duration, request *Ask, generator *replica, prefixHolders map[string]prefixHolder) option {
+	next := b.readOption(now, request, generator, prefixHolders)
 	next.reader = nil
 	next.generator = generator
-	next.cost += b.generating(now, ask, generator) + b.disturbance(now, ask, next.unread, generator)
+	next.cost += b.generationCost(now, request, generator) + b.disturbanceCost(now, request, next.unread, generator)
 	return next
 }
 
-// disturbance is what reading a prompt does to the streams of its replica: their
-// tokens come between pieces of it, so that their events come late once the
-// reading goes on for longer than the gap objective leaves room for.
-func (b *Board) disturbance(now time.Duration, ask *Ask, unread int, generator *replica) time.Duration {
-	pace := b.paces[RoleDecode].perToken()
+// disturbanceCost is the effect of reading a prompt on the streams of the same replica. Their
+// tokens come between chunks of the prompt, so they are late if the reading lasts longer than
+// the gap objective allows.
+func (b *Board) disturbanceCost(now time.Duration, request *Ask, unread int, generator *replica) time.Duration {
+	perToken := b.readTimes[RoleDecode].perToken()
 	gap := b.sheet.GapObjective
 	if gap <= 0 {
-		gap = defaultGap
+		gap = defaultGapObjective
 	}
-	held := generator.backlog(now, pace, ask) + time.Duration(unread)*pace
-	if held <= time.Duration(disturbShare*float64(gap)) {
-		return held / 8
+	stall := generator.backlog(now, perToken, request) + time.Duration(unread)*perToken
+	if stall <= time.Duration(disturbanceShare*float64(gap)) {
+		return stall / 8
 	}
-	each := disturbCost
-	if ask.pressed {
-		each = pressedCost
+	perStream := disturbedStreamCost
+	if request.wouldBeLate {
+		perStream = lateDisturbedStreamCost
 	}
-	return held/4 + time.Duration(len(generator.running))*each
+	return stall/4 + time.Duration(len(generator.running))*perStream
 }
 
-// generating is what making tokens at a replica costs besides.
-func (b *Board) generating(now time.Duration, ask *Ask, generator *replica) time.Duration {
-	running := len(generator.running) + generator.strangers(now)
-	cost := time.Duration(running) * runningCost
+// generationCost is the cost of generating on a replica, beside the time to first token.
+func (b *Board) generationCost(now time.Duration, request *Ask, generator *replica) time.Duration {
+	running := len(generator.running) + generator.untracked(now)
+	cost := time.Duration(running) * perStreamCost
 	if generator.Slots > 0 && running >= generator.Slots {
-		cost += fullCost
+		cost += noFreeSlotCost
 	}
-	if generator.Zone != ask.Zone {
-		cost += otherZoneCost
+	if generator.Zone != request.Zone {
+		cost += crossZoneCost
 	}
 	return cost
 }
 
-// split is the reading of the prompt at one replica and the making of tokens at
-// another.
-func (b *Board) split(ask *Ask, read option, made candidate) option {
-	moved, price := b.move(ask.Prompt, read.reader.Zone, made.zone)
+// splitOption is the option in which one replica reads the prompt and another generates.
+func (b *Board) splitOption(request *Ask, read option, generation splitHalf) option {
+	transferTime, transferCost := b.transfer(request.Prompt, read.reader.Zone, generation.zone)
 	next := read
-	next.generator = made.way.generator
-	next.first += moved + made.way.first
-	next.cost += moved + price + made.cost
+	next.generator = generation.option.generator
+	next.timeToFirstToken += transferTime + generation.option.timeToFirstToken
+	next.cost += transferTime + transferCost + generation.cost
 	return next
 }
--- a/request/placement/choose_test.go
+++ b/request/placement/choose_test.go
@@ -9,10 +9,10 @@
 	"pgregory.net/rapid"
 )
 
-// chooseAmongAll looks at every pair of replicas: the oracle of choose.
-func (b *Board) chooseAmongAll(now time.Duration, ask *Ask) option {
-	keepers := b.keepers(now, ask)
-	generators := b.usable(now, RoleDecode, ask)
+// chooseAmongAll compares every pair of replicas; it is the reference for chooseNow.
+func (b *Board) chooseAmongAll(now time.Duration, request *Ask) option {
+	prefixHolders := b.prefixHolders(now, request)
+	generators := b.usableReplicas(now, RoleDecode, request)
 	var best option
 	consider := func(next option) {
 		if best.generator == nil || next.cost < best.cost {
@@ -20,27 +20,27 @@
 		}
 	}
 	for _, generator := range generators {
-		consider(b.direct(now, ask, generator, keepers))
+		consider(b.directOption(now, request, generator, prefixHolders))
 	}
-	for _, reader := range b.usable(now, RolePrefill, ask) {
-		read := b.reading(now, ask, reader, keepers)
+	for _, reader := range b.usableReplicas(now, RolePrefill, request) {
+		read := b.readOption(now, request, reader, prefixHolders)
 		for _, generator := range generators {
-			consider(b.split(ask, read, b.handover(now, ask, generator)))
+			consider(b.splitOption(request, read, b.generationHalf(now, request, generator)))
 		}
 	}
 	return best
 }
 
-func TestChoiceIsThatAmongAllPairs(t *testing.T) {
+func TestChoiceEqualsExhaustiveSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewBoard()
 		b.SetReplicas(testSheet, drawReplicas(t))
 		for number := range rapid.Uint64Range(0, 40).Draw(t, "requests") {
 			now := time.Duration(number) * 20 * ms
-			next := ask(rapid.SampledFrom([]string{"p", "q"}).Draw(t, "part"), 9_000, rapid.IntRange(0, 9_000).Draw(t, "own"))
+			next := newRequest(rapid.SampledFrom([]string{"p", "q"}).Draw(t, "part"), 9_000, rapid.IntRange(0, 9_000).Draw(t, "own"))
 			next.Zone = rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone")
 			want := b.chooseAmongAll(now, &next)
-			got, found := b.chooseNow(now, &next, b.compared(now, &next))
+			got, found := b.chooseNow(now, &next, b.candidates(now, &next))
 			must.True(t, found)
 			must.Eq(t, want.answer(), got.answer())
 			if answer := b.Place(now, key(number), next); answer.Wait == 0 {
@@ -54,7 +54,7 @@
 	})
 }
 
-// drawReplicas has a generator at least, so that there is always an answer.
+// drawReplicas draws replicas with at least one generator, so that there is always an answer.
 func drawReplicas(t *rapid.T) []Replica {
 	drawn := []Replica{{Name: "m", Zone: "a", Role: RoleDecode}}
 	for i := range rapid.IntRange(0, 12).Draw(t, "replicas") {
@@ -68,8 +68,8 @@
 	return drawn
 }
 
-// BenchmarkPlace places requests on boards of several sizes, a quarter of the
-// replicas reading, three zones, with four requests in flight for each replica.
+// BenchmarkPlace places requests on boards of several sizes, with a quarter of the replicas as
+// readers, three zones, and four requests in flight per replica.
 func BenchmarkPlace(b *testing.B) {
 	for _, size := range []int{9, 90, 1_000, 10_000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -77,7 +77,7 @@
 			board.SetReplicas(testSheet, benchmarkReplicas(size))
 			inFlight := uint64(4 * size)
 			for number := uint64(0); b.Loop(); number++ {
-				next := ask(fmt.Sprint("part-", number%50), 9_000, 2_000)
+				next := newRequest(fmt.Sprint("part-", number%50), 9_000, 2_000)
 				next.Deadline = time.Hour
 				answer := board.Place(0, key(number), next)
 				if answer.Reader != "" {
@@ -104,51 +104,53 @@
 	return replicas
 }
 
-// A moved prompt waits behind those that are read where it is to run: it goes elsewhere,
-// and what it would have waited is not taken for the time of the move.
-func TestHandoverAvoidsReadsWhereItRuns(t *testing.T) {
+// A transferred prompt waits behind the prompts that its generator reads. So it goes to another
+// generator, although that one runs more streams.
+func TestHandoverAvoidsGeneratorsWithReads(t *testing.T) {
 	b := newTestBoard()
-	busy := urgent(4_000, 0)
+	busy := requestWithObjective(4_000, 0)
 	busy.Excluded = []string{"read-1", "read-2", "make-2"}
 	must.Eq(t, "make-1", b.Place(0, key(1), busy).Generator)
-	for number := range uint64(6) { // streams that run at the other one
-		running := short()
+	for number := range uint64(6) { // streams on the other generator
+		running := shortRequest()
 		running.Excluded = []string{"make-1"}
 		b.Place(0, key(10+number), running)
 		b.Note(0, key(10+number), Note{Step: StepStarted})
 	}
-	answer := b.Place(0, key(2), urgent(9_000, 0))
+	answer := b.Place(0, key(2), requestWithObjective(9_000, 0))
 	must.NotEq(t, "", answer.Reader)
 	must.Eq(t, "make-2", answer.Generator)
 }
 
-func TestTimeBehindReadsIsNotThatOfTheMove(t *testing.T) {
+// The time that a transferred prompt waits behind reads on its generator is not part of the
+// decode start time.
+func TestDecodeStartTimeExcludesReadBacklog(t *testing.T) {
 	b := newTestBoard()
 	now := time.Duration(0)
 	for number := range uint64(40) {
 		b.expireAt = time.Hour
-		busy := urgent(6_000, 0)
+		busy := requestWithObjective(6_000, 0)
 		busy.Excluded = []string{"read-1", "read-2", "make-2"}
 		b.Place(now, key(1000+number), busy)
-		moved := urgent(9_000, 0)
+		moved := requestWithObjective(9_000, 0)
 		moved.Excluded = []string{"make-2"}
 		must.NotEq(t, "", b.Place(now, key(number), moved).Reader)
 		now += 250 * ms
 		b.Note(now, key(number), Note{Step: StepRead})
-		now += 90 * ms // until the direct read is over
+		now += 90 * ms // the read on make-1 ends
 		b.Note(now, key(1000+number), Note{Step: StepStarted})
 		b.Note(now, key(number), Note{Step: StepStarted})
 		b.Note(now, key(1000+number), Note{Step: StepEnded})
 		b.Note(now, key(number), Note{Step: StepEnded})
 	}
-	must.LessEq(t, firstStart+10*ms, b.startTime)
+	must.LessEq(t, initialDecodeStartTime+10*ms, b.decodeStartTime)
 }
 
-// Among replicas that are alike, the ones that the asking daemon is connected to are
-// used; a busy one is not for that.
-func TestConnectedReplicasAreUsedWhileOthersAreHardlyBetter(t *testing.T) {
+// Among similar replicas, those to which the requesting daemon is connected are preferred, but
+// not once they are busier than others.
+func TestConnectedReplicasArePreferredToSimilarOnes(t *testing.T) {
 	b := newTestBoard()
-	connected := short()
+	connected := shortRequest()
 	connected.Connected = []string{"make-2"}
 	for number := range uint64(2) {
 		must.Eq(t, "make-2", b.Place(0, key(number), connected).Generator)
@@ -160,31 +162,31 @@
 	must.Greater(t, 4, spread["make-1"])
 }
 
-// usable returns all replicas of the role that may take the request, by name.
-func (b *Board) usable(now time.Duration, role Role, ask *Ask) []*replica {
+// usableReplicas returns all replicas of the role that may take the request, by name.
+func (b *Board) usableReplicas(now time.Duration, role Role, request *Ask) []*replica {
 	var usable []*replica
 	for _, name := range b.names {
-		if candidate := b.replicas[name]; candidate.Role == role && b.isUsable(now, candidate, ask) {
+		if candidate := b.replicas[name]; candidate.Role == role && b.isUsable(now, candidate, request) {
 			usable = append(usable, candidate)
 		}
 	}
 	return usable
 }
 
-// When the mix turns to long prompts, the replicas that read are full while those that make
-// tokens have time: prompts waited a second for a reader beside generators that ran a few
-// short streams each. Where reading at a generator, at half the pace, is sooner, it reads.
-func TestGeneratorsReadWhereReadersAreFull(t *testing.T) {
+// After a shift to long prompts, readers are full while generators have capacity: prompts
+// waited a second for a reader beside generators with a few short streams each. A generator
+// should read a prompt if that is sooner, although it reads at half the speed.
+func TestGeneratorsReadWhenReadersAreBusy(t *testing.T) {
 	b := NewBoard()
-	b.SetReplicas(testSheet, benchmarkReplicas(12)) // three of them readers
+	b.SetReplicas(testSheet, benchmarkReplicas(12)) // three of them are readers
 	for number := range uint64(36) {
-		b.Place(0, key(number), ask("", 0, 100))
+		b.Place(0, key(number), newRequest("", 0, 100))
 		b.Note(0, key(number), Note{Step: StepStarted})
 	}
 	late := 0
 	for number := range uint64(30) {
-		next := urgent(6_000, 800*ms)
-		if answer := b.Place(0, key(100+number), next); next.late(answer.Estimate) {
+		next := requestWithObjective(6_000, 800*ms)
+		if answer := b.Place(0, key(100+number), next); next.isLate(answer.Estimate) {
 			late++
 		}
 	}
--- a/request/placement/confine.go
+++ b/request/placement/confine.go
@@ -8,121 +8,131 @@
 
 // Some requests end each replica that begins to run them. What stood beside at an end is
 // sent again, and nobody can tell it from the one that did it: spread over what is left of
-// the fleet, the one ends further replicas and makes suspects of all that stand there. So
-// while replicas end one after the other, whatever stood at an end is a suspect, and
-// suspects run in a small part of the generators, the wards, where nothing else is, one at
-// a time: one that is answered is cleared, one under which a ward ends has done it. All
-// other requests run outside of the wards at once. A suspect under which enough have ended
-// waits for the verdict: each copy that went out meanwhile might end one more.
+// Some requests crash each replica that begins to run them. The requests in flight on a
+// crashed replica are retried, and the one that crashed it cannot be told from the others.
+// Spread over the rest of the fleet, it would crash further replicas and make suspects of all
+// requests there. So while replicas crash one after the other, each request that was in
+// flight at a crash is a suspect, and suspects run on a few isolated generators, one at a
+// time with nothing beside it. A suspect that is answered is cleared; one whose isolated
+// generator crashes is the cause. All other requests run on the other generators without
+// delay. A suspect under which enough replicas have crashed waits for the decision on
+// its quarantine, since each copy sent out meanwhile could crash one more.
 //
-// Invariant: at any time no more generators are wards, or were lost as wards within
-// wardReturn, than a third of those that are listed, or one where that is less. It holds
-// since wards are opened in one place, which counts both.
+// Invariant: at any time, the generators that are isolated, plus those lost while isolated
+// within replicaRestartTime, are at most a third of the listed ones, or one if that is less.
+// Generators are isolated in a single place, which counts both.
 const (
-	// alertTime is how long after the last sign of it a series of ends is taken to go on.
-	alertTime = 10 * time.Second
-	// wardShare is the inverse of the share of generators that may be at risk.
-	wardShare = 3
-	// mostWards bounds them in a large service, where each request that comes during an alert
-	// looks through them.
-	mostWards = 64
-	// wardReturn is how long a lost ward counts as at risk: a replica takes some seconds to
-	// start again.
-	wardReturn = 4 * time.Second
-	// wardDrain is how long what runs at a new ward is waited for.
-	wardDrain = 400 * time.Millisecond
-	// wardWatch is how long after its first token a suspect still has its ward for itself.
-	wardWatch = 300 * time.Millisecond
-	// wardWait is when a suspect for which there is no place asks again.
-	wardWait = 40 * time.Millisecond
-	// wardIdle is how long after a suspect has asked wards are kept for the next one: several
+	// alertDuration is how long after its last sign a series of crashes is assumed to go on.
+	alertDuration = 10 * time.Second
+	// isolatedDivisor is the inverse of the share of generators that may be isolated.
+	isolatedDivisor = 3
+	// maxIsolated limits them in a large service, where each request during an alert scans
+	// them.
+	maxIsolated = 64
+	// replicaRestartTime is how long a generator lost while isolated counts against the
+	// limit: a replica takes some seconds to restart.
+	replicaRestartTime = 4 * time.Second
+	// isolationDrainTime is how long a suspect waits for the requests that already run on a
+	// newly isolated generator.
+	isolationDrainTime = 400 * time.Millisecond
+	// suspectWatchTime is how long after its first token a suspect still runs alone.
+	suspectWatchTime = 300 * time.Millisecond
+	// suspectRetryInterval is the wait of a suspect for which no isolated generator is free.
+	suspectRetryInterval = 40 * time.Millisecond
+	// isolationIdleTime is how long after the last placement of a suspect generators stay
+	// isolated. Waiting suspects ask several times within it. Replicas that crash for reasons
+	// of their own raise an alert as well; nobody stays a suspect for long then, and the other
+	// requests need all remaining generators.
 	// of those that wait ask within it. Replicas that end by themselves raise an alert as well,
 	// in which nobody is a suspect for long, and the others need all that is left.
-	wardIdle = 500 * time.Millisecond
+	isolationIdleTime = 500 * time.Millisecond
 )
 
-// confinement is where suspects run while replicas end in series.
-type confinement struct {
-	alertTill time.Duration
-	askedTill time.Duration            // wards are kept for suspects until then
-	wards     map[string]time.Duration // since when
-	lost      []time.Duration          // when wards ended
+// isolation tracks the generators that are set aside for suspects while replicas crash in
+// series.
+type isolation struct {
+	alertUntil    time.Duration
+	reservedUntil time.Duration            // generators stay isolated for suspects until then
+	isolated      map[string]time.Duration // isolated generators, with the time of their isolation
+	lostAt        []time.Duration          // when isolated generators were lost
 }
 
-// Alert notes that replicas end one after the other under some request.
-func (b *Board) Alert(now time.Duration) { b.confinement.alertTill = now + alertTime }
+// Alert records that replicas crash one after the other, apparently under some request.
+func (b *Board) Alert(now time.Duration) { b.isolation.alertUntil = now + alertDuration }
 
-// IsAlert reports whether requests are to be told apart by what they are.
-func (b *Board) IsAlert(now time.Duration) bool { return now < b.confinement.alertTill }
+// IsAlert reports whether such a series goes on, so that requests have to be identified.
+func (b *Board) IsAlert(now time.Duration) bool { return now < b.isolation.alertUntil }
 
-// admit returns how long a suspect has to wait for a ward, 0 for no time at all.
-func (c *confinement) admit(b *Board, now time.Duration, ask *Ask) (wait time.Duration) {
-	if now >= c.alertTill {
-		c.wards, c.lost = nil, nil
-		ask.Suspect = false
+// admit updates the isolated generators and returns how long a suspect has to wait for one;
+// 0 lets the request be placed.
+func (c *isolation) admit(b *Board, now time.Duration, request *Ask) (wait time.Duration) {
+	if now >= c.alertUntil {
+		c.isolated, c.lostAt = nil, nil
+		request.Suspect = false
 		return 0
 	}
-	if ask.Suspect {
-		c.askedTill = now + wardIdle
+	if request.Suspect {
+		c.reservedUntil = now + isolationIdleTime
 	}
-	c.tend(b, now)
-	if !ask.Suspect || !ask.Judged && b.freeWard(now, ask) {
+	c.update(b, now)
+	if !request.Suspect || !request.Judged && b.hasFreeIsolated(now, request) {
 		return 0
 	}
-	return wardWait
+	return suspectRetryInterval
 }
 
-// tend closes wards that are lost, and opens as many as there may be.
-func (c *confinement) tend(b *Board, now time.Duration) {
-	if c.wards == nil {
-		c.wards = map[string]time.Duration{}
+// update drops isolated generators that were lost, and isolates as many as are allowed.
+func (c *isolation) update(b *Board, now time.Duration) {
+	if c.isolated == nil {
+		c.isolated = map[string]time.Duration{}
 	}
-	for name := range c.wards {
-		if known := b.replicas[name]; known == nil || !known.isThere(now) || known.isDoubted(now) {
-			delete(c.wards, name)
-			c.lost = append(c.lost, now)
+	for name := range c.isolated {
+		if known := b.replicas[name]; known == nil || !known.acceptsRequests(now) || known.isSuspected(now) {
+			delete(c.isolated, name)
+			c.lostAt = append(c.lostAt, now)
 		}
 	}
-	if now >= c.askedTill {
-		clear(c.wards)
+	if now >= c.reservedUntil {
+		clear(c.isolated)
 		return
 	}
-	c.lost = slices.DeleteFunc(c.lost, func(at time.Duration) bool { return now-at >= wardReturn })
-	listed, sound := b.generators(now)
-	most := min(max(listed/wardShare, 1), mostWards)
-	for len(c.wards) > 0 && len(c.wards) >= len(sound) {
-		c.closeOne() // all others have to run somewhere
+	c.lostAt = slices.DeleteFunc(c.lostAt, func(at time.Duration) bool { return now-at >= replicaRestartTime })
+	listed, healthy := b.generators(now)
+	most := min(max(listed/isolatedDivisor, 1), maxIsolated)
+	for len(c.isolated) > 0 && len(c.isolated) >= len(healthy) {
+		c.releaseOne() // the other requests need a generator
 	}
-	for len(c.wards)+len(c.lost) < most && len(c.wards) < len(sound)-1 {
-		c.wards[c.emptiest(sound).Name] = now
+	for len(c.isolated)+len(c.lostAt) < most && len(c.isolated) < len(healthy)-1 {
+		c.isolated[c.leastLoaded(healthy).Name] = now
 	}
 }
 
-// closeOne closes the ward whose name comes first.
-func (c *confinement) closeOne() {
-	delete(c.wards, slices.Min(slices.Collect(maps.Keys(c.wards))))
+// releaseOne ends the isolation of the generator whose name sorts first.
+func (c *isolation) releaseOne() {
+	delete(c.isolated, slices.Min(slices.Collect(maps.Keys(c.isolated))))
 }
 
-// generators returns how many generators are listed, and those that answer.
-func (b *Board) generators(now time.Duration) (listed int, sound []*replica) {
+// generators returns the number of listed generators, and those that are healthy.
+func (b *Board) generators(now time.Duration) (listed int, healthy []*replica) {
 	for _, name := range b.names {
 		known := b.replicas[name]
 		if known.Role != RoleDecode || known.isLeaving() {
 			continue
 		}
 		listed++
-		if known.isThere(now) && !known.isDoubted(now) && !b.isChanging(now, known) {
-			sound = append(sound, known)
+		if known.acceptsRequests(now) && !known.isSuspected(now) && !b.isChanging(now, known) {
+			healthy = append(healthy, known)
 		}
 	}
-	return listed, sound
+	return listed, healthy
 }
 
-// emptiest is the sound generator that has least to do and is no ward.
-func (c *confinement) emptiest(sound []*replica) *replica {
+// leastLoaded returns the healthy generator with the fewest running requests that is not
+// isolated.
+func (c *isolation) leastLoaded(healthy []*replica) *replica {
 	var best *replica
-	for _, known := range sound {
-		if _, isWard := c.wards[known.Name]; isWard {
+	for _, known := range healthy {
+		if _, isWard := c.isolated[known.Name]; isWard {
 			continue
 		}
 		if best == nil || len(known.running) < len(best.running) {
@@ -132,60 +142,62 @@
 	return best
 }
 
-// allows reports whether the request may run at a generator: suspects at free wards, all
-// others anywhere else. Readers are open to all: a prompt that was read ends none.
-func (c *confinement) allows(now time.Duration, at *replica, ask *Ask) bool {
-	if now >= c.alertTill || at.Role != RoleDecode {
+// allows reports whether the request may go to a replica: suspects run on free isolated
+// generators, all others on any other generator. Readers take all requests, since reading a
+// prompt crashes no replica.
+func (c *isolation) allows(now time.Duration, at *replica, request *Ask) bool {
+	if now >= c.alertUntil || at.Role != RoleDecode {
 		return true
 	}
-	since, isWard := c.wards[at.Name]
-	return isWard == ask.Suspect && (!isWard || at.isFree(now, since))
+	since, isWard := c.isolated[at.Name]
+	return isWard == request.Suspect && (!isWard || at.isFreeForSuspect(now, since))
 }
 
-// freeWard reports whether a ward has a place for the suspect.
-func (b *Board) freeWard(now time.Duration, ask *Ask) bool {
-	return len(b.shortlist(now, RoleDecode, ask, nil)) > 0
+// hasFreeIsolated reports whether an isolated generator can take the suspect now.
+func (b *Board) hasFreeIsolated(now time.Duration, request *Ask) bool {
+	return len(b.shortlist(now, RoleDecode, request, nil)) > 0
 }
 
-// isFree reports whether a ward that was opened then takes a suspect now.
-func (r *replica) isFree(now, since time.Duration) bool {
+// isFreeForSuspect reports whether a generator isolated at the given time takes a suspect now.
+func (r *replica) isFreeForSuspect(now, since time.Duration) bool {
 	for p := range r.running {
-		if p.ask.Suspect && (!p.started || now-p.startedAt < wardWatch) {
+		if p.request.Suspect && (!p.started || now-p.startedAt < suspectWatchTime) {
 			return false
 		}
-		if !p.ask.Suspect && now-since < wardDrain {
+		if !p.request.Suspect && now-since < isolationDrainTime {
 			return false
 		}
 	}
 	return true
 }
 
-// waitAlone answers a suspect that has no place yet. One that cannot wait any longer is
-// told so while its caller can come back.
-func (b *Board) waitAlone(ask *Ask, wait time.Duration) Answer {
-	if ask.Deadline < 2*wait || ask.Deadline < share(ask.Age, waitAloneShare) {
-		return Answer{Refused: true, RetryAfter: wardReturn}
+// delaySuspect answers a suspect that cannot be placed yet. It is refused if it has too
+// little time left to wait, early enough for its caller to retry.
+func (b *Board) delaySuspect(request *Ask, wait time.Duration) Answer {
+	if request.Deadline < 2*wait || request.Deadline < fraction(request.Age, suspectTimeLeftShare) {
+		return Answer{Refused: true, RetryAfter: replicaRestartTime}
 	}
 	return Answer{Wait: wait}
 }
 
-// waitAloneShare is the part of its age that a waiting suspect must have left: after two
-// thirds of its time it is refused, and may be cleared when it comes again.
-const waitAloneShare = 0.5
+// suspectTimeLeftShare is the share of its age that a waiting suspect must have left. With
+// 0.5 it is refused after two thirds of its time, and may be cleared when it is retried.
+const suspectTimeLeftShare = 0.5
 
-// absenceWait is how long a request waits for a generator where none is left; longer than
-// its objective nobody waits.
-const absenceWait = 50 * time.Millisecond
+// generatorRetryInterval is the wait of a request while no generator is left. No request
+// waits past its objective.
+const generatorRetryInterval = 50 * time.Millisecond
 
-// nowhere answers a request that no generator takes. Where all of them are gone it waits
-// as long as it could be in time, and then is told when one is expected.
-func (b *Board) nowhere(now time.Duration, ask *Ask) Answer {
-	listed, sound := b.generators(now)
-	if listed == 0 || len(sound) > 0 || ask.Continued {
+// answerWithoutGenerator answers a request that no generator takes. If all generators are
+// gone, it waits as long as it can meet its objective, and is then refused with the time
+// after which a generator is expected.
+func (b *Board) answerWithoutGenerator(now time.Duration, request *Ask) Answer {
+	listed, healthy := b.generators(now)
+	if listed == 0 || len(healthy) > 0 || request.Continued {
 		return Answer{}
 	}
-	if ask.Age+absenceWait < share(ask.Objective, objectiveShare) {
-		return Answer{Wait: absenceWait}
+	if request.Age+generatorRetryInterval < fraction(request.Objective, objectiveShare) {
+		return Answer{Wait: generatorRetryInterval}
 	}
-	return Answer{Refused: true, RetryAfter: firstAbsence}
+	return Answer{Refused: true, RetryAfter: minBan}
 }
--- a/request/placement/failure.go
+++ b/request/placement/failure.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// Suspicion of replicas that failed.
+// Backoff times and costs of replicas that failed.
 const (
-	firstSuspicion = 500 * time.Millisecond
-	maxSuspicion   = 8 * time.Second
-	// A refusal is an answer, and over sooner.
-	firstRefusal = 100 * time.Millisecond
-	maxRefusal   = 1600 * time.Millisecond
-	// Another replica has the address of one that is gone. The list names the one that
-	// is gone until its reader has seen it leave, which takes longer while no member
-	// can read the list.
-	firstAbsence = time.Second
-	maxAbsence   = 16 * time.Second
-	// suspectCost is what a replica costs that has just given no answer. It is a
-	// cost and no ban, so that the others are not drowned when many are suspected.
+	minSuspicion = 500 * time.Millisecond
+	maxSuspicion = 8 * time.Second
+	// A refusal is an answer, so its backoff is shorter.
+	minRefusal = 100 * time.Millisecond
+	maxRefusal = 1600 * time.Millisecond
+	// The address of the replica does not lead to it: it is gone, or another replica has the
+	// address. The list still names it until the list's reader has seen it leave, which takes
+	// longer while no member of the control plane can read the list.
+	minBan = time.Second
+	maxBan = 16 * time.Second
+	// suspectCost is charged for a replica that has just given no answer. It is a cost rather
+	// than a ban, so that the others are not overloaded when many replicas are suspected.
 	suspectCost = 1500 * time.Millisecond
-	// failureCost is what a replica that always fails costs.
-	failureCost   = 400 * time.Millisecond
-	failureWeight = 0.2
+	// fullFailureCost is charged for a replica whose failure rate is 1.
+	fullFailureCost = 400 * time.Millisecond
+	failureWeight   = 0.2
 )
 
-// fail notes a replica's failure; p is the request that it failed, nil if the board
-// does not know it any more. One that answers, if only with failures, is not suspected
+// recordFailure records a failure of a replica. p is the request that it failed, or nil if
+// the board no longer tracks it. A replica that answers, even with failures, is not suspected
 // to be gone.
-func (b *Board) fail(now time.Duration, note Note, p *placed) {
+func (b *Board) recordFailure(now time.Duration, note Note, p *placedRequest) {
 	failed := b.replicas[note.Replica]
 	if failed == nil {
 		return
@@ -33,76 +33,76 @@
 	failed.failureRate += failureWeight * (1 - failed.failureRate)
 	switch note.Step {
 	case StepErred:
-		failed.suspicion, failed.suspectTill = 0, 0
+		failed.suspicionPeriod, failed.suspectUntil = 0, 0
 	case StepRefused:
-		failed.refuse(now)
+		failed.recordRefusal(now)
 	case StepMisdirected, StepGone:
-		failed.miss(now, p)
+		failed.ban(now, p)
 	default:
 		failed.suspect(now, p)
 	}
 	b.index.move(failed)
 }
 
-// suspect keeps requests off a replica that gave no answer. All that it had when it
-// fell silent fails one after the other, and tells the same once: only a request that
-// was placed after the last suspicion makes the next one longer.
-func (r *replica) suspect(now time.Duration, p *placed) {
-	if p != nil && r.suspicion > 0 && p.at < r.suspectedAt {
+// suspect starts or extends the suspicion of a replica that gave no answer. All requests that
+// it had when it went silent fail one after the other but are evidence of one failure, so only
+// a request placed after the last suspicion began extends it.
+func (r *replica) suspect(now time.Duration, p *placedRequest) {
+	if p != nil && r.suspicionPeriod > 0 && p.placedAt < r.suspectedAt {
 		return
 	}
-	r.suspicion = min(max(2*r.suspicion, firstSuspicion), maxSuspicion)
-	r.suspectedAt, r.suspectTill = now, now+r.suspicion
+	r.suspicionPeriod = min(max(2*r.suspicionPeriod, minSuspicion), maxSuspicion)
+	r.suspectedAt, r.suspectUntil = now, now+r.suspicionPeriod
 }
 
-// isDoubted reports whether requests are kept off the replica: it has lately given no
-// answer, or the one request that is to show whether it answers again is under way.
-func (r *replica) isDoubted(now time.Duration) bool {
-	return now < r.suspectTill || r.suspicion > 0 && r.trial != nil
+// isSuspected reports whether requests are kept off the replica: it recently gave no answer,
+// or the one request that probes whether it answers again is in flight.
+func (r *replica) isSuspected(now time.Duration) bool {
+	return now < r.suspectUntil || r.suspicionPeriod > 0 && r.probe != nil
 }
 
-// try notes a request that is placed on the replica. After a suspicion the first one is
-// a trial, and until it has ended others are kept off.
-func (r *replica) try(p *placed) {
-	if r.suspicion > 0 && r.trial == nil {
-		r.trial = p
+// startProbe makes the first request that is placed on the replica after a suspicion its
+// probe. Other requests are kept off until the probe has ended.
+func (r *replica) startProbe(p *placedRequest) {
+	if r.suspicionPeriod > 0 && r.probe == nil {
+		r.probe = p
 	}
 }
 
-// endTrial notes that a request has ended.
-func (r *replica) endTrial(p *placed) {
-	if r != nil && r.trial == p {
-		r.trial = nil
+// endProbe ends the probe if it is the given request.
+func (r *replica) endProbe(p *placedRequest) {
+	if r != nil && r.probe == p {
+		r.probe = nil
 	}
 }
 
-// refuse keeps requests off a replica that refuses them: as long as it runs
-// nothing it looks idle, and would draw all of them. Each refusal of a request
-// that was sent after the last one had been taken in counts for longer.
-func (r *replica) refuse(now time.Duration) {
-	if now < r.suspectTill {
+// recordRefusal keeps requests off a replica that refuses them: since it runs nothing, it
+// looks idle and would attract all of them. The backoff doubles with each refusal after the
+// previous backoff; a refusal during it is of a request sent earlier, and is ignored.
+func (r *replica) recordRefusal(now time.Duration) {
+	if now < r.suspectUntil {
 		return
 	}
-	r.refusal = min(max(2*r.refusal, firstRefusal), maxRefusal)
-	r.suspectTill = now + r.refusal
+	r.refusalBackoff = min(max(2*r.refusalBackoff, minRefusal), maxRefusal)
+	r.suspectUntil = now + r.refusalBackoff
 }
 
-// miss passes over a replica at whose address another one has answered. This is a ban
-// and no cost: whatever is sent there is surely refused, and counts as a retry.
-// What p tells is old where it was placed before the last word, or on the replica in
-// another role, in which it was asked for something else.
-func (r *replica) miss(now time.Duration, p *placed) {
-	if r.isAbsent(now) || p != nil && (p.isOnAnother(r) || r.absence > 0 && p.at < r.absentSince) {
+// ban keeps all requests off a replica whose address does not lead to it. This is a ban rather than a
+// cost: a request sent there is certain to be refused and uses up a retry. The report is
+// outdated if p was placed before the last ban, or on the replica in an earlier role, for
+// which the address was asked for something else.
+func (r *replica) ban(now time.Duration, p *placedRequest) {
+	if r.isBanned(now) || p != nil && (p.isOnRemovedReplica(r) || r.banPeriod > 0 && p.placedAt < r.bannedSince) {
 		return
 	}
-	r.absence = min(max(2*r.absence, firstAbsence), maxAbsence)
-	r.absentSince, r.absentTill = now, now+r.absence
+	r.banPeriod = min(max(2*r.banPeriod, minBan), maxBan)
+	r.bannedSince, r.bannedUntil = now, now+r.banPeriod
 }
 
-// isOnAnother reports whether the request was placed on a replica of the name that was
-// forgotten since, as after a change of its role.
-func (p *placed) isOnAnother(r *replica) bool {
-	for _, on := range []*replica{p.runningAt, p.unreadAt} {
+// isOnRemovedReplica reports whether the request was placed on a replica of the same name that
+// has since been removed, as by a role change.
+func (p *placedRequest) isOnRemovedReplica(r *replica) bool {
+	for _, on := range []*replica{p.runningOn, p.queuedOn} {
 		if on != nil && on != r && on.Name == r.Name {
 			return true
 		}
@@ -110,31 +110,31 @@
 	return false
 }
 
-// leave notes that a replica has said that it leaves. That holds for as long as the board
-// knows its process: it is listed as leaving later, and then no more. Until then this is a
-// cost and no ban: where nothing else is left, it serves for a while yet. Each daemon names
-// it as excluded once its own time to send there is over.
-func (b *Board) leave(name string) {
+// recordLeaving records that a replica announced that it leaves. This holds as long as the
+// board tracks the process; the list shows it as leaving later and then drops it. Until then
+// this is a cost rather than a ban: if nothing else is left, the replica still serves for a
+// while. Each daemon excludes it once its own time to send there is over.
+func (b *Board) recordLeaving(name string) {
 	if known := b.replicas[name]; known != nil {
-		known.saysLeaving = true
+		known.announcedLeaving = true
 		b.index.move(known)
 	}
 }
 
-// isLeaving reports whether the replica leaves, by the list or by its own word.
-func (r *replica) isLeaving() bool { return r.Leaving || r.saysLeaving }
+// isLeaving reports whether the replica leaves, as listed or as announced.
+func (r *replica) isLeaving() bool { return r.Leaving || r.announcedLeaving }
 
-// isAbsent reports whether the replica is gone from its address, by the last word.
-func (r *replica) isAbsent(now time.Duration) bool { return now < r.absentTill }
+// isBanned reports whether the replica gets no requests because its address does not lead to it.
+func (r *replica) isBanned(now time.Duration) bool { return now < r.bannedUntil }
 
-// succeed notes that the replica did what p asked it for: whatever it has left
-// unanswered, it is there. That says nothing of a later word by which it is gone.
-func (r *replica) succeed(p *placed) {
+// recordSuccess records that the replica completed a step of p, which ends its suspicion
+// although other requests may be unanswered. It ends a ban only if p was placed after it began.
+func (r *replica) recordSuccess(p *placedRequest) {
 	r.failureRate *= 1 - failureWeight
-	r.suspicion, r.refusal = 0, 0
-	r.suspectTill = 0
-	r.trial = nil
-	if p.at >= r.absentSince {
-		r.absence, r.absentTill = 0, 0
+	r.suspicionPeriod, r.refusalBackoff = 0, 0
+	r.suspectUntil = 0
+	r.probe = nil
+	if p.placedAt >= r.bannedSince {
+		r.banPeriod, r.bannedUntil = 0, 0
 	}
 }
--- a/request/placement/fairness.go
+++ b/request/placement/fairness.go
@@ -2,107 +2,106 @@
 
 import "time"
 
-// Large prompts miss their objective first, so that an overload defers and refuses them
-// before all others: without a bound hardly any of them would be served. Requests of a
-// class are therefore told apart by size, and a size group that is served far less
-// often than its class as a whole is neither deferred nor refused until it has caught up.
+// Large prompts are the first to miss their objective, so an overload would defer and refuse
+// them before all others until hardly any was served. Requests of a class are therefore
+// grouped by size, and a size group that is served far less often than its class as a whole
+// is neither deferred nor refused until it has caught up.
 
 // Size groups of a class: the largest tenth, and the fifth below it.
 const (
 	largestShare = 0.1
-	largeShare   = 0.3 // both together
+	largeShare   = 0.3 // of both groups together
 )
 
-// Bounds and weights of what is known of a class.
+// Parameters of the statistics of a class.
 const (
-	// starvedShare is the part of its class's served share below which a group starves.
+	// starvedShare is the share of its class's served rate below which a group is starved.
 	starvedShare = 0.6
-	// leastAsked is how many requests of a group must have been seen: fewer tell little.
-	leastAsked = 8
-	// servedMemory is the time after which a request counts a third.
-	servedMemory = 20 * time.Second
-	// classMemory is the time without a request after which a class is forgotten.
-	classMemory = 10 * servedMemory
-	// quantileStep is the part of the mean size by which a bound moves at once.
+	// minGroupRequests is the number of requests below which the rate of a group is not used.
+	minGroupRequests = 8
+	// servedTimeConstant is the time constant with which counted requests decay.
+	servedTimeConstant = 20 * time.Second
+	// classIdleTimeout is the time without a request after which a class is removed.
+	classIdleTimeout = 10 * servedTimeConstant
+	// quantileStep is the step of a size bound, as a share of the mean size.
 	quantileStep = 0.05
-	// meanWeight is the weight of the last request in the mean size.
+	// meanWeight is the weight of the latest request in the mean size.
 	meanWeight = 0.02
 )
 
-// class tells requests apart whose served shares are compared.
+// class groups the requests whose served rates are compared.
 type class struct {
 	priority  int
 	objective time.Duration
 }
 
-// class returns the request's class.
+// class returns the class of the request.
 func (a *Ask) class() class { return class{priority: a.Priority, objective: a.Objective} }
 
-// sizeGroup is a part of the requests of a class by the length of their prompts.
+// sizeGroup is a group of the requests of a class, by prompt length.
 type sizeGroup uint8
 
-// The groups. groupAll counts all requests; a request that is in neither of the
-// others has it as its own.
+// Size groups. groupAll counts all requests; it is also the group of a request that is in
+// neither of the others.
 const (
 	groupAll sizeGroup = iota
 	groupLarge
 	groupLargest
-	sizeGroups // how many there are
+	sizeGroupCount // number of groups
 )
 
-// fairness is what is known of the sizes of one class's requests and of how often they
-// are served.
+// fairness holds the size bounds of one class and the rates at which its groups are served.
 type fairness struct {
-	mean           float64 // tokens
-	large, largest float64 // bounds of the groups, in tokens
-	// served is the share of requests that came to their first token, by group.
-	served  [sizeGroups]recentShare
-	askedAt time.Duration // when a request was last asked for
+	mean                     float64 // tokens
+	largeBound, largestBound float64 // lower bounds of the groups, in tokens
+	// served is the share of requests that reached their first token, by group.
+	served        [sizeGroupCount]recentShare
+	lastRequestAt time.Duration // time of the last request
 }
 
 func newFairness() *fairness {
-	made := &fairness{}
-	for group := range made.served {
-		made.served[group] = newRecentShare(servedMemory)
+	result := &fairness{}
+	for group := range result.served {
+		result.served[group] = newRecentShare(servedTimeConstant)
 	}
-	return made
+	return result
 }
 
-// fairnessOf returns what is known of the request's class. A new class drops those
-// that nobody has asked for in a long time, as after changes of objectives.
-func (b *Board) fairnessOf(now time.Duration, ask *Ask) *fairness {
-	known := b.fairness[ask.class()]
-	if known != nil {
-		return known
+// fairnessOf returns the statistics of the request's class. Adding a class removes those that
+// have had no request for classIdleTimeout, as after objectives were changed.
+func (b *Board) fairnessOf(now time.Duration, request *Ask) *fairness {
+	statistics := b.fairness[request.class()]
+	if statistics != nil {
+		return statistics
 	}
 	for other, old := range b.fairness {
-		if now-old.askedAt > classMemory {
+		if now-old.lastRequestAt > classIdleTimeout {
 			delete(b.fairness, other)
 		}
 	}
-	known = newFairness()
-	known.askedAt = now
-	b.fairness[ask.class()] = known
-	return known
+	statistics = newFairness()
+	statistics.lastRequestAt = now
+	b.fairness[request.class()] = statistics
+	return statistics
 }
 
-// group returns the group of a prompt.
+// group returns the size group of a prompt.
 func (f *fairness) group(prompt int) sizeGroup {
 	switch size := float64(prompt); {
-	case f.mean == 0 || size <= f.large:
+	case f.mean == 0 || size <= f.largeBound:
 		return groupAll
-	case size <= f.largest:
+	case size <= f.largestBound:
 		return groupLarge
 	default:
 		return groupLargest
 	}
 }
 
-// ask counts a request that wants a place, and returns its group.
-func (f *fairness) ask(now time.Duration, prompt int) sizeGroup {
-	f.askedAt = now
+// recordRequest counts a request to be placed, and returns its group.
+func (f *fairness) recordRequest(now time.Duration, prompt int) sizeGroup {
+	f.lastRequestAt = now
 	group := f.group(prompt)
-	f.learnSize(float64(prompt))
+	f.updateBounds(float64(prompt))
 	f.served[groupAll].events.add(now)
 	if group != groupAll {
 		f.served[group].events.add(now)
@@ -110,38 +109,37 @@
 	return group
 }
 
-// start counts a request of the group that came to its first token.
-func (f *fairness) start(now time.Duration, group sizeGroup) {
+// recordStart counts a request of the group that reached its first token.
+func (f *fairness) recordStart(now time.Duration, group sizeGroup) {
 	f.served[groupAll].hits.add(now)
 	if group != groupAll {
 		f.served[group].hits.add(now)
 	}
 }
 
-// isStarved reports whether the group is served too seldom beside its class.
+// isStarved reports whether the group is served far less often than its class.
 func (f *fairness) isStarved(now time.Duration, group sizeGroup) bool {
 	counted := &f.served[group]
-	if group == groupAll || counted.events.value(now) < leastAsked {
+	if group == groupAll || counted.events.value(now) < minGroupRequests {
 		return false
 	}
 	return counted.value(now) < starvedShare*f.served[groupAll].value(now)
 }
 
-// learnSize moves the bounds of the groups: each by as much as keeps its share of the
-// requests above it.
-func (f *fairness) learnSize(size float64) {
+// updateBounds adjusts the size bounds so that each keeps its share of requests above it.
+func (f *fairness) updateBounds(size float64) {
 	if f.mean == 0 {
-		f.mean, f.large, f.largest = size, size, size
+		f.mean, f.largeBound, f.largestBound = size, size, size
 		return
 	}
 	f.mean += meanWeight * (size - f.mean)
-	f.large = movedQuantile(f.large, size, largeShare, f.mean)
-	f.largest = max(movedQuantile(f.largest, size, largestShare, f.mean), f.large)
+	f.largeBound = updatedQuantile(f.largeBound, size, largeShare, f.mean)
+	f.largestBound = max(updatedQuantile(f.largestBound, size, largestShare, f.mean), f.largeBound)
 }
 
-// movedQuantile is the bound above which so large a share of the sizes lies, after one
-// more of them.
-func movedQuantile(bound, size, above, mean float64) float64 {
+// updatedQuantile returns the bound above which the given share of sizes lies, after one more
+// size.
+func updatedQuantile(bound, size, above, mean float64) float64 {
 	if size > bound {
 		return bound + quantileStep*mean*(1-above)
 	}
--- a/request/placement/fairness_test.go
+++ b/request/placement/fairness_test.go
@@ -11,10 +11,10 @@
 func TestSizeGroupsHoldTheirShares(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	known := newFairness()
-	counts := [sizeGroups]int{}
+	counts := [sizeGroupCount]int{}
 	const learning, counted = 2_000, 10_000
 	for i := range learning + counted {
-		group := known.ask(0, int(1_000*random.ExpFloat64())+1)
+		group := known.recordRequest(0, int(1_000*random.ExpFloat64())+1)
 		if i >= learning {
 			counts[group]++
 		}
@@ -23,26 +23,26 @@
 	must.Between(t, counted*16/100, counts[groupLarge], counted*24/100)
 }
 
-// counted is a share of so many hits among so many events.
-func counted(events, hits float64) recentShare {
-	share := newRecentShare(servedMemory)
+// newShare returns a share with the given numbers of events and hits.
+func newShare(events, hits float64) recentShare {
+	share := newRecentShare(servedTimeConstant)
 	share.events.sum, share.hits.sum = events, hits
 	return share
 }
 
-func TestSizesThatAreServedTooSeldomStarve(t *testing.T) {
+func TestRarelyServedSizeGroupsAreStarved(t *testing.T) {
 	known := newFairness()
-	known.mean, known.large, known.largest = 1_000, 1_500, 2_000
-	known.served[groupAll] = counted(100, 80)
+	known.mean, known.largeBound, known.largestBound = 1_000, 1_500, 2_000
+	known.served[groupAll] = newShare(100, 80)
 	for _, test := range []struct {
 		group   sizeGroup
 		served  recentShare
 		starved bool
 	}{
-		{groupLargest, counted(10, 4), true},
-		{groupLargest, counted(10, 6), false},
-		{groupLarge, counted(20, 8), true},
-		{groupLargest, counted(leastAsked-1, 0), false},
+		{groupLargest, newShare(10, 4), true},
+		{groupLargest, newShare(10, 6), false},
+		{groupLarge, newShare(20, 8), true},
+		{groupLargest, newShare(minGroupRequests-1, 0), false},
 	} {
 		known.served[test.group] = test.served
 		must.Eq(t, test.starved, known.isStarved(0, test.group))
@@ -50,45 +50,45 @@
 	must.False(t, known.isStarved(0, groupAll))
 }
 
-func TestWhatWasServedIsForgotten(t *testing.T) {
+func TestServedCountsDecay(t *testing.T) {
 	known := newFairness()
-	known.ask(0, 100)
-	known.start(0, groupAll)
+	known.recordRequest(0, 100)
+	known.recordStart(0, groupAll)
 	must.Eq(t, 1.0, known.served[groupAll].value(0))
-	must.Less(t, 0.01, known.served[groupAll].events.value(10*servedMemory))
-	must.Less(t, 0.01, known.served[groupAll].hits.value(10*servedMemory))
+	must.Less(t, 0.01, known.served[groupAll].events.value(10*servedTimeConstant))
+	must.Less(t, 0.01, known.served[groupAll].hits.value(10*servedTimeConstant))
 }
 
-// Objectives that change with each configuration leave nothing behind for good.
-func TestClassesThatNobodyAsksForAreForgotten(t *testing.T) {
+// Objectives that change with each configuration must not accumulate classes.
+func TestIdleClassesAreRemoved(t *testing.T) {
 	b := newTestBoard()
 	for number := range uint64(50) {
-		b.Place(time.Duration(number)*classMemory/2, key(number), urgent(100, time.Duration(number+1)*time.Second))
+		b.Place(time.Duration(number)*classIdleTimeout/2, key(number), requestWithObjective(100, time.Duration(number+1)*time.Second))
 	}
 	must.LessEq(t, 4, len(b.fairness))
 }
 
-// In an overload that never ends, small prompts would be in time and the large ones put
-// behind all of them for good. They are not, once enough of them got nothing.
-func TestLargePromptsAreNotPutBehindForEver(t *testing.T) {
+// In a permanent overload, small prompts are in time and large ones would always be deferred
+// behind them. Large prompts must be placed in time again once too few of them were served.
+func TestLargePromptsAreNotDeferredForever(t *testing.T) {
 	b := newTestBoard()
 	now, number := time.Duration(0), uint64(0)
-	place := func(tokens int) Answer {
+	pos := func(tokens int) Answer {
 		number++
 		now += 50 * ms
-		return b.Place(now, key(number), urgent(tokens, 600*ms))
+		return b.Place(now, key(number), requestWithObjective(tokens, 600*ms))
 	}
 	inTime := 0
 	for range 60 {
 		for range 8 {
-			if answer := place(2_000); !answer.Deferred {
+			if answer := pos(2_000); !answer.Deferred {
 				now += answer.Estimate
 				b.Note(now, key(number), Note{Step: StepStarted})
 			}
 			b.Note(now, key(number), Note{Step: StepEnded})
 		}
 		for range 2 {
-			if answer := place(60_000); answer.Generator != "" && !answer.Deferred {
+			if answer := pos(60_000); answer.Generator != "" && !answer.Deferred {
 				inTime++
 			}
 			b.Note(now, key(number), Note{Step: StepEnded})
--- a/request/placement/index.go
+++ b/request/placement/index.go
@@ -7,40 +7,40 @@
 	"time"
 )
 
-// A request is not compared at every replica: what it costs depends on few of them. A replica
-// that keeps parts of its prompt, or that its daemon is connected to, may be worth more than
-// others; of the rest, one that has nothing to do costs least in its zone. So the index holds
-// the replicas by zone and role in order of their work, and those that keep a part by the
-// part. It is moved along with each event of a request, and a choice looks at a number of
-// replicas that does not grow with the service.
+// A request is not compared on every replica, since its cost depends on few of them. A replica
+// that has parts of its prompt cached, or that its daemon is connected to, may be better than
+// others; among the rest, an idle one costs least in its zone. So the index orders the replicas
+// of each zone and role by their work, and maps each part to the replicas that have it. It is
+// updated with each event of a request, and the number of replicas that a choice examines
+// does not grow with the service.
 //
-// Invariant: where no zone has more than groupConsidered replicas of a role, the choice is the
-// one among all replicas.
+// Invariant: if no zone has more than maxPerGroup replicas of a role, the choice equals the
+// choice among all replicas.
 
-// Bounds of the replicas that one choice looks at.
+// Limits on the replicas that one choice examines.
 const (
-	// groupConsidered is how many of a zone and role are compared where none is idle.
-	groupConsidered = 16
-	// holdersWhole is how many replicas of a zone that keep a part are all looked at; of more
-	// the first holdersConsidered that are idle.
-	holdersWhole      = 16
-	holdersSearched   = 48
-	holdersConsidered = 4
+	// maxPerGroup is the number of replicas of a zone and role compared if none is idle.
+	maxPerGroup = 16
+	// Up to maxAllHolders replicas of a zone that have a part are all examined. If there are
+	// more, the first maxIdleHolders idle ones among the first maxHoldersSearched are.
+	maxAllHolders      = 16
+	maxHoldersSearched = 48
+	maxIdleHolders     = 4
 )
 
-// workLevels is how many amounts of work are told apart; the last stands for all above.
+// workLevels is the number of distinct work levels; the last one includes all above it.
 const workLevels = 64
 
-// index holds the replicas of a board in the orders in which a choice needs them.
+// index holds the replicas of a board in the orders that a choice needs.
 type index struct {
 	groups map[groupKey]*group
 	// sorted holds the groups of each role by zone.
-	sorted [2][]*group
-	// holders are the replicas that are believed to keep a part, by zone and name.
+	groupsByZone [2][]*group
+	// holders maps a part to the replicas that have it cached, by zone and name.
 	holders map[string][]*replica
-	// bringing are the replicas with a queued request that brings a part there, by name.
-	bringing map[string][]*replica
-	// visit numbers the choices: a replica that carries it was looked at.
+	// pending maps a part to the replicas with a queued request that will cache it, by name.
+	pending map[string][]*replica
+	// visit is the number of the current choice; replicas that it examined carry it.
 	visit uint64
 }
 
@@ -52,15 +52,15 @@
 // group holds the replicas of one zone and role.
 type group struct {
 	zone string
-	// sound and impaired ones, each by work and then by name. Impaired are those that
-	// failed a request, or said that they leave, and have not shown better since.
-	sound, impaired ranking
+	// Both are ordered by work and then by name. Impaired replicas have recently failed a
+	// request, or announced that they leave.
+	healthy, impaired ranking
 }
 
-// ranking holds replicas by how much work they have, each level by name.
+// ranking holds replicas by their amount of work, and each level by name.
 type ranking [workLevels][]*replica
 
-// position is where the index holds a replica.
+// position is the place of a replica in the index.
 type position struct {
 	group   *group
 	ranking *ranking
@@ -68,7 +68,7 @@
 }
 
 func newIndex() *index {
-	return &index{groups: map[groupKey]*group{}, holders: map[string][]*replica{}, bringing: map[string][]*replica{}}
+	return &index{groups: map[groupKey]*group{}, holders: map[string][]*replica{}, pending: map[string][]*replica{}}
 }
 
 func byName(a, b *replica) int { return strings.Compare(a.Name, b.Name) }
@@ -80,36 +80,36 @@
 	return byName(a, b)
 }
 
-// insert adds the replica to the sorted list, remove takes it out.
-func insert(list []*replica, r *replica, compare func(a, b *replica) int) []*replica {
-	place, found := slices.BinarySearchFunc(list, r, compare)
+// insertSorted adds the replica to the sorted list; removeSorted removes it.
+func insertSorted(list []*replica, r *replica, compare func(a, b *replica) int) []*replica {
+	pos, found := slices.BinarySearchFunc(list, r, compare)
 	if found {
 		return list
 	}
-	return slices.Insert(list, place, r)
+	return slices.Insert(list, pos, r)
 }
 
-func remove(list []*replica, r *replica, compare func(a, b *replica) int) []*replica {
-	place, found := slices.BinarySearchFunc(list, r, compare)
-	if !found || list[place] != r {
+func removeSorted(list []*replica, r *replica, compare func(a, b *replica) int) []*replica {
+	pos, found := slices.BinarySearchFunc(list, r, compare)
+	if !found || list[pos] != r {
 		return list
 	}
-	return slices.Delete(list, place, place+1)
+	return slices.Delete(list, pos, pos+1)
 }
 
-// group returns the group of the zone and role.
+// group returns the group of the zone and role, and creates it if needed.
 func (x *index) group(key groupKey) *group {
 	known := x.groups[key]
 	if known == nil {
 		known = &group{zone: key.zone}
 		x.groups[key] = known
-		x.sorted[key.role] = append(x.sorted[key.role], known)
-		slices.SortFunc(x.sorted[key.role], func(a, b *group) int { return strings.Compare(a.zone, b.zone) })
+		x.groupsByZone[key.role] = append(x.groupsByZone[key.role], known)
+		slices.SortFunc(x.groupsByZone[key.role], func(a, b *group) int { return strings.Compare(a.zone, b.zone) })
 	}
 	return known
 }
 
-// work is how many requests a replica has: a reader's queue, and all of a generator's.
+// work returns the number of requests queued on a reader, or in flight on a generator.
 func (r *replica) work() int {
 	if r.Role == RolePrefill {
 		return len(r.queue)
@@ -117,63 +117,62 @@
 	return len(r.running)
 }
 
-// isImpaired reports whether the replica has failed, or leaves, and has not shown better.
+// isImpaired reports whether the replica has recently failed or announced that it leaves.
 func (r *replica) isImpaired() bool {
-	return r.saysLeaving || r.failureRate >= impairedRate
+	return r.announcedLeaving || r.failureRate >= impairedRate
 }
 
-// impairedRate is the failure rate from which a replica is no match for one that does not
-// fail.
+// impairedRate is the failure rate from which a replica is ranked after all that do not fail.
 const impairedRate = 0.01
 
-// move puts the replica where its work has it stand now.
+// move updates the position of the replica after a change of its work or state.
 func (x *index) move(r *replica) {
-	if r == nil || r.isForgotten {
+	if r == nil || r.isRemoved {
 		return
 	}
 	level := min(r.work(), workLevels-1)
-	under := x.group(groupKey{r.Zone, r.Role})
-	order := &under.sound
+	target := x.group(groupKey{r.Zone, r.Role})
+	order := &target.healthy
 	if r.isImpaired() {
-		order = &under.impaired
+		order = &target.impaired
 	}
-	if r.place == (position{under, order, level}) {
+	if r.position == (position{target, order, level}) {
 		return
 	}
-	x.take(r)
-	order[level] = insert(order[level], r, byName)
-	r.place = position{under, order, level}
+	x.unrank(r)
+	order[level] = insertSorted(order[level], r, byName)
+	r.position = position{target, order, level}
 }
 
-// take takes the replica out of its group.
-func (x *index) take(r *replica) {
-	if from := r.place.ranking; from != nil {
-		from[r.place.level] = remove(from[r.place.level], r, byName)
+// unrank removes the replica from its group.
+func (x *index) unrank(r *replica) {
+	if from := r.position.ranking; from != nil {
+		from[r.position.level] = removeSorted(from[r.position.level], r, byName)
 	}
-	r.place = position{}
+	r.position = position{}
 }
 
-// forget takes out all that the index holds of a replica that is listed no more.
+// forget removes a replica that is no longer listed.
 func (x *index) forget(r *replica) {
-	x.take(r)
-	r.isForgotten = true
+	x.unrank(r)
+	r.isRemoved = true
 	for id := range r.cache.parts {
-		x.release(r, id)
+		x.removeHolder(r, id)
 	}
 	for id := range r.cache.pending {
-		x.arrived(r, id)
+		x.removePending(r, id)
 	}
 }
 
-// hold notes that the replica keeps a part, release that it does not.
-func (x *index) hold(r *replica, id string) {
-	if !r.isForgotten {
-		x.holders[id] = insert(x.holders[id], r, byZoneAndName)
+// addHolder records that the replica has a part cached, removeHolder that it has not.
+func (x *index) addHolder(r *replica, id string) {
+	if !r.isRemoved {
+		x.holders[id] = insertSorted(x.holders[id], r, byZoneAndName)
 	}
 }
 
-func (x *index) release(r *replica, id string) {
-	left := remove(x.holders[id], r, byZoneAndName)
+func (x *index) removeHolder(r *replica, id string) {
+	left := removeSorted(x.holders[id], r, byZoneAndName)
 	if len(left) == 0 {
 		delete(x.holders, id)
 		return
@@ -181,23 +180,24 @@
 	x.holders[id] = left
 }
 
-// expect notes that a queued request brings a part to the replica, arrived that none does.
-func (x *index) expect(r *replica, id string) {
-	if !r.isForgotten {
-		x.bringing[id] = insert(x.bringing[id], r, byName)
+// addPending records that a queued request will cache a part on the replica, removePending
+// that none will.
+func (x *index) addPending(r *replica, id string) {
+	if !r.isRemoved {
+		x.pending[id] = insertSorted(x.pending[id], r, byName)
 	}
 }
 
-func (x *index) arrived(r *replica, id string) {
-	left := remove(x.bringing[id], r, byName)
+func (x *index) removePending(r *replica, id string) {
+	left := removeSorted(x.pending[id], r, byName)
 	if len(left) == 0 {
-		delete(x.bringing, id)
+		delete(x.pending, id)
 		return
 	}
-	x.bringing[id] = left
+	x.pending[id] = left
 }
 
-// holdersByZone returns the holders of a part, zone by zone.
+// holdersByZone returns the holders of a part, grouped by zone.
 func (x *index) holdersByZone(id string) [][]*replica {
 	var zones [][]*replica
 	rest := x.holders[id]
@@ -210,9 +210,8 @@
 	return zones
 }
 
-// all calls visit for the replicas of a ranking, those with least work first, until it
-// returns false.
-func (o *ranking) all(visit func(level int, r *replica) bool) {
+// each calls visit for the replicas of a ranking, least work first, until it returns false.
+func (o *ranking) each(visit func(level int, r *replica) bool) {
 	for level := range o {
 		for _, r := range o[level] {
 			if !visit(level, r) {
@@ -222,51 +221,52 @@
 	}
 }
 
-// shortlist gathers replicas of one role that are worth comparing for one request.
+// shortlist collects the replicas of one role that are compared for one request.
 type shortlist struct {
-	board *Board
-	now   time.Duration
-	role  Role
-	ask   *Ask
-	found []*replica
+	board   *Board
+	now     time.Duration
+	role    Role
+	request *Ask
+	found   []*replica
 }
 
-// shortlist returns the replicas of the role that a request is compared at, by name.
-func (b *Board) shortlist(now time.Duration, role Role, ask *Ask, keepers map[string]keeper) []*replica {
-	list := &shortlist{board: b, now: now, role: role, ask: ask}
+// shortlist returns the replicas of the role that are compared for the request, by name.
+func (b *Board) shortlist(now time.Duration, role Role, request *Ask, prefixHolders map[string]prefixHolder) []*replica {
+	list := &shortlist{board: b, now: now, role: role, request: request}
 	b.index.visit++
-	if ask.Suspect && role == RoleDecode {
-		for name := range b.confinement.wards {
+	if request.Suspect && role == RoleDecode {
+		for name := range b.isolation.isolated {
 			list.add(b.replicas[name])
 		}
 		slices.SortFunc(list.found, byName)
 		return list.found
 	}
-	for _, name := range ask.Connected {
+	for _, name := range request.Connected {
 		list.add(b.replicas[name])
 	}
-	for _, known := range keepers {
+	for _, known := range prefixHolders {
 		list.add(known.replica)
 	}
-	for _, part := range ask.Parts {
+	for _, part := range request.Parts {
 		for _, holders := range b.index.holdersByZone(part.ID) {
 			list.addHolders(holders)
 		}
 	}
-	for _, under := range b.index.sorted[role] {
-		list.addGroup(under)
+	for _, zoneGroup := range b.index.groupsByZone[role] {
+		list.addGroup(zoneGroup)
 	}
 	slices.SortFunc(list.found, byName)
 	return list.found
 }
 
-// add takes the replica in if the request may go there; false if it may not.
+// add adds the replica if the request may go there. It reports whether the replica is on the
+// list.
 func (l *shortlist) add(r *replica) bool {
 	if r == nil || r.Role != l.role || r.visited == l.board.index.visit {
 		return r != nil && r.isListed == l.board.index.visit
 	}
 	r.visited = l.board.index.visit
-	if !l.board.isUsable(l.now, r, l.ask) {
+	if !l.board.isUsable(l.now, r, l.request) {
 		return false
 	}
 	r.isListed = r.visited
@@ -274,17 +274,17 @@
 	return true
 }
 
-// addHolders takes in replicas of a zone that keep a part of the prompt.
+// addHolders adds replicas of one zone that have a part of the prompt cached.
 func (l *shortlist) addHolders(holders []*replica) {
-	if len(holders) <= holdersWhole {
+	if len(holders) <= maxAllHolders {
 		for _, r := range holders {
 			l.add(r)
 		}
 		return
 	}
 	added := 0
-	for _, r := range holders[:min(len(holders), holdersSearched)] {
-		if added == holdersConsidered {
+	for _, r := range holders[:min(len(holders), maxHoldersSearched)] {
+		if added == maxIdleHolders {
 			return
 		}
 		if r.Role == l.role && r.work() == 0 && l.add(r) {
@@ -293,31 +293,31 @@
 	}
 }
 
-// addGroup takes in those of a zone that have least to do. One that is idle costs no more
-// than any other there that is neither connected nor keeps a part, and ends the search.
-func (l *shortlist) addGroup(under *group) {
+// addGroup adds the replicas of one zone with the least work. An idle one costs no more than
+// any other that is neither connected nor has a part cached, so it ends the search.
+func (l *shortlist) addGroup(zoneGroup *group) {
 	considered := 0
 	isIdle := false
-	under.sound.all(func(level int, r *replica) bool {
+	zoneGroup.healthy.each(func(level int, r *replica) bool {
 		if l.add(r) {
 			considered++
-			isIdle = level == 0 && r.strangers(l.now) == 0 && !r.isDoubted(l.now)
+			isIdle = level == 0 && r.untracked(l.now) == 0 && !r.isSuspected(l.now)
 		}
-		return !isIdle && considered < groupConsidered
+		return !isIdle && considered < maxPerGroup
 	})
 	if isIdle {
 		return
 	}
 	considered = 0
-	under.impaired.all(func(_ int, r *replica) bool {
+	zoneGroup.impaired.each(func(_ int, r *replica) bool {
 		if l.add(r) {
 			considered++
 		}
-		return considered < groupConsidered
+		return considered < maxPerGroup
 	})
 }
 
 // isUsable reports whether the request may go to the replica.
-func (b *Board) isUsable(now time.Duration, r *replica, ask *Ask) bool {
-	return r.isThere(now) && !slices.Contains(ask.Excluded, r.Name) && !b.isChanging(now, r) && b.confinement.allows(now, r, ask)
+func (b *Board) isUsable(now time.Duration, r *replica, request *Ask) bool {
+	return r.acceptsRequests(now) && !slices.Contains(request.Excluded, r.Name) && !b.isChanging(now, r) && b.isolation.allows(now, r, request)
 }
--- a/request/placement/order_test.go
+++ b/request/placement/order_test.go
@@ -9,16 +9,16 @@
 	"pgregory.net/rapid"
 )
 
-// urgent is a request with an objective and parts of its own alone.
-func urgent(tokens int, objective time.Duration) Ask {
-	next := ask("", 0, tokens)
+// requestWithObjective returns a request with an objective and no shared part.
+func requestWithObjective(tokens int, objective time.Duration) Ask {
+	next := newRequest("", 0, tokens)
 	next.Objective, next.Deadline = objective, 2*time.Second
 	return next
 }
 
-// fill sends the board so many equal requests at once, and returns how many were
-// deferred and refused.
-func fill(b *Board, requests int, next func() Ask) (deferred, refused int) {
+// placeRequests places equal requests at the same time, and returns how many were deferred and
+// refused.
+func placeRequests(b *Board, requests int, next func() Ask) (deferred, refused int) {
 	for number := range uint64(requests) {
 		answer := b.Place(0, key(number), next())
 		if answer.Deferred {
@@ -33,8 +33,8 @@
 
 func TestRequestsThatWouldBeLateAreDeferred(t *testing.T) {
 	b := newTestBoard()
-	deferred, refused := fill(b, 30, func() Ask {
-		patient := urgent(6_000, 600*ms)
+	deferred, refused := placeRequests(b, 30, func() Ask {
+		patient := requestWithObjective(6_000, 600*ms)
 		patient.Deadline = time.Minute
 		return patient
 	})
@@ -43,14 +43,14 @@
 	must.Eq(t, 0, refused)
 }
 
-// One late request among many that are not goes where it would have gone.
+// A late request is not deferred while few requests are late.
 func TestFewLateRequestsAreNotDeferred(t *testing.T) {
 	b := newTestBoard()
 	for number := range uint64(20) {
-		b.Place(0, key(number), urgent(100, 10*time.Second))
+		b.Place(0, key(number), requestWithObjective(100, 10*time.Second))
 	}
 	late := func() Ask {
-		next := urgent(6_000, 600*ms)
+		next := requestWithObjective(6_000, 600*ms)
 		next.Age = time.Second
 		return next
 	}
@@ -61,61 +61,61 @@
 	must.True(t, b.Place(0, key(300), late()).Deferred)
 }
 
-// What is deferred makes nobody late: one more that would have been in time
-// without it still is.
-func TestDeferredRequestsKeepNobodyWaiting(t *testing.T) {
+// Deferred requests make no other request late: a request that would be in time without them
+// still is.
+func TestDeferredRequestsDelayNoOthers(t *testing.T) {
 	b := newTestBoard()
-	fill(b, 12, func() Ask { return urgent(6_000, 600*ms) })
-	late := urgent(6_000, 600*ms)
+	placeRequests(b, 12, func() Ask { return requestWithObjective(6_000, 600*ms) })
+	late := requestWithObjective(6_000, 600*ms)
 	late.Age = time.Second
-	for number := range uint64(2) { // are read at once, where nobody else is
+	for number := range uint64(2) { // read at once, since the readers are idle
 		must.True(t, b.Place(0, key(300+number), late).Deferred)
 	}
-	before := b.Place(0, key(100), urgent(300, 600*ms))
+	before := b.Place(0, key(100), requestWithObjective(300, 600*ms))
 	b.Note(0, key(100), Note{Step: StepEnded})
 	for number := range uint64(3) {
 		must.True(t, b.Place(0, key(200+number), late).Deferred)
 	}
-	must.Eq(t, before.Estimate, b.Place(0, key(101), urgent(300, 600*ms)).Estimate)
+	must.Eq(t, before.Estimate, b.Place(0, key(101), requestWithObjective(300, 600*ms)).Estimate)
 }
 
-func TestRequestsThatWouldComeAfterTheirDeadlineAreRefused(t *testing.T) {
+func TestRequestsThatWouldMissTheirDeadlineAreRefused(t *testing.T) {
 	b := newTestBoard()
-	_, early := fill(b, 200, func() Ask { return urgent(6_000, 600*ms) })
-	must.Eq(t, 0, early, must.Sprint("nothing is refused by a guess"))
+	_, early := placeRequests(b, 200, func() Ask { return requestWithObjective(6_000, 600*ms) })
+	must.Eq(t, 0, early, must.Sprint("initial estimates refuse nothing"))
 	b = newTestBoard()
-	for role := range b.paces {
+	for role := range b.readTimes {
 		for range trustedSamples {
-			b.paces[role].learn(readSample{4_000, b.paces[role].start() + 4_000*b.paces[role].perToken(), true}, 1)
+			b.readTimes[role].learn(readSample{4_000, b.readTimes[role].fixed() + 4_000*b.readTimes[role].perToken(), true}, 1)
 		}
 	}
-	_, refused := fill(b, 200, func() Ask { return urgent(6_000, 600*ms) })
+	_, refused := placeRequests(b, 200, func() Ask { return requestWithObjective(6_000, 600*ms) })
 	must.Greater(t, 0, refused)
-	placed := len(b.placed)
-	answer := b.Place(0, key(1000), urgent(6_000, 600*ms))
+	placed := len(b.inFlight)
+	answer := b.Place(0, key(1000), requestWithObjective(6_000, 600*ms))
 	must.True(t, answer.Refused)
 	must.Greater(t, 0, answer.RetryAfter)
 	must.Eq(t, "", answer.Generator)
-	must.MapLen(t, placed, b.placed, must.Sprint("what is refused takes no place"))
+	must.MapLen(t, placed, b.inFlight, must.Sprint("refused requests are not counted"))
 }
 
 func TestRequestsWithoutAnObjectiveAreNeverDeferred(t *testing.T) {
 	b := newTestBoard()
-	deferred, refused := fill(b, 200, func() Ask { return urgent(6_000, 0) })
+	deferred, refused := placeRequests(b, 200, func() Ask { return requestWithObjective(6_000, 0) })
 	must.Eq(t, 0, deferred)
 	must.Eq(t, 0, refused)
-	continued := urgent(6_000, 600*ms)
+	continued := requestWithObjective(6_000, 600*ms)
 	continued.Continued = true
 	must.False(t, b.Place(0, key(1000), continued).Deferred)
 }
 
-// However requests come and end, the replica reads one that it has, the deferred
-// ones come last, and what goes before a request that is not deferred is never
-// more than what goes before one that is.
-func TestOrderOfReading(t *testing.T) {
+// Under any sequence of enqueues and dequeues, the current read is one of the queued requests,
+// deferred requests come last, and the backlog of a request that is not deferred never exceeds
+// that of a deferred one.
+func TestReadQueueOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := &replica{}
-		var known []*placed
+		var known []*placedRequest
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 100).Draw(t, "pause")) * ms
@@ -124,8 +124,8 @@
 				r.dequeue(now, known[i])
 				known = append(known[:i], known[i+1:]...)
 			} else {
-				next := &placed{reading: rapid.IntRange(0, 9_000).Draw(t, "tokens")}
-				next.ask.deferred = rapid.Bool().Draw(t, "deferred")
+				next := &placedRequest{unreadTokens: rapid.IntRange(0, 9_000).Draw(t, "tokens")}
+				next.request.deferred = rapid.Bool().Draw(t, "deferred")
 				r.enqueue(now, next)
 				known = append(known, next)
 			}
@@ -134,7 +134,7 @@
 			if r.current != nil {
 				must.True(t, slices.Contains(known, r.current))
 			}
-			must.LessEq(t, r.backlog(now, time.Microsecond, leastUrgent), r.backlog(now, time.Microsecond, &Ask{}))
+			must.LessEq(t, r.backlog(now, time.Microsecond, readLast), r.backlog(now, time.Microsecond, &Ask{}))
 		}
 	})
 }
--- a/request/placement/pace.go
+++ b/request/placement/pace.go
@@ -2,106 +2,107 @@
 
 import "time"
 
-// Bounds and weights of what a pace learns.
+// Parameters of the measured read times.
 const (
-	// priorSamples is the weight of each of the two first guesses of a line.
+	// priorSamples is the weight of each of the two initial points of the fit, which lie at
+	// zero and at priorTokens tokens.
 	priorSamples = 2
-	// priorTokens is where the second guess stands; the first stands at no tokens.
-	priorTokens = 8_000
-	// paceSamples is how many samples a pace of a small service remembers.
-	paceSamples = 100
-	// smallService is how many replicas a small service has. A larger one remembers
-	// samples in proportion: what a few replicas suffer for a moment is no pace of all.
-	smallService = 12.5
-	// A sample counts for no more than outlierFactor times what was expected, and
-	// outlierSlack: what took longer waited for something else.
+	priorTokens  = 8_000
+	// readSamples is the sample window of a small service.
+	readSamples = 100
+	// smallServiceReplicas is the size up to which a service counts as small. The window of
+	// a larger one grows in proportion, so that a short disturbance of a few replicas does
+	// not change the estimate for all.
+	smallServiceReplicas = 12.5
+	// A sample is limited to outlierFactor times the expected time plus outlierSlack: a read
+	// that took longer waited for something else.
 	outlierFactor = 1.5
 	outlierSlack  = 10 * time.Millisecond
-	// trustedSamples is how many samples outweigh the first guesses.
+	// trustedSamples is the number of samples that outweigh the initial estimates.
 	trustedSamples = 40
-	// leastTokenTime keeps a pace from being taken for infinite.
-	leastTokenTime = 500 * time.Nanosecond
+	// minTokenTime keeps the estimated time per token from reaching zero.
+	minTokenTime = 500 * time.Nanosecond
 )
 
-// pace is how long reading takes: a time to begin with, which many requests spend
-// at once, and one for each token, which they spend after one another. The first is
-// learnt where nobody else was being read, so that an overload is not taken for a
-// slow start; the second from all.
-type pace struct {
-	idle line // through the samples of replicas that read for nobody else
-	// Sums over all samples, of which the older ones count less; took is in seconds
-	// and without the starts.
+// readTime estimates how long reading takes, as a fixed time that many requests can spend at
+// once, and a time per token that they spend one after the other. The fixed time is learned
+// only from reads with no other read in progress on the replica, so that an overload is not
+// mistaken for a larger fixed time; the time per token is learned from all reads.
+type readTime struct {
+	idleFit line // fit of the reads on replicas that were reading nothing else
+	// Exponentially decaying sums over all samples; took is in seconds, without fixed times.
 	tokens, took float64
-	samples      int // that were learnt
+	samples      int // number of samples learned
 }
 
-// newPace returns a pace that knows only its first guesses.
-func newPace(start, perToken time.Duration) pace {
-	made := pace{tokens: priorSamples * priorTokens, took: priorSamples * priorTokens * perToken.Seconds()}
-	made.idle.add(0, start, priorSamples)
-	made.idle.add(priorTokens, start+priorTokens*perToken, priorSamples)
-	return made
+// newReadTime returns an estimate from initial values.
+func newReadTime(start, perToken time.Duration) readTime {
+	result := readTime{tokens: priorSamples * priorTokens, took: priorSamples * priorTokens * perToken.Seconds()}
+	result.idleFit.add(0, start, priorSamples)
+	result.idleFit.add(priorTokens, start+priorTokens*perToken, priorSamples)
+	return result
 }
 
 // readSample is one measured read.
 type readSample struct {
 	tokens int
-	// took is the time since the replica was done with the read before, or, where it
-	// had none, since the request was placed there. So it holds no time that was spent
-	// on others, in whatever order they were read.
+	// took is the time since the replica completed its previous read, or since the request
+	// was placed there if that is later. So it includes no time spent on other requests,
+	// whatever the order in which they were read.
 	took time.Duration
-	// alone says that nobody else was being read there when it began.
+	// alone says that no other read was in progress on the replica when the request was
+	// placed there.
 	alone bool
 }
 
-// learn takes in a read at one of so many replicas.
-func (p *pace) learn(sample readSample, replicas int) {
+// learn adds a sample from a service with the given number of replicas.
+func (p *readTime) learn(sample readSample, replicas int) {
 	start := time.Duration(0)
 	if sample.alone {
-		start = p.start()
+		start = p.fixed()
 	}
 	took := clampOutlier(sample.took, start+time.Duration(sample.tokens)*p.perToken())
-	kept := 1 - 1/samplesKept(paceSamples, replicas)
+	decay := 1 - 1/sampleWindow(readSamples, replicas)
 	if sample.alone {
-		p.idle.fade(kept)
-		p.idle.add(sample.tokens, took, 1)
+		p.idleFit.decay(decay)
+		p.idleFit.add(sample.tokens, took, 1)
 	}
-	p.tokens = p.tokens*kept + float64(sample.tokens)
-	p.took = p.took*kept + max(took-start, 0).Seconds()
+	p.tokens = p.tokens*decay + float64(sample.tokens)
+	p.took = p.took*decay + max(took-start, 0).Seconds()
 	p.samples++
 }
 
-// samplesKept is how many samples a service of so many replicas remembers, where a
-// small one remembers small.
-func samplesKept(small float64, replicas int) float64 {
-	return small * max(float64(replicas)/smallService, 1)
+// sampleWindow returns the sample window of a service with the given number of replicas, from
+// the window of a small service.
+func sampleWindow(small float64, replicas int) float64 {
+	return small * max(float64(replicas)/smallServiceReplicas, 1)
 }
 
-// clampOutlier bounds what a sample counts for.
+// clampOutlier limits a sample by its expected value.
 func clampOutlier(took, expected time.Duration) time.Duration {
-	return min(max(took, 0), share(expected, outlierFactor)+outlierSlack)
+	return min(max(took, 0), fraction(expected, outlierFactor)+outlierSlack)
 }
 
-// trusted reports whether enough was learnt to refuse a request by.
-func (p *pace) trusted() bool { return p.samples >= trustedSamples }
+// isTrusted reports whether there are enough samples to refuse a request by the estimate.
+func (p *readTime) isTrusted() bool { return p.samples >= trustedSamples }
 
-// perToken is the time for each token.
-func (p *pace) perToken() time.Duration {
+// perToken returns the time per token.
+func (p *readTime) perToken() time.Duration {
 	if p.tokens <= 0 {
-		return leastTokenTime
+		return minTokenTime
 	}
-	return max(seconds(p.took/p.tokens), leastTokenTime)
+	return max(seconds(p.took/p.tokens), minTokenTime)
 }
 
-// start is the time to begin with.
-func (p *pace) start() time.Duration { return p.idle.start() }
+// fixed returns the time that a read takes regardless of its length.
+func (p *readTime) fixed() time.Duration { return p.idleFit.intercept() }
 
-// line is a straight line through samples, of which the older ones count less.
+// line is a least-squares line through samples that decay exponentially.
 type line struct {
-	weight, tokens, took, tokensSquared, product float64 // sums over samples; seconds
+	weight, tokens, took, tokensSquared, product float64 // sums over samples; times in seconds
 }
 
-// add takes a sample in.
+// add adds a sample.
 func (l *line) add(tokens int, took time.Duration, weight float64) {
 	x, y := float64(tokens), took.Seconds()
 	l.weight += weight
@@ -111,15 +112,15 @@
 	l.product += weight * x * y
 }
 
-// fade leaves so much of the weight of all samples.
-func (l *line) fade(kept float64) {
+// decay multiplies the weight of all samples by factor.
+func (l *line) decay(factor float64) {
 	for _, sum := range []*float64{&l.weight, &l.tokens, &l.took, &l.tokensSquared, &l.product} {
-		*sum *= kept
+		*sum *= factor
 	}
 }
 
-// start is where the line stands at no tokens.
-func (l *line) start() time.Duration {
+// intercept returns the value of the line at zero tokens.
+func (l *line) intercept() time.Duration {
 	spread := l.weight*l.tokensSquared - l.tokens*l.tokens
 	if l.weight <= 0 || spread <= 0 {
 		return 0
--- a/request/placement/pace_test.go
+++ b/request/placement/pace_test.go
@@ -7,27 +7,27 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestPaceBeginsWithItsGuesses(t *testing.T) {
-	guessed := newPace(25*ms, 20*time.Microsecond)
-	must.Between(t, 24*ms, guessed.start(), 26*ms)
+func TestReadTimeStartsFromInitialValues(t *testing.T) {
+	guessed := newReadTime(25*ms, 20*time.Microsecond)
+	must.Between(t, 24*ms, guessed.fixed(), 26*ms)
 	must.Between(t, 19*time.Microsecond, guessed.perToken(), 21*time.Microsecond)
 }
 
-// An engine that is ten times as fast as guessed is known to be so, though its
-// reads take less than the guessed time to begin with.
-func TestPaceOfAFastEngineIsLearnt(t *testing.T) {
-	learnt := newPace(60*ms, 50*time.Microsecond)
+// An engine ten times as fast as initially estimated is learned, even though its reads take
+// less than the initial fixed time.
+func TestReadTimeOfAFastEngineIsLearned(t *testing.T) {
+	learnt := newReadTime(60*ms, 50*time.Microsecond)
 	for i := range 300 {
 		tokens := 1_000 * (1 + i%9)
 		learnt.learn(readSample{tokens, 6*ms + time.Duration(tokens)*4*time.Microsecond, i%3 == 0}, 1)
 	}
 	must.Between(t, 3*time.Microsecond, learnt.perToken(), 6*time.Microsecond)
-	must.Between(t, 0, learnt.start(), 12*ms)
+	must.Between(t, 0, learnt.fixed(), 12*ms)
 }
 
-// Reads that waited for something else tell little of the pace.
-func TestPaceBearsOutliers(t *testing.T) {
-	learnt := newPace(20*ms, 10*time.Microsecond)
+// Reads that waited for something else hardly change the estimate.
+func TestReadTimeToleratesOutliers(t *testing.T) {
+	learnt := newReadTime(20*ms, 10*time.Microsecond)
 	for i := range 300 {
 		tokens := 1_000 * (1 + i%9)
 		took := 20*ms + time.Duration(tokens)*10*time.Microsecond
@@ -39,29 +39,29 @@
 	must.Between(t, 8*time.Microsecond, learnt.perToken(), 13*time.Microsecond)
 }
 
-func TestPaceIsNeverInfinite(t *testing.T) {
-	learnt := newPace(20*ms, 10*time.Microsecond)
+func TestReadTimeStaysPositive(t *testing.T) {
+	learnt := newReadTime(20*ms, 10*time.Microsecond)
 	for i := range 500 {
 		learnt.learn(readSample{1_000 * (1 + i%9), 0, true}, 1)
 	}
-	must.GreaterEq(t, leastTokenTime, learnt.perToken())
-	must.GreaterEq(t, 0, learnt.start())
+	must.GreaterEq(t, minTokenTime, learnt.perToken())
+	must.GreaterEq(t, 0, learnt.fixed())
 }
 
-// An overload makes tokens slower, and starts not: a start that grew with each one
-// would make waiting for a shared part look dearer than reading it again.
-func TestOverloadIsNotTakenForASlowStart(t *testing.T) {
-	learnt := newPace(20*ms, 10*time.Microsecond)
+// An overload increases the time per token only. If it increased the fixed time, waiting for a
+// shared part would look more expensive than reading it again.
+func TestOverloadDoesNotRaiseTheFixedTime(t *testing.T) {
+	learnt := newReadTime(20*ms, 10*time.Microsecond)
 	for range 300 {
 		learnt.learn(readSample{6_000, 150 * ms, false}, 1)
 	}
-	must.Between(t, 19*ms, learnt.start(), 21*ms)
+	must.Between(t, 19*ms, learnt.fixed(), 21*ms)
 	must.Between(t, 24*time.Microsecond, learnt.perToken(), 26*time.Microsecond)
 }
 
-// With many replicas, what a few of them suffer for a moment is no pace of all.
-func TestPaceRemembersSamplesOfEachReplica(t *testing.T) {
-	few, many := newPace(20*ms, 10*time.Microsecond), newPace(20*ms, 10*time.Microsecond)
+// In a large service, a short disturbance of a few replicas hardly changes the estimate.
+func TestReadTimeWindowGrowsWithTheService(t *testing.T) {
+	few, many := newReadTime(20*ms, 10*time.Microsecond), newReadTime(20*ms, 10*time.Microsecond)
 	for range 1_500 {
 		few.learn(readSample{6_000, 60 * ms, false}, 10)
 		many.learn(readSample{6_000, 60 * ms, false}, 150)
@@ -74,9 +74,9 @@
 	must.Less(t, 10600*time.Nanosecond, many.perToken())
 }
 
-// Replicas read urgent prompts first, which the board does not count. What is learnt is
-// what a token takes, in whatever order prompts are read.
-func TestPaceDoesNotDependOnTheOrderOfReads(t *testing.T) {
+// Replicas read urgent prompts first, which the board does not model. The learned time per
+// token must not depend on the order of reads.
+func TestReadTimeDoesNotDependOnReadOrder(t *testing.T) {
 	b := newTestBoard()
 	const perToken = 30 * time.Microsecond
 	now := time.Duration(0)
@@ -87,24 +87,24 @@
 			b.Note(now, key(number), Note{Step: StepEnded})
 		}
 		for i, tokens := range []int{12_000, 1_000, 1_000, 1_000} {
-			asked := urgent(tokens, 0)
-			asked.Deadline = time.Minute
-			placeAt(b, now, 10*round+uint64(i), asked, "read-1")
+			request := requestWithObjective(tokens, 0)
+			request.Deadline = time.Minute
+			placeOnReader(b, now, 10*round+uint64(i), request, "read-1")
 		}
 		for i := uint64(1); i < 4; i++ {
 			read(10*round+i, 1_000)
 		}
 		read(10*round, 12_000)
 	}
-	must.Between(t, 25*time.Microsecond, b.paces[RolePrefill].perToken(), 33*time.Microsecond)
+	must.Between(t, 25*time.Microsecond, b.readTimes[RolePrefill].perToken(), 33*time.Microsecond)
 }
 
-// placeAt has one reader read the prompt, whatever would be chosen.
-func placeAt(b *Board, now time.Duration, number uint64, asked Ask, reader string) {
-	p := &placed{
-		ask: asked, answer: Answer{Generator: "make-1", Reader: reader}, at: now, expires: now + time.Hour,
-		unreadAt: b.replicas[reader], runningAt: b.replicas["make-1"], reading: asked.Prompt,
+// placeOnReader queues the request on a given reader, whatever Place would choose.
+func placeOnReader(b *Board, now time.Duration, number uint64, request Ask, reader string) {
+	p := &placedRequest{
+		request: request, answer: Answer{Generator: "make-1", Reader: reader}, placedAt: now, expiresAt: now + time.Hour,
+		queuedOn: b.replicas[reader], runningOn: b.replicas["make-1"], unreadTokens: request.Prompt,
 	}
-	p.unreadAt.enqueue(now, p)
-	b.placed[key(number)] = p
+	p.queuedOn.enqueue(now, p)
+	b.inFlight[key(number)] = p
 }
--- a/request/placement/queue.go
+++ b/request/placement/queue.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// A replica finishes the prompt that it reads, and takes the next one by urgency
-// and then by arrival. So a deferred request keeps others waiting only while it
-// is itself being read. Among the others the board counts by arrival alone: a more
-// urgent one is read sooner than that, but each that it goes before waits for it, and
-// counting both comes to the same.
+// The board assumes that a replica completes the prompt that it is reading, and then takes
+// the others by arrival, deferred ones last. So a deferred request delays others only while
+// it is itself being read. In fact replicas read by urgency and then by arrival. The board
+// ignores that among requests that are not deferred: a more urgent one is read sooner, but
+// each that it overtakes waits for it, and counting both effects comes to the same.
 
-// readsAfter reports whether the request is read after another one that has come before.
-func (a *Ask) readsAfter(earlier *Ask) bool { return a.deferred || !earlier.deferred }
+// isReadAfter reports whether the request is read after one that was placed earlier.
+func (a *Ask) isReadAfter(earlier *Ask) bool { return a.deferred || !earlier.deferred }
 
-// enqueue adds a request to what the replica has to read.
-func (r *replica) enqueue(now time.Duration, p *placed) {
-	p.alone = r.current == nil
-	place := slices.IndexFunc(r.queue, func(queued *placed) bool { return !p.ask.readsAfter(&queued.ask) })
-	if place < 0 {
-		place = len(r.queue)
+// enqueue adds a request to the read queue of the replica.
+func (r *replica) enqueue(now time.Duration, p *placedRequest) {
+	p.readAlone = r.current == nil
+	pos := slices.IndexFunc(r.queue, func(queued *placedRequest) bool { return !p.request.isReadAfter(&queued.request) })
+	if pos < 0 {
+		pos = len(r.queue)
 	}
-	r.queue = slices.Insert(r.queue, place, p)
+	r.queue = slices.Insert(r.queue, pos, p)
 	if r.current == nil {
 		r.current, r.currentSince = p, now
 	}
 }
 
-// dequeue takes a request out of what the replica has to read.
-func (r *replica) dequeue(now time.Duration, p *placed) {
+// dequeue removes a request from the read queue of the replica.
+func (r *replica) dequeue(now time.Duration, p *placedRequest) {
 	if i := slices.Index(r.queue, p); i >= 0 {
 		r.queue = slices.Delete(r.queue, i, i+1)
 	}
@@ -41,25 +41,26 @@
 	}
 }
 
-// backlog is the time that reading all that goes before a new request will take.
-func (r *replica) backlog(now, pace time.Duration, ask *Ask) time.Duration {
+// backlog returns the time to read all prompts that precede a new request.
+func (r *replica) backlog(now, perToken time.Duration, request *Ask) time.Duration {
 	total := time.Duration(0)
 	if r.current != nil {
-		total = max(time.Duration(r.current.reading)*pace-(now-r.currentSince), leastLeft)
+		total = max(time.Duration(r.current.unreadTokens)*perToken-(now-r.currentSince), minReadRemaining)
 	}
 	for _, queued := range r.queue {
-		if !ask.readsAfter(&queued.ask) {
+		if !request.isReadAfter(&queued.request) {
 			break
 		}
 		if queued != r.current {
-			total += time.Duration(queued.reading) * pace
+			total += time.Duration(queued.unreadTokens) * perToken
 		}
 	}
 	return total
 }
 
-// leastLeft is what a prompt that is being read takes at least from now on, be it overdue.
-const leastLeft = time.Millisecond
+// minReadRemaining is the assumed minimum remaining time of the current read, even if it is
+// overdue.
+const minReadRemaining = time.Millisecond
 
-// leastUrgent is read after everything that is queued.
-var leastUrgent = &Ask{deferred: true}
+// readLast is a request that is read after everything in a queue.
+var readLast = &Ask{deferred: true}
--- a/request/placement/read_test.go
+++ b/request/placement/read_test.go
@@ -7,35 +7,35 @@
 	"github.com/shoenig/test/must"
 )
 
-// A run that starts says nothing of a reader that has not read: what it was thought to
-// keep was read by the generator, and its ban stays.
-func TestStartSaysNothingOfAReaderThatHasNotRead(t *testing.T) {
+// The start of a request says nothing about a reader that has not read its prompt: the parts
+// were cached on the generator, and the reader stays banned.
+func TestStartSaysNothingAboutASkippedReader(t *testing.T) {
 	b := newTestBoard()
 	first := b.Place(0, key(1), Ask{Prompt: 20_000, Zone: "a", Deadline: time.Hour, Parts: []Part{{ID: "p", Tokens: 20_000}}})
 	must.NotEq(t, "", first.Reader)
 	b.Note(10*ms, key(2), Note{Step: StepMisdirected, Replica: first.Reader})
 	b.Note(11*ms, key(1), Note{Step: StepUnread, Replica: first.Reader})
-	must.Eq(t, 0, b.replicas[first.Reader].cache.order.Len())
+	must.Eq(t, 0, b.replicas[first.Reader].cache.lru.Len())
 	must.MapEmpty(t, b.replicas[first.Reader].cache.pending)
 	b.Note(300*ms, key(1), Note{Step: StepStarted})
-	must.Eq(t, 0, b.replicas[first.Reader].cache.order.Len())
-	must.Positive(t, b.replicas[first.Generator].cache.order.Len())
-	must.True(t, b.replicas[first.Reader].isAbsent(310*ms))
+	must.Eq(t, 0, b.replicas[first.Reader].cache.lru.Len())
+	must.Positive(t, b.replicas[first.Generator].cache.lru.Len())
+	must.True(t, b.replicas[first.Reader].isBanned(310*ms))
 }
 
-// A read that failed is no end of its request: the generator reads and runs it.
-func TestRunAfterAReadThatFailedIsCounted(t *testing.T) {
+// A failed read does not end its request: the generator reads the prompt and runs it.
+func TestGeneratorReadsAfterAFailedRead(t *testing.T) {
 	for _, step := range []Step{StepFailed, StepMisdirected, StepUnread} {
 		b := newTestBoard()
-		b.replicas["read-1"].suspicion = firstSuspicion
+		b.replicas["read-1"].suspicionPeriod = minSuspicion
 		first := b.Place(0, key(1), Ask{Prompt: 20_000, Zone: "a", Deadline: time.Hour})
 		must.Eq(t, "read-1", first.Reader)
 		b.Note(10*ms, key(1), Note{Step: step, Replica: first.Reader})
 		generator := b.replicas[first.Generator]
 		must.SliceLen(t, 1, generator.queue)
-		must.Eq(t, 10*ms, b.placed[key(1)].at, must.Sprint("its reading begins now, for the pace"))
+		must.Eq(t, 10*ms, b.inFlight[key(1)].placedAt, must.Sprint("the read time is measured from here"))
 		must.SliceEmpty(t, b.replicas[first.Reader].queue)
-		must.Nil(t, b.replicas[first.Reader].trial, must.Sprint("the trial has ended"))
+		must.Nil(t, b.replicas[first.Reader].probe, must.Sprint("the probe has ended"))
 		b.Note(500*ms, key(1), Note{Step: StepStarted})
 		must.SliceEmpty(t, generator.queue)
 		must.MapLen(t, 1, generator.running)
@@ -44,8 +44,8 @@
 	}
 }
 
-// A replica that changed its role since was asked for something else.
-func TestMisdirectionInAnEarlierRoleIsOld(t *testing.T) {
+// A replica that has changed its role since was asked for something else.
+func TestMisdirectionInAnEarlierRoleIsIgnored(t *testing.T) {
 	b := newTestBoard()
 	placed := b.Place(0, key(1), Ask{Prompt: 100, Zone: "a", Deadline: time.Hour, Excluded: []string{"make-2"}})
 	must.Eq(t, "make-1", placed.Generator)
@@ -55,41 +55,41 @@
 		{Name: "make-2", Zone: "a", Role: RoleDecode, Slots: 64},
 	})
 	b.Note(10*ms, key(1), Note{Step: StepMisdirected, Replica: "make-1"})
-	must.False(t, b.replicas["make-1"].isAbsent(20*ms))
+	must.False(t, b.replicas["make-1"].isBanned(20*ms))
 }
 
-// What was placed before the last ban makes the next one no longer.
-func TestMisdirectionOfARequestPlacedBeforeTheBanIsOld(t *testing.T) {
+// The misdirection of a request placed before the last ban does not extend the next one.
+func TestMisdirectionOfARequestPlacedBeforeTheBanIsIgnored(t *testing.T) {
 	b := newTestBoard()
 	alone := Ask{Prompt: 100, Zone: "a", Deadline: time.Hour, Excluded: []string{"make-2"}}
 	must.Eq(t, "make-1", b.Place(0, key(1), alone).Generator)
 	b.Note(1*ms, key(9), Note{Step: StepMisdirected, Replica: "make-1"})
-	b.Note(firstAbsence+2*ms, key(1), Note{Step: StepMisdirected, Replica: "make-1"})
-	must.Eq(t, firstAbsence, b.replicas["make-1"].absence)
+	b.Note(minBan+2*ms, key(1), Note{Step: StepMisdirected, Replica: "make-1"})
+	must.Eq(t, minBan, b.replicas["make-1"].banPeriod)
 }
 
-// Nobody waits for parts that a replica which is gone was to read.
-func TestNobodyWaitsForAReplicaThatIsGone(t *testing.T) {
+// Requests do not wait for parts that a banned replica was to read.
+func TestPartsOfABannedReplicaAreNotWaitedFor(t *testing.T) {
 	for _, gone := range []bool{false, true} {
 		b := newTestBoard()
 		parts := func(own string) []Part { return []Part{{ID: "shared", Tokens: 40_000}, {ID: own, Tokens: 10}} }
-		ask := Ask{Prompt: 40_010, Zone: "a", Deadline: time.Hour, Parts: parts("x"), Excluded: []string{"read-2"}}
-		one := b.Place(0, key(1), ask)
+		request := Ask{Prompt: 40_010, Zone: "a", Deadline: time.Hour, Parts: parts("x"), Excluded: []string{"read-2"}}
+		one := b.Place(0, key(1), request)
 		if gone {
 			b.Note(1*ms, key(99), Note{Step: StepMisdirected, Replica: one.Reader})
 		}
-		ask.Parts = parts("y")
-		must.Eq(t, gone, b.Place(400*ms, key(2), ask).Wait == 0)
+		request.Parts = parts("y")
+		must.Eq(t, gone, b.Place(400*ms, key(2), request).Wait == 0)
 	}
 }
 
-// What a request tells that was placed before the ban is as old where it began as where it
-// was misdirected: its word may have been on the way for longer than that of the ban.
-func TestStartOfARequestPlacedBeforeTheBanIsOld(t *testing.T) {
+// The start of a request placed before the ban does not end it, since its report may have been
+// on the way for longer than that of the misdirection.
+func TestStartOfARequestPlacedBeforeTheBanKeepsTheBan(t *testing.T) {
 	b := newTestBoard()
 	alone := Ask{Prompt: 100, Zone: "a", Deadline: time.Hour, Excluded: []string{"make-2"}}
 	must.Eq(t, "make-1", b.Place(0, key(1), alone).Generator)
 	b.Note(1*ms, key(9), Note{Step: StepMisdirected, Replica: "make-1"})
 	b.Note(2*ms, key(1), Note{Step: StepStarted})
-	must.True(t, b.replicas["make-1"].isAbsent(3*ms))
+	must.True(t, b.replicas["make-1"].isBanned(3*ms))
 }
--- a/request/placement/recent.go
+++ b/request/placement/recent.go
@@ -5,36 +5,36 @@
 	"time"
 )
 
-// recentCount counts events, of which the older ones count less: after its memory,
-// an event counts a third.
+// recentCount counts events with exponential decay: after its time constant, an event counts
+// 1/e, about a third.
 type recentCount struct {
-	memory time.Duration
-	sum    float64
-	at     time.Duration // up to when the sum has decayed
+	timeConstant time.Duration
+	sum          float64
+	at           time.Duration // time to which sum has decayed
 }
 
 // add counts one event.
 func (c *recentCount) add(now time.Duration) { c.addWeight(now, 1) }
 
-// addWeight counts an event that is worth so many.
+// addWeight adds an event with the given weight.
 func (c *recentCount) addWeight(now time.Duration, weight float64) {
 	c.sum = c.value(now) + weight
 	c.at = max(c.at, now)
 }
 
-// value is the weight of all events so far.
+// value returns the decayed weight of all events.
 func (c *recentCount) value(now time.Duration) float64 {
-	return c.sum * math.Exp(-float64(max(now-c.at, 0))/float64(c.memory))
+	return c.sum * math.Exp(-float64(max(now-c.at, 0))/float64(c.timeConstant))
 }
 
-// recentShare is the share of events that were hits, among those of late.
+// recentShare is the share of recent events that were hits.
 type recentShare struct{ events, hits recentCount }
 
 func newRecentShare(memory time.Duration) recentShare {
-	return recentShare{events: recentCount{memory: memory}, hits: recentCount{memory: memory}}
+	return recentShare{events: recentCount{timeConstant: memory}, hits: recentCount{timeConstant: memory}}
 }
 
-// value is the share of hits, 0 where there were no events.
+// value returns the share of hits; 0 without events.
 func (s *recentShare) value(now time.Duration) float64 {
 	events := s.events.value(now)
 	if events == 0 {
--- a/request/placement/summary.go
+++ b/request/placement/summary.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Summary is what a board shows of a service at one moment, and what it has
-// answered since the summary before.
+// Summary is a snapshot of a service's board, with the answers given since the previous
+// summary.
 type Summary struct {
-	InFlight int     // placed requests that are not over
-	Late     float64 // share of the requests with an objective that could not be placed in time lately
+	InFlight int     // placed requests that have not ended
+	Late     float64 // recent share of requests with an objective that could not be placed in time
 	// Readers and Generators are the replicas of each role that may take requests.
 	Readers    Load
 	Generators Load
-	// Cold counts the replicas of which next to nothing is known to be kept,
-	// Suspect those that are passed over where others are left.
+	// Cold counts the replicas that have next to nothing cached, Suspect those that are
+	// avoided while others are left.
 	Cold    int
 	Suspect int
-	// Handover is the time from a read prompt's move to its first token.
+	// Handover is the time from the transfer of a read prompt to the first token.
 	Handover time.Duration
 	Answers  Answers
 }
@@ -22,26 +22,26 @@
 // Load is the work of the replicas of one role.
 type Load struct {
 	Replicas int
-	Running  int           // requests that run there or are meant to
-	Mean     time.Duration // mean time to read what is queued
-	Most     time.Duration // the longest of these
-	Start    time.Duration // time to begin with a prompt
-	PerToken time.Duration // time to read one token of it
+	Running  int           // requests in flight with a replica of the role as their generator
+	Mean     time.Duration // mean time to read the queued prompts
+	Most     time.Duration // longest time to read the queued prompts
+	Start    time.Duration // fixed time of a read
+	PerToken time.Duration // time per token of a read
 }
 
-// Answers counts what the board has answered.
+// Answers counts the answers of a board.
 type Answers struct {
 	Placed   int
-	Split    int // of the placed: read apart from where they run
-	Fetched  int // of the placed: with a fetch of kept parts
-	Deferred int // of the placed
+	Split    int // of the placed: with a separate reader
+	Fetched  int // of the placed: with a fetch of cached parts
+	Deferred int // of the placed: read after those that can meet their objective
 	Waits    int
 	Refused  int
-	Unread   int // tokens that the placed requests had still to have read
+	Unread   int // tokens of the placed requests that had to be read
 }
 
-// count takes in one answer.
-func (a *Answers) count(given *Answer) {
+// add counts one answer.
+func (a *Answers) add(given *Answer) {
 	switch {
 	case given.Refused:
 		a.Refused++
@@ -54,57 +54,57 @@
 	}
 	a.Placed++
 	a.Unread += given.Unread
-	a.Split += oneIf(given.Reader != "")
-	a.Fetched += oneIf(given.Fetch != "")
-	a.Deferred += oneIf(given.Deferred)
+	a.Split += boolToInt(given.Reader != "")
+	a.Fetched += boolToInt(given.Fetch != "")
+	a.Deferred += boolToInt(given.Deferred)
 }
 
-func oneIf(condition bool) int {
+func boolToInt(condition bool) int {
 	if condition {
 		return 1
 	}
 	return 0
 }
 
-// Summarize returns what the board shows now, and counts its answers anew.
+// Summarize returns a summary and resets the answer counts.
 func (b *Board) Summarize(now time.Duration) Summary {
-	made := Summary{
-		InFlight: len(b.placed),
+	summary := Summary{
+		InFlight: len(b.inFlight),
 		Late:     b.lateness.value(now),
 		Cold:     len(b.Cold()),
-		Handover: b.startTime,
+		Handover: b.decodeStartTime,
 		Answers:  b.answers,
 	}
 	b.answers = Answers{}
 	for _, name := range b.names {
 		known := b.replicas[name]
-		made.Suspect += oneIf(known.isDoubted(now))
+		summary.Suspect += boolToInt(known.isSuspected(now))
 		if known.isLeaving() || b.isChanging(now, known) {
 			continue
 		}
-		load := &made.Generators
+		load := &summary.Generators
 		if known.Role == RolePrefill {
-			load = &made.Readers
+			load = &summary.Readers
 		}
-		load.add(known.backlog(now, b.paces[known.Role].perToken(), leastUrgent), len(known.running))
+		load.add(known.backlog(now, b.readTimes[known.Role].perToken(), readLast), len(known.running))
 	}
-	b.finish(&made.Generators, RoleDecode)
-	b.finish(&made.Readers, RolePrefill)
-	return made
+	b.completeLoad(&summary.Generators, RoleDecode)
+	b.completeLoad(&summary.Readers, RolePrefill)
+	return summary
 }
 
-// add takes in one replica.
+// add adds one replica.
 func (l *Load) add(backlog time.Duration, running int) {
 	l.Replicas++
 	l.Running += running
-	l.Mean += backlog // the sum, until finish
+	l.Mean += backlog // a sum until completeLoad divides it
 	l.Most = max(l.Most, backlog)
 }
 
-// finish turns the sum into a mean and adds the pace.
-func (b *Board) finish(l *Load, role Role) {
+// completeLoad turns the sum of backlogs into a mean and adds the read times.
+func (b *Board) completeLoad(l *Load, role Role) {
 	if l.Replicas > 0 {
 		l.Mean /= time.Duration(l.Replicas)
 	}
-	l.Start, l.PerToken = b.paces[role].start(), b.paces[role].perToken()
+	l.Start, l.PerToken = b.readTimes[role].fixed(), b.readTimes[role].perToken()
 }
--- a/request/placement/takeover.go
+++ b/request/placement/takeover.go
@@ -2,56 +2,56 @@
 
 import "time"
 
-// A board is the memory of one process, and the next one begins with nothing: by its
-// belief every replica is idle, so it sends work where others wait already, and takes
-// their waiting for a slow pace. What is in flight is known, though, to the daemons that
-// asked; each tells a new board at once.
+// A board lives in one process, and its successor starts empty: it would consider every
+// replica idle, send work to those that already have a queue, and mistake the waiting time
+// for a slow read time. The daemons that requested placements know what is in flight, so
+// each of them reports it to a new board at once.
 
-// askedMeanwhile is for how long a request may have been placed here that its daemon does
-// not tell of: it asked while it told, and waits for the answer.
-const askedMeanwhile = 100 * time.Millisecond
+// unreportedGrace is the age up to which a placed request may be missing from its daemon's
+// report: the daemon asked for it while it sent the report, and still waits for the answer.
+const unreportedGrace = 100 * time.Millisecond
 
-// TakeOver counts what a daemon has in flight, and forgets what else was known of it. Of
-// requests that were placed by other boards, nothing is learnt of paces.
-func (b *Board) TakeOver(now time.Duration, daemon string, told map[uint64]Placed) {
-	for key, p := range b.placed {
-		_, known := told[key.Number]
-		if key.Daemon == daemon && !known && now-p.at > askedMeanwhile {
+// TakeOver adds the requests that a daemon has in flight, and removes its other requests. Read
+// times are not learned from requests that other boards placed.
+func (b *Board) TakeOver(now time.Duration, daemon string, reported map[uint64]Placed) {
+	for key, p := range b.inFlight {
+		_, known := reported[key.Number]
+		if key.Daemon == daemon && !known && now-p.placedAt > unreportedGrace {
 			b.end(now, key)
 		}
 	}
-	for number, request := range told {
+	for number, request := range reported {
 		key := Key{Daemon: daemon, Number: number}
-		if b.placed[key] == nil {
+		if b.inFlight[key] == nil {
 			b.adopt(now, key, request)
 		}
 	}
 }
 
-// adopt counts one request that another board has placed, or its daemon.
-func (b *Board) adopt(now time.Duration, key Key, told Placed) {
-	generator := b.replicas[told.Answer.Generator]
+// adopt adds one request that another board, or its daemon, has placed.
+func (b *Board) adopt(now time.Duration, key Key, reported Placed) {
+	generator := b.replicas[reported.Answer.Generator]
 	if generator == nil {
 		return
 	}
-	ask := told.Ask
-	ask.deferred = told.Answer.Deferred
-	p := &placed{
-		ask: ask, answer: told.Answer, at: now - told.Age, expires: now - told.Age + ask.Deadline + forgetAfter,
-		runningAt: generator, reading: told.Answer.Unread, adopted: true,
+	request := reported.Ask
+	request.deferred = reported.Answer.Deferred
+	p := &placedRequest{
+		request: request, answer: reported.Answer, placedAt: now - reported.Age, expiresAt: now - reported.Age + request.Deadline + expiryGrace,
+		runningOn: generator, unreadTokens: reported.Answer.Unread, adopted: true,
 	}
 	generator.running[p] = struct{}{}
-	b.placed[key] = p
+	b.inFlight[key] = p
 	b.index.move(generator)
-	if told.Step != 0 {
-		p.started = told.Step == StepStarted
+	if reported.Step != 0 {
+		p.started = reported.Step == StepStarted
 		return
 	}
-	p.unreadAt = generator
-	if reader := b.replicas[told.Answer.Reader]; reader != nil {
-		p.unreadAt = reader
+	p.queuedOn = generator
+	if reader := b.replicas[reported.Answer.Reader]; reader != nil {
+		p.queuedOn = reader
 	}
-	p.unreadAt.enqueue(now, p)
-	p.unreadAt.cache.expect(ask.Parts)
-	b.index.move(p.unreadAt)
+	p.queuedOn.enqueue(now, p)
+	p.queuedOn.cache.addPending(request.Parts)
+	b.index.move(p.queuedOn)
 }
--- a/request/placement/takeover_test.go
+++ b/request/placement/takeover_test.go
@@ -7,13 +7,13 @@
 	"github.com/shoenig/test/must"
 )
 
-// A new board that is not told what is in flight sends the next prompt behind the others.
-func TestNewBoardCountsWhatOthersHavePlaced(t *testing.T) {
+// A new board that is not told what is in flight sends the next prompt to a busy reader.
+func TestTakeOverCountsRequestsOfAnotherBoard(t *testing.T) {
 	old, next := newTestBoard(), newTestBoard()
 	told := map[string]map[uint64]Placed{}
 	var asked []Ask
 	for number := range uint64(5) {
-		prompt := urgent(9_000, 0)
+		prompt := requestWithObjective(9_000, 0)
 		asked = append(asked, prompt)
 		daemon := []string{"a", "b"}[number%2]
 		answer := old.Place(0, Key{Daemon: daemon, Number: number}, prompt)
@@ -22,7 +22,7 @@
 		}
 		told[daemon][number] = Placed{Ask: prompt, Answer: answer}
 	}
-	probe := urgent(9_000, 0)
+	probe := requestWithObjective(9_000, 0)
 	want := old.Place(0, key(100), probe)
 	must.NotEq(t, want.Estimate, next.Place(0, key(100), probe).Estimate)
 	next = newTestBoard()
@@ -31,33 +31,33 @@
 	}
 	got := next.Place(0, key(100), probe)
 	must.Between(t, want.Estimate-ms, got.Estimate, want.Estimate+ms)
-	must.MapLen(t, len(asked)+1, next.placed)
+	must.MapLen(t, len(asked)+1, next.inFlight)
 }
 
-// What a daemon tells takes the place of what was known of it, and of it alone.
-func TestTakingOverForgetsWhatHasEndedMeanwhile(t *testing.T) {
+// The report of a daemon replaces what was in flight for it, and leaves other daemons alone.
+func TestTakeOverRemovesEndedRequests(t *testing.T) {
 	b := newTestBoard()
 	for number := range uint64(4) {
-		b.Place(0, Key{Daemon: "a", Number: number}, urgent(9_000, 0))
+		b.Place(0, Key{Daemon: "a", Number: number}, requestWithObjective(9_000, 0))
 	}
-	b.Place(0, Key{Daemon: "b", Number: 1}, urgent(9_000, 0))
-	kept := b.placed[Key{Daemon: "a", Number: 2}]
-	later := askedMeanwhile + ms
-	b.Place(later, Key{Daemon: "a", Number: 5}, urgent(9_000, 0)) // whose answer is on its way
+	b.Place(0, Key{Daemon: "b", Number: 1}, requestWithObjective(9_000, 0))
+	kept := b.inFlight[Key{Daemon: "a", Number: 2}]
+	later := unreportedGrace + ms
+	b.Place(later, Key{Daemon: "a", Number: 5}, requestWithObjective(9_000, 0)) // its answer is still on the way
 	b.TakeOver(later, "a", map[uint64]Placed{
-		2: {Ask: kept.ask, Answer: kept.answer},
-		9: {Ask: urgent(9_000, 0), Answer: Answer{Generator: "gone"}},
+		2: {Ask: kept.request, Answer: kept.answer},
+		9: {Ask: requestWithObjective(9_000, 0), Answer: Answer{Generator: "gone"}},
 	})
-	must.MapLen(t, 3, b.placed)
-	must.MapContainsKey(t, b.placed, Key{Daemon: "a", Number: 5})
-	must.True(t, b.placed[Key{Daemon: "a", Number: 2}] == kept)
+	must.MapLen(t, 3, b.inFlight)
+	must.MapContainsKey(t, b.inFlight, Key{Daemon: "a", Number: 5})
+	must.True(t, b.inFlight[Key{Daemon: "a", Number: 2}] == kept)
 }
 
-// Each step counts where it is: to be read, to be moved, or running.
+// Each request counts by its stage: queued for reading, read, or generating.
 func TestTakenOverRequestsCountByTheirStep(t *testing.T) {
 	b := newTestBoard()
 	answer := Answer{Generator: "make-1", Reader: "read-1", Unread: 9_000}
-	prompt := urgent(9_000, 0)
+	prompt := requestWithObjective(9_000, 0)
 	prompt.Deadline = time.Minute
 	b.TakeOver(time.Second, "a", map[uint64]Placed{
 		1: {Ask: prompt, Answer: answer, Age: 100 * ms},
@@ -66,14 +66,14 @@
 	})
 	must.SliceLen(t, 1, b.replicas["read-1"].queue)
 	must.MapLen(t, 3, b.replicas["make-1"].running)
-	samples := b.paces[RolePrefill].samples
+	samples := b.readTimes[RolePrefill].samples
 	b.Note(2*time.Second, Key{Daemon: "a", Number: 1}, Note{Step: StepRead})
-	must.Eq(t, samples, b.paces[RolePrefill].samples, must.Sprint("nobody knows when it began"))
+	must.Eq(t, samples, b.readTimes[RolePrefill].samples, must.Sprint("the start of the read is unknown"))
 	must.SliceEmpty(t, b.replicas["read-1"].queue)
 	for number := range uint64(3) {
 		b.Note(2*time.Second, Key{Daemon: "a", Number: number + 1}, Note{Step: StepStarted})
 		b.Note(2*time.Second, Key{Daemon: "a", Number: number + 1}, Note{Step: StepEnded})
 	}
-	must.MapEmpty(t, b.placed)
+	must.MapEmpty(t, b.inFlight)
 	must.MapEmpty(t, b.replicas["make-1"].running)
 }
--- a/request/placement/tenants.go
+++ b/request/placement/tenants.go
@@ -5,102 +5,104 @@
 	"time"
 )
 
-// In an overload a tenant that asks for far more than it usually does would have the others
-// pay for it: all requests are late alike, the more so the more it asks. What it asks above
-// a few times its usual is therefore deferred, and gets whatever is left: where nothing
-// waits, all that it asks. Large and small tenants are held against themselves alone, so
-// none is behind for its size.
+// In an overload, a tenant that asks for far more than it usually does would delay all other
+// tenants as much as itself, the more so the more it asks. Its demand above a few times its
+// baseline is therefore deferred and gets the remaining capacity; if nothing waits, that is all
+// that it asks for. Each tenant is compared with its own baseline only, so neither large nor
+// small tenants are at a disadvantage.
 const (
-	// surgeMemory and usualMemory are the times after which a token counts a third in what
-	// a tenant asks now, and in what it usually does.
-	surgeMemory = 2 * time.Second
-	usualMemory = 30 * time.Second
-	// surgeFactor is how many times its usual a tenant may ask for: waves of a mix that
-	// every tenant has stay below it. What is above counts for its usual only up to that,
-	// so a tenant that grows for good doubles its usual each ten seconds.
+	// recentTimeConstant and baselineTimeConstant are the time constants with which tokens
+	// decay in a tenant's recent demand and in its baseline.
+	recentTimeConstant   = 2 * time.Second
+	baselineTimeConstant = 30 * time.Second
+	// surgeFactor is the multiple of its baseline that a tenant may ask for. Waves that all
+	// tenants share stay below it. Demand counts towards the baseline only up to it, so the
+	// baseline of a tenant that grows permanently doubles about every ten seconds.
 	surgeFactor = 3
+	// tenantWarmup is how long a tenant must be known before it has a baseline.
 	// settledTenant is how long a tenant must be known: before, nothing is its usual.
-	settledTenant = 10 * time.Second
-	// surgeRequests is how many of its requests must have come of late: the chance gaps of
-	// a tenant with few are no surge.
-	surgeRequests = 20
-	// maxTenants bounds the tenants that are known; more of them are held against nothing.
+	tenantWarmup = 10 * time.Second
+	// minSurgeRequests is the number of recent requests below which there is no surge: with
+	// few requests, their random spacing looks like one.
+	minSurgeRequests = 20
+	// maxTenants limits the number of tracked tenants; tenants beyond it are not limited.
 	maxTenants = 1 << 14
 )
 
-// tenantDemand is what one tenant asks for, in tokens of prompts.
+// tenantDemand is the demand of one tenant, in prompt tokens.
 type tenantDemand struct {
-	since    time.Duration
-	requests recentCount
-	recent   recentCount
-	usual    recentCount
-	// credit is what is left of requests that may go first; each brings a part of one.
+	firstSeen time.Duration
+	requests  recentCount
+	recent    recentCount
+	baseline  recentCount
+	// credit accumulates the allowed share of each request; a whole unit lets one request go
+	// without being deferred.
 	credit float64
 }
 
-// tenants knows the demand of each.
+// tenants holds the demand of each tenant by name.
 type tenants map[string]*tenantDemand
 
-// ask counts a request, and reports whether it is above what its tenant may ask for.
-func (t tenants) ask(now time.Duration, ask *Ask) (above bool) {
-	known := t.demandOf(now, ask.Tenant)
-	if known == nil {
+// recordRequest counts a request, and reports whether it exceeds what its tenant may ask for.
+func (t tenants) recordRequest(now time.Duration, request *Ask) (above bool) {
+	demand := t.demandOf(now, request.Tenant)
+	if demand == nil {
 		return false
 	}
-	weight := float64(ask.Prompt)
-	known.requests.add(now)
-	known.recent.addWeight(now, weight)
-	allowed := known.allowed(now)
-	known.usual.addWeight(now, allowed*weight)
-	known.credit = min(known.credit+allowed, 1)
-	if known.credit < 1 {
+	weight := float64(request.Prompt)
+	demand.requests.add(now)
+	demand.recent.addWeight(now, weight)
+	allowed := demand.allowed(now)
+	demand.baseline.addWeight(now, allowed*weight)
+	demand.credit = min(demand.credit+allowed, 1)
+	if demand.credit < 1 {
 		return true
 	}
-	known.credit--
+	demand.credit--
 	return false
 }
 
-// demandOf returns what is known of a tenant, nil for one that is not told apart.
+// demandOf returns the demand of a tenant; nil if it is not tracked.
 func (t tenants) demandOf(now time.Duration, tenant string) *tenantDemand {
 	if tenant == "" {
 		return nil
 	}
-	if known := t[tenant]; known != nil {
-		return known
+	if demand := t[tenant]; demand != nil {
+		return demand
 	}
-	t.makeRoom(now)
+	t.evictIdle(now)
 	if len(t) >= maxTenants {
 		return nil
 	}
-	made := &tenantDemand{
-		since:    now,
-		requests: recentCount{memory: surgeMemory},
-		recent:   recentCount{memory: surgeMemory},
-		usual:    recentCount{memory: usualMemory},
+	demand := &tenantDemand{
+		firstSeen: now,
+		requests:  recentCount{timeConstant: recentTimeConstant},
+		recent:    recentCount{timeConstant: recentTimeConstant},
+		baseline:  recentCount{timeConstant: baselineTimeConstant},
 	}
-	t[tenant] = made
-	return made
+	t[tenant] = demand
+	return demand
 }
 
-// makeRoom drops tenants that have asked for nothing in a long time.
-func (t tenants) makeRoom(now time.Duration) {
+// evictIdle removes tenants without recent requests if the limit is reached.
+func (t tenants) evictIdle(now time.Duration) {
 	if len(t) < maxTenants {
 		return
 	}
-	for name, known := range t {
-		if now-known.usual.at > usualMemory {
+	for name, demand := range t {
+		if now-demand.baseline.at > baselineTimeConstant {
 			delete(t, name)
 		}
 	}
 }
 
-// allowed is the share of what a tenant asks now that is no surge.
+// allowed returns the share of the tenant's recent demand that is not a surge.
 func (d *tenantDemand) allowed(now time.Duration) float64 {
-	if now-d.since < settledTenant || d.requests.value(now) < surgeRequests {
+	if now-d.firstSeen < tenantWarmup || d.requests.value(now) < minSurgeRequests {
 		return 1
 	}
-	recent := d.recent.value(now) / surgeMemory.Seconds()
-	// What a count holds of a steady demand grows up to its memory's worth.
-	held := usualMemory.Seconds() * (1 - math.Exp(-float64(now-d.since)/float64(usualMemory)))
-	return min(surgeFactor*d.usual.value(now)/held/recent, 1)
+	recent := d.recent.value(now) / recentTimeConstant.Seconds()
+	// The count of a steady demand grows from zero towards its rate times the time constant.
+	steadyCount := baselineTimeConstant.Seconds() * (1 - math.Exp(-float64(now-d.firstSeen)/float64(baselineTimeConstant)))
+	return min(surgeFactor*d.baseline.value(now)/steadyCount/recent, 1)
 }
--- a/request/placement/tenants_test.go
+++ b/request/placement/tenants_test.go
@@ -8,46 +8,46 @@
 	"github.com/shoenig/test/must"
 )
 
-// What the board orders, as a load without network: two readers and two generators, 40
-// small tenants and two large ones that together ask for two thirds of what can be read,
-// and one of them that asks eightfold from the 20th second on, as a tenant's batch job does.
-// A read takes as long as the board thinks, one after the other at each reader, deferred
-// ones last.
+// A simulated load without network: two readers, two generators, and 40 tenants that together
+// ask for about half of the read capacity, two of them for eight times as much as each other
+// one. From the 20th second on, a small tenant asks for 400 times as much, as a batch job does.
+// Each reader reads one prompt at a time in the time that the board estimates, deferred ones
+// last.
 const (
 	loadTenants = 40
 	loadStep    = 10 * time.Millisecond
 	loadSurge   = 20 * time.Second
 	loadEnd     = 32 * time.Second
 	loadPrompt  = 2000
-	// loadObjective and loadPace are those of the deployment that the pattern is from.
+	// loadObjective is taken from the deployment that showed this load.
 	loadObjective = 500 * time.Millisecond
 )
 
-// reading is one read of the load.
+// loadRead is one read of the load.
 type loadRead struct {
 	tenant string
 	number uint64
-	due    time.Duration // when its objective is over
+	dueAt  time.Duration // when its objective is over
 	tokens int
 }
 
-// playLoad returns the share of requests in time during the surge, of the tenant that surges
+// simulateLoad returns the share of requests in time during the surge, of the surging tenant
 // and of the others.
-func playLoad(t *testing.T, name func(tenant string) string) (surging, others float64) {
+func simulateLoad(t *testing.T, name func(tenant string) string) (surging, others float64) {
 	b := newTestBoard()
-	pace := b.paces[RolePrefill].perToken()
+	perToken := b.readTimes[RolePrefill].perToken()
 	queues := map[string][]*loadRead{} // by reader, in order
-	late := map[string][]*loadRead{}   // deferred
-	busy := map[string]time.Duration{} // until when
-	reading := map[string]*loadRead{}  // being read
-	inTime := map[bool][2]int{}        // by whether the tenant surges: in time, all
+	late := map[string][]*loadRead{}   // deferred, by reader
+	busy := map[string]time.Duration{} // end of the current read, by reader
+	reading := map[string]*loadRead{}  // current read, by reader
+	inTime := map[bool][2]int{}        // in time and all, by whether the tenant surges
 	credit := map[string]float64{}
 	for tenant := range loadTenants {
-		credit[fmt.Sprint("tenant-", tenant)] = float64(tenant) / loadTenants // else all come at once
+		credit[fmt.Sprint("tenant-", tenant)] = float64(tenant) / loadTenants // spreads the arrivals
 	}
 	number := uint64(0)
 	perSecond := func(tenant int, now time.Duration) float64 {
-		rate := 0.35 * float64(time.Second) / float64(loadPrompt) / float64(pace) / loadTenants * 2
+		rate := 0.35 * float64(time.Second) / float64(loadPrompt) / float64(perToken) / loadTenants * 2
 		if tenant < 2 {
 			rate *= 8
 		}
@@ -67,7 +67,7 @@
 		b.Note(now, key(done.number), Note{Step: StepEnded})
 		if now >= loadSurge+time.Second {
 			count := inTime[done.tenant == "tenant-2"]
-			if count[1]++; now <= done.due {
+			if count[1]++; now <= done.dueAt {
 				count[0]++
 			}
 			inTime[done.tenant == "tenant-2"] = count
@@ -79,11 +79,11 @@
 			credit[own] += perSecond(tenant, now) * loadStep.Seconds()
 			for ; credit[own] >= 1; credit[own]-- {
 				number++
-				asked := ask("", 0, loadPrompt)
-				asked.Parts = asked.Parts[1:] // nothing is shared
-				asked.Objective, asked.Deadline, asked.Tenant = loadObjective, 6*time.Second, name(own)
-				answer := b.Place(now, key(number), asked)
-				next := &loadRead{tenant: own, number: number, due: now + loadObjective, tokens: loadPrompt}
+				request := newRequest("", 0, loadPrompt)
+				request.Parts = request.Parts[1:] // nothing is shared
+				request.Objective, request.Deadline, request.Tenant = loadObjective, 6*time.Second, name(own)
+				answer := b.Place(now, key(number), request)
+				next := &loadRead{tenant: own, number: number, dueAt: now + loadObjective, tokens: loadPrompt}
 				at := answer.Reader
 				if at == "" {
 					at = answer.Generator
@@ -114,7 +114,7 @@
 				}
 				reading[reader] = from[reader][0]
 				from[reader] = from[reader][1:]
-				busy[reader] = now + time.Duration(reading[reader].tokens)*pace
+				busy[reader] = now + time.Duration(reading[reader].tokens)*perToken
 			}
 		}
 	}
@@ -122,18 +122,18 @@
 	return share(inTime[true]), share(inTime[false])
 }
 
-// Where tenants are not told apart, one that asks for far more than it usually does makes
-// all late; held against its usual, it is late itself.
-func TestSurgingTenantDoesNotPushOthersAside(t *testing.T) {
-	surgingAlike, othersAlike := playLoad(t, func(string) string { return "" })
-	surging, others := playLoad(t, func(tenant string) string { return tenant })
-	t.Logf("in time: not told apart %.2f of the surging, %.2f of the others; told apart %.2f, %.2f", surgingAlike, othersAlike, surging, others)
+// If tenants are not distinguished, one that asks for far more than it usually does delays all
+// others; compared with its baseline, it delays only itself.
+func TestSurgingTenantDoesNotDelayOthers(t *testing.T) {
+	surgingAlike, othersAlike := simulateLoad(t, func(string) string { return "" })
+	surging, others := simulateLoad(t, func(tenant string) string { return tenant })
+	t.Logf("in time: tenants not distinguished: surging %.2f, others %.2f; distinguished: surging %.2f, others %.2f", surgingAlike, othersAlike, surging, others)
 	must.Greater(t, othersAlike+0.1, others)
 	must.Greater(t, 0.85, others)
-	must.Greater(t, 0.02, surging, must.Sprint("it gets what is left"))
+	must.Greater(t, 0.02, surging, must.Sprint("the surging tenant gets the remaining capacity"))
 }
 
-// Waves that all tenants have, and tenants with few requests, are no surge.
+// Waves that all tenants share, and tenants with few requests, are not surges.
 func TestUsualDemandIsNoSurge(t *testing.T) {
 	known := tenants{}
 	for now := time.Duration(0); now < time.Minute; now += 50 * time.Millisecond {
@@ -142,23 +142,23 @@
 			wave = 2
 		}
 		for range wave {
-			must.False(t, known.ask(now, &Ask{Tenant: "large", Prompt: 3000}), must.Sprint(now))
+			must.False(t, known.recordRequest(now, &Ask{Tenant: "large", Prompt: 3000}), must.Sprint(now))
 		}
 	}
-	must.False(t, known.ask(time.Minute, &Ask{Tenant: "small", Prompt: 3000}))
+	must.False(t, known.recordRequest(time.Minute, &Ask{Tenant: "small", Prompt: 3000}))
 	for i := range 15 {
-		must.False(t, known.ask(2*time.Minute+time.Duration(i), &Ask{Tenant: "small", Prompt: 50_000}))
-		must.False(t, known.ask(2*time.Minute+time.Duration(i), &Ask{Prompt: 50_000}))
+		must.False(t, known.recordRequest(2*time.Minute+time.Duration(i), &Ask{Tenant: "small", Prompt: 50_000}))
+		must.False(t, known.recordRequest(2*time.Minute+time.Duration(i), &Ask{Prompt: 50_000}))
 	}
 }
 
-// A tenant that surges keeps what it may ask; one that grows for good is believed in the end.
-func TestSurgingTenantKeepsItsUsual(t *testing.T) {
+// A surging tenant keeps its allowed demand; if its growth lasts, its baseline follows.
+func TestSurgingTenantKeepsItsBaseline(t *testing.T) {
 	known := tenants{}
 	first := func(from, to, each time.Duration) float64 {
 		all, kept := 0, 0
 		for now := from; now < to; now += each {
-			if all++; !known.ask(now, &Ask{Tenant: "large", Prompt: 3000}) {
+			if all++; !known.recordRequest(now, &Ask{Tenant: "large", Prompt: 3000}) {
 				kept++
 			}
 		}
@@ -173,9 +173,9 @@
 func TestTenantsAreBounded(t *testing.T) {
 	known := tenants{}
 	for i := range maxTenants + 100 {
-		known.ask(time.Second, &Ask{Tenant: fmt.Sprint(i), Prompt: 1})
+		known.recordRequest(time.Second, &Ask{Tenant: fmt.Sprint(i), Prompt: 1})
 	}
 	must.MapLen(t, maxTenants, known)
-	known.ask(time.Hour, &Ask{Tenant: "later", Prompt: 1})
+	known.recordRequest(time.Hour, &Ask{Tenant: "later", Prompt: 1})
 	must.MapLen(t, 1, known)
 }
