--- a/request/placement/types.go
+++ b/request/placement/types.go
@@ -1,163 +1,166 @@
-// Package placement decides which replicas of a model service read and answer
-// each request, with one board that knows of all requests in flight: what every
-// replica has still to read, what it runs, and which parts of prompts it keeps.
-// It reads no clock and does no input or output; one goroutine uses a board.
+// Package placement decides which replicas of a model service read (prefill) and answer
+// each request. One board per service tracks all requests in flight: the prompts that every
+// replica still has to read, the requests that it runs, and the prompt parts that it caches.
 //
-// Guarantees: an answer names only replicas that are listed, admit, have the
-// right role and are not excluded; equal boards give equal answers to equal
-// questions.
+// The reader of a request is the replica that reads its prompt, the generator the one that
+// generates its tokens; one decode replica may do both.
+//
+// A board reads no clock and performs no I/O. It is not safe for concurrent use.
+//
+// Guarantees: an answer names only replicas that are listed, accept requests, have the
+// right role and are not excluded; equal boards give equal answers to equal requests.
 package placement
 
 import "time"
 
-// Role is what a replica does.
+// Role is the kind of work that a replica does.
 type Role uint8
 
 // Roles of replicas.
 const (
-	RoleDecode  Role = iota // makes tokens; reads prompts at a slower pace between them
-	RolePrefill             // reads prompts and hands them over
+	RoleDecode  Role = iota // generates tokens; reads prompts more slowly, interleaved with decoding
+	RolePrefill             // reads prompts and hands over their KV cache
 )
 
-// Replica is one replica that may take work.
+// Replica is the listed state of one replica.
 type Replica struct {
 	Name    string
 	Zone    string
 	Role    Role
-	Slots   int // requests at once; 0 if not known
+	Slots   int // maximum concurrent requests; 0 if unknown
 	Leaving bool
-	// Born tells processes under one name apart; 0 if it is not known.
+	// Born identifies the process among those that had the same name; 0 if unknown.
 	Born int64
 }
 
-// Sheet is what is known of all replicas of a service beforehand.
+// Sheet holds the configured properties that all replicas of a service share.
 type Sheet struct {
-	KVTokens     int64   // memory of one replica, in tokens; 0 if not known
-	BytesPerTok  int64   // of KV memory
-	LinkMbps     float64 // for moves of memory
+	KVTokens     int64   // KV cache capacity of one replica, in tokens; 0 if unknown
+	BytesPerTok  int64   // KV cache size of one token
+	LinkMbps     float64 // bandwidth for KV cache transfers
 	GapObjective time.Duration
 }
 
-// Part is a piece of a prompt. Requests share parts; the last belongs to one
-// request or session.
+// Part is a segment of a prompt. Requests may share leading parts; the last part belongs to
+// one request or session.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// Ask is a request that wants a place.
+// Ask is a request to be placed.
 type Ask struct {
-	Prompt   int // tokens
-	Output   int // most tokens that may come out
+	Prompt   int // length in tokens
+	Output   int // maximum number of output tokens
 	Priority int
 	Zone     string
-	// Tenant is who asks; empty where nobody is told apart.
+	// Tenant identifies the caller; empty if callers are not distinguished.
 	Tenant string
 	Parts  []Part
-	// Objective is how long after its arrival the first token may come for the
-	// answer to be in time, 0 if nothing is promised; Age is how long ago it arrived.
+	// Objective is the time-to-first-token objective, measured from the arrival; 0 if there
+	// is none. Age is the time since the arrival.
 	Objective time.Duration
 	Age       time.Duration
-	// Deadline is how long an answer is of any use.
+	// Deadline is the time left until an answer is of no use.
 	Deadline time.Duration
 	Excluded []string
-	// Connected names replicas to which the asking daemon has an open connection that
-	// nothing is under way on.
+	// Connected names replicas to which the requesting daemon has an idle open connection.
 	Connected []string
-	// Continued requests take up a broken stream and are read where they run.
+	// Continued requests resume a broken stream; their generator reads the prompt.
 	Continued bool
 
-	// Name tells requests apart by what they are; empty while nobody needs to.
+	// Name identifies the content of the request, the same for copies of it. It is empty
+	// unless an answer has asked for it.
 	Name string
-	// Suspect is true for a request that may have ended a replica: it goes where nothing
-	// else is. Who places sets it.
+	// Suspect marks a request that may have crashed a replica; it runs on an isolated
+	// replica. The caller of Place sets it.
 	Suspect bool
-	// Judged is true for a suspect under which enough replicas have ended: it waits for the
-	// verdict. Who places sets it.
+	// Judged marks a suspect under which enough replicas have crashed: it waits for the
+	// decision on its quarantine. The caller of Place sets it.
 	Judged bool
 
-	// deferred is true while ways are compared that let all others go first.
+	// deferred is true while options are compared that let all other requests go first.
 	deferred bool
-	// pressed is true while ways are compared for a request that would be late: streams beside
-	// it count less then.
-	pressed bool
-	// surging is true for what its tenant asks above a few times its usual.
+	// wouldBeLate is true while options are compared for a request that would miss its
+	// objective; delays to streams on the same replica then cost less.
+	wouldBeLate bool
+	// surging marks demand of the tenant that exceeds surgeFactor times its baseline.
 	surging bool
-	// group is the request's size group once it has a place.
+	// group is the size group of the request, set when it is placed.
 	group sizeGroup
 }
 
-// Answer says where a request goes.
+// Answer is the placement of a request.
 type Answer struct {
-	// Generator runs the request; empty if none takes it.
+	// Generator runs the request; empty if no replica can.
 	Generator string
-	// Reader reads the prompt first; empty when the generator does it.
+	// Reader reads the prompt first; empty if the generator reads it.
 	Reader string
-	// Fetch names a replica from which whoever reads takes what that keeps of
-	// the prompt; empty for none.
+	// Fetch names a replica from which the reading replica fetches the cached leading
+	// parts of the prompt; empty for none.
 	Fetch string
-	// Unread is how many tokens are left to be read.
+	// Unread is the number of prompt tokens that still have to be read.
 	Unread int
-	// Estimate is the expected time to the first token.
+	// Estimate is the expected time to first token.
 	Estimate time.Duration
-	// Wait, if not 0, says that the request goes nowhere yet: parts that it
-	// shares are being read for another one, and it is to be asked for again
-	// after so long. All else is empty then.
+	// Wait, if not 0, is the time after which to ask again: the request is not placed now,
+	// for instance because parts that it shares are being read for another request. All
+	// other fields are empty then.
 	Wait time.Duration
-	// Deferred says that the request will be late, and is to let those go first
-	// that can be in time.
+	// Deferred marks a request that would miss its objective and is read after those that
+	// can meet theirs.
 	Deferred bool
-	// Name asks for the request's Name: replicas end one after the other under some
-	// request, and it is to be told apart. All else is empty then.
+	// Name asks the caller to send the Name of the request: replicas are crashing one after
+	// the other, apparently under some request. All other fields are empty then.
 	Name bool
-	// Alone says that nothing else is in flight at the generator, and that nothing is sent
-	// there until the request has begun to be answered.
+	// Alone says that nothing else is in flight on the generator and that nothing else is
+	// placed there until the request has been answering for a while.
 	Alone bool
-	// Refused says that the request would not be answered before its deadline, and
-	// RetryAfter when it might be. All else is empty then.
+	// Refused marks a request that could not be answered before its deadline; RetryAfter is
+	// the delay after which a retry may succeed. All other fields are empty then.
 	Refused    bool
 	RetryAfter time.Duration
 }
 
-// Step is how far a placed request has come.
+// Step is a stage or an outcome of a placed request.
 type Step uint8
 
-// Steps of a placed request.
+// Stages and outcomes of a placed request.
 const (
 	StepRead        Step = iota + 1 // the reader has read the prompt
-	StepStarted                     // the first token has come
-	StepEnded                       // it is over
+	StepStarted                     // the first token has arrived
+	StepEnded                       // the request has completed
 	StepFailed                      // the replica gave no answer, or broke it off
-	StepErred                       // the replica answered with a failure of its own
-	StepRefused                     // the replica answered that it does not run the request
+	StepErred                       // the replica answered with an error of its own
+	StepRefused                     // the replica refused to run the request
 	StepMisdirected                 // another replica answered at its address
-	StepUnread                      // the reader has not read the prompt: the generator does
-	StepGone                        // nobody listens at the replica's address
-	StepLeaving                     // the replica says that it leaves; no request is over
+	StepUnread                      // the reader has not read the prompt; the generator does
+	StepGone                        // nothing listens at the address of the replica
+	StepLeaving                     // the replica announced that it leaves; its requests go on
 )
 
-// Note tells the board how far a request has come. Replica is the one that a
-// StepFailed, StepErred, StepRefused, StepMisdirected or StepUnread speaks of; where that
-// is the reader, the request goes on at its generator.
+// Note reports progress of a request to the board. Replica is the subject of StepFailed,
+// StepErred, StepRefused, StepMisdirected, StepUnread, StepGone and StepLeaving. If it is the
+// reader of the request, the request goes on at its generator.
 type Note struct {
 	Step    Step
 	Replica string
-	// Told is how many requests the replica that took the step said to have,
-	// running and waiting, 0 if it did not say.
+	// Told is the number of running and waiting requests that the replica reported when it
+	// completed the step; 0 if it reported none.
 	Told int
 }
 
-// Placed is a request in flight as the daemon knows it that asked for its place: enough
-// for a board that has never seen it to count it as if it had placed it.
+// Placed is a request in flight as known to the daemon that requested its placement. It
+// lets a board that did not place the request account for it.
 type Placed struct {
 	Ask    Ask
 	Answer Answer
-	// Age is how long ago it was placed, Step how far it has come, 0 for not read yet.
+	// Age is the time since the placement; Step is the last stage reached, 0 before StepRead.
 	Age  time.Duration
 	Step Step
 }
 
-// Key names a placed request: the daemon that asked, and its own number.
+// Key identifies a placed request by the requesting daemon and that daemon's own number.
 type Key struct {
 	Daemon string
 	Number uint64
--- a/request/placement/wait.go
+++ b/request/placement/wait.go
@@ -5,75 +5,75 @@
 	"time"
 )
 
-// A replica finds what it keeps of a prompt when it takes the request up. A
-// request whose shared parts are still being read for another one would read
-// them again, even behind that one in the same queue. Once they are read, any
-// replica has them: they are kept there, or fetched within milliseconds. So a
-// request waits for them where that is the sooner way to its first token.
+// A replica looks up the cached parts of a prompt when it starts the request. A request whose
+// shared parts are still being read for another one would read them again, even behind that
+// one in the same queue. Once they are read, they are cached there, and any other replica can
+// fetch them within milliseconds. So a request waits for them if that gives the earlier first
+// token.
 const (
-	// leastWait is the shortest wait: a shorter one would only ask sooner.
-	leastWait = 15 * time.Millisecond
-	// A read that has taken overdueFactor times what it should, and
-	// overdueSlack, is waited for no more: its daemon may be gone.
+	// minWait is the shortest wait; a shorter one would only make the request ask again sooner.
+	minWait = 15 * time.Millisecond
+	// A read is not waited for once it has taken more than overdueFactor times its expected
+	// time plus overdueSlack: its daemon may be gone.
 	overdueFactor = 2
 	overdueSlack  = 150 * time.Millisecond
 )
 
-// bringer is a queued request whose reading brings parts that another one shares.
-type bringer struct {
-	at     *replica
-	tokens int           // leading ones that are kept there then
-	in     time.Duration // from now
+// pendingRead is a queued request that will cache parts which another request shares.
+type pendingRead struct {
+	replica *replica
+	tokens  int           // leading tokens cached afterwards
+	readyIn time.Duration // time until they are cached
 }
 
-// chooseLater returns the cheapest way to serve the request after the parts that
-// it shares with a queued one have been read; false if none brings any.
-func (b *Board) chooseLater(now time.Duration, ask *Ask, among comparison) (option, bool) {
-	awaited, found := b.bringer(now, ask, among.keepers)
+// chooseAfterWait returns the cheapest option for the request after shared parts of a queued
+// request have been read; false if no queued request shares enough parts.
+func (b *Board) chooseAfterWait(now time.Duration, request *Ask, candidates candidateReplicas) (option, bool) {
+	awaited, found := b.firstPendingRead(now, request, candidates.prefixHolders)
 	if !found {
 		return option{}, false
 	}
-	then := among
-	then.keepers = maps.Clone(among.keepers)
-	then.keepers[awaited.at.Zone] = keeper{replica: awaited.at, tokens: awaited.tokens}
-	later, found := b.chooseNow(now, ask, then)
+	afterRead := candidates
+	afterRead.prefixHolders = maps.Clone(candidates.prefixHolders)
+	afterRead.prefixHolders[awaited.replica.Zone] = prefixHolder{replica: awaited.replica, tokens: awaited.tokens}
+	later, found := b.chooseNow(now, request, afterRead)
 	if !found {
 		return option{}, false
 	}
-	// What is queued goes on being read during the wait.
-	reader := later.readsAt()
-	delay := awaited.in - min(awaited.in, reader.backlog(now, b.paces[reader.Role].perToken(), ask))
-	later.first += delay
+	// The queue of the reader shrinks during the wait.
+	reader := later.readingReplica()
+	delay := awaited.readyIn - min(awaited.readyIn, reader.backlog(now, b.readTimes[reader.Role].perToken(), request))
+	later.timeToFirstToken += delay
 	later.cost += delay
-	later.wait = max(awaited.in, leastWait)
+	later.wait = max(awaited.readyIn, minWait)
 	return later, true
 }
 
-// bringer returns the queued request that is the first to have read more of the
-// prompt than any replica keeps.
-func (b *Board) bringer(now time.Duration, ask *Ask, keepers map[string]keeper) (bringer, bool) {
-	kept := 0
-	for _, known := range keepers {
-		kept = max(kept, known.tokens)
+// firstPendingRead returns the queued request that is the first to have read more of the
+// prompt than any replica has cached.
+func (b *Board) firstPendingRead(now time.Duration, request *Ask, prefixHolders map[string]prefixHolder) (pendingRead, bool) {
+	cachedTokens := 0
+	for _, known := range prefixHolders {
+		cachedTokens = max(cachedTokens, known.tokens)
 	}
-	next, found := partAfter(ask.Parts, kept)
+	next, found := partAtOffset(request.Parts, cachedTokens)
 	if !found {
-		return bringer{}, false
+		return pendingRead{}, false
 	}
-	var best bringer
-	for _, at := range b.index.bringing[next] {
-		if !at.isThere(now) || at.isDoubted(now) {
+	var best pendingRead
+	for _, at := range b.index.pending[next] {
+		if !at.acceptsRequests(now) || at.isSuspected(now) {
 			continue
 		}
-		if brought, brings := b.bringerAt(now, ask, at, kept); brings && (best.at == nil || brought.in < best.in) {
-			best = brought
+		if pending, shares := b.pendingReadOn(now, request, at, cachedTokens); shares && (best.replica == nil || pending.readyIn < best.readyIn) {
+			best = pending
 		}
 	}
-	return best, best.at != nil
+	return best, best.replica != nil
 }
 
-// partAfter returns the part that begins after so many tokens.
-func partAfter(parts []Part, tokens int) (string, bool) {
+// partAtOffset returns the first part that begins at or after the given number of tokens.
+func partAtOffset(parts []Part, tokens int) (string, bool) {
 	begins := 0
 	for _, part := range parts {
 		if begins >= tokens {
@@ -84,32 +84,32 @@
 	return "", false
 }
 
-// bringerAt looks through the queue of one replica.
-func (b *Board) bringerAt(now time.Duration, ask *Ask, at *replica, kept int) (bringer, bool) {
-	pace := b.paces[at.Role].perToken()
-	in := b.paces[at.Role].start()
+// pendingReadOn returns the first such request in the queue of one replica.
+func (b *Board) pendingReadOn(now time.Duration, request *Ask, at *replica, cachedTokens int) (pendingRead, bool) {
+	perToken := b.readTimes[at.Role].perToken()
+	in := b.readTimes[at.Role].fixed()
 	for _, queued := range at.queue {
-		if queued.ask.deferred {
-			break // others will yet go before it
+		if queued.request.deferred {
+			break // others will still go before it
 		}
-		takes := time.Duration(queued.reading) * pace
+		takes := time.Duration(queued.unreadTokens) * perToken
 		if queued == at.current {
 			spent := now - at.currentSince
 			if spent > overdueFactor*takes+overdueSlack {
-				return bringer{}, false
+				return pendingRead{}, false
 			}
 			takes = max(takes-spent, 0)
 		}
 		in += takes
-		if tokens := sharedLeading(queued.ask.Parts, ask.Parts); tokens >= kept+minimumFetch {
-			return bringer{at: at, tokens: tokens, in: in}, true
+		if tokens := sharedPrefixTokens(queued.request.Parts, request.Parts); tokens >= cachedTokens+minFetchTokens {
+			return pendingRead{replica: at, tokens: tokens, readyIn: in}, true
 		}
 	}
-	return bringer{}, false
+	return pendingRead{}, false
 }
 
-// sharedLeading returns how many tokens of leading parts two prompts share.
-func sharedLeading(first, second []Part) int {
+// sharedPrefixTokens returns the number of tokens in the leading parts that two prompts share.
+func sharedPrefixTokens(first, second []Part) int {
 	tokens := 0
 	for i := 0; i < min(len(first), len(second)) && first[i].ID == second[i].ID; i++ {
 		tokens += second[i].Tokens
--- a/request/prefix/prefix.go
+++ b/request/prefix/prefix.go
@@ -1,5 +1,5 @@
-// Package prefix names the leading blocks of a prompt, so that the proxy and
-// the engines mean the same blocks when they speak of cached prompts.
+// Package prefix hashes the leading blocks of a prompt, so that the proxy and the engines
+// refer to cached prompt prefixes by the same identifiers.
 package prefix
 
 import (
@@ -11,12 +11,12 @@
 	"github.com/landingtrail/landingtrail/connection/engineapi"
 )
 
-// BlockWords is the number of words in one block. A trailing part that is
-// shorter has no hash: caches hold whole blocks only.
+// BlockWords is the number of words in one block. A shorter trailing block has no hash, since
+// caches hold whole blocks only.
 const BlockWords = 16
 
-// Text returns the prompt of a request as an engine reads it: Prompt, or the
-// contents of the messages, one a line. Roles are no part of the prompt.
+// Text returns the prompt of a request as an engine reads it: Prompt, or the contents of the
+// messages joined by newlines. Message roles are not part of the prompt.
 func Text(request *engineapi.CompletionRequest) string {
 	if len(request.Messages) == 0 {
 		return request.Prompt
@@ -31,13 +31,12 @@
 // Words returns the words of a prompt. One word is one token.
 func Words(prompt string) []string { return strings.Fields(prompt) }
 
-// Blocks returns the hash of every whole block of the words, first block
-// first. Block k is the 64-bit xxhash of block k-1's hash, as 8 little-endian
-// bytes, followed by the block's words, each followed by one space. The hash
-// before block 0 is the xxhash of the model's name as the caller gave it,
-// since KV cache of one adapter is of no use to another. Equal hashes mean
-// equal prompts up to the block's end, but for collisions, which can only make
-// a cache hint wrong.
+// Blocks returns the hashes of all whole blocks of the words, in order. The hash of block k is
+// the 64-bit xxhash of the hash of block k-1, as 8 little-endian bytes, followed by the words
+// of the block, each followed by one space. The hash before block 0 is the xxhash of the model
+// name as the caller gave it, since the KV cache of one adapter cannot be used for another.
+// Equal hashes mean equal prompts up to the end of the block. A collision can only make a
+// cache hint wrong.
 func Blocks(model string, words []string) []uint64 {
 	count := len(words) / BlockWords
 	if count == 0 {
--- a/request/router/answers_test.go
+++ b/request/router/answers_test.go
@@ -8,7 +8,7 @@
 
 func TestAnswerLengths(t *testing.T) {
 	lengths := NewAnswerLengths()
-	must.Eq(t, firstAnswer, lengths.Expect("caption", 4096)) // nothing known
+	must.Eq(t, initialAnswerTokens, lengths.Expect("caption", 4096)) // no answer learned
 	must.Eq(t, 8, lengths.Expect("caption", 8))
 	for range 200 {
 		lengths.Learn("caption", 40)
@@ -20,7 +20,7 @@
 	for range 200 {
 		lengths.Learn("caption", 80)
 	}
-	must.Between(t, 78, lengths.Expect("caption", 4096), 80) // it follows
+	must.Between(t, 78, lengths.Expect("caption", 4096), 80) // follows the change
 }
 
 func TestAnswerLengthsAreBounded(t *testing.T) {
--- a/request/router/estimate.go
+++ b/request/router/estimate.go
@@ -6,23 +6,23 @@
 	"github.com/landingtrail/landingtrail/request/prefix"
 )
 
-// Speed is the service-rate model of one engine that costs and estimates are
-// computed from. The zero value of a field takes its default.
+// Speed is the service-rate model of one engine, from which costs and estimates are computed.
+// A field that is zero takes its default.
 type Speed struct {
-	// PrefillTokensPerSecond is how fast an engine reads a prompt.
+	// PrefillTokensPerSecond is the rate at which an engine reads a prompt.
 	PrefillTokensPerSecond float64
-	// StepBase is the time of one decode step without any sequence.
+	// StepBase is the time of a decode step without any sequence.
 	StepBase time.Duration
-	// StepPerSequence is what each running sequence adds to a decode step.
+	// StepPerSequence is the time that each running sequence adds to a decode step.
 	StepPerSequence time.Duration
-	// StepFullKV is what KV memory in use adds to a step when it is full.
+	// StepFullKV is the time that a full KV cache adds to a decode step; it scales with use.
 	StepFullKV time.Duration
-	// ChunkTokens is how much of waiting prompts a mixed engine reads in one step.
+	// ChunkTokens is the number of prompt tokens that a mixed engine reads in one step.
 	ChunkTokens int
 	// BlockTokens is the number of tokens in one prefix block.
 	BlockTokens int
-	// HandoverBase and HandoverTokensPerSecond give the time in which KV cache
-	// moves from a prefill to a decode engine.
+	// HandoverBase and HandoverTokensPerSecond give the time to transfer a KV cache from a
+	// prefill to a decode engine.
 	HandoverBase            time.Duration
 	HandoverTokensPerSecond float64
 }
@@ -67,24 +67,24 @@
 	return s
 }
 
-// prefillSeconds is the time to read tokens of a prompt.
+// prefillSeconds returns the time to read the tokens of a prompt.
 func (s Speed) prefillSeconds(tokens int) float64 {
 	return float64(max(tokens, 0)) / s.PrefillTokensPerSecond
 }
 
-// stepSeconds is the time of one decode step of a batch.
+// stepSeconds returns the time of one decode step of a batch.
 func (s Speed) stepSeconds(sequences int, kvUsed float64) float64 {
 	return s.StepBase.Seconds() + s.StepPerSequence.Seconds()*float64(sequences) + s.StepFullKV.Seconds()*kvUsed
 }
 
-// handoverSeconds is the time to move the KV cache of tokens between engines.
+// handoverSeconds returns the time to transfer the KV cache of the tokens between engines.
 func (s Speed) handoverSeconds(tokens int) float64 {
 	return s.HandoverBase.Seconds() + float64(tokens)/s.HandoverTokensPerSecond
 }
 
-// uncachedTokens is how much of the prompt the endpoint must read: the prompt
-// less the leading blocks in its cache. An unsure belief counts half, since a
-// gap in the cache events may hide removals.
+// uncachedTokens returns the number of prompt tokens that the endpoint must read: the prompt
+// without the leading blocks in its cache. An unsure count is halved, since a gap in the
+// cache events may hide removals.
 func (s Speed) uncachedTokens(request *Request, endpoint *Endpoint) int {
 	if endpoint.CachedBlocks == nil || len(request.Blocks) == 0 {
 		return request.PromptTokens
@@ -96,9 +96,8 @@
 	return max(request.PromptTokens-count*s.BlockTokens, 0)
 }
 
-// minimumSeconds is a lower bound of the time to the last token on an
-// endpoint, whatever the picker does: the queue before it is not counted, since
-// the request may have a higher priority than all of it.
+// minimumSeconds returns a lower bound of the time to the last token on an endpoint. The queue
+// is not counted, since the request may have a higher priority than all of it.
 func (s Speed) minimumSeconds(request *Request, endpoint *Endpoint) float64 {
 	return s.prefillSeconds(s.uncachedTokens(request, endpoint)) + float64(request.OutputTokens)*s.stepSeconds(1, 0)
 }
--- a/request/router/filter.go
+++ b/request/router/filter.go
@@ -7,18 +7,18 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// keep filters endpoints in place.
-func keep(endpoints []*Endpoint, wanted func(*Endpoint) bool) []*Endpoint {
+// keep filters endpoints in place and returns those that match.
+func keep(endpoints []*Endpoint, matches func(*Endpoint) bool) []*Endpoint {
 	kept := endpoints[:0]
 	for _, endpoint := range endpoints {
-		if wanted(endpoint) {
+		if matches(endpoint) {
 			kept = append(kept, endpoint)
 		}
 	}
 	return kept
 }
 
-// ModelFilter keeps engines that have the request's model and adapter loaded.
+// ModelFilter keeps the engines that have the request's model and adapter loaded.
 type ModelFilter struct{}
 
 // Name implements Filter.
@@ -37,13 +37,13 @@
 	})
 }
 
-// baseModel is a model as engines hold it, without an adapter that the caller named.
+// baseModel returns the model name as engines report it, without an adapter.
 func baseModel(name string) string {
 	base, _, _ := strings.Cut(name, ":")
 	return base
 }
 
-// ClassFilter keeps engines whose intent serves the request's class.
+// ClassFilter keeps the engines whose intent serves the request's class.
 type ClassFilter struct{}
 
 // Name implements Filter.
@@ -59,7 +59,7 @@
 	})
 }
 
-// AdmitFilter keeps engines that admit requests and have a role.
+// AdmitFilter keeps the engines that admit requests and have a role.
 type AdmitFilter struct{}
 
 // Name implements Filter.
@@ -75,7 +75,7 @@
 	})
 }
 
-// ExcludedFilter drops engines that refused or failed an earlier attempt.
+// ExcludedFilter drops the engines that refused or failed an earlier attempt.
 type ExcludedFilter struct{}
 
 // Name implements Filter.
@@ -94,7 +94,7 @@
 	})
 }
 
-// SuspectFilter drops suspect engines as long as another is left.
+// SuspectFilter drops suspect engines if any other engine is left.
 type SuspectFilter struct{}
 
 // Name implements Filter.
@@ -112,8 +112,8 @@
 	return keep(endpoints, healthy)
 }
 
-// DeadlineFilter drops engines that could not finish the request in time even
-// if it ran there alone. A request without a deadline passes.
+// DeadlineFilter drops the engines that could not complete the request in time even without
+// any other load. A request without a deadline passes.
 type DeadlineFilter struct {
 	Speed Speed
 }
--- a/request/router/pick.go
+++ b/request/router/pick.go
@@ -2,8 +2,8 @@
 
 import "math/rand/v2"
 
-// BestPicker picks the endpoint of the lowest cost. Many proxies that look at
-// the same stale report would all pick the same one; see TwoChoicePicker.
+// BestPicker picks the endpoint with the lowest cost. Proxies that share a stale load report
+// would all pick the same one; see TwoChoicePicker.
 type BestPicker struct{}
 
 // Name implements Picker.
@@ -12,14 +12,14 @@
 // Pick implements Picker.
 func (BestPicker) Pick(scored []Scored, _ *rand.Rand) Scored { return scored[0] }
 
-// TwoChoicePicker draws two of the best-scored endpoints at random and takes
-// the cheaper. Proxies that share a stale report thus spread over several
-// endpoints, and the worst-scored ones are never drawn.
+// TwoChoicePicker draws two of the lowest-cost endpoints at random and takes the cheaper, so
+// that proxies that share a stale load report spread over several endpoints. Endpoints whose
+// cost is above the limit are never drawn.
 type TwoChoicePicker struct {
-	// Slack is by how much, as a share of the best cost, an endpoint may cost
-	// more and still be drawn.
+	// Slack is the share of the lowest cost by which an endpoint may exceed it and still be
+	// drawn.
 	Slack float64
-	// SlackSeconds is added to that.
+	// SlackSeconds is added to the limit.
 	SlackSeconds float64
 }
 
--- a/request/router/plugin.go
+++ b/request/router/plugin.go
@@ -2,7 +2,7 @@
 
 import "math/rand/v2"
 
-// Part is the share of a request's work that an endpoint is considered for.
+// Part is the part of a request's work for which an endpoint is considered.
 type Part int
 
 // Parts of the work.
@@ -16,15 +16,15 @@
 type Filter interface {
 	// Name is the plugin's name in logs and metrics.
 	Name() string
-	// Reason is the refusal's reason when this filter drops the last endpoint.
+	// Reason is the reason of the refusal if this filter drops the last endpoint.
 	Reason() Reason
-	// Filter returns the endpoints to keep, in their order. It may reuse the
-	// given slice and never changes an endpoint.
+	// Filter returns the endpoints to keep, in their order. It may reuse the given slice but
+	// does not change an endpoint.
 	Filter(request *Request, endpoints []*Endpoint) []*Endpoint
 }
 
-// Scorer gives the expected cost, in seconds, of one aspect of running part of
-// a request on an endpoint. Costs of several scorers add up; lower is better.
+// Scorer returns the expected cost, in seconds, of one aspect of running a part of a request
+// on an endpoint. The costs of all scorers are added; lower is better.
 type Scorer interface {
 	// Name is the plugin's name in logs and metrics.
 	Name() string
@@ -32,7 +32,7 @@
 	Score(request *Request, endpoint *Endpoint, part Part) float64
 }
 
-// Scored is an endpoint with its summed cost in seconds.
+// Scored is an endpoint with its total cost in seconds.
 type Scored struct {
 	Endpoint *Endpoint
 	Cost     float64
--- a/request/router/router.go
+++ b/request/router/router.go
@@ -8,15 +8,14 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// Config chooses the plugins. Empty fields take the defaults of DefaultConfig.
+// Config selects the plugins. Empty fields take the values of DefaultConfig.
 type Config struct {
 	Speed   Speed
 	Filters []Filter
 	Scorers []Scorer
 	Picker  Picker
-	// DeadlineMargin is how many times its deadline a request's estimate may
-	// be before it is refused; above 1 because estimates are rough and a
-	// refusal is final.
+	// DeadlineMargin is the multiple of its deadline above which the estimate of a request
+	// refuses it. It exceeds 1 because estimates are rough and a refusal is final.
 	DeadlineMargin float64
 }
 
@@ -30,7 +29,7 @@
 	DefaultDeadlineMargin = 1.25
 )
 
-// DefaultConfig returns the plugins in use unless others are chosen.
+// DefaultConfig returns the default plugins.
 func DefaultConfig(speed Speed) Config {
 	speed = speed.withDefaults()
 	return Config{
@@ -79,9 +78,9 @@
 	return &Router{config: config}
 }
 
-// Route decides where a request goes, or says why nowhere. The decision
-// depends on the arguments only; random may be used by one call at a time.
-// A reason other than ReasonNone is a sure "not run".
+// Route decides where a request goes, or returns the reason why it goes nowhere. The decision
+// depends on the arguments only; random must not be used concurrently. With any reason other
+// than ReasonNone the request is certain not to have run.
 func (r *Router) Route(snapshot Snapshot, request Request, random *rand.Rand) (Decision, Reason) {
 	candidates := slices.Clone(snapshot.Endpoints)
 	for _, filter := range r.config.Filters {
@@ -91,7 +90,7 @@
 		}
 	}
 	groups := groupByRole(candidates)
-	if groups.readers() == 0 && readerExcluded(&request, snapshot) {
+	if groups.readerCount() == 0 && readerExcluded(&request, snapshot) {
 		return Decision{}, ReasonAllExcluded
 	}
 	decision, found := r.cheapest(&request, groups, random)
@@ -104,7 +103,7 @@
 	return decision, ReasonNone
 }
 
-// roleGroups are the candidates by role.
+// roleGroups holds the candidates by role.
 type roleGroups struct {
 	prefill []*Endpoint
 	decode  []*Endpoint
@@ -126,13 +125,13 @@
 	return groups
 }
 
-// readers is how many candidates are meant to read prompts.
-func (g roleGroups) readers() int { return len(g.prefill) + len(g.mixed) }
+// readerCount returns the number of candidates that are meant to read prompts.
+func (g roleGroups) readerCount() int { return len(g.prefill) + len(g.mixed) }
 
-// readerExcluded reports whether an engine that is meant to read prompts is well,
-// admits, and was left out only because it refused this request. Then engines
-// are full, and to have a decode engine read the prompt would take it from the answers
-// that it generates, just when there are most of them.
+// readerExcluded reports whether an engine meant to read prompts is healthy, admits requests,
+// and was left out only because it refused this request. The engines are full then, and a
+// decode engine that read the prompt would slow down the answers that it generates, just when
+// there are most of them.
 func readerExcluded(request *Request, snapshot Snapshot) bool {
 	for _, endpoint := range snapshot.Endpoints {
 		reads := endpoint.Role == api.RolePrefill || endpoint.Role == api.RoleMixed
@@ -143,9 +142,9 @@
 	return false
 }
 
-// splitCandidates returns the engines that may read and that may generate when
-// a request is split. Mixed engines take the part that no engine is dedicated
-// to; without any dedicated engine there is nothing to split.
+// splitCandidates returns the engines that may read and those that may generate if a request
+// is split. Mixed engines take the part for which no engine is dedicated; without any dedicated
+// engine there is no split.
 func (g roleGroups) splitCandidates() (readers, generators []*Endpoint) {
 	switch {
 	case len(g.prefill) > 0:
@@ -157,9 +156,8 @@
 	}
 }
 
-// cheapest compares serving the request whole on one mixed engine with
-// splitting it between two engines. A decode engine reads the prompt itself
-// only when nothing else is possible.
+// cheapest compares running the whole request on one mixed engine with splitting it between
+// two engines. A decode engine reads the prompt itself only if nothing else is possible.
 func (r *Router) cheapest(request *Request, groups roleGroups, random *rand.Rand) (Decision, bool) {
 	whole, haveWhole := r.pick(request, groups.mixed, PartWhole, random)
 	readers, generators := groups.splitCandidates()
@@ -180,7 +178,7 @@
 	return Decision{Target: whole.Endpoint, Estimate: seconds(whole.Cost)}, true
 }
 
-// pick scores the endpoints for a part of the request and picks one; false if there are none.
+// pick returns one of the endpoints for a part of the request; false if there are none.
 func (r *Router) pick(request *Request, endpoints []*Endpoint, part Part, random *rand.Rand) (Scored, bool) {
 	if len(endpoints) == 0 {
 		return Scored{}, false
--- a/request/router/router_test.go
+++ b/request/router/router_test.go
@@ -10,7 +10,7 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-func adapted(endpoint *Endpoint) { endpoint.Adapters = []string{"x"} }
+func withAdapter(endpoint *Endpoint) { endpoint.Adapters = []string{"x"} }
 
 func testRandom() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
@@ -93,7 +93,7 @@
 		{"decode alone", Request{Model: "m"}, []*Endpoint{engine("d", api.RoleDecode, nil)}, "d", "", ReasonNone},
 		{
 			"full prefill engines leave decode engines alone", Request{Model: "m:x", Adapter: "x", Excluded: map[string]bool{"p": true}},
-			[]*Endpoint{engine("d", api.RoleDecode, adapted), engine("p", api.RolePrefill, adapted)}, "", "", ReasonAllExcluded,
+			[]*Endpoint{engine("d", api.RoleDecode, withAdapter), engine("p", api.RolePrefill, withAdapter)}, "", "", ReasonAllExcluded,
 		},
 		{
 			"decode reads for a lost prefill engine", Request{Model: "m", Excluded: map[string]bool{"p": true}},
@@ -119,7 +119,7 @@
 	}
 }
 
-func TestRouteLeavesTheSnapshotAlone(t *testing.T) {
+func TestRouteDoesNotChangeTheSnapshot(t *testing.T) {
 	endpoints := []*Endpoint{engine("a", api.RoleMixed, func(e *Endpoint) { e.Admits = false }), engine("b", api.RoleMixed, nil)}
 	snapshot := Snapshot{Endpoints: endpoints}
 	_, reason := New(Config{}).Route(snapshot, Request{Model: "m"}, testRandom())
@@ -127,8 +127,8 @@
 	must.Eq(t, []string{"a", "b"}, names(snapshot.Endpoints))
 }
 
-// Proxies that share one stale report must spread over engines of equal load,
-// and each must count its own dispatches.
+// Proxies that share a stale report must spread over engines of equal load, and count their own
+// dispatches.
 func TestRouteSpreads(t *testing.T) {
 	router := New(Config{})
 	var endpoints []*Endpoint
--- a/request/router/score.go
+++ b/request/router/score.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// PrefixScorer is the time to read the part of the prompt that the endpoint
-// does not have in its cache. Since LoadScorer is in seconds as well, a warm
-// cache is preferred just as long as it saves more time than the queue costs.
+// PrefixScorer is the time to read the part of the prompt that the endpoint does not have
+// cached. LoadScorer is in seconds as well, so a warm cache is preferred exactly as long as it
+// saves more time than the queue costs.
 type PrefixScorer struct {
 	Speed Speed
 }
@@ -20,9 +20,9 @@
 	return s.Speed.prefillSeconds(s.Speed.uncachedTokens(request, endpoint))
 }
 
-// LoadScorer is the time that generating takes beside the load on the endpoint,
-// and that the load adds to reading. Load is the last report plus this proxy's
-// own dispatches that the report can't contain yet.
+// LoadScorer is the generation time under the load of the endpoint, plus the time that the
+// load adds to reading. The load is that of the last report plus this proxy's own dispatches
+// that the report can't include yet.
 type LoadScorer struct {
 	Speed Speed
 }
@@ -43,23 +43,23 @@
 	generate := float64(request.OutputTokens) * step
 	chunk := float64(s.Speed.ChunkTokens)
 	if part == PartDecode {
-		// The prompts before this request hold up a step by a chunk at most.
+		// The queued prompts delay each step by one chunk at most.
 		return generate + min(queue, float64(request.OutputTokens)*s.Speed.prefillSeconds(s.Speed.ChunkTokens))
 	}
-	// The engine decodes a step beside each chunk that it reads.
+	// The engine runs a decode step with each chunk that it reads.
 	chunks := float64(tokensBefore+s.Speed.uncachedTokens(request, endpoint)) / chunk
 	return queue + chunks*step + generate
 }
 
-// KVScorer grows without bound as the endpoint's KV memory fills, so that an
-// engine about to queue or evict is avoided before it does.
+// KVScorer rises steeply as the KV cache of the endpoint fills, so that an engine is avoided
+// before it queues or evicts.
 type KVScorer struct {
 	// Scale is the cost in seconds at 80 percent use.
 	Scale float64
 }
 
-// kvKnee is the share of KV memory from which its use costs anything, and
-// kvCeiling bounds the share so that the cost stays finite.
+// kvKnee is the KV cache use above which there is a cost; kvCeiling limits the use so that the
+// cost stays finite.
 const (
 	kvKnee    = 0.6
 	kvCeiling = 0.98
@@ -77,7 +77,7 @@
 	return s.Scale * (used - kvKnee) / (1 - used)
 }
 
-// ZoneScorer charges endpoints in another zone than the deciding proxy.
+// ZoneScorer charges endpoints outside the zone of the deciding proxy.
 type ZoneScorer struct {
 	// Cost is in seconds.
 	Cost float64
--- a/request/router/score_test.go
+++ b/request/router/score_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func cached(count int, sure bool) func([]uint64) (int, bool) {
+func cachedBlocks(count int, sure bool) func([]uint64) (int, bool) {
 	return func([]uint64) (int, bool) { return count, sure }
 }
 
@@ -23,8 +23,8 @@
 		want     float64
 	}{
 		{"prefix cold", PrefixScorer{speed}, Endpoint{}, PartWhole, 1},
-		{"prefix warm", PrefixScorer{speed}, Endpoint{CachedBlocks: cached(8, true)}, PartWhole, 0.2},
-		{"prefix unsure", PrefixScorer{speed}, Endpoint{CachedBlocks: cached(8, false)}, PartWhole, 0.6},
+		{"prefix warm", PrefixScorer{speed}, Endpoint{CachedBlocks: cachedBlocks(8, true)}, PartWhole, 0.2},
+		{"prefix unsure", PrefixScorer{speed}, Endpoint{CachedBlocks: cachedBlocks(8, false)}, PartWhole, 0.6},
 		{"prefix of decode", PrefixScorer{speed}, Endpoint{}, PartDecode, 0},
 		{"load idle", LoadScorer{speed}, Endpoint{}, PartWhole, 1.1 + 2*0.011},
 		{"load own", LoadScorer{speed}, Endpoint{Load: Load{OwnRunning: 10, OwnTokens: 500}}, PartWhole, 0.5 + 2.1 + 3*0.021},
@@ -57,7 +57,7 @@
 		counts[picker.Pick(scored, random).Endpoint.Name]++
 	}
 	must.Eq(t, 0, counts["d"])
-	must.Eq(t, 0, counts["c"]) // the worst of those drawn from always loses
+	must.Eq(t, 0, counts["c"]) // of two draws, the more expensive one is never picked
 	must.Between(t, 150, counts["a"], 250)
 	must.Between(t, 50, counts["b"], 150)
 	must.Eq(t, "a", picker.Pick(scored[:1], random).Endpoint.Name)
--- a/request/router/types.go
+++ b/request/router/types.go
@@ -1,10 +1,10 @@
-// Package router decides where one request goes: filter, score, pick over an
-// immutable snapshot. Each step is a small named plugin. The router holds no
-// connection and reads no clock.
+// Package router decides where one request goes: it filters, scores and picks the endpoints of
+// an immutable snapshot. Each step is a small named plugin. The router holds no connection and
+// reads no clock.
 //
-// Guarantees: a decision depends on the snapshot, the request and the random
-// numbers only; its target has passed every filter, and where none passes the
-// reason names the filter that dropped the last ones.
+// Guarantees: a decision depends on the snapshot, the request and the random numbers only. Its
+// target has passed every filter; if no endpoint passes, the reason is that of the filter that
+// dropped the last ones.
 package router
 
 import (
@@ -13,30 +13,30 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// Request is what a decision needs to know of a request.
+// Request holds the properties of a request on which a decision depends.
 type Request struct {
 	ID           string
 	Service      string
 	Class        string
 	Tenant       string
-	Model        string // as the caller named it: model, or model:adapter
+	Model        string // as named by the caller: model, or model:adapter
 	Adapter      string
 	Priority     int
 	PromptTokens int
 	// OutputTokens is the expected length of the answer.
 	OutputTokens int
-	// Blocks are the hashes of the prompt's prefix blocks, first block first;
-	// each hash covers all blocks before it.
+	// Blocks are the hashes of the prompt's prefix blocks, in order; each hash covers all
+	// blocks before it.
 	Blocks   []uint64
 	Deadline time.Duration // time left
 	// Excluded names engines that refused or failed an earlier attempt.
 	Excluded map[string]bool
-	// Zone is where the deciding proxy is.
+	// Zone is the zone of the deciding proxy.
 	Zone string
 }
 
-// Endpoint is one engine as the deciding proxy sees it now: the committed view,
-// its last load report, and what this proxy has dispatched since the report.
+// Endpoint is one engine as the deciding proxy sees it: the committed view, the engine's last
+// load report, and this proxy's dispatches since that report.
 type Endpoint struct {
 	Name        string
 	Address     string
@@ -47,37 +47,37 @@
 	Version     string
 	Adapters    []string
 	Classes     func(class string) bool // whether the intent serves the class; nil serves all
-	// Admits is false for an engine that is draining, changing, leaving or
-	// gone by any of the sources: the view, its own report, its refusal.
+	// Admits is false for an engine that is draining, changing, leaving or gone according to
+	// any source: the view, its own report, or a refusal.
 	Admits bool
-	// Suspect is true after failures or silence; it is used only when nothing else is left.
+	// Suspect is true after failures or silence; it is used only if nothing else is left.
 	Suspect bool
 	Load    Load
-	// CachedBlocks reports how many leading blocks the engine's cache is
-	// believed to hold, and whether the belief is sure; nil means none.
+	// CachedBlocks returns the number of leading blocks that the engine probably has cached,
+	// and whether that is sure; nil means none.
 	CachedBlocks func(blocks []uint64) (count int, sure bool)
 }
 
-// Load is a lagging report plus the proxy's own dispatches since.
+// Load is the last load report, which lags, and the proxy's own dispatches since.
 type Load struct {
 	Running       int
 	Waiting       int
 	WaitingTokens int
 	KVUsed        float64
 	Age           time.Duration
-	// OwnRunning and OwnTokens are this proxy's requests and prompt tokens in
-	// flight that the report cannot contain yet.
+	// OwnRunning and OwnTokens are this proxy's requests and prompt tokens in flight that the
+	// report can't include yet.
 	OwnRunning int
 	OwnTokens  int
 }
 
-// Snapshot is the immutable set of endpoints that one decision looks at.
+// Snapshot is the immutable set of endpoints for one decision.
 type Snapshot struct {
 	Endpoints []*Endpoint // sorted by name
 }
 
-// Decision is where a request goes. Prefill is nil when the Decode (or mixed)
-// engine reads the prompt itself.
+// Decision is where a request goes. Prefill is nil if the target, a decode or mixed engine,
+// reads the prompt itself.
 type Decision struct {
 	Target  *Endpoint
 	Prefill *Endpoint
@@ -85,15 +85,15 @@
 	Estimate time.Duration
 }
 
-// Reason says why there is no decision.
+// Reason is the reason why a request goes nowhere.
 type Reason string
 
-// Reasons for a refusal; all are sure "not run".
+// Reasons of a refusal; with any but ReasonNone the request is certain not to have run.
 const (
 	ReasonNone         Reason = ""
 	ReasonUnknownModel Reason = "unknown_model" // no intent serves the model
-	ReasonNoEngine     Reason = "no_engine"     // none admits now
-	ReasonAllExcluded  Reason = "all_excluded"  // each was tried
+	ReasonNoEngine     Reason = "no_engine"     // no engine admits requests now
+	ReasonAllExcluded  Reason = "all_excluded"  // each engine was tried
 	ReasonDeadline     Reason = "deadline"      // no engine can finish in time
 	ReasonClassRefused Reason = "class_refused" // no intent serves the class
 )
