--- a/request/placement/board.go
+++ b/request/placement/board.go
@@ -298,8 +298,8 @@
 	b.index.move(p.queuedOn)
 }
 
-// Limits of the read time, beyond the estimate, above which parts that were to be fetched
-// are assumed to have been missing and read again.
+// A read that takes more than staleCacheFactor times the estimate of its request plus
+// staleCacheSlack shows that the parts to be fetched were missing and had to be read.
 const (
 	staleCacheFactor = 2
 	staleCacheSlack  = 150 * time.Millisecond
--- a/request/placement/board_test.go
+++ b/request/placement/board_test.go
@@ -17,10 +17,10 @@
 func newTestBoard() *Board {
 	b := NewBoard()
 	b.SetReplicas(testSheet, []Replica{
-		{Name: "read-1", Zone: "a", Role: RolePrefill, Slots: 64},
-		{Name: "read-2", Zone: "a", Role: RolePrefill, Slots: 64},
-		{Name: "make-1", Zone: "a", Role: RoleDecode, Slots: 64},
-		{Name: "make-2", Zone: "a", Role: RoleDecode, Slots: 64},
+		{Name: "prefill-1", Zone: "a", Role: RolePrefill, Slots: 64},
+		{Name: "prefill-2", Zone: "a", Role: RolePrefill, Slots: 64},
+		{Name: "decode-1", Zone: "a", Role: RoleDecode, Slots: 64},
+		{Name: "decode-2", Zone: "a", Role: RoleDecode, Slots: 64},
 	})
 	return b
 }
@@ -75,15 +75,15 @@
 
 func TestCachedPartsAreFetched(t *testing.T) {
 	b := newTestBoard()
-	b.Kept("make-1", []Part{{ID: "p", Tokens: 20_000}})
-	// make-1 has prompts to read, so that another replica should take the request.
+	b.Kept("decode-1", []Part{{ID: "p", Tokens: 20_000}})
+	// decode-1 has prompts to read, so that another replica should take the request.
 	for number := range uint64(4) {
 		b.Place(0, key(100+number), Ask{Prompt: 3_000, Zone: "a", Deadline: time.Second})
 	}
 	chosen := b.Place(0, key(1), newRequest("p", 20_000, 400))
 	must.Eq(t, 400, chosen.Unread)
-	if chosen.Reader != "" || chosen.Generator != "make-1" {
-		must.Eq(t, "make-1", chosen.Fetch)
+	if chosen.Reader != "" || chosen.Generator != "decode-1" {
+		must.Eq(t, "decode-1", chosen.Fetch)
 	}
 }
 
@@ -91,22 +91,22 @@
 func TestSlowReadDropsPartsOfFetchSource(t *testing.T) {
 	b := newTestBoard()
 	parts := []Part{{ID: "p", Tokens: 20_000}}
-	b.Kept("make-1", parts)
+	b.Kept("decode-1", parts)
 	request := newRequest("p", 20_000, 400)
-	request.Excluded = []string{"make-1"}
-	must.Eq(t, "make-1", b.Place(0, key(1), request).Fetch)
+	request.Excluded = []string{"decode-1"}
+	must.Eq(t, "decode-1", b.Place(0, key(1), request).Fetch)
 	b.Note(3*time.Second, key(1), Note{Step: StepRead})
-	must.Eq(t, 0, b.replicas["make-1"].cache.leadingTokens(parts))
+	must.Eq(t, 0, b.replicas["decode-1"].cache.leadingTokens(parts))
 }
 
 func TestSuspectedReplicasAreAvoidedButNotBanned(t *testing.T) {
 	b := newTestBoard()
-	b.Note(0, key(9), Note{Step: StepFailed, Replica: "make-1"})
-	must.Eq(t, "make-2", b.Place(0, key(1), Ask{Prompt: 100, Zone: "a", Deadline: time.Second}).Generator)
-	b.Note(0, key(9), Note{Step: StepFailed, Replica: "make-2"})
+	b.Note(0, key(9), Note{Step: StepFailed, Replica: "decode-1"})
+	must.Eq(t, "decode-2", b.Place(0, key(1), Ask{Prompt: 100, Zone: "a", Deadline: time.Second}).Generator)
+	b.Note(0, key(9), Note{Step: StepFailed, Replica: "decode-2"})
 	must.NotEq(t, "", b.Place(0, key(2), Ask{Prompt: 100, Zone: "a", Deadline: time.Second}).Generator)
-	answer := b.Place(time.Minute, key(3), Ask{Prompt: 100, Zone: "a", Deadline: time.Second, Excluded: []string{"make-2"}})
-	must.Eq(t, "make-1", answer.Generator, must.Sprint("the suspicion has ended"))
+	answer := b.Place(time.Minute, key(3), Ask{Prompt: 100, Zone: "a", Deadline: time.Second, Excluded: []string{"decode-2"}})
+	must.Eq(t, "decode-1", answer.Generator, must.Sprint("the suspicion has ended"))
 }
 
 // A replica that refuses all requests looks idle, and must not attract them.
@@ -114,22 +114,22 @@
 	b := newTestBoard()
 	short := Ask{Prompt: 100, Zone: "a", Deadline: time.Second}
 	refused := func(now time.Duration) time.Duration {
-		b.Note(now, key(9), Note{Step: StepRefused, Replica: "make-1"})
-		return b.replicas["make-1"].suspectUntil
+		b.Note(now, key(9), Note{Step: StepRefused, Replica: "decode-1"})
+		return b.replicas["decode-1"].suspectUntil
 	}
-	till := refused(0)
-	must.Eq(t, minRefusal, till)
-	must.Eq(t, till, refused(till/2), must.Sprint("refusals of requests already sent must not extend the backoff"))
+	until := refused(0)
+	must.Eq(t, minRefusal, until)
+	must.Eq(t, until, refused(until/2), must.Sprint("refusals of requests already sent must not extend the backoff"))
 	for number := range uint64(8) {
-		must.Eq(t, "make-2", b.Place(till/2, key(number), short).Generator)
+		must.Eq(t, "decode-2", b.Place(until/2, key(number), short).Generator)
 	}
-	must.Eq(t, 3*minRefusal, refused(till), must.Sprint("a refusal after the backoff doubles it"))
+	must.Eq(t, 3*minRefusal, refused(until), must.Sprint("a refusal after the backoff doubles it"))
 	for now := 3 * minRefusal; now < time.Minute; {
 		now = refused(now)
 	}
-	must.Eq(t, maxRefusal, b.replicas["make-1"].refusalBackoff)
-	answer := b.Place(2*time.Minute, key(20), Ask{Prompt: 100, Zone: "a", Deadline: time.Second, Excluded: []string{"make-2"}})
-	must.Eq(t, "make-1", answer.Generator)
+	must.Eq(t, maxRefusal, b.replicas["decode-1"].refusalBackoff)
+	answer := b.Place(2*time.Minute, key(20), Ask{Prompt: 100, Zone: "a", Deadline: time.Second, Excluded: []string{"decode-2"}})
+	must.Eq(t, "decode-1", answer.Generator)
 	finishRequest(b, 2*time.Minute, 20, answer)
 	must.Eq(t, 2*time.Minute+minRefusal, refused(2*time.Minute), must.Sprint("a completed request resets the backoff"))
 }
@@ -140,28 +140,28 @@
 func TestMisdirectedReplicaGetsNoRequests(t *testing.T) {
 	b := newTestBoard()
 	request := Ask{Prompt: 100, Zone: "a", Deadline: time.Hour}
-	alone := Ask{Prompt: 100, Zone: "a", Deadline: time.Hour, Excluded: []string{"make-2"}}
-	b.Note(0, key(1000), Note{Step: StepMisdirected, Replica: "make-1"})
+	alone := Ask{Prompt: 100, Zone: "a", Deadline: time.Hour, Excluded: []string{"decode-2"}}
+	b.Note(0, key(1000), Note{Step: StepMisdirected, Replica: "decode-1"})
 	for number := range uint64(1000) {
-		must.Eq(t, "make-2", b.Place(minBan-1, key(number), request).Generator)
+		must.Eq(t, "decode-2", b.Place(minBan-1, key(number), request).Generator)
 	}
 	must.Eq(t, "", b.Place(minBan-1, key(1001), alone).Generator)
-	b.Note(minBan-1, key(1000), Note{Step: StepMisdirected, Replica: "make-1"})
-	must.Eq(t, "make-1", b.Place(minBan, key(1002), alone).Generator, must.Sprint("a report of a request already sent must not extend the ban"))
+	b.Note(minBan-1, key(1000), Note{Step: StepMisdirected, Replica: "decode-1"})
+	must.Eq(t, "decode-1", b.Place(minBan, key(1002), alone).Generator, must.Sprint("a report of a request already sent must not extend the ban"))
 
-	for now := minBan; now < time.Minute; now = b.replicas["make-1"].bannedUntil {
-		b.Note(now, key(1000), Note{Step: StepMisdirected, Replica: "make-1"})
+	for now := minBan; now < time.Minute; now = b.replicas["decode-1"].bannedUntil {
+		b.Note(now, key(1000), Note{Step: StepMisdirected, Replica: "decode-1"})
 	}
-	must.Eq(t, maxBan, b.replicas["make-1"].banPeriod)
-	b.replicas["make-1"].recordSuccess(&placedRequest{placedAt: time.Minute})
-	must.False(t, b.replicas["make-1"].isBanned(time.Minute))
+	must.Eq(t, maxBan, b.replicas["decode-1"].banPeriod)
+	b.replicas["decode-1"].recordSuccess(&placedRequest{placedAt: time.Minute})
+	must.False(t, b.replicas["decode-1"].isBanned(time.Minute))
 }
 
 func TestAnsweredFailuresRaiseNoSuspicion(t *testing.T) {
 	b := newTestBoard()
-	b.Note(0, key(9), Note{Step: StepErred, Replica: "make-1"})
-	must.Eq(t, 0, b.replicas["make-1"].suspectUntil)
-	must.Greater(t, 0.0, b.replicas["make-1"].failureRate)
+	b.Note(0, key(9), Note{Step: StepErred, Replica: "decode-1"})
+	must.Eq(t, 0, b.replicas["decode-1"].suspectUntil)
+	must.Greater(t, 0.0, b.replicas["decode-1"].failureRate)
 }
 
 func TestReadTimeIsLearnedFromReads(t *testing.T) {
@@ -202,8 +202,8 @@
 	for i := range coldParts {
 		parts = append(parts, Part{ID: fmt.Sprint(i), Tokens: 10})
 	}
-	b.Kept("read-1", parts)
-	must.Eq(t, []string{"make-1", "make-2", "read-2"}, b.Cold())
+	b.Kept("prefill-1", parts)
+	must.Eq(t, []string{"decode-1", "decode-2", "prefill-2"}, b.Cold())
 }
 
 func TestNoUsableReplicaMeansEmptyAnswer(t *testing.T) {
@@ -220,20 +220,20 @@
 	rapid.Check(t, func(t *rapid.T) {
 		first, second := newTestBoard(), newTestBoard()
 		now := time.Duration(0)
-		roles := map[string]Role{"read-1": RolePrefill, "read-2": RolePrefill, "make-1": RoleDecode, "make-2": RoleDecode}
+		roles := map[string]Role{"prefill-1": RolePrefill, "prefill-2": RolePrefill, "decode-1": RoleDecode, "decode-2": RoleDecode}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * ms
 			number := rapid.Uint64Range(1, 6).Draw(t, "number")
 			if rapid.Bool().Draw(t, "note") {
 				note := Note{
 					Step:    Step(rapid.IntRange(1, int(StepRefused)).Draw(t, "step")),
-					Replica: rapid.SampledFrom([]string{"", "make-1", "read-2", "gone"}).Draw(t, "replica"),
+					Replica: rapid.SampledFrom([]string{"", "decode-1", "prefill-2", "gone"}).Draw(t, "replica"),
 					Told:    rapid.IntRange(0, 50).Draw(t, "told"),
 				}
 				first.Note(now, key(number), note)
 				second.Note(now, key(number), note)
 			} else {
-				excluded := rapid.SliceOfN(rapid.SampledFrom([]string{"make-1", "read-1"}), 0, 2).Draw(t, "excluded")
+				excluded := rapid.SliceOfN(rapid.SampledFrom([]string{"decode-1", "prefill-1"}), 0, 2).Draw(t, "excluded")
 				next := newRequest(rapid.SampledFrom([]string{"p", "q", "r"}).Draw(t, "part"), 9_000, rapid.IntRange(0, 9_000).Draw(t, "own"))
 				next.Excluded = excluded
 				answer := first.Place(now, key(number), next)
--- a/request/placement/change.go
+++ b/request/placement/change.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// roleChange is a role change that a replica was told to make. The replica gets no requests until
-// the change is done, since its listed role lags behind.
+// roleChange is a role change that a replica was told to make. The replica gets no requests
+// until the change is done, since its listed role lags behind.
 type roleChange struct {
 	role      Role
 	readyAt   time.Duration // earliest time at which the change can be done
 	expiresAt time.Duration // time from which the listed role is used in any case
 }
 
-// Change keeps requests off a replica that is changing to the role, for at least takes. If
-// it is not listed with the role after overAfter, its listed role is used.
-func (b *Board) Change(now time.Duration, name string, role Role, takes, overAfter time.Duration) {
-	b.changes[name] = roleChange{role: role, readyAt: now + takes, expiresAt: now + overAfter}
+// Change keeps requests off a replica that is changing to the role, for at least minDuration.
+// If it is not listed with the role after timeout, its listed role is used.
+func (b *Board) Change(now time.Duration, name string, role Role, minDuration, timeout time.Duration) {
+	b.changes[name] = roleChange{role: role, readyAt: now + minDuration, expiresAt: now + timeout}
 }
 
 // isChanging reports whether the replica gets no requests because of a role change.
--- a/request/placement/choose.go
+++ b/request/placement/choose.go
@@ -12,7 +12,8 @@
 	perStreamCost = 1500 * time.Microsecond
 	// transferSetup is the time before a KV cache transfer moves its first byte.
 	transferSetup = 8 * time.Millisecond
-	// transferCostPerThousand is charged per 1,000 tokens, so that transfers that save little stay rare.
+	// transferCostPerThousand is charged per 1,000 tokens, so that transfers that save little
+	// stay rare.
 	transferCostPerThousand = 500 * time.Microsecond
 	// crossZoneFactor multiplies the time and cost of a transfer between zones.
 	crossZoneFactor = 2
@@ -45,7 +46,7 @@
 	reader    *replica // nil if the generator reads the prompt
 	fetch     *replica
 	unread    int
-	// first is the expected time to first token; cost adds the other costs.
+	// timeToFirstToken is an estimate; cost adds the other costs to it.
 	timeToFirstToken time.Duration
 	cost             time.Duration
 	// wait, if not 0, is the time to wait before the request is placed at all.
@@ -147,10 +148,10 @@
 // generationHalf is the half of a split that generates from a prompt read elsewhere. It
 // waits behind the prompts that the generator still has to read.
 func (b *Board) generationHalf(now time.Duration, request *Ask, generator *replica) splitHalf {
-	first := generator.backlog(now, b.readTimes[RoleDecode].perToken(), request) + b.decodeStartTime
+	timeToFirstToken := generator.backlog(now, b.readTimes[RoleDecode].perToken(), request) + b.decodeStartTime
 	return splitHalf{
-		option: option{generator: generator, timeToFirstToken: first},
-		cost:   first + b.generationCost(now, request, generator) + generator.failureCost(now) + request.connectionCost(generator),
+		option: option{generator: generator, timeToFirstToken: timeToFirstToken},
+		cost:   timeToFirstToken + b.generationCost(now, request, generator) + generator.failureCost(now) + request.connectionCost(generator),
 		zone:   generator.Zone,
 	}
 }
@@ -242,18 +243,18 @@
 		}
 		transferTime, transferCost := b.transfer(saved, other.replica.Zone, at.Zone)
 		unread := max(request.Prompt-other.tokens, 0)
-		first := transferTime + time.Duration(unread)*perToken
-		if first+transferCost < best.cost || first+transferCost == best.cost && other.replica.Name < nameOrEmpty(best.fetch) {
-			best = option{reader: at, fetch: other.replica, unread: unread, timeToFirstToken: first, cost: first + transferCost}
+		timeToFirstToken := transferTime + time.Duration(unread)*perToken
+		if timeToFirstToken+transferCost < best.cost || timeToFirstToken+transferCost == best.cost && other.replica.Name < nameOrEmpty(best.fetch) {
+			best = option{reader: at, fetch: other.replica, unread: unread, timeToFirstToken: timeToFirstToken, cost: timeToFirstToken + transferCost}
 		}
 	}
 	backlog := at.backlog(now, perToken, request)
 	if at.Role == RolePrefill {
 		backlog += time.Duration(at.untracked(now)*untrackedRequestTokens) * perToken
 	}
-	start := b.readTimes[at.Role].fixed()
-	best.timeToFirstToken += backlog + start
-	best.cost += backlog + start + at.failureCost(now) + request.connectionCost(at)
+	fixed := b.readTimes[at.Role].fixed()
+	best.timeToFirstToken += backlog + fixed
+	best.cost += backlog + fixed + at.failureCost(now) + request.connectionCost(at)
 	return best
 }
 
@@ -283,9 +284,9 @@
 
 // transfer returns the time that a transfer of the tokens takes, and the cost charged on
 // top of it.
-func (b *Board) transfer(tokens int, from, to string) (took, price time.Duration) {
+func (b *Board) transfer(tokens int, fromZone, toZone string) (took, cost time.Duration) {
 	factor := 1
-	if from != to {
+	if fromZone != toZone {
 		factor = crossZoneFactor
 	}
 	took = transferSetup
@@ -293,8 +294,8 @@
 		bits := float64(tokens) * float64(b.sheet.BytesPerTok) * 8
 		took += time.Duration(float64(factor) * bits / (b.sheet.LinkMbps * 1e6) * float64(time.Second))
 	}
-	price = time.Duration(factor*tokens/1000) * transferCostPerThousand
-	return took, price
+	cost = time.Duration(factor*tokens/1000) * transferCostPerThousand
+	return took, cost
 }
 
 // directOption is the option in which the generator reads the prompt itself.
--- a/request/placement/choose_test.go
+++ b/request/placement/choose_test.go
@@ -109,17 +109,17 @@
 func TestHandoverAvoidsGeneratorsWithReads(t *testing.T) {
 	b := newTestBoard()
 	busy := requestWithObjective(4_000, 0)
-	busy.Excluded = []string{"read-1", "read-2", "make-2"}
-	must.Eq(t, "make-1", b.Place(0, key(1), busy).Generator)
+	busy.Excluded = []string{"prefill-1", "prefill-2", "decode-2"}
+	must.Eq(t, "decode-1", b.Place(0, key(1), busy).Generator)
 	for number := range uint64(6) { // streams on the other generator
 		running := shortRequest()
-		running.Excluded = []string{"make-1"}
+		running.Excluded = []string{"decode-1"}
 		b.Place(0, key(10+number), running)
 		b.Note(0, key(10+number), Note{Step: StepStarted})
 	}
 	answer := b.Place(0, key(2), requestWithObjective(9_000, 0))
 	must.NotEq(t, "", answer.Reader)
-	must.Eq(t, "make-2", answer.Generator)
+	must.Eq(t, "decode-2", answer.Generator)
 }
 
 // The time that a transferred prompt waits behind reads on its generator is not part of the
@@ -130,14 +130,14 @@
 	for number := range uint64(40) {
 		b.expireAt = time.Hour
 		busy := requestWithObjective(6_000, 0)
-		busy.Excluded = []string{"read-1", "read-2", "make-2"}
+		busy.Excluded = []string{"prefill-1", "prefill-2", "decode-2"}
 		b.Place(now, key(1000+number), busy)
-		moved := requestWithObjective(9_000, 0)
-		moved.Excluded = []string{"make-2"}
-		must.NotEq(t, "", b.Place(now, key(number), moved).Reader)
+		transferred := requestWithObjective(9_000, 0)
+		transferred.Excluded = []string{"decode-2"}
+		must.NotEq(t, "", b.Place(now, key(number), transferred).Reader)
 		now += 250 * ms
 		b.Note(now, key(number), Note{Step: StepRead})
-		now += 90 * ms // the read on make-1 ends
+		now += 90 * ms // the read on decode-1 ends
 		b.Note(now, key(1000+number), Note{Step: StepStarted})
 		b.Note(now, key(number), Note{Step: StepStarted})
 		b.Note(now, key(1000+number), Note{Step: StepEnded})
@@ -151,15 +151,15 @@
 func TestConnectedReplicasArePreferredToSimilarOnes(t *testing.T) {
 	b := newTestBoard()
 	connected := shortRequest()
-	connected.Connected = []string{"make-2"}
+	connected.Connected = []string{"decode-2"}
 	for number := range uint64(2) {
-		must.Eq(t, "make-2", b.Place(0, key(number), connected).Generator)
+		must.Eq(t, "decode-2", b.Place(0, key(number), connected).Generator)
 	}
 	spread := map[string]int{}
 	for number := range uint64(20) {
 		spread[b.Place(0, key(100+number), connected).Generator]++
 	}
-	must.Greater(t, 4, spread["make-1"])
+	must.Greater(t, 4, spread["decode-1"])
 }
 
 // usableReplicas returns all replicas of the role that may take the request, by name.
--- a/request/placement/confine.go
+++ b/request/placement/confine.go
@@ -6,8 +6,6 @@
 	"time"
 )
 
-// Some requests end each replica that begins to run them. What stood beside at an end is
-// sent again, and nobody can tell it from the one that did it: spread over what is left of
 // Some requests crash each replica that begins to run them. The requests in flight on a
 // crashed replica are retried, and the one that crashed it cannot be told from the others.
 // Spread over the rest of the fleet, it would crash further replicas and make suspects of all
@@ -15,8 +13,8 @@
 // flight at a crash is a suspect, and suspects run on a few isolated generators, one at a
 // time with nothing beside it. A suspect that is answered is cleared; one whose isolated
 // generator crashes is the cause. All other requests run on the other generators without
-// delay. A suspect under which enough replicas have crashed waits for the decision on
-// its quarantine, since each copy sent out meanwhile could crash one more.
+// delay. A suspect under which enough replicas have crashed waits for the decision on its
+// quarantine, since each copy sent out meanwhile could crash one more.
 //
 // Invariant: at any time, the generators that are isolated, plus those lost while isolated
 // within replicaRestartTime, are at most a third of the listed ones, or one if that is less.
@@ -43,8 +41,6 @@
 	// isolated. Waiting suspects ask several times within it. Replicas that crash for reasons
 	// of their own raise an alert as well; nobody stays a suspect for long then, and the other
 	// requests need all remaining generators.
-	// of those that wait ask within it. Replicas that end by themselves raise an alert as well,
-	// in which nobody is a suspect for long, and the others need all that is left.
 	isolationIdleTime = 500 * time.Millisecond
 )
 
@@ -65,51 +61,51 @@
 
 // admit updates the isolated generators and returns how long a suspect has to wait for one;
 // 0 lets the request be placed.
-func (c *isolation) admit(b *Board, now time.Duration, request *Ask) (wait time.Duration) {
-	if now >= c.alertUntil {
-		c.isolated, c.lostAt = nil, nil
+func (iso *isolation) admit(b *Board, now time.Duration, request *Ask) (wait time.Duration) {
+	if now >= iso.alertUntil {
+		iso.isolated, iso.lostAt = nil, nil
 		request.Suspect = false
 		return 0
 	}
 	if request.Suspect {
-		c.reservedUntil = now + isolationIdleTime
+		iso.reservedUntil = now + isolationIdleTime
 	}
-	c.update(b, now)
-	if !request.Suspect || !request.Judged && b.hasFreeIsolated(now, request) {
+	iso.update(b, now)
+	if !request.Suspect || !request.Judged && b.hasFreeIsolatedReplica(now, request) {
 		return 0
 	}
 	return suspectRetryInterval
 }
 
 // update drops isolated generators that were lost, and isolates as many as are allowed.
-func (c *isolation) update(b *Board, now time.Duration) {
-	if c.isolated == nil {
-		c.isolated = map[string]time.Duration{}
+func (iso *isolation) update(b *Board, now time.Duration) {
+	if iso.isolated == nil {
+		iso.isolated = map[string]time.Duration{}
 	}
-	for name := range c.isolated {
+	for name := range iso.isolated {
 		if known := b.replicas[name]; known == nil || !known.acceptsRequests(now) || known.isSuspected(now) {
-			delete(c.isolated, name)
-			c.lostAt = append(c.lostAt, now)
+			delete(iso.isolated, name)
+			iso.lostAt = append(iso.lostAt, now)
 		}
 	}
-	if now >= c.reservedUntil {
-		clear(c.isolated)
+	if now >= iso.reservedUntil {
+		clear(iso.isolated)
 		return
 	}
-	c.lostAt = slices.DeleteFunc(c.lostAt, func(at time.Duration) bool { return now-at >= replicaRestartTime })
+	iso.lostAt = slices.DeleteFunc(iso.lostAt, func(at time.Duration) bool { return now-at >= replicaRestartTime })
 	listed, healthy := b.generators(now)
-	most := min(max(listed/isolatedDivisor, 1), maxIsolated)
-	for len(c.isolated) > 0 && len(c.isolated) >= len(healthy) {
-		c.releaseOne() // the other requests need a generator
+	limit := min(max(listed/isolatedDivisor, 1), maxIsolated)
+	for len(iso.isolated) > 0 && len(iso.isolated) >= len(healthy) {
+		iso.releaseOne() // the other requests need a generator
 	}
-	for len(c.isolated)+len(c.lostAt) < most && len(c.isolated) < len(healthy)-1 {
-		c.isolated[c.leastLoaded(healthy).Name] = now
+	for len(iso.isolated)+len(iso.lostAt) < limit && len(iso.isolated) < len(healthy)-1 {
+		iso.isolated[iso.leastLoaded(healthy).Name] = now
 	}
 }
 
 // releaseOne ends the isolation of the generator whose name sorts first.
-func (c *isolation) releaseOne() {
-	delete(c.isolated, slices.Min(slices.Collect(maps.Keys(c.isolated))))
+func (iso *isolation) releaseOne() {
+	delete(iso.isolated, slices.Min(slices.Collect(maps.Keys(iso.isolated))))
 }
 
 // generators returns the number of listed generators, and those that are healthy.
@@ -129,10 +125,10 @@
 
 // leastLoaded returns the healthy generator with the fewest running requests that is not
 // isolated.
-func (c *isolation) leastLoaded(healthy []*replica) *replica {
+func (iso *isolation) leastLoaded(healthy []*replica) *replica {
 	var best *replica
 	for _, known := range healthy {
-		if _, isWard := c.isolated[known.Name]; isWard {
+		if _, isIsolated := iso.isolated[known.Name]; isIsolated {
 			continue
 		}
 		if best == nil || len(known.running) < len(best.running) {
@@ -145,16 +141,16 @@
 // allows reports whether the request may go to a replica: suspects run on free isolated
 // generators, all others on any other generator. Readers take all requests, since reading a
 // prompt crashes no replica.
-func (c *isolation) allows(now time.Duration, at *replica, request *Ask) bool {
-	if now >= c.alertUntil || at.Role != RoleDecode {
+func (iso *isolation) allows(now time.Duration, at *replica, request *Ask) bool {
+	if now >= iso.alertUntil || at.Role != RoleDecode {
 		return true
 	}
-	since, isWard := c.isolated[at.Name]
-	return isWard == request.Suspect && (!isWard || at.isFreeForSuspect(now, since))
+	since, isIsolated := iso.isolated[at.Name]
+	return isIsolated == request.Suspect && (!isIsolated || at.isFreeForSuspect(now, since))
 }
 
-// hasFreeIsolated reports whether an isolated generator can take the suspect now.
-func (b *Board) hasFreeIsolated(now time.Duration, request *Ask) bool {
+// hasFreeIsolatedReplica reports whether an isolated generator can take the suspect now.
+func (b *Board) hasFreeIsolatedReplica(now time.Duration, request *Ask) bool {
 	return len(b.shortlist(now, RoleDecode, request, nil)) > 0
 }
 
--- a/request/placement/confine_test.go
+++ b/request/placement/confine_test.go
@@ -11,9 +11,9 @@
 // newBoardWithGenerators returns a board with the given number of generators and two readers.
 func newBoardWithGenerators(generators int) *Board {
 	b := NewBoard()
-	listed := []Replica{{Name: "read-1", Zone: "a", Role: RolePrefill, Slots: 64}, {Name: "read-2", Zone: "a", Role: RolePrefill, Slots: 64}}
+	listed := []Replica{{Name: "prefill-1", Zone: "a", Role: RolePrefill, Slots: 64}, {Name: "prefill-2", Zone: "a", Role: RolePrefill, Slots: 64}}
 	for i := range generators {
-		listed = append(listed, Replica{Name: fmt.Sprintf("make-%02d", i), Zone: "a", Role: RoleDecode, Slots: 64})
+		listed = append(listed, Replica{Name: fmt.Sprintf("decode-%02d", i), Zone: "a", Role: RoleDecode, Slots: 64})
 	}
 	b.SetReplicas(testSheet, listed)
 	return b
@@ -39,7 +39,7 @@
 // Suspects run one at a time on otherwise empty replicas; other requests run elsewhere without
 // delay.
 func TestSuspectsRunAlone(t *testing.T) {
-	for _, each := range []struct{ generators, wards int }{{2, 1}, {5, 1}, {6, 2}, {30, 10}} {
+	for _, each := range []struct{ generators, isolated int }{{2, 1}, {5, 1}, {6, 2}, {30, 10}} {
 		b := newBoardWithGenerators(each.generators)
 		b.Alert(0)
 		alone := map[string]bool{}
@@ -53,7 +53,7 @@
 				must.Positive(t, answer.Wait)
 			}
 		}
-		must.MapLen(t, each.wards, alone)
+		must.MapLen(t, each.isolated, alone)
 		for number := range uint64(4 * each.generators) {
 			answer := b.Place(0, key(1000+number), newRequest("", 0, 500))
 			must.NotEq(t, "", answer.Generator)
@@ -84,17 +84,18 @@
 func TestFreeIsolatedReplicasAreReserved(t *testing.T) {
 	b := newBoardWithGenerators(3)
 	b.Alert(0)
-	ward := b.Place(0, key(1), suspectRequest("x")).Generator
+	isolated := b.Place(0, key(1), suspectRequest("x")).Generator
 	b.Note(ms, key(1), Note{Step: StepStarted})
 	b.Note(2*ms, key(1), Note{Step: StepEnded})
 	for number := range uint64(30) {
-		must.NotEq(t, ward, b.Place(3*ms, key(100+number), newRequest("", 0, 500)).Generator)
+		must.NotEq(t, isolated, b.Place(3*ms, key(100+number), newRequest("", 0, 500)).Generator)
 	}
 }
 
 // Replicas stayed isolated for as long as an alert lasts, even if no suspect asked for them.
-// After 23 replicas had crashed for reasons of their own, with a common request in flight on two
-// of them, this took a third of the remaining capacity for ten seconds.
+// After 23 replicas had crashed for reasons of their own, a common request that was in flight on
+// two of them raised an alert, and isolation took a third of the remaining capacity for ten
+// seconds.
 func TestIsolationEndsWhenNoSuspectAsks(t *testing.T) {
 	used := func(b *Board, now time.Duration) int {
 		names := map[string]bool{}
@@ -163,7 +164,7 @@
 // read, since no replica could run the request.
 func TestRequestsWithoutAnyGenerator(t *testing.T) {
 	b := newBoardWithGenerators(2)
-	for number, name := range []string{"make-00", "make-01"} {
+	for number, name := range []string{"decode-00", "decode-01"} {
 		b.Place(0, key(uint64(number)), newRequest("", 0, 500))
 		b.Note(10*ms, key(uint64(number)), Note{Step: StepGone, Replica: name})
 	}
--- a/request/placement/failure.go
+++ b/request/placement/failure.go
@@ -87,10 +87,10 @@
 	r.suspectUntil = now + r.refusalBackoff
 }
 
-// ban keeps all requests off a replica whose address does not lead to it. This is a ban rather than a
-// cost: a request sent there is certain to be refused and uses up a retry. The report is
-// outdated if p was placed before the last ban, or on the replica in an earlier role, for
-// which the address was asked for something else.
+// ban keeps all requests off a replica whose address does not lead to it. This is a ban rather
+// than a cost: a request sent there is certain to be refused and uses up a retry. The report is
+// outdated if p was placed before the last ban, or on the replica in an earlier role, in which
+// it was asked for something else.
 func (r *replica) ban(now time.Duration, p *placedRequest) {
 	if r.isBanned(now) || p != nil && (p.isOnRemovedReplica(r) || r.banPeriod > 0 && p.placedAt < r.bannedSince) {
 		return
@@ -124,7 +124,7 @@
 // isLeaving reports whether the replica leaves, as listed or as announced.
 func (r *replica) isLeaving() bool { return r.Leaving || r.announcedLeaving }
 
-// isBanned reports whether the replica gets no requests because its address does not lead to it.
+// isBanned reports whether the replica gets no requests since its address does not lead to it.
 func (r *replica) isBanned(now time.Duration) bool { return now < r.bannedUntil }
 
 // recordSuccess records that the replica completed a step of p, which ends its suspicion
--- a/request/placement/failure_test.go
+++ b/request/placement/failure_test.go
@@ -13,7 +13,7 @@
 // placeAndFail places a request on a replica, which gives no answer to it.
 func placeAndFail(b *Board, placedAt, now time.Duration, number uint64, name string) {
 	request := shortRequest()
-	for _, other := range []string{"make-1", "make-2"} {
+	for _, other := range []string{"decode-1", "decode-2"} {
 		if other != name {
 			request.Excluded = append(request.Excluded, other)
 		}
@@ -27,21 +27,21 @@
 func TestSuspicionEndsWithTheNextAnswer(t *testing.T) {
 	b := newTestBoard()
 	only := shortRequest()
-	only.Excluded = []string{"make-2"}
+	only.Excluded = []string{"decode-2"}
 	b.Place(0, key(1), only)
-	placeAndFail(b, 0, 10*ms, 2, "make-1")
-	must.True(t, b.replicas["make-1"].isSuspected(11*ms))
+	placeAndFail(b, 0, 10*ms, 2, "decode-1")
+	must.True(t, b.replicas["decode-1"].isSuspected(11*ms))
 	b.Note(12*ms, key(1), Note{Step: StepStarted})
-	must.False(t, b.replicas["make-1"].isSuspected(13*ms))
+	must.False(t, b.replicas["decode-1"].isSuspected(13*ms))
 }
 
 // An error that a replica answers with shows that it is reachable.
 func TestSuspicionEndsWithAnAnsweredFailure(t *testing.T) {
 	b := newTestBoard()
-	placeAndFail(b, 0, 10*ms, 1, "make-1")
-	b.Note(12*ms, key(9), Note{Step: StepErred, Replica: "make-1"})
-	must.False(t, b.replicas["make-1"].isSuspected(13*ms))
-	must.Greater(t, 0.0, b.replicas["make-1"].failureRate)
+	placeAndFail(b, 0, 10*ms, 1, "decode-1")
+	b.Note(12*ms, key(9), Note{Step: StepErred, Replica: "decode-1"})
+	must.False(t, b.replicas["decode-1"].isSuspected(13*ms))
+	must.Greater(t, 0.0, b.replicas["decode-1"].failureRate)
 }
 
 // The requests on a crashed replica all fail at once, which is evidence of a single failure.
@@ -49,36 +49,36 @@
 	b := newTestBoard()
 	for number := range uint64(20) {
 		only := shortRequest()
-		only.Excluded = []string{"make-2"}
+		only.Excluded = []string{"decode-2"}
 		b.Place(0, key(number), only)
 	}
 	for number := range uint64(20) {
-		b.Note(10*ms+time.Duration(number)*ms, key(number), Note{Step: StepFailed, Replica: "make-1"})
+		b.Note(10*ms+time.Duration(number)*ms, key(number), Note{Step: StepFailed, Replica: "decode-1"})
 	}
-	must.Eq(t, minSuspicion, b.replicas["make-1"].suspicionPeriod)
-	must.False(t, b.replicas["make-1"].isSuspected(10*ms+minSuspicion))
-	placeAndFail(b, time.Second, 2*time.Second, 30, "make-1")
-	must.Eq(t, 2*minSuspicion, b.replicas["make-1"].suspicionPeriod, must.Sprint("a request placed afterwards doubles it"))
+	must.Eq(t, minSuspicion, b.replicas["decode-1"].suspicionPeriod)
+	must.False(t, b.replicas["decode-1"].isSuspected(10*ms+minSuspicion))
+	placeAndFail(b, time.Second, 2*time.Second, 30, "decode-1")
+	must.Eq(t, 2*minSuspicion, b.replicas["decode-1"].suspicionPeriod, must.Sprint("a request placed afterwards doubles it"))
 }
 
 // After a suspicion, one request probes whether the replica is back; the others go elsewhere
 // until it has ended.
 func TestOneRequestProbesASuspectedReplica(t *testing.T) {
 	b := newTestBoard()
-	placeAndFail(b, 0, 10*ms, 1, "make-1")
-	b.replicas["make-1"].failureRate = 0 // leaves only the suspicion
+	placeAndFail(b, 0, 10*ms, 1, "decode-1")
+	b.replicas["decode-1"].failureRate = 0 // leaves only the suspicion
 	now := 10*ms + minSuspicion
 	for number := range uint64(6) {
 		b.Place(now, key(100+number), shortRequest())
 	}
-	must.MapLen(t, 1, b.replicas["make-1"].running)
+	must.MapLen(t, 1, b.replicas["decode-1"].running)
 	for number := range uint64(6) {
 		b.Note(now, key(100+number), Note{Step: StepEnded})
 	}
-	must.False(t, b.replicas["make-1"].isSuspected(now), must.Sprint("the probe ended without a result, so the next request may probe"))
-	must.Eq(t, "make-1", b.Place(now, key(200), shortRequest()).Generator)
-	must.True(t, b.replicas["make-1"].isSuspected(now))
+	must.False(t, b.replicas["decode-1"].isSuspected(now), must.Sprint("the probe ended without a result, so the next request may probe"))
+	must.Eq(t, "decode-1", b.Place(now, key(200), shortRequest()).Generator)
+	must.True(t, b.replicas["decode-1"].isSuspected(now))
 	b.Note(now+50*ms, key(200), Note{Step: StepStarted})
-	must.False(t, b.replicas["make-1"].isSuspected(now+50*ms))
-	must.Eq(t, 0, b.replicas["make-1"].suspicionPeriod)
+	must.False(t, b.replicas["decode-1"].isSuspected(now+50*ms))
+	must.Eq(t, 0, b.replicas["decode-1"].suspicionPeriod)
 }
--- a/request/placement/fairness.go
+++ b/request/placement/fairness.go
@@ -17,7 +17,8 @@
 const (
 	// starvedShare is the share of its class's served rate below which a group is starved.
 	starvedShare = 0.6
-	// minGroupRequests is the number of requests below which the rate of a group is not used.
+	// minGroupRequests is the number of requests that the rate of a group needs: the rate of
+	// fewer says little.
 	minGroupRequests = 8
 	// servedTimeConstant is the time constant with which counted requests decay.
 	servedTimeConstant = 20 * time.Second
--- a/request/placement/fairness_test.go
+++ b/request/placement/fairness_test.go
@@ -10,11 +10,11 @@
 
 func TestSizeGroupsHoldTheirShares(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
-	known := newFairness()
+	statistics := newFairness()
 	counts := [sizeGroupCount]int{}
 	const learning, counted = 2_000, 10_000
 	for i := range learning + counted {
-		group := known.recordRequest(0, int(1_000*random.ExpFloat64())+1)
+		group := statistics.recordRequest(0, int(1_000*random.ExpFloat64())+1)
 		if i >= learning {
 			counts[group]++
 		}
@@ -31,9 +31,9 @@
 }
 
 func TestRarelyServedSizeGroupsAreStarved(t *testing.T) {
-	known := newFairness()
-	known.mean, known.largeBound, known.largestBound = 1_000, 1_500, 2_000
-	known.served[groupAll] = newShare(100, 80)
+	statistics := newFairness()
+	statistics.mean, statistics.largeBound, statistics.largestBound = 1_000, 1_500, 2_000
+	statistics.served[groupAll] = newShare(100, 80)
 	for _, test := range []struct {
 		group   sizeGroup
 		served  recentShare
@@ -44,19 +44,19 @@
 		{groupLarge, newShare(20, 8), true},
 		{groupLargest, newShare(minGroupRequests-1, 0), false},
 	} {
-		known.served[test.group] = test.served
-		must.Eq(t, test.starved, known.isStarved(0, test.group))
+		statistics.served[test.group] = test.served
+		must.Eq(t, test.starved, statistics.isStarved(0, test.group))
 	}
-	must.False(t, known.isStarved(0, groupAll))
+	must.False(t, statistics.isStarved(0, groupAll))
 }
 
 func TestServedCountsDecay(t *testing.T) {
-	known := newFairness()
-	known.recordRequest(0, 100)
-	known.recordStart(0, groupAll)
-	must.Eq(t, 1.0, known.served[groupAll].value(0))
-	must.Less(t, 0.01, known.served[groupAll].events.value(10*servedTimeConstant))
-	must.Less(t, 0.01, known.served[groupAll].hits.value(10*servedTimeConstant))
+	statistics := newFairness()
+	statistics.recordRequest(0, 100)
+	statistics.recordStart(0, groupAll)
+	must.Eq(t, 1.0, statistics.served[groupAll].value(0))
+	must.Less(t, 0.01, statistics.served[groupAll].events.value(10*servedTimeConstant))
+	must.Less(t, 0.01, statistics.served[groupAll].hits.value(10*servedTimeConstant))
 }
 
 // Objectives that change with each configuration must not accumulate classes.
@@ -73,7 +73,7 @@
 func TestLargePromptsAreNotDeferredForever(t *testing.T) {
 	b := newTestBoard()
 	now, number := time.Duration(0), uint64(0)
-	pos := func(tokens int) Answer {
+	place := func(tokens int) Answer {
 		number++
 		now += 50 * ms
 		return b.Place(now, key(number), requestWithObjective(tokens, 600*ms))
@@ -81,14 +81,14 @@
 	inTime := 0
 	for range 60 {
 		for range 8 {
-			if answer := pos(2_000); !answer.Deferred {
+			if answer := place(2_000); !answer.Deferred {
 				now += answer.Estimate
 				b.Note(now, key(number), Note{Step: StepStarted})
 			}
 			b.Note(now, key(number), Note{Step: StepEnded})
 		}
 		for range 2 {
-			if answer := pos(60_000); answer.Generator != "" && !answer.Deferred {
+			if answer := place(60_000); answer.Generator != "" && !answer.Deferred {
 				inTime++
 			}
 			b.Note(now, key(number), Note{Step: StepEnded})
--- a/request/placement/index.go
+++ b/request/placement/index.go
@@ -34,7 +34,7 @@
 // index holds the replicas of a board in the orders that a choice needs.
 type index struct {
 	groups map[groupKey]*group
-	// sorted holds the groups of each role by zone.
+	// groupsByZone holds the groups of each role by zone.
 	groupsByZone [2][]*group
 	// holders maps a part to the replicas that have it cached, by zone and name.
 	holders map[string][]*replica
@@ -52,7 +52,7 @@
 // group holds the replicas of one zone and role.
 type group struct {
 	zone string
-	// Both are ordered by work and then by name. Impaired replicas have recently failed a
+	// Both rankings are by work and then by name. Impaired replicas have recently failed a
 	// request, or announced that they leave.
 	healthy, impaired ranking
 }
--- a/request/placement/order.go
+++ b/request/placement/order.go
@@ -54,12 +54,12 @@
 		return chosen, found
 	}
 	request.wouldBeLate = true
-	pressed, _ := b.choose(now, request)
+	alternative, _ := b.choose(now, request)
 	request.wouldBeLate = false
-	if request.isLate(pressed.timeToFirstToken) {
+	if request.isLate(alternative.timeToFirstToken) {
 		return chosen, true
 	}
-	return pressed, true
+	return alternative, true
 }
 
 // shouldDefer reports whether the request yields to those that can meet their objective.
--- a/request/placement/order_test.go
+++ b/request/placement/order_test.go
@@ -134,7 +134,7 @@
 			if r.current != nil {
 				must.True(t, slices.Contains(known, r.current))
 			}
-			must.LessEq(t, r.backlog(now, time.Microsecond, readLast), r.backlog(now, time.Microsecond, &Ask{}))
+			must.LessEq(t, r.backlog(now, time.Microsecond, lastInQueue), r.backlog(now, time.Microsecond, &Ask{}))
 		}
 	})
 }
--- a/request/placement/pace.go
+++ b/request/placement/pace.go
@@ -8,8 +8,8 @@
 	// zero and at priorTokens tokens.
 	priorSamples = 2
 	priorTokens  = 8_000
-	// readSamples is the sample window of a small service.
-	readSamples = 100
+	// readTimeSamples is the sample window of a small service.
+	readTimeSamples = 100
 	// smallServiceReplicas is the size up to which a service counts as small. The window of
 	// a larger one grows in proportion, so that a short disturbance of a few replicas does
 	// not change the estimate for all.
@@ -36,10 +36,10 @@
 }
 
 // newReadTime returns an estimate from initial values.
-func newReadTime(start, perToken time.Duration) readTime {
+func newReadTime(fixed, perToken time.Duration) readTime {
 	result := readTime{tokens: priorSamples * priorTokens, took: priorSamples * priorTokens * perToken.Seconds()}
-	result.idleFit.add(0, start, priorSamples)
-	result.idleFit.add(priorTokens, start+priorTokens*perToken, priorSamples)
+	result.idleFit.add(0, fixed, priorSamples)
+	result.idleFit.add(priorTokens, fixed+priorTokens*perToken, priorSamples)
 	return result
 }
 
@@ -56,20 +56,20 @@
 }
 
 // learn adds a sample from a service with the given number of replicas.
-func (p *readTime) learn(sample readSample, replicas int) {
-	start := time.Duration(0)
+func (t *readTime) learn(sample readSample, replicas int) {
+	fixed := time.Duration(0)
 	if sample.alone {
-		start = p.fixed()
+		fixed = t.fixed()
 	}
-	took := clampOutlier(sample.took, start+time.Duration(sample.tokens)*p.perToken())
-	decay := 1 - 1/sampleWindow(readSamples, replicas)
+	took := clampOutlier(sample.took, fixed+time.Duration(sample.tokens)*t.perToken())
+	decay := 1 - 1/sampleWindow(readTimeSamples, replicas)
 	if sample.alone {
-		p.idleFit.decay(decay)
-		p.idleFit.add(sample.tokens, took, 1)
+		t.idleFit.decay(decay)
+		t.idleFit.add(sample.tokens, took, 1)
 	}
-	p.tokens = p.tokens*decay + float64(sample.tokens)
-	p.took = p.took*decay + max(took-start, 0).Seconds()
-	p.samples++
+	t.tokens = t.tokens*decay + float64(sample.tokens)
+	t.took = t.took*decay + max(took-fixed, 0).Seconds()
+	t.samples++
 }
 
 // sampleWindow returns the sample window of a service with the given number of replicas, from
@@ -84,18 +84,18 @@
 }
 
 // isTrusted reports whether there are enough samples to refuse a request by the estimate.
-func (p *readTime) isTrusted() bool { return p.samples >= trustedSamples }
+func (t *readTime) isTrusted() bool { return t.samples >= trustedSamples }
 
 // perToken returns the time per token.
-func (p *readTime) perToken() time.Duration {
-	if p.tokens <= 0 {
+func (t *readTime) perToken() time.Duration {
+	if t.tokens <= 0 {
 		return minTokenTime
 	}
-	return max(seconds(p.took/p.tokens), minTokenTime)
+	return max(seconds(t.took/t.tokens), minTokenTime)
 }
 
 // fixed returns the time that a read takes regardless of its length.
-func (p *readTime) fixed() time.Duration { return p.idleFit.intercept() }
+func (t *readTime) fixed() time.Duration { return t.idleFit.intercept() }
 
 // line is a least-squares line through samples that decay exponentially.
 type line struct {
--- a/request/placement/queue.go
+++ b/request/placement/queue.go
@@ -62,5 +62,5 @@
 // overdue.
 const minReadRemaining = time.Millisecond
 
-// readLast is a request that is read after everything in a queue.
-var readLast = &Ask{deferred: true}
+// lastInQueue is a request that is read after everything in a queue.
+var lastInQueue = &Ask{deferred: true}
--- a/request/placement/read_test.go
+++ b/request/placement/read_test.go
@@ -27,9 +27,9 @@
 func TestGeneratorReadsAfterAFailedRead(t *testing.T) {
 	for _, step := range []Step{StepFailed, StepMisdirected, StepUnread} {
 		b := newTestBoard()
-		b.replicas["read-1"].suspicionPeriod = minSuspicion
+		b.replicas["prefill-1"].suspicionPeriod = minSuspicion
 		first := b.Place(0, key(1), Ask{Prompt: 20_000, Zone: "a", Deadline: time.Hour})
-		must.Eq(t, "read-1", first.Reader)
+		must.Eq(t, "prefill-1", first.Reader)
 		b.Note(10*ms, key(1), Note{Step: step, Replica: first.Reader})
 		generator := b.replicas[first.Generator]
 		must.SliceLen(t, 1, generator.queue)
@@ -44,28 +44,29 @@
 	}
 }
 
-// A replica that has changed its role since was asked for something else.
+// The misdirection of a request from before a role change says nothing about the new role, since
+// the replica was asked for something else then.
 func TestMisdirectionInAnEarlierRoleIsIgnored(t *testing.T) {
 	b := newTestBoard()
-	placed := b.Place(0, key(1), Ask{Prompt: 100, Zone: "a", Deadline: time.Hour, Excluded: []string{"make-2"}})
-	must.Eq(t, "make-1", placed.Generator)
+	placed := b.Place(0, key(1), Ask{Prompt: 100, Zone: "a", Deadline: time.Hour, Excluded: []string{"decode-2"}})
+	must.Eq(t, "decode-1", placed.Generator)
 	b.SetReplicas(testSheet, []Replica{
-		{Name: "read-1", Zone: "a", Role: RolePrefill, Slots: 64},
-		{Name: "make-1", Zone: "a", Role: RolePrefill, Slots: 64},
-		{Name: "make-2", Zone: "a", Role: RoleDecode, Slots: 64},
+		{Name: "prefill-1", Zone: "a", Role: RolePrefill, Slots: 64},
+		{Name: "decode-1", Zone: "a", Role: RolePrefill, Slots: 64},
+		{Name: "decode-2", Zone: "a", Role: RoleDecode, Slots: 64},
 	})
-	b.Note(10*ms, key(1), Note{Step: StepMisdirected, Replica: "make-1"})
-	must.False(t, b.replicas["make-1"].isBanned(20*ms))
+	b.Note(10*ms, key(1), Note{Step: StepMisdirected, Replica: "decode-1"})
+	must.False(t, b.replicas["decode-1"].isBanned(20*ms))
 }
 
 // The misdirection of a request placed before the last ban does not extend the next one.
 func TestMisdirectionOfARequestPlacedBeforeTheBanIsIgnored(t *testing.T) {
 	b := newTestBoard()
-	alone := Ask{Prompt: 100, Zone: "a", Deadline: time.Hour, Excluded: []string{"make-2"}}
-	must.Eq(t, "make-1", b.Place(0, key(1), alone).Generator)
-	b.Note(1*ms, key(9), Note{Step: StepMisdirected, Replica: "make-1"})
-	b.Note(minBan+2*ms, key(1), Note{Step: StepMisdirected, Replica: "make-1"})
-	must.Eq(t, minBan, b.replicas["make-1"].banPeriod)
+	alone := Ask{Prompt: 100, Zone: "a", Deadline: time.Hour, Excluded: []string{"decode-2"}}
+	must.Eq(t, "decode-1", b.Place(0, key(1), alone).Generator)
+	b.Note(1*ms, key(9), Note{Step: StepMisdirected, Replica: "decode-1"})
+	b.Note(minBan+2*ms, key(1), Note{Step: StepMisdirected, Replica: "decode-1"})
+	must.Eq(t, minBan, b.replicas["decode-1"].banPeriod)
 }
 
 // Requests do not wait for parts that a banned replica was to read.
@@ -73,7 +74,7 @@
 	for _, gone := range []bool{false, true} {
 		b := newTestBoard()
 		parts := func(own string) []Part { return []Part{{ID: "shared", Tokens: 40_000}, {ID: own, Tokens: 10}} }
-		request := Ask{Prompt: 40_010, Zone: "a", Deadline: time.Hour, Parts: parts("x"), Excluded: []string{"read-2"}}
+		request := Ask{Prompt: 40_010, Zone: "a", Deadline: time.Hour, Parts: parts("x"), Excluded: []string{"prefill-2"}}
 		one := b.Place(0, key(1), request)
 		if gone {
 			b.Note(1*ms, key(99), Note{Step: StepMisdirected, Replica: one.Reader})
@@ -87,9 +88,9 @@
 // on the way for longer than that of the misdirection.
 func TestStartOfARequestPlacedBeforeTheBanKeepsTheBan(t *testing.T) {
 	b := newTestBoard()
-	alone := Ask{Prompt: 100, Zone: "a", Deadline: time.Hour, Excluded: []string{"make-2"}}
-	must.Eq(t, "make-1", b.Place(0, key(1), alone).Generator)
-	b.Note(1*ms, key(9), Note{Step: StepMisdirected, Replica: "make-1"})
+	alone := Ask{Prompt: 100, Zone: "a", Deadline: time.Hour, Excluded: []string{"decode-2"}}
+	must.Eq(t, "decode-1", b.Place(0, key(1), alone).Generator)
+	b.Note(1*ms, key(9), Note{Step: StepMisdirected, Replica: "decode-1"})
 	b.Note(2*ms, key(1), Note{Step: StepStarted})
-	must.True(t, b.replicas["make-1"].isBanned(3*ms))
+	must.True(t, b.replicas["decode-1"].isBanned(3*ms))
 }
--- a/request/placement/recent.go
+++ b/request/placement/recent.go
@@ -30,8 +30,8 @@
 // recentShare is the share of recent events that were hits.
 type recentShare struct{ events, hits recentCount }
 
-func newRecentShare(memory time.Duration) recentShare {
-	return recentShare{events: recentCount{timeConstant: memory}, hits: recentCount{timeConstant: memory}}
+func newRecentShare(timeConstant time.Duration) recentShare {
+	return recentShare{events: recentCount{timeConstant: timeConstant}, hits: recentCount{timeConstant: timeConstant}}
 }
 
 // value returns the share of hits; 0 without events.
--- a/request/placement/summary.go
+++ b/request/placement/summary.go
@@ -34,7 +34,7 @@
 	Placed   int
 	Split    int // of the placed: with a separate reader
 	Fetched  int // of the placed: with a fetch of cached parts
-	Deferred int // of the placed: read after those that can meet their objective
+	Deferred int // of the placed: read after all others
 	Waits    int
 	Refused  int
 	Unread   int // tokens of the placed requests that had to be read
@@ -86,7 +86,7 @@
 		if known.Role == RolePrefill {
 			load = &summary.Readers
 		}
-		load.add(known.backlog(now, b.readTimes[known.Role].perToken(), readLast), len(known.running))
+		load.add(known.backlog(now, b.readTimes[known.Role].perToken(), lastInQueue), len(known.running))
 	}
 	b.completeLoad(&summary.Generators, RoleDecode)
 	b.completeLoad(&summary.Readers, RolePrefill)
--- a/request/placement/takeover.go
+++ b/request/placement/takeover.go
@@ -4,7 +4,7 @@
 
 // A board lives in one process, and its successor starts empty: it would consider every
 // replica idle, send work to those that already have a queue, and mistake the waiting time
-// for a slow read time. The daemons that requested placements know what is in flight, so
+// for slow reading. The daemons that requested placements know what is in flight, so
 // each of them reports it to a new board at once.
 
 // unreportedGrace is the age up to which a placed request may be missing from its daemon's
--- a/request/placement/takeover_test.go
+++ b/request/placement/takeover_test.go
@@ -10,28 +10,28 @@
 // A new board that is not told what is in flight sends the next prompt to a busy reader.
 func TestTakeOverCountsRequestsOfAnotherBoard(t *testing.T) {
 	old, next := newTestBoard(), newTestBoard()
-	told := map[string]map[uint64]Placed{}
-	var asked []Ask
+	reports := map[string]map[uint64]Placed{}
+	var placed []Ask
 	for number := range uint64(5) {
 		prompt := requestWithObjective(9_000, 0)
-		asked = append(asked, prompt)
+		placed = append(placed, prompt)
 		daemon := []string{"a", "b"}[number%2]
 		answer := old.Place(0, Key{Daemon: daemon, Number: number}, prompt)
-		if told[daemon] == nil {
-			told[daemon] = map[uint64]Placed{}
+		if reports[daemon] == nil {
+			reports[daemon] = map[uint64]Placed{}
 		}
-		told[daemon][number] = Placed{Ask: prompt, Answer: answer}
+		reports[daemon][number] = Placed{Ask: prompt, Answer: answer}
 	}
 	probe := requestWithObjective(9_000, 0)
 	want := old.Place(0, key(100), probe)
 	must.NotEq(t, want.Estimate, next.Place(0, key(100), probe).Estimate)
 	next = newTestBoard()
-	for daemon, requests := range told {
+	for daemon, requests := range reports {
 		next.TakeOver(0, daemon, requests)
 	}
 	got := next.Place(0, key(100), probe)
 	must.Between(t, want.Estimate-ms, got.Estimate, want.Estimate+ms)
-	must.MapLen(t, len(asked)+1, next.inFlight)
+	must.MapLen(t, len(placed)+1, next.inFlight)
 }
 
 // The report of a daemon replaces what was in flight for it, and leaves other daemons alone.
@@ -56,7 +56,7 @@
 // Each request counts by its stage: queued for reading, read, or generating.
 func TestTakenOverRequestsCountByTheirStep(t *testing.T) {
 	b := newTestBoard()
-	answer := Answer{Generator: "make-1", Reader: "read-1", Unread: 9_000}
+	answer := Answer{Generator: "decode-1", Reader: "prefill-1", Unread: 9_000}
 	prompt := requestWithObjective(9_000, 0)
 	prompt.Deadline = time.Minute
 	b.TakeOver(time.Second, "a", map[uint64]Placed{
@@ -64,16 +64,16 @@
 		2: {Ask: prompt, Answer: answer, Age: 300 * ms, Step: StepRead},
 		3: {Ask: prompt, Answer: answer, Age: 900 * ms, Step: StepStarted},
 	})
-	must.SliceLen(t, 1, b.replicas["read-1"].queue)
-	must.MapLen(t, 3, b.replicas["make-1"].running)
+	must.SliceLen(t, 1, b.replicas["prefill-1"].queue)
+	must.MapLen(t, 3, b.replicas["decode-1"].running)
 	samples := b.readTimes[RolePrefill].samples
 	b.Note(2*time.Second, Key{Daemon: "a", Number: 1}, Note{Step: StepRead})
 	must.Eq(t, samples, b.readTimes[RolePrefill].samples, must.Sprint("the start of the read is unknown"))
-	must.SliceEmpty(t, b.replicas["read-1"].queue)
+	must.SliceEmpty(t, b.replicas["prefill-1"].queue)
 	for number := range uint64(3) {
 		b.Note(2*time.Second, Key{Daemon: "a", Number: number + 1}, Note{Step: StepStarted})
 		b.Note(2*time.Second, Key{Daemon: "a", Number: number + 1}, Note{Step: StepEnded})
 	}
 	must.MapEmpty(t, b.inFlight)
-	must.MapEmpty(t, b.replicas["make-1"].running)
+	must.MapEmpty(t, b.replicas["decode-1"].running)
 }
--- a/request/placement/tenants.go
+++ b/request/placement/tenants.go
@@ -20,7 +20,6 @@
 	// baseline of a tenant that grows permanently doubles about every ten seconds.
 	surgeFactor = 3
 	// tenantWarmup is how long a tenant must be known before it has a baseline.
-	// settledTenant is how long a tenant must be known: before, nothing is its usual.
 	tenantWarmup = 10 * time.Second
 	// minSurgeRequests is the number of recent requests below which there is no surge: with
 	// few requests, their random spacing looks like one.
@@ -44,7 +43,7 @@
 type tenants map[string]*tenantDemand
 
 // recordRequest counts a request, and reports whether it exceeds what its tenant may ask for.
-func (t tenants) recordRequest(now time.Duration, request *Ask) (above bool) {
+func (t tenants) recordRequest(now time.Duration, request *Ask) (exceeds bool) {
 	demand := t.demandOf(now, request.Tenant)
 	if demand == nil {
 		return false
--- a/request/placement/types.go
+++ b/request/placement/types.go
@@ -107,8 +107,8 @@
 	// for instance because parts that it shares are being read for another request. All
 	// other fields are empty then.
 	Wait time.Duration
-	// Deferred marks a request that would miss its objective and is read after those that
-	// can meet theirs.
+	// Deferred marks a request that is read after all others, since it would miss its
+	// objective or exceeds what its tenant may ask for.
 	Deferred bool
 	// Name asks the caller to send the Name of the request: replicas are crashing one after
 	// the other, apparently under some request. All other fields are empty then.
--- a/request/placement/wait.go
+++ b/request/placement/wait.go
@@ -87,7 +87,7 @@
 // pendingReadOn returns the first such request in the queue of one replica.
 func (b *Board) pendingReadOn(now time.Duration, request *Ask, at *replica, cachedTokens int) (pendingRead, bool) {
 	perToken := b.readTimes[at.Role].perToken()
-	in := b.readTimes[at.Role].fixed()
+	readyIn := b.readTimes[at.Role].fixed()
 	for _, queued := range at.queue {
 		if queued.request.deferred {
 			break // others will still go before it
@@ -100,9 +100,9 @@
 			}
 			takes = max(takes-spent, 0)
 		}
-		in += takes
+		readyIn += takes
 		if tokens := sharedPrefixTokens(queued.request.Parts, request.Parts); tokens >= cachedTokens+minFetchTokens {
-			return pendingRead{replica: at, tokens: tokens, readyIn: in}, true
+			return pendingRead{replica: at, tokens: tokens, readyIn: readyIn}, true
 		}
 	}
 	return pendingRead{}, false
--- a/request/router/pick.go
+++ b/request/router/pick.go
@@ -13,13 +13,13 @@
 func (BestPicker) Pick(scored []Scored, _ *rand.Rand) Scored { return scored[0] }
 
 // TwoChoicePicker draws two of the lowest-cost endpoints at random and takes the cheaper, so
-// that proxies that share a stale load report spread over several endpoints. Endpoints whose
-// cost is above the limit are never drawn.
+// that proxies that share a stale load report spread over several endpoints. Endpoints that
+// cost more than the slack allows are never drawn.
 type TwoChoicePicker struct {
 	// Slack is the share of the lowest cost by which an endpoint may exceed it and still be
 	// drawn.
 	Slack float64
-	// SlackSeconds is added to the limit.
+	// SlackSeconds is added to this allowance.
 	SlackSeconds float64
 }
 
--- a/request/router/router.go
+++ b/request/router/router.go
@@ -14,8 +14,8 @@
 	Filters []Filter
 	Scorers []Scorer
 	Picker  Picker
-	// DeadlineMargin is the multiple of its deadline above which the estimate of a request
-	// refuses it. It exceeds 1 because estimates are rough and a refusal is final.
+	// A request is refused if its estimate exceeds DeadlineMargin times its deadline. The
+	// margin is above 1 because estimates are rough and a refusal is final.
 	DeadlineMargin float64
 }
 
