--- a/request/placement/board.go
+++ b/request/placement/board.go
@@ -101,8 +101,8 @@
 	failureRate     float64
 	// announcedLeaving is set once the replica has announced that it leaves, whatever is listed.
 	announcedLeaving bool
-	// banPeriod is the length of the last ban, until bannedUntil. The replica is banned when
-	// its address does not lead to it.
+	// banPeriod is the length of the last ban, until bannedUntil. A replica is banned when it
+	// is no longer at its listed address.
 	banPeriod   time.Duration
 	bannedSince time.Duration
 	bannedUntil time.Duration
@@ -186,8 +186,8 @@
 }
 
 func (b *Board) place(now time.Duration, key Key, request Ask) Answer {
-	b.expire(now)
-	b.end(now, key)
+	b.expireRequests(now)
+	b.endRequest(now, key)
 	request.surging = b.tenants.recordRequest(now, &request)
 	if wait := b.isolation.admit(b, now, &request); wait > 0 {
 		return b.delaySuspect(&request, wait)
@@ -234,15 +234,15 @@
 	}
 }
 
-// coldParts is the number of cached parts below which a replica is cold. The first requests
+// minWarmParts is the number of cached parts below which a replica is cold. The first requests
 // after a start already cache a few.
-const coldParts = 24
+const minWarmParts = 24
 
 // Cold returns the names of the replicas that have next to nothing cached, sorted.
 func (b *Board) Cold() []string {
 	var names []string
 	for _, name := range b.names {
-		if known := b.replicas[name]; known.cache.lru.Len() < coldParts && !known.isLeaving() {
+		if known := b.replicas[name]; known.cache.lru.Len() < minWarmParts && !known.isLeaving() {
 			names = append(names, name)
 		}
 	}
@@ -264,7 +264,7 @@
 		return
 	}
 	if note.Replica != "" && note.Replica == p.answer.Reader {
-		b.readElsewhere(now, p)
+		b.moveReadToGenerator(now, p)
 		return
 	}
 	switch note.Step {
@@ -276,13 +276,13 @@
 		b.recordRead(now, p)
 		b.recordStart(now, p)
 	case StepEnded, StepFailed, StepErred, StepRefused, StepMisdirected, StepGone:
-		b.end(now, key)
+		b.endRequest(now, key)
 	}
 }
 
-// readElsewhere makes the generator read the prompt that the reader has not read. Its start
+// moveReadToGenerator makes the generator read a prompt that the reader has not read. Its start
 // then says nothing about the reader.
-func (b *Board) readElsewhere(now time.Duration, p *placedRequest) {
+func (b *Board) moveReadToGenerator(now time.Duration, p *placedRequest) {
 	reader := b.replicas[p.answer.Reader]
 	p.answer.Reader = ""
 	if p.queuedOn == nil || p.queuedOn == p.runningOn {
@@ -367,8 +367,8 @@
 	b.index.move(at)
 }
 
-// end removes a request.
-func (b *Board) end(now time.Duration, key Key) {
+// endRequest removes a request.
+func (b *Board) endRequest(now time.Duration, key Key) {
 	p := b.inFlight[key]
 	if p == nil {
 		return
@@ -383,16 +383,16 @@
 	delete(b.inFlight, key)
 }
 
-// expire removes requests whose daemon is gone or whose end was never reported. Since it
+// expireRequests removes requests whose daemon is gone or whose end was never reported. Since it
 // scans all requests, it runs a few times a second rather than on each placement.
-func (b *Board) expire(now time.Duration) {
+func (b *Board) expireRequests(now time.Duration) {
 	if now < b.expireAt {
 		return
 	}
 	b.expireAt = now + expiryInterval
 	for key, p := range b.inFlight {
 		if now > p.expiresAt {
-			b.end(now, key)
+			b.endRequest(now, key)
 		}
 	}
 }
@@ -413,9 +413,9 @@
 	r.untrackedRequests, r.untrackedAt = max(requests-known, 0), now
 }
 
-// untracked returns the estimated number of requests on the replica that the board does not
+// untrackedCount returns the estimated number of requests on the replica that the board does not
 // track.
-func (r *replica) untracked(now time.Duration) int {
+func (r *replica) untrackedCount(now time.Duration) int {
 	if r.untrackedAt == 0 || now-r.untrackedAt > untrackedMaxAge {
 		return 0
 	}
--- a/request/placement/board_test.go
+++ b/request/placement/board_test.go
@@ -192,14 +192,14 @@
 	b := newTestBoard()
 	answer := b.Place(time.Second, key(1), Ask{Prompt: 10, Zone: "a", Deadline: time.Second})
 	b.Note(time.Second, key(1), Note{Step: StepStarted, Told: 41})
-	must.Eq(t, 40, b.replicas[answer.Generator].untracked(1500*ms))
-	must.Eq(t, 0, b.replicas[answer.Generator].untracked(3*time.Second))
+	must.Eq(t, 40, b.replicas[answer.Generator].untrackedCount(1500*ms))
+	must.Eq(t, 0, b.replicas[answer.Generator].untrackedCount(3*time.Second))
 }
 
 func TestColdReplicasHaveFewCachedParts(t *testing.T) {
 	b := newTestBoard()
 	var parts []Part
-	for i := range coldParts {
+	for i := range minWarmParts {
 		parts = append(parts, Part{ID: fmt.Sprint(i), Tokens: 10})
 	}
 	b.Kept("prefill-1", parts)
--- a/request/placement/choose.go
+++ b/request/placement/choose.go
@@ -250,7 +250,7 @@
 	}
 	backlog := at.backlog(now, perToken, request)
 	if at.Role == RolePrefill {
-		backlog += time.Duration(at.untracked(now)*untrackedRequestTokens) * perToken
+		backlog += time.Duration(at.untrackedCount(now)*untrackedRequestTokens) * perToken
 	}
 	fixed := b.readTimes[at.Role].fixed()
 	best.timeToFirstToken += backlog + fixed
@@ -329,7 +329,7 @@
 
 // generationCost is the cost of generating on a replica, beside the time to first token.
 func (b *Board) generationCost(now time.Duration, request *Ask, generator *replica) time.Duration {
-	running := len(generator.running) + generator.untracked(now)
+	running := len(generator.running) + generator.untrackedCount(now)
 	cost := time.Duration(running) * perStreamCost
 	if generator.Slots > 0 && running >= generator.Slots {
 		cost += noFreeSlotCost
--- a/request/placement/failure.go
+++ b/request/placement/failure.go
@@ -9,7 +9,7 @@
 	// A refusal is an answer, so its backoff is shorter.
 	minRefusal = 100 * time.Millisecond
 	maxRefusal = 1600 * time.Millisecond
-	// The address of the replica does not lead to it: it is gone, or another replica has the
+	// The replica is no longer at its listed address: it is gone, or another replica has the
 	// address. The list still names it until the list's reader has seen it leave, which takes
 	// longer while no member of the control plane can read the list.
 	minBan = time.Second
@@ -87,8 +87,8 @@
 	r.suspectUntil = now + r.refusalBackoff
 }
 
-// ban keeps all requests off a replica whose address does not lead to it. This is a ban rather
-// than a cost: a request sent there is certain to be refused and uses up a retry. The report is
+// ban keeps all requests off a replica that is no longer at its listed address. This is a ban
+// rather than a cost: a request sent there is certain to be refused and uses up a retry. The report is
 // outdated if p was placed before the last ban, or on the replica in an earlier role, in which
 // it was asked for something else.
 func (r *replica) ban(now time.Duration, p *placedRequest) {
@@ -124,7 +124,7 @@
 // isLeaving reports whether the replica leaves, as listed or as announced.
 func (r *replica) isLeaving() bool { return r.Leaving || r.announcedLeaving }
 
-// isBanned reports whether the replica gets no requests since its address does not lead to it.
+// isBanned reports whether the replica is banned.
 func (r *replica) isBanned(now time.Duration) bool { return now < r.bannedUntil }
 
 // recordSuccess records that the replica completed a step of p, which ends its suspicion
--- a/request/placement/index.go
+++ b/request/placement/index.go
@@ -301,7 +301,7 @@
 	zoneGroup.healthy.each(func(level int, r *replica) bool {
 		if l.add(r) {
 			considered++
-			isIdle = level == 0 && r.untracked(l.now) == 0 && !r.isSuspected(l.now)
+			isIdle = level == 0 && r.untrackedCount(l.now) == 0 && !r.isSuspected(l.now)
 		}
 		return !isIdle && considered < maxPerGroup
 	})
--- a/request/placement/takeover.go
+++ b/request/placement/takeover.go
@@ -17,7 +17,7 @@
 	for key, p := range b.inFlight {
 		_, known := reported[key.Number]
 		if key.Daemon == daemon && !known && now-p.placedAt > unreportedGrace {
-			b.end(now, key)
+			b.endRequest(now, key)
 		}
 	}
 	for number, request := range reported {
