--- a/request/placement/failure.go
+++ b/request/placement/failure.go
@@ -88,9 +88,9 @@
 }
 
 // ban keeps all requests off a replica that is no longer at its listed address. This is a ban
-// rather than a cost: a request sent there is certain to be refused and uses up a retry. The report is
-// outdated if p was placed before the last ban, or on the replica in an earlier role, in which
-// it was asked for something else.
+// rather than a cost: a request sent there is certain to be refused and uses up a retry. The
+// report is outdated if p was placed before the last ban, or on the replica in an earlier role,
+// in which it was asked for something else.
 func (r *replica) ban(now time.Duration, p *placedRequest) {
 	if r.isBanned(now) || p != nil && (p.isOnRemovedReplica(r) || r.banPeriod > 0 && p.placedAt < r.bannedSince) {
 		return
