--- a/request/placement/board.go
+++ b/request/placement/board.go
@@ -6,18 +6,22 @@
 	"time"
 )
 
-// Initial estimates, and parameters of the estimates that replace them.
+// Initial estimates, parameters of the measurements that replace them, and other parameters of
+// the board.
 const (
 	// initialPrefillTokenTime is the time in which a prefill replica reads one token.
 	initialPrefillTokenTime = 25 * time.Microsecond
-	// decodeSlowdown is how many times longer a decode replica takes to read a token.
+	// decodeSlowdown is how many times longer than a prefill replica a decode replica takes to
+	// read a token.
 	decodeSlowdown = 2
 	// initialReadOverhead is the fixed time that a replica takes to start a prompt and to
 	// respond.
 	initialReadOverhead = 25 * time.Millisecond
-	// initialDecodeStartTime is the time from a transferred prompt to the first token.
+	// initialDecodeStartTime is the time from the end of the transfer of a prompt's KV cache to
+	// the first token.
 	initialDecodeStartTime = 35 * time.Millisecond
-	// decodeStartSamples is the sample window of that time in a small service.
+	// decodeStartSamples is the number of samples over which that time is averaged in a small
+	// service.
 	decodeStartSamples = 20
 	// defaultKVTokens is the KV cache capacity of a replica if the sheet has none.
 	defaultKVTokens = 400_000
@@ -26,7 +30,7 @@
 	// expiryGrace is the time past its deadline after which a request that sent no further
 	// notes is dropped.
 	expiryGrace = 2 * time.Second
-	// expiryInterval is the time between two searches for such requests.
+	// expiryInterval is the minimum time between two searches for such requests.
 	expiryInterval = 100 * time.Millisecond
 )
 
@@ -37,11 +41,11 @@
 	names    []string // sorted
 	index    *index
 	inFlight map[Key]*placedRequest
-	// readTimes holds the measured read times by role. For decode replicas they run up to
-	// the first token, for prefill replicas until the prompt is handed over.
+	// readTimes holds the measured read times by role. The measurement ends at the first token
+	// on decode replicas, and on prefill replicas when the prompt has been read.
 	readTimes [2]readTime
-	// decodeStartTime is the measured time from the transfer of a read prompt to the first
-	// token.
+	// decodeStartTime is the measured time from the end of the transfer of a prompt's KV cache
+	// to the first token.
 	decodeStartTime time.Duration
 	changes         map[string]roleChange
 	lateness        recentShare // share of late requests among those with an objective
@@ -61,8 +65,8 @@
 	placedAt      time.Duration
 	expiresAt     time.Duration
 	queuedOn      *replica // whose queue holds the request; nil once the prompt is read
-	unreadTokens  int      // tokens still to be read there
-	readAlone     bool     // nothing else was being read there at placement
+	unreadTokens  int      // tokens that the replica has to read
+	readAlone     bool     // the replica was reading nothing else at placement
 	runningOn     *replica
 	readAt        time.Duration // when the prompt was read; 0 before
 	backlogAtRead time.Duration // the read backlog on the generator at readAt
@@ -76,33 +80,39 @@
 	Replica
 	cache    cache
 	position position
-	// visited and isListed hold the number of the last choice that examined the replica, and
-	// of the last one that added it to a shortlist.
-	visited, isListed uint64
-	isRemoved         bool // removed from the list of replicas
+	// examinedInChoice is the number of the last choice that examined the replica,
+	// shortlistedInChoice that of the last one that added it to a shortlist; see
+	// index.choiceNumber.
+	examinedInChoice, shortlistedInChoice uint64
+	isRemoved                             bool // no longer listed
 	// queue holds the prompts to be read, in order. current is the one that is assumed to
 	// be read, since currentSince.
-	queue        []*placedRequest
-	current      *placedRequest
-	currentSince time.Duration
-	readAt       time.Duration // when the last read ended
-	running      map[*placedRequest]struct{}
+	queue           []*placedRequest
+	current         *placedRequest
+	currentSince    time.Duration
+	lastReadEndedAt time.Duration
+	running         map[*placedRequest]struct{}
 
 	// untrackedRequests is the number of requests on the replica that the board does not
-	// track, sent by proxies that place requests on their own, as reported at untrackedAt.
+	// track, sent by daemons that place requests on their own, as reported at untrackedAt.
 	untrackedRequests int
 	untrackedAt       time.Duration
 
-	suspicionPeriod time.Duration // length of the current suspicion; 0 once the replica has answered
-	refusalBackoff  time.Duration // length of the backoff after the last refusal
-	suspectedAt     time.Duration
-	suspectUntil    time.Duration
-	probe           *placedRequest // the request that probes whether a suspected replica answers again
-	failureRate     float64
-	// announcedLeaving is set once the replica has announced that it leaves, whatever is listed.
+	// suspicionPeriod is the length of the current or last suspicion, 0 once the replica has
+	// responded. refusalBackoff is the length of the backoff after the last refusal.
+	suspicionPeriod time.Duration
+	refusalBackoff  time.Duration
+	// suspectedAt is when the current or last suspicion began or was extended. avoidedUntil is
+	// the end of the suspicion or of the refusal backoff.
+	suspectedAt  time.Duration
+	avoidedUntil time.Duration
+	probe        *placedRequest // the request that probes whether a suspected replica responds again
+	failureRate  float64        // moving average, 0 without failures to 1 if all requests fail
+	// announcedLeaving is set once the replica has announced that it will shut down, even if it
+	// is not listed as leaving.
 	announcedLeaving bool
-	// banPeriod is the length of the last ban, until bannedUntil. A replica is banned when it
-	// is no longer at its listed address.
+	// banPeriod is the length of the last ban, from bannedSince until bannedUntil; 0 if a request
+	// has succeeded since. A replica is banned when it is no longer at its listed address.
 	banPeriod   time.Duration
 	bannedSince time.Duration
 	bannedUntil time.Duration
@@ -126,7 +136,8 @@
 	}
 }
 
-// SetReplicas replaces the list of replicas and keeps the state of those that remain.
+// SetReplicas replaces the list of replicas and keeps the state of those that remain. Put and
+// Remove change single entries of the list.
 func (b *Board) SetReplicas(sheet Sheet, entries []Replica) {
 	b.sheet = sheet
 	gone := maps.Clone(b.replicas)
@@ -158,7 +169,7 @@
 }
 
 // Remove drops a replica if it is listed. Its requests in flight stay until their daemons
-// report their end.
+// report their end or they expire.
 func (b *Board) Remove(name string) {
 	known := b.replicas[name]
 	if known == nil {
@@ -177,14 +188,15 @@
 	return r.Born != 0 && entry.Born != 0 && r.Born != entry.Born
 }
 
-// Place decides where the request goes and counts it there until it ends. A request that
-// is told to wait is not counted.
+// Place decides where the request goes and tracks it there until it ends or expires. A request
+// that has to wait or is refused is not tracked. An earlier placement with the same key ends.
 func (b *Board) Place(now time.Duration, key Key, request Ask) Answer {
 	answer := b.place(now, key, request)
 	b.answers.add(&answer)
 	return answer
 }
 
+// place implements Place, without counting the reply for the summary.
 func (b *Board) place(now time.Duration, key Key, request Ask) Answer {
 	b.expireRequests(now)
 	b.endRequest(now, key)
@@ -220,6 +232,8 @@
 	return p.answer
 }
 
+// cacheLimit returns the number of tokens that a replica is assumed to cache. If the capacity is
+// unknown, this is defaultKVTokens, without cachedShare.
 func (b *Board) cacheLimit() int64 {
 	if b.sheet.KVTokens > 0 {
 		return int64(cachedShare * float64(b.sheet.KVTokens))
@@ -238,7 +252,8 @@
 // after a start already cache a few.
 const minWarmParts = 24
 
-// Cold returns the names of the replicas that have next to nothing cached, sorted.
+// Cold returns the names of the replicas that have fewer than minWarmParts parts cached and are
+// not leaving, sorted.
 func (b *Board) Cold() []string {
 	var names []string
 	for _, name := range b.names {
@@ -249,7 +264,8 @@
 	return names
 }
 
-// Note updates the board with the progress of a request.
+// Note updates the board with the progress of a request. If the request is not tracked, only what
+// the note says of the replica counts.
 func (b *Board) Note(now time.Duration, key Key, note Note) {
 	if note.Step == StepLeaving {
 		b.recordLeaving(note.Replica)
@@ -280,8 +296,9 @@
 	}
 }
 
-// moveReadToGenerator makes the generator read a prompt that the reader has not read. Its start
-// then says nothing about the reader.
+// moveReadToGenerator makes the generator read a prompt that the reader has not read. It removes
+// the reader from the placement, so that the first token is not taken as evidence that the reader
+// works.
 func (b *Board) moveReadToGenerator(now time.Duration, p *placedRequest) {
 	reader := b.replicas[p.answer.Reader]
 	p.answer.Reader = ""
@@ -289,7 +306,7 @@
 		return
 	}
 	reader.endProbe(p)
-	b.unqueue(now, p)
+	b.removeFromQueue(now, p)
 	p.placedAt = now
 	p.queuedOn = p.runningOn
 	p.unreadTokens = max(p.request.Prompt-p.runningOn.cache.leadingTokens(p.request.Parts), 0)
@@ -298,14 +315,16 @@
 	b.index.move(p.queuedOn)
 }
 
-// A read that takes more than staleCacheFactor times the estimate of its request plus
-// staleCacheSlack shows that the parts to be fetched were missing and had to be read.
+// If a request with a fetch takes more than staleCacheFactor times its estimate plus
+// staleCacheSlack to be read, the parts were missing on the replica to fetch from and had to be
+// read as well.
 const (
 	staleCacheFactor = 2
 	staleCacheSlack  = 150 * time.Millisecond
 )
 
-// recordStart records the first token: the generator has cached the prompt.
+// recordStart records the first token of a request, by which time the generator has cached the
+// prompt.
 func (b *Board) recordStart(now time.Duration, p *placedRequest) {
 	if p.started {
 		return
@@ -324,14 +343,14 @@
 	if reader == nil || p.readAt == 0 || p.adopted {
 		return
 	}
-	transferTime, _ := b.transfer(p.request.Prompt, reader.Zone, p.runningOn.Zone)
+	transferTime, _ := b.estimateTransfer(p.request.Prompt, reader.Zone, p.runningOn.Zone)
 	spent := clampOutlier(now-p.readAt-transferTime-p.backlogAtRead, b.decodeStartTime)
 	b.decodeStartTime += time.Duration(float64(spent-b.decodeStartTime) / sampleWindow(decodeStartSamples, len(b.names)))
 }
 
-// recordRead takes the request off the queue of its reader and updates the read times. A read
-// that took far longer than estimated means that the replica to fetch from did not have
-// the parts, so they are dropped from its tracked cache.
+// recordRead removes the request from the queue of the replica that read the prompt and updates
+// the read times. If the read took far longer than estimated, the replica to fetch from did not
+// have the parts, so they are dropped from its tracked cache.
 func (b *Board) recordRead(now time.Duration, p *placedRequest) {
 	at := p.queuedOn
 	if at == nil {
@@ -344,22 +363,23 @@
 	p.readAt = now
 	p.backlogAtRead = p.runningOn.backlog(now, b.readTimes[p.runningOn.Role].perToken(), &p.request)
 	at.recordSuccess(p)
-	b.unqueue(now, p)
-	at.readAt = now
+	b.removeFromQueue(now, p)
+	at.lastReadEndedAt = now
 	at.cache.use(p.request.Parts, b.cacheLimit())
 }
 
-// learnRead updates the read times of the role with a read that has just ended.
+// learnRead updates the read times of the replica's role with a read that has just ended.
 func (b *Board) learnRead(now time.Duration, p *placedRequest) {
 	if p.adopted {
 		return
 	}
 	at, readTime := p.queuedOn, &b.readTimes[p.queuedOn.Role]
-	readTime.learn(readSample{tokens: p.unreadTokens, took: now - max(p.placedAt, at.readAt), alone: p.readAlone}, len(b.names))
+	readTime.learn(readSample{tokens: p.unreadTokens, took: now - max(p.placedAt, at.lastReadEndedAt), alone: p.readAlone}, len(b.names))
 }
 
-// unqueue takes the request off the queue that it is in.
-func (b *Board) unqueue(now time.Duration, p *placedRequest) {
+// removeFromQueue removes the request from the read queue that it is in and from the pending
+// parts of that replica's cache.
+func (b *Board) removeFromQueue(now time.Duration, p *placedRequest) {
 	at := p.queuedOn
 	p.queuedOn = nil
 	at.cache.removePending(p.request.Parts)
@@ -367,14 +387,14 @@
 	b.index.move(at)
 }
 
-// endRequest removes a request.
+// endRequest stops tracking a request, and does nothing if it is not tracked.
 func (b *Board) endRequest(now time.Duration, key Key) {
 	p := b.inFlight[key]
 	if p == nil {
 		return
 	}
 	if p.queuedOn != nil {
-		b.unqueue(now, p)
+		b.removeFromQueue(now, p)
 	}
 	p.runningOn.endProbe(p)
 	b.replicas[p.answer.Reader].endProbe(p)
@@ -384,7 +404,7 @@
 }
 
 // expireRequests removes requests whose daemon is gone or whose end was never reported. Since it
-// scans all requests, it runs a few times a second rather than on each placement.
+// scans all requests, it does so at most once per expiryInterval rather than on each placement.
 func (b *Board) expireRequests(now time.Duration) {
 	if now < b.expireAt {
 		return
@@ -397,7 +417,7 @@
 	}
 }
 
-// untrackedMaxAge is how long a reported load is used.
+// untrackedMaxAge is the age beyond which the reported number of untracked requests is ignored.
 const untrackedMaxAge = time.Second
 
 // recordReportedLoad updates the number of untracked requests from the number of requests
--- a/request/placement/board_test.go
+++ b/request/placement/board_test.go
@@ -27,7 +27,7 @@
 
 func key(number uint64) Key { return Key{Daemon: "proxy", Number: number} }
 
-// ownParts counts the unshared parts of test requests, for unique names.
+// ownParts is the number of unshared parts created so far, from which their IDs are formed.
 var ownParts int
 
 // newRequest returns a request with a shared part and one of its own.
@@ -115,7 +115,7 @@
 	short := Ask{Prompt: 100, Zone: "a", Deadline: time.Second}
 	refused := func(now time.Duration) time.Duration {
 		b.Note(now, key(9), Note{Step: StepRefused, Replica: "decode-1"})
-		return b.replicas["decode-1"].suspectUntil
+		return b.replicas["decode-1"].avoidedUntil
 	}
 	until := refused(0)
 	must.Eq(t, minRefusal, until)
@@ -134,9 +134,9 @@
 	must.Eq(t, 2*time.Minute+minRefusal, refused(2*time.Minute), must.Sprint("a completed request resets the backoff"))
 }
 
-// Another replica has the address of one that is gone but still listed. Only a ban keeps
-// requests off it: it runs nothing, and once the others have long queues it is the cheapest
-// at any finite cost.
+// A replica that is gone is still listed, and another replica has its address. Requests must never
+// be placed on it. A cost would not prevent that: it runs nothing, so once the queues of the others
+// are long enough it is the cheapest at any finite cost.
 func TestMisdirectedReplicaGetsNoRequests(t *testing.T) {
 	b := newTestBoard()
 	request := Ask{Prompt: 100, Zone: "a", Deadline: time.Hour}
@@ -160,7 +160,7 @@
 func TestAnsweredFailuresRaiseNoSuspicion(t *testing.T) {
 	b := newTestBoard()
 	b.Note(0, key(9), Note{Step: StepErred, Replica: "decode-1"})
-	must.Eq(t, 0, b.replicas["decode-1"].suspectUntil)
+	must.Eq(t, 0, b.replicas["decode-1"].avoidedUntil)
 	must.Greater(t, 0.0, b.replicas["decode-1"].failureRate)
 }
 
--- a/request/placement/cache.go
+++ b/request/placement/cache.go
@@ -8,9 +8,10 @@
 	lru    *list.List
 	parts  map[string]*list.Element
 	tokens int64
-	// pending counts, by part, the queued requests of the replica that will cache it. A
-	// replica looks up its cache when it starts a request, so not even a request queued
-	// behind these finds the part: it can only be waited for.
+	// pending holds, for each part, the number of queued requests of the replica that will
+	// cache it. A replica looks up its cache when it adds a request to its batch, which may be
+	// before the prompts ahead of it are read. So even a request queued behind those counted
+	// here does not find the part, unless it is sent only after the part was read.
 	pending map[string]int
 	// owner is the replica of the cache; index maps parts to it.
 	owner *replica
@@ -66,7 +67,7 @@
 	}
 }
 
-// drop removes the parts: the replica turned out not to have them.
+// drop removes parts that the replica turned out not to have cached.
 func (c *cache) drop(parts []Part) {
 	for _, part := range parts {
 		known := c.parts[part.ID]
@@ -79,7 +80,8 @@
 	}
 }
 
-// use moves the parts to the front and evicts the least recently used beyond limit tokens.
+// use adds the parts that are not cached, moves all of them to the front, and evicts the least
+// recently used parts beyond limit tokens.
 func (c *cache) use(parts []Part, limit int64) {
 	for _, part := range parts {
 		if known := c.parts[part.ID]; known != nil {
--- a/request/placement/change.go
+++ b/request/placement/change.go
@@ -10,13 +10,14 @@
 	expiresAt time.Duration // time from which the listed role is used in any case
 }
 
-// Change keeps requests off a replica that is changing to the role, for at least minDuration.
-// If it is not listed with the role after timeout, its listed role is used.
+// Change keeps requests off a replica that is changing to the role, for at least minDuration and
+// until it is listed with the role. After timeout its listed role is used in any case.
 func (b *Board) Change(now time.Duration, name string, role Role, minDuration, timeout time.Duration) {
 	b.changes[name] = roleChange{role: role, readyAt: now + minDuration, expiresAt: now + timeout}
 }
 
-// isChanging reports whether the replica gets no requests because of a role change.
+// isChanging reports whether the replica gets no requests because of a role change. It deletes a
+// change that is done or has timed out.
 func (b *Board) isChanging(now time.Duration, r *replica) bool {
 	pending, found := b.changes[r.Name]
 	if !found {
@@ -32,7 +33,7 @@
 // Occupancy is the work of one replica.
 type Occupancy struct {
 	Replica
-	Running  int // requests that have started to generate
+	Running  int // requests that have had their first token, unlike Load.Running
 	Queued   int // prompts in the read queue
 	Changing bool
 }
@@ -56,7 +57,8 @@
 	return all
 }
 
-// Idle reports whether the replica has no requests in flight.
+// Idle reports whether the replica has no requests in flight. This is true of a replica that is
+// not listed.
 func (b *Board) Idle(name string) bool {
 	known := b.replicas[name]
 	return known == nil || len(known.running)+len(known.queue) == 0
@@ -68,6 +70,7 @@
 // objectiveWeight is the weight of the latest objective in the average.
 const objectiveWeight = 0.05
 
+// add adds an objective to the average; the first one becomes the average.
 func (o *meanObjective) add(next time.Duration) {
 	if *o == 0 {
 		*o = meanObjective(next)
@@ -75,8 +78,9 @@
 	*o += meanObjective(objectiveWeight * float64(next-time.Duration(*o)))
 }
 
-// Starting returns decodeStartTime as a share of the mean objective. It rises when the
-// generators are overloaded.
+// Starting returns the time from the transfer of a prompt to the first token (decodeStartTime) as
+// a share of the mean objective, or 0 if no request had an objective. It rises when the generators
+// are overloaded.
 func (b *Board) Starting() float64 {
 	if b.objective == 0 {
 		return 0
--- a/request/placement/choose.go
+++ b/request/placement/choose.go
@@ -5,30 +5,32 @@
 	"time"
 )
 
-// Costs of an option beside its time to first token, as time.
+// Parameters of the cost of an option. The cost is the time to first token plus the following
+// costs, in units of time.
 const (
 	// perStreamCost is charged for each stream that a replica runs, since each slows the
 	// tokens of all others.
 	perStreamCost = 1500 * time.Microsecond
 	// transferSetup is the time before a KV cache transfer moves its first byte.
 	transferSetup = 8 * time.Millisecond
-	// transferCostPerThousand is charged per 1,000 tokens, so that transfers that save little
-	// stay rare.
+	// transferCostPerThousand is charged for each full 1,000 tokens, so that transfers that save
+	// little stay rare.
 	transferCostPerThousand = 500 * time.Microsecond
 	// crossZoneFactor multiplies the time and cost of a transfer between zones.
 	crossZoneFactor = 2
-	// newConnectionCost covers the round trip, the replica's time to accept the connection
-	// and a place among the connections that the replica limits. It makes each daemon use the
-	// few replicas that it is connected to as long as others are hardly better.
+	// newConnectionCost is charged if the daemon has no idle connection to the replica: for the
+	// round trip, for the time to accept the connection, and because a replica limits the number
+	// of its connections. It makes each daemon use the few replicas that it is connected to, as
+	// long as others are hardly better.
 	newConnectionCost = 10 * time.Millisecond
 	// crossZoneCost is charged if the generator is in another zone than the daemon.
 	crossZoneCost = time.Millisecond
 	// noFreeSlotCost keeps requests off replicas without a free slot.
 	noFreeSlotCost = 500 * time.Millisecond
-	// disturbanceShare is the share of the gap objective up to which reading a prompt may
-	// stall the streams on the same replica. Beyond it, each of these streams costs
-	// disturbedStreamCost, or lateDisturbedStreamCost for a request that would be late
-	// otherwise.
+	// Reading a prompt stalls the streams on the same replica. If the stall exceeds
+	// disturbanceShare of the gap objective, each of these streams is charged with
+	// disturbedStreamCost, or with lateDisturbedStreamCost if the request to be read would
+	// otherwise be late.
 	disturbanceShare        = 0.45
 	disturbedStreamCost     = 60 * time.Millisecond
 	lateDisturbedStreamCost = 30 * time.Millisecond
@@ -36,7 +38,8 @@
 	defaultGapObjective = 300 * time.Millisecond
 	// untrackedRequestTokens is the assumed number of unread tokens of an untracked request.
 	untrackedRequestTokens = 1500
-	// minFetchTokens is the smallest number of tokens that a fetch may save.
+	// minFetchTokens is the number of tokens that a fetch, or a wait for another read, must
+	// save at least.
 	minFetchTokens = 256
 )
 
@@ -55,6 +58,7 @@
 	refused bool
 }
 
+// readingReplica returns the replica that reads the prompt.
 func (o *option) readingReplica() *replica {
 	if o.reader != nil {
 		return o.reader
@@ -62,6 +66,8 @@
 	return o.generator
 }
 
+// answer returns the reply that states the option. For a refused one, timeToFirstToken is the time
+// after which to retry.
 func (o *option) answer() Answer {
 	if o.refused {
 		return Answer{Refused: true, RetryAfter: o.timeToFirstToken}
@@ -80,7 +86,7 @@
 }
 
 // choose returns the cheapest option for the request: placed now, or after a wait for parts
-// that are being read for other requests.
+// that are being read for other requests. It returns false if no generator can take the request.
 func (b *Board) choose(now time.Duration, request *Ask) (option, bool) {
 	candidates := b.candidates(now, request)
 	best, found := b.chooseNow(now, request, candidates)
@@ -94,14 +100,15 @@
 }
 
 // candidateReplicas are the replicas compared for one request: usable replicas of each role,
-// sorted by name, and for each zone the replica that has most of the prompt cached.
+// sorted by name, and for each zone the replica that has the longest prefix of the prompt cached.
 type candidateReplicas struct {
 	generators    []*replica
 	readers       []*replica
 	prefixHolders map[string]prefixHolder
 }
 
-// candidates returns the replicas that are compared for the request.
+// candidates returns the replicas that are compared for the request. It starts new choices in the
+// index (index.choiceNumber).
 func (b *Board) candidates(now time.Duration, request *Ask) candidateReplicas {
 	candidates := candidateReplicas{prefixHolders: b.prefixHolders(now, request)}
 	candidates.generators = b.shortlist(now, RoleDecode, request, candidates.prefixHolders)
@@ -111,11 +118,12 @@
 	return candidates
 }
 
-// chooseNow returns the cheapest option that places the request at once.
+// chooseNow returns the cheapest option that places the request at once; false if there is no
+// generator.
 //
-// The cost of a split is the sum of the reader's half, the generator's half and a transfer
-// that depends on their zones alone. So the best split consists of the best reader and the
-// best generator of some pair of zones, and no other pairs are compared.
+// The cost of a split is the sum of the reader's cost, the generator's cost, and that of a
+// transfer, which depends only on the zones of the two. So for each pair of zones only the
+// cheapest reader and the cheapest generator are compared.
 func (b *Board) chooseNow(now time.Duration, request *Ask, candidates candidateReplicas) (option, bool) {
 	var best option
 	found := false
@@ -145,8 +153,8 @@
 	return best, found
 }
 
-// generationHalf is the half of a split that generates from a prompt read elsewhere. It
-// waits behind the prompts that the generator still has to read.
+// generationHalf returns the half of a split that generates from a prompt read elsewhere. The
+// first token has to wait for the prompts that the generator still has to read.
 func (b *Board) generationHalf(now time.Duration, request *Ask, generator *replica) splitHalf {
 	timeToFirstToken := generator.backlog(now, b.readTimes[RoleDecode].perToken(), request) + b.decodeStartTime
 	return splitHalf{
@@ -179,7 +187,7 @@
 	*c = append(*c, next)
 }
 
-// acceptsRequests reports whether the replica is at its address and not listed as leaving.
+// acceptsRequests reports whether the replica is neither banned nor listed as leaving.
 func (r *replica) acceptsRequests(now time.Duration) bool { return !r.Leaving && !r.isBanned(now) }
 
 // prefixHolder is a replica that has leading parts of a prompt cached.
@@ -188,7 +196,8 @@
 	tokens  int
 }
 
-// prefixHolders returns, for each zone, the replica that has most of the prompt cached.
+// prefixHolders returns, for each zone, the replica that has the longest prefix of the prompt
+// cached.
 func (b *Board) prefixHolders(now time.Duration, request *Ask) map[string]prefixHolder {
 	best := map[string]prefixHolder{}
 	for last := len(request.Parts) - 1; last >= 0; last-- {
@@ -206,8 +215,8 @@
 	return best
 }
 
-// firstHolder returns the first of the replicas that has all of the parts cached and from
-// which they can be fetched, or nil.
+// firstHolder returns the first of the replicas, in the given order, that has all of the parts
+// cached and from which they can be fetched, or nil.
 func (b *Board) firstHolder(now time.Duration, holders []*replica, parts []Part) *replica {
 	for _, holder := range holders {
 		if holder.acceptsRequests(now) && !holder.isSuspected(now) && !b.isChanging(now, holder) && holder.cache.containsAll(parts) {
@@ -217,6 +226,7 @@
 	return nil
 }
 
+// totalTokens returns the number of tokens in the parts.
 func totalTokens(parts []Part) int {
 	tokens := 0
 	for _, part := range parts {
@@ -225,8 +235,8 @@
 	return tokens
 }
 
-// readOption is the reading of the prompt on a replica, with a fetch of parts that another
-// replica has cached if that saves time.
+// readOption returns the option of reading the prompt on a replica, without a generator. Parts
+// that another replica has cached are fetched from there if that saves time.
 func (b *Board) readOption(now time.Duration, request *Ask, at *replica, prefixHolders map[string]prefixHolder) option {
 	cachedTokens := at.cache.leadingTokens(request.Parts)
 	if own := prefixHolders[at.Zone]; own.replica == at {
@@ -241,7 +251,7 @@
 		if other.replica == at || saved < minFetchTokens {
 			continue
 		}
-		transferTime, transferCost := b.transfer(saved, other.replica.Zone, at.Zone)
+		transferTime, transferCost := b.estimateTransfer(saved, other.replica.Zone, at.Zone)
 		unread := max(request.Prompt-other.tokens, 0)
 		timeToFirstToken := transferTime + time.Duration(unread)*perToken
 		if timeToFirstToken+transferCost < best.cost || timeToFirstToken+transferCost == best.cost && other.replica.Name < nameOrEmpty(best.fetch) {
@@ -258,7 +268,7 @@
 	return best
 }
 
-// connectionCost is the cost of a new connection if the daemon has none to the replica.
+// connectionCost returns the cost of a new connection if the daemon has none to the replica.
 func (a *Ask) connectionCost(to *replica) time.Duration {
 	if slices.Contains(a.Connected, to.Name) {
 		return 0
@@ -266,6 +276,7 @@
 	return newConnectionCost
 }
 
+// nameOrEmpty returns the name of a replica, or an empty name for nil.
 func nameOrEmpty(r *replica) string {
 	if r == nil {
 		return ""
@@ -273,7 +284,7 @@
 	return r.Name
 }
 
-// failureCost is the cost of the replica's recent failures.
+// failureCost returns the cost of the replica's recent failures and of its announced shutdown.
 func (r *replica) failureCost(now time.Duration) time.Duration {
 	cost := time.Duration(r.failureRate * float64(fullFailureCost))
 	if r.isSuspected(now) || r.announcedLeaving {
@@ -282,9 +293,9 @@
 	return cost
 }
 
-// transfer returns the time that a transfer of the tokens takes, and the cost charged on
+// estimateTransfer returns the time to transfer the KV cache of the tokens, and the cost charged on
 // top of it.
-func (b *Board) transfer(tokens int, fromZone, toZone string) (took, cost time.Duration) {
+func (b *Board) estimateTransfer(tokens int, fromZone, toZone string) (took, cost time.Duration) {
 	factor := 1
 	if fromZone != toZone {
 		factor = crossZoneFactor
@@ -298,7 +309,7 @@
 	return took, cost
 }
 
-// directOption is the option in which the generator reads the prompt itself.
+// directOption returns the option in which the generator reads the prompt itself.
 func (b *Board) directOption(now time.Duration, request *Ask, generator *replica, prefixHolders map[string]prefixHolder) option {
 	next := b.readOption(now, request, generator, prefixHolders)
 	next.reader = nil
@@ -307,9 +318,9 @@
 	return next
 }
 
-// disturbanceCost is the effect of reading a prompt on the streams of the same replica. Their
-// tokens come between chunks of the prompt, so they are late if the reading lasts longer than
-// the gap objective allows.
+// disturbanceCost returns the cost of the delay that reading a prompt causes to the streams on the
+// same replica. The replica generates their tokens between chunks of the prompt, so tokens are
+// late if the reading, with the prompts ahead of it, lasts longer than the gap objective allows.
 func (b *Board) disturbanceCost(now time.Duration, request *Ask, unread int, generator *replica) time.Duration {
 	perToken := b.readTimes[RoleDecode].perToken()
 	gap := b.sheet.GapObjective
@@ -327,7 +338,7 @@
 	return stall/4 + time.Duration(len(generator.running))*perStream
 }
 
-// generationCost is the cost of generating on a replica, beside the time to first token.
+// generationCost returns the cost of generating on a replica, without the time to first token.
 func (b *Board) generationCost(now time.Duration, request *Ask, generator *replica) time.Duration {
 	running := len(generator.running) + generator.untrackedCount(now)
 	cost := time.Duration(running) * perStreamCost
@@ -340,9 +351,9 @@
 	return cost
 }
 
-// splitOption is the option in which one replica reads the prompt and another generates.
+// splitOption returns the option in which one replica reads the prompt and another generates.
 func (b *Board) splitOption(request *Ask, read option, generation splitHalf) option {
-	transferTime, transferCost := b.transfer(request.Prompt, read.reader.Zone, generation.zone)
+	transferTime, transferCost := b.estimateTransfer(request.Prompt, read.reader.Zone, generation.zone)
 	next := read
 	next.generator = generation.option.generator
 	next.timeToFirstToken += transferTime + generation.option.timeToFirstToken
--- a/request/placement/confine.go
+++ b/request/placement/confine.go
@@ -8,38 +8,41 @@
 
 // Some requests crash each replica that begins to run them. The requests in flight on a
 // crashed replica are retried, and the one that crashed it cannot be told from the others.
-// Spread over the rest of the fleet, it would crash further replicas and make suspects of all
-// requests there. So while replicas crash one after the other, each request that was in
-// flight at a crash is a suspect, and suspects run on a few isolated generators, one at a
-// time with nothing beside it. A suspect that is answered is cleared; one whose isolated
-// generator crashes is the cause. All other requests run on the other generators without
-// delay. A suspect under which enough replicas have crashed waits for the decision on its
-// quarantine, since each copy sent out meanwhile could crash one more.
+// If retries could go to any replica, that request would crash further replicas and make
+// suspects of all requests in flight there. So while replicas crash one after the other, each
+// request that was in flight at a crash is a suspect. Suspects run on a few isolated generators,
+// one at a time and with no other request on the generator. A suspect that gets a response is
+// cleared; one whose isolated generator crashes is the cause. All other requests run on the other
+// generators without delay. A suspect that was in flight at enough crashes waits for the decision
+// on its quarantine, since each copy placed until then could crash one more replica.
 //
-// Invariant: at any time, the generators that are isolated, plus those lost while isolated
-// within replicaRestartTime, are at most a third of the listed ones, or one if that is less.
-// Generators are isolated in a single place, which counts both.
+// Suspected replicas are something else: they recently gave no response.
+//
+// Invariant: at any time, the isolated generators plus those lost while isolated within the last
+// replicaRestartTime are at most a third of the listed generators, or one if a third is less than
+// one. Only isolation.update isolates generators, and it counts both.
 const (
-	// alertDuration is how long after its last sign a series of crashes is assumed to go on.
+	// alertDuration is how long a series of crashes is assumed to go on after the last alert.
 	alertDuration = 10 * time.Second
 	// isolatedDivisor is the inverse of the share of generators that may be isolated.
 	isolatedDivisor = 3
-	// maxIsolated limits them in a large service, where each request during an alert scans
-	// them.
+	// maxIsolated limits the number of isolated generators in a large service, since each
+	// request during an alert scans them.
 	maxIsolated = 64
 	// replicaRestartTime is how long a generator lost while isolated counts against the
 	// limit: a replica takes some seconds to restart.
 	replicaRestartTime = 4 * time.Second
 	// isolationDrainTime is how long a suspect waits for the requests that already run on a
-	// newly isolated generator.
+	// newly isolated generator. After that it is placed there even if some still run.
 	isolationDrainTime = 400 * time.Millisecond
-	// suspectWatchTime is how long after its first token a suspect still runs alone.
+	// suspectWatchTime is how long after the first token of a suspect no other suspect is placed
+	// on its generator.
 	suspectWatchTime = 300 * time.Millisecond
-	// suspectRetryInterval is the wait of a suspect for which no isolated generator is free.
+	// suspectRetryInterval is the wait of a suspect that cannot be placed yet.
 	suspectRetryInterval = 40 * time.Millisecond
-	// isolationIdleTime is how long after the last placement of a suspect generators stay
-	// isolated. Waiting suspects ask several times within it. Replicas that crash for reasons
-	// of their own raise an alert as well; nobody stays a suspect for long then, and the other
+	// isolationIdleTime is how long generators stay isolated after Place was last called for a
+	// suspect. Waiting suspects retry several times within it. Replicas that crash for reasons
+	// of their own also raise an alert; then no request stays a suspect for long, and the other
 	// requests need all remaining generators.
 	isolationIdleTime = 500 * time.Millisecond
 )
@@ -59,8 +62,10 @@
 // IsAlert reports whether such a series goes on, so that requests have to be identified.
 func (b *Board) IsAlert(now time.Duration) bool { return now < b.isolation.alertUntil }
 
-// admit updates the isolated generators and returns how long a suspect has to wait for one;
-// 0 lets the request be placed.
+// admit prepares the isolation for the placement of a request: it updates the isolated generators,
+// and keeps them isolated for another isolationIdleTime if the request is a suspect. Without an
+// alert it ends the isolation and clears request.Suspect. It returns how long a suspect has to
+// wait; 0 lets the request be placed.
 func (iso *isolation) admit(b *Board, now time.Duration, request *Ask) (wait time.Duration) {
 	if now >= iso.alertUntil {
 		iso.isolated, iso.lostAt = nil, nil
@@ -77,7 +82,9 @@
 	return suspectRetryInterval
 }
 
-// update drops isolated generators that were lost, and isolates as many as are allowed.
+// update ends the isolation of generators that were lost, of all generators if no suspect was to
+// be placed recently, and of some if too few healthy ones are left for other requests. It then
+// isolates as many generators as are allowed.
 func (iso *isolation) update(b *Board, now time.Duration) {
 	if iso.isolated == nil {
 		iso.isolated = map[string]time.Duration{}
@@ -96,7 +103,7 @@
 	listed, healthy := b.generators(now)
 	limit := min(max(listed/isolatedDivisor, 1), maxIsolated)
 	for len(iso.isolated) > 0 && len(iso.isolated) >= len(healthy) {
-		iso.releaseOne() // the other requests need a generator
+		iso.releaseOne() // other requests need at least one healthy generator
 	}
 	for len(iso.isolated)+len(iso.lostAt) < limit && len(iso.isolated) < len(healthy)-1 {
 		iso.isolated[iso.leastLoaded(healthy).Name] = now
@@ -108,7 +115,8 @@
 	delete(iso.isolated, slices.Min(slices.Collect(maps.Keys(iso.isolated))))
 }
 
-// generators returns the number of listed generators, and those that are healthy.
+// generators returns the number of listed generators that are not leaving, and those of them that
+// are healthy: neither banned nor suspected nor changing their role.
 func (b *Board) generators(now time.Duration) (listed int, healthy []*replica) {
 	for _, name := range b.names {
 		known := b.replicas[name]
@@ -140,7 +148,7 @@
 
 // allows reports whether the request may go to a replica: suspects run on free isolated
 // generators, all others on any other generator. Readers take all requests, since reading a
-// prompt crashes no replica.
+// prompt does not crash a replica.
 func (iso *isolation) allows(now time.Duration, at *replica, request *Ask) bool {
 	if now >= iso.alertUntil || at.Role != RoleDecode {
 		return true
@@ -167,8 +175,9 @@
 	return true
 }
 
-// delaySuspect answers a suspect that cannot be placed yet. It is refused if it has too
-// little time left to wait, early enough for its caller to retry.
+// delaySuspect returns the reply to a suspect that cannot be placed yet: to wait, or a refusal if
+// it has too little time left for that (less than two waits, or than suspectTimeLeftShare of its
+// age), early enough for its caller to retry.
 func (b *Board) delaySuspect(request *Ask, wait time.Duration) Answer {
 	if request.Deadline < 2*wait || request.Deadline < fraction(request.Age, suspectTimeLeftShare) {
 		return Answer{Refused: true, RetryAfter: replicaRestartTime}
@@ -176,17 +185,20 @@
 	return Answer{Wait: wait}
 }
 
-// suspectTimeLeftShare is the share of its age that a waiting suspect must have left. With
-// 0.5 it is refused after two thirds of its time, and may be cleared when it is retried.
+// suspectTimeLeftShare is the ratio of time left to age that a waiting suspect must have. With
+// 0.5 it is refused after two thirds of its total time, and may be cleared by the time of the
+// retry.
 const suspectTimeLeftShare = 0.5
 
-// generatorRetryInterval is the wait of a request while no generator is left. No request
-// waits past its objective.
+// generatorRetryInterval is the wait of a request while no generator is left. A request waits no
+// longer than objectiveShare of its objective (0.9 of it).
 const generatorRetryInterval = 50 * time.Millisecond
 
-// answerWithoutGenerator answers a request that no generator takes. If all generators are
-// gone, it waits as long as it can meet its objective, and is then refused with the time
-// after which a generator is expected.
+// answerWithoutGenerator returns the reply to a request that no generator can take. If no
+// generator is healthy, so that all of them are banned, suspected or changing their role, the
+// request waits as long as it can meet its objective, and is then refused with the time after
+// which a generator is expected. Otherwise, as when it excludes the healthy ones, it gets an empty
+// reply.
 func (b *Board) answerWithoutGenerator(now time.Duration, request *Ask) Answer {
 	listed, healthy := b.generators(now)
 	if listed == 0 || len(healthy) > 0 || request.Continued {
--- a/request/placement/confine_test.go
+++ b/request/placement/confine_test.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// An isolated replica is free again once its suspect has ended, or has been answering for
-// suspectWatchTime.
+// An isolated replica is free again once its suspect has ended, or had its first token
+// suspectWatchTime ago.
 func TestIsolatedReplicasRunOneSuspectAtATime(t *testing.T) {
 	b := newBoardWithGenerators(3)
 	b.Alert(0)
@@ -92,10 +92,9 @@
 	}
 }
 
-// Replicas stayed isolated for as long as an alert lasts, even if no suspect asked for them.
-// After 23 replicas had crashed for reasons of their own, a common request that was in flight on
-// two of them raised an alert, and isolation took a third of the remaining capacity for ten
-// seconds.
+// The isolation lasted for as long as the alert, whether or not any suspect was to be placed. After
+// 23 replicas had crashed for reasons of their own, a common request that was in flight on two of
+// them raised an alert, and isolation took a third of the remaining capacity for ten seconds.
 func TestIsolationEndsWhenNoSuspectAsks(t *testing.T) {
 	used := func(b *Board, now time.Duration) int {
 		names := map[string]bool{}
--- a/request/placement/failure.go
+++ b/request/placement/failure.go
@@ -2,28 +2,33 @@
 
 import "time"
 
-// Backoff times and costs of replicas that failed.
+// Periods for which requests are kept off replicas that failed, and costs of such replicas. Each
+// period doubles with further failures, from its min to its max value.
 const (
+	// A replica that gave no response is suspected for this time.
 	minSuspicion = 500 * time.Millisecond
 	maxSuspicion = 8 * time.Second
-	// A refusal is an answer, so its backoff is shorter.
+	// A replica that refused a request is avoided for this time. The time is shorter, since
+	// the replica still responds.
 	minRefusal = 100 * time.Millisecond
 	maxRefusal = 1600 * time.Millisecond
-	// The replica is no longer at its listed address: it is gone, or another replica has the
-	// address. The list still names it until the list's reader has seen it leave, which takes
-	// longer while no member of the control plane can read the list.
+	// A replica is banned for this time if it is no longer at its listed address: it is gone,
+	// or another replica has the address. It stays listed until the process that calls
+	// SetReplicas has learned that it left, which takes longer while no control plane member
+	// can read the source of the list.
 	minBan = time.Second
 	maxBan = 16 * time.Second
-	// suspectCost is charged for a replica that has just given no answer. It is a cost rather
+	// suspectCost is charged for a replica that has just given no response. It is a cost rather
 	// than a ban, so that the others are not overloaded when many replicas are suspected.
 	suspectCost = 1500 * time.Millisecond
 	// fullFailureCost is charged for a replica whose failure rate is 1.
 	fullFailureCost = 400 * time.Millisecond
-	failureWeight   = 0.2
+	// failureWeight is the weight of the latest step in the failure rate.
+	failureWeight = 0.2
 )
 
 // recordFailure records a failure of a replica. p is the request that it failed, or nil if
-// the board no longer tracks it. A replica that answers, even with failures, is not suspected
+// the board no longer tracks it. A replica that responds with an error of its own is not suspected
 // to be gone.
 func (b *Board) recordFailure(now time.Duration, note Note, p *placedRequest) {
 	failed := b.replicas[note.Replica]
@@ -33,7 +38,7 @@
 	failed.failureRate += failureWeight * (1 - failed.failureRate)
 	switch note.Step {
 	case StepErred:
-		failed.suspicionPeriod, failed.suspectUntil = 0, 0
+		failed.suspicionPeriod, failed.avoidedUntil = 0, 0
 	case StepRefused:
 		failed.recordRefusal(now)
 	case StepMisdirected, StepGone:
@@ -44,7 +49,7 @@
 	b.index.move(failed)
 }
 
-// suspect starts or extends the suspicion of a replica that gave no answer. All requests that
+// suspect starts or extends the suspicion of a replica that gave no response. All requests that
 // it had when it went silent fail one after the other but are evidence of one failure, so only
 // a request placed after the last suspicion began extends it.
 func (r *replica) suspect(now time.Duration, p *placedRequest) {
@@ -52,13 +57,13 @@
 		return
 	}
 	r.suspicionPeriod = min(max(2*r.suspicionPeriod, minSuspicion), maxSuspicion)
-	r.suspectedAt, r.suspectUntil = now, now+r.suspicionPeriod
+	r.suspectedAt, r.avoidedUntil = now, now+r.suspicionPeriod
 }
 
-// isSuspected reports whether requests are kept off the replica: it recently gave no answer,
-// or the one request that probes whether it answers again is in flight.
+// isSuspected reports whether requests are kept off the replica: it recently gave no response, or
+// refused a request, or the one request that probes whether it responds again is in flight.
 func (r *replica) isSuspected(now time.Duration) bool {
-	return now < r.suspectUntil || r.suspicionPeriod > 0 && r.probe != nil
+	return now < r.avoidedUntil || r.suspicionPeriod > 0 && r.probe != nil
 }
 
 // startProbe makes the first request that is placed on the replica after a suspicion its
@@ -76,21 +81,22 @@
 	}
 }
 
-// recordRefusal keeps requests off a replica that refuses them: since it runs nothing, it
-// looks idle and would attract all of them. The backoff doubles with each refusal after the
-// previous backoff; a refusal during it is of a request sent earlier, and is ignored.
+// recordRefusal keeps requests off a replica that refuses them. Such a replica runs nothing, so it
+// looks idle and would attract all requests. The backoff doubles with each refusal that comes after
+// the end of the previous backoff. A refusal during a backoff is that of a request sent before it
+// began, and is ignored.
 func (r *replica) recordRefusal(now time.Duration) {
-	if now < r.suspectUntil {
+	if now < r.avoidedUntil {
 		return
 	}
 	r.refusalBackoff = min(max(2*r.refusalBackoff, minRefusal), maxRefusal)
-	r.suspectUntil = now + r.refusalBackoff
+	r.avoidedUntil = now + r.refusalBackoff
 }
 
-// ban keeps all requests off a replica that is no longer at its listed address. This is a ban
-// rather than a cost: a request sent there is certain to be refused and uses up a retry. The
-// report is outdated if p was placed before the last ban, or on the replica in an earlier role,
-// in which it was asked for something else.
+// ban keeps all requests off a replica that is no longer at its listed address. A cost would not
+// be enough, since a request sent there is certain to be refused and uses up a retry. The failure
+// of p is ignored if p was placed before the last ban began, or while the replica had an earlier
+// role, in which it was asked for something else.
 func (r *replica) ban(now time.Duration, p *placedRequest) {
 	if r.isBanned(now) || p != nil && (p.isOnRemovedReplica(r) || r.banPeriod > 0 && p.placedAt < r.bannedSince) {
 		return
@@ -99,8 +105,8 @@
 	r.bannedSince, r.bannedUntil = now, now+r.banPeriod
 }
 
-// isOnRemovedReplica reports whether the request was placed on a replica of the same name that
-// has since been removed, as by a role change.
+// isOnRemovedReplica reports whether the request was placed on a replica with the name of r that
+// has since been removed, for instance by a role change.
 func (p *placedRequest) isOnRemovedReplica(r *replica) bool {
 	for _, on := range []*replica{p.runningOn, p.queuedOn} {
 		if on != nil && on != r && on.Name == r.Name {
@@ -110,10 +116,12 @@
 	return false
 }
 
-// recordLeaving records that a replica announced that it leaves. This holds as long as the
-// board tracks the process; the list shows it as leaving later and then drops it. Until then
-// this is a cost rather than a ban: if nothing else is left, the replica still serves for a
-// while. Each daemon excludes it once its own time to send there is over.
+// recordLeaving records that a replica announced that it will shut down. The announcement holds as
+// long as the board tracks the process. Some time later the replica is listed as leaving, and then
+// no longer listed. Until it is listed as leaving, placing requests there is charged with a cost
+// rather than banned, since the replica still serves for a while and may be the only one left. Each
+// daemon excludes the replica once the time in which the daemon may still send requests there is
+// over.
 func (b *Board) recordLeaving(name string) {
 	if known := b.replicas[name]; known != nil {
 		known.announcedLeaving = true
@@ -127,12 +135,13 @@
 // isBanned reports whether the replica is banned.
 func (r *replica) isBanned(now time.Duration) bool { return now < r.bannedUntil }
 
-// recordSuccess records that the replica completed a step of p, which ends its suspicion
-// although other requests may be unanswered. It ends a ban only if p was placed after it began.
+// recordSuccess records that the replica completed a step of p. This ends the suspicion of the
+// replica, although it may not have responded to other requests. It ends a ban only if p was
+// placed after the ban began.
 func (r *replica) recordSuccess(p *placedRequest) {
 	r.failureRate *= 1 - failureWeight
 	r.suspicionPeriod, r.refusalBackoff = 0, 0
-	r.suspectUntil = 0
+	r.avoidedUntil = 0
 	r.probe = nil
 	if p.placedAt >= r.bannedSince {
 		r.banPeriod, r.bannedUntil = 0, 0
--- a/request/placement/fairness.go
+++ b/request/placement/fairness.go
@@ -2,35 +2,37 @@
 
 import "time"
 
-// Large prompts are the first to miss their objective, so an overload would defer and refuse
-// them before all others until hardly any was served. Requests of a class are therefore
-// grouped by size, and a size group that is served far less often than its class as a whole
-// is neither deferred nor refused until it has caught up.
+// Large prompts take longest to read, so in an overload they are the first to miss their objective
+// and would be deferred and refused before all others. Hardly any of them would then be served.
+// Requests of a class are therefore grouped by size, and a size group that is served far less often
+// than its class as a whole is neither deferred nor refused until it has caught up.
 
-// Size groups of a class: the largest tenth, and the fifth below it.
+// Shares of the size groups in the requests of a class: the largest tenth, and the fifth below it.
 const (
 	largestShare = 0.1
-	largeShare   = 0.3 // of both groups together
+	largeShare   = 0.3 // share of both groups together
 )
 
 // Parameters of the statistics of a class.
 const (
-	// starvedShare is the share of its class's served rate below which a group is starved.
+	// A group is starved if its share of served requests is below starvedShare times that of
+	// its class.
 	starvedShare = 0.6
-	// minGroupRequests is the number of requests that the rate of a group needs: the rate of
-	// fewer says little.
+	// minGroupRequests is the number of counted requests below which a group is not considered
+	// starved, since a share of so few requests is mostly chance.
 	minGroupRequests = 8
 	// servedTimeConstant is the time constant with which counted requests decay.
 	servedTimeConstant = 20 * time.Second
 	// classIdleTimeout is the time without a request after which a class is removed.
 	classIdleTimeout = 10 * servedTimeConstant
-	// quantileStep is the step of a size bound, as a share of the mean size.
+	// quantileStep scales the step by which each request moves a size bound, as a share of the
+	// mean size.
 	quantileStep = 0.05
 	// meanWeight is the weight of the latest request in the mean size.
 	meanWeight = 0.02
 )
 
-// class groups the requests whose served rates are compared.
+// class groups the requests whose shares of served requests are compared.
 type class struct {
 	priority  int
 	objective time.Duration
@@ -42,8 +44,8 @@
 // sizeGroup is a group of the requests of a class, by prompt length.
 type sizeGroup uint8
 
-// Size groups. groupAll counts all requests; it is also the group of a request that is in
-// neither of the others.
+// Size groups. groupAll counts all requests of the class. Requests that are neither large nor
+// largest have groupAll as their group.
 const (
 	groupAll sizeGroup = iota
 	groupLarge
@@ -51,13 +53,14 @@
 	sizeGroupCount // number of groups
 )
 
-// fairness holds the size bounds of one class and the rates at which its groups are served.
+// fairness holds the size bounds of one class and the shares of requests that are served in its
+// groups.
 type fairness struct {
 	mean                     float64 // tokens
 	largeBound, largestBound float64 // lower bounds of the groups, in tokens
 	// served is the share of requests that reached their first token, by group.
 	served        [sizeGroupCount]recentShare
-	lastRequestAt time.Duration // time of the last request
+	lastRequestAt time.Duration
 }
 
 func newFairness() *fairness {
@@ -68,8 +71,9 @@
 	return result
 }
 
-// fairnessOf returns the statistics of the request's class. Adding a class removes those that
-// have had no request for classIdleTimeout, as after objectives were changed.
+// fairnessOf returns the statistics of the request's class, and adds them if the class is new.
+// Then it also removes the classes that have had no request for classIdleTimeout, for instance
+// because objectives were changed.
 func (b *Board) fairnessOf(now time.Duration, request *Ask) *fairness {
 	statistics := b.fairness[request.class()]
 	if statistics != nil {
@@ -127,7 +131,8 @@
 	return counted.value(now) < starvedShare*f.served[groupAll].value(now)
 }
 
-// updateBounds adjusts the size bounds so that each keeps its share of requests above it.
+// updateBounds moves the size bounds so that, over many requests, a share of largeShare is above
+// the lower bound and a share of largestShare above the upper one.
 func (f *fairness) updateBounds(size float64) {
 	if f.mean == 0 {
 		f.mean, f.largeBound, f.largestBound = size, size, size
@@ -138,8 +143,8 @@
 	f.largestBound = max(updatedQuantile(f.largestBound, size, largestShare, f.mean), f.largeBound)
 }
 
-// updatedQuantile returns the bound above which the given share of sizes lies, after one more
-// size.
+// updatedQuantile returns a bound moved by one more size. Over many sizes, it converges to the
+// bound that the share above of them exceeds.
 func updatedQuantile(bound, size, above, mean float64) float64 {
 	if size > bound {
 		return bound + quantileStep*mean*(1-above)
--- a/request/placement/fairness_test.go
+++ b/request/placement/fairness_test.go
@@ -59,7 +59,8 @@
 	must.Less(t, 0.01, statistics.served[groupAll].hits.value(10*servedTimeConstant))
 }
 
-// Objectives that change with each configuration must not accumulate classes.
+// Each objective that was ever configured makes a class; idle classes must be removed so that they
+// do not accumulate.
 func TestIdleClassesAreRemoved(t *testing.T) {
 	b := newTestBoard()
 	for number := range uint64(50) {
@@ -68,8 +69,9 @@
 	must.LessEq(t, 4, len(b.fairness))
 }
 
-// In a permanent overload, small prompts are in time and large ones would always be deferred
-// behind them. Large prompts must be placed in time again once too few of them were served.
+// In a permanent overload, small prompts are in time and large ones would always be deferred, so
+// that none would be served. Once too few large prompts were served, they must be placed without
+// being deferred.
 func TestLargePromptsAreNotDeferredForever(t *testing.T) {
 	b := newTestBoard()
 	now, number := time.Duration(0), uint64(0)
--- a/request/placement/index.go
+++ b/request/placement/index.go
@@ -7,22 +7,23 @@
 	"time"
 )
 
-// A request is not compared on every replica, since its cost depends on few of them. A replica
-// that has parts of its prompt cached, or that its daemon is connected to, may be better than
-// others; among the rest, an idle one costs least in its zone. So the index orders the replicas
-// of each zone and role by their work, and maps each part to the replicas that have it. It is
-// updated with each event of a request, and the number of replicas that a choice examines
-// does not grow with the service.
+// A choice does not compare all replicas, since few of them can be the best one for a request. A
+// replica that has parts of the prompt cached, or to which the daemon is connected, may cost less
+// than others; among the rest of a zone, an idle one costs least. So the index orders the replicas
+// of each zone and role by their work (see replica.work), and maps each part to the replicas that
+// have it cached. It is updated with each event of a request, and the number of replicas that a
+// choice examines does not grow with the service.
 //
-// Invariant: if no zone has more than maxPerGroup replicas of a role, the choice equals the
-// choice among all replicas.
+// Invariant: if no zone has more than maxPerGroup replicas of a role, nor more than maxAllHolders
+// replicas that have a part cached, the choice equals the choice among all replicas.
 
 // Limits on the replicas that one choice examines.
 const (
 	// maxPerGroup is the number of replicas of a zone and role compared if none is idle.
 	maxPerGroup = 16
-	// Up to maxAllHolders replicas of a zone that have a part are all examined. If there are
-	// more, the first maxIdleHolders idle ones among the first maxHoldersSearched are.
+	// If at most maxAllHolders replicas of a zone have a part cached, all of them are examined.
+	// If there are more, the first maxHoldersSearched of them are searched for up to
+	// maxIdleHolders idle ones.
 	maxAllHolders      = 16
 	maxHoldersSearched = 48
 	maxIdleHolders     = 4
@@ -36,12 +37,14 @@
 	groups map[groupKey]*group
 	// groupsByZone holds the groups of each role by zone.
 	groupsByZone [2][]*group
-	// holders maps a part to the replicas that have it cached, by zone and name.
+	// holders maps a part to the replicas that have it cached, sorted by zone and name.
 	holders map[string][]*replica
-	// pending maps a part to the replicas with a queued request that will cache it, by name.
+	// pending maps a part to the replicas with a queued request that will cache it, sorted by
+	// name.
 	pending map[string][]*replica
-	// visit is the number of the current choice; replicas that it examined carry it.
-	visit uint64
+	// choiceNumber is the number of the current choice of a shortlist. The choice records it in
+	// the replicas that it examines.
+	choiceNumber uint64
 }
 
 type groupKey struct {
@@ -52,27 +55,30 @@
 // group holds the replicas of one zone and role.
 type group struct {
 	zone string
-	// Both rankings are by work and then by name. Impaired replicas have recently failed a
-	// request, or announced that they leave.
+	// Impaired replicas have recently failed a request, or announced that they will shut down;
+	// see isImpaired.
 	healthy, impaired ranking
 }
 
-// ranking holds replicas by their amount of work, and each level by name.
+// ranking holds replicas by level of work; the replicas of a level are sorted by name.
 type ranking [workLevels][]*replica
 
-// position is the place of a replica in the index.
+// position is the place of a replica in the index; it is zero for a replica without one.
 type position struct {
 	group   *group
 	ranking *ranking
 	level   int
 }
 
+// newIndex returns an index without replicas.
 func newIndex() *index {
 	return &index{groups: map[groupKey]*group{}, holders: map[string][]*replica{}, pending: map[string][]*replica{}}
 }
 
+// byName compares replicas by name.
 func byName(a, b *replica) int { return strings.Compare(a.Name, b.Name) }
 
+// byZoneAndName compares replicas by zone and then by name.
 func byZoneAndName(a, b *replica) int {
 	if order := strings.Compare(a.Zone, b.Zone); order != 0 {
 		return order
@@ -80,7 +86,7 @@
 	return byName(a, b)
 }
 
-// insertSorted adds the replica to the sorted list; removeSorted removes it.
+// insertSorted adds the replica to the sorted list, unless one that compares equal is there.
 func insertSorted(list []*replica, r *replica, compare func(a, b *replica) int) []*replica {
 	pos, found := slices.BinarySearchFunc(list, r, compare)
 	if found {
@@ -89,6 +95,7 @@
 	return slices.Insert(list, pos, r)
 }
 
+// removeSorted removes the replica from the sorted list if it is there.
 func removeSorted(list []*replica, r *replica, compare func(a, b *replica) int) []*replica {
 	pos, found := slices.BinarySearchFunc(list, r, compare)
 	if !found || list[pos] != r {
@@ -97,8 +104,8 @@
 	return slices.Delete(list, pos, pos+1)
 }
 
-// group returns the group of the zone and role, and creates it if needed.
-func (x *index) group(key groupKey) *group {
+// ensureGroup returns the group of the zone and role, and creates it if needed.
+func (x *index) ensureGroup(key groupKey) *group {
 	known := x.groups[key]
 	if known == nil {
 		known = &group{zone: key.zone}
@@ -109,7 +116,8 @@
 	return known
 }
 
-// work returns the number of requests queued on a reader, or in flight on a generator.
+// work returns the number by which the index ranks a replica: the requests queued on a prefill
+// replica, or in flight on a decode replica.
 func (r *replica) work() int {
 	if r.Role == RolePrefill {
 		return len(r.queue)
@@ -117,12 +125,14 @@
 	return len(r.running)
 }
 
-// isImpaired reports whether the replica has recently failed or announced that it leaves.
+// isImpaired reports whether the replica has failed and not succeeded often enough since, or has
+// announced that it will shut down.
 func (r *replica) isImpaired() bool {
 	return r.announcedLeaving || r.failureRate >= impairedRate
 }
 
-// impairedRate is the failure rate from which a replica is ranked after all that do not fail.
+// impairedRate is the failure rate from which a replica is impaired: it is then considered for a
+// shortlist only after the healthy replicas of its group.
 const impairedRate = 0.01
 
 // move updates the position of the replica after a change of its work or state.
@@ -131,7 +141,7 @@
 		return
 	}
 	level := min(r.work(), workLevels-1)
-	target := x.group(groupKey{r.Zone, r.Role})
+	target := x.ensureGroup(groupKey{r.Zone, r.Role})
 	order := &target.healthy
 	if r.isImpaired() {
 		order = &target.impaired
@@ -152,7 +162,7 @@
 	r.position = position{}
 }
 
-// forget removes a replica that is no longer listed.
+// forget removes a replica that is no longer listed, with its cached and pending parts, for good.
 func (x *index) forget(r *replica) {
 	x.unrank(r)
 	r.isRemoved = true
@@ -164,13 +174,14 @@
 	}
 }
 
-// addHolder records that the replica has a part cached, removeHolder that it has not.
+// addHolder records that the replica has a part cached.
 func (x *index) addHolder(r *replica, id string) {
 	if !r.isRemoved {
 		x.holders[id] = insertSorted(x.holders[id], r, byZoneAndName)
 	}
 }
 
+// removeHolder records that the replica no longer has a part cached.
 func (x *index) removeHolder(r *replica, id string) {
 	left := removeSorted(x.holders[id], r, byZoneAndName)
 	if len(left) == 0 {
@@ -180,14 +191,14 @@
 	x.holders[id] = left
 }
 
-// addPending records that a queued request will cache a part on the replica, removePending
-// that none will.
+// addPending records that a queued request will cache a part on the replica.
 func (x *index) addPending(r *replica, id string) {
 	if !r.isRemoved {
 		x.pending[id] = insertSorted(x.pending[id], r, byName)
 	}
 }
 
+// removePending records that no queued request will cache a part on the replica.
 func (x *index) removePending(r *replica, id string) {
 	left := removeSorted(x.pending[id], r, byName)
 	if len(left) == 0 {
@@ -210,7 +221,7 @@
 	return zones
 }
 
-// each calls visit for the replicas of a ranking, least work first, until it returns false.
+// each calls visit for the replicas of a ranking, least work first, until visit returns false.
 func (o *ranking) each(visit func(level int, r *replica) bool) {
 	for level := range o {
 		for _, r := range o[level] {
@@ -221,8 +232,8 @@
 	}
 }
 
-// shortlist collects the replicas of one role that are compared for one request.
-type shortlist struct {
+// shortlistBuilder collects the replicas of one role that are compared for one request.
+type shortlistBuilder struct {
 	board   *Board
 	now     time.Duration
 	role    Role
@@ -230,10 +241,11 @@
 	found   []*replica
 }
 
-// shortlist returns the replicas of the role that are compared for the request, by name.
+// shortlist returns the replicas of the role that are compared for the request, sorted by name. It
+// starts a new choice in the index.
 func (b *Board) shortlist(now time.Duration, role Role, request *Ask, prefixHolders map[string]prefixHolder) []*replica {
-	list := &shortlist{board: b, now: now, role: role, request: request}
-	b.index.visit++
+	list := &shortlistBuilder{board: b, now: now, role: role, request: request}
+	b.index.choiceNumber++
 	if request.Suspect && role == RoleDecode {
 		for name := range b.isolation.isolated {
 			list.add(b.replicas[name])
@@ -259,23 +271,24 @@
 	return list.found
 }
 
-// add adds the replica if the request may go there. It reports whether the replica is on the
-// list.
-func (l *shortlist) add(r *replica) bool {
-	if r == nil || r.Role != l.role || r.visited == l.board.index.visit {
-		return r != nil && r.isListed == l.board.index.visit
+// add adds the replica if it has the role and the request may go there. It reports whether the
+// replica is on the shortlist, now or from an earlier call.
+func (l *shortlistBuilder) add(r *replica) bool {
+	if r == nil || r.Role != l.role || r.examinedInChoice == l.board.index.choiceNumber {
+		return r != nil && r.shortlistedInChoice == l.board.index.choiceNumber
 	}
-	r.visited = l.board.index.visit
+	r.examinedInChoice = l.board.index.choiceNumber
 	if !l.board.isUsable(l.now, r, l.request) {
 		return false
 	}
-	r.isListed = r.visited
+	r.shortlistedInChoice = r.examinedInChoice
 	l.found = append(l.found, r)
 	return true
 }
 
-// addHolders adds replicas of one zone that have a part of the prompt cached.
-func (l *shortlist) addHolders(holders []*replica) {
+// addHolders adds replicas of one zone that have a part of the prompt cached, as limited by
+// maxAllHolders.
+func (l *shortlistBuilder) addHolders(holders []*replica) {
 	if len(holders) <= maxAllHolders {
 		for _, r := range holders {
 			l.add(r)
@@ -293,11 +306,12 @@
 	}
 }
 
-// addGroup adds the replicas of one zone with the least work. An idle one costs no more than
-// any other that is neither connected nor has a part cached, so it ends the search.
-func (l *shortlist) addGroup(zoneGroup *group) {
+// addGroup adds the replicas with the least work of one zone and role, healthy ones first. An
+// idle healthy replica costs no more than any other of the zone that is neither connected to the
+// daemon nor has a part of the prompt cached, so the search ends with it.
+func (l *shortlistBuilder) addGroup(zoneGroup *group) {
 	considered := 0
-	isIdle := false
+	isIdle := false // whether the last replica added is idle
 	zoneGroup.healthy.each(func(level int, r *replica) bool {
 		if l.add(r) {
 			considered++
--- a/request/placement/leaving_test.go
+++ b/request/placement/leaving_test.go
@@ -7,8 +7,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// A replica that announced that it leaves gets no requests while others are left and is not
-// counted for role changes, although the list still shows it as ready. Its requests go on.
+// A replica that announced its shutdown gets no requests while other replicas are left, and is not
+// in Occupancies, although it is not listed as leaving yet. Its requests in flight continue.
 func TestReplicaThatAnnouncedLeavingIsUsedLast(t *testing.T) {
 	board := NewBoard()
 	entries := []Replica{{Name: "a", Role: RoleDecode}, {Name: "b", Role: RoleDecode}}
@@ -18,7 +18,7 @@
 	board.Note(0, Key{"d", 0}, Note{Step: StepLeaving, Replica: first.Generator})
 	must.Eq(t, 1, board.Summarize(0).InFlight)
 	must.SliceLen(t, 1, board.Occupancies(0))
-	board.SetReplicas(Sheet{}, entries) // the list does not show it yet
+	board.SetReplicas(Sheet{}, entries) // it is not listed as leaving yet
 	for number := uint64(2); number < 8; number++ {
 		must.NotEq(t, first.Generator, board.Place(0, Key{"d", number}, request).Generator)
 	}
@@ -31,7 +31,7 @@
 	must.Eq(t, first.Generator, board.Place(0, Key{"d", 9}, alone).Generator, must.Sprint("no other replica is left"))
 	restarted := []Replica{{Name: "a", Role: RoleDecode, Born: 7}, {Name: "b", Role: RoleDecode, Born: 7}}
 	board.SetReplicas(Sheet{}, restarted)
-	must.SliceLen(t, 1, board.Occupancies(0), must.Sprint("a Born value that was unknown before is that of the same process"))
+	must.SliceLen(t, 1, board.Occupancies(0), must.Sprint("a process whose Born value becomes known is the same process"))
 	for i := range restarted {
 		restarted[i].Born++
 	}
--- a/request/placement/order.go
+++ b/request/placement/order.go
@@ -2,29 +2,33 @@
 
 import "time"
 
-// In an overload, requests that can meet their objective go first. A request that would miss
-// it behind the others is deferred, which makes room for one that would not: a late answer is
-// worth less, but hardly less if it comes later still. A request that would not even meet its
-// deadline is refused at once, while its caller has time to retry. A board whose read times
-// are still initial estimates refuses nothing.
+// In an overload, requests that can meet their objective are read first. A request that would miss
+// its objective in the queue is deferred: it is read after all others, so that others can still be
+// in time. A response after the objective is worth less, but hardly less still if it is delayed
+// further. A request that would not even meet its deadline is refused at once, while its caller has
+// time to retry. While the read times are still initial estimates, no request is refused because of
+// them.
 //
-// Invariant: a deferred request delays one that is not deferred only while it is itself
-// being read, and the estimate of the other request includes exactly that. So deferring one
-// request never makes the next one late.
+// Invariant: a deferred request delays a request that is not deferred only while the deferred one
+// is being read, and the estimate of the other request includes exactly that time. So no request
+// becomes late because an earlier one was deferred.
 const (
 	// objectiveShare is the share of the objective that an estimate may use.
 	objectiveShare = 0.9
-	// deadlineShare is the share of the time left that the estimate of a deferred request
-	// may use, since others will still go ahead of it.
+	// deadlineShare is the share of the time left until the deadline that the estimate of a
+	// deferred request may use. The rest allows for requests that are placed later and read
+	// before it.
 	deadlineShare = 0.8
-	// overloadShare is the share of late requests from which late requests are deferred.
+	// overloadShare is the share of late requests, among the recent ones with an objective, from
+	// which late requests are deferred.
 	overloadShare = 0.15
 	// latenessTimeConstant is the time constant with which requests decay in that share.
 	latenessTimeConstant = 4 * time.Second
 )
 
-// chooseOrDefer returns the cheapest option for the request. It defers or refuses a request
-// that would be late.
+// chooseOrDefer returns the cheapest option for the request. It sets request.deferred and chooses
+// again if the request has to be deferred, and returns a refusal if a deferred request would miss
+// its deadline. It also records whether the request would be late.
 func (b *Board) chooseOrDefer(now time.Duration, request *Ask) (option, bool) {
 	chosen, found := b.chooseForObjective(now, request)
 	if !found {
@@ -46,8 +50,9 @@
 	return chosen, found
 }
 
-// chooseForObjective returns the cheapest option for the request. A request that would be late
-// on busy readers may be read on a generator that runs streams, if it is in time there.
+// chooseForObjective returns the cheapest option for the request. If that option is late, a lower
+// cost of disturbing streams applies, so that a request which is late on busy readers can be read
+// on a generator that runs streams. The new option is returned if it is in time.
 func (b *Board) chooseForObjective(now time.Duration, request *Ask) (option, bool) {
 	chosen, found := b.choose(now, request)
 	if !found || !request.isLate(chosen.timeToFirstToken) {
@@ -62,10 +67,10 @@
 	return alternative, true
 }
 
-// shouldDefer reports whether the request yields to those that can meet their objective.
+// shouldDefer reports whether the request is to be read after those that can meet their objective.
 func (b *Board) shouldDefer(now time.Duration, request *Ask, late bool) bool {
 	if request.surging {
-		return true // even if few are late, as is the case while it yields
+		return true // even without an overload, since deferring the surge keeps other requests in time
 	}
 	return late && b.isOverloaded(now) && !b.isStarved(now, request)
 }
@@ -84,9 +89,9 @@
 	return b.lateness.value(now), b.lateness.events.value(now)
 }
 
-// isOverloaded reports whether enough requests are late for their order to matter. If few
-// are, no request needs the room that a deferred one makes, and a request whose estimate was
-// too high would have been in time.
+// isOverloaded reports whether enough requests are late for their order to matter. If few are,
+// deferring a request helps no other one, and it makes a request late that would have been in time
+// if its estimate was too high.
 func (b *Board) isOverloaded(now time.Duration) bool {
 	return b.lateness.value(now) >= overloadShare
 }
@@ -106,6 +111,7 @@
 	return a.Age+timeToFirstToken > fraction(a.Objective, objectiveShare)
 }
 
+// fraction returns part times the duration.
 func fraction(of time.Duration, part float64) time.Duration {
 	return time.Duration(part * float64(of))
 }
--- a/request/placement/order_test.go
+++ b/request/placement/order_test.go
@@ -61,8 +61,8 @@
 	must.True(t, b.Place(0, key(300), late()).Deferred)
 }
 
-// Deferred requests make no other request late: a request that would be in time without them
-// still is.
+// Deferred requests that wait in a queue do not delay other requests: the estimate of a request is
+// the same with and without them.
 func TestDeferredRequestsDelayNoOthers(t *testing.T) {
 	b := newTestBoard()
 	placeRequests(b, 12, func() Ask { return requestWithObjective(6_000, 600*ms) })
--- a/request/placement/pace.go
+++ b/request/placement/pace.go
@@ -4,18 +4,19 @@
 
 // Parameters of the measured read times.
 const (
-	// priorSamples is the weight of each of the two initial points of the fit, which lie at
-	// zero and at priorTokens tokens.
+	// The fit of the read times starts with two points computed from the initial estimates, at
+	// zero and at priorTokens tokens. Each has the weight of priorSamples samples.
 	priorSamples = 2
 	priorTokens  = 8_000
-	// readTimeSamples is the sample window of a small service.
+	// readTimeSamples is the number of samples over which read times are averaged (the sample
+	// window) in a small service.
 	readTimeSamples = 100
-	// smallServiceReplicas is the size up to which a service counts as small. The window of
-	// a larger one grows in proportion, so that a short disturbance of a few replicas does
-	// not change the estimate for all.
+	// smallServiceReplicas is the number of replicas up to which a service counts as small. In
+	// a larger service the sample window is larger in proportion, so that a short disturbance of
+	// a few replicas does not change the estimate for all.
 	smallServiceReplicas = 12.5
-	// A sample is limited to outlierFactor times the expected time plus outlierSlack: a read
-	// that took longer waited for something else.
+	// A sample is limited to outlierFactor times the expected time plus outlierSlack, since a
+	// read that took longer was delayed by something else.
 	outlierFactor = 1.5
 	outlierSlack  = 10 * time.Millisecond
 	// trustedSamples is the number of samples that outweigh the initial estimates.
@@ -24,10 +25,11 @@
 	minTokenTime = 500 * time.Nanosecond
 )
 
-// readTime estimates how long reading takes, as a fixed time that many requests can spend at
-// once, and a time per token that they spend one after the other. The fixed time is learned
-// only from reads with no other read in progress on the replica, so that an overload is not
-// mistaken for a larger fixed time; the time per token is learned from all reads.
+// readTime estimates how long a replica takes to read a prompt: a fixed time, which passes for
+// many requests at once, plus a time per token, in which the replica reads for one request only.
+// The fixed time is learned only from reads with no other read in progress on the replica, so that
+// an overload is not mistaken for a larger fixed time; the time per token is learned from all
+// reads.
 type readTime struct {
 	idleFit line // fit of the reads on replicas that were reading nothing else
 	// Exponentially decaying sums over all samples; took is in seconds, without fixed times.
@@ -72,13 +74,14 @@
 	t.samples++
 }
 
-// sampleWindow returns the sample window of a service with the given number of replicas, from
+// sampleWindow returns the sample window of a service with the given number of replicas; small is
 // the window of a small service.
 func sampleWindow(small float64, replicas int) float64 {
 	return small * max(float64(replicas)/smallServiceReplicas, 1)
 }
 
-// clampOutlier limits a sample by its expected value.
+// clampOutlier limits a measured time to the range from 0 to outlierFactor times the expected time
+// plus outlierSlack.
 func clampOutlier(took, expected time.Duration) time.Duration {
 	return min(max(took, 0), fraction(expected, outlierFactor)+outlierSlack)
 }
--- a/request/placement/queue.go
+++ b/request/placement/queue.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// The board assumes that a replica completes the prompt that it is reading, and then takes
-// the others by arrival, deferred ones last. So a deferred request delays others only while
-// it is itself being read. In fact replicas read by urgency and then by arrival. The board
-// ignores that among requests that are not deferred: a more urgent one is read sooner, but
-// each that it overtakes waits for it, and counting both effects comes to the same.
+// A replica completes the prompt that it is reading, and then reads the queued ones by urgency and,
+// among those of equal urgency, by arrival. Deferred requests are the least urgent, so they delay
+// others only while they are being read themselves. Among the other requests, the board ignores
+// urgency and estimates as if they were read by arrival: a more urgent request is read earlier than
+// estimated, each request that it overtakes is read later, and the two effects cancel out.
 
 // isReadAfter reports whether the request is read after one that was placed earlier.
 func (a *Ask) isReadAfter(earlier *Ask) bool { return a.deferred || !earlier.deferred }
@@ -62,5 +62,6 @@
 // overdue.
 const minReadRemaining = time.Millisecond
 
-// lastInQueue is a request that is read after everything in a queue.
+// lastInQueue is a request that is read after all queued ones. Its backlog is that of the whole
+// queue.
 var lastInQueue = &Ask{deferred: true}
--- a/request/placement/read_test.go
+++ b/request/placement/read_test.go
@@ -7,8 +7,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// The start of a request says nothing about a reader that has not read its prompt: the parts
-// were cached on the generator, and the reader stays banned.
+// If the generator has read the prompt in place of the reader, the first token is not recorded for
+// the reader: the parts are cached on the generator only, and the reader stays banned.
 func TestStartSaysNothingAboutASkippedReader(t *testing.T) {
 	b := newTestBoard()
 	first := b.Place(0, key(1), Ask{Prompt: 20_000, Zone: "a", Deadline: time.Hour, Parts: []Part{{ID: "p", Tokens: 20_000}}})
@@ -33,7 +33,7 @@
 		b.Note(10*ms, key(1), Note{Step: step, Replica: first.Reader})
 		generator := b.replicas[first.Generator]
 		must.SliceLen(t, 1, generator.queue)
-		must.Eq(t, 10*ms, b.inFlight[key(1)].placedAt, must.Sprint("the read time is measured from here"))
+		must.Eq(t, 10*ms, b.inFlight[key(1)].placedAt, must.Sprint("the read on the generator is measured from the failure on the reader"))
 		must.SliceEmpty(t, b.replicas[first.Reader].queue)
 		must.Nil(t, b.replicas[first.Reader].probe, must.Sprint("the probe has ended"))
 		b.Note(500*ms, key(1), Note{Step: StepStarted})
@@ -44,8 +44,8 @@
 	}
 }
 
-// The misdirection of a request from before a role change says nothing about the new role, since
-// the replica was asked for something else then.
+// A misdirection of a request that was placed before a role change does not ban the replica in its
+// new role, since the replica was asked for something else then.
 func TestMisdirectionInAnEarlierRoleIsIgnored(t *testing.T) {
 	b := newTestBoard()
 	placed := b.Place(0, key(1), Ask{Prompt: 100, Zone: "a", Deadline: time.Hour, Excluded: []string{"decode-2"}})
@@ -59,7 +59,7 @@
 	must.False(t, b.replicas["decode-1"].isBanned(20*ms))
 }
 
-// The misdirection of a request placed before the last ban does not extend the next one.
+// A misdirection of a request that was placed before the last ban does not start a longer ban.
 func TestMisdirectionOfARequestPlacedBeforeTheBanIsIgnored(t *testing.T) {
 	b := newTestBoard()
 	alone := Ask{Prompt: 100, Zone: "a", Deadline: time.Hour, Excluded: []string{"decode-2"}}
@@ -84,8 +84,8 @@
 	}
 }
 
-// The start of a request placed before the ban does not end it, since its report may have been
-// on the way for longer than that of the misdirection.
+// The first token of a request that was placed before a ban does not end the ban, since the first
+// token may have come before the misdirection and been reported after it.
 func TestStartOfARequestPlacedBeforeTheBanKeepsTheBan(t *testing.T) {
 	b := newTestBoard()
 	alone := Ask{Prompt: 100, Zone: "a", Deadline: time.Hour, Excluded: []string{"decode-2"}}
--- a/request/placement/recent.go
+++ b/request/placement/recent.go
@@ -10,7 +10,7 @@
 type recentCount struct {
 	timeConstant time.Duration
 	sum          float64
-	at           time.Duration // time to which sum has decayed
+	at           time.Duration // time of the last event, for which sum is valid
 }
 
 // add counts one event.
@@ -27,7 +27,7 @@
 	return c.sum * math.Exp(-float64(max(now-c.at, 0))/float64(c.timeConstant))
 }
 
-// recentShare is the share of recent events that were hits.
+// recentShare is the share of hits among recent events. Every hit is also counted as an event.
 type recentShare struct{ events, hits recentCount }
 
 func newRecentShare(timeConstant time.Duration) recentShare {
--- a/request/placement/summary.go
+++ b/request/placement/summary.go
@@ -2,19 +2,21 @@
 
 import "time"
 
-// Summary is a snapshot of a service's board, with the answers given since the previous
+// Summary is a snapshot of a service's board, with the replies to Place since the previous
 // summary.
 type Summary struct {
 	InFlight int     // placed requests that have not ended
-	Late     float64 // recent share of requests with an objective that could not be placed in time
-	// Readers and Generators are the replicas of each role that may take requests.
+	Late     float64 // share of recent requests with an objective that could not be placed in time
+	// Readers and Generators are the loads of the replicas of each role, without those that are
+	// leaving or changing their role.
 	Readers    Load
 	Generators Load
-	// Cold counts the replicas that have next to nothing cached, Suspect those that are
-	// avoided while others are left.
+	// Cold counts the replicas that have fewer than minWarmParts parts cached, Suspect those
+	// that are avoided while others are left, since they gave no response or refused a request.
 	Cold    int
 	Suspect int
-	// Handover is the time from the transfer of a read prompt to the first token.
+	// Handover is the time from the end of the transfer of a prompt's KV cache to the first
+	// token. It does not include the transfer, unlike the handover of router.Speed.
 	Handover time.Duration
 	Answers  Answers
 }
@@ -29,18 +31,18 @@
 	PerToken time.Duration // time per token of a read
 }
 
-// Answers counts the answers of a board.
+// Answers counts the replies of a board to Place.
 type Answers struct {
 	Placed   int
 	Split    int // of the placed: with a separate reader
 	Fetched  int // of the placed: with a fetch of cached parts
-	Deferred int // of the placed: read after all others
+	Deferred int // of the placed: deferred, that is, read after all others
 	Waits    int
 	Refused  int
 	Unread   int // tokens of the placed requests that had to be read
 }
 
-// add counts one answer.
+// add counts one reply.
 func (a *Answers) add(given *Answer) {
 	switch {
 	case given.Refused:
@@ -59,6 +61,7 @@
 	a.Deferred += boolToInt(given.Deferred)
 }
 
+// boolToInt returns 1 for true and 0 for false.
 func boolToInt(condition bool) int {
 	if condition {
 		return 1
@@ -66,7 +69,7 @@
 	return 0
 }
 
-// Summarize returns a summary and resets the answer counts.
+// Summarize returns a summary and resets the counts of replies.
 func (b *Board) Summarize(now time.Duration) Summary {
 	summary := Summary{
 		InFlight: len(b.inFlight),
--- a/request/placement/takeover.go
+++ b/request/placement/takeover.go
@@ -2,17 +2,18 @@
 
 import "time"
 
-// A board lives in one process, and its successor starts empty: it would consider every
-// replica idle, send work to those that already have a queue, and mistake the waiting time
-// for slow reading. The daemons that requested placements know what is in flight, so
-// each of them reports it to a new board at once.
+// The state of a board is lost with its process, and the board of the next process starts empty.
+// Such a board would consider every replica idle, place requests on replicas that already have a
+// queue, and mistake the waiting time in these queues for slow reading. The daemons that requested
+// placements know what is in flight, so each of them reports it to a new board at once.
 
-// unreportedGrace is the age up to which a placed request may be missing from its daemon's
-// report: the daemon asked for it while it sent the report, and still waits for the answer.
+// unreportedGrace is the age up to which a placed request is kept although its daemon's report
+// does not contain it: the daemon may have requested the placement around the time of the report,
+// and still wait for the reply.
 const unreportedGrace = 100 * time.Millisecond
 
-// TakeOver adds the requests that a daemon has in flight, and removes its other requests. Read
-// times are not learned from requests that other boards placed.
+// TakeOver adds the requests that a daemon reports as in flight, and removes its other requests
+// that are older than unreportedGrace. Read times are not learned from the added requests.
 func (b *Board) TakeOver(now time.Duration, daemon string, reported map[uint64]Placed) {
 	for key, p := range b.inFlight {
 		_, known := reported[key.Number]
@@ -28,7 +29,7 @@
 	}
 }
 
-// adopt adds one request that another board, or its daemon, has placed.
+// adopt adds one request that another board placed, or that its daemon placed without a board.
 func (b *Board) adopt(now time.Duration, key Key, reported Placed) {
 	generator := b.replicas[reported.Answer.Generator]
 	if generator == nil {
@@ -43,7 +44,7 @@
 	generator.running[p] = struct{}{}
 	b.inFlight[key] = p
 	b.index.move(generator)
-	if reported.Step != 0 {
+	if reported.Step != 0 { // the prompt has been read
 		p.started = reported.Step == StepStarted
 		return
 	}
--- a/request/placement/takeover_test.go
+++ b/request/placement/takeover_test.go
@@ -43,7 +43,7 @@
 	b.Place(0, Key{Daemon: "b", Number: 1}, requestWithObjective(9_000, 0))
 	kept := b.inFlight[Key{Daemon: "a", Number: 2}]
 	later := unreportedGrace + ms
-	b.Place(later, Key{Daemon: "a", Number: 5}, requestWithObjective(9_000, 0)) // its answer is still on the way
+	b.Place(later, Key{Daemon: "a", Number: 5}, requestWithObjective(9_000, 0)) // too recent to be reported
 	b.TakeOver(later, "a", map[uint64]Placed{
 		2: {Ask: kept.request, Answer: kept.answer},
 		9: {Ask: requestWithObjective(9_000, 0), Answer: Answer{Generator: "gone"}},
@@ -53,7 +53,7 @@
 	must.True(t, b.inFlight[Key{Daemon: "a", Number: 2}] == kept)
 }
 
-// Each request counts by its stage: queued for reading, read, or generating.
+// Each request is tracked according to the reported step: queued to be read, read, or generating.
 func TestTakenOverRequestsCountByTheirStep(t *testing.T) {
 	b := newTestBoard()
 	answer := Answer{Generator: "decode-1", Reader: "prefill-1", Unread: 9_000}
--- a/request/placement/tenants.go
+++ b/request/placement/tenants.go
@@ -5,26 +5,30 @@
 	"time"
 )
 
-// In an overload, a tenant that asks for far more than it usually does would delay all other
-// tenants as much as itself, the more so the more it asks. Its demand above a few times its
-// baseline is therefore deferred and gets the remaining capacity; if nothing waits, that is all
-// that it asks for. Each tenant is compared with its own baseline only, so neither large nor
-// small tenants are at a disadvantage.
+// If requests were read by arrival only, a tenant whose demand rises far above its usual level
+// would cause an overload in which all tenants are late alike, the more so the higher its demand.
+// The demand of a tenant above surgeFactor times its baseline is therefore deferred. It gets the
+// capacity that other requests leave, which is all that it needs if no other request waits. Each
+// tenant is compared with its own baseline only, so neither large nor small tenants are at a
+// disadvantage.
 const (
 	// recentTimeConstant and baselineTimeConstant are the time constants with which tokens
 	// decay in a tenant's recent demand and in its baseline.
 	recentTimeConstant   = 2 * time.Second
 	baselineTimeConstant = 30 * time.Second
-	// surgeFactor is the multiple of its baseline that a tenant may ask for. Waves that all
-	// tenants share stay below it. Demand counts towards the baseline only up to it, so the
-	// baseline of a tenant that grows permanently doubles about every ten seconds.
+	// surgeFactor is the multiple of its baseline up to which the demand of a tenant is not
+	// deferred. Variations in load that all tenants share stay below it. Demand above it does
+	// not raise the baseline, so the baseline of a tenant whose demand grows permanently
+	// doubles about every ten seconds.
 	surgeFactor = 3
-	// tenantWarmup is how long a tenant must be known before it has a baseline.
+	// tenantWarmup is how long a tenant must be known before its demand is compared with its
+	// baseline.
 	tenantWarmup = 10 * time.Second
-	// minSurgeRequests is the number of recent requests below which there is no surge: with
-	// few requests, their random spacing looks like one.
+	// minSurgeRequests is the decayed count of recent requests below which a tenant's demand is
+	// never a surge: with few requests, random clusters of arrivals look like one.
 	minSurgeRequests = 20
-	// maxTenants limits the number of tracked tenants; tenants beyond it are not limited.
+	// maxTenants limits the number of tracked tenants; requests of further tenants are never
+	// deferred for a surge.
 	maxTenants = 1 << 14
 )
 
@@ -34,15 +38,16 @@
 	requests  recentCount
 	recent    recentCount
 	baseline  recentCount
-	// credit accumulates the allowed share of each request; a whole unit lets one request go
-	// without being deferred.
+	// credit grows by the allowed share (0 to 1) with each request. At 1 the request is not
+	// deferred and uses up the credit. So that share of the requests is not deferred.
 	credit float64
 }
 
 // tenants holds the demand of each tenant by name.
 type tenants map[string]*tenantDemand
 
-// recordRequest counts a request, and reports whether it exceeds what its tenant may ask for.
+// recordRequest counts a request, and reports whether it is part of a surge of its tenant and so
+// has to be deferred.
 func (t tenants) recordRequest(now time.Duration, request *Ask) (exceeds bool) {
 	demand := t.demandOf(now, request.Tenant)
 	if demand == nil {
@@ -95,13 +100,15 @@
 	}
 }
 
-// allowed returns the share of the tenant's recent demand that is not a surge.
+// allowed returns the share of the tenant's recent demand that is not a surge, 0 to 1.
 func (d *tenantDemand) allowed(now time.Duration) float64 {
 	if now-d.firstSeen < tenantWarmup || d.requests.value(now) < minSurgeRequests {
 		return 1
 	}
 	recent := d.recent.value(now) / recentTimeConstant.Seconds()
-	// The count of a steady demand grows from zero towards its rate times the time constant.
+	// With steady demand, the decayed count grows from zero towards its limit, the rate of demand
+	// times the time constant. Dividing by steadyCount therefore yields the rate even for a tenant
+	// that has not been known for long.
 	steadyCount := baselineTimeConstant.Seconds() * (1 - math.Exp(-float64(now-d.firstSeen)/float64(baselineTimeConstant)))
 	return min(surgeFactor*d.baseline.value(now)/steadyCount/recent, 1)
 }
--- a/request/placement/tenants_test.go
+++ b/request/placement/tenants_test.go
@@ -8,22 +8,22 @@
 	"github.com/shoenig/test/must"
 )
 
-// A simulated load without network: two readers, two generators, and 40 tenants that together
-// ask for about half of the read capacity, two of them for eight times as much as each other
-// one. From the 20th second on, a small tenant asks for 400 times as much, as a batch job does.
-// Each reader reads one prompt at a time in the time that the board estimates, deferred ones
-// last.
+// Parameters of a simulated load without network: two readers, two generators, and 40 tenants that
+// together use about half of the read capacity. Two tenants have eight times the demand of each
+// other one. From loadSurge on, a small tenant has 400 times its previous demand, as a batch job
+// would. Each reader reads one prompt at a time, in the time that the board estimates, and deferred
+// prompts last.
 const (
 	loadTenants = 40
 	loadStep    = 10 * time.Millisecond
 	loadSurge   = 20 * time.Second
 	loadEnd     = 32 * time.Second
 	loadPrompt  = 2000
-	// loadObjective is taken from the deployment that showed this load.
+	// loadObjective is the objective in the deployment where such a load occurred.
 	loadObjective = 500 * time.Millisecond
 )
 
-// loadRead is one read of the load.
+// loadRead is one prompt to be read.
 type loadRead struct {
 	tenant string
 	number uint64
@@ -122,8 +122,8 @@
 	return share(inTime[true]), share(inTime[false])
 }
 
-// If tenants are not distinguished, one that asks for far more than it usually does delays all
-// others; compared with its baseline, it delays only itself.
+// A tenant whose demand rises far above its baseline delays all others if tenants are not
+// distinguished. If they are, it delays only itself.
 func TestSurgingTenantDoesNotDelayOthers(t *testing.T) {
 	surgingAlike, othersAlike := simulateLoad(t, func(string) string { return "" })
 	surging, others := simulateLoad(t, func(tenant string) string { return tenant })
@@ -133,7 +133,7 @@
 	must.Greater(t, 0.02, surging, must.Sprint("the surging tenant gets the remaining capacity"))
 }
 
-// Waves that all tenants share, and tenants with few requests, are not surges.
+// Variations in load that all tenants share, and tenants with few requests, are not surges.
 func TestUsualDemandIsNoSurge(t *testing.T) {
 	known := tenants{}
 	for now := time.Duration(0); now < time.Minute; now += 50 * time.Millisecond {
@@ -152,10 +152,11 @@
 	}
 }
 
-// A surging tenant keeps its allowed demand; if its growth lasts, its baseline follows.
+// During a surge, the allowed share of a tenant's demand is not deferred. If the higher demand
+// lasts, the baseline rises to it.
 func TestSurgingTenantKeepsItsBaseline(t *testing.T) {
 	known := tenants{}
-	first := func(from, to, each time.Duration) float64 {
+	shareNotDeferred := func(from, to, each time.Duration) float64 {
 		all, kept := 0, 0
 		for now := from; now < to; now += each {
 			if all++; !known.recordRequest(now, &Ask{Tenant: "large", Prompt: 3000}) {
@@ -164,10 +165,10 @@
 		}
 		return float64(kept) / float64(all)
 	}
-	first(0, time.Minute, 100*time.Millisecond)
-	must.Between(t, 0.25, first(time.Minute, 65*time.Second, 10*time.Millisecond), 0.6)
-	first(65*time.Second, 2*time.Minute, 10*time.Millisecond)
-	must.Eq(t, 1, first(2*time.Minute, 125*time.Second, 10*time.Millisecond))
+	shareNotDeferred(0, time.Minute, 100*time.Millisecond)
+	must.Between(t, 0.25, shareNotDeferred(time.Minute, 65*time.Second, 10*time.Millisecond), 0.6)
+	shareNotDeferred(65*time.Second, 2*time.Minute, 10*time.Millisecond)
+	must.Eq(t, 1, shareNotDeferred(2*time.Minute, 125*time.Second, 10*time.Millisecond))
 }
 
 func TestTenantsAreBounded(t *testing.T) {
--- a/request/placement/types.go
+++ b/request/placement/types.go
@@ -1,14 +1,19 @@
-// Package placement decides which replicas of a model service read (prefill) and answer
-// each request. One board per service tracks all requests in flight: the prompts that every
-// replica still has to read, the requests that it runs, and the prompt parts that it caches.
+// Package placement decides which replicas of a model service read the prompt (prefill) and
+// generate the output of each request. One board per service tracks all requests in flight: the
+// prompts that every replica still has to read, the requests that it runs, and the prompt parts
+// that it caches.
 //
 // The reader of a request is the replica that reads its prompt, the generator the one that
-// generates its tokens; one decode replica may do both.
+// generates its tokens; one decode replica may do both. A daemon is a process that requests
+// placements and sends the requests to the replicas. The listed replicas are those last passed
+// to SetReplicas, with the changes made by Put and Remove since.
 //
-// A board reads no clock and performs no I/O. It is not safe for concurrent use.
+// A board reads no clock and performs no I/O. It is not safe for concurrent use. The argument
+// now of its methods is the time since a fixed start, the same for all calls; it must not
+// decrease.
 //
-// Guarantees: an answer names only replicas that are listed, accept requests, have the
-// right role and are not excluded; equal boards give equal answers to equal requests.
+// Guarantees: a placement names only replicas that are listed, accept requests, have the
+// right role and are not excluded; equal boards give equal placements to equal requests.
 package placement
 
 import "time"
@@ -19,30 +24,32 @@
 // Roles of replicas.
 const (
 	RoleDecode  Role = iota // generates tokens; reads prompts more slowly, interleaved with decoding
-	RolePrefill             // reads prompts and hands over their KV cache
+	RolePrefill             // reads prompts and transfers their KV cache to the generator
 )
 
-// Replica is the listed state of one replica.
+// Replica is the state of one replica in the list given to SetReplicas.
 type Replica struct {
 	Name    string
 	Zone    string
 	Role    Role
-	Slots   int // maximum concurrent requests; 0 if unknown
-	Leaving bool
-	// Born identifies the process among those that had the same name; 0 if unknown.
+	Slots   int  // maximum concurrent requests; 0 if unknown
+	Leaving bool // is shutting down and gets no further requests
+	// Born distinguishes successive processes with the same name; 0 if unknown.
 	Born int64
 }
 
 // Sheet holds the configured properties that all replicas of a service share.
 type Sheet struct {
-	KVTokens     int64   // KV cache capacity of one replica, in tokens; 0 if unknown
-	BytesPerTok  int64   // KV cache size of one token
-	LinkMbps     float64 // bandwidth for KV cache transfers
+	KVTokens    int64   // KV cache capacity of one replica, in tokens; 0 if unknown
+	BytesPerTok int64   // KV cache size of one token, in bytes
+	LinkMbps    float64 // bandwidth for KV cache transfers, in Mbit/s; 0 if unknown
+	// GapObjective is the objective for the time between two tokens of a stream; 0 selects
+	// defaultGapObjective.
 	GapObjective time.Duration
 }
 
 // Part is a segment of a prompt. Requests may share leading parts; the last part belongs to
-// one request or session.
+// one request or session. ID identifies the segment; how it is derived is up to the caller.
 type Part struct {
 	ID     string
 	Tokens int
@@ -50,47 +57,52 @@
 
 // Ask is a request to be placed.
 type Ask struct {
-	Prompt   int // length in tokens
-	Output   int // maximum number of output tokens
-	Priority int
-	Zone     string
+	Prompt   int    // length in tokens
+	Output   int    // maximum number of output tokens
+	Priority int    // fairness applies among requests of equal priority and objective
+	Zone     string // zone of the requesting daemon
 	// Tenant identifies the caller; empty if callers are not distinguished.
 	Tenant string
 	Parts  []Part
-	// Objective is the time-to-first-token objective, measured from the arrival; 0 if there
-	// is none. Age is the time since the arrival.
+	// Objective is the time-to-first-token objective, measured from the arrival of the request
+	// at the daemon; 0 if there is none. Age is the time since that arrival.
 	Objective time.Duration
 	Age       time.Duration
-	// Deadline is the time left until an answer is of no use.
+	// Deadline is the time left, from the call of Place, until a response is of no use; at 0
+	// none is left.
 	Deadline time.Duration
+	// Excluded names replicas on which the request must not be placed.
 	Excluded []string
 	// Connected names replicas to which the requesting daemon has an idle open connection.
 	Connected []string
 	// Continued requests resume a broken stream; their generator reads the prompt.
 	Continued bool
 
-	// Name identifies the content of the request, the same for copies of it. It is empty
-	// unless an answer has asked for it.
+	// Name identifies the content of the request; copies and retries have the same name. It is
+	// empty unless the daemon was asked for it by Answer.Name.
 	Name string
 	// Suspect marks a request that may have crashed a replica; it runs on an isolated
-	// replica. The caller of Place sets it.
+	// replica. The caller of Place sets it. Suspected replicas are something else: they
+	// recently gave no response.
 	Suspect bool
-	// Judged marks a suspect under which enough replicas have crashed: it waits for the
-	// decision on its quarantine. The caller of Place sets it.
+	// Judged marks a suspect that was in flight at enough crashes for a quarantine: it is not
+	// placed until the quarantine has been decided. The caller of Place sets it.
 	Judged bool
 
-	// deferred is true while options are compared that let all other requests go first.
+	// deferred requests are read after all others.
 	deferred bool
-	// wouldBeLate is true while options are compared for a request that would miss its
+	// wouldBeLate is set while options are compared for a request that would miss its
 	// objective; delays to streams on the same replica then cost less.
 	wouldBeLate bool
-	// surging marks demand of the tenant that exceeds surgeFactor times its baseline.
+	// surging marks a request by which the demand of its tenant exceeds surgeFactor times the
+	// tenant's baseline.
 	surging bool
 	// group is the size group of the request, set when it is placed.
 	group sizeGroup
 }
 
-// Answer is the placement of a request.
+// Answer is the board's reply to an Ask: a placement, a wait, a refusal or a request for the
+// name.
 type Answer struct {
 	// Generator runs the request; empty if no replica can.
 	Generator string
@@ -101,11 +113,11 @@
 	Fetch string
 	// Unread is the number of prompt tokens that still have to be read.
 	Unread int
-	// Estimate is the expected time to first token.
+	// Estimate is the expected time from the placement to the first token.
 	Estimate time.Duration
-	// Wait, if not 0, is the time after which to ask again: the request is not placed now,
-	// for instance because parts that it shares are being read for another request. All
-	// other fields are empty then.
+	// Wait, if not 0, is the time after which the daemon should call Place again: the request
+	// is not placed now, for instance because parts that it shares are being read for another
+	// request. All other fields are empty then.
 	Wait time.Duration
 	// Deferred marks a request that is read after all others, since it would miss its
 	// objective or exceeds what its tenant may ask for.
@@ -114,10 +126,11 @@
 	// the other, apparently under some request. All other fields are empty then.
 	Name bool
 	// Alone says that nothing else is in flight on the generator and that nothing else is
-	// placed there until the request has been answering for a while.
+	// placed there until suspectWatchTime after the first token of the request.
 	Alone bool
-	// Refused marks a request that could not be answered before its deadline; RetryAfter is
-	// the delay after which a retry may succeed. All other fields are empty then.
+	// Refused marks a request that the board does not place, since it would miss its deadline;
+	// RetryAfter is the delay after which a retry may succeed. All other fields are empty then.
+	// StepRefused is a refusal by a replica instead.
 	Refused    bool
 	RetryAfter time.Duration
 }
@@ -130,23 +143,23 @@
 	StepRead        Step = iota + 1 // the reader has read the prompt
 	StepStarted                     // the first token has arrived
 	StepEnded                       // the request has completed
-	StepFailed                      // the replica gave no answer, or broke it off
-	StepErred                       // the replica answered with an error of its own
+	StepFailed                      // the replica gave no response, or broke it off
+	StepErred                       // the replica responded with an error of its own
 	StepRefused                     // the replica refused to run the request
-	StepMisdirected                 // another replica answered at its address
+	StepMisdirected                 // another replica responded at its address
 	StepUnread                      // the reader has not read the prompt; the generator does
 	StepGone                        // nothing listens at the address of the replica
-	StepLeaving                     // the replica announced that it leaves; its requests go on
+	StepLeaving                     // the replica announced that it will shut down; its requests continue
 )
 
-// Note reports progress of a request to the board. Replica is the subject of StepFailed,
-// StepErred, StepRefused, StepMisdirected, StepUnread, StepGone and StepLeaving. If it is the
-// reader of the request, the request goes on at its generator.
+// Note reports progress of a request to the board. For StepFailed, StepErred, StepRefused,
+// StepMisdirected, StepUnread, StepGone and StepLeaving, Replica names the replica concerned. If
+// it is the reader of the request, the request continues on its generator.
 type Note struct {
 	Step    Step
 	Replica string
 	// Told is the number of running and waiting requests that the replica reported when it
-	// completed the step; 0 if it reported none.
+	// completed the step; 0 if it reported that it has none, or reported nothing.
 	Told int
 }
 
--- a/request/placement/wait.go
+++ b/request/placement/wait.go
@@ -5,29 +5,32 @@
 	"time"
 )
 
-// A replica looks up the cached parts of a prompt when it starts the request. A request whose
-// shared parts are still being read for another one would read them again, even behind that
-// one in the same queue. Once they are read, they are cached there, and any other replica can
-// fetch them within milliseconds. So a request waits for them if that gives the earlier first
-// token.
+// A replica looks up the cached parts of a prompt when it adds the request to its batch, which may
+// be before the prompts ahead of it are read. So if the parts that a request shares with another
+// one are still being read, the replica reads them again, even if the request is queued behind the
+// other one on the same replica. Once the parts have been read, that replica has them cached, and
+// any other can fetch them within milliseconds. A request therefore waits for them before it is
+// placed, if its first token then comes earlier.
 const (
-	// minWait is the shortest wait; a shorter one would only make the request ask again sooner.
+	// minWait is the shortest wait. A shorter one would only make the daemon call Place again
+	// too early.
 	minWait = 15 * time.Millisecond
-	// A read is not waited for once it has taken more than overdueFactor times its expected
-	// time plus overdueSlack: its daemon may be gone.
+	// A request does not wait for a read that has taken more than overdueFactor times its
+	// expected time plus overdueSlack, since the daemon of that read may be gone.
 	overdueFactor = 2
 	overdueSlack  = 150 * time.Millisecond
 )
 
-// pendingRead is a queued request that will cache parts which another request shares.
+// pendingRead is a queued request that will cache leading parts of the prompt to be placed.
 type pendingRead struct {
 	replica *replica
-	tokens  int           // leading tokens cached afterwards
+	tokens  int           // leading tokens of the prompt that are cached once it has been read
 	readyIn time.Duration // time until they are cached
 }
 
-// chooseAfterWait returns the cheapest option for the request after shared parts of a queued
-// request have been read; false if no queued request shares enough parts.
+// chooseAfterWait returns the cheapest option for the request if it is placed only when the parts
+// that it shares with a queued request have been read; false if no queued request shares enough
+// parts.
 func (b *Board) chooseAfterWait(now time.Duration, request *Ask, candidates candidateReplicas) (option, bool) {
 	awaited, found := b.firstPendingRead(now, request, candidates.prefixHolders)
 	if !found {
@@ -49,14 +52,14 @@
 	return later, true
 }
 
-// firstPendingRead returns the queued request that is the first to have read more of the
-// prompt than any replica has cached.
+// firstPendingRead returns, of the queued requests on all replicas that will cache a longer prefix
+// of the prompt than any replica has cached, the one that is read first.
 func (b *Board) firstPendingRead(now time.Duration, request *Ask, prefixHolders map[string]prefixHolder) (pendingRead, bool) {
 	cachedTokens := 0
 	for _, known := range prefixHolders {
 		cachedTokens = max(cachedTokens, known.tokens)
 	}
-	next, found := partAtOffset(request.Parts, cachedTokens)
+	next, found := partIDAtOffset(request.Parts, cachedTokens)
 	if !found {
 		return pendingRead{}, false
 	}
@@ -72,8 +75,9 @@
 	return best, best.replica != nil
 }
 
-// partAtOffset returns the first part that begins at or after the given number of tokens.
-func partAtOffset(parts []Part, tokens int) (string, bool) {
+// partIDAtOffset returns the ID of the first part that begins at or after the given number of
+// tokens; false if there is none.
+func partIDAtOffset(parts []Part, tokens int) (string, bool) {
 	begins := 0
 	for _, part := range parts {
 		if begins >= tokens {
@@ -84,13 +88,15 @@
 	return "", false
 }
 
-// pendingReadOn returns the first such request in the queue of one replica.
+// pendingReadOn returns the first request in the queue of one replica that will cache at least
+// minFetchTokens more than cachedTokens of the prompt; false if there is none or if the current
+// read is overdue.
 func (b *Board) pendingReadOn(now time.Duration, request *Ask, at *replica, cachedTokens int) (pendingRead, bool) {
 	perToken := b.readTimes[at.Role].perToken()
 	readyIn := b.readTimes[at.Role].fixed()
 	for _, queued := range at.queue {
 		if queued.request.deferred {
-			break // others will still go before it
+			break // requests placed later will still be read before it
 		}
 		takes := time.Duration(queued.unreadTokens) * perToken
 		if queued == at.current {
--- a/request/prefix/prefix.go
+++ b/request/prefix/prefix.go
@@ -11,8 +11,9 @@
 	"github.com/landingtrail/landingtrail/connection/engineapi"
 )
 
-// BlockWords is the number of words in one block. A shorter trailing block has no hash, since
-// caches hold whole blocks only.
+// BlockWords is the number of words in one block. It must equal the block size of the engines'
+// prefix caches, in tokens. A shorter trailing block has no hash, since caches hold whole blocks
+// only.
 const BlockWords = 16
 
 // Text returns the prompt of a request as an engine reads it: Prompt, or the contents of the
@@ -28,15 +29,15 @@
 	return strings.Join(contents, "\n")
 }
 
-// Words returns the words of a prompt. One word is one token.
+// Words returns the words of a prompt. Token counts are word counts: one word is one token.
 func Words(prompt string) []string { return strings.Fields(prompt) }
 
 // Blocks returns the hashes of all whole blocks of the words, in order. The hash of block k is
 // the 64-bit xxhash of the hash of block k-1, as 8 little-endian bytes, followed by the words
-// of the block, each followed by one space. The hash before block 0 is the xxhash of the model
-// name as the caller gave it, since the KV cache of one adapter cannot be used for another.
-// Equal hashes mean equal prompts up to the end of the block. A collision can only make a
-// cache hint wrong.
+// of the block, each followed by one space. In place of a previous hash, block 0 uses the xxhash
+// of the model name as the caller gave it, including the adapter, since the KV cache of one
+// adapter cannot be used for another. Except for collisions, equal hashes mean equal prompts up
+// to the end of the block; a collision can only make a cache hint wrong.
 func Blocks(model string, words []string) []uint64 {
 	count := len(words) / BlockWords
 	if count == 0 {
--- a/request/router/filter.go
+++ b/request/router/filter.go
@@ -7,7 +7,7 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// keep filters endpoints in place and returns those that match.
+// keep returns the endpoints that match. It overwrites the given slice.
 func keep(endpoints []*Endpoint, matches func(*Endpoint) bool) []*Endpoint {
 	kept := endpoints[:0]
 	for _, endpoint := range endpoints {
--- a/request/router/pick.go
+++ b/request/router/pick.go
@@ -12,14 +12,14 @@
 // Pick implements Picker.
 func (BestPicker) Pick(scored []Scored, _ *rand.Rand) Scored { return scored[0] }
 
-// TwoChoicePicker draws two of the lowest-cost endpoints at random and takes the cheaper, so
-// that proxies that share a stale load report spread over several endpoints. Endpoints that
-// cost more than the slack allows are never drawn.
+// TwoChoicePicker draws two of the endpoints whose cost is within the slack of the lowest cost,
+// at random, and picks the cheaper one. So proxies that share a stale load report spread over
+// several endpoints.
 type TwoChoicePicker struct {
-	// Slack is the share of the lowest cost by which an endpoint may exceed it and still be
-	// drawn.
+	// An endpoint may be drawn if its cost exceeds the lowest one by at most Slack times the
+	// lowest cost plus SlackSeconds.
 	Slack float64
-	// SlackSeconds is added to this allowance.
+	// SlackSeconds is the constant part of the slack; see Slack.
 	SlackSeconds float64
 }
 
--- a/request/router/plugin.go
+++ b/request/router/plugin.go
@@ -16,7 +16,7 @@
 type Filter interface {
 	// Name is the plugin's name in logs and metrics.
 	Name() string
-	// Reason is the reason of the refusal if this filter drops the last endpoint.
+	// Reason is the reason of the refusal if this filter leaves no endpoint.
 	Reason() Reason
 	// Filter returns the endpoints to keep, in their order. It may reuse the given slice but
 	// does not change an endpoint.
--- a/request/router/router.go
+++ b/request/router/router.go
@@ -19,7 +19,8 @@
 	DeadlineMargin float64
 }
 
-// Defaults of the plugins.
+// Defaults of the plugins. DefaultKVScale, DefaultZoneCost and DefaultSlackSeconds are in
+// seconds; DefaultSlack and DefaultDeadlineMargin are factors.
 const (
 	DefaultKVScale      = 0.2
 	DefaultZoneCost     = 0.002
@@ -29,7 +30,8 @@
 	DefaultDeadlineMargin = 1.25
 )
 
-// DefaultConfig returns the default plugins.
+// DefaultConfig returns the default plugins for engines of the given speed. Fields of speed that
+// are zero take their defaults.
 func DefaultConfig(speed Speed) Config {
 	speed = speed.withDefaults()
 	return Config{
@@ -78,9 +80,9 @@
 	return &Router{config: config}
 }
 
-// Route decides where a request goes, or returns the reason why it goes nowhere. The decision
+// Route decides where a request goes, or returns the reason why it is refused. The decision
 // depends on the arguments only; random must not be used concurrently. With any reason other
-// than ReasonNone the request is certain not to have run.
+// than ReasonNone the request is sent to no engine, so it is certain not to have run.
 func (r *Router) Route(snapshot Snapshot, request Request, random *rand.Rand) (Decision, Reason) {
 	candidates := slices.Clone(snapshot.Endpoints)
 	for _, filter := range r.config.Filters {
@@ -110,6 +112,7 @@
 	mixed   []*Endpoint
 }
 
+// groupByRole groups the endpoints by role and leaves out those without one.
 func groupByRole(endpoints []*Endpoint) roleGroups {
 	var groups roleGroups
 	for _, endpoint := range endpoints {
@@ -125,13 +128,14 @@
 	return groups
 }
 
-// readerCount returns the number of candidates that are meant to read prompts.
+// readerCount returns the number of prefill and mixed candidates, which are meant to read
+// prompts.
 func (g roleGroups) readerCount() int { return len(g.prefill) + len(g.mixed) }
 
-// readerExcluded reports whether an engine meant to read prompts is healthy, admits requests,
-// and was left out only because it refused this request. The engines are full then, and a
-// decode engine that read the prompt would slow down the answers that it generates, just when
-// there are most of them.
+// readerExcluded reports whether a prefill or mixed engine that is healthy and admits requests
+// was left out only because it refused this request. Such engines are full. If a decode engine
+// read the prompt instead, it would slow down the output that it generates for other requests,
+// just when there are most of them.
 func readerExcluded(request *Request, snapshot Snapshot) bool {
 	for _, endpoint := range snapshot.Endpoints {
 		reads := endpoint.Role == api.RolePrefill || endpoint.Role == api.RoleMixed
@@ -142,9 +146,10 @@
 	return false
 }
 
-// splitCandidates returns the engines that may read and those that may generate if a request
-// is split. Mixed engines take the part for which no engine is dedicated; without any dedicated
-// engine there is no split.
+// splitCandidates returns the engines that may read the prompt and those that may generate if a
+// request is split between two engines. With prefill engines, mixed engines may generate beside
+// the decode engines. With decode engines only, mixed engines read. With neither, no request is
+// split.
 func (g roleGroups) splitCandidates() (readers, generators []*Endpoint) {
 	switch {
 	case len(g.prefill) > 0:
@@ -156,8 +161,9 @@
 	}
 }
 
-// cheapest compares running the whole request on one mixed engine with splitting it between
-// two engines. A decode engine reads the prompt itself only if nothing else is possible.
+// cheapest returns the cheaper of two decisions: to run the whole request on one mixed engine, or
+// to split it between two engines. A decode engine reads the prompt itself only if neither is
+// possible. It returns false if there is no engine at all for the request.
 func (r *Router) cheapest(request *Request, groups roleGroups, random *rand.Rand) (Decision, bool) {
 	whole, haveWhole := r.pick(request, groups.mixed, PartWhole, random)
 	readers, generators := groups.splitCandidates()
@@ -178,7 +184,8 @@
 	return Decision{Target: whole.Endpoint, Estimate: seconds(whole.Cost)}, true
 }
 
-// pick returns one of the endpoints for a part of the request; false if there are none.
+// pick scores the endpoints for a part of the request and returns the one that the picker
+// chooses; false if there are none.
 func (r *Router) pick(request *Request, endpoints []*Endpoint, part Part, random *rand.Rand) (Scored, bool) {
 	if len(endpoints) == 0 {
 		return Scored{}, false
@@ -191,6 +198,7 @@
 	return r.config.Picker.Pick(scored, random), true
 }
 
+// cost returns the sum of all scores, in seconds.
 func (r *Router) cost(request *Request, endpoint *Endpoint, part Part) float64 {
 	total := 0.0
 	for _, scorer := range r.config.Scorers {
@@ -199,6 +207,7 @@
 	return total
 }
 
+// compareScored orders endpoints by cost and then by name.
 func compareScored(a, b Scored) int {
 	if order := cmp.Compare(a.Cost, b.Cost); order != 0 {
 		return order
--- a/request/router/router_test.go
+++ b/request/router/router_test.go
@@ -24,8 +24,8 @@
 
 func TestRoute(t *testing.T) {
 	busy := func(e *Endpoint) { e.Load.WaitingTokens = 200000 }
-	closed := func(e *Endpoint) { e.Admits = false }
-	refuse := func(e *Endpoint) { e.Classes = func(string) bool { return false } }
+	notAdmitting := func(e *Endpoint) { e.Admits = false }
+	refusesClass := func(e *Endpoint) { e.Classes = func(string) bool { return false } }
 	cases := []struct {
 		name      string
 		request   Request
@@ -34,10 +34,10 @@
 		prefill   string
 		reason    Reason
 	}{
-		{"empty", Request{Model: "m"}, nil, "", "", ReasonUnknownModel},
+		{"no endpoints", Request{Model: "m"}, nil, "", "", ReasonUnknownModel},
 		{"unknown model", Request{Model: "x"}, []*Endpoint{engine("a", api.RoleMixed, nil)}, "", "", ReasonUnknownModel},
-		{"class refused", Request{Model: "m"}, []*Endpoint{engine("a", api.RoleMixed, refuse)}, "", "", ReasonClassRefused},
-		{"none admits", Request{Model: "m"}, []*Endpoint{engine("a", api.RoleMixed, closed)}, "", "", ReasonNoEngine},
+		{"class refused", Request{Model: "m"}, []*Endpoint{engine("a", api.RoleMixed, refusesClass)}, "", "", ReasonClassRefused},
+		{"no engine admits requests", Request{Model: "m"}, []*Endpoint{engine("a", api.RoleMixed, notAdmitting)}, "", "", ReasonNoEngine},
 		{
 			"all excluded",
 			Request{Model: "m", Excluded: map[string]bool{"a": true}},
@@ -54,18 +54,18 @@
 			[]*Endpoint{engine("a", api.RoleMixed, nil)}, "", "", ReasonDeadline,
 		},
 		{
-			"deadline past the queue",
+			"deadline shorter than the queue",
 			Request{Model: "m", PromptTokens: 10, Deadline: time.Second},
 			[]*Endpoint{engine("a", api.RoleMixed, busy)}, "", "", ReasonDeadline,
 		},
 		{
-			"prefill hands over to mixed",
+			"prefill engine reads, mixed engine generates",
 			Request{Model: "m", PromptTokens: 1000},
 			[]*Endpoint{engine("p", api.RolePrefill, nil), engine("x", api.RoleMixed, func(e *Endpoint) { e.Load.WaitingTokens = 1000 })},
 			"x", "p", ReasonNone,
 		},
 		{
-			"mixed hands over to decode",
+			"mixed engine reads, decode engine generates",
 			Request{Model: "m", PromptTokens: 1000, OutputTokens: 100},
 			[]*Endpoint{engine("d", api.RoleDecode, nil), engine("x", api.RoleMixed, func(e *Endpoint) { e.Load.Running = 30 })},
 			"d", "x", ReasonNone,
@@ -81,25 +81,25 @@
 			[]*Endpoint{engine("p", api.RolePrefill, nil), engine("d", api.RoleDecode, nil)}, "d", "p", ReasonNone,
 		},
 		{
-			"mixed before a busy split",
+			"idle mixed engine rather than a busy prefill engine",
 			Request{Model: "m", PromptTokens: 1000},
 			[]*Endpoint{engine("p", api.RolePrefill, busy), engine("d", api.RoleDecode, nil), engine("x", api.RoleMixed, nil)}, "x", "", ReasonNone,
 		},
 		{
-			"split before a busy mixed",
+			"idle split rather than a busy mixed engine",
 			Request{Model: "m", PromptTokens: 1000},
 			[]*Endpoint{engine("p", api.RolePrefill, nil), engine("d", api.RoleDecode, nil), engine("x", api.RoleMixed, busy)}, "d", "p", ReasonNone,
 		},
-		{"decode alone", Request{Model: "m"}, []*Endpoint{engine("d", api.RoleDecode, nil)}, "d", "", ReasonNone},
+		{"only a decode engine", Request{Model: "m"}, []*Endpoint{engine("d", api.RoleDecode, nil)}, "d", "", ReasonNone},
 		{
-			"full prefill engines leave decode engines alone", Request{Model: "m:x", Adapter: "x", Excluded: map[string]bool{"p": true}},
+			"decode engine does not read for a full prefill engine", Request{Model: "m:x", Adapter: "x", Excluded: map[string]bool{"p": true}},
 			[]*Endpoint{engine("d", api.RoleDecode, withAdapter), engine("p", api.RolePrefill, withAdapter)}, "", "", ReasonAllExcluded,
 		},
 		{
-			"decode reads for a lost prefill engine", Request{Model: "m", Excluded: map[string]bool{"p": true}},
+			"decode engine reads for a suspect prefill engine", Request{Model: "m", Excluded: map[string]bool{"p": true}},
 			[]*Endpoint{engine("d", api.RoleDecode, nil), engine("p", api.RolePrefill, func(e *Endpoint) { e.Suspect = true })}, "d", "", ReasonNone,
 		},
-		{"prefill alone", Request{Model: "m"}, []*Endpoint{engine("p", api.RolePrefill, nil)}, "", "", ReasonNoEngine},
+		{"only a prefill engine", Request{Model: "m"}, []*Endpoint{engine("p", api.RolePrefill, nil)}, "", "", ReasonNoEngine},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/request/router/score.go
+++ b/request/router/score.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// PrefixScorer is the time to read the part of the prompt that the endpoint does not have
-// cached. LoadScorer is in seconds as well, so a warm cache is preferred exactly as long as it
-// saves more time than the queue costs.
+// PrefixScorer charges the time to read the part of the prompt that the endpoint does not have
+// cached. It is in the same unit as LoadScorer, so an endpoint with a warm cache is preferred
+// exactly as long as its cache saves more time than its queue costs.
 type PrefixScorer struct {
 	Speed Speed
 }
@@ -20,9 +20,9 @@
 	return s.Speed.prefillSeconds(s.Speed.uncachedTokens(request, endpoint))
 }
 
-// LoadScorer is the generation time under the load of the endpoint, plus the time that the
-// load adds to reading. The load is that of the last report plus this proxy's own dispatches
-// that the report can't include yet.
+// LoadScorer charges the time to generate the output under the load of the endpoint, plus the
+// time that the load adds to reading the prompt. The load is that of the last report plus this
+// proxy's own dispatches that the report can't include yet.
 type LoadScorer struct {
 	Speed Speed
 }
@@ -43,26 +43,28 @@
 	generate := float64(request.OutputTokens) * step
 	chunk := float64(s.Speed.ChunkTokens)
 	if part == PartDecode {
-		// The queued prompts delay each step by one chunk at most.
+		// Each decode step is delayed by at most one chunk of the queued prompts, and all steps
+		// together by at most the whole queue.
 		return generate + min(queue, float64(request.OutputTokens)*s.Speed.prefillSeconds(s.Speed.ChunkTokens))
 	}
-	// The engine runs a decode step with each chunk that it reads.
+	// A mixed engine runs one decode step along with each chunk of a prompt, which lengthens the
+	// reading of the queued prompts and of this one by a step per chunk.
 	chunks := float64(tokensBefore+s.Speed.uncachedTokens(request, endpoint)) / chunk
 	return queue + chunks*step + generate
 }
 
-// KVScorer rises steeply as the KV cache of the endpoint fills, so that an engine is avoided
-// before it queues or evicts.
+// KVScorer charges a cost that rises steeply as the KV cache of the endpoint fills, so that an
+// engine is avoided before it queues or evicts.
 type KVScorer struct {
 	// Scale is the cost in seconds at 80 percent use.
 	Scale float64
 }
 
-// kvKnee is the KV cache use above which there is a cost; kvCeiling limits the use so that the
-// cost stays finite.
+// kvCostThreshold is the share of the KV cache in use above which there is a cost. kvCeiling
+// limits the share so that the cost stays finite.
 const (
-	kvKnee    = 0.6
-	kvCeiling = 0.98
+	kvCostThreshold = 0.6
+	kvCeiling       = 0.98
 )
 
 // Name implements Scorer.
@@ -71,10 +73,10 @@
 // Score implements Scorer.
 func (s KVScorer) Score(_ *Request, endpoint *Endpoint, _ Part) float64 {
 	used := math.Min(endpoint.Load.KVUsed, kvCeiling)
-	if used <= kvKnee {
+	if used <= kvCostThreshold {
 		return 0
 	}
-	return s.Scale * (used - kvKnee) / (1 - used)
+	return s.Scale * (used - kvCostThreshold) / (1 - used)
 }
 
 // ZoneScorer charges endpoints outside the zone of the deciding proxy.
--- a/request/router/score_test.go
+++ b/request/router/score_test.go
@@ -8,8 +8,8 @@
 	"github.com/shoenig/test/must"
 )
 
-func cachedBlocks(count int, sure bool) func([]uint64) (int, bool) {
-	return func([]uint64) (int, bool) { return count, sure }
+func cachedBlocks(count int, exact bool) func([]uint64) (int, bool) {
+	return func([]uint64) (int, bool) { return count, exact }
 }
 
 func TestScorers(t *testing.T) {
@@ -24,12 +24,12 @@
 	}{
 		{"prefix cold", PrefixScorer{speed}, Endpoint{}, PartWhole, 1},
 		{"prefix warm", PrefixScorer{speed}, Endpoint{CachedBlocks: cachedBlocks(8, true)}, PartWhole, 0.2},
-		{"prefix unsure", PrefixScorer{speed}, Endpoint{CachedBlocks: cachedBlocks(8, false)}, PartWhole, 0.6},
+		{"prefix with an inexact count", PrefixScorer{speed}, Endpoint{CachedBlocks: cachedBlocks(8, false)}, PartWhole, 0.6},
 		{"prefix of decode", PrefixScorer{speed}, Endpoint{}, PartDecode, 0},
 		{"load idle", LoadScorer{speed}, Endpoint{}, PartWhole, 1.1 + 2*0.011},
-		{"load own", LoadScorer{speed}, Endpoint{Load: Load{OwnRunning: 10, OwnTokens: 500}}, PartWhole, 0.5 + 2.1 + 3*0.021},
+		{"load of own dispatches", LoadScorer{speed}, Endpoint{Load: Load{OwnRunning: 10, OwnTokens: 500}}, PartWhole, 0.5 + 2.1 + 3*0.021},
 		{"load of decode", LoadScorer{speed}, Endpoint{Load: Load{Running: 10, WaitingTokens: 500, KVUsed: 0.5}}, PartDecode, 0.5 + 2.6},
-		{"prompts hold a step up once", LoadScorer{speed}, Endpoint{Load: Load{WaitingTokens: 100000}}, PartDecode, 50 + 1.1},
+		{"queue delays each decode step by at most one chunk", LoadScorer{speed}, Endpoint{Load: Load{WaitingTokens: 100000}}, PartDecode, 50 + 1.1},
 		{"load of prefill", LoadScorer{speed}, Endpoint{Load: Load{Running: 10, WaitingTokens: 500}}, PartPrefill, 0.5},
 		{"kv low", KVScorer{1}, Endpoint{Load: Load{KVUsed: 0.5}}, PartWhole, 0},
 		{"kv high", KVScorer{1}, Endpoint{Load: Load{KVUsed: 0.8}}, PartWhole, 1},
