--- a/request/placement/confine.go
+++ b/request/placement/confine.go
@@ -6,123 +6,137 @@
 	"time"
 )
 
-// Some requests end each replica that begins to run them. What stood beside at an end is
-// sent again, and nobody can tell it from the one that did it: spread over what is left of
-// the fleet, the one ends further replicas and makes suspects of all that stand there. So
-// while replicas end one after the other, whatever stood at an end is a suspect, and
-// suspects run in a small part of the generators, the wards, where nothing else is, one at
-// a time: one that is answered is cleared, one under which a ward ends has done it. All
-// other requests run outside of the wards at once. A suspect under which enough have ended
-// waits for the verdict: each copy that went out meanwhile might end one more.
+// Some requests crash each replica that begins to run them. The requests in flight on a
+// crashed replica are retried, and the one that crashed it cannot be told from the others.
+// If retries could go to any replica, that request would crash further replicas and make
+// suspects of all requests in flight there. So while replicas crash one after the other, each
+// request that was in flight at a crash is a suspect. Suspects run on a few isolated generators,
+// one at a time and with no other request on the generator. A suspect that gets a response is
+// cleared; one whose isolated generator crashes is the cause. All other requests run on the other
+// generators without delay. A suspect that was in flight at enough crashes waits for the decision
+// on its quarantine, since each copy placed until then could crash one more replica.
 //
-// Invariant: at any time no more generators are wards, or were lost as wards within
-// wardReturn, than a third of those that are listed, or one where that is less. It holds
-// since wards are opened in one place, which counts both.
+// Suspected replicas are something else: they recently gave no response.
+//
+// Invariant: at any time, the isolated generators plus those lost while isolated within the last
+// replicaRestartTime are at most a third of the listed generators, or one if a third is less than
+// one. Only isolation.update isolates generators, and it counts both.
 const (
-	// alertTime is how long after the last sign of it a series of ends is taken to go on.
-	alertTime = 10 * time.Second
-	// wardShare is the inverse of the share of generators that may be at risk.
-	wardShare = 3
-	// mostWards bounds them in a large service, where each request that comes during an alert
-	// looks through them.
-	mostWards = 64
-	// wardReturn is how long a lost ward counts as at risk: a replica takes some seconds to
-	// start again.
-	wardReturn = 4 * time.Second
-	// wardDrain is how long what runs at a new ward is waited for.
-	wardDrain = 400 * time.Millisecond
-	// wardWatch is how long after its first token a suspect still has its ward for itself.
-	wardWatch = 300 * time.Millisecond
-	// wardWait is when a suspect for which there is no place asks again.
-	wardWait = 40 * time.Millisecond
-	// wardIdle is how long after a suspect has asked wards are kept for the next one: several
-	// of those that wait ask within it. Replicas that end by themselves raise an alert as well,
-	// in which nobody is a suspect for long, and the others need all that is left.
-	wardIdle = 500 * time.Millisecond
+	// alertDuration is how long a series of crashes is assumed to go on after the last alert.
+	alertDuration = 10 * time.Second
+	// isolatedDivisor is the inverse of the share of generators that may be isolated.
+	isolatedDivisor = 3
+	// maxIsolated limits the number of isolated generators in a large service, since each
+	// request during an alert scans them.
+	maxIsolated = 64
+	// replicaRestartTime is how long a generator lost while isolated counts against the
+	// limit: a replica takes some seconds to restart.
+	replicaRestartTime = 4 * time.Second
+	// isolationDrainTime is how long a suspect waits for the requests that already run on a
+	// newly isolated generator. After that it is placed there even if some still run.
+	isolationDrainTime = 400 * time.Millisecond
+	// suspectWatchTime is how long after the first token of a suspect no other suspect is placed
+	// on its generator.
+	suspectWatchTime = 300 * time.Millisecond
+	// suspectRetryInterval is the wait of a suspect that cannot be placed yet.
+	suspectRetryInterval = 40 * time.Millisecond
+	// isolationIdleTime is how long generators stay isolated after Place was last called for a
+	// suspect. Waiting suspects retry several times within it. Replicas that crash for reasons
+	// of their own also raise an alert; then no request stays a suspect for long, and the other
+	// requests need all remaining generators.
+	isolationIdleTime = 500 * time.Millisecond
 )
 
-// confinement is where suspects run while replicas end in series.
-type confinement struct {
-	alertTill time.Duration
-	askedTill time.Duration            // wards are kept for suspects until then
-	wards     map[string]time.Duration // since when
-	lost      []time.Duration          // when wards ended
+// isolation tracks the generators that are set aside for suspects while replicas crash in
+// series.
+type isolation struct {
+	alertUntil    time.Duration
+	reservedUntil time.Duration            // generators stay isolated for suspects until then
+	isolated      map[string]time.Duration // isolated generators, with the time of their isolation
+	lostAt        []time.Duration          // when isolated generators were lost
 }
 
-// Alert notes that replicas end one after the other under some request.
-func (b *Board) Alert(now time.Duration) { b.confinement.alertTill = now + alertTime }
+// Alert records that replicas crash one after the other, apparently under some request.
+func (b *Board) Alert(now time.Duration) { b.isolation.alertUntil = now + alertDuration }
 
-// IsAlert reports whether requests are to be told apart by what they are.
-func (b *Board) IsAlert(now time.Duration) bool { return now < b.confinement.alertTill }
+// IsAlert reports whether such a series goes on, so that requests have to be identified.
+func (b *Board) IsAlert(now time.Duration) bool { return now < b.isolation.alertUntil }
 
-// admit returns how long a suspect has to wait for a ward, 0 for no time at all.
-func (c *confinement) admit(b *Board, now time.Duration, ask *Ask) (wait time.Duration) {
-	if now >= c.alertTill {
-		c.wards, c.lost = nil, nil
-		ask.Suspect = false
+// admit prepares the isolation for the placement of a request: it updates the isolated generators,
+// and keeps them isolated for another isolationIdleTime if the request is a suspect. Without an
+// alert it ends the isolation and clears request.Suspect. It returns how long a suspect has to
+// wait; 0 lets the request be placed.
+func (iso *isolation) admit(b *Board, now time.Duration, request *Ask) (wait time.Duration) {
+	if now >= iso.alertUntil {
+		iso.isolated, iso.lostAt = nil, nil
+		request.Suspect = false
 		return 0
 	}
-	if ask.Suspect {
-		c.askedTill = now + wardIdle
+	if request.Suspect {
+		iso.reservedUntil = now + isolationIdleTime
 	}
-	c.tend(b, now)
-	if !ask.Suspect || !ask.Judged && b.freeWard(now, ask) {
+	iso.update(b, now)
+	if !request.Suspect || !request.Judged && b.hasFreeIsolatedReplica(now, request) {
 		return 0
 	}
-	return wardWait
+	return suspectRetryInterval
 }
 
-// tend closes wards that are lost, and opens as many as there may be.
-func (c *confinement) tend(b *Board, now time.Duration) {
-	if c.wards == nil {
-		c.wards = map[string]time.Duration{}
+// update ends the isolation of generators that were lost, of all generators if no suspect was to
+// be placed recently, and of some if too few healthy ones are left for other requests. It then
+// isolates as many generators as are allowed.
+func (iso *isolation) update(b *Board, now time.Duration) {
+	if iso.isolated == nil {
+		iso.isolated = map[string]time.Duration{}
 	}
-	for name := range c.wards {
-		if known := b.replicas[name]; known == nil || !known.isThere(now) || known.isDoubted(now) {
-			delete(c.wards, name)
-			c.lost = append(c.lost, now)
+	for name := range iso.isolated {
+		if known := b.replicas[name]; known == nil || !known.acceptsRequests(now) || known.isSuspected(now) {
+			delete(iso.isolated, name)
+			iso.lostAt = append(iso.lostAt, now)
 		}
 	}
-	if now >= c.askedTill {
-		clear(c.wards)
+	if now >= iso.reservedUntil {
+		clear(iso.isolated)
 		return
 	}
-	c.lost = slices.DeleteFunc(c.lost, func(at time.Duration) bool { return now-at >= wardReturn })
-	listed, sound := b.generators(now)
-	most := min(max(listed/wardShare, 1), mostWards)
-	for len(c.wards) > 0 && len(c.wards) >= len(sound) {
-		c.closeOne() // all others have to run somewhere
+	iso.lostAt = slices.DeleteFunc(iso.lostAt, func(at time.Duration) bool { return now-at >= replicaRestartTime })
+	listed, healthy := b.generators(now)
+	limit := min(max(listed/isolatedDivisor, 1), maxIsolated)
+	for len(iso.isolated) > 0 && len(iso.isolated) >= len(healthy) {
+		iso.releaseOne() // other requests need at least one healthy generator
 	}
-	for len(c.wards)+len(c.lost) < most && len(c.wards) < len(sound)-1 {
-		c.wards[c.emptiest(sound).Name] = now
+	for len(iso.isolated)+len(iso.lostAt) < limit && len(iso.isolated) < len(healthy)-1 {
+		iso.isolated[iso.leastLoaded(healthy).Name] = now
 	}
 }
 
-// closeOne closes the ward whose name comes first.
-func (c *confinement) closeOne() {
-	delete(c.wards, slices.Min(slices.Collect(maps.Keys(c.wards))))
+// releaseOne ends the isolation of the generator whose name sorts first.
+func (iso *isolation) releaseOne() {
+	delete(iso.isolated, slices.Min(slices.Collect(maps.Keys(iso.isolated))))
 }
 
-// generators returns how many generators are listed, and those that answer.
-func (b *Board) generators(now time.Duration) (listed int, sound []*replica) {
+// generators returns the number of listed generators that are not leaving, and those of them that
+// are healthy: neither banned nor suspected nor changing their role.
+func (b *Board) generators(now time.Duration) (listed int, healthy []*replica) {
 	for _, name := range b.names {
 		known := b.replicas[name]
 		if known.Role != RoleDecode || known.isLeaving() {
 			continue
 		}
 		listed++
-		if known.isThere(now) && !known.isDoubted(now) && !b.isChanging(now, known) {
-			sound = append(sound, known)
+		if known.acceptsRequests(now) && !known.isSuspected(now) && !b.isChanging(now, known) {
+			healthy = append(healthy, known)
 		}
 	}
-	return listed, sound
+	return listed, healthy
 }
 
-// emptiest is the sound generator that has least to do and is no ward.
-func (c *confinement) emptiest(sound []*replica) *replica {
+// leastLoaded returns the healthy generator with the fewest running requests that is not
+// isolated.
+func (iso *isolation) leastLoaded(healthy []*replica) *replica {
 	var best *replica
-	for _, known := range sound {
-		if _, isWard := c.wards[known.Name]; isWard {
+	for _, known := range healthy {
+		if _, isIsolated := iso.isolated[known.Name]; isIsolated {
 			continue
 		}
 		if best == nil || len(known.running) < len(best.running) {
@@ -132,60 +146,66 @@
 	return best
 }
 
-// allows reports whether the request may run at a generator: suspects at free wards, all
-// others anywhere else. Readers are open to all: a prompt that was read ends none.
-func (c *confinement) allows(now time.Duration, at *replica, ask *Ask) bool {
-	if now >= c.alertTill || at.Role != RoleDecode {
+// allows reports whether the request may go to a replica: suspects run on free isolated
+// generators, all others on any other generator. Readers take all requests, since reading a
+// prompt does not crash a replica.
+func (iso *isolation) allows(now time.Duration, at *replica, request *Ask) bool {
+	if now >= iso.alertUntil || at.Role != RoleDecode {
 		return true
 	}
-	since, isWard := c.wards[at.Name]
-	return isWard == ask.Suspect && (!isWard || at.isFree(now, since))
+	since, isIsolated := iso.isolated[at.Name]
+	return isIsolated == request.Suspect && (!isIsolated || at.isFreeForSuspect(now, since))
 }
 
-// freeWard reports whether a ward has a place for the suspect.
-func (b *Board) freeWard(now time.Duration, ask *Ask) bool {
-	return len(b.shortlist(now, RoleDecode, ask, nil)) > 0
+// hasFreeIsolatedReplica reports whether an isolated generator can take the suspect now.
+func (b *Board) hasFreeIsolatedReplica(now time.Duration, request *Ask) bool {
+	return len(b.shortlist(now, RoleDecode, request, nil)) > 0
 }
 
-// isFree reports whether a ward that was opened then takes a suspect now.
-func (r *replica) isFree(now, since time.Duration) bool {
+// isFreeForSuspect reports whether a generator isolated at the given time takes a suspect now.
+func (r *replica) isFreeForSuspect(now, since time.Duration) bool {
 	for p := range r.running {
-		if p.ask.Suspect && (!p.started || now-p.startedAt < wardWatch) {
+		if p.request.Suspect && (!p.started || now-p.startedAt < suspectWatchTime) {
 			return false
 		}
-		if !p.ask.Suspect && now-since < wardDrain {
+		if !p.request.Suspect && now-since < isolationDrainTime {
 			return false
 		}
 	}
 	return true
 }
 
-// waitAlone answers a suspect that has no place yet. One that cannot wait any longer is
-// told so while its caller can come back.
-func (b *Board) waitAlone(ask *Ask, wait time.Duration) Answer {
-	if ask.Deadline < 2*wait || ask.Deadline < share(ask.Age, waitAloneShare) {
-		return Answer{Refused: true, RetryAfter: wardReturn}
+// delaySuspect returns the reply to a suspect that cannot be placed yet: to wait, or a refusal if
+// it has too little time left for that (less than two waits, or than suspectTimeLeftShare of its
+// age), early enough for its caller to retry.
+func (b *Board) delaySuspect(request *Ask, wait time.Duration) Answer {
+	if request.Deadline < 2*wait || request.Deadline < fraction(request.Age, suspectTimeLeftShare) {
+		return Answer{Refused: true, RetryAfter: replicaRestartTime}
 	}
 	return Answer{Wait: wait}
 }
 
-// waitAloneShare is the part of its age that a waiting suspect must have left: after two
-// thirds of its time it is refused, and may be cleared when it comes again.
-const waitAloneShare = 0.5
-
-// absenceWait is how long a request waits for a generator where none is left; longer than
-// its objective nobody waits.
-const absenceWait = 50 * time.Millisecond
-
-// nowhere answers a request that no generator takes. Where all of them are gone it waits
-// as long as it could be in time, and then is told when one is expected.
-func (b *Board) nowhere(now time.Duration, ask *Ask) Answer {
-	listed, sound := b.generators(now)
-	if listed == 0 || len(sound) > 0 || ask.Continued {
+// suspectTimeLeftShare is the ratio of time left to age that a waiting suspect must have. With
+// 0.5 it is refused after two thirds of its total time, and may be cleared by the time of the
+// retry.
+const suspectTimeLeftShare = 0.5
+
+// generatorRetryInterval is the wait of a request while no generator is left. A request waits no
+// longer than objectiveShare of its objective (0.9 of it).
+const generatorRetryInterval = 50 * time.Millisecond
+
+// answerWithoutGenerator returns the reply to a request that no generator can take. If no
+// generator is healthy, so that all of them are banned, suspected or changing their role, the
+// request waits as long as it can meet its objective, and is then refused with the time after
+// which a generator is expected. Otherwise, as when it excludes the healthy ones, it gets an empty
+// reply.
+func (b *Board) answerWithoutGenerator(now time.Duration, request *Ask) Answer {
+	listed, healthy := b.generators(now)
+	if listed == 0 || len(healthy) > 0 || request.Continued {
 		return Answer{}
 	}
-	if ask.Age+absenceWait < share(ask.Objective, objectiveShare) {
-		return Answer{Wait: absenceWait}
+	if request.Age+generatorRetryInterval < fraction(request.Objective, objectiveShare) {
+		return Answer{Wait: generatorRetryInterval}
 	}
-	return Answer{Refused: true, RetryAfter: firstAbsence}
+	return Answer{Refused: true, RetryAfter: minBan}
 }
--- a/request/placement/failure.go
+++ b/request/placement/failure.go
@@ -2,30 +2,35 @@
 
 import "time"
 
-// Suspicion of replicas that failed.
+// Periods for which requests are kept off replicas that failed, and costs of such replicas. Each
+// period doubles with further failures, from its min to its max value.
 const (
-	firstSuspicion = 500 * time.Millisecond
-	maxSuspicion   = 8 * time.Second
-	// A refusal is an answer, and over sooner.
-	firstRefusal = 100 * time.Millisecond
-	maxRefusal   = 1600 * time.Millisecond
-	// Another replica has the address of one that is gone. The list names the one that
-	// is gone until its reader has seen it leave, which takes longer while no member
-	// can read the list.
-	firstAbsence = time.Second
-	maxAbsence   = 16 * time.Second
-	// suspectCost is what a replica costs that has just given no answer. It is a
-	// cost and no ban, so that the others are not drowned when many are suspected.
+	// A replica that gave no response is suspected for this time.
+	minSuspicion = 500 * time.Millisecond
+	maxSuspicion = 8 * time.Second
+	// A replica that refused a request is avoided for this time. The time is shorter, since
+	// the replica still responds.
+	minRefusal = 100 * time.Millisecond
+	maxRefusal = 1600 * time.Millisecond
+	// A replica is banned for this time if it is no longer at its listed address: it is gone,
+	// or another replica has the address. It stays listed until the process that calls
+	// SetReplicas has learned that it left, which takes longer while no control plane member
+	// can read the source of the list.
+	minBan = time.Second
+	maxBan = 16 * time.Second
+	// suspectCost is charged for a replica that has just given no response. It is a cost rather
+	// than a ban, so that the others are not overloaded when many replicas are suspected.
 	suspectCost = 1500 * time.Millisecond
-	// failureCost is what a replica that always fails costs.
-	failureCost   = 400 * time.Millisecond
+	// fullFailureCost is charged for a replica whose failure rate is 1.
+	fullFailureCost = 400 * time.Millisecond
+	// failureWeight is the weight of the latest step in the failure rate.
 	failureWeight = 0.2
 )
 
-// fail notes a replica's failure; p is the request that it failed, nil if the board
-// does not know it any more. One that answers, if only with failures, is not suspected
+// recordFailure records a failure of a replica. p is the request that it failed, or nil if
+// the board no longer tracks it. A replica that responds with an error of its own is not suspected
 // to be gone.
-func (b *Board) fail(now time.Duration, note Note, p *placed) {
+func (b *Board) recordFailure(now time.Duration, note Note, p *placedRequest) {
 	failed := b.replicas[note.Replica]
 	if failed == nil {
 		return
@@ -33,76 +38,77 @@
 	failed.failureRate += failureWeight * (1 - failed.failureRate)
 	switch note.Step {
 	case StepErred:
-		failed.suspicion, failed.suspectTill = 0, 0
+		failed.suspicionPeriod, failed.avoidedUntil = 0, 0
 	case StepRefused:
-		failed.refuse(now)
+		failed.recordRefusal(now)
 	case StepMisdirected, StepGone:
-		failed.miss(now, p)
+		failed.ban(now, p)
 	default:
 		failed.suspect(now, p)
 	}
 	b.index.move(failed)
 }
 
-// suspect keeps requests off a replica that gave no answer. All that it had when it
-// fell silent fails one after the other, and tells the same once: only a request that
-// was placed after the last suspicion makes the next one longer.
-func (r *replica) suspect(now time.Duration, p *placed) {
-	if p != nil && r.suspicion > 0 && p.at < r.suspectedAt {
+// suspect starts or extends the suspicion of a replica that gave no response. All requests that
+// it had when it went silent fail one after the other but are evidence of one failure, so only
+// a request placed after the last suspicion began extends it.
+func (r *replica) suspect(now time.Duration, p *placedRequest) {
+	if p != nil && r.suspicionPeriod > 0 && p.placedAt < r.suspectedAt {
 		return
 	}
-	r.suspicion = min(max(2*r.suspicion, firstSuspicion), maxSuspicion)
-	r.suspectedAt, r.suspectTill = now, now+r.suspicion
+	r.suspicionPeriod = min(max(2*r.suspicionPeriod, minSuspicion), maxSuspicion)
+	r.suspectedAt, r.avoidedUntil = now, now+r.suspicionPeriod
 }
 
-// isDoubted reports whether requests are kept off the replica: it has lately given no
-// answer, or the one request that is to show whether it answers again is under way.
-func (r *replica) isDoubted(now time.Duration) bool {
-	return now < r.suspectTill || r.suspicion > 0 && r.trial != nil
+// isSuspected reports whether requests are kept off the replica: it recently gave no response, or
+// refused a request, or the one request that probes whether it responds again is in flight.
+func (r *replica) isSuspected(now time.Duration) bool {
+	return now < r.avoidedUntil || r.suspicionPeriod > 0 && r.probe != nil
 }
 
-// try notes a request that is placed on the replica. After a suspicion the first one is
-// a trial, and until it has ended others are kept off.
-func (r *replica) try(p *placed) {
-	if r.suspicion > 0 && r.trial == nil {
-		r.trial = p
+// startProbe makes the first request that is placed on the replica after a suspicion its
+// probe. Other requests are kept off until the probe has ended.
+func (r *replica) startProbe(p *placedRequest) {
+	if r.suspicionPeriod > 0 && r.probe == nil {
+		r.probe = p
 	}
 }
 
-// endTrial notes that a request has ended.
-func (r *replica) endTrial(p *placed) {
-	if r != nil && r.trial == p {
-		r.trial = nil
+// endProbe ends the probe if it is the given request.
+func (r *replica) endProbe(p *placedRequest) {
+	if r != nil && r.probe == p {
+		r.probe = nil
 	}
 }
 
-// refuse keeps requests off a replica that refuses them: as long as it runs
-// nothing it looks idle, and would draw all of them. Each refusal of a request
-// that was sent after the last one had been taken in counts for longer.
-func (r *replica) refuse(now time.Duration) {
-	if now < r.suspectTill {
+// recordRefusal keeps requests off a replica that refuses them. Such a replica runs nothing, so it
+// looks idle and would attract all requests. The backoff doubles with each refusal that comes after
+// the end of the previous backoff. A refusal during a backoff is that of a request sent before it
+// began, and is ignored.
+func (r *replica) recordRefusal(now time.Duration) {
+	if now < r.avoidedUntil {
 		return
 	}
-	r.refusal = min(max(2*r.refusal, firstRefusal), maxRefusal)
-	r.suspectTill = now + r.refusal
+	r.refusalBackoff = min(max(2*r.refusalBackoff, minRefusal), maxRefusal)
+	r.avoidedUntil = now + r.refusalBackoff
 }
 
-// miss passes over a replica at whose address another one has answered. This is a ban
-// and no cost: whatever is sent there is surely refused, and counts as a retry.
-// What p tells is old where it was placed before the last word, or on the replica in
-// another role, in which it was asked for something else.
-func (r *replica) miss(now time.Duration, p *placed) {
-	if r.isAbsent(now) || p != nil && (p.isOnAnother(r) || r.absence > 0 && p.at < r.absentSince) {
+// ban keeps all requests off a replica that is no longer at its listed address. A cost would not
+// be enough, since a request sent there is certain to be refused and uses up a retry. The failure
+// of p is ignored if p was placed before the last ban began, or while the replica had an earlier
+// role, in which it was asked for something else.
+func (r *replica) ban(now time.Duration, p *placedRequest) {
+	if r.isBanned(now) || p != nil && (p.isOnRemovedReplica(r) || r.banPeriod > 0 && p.placedAt < r.bannedSince) {
 		return
 	}
-	r.absence = min(max(2*r.absence, firstAbsence), maxAbsence)
-	r.absentSince, r.absentTill = now, now+r.absence
+	r.banPeriod = min(max(2*r.banPeriod, minBan), maxBan)
+	r.bannedSince, r.bannedUntil = now, now+r.banPeriod
 }
 
-// isOnAnother reports whether the request was placed on a replica of the name that was
-// forgotten since, as after a change of its role.
-func (p *placed) isOnAnother(r *replica) bool {
-	for _, on := range []*replica{p.runningAt, p.unreadAt} {
+// isOnRemovedReplica reports whether the request was placed on a replica with the name of r that
+// has since been removed, for instance by a role change.
+func (p *placedRequest) isOnRemovedReplica(r *replica) bool {
+	for _, on := range []*replica{p.runningOn, p.queuedOn} {
 		if on != nil && on != r && on.Name == r.Name {
 			return true
 		}
@@ -110,31 +116,34 @@
 	return false
 }
 
-// leave notes that a replica has said that it leaves. That holds for as long as the board
-// knows its process: it is listed as leaving later, and then no more. Until then this is a
-// cost and no ban: where nothing else is left, it serves for a while yet. Each daemon names
-// it as excluded once its own time to send there is over.
-func (b *Board) leave(name string) {
+// recordLeaving records that a replica announced that it will shut down. The announcement holds as
+// long as the board tracks the process. Some time later the replica is listed as leaving, and then
+// no longer listed. Until it is listed as leaving, placing requests there is charged with a cost
+// rather than banned, since the replica still serves for a while and may be the only one left. Each
+// daemon excludes the replica once the time in which the daemon may still send requests there is
+// over.
+func (b *Board) recordLeaving(name string) {
 	if known := b.replicas[name]; known != nil {
-		known.saysLeaving = true
+		known.announcedLeaving = true
 		b.index.move(known)
 	}
 }
 
-// isLeaving reports whether the replica leaves, by the list or by its own word.
-func (r *replica) isLeaving() bool { return r.Leaving || r.saysLeaving }
+// isLeaving reports whether the replica leaves, as listed or as announced.
+func (r *replica) isLeaving() bool { return r.Leaving || r.announcedLeaving }
 
-// isAbsent reports whether the replica is gone from its address, by the last word.
-func (r *replica) isAbsent(now time.Duration) bool { return now < r.absentTill }
+// isBanned reports whether the replica is banned.
+func (r *replica) isBanned(now time.Duration) bool { return now < r.bannedUntil }
 
-// succeed notes that the replica did what p asked it for: whatever it has left
-// unanswered, it is there. That says nothing of a later word by which it is gone.
-func (r *replica) succeed(p *placed) {
+// recordSuccess records that the replica completed a step of p. This ends the suspicion of the
+// replica, although it may not have responded to other requests. It ends a ban only if p was
+// placed after the ban began.
+func (r *replica) recordSuccess(p *placedRequest) {
 	r.failureRate *= 1 - failureWeight
-	r.suspicion, r.refusal = 0, 0
-	r.suspectTill = 0
-	r.trial = nil
-	if p.at >= r.absentSince {
-		r.absence, r.absentTill = 0, 0
+	r.suspicionPeriod, r.refusalBackoff = 0, 0
+	r.avoidedUntil = 0
+	r.probe = nil
+	if p.placedAt >= r.bannedSince {
+		r.banPeriod, r.bannedUntil = 0, 0
 	}
 }
--- a/request/placement/fairness_test.go
+++ b/request/placement/fairness_test.go
@@ -10,11 +10,11 @@
 
 func TestSizeGroupsHoldTheirShares(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
-	known := newFairness()
-	counts := [sizeGroups]int{}
+	statistics := newFairness()
+	counts := [sizeGroupCount]int{}
 	const learning, counted = 2_000, 10_000
 	for i := range learning + counted {
-		group := known.ask(0, int(1_000*random.ExpFloat64())+1)
+		group := statistics.recordRequest(0, int(1_000*random.ExpFloat64())+1)
 		if i >= learning {
 			counts[group]++
 		}
@@ -23,60 +23,62 @@
 	must.Between(t, counted*16/100, counts[groupLarge], counted*24/100)
 }
 
-// counted is a share of so many hits among so many events.
-func counted(events, hits float64) recentShare {
-	share := newRecentShare(servedMemory)
+// newShare returns a share with the given numbers of events and hits.
+func newShare(events, hits float64) recentShare {
+	share := newRecentShare(servedTimeConstant)
 	share.events.sum, share.hits.sum = events, hits
 	return share
 }
 
-func TestSizesThatAreServedTooSeldomStarve(t *testing.T) {
-	known := newFairness()
-	known.mean, known.large, known.largest = 1_000, 1_500, 2_000
-	known.served[groupAll] = counted(100, 80)
+func TestRarelyServedSizeGroupsAreStarved(t *testing.T) {
+	statistics := newFairness()
+	statistics.mean, statistics.largeBound, statistics.largestBound = 1_000, 1_500, 2_000
+	statistics.served[groupAll] = newShare(100, 80)
 	for _, test := range []struct {
 		group   sizeGroup
 		served  recentShare
 		starved bool
 	}{
-		{groupLargest, counted(10, 4), true},
-		{groupLargest, counted(10, 6), false},
-		{groupLarge, counted(20, 8), true},
-		{groupLargest, counted(leastAsked-1, 0), false},
+		{groupLargest, newShare(10, 4), true},
+		{groupLargest, newShare(10, 6), false},
+		{groupLarge, newShare(20, 8), true},
+		{groupLargest, newShare(minGroupRequests-1, 0), false},
 	} {
-		known.served[test.group] = test.served
-		must.Eq(t, test.starved, known.isStarved(0, test.group))
+		statistics.served[test.group] = test.served
+		must.Eq(t, test.starved, statistics.isStarved(0, test.group))
 	}
-	must.False(t, known.isStarved(0, groupAll))
+	must.False(t, statistics.isStarved(0, groupAll))
 }
 
-func TestWhatWasServedIsForgotten(t *testing.T) {
-	known := newFairness()
-	known.ask(0, 100)
-	known.start(0, groupAll)
-	must.Eq(t, 1.0, known.served[groupAll].value(0))
-	must.Less(t, 0.01, known.served[groupAll].events.value(10*servedMemory))
-	must.Less(t, 0.01, known.served[groupAll].hits.value(10*servedMemory))
+func TestServedCountsDecay(t *testing.T) {
+	statistics := newFairness()
+	statistics.recordRequest(0, 100)
+	statistics.recordStart(0, groupAll)
+	must.Eq(t, 1.0, statistics.served[groupAll].value(0))
+	must.Less(t, 0.01, statistics.served[groupAll].events.value(10*servedTimeConstant))
+	must.Less(t, 0.01, statistics.served[groupAll].hits.value(10*servedTimeConstant))
 }
 
-// Objectives that change with each configuration leave nothing behind for good.
-func TestClassesThatNobodyAsksForAreForgotten(t *testing.T) {
+// Each objective that was ever configured makes a class; idle classes must be removed so that they
+// do not accumulate.
+func TestIdleClassesAreRemoved(t *testing.T) {
 	b := newTestBoard()
 	for number := range uint64(50) {
-		b.Place(time.Duration(number)*classMemory/2, key(number), urgent(100, time.Duration(number+1)*time.Second))
+		b.Place(time.Duration(number)*classIdleTimeout/2, key(number), requestWithObjective(100, time.Duration(number+1)*time.Second))
 	}
 	must.LessEq(t, 4, len(b.fairness))
 }
 
-// In an overload that never ends, small prompts would be in time and the large ones put
-// behind all of them for good. They are not, once enough of them got nothing.
-func TestLargePromptsAreNotPutBehindForEver(t *testing.T) {
+// In a permanent overload, small prompts are in time and large ones would always be deferred, so
+// that none would be served. Once too few large prompts were served, they must be placed without
+// being deferred.
+func TestLargePromptsAreNotDeferredForever(t *testing.T) {
 	b := newTestBoard()
 	now, number := time.Duration(0), uint64(0)
 	place := func(tokens int) Answer {
 		number++
 		now += 50 * ms
-		return b.Place(now, key(number), urgent(tokens, 600*ms))
+		return b.Place(now, key(number), requestWithObjective(tokens, 600*ms))
 	}
 	inTime := 0
 	for range 60 {
--- a/request/router/pick.go
+++ b/request/router/pick.go
@@ -2,8 +2,8 @@
 
 import "math/rand/v2"
 
-// BestPicker picks the endpoint of the lowest cost. Many proxies that look at
-// the same stale report would all pick the same one; see TwoChoicePicker.
+// BestPicker picks the endpoint with the lowest cost. Proxies that share a stale load report
+// would all pick the same one; see TwoChoicePicker.
 type BestPicker struct{}
 
 // Name implements Picker.
@@ -12,14 +12,14 @@
 // Pick implements Picker.
 func (BestPicker) Pick(scored []Scored, _ *rand.Rand) Scored { return scored[0] }
 
-// TwoChoicePicker draws two of the best-scored endpoints at random and takes
-// the cheaper. Proxies that share a stale report thus spread over several
-// endpoints, and the worst-scored ones are never drawn.
+// TwoChoicePicker draws two of the endpoints whose cost is within the slack of the lowest cost,
+// at random, and picks the cheaper one. So proxies that share a stale load report spread over
+// several endpoints.
 type TwoChoicePicker struct {
-	// Slack is by how much, as a share of the best cost, an endpoint may cost
-	// more and still be drawn.
+	// An endpoint may be drawn if its cost exceeds the lowest one by at most Slack times the
+	// lowest cost plus SlackSeconds.
 	Slack float64
-	// SlackSeconds is added to that.
+	// SlackSeconds is the constant part of the slack; see Slack.
 	SlackSeconds float64
 }
 
--- a/request/router/router.go
+++ b/request/router/router.go
@@ -8,19 +8,19 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// Config chooses the plugins. Empty fields take the defaults of DefaultConfig.
+// Config selects the plugins. Empty fields take the values of DefaultConfig.
 type Config struct {
 	Speed   Speed
 	Filters []Filter
 	Scorers []Scorer
 	Picker  Picker
-	// DeadlineMargin is how many times its deadline a request's estimate may
-	// be before it is refused; above 1 because estimates are rough and a
-	// refusal is final.
+	// A request is refused if its estimate exceeds DeadlineMargin times its deadline. The
+	// margin is above 1 because estimates are rough and a refusal is final.
 	DeadlineMargin float64
 }
 
-// Defaults of the plugins.
+// Defaults of the plugins. DefaultKVScale, DefaultZoneCost and DefaultSlackSeconds are in
+// seconds; DefaultSlack and DefaultDeadlineMargin are factors.
 const (
 	DefaultKVScale      = 0.2
 	DefaultZoneCost     = 0.002
@@ -30,7 +30,8 @@
 	DefaultDeadlineMargin = 1.25
 )
 
-// DefaultConfig returns the plugins in use unless others are chosen.
+// DefaultConfig returns the default plugins for engines of the given speed. Fields of speed that
+// are zero take their defaults.
 func DefaultConfig(speed Speed) Config {
 	speed = speed.withDefaults()
 	return Config{
@@ -79,9 +80,9 @@
 	return &Router{config: config}
 }
 
-// Route decides where a request goes, or says why nowhere. The decision
-// depends on the arguments only; random may be used by one call at a time.
-// A reason other than ReasonNone is a sure "not run".
+// Route decides where a request goes, or returns the reason why it is refused. The decision
+// depends on the arguments only; random must not be used concurrently. With any reason other
+// than ReasonNone the request is sent to no engine, so it is certain not to have run.
 func (r *Router) Route(snapshot Snapshot, request Request, random *rand.Rand) (Decision, Reason) {
 	candidates := slices.Clone(snapshot.Endpoints)
 	for _, filter := range r.config.Filters {
@@ -91,7 +92,7 @@
 		}
 	}
 	groups := groupByRole(candidates)
-	if groups.readers() == 0 && readerExcluded(&request, snapshot) {
+	if groups.readerCount() == 0 && readerExcluded(&request, snapshot) {
 		return Decision{}, ReasonAllExcluded
 	}
 	decision, found := r.cheapest(&request, groups, random)
@@ -104,13 +105,14 @@
 	return decision, ReasonNone
 }
 
-// roleGroups are the candidates by role.
+// roleGroups holds the candidates by role.
 type roleGroups struct {
 	prefill []*Endpoint
 	decode  []*Endpoint
 	mixed   []*Endpoint
 }
 
+// groupByRole groups the endpoints by role and leaves out those without one.
 func groupByRole(endpoints []*Endpoint) roleGroups {
 	var groups roleGroups
 	for _, endpoint := range endpoints {
@@ -126,13 +128,14 @@
 	return groups
 }
 
-// readers is how many candidates are meant to read prompts.
-func (g roleGroups) readers() int { return len(g.prefill) + len(g.mixed) }
+// readerCount returns the number of prefill and mixed candidates, which are meant to read
+// prompts.
+func (g roleGroups) readerCount() int { return len(g.prefill) + len(g.mixed) }
 
-// readerExcluded reports whether an engine that is meant to read prompts is well,
-// admits, and was left out only because it refused this request. Then engines
-// are full, and to have a decode engine read the prompt would take it from the answers
-// that it generates, just when there are most of them.
+// readerExcluded reports whether a prefill or mixed engine that is healthy and admits requests
+// was left out only because it refused this request. Such engines are full. If a decode engine
+// read the prompt instead, it would slow down the output that it generates for other requests,
+// just when there are most of them.
 func readerExcluded(request *Request, snapshot Snapshot) bool {
 	for _, endpoint := range snapshot.Endpoints {
 		reads := endpoint.Role == api.RolePrefill || endpoint.Role == api.RoleMixed
@@ -143,9 +146,10 @@
 	return false
 }
 
-// splitCandidates returns the engines that may read and that may generate when
-// a request is split. Mixed engines take the part that no engine is dedicated
-// to; without any dedicated engine there is nothing to split.
+// splitCandidates returns the engines that may read the prompt and those that may generate if a
+// request is split between two engines. With prefill engines, mixed engines may generate beside
+// the decode engines. With decode engines only, mixed engines read. With neither, no request is
+// split.
 func (g roleGroups) splitCandidates() (readers, generators []*Endpoint) {
 	switch {
 	case len(g.prefill) > 0:
@@ -157,9 +161,9 @@
 	}
 }
 
-// cheapest compares serving the request whole on one mixed engine with
-// splitting it between two engines. A decode engine reads the prompt itself
-// only when nothing else is possible.
+// cheapest returns the cheaper of two decisions: to run the whole request on one mixed engine, or
+// to split it between two engines. A decode engine reads the prompt itself only if neither is
+// possible. It returns false if there is no engine at all for the request.
 func (r *Router) cheapest(request *Request, groups roleGroups, random *rand.Rand) (Decision, bool) {
 	whole, haveWhole := r.pick(request, groups.mixed, PartWhole, random)
 	readers, generators := groups.splitCandidates()
@@ -180,7 +184,8 @@
 	return Decision{Target: whole.Endpoint, Estimate: seconds(whole.Cost)}, true
 }
 
-// pick scores the endpoints for a part of the request and picks one; false if there are none.
+// pick scores the endpoints for a part of the request and returns the one that the picker
+// chooses; false if there are none.
 func (r *Router) pick(request *Request, endpoints []*Endpoint, part Part, random *rand.Rand) (Scored, bool) {
 	if len(endpoints) == 0 {
 		return Scored{}, false
@@ -193,6 +198,7 @@
 	return r.config.Picker.Pick(scored, random), true
 }
 
+// cost returns the sum of all scores, in seconds.
 func (r *Router) cost(request *Request, endpoint *Endpoint, part Part) float64 {
 	total := 0.0
 	for _, scorer := range r.config.Scorers {
@@ -201,6 +207,7 @@
 	return total
 }
 
+// compareScored orders endpoints by cost and then by name.
 func compareScored(a, b Scored) int {
 	if order := cmp.Compare(a.Cost, b.Cost); order != 0 {
 		return order
--- a/request/router/score_test.go
+++ b/request/router/score_test.go
@@ -8,8 +8,8 @@
 	"github.com/shoenig/test/must"
 )
 
-func cached(count int, sure bool) func([]uint64) (int, bool) {
-	return func([]uint64) (int, bool) { return count, sure }
+func cachedBlocks(count int, exact bool) func([]uint64) (int, bool) {
+	return func([]uint64) (int, bool) { return count, exact }
 }
 
 func TestScorers(t *testing.T) {
@@ -23,13 +23,13 @@
 		want     float64
 	}{
 		{"prefix cold", PrefixScorer{speed}, Endpoint{}, PartWhole, 1},
-		{"prefix warm", PrefixScorer{speed}, Endpoint{CachedBlocks: cached(8, true)}, PartWhole, 0.2},
-		{"prefix unsure", PrefixScorer{speed}, Endpoint{CachedBlocks: cached(8, false)}, PartWhole, 0.6},
+		{"prefix warm", PrefixScorer{speed}, Endpoint{CachedBlocks: cachedBlocks(8, true)}, PartWhole, 0.2},
+		{"prefix with an inexact count", PrefixScorer{speed}, Endpoint{CachedBlocks: cachedBlocks(8, false)}, PartWhole, 0.6},
 		{"prefix of decode", PrefixScorer{speed}, Endpoint{}, PartDecode, 0},
 		{"load idle", LoadScorer{speed}, Endpoint{}, PartWhole, 1.1 + 2*0.011},
-		{"load own", LoadScorer{speed}, Endpoint{Load: Load{OwnRunning: 10, OwnTokens: 500}}, PartWhole, 0.5 + 2.1 + 3*0.021},
+		{"load of own dispatches", LoadScorer{speed}, Endpoint{Load: Load{OwnRunning: 10, OwnTokens: 500}}, PartWhole, 0.5 + 2.1 + 3*0.021},
 		{"load of decode", LoadScorer{speed}, Endpoint{Load: Load{Running: 10, WaitingTokens: 500, KVUsed: 0.5}}, PartDecode, 0.5 + 2.6},
-		{"prompts hold a step up once", LoadScorer{speed}, Endpoint{Load: Load{WaitingTokens: 100000}}, PartDecode, 50 + 1.1},
+		{"queue delays each decode step by at most one chunk", LoadScorer{speed}, Endpoint{Load: Load{WaitingTokens: 100000}}, PartDecode, 50 + 1.1},
 		{"load of prefill", LoadScorer{speed}, Endpoint{Load: Load{Running: 10, WaitingTokens: 500}}, PartPrefill, 0.5},
 		{"kv low", KVScorer{1}, Endpoint{Load: Load{KVUsed: 0.5}}, PartWhole, 0},
 		{"kv high", KVScorer{1}, Endpoint{Load: Load{KVUsed: 0.8}}, PartWhole, 1},
@@ -57,7 +57,7 @@
 		counts[picker.Pick(scored, random).Endpoint.Name]++
 	}
 	must.Eq(t, 0, counts["d"])
-	must.Eq(t, 0, counts["c"]) // the worst of those drawn from always loses
+	must.Eq(t, 0, counts["c"]) // of two draws, the more expensive one is never picked
 	must.Between(t, 150, counts["a"], 250)
 	must.Between(t, 50, counts["b"], 150)
 	must.Eq(t, "a", picker.Pick(scored[:1], random).Endpoint.Name)
