--- a/request/quarantine/clearance.go
+++ b/request/quarantine/clearance.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// clearances is until when the ends do not count of requests that were served. They stand apart
-// from the ends: they are kept of requests of which nothing else is known, so that it does not
-// matter which word arrives first, the one of an end or the one of a good answer.
+// clearances maps requests that were answered successfully to the time until which their failures
+// are ignored. It is separate from the failures and also covers requests without any, so that the
+// result does not depend on whether the failure or the successful answer is reported first.
 type clearances map[Fingerprint]time.Duration
 
-// clear lets the ends of a request not count for a while.
+// clear starts a clearance for a request.
 func (c clearances) clear(now time.Duration, fingerprint Fingerprint) {
 	if _, known := c[fingerprint]; !known && len(c) >= maxRequests {
 		c.makeRoom(now)
 	}
-	c[fingerprint] = now + clearance
+	c[fingerprint] = now + clearanceDuration
 }
 
-// has reports whether the ends of a request do not count now.
+// has reports whether failures of the request are ignored at now.
 func (c clearances) has(now time.Duration, fingerprint Fingerprint) bool {
 	return now < c[fingerprint]
 }
 
-// expire drops those that are over.
+// expire drops expired clearances.
 func (c clearances) expire(now time.Duration) {
 	for fingerprint, until := range c {
 		if now >= until {
@@ -29,7 +29,7 @@
 	}
 }
 
-// makeRoom drops those that are over or, if there are none, the one that is over first.
+// makeRoom drops the expired clearances or, if there are none, the one that expires first.
 func (c clearances) makeRoom(now time.Duration) {
 	c.expire(now)
 	if len(c) < maxRequests {
@@ -44,16 +44,18 @@
 	delete(c, first)
 }
 
-// Served clears a request that was served whole, whether or not anything is known of it.
+// Served records that a request received a complete answer. It drops the request's failures and
+// ignores further ones for clearanceDuration.
 func (t *Table) Served(now time.Duration, fingerprint Fingerprint) {
 	t.Forget(fingerprint)
 	if !t.cleared.has(now, fingerprint) {
-		t.news++
+		t.changes++
 	}
 	t.cleared.clear(now, fingerprint)
 }
 
-// Cleared returns the requests that were served so lately that their ends do not count.
+// Cleared returns the requests whose failures are currently ignored because they were served
+// recently.
 func (t *Table) Cleared(now time.Duration) []Fingerprint {
 	var found []Fingerprint
 	for fingerprint := range t.cleared {
--- a/request/quarantine/evidence.go
+++ b/request/quarantine/evidence.go
@@ -2,42 +2,43 @@
 
 import "time"
 
-// Evidence is one replica that seems to have ended under a request. A replica that is
-// heard of again refutes it.
+// Evidence describes a suspected failure of one replica while it ran a request. It is refuted when
+// the replica answers again.
 type Evidence struct {
 	Fingerprint Fingerprint
 	Replica     string
-	// Began is true where the run had brought events before.
+	// Began is true if the run had produced output before the failure.
 	Began bool
-	// Read is true where the replica only read the prompt: one that has no place left resets
-	// connections as well, and readers are few and crowded.
+	// Read is true if the replica only ran the prefill phase. Prefill replicas are few and heavily
+	// loaded, and also reset connections when they have no free slot.
 	Read bool
-	// Alone is true where nothing else was in flight at the replica: no other request can
-	// have ended it.
+	// Alone is true if nothing else was in flight at the replica, so that no other request can
+	// have caused the failure.
 	Alone bool
-	// Listens is true where somebody took connections at the replica's address right after: a
-	// faulty one resets connections and goes on. It tells less than that nobody does.
+	// Listens is true if the replica's address still accepted connections right after the failure.
+	// This is weaker evidence, since a faulty replica may reset connections and keep running.
 	Listens bool
-	// Ran is how long the run had been under way.
+	// Ran is how long the run had been in progress.
 	Ran   time.Duration
 	About About
-	// Once says that the name is of one process alone, which ends once.
+	// Once is true if the replica name identifies a single process, which can fail only once.
 	Once bool
-	// Sight is a number that whoever saw the end has drawn for it, 0 for none: words of it that come
-	// late, or a second time, are of the same end.
+	// Sight is a random number drawn by the process that observed the failure, 0 for none. Delayed
+	// and repeated reports with the same number describe the same failure.
 	Sight uint64
 
-	// Told is true for what a member of the group has passed on: whoever keeps evidence has it
-	// already, and is not told again.
+	// Told is true if another control group member reported the failure. The sources of such
+	// reports already hold the evidence, so it is not reported back to them.
 	Told bool
 
-	// recalled is true for what the record says, which leaves most of it out.
-	recalled bool
+	// fromRecord is true for evidence restored from the stored record, which omits most of the
+	// details.
+	fromRecord bool
 }
 
-// About tells people which request it was.
+// About identifies a request for operators.
 type About struct {
 	Service string
 	Route   string
-	Request string // the ID under which it came last
+	Request string // the most recent request ID
 }
--- a/request/quarantine/fingerprint.go
+++ b/request/quarantine/fingerprint.go
@@ -1,9 +1,9 @@
-// Package quarantine tells the requests under which replicas end from those that merely
-// stood beside: it names a request by what it is, wherever and whenever it comes, and
-// counts under which requests replicas ended.
+// Package quarantine tells requests that cause replica failures from requests that merely were in
+// flight at the same replicas. It identifies a request by its content, wherever and whenever it is
+// sent, and counts the replica failures that happen while it runs.
 //
-// Guarantees: what is kept is bounded, and holds no body; a request is condemned only
-// for replicas whose end no other request explains better.
+// Guarantees: the stored state is bounded and holds no request bodies, and a request is considered
+// harmful only for replica failures that no other request explains better.
 package quarantine
 
 import (
@@ -12,21 +12,21 @@
 	"encoding/hex"
 )
 
-// Identity is what makes two requests the same, whatever their IDs.
+// Identity holds the properties that two requests share if they are the same, whatever their IDs.
 type Identity struct {
 	Method string
 	Host   string
-	Path   string // undecoded, without the query
-	Query  string // only where there is no body, which else says what is asked
-	Caller string // who asks, by the fields that name a caller; empty where none does
+	Path   string // not decoded, without the query
+	Query  string // only for requests without a body; otherwise the body says what is asked
+	Caller string // the header fields that identify the caller; empty if there are none
 	Body   []byte
 }
 
-// Fingerprint names an Identity. It is a cryptographic hash: a caller must not be able to
-// make a request that is taken for another caller's.
+// Fingerprint identifies an Identity. It is a cryptographic hash, so that a caller cannot craft a
+// request that is taken for another caller's.
 type Fingerprint [fingerprintBytes]byte
 
-// fingerprintBytes of a SHA-256: enough that no two requests are taken for one.
+// fingerprintBytes is how much of a SHA-256 hash is kept, enough to rule out collisions.
 const fingerprintBytes = 16
 
 // Of returns the fingerprint of an identity.
@@ -47,7 +47,7 @@
 // String returns the fingerprint in hex.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// Parse reads what String returned; false for anything else.
+// Parse parses the output of String. It returns false for any other text.
 func Parse(text string) (Fingerprint, bool) {
 	var fingerprint Fingerprint
 	decoded, err := hex.DecodeString(text)
--- a/request/quarantine/process.go
+++ b/request/quarantine/process.go
@@ -7,23 +7,24 @@
 	"strings"
 )
 
-// A replica may be started again under its name by a platform that tells no births. Its ends are
-// then those of several processes. An end whose run was sent after the name had ended, with nobody
-// left to listen, is another process's: the one before is kept under a name of its own.
+// A platform that does not report process start times may restart a replica under the same name,
+// so the failures under one name can belong to several processes. If a run was sent after the name
+// had failed with nothing listening any more, its failure is that of a later process, and the
+// failures of the earlier process are moved to a separate name.
 
-// earlierMark stands between a replica's name and the number of its earlier process.
+// earlierMark separates a replica name from the number of its earlier process.
 const earlierMark = "#earlier-"
 
-// ReplicaOf returns the replica of a name under which an end is kept.
+// ReplicaOf returns the replica name for a name under which a failure is stored.
 func ReplicaOf(name string) string {
 	replica, _, _ := strings.Cut(name, earlierMark)
 	return replica
 }
 
-// processesOf returns the names under which ends of a replica are kept.
-func (t *Table) processesOf(replica string) []string {
+// processNames returns the names under which failures of a replica are stored.
+func (t *Table) processNames(replica string) []string {
 	var names []string
-	for name := range t.beside {
+	for name := range t.inFlightAt {
 		if ReplicaOf(name) == replica {
 			names = append(names, name)
 		}
@@ -31,89 +32,92 @@
 	return names
 }
 
-// isBefore reports whether the replica had surely ended before the run of another end was sent
-// there. What the record tells has no time of its own, and counts from when it was read.
-func (e end) isBefore(told end) bool {
-	return e.isTelling() && max(e.at, e.notedAt)+toldWithin < told.sent
+// isBefore reports whether the replica had certainly failed before the run behind a later failure
+// was sent to it. A failure from the record has no time of its own; the time when the record was
+// read is used.
+func (f failure) isBefore(incoming failure) bool {
+	return f.isStrong() && max(f.at, f.notedAt)+maxReportDelay < incoming.sent
 }
 
-// processAt returns the name of the process that a word of an end is of: of one at whose end the
-// request is known to have stood, of a later one, or, where the word comes late, of one before it.
-func (t *Table) processAt(known *entry, told end) string {
-	if told.once {
-		return told.replica
+// processNameFor returns the name of the process that a reported failure belongs to. This is the
+// process of a failure already known for the request, a later one or, for a delayed report, an
+// earlier one.
+func (t *Table) processNameFor(known *entry, incoming failure) string {
+	if incoming.uniqueName {
+		return incoming.replica
 	}
-	for _, ended := range known.ends {
-		if slices.ContainsFunc(told.sights, func(number uint64) bool { return slices.Contains(ended.sights, number) }) {
-			return ended.replica
+	for _, failed := range known.failures {
+		if slices.ContainsFunc(incoming.observationIDs, func(number uint64) bool { return slices.Contains(failed.observationIDs, number) }) {
+			return failed.replica
 		}
 	}
-	if known.has(told.replica) && known.endOf(told.replica).isOneWith(told) {
-		return told.replica
+	if known.has(incoming.replica) && known.failureOf(incoming.replica).mayShareProcess(incoming) {
+		return incoming.replica
 	}
-	for _, ended := range known.ends {
-		if !told.recalled && !ended.recalled && ReplicaOf(ended.replica) == told.replica && ended.isOneWith(told) {
-			return ended.replica
+	for _, failed := range known.failures {
+		if !incoming.fromRecord && !failed.fromRecord && ReplicaOf(failed.replica) == incoming.replica && failed.mayShareProcess(incoming) {
+			return failed.replica
 		}
 	}
-	if !known.has(told.replica) {
-		return told.replica
+	if !known.has(incoming.replica) {
+		return incoming.replica
 	}
-	if known.endOf(told.replica).isBefore(told) {
-		t.renew(told)
-		return told.replica
+	if known.failureOf(incoming.replica).isBefore(incoming) {
+		t.renameToEarlier(incoming)
+		return incoming.replica
 	}
-	return t.earlierProcess(known, told)
+	return t.earlierProcessName(known, incoming)
 }
 
-// isOneWith reports whether two words of a replica's end may be of one process. What the record tells
-// has no time of its own: a word that seems to come before it is of the same.
-func (e end) isOneWith(told end) bool {
-	return !e.isBefore(told) && (e.recalled || told.recalled || !told.isBefore(e))
+// mayShareProcess reports whether two reported failures of a replica may belong to the same
+// process. Failures from the record have no time of their own: a report that seems to precede one
+// of them still belongs to the same process.
+func (f failure) mayShareProcess(incoming failure) bool {
+	return !f.isBefore(incoming) && (f.fromRecord || incoming.fromRecord || !incoming.isBefore(f))
 }
 
-// earlierProcess returns the name of the earlier process of a replica whose end it was, a new one if
-// none is known that ended then.
-func (t *Table) earlierProcess(known *entry, told end) string {
-	for _, name := range t.processesOf(told.replica) {
+// earlierProcessName returns the name of the replica's earlier process that the failure belongs
+// to. It returns an unused name if no known process failed at that time.
+func (t *Table) earlierProcessName(known *entry, incoming failure) string {
+	for _, name := range t.processNames(incoming.replica) {
 		if known.has(name) {
-			continue // that is another end of the request
+			continue // this is another failure of the same request
 		}
-		for fingerprint := range t.beside[name] {
-			ended := t.requests[fingerprint].endOf(name)
-			if ended.isOneWith(told) {
+		for fingerprint := range t.inFlightAt[name] {
+			failed := t.requests[fingerprint].failureOf(name)
+			if failed.mayShareProcess(incoming) {
 				return name
 			}
 		}
 	}
-	return t.earlierName(told.replica)
+	return t.unusedEarlierName(incoming.replica)
 }
 
-// renew keeps the ends of an earlier process apart from one that another process has met under its
-// replica's name.
-func (t *Table) renew(told end) {
-	earlier := t.earlierName(told.replica)
-	for fingerprint := range maps.Clone(t.beside[told.replica]) {
+// renameToEarlier moves the failures stored under a replica's name to the name of an earlier
+// process, because the reported failure is that of a new process with the replica's name.
+func (t *Table) renameToEarlier(incoming failure) {
+	earlier := t.unusedEarlierName(incoming.replica)
+	for fingerprint := range maps.Clone(t.inFlightAt[incoming.replica]) {
 		known := t.requests[fingerprint]
-		known.ends[known.indexOf(told.replica)].replica = earlier
-		t.forgetBeside(fingerprint, told.replica)
-		t.rememberBeside(fingerprint, earlier)
+		known.failures[known.indexOf(incoming.replica)].replica = earlier
+		t.removeInFlight(fingerprint, incoming.replica)
+		t.addInFlight(fingerprint, earlier)
 	}
 }
 
-// earlierName is a name for an earlier process of a replica that none has yet.
-func (t *Table) earlierName(replica string) string {
+// unusedEarlierName returns a name for an earlier process of a replica that is not in use.
+func (t *Table) unusedEarlierName(replica string) string {
 	for number := 1; ; number++ {
 		name := fmt.Sprint(replica, earlierMark, number)
-		if _, taken := t.beside[name]; !taken {
+		if _, taken := t.inFlightAt[name]; !taken {
 			return name
 		}
 	}
 }
 
-func (t *Table) rememberBeside(fingerprint Fingerprint, replica string) {
-	if t.beside[replica] == nil {
-		t.beside[replica] = map[Fingerprint]struct{}{}
+func (t *Table) addInFlight(fingerprint Fingerprint, replica string) {
+	if t.inFlightAt[replica] == nil {
+		t.inFlightAt[replica] = map[Fingerprint]struct{}{}
 	}
-	t.beside[replica][fingerprint] = struct{}{}
+	t.inFlightAt[replica][fingerprint] = struct{}{}
 }
--- a/request/quarantine/property_test.go
+++ b/request/quarantine/property_test.go
@@ -10,19 +10,19 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever stands beside it, whoever reports first, and whichever replicas end together: a
-// request that ends each replica is condemned once it was sent again often enough, and
-// nobody else is as long as no bystander stood at as many ends as it.
-func TestOnlyWhatEndsReplicasIsCondemned(t *testing.T) {
+// A request that crashes every replica is found harmful once it was sent again often enough,
+// whatever else was in flight, whoever reports first and whichever replicas fail together. No
+// other request is found harmful as long as it was in flight at fewer of the failures.
+func TestOnlyHarmfulRequestIsFound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := NewTable()
 		now := time.Duration(0)
-		ends := rapid.IntRange(decisiveEnds, maxEnds).Draw(t, "ends")
+		ends := rapid.IntRange(decisiveFailures, maxFailures).Draw(t, "failures")
 		bystanders := map[string]int{}
 		for i := range ends {
 			now += rapid.SampledFrom([]time.Duration{20 * time.Millisecond, time.Second, time.Minute}).Draw(t, "gap")
 			present := []string{"fatal"}
-			for b := range rapid.IntRange(0, 5).Draw(t, "beside") {
+			for b := range rapid.IntRange(0, 5).Draw(t, "bystanders") {
 				name := fmt.Sprint("b", b)
 				if bystanders[name] < ends-1 {
 					bystanders[name]++
@@ -34,13 +34,13 @@
 				if request != "fatal" {
 					ran = rapid.SampledFrom([]time.Duration{time.Millisecond, time.Second}).Draw(t, "ran")
 				}
-				table.Note(now, Evidence{Fingerprint: named(request), Replica: fmt.Sprint("r", i), Ran: ran})
+				table.Note(now, Evidence{Fingerprint: fingerprintOf(request), Replica: fmt.Sprint("r", i), Ran: ran})
 			}
 		}
-		must.Eq(t, Condemned, table.Standing(now+later, named("fatal")))
+		must.Eq(t, Condemned, table.Standing(now+pastSettling, fingerprintOf("fatal")))
 		for name := range bystanders {
-			must.Less(t, Condemned, table.Standing(now+later, named(name)), must.Sprint(name))
+			must.Less(t, Condemned, table.Standing(now+pastSettling, fingerprintOf(name)), must.Sprint(name))
 		}
-		must.True(t, slices.Contains(table.Watched(now+later), named("fatal")))
+		must.True(t, slices.Contains(table.Watched(now+pastSettling), fingerprintOf("fatal")))
 	})
 }
--- a/request/quarantine/record.go
+++ b/request/quarantine/record.go
@@ -5,122 +5,124 @@
 	"time"
 )
 
-// Record is what is on record of a request.
+// Record is the stored record of a request.
 type Record struct {
 	Replicas []string
-	// Weak are those of them whose ends tell little.
+	// Weak lists the replicas whose failures are weak evidence.
 	Weak []string
-	// Alone says that one of them ended with nothing else in flight, AtOnce that all ended
-	// in one moment.
+	// Alone is true if one of them failed with nothing else in flight. AtOnce is true if all of
+	// them failed at the same time.
 	Alone  bool
 	AtOnce bool
-	// Age is for how long the first of them has been gone, at least.
+	// Age is the minimum time since the first of them failed.
 	Age   time.Duration
 	About About
 }
 
-// Evidence returns what the record says of one of its replicas.
+// Evidence returns the evidence that the record holds for one of its replicas.
 func (r *Record) Evidence(fingerprint Fingerprint, replica string) Evidence {
 	seen := Evidence{
 		Fingerprint: fingerprint, Replica: replica, Alone: r.Alone, Listens: slices.Contains(r.Weak, replica), About: r.About,
-		recalled: true,
+		fromRecord: true,
 	}
 	if r.AtOnce {
-		seen.Ran = settle // each was at work when the others ended
+		seen.Ran = settleDelay // each run was in progress when the others failed
 	}
 	return seen
 }
 
-// Restore puts what is recorded of a request in the place of what is known of it.
+// Restore replaces what is known of a request with its record.
 func (t *Table) Restore(now time.Duration, fingerprint Fingerprint, known Record) {
 	t.Forget(fingerprint)
-	since := now - min(max(known.Age, settle), memory/2)
+	since := now - min(max(known.Age, settleDelay), failureRetention/2)
 	for i, replica := range known.Replicas {
-		before := time.Duration(len(known.Replicas)-1-i) * time.Millisecond // they came one after the other
+		before := time.Duration(len(known.Replicas)-1-i) * time.Millisecond // they failed one after the other
 		t.noteAt(now, since-before, known.Evidence(fingerprint, replica))
 	}
 }
 
-// Recall puts what is recorded of a request beside what was heard of it: what was heard says more.
-// Its ends come to the table anew, in the order in which requests are recalled.
+// Recall merges the record of a request with the reports received for it, which take precedence.
+// The failures get new sequence numbers, in the order in which requests are recalled.
 func (t *Table) Recall(now time.Duration, fingerprint Fingerprint, known Record) {
-	var heard []end
+	var received []failure
 	if before := t.requests[fingerprint]; before != nil {
-		heard = slices.Clone(before.ends)
+		received = slices.Clone(before.failures)
 		known.About = before.about
 	}
 	t.Restore(now, fingerprint, known)
-	for _, ended := range heard {
-		t.noteAt(now, ended.at, ended.evidence(fingerprint, known.About))
+	for _, failed := range received {
+		t.noteAt(now, failed.at, failed.evidence(fingerprint, known.About))
 	}
 }
 
-// Aged is an Evidence with the time since then.
+// Aged is an Evidence with its age.
 type Aged struct {
 	Evidence
 	Age time.Duration
 }
 
-// All returns what was seen here, for whoever has to learn it anew. What the record told is left out:
-// whoever has the record knows it, and would take it for seen. So is what members have told, and so
-// are ends of earlier processes, which each table numbers by itself.
+// All returns the evidence observed here, for a receiver that has to rebuild its table. It omits
+// what comes from the record, because the receiver has the record and would take it for an
+// observation. It also omits what other members reported, and failures of earlier processes, which
+// each table numbers on its own.
 func (t *Table) All(now time.Duration) []Aged {
 	var all []Aged
 	for fingerprint, known := range t.requests {
-		for _, ended := range known.ends {
-			if !ended.recalled && !ended.told && ReplicaOf(ended.replica) == ended.replica {
-				all = append(all, Aged{Evidence: ended.evidence(fingerprint, known.about), Age: now - ended.at})
+		for _, failed := range known.failures {
+			if !failed.fromRecord && !failed.reported && ReplicaOf(failed.replica) == failed.replica {
+				all = append(all, Aged{Evidence: failed.evidence(fingerprint, known.about), Age: now - failed.at})
 			}
 		}
 	}
 	return all
 }
 
-// evidence is what was seen of an end of a request.
-func (e end) evidence(fingerprint Fingerprint, about About) Evidence {
+// evidence returns the Evidence for a failure of the request.
+func (f failure) evidence(fingerprint Fingerprint, about About) Evidence {
 	return Evidence{
-		Fingerprint: fingerprint, Replica: e.replica, Began: e.began, Read: e.read, Alone: e.alone, Listens: e.listens,
-		Ran: e.at - e.sent, About: about, Once: e.once, Sight: e.sight(), Told: e.told, recalled: e.recalled,
+		Fingerprint: fingerprint, Replica: f.replica, Began: f.hadOutput, Read: f.prefill, Alone: f.alone, Listens: f.listens,
+		Ran: f.at - f.sent, About: about, Once: f.uniqueName, Sight: f.observationID(), Told: f.reported, fromRecord: f.fromRecord,
 	}
 }
 
-// sight is the number by which others know the end, 0 for none.
-func (e end) sight() uint64 {
-	if len(e.sights) == 0 {
+// observationID returns the first observation number of the failure, 0 for none.
+func (f failure) observationID() uint64 {
+	if len(f.observationIDs) == 0 {
 		return 0
 	}
-	return e.sights[0]
+	return f.observationIDs[0]
 }
 
-// maxSights bounds the numbers kept of one end: the proxies that had the request there.
-const maxSights = 8
+// maxObservationIDs bounds the observation numbers kept per failure. Each comes from a proxy that
+// had sent the request to the replica.
+const maxObservationIDs = 8
 
-// addSights keeps numbers by which others know the same end.
-func (e *end) addSights(told end) {
-	for _, number := range told.sights {
-		if !slices.Contains(e.sights, number) && len(e.sights) < maxSights {
-			e.sights = append(e.sights, number)
+// addObservationIDs adds the observation numbers from another report of the same failure.
+func (f *failure) addObservationIDs(other failure) {
+	for _, number := range other.observationIDs {
+		if !slices.Contains(f.observationIDs, number) && len(f.observationIDs) < maxObservationIDs {
+			f.observationIDs = append(f.observationIDs, number)
 		}
 	}
 }
 
-// hearAgain takes in another word on an end that is known. What the record says of it gives way to
-// what was seen, but for its place in the order of ends. It reports whether it did.
-func (e *entry) hearAgain(told end) (replaced bool) {
-	at := e.indexOf(told.replica)
-	known := e.ends[at]
-	told.addSights(known)
-	e.ends[at].addSights(told)
+// mergeReport merges another report of a known failure into the entry. An observation replaces
+// what the record holds but keeps its sequence number. It reports whether a failure was replaced.
+func (e *entry) mergeReport(incoming failure) (replaced bool) {
+	at := e.indexOf(incoming.replica)
+	known := e.failures[at]
+	incoming.addObservationIDs(known)
+	e.failures[at].addObservationIDs(incoming)
 	switch {
-	case known.recalled && !told.recalled:
-		told.sequence = known.sequence
-		told.alone = told.alone || known.alone
-		e.ends = slices.Delete(e.ends, at, at+1)
-		e.insert(told)
+	case known.fromRecord && !incoming.fromRecord:
+		incoming.sequence = known.sequence
+		incoming.alone = incoming.alone || known.alone
+		e.failures = slices.Delete(e.failures, at, at+1)
+		e.insert(incoming)
 		return true
-	case known.recalled == told.recalled:
-		e.ends[at].listens = known.listens && told.listens
-		e.ends[at].told = known.told && told.told
+	case known.fromRecord == incoming.fromRecord:
+		e.failures[at].listens = known.listens && incoming.listens
+		e.failures[at].reported = known.reported && incoming.reported
 	}
 	return false
 }
--- a/request/quarantine/sight.go
+++ b/request/quarantine/sight.go
@@ -7,84 +7,85 @@
 	"time"
 )
 
-// That a replica ended under a request is a fact: it needs neither an order nor an agreement, and
-// nothing is lost if it is kept twice. So tables that tell each other what was seen come to hold the
-// same, in whatever order the words arrive, however often, and by whichever way.
+// A replica failure during a request is a fact that needs neither ordering nor consensus and may
+// be recorded more than once. So tables that exchange their reports converge to the same state,
+// regardless of the order, repetition and route of the reports.
 
-// Sights returns what was seen of ends, whoever saw it, the oldest first; most bounds it. Noted by
-// another table in that order it says the same there, ends of earlier processes included. Requests of
-// whose ends none tells anything are left out; of too many those that stood at most ends are kept, and of
-// these the latest.
-func (t *Table) Sights(now time.Duration, most int) []Aged {
-	telling := func(known *entry) bool { return slices.ContainsFunc(known.ends, end.isTelling) }
+// Sights returns the failures observed by anyone, oldest first, at most the given number. Noting
+// them in this order in another table gives the same state there, including the failures of
+// earlier processes. Requests with only weak failures are omitted. If there are too many, requests
+// with the most failures are kept first, and among these the most recent.
+func (t *Table) Sights(now time.Duration, limit int) []Aged {
+	hasStrong := func(known *entry) bool { return slices.ContainsFunc(known.failures, failure.isStrong) }
 	fingerprints := slices.DeleteFunc(slices.Collect(maps.Keys(t.requests)), func(fingerprint Fingerprint) bool {
-		return !telling(t.requests[fingerprint])
+		return !hasStrong(t.requests[fingerprint])
 	})
 	slices.SortFunc(fingerprints, func(a, b Fingerprint) int {
 		first, second := t.requests[a], t.requests[b]
-		return cmp.Or(cmp.Compare(len(second.ends), len(first.ends)), cmp.Compare(second.lastAt(), first.lastAt()), slices.Compare(a[:], b[:]))
+		return cmp.Or(cmp.Compare(len(second.failures), len(first.failures)), cmp.Compare(second.lastAt(), first.lastAt()), slices.Compare(a[:], b[:]))
 	})
-	return t.SightsOf(fingerprints, now, most)
+	return t.SightsOf(fingerprints, now, limit)
 }
 
-// NotableSights is Sights of those requests alone that are worth watching for.
-func (t *Table) NotableSights(now time.Duration, most int) []Aged {
+// NotableSights is like Sights, but covers only requests that are watched or due for a trial.
+func (t *Table) NotableSights(now time.Duration, limit int) []Aged {
 	notable := t.Watched(now)
 	for _, fingerprint := range t.Tried() {
 		if !slices.Contains(notable, fingerprint) {
 			notable = append(notable, fingerprint)
 		}
 	}
-	return t.SightsOf(notable, now, most)
+	return t.SightsOf(notable, now, limit)
 }
 
-// SightsOf is Sights of the requests given, those first that are to be kept of too many.
-func (t *Table) SightsOf(fingerprints []Fingerprint, now time.Duration, most int) []Aged {
-	var sights []Aged
+// SightsOf is like Sights, but covers only the given requests. If there are too many failures,
+// earlier requests in the list take precedence.
+func (t *Table) SightsOf(fingerprints []Fingerprint, now time.Duration, limit int) []Aged {
+	var reports []Aged
 	for _, fingerprint := range fingerprints {
 		known := t.requests[fingerprint]
 		if known == nil {
 			continue
 		}
-		for _, ended := range slices.Backward(known.ends) {
-			if ended.recalled || len(sights) == most {
+		for _, failed := range slices.Backward(known.failures) {
+			if failed.fromRecord || len(reports) == limit {
 				continue
 			}
-			seen := ended.evidence(fingerprint, known.about)
-			seen.Replica = ReplicaOf(ended.replica)
-			sights = append(sights, Aged{Evidence: seen, Age: now - ended.at})
+			seen := failed.evidence(fingerprint, known.about)
+			seen.Replica = ReplicaOf(failed.replica)
+			reports = append(reports, Aged{Evidence: seen, Age: now - failed.at})
 		}
 	}
-	slices.SortStableFunc(sights, func(a, b Aged) int { return cmp.Compare(b.Age, a.Age) })
-	return sights
+	slices.SortStableFunc(reports, func(a, b Aged) int { return cmp.Compare(b.Age, a.Age) })
+	return reports
 }
 
-// DropTold drops the ends that only members have told of.
+// DropTold drops the failures known only from reports of other members.
 func (t *Table) DropTold() {
 	for fingerprint, known := range t.requests {
-		for _, ended := range slices.Clone(known.ends) {
-			if ended.told && !ended.recalled {
-				t.drop(fingerprint, ended.replica)
+		for _, failed := range slices.Clone(known.failures) {
+			if failed.reported && !failed.fromRecord {
+				t.drop(fingerprint, failed.replica)
 			}
 		}
 	}
 }
 
-// IsWorthTelling reports whether others are to know of a request at once: replicas ended under it at
-// several moments, or lately at one that tells something.
+// IsWorthTelling reports whether a request should be reported to others immediately. This is the
+// case if replicas failed at several different times, or if a recent failure is strong evidence.
 func (t *Table) IsWorthTelling(now time.Duration, fingerprint Fingerprint) bool {
 	known := t.requests[fingerprint]
 	if known == nil {
 		return false
 	}
-	return len(known.strikes()) >= WatchedEnds || t.IsSuspect(now, fingerprint) && slices.ContainsFunc(known.ends, end.isTelling)
+	return len(known.incidents()) >= WatchedEnds || t.IsSuspect(now, fingerprint) && slices.ContainsFunc(known.failures, failure.isStrong)
 }
 
-// StoodInSeries reports whether a request under which replicas ended at several moments stood at an end
-// of the replica.
+// StoodInSeries reports whether any request in flight at a failure of the replica has failures at
+// several different times.
 func (t *Table) StoodInSeries(replica string) bool {
-	for _, name := range t.processesOf(replica) {
-		for fingerprint := range t.beside[name] {
+	for _, name := range t.processNames(replica) {
+		for fingerprint := range t.inFlightAt[name] {
 			if t.IsSeries(fingerprint) {
 				return true
 			}
--- a/request/quarantine/sight_test.go
+++ b/request/quarantine/sight_test.go
@@ -10,30 +10,31 @@
 	"pgregory.net/rapid"
 )
 
-// counted is what a table holds of each request: how many ends, at how many moments.
-func counted(table *Table, names []string) (counts [][2]int) {
+// countsOf returns the number of failures and of incidents that a table holds for each request.
+func countsOf(table *Table, names []string) (counts [][2]int) {
 	for _, name := range names {
-		moments := 0
-		if known := table.requests[named(name)]; known != nil {
-			moments = len(known.strikes())
+		incidents := 0
+		if known := table.requests[fingerprintOf(name)]; known != nil {
+			incidents = len(known.incidents())
 		}
-		counts = append(counts, [2]int{table.CountEnds(named(name)), moments})
+		counts = append(counts, [2]int{table.CountEnds(fingerprintOf(name)), incidents})
 	}
 	return counts
 }
 
-// What was seen is a set: tables that tell each other come to hold the same as one that saw it all,
-// whoever saw what, in whatever order the words arrive, lost and repeated ones included.
-func TestSightsAreAUnion(t *testing.T) {
-	names := []string{"fatal", "beside", "other"}
+// Tables that exchange their reports converge to the state of a table that received all of them,
+// whoever observed which failure, in whatever order reports arrive, and even if some are lost or
+// repeated.
+func TestExchangedReportsConverge(t *testing.T) {
+	names := []string{"fatal", "bystander", "other"}
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Hour / 2
 		var all []Aged
-		for i := range rapid.IntRange(1, maxEnds).Draw(t, "ends") {
+		for i := range rapid.IntRange(1, maxFailures).Draw(t, "failures") {
 			replica := fmt.Sprint("r", rapid.IntRange(0, 3).Draw(t, "replica"))
-			stood := rapid.SliceOfNDistinct(rapid.SampledFrom(names), 1, len(names), rapid.ID).Draw(t, "stood")
+			stood := rapid.SliceOfNDistinct(rapid.SampledFrom(names), 1, len(names), rapid.ID).Draw(t, "in flight")
 			for _, name := range stood {
-				seen := Evidence{Fingerprint: named(name), Replica: replica, Ran: 5 * time.Millisecond}
+				seen := Evidence{Fingerprint: fingerprintOf(name), Replica: replica, Ran: 5 * time.Millisecond}
 				all = append(all, Aged{Evidence: seen, Age: now - time.Duration(i)*time.Second})
 			}
 		}
@@ -45,7 +46,7 @@
 		for _, seen := range rapid.Permutation(all).Draw(t, "order") {
 			for range rapid.IntRange(1, 2).Draw(t, "repeats") {
 				told := seen
-				told.Told = rapid.Bool().Draw(t, "told")
+				told.Told = rapid.Bool().Draw(t, "reported")
 				tables[rapid.IntRange(0, 2).Draw(t, "at")].NoteAged(now, told.Age, told.Evidence)
 			}
 		}
@@ -59,32 +60,33 @@
 			}
 		}
 		for _, table := range tables {
-			must.Eq(t, counted(whole, names), counted(table, names))
-			news := table.News()
+			must.Eq(t, countsOf(whole, names), countsOf(table, names))
+			changes := table.News()
 			for _, seen := range all {
 				table.NoteAged(now, seen.Age, seen.Evidence)
 			}
-			must.Eq(t, news, table.News(), must.Sprint("nothing of it is new"))
+			must.Eq(t, changes, table.News(), must.Sprint("repeated reports change nothing"))
 		}
 	})
 }
 
-// Of too many sights those are kept that say most, and what the record told is nobody's sight.
+// If there are too many failures, the strongest evidence is kept. Failures from the record are not
+// observations.
 func TestSightsAreBounded(t *testing.T) {
 	table := NewTable()
 	for i := range 20 {
-		endedAfter(table, time.Duration(i)*time.Second, fmt.Sprint("r", i), fmt.Sprint("once ", i))
+		noteShortRun(table, time.Duration(i)*time.Second, fmt.Sprint("r", i), fmt.Sprint("once ", i))
 	}
-	endedAfter(table, time.Minute, "a", "fatal")
-	endedAfter(table, 2*time.Minute, "b", "fatal")
-	table.Recall(time.Hour/2, named("recorded"), Record{Replicas: []string{"c", "d"}})
+	noteShortRun(table, time.Minute, "a", "fatal")
+	noteShortRun(table, 2*time.Minute, "b", "fatal")
+	table.Recall(time.Hour/2, fingerprintOf("recorded"), Record{Replicas: []string{"c", "d"}})
 	kept := table.Sights(3*time.Minute, 3)
 	must.Eq(t, []string{"r19", "a", "b"}, replicasOf(kept))
 	must.Eq(t, []time.Duration{161 * time.Second, 2 * time.Minute, time.Minute}, []time.Duration{kept[0].Age, kept[1].Age, kept[2].Age})
 	must.Eq(t, []string{"a", "b"}, replicasOf(table.NotableSights(3*time.Minute, 3)))
 	must.False(t, slices.Contains(replicasOf(table.Sights(3*time.Minute, 99)), "c"))
-	table.Note(2*time.Minute, Evidence{Fingerprint: named("served in part"), Replica: "e", Began: true})
-	must.False(t, slices.Contains(replicasOf(table.Sights(3*time.Minute, 99)), "e"), must.Sprint("it tells nothing"))
+	table.Note(2*time.Minute, Evidence{Fingerprint: fingerprintOf("partial output"), Replica: "e", Began: true})
+	must.False(t, slices.Contains(replicasOf(table.Sights(3*time.Minute, 99)), "e"), must.Sprint("it is weak evidence"))
 }
 
 func replicasOf(sights []Aged) (replicas []string) {
@@ -94,17 +96,17 @@
 	return replicas
 }
 
-// What makes room for a new end is no news, and what is dropped at once is none either.
-func TestWhatAFullTableDropsIsNoNews(t *testing.T) {
+// Evicting a failure for a new one, or dropping the new one itself, does not count as a change.
+func TestEvictionIsNoChange(t *testing.T) {
 	table := NewTable()
-	for i := range 2 * maxEnds {
+	for i := range 2 * maxFailures {
 		before := table.News()
-		table.Note(time.Second, Evidence{Fingerprint: named("popular"), Replica: fmt.Sprint("rack-", i), Ran: time.Second})
-		must.Eq(t, i < maxEnds, table.News() != before, must.Sprint("end ", i))
+		table.Note(time.Second, Evidence{Fingerprint: fingerprintOf("popular"), Replica: fmt.Sprint("rack-", i), Ran: time.Second})
+		must.Eq(t, i < maxFailures, table.News() != before, must.Sprint("failure ", i))
 	}
 	for i := range 2 * maxRequests {
 		before := table.News()
-		endedAfter(table, time.Minute, "r", fmt.Sprint("once ", i))
+		noteShortRun(table, time.Minute, "r", fmt.Sprint("once ", i))
 		must.Eq(t, i < maxRequests-1, table.News() != before, must.Sprint("request ", i))
 	}
 }
--- a/request/quarantine/table.go
+++ b/request/quarantine/table.go
@@ -6,108 +6,111 @@
 	"time"
 )
 
-// Bounds and thresholds of a Table. They are policy: three ends are what no bystander
-// reaches by chance while its route allows two attempts, and users bear as much.
+// Limits and thresholds of a Table. Three failures are more than a bystander meets by chance while
+// its route allows two attempts, and no more than users tolerate.
 const (
-	// CondemningEnds is under how many ended replicas a request is condemned.
+	// CondemningEnds is the number of failed replicas from which a request is considered harmful.
 	CondemningEnds = 3
-	// WatchedEnds is from how many on it is worth watching for.
+	// WatchedEnds is the number of failures from which a request is watched.
 	WatchedEnds = 2
-	// certainEnds is from how many on who sees only a part condemns a request.
-	certainEnds = 4
-	// maxEnds bounds the ends kept of one request, maxRequests the requests.
-	maxEnds     = 8
+	// certainFailures is the number of failures from which a process with a partial view considers
+	// a request harmful.
+	certainFailures = 4
+	// maxFailures bounds the failures kept per request, maxRequests the requests.
+	maxFailures = 8
 	maxRequests = 4096
-	// memory is how long an end counts.
-	memory = time.Hour
-	// together is by how much earlier than a first end a run must have been sent to count as
-	// in flight then: what is told of by different proxies arrives some milliseconds apart.
-	together = 5 * time.Millisecond
-	// suspectTime is how long a request that stood at an end is a suspect if it does not
-	// come again: callers try again within their deadlines, of seconds.
-	suspectTime = 30 * time.Second
-	// clearance is how long ends do not count of a request that was served: whatever ends
-	// the replicas, it is not this one.
-	clearance = time.Minute
+	// failureRetention is how long a failure counts.
+	failureRetention = time.Hour
+	// simultaneityMargin is how long before the first failure of an incident a run must have been
+	// sent to count as in flight then: reports from different proxies arrive some milliseconds
+	// apart.
+	simultaneityMargin = 5 * time.Millisecond
+	// suspectDuration is how long a request remains suspect after a failure if it is not sent
+	// again. Callers retry within their deadlines, which are seconds.
+	suspectDuration = 30 * time.Second
+	// clearanceDuration is how long failures of a request are ignored after it was served: it is
+	// not what makes the replicas fail.
+	clearanceDuration = time.Minute
 )
 
-// Standing is what is believed of a request.
+// Standing is a verdict on a request.
 type Standing uint8
 
 // Standings, from harmless to harmful.
 const (
 	Free      Standing = iota
-	Watched            // replicas ended under it, too few to tell
-	Settling           // enough of them, and the word on bystanders may still be under way
-	Condemned          // it ends replicas
+	Watched            // replicas failed while it ran, too few to decide
+	Settling           // enough of them failed, but reports on bystanders may still arrive
+	Condemned          // it makes replicas fail
 )
 
-// Table keeps under which requests replicas ended. It is not safe for concurrent use.
+// Table records which requests were running when replicas failed. It is not safe for concurrent
+// use.
 //
-// Replicas that end at once, with their machine or rack, count as one end: those whose run of
-// the request was sent before the first of them ended. What ends replicas shows when it is
-// sent again.
+// Replicas that fail together, with their machine or rack, count as one incident. These are the
+// replicas to which the request was sent before the first of them failed. Whether a request makes
+// replicas fail shows when it is sent again.
 //
-// An end speaks against one request only: against the one that is well ahead of all others
-// that were in flight there. So a request that merely stood beside is not condemned for what
-// another one did.
+// A failure counts against one request only, the one that is well ahead of all others in flight
+// there. So a bystander is not found harmful for what another request did.
 type Table struct {
 	requests map[Fingerprint]*entry
-	// beside holds the requests that were in flight at a replica that ended.
-	beside map[string]map[Fingerprint]struct{}
-	// cleared holds the requests that were served lately.
+	// inFlightAt maps failed replicas to the requests that were in flight there.
+	inFlightAt map[string]map[Fingerprint]struct{}
+	// cleared holds the requests that were served recently.
 	cleared clearances
-	// sequence is the next end's.
+	// sequence is the number of the next failure.
 	sequence uint64
-	// news counts what the table did not know before.
-	news uint64
+	// changes counts the changes of the table's content.
+	changes uint64
 }
 
 type entry struct {
-	ends  []end // of different replicas, in the order of time
-	holds []hold
-	about About
-}
-
-type end struct {
-	replica string
-	sent    time.Duration // when the run was
-	at      time.Duration
-	began   bool
-	read    bool
-	alone   bool
-	listens bool
-	// once says that the name is of one process alone; sights are the first numbers that those who
-	// saw the end have drawn for it.
-	once   bool
-	sights []uint64
-	// told is true for what a member has passed on and was not seen here.
-	told bool
-	// recalled is true until whoever saw the end has told of it; it was read at notedAt then.
-	recalled bool
-	notedAt  time.Duration
-	// sequence numbers the ends of the table in the order in which they came to it.
+	failures []failure // of different processes, in order of time
+	holds    []hold
+	about    About
+}
+
+type failure struct {
+	replica   string
+	sent      time.Duration // when the request was sent to the replica
+	at        time.Duration
+	hadOutput bool
+	prefill   bool
+	alone     bool
+	listens   bool
+	// uniqueName is true if the replica name identifies a single process. observationIDs holds the
+	// first observation numbers reported for the failure.
+	uniqueName     bool
+	observationIDs []uint64
+	// reported is true if the failure is known only from other members.
+	reported bool
+	// fromRecord is true until an observer reports the failure; notedAt is when the record was
+	// read.
+	fromRecord bool
+	notedAt    time.Duration
+	// sequence numbers the table's failures in order of arrival.
 	sequence uint64
 }
 
 // NewTable returns an empty table.
 func NewTable() *Table {
-	return &Table{requests: map[Fingerprint]*entry{}, beside: map[string]map[Fingerprint]struct{}{}, cleared: clearances{}}
+	return &Table{requests: map[Fingerprint]*entry{}, inFlightAt: map[string]map[Fingerprint]struct{}{}, cleared: clearances{}}
 }
 
-// News counts what the table has learnt or dropped: as long as it is the same, so is the table.
-// Words that say nothing new do not count, so that they need not be passed on.
-func (t *Table) News() uint64 { return t.news }
+// News returns a counter that changes whenever the table's content does. Reports without new
+// information leave it unchanged, so that they need not be passed on.
+func (t *Table) News() uint64 { return t.changes }
 
-// Empty reports whether no end is kept.
+// Empty reports whether the table holds no failures.
 func (t *Table) Empty() bool { return len(t.requests) == 0 }
 
-// Note takes in that a replica seems to have ended under a request.
+// Note records a suspected replica failure, unless the request was served recently.
 func (t *Table) Note(now time.Duration, seen Evidence) { t.noteAt(now, now, seen) }
 
-// NoteAged takes in what was seen some time ago.
+// NoteAged is Note for a failure of the given age. It ignores ages outside the retention time.
 func (t *Table) NoteAged(now, age time.Duration, seen Evidence) {
-	if age >= 0 && age < memory {
+	if age >= 0 && age < failureRetention {
 		t.noteAt(now, now-age, seen)
 	}
 }
@@ -116,123 +119,127 @@
 	if t.cleared.has(now, seen.Fingerprint) {
 		return
 	}
-	before := t.news
+	before := t.changes
 	known := t.requests[seen.Fingerprint]
 	if known == nil {
 		t.makeRoom()
 		known = &entry{}
 		t.requests[seen.Fingerprint] = known
 	}
-	told := end{
-		replica: seen.Replica, sent: at - seen.Ran, at: at, began: seen.Began, read: seen.Read, alone: seen.Alone,
-		listens: seen.Listens, once: seen.Once, told: seen.Told, recalled: seen.recalled, sequence: t.sequence,
+	incoming := failure{
+		replica: seen.Replica, sent: at - seen.Ran, at: at, hadOutput: seen.Began, prefill: seen.Read, alone: seen.Alone,
+		listens: seen.Listens, uniqueName: seen.Once, reported: seen.Told, fromRecord: seen.fromRecord, sequence: t.sequence,
 	}
-	if seen.recalled {
-		told.notedAt = now
+	if seen.fromRecord {
+		incoming.notedAt = now
 	}
 	if seen.Sight != 0 {
-		told.sights = []uint64{seen.Sight}
+		incoming.observationIDs = []uint64{seen.Sight}
 	}
-	told.replica = t.processAt(known, told)
-	if known.has(told.replica) {
-		if known.hearAgain(told) {
-			t.news++
+	incoming.replica = t.processNameFor(known, incoming)
+	if known.has(incoming.replica) {
+		if known.mergeReport(incoming) {
+			t.changes++
 		}
 		return
 	}
 	known.about = seen.About
-	known.insert(told)
+	known.insert(incoming)
 	t.sequence++
-	t.rememberBeside(seen.Fingerprint, told.replica)
-	for len(known.ends) > maxEnds {
-		t.drop(seen.Fingerprint, known.surplus())
+	t.addInFlight(seen.Fingerprint, incoming.replica)
+	for len(known.failures) > maxFailures {
+		t.drop(seen.Fingerprint, known.leastUsefulReplica())
 	}
-	if t.news == before {
-		t.news++
+	if t.changes == before {
+		t.changes++
 		return
 	}
-	// Something made room for it. That is no news: two full tables would else tell each other
-	// what the other has just dropped, for ever.
-	t.news = before
+	// The new failure replaced another. This does not count as a change, or two full tables would
+	// keep sending each other what the other has just dropped.
+	t.changes = before
 }
 
-// Alive is a replica that seemed to have ended and has answered since.
+// Alive identifies a replica that was suspected to have failed and has answered since.
 type Alive struct {
 	Replica string
-	// For is how long the process that answers has lived, at least. An earlier one may have
-	// ended under the same name.
+	// For is the minimum time for which the answering process has been running. An earlier process
+	// with the same name may have failed.
 	For time.Duration
 }
 
-// Ever stands for a process that is the only one of its name.
-const Ever = memory
+// Ever is the Alive.For of a process that is the only one with its name.
+const Ever = failureRetention
 
-// toldWithin is by how much later than a replica's end a word of it comes. An answer of a
-// process that has lived for that much longer refutes it.
-const toldWithin = 250 * time.Millisecond
+// maxReportDelay is the longest delay that is assumed between a replica failure and a report of
+// it. A process that answers and has been running for at least that much longer refutes the
+// failure.
+const maxReportDelay = 250 * time.Millisecond
 
-// Lives refutes those ends of a replica at which the process that has answered lived already.
+// Lives drops the failures of a replica that happened while the answering process was already
+// running.
 func (t *Table) Lives(now time.Duration, alive Alive) {
-	for _, name := range t.processesOf(alive.Replica) {
-		for fingerprint := range t.beside[name] {
-			if ended := t.requests[fingerprint].endOf(name); now-alive.For+toldWithin <= ended.at {
+	for _, name := range t.processNames(alive.Replica) {
+		for fingerprint := range t.inFlightAt[name] {
+			if failed := t.requests[fingerprint].failureOf(name); now-alive.For+maxReportDelay <= failed.at {
 				t.drop(fingerprint, name)
 			}
 		}
 	}
 }
 
-// HasEnd reports whether a replica ended under a request, as far as is known.
+// HasEnd reports whether a replica is known to have failed while it ran the request.
 func (t *Table) HasEnd(fingerprint Fingerprint, replica string) bool {
 	known := t.requests[fingerprint]
 	return known != nil && known.has(replica)
 }
 
-// Forget drops the ends and holds that are known of a request. That it was served lately is
-// kept: it is as likely to stand at the next ends.
+// Forget drops the failures and holds of a request. A clearance is kept, since the request is just
+// as likely to be in flight at the next failures.
 func (t *Table) Forget(fingerprint Fingerprint) {
 	known := t.requests[fingerprint]
 	if known == nil {
 		return
 	}
-	for _, ended := range known.ends {
-		t.forgetBeside(fingerprint, ended.replica)
+	for _, failed := range known.failures {
+		t.removeInFlight(fingerprint, failed.replica)
 	}
 	delete(t.requests, fingerprint)
-	t.news++
+	t.changes++
 }
 
-// Expire drops ends and clearances that are over.
+// Expire drops expired failures and clearances.
 func (t *Table) Expire(now time.Duration) {
 	t.cleared.expire(now)
 	for fingerprint, known := range t.requests {
-		for len(known.ends) > 0 && now-known.ends[0].at >= memory {
-			t.drop(fingerprint, known.ends[0].replica)
+		for len(known.failures) > 0 && now-known.failures[0].at >= failureRetention {
+			t.drop(fingerprint, known.failures[0].replica)
 		}
 	}
 }
 
-// IsTried reports whether as many replicas ended under a request as would condemn it, had they
-// ended one after the other. A lost rack looks the same: whether it was the request shows when
-// one copy of it is sent again, and many at once may not be, since each would end a replica
-// before the first has told. Ends at which one stood that was held since do not count: it ends
-// replicas no more, and to try what merely stood beside would refuse its callers for nothing.
-// Nor do those of replicas that go on listening.
+// IsTried reports whether a request is due for a trial: enough replicas failed to find it harmful
+// if they had failed at different times. The loss of a rack looks the same. Sending a single copy
+// again shows whether the request is the cause. Many copies at once must not be sent, since each
+// would bring down a replica before the first has shown anything.
+//
+// Failures shared with a request that was held since do not count: that request causes no more
+// failures, and a trial of the bystander would refuse its callers for nothing. Failures of
+// replicas that keep listening do not count either.
 func (t *Table) IsTried(fingerprint Fingerprint) bool {
 	known := t.requests[fingerprint]
-	if known == nil || !known.hasMany() {
+	if known == nil || !known.hasManyFailures() {
 		return false
 	}
-	own := slices.DeleteFunc(slices.Clone(known.ends), func(ended end) bool {
-		return t.stoodBesideHeld(fingerprint, ended.replica)
+	own := slices.DeleteFunc(slices.Clone(known.failures), func(failed failure) bool {
+		return t.sharedWithHeldRequest(fingerprint, failed.replica)
 	})
-	return tellingEnds(own) >= manyEnds
+	return countStrong(own) >= manyFailures
 }
 
-// stoodBesideHeld reports whether another request was in flight at the replica's end that is
-// held, or has been.
-func (t *Table) stoodBesideHeld(fingerprint Fingerprint, replica string) bool {
-	for other := range t.beside[replica] {
+// sharedWithHeldRequest reports whether another request that is or was held was in flight at the
+// replica when it failed.
+func (t *Table) sharedWithHeldRequest(fingerprint Fingerprint, replica string) bool {
+	for other := range t.inFlightAt[replica] {
 		if other != fingerprint && len(t.requests[other].holds) > 0 {
 			return true
 		}
@@ -240,7 +247,7 @@
 	return false
 }
 
-// Tried returns the requests that are to be tried alone, in the order of their fingerprints.
+// Tried returns the requests that are due for a trial on their own, ordered by fingerprint.
 func (t *Table) Tried() []Fingerprint {
 	var tried []Fingerprint
 	for fingerprint := range t.requests {
@@ -252,29 +259,30 @@
 	return tried
 }
 
-// EndedAlone reports whether replicas ended under the request more than once, and one of
-// them with nothing else in flight.
+// EndedAlone reports whether replicas failed at several different times while they ran the
+// request, one of them with nothing else in flight.
 func (t *Table) EndedAlone(fingerprint Fingerprint) bool {
 	known := t.requests[fingerprint]
-	return known != nil && known.endedAlone()
+	return known != nil && known.failedAlone()
 }
 
-// IsSuspect reports whether a replica has lately ended under the request before it brought
-// anything, and nothing has cleared it since: it may have been its doing.
+// IsSuspect reports whether the request may have caused a recent replica failure: the replica
+// failed before the request produced output, or it was not the only one, and the request was not
+// cleared since.
 func (t *Table) IsSuspect(now time.Duration, fingerprint Fingerprint) bool {
 	known := t.requests[fingerprint]
-	if known == nil || len(known.ends) == 0 || now-known.lastAt() > suspectTime {
+	if known == nil || len(known.failures) == 0 || now-known.lastAt() > suspectDuration {
 		return false
 	}
-	return len(known.ends) > 1 || !known.ends[0].began
+	return len(known.failures) > 1 || !known.failures[0].hadOutput
 }
 
-// Lone returns the requests under which replicas ended lately at one moment only, before they
-// brought anything and where nobody listens any more: the latest first.
+// Lone returns the recent suspects with a single incident that includes strong evidence: no output
+// was produced and nothing listens at the replica's address any more. The most recent come first.
 func (t *Table) Lone(now time.Duration) []Fingerprint {
 	var found []Fingerprint
 	for fingerprint, known := range t.requests {
-		if t.IsSuspect(now, fingerprint) && len(known.strikes()) < WatchedEnds && slices.ContainsFunc(known.ends, end.isTelling) {
+		if t.IsSuspect(now, fingerprint) && len(known.incidents()) < WatchedEnds && slices.ContainsFunc(known.failures, failure.isStrong) {
 			found = append(found, fingerprint)
 		}
 	}
@@ -284,42 +292,42 @@
 	return found
 }
 
-// isTelling reports whether the replica may well have ended by the request's doing.
-func (e end) isTelling() bool { return !e.began && !e.read && !e.listens }
+// isStrong reports whether the failure is strong evidence that the request caused it.
+func (f failure) isStrong() bool { return !f.hadOutput && !f.prefill && !f.listens }
 
-// IsSeries reports whether replicas have ended under the request at different moments.
+// IsSeries reports whether replicas failed at several different times while they ran the request.
 func (t *Table) IsSeries(fingerprint Fingerprint) bool {
 	known := t.requests[fingerprint]
-	return known != nil && len(known.strikes()) >= WatchedEnds
+	return known != nil && len(known.incidents()) >= WatchedEnds
 }
 
-// IsCertain reports whether a request is condemned by one end more than it takes, of runs
-// alone, none of which any other explains as well: the bar for who sees only a part of what
-// happens.
+// IsCertain reports whether a request is harmful by a stricter rule, for a process with a partial
+// view. The rule requires one more failure, counts no prefill runs and ignores failures that any
+// other request explains equally well.
 func (t *Table) IsCertain(fingerprint Fingerprint) bool {
 	known := t.requests[fingerprint]
 	if known == nil {
 		return false
 	}
-	return len(t.unexplained(fingerprint, known.runs(), func(other *entry) bool {
+	return len(t.unexplained(fingerprint, known.withoutPrefill(), func(other *entry) bool {
 		return other.rank().compare(known.rank()) >= 0
-	})) >= certainEnds
+	})) >= certainFailures
 }
 
-// Rest is how long a condemned request stays so if no more replicas end under it.
+// Rest returns how long a harmful request remains so if no more replicas fail.
 func (t *Table) Rest(now time.Duration, fingerprint Fingerprint) time.Duration {
 	known := t.requests[fingerprint]
 	if known == nil {
 		return 0
 	}
-	strikes := known.strikes()
-	if len(strikes) < CondemningEnds {
+	incidents := known.incidents()
+	if len(incidents) < CondemningEnds {
 		return 0
 	}
-	return memory - (now - strikes[len(strikes)-CondemningEnds][0].at)
+	return failureRetention - (now - incidents[len(incidents)-CondemningEnds][0].at)
 }
 
-// Watched returns the requests that are not free, in the order of their fingerprints.
+// Watched returns the requests whose standing is not Free, ordered by fingerprint.
 func (t *Table) Watched(now time.Duration) []Fingerprint {
 	var watched []Fingerprint
 	for fingerprint := range t.requests {
@@ -331,82 +339,84 @@
 	return watched
 }
 
-// Weak returns those replicas whose ends under a request tell little, the oldest first.
+// Weak returns the replicas whose failures are weak evidence against the request, oldest first.
 func (t *Table) Weak(fingerprint Fingerprint) []string {
 	known := t.requests[fingerprint]
 	if known == nil {
 		return nil
 	}
 	var weak []string
-	for _, ended := range known.ends {
-		if !ended.isTelling() {
-			weak = append(weak, ended.replica)
+	for _, failed := range known.failures {
+		if !failed.isStrong() {
+			weak = append(weak, failed.replica)
 		}
 	}
 	return weak
 }
 
-// Ends returns the replicas that ended under a request, the oldest first, and which request it
-// was: one of each that ended together, and all of many as long as little else is known.
+// Ends returns the replicas that failed while they ran the request, oldest first, and what
+// identifies the request to operators. It returns one replica per incident, or all of them if many
+// failed in fewer than CondemningEnds incidents.
 func (t *Table) Ends(fingerprint Fingerprint) ([]string, About) {
 	known := t.requests[fingerprint]
 	if known == nil {
 		return nil, About{}
 	}
 	var replicas []string
-	strikes := known.strikes()
-	for _, strike := range strikes {
-		if !known.hasMany() || len(strikes) >= CondemningEnds {
-			strike = strike[:1]
+	incidents := known.incidents()
+	for _, incident := range incidents {
+		if !known.hasManyFailures() || len(incidents) >= CondemningEnds {
+			incident = incident[:1]
 		}
-		for _, ended := range strike {
-			replicas = append(replicas, ended.replica)
+		for _, failed := range incident {
+			replicas = append(replicas, failed.replica)
 		}
 	}
 	return replicas, known.about
 }
 
-// CountEnds is how many replicas ended under a request, those that ended together included.
+// CountEnds returns the number of replicas that failed while they ran the request, including those
+// that failed together.
 func (t *Table) CountEnds(fingerprint Fingerprint) int {
 	if known := t.requests[fingerprint]; known != nil {
-		return len(known.ends)
+		return len(known.failures)
 	}
 	return 0
 }
 
-// FirstEnd returns when the first replica ended under a request that is known.
+// FirstEnd returns the time of the first known failure of a request.
 func (t *Table) FirstEnd(fingerprint Fingerprint) (at time.Duration, found bool) {
 	known := t.requests[fingerprint]
-	if known == nil || len(known.ends) == 0 {
+	if known == nil || len(known.failures) == 0 {
 		return 0, false
 	}
-	return known.ends[0].at, true
+	return known.failures[0].at, true
 }
 
-// insert keeps an end in the order of time.
-func (e *entry) insert(ended end) {
-	after := slices.IndexFunc(e.ends, func(known end) bool { return known.at > ended.at })
+// insert adds a failure in order of time.
+func (e *entry) insert(failed failure) {
+	after := slices.IndexFunc(e.failures, func(known failure) bool { return known.at > failed.at })
 	if after < 0 {
-		after = len(e.ends)
+		after = len(e.failures)
 	}
-	e.ends = slices.Insert(e.ends, after, ended)
+	e.failures = slices.Insert(e.failures, after, failed)
 }
 
-// surplus is the replica whose end is least worth keeping: one of several that ended
-// together, and else the one that ended first.
-func (e *entry) surplus() string {
-	for _, strike := range e.strikes() {
-		if len(strike) > 1 {
-			return strike[len(strike)-1].replica
+// leastUsefulReplica returns the replica whose failure is least worth keeping: one of several that
+// failed together, otherwise the one that failed first.
+func (e *entry) leastUsefulReplica() string {
+	for _, incident := range e.incidents() {
+		if len(incident) > 1 {
+			return incident[len(incident)-1].replica
 		}
 	}
-	return e.ends[0].replica
+	return e.failures[0].replica
 }
 
-// runs is the entry without the ends of replicas that only read the prompt.
-func (e *entry) runs() *entry {
+// withoutPrefill returns a copy of the entry without failures of prefill withoutPrefill.
+func (e *entry) withoutPrefill() *entry {
 	kept := *e
-	kept.ends = slices.DeleteFunc(slices.Clone(e.ends), func(ended end) bool { return ended.read })
+	kept.failures = slices.DeleteFunc(slices.Clone(e.failures), func(failed failure) bool { return failed.prefill })
 	return &kept
 }
 
@@ -414,56 +424,56 @@
 	return e.indexOf(replica) >= 0
 }
 
-// endOf returns the end of a replica at which the request stood.
-func (e *entry) endOf(replica string) end {
-	return e.ends[e.indexOf(replica)]
+// failureOf returns the failure of the given replica, which must be known.
+func (e *entry) failureOf(replica string) failure {
+	return e.failures[e.indexOf(replica)]
 }
 
-// indexOf is where the end of a replica stands, less than 0 for none.
+// indexOf returns the index of the replica's failure, or a negative number if there is none.
 func (e *entry) indexOf(replica string) int {
-	return slices.IndexFunc(e.ends, func(known end) bool { return known.replica == replica })
+	return slices.IndexFunc(e.failures, func(known failure) bool { return known.replica == replica })
 }
 
-func (e *entry) lastAt() time.Duration { return e.ends[len(e.ends)-1].at }
+func (e *entry) lastAt() time.Duration { return e.failures[len(e.failures)-1].at }
 
-// drop removes one end of a request, and the request with its last one.
+// drop removes one failure of a request, and the request along with its last failure.
 func (t *Table) drop(fingerprint Fingerprint, replica string) {
 	known := t.requests[fingerprint]
-	known.ends = slices.DeleteFunc(known.ends, func(ended end) bool { return ended.replica == replica })
-	t.forgetBeside(fingerprint, replica)
-	t.news++
-	if len(known.ends) == 0 {
+	known.failures = slices.DeleteFunc(known.failures, func(failed failure) bool { return failed.replica == replica })
+	t.removeInFlight(fingerprint, replica)
+	t.changes++
+	if len(known.failures) == 0 {
 		delete(t.requests, fingerprint)
 	}
 }
 
-func (t *Table) forgetBeside(fingerprint Fingerprint, replica string) {
-	delete(t.beside[replica], fingerprint)
-	if len(t.beside[replica]) == 0 {
-		delete(t.beside, replica)
+func (t *Table) removeInFlight(fingerprint Fingerprint, replica string) {
+	delete(t.inFlightAt[replica], fingerprint)
+	if len(t.inFlightAt[replica]) == 0 {
+		delete(t.inFlightAt, replica)
 	}
 }
 
-// makeRoom drops the request that is least worth keeping when the table is full: with the
-// fewest ends, so that a flood of others does not push out what ends replicas, and among
-// these the one whose last end is the oldest.
+// makeRoom evicts a request if the table is full: the one with the fewest failures, so that a
+// flood of other requests does not displace a harmful one, and among these the one whose last
+// failure is the oldest.
 func (t *Table) makeRoom() {
 	if len(t.requests) < maxRequests {
 		return
 	}
-	var least Fingerprint
-	var leastEntry *entry
+	var victim Fingerprint
+	var victimEntry *entry
 	for fingerprint, known := range t.requests {
-		if leastEntry == nil || known.lessWorth(leastEntry) {
-			least, leastEntry = fingerprint, known
+		if victimEntry == nil || known.isEvictedBefore(victimEntry) {
+			victim, victimEntry = fingerprint, known
 		}
 	}
-	t.Forget(least)
+	t.Forget(victim)
 }
 
-func (e *entry) lessWorth(other *entry) bool {
-	if len(e.ends) != len(other.ends) {
-		return len(e.ends) < len(other.ends)
+func (e *entry) isEvictedBefore(other *entry) bool {
+	if len(e.failures) != len(other.failures) {
+		return len(e.failures) < len(other.failures)
 	}
 	return e.lastAt() < other.lastAt()
 }
--- a/request/quarantine/table_test.go
+++ b/request/quarantine/table_test.go
@@ -8,254 +8,255 @@
 	"github.com/shoenig/test/must"
 )
 
-func named(name string) Fingerprint { return Of(Identity{Path: name}) }
+func fingerprintOf(name string) Fingerprint { return Of(Identity{Path: name}) }
 
-// ended tells the table that a replica ended under the requests.
-func ended(table *Table, now time.Duration, replica string, requests ...string) {
+// noteFailure records that a replica failed while it ran the requests.
+func noteFailure(table *Table, now time.Duration, replica string, requests ...string) {
 	for _, request := range requests {
-		table.Note(now, Evidence{Fingerprint: named(request), Replica: replica})
+		table.Note(now, Evidence{Fingerprint: fingerprintOf(request), Replica: replica})
 	}
 }
 
-const later = time.Second // than anything settles
+const pastSettling = time.Second // longer than settleDelay
 
-func TestThirdEndCondemns(t *testing.T) {
+func TestThirdFailureIsHarmful(t *testing.T) {
 	table := NewTable()
 	for i, want := range []Standing{Free, Watched, Condemned, Condemned} {
-		ended(table, 0, fmt.Sprint("r", i), "fatal")
-		must.Eq(t, want, table.Standing(later, named("fatal")), must.Sprint(i+1, " ends"))
+		noteFailure(table, 0, fmt.Sprint("r", i), "fatal")
+		must.Eq(t, want, table.Standing(pastSettling, fingerprintOf("fatal")), must.Sprint(i+1, " failures"))
 	}
-	must.Eq(t, Free, table.Standing(later, named("other")))
-	must.Eq(t, Settling, table.Standing(settle/2, named("fatal")))
+	must.Eq(t, Free, table.Standing(pastSettling, fingerprintOf("other")))
+	must.Eq(t, Settling, table.Standing(settleDelay/2, fingerprintOf("fatal")))
 }
 
-// Who sees only a part asks for one end more, and gives equals the benefit of the doubt.
-func TestPartialSightNeedsMore(t *testing.T) {
+// A process with a partial view requires one more failure and does not decide between equals.
+func TestPartialViewRequiresMoreFailures(t *testing.T) {
 	table := NewTable()
 	for i := range 3 {
-		ended(table, 0, fmt.Sprint("r", i), "fatal")
-		must.False(t, table.IsCertain(named("fatal")))
+		noteFailure(table, 0, fmt.Sprint("r", i), "fatal")
+		must.False(t, table.IsCertain(fingerprintOf("fatal")))
 	}
-	ended(table, 0, "r3", "fatal")
-	must.True(t, table.IsCertain(named("fatal")))
+	noteFailure(table, 0, "r3", "fatal")
+	must.True(t, table.IsCertain(fingerprintOf("fatal")))
 	for i := range 5 {
-		table.Note(0, Evidence{Fingerprint: named("read"), Replica: fmt.Sprint("reader", i), Read: true})
+		table.Note(0, Evidence{Fingerprint: fingerprintOf("read"), Replica: fmt.Sprint("reader", i), Read: true})
 	}
-	must.False(t, table.IsCertain(named("read")))
+	must.False(t, table.IsCertain(fingerprintOf("read")))
 	for i := range 4 {
-		ended(table, 0, fmt.Sprint("s", i), "one", "two")
+		noteFailure(table, 0, fmt.Sprint("s", i), "one", "two")
 	}
-	must.False(t, table.IsCertain(named("one")))
-	must.False(t, table.IsCertain(named("other")))
+	must.False(t, table.IsCertain(fingerprintOf("one")))
+	must.False(t, table.IsCertain(fingerprintOf("other")))
 }
 
 func TestOneReplicaCountsOnce(t *testing.T) {
 	table := NewTable()
 	for range 5 {
-		ended(table, 0, "r", "fatal")
+		noteFailure(table, 0, "r", "fatal")
 	}
-	must.Eq(t, Free, table.Standing(later, named("fatal")))
+	must.Eq(t, Free, table.Standing(pastSettling, fingerprintOf("fatal")))
 }
 
-// What stood beside a request that ended more replicas is not condemned, whatever the
-// order in which the words arrive.
-func TestBystandersAreNotCondemned(t *testing.T) {
-	for _, order := range [][]string{{"fatal", "beside"}, {"beside", "fatal"}} {
+// A request that was in flight at failures of a request with more failures is not found harmful,
+// whatever the order of the reports.
+func TestBystandersAreNotHarmful(t *testing.T) {
+	for _, order := range [][]string{{"fatal", "bystander"}, {"bystander", "fatal"}} {
 		table := NewTable()
 		for i := range 2 {
-			ended(table, 0, fmt.Sprint("alone", i), "fatal")
+			noteFailure(table, 0, fmt.Sprint("alone", i), "fatal")
 		}
 		for i := range 3 {
-			ended(table, 0, fmt.Sprint("r", i), order...)
+			noteFailure(table, 0, fmt.Sprint("r", i), order...)
 		}
-		must.Eq(t, Condemned, table.Standing(later, named("fatal")))
-		must.Eq(t, Watched, table.Standing(later, named("beside")))
+		must.Eq(t, Condemned, table.Standing(pastSettling, fingerprintOf("fatal")))
+		must.Eq(t, Watched, table.Standing(pastSettling, fingerprintOf("bystander")))
 	}
 }
 
-// A popular request that met an unrelated end is ahead of the one that ends replicas, by
-// one: neither is condemned until one is well ahead.
-func TestLeadOfOneDecidesNothing(t *testing.T) {
+// A popular request that met an unrelated failure is ahead of the harmful request by one. Neither
+// is found harmful until one of them is well ahead.
+func TestLeadOfOneIsNotEnough(t *testing.T) {
 	table := NewTable()
 	for i := range 2 {
-		ended(table, 0, fmt.Sprint("r", i), "fatal", "popular")
+		noteFailure(table, 0, fmt.Sprint("r", i), "fatal", "popular")
 	}
-	ended(table, 0, "unrelated", "popular")
-	must.Eq(t, Watched, table.Standing(later, named("popular")))
+	noteFailure(table, 0, "unrelated", "popular")
+	must.Eq(t, Watched, table.Standing(pastSettling, fingerprintOf("popular")))
 	for i := 2; i < 4; i++ {
-		ended(table, 0, fmt.Sprint("r", i), "fatal")
-		must.Eq(t, Watched, table.Standing(later, named("fatal")))
+		noteFailure(table, 0, fmt.Sprint("r", i), "fatal")
+		must.Eq(t, Watched, table.Standing(pastSettling, fingerprintOf("fatal")))
 	}
-	ended(table, 0, "r4", "fatal")
-	must.Eq(t, Condemned, table.Standing(later, named("fatal")))
-	must.Eq(t, Watched, table.Standing(later, named("popular")))
+	noteFailure(table, 0, "r4", "fatal")
+	must.Eq(t, Condemned, table.Standing(pastSettling, fingerprintOf("fatal")))
+	must.Eq(t, Watched, table.Standing(pastSettling, fingerprintOf("popular")))
 }
 
-// Runs that had brought events speak for a request that stood at the same ends.
-func TestRunsWithEventsSpeakForARequest(t *testing.T) {
+// Runs that had produced output speak for a request in flight at the same failures.
+func TestRunsWithOutputSpeakForARequest(t *testing.T) {
 	table := NewTable()
 	for i := range 3 {
 		replica := fmt.Sprint("r", i)
-		ended(table, 0, replica, "fatal")
-		table.Note(0, Evidence{Fingerprint: named("beside"), Replica: replica, Began: i < 2})
+		noteFailure(table, 0, replica, "fatal")
+		table.Note(0, Evidence{Fingerprint: fingerprintOf("bystander"), Replica: replica, Began: i < 2})
 	}
-	must.Eq(t, Condemned, table.Standing(later, named("fatal")))
-	must.Eq(t, Watched, table.Standing(later, named("beside")))
+	must.Eq(t, Condemned, table.Standing(pastSettling, fingerprintOf("fatal")))
+	must.Eq(t, Watched, table.Standing(pastSettling, fingerprintOf("bystander")))
 }
 
-// Two that always come together are both condemned in the end.
-func TestInseparableRequestsAreBothCondemned(t *testing.T) {
+// Two requests that are always sent together are eventually both found harmful.
+func TestInseparableRequestsAreBothHarmful(t *testing.T) {
 	table := NewTable()
-	for i := range decisiveEnds {
-		must.NotEq(t, Condemned, table.Standing(later, named("one")))
-		ended(table, 0, fmt.Sprint("r", i), "one", "two")
+	for i := range decisiveFailures {
+		must.NotEq(t, Condemned, table.Standing(pastSettling, fingerprintOf("one")))
+		noteFailure(table, 0, fmt.Sprint("r", i), "one", "two")
 	}
-	must.Eq(t, Condemned, table.Standing(later, named("one")))
-	must.Eq(t, Condemned, table.Standing(later, named("two")))
+	must.Eq(t, Condemned, table.Standing(pastSettling, fingerprintOf("one")))
+	must.Eq(t, Condemned, table.Standing(pastSettling, fingerprintOf("two")))
 }
 
-// What a held request explains stays explained: it collects no more ends, while one that
-// merely stood beside may meet an unrelated one afterwards.
-func TestHeldRequestGoesOnExplainingItsEnds(t *testing.T) {
+// A held request keeps explaining its failures although it collects no more, while a bystander may
+// meet an unrelated failure later.
+func TestHeldRequestKeepsExplainingItsFailures(t *testing.T) {
 	table := NewTable()
 	for i := range 3 {
-		table.Note(0, Evidence{Fingerprint: named("fatal"), Replica: fmt.Sprint("r", i)})
-		table.Note(0, Evidence{Fingerprint: named("popular"), Replica: fmt.Sprint("r", i), Began: i < 2})
+		table.Note(0, Evidence{Fingerprint: fingerprintOf("fatal"), Replica: fmt.Sprint("r", i)})
+		table.Note(0, Evidence{Fingerprint: fingerprintOf("popular"), Replica: fmt.Sprint("r", i), Began: i < 2})
 	}
-	must.Eq(t, Condemned, table.Standing(later, named("fatal")))
-	table.SetHeld(named("fatal"), true)
-	ended(table, 0, "unrelated", "popular")
-	must.Eq(t, Watched, table.Standing(later, named("popular")))
-	must.Eq(t, Condemned, table.Standing(later, named("fatal")))
+	must.Eq(t, Condemned, table.Standing(pastSettling, fingerprintOf("fatal")))
+	table.SetHeld(fingerprintOf("fatal"), true)
+	noteFailure(table, 0, "unrelated", "popular")
+	must.Eq(t, Watched, table.Standing(pastSettling, fingerprintOf("popular")))
+	must.Eq(t, Condemned, table.Standing(pastSettling, fingerprintOf("fatal")))
 }
 
-// A request that was held by mistake, before the one that ends replicas showed, is found
-// out by the ends that go on without it.
-func TestHeldByMistakeIsFoundOut(t *testing.T) {
+// A request that was held by mistake, before the harmful one was known, is exonerated by the
+// failures that continue without it.
+func TestRequestHeldByMistakeIsExonerated(t *testing.T) {
 	table := NewTable()
 	for i := range 3 {
-		ended(table, 0, fmt.Sprint("r", i), "fatal", "popular")
+		noteFailure(table, 0, fmt.Sprint("r", i), "fatal", "popular")
 	}
-	table.SetHeld(named("popular"), true)
-	ended(table, 0, "r3", "fatal")
-	ended(table, 0, "r4", "fatal")
-	must.Eq(t, Condemned, table.Standing(later, named("fatal")))
-	table.SetHeld(named("fatal"), true)
-	must.Eq(t, Watched, table.Standing(later, named("popular")))
+	table.SetHeld(fingerprintOf("popular"), true)
+	noteFailure(table, 0, "r3", "fatal")
+	noteFailure(table, 0, "r4", "fatal")
+	must.Eq(t, Condemned, table.Standing(pastSettling, fingerprintOf("fatal")))
+	table.SetHeld(fingerprintOf("fatal"), true)
+	must.Eq(t, Watched, table.Standing(pastSettling, fingerprintOf("popular")))
 }
 
-// Two requests that both end replicas are both condemned.
-func TestTwoFatalRequestsAreBothCondemned(t *testing.T) {
+// Two harmful requests are both found.
+func TestTwoHarmfulRequestsAreBothFound(t *testing.T) {
 	table := NewTable()
-	ended(table, 0, "shared", "one", "two")
+	noteFailure(table, 0, "shared", "one", "two")
 	for i := range 3 {
-		ended(table, 0, fmt.Sprint("a", i), "one")
-		ended(table, 0, fmt.Sprint("b", i), "two")
+		noteFailure(table, 0, fmt.Sprint("a", i), "one")
+		noteFailure(table, 0, fmt.Sprint("b", i), "two")
 	}
-	must.Eq(t, Condemned, table.Standing(later, named("one")))
-	must.Eq(t, Condemned, table.Standing(later, named("two")))
+	must.Eq(t, Condemned, table.Standing(pastSettling, fingerprintOf("one")))
+	must.Eq(t, Condemned, table.Standing(pastSettling, fingerprintOf("two")))
 }
 
-// Replicas that end at once count once, for whatever was in flight at them; one that ends
-// under a request that was sent after that counts.
-func TestEndsTogetherCountOnce(t *testing.T) {
+// Replicas that fail together count once for everything in flight there. A failure counts again if
+// the request was sent after that.
+func TestSimultaneousFailuresCountOnce(t *testing.T) {
 	table := NewTable()
-	for i := range 3 * maxEnds {
+	for i := range 3 * maxFailures {
 		table.Note(time.Second+time.Duration(i)*10*time.Millisecond, Evidence{
-			Fingerprint: named("popular"), Replica: fmt.Sprint("rack-", i), Ran: 300 * time.Millisecond,
+			Fingerprint: fingerprintOf("popular"), Replica: fmt.Sprint("rack-", i), Ran: 300 * time.Millisecond,
 		})
 	}
-	must.Eq(t, Free, table.Standing(2*time.Second, named("popular")))
+	must.Eq(t, Free, table.Standing(2*time.Second, fingerprintOf("popular")))
 	must.SliceEmpty(t, table.Watched(2*time.Second))
 	for i := range 2 {
 		table.Note(3*time.Second+time.Duration(i)*100*time.Millisecond, Evidence{
-			Fingerprint: named("popular"), Replica: fmt.Sprint("later-", i), Ran: 50 * time.Millisecond,
+			Fingerprint: fingerprintOf("popular"), Replica: fmt.Sprint("later-", i), Ran: 50 * time.Millisecond,
 		})
 	}
-	must.Eq(t, Condemned, table.Standing(5*time.Second, named("popular")))
-	replicas, _ := table.Ends(named("popular"))
+	must.Eq(t, Condemned, table.Standing(5*time.Second, fingerprintOf("popular")))
+	replicas, _ := table.Ends(fingerprintOf("popular"))
 	must.Eq(t, []string{"rack-0", "later-0", "later-1"}, replicas)
 }
 
-func TestReplicaThatLivesRefutesItsEnd(t *testing.T) {
+func TestLiveReplicaRefutesItsFailure(t *testing.T) {
 	table := NewTable()
 	for i := range 3 {
-		ended(table, 0, fmt.Sprint("r", i), "fatal")
+		noteFailure(table, 0, fmt.Sprint("r", i), "fatal")
 	}
 	table.Lives(0, Alive{Replica: "r1", For: Ever})
-	must.Eq(t, Watched, table.Standing(later, named("fatal")))
+	must.Eq(t, Watched, table.Standing(pastSettling, fingerprintOf("fatal")))
 	table.Lives(0, Alive{Replica: "r0", For: Ever})
 	table.Lives(0, Alive{Replica: "r2", For: Ever})
 	must.True(t, table.Empty())
-	must.MapEmpty(t, table.beside)
+	must.MapEmpty(t, table.inFlightAt)
 }
 
-// A popular request stands at every end there is: that it is served shows its innocence.
+// A popular request is in flight at every failure. A complete answer shows that it is harmless.
 func TestServedRequestIsCleared(t *testing.T) {
 	table := NewTable()
 	for i := range 2 {
-		ended(table, 0, fmt.Sprint("r", i), "popular")
+		noteFailure(table, 0, fmt.Sprint("r", i), "popular")
 	}
-	table.Served(0, named("popular"))
+	table.Served(0, fingerprintOf("popular"))
 	for i := 2; i < 8; i++ {
-		ended(table, clearance/2, fmt.Sprint("r", i), "popular")
+		noteFailure(table, clearanceDuration/2, fmt.Sprint("r", i), "popular")
 	}
-	must.Eq(t, Free, table.Standing(clearance/2+later, named("popular")))
+	must.Eq(t, Free, table.Standing(clearanceDuration/2+pastSettling, fingerprintOf("popular")))
 	for i := range 3 {
-		ended(table, 2*clearance, fmt.Sprint("s", i), "popular")
+		noteFailure(table, 2*clearanceDuration, fmt.Sprint("s", i), "popular")
 	}
-	must.Eq(t, Condemned, table.Standing(2*clearance+later, named("popular")))
+	must.Eq(t, Condemned, table.Standing(2*clearanceDuration+pastSettling, fingerprintOf("popular")))
 }
 
-func TestEndsAreForgottenInTime(t *testing.T) {
+func TestFailuresExpire(t *testing.T) {
 	table := NewTable()
 	for i := range 3 {
-		ended(table, time.Duration(i), fmt.Sprint("r", i), "fatal")
+		noteFailure(table, time.Duration(i), fmt.Sprint("r", i), "fatal")
 	}
-	table.Expire(memory + time.Second)
+	table.Expire(failureRetention + time.Second)
 	must.True(t, table.Empty())
-	must.MapEmpty(t, table.beside)
+	must.MapEmpty(t, table.inFlightAt)
 }
 
-// What is kept is bounded, and a flood does not push out what ends replicas.
+// The state is bounded, and a flood of other requests does not displace a harmful one.
 func TestTableIsBounded(t *testing.T) {
 	table := NewTable()
-	for i := range 2 * maxEnds {
-		ended(table, 0, fmt.Sprint("r", i), "fatal")
+	for i := range 2 * maxFailures {
+		noteFailure(table, 0, fmt.Sprint("r", i), "fatal")
 	}
 	for i := range 2 * maxRequests {
-		ended(table, time.Duration(i), fmt.Sprint("f", i), fmt.Sprint("flood", i))
+		noteFailure(table, time.Duration(i), fmt.Sprint("f", i), fmt.Sprint("flood", i))
 	}
 	must.LessEq(t, maxRequests, len(table.requests))
-	must.LessEq(t, maxRequests+maxEnds, len(table.beside))
-	replicas, _ := table.Ends(named("fatal"))
-	must.SliceLen(t, maxEnds, replicas)
-	must.Eq(t, Condemned, table.Standing(later, named("fatal")))
+	must.LessEq(t, maxRequests+maxFailures, len(table.inFlightAt))
+	replicas, _ := table.Ends(fingerprintOf("fatal"))
+	must.SliceLen(t, maxFailures, replicas)
+	must.Eq(t, Condemned, table.Standing(pastSettling, fingerprintOf("fatal")))
 }
 
-// Whoever learns it anew judges alike, whatever it heard before.
-func TestWhatIsKeptIsPassedOn(t *testing.T) {
+// A table rebuilt from the evidence of another reaches the same verdict, whatever it received
+// before.
+func TestEvidenceRestoresTheVerdict(t *testing.T) {
 	table, other := NewTable(), NewTable()
 	for i := range 3 {
-		ended(table, time.Minute, fmt.Sprint("r", i), "fatal")
+		noteFailure(table, time.Minute, fmt.Sprint("r", i), "fatal")
 	}
 	for range 2 {
-		for _, seen := range table.All(time.Minute + later) {
+		for _, seen := range table.All(time.Minute + pastSettling) {
 			other.NoteAged(time.Hour, seen.Age, seen.Evidence)
 		}
 	}
-	must.Eq(t, Condemned, other.Standing(time.Hour, named("fatal")))
-	must.Eq(t, []Fingerprint{named("fatal")}, other.Watched(time.Hour))
+	must.Eq(t, Condemned, other.Standing(time.Hour, fingerprintOf("fatal")))
+	must.Eq(t, []Fingerprint{fingerprintOf("fatal")}, other.Watched(time.Hour))
 
 	restored := NewTable()
-	replicas, about := table.Ends(named("fatal"))
-	restored.Restore(0, named("fatal"), Record{Replicas: replicas, About: about})
-	must.Eq(t, Condemned, restored.Standing(0, named("fatal")))
+	replicas, about := table.Ends(fingerprintOf("fatal"))
+	restored.Restore(0, fingerprintOf("fatal"), Record{Replicas: replicas, About: about})
+	must.Eq(t, Condemned, restored.Standing(0, fingerprintOf("fatal")))
 }
 
-// A second end at which a request was alone leaves no doubt, whatever stood at the first one;
-// one end does, and a request that is served is no suspect any more.
-func TestEndsAlone(t *testing.T) {
+// A failure with nothing else in flight decides if it is not the first, whatever was in flight
+// then. A single failure does not, and a request that was served is no suspect any more.
+func TestFailuresAlone(t *testing.T) {
 	table := NewTable()
 	fatal, popular := Of(Identity{Path: "/fatal"}), Of(Identity{Path: "/popular"})
 	for _, request := range []Fingerprint{fatal, popular} {
@@ -266,38 +267,34 @@
 	must.True(t, table.IsSuspect(2*time.Second, popular))
 	must.True(t, table.IsSeries(popular))
 	table.Note(2*time.Second, Evidence{Fingerprint: fatal, Replica: "r-3", Alone: true})
-	must.Eq(t, Condemned, table.Standing(2*time.Second, fatal), must.Sprint("nobody else is waited for"))
+	must.Eq(t, Condemned, table.Standing(2*time.Second, fatal), must.Sprint("no other reports are waited for"))
 	must.Eq(t, Watched, table.Standing(2*time.Second, popular))
 	table.Served(2*time.Second, popular)
 	must.False(t, table.IsSuspect(2*time.Second, popular))
-	must.False(t, table.IsSuspect(3*suspectTime, fatal))
+	must.False(t, table.IsSuspect(3*suspectDuration, fatal))
 
 	table = NewTable()
 	table.Note(0, Evidence{Fingerprint: fatal, Replica: "r-1", Alone: true})
-	must.Eq(t, Free, table.Standing(time.Second, fatal), must.Sprint("once is by chance"))
+	must.Eq(t, Free, table.Standing(time.Second, fatal), must.Sprint("a single failure may be chance"))
 	must.False(t, table.IsSeries(fatal))
 	table.Note(0, Evidence{Fingerprint: popular, Replica: "r-1", Began: true})
-	must.False(t, table.IsSuspect(time.Second, popular), must.Sprint("it had been answered"))
+	must.False(t, table.IsSuspect(time.Second, popular), must.Sprint("the run had produced output"))
 }
 
-// Seen: a request that ends each replica was let go on after three of them, and ended three
-// more.
-// How: its first replica was started again under its name, and the new process reset one
-// connection and then answered on another one; that answer refuted the end of the process
-// before it, and the record had too few left.
-// Cause: a proxy told that a name lives, without since when, so that all ends under the name
-// were taken back.
-// Proof: the record lost a replica 3.1 s after the third end, and no process that ended then had
-// a connection left (soak, seed 7001, whose list tells no births).
-func TestNextProcessRefutesNothingOfTheOneBeforeIt(t *testing.T) {
+// An answer of a restarted replica must not refute the failure of the earlier process with the
+// same name. A proxy reported that the name answers, without the process's start time, so all
+// failures under the name were dropped. The record of a harmful request lost a replica 3.1 s after
+// the third failure, the request was released with too few left, and three more replicas failed.
+// Found by the soak test (seed 7001), with a platform that does not report process start times.
+func TestRestartedReplicaDoesNotRefuteEarlierFailure(t *testing.T) {
 	table := NewTable()
 	for i := range 3 {
-		ended(table, time.Duration(i)*time.Second, fmt.Sprint("r", i), "fatal")
+		noteFailure(table, time.Duration(i)*time.Second, fmt.Sprint("r", i), "fatal")
 	}
-	ended(table, 10*time.Second, "r0", "reset")
+	noteFailure(table, 10*time.Second, "r0", "reset")
 	table.Lives(11*time.Second, Alive{Replica: "r0", For: 9 * time.Second})
-	must.Eq(t, Condemned, table.Standing(11*time.Second, named("fatal")))
-	must.False(t, table.HasEnd(named("reset"), "r0"))
+	must.Eq(t, Condemned, table.Standing(11*time.Second, fingerprintOf("fatal")))
+	must.False(t, table.HasEnd(fingerprintOf("reset"), "r0"))
 	table.Lives(11*time.Second, Alive{Replica: "r0", For: 11*time.Second + time.Minute})
-	must.Eq(t, Watched, table.Standing(11*time.Second, named("fatal")))
+	must.Eq(t, Watched, table.Standing(11*time.Second, fingerprintOf("fatal")))
 }
--- a/request/quarantine/verdict.go
+++ b/request/quarantine/verdict.go
@@ -5,98 +5,101 @@
 	"time"
 )
 
-// Thresholds of a verdict. They are policy, as those of a Table.
+// Thresholds of a verdict.
 const (
-	// lead is by how many ends a request must be ahead of all that stood at its ends with it:
-	// a popular one may meet an unrelated end before the one that ends replicas is sent again.
-	lead = 2
-	// leadAlone is the same for a request that was alone at an end: one by chance, at that
-	// replica and in those moments, is rare. It isn't rarer than that: whatever is suspected
-	// runs alone, so that a popular request stands alone wherever a replica ends by chance.
-	leadAlone = 1
-	// decisiveEnds is from how many on any lead will do, so that two that always come together
-	// are condemned as well.
-	decisiveEnds = 5
-	// manyEnds is how many replicas must end under a request for it to be tried alone, however
-	// close together: as many as condemn one, had they ended one after the other.
-	manyEnds = CondemningEnds
-	// tellingWeight is what an end counts that may well be the request's doing, weakWeight any
-	// other: connections break for many reasons, and a popular request is there whenever.
-	tellingWeight = 3
-	weakWeight    = 1
-	// condemningWeight is reached by three ends that tell, by two and two weak ones, and by no
-	// fewer than eight weak ones.
-	condemningWeight = 8
-	// settle is how long after its last end a request is judged: what stood beside is
-	// reported by other proxies, in any order.
-	settle = 250 * time.Millisecond
-	// settleOfTwo is the same where two ends are enough: whoever serves the request has the
-	// time to tell.
-	settleOfTwo = 2 * time.Second
+	// requiredLead is how many failures a request must be ahead of every other request in flight
+	// at the same failures. A popular request may meet an unrelated failure before the harmful one
+	// is sent again.
+	requiredLead = 2
+	// requiredLeadAlone is the same for a request that was alone at a failure. Being alone at a
+	// failure by chance is rare, but no more than that: suspected requests run alone, so a popular
+	// one is alone at any replica that fails by chance.
+	requiredLeadAlone = 1
+	// decisiveFailures is the number of failures from which any lead is enough, so that two
+	// requests that are always sent together are both found.
+	decisiveFailures = 5
+	// manyFailures is how many replicas must fail while they run a request for it to be tried
+	// alone, however close together. It is the number that makes a request harmful if they fail
+	// one after the other.
+	manyFailures = CondemningEnds
+	// strongWeight is the weight of a failure that the request probably caused, weakWeight that of
+	// any other: connections break for many reasons, and a popular request is always in flight.
+	strongWeight = 3
+	weakWeight   = 1
+	// harmfulWeight is reached by three strong failures, by two strong and two weak ones, and by
+	// no fewer than eight weak ones.
+	harmfulWeight = 8
+	// settleDelay is how long after its last failure a request is judged: other proxies report
+	// bystanders, in any order.
+	settleDelay = 250 * time.Millisecond
+	// twoFailureSettleDelay is the same if two failures are enough. It leaves time for a replica
+	// that serves the request to report success.
+	twoFailureSettleDelay = 2 * time.Second
 )
 
-// Standing judges a request by what is known now.
+// Standing returns the verdict on a request from what is known now.
 //
-// A verdict is a function of the evidence: of which replicas ended under which requests, in
-// what order, and of which ends came while a request was held and could be at none. It does
-// not depend on what was decided before.
+// The verdict is a function of the evidence only: which replicas failed while they ran which
+// requests, in what order, and which failures came while a request was held and therefore not
+// running anywhere. It does not depend on earlier verdicts.
 //
-// Invariant: to hold a request or to let it go changes no verdict, its own or another's, until
-// a further replica ends or something is refuted. It holds since only ends that come after a
-// hold has begun are looked at in its light (rankBeside), and there are none yet. So whoever
-// judges again without news finds the same, and holds come to rest.
+// Invariant: holding or releasing a request changes no verdict, on it or on another request, until
+// another replica fails or a failure is refuted. This is because holds only affect how failures
+// that come after their start are compared (rankAgainst), and there are none yet. So judging again
+// without new reports gives the same result, and holds converge.
 func (t *Table) Standing(now time.Duration, fingerprint Fingerprint) Standing {
 	known := t.requests[fingerprint]
-	if known == nil || len(known.strikes()) < WatchedEnds {
+	if known == nil || len(known.incidents()) < WatchedEnds {
 		return Free
 	}
-	condemned, settles := t.isCondemned(fingerprint, known)
+	harmful, delay := t.isHarmful(fingerprint, known)
 	switch {
-	case !condemned:
+	case !harmful:
 		return Watched
-	case now-known.lastAt() < settles:
+	case now-known.lastAt() < delay:
 		return Settling
 	}
 	return Condemned
 }
 
-// IsConvicted reports whether enough ends speak against a request for it to be held as soon as
-// the words of bystanders are there. Where a good answer is waited for as well, it is not.
+// IsConvicted reports whether the evidence is enough to hold a request once reports on bystanders
+// have arrived. It is false if a report of success has to be waited for as well.
 func (t *Table) IsConvicted(fingerprint Fingerprint) bool {
 	known := t.requests[fingerprint]
-	if known == nil || len(known.strikes()) < WatchedEnds {
+	if known == nil || len(known.incidents()) < WatchedEnds {
 		return false
 	}
-	condemned, settles := t.isCondemned(fingerprint, known)
-	return condemned && settles <= settle
+	harmful, delay := t.isHarmful(fingerprint, known)
+	return harmful && delay <= settleDelay
 }
 
-// isCondemned reports whether enough ends speak against a request that no other explains
-// better, and how long after the last of them that counts.
-func (t *Table) isCondemned(fingerprint Fingerprint, known *entry) (condemned bool, settles time.Duration) {
+// isHarmful reports whether enough failures count against a request that no other request explains
+// better, and how long after the last failure the verdict takes effect.
+func (t *Table) isHarmful(fingerprint Fingerprint, known *entry) (harmful bool, delay time.Duration) {
 	own := t.unexplained(fingerprint, known, func(other *entry) bool { return t.explains(other, known) })
 	switch {
-	case weightOf(own) >= condemningWeight && known.endedAlone():
-		return true, 0 // nobody else is waited for
-	case weightOf(own) >= condemningWeight, t.endedAgainAfterMany(fingerprint, known):
-		return true, settle
-	case len(own) >= WatchedEnds && known.endedAlone():
-		return true, settleOfTwo
+	case weightOf(own) >= harmfulWeight && known.failedAlone():
+		return true, 0 // no reports on bystanders are needed
+	case weightOf(own) >= harmfulWeight, t.failedAgainAfterMany(fingerprint, known):
+		return true, settleDelay
+	case len(own) >= WatchedEnds && known.failedAlone():
+		return true, twoFailureSettleDelay
 	}
 	return false, 0
 }
 
-// endedAgainAfterMany reports whether a replica ended at another moment under a request under
-// which many had ended before, and all that stood at any of them stood at fewer by the lead.
-func (t *Table) endedAgainAfterMany(fingerprint Fingerprint, known *entry) bool {
-	strikes := known.strikes()
-	own := tellingEnds(known.ends)
-	if len(strikes) < WatchedEnds || own-tellingEnds(strikes[len(strikes)-1]) < manyEnds {
+// failedAgainAfterMany reports whether many replicas had failed while they ran the request and
+// then another failed at a later time, and every other request in flight at any of these failures
+// is behind by at least requiredLead.
+func (t *Table) failedAgainAfterMany(fingerprint Fingerprint, known *entry) bool {
+	incidents := known.incidents()
+	own := countStrong(known.failures)
+	if len(incidents) < WatchedEnds || own-countStrong(incidents[len(incidents)-1]) < manyFailures {
 		return false
 	}
-	for _, ended := range known.ends {
-		for other := range t.beside[ended.replica] {
-			if other != fingerprint && tellingEnds(t.requests[other].ends) > own-lead {
+	for _, failed := range known.failures {
+		for other := range t.inFlightAt[failed.replica] {
+			if other != fingerprint && countStrong(t.requests[other].failures) > own-requiredLead {
 				return false
 			}
 		}
@@ -104,11 +107,11 @@
 	return true
 }
 
-// unexplained returns the ends of a request that no other explains.
-func (t *Table) unexplained(fingerprint Fingerprint, known *entry, explains func(other *entry) bool) (own [][]end) {
-	for _, strike := range known.strikes() {
-		explained := slices.ContainsFunc(strike, func(ended end) bool {
-			for other := range t.beside[ended.replica] {
+// unexplained returns the incidents of a request that no other request explains.
+func (t *Table) unexplained(fingerprint Fingerprint, known *entry, explains func(other *entry) bool) (own [][]failure) {
+	for _, incident := range known.incidents() {
+		explained := slices.ContainsFunc(incident, func(failed failure) bool {
+			for other := range t.inFlightAt[failed.replica] {
 				if other != fingerprint && explains(t.requests[other]) {
 					return true
 				}
@@ -116,33 +119,33 @@
 			return false
 		})
 		if !explained {
-			own = append(own, strike)
+			own = append(own, incident)
 		}
 	}
 	return own
 }
 
-// explains reports whether an end at which both requests stood may rather be the other one's
-// doing. What speaks most against a request is a run that ended before it brought anything;
-// one that had brought something speaks for it.
+// explains reports whether the other request is the likelier cause of failures that both have in
+// common. Runs that failed before they produced output count against a request; runs that had
+// produced output count for it.
 func (t *Table) explains(other, known *entry) bool {
-	theirs, own := other.rankBeside(known), known.rankBeside(other)
-	if own.ends >= decisiveEnds {
+	theirs, own := other.rankAgainst(known), known.rankAgainst(other)
+	if own.incidents >= decisiveFailures {
 		return theirs.compare(own) > 0
 	}
-	needed := lead
-	if known.endedAlone() {
-		needed = leadAlone
+	needed := requiredLead
+	if known.failedAlone() {
+		needed = requiredLeadAlone
 	}
 	return theirs.weight() > own.weight()-needed
 }
 
-// weightOf is how much ends speak against a request, each moment of them once.
-func weightOf(strikes [][]end) int {
+// weightOf returns how strongly incidents count against a request.
+func weightOf(incidents [][]failure) int {
 	weight := 0
-	for _, strike := range strikes {
-		if slices.ContainsFunc(strike, end.isTelling) {
-			weight += tellingWeight
+	for _, incident := range incidents {
+		if slices.ContainsFunc(incident, failure.isStrong) {
+			weight += strongWeight
 		} else {
 			weight += weakWeight
 		}
@@ -150,90 +153,91 @@
 	return weight
 }
 
-// rank orders requests by how much speaks against them.
+// rank orders requests by the evidence against them.
 type rank struct {
-	ends int
-	mute int // of them, those where the run had brought nothing yet
+	incidents     int
+	withoutOutput int // incidents in which no run had produced output
 }
 
 func (r rank) compare(other rank) int {
-	if r.ends != other.ends {
-		return r.ends - other.ends
+	if r.incidents != other.incidents {
+		return r.incidents - other.incidents
 	}
-	return r.mute - other.mute
+	return r.withoutOutput - other.withoutOutput
 }
 
-// weight is how much speaks against a request, less what speaks for it.
-func (r rank) weight() int { return r.mute - (r.ends - r.mute) }
+// weight returns the evidence against a request less the evidence for it.
+func (r rank) weight() int { return r.withoutOutput - (r.incidents - r.withoutOutput) }
 
-func (e *entry) rank() rank { return rankOf(e.strikes()) }
+func (e *entry) rank() rank { return rankOf(e.incidents()) }
 
-// rankBeside is the rank without the ends that came while the other request was held: it
-// could not be there, so that they tell nothing between the two.
-func (e *entry) rankBeside(other *entry) rank {
-	return rankOf(slices.DeleteFunc(e.strikes(), func(strike []end) bool {
-		return !slices.ContainsFunc(strike, func(ended end) bool {
-			return !other.heldAt(ended.sequence) || other.has(ended.replica)
+// rankAgainst returns the rank without failures that came while the other request was held: it was
+// not running then, so they say nothing about which of the two is the cause.
+func (e *entry) rankAgainst(other *entry) rank {
+	return rankOf(slices.DeleteFunc(e.incidents(), func(incident []failure) bool {
+		return !slices.ContainsFunc(incident, func(failed failure) bool {
+			return !other.heldAt(failed.sequence) || other.has(failed.replica)
 		})
 	}))
 }
 
-func rankOf(strikes [][]end) rank {
+func rankOf(incidents [][]failure) rank {
 	made := rank{}
-	for _, strike := range strikes {
-		made.ends++
-		if !slices.ContainsFunc(strike, func(ended end) bool { return ended.began }) {
-			made.mute++
+	for _, incident := range incidents {
+		made.incidents++
+		if !slices.ContainsFunc(incident, func(failed failure) bool { return failed.hadOutput }) {
+			made.withoutOutput++
 		}
 	}
 	return made
 }
 
-// tellingEnds counts the ends that may well be the request's doing.
-func tellingEnds(ends []end) int {
+// countStrong returns the number of failures that are strong evidence.
+func countStrong(failures []failure) int {
 	count := 0
-	for _, ended := range ends {
-		if ended.isTelling() {
+	for _, failed := range failures {
+		if failed.isStrong() {
 			count++
 		}
 	}
 	return count
 }
 
-// endedAlone reports whether replicas ended under the request more than once, and one of
-// them with nothing else in flight.
-func (e *entry) endedAlone() bool {
-	return len(e.strikes()) >= WatchedEnds && slices.ContainsFunc(e.ends, func(known end) bool { return known.alone })
+// failedAlone reports whether replicas failed at several different times while they ran the
+// request, one of them with nothing else in flight.
+func (e *entry) failedAlone() bool {
+	return len(e.incidents()) >= WatchedEnds && slices.ContainsFunc(e.failures, func(known failure) bool { return known.alone })
 }
 
-// hasMany reports whether many replicas ended before their runs had brought anything.
-func (e *entry) hasMany() bool { return tellingEnds(e.ends) >= manyEnds }
+// hasManyFailures reports whether there are at least manyFailures strong failures.
+func (e *entry) hasManyFailures() bool { return countStrong(e.failures) >= manyFailures }
 
-// strikes returns the ends, the oldest first, with those in one that came together.
-func (e *entry) strikes() [][]end {
-	var strikes [][]end
-	for i, ended := range e.ends {
-		last := len(strikes) - 1
-		if i > 0 && ended.sent <= strikes[last][0].at-together {
-			strikes[last] = append(strikes[last], ended)
+// incidents returns the failures, oldest first, with those that happened together in one group.
+func (e *entry) incidents() [][]failure {
+	var incidents [][]failure
+	for i, failed := range e.failures {
+		last := len(incidents) - 1
+		if i > 0 && failed.sent <= incidents[last][0].at-simultaneityMargin {
+			incidents[last] = append(incidents[last], failed)
 			continue
 		}
-		strikes = append(strikes, []end{ended})
+		incidents = append(incidents, []failure{failed})
 	}
-	return strikes
+	return incidents
 }
 
-// maxHolds bounds the holds kept of one request; only ends within the memory matter.
+// maxHolds bounds the holds kept per request. Only those within the failure retention time matter.
 const maxHolds = 4
 
-// hold is a time in which a request went to no replica, by the order of ends that came.
+// hold is a period in which a request was sent to no replica, as a range of failure sequence
+// numbers.
 type hold struct {
-	from, to uint64 // the first end that came in it, and the first that came after it
+	from, to uint64 // the first failure during the hold, and the first one after it
 }
 
 const untilReleased = ^uint64(0)
 
-// heldAt reports whether the request was held when that end came.
+// heldAt reports whether the request was held when the failure with that sequence number arrived.
 func (e *entry) heldAt(sequence uint64) bool {
 	return slices.ContainsFunc(e.holds, func(known hold) bool { return known.from <= sequence && sequence < known.to })
 }
@@ -241,7 +245,7 @@
 // isHeld reports whether the request is held now.
 func (e *entry) isHeld() bool { return len(e.holds) > 0 && e.holds[len(e.holds)-1].to == untilReleased }
 
-// SetHeld notes whether a request goes to no replica from now on.
+// SetHeld records whether a request is withheld from all replicas from now on.
 func (t *Table) SetHeld(fingerprint Fingerprint, held bool) {
 	known := t.requests[fingerprint]
 	if known == nil || known.isHeld() == held {
