--- a/request/holdoff/holdoff.go
+++ b/request/holdoff/holdoff.go
@@ -90,11 +90,11 @@
 // process for it.
 func (t *Table) Follow(name string, process Process, now time.Duration) *Replica {
 	t.lock.Lock()
-	known := t.findLocked(name)
-	t.keepLocked(known)
+	replica := t.findLocked(name)
+	t.keepLocked(replica)
 	t.lock.Unlock()
-	known.observe(process, now)
-	return known
+	replica.observe(process, now)
+	return replica
 }
 
 // Find returns the replica with the name. An unknown replica has no restrictions.
@@ -107,11 +107,11 @@
 // findLocked returns the replica with the name, always the same one as long as anything refers to
 // it.
 func (t *Table) findLocked(name string) *Replica {
-	if known := t.replicas[name]; known != nil {
-		return known
+	if replica := t.replicas[name]; replica != nil {
+		return replica
 	}
-	if known := t.unlisted[name].Value(); known != nil {
-		return known
+	if replica := t.unlisted[name].Value(); replica != nil {
+		return replica
 	}
 	created := &Replica{name: name, table: t, notice: t.config.Notice}
 	t.unlisted[name] = weak.Make(created)
@@ -119,29 +119,29 @@
 }
 
 // keepLocked keeps a replica in the table until Forget drops it.
-func (t *Table) keepLocked(known *Replica) {
-	t.replicas[known.name] = known
-	delete(t.unlisted, known.name)
+func (t *Table) keepLocked(replica *Replica) {
+	t.replicas[replica.name] = replica
+	delete(t.unlisted, replica.name)
 }
 
 // keep is keepLocked for a replica that has requested a restriction, whether or not it is listed.
-func (t *Table) keep(known *Replica) {
+func (t *Table) keep(replica *Replica) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
-	t.keepLocked(known)
+	t.keepLocked(replica)
 }
 
 // Forget drops the replicas that were not listed for longer than forgetAfter and are not pausing.
 func (t *Table) Forget(now time.Duration) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
-	for name, known := range t.replicas {
-		if known.isForgotten(now) {
+	for name, replica := range t.replicas {
+		if replica.isForgotten(now) {
 			delete(t.replicas, name)
-			t.unlisted[name] = weak.Make(known)
+			t.unlisted[name] = weak.Make(replica)
 		}
 	}
-	maps.DeleteFunc(t.unlisted, func(_ string, known weak.Pointer[Replica]) bool { return known.Value() == nil })
+	maps.DeleteFunc(t.unlisted, func(_ string, replica weak.Pointer[Replica]) bool { return replica.Value() == nil })
 }
 
 // Leaving returns the names of the replicas that have announced that they are leaving.
@@ -149,8 +149,8 @@
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	var names []string
-	for name, known := range t.replicas {
-		if known.IsLeaving() {
+	for name, replica := range t.replicas {
+		if replica.IsLeaving() {
 			names = append(names, name)
 		}
 	}
--- a/request/quarantine/alone_test.go
+++ b/request/quarantine/alone_test.go
@@ -12,7 +12,7 @@
 // second, so it is alone at any replica crash that happens by chance, and a second failure with
 // nothing else in flight used to decide at once, whatever explained the failures before it. It was
 // then quarantined for an hour, 8 to 43 ms after the unrelated crash. Found by the soak test
-// (seeds 3040 and 5008 beside three busy loops).
+// (seeds 3040 and 5008, with three CPU-bound processes running alongside).
 func TestSharedOrUnrelatedFailuresAreNotHarmful(t *testing.T) {
 	t.Run("in flight with a held request", func(t *testing.T) {
 		table := NewTable()
--- a/request/quarantine/clearance.go
+++ b/request/quarantine/clearance.go
@@ -44,8 +44,8 @@
 	delete(c, first)
 }
 
-// Served records that a request received a complete answer. It drops the request's failures and
-// ignores further ones for clearanceDuration.
+// Served records that a request received a complete answer, whether or not any failures of it are
+// known. It drops the failures and ignores further ones for clearanceDuration.
 func (t *Table) Served(now time.Duration, fingerprint Fingerprint) {
 	t.Forget(fingerprint)
 	if !t.cleared.has(now, fingerprint) {
--- a/request/quarantine/fingerprint.go
+++ b/request/quarantine/fingerprint.go
@@ -47,7 +47,7 @@
 // String returns the fingerprint in hex.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// Parse parses the output of String. It returns false for any other text.
+// Parse parses the output of String. It returns false if the text is not a fingerprint in hex.
 func Parse(text string) (Fingerprint, bool) {
 	var fingerprint Fingerprint
 	decoded, err := hex.DecodeString(text)
--- a/request/quarantine/table.go
+++ b/request/quarantine/table.go
@@ -395,7 +395,7 @@
 
 // insert adds a failure in order of time.
 func (e *entry) insert(failed failure) {
-	after := slices.IndexFunc(e.failures, func(known failure) bool { return known.at > failed.at })
+	after := slices.IndexFunc(e.failures, func(other failure) bool { return other.at > failed.at })
 	if after < 0 {
 		after = len(e.failures)
 	}
@@ -431,7 +431,7 @@
 
 // indexOf returns the index of the replica's failure, or a negative number if there is none.
 func (e *entry) indexOf(replica string) int {
-	return slices.IndexFunc(e.failures, func(known failure) bool { return known.replica == replica })
+	return slices.IndexFunc(e.failures, func(other failure) bool { return other.replica == replica })
 }
 
 func (e *entry) lastAt() time.Duration { return e.failures[len(e.failures)-1].at }
--- a/request/quarantine/verdict.go
+++ b/request/quarantine/verdict.go
@@ -206,7 +206,7 @@
 // failedAlone reports whether replicas failed at several different times while they ran the
 // request, one of them with nothing else in flight.
 func (e *entry) failedAlone() bool {
-	return len(e.incidents()) >= WatchedEnds && slices.ContainsFunc(e.failures, func(known failure) bool { return known.alone })
+	return len(e.incidents()) >= WatchedEnds && slices.ContainsFunc(e.failures, func(failed failure) bool { return failed.alone })
 }
 
 // hasManyFailures reports whether there are at least manyFailures strong failures.
@@ -239,7 +239,7 @@
 
 // heldAt reports whether the request was held when the failure with that sequence number arrived.
 func (e *entry) heldAt(sequence uint64) bool {
-	return slices.ContainsFunc(e.holds, func(known hold) bool { return known.from <= sequence && sequence < known.to })
+	return slices.ContainsFunc(e.holds, func(period hold) bool { return period.from <= sequence && sequence < period.to })
 }
 
 // isHeld reports whether the request is held now.
--- a/request/quarantine/wide_test.go
+++ b/request/quarantine/wide_test.go
@@ -17,7 +17,7 @@
 }
 
 // Many callers send the same request at once, and three replicas fail within 25 ms, as if a rack
-// was lost. The first restarted replica also fails while it runs the request, beside others. From
+// was lost. The first restarted replica also fails while it runs the request, among others. From
 // then on the request is held, and remains so.
 func TestMassRequestIsHeldAtSecondIncident(t *testing.T) {
 	table := NewTable()
@@ -93,10 +93,10 @@
 
 // Connections reset by replicas that keep listening are no reason for a trial. Three faulty
 // replicas closed a connection under a harmless popular request within 260 ms and kept serving
-// others. Each was taken for a replica failure, and since many failures at once are acted on
-// without waiting for more evidence, all proxies but one at a time refused the request for 20 s,
-// although it had been served twice in between, which the judging process did not know. Found by
-// the soak test (seed 9336).
+// others. Each was taken for a replica failure, and many failures at once are acted on without
+// waiting for more evidence. So all proxies but one at a time refused the request for 20 s,
+// although it had been served twice in between, where the failures were not known. Found by the
+// soak test (seed 9336).
 func TestListeningReplicasCauseNoTrial(t *testing.T) {
 	table := NewTable()
 	for i, replica := range []string{"a", "b", "c"} {
--- a/request/quota/account.go
+++ b/request/quota/account.go
@@ -35,17 +35,17 @@
 func (a *Account) Charge(now time.Duration, tenant string, limit api.Quota, cost float64) Grant {
 	a.lock.Lock()
 	defer a.lock.Unlock()
-	known := a.balance(tenant)
+	current := a.balance(tenant)
 	limit = a.rule.withOverrun(limit)
-	known.fill(now, limit)
+	current.fill(now, limit)
 	needed := min(cost, limit.Burst)
-	if known.left < needed {
-		known.refused++
-		return Grant{Wait: refillTime(needed-known.left, limit.PerSecond), Left: known.left}
+	if current.left < needed {
+		current.refused++
+		return Grant{Wait: refillTime(needed-current.left, limit.PerSecond), Left: current.left}
 	}
-	known.left -= cost
-	known.granted += cost
-	return Grant{Granted: true, Left: known.left}
+	current.left -= cost
+	current.granted += cost
+	return Grant{Granted: true, Left: current.left}
 }
 
 // Return refunds the cost of a request that no replica has run.
@@ -53,10 +53,10 @@
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	limit = a.rule.withOverrun(limit)
-	known := a.balance(tenant)
-	known.fill(now, limit)
-	known.left = min(known.left+cost, limit.Burst)
-	known.granted -= cost
+	current := a.balance(tenant)
+	current.fill(now, limit)
+	current.left = min(current.left+cost, limit.Burst)
+	current.granted -= cost
 }
 
 // Standing is the state of a tenant's account.
@@ -71,18 +71,18 @@
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	limit = a.rule.withOverrun(limit)
-	known := a.balance(tenant)
-	known.fill(now, limit)
-	return Standing{Left: known.left, Granted: known.granted, Refused: known.refused}
+	current := a.balance(tenant)
+	current.fill(now, limit)
+	return Standing{Left: current.left, Granted: current.granted, Refused: current.refused}
 }
 
 func (a *Account) balance(tenant string) *balance {
-	known := a.tenants[tenant]
-	if known == nil {
-		known = &balance{updatedAt: a.startedAt}
-		a.tenants[tenant] = known
+	current := a.tenants[tenant]
+	if current == nil {
+		current = &balance{updatedAt: a.startedAt}
+		a.tenants[tenant] = current
 	}
-	return known
+	return current
 }
 
 // fill adds what the rate has yielded since the last update.
--- a/request/quota/alone.go
+++ b/request/quota/alone.go
@@ -52,24 +52,24 @@
 func (a *Alone) Charge(now time.Duration, tenant string, limit api.Quota, cost float64, sharing Sharing) Grant {
 	a.lock.Lock()
 	defer a.lock.Unlock()
-	known := a.share(tenant)
+	share := a.share(tenant)
 	sharers := float64(max(sharing.Proxies, 1))
 	rate := limit.PerSecond / sharers
-	known.fill(now, rate, aloneOverrunShare*a.rule.Overrun(limit)/sharers, sharing.Alone)
-	granted := known.ample && known.left >= 0 || known.left > 0 && a.random()*cost < known.left
+	share.fill(now, rate, aloneOverrunShare*a.rule.Overrun(limit)/sharers, sharing.Alone)
+	granted := share.ample && share.left >= 0 || share.left > 0 && a.random()*cost < share.left
 	if !granted {
-		return Grant{Wait: min(refillTime(cost-known.left, rate), standbyRetryAfter), Left: max(known.left, 0)}
+		return Grant{Wait: min(refillTime(cost-share.left, rate), standbyRetryAfter), Left: max(share.left, 0)}
 	}
-	known.left -= cost
-	return Grant{Granted: true, Left: max(known.left, 0)}
+	share.left -= cost
+	return Grant{Granted: true, Left: max(share.left, 0)}
 }
 
 // Return refunds a charge granted here for a request that no replica has run.
 func (a *Alone) Return(tenant string, cost float64) {
 	a.lock.Lock()
 	defer a.lock.Unlock()
-	if known := a.tenants[tenant]; known != nil {
-		known.left += cost
+	if share := a.tenants[tenant]; share != nil {
+		share.left += cost
 	}
 }
 
@@ -91,10 +91,10 @@
 
 // share returns the share of a tenant. A new one is filled as if it had existed from the start.
 func (a *Alone) share(tenant string) *localShare {
-	known := a.tenants[tenant]
-	if known == nil {
-		known = &localShare{}
-		a.tenants[tenant] = known
+	share := a.tenants[tenant]
+	if share == nil {
+		share = &localShare{}
+		a.tenants[tenant] = share
 	}
-	return known
+	return share
 }
--- a/request/quota/alone_test.go
+++ b/request/quota/alone_test.go
@@ -87,10 +87,10 @@
 }
 
 func TestSpendingCoversAnyWindow(t *testing.T) {
-	var known spending
-	known.add(time.Second, 8*time.Second, 5)
-	must.Eq(t, 5, known.within(9*time.Second-1, 8*time.Second))
-	known.add(9*time.Second, 8*time.Second, 7)
-	must.Eq(t, 7, known.within(10*time.Second, 8*time.Second))
-	must.Eq(t, 0, known.within(time.Minute, 8*time.Second))
+	var spent spending
+	spent.add(time.Second, 8*time.Second, 5)
+	must.Eq(t, 5, spent.within(9*time.Second-1, 8*time.Second))
+	spent.add(9*time.Second, 8*time.Second, 7)
+	must.Eq(t, 7, spent.within(10*time.Second, 8*time.Second))
+	must.Eq(t, 0, spent.within(time.Minute, 8*time.Second))
 }
--- a/request/quota/standby.go
+++ b/request/quota/standby.go
@@ -28,16 +28,16 @@
 func (s *Standby) Charge(now time.Duration, tenant string, limit api.Quota, cost float64) Grant {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	known := s.tenants[tenant]
-	if known == nil {
-		known = &spending{}
-		s.tenants[tenant] = known
+	spent := s.tenants[tenant]
+	if spent == nil {
+		spent = &spending{}
+		s.tenants[tenant] = spent
 	}
-	left := standbyOverrunShare*s.rule.Overrun(limit) - known.within(now, s.rule.Window)
+	left := standbyOverrunShare*s.rule.Overrun(limit) - spent.within(now, s.rule.Window)
 	if left < cost {
 		return Grant{Wait: standbyRetryAfter, Left: max(left, 0)}
 	}
-	known.add(now, s.rule.Window, cost)
+	spent.add(now, s.rule.Window, cost)
 	return Grant{Granted: true, Left: left - cost}
 }
 
