--- a/request/holdoff/holdoff.go
+++ b/request/holdoff/holdoff.go
@@ -69,8 +69,8 @@
 // Table holds the replicas that a process knows, by name. It is safe for concurrent use.
 //
 // Invariant: what a replica has requested remains in effect as long as both this process and the
-// replica's process live. No view, leader, placement or endpoint list cancels it; only a new
-// process with the replica's name does.
+// replica's process live. No view, leader, placement or endpoint list cancels it, because none of
+// them is its source; only a new process with the replica's name does.
 type Table struct {
 	config Config
 
--- a/request/quarantine/verdict.go
+++ b/request/quarantine/verdict.go
@@ -140,7 +140,8 @@
 	return theirs.weight() > own.weight()-needed
 }
 
-// weightOf returns how strongly incidents count against a request.
+// weightOf returns how strongly incidents count against a request. Each incident counts once,
+// however many replicas failed in it.
 func weightOf(incidents [][]failure) int {
 	weight := 0
 	for _, incident := range incidents {
