--- a/request/attempt/attempt.go
+++ b/request/attempt/attempt.go
@@ -14,14 +14,15 @@
 type State uint32
 
 // States of a request. Queued changes to Dispatching or Refused, Dispatching to Streaming, Done,
-// Refused or Unknown, and Streaming to Done or Unknown.
+// Refused or Unknown, and Streaming to Done or Unknown. A buffered answer can be discarded for a
+// new run, which changes Streaming back to Dispatching.
 const (
 	Queued State = iota
 	Dispatching
 	Streaming
 	Done
 	Refused // certainly not run
-	Unknown // given up after it may have run
+	Unknown // given up, and may have run
 )
 
 // String returns the name of the state.
@@ -33,7 +34,7 @@
 	return "invalid"
 }
 
-// Ran tells the caller whether the request was run.
+// Ran is what the caller is told about whether the request was run.
 type Ran string
 
 // Values of Ran.
@@ -62,24 +63,27 @@
 
 // Record is what is known of one attempt.
 type Record struct {
-	Number      uint32
-	Endpoint    string
+	Number   uint32
+	Endpoint string
+	// Incarnation distinguishes the successive processes of the engine; 0 means unknown.
 	Incarnation uint64
 	// Wrote is true once a byte may have been written to the engine.
 	Wrote bool
-	// Refused is true after an explicit refusal before admission.
+	// Refused is true after an explicit refusal of the run before admission. The refusal of a
+	// resume leaves it unset (see Fail).
 	Refused bool
 	// Admitted is true once the engine has confirmed admission.
 	Admitted bool
-	// Open is true while frames of the attempt are expected.
+	// Open is true while frames, the parts of the answer's stream, are expected of the attempt.
 	Open bool
-	// Resumes counts how often the attempt's stream was resumed.
+	// Resumes counts how often the attempt's stream was resumed. AbandonResume sets it to the
+	// maximum.
 	Resumes int
 }
 
-// surelyNotRun reports whether the attempt certainly did not run. An open attempt may still write.
-// An engine that refuses and then sends frames is assumed to have run the request.
-func (r *Record) surelyNotRun() bool {
+// certainlyNotRun reports whether the attempt certainly did not run. An open attempt may still
+// write to the engine. Frames count as admission, so a refusal before or after them does not count.
+func (r *Record) certainlyNotRun() bool {
 	return !r.Open && !r.Admitted && (!r.Wrote || r.Refused)
 }
 
@@ -90,8 +94,8 @@
 	// Buffered is true if nothing is sent to the caller before the answer is complete, so that an
 	// incomplete answer can be discarded.
 	Buffered bool
-	Attempts int // runs on engines; 0 means 1
-	Resumes  int // of each attempt
+	Attempts int // the maximum number of attempts, each a run on an engine; 0 means 1
+	Resumes  int // the maximum number of times that the stream of each attempt is resumed
 }
 
 // Life is the lifecycle of one request from arrival to completion. It is safe for concurrent use:
@@ -102,7 +106,7 @@
 
 	lock         sync.Mutex
 	attempts     []Record
-	forwarded    int  // tokens of the current run that were forwarded
+	forwarded    int  // accepted tokens of the current run; forwarded as well unless buffered
 	anyForwarded bool // whether anything was forwarded to the caller
 }
 
@@ -117,8 +121,7 @@
 // State returns the current state of the request.
 func (l *Life) State() State { return State(l.state.Load()) }
 
-// Dispatch takes the request out of the queue. It returns false if the request has expired. One
-// compare-and-swap decides between the two.
+// Dispatch takes the request out of the queue. It returns false if the request has expired.
 func (l *Life) Dispatch() bool {
 	return l.state.CompareAndSwap(uint32(Queued), uint32(Dispatching))
 }
@@ -130,7 +133,7 @@
 }
 
 // Begin opens the next attempt and returns its number, starting from 1. It returns ErrNotAllowed
-// unless Next allows a run.
+// unless Next allows a run. An incarnation of 0 means unknown.
 func (l *Life) Begin(endpoint string, incarnation uint64) (uint32, error) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -144,7 +147,7 @@
 	return number, nil
 }
 
-// Wrote records that a byte of the attempt may have been written.
+// Wrote records that a byte of the attempt may have been written. An unknown number is ignored.
 func (l *Life) Wrote(number uint32) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -154,7 +157,7 @@
 }
 
 // Admit records that the engine has confirmed admission of the attempt, and the engine's
-// incarnation.
+// incarnation unless it is 0. An unknown number is ignored.
 func (l *Life) Admit(number uint32, incarnation uint64) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -170,7 +173,8 @@
 }
 
 // Fail closes the attempt. A refusal counts only if the engine has not confirmed admission before,
-// and the refusal of a resume says nothing about the run.
+// and the refusal of a resume is not a refusal of the run. An unknown number or a closed attempt is
+// ignored.
 func (l *Life) Fail(number uint32, fault Fault) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -180,7 +184,7 @@
 	}
 	record.Open = false
 	switch fault {
-	case FaultNotWritten:
+	case FaultNotWritten: // leaves Wrote as it is
 	case FaultRefused:
 		record.Wrote = true
 		record.Refused = !record.Admitted && record.Resumes == 0
@@ -195,7 +199,7 @@
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	record := l.record(number)
-	if record == nil || !record.Open || !l.isCurrent(number) {
+	if record == nil || !record.Open || !l.isLatest(number) {
 		return false
 	}
 	record.Open = false
@@ -206,7 +210,8 @@
 }
 
 // GiveUp ends the request without a complete answer and returns what the caller may be told.
-// Attempts that are still open may have run.
+// Attempts that are still open may have run. The state is Refused afterwards if the request
+// certainly was not run, otherwise Unknown; a request in state Done or Refused keeps its state.
 func (l *Life) GiveUp() Ran {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -222,8 +227,8 @@
 	return ran
 }
 
-// Ran returns what the caller may be told. It is RanNo only if no attempt has written a byte, or
-// each attempt that did was explicitly refused before admission.
+// Ran returns what the caller may be told about whether the request was run. It is RanNo only if no
+// attempt has written a byte, or each attempt that did was explicitly refused before admission.
 func (l *Life) Ran() Ran {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -237,7 +242,7 @@
 		if record.Admitted {
 			return RanYes
 		}
-		if !record.surelyNotRun() {
+		if !record.certainlyNotRun() {
 			ran = RanUnknown
 		}
 	}
@@ -254,7 +259,8 @@
 	return append([]Record(nil), l.attempts...)
 }
 
-// Passed returns how many tokens of the current run were forwarded.
+// Passed returns how many tokens of the current run were forwarded or, if the answer is buffered,
+// accepted.
 func (l *Life) Passed() int {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -269,4 +275,5 @@
 	return &l.attempts[number-1]
 }
 
-func (l *Life) isCurrent(number uint32) bool { return int(number) == len(l.attempts) }
+// isLatest reports whether the number is that of the latest attempt, open or closed.
+func (l *Life) isLatest(number uint32) bool { return int(number) == len(l.attempts) }
--- a/request/attempt/step.go
+++ b/request/attempt/step.go
@@ -18,18 +18,19 @@
 	StepResume
 )
 
-// Step is the action that may be taken next.
+// Step is the action that may be taken next. For StepResume the other fields describe the attempt
+// to resume.
 type Step struct {
 	Kind        StepKind
-	Number      uint32 // of the attempt to resume
+	Number      uint32
 	Endpoint    string
 	Incarnation uint64
-	Offset      int
+	Offset      int // number of tokens already accepted
 }
 
 // Next returns what may be done next. A new run is allowed after attempts that certainly did not
-// run. After an attempt that may have run, it is allowed only if the request is repeatable and
-// nothing was forwarded, since the answers of two runs are never combined.
+// run. After an attempt that may have run, it is allowed only if Policy.Once is not set and nothing
+// was forwarded to the caller, since the answers of two runs are never combined.
 func (l *Life) Next() Step {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -72,6 +73,7 @@
 	}, true
 }
 
+// runAllowed reports whether a further run is allowed after the attempts so far.
 func (l *Life) runAllowed() bool {
 	if len(l.attempts) >= l.policy.Attempts || l.anyForwarded {
 		return false
@@ -80,14 +82,14 @@
 		return true
 	}
 	for i := range l.attempts {
-		if !l.attempts[i].surelyNotRun() {
+		if !l.attempts[i].certainlyNotRun() {
 			return false
 		}
 	}
 	return true
 }
 
-// Resume reopens the last attempt. It returns ErrNotAllowed unless Next returns StepResume for
+// Resume reopens the latest attempt. It returns ErrNotAllowed unless Next returns StepResume for
 // that attempt.
 func (l *Life) Resume(number uint32) error {
 	l.lock.Lock()
@@ -103,7 +105,7 @@
 }
 
 // AbandonResume rules out further resumes of the attempt, after its engine has refused one or is
-// gone.
+// gone. It sets Record.Resumes to the maximum.
 func (l *Life) AbandonResume(number uint32) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -119,18 +121,19 @@
 const (
 	// VerdictPass means that the frame is the next one and may be forwarded.
 	VerdictPass Verdict = iota + 1
-	// VerdictLate means that the frame belongs to an older or closed attempt.
+	// VerdictLate means that the frame belongs to an older, closed or unknown attempt, or that the
+	// request has ended.
 	VerdictLate
-	// VerdictDuplicate means that the frame's tokens were forwarded before.
+	// VerdictDuplicate means that the frame's tokens were accepted before.
 	VerdictDuplicate
-	// VerdictGap means that tokens are missing before the frame, or that it overlaps forwarded
-	// tokens. The attempt must be closed as broken.
+	// VerdictGap means that tokens are missing before the frame, or that it overlaps accepted
+	// tokens in part. The attempt must be closed as broken.
 	VerdictGap
 )
 
 // Accept returns the verdict on a frame of the attempt that starts at offset and holds the given
-// number of tokens. Any frame confirms that the engine has admitted the attempt. A frame with
-// VerdictPass counts as forwarded.
+// number of tokens. Any frame, even a late one, confirms that the engine has admitted the attempt.
+// A frame with VerdictPass counts as accepted and, unless the answer is buffered, as forwarded.
 func (l *Life) Accept(number uint32, offset, tokens int) Verdict {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -140,9 +143,11 @@
 	}
 	record.Wrote = true
 	record.Admitted = true
-	if !record.Open || !l.isCurrent(number) {
+	if !record.Open || !l.isLatest(number) {
 		return VerdictLate
 	}
+	// The frame ends before the accepted tokens do, or at their end and starts before it; a frame
+	// without tokens at their end is the next one.
 	if offset+tokens < l.forwarded || (offset < l.forwarded && offset+tokens == l.forwarded) {
 		return VerdictDuplicate
 	}
--- a/request/holdoff/course_test.go
+++ b/request/holdoff/course_test.go
@@ -51,13 +51,12 @@
 
 // A replica must receive no request during the pause that its process has requested, once a list
 // has shown that process. This must hold whatever lists show, delay or omit, and however long a
-// request keeps the Replica that it found. A replica that had requested a pause of 1.395 s from a
-// proxy received three requests (soak test, seed 5008); the cause in that run is unknown, since
-// its logs were not kept.
+// request keeps the Replica that it found. A replica received three requests from a proxy during a
+// pause of 1.395 s (soak test seed 5008, cause unknown because the logs were not kept).
 //
-// The simulation found two faults of this kind. A list or a leader that showed an earlier process
-// of the name at another address ended the pause of the current process. And a pause was lost if
-// it was reported to a request that had kept a Replica which no list had shown for a minute.
+// The simulation found two such faults: the pause of the current process ended if a list or a
+// leader showed an earlier process of the name at another address, and it was lost if it was
+// reported to a request that had kept a Replica which no list had shown for a minute.
 func TestNothingIsSentDuringAPauseWhateverListsShow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &simulation{table: NewTable(Config{}), now: time.Hour}
@@ -88,7 +87,7 @@
 				continue
 			}
 			for _, found := range append(s.references, s.table.Find("r")) {
-				must.False(t, found.Begin(s.now), must.Sprint("it has requested a pause for another ", s.pauseUntil-s.now))
+				must.False(t, found.Begin(s.now), must.Sprint("the replica has requested a pause for another ", s.pauseUntil-s.now))
 			}
 		}
 	})
--- a/request/holdoff/holdoff.go
+++ b/request/holdoff/holdoff.go
@@ -11,22 +11,23 @@
 
 // Durations of pauses and of the probes that follow them.
 const (
-	// jitterDivisor is the inverse of the part of a pause by which its end is delayed at random,
-	// up to maxJitter. A full replica requests a pause from all processes at about the same time,
-	// and without the jitter they would return at the same moment (see TestPauseEndIsJittered).
-	// The cost to the replica is a sixteenth of the pause on average.
+	// jitterDivisor limits the random delay of a pause's end to 1/8 of the pause, 1/16 on average.
+	// A replica without free slots requests a pause from all processes at about the same time, and
+	// without the delay their requests would return at the same time (see TestPauseEndIsJittered).
 	jitterDivisor = 8
-	maxJitter     = time.Second
-	// probeTimeout is how long the first request after a pause keeps others away. Until it is
-	// answered the replica may still be full, and each further request would cost a retry. An
-	// answer that takes longer than this says nothing about whether the replica is full.
+	// maxJitter is the upper limit of that delay.
+	maxJitter = time.Second
+	// probeTimeout is how long other requests avoid the replica while the first one after a pause
+	// is in flight. Until that is answered the replica may still have no free slots, and then each
+	// further request would cost a retry. An answer that takes longer than this does not show
+	// whether the replica has free slots.
 	probeTimeout = time.Second
 	// maxClockSkew is how much the wall clocks of machines may differ. A pause that was requested
-	// longer than this before a process started certainly came from another process. A value that
-	// is too large costs the rest of one pause.
+	// longer than this before a process started came from an earlier process. A larger value keeps
+	// more pauses of earlier processes, each until its end.
 	maxClockSkew = 5 * time.Second
-	// forgetAfter is how long a replica is remembered after it was last listed. Lists lag by
-	// seconds, and a list may lack a replica for a moment.
+	// forgetAfter is how long a replica is remembered after an endpoint list last showed it. Lists
+	// lag by seconds, and a list may lack a replica for a moment.
 	forgetAfter = time.Minute
 )
 
@@ -44,16 +45,16 @@
 	Closed
 )
 
-// Process identifies one of the successive processes behind a replica's name.
+// Process identifies one of the successive processes of a replica, which share its name.
 type Process struct {
-	Address string
+	Address string // host and port
 	// Born is the start time in Unix milliseconds, 0 if unknown.
 	Born int64
 }
 
 // differsFrom reports whether the two are certainly different processes.
-func (p Process) differsFrom(earlier Process) bool {
-	return p.Address != earlier.Address || p.Born != 0 && earlier.Born != 0 && p.Born != earlier.Born
+func (p Process) differsFrom(other Process) bool {
+	return p.Address != other.Address || p.Born != 0 && other.Born != 0 && p.Born != other.Born
 }
 
 // isBefore reports whether the process certainly started before the other.
@@ -61,16 +62,18 @@
 
 // Config holds the settings of a Table.
 type Config struct {
-	// Notice is how long a leaving replica may still be used if there is no other. 0 means not at
-	// all.
+	// Notice is how long a leaving replica may still be used if there is no other replica. 0 means
+	// not at all.
 	Notice time.Duration
 }
 
-// Table holds the replicas that a process knows, by name. It is safe for concurrent use.
+// Table holds the replicas known to this process, by name. It is safe for concurrent use.
 //
 // Invariant: what a replica has requested remains in effect as long as both this process and the
-// replica's process live. No view, leader, placement or endpoint list cancels it, because none of
-// them is its source; only a new process with the replica's name does.
+// replica's process run. Only Forget may end it earlier, for a leaving replica that no list has
+// shown for forgetAfter. Information about the cluster does not cancel it, neither a view, a
+// leader, a placement nor an endpoint list, since only the replica knows when the restriction ends.
+// The exception is an endpoint list that shows a new process with the replica's name.
 type Table struct {
 	config Config
 
@@ -97,7 +100,7 @@
 	return replica
 }
 
-// Find returns the replica with the name. An unknown replica has no restrictions.
+// Find returns the replica with the name. An unknown replica is created without restrictions.
 func (t *Table) Find(name string) *Replica {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -124,19 +127,21 @@
 	delete(t.unlisted, replica.name)
 }
 
-// keep is keepLocked for a replica that has requested a restriction, whether or not it is listed.
+// keep keeps a replica that has requested a restriction, whether or not it is listed, in the table
+// until Forget drops it. It takes the lock.
 func (t *Table) keep(replica *Replica) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	t.keepLocked(replica)
 }
 
-// Forget drops the replicas that were not listed for longer than forgetAfter and are not pausing.
+// Forget drops the replicas that were not listed for longer than forgetAfter and are not pausing. A
+// dropped replica is still found as long as something else refers to it.
 func (t *Table) Forget(now time.Duration) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	for name, replica := range t.replicas {
-		if replica.isForgotten(now) {
+		if replica.canForget(now) {
 			delete(t.replicas, name)
 			t.unlisted[name] = weak.Make(replica)
 		}
@@ -144,7 +149,8 @@
 	maps.DeleteFunc(t.unlisted, func(_ string, replica weak.Pointer[Replica]) bool { return replica.Value() == nil })
 }
 
-// Leaving returns the names of the replicas that have announced that they are leaving.
+// Leaving returns the names of the replicas in the table that have announced that they are leaving,
+// in no particular order.
 func (t *Table) Leaving() []string {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -168,15 +174,17 @@
 	lock     sync.Mutex
 	process  Process
 	listedAt time.Duration
-	// pauseEnd is when requests may be sent again. probePending is true from the start of a pause
-	// until an answer shows that it is over. probeFrom is the earliest time of the first request
-	// if there are other replicas, and probeUntil is until when a probe in flight keeps others
-	// away.
-	pauseEnd       time.Duration
-	probePending   bool
-	probeFrom      time.Duration
-	probeUntil     time.Duration
-	restrictedTime time.Time // the wall clock time of the last restriction received
+	// pauseEnd is when requests may be sent again.
+	pauseEnd time.Duration
+	// probePending is true from the start of a pause until an answer shows that it is over.
+	probePending bool
+	// probeFrom is the jittered end of the pause: until then the replica is Doubtful, so that it is
+	// used only if there is no other.
+	probeFrom time.Duration
+	// probeUntil is until when the replica is Doubtful because a probe is in flight.
+	probeUntil time.Duration
+	// restrictedTime is the wall clock time of the last restriction received.
+	restrictedTime time.Time
 	leaving        bool
 	leavingAt      time.Duration
 	leavingTime    time.Time // the wall clock time of leavingAt
@@ -203,7 +211,7 @@
 	if restrictions.RetryAfter > 0 {
 		r.pauseLocked(now, restrictions.RetryAfter)
 	} else if now >= r.pauseEnd {
-		r.probePending = false // the replica answers again
+		r.probePending = false // an answer without RetryAfter after the pause ends the probe
 	}
 	if restrictions.Leaving && !r.leaving {
 		r.leaving, r.leavingAt, r.leavingTime, newlyLeaving = true, now, wallTime, true
@@ -248,8 +256,9 @@
 	}
 }
 
-// Begin reports whether a request may be sent now. It is called last before the request is
-// written, because an answer may have arrived since the replica was chosen.
+// Begin reports whether a request may be sent now, which includes Doubtful replicas, and starts the
+// probe if one is pending. It is called immediately before the request is written, because an
+// answer may have arrived since the replica was chosen.
 func (r *Replica) Begin(now time.Duration) bool {
 	if !r.restricted.Load() {
 		return true
@@ -285,16 +294,18 @@
 	return r.leaving
 }
 
+// observe records that an endpoint list shows the process, and drops the restrictions requested by
+// an earlier process.
 func (r *Replica) observe(process Process, now time.Duration) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	previous := r.process
 	r.listedAt = now
 	if process.isBefore(previous) {
-		return // a stale list, or a leader that knows only an older process, cancels nothing
+		return // a stale list, or a leader that knows only an older process, cancels no restriction
 	}
 	if process.Born == 0 && process.Address == previous.Address {
-		process.Born = previous.Born // neither does a list without start times
+		process.Born = previous.Born // a list without start times cancels no restriction
 	}
 	r.process = process
 	if previous != (Process{}) && process.differsFrom(previous) && r.restricted.Load() {
@@ -303,10 +314,11 @@
 	}
 }
 
-// resetLocked drops the restrictions that an earlier process has requested. Unless it has another
-// address, the new process may have answered before a list showed it, and restrictions received
-// after its start are its own. In case of doubt a pause is kept. Leaving is not, because it would
-// never end, and a process that has just started has no reason to leave.
+// resetLocked drops the restrictions that an earlier process has requested. If the new process has
+// another address (moved), these are all restrictions. Otherwise the new process may have answered
+// before a list showed it, so restrictions received after its start are its own. Where clock skew
+// leaves this open, a pause is kept, but the leaving state is dropped, because it would never end
+// and a process that has just started has no reason to leave.
 func (r *Replica) resetLocked(moved bool) {
 	born := time.UnixMilli(r.process.Born)
 	if moved || r.leavingTime.Before(born) {
@@ -317,7 +329,8 @@
 	}
 }
 
-func (r *Replica) isForgotten(now time.Duration) bool {
+// canForget reports whether Forget may drop the replica.
+func (r *Replica) canForget(now time.Duration) bool {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	return now-r.listedAt > forgetAfter && now >= r.pauseEnd
--- a/request/holdoff/holdoff_test.go
+++ b/request/holdoff/holdoff_test.go
@@ -17,7 +17,7 @@
 	replica := NewTable(Config{}).Follow("r", firstProcess, 0)
 	must.True(t, replica.Begin(0))
 	must.False(t, replica.Hear(0, testStart, Word{RetryAfter: 3 * time.Second}))
-	must.False(t, replica.Hear(time.Second, testStart, Word{RetryAfter: time.Second})) // a shorter pause ends nothing
+	must.False(t, replica.Hear(time.Second, testStart, Word{RetryAfter: time.Second})) // a shorter pause has no effect
 	must.False(t, replica.Hear(2*time.Second, testStart, Word{}))                      // an answer to a request sent earlier
 	must.Eq(t, Closed, replica.State(3*time.Second-1))
 	must.False(t, replica.Begin(3*time.Second-1))
@@ -49,19 +49,19 @@
 	must.True(t, replica.Hear(0, testStart, Word{Leaving: true}))
 	must.False(t, replica.Hear(time.Millisecond, testStart, Word{Leaving: true}))
 	must.Eq(t, Doubtful, replica.State(time.Second-1))
-	must.False(t, replica.Hear(time.Second, testStart, Word{})) // leaving is final
+	must.False(t, replica.Hear(time.Second, testStart, Word{})) // leaving never ends
 	must.Eq(t, Closed, replica.State(time.Hour))
-	must.Eq(t, Closed, NewTable(Config{}).leaving(t).State(0))
+	must.Eq(t, Closed, NewTable(Config{}).announceLeaving(t).State(0))
 }
 
-func (t *Table) leaving(test *testing.T) *Replica {
+func (t *Table) announceLeaving(test *testing.T) *Replica {
 	replica := t.Follow("r", firstProcess, 0)
 	must.True(test, replica.Hear(0, testStart, Word{Leaving: true}))
 	must.Eq(test, []string{"r"}, t.Leaving())
 	return replica
 }
 
-// A list that is stale, incomplete or forgotten cancels no restriction; a new process does.
+// A stale or incomplete list cancels no restriction; one that shows a new process does.
 func TestOnlyANewProcessClearsRestrictions(t *testing.T) {
 	later := func(after time.Duration) Process {
 		return Process{Address: firstProcess.Address, Born: testStart.Add(after).UnixMilli()}
@@ -69,7 +69,7 @@
 	cases := []struct {
 		name    string
 		process Process
-		pause   time.Duration // left of one minute
+		pause   time.Duration // time left of a pause of one minute
 		leaving bool
 	}{
 		{"the same process", firstProcess, time.Minute, true},
@@ -87,7 +87,7 @@
 			pausing.Hear(0, testStart, Word{RetryAfter: time.Minute})
 			must.Eq(t, pausing, table.Follow("p", test.process, 0))
 			must.Eq(t, test.pause, pausing.Pause(0))
-			leaving := table.leaving(t)
+			leaving := table.announceLeaving(t)
 			table.Follow("r", test.process, 0)
 			must.Eq(t, test.leaving, leaving.IsLeaving())
 			must.Eq(t, test.leaving, leaving.State(0) == Closed)
@@ -98,7 +98,7 @@
 func TestTableForgetsUnlistedReplicas(t *testing.T) {
 	table := NewTable(Config{})
 	table.Follow("r", firstProcess, 0).Hear(0, testStart, Word{RetryAfter: time.Hour})
-	table.leaving(t)
+	table.announceLeaving(t)
 	table.Follow("gone", firstProcess, 0)
 	table.Forget(forgetAfter)
 	must.Eq(t, 2, len(table.replicas))
@@ -107,9 +107,10 @@
 	must.Eq(t, Closed, table.Find("r").State(forgetAfter+1), must.Sprint("its pause is not over"))
 }
 
-// A replica of a small service is full and requests a pause of three seconds from 295 processes
-// within 50 ms. Each of these has 20 requests per second for it that could go to others. Of the
-// requests that reach the replica in the worst 20 ms after the pause, its six slots take six.
+// A replica with six slots has none free and requests a pause of three seconds from 295 processes
+// within 50 ms. Each of them has 20 requests per second for it that could go to other replicas. Of
+// the requests that reach the replica in the worst 20 ms after the pause it can accept six. The
+// test models neither the slots nor the rate: each process sends in every tick in which it may.
 func TestPauseEndIsJittered(t *testing.T) {
 	const (
 		processes = 295
--- a/request/holdoff/word.go
+++ b/request/holdoff/word.go
@@ -1,5 +1,7 @@
-// Package holdoff keeps the restrictions that replicas request from this process: to send no
-// requests for a time, or no new ones at all because they are leaving.
+// Package holdoff keeps the restrictions that replicas request from this process: to send them no
+// requests for a time (a pause), or to stop sending requests because the replica is about to shut
+// down (leaving). Times are durations since an origin that the caller chooses, the same for all
+// calls on one Table, unless they are called wall clock times.
 package holdoff
 
 import "time"
--- a/request/limit/bucket.go
+++ b/request/limit/bucket.go
@@ -10,16 +10,18 @@
 
 const shardCount = 16
 
-// maxBuckets is the number of buckets of a shard from which full buckets are dropped. A full
-// bucket equals a new one.
-const maxBuckets = 256
+// pruneThreshold is the size of a shard from which a new tenant causes full buckets to be dropped.
+// A new bucket is full as well, so this changes no result. The shard may grow further if none is
+// full.
+const pruneThreshold = 256
 
-// Rate is what a tenant may use. A zero PerSecond means no limit.
+// Rate is what a tenant may use, in tokens of its bucket. A PerSecond of 0 means no limit.
 type Rate struct {
-	PerSecond float64 // tokens
-	Burst     float64 // tokens; 0 means the tokens of one second
+	PerSecond float64
+	Burst     float64 // 0 means the tokens of one second
 }
 
+// burst returns the bucket's size in whole tokens, at least 1.
 func (r Rate) burst() int {
 	if r.Burst > 0 {
 		return max(1, int(r.Burst))
@@ -49,7 +51,7 @@
 }
 
 // Take charges the tenant for cost tokens. If the bucket holds too few, it takes none and returns
-// how long they take to accumulate. A request larger than the burst is charged for the burst only,
+// how long until it holds enough. A request larger than the burst is charged for the burst only,
 // since it could never pass otherwise.
 func (b *Buckets) Take(tenant string, allowed Rate, cost int, now time.Time) (wait time.Duration, taken bool) {
 	if allowed.PerSecond <= 0 {
@@ -68,6 +70,7 @@
 	return wait, false
 }
 
+// limiter returns the tenant's token bucket with the allowed rate and burst. The lock must be held.
 func (s *bucketShard) limiter(tenant string, allowed Rate, now time.Time) *rate.Limiter {
 	limiter, found := s.tenants[tenant]
 	if !found {
@@ -85,8 +88,9 @@
 	return limiter
 }
 
+// prune drops full buckets if there are at least pruneThreshold. The lock must be held.
 func (s *bucketShard) prune(now time.Time) {
-	if len(s.tenants) < maxBuckets {
+	if len(s.tenants) < pruneThreshold {
 		return
 	}
 	for tenant, limiter := range s.tenants {
--- a/request/limit/queue.go
+++ b/request/limit/queue.go
@@ -1,7 +1,8 @@
-// Package limit decides which requests run immediately, which wait and which are refused: it has
-// token buckets for tenants, and for each lane a bounded queue with priorities, deadlines and a
-// fair share for each tenant. A request that cannot meet its deadline is refused on arrival and
-// not queued.
+// Package limit decides which requests run immediately, which wait and which are refused. It has
+// token buckets for tenants, and for each lane, which is the set of resources for the requests of
+// one service, a bounded queue with priorities, deadlines and a fair share for each tenant.
+// Requests are divided into classes, each with its own limits. A request that cannot meet its
+// deadline is refused on arrival and not queued.
 package limit
 
 import (
@@ -25,12 +26,13 @@
 // Refusal is the answer to a request that may not run.
 type Refusal struct {
 	Reason Reason
-	// RetryAfter is when a retry makes sense, estimated from the queue length and recent service
-	// times.
+	// RetryAfter is how long to wait before a retry, estimated from the queue length and recent
+	// service times.
 	RetryAfter time.Duration
 }
 
-// Gate decides between dispatch and expiry. At most one of the two methods may ever return true.
+// Gate decides whether a queued request is dispatched or expires, if both happen at the same time.
+// A method returns true if it took effect. At most one of the two may ever return true.
 // attempt.Life implements it.
 type Gate interface {
 	Dispatch() bool
@@ -46,17 +48,18 @@
 	// MaxInFlight limits the running requests of the class; 0 means no limit.
 	MaxInFlight int
 	Tenant      string
-	Weight      float64 // the tenant's fair share; 0 means 1
-	Cost        float64 // work in any unit that is common to all tickets; 0 means 1
-	Deadline    time.Time
-	Gate        Gate
+	Weight      float64   // the tenant's fair share relative to other tenants; 0 means 1
+	Cost        float64   // work in any unit that is common to all tickets; 0 means 1
+	Deadline    time.Time // required; a request past its deadline is refused
+	Gate        Gate      // required
 }
 
 // Config holds the settings of a Queue.
 type Config struct {
 	MaxInFlight int // running requests; 0 means the default
-	QueueLimit  int // waiting requests of a class without its own limit
-	// ExpectedService is the initial estimate of the service time of a request.
+	QueueLimit  int // waiting requests of a class without its own limit; 0 means the default
+	// ExpectedService is the initial estimate of the service time of a request; 0 means the
+	// default.
 	ExpectedService time.Duration
 	// Now returns the current time; nil means time.Now.
 	Now func() time.Time
@@ -69,14 +72,13 @@
 	DefaultExpectedService = 100 * time.Millisecond
 )
 
-// smoothing is the weight of the latest request in the mean service time.
+// smoothing is the weight of the latest request in the moving average of the service time.
 const smoothing = 0.1
 
-// maxTenants limits the number of tenants with a finish tag.
+// maxTenants limits the number of tenants with a finish tag (see Queue.startTag).
 const maxTenants = 1024
 
-// Queue admits the requests of one lane, which is the set of resources for the requests of one
-// service. Lanes share no state and no locks.
+// Queue admits the requests of one lane. Lanes share no state and no locks.
 type Queue struct {
 	config Config
 
@@ -85,17 +87,17 @@
 	classes  map[string]*classCount
 	waiting  []*Waiting
 	arrivals uint64
-	// virtualTime is the clock of fair queueing: the start tag of the last admitted request.
-	// finishTags holds the last finish tag of each tenant.
+	// virtualTime is the clock of fair queueing: the highest start tag of the admitted requests.
 	virtualTime float64
-	finishTags  map[string]float64
+	// finishTags holds for each tenant the earliest start tag of its next request.
+	finishTags map[string]float64
 	// meanService is the moving average of the service time in seconds.
 	meanService float64
 }
 
 type classCount struct{ running, waiting int }
 
-// Waiting is a request that has entered a queue.
+// Waiting is a request that has entered a queue. It may have been admitted since.
 type Waiting struct {
 	queue    *Queue
 	ticket   Ticket
@@ -104,7 +106,8 @@
 	granted  chan struct{}
 }
 
-// Granted returns a channel that is closed when the request may run. Start must then be called.
+// Granted returns a channel that is closed when the request may run. Start must then be called, and
+// the release function that it returns; otherwise the slot remains taken.
 func (w *Waiting) Granted() <-chan struct{} { return w.granted }
 
 // NewQueue returns an empty queue.
@@ -159,12 +162,13 @@
 	}
 }
 
-// Enter adds the request to the queue and admits whatever can run, without waiting; Acquire also
-// waits. The caller watches Granted and calls Leave to stop waiting.
+// Enter adds the request to the queue and admits all requests that can run. Unlike Acquire it does
+// not wait: the caller watches Granted, and calls Leave to stop waiting. A request that should be
+// refused is queued all the same if its Gate does not let it expire.
 func (q *Queue) Enter(ticket Ticket) (*Waiting, *Refusal) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
-	if refusal := q.refuseEarly(&ticket); refusal != nil && ticket.Gate.Expire() {
+	if refusal := q.earlyRefusal(&ticket); refusal != nil && ticket.Gate.Expire() {
 		return nil, refusal
 	}
 	entered := &Waiting{queue: q, ticket: ticket, arrival: q.arrivals, granted: make(chan struct{})}
@@ -176,7 +180,9 @@
 	return entered, nil
 }
 
-func (q *Queue) refuseEarly(ticket *Ticket) *Refusal {
+// earlyRefusal returns the refusal of a request that would miss its deadline or find the queue of
+// its class full, or nil. It does not expire the request. The lock must be held.
+func (q *Queue) earlyRefusal(ticket *Ticket) *Refusal {
 	count := q.class(ticket.Class)
 	wait := q.expectedWait(ticket, count)
 	left := ticket.Deadline.Sub(q.config.Now())
@@ -193,8 +199,9 @@
 	return nil
 }
 
-// expectedWait returns how long the request is expected to wait: 0 if it can run now, otherwise
-// the service time of the requests ahead of it divided by the slots of the lane.
+// expectedWait returns how long the request is expected to wait: 0 if it can run now, otherwise the
+// service time of the request and those ahead of it, divided by the slots of the lane or, if the
+// limit of its class is reached, of the class. The lock must be held.
 func (q *Queue) expectedWait(ticket *Ticket, count *classCount) time.Duration {
 	slots := q.config.MaxInFlight
 	if ticket.MaxInFlight > 0 && count.running+count.waiting >= ticket.MaxInFlight {
@@ -211,8 +218,9 @@
 	return time.Duration(float64(ahead) / float64(slots) * q.meanService * float64(time.Second))
 }
 
-// startTag returns the request's tag for start-time fair queueing: consecutive requests of a
-// tenant are cost/weight apart.
+// startTag returns the request's tag for start-time fair queueing, and sets the tenant's finish tag
+// to the start tag plus cost/weight, which is the earliest start tag of its next request. The lock
+// must be held.
 func (q *Queue) startTag(ticket *Ticket) float64 {
 	weight, cost := ticket.Weight, ticket.Cost
 	if weight <= 0 {
@@ -229,9 +237,10 @@
 	return start
 }
 
-// forgetTenants drops the finish tags that the clock has passed, since they have no effect any
-// more. If too many are left, it drops all of them: callers choose the names of tenants, and a
-// flood of names may suspend fairness briefly but must not use up memory.
+// forgetTenants drops the finish tags that virtualTime has passed, since they have no effect any
+// more. If too many are left, it drops all of them: callers choose the names of tenants, so the
+// number of tags must be bounded, even if this makes admission briefly unfair. The lock must be
+// held.
 func (q *Queue) forgetTenants() {
 	for tenant, finish := range q.finishTags {
 		if finish <= q.virtualTime {
@@ -243,7 +252,7 @@
 	}
 }
 
-// grant admits requests while slots are free.
+// grant admits requests while slots are free. The lock must be held.
 func (q *Queue) grant() {
 	for q.inFlight < q.config.MaxInFlight {
 		index := q.next()
@@ -261,7 +270,7 @@
 	}
 }
 
-// next returns the index of the next request to admit, or -1.
+// next returns the index of the next request to admit, or -1. The lock must be held.
 func (q *Queue) next() int {
 	best := -1
 	for i, candidate := range q.waiting {
@@ -276,6 +285,8 @@
 	return best
 }
 
+// precedes reports whether the request is admitted before the other: by priority, then start tag,
+// then arrival.
 func (w *Waiting) precedes(other *Waiting) bool {
 	if w.ticket.Priority != other.ticket.Priority {
 		return w.ticket.Priority > other.ticket.Priority
@@ -286,6 +297,8 @@
 	return w.arrival < other.arrival
 }
 
+// remove removes the waiting request at the index. The order of the others changes. The lock must
+// be held.
 func (q *Queue) remove(index int) *Waiting {
 	removed := q.waiting[index]
 	last := len(q.waiting) - 1
@@ -296,8 +309,9 @@
 	return removed
 }
 
-// Leave removes a request that stops waiting from the queue. If the request was admitted at the
-// same moment, as the gate decides, Leave starts it instead.
+// Leave removes a request that stops waiting from the queue, and returns its refusal. If the Gate
+// says that the request was already dispatched, Leave starts it and returns the release function,
+// as Start does.
 func (w *Waiting) Leave(reason Reason) (release func(), refusal *Refusal) {
 	if !w.ticket.Gate.Expire() {
 		<-w.granted
@@ -325,6 +339,7 @@
 	return func() { once.Do(func() { q.release(w.ticket.Class, q.config.Now().Sub(started)) }) }
 }
 
+// release ends the run of a request of the class and admits others.
 func (q *Queue) release(class string, ran time.Duration) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
@@ -338,6 +353,7 @@
 	q.grant()
 }
 
+// class returns the counts of the class, which it creates if necessary. The lock must be held.
 func (q *Queue) class(name string) *classCount {
 	count, found := q.classes[name]
 	if !found {
@@ -347,7 +363,7 @@
 	return count
 }
 
-// Depth is the number of requests in a queue.
+// Depth is the number of requests in a queue, running ones included.
 type Depth struct{ InFlight, Waiting int }
 
 // Depth returns the number of running and waiting requests.
--- a/request/limit/queue_test.go
+++ b/request/limit/queue_test.go
@@ -89,7 +89,7 @@
 	})
 }
 
-// TestClassBound checks that a class stays within its own limit while another uses the rest.
+// A class stays within its own limit while another uses the rest.
 func TestClassBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &client{queue: NewQueue(Config{MaxInFlight: 3})}
@@ -128,10 +128,10 @@
 	now = now.Add(time.Hour)
 	must.True(t, take(1000)) // charged for the burst only
 	must.False(t, take(1))
-	for i := range 100 * maxBuckets {
+	for i := range 100 * pruneThreshold {
 		buckets.Take(fmt.Sprint(i), allowed, 1, now.Add(time.Duration(i)*time.Second))
 	}
 	for i := range buckets.shards {
-		must.True(t, len(buckets.shards[i].tenants) <= maxBuckets)
+		must.True(t, len(buckets.shards[i].tenants) <= pruneThreshold)
 	}
 }
--- a/request/quarantine/alone_test.go
+++ b/request/quarantine/alone_test.go
@@ -8,11 +8,11 @@
 )
 
 // A harmless request that many clients send must not be quarantined for failures that it shared
-// with a quarantined request, or for unrelated ones. A suspected request runs alone many times a
-// second, so it is alone at any replica crash that happens by chance, and a second failure with
-// nothing else in flight used to decide at once, whatever explained the failures before it. It was
-// then quarantined for an hour, 8 to 43 ms after the unrelated crash. Found by the soak test
-// (seeds 3040 and 5008, with three CPU-bound processes running alongside).
+// with a quarantined request, or for unrelated ones. A suspected request is sent to replicas that
+// run nothing else, many times a second, so it is often alone at an unrelated replica crash. When a
+// second failure with nothing else in flight decided at once, whatever explained the failures
+// before it, the request was quarantined for an hour, 8 to 43 ms after the crash (soak test seeds
+// 3040 and 5008, with three CPU-bound processes alongside).
 func TestSharedOrUnrelatedFailuresAreNotHarmful(t *testing.T) {
 	t.Run("in flight with a held request", func(t *testing.T) {
 		table := NewTable()
--- a/request/quarantine/clearance.go
+++ b/request/quarantine/clearance.go
@@ -7,16 +7,16 @@
 // result does not depend on whether the failure or the successful answer is reported first.
 type clearances map[Fingerprint]time.Duration
 
-// clear starts a clearance for a request.
-func (c clearances) clear(now time.Duration, fingerprint Fingerprint) {
+// add ignores failures of the request for clearanceDuration from now on.
+func (c clearances) add(now time.Duration, fingerprint Fingerprint) {
 	if _, known := c[fingerprint]; !known && len(c) >= maxRequests {
 		c.makeRoom(now)
 	}
 	c[fingerprint] = now + clearanceDuration
 }
 
-// has reports whether failures of the request are ignored at now.
-func (c clearances) has(now time.Duration, fingerprint Fingerprint) bool {
+// ignores reports whether failures of the request are ignored at now.
+func (c clearances) ignores(now time.Duration, fingerprint Fingerprint) bool {
 	return now < c[fingerprint]
 }
 
@@ -29,7 +29,8 @@
 	}
 }
 
-// makeRoom drops the expired clearances or, if there are none, the one that expires first.
+// makeRoom keeps the number of clearances below maxRequests. It drops the expired ones or, if there
+// are none, the one that expires first.
 func (c clearances) makeRoom(now time.Duration) {
 	c.expire(now)
 	if len(c) < maxRequests {
@@ -48,18 +49,18 @@
 // known. It drops the failures and ignores further ones for clearanceDuration.
 func (t *Table) Served(now time.Duration, fingerprint Fingerprint) {
 	t.Forget(fingerprint)
-	if !t.cleared.has(now, fingerprint) {
+	if !t.cleared.ignores(now, fingerprint) {
 		t.changes++
 	}
-	t.cleared.clear(now, fingerprint)
+	t.cleared.add(now, fingerprint)
 }
 
 // Cleared returns the requests whose failures are currently ignored because they were served
-// recently.
+// recently, in no particular order.
 func (t *Table) Cleared(now time.Duration) []Fingerprint {
 	var found []Fingerprint
 	for fingerprint := range t.cleared {
-		if t.cleared.has(now, fingerprint) {
+		if t.cleared.ignores(now, fingerprint) {
 			found = append(found, fingerprint)
 		}
 	}
--- a/request/quarantine/evidence.go
+++ b/request/quarantine/evidence.go
@@ -3,23 +3,26 @@
 import "time"
 
 // Evidence describes a suspected failure of one replica while it ran a request. It is refuted when
-// the replica answers again.
+// the same process of the replica answers again.
 type Evidence struct {
 	Fingerprint Fingerprint
 	Replica     string
 	// Began is true if the run had produced output before the failure.
 	Began bool
-	// Read is true if the replica only ran the prefill phase. Prefill replicas are few and heavily
-	// loaded, and also reset connections when they have no free slot.
+	// Read is true if the replica only ran the prefill phase. Its failure is weak evidence, because
+	// prefill replicas are few and heavily loaded, and also reset connections when they have no
+	// free slot.
 	Read bool
-	// Alone is true if nothing else was in flight at the replica, so that no other request can
+	// Alone is true if no other request was in flight at the replica, so that no other request can
 	// have caused the failure.
 	Alone bool
 	// Listens is true if the replica's address still accepted connections right after the failure.
-	// This is weaker evidence, since a faulty replica may reset connections and keep running.
+	// This is weak evidence (see failure.isStrong), since a faulty replica may reset connections
+	// and keep running.
 	Listens bool
-	// Ran is how long the run had been in progress.
-	Ran   time.Duration
+	// Ran is how long the run had been in progress at the failure.
+	Ran time.Duration
+	// About describes the request for operators.
 	About About
 	// Once is true if the replica name identifies a single process, which can fail only once.
 	Once bool
@@ -27,16 +30,15 @@
 	// and repeated reports with the same number describe the same failure.
 	Sight uint64
 
-	// Told is true if another control group member reported the failure. The sources of such
-	// reports already hold the evidence, so it is not reported back to them.
+	// Told is true if the failure was reported by another member of the control group, the servers
+	// that exchange these reports. It already holds the evidence, so it is not reported back.
 	Told bool
 
-	// fromRecord is true for evidence restored from the stored record, which omits most of the
-	// details.
+	// fromRecord is true for evidence restored from a Record, which omits most of the details.
 	fromRecord bool
 }
 
-// About identifies a request for operators.
+// About describes a request for operators. Its Fingerprint identifies it.
 type About struct {
 	Service string
 	Route   string
--- a/request/quarantine/fingerprint.go
+++ b/request/quarantine/fingerprint.go
@@ -1,9 +1,13 @@
-// Package quarantine tells requests that cause replica failures from requests that merely were in
-// flight at the same replicas. It identifies a request by its content, wherever and whenever it is
-// sent, and counts the replica failures that happen while it runs.
+// Package quarantine distinguishes requests that cause replica failures from requests that merely
+// were in flight at the same replicas. It identifies a request by its content, wherever and
+// whenever it is sent, and counts the replica failures that happen while it runs.
 //
-// Guarantees: the stored state is bounded and holds no request bodies, and a request is considered
-// harmful only for replica failures that no other request explains better.
+// Guarantees: a Table is bounded and holds no request bodies, and a request is considered harmful
+// only for replica failures for which no other request is the likelier cause (Table.explains).
+//
+// A failure known to a Table may come from an Evidence observed by a proxy, which is then reported
+// to other tables, or from a Record that was persisted. Times are durations since an origin that
+// the caller chooses, the same for all calls on one Table.
 package quarantine
 
 import (
@@ -17,16 +21,16 @@
 	Method string
 	Host   string
 	Path   string // not decoded, without the query
-	Query  string // only for requests without a body; otherwise the body says what is asked
-	Caller string // the header fields that identify the caller; empty if there are none
+	Query  string // only for requests without a body; ignored for others
+	Caller string // what identifies the caller, such as a tenant or header fields; empty if unknown
 	Body   []byte
 }
 
-// Fingerprint identifies an Identity. It is a cryptographic hash, so that a caller cannot craft a
-// request that is taken for another caller's.
+// Fingerprint is the truncated SHA-256 hash of an Identity. The hash is cryptographic, so that a
+// caller cannot craft a request with the fingerprint of another caller's request.
 type Fingerprint [fingerprintBytes]byte
 
-// fingerprintBytes is how much of a SHA-256 hash is kept, enough to rule out collisions.
+// fingerprintBytes is how much of a SHA-256 hash is kept. With 128 bits collisions are negligible.
 const fingerprintBytes = 16
 
 // Of returns the fingerprint of an identity.
@@ -47,7 +51,8 @@
 // String returns the fingerprint in hex.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// Parse parses the output of String. It returns false if the text is not a fingerprint in hex.
+// Parse parses the output of String. It returns false if the text is not the hex form of
+// fingerprintBytes bytes.
 func Parse(text string) (Fingerprint, bool) {
 	var fingerprint Fingerprint
 	decoded, err := hex.DecodeString(text)
--- a/request/quarantine/process.go
+++ b/request/quarantine/process.go
@@ -7,21 +7,25 @@
 	"strings"
 )
 
-// A platform that does not report process start times may restart a replica under the same name,
-// so the failures under one name can belong to several processes. If a run was sent after the name
-// had failed with nothing listening any more, its failure is that of a later process, and the
-// failures of the earlier process are moved to a separate name.
+// A table stores the failures of a replica under process names, because a platform that does not
+// report process start times may restart a replica under the same name, so that its failures can
+// belong to several processes. The process name of the latest known process is the replica name. If
+// a request was sent after the replica had failed with nothing listening any more, its failure is
+// that of a later process, and the failures of the earlier process are moved to a process name of
+// their own.
 
-// earlierMark separates a replica name from the number of its earlier process.
+// earlierMark separates a replica name from a number that distinguishes its earlier processes. The
+// numbers do not tell which of them started first.
 const earlierMark = "#earlier-"
 
-// ReplicaOf returns the replica name for a name under which a failure is stored.
+// ReplicaOf returns the replica name for a process name.
 func ReplicaOf(name string) string {
 	replica, _, _ := strings.Cut(name, earlierMark)
 	return replica
 }
 
-// processNames returns the names under which failures of a replica are stored.
+// processNames returns the process names of a replica that failures are stored under, in no
+// particular order.
 func (t *Table) processNames(replica string) []string {
 	var names []string
 	for name := range t.inFlightAt {
@@ -33,21 +37,23 @@
 }
 
 // isBefore reports whether the replica had certainly failed before the run behind a later failure
-// was sent to it. A failure from the record has no time of its own; the time when the record was
-// read is used.
+// was sent to it. Only a strong failure is certain: a replica that kept listening may not have
+// failed. A failure from the record has no exact time, so it counts as no earlier than the time
+// when the record was read.
 func (f failure) isBefore(incoming failure) bool {
 	return f.isStrong() && max(f.at, f.notedAt)+maxReportDelay < incoming.sent
 }
 
-// processNameFor returns the name of the process that a reported failure belongs to. This is the
-// process of a failure already known for the request, a later one or, for a delayed report, an
-// earlier one.
+// processNameFor returns the process name for a reported failure. This is the process of a failure
+// already known for the request, a process started later or, if the report was delayed, one that
+// failed earlier. For a process started later it renames the replica's known failures to an earlier
+// process (renameToEarlier).
 func (t *Table) processNameFor(known *entry, incoming failure) string {
 	if incoming.uniqueName {
 		return incoming.replica
 	}
 	for _, failed := range known.failures {
-		if slices.ContainsFunc(incoming.observationIDs, func(number uint64) bool { return slices.Contains(failed.observationIDs, number) }) {
+		if slices.ContainsFunc(incoming.observationIDs, func(id uint64) bool { return slices.Contains(failed.observationIDs, id) }) {
 			return failed.replica
 		}
 	}
@@ -70,8 +76,8 @@
 }
 
 // mayShareProcess reports whether two reported failures of a replica may belong to the same
-// process. Failures from the record have no time of their own: a report that seems to precede one
-// of them still belongs to the same process.
+// process. Failures from the record have no exact time, so a report that seems to precede one of
+// them is taken as one of the same process.
 func (f failure) mayShareProcess(incoming failure) bool {
 	return !f.isBefore(incoming) && (f.fromRecord || incoming.fromRecord || !incoming.isBefore(f))
 }
@@ -81,7 +87,7 @@
 func (t *Table) earlierProcessName(known *entry, incoming failure) string {
 	for _, name := range t.processNames(incoming.replica) {
 		if known.has(name) {
-			continue // this is another failure of the same request
+			continue // one process fails at most once, and the request has another failure there
 		}
 		for fingerprint := range t.inFlightAt[name] {
 			failed := t.requests[fingerprint].failureOf(name)
@@ -93,8 +99,9 @@
 	return t.unusedEarlierName(incoming.replica)
 }
 
-// renameToEarlier moves the failures stored under a replica's name to the name of an earlier
-// process, because the reported failure is that of a new process with the replica's name.
+// renameToEarlier moves the failures stored under the replica name of the reported failure to the
+// name of an earlier process, because that failure is the one of a new process with the replica's
+// name.
 func (t *Table) renameToEarlier(incoming failure) {
 	earlier := t.unusedEarlierName(incoming.replica)
 	for fingerprint := range maps.Clone(t.inFlightAt[incoming.replica]) {
@@ -115,6 +122,7 @@
 	}
 }
 
+// addInFlight records that the request was in flight when the replica failed.
 func (t *Table) addInFlight(fingerprint Fingerprint, replica string) {
 	if t.inFlightAt[replica] == nil {
 		t.inFlightAt[replica] = map[Fingerprint]struct{}{}
--- a/request/quarantine/process_test.go
+++ b/request/quarantine/process_test.go
@@ -15,10 +15,10 @@
 }
 
 // Failures of different processes that share a replica name must count separately. On a platform
-// that does not report process start times, a request that crashes each replica caused seven
-// failures under three replica names. Each name counted only once, so that a faulty replica which
-// resets connections does not get a request quarantined; the request was held only after the third
-// name, although three failures are enough. Found by the soak test (seed 9231).
+// that does not report process start times, each name counted only once, so that a faulty replica
+// which resets connections does not get a request quarantined. A harmful request then caused seven
+// failures under three names before it was held, although three failures are enough (soak test seed
+// 9231).
 func TestFailuresOfRestartedReplicaCountSeparately(t *testing.T) {
 	table := NewTable()
 	noteShortRun(table, 0, "r-15", "fatal")
@@ -33,7 +33,7 @@
 	must.Eq(t, 1, table.CountEnds(fingerprintOf("fatal")), must.Sprint("the process was running at both failures"))
 }
 
-// Requests that were in flight when the earlier process failed stay attributed to that process.
+// Requests that were in flight when the earlier process failed remain recorded for that process.
 // Repeated resets by a replica that keeps listening are a single failure.
 func TestEarlierProcessKeepsItsBystanders(t *testing.T) {
 	table := NewTable()
@@ -51,8 +51,8 @@
 	must.Eq(t, 1, resets.CountEnds(fingerprintOf("popular")))
 }
 
-// Reports of one failure arrive some milliseconds apart, and its observers may report it after the
-// record was read. It still counts once.
+// A failure counts once although its reports arrive some milliseconds apart, or after the record
+// that contains it was read.
 func TestRepeatedReportCountsOnce(t *testing.T) {
 	table := NewTable()
 	noteShortRun(table, 0, "r", "fatal")
@@ -67,9 +67,9 @@
 	must.Eq(t, 3, restored.CountEnds(fingerprintOf("fatal")), must.Sprint("the replica was restarted since"))
 }
 
-// A repeated report of a failure must not count again, as when every new leader receives all
-// reports. The replica was restarted under its name and failed again under another request, so its
-// first process had been moved to a separate name. The second report was looked up only under the
+// A repeated report of a failure must not count again; every new leader receives all reports. It
+// did if the replica was restarted under its name and failed again under another request, which
+// moves its first process to a separate name: the repeated report was looked up only under the
 // replica's current name, where the request had no failure. Found by TestExchangedReportsConverge.
 func TestRepeatedReportAfterProcessRenameCountsOnce(t *testing.T) {
 	table := NewTable()
@@ -93,19 +93,18 @@
 	}
 }
 
-// A delayed report of a failure must not count as a failure of the next process with the same
-// name. A report passes from the proxy to a member and on, with the age of the failure. Each delay
-// on the way, by load or a paused process, makes the failure look more recent, and beyond
-// maxReportDelay it counted again even where the name identifies a single process. One failure was
-// recorded as two, counted as four in the proxy, and a harmless request was held without a leader.
-// Found by the soak test without a leader (seed 8).
-func TestDelayedReportIsOfTheSameFailure(t *testing.T) {
+// A delayed report of a failure must not count as a failure of the next process with the same name.
+// Reports are passed on with the age of the failure, and each delay on the way, by load or a paused
+// process, makes it look more recent. Beyond maxReportDelay it counted again, even where the name
+// identifies a single process: one failure was recorded as two and counted as four in the proxy,
+// and a harmless request was held (soak test without a leader, seed 8).
+func TestDelayedReportCountsOnce(t *testing.T) {
 	late := func(modify func(*Evidence)) int {
 		table := NewTable()
-		for wait := range 4 {
+		for delay := range 4 {
 			seen := Evidence{Fingerprint: fingerprintOf("popular"), Replica: "r", Ran: 5 * time.Millisecond}
 			modify(&seen)
-			table.NoteAged(time.Minute+time.Duration(wait)*time.Second, time.Second, seen)
+			table.NoteAged(time.Minute+time.Duration(delay)*time.Second, time.Second, seen)
 		}
 		return table.CountEnds(fingerprintOf("popular"))
 	}
@@ -114,10 +113,10 @@
 	must.Eq(t, 4, late(func(*Evidence) {}), must.Sprint("they cannot be told from failures of later processes"))
 
 	others := NewTable() // two proxies observed it and each reports it repeatedly
-	for wait := range 4 {
-		for number := range uint64(2) {
-			others.NoteAged(time.Minute+time.Duration(wait)*time.Second, time.Second, Evidence{
-				Fingerprint: fingerprintOf("popular"), Replica: "r", Ran: 5 * time.Millisecond, Sight: 1 + number,
+	for delay := range 4 {
+		for observer := range uint64(2) {
+			others.NoteAged(time.Minute+time.Duration(delay)*time.Second, time.Second, Evidence{
+				Fingerprint: fingerprintOf("popular"), Replica: "r", Ran: 5 * time.Millisecond, Sight: 1 + observer,
 			})
 		}
 	}
--- a/request/quarantine/property_test.go
+++ b/request/quarantine/property_test.go
@@ -11,8 +11,9 @@
 )
 
 // A request that crashes every replica is found harmful once it was sent again often enough,
-// whatever else was in flight, whoever reports first and whichever replicas fail together. No
-// other request is found harmful as long as it was in flight at fewer of the failures.
+// whatever else was in flight, whoever reports first and whichever replicas fail together. No other
+// request is found harmful as long as it was in flight at fewer of the failures: from
+// decisiveFailures on, the harmful request needs no lead of requiredLead.
 func TestOnlyHarmfulRequestIsFound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := NewTable()
--- a/request/quarantine/record.go
+++ b/request/quarantine/record.go
@@ -5,66 +5,71 @@
 	"time"
 )
 
-// Record is the stored record of a request.
+// Record is what the caller persists of the failures of a harmful request, so that it remains known
+// when the Table that observed them is lost.
 type Record struct {
 	Replicas []string
-	// Weak lists the replicas whose failures are weak evidence.
+	// Weak lists the replicas whose failures are weak evidence (see failure.isStrong).
 	Weak []string
-	// Alone is true if one of them failed with nothing else in flight. AtOnce is true if all of
-	// them failed at the same time.
-	Alone  bool
+	// Alone is true if one of Replicas failed with nothing else in flight.
+	Alone bool
+	// AtOnce is true if all of Replicas failed in a single incident.
 	AtOnce bool
-	// Age is the minimum time since the first of them failed.
+	// Age says that the first of Replicas failed at least this long ago.
 	Age   time.Duration
 	About About
 }
 
-// Evidence returns the evidence that the record holds for one of its replicas.
+// Evidence returns the evidence that the record holds for one of its replicas. The record does not
+// say which replica failed with nothing else in flight, so Alone is set for all of them.
 func (r *Record) Evidence(fingerprint Fingerprint, replica string) Evidence {
-	seen := Evidence{
+	evidence := Evidence{
 		Fingerprint: fingerprint, Replica: replica, Alone: r.Alone, Listens: slices.Contains(r.Weak, replica), About: r.About,
 		fromRecord: true,
 	}
 	if r.AtOnce {
-		seen.Ran = settleDelay // each run was in progress when the others failed
+		evidence.Ran = settleDelay // long enough that each run had started before the others failed
 	}
-	return seen
+	return evidence
 }
 
-// Restore replaces what is known of a request with its record.
-func (t *Table) Restore(now time.Duration, fingerprint Fingerprint, known Record) {
+// Restore replaces what is known of a request, observed failures included, with its record. It
+// assumes that the failures are old enough to be judged at once and recent enough to count for at
+// least another half of failureRetention.
+func (t *Table) Restore(now time.Duration, fingerprint Fingerprint, record Record) {
 	t.Forget(fingerprint)
-	since := now - min(max(known.Age, settleDelay), failureRetention/2)
-	for i, replica := range known.Replicas {
-		before := time.Duration(len(known.Replicas)-1-i) * time.Millisecond // they failed one after the other
-		t.noteAt(now, since-before, known.Evidence(fingerprint, replica))
+	since := now - min(max(record.Age, settleDelay), failureRetention/2)
+	for i, replica := range record.Replicas {
+		spacing := time.Duration(len(record.Replicas)-1-i) * time.Millisecond // keeps their order
+		t.noteAt(now, since-spacing, record.Evidence(fingerprint, replica))
 	}
 }
 
-// Recall merges the record of a request with the reports received for it, which take precedence.
-// The failures get new sequence numbers, in the order in which requests are recalled.
-func (t *Table) Recall(now time.Duration, fingerprint Fingerprint, known Record) {
+// Recall merges the record of a request with the reports received for it. The reports take
+// precedence. All failures of the request get new sequence numbers, so a caller that recalls
+// several requests determines how their failures are ordered.
+func (t *Table) Recall(now time.Duration, fingerprint Fingerprint, record Record) {
 	var received []failure
-	if before := t.requests[fingerprint]; before != nil {
-		received = slices.Clone(before.failures)
-		known.About = before.about
+	if previous := t.requests[fingerprint]; previous != nil {
+		received = slices.Clone(previous.failures)
+		record.About = previous.about
 	}
-	t.Restore(now, fingerprint, known)
+	t.Restore(now, fingerprint, record)
 	for _, failed := range received {
-		t.noteAt(now, failed.at, failed.evidence(fingerprint, known.About))
+		t.noteAt(now, failed.at, failed.evidence(fingerprint, record.About))
 	}
 }
 
-// Aged is an Evidence with its age.
+// Aged is an Evidence with the time since the failure.
 type Aged struct {
 	Evidence
 	Age time.Duration
 }
 
-// All returns the evidence observed here, for a receiver that has to rebuild its table. It omits
-// what comes from the record, because the receiver has the record and would take it for an
-// observation. It also omits what other members reported, and failures of earlier processes, which
-// each table numbers on its own.
+// All returns the evidence that was reported to this table directly, in no particular order, for a
+// receiver that has to rebuild its table. It omits evidence from the record: the receiver has the
+// record as well, and would treat a second copy as an observed failure. It also omits what other
+// members reported, and failures of earlier processes, which each table numbers on its own.
 func (t *Table) All(now time.Duration) []Aged {
 	var all []Aged
 	for fingerprint, known := range t.requests {
@@ -85,7 +90,7 @@
 	}
 }
 
-// observationID returns the first observation number of the failure, 0 for none.
+// observationID returns the first observation ID of the failure, 0 for none.
 func (f failure) observationID() uint64 {
 	if len(f.observationIDs) == 0 {
 		return 0
@@ -93,21 +98,23 @@
 	return f.observationIDs[0]
 }
 
-// maxObservationIDs bounds the observation numbers kept per failure. Each comes from a proxy that
+// maxObservationIDs bounds the observation IDs kept per failure. There is one for each proxy that
 // had sent the request to the replica.
 const maxObservationIDs = 8
 
-// addObservationIDs adds the observation numbers from another report of the same failure.
+// addObservationIDs adds the observation IDs from another report of the same failure.
 func (f *failure) addObservationIDs(other failure) {
-	for _, number := range other.observationIDs {
-		if !slices.Contains(f.observationIDs, number) && len(f.observationIDs) < maxObservationIDs {
-			f.observationIDs = append(f.observationIDs, number)
+	for _, id := range other.observationIDs {
+		if !slices.Contains(f.observationIDs, id) && len(f.observationIDs) < maxObservationIDs {
+			f.observationIDs = append(f.observationIDs, id)
 		}
 	}
 }
 
-// mergeReport merges another report of a known failure into the entry. An observation replaces
-// what the record holds but keeps its sequence number. It reports whether a failure was replaced.
+// mergeReport merges another report of a known failure into the entry. An observation replaces the
+// failure from the record, and the replacement keeps the old sequence number. The result says
+// whether a failure was replaced; other changes are not reported. Of two reports of the same kind
+// the stronger evidence applies.
 func (e *entry) mergeReport(incoming failure) (replaced bool) {
 	at := e.indexOf(incoming.replica)
 	known := e.failures[at]
--- a/request/quarantine/sight.go
+++ b/request/quarantine/sight.go
@@ -7,14 +7,15 @@
 	"time"
 )
 
-// A replica failure during a request is a fact that needs neither ordering nor consensus and may
-// be recorded more than once. So tables that exchange their reports converge to the same state,
-// regardless of the order, repetition and route of the reports.
-
-// Sights returns the failures observed by anyone, oldest first, at most the given number. Noting
-// them in this order in another table gives the same state there, including the failures of
-// earlier processes. Requests with only weak failures are omitted. If there are too many, requests
+// Sights returns the observed failures for other tables, oldest first, including those reported by
+// other members but not those from a record. It returns at most limit failures; a negative limit
+// means all. Requests with only weak failures are omitted. If there are too many failures, requests
 // with the most failures are kept first, and among these the most recent.
+//
+// Reports may arrive in any order, by any route and more than once: tables that exchange them
+// converge to the same state without consensus, as long as none of them has reached its bounds.
+// Noting the failures in the returned order in another table gives the same state there, including
+// the failures of earlier processes.
 func (t *Table) Sights(now time.Duration, limit int) []Aged {
 	hasStrong := func(known *entry) bool { return slices.ContainsFunc(known.failures, failure.isStrong) }
 	fingerprints := slices.DeleteFunc(slices.Collect(maps.Keys(t.requests)), func(fingerprint Fingerprint) bool {
@@ -27,7 +28,8 @@
 	return t.SightsOf(fingerprints, now, limit)
 }
 
-// NotableSights is like Sights, but covers only requests that are watched or due for a trial.
+// NotableSights is like Sights, but covers only requests that are watched or due for a trial (see
+// IsTried), including those with only weak failures.
 func (t *Table) NotableSights(now time.Duration, limit int) []Aged {
 	notable := t.Watched(now)
 	for _, fingerprint := range t.Tried() {
@@ -38,8 +40,8 @@
 	return t.SightsOf(notable, now, limit)
 }
 
-// SightsOf is like Sights, but covers only the given requests. If there are too many failures,
-// earlier requests in the list take precedence.
+// SightsOf is like Sights, but covers only the given requests, including those with only weak
+// failures. If there are too many failures, earlier requests in the list take precedence.
 func (t *Table) SightsOf(fingerprints []Fingerprint, now time.Duration, limit int) []Aged {
 	var reports []Aged
 	for _, fingerprint := range fingerprints {
@@ -51,9 +53,9 @@
 			if failed.fromRecord || len(reports) == limit {
 				continue
 			}
-			seen := failed.evidence(fingerprint, known.about)
-			seen.Replica = ReplicaOf(failed.replica)
-			reports = append(reports, Aged{Evidence: seen, Age: now - failed.at})
+			evidence := failed.evidence(fingerprint, known.about)
+			evidence.Replica = ReplicaOf(failed.replica)
+			reports = append(reports, Aged{Evidence: evidence, Age: now - failed.at})
 		}
 	}
 	slices.SortStableFunc(reports, func(a, b Aged) int { return cmp.Compare(b.Age, a.Age) })
@@ -72,7 +74,7 @@
 }
 
 // IsWorthTelling reports whether a request should be reported to others immediately. This is the
-// case if replicas failed at several different times, or if a recent failure is strong evidence.
+// case if replicas failed in at least two incidents, or if a recent failure is strong evidence.
 func (t *Table) IsWorthTelling(now time.Duration, fingerprint Fingerprint) bool {
 	known := t.requests[fingerprint]
 	if known == nil {
@@ -81,8 +83,8 @@
 	return len(known.incidents()) >= WatchedEnds || t.IsSuspect(now, fingerprint) && slices.ContainsFunc(known.failures, failure.isStrong)
 }
 
-// StoodInSeries reports whether any request in flight at a failure of the replica has failures at
-// several different times.
+// StoodInSeries reports whether any request that was in flight when the replica failed has at least
+// two incidents (see IsSeries).
 func (t *Table) StoodInSeries(replica string) bool {
 	for _, name := range t.processNames(replica) {
 		for fingerprint := range t.inFlightAt[name] {
--- a/request/quarantine/sight_test.go
+++ b/request/quarantine/sight_test.go
@@ -50,7 +50,7 @@
 				tables[rapid.IntRange(0, 2).Draw(t, "at")].NoteAged(now, report.Age, report.Evidence)
 			}
 		}
-		for range 2 {
+		for range 2 { // in the second round each table passes on what it received in the first
 			for _, from := range rapid.Permutation([]int{0, 1, 2}).Draw(t, "from") {
 				for to := range tables {
 					for _, seen := range tables[from].Sights(now, maxRequests) {
@@ -70,8 +70,8 @@
 	})
 }
 
-// If there are too many failures, the strongest evidence is kept. Failures from the record are not
-// observations.
+// If there are too many failures, those of requests with the most failures are kept. Failures from
+// the record are not observations.
 func TestSightsAreBounded(t *testing.T) {
 	table := NewTable()
 	for i := range 20 {
--- a/request/quarantine/steady_test.go
+++ b/request/quarantine/steady_test.go
@@ -9,11 +9,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// The verdict on a request must not change because the request was held. Requests that were in
-// flight at failures of a held request were found harmful after two failures of their own, but
-// needed three once they were held themselves, so each verdict undid the other. A harmless request
-// was held and released hundreds of times, in every round of the leader, and its hold time doubled
-// up to a day.
+// The verdict on a request must not change because the request was held. When bystanders of a held
+// request were found harmful after two failures of their own but needed three once they were held
+// themselves, a harmless request was held and released hundreds of times, in every round of the
+// leader, and its hold time doubled up to a day.
 func TestVerdictDoesNotDependOnItsHold(t *testing.T) {
 	table := NewTable()
 	at := time.Duration(0)
@@ -36,8 +35,8 @@
 }
 
 // Judging again without new reports must change nothing, whichever requests were held or released
-// before. When verdicts depended on what is held at the moment, 724 of 20,000 such random
-// sequences never converged.
+// before. Verdicts that depend on what is held at the moment do not converge: they did not in 724
+// of 20,000 such random sequences.
 func TestJudgingAgainWithoutReportsChangesNothing(t *testing.T) {
 	const sequences = 4_000
 	requests := []Fingerprint{fingerprintOf("one"), fingerprintOf("two"), fingerprintOf("three")}
@@ -59,7 +58,8 @@
 	}
 }
 
-// noteRandomFailure records a replica failure for some of the requests that are not held.
+// noteRandomFailure records a replica failure for each request that is not held, with a probability
+// of 3/5.
 func noteRandomFailure(table *Table, random *rand.Rand, now time.Duration, replica string, requests []Fingerprint) {
 	for _, request := range requests {
 		if known := table.requests[request]; random.IntN(5) < 2 || known != nil && known.isHeld() {
--- a/request/quarantine/table.go
+++ b/request/quarantine/table.go
@@ -6,30 +6,32 @@
 	"time"
 )
 
-// Limits and thresholds of a Table. Three failures are more than a bystander meets by chance while
-// its route allows two attempts, and no more than users tolerate.
+// Limits and thresholds of a Table.
 const (
-	// CondemningEnds is the number of failed replicas from which a request is considered harmful.
+	// CondemningEnds is the number of incidents with strong evidence from which a request is
+	// considered harmful (see harmfulWeight for weaker evidence). Three are more than a bystander
+	// meets by chance while its route allows two attempts, and no more than users tolerate.
 	CondemningEnds = 3
-	// WatchedEnds is the number of failures from which a request is watched.
+	// WatchedEnds is the number of incidents from which a request is watched.
 	WatchedEnds = 2
-	// certainFailures is the number of failures from which a process with a partial view considers
-	// a request harmful.
+	// certainFailures is the number of incidents from which a process with a partial view, which
+	// does not receive the failures observed by all others, considers a request harmful.
 	certainFailures = 4
-	// maxFailures bounds the failures kept per request, maxRequests the requests.
+	// maxFailures bounds the failures kept per request.
 	maxFailures = 8
+	// maxRequests bounds the requests with failures, and separately those that were cleared.
 	maxRequests = 4096
 	// failureRetention is how long a failure counts.
 	failureRetention = time.Hour
-	// simultaneityMargin is how long before the first failure of an incident a run must have been
-	// sent to count as in flight then: reports from different proxies arrive some milliseconds
-	// apart.
+	// simultaneityMargin is how long before the first failure of an incident (see Table) a run must
+	// have been sent to count as in flight then, because reports from different proxies arrive some
+	// milliseconds apart.
 	simultaneityMargin = 5 * time.Millisecond
-	// suspectDuration is how long a request remains suspect after a failure if it is not sent
-	// again. Callers retry within their deadlines, which are seconds.
+	// suspectDuration is how long a request remains suspect after a failure. It exceeds the
+	// deadlines of callers, which are seconds, so that it covers their retries.
 	suspectDuration = 30 * time.Second
-	// clearanceDuration is how long failures of a request are ignored after it was served: it is
-	// not what makes the replicas fail.
+	// clearanceDuration is how long failures of a request are ignored after it was served, because
+	// a request that was answered is not the cause of the failures.
 	clearanceDuration = time.Minute
 )
 
@@ -39,23 +41,25 @@
 // Standings, from harmless to harmful.
 const (
 	Free      Standing = iota
-	Watched            // replicas failed while it ran, too few to decide
-	Settling           // enough of them failed, but reports on bystanders may still arrive
-	Condemned          // it makes replicas fail
+	Watched            // replicas failed while it ran, too few to decide or explained by another request
+	Settling           // it is found harmful, but reports that change this may still arrive
+	Condemned          // harmful: it makes replicas fail
 )
 
 // Table records which requests were running when replicas failed. It is not safe for concurrent
 // use.
 //
-// Replicas that fail together, with their machine or rack, count as one incident. These are the
-// replicas to which the request was sent before the first of them failed. Whether a request makes
-// replicas fail shows when it is sent again.
+// Replicas that fail together, for example with their machine or rack, count as one incident. An
+// incident consists of the failed replicas to which the request was sent before the first of them
+// failed. So only a request that was sent again after a failure can have a second incident.
 //
-// A failure counts against one request only, the one that is well ahead of all others in flight
-// there. So a bystander is not found harmful for what another request did.
+// A failure counts against a request only if the request has a sufficient lead over all others in
+// flight at that replica (see requiredLead), so that a bystander is not found harmful for what
+// another request did. From decisiveFailures incidents on, it is enough that no other is ahead.
 type Table struct {
 	requests map[Fingerprint]*entry
-	// inFlightAt maps failed replicas to the requests that were in flight there.
+	// inFlightAt maps the process names of failed replicas to the requests that were in flight
+	// there at the failure.
 	inFlightAt map[string]map[Fingerprint]struct{}
 	// cleared holds the requests that were served recently.
 	cleared clearances
@@ -65,30 +69,34 @@
 	changes uint64
 }
 
+// entry holds what is known of one request. It has at least one failure.
 type entry struct {
 	failures []failure // of different processes, in order of time
 	holds    []hold
 	about    About
 }
 
+// failure is a suspected failure of one replica process while it ran a request. See Evidence for
+// the fields that it takes from there.
 type failure struct {
-	replica   string
+	replica   string        // the process name
 	sent      time.Duration // when the request was sent to the replica
-	at        time.Duration
+	at        time.Duration // when the replica failed
 	hadOutput bool
 	prefill   bool
 	alone     bool
 	listens   bool
-	// uniqueName is true if the replica name identifies a single process. observationIDs holds the
-	// first observation numbers reported for the failure.
-	uniqueName     bool
+	// uniqueName is true if the replica name identifies a single process.
+	uniqueName bool
+	// observationIDs holds the first observation IDs reported for the failure, up to
+	// maxObservationIDs.
 	observationIDs []uint64
 	// reported is true if the failure is known only from other members.
 	reported bool
-	// fromRecord is true until an observer reports the failure; notedAt is when the record was
-	// read.
+	// fromRecord is true until an observer reports the failure.
 	fromRecord bool
-	notedAt    time.Duration
+	// notedAt is when the record was read, 0 for observed failures.
+	notedAt time.Duration
 	// sequence numbers the table's failures in order of arrival.
 	sequence uint64
 }
@@ -98,43 +106,45 @@
 	return &Table{requests: map[Fingerprint]*entry{}, inFlightAt: map[string]map[Fingerprint]struct{}{}, cleared: clearances{}}
 }
 
-// News returns a counter that changes whenever the table's content does. Reports without new
-// information leave it unchanged, so that they need not be passed on.
+// News returns a counter that changes whenever the table's content does. Repeated reports of an
+// observed failure leave it unchanged, even if they update details, as they need not be passed on.
 func (t *Table) News() uint64 { return t.changes }
 
-// Empty reports whether the table holds no failures.
+// Empty reports whether the table holds no failures. It may still hold cleared requests.
 func (t *Table) Empty() bool { return len(t.requests) == 0 }
 
 // Note records a suspected replica failure, unless the request was served recently.
-func (t *Table) Note(now time.Duration, seen Evidence) { t.noteAt(now, now, seen) }
+func (t *Table) Note(now time.Duration, evidence Evidence) { t.noteAt(now, now, evidence) }
 
-// NoteAged is Note for a failure of the given age. It ignores ages outside the retention time.
-func (t *Table) NoteAged(now, age time.Duration, seen Evidence) {
+// NoteAged is Note for a failure of the given age. It ignores negative ages and those beyond the
+// retention time.
+func (t *Table) NoteAged(now, age time.Duration, evidence Evidence) {
 	if age >= 0 && age < failureRetention {
-		t.noteAt(now, now-age, seen)
+		t.noteAt(now, now-age, evidence)
 	}
 }
 
-func (t *Table) noteAt(now, at time.Duration, seen Evidence) {
-	if t.cleared.has(now, seen.Fingerprint) {
+// noteAt records at now a failure that happened at the time at.
+func (t *Table) noteAt(now, at time.Duration, evidence Evidence) {
+	if t.cleared.ignores(now, evidence.Fingerprint) {
 		return
 	}
 	before := t.changes
-	known := t.requests[seen.Fingerprint]
+	known := t.requests[evidence.Fingerprint]
 	if known == nil {
 		t.makeRoom()
 		known = &entry{}
-		t.requests[seen.Fingerprint] = known
+		t.requests[evidence.Fingerprint] = known
 	}
 	incoming := failure{
-		replica: seen.Replica, sent: at - seen.Ran, at: at, hadOutput: seen.Began, prefill: seen.Read, alone: seen.Alone,
-		listens: seen.Listens, uniqueName: seen.Once, reported: seen.Told, fromRecord: seen.fromRecord, sequence: t.sequence,
+		replica: evidence.Replica, sent: at - evidence.Ran, at: at, hadOutput: evidence.Began, prefill: evidence.Read, alone: evidence.Alone,
+		listens: evidence.Listens, uniqueName: evidence.Once, reported: evidence.Told, fromRecord: evidence.fromRecord, sequence: t.sequence,
 	}
-	if seen.fromRecord {
+	if evidence.fromRecord {
 		incoming.notedAt = now
 	}
-	if seen.Sight != 0 {
-		incoming.observationIDs = []uint64{seen.Sight}
+	if evidence.Sight != 0 {
+		incoming.observationIDs = []uint64{evidence.Sight}
 	}
 	incoming.replica = t.processNameFor(known, incoming)
 	if known.has(incoming.replica) {
@@ -143,36 +153,37 @@
 		}
 		return
 	}
-	known.about = seen.About
+	known.about = evidence.About
 	known.insert(incoming)
 	t.sequence++
-	t.addInFlight(seen.Fingerprint, incoming.replica)
+	t.addInFlight(evidence.Fingerprint, incoming.replica)
 	for len(known.failures) > maxFailures {
-		t.drop(seen.Fingerprint, known.leastUsefulReplica())
+		t.drop(evidence.Fingerprint, known.leastUsefulReplica())
 	}
 	if t.changes == before {
 		t.changes++
 		return
 	}
-	// The new failure replaced another. This does not count as a change, or two full tables would
-	// keep sending each other what the other has just dropped.
+	// A failure or request was dropped for the new one. This does not count as a change: otherwise
+	// two full tables would endlessly send each other the failures that the other one drops.
 	t.changes = before
 }
 
-// Alive identifies a replica that was suspected to have failed and has answered since.
+// Alive describes an answer of a replica that was suspected to have failed.
 type Alive struct {
 	Replica string
-	// For is the minimum time for which the answering process has been running. An earlier process
-	// with the same name may have failed.
+	// For says that the answering process has been running for at least this long. An earlier
+	// process with the same name may have failed before.
 	For time.Duration
 }
 
-// Ever is the Alive.For of a process that is the only one with its name.
+// Ever is the Alive.For of a process that is the only one with its name. It covers all failures,
+// because none is kept longer than failureRetention.
 const Ever = failureRetention
 
-// maxReportDelay is the longest delay that is assumed between a replica failure and a report of
-// it. A process that answers and has been running for at least that much longer refutes the
-// failure.
+// maxReportDelay is the longest delay that is assumed between a replica failure and a report of it.
+// A process that answers refutes a failure if it started at least this long before the reported
+// time of the failure.
 const maxReportDelay = 250 * time.Millisecond
 
 // Lives drops the failures of a replica that happened while the answering process was already
@@ -193,8 +204,8 @@
 	return known != nil && known.has(replica)
 }
 
-// Forget drops the failures and holds of a request. A clearance is kept, since the request is just
-// as likely to be in flight at the next failures.
+// Forget drops the failures and holds of a request. Its clearance is kept, so that it is not
+// suspected for the next failures that it is in flight at by chance.
 func (t *Table) Forget(fingerprint Fingerprint) {
 	known := t.requests[fingerprint]
 	if known == nil {
@@ -207,7 +218,7 @@
 	t.changes++
 }
 
-// Expire drops expired failures and clearances.
+// Expire drops expired failures and clearances, and requests without any failures left.
 func (t *Table) Expire(now time.Duration) {
 	t.cleared.expire(now)
 	for fingerprint, known := range t.requests {
@@ -217,14 +228,15 @@
 	}
 }
 
-// IsTried reports whether a request is due for a trial: enough replicas failed to find it harmful
-// if they had failed at different times. The loss of a rack looks the same. Sending a single copy
-// again shows whether the request is the cause. Many copies at once must not be sent, since each
-// would bring down a replica before the first has shown anything.
+// IsTried reports whether a request is due for a trial, which means that only a single copy of it
+// is sent, to find out whether a replica fails again. It is due if manyFailures replicas failed
+// while they ran it, which would be enough to find it harmful had they failed at different times; a
+// lost rack or machine causes the same failures. If many copies were sent at once, each could make
+// a replica fail before the result of the first is known.
 //
-// Failures shared with a request that was held since do not count: that request causes no more
-// failures, and a trial of the bystander would refuse its callers for nothing. Failures of
-// replicas that keep listening do not count either.
+// Failures shared with another request that is or was held do not count, because a held request
+// causes no more failures, and a trial of the bystander would refuse its callers needlessly. Weak
+// failures, such as those of replicas that keep listening, do not count either.
 func (t *Table) IsTried(fingerprint Fingerprint) bool {
 	known := t.requests[fingerprint]
 	if known == nil || !known.hasManyFailures() {
@@ -247,7 +259,7 @@
 	return false
 }
 
-// Tried returns the requests that are due for a trial on their own, ordered by fingerprint.
+// Tried returns the requests that are due for a trial, ordered by fingerprint.
 func (t *Table) Tried() []Fingerprint {
 	var tried []Fingerprint
 	for fingerprint := range t.requests {
@@ -259,16 +271,16 @@
 	return tried
 }
 
-// EndedAlone reports whether replicas failed at several different times while they ran the
-// request, one of them with nothing else in flight.
+// EndedAlone reports whether the request has at least two incidents and one of its failures
+// happened with nothing else in flight.
 func (t *Table) EndedAlone(fingerprint Fingerprint) bool {
 	known := t.requests[fingerprint]
 	return known != nil && known.failedAlone()
 }
 
-// IsSuspect reports whether the request may have caused a recent replica failure: the replica
-// failed before the request produced output, or it was not the only one, and the request was not
-// cleared since.
+// IsSuspect reports whether the request may have caused a replica failure in the last
+// suspectDuration: several replicas failed, or one did before the run produced output. A request
+// that was served since has no failures left and is no suspect.
 func (t *Table) IsSuspect(now time.Duration, fingerprint Fingerprint) bool {
 	known := t.requests[fingerprint]
 	if known == nil || len(known.failures) == 0 || now-known.lastAt() > suspectDuration {
@@ -277,8 +289,8 @@
 	return len(known.failures) > 1 || !known.failures[0].hadOutput
 }
 
-// Lone returns the recent suspects with a single incident that includes strong evidence: no output
-// was produced and nothing listens at the replica's address any more. The most recent come first.
+// Lone returns the suspects (see IsSuspect) with a single incident that includes strong evidence.
+// The most recent come first.
 func (t *Table) Lone(now time.Duration) []Fingerprint {
 	var found []Fingerprint
 	for fingerprint, known := range t.requests {
@@ -292,18 +304,19 @@
 	return found
 }
 
-// isStrong reports whether the failure is strong evidence that the request caused it.
+// isStrong reports whether the failure is strong evidence that the request caused it: the run had
+// produced no output, was no prefill run, and nothing listened at the replica's address afterwards.
 func (f failure) isStrong() bool { return !f.hadOutput && !f.prefill && !f.listens }
 
-// IsSeries reports whether replicas failed at several different times while they ran the request.
+// IsSeries reports whether the request has at least two incidents.
 func (t *Table) IsSeries(fingerprint Fingerprint) bool {
 	known := t.requests[fingerprint]
 	return known != nil && len(known.incidents()) >= WatchedEnds
 }
 
 // IsCertain reports whether a request is harmful by a stricter rule, for a process with a partial
-// view. The rule requires one more failure, counts no prefill runs and ignores failures that any
-// other request explains equally well.
+// view. The rule requires one more incident, counts no prefill runs and ignores incidents in which
+// another request of the same or a higher rank was in flight, without regard to holds.
 func (t *Table) IsCertain(fingerprint Fingerprint) bool {
 	known := t.requests[fingerprint]
 	if known == nil {
@@ -314,7 +327,9 @@
 	})) >= certainFailures
 }
 
-// Rest returns how long a harmful request remains so if no more replicas fail.
+// Rest returns how long a harmful request still has CondemningEnds incidents if no more replicas
+// fail. It returns 0 if the request has fewer incidents, even if two were enough to find it
+// harmful, and may be negative until Expire is called.
 func (t *Table) Rest(now time.Duration, fingerprint Fingerprint) time.Duration {
 	known := t.requests[fingerprint]
 	if known == nil {
@@ -327,7 +342,8 @@
 	return failureRetention - (now - incidents[len(incidents)-CondemningEnds][0].at)
 }
 
-// Watched returns the requests whose standing is not Free, ordered by fingerprint.
+// Watched returns the requests whose standing is not Free, including harmful ones, ordered by
+// fingerprint.
 func (t *Table) Watched(now time.Duration) []Fingerprint {
 	var watched []Fingerprint
 	for fingerprint := range t.requests {
@@ -339,7 +355,8 @@
 	return watched
 }
 
-// Weak returns the replicas whose failures are weak evidence against the request, oldest first.
+// Weak returns the process names of the replicas whose failures are weak evidence against the
+// request, oldest first.
 func (t *Table) Weak(fingerprint Fingerprint) []string {
 	known := t.requests[fingerprint]
 	if known == nil {
@@ -354,9 +371,10 @@
 	return weak
 }
 
-// Ends returns the replicas that failed while they ran the request, oldest first, and what
-// identifies the request to operators. It returns one replica per incident, or all of them if many
-// failed in fewer than CondemningEnds incidents.
+// Ends returns the process names of the replicas that failed while they ran the request, oldest
+// first, and the description of the request. It returns one replica per incident. If many replicas
+// failed in fewer than CondemningEnds incidents it returns all of them, so that a record of them
+// gives the same verdict.
 func (t *Table) Ends(fingerprint Fingerprint) ([]string, About) {
 	known := t.requests[fingerprint]
 	if known == nil {
@@ -395,15 +413,15 @@
 
 // insert adds a failure in order of time.
 func (e *entry) insert(failed failure) {
-	after := slices.IndexFunc(e.failures, func(other failure) bool { return other.at > failed.at })
-	if after < 0 {
-		after = len(e.failures)
+	index := slices.IndexFunc(e.failures, func(other failure) bool { return other.at > failed.at })
+	if index < 0 {
+		index = len(e.failures)
 	}
-	e.failures = slices.Insert(e.failures, after, failed)
+	e.failures = slices.Insert(e.failures, index, failed)
 }
 
-// leastUsefulReplica returns the replica whose failure is least worth keeping: one of several that
-// failed together, otherwise the one that failed first.
+// leastUsefulReplica returns the replica whose failure affects the verdict least: one of several
+// that failed together, otherwise the one that failed first.
 func (e *entry) leastUsefulReplica() string {
 	for _, incident := range e.incidents() {
 		if len(incident) > 1 {
@@ -413,7 +431,8 @@
 	return e.failures[0].replica
 }
 
-// withoutPrefill returns a copy of the entry without failures of prefill runs.
+// withoutPrefill returns a copy of the entry without failures of prefill runs. The copy shares its
+// holds with the entry and must not be changed.
 func (e *entry) withoutPrefill() *entry {
 	kept := *e
 	kept.failures = slices.DeleteFunc(slices.Clone(e.failures), func(failed failure) bool { return failed.prefill })
@@ -424,7 +443,7 @@
 	return e.indexOf(replica) >= 0
 }
 
-// failureOf returns the failure of the given replica, which must be known.
+// failureOf returns the failure of the given replica. It panics if there is none.
 func (e *entry) failureOf(replica string) failure {
 	return e.failures[e.indexOf(replica)]
 }
@@ -434,9 +453,10 @@
 	return slices.IndexFunc(e.failures, func(other failure) bool { return other.replica == replica })
 }
 
+// lastAt returns the time of the latest failure. It panics if there is none.
 func (e *entry) lastAt() time.Duration { return e.failures[len(e.failures)-1].at }
 
-// drop removes one failure of a request, and the request along with its last failure.
+// drop removes one failure of a request, and the request if no failure is left.
 func (t *Table) drop(fingerprint Fingerprint, replica string) {
 	known := t.requests[fingerprint]
 	known.failures = slices.DeleteFunc(known.failures, func(failed failure) bool { return failed.replica == replica })
--- a/request/quarantine/table_test.go
+++ b/request/quarantine/table_test.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// A popular request that met an unrelated failure is ahead of the harmful request by one. Neither
-// is found harmful until one of them is well ahead.
+// A popular request that met an unrelated failure is ahead of the harmful request by one failure.
+// Neither is found harmful until one of them is ahead by requiredLead.
 func TestLeadOfOneIsNotEnough(t *testing.T) {
 	table := NewTable()
 	for i := range 2 {
@@ -91,8 +91,9 @@
 	must.Eq(t, Watched, table.Standing(pastSettling, fingerprintOf("popular")))
 }
 
-// Runs that had produced output speak for a request in flight at the same failures.
-func TestRunsWithOutputSpeakForARequest(t *testing.T) {
+// Runs that had produced output count in favour of a request that was in flight at the same
+// failures.
+func TestRunsWithOutputCountInFavourOfARequest(t *testing.T) {
 	table := NewTable()
 	for i := range 3 {
 		replica := fmt.Sprint("r", i)
@@ -114,9 +115,9 @@
 	must.Eq(t, Condemned, table.Standing(pastSettling, fingerprintOf("two")))
 }
 
-// A held request keeps explaining its failures although it collects no more, while a bystander may
-// meet an unrelated failure later.
-func TestHeldRequestKeepsExplainingItsFailures(t *testing.T) {
+// A held request has no further failures, but remains the likelier cause of its earlier ones when a
+// bystander meets an unrelated failure later.
+func TestHeldRequestRemainsTheCauseOfItsFailures(t *testing.T) {
 	table := NewTable()
 	for i := range 3 {
 		table.Note(0, Evidence{Fingerprint: fingerprintOf("fatal"), Replica: fmt.Sprint("r", i)})
@@ -129,9 +130,9 @@
 	must.Eq(t, Condemned, table.Standing(pastSettling, fingerprintOf("fatal")))
 }
 
-// A request that was held by mistake, before the harmful one was known, is exonerated by the
-// failures that continue without it.
-func TestRequestHeldByMistakeIsExonerated(t *testing.T) {
+// A request that was held by mistake, before the harmful one was known, is no longer found harmful
+// after failures that happen without it.
+func TestRequestHeldByMistakeIsFoundHarmless(t *testing.T) {
 	table := NewTable()
 	for i := range 3 {
 		noteFailure(table, 0, fmt.Sprint("r", i), "fatal", "popular")
@@ -157,7 +158,7 @@
 }
 
 // Replicas that fail together count once for everything in flight there. A failure counts again if
-// the request was sent after that.
+// the request was sent after the others failed.
 func TestSimultaneousFailuresCountOnce(t *testing.T) {
 	table := NewTable()
 	for i := range 3 * maxFailures {
@@ -254,8 +255,9 @@
 	must.Eq(t, Condemned, restored.Standing(0, fingerprintOf("fatal")))
 }
 
-// A failure with nothing else in flight decides if it is not the first, whatever was in flight
-// then. A single failure does not, and a request that was served is no suspect any more.
+// A request with a failure at which nothing else was in flight is found harmful at once, even if
+// another request shared its earlier failures. A single failure is not enough, and a request that
+// was served is no suspect any more.
 func TestFailuresAlone(t *testing.T) {
 	table := NewTable()
 	fatal, popular := Of(Identity{Path: "/fatal"}), Of(Identity{Path: "/popular"})
@@ -281,11 +283,10 @@
 	must.False(t, table.IsSuspect(time.Second, popular), must.Sprint("the run had produced output"))
 }
 
-// An answer of a restarted replica must not refute the failure of the earlier process with the
-// same name. A proxy reported that the name answers, without the process's start time, so all
-// failures under the name were dropped. The record of a harmful request lost a replica 3.1 s after
-// the third failure, the request was released with too few left, and three more replicas failed.
-// Found by the soak test (seed 7001), with a platform that does not report process start times.
+// An answer of a restarted replica must not refute the failure of the earlier process with the same
+// name. When it did, on a platform that does not report process start times, a harmful request lost
+// a failure 3.1 s after its third, was released with too few left, and three more replicas failed
+// (soak test seed 7001).
 func TestRestartedReplicaDoesNotRefuteEarlierFailure(t *testing.T) {
 	table := NewTable()
 	for i := range 3 {
--- a/request/quarantine/verdict.go
+++ b/request/quarantine/verdict.go
@@ -7,46 +7,48 @@
 
 // Thresholds of a verdict.
 const (
-	// requiredLead is how many failures a request must be ahead of every other request in flight
-	// at the same failures. A popular request may meet an unrelated failure before the harmful one
-	// is sent again.
+	// requiredLead is by how much the rank.weight of a request must exceed that of every other
+	// request in flight at the same failures. A lead of 1 is not enough, because a popular request
+	// may meet an unrelated failure before the harmful one is sent again.
 	requiredLead = 2
-	// requiredLeadAlone is the same for a request that was alone at a failure. Being alone at a
-	// failure by chance is rare, but no more than that: suspected requests run alone, so a popular
-	// one is alone at any replica that fails by chance.
+	// requiredLeadAlone replaces requiredLead for a request with a failure at which nothing else
+	// was in flight. By chance that is rare but not negligible: suspected requests are sent to
+	// replicas that run nothing else, so a popular one is alone at any replica that fails for
+	// another reason.
 	requiredLeadAlone = 1
-	// decisiveFailures is the number of failures from which any lead is enough, so that two
-	// requests that are always sent together are both found.
+	// decisiveFailures is the number of incidents from which a request needs no lead, as long as no
+	// other is ahead, so that two requests that are always sent together are both found.
 	decisiveFailures = 5
-	// manyFailures is how many replicas must fail while they run a request for it to be tried
-	// alone, however close together. It is the number that makes a request harmful if they fail
-	// one after the other.
+	// manyFailures is the number of strong failures, however close together, from which a request
+	// is due for a trial (see IsTried). As many failures at different times make a request harmful.
 	manyFailures = CondemningEnds
-	// strongWeight is the weight of a failure that the request probably caused, weakWeight that of
-	// any other: connections break for many reasons, and a popular request is always in flight.
+	// strongWeight is the weight of an incident with a strong failure (see isStrong).
 	strongWeight = 3
-	weakWeight   = 1
-	// harmfulWeight is reached by three strong failures, by two strong and two weak ones, and by
-	// no fewer than eight weak ones.
+	// weakWeight is the weight of any other incident. It is lower, because connections break for
+	// many reasons and a popular request is always in flight.
+	weakWeight = 1
+	// harmfulWeight is the sum of weights from which a request is harmful. It is reached by three
+	// strong failures, by two strong and two weak ones, and by no fewer than eight weak ones.
 	harmfulWeight = 8
-	// settleDelay is how long after its last failure a request is judged: other proxies report
-	// bystanders, in any order.
+	// settleDelay is the minimum time between the last failure of a request and the verdict that it
+	// is harmful, unless isHarmful waives it. In this time other proxies report the other requests
+	// in flight, in any order.
 	settleDelay = 250 * time.Millisecond
-	// twoFailureSettleDelay is the same if two failures are enough. It leaves time for a replica
-	// that serves the request to report success.
+	// twoFailureSettleDelay replaces settleDelay for a request found harmful by two failures, one
+	// of them with nothing else in flight. It leaves time for a replica that serves the request to
+	// report success.
 	twoFailureSettleDelay = 2 * time.Second
 )
 
-// Standing returns the verdict on a request from what is known now.
+// Standing returns the verdict on a request at now.
 //
-// The verdict is a function of the evidence only: which replicas failed while they ran which
-// requests, in what order, and which failures came while a request was held and therefore not
+// The verdict is a function of the evidence and the time only: which replicas failed while they ran
+// which requests, in what order, and which failures came while a request was held and therefore not
 // running anywhere. It does not depend on earlier verdicts.
 //
-// Invariant: holding or releasing a request changes no verdict, on it or on another request, until
-// another replica fails or a failure is refuted. This is because holds only affect how failures
-// that come after their start are compared (rankAgainst), and there are none yet. So judging again
-// without new reports gives the same result, and holds converge.
+// Invariant: holding or releasing a request changes no verdict until another replica fails or a
+// failure is refuted, because a hold only affects how failures after its start are compared (see
+// rankAgainst). So without new reports the set of held requests converges.
 func (t *Table) Standing(now time.Duration, fingerprint Fingerprint) Standing {
 	known := t.requests[fingerprint]
 	if known == nil || len(known.incidents()) < WatchedEnds {
@@ -62,8 +64,9 @@
 	return Condemned
 }
 
-// IsConvicted reports whether the evidence is enough to hold a request once reports on bystanders
-// have arrived. It is false if a report of success has to be waited for as well.
+// IsConvicted reports whether the evidence is enough to hold a request at most settleDelay after
+// its last failure. It is false for a request that is harmful only after twoFailureSettleDelay, in
+// which a report of success may still arrive.
 func (t *Table) IsConvicted(fingerprint Fingerprint) bool {
 	known := t.requests[fingerprint]
 	if known == nil || len(known.incidents()) < WatchedEnds {
@@ -73,13 +76,13 @@
 	return harmful && delay <= settleDelay
 }
 
-// isHarmful reports whether enough failures count against a request that no other request explains
-// better, and how long after the last failure the verdict takes effect.
+// isHarmful reports whether a request has enough failures that no other request explains, and how
+// long after the last failure the verdict takes effect.
 func (t *Table) isHarmful(fingerprint Fingerprint, known *entry) (harmful bool, delay time.Duration) {
 	own := t.unexplained(fingerprint, known, func(other *entry) bool { return t.explains(other, known) })
 	switch {
 	case weightOf(own) >= harmfulWeight && known.failedAlone():
-		return true, 0 // no reports on bystanders are needed
+		return true, 0 // nothing else was in flight at a failure, so no reports on bystanders are waited for
 	case weightOf(own) >= harmfulWeight, t.failedAgainAfterMany(fingerprint, known):
 		return true, settleDelay
 	case len(own) >= WatchedEnds && known.failedAlone():
@@ -88,9 +91,9 @@
 	return false, 0
 }
 
-// failedAgainAfterMany reports whether many replicas had failed while they ran the request and
-// then another failed at a later time, and every other request in flight at any of these failures
-// is behind by at least requiredLead.
+// failedAgainAfterMany reports whether the request has manyFailures strong failures and then a
+// later incident, and every other request in flight at any of its failures has at least
+// requiredLead fewer strong failures.
 func (t *Table) failedAgainAfterMany(fingerprint Fingerprint, known *entry) bool {
 	incidents := known.incidents()
 	own := countStrong(known.failures)
@@ -107,7 +110,8 @@
 	return true
 }
 
-// unexplained returns the incidents of a request that no other request explains.
+// unexplained returns the incidents of a request of which no failure is explained by another
+// request that was in flight.
 func (t *Table) unexplained(fingerprint Fingerprint, known *entry, explains func(other *entry) bool) (own [][]failure) {
 	for _, incident := range known.incidents() {
 		explained := slices.ContainsFunc(incident, func(failed failure) bool {
@@ -125,9 +129,10 @@
 	return own
 }
 
-// explains reports whether the other request is the likelier cause of failures that both have in
-// common. Runs that failed before they produced output count against a request; runs that had
-// produced output count for it.
+// explains reports whether the other request may be the cause of the failures that both have in
+// common. It compares all incidents of both requests. Runs that failed before they produced output
+// count against a request, runs that had produced output in its favour. The known request must lead
+// by the required weight, or from decisiveFailures incidents on must not be behind.
 func (t *Table) explains(other, known *entry) bool {
 	theirs, own := other.rankAgainst(known), known.rankAgainst(other)
 	if own.incidents >= decisiveFailures {
@@ -154,7 +159,8 @@
 	return weight
 }
 
-// rank orders requests by the evidence against them.
+// rank sums up the evidence against a request. compare orders ranks by the number of incidents, and
+// weight sets those without output against the others.
 type rank struct {
 	incidents     int
 	withoutOutput int // incidents in which no run had produced output
@@ -167,13 +173,14 @@
 	return r.withoutOutput - other.withoutOutput
 }
 
-// weight returns the evidence against a request less the evidence for it.
+// weight returns the number of incidents without output less that of the other incidents.
 func (r rank) weight() int { return r.withoutOutput - (r.incidents - r.withoutOutput) }
 
 func (e *entry) rank() rank { return rankOf(e.incidents()) }
 
-// rankAgainst returns the rank without failures that came while the other request was held: it was
-// not running then, so they say nothing about which of the two is the cause.
+// rankAgainst returns the rank without incidents that came while the other request was held, unless
+// the other request was in flight there. The held request was not running, so such incidents do not
+// show which of the two is the cause.
 func (e *entry) rankAgainst(other *entry) rank {
 	return rankOf(slices.DeleteFunc(e.incidents(), func(incident []failure) bool {
 		return !slices.ContainsFunc(incident, func(failed failure) bool {
@@ -182,6 +189,7 @@
 	}))
 }
 
+// rankOf returns the rank of a request with the given incidents.
 func rankOf(incidents [][]failure) rank {
 	result := rank{}
 	for _, incident := range incidents {
@@ -204,8 +212,8 @@
 	return count
 }
 
-// failedAlone reports whether replicas failed at several different times while they ran the
-// request, one of them with nothing else in flight.
+// failedAlone reports whether there are at least two incidents and one of the failures happened
+// with nothing else in flight.
 func (e *entry) failedAlone() bool {
 	return len(e.incidents()) >= WatchedEnds && slices.ContainsFunc(e.failures, func(failed failure) bool { return failed.alone })
 }
@@ -213,7 +221,8 @@
 // hasManyFailures reports whether there are at least manyFailures strong failures.
 func (e *entry) hasManyFailures() bool { return countStrong(e.failures) >= manyFailures }
 
-// incidents returns the failures, oldest first, with those that happened together in one group.
+// incidents returns the failures, oldest first, with those that happened together in one group: the
+// request had been sent at least simultaneityMargin before the first failure of the group.
 func (e *entry) incidents() [][]failure {
 	var incidents [][]failure
 	for i, failed := range e.failures {
@@ -227,15 +236,17 @@
 	return incidents
 }
 
-// maxHolds bounds the holds kept per request. Only those within the failure retention time matter.
+// maxHolds bounds the holds kept per request. The oldest are dropped, as only holds within the
+// failure retention time matter.
 const maxHolds = 4
 
-// hold is a period in which a request was sent to no replica, as a range of failure sequence
-// numbers.
+// hold is a period in which a request was withheld from all replicas, as a range of failure
+// sequence numbers.
 type hold struct {
-	from, to uint64 // the first failure during the hold, and the first one after it
+	from, to uint64 // sequence numbers of the first failure during the hold and the first one after it
 }
 
+// untilReleased is the end of a hold that is still in effect.
 const untilReleased = ^uint64(0)
 
 // heldAt reports whether the request was held when the failure with that sequence number arrived.
@@ -246,7 +257,8 @@
 // isHeld reports whether the request is held now.
 func (e *entry) isHeld() bool { return len(e.holds) > 0 && e.holds[len(e.holds)-1].to == untilReleased }
 
-// SetHeld records whether a request is withheld from all replicas from now on.
+// SetHeld records whether a request is withheld from all replicas from now on. A request without
+// known failures is ignored.
 func (t *Table) SetHeld(fingerprint Fingerprint, held bool) {
 	known := t.requests[fingerprint]
 	if known == nil || known.isHeld() == held {
--- a/request/quarantine/weak_test.go
+++ b/request/quarantine/weak_test.go
@@ -8,12 +8,12 @@
 	"github.com/shoenig/test/must"
 )
 
-// Weak evidence must not get a harmless request quarantined as quickly as strong evidence.
-// Connections broke under a popular request at five replicas at different times. One was a prefill
-// replica, which resets connections when it has no free slot; two runs had produced output; one
-// replica kept listening. Each counted in full as a failure caused by the request, and it was held
-// for five minutes. A request that does crash replicas does so before it has produced output, and
-// nothing listens at the replica's address afterwards. Found by the soak test (seed 3040).
+// Weak evidence must not get a harmless request quarantined as quickly as strong evidence. A
+// popular request was held for five minutes because connections broke under it at five replicas,
+// although one was a prefill replica, which resets connections when it has no free slot, two runs
+// had produced output, and one replica kept listening. A request that does crash replicas does so
+// before it has produced output, and nothing listens at the replica's address afterwards (soak test
+// seed 3040).
 func TestWeakFailuresCountLess(t *testing.T) {
 	table := NewTable()
 	for i, seen := range []Evidence{{Read: true}, {Began: true}, {}, {Began: true}, {Listens: true}} {
--- a/request/quarantine/wide_test.go
+++ b/request/quarantine/wide_test.go
@@ -18,7 +18,7 @@
 
 // Many callers send the same request at once, and three replicas fail within 25 ms, as if a rack
 // was lost. The first restarted replica also fails while it runs the request, among others. From
-// then on the request is held, and remains so.
+// then on the request is found harmful, and the requests in flight with it are not.
 func TestMassRequestIsHeldAtSecondIncident(t *testing.T) {
 	table := NewTable()
 	noteTogether(table, 0, fingerprintOf("fatal"), "a", "b", "c")
@@ -69,8 +69,9 @@
 	must.Eq(t, Watched, began.Standing(5*time.Second, fingerprintOf("fatal")))
 }
 
-// A request that was merely in flight at failures of a held request is not tried for them, since
-// no more replicas fail. A trial would refuse the callers of all its copies but one.
+// A request that was merely in flight at failures of a held request is not due for a trial because
+// of them, since no more replicas fail. A trial would send one copy of the request and refuse all
+// others.
 func TestBystanderOfAHeldRequestIsNotTried(t *testing.T) {
 	table := NewTable()
 	for i, replica := range []string{"a", "b", "c"} {
@@ -91,12 +92,11 @@
 	must.True(t, table.IsTried(fingerprintOf("popular")), must.Sprint("enough failures of its own"))
 }
 
-// Connections reset by replicas that keep listening are no reason for a trial. Three faulty
-// replicas closed a connection under a harmless popular request within 260 ms and kept serving
-// others. Each was taken for a replica failure, and many failures at once are acted on without
-// waiting for more evidence. So all proxies but one at a time refused the request for 20 s,
-// although it had been served twice in between, where the failures were not known. Found by the
-// soak test (seed 9336).
+// Connections reset by replicas that keep listening are no reason for a trial. When they were,
+// three faulty replicas that closed connections within 260 ms and kept serving others caused a
+// trial of a harmless popular request: all proxies but one at a time refused it for 20 s. It was
+// served twice in that time, but by proxies that did not know of the failures (soak test seed
+// 9336).
 func TestListeningReplicasCauseNoTrial(t *testing.T) {
 	table := NewTable()
 	for i, replica := range []string{"a", "b", "c"} {
--- a/request/quota/account.go
+++ b/request/quota/account.go
@@ -8,8 +8,8 @@
 )
 
 // Account holds the balance of each tenant, from which a leader grants charges. All balances start
-// empty, whatever earlier accounts have granted, so that the grants of successive accounts within
-// a window stay within the quota. It is safe for concurrent use.
+// empty, because earlier accounts may have granted the burst within the same window already. It is
+// safe for concurrent use.
 type Account struct {
 	rule      Rule
 	lock      sync.Mutex
@@ -17,11 +17,11 @@
 	tenants   map[string]*balance
 }
 
-// balance holds what a tenant may spend immediately.
+// balance holds what a tenant may spend at once.
 type balance struct {
-	left      float64
+	left      float64       // negative after a request that cost more than the burst
 	updatedAt time.Duration // when left was last updated
-	granted   float64       // the sum of all charges
+	granted   float64       // the sum of all charges less refunds
 	refused   int64         // number of refused charges
 }
 
@@ -30,8 +30,9 @@
 	return &Account{rule: rule, startedAt: now, tenants: map[string]*balance{}}
 }
 
-// Charge deducts the cost of a request from the tenant's balance, or returns when the balance will
-// cover it. A request that costs more than the burst is granted when the balance is full.
+// Charge deducts the cost of a request from the tenant's balance, or returns how long until the
+// balance will cover it. A request that costs more than the burst is granted when the balance is
+// full.
 func (a *Account) Charge(now time.Duration, tenant string, limit api.Quota, cost float64) Grant {
 	a.lock.Lock()
 	defer a.lock.Unlock()
@@ -62,7 +63,7 @@
 // Standing is the state of a tenant's account.
 type Standing struct {
 	Left    float64
-	Granted float64 // since the account started
+	Granted float64 // since the account started, less refunds
 	Refused int64   // refused charges since then
 }
 
--- a/request/quota/alone.go
+++ b/request/quota/alone.go
@@ -8,9 +8,9 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// Alone grants charges at a proxy that cannot reach anything else to charge: no leader, no standby
-// member and no other proxy that forwards charges. The other proxies are probably cut off as well,
-// so each grants its share of the rate. It is safe for concurrent use.
+// Alone grants charges at a proxy that is cut off: it reaches no leader, no standby member and no
+// other proxy that would forward its charges to them. The other proxies are probably cut off as
+// well, so each grants an equal part of the rate. It is safe for concurrent use.
 type Alone struct {
 	rule    Rule
 	random  func() float64 // in [0, 1)
@@ -20,9 +20,9 @@
 
 // localShare holds what a proxy may spend of one tenant's quota on its own.
 type localShare struct {
-	left      float64
+	left      float64       // negative after a request that cost more than was left
 	updatedAt time.Duration // when left was last updated
-	// ample is true if the tenant was far from its limit at the last answer of the group.
+	// ample is true if the tenant was far from its limit at the last answer of the control group.
 	ample bool
 }
 
@@ -31,7 +31,7 @@
 	return &Alone{rule: rule, random: rand.Float64, tenants: map[string]*localShare{}}
 }
 
-// Heard records the group's answer to a charge of the tenant.
+// Heard records the control group's answer to a charge of the tenant.
 func (a *Alone) Heard(tenant string, limit api.Quota, grant Grant) {
 	a.lock.Lock()
 	defer a.lock.Unlock()
@@ -46,9 +46,10 @@
 }
 
 // Charge grants a request from this proxy's share of the quota. A single request often costs more
-// than the share yields in many seconds. For a tenant that was far from its limit it is granted in
-// advance; otherwise it is granted at random, with a probability that keeps the sum over all
-// proxies close to the quota.
+// than the share yields in many seconds. For a tenant that was far from its limit at the last
+// answer of the control group it is granted unless the share is negative, so that one request may
+// be granted in advance. Otherwise it is granted at random with the probability left/cost, which
+// keeps the sum over all proxies close to the quota.
 func (a *Alone) Charge(now time.Duration, tenant string, limit api.Quota, cost float64, sharing Sharing) Grant {
 	a.lock.Lock()
 	defer a.lock.Unlock()
@@ -73,23 +74,25 @@
 	}
 }
 
-// aloneOverrunShare is the part of the overrun that all proxies together may spend immediately
-// when they are cut off.
+// aloneOverrunShare is the part of the overrun that all proxies together may spend at once when
+// they are cut off. It is not part of the sum in the package's invariant: cut-off proxies keep
+// close to the quota, but do not guarantee it.
 const aloneOverrunShare = 0.5
 
-// fill adds what the share of the rate has yielded since the last update. During the time with a
-// leader, which grants the rate itself, the share grows to no more than maxSaved.
-func (s *localShare) fill(now time.Duration, rate, maxSaved float64, alone time.Duration) {
+// fill adds what the share of the rate has yielded since the last update. withoutLeader is for how
+// long there has been no leader. In the time before, a leader granted the rate itself, so the share
+// grows to no more than maxSaved in that time.
+func (s *localShare) fill(now time.Duration, rate, maxSaved float64, withoutLeader time.Duration) {
 	elapsed := max(now-s.updatedAt, 0)
-	if alone < elapsed {
-		s.left = min(s.left+rate*(elapsed-alone).Seconds(), maxSaved)
-		elapsed = alone
+	if withoutLeader < elapsed {
+		s.left = min(s.left+rate*(elapsed-withoutLeader).Seconds(), maxSaved)
+		elapsed = withoutLeader
 	}
 	s.left += rate * elapsed.Seconds()
 	s.updatedAt = max(s.updatedAt, now)
 }
 
-// share returns the share of a tenant. A new one is filled as if it had existed from the start.
+// share returns the share of a tenant. A new one is filled as if it had existed since time 0.
 func (a *Alone) share(tenant string) *localShare {
 	share := a.tenants[tenant]
 	if share == nil {
--- a/request/quota/alone_test.go
+++ b/request/quota/alone_test.go
@@ -33,8 +33,9 @@
 }
 
 // A request costs many times what one proxy may spend in a second. With random grants the sum over
-// all proxies is still close to the quota and within the rule. Of 1,000 proxies most see no
-// request in a window, so that their shares remain unused.
+// all proxies is still close to the quota (at least half of the rate) and within the rule. The
+// lower limit does not apply to 1,000 proxies, of which most see no request in a window, so that
+// their shares remain unused.
 func TestCutOffProxiesStayCloseToTheQuota(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
 	for _, count := range []int{10, 100, 1000} {
--- a/request/quota/quota_test.go
+++ b/request/quota/quota_test.go
@@ -105,8 +105,8 @@
 	must.Eq(t, 60, account.Standing(1500*time.Millisecond, "north", testLimit).Left)
 }
 
-// simulation models leaders that come and go, standby members, proxies that reach one or the
-// other, and callers that request far more than the quota.
+// simulation models changes of the leader, standby members, proxies that reach one or the other,
+// and callers that request far more than the quota.
 type simulation struct {
 	now      time.Duration
 	account  *Account // nil while there is no leader
@@ -118,7 +118,8 @@
 	return &simulation{account: NewAccount(testRule, 0), standbys: []*Standby{NewStandby(testRule), NewStandby(testRule)}}
 }
 
-// charge charges a request through a proxy; route selects what it reaches.
+// charge charges a request through a proxy. With route 0 the proxy reaches the leader if there is
+// one, otherwise one of the standby members.
 func (s *simulation) charge(route int, cost float64) {
 	var grant Grant
 	switch {
@@ -132,8 +133,8 @@
 	}
 }
 
-// No window exceeds what the rule allows, however leaders come and go, and whichever proxies are
-// cut off from them, as long as each reaches one of two members.
+// No window exceeds what the rule allows, whenever leaders change or are missing, and whichever
+// proxies are cut off from them, as long as each reaches one of two members.
 func TestNoWindowExceedsTheRule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation()
@@ -151,14 +152,14 @@
 			}
 		}
 		if most := s.granted.maxInWindow(testRule.Window); most > allowed(testRule, testLimit)+1e-6 {
-			t.Fatalf("%.1f granted in a window that allows %.1f", most, allowed(testRule, testLimit))
+			t.Fatalf("%.1f tokens granted in a window that allows %.1f", most, allowed(testRule, testLimit))
 		}
 	})
 }
 
-// A tenant that requests nine tenths of its quota is refused nothing, however unevenly its
-// requests arrive at a thousand proxies, because its whole quota is available through each of
-// them.
+// A tenant that requests nine tenths of its quota is refused at most one request in a thousand,
+// although its requests arrive up to 200 ms late, as they do through a thousand proxies. This is
+// because the whole quota is available through each proxy.
 func TestNothingWithinTheQuotaIsRefused(t *testing.T) {
 	const cost = 4.0
 	random := rand.New(rand.NewPCG(1, 2))
@@ -166,8 +167,8 @@
 	refused, requested := 0, 0
 	for now := time.Second; now < time.Minute; now += time.Duration(cost / (0.9 * testLimit.PerSecond) * float64(time.Second)) {
 		requested++
-		early := time.Duration(random.Int64N(int64(200 * time.Millisecond)))
-		if !account.Charge(now+early, "north", testLimit, cost).Granted {
+		delay := time.Duration(random.Int64N(int64(200 * time.Millisecond)))
+		if !account.Charge(now+delay, "north", testLimit, cost).Granted {
 			refused++
 		}
 	}
--- a/request/quota/spending.go
+++ b/request/quota/spending.go
@@ -22,12 +22,14 @@
 	return sum
 }
 
+// add records an amount spent now.
 func (s *spending) add(now, window time.Duration, cost float64) {
 	s.advance(now, window)
 	s.slots[s.latest%int64(len(s.slots))] += cost
 }
 
-// advance clears the slots that are no longer in the window.
+// advance clears the slots that are no longer in the window, which must be at least spendingSlots
+// nanoseconds long.
 func (s *spending) advance(now, window time.Duration) {
 	current := int64(now / (window / spendingSlots))
 	if current-s.latest > spendingSlots {
--- a/request/quota/standby.go
+++ b/request/quota/standby.go
@@ -7,9 +7,10 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// standbyOverrunShare is one member's part of the overrun. Proxies that lost their leader charge
-// the same member, so that more than two members grant at once only if the group is split in
-// three. What accounts leave of the overrun is enough for two.
+// standbyOverrunShare is the part of the overrun that each member may grant as a Standby. What
+// accounts leave of the overrun is enough for two. All proxies that lost their leader and reach the
+// same members charge the same one, so that three grant at the same time only if a network
+// partition divides the control group into three.
 const standbyOverrunShare = 0.3
 
 // Standby grants charges at a member that is not the leader, for proxies that reach no leader. A
@@ -21,7 +22,7 @@
 	tenants map[string]*spending
 }
 
-// NewStandby returns a Standby of which nothing is spent.
+// NewStandby returns a Standby with nothing spent.
 func NewStandby(rule Rule) *Standby { return &Standby{rule: rule, tenants: map[string]*spending{}} }
 
 // Charge grants the request if the tenant's part of the overrun covers it.
@@ -41,6 +42,6 @@
 	return Grant{Granted: true, Left: left - cost}
 }
 
-// standbyRetryAfter is when a caller that was refused without a leader may retry. A new leader is
-// elected by then.
+// standbyRetryAfter is how long a caller that was refused without a leader should wait before a
+// retry. A new leader is normally elected by then.
 const standbyRetryAfter = time.Second
--- a/request/retry/retry.go
+++ b/request/retry/retry.go
@@ -1,6 +1,6 @@
-// Package retry limits the cost of failures. Retries have a budget that is a share of the traffic
-// and wait for a jittered delay that fits the deadline, and each hop passes on a shorter deadline
-// than its own.
+// Package retry limits the number and the delay of retries. Retries have a budget that is a share
+// of the traffic, and wait for a jittered delay that fits the deadline. Each hop passes on a
+// shorter deadline than its own.
 package retry
 
 import (
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// unitsPerRetry is one retry in the fixed-point balance of a Budget.
+// unitsPerRetry is the number of balance units of a Budget per retry.
 const unitsPerRetry = 1000
 
 // Budget allows retries up to a share of the requests, with a reserve for bursts. It is safe for
@@ -20,15 +20,16 @@
 	reserve int64
 }
 
-// NewBudget returns a full budget. share is the number of retries per request (0.1 allows one
-// retry per ten requests), and reserve the maximum number of retries that can be saved up.
+// NewBudget returns a full budget. share is the number of retries per request (0.1 allows one retry
+// per ten requests), and reserve the maximum number of retries that can be saved up. The share is
+// rounded down to a multiple of 1/unitsPerRetry.
 func NewBudget(share float64, reserve int) *Budget {
 	budget := &Budget{deposit: int64(share * unitsPerRetry), reserve: int64(reserve) * unitsPerRetry}
 	budget.balance.Store(budget.reserve)
 	return budget
 }
 
-// Deposit counts one request.
+// Deposit counts one request: it adds the share of a retry to the budget, up to the reserve.
 func (b *Budget) Deposit() {
 	for {
 		current := b.balance.Load()
@@ -52,15 +53,16 @@
 	}
 }
 
-// Backoff computes the delay before a retry. It doubles from Base up to Cap, and each delay is
-// drawn from the upper half of its range.
+// Backoff computes the delay before a retry. The maximum delay is Base for the first retry and
+// doubles with each further one up to Cap; the delay is drawn at random from its upper half. A Base
+// of 0 means no delay.
 type Backoff struct {
 	Base time.Duration
 	Cap  time.Duration
 }
 
-// Delay returns the delay before a retry, counted from 0. It returns false if the delay would use
-// up the time left.
+// Delay returns the delay before a retry; the first retry is 0. It also returns false if the delay
+// would use up the time left. random must not be nil unless Base is 0, and not be in use elsewhere.
 func (b Backoff) Delay(retry int, left time.Duration, random *rand.Rand) (time.Duration, bool) {
 	full := b.Base
 	for range retry {
@@ -78,13 +80,15 @@
 	return delay, delay < left
 }
 
-// Margin is the time that a hop reserves for its own work and for the way back.
+// Margin is the time that a hop reserves for its own work and for the way back: Least or Share,
+// whichever is longer.
 type Margin struct {
 	Least time.Duration
-	Share float64 // of the time left
+	Share float64 // fraction of the time left until the deadline
 }
 
-// Shrink returns the time to give the next hop. It returns false if nothing is left.
+// Shrink returns the time to give the next hop of the time left until the deadline of this one. It
+// returns false, and a time of 0 or less, if nothing is left.
 func (m Margin) Shrink(left time.Duration) (time.Duration, bool) {
 	margin := max(m.Least, time.Duration(float64(left)*m.Share))
 	shrunk := left - margin
--- a/request/retry/window.go
+++ b/request/retry/window.go
@@ -6,26 +6,28 @@
 	"time"
 )
 
-// windowBuckets is the number of buckets in the window's length.
+// windowBuckets is the number of buckets in the window's length. One more is kept, because a span
+// that starts within a bucket overlaps windowBuckets+1 of them.
 const windowBuckets = 50
 
-// Window limits the retries in every time span of a fixed length to a share of the requests in
-// that span plus a reserve. Unlike a Budget it carries nothing over beyond the span, so the limit
-// applies wherever a span starts.
+// Window limits the retries in every time span of a fixed length to a share of the requests in that
+// span plus a reserve. Unlike a Budget it does not save up retries for later spans, so that the
+// limit applies to every span, whenever it starts.
 //
-// Invariant: in any span of the window's length, no more retries were granted than the share of
-// its requests plus the reserve at the time of the last grant. This is because a span covers at
-// most the buckets that are summed, of which the oldest counts in full for retries and not at all
-// for requests.
+// Invariant: in any span of the window's length, Withdraw grants no more retries than the share of
+// the requests in the span plus the reserve at the time of the last grant. Retries counted by Force
+// use up the same limit, but may exceed it. The sum covers all buckets that the span may overlap.
+// Of the oldest, which it may overlap in part, all retries but no requests are counted, so the sum
+// never allows too much.
 type Window struct {
 	share  float64
 	length time.Duration
 
-	lock             sync.Mutex
-	reserve          float64
-	reserveHeldUntil time.Duration // the whole reserve is available from then on
-	current          int64         // number of the current bucket
-	buckets          [windowBuckets + 1]windowBucket
+	lock                 sync.Mutex
+	reserve              float64
+	reserveWithheldUntil time.Duration // most of the reserve is withheld before this time
+	current              int64         // number of the current bucket
+	buckets              [windowBuckets + 1]windowBucket
 }
 
 type windowBucket struct {
@@ -34,32 +36,34 @@
 	retries  int
 }
 
-// NewWindow returns an empty window.
+// NewWindow returns an empty window. share is the number of retries per request, reserve a number
+// of retries, and length at least windowBuckets nanoseconds.
 func NewWindow(share, reserve float64, length time.Duration) *Window {
 	return &Window{share: share, reserve: reserve, length: length}
 }
 
-// heldReserveShare is the fraction of the reserve that is available while it is held.
-const heldReserveShare = 0.25
+// availableReserveShare is the fraction of the reserve that is available while the rest is
+// withheld.
+const availableReserveShare = 0.25
 
-// HoldReserve makes most of the reserve unavailable until the given time, because the previous
-// holder of this share may have spent it within the same span.
+// HoldReserve withholds most of the reserve until the given time, because the process that used it
+// before may have spent it within the same span.
 func (w *Window) HoldReserve(until time.Duration) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	w.reserveHeldUntil = until
+	w.reserveWithheldUntil = until
 }
 
-// SetReserve changes the reserve, for example when the number of proxies that share it has
-// changed.
+// SetReserve changes the reserve, for example when the number of proxies that divide a common
+// reserve among them has changed.
 func (w *Window) SetReserve(reserve float64) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	w.reserve = reserve
 }
 
-// Request counts the first send of a request. The time may decrease slightly between calls: an
-// earlier time counts toward the current bucket.
+// Request counts the first send of a request. The time may decrease slightly between calls: a time
+// before the current bucket counts toward that bucket.
 func (w *Window) Request(now time.Duration) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
@@ -79,7 +83,8 @@
 	return true
 }
 
-// Force counts a send that was found to be a retry only after it had been sent.
+// Force counts a send that was found to be a retry only after it had been sent, even if the window
+// allows no more.
 func (w *Window) Force(now time.Duration) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
@@ -90,8 +95,8 @@
 // rest is for requests in flight that may turn out to be retries.
 const overdrawnShare = 0.9
 
-// Overdrawn reports whether so many of the allowed retries are used that nothing should be sent
-// that may turn out to be another one.
+// Overdrawn reports whether more than overdrawnShare of the allowed retries are used, so that
+// nothing should be sent that may turn out to be a retry.
 func (w *Window) Overdrawn(now time.Duration) bool {
 	w.lock.Lock()
 	defer w.lock.Unlock()
@@ -101,19 +106,19 @@
 
 // reserveAt returns the part of the reserve available at now. The lock must be held.
 func (w *Window) reserveAt(now time.Duration) float64 {
-	if now < w.reserveHeldUntil {
-		return heldReserveShare * w.reserve
+	if now < w.reserveWithheldUntil {
+		return availableReserveShare * w.reserve
 	}
 	return w.reserve
 }
 
-// sum returns the number of retries in the span that ends with the given bucket, and how many are
-// allowed. The lock must be held.
-func (w *Window) sum(now time.Duration, last int64) (retries, allowed int) {
+// sum returns the number of retries in the span that ends with the bucket of that number, and how
+// many are allowed. The lock must be held.
+func (w *Window) sum(now time.Duration, lastNumber int64) (retries, allowed int) {
 	requests := 0
 	for i := range w.buckets {
 		counted := &w.buckets[i]
-		age := last - counted.number
+		age := lastNumber - counted.number
 		if age < 0 || age > windowBuckets {
 			continue
 		}
