--- a/request/attempt/attempt.go
+++ b/request/attempt/attempt.go
@@ -1,6 +1,7 @@
 // Package attempt implements the state machine of one request: which attempts were made, what is
-// known of each, what may be done next and what the caller may be told about the execution. It
-// does no I/O and reads no clock.
+// known of each, what may be done next and what the caller may be told about the execution.
+// Whatever runs the request, a replica or a back end, is called an engine here. The package does no
+// I/O and reads no clock.
 package attempt
 
 import (
@@ -138,7 +139,8 @@
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	if l.nextLocked().Kind != StepRun {
-		return 0, errors.Wrapf(ErrNotAllowed, "cannot begin an attempt in state %s", l.State())
+		// The proxy sends this message to the client.
+		return 0, errors.Wrapf(ErrNotAllowed, "state %s", l.State())
 	}
 	l.forwarded = 0
 	l.state.Store(uint32(Dispatching))
--- a/request/attempt/attempt_test.go
+++ b/request/attempt/attempt_test.go
@@ -162,7 +162,7 @@
 	if !o.policy.Buffered {
 		for i, token := range o.received {
 			if token != o.received[0]+i {
-				t.Fatalf("caller received tokens %v", o.received)
+				t.Fatalf("caller received tokens %v, which are not consecutive", o.received)
 			}
 		}
 	}
--- a/request/attempt/main_test.go
+++ b/request/attempt/main_test.go
@@ -8,6 +8,7 @@
 
 func TestMain(m *testing.M) {
 	flag.Parse()
+	// The seed is fixed, so that each run checks the same cases.
 	if err := flag.Set("rapid.seed", "20261202"); err != nil {
 		panic(err)
 	}
--- a/request/holdoff/course_test.go
+++ b/request/holdoff/course_test.go
@@ -65,7 +65,7 @@
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			s.now += time.Duration(rapid.IntRange(0, 2000).Draw(t, "elapsed")) * time.Millisecond
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
-			case 0:
+			case 0: // in step 5 only time passes
 				s.restart(rapid.Bool().Draw(t, "moves"))
 			case 1:
 				s.publish(rapid.IntRange(0, 3).Draw(t, "behind"))
--- a/request/holdoff/holdoff.go
+++ b/request/holdoff/holdoff.go
@@ -31,7 +31,8 @@
 	forgetAfter = time.Minute
 )
 
-// State says whether a replica may be sent a request.
+// State says whether a replica may be sent a request. Unlike a circuit breaker, an Open replica
+// may, and a Closed one may not.
 type State uint8
 
 // States of a replica.
--- a/request/quarantine/property_test.go
+++ b/request/quarantine/property_test.go
@@ -32,7 +32,7 @@
 			}
 			for _, request := range rapid.Permutation(requests).Draw(t, "order") {
 				ran := 5 * time.Millisecond
-				if request != "fatal" {
+				if request != "fatal" { // with runs of 1 s, failures that are 20 ms apart form one incident
 					ran = rapid.SampledFrom([]time.Duration{time.Millisecond, time.Second}).Draw(t, "ran")
 				}
 				table.Note(now, Evidence{Fingerprint: fingerprintOf(request), Replica: fmt.Sprint("r", i), Ran: ran})
--- a/request/quarantine/weak_test.go
+++ b/request/quarantine/weak_test.go
@@ -28,7 +28,7 @@
 // A request whose runs always fail after they have produced output is found harmful as well.
 func TestManyWeakFailuresAreHarmful(t *testing.T) {
 	table := NewTable()
-	for i := range harmfulWeight {
+	for i := range harmfulWeight { // each failure has a weakWeight of 1
 		must.NotEq(t, Condemned, table.Standing(time.Minute, fingerprintOf("late")), must.Sprint(i, " failures"))
 		table.Note(time.Duration(i)*time.Second, Evidence{Fingerprint: fingerprintOf("late"), Replica: fmt.Sprint("r", i), Began: true})
 	}
--- a/request/quota/quota_test.go
+++ b/request/quota/quota_test.go
@@ -14,6 +14,7 @@
 
 func TestMain(m *testing.M) {
 	flag.Parse()
+	// The seed is fixed, so that each run checks the same cases.
 	if err := flag.Set("rapid.seed", "20261203"); err != nil {
 		panic(err)
 	}
--- a/request/retry/retry_test.go
+++ b/request/retry/retry_test.go
@@ -15,6 +15,7 @@
 
 func TestMain(m *testing.M) {
 	flag.Parse()
+	// The seed is fixed, so that each run checks the same cases.
 	if err := flag.Set("rapid.seed", "20261202"); err != nil {
 		panic(err)
 	}
@@ -35,7 +36,7 @@
 			}
 		}
 		if float64(retries) > float64(reserve)+0.1*float64(requests) {
-			t.Fatalf("%d retries for %d requests with a reserve of %d", retries, requests, reserve)
+			t.Fatalf("%d retries for %d requests with a share of 0.1 and a reserve of %d", retries, requests, reserve)
 		}
 	})
 }
