--- a/process/ingress/answer.go
+++ b/process/ingress/answer.go
@@ -14,15 +14,15 @@
 	"github.com/pkg/errors"
 )
 
-// maxHeldAnswer bounds what is held of an answer before any of it is passed on.
+// maxHeldAnswer limits how much of an answer is buffered before any of it is passed on.
 const maxHeldAnswer = 64 << 10
 
-// judge decides by the head of the answer what it means, and passes it on.
-func (s *session) judge(ctx context.Context, chosen plan, sent *send, number uint32, answer *exchange.Answer, reply Reply) verdict {
+// handleAnswer evaluates the head of an answer and passes the answer on.
+func (s *session) handleAnswer(ctx context.Context, chosen plan, sent *send, number uint32, answer *exchange.Answer, reply Reply) verdict {
 	target := chosen.target
 	if reply.refuses() {
-		s.life.Fail(number, attempt.FaultRefused)
-		_, _ = io.Copy(io.Discard, io.LimitReader(answer, maxHeldAnswer)) // lets the connection be kept
+		s.lifecycle.Fail(number, attempt.FaultRefused)
+		_, _ = io.Copy(io.Discard, io.LimitReader(answer, maxHeldAnswer)) // allows the connection to be reused
 		if reply.Misdirected {
 			s.misdirected = true
 			target.suspect(s.ingress.now())
@@ -30,40 +30,40 @@
 		return verdictNotRun
 	}
 	if !reply.Named || isSuccess(answer.Status) && !reply.Genuine || promisesNotRun(answer.Status) {
-		s.life.Fail(number, attempt.FaultBroken)
+		s.lifecycle.Fail(number, attempt.FaultBroken)
 		target.fail()
-		return s.brokenUnless(ctx)
+		return s.brokenOrCallerEnd(ctx)
 	}
-	s.life.Admit(number, 0)
+	s.lifecycle.Admit(number, 0)
 	if isSuccess(answer.Status) && s.route.Kind == api.RouteStreaming {
-		// It begins with its first token.
-		return s.stream(ctx, chosen, sent, number, answer)
+		// Usage of a stream is counted with its first token.
+		return s.forwardStream(ctx, chosen, sent, number, answer)
 	}
-	s.countBegun(s.ingress.now() - sent.at)
+	s.countUsage(s.ingress.now() - sent.at)
 	if s.headSent {
 		return s.failResume(ctx, target, number, answer)
 	}
-	return s.whole(ctx, target, sent, number, answer)
+	return s.forwardWhole(ctx, target, sent, number, answer)
 }
 
-// failResume ends a run that was to continue a stream and failed: the caller has the
-// stream's beginning, which the answer to a failure is no part of.
+// failResume ends a run that was to continue a stream and failed. The caller already has the
+// start of the stream, to which an error answer cannot be appended.
 func (s *session) failResume(ctx context.Context, target *replica, number uint32, answer *exchange.Answer) verdict {
-	s.life.Fail(number, attempt.FaultBroken)
+	s.lifecycle.Fail(number, attempt.FaultBroken)
 	target.fail()
 	fmt.Fprintf(&s.trace, " (%s: status %d)", target.name, answer.Status)
-	return s.brokenUnless(ctx)
+	return s.brokenOrCallerEnd(ctx)
 }
 
-func (s *session) brokenUnless(ctx context.Context) verdict {
+func (s *session) brokenOrCallerEnd(ctx context.Context) verdict {
 	if ctx.Err() != nil {
 		return verdictCallerEnd
 	}
 	return verdictBroken
 }
 
-// promisesNotRun reports whether a status tells callers that the request has not run and
-// never will. Of a replica that does not say so itself it is a failure like any other.
+// promisesNotRun reports whether a status tells callers that the request has not run and never
+// will. From a replica that does not state so explicitly it is treated like any other failure.
 func promisesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -75,26 +75,26 @@
 
 func isSuccess(status int) bool { return status >= 200 && status < 300 }
 
-// whole passes on an answer that is no stream. Up to the bound it is held until
-// it is whole, so that one that breaks off can be tried elsewhere.
-func (s *session) whole(ctx context.Context, target *replica, sent *send, number uint32, answer *exchange.Answer) verdict {
+// forwardWhole passes on an answer that is not a stream. Up to maxHeldAnswer it is buffered
+// completely, so that a truncated answer can be retried elsewhere.
+func (s *session) forwardWhole(ctx context.Context, target *replica, sent *send, number uint32, answer *exchange.Answer) verdict {
 	var held bytes.Buffer
 	_, err := io.CopyN(&held, answer, maxHeldAnswer)
 	switch {
 	case err == nil:
-		return s.passLong(ctx, target, sent, number, answer, held.Bytes())
+		return s.forwardLong(ctx, target, sent, number, answer, held.Bytes())
 	case !errors.Is(err, io.EOF):
 		s.noteBroken(ctx, stageRun, target, sent, err)
-		s.life.Fail(number, attempt.FaultBroken)
+		s.lifecycle.Fail(number, attempt.FaultBroken)
 		target.fail()
 		fmt.Fprintf(&s.trace, " (%s: %v)", target.name, err)
-		return s.brokenUnless(ctx)
+		return s.brokenOrCallerEnd(ctx)
 	}
 	if answer.Status >= http.StatusInternalServerError {
-		return s.keepFailure(target, number, answer, held.Bytes())
+		return s.saveFailure(target, number, answer, held.Bytes())
 	}
 	target.succeed()
-	s.life.Finish(number)
+	s.lifecycle.Finish(number)
 	copyHeader(s.writer.Header(), answer.Header)
 	s.headSent = true
 	s.writer.WriteHeader(answer.Status)
@@ -102,19 +102,19 @@
 	return verdictDone
 }
 
-// keepFailure keeps a failure that a replica answered by running the request.
-func (s *session) keepFailure(target *replica, number uint32, answer *exchange.Answer, body []byte) verdict {
+// saveFailure keeps an error answer that a replica produced by running the request.
+func (s *session) saveFailure(target *replica, number uint32, answer *exchange.Answer, body []byte) verdict {
 	target.fail()
-	s.life.Fail(number, attempt.FaultBroken)
-	s.failed = &answerCopy{status: answer.Status, header: answer.Header, body: body}
+	s.lifecycle.Fail(number, attempt.FaultBroken)
+	s.failure = &savedAnswer{status: answer.Status, header: answer.Header, body: body}
 	fmt.Fprintf(&s.trace, " (%s: status %d)", target.name, answer.Status)
 	return verdictBroken
 }
 
-// passLong passes on an answer that is too long to hold.
-func (s *session) passLong(ctx context.Context, target *replica, sent *send, number uint32, answer *exchange.Answer, begun []byte) verdict {
+// forwardLong passes on an answer that is too long to buffer.
+func (s *session) forwardLong(ctx context.Context, target *replica, sent *send, number uint32, answer *exchange.Answer, begun []byte) verdict {
 	copyHeader(s.writer.Header(), answer.Header)
-	s.headSent, s.begun = true, true
+	s.headSent, s.unresumable = true, true
 	s.writer.WriteHeader(answer.Status)
 	_, err := s.writer.Write(begun)
 	if err == nil {
@@ -123,28 +123,28 @@
 		s.noteBroken(ctx, stageRun, target, sent, readErr)
 	}
 	if err != nil {
-		s.life.Fail(number, attempt.FaultBroken)
-		return s.brokenUnless(ctx)
+		s.lifecycle.Fail(number, attempt.FaultBroken)
+		return s.brokenOrCallerEnd(ctx)
 	}
 	target.succeed()
-	s.life.Finish(number)
+	s.lifecycle.Finish(number)
 	return verdictDone
 }
 
-// copyAnswer passes the rest of an answer on; readErr is what the replica's side brought.
+// copyAnswer copies the rest of an answer. readErr is the error of the replica's side.
 func copyAnswer(to io.Writer, from io.Reader) (readErr, err error) {
-	source := &failingReader{source: from}
+	source := &errorRecordingReader{source: from}
 	_, err = io.Copy(to, source)
 	return source.err, err
 }
 
-// failingReader remembers the error that ended its source.
-type failingReader struct {
+// errorRecordingReader records the error of its source.
+type errorRecordingReader struct {
 	source io.Reader
 	err    error
 }
 
-func (r *failingReader) Read(buffer []byte) (int, error) {
+func (r *errorRecordingReader) Read(buffer []byte) (int, error) {
 	count, err := r.source.Read(buffer)
 	if err != nil && err != io.EOF {
 		r.err = err
@@ -152,13 +152,13 @@
 	return count, err
 }
 
-// connectionFields concern one connection only and are not passed on.
+// connectionFields are the connection-specific fields, which are not passed on.
 var connectionFields = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Content-Length",
 }
 
-// copyHeader copies what is not of one connection only.
+// copyHeader copies all fields that are not connection-specific.
 func copyHeader(to, from http.Header) {
 	for name, values := range from {
 		if !slices.Contains(connectionFields, name) {
--- a/process/ingress/apart.go
+++ b/process/ingress/apart.go
@@ -32,8 +32,8 @@
 			return plan{refused: true, retryAfter: apartPause}, true
 		}
 		s.ingress.routes() // takes in what the record says by now
-		if _, held := s.held(); held {
-			return plan{held: true}, true
+		if _, held := s.quarantineHold(); held {
+			return plan{quarantined: true}, true
 		}
 	}
 }
@@ -47,5 +47,5 @@
 
 // isPatient reports whether the request can wait for a leader once more.
 func (s *session) isPatient() bool {
-	return s.ingress.now()-s.arrived < apartPatience && s.left() > 2*apartWait
+	return s.ingress.now()-s.arrivedAt < apartPatience && s.remaining() > 2*apartWait
 }
--- a/process/ingress/asks.go
+++ b/process/ingress/asks.go
@@ -51,9 +51,9 @@
 		return
 	}
 	if leaves {
-		s.ingress.tellLeaving(s.lane.service, from.Name())
+		s.ingress.tellLeaving(s.upstream.service, from.Name())
 	}
-	s.ingress.metrics.asks.WithLabelValues(s.lane.service, stage).Inc()
+	s.ingress.metrics.asks.WithLabelValues(s.upstream.service, stage).Inc()
 	event.ReplicaAsks.Log(s.ingress.logger, "replica", from.Name(), "request", s.call.ID, "stage", stage, "status", status,
 		"retry_after_ms", reply.Asks.RetryAfter.Milliseconds(), "leaving", reply.Asks.Leaving)
 }
@@ -71,7 +71,7 @@
 
 // reportLeaving tells a member that has just begun to place requests which replicas leave.
 func (i *Ingress) reportLeaving() {
-	for _, opened := range i.lanes.all() {
+	for _, opened := range i.upstreams.all() {
 		for _, known := range opened.fleet.used() {
 			if known.asks.IsLeaving() {
 				i.tellLeaving(opened.service, known.name)
@@ -84,7 +84,7 @@
 func (s *session) withhold(stage string, from *replica) {
 	s.withheld = stage == stageRun
 	s.trace.WriteString(" withheld(" + from.name + ")")
-	s.ingress.metrics.withheld.WithLabelValues(s.lane.service, stage).Inc()
+	s.ingress.metrics.withheld.WithLabelValues(s.upstream.service, stage).Inc()
 	event.SendWithheld.Log(s.ingress.logger, "request", s.call.ID, "stage", stage, "replica", from.name,
 		"pause_ms", from.asks.Pause(s.ingress.now()).Milliseconds(), "leaving", from.asks.IsLeaving())
 }
@@ -95,7 +95,7 @@
 	now := s.ingress.now()
 	avoided := maps.Clone(s.excluded)
 	doubtful := map[api.EngineRole][]string{}
-	for _, known := range s.lane.fleet.used() {
+	for _, known := range s.upstream.fleet.used() {
 		role := known.listed().Role
 		switch known.asks.State(now) {
 		case holdoff.Closed:
@@ -118,7 +118,7 @@
 // hasOpen reports whether a replica of the role may be sent the request without a doubt.
 func (s *session) hasOpen(role api.EngineRole, now time.Duration) bool {
 	found := false
-	s.lane.fleet.all(func(entry *api.Replica, known *replica) bool {
+	s.upstream.fleet.all(func(entry *api.Replica, known *replica) bool {
 		found = entry.Spec.Role == role && !entry.Spec.Leaving && !s.excluded[entry.Name] &&
 			(known == nil || known.asks.State(now) == holdoff.Open)
 		return !found
@@ -127,7 +127,7 @@
 }
 
 // runRoles are the roles of replicas that can run a request, whoever reads its prompt.
-var runRoles = wanted{roles: []api.EngineRole{api.RoleDecode, api.RoleMixed}}
+var runRoles = replicaFilter{roles: []api.EngineRole{api.RoleDecode, api.RoleMixed}}
 
 // pauseSpread keeps callers that are told the end of a pause from coming back together.
 const pauseSpread = 100 * time.Millisecond
@@ -135,10 +135,10 @@
 // allPause reports whether every replica that could run the request has asked this process
 // for a pause, and when the first of them is over. To wait for that here would hold the
 // request for nothing, and to send it all the same would only be refused.
-func (l *lane) allPause(now time.Duration) (wait time.Duration, all bool) {
+func (l *upstream) allPause(now time.Duration) (wait time.Duration, all bool) {
 	first, isOpen := time.Duration(0), false
 	l.fleet.all(func(entry *api.Replica, known *replica) bool {
-		if entry.Spec.Leaving || !runRoles.includes(entry.Spec.Role) {
+		if entry.Spec.Leaving || !runRoles.includesRole(entry.Spec.Role) {
 			return true
 		}
 		if known == nil {
--- a/process/ingress/authenticate.go
+++ b/process/ingress/authenticate.go
@@ -25,7 +25,7 @@
 // tenant is nil where none is needed. What it decides holds for the request to its end:
 // one whose key is taken away meanwhile is seen through, and the next one on the same
 // connection, or that takes up the same stream, is refused.
-func (i *Ingress) authenticate(routes *routeTable, route *api.Route, call *Call) (*api.RouteTenant, *ownRefusal) {
+func (i *Ingress) authenticate(routes *routeTable, route *api.Route, call *Call) (*api.RouteTenant, *localRefusal) {
 	if !routes.keysRequired {
 		return nil, nil
 	}
@@ -33,7 +33,7 @@
 		return nil, nil
 	}
 	if i.isUnconfirmed() {
-		return nil, &ownRefusal{status: http.StatusServiceUnavailable, cause: "keys_unconfirmed", retryAfter: leastStartPause}
+		return nil, &localRefusal{status: http.StatusServiceUnavailable, cause: "keys_unconfirmed", retryAfter: minStartRetryAfter}
 	}
 	// A key that is unknown runs nothing, on no route: who sends one believes to be
 	// somebody, and is told so.
@@ -48,7 +48,7 @@
 }
 
 // errUnknownKey refuses a call whose key nobody has.
-var errUnknownKey = &ownRefusal{status: http.StatusUnauthorized, cause: "unknown_key"}
+var errUnknownKey = &localRefusal{status: http.StatusUnauthorized, cause: "unknown_key"}
 
 // isUnconfirmed reports whether this proxy takes no keys for the time being, since one may
 // have been taken away that it knows nothing of.
--- a/process/ingress/authenticate_test.go
+++ b/process/ingress/authenticate_test.go
@@ -105,7 +105,7 @@
 	must.NoError(t, err)
 	defer func() { _ = response.Body.Close() }()
 	must.Eq(t, http.StatusUnauthorized, response.StatusCode)
-	_, opened := w.ingress.lanes.open["model"]
+	_, opened := w.ingress.upstreams.byService["model"]
 	must.False(t, opened, must.Sprint("nothing is kept or counted for it"))
 }
 
--- a/process/ingress/belief_test.go
+++ b/process/ingress/belief_test.go
@@ -28,7 +28,7 @@
 	})
 	w := newWorld(t, replica)
 	must.Eq(t, http.StatusServiceUnavailable, w.ask(asked{method: "GET", target: "/safe/", id: "q"}).status)
-	must.Eq(t, 0, w.ingress.lanes.lane("plain").find("r-1").told())
+	must.Eq(t, 0, w.ingress.upstreams.get("plain").find("r-1").told())
 }
 
 // A status that promises that the request was not run is passed on only with the replica's
--- a/process/ingress/budget_test.go
+++ b/process/ingress/budget_test.go
@@ -28,7 +28,7 @@
 // its requests.
 func (w *world) withReserve(reserve float64) {
 	w.ingress.routes()
-	w.ingress.lanes.lane("model").budget = retry.NewWindow(0, reserve, time.Hour)
+	w.ingress.upstreams.get("model").budget = retry.NewWindow(0, reserve, time.Hour)
 }
 
 // Each read that a replica refuses counts as a retry. Once they have overdrawn
@@ -55,7 +55,7 @@
 	w := newModelWorld(t, reader, generator, nil)
 	w.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
 	w.withReserve(0)
-	w.ingress.lanes.lane("model").budget.Force(w.ingress.now())
+	w.ingress.upstreams.get("model").budget.Force(w.ingress.now())
 	must.Eq(t, events(1, 2), w.ask(modelRequest).body)
 	must.Eq(t, 1, reader.count())
 	must.NotEq(t, "", generator.requests[0].Header.Get(testSource))
@@ -73,7 +73,7 @@
 	for range asked {
 		must.Eq(t, events(1, 2), w.ask(modelRequest).body)
 	}
-	must.False(t, w.ingress.lanes.lane("model").budget.Overdrawn(w.ingress.now()))
+	must.False(t, w.ingress.upstreams.get("model").budget.Overdrawn(w.ingress.now()))
 	must.Eq(t, asked, generator.count())
 }
 
@@ -131,10 +131,10 @@
 
 func TestReserveIsSharedWithThoseThatHaveJustLeft(t *testing.T) {
 	const window = 10 * time.Second
-	shared := &sharers{}
-	must.Eq(t, 8, shared.among(8, time.Second, window))
-	must.Eq(t, 8, shared.among(4, 2*time.Second, window), must.Sprint("four have left, and may have spent their parts"))
-	must.Eq(t, 8, shared.among(3, 11*time.Second, window))
-	must.Eq(t, 3, shared.among(3, 13*time.Second, window))
-	must.Eq(t, 9, shared.among(9, 14*time.Second, window))
+	shared := &proxyCount{}
+	must.Eq(t, 8, shared.observe(8, time.Second, window))
+	must.Eq(t, 8, shared.observe(4, 2*time.Second, window), must.Sprint("four have left, and may have spent their parts"))
+	must.Eq(t, 8, shared.observe(3, 11*time.Second, window))
+	must.Eq(t, 3, shared.observe(3, 13*time.Second, window))
+	must.Eq(t, 9, shared.observe(9, 14*time.Second, window))
 }
--- a/process/ingress/cacheguess.go
+++ b/process/ingress/cacheguess.go
@@ -78,7 +78,7 @@
 // reportKept tells a leader that has just begun to serve this proxy what the
 // replicas are believed to keep.
 func (i *Ingress) reportKept(to groupReporter) {
-	for _, opened := range i.lanes.all() {
+	for _, opened := range i.upstreams.all() {
 		for _, known := range opened.fleet.used() {
 			if parts := known.kept(); len(parts) > 0 {
 				to.ReportKept(feed.KeptParts{Service: opened.service, Replica: known.name, Parts: parts})
--- a/process/ingress/charge.go
+++ b/process/ingress/charge.go
@@ -34,7 +34,7 @@
 
 // charge takes a call's cost off its tenant's quota before anything is kept or done for it,
 // or refuses it until the quota will cover it.
-func (i *Ingress) charge(ctx context.Context, call *Call, tenant *api.RouteTenant) (charge, *ownRefusal) {
+func (i *Ingress) charge(ctx context.Context, call *Call, tenant *api.RouteTenant) (charge, *localRefusal) {
 	if tenant == nil || !tenant.Spec.Quota.IsBounded() || i.config.Quotas.Window <= 0 {
 		return charge{}, nil
 	}
@@ -42,10 +42,10 @@
 	asked := charge{tenant: tenant.Name, cost: limit.Cost(call.Work.PromptTokens + call.Work.OutputTokens)}
 	grant, err := i.askCharge(ctx, asked)
 	if err == nil {
-		i.alone.Heard(asked.tenant, limit, grant)
+		i.standaloneQuota.Heard(asked.tenant, limit, grant)
 	} else {
 		asked.alone = true
-		grant = i.alone.Charge(i.now(), asked.tenant, limit, asked.cost, i.sharing())
+		grant = i.standaloneQuota.Charge(i.now(), asked.tenant, limit, asked.cost, i.sharing())
 	}
 	if grant.Granted {
 		return asked, nil
@@ -53,7 +53,7 @@
 	event.QuotaRefused.Log(i.logger, "request", call.ID, "tenant", asked.tenant, "cost", asked.cost, "left", grant.Left,
 		"wait_ms", grant.Wait.Milliseconds(), "alone", asked.alone)
 	wait := max(grant.Wait, minimumRetryAfter)
-	return charge{}, &ownRefusal{status: http.StatusTooManyRequests, cause: causeOverQuota, retryAfter: wait}
+	return charge{}, &localRefusal{status: http.StatusTooManyRequests, cause: causeOverQuota, retryAfter: wait}
 }
 
 func (i *Ingress) askCharge(ctx context.Context, asked charge) (quota.Grant, error) {
@@ -67,7 +67,7 @@
 
 // sharing says how the quotas are divided while this proxy is left alone.
 func (i *Ingress) sharing() quota.Sharing {
-	made := quota.Sharing{Proxies: int(i.lanes.proxies.Load())}
+	made := quota.Sharing{Proxies: int(i.upstreams.proxies.Load())}
 	if i.confirmer != nil {
 		made.Alone = i.confirmer.SinceConfirmed(i.now())
 	}
@@ -80,7 +80,7 @@
 		return
 	}
 	if spent.alone || i.charger == nil {
-		i.alone.Return(spent.tenant, spent.cost)
+		i.standaloneQuota.Return(spent.tenant, spent.cost)
 		return
 	}
 	i.charger.ReturnCharge(feed.ChargeRequest{Tenant: spent.tenant, Cost: spent.cost})
--- a/process/ingress/charge_test.go
+++ b/process/ingress/charge_test.go
@@ -43,7 +43,7 @@
 	bounded.Quota = api.Quota{Unit: api.QuotaTokens, PerSecond: perSecond, Burst: perSecond, PlainTokens: 20}
 	w.requireKeys(bounded, tenant("south", 0, "key-s"))
 	w.ingress.config.Quotas = quota.Rule{Window: 8 * time.Second, Overshoot: 0.1}
-	w.ingress.alone = quota.NewAlone(w.ingress.config.Quotas)
+	w.ingress.standaloneQuota = quota.NewAlone(w.ingress.config.Quotas)
 	charger := &fakeCharger{grant: quota.Grant{Granted: true}}
 	w.ingress.charger = charger
 	return w, charger
@@ -83,7 +83,7 @@
 func TestProxyAloneSpendsItsPart(t *testing.T) {
 	w, charger := newQuotaWorld(t, 20, newFakeReplica(t, "r-1", answerOK))
 	charger.err = feed.ErrNotCharged
-	w.ingress.lanes.proxies.Store(1000)
+	w.ingress.upstreams.proxies.Store(1000)
 	for range 5 {
 		must.Eq(t, http.StatusTooManyRequests, w.ask(withKey("a", "/safe/x", "key-n")).status)
 	}
--- a/process/ingress/ended.go
+++ b/process/ingress/ended.go
@@ -19,7 +19,7 @@
 // fingerprint names the request by what it is; its ID is new each time it comes. It is
 // worked out only once it is needed: on calm days never.
 func (s *session) fingerprint() quarantine.Fingerprint {
-	if s.named == nil {
+	if s.cachedFingerprint == nil {
 		identity := quarantine.Identity{
 			Method: s.call.Method, Host: s.call.Host, Path: s.call.Path, Caller: s.call.Caller, Body: s.call.Body,
 		}
@@ -27,19 +27,19 @@
 			_, identity.Query, _ = strings.Cut(s.call.Target, "?")
 		}
 		named := quarantine.Of(identity)
-		s.named = &named
+		s.cachedFingerprint = &named
 	}
-	return *s.named
+	return *s.cachedFingerprint
 }
 
 // knownFingerprint names the request if that was worked out, as it is while replicas are on
 // record as ended; empty otherwise. A log line with it tells whether a request on record was
 // served elsewhere.
 func (s *session) knownFingerprint() string {
-	if s.named == nil {
+	if s.cachedFingerprint == nil {
 		return ""
 	}
-	return s.named.String()
+	return s.cachedFingerprint.String()
 }
 
 // noteBroken notes that a replica's connection broke while it was at work on the request,
@@ -48,24 +48,24 @@
 	if ctx.Err() != nil || !isBroken(err) {
 		return
 	}
-	s.ingress.metrics.broken.WithLabelValues(s.lane.service, stage).Inc()
+	s.ingress.metrics.broken.WithLabelValues(s.upstream.service, stage).Inc()
 	now := s.ingress.now()
 	looked := addressUnknown
-	if stage == stageRun && (s.alone || sent.events == 0) {
+	if stage == stageRun && (s.isolated || sent.events == 0) {
 		looked = lookAt(target)
 	}
-	alone := s.alone && looked == addressRefuses
+	alone := s.isolated && looked == addressRefuses
 	event.RunBroken.Log(s.ingress.logger, "request", s.call.ID, "fingerprint", s.fingerprint(), "route", s.route.Name,
 		"stage", stage, "replica", target.incarnation(), "after_ms", (now - sent.at).Milliseconds(),
 		"events", sent.events, "alone", alone, "listens", looked == addressListens, "leaving", target.isLeaving(), "err", err)
 	if stage == stageRun {
-		s.ended++
+		s.crashes++
 	}
 	target.noteEnd(now)
 	s.ingress.guard.Ended(now, quarantine.Evidence{
-		Fingerprint: s.fingerprint(), Replica: target.incarnation(), Began: sent.events > 0, Read: stage == stageRead,
+		Fingerprint: s.fingerprint(), Replica: target.incarnation(), Began: sent.events > 0, Read: stage == stagePrefill,
 		Alone: alone, Listens: looked == addressListens, Ran: now - sent.at, Once: target.listed().Born != 0,
-		About: quarantine.About{Service: s.lane.service, Route: s.route.Name, Request: s.call.ID},
+		About: quarantine.About{Service: s.upstream.service, Route: s.route.Name, Request: s.call.ID},
 	})
 }
 
@@ -112,7 +112,7 @@
 
 // held reports whether the request is to go to no replica since replicas end under it, and
 // for how long.
-func (s *session) held() (rest time.Duration, held bool) {
+func (s *session) quarantineHold() (rest time.Duration, held bool) {
 	if !s.ingress.guard.Active() {
 		return 0, false
 	}
@@ -121,30 +121,30 @@
 
 // endTrial lets the next one try the request, if this one did.
 func (s *session) endTrial() {
-	if s.named != nil { // else it was not looked at
-		s.ingress.guard.EndTrial(*s.named, s)
+	if s.cachedFingerprint != nil { // else it was not looked at
+		s.ingress.guard.EndTrial(*s.cachedFingerprint, s)
 	}
 }
 
 // refuseHeld answers a request under which replicas end, at once. It may come back when
 // the hold is over.
-func (s *session) refuseHeld(rest time.Duration) int {
-	s.ingress.metrics.held.WithLabelValues(s.lane.service).Inc()
+func (s *session) refuseQuarantined(rest time.Duration) int {
+	s.ingress.metrics.held.WithLabelValues(s.upstream.service).Inc()
 	event.RequestHeld.Log(s.ingress.logger, "request", s.call.ID, "fingerprint", s.fingerprint(), "route", s.route.Name,
-		"sends", s.sends, "rest_ms", rest.Milliseconds())
-	ran := s.life.GiveUp()
+		"sends", s.sendCount, "rest_ms", rest.Milliseconds())
+	ran := s.lifecycle.GiveUp()
 	if s.headSent {
-		s.trace.WriteString(" cut:" + causeHeld)
+		s.trace.WriteString(" cut:" + causeQuarantined)
 		return 0
 	}
 	if ran == attempt.RanNo {
-		return s.refuse(http.StatusServiceUnavailable, causeHeld, rest)
+		return s.refuse(http.StatusServiceUnavailable, causeQuarantined, rest)
 	}
-	return s.refuse(http.StatusBadGateway, causeHeld, 0)
+	return s.refuse(http.StatusBadGateway, causeQuarantined, 0)
 }
 
 // causeHeld is told to the caller of a request that goes to no replica.
-const causeHeld = "quarantined"
+const causeQuarantined = "quarantined"
 
 // isBroken reports whether a connection was closed or reset by the other side. Silence
 // and bytes that are no answer are other faults: the replica may well live on.
--- a/process/ingress/events.go
+++ b/process/ingress/events.go
@@ -8,32 +8,31 @@
 	"github.com/pkg/errors"
 )
 
-// maxEventBytes bounds one event of a stream.
+// maxEventBytes limits the size of one stream event.
 const maxEventBytes = 1 << 20
 
-// errEventTooLarge says that an event is longer than the bound.
+// errEventTooLarge is returned for an event that exceeds maxEventBytes.
 var errEventTooLarge = errors.New("ingress: stream event too large")
 
-// errEventCut says that a stream ended inside an event.
+// errEventCut is returned when a stream ends inside an event.
 var errEventCut = errors.New("ingress: stream ended inside an event")
 
-// eventReader reads whole server-sent events and keeps their bytes.
+// eventReader reads complete server-sent events and keeps their bytes unchanged.
 type eventReader struct {
 	reader *bufio.Reader
 	event  []byte
 	id     string
 }
 
-// eventBufferBytes holds several events.
+// eventBufferBytes is enough for several events.
 const eventBufferBytes = 4 << 10
 
 func newEventReader(source io.Reader) *eventReader {
 	return &eventReader{reader: bufio.NewReaderSize(source, eventBufferBytes)}
 }
 
-// next reads one event with the blank line that ends it. The bytes are valid
-// until the next call. io.EOF comes only at the border of an event and only
-// where the source ended well.
+// next reads one event including the blank line that ends it. The bytes are valid until the next
+// call. io.EOF is returned only between events and only if the source ended normally.
 func (r *eventReader) next() (event []byte, id string, err error) {
 	r.event, r.id = r.event[:0], ""
 	for {
@@ -55,12 +54,12 @@
 	}
 }
 
-// hasData reports whether an event carries anything; comments do not.
+// hasData reports whether an event has a data field; comments do not.
 func hasData(event []byte) bool {
 	return bytes.HasPrefix(event, []byte("data:")) || bytes.Contains(event, []byte("\ndata:"))
 }
 
-// readLine appends one line with its end to the event.
+// readLine appends one line, including its line end, to the event.
 func (r *eventReader) readLine() (ended bool, err error) {
 	for {
 		part, err := r.reader.ReadSlice('\n')
--- a/process/ingress/foreign_test.go
+++ b/process/ingress/foreign_test.go
@@ -177,7 +177,7 @@
 	w.ask(asked{method: "GET", target: "/unsafe/", id: "q"})
 	must.StrContains(t, lines.String(), "name=answer_foreign request=q stage=run replica=r-1 reused=false answered=another status=200")
 	must.Eq(t, 1, w.ingress.metrics.values(t)["landingtrail_ingress_foreign_answers_total plain run"])
-	must.False(t, w.ingress.lanes.lane("plain").find("r-1").isSuspect(w.ingress.now()), must.Sprint("it is there"))
+	must.False(t, w.ingress.upstreams.get("plain").find("r-1").isSuspect(w.ingress.now()), must.Sprint("it is there"))
 }
 
 // A replica that answers something else is there: it is neither passed over nor told of
@@ -193,7 +193,7 @@
 		must.Eq(t, events(1, 2), w.ask(modelRequest).body)
 	}
 	must.Eq(t, 2, reader.count(), must.Sprint("each read may be a second arrival"))
-	lane := w.ingress.lanes.lane("model")
+	lane := w.ingress.upstreams.get("model")
 	must.False(t, lane.find("read").isSuspect(w.ingress.now()))
 	must.SliceNotContains(t, placer.steps(), placement.StepFailed)
 }
@@ -209,7 +209,7 @@
 	second := newFakeReplica(t, "r-2", answerOK)
 	w := newWorld(t, first)
 	must.Eq(t, http.StatusOK, w.ask(asked{method: "GET", target: "/safe/", id: "q-1"}).status)
-	known := w.ingress.lanes.lane("plain").find("r-1")
+	known := w.ingress.upstreams.get("plain").find("r-1")
 	first.server.Config.Handler = after(first.server.Config.Handler, func() { w.list(first, second) })
 	got := w.ask(asked{method: "GET", target: "/safe/", id: "q-2"})
 	must.Eq(t, "answer to q-2", got.body)
--- a/process/ingress/holdoff_test.go
+++ b/process/ingress/holdoff_test.go
@@ -156,7 +156,7 @@
 		w.ask(modelAsk(0))
 		w.ask(modelAsk(1)) // the reader asks for a pause
 		before := reader.count()
-		s := &session{ingress: w.ingress, lane: w.ingress.lanes.lane("model")}
+		s := &session{ingress: w.ingress, upstream: w.ingress.upstreams.get("model")}
 		s.release(Source{Replica: "read", Address: reader.address(), Handle: "handle-7"})
 		time.Sleep(50 * time.Millisecond) // a call on loopback takes less than one
 		must.Eq(t, before, reader.count())
@@ -165,12 +165,12 @@
 		tired := newFakeReplica(t, "a", answerOK)
 		w := newWorld(t, tired)
 		w.ingress.routes()
-		asks := w.ingress.lanes.asks.Find("a")
+		asks := w.ingress.upstreams.holdoffs.Find("a")
 		given := &exchange.Request{Method: "GET", Target: "/", Host: "a", Permit: func() error {
 			asks.Hear(w.ingress.now(), time.Now(), holdoff.Word{RetryAfter: time.Minute}) // with another request's answer
 			return w.ingress.permit(asks)()
 		}}
-		_, err := w.ingress.lanes.lane("plain").pool.Do(t.Context(), tired.address(), given)
+		_, err := w.ingress.upstreams.get("plain").pool.Do(t.Context(), tired.address(), given)
 		must.ErrorIs(t, err, errWithheld)
 		must.Eq(t, 0, tired.count())
 	})
--- a/process/ingress/inflight.go
+++ b/process/ingress/inflight.go
@@ -53,7 +53,7 @@
 // track keeps a request among those in flight until it is noted as over.
 func (s *session) track(ask placement.Ask, answer placement.Answer, number uint64) *placed {
 	decided := &placed{
-		ingress: s.ingress, service: s.lane.service, number: number,
+		ingress: s.ingress, service: s.upstream.service, number: number,
 		ask: ask, answer: answer, at: s.ingress.now(),
 	}
 	s.ingress.inFlight.add(decided)
@@ -66,11 +66,11 @@
 	if s.ingress.placer == nil || chosen.target == nil {
 		return
 	}
-	answer := placement.Answer{Generator: chosen.target.name, Unread: chosen.uncached, Estimate: chosen.estimate}
-	if chosen.reader != nil {
-		answer.Reader = chosen.reader.name
+	answer := placement.Answer{Generator: chosen.target.name, Unread: chosen.uncachedTokens, Estimate: chosen.estimate}
+	if chosen.prefiller != nil {
+		answer.Reader = chosen.prefiller.name
 	}
-	chosen.placed = s.track(s.ask(), answer, s.ingress.numbers.Add(1))
+	chosen.tracked = s.track(s.placementAsk(), answer, s.ingress.numbers.Add(1))
 }
 
 // inFlightTable holds the placed requests that are in flight. One lock is enough: it is
@@ -106,7 +106,7 @@
 // another one was told.
 func (i *Ingress) reportInFlight(to groupReporter) {
 	all := map[string]feed.InFlight{}
-	for _, opened := range i.lanes.all() {
+	for _, opened := range i.upstreams.all() {
 		all[opened.service] = feed.InFlight{Service: opened.service}
 	}
 	i.inFlight.lock.Lock()
--- a/process/ingress/inflight_order_test.go
+++ b/process/ingress/inflight_order_test.go
@@ -121,7 +121,7 @@
 func TestBoardIsToldThatNothingIsInFlight(t *testing.T) {
 	told := newToldBoard(t)
 	ingress, request := newPlacedRequest(t, told)
-	ingress.lanes.lane("model")
+	ingress.upstreams.get("model")
 	ingress.reportInFlight(told)
 	must.Eq(t, 1, told.shown().InFlight)
 	ingress.placer = &fakePlacer{} // another board places meanwhile
--- a/process/ingress/ingress.go
+++ b/process/ingress/ingress.go
@@ -24,7 +24,7 @@
 	"github.com/pkg/errors"
 )
 
-// Views is the version of the replicated state that the ingress acts on.
+// Views provides the current version of the replicated state.
 type Views interface {
 	Load() *view.View
 }
@@ -35,77 +35,77 @@
 	logger log.Logger
 	views  Views
 	clock  func() time.Duration
-	// day is the time of day that replicas' births are told by.
-	day   func() time.Time
-	lanes *lanes
-	table atomic.Pointer[tableAt]
-	// stopping is set once answers must ask callers to close connections.
-	stopping atomic.Bool
-	stop     atomic.Pointer[plannedStop] // nil before one
-	serving  atomic.Int64                // requests
-	// patient ends when a planned stop cannot wait for requests any longer.
-	patient    context.Context
-	endPatient context.CancelFunc
-	inFlight   inFlightTable
-	guard      *guard.Guard
-	sessions   sessionTable
-	unwatch    func() // of suspensions
-	metrics    *metrics
-	// placer places model requests by all that is in flight; nil leaves it to
-	// what this proxy knows itself.
+	// day returns the wall clock time with which replicas' start times are compared.
+	day       func() time.Time
+	upstreams *upstreams
+	table     atomic.Pointer[versionedTable]
+	// stopping is set once answers must ask callers to close their connections.
+	stopping    atomic.Bool
+	plannedStop atomic.Pointer[plannedStop] // nil unless a planned stop has begun
+	serving     atomic.Int64                // number of requests being served
+	// requestContext is cancelled when a planned stop can no longer wait for requests.
+	requestContext      context.Context
+	cancelRequests      context.CancelFunc
+	inFlight            inFlightTable
+	guard               *guard.Guard
+	sessions            sessionTable
+	stopSuspensionWatch func() // stops watching for suspensions of the machine
+	metrics             *metrics
+	// placer places model requests using the load of all proxies; if nil, this proxy uses only
+	// its own knowledge.
 	placer Placer
-	// confirmer tells how old the view may be; nil without a group.
+	// confirmer returns the age of the view; nil without a control group.
 	confirmer Confirmer
 	numbers   atomic.Uint64
-	// charger charges requests to their tenants' quotas; nil without a group. alone does so
-	// while nobody answers it.
-	charger charger
-	alone   *quota.Alone
-	// usage counts the requests of each tenant that began; nil: nobody asks for it.
+	// charger charges requests to tenant quotas; nil without a control group. standaloneQuota is
+	// used while the control group does not answer.
+	charger         charger
+	standaloneQuota *quota.Alone
+	// usage counts started requests per tenant; nil if usage is not reported.
 	usage *metering.Counter
-	// namesTill is until when questions bring the requests' fingerprints.
-	namesTill atomic.Int64
+	// fingerprintsUntil is the time until which placement requests include the fingerprint.
+	fingerprintsUntil atomic.Int64
 }
 
-// Placer decides where model requests go; *feed.Client is one.
+// Placer decides where model requests go; implemented by *feed.Client.
 type Placer interface {
 	Place(ctx context.Context, request feed.PlaceRequest) (placement.Answer, error)
 	NotePlaced(note feed.PlaceNote) bool
 }
 
-// tableAt is the route table of one version of the view.
-type tableAt struct {
+// versionedTable is the route table of one version of the view.
+type versionedTable struct {
 	version view.Version
 	ingress *api.Ingress
-	tenants map[string]*api.RouteTenant // those that the keys of routes are of
+	tenants map[string]*api.RouteTenant // the tenants whose keys routes.keys holds
 	routes  *routeTable
 }
 
-// New returns an ingress over the views. Close ends it.
+// New returns an ingress that follows views. The caller must call Close.
 func New(config Config, views Views, now func() time.Duration, logger log.Logger) *Ingress {
 	config = config.WithDefaults()
-	made := &Ingress{
+	ingress := &Ingress{
 		config: config, logger: logger, views: views, clock: now, day: time.Now,
-		lanes: newLanes(config, now), metrics: newMetrics(), guard: guard.New(config.Name),
-		alone: quota.NewAlone(config.Quotas),
+		upstreams: newUpstreams(config, now), metrics: newMetrics(), guard: guard.New(config.Name),
+		standaloneQuota: quota.NewAlone(config.Quotas),
 	}
-	made.patient, made.endPatient = context.WithCancel(context.Background())
-	made.table.Store(&tableAt{routes: newRouteTable(nil)})
-	made.unwatch = clock.Watch(made.sessions.endOverdue)
-	return made
+	ingress.requestContext, ingress.cancelRequests = context.WithCancel(context.Background())
+	ingress.table.Store(&versionedTable{routes: newRouteTable(nil)})
+	ingress.stopSuspensionWatch = clock.Watch(ingress.sessions.endOverdue)
+	return ingress
 }
 
-// Close ends what is in flight and closes the idle connections.
+// Close cancels requests in flight and closes idle connections.
 func (i *Ingress) Close() {
-	i.unwatch()
-	i.endPatient()
-	i.lanes.close()
+	i.stopSuspensionWatch()
+	i.cancelRequests()
+	i.upstreams.close()
 }
 
 func (i *Ingress) now() time.Duration { return i.clock() }
 
-// routes returns the route table of the view that is held now. Requests load views side by
-// side: one that was overtaken must not put its older view in the place of a newer one.
+// routes returns the route table of the current view. Requests load views concurrently; one that
+// was overtaken must not replace a newer view by its older one.
 func (i *Ingress) routes() *routeTable {
 	current := i.views.Load()
 	for {
@@ -113,20 +113,20 @@
 		if current.Version.Compare(known.version) <= 0 {
 			return known.routes
 		}
-		i.lanes.update(current, i.now())
+		i.upstreams.update(current, i.now())
 		i.guard.Follow(current, i.now())
-		held := current.Ingresses[api.IngressName]
-		next := &tableAt{version: current.Version, ingress: held, tenants: known.tenants, routes: known.routes}
-		if held != known.ingress || !maps.Equal(current.RouteTenants, known.tenants) {
-			next.routes = newRouteTable(held)
+		object := current.Ingresses[api.IngressName]
+		next := &versionedTable{version: current.Version, ingress: object, tenants: known.tenants, routes: known.routes}
+		if object != known.ingress || !maps.Equal(current.RouteTenants, known.tenants) {
+			next.routes = newRouteTable(object)
 			next.routes.keys = known.routes.keys.Follow(next.routes.keySecret, current.RouteTenants)
 			next.tenants = current.RouteTenants
 		}
 		if !i.table.CompareAndSwap(known, next) {
 			continue
 		}
-		if held != known.ingress {
-			event.IngressInForce.Log(i.logger, "generation", next.routes.generation, "routes", len(held.Spec.Routes),
+		if object != known.ingress {
+			event.IngressInForce.Log(i.logger, "generation", next.routes.generation, "routes", len(object.Spec.Routes),
 				"revision", current.Version.Revision, "term", current.Version.Term)
 		}
 		return next.routes
@@ -136,7 +136,7 @@
 // Ready reports whether callers may be sent here.
 func (i *Ingress) Ready() bool { return !i.stopping.Load() && i.routes().generation > 0 }
 
-// ServeHTTP takes one caller's request.
+// ServeHTTP handles one caller's request.
 func (i *Ingress) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	i.serving.Add(1)
 	defer i.serving.Add(-1)
@@ -145,34 +145,34 @@
 		w.Header().Set("Connection", "close")
 	}
 	routes := i.routes()
-	call, taken, refusal := i.take(w, r, routes)
+	call, admitted, refusal := i.admit(w, r, routes)
 	if refusal != nil {
 		i.refuse(w, &call, refusal)
 		i.logRefusal(&call, routes, refusal)
 		return
 	}
-	i.serve(w, r, call, taken, arrived)
+	i.serve(w, r, call, admitted, arrived)
 }
 
-// refuse answers a call of which nothing is done. The answer leaves before the body is in,
-// which net/http would else read first.
-func (i *Ingress) refuse(w http.ResponseWriter, call *Call, refusal *ownRefusal) {
-	_ = http.NewResponseController(w).EnableFullDuplex() // without it the answer comes later
+// refuse answers a call that is not processed. It sends the answer before the body has arrived;
+// by default net/http would read the body first.
+func (i *Ingress) refuse(w http.ResponseWriter, call *Call, refusal *localRefusal) {
+	_ = http.NewResponseController(w).EnableFullDuplex() // on error the answer is only sent later
 	i.config.Dialect.Refusal(w.Header(), call, refusal.retryAfter)
-	writeOwn(w, refusal.status, refusal.cause)
+	writeRefusal(w, refusal.status, refusal.cause)
 }
 
-// admission is how a call was taken in.
+// admission is the result of admitting a call.
 type admission struct {
 	route      *api.Route
 	priority   int
-	generation uint64 // of the Ingress that the request is handled by
+	generation uint64 // of the Ingress object that the request was routed by
 	charge     charge
 }
 
-// take finds the route of a request and who asks, and then reads it whole: nothing is kept
-// of the body of one that is refused.
-func (i *Ingress) take(w http.ResponseWriter, r *http.Request, routes *routeTable) (Call, admission, *ownRefusal) {
+// admit finds the route and the tenant of a request and only then reads the body, so that no body
+// is buffered for a request that is refused.
+func (i *Ingress) admit(w http.ResponseWriter, r *http.Request, routes *routeTable) (Call, admission, *localRefusal) {
 	call, refusal := i.readHead(r)
 	if refusal != nil {
 		return call, admission{}, refusal
@@ -185,56 +185,57 @@
 	if refusal != nil {
 		return call, admission{}, refusal
 	}
-	taken := admission{route: route, generation: routes.generation}
-	taken.priority = i.identify(routes, route, &call, tenant)
-	if taken.charge, refusal = i.charge(r.Context(), &call, tenant); refusal != nil {
+	admitted := admission{route: route, generation: routes.generation}
+	admitted.priority = i.identify(routes, route, &call, tenant)
+	if admitted.charge, refusal = i.charge(r.Context(), &call, tenant); refusal != nil {
 		return call, admission{}, refusal
 	}
-	if refusal = i.readWhole(w, r, routes, &call); refusal != nil {
-		i.returnCharge(taken.charge)
+	if refusal = i.readCallBody(w, r, routes, &call); refusal != nil {
+		i.returnCharge(admitted.charge)
 	}
-	return call, taken, refusal
+	return call, admitted, refusal
 }
 
-// ownRefusal is an answer that is given before any replica was asked.
-type ownRefusal struct {
+// localRefusal is an answer that is given before any replica was contacted.
+type localRefusal struct {
 	status     int
 	cause      string
 	retryAfter time.Duration
 }
 
-// noRoute tells a request that no route takes from one that came before this
-// process knew any route.
-func noRoute(routes *routeTable, uptime time.Duration) *ownRefusal {
+// noRoute distinguishes a request that matches no route from one that arrived before this process
+// had received any routes.
+func noRoute(routes *routeTable, uptime time.Duration) *localRefusal {
 	if routes.generation == 0 {
-		return &ownRefusal{status: http.StatusServiceUnavailable, cause: "no_configuration", retryAfter: startPause(uptime)}
+		return &localRefusal{status: http.StatusServiceUnavailable, cause: "no_configuration", retryAfter: startRetryAfter(uptime)}
 	}
-	return &ownRefusal{status: http.StatusNotFound, cause: "no_route"}
+	return &localRefusal{status: http.StatusNotFound, cause: "no_route"}
 }
 
-// Times of the pause that callers of a proxy without routes are told to make.
+// Retry delays for callers of a proxy that has no routes yet.
 const (
-	// expectedStart is how long after its start a proxy has its view where the group was
-	// stopped as a whole and one of its disks is lost, so that an election timeout is
-	// waited out: 0.5 s, and 0.2 to 0.4 s until the last of 295 proxies has its view.
-	expectedStart = 900 * time.Millisecond
-	// leastStartPause is the pause of one that has been up for longer.
-	leastStartPause = 200 * time.Millisecond
-	// startSpread keeps callers from coming back together.
-	startSpread = 300 * time.Millisecond
+	// expectedStartup is the time from process start until the view arrives in the slowest
+	// expected case: the whole control group was stopped and one of its disks is lost, so that an
+	// election timeout has to pass. That takes 0.5 s, plus 0.2 to 0.4 s until the last of 295
+	// proxies has its view.
+	expectedStartup = 900 * time.Millisecond
+	// minStartRetryAfter is the delay once the process has been up for longer than that.
+	minStartRetryAfter = 200 * time.Millisecond
+	// startRetryJitter keeps callers from retrying at the same time.
+	startRetryJitter = 300 * time.Millisecond
 )
 
-// startPause is when a process that started so long ago will know the routes. Most callers
-// come back once: one who is told to come too early is lost.
-func startPause(uptime time.Duration) time.Duration {
-	return max(expectedStart-uptime, leastStartPause) + rand.N(startSpread)
+// startRetryAfter returns when a process with the given uptime is expected to have its routes.
+// Most callers retry only once, so a delay that is too short loses the request.
+func startRetryAfter(uptime time.Duration) time.Duration {
+	return max(expectedStartup-uptime, minStartRetryAfter) + rand.N(startRetryJitter)
 }
 
-// readHead reads what stands before the body.
-func (i *Ingress) readHead(r *http.Request) (Call, *ownRefusal) {
+// readHead parses the part of the request before the body.
+func (i *Ingress) readHead(r *http.Request) (Call, *localRefusal) {
 	call, err := i.config.Dialect.Call(r.Header)
 	if err != nil {
-		return call, &ownRefusal{status: http.StatusBadRequest, cause: "invalid_fields"}
+		return call, &localRefusal{status: http.StatusBadRequest, cause: "invalid_fields"}
 	}
 	call.Method = r.Method
 	call.Target = r.RequestURI
@@ -245,20 +246,20 @@
 	return call, nil
 }
 
-// readWhole reads the body of a call that is taken.
-func (i *Ingress) readWhole(w http.ResponseWriter, r *http.Request, routes *routeTable, call *Call) *ownRefusal {
+// readCallBody reads the body of an admitted call.
+func (i *Ingress) readCallBody(w http.ResponseWriter, r *http.Request, routes *routeTable, call *Call) *localRefusal {
 	limit := routes.maxBodyBytes()
 	if r.ContentLength > limit {
-		return &ownRefusal{status: http.StatusRequestEntityTooLarge, cause: "body_too_large"}
+		return &localRefusal{status: http.StatusRequestEntityTooLarge, cause: "body_too_large"}
 	}
 	var err error
 	call.Body, err = readBody(w, r, limit)
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return &ownRefusal{status: http.StatusRequestEntityTooLarge, cause: "body_too_large"}
+		return &localRefusal{status: http.StatusRequestEntityTooLarge, cause: "body_too_large"}
 	case err != nil:
-		return &ownRefusal{status: http.StatusBadRequest, cause: "body_cut"}
+		return &localRefusal{status: http.StatusBadRequest, cause: "body_cut"}
 	}
 	return nil
 }
@@ -275,7 +276,7 @@
 	return io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 }
 
-// rawPath is the path of a request target as it was sent.
+// rawPath returns the path of a request target as it was sent.
 func rawPath(target string) string {
 	if rest, absolute := strings.CutPrefix(target, "http://"); absolute {
 		if slash := strings.IndexByte(rest, '/'); slash >= 0 {
@@ -286,8 +287,8 @@
 	return path
 }
 
-// stripConnectionFields removes the fields that concern the caller's connection,
-// those that its Connection field names among them.
+// stripConnectionFields removes the connection-specific fields, including those that the
+// Connection field lists.
 func stripConnectionFields(header http.Header) {
 	for _, value := range header["Connection"] {
 		for name := range strings.SplitSeq(value, ",") {
@@ -299,28 +300,28 @@
 	}
 }
 
-// serve sees a routed request through.
-func (i *Ingress) serve(w http.ResponseWriter, r *http.Request, call Call, taken admission, arrived time.Duration) {
-	route := taken.route
+// serve processes an admitted request until its final answer.
+func (i *Ingress) serve(w http.ResponseWriter, r *http.Request, call Call, admitted admission, arrived time.Duration) {
+	route := admitted.route
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	service := chooseService(route, random)
 	s := &session{
-		ingress: i, writer: w, call: call, route: route, lane: i.lanes.lane(service), random: random,
-		generation: taken.generation, priority: taken.priority, arrived: arrived, excluded: map[string]bool{}, sentTo: map[string]bool{},
-		life: attempt.New(attempt.Policy{
+		ingress: i, writer: w, call: call, route: route, upstream: i.upstreams.get(service), random: random,
+		generation: admitted.generation, priority: admitted.priority, arrivedAt: arrived, excluded: map[string]bool{}, contacted: map[string]bool{},
+		lifecycle: attempt.New(attempt.Policy{
 			Once:     !route.Idempotent(),
-			Attempts: max(route.Attempts, 1) + maxDials + 1,
+			Attempts: max(route.Attempts, 1) + maxDialFailures + 1,
 		}),
 	}
 	timeout := time.Duration(route.TimeoutMilliseconds) * time.Millisecond
 	s.deadline = arrived + timeout
-	s.callerEnds = s.deadline
+	s.callerDeadline = s.deadline
 	if call.Within > 0 {
-		s.callerEnds = arrived + call.Within
-		s.deadline = min(s.deadline, s.callerEnds)
+		s.callerDeadline = arrived + call.Within
+		s.deadline = min(s.deadline, s.callerDeadline)
 	}
-	if i.isTooLate(i.now(), s.deadline) { // it may have come in slowly
-		i.returnCharge(taken.charge)
+	if i.mayOutlastStop(i.now(), s.deadline) { // the body may have arrived slowly
+		i.returnCharge(admitted.charge)
 		i.finish(s, service, s.refuse(http.StatusServiceUnavailable, causeStopping, minimumRetryAfter))
 		return
 	}
@@ -328,63 +329,64 @@
 	defer end(nil)
 	i.sessions.add(s, end)
 	defer i.sessions.remove(s)
-	defer context.AfterFunc(i.patient, func() { end(errStopping) })()
-	ctx, cancel := context.WithTimeoutCause(ctx, s.left(), errTimeout)
+	defer context.AfterFunc(i.requestContext, func() { end(errStopping) })()
+	ctx, cancel := context.WithTimeoutCause(ctx, s.remaining(), errTimeout)
 	defer cancel()
-	s.life.Dispatch()
-	s.lane.budget.Request(arrived)
+	s.lifecycle.Dispatch()
+	s.upstream.budget.Request(arrived)
 	status := s.run(ctx)
 	s.endTrial()
-	if s.life.Ran() == attempt.RanNo {
-		i.returnCharge(taken.charge)
+	if s.lifecycle.Ran() == attempt.RanNo {
+		i.returnCharge(admitted.charge)
 	}
 	i.finish(s, service, status)
 	if status == 0 || status == statusCallerGone {
-		panic(http.ErrAbortHandler) // cuts the connection: what was sent must not look whole
+		panic(http.ErrAbortHandler) // closes the connection, so that a truncated answer does not look complete
 	}
 }
 
-// causeStopping is told to callers whose request a planned stop leaves no time for.
+// causeStopping is returned to callers whose request cannot finish before a planned stop ends.
 const causeStopping = "stopping"
 
-// plannedStop times a planned stop that has begun.
+// plannedStop holds the times of a planned stop that has begun.
 type plannedStop struct {
-	lateFrom time.Duration // from then on nothing is taken that may not be over by the end
-	endsAt   time.Duration
+	refuseFrom time.Duration // from then on, requests that may outlast the stop are refused
+	endsAt     time.Duration
 }
 
-// isTooLate reports whether a request that was read whole at that time, and may last until its
-// deadline, came so late in a planned stop that it could be cut. No replica has read it, and its
-// caller can ask another proxy at once.
-func (i *Ingress) isTooLate(readAt, deadline time.Duration) bool {
-	stop := i.stop.Load()
-	return stop != nil && readAt >= stop.lateFrom && deadline > stop.endsAt
+// mayOutlastStop reports whether a request whose body was complete at readAt, and which may run
+// until its deadline, arrived so late in a planned stop that it could be cut. No replica has
+// received it yet, so its caller can turn to another proxy at once.
+func (i *Ingress) mayOutlastStop(readAt, deadline time.Duration) bool {
+	stop := i.plannedStop.Load()
+	return stop != nil && readAt >= stop.refuseFrom && deadline > stop.endsAt
 }
 
-// finish counts and logs how a request ended.
+// finish records metrics and the log line of a finished request.
 func (i *Ingress) finish(s *session, service string, status int) {
-	took := i.now() - s.arrived
+	took := i.now() - s.arrivedAt
 	i.metrics.observe(s.route.Name, outcomeOf(status), took)
-	if s.firstAt > 0 {
-		i.metrics.firstEvent.WithLabelValues(s.route.Name).Observe((s.firstAt - s.arrived).Seconds())
+	if s.firstEventAt > 0 {
+		i.metrics.firstEvent.WithLabelValues(s.route.Name).Observe((s.firstEventAt - s.arrivedAt).Seconds())
 	}
 	ended := event.RequestFailed
 	if status == http.StatusOK {
 		switch {
-		case s.confined:
+		case s.wasIsolated:
 			i.guard.Cleared(i.now(), s.fingerprint())
-		case s.named != nil, i.guard.Active():
-			// Named is also one that met its first end itself: no one else knows of it yet.
+		case s.cachedFingerprint != nil, i.guard.Active():
+			// A fingerprint was also computed if this request itself caused the first crash,
+			// which the quarantine record does not contain yet.
 			i.guard.Served(i.now(), s.fingerprint())
 		}
 		ended = event.RequestServed
 	}
 	ended.Log(i.logger, "request", s.call.ID, "fingerprint", s.knownFingerprint(), "route", s.route.Name, "service", service,
-		"generation", s.generation, "status", status, "took_ms", took.Milliseconds(), "first_ms", max(s.firstAt-s.arrived, 0).Milliseconds(), "sends", s.sends,
+		"generation", s.generation, "status", status, "took_ms", took.Milliseconds(), "first_ms", max(s.firstEventAt-s.arrivedAt, 0).Milliseconds(), "sends", s.sendCount,
 		"events", s.events, "tokens", s.call.Work.PromptTokens, "tried", strings.TrimSpace(s.trace.String()))
 }
 
-func (i *Ingress) logRefusal(call *Call, routes *routeTable, refusal *ownRefusal) {
+func (i *Ingress) logRefusal(call *Call, routes *routeTable, refusal *localRefusal) {
 	i.metrics.observe("", outcomeOf(refusal.status), 0)
 	event.RequestRefused.Log(i.logger, "request", call.ID, "host", call.Host, "path", call.Path,
 		"generation", routes.generation, "status", refusal.status, "cause", refusal.cause)
--- a/process/ingress/ingress_test.go
+++ b/process/ingress/ingress_test.go
@@ -63,7 +63,7 @@
 func TestBeforeAnyConfigurationCallersComeBackLater(t *testing.T) {
 	w := newWorld(t)
 	w.views.set(func(v *view.View) { v.Ingresses = nil })
-	w.ingress.table.Store(&tableAt{routes: newRouteTable(nil)})
+	w.ingress.table.Store(&versionedTable{routes: newRouteTable(nil)})
 	must.False(t, w.ingress.Ready())
 	got := w.ask(asked{method: "GET", target: "/safe/", id: "q"})
 	must.Eq(t, http.StatusServiceUnavailable, got.status)
@@ -198,11 +198,11 @@
 func TestRetriesEndWithTheBudget(t *testing.T) {
 	failing := []*fakeReplica{newFakeReplica(t, "r-1", breakOff), newFakeReplica(t, "r-2", breakOff)}
 	w := newWorld(t, failing...)
-	w.ingress.lanes.lane("plain").budget.SetReserve(0)
+	w.ingress.upstreams.get("plain").budget.SetReserve(0)
 	w.ingress.config.Retry.Share = 0
-	w.ingress.lanes.config.Retry = RetryBudget{Window: time.Minute}
-	w.ingress.lanes.open = map[string]*lane{}
-	w.ingress.lanes.version = view.Version{}
+	w.ingress.upstreams.config.Retry = RetryBudget{Window: time.Minute}
+	w.ingress.upstreams.byService = map[string]*upstream{}
+	w.ingress.upstreams.version = view.Version{}
 	w.list(failing...)
 	for range 5 {
 		must.Eq(t, http.StatusBadGateway, w.ask(asked{method: "GET", target: "/safe/", id: "q"}).status)
--- a/process/ingress/lane.go
+++ b/process/ingress/lane.go
@@ -14,69 +14,69 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
-// lane is everything that requests of one service use. Lanes share nothing, so
-// that plain services never wait behind model work.
-type lane struct {
+// upstream holds everything that requests of one service use. Upstreams share nothing, so that
+// plain services never wait for model work.
+type upstream struct {
 	service string
 	pool    *exchange.Pool
 	budget  *retry.Window
 	fleet   *fleet
 	clock   func() time.Duration
-	speed   speed
+	speed   prefillSpeed
 }
 
-// lanes opens a lane for each service that is asked for, and keeps it.
-type lanes struct {
-	config Config
-	clock  func() time.Duration
-	asks   *holdoff.Table
-	// named returns replicas that the group has named beyond those that the view lists; nil
-	// where there are none.
-	named func(name string) *api.Replica
-	// proxies is among how many what all proxies share is divided.
+// upstreams creates an upstream for each requested service and keeps it.
+type upstreams struct {
+	config   Config
+	clock    func() time.Duration
+	holdoffs *holdoff.Table
+	// lookupNamed returns replicas that the control group has named and the view does not list;
+	// nil if there are none.
+	lookupNamed func(name string) *api.Replica
+	// proxies is the number of proxies that share the budgets.
 	proxies atomic.Int64
 
-	lock    sync.Mutex
-	version view.Version
-	listed  listing // of the version
-	open    map[string]*lane
-	sharers sharers
+	lock       sync.Mutex
+	version    view.Version
+	listed     listing // of that version
+	byService  map[string]*upstream
+	proxyCount proxyCount
 }
 
-func newLanes(config Config, clock func() time.Duration) *lanes {
+func newUpstreams(config Config, clock func() time.Duration) *upstreams {
 	asks := holdoff.NewTable(holdoff.Config{Notice: config.LeaveNotice})
-	return &lanes{config: config, clock: clock, asks: asks, open: map[string]*lane{}}
+	return &upstreams{config: config, clock: clock, holdoffs: asks, byService: map[string]*upstream{}}
 }
 
-// lane returns the lane of a service.
-func (l *lanes) lane(service string) *lane {
+// get returns the upstream of a service.
+func (l *upstreams) get(service string) *upstream {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	return l.laneLocked(service)
+	return l.getLocked(service)
 }
 
-func (l *lanes) laneLocked(service string) *lane {
-	if opened := l.open[service]; opened != nil {
+func (l *upstreams) getLocked(service string) *upstream {
+	if opened := l.byService[service]; opened != nil {
 		return opened
 	}
 	pool := exchange.NewPool(exchange.Config{Clock: l.clock})
-	opened := &lane{
+	opened := &upstream{
 		service: service,
 		pool:    pool,
 		clock:   l.clock,
-		fleet:   newFleet(service, pool, l.asks, l.named),
+		fleet:   newFleet(service, pool, l.holdoffs, l.lookupNamed),
 		budget:  retry.NewWindow(shareMargin*l.config.Retry.Share, l.config.Retry.Reserve, l.config.Retry.Window),
 	}
 	opened.budget.HoldReserve(l.config.Retry.Settle)
 	opened.budget.SetReserve(reserveShare(l.config.Retry.Reserve, int(l.proxies.Load())))
 	opened.fleet.follow(l.listed, l.clock())
-	l.open[service] = opened
+	l.byService[service] = opened
 	return opened
 }
 
-// update takes in a view that is newer than the last one. What is in flight to replicas
-// that are gone goes on.
-func (l *lanes) update(current *view.View, now time.Duration) {
+// update applies a view that is newer than the last one. Requests in flight to replicas that are
+// gone continue.
+func (l *upstreams) update(current *view.View, now time.Duration) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	if current.Version.Compare(l.version) <= 0 {
@@ -84,101 +84,100 @@
 	}
 	l.version = current.Version
 	l.listed = current.Replicas
-	proxies := l.sharers.among(len(current.Proxies), now, l.config.Retry.Window)
+	proxies := l.proxyCount.observe(len(current.Proxies), now, l.config.Retry.Window)
 	l.proxies.Store(int64(proxies))
 	share := reserveShare(l.config.Retry.Reserve, proxies)
-	for _, opened := range l.open {
+	for _, opened := range l.byService {
 		opened.fleet.follow(l.listed, now)
 		opened.budget.SetReserve(share)
 	}
-	l.asks.Forget(now)
+	l.holdoffs.Forget(now)
 }
 
-// sharers counts the proxies that share a reserve. One that is not listed any
-// more may still serve, or have spent its part within the window that ends now.
-type sharers struct {
-	most   int
-	mostAt time.Duration // when there were last so many
+// proxyCount counts the proxies that share a reserve. One that is no longer listed may still
+// serve, or may have used its share within the current window.
+type proxyCount struct {
+	max    int
+	maxAt  time.Duration // when that many were last listed
 	listed int
 }
 
-// among returns among how many the reserve is shared when so many are listed.
-func (s *sharers) among(listed int, now, window time.Duration) int {
-	if s.listed == s.most {
-		s.mostAt = now
+// observe records the number of listed proxies and returns the number that share the reserve.
+func (s *proxyCount) observe(listed int, now, window time.Duration) int {
+	if s.listed == s.max {
+		s.maxAt = now
 	}
 	s.listed = listed
-	if listed >= s.most || now-s.mostAt > window {
-		s.most, s.mostAt = listed, now
+	if listed >= s.max || now-s.maxAt > window {
+		s.max, s.maxAt = listed, now
 	}
-	return s.most
+	return s.max
 }
 
-// reserveMargin is the part of the shared reserve that may be used, so that what
-// proxies use that have just started, which know nothing of what was sent before,
-// fits into the rest.
+// reserveMargin is the usable part of the shared reserve. The rest covers proxies that have just
+// started, which do not know what was sent before.
 const reserveMargin = 0.8
 
-// shareMargin is the part of the share of requests that may be used: reads that
-// were under way when the rest was used up may yet be refused.
+// shareMargin is the usable part of the request share. The rest covers prefills that were under
+// way when the budget was used up and may yet be refused.
 const shareMargin = 0.95
 
-// reserveShare is one proxy's part of the reserve that all of them share.
+// reserveShare returns one proxy's part of the shared reserve.
 func reserveShare(reserve float64, proxies int) float64 {
 	return reserve * reserveMargin / float64(max(proxies, 1))
 }
 
-// all returns the open lanes.
-func (l *lanes) all() []*lane {
+// all returns the existing upstreams.
+func (l *upstreams) all() []*upstream {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	return slices.Collect(maps.Values(l.open))
+	return slices.Collect(maps.Values(l.byService))
 }
 
-func (l *lanes) close() {
+func (l *upstreams) close() {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	for _, opened := range l.open {
+	for _, opened := range l.byService {
 		opened.pool.Close()
 	}
 }
 
-// speed is what a lane has learnt of its replicas' pace, with a guess to begin with.
-type speed struct {
+// prefillSpeed estimates the prefill speed of an upstream's replicas.
+type prefillSpeed struct {
 	lock sync.Mutex
-	// perToken is the time that reading one prompt token takes at a replica that
-	// is meant to read prompts.
-	perToken time.Duration
+	// timePerToken is the time to prefill one token on a prefill replica; 0 before the first
+	// measurement.
+	timePerToken time.Duration
 }
 
-// firstPerToken is the guess before anything was measured.
-const firstPerToken = 20 * time.Microsecond
+// initialTimePerToken is the estimate before the first measurement.
+const initialTimePerToken = 20 * time.Microsecond
 
-// speedWeight is the weight of the last measure.
+// speedWeight is the weight of the last measurement in the moving average.
 const speedWeight = 0.05
 
-func (s *speed) tokenTime() time.Duration {
+func (s *prefillSpeed) tokenTime() time.Duration {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if s.perToken == 0 {
-		return firstPerToken
+	if s.timePerToken == 0 {
+		return initialTimePerToken
 	}
-	return s.perToken
+	return s.timePerToken
 }
 
-// learn takes in that reading so many tokens took so long, waits included.
-func (s *speed) learn(tokens int, took time.Duration) {
-	if tokens < minimumMeasured {
+// learn records the duration of a prefill of that many tokens, including waits.
+func (s *prefillSpeed) learn(tokens int, took time.Duration) {
+	if tokens < minMeasuredTokens {
 		return
 	}
 	measured := took / time.Duration(tokens)
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if s.perToken == 0 {
-		s.perToken = firstPerToken
+	if s.timePerToken == 0 {
+		s.timePerToken = initialTimePerToken
 	}
-	s.perToken += time.Duration(speedWeight * float64(measured-s.perToken))
+	s.timePerToken += time.Duration(speedWeight * float64(measured-s.timePerToken))
 }
 
-// minimumMeasured is how many tokens a read must have for its time to tell the pace.
-const minimumMeasured = 1000
+// minMeasuredTokens is the shortest prefill whose duration is used for the estimate.
+const minMeasuredTokens = 1000
--- a/process/ingress/model_test.go
+++ b/process/ingress/model_test.go
@@ -293,8 +293,8 @@
 			w.ingress.placer = placer
 			if test.handler == nil {
 				w.withReserve(0)
-				w.ingress.lanes.lane("model").budget.Force(w.ingress.now())
-				w.ingress.lanes.lane("model").find("read").failureRate = 1
+				w.ingress.upstreams.get("model").budget.Force(w.ingress.now())
+				w.ingress.upstreams.get("model").find("read").failureRate = 1
 			}
 			inFlight := 0
 			generator.server.Config.Handler = after(generator.server.Config.Handler, func() {
@@ -316,7 +316,7 @@
 	before, now := newFakeReplica(t, "r-1", answerOK), newFakeReplica(t, "r-1", answerOK)
 	w := newWorld(t, before)
 	must.Eq(t, http.StatusOK, w.ask(asked{method: "GET", target: "/safe/", id: "q-1"}).status)
-	lane := w.ingress.lanes.lane("plain")
+	lane := w.ingress.upstreams.get("plain")
 	must.True(t, lane.pool.Idle(before.address()))
 	w.list(now)
 	must.Eq(t, http.StatusOK, w.ask(asked{method: "GET", target: "/safe/", id: "q-2"}).status)
@@ -328,7 +328,7 @@
 func TestHandleIsFreedByTheNameOfItsReplica(t *testing.T) {
 	reader := newFakeReplica(t, "read", answerOK)
 	w := newWorld(t)
-	freeing := session{ingress: w.ingress, lane: w.ingress.lanes.lane("model")}
+	freeing := session{ingress: w.ingress, upstream: w.ingress.upstreams.get("model")}
 	freeing.release(Source{Replica: "read", Address: reader.address(), Handle: "h"})
 	eventually(t, "the call", func() bool { return reader.count() == 1 })
 	must.Eq(t, "read", reader.requests[0].Header.Get(testReplica))
--- a/process/ingress/older_view_test.go
+++ b/process/ingress/older_view_test.go
@@ -47,12 +47,12 @@
 			v.Ingresses = map[string]*api.Ingress{api.IngressName: next}
 		})
 		w.ingress.routes()
-		learnt = w.ingress.lanes.lane("plain").find(added.name)
+		learnt = w.ingress.upstreams.get("plain").find(added.name)
 		must.NotNil(t, learnt)
 	}
 	w.ingress.routes()
 
-	lane := w.ingress.lanes.lane("plain")
+	lane := w.ingress.upstreams.get("plain")
 	must.True(t, lane.find(leaving.name).listed().Leaving)
 	must.True(t, lane.find(added.name) == learnt)
 	must.Eq(t, testIngress().Spec.Generation+1, w.ingress.table.Load().routes.generation)
--- a/process/ingress/overdue.go
+++ b/process/ingress/overdue.go
@@ -33,7 +33,7 @@
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	for s, end := range t.ends {
-		if s.left() <= 0 {
+		if s.remaining() <= 0 {
 			end(errTimeout)
 		}
 	}
--- a/process/ingress/pick.go
+++ b/process/ingress/pick.go
@@ -9,50 +9,53 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// Costs by which replicas are compared, in time.
+// Costs by which replicas are compared, as times.
 const (
-	// requestCost is what each request that a model replica has adds to another.
+	// requestCost is the delay that each request on a model replica adds to another one.
 	requestCost = 3 * time.Millisecond
-	// plainCost is what each request that a plain replica has adds to another.
+	// plainCost is the delay that each request on a plain replica adds to another one.
 	plainCost = 10 * time.Millisecond
-	// otherZoneCost is what crossing zones is worth avoiding.
+	// otherZoneCost is the cost of crossing zones.
 	otherZoneCost = 3 * time.Millisecond
-	// failureCost is what a replica that always fails costs.
+	// failureCost is the cost of a replica that always fails.
 	failureCost = 2 * time.Second
-	// spreadCost is the most by which chance moves a cost: proxies that know
-	// nothing of each other would all take the same one of several equal replicas.
+	// spreadCost is the maximum random addition to a cost. Without it, proxies that decide
+	// independently would all pick the same one of several equal replicas.
 	spreadCost = 20 * time.Millisecond
-	// fullCost keeps requests off replicas without a free place.
+	// fullCost diverts requests from replicas without a free slot.
 	fullCost = 300 * time.Millisecond
 )
 
-// choice is a replica and what a request is expected to wait there.
+// choice is a replica and the expected wait of a request there.
 type choice struct {
-	replica  *replica
-	cost     time.Duration
-	uncached int // prompt tokens to be read there
+	replica        *replica
+	cost           time.Duration
+	uncachedTokens int // prompt tokens that it would have to prefill
 }
 
-// wanted says which replicas may be picked.
-type wanted struct {
+// replicaFilter selects the replicas that may be picked.
+type replicaFilter struct {
 	roles    []api.EngineRole
 	excluded map[string]bool
 }
 
-func (w *wanted) fits(candidate *replica, now time.Duration) bool {
+func (w *replicaFilter) matches(candidate *replica, now time.Duration) bool {
 	return !w.excluded[candidate.name] && candidate.takes(now) && w.hasRole(candidate)
 }
 
 // hasRole reports whether the replica has one of the roles.
-func (w *wanted) hasRole(candidate *replica) bool { return w.includes(candidate.listed().Role) }
+func (w *replicaFilter) hasRole(candidate *replica) bool {
+	return w.includesRole(candidate.listed().Role)
+}
 
-func (w *wanted) includes(role api.EngineRole) bool {
+func (w *replicaFilter) includesRole(role api.EngineRole) bool {
 	return role == api.RoleNone || slices.Contains(w.roles, role)
 }
 
-// pickPlain returns the cheapest of two replicas drawn at random, or nil.
-func (l *lane) pickPlain(zone string, excluded map[string]bool, now time.Duration, random *rand.Rand) *replica {
-	candidates := l.candidates(&wanted{roles: []api.EngineRole{api.RoleNone}, excluded: excluded}, now)
+// pickPlain returns the cheapest available replica, or nil. A random one is preferred among
+// equals.
+func (l *upstream) pickPlain(zone string, excluded map[string]bool, now time.Duration, random *rand.Rand) *replica {
+	candidates := l.candidates(&replicaFilter{roles: []api.EngineRole{api.RoleNone}, excluded: excluded}, now)
 	if len(candidates) == 0 {
 		return nil
 	}
@@ -67,10 +70,10 @@
 }
 
 func (r *replica) plainCost(zone string, now time.Duration) time.Duration {
-	seen := r.occupancy(now)
-	work := time.Duration(seen.requests+1) * plainCost // with the one that is to be placed
-	cost := time.Duration(seen.slowdown*float64(work)) + time.Duration(seen.failureRate*float64(failureCost))
-	if seen.slots > 0 && seen.requests >= seen.slots {
+	occupied := r.occupancy(now)
+	work := time.Duration(occupied.requests+1) * plainCost // including the request to be placed
+	cost := time.Duration(occupied.slowdown*float64(work)) + time.Duration(occupied.failureRate*float64(failureCost))
+	if occupied.slots > 0 && occupied.requests >= occupied.slots {
 		cost += fullCost
 	}
 	if r.listed().Zone != zone {
@@ -79,40 +82,40 @@
 	return cost
 }
 
-// candidates returns the replicas that fit, without the suspects unless nothing
-// else is left.
-func (l *lane) candidates(w *wanted, now time.Duration) []*replica {
-	var sound, suspects []*replica
+// candidates returns the matching replicas. Suspect ones are returned only if there are no
+// others.
+func (l *upstream) candidates(w *replicaFilter, now time.Duration) []*replica {
+	var healthy, suspects []*replica
 	for _, candidate := range l.fleet.choices(now) {
 		switch {
-		case !w.fits(candidate, now):
+		case !w.matches(candidate, now):
 		case candidate.isSuspect(now):
 			suspects = append(suspects, candidate)
 		default:
-			sound = append(sound, candidate)
+			healthy = append(healthy, candidate)
 		}
 	}
-	if len(sound) == 0 {
+	if len(healthy) == 0 {
 		return suspects
 	}
-	return sound
+	return healthy
 }
 
-// homes is how many replicas a shared part of a prompt belongs to by hashing,
-// so that proxies that know nothing of each other send it to the same ones.
-const homes = 2
+// affinityReplicas is the number of replicas to which hashing assigns a shared part of a prompt,
+// so that proxies that decide independently choose the same ones.
+const affinityReplicas = 2
 
-// pickModel returns the replica of the roles at which the call is expected to
-// wait least, or none. pace is the time to read one token there.
-func (l *lane) pickModel(w *wanted, call *Call, zone string, pace, now time.Duration, random *rand.Rand) (choice, bool) {
+// pickModel returns the replica with one of the roles at which the call is expected to wait
+// least, and false if there is none. pace is the time to prefill one token there.
+func (l *upstream) pickModel(w *replicaFilter, call *Call, zone string, pace, now time.Duration, random *rand.Rand) (choice, bool) {
 	candidates := l.candidates(w, now)
 	if len(candidates) == 0 {
 		return choice{}, false
 	}
-	near := l.homesOf(call, candidates)
+	preferred := l.affinityReplicasOf(call, candidates)
 	var best choice
 	for i, candidate := range candidates {
-		considered := candidate.modelCost(call, near[candidate.name], zone, pace, now)
+		considered := candidate.modelCost(call, preferred[candidate.name], zone, pace, now)
 		considered.cost += time.Duration(random.Int64N(int64(spreadCost)))
 		if i == 0 || considered.cost < best.cost {
 			best = considered
@@ -121,28 +124,28 @@
 	return best, true
 }
 
-func (r *replica) modelCost(call *Call, home bool, zone string, pace, now time.Duration) choice {
-	seen := r.occupancy(now)
+func (r *replica) modelCost(call *Call, preferred bool, zone string, pace, now time.Duration) choice {
+	occupied := r.occupancy(now)
 	cached := r.cachedTokens(call.Work.Parts)
-	if home {
-		// The part was probably read there for another proxy.
+	if preferred {
+		// Another proxy has probably had the part prefilled there.
 		cached = max(cached, sharedTokens(call.Work.Parts)*3/4)
 	}
 	uncached := max(call.Work.PromptTokens-cached, 0)
-	cost := time.Duration(seen.requests) * requestCost
-	cost += time.Duration(seen.slowdown * float64(time.Duration(seen.waitingTokens+uncached)*pace))
-	cost += time.Duration(seen.failureRate * float64(failureCost))
-	if seen.slots > 0 && seen.requests >= seen.slots {
+	cost := time.Duration(occupied.requests) * requestCost
+	cost += time.Duration(occupied.slowdown * float64(time.Duration(occupied.waitingTokens+uncached)*pace))
+	cost += time.Duration(occupied.failureRate * float64(failureCost))
+	if occupied.slots > 0 && occupied.requests >= occupied.slots {
 		cost += fullCost
 	}
 	if r.listed().Zone != zone {
 		cost += otherZoneCost
 	}
-	return choice{replica: r, cost: cost, uncached: uncached}
+	return choice{replica: r, cost: cost, uncachedTokens: uncached}
 }
 
-// sharedTokens is the length of the parts that other requests may have; the
-// last one belongs to the request or its session alone.
+// sharedTokens returns the length of the parts that other requests may share. The last part is
+// specific to the request or its session.
 func sharedTokens(parts []Part) int {
 	tokens := 0
 	for i := 0; i+1 < len(parts); i++ {
@@ -151,9 +154,9 @@
 	return tokens
 }
 
-// homesOf ranks the candidates by a hash of the last shared part and the
-// replica's name, which moves few parts when replicas come and go.
-func (l *lane) homesOf(call *Call, candidates []*replica) map[string]bool {
+// affinityReplicasOf ranks the candidates by a hash of the last shared part and the replica's
+// name (rendezvous hashing), which reassigns few parts when replicas come and go.
+func (l *upstream) affinityReplicasOf(call *Call, candidates []*replica) map[string]bool {
 	parts := call.Work.Parts
 	if len(parts) < 2 {
 		return nil
@@ -163,7 +166,7 @@
 		name string
 		rank uint64
 	}
-	var top [homes]ranked
+	var top [affinityReplicas]ranked
 	for _, candidate := range candidates {
 		next := ranked{name: candidate.name, rank: xxhash.Sum64String(key + "/" + candidate.name)}
 		for i := range top {
@@ -172,9 +175,9 @@
 			}
 		}
 	}
-	near := make(map[string]bool, homes)
+	result := make(map[string]bool, affinityReplicas)
 	for _, chosen := range top {
-		near[chosen.name] = true
+		result[chosen.name] = true
 	}
-	return near
+	return result
 }
--- a/process/ingress/placed.go
+++ b/process/ingress/placed.go
@@ -12,112 +12,111 @@
 	"github.com/landingtrail/landingtrail/request/placement"
 )
 
-// placeTimeout is how long a decision of the control group is waited for before
-// this proxy decides by what it knows itself.
+// placeTimeout is how long to wait for a decision of the control group before this proxy decides
+// by itself.
 const placeTimeout = 30 * time.Millisecond
 
-// place asks the control group where the request goes, again after each wait
-// that it is told to make; false when the group does not answer in time or names
-// replicas that do not take requests by what is known here. It returns early
-// when ctx ends.
+// place asks the control group where to send the request, again after each wait that it demands.
+// It returns false if the control group does not answer in time or names replicas that do not
+// accept requests according to this proxy. It returns early when ctx ends.
 func (s *session) place(ctx context.Context) (plan, bool) {
 	if s.ingress.placer == nil {
 		return plan{}, false
 	}
 	number := s.ingress.numbers.Add(1)
-	placedAgain := 0
+	replacements := 0
 	for {
-		ask := s.ask()
+		ask := s.placementAsk()
 		answer, err := s.askPlace(ctx, number, ask)
 		if err != nil {
 			s.trace.WriteString(" unplaced")
-			s.forgo(number)
+			s.abandonPlacement(number)
 			return plan{}, false
 		}
 		if answer.Name {
-			s.ingress.namesTill.Store(int64(s.ingress.now() + namesTime))
+			s.ingress.fingerprintsUntil.Store(int64(s.ingress.now() + fingerprintTime))
 			continue
 		}
 		if answer.Refused {
 			return plan{refused: true, retryAfter: answer.RetryAfter}, true
 		}
 		if answer.Wait <= 0 {
-			chosen, found := s.planOf(ask, answer, number)
-			if !found && placedAgain < mostPlacedAgain && s.namesClosed(answer) {
-				placedAgain++
-				continue // the next question names it as excluded
+			chosen, found := s.planFromAnswer(ask, answer, number)
+			if !found && replacements < maxReplacements && s.namesHeldOff(answer) {
+				replacements++
+				continue // the next placement request lists it as excluded
 			}
 			return chosen, found
 		}
 		fmt.Fprintf(&s.trace, " waits(%s)", answer.Wait.Round(time.Millisecond))
 		event.RequestWaits.Log(s.ingress.logger, "request", s.call.ID, "generation", s.generation, "wait_ms", answer.Wait.Milliseconds())
-		if !pause.For(ctx, min(answer.Wait, longestWait)) {
+		if !pause.For(ctx, min(answer.Wait, maxPlacementWait)) {
 			return plan{}, false
 		}
-		s.ingress.routes() // takes in what the list and the record say by now
-		if _, held := s.held(); held {
-			return plan{held: true}, true // it is told so now, and waits for no place any more
+		s.ingress.routes() // applies the latest list of replicas and quarantine record
+		if _, held := s.quarantineHold(); held {
+			return plan{quarantined: true}, true // refused now instead of waiting on
 		}
 	}
 }
 
-// mostPlacedAgain bounds how often a request is placed again whose replica has asked this
-// proxy for a pause while the answer was on its way. Asked again, the group keeps requests
-// apart that may end replicas, which a proxy that chooses by itself does not.
-const mostPlacedAgain = 3
+// maxReplacements limits how often a request is placed again because the chosen replica asked
+// this proxy for a pause in the meantime. Asking the control group again is preferable to a local
+// choice, since only the control group isolates requests that may crash replicas.
+const maxReplacements = 3
 
-// namesClosed reports whether an answer names a replica that is to be sent nothing.
-func (s *session) namesClosed(answer placement.Answer) bool {
+// namesHeldOff reports whether an answer names a replica that must not be sent anything.
+func (s *session) namesHeldOff(answer placement.Answer) bool {
 	for _, name := range []string{answer.Generator, answer.Reader} {
-		if found := s.lane.find(name); found != nil && found.asks.State(s.ingress.now()) == holdoff.Closed {
+		if found := s.upstream.find(name); found != nil && found.asks.State(s.ingress.now()) == holdoff.Closed {
 			return true
 		}
 	}
 	return false
 }
 
-// forgo tells the group that a decision is not followed, should one still be made: it
-// would hold its place on the board until the request's time is over.
-func (s *session) forgo(number uint64) {
+// abandonPlacement tells the control group that a decision, if still made, will not be followed.
+// Otherwise it would occupy its place on the placement board until the request's deadline.
+func (s *session) abandonPlacement(number uint64) {
 	s.ingress.placer.NotePlaced(feed.PlaceNote{
-		Service: s.lane.service, Number: number, Note: placement.Note{Step: placement.StepEnded},
+		Service: s.upstream.service, Number: number, Note: placement.Note{Step: placement.StepEnded},
 	})
 }
 
-// namesTime is for how long after the control group has asked for names all questions
-// bring one: asked for each, it would cost a round trip.
-const namesTime = 5 * time.Second
+// fingerprintTime is how long all placement requests include the fingerprint after the control
+// group has asked for one. Asking for each would cost a round trip.
+const fingerprintTime = 5 * time.Second
 
-// longestWait is how long a request waits before it is placed again: what it
-// waits for may be over sooner than expected, or not come at all.
-const longestWait = 200 * time.Millisecond
+// maxPlacementWait limits each wait before a request is placed again: its reason may end earlier
+// than estimated, or not at all.
+const maxPlacementWait = 200 * time.Millisecond
 
 func (s *session) askPlace(ctx context.Context, number uint64, ask placement.Ask) (placement.Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, placeTimeout)
 	defer cancel()
-	return s.ingress.placer.Place(ctx, feed.PlaceRequest{Service: s.lane.service, Number: number, Ask: ask})
+	return s.ingress.placer.Place(ctx, feed.PlaceRequest{Service: s.upstream.service, Number: number, Ask: ask})
 }
 
-// planOf finds the replicas that an answer names.
-func (s *session) planOf(ask placement.Ask, answer placement.Answer, number uint64) (plan, bool) {
+// planFromAnswer resolves the replicas that an answer names.
+func (s *session) planFromAnswer(ask placement.Ask, answer placement.Answer, number uint64) (plan, bool) {
 	if answer.Generator == "" {
-		return plan{}, true // no replica takes it
+		return plan{}, true // no replica accepts the request
 	}
-	decided := s.track(ask, answer, number)
+	tracked := s.track(ask, answer, number)
 	chosen := plan{
-		target:   s.lane.find(answer.Generator),
-		reader:   s.lane.find(answer.Reader),
-		fetch:    s.lane.find(answer.Fetch),
-		uncached: answer.Unread,
-		estimate: answer.Estimate,
-		placed:   decided,
-		deferred: answer.Deferred,
-		alone:    answer.Alone,
+		target:         s.upstream.find(answer.Generator),
+		prefiller:      s.upstream.find(answer.Reader),
+		cacheSource:    s.upstream.find(answer.Fetch),
+		uncachedTokens: answer.Unread,
+		estimate:       answer.Estimate,
+		tracked:        tracked,
+		deferred:       answer.Deferred,
+		isolated:       answer.Alone,
 	}
-	s.confined = s.confined || answer.Alone
+	s.wasIsolated = s.wasIsolated || answer.Alone
 	now := s.ingress.now()
-	if !known(answer.Generator, chosen.target, now) || !known(answer.Reader, chosen.reader, now) {
-		decided.note(placement.StepEnded, "", 0)
+	if !isUsable(answer.Generator, chosen.target, now) || !isUsable(answer.Reader, chosen.prefiller, now) {
+		tracked.note(placement.StepEnded, "", 0)
 		s.trace.WriteString(" unknown_replica")
 		return plan{}, false
 	}
@@ -128,14 +127,14 @@
 	return chosen, true
 }
 
-// known reports whether a named replica takes requests by what this proxy knows,
-// which may be newer than what the member knew that named it.
-func known(name string, found *replica, now time.Duration) bool {
+// isUsable reports whether a named replica accepts requests according to this proxy, whose
+// information may be newer than that of the member that named it.
+func isUsable(name string, found *replica, now time.Duration) bool {
 	return name == "" || found != nil && found.takes(now)
 }
 
-// objective is the time from the request's arrival within which the first event
-// is to come; 0 where nothing is promised or it has come.
+// objective returns the time from arrival within which the first event is due; 0 if there is no
+// objective or the event has been received.
 func (s *session) objective() time.Duration {
 	if s.events > 0 {
 		return 0
@@ -143,16 +142,16 @@
 	return milliseconds(s.route.ObjectiveMilliseconds)
 }
 
-// firstWithin is how long the first event is of any use.
-func (s *session) firstWithin() time.Duration {
+// firstEventTimeout returns the time after which a first event is of no more use.
+func (s *session) firstEventTimeout() time.Duration {
 	silence := s.ingress.config.Silence.of(s.route)
 	if silence == 0 || s.events > 0 {
-		return s.left()
+		return s.remaining()
 	}
-	return min(s.left(), silence-(s.ingress.now()-s.arrived))
+	return min(s.remaining(), silence-(s.ingress.now()-s.arrivedAt))
 }
 
-func (s *session) ask() placement.Ask {
+func (s *session) placementAsk() placement.Ask {
 	ask := placement.Ask{
 		Prompt:    s.call.Work.PromptTokens,
 		Output:    s.call.Work.OutputTokens,
@@ -160,13 +159,13 @@
 		Zone:      s.ingress.config.Zone,
 		Tenant:    s.call.Tenant,
 		Objective: s.objective(),
-		Age:       s.ingress.now() - s.arrived,
-		Deadline:  s.firstWithin(),
+		Age:       s.ingress.now() - s.arrivedAt,
+		Deadline:  s.firstEventTimeout(),
 		Excluded:  s.avoided(),
-		Connected: s.lane.connected(),
-		Continued: s.call.ResumeAfter != "" || s.lastEvent != "",
+		Connected: s.upstream.connectedReplicas(),
+		Continued: s.call.ResumeAfter != "" || s.lastEventID != "",
 	}
-	if int64(s.ingress.now()) < s.ingress.namesTill.Load() {
+	if int64(s.ingress.now()) < s.ingress.fingerprintsUntil.Load() {
 		fingerprint := s.fingerprint()
 		ask.Name = string(fingerprint[:])
 	}
@@ -176,12 +175,12 @@
 	return ask
 }
 
-// maxConnected bounds the replicas that a question names as connected to: more are
-// hardly used before their connections are closed as idle.
+// maxConnected limits the replicas that a placement request lists as connected. With more, most
+// are hardly used before their connections are closed as idle.
 const maxConnected = 64
 
-// connected returns the replicas to which a connection is kept for the next request.
-func (l *lane) connected() []string {
+// connectedReplicas returns the replicas to which an idle connection is open.
+func (l *upstream) connectedReplicas() []string {
 	var names []string
 	for _, known := range l.fleet.used() {
 		if len(names) == maxConnected {
@@ -194,5 +193,5 @@
 	return names
 }
 
-// find returns the listed replica of the name, or nil.
-func (l *lane) find(name string) *replica { return l.fleet.find(name, l.clock()) }
+// find returns the listed replica with that name, or nil.
+func (l *upstream) find(name string) *replica { return l.fleet.find(name, l.clock()) }
--- a/process/ingress/plan.go
+++ b/process/ingress/plan.go
@@ -8,121 +8,122 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// plan is where the next send goes.
+// plan is the destination of the next send.
 type plan struct {
 	target *replica
-	// reader reads the prompt first; nil when the target does it itself.
-	reader *replica
-	// fetch keeps parts of the prompt that whoever reads it takes from there.
-	fetch    *replica
-	uncached int
-	estimate time.Duration // to the first token
-	placed   *placed       // nil without a control group to be told
-	// deferred lets the requests go first that can be in time.
+	// prefiller prefills the prompt first; nil if the target does it itself.
+	prefiller *replica
+	// cacheSource holds cached parts of the prompt that the prefilling replica fetches.
+	cacheSource    *replica
+	uncachedTokens int
+	estimate       time.Duration // of the time to the first token
+	tracked        *placed       // nil without a control group
+	// deferred gives precedence to requests that can still meet their objective.
 	deferred bool
-	// alone says that nothing else is in flight at the target, since the request may end it.
-	alone bool
-	// refused says that the request goes nowhere: it would not be answered before
-	// its deadline, and may come back after so long.
+	// isolated is true if nothing else is in flight at the target, because the request may crash
+	// it.
+	isolated bool
+	// refused is true if the request is sent nowhere, because it would not be answered before its
+	// deadline. The caller may retry after retryAfter.
 	refused    bool
 	retryAfter time.Duration
-	// pausing says that this is since all replicas that could take it have asked for a pause.
-	pausing bool
-	// held says that the request was found to end replicas while it waited for a place.
-	held bool
+	// heldOff is true if it is refused because all eligible replicas have asked for a pause.
+	heldOff bool
+	// quarantined is true if the request was found to crash replicas while it waited for its
+	// placement.
+	quarantined bool
 }
 
-// deferredPriority is the least urgent one that replicas know.
+// deferredPriority is the lowest priority that replicas know.
 const deferredPriority = 9
 
-// readPriority is that of a send which has the prompt read.
-func (p *plan) readPriority(own int) int {
+// prefillPriority returns the priority of a send that includes the prefill.
+func (p *plan) prefillPriority(own int) int {
 	if p.deferred {
 		return deferredPriority
 	}
 	return own
 }
 
-// runPriority is that of a run. One that takes a read prompt over is let in
-// first: there is little left to be done, and until then it keeps the memory of
-// two replicas.
+// runPriority returns the priority of a run. One that takes over a prefilled prompt keeps its own
+// priority even if deferred: little work is left, and until it is done the prompt occupies memory
+// on two replicas.
 func (p *plan) runPriority(own int, source Source) int {
 	if source.Handle != "" {
 		return own
 	}
-	return p.readPriority(own)
+	return p.prefillPriority(own)
 }
 
-// fetchAddress is where parts of the prompt are taken from, empty for nowhere.
+// fetchAddress returns the address to fetch cached parts of the prompt from; empty for none.
 func (p *plan) fetchAddress() string {
-	if p.fetch == nil {
+	if p.cacheSource == nil {
 		return ""
 	}
-	return p.fetch.listed().Address
+	return p.cacheSource.listed().Address
 }
 
-// fetchOf is where the target takes parts from: nowhere when the prompt was read
-// for it elsewhere.
-func (p *plan) fetchOf(source Source) string {
-	if source.Handle != "" || p.reader != nil {
+// runFetchAddress returns the address from which the target fetches cached parts; empty if
+// another replica has prefilled the prompt for it.
+func (p *plan) runFetchAddress(source Source) string {
+	if source.Handle != "" || p.prefiller != nil {
 		return ""
 	}
 	return p.fetchAddress()
 }
 
-// choose decides where the next send goes; the target is nil if no replica
-// takes the request.
+// choose decides where the next send goes. The target is nil if no replica accepts the request.
 func (s *session) choose(ctx context.Context) plan {
-	s.ingress.routes() // takes in what the list says by now
+	s.ingress.routes() // applies the latest list of replicas
 	now := s.ingress.now()
 	zone := s.ingress.config.Zone
-	if wait, pausing := s.lane.allPause(now); pausing {
-		return plan{refused: true, retryAfter: wait, pausing: true}
+	if wait, heldOff := s.upstream.allPause(now); heldOff {
+		return plan{refused: true, retryAfter: wait, heldOff: true}
 	}
 	if s.call.Work.PromptTokens == 0 {
-		return plan{target: s.lane.pickPlain(zone, s.excluded, now, s.random)}
+		return plan{target: s.upstream.pickPlain(zone, s.excluded, now, s.random)}
 	}
 	if chosen, decided := s.placeApart(ctx); decided {
-		s.ingress.metrics.choices.WithLabelValues(s.lane.service, chosenByGroup).Inc()
+		s.ingress.metrics.choices.WithLabelValues(s.upstream.service, chosenByGroup).Inc()
 		return chosen
 	}
-	s.ingress.metrics.choices.WithLabelValues(s.lane.service, chosenByProxy).Inc()
+	s.ingress.metrics.choices.WithLabelValues(s.upstream.service, chosenByProxy).Inc()
 	chosen := s.chooseModel(zone, s.ingress.now())
 	s.trackOwn(&chosen)
 	return chosen
 }
 
-// directPenalty is how much longer a prompt counts that is read between other
-// requests' tokens, which it delays: it is read at half the pace there.
+// directPenalty is the cost factor of a prefill on a decode replica, which runs at half the pace
+// there and delays the tokens of other requests.
 const directPenalty = 2.5
 
-// handoverCost is what moving a read prompt to another replica takes.
+// handoverCost is the time to move a prefilled prompt to another replica.
 const handoverCost = 15 * time.Millisecond
 
-// chooseModel compares reading the prompt where the tokens are made with reading
-// it at a replica that does nothing else and moving it.
+// chooseModel compares a prefill on the decode replica itself with one on a dedicated prefill
+// replica followed by a transfer.
 func (s *session) chooseModel(zone string, now time.Duration) plan {
-	pace := s.lane.speed.tokenTime()
-	slow := time.Duration(float64(pace) * directPenalty)
-	whole := &wanted{roles: []api.EngineRole{api.RoleDecode, api.RoleMixed}, excluded: s.excluded}
-	direct, found := s.lane.pickModel(whole, &s.call, zone, slow, now, s.random)
+	pace := s.upstream.speed.tokenTime()
+	directPace := time.Duration(float64(pace) * directPenalty)
+	decoders := &replicaFilter{roles: []api.EngineRole{api.RoleDecode, api.RoleMixed}, excluded: s.excluded}
+	direct, found := s.upstream.pickModel(decoders, &s.call, zone, directPace, now, s.random)
 	if !found {
 		return plan{}
 	}
-	readers := &wanted{roles: []api.EngineRole{api.RolePrefill}, excluded: s.excluded}
-	reader, haveReader := s.lane.pickModel(readers, &s.call, zone, pace, now, s.random)
-	if !haveReader || s.call.ResumeAfter != "" || s.lastEvent != "" {
-		return plan{target: direct.replica, uncached: direct.uncached}
+	prefillers := &replicaFilter{roles: []api.EngineRole{api.RolePrefill}, excluded: s.excluded}
+	prefiller, havePrefiller := s.upstream.pickModel(prefillers, &s.call, zone, pace, now, s.random)
+	if !havePrefiller || s.call.ResumeAfter != "" || s.lastEventID != "" {
+		return plan{target: direct.replica, uncachedTokens: direct.uncachedTokens}
 	}
-	generator, _ := s.lane.pickGenerator(whole, zone, now, s.random)
-	split := reader.cost + generator.cost + handoverCost
+	decoder, _ := s.upstream.pickDecoder(decoders, zone, now, s.random)
+	split := prefiller.cost + decoder.cost + handoverCost
 	if split < direct.cost {
-		return plan{target: generator.replica, reader: reader.replica, uncached: reader.uncached, estimate: split}
+		return plan{target: decoder.replica, prefiller: prefiller.replica, uncachedTokens: prefiller.uncachedTokens, estimate: split}
 	}
-	return plan{target: direct.replica, uncached: direct.uncached}
+	return plan{target: direct.replica, uncachedTokens: direct.uncachedTokens}
 }
 
-// pickGenerator returns the replica that makes tokens fastest now.
-func (l *lane) pickGenerator(w *wanted, zone string, now time.Duration, random *rand.Rand) (choice, bool) {
+// pickDecoder returns the replica that currently generates tokens fastest.
+func (l *upstream) pickDecoder(w *replicaFilter, zone string, now time.Duration, random *rand.Rand) (choice, bool) {
 	return l.pickModel(w, &Call{}, zone, 0, now, random)
 }
--- a/process/ingress/prefill.go
+++ b/process/ingress/prefill.go
@@ -24,13 +24,13 @@
 // retry however they end.
 func (s *session) grantRead(reader *replica) bool {
 	now := s.ingress.now()
-	granted := reader.reliable() || !s.lane.budget.Overdrawn(now)
-	if s.reads > 0 {
-		granted = s.lane.budget.Withdraw(now)
+	granted := reader.reliable() || !s.upstream.budget.Overdrawn(now)
+	if s.prefillCount > 0 {
+		granted = s.upstream.budget.Withdraw(now)
 	}
 	if !granted {
 		s.trace.WriteString(" read_budget")
-		s.ingress.metrics.retriesRefused.WithLabelValues(s.lane.service).Inc()
+		s.ingress.metrics.retriesRefused.WithLabelValues(s.upstream.service).Inc()
 	}
 	return granted
 }
@@ -40,19 +40,19 @@
 // of the request: it may fail in any way and harms nothing. The first one costs
 // a retry of the budget only if it is refused.
 func (s *session) prefill(ctx context.Context, chosen plan) Source {
-	if !chosen.reader.takes(s.ingress.now()) {
-		s.withhold(stageRead, chosen.reader)
-		chosen.placed.note(placement.StepUnread, chosen.reader.name, 0)
+	if !chosen.prefiller.takes(s.ingress.now()) {
+		s.withhold(stagePrefill, chosen.prefiller)
+		chosen.tracked.note(placement.StepUnread, chosen.prefiller.name, 0)
 		return Source{}
 	}
-	if !s.grantRead(chosen.reader) {
-		chosen.placed.note(placement.StepUnread, chosen.reader.name, 0)
+	if !s.grantRead(chosen.prefiller) {
+		chosen.tracked.note(placement.StepUnread, chosen.prefiller.name, 0)
 		return Source{}
 	}
-	s.reads++
+	s.prefillCount++
 	source, refused := s.read(ctx, chosen)
-	if refused && s.reads == 1 {
-		s.lane.budget.Force(s.ingress.now())
+	if refused && s.prefillCount == 1 {
+		s.upstream.budget.Force(s.ingress.now())
 	}
 	return source
 }
@@ -67,26 +67,26 @@
 // up, or that nobody knows: the run that follows may then count as a second send. A
 // reader that answered with a failure of its own has taken it up.
 func (s *session) read(ctx context.Context, chosen plan) (source Source, refused bool) {
-	reader, uncached := chosen.reader, chosen.uncached
+	reader, uncached := chosen.prefiller, chosen.uncachedTokens
 	began := s.ingress.now()
 	sent := reader.begin(began, uncached)
 	defer reader.end(sent)
 	request := s.request(chosen, Source{})
 	s.ingress.config.Dialect.Attempt(request.Header, Attempt{
 		Replica:  reader.name,
-		Within:   s.replicaTime(),
-		Priority: chosen.readPriority(s.priority),
+		Within:   s.replicaTimeout(),
+		Priority: chosen.prefillPriority(s.priority),
 		Prefill:  true,
 		Fetch:    chosen.fetchAddress(),
 	})
 	reading, cancel := context.WithTimeoutCause(ctx, s.readPatience(chosen), errSilent)
 	defer cancel()
-	reading, cancelLate := context.WithTimeoutCause(reading, s.left()-s.ingress.config.Timeouts.Transit-leastRun, errTooLate)
+	reading, cancelLate := context.WithTimeoutCause(reading, s.remaining()-s.ingress.config.Timeouts.Transit-minRunTime, errTooLate)
 	defer cancelLate()
-	s.logSent(stageRead, reader, uncached, chosen)
-	answer, err := s.exchange(reading, stageRead, reader, request)
+	s.logSent(stagePrefill, reader, uncached, chosen)
+	answer, err := s.exchange(reading, stagePrefill, reader, request)
 	if err != nil {
-		s.noteBroken(reading, stageRead, reader, sent, err)
+		s.noteBroken(reading, stagePrefill, reader, sent, err)
 		fmt.Fprintf(&s.trace, " prefill(%s: %v)", reader.name, err)
 		if ctx.Err() != nil || context.Cause(reading) == errTooLate {
 			return Source{}, false // nothing follows it
@@ -110,27 +110,27 @@
 // not have taken it up.
 func (s *session) readUnanswered(chosen plan, err error) (refused bool) {
 	if errors.Is(err, errWithheld) {
-		s.withhold(stageRead, chosen.reader)
-		chosen.placed.note(placement.StepUnread, chosen.reader.name, 0)
+		s.withhold(stagePrefill, chosen.prefiller)
+		chosen.tracked.note(placement.StepUnread, chosen.prefiller.name, 0)
 		return false
 	}
-	s.blame(chosen.reader, err, s.ingress.now())
+	s.noteUnanswered(chosen.prefiller, err, s.ingress.now())
 	if isForeign(err) {
-		chosen.placed.note(placement.StepUnread, chosen.reader.name, 0)
+		chosen.tracked.note(placement.StepUnread, chosen.prefiller.name, 0)
 		return true
 	}
 	step := placement.StepFailed
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		step = placement.StepGone
 	}
-	chosen.placed.note(step, chosen.reader.name, 0)
+	chosen.tracked.note(step, chosen.prefiller.name, 0)
 	return !notSent(err)
 }
 
 // takeHandle returns the handle that the answer to a read names; empty where it names
 // none, with whether the reader did not take the read up.
 func (s *session) takeHandle(chosen plan, answer *exchange.Answer, began time.Duration) (handle string, refused bool) {
-	reader, now := chosen.reader, s.ingress.now()
+	reader, now := chosen.prefiller, s.ingress.now()
 	reply := s.ingress.config.Dialect.Reply(answer.Status, answer.Header)
 	reader.hear(reply.ownLoad(), now)
 	s.noteAnswer(reader, began, answer, &reply)
@@ -146,16 +146,16 @@
 		if reply.Asks.RetryAfter > 0 {
 			step = placement.StepRefused // the group keeps others' reads off it, too
 		}
-		chosen.placed.note(step, reader.name, 0)
+		chosen.tracked.note(step, reader.name, 0)
 		return "", !reply.Named || reply.refuses()
 	}
 	handle, err = s.ingress.config.Dialect.Handle(body)
-	if err == nil && !isPlain(handle) {
+	if err == nil && !isVisibleASCII(handle) {
 		err = errHandle
 	}
 	if err != nil {
 		fmt.Fprintf(&s.trace, " prefill(%s: %v)", reader.name, err)
-		chosen.placed.note(placement.StepUnread, reader.name, 0)
+		chosen.tracked.note(placement.StepUnread, reader.name, 0)
 		return "", true
 	}
 	s.noteRead(chosen, now-began)
@@ -167,18 +167,18 @@
 
 // isPlain reports whether a replica's word can stand in the head of a request: with a line
 // end in it, it would add to the request what no caller sent.
-func isPlain(word string) bool {
+func isVisibleASCII(word string) bool {
 	return strings.IndexFunc(word, func(r rune) bool { return r <= ' ' || r > '~' }) < 0
 }
 
 // noteRead learns from a read that its reader has done.
 func (s *session) noteRead(chosen plan, took time.Duration) {
-	reader, uncached := chosen.reader, chosen.uncached
+	reader, uncached := chosen.prefiller, chosen.uncachedTokens
 	reader.succeed()
 	reader.noteParts(s.call.Work.Parts)
-	chosen.placed.note(placement.StepRead, "", reader.told())
-	s.lane.speed.learn(uncached, took)
-	s.ingress.metrics.prefillSeconds.WithLabelValues(s.lane.service).Observe(took.Seconds())
+	chosen.tracked.note(placement.StepRead, "", reader.told())
+	s.upstream.speed.learn(uncached, took)
+	s.ingress.metrics.prefillSeconds.WithLabelValues(s.upstream.service).Observe(took.Seconds())
 	fmt.Fprintf(&s.trace, " prefill(%s: %d tokens in %s)", reader.name, uncached, took.Round(time.Millisecond))
 }
 
@@ -187,7 +187,7 @@
 	if source.Handle == "" {
 		outcome = prefillFailed
 	}
-	s.ingress.metrics.prefills.WithLabelValues(s.lane.service, outcome).Inc()
+	s.ingress.metrics.prefills.WithLabelValues(s.upstream.service, outcome).Inc()
 }
 
 // Patience with a replica that reads a prompt: a read harms nothing when it is
@@ -207,13 +207,13 @@
 // release frees a handle that nobody will take. The call has no ID, so that it takes a
 // connection of its own. A replica that pauses or leaves is not called: the handle lapses.
 func (s *session) release(source Source) {
-	asks := s.ingress.lanes.asks.Find(source.Replica)
+	asks := s.ingress.upstreams.holdoffs.Find(source.Replica)
 	if asks.State(s.ingress.now()) != holdoff.Open {
 		return
 	}
 	header := http.Header{}
 	method, target := s.ingress.config.Dialect.Release(header, source.Replica, source.Handle)
-	lane := s.lane
+	lane := s.upstream
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 		defer cancel()
@@ -224,7 +224,7 @@
 		if err != nil {
 			return // it lapses by itself
 		}
-		s.hearAsks(stageFree, asks, answer.Status, answer.Header)
+		s.hearAsks(stageRelease, asks, answer.Status, answer.Header)
 		_, _ = io.Copy(io.Discard, io.LimitReader(answer, maxHandleBytes))
 		answer.Close()
 	}()
--- a/process/ingress/quarantine_test.go
+++ b/process/ingress/quarantine_test.go
@@ -284,8 +284,8 @@
 func TestCalmRequestsAreNotHashed(t *testing.T) {
 	w, _, _ := newQuarantineWorld(t, 1)
 	s := &session{ingress: w.ingress, call: Call{Body: make([]byte, 1<<20)}}
-	must.Zero(t, testing.AllocsPerRun(100, func() { s.held() }))
-	must.Nil(t, s.named)
+	must.Zero(t, testing.AllocsPerRun(100, func() { s.quarantineHold() }))
+	must.Nil(t, s.cachedFingerprint)
 }
 
 // What stood alone where a connection broke has ended the replica only if nobody listens
--- a/process/ingress/refusal_test.go
+++ b/process/ingress/refusal_test.go
@@ -13,9 +13,9 @@
 func TestCallersOfAProxyWithoutRoutesComeBackOnceItHasThem(t *testing.T) {
 	none := newRouteTable(nil)
 	for range 100 {
-		must.Between(t, expectedStart, noRoute(none, 0).retryAfter, expectedStart+startSpread)
-		must.Between(t, expectedStart/2, noRoute(none, expectedStart/2).retryAfter, expectedStart/2+startSpread)
-		must.Between(t, leastStartPause, noRoute(none, time.Minute).retryAfter, leastStartPause+startSpread)
+		must.Between(t, expectedStartup, noRoute(none, 0).retryAfter, expectedStartup+startRetryJitter)
+		must.Between(t, expectedStartup/2, noRoute(none, expectedStartup/2).retryAfter, expectedStartup/2+startRetryJitter)
+		must.Between(t, minStartRetryAfter, noRoute(none, time.Minute).retryAfter, minStartRetryAfter+startRetryJitter)
 	}
 	must.Eq(t, http.StatusServiceUnavailable, noRoute(none, 0).status)
 }
--- a/process/ingress/routes.go
+++ b/process/ingress/routes.go
@@ -24,20 +24,20 @@
 }
 
 // newRouteTable reads the Ingress, nil where none was accepted yet.
-func newRouteTable(held *api.Ingress) *routeTable {
+func newRouteTable(object *api.Ingress) *routeTable {
 	table := &routeTable{byHost: map[string][]*api.Route{}, services: map[string]*api.RouteService{}, keys: apikey.NewTable()}
-	if held == nil {
+	if object == nil {
 		return table
 	}
-	table.generation = held.Spec.Generation
-	table.limits = held.Spec.Limits
-	table.keysRequired, table.keySecret = held.Spec.KeysRequired, held.Spec.KeySecret
-	for i := range held.Spec.Services {
-		service := &held.Spec.Services[i]
+	table.generation = object.Spec.Generation
+	table.limits = object.Spec.Limits
+	table.keysRequired, table.keySecret = object.Spec.KeysRequired, object.Spec.KeySecret
+	for i := range object.Spec.Services {
+		service := &object.Spec.Services[i]
 		table.services[service.Name] = service
 	}
-	for i := range held.Spec.Routes {
-		route := &held.Spec.Routes[i]
+	for i := range object.Spec.Routes {
+		route := &object.Spec.Routes[i]
 		host := strings.ToLower(route.Host)
 		table.byHost[host] = append(table.byHost[host], route)
 	}
--- a/process/ingress/run.go
+++ b/process/ingress/run.go
@@ -18,8 +18,8 @@
 	"github.com/pkg/errors"
 )
 
-// Intervals of the subscription to the control group: a leader that falls
-// silent is left soon enough for a new configuration to be in force in time.
+// Timing of the subscription to the control group. An unresponsive leader is abandoned quickly
+// enough for a new configuration to take effect in time.
 const (
 	beatInterval   = 350 * time.Millisecond
 	silenceTimeout = 1000 * time.Millisecond
@@ -27,83 +27,84 @@
 	maxBackoff     = 200 * time.Millisecond
 )
 
-// maxHeaderBytes bounds a caller's head where the configuration says nothing.
+// maxHeaderBytes is the default limit on the head of a caller's request.
 const maxHeaderBytes = 64 << 10
 
-// Run serves callers until ctx ends, and then stops as planned. It returns
-// ErrConfig before anything was opened.
+// Run serves callers until ctx ends and then performs a planned stop. It returns ErrConfig before
+// opening anything if the configuration is invalid.
 func Run(ctx context.Context, config Config, logger log.Logger) error {
 	config = config.WithDefaults()
 	if faults := config.Check(); len(faults) > 0 {
 		return errors.Wrapf(ErrConfig, "%v", faults)
 	}
-	holder := view.NewHolder()
-	made := New(config, holder, clock.Now, logger)
-	defer made.Close()
+	views := view.NewHolder()
+	ingress := New(config, views, clock.Now, logger)
+	defer ingress.Close()
 	day := metering.NewDay(clock.Now, time.Now)
-	made.day = day.Now // a machine's own may jump by seconds
+	ingress.day = day.Now // the machine's own wall clock may jump by seconds
 	if config.UsageWindow > 0 {
-		made.usage = metering.NewCounter(config.Name, config.UsageWindow, day.Now)
+		ingress.usage = metering.NewCounter(config.Name, config.UsageWindow, day.Now)
 	}
 	served, resumed := make(chan struct{}, 1), make(chan struct{}, 1)
 	client, err := feed.Dial(feed.ClientConfig{
 		Daemon:         config.Name,
 		Zone:           config.Zone,
 		Addresses:      config.FeedAddresses,
-		MoreAddresses:  func() []string { return append(memberAddresses(holder.Load()), made.seeds()...) },
-		Presence:       made.presence,
+		MoreAddresses:  func() []string { return append(memberAddresses(views.Load()), ingress.seeds()...) },
+		Presence:       ingress.presence,
 		Day:            day.Learn,
 		Served:         func() { pause.Signal(served) },
-		Unrecorded:     made.noteUnrecorded,
+		Unrecorded:     ingress.noteUnrecorded,
 		Resumed:        func() { pause.Signal(resumed) },
 		Standby:        true,
 		Partial:        true,
-		StandbyRelays:  func() []string { return made.relays(holder.Load()) },
+		StandbyRelays:  func() []string { return ingress.relays(views.Load()) },
 		BeatInterval:   beatInterval,
 		SilenceTimeout: silenceTimeout,
 		DialTimeout:    dialTimeout,
 		BackoffMax:     maxBackoff,
 		Clock:          clock.Now,
 		Logger:         logger,
-	}, holder)
+	}, views)
 	if err != nil {
-		return errors.Wrap(err, "ingress: follow the control group")
+		return errors.Wrap(err, "ingress: subscribe to the control group")
 	}
 	defer client.Close()
-	made.lanes.named = client.Listed
-	made.placer = client
-	made.charger = client
-	made.confirmer = holder
-	made.guard.SetReporter(client)
-	endRelay, err := made.passPlacementsOn(feed.NewPlacementRelay(client, holder))
+	ingress.upstreams.lookupNamed = client.Listed
+	ingress.placer = client
+	ingress.charger = client
+	ingress.confirmer = views
+	ingress.guard.SetReporter(client)
+	endRelay, err := ingress.serveRelay(feed.NewPlacementRelay(client, views))
 	if err != nil {
 		return err
 	}
 	defer endRelay()
 	reporting, stop := context.WithCancel(ctx)
 	defer stop()
-	go made.reportWhenServed(reporting, served, resumed, client)
-	go made.reportUsage(reporting, client)
-	return made.serveUntil(ctx, client)
+	go ingress.reportOnConnect(reporting, served, resumed, client)
+	go ingress.reportUsage(reporting, client)
+	return ingress.serveUntil(ctx, client)
 }
 
-// passPlacementsOn serves proxies that are cut off from the members until the
-// result is called.
-func (i *Ingress) passPlacementsOn(relay *feed.PlacementRelay) (end func(), err error) {
+// serveRelay forwards placement requests for proxies that cannot reach the control group, until
+// end is called.
+func (i *Ingress) serveRelay(relay *feed.PlacementRelay) (end func(), err error) {
 	if i.config.RelayAddress == "" {
 		return func() {}, nil
 	}
 	listener, err := net.Listen("tcp", i.config.RelayAddress)
 	if err != nil {
-		return nil, errors.Wrap(err, "ingress: pass placements on")
+		return nil, errors.Wrap(err, "ingress: listen for the placement relay")
 	}
 	server := feed.NewServer(feed.ServerConfig{Group: relay, Clock: i.clock, Logger: i.logger}, listener)
 	return server.Close, nil
 }
 
-// reportWhenServed tells each new leader, or member that stands by for one, what is in
-// flight and what replicas keep, until ctx ends; a leader that was silent knows the latter.
-func (i *Ingress) reportWhenServed(ctx context.Context, served, resumed <-chan struct{}, to groupReporter) {
+// reportOnConnect reports the requests in flight and the cached prompt parts to each new leader,
+// or standby member, until ctx ends. A leader that was only silent for a while still knows the
+// cached parts and is sent the requests in flight alone.
+func (i *Ingress) reportOnConnect(ctx context.Context, served, resumed <-chan struct{}, to groupReporter) {
 	for {
 		select {
 		case <-served:
@@ -120,39 +121,41 @@
 	}
 }
 
-// noteUnrecorded takes in what a member tells of replicas that ended while the record can't tell it.
+// noteUnrecorded processes a member's report of replica crashes that cannot be recorded at
+// present.
 func (i *Ingress) noteUnrecorded(report feed.EndReport) {
 	event.EndsUnrecorded.Log(i.logger, "ends", len(report.Ended))
 	i.guard.Unrecorded(i.now(), report)
 }
 
-// usagePause is between two reports of usage: what a proxy has not told yet is lost with it.
-const usagePause = 200 * time.Millisecond
+// usageInterval is the time between two usage reports. Usage that was not yet reported is lost
+// when the process crashes.
+const usageInterval = 200 * time.Millisecond
 
-// usageReporter is told of what was counted; *feed.Client is one.
+// usageReporter receives usage counts; implemented by *feed.Client.
 type usageReporter interface {
 	ReportUsage(report feed.UsageReport) bool
 }
 
-// reportUsage tells the leader what has been counted, until ctx ends; then the rest.
+// reportUsage reports usage counts to the leader periodically and once more when ctx ends.
 func (i *Ingress) reportUsage(ctx context.Context, to usageReporter) {
 	if i.usage == nil {
 		return
 	}
-	for pause.For(ctx, usagePause) {
-		i.tellUsage(to)
+	for pause.For(ctx, usageInterval) {
+		i.sendUsage(to)
 	}
-	i.tellUsage(to)
+	i.sendUsage(to)
 }
 
-func (i *Ingress) tellUsage(to usageReporter) {
+func (i *Ingress) sendUsage(to usageReporter) {
 	report, due := i.usage.Next()
 	if due && !to.ReportUsage(report) {
-		i.usage.Again() // it is told with the next one
+		i.usage.Again() // retried with the next report
 	}
 }
 
-// memberAddresses returns where the members that the view names serve the feed.
+// memberAddresses returns the feed addresses of the members in the view.
 func memberAddresses(current *view.View) []string {
 	addresses := make([]string, 0, len(current.Members))
 	for _, member := range current.Members {
@@ -161,7 +164,7 @@
 	return addresses
 }
 
-// relays returns where the other proxies that the view names pass placements on.
+// relays returns the relay addresses of the other proxies in the view.
 func (i *Ingress) relays(current *view.View) []string {
 	if i.config.RelayOf == nil {
 		return nil
@@ -178,7 +181,7 @@
 	return addresses
 }
 
-// seeds returns where members may be by the settings as they are now.
+// seeds returns the member addresses in the current settings.
 func (i *Ingress) seeds() []string {
 	if i.config.Seeds == nil {
 		return nil
@@ -186,7 +189,7 @@
 	return i.config.Seeds()
 }
 
-// announcer tells the control group at once what the ingress says of itself.
+// announcer sends the state of this ingress to the control group immediately.
 type announcer interface{ Announce() }
 
 func (i *Ingress) serveUntil(ctx context.Context, group announcer) error {
@@ -229,11 +232,11 @@
 	}
 }
 
-// readyPoll is how often the ingress looks whether it has become ready.
+// readyPoll is the interval at which readiness is checked after the start.
 const readyPoll = 50 * time.Millisecond
 
-// announceWhenReady tells the group as soon as the ingress can serve; the beats
-// would tell it later.
+// announceWhenReady notifies the control group as soon as the ingress can serve, without waiting
+// for the next heartbeat.
 func (i *Ingress) announceWhenReady(ctx context.Context, group announcer) (stop func()) {
 	ended := make(chan struct{})
 	ctx, cancel := context.WithCancel(ctx)
@@ -253,7 +256,7 @@
 	return func() { cancel(); <-ended }
 }
 
-// listen serves an address until the server is closed.
+// listen serves an address until the returned server is closed.
 func (i *Ingress) listen(address string, handler http.Handler) (*http.Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -266,17 +269,17 @@
 		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          stdlog.New(log.NewStdlibAdapter(log.NewNopLogger()), "", 0),
 	}
-	go func() { _ = server.Serve(listener) }() // until it is closed
+	go func() { _ = server.Serve(listener) }() // returns when the server is closed
 	return server, nil
 }
 
-// drain is the planned stop: the ingress says at once that it is not ready and
-// asks callers to close their connections, while it still serves all that
-// comes; then it accepts no more and waits for what is in flight. What it cannot
-// wait for is answered: its callers would else learn nothing of it.
+// drain performs the planned stop. It first reports not ready and asks callers to close their
+// connections while still serving new requests, then stops accepting connections and waits for
+// the requests in flight. Requests that do not finish in time are answered, because their callers
+// would otherwise not learn their outcome.
 func (i *Ingress) drain(callers *http.Server, group announcer) error {
 	began := time.Now()
-	i.stop.Store(&plannedStop{lateFrom: i.now() + i.config.Drain.Late, endsAt: i.now() + i.config.Drain.Limit})
+	i.plannedStop.Store(&plannedStop{refuseFrom: i.now() + i.config.Drain.Late, endsAt: i.now() + i.config.Drain.Limit})
 	i.stopping.Store(true)
 	group.Announce()
 	event.IngressDraining.Log(i.logger, "in_flight", i.serving.Load())
@@ -285,21 +288,21 @@
 	defer cancel()
 	if err := callers.Shutdown(ctx); err != nil {
 		event.IngressDrainCut.Log(i.logger, "in_flight", i.serving.Load())
-		i.answerRest(callers)
+		i.answerRemaining(callers)
 		return nil
 	}
 	event.IngressStopped.Log(i.logger)
 	return nil
 }
 
-// answerShare is the part of a planned stop's time that is left beyond it for answers to
-// what was in flight at its end.
-const answerShare = 0.05
+// finalAnswerShare is the additional time, as a share of the drain limit, for sending answers to
+// the requests that are still in flight at the limit.
+const finalAnswerShare = 0.05
 
-// answerRest ends the waiting of all requests and lets their answers out.
-func (i *Ingress) answerRest(callers *http.Server) {
-	i.endPatient()
-	answering := time.Duration(answerShare * float64(i.config.Drain.Limit))
+// answerRemaining cancels all requests and waits until their answers are sent.
+func (i *Ingress) answerRemaining(callers *http.Server) {
+	i.cancelRequests()
+	answering := time.Duration(finalAnswerShare * float64(i.config.Drain.Limit))
 	ctx, cancel := context.WithTimeout(context.Background(), answering)
 	defer cancel()
 	_ = callers.Shutdown(ctx) // the process ends in any case
--- a/process/ingress/session.go
+++ b/process/ingress/session.go
@@ -13,126 +13,127 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// session is one caller's request from its arrival to its final answer.
+// session is the state of one caller's request from arrival to final answer.
 type session struct {
-	ingress *Ingress
-	writer  http.ResponseWriter
-	call    Call
-	route   *api.Route
-	lane    *lane
-	life    *attempt.Life
-	random  *rand.Rand
+	ingress   *Ingress
+	writer    http.ResponseWriter
+	call      Call
+	route     *api.Route
+	upstream  *upstream
+	lifecycle *attempt.Life
+	random    *rand.Rand
 
-	generation uint64 // of the Ingress that the request is handled by
-	priority   int    // the tenant's, or the route's
-	arrived    time.Duration
-	deadline   time.Duration // the earlier of the caller's and the route's
-	callerEnds time.Duration // when the caller gives up
+	generation     uint64 // of the Ingress object that the request was routed by
+	priority       int    // of the tenant, or of the route
+	arrivedAt      time.Duration
+	deadline       time.Duration // the earlier of the caller's and the route's
+	callerDeadline time.Duration // when the caller stops waiting
 
-	sends int // to replicas, the free first prefill not counted
-	reads int // of the prompt apart from its runs
-	dials int // connections that were not had
-	// sentTo are the addresses that the request was sent to, to be read or run.
-	sentTo   map[string]bool
-	excluded map[string]bool
-	// answered is true once the replica of the present attempt has answered.
+	sendCount    int // sends to replicas, without the first prefill, which is free
+	prefillCount int // number of separate prefills
+	dialFailures int // connections that could not be opened
+	// contacted holds the addresses to which the request was sent, to prefill or to run it.
+	contacted map[string]bool
+	excluded  map[string]bool
+	// answered is true once the replica of the current attempt has answered.
 	answered bool
-	// misdirected is true once another replica has answered at its address.
+	// misdirected is true if another replica answered at the address in the current attempt.
 	misdirected bool
-	// gone is true where nobody listens at its address.
-	gone bool
-	// withheld is true where the chosen replica pauses or leaves by now: nothing was sent.
+	// connectionRefused is true if nothing listens at the address in the current attempt.
+	connectionRefused bool
+	// withheld is true if nothing was sent because the chosen replica asked for a pause or is
+	// leaving.
 	withheld bool
-	// headSent is true once the caller has the head of an answer.
+	// headSent is true once the head of an answer was sent to the caller.
 	headSent bool
-	// begun is true once the caller has a part of an answer that no other run can
-	// continue: of anything but a stream of events with IDs.
-	begun     bool
-	lastEvent string
-	events    int
-	firstAt   time.Duration // when the first event came
-	// comeBack is when the control group expects to have room for the request.
-	comeBack time.Duration
-	// pausing is true where that is the end of the pauses that replicas have asked for.
-	pausing bool
-	// counted is true once a replica has begun the request: it is counted once.
-	counted bool
-	// failed is a failure that a replica answered and that is passed on if
-	// nothing better comes.
-	failed *answerCopy
-	trace  strings.Builder         // what was tried, for the log
-	named  *quarantine.Fingerprint // nil until it is needed
-	ended  int                     // runs of it that broke off with their replica
-	// confined is true once it was sent where nothing else was, alone while it is there.
-	confined bool
-	alone    bool
+	// unresumable is true once the caller has received data that no other run can continue:
+	// anything but stream events with IDs.
+	unresumable  bool
+	lastEventID  string
+	events       int
+	firstEventAt time.Duration // when the first event was received
+	// capacityWait is when the control group expects capacity for the request.
+	capacityWait time.Duration
+	// allHeldOff is true if capacityWait is the end of the pauses that all replicas asked for.
+	allHeldOff bool
+	// usageCounted is true once a replica has started the request, which is counted once.
+	usageCounted bool
+	// failure is an error answer from a replica, passed on if no later attempt succeeds.
+	failure           *savedAnswer
+	trace             strings.Builder         // attempts and their results, for the log
+	cachedFingerprint *quarantine.Fingerprint // nil until it is computed
+	crashes           int                     // runs that ended because the replica seems to have crashed
+	// wasIsolated is true once the request was sent to a replica that had nothing else in flight,
+	// isolated while it is there.
+	wasIsolated bool
+	isolated    bool
 }
 
-// answerCopy is a whole answer of a replica.
-type answerCopy struct {
+// savedAnswer is a complete answer of a replica.
+type savedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// verdict says how one attempt ended.
+// verdict is the result of one attempt.
 type verdict uint8
 
 const (
-	verdictDone       verdict = iota + 1 // the caller has its whole answer
-	verdictNotRun                        // the attempt surely did not run
-	verdictBroken                        // it may have run, and brought no whole answer
-	verdictCallerEnd                     // the caller is gone or its time is over
+	verdictDone       verdict = iota + 1 // the caller has a complete answer
+	verdictNotRun                        // the attempt certainly did not run
+	verdictBroken                        // it may have run but produced no complete answer
+	verdictCallerEnd                     // the caller is gone or its deadline has passed
 	verdictNoCapacity                    // no replica would answer before the deadline
-	verdictTooLate                       // the request's time was over before it went anywhere
-	verdictHeld                          // replicas end under the request: it goes to none
+	verdictTooLate                       // the deadline passed before the request was sent
+	verdictHeld                          // quarantined because replicas crash while running it: it is sent to none
 )
 
-// maxDials bounds connections that were not had before a request is given up.
-const maxDials = 3
+// maxDialFailures is the number of connections that may fail before a request is given up.
+const maxDialFailures = 3
 
-// run sees the request through. It returns the status that the caller got, 0
-// where the connection is to be cut.
+// run makes attempts until the request has its final answer. It returns the status sent to the
+// caller, or 0 if the connection must be closed without a complete answer.
 func (s *session) run(ctx context.Context) int {
 	for {
 		if ctx.Err() != nil {
-			return s.interrupted(ctx)
+			return s.answerInterrupted(ctx)
 		}
-		if s.tooLate() {
+		if s.outOfTime() {
 			return s.giveUp("no_time")
 		}
-		// Looked at before each send: what a replica ends under is known from then on.
-		if rest, held := s.held(); held {
-			return s.refuseHeld(rest)
+		// Checked before each send, since a crash takes effect as soon as it is known.
+		if rest, held := s.quarantineHold(); held {
+			return s.refuseQuarantined(rest)
 		}
-		if !s.mayTry() {
+		if !s.mayAttempt() {
 			return s.giveUp("attempts")
 		}
 		result, target := s.try(ctx)
 		if target != nil {
 			fmt.Fprintf(&s.trace, " %s:%s", target.name, result)
-			s.ingress.metrics.attempts.WithLabelValues(s.lane.service, result.String()).Inc()
+			s.ingress.metrics.attempts.WithLabelValues(s.upstream.service, result.String()).Inc()
 		}
 		switch result {
 		case verdictDone:
 			return http.StatusOK
 		case verdictCallerEnd:
-			return s.interrupted(ctx)
+			return s.answerInterrupted(ctx)
 		case verdictNoCapacity:
-			if s.pausing {
+			if s.allHeldOff {
 				return s.giveUp("pause")
 			}
 			return s.giveUp("no_capacity")
 		case verdictTooLate:
 			return s.giveUp("no_time")
 		case verdictHeld:
-			continue // and is refused
+			continue // refused at the top of the loop
 		case verdictNotRun:
 			if target == nil {
 				return s.giveUp("no_replica")
 			}
 		case verdictBroken:
-			if !s.route.Idempotent() || s.begun {
+			if !s.route.Idempotent() || s.unresumable {
 				return s.giveUp("broken")
 			}
 		}
@@ -140,53 +141,55 @@
 	}
 }
 
-// String returns the verdict's name.
+// String returns the name of the verdict as used in logs and metrics.
 func (v verdict) String() string {
 	names := [...]string{"", "done", "not_run", "broken", "caller_end", "no_capacity", "too_late", "held"}
 	return names[v]
 }
 
-// tooLate reports whether a request has no time left: whose time is over, be it that the
-// machine was suspended meanwhile, which timers do not see; or one that was sent somewhere
-// before, and would only be refused at the next replica.
-func (s *session) tooLate() bool {
-	if s.sends == 0 && s.reads == 0 {
-		return s.left() <= 0
+// outOfTime reports whether there is too little time left to send the request. Before the first
+// send only the deadline counts; it may have passed during a suspension of the machine, which
+// timers do not notice. After that the request also needs enough time to run, or the next replica
+// would only refuse it.
+func (s *session) outOfTime() bool {
+	if s.sendCount == 0 && s.prefillCount == 0 {
+		return s.remaining() <= 0
 	}
-	return s.left() < s.ingress.config.Timeouts.Transit+leastRun
+	return s.remaining() < s.ingress.config.Timeouts.Transit+minRunTime
 }
 
-// mayTry reports whether another send is allowed: by the route's attempts, and
-// by the budget that all proxies share.
-func (s *session) mayTry() bool {
-	if s.dials > maxDials || s.sends >= max(s.route.Attempts, 1) {
+// mayAttempt reports whether another send is allowed by the route's limit on attempts and by the
+// retry budget that all proxies share.
+func (s *session) mayAttempt() bool {
+	if s.dialFailures > maxDialFailures || s.sendCount >= max(s.route.Attempts, 1) {
 		return false
 	}
-	// What may have ended as many replicas by itself does not wait for the group's word; nor does
-	// what has ended one of as many. If it is harmless, that costs one arrival its retry.
-	if s.ended >= quarantine.CondemningEnds || s.ended > 0 && s.ingress.guard.EndsMany(s.ingress.now(), s.fingerprint()) {
+	// If this request alone has crashed as many replicas as would quarantine it, it does not wait
+	// for the control group's decision. The same holds if it caused at least one of that many
+	// crashes. A harmless request loses one retry by that.
+	if s.crashes >= quarantine.CondemningEnds || s.crashes > 0 && s.ingress.guard.EndsMany(s.ingress.now(), s.fingerprint()) {
 		return false
 	}
-	if s.sends == 0 {
+	if s.sendCount == 0 {
 		return true
 	}
-	if !s.lane.budget.Withdraw(s.ingress.now()) {
+	if !s.upstream.budget.Withdraw(s.ingress.now()) {
 		s.trace.WriteString(" budget")
-		s.ingress.metrics.retriesRefused.WithLabelValues(s.lane.service).Inc()
+		s.ingress.metrics.retriesRefused.WithLabelValues(s.upstream.service).Inc()
 		return false
 	}
 	return true
 }
 
-// giveUp gives the final answer at once after the last attempt failed.
+// giveUp sends the final answer after the last attempt has failed.
 func (s *session) giveUp(cause string) int {
-	ran := s.life.GiveUp()
+	ran := s.lifecycle.GiveUp()
 	if s.headSent {
 		fmt.Fprintf(&s.trace, " cut:%s", cause)
 		return 0
 	}
-	if s.failed != nil {
-		return s.passFailure()
+	if s.failure != nil {
+		return s.forwardFailure()
 	}
 	if ran == attempt.RanNo {
 		return s.refuse(http.StatusServiceUnavailable, cause, s.retryAfter())
@@ -194,10 +197,10 @@
 	return s.refuse(http.StatusBadGateway, cause, 0)
 }
 
-// interrupted answers a request whose time is over, or that of its process, or ends one
-// whose caller has gone.
-func (s *session) interrupted(ctx context.Context) int {
-	ran := s.life.GiveUp()
+// answerInterrupted answers a request whose deadline has passed or whose process is stopping. It
+// sends nothing if the caller has gone.
+func (s *session) answerInterrupted(ctx context.Context) int {
+	ran := s.lifecycle.GiveUp()
 	cause := "timeout"
 	switch context.Cause(ctx) {
 	case errTimeout:
@@ -217,17 +220,17 @@
 	return s.refuse(http.StatusGatewayTimeout, cause, 0)
 }
 
-// statusCallerGone stands in logs for a request whose caller has gone.
+// statusCallerGone is logged for a request whose caller has gone.
 const statusCallerGone = 499
 
-// retryAfter is when asking again makes sense.
+// retryAfter returns the delay after which the caller should retry.
 func (s *session) retryAfter() time.Duration {
-	left := s.callerEnds - s.ingress.now()
-	if s.pausing {
-		return s.comeBack // before that there is surely nothing, however long it is
+	left := s.callerDeadline - s.ingress.now()
+	if s.allHeldOff {
+		return s.capacityWait // no replica accepts the request earlier, however long that is
 	}
-	if s.comeBack > 0 {
-		return max(min(s.comeBack, time.Duration(comeBackShare*float64(left))), minimumRetryAfter)
+	if s.capacityWait > 0 {
+		return max(min(s.capacityWait, time.Duration(capacityWaitShare*float64(left))), minimumRetryAfter)
 	}
 	return max(min(defaultRetryAfter, left/retryShareOfLeft), minimumRetryAfter)
 }
@@ -235,51 +238,52 @@
 const (
 	defaultRetryAfter = 250 * time.Millisecond
 	minimumRetryAfter = 20 * time.Millisecond
-	// retryShareOfLeft keeps the pause small against what the caller has left.
+	// retryShareOfLeft keeps the delay short in relation to the caller's remaining time.
 	retryShareOfLeft = 6
-	// comeBackShare is the most of it that waiting for room may use up.
-	comeBackShare = 0.3
+	// capacityWaitShare is the share of the caller's remaining time that a wait for capacity may
+	// take up.
+	capacityWaitShare = 0.3
 )
 
-// refuse answers in the system's own words.
+// refuse sends an answer that the proxy generates itself.
 func (s *session) refuse(status int, cause string, retryAfter time.Duration) int {
 	fmt.Fprintf(&s.trace, " own:%s", cause)
 	header := s.writer.Header()
 	s.ingress.config.Dialect.Refusal(header, &s.call, retryAfter)
-	writeOwn(s.writer, status, cause)
+	writeRefusal(s.writer, status, cause)
 	return status
 }
 
-func writeOwn(w http.ResponseWriter, status int, cause string) {
+func writeRefusal(w http.ResponseWriter, status int, cause string) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.WriteHeader(status)
 	_, _ = w.Write([]byte(cause + "\n")) // the caller may have gone
 }
 
-// left is the time that the request still has.
-func (s *session) left() time.Duration { return s.deadline - s.ingress.now() }
+// remaining returns the time until the request's deadline.
+func (s *session) remaining() time.Duration { return s.deadline - s.ingress.now() }
 
-// replicaTime is how long a replica may work: never longer than the caller
-// waits, and less by the way back.
-func (s *session) replicaTime() time.Duration {
-	return max(s.left()-s.ingress.config.Timeouts.Transit, time.Millisecond)
+// replicaTimeout returns how long a replica may work on the request: the remaining time less the
+// time for the answer's way back.
+func (s *session) replicaTimeout() time.Duration {
+	return max(s.remaining()-s.ingress.config.Timeouts.Transit, time.Millisecond)
 }
 
-// passFailure hands on the failure that a replica answered, unchanged.
-func (s *session) passFailure() int {
-	copyHeader(s.writer.Header(), s.failed.header)
+// forwardFailure passes on a replica's error answer unchanged.
+func (s *session) forwardFailure() int {
+	copyHeader(s.writer.Header(), s.failure.header)
 	s.headSent = true
-	s.writer.WriteHeader(s.failed.status)
-	_, _ = s.writer.Write(s.failed.body) // the caller may have gone
-	return s.failed.status
+	s.writer.WriteHeader(s.failure.status)
+	_, _ = s.writer.Write(s.failure.body) // the caller may have gone
+	return s.failure.status
 }
 
-// countBegun counts for its tenant that a replica began the request so long ago. What is
-// tried after that is the same request: another run of it, or one that goes on with its stream.
-func (s *session) countBegun(ago time.Duration) {
-	if s.counted || s.ingress.usage == nil {
+// countUsage counts the request for its tenant; a replica started it that long ago. Later runs,
+// and runs that continue its stream, belong to the same request and are not counted again.
+func (s *session) countUsage(ago time.Duration) {
+	if s.usageCounted || s.ingress.usage == nil {
 		return
 	}
-	s.counted = true
+	s.usageCounted = true
 	s.ingress.usage.Begin(s.call.Tenant, ago)
 }
--- a/process/ingress/stream.go
+++ b/process/ingress/stream.go
@@ -14,12 +14,12 @@
 	"github.com/pkg/errors"
 )
 
-// stream passes on the events of a run as each of them is whole. The head goes
-// out with the first event: until then the request can be tried elsewhere
-// without the caller noticing. A run that continues another one's stream goes
-// on under the first one's head, as long as its events come after those that the
-// caller has, be it from this proxy or from the stream that it takes up itself.
-func (s *session) stream(ctx context.Context, chosen plan, sent *send, number uint32, answer *exchange.Answer) verdict {
+// forwardStream passes on each event of a run as soon as it is complete. The head is sent with
+// the first event; until then the request can be retried elsewhere without the caller noticing. A
+// run that continues another run's stream is passed on under the first run's head, provided that
+// its events come after those that the caller has, whether from this proxy or from the stream
+// that the caller resumes.
+func (s *session) forwardStream(ctx context.Context, chosen plan, sent *send, number uint32, answer *exchange.Answer) verdict {
 	target := chosen.target
 	events := newEventReader(answer)
 	flusher := http.NewResponseController(s.writer)
@@ -33,42 +33,42 @@
 			s.noteBroken(ctx, stageRun, target, sent, err)
 			return s.breakStream(ctx, target, number, err)
 		}
-		if continues && hasData(event) && !comesAfter(id, cmp.Or(s.lastEvent, s.call.ResumeAfter)) {
+		if continues && hasData(event) && !isLaterEventID(id, cmp.Or(s.lastEventID, s.call.ResumeAfter)) {
 			return s.breakStream(ctx, target, number, errNotContinued)
 		}
-		s.countBegun(0)
-		if s.events == 0 || !sent.begun(target) {
+		s.countUsage(0)
+		if s.events == 0 || !sent.hasStarted(target) {
 			target.start(sent, s.ingress.now())
 			target.noteParts(s.call.Work.Parts)
-			chosen.placed.note(placement.StepStarted, "", target.told())
+			chosen.tracked.note(placement.StepStarted, "", target.told())
 		}
 		s.beginStream(answer)
 		if _, err := s.writer.Write(event); err != nil {
-			s.life.Fail(number, attempt.FaultBroken)
+			s.lifecycle.Fail(number, attempt.FaultBroken)
 			return verdictCallerEnd
 		}
 		if err := flusher.Flush(); err != nil {
-			s.life.Fail(number, attempt.FaultBroken)
+			s.lifecycle.Fail(number, attempt.FaultBroken)
 			return verdictCallerEnd
 		}
 		sent.events++
 		if s.events++; s.events == 1 {
-			s.firstAt = s.ingress.now()
+			s.firstEventAt = s.ingress.now()
 		}
-		if id != "" && isPlain(id) {
-			s.lastEvent = id
+		if id != "" && isVisibleASCII(id) {
+			s.lastEventID = id
 		} else if hasData(event) {
-			s.begun = true // no other run can be told to go on behind it
+			s.unresumable = true // no other run can continue after this event
 		}
 	}
 }
 
-// errNotContinued says that a resumed run does not go on behind the last event.
+// errNotContinued is returned when a resumed run does not continue after the last event.
 var errNotContinued = errors.New("ingress: resumed run does not continue the stream")
 
-// comesAfter reports whether an event of a resumed run comes after the last one that the
-// caller has. The IDs of a stream rise; others prove nothing.
-func comesAfter(id, last string) bool {
+// isLaterEventID reports whether an event of a resumed run comes after the last event that the
+// caller has. IDs of a stream are increasing numbers; others prove nothing.
+func isLaterEventID(id, last string) bool {
 	next, err := strconv.ParseUint(id, 10, 64)
 	if err != nil {
 		return false
@@ -77,7 +77,7 @@
 	return err == nil && next > had
 }
 
-// beginStream sends the head of the first run.
+// beginStream sends the head of the first run to the caller.
 func (s *session) beginStream(answer *exchange.Answer) {
 	if s.headSent {
 		return
@@ -90,13 +90,13 @@
 func (s *session) endStream(target *replica, number uint32, answer *exchange.Answer) verdict {
 	s.beginStream(answer)
 	target.succeed()
-	s.life.Finish(number)
+	s.lifecycle.Finish(number)
 	return verdictDone
 }
 
-// breakStream ends a run whose stream broke off.
+// breakStream ends a run whose stream was interrupted.
 func (s *session) breakStream(ctx context.Context, target *replica, number uint32, err error) verdict {
-	s.life.Fail(number, attempt.FaultBroken)
+	s.lifecycle.Fail(number, attempt.FaultBroken)
 	fmt.Fprintf(&s.trace, " (%s after %d events: %v)", target.name, s.events, err)
 	if ctx.Err() != nil {
 		return verdictCallerEnd
--- a/process/ingress/try.go
+++ b/process/ingress/try.go
@@ -15,86 +15,85 @@
 	"github.com/pkg/errors"
 )
 
-// errTimeout is the cause of a context whose request has used up its time; errStopping of
-// one whose process cannot wait any longer; errSilent of an attempt whose replica said
-// nothing; errTooLate of a read after which no time would be left to run.
+// errTimeout is the cause of a context whose request has passed its deadline, errStopping of one
+// whose process must stop, errSilent of an attempt whose replica sent nothing, and errTooLate of
+// a prefill that would leave no time to run the request.
 var (
-	errTimeout  = errors.New("ingress: the request's time is over")
-	errStopping = errors.New("ingress: the planned stop has to end")
-	errSilent   = errors.New("ingress: the replica is silent")
-	errTooLate  = errors.New("ingress: no time is left to run the request")
+	errTimeout  = errors.New("ingress: request deadline exceeded")
+	errStopping = errors.New("ingress: planned stop has reached its time limit")
+	errSilent   = errors.New("ingress: replica sent no data")
+	errTooLate  = errors.New("ingress: not enough time left to run the request")
 )
 
-// leastRun is the time without which a run would only be refused by its replica:
-// the way there, a place in a batch, and the first token.
-const leastRun = 30 * time.Millisecond
+// minRunTime is the shortest remaining time with which a replica accepts a run: network transfer,
+// a place in a batch, and the first token.
+const minRunTime = 30 * time.Millisecond
 
-// try makes one attempt and returns how it ended, and with which replica; nil
-// when none takes the request.
+// try makes one attempt and returns its verdict and the replica, nil if no replica was chosen.
 func (s *session) try(ctx context.Context) (verdict, *replica) {
-	s.answered, s.misdirected, s.gone, s.withheld = false, false, false, false
+	s.answered, s.misdirected, s.connectionRefused, s.withheld = false, false, false, false
 	chosen := s.choose(ctx)
 	if ctx.Err() != nil {
-		chosen.placed.note(placement.StepEnded, "", 0)
+		chosen.tracked.note(placement.StepEnded, "", 0)
 		return verdictCallerEnd, nil
 	}
-	if s.left() <= 0 {
-		chosen.placed.note(placement.StepEnded, "", 0)
+	if s.remaining() <= 0 {
+		chosen.tracked.note(placement.StepEnded, "", 0)
 		return verdictTooLate, nil
 	}
-	if chosen.held {
+	if chosen.quarantined {
 		return verdictHeld, nil
 	}
 	if chosen.refused {
-		s.comeBack, s.pausing = chosen.retryAfter, chosen.pausing
+		s.capacityWait, s.allHeldOff = chosen.retryAfter, chosen.heldOff
 		return verdictNoCapacity, nil
 	}
 	if chosen.target == nil {
 		return verdictNotRun, nil
 	}
-	if _, held := s.held(); held { // learnt while the request waited for its place
-		chosen.placed.note(placement.StepEnded, "", 0)
+	if _, held := s.quarantineHold(); held { // became known while the request waited for its placement
+		chosen.tracked.note(placement.StepEnded, "", 0)
 		return verdictHeld, chosen.target
 	}
 	source := Source{}
-	if chosen.reader != nil {
+	if chosen.prefiller != nil {
 		source = s.prefill(ctx, chosen)
 		s.countPrefill(source)
 		if ctx.Err() != nil {
-			chosen.placed.note(placement.StepEnded, "", 0)
+			chosen.tracked.note(placement.StepEnded, "", 0)
 			return verdictCallerEnd, chosen.target
 		}
-		if s.tooLate() {
-			chosen.placed.note(placement.StepEnded, "", 0)
+		if s.outOfTime() {
+			chosen.tracked.note(placement.StepEnded, "", 0)
 			return verdictNotRun, chosen.target
 		}
 		s.replaceTarget(&chosen)
-		source = s.heldBy(chosen.reader, source)
-		if _, held := s.held(); held {
-			s.dropRead(chosen, source)
+		source = s.validSource(chosen.prefiller, source)
+		if _, held := s.quarantineHold(); held {
+			s.discardPrefill(chosen, source)
 			return verdictHeld, chosen.target
 		}
 	}
-	s.alone = chosen.alone
+	s.isolated = chosen.isolated
 	result := s.send(ctx, chosen, source)
-	chosen.placed.note(s.stepAfter(result), chosen.target.name, 0)
+	chosen.tracked.note(s.placementStep(result), chosen.target.name, 0)
 	return result, chosen.target
 }
 
-// dropRead gives up a prompt that was read for a request that is not run.
-func (s *session) dropRead(chosen plan, source Source) {
-	chosen.placed.note(placement.StepEnded, "", 0)
+// discardPrefill abandons a prefilled prompt whose request will not run.
+func (s *session) discardPrefill(chosen plan, source Source) {
+	chosen.tracked.note(placement.StepEnded, "", 0)
 	if source.Handle != "" {
 		s.release(source)
 	}
 }
 
-// stepAfter is what the control group is told of an attempt that is over.
-func (s *session) stepAfter(result verdict) placement.Step {
+// placementStep returns the step to report to the control group for a finished attempt.
+func (s *session) placementStep(result verdict) placement.Step {
 	switch {
 	case s.withheld:
 		return placement.StepEnded
-	case result == verdictNotRun && s.gone:
+	case result == verdictNotRun && s.connectionRefused:
 		return placement.StepGone
 	case (result == verdictBroken || result == verdictNotRun) && !s.answered:
 		return placement.StepFailed
@@ -109,34 +108,34 @@
 	}
 }
 
-// heldBy returns the source unless its reader has gone meanwhile: another replica may
-// have its address, where the handle names nothing or a prompt of another request.
-func (s *session) heldBy(reader *replica, source Source) Source {
-	if s.lane.find(reader.name) != reader {
+// validSource returns the source, or an empty one if its replica is no longer listed: another
+// replica may have the address, where the handle is unknown or belongs to another request.
+func (s *session) validSource(prefiller *replica, source Source) Source {
+	if s.upstream.find(prefiller.name) != prefiller {
 		return Source{}
 	}
 	return source
 }
 
-// replaceTarget picks another replica to make the tokens if the chosen one has
-// begun to leave, or has failed, while the prompt was read.
+// replaceTarget picks another decode replica if the chosen one started to leave or failed during
+// the prefill.
 func (s *session) replaceTarget(chosen *plan) {
-	if chosen.alone {
-		return // nowhere else is it alone
+	if chosen.isolated {
+		return // the request would not be isolated on any other replica
 	}
-	s.ingress.routes() // takes in what the list says by now
+	s.ingress.routes() // applies the latest list of replicas
 	now := s.ingress.now()
-	current := s.lane.find(chosen.target.name)
+	current := s.upstream.find(chosen.target.name)
 	if current != nil && current.takes(now) && !current.isSuspect(now) {
 		return
 	}
-	whole := &wanted{roles: []api.EngineRole{api.RoleDecode, api.RoleMixed}, excluded: s.excluded}
-	if other, found := s.lane.pickGenerator(whole, s.ingress.config.Zone, now, s.random); found {
+	decoders := &replicaFilter{roles: []api.EngineRole{api.RoleDecode, api.RoleMixed}, excluded: s.excluded}
+	if other, found := s.upstream.pickDecoder(decoders, s.ingress.config.Zone, now, s.random); found {
 		chosen.target = other.replica
 	}
 }
 
-// send lets the target run the request.
+// send has the target run the request.
 func (s *session) send(ctx context.Context, chosen plan, source Source) verdict {
 	target := chosen.target
 	if !target.takes(s.ingress.now()) {
@@ -146,11 +145,11 @@
 		}
 		return verdictNotRun
 	}
-	number, err := s.life.Begin(target.name, 0)
+	number, err := s.lifecycle.Begin(target.name, 0)
 	if err != nil {
 		return verdictBroken
 	}
-	tokens := chosen.uncached
+	tokens := chosen.uncachedTokens
 	if source.Handle != "" {
 		tokens = 0
 	}
@@ -164,41 +163,41 @@
 	answer, err := s.exchange(attempting, stageRun, target, s.request(chosen, source))
 	if err != nil {
 		s.noteBroken(attempting, stageRun, target, sent, err)
-		return s.unanswered(ctx, target, number, err)
+		return s.handleNoAnswer(ctx, target, number, err)
 	}
 	defer answer.Close()
-	s.sends++
+	s.sendCount++
 	s.answered = true
 	reply := s.ingress.config.Dialect.Reply(answer.Status, answer.Header)
 	target.hear(reply.ownLoad(), s.ingress.now())
 	s.noteAnswer(target, sent.at, answer, &reply)
-	return s.judge(ctx, chosen, sent, number, answer, reply)
+	return s.handleAnswer(ctx, chosen, sent, number, answer, reply)
 }
 
-// Stages of a request in the log.
+// Stages of a request in logs and metrics.
 const (
-	stageRead = "read"
-	stageRun  = "run"
-	stageFree = "free" // of a handle
+	stagePrefill = "read"
+	stageRun     = "run"
+	stageRelease = "free" // of a handle
 )
 
-// logSent says where the request goes, before it does: should this process end
-// meanwhile, nothing else tells.
-func (s *session) logSent(stage string, to *replica, unread int, chosen plan) {
+// logSent logs the destination before the request is sent, so that the log shows it even if this
+// process crashes in the meantime.
+func (s *session) logSent(stage string, to *replica, uncachedTokens int, chosen plan) {
 	event.RequestSent.Log(s.ingress.logger, "request", s.call.ID, "generation", s.generation,
-		"stage", stage, "replica", to.name, "unread", unread, "expected_ms", chosen.estimate.Milliseconds(),
+		"stage", stage, "replica", to.name, "unread", uncachedTokens, "expected_ms", chosen.estimate.Milliseconds(),
 		"deferred", chosen.deferred)
 }
 
-// exchange sends the request to a replica. What comes back is the request's own answer:
-// the pool holds each against the request's ID.
+// exchange sends the request to a replica. The pool compares the ID in each answer with the
+// request's ID, so the result is the answer to this request.
 func (s *session) exchange(ctx context.Context, stage string, to *replica, request *exchange.Request) (*exchange.Answer, error) {
 	address := to.listed().Address
-	request.Identity.Repeated = s.sentTo[address]
-	s.sentTo[address] = true
+	request.Identity.Repeated = s.contacted[address]
+	s.contacted[address] = true
 	request.Permit = s.ingress.permit(to.asks)
 	request.Overheard = func(status int, header http.Header) { s.hearAsks(stage, to.asks, status, header) }
-	answer, err := s.lane.pool.Do(ctx, address, request)
+	answer, err := s.upstream.pool.Do(ctx, address, request)
 	if err == nil {
 		s.noteForeign(stage, to, answer.Reused, answer.Foreign)
 		s.hearAsks(stage, to.asks, answer.Status, answer.Header)
@@ -211,30 +210,31 @@
 	return nil, err
 }
 
-// noteForeign tells of answers to other requests that came where this one's was due.
+// noteForeign logs answers that arrived in place of this request's answer and belong to other
+// requests.
 func (s *session) noteForeign(stage string, from *replica, reused bool, found []*exchange.ForeignAnswer) {
 	for _, foreign := range found {
-		s.ingress.metrics.foreign.WithLabelValues(s.lane.service, stage).Inc()
+		s.ingress.metrics.foreign.WithLabelValues(s.upstream.service, stage).Inc()
 		event.ForeignAnswer.Log(s.ingress.logger, "request", s.call.ID, "stage", stage, "replica", from.name,
 			"reused", reused, "answered", foreign.Answered, "status", foreign.Status)
 		s.hearAsks(stage, from.asks, foreign.Status, foreign.Header)
 	}
 }
 
-// request builds what the target gets.
+// request builds the HTTP request for the target.
 func (s *session) request(chosen plan, source Source) *exchange.Request {
 	header := s.call.Header.Clone()
 	resumeAfter := s.call.ResumeAfter
-	if s.lastEvent != "" {
-		resumeAfter = s.lastEvent
+	if s.lastEventID != "" {
+		resumeAfter = s.lastEventID
 	}
 	s.ingress.config.Dialect.Attempt(header, Attempt{
 		Replica:     chosen.target.name,
-		Within:      s.replicaTime(),
+		Within:      s.replicaTimeout(),
 		Priority:    chosen.runPriority(s.priority, source),
 		ResumeAfter: resumeAfter,
 		Source:      source,
-		Fetch:       chosen.fetchOf(source),
+		Fetch:       chosen.runFetchAddress(source),
 	})
 	return &exchange.Request{
 		Method:   s.call.Method,
@@ -247,39 +247,39 @@
 	}
 }
 
-// unanswered closes an attempt that brought no answer.
-func (s *session) unanswered(ctx context.Context, target *replica, number uint32, err error) verdict {
+// handleNoAnswer ends an attempt that received no answer.
+func (s *session) handleNoAnswer(ctx context.Context, target *replica, number uint32, err error) verdict {
 	now := s.ingress.now()
 	var failure *exchange.Failure
 	sent := !errors.As(err, &failure) || failure.Sent
 	fmt.Fprintf(&s.trace, " (%s: %v)", target.name, err)
 	if !sent {
-		s.life.Fail(number, attempt.FaultNotWritten)
+		s.lifecycle.Fail(number, attempt.FaultNotWritten)
 		if errors.Is(err, errWithheld) {
 			s.withhold(stageRun, target)
 			return verdictNotRun
 		}
-		s.dials++
+		s.dialFailures++
 		if ctx.Err() != nil {
-			return verdictCallerEnd // who left tells nothing of the replica
+			return verdictCallerEnd // a disconnected caller says nothing about the replica
 		}
-		s.gone = errors.Is(err, syscall.ECONNREFUSED)
+		s.connectionRefused = errors.Is(err, syscall.ECONNREFUSED)
 		target.suspect(now)
 		return verdictNotRun
 	}
-	s.sends++
-	s.life.Fail(number, attempt.FaultBroken)
+	s.sendCount++
+	s.lifecycle.Fail(number, attempt.FaultBroken)
 	if ctx.Err() != nil {
 		return verdictCallerEnd
 	}
 	s.answered = isForeign(err)
-	s.blame(target, err, now)
+	s.noteUnanswered(target, err, now)
 	return verdictBroken
 }
 
-// blame notes that a replica brought no answer. One that answered something else is
-// neither silent nor gone.
-func (s *session) blame(target *replica, err error, now time.Duration) {
+// noteUnanswered records that a replica did not answer the request. A replica that answered
+// another request instead is neither silent nor gone.
+func (s *session) noteUnanswered(target *replica, err error, now time.Duration) {
 	if isForeign(err) {
 		target.fail()
 		return
@@ -292,38 +292,39 @@
 	return errors.As(err, &foreign)
 }
 
-// watchSilence ends an attempt at a replica from which nothing at all has come
-// for a while, where the request may be tried elsewhere: the replica hangs, or
-// its machine is gone. It returns what ends the watch.
+// watchSilence cancels an attempt if its replica has sent nothing at all for some time and the
+// request may be retried elsewhere: the replica hangs or its machine is gone. The result stops
+// the watch.
 func (s *session) watchSilence(ctx context.Context, chosen plan, sent *send, cancel context.CancelCauseFunc) func() bool {
-	if !s.route.Idempotent() || s.sends+1 >= s.route.Attempts {
+	if !s.route.Idempotent() || s.sendCount+1 >= s.route.Attempts {
 		return func() bool { return true }
 	}
-	patience := s.patience(chosen)
-	timer := time.AfterFunc(patience, func() {
+	timeout := s.answerTimeout(chosen)
+	timer := time.AfterFunc(timeout, func() {
 		target := chosen.target
-		if ctx.Err() == nil && !sent.begun(target) && target.silentSince(sent.at) {
+		if ctx.Err() == nil && !sent.hasStarted(target) && target.silentSince(sent.at) {
 			cancel(errSilent)
 		}
 	})
 	return timer.Stop
 }
 
-// Patience with a silent replica, as multiples of the route's objective.
+// Timeout for the first sign of life of a replica, as a multiple of the route's objective.
 const (
-	patienceObjectives = 2
-	minimumPatience    = 300 * time.Millisecond
-	// patienceEstimates is the same as a multiple of the expected time.
-	patienceEstimates = 4
+	answerTimeoutObjectives = 2
+	minAnswerTimeout        = 300 * time.Millisecond
+	// answerTimeoutEstimates is the timeout as a multiple of the estimated time to the first
+	// token.
+	answerTimeoutEstimates = 4
 )
 
-func (s *session) patience(chosen plan) time.Duration {
+func (s *session) answerTimeout(chosen plan) time.Duration {
 	objective := time.Duration(s.route.ObjectiveMilliseconds) * time.Millisecond
-	return max(patienceObjectives*objective, patienceEstimates*chosen.estimate, minimumPatience)
+	return max(answerTimeoutObjectives*objective, answerTimeoutEstimates*chosen.estimate, minAnswerTimeout)
 }
 
-// begun reports whether the answer has begun.
-func (s *send) begun(target *replica) bool {
+// hasStarted reports whether the answer has started.
+func (s *send) hasStarted(target *replica) bool {
 	target.lock.Lock()
 	defer target.lock.Unlock()
 	return s.started
--- a/process/ingress/types.go
+++ b/process/ingress/types.go
@@ -1,15 +1,17 @@
-// Package ingress is the data path of routed requests: it takes a caller's
-// request, finds its route by the view, sends it to replicas of the route's
-// service, and sees it through to one final answer.
+// Package ingress is the data path of routed requests: it reads a caller's request, looks up its
+// route in the current view, sends it to replicas of the route's service, and returns exactly one
+// final answer.
 //
-// Guarantees: method, target and body reach a replica exactly as the caller sent
-// them; a request that must run at most once is sent again only when it surely
-// has not run; "not run" is said only when no attempt can have run; an answer
-// that broke off is never passed on as a whole one; what a replica said for
-// another request never reaches a caller.
+// Guarantees:
 //
-// The names of header fields belong to a Dialect, so that the same path serves
-// callers and replicas of several protocols.
+//   - Method, target and body reach a replica exactly as the caller sent them.
+//   - A request that may run at most once is sent again only if it certainly has not run.
+//   - "Not run" is reported only if no attempt can have run.
+//   - A truncated answer is never passed on as a complete one.
+//   - A replica's answer to one request never reaches the caller of another.
+//
+// A Dialect defines the names of the header fields, so that the same data path serves callers and
+// replicas of several protocols.
 package ingress
 
 import (
@@ -19,49 +21,48 @@
 	"github.com/landingtrail/landingtrail/request/holdoff"
 )
 
-// Call is a caller's request, read whole.
+// Call is a caller's request with its complete body.
 type Call struct {
 	ID     string
 	Method string
-	Target string // as it stands in the request line
-	Path   string // the target's path, undecoded, without the query
+	Target string // as received in the request line
+	Path   string // of the target: still escaped, without the query
 	Host   string
-	// Header holds the fields to pass on, without those of one connection.
+	// Header holds the fields to pass on, without the connection-specific ones.
 	Header  http.Header
 	Body    []byte
 	Chunked bool
-	// Caller is who asks: the tenant of the key where keys are required, and else what
-	// the fields say that name a caller; empty where none does.
+	// Caller identifies the caller: the tenant of the API key if keys are required, otherwise the
+	// value of the fields that identify a caller; empty if there are none.
 	Caller string
-	// Tenant is the one of the key; empty where keys are not required, or none came.
+	// Tenant is the tenant of the API key; empty if keys are not required or none was sent.
 	Tenant string
-	// Credential is the API key that came with the call.
+	// Credential is the API key that was sent with the call.
 	Credential Credential
-	// Within is how long the caller waits, 0 if it did not say.
+	// Within is how long the caller waits; 0 if unspecified.
 	Within time.Duration
 	Work   Work
-	// ResumeAfter is the last event that the caller has of a broken stream.
+	// ResumeAfter is the ID of the last event that the caller received of an interrupted stream.
 	ResumeAfter string
 }
 
-// Credential is an API key as it came. It goes no further than the look-up.
+// Credential is an API key as received. It is used for the lookup only and never passed on.
 type Credential struct {
 	Key string
-	// Given is true where the call brought a credential, also one of a form in which no
-	// key can be.
+	// Given is true if the call carried a credential, even one that cannot be a valid key.
 	Given bool
 }
 
-// Work is what a caller says of a generation.
+// Work is what a caller declares about a generation request.
 type Work struct {
 	Model        string
 	PromptTokens int
 	OutputTokens int
-	// Parts are the pieces of the prompt in order; requests share them.
+	// Parts are the pieces of the prompt in order; requests may share them.
 	Parts []Part
 }
 
-// Part is a piece of a prompt that replicas may hold in their caches.
+// Part is a piece of a prompt that replicas may have in their caches.
 type Part struct {
 	ID     string
 	Tokens int
@@ -69,49 +70,50 @@
 
 // Attempt is what one send adds to a call.
 type Attempt struct {
-	Replica  string        // the only replica that may run it
-	Within   time.Duration // how long the replica may work
+	Replica  string        // the only replica that may run the request
+	Within   time.Duration // how long the replica may work on it
 	Priority int
-	// ResumeAfter is the last event that the caller has.
+	// ResumeAfter is the ID of the last event that the caller has.
 	ResumeAfter string
-	// Prefill asks that the prompt is read and kept, and nothing is generated.
+	// Prefill requests that the prompt is processed and kept, without generating anything.
 	Prefill bool
-	// Source names the replica and the handle to take the read prompt from.
+	// Source names the replica and the handle from which to take the prefilled prompt.
 	Source Source
-	// Fetch is where the replica first takes what is kept of the prompt there;
-	// empty for nowhere.
+	// Fetch is the address from which the replica first fetches cached parts of the prompt; empty
+	// for none.
 	Fetch string
 }
 
-// Source is a prompt that a replica has read and keeps.
+// Source is a prompt that a replica has prefilled and keeps.
 type Source struct {
-	Replica string // its name
+	Replica string // name of the replica
 	Address string
 	Handle  string
 }
 
-// Reply is what the head of an answer says.
+// Reply is the information in the head of an answer.
 type Reply struct {
-	// Named is true for an answer that names its request.
+	// Named is true if the answer carries the ID of its request.
 	Named bool
-	// Genuine is true for an answer that a replica made by running a request.
+	// Genuine is true if the replica produced the answer by running a request.
 	Genuine bool
-	// NotRun is the replica's word that it has not run the request.
+	// NotRun is true if the replica states that it has not run the request.
 	NotRun bool
-	// Misdirected is true when another replica than the one asked for answered.
+	// Misdirected is true if a replica other than the addressed one answered.
 	Misdirected bool
-	// Load is the replica's load if it told it.
+	// Load is the replica's load, nil if not reported.
 	Load *Load
-	// Asks is what the replica wants of further requests.
+	// Asks is what the replica demands of further requests.
 	Asks holdoff.Word
 }
 
-// refuses reports whether the answer proves that the request has not run. One that names
-// nobody may have been sent before the request was read, which may then run all the same.
+// refuses reports whether the answer proves that the request has not run. An answer without a
+// request ID proves nothing: it may have been sent before the request was read, and the request
+// may still run afterwards.
 func (r *Reply) refuses() bool { return r.Named && (r.NotRun || r.Misdirected) }
 
-// ownLoad is the load of the replica that was asked: another one that answers at its
-// address speaks of its own, and one that names nobody may be any.
+// ownLoad returns the load of the replica that was addressed. A misdirected answer reports
+// another replica's load, and an answer without a request ID may come from any replica.
 func (r *Reply) ownLoad() *Load {
 	if r.Misdirected || !r.Named {
 		return nil
@@ -119,35 +121,36 @@
 	return r.Load
 }
 
-// Load is what a replica says of its load.
+// Load is the load that a replica reports.
 type Load struct {
 	Running int
 	Waiting int
 	Slots   int
-	// Slowdown is how many times as long as usual work takes there now, since others use the
-	// same machine; 1 is as usual, and 0 says nothing.
+	// Slowdown is the current duration of work relative to the usual one, caused by other users
+	// of the same machine; 1 is normal, 0 means not reported.
 	Slowdown float64
 }
 
 // Dialect reads and writes the header fields of one protocol.
 type Dialect interface {
-	// Call reads what the fields of a caller's request say; fields of the
-	// dialect that belong to the system are taken out of the header.
+	// Call parses the fields of a caller's request and removes the dialect's internal fields from
+	// the header.
 	Call(header http.Header) (Call, error)
-	// Identify replaces whatever names a caller, its credentials included, by the tenant;
-	// an empty one leaves nothing in its place.
+	// Identify replaces every field that identifies a caller, including credentials, by the
+	// tenant; with an empty tenant they are only removed.
 	Identify(header http.Header, tenant string)
 	// Attempt sets the fields of one send.
 	Attempt(header http.Header, attempt Attempt)
-	// IdentityField returns the field in which a replica's answer repeats a request's ID.
+	// IdentityField returns the field in which a replica's answer repeats the request's ID.
 	IdentityField() string
-	// Reply reads the fields of an answer.
+	// Reply parses the fields of an answer.
 	Reply(status int, header http.Header) Reply
-	// Handle reads the body of the answer to a prefill.
+	// Handle parses the body of the answer to a prefill.
 	Handle(body []byte) (handle string, err error)
-	// Release makes the request that frees a handle of the replica and of no other one
-	// at its address, and sets the fields.
+	// Release returns the method and target of the request that frees a handle, and sets its
+	// header fields. The request must affect only the named replica, even if another one has
+	// taken over its address.
 	Release(header http.Header, replica, handle string) (method, target string)
-	// Refusal sets the fields of an answer of the system's own.
+	// Refusal sets the fields of an answer that the proxy generates itself.
 	Refusal(header http.Header, call *Call, retryAfter time.Duration)
 }
