--- a/process/guard/guard.go
+++ b/process/guard/guard.go
@@ -1,9 +1,9 @@
-// Package guard keeps requests under which replicas end from the replicas, in one proxy.
+// Package guard keeps requests that crash replicas away from further replicas, for one proxy.
 //
-// The group's record, which comes with the view, decides while a leader serves the proxy:
-// it knows what all proxies saw, also of what stood beside. A proxy that is cut off goes on
-// by that record and by what it sees itself. Where members reach it that can't write to the
-// record, it goes by what they tell it as well.
+// While a leader serves the proxy, the quarantine record of the control group decides. It arrives
+// with the view and combines the observations of all proxies, including other requests in flight
+// at the same replicas. A proxy that is cut off uses the last record and its own observations. If
+// it reaches members that cannot write to the record, it also uses their reports.
 package guard
 
 import (
@@ -22,65 +22,66 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
-// Reporter is the control group as it is told of replicas that ended; *feed.Client is one.
+// Reporter receives reports of replica crashes for the control group; implemented by
+// *feed.Client.
 type Reporter interface {
 	ReportEnds(report feed.EndReport) bool
-	// Connected reports whether a leader serves this proxy now.
+	// Connected reports whether a leader currently serves this proxy.
 	Connected() bool
 }
 
 // Guard is safe for concurrent use.
 type Guard struct {
-	// active is true while there is anything to look for. Until then a request costs the
-	// reading of one flag.
+	// active is true while any request is under suspicion. Otherwise the cost for a request is
+	// one atomic load.
 	active atomic.Bool
 
 	lock     sync.Mutex
-	reporter Reporter // nil without a group
-	// served is true once a leader was seen to serve this proxy, lost since lostAt that none
-	// does any more.
+	reporter Reporter // nil without a control group
+	// served is true once a leader has served this proxy, lost while none does any more, since
+	// lostAt.
 	served bool
 	lost   bool
 	lostAt time.Duration
-	// toldTill is until when this proxy judges by what a member has told it of ends that are not
-	// on record.
-	toldTill time.Duration
-	table    *quarantine.Table
-	version  view.Version
-	recorded map[string]*api.Quarantine
-	// name is this proxy's, proxies are those that may be given turns, in order.
+	// reportedUntil is the time until which this proxy judges by a member's report of unrecorded
+	// crashes.
+	reportedUntil time.Duration
+	table         *quarantine.Table
+	version       view.Version
+	recorded      map[string]*api.Quarantine
+	// name is this proxy's, proxies are the sorted names of those that take turns at trials.
 	name    string
 	proxies []string
-	// trials are the requests that this proxy is trying, by fingerprint, each with its owner.
+	// trials holds the requests on trial at this proxy by fingerprint, each with its owner.
 	trials map[quarantine.Fingerprint]any
-	// doubted are the replicas that are on record as ended, with when this proxy learnt it:
-	// whoever hears of one refutes that.
-	doubted map[string]doubt
+	// suspected holds the replicas that are recorded as crashed. An answer from one of them
+	// refutes that.
+	suspected map[string]suspectedCrash
 }
 
-// doubt is what makes a replica that is on record as ended doubtful.
-type doubt struct {
-	learntAt time.Duration
-	endedAt  time.Time // the first end on its record, by the leader's time of day
+// suspectedCrash is a recorded crash of a replica.
+type suspectedCrash struct {
+	learntAt  time.Duration
+	crashedAt time.Time // first recorded crash, by the leader's wall clock
 }
 
-// New returns a guard that tells nobody until it has a Reporter. name is its proxy's, empty
-// where no request is tried.
+// New returns a guard that reports nothing until SetReporter is called. name is the proxy's name,
+// empty if the proxy does not run trials.
 func New(name string) *Guard {
 	return &Guard{name: name, table: quarantine.NewTable(), trials: map[quarantine.Fingerprint]any{}}
 }
 
-// SetReporter sets who is told, and whose record decides.
+// SetReporter sets the control group, which receives reports and whose record decides.
 func (g *Guard) SetReporter(reporter Reporter) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	g.reporter = reporter
 }
 
-// Active reports whether there is anything to look for.
+// Active reports whether any request is under suspicion.
 func (g *Guard) Active() bool { return g.active.Load() }
 
-// Follow takes in the record of a view that is newer than the last one.
+// Follow applies the quarantine record of a view that is newer than the last one.
 func (g *Guard) Follow(current *view.View, now time.Duration) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -89,108 +90,110 @@
 	}
 	g.version = current.Version
 	g.isCutOff(now)
-	if g.toldTill > 0 { // a leader commits: its record decides again
-		g.toldTill = 0
+	if g.reportedUntil > 0 { // a leader commits again, so the record decides
+		g.reportedUntil = 0
 		g.table.DropTold()
 	}
 	before := g.recorded
 	g.recorded = current.Quarantines
 	for name, known := range g.recorded {
 		if earlier := before[name]; earlier == nil || earlier.Revision != known.Revision {
-			g.learn(earlier, known, now)
+			g.applyRecord(earlier, known, now)
 		}
 	}
 	for name := range before {
 		if g.recorded[name] == nil {
-			g.forget(name)
+			g.dropRecord(name)
 		}
 	}
 	g.proxies = slices.Sorted(maps.Keys(current.Proxies))
-	g.doubt(now)
-	g.rest(now)
+	g.updateSuspected(now)
+	g.updateActive(now)
 }
 
-// doubt keeps which replicas are on record as ended.
-func (g *Guard) doubt(now time.Duration) {
-	before := g.doubted
-	g.doubted = map[string]doubt{}
+// updateSuspected collects the replicas that are recorded as crashed. The caller must hold the
+// lock.
+func (g *Guard) updateSuspected(now time.Duration) {
+	before := g.suspected
+	g.suspected = map[string]suspectedCrash{}
 	for _, known := range g.recorded {
 		for _, replica := range known.Spec.Replicas {
 			next, found := before[replica]
 			if !found {
-				next = doubt{learntAt: now, endedAt: time.UnixMilli(known.Spec.Since)}
+				next = suspectedCrash{learntAt: now, crashedAt: time.UnixMilli(known.Spec.Since)}
 			}
-			g.doubted[replica] = next
+			g.suspected[replica] = next
 		}
 	}
 }
 
-// Doubts reports whether a replica is on record as ended that has answered what was sent to
-// it then, after this proxy had learnt so: it lives.
+// Doubts reports whether an answer refutes the recorded crash of a replica: it answers a request
+// that was sent after this proxy learned of the crash.
 func (g *Guard) Doubts(replica string, sentAt time.Duration) bool {
 	if !g.Active() {
 		return false
 	}
 	g.lock.Lock()
 	defer g.lock.Unlock()
-	known, found := g.doubted[replica]
+	known, found := g.suspected[replica]
 	return found && sentAt > known.learntAt
 }
 
-// DoubtsSince is Doubts for a replica that does not say which process answers: another one
-// may have its name by now. It is the same only if it answered on a connection that was
-// open before the end, by clocks of different machines.
-func (g *Guard) DoubtsSince(replica string, sentAt time.Duration, opened time.Time) bool {
+// DoubtsOnConnection is Doubts for a replica whose answers do not identify its process, which may
+// have been replaced under the same name. The crash is refuted only if the answer arrived on a
+// connection that was opened before the crash, by the clocks of different machines.
+func (g *Guard) DoubtsOnConnection(replica string, sentAt time.Duration, opened time.Time) bool {
 	if !g.Doubts(replica, sentAt) {
 		return false
 	}
 	g.lock.Lock()
 	defer g.lock.Unlock()
-	known, found := g.doubted[replica]
-	return found && opened.Before(known.endedAt.Add(-clockMargin))
+	known, found := g.suspected[replica]
+	return found && opened.Before(known.crashedAt.Add(-clockMargin))
 }
 
-// clockMargin is by how much clocks of different machines may disagree, steps of the time
-// of day included.
+// clockMargin is the assumed maximum difference between the wall clocks of two machines,
+// including steps.
 const clockMargin = 5 * time.Second
 
-// learn takes in one entry that is new or has changed. One with fewer replicas than before
-// was refuted in part, or has lapsed: what is known here is then replaced by it.
-func (g *Guard) learn(earlier, known *api.Quarantine, now time.Duration) {
+// applyRecord applies an entry that is new or has changed. If it has fewer replicas than before,
+// a part of it was refuted or expired, and it replaces the local state.
+func (g *Guard) applyRecord(earlier, known *api.Quarantine, now time.Duration) {
 	fingerprint, ok := quarantine.Parse(known.Name)
 	if !ok {
 		return
 	}
 	spec := &known.Spec
 	about := quarantine.About{Service: spec.Service, Route: spec.Route, Request: spec.Request}
-	recorded := quarantine.Record{
+	record := quarantine.Record{
 		Replicas: spec.Replicas, Weak: spec.Weak, Alone: spec.Alone, AtOnce: spec.EndedAtOnce(), About: about,
 	}
 	if earlier != nil && len(spec.Replicas) < len(earlier.Spec.Replicas) {
-		g.table.Restore(now, fingerprint, recorded)
+		g.table.Restore(now, fingerprint, record)
 	}
 	for _, replica := range spec.Replicas {
-		seen := recorded.Evidence(fingerprint, replica)
-		seen.Alone = false // that was seen elsewhere
+		seen := record.Evidence(fingerprint, replica)
+		seen.Alone = false // seen by another proxy
 		g.table.Note(now, seen)
 	}
 	g.table.SetHeld(fingerprint, spec.State == api.QuarantineHeld)
 }
 
-// forget drops a request that is on record no more.
-func (g *Guard) forget(name string) {
+// dropRecord removes a request that is no longer on record.
+func (g *Guard) dropRecord(name string) {
 	if fingerprint, ok := quarantine.Parse(name); ok {
 		g.table.Forget(fingerprint)
 	}
 }
 
-// rest works out whether there is anything to look for; the lock is held.
-func (g *Guard) rest(now time.Duration) {
+// updateActive updates the active flag. The caller must hold the lock.
+func (g *Guard) updateActive(now time.Duration) {
 	g.table.Expire(now)
 	g.active.Store(len(g.recorded) > 0 || len(g.table.Watched(now)) > 0)
 }
 
-// Ended notes that a replica seems to have ended under a request, and tells the group.
+// Ended records that a replica seems to have crashed while processing a request, and reports it
+// to the control group.
 func (g *Guard) Ended(now time.Duration, seen quarantine.Evidence) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -203,12 +206,12 @@
 	g.report(feed.EndReport{Ended: []quarantine.Aged{{Evidence: seen}}})
 }
 
-// toldTime is for how long a member's word on ends that are not on record holds; it comes again as long
-// as they aren't.
-const toldTime = 3 * feed.UnrecordedPause
+// reportMaxAge is how long a member's report of unrecorded crashes is valid. It is repeated while
+// they remain unrecorded.
+const reportMaxAge = 3 * feed.UnrecordedPause
 
-// Unrecorded takes in what a member tells of ends that are not on record: there is no leader, or it
-// can't commit. Nobody else judges by them then, so this proxy does.
+// Unrecorded applies a member's report of crashes that are not on record, because there is no
+// leader or it cannot commit. No other component acts on them in that case, so this proxy does.
 func (g *Guard) Unrecorded(now time.Duration, report feed.EndReport) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -216,65 +219,65 @@
 		seen.Told = true
 		g.table.NoteAged(now, seen.Age, seen.Evidence)
 	}
-	g.toldTill = now + toldTime
-	g.rest(now)
+	g.reportedUntil = now + reportMaxAge
+	g.updateActive(now)
 }
 
-// EndsMany reports whether as many replicas ended under a request as would condemn it, by the
-// record and by what this proxy has seen, whatever stood beside. Who is cut off sees only a
-// part, and asks for one more.
+// EndsMany reports whether enough replicas have crashed while processing a request to quarantine
+// it, by the record and this proxy's own observations, regardless of other requests in flight
+// there. A proxy that is cut off sees only a part and requires one more.
 func (g *Guard) EndsMany(now time.Duration, fingerprint quarantine.Fingerprint) bool {
 	g.lock.Lock()
 	defer g.lock.Unlock()
-	many := quarantine.CondemningEnds
+	threshold := quarantine.CondemningEnds
 	if g.isCutOff(now) {
-		many++
+		threshold++
 	}
-	return g.table.CountEnds(fingerprint) >= many
+	return g.table.CountEnds(fingerprint) >= threshold
 }
 
-// Lives notes that a replica which seemed to have ended has answered since.
+// Lives records that a replica which seemed to have crashed has answered since.
 func (g *Guard) Lives(now time.Duration, alive quarantine.Alive) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	g.table.Lives(now, alive)
-	delete(g.doubted, alive.Replica)
-	g.rest(now)
+	delete(g.suspected, alive.Replica)
+	g.updateActive(now)
 	g.report(feed.EndReport{Alive: []quarantine.Alive{alive}})
 }
 
-// Served notes that a request was served whole, if anything speaks against it.
+// Served records that a request was served completely, if there is any evidence against it.
 func (g *Guard) Served(now time.Duration, fingerprint quarantine.Fingerprint) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
-	heard, _ := g.table.Ends(fingerprint)
-	if len(heard) == 0 && g.recorded[fingerprint.String()] == nil {
+	evidence, _ := g.table.Ends(fingerprint)
+	if len(evidence) == 0 && g.recorded[fingerprint.String()] == nil {
 		return
 	}
 	g.table.Served(now, fingerprint)
 	g.report(feed.EndReport{Served: []quarantine.Fingerprint{fingerprint}})
 }
 
-// Cleared notes that a request was served whole that the group took for one that may end
-// replicas, whatever this proxy knows of it.
-func (g *Guard) Cleared(now time.Duration, fingerprint quarantine.Fingerprint) {
+// ServedIsolated records that a request was served completely although the control group
+// suspected it of crashing replicas, whether or not this proxy has evidence against it.
+func (g *Guard) ServedIsolated(now time.Duration, fingerprint quarantine.Fingerprint) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	g.table.Served(now, fingerprint)
 	g.report(feed.EndReport{Served: []quarantine.Fingerprint{fingerprint}})
 }
 
-// report tells the group if there is one; a word that is lost comes again when a leader
-// begins to serve.
-func (g *Guard) report(told feed.EndReport) {
+// report sends a report to the control group, if any. Lost reports are repeated once a leader
+// serves this proxy.
+func (g *Guard) report(report feed.EndReport) {
 	if g.reporter != nil {
-		g.reporter.ReportEnds(told)
+		g.reporter.ReportEnds(report)
 	}
 }
 
-// ReportAll tells a leader that has just begun what this proxy knows. Good answers are told
-// again as ends are: one that came while there was no leader was heard by nobody, and without
-// it the ends would stand alone.
+// ReportAll sends all observations to a new leader. Served requests are reported again as well as
+// crashes: a report made while there was no leader was lost, and without it only the crashes
+// would count.
 func (g *Guard) ReportAll(now time.Duration) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -284,9 +287,9 @@
 	}
 }
 
-// Holds reports whether a request is to go to no replica, and for how long. Of the owners of
-// a request that is tried, one at a time is told that it is not held, until it calls EndTrial.
-func (g *Guard) Holds(now time.Duration, wall time.Time, fingerprint quarantine.Fingerprint, owner any) (rest time.Duration, held bool) {
+// Holds reports whether a request must not be sent to any replica, and for how long. For a
+// request on trial, one owner at a time is not held, until it calls EndTrial.
+func (g *Guard) Holds(now time.Duration, wall time.Time, fingerprint quarantine.Fingerprint, owner any) (remaining time.Duration, held bool) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	known := g.recorded[fingerprint.String()]
@@ -295,20 +298,21 @@
 	case known.Spec.State == api.QuarantineHeld:
 		return max(time.UnixMilli(known.Spec.Until).Sub(wall), LeastHold), true
 	case known.Spec.State == api.QuarantineSettling:
-		return tryPause, true
+		return trialRetryAfter, true
 	case known.Spec.State == api.QuarantineTried:
-		return tryPause, !g.tries(fingerprint, known.Spec.Until, owner)
+		return trialRetryAfter, !g.claimTrial(fingerprint, known.Spec.Until, owner)
 	}
-	if !g.isCutOff(now) && now >= g.toldTill || !g.table.IsCertain(fingerprint) {
+	if !g.isCutOff(now) && now >= g.reportedUntil || !g.table.IsCertain(fingerprint) {
 		return 0, false
 	}
 	return max(g.table.Rest(now, fingerprint), LeastHold), true
 }
 
-// KeepsApart reports whether a request goes only where the group says: as many replicas ended under
-// it as make it a suspect, and this proxy is not cut off. The group gives it a place where nothing
-// else is, one copy at a time, or none; a proxy knows of no other copy.
-func (g *Guard) KeepsApart(now time.Duration, fingerprint quarantine.Fingerprint) bool {
+// RequiresLeader reports whether only the control group may place a request: enough replicas have
+// crashed while processing it to make it a suspect, and this proxy is not cut off. The control
+// group runs one copy at a time on a replica without other requests, or none; a proxy does not
+// know of copies at other proxies.
+func (g *Guard) RequiresLeader(now time.Duration, fingerprint quarantine.Fingerprint) bool {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	known := g.recorded[fingerprint.String()]
@@ -318,26 +322,28 @@
 	return len(known.Spec.Replicas)-len(known.Spec.Weak) >= quarantine.WatchedEnds && !g.isCutOff(now)
 }
 
-// IsLed reports whether a leader serves this proxy now.
-func (g *Guard) IsLed() bool {
+// HasLeader reports whether a leader currently serves this proxy.
+func (g *Guard) HasLeader() bool {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	return g.reporter != nil && g.reporter.Connected()
 }
 
-// tryPause is told of a request that is tried by another owner: an answer to it takes less.
-const tryPause = 300 * time.Millisecond
-
-// tries reports whether the owner may try the request: it is this proxy's turn, which the
-// turn's end and the request's name draw alike at all proxies, and nobody else tries it here.
-// Two proxies that see different views may both try for a moment. The lock is held.
-func (g *Guard) tries(fingerprint quarantine.Fingerprint, turn int64, owner any) bool {
-	if trying, found := g.trials[fingerprint]; found {
-		return trying == owner
+// trialRetryAfter is the retry delay for a request on trial by another owner; a trial takes less
+// time.
+const trialRetryAfter = 300 * time.Millisecond
+
+// claimTrial reports whether the owner may try the request: it is this proxy's turn, and no other
+// owner tries it here. All proxies derive the turn from a hash of the fingerprint and the end of
+// the turn. Two proxies with different views may both try for a moment. The caller must hold the
+// lock.
+func (g *Guard) claimTrial(fingerprint quarantine.Fingerprint, turnEnd int64, owner any) bool {
+	if current, found := g.trials[fingerprint]; found {
+		return current == owner
 	}
 	if len(g.proxies) > 0 {
-		drawn := xxhash.Sum64(binary.BigEndian.AppendUint64(fingerprint[:], uint64(turn)))
-		if g.proxies[drawn%uint64(len(g.proxies))] != g.name {
+		hash := xxhash.Sum64(binary.BigEndian.AppendUint64(fingerprint[:], uint64(turnEnd)))
+		if g.proxies[hash%uint64(len(g.proxies))] != g.name {
 			return false
 		}
 	}
@@ -345,7 +351,7 @@
 	return true
 }
 
-// EndTrial notes that the owner's request is over.
+// EndTrial records that the owner's request has ended.
 func (g *Guard) EndTrial(fingerprint quarantine.Fingerprint, owner any) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -354,12 +360,12 @@
 	}
 }
 
-// cutOffTime is for how long no leader must have served a proxy until it judges by itself:
-// longer than leaders take to change, or to come back after all members were stopped. What
-// it sees is a part of what the group sees, and what stood beside looks worse in it.
-const cutOffTime = 3 * time.Second
+// cutOffDelay is how long a proxy must be without a leader before it judges by itself. It is
+// longer than a change of leader or a restart of all members takes, because the proxy sees only a
+// part of the evidence, and requests in flight beside a crash look more suspicious in it.
+const cutOffDelay = 3 * time.Second
 
-// isCutOff reports whether this proxy has to judge by itself; the lock is held.
+// isCutOff reports whether this proxy has to judge by itself. The caller must hold the lock.
 func (g *Guard) isCutOff(now time.Duration) bool {
 	switch {
 	case g.reporter == nil:
@@ -372,8 +378,8 @@
 	case !g.lost:
 		g.lost, g.lostAt = true, now
 	}
-	return now-g.lostAt >= cutOffTime
+	return now-g.lostAt >= cutOffDelay
 }
 
-// LeastHold is told of a hold that is about to lapse, or is not on record yet.
+// LeastHold is the reported hold time if the hold is about to expire or not yet on record.
 const LeastHold = time.Second
--- a/process/ingress/answer.go
+++ b/process/ingress/answer.go
@@ -31,7 +31,7 @@
 	}
 	if !reply.Named || isSuccess(answer.Status) && !reply.Genuine || promisesNotRun(answer.Status) {
 		s.lifecycle.Fail(number, attempt.FaultBroken)
-		target.fail()
+		target.noteFailure()
 		return s.brokenOrCallerEnd(ctx)
 	}
 	s.lifecycle.Admit(number, 0)
@@ -50,7 +50,7 @@
 // start of the stream, to which an error answer cannot be appended.
 func (s *session) failResume(ctx context.Context, target *replica, number uint32, answer *exchange.Answer) verdict {
 	s.lifecycle.Fail(number, attempt.FaultBroken)
-	target.fail()
+	target.noteFailure()
 	fmt.Fprintf(&s.trace, " (%s: status %d)", target.name, answer.Status)
 	return s.brokenOrCallerEnd(ctx)
 }
@@ -84,16 +84,16 @@
 	case err == nil:
 		return s.forwardLong(ctx, target, sent, number, answer, held.Bytes())
 	case !errors.Is(err, io.EOF):
-		s.noteBroken(ctx, stageRun, target, sent, err)
+		s.noteBrokenConnection(ctx, stageRun, target, sent, err)
 		s.lifecycle.Fail(number, attempt.FaultBroken)
-		target.fail()
+		target.noteFailure()
 		fmt.Fprintf(&s.trace, " (%s: %v)", target.name, err)
 		return s.brokenOrCallerEnd(ctx)
 	}
 	if answer.Status >= http.StatusInternalServerError {
 		return s.saveFailure(target, number, answer, held.Bytes())
 	}
-	target.succeed()
+	target.noteSuccess()
 	s.lifecycle.Finish(number)
 	copyHeader(s.writer.Header(), answer.Header)
 	s.headSent = true
@@ -104,7 +104,7 @@
 
 // saveFailure keeps an error answer that a replica produced by running the request.
 func (s *session) saveFailure(target *replica, number uint32, answer *exchange.Answer, body []byte) verdict {
-	target.fail()
+	target.noteFailure()
 	s.lifecycle.Fail(number, attempt.FaultBroken)
 	s.failure = &savedAnswer{status: answer.Status, header: answer.Header, body: body}
 	fmt.Fprintf(&s.trace, " (%s: status %d)", target.name, answer.Status)
@@ -120,13 +120,13 @@
 	if err == nil {
 		var readErr error
 		readErr, err = copyAnswer(s.writer, answer)
-		s.noteBroken(ctx, stageRun, target, sent, readErr)
+		s.noteBrokenConnection(ctx, stageRun, target, sent, readErr)
 	}
 	if err != nil {
 		s.lifecycle.Fail(number, attempt.FaultBroken)
 		return s.brokenOrCallerEnd(ctx)
 	}
-	target.succeed()
+	target.noteSuccess()
 	s.lifecycle.Finish(number)
 	return verdictDone
 }
--- a/process/ingress/apart.go
+++ b/process/ingress/apart.go
@@ -7,45 +7,47 @@
 	"github.com/landingtrail/landingtrail/process/pause"
 )
 
-// Times of a request that goes only where a leader says, while there is none or it does not answer.
+// Timing of requests that only a leader may place, while there is no leader or it does not
+// answer.
 const (
-	// apartWait is until it is asked for again, apartPatience for how long after its arrival at
-	// most: a new leader is there within some seconds, and a caller can come back then.
-	apartWait     = 50 * time.Millisecond
-	apartPatience = time.Second
-	apartPause    = time.Second
+	// leaderPollInterval is the time between two attempts, maxLeaderWait the longest wait after
+	// the request's arrival. A new leader is available within a few seconds, and the caller may
+	// retry then.
+	leaderPollInterval = 50 * time.Millisecond
+	maxLeaderWait      = time.Second
+	leaderRetryAfter   = time.Second
 )
 
-// placeApart is place, but for a request under which replicas ended: that goes where a leader says
-// or nowhere. What a leader lets wait, or keeps apart, would else go out with the first question
-// that it leaves unanswered, beside load or between two leaders, and each copy might end a replica.
-// A member that stands by for a leader knows nothing of it either.
-func (s *session) placeApart(ctx context.Context) (plan, bool) {
+// placeSuspect is place for requests that are suspected of crashing replicas: they are sent where
+// a leader says or nowhere. If the proxy chose by itself after an unanswered placement request, a
+// request that the leader delays or isolates would run beside other load, or between two leaders,
+// and each copy could crash a replica. A standby member does not isolate it either.
+func (s *session) placeSuspect(ctx context.Context) (plan, bool) {
 	for {
-		apart := s.isKeptApart()
-		if !apart || s.ingress.guard.IsLed() {
-			if chosen, decided := s.place(ctx); decided || !apart {
+		needsLeader := s.needsLeader()
+		if !needsLeader || s.ingress.guard.HasLeader() {
+			if chosen, decided := s.place(ctx); decided || !needsLeader {
 				return chosen, decided
 			}
 		}
-		if !s.isPatient() || !pause.For(ctx, apartWait) {
-			return plan{refused: true, retryAfter: apartPause}, true
+		if !s.mayWaitForLeader() || !pause.For(ctx, leaderPollInterval) {
+			return plan{refused: true, retryAfter: leaderRetryAfter}, true
 		}
-		s.ingress.routes() // takes in what the record says by now
+		s.ingress.routes() // applies the latest quarantine record
 		if _, held := s.quarantineHold(); held {
 			return plan{quarantined: true}, true
 		}
 	}
 }
 
-// isKeptApart reports whether the request goes only where a leader says. A stream that has brought
-// something goes on anywhere.
-func (s *session) isKeptApart() bool {
+// needsLeader reports whether only a leader may place the request. A stream that has already
+// produced events may continue anywhere.
+func (s *session) needsLeader() bool {
 	guard := s.ingress.guard
-	return guard.Active() && s.events == 0 && guard.KeepsApart(s.ingress.now(), s.fingerprint())
+	return guard.Active() && s.events == 0 && guard.RequiresLeader(s.ingress.now(), s.fingerprint())
 }
 
-// isPatient reports whether the request can wait for a leader once more.
-func (s *session) isPatient() bool {
-	return s.ingress.now()-s.arrivedAt < apartPatience && s.remaining() > 2*apartWait
+// mayWaitForLeader reports whether the request has time for another attempt.
+func (s *session) mayWaitForLeader() bool {
+	return s.ingress.now()-s.arrivedAt < maxLeaderWait && s.remaining() > 2*leaderPollInterval
 }
--- a/process/ingress/asks.go
+++ b/process/ingress/asks.go
@@ -15,20 +15,20 @@
 	"github.com/pkg/errors"
 )
 
-// What replicas ask for with their answers is kept on each way to them:
+// The pauses and departures that replicas announce in their answers are applied at three points:
 //
-//   - where replicas are chosen: those that pause or leave are no candidates, and are named to
-//     the control group as excluded, which does not know what each proxy was asked;
-//   - before a send, since the choice may be older than the answer that asked;
-//   - when the connection is there and nothing is written yet, since opening it takes time.
+//  - Choosing a replica: those that pause or leave are no candidates. They are listed as excluded for the control group, which does not know what each proxy was told.
+//  - Before a send, since the choice may be older than the announcement.
+//  - Once the connection is open and before anything is written, since opening it takes time.
 //
-// No send is meant for a replica that pauses, although it bears two: those are left for what
-// was on its way when it asked.
+// A pausing replica tolerates two more requests, but none is sent deliberately: they are reserved
+// for requests that were already on their way when it asked.
 
-// errWithheld is the cause of an exchange that did not begin, since its replica pauses or leaves.
-var errWithheld = errors.New("ingress: the replica has asked to be sent nothing")
+// errWithheld is the cause of an exchange that was not started because its replica pauses or is
+// leaving.
+var errWithheld = errors.New("ingress: replica asked not to be sent requests")
 
-// permit returns what is asked last before a request is written to the replica.
+// permit returns the last check before a request is written to the replica.
 func (i *Ingress) permit(to *holdoff.Replica) func() error {
 	return func() error {
 		if !to.Begin(i.now()) {
@@ -38,10 +38,10 @@
 	}
 }
 
-// hearAsks takes in what an answer of the replica says of further requests, whomever it
-// answers: it came on a connection to the replica. Another one that answers at its address
-// speaks of itself.
-func (s *session) hearAsks(stage string, from *holdoff.Replica, status int, header http.Header) {
+// recordHoldoff applies what an answer of the replica demands of further requests, even if it
+// answers another request: it arrived on a connection to the replica. A misdirected answer speaks
+// for another replica only.
+func (s *session) recordHoldoff(stage string, from *holdoff.Replica, status int, header http.Header) {
 	reply := s.ingress.config.Dialect.Reply(status, header)
 	if reply.Misdirected {
 		return
@@ -51,16 +51,16 @@
 		return
 	}
 	if leaves {
-		s.ingress.tellLeaving(s.upstream.service, from.Name())
+		s.ingress.reportLeaving(s.upstream.service, from.Name())
 	}
 	s.ingress.metrics.asks.WithLabelValues(s.upstream.service, stage).Inc()
 	event.ReplicaAsks.Log(s.ingress.logger, "replica", from.Name(), "request", s.call.ID, "stage", stage, "status", status,
 		"retry_after_ms", reply.Asks.RetryAfter.Milliseconds(), "leaving", reply.Asks.Leaving)
 }
 
-// tellLeaving tells who places requests that a replica leaves: the list may show it later,
-// and others would go on sending there.
-func (i *Ingress) tellLeaving(service, replica string) {
+// reportLeaving tells the member that places requests that a replica is leaving. The list may
+// show that later, and other proxies would continue to send requests there.
+func (i *Ingress) reportLeaving(service, replica string) {
 	if i.placer == nil {
 		return
 	}
@@ -69,35 +69,36 @@
 	})
 }
 
-// reportLeaving tells a member that has just begun to place requests which replicas leave.
-func (i *Ingress) reportLeaving() {
+// reportAllLeaving tells a member that has just started to place requests which replicas are
+// leaving.
+func (i *Ingress) reportAllLeaving() {
 	for _, opened := range i.upstreams.all() {
-		for _, known := range opened.fleet.used() {
-			if known.asks.IsLeaving() {
-				i.tellLeaving(opened.service, known.name)
+		for _, known := range opened.fleet.inUse() {
+			if known.holdoff.IsLeaving() {
+				i.reportLeaving(opened.service, known.name)
 			}
 		}
 	}
 }
 
-// withhold notes that nothing is sent to a replica that was chosen.
-func (s *session) withhold(stage string, from *replica) {
+// noteWithheld records that nothing is sent to a chosen replica.
+func (s *session) noteWithheld(stage string, from *replica) {
 	s.withheld = stage == stageRun
 	s.trace.WriteString(" withheld(" + from.name + ")")
 	s.ingress.metrics.withheld.WithLabelValues(s.upstream.service, stage).Inc()
 	event.SendWithheld.Log(s.ingress.logger, "request", s.call.ID, "stage", stage, "replica", from.name,
-		"pause_ms", from.asks.Pause(s.ingress.now()).Milliseconds(), "leaving", from.asks.IsLeaving())
+		"pause_ms", from.holdoff.Pause(s.ingress.now()).Milliseconds(), "leaving", from.holdoff.IsLeaving())
 }
 
-// avoided names the replicas to which the group is not to send the request: those where it
-// was, those that take nothing, and those that are in doubt while their role has others.
-func (s *session) avoided() []string {
+// avoidedReplicas returns the replicas that the control group must not choose: those already
+// tried, those that accept nothing, and doubtful ones if there are others of their role.
+func (s *session) avoidedReplicas() []string {
 	now := s.ingress.now()
 	avoided := maps.Clone(s.excluded)
 	doubtful := map[api.EngineRole][]string{}
-	for _, known := range s.upstream.fleet.used() {
-		role := known.listed().Role
-		switch known.asks.State(now) {
+	for _, known := range s.upstream.fleet.inUse() {
+		role := known.spec().Role
+		switch known.holdoff.State(now) {
 		case holdoff.Closed:
 			avoided[known.name] = true
 		case holdoff.Doubtful:
@@ -115,29 +116,29 @@
 	return slices.Sorted(maps.Keys(avoided))
 }
 
-// hasOpen reports whether a replica of the role may be sent the request without a doubt.
+// hasOpen reports whether a replica of the role can be sent the request without a doubt.
 func (s *session) hasOpen(role api.EngineRole, now time.Duration) bool {
 	found := false
-	s.upstream.fleet.all(func(entry *api.Replica, known *replica) bool {
+	s.upstream.fleet.forEach(func(entry *api.Replica, known *replica) bool {
 		found = entry.Spec.Role == role && !entry.Spec.Leaving && !s.excluded[entry.Name] &&
-			(known == nil || known.asks.State(now) == holdoff.Open)
+			(known == nil || known.holdoff.State(now) == holdoff.Open)
 		return !found
 	})
 	return found
 }
 
-// runRoles are the roles of replicas that can run a request, whoever reads its prompt.
+// runRoles matches the replicas that can run a request, whichever replica prefills its prompt.
 var runRoles = replicaFilter{roles: []api.EngineRole{api.RoleDecode, api.RoleMixed}}
 
-// pauseSpread keeps callers that are told the end of a pause from coming back together.
-const pauseSpread = 100 * time.Millisecond
+// pauseJitter keeps callers that are told the end of a pause from retrying at the same time.
+const pauseJitter = 100 * time.Millisecond
 
-// allPause reports whether every replica that could run the request has asked this process
-// for a pause, and when the first of them is over. To wait for that here would hold the
-// request for nothing, and to send it all the same would only be refused.
-func (l *upstream) allPause(now time.Duration) (wait time.Duration, all bool) {
+// allPaused reports whether every replica that could run the request has asked this process for a
+// pause, and when the first pause ends. Waiting here would hold the request in vain, and sending
+// it would only result in a refusal.
+func (l *upstream) allPaused(now time.Duration) (wait time.Duration, all bool) {
 	first, isOpen := time.Duration(0), false
-	l.fleet.all(func(entry *api.Replica, known *replica) bool {
+	l.fleet.forEach(func(entry *api.Replica, known *replica) bool {
 		if entry.Spec.Leaving || !runRoles.includesRole(entry.Spec.Role) {
 			return true
 		}
@@ -145,10 +146,10 @@
 			isOpen = true
 			return false
 		}
-		pause := known.asks.Pause(now)
-		// Be it one that has just refused this request: it may have room sooner.
-		isOpen = pause == 0 && known.takes(now)
-		if pause > 0 && !known.asks.IsLeaving() && (first == 0 || pause < first) {
+		pause := known.holdoff.Pause(now)
+		// Includes a replica that has just refused this request: it may have capacity sooner.
+		isOpen = pause == 0 && known.acceptsRequests(now)
+		if pause > 0 && !known.holdoff.IsLeaving() && (first == 0 || pause < first) {
 			first = pause
 		}
 		return !isOpen
@@ -156,5 +157,5 @@
 	if isOpen {
 		return 0, false
 	}
-	return first + rand.N(pauseSpread), first > 0
+	return first + rand.N(pauseJitter), first > 0
 }
--- a/process/ingress/authenticate.go
+++ b/process/ingress/authenticate.go
@@ -8,23 +8,23 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
-// Confirmer tells how long ago a leader last confirmed the view; *view.Holder is one.
+// Confirmer returns how long ago a leader last confirmed the view; implemented by *view.Holder.
 type Confirmer interface {
-	// SinceConfirmed is the time since a heartbeat was sent that a leader has answered.
+	// SinceConfirmed returns the time since the sending of the last heartbeat that a leader has
+	// answered.
 	SinceConfirmed(now time.Duration) time.Duration
 }
 
 var _ Confirmer = (*view.Holder)(nil)
 
-// confirmedShare is the part of the time for which keys that are taken away may still be
-// used, after which a proxy that fails closed stops taking keys by an unconfirmed view:
-// the rest is for clocks that differ and timers that are late.
+// confirmedShare is the share of Keys.RevokeWithin after which a proxy that fails closed stops
+// accepting keys with an unconfirmed view. The rest allows for clock differences and late timers.
 const confirmedShare = 0.8
 
-// authenticate finds the tenant of a call, before anything is kept or done for it. The
-// tenant is nil where none is needed. What it decides holds for the request to its end:
-// one whose key is taken away meanwhile is seen through, and the next one on the same
-// connection, or that takes up the same stream, is refused.
+// authenticate determines the tenant of a call before anything is stored or done for it; nil if
+// none is needed. The decision holds until the request ends: a request whose key is revoked in
+// the meantime is completed, and the next one, on the same connection or resuming the same
+// stream, is refused.
 func (i *Ingress) authenticate(routes *routeTable, route *api.Route, call *Call) (*api.RouteTenant, *localRefusal) {
 	if !routes.keysRequired {
 		return nil, nil
@@ -35,8 +35,8 @@
 	if i.isUnconfirmed() {
 		return nil, &localRefusal{status: http.StatusServiceUnavailable, cause: "keys_unconfirmed", retryAfter: minStartRetryAfter}
 	}
-	// A key that is unknown runs nothing, on no route: who sends one believes to be
-	// somebody, and is told so.
+	// A call with an unknown key is refused on every route, even a public one: its sender
+	// believes to be authenticated and must learn otherwise.
 	if call.Credential.Key == "" {
 		return nil, errUnknownKey
 	}
@@ -47,11 +47,11 @@
 	return tenant, nil
 }
 
-// errUnknownKey refuses a call whose key nobody has.
+// errUnknownKey refuses a call whose key belongs to no tenant.
 var errUnknownKey = &localRefusal{status: http.StatusUnauthorized, cause: "unknown_key"}
 
-// isUnconfirmed reports whether this proxy takes no keys for the time being, since one may
-// have been taken away that it knows nothing of.
+// isUnconfirmed reports whether this proxy accepts no keys for the time being, because one may
+// have been revoked without its knowledge.
 func (i *Ingress) isUnconfirmed() bool {
 	if !i.config.Keys.FailClosed || i.confirmer == nil {
 		return false
@@ -59,8 +59,8 @@
 	return i.confirmer.SinceConfirmed(i.now()) > time.Duration(confirmedShare*float64(i.config.Keys.RevokeWithin))
 }
 
-// identify has the call speak for its tenant on every way that it takes from here on. The
-// tenant's rank stands in for that of the route.
+// identify makes the call carry its tenant's identity on all further hops. The tenant's priority,
+// if set, replaces the route's.
 func (i *Ingress) identify(routes *routeTable, route *api.Route, call *Call, tenant *api.RouteTenant) (priority int) {
 	if !routes.keysRequired {
 		return route.Priority
--- a/process/ingress/authenticate_test.go
+++ b/process/ingress/authenticate_test.go
@@ -16,8 +16,8 @@
 
 var testSecret = apikey.NewSecret()
 
-// requireKeys puts tenants in force; the "unsafe" route becomes public.
-func (w *world) requireKeys(tenants ...api.TenantKeys) {
+// requireKeys requires API keys and installs the tenants; the "unsafe" route becomes public.
+func (w *testEnv) requireKeys(tenants ...api.TenantKeys) {
 	w.views.set(func(v *view.View) {
 		made := testIngress()
 		made.Spec.Generation = v.Ingresses[api.IngressName].Spec.Generation + 1
@@ -38,61 +38,62 @@
 	return api.TenantKeys{Name: name, Priority: &priority, Keys: keys}
 }
 
-func withKey(id, target, key string) asked {
-	return asked{method: "GET", target: target, id: id, fields: map[string]string{testKey: key}}
+func withKey(id, target, key string) testRequest {
+	return testRequest{method: "GET", target: target, id: id, fields: map[string]string{testKey: key}}
 }
 
-// Keys reached replicas, and requests with keys that nobody has were run.
-func TestKeysSayWhoAsks(t *testing.T) {
+// Guards against keys that are passed on to replicas and against running requests with unknown
+// keys.
+func TestKeysDetermineTheTenant(t *testing.T) {
 	replica := newFakeReplica(t, "r-1", answerOK)
-	w := newWorld(t, replica)
+	w := newTestEnv(t, replica)
 	w.requireKeys(tenant("north", 2, "key-n"))
 	given := withKey("a", "/safe/x", "key-n")
-	given.fields[testTenant] = "south" // whatever the caller says
-	must.Eq(t, http.StatusOK, w.ask(given).status)
+	given.fields[testTenant] = "south" // must be overwritten by the key's tenant
+	must.Eq(t, http.StatusOK, w.do(given).status)
 	seen := replica.requests[0].Header
 	must.Eq(t, []string{"north"}, seen[testTenant])
 	must.SliceEmpty(t, seen[testKey])
-	must.Eq(t, "2", seen.Get(testPriority), must.Sprint("the tenant's, not the route's"))
+	must.Eq(t, "2", seen.Get(testPriority), must.Sprint("priority of the tenant, not of the route"))
 	for _, key := range []string{"key-x", "", "KEY-N", "key-n2"} {
-		got := w.ask(withKey("b", "/safe/x", key))
+		got := w.do(withKey("b", "/safe/x", key))
 		must.Eq(t, http.StatusUnauthorized, got.status, must.Sprint(key))
 	}
-	must.Eq(t, http.StatusUnauthorized, w.ask(asked{method: "GET", target: "/safe/x", id: "c"}).status)
-	must.Eq(t, http.StatusNotFound, w.ask(withKey("d", "/nowhere/", "key-x")).status)
+	must.Eq(t, http.StatusUnauthorized, w.do(testRequest{method: "GET", target: "/safe/x", id: "c"}).status)
+	must.Eq(t, http.StatusNotFound, w.do(withKey("d", "/nowhere/", "key-x")).status)
 	must.Eq(t, 1, replica.count())
 }
 
-// A public route needs no key; the word of a caller without one names nobody.
+// A public route needs no key, and fields that claim a tenant are ignored without one.
 func TestPublicRoutes(t *testing.T) {
 	replica := newFakeReplica(t, "r-1", answerOK)
-	w := newWorld(t, replica)
+	w := newTestEnv(t, replica)
 	w.requireKeys(tenant("north", 0, "key-n"))
-	anonymous := asked{method: "POST", target: "/unsafe/x", id: "a", fields: map[string]string{testTenant: "north"}}
-	must.Eq(t, http.StatusOK, w.ask(anonymous).status)
+	anonymous := testRequest{method: "POST", target: "/unsafe/x", id: "a", fields: map[string]string{testTenant: "north"}}
+	must.Eq(t, http.StatusOK, w.do(anonymous).status)
 	must.SliceEmpty(t, replica.requests[0].Header[testTenant])
 	must.Eq(t, "5", replica.requests[0].Header.Get(testPriority))
-	must.Eq(t, http.StatusOK, w.ask(withKey("b", "/unsafe/x", "key-n")).status)
+	must.Eq(t, http.StatusOK, w.do(withKey("b", "/unsafe/x", "key-n")).status)
 	must.Eq(t, "north", replica.requests[1].Header.Get(testTenant))
-	must.Eq(t, http.StatusUnauthorized, w.ask(withKey("c", "/unsafe/x", "key-x")).status, must.Sprint("it runs nothing"))
+	must.Eq(t, http.StatusUnauthorized, w.do(withKey("c", "/unsafe/x", "key-x")).status, must.Sprint("an unknown key is refused even on a public route"))
 	must.Eq(t, 2, replica.count())
 }
 
-// Before any configuration nobody is refused for a key: it may be a good one.
-func TestNobodyIsUnknownBeforeAConfiguration(t *testing.T) {
-	w := newWorld(t, newFakeReplica(t, "r-1", answerOK))
-	bare := New(Config{Name: "p", Dialect: testDialect{}}, &holder{current: view.New()}, w.ingress.clock, w.ingress.logger)
+// Before any configuration has arrived no key is refused, since it may be valid.
+func TestNoKeyIsRefusedBeforeAConfiguration(t *testing.T) {
+	w := newTestEnv(t, newFakeReplica(t, "r-1", answerOK))
+	bare := New(Config{Name: "p", Dialect: testDialect{}}, &viewHolder{current: view.New()}, w.ingress.clock, w.ingress.logger)
 	defer bare.Close()
 	w.server.Config.Handler = bare
-	got := w.ask(withKey("a", "/safe/x", "key-n"))
+	got := w.do(withKey("a", "/safe/x", "key-n"))
 	must.Eq(t, http.StatusServiceUnavailable, got.status)
 	must.NotEq(t, "", got.header.Get(testAgain))
 }
 
-// The body of a caller that is refused is not read: the answer comes while it is still
-// being sent.
+// The body of a refused caller is not read: the answer arrives while the body is still being
+// sent.
 func TestUnknownCallersAreRefusedBeforeTheirBodies(t *testing.T) {
-	w := newWorld(t, newFakeReplica(t, "r-1", answerOK))
+	w := newTestEnv(t, newFakeReplica(t, "r-1", answerOK))
 	w.requireKeys(tenant("north", 0, "key-n"))
 	body, sending := io.Pipe()
 	defer func() { _ = sending.Close() }()
@@ -106,20 +107,20 @@
 	defer func() { _ = response.Body.Close() }()
 	must.Eq(t, http.StatusUnauthorized, response.StatusCode)
 	_, opened := w.ingress.upstreams.byService["model"]
-	must.False(t, opened, must.Sprint("nothing is kept or counted for it"))
+	must.False(t, opened, must.Sprint("no state is created for a refused call"))
 }
 
-// Reads of prompts, runs elsewhere and resumed runs speak for the tenant as well.
-func TestEverySendSpeaksForTheTenant(t *testing.T) {
-	reader := newFakeReplica(t, "read", readPrompt)
+// Prefills, runs on other replicas and resumed runs carry the tenant as well.
+func TestEverySendCarriesTheTenant(t *testing.T) {
+	reader := newFakeReplica(t, "read", answerPrefill)
 	cut := newFakeReplica(t, "make-1", streamEvents(2, "cut"))
 	whole := newFakeReplica(t, "make-2", streamEvents(4, ""))
-	w := newModelWorld(t, reader, cut, whole)
+	w := newModelEnv(t, reader, cut, whole)
 	w.requireKeys(tenant("north", 3, "key-n"))
 	w.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make-1", Reader: "read"}}
 	given := modelRequest
 	given.fields = map[string]string{testTokens: "9000", testKey: "key-n", testTenant: "south"}
-	must.Eq(t, events(1, 4), w.ask(given).body)
+	must.Eq(t, eventTexts(1, 4), w.do(given).body)
 	for _, replica := range []*fakeReplica{reader, cut, whole} {
 		must.SliceNotEmpty(t, replica.requests)
 		for _, sent := range replica.requests {
@@ -129,19 +130,19 @@
 	}
 }
 
-// A key that is taken away while its request is under way ends nothing; the next request
-// is refused, also on the same connection, also one that takes up the same stream.
-func TestKeysThatAreTakenAway(t *testing.T) {
+// Revoking a key does not affect its request in progress. The next request with it is refused, on
+// the same connection as well, and also if it resumes the same stream.
+func TestRevokedKeys(t *testing.T) {
 	begun, end := make(chan struct{}), make(chan struct{})
 	slow := newFakeReplica(t, "make", func(w http.ResponseWriter, r *http.Request) {
-		genuine(w, r)
+		writeGenuine(w, r)
 		_, _ = io.WriteString(w, eventText(1))
 		w.(http.Flusher).Flush()
 		close(begun)
 		<-end
 		_, _ = io.WriteString(w, eventText(2))
 	})
-	w := newModelWorld(t, newFakeReplica(t, "read", readPrompt), slow, nil)
+	w := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), slow, nil)
 	w.requireKeys(tenant("north", 3, "key-n", "key-o"))
 	client := &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1}}
 	defer client.CloseIdleConnections()
@@ -162,7 +163,7 @@
 	close(end)
 	body, err := io.ReadAll(response.Body)
 	must.NoError(t, err)
-	must.Eq(t, events(1, 2), string(body))
+	must.Eq(t, eventTexts(1, 2), string(body))
 	_ = response.Body.Close()
 	for _, resume := range []string{"", "1"} {
 		response, err = ask("b", resume, "key-n")
@@ -174,26 +175,26 @@
 	must.Eq(t, 1, slow.count())
 }
 
-// confirmedAgo is a view that was confirmed so long ago.
+// confirmedAgo is a Confirmer of a view that was last confirmed that long ago.
 type confirmedAgo time.Duration
 
 func (c confirmedAgo) SinceConfirmed(time.Duration) time.Duration { return time.Duration(c) }
 
-// A proxy that no leader confirms goes on by what it last held, unless it is to fail closed:
-// then it refuses keys before one that was taken away would run for too long.
-func TestCutOffProxies(t *testing.T) {
+// A proxy whose view no leader confirms continues with its last state, unless it is configured to
+// fail closed: then it refuses keys before a revoked one could be used for too long.
+func TestKeysWithAnUnconfirmedView(t *testing.T) {
 	cases := []struct {
 		closed bool
 		since  time.Duration
 		want   int
 	}{{false, time.Hour, 200}, {true, time.Second, 200}, {true, 4500 * time.Millisecond, 503}}
 	for _, each := range cases {
-		w := newWorld(t, newFakeReplica(t, "r-1", answerOK))
+		w := newTestEnv(t, newFakeReplica(t, "r-1", answerOK))
 		w.requireKeys(tenant("north", 0, "key-n"))
 		w.ingress.config.Keys = Keys{FailClosed: each.closed, RevokeWithin: 5 * time.Second}
 		w.ingress.confirmer = confirmedAgo(each.since)
-		must.Eq(t, each.want, w.ask(withKey("a", "/safe/x", "key-n")).status)
-		public := asked{method: "POST", target: "/unsafe/x", id: "b"}
-		must.Eq(t, http.StatusOK, w.ask(public).status)
+		must.Eq(t, each.want, w.do(withKey("a", "/safe/x", "key-n")).status)
+		public := testRequest{method: "POST", target: "/unsafe/x", id: "b"}
+		must.Eq(t, http.StatusOK, w.do(public).status)
 	}
 }
--- a/process/ingress/belief_test.go
+++ b/process/ingress/belief_test.go
@@ -17,27 +17,26 @@
 	"github.com/shoenig/test/must"
 )
 
-// Seen: a replica is passed over, or drawn, by the load of another one. It comes about where
-// another replica answers at the address of one that is gone, and says how busy it is itself.
-// Proof: what a replica that was not asked says of its load counts for nobody.
-func TestLoadOfAnotherReplicaIsNotBelieved(t *testing.T) {
+// Guards against attributing the load of one replica to another. This can happen if another
+// replica answers at the address of one that is gone, and reports its own load.
+func TestLoadOfAnotherReplicaIsIgnored(t *testing.T) {
 	replica := newFakeReplica(t, "r-1", func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(testID, r.Header.Get(testID))
 		w.Header().Set(testLoad, "7")
 		w.WriteHeader(http.StatusMisdirectedRequest)
 	})
-	w := newWorld(t, replica)
-	must.Eq(t, http.StatusServiceUnavailable, w.ask(asked{method: "GET", target: "/safe/", id: "q"}).status)
-	must.Eq(t, 0, w.ingress.upstreams.get("plain").find("r-1").told())
+	w := newTestEnv(t, replica)
+	must.Eq(t, http.StatusServiceUnavailable, w.do(testRequest{method: "GET", target: "/safe/", id: "q"}).status)
+	must.Eq(t, 0, w.ingress.upstreams.get("plain").find("r-1").reportedRequests())
 }
 
-// A status that promises that the request was not run is passed on only with the replica's
-// word that it has not: a replica that fails with such a status may have run the request.
-func TestPromiseOfNotRunNeedsTheWordOfTheReplica(t *testing.T) {
+// A status that promises that the request was not run is passed on only if the replica states so
+// explicitly: a replica that fails with such a status may have run the request.
+func TestNotRunStatusRequiresTheReplicasStatement(t *testing.T) {
 	for _, status := range []int{http.StatusRequestTimeout, http.StatusTooManyRequests, http.StatusServiceUnavailable} {
 		t.Run(http.StatusText(status), func(t *testing.T) {
-			w := newWorld(t, newFakeReplica(t, "r-1", answerStatus(status)))
-			got := w.ask(asked{method: "POST", target: "/unsafe/", id: "q"})
+			w := newTestEnv(t, newFakeReplica(t, "r-1", answerStatus(status)))
+			got := w.do(testRequest{method: "POST", target: "/unsafe/", id: "q"})
 			must.NoError(t, got.err)
 			must.Eq(t, http.StatusBadGateway, got.status)
 			must.Eq(t, "", got.header.Get(testGenuine))
@@ -45,10 +44,10 @@
 	}
 }
 
-// A server may speak before it has read a request: a refusal that names nobody says nothing
-// of the one that it has not read yet. Seen by reading; the product's own data path asks for
-// the name. Proof: a request that may run once is not sent again behind such a refusal.
-func TestRefusalBeforeTheRequestIsNotBelieved(t *testing.T) {
+// A server may send an answer before it has read a request. A refusal that names no request
+// therefore proves nothing about a request that is read afterwards, and one that may run only
+// once must not be sent again.
+func TestRefusalSentBeforeTheRequestProvesNothing(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	var ran atomic.Int32
@@ -68,29 +67,29 @@
 		_ = listener.Close()
 		serving.Wait()
 	})
-	w := newWorld(t)
+	w := newTestEnv(t)
 	w.views.set(func(v *view.View) {
 		v.Replicas = map[string]*api.Replica{"r-1": {
 			Metadata: api.Metadata{Name: "r-1"},
 			Spec:     api.ReplicaSpec{Service: "plain", Address: listener.Addr().String(), Zone: "zone-a", Slots: 8},
 		}}
 	})
-	got := w.ask(asked{method: "POST", target: "/unsafe/", id: "q"})
-	eventually(t, "the first replica runs it", func() bool { return ran.Load() == 1 })
-	must.Eq(t, http.StatusBadGateway, got.status, must.Sprint("it has run, and a promise says that it has not"))
+	got := w.do(testRequest{method: "POST", target: "/unsafe/", id: "q"})
+	eventually(t, "the first replica runs the request", func() bool { return ran.Load() == 1 })
+	must.Eq(t, http.StatusBadGateway, got.status, must.Sprint("the request has run, so the answer must not promise that it has not"))
 }
 
-// What a replica names as a handle goes into the head of the next request as it stands: one
-// with a line end in it would add fields, or a request, that no caller sent.
+// A handle from a replica becomes part of the next request's head. One with a line break would
+// add fields, or a request, that no caller sent.
 func TestHandleAddsNothingToARequest(t *testing.T) {
 	reader := newFakeReplica(t, "read", func(w http.ResponseWriter, r *http.Request) {
-		genuine(w, r)
+		writeGenuine(w, r)
 		_, _ = io.WriteString(w, `"handle-7\r\nSmuggled: 1"`)
 	})
 	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	w := newModelWorld(t, reader, generator, nil)
+	w := newModelEnv(t, reader, generator, nil)
 	w.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read", Unread: 9000}}
-	got := w.ask(modelRequest)
+	got := w.do(modelRequest)
 	must.NoError(t, got.err)
 	for _, request := range generator.requests {
 		must.Eq(t, "", request.Header.Get("Smuggled"))
@@ -98,32 +97,32 @@
 	must.Eq(t, http.StatusOK, got.status)
 }
 
-// tellingPlacer keeps which requests the group was asked for and told of.
-type tellingPlacer struct {
+// recordingPlacer records the numbers of the placement requests and of the notes that end them.
+type recordingPlacer struct {
 	asked []uint64
 	ended []uint64
 }
 
-func (p *tellingPlacer) Place(_ context.Context, request feed.PlaceRequest) (placement.Answer, error) {
+func (p *recordingPlacer) Place(_ context.Context, request feed.PlaceRequest) (placement.Answer, error) {
 	p.asked = append(p.asked, request.Number)
 	return placement.Answer{}, feed.ErrNotPlaced
 }
 
-func (p *tellingPlacer) NotePlaced(note feed.PlaceNote) bool {
+func (p *recordingPlacer) NotePlaced(note feed.PlaceNote) bool {
 	if note.Note.Step == placement.StepEnded {
 		p.ended = append(p.ended, note.Number)
 	}
 	return true
 }
 
-// The group may have placed a request whose answer came too late for this proxy, which has
-// placed it by itself then, under another number. Unless it is told, the board counts the
-// request twice until its deadline and two seconds more.
-func TestTheGroupIsToldOfPlacesThatNobodyTakes(t *testing.T) {
-	w := newModelWorld(t, newFakeReplica(t, "read", readPrompt), newFakeReplica(t, "make", streamEvents(1, "")), nil)
-	placer := &tellingPlacer{}
+// If the control group's decision arrives too late, the proxy places the request by itself under
+// another number. Unless the control group is told, the placement board counts the request twice
+// until two seconds after its deadline.
+func TestTheGroupIsToldOfAbandonedPlacements(t *testing.T) {
+	w := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), newFakeReplica(t, "make", streamEvents(1, "")), nil)
+	placer := &recordingPlacer{}
 	w.ingress.placer = placer
-	must.NoError(t, w.ask(modelRequest).err)
+	must.NoError(t, w.do(modelRequest).err)
 	must.SliceLen(t, 1, placer.asked)
 	must.SliceContains(t, placer.ended, placer.asked[0])
 }
--- a/process/ingress/budget_test.go
+++ b/process/ingress/budget_test.go
@@ -12,105 +12,104 @@
 	"github.com/shoenig/test/must"
 )
 
-// withPatience gives the model route an objective of which no machine is late by so much
-// that a replica passes for silent: giving it up would cost a retry.
-func (w *world) withPatience() {
+// withLongObjective gives all routes an objective that is long enough even for a slow test
+// machine: a replica that passes for silent would cost a retry.
+func (w *testEnv) withLongObjective() {
 	w.views.set(func(v *view.View) {
 		patient := testIngress()
 		for i := range patient.Spec.Routes {
-			patient.Spec.Routes[i].ObjectiveMilliseconds = patience.Milliseconds()
+			patient.Spec.Routes[i].ObjectiveMilliseconds = testTimeout.Milliseconds()
 		}
 		v.Ingresses = map[string]*api.Ingress{api.IngressName: patient}
 	})
 }
 
-// withReserve leaves the model service's lane so many retries, and no share of
-// its requests.
-func (w *world) withReserve(reserve float64) {
+// withReserve sets the number of retries that the model service may use, without a share of its
+// requests.
+func (w *testEnv) withReserve(reserve float64) {
 	w.ingress.routes()
 	w.ingress.upstreams.get("model").budget = retry.NewWindow(0, reserve, time.Hour)
 }
 
-// Each read that a replica refuses counts as a retry. Once they have overdrawn
-// the budget, generators read the prompts themselves.
-func TestRefusedReadsEndWithTheBudget(t *testing.T) {
+// Each refused prefill counts as a retry. Once they have overdrawn the budget, the decode
+// replicas prefill the prompts themselves.
+func TestRefusedPrefillsEndWithTheBudget(t *testing.T) {
 	reader := newFakeReplica(t, "read", refuseRun)
 	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	w := newModelWorld(t, reader, generator, nil)
+	w := newModelEnv(t, reader, generator, nil)
 	w.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
-	w.withPatience()
+	w.withLongObjective()
 	w.withReserve(2)
-	const asked = 10
-	for range asked {
-		must.Eq(t, events(1, 2), w.ask(modelRequest).body)
+	const askedAt = 10
+	for range askedAt {
+		must.Eq(t, eventTexts(1, 2), w.do(modelRequest).body)
 	}
 	must.Eq(t, 2, reader.count())
-	must.Eq(t, asked, generator.count())
+	must.Eq(t, askedAt, generator.count())
 }
 
-// A budget that other readers have overdrawn keeps no read from a reliable one.
-func TestReliableReadersAreReadWithWhateverIsLeft(t *testing.T) {
-	reader := newFakeReplica(t, "read", readPrompt)
+// An overdrawn budget does not prevent a prefill on a reliable replica.
+func TestReliablePrefillReplicasIgnoreAnOverdrawnBudget(t *testing.T) {
+	reader := newFakeReplica(t, "read", answerPrefill)
 	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	w := newModelWorld(t, reader, generator, nil)
+	w := newModelEnv(t, reader, generator, nil)
 	w.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
 	w.withReserve(0)
 	w.ingress.upstreams.get("model").budget.Force(w.ingress.now())
-	must.Eq(t, events(1, 2), w.ask(modelRequest).body)
+	must.Eq(t, eventTexts(1, 2), w.do(modelRequest).body)
 	must.Eq(t, 1, reader.count())
 	must.NotEq(t, "", generator.requests[0].Header.Get(testSource))
 }
 
-// A reader that answers with a failure of its own has taken the read up, and the
-// first one taken up counts nowhere.
-func TestFailedReadsCostNoRetry(t *testing.T) {
+// A replica that answers a prefill with an error of its own has accepted it, and the first
+// accepted prefill is free.
+func TestFailedPrefillsCostNoRetry(t *testing.T) {
 	reader := newFakeReplica(t, "read", answerStatus(http.StatusInternalServerError))
 	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	w := newModelWorld(t, reader, generator, nil)
+	w := newModelEnv(t, reader, generator, nil)
 	w.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
 	w.withReserve(0)
-	const asked = 10
-	for range asked {
-		must.Eq(t, events(1, 2), w.ask(modelRequest).body)
+	const askedAt = 10
+	for range askedAt {
+		must.Eq(t, eventTexts(1, 2), w.do(modelRequest).body)
 	}
 	must.False(t, w.ingress.upstreams.get("model").budget.Overdrawn(w.ingress.now()))
-	must.Eq(t, asked, generator.count())
+	must.Eq(t, askedAt, generator.count())
 }
 
-// A read that brought no answer may not have been taken up; the run that follows
-// it then counts as a second send.
-func TestUnansweredReadsCountAsRetries(t *testing.T) {
-	reader := newFakeReplica(t, "read", breakOff)
+// A prefill without an answer may not have been accepted; the run that follows then counts as a
+// second send.
+func TestUnansweredPrefillsCountAsRetries(t *testing.T) {
+	reader := newFakeReplica(t, "read", closeConnection)
 	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	w := newModelWorld(t, reader, generator, nil)
+	w := newModelEnv(t, reader, generator, nil)
 	w.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
 	w.withReserve(2)
 	for range 10 {
-		must.Eq(t, events(1, 2), w.ask(modelRequest).body)
+		must.Eq(t, eventTexts(1, 2), w.do(modelRequest).body)
 	}
 	must.Eq(t, 2, reader.count())
 }
 
-// The first read is free once it is taken up; a second one costs a retry beside
-// that of its run.
-func TestSecondReadAsksTheBudget(t *testing.T) {
+// The first accepted prefill is free; a second one costs a retry in addition to that of its run.
+func TestSecondPrefillCostsARetry(t *testing.T) {
 	for _, test := range []struct {
 		reserve float64
 		reads   int
 	}{{1, 1}, {2, 2}} {
-		reader := newFakeReplica(t, "read", readPrompt)
+		reader := newFakeReplica(t, "read", answerPrefill)
 		generator := newFakeReplica(t, "make", refuseRun)
-		w := newModelWorld(t, reader, generator, nil)
+		w := newModelEnv(t, reader, generator, nil)
 		w.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
 		w.withReserve(test.reserve)
-		must.Eq(t, http.StatusServiceUnavailable, w.ask(modelRequest).status)
+		must.Eq(t, http.StatusServiceUnavailable, w.do(modelRequest).status)
 		must.Eq(t, 2, generator.count())
 		must.Eq(t, test.reads, reader.count())
 	}
 }
 
-// A reader that refuses when the time is nearly over leaves nothing to run with:
-// the request goes nowhere else, and its caller is told that it has not run.
+// If a prefill is refused shortly before the deadline, too little time is left to run the
+// request: it is sent to no other replica, and its caller is told that it has not run.
 func TestNothingIsSentWithoutTimeToRun(t *testing.T) {
 	const within = 400 * time.Millisecond
 	reader := newFakeReplica(t, "read", func(w http.ResponseWriter, r *http.Request) {
@@ -118,22 +117,22 @@
 		refuseRun(w, r)
 	})
 	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	w := newModelWorld(t, reader, generator, nil)
+	w := newModelEnv(t, reader, generator, nil)
 	w.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
 	request := modelRequest
 	request.fields = map[string]string{testTokens: "9000", testWithin: "400"}
-	got := w.ask(request)
+	got := w.do(request)
 	must.NoError(t, got.err)
 	must.Eq(t, http.StatusServiceUnavailable, got.status)
 	must.NotEq(t, "", got.header.Get(testAgain))
 	must.Eq(t, 0, generator.count())
 }
 
-func TestReserveIsSharedWithThoseThatHaveJustLeft(t *testing.T) {
+func TestReserveIsSharedWithProxiesThatHaveJustLeft(t *testing.T) {
 	const window = 10 * time.Second
 	shared := &proxyCount{}
 	must.Eq(t, 8, shared.observe(8, time.Second, window))
-	must.Eq(t, 8, shared.observe(4, 2*time.Second, window), must.Sprint("four have left, and may have spent their parts"))
+	must.Eq(t, 8, shared.observe(4, 2*time.Second, window), must.Sprint("four proxies have left and may have spent their parts"))
 	must.Eq(t, 8, shared.observe(3, 11*time.Second, window))
 	must.Eq(t, 3, shared.observe(3, 13*time.Second, window))
 	must.Eq(t, 9, shared.observe(9, 14*time.Second, window))
--- a/process/ingress/cacheguess.go
+++ b/process/ingress/cacheguess.go
@@ -7,24 +7,23 @@
 	"github.com/landingtrail/landingtrail/request/placement"
 )
 
-// guessedParts bounds how many prompt parts are remembered for one replica.
-const guessedParts = 512
+// maxEstimatedParts limits how many prompt parts are tracked for one replica.
+const maxEstimatedParts = 512
 
-// cacheGuess remembers which prompt parts a replica has read lately for this
-// proxy, the one used last in front. It is a guess: a replica may have dropped
-// a part, and other proxies' requests bring parts that are not known here. Its
-// user holds a lock.
-type cacheGuess struct {
+// cacheEstimate tracks which prompt parts a replica has recently processed for this proxy, the
+// most recently used one first. It is an estimate: the replica may have evicted a part, and other
+// proxies' requests add parts that are unknown here. The user must hold a lock.
+type cacheEstimate struct {
 	order *list.List
-	parts map[string]*list.Element // of Part
+	parts map[string]*list.Element // values are of type Part
 }
 
-func newCacheGuess() cacheGuess {
-	return cacheGuess{order: list.New(), parts: map[string]*list.Element{}}
+func newCacheEstimate() cacheEstimate {
+	return cacheEstimate{order: list.New(), parts: map[string]*list.Element{}}
 }
 
-// leading returns how many tokens of the leading parts are believed to be held.
-func (g *cacheGuess) leading(parts []Part) int {
+// leadingTokens returns the tokens of the leading parts that are probably cached.
+func (g *cacheEstimate) leadingTokens(parts []Part) int {
 	tokens := 0
 	for _, part := range parts {
 		if g.parts[part.ID] == nil {
@@ -35,8 +34,8 @@
 	return tokens
 }
 
-// note remembers that the replica holds the parts now.
-func (g *cacheGuess) note(parts []Part) {
+// add records that the replica now holds the parts.
+func (g *cacheEstimate) add(parts []Part) {
 	for _, part := range parts {
 		if known := g.parts[part.ID]; known != nil {
 			g.order.MoveToFront(known)
@@ -44,7 +43,7 @@
 		}
 		g.parts[part.ID] = g.order.PushFront(part)
 	}
-	for g.order.Len() > guessedParts {
+	for g.order.Len() > maxEstimatedParts {
 		oldest := g.order.Back()
 		delete(g.parts, oldest.Value.(Part).ID)
 		g.order.Remove(oldest)
@@ -54,41 +53,40 @@
 func (r *replica) cachedTokens(parts []Part) int {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	return r.cache.leading(parts)
+	return r.cacheEstimate.leadingTokens(parts)
 }
 
-func (r *replica) noteParts(parts []Part) {
+func (r *replica) noteCachedParts(parts []Part) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.cache.note(parts)
+	r.cacheEstimate.add(parts)
 }
 
-// kept returns what the replica is believed to keep, the part used last at the end.
-func (r *replica) kept() []placement.Part {
+// cachedParts returns the parts that the replica probably holds, the most recently used one last.
+func (r *replica) cachedParts() []placement.Part {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	parts := make([]placement.Part, 0, r.cache.order.Len())
-	for element := r.cache.order.Back(); element != nil; element = element.Prev() {
+	parts := make([]placement.Part, 0, r.cacheEstimate.order.Len())
+	for element := r.cacheEstimate.order.Back(); element != nil; element = element.Prev() {
 		part := element.Value.(Part)
 		parts = append(parts, placement.Part{ID: part.ID, Tokens: part.Tokens})
 	}
 	return parts
 }
 
-// reportKept tells a leader that has just begun to serve this proxy what the
-// replicas are believed to keep.
-func (i *Ingress) reportKept(to groupReporter) {
+// reportCachedParts tells a new leader of this proxy which parts the replicas probably hold.
+func (i *Ingress) reportCachedParts(to groupReporter) {
 	for _, opened := range i.upstreams.all() {
-		for _, known := range opened.fleet.used() {
-			if parts := known.kept(); len(parts) > 0 {
+		for _, known := range opened.fleet.inUse() {
+			if parts := known.cachedParts(); len(parts) > 0 {
 				to.ReportKept(feed.KeptParts{Service: opened.service, Replica: known.name, Parts: parts})
 			}
 		}
 	}
 }
 
-// groupReporter is the control group's connection; *feed.Client is one.
+// groupReporter is the connection to the control group; implemented by *feed.Client.
 type groupReporter interface {
-	ReportInFlight(told feed.InFlight) bool
+	ReportInFlight(recorded feed.InFlight) bool
 	ReportKept(kept feed.KeptParts) bool
 }
--- a/process/ingress/charge_test.go
+++ b/process/ingress/charge_test.go
@@ -13,7 +13,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// fakeCharger answers charges as it is told, and keeps what was charged and given back.
+// fakeCharger returns a fixed result, and records charges and refunds.
 type fakeCharger struct {
 	lock     sync.Mutex
 	grant    quota.Grant
@@ -36,9 +36,10 @@
 	return true
 }
 
-// newQuotaWorld has a tenant with a quota of so many tokens a second, and a charger.
-func newQuotaWorld(t *testing.T, perSecond float64, replicas ...*fakeReplica) (*world, *fakeCharger) {
-	w := newWorld(t, replicas...)
+// newQuotaEnv returns an environment with a tenant whose quota is the given number of tokens per
+// second, and its charger.
+func newQuotaEnv(t *testing.T, perSecond float64, replicas ...*fakeReplica) (*testEnv, *fakeCharger) {
+	w := newTestEnv(t, replicas...)
 	bounded := tenant("north", 0, "key-n")
 	bounded.Quota = api.Quota{Unit: api.QuotaTokens, PerSecond: perSecond, Burst: perSecond, PlainTokens: 20}
 	w.requireKeys(bounded, tenant("south", 0, "key-s"))
@@ -51,45 +52,46 @@
 
 func TestRequestsAreChargedToTheirTenant(t *testing.T) {
 	replica := newFakeReplica(t, "r-1", answerOK)
-	w, charger := newQuotaWorld(t, 100, replica)
-	must.Eq(t, http.StatusOK, w.ask(withKey("a", "/safe/x", "key-n")).status)
+	w, charger := newQuotaEnv(t, 100, replica)
+	must.Eq(t, http.StatusOK, w.do(withKey("a", "/safe/x", "key-n")).status)
 	must.Eq(t, []feed.ChargeRequest{{Tenant: "north", Cost: 20}}, charger.charged)
-	must.Eq(t, http.StatusOK, w.ask(withKey("b", "/safe/x", "key-s")).status)
-	must.Eq(t, http.StatusUnauthorized, w.ask(withKey("c", "/safe/x", "key-x")).status)
-	must.SliceLen(t, 1, charger.charged, must.Sprint("who has no quota is not charged, nor who is unknown"))
+	must.Eq(t, http.StatusOK, w.do(withKey("b", "/safe/x", "key-s")).status)
+	must.Eq(t, http.StatusUnauthorized, w.do(withKey("c", "/safe/x", "key-x")).status)
+	must.SliceLen(t, 1, charger.charged, must.Sprint("neither a tenant without a quota nor an unknown caller is charged"))
 	must.SliceEmpty(t, charger.returned)
 }
 
-// What is over the quota is refused at once, with the time at which it will pass.
+// A request that exceeds the quota is refused at once with the time after which it will be
+// accepted.
 func TestRequestsOverTheQuotaAreRefused(t *testing.T) {
 	replica := newFakeReplica(t, "r-1", answerOK)
-	w, charger := newQuotaWorld(t, 100, replica)
+	w, charger := newQuotaEnv(t, 100, replica)
 	charger.grant = quota.Grant{Wait: 1500 * time.Millisecond}
-	refused := w.ask(withKey("a", "/safe/x", "key-n"))
+	refused := w.do(withKey("a", "/safe/x", "key-n"))
 	must.Eq(t, http.StatusTooManyRequests, refused.status)
 	must.Eq(t, "1.5s", refused.header.Get(testAgain))
 	must.Eq(t, 0, replica.count())
 	must.SliceEmpty(t, charger.returned)
 }
 
-// A request that surely did not run costs its tenant nothing.
-func TestWhatDidNotRunIsNotCharged(t *testing.T) {
-	w, charger := newQuotaWorld(t, 100, newFakeReplica(t, "r-1", refuseRun))
-	must.Eq(t, http.StatusServiceUnavailable, w.ask(withKey("a", "/safe/x", "key-n")).status)
+// A request that certainly did not run is refunded.
+func TestRequestsThatDidNotRunAreRefunded(t *testing.T) {
+	w, charger := newQuotaEnv(t, 100, newFakeReplica(t, "r-1", refuseRun))
+	must.Eq(t, http.StatusServiceUnavailable, w.do(withKey("a", "/safe/x", "key-n")).status)
 	must.Eq(t, charger.charged, charger.returned)
 }
 
-// While nobody answers its charges, a proxy spends its own part of the quota, and no more.
-func TestProxyAloneSpendsItsPart(t *testing.T) {
-	w, charger := newQuotaWorld(t, 20, newFakeReplica(t, "r-1", answerOK))
+// While no member answers its charges, a proxy spends its own part of the quota and no more.
+func TestStandaloneProxySpendsItsPartOfTheQuota(t *testing.T) {
+	w, charger := newQuotaEnv(t, 20, newFakeReplica(t, "r-1", answerOK))
 	charger.err = feed.ErrNotCharged
 	w.ingress.upstreams.proxies.Store(1000)
 	for range 5 {
-		must.Eq(t, http.StatusTooManyRequests, w.ask(withKey("a", "/safe/x", "key-n")).status)
+		must.Eq(t, http.StatusTooManyRequests, w.do(withKey("a", "/safe/x", "key-n")).status)
 	}
 	charger.err, charger.grant = nil, quota.Grant{Granted: true, Left: 20}
-	must.Eq(t, http.StatusOK, w.ask(withKey("a", "/safe/x", "key-n")).status)
+	must.Eq(t, http.StatusOK, w.do(withKey("a", "/safe/x", "key-n")).status)
 	charger.err = feed.ErrNotCharged
-	must.Eq(t, http.StatusOK, w.ask(withKey("a", "/safe/x", "key-n")).status, must.Sprint("it was far from its limit"))
-	must.Eq(t, http.StatusTooManyRequests, w.ask(withKey("a", "/safe/x", "key-n")).status)
+	must.Eq(t, http.StatusOK, w.do(withKey("a", "/safe/x", "key-n")).status, must.Sprint("the tenant was far from its limit"))
+	must.Eq(t, http.StatusTooManyRequests, w.do(withKey("a", "/safe/x", "key-n")).status)
 }
--- a/process/ingress/config.go
+++ b/process/ingress/config.go
@@ -9,65 +9,65 @@
 	"github.com/pkg/errors"
 )
 
-// ErrConfig says that the configuration is of no use.
+// ErrConfig is returned for an invalid configuration.
 var ErrConfig = errors.New("ingress: invalid configuration")
 
-// Config is what the data path runs with. Zero values take the defaults.
+// Config is the configuration of the data path. Zero values take the defaults.
 type Config struct {
 	Name string
 	Zone string
-	// ListenAddress is where callers connect, ReadyAddress where health is
-	// asked for, MetricsAddress where metrics are read; IP and port.
+	// ListenAddress serves callers, ReadyAddress health checks, MetricsAddress metrics; each is
+	// an IP and port.
 	ListenAddress  string
 	ReadyAddress   string
 	ReadyPath      string
 	MetricsAddress string
-	// FeedAddresses are where members of the control group may be; Seeds returns
-	// where they may be by settings that change, nil for none.
+	// FeedAddresses are possible addresses of control group members; Seeds returns further ones
+	// from settings that may change, nil for none.
 	FeedAddresses []string
 	Seeds         func() []string
-	// RelayAddress is where this proxy passes placements on for proxies that are
-	// cut off from the members; empty: it does not. RelayOf returns that address of
-	// the proxy that callers reach at an address; nil: none is known.
+	// RelayAddress is where this proxy relays placement requests for proxies that cannot reach
+	// the control group; empty for no relay. RelayOf returns the relay address of the proxy with
+	// the given address for callers; nil if unknown.
 	RelayAddress string
 	RelayOf      func(callersAddress string) string
 
 	Retry RetryBudget
 	Drain Drain
-	// LeaveNotice is how long a replica that says it leaves may still be asked where no
-	// other is left; 0 for not at all.
+	// LeaveNotice is how long a replica that announced its departure may still be sent requests
+	// if there is no other one; 0 for not at all.
 	LeaveNotice time.Duration
 	Dialect     Dialect
 	Timeouts    Timeouts
 	Silence     Silence
 	Keys        Keys
-	// Quotas says by which windows the quotas of tenants are kept; the zero Rule: not at all.
+	// Quotas defines the windows of tenant quotas; the zero Rule disables quotas.
 	Quotas quota.Rule
-	// UsageWindow is the length of the windows by which requests that began are counted
-	// for each tenant; 0: they are not.
+	// UsageWindow is the length of the windows in which started requests are counted per tenant;
+	// 0 disables counting.
 	UsageWindow time.Duration
 }
 
-// Keys says what becomes of API keys while no leader confirms the view.
+// Keys configures the use of API keys while no leader confirms the view.
 type Keys struct {
-	// FailClosed refuses callers with keys once the view was not confirmed for so long
-	// that a key which was taken away might still be taken; else what was held last goes on.
+	// FailClosed refuses callers with keys once the view has been unconfirmed for so long that a
+	// revoked key might still be accepted. Otherwise the last known keys remain valid.
 	FailClosed bool
-	// RevokeWithin is how long after its removal a key may still be taken.
+	// RevokeWithin is how long a key may still be accepted after its revocation.
 	RevokeWithin time.Duration
 }
 
-// Silence is how long callers bear with a stream that says nothing: the longest
-// of Least, so many objectives of the first event and so many between events. A
-// zero value says that they bear with it until their deadline.
+// Silence is how long callers tolerate a stream without events: the maximum of Least, Objectives
+// times the objective for the first event, and Gaps times the one between events. With the zero
+// value they wait until their deadline.
 type Silence struct {
 	Least      time.Duration
 	Objectives int
 	Gaps       int
 }
 
-// of returns how long the callers of a route wait for a stream's next event; 0
-// for as long as they wait at all.
+// of returns how long the callers of a route wait for a stream's next event; 0 for no limit but
+// the deadline.
 func (s Silence) of(route *api.Route) time.Duration {
 	if route.Kind != api.RouteStreaming || s == (Silence{}) {
 		return 0
@@ -79,39 +79,39 @@
 
 func milliseconds(count int64) time.Duration { return time.Duration(count) * time.Millisecond }
 
-// RetryBudget bounds what all proxies together send beyond the first send of
-// each request: within any window, a share of the requests plus a reserve.
+// RetryBudget limits what all proxies together send beyond the first send of each request: within
+// any window, a share of the requests plus a reserve.
 type RetryBudget struct {
 	Share   float64
 	Reserve float64
 	Window  time.Duration
-	// Settle is how long a process that has just started leaves most of its part of
-	// the reserve unused: the one before it may have spent it in the same window. 0
-	// stands for a window, less than 0 for no time at all.
+	// Settle is how long a process that has just started leaves most of its part of the reserve
+	// unused, since its predecessor may have spent it in the same window. 0 stands for Window, a
+	// negative value for no time at all.
 	Settle time.Duration
 }
 
-// Drain times a planned stop.
+// Drain configures a planned stop.
 type Drain struct {
-	// Notice is how long the proxy goes on taking requests after it has said
-	// that it is leaving, Limit when the process has ended at the latest.
+	// Notice is how long the proxy goes on accepting requests after it has reported that it is
+	// stopping, Limit when the process has ended at the latest.
 	Notice time.Duration
-	// Late is from when on a request is refused that may not be over before Limit; what
-	// came earlier may be cut then. Callers have heard by Late that the proxy leaves: those
-	// that still come do so on connections which they keep, and can go elsewhere at once.
+	// Late is the time after which requests that may outlast Limit are refused; earlier ones may
+	// be cut at Limit. By Late callers have learned that the proxy is stopping. Those that still
+	// arrive use connections that they keep open, and can turn to another proxy at once.
 	Late  time.Duration
 	Limit time.Duration
 }
 
-// Timeouts bound waits of the data path.
+// Timeouts limits waits of the data path.
 type Timeouts struct {
-	Header time.Duration // of a caller's head
-	Idle   time.Duration // of a caller's connection
-	// Transit is what is kept off a deadline for the way back.
+	Header time.Duration // for a caller's head
+	Idle   time.Duration // for a caller's connection
+	// Transit is subtracted from a deadline for the answer's way back.
 	Transit time.Duration
 }
 
-// Defaults of a Config.
+// Defaults of Config.
 const (
 	DefaultHeaderTimeout = 10 * time.Second
 	DefaultIdleTimeout   = 60 * time.Second
@@ -126,7 +126,7 @@
 	defaultMaxBodyBytes  = 8 << 20
 )
 
-// WithDefaults returns the configuration with zero values filled in.
+// WithDefaults returns the configuration with zero values replaced by the defaults.
 func (c Config) WithDefaults() Config {
 	c.ReadyPath = cmp.Or(c.ReadyPath, defaultReadyPath)
 	c.Retry.Share = cmp.Or(c.Retry.Share, DefaultRetryShare)
@@ -142,7 +142,7 @@
 	return c
 }
 
-// Check returns every fault of the configuration.
+// Check returns all faults of the configuration.
 func (c Config) Check() []api.FieldFault {
 	var faults []api.FieldFault
 	need := func(field string, ok bool) {
--- a/process/ingress/dial_test.go
+++ b/process/ingress/dial_test.go
@@ -14,11 +14,11 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestCallerThatLeavesDuringADialTellsNothingOfTheReplica(t *testing.T) {
+func TestCallerThatLeavesDuringADialIsNoReplicaFailure(t *testing.T) {
 	hanging, err := backlog.NewFull()
 	must.NoError(t, err)
 	defer hanging.Close()
-	w := newWorld(t)
+	w := newTestEnv(t)
 	w.views.set(func(v *view.View) {
 		v.Replicas = map[string]*api.Replica{"make": {Metadata: api.Metadata{Name: "make"},
 			Spec: api.ReplicaSpec{Service: "model", Address: hanging.Address(), Zone: "zone-a", Slots: 8, Role: api.RoleDecode}}}
--- a/process/ingress/ended.go
+++ b/process/ingress/ended.go
@@ -16,8 +16,8 @@
 	"github.com/pkg/errors"
 )
 
-// fingerprint names the request by what it is; its ID is new each time it comes. It is
-// worked out only once it is needed: on calm days never.
+// fingerprint identifies the request by its content, since its ID differs each time it is sent.
+// It is computed only when needed, which is never while no crashes are on record.
 func (s *session) fingerprint() quarantine.Fingerprint {
 	if s.cachedFingerprint == nil {
 		identity := quarantine.Identity{
@@ -26,14 +26,14 @@
 		if len(s.call.Body) == 0 {
 			_, identity.Query, _ = strings.Cut(s.call.Target, "?")
 		}
-		named := quarantine.Of(identity)
-		s.cachedFingerprint = &named
+		computed := quarantine.Of(identity)
+		s.cachedFingerprint = &computed
 	}
 	return *s.cachedFingerprint
 }
 
-// knownFingerprint names the request if that was worked out, as it is while replicas are on
-// record as ended; empty otherwise. A log line with it tells whether a request on record was
+// knownFingerprint returns the fingerprint if it was computed, as it is while crashes are on
+// record, and an empty string otherwise. In a log line it shows whether a request on record was
 // served elsewhere.
 func (s *session) knownFingerprint() string {
 	if s.cachedFingerprint == nil {
@@ -42,50 +42,50 @@
 	return s.cachedFingerprint.String()
 }
 
-// noteBroken notes that a replica's connection broke while it was at work on the request,
-// as it does when the replica ends.
-func (s *session) noteBroken(ctx context.Context, stage string, target *replica, sent *send, err error) {
-	if ctx.Err() != nil || !isBroken(err) {
+// noteBrokenConnection records that a replica's connection broke while it processed the request,
+// as it does when the replica crashes.
+func (s *session) noteBrokenConnection(ctx context.Context, stage string, target *replica, sent *send, err error) {
+	if ctx.Err() != nil || !isConnectionClosed(err) {
 		return
 	}
 	s.ingress.metrics.broken.WithLabelValues(s.upstream.service, stage).Inc()
 	now := s.ingress.now()
-	looked := addressUnknown
+	address := addressUnknown
 	if stage == stageRun && (s.isolated || sent.events == 0) {
-		looked = lookAt(target)
+		address = probeAddress(target)
 	}
-	alone := s.isolated && looked == addressRefuses
+	isolated := s.isolated && address == addressRefuses
 	event.RunBroken.Log(s.ingress.logger, "request", s.call.ID, "fingerprint", s.fingerprint(), "route", s.route.Name,
 		"stage", stage, "replica", target.incarnation(), "after_ms", (now - sent.at).Milliseconds(),
-		"events", sent.events, "alone", alone, "listens", looked == addressListens, "leaving", target.isLeaving(), "err", err)
+		"events", sent.events, "alone", isolated, "listens", address == addressListens, "leaving", target.isLeaving(), "err", err)
 	if stage == stageRun {
 		s.crashes++
 	}
-	target.noteEnd(now)
+	target.noteCrash(now)
 	s.ingress.guard.Ended(now, quarantine.Evidence{
 		Fingerprint: s.fingerprint(), Replica: target.incarnation(), Began: sent.events > 0, Read: stage == stagePrefill,
-		Alone: alone, Listens: looked == addressListens, Ran: now - sent.at, Once: target.listed().Born != 0,
+		Alone: isolated, Listens: address == addressListens, Ran: now - sent.at, Once: target.spec().Born != 0,
 		About: quarantine.About{Service: s.upstream.service, Route: s.route.Name, Request: s.call.ID},
 	})
 }
 
-// endedTimeout bounds the question whether a replica has ended: one that listens takes a
-// connection within some milliseconds.
-const endedTimeout = 250 * time.Millisecond
+// probeTimeout limits the check whether a replica still listens. One that does accepts a
+// connection within a few milliseconds.
+const probeTimeout = 250 * time.Millisecond
 
-// addressState is what became of a connection to the address of a replica.
+// addressState is the result of connecting to a replica's address.
 type addressState uint8
 
 const (
 	addressUnknown addressState = iota
-	addressListens              // somebody takes connections
-	addressRefuses              // nobody does
+	addressListens              // connections are accepted
+	addressRefuses              // connections are refused
 )
 
-// lookAt tells whether anybody listens at the address of a replica whose connection broke. A
-// replica that merely resets connections, as a faulty one does, goes on listening.
-func lookAt(target *replica) addressState {
-	conn, err := net.DialTimeout("tcp", target.listed().Address, endedTimeout)
+// probeAddress checks whether anything listens at the address of a replica whose connection
+// broke. A replica that merely resets connections, as a faulty one does, continues to listen.
+func probeAddress(target *replica) addressState {
+	conn, err := net.DialTimeout("tcp", target.spec().Address, probeTimeout)
 	switch {
 	case err == nil:
 		_ = conn.Close() // nothing was sent on it
@@ -96,59 +96,59 @@
 	return addressUnknown
 }
 
-// noteAnswer notes that a replica has answered what was sent to it then. Where that came on
-// a connection that was open before it seemed to end, it lives.
-func (s *session) noteAnswer(from *replica, sentAt time.Duration, answer *exchange.Answer, reply *Reply) {
+// noteAlive evaluates an answer to a request that was sent at sentAt. If it arrived on a
+// connection that was open before the replica's suspected crash, the replica is alive.
+func (s *session) noteAlive(from *replica, sentAt time.Duration, answer *exchange.Answer, reply *Reply) {
 	if !reply.Named || reply.Misdirected {
 		return
 	}
 	now, incarnation := s.ingress.now(), from.incarnation()
 	opened := time.Now().Add(answer.Opened - now)
-	if from.refutesEnd(sentAt, answer.Opened) || s.ingress.guard.DoubtsSince(incarnation, sentAt, opened) {
+	if from.refutesCrash(sentAt, answer.Opened) || s.ingress.guard.DoubtsOnConnection(incarnation, sentAt, opened) {
 		event.ReplicaLives.Log(s.ingress.logger, "request", s.call.ID, "replica", incarnation, "open_ms", (now - answer.Opened).Milliseconds())
 		s.ingress.guard.Lives(now, quarantine.Alive{Replica: incarnation, For: now - answer.Opened})
 	}
 }
 
-// held reports whether the request is to go to no replica since replicas end under it, and
-// for how long.
-func (s *session) quarantineHold() (rest time.Duration, held bool) {
+// quarantineHold reports whether the request must not be sent to any replica because it crashes
+// them, and for how long.
+func (s *session) quarantineHold() (remaining time.Duration, quarantined bool) {
 	if !s.ingress.guard.Active() {
 		return 0, false
 	}
 	return s.ingress.guard.Holds(s.ingress.now(), time.Now(), s.fingerprint(), s)
 }
 
-// endTrial lets the next one try the request, if this one did.
+// endTrial allows another copy of the request to be tried if this one was on trial.
 func (s *session) endTrial() {
-	if s.cachedFingerprint != nil { // else it was not looked at
+	if s.cachedFingerprint != nil { // otherwise it was never checked
 		s.ingress.guard.EndTrial(*s.cachedFingerprint, s)
 	}
 }
 
-// refuseHeld answers a request under which replicas end, at once. It may come back when
-// the hold is over.
-func (s *session) refuseQuarantined(rest time.Duration) int {
+// refuseQuarantined immediately answers a request that crashes replicas. The caller may retry
+// when the hold ends.
+func (s *session) refuseQuarantined(remaining time.Duration) int {
 	s.ingress.metrics.held.WithLabelValues(s.upstream.service).Inc()
 	event.RequestHeld.Log(s.ingress.logger, "request", s.call.ID, "fingerprint", s.fingerprint(), "route", s.route.Name,
-		"sends", s.sendCount, "rest_ms", rest.Milliseconds())
+		"sends", s.sendCount, "rest_ms", remaining.Milliseconds())
 	ran := s.lifecycle.GiveUp()
 	if s.headSent {
 		s.trace.WriteString(" cut:" + causeQuarantined)
 		return 0
 	}
 	if ran == attempt.RanNo {
-		return s.refuse(http.StatusServiceUnavailable, causeQuarantined, rest)
+		return s.refuse(http.StatusServiceUnavailable, causeQuarantined, remaining)
 	}
 	return s.refuse(http.StatusBadGateway, causeQuarantined, 0)
 }
 
-// causeHeld is told to the caller of a request that goes to no replica.
+// causeQuarantined is returned to the caller of a quarantined request.
 const causeQuarantined = "quarantined"
 
-// isBroken reports whether a connection was closed or reset by the other side. Silence
-// and bytes that are no answer are other faults: the replica may well live on.
-func isBroken(err error) bool {
+// isConnectionClosed reports whether the other side closed or reset the connection. Silence and
+// malformed answers are different faults: the replica may well be alive.
+func isConnectionClosed(err error) bool {
 	for _, cause := range []error{io.EOF, io.ErrUnexpectedEOF, errEventCut, syscall.ECONNRESET, syscall.EPIPE} {
 		if errors.Is(err, cause) {
 			return true
--- a/process/ingress/ended_test.go
+++ b/process/ingress/ended_test.go
@@ -13,18 +13,19 @@
 
 var loggedFingerprint = regexp.MustCompile(`event=4606 \S+ request=(\S+) fingerprint=([0-9a-f]{32}) `)
 
-// A run that breaks off with its replica is logged with what the request is, whatever its ID.
-func TestBrokenRunsNameWhatTheRequestIs(t *testing.T) {
-	replica := newFakeReplica(t, "r-1", breakOff)
-	w := newWorld(t, replica)
+// A run that breaks off because its replica closed the connection is logged with the request's
+// fingerprint, which is independent of the request ID.
+func TestBrokenRunsAreLoggedWithTheFingerprint(t *testing.T) {
+	replica := newFakeReplica(t, "r-1", closeConnection)
+	w := newTestEnv(t, replica)
 	var logged bytes.Buffer
 	w.ingress.logger = log.NewLogfmtLogger(log.NewSyncWriter(&logged))
 	w.views.set(func(v *view.View) {
-		v.Replicas = map[string]*api.Replica{"r-1": listed(replica, "plain", api.RoleNone)}
+		v.Replicas = map[string]*api.Replica{"r-1": replicaObject(replica, "plain", api.RoleNone)}
 	})
-	w.ask(asked{method: "POST", target: "/unsafe/a", id: "one", body: "x"})
-	w.ask(asked{method: "POST", target: "/unsafe/a", id: "two", body: "x"})
-	w.ask(asked{method: "POST", target: "/unsafe/a", id: "other", body: "y"})
+	w.do(testRequest{method: "POST", target: "/unsafe/a", id: "one", body: "x"})
+	w.do(testRequest{method: "POST", target: "/unsafe/a", id: "two", body: "x"})
+	w.do(testRequest{method: "POST", target: "/unsafe/a", id: "other", body: "y"})
 	found := loggedFingerprint.FindAllStringSubmatch(logged.String(), -1)
 	must.SliceLen(t, 3, found, must.Sprint(logged.String()))
 	must.Eq(t, found[0][2], found[1][2])
@@ -32,13 +33,13 @@
 	must.Eq(t, []string{"one", "two", "other"}, []string{found[0][1], found[1][1], found[2][1]})
 }
 
-// An answer that its replica ended well, or a refusal, is no broken run.
-func TestAnswersAreNoBrokenRuns(t *testing.T) {
-	w := newWorld(t, newFakeReplica(t, "r-1", answerOK), newFakeReplica(t, "r-2", refuseRun))
+// Neither a complete answer nor a refusal is logged as a broken run.
+func TestAnswersAreNotLoggedAsBrokenRuns(t *testing.T) {
+	w := newTestEnv(t, newFakeReplica(t, "r-1", answerOK), newFakeReplica(t, "r-2", refuseRun))
 	var logged bytes.Buffer
 	w.ingress.logger = log.NewLogfmtLogger(log.NewSyncWriter(&logged))
 	for range 4 {
-		must.Eq(t, 200, w.ask(asked{method: "GET", target: "/safe/a", id: "one"}).status)
+		must.Eq(t, 200, w.do(testRequest{method: "GET", target: "/safe/a", id: "one"}).status)
 	}
 	must.StrNotContains(t, logged.String(), "event=4606")
 }
--- a/process/ingress/fleet.go
+++ b/process/ingress/fleet.go
@@ -11,43 +11,44 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// unusedFor is how long what is known of a replica is kept after its last request.
-const unusedFor = 5 * time.Minute
+// idleRetention is how long the state of a replica is kept after its last request.
+const idleRetention = 5 * time.Minute
 
-// listing is what the view lists of all services, by name: all replicas of a small service,
-// and this proxy's subset of a large one's.
+// listing is the list of replicas of all services in the view, by name: all replicas of a small
+// service, and this proxy's subset of a large one.
 type listing map[string]*api.Replica
 
-// fleet is the replicas of one service as this proxy knows them. Of a listed replica nothing
-// is kept before it is first used: what a proxy holds, and what a change of the list costs it,
-// grows with what it uses and not with the service.
+// fleet holds the replicas of one service. It keeps no state for a listed replica before its
+// first use, so that memory, and the cost of a change of the list, grow with the replicas in use
+// and not with the size of the service.
 type fleet struct {
-	service string
-	pool    *exchange.Pool
-	asks    *holdoff.Table
-	// named returns replicas beyond those listed that answers have named.
-	named func(name string) *api.Replica
-
-	lock   sync.Mutex
-	listed listing
-	known  map[string]*replica // those in use
-	// choosable are all that are listed of the service, by name; nil until they are asked for.
-	choosable []*replica
+	service  string
+	pool     *exchange.Pool
+	holdoffs *holdoff.Table
+	// lookupNamed returns replicas that are not listed but were named by an answer of the control
+	// group.
+	lookupNamed func(name string) *api.Replica
+
+	lock    sync.Mutex
+	listed  listing
+	tracked map[string]*replica // replicas in use
+	// choiceCache holds all listed replicas of the service, by name; nil until requested.
+	choiceCache []*replica
 }
 
 func newFleet(service string, pool *exchange.Pool, asks *holdoff.Table, named func(name string) *api.Replica) *fleet {
 	if named == nil {
 		named = func(string) *api.Replica { return nil }
 	}
-	return &fleet{service: service, pool: pool, asks: asks, named: named, known: map[string]*replica{}}
+	return &fleet{service: service, pool: pool, holdoffs: asks, lookupNamed: named, tracked: map[string]*replica{}}
 }
 
-// entry returns what is listed of a replica, or was named; nil where neither is. The lock is
-// held.
+// entry returns the replica's entry in the list or from an answer of the control group, nil if
+// there is none. The caller must hold the lock.
 func (f *fleet) entry(name string) *api.Replica {
 	entry := f.listed[name]
 	if entry == nil {
-		entry = f.named(name)
+		entry = f.lookupNamed(name)
 	}
 	if entry == nil || entry.Spec.Service != f.service {
 		return nil
@@ -55,45 +56,45 @@
 	return entry
 }
 
-// follow takes in a newer listing; a replica whose entry has changed keeps what is known of it.
-func (f *fleet) follow(listed listing, now time.Duration) {
+// update applies a newer listing. A replica whose entry has changed keeps its state.
+func (f *fleet) update(listed listing, now time.Duration) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	f.listed, f.choosable = listed, nil
-	for name, known := range f.known {
+	f.listed, f.choiceCache = listed, nil
+	for name, known := range f.tracked {
 		entry := f.entry(name)
 		switch {
 		case entry == nil:
 			f.drop(known)
-		case known.isUnused(now) && !f.pool.Idle(entry.Spec.Address):
-			delete(f.known, name)
+		case known.isIdle(now) && !f.pool.Idle(entry.Spec.Address):
+			delete(f.tracked, name)
 		default:
-			f.use(entry, now)
+			f.track(entry, now)
 		}
 	}
 }
 
-// drop forgets a replica that is gone; the lock is held.
+// drop removes a replica that is gone. The caller must hold the lock.
 func (f *fleet) drop(gone *replica) {
-	f.pool.Drop(gone.listed().Address)
-	delete(f.known, gone.name)
+	f.pool.Drop(gone.spec().Address)
+	delete(f.tracked, gone.name)
 }
 
-// use takes in the entry of a replica, and keeps what is known of it unless it is another
-// process. The lock is held.
-func (f *fleet) use(entry *api.Replica, now time.Duration) *replica {
-	known := f.known[entry.Name]
-	if known != nil && !isSameProcess(known.listed(), &entry.Spec) {
+// track applies the entry of a replica and keeps its state unless the entry is of another
+// process. The caller must hold the lock.
+func (f *fleet) track(entry *api.Replica, now time.Duration) *replica {
+	known := f.tracked[entry.Name]
+	if known != nil && !isSameProcess(known.spec(), &entry.Spec) {
 		f.drop(known)
 		known = nil
 	}
-	asks := f.asks.Follow(entry.Name, processOf(entry), now)
+	asks := f.holdoffs.Follow(entry.Name, processOf(entry), now)
 	if known == nil {
 		known = newReplica(entry.Name, entry.Spec, asks)
 		known.usedAt = now
-		f.known[entry.Name] = known
+		f.tracked[entry.Name] = known
 	}
-	known.entry.Store(&entry.Spec)
+	known.currentSpec.Store(&entry.Spec)
 	return known
 }
 
@@ -101,13 +102,13 @@
 	return holdoff.Process{Address: entry.Spec.Address, Born: entry.Spec.Born}
 }
 
-// isSameProcess reports whether what is known of a replica holds for its new entry: one that
-// was born anew keeps nothing, and its connections have ended.
+// isSameProcess reports whether the state of a replica remains valid for its new entry. A
+// restarted replica keeps nothing, and its connections are closed.
 func isSameProcess(before, now *api.ReplicaSpec) bool {
 	return before.Address == now.Address && !now.IsAnotherProcess(before)
 }
 
-// find returns the replica of the name, if it is listed or was named, or nil.
+// find returns the replica with that name if it is listed or was named, or nil.
 func (f *fleet) find(name string, now time.Duration) *replica {
 	if name == "" {
 		return nil
@@ -118,45 +119,45 @@
 	if entry == nil {
 		return nil
 	}
-	return f.use(entry, now)
+	return f.track(entry, now)
 }
 
-// used returns the replicas of which anything is known, by name.
-func (f *fleet) used() []*replica {
+// inUse returns the replicas with state, sorted by name.
+func (f *fleet) inUse() []*replica {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	used := make([]*replica, 0, len(f.known))
-	for _, known := range f.known {
+	used := make([]*replica, 0, len(f.tracked))
+	for _, known := range f.tracked {
 		used = append(used, known)
 	}
 	slices.SortFunc(used, func(a, b *replica) int { return cmp.Compare(a.name, b.name) })
 	return used
 }
 
-// all calls visit for the listed replicas in any order, with what is known of each or nil,
-// until it returns false.
-func (f *fleet) all(visit func(entry *api.Replica, known *replica) bool) {
+// forEach calls visit for the listed replicas in any order, each with its state or nil, until
+// visit returns false.
+func (f *fleet) forEach(visit func(entry *api.Replica, known *replica) bool) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	for name, entry := range f.listed {
-		if entry.Spec.Service == f.service && !visit(entry, f.known[name]) {
+		if entry.Spec.Service == f.service && !visit(entry, f.tracked[name]) {
 			return
 		}
 	}
 }
 
-// choices returns the replicas that this proxy chooses from by itself, by name.
+// choices returns the replicas among which this proxy chooses by itself, sorted by name.
 func (f *fleet) choices(now time.Duration) []*replica {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	if f.choosable != nil {
-		return f.choosable
+	if f.choiceCache != nil {
+		return f.choiceCache
 	}
 	for _, entry := range f.listed {
 		if entry.Spec.Service == f.service {
-			f.choosable = append(f.choosable, f.use(entry, now))
+			f.choiceCache = append(f.choiceCache, f.track(entry, now))
 		}
 	}
-	slices.SortFunc(f.choosable, func(a, b *replica) int { return cmp.Compare(a.name, b.name) })
-	return f.choosable
+	slices.SortFunc(f.choiceCache, func(a, b *replica) int { return cmp.Compare(a.name, b.name) })
+	return f.choiceCache
 }
--- a/process/ingress/foreign_test.go
+++ b/process/ingress/foreign_test.go
@@ -16,26 +16,24 @@
 	"github.com/shoenig/test/must"
 )
 
-// The incident. Seen: streams that continued from a prompt read for another request,
-// after a reader had sent one answer too many on a kept connection. How it came about:
-// the surplus answer arrived after the proxy had looked whether the idle connection was
-// quiet and before the answer to its own read; the read took the first head that came.
-// Cause: only the answer to a run was held against the request's ID, at the place that
-// judges runs; every other taker of an answer trusted its place on the connection. Proof:
-// the tests below send the surplus answer when the next request arrives. They need no
-// chance, and failed on that code.
-
-// surplusReplica answers a connection's first request as its handler says. When a
-// further one arrives on the same connection, it sends a surplus answer before its own.
+// Guards against using an answer that belongs to another request. Streams once continued from a
+// prompt that had been prefilled for another request: a prefill replica sent one answer too many
+// on a kept-alive connection, after the proxy had checked the idle connection and before the
+// answer to its own prefill, and the proxy took the first answer that arrived. Only answers to
+// runs were compared with the request's ID. The tests below send the surplus answer when the next
+// request arrives, so that they do not depend on timing.
+
+// surplusReplica answers the first request on a connection as its handler says. For a further one
+// on the same connection it sends a surplus answer before its own.
 type surplusReplica struct {
-	answer  func(r *http.Request) string // whole, as it goes over the wire
+	answer  func(r *http.Request) string // complete, as sent over the connection
 	surplus func(earlier *http.Request) string
-	// silent holds the own answer back until it is closed, and then there is none; nil
-	// for an own answer at once.
+	// silent delays the end of the connection until it is closed, without an answer of its own;
+	// nil for an immediate answer.
 	silent <-chan struct{}
 
 	lock    sync.Mutex
-	earlier map[string]*http.Request // by the connection's far address
+	earlier map[string]*http.Request // by the remote address of the connection
 }
 
 func newSurplusReplica(t *testing.T, name string, answer, surplus func(*http.Request) string) *fakeReplica {
@@ -68,14 +66,14 @@
 	})(w, r)
 }
 
-// wireAnswer is an answer to the request with its head.
+// wireAnswer returns a complete answer to the request, with its head.
 func wireAnswer(r *http.Request, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: signature\r\nContent-Length: %d\r\n\r\n%s",
 		testID, r.Header.Get(testID), testGenuine, len(body), body)
 }
 
-// handles makes the bodies of answers to reads: each names its request, and which of
-// its reads it was.
+// handles generates the answers to prefills: each names its request and the number of the
+// prefill.
 type handles struct {
 	lock  sync.Mutex
 	reads map[string]int
@@ -93,10 +91,10 @@
 
 func handleBody(id string, read int) string { return fmt.Sprintf("%q", fmt.Sprintf("%s-%d", id, read)) }
 
-// firstHandle is the answer to a request's first read, sent again.
+// firstHandle repeats the answer to a request's first prefill.
 func firstHandle(r *http.Request) string { return wireAnswer(r, handleBody(r.Header.Get(testID), 1)) }
 
-// scriptedPlacer gives its answers in turn.
+// scriptedPlacer returns its answers in sequence.
 type scriptedPlacer struct {
 	lock    sync.Mutex
 	answers []placement.Answer
@@ -115,19 +113,19 @@
 
 func (p *scriptedPlacer) NotePlaced(feed.PlaceNote) bool { return true }
 
-func modelRequestOf(id string) asked {
+func modelRequestWithID(id string) testRequest {
 	request := modelRequest
 	request.id = id
 	return request
 }
 
-func TestReadTakesNoHandleOfAnotherRequest(t *testing.T) {
+func TestPrefillIgnoresAHandleOfAnotherRequest(t *testing.T) {
 	reader := newSurplusReplica(t, "read", newHandles().next, firstHandle)
 	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	w := newModelWorld(t, reader, generator, nil)
+	w := newModelEnv(t, reader, generator, nil)
 	w.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
 	for _, id := range []string{"first", "second"} {
-		must.Eq(t, events(1, 2), w.ask(modelRequestOf(id)).body)
+		must.Eq(t, eventTexts(1, 2), w.do(modelRequestWithID(id)).body)
 	}
 	must.Eq(t, 2, reader.count())
 	for _, run := range generator.requests {
@@ -136,69 +134,69 @@
 	}
 }
 
-// The ID of a request does not tell its reads apart: what was read for its first
-// attempt may be gone by the second.
-func TestReadTakesNoHandleOfAnEarlierRead(t *testing.T) {
+// The request ID does not distinguish the prefills of one request: the prompt that was prefilled
+// for its first attempt may be gone by the second.
+func TestPrefillIgnoresAHandleOfAnEarlierPrefill(t *testing.T) {
 	reader := newSurplusReplica(t, "read", newHandles().next, firstHandle)
 	refusing := newFakeReplica(t, "make-1", refuseRun)
 	generator := newFakeReplica(t, "make-2", streamEvents(2, ""))
-	w := newModelWorld(t, reader, refusing, generator)
+	w := newModelEnv(t, reader, refusing, generator)
 	w.ingress.placer = &scriptedPlacer{answers: []placement.Answer{
 		{Generator: "make-1", Reader: "read"}, {Generator: "make-2", Reader: "read"},
 	}}
-	must.Eq(t, events(1, 2), w.ask(modelRequestOf("q")).body)
+	must.Eq(t, eventTexts(1, 2), w.do(modelRequestWithID("q")).body)
 	must.Eq(t, 2, reader.count())
 	must.Eq(t, reader.address()+"/q-1", refusing.requests[0].Header.Get(testSource))
 	must.Eq(t, reader.address()+"/q-2", generator.requests[0].Header.Get(testSource))
 }
 
-// A refusal that names no request, behind the answer to another one, does not say that
-// this request has not run: it may run only once.
-func TestRefusalWithoutANameIsNotBelievedOnAUsedConnection(t *testing.T) {
+// A refusal that names no request, after the answer to another one, does not prove that this
+// request has not run; it may run only once.
+func TestRefusalWithoutARequestIDIsIgnoredOnAUsedConnection(t *testing.T) {
 	refusal := func(*http.Request) string {
 		return "HTTP/1.1 503 Service Unavailable\r\n" + testNotRun + ": 1\r\nContent-Length: 0\r\n\r\n"
 	}
 	first := newSurplusReplica(t, "r-1", func(r *http.Request) string { return "answer to " + r.Header.Get(testID) }, refusal)
-	w := newWorld(t, first)
-	must.Eq(t, http.StatusOK, w.ask(asked{method: "POST", target: "/unsafe/", id: "q-1"}).status)
+	w := newTestEnv(t, first)
+	must.Eq(t, http.StatusOK, w.do(testRequest{method: "POST", target: "/unsafe/", id: "q-1"}).status)
 	second := newFakeReplica(t, "r-2", answerOK)
-	first.server.Config.Handler = after(first.server.Config.Handler, func() { w.list(first, second) })
-	got := w.ask(asked{method: "POST", target: "/unsafe/", id: "q-2"})
+	first.server.Config.Handler = callFirst(first.server.Config.Handler, func() { w.setReplicas(first, second) })
+	got := w.do(testRequest{method: "POST", target: "/unsafe/", id: "q-2"})
 	must.Eq(t, 2, first.count())
-	must.Eq(t, 0, second.count(), must.Sprint("run twice"))
-	must.True(t, got.status != http.StatusServiceUnavailable, must.Sprint("refused and run"))
+	must.Eq(t, 0, second.count(), must.Sprint("the request ran twice"))
+	must.True(t, got.status != http.StatusServiceUnavailable, must.Sprint("the request was reported as not run, but has run"))
 }
 
-// An answer that names another request is told, with whose it is.
+// An answer that names another request is logged with the ID of that request.
 func TestForeignAnswersAreLoggedAndCounted(t *testing.T) {
 	var lines sharedBuffer
-	w := newWorld(t, newFakeReplica(t, "r-1", foreign))
+	w := newTestEnv(t, newFakeReplica(t, "r-1", answerForeign))
 	w.ingress.logger = log.NewLogfmtLogger(&lines)
-	w.ask(asked{method: "GET", target: "/unsafe/", id: "q"})
+	w.do(testRequest{method: "GET", target: "/unsafe/", id: "q"})
 	must.StrContains(t, lines.String(), "name=answer_foreign request=q stage=run replica=r-1 reused=false answered=another status=200")
 	must.Eq(t, 1, w.ingress.metrics.values(t)["landingtrail_ingress_foreign_answers_total plain run"])
-	must.False(t, w.ingress.upstreams.get("plain").find("r-1").isSuspect(w.ingress.now()), must.Sprint("it is there"))
+	must.False(t, w.ingress.upstreams.get("plain").find("r-1").isSuspect(w.ingress.now()), must.Sprint("the replica is reachable"))
 }
 
-// A replica that answers something else is there: it is neither passed over nor told of
-// as silent, and what it read may count as an arrival.
+// A replica that answers another request is neither avoided nor reported as silent, and a prefill
+// sent to it may count as a send.
 func TestReplicaThatAnswersAnotherRequestIsNotSilent(t *testing.T) {
-	reader := newFakeReplica(t, "read", foreign)
+	reader := newFakeReplica(t, "read", answerForeign)
 	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	w := newModelWorld(t, reader, generator, nil)
+	w := newModelEnv(t, reader, generator, nil)
 	placer := &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
 	w.ingress.placer = placer
 	w.withReserve(2)
 	for range 10 {
-		must.Eq(t, events(1, 2), w.ask(modelRequest).body)
+		must.Eq(t, eventTexts(1, 2), w.do(modelRequest).body)
 	}
-	must.Eq(t, 2, reader.count(), must.Sprint("each read may be a second arrival"))
+	must.Eq(t, 2, reader.count(), must.Sprint("each prefill may count as a second send"))
 	lane := w.ingress.upstreams.get("model")
 	must.False(t, lane.find("read").isSuspect(w.ingress.now()))
 	must.SliceNotContains(t, placer.steps(), placement.StepFailed)
 }
 
-// A replica that stops in the middle of a surplus answer is silent.
+// A replica that stalls in the middle of a surplus answer is treated as silent.
 func TestReplicaThatFallsSilentWithinASurplusAnswerIsSuspect(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
@@ -207,28 +205,28 @@
 	}
 	first := newSilentReplica(t, "r-1", func(r *http.Request) string { return "answer to " + r.Header.Get(testID) }, hang, release)
 	second := newFakeReplica(t, "r-2", answerOK)
-	w := newWorld(t, first)
-	must.Eq(t, http.StatusOK, w.ask(asked{method: "GET", target: "/safe/", id: "q-1"}).status)
+	w := newTestEnv(t, first)
+	must.Eq(t, http.StatusOK, w.do(testRequest{method: "GET", target: "/safe/", id: "q-1"}).status)
 	known := w.ingress.upstreams.get("plain").find("r-1")
-	first.server.Config.Handler = after(first.server.Config.Handler, func() { w.list(first, second) })
-	got := w.ask(asked{method: "GET", target: "/safe/", id: "q-2"})
+	first.server.Config.Handler = callFirst(first.server.Config.Handler, func() { w.setReplicas(first, second) })
+	got := w.do(testRequest{method: "GET", target: "/safe/", id: "q-2"})
 	must.Eq(t, "answer to q-2", got.body)
 	must.Eq(t, 1, second.count())
 	must.True(t, known.isSuspect(w.ingress.now()))
 }
 
-// By the time of the run the address of a reader that has gone may be another replica's.
-func TestHandleOfAReaderThatIsGoneIsNotNamed(t *testing.T) {
-	reader := newFakeReplica(t, "read", readPrompt)
+// By the time of the run another replica may have the address of a prefill replica that is gone.
+func TestHandleOfAReplicaThatIsGoneIsNotUsed(t *testing.T) {
+	reader := newFakeReplica(t, "read", answerPrefill)
 	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	w := newModelWorld(t, reader, generator, nil)
-	reader.server.Config.Handler = after(reader.server.Config.Handler, func() {
+	w := newModelEnv(t, reader, generator, nil)
+	reader.server.Config.Handler = callFirst(reader.server.Config.Handler, func() {
 		w.views.set(func(v *view.View) {
-			v.Replicas = map[string]*api.Replica{"make": listed(generator, "model", api.RoleDecode)}
+			v.Replicas = map[string]*api.Replica{"make": replicaObject(generator, "model", api.RoleDecode)}
 		})
 	})
 	w.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
-	must.Eq(t, events(1, 2), w.ask(modelRequestOf("q")).body)
+	must.Eq(t, eventTexts(1, 2), w.do(modelRequestWithID("q")).body)
 	must.Eq(t, 1, reader.count())
 	must.Eq(t, "", generator.requests[0].Header.Get(testSource))
 }
--- a/process/ingress/harness_test.go
+++ b/process/ingress/harness_test.go
@@ -23,27 +23,27 @@
 
 func TestMain(m *testing.M) {
 	goleak.VerifyTestMain(m,
-		// Both run from the start of a process that links go-zero to its end.
+		// Both are started by the init functions of go-zero and never end.
 		goleak.IgnoreTopFunction("github.com/zeromicro/go-zero/core/proc.init.1.func1"),
 		goleak.IgnoreTopFunction("github.com/zeromicro/go-zero/core/stat.init.1.func1"),
 	)
 }
 
-// patience bounds every wait; it measures nothing.
-const patience = 20 * time.Second
+// testTimeout limits every wait; no test measures it.
+const testTimeout = 20 * time.Second
 
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(testTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("not within %v: %s", patience, what)
+			t.Fatalf("not within %v: %s", testTimeout, what)
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// Fields of the tests' dialect.
+// Header fields of the test dialect.
 const (
 	testID       = "Test-Id"
 	testWithin   = "Test-Within"
@@ -63,7 +63,7 @@
 	testLeaving  = "Test-Leaving"
 )
 
-// testDialect is a protocol of these tests.
+// testDialect is the protocol used in these tests.
 type testDialect struct{}
 
 func (testDialect) Call(header http.Header) (Call, error) {
@@ -135,7 +135,7 @@
 	}
 }
 
-// fakeReplica is a replica whose every request goes to a handler of the test.
+// fakeReplica is a replica whose requests are handled by the test.
 type fakeReplica struct {
 	name   string
 	server *httptest.Server
@@ -162,8 +162,8 @@
 
 func (r *fakeReplica) address() string { return r.server.Listener.Addr().String() }
 
-// refusingAddress returns an address that refuses connections: its port is bound, so that
-// nobody else gets it, and nobody listens there.
+// refusingAddress returns an address that refuses connections: the port is bound, so that no
+// other process gets it, but nothing listens there.
 func refusingAddress(t *testing.T) string {
 	t.Helper()
 	socket, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
@@ -181,33 +181,33 @@
 	return len(r.requests)
 }
 
-// genuine writes the fields of an answer that the replica made by a run.
-func genuine(w http.ResponseWriter, r *http.Request) {
+// writeGenuine sets the fields of an answer that the replica produced by a run.
+func writeGenuine(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set(testID, r.Header.Get(testID))
 	w.Header().Set(testGenuine, "signature")
 }
 
 func answerOK(w http.ResponseWriter, r *http.Request) {
-	genuine(w, r)
+	writeGenuine(w, r)
 	_, _ = io.WriteString(w, "answer to "+r.Header.Get(testID))
 }
 
 func answerStatus(status int) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		genuine(w, r)
+		writeGenuine(w, r)
 		w.WriteHeader(status)
 		_, _ = io.WriteString(w, "failure")
 	}
 }
 
-// refuseRun says that the request was not run.
+// refuseRun states that the request was not run.
 func refuseRun(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set(testID, r.Header.Get(testID))
 	w.Header().Set(testNotRun, "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// hijack hands the connection to the test.
+// hijack passes the connection to the test.
 func hijack(use func(net.Conn)) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		conn, _, err := w.(http.Hijacker).Hijack()
@@ -219,15 +219,16 @@
 	}
 }
 
-// breakOff closes the connection without a word.
-var breakOff = hijack(func(net.Conn) {})
+// closeConnection closes the connection without an answer.
+var closeConnection = hijack(func(net.Conn) {})
 
-// events streams events with rising IDs from one after the caller's last to last,
-// and then ends the stream, or cuts it after an event or inside one.
+// streamEvents streams events with increasing IDs, from the one after the caller's last event up
+// to the given last one. It then ends the stream, cuts it between events, or cuts it inside an
+// event.
 func streamEvents(last int, end string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		first, _ := strconv.Atoi(r.Header.Get(testResume))
-		genuine(w, r)
+		writeGenuine(w, r)
 		w.Header().Set("Content-Type", "text/event-stream")
 		for id := first + 1; id <= last; id++ {
 			_, _ = io.WriteString(w, eventText(id))
@@ -248,7 +249,7 @@
 	return "id: " + strconv.Itoa(id) + "\ndata: piece " + strconv.Itoa(id) + "\n\n"
 }
 
-func events(first, last int) string {
+func eventTexts(first, last int) string {
 	var text strings.Builder
 	for id := first; id <= last; id++ {
 		text.WriteString(eventText(id))
@@ -256,7 +257,7 @@
 	return text.String()
 }
 
-// Routes of the tests: one host, a prefix each.
+// testIngress returns the routes of the tests: one host, with a path prefix for each route.
 func testIngress() *api.Ingress {
 	route := func(name string, kind api.RouteKind, attempts int, resumable bool, service string) api.Route {
 		return api.Route{
@@ -282,20 +283,20 @@
 	}}
 }
 
-// holder is a view that tests replace.
-type holder struct {
+// viewHolder holds a view that tests replace.
+type viewHolder struct {
 	lock    sync.Mutex
 	current *view.View
 }
 
-func (h *holder) Load() *view.View {
+func (h *viewHolder) Load() *view.View {
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	return h.current
 }
 
-// set moves the view on.
-func (h *holder) set(change func(*view.View)) {
+// set replaces the view by a changed copy with the next revision.
+func (h *viewHolder) set(change func(*view.View)) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	next := *h.current
@@ -304,22 +305,22 @@
 	h.current = &next
 }
 
-// world is an ingress before fake replicas.
-type world struct {
+// testEnv is an ingress with fake replicas.
+type testEnv struct {
 	t       *testing.T
-	views   *holder
+	views   *viewHolder
 	ingress *Ingress
 	server  *httptest.Server
 }
 
-func newWorld(t *testing.T, replicas ...*fakeReplica) *world {
+func newTestEnv(t *testing.T, replicas ...*fakeReplica) *testEnv {
 	t.Helper()
-	w := &world{t: t, views: &holder{current: view.New()}}
+	w := &testEnv{t: t, views: &viewHolder{current: view.New()}}
 	start := time.Now()
 	clock := func() time.Duration { return time.Since(start) }
 	w.ingress = New(Config{Name: "proxy-1", Zone: "zone-a", Dialect: testDialect{}, Retry: RetryBudget{Share: 1, Reserve: 100, Settle: -1}}, w.views, clock, log.NewNopLogger())
 	w.views.set(func(v *view.View) { v.Ingresses = map[string]*api.Ingress{api.IngressName: testIngress()} })
-	w.list(replicas...)
+	w.setReplicas(replicas...)
 	w.server = httptest.NewServer(w.ingress)
 	t.Cleanup(func() {
 		w.server.Close()
@@ -328,25 +329,25 @@
 	return w
 }
 
-// list replaces the plain replicas.
-func (w *world) list(replicas ...*fakeReplica) {
+// setReplicas replaces the list by the given plain replicas.
+func (w *testEnv) setReplicas(replicas ...*fakeReplica) {
 	w.views.set(func(v *view.View) {
 		v.Replicas = map[string]*api.Replica{}
 		for _, replica := range replicas {
-			v.Replicas[replica.name] = listed(replica, "plain", api.RoleNone)
+			v.Replicas[replica.name] = replicaObject(replica, "plain", api.RoleNone)
 		}
 	})
 }
 
-func listed(replica *fakeReplica, service string, role api.EngineRole) *api.Replica {
+func replicaObject(replica *fakeReplica, service string, role api.EngineRole) *api.Replica {
 	return &api.Replica{
 		Metadata: api.Metadata{Name: replica.name},
 		Spec:     api.ReplicaSpec{Service: service, Address: replica.address(), Zone: "zone-a", Slots: 8, Role: role},
 	}
 }
 
-// asked is one request of a test.
-type asked struct {
+// testRequest is a caller's request.
+type testRequest struct {
 	method string
 	target string
 	host   string
@@ -355,8 +356,8 @@
 	body   string
 }
 
-// answered is what the caller got; err is set where the answer broke off.
-type answered struct {
+// testResponse is what the caller receives; err is set if the answer was interrupted.
+type testResponse struct {
 	status int
 	header http.Header
 	body   string
@@ -365,7 +366,7 @@
 
 var testClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true}}
 
-func (w *world) ask(given asked) answered {
+func (w *testEnv) do(given testRequest) testResponse {
 	w.t.Helper()
 	request, err := http.NewRequest(given.method, w.server.URL, strings.NewReader(given.body))
 	must.NoError(w.t, err)
@@ -377,15 +378,15 @@
 	if given.id != "-" {
 		request.Header.Set(testID, given.id)
 	}
-	request.Header.Set("User-Agent", "") // net/http then sends none
+	request.Header.Set("User-Agent", "") // keeps net/http from sending its default
 	for name, value := range given.fields {
 		request.Header.Set(name, value)
 	}
 	response, err := testClient.Do(request)
 	if err != nil {
-		return answered{err: err}
+		return testResponse{err: err}
 	}
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
-	return answered{status: response.StatusCode, header: response.Header, body: string(body), err: err}
+	return testResponse{status: response.StatusCode, header: response.Header, body: string(body), err: err}
 }
--- a/process/ingress/holdoff_test.go
+++ b/process/ingress/holdoff_test.go
@@ -15,19 +15,18 @@
 	"github.com/shoenig/test/must"
 )
 
-// Seen: replicas that were full answered 503 and asked a proxy to stay away for three
-// seconds; it sent them three to six more requests in that time, where two are allowed.
-// How: the leader placed reads and runs there as before, once another was refused, since a
-// refusal counted for a tenth of a second at most, and that of a read for nothing.
-// Cause: no part of the data path read the field that names the time.
-// Proof: the ways below, each with a replica that asks once and then would serve; what
-// reaches it after that is counted.
+// Guards against sending requests to replicas that have asked for a pause. Full replicas answered
+// 503 and asked a proxy to pause for three seconds; it sent them three to six more requests in
+// that time, where two are allowed. No part of the data path read the field with the duration,
+// and the leader considered a refusal for at most 0.1 s, that of a prefill not at all. Each test
+// has a replica that asks for a pause once and would then serve, and counts the requests that
+// reach it afterwards.
 
-// pauseOnce asks for a pause with its first answer, and serves all that comes after it.
+// pauseOnce asks for a pause with its first answer and serves all further requests.
 func pauseOnce(pause string, status int, serve http.HandlerFunc) http.HandlerFunc {
-	var asked atomic.Bool
+	var askedAt atomic.Bool
 	return func(w http.ResponseWriter, r *http.Request) {
-		if asked.Swap(true) {
+		if askedAt.Swap(true) {
 			serve(w, r)
 			return
 		}
@@ -40,7 +39,7 @@
 	}
 }
 
-// leaveAlways serves, and says with each answer that the replica leaves.
+// leaveAlways serves and announces in each answer that the replica is leaving.
 func leaveAlways(serve http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(testLeaving, "1")
@@ -48,149 +47,149 @@
 	}
 }
 
-func request(path string, number int) asked {
-	return asked{method: "POST", target: "/" + path + "/", id: fmt.Sprintf("r%d", number), fields: map[string]string{}}
+func plainRequest(path string, number int) testRequest {
+	return testRequest{method: "POST", target: "/" + path + "/", id: fmt.Sprintf("r%d", number), fields: map[string]string{}}
 }
 
-func modelAsk(number int) asked {
-	given := request("model", number)
+func numberedModelRequest(number int) testRequest {
+	given := plainRequest("model", number)
 	given.fields[testTokens] = "9000"
 	return given
 }
 
-func TestWhatReplicasAskForIsKept(t *testing.T) {
-	t.Run("pause", testPausesAreKept)
+func TestDemandsOfReplicasAreRespected(t *testing.T) {
+	t.Run("pause", testPausesAreRespected)
 	t.Run("leaving", testLeavingReplicasGetNothingNew)
-	t.Run("whole service", testServiceThatPausesIsRefusedAtOnce)
+	t.Run("whole service", testRequestsAreRefusedWhileAllReplicasPause)
 }
 
 const (
-	longPause = "1m" // longer than any test
-	asksAfter = 6
+	longPause     = "1m" // longer than any test
+	laterRequests = 6
 )
 
-func testPausesAreKept(t *testing.T) {
+func testPausesAreRespected(t *testing.T) {
 	t.Run("plain", func(t *testing.T) {
-		tired := newFakeReplica(t, "a", pauseOnce(longPause, http.StatusServiceUnavailable, answerOK))
+		paused := newFakeReplica(t, "a", pauseOnce(longPause, http.StatusServiceUnavailable, answerOK))
 		other := newFakeReplica(t, "b", answerOK)
-		w := newWorld(t, tired)
-		must.Eq(t, http.StatusServiceUnavailable, w.ask(request("safe", 0)).status)
-		w.list(tired, other)
-		for i := range asksAfter {
-			must.Eq(t, http.StatusOK, w.ask(request("unsafe", i+1)).status)
+		w := newTestEnv(t, paused)
+		must.Eq(t, http.StatusServiceUnavailable, w.do(plainRequest("safe", 0)).status)
+		w.setReplicas(paused, other)
+		for i := range laterRequests {
+			must.Eq(t, http.StatusOK, w.do(plainRequest("unsafe", i+1)).status)
 		}
-		must.Eq(t, 1, tired.count())
+		must.Eq(t, 1, paused.count())
 	})
-	t.Run("without a word that it has not run", func(t *testing.T) {
-		tired := newFakeReplica(t, "a", func(w http.ResponseWriter, r *http.Request) {
-			genuine(w, r)
+	t.Run("without stating that the request has not run", func(t *testing.T) {
+		paused := newFakeReplica(t, "a", func(w http.ResponseWriter, r *http.Request) {
+			writeGenuine(w, r)
 			w.Header().Set(testPause, longPause)
 			w.WriteHeader(http.StatusServiceUnavailable)
 		})
-		w := newWorld(t, tired)
-		for i := range asksAfter {
-			w.ask(request("safe", i))
+		w := newTestEnv(t, paused)
+		for i := range laterRequests {
+			w.do(plainRequest("safe", i))
 		}
-		must.Eq(t, 1, tired.count())
+		must.Eq(t, 1, paused.count())
 	})
-	t.Run("read placed by the group", func(t *testing.T) {
-		reader := newFakeReplica(t, "read", pauseOnce(longPause, http.StatusServiceUnavailable, readPrompt))
+	t.Run("prefill placed by the group", func(t *testing.T) {
+		reader := newFakeReplica(t, "read", pauseOnce(longPause, http.StatusServiceUnavailable, answerPrefill))
 		generator := newFakeReplica(t, "make", streamEvents(2, ""))
-		w := newModelWorld(t, reader, generator, nil)
-		w.withPatience()
+		w := newModelEnv(t, reader, generator, nil)
+		w.withLongObjective()
 		w.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
-		for i := range asksAfter {
-			must.Eq(t, events(1, 2), w.ask(modelAsk(i)).body)
+		for i := range laterRequests {
+			must.Eq(t, eventTexts(1, 2), w.do(numberedModelRequest(i)).body)
 		}
 		must.Eq(t, 1, reader.count())
 	})
-	t.Run("run placed by the group, alone or not", func(t *testing.T) {
+	t.Run("run placed by the group, isolated or not", func(t *testing.T) {
 		for _, alone := range []bool{false, true} {
-			reader := newFakeReplica(t, "read", readPrompt)
-			tired := newFakeReplica(t, "make", pauseOnce(longPause, http.StatusServiceUnavailable, streamEvents(2, "")))
-			w := newModelWorld(t, reader, tired, nil)
-			w.withPatience()
+			reader := newFakeReplica(t, "read", answerPrefill)
+			paused := newFakeReplica(t, "make", pauseOnce(longPause, http.StatusServiceUnavailable, streamEvents(2, "")))
+			w := newModelEnv(t, reader, paused, nil)
+			w.withLongObjective()
 			w.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read", Alone: alone}}
-			for i := range asksAfter {
-				must.Eq(t, http.StatusServiceUnavailable, w.ask(modelAsk(i)).status)
+			for i := range laterRequests {
+				must.Eq(t, http.StatusServiceUnavailable, w.do(numberedModelRequest(i)).status)
 			}
-			must.Eq(t, 1, tired.count())
+			must.Eq(t, 1, paused.count())
 		}
 	})
 	t.Run("placed by the proxy itself", func(t *testing.T) {
-		reader := newFakeReplica(t, "read", pauseOnce(longPause, http.StatusServiceUnavailable, readPrompt))
-		tired := newFakeReplica(t, "make", pauseOnce(longPause, http.StatusServiceUnavailable, streamEvents(2, "")))
+		reader := newFakeReplica(t, "read", pauseOnce(longPause, http.StatusServiceUnavailable, answerPrefill))
+		paused := newFakeReplica(t, "make", pauseOnce(longPause, http.StatusServiceUnavailable, streamEvents(2, "")))
 		other := newFakeReplica(t, "also", streamEvents(2, ""))
-		w := newModelWorld(t, reader, tired, other)
-		w.withPatience()
-		for i := range 4 * asksAfter {
-			must.Eq(t, events(1, 2), w.ask(modelAsk(i)).body)
+		w := newModelEnv(t, reader, paused, other)
+		w.withLongObjective()
+		for i := range 4 * laterRequests {
+			must.Eq(t, eventTexts(1, 2), w.do(numberedModelRequest(i)).body)
 		}
 		must.LessEq(t, 1, reader.count())
-		must.LessEq(t, 1, tired.count())
+		must.LessEq(t, 1, paused.count())
 	})
-	t.Run("a stream that is taken up elsewhere", func(t *testing.T) {
+	t.Run("resumed stream", func(t *testing.T) {
 		broken := newFakeReplica(t, "a", streamEvents(2, "cut"))
-		tired := newFakeReplica(t, "b", pauseOnce(longPause, http.StatusServiceUnavailable, streamEvents(4, "")))
-		w := newWorld(t, tired)
-		w.ask(request("safe", 0))
-		w.list(broken, tired)
-		w.ask(request("resume", 1))
-		must.Eq(t, 1, tired.count())
+		paused := newFakeReplica(t, "b", pauseOnce(longPause, http.StatusServiceUnavailable, streamEvents(4, "")))
+		w := newTestEnv(t, paused)
+		w.do(plainRequest("safe", 0))
+		w.setReplicas(broken, paused)
+		w.do(plainRequest("resume", 1))
+		must.Eq(t, 1, paused.count())
 	})
-	t.Run("the freeing of a handle", func(t *testing.T) {
+	t.Run("release of a handle", func(t *testing.T) {
 		handled := make(chan struct{})
 		var answered atomic.Bool
 		reader := newFakeReplica(t, "read", func(w http.ResponseWriter, r *http.Request) {
 			if answered.Swap(true) {
-				refusePausing(w, r)
+				refuseWithPause(w, r)
 				return
 			}
-			readPrompt(w, r)
+			answerPrefill(w, r)
 			close(handled)
 		})
 		generator := newFakeReplica(t, "make", streamEvents(2, ""))
-		w := newModelWorld(t, reader, generator, nil)
-		w.withPatience()
+		w := newModelEnv(t, reader, generator, nil)
+		w.withLongObjective()
 		w.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
-		w.ask(modelAsk(0))
-		w.ask(modelAsk(1)) // the reader asks for a pause
+		w.do(numberedModelRequest(0))
+		w.do(numberedModelRequest(1)) // the prefill replica asks for a pause
 		before := reader.count()
 		s := &session{ingress: w.ingress, upstream: w.ingress.upstreams.get("model")}
 		s.release(Source{Replica: "read", Address: reader.address(), Handle: "handle-7"})
-		time.Sleep(50 * time.Millisecond) // a call on loopback takes less than one
+		time.Sleep(50 * time.Millisecond) // a call on the loopback interface takes less than 1 ms
 		must.Eq(t, before, reader.count())
 	})
-	t.Run("while a connection was opened", func(t *testing.T) {
-		tired := newFakeReplica(t, "a", answerOK)
-		w := newWorld(t, tired)
+	t.Run("while a connection is opened", func(t *testing.T) {
+		paused := newFakeReplica(t, "a", answerOK)
+		w := newTestEnv(t, paused)
 		w.ingress.routes()
 		asks := w.ingress.upstreams.holdoffs.Find("a")
 		given := &exchange.Request{Method: "GET", Target: "/", Host: "a", Permit: func() error {
-			asks.Hear(w.ingress.now(), time.Now(), holdoff.Word{RetryAfter: time.Minute}) // with another request's answer
+			asks.Hear(w.ingress.now(), time.Now(), holdoff.Word{RetryAfter: time.Minute}) // as with the answer to another request
 			return w.ingress.permit(asks)()
 		}}
-		_, err := w.ingress.upstreams.get("plain").pool.Do(t.Context(), tired.address(), given)
+		_, err := w.ingress.upstreams.get("plain").pool.Do(t.Context(), paused.address(), given)
 		must.ErrorIs(t, err, errWithheld)
-		must.Eq(t, 0, tired.count())
+		must.Eq(t, 0, paused.count())
 	})
-	t.Run("that is listed anew meanwhile", func(t *testing.T) {
-		tired := newFakeReplica(t, "a", pauseOnce(longPause, http.StatusServiceUnavailable, answerOK))
+	t.Run("removed from the list and listed again", func(t *testing.T) {
+		paused := newFakeReplica(t, "a", pauseOnce(longPause, http.StatusServiceUnavailable, answerOK))
 		other := newFakeReplica(t, "b", answerOK)
-		w := newWorld(t, tired)
-		w.ask(request("safe", 0))
-		w.list(other)
-		must.Eq(t, http.StatusOK, w.ask(request("safe", 1)).status)
-		w.list(tired, other)
-		for i := range asksAfter {
-			w.ask(request("unsafe", i+2))
+		w := newTestEnv(t, paused)
+		w.do(plainRequest("safe", 0))
+		w.setReplicas(other)
+		must.Eq(t, http.StatusOK, w.do(plainRequest("safe", 1)).status)
+		w.setReplicas(paused, other)
+		for i := range laterRequests {
+			w.do(plainRequest("unsafe", i+2))
 		}
-		must.Eq(t, 1, tired.count())
+		must.Eq(t, 1, paused.count())
 	})
 }
 
-// refusePausing refuses and asks for a pause.
-func refusePausing(w http.ResponseWriter, r *http.Request) {
+// refuseWithPause refuses a request and asks for a pause.
+func refuseWithPause(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set(testID, r.Header.Get(testID))
 	w.Header().Set(testNotRun, "1")
 	w.Header().Set(testPause, longPause)
@@ -201,53 +200,53 @@
 	t.Run("plain, listed as ready", func(t *testing.T) {
 		leaving := newFakeReplica(t, "a", leaveAlways(answerOK))
 		other := newFakeReplica(t, "b", answerOK)
-		w := newWorld(t, leaving)
-		must.Eq(t, http.StatusOK, w.ask(request("unsafe", 0)).status)
-		w.list(leaving, other)
-		for i := range asksAfter {
-			must.Eq(t, http.StatusOK, w.ask(request("unsafe", i+1)).status)
+		w := newTestEnv(t, leaving)
+		must.Eq(t, http.StatusOK, w.do(plainRequest("unsafe", 0)).status)
+		w.setReplicas(leaving, other)
+		for i := range laterRequests {
+			must.Eq(t, http.StatusOK, w.do(plainRequest("unsafe", i+1)).status)
 		}
 		must.Eq(t, 1, leaving.count())
 	})
-	t.Run("read and run placed by the group", func(t *testing.T) {
-		reader := newFakeReplica(t, "read", leaveAlways(readPrompt))
+	t.Run("prefill and run placed by the group", func(t *testing.T) {
+		reader := newFakeReplica(t, "read", leaveAlways(answerPrefill))
 		leaving := newFakeReplica(t, "make", leaveAlways(streamEvents(2, "")))
 		other := newFakeReplica(t, "also", streamEvents(2, ""))
-		w := newModelWorld(t, reader, leaving, other)
-		w.withPatience()
+		w := newModelEnv(t, reader, leaving, other)
+		w.withLongObjective()
 		w.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
-		for i := range asksAfter {
-			must.Eq(t, events(1, 2), w.ask(modelAsk(i)).body)
+		for i := range laterRequests {
+			must.Eq(t, eventTexts(1, 2), w.do(numberedModelRequest(i)).body)
 		}
 		must.Eq(t, 1, reader.count())
 		must.Eq(t, 1, leaving.count())
 	})
-	t.Run("until it is born again", func(t *testing.T) {
+	t.Run("until the replica restarts", func(t *testing.T) {
 		leaving := newFakeReplica(t, "a", leaveAlways(answerOK))
-		w := newWorld(t)
+		w := newTestEnv(t)
 		born := func(at int64) {
 			w.views.set(func(v *view.View) {
-				entry := listed(leaving, "plain", api.RoleNone)
+				entry := replicaObject(leaving, "plain", api.RoleNone)
 				entry.Spec.Born = at
 				v.Replicas = map[string]*api.Replica{"a": entry}
 			})
 		}
 		born(1000)
-		must.Eq(t, http.StatusOK, w.ask(request("safe", 0)).status)
-		must.Eq(t, http.StatusServiceUnavailable, w.ask(request("safe", 1)).status)
+		must.Eq(t, http.StatusOK, w.do(plainRequest("safe", 0)).status)
+		must.Eq(t, http.StatusServiceUnavailable, w.do(plainRequest("safe", 1)).status)
 		born(time.Now().Add(time.Minute).UnixMilli())
-		must.Eq(t, http.StatusOK, w.ask(request("safe", 2)).status)
+		must.Eq(t, http.StatusOK, w.do(plainRequest("safe", 2)).status)
 	})
 }
 
-// All of a service that asks for a pause is refused at once, with the time at which the
-// first of them may be asked again.
-func testServiceThatPausesIsRefusedAtOnce(t *testing.T) {
+// If all replicas of a service ask for a pause, requests are refused at once with the time when
+// the first pause ends.
+func testRequestsAreRefusedWhileAllReplicasPause(t *testing.T) {
 	first := newFakeReplica(t, "a", pauseOnce("20s", http.StatusServiceUnavailable, answerOK))
 	second := newFakeReplica(t, "b", pauseOnce("40s", http.StatusServiceUnavailable, answerOK))
-	w := newWorld(t, first, second)
-	w.ask(request("safe", 0)) // both are asked
-	got := w.ask(request("safe", 1))
+	w := newTestEnv(t, first, second)
+	w.do(plainRequest("safe", 0)) // sent to both replicas
+	got := w.do(plainRequest("safe", 1))
 	must.Eq(t, http.StatusServiceUnavailable, got.status)
 	again, err := time.ParseDuration(got.header.Get(testAgain))
 	must.NoError(t, err)
--- a/process/ingress/inflight.go
+++ b/process/ingress/inflight.go
@@ -8,27 +8,28 @@
 	"github.com/landingtrail/landingtrail/request/placement"
 )
 
-// What this proxy has in flight to replicas, wherever it was decided: the control group is
-// told of each step, and a leader that has just begun is told of all of it.
+// Tracking of this proxy's requests in flight, whether the control group or the proxy itself
+// placed them. The control group is told of each step, and a new leader of all of them.
 //
-// Invariant: whoever places takes these words in in the order in which the steps came
-// about. So a step and its word are one under the table's lock, as are what is in flight
-// and the report of it; a step taken in before a report that does not show it would count
-// for nothing.
+// Invariant: the receiver sees these messages in the order in which the steps happened. So a step
+// and its message form one critical section of the table's lock, and so do the list of requests
+// in flight and its report. A step that arrived before a report which does not contain it would
+// have no effect.
 
-// placed is a request in flight that the control group is to be kept informed of.
-type placed struct {
-	ingress *Ingress
-	service string
-	number  uint64
-	ask     placement.Ask
-	answer  placement.Answer
-	at      time.Duration
-	step    placement.Step // 0 before the prompt is read; the table's lock guards it
+// trackedRequest is a request in flight whose progress is reported to the control group.
+type trackedRequest struct {
+	ingress  *Ingress
+	service  string
+	number   uint64
+	ask      placement.Ask
+	answer   placement.Answer
+	placedAt time.Duration
+	step     placement.Step // 0 before the prompt was prefilled; guarded by the table's lock
 }
 
-// note tells the group how far the request has come; a nil placed tells nobody.
-func (p *placed) note(step placement.Step, replica string, told int) {
+// note reports the request's progress to the control group. It does nothing for a nil
+// trackedRequest.
+func (p *trackedRequest) note(step placement.Step, replica string, reported int) {
 	if p == nil {
 		return
 	}
@@ -39,30 +40,30 @@
 	case step == placement.StepRead || step == placement.StepStarted:
 		p.step = step
 	case replica != "" && replica == p.answer.Reader:
-		p.answer.Reader = "" // it goes on at its generator
+		p.answer.Reader = "" // continues on the decode replica
 	default:
 		delete(table.requests, p)
 	}
 	p.ingress.placer.NotePlaced(feed.PlaceNote{
 		Service: p.service,
 		Number:  p.number,
-		Note:    placement.Note{Step: step, Replica: replica, Told: told},
+		Note:    placement.Note{Step: step, Replica: replica, Told: reported},
 	})
 }
 
-// track keeps a request among those in flight until it is noted as over.
-func (s *session) track(ask placement.Ask, answer placement.Answer, number uint64) *placed {
-	decided := &placed{
+// track adds a request to those in flight until its end is noted.
+func (s *session) track(ask placement.Ask, answer placement.Answer, number uint64) *trackedRequest {
+	tracked := &trackedRequest{
 		ingress: s.ingress, service: s.upstream.service, number: number,
-		ask: ask, answer: answer, at: s.ingress.now(),
+		ask: ask, answer: answer, placedAt: s.ingress.now(),
 	}
-	s.ingress.inFlight.add(decided)
-	return decided
+	s.ingress.inFlight.add(tracked)
+	return tracked
 }
 
-// trackOwn does so for a plan that this proxy has made itself: a board that comes is to
-// count it as well.
-func (s *session) trackOwn(chosen *plan) {
+// trackLocal tracks a request that this proxy placed itself, so that the next placement board
+// counts it too.
+func (s *session) trackLocal(chosen *plan) {
 	if s.ingress.placer == nil || chosen.target == nil {
 		return
 	}
@@ -73,37 +74,38 @@
 	chosen.tracked = s.track(s.placementAsk(), answer, s.ingress.numbers.Add(1))
 }
 
-// inFlightTable holds the placed requests that are in flight. One lock is enough: it is
-// held for a few steps of each request, and for a report when another board begins.
+// inFlightTable holds the tracked requests in flight. One lock suffices: it is held for a few
+// steps of each request, and for a report when another placement board takes over.
 type inFlightTable struct {
 	lock     sync.Mutex
-	requests map[*placed]struct{}
+	requests map[*trackedRequest]struct{}
 }
 
-func (t *inFlightTable) add(p *placed) {
+func (t *inFlightTable) add(p *trackedRequest) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	if t.requests == nil {
-		t.requests = map[*placed]struct{}{}
+		t.requests = map[*trackedRequest]struct{}{}
 	}
 	t.requests[p] = struct{}{}
 }
 
-// byService adds what is in flight now to the services' messages; the lock is held.
-func (t *inFlightTable) byService(all map[string]feed.InFlight, now time.Duration) {
+// addTo adds the requests in flight to the reports of their services. The caller must hold the
+// lock.
+func (t *inFlightTable) addTo(reports map[string]feed.InFlight, now time.Duration) {
 	for p := range t.requests {
-		if all[p.service].Requests == nil {
-			all[p.service] = feed.InFlight{Service: p.service, Requests: map[uint64]placement.Placed{}}
+		if reports[p.service].Requests == nil {
+			reports[p.service] = feed.InFlight{Service: p.service, Requests: map[uint64]placement.Placed{}}
 		}
-		all[p.service].Requests[p.number] = placement.Placed{
-			Ask: p.ask, Answer: p.answer, Age: now - p.at, Step: p.step,
+		reports[p.service].Requests[p.number] = placement.Placed{
+			Ask: p.ask, Answer: p.answer, Age: now - p.placedAt, Step: p.step,
 		}
 	}
 }
 
-// reportInFlight tells who has just begun to place requests what is in flight, of a
-// service of which nothing is as well: its board may know requests that ended while
-// another one was told.
+// reportInFlight reports the requests in flight to a member that has just started to place
+// requests. Services without any are included: the member's placement board may still hold
+// requests that ended while another member received the reports.
 func (i *Ingress) reportInFlight(to groupReporter) {
 	all := map[string]feed.InFlight{}
 	for _, opened := range i.upstreams.all() {
@@ -111,8 +113,8 @@
 	}
 	i.inFlight.lock.Lock()
 	defer i.inFlight.lock.Unlock()
-	i.inFlight.byService(all, i.now())
-	for _, told := range all {
-		to.ReportInFlight(told)
+	i.inFlight.addTo(all, i.now())
+	for _, recorded := range all {
+		to.ReportInFlight(recorded)
 	}
 }
--- a/process/ingress/inflight_order_test.go
+++ b/process/ingress/inflight_order_test.go
@@ -11,9 +11,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// toldBoard is a new board that takes in what it is told in the order in which it is
-// told; between runs once, when a word is made and not yet on its way.
-type toldBoard struct {
+// recordingBoard applies reports to a new placement board in the order of their arrival. between
+// is called once, after a message was created and before it is applied.
+type recordingBoard struct {
 	t       *testing.T
 	between func()
 
@@ -21,16 +21,16 @@
 	board *placement.Board
 }
 
-func newToldBoard(t *testing.T) *toldBoard {
+func newRecordingBoard(t *testing.T) *recordingBoard {
 	board := placement.NewBoard()
 	board.SetReplicas(placement.Sheet{}, []placement.Replica{
 		{Name: "read", Role: placement.RolePrefill, Slots: 8},
 		{Name: "make", Role: placement.RoleDecode, Slots: 8},
 	})
-	return &toldBoard{t: t, board: board}
+	return &recordingBoard{t: t, board: board}
 }
 
-func (b *toldBoard) take(word func()) {
+func (b *recordingBoard) apply(word func()) {
 	if between := b.between; between != nil {
 		b.between = nil
 		between()
@@ -40,43 +40,43 @@
 	word()
 }
 
-func (b *toldBoard) ReportInFlight(told feed.InFlight) bool {
-	b.take(func() { b.board.TakeOver(0, "proxy", told.Requests) })
+func (b *recordingBoard) ReportInFlight(recorded feed.InFlight) bool {
+	b.apply(func() { b.board.TakeOver(0, "proxy", recorded.Requests) })
 	return true
 }
 
-func (b *toldBoard) NotePlaced(note feed.PlaceNote) bool {
-	b.take(func() { b.board.Note(0, placement.Key{Daemon: "proxy", Number: note.Number}, note.Note) })
+func (b *recordingBoard) NotePlaced(note feed.PlaceNote) bool {
+	b.apply(func() { b.board.Note(0, placement.Key{Daemon: "proxy", Number: note.Number}, note.Note) })
 	return true
 }
 
-func (b *toldBoard) ReportKept(feed.KeptParts) bool { return true }
+func (b *recordingBoard) ReportKept(feed.KeptParts) bool { return true }
 
-func (b *toldBoard) Place(context.Context, feed.PlaceRequest) (placement.Answer, error) {
+func (b *recordingBoard) Place(context.Context, feed.PlaceRequest) (placement.Answer, error) {
 	return placement.Answer{}, feed.ErrNotPlaced
 }
 
-func (b *toldBoard) shown() placement.Summary {
+func (b *recordingBoard) summary() placement.Summary {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	return b.board.Summarize(0)
 }
 
-// newPlacedRequest returns an ingress that tells the board, with one request in flight.
-func newPlacedRequest(t *testing.T, told *toldBoard) (*Ingress, *placed) {
-	w := newWorld(t)
-	w.ingress.placer = told
-	request := &placed{
+// newTrackedRequest returns an ingress that reports to the board, with one request in flight.
+func newTrackedRequest(t *testing.T, recorded *recordingBoard) (*Ingress, *trackedRequest) {
+	w := newTestEnv(t)
+	w.ingress.placer = recorded
+	request := &trackedRequest{
 		ingress: w.ingress, service: "model", number: 1,
-		ask:    placement.Ask{Prompt: 9000, Deadline: time.Minute},
-		answer: placement.Answer{Generator: "make", Reader: "read", Unread: 9000},
-		at:     w.ingress.now() - time.Second,
+		ask:      placement.Ask{Prompt: 9000, Deadline: time.Minute},
+		answer:   placement.Answer{Generator: "make", Reader: "read", Unread: 9000},
+		placedAt: w.ingress.now() - time.Second,
 	}
 	w.ingress.inFlight.add(request)
 	return w.ingress, request
 }
 
-// asSoonAsPossible runs the step now, or as soon as the table lets it.
+// asSoonAsPossible runs the step now, or as soon as the table's lock is free.
 func asSoonAsPossible(table *inFlightTable, running *sync.WaitGroup, step func()) {
 	if table.lock.TryLock() {
 		table.lock.Unlock()
@@ -86,68 +86,68 @@
 	running.Go(step)
 }
 
-// A request that ends while the next board is being told of it has ended there too:
-// otherwise it holds its place on that board until its time is over.
+// A request that ends while it is being reported to the next placement board must end there too.
+// Otherwise it occupies its place on that board until its deadline.
 func TestRequestThatEndsDuringAReportHasEndedOnTheBoard(t *testing.T) {
-	told := newToldBoard(t)
-	ingress, request := newPlacedRequest(t, told)
+	recorded := newRecordingBoard(t)
+	ingress, request := newTrackedRequest(t, recorded)
 	var running sync.WaitGroup
-	told.between = func() {
+	recorded.between = func() {
 		asSoonAsPossible(&ingress.inFlight, &running, func() { request.note(placement.StepEnded, "", 0) })
 	}
-	ingress.reportInFlight(told)
+	ingress.reportInFlight(recorded)
 	running.Wait()
-	must.Eq(t, 0, told.shown().InFlight)
+	must.Eq(t, 0, recorded.summary().InFlight)
 }
 
-// A step that a report shows is not told again behind it: the failure of a read would
-// be taken for that of the run, which goes on.
+// A step that a report contains must not be sent again after it: the failure of a prefill would
+// be taken for that of the run, which continues.
 func TestReportDuringAStepDoesNotTellItTwice(t *testing.T) {
-	told := newToldBoard(t)
-	ingress, request := newPlacedRequest(t, told)
+	recorded := newRecordingBoard(t)
+	ingress, request := newTrackedRequest(t, recorded)
 	var running sync.WaitGroup
-	told.between = func() {
-		asSoonAsPossible(&ingress.inFlight, &running, func() { ingress.reportInFlight(told) })
+	recorded.between = func() {
+		asSoonAsPossible(&ingress.inFlight, &running, func() { ingress.reportInFlight(recorded) })
 	}
 	request.note(placement.StepFailed, "read", 0)
 	running.Wait()
-	must.Eq(t, 1, told.shown().InFlight)
+	must.Eq(t, 1, recorded.summary().InFlight)
 	request.note(placement.StepEnded, "", 0)
-	must.Eq(t, 0, told.shown().InFlight)
+	must.Eq(t, 0, recorded.summary().InFlight)
 }
 
-// A board that knew this proxy's requests before, and was not told how they ended, is told
+// A board that knows requests of this proxy from before, and was not told how they ended, is told
 // that none is in flight.
-func TestBoardIsToldThatNothingIsInFlight(t *testing.T) {
-	told := newToldBoard(t)
-	ingress, request := newPlacedRequest(t, told)
+func TestBoardIsToldThatNoRequestIsInFlight(t *testing.T) {
+	recorded := newRecordingBoard(t)
+	ingress, request := newTrackedRequest(t, recorded)
 	ingress.upstreams.get("model")
-	ingress.reportInFlight(told)
-	must.Eq(t, 1, told.shown().InFlight)
-	ingress.placer = &fakePlacer{} // another board places meanwhile
+	ingress.reportInFlight(recorded)
+	must.Eq(t, 1, recorded.summary().InFlight)
+	ingress.placer = &fakePlacer{} // another board places requests in the meantime
 	request.note(placement.StepEnded, "", 0)
-	ingress.reportInFlight(told)
-	must.Eq(t, 0, told.shown().InFlight)
+	ingress.reportInFlight(recorded)
+	must.Eq(t, 0, recorded.summary().InFlight)
 }
 
-// lateBoard decides when its answer is waited for no longer.
-type lateBoard struct{ *toldBoard }
+// lateBoard decides only when the proxy no longer waits for the answer.
+type lateBoard struct{ *recordingBoard }
 
 func (b lateBoard) Place(ctx context.Context, request feed.PlaceRequest) (placement.Answer, error) {
 	<-ctx.Done()
 	key := placement.Key{Daemon: "proxy", Number: request.Number}
-	b.take(func() { b.board.Place(0, key, request.Ask) })
+	b.apply(func() { b.board.Place(0, key, request.Ask) })
 	return placement.Answer{}, feed.ErrNotPlaced
 }
 
-// A decision that comes too late is not followed, and holds no place on the board.
-func TestLateDecisionHoldsNoPlaceOnTheBoard(t *testing.T) {
-	reader := newFakeReplica(t, "read", readPrompt)
+// A decision that arrives too late is not followed and must not occupy a place on the board.
+func TestLateDecisionOccupiesNoPlaceOnTheBoard(t *testing.T) {
+	reader := newFakeReplica(t, "read", answerPrefill)
 	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	w := newModelWorld(t, reader, generator, nil)
-	told := newToldBoard(t)
-	w.ingress.placer = lateBoard{told}
-	must.Eq(t, events(1, 2), w.ask(modelRequest).body)
-	must.Eq(t, 1, told.shown().Answers.Placed, must.Sprint("the board has decided"))
-	must.Eq(t, 0, told.shown().InFlight)
+	w := newModelEnv(t, reader, generator, nil)
+	recorded := newRecordingBoard(t)
+	w.ingress.placer = lateBoard{recorded}
+	must.Eq(t, eventTexts(1, 2), w.do(modelRequest).body)
+	must.Eq(t, 1, recorded.summary().Answers.Placed, must.Sprint("the board has decided"))
+	must.Eq(t, 0, recorded.summary().InFlight)
 }
--- a/process/ingress/inflight_test.go
+++ b/process/ingress/inflight_test.go
@@ -9,30 +9,30 @@
 	"github.com/shoenig/test/must"
 )
 
-// toldGroup keeps what it is told.
-type toldGroup struct{ inFlight []feed.InFlight }
+// recordingGroup records the reports that it receives.
+type recordingGroup struct{ inFlight []feed.InFlight }
 
-func (g *toldGroup) ReportInFlight(told feed.InFlight) bool {
-	g.inFlight = append(g.inFlight, told)
+func (g *recordingGroup) ReportInFlight(recorded feed.InFlight) bool {
+	g.inFlight = append(g.inFlight, recorded)
 	return true
 }
 
-// of returns what it was told last of the service.
-func (g *toldGroup) of(service string) map[uint64]placement.Placed {
+// of returns the last report for the service.
+func (g *recordingGroup) of(service string) map[uint64]placement.Placed {
 	var requests map[uint64]placement.Placed
-	for _, told := range g.inFlight {
-		if told.Service == service {
-			requests = told.Requests
+	for _, recorded := range g.inFlight {
+		if recorded.Service == service {
+			requests = recorded.Requests
 		}
 	}
 	return requests
 }
 
-func (g *toldGroup) ReportKept(feed.KeptParts) bool { return true }
+func (g *recordingGroup) ReportKept(feed.KeptParts) bool { return true }
 
-// What is in flight is told to whoever places from now on, also what this proxy has
-// placed itself, and nothing that is over.
-func TestNextLeaderIsToldWhatIsInFlight(t *testing.T) {
+// A new leader is told of all requests in flight, including those that this proxy placed itself,
+// and of none that has ended.
+func TestNewLeaderIsToldWhatIsInFlight(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		placer *fakePlacer
@@ -49,31 +49,31 @@
 					serve(w, r)
 				}
 			}
-			reader := newFakeReplica(t, "read", hold(readPrompt))
+			reader := newFakeReplica(t, "read", hold(answerPrefill))
 			generator := newFakeReplica(t, "make", hold(streamEvents(2, "")))
-			w := newModelWorld(t, reader, generator, nil)
+			w := newModelEnv(t, reader, generator, nil)
 			w.ingress.placer = test.placer
 			done := make(chan struct{})
 			go func() {
 				defer close(done)
-				w.ask(modelRequest)
+				w.do(modelRequest)
 			}()
 			<-begun
-			var told toldGroup
-			w.ingress.reportInFlight(&told)
-			must.SliceLen(t, 1, told.inFlight)
-			must.MapLen(t, 1, told.inFlight[0].Requests)
-			for _, request := range told.inFlight[0].Requests {
+			var recorded recordingGroup
+			w.ingress.reportInFlight(&recorded)
+			must.SliceLen(t, 1, recorded.inFlight)
+			must.MapLen(t, 1, recorded.inFlight[0].Requests)
+			for _, request := range recorded.inFlight[0].Requests {
 				must.Eq(t, "make", request.Answer.Generator)
 				must.Eq(t, 9000, request.Ask.Prompt)
 				must.Eq(t, placement.Step(0), request.Step)
 			}
 			close(goOn)
 			<-done
-			told = toldGroup{}
-			w.ingress.reportInFlight(&told)
-			must.SliceLen(t, 1, told.inFlight)
-			must.MapEmpty(t, told.inFlight[0].Requests)
+			recorded = recordingGroup{}
+			w.ingress.reportInFlight(&recorded)
+			must.SliceLen(t, 1, recorded.inFlight)
+			must.MapEmpty(t, recorded.inFlight[0].Requests)
 		})
 	}
 }
--- a/process/ingress/ingress.go
+++ b/process/ingress/ingress.go
@@ -91,7 +91,7 @@
 	}
 	ingress.requestContext, ingress.cancelRequests = context.WithCancel(context.Background())
 	ingress.table.Store(&versionedTable{routes: newRouteTable(nil)})
-	ingress.stopSuspensionWatch = clock.Watch(ingress.sessions.endOverdue)
+	ingress.stopSuspensionWatch = clock.Watch(ingress.sessions.cancelOverdue)
 	return ingress
 }
 
@@ -373,7 +373,7 @@
 	if status == http.StatusOK {
 		switch {
 		case s.wasIsolated:
-			i.guard.Cleared(i.now(), s.fingerprint())
+			i.guard.ServedIsolated(i.now(), s.fingerprint())
 		case s.cachedFingerprint != nil, i.guard.Active():
 			// A fingerprint was also computed if this request itself caused the first crash,
 			// which the quarantine record does not contain yet.
--- a/process/ingress/lane.go
+++ b/process/ingress/lane.go
@@ -69,7 +69,7 @@
 	}
 	opened.budget.HoldReserve(l.config.Retry.Settle)
 	opened.budget.SetReserve(reserveShare(l.config.Retry.Reserve, int(l.proxies.Load())))
-	opened.fleet.follow(l.listed, l.clock())
+	opened.fleet.update(l.listed, l.clock())
 	l.byService[service] = opened
 	return opened
 }
@@ -88,7 +88,7 @@
 	l.proxies.Store(int64(proxies))
 	share := reserveShare(l.config.Retry.Reserve, proxies)
 	for _, opened := range l.byService {
-		opened.fleet.follow(l.listed, now)
+		opened.fleet.update(l.listed, now)
 		opened.budget.SetReserve(share)
 	}
 	l.holdoffs.Forget(now)
--- a/process/ingress/log_test.go
+++ b/process/ingress/log_test.go
@@ -15,7 +15,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// sharedBuffer is a buffer that many goroutines may use.
+// sharedBuffer is a buffer for concurrent use.
 type sharedBuffer struct {
 	lock   sync.Mutex
 	buffer bytes.Buffer
@@ -33,36 +33,35 @@
 	return b.buffer.String()
 }
 
-// A proxy that is killed has said where its requests were.
-func TestLogSaysWhereARequestGoesBeforeItDoes(t *testing.T) {
+// The log of a proxy that was killed shows where its requests were.
+func TestDestinationIsLoggedBeforeTheSend(t *testing.T) {
 	var lines sharedBuffer
-	reader := newFakeReplica(t, "read", readPrompt)
+	reader := newFakeReplica(t, "read", answerPrefill)
 	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	w := newModelWorld(t, reader, generator, nil)
+	w := newModelEnv(t, reader, generator, nil)
 	w.ingress.logger = log.NewLogfmtLogger(&lines)
 	w.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read", Unread: 9000}}
 	var before []int
 	for _, replica := range []*fakeReplica{reader, generator} {
 		serve := replica.server.Config.Handler
-		replica.server.Config.Handler = after(serve, func() { before = append(before, strings.Count(lines.String(), "name=request_sent")) })
+		replica.server.Config.Handler = callFirst(serve, func() { before = append(before, strings.Count(lines.String(), "name=request_sent")) })
 	}
-	must.Eq(t, events(1, 2), w.ask(modelRequest).body)
+	must.Eq(t, eventTexts(1, 2), w.do(modelRequest).body)
 	must.Eq(t, []int{1, 2}, before)
 	must.StrContains(t, lines.String(), "request=q generation=3 stage=read replica=read unread=9000")
 	must.StrContains(t, lines.String(), "request=q generation=3 stage=run replica=make unread=0")
 }
 
-// A stream that ends early tells whose doing it was: the caller's, who left, or
-// the time's, which was over.
-func TestLogTellsWhoEndedAStream(t *testing.T) {
+// The log of an interrupted stream shows whether the caller left or the deadline passed.
+func TestLogShowsWhyAStreamEnded(t *testing.T) {
 	cases := []struct {
 		name   string
 		within string
 		leaves bool
 		want   []string
 	}{
-		{"the caller left", "20000", true, []string{"status=499", "caller_gone"}},
-		{"the time was over", "150", false, []string{"status=0", "cut:time"}},
+		{"caller left", "20000", true, []string{"status=499", "caller_gone"}},
+		{"deadline passed", "150", false, []string{"status=0", "cut:time"}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -71,7 +70,7 @@
 				streamEvents(1, "")(w, r)
 				<-r.Context().Done()
 			})
-			w := newWorld(t, replica)
+			w := newTestEnv(t, replica)
 			w.ingress.logger = log.NewLogfmtLogger(&lines)
 			conn, err := net.Dial("tcp", w.server.Listener.Addr().String())
 			must.NoError(t, err)
@@ -85,7 +84,7 @@
 			if c.leaves {
 				must.NoError(t, conn.Close())
 			}
-			eventually(t, "a line", func() bool { return strings.Contains(lines.String(), "name=request_failed") })
+			eventually(t, "a log line", func() bool { return strings.Contains(lines.String(), "name=request_failed") })
 			for _, part := range c.want {
 				must.StrContains(t, lines.String(), part)
 			}
--- a/process/ingress/long_test.go
+++ b/process/ingress/long_test.go
@@ -9,45 +9,45 @@
 	"github.com/shoenig/test/must"
 )
 
-// A long answer, whose beginning the caller has, is not continued by another
-// replica's answer: the connection is cut.
+// A long answer whose start was sent to the caller must not be continued with another replica's
+// answer: the connection is closed.
 func TestLongAnswerThatBreaksOffIsCut(t *testing.T) {
 	cutLong := func(w http.ResponseWriter, r *http.Request) {
-		genuine(w, r)
+		writeGenuine(w, r)
 		w.Header().Set("Content-Length", "300000")
 		_, _ = w.Write([]byte(strings.Repeat("x", 200_000)))
 		panic(http.ErrAbortHandler)
 	}
 	first := newFakeReplica(t, "r-1", cutLong)
 	second := newFakeReplica(t, "r-2", answerOK)
-	w := newWorld(t, first)
-	// The second replica is listed once the first has got the request.
-	first.server.Config.Handler = after(first.server.Config.Handler, func() { w.list(first, second) })
-	got := w.ask(asked{method: "GET", target: "/safe/", id: "q"})
+	w := newTestEnv(t, first)
+	// The second replica is listed once the first has received the request.
+	first.server.Config.Handler = callFirst(first.server.Config.Handler, func() { w.setReplicas(first, second) })
+	got := w.do(testRequest{method: "GET", target: "/safe/", id: "q"})
 	must.Error(t, got.err)
 	must.False(t, strings.Contains(got.body, "answer to"))
 	must.Eq(t, 0, second.count())
 }
 
-// A resumed run that its replica answers with a failure adds nothing to the stream whose
-// head and first events the caller has.
+// An error answer to a resumed run must not be appended to the stream whose head and first events
+// the caller has.
 func TestFailureOfAResumedRunIsNotPartOfTheStream(t *testing.T) {
 	for _, status := range []int{http.StatusBadRequest, http.StatusNotFound, http.StatusInternalServerError} {
 		first := newFakeReplica(t, "r-1", streamEvents(2, "cut"))
 		second := newFakeReplica(t, "r-2", answerStatus(status))
-		w := newWorld(t, first)
-		first.server.Config.Handler = after(first.server.Config.Handler, func() { w.list(first, second) })
-		got := w.ask(asked{method: "GET", target: "/resume/", id: "q"})
+		w := newTestEnv(t, first)
+		first.server.Config.Handler = callFirst(first.server.Config.Handler, func() { w.setReplicas(first, second) })
+		got := w.do(testRequest{method: "GET", target: "/resume/", id: "q"})
 		must.Error(t, got.err, must.Sprint(status))
-		must.Eq(t, events(1, 2), got.body)
+		must.Eq(t, eventTexts(1, 2), got.body)
 		must.Eq(t, 1, second.count())
 	}
 }
 
-// eventsOf streams the text as it is, and then ends, or cuts the connection.
+// eventsOf streams the text unchanged and then ends the stream or closes the connection.
 func eventsOf(text string, cut bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		genuine(w, r)
+		writeGenuine(w, r)
 		w.Header().Set("Content-Type", "text/event-stream")
 		_, _ = io.WriteString(w, text)
 		w.(http.Flusher).Flush()
@@ -57,28 +57,28 @@
 	}
 }
 
-// A run is joined to another one's stream only where its events come after those that
-// the caller has, which their IDs alone can tell.
-func TestOnlyARunThatContinuesAStreamIsJoinedToIt(t *testing.T) {
+// A run continues another run's stream only if its events come after those that the caller has,
+// which only their IDs can show.
+func TestOnlyARunThatContinuesAStreamIsAppended(t *testing.T) {
 	const plain = "data: a\n\ndata: b\n\n"
 	cases := []struct {
 		name, first, second, want string
 		sends                     int
 		cut                       bool
 	}{
-		{"goes on", events(1, 3), events(4, 5), events(1, 5), 1, false},
-		{"goes on, with comments", events(1, 3) + ": alive\n\n", ": alive\n\n" + events(4, 5), events(1, 3) + ": alive\n\n: alive\n\n" + events(4, 5), 1, false},
-		{"begins anew", events(1, 3), events(1, 5), events(1, 3), 1, true},
+		{"continues", eventTexts(1, 3), eventTexts(4, 5), eventTexts(1, 5), 1, false},
+		{"continues, with comments", eventTexts(1, 3) + ": alive\n\n", ": alive\n\n" + eventTexts(4, 5), eventTexts(1, 3) + ": alive\n\n: alive\n\n" + eventTexts(4, 5), 1, false},
+		{"starts over", eventTexts(1, 3), eventTexts(1, 5), eventTexts(1, 3), 1, true},
 		{"without IDs", plain, plain + "data: c\n\n", plain, 0, true},
-		{"without IDs behind some with", events(1, 3) + plain, events(4, 5), events(1, 3) + plain, 0, true},
+		{"without IDs after some with IDs", eventTexts(1, 3) + plain, eventTexts(4, 5), eventTexts(1, 3) + plain, 0, true},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			first := newFakeReplica(t, "r-1", eventsOf(test.first, true))
 			second := newFakeReplica(t, "r-2", eventsOf(test.second, false))
-			w := newWorld(t, first)
-			first.server.Config.Handler = after(first.server.Config.Handler, func() { w.list(first, second) })
-			got := w.ask(asked{method: "GET", target: "/resume/", id: "q"})
+			w := newTestEnv(t, first)
+			first.server.Config.Handler = callFirst(first.server.Config.Handler, func() { w.setReplicas(first, second) })
+			got := w.do(testRequest{method: "GET", target: "/resume/", id: "q"})
 			must.Eq(t, test.want, got.body)
 			must.Eq(t, test.cut, got.err != nil)
 			must.Eq(t, test.sends, second.count())
@@ -86,15 +86,15 @@
 	}
 }
 
-// A caller may take up a broken stream itself. A run that begins anew then is no more a part
-// of what the caller has than one that this proxy has asked to go on.
+// A caller may resume an interrupted stream itself. A run that starts over then is no
+// continuation either.
 func TestOnlyARunThatContinuesItsCallersStreamIsPassedOn(t *testing.T) {
 	anew := newFakeReplica(t, "r-1", func(w http.ResponseWriter, r *http.Request) {
 		r.Header.Del(testResume)
 		streamEvents(3, "")(w, r)
 	})
-	w := newWorld(t, anew)
-	got := w.ask(asked{method: "GET", target: "/resume/", id: "q", fields: map[string]string{testResume: "2"}})
+	w := newTestEnv(t, anew)
+	got := w.do(testRequest{method: "GET", target: "/resume/", id: "q", fields: map[string]string{testResume: "2"}})
 	must.StrNotContains(t, got.body, eventText(1))
 	must.StrNotContains(t, got.body, eventText(2))
 }
--- a/process/ingress/metrics.go
+++ b/process/ingress/metrics.go
@@ -10,8 +10,8 @@
 
 const metricsNamespace = "landingtrail_ingress"
 
-// metrics are the ingress's counters and histograms. No label names a replica:
-// replicas come and go, and the log names them.
+// metrics holds the counters and histograms of the ingress. No label names a replica, because
+// replicas come and go; the log names them.
 type metrics struct {
 	registry       *prometheus.Registry
 	requests       *prometheus.CounterVec
@@ -53,7 +53,7 @@
 	return created
 }
 
-// histogram has buckets from 10 ms to 10 s.
+// histogram registers a histogram with buckets from 10 ms to 10 s.
 func (m *metrics) histogram(name, help string, labels ...string) *prometheus.HistogramVec {
 	created := prometheus.NewHistogramVec(prometheus.HistogramOpts{
 		Namespace: metricsNamespace, Name: name, Help: help,
@@ -63,7 +63,7 @@
 	return created
 }
 
-// Who chose a replica, and how a read ended.
+// Label values: who chose a replica, and the outcome of a prefill.
 const (
 	chosenByGroup = "group"
 	chosenByProxy = "proxy"
@@ -79,7 +79,7 @@
 	}
 }
 
-// outcomeOf names an outcome by its status.
+// outcomeOf returns the outcome label for a status.
 func outcomeOf(status int) string {
 	switch {
 	case status == 0:
--- a/process/ingress/metrics_test.go
+++ b/process/ingress/metrics_test.go
@@ -9,8 +9,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// values returns the registry's counters, and the counts of its histograms, by
-// name and label values.
+// values returns the registry's counters, and the sample counts of its histograms, by name and
+// label values.
 func (m *metrics) values(t *testing.T) map[string]float64 {
 	t.Helper()
 	families, err := m.registry.Gather()
@@ -28,13 +28,13 @@
 	return values
 }
 
-// onePlacer answers the first question only.
-type onePlacer struct {
+// singleAnswerPlacer answers only the first placement request.
+type singleAnswerPlacer struct {
 	answer placement.Answer
 	asked  bool
 }
 
-func (p *onePlacer) Place(context.Context, feed.PlaceRequest) (placement.Answer, error) {
+func (p *singleAnswerPlacer) Place(context.Context, feed.PlaceRequest) (placement.Answer, error) {
 	if p.asked {
 		return placement.Answer{}, feed.ErrNotPlaced
 	}
@@ -42,17 +42,18 @@
 	return p.answer, nil
 }
 
-func (p *onePlacer) NotePlaced(feed.PlaceNote) bool { return true }
+func (p *singleAnswerPlacer) NotePlaced(feed.PlaceNote) bool { return true }
 
 func TestEachDecisionIsCounted(t *testing.T) {
-	reader := newFakeReplica(t, "read", readPrompt)
+	reader := newFakeReplica(t, "read", answerPrefill)
 	refusing := newFakeReplica(t, "make-1", refuseRun)
 	generator := newFakeReplica(t, "make-2", streamEvents(2, ""))
-	w := newModelWorld(t, reader, refusing, generator)
-	w.ingress.placer = &onePlacer{answer: placement.Answer{Generator: "make-1", Reader: "read", Unread: 9000}}
-	must.Eq(t, events(1, 2), w.ask(modelRequest).body)
+	w := newModelEnv(t, reader, refusing, generator)
+	w.ingress.placer = &singleAnswerPlacer{answer: placement.Answer{Generator: "make-1", Reader: "read", Unread: 9000}}
+	must.Eq(t, eventTexts(1, 2), w.do(modelRequest).body)
 	got := w.ingress.metrics.values(t)
-	// The proxy alone may have the prompt read apart as well, by what it measured.
+	// Deciding alone, the proxy may also choose a separate prefill, depending on its
+	// measurements.
 	must.Positive(t, got["landingtrail_ingress_prefills_total read model"])
 	must.Eq(t, got["landingtrail_ingress_prefills_total read model"], got["landingtrail_ingress_prefill_seconds model"])
 	for name, want := range map[string]float64{
--- a/process/ingress/model_test.go
+++ b/process/ingress/model_test.go
@@ -17,7 +17,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// fakePlacer answers every question alike and keeps the notes.
+// fakePlacer gives every placement request the same answer and records the notes.
 type fakePlacer struct {
 	answer placement.Answer
 	err    error
@@ -51,38 +51,39 @@
 	return steps
 }
 
-// readPrompt answers a prefill with a handle.
-func readPrompt(w http.ResponseWriter, r *http.Request) {
-	genuine(w, r)
+// answerPrefill answers a prefill with a handle.
+func answerPrefill(w http.ResponseWriter, r *http.Request) {
+	writeGenuine(w, r)
 	_, _ = io.WriteString(w, `"handle-7"`)
 }
 
-// newModelWorld has a reader and two generators of the model service.
-func newModelWorld(t *testing.T, reader, first, second *fakeReplica) *world {
-	w := newWorld(t)
+// newModelEnv returns an environment with a prefill replica and up to two decode replicas of the
+// model service.
+func newModelEnv(t *testing.T, reader, first, second *fakeReplica) *testEnv {
+	w := newTestEnv(t)
 	w.views.set(func(v *view.View) {
 		v.Replicas = map[string]*api.Replica{
-			reader.name: listed(reader, "model", api.RolePrefill),
-			first.name:  listed(first, "model", api.RoleDecode),
+			reader.name: replicaObject(reader, "model", api.RolePrefill),
+			first.name:  replicaObject(first, "model", api.RoleDecode),
 		}
 		if second != nil {
-			v.Replicas[second.name] = listed(second, "model", api.RoleDecode)
+			v.Replicas[second.name] = replicaObject(second, "model", api.RoleDecode)
 		}
 	})
 	return w
 }
 
-var modelRequest = asked{method: "POST", target: "/model/", id: "q", fields: map[string]string{testTokens: "9000"}}
+var modelRequest = testRequest{method: "POST", target: "/model/", id: "q", fields: map[string]string{testTokens: "9000"}}
 
-func TestPromptIsReadWhereTheGroupSays(t *testing.T) {
-	reader := newFakeReplica(t, "read", readPrompt)
+func TestPromptIsPrefilledWhereTheGroupSays(t *testing.T) {
+	reader := newFakeReplica(t, "read", answerPrefill)
 	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	w := newModelWorld(t, reader, generator, nil)
+	w := newModelEnv(t, reader, generator, nil)
 	placer := &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read", Unread: 9000}}
 	w.ingress.placer = placer
-	got := w.ask(modelRequest)
+	got := w.do(modelRequest)
 	must.NoError(t, got.err)
-	must.Eq(t, events(1, 2), got.body)
+	must.Eq(t, eventTexts(1, 2), got.body)
 	must.Eq(t, "1", reader.requests[0].Header.Get(testPrefill))
 	must.Eq(t, reader.address()+"/handle-7", generator.requests[0].Header.Get(testSource))
 	must.Eq(t, "", generator.requests[0].Header.Get(testPrefill))
@@ -90,46 +91,46 @@
 	must.Eq(t, []placement.Step{placement.StepRead, placement.StepStarted, placement.StepEnded}, placer.steps())
 }
 
-// A read is no run: when it fails in any way the request is still served.
-func TestFailedReadLeavesTheReadingToTheGenerator(t *testing.T) {
+// A prefill is not a run of the request, which is served whichever way the prefill fails.
+func TestDecodeReplicaPrefillsAfterFailedPrefill(t *testing.T) {
 	for name, handler := range map[string]http.HandlerFunc{
-		"broken off": breakOff, "refused": refuseRun, "failed": answerStatus(500), "no handle": answerOK, "misdirected": misdirected,
-		"a handle for nobody": unnamed, "another request's": foreign,
+		"connection closed": closeConnection, "refused": refuseRun, "failed": answerStatus(500), "no handle": answerOK, "misdirected": answerMisdirected,
+		"handle without a request ID": answerUnnamed, "another request's answer": answerForeign,
 	} {
 		t.Run(name, func(t *testing.T) {
 			reader := newFakeReplica(t, "read", handler)
 			generator := newFakeReplica(t, "make", streamEvents(2, ""))
-			w := newModelWorld(t, reader, generator, nil)
+			w := newModelEnv(t, reader, generator, nil)
 			w.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
-			got := w.ask(modelRequest)
+			got := w.do(modelRequest)
 			must.NoError(t, got.err)
-			must.Eq(t, events(1, 2), got.body)
+			must.Eq(t, eventTexts(1, 2), got.body)
 			must.Eq(t, "", generator.requests[0].Header.Get(testSource))
 		})
 	}
 }
 
-// A replica that began to leave while the prompt was read gets nothing new.
-func TestGeneratorThatLeavesDuringTheReadGetsNothing(t *testing.T) {
+// A replica that starts to leave during the prefill receives nothing new.
+func TestDecodeReplicaThatLeavesDuringPrefillGetsNothing(t *testing.T) {
 	leaving := newFakeReplica(t, "make-1", streamEvents(2, ""))
 	staying := newFakeReplica(t, "make-2", streamEvents(2, ""))
-	reader := newFakeReplica(t, "read", readPrompt)
-	w := newModelWorld(t, reader, leaving, staying)
-	reader.server.Config.Handler = after(reader.server.Config.Handler, func() {
+	reader := newFakeReplica(t, "read", answerPrefill)
+	w := newModelEnv(t, reader, leaving, staying)
+	reader.server.Config.Handler = callFirst(reader.server.Config.Handler, func() {
 		w.views.set(func(v *view.View) {
-			entry := listed(leaving, "model", api.RoleDecode)
+			entry := replicaObject(leaving, "model", api.RoleDecode)
 			entry.Spec.Leaving = true
 			v.Replicas = map[string]*api.Replica{"read": v.Replicas["read"], "make-1": entry, "make-2": v.Replicas["make-2"]}
 		})
 	})
 	w.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make-1", Reader: "read"}}
-	must.Eq(t, events(1, 2), w.ask(modelRequest).body)
+	must.Eq(t, eventTexts(1, 2), w.do(modelRequest).body)
 	must.Eq(t, 0, leaving.count())
 	must.Eq(t, 1, staying.count())
 }
 
-// A member that places may know less than the proxy does.
-func TestReplicaThatLeavesIsNotTakenFromAnAnswer(t *testing.T) {
+// The member that places a request may know less than the proxy does.
+func TestLeavingReplicaNamedByPlacementIsNotUsed(t *testing.T) {
 	cases := []struct {
 		name   string
 		answer placement.Answer
@@ -141,17 +142,17 @@
 		t.Run(each.name, func(t *testing.T) {
 			leaving := newFakeReplica(t, "make-1", streamEvents(2, ""))
 			staying := newFakeReplica(t, "make-2", streamEvents(2, ""))
-			reader := newFakeReplica(t, "read", readPrompt)
-			w := newModelWorld(t, reader, leaving, staying)
+			reader := newFakeReplica(t, "read", answerPrefill)
+			w := newModelEnv(t, reader, leaving, staying)
 			w.views.set(func(v *view.View) {
-				left := listed(leaving, "model", api.RoleDecode)
+				left := replicaObject(leaving, "model", api.RoleDecode)
 				left.Spec.Leaving = true
-				alsoLeft := listed(reader, "model", api.RolePrefill)
+				alsoLeft := replicaObject(reader, "model", api.RolePrefill)
 				alsoLeft.Spec.Leaving = true
 				v.Replicas = map[string]*api.Replica{"read": alsoLeft, "make-1": left, "make-2": v.Replicas["make-2"]}
 			})
 			w.ingress.placer = &fakePlacer{answer: each.answer}
-			must.Eq(t, events(1, 2), w.ask(modelRequest).body)
+			must.Eq(t, eventTexts(1, 2), w.do(modelRequest).body)
 			must.Eq(t, 0, leaving.count())
 			must.Eq(t, 0, reader.count())
 			must.Eq(t, 1, staying.count())
@@ -159,24 +160,24 @@
 	}
 }
 
-func TestWithoutTheGroupAProxyPlacesByItself(t *testing.T) {
+func TestProxyPlacesRequestsWithoutTheGroup(t *testing.T) {
 	for name, placer := range map[string]Placer{
 		"no group":        nil,
 		"no answer":       &fakePlacer{err: feed.ErrNotPlaced},
 		"unknown replica": &fakePlacer{answer: placement.Answer{Generator: "gone"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			reader := newFakeReplica(t, "read", readPrompt)
+			reader := newFakeReplica(t, "read", answerPrefill)
 			generator := newFakeReplica(t, "make", streamEvents(2, ""))
-			w := newModelWorld(t, reader, generator, nil)
+			w := newModelEnv(t, reader, generator, nil)
 			w.ingress.placer = placer
-			must.Eq(t, events(1, 2), w.ask(modelRequest).body)
+			must.Eq(t, eventTexts(1, 2), w.do(modelRequest).body)
 			must.Eq(t, 1, generator.count())
 		})
 	}
 }
 
-// waitingPlacer tells the first waits questions to wait.
+// waitingPlacer answers the first waits placement requests with a wait.
 type waitingPlacer struct {
 	fakePlacer
 	waits int
@@ -194,28 +195,29 @@
 
 func TestRequestIsPlacedAgainAfterAWait(t *testing.T) {
 	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	w := newModelWorld(t, newFakeReplica(t, "read", readPrompt), generator, nil)
+	w := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), generator, nil)
 	placer := &waitingPlacer{fakePlacer: fakePlacer{answer: placement.Answer{Generator: "make"}}, waits: 3}
 	w.ingress.placer = placer
-	must.Eq(t, events(1, 2), w.ask(modelRequest).body)
+	must.Eq(t, eventTexts(1, 2), w.do(modelRequest).body)
 	must.SliceLen(t, 4, placer.asks)
 	must.Eq(t, 1, generator.count())
 }
 
-// A request whose time ends during a wait was sent to nobody, and is told so.
+// A request whose deadline passes during a wait was sent to no replica, and its caller is told
+// so.
 func TestRequestWhoseTimeEndsDuringAWaitIsRefused(t *testing.T) {
 	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	w := newModelWorld(t, newFakeReplica(t, "read", readPrompt), generator, nil)
+	w := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), generator, nil)
 	w.ingress.placer = &waitingPlacer{waits: math.MaxInt}
 	request := modelRequest
 	request.fields = map[string]string{testTokens: "9000", testWithin: "100"}
-	got := w.ask(request)
+	got := w.do(request)
 	must.NoError(t, got.err)
 	must.Eq(t, http.StatusServiceUnavailable, got.status)
 	must.Eq(t, 0, generator.count())
 }
 
-// A proxy knows where the others pass placements on, and not itself.
+// A proxy knows the relay addresses of the other proxies and leaves out its own.
 func TestRelaysAreTheOtherProxies(t *testing.T) {
 	proxy := func(name, address string) *api.Proxy {
 		return &api.Proxy{Metadata: api.Metadata{Name: name}, Spec: api.ProxySpec{Address: address}}
@@ -239,23 +241,23 @@
 		handler http.HandlerFunc
 		step    placement.Step
 	}{
-		{"no answer", breakOff, placement.StepFailed},
-		{"a failure", answerStatus(500), placement.StepErred},
-		{"a refusal", refuseRun, placement.StepRefused},
-		{"another replica there", misdirected, placement.StepMisdirected},
-		{"another request's answer", foreign, placement.StepErred},
-		{"nobody there", nil, placement.StepGone},
+		{"no answer", closeConnection, placement.StepFailed},
+		{"failure", answerStatus(500), placement.StepErred},
+		{"refusal", refuseRun, placement.StepRefused},
+		{"another replica at the address", answerMisdirected, placement.StepMisdirected},
+		{"another request's answer", answerForeign, placement.StepErred},
+		{"connection refused", nil, placement.StepGone},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			generator := newFakeReplica(t, "make", test.handler)
-			w := newModelWorld(t, newFakeReplica(t, "read", readPrompt), generator, nil)
+			w := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), generator, nil)
 			if test.handler == nil {
 				generator.server.Close()
 			}
 			placer := &fakePlacer{answer: placement.Answer{Generator: "make"}}
 			w.ingress.placer = placer
-			w.ask(modelRequest)
+			w.do(modelRequest)
 			must.Eq(t, test.step, placer.steps()[0])
 			must.Eq(t, "make", placer.notes[0].Replica)
 		})
@@ -264,31 +266,31 @@
 
 func TestKeptPartsAreReportedOldestFirst(t *testing.T) {
 	known := newReplica("r", api.ReplicaSpec{}, &holdoff.Replica{})
-	known.noteParts([]Part{{ID: "a", Tokens: 1}, {ID: "b", Tokens: 2}})
-	known.noteParts([]Part{{ID: "a", Tokens: 1}})
-	must.Eq(t, []placement.Part{{ID: "b", Tokens: 2}, {ID: "a", Tokens: 1}}, known.kept())
+	known.noteCachedParts([]Part{{ID: "a", Tokens: 1}, {ID: "b", Tokens: 2}})
+	known.noteCachedParts([]Part{{ID: "a", Tokens: 1}})
+	must.Eq(t, []placement.Part{{ID: "b", Tokens: 2}, {ID: "a", Tokens: 1}}, known.cachedParts())
 	must.Eq(t, 3, known.cachedTokens([]Part{{ID: "a", Tokens: 1}, {ID: "b", Tokens: 2}, {ID: "c", Tokens: 9}}))
 }
 
-// The board takes the start of a run for the end of its read: it is told of a read that
-// did not come about, whatever became of it, and the request stays in flight.
-func TestTheGroupIsToldOfReadsThatDidNotComeAbout(t *testing.T) {
+// The placement board takes the start of a run for the end of its prefill. It is told of a
+// prefill that did not happen, for any reason, and the request stays in flight.
+func TestTheGroupIsToldOfFailedPrefills(t *testing.T) {
 	for name, test := range map[string]struct {
 		handler http.HandlerFunc
 		step    placement.Step
 	}{
 		"refused":     {refuseRun, placement.StepUnread},
 		"failed":      {answerStatus(500), placement.StepUnread},
-		"foreign":     {foreign, placement.StepUnread},
+		"foreign":     {answerForeign, placement.StepUnread},
 		"no handle":   {answerOK, placement.StepUnread},
-		"no answer":   {breakOff, placement.StepFailed},
-		"misdirected": {misdirected, placement.StepMisdirected},
+		"no answer":   {closeConnection, placement.StepFailed},
+		"misdirected": {answerMisdirected, placement.StepMisdirected},
 		"not sent":    {nil, placement.StepUnread},
 	} {
 		t.Run(name, func(t *testing.T) {
 			reader := newFakeReplica(t, "read", test.handler)
 			generator := newFakeReplica(t, "make", streamEvents(2, ""))
-			w := newModelWorld(t, reader, generator, nil)
+			w := newModelEnv(t, reader, generator, nil)
 			placer := &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read", Unread: 9000}}
 			w.ingress.placer = placer
 			if test.handler == nil {
@@ -297,12 +299,12 @@
 				w.ingress.upstreams.get("model").find("read").failureRate = 1
 			}
 			inFlight := 0
-			generator.server.Config.Handler = after(generator.server.Config.Handler, func() {
-				var told toldGroup
-				w.ingress.reportInFlight(&told)
-				inFlight = len(told.of("model"))
+			generator.server.Config.Handler = callFirst(generator.server.Config.Handler, func() {
+				var recorded recordingGroup
+				w.ingress.reportInFlight(&recorded)
+				inFlight = len(recorded.of("model"))
 			})
-			must.NoError(t, w.ask(modelRequest).err)
+			must.NoError(t, w.do(modelRequest).err)
 			must.Eq(t, []placement.Step{test.step, placement.StepStarted, placement.StepEnded}, placer.steps())
 			must.Eq(t, "read", placer.notes[0].Replica)
 			must.Eq(t, 1, inFlight)
@@ -310,27 +312,27 @@
 	}
 }
 
-// A replica that has another address under its name is not asked over connections to the
-// former one.
+// When a replica's address changes, connections to the former address are no longer used.
 func TestConnectionsToAFormerAddressAreDropped(t *testing.T) {
 	before, now := newFakeReplica(t, "r-1", answerOK), newFakeReplica(t, "r-1", answerOK)
-	w := newWorld(t, before)
-	must.Eq(t, http.StatusOK, w.ask(asked{method: "GET", target: "/safe/", id: "q-1"}).status)
+	w := newTestEnv(t, before)
+	must.Eq(t, http.StatusOK, w.do(testRequest{method: "GET", target: "/safe/", id: "q-1"}).status)
 	lane := w.ingress.upstreams.get("plain")
 	must.True(t, lane.pool.Idle(before.address()))
-	w.list(now)
-	must.Eq(t, http.StatusOK, w.ask(asked{method: "GET", target: "/safe/", id: "q-2"}).status)
+	w.setReplicas(now)
+	must.Eq(t, http.StatusOK, w.do(testRequest{method: "GET", target: "/safe/", id: "q-2"}).status)
 	must.False(t, lane.pool.Idle(before.address()))
 	must.Eq(t, 1, now.count())
 }
 
-// A handle is freed at its replica by name: another one may have the address by now.
-func TestHandleIsFreedByTheNameOfItsReplica(t *testing.T) {
+// A handle is released by the name of its replica, since another replica may have taken over the
+// address.
+func TestHandleIsReleasedByReplicaName(t *testing.T) {
 	reader := newFakeReplica(t, "read", answerOK)
-	w := newWorld(t)
+	w := newTestEnv(t)
 	freeing := session{ingress: w.ingress, upstream: w.ingress.upstreams.get("model")}
 	freeing.release(Source{Replica: "read", Address: reader.address(), Handle: "h"})
-	eventually(t, "the call", func() bool { return reader.count() == 1 })
+	eventually(t, "the release request arrives", func() bool { return reader.count() == 1 })
 	must.Eq(t, "read", reader.requests[0].Header.Get(testReplica))
 	must.Eq(t, "/handle/h", reader.requests[0].URL.Path)
 }
--- a/process/ingress/older_view_test.go
+++ b/process/ingress/older_view_test.go
@@ -8,15 +8,15 @@
 	"github.com/shoenig/test/must"
 )
 
-// overtakenViews is a holder whose next load is overtaken: what overtake does happens after
-// the view was loaded and before the loader goes on.
+// overtakenViews calls overtake once, after a view was loaded and before the caller continues
+// with it.
 type overtakenViews struct {
-	*holder
+	*viewHolder
 	overtake func()
 }
 
 func (v *overtakenViews) Load() *view.View {
-	loaded := v.holder.Load()
+	loaded := v.viewHolder.Load()
 	if overtake := v.overtake; overtake != nil {
 		v.overtake = nil
 		overtake()
@@ -24,23 +24,23 @@
 	return loaded
 }
 
-// A request that has loaded a view is overtaken by another one, which takes a newer view in.
-// The older view must not replace the newer one: neither what the list says of replicas, nor
-// what was learnt of those that it lacks, nor the routes in force.
+// A request that has loaded a view may be overtaken by another one that applies a newer view. The
+// older view must not replace the newer one: neither the list of replicas, nor the state of
+// replicas that it lacks, nor the routes.
 func TestOlderViewReplacesNoNewerOne(t *testing.T) {
 	leaving, added := newFakeReplica(t, "r-1", answerOK), newFakeReplica(t, "r-2", answerOK)
-	w := newWorld(t, leaving)
-	views := &overtakenViews{holder: w.views}
+	w := newTestEnv(t, leaving)
+	views := &overtakenViews{viewHolder: w.views}
 	w.ingress.views = views
 	w.ingress.routes()
-	w.views.set(func(*view.View) {}) // so that the next request has a view to take in
+	w.views.set(func(*view.View) {}) // gives the next request a view to apply
 
 	var learnt *replica
 	views.overtake = func() {
 		w.views.set(func(v *view.View) {
-			first := listed(leaving, "plain", api.RoleNone)
+			first := replicaObject(leaving, "plain", api.RoleNone)
 			first.Spec.Leaving = true
-			v.Replicas = map[string]*api.Replica{leaving.name: first, added.name: listed(added, "plain", api.RoleNone)}
+			v.Replicas = map[string]*api.Replica{leaving.name: first, added.name: replicaObject(added, "plain", api.RoleNone)}
 			next := testIngress()
 			next.Spec.Generation++
 			next.Spec.Routes = next.Spec.Routes[1:]
@@ -53,7 +53,7 @@
 	w.ingress.routes()
 
 	lane := w.ingress.upstreams.get("plain")
-	must.True(t, lane.find(leaving.name).listed().Leaving)
+	must.True(t, lane.find(leaving.name).spec().Leaving)
 	must.True(t, lane.find(added.name) == learnt)
 	must.Eq(t, testIngress().Spec.Generation+1, w.ingress.table.Load().routes.generation)
 }
--- a/process/ingress/order_test.go
+++ b/process/ingress/order_test.go
@@ -10,13 +10,13 @@
 	"github.com/shoenig/test/must"
 )
 
-// A request that the group refuses is answered at once, has run nowhere, and is
-// told when to come back within the time that its caller has left.
+// A request that the control group refuses is answered at once, is sent to no replica, and gets a
+// retry delay within its caller's remaining time.
 func TestRequestWithoutCapacityIsRefusedAtOnce(t *testing.T) {
 	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	w := newModelWorld(t, newFakeReplica(t, "read", readPrompt), generator, nil)
+	w := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), generator, nil)
 	w.ingress.placer = &fakePlacer{answer: placement.Answer{Refused: true, RetryAfter: time.Hour}}
-	got := w.ask(modelRequest)
+	got := w.do(modelRequest)
 	must.NoError(t, got.err)
 	must.Eq(t, http.StatusServiceUnavailable, got.status)
 	again, err := time.ParseDuration(got.header.Get(testAgain))
@@ -25,22 +25,22 @@
 	must.Eq(t, 0, generator.count())
 }
 
-// Replicas read what is deferred last; a run whose prompt is read already goes on
-// as urgently as its route says.
-func TestDeferredRequestsAreReadLast(t *testing.T) {
-	reader := newFakeReplica(t, "read", readPrompt)
+// Replicas prefill deferred requests last. A run whose prompt is already prefilled keeps the
+// route's priority.
+func TestDeferredRequestsArePrefilledLast(t *testing.T) {
+	reader := newFakeReplica(t, "read", answerPrefill)
 	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	w := newModelWorld(t, reader, generator, nil)
+	w := newModelEnv(t, reader, generator, nil)
 	w.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read", Deferred: true}}
-	must.Eq(t, events(1, 2), w.ask(modelRequest).body)
+	must.Eq(t, eventTexts(1, 2), w.do(modelRequest).body)
 	must.Eq(t, "9", reader.requests[0].Header.Get(testPriority))
 	must.Eq(t, "0", generator.requests[0].Header.Get(testPriority))
 	w.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Deferred: true}}
-	must.Eq(t, events(1, 2), w.ask(modelRequest).body)
+	must.Eq(t, eventTexts(1, 2), w.do(modelRequest).body)
 	must.Eq(t, "9", generator.requests[1].Header.Get(testPriority))
 }
 
-func TestFirstEventIsOfUseUntilTheCallerLeaves(t *testing.T) {
+func TestSilenceLimitOfRoutes(t *testing.T) {
 	silence := Silence{Least: 2 * time.Second, Objectives: 4, Gaps: 8}
 	stream := &api.Route{Kind: api.RouteStreaming, ObjectiveMilliseconds: 800, GapMilliseconds: 300}
 	must.Eq(t, 3200*time.Millisecond, silence.of(stream))
--- a/process/ingress/overdue.go
+++ b/process/ingress/overdue.go
@@ -5,36 +5,36 @@
 	"sync"
 )
 
-// sessionTable holds the requests under way. Their time is watched by timers, which a
-// suspension of the machine holds up: after one, those whose time is over are ended. One
-// lock is enough, as for the requests in flight.
+// sessionTable holds the requests in progress. Timers enforce their deadlines, but a suspension
+// of the machine delays them; after one, requests past their deadline are cancelled from here.
+// One lock suffices, as for the requests in flight.
 type sessionTable struct {
-	lock sync.Mutex
-	ends map[*session]context.CancelCauseFunc
+	lock    sync.Mutex
+	cancels map[*session]context.CancelCauseFunc
 }
 
-func (t *sessionTable) add(s *session, end context.CancelCauseFunc) {
+func (t *sessionTable) add(s *session, cancel context.CancelCauseFunc) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
-	if t.ends == nil {
-		t.ends = map[*session]context.CancelCauseFunc{}
+	if t.cancels == nil {
+		t.cancels = map[*session]context.CancelCauseFunc{}
 	}
-	t.ends[s] = end
+	t.cancels[s] = cancel
 }
 
 func (t *sessionTable) remove(s *session) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
-	delete(t.ends, s)
+	delete(t.cancels, s)
 }
 
-// endOverdue ends the requests whose time is over.
-func (t *sessionTable) endOverdue() {
+// cancelOverdue cancels the requests whose deadline has passed.
+func (t *sessionTable) cancelOverdue() {
 	t.lock.Lock()
 	defer t.lock.Unlock()
-	for s, end := range t.ends {
+	for s, cancel := range t.cancels {
 		if s.remaining() <= 0 {
-			end(errTimeout)
+			cancel(errTimeout)
 		}
 	}
 }
--- a/process/ingress/pick.go
+++ b/process/ingress/pick.go
@@ -40,12 +40,12 @@
 }
 
 func (w *replicaFilter) matches(candidate *replica, now time.Duration) bool {
-	return !w.excluded[candidate.name] && candidate.takes(now) && w.hasRole(candidate)
+	return !w.excluded[candidate.name] && candidate.acceptsRequests(now) && w.hasRole(candidate)
 }
 
 // hasRole reports whether the replica has one of the roles.
 func (w *replicaFilter) hasRole(candidate *replica) bool {
-	return w.includesRole(candidate.listed().Role)
+	return w.includesRole(candidate.spec().Role)
 }
 
 func (w *replicaFilter) includesRole(role api.EngineRole) bool {
@@ -76,7 +76,7 @@
 	if occupied.slots > 0 && occupied.requests >= occupied.slots {
 		cost += fullCost
 	}
-	if r.listed().Zone != zone {
+	if r.spec().Zone != zone {
 		cost += otherZoneCost
 	}
 	return cost
@@ -138,7 +138,7 @@
 	if occupied.slots > 0 && occupied.requests >= occupied.slots {
 		cost += fullCost
 	}
-	if r.listed().Zone != zone {
+	if r.spec().Zone != zone {
 		cost += otherZoneCost
 	}
 	return choice{replica: r, cost: cost, uncachedTokens: uncached}
--- a/process/ingress/placed.go
+++ b/process/ingress/placed.go
@@ -68,7 +68,7 @@
 // namesHeldOff reports whether an answer names a replica that must not be sent anything.
 func (s *session) namesHeldOff(answer placement.Answer) bool {
 	for _, name := range []string{answer.Generator, answer.Reader} {
-		if found := s.upstream.find(name); found != nil && found.asks.State(s.ingress.now()) == holdoff.Closed {
+		if found := s.upstream.find(name); found != nil && found.holdoff.State(s.ingress.now()) == holdoff.Closed {
 			return true
 		}
 	}
@@ -130,7 +130,7 @@
 // isUsable reports whether a named replica accepts requests according to this proxy, whose
 // information may be newer than that of the member that named it.
 func isUsable(name string, found *replica, now time.Duration) bool {
-	return name == "" || found != nil && found.takes(now)
+	return name == "" || found != nil && found.acceptsRequests(now)
 }
 
 // objective returns the time from arrival within which the first event is due; 0 if there is no
@@ -161,7 +161,7 @@
 		Objective: s.objective(),
 		Age:       s.ingress.now() - s.arrivedAt,
 		Deadline:  s.firstEventTimeout(),
-		Excluded:  s.avoided(),
+		Excluded:  s.avoidedReplicas(),
 		Connected: s.upstream.connectedReplicas(),
 		Continued: s.call.ResumeAfter != "" || s.lastEventID != "",
 	}
@@ -182,11 +182,11 @@
 // connectedReplicas returns the replicas to which an idle connection is open.
 func (l *upstream) connectedReplicas() []string {
 	var names []string
-	for _, known := range l.fleet.used() {
+	for _, known := range l.fleet.inUse() {
 		if len(names) == maxConnected {
 			break
 		}
-		if l.pool.Idle(known.listed().Address) {
+		if l.pool.Idle(known.spec().Address) {
 			names = append(names, known.name)
 		}
 	}
--- a/process/ingress/plan.go
+++ b/process/ingress/plan.go
@@ -16,8 +16,8 @@
 	// cacheSource holds cached parts of the prompt that the prefilling replica fetches.
 	cacheSource    *replica
 	uncachedTokens int
-	estimate       time.Duration // of the time to the first token
-	tracked        *placed       // nil without a control group
+	estimate       time.Duration   // of the time to the first token
+	tracked        *trackedRequest // nil without a control group
 	// deferred gives precedence to requests that can still meet their objective.
 	deferred bool
 	// isolated is true if nothing else is in flight at the target, because the request may crash
@@ -60,7 +60,7 @@
 	if p.cacheSource == nil {
 		return ""
 	}
-	return p.cacheSource.listed().Address
+	return p.cacheSource.spec().Address
 }
 
 // runFetchAddress returns the address from which the target fetches cached parts; empty if
@@ -77,19 +77,19 @@
 	s.ingress.routes() // applies the latest list of replicas
 	now := s.ingress.now()
 	zone := s.ingress.config.Zone
-	if wait, heldOff := s.upstream.allPause(now); heldOff {
+	if wait, heldOff := s.upstream.allPaused(now); heldOff {
 		return plan{refused: true, retryAfter: wait, heldOff: true}
 	}
 	if s.call.Work.PromptTokens == 0 {
 		return plan{target: s.upstream.pickPlain(zone, s.excluded, now, s.random)}
 	}
-	if chosen, decided := s.placeApart(ctx); decided {
+	if chosen, decided := s.placeSuspect(ctx); decided {
 		s.ingress.metrics.choices.WithLabelValues(s.upstream.service, chosenByGroup).Inc()
 		return chosen
 	}
 	s.ingress.metrics.choices.WithLabelValues(s.upstream.service, chosenByProxy).Inc()
 	chosen := s.chooseModel(zone, s.ingress.now())
-	s.trackOwn(&chosen)
+	s.trackLocal(&chosen)
 	return chosen
 }
 
