--- a/process/ingress/prefill.go
+++ b/process/ingress/prefill.go
@@ -15,16 +15,15 @@
 	"github.com/pkg/errors"
 )
 
-// maxHandleBytes bounds the answer to a prefill.
+// maxHandleBytes limits the answer to a prefill.
 const maxHandleBytes = 64 << 10
 
-// grantRead asks the shared budget for a read. The first read that a replica
-// takes up costs nothing, so it leaves freely; but once refusals have overdrawn
-// the budget, only to readers that have hardly failed lately. Later reads cost a
-// retry however they end.
-func (s *session) grantRead(reader *replica) bool {
+// allowPrefill checks the retry budget before a prefill. The first prefill that a replica accepts
+// is free. Once refusals have overdrawn the budget, only replicas that have hardly failed
+// recently are sent one. Every later prefill costs a retry, whatever its result.
+func (s *session) allowPrefill(prefiller *replica) bool {
 	now := s.ingress.now()
-	granted := reader.reliable() || !s.upstream.budget.Overdrawn(now)
+	granted := prefiller.isReliable() || !s.upstream.budget.Overdrawn(now)
 	if s.prefillCount > 0 {
 		granted = s.upstream.budget.Withdraw(now)
 	}
@@ -35,70 +34,69 @@
 	return granted
 }
 
-// prefill has the reader read the prompt and returns where it is kept; empty
-// when that failed, after which the target reads it itself. A prefill is no run
-// of the request: it may fail in any way and harms nothing. The first one costs
-// a retry of the budget only if it is refused.
+// prefill has the prompt prefilled and returns where it is kept; empty on failure, in which case
+// the target prefills it itself. A prefill is not a run of the request, so any failure is
+// harmless. The first one costs a retry only if it is refused.
 func (s *session) prefill(ctx context.Context, chosen plan) Source {
-	if !chosen.prefiller.takes(s.ingress.now()) {
-		s.withhold(stagePrefill, chosen.prefiller)
+	if !chosen.prefiller.acceptsRequests(s.ingress.now()) {
+		s.noteWithheld(stagePrefill, chosen.prefiller)
 		chosen.tracked.note(placement.StepUnread, chosen.prefiller.name, 0)
 		return Source{}
 	}
-	if !s.grantRead(chosen.prefiller) {
+	if !s.allowPrefill(chosen.prefiller) {
 		chosen.tracked.note(placement.StepUnread, chosen.prefiller.name, 0)
 		return Source{}
 	}
 	s.prefillCount++
-	source, refused := s.read(ctx, chosen)
+	source, refused := s.sendPrefill(ctx, chosen)
 	if refused && s.prefillCount == 1 {
 		s.upstream.budget.Force(s.ingress.now())
 	}
 	return source
 }
 
-// notSent reports whether a send that failed never reached its replica.
+// notSent reports whether a failed send never reached its replica.
 func notSent(err error) bool {
 	var failure *exchange.Failure
 	return errors.As(err, &failure) && !failure.Sent
 }
 
-// read sends the prompt to its reader; refused says that the reader did not take it
-// up, or that nobody knows: the run that follows may then count as a second send. A
-// reader that answered with a failure of its own has taken it up.
-func (s *session) read(ctx context.Context, chosen plan) (source Source, refused bool) {
-	reader, uncached := chosen.prefiller, chosen.uncachedTokens
-	began := s.ingress.now()
-	sent := reader.begin(began, uncached)
-	defer reader.end(sent)
+// sendPrefill sends the prompt to the prefill replica. refused is true if the replica did not
+// accept it, or if that is unknown: the run that follows may then count as a second send. A
+// replica that answered with an error of its own has accepted it.
+func (s *session) sendPrefill(ctx context.Context, chosen plan) (source Source, refused bool) {
+	prefiller, uncachedTokens := chosen.prefiller, chosen.uncachedTokens
+	startedAt := s.ingress.now()
+	sent := prefiller.beginSend(startedAt, uncachedTokens)
+	defer prefiller.endSend(sent)
 	request := s.request(chosen, Source{})
 	s.ingress.config.Dialect.Attempt(request.Header, Attempt{
-		Replica:  reader.name,
+		Replica:  prefiller.name,
 		Within:   s.replicaTimeout(),
 		Priority: chosen.prefillPriority(s.priority),
 		Prefill:  true,
 		Fetch:    chosen.fetchAddress(),
 	})
-	reading, cancel := context.WithTimeoutCause(ctx, s.readPatience(chosen), errSilent)
+	prefillContext, cancel := context.WithTimeoutCause(ctx, s.prefillTimeout(chosen), errSilent)
 	defer cancel()
-	reading, cancelLate := context.WithTimeoutCause(reading, s.remaining()-s.ingress.config.Timeouts.Transit-minRunTime, errTooLate)
+	prefillContext, cancelLate := context.WithTimeoutCause(prefillContext, s.remaining()-s.ingress.config.Timeouts.Transit-minRunTime, errTooLate)
 	defer cancelLate()
-	s.logSent(stagePrefill, reader, uncached, chosen)
-	answer, err := s.exchange(reading, stagePrefill, reader, request)
+	s.logSent(stagePrefill, prefiller, uncachedTokens, chosen)
+	answer, err := s.exchange(prefillContext, stagePrefill, prefiller, request)
 	if err != nil {
-		s.noteBroken(reading, stagePrefill, reader, sent, err)
-		fmt.Fprintf(&s.trace, " prefill(%s: %v)", reader.name, err)
-		if ctx.Err() != nil || context.Cause(reading) == errTooLate {
+		s.noteBrokenConnection(prefillContext, stagePrefill, prefiller, sent, err)
+		fmt.Fprintf(&s.trace, " prefill(%s: %v)", prefiller.name, err)
+		if ctx.Err() != nil || context.Cause(prefillContext) == errTooLate {
 			return Source{}, false // nothing follows it
 		}
-		return Source{}, s.readUnanswered(chosen, err)
+		return Source{}, s.handlePrefillError(chosen, err)
 	}
 	defer answer.Close()
-	handle, refused := s.takeHandle(chosen, answer, began)
+	handle, refused := s.readHandle(chosen, answer, startedAt)
 	if handle == "" {
 		return Source{}, refused
 	}
-	source = Source{Replica: reader.name, Address: reader.listed().Address, Handle: handle}
+	source = Source{Replica: prefiller.name, Address: prefiller.spec().Address, Handle: handle}
 	if ctx.Err() != nil {
 		s.release(source)
 		return Source{}, false
@@ -106,11 +104,11 @@
 	return source, false
 }
 
-// readUnanswered notes a read that brought no answer, and reports whether the reader may
-// not have taken it up.
-func (s *session) readUnanswered(chosen plan, err error) (refused bool) {
+// handlePrefillError records a prefill that received no answer, and reports whether the replica
+// may not have accepted it.
+func (s *session) handlePrefillError(chosen plan, err error) (refused bool) {
 	if errors.Is(err, errWithheld) {
-		s.withhold(stagePrefill, chosen.prefiller)
+		s.noteWithheld(stagePrefill, chosen.prefiller)
 		chosen.tracked.note(placement.StepUnread, chosen.prefiller.name, 0)
 		return false
 	}
@@ -127,26 +125,26 @@
 	return !notSent(err)
 }
 
-// takeHandle returns the handle that the answer to a read names; empty where it names
-// none, with whether the reader did not take the read up.
-func (s *session) takeHandle(chosen plan, answer *exchange.Answer, began time.Duration) (handle string, refused bool) {
-	reader, now := chosen.prefiller, s.ingress.now()
+// readHandle returns the handle in the answer to a prefill; empty if there is none, together with
+// whether the replica did not accept the prefill.
+func (s *session) readHandle(chosen plan, answer *exchange.Answer, startedAt time.Duration) (handle string, refused bool) {
+	prefiller, now := chosen.prefiller, s.ingress.now()
 	reply := s.ingress.config.Dialect.Reply(answer.Status, answer.Header)
-	reader.hear(reply.ownLoad(), now)
-	s.noteAnswer(reader, began, answer, &reply)
+	prefiller.noteAnswer(reply.ownLoad(), now)
+	s.noteAlive(prefiller, startedAt, answer, &reply)
 	body, err := io.ReadAll(io.LimitReader(answer, maxHandleBytes))
 	if err != nil || answer.Status != http.StatusOK || !reply.Named {
-		fmt.Fprintf(&s.trace, " prefill(%s: status %d)", reader.name, answer.Status)
-		reader.fail()
+		fmt.Fprintf(&s.trace, " prefill(%s: status %d)", prefiller.name, answer.Status)
+		prefiller.noteFailure()
 		step := placement.StepUnread
 		if reply.Misdirected {
-			reader.suspect(now)
+			prefiller.suspect(now)
 			step = placement.StepMisdirected
 		}
 		if reply.Asks.RetryAfter > 0 {
-			step = placement.StepRefused // the group keeps others' reads off it, too
+			step = placement.StepRefused // keeps other requests' prefills off it as well
 		}
-		chosen.tracked.note(step, reader.name, 0)
+		chosen.tracked.note(step, prefiller.name, 0)
 		return "", !reply.Named || reply.refuses()
 	}
 	handle, err = s.ingress.config.Dialect.Handle(body)
@@ -154,32 +152,32 @@
 		err = errHandle
 	}
 	if err != nil {
-		fmt.Fprintf(&s.trace, " prefill(%s: %v)", reader.name, err)
-		chosen.tracked.note(placement.StepUnread, reader.name, 0)
+		fmt.Fprintf(&s.trace, " prefill(%s: %v)", prefiller.name, err)
+		chosen.tracked.note(placement.StepUnread, prefiller.name, 0)
 		return "", true
 	}
-	s.noteRead(chosen, now-began)
+	s.notePrefilled(chosen, now-startedAt)
 	return handle, false
 }
 
-// errHandle says that a replica named something as a handle that cannot be one.
-var errHandle = errors.New("ingress: handle with other than visible characters")
+// errHandle is returned for a handle that contains invalid characters.
+var errHandle = errors.New("ingress: prefill handle contains a character other than visible ASCII")
 
-// isPlain reports whether a replica's word can stand in the head of a request: with a line
-// end in it, it would add to the request what no caller sent.
-func isVisibleASCII(word string) bool {
-	return strings.IndexFunc(word, func(r rune) bool { return r <= ' ' || r > '~' }) < 0
+// isVisibleASCII reports whether a value from a replica can be placed in a request head. A line
+// break in it would add to the request what no caller sent.
+func isVisibleASCII(value string) bool {
+	return strings.IndexFunc(value, func(r rune) bool { return r <= ' ' || r > '~' }) < 0
 }
 
-// noteRead learns from a read that its reader has done.
-func (s *session) noteRead(chosen plan, took time.Duration) {
-	reader, uncached := chosen.prefiller, chosen.uncachedTokens
-	reader.succeed()
-	reader.noteParts(s.call.Work.Parts)
-	chosen.tracked.note(placement.StepRead, "", reader.told())
-	s.upstream.speed.learn(uncached, took)
+// notePrefilled updates the estimates after a successful prefill.
+func (s *session) notePrefilled(chosen plan, took time.Duration) {
+	prefiller, uncachedTokens := chosen.prefiller, chosen.uncachedTokens
+	prefiller.noteSuccess()
+	prefiller.noteCachedParts(s.call.Work.Parts)
+	chosen.tracked.note(placement.StepRead, "", prefiller.reportedRequests())
+	s.upstream.speed.learn(uncachedTokens, took)
 	s.ingress.metrics.prefillSeconds.WithLabelValues(s.upstream.service).Observe(took.Seconds())
-	fmt.Fprintf(&s.trace, " prefill(%s: %d tokens in %s)", reader.name, uncached, took.Round(time.Millisecond))
+	fmt.Fprintf(&s.trace, " prefill(%s: %d tokens in %s)", prefiller.name, uncachedTokens, took.Round(time.Millisecond))
 }
 
 func (s *session) countPrefill(source Source) {
@@ -190,22 +188,23 @@
 	s.ingress.metrics.prefills.WithLabelValues(s.upstream.service, outcome).Inc()
 }
 
-// Patience with a replica that reads a prompt: a read harms nothing when it is
-// given up, and the request is then read where it runs.
+// Timeout of a prefill. Abandoning one is harmless: the prompt is then prefilled where the
+// request runs.
 const (
-	readPatienceFactor = 4
-	minimumReadTime    = 1500 * time.Millisecond
+	prefillTimeoutFactor = 4
+	minPrefillTimeout    = 1500 * time.Millisecond
 )
 
-func (s *session) readPatience(chosen plan) time.Duration {
-	return max(time.Duration(readPatienceFactor*float64(chosen.estimate)), minimumReadTime)
+func (s *session) prefillTimeout(chosen plan) time.Duration {
+	return max(time.Duration(prefillTimeoutFactor*float64(chosen.estimate)), minPrefillTimeout)
 }
 
-// releaseTimeout bounds the freeing of a handle.
+// releaseTimeout limits the release of a handle.
 const releaseTimeout = time.Second
 
-// release frees a handle that nobody will take. The call has no ID, so that it takes a
-// connection of its own. A replica that pauses or leaves is not called: the handle lapses.
+// release frees a handle that will not be used. The request has no ID, so that it gets a
+// connection of its own. A replica that pauses or is leaving is not contacted; the handle
+// expires.
 func (s *session) release(source Source) {
 	asks := s.ingress.upstreams.holdoffs.Find(source.Replica)
 	if asks.State(s.ingress.now()) != holdoff.Open {
@@ -222,9 +221,9 @@
 			Permit: s.ingress.permit(asks),
 		})
 		if err != nil {
-			return // it lapses by itself
+			return // the handle expires by itself
 		}
-		s.hearAsks(stageRelease, asks, answer.Status, answer.Header)
+		s.recordHoldoff(stageRelease, asks, answer.Status, answer.Header)
 		_, _ = io.Copy(io.Discard, io.LimitReader(answer, maxHandleBytes))
 		answer.Close()
 	}()
--- a/process/ingress/presence.go
+++ b/process/ingress/presence.go
@@ -6,7 +6,7 @@
 	"github.com/landingtrail/landingtrail/connection/feed"
 )
 
-// presence is what the ingress says of itself to the control group.
+// presence returns the state that the ingress reports to the control group.
 func (i *Ingress) presence() feed.Presence {
 	return feed.Presence{
 		Proxy: i.config.Name, Address: i.config.ListenAddress, Zone: i.config.Zone,
--- a/process/ingress/refusal_test.go
+++ b/process/ingress/refusal_test.go
@@ -8,9 +8,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// Callers come back when the proxy has its routes even where an election had to be waited
-// for, and not together; the longer the proxy has been up, the sooner.
-func TestCallersOfAProxyWithoutRoutesComeBackOnceItHasThem(t *testing.T) {
+// Callers retry when the proxy is expected to have its routes, even if an election has to pass,
+// and not all at the same time. The longer the proxy has been up, the shorter the delay.
+func TestRetryDelayOfAProxyWithoutRoutes(t *testing.T) {
 	none := newRouteTable(nil)
 	for range 100 {
 		must.Between(t, expectedStartup, noRoute(none, 0).retryAfter, expectedStartup+startRetryJitter)
--- a/process/ingress/replica.go
+++ b/process/ingress/replica.go
@@ -9,71 +9,72 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// Learning of one replica from what it answers.
+// Parameters for tracking a replica by its answers.
 const (
 	// failureWeight is the weight of the last answer in the failure rate.
 	failureWeight = 0.2
-	// reliableRate is the failure rate below which a replica is relied upon: a
-	// single failure among many answers is below it, two in a row are not.
-	reliableRate = 0.25
-	// firstSuspicion is how long a replica that gave no answer is passed over
-	// while others are left; each further one doubles it.
-	firstSuspicion = 500 * time.Millisecond
-	maxSuspicion   = 8 * time.Second
-	// loadMemory is how long a told load counts.
-	loadMemory = 2 * time.Second
-	// loadMargin is how much earlier than its arrival a told load may hold.
+	// maxReliableFailureRate is the failure rate below which a replica is reliable. A single
+	// failure among many answers stays below it, two in a row do not.
+	maxReliableFailureRate = 0.25
+	// initialSuspectTime is how long a replica that gave no answer is avoided while there are
+	// others; the time doubles with each repetition.
+	initialSuspectTime = 500 * time.Millisecond
+	maxSuspectTime     = 8 * time.Second
+	// loadMaxAge is how long a reported load is used.
+	loadMaxAge = 2 * time.Second
+	// loadMargin is how much older than its arrival a reported load may be.
 	loadMargin = 5 * time.Millisecond
 )
 
-// replica is one replica as this proxy knows it: what the list says, what it
-// told of its load, and how it has answered. It lives as long as a view names it.
+// replica is the state of one replica at this proxy: its entry in the list, its reported load,
+// and how it has answered. It exists as long as a view lists the replica.
 type replica struct {
-	name  string
-	entry atomic.Pointer[api.ReplicaSpec] // replaced when the list changes
-	// asks outlives it: what a replica has asked for holds whatever views name it.
-	asks *holdoff.Replica
+	name        string
+	currentSpec atomic.Pointer[api.ReplicaSpec] // replaced when the list changes
+	// holdoff outlives this state: a pause that the replica asked for is independent of the views
+	// that list it.
+	holdoff *holdoff.Replica
 
 	lock sync.Mutex
-	// load is what the replica told last, at loadAt.
+	// load is the last reported load, received at loadAt.
 	load   Load
 	loadAt time.Duration
-	// sends are this proxy's requests in flight there.
+	// sends are this proxy's requests in flight to the replica.
 	sends map[*send]struct{}
-	// heardAt is when anything last came from the replica.
+	// heardAt is when anything was last received from the replica.
 	heardAt time.Duration
-	// failureRate is the recent share of answers that were failures.
-	failureRate float64
-	suspicion   time.Duration
-	suspectTill time.Duration // 0 once anything has come from the replica since
-	cache       cacheGuess
-	usedAt      time.Duration // when a request was sent last, or it was first known
-	// endedAt is when the replica seemed to end, 0 once it has answered since.
-	endedAt time.Duration
+	// failureRate is the recent share of failures among the answers.
+	failureRate   float64
+	suspectTime   time.Duration
+	suspectUntil  time.Duration // 0 once anything was received from the replica again
+	cacheEstimate cacheEstimate
+	usedAt        time.Duration // when a request was last sent, or when the state was created
+	// crashedAt is when the replica seems to have crashed; 0 once it has proved to be alive.
+	crashedAt time.Duration
 }
 
 // send is one request in flight to a replica.
 type send struct {
 	at time.Duration
-	// tokens is how much of a prompt is still to be read there.
+	// tokens is the part of the prompt that the replica has yet to prefill.
 	tokens int
-	// started is true once the first event has come.
+	// started is true once the first event was received.
 	started bool
-	// events are those that have come; only the session uses them.
+	// events counts the received events; used by the session only.
 	events int
 }
 
 func newReplica(name string, spec api.ReplicaSpec, asks *holdoff.Replica) *replica {
-	made := &replica{name: name, asks: asks, sends: map[*send]struct{}{}, cache: newCacheGuess()}
-	made.entry.Store(&spec)
-	return made
+	created := &replica{name: name, holdoff: asks, sends: map[*send]struct{}{}, cacheEstimate: newCacheEstimate()}
+	created.currentSpec.Store(&spec)
+	return created
 }
 
-// listed is what the list says of the replica.
-func (r *replica) listed() *api.ReplicaSpec { return r.entry.Load() }
+// spec returns the replica's entry in the list.
+func (r *replica) spec() *api.ReplicaSpec { return r.currentSpec.Load() }
 
-// begin notes a request on its way.
-func (r *replica) begin(now time.Duration, tokens int) *send {
+// beginSend records a request that is being sent.
+func (r *replica) beginSend(now time.Duration, tokens int) *send {
 	sent := &send{at: now, tokens: tokens}
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -82,124 +83,124 @@
 	return sent
 }
 
-// isUnused reports whether nothing was sent for long, and nothing that was asked for holds.
-func (r *replica) isUnused(now time.Duration) bool {
-	if r.asks.State(now) != holdoff.Open || r.asks.IsLeaving() {
+// isIdle reports whether nothing was sent for a long time and no pause or departure is in effect.
+func (r *replica) isIdle(now time.Duration) bool {
+	if r.holdoff.State(now) != holdoff.Open || r.holdoff.IsLeaving() {
 		return false
 	}
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	return len(r.sends) == 0 && now-r.usedAt > unusedFor
+	return len(r.sends) == 0 && now-r.usedAt > idleRetention
 }
 
-// end notes that a request is not in flight any more.
-func (r *replica) end(sent *send) {
+// endSend records that a request is no longer in flight.
+func (r *replica) endSend(sent *send) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	delete(r.sends, sent)
 }
 
-// start notes that the prompt was read and the answer has begun.
-func (r *replica) start(sent *send, now time.Duration) {
+// noteStarted records that the prompt was prefilled and the answer has started.
+func (r *replica) noteStarted(sent *send, now time.Duration) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	sent.started = true
-	r.heardAt, r.suspectTill = now, 0
+	r.heardAt, r.suspectUntil = now, 0
 }
 
-// hear takes in a load that came with an answer.
-func (r *replica) hear(load *Load, now time.Duration) {
+// noteAnswer records an answer and its reported load, if any.
+func (r *replica) noteAnswer(load *Load, now time.Duration) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.heardAt, r.suspectTill = now, 0
+	r.heardAt, r.suspectUntil = now, 0
 	if load != nil {
 		r.load, r.loadAt = *load, now
 	}
 }
 
-// succeed and fail note how a request ended.
-func (r *replica) succeed() {
+// noteSuccess and noteFailure record how a request ended.
+func (r *replica) noteSuccess() {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.failureRate *= 1 - failureWeight
-	r.suspicion = 0
+	r.suspectTime = 0
 }
 
-func (r *replica) fail() {
+func (r *replica) noteFailure() {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.failureRate += failureWeight * (1 - r.failureRate)
 }
 
-// reliable reports whether the replica has hardly failed lately.
-func (r *replica) reliable() bool {
+// isReliable reports whether the replica has hardly failed recently.
+func (r *replica) isReliable() bool {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	return r.failureRate < reliableRate
+	return r.failureRate < maxReliableFailureRate
 }
 
-// suspect passes the replica over for a while: it gave no answer. What else fails while
-// it is passed over tells the same again, and lengthens nothing.
+// suspect marks the replica as suspect for some time, because it gave no answer. Further failures
+// during that time do not extend it: they have the same cause.
 func (r *replica) suspect(now time.Duration) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.failureRate += failureWeight * (1 - r.failureRate)
-	if now < r.suspectTill {
+	if now < r.suspectUntil {
 		return
 	}
-	r.suspicion = min(max(2*r.suspicion, firstSuspicion), maxSuspicion)
-	r.suspectTill = now + r.suspicion
+	r.suspectTime = min(max(2*r.suspectTime, initialSuspectTime), maxSuspectTime)
+	r.suspectUntil = now + r.suspectTime
 }
 
-// noteEnd notes that the replica seems to have ended.
-func (r *replica) noteEnd(now time.Duration) {
+// noteCrash records that the replica seems to have crashed.
+func (r *replica) noteCrash(now time.Duration) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.endedAt = max(now, 1)
+	r.crashedAt = max(now, 1)
 }
 
-// refutesEnd reports whether an answer to what was sent then shows that the replica, which
-// seemed to have ended, lives; once for each time.
+// refutesCrash reports whether an answer to a request sent at sentAt proves that a replica which
+// seemed to have crashed is alive. It is true once per suspected crash.
 //
-// Only an answer on a connection that was open before does: a process's connections end
-// with it, and another one may have begun under its name.
-func (r *replica) refutesEnd(sentAt, opened time.Duration) bool {
+// Only an answer on a connection opened before the crash is a proof: connections end with their
+// process, and another process may have been started under the same name.
+func (r *replica) refutesCrash(sentAt, opened time.Duration) bool {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	if r.endedAt == 0 || sentAt <= r.endedAt || opened >= r.endedAt {
+	if r.crashedAt == 0 || sentAt <= r.crashedAt || opened >= r.crashedAt {
 		return false
 	}
-	r.endedAt = 0
+	r.crashedAt = 0
 	return true
 }
 
-// incarnation names the process that the list shows under the replica's name.
-func (r *replica) incarnation() string { return api.IncarnationName(r.name, r.listed().Born) }
+// incarnation returns the identity of the listed process under the replica's name.
+func (r *replica) incarnation() string { return api.IncarnationName(r.name, r.spec().Born) }
 
-// silentSince reports whether nothing has come from the replica since then.
+// silentSince reports whether nothing was received from the replica since then.
 func (r *replica) silentSince(then time.Duration) bool {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	return r.heardAt < then
 }
 
-// occupancy is what this proxy believes of a replica's work.
+// occupancy is this proxy's estimate of a replica's load.
 type occupancy struct {
-	requests      int // running and waiting there, own and others'
-	waitingTokens int // own prompt tokens that are not read yet
+	requests      int // running and waiting there, from all proxies
+	waitingTokens int // prompt tokens of this proxy's requests that are not yet prefilled
 	slots         int
-	slowdown      float64 // how many times as long as usual work takes
+	slowdown      float64 // current duration of work relative to the usual one
 	failureRate   float64
 	suspect       bool
 }
 
-// occupancy sums the told load and the own sends that it cannot contain.
+// occupancy adds to the reported load the sends of this proxy that it cannot include.
 func (r *replica) occupancy(now time.Duration) occupancy {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	told := now-r.loadAt < loadMemory && r.loadAt > 0
-	result := occupancy{slots: r.listed().Slots, slowdown: 1, failureRate: r.failureRate, suspect: now < r.suspectTill}
-	if told {
+	hasReport := now-r.loadAt < loadMaxAge && r.loadAt > 0
+	result := occupancy{slots: r.spec().Slots, slowdown: 1, failureRate: r.failureRate, suspect: now < r.suspectUntil}
+	if hasReport {
 		result.requests = r.load.Running + r.load.Waiting
 		if r.load.Slowdown > 0 {
 			result.slowdown = r.load.Slowdown
@@ -209,7 +210,7 @@
 		}
 	}
 	for sent := range r.sends {
-		if !told || sent.at > r.loadAt-loadMargin {
+		if !hasReport || sent.at > r.loadAt-loadMargin {
 			result.requests++
 		}
 		if !sent.started {
@@ -219,27 +220,29 @@
 	return result
 }
 
-// told is how many requests the replica last said to have, running and waiting.
-func (r *replica) told() int {
+// reportedRequests returns how many requests, running and waiting, the replica last reported.
+func (r *replica) reportedRequests() int {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	return r.load.Running + r.load.Waiting
 }
 
-// takes reports whether the replica may be sent something new: by the list and by its own word.
-func (r *replica) takes(now time.Duration) bool {
-	return !r.listed().Leaving && r.asks.State(now) != holdoff.Closed
+// acceptsRequests reports whether the replica may be sent new requests, according to the list and
+// its own announcements.
+func (r *replica) acceptsRequests(now time.Duration) bool {
+	return !r.spec().Leaving && r.holdoff.State(now) != holdoff.Closed
 }
 
-// isLeaving reports whether the replica is to end soon, by the list or by its own word.
-func (r *replica) isLeaving() bool { return r.listed().Leaving || r.asks.IsLeaving() }
+// isLeaving reports whether the replica is about to stop, according to the list or its own
+// announcement.
+func (r *replica) isLeaving() bool { return r.spec().Leaving || r.holdoff.IsLeaving() }
 
-// isSuspect reports whether the replica is passed over now while others are left.
+// isSuspect reports whether the replica is to be avoided while there are others.
 func (r *replica) isSuspect(now time.Duration) bool {
-	if r.asks.State(now) == holdoff.Doubtful {
+	if r.holdoff.State(now) == holdoff.Doubtful {
 		return true
 	}
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	return now < r.suspectTill
+	return now < r.suspectUntil
 }
--- a/process/ingress/routes.go
+++ b/process/ingress/routes.go
@@ -14,16 +14,16 @@
 type routeTable struct {
 	generation uint64
 	limits     api.IngressLimits
-	// byHost holds each host's routes, the longest prefix first.
+	// byHost holds the routes of each host, the longest prefix first.
 	byHost   map[string][]*api.Route
 	services map[string]*api.RouteService
-	// keys finds the tenant of a key where keysRequired.
+	// keys maps API keys to tenants if keysRequired is set.
 	keysRequired bool
 	keySecret    []byte
 	keys         *apikey.Table
 }
 
-// newRouteTable reads the Ingress, nil where none was accepted yet.
+// newRouteTable builds the table from the Ingress object; nil if none has been accepted yet.
 func newRouteTable(object *api.Ingress) *routeTable {
 	table := &routeTable{byHost: map[string][]*api.Route{}, services: map[string]*api.RouteService{}, keys: apikey.NewTable()}
 	if object == nil {
@@ -47,7 +47,7 @@
 	return table
 }
 
-// find returns the route with the longest prefix that begins the path, or nil.
+// find returns the route with the longest matching path prefix, or nil.
 func (t *routeTable) find(host, path string) *api.Route {
 	for _, route := range t.byHost[hostName(host)] {
 		if strings.HasPrefix(path, route.PathPrefix) {
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// hostName is a Host field without its port, in lower case.
+// hostName returns a Host field in lower case without the port.
 func hostName(host string) string {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -65,7 +65,7 @@
 	return strings.ToLower(host)
 }
 
-// maxBodyBytes bounds a request's body.
+// maxBodyBytes returns the size limit of a request's body.
 func (t *routeTable) maxBodyBytes() int64 {
 	if t.limits.MaxBodyBytes > 0 {
 		return t.limits.MaxBodyBytes
@@ -73,7 +73,7 @@
 	return defaultMaxBodyBytes
 }
 
-// chooseService draws one of the route's services by its weight.
+// chooseService picks one of the route's services at random by weight.
 func chooseService(route *api.Route, random *rand.Rand) string {
 	total := 0
 	for _, backend := range route.Backends {
--- a/process/ingress/run.go
+++ b/process/ingress/run.go
@@ -109,8 +109,8 @@
 		select {
 		case <-served:
 			i.reportInFlight(to)
-			i.reportKept(to)
-			i.reportLeaving()
+			i.reportCachedParts(to)
+			i.reportAllLeaving()
 			i.guard.ReportAll(i.now())
 			i.usage.Again()
 		case <-resumed:
--- a/process/ingress/stream.go
+++ b/process/ingress/stream.go
@@ -30,7 +30,7 @@
 			return s.endStream(target, number, answer)
 		}
 		if err != nil {
-			s.noteBroken(ctx, stageRun, target, sent, err)
+			s.noteBrokenConnection(ctx, stageRun, target, sent, err)
 			return s.breakStream(ctx, target, number, err)
 		}
 		if continues && hasData(event) && !isLaterEventID(id, cmp.Or(s.lastEventID, s.call.ResumeAfter)) {
@@ -38,9 +38,9 @@
 		}
 		s.countUsage(0)
 		if s.events == 0 || !sent.hasStarted(target) {
-			target.start(sent, s.ingress.now())
-			target.noteParts(s.call.Work.Parts)
-			chosen.tracked.note(placement.StepStarted, "", target.told())
+			target.noteStarted(sent, s.ingress.now())
+			target.noteCachedParts(s.call.Work.Parts)
+			chosen.tracked.note(placement.StepStarted, "", target.reportedRequests())
 		}
 		s.beginStream(answer)
 		if _, err := s.writer.Write(event); err != nil {
@@ -89,7 +89,7 @@
 
 func (s *session) endStream(target *replica, number uint32, answer *exchange.Answer) verdict {
 	s.beginStream(answer)
-	target.succeed()
+	target.noteSuccess()
 	s.lifecycle.Finish(number)
 	return verdictDone
 }
--- a/process/ingress/suspension_test.go
+++ b/process/ingress/suspension_test.go
@@ -14,7 +14,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// suspendingPlacer lets the machine be suspended while a request waits for its place.
+// suspendingPlacer suspends the machine while a request waits for its placement.
 type suspendingPlacer struct {
 	fakePlacer
 	suspend func()
@@ -25,35 +25,35 @@
 	return placement.Answer{Generator: "r-1"}, nil
 }
 
-// A machine may be suspended for seconds, which its monotonic clock and its timers do not
-// count. A request whose time is over when it wakes goes to no replica, which would be
-// given more time than remains, and is answered at once.
-func TestDeadlineThatPassedInASuspension(t *testing.T) {
+// The monotonic clock and timers do not advance while a machine is suspended. A request whose
+// deadline has passed on wake-up is sent to no replica, which would be given more time than
+// remains, and is answered at once.
+func TestDeadlineThatPassesDuringASuspension(t *testing.T) {
 	replica := newFakeReplica(t, "r-1", streamEvents(3, ""))
-	w := newWorld(t, replica)
+	w := newTestEnv(t, replica)
 	var suspended atomic.Int64
 	running := w.ingress.clock
 	w.ingress.clock = func() time.Duration { return running() + time.Duration(suspended.Load()) }
 	w.ingress.placer = &suspendingPlacer{suspend: func() { suspended.Store(int64(10 * time.Second)) }}
 	w.views.set(func(v *view.View) {
-		v.Replicas = map[string]*api.Replica{"r-1": listed(replica, "model", api.RoleDecode)}
+		v.Replicas = map[string]*api.Replica{"r-1": replicaObject(replica, "model", api.RoleDecode)}
 	})
 	began := time.Now()
-	got := w.ask(asked{method: "POST", target: "/model/x", id: "one", fields: map[string]string{testTokens: "100", testWithin: "4000"}})
+	got := w.do(testRequest{method: "POST", target: "/model/x", id: "one", fields: map[string]string{testTokens: "100", testWithin: "4000"}})
 	must.Eq(t, http.StatusServiceUnavailable, got.status)
 	must.Eq(t, 0, replica.count())
 	must.Less(t, time.Second, time.Since(began))
 }
 
-// A request that waits for its replica when the machine is suspended is answered once the
-// machine has woken, and not only when its timer has made up for the suspension.
-func TestWaitThatASuspensionOutlasts(t *testing.T) {
+// A request that waits for its replica during a suspension is answered when the machine wakes up,
+// not when its timer fires, which the suspension delays.
+func TestRequestIsAnsweredOnWakeUpAfterASuspension(t *testing.T) {
 	begun := make(chan struct{})
 	replica := newFakeReplica(t, "r-1", func(_ http.ResponseWriter, r *http.Request) {
 		close(begun)
 		<-r.Context().Done()
 	})
-	w := newWorld(t, replica)
+	w := newTestEnv(t, replica)
 	var suspended atomic.Int64
 	running := w.ingress.clock
 	w.ingress.clock = func() time.Duration { return running() + time.Duration(suspended.Load()) }
@@ -61,14 +61,14 @@
 	go func() {
 		<-begun
 		suspended.Store(int64(10 * time.Second))
-		w.ingress.sessions.endOverdue()
+		w.ingress.sessions.cancelOverdue()
 	}()
-	got := w.ask(asked{method: "POST", target: "/unsafe/x", id: "one"})
+	got := w.do(testRequest{method: "POST", target: "/unsafe/x", id: "one"})
 	must.Eq(t, http.StatusGatewayTimeout, got.status)
 	must.Less(t, 3*time.Second, time.Since(began))
-	eventually(t, "nothing is kept of it", func() bool {
+	eventually(t, "the session is removed", func() bool {
 		w.ingress.sessions.lock.Lock()
 		defer w.ingress.sessions.lock.Unlock()
-		return len(w.ingress.sessions.ends) == 0
+		return len(w.ingress.sessions.cancels) == 0
 	})
 }
--- a/process/ingress/try.go
+++ b/process/ingress/try.go
@@ -126,7 +126,7 @@
 	s.ingress.routes() // applies the latest list of replicas
 	now := s.ingress.now()
 	current := s.upstream.find(chosen.target.name)
-	if current != nil && current.takes(now) && !current.isSuspect(now) {
+	if current != nil && current.acceptsRequests(now) && !current.isSuspect(now) {
 		return
 	}
 	decoders := &replicaFilter{roles: []api.EngineRole{api.RoleDecode, api.RoleMixed}, excluded: s.excluded}
@@ -138,8 +138,8 @@
 // send has the target run the request.
 func (s *session) send(ctx context.Context, chosen plan, source Source) verdict {
 	target := chosen.target
-	if !target.takes(s.ingress.now()) {
-		s.withhold(stageRun, target)
+	if !target.acceptsRequests(s.ingress.now()) {
+		s.noteWithheld(stageRun, target)
 		if source.Handle != "" {
 			s.release(source)
 		}
@@ -153,8 +153,8 @@
 	if source.Handle != "" {
 		tokens = 0
 	}
-	sent := target.begin(s.ingress.now(), tokens)
-	defer target.end(sent)
+	sent := target.beginSend(s.ingress.now(), tokens)
+	defer target.endSend(sent)
 	attempting, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	stopWatch := s.watchSilence(attempting, chosen, sent, cancel)
@@ -162,15 +162,15 @@
 	s.logSent(stageRun, target, tokens, chosen)
 	answer, err := s.exchange(attempting, stageRun, target, s.request(chosen, source))
 	if err != nil {
-		s.noteBroken(attempting, stageRun, target, sent, err)
+		s.noteBrokenConnection(attempting, stageRun, target, sent, err)
 		return s.handleNoAnswer(ctx, target, number, err)
 	}
 	defer answer.Close()
 	s.sendCount++
 	s.answered = true
 	reply := s.ingress.config.Dialect.Reply(answer.Status, answer.Header)
-	target.hear(reply.ownLoad(), s.ingress.now())
-	s.noteAnswer(target, sent.at, answer, &reply)
+	target.noteAnswer(reply.ownLoad(), s.ingress.now())
+	s.noteAlive(target, sent.at, answer, &reply)
 	return s.handleAnswer(ctx, chosen, sent, number, answer, reply)
 }
 
@@ -192,15 +192,15 @@
 // exchange sends the request to a replica. The pool compares the ID in each answer with the
 // request's ID, so the result is the answer to this request.
 func (s *session) exchange(ctx context.Context, stage string, to *replica, request *exchange.Request) (*exchange.Answer, error) {
-	address := to.listed().Address
+	address := to.spec().Address
 	request.Identity.Repeated = s.contacted[address]
 	s.contacted[address] = true
-	request.Permit = s.ingress.permit(to.asks)
-	request.Overheard = func(status int, header http.Header) { s.hearAsks(stage, to.asks, status, header) }
+	request.Permit = s.ingress.permit(to.holdoff)
+	request.Overheard = func(status int, header http.Header) { s.recordHoldoff(stage, to.holdoff, status, header) }
 	answer, err := s.upstream.pool.Do(ctx, address, request)
 	if err == nil {
 		s.noteForeign(stage, to, answer.Reused, answer.Foreign)
-		s.hearAsks(stage, to.asks, answer.Status, answer.Header)
+		s.recordHoldoff(stage, to.holdoff, answer.Status, answer.Header)
 		return answer, nil
 	}
 	var failure *exchange.Failure
@@ -217,7 +217,7 @@
 		s.ingress.metrics.foreign.WithLabelValues(s.upstream.service, stage).Inc()
 		event.ForeignAnswer.Log(s.ingress.logger, "request", s.call.ID, "stage", stage, "replica", from.name,
 			"reused", reused, "answered", foreign.Answered, "status", foreign.Status)
-		s.hearAsks(stage, from.asks, foreign.Status, foreign.Header)
+		s.recordHoldoff(stage, from.holdoff, foreign.Status, foreign.Header)
 	}
 }
 
@@ -256,7 +256,7 @@
 	if !sent {
 		s.lifecycle.Fail(number, attempt.FaultNotWritten)
 		if errors.Is(err, errWithheld) {
-			s.withhold(stageRun, target)
+			s.noteWithheld(stageRun, target)
 			return verdictNotRun
 		}
 		s.dialFailures++
@@ -281,7 +281,7 @@
 // another request instead is neither silent nor gone.
 func (s *session) noteUnanswered(target *replica, err error, now time.Duration) {
 	if isForeign(err) {
-		target.fail()
+		target.noteFailure()
 		return
 	}
 	target.suspect(now)
--- a/process/ingress/usage_test.go
+++ b/process/ingress/usage_test.go
@@ -12,24 +12,24 @@
 	"github.com/shoenig/test/must"
 )
 
-// Each request is counted once for its tenant when a replica has begun it, whatever is tried
-// before and after that; what no replica began is not.
-func TestWhatIsCounted(t *testing.T) {
+// Each request is counted once for its tenant when a replica has started it, whatever is tried
+// before and after. A request that no replica started is not counted.
+func TestCountedRequests(t *testing.T) {
 	cases := []struct {
 		name     string
 		target   string
 		handlers []http.HandlerFunc
 		want     uint64
 	}{
-		{"an answer", "/safe/x", []http.HandlerFunc{answerOK}, 1},
-		{"a failure of the replica's own", "/unsafe/x", []http.HandlerFunc{answerStatus(500)}, 1},
-		{"a failure and another run", "/safe/x", []http.HandlerFunc{answerStatus(500), answerOK}, 1},
-		{"refused everywhere", "/safe/x", []http.HandlerFunc{refuseRun, refuseRun}, 0},
-		{"refused and run", "/safe/x", []http.HandlerFunc{refuseRun, answerOK}, 1},
-		{"a stream", "/stream/x", []http.HandlerFunc{streamEvents(3, "")}, 1},
-		{"a stream that breaks off and goes on", "/resume/x", []http.HandlerFunc{streamEvents(2, "cut"), streamEvents(4, "")}, 1},
-		{"a stream that ends before its first event", "/stream/x", []http.HandlerFunc{breakOff}, 0},
-		{"nobody there", "/safe/x", nil, 0},
+		{"answer", "/safe/x", []http.HandlerFunc{answerOK}, 1},
+		{"error answer of the replica", "/unsafe/x", []http.HandlerFunc{answerStatus(500)}, 1},
+		{"error answer and another run", "/safe/x", []http.HandlerFunc{answerStatus(500), answerOK}, 1},
+		{"refused by all", "/safe/x", []http.HandlerFunc{refuseRun, refuseRun}, 0},
+		{"refused, then run", "/safe/x", []http.HandlerFunc{refuseRun, answerOK}, 1},
+		{"stream", "/stream/x", []http.HandlerFunc{streamEvents(3, "")}, 1},
+		{"interrupted and resumed stream", "/resume/x", []http.HandlerFunc{streamEvents(2, "cut"), streamEvents(4, "")}, 1},
+		{"stream that ends before its first event", "/stream/x", []http.HandlerFunc{closeConnection}, 0},
+		{"no replica", "/safe/x", nil, 0},
 	}
 	for _, each := range cases {
 		t.Run(each.name, func(t *testing.T) {
@@ -37,10 +37,10 @@
 			for i, handler := range each.handlers {
 				replicas = append(replicas, newFakeReplica(t, string(rune('a'+i)), handler))
 			}
-			w := newWorld(t, replicas...)
+			w := newTestEnv(t, replicas...)
 			w.requireKeys(tenant("north", 0, "key-n"))
 			w.ingress.usage = metering.NewCounter("p", 5*time.Second, time.Now)
-			w.ask(withKey("q", each.target, "key-n"))
+			w.do(withKey("q", each.target, "key-n"))
 			report, _ := w.ingress.usage.Next()
 			count := uint64(0)
 			for _, counted := range report.Counts {
@@ -52,9 +52,9 @@
 	}
 }
 
-// A read of a prompt is no request of its own, and a request without a tenant is nobody's.
-func TestWhatIsNotCounted(t *testing.T) {
-	w := newModelWorld(t, newFakeReplica(t, "read", readPrompt), newFakeReplica(t, "make", streamEvents(2, "")), nil)
+// A prefill is not counted as a request, and neither is a request without a tenant.
+func TestRequestsThatAreNotCounted(t *testing.T) {
+	w := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), newFakeReplica(t, "make", streamEvents(2, "")), nil)
 	w.ingress.usage = metering.NewCounter("p", 5*time.Second, time.Now)
 	w.requireKeys(tenant("north", 0, "key-n"))
 	w.views.set(func(v *view.View) {
@@ -67,32 +67,32 @@
 		v.Ingresses = map[string]*api.Ingress{api.IngressName: &made}
 	})
 	anonymous := modelRequest
-	must.Eq(t, http.StatusOK, w.ask(anonymous).status)
+	must.Eq(t, http.StatusOK, w.do(anonymous).status)
 	report, _ := w.ingress.usage.Next()
 	must.SliceEmpty(t, report.Counts)
 	named := modelRequest
 	named.fields = map[string]string{testTokens: "9000", testKey: "key-n"}
-	must.Eq(t, http.StatusOK, w.ask(named).status)
+	must.Eq(t, http.StatusOK, w.do(named).status)
 	report, _ = w.ingress.usage.Next()
 	must.SliceLen(t, 1, report.Counts)
 	must.Eq(t, 1, report.Counts[0].Count)
 }
 
-// A key that is taken away while its request is under way takes no count with it.
-func TestCountOutlastsTheKey(t *testing.T) {
+// Revoking a key during its request does not remove the request from the count.
+func TestRequestIsCountedAfterItsKeyIsRevoked(t *testing.T) {
 	end := make(chan struct{})
 	began := make(chan struct{})
 	slow := newFakeReplica(t, "r", func(w http.ResponseWriter, r *http.Request) {
 		close(began)
 		<-end
-		genuine(w, r)
+		writeGenuine(w, r)
 		_, _ = io.WriteString(w, "done")
 	})
-	w := newWorld(t, slow)
+	w := newTestEnv(t, slow)
 	w.ingress.usage = metering.NewCounter("p", 5*time.Second, time.Now)
 	w.requireKeys(tenant("north", 0, "key-n"))
-	done := make(chan answered)
-	go func() { done <- w.ask(withKey("q", "/safe/x", "key-n")) }()
+	done := make(chan testResponse)
+	go func() { done <- w.do(withKey("q", "/safe/x", "key-n")) }()
 	<-began
 	w.requireKeys()
 	close(end)
--- a/process/pause/pause.go
+++ b/process/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits for a time that a context may cut short, and tells who waits that there is news.
+// Package pause provides cancellable sleeps and coalescing wake-up signals.
 package pause
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For returns true after the duration, or false as soon as ctx ends.
+// For sleeps for the duration and returns true, or returns false as soon as ctx ends.
 func For(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -18,10 +18,11 @@
 	}
 }
 
-// Signal fills the channel's one place and never blocks: signals coalesce until they are taken.
-func Signal(place chan<- struct{}) {
+// Signal sends on a channel with a buffer of one without blocking. Signals that are not yet
+// received coalesce.
+func Signal(channel chan<- struct{}) {
 	select {
-	case place <- struct{}{}:
+	case channel <- struct{}{}:
 	default:
 	}
 }
--- a/process/pause/pause_test.go
+++ b/process/pause/pause_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestPauseEndsWithItsTimeOrItsContext(t *testing.T) {
+func TestForEndsWithTheDurationOrTheContext(t *testing.T) {
 	must.True(t, For(t.Context(), time.Nanosecond))
 	ended, end := context.WithCancel(t.Context())
 	end()
