--- a/process/guard/guard.go
+++ b/process/guard/guard.go
@@ -30,7 +30,7 @@
 	Connected() bool
 }
 
-// Guard is safe for concurrent use.
+// Guard decides which requests must not be sent to replicas. It is safe for concurrent use.
 type Guard struct {
 	// active is true while any request is under suspicion. Otherwise the cost for a request is
 	// one atomic load.
@@ -38,11 +38,11 @@
 
 	lock     sync.Mutex
 	reporter Reporter // nil without a control group
-	// served is true once a leader has served this proxy, lost while none does any more, since
+	// wasServed is true once a leader has served this proxy, lost while none does any more, since
 	// lostAt.
-	served bool
-	lost   bool
-	lostAt time.Duration
+	wasServed bool
+	lost      bool
+	lostAt    time.Duration
 	// reportedUntil is the time until which this proxy judges by a member's report of unrecorded
 	// crashes.
 	reportedUntil time.Duration
@@ -365,15 +365,16 @@
 // part of the evidence, and requests in flight beside a crash look more suspicious in it.
 const cutOffDelay = 3 * time.Second
 
-// isCutOff reports whether this proxy has to judge by itself. The caller must hold the lock.
+// isCutOff reports whether this proxy has to judge by itself, and keeps track of when its leader
+// was lost. The caller must hold the lock.
 func (g *Guard) isCutOff(now time.Duration) bool {
 	switch {
 	case g.reporter == nil:
 		return true
 	case g.reporter.Connected():
-		g.served, g.lost = true, false
+		g.wasServed, g.lost = true, false
 		return false
-	case !g.served:
+	case !g.wasServed:
 		return true
 	case !g.lost:
 		g.lost, g.lostAt = true, now
--- a/process/ingress/apart.go
+++ b/process/ingress/apart.go
@@ -18,11 +18,11 @@
 	leaderRetryAfter   = time.Second
 )
 
-// placeSuspect is place for requests that are suspected of crashing replicas: they are sent where
-// a leader says or nowhere. If the proxy chose by itself after an unanswered placement request, a
+// placeSafely is place, except that a request suspected of crashing replicas is sent where a
+// leader says or nowhere. If the proxy chose by itself after an unanswered placement request, a
 // request that the leader delays or isolates would run beside other load, or between two leaders,
 // and each copy could crash a replica. A standby member does not isolate it either.
-func (s *session) placeSuspect(ctx context.Context) (plan, bool) {
+func (s *session) placeSafely(ctx context.Context) (plan, bool) {
 	for {
 		needsLeader := s.needsLeader()
 		if !needsLeader || s.ingress.guard.HasLeader() {
@@ -34,7 +34,7 @@
 			return plan{refused: true, retryAfter: leaderRetryAfter}, true
 		}
 		s.ingress.routes() // applies the latest quarantine record
-		if _, held := s.quarantineHold(); held {
+		if _, quarantined := s.quarantineHold(); quarantined {
 			return plan{quarantined: true}, true
 		}
 	}
--- a/process/ingress/asks.go
+++ b/process/ingress/asks.go
@@ -17,9 +17,10 @@
 
 // The pauses and departures that replicas announce in their answers are applied at three points:
 //
-//  - Choosing a replica: those that pause or leave are no candidates. They are listed as excluded for the control group, which does not know what each proxy was told.
-//  - Before a send, since the choice may be older than the announcement.
-//  - Once the connection is open and before anything is written, since opening it takes time.
+//   - Choosing a replica: those that pause or leave are no candidates. They are listed as
+//     excluded for the control group, which does not know what each proxy was told.
+//   - Before a send, since the choice may be older than the announcement.
+//   - Once the connection is open and before anything is written, since opening it takes time.
 //
 // A pausing replica tolerates two more requests, but none is sent deliberately: they are reserved
 // for requests that were already on their way when it asked.
@@ -38,9 +39,9 @@
 	}
 }
 
-// recordHoldoff applies what an answer of the replica demands of further requests, even if it
-// answers another request: it arrived on a connection to the replica. A misdirected answer speaks
-// for another replica only.
+// recordHoldoff applies the pause or departure that an answer of the replica announces, even if
+// it answers another request: it arrived on a connection to the replica. A misdirected answer
+// speaks for another replica only.
 func (s *session) recordHoldoff(stage string, from *holdoff.Replica, status int, header http.Header) {
 	reply := s.ingress.config.Dialect.Reply(status, header)
 	if reply.Misdirected {
@@ -72,10 +73,10 @@
 // reportAllLeaving tells a member that has just started to place requests which replicas are
 // leaving.
 func (i *Ingress) reportAllLeaving() {
-	for _, opened := range i.upstreams.all() {
-		for _, known := range opened.fleet.inUse() {
-			if known.holdoff.IsLeaving() {
-				i.reportLeaving(opened.service, known.name)
+	for _, upstream := range i.upstreams.all() {
+		for _, current := range upstream.fleet.inUse() {
+			if current.holdoff.IsLeaving() {
+				i.reportLeaving(upstream.service, current.name)
 			}
 		}
 	}
@@ -96,13 +97,13 @@
 	now := s.ingress.now()
 	avoided := maps.Clone(s.excluded)
 	doubtful := map[api.EngineRole][]string{}
-	for _, known := range s.upstream.fleet.inUse() {
-		role := known.spec().Role
-		switch known.holdoff.State(now) {
+	for _, current := range s.upstream.fleet.inUse() {
+		role := current.spec().Role
+		switch current.holdoff.State(now) {
 		case holdoff.Closed:
-			avoided[known.name] = true
+			avoided[current.name] = true
 		case holdoff.Doubtful:
-			doubtful[role] = append(doubtful[role], known.name)
+			doubtful[role] = append(doubtful[role], current.name)
 		}
 	}
 	for role, names := range doubtful {
@@ -119,9 +120,9 @@
 // hasOpen reports whether a replica of the role can be sent the request without a doubt.
 func (s *session) hasOpen(role api.EngineRole, now time.Duration) bool {
 	found := false
-	s.upstream.fleet.forEach(func(entry *api.Replica, known *replica) bool {
+	s.upstream.fleet.forEach(func(entry *api.Replica, current *replica) bool {
 		found = entry.Spec.Role == role && !entry.Spec.Leaving && !s.excluded[entry.Name] &&
-			(known == nil || known.holdoff.State(now) == holdoff.Open)
+			(current == nil || current.holdoff.State(now) == holdoff.Open)
 		return !found
 	})
 	return found
@@ -136,20 +137,20 @@
 // allPaused reports whether every replica that could run the request has asked this process for a
 // pause, and when the first pause ends. Waiting here would hold the request in vain, and sending
 // it would only result in a refusal.
-func (l *upstream) allPaused(now time.Duration) (wait time.Duration, all bool) {
+func (u *upstream) allPaused(now time.Duration) (wait time.Duration, all bool) {
 	first, isOpen := time.Duration(0), false
-	l.fleet.forEach(func(entry *api.Replica, known *replica) bool {
+	u.fleet.forEach(func(entry *api.Replica, current *replica) bool {
 		if entry.Spec.Leaving || !runRoles.includesRole(entry.Spec.Role) {
 			return true
 		}
-		if known == nil {
+		if current == nil {
 			isOpen = true
 			return false
 		}
-		pause := known.holdoff.Pause(now)
+		pause := current.holdoff.Pause(now)
 		// Includes a replica that has just refused this request: it may have capacity sooner.
-		isOpen = pause == 0 && known.acceptsRequests(now)
-		if pause > 0 && !known.holdoff.IsLeaving() && (first == 0 || pause < first) {
+		isOpen = pause == 0 && current.acceptsRequests(now)
+		if pause > 0 && !current.holdoff.IsLeaving() && (first == 0 || pause < first) {
 			first = pause
 		}
 		return !isOpen
--- a/process/ingress/authenticate_test.go
+++ b/process/ingress/authenticate_test.go
@@ -17,8 +17,8 @@
 var testSecret = apikey.NewSecret()
 
 // requireKeys requires API keys and installs the tenants; the "unsafe" route becomes public.
-func (w *testEnv) requireKeys(tenants ...api.TenantKeys) {
-	w.views.set(func(v *view.View) {
+func (env *testEnv) requireKeys(tenants ...api.TenantKeys) {
+	env.views.set(func(v *view.View) {
 		made := testIngress()
 		made.Spec.Generation = v.Ingresses[api.IngressName].Spec.Generation + 1
 		made.Spec.KeysRequired, made.Spec.KeySecret = true, testSecret
@@ -46,46 +46,46 @@
 // keys.
 func TestKeysDetermineTheTenant(t *testing.T) {
 	replica := newFakeReplica(t, "r-1", answerOK)
-	w := newTestEnv(t, replica)
-	w.requireKeys(tenant("north", 2, "key-n"))
+	env := newTestEnv(t, replica)
+	env.requireKeys(tenant("north", 2, "key-n"))
 	given := withKey("a", "/safe/x", "key-n")
 	given.fields[testTenant] = "south" // must be overwritten by the key's tenant
-	must.Eq(t, http.StatusOK, w.do(given).status)
+	must.Eq(t, http.StatusOK, env.do(given).status)
 	seen := replica.requests[0].Header
 	must.Eq(t, []string{"north"}, seen[testTenant])
 	must.SliceEmpty(t, seen[testKey])
 	must.Eq(t, "2", seen.Get(testPriority), must.Sprint("priority of the tenant, not of the route"))
 	for _, key := range []string{"key-x", "", "KEY-N", "key-n2"} {
-		got := w.do(withKey("b", "/safe/x", key))
+		got := env.do(withKey("b", "/safe/x", key))
 		must.Eq(t, http.StatusUnauthorized, got.status, must.Sprint(key))
 	}
-	must.Eq(t, http.StatusUnauthorized, w.do(testRequest{method: "GET", target: "/safe/x", id: "c"}).status)
-	must.Eq(t, http.StatusNotFound, w.do(withKey("d", "/nowhere/", "key-x")).status)
+	must.Eq(t, http.StatusUnauthorized, env.do(testRequest{method: "GET", target: "/safe/x", id: "c"}).status)
+	must.Eq(t, http.StatusNotFound, env.do(withKey("d", "/nowhere/", "key-x")).status)
 	must.Eq(t, 1, replica.count())
 }
 
 // A public route needs no key, and fields that claim a tenant are ignored without one.
 func TestPublicRoutes(t *testing.T) {
 	replica := newFakeReplica(t, "r-1", answerOK)
-	w := newTestEnv(t, replica)
-	w.requireKeys(tenant("north", 0, "key-n"))
+	env := newTestEnv(t, replica)
+	env.requireKeys(tenant("north", 0, "key-n"))
 	anonymous := testRequest{method: "POST", target: "/unsafe/x", id: "a", fields: map[string]string{testTenant: "north"}}
-	must.Eq(t, http.StatusOK, w.do(anonymous).status)
+	must.Eq(t, http.StatusOK, env.do(anonymous).status)
 	must.SliceEmpty(t, replica.requests[0].Header[testTenant])
 	must.Eq(t, "5", replica.requests[0].Header.Get(testPriority))
-	must.Eq(t, http.StatusOK, w.do(withKey("b", "/unsafe/x", "key-n")).status)
+	must.Eq(t, http.StatusOK, env.do(withKey("b", "/unsafe/x", "key-n")).status)
 	must.Eq(t, "north", replica.requests[1].Header.Get(testTenant))
-	must.Eq(t, http.StatusUnauthorized, w.do(withKey("c", "/unsafe/x", "key-x")).status, must.Sprint("an unknown key is refused even on a public route"))
+	must.Eq(t, http.StatusUnauthorized, env.do(withKey("c", "/unsafe/x", "key-x")).status, must.Sprint("an unknown key is refused even on a public route"))
 	must.Eq(t, 2, replica.count())
 }
 
 // Before any configuration has arrived no key is refused, since it may be valid.
 func TestNoKeyIsRefusedBeforeAConfiguration(t *testing.T) {
-	w := newTestEnv(t, newFakeReplica(t, "r-1", answerOK))
-	bare := New(Config{Name: "p", Dialect: testDialect{}}, &viewHolder{current: view.New()}, w.ingress.clock, w.ingress.logger)
+	env := newTestEnv(t, newFakeReplica(t, "r-1", answerOK))
+	bare := New(Config{Name: "p", Dialect: testDialect{}}, &viewHolder{current: view.New()}, env.ingress.clock, env.ingress.logger)
 	defer bare.Close()
-	w.server.Config.Handler = bare
-	got := w.do(withKey("a", "/safe/x", "key-n"))
+	env.server.Config.Handler = bare
+	got := env.do(withKey("a", "/safe/x", "key-n"))
 	must.Eq(t, http.StatusServiceUnavailable, got.status)
 	must.NotEq(t, "", got.header.Get(testAgain))
 }
@@ -93,11 +93,11 @@
 // The body of a refused caller is not read: the answer arrives while the body is still being
 // sent.
 func TestUnknownCallersAreRefusedBeforeTheirBodies(t *testing.T) {
-	w := newTestEnv(t, newFakeReplica(t, "r-1", answerOK))
-	w.requireKeys(tenant("north", 0, "key-n"))
+	env := newTestEnv(t, newFakeReplica(t, "r-1", answerOK))
+	env.requireKeys(tenant("north", 0, "key-n"))
 	body, sending := io.Pipe()
 	defer func() { _ = sending.Close() }()
-	request, err := http.NewRequest("POST", w.server.URL, body)
+	request, err := http.NewRequest("POST", env.server.URL, body)
 	must.NoError(t, err)
 	request.URL.Opaque, request.Host = "/model/", "a.example"
 	request.Header.Set(testID, "a")
@@ -106,7 +106,7 @@
 	must.NoError(t, err)
 	defer func() { _ = response.Body.Close() }()
 	must.Eq(t, http.StatusUnauthorized, response.StatusCode)
-	_, opened := w.ingress.upstreams.byService["model"]
+	_, opened := env.ingress.upstreams.byService["model"]
 	must.False(t, opened, must.Sprint("no state is created for a refused call"))
 }
 
@@ -115,12 +115,12 @@
 	reader := newFakeReplica(t, "read", answerPrefill)
 	cut := newFakeReplica(t, "make-1", streamEvents(2, "cut"))
 	whole := newFakeReplica(t, "make-2", streamEvents(4, ""))
-	w := newModelEnv(t, reader, cut, whole)
-	w.requireKeys(tenant("north", 3, "key-n"))
-	w.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make-1", Reader: "read"}}
+	env := newModelEnv(t, reader, cut, whole)
+	env.requireKeys(tenant("north", 3, "key-n"))
+	env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make-1", Reader: "read"}}
 	given := modelRequest
 	given.fields = map[string]string{testTokens: "9000", testKey: "key-n", testTenant: "south"}
-	must.Eq(t, eventTexts(1, 4), w.do(given).body)
+	must.Eq(t, eventTexts(1, 4), env.do(given).body)
 	for _, replica := range []*fakeReplica{reader, cut, whole} {
 		must.SliceNotEmpty(t, replica.requests)
 		for _, sent := range replica.requests {
@@ -142,12 +142,12 @@
 		<-end
 		_, _ = io.WriteString(w, eventText(2))
 	})
-	w := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), slow, nil)
-	w.requireKeys(tenant("north", 3, "key-n", "key-o"))
+	env := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), slow, nil)
+	env.requireKeys(tenant("north", 3, "key-n", "key-o"))
 	client := &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1}}
 	defer client.CloseIdleConnections()
 	ask := func(id, resume, key string) (*http.Response, error) {
-		request, err := http.NewRequest("POST", w.server.URL, strings.NewReader(""))
+		request, err := http.NewRequest("POST", env.server.URL, strings.NewReader(""))
 		must.NoError(t, err)
 		request.URL.Opaque, request.Host = "/model/", "a.example"
 		request.Header.Set(testID, id)
@@ -159,7 +159,7 @@
 	response, err := ask("a", "", "key-n")
 	must.NoError(t, err)
 	<-begun
-	w.requireKeys(tenant("north", 3, "key-o"))
+	env.requireKeys(tenant("north", 3, "key-o"))
 	close(end)
 	body, err := io.ReadAll(response.Body)
 	must.NoError(t, err)
@@ -189,12 +189,12 @@
 		want   int
 	}{{false, time.Hour, 200}, {true, time.Second, 200}, {true, 4500 * time.Millisecond, 503}}
 	for _, each := range cases {
-		w := newTestEnv(t, newFakeReplica(t, "r-1", answerOK))
-		w.requireKeys(tenant("north", 0, "key-n"))
-		w.ingress.config.Keys = Keys{FailClosed: each.closed, RevokeWithin: 5 * time.Second}
-		w.ingress.confirmer = confirmedAgo(each.since)
-		must.Eq(t, each.want, w.do(withKey("a", "/safe/x", "key-n")).status)
+		env := newTestEnv(t, newFakeReplica(t, "r-1", answerOK))
+		env.requireKeys(tenant("north", 0, "key-n"))
+		env.ingress.config.Keys = Keys{FailClosed: each.closed, RevokeWithin: 5 * time.Second}
+		env.ingress.confirmer = confirmedAgo(each.since)
+		must.Eq(t, each.want, env.do(withKey("a", "/safe/x", "key-n")).status)
 		public := testRequest{method: "POST", target: "/unsafe/x", id: "b"}
-		must.Eq(t, http.StatusOK, w.do(public).status)
+		must.Eq(t, http.StatusOK, env.do(public).status)
 	}
 }
--- a/process/ingress/belief_test.go
+++ b/process/ingress/belief_test.go
@@ -25,9 +25,9 @@
 		w.Header().Set(testLoad, "7")
 		w.WriteHeader(http.StatusMisdirectedRequest)
 	})
-	w := newTestEnv(t, replica)
-	must.Eq(t, http.StatusServiceUnavailable, w.do(testRequest{method: "GET", target: "/safe/", id: "q"}).status)
-	must.Eq(t, 0, w.ingress.upstreams.get("plain").find("r-1").reportedRequests())
+	env := newTestEnv(t, replica)
+	must.Eq(t, http.StatusServiceUnavailable, env.do(testRequest{method: "GET", target: "/safe/", id: "q"}).status)
+	must.Eq(t, 0, env.ingress.upstreams.get("plain").find("r-1").reportedRequests())
 }
 
 // A status that promises that the request was not run is passed on only if the replica states so
@@ -35,8 +35,8 @@
 func TestNotRunStatusRequiresTheReplicasStatement(t *testing.T) {
 	for _, status := range []int{http.StatusRequestTimeout, http.StatusTooManyRequests, http.StatusServiceUnavailable} {
 		t.Run(http.StatusText(status), func(t *testing.T) {
-			w := newTestEnv(t, newFakeReplica(t, "r-1", answerStatus(status)))
-			got := w.do(testRequest{method: "POST", target: "/unsafe/", id: "q"})
+			env := newTestEnv(t, newFakeReplica(t, "r-1", answerStatus(status)))
+			got := env.do(testRequest{method: "POST", target: "/unsafe/", id: "q"})
 			must.NoError(t, got.err)
 			must.Eq(t, http.StatusBadGateway, got.status)
 			must.Eq(t, "", got.header.Get(testGenuine))
@@ -67,14 +67,14 @@
 		_ = listener.Close()
 		serving.Wait()
 	})
-	w := newTestEnv(t)
-	w.views.set(func(v *view.View) {
+	env := newTestEnv(t)
+	env.views.set(func(v *view.View) {
 		v.Replicas = map[string]*api.Replica{"r-1": {
 			Metadata: api.Metadata{Name: "r-1"},
 			Spec:     api.ReplicaSpec{Service: "plain", Address: listener.Addr().String(), Zone: "zone-a", Slots: 8},
 		}}
 	})
-	got := w.do(testRequest{method: "POST", target: "/unsafe/", id: "q"})
+	got := env.do(testRequest{method: "POST", target: "/unsafe/", id: "q"})
 	eventually(t, "the first replica runs the request", func() bool { return ran.Load() == 1 })
 	must.Eq(t, http.StatusBadGateway, got.status, must.Sprint("the request has run, so the answer must not promise that it has not"))
 }
@@ -87,9 +87,9 @@
 		_, _ = io.WriteString(w, `"handle-7\r\nSmuggled: 1"`)
 	})
 	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	w := newModelEnv(t, reader, generator, nil)
-	w.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read", Unread: 9000}}
-	got := w.do(modelRequest)
+	env := newModelEnv(t, reader, generator, nil)
+	env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read", Unread: 9000}}
+	got := env.do(modelRequest)
 	must.NoError(t, got.err)
 	for _, request := range generator.requests {
 		must.Eq(t, "", request.Header.Get("Smuggled"))
@@ -99,12 +99,12 @@
 
 // recordingPlacer records the numbers of the placement requests and of the notes that end them.
 type recordingPlacer struct {
-	asked []uint64
-	ended []uint64
+	placed []uint64
+	ended  []uint64
 }
 
 func (p *recordingPlacer) Place(_ context.Context, request feed.PlaceRequest) (placement.Answer, error) {
-	p.asked = append(p.asked, request.Number)
+	p.placed = append(p.placed, request.Number)
 	return placement.Answer{}, feed.ErrNotPlaced
 }
 
@@ -119,10 +119,10 @@
 // another number. Unless the control group is told, the placement board counts the request twice
 // until two seconds after its deadline.
 func TestTheGroupIsToldOfAbandonedPlacements(t *testing.T) {
-	w := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), newFakeReplica(t, "make", streamEvents(1, "")), nil)
+	env := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), newFakeReplica(t, "make", streamEvents(1, "")), nil)
 	placer := &recordingPlacer{}
-	w.ingress.placer = placer
-	must.NoError(t, w.do(modelRequest).err)
-	must.SliceLen(t, 1, placer.asked)
-	must.SliceContains(t, placer.ended, placer.asked[0])
+	env.ingress.placer = placer
+	must.NoError(t, env.do(modelRequest).err)
+	must.SliceLen(t, 1, placer.placed)
+	must.SliceContains(t, placer.ended, placer.placed[0])
 }
--- a/process/ingress/budget_test.go
+++ b/process/ingress/budget_test.go
@@ -14,8 +14,8 @@
 
 // withLongObjective gives all routes an objective that is long enough even for a slow test
 // machine: a replica that passes for silent would cost a retry.
-func (w *testEnv) withLongObjective() {
-	w.views.set(func(v *view.View) {
+func (env *testEnv) withLongObjective() {
+	env.views.set(func(v *view.View) {
 		patient := testIngress()
 		for i := range patient.Spec.Routes {
 			patient.Spec.Routes[i].ObjectiveMilliseconds = testTimeout.Milliseconds()
@@ -26,9 +26,9 @@
 
 // withReserve sets the number of retries that the model service may use, without a share of its
 // requests.
-func (w *testEnv) withReserve(reserve float64) {
-	w.ingress.routes()
-	w.ingress.upstreams.get("model").budget = retry.NewWindow(0, reserve, time.Hour)
+func (env *testEnv) withReserve(reserve float64) {
+	env.ingress.routes()
+	env.ingress.upstreams.get("model").budget = retry.NewWindow(0, reserve, time.Hour)
 }
 
 // Each refused prefill counts as a retry. Once they have overdrawn the budget, the decode
@@ -36,27 +36,27 @@
 func TestRefusedPrefillsEndWithTheBudget(t *testing.T) {
 	reader := newFakeReplica(t, "read", refuseRun)
 	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	w := newModelEnv(t, reader, generator, nil)
-	w.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
-	w.withLongObjective()
-	w.withReserve(2)
-	const askedAt = 10
-	for range askedAt {
-		must.Eq(t, eventTexts(1, 2), w.do(modelRequest).body)
+	env := newModelEnv(t, reader, generator, nil)
+	env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
+	env.withLongObjective()
+	env.withReserve(2)
+	const requests = 10
+	for range requests {
+		must.Eq(t, eventTexts(1, 2), env.do(modelRequest).body)
 	}
 	must.Eq(t, 2, reader.count())
-	must.Eq(t, askedAt, generator.count())
+	must.Eq(t, requests, generator.count())
 }
 
 // An overdrawn budget does not prevent a prefill on a reliable replica.
 func TestReliablePrefillReplicasIgnoreAnOverdrawnBudget(t *testing.T) {
 	reader := newFakeReplica(t, "read", answerPrefill)
 	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	w := newModelEnv(t, reader, generator, nil)
-	w.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
-	w.withReserve(0)
-	w.ingress.upstreams.get("model").budget.Force(w.ingress.now())
-	must.Eq(t, eventTexts(1, 2), w.do(modelRequest).body)
+	env := newModelEnv(t, reader, generator, nil)
+	env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
+	env.withReserve(0)
+	env.ingress.upstreams.get("model").budget.Force(env.ingress.now())
+	must.Eq(t, eventTexts(1, 2), env.do(modelRequest).body)
 	must.Eq(t, 1, reader.count())
 	must.NotEq(t, "", generator.requests[0].Header.Get(testSource))
 }
@@ -66,15 +66,15 @@
 func TestFailedPrefillsCostNoRetry(t *testing.T) {
 	reader := newFakeReplica(t, "read", answerStatus(http.StatusInternalServerError))
 	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	w := newModelEnv(t, reader, generator, nil)
-	w.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
-	w.withReserve(0)
-	const askedAt = 10
-	for range askedAt {
-		must.Eq(t, eventTexts(1, 2), w.do(modelRequest).body)
+	env := newModelEnv(t, reader, generator, nil)
+	env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
+	env.withReserve(0)
+	const requests = 10
+	for range requests {
+		must.Eq(t, eventTexts(1, 2), env.do(modelRequest).body)
 	}
-	must.False(t, w.ingress.upstreams.get("model").budget.Overdrawn(w.ingress.now()))
-	must.Eq(t, askedAt, generator.count())
+	must.False(t, env.ingress.upstreams.get("model").budget.Overdrawn(env.ingress.now()))
+	must.Eq(t, requests, generator.count())
 }
 
 // A prefill without an answer may not have been accepted; the run that follows then counts as a
@@ -82,11 +82,11 @@
 func TestUnansweredPrefillsCountAsRetries(t *testing.T) {
 	reader := newFakeReplica(t, "read", closeConnection)
 	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	w := newModelEnv(t, reader, generator, nil)
-	w.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
-	w.withReserve(2)
+	env := newModelEnv(t, reader, generator, nil)
+	env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
+	env.withReserve(2)
 	for range 10 {
-		must.Eq(t, eventTexts(1, 2), w.do(modelRequest).body)
+		must.Eq(t, eventTexts(1, 2), env.do(modelRequest).body)
 	}
 	must.Eq(t, 2, reader.count())
 }
@@ -99,10 +99,10 @@
 	}{{1, 1}, {2, 2}} {
 		reader := newFakeReplica(t, "read", answerPrefill)
 		generator := newFakeReplica(t, "make", refuseRun)
-		w := newModelEnv(t, reader, generator, nil)
-		w.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
-		w.withReserve(test.reserve)
-		must.Eq(t, http.StatusServiceUnavailable, w.do(modelRequest).status)
+		env := newModelEnv(t, reader, generator, nil)
+		env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
+		env.withReserve(test.reserve)
+		must.Eq(t, http.StatusServiceUnavailable, env.do(modelRequest).status)
 		must.Eq(t, 2, generator.count())
 		must.Eq(t, test.reads, reader.count())
 	}
@@ -117,11 +117,11 @@
 		refuseRun(w, r)
 	})
 	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	w := newModelEnv(t, reader, generator, nil)
-	w.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
+	env := newModelEnv(t, reader, generator, nil)
+	env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
 	request := modelRequest
 	request.fields = map[string]string{testTokens: "9000", testWithin: "400"}
-	got := w.do(request)
+	got := env.do(request)
 	must.NoError(t, got.err)
 	must.Eq(t, http.StatusServiceUnavailable, got.status)
 	must.NotEq(t, "", got.header.Get(testAgain))
--- a/process/ingress/cacheguess.go
+++ b/process/ingress/cacheguess.go
@@ -23,10 +23,10 @@
 }
 
 // leadingTokens returns the tokens of the leading parts that are probably cached.
-func (g *cacheEstimate) leadingTokens(parts []Part) int {
+func (e *cacheEstimate) leadingTokens(parts []Part) int {
 	tokens := 0
 	for _, part := range parts {
-		if g.parts[part.ID] == nil {
+		if e.parts[part.ID] == nil {
 			break
 		}
 		tokens += part.Tokens
@@ -35,18 +35,18 @@
 }
 
 // add records that the replica now holds the parts.
-func (g *cacheEstimate) add(parts []Part) {
+func (e *cacheEstimate) add(parts []Part) {
 	for _, part := range parts {
-		if known := g.parts[part.ID]; known != nil {
-			g.order.MoveToFront(known)
+		if known := e.parts[part.ID]; known != nil {
+			e.order.MoveToFront(known)
 			continue
 		}
-		g.parts[part.ID] = g.order.PushFront(part)
+		e.parts[part.ID] = e.order.PushFront(part)
 	}
-	for g.order.Len() > maxEstimatedParts {
-		oldest := g.order.Back()
-		delete(g.parts, oldest.Value.(Part).ID)
-		g.order.Remove(oldest)
+	for e.order.Len() > maxEstimatedParts {
+		oldest := e.order.Back()
+		delete(e.parts, oldest.Value.(Part).ID)
+		e.order.Remove(oldest)
 	}
 }
 
@@ -76,10 +76,10 @@
 
 // reportCachedParts tells a new leader of this proxy which parts the replicas probably hold.
 func (i *Ingress) reportCachedParts(to groupReporter) {
-	for _, opened := range i.upstreams.all() {
-		for _, known := range opened.fleet.inUse() {
-			if parts := known.cachedParts(); len(parts) > 0 {
-				to.ReportKept(feed.KeptParts{Service: opened.service, Replica: known.name, Parts: parts})
+	for _, upstream := range i.upstreams.all() {
+		for _, current := range upstream.fleet.inUse() {
+			if parts := current.cachedParts(); len(parts) > 0 {
+				to.ReportKept(feed.KeptParts{Service: upstream.service, Replica: current.name, Parts: parts})
 			}
 		}
 	}
@@ -87,6 +87,6 @@
 
 // groupReporter is the connection to the control group; implemented by *feed.Client.
 type groupReporter interface {
-	ReportInFlight(recorded feed.InFlight) bool
+	ReportInFlight(report feed.InFlight) bool
 	ReportKept(kept feed.KeptParts) bool
 }
--- a/process/ingress/charge.go
+++ b/process/ingress/charge.go
@@ -39,30 +39,30 @@
 		return charge{}, nil
 	}
 	limit := tenant.Spec.Quota
-	askedAt := charge{tenant: tenant.Name, cost: limit.Cost(call.Work.PromptTokens + call.Work.OutputTokens)}
-	grant, err := i.askCharge(ctx, askedAt)
+	amount := charge{tenant: tenant.Name, cost: limit.Cost(call.Work.PromptTokens + call.Work.OutputTokens)}
+	grant, err := i.askCharge(ctx, amount)
 	if err == nil {
-		i.standaloneQuota.Heard(askedAt.tenant, limit, grant)
+		i.standaloneQuota.Heard(amount.tenant, limit, grant)
 	} else {
-		askedAt.standalone = true
-		grant = i.standaloneQuota.Charge(i.now(), askedAt.tenant, limit, askedAt.cost, i.sharing())
+		amount.standalone = true
+		grant = i.standaloneQuota.Charge(i.now(), amount.tenant, limit, amount.cost, i.sharing())
 	}
 	if grant.Granted {
-		return askedAt, nil
+		return amount, nil
 	}
-	event.QuotaRefused.Log(i.logger, "request", call.ID, "tenant", askedAt.tenant, "cost", askedAt.cost, "left", grant.Left,
-		"wait_ms", grant.Wait.Milliseconds(), "alone", askedAt.standalone)
+	event.QuotaRefused.Log(i.logger, "request", call.ID, "tenant", amount.tenant, "cost", amount.cost, "left", grant.Left,
+		"wait_ms", grant.Wait.Milliseconds(), "alone", amount.standalone)
 	wait := max(grant.Wait, minimumRetryAfter)
 	return charge{}, &localRefusal{status: http.StatusTooManyRequests, cause: causeOverQuota, retryAfter: wait}
 }
 
-func (i *Ingress) askCharge(ctx context.Context, askedAt charge) (quota.Grant, error) {
+func (i *Ingress) askCharge(ctx context.Context, amount charge) (quota.Grant, error) {
 	if i.charger == nil {
 		return quota.Grant{}, feed.ErrNotCharged
 	}
 	ctx, cancel := context.WithTimeout(ctx, chargeTimeout)
 	defer cancel()
-	return i.charger.Charge(ctx, feed.ChargeRequest{Tenant: askedAt.tenant, Cost: askedAt.cost})
+	return i.charger.Charge(ctx, feed.ChargeRequest{Tenant: amount.tenant, Cost: amount.cost})
 }
 
 // sharing returns how quotas are divided while the control group is unreachable.
--- a/process/ingress/charge_test.go
+++ b/process/ingress/charge_test.go
@@ -39,24 +39,24 @@
 // newQuotaEnv returns an environment with a tenant whose quota is the given number of tokens per
 // second, and its charger.
 func newQuotaEnv(t *testing.T, perSecond float64, replicas ...*fakeReplica) (*testEnv, *fakeCharger) {
-	w := newTestEnv(t, replicas...)
+	env := newTestEnv(t, replicas...)
 	bounded := tenant("north", 0, "key-n")
 	bounded.Quota = api.Quota{Unit: api.QuotaTokens, PerSecond: perSecond, Burst: perSecond, PlainTokens: 20}
-	w.requireKeys(bounded, tenant("south", 0, "key-s"))
-	w.ingress.config.Quotas = quota.Rule{Window: 8 * time.Second, Overshoot: 0.1}
-	w.ingress.standaloneQuota = quota.NewAlone(w.ingress.config.Quotas)
+	env.requireKeys(bounded, tenant("south", 0, "key-s"))
+	env.ingress.config.Quotas = quota.Rule{Window: 8 * time.Second, Overshoot: 0.1}
+	env.ingress.standaloneQuota = quota.NewAlone(env.ingress.config.Quotas)
 	charger := &fakeCharger{grant: quota.Grant{Granted: true}}
-	w.ingress.charger = charger
-	return w, charger
+	env.ingress.charger = charger
+	return env, charger
 }
 
 func TestRequestsAreChargedToTheirTenant(t *testing.T) {
 	replica := newFakeReplica(t, "r-1", answerOK)
-	w, charger := newQuotaEnv(t, 100, replica)
-	must.Eq(t, http.StatusOK, w.do(withKey("a", "/safe/x", "key-n")).status)
+	env, charger := newQuotaEnv(t, 100, replica)
+	must.Eq(t, http.StatusOK, env.do(withKey("a", "/safe/x", "key-n")).status)
 	must.Eq(t, []feed.ChargeRequest{{Tenant: "north", Cost: 20}}, charger.charged)
-	must.Eq(t, http.StatusOK, w.do(withKey("b", "/safe/x", "key-s")).status)
-	must.Eq(t, http.StatusUnauthorized, w.do(withKey("c", "/safe/x", "key-x")).status)
+	must.Eq(t, http.StatusOK, env.do(withKey("b", "/safe/x", "key-s")).status)
+	must.Eq(t, http.StatusUnauthorized, env.do(withKey("c", "/safe/x", "key-x")).status)
 	must.SliceLen(t, 1, charger.charged, must.Sprint("neither a tenant without a quota nor an unknown caller is charged"))
 	must.SliceEmpty(t, charger.returned)
 }
@@ -65,9 +65,9 @@
 // accepted.
 func TestRequestsOverTheQuotaAreRefused(t *testing.T) {
 	replica := newFakeReplica(t, "r-1", answerOK)
-	w, charger := newQuotaEnv(t, 100, replica)
+	env, charger := newQuotaEnv(t, 100, replica)
 	charger.grant = quota.Grant{Wait: 1500 * time.Millisecond}
-	refused := w.do(withKey("a", "/safe/x", "key-n"))
+	refused := env.do(withKey("a", "/safe/x", "key-n"))
 	must.Eq(t, http.StatusTooManyRequests, refused.status)
 	must.Eq(t, "1.5s", refused.header.Get(testAgain))
 	must.Eq(t, 0, replica.count())
@@ -76,22 +76,22 @@
 
 // A request that certainly did not run is refunded.
 func TestRequestsThatDidNotRunAreRefunded(t *testing.T) {
-	w, charger := newQuotaEnv(t, 100, newFakeReplica(t, "r-1", refuseRun))
-	must.Eq(t, http.StatusServiceUnavailable, w.do(withKey("a", "/safe/x", "key-n")).status)
+	env, charger := newQuotaEnv(t, 100, newFakeReplica(t, "r-1", refuseRun))
+	must.Eq(t, http.StatusServiceUnavailable, env.do(withKey("a", "/safe/x", "key-n")).status)
 	must.Eq(t, charger.charged, charger.returned)
 }
 
 // While no member answers its charges, a proxy spends its own part of the quota and no more.
 func TestStandaloneProxySpendsItsPartOfTheQuota(t *testing.T) {
-	w, charger := newQuotaEnv(t, 20, newFakeReplica(t, "r-1", answerOK))
+	env, charger := newQuotaEnv(t, 20, newFakeReplica(t, "r-1", answerOK))
 	charger.err = feed.ErrNotCharged
-	w.ingress.upstreams.proxies.Store(1000)
+	env.ingress.upstreams.proxies.Store(1000)
 	for range 5 {
-		must.Eq(t, http.StatusTooManyRequests, w.do(withKey("a", "/safe/x", "key-n")).status)
+		must.Eq(t, http.StatusTooManyRequests, env.do(withKey("a", "/safe/x", "key-n")).status)
 	}
 	charger.err, charger.grant = nil, quota.Grant{Granted: true, Left: 20}
-	must.Eq(t, http.StatusOK, w.do(withKey("a", "/safe/x", "key-n")).status)
+	must.Eq(t, http.StatusOK, env.do(withKey("a", "/safe/x", "key-n")).status)
 	charger.err = feed.ErrNotCharged
-	must.Eq(t, http.StatusOK, w.do(withKey("a", "/safe/x", "key-n")).status, must.Sprint("the tenant was far from its limit"))
-	must.Eq(t, http.StatusTooManyRequests, w.do(withKey("a", "/safe/x", "key-n")).status)
+	must.Eq(t, http.StatusOK, env.do(withKey("a", "/safe/x", "key-n")).status, must.Sprint("the tenant was far from its limit"))
+	must.Eq(t, http.StatusTooManyRequests, env.do(withKey("a", "/safe/x", "key-n")).status)
 }
--- a/process/ingress/dial_test.go
+++ b/process/ingress/dial_test.go
@@ -18,19 +18,19 @@
 	hanging, err := backlog.NewFull()
 	must.NoError(t, err)
 	defer hanging.Close()
-	w := newTestEnv(t)
-	w.views.set(func(v *view.View) {
+	env := newTestEnv(t)
+	env.views.set(func(v *view.View) {
 		v.Replicas = map[string]*api.Replica{"make": {Metadata: api.Metadata{Name: "make"},
 			Spec: api.ReplicaSpec{Service: "model", Address: hanging.Address(), Zone: "zone-a", Slots: 8, Role: api.RoleDecode}}}
 	})
 	placer := &fakePlacer{answer: placement.Answer{Generator: "make"}}
-	w.ingress.placer = placer
+	env.ingress.placer = placer
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
 	request := httptest.NewRequest(http.MethodPost, "http://a.example/model/", http.NoBody).WithContext(ctx)
 	request.RequestURI = "/model/"
 	request.Header.Set(testID, "q")
 	request.Header.Set(testTokens, "9000")
-	func() { defer func() { _ = recover() }(); w.ingress.ServeHTTP(httptest.NewRecorder(), request) }()
+	func() { defer func() { _ = recover() }(); env.ingress.ServeHTTP(httptest.NewRecorder(), request) }()
 	must.SliceNotContains(t, placer.steps(), placement.StepFailed)
 }
--- a/process/ingress/ended.go
+++ b/process/ingress/ended.go
@@ -50,21 +50,21 @@
 	}
 	s.ingress.metrics.broken.WithLabelValues(s.upstream.service, stage).Inc()
 	now := s.ingress.now()
-	address := addressUnknown
+	state := addressUnknown
 	if stage == stageRun && (s.isolated || sent.events == 0) {
-		address = probeAddress(target)
+		state = probeAddress(target)
 	}
-	isolated := s.isolated && address == addressRefuses
+	isolated := s.isolated && state == addressRefuses
 	event.RunBroken.Log(s.ingress.logger, "request", s.call.ID, "fingerprint", s.fingerprint(), "route", s.route.Name,
 		"stage", stage, "replica", target.incarnation(), "after_ms", (now - sent.at).Milliseconds(),
-		"events", sent.events, "alone", isolated, "listens", address == addressListens, "leaving", target.isLeaving(), "err", err)
+		"events", sent.events, "alone", isolated, "listens", state == addressListens, "leaving", target.isLeaving(), "err", err)
 	if stage == stageRun {
 		s.crashes++
 	}
 	target.noteCrash(now)
 	s.ingress.guard.Ended(now, quarantine.Evidence{
 		Fingerprint: s.fingerprint(), Replica: target.incarnation(), Began: sent.events > 0, Read: stage == stagePrefill,
-		Alone: isolated, Listens: address == addressListens, Ran: now - sent.at, Once: target.spec().Born != 0,
+		Alone: isolated, Listens: state == addressListens, Ran: now - sent.at, Once: target.spec().Born != 0,
 		About: quarantine.About{Service: s.upstream.service, Route: s.route.Name, Request: s.call.ID},
 	})
 }
--- a/process/ingress/ended_test.go
+++ b/process/ingress/ended_test.go
@@ -17,15 +17,15 @@
 // fingerprint, which is independent of the request ID.
 func TestBrokenRunsAreLoggedWithTheFingerprint(t *testing.T) {
 	replica := newFakeReplica(t, "r-1", closeConnection)
-	w := newTestEnv(t, replica)
+	env := newTestEnv(t, replica)
 	var logged bytes.Buffer
-	w.ingress.logger = log.NewLogfmtLogger(log.NewSyncWriter(&logged))
-	w.views.set(func(v *view.View) {
+	env.ingress.logger = log.NewLogfmtLogger(log.NewSyncWriter(&logged))
+	env.views.set(func(v *view.View) {
 		v.Replicas = map[string]*api.Replica{"r-1": replicaObject(replica, "plain", api.RoleNone)}
 	})
-	w.do(testRequest{method: "POST", target: "/unsafe/a", id: "one", body: "x"})
-	w.do(testRequest{method: "POST", target: "/unsafe/a", id: "two", body: "x"})
-	w.do(testRequest{method: "POST", target: "/unsafe/a", id: "other", body: "y"})
+	env.do(testRequest{method: "POST", target: "/unsafe/a", id: "one", body: "x"})
+	env.do(testRequest{method: "POST", target: "/unsafe/a", id: "two", body: "x"})
+	env.do(testRequest{method: "POST", target: "/unsafe/a", id: "other", body: "y"})
 	found := loggedFingerprint.FindAllStringSubmatch(logged.String(), -1)
 	must.SliceLen(t, 3, found, must.Sprint(logged.String()))
 	must.Eq(t, found[0][2], found[1][2])
@@ -35,11 +35,11 @@
 
 // Neither a complete answer nor a refusal is logged as a broken run.
 func TestAnswersAreNotLoggedAsBrokenRuns(t *testing.T) {
-	w := newTestEnv(t, newFakeReplica(t, "r-1", answerOK), newFakeReplica(t, "r-2", refuseRun))
+	env := newTestEnv(t, newFakeReplica(t, "r-1", answerOK), newFakeReplica(t, "r-2", refuseRun))
 	var logged bytes.Buffer
-	w.ingress.logger = log.NewLogfmtLogger(log.NewSyncWriter(&logged))
+	env.ingress.logger = log.NewLogfmtLogger(log.NewSyncWriter(&logged))
 	for range 4 {
-		must.Eq(t, 200, w.do(testRequest{method: "GET", target: "/safe/a", id: "one"}).status)
+		must.Eq(t, 200, env.do(testRequest{method: "GET", target: "/safe/a", id: "one"}).status)
 	}
 	must.StrNotContains(t, logged.String(), "event=4606")
 }
--- a/process/ingress/fleet.go
+++ b/process/ingress/fleet.go
@@ -36,11 +36,11 @@
 	choiceCache []*replica
 }
 
-func newFleet(service string, pool *exchange.Pool, asks *holdoff.Table, named func(name string) *api.Replica) *fleet {
-	if named == nil {
-		named = func(string) *api.Replica { return nil }
+func newFleet(service string, pool *exchange.Pool, holdoffs *holdoff.Table, lookupNamed func(name string) *api.Replica) *fleet {
+	if lookupNamed == nil {
+		lookupNamed = func(string) *api.Replica { return nil }
 	}
-	return &fleet{service: service, pool: pool, holdoffs: asks, lookupNamed: named, tracked: map[string]*replica{}}
+	return &fleet{service: service, pool: pool, holdoffs: holdoffs, lookupNamed: lookupNamed, tracked: map[string]*replica{}}
 }
 
 // entry returns the replica's entry in the list or from an answer of the control group, nil if
@@ -61,12 +61,12 @@
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	f.listed, f.choiceCache = listed, nil
-	for name, known := range f.tracked {
+	for name, current := range f.tracked {
 		entry := f.entry(name)
 		switch {
 		case entry == nil:
-			f.drop(known)
-		case known.isIdle(now) && !f.pool.Idle(entry.Spec.Address):
+			f.drop(current)
+		case current.isIdle(now) && !f.pool.Idle(entry.Spec.Address):
 			delete(f.tracked, name)
 		default:
 			f.track(entry, now)
@@ -83,19 +83,19 @@
 // track applies the entry of a replica and keeps its state unless the entry is of another
 // process. The caller must hold the lock.
 func (f *fleet) track(entry *api.Replica, now time.Duration) *replica {
-	known := f.tracked[entry.Name]
-	if known != nil && !isSameProcess(known.spec(), &entry.Spec) {
-		f.drop(known)
-		known = nil
+	current := f.tracked[entry.Name]
+	if current != nil && !isSameProcess(current.spec(), &entry.Spec) {
+		f.drop(current)
+		current = nil
 	}
-	asks := f.holdoffs.Follow(entry.Name, processOf(entry), now)
-	if known == nil {
-		known = newReplica(entry.Name, entry.Spec, asks)
-		known.usedAt = now
-		f.tracked[entry.Name] = known
+	pauseState := f.holdoffs.Follow(entry.Name, processOf(entry), now)
+	if current == nil {
+		current = newReplica(entry.Name, entry.Spec, pauseState)
+		current.usedAt = now
+		f.tracked[entry.Name] = current
 	}
-	known.currentSpec.Store(&entry.Spec)
-	return known
+	current.currentSpec.Store(&entry.Spec)
+	return current
 }
 
 func processOf(entry *api.Replica) holdoff.Process {
@@ -127,8 +127,8 @@
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	used := make([]*replica, 0, len(f.tracked))
-	for _, known := range f.tracked {
-		used = append(used, known)
+	for _, current := range f.tracked {
+		used = append(used, current)
 	}
 	slices.SortFunc(used, func(a, b *replica) int { return cmp.Compare(a.name, b.name) })
 	return used
@@ -136,7 +136,7 @@
 
 // forEach calls visit for the listed replicas in any order, each with its state or nil, until
 // visit returns false.
-func (f *fleet) forEach(visit func(entry *api.Replica, known *replica) bool) {
+func (f *fleet) forEach(visit func(entry *api.Replica, current *replica) bool) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	for name, entry := range f.listed {
--- a/process/ingress/foreign_test.go
+++ b/process/ingress/foreign_test.go
@@ -122,10 +122,10 @@
 func TestPrefillIgnoresAHandleOfAnotherRequest(t *testing.T) {
 	reader := newSurplusReplica(t, "read", newHandles().next, firstHandle)
 	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	w := newModelEnv(t, reader, generator, nil)
-	w.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
+	env := newModelEnv(t, reader, generator, nil)
+	env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
 	for _, id := range []string{"first", "second"} {
-		must.Eq(t, eventTexts(1, 2), w.do(modelRequestWithID(id)).body)
+		must.Eq(t, eventTexts(1, 2), env.do(modelRequestWithID(id)).body)
 	}
 	must.Eq(t, 2, reader.count())
 	for _, run := range generator.requests {
@@ -140,11 +140,11 @@
 	reader := newSurplusReplica(t, "read", newHandles().next, firstHandle)
 	refusing := newFakeReplica(t, "make-1", refuseRun)
 	generator := newFakeReplica(t, "make-2", streamEvents(2, ""))
-	w := newModelEnv(t, reader, refusing, generator)
-	w.ingress.placer = &scriptedPlacer{answers: []placement.Answer{
+	env := newModelEnv(t, reader, refusing, generator)
+	env.ingress.placer = &scriptedPlacer{answers: []placement.Answer{
 		{Generator: "make-1", Reader: "read"}, {Generator: "make-2", Reader: "read"},
 	}}
-	must.Eq(t, eventTexts(1, 2), w.do(modelRequestWithID("q")).body)
+	must.Eq(t, eventTexts(1, 2), env.do(modelRequestWithID("q")).body)
 	must.Eq(t, 2, reader.count())
 	must.Eq(t, reader.address()+"/q-1", refusing.requests[0].Header.Get(testSource))
 	must.Eq(t, reader.address()+"/q-2", generator.requests[0].Header.Get(testSource))
@@ -157,11 +157,11 @@
 		return "HTTP/1.1 503 Service Unavailable\r\n" + testNotRun + ": 1\r\nContent-Length: 0\r\n\r\n"
 	}
 	first := newSurplusReplica(t, "r-1", func(r *http.Request) string { return "answer to " + r.Header.Get(testID) }, refusal)
-	w := newTestEnv(t, first)
-	must.Eq(t, http.StatusOK, w.do(testRequest{method: "POST", target: "/unsafe/", id: "q-1"}).status)
+	env := newTestEnv(t, first)
+	must.Eq(t, http.StatusOK, env.do(testRequest{method: "POST", target: "/unsafe/", id: "q-1"}).status)
 	second := newFakeReplica(t, "r-2", answerOK)
-	first.server.Config.Handler = callFirst(first.server.Config.Handler, func() { w.setReplicas(first, second) })
-	got := w.do(testRequest{method: "POST", target: "/unsafe/", id: "q-2"})
+	first.server.Config.Handler = callFirst(first.server.Config.Handler, func() { env.setReplicas(first, second) })
+	got := env.do(testRequest{method: "POST", target: "/unsafe/", id: "q-2"})
 	must.Eq(t, 2, first.count())
 	must.Eq(t, 0, second.count(), must.Sprint("the request ran twice"))
 	must.True(t, got.status != http.StatusServiceUnavailable, must.Sprint("the request was reported as not run, but has run"))
@@ -170,12 +170,12 @@
 // An answer that names another request is logged with the ID of that request.
 func TestForeignAnswersAreLoggedAndCounted(t *testing.T) {
 	var lines sharedBuffer
-	w := newTestEnv(t, newFakeReplica(t, "r-1", answerForeign))
-	w.ingress.logger = log.NewLogfmtLogger(&lines)
-	w.do(testRequest{method: "GET", target: "/unsafe/", id: "q"})
+	env := newTestEnv(t, newFakeReplica(t, "r-1", answerForeign))
+	env.ingress.logger = log.NewLogfmtLogger(&lines)
+	env.do(testRequest{method: "GET", target: "/unsafe/", id: "q"})
 	must.StrContains(t, lines.String(), "name=answer_foreign request=q stage=run replica=r-1 reused=false answered=another status=200")
-	must.Eq(t, 1, w.ingress.metrics.values(t)["landingtrail_ingress_foreign_answers_total plain run"])
-	must.False(t, w.ingress.upstreams.get("plain").find("r-1").isSuspect(w.ingress.now()), must.Sprint("the replica is reachable"))
+	must.Eq(t, 1, env.ingress.metrics.values(t)["landingtrail_ingress_foreign_answers_total plain run"])
+	must.False(t, env.ingress.upstreams.get("plain").find("r-1").isSuspect(env.ingress.now()), must.Sprint("the replica is reachable"))
 }
 
 // A replica that answers another request is neither avoided nor reported as silent, and a prefill
@@ -183,16 +183,16 @@
 func TestReplicaThatAnswersAnotherRequestIsNotSilent(t *testing.T) {
 	reader := newFakeReplica(t, "read", answerForeign)
 	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	w := newModelEnv(t, reader, generator, nil)
+	env := newModelEnv(t, reader, generator, nil)
 	placer := &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
-	w.ingress.placer = placer
-	w.withReserve(2)
+	env.ingress.placer = placer
+	env.withReserve(2)
 	for range 10 {
-		must.Eq(t, eventTexts(1, 2), w.do(modelRequest).body)
+		must.Eq(t, eventTexts(1, 2), env.do(modelRequest).body)
 	}
 	must.Eq(t, 2, reader.count(), must.Sprint("each prefill may count as a second send"))
-	lane := w.ingress.upstreams.get("model")
-	must.False(t, lane.find("read").isSuspect(w.ingress.now()))
+	upstream := env.ingress.upstreams.get("model")
+	must.False(t, upstream.find("read").isSuspect(env.ingress.now()))
 	must.SliceNotContains(t, placer.steps(), placement.StepFailed)
 }
 
@@ -205,28 +205,28 @@
 	}
 	first := newSilentReplica(t, "r-1", func(r *http.Request) string { return "answer to " + r.Header.Get(testID) }, hang, release)
 	second := newFakeReplica(t, "r-2", answerOK)
-	w := newTestEnv(t, first)
-	must.Eq(t, http.StatusOK, w.do(testRequest{method: "GET", target: "/safe/", id: "q-1"}).status)
-	known := w.ingress.upstreams.get("plain").find("r-1")
-	first.server.Config.Handler = callFirst(first.server.Config.Handler, func() { w.setReplicas(first, second) })
-	got := w.do(testRequest{method: "GET", target: "/safe/", id: "q-2"})
+	env := newTestEnv(t, first)
+	must.Eq(t, http.StatusOK, env.do(testRequest{method: "GET", target: "/safe/", id: "q-1"}).status)
+	current := env.ingress.upstreams.get("plain").find("r-1")
+	first.server.Config.Handler = callFirst(first.server.Config.Handler, func() { env.setReplicas(first, second) })
+	got := env.do(testRequest{method: "GET", target: "/safe/", id: "q-2"})
 	must.Eq(t, "answer to q-2", got.body)
 	must.Eq(t, 1, second.count())
-	must.True(t, known.isSuspect(w.ingress.now()))
+	must.True(t, current.isSuspect(env.ingress.now()))
 }
 
 // By the time of the run another replica may have the address of a prefill replica that is gone.
 func TestHandleOfAReplicaThatIsGoneIsNotUsed(t *testing.T) {
 	reader := newFakeReplica(t, "read", answerPrefill)
 	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	w := newModelEnv(t, reader, generator, nil)
+	env := newModelEnv(t, reader, generator, nil)
 	reader.server.Config.Handler = callFirst(reader.server.Config.Handler, func() {
-		w.views.set(func(v *view.View) {
+		env.views.set(func(v *view.View) {
 			v.Replicas = map[string]*api.Replica{"make": replicaObject(generator, "model", api.RoleDecode)}
 		})
 	})
-	w.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
-	must.Eq(t, eventTexts(1, 2), w.do(modelRequestWithID("q")).body)
+	env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
+	must.Eq(t, eventTexts(1, 2), env.do(modelRequestWithID("q")).body)
 	must.Eq(t, 1, reader.count())
 	must.Eq(t, "", generator.requests[0].Header.Get(testSource))
 }
--- a/process/ingress/harness_test.go
+++ b/process/ingress/harness_test.go
@@ -315,23 +315,23 @@
 
 func newTestEnv(t *testing.T, replicas ...*fakeReplica) *testEnv {
 	t.Helper()
-	w := &testEnv{t: t, views: &viewHolder{current: view.New()}}
+	env := &testEnv{t: t, views: &viewHolder{current: view.New()}}
 	start := time.Now()
 	clock := func() time.Duration { return time.Since(start) }
-	w.ingress = New(Config{Name: "proxy-1", Zone: "zone-a", Dialect: testDialect{}, Retry: RetryBudget{Share: 1, Reserve: 100, Settle: -1}}, w.views, clock, log.NewNopLogger())
-	w.views.set(func(v *view.View) { v.Ingresses = map[string]*api.Ingress{api.IngressName: testIngress()} })
-	w.setReplicas(replicas...)
-	w.server = httptest.NewServer(w.ingress)
+	env.ingress = New(Config{Name: "proxy-1", Zone: "zone-a", Dialect: testDialect{}, Retry: RetryBudget{Share: 1, Reserve: 100, Settle: -1}}, env.views, clock, log.NewNopLogger())
+	env.views.set(func(v *view.View) { v.Ingresses = map[string]*api.Ingress{api.IngressName: testIngress()} })
+	env.setReplicas(replicas...)
+	env.server = httptest.NewServer(env.ingress)
 	t.Cleanup(func() {
-		w.server.Close()
-		w.ingress.Close()
+		env.server.Close()
+		env.ingress.Close()
 	})
-	return w
+	return env
 }
 
 // setReplicas replaces the list by the given plain replicas.
-func (w *testEnv) setReplicas(replicas ...*fakeReplica) {
-	w.views.set(func(v *view.View) {
+func (env *testEnv) setReplicas(replicas ...*fakeReplica) {
+	env.views.set(func(v *view.View) {
 		v.Replicas = map[string]*api.Replica{}
 		for _, replica := range replicas {
 			v.Replicas[replica.name] = replicaObject(replica, "plain", api.RoleNone)
@@ -366,20 +366,20 @@
 
 var testClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true}}
 
-func (w *testEnv) do(given testRequest) testResponse {
-	w.t.Helper()
-	request, err := http.NewRequest(given.method, w.server.URL, strings.NewReader(given.body))
-	must.NoError(w.t, err)
-	request.URL.Opaque = given.target
-	request.Host = given.host
-	if given.host == "" {
+func (env *testEnv) do(params testRequest) testResponse {
+	env.t.Helper()
+	request, err := http.NewRequest(params.method, env.server.URL, strings.NewReader(params.body))
+	must.NoError(env.t, err)
+	request.URL.Opaque = params.target
+	request.Host = params.host
+	if params.host == "" {
 		request.Host = "a.example"
 	}
-	if given.id != "-" {
-		request.Header.Set(testID, given.id)
+	if params.id != "-" {
+		request.Header.Set(testID, params.id)
 	}
 	request.Header.Set("User-Agent", "") // keeps net/http from sending its default
-	for name, value := range given.fields {
+	for name, value := range params.fields {
 		request.Header.Set(name, value)
 	}
 	response, err := testClient.Do(request)
--- a/process/ingress/holdoff_test.go
+++ b/process/ingress/holdoff_test.go
@@ -24,9 +24,9 @@
 
 // pauseOnce asks for a pause with its first answer and serves all further requests.
 func pauseOnce(pause string, status int, serve http.HandlerFunc) http.HandlerFunc {
-	var askedAt atomic.Bool
+	var answered atomic.Bool
 	return func(w http.ResponseWriter, r *http.Request) {
-		if askedAt.Swap(true) {
+		if answered.Swap(true) {
 			serve(w, r)
 			return
 		}
@@ -72,11 +72,11 @@
 	t.Run("plain", func(t *testing.T) {
 		paused := newFakeReplica(t, "a", pauseOnce(longPause, http.StatusServiceUnavailable, answerOK))
 		other := newFakeReplica(t, "b", answerOK)
-		w := newTestEnv(t, paused)
-		must.Eq(t, http.StatusServiceUnavailable, w.do(plainRequest("safe", 0)).status)
-		w.setReplicas(paused, other)
+		env := newTestEnv(t, paused)
+		must.Eq(t, http.StatusServiceUnavailable, env.do(plainRequest("safe", 0)).status)
+		env.setReplicas(paused, other)
 		for i := range laterRequests {
-			must.Eq(t, http.StatusOK, w.do(plainRequest("unsafe", i+1)).status)
+			must.Eq(t, http.StatusOK, env.do(plainRequest("unsafe", i+1)).status)
 		}
 		must.Eq(t, 1, paused.count())
 	})
@@ -86,20 +86,20 @@
 			w.Header().Set(testPause, longPause)
 			w.WriteHeader(http.StatusServiceUnavailable)
 		})
-		w := newTestEnv(t, paused)
+		env := newTestEnv(t, paused)
 		for i := range laterRequests {
-			w.do(plainRequest("safe", i))
+			env.do(plainRequest("safe", i))
 		}
 		must.Eq(t, 1, paused.count())
 	})
 	t.Run("prefill placed by the group", func(t *testing.T) {
 		reader := newFakeReplica(t, "read", pauseOnce(longPause, http.StatusServiceUnavailable, answerPrefill))
 		generator := newFakeReplica(t, "make", streamEvents(2, ""))
-		w := newModelEnv(t, reader, generator, nil)
-		w.withLongObjective()
-		w.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
+		env := newModelEnv(t, reader, generator, nil)
+		env.withLongObjective()
+		env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
 		for i := range laterRequests {
-			must.Eq(t, eventTexts(1, 2), w.do(numberedModelRequest(i)).body)
+			must.Eq(t, eventTexts(1, 2), env.do(numberedModelRequest(i)).body)
 		}
 		must.Eq(t, 1, reader.count())
 	})
@@ -107,11 +107,11 @@
 		for _, alone := range []bool{false, true} {
 			reader := newFakeReplica(t, "read", answerPrefill)
 			paused := newFakeReplica(t, "make", pauseOnce(longPause, http.StatusServiceUnavailable, streamEvents(2, "")))
-			w := newModelEnv(t, reader, paused, nil)
-			w.withLongObjective()
-			w.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read", Alone: alone}}
+			env := newModelEnv(t, reader, paused, nil)
+			env.withLongObjective()
+			env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read", Alone: alone}}
 			for i := range laterRequests {
-				must.Eq(t, http.StatusServiceUnavailable, w.do(numberedModelRequest(i)).status)
+				must.Eq(t, http.StatusServiceUnavailable, env.do(numberedModelRequest(i)).status)
 			}
 			must.Eq(t, 1, paused.count())
 		}
@@ -120,10 +120,10 @@
 		reader := newFakeReplica(t, "read", pauseOnce(longPause, http.StatusServiceUnavailable, answerPrefill))
 		paused := newFakeReplica(t, "make", pauseOnce(longPause, http.StatusServiceUnavailable, streamEvents(2, "")))
 		other := newFakeReplica(t, "also", streamEvents(2, ""))
-		w := newModelEnv(t, reader, paused, other)
-		w.withLongObjective()
+		env := newModelEnv(t, reader, paused, other)
+		env.withLongObjective()
 		for i := range 4 * laterRequests {
-			must.Eq(t, eventTexts(1, 2), w.do(numberedModelRequest(i)).body)
+			must.Eq(t, eventTexts(1, 2), env.do(numberedModelRequest(i)).body)
 		}
 		must.LessEq(t, 1, reader.count())
 		must.LessEq(t, 1, paused.count())
@@ -131,10 +131,10 @@
 	t.Run("resumed stream", func(t *testing.T) {
 		broken := newFakeReplica(t, "a", streamEvents(2, "cut"))
 		paused := newFakeReplica(t, "b", pauseOnce(longPause, http.StatusServiceUnavailable, streamEvents(4, "")))
-		w := newTestEnv(t, paused)
-		w.do(plainRequest("safe", 0))
-		w.setReplicas(broken, paused)
-		w.do(plainRequest("resume", 1))
+		env := newTestEnv(t, paused)
+		env.do(plainRequest("safe", 0))
+		env.setReplicas(broken, paused)
+		env.do(plainRequest("resume", 1))
 		must.Eq(t, 1, paused.count())
 	})
 	t.Run("release of a handle", func(t *testing.T) {
@@ -149,40 +149,40 @@
 			close(handled)
 		})
 		generator := newFakeReplica(t, "make", streamEvents(2, ""))
-		w := newModelEnv(t, reader, generator, nil)
-		w.withLongObjective()
-		w.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
-		w.do(numberedModelRequest(0))
-		w.do(numberedModelRequest(1)) // the prefill replica asks for a pause
+		env := newModelEnv(t, reader, generator, nil)
+		env.withLongObjective()
+		env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
+		env.do(numberedModelRequest(0))
+		env.do(numberedModelRequest(1)) // the prefill replica asks for a pause
 		before := reader.count()
-		s := &session{ingress: w.ingress, upstream: w.ingress.upstreams.get("model")}
+		s := &session{ingress: env.ingress, upstream: env.ingress.upstreams.get("model")}
 		s.release(Source{Replica: "read", Address: reader.address(), Handle: "handle-7"})
 		time.Sleep(50 * time.Millisecond) // a call on the loopback interface takes less than 1 ms
 		must.Eq(t, before, reader.count())
 	})
 	t.Run("while a connection is opened", func(t *testing.T) {
 		paused := newFakeReplica(t, "a", answerOK)
-		w := newTestEnv(t, paused)
-		w.ingress.routes()
-		asks := w.ingress.upstreams.holdoffs.Find("a")
+		env := newTestEnv(t, paused)
+		env.ingress.routes()
+		pauseState := env.ingress.upstreams.holdoffs.Find("a")
 		given := &exchange.Request{Method: "GET", Target: "/", Host: "a", Permit: func() error {
-			asks.Hear(w.ingress.now(), time.Now(), holdoff.Word{RetryAfter: time.Minute}) // as with the answer to another request
-			return w.ingress.permit(asks)()
+			pauseState.Hear(env.ingress.now(), time.Now(), holdoff.Word{RetryAfter: time.Minute}) // as with the answer to another request
+			return env.ingress.permit(pauseState)()
 		}}
-		_, err := w.ingress.upstreams.get("plain").pool.Do(t.Context(), paused.address(), given)
+		_, err := env.ingress.upstreams.get("plain").pool.Do(t.Context(), paused.address(), given)
 		must.ErrorIs(t, err, errWithheld)
 		must.Eq(t, 0, paused.count())
 	})
 	t.Run("removed from the list and listed again", func(t *testing.T) {
 		paused := newFakeReplica(t, "a", pauseOnce(longPause, http.StatusServiceUnavailable, answerOK))
 		other := newFakeReplica(t, "b", answerOK)
-		w := newTestEnv(t, paused)
-		w.do(plainRequest("safe", 0))
-		w.setReplicas(other)
-		must.Eq(t, http.StatusOK, w.do(plainRequest("safe", 1)).status)
-		w.setReplicas(paused, other)
+		env := newTestEnv(t, paused)
+		env.do(plainRequest("safe", 0))
+		env.setReplicas(other)
+		must.Eq(t, http.StatusOK, env.do(plainRequest("safe", 1)).status)
+		env.setReplicas(paused, other)
 		for i := range laterRequests {
-			w.do(plainRequest("unsafe", i+2))
+			env.do(plainRequest("unsafe", i+2))
 		}
 		must.Eq(t, 1, paused.count())
 	})
@@ -200,11 +200,11 @@
 	t.Run("plain, listed as ready", func(t *testing.T) {
 		leaving := newFakeReplica(t, "a", leaveAlways(answerOK))
 		other := newFakeReplica(t, "b", answerOK)
-		w := newTestEnv(t, leaving)
-		must.Eq(t, http.StatusOK, w.do(plainRequest("unsafe", 0)).status)
-		w.setReplicas(leaving, other)
+		env := newTestEnv(t, leaving)
+		must.Eq(t, http.StatusOK, env.do(plainRequest("unsafe", 0)).status)
+		env.setReplicas(leaving, other)
 		for i := range laterRequests {
-			must.Eq(t, http.StatusOK, w.do(plainRequest("unsafe", i+1)).status)
+			must.Eq(t, http.StatusOK, env.do(plainRequest("unsafe", i+1)).status)
 		}
 		must.Eq(t, 1, leaving.count())
 	})
@@ -212,30 +212,30 @@
 		reader := newFakeReplica(t, "read", leaveAlways(answerPrefill))
 		leaving := newFakeReplica(t, "make", leaveAlways(streamEvents(2, "")))
 		other := newFakeReplica(t, "also", streamEvents(2, ""))
-		w := newModelEnv(t, reader, leaving, other)
-		w.withLongObjective()
-		w.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
+		env := newModelEnv(t, reader, leaving, other)
+		env.withLongObjective()
+		env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
 		for i := range laterRequests {
-			must.Eq(t, eventTexts(1, 2), w.do(numberedModelRequest(i)).body)
+			must.Eq(t, eventTexts(1, 2), env.do(numberedModelRequest(i)).body)
 		}
 		must.Eq(t, 1, reader.count())
 		must.Eq(t, 1, leaving.count())
 	})
 	t.Run("until the replica restarts", func(t *testing.T) {
 		leaving := newFakeReplica(t, "a", leaveAlways(answerOK))
-		w := newTestEnv(t)
+		env := newTestEnv(t)
 		born := func(at int64) {
-			w.views.set(func(v *view.View) {
+			env.views.set(func(v *view.View) {
 				entry := replicaObject(leaving, "plain", api.RoleNone)
 				entry.Spec.Born = at
 				v.Replicas = map[string]*api.Replica{"a": entry}
 			})
 		}
 		born(1000)
-		must.Eq(t, http.StatusOK, w.do(plainRequest("safe", 0)).status)
-		must.Eq(t, http.StatusServiceUnavailable, w.do(plainRequest("safe", 1)).status)
+		must.Eq(t, http.StatusOK, env.do(plainRequest("safe", 0)).status)
+		must.Eq(t, http.StatusServiceUnavailable, env.do(plainRequest("safe", 1)).status)
 		born(time.Now().Add(time.Minute).UnixMilli())
-		must.Eq(t, http.StatusOK, w.do(plainRequest("safe", 2)).status)
+		must.Eq(t, http.StatusOK, env.do(plainRequest("safe", 2)).status)
 	})
 }
 
@@ -244,9 +244,9 @@
 func testRequestsAreRefusedWhileAllReplicasPause(t *testing.T) {
 	first := newFakeReplica(t, "a", pauseOnce("20s", http.StatusServiceUnavailable, answerOK))
 	second := newFakeReplica(t, "b", pauseOnce("40s", http.StatusServiceUnavailable, answerOK))
-	w := newTestEnv(t, first, second)
-	w.do(plainRequest("safe", 0)) // sent to both replicas
-	got := w.do(plainRequest("safe", 1))
+	env := newTestEnv(t, first, second)
+	env.do(plainRequest("safe", 0)) // sent to both replicas
+	got := env.do(plainRequest("safe", 1))
 	must.Eq(t, http.StatusServiceUnavailable, got.status)
 	again, err := time.ParseDuration(got.header.Get(testAgain))
 	must.NoError(t, err)
--- a/process/ingress/inflight.go
+++ b/process/ingress/inflight.go
@@ -27,9 +27,9 @@
 	step     placement.Step // 0 before the prompt was prefilled; guarded by the table's lock
 }
 
-// note reports the request's progress to the control group. It does nothing for a nil
+// report sends the request's progress to the control group. It does nothing for a nil
 // trackedRequest.
-func (p *trackedRequest) note(step placement.Step, replica string, reported int) {
+func (p *trackedRequest) report(step placement.Step, replica string, reportedRequests int) {
 	if p == nil {
 		return
 	}
@@ -47,7 +47,7 @@
 	p.ingress.placer.NotePlaced(feed.PlaceNote{
 		Service: p.service,
 		Number:  p.number,
-		Note:    placement.Note{Step: step, Replica: replica, Told: reported},
+		Note:    placement.Note{Step: step, Replica: replica, Told: reportedRequests},
 	})
 }
 
@@ -107,14 +107,14 @@
 // requests. Services without any are included: the member's placement board may still hold
 // requests that ended while another member received the reports.
 func (i *Ingress) reportInFlight(to groupReporter) {
-	all := map[string]feed.InFlight{}
-	for _, opened := range i.upstreams.all() {
-		all[opened.service] = feed.InFlight{Service: opened.service}
+	reports := map[string]feed.InFlight{}
+	for _, upstream := range i.upstreams.all() {
+		reports[upstream.service] = feed.InFlight{Service: upstream.service}
 	}
 	i.inFlight.lock.Lock()
 	defer i.inFlight.lock.Unlock()
-	i.inFlight.addTo(all, i.now())
-	for _, recorded := range all {
-		to.ReportInFlight(recorded)
+	i.inFlight.addTo(reports, i.now())
+	for _, report := range reports {
+		to.ReportInFlight(report)
 	}
 }
--- a/process/ingress/inflight_order_test.go
+++ b/process/ingress/inflight_order_test.go
@@ -40,8 +40,8 @@
 	word()
 }
 
-func (b *recordingBoard) ReportInFlight(recorded feed.InFlight) bool {
-	b.apply(func() { b.board.TakeOver(0, "proxy", recorded.Requests) })
+func (b *recordingBoard) ReportInFlight(report feed.InFlight) bool {
+	b.apply(func() { b.board.TakeOver(0, "proxy", report.Requests) })
 	return true
 }
 
@@ -63,17 +63,17 @@
 }
 
 // newTrackedRequest returns an ingress that reports to the board, with one request in flight.
-func newTrackedRequest(t *testing.T, recorded *recordingBoard) (*Ingress, *trackedRequest) {
-	w := newTestEnv(t)
-	w.ingress.placer = recorded
+func newTrackedRequest(t *testing.T, board *recordingBoard) (*Ingress, *trackedRequest) {
+	env := newTestEnv(t)
+	env.ingress.placer = board
 	request := &trackedRequest{
-		ingress: w.ingress, service: "model", number: 1,
+		ingress: env.ingress, service: "model", number: 1,
 		ask:      placement.Ask{Prompt: 9000, Deadline: time.Minute},
 		answer:   placement.Answer{Generator: "make", Reader: "read", Unread: 9000},
-		placedAt: w.ingress.now() - time.Second,
+		placedAt: env.ingress.now() - time.Second,
 	}
-	w.ingress.inFlight.add(request)
-	return w.ingress, request
+	env.ingress.inFlight.add(request)
+	return env.ingress, request
 }
 
 // asSoonAsPossible runs the step now, or as soon as the table's lock is free.
@@ -89,45 +89,45 @@
 // A request that ends while it is being reported to the next placement board must end there too.
 // Otherwise it occupies its place on that board until its deadline.
 func TestRequestThatEndsDuringAReportHasEndedOnTheBoard(t *testing.T) {
-	recorded := newRecordingBoard(t)
-	ingress, request := newTrackedRequest(t, recorded)
+	board := newRecordingBoard(t)
+	ingress, request := newTrackedRequest(t, board)
 	var running sync.WaitGroup
-	recorded.between = func() {
-		asSoonAsPossible(&ingress.inFlight, &running, func() { request.note(placement.StepEnded, "", 0) })
+	board.between = func() {
+		asSoonAsPossible(&ingress.inFlight, &running, func() { request.report(placement.StepEnded, "", 0) })
 	}
-	ingress.reportInFlight(recorded)
+	ingress.reportInFlight(board)
 	running.Wait()
-	must.Eq(t, 0, recorded.summary().InFlight)
+	must.Eq(t, 0, board.summary().InFlight)
 }
 
 // A step that a report contains must not be sent again after it: the failure of a prefill would
 // be taken for that of the run, which continues.
 func TestReportDuringAStepDoesNotTellItTwice(t *testing.T) {
-	recorded := newRecordingBoard(t)
-	ingress, request := newTrackedRequest(t, recorded)
+	board := newRecordingBoard(t)
+	ingress, request := newTrackedRequest(t, board)
 	var running sync.WaitGroup
-	recorded.between = func() {
-		asSoonAsPossible(&ingress.inFlight, &running, func() { ingress.reportInFlight(recorded) })
+	board.between = func() {
+		asSoonAsPossible(&ingress.inFlight, &running, func() { ingress.reportInFlight(board) })
 	}
-	request.note(placement.StepFailed, "read", 0)
+	request.report(placement.StepFailed, "read", 0)
 	running.Wait()
-	must.Eq(t, 1, recorded.summary().InFlight)
-	request.note(placement.StepEnded, "", 0)
-	must.Eq(t, 0, recorded.summary().InFlight)
+	must.Eq(t, 1, board.summary().InFlight)
+	request.report(placement.StepEnded, "", 0)
+	must.Eq(t, 0, board.summary().InFlight)
 }
 
 // A board that knows requests of this proxy from before, and was not told how they ended, is told
 // that none is in flight.
 func TestBoardIsToldThatNoRequestIsInFlight(t *testing.T) {
-	recorded := newRecordingBoard(t)
-	ingress, request := newTrackedRequest(t, recorded)
+	board := newRecordingBoard(t)
+	ingress, request := newTrackedRequest(t, board)
 	ingress.upstreams.get("model")
-	ingress.reportInFlight(recorded)
-	must.Eq(t, 1, recorded.summary().InFlight)
+	ingress.reportInFlight(board)
+	must.Eq(t, 1, board.summary().InFlight)
 	ingress.placer = &fakePlacer{} // another board places requests in the meantime
-	request.note(placement.StepEnded, "", 0)
-	ingress.reportInFlight(recorded)
-	must.Eq(t, 0, recorded.summary().InFlight)
+	request.report(placement.StepEnded, "", 0)
+	ingress.reportInFlight(board)
+	must.Eq(t, 0, board.summary().InFlight)
 }
 
 // lateBoard decides only when the proxy no longer waits for the answer.
@@ -144,10 +144,10 @@
 func TestLateDecisionOccupiesNoPlaceOnTheBoard(t *testing.T) {
 	reader := newFakeReplica(t, "read", answerPrefill)
 	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	w := newModelEnv(t, reader, generator, nil)
-	recorded := newRecordingBoard(t)
-	w.ingress.placer = lateBoard{recorded}
-	must.Eq(t, eventTexts(1, 2), w.do(modelRequest).body)
-	must.Eq(t, 1, recorded.summary().Answers.Placed, must.Sprint("the board has decided"))
-	must.Eq(t, 0, recorded.summary().InFlight)
+	env := newModelEnv(t, reader, generator, nil)
+	board := newRecordingBoard(t)
+	env.ingress.placer = lateBoard{board}
+	must.Eq(t, eventTexts(1, 2), env.do(modelRequest).body)
+	must.Eq(t, 1, board.summary().Answers.Placed, must.Sprint("the board has decided"))
+	must.Eq(t, 0, board.summary().InFlight)
 }
--- a/process/ingress/inflight_test.go
+++ b/process/ingress/inflight_test.go
@@ -12,17 +12,17 @@
 // recordingGroup records the reports that it receives.
 type recordingGroup struct{ inFlight []feed.InFlight }
 
-func (g *recordingGroup) ReportInFlight(recorded feed.InFlight) bool {
-	g.inFlight = append(g.inFlight, recorded)
+func (g *recordingGroup) ReportInFlight(report feed.InFlight) bool {
+	g.inFlight = append(g.inFlight, report)
 	return true
 }
 
 // of returns the last report for the service.
 func (g *recordingGroup) of(service string) map[uint64]placement.Placed {
 	var requests map[uint64]placement.Placed
-	for _, recorded := range g.inFlight {
-		if recorded.Service == service {
-			requests = recorded.Requests
+	for _, report := range g.inFlight {
+		if report.Service == service {
+			requests = report.Requests
 		}
 	}
 	return requests
@@ -51,29 +51,29 @@
 			}
 			reader := newFakeReplica(t, "read", hold(answerPrefill))
 			generator := newFakeReplica(t, "make", hold(streamEvents(2, "")))
-			w := newModelEnv(t, reader, generator, nil)
-			w.ingress.placer = test.placer
+			env := newModelEnv(t, reader, generator, nil)
+			env.ingress.placer = test.placer
 			done := make(chan struct{})
 			go func() {
 				defer close(done)
-				w.do(modelRequest)
+				env.do(modelRequest)
 			}()
 			<-begun
-			var recorded recordingGroup
-			w.ingress.reportInFlight(&recorded)
-			must.SliceLen(t, 1, recorded.inFlight)
-			must.MapLen(t, 1, recorded.inFlight[0].Requests)
-			for _, request := range recorded.inFlight[0].Requests {
+			var group recordingGroup
+			env.ingress.reportInFlight(&group)
+			must.SliceLen(t, 1, group.inFlight)
+			must.MapLen(t, 1, group.inFlight[0].Requests)
+			for _, request := range group.inFlight[0].Requests {
 				must.Eq(t, "make", request.Answer.Generator)
 				must.Eq(t, 9000, request.Ask.Prompt)
 				must.Eq(t, placement.Step(0), request.Step)
 			}
 			close(goOn)
 			<-done
-			recorded = recordingGroup{}
-			w.ingress.reportInFlight(&recorded)
-			must.SliceLen(t, 1, recorded.inFlight)
-			must.MapEmpty(t, recorded.inFlight[0].Requests)
+			group = recordingGroup{}
+			env.ingress.reportInFlight(&group)
+			must.SliceLen(t, 1, group.inFlight)
+			must.MapEmpty(t, group.inFlight[0].Requests)
 		})
 	}
 }
--- a/process/ingress/ingress.go
+++ b/process/ingress/ingress.go
@@ -49,7 +49,7 @@
 	inFlight            inFlightTable
 	guard               *guard.Guard
 	sessions            sessionTable
-	stopSuspensionWatch func() // stops watching for suspensions of the machine
+	stopSuspensionWatch func()
 	metrics             *metrics
 	// placer places model requests using the load of all proxies; if nil, this proxy uses only
 	// its own knowledge.
@@ -109,23 +109,23 @@
 func (i *Ingress) routes() *routeTable {
 	current := i.views.Load()
 	for {
-		known := i.table.Load()
-		if current.Version.Compare(known.version) <= 0 {
-			return known.routes
+		cached := i.table.Load()
+		if current.Version.Compare(cached.version) <= 0 {
+			return cached.routes
 		}
 		i.upstreams.update(current, i.now())
 		i.guard.Follow(current, i.now())
 		object := current.Ingresses[api.IngressName]
-		next := &versionedTable{version: current.Version, ingress: object, tenants: known.tenants, routes: known.routes}
-		if object != known.ingress || !maps.Equal(current.RouteTenants, known.tenants) {
+		next := &versionedTable{version: current.Version, ingress: object, tenants: cached.tenants, routes: cached.routes}
+		if object != cached.ingress || !maps.Equal(current.RouteTenants, cached.tenants) {
 			next.routes = newRouteTable(object)
-			next.routes.keys = known.routes.keys.Follow(next.routes.keySecret, current.RouteTenants)
+			next.routes.keys = cached.routes.keys.Follow(next.routes.keySecret, current.RouteTenants)
 			next.tenants = current.RouteTenants
 		}
-		if !i.table.CompareAndSwap(known, next) {
+		if !i.table.CompareAndSwap(cached, next) {
 			continue
 		}
-		if object != known.ingress {
+		if object != cached.ingress {
 			event.IngressInForce.Log(i.logger, "generation", next.routes.generation, "routes", len(object.Spec.Routes),
 				"revision", current.Version.Revision, "term", current.Version.Term)
 		}
@@ -140,7 +140,7 @@
 func (i *Ingress) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	i.serving.Add(1)
 	defer i.serving.Add(-1)
-	arrived := i.now()
+	arrivedAt := i.now()
 	if i.stopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
@@ -151,7 +151,7 @@
 		i.logRefusal(&call, routes, refusal)
 		return
 	}
-	i.serve(w, r, call, admitted, arrived)
+	i.serve(w, r, call, admitted, arrivedAt)
 }
 
 // refuse answers a call that is not processed. It sends the answer before the body has arrived;
@@ -301,23 +301,23 @@
 }
 
 // serve processes an admitted request until its final answer.
-func (i *Ingress) serve(w http.ResponseWriter, r *http.Request, call Call, admitted admission, arrived time.Duration) {
+func (i *Ingress) serve(w http.ResponseWriter, r *http.Request, call Call, admitted admission, arrivedAt time.Duration) {
 	route := admitted.route
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	service := chooseService(route, random)
 	s := &session{
 		ingress: i, writer: w, call: call, route: route, upstream: i.upstreams.get(service), random: random,
-		generation: admitted.generation, priority: admitted.priority, arrivedAt: arrived, excluded: map[string]bool{}, contacted: map[string]bool{},
+		generation: admitted.generation, priority: admitted.priority, arrivedAt: arrivedAt, excluded: map[string]bool{}, contacted: map[string]bool{},
 		lifecycle: attempt.New(attempt.Policy{
 			Once:     !route.Idempotent(),
 			Attempts: max(route.Attempts, 1) + maxDialFailures + 1,
 		}),
 	}
 	timeout := time.Duration(route.TimeoutMilliseconds) * time.Millisecond
-	s.deadline = arrived + timeout
+	s.deadline = arrivedAt + timeout
 	s.callerDeadline = s.deadline
 	if call.Within > 0 {
-		s.callerDeadline = arrived + call.Within
+		s.callerDeadline = arrivedAt + call.Within
 		s.deadline = min(s.deadline, s.callerDeadline)
 	}
 	if i.mayOutlastStop(i.now(), s.deadline) { // the body may have arrived slowly
@@ -333,7 +333,7 @@
 	ctx, cancel := context.WithTimeoutCause(ctx, s.remaining(), errTimeout)
 	defer cancel()
 	s.lifecycle.Dispatch()
-	s.upstream.budget.Request(arrived)
+	s.upstream.budget.Request(arrivedAt)
 	status := s.run(ctx)
 	s.endTrial()
 	if s.lifecycle.Ran() == attempt.RanNo {
@@ -369,7 +369,7 @@
 	if s.firstEventAt > 0 {
 		i.metrics.firstEvent.WithLabelValues(s.route.Name).Observe((s.firstEventAt - s.arrivedAt).Seconds())
 	}
-	ended := event.RequestFailed
+	outcome := event.RequestFailed
 	if status == http.StatusOK {
 		switch {
 		case s.wasIsolated:
@@ -379,9 +379,9 @@
 			// which the quarantine record does not contain yet.
 			i.guard.Served(i.now(), s.fingerprint())
 		}
-		ended = event.RequestServed
+		outcome = event.RequestServed
 	}
-	ended.Log(i.logger, "request", s.call.ID, "fingerprint", s.knownFingerprint(), "route", s.route.Name, "service", service,
+	outcome.Log(i.logger, "request", s.call.ID, "fingerprint", s.knownFingerprint(), "route", s.route.Name, "service", service,
 		"generation", s.generation, "status", status, "took_ms", took.Milliseconds(), "first_ms", max(s.firstEventAt-s.arrivedAt, 0).Milliseconds(), "sends", s.sendCount,
 		"events", s.events, "tokens", s.call.Work.PromptTokens, "tried", strings.TrimSpace(s.trace.String()))
 }
--- a/process/ingress/ingress_test.go
+++ b/process/ingress/ingress_test.go
@@ -16,8 +16,8 @@
 
 func TestRequestReachesTheReplicaUnaltered(t *testing.T) {
 	replica := newFakeReplica(t, "r-1", answerOK)
-	w := newTestEnv(t, replica)
-	got := w.do(testRequest{method: "POST", target: "/unsafe/a//b/%2e%2f?x=%20&y", id: "q-1", body: "the body",
+	env := newTestEnv(t, replica)
+	got := env.do(testRequest{method: "POST", target: "/unsafe/a//b/%2e%2f?x=%20&y", id: "q-1", body: "the body",
 		fields: map[string]string{"Other": "kept", "Connection": "Listed", "Listed": "dropped", testWithin: "900"}})
 	must.NoError(t, got.err)
 	must.Eq(t, http.StatusOK, got.status)
@@ -38,10 +38,10 @@
 func TestLocalRefusals(t *testing.T) {
 	replica := newFakeReplica(t, "r-1", answerOK)
 	cases := []struct {
-		name   string
-		given  testRequest
-		status int
-		again  bool
+		name    string
+		request testRequest
+		status  int
+		again   bool
 	}{
 		{"no route", testRequest{method: "GET", target: "/nothing/", id: "q"}, http.StatusNotFound, false},
 		{"unknown host", testRequest{method: "GET", target: "/safe/", host: "b.example", id: "q"}, http.StatusNotFound, false},
@@ -52,7 +52,7 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			got := newTestEnv(t, replica).do(test.given)
+			got := newTestEnv(t, replica).do(test.request)
 			must.NoError(t, got.err)
 			must.Eq(t, test.status, got.status)
 			must.Eq(t, test.again, got.header.Get(testAgain) != "")
@@ -61,25 +61,25 @@
 }
 
 func TestRequestsBeforeFirstConfigurationAreToldToRetry(t *testing.T) {
-	w := newTestEnv(t)
-	w.views.set(func(v *view.View) { v.Ingresses = nil })
-	w.ingress.table.Store(&versionedTable{routes: newRouteTable(nil)})
-	must.False(t, w.ingress.Ready())
-	got := w.do(testRequest{method: "GET", target: "/safe/", id: "q"})
+	env := newTestEnv(t)
+	env.views.set(func(v *view.View) { v.Ingresses = nil })
+	env.ingress.table.Store(&versionedTable{routes: newRouteTable(nil)})
+	must.False(t, env.ingress.Ready())
+	got := env.do(testRequest{method: "GET", target: "/safe/", id: "q"})
 	must.Eq(t, http.StatusServiceUnavailable, got.status)
 	must.NotEq(t, "", got.header.Get(testAgain))
 }
 
 func TestNewGenerationAppliesToNextRequest(t *testing.T) {
-	w := newTestEnv(t, newFakeReplica(t, "r-1", answerOK))
-	must.Eq(t, http.StatusOK, w.do(testRequest{method: "GET", target: "/safe/", id: "q"}).status)
-	w.views.set(func(v *view.View) {
+	env := newTestEnv(t, newFakeReplica(t, "r-1", answerOK))
+	must.Eq(t, http.StatusOK, env.do(testRequest{method: "GET", target: "/safe/", id: "q"}).status)
+	env.views.set(func(v *view.View) {
 		next := testIngress()
 		next.Spec.Generation++
 		next.Spec.Routes = next.Spec.Routes[1:]
 		v.Ingresses = map[string]*api.Ingress{api.IngressName: next}
 	})
-	must.Eq(t, http.StatusNotFound, w.do(testRequest{method: "GET", target: "/safe/", id: "q"}).status)
+	must.Eq(t, http.StatusNotFound, env.do(testRequest{method: "GET", target: "/safe/", id: "q"}).status)
 }
 
 // Defines after which results a request may be sent again.
@@ -117,10 +117,10 @@
 		t.Run(test.name, func(t *testing.T) {
 			first := newFakeReplica(t, "r-1", test.first)
 			second := newFakeReplica(t, "r-2", answerOK)
-			w := newTestEnv(t, first)
+			env := newTestEnv(t, first)
 			// The second replica is listed once the first has received the request.
-			first.server.Config.Handler = callFirst(first.server.Config.Handler, func() { w.setReplicas(first, second) })
-			got := w.do(testRequest{method: "GET", target: "/" + test.route + "/", id: "q"})
+			first.server.Config.Handler = callFirst(first.server.Config.Handler, func() { env.setReplicas(first, second) })
+			got := env.do(testRequest{method: "GET", target: "/" + test.route + "/", id: "q"})
 			must.NoError(t, got.err)
 			must.Eq(t, test.status, got.status)
 			must.Eq(t, test.sends, first.count()+second.count())
@@ -171,42 +171,42 @@
 		Spec:     api.ReplicaSpec{Service: "plain", Address: refusingAddress(t), Zone: "zone-a", Slots: 8},
 	}
 	sound := newFakeReplica(t, "r-2", answerOK)
-	w := newTestEnv(t)
-	w.views.set(func(v *view.View) { v.Replicas = map[string]*api.Replica{"r-1": gone} })
-	must.Eq(t, http.StatusServiceUnavailable, w.do(testRequest{method: "GET", target: "/unsafe/", id: "q"}).status)
-	w.views.set(func(v *view.View) {
+	env := newTestEnv(t)
+	env.views.set(func(v *view.View) { v.Replicas = map[string]*api.Replica{"r-1": gone} })
+	must.Eq(t, http.StatusServiceUnavailable, env.do(testRequest{method: "GET", target: "/unsafe/", id: "q"}).status)
+	env.views.set(func(v *view.View) {
 		v.Replicas = map[string]*api.Replica{"r-1": gone, "r-2": replicaObject(sound, "plain", api.RoleNone)}
 	})
 	for range 5 {
-		must.Eq(t, http.StatusOK, w.do(testRequest{method: "GET", target: "/unsafe/", id: "q"}).status)
+		must.Eq(t, http.StatusOK, env.do(testRequest{method: "GET", target: "/unsafe/", id: "q"}).status)
 	}
 }
 
 func TestLeavingReplicasGetNothing(t *testing.T) {
 	leaving, staying := newFakeReplica(t, "r-1", answerOK), newFakeReplica(t, "r-2", answerOK)
-	w := newTestEnv(t, leaving, staying)
-	w.views.set(func(v *view.View) {
+	env := newTestEnv(t, leaving, staying)
+	env.views.set(func(v *view.View) {
 		entry := replicaObject(leaving, "plain", api.RoleNone)
 		entry.Spec.Leaving = true
 		v.Replicas = map[string]*api.Replica{"r-1": entry, "r-2": v.Replicas["r-2"]}
 	})
 	for range 10 {
-		must.Eq(t, http.StatusOK, w.do(testRequest{method: "GET", target: "/safe/", id: "q"}).status)
+		must.Eq(t, http.StatusOK, env.do(testRequest{method: "GET", target: "/safe/", id: "q"}).status)
 	}
 	must.Eq(t, 0, leaving.count())
 }
 
 func TestRetriesEndWithTheBudget(t *testing.T) {
 	failing := []*fakeReplica{newFakeReplica(t, "r-1", closeConnection), newFakeReplica(t, "r-2", closeConnection)}
-	w := newTestEnv(t, failing...)
-	w.ingress.upstreams.get("plain").budget.SetReserve(0)
-	w.ingress.config.Retry.Share = 0
-	w.ingress.upstreams.config.Retry = RetryBudget{Window: time.Minute}
-	w.ingress.upstreams.byService = map[string]*upstream{}
-	w.ingress.upstreams.version = view.Version{}
-	w.setReplicas(failing...)
+	env := newTestEnv(t, failing...)
+	env.ingress.upstreams.get("plain").budget.SetReserve(0)
+	env.ingress.config.Retry.Share = 0
+	env.ingress.upstreams.config.Retry = RetryBudget{Window: time.Minute}
+	env.ingress.upstreams.byService = map[string]*upstream{}
+	env.ingress.upstreams.version = view.Version{}
+	env.setReplicas(failing...)
 	for range 5 {
-		must.Eq(t, http.StatusBadGateway, w.do(testRequest{method: "GET", target: "/safe/", id: "q"}).status)
+		must.Eq(t, http.StatusBadGateway, env.do(testRequest{method: "GET", target: "/safe/", id: "q"}).status)
 	}
 	must.Eq(t, 5, failing[0].count()+failing[1].count())
 }
@@ -216,17 +216,17 @@
 func TestTimeoutIsAnsweredAtOnce(t *testing.T) {
 	release := make(chan struct{})
 	replica := newFakeReplica(t, "r-1", func(http.ResponseWriter, *http.Request) { <-release })
-	w := newTestEnv(t, replica)
-	got := w.do(testRequest{method: "GET", target: "/short/", id: "q"})
+	env := newTestEnv(t, replica)
+	got := env.do(testRequest{method: "GET", target: "/short/", id: "q"})
 	must.Eq(t, http.StatusGatewayTimeout, got.status)
 	close(release)
 }
 
 func TestReplicaGetsNoMoreTimeThanTheCallerHas(t *testing.T) {
 	replica := newFakeReplica(t, "r-1", answerOK)
-	w := newTestEnv(t, replica)
-	w.do(testRequest{method: "GET", target: "/safe/", id: "q", fields: map[string]string{testWithin: "300"}})
-	w.do(testRequest{method: "GET", target: "/safe/", id: "q", fields: map[string]string{testWithin: "90000"}})
+	env := newTestEnv(t, replica)
+	env.do(testRequest{method: "GET", target: "/safe/", id: "q", fields: map[string]string{testWithin: "300"}})
+	env.do(testRequest{method: "GET", target: "/safe/", id: "q", fields: map[string]string{testWithin: "90000"}})
 	within := func(i int) time.Duration {
 		parsed, err := time.ParseDuration(replica.requests[i].Header.Get(testWithin) + "ms")
 		must.NoError(t, err)
@@ -242,8 +242,8 @@
 		<-r.Context().Done()
 		close(ended)
 	})
-	w := newTestEnv(t, replica)
-	conn, err := net.Dial("tcp", w.server.Listener.Addr().String())
+	env := newTestEnv(t, replica)
+	conn, err := net.Dial("tcp", env.server.Listener.Addr().String())
 	must.NoError(t, err)
 	_, err = io.WriteString(conn, "GET /safe/ HTTP/1.1\r\nHost: a.example\r\n"+testID+": q\r\n\r\n")
 	must.NoError(t, err)
@@ -277,12 +277,12 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			first := newFakeReplica(t, "r-1", test.first)
-			w := newTestEnv(t, first)
+			env := newTestEnv(t, first)
 			if test.second != nil {
 				second := newFakeReplica(t, "r-2", test.second)
-				first.server.Config.Handler = callFirst(first.server.Config.Handler, func() { w.setReplicas(first, second) })
+				first.server.Config.Handler = callFirst(first.server.Config.Handler, func() { env.setReplicas(first, second) })
 			}
-			got := w.do(testRequest{method: "POST", target: "/" + test.route + "/", id: "q"})
+			got := env.do(testRequest{method: "POST", target: "/" + test.route + "/", id: "q"})
 			if !test.whole && test.body == "" {
 				must.True(t, got.err != nil || got.status == http.StatusBadGateway)
 				return
@@ -304,8 +304,8 @@
 			<-next
 		}
 	})
-	w := newTestEnv(t, replica)
-	request, err := http.NewRequestWithContext(context.Background(), http.MethodPost, w.server.URL+"/stream/", nil)
+	env := newTestEnv(t, replica)
+	request, err := http.NewRequestWithContext(context.Background(), http.MethodPost, env.server.URL+"/stream/", nil)
 	must.NoError(t, err)
 	request.Host = "a.example"
 	request.Header.Set(testID, "q")
@@ -322,12 +322,12 @@
 }
 
 func TestPlannedStopAsksCallersToCloseAndStillServes(t *testing.T) {
-	w := newTestEnv(t, newFakeReplica(t, "r-1", answerOK))
-	must.True(t, w.ingress.Ready())
-	w.ingress.stopping.Store(true)
-	must.False(t, w.ingress.Ready())
-	must.False(t, w.ingress.presence().Ready)
-	conn, err := net.Dial("tcp", w.server.Listener.Addr().String())
+	env := newTestEnv(t, newFakeReplica(t, "r-1", answerOK))
+	must.True(t, env.ingress.Ready())
+	env.ingress.stopping.Store(true)
+	must.False(t, env.ingress.Ready())
+	must.False(t, env.ingress.presence().Ready)
+	conn, err := net.Dial("tcp", env.server.Listener.Addr().String())
 	must.NoError(t, err)
 	defer func() { _ = conn.Close() }()
 	_, err = io.WriteString(conn, "GET /safe/ HTTP/1.1\r\nHost: a.example\r\n"+testID+": q\r\n\r\n")
--- a/process/ingress/lane.go
+++ b/process/ingress/lane.go
@@ -44,54 +44,54 @@
 }
 
 func newUpstreams(config Config, clock func() time.Duration) *upstreams {
-	asks := holdoff.NewTable(holdoff.Config{Notice: config.LeaveNotice})
-	return &upstreams{config: config, clock: clock, holdoffs: asks, byService: map[string]*upstream{}}
+	holdoffs := holdoff.NewTable(holdoff.Config{Notice: config.LeaveNotice})
+	return &upstreams{config: config, clock: clock, holdoffs: holdoffs, byService: map[string]*upstream{}}
 }
 
 // get returns the upstream of a service.
-func (l *upstreams) get(service string) *upstream {
-	l.lock.Lock()
-	defer l.lock.Unlock()
-	return l.getLocked(service)
+func (u *upstreams) get(service string) *upstream {
+	u.lock.Lock()
+	defer u.lock.Unlock()
+	return u.getLocked(service)
 }
 
-func (l *upstreams) getLocked(service string) *upstream {
-	if opened := l.byService[service]; opened != nil {
-		return opened
+func (u *upstreams) getLocked(service string) *upstream {
+	if result := u.byService[service]; result != nil {
+		return result
 	}
-	pool := exchange.NewPool(exchange.Config{Clock: l.clock})
-	opened := &upstream{
+	pool := exchange.NewPool(exchange.Config{Clock: u.clock})
+	result := &upstream{
 		service: service,
 		pool:    pool,
-		clock:   l.clock,
-		fleet:   newFleet(service, pool, l.holdoffs, l.lookupNamed),
-		budget:  retry.NewWindow(shareMargin*l.config.Retry.Share, l.config.Retry.Reserve, l.config.Retry.Window),
+		clock:   u.clock,
+		fleet:   newFleet(service, pool, u.holdoffs, u.lookupNamed),
+		budget:  retry.NewWindow(shareMargin*u.config.Retry.Share, u.config.Retry.Reserve, u.config.Retry.Window),
 	}
-	opened.budget.HoldReserve(l.config.Retry.Settle)
-	opened.budget.SetReserve(reserveShare(l.config.Retry.Reserve, int(l.proxies.Load())))
-	opened.fleet.update(l.listed, l.clock())
-	l.byService[service] = opened
-	return opened
+	result.budget.HoldReserve(u.config.Retry.Settle)
+	result.budget.SetReserve(reserveShare(u.config.Retry.Reserve, int(u.proxies.Load())))
+	result.fleet.update(u.listed, u.clock())
+	u.byService[service] = result
+	return result
 }
 
 // update applies a view that is newer than the last one. Requests in flight to replicas that are
 // gone continue.
-func (l *upstreams) update(current *view.View, now time.Duration) {
-	l.lock.Lock()
-	defer l.lock.Unlock()
-	if current.Version.Compare(l.version) <= 0 {
+func (u *upstreams) update(current *view.View, now time.Duration) {
+	u.lock.Lock()
+	defer u.lock.Unlock()
+	if current.Version.Compare(u.version) <= 0 {
 		return
 	}
-	l.version = current.Version
-	l.listed = current.Replicas
-	proxies := l.proxyCount.observe(len(current.Proxies), now, l.config.Retry.Window)
-	l.proxies.Store(int64(proxies))
-	share := reserveShare(l.config.Retry.Reserve, proxies)
-	for _, opened := range l.byService {
-		opened.fleet.update(l.listed, now)
-		opened.budget.SetReserve(share)
+	u.version = current.Version
+	u.listed = current.Replicas
+	proxies := u.proxyCount.observe(len(current.Proxies), now, u.config.Retry.Window)
+	u.proxies.Store(int64(proxies))
+	share := reserveShare(u.config.Retry.Reserve, proxies)
+	for _, upstream := range u.byService {
+		upstream.fleet.update(u.listed, now)
+		upstream.budget.SetReserve(share)
 	}
-	l.holdoffs.Forget(now)
+	u.holdoffs.Forget(now)
 }
 
 // proxyCount counts the proxies that share a reserve. One that is no longer listed may still
@@ -103,15 +103,15 @@
 }
 
 // observe records the number of listed proxies and returns the number that share the reserve.
-func (s *proxyCount) observe(listed int, now, window time.Duration) int {
-	if s.listed == s.max {
-		s.maxAt = now
+func (c *proxyCount) observe(listed int, now, window time.Duration) int {
+	if c.listed == c.max {
+		c.maxAt = now
 	}
-	s.listed = listed
-	if listed >= s.max || now-s.maxAt > window {
-		s.max, s.maxAt = listed, now
+	c.listed = listed
+	if listed >= c.max || now-c.maxAt > window {
+		c.max, c.maxAt = listed, now
 	}
-	return s.max
+	return c.max
 }
 
 // reserveMargin is the usable part of the shared reserve. The rest covers proxies that have just
@@ -128,17 +128,17 @@
 }
 
 // all returns the existing upstreams.
-func (l *upstreams) all() []*upstream {
-	l.lock.Lock()
-	defer l.lock.Unlock()
-	return slices.Collect(maps.Values(l.byService))
+func (u *upstreams) all() []*upstream {
+	u.lock.Lock()
+	defer u.lock.Unlock()
+	return slices.Collect(maps.Values(u.byService))
 }
 
-func (l *upstreams) close() {
-	l.lock.Lock()
-	defer l.lock.Unlock()
-	for _, opened := range l.byService {
-		opened.pool.Close()
+func (u *upstreams) close() {
+	u.lock.Lock()
+	defer u.lock.Unlock()
+	for _, upstream := range u.byService {
+		upstream.pool.Close()
 	}
 }
 
@@ -156,27 +156,27 @@
 // speedWeight is the weight of the last measurement in the moving average.
 const speedWeight = 0.05
 
-func (s *prefillSpeed) tokenTime() time.Duration {
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	if s.timePerToken == 0 {
+func (p *prefillSpeed) tokenTime() time.Duration {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	if p.timePerToken == 0 {
 		return initialTimePerToken
 	}
-	return s.timePerToken
+	return p.timePerToken
 }
 
 // learn records the duration of a prefill of that many tokens, including waits.
-func (s *prefillSpeed) learn(tokens int, took time.Duration) {
+func (p *prefillSpeed) learn(tokens int, took time.Duration) {
 	if tokens < minMeasuredTokens {
 		return
 	}
 	measured := took / time.Duration(tokens)
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	if s.timePerToken == 0 {
-		s.timePerToken = initialTimePerToken
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	if p.timePerToken == 0 {
+		p.timePerToken = initialTimePerToken
 	}
-	s.timePerToken += time.Duration(speedWeight * float64(measured-s.timePerToken))
+	p.timePerToken += time.Duration(speedWeight * float64(measured-p.timePerToken))
 }
 
 // minMeasuredTokens is the shortest prefill whose duration is used for the estimate.
--- a/process/ingress/log_test.go
+++ b/process/ingress/log_test.go
@@ -38,15 +38,15 @@
 	var lines sharedBuffer
 	reader := newFakeReplica(t, "read", answerPrefill)
 	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	w := newModelEnv(t, reader, generator, nil)
-	w.ingress.logger = log.NewLogfmtLogger(&lines)
-	w.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read", Unread: 9000}}
+	env := newModelEnv(t, reader, generator, nil)
+	env.ingress.logger = log.NewLogfmtLogger(&lines)
+	env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read", Unread: 9000}}
 	var before []int
 	for _, replica := range []*fakeReplica{reader, generator} {
 		serve := replica.server.Config.Handler
 		replica.server.Config.Handler = callFirst(serve, func() { before = append(before, strings.Count(lines.String(), "name=request_sent")) })
 	}
-	must.Eq(t, eventTexts(1, 2), w.do(modelRequest).body)
+	must.Eq(t, eventTexts(1, 2), env.do(modelRequest).body)
 	must.Eq(t, []int{1, 2}, before)
 	must.StrContains(t, lines.String(), "request=q generation=3 stage=read replica=read unread=9000")
 	must.StrContains(t, lines.String(), "request=q generation=3 stage=run replica=make unread=0")
@@ -70,9 +70,9 @@
 				streamEvents(1, "")(w, r)
 				<-r.Context().Done()
 			})
-			w := newTestEnv(t, replica)
-			w.ingress.logger = log.NewLogfmtLogger(&lines)
-			conn, err := net.Dial("tcp", w.server.Listener.Addr().String())
+			env := newTestEnv(t, replica)
+			env.ingress.logger = log.NewLogfmtLogger(&lines)
+			conn, err := net.Dial("tcp", env.server.Listener.Addr().String())
 			must.NoError(t, err)
 			defer func() { _ = conn.Close() }()
 			_, err = io.WriteString(conn, "POST /stream/ HTTP/1.1\r\nHost: a.example\r\nContent-Length: 0\r\n"+testID+": q\r\n"+testWithin+": "+c.within+"\r\n\r\n")
--- a/process/ingress/metrics_test.go
+++ b/process/ingress/metrics_test.go
@@ -30,15 +30,15 @@
 
 // singleAnswerPlacer answers only the first placement request.
 type singleAnswerPlacer struct {
-	answer placement.Answer
-	asked  bool
+	answer   placement.Answer
+	answered bool
 }
 
 func (p *singleAnswerPlacer) Place(context.Context, feed.PlaceRequest) (placement.Answer, error) {
-	if p.asked {
+	if p.answered {
 		return placement.Answer{}, feed.ErrNotPlaced
 	}
-	p.asked = true
+	p.answered = true
 	return p.answer, nil
 }
 
@@ -48,10 +48,10 @@
 	reader := newFakeReplica(t, "read", answerPrefill)
 	refusing := newFakeReplica(t, "make-1", refuseRun)
 	generator := newFakeReplica(t, "make-2", streamEvents(2, ""))
-	w := newModelEnv(t, reader, refusing, generator)
-	w.ingress.placer = &singleAnswerPlacer{answer: placement.Answer{Generator: "make-1", Reader: "read", Unread: 9000}}
-	must.Eq(t, eventTexts(1, 2), w.do(modelRequest).body)
-	got := w.ingress.metrics.values(t)
+	env := newModelEnv(t, reader, refusing, generator)
+	env.ingress.placer = &singleAnswerPlacer{answer: placement.Answer{Generator: "make-1", Reader: "read", Unread: 9000}}
+	must.Eq(t, eventTexts(1, 2), env.do(modelRequest).body)
+	got := env.ingress.metrics.values(t)
 	// Deciding alone, the proxy may also choose a separate prefill, depending on its
 	// measurements.
 	must.Positive(t, got["landingtrail_ingress_prefills_total read model"])
--- a/process/ingress/model_test.go
+++ b/process/ingress/model_test.go
@@ -60,8 +60,8 @@
 // newModelEnv returns an environment with a prefill replica and up to two decode replicas of the
 // model service.
 func newModelEnv(t *testing.T, reader, first, second *fakeReplica) *testEnv {
-	w := newTestEnv(t)
-	w.views.set(func(v *view.View) {
+	env := newTestEnv(t)
+	env.views.set(func(v *view.View) {
 		v.Replicas = map[string]*api.Replica{
 			reader.name: replicaObject(reader, "model", api.RolePrefill),
 			first.name:  replicaObject(first, "model", api.RoleDecode),
@@ -70,7 +70,7 @@
 			v.Replicas[second.name] = replicaObject(second, "model", api.RoleDecode)
 		}
 	})
-	return w
+	return env
 }
 
 var modelRequest = testRequest{method: "POST", target: "/model/", id: "q", fields: map[string]string{testTokens: "9000"}}
@@ -78,10 +78,10 @@
 func TestPromptIsPrefilledWhereTheGroupSays(t *testing.T) {
 	reader := newFakeReplica(t, "read", answerPrefill)
 	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	w := newModelEnv(t, reader, generator, nil)
+	env := newModelEnv(t, reader, generator, nil)
 	placer := &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read", Unread: 9000}}
-	w.ingress.placer = placer
-	got := w.do(modelRequest)
+	env.ingress.placer = placer
+	got := env.do(modelRequest)
 	must.NoError(t, got.err)
 	must.Eq(t, eventTexts(1, 2), got.body)
 	must.Eq(t, "1", reader.requests[0].Header.Get(testPrefill))
@@ -100,9 +100,9 @@
 		t.Run(name, func(t *testing.T) {
 			reader := newFakeReplica(t, "read", handler)
 			generator := newFakeReplica(t, "make", streamEvents(2, ""))
-			w := newModelEnv(t, reader, generator, nil)
-			w.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
-			got := w.do(modelRequest)
+			env := newModelEnv(t, reader, generator, nil)
+			env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
+			got := env.do(modelRequest)
 			must.NoError(t, got.err)
 			must.Eq(t, eventTexts(1, 2), got.body)
 			must.Eq(t, "", generator.requests[0].Header.Get(testSource))
@@ -115,16 +115,16 @@
 	leaving := newFakeReplica(t, "make-1", streamEvents(2, ""))
 	staying := newFakeReplica(t, "make-2", streamEvents(2, ""))
 	reader := newFakeReplica(t, "read", answerPrefill)
-	w := newModelEnv(t, reader, leaving, staying)
+	env := newModelEnv(t, reader, leaving, staying)
 	reader.server.Config.Handler = callFirst(reader.server.Config.Handler, func() {
-		w.views.set(func(v *view.View) {
+		env.views.set(func(v *view.View) {
 			entry := replicaObject(leaving, "model", api.RoleDecode)
 			entry.Spec.Leaving = true
 			v.Replicas = map[string]*api.Replica{"read": v.Replicas["read"], "make-1": entry, "make-2": v.Replicas["make-2"]}
 		})
 	})
-	w.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make-1", Reader: "read"}}
-	must.Eq(t, eventTexts(1, 2), w.do(modelRequest).body)
+	env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make-1", Reader: "read"}}
+	must.Eq(t, eventTexts(1, 2), env.do(modelRequest).body)
 	must.Eq(t, 0, leaving.count())
 	must.Eq(t, 1, staying.count())
 }
@@ -143,16 +143,16 @@
 			leaving := newFakeReplica(t, "make-1", streamEvents(2, ""))
 			staying := newFakeReplica(t, "make-2", streamEvents(2, ""))
 			reader := newFakeReplica(t, "read", answerPrefill)
-			w := newModelEnv(t, reader, leaving, staying)
-			w.views.set(func(v *view.View) {
+			env := newModelEnv(t, reader, leaving, staying)
+			env.views.set(func(v *view.View) {
 				left := replicaObject(leaving, "model", api.RoleDecode)
 				left.Spec.Leaving = true
 				alsoLeft := replicaObject(reader, "model", api.RolePrefill)
 				alsoLeft.Spec.Leaving = true
 				v.Replicas = map[string]*api.Replica{"read": alsoLeft, "make-1": left, "make-2": v.Replicas["make-2"]}
 			})
-			w.ingress.placer = &fakePlacer{answer: each.answer}
-			must.Eq(t, eventTexts(1, 2), w.do(modelRequest).body)
+			env.ingress.placer = &fakePlacer{answer: each.answer}
+			must.Eq(t, eventTexts(1, 2), env.do(modelRequest).body)
 			must.Eq(t, 0, leaving.count())
 			must.Eq(t, 0, reader.count())
 			must.Eq(t, 1, staying.count())
@@ -169,9 +169,9 @@
 		t.Run(name, func(t *testing.T) {
 			reader := newFakeReplica(t, "read", answerPrefill)
 			generator := newFakeReplica(t, "make", streamEvents(2, ""))
-			w := newModelEnv(t, reader, generator, nil)
-			w.ingress.placer = placer
-			must.Eq(t, eventTexts(1, 2), w.do(modelRequest).body)
+			env := newModelEnv(t, reader, generator, nil)
+			env.ingress.placer = placer
+			must.Eq(t, eventTexts(1, 2), env.do(modelRequest).body)
 			must.Eq(t, 1, generator.count())
 		})
 	}
@@ -195,10 +195,10 @@
 
 func TestRequestIsPlacedAgainAfterAWait(t *testing.T) {
 	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	w := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), generator, nil)
+	env := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), generator, nil)
 	placer := &waitingPlacer{fakePlacer: fakePlacer{answer: placement.Answer{Generator: "make"}}, waits: 3}
-	w.ingress.placer = placer
-	must.Eq(t, eventTexts(1, 2), w.do(modelRequest).body)
+	env.ingress.placer = placer
+	must.Eq(t, eventTexts(1, 2), env.do(modelRequest).body)
 	must.SliceLen(t, 4, placer.asks)
 	must.Eq(t, 1, generator.count())
 }
@@ -207,11 +207,11 @@
 // so.
 func TestRequestWhoseTimeEndsDuringAWaitIsRefused(t *testing.T) {
 	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	w := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), generator, nil)
-	w.ingress.placer = &waitingPlacer{waits: math.MaxInt}
+	env := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), generator, nil)
+	env.ingress.placer = &waitingPlacer{waits: math.MaxInt}
 	request := modelRequest
 	request.fields = map[string]string{testTokens: "9000", testWithin: "100"}
-	got := w.do(request)
+	got := env.do(request)
 	must.NoError(t, got.err)
 	must.Eq(t, http.StatusServiceUnavailable, got.status)
 	must.Eq(t, 0, generator.count())
@@ -251,13 +251,13 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			generator := newFakeReplica(t, "make", test.handler)
-			w := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), generator, nil)
+			env := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), generator, nil)
 			if test.handler == nil {
 				generator.server.Close()
 			}
 			placer := &fakePlacer{answer: placement.Answer{Generator: "make"}}
-			w.ingress.placer = placer
-			w.do(modelRequest)
+			env.ingress.placer = placer
+			env.do(modelRequest)
 			must.Eq(t, test.step, placer.steps()[0])
 			must.Eq(t, "make", placer.notes[0].Replica)
 		})
@@ -265,11 +265,11 @@
 }
 
 func TestKeptPartsAreReportedOldestFirst(t *testing.T) {
-	known := newReplica("r", api.ReplicaSpec{}, &holdoff.Replica{})
-	known.noteCachedParts([]Part{{ID: "a", Tokens: 1}, {ID: "b", Tokens: 2}})
-	known.noteCachedParts([]Part{{ID: "a", Tokens: 1}})
-	must.Eq(t, []placement.Part{{ID: "b", Tokens: 2}, {ID: "a", Tokens: 1}}, known.cachedParts())
-	must.Eq(t, 3, known.cachedTokens([]Part{{ID: "a", Tokens: 1}, {ID: "b", Tokens: 2}, {ID: "c", Tokens: 9}}))
+	current := newReplica("r", api.ReplicaSpec{}, &holdoff.Replica{})
+	current.noteCachedParts([]Part{{ID: "a", Tokens: 1}, {ID: "b", Tokens: 2}})
+	current.noteCachedParts([]Part{{ID: "a", Tokens: 1}})
+	must.Eq(t, []placement.Part{{ID: "b", Tokens: 2}, {ID: "a", Tokens: 1}}, current.cachedParts())
+	must.Eq(t, 3, current.cachedTokens([]Part{{ID: "a", Tokens: 1}, {ID: "b", Tokens: 2}, {ID: "c", Tokens: 9}}))
 }
 
 // The placement board takes the start of a run for the end of its prefill. It is told of a
@@ -290,21 +290,21 @@
 		t.Run(name, func(t *testing.T) {
 			reader := newFakeReplica(t, "read", test.handler)
 			generator := newFakeReplica(t, "make", streamEvents(2, ""))
-			w := newModelEnv(t, reader, generator, nil)
+			env := newModelEnv(t, reader, generator, nil)
 			placer := &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read", Unread: 9000}}
-			w.ingress.placer = placer
+			env.ingress.placer = placer
 			if test.handler == nil {
-				w.withReserve(0)
-				w.ingress.upstreams.get("model").budget.Force(w.ingress.now())
-				w.ingress.upstreams.get("model").find("read").failureRate = 1
+				env.withReserve(0)
+				env.ingress.upstreams.get("model").budget.Force(env.ingress.now())
+				env.ingress.upstreams.get("model").find("read").failureRate = 1
 			}
 			inFlight := 0
 			generator.server.Config.Handler = callFirst(generator.server.Config.Handler, func() {
-				var recorded recordingGroup
-				w.ingress.reportInFlight(&recorded)
-				inFlight = len(recorded.of("model"))
+				var group recordingGroup
+				env.ingress.reportInFlight(&group)
+				inFlight = len(group.of("model"))
 			})
-			must.NoError(t, w.do(modelRequest).err)
+			must.NoError(t, env.do(modelRequest).err)
 			must.Eq(t, []placement.Step{test.step, placement.StepStarted, placement.StepEnded}, placer.steps())
 			must.Eq(t, "read", placer.notes[0].Replica)
 			must.Eq(t, 1, inFlight)
@@ -315,13 +315,13 @@
 // When a replica's address changes, connections to the former address are no longer used.
 func TestConnectionsToAFormerAddressAreDropped(t *testing.T) {
 	before, now := newFakeReplica(t, "r-1", answerOK), newFakeReplica(t, "r-1", answerOK)
-	w := newTestEnv(t, before)
-	must.Eq(t, http.StatusOK, w.do(testRequest{method: "GET", target: "/safe/", id: "q-1"}).status)
-	lane := w.ingress.upstreams.get("plain")
-	must.True(t, lane.pool.Idle(before.address()))
-	w.setReplicas(now)
-	must.Eq(t, http.StatusOK, w.do(testRequest{method: "GET", target: "/safe/", id: "q-2"}).status)
-	must.False(t, lane.pool.Idle(before.address()))
+	env := newTestEnv(t, before)
+	must.Eq(t, http.StatusOK, env.do(testRequest{method: "GET", target: "/safe/", id: "q-1"}).status)
+	upstream := env.ingress.upstreams.get("plain")
+	must.True(t, upstream.pool.Idle(before.address()))
+	env.setReplicas(now)
+	must.Eq(t, http.StatusOK, env.do(testRequest{method: "GET", target: "/safe/", id: "q-2"}).status)
+	must.False(t, upstream.pool.Idle(before.address()))
 	must.Eq(t, 1, now.count())
 }
 
@@ -329,8 +329,8 @@
 // address.
 func TestHandleIsReleasedByReplicaName(t *testing.T) {
 	reader := newFakeReplica(t, "read", answerOK)
-	w := newTestEnv(t)
-	freeing := session{ingress: w.ingress, upstream: w.ingress.upstreams.get("model")}
+	env := newTestEnv(t)
+	freeing := session{ingress: env.ingress, upstream: env.ingress.upstreams.get("model")}
 	freeing.release(Source{Replica: "read", Address: reader.address(), Handle: "h"})
 	eventually(t, "the release request arrives", func() bool { return reader.count() == 1 })
 	must.Eq(t, "read", reader.requests[0].Header.Get(testReplica))
--- a/process/ingress/older_view_test.go
+++ b/process/ingress/older_view_test.go
@@ -29,15 +29,15 @@
 // replicas that it lacks, nor the routes.
 func TestOlderViewReplacesNoNewerOne(t *testing.T) {
 	leaving, added := newFakeReplica(t, "r-1", answerOK), newFakeReplica(t, "r-2", answerOK)
-	w := newTestEnv(t, leaving)
-	views := &overtakenViews{viewHolder: w.views}
-	w.ingress.views = views
-	w.ingress.routes()
-	w.views.set(func(*view.View) {}) // gives the next request a view to apply
+	env := newTestEnv(t, leaving)
+	views := &overtakenViews{viewHolder: env.views}
+	env.ingress.views = views
+	env.ingress.routes()
+	env.views.set(func(*view.View) {}) // gives the next request a view to apply
 
 	var learnt *replica
 	views.overtake = func() {
-		w.views.set(func(v *view.View) {
+		env.views.set(func(v *view.View) {
 			first := replicaObject(leaving, "plain", api.RoleNone)
 			first.Spec.Leaving = true
 			v.Replicas = map[string]*api.Replica{leaving.name: first, added.name: replicaObject(added, "plain", api.RoleNone)}
@@ -46,14 +46,14 @@
 			next.Spec.Routes = next.Spec.Routes[1:]
 			v.Ingresses = map[string]*api.Ingress{api.IngressName: next}
 		})
-		w.ingress.routes()
-		learnt = w.ingress.upstreams.get("plain").find(added.name)
+		env.ingress.routes()
+		learnt = env.ingress.upstreams.get("plain").find(added.name)
 		must.NotNil(t, learnt)
 	}
-	w.ingress.routes()
+	env.ingress.routes()
 
-	lane := w.ingress.upstreams.get("plain")
-	must.True(t, lane.find(leaving.name).spec().Leaving)
-	must.True(t, lane.find(added.name) == learnt)
-	must.Eq(t, testIngress().Spec.Generation+1, w.ingress.table.Load().routes.generation)
+	upstream := env.ingress.upstreams.get("plain")
+	must.True(t, upstream.find(leaving.name).spec().Leaving)
+	must.True(t, upstream.find(added.name) == learnt)
+	must.Eq(t, testIngress().Spec.Generation+1, env.ingress.table.Load().routes.generation)
 }
--- a/process/ingress/order_test.go
+++ b/process/ingress/order_test.go
@@ -14,9 +14,9 @@
 // retry delay within its caller's remaining time.
 func TestRequestWithoutCapacityIsRefusedAtOnce(t *testing.T) {
 	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	w := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), generator, nil)
-	w.ingress.placer = &fakePlacer{answer: placement.Answer{Refused: true, RetryAfter: time.Hour}}
-	got := w.do(modelRequest)
+	env := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), generator, nil)
+	env.ingress.placer = &fakePlacer{answer: placement.Answer{Refused: true, RetryAfter: time.Hour}}
+	got := env.do(modelRequest)
 	must.NoError(t, got.err)
 	must.Eq(t, http.StatusServiceUnavailable, got.status)
 	again, err := time.ParseDuration(got.header.Get(testAgain))
@@ -30,13 +30,13 @@
 func TestDeferredRequestsArePrefilledLast(t *testing.T) {
 	reader := newFakeReplica(t, "read", answerPrefill)
 	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	w := newModelEnv(t, reader, generator, nil)
-	w.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read", Deferred: true}}
-	must.Eq(t, eventTexts(1, 2), w.do(modelRequest).body)
+	env := newModelEnv(t, reader, generator, nil)
+	env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read", Deferred: true}}
+	must.Eq(t, eventTexts(1, 2), env.do(modelRequest).body)
 	must.Eq(t, "9", reader.requests[0].Header.Get(testPriority))
 	must.Eq(t, "0", generator.requests[0].Header.Get(testPriority))
-	w.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Deferred: true}}
-	must.Eq(t, eventTexts(1, 2), w.do(modelRequest).body)
+	env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Deferred: true}}
+	must.Eq(t, eventTexts(1, 2), env.do(modelRequest).body)
 	must.Eq(t, "9", generator.requests[1].Header.Get(testPriority))
 }
 
--- a/process/ingress/pick.go
+++ b/process/ingress/pick.go
@@ -39,23 +39,23 @@
 	excluded map[string]bool
 }
 
-func (w *replicaFilter) matches(candidate *replica, now time.Duration) bool {
-	return !w.excluded[candidate.name] && candidate.acceptsRequests(now) && w.hasRole(candidate)
+func (filter *replicaFilter) matches(candidate *replica, now time.Duration) bool {
+	return !filter.excluded[candidate.name] && candidate.acceptsRequests(now) && filter.hasRole(candidate)
 }
 
 // hasRole reports whether the replica has one of the roles.
-func (w *replicaFilter) hasRole(candidate *replica) bool {
-	return w.includesRole(candidate.spec().Role)
+func (filter *replicaFilter) hasRole(candidate *replica) bool {
+	return filter.includesRole(candidate.spec().Role)
 }
 
-func (w *replicaFilter) includesRole(role api.EngineRole) bool {
-	return role == api.RoleNone || slices.Contains(w.roles, role)
+func (filter *replicaFilter) includesRole(role api.EngineRole) bool {
+	return role == api.RoleNone || slices.Contains(filter.roles, role)
 }
 
 // pickPlain returns the cheapest available replica, or nil. A random one is preferred among
 // equals.
-func (l *upstream) pickPlain(zone string, excluded map[string]bool, now time.Duration, random *rand.Rand) *replica {
-	candidates := l.candidates(&replicaFilter{roles: []api.EngineRole{api.RoleNone}, excluded: excluded}, now)
+func (u *upstream) pickPlain(zone string, excluded map[string]bool, now time.Duration, random *rand.Rand) *replica {
+	candidates := u.candidates(&replicaFilter{roles: []api.EngineRole{api.RoleNone}, excluded: excluded}, now)
 	if len(candidates) == 0 {
 		return nil
 	}
@@ -84,11 +84,11 @@
 
 // candidates returns the matching replicas. Suspect ones are returned only if there are no
 // others.
-func (l *upstream) candidates(w *replicaFilter, now time.Duration) []*replica {
+func (u *upstream) candidates(filter *replicaFilter, now time.Duration) []*replica {
 	var healthy, suspects []*replica
-	for _, candidate := range l.fleet.choices(now) {
+	for _, candidate := range u.fleet.choices(now) {
 		switch {
-		case !w.matches(candidate, now):
+		case !filter.matches(candidate, now):
 		case candidate.isSuspect(now):
 			suspects = append(suspects, candidate)
 		default:
@@ -107,12 +107,12 @@
 
 // pickModel returns the replica with one of the roles at which the call is expected to wait
 // least, and false if there is none. pace is the time to prefill one token there.
-func (l *upstream) pickModel(w *replicaFilter, call *Call, zone string, pace, now time.Duration, random *rand.Rand) (choice, bool) {
-	candidates := l.candidates(w, now)
+func (u *upstream) pickModel(filter *replicaFilter, call *Call, zone string, pace, now time.Duration, random *rand.Rand) (choice, bool) {
+	candidates := u.candidates(filter, now)
 	if len(candidates) == 0 {
 		return choice{}, false
 	}
-	preferred := l.affinityReplicasOf(call, candidates)
+	preferred := u.affinityReplicasOf(call, candidates)
 	var best choice
 	for i, candidate := range candidates {
 		considered := candidate.modelCost(call, preferred[candidate.name], zone, pace, now)
@@ -156,7 +156,7 @@
 
 // affinityReplicasOf ranks the candidates by a hash of the last shared part and the replica's
 // name (rendezvous hashing), which reassigns few parts when replicas come and go.
-func (l *upstream) affinityReplicasOf(call *Call, candidates []*replica) map[string]bool {
+func (u *upstream) affinityReplicasOf(call *Call, candidates []*replica) map[string]bool {
 	parts := call.Work.Parts
 	if len(parts) < 2 {
 		return nil
--- a/process/ingress/placed.go
+++ b/process/ingress/placed.go
@@ -54,7 +54,7 @@
 			return plan{}, false
 		}
 		s.ingress.routes() // applies the latest list of replicas and quarantine record
-		if _, held := s.quarantineHold(); held {
+		if _, quarantined := s.quarantineHold(); quarantined {
 			return plan{quarantined: true}, true // refused now instead of waiting on
 		}
 	}
@@ -116,7 +116,7 @@
 	s.wasIsolated = s.wasIsolated || answer.Alone
 	now := s.ingress.now()
 	if !isUsable(answer.Generator, chosen.target, now) || !isUsable(answer.Reader, chosen.prefiller, now) {
-		tracked.note(placement.StepEnded, "", 0)
+		tracked.report(placement.StepEnded, "", 0)
 		s.trace.WriteString(" unknown_replica")
 		return plan{}, false
 	}
@@ -180,18 +180,18 @@
 const maxConnected = 64
 
 // connectedReplicas returns the replicas to which an idle connection is open.
-func (l *upstream) connectedReplicas() []string {
+func (u *upstream) connectedReplicas() []string {
 	var names []string
-	for _, known := range l.fleet.inUse() {
+	for _, current := range u.fleet.inUse() {
 		if len(names) == maxConnected {
 			break
 		}
-		if l.pool.Idle(known.spec().Address) {
-			names = append(names, known.name)
+		if u.pool.Idle(current.spec().Address) {
+			names = append(names, current.name)
 		}
 	}
 	return names
 }
 
 // find returns the listed replica with that name, or nil.
-func (l *upstream) find(name string) *replica { return l.fleet.find(name, l.clock()) }
+func (u *upstream) find(name string) *replica { return u.fleet.find(name, u.clock()) }
--- a/process/ingress/plan.go
+++ b/process/ingress/plan.go
@@ -83,7 +83,7 @@
 	if s.call.Work.PromptTokens == 0 {
 		return plan{target: s.upstream.pickPlain(zone, s.excluded, now, s.random)}
 	}
-	if chosen, decided := s.placeSuspect(ctx); decided {
+	if chosen, decided := s.placeSafely(ctx); decided {
 		s.ingress.metrics.choices.WithLabelValues(s.upstream.service, chosenByGroup).Inc()
 		return chosen
 	}
@@ -124,6 +124,6 @@
 }
 
 // pickDecoder returns the replica that currently generates tokens fastest.
-func (l *upstream) pickDecoder(w *replicaFilter, zone string, now time.Duration, random *rand.Rand) (choice, bool) {
-	return l.pickModel(w, &Call{}, zone, 0, now, random)
+func (u *upstream) pickDecoder(filter *replicaFilter, zone string, now time.Duration, random *rand.Rand) (choice, bool) {
+	return u.pickModel(filter, &Call{}, zone, 0, now, random)
 }
--- a/process/ingress/prefill.go
+++ b/process/ingress/prefill.go
@@ -40,11 +40,11 @@
 func (s *session) prefill(ctx context.Context, chosen plan) Source {
 	if !chosen.prefiller.acceptsRequests(s.ingress.now()) {
 		s.noteWithheld(stagePrefill, chosen.prefiller)
-		chosen.tracked.note(placement.StepUnread, chosen.prefiller.name, 0)
+		chosen.tracked.report(placement.StepUnread, chosen.prefiller.name, 0)
 		return Source{}
 	}
 	if !s.allowPrefill(chosen.prefiller) {
-		chosen.tracked.note(placement.StepUnread, chosen.prefiller.name, 0)
+		chosen.tracked.report(placement.StepUnread, chosen.prefiller.name, 0)
 		return Source{}
 	}
 	s.prefillCount++
@@ -109,19 +109,19 @@
 func (s *session) handlePrefillError(chosen plan, err error) (refused bool) {
 	if errors.Is(err, errWithheld) {
 		s.noteWithheld(stagePrefill, chosen.prefiller)
-		chosen.tracked.note(placement.StepUnread, chosen.prefiller.name, 0)
+		chosen.tracked.report(placement.StepUnread, chosen.prefiller.name, 0)
 		return false
 	}
 	s.noteUnanswered(chosen.prefiller, err, s.ingress.now())
 	if isForeign(err) {
-		chosen.tracked.note(placement.StepUnread, chosen.prefiller.name, 0)
+		chosen.tracked.report(placement.StepUnread, chosen.prefiller.name, 0)
 		return true
 	}
 	step := placement.StepFailed
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		step = placement.StepGone
 	}
-	chosen.tracked.note(step, chosen.prefiller.name, 0)
+	chosen.tracked.report(step, chosen.prefiller.name, 0)
 	return !notSent(err)
 }
 
@@ -144,7 +144,7 @@
 		if reply.Asks.RetryAfter > 0 {
 			step = placement.StepRefused // keeps other requests' prefills off it as well
 		}
-		chosen.tracked.note(step, prefiller.name, 0)
+		chosen.tracked.report(step, prefiller.name, 0)
 		return "", !reply.Named || reply.refuses()
 	}
 	handle, err = s.ingress.config.Dialect.Handle(body)
@@ -153,7 +153,7 @@
 	}
 	if err != nil {
 		fmt.Fprintf(&s.trace, " prefill(%s: %v)", prefiller.name, err)
-		chosen.tracked.note(placement.StepUnread, prefiller.name, 0)
+		chosen.tracked.report(placement.StepUnread, prefiller.name, 0)
 		return "", true
 	}
 	s.notePrefilled(chosen, now-startedAt)
@@ -174,7 +174,7 @@
 	prefiller, uncachedTokens := chosen.prefiller, chosen.uncachedTokens
 	prefiller.noteSuccess()
 	prefiller.noteCachedParts(s.call.Work.Parts)
-	chosen.tracked.note(placement.StepRead, "", prefiller.reportedRequests())
+	chosen.tracked.report(placement.StepRead, "", prefiller.reportedRequests())
 	s.upstream.speed.learn(uncachedTokens, took)
 	s.ingress.metrics.prefillSeconds.WithLabelValues(s.upstream.service).Observe(took.Seconds())
 	fmt.Fprintf(&s.trace, " prefill(%s: %d tokens in %s)", prefiller.name, uncachedTokens, took.Round(time.Millisecond))
@@ -206,24 +206,24 @@
 // connection of its own. A replica that pauses or is leaving is not contacted; the handle
 // expires.
 func (s *session) release(source Source) {
-	asks := s.ingress.upstreams.holdoffs.Find(source.Replica)
-	if asks.State(s.ingress.now()) != holdoff.Open {
+	pauseState := s.ingress.upstreams.holdoffs.Find(source.Replica)
+	if pauseState.State(s.ingress.now()) != holdoff.Open {
 		return
 	}
 	header := http.Header{}
 	method, target := s.ingress.config.Dialect.Release(header, source.Replica, source.Handle)
-	lane := s.upstream
+	upstream := s.upstream
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 		defer cancel()
-		answer, err := lane.pool.Do(ctx, source.Address, &exchange.Request{
+		answer, err := upstream.pool.Do(ctx, source.Address, &exchange.Request{
 			Method: method, Target: target, Host: source.Address, Header: header,
-			Permit: s.ingress.permit(asks),
+			Permit: s.ingress.permit(pauseState),
 		})
 		if err != nil {
 			return // the handle expires by itself
 		}
-		s.recordHoldoff(stageRelease, asks, answer.Status, answer.Header)
+		s.recordHoldoff(stageRelease, pauseState, answer.Status, answer.Header)
 		_, _ = io.Copy(io.Discard, io.LimitReader(answer, maxHandleBytes))
 		answer.Close()
 	}()
--- a/process/ingress/quarantine_test.go
+++ b/process/ingress/quarantine_test.go
@@ -65,10 +65,10 @@
 	for i := range replicas {
 		all = append(all, newFakeReplica(t, fmt.Sprint("r-", i), crashOn("fatal")))
 	}
-	w := newTestEnv(t, all...)
+	env := newTestEnv(t, all...)
 	group := &recordingReporter{}
-	w.ingress.guard.SetReporter(group)
-	return w, group, all
+	env.ingress.guard.SetReporter(group)
+	return env, group, all
 }
 
 func totalRequests(replicas []*fakeReplica) int {
@@ -80,8 +80,8 @@
 }
 
 // setQuarantine puts the crash request on record.
-func (w *testEnv) setQuarantine(state api.QuarantineState, until time.Duration, replicas ...string) {
-	w.views.set(func(v *view.View) {
+func (env *testEnv) setQuarantine(state api.QuarantineState, until time.Duration, replicas ...string) {
+	env.views.set(func(v *view.View) {
 		name := quarantine.Of(quarantine.Identity{Method: "GET", Host: "a.example", Path: "/safe/x", Query: "q=1"}).String()
 		v.Quarantines = map[string]*api.Quarantine{name: {
 			Metadata: api.Metadata{Name: name, Revision: v.Version.Revision},
@@ -93,10 +93,10 @@
 // A quarantined request is sent to no replica and is answered at once with a retry delay. Other
 // requests on the route are served.
 func TestQuarantinedRequestIsSentToNoReplica(t *testing.T) {
-	w, _, replicas := newQuarantineEnv(t, 3)
-	w.setQuarantine(api.QuarantineHeld, time.Hour, "x", "y", "z")
+	env, _, replicas := newQuarantineEnv(t, 3)
+	env.setQuarantine(api.QuarantineHeld, time.Hour, "x", "y", "z")
 	began := time.Now()
-	got := w.do(crashRequest("one"))
+	got := env.do(crashRequest("one"))
 	must.Less(t, time.Second, time.Since(began))
 	must.Eq(t, http.StatusServiceUnavailable, got.status)
 	must.Eq(t, "quarantined\n", got.body)
@@ -104,22 +104,22 @@
 	must.NoError(t, err)
 	must.Between(t, 59*time.Minute, again, time.Hour)
 	must.Eq(t, 0, totalRequests(replicas))
-	must.Eq(t, 200, w.do(testRequest{method: "GET", target: "/safe/x?q=2", id: "two"}).status)
+	must.Eq(t, 200, env.do(testRequest{method: "GET", target: "/safe/x?q=2", id: "two"}).status)
 
-	w.views.set(func(v *view.View) { v.Quarantines = nil })
-	must.Eq(t, 502, w.do(crashRequest("three")).status)
+	env.views.set(func(v *view.View) { v.Quarantines = nil })
+	must.Eq(t, 502, env.do(crashRequest("three")).status)
 	must.Eq(t, 3, totalRequests(replicas), must.Sprint("a released request is sent again"))
 }
 
 // A proxy without a leader judges by its own observations.
 func TestCutOffProxyUsesItsOwnObservations(t *testing.T) {
-	w, group, replicas := newQuarantineEnv(t, 8)
+	env, group, replicas := newQuarantineEnv(t, 8)
 	for i := range 2 {
-		w.do(crashRequest(fmt.Sprint("q-", i)))
+		env.do(crashRequest(fmt.Sprint("q-", i)))
 	}
 	must.Eq(t, 4, totalRequests(replicas))
 	for i := range 10 {
-		must.Eq(t, http.StatusServiceUnavailable, w.do(crashRequest(fmt.Sprint("later-", i))).status)
+		must.Eq(t, http.StatusServiceUnavailable, env.do(crashRequest(fmt.Sprint("later-", i))).status)
 	}
 	must.Eq(t, 4, totalRequests(replicas))
 	ended, _, _ := group.counts()
@@ -127,33 +127,33 @@
 
 	// With a leader, the observations of all proxies decide.
 	group.connected.Store(true)
-	must.Eq(t, 502, w.do(crashRequest("decided")).status)
+	must.Eq(t, 502, env.do(crashRequest("decided")).status)
 	must.Greater(t, 4, totalRequests(replicas))
 }
 
 // The record from before the loss of the leader is combined with later observations.
 func TestRecordIsCombinedWithOwnObservations(t *testing.T) {
-	w, _, replicas := newQuarantineEnv(t, 3)
-	w.setQuarantine(api.QuarantineWatched, time.Hour, "gone-1", "gone-2")
-	w.do(crashRequest("one"))
+	env, _, replicas := newQuarantineEnv(t, 3)
+	env.setQuarantine(api.QuarantineWatched, time.Hour, "gone-1", "gone-2")
+	env.do(crashRequest("one"))
 	sent := totalRequests(replicas)
 	must.Eq(t, 2, sent)
-	must.Eq(t, http.StatusServiceUnavailable, w.do(crashRequest("two")).status)
+	must.Eq(t, http.StatusServiceUnavailable, env.do(crashRequest("two")).status)
 	must.Eq(t, sent, totalRequests(replicas))
 }
 
 // A request that crashes three replicas by itself is sent to no fourth one, whatever number of
 // attempts its route allows and before the control group has decided.
 func TestOneRequestCrashesThreeReplicasAtMost(t *testing.T) {
-	w, group, replicas := newQuarantineEnv(t, 8)
+	env, group, replicas := newQuarantineEnv(t, 8)
 	group.connected.Store(true)
-	w.views.set(func(v *view.View) {
+	env.views.set(func(v *view.View) {
 		made := testIngress()
 		made.Spec.Generation++
 		made.Spec.Routes[0].Attempts = 8
 		v.Ingresses = map[string]*api.Ingress{api.IngressName: made}
 	})
-	must.Eq(t, http.StatusBadGateway, w.do(crashRequest("one")).status)
+	must.Eq(t, http.StatusBadGateway, env.do(crashRequest("one")).status)
 	must.Eq(t, 3, totalRequests(replicas))
 }
 
@@ -162,16 +162,16 @@
 // replicas within 0.7 s, while the report was on its way to the leader and back: only the crashes
 // of that copy counted, although its proxy knew of the others.
 func TestThirdRecordedCrashStopsTheRequestThatCausedIt(t *testing.T) {
-	w, group, replicas := newQuarantineEnv(t, 8)
+	env, group, replicas := newQuarantineEnv(t, 8)
 	group.connected.Store(true)
-	w.views.set(func(v *view.View) {
+	env.views.set(func(v *view.View) {
 		made := testIngress()
 		made.Spec.Generation++
 		made.Spec.Routes[0].Attempts = 8
 		v.Ingresses = map[string]*api.Ingress{api.IngressName: made}
 	})
-	w.setQuarantine(api.QuarantineWatched, time.Hour, "gone-1", "gone-2")
-	must.Eq(t, http.StatusBadGateway, w.do(crashRequest("one")).status)
+	env.setQuarantine(api.QuarantineWatched, time.Hour, "gone-1", "gone-2")
+	must.Eq(t, http.StatusBadGateway, env.do(crashRequest("one")).status)
 	must.Eq(t, 1, totalRequests(replicas))
 }
 
@@ -180,12 +180,12 @@
 // proves nothing; accepting it once released a request that had crashed eight replicas.
 func TestAnswerRefutesACrash(t *testing.T) {
 	for _, kept := range []bool{true, false} {
-		w, group, replicas := newQuarantineEnv(t, 1)
+		env, group, replicas := newQuarantineEnv(t, 1)
 		if kept {
-			w.doConcurrently(replicas[0]) // the crash request breaks one of two connections
+			env.doConcurrently(replicas[0]) // the crash request breaks one of two connections
 		}
-		w.do(crashRequest("one"))
-		must.Eq(t, 200, w.do(testRequest{method: "GET", target: "/safe/y", id: "two"}).status)
+		env.do(crashRequest("one"))
+		must.Eq(t, 200, env.do(testRequest{method: "GET", target: "/safe/y", id: "two"}).status)
 		ended, alive, _ := group.counts()
 		must.Eq(t, 1, ended)
 		want := 0
@@ -198,7 +198,7 @@
 
 // doConcurrently has two requests in flight at a replica at the same time, each on its own
 // connection.
-func (w *testEnv) doConcurrently(replica *fakeReplica) {
+func (env *testEnv) doConcurrently(replica *fakeReplica) {
 	var both, asking sync.WaitGroup
 	both.Add(2)
 	usual := replica.server.Config.Handler
@@ -208,7 +208,7 @@
 		usual.ServeHTTP(rw, r)
 	})
 	for _, id := range []string{"before-1", "before-2"} {
-		asking.Go(func() { w.do(testRequest{method: "GET", target: "/safe/y", id: id}) })
+		asking.Go(func() { env.do(testRequest{method: "GET", target: "/safe/y", id: id}) })
 	}
 	asking.Wait()
 	replica.server.Config.Handler = usual
@@ -217,31 +217,31 @@
 // The next process under a replica's name refutes no crash on record, not even for a proxy that
 // has just started and knows the name only from the record.
 func TestRestartedReplicaRefutesNoCrash(t *testing.T) {
-	w, group, _ := newQuarantineEnv(t, 3)
-	w.views.set(func(v *view.View) {
+	env, group, _ := newQuarantineEnv(t, 3)
+	env.views.set(func(v *view.View) {
 		for i := range 3 {
 			v.Replicas[fmt.Sprint("r-", i)].Spec.Born = 1000
 		}
 	})
-	w.setQuarantine(api.QuarantineHeld, time.Hour, "r-0", "r-1", "r-2", "r-0@1000", "r-1@1000", "r-2@1000")
+	env.setQuarantine(api.QuarantineHeld, time.Hour, "r-0", "r-1", "r-2", "r-0@1000", "r-1@1000", "r-2@1000")
 	for i := range 12 {
-		must.Eq(t, 200, w.do(testRequest{method: "GET", target: "/safe/y", id: fmt.Sprint("q-", i)}).status)
+		must.Eq(t, 200, env.do(testRequest{method: "GET", target: "/safe/y", id: fmt.Sprint("q-", i)}).status)
 	}
 	_, alive, _ := group.counts()
 	must.Eq(t, 0, alive)
-	must.Eq(t, http.StatusServiceUnavailable, w.do(crashRequest("again")).status)
+	must.Eq(t, http.StatusServiceUnavailable, env.do(crashRequest("again")).status)
 }
 
 // The crash of each process counts, including several under one name.
 func TestCrashesOfSeveralProcessesUnderOneName(t *testing.T) {
-	w, group, replicas := newQuarantineEnv(t, 1)
+	env, group, replicas := newQuarantineEnv(t, 1)
 	for born := range 4 {
-		w.views.set(func(v *view.View) {
+		env.views.set(func(v *view.View) {
 			entry := replicaObject(replicas[0], "plain", api.RoleNone)
 			entry.Spec.Born = int64(1000 + born)
 			v.Replicas = map[string]*api.Replica{"r-0": entry}
 		})
-		w.do(crashRequest(fmt.Sprint("q-", born)))
+		env.do(crashRequest(fmt.Sprint("q-", born)))
 	}
 	names := map[string]bool{}
 	for _, report := range group.reports {
@@ -254,35 +254,35 @@
 
 // A single crash does not activate the guard: requests are checked from the second crash on.
 func TestSingleCrashDoesNotActivateTheGuard(t *testing.T) {
-	w, _, _ := newQuarantineEnv(t, 1)
-	w.do(crashRequest("one"))
-	must.False(t, w.ingress.guard.Active())
+	env, _, _ := newQuarantineEnv(t, 1)
+	env.do(crashRequest("one"))
+	must.False(t, env.ingress.guard.Active())
 }
 
 // The control group is told when a watched request is served completely.
 func TestServedRequestIsReported(t *testing.T) {
-	w, group, _ := newQuarantineEnv(t, 2)
-	w.setQuarantine(api.QuarantineWatched, time.Hour, "gone-1", "gone-2")
+	env, group, _ := newQuarantineEnv(t, 2)
+	env.setQuarantine(api.QuarantineWatched, time.Hour, "gone-1", "gone-2")
 	well := crashRequest("one")
 	well.fields = nil
-	must.Eq(t, 200, w.do(well).status)
+	must.Eq(t, 200, env.do(well).status)
 	_, _, served := group.counts()
 	must.Eq(t, 1, served)
 }
 
 // A new leader is told everything that this proxy has observed.
 func TestNewLeaderIsToldOfCrashes(t *testing.T) {
-	w, group, _ := newQuarantineEnv(t, 2)
-	w.do(crashRequest("one"))
-	w.ingress.guard.ReportAll(w.ingress.now())
+	env, group, _ := newQuarantineEnv(t, 2)
+	env.do(crashRequest("one"))
+	env.ingress.guard.ReportAll(env.ingress.now())
 	ended, _, _ := group.counts()
 	must.Eq(t, 4, ended)
 }
 
 // Without any suspicion the check of a request is a single atomic load, without hashing.
 func TestRequestsAreNotHashedWithoutSuspicion(t *testing.T) {
-	w, _, _ := newQuarantineEnv(t, 1)
-	s := &session{ingress: w.ingress, call: Call{Body: make([]byte, 1<<20)}}
+	env, _, _ := newQuarantineEnv(t, 1)
+	s := &session{ingress: env.ingress, call: Call{Body: make([]byte, 1<<20)}}
 	must.Zero(t, testing.AllocsPerRun(100, func() { s.quarantineHold() }))
 	must.Nil(t, s.cachedFingerprint)
 }
@@ -298,11 +298,11 @@
 			}
 			panic(http.ErrAbortHandler)
 		})
-		w := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), generator, nil)
+		env := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), generator, nil)
 		group := &recordingReporter{}
-		w.ingress.guard.SetReporter(group)
-		w.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Alone: true}}
-		w.do(modelRequest)
+		env.ingress.guard.SetReporter(group)
+		env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Alone: true}}
+		env.do(modelRequest)
 		must.SliceNotEmpty(t, group.reports)
 		must.Eq(t, ends, group.reports[0].Ended[0].Alone)
 	}
@@ -318,10 +318,10 @@
 			}
 			panic(http.ErrAbortHandler)
 		})
-		w := newTestEnv(t, broken)
+		env := newTestEnv(t, broken)
 		group := &recordingReporter{}
-		w.ingress.guard.SetReporter(group)
-		w.do(testRequest{method: "GET", target: "/safe/x", id: "q"})
+		env.ingress.guard.SetReporter(group)
+		env.do(testRequest{method: "GET", target: "/safe/x", id: "q"})
 		must.SliceNotEmpty(t, group.reports)
 		must.Eq(t, !ends, group.reports[0].Ended[0].Listens)
 	}
@@ -330,18 +330,18 @@
 // An isolated request that was served is reported as harmless, even if this proxy has no evidence
 // against it. While the control group asks for fingerprints, placement requests include them.
 func TestServedIsolatedRequestsAreReported(t *testing.T) {
-	w := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), newFakeReplica(t, "make", streamEvents(2, "")), nil)
+	env := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), newFakeReplica(t, "make", streamEvents(2, "")), nil)
 	group := &recordingReporter{}
-	w.ingress.guard.SetReporter(group)
+	env.ingress.guard.SetReporter(group)
 	placer := &fingerprintPlacer{fakePlacer: fakePlacer{answer: placement.Answer{Generator: "make", Alone: true}}}
-	w.ingress.placer = placer
-	must.Eq(t, eventTexts(1, 2), w.do(modelRequest).body)
+	env.ingress.placer = placer
+	must.Eq(t, eventTexts(1, 2), env.do(modelRequest).body)
 	_, _, served := group.counts()
 	must.Eq(t, 1, served)
 	must.SliceLen(t, 2, placer.asks)
 	must.Eq(t, "", placer.asks[0].Name)
 	must.Eq(t, 16, len(placer.asks[1].Name))
-	w.do(modelRequest)
+	env.do(modelRequest)
 	must.SliceLen(t, 3, placer.asks, must.Sprint("the next placement request includes the fingerprint at once"))
 }
 
@@ -352,13 +352,13 @@
 // crashes were known.
 func TestRequestServedAfterItsFirstCrashIsReported(t *testing.T) {
 	broken := newFakeReplica(t, "broken", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
-	w := newTestEnv(t, broken, newFakeReplica(t, "sound", answerOK))
+	env := newTestEnv(t, broken, newFakeReplica(t, "sound", answerOK))
 	group := &recordingReporter{}
 	group.connected.Store(true)
-	w.ingress.guard.SetReporter(group)
+	env.ingress.guard.SetReporter(group)
 	ended, served := 0, 0
 	for i := 0; ended == 0 && i < 50; i++ { // until the broken replica is chosen
-		must.Eq(t, 200, w.do(testRequest{method: "GET", target: "/safe/x", id: fmt.Sprint("q-", i)}).status)
+		must.Eq(t, 200, env.do(testRequest{method: "GET", target: "/safe/x", id: fmt.Sprint("q-", i)}).status)
 		ended, _, served = group.counts()
 	}
 	must.Eq(t, 1, ended)
@@ -401,10 +401,10 @@
 // wait is over.
 func TestRequestQuarantinedDuringAWaitIsRefusedAtOnce(t *testing.T) {
 	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	w := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), generator, nil)
-	w.ingress.placer = &quarantiningPlacer{views: w.views}
+	env := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), generator, nil)
+	env.ingress.placer = &quarantiningPlacer{views: env.views}
 	began := time.Now()
-	got := w.do(modelRequest)
+	got := env.do(modelRequest)
 	must.Eq(t, http.StatusServiceUnavailable, got.status)
 	must.Eq(t, "quarantined\n", got.body)
 	must.Less(t, time.Second, time.Since(began))
@@ -412,8 +412,8 @@
 }
 
 // watchModelRequest puts the model request on record as watched.
-func (w *testEnv) watchModelRequest(replicas ...string) {
-	w.views.set(func(v *view.View) {
+func (env *testEnv) watchModelRequest(replicas ...string) {
+	env.views.set(func(v *view.View) {
 		name := quarantine.Of(quarantine.Identity{Method: "POST", Host: "a.example", Path: "/model/"}).String()
 		v.Quarantines = map[string]*api.Quarantine{name: {
 			Metadata: api.Metadata{Name: name, Revision: v.Version.Revision},
@@ -429,19 +429,19 @@
 // copies had no leader and were sent at once. A proxy without an answer decided by itself even
 // for a request that it knew to need isolation.
 func TestWatchedRequestIsPlacedByALeaderOnly(t *testing.T) {
-	play := func(change func(w *testEnv, group *recordingReporter, placer *waitingPlacer)) (testResponse, int) {
+	play := func(change func(env *testEnv, group *recordingReporter, placer *waitingPlacer)) (testResponse, int) {
 		generator := newFakeReplica(t, "make", streamEvents(2, ""))
-		w := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), generator, nil)
+		env := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), generator, nil)
 		group := &recordingReporter{}
 		group.connected.Store(true)
-		w.ingress.guard.SetReporter(group)
+		env.ingress.guard.SetReporter(group)
 		placer := &waitingPlacer{fakePlacer: fakePlacer{answer: placement.Answer{Generator: "make"}}}
-		w.ingress.placer = placer
-		must.Eq(t, eventTexts(1, 2), w.do(modelRequest).body)
-		w.watchModelRequest("x", "y")
-		change(w, group, placer)
+		env.ingress.placer = placer
+		must.Eq(t, eventTexts(1, 2), env.do(modelRequest).body)
+		env.watchModelRequest("x", "y")
+		change(env, group, placer)
 		before := generator.count()
-		got := w.do(modelRequest)
+		got := env.do(modelRequest)
 		return got, generator.count() - before
 	}
 	t.Run("placed", func(t *testing.T) {
@@ -468,9 +468,9 @@
 		must.Eq(t, 1, sent)
 	})
 	t.Run("weak evidence requires no leader", func(t *testing.T) {
-		got, sent := play(func(w *testEnv, _ *recordingReporter, placer *waitingPlacer) {
+		got, sent := play(func(env *testEnv, _ *recordingReporter, placer *waitingPlacer) {
 			placer.err = feed.ErrNotPlaced
-			w.views.set(func(v *view.View) {
+			env.views.set(func(v *view.View) {
 				for _, known := range v.Quarantines {
 					known.Spec.Weak = []string{"y"}
 				}
--- a/process/ingress/replica.go
+++ b/process/ingress/replica.go
@@ -64,8 +64,8 @@
 	events int
 }
 
-func newReplica(name string, spec api.ReplicaSpec, asks *holdoff.Replica) *replica {
-	created := &replica{name: name, holdoff: asks, sends: map[*send]struct{}{}, cacheEstimate: newCacheEstimate()}
+func newReplica(name string, spec api.ReplicaSpec, pauseState *holdoff.Replica) *replica {
+	created := &replica{name: name, holdoff: pauseState, sends: map[*send]struct{}{}, cacheEstimate: newCacheEstimate()}
 	created.currentSpec.Store(&spec)
 	return created
 }
--- a/process/ingress/run.go
+++ b/process/ingress/run.go
@@ -193,30 +193,30 @@
 type announcer interface{ Announce() }
 
 func (i *Ingress) serveUntil(ctx context.Context, group announcer) error {
-	callers, err := i.listen(i.config.ListenAddress, i)
+	callerServer, err := i.listen(i.config.ListenAddress, i)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = callers.Close() }()
+	defer func() { _ = callerServer.Close() }()
 	if i.config.ReadyAddress != "" {
-		health, err := i.listen(i.config.ReadyAddress, http.HandlerFunc(i.serveReady))
+		readyServer, err := i.listen(i.config.ReadyAddress, http.HandlerFunc(i.serveReady))
 		if err != nil {
 			return err
 		}
-		defer func() { _ = health.Close() }()
+		defer func() { _ = readyServer.Close() }()
 	}
 	if i.config.MetricsAddress != "" {
-		served, err := admin.Listen("landingtrail-ingress", i.config.MetricsAddress, i.metrics.registry, i.readiness, i.logger)
+		metricsServer, err := admin.Listen("landingtrail-ingress", i.config.MetricsAddress, i.metrics.registry, i.readiness, i.logger)
 		if err != nil {
 			return err
 		}
-		defer served.Close()
+		defer metricsServer.Close()
 	}
 	event.IngressStarted.Log(i.logger, "address", i.config.ListenAddress, "zone", i.config.Zone)
 	stopAnnouncing := i.announceWhenReady(ctx, group)
 	<-ctx.Done()
 	stopAnnouncing()
-	return i.drain(callers, group)
+	return i.drain(callerServer, group)
 }
 
 func (i *Ingress) readiness() admin.Readiness { return admin.Readiness{Ready: i.Ready()} }
@@ -238,10 +238,10 @@
 // announceWhenReady notifies the control group as soon as the ingress can serve, without waiting
 // for the next heartbeat.
 func (i *Ingress) announceWhenReady(ctx context.Context, group announcer) (stop func()) {
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	ctx, cancel := context.WithCancel(ctx)
 	go func() {
-		defer close(ended)
+		defer close(done)
 		ticker := time.NewTicker(readyPoll)
 		defer ticker.Stop()
 		for !i.Ready() {
@@ -253,7 +253,7 @@
 		}
 		group.Announce()
 	}()
-	return func() { cancel(); <-ended }
+	return func() { cancel(); <-done }
 }
 
 // listen serves an address until the returned server is closed.
@@ -277,18 +277,18 @@
 // connections while still serving new requests, then stops accepting connections and waits for
 // the requests in flight. Requests that do not finish in time are answered, because their callers
 // would otherwise not learn their outcome.
-func (i *Ingress) drain(callers *http.Server, group announcer) error {
-	began := time.Now()
+func (i *Ingress) drain(callerServer *http.Server, group announcer) error {
+	startedAt := time.Now()
 	i.plannedStop.Store(&plannedStop{refuseFrom: i.now() + i.config.Drain.Late, endsAt: i.now() + i.config.Drain.Limit})
 	i.stopping.Store(true)
 	group.Announce()
 	event.IngressDraining.Log(i.logger, "in_flight", i.serving.Load())
 	time.Sleep(i.config.Drain.Notice)
-	ctx, cancel := context.WithDeadline(context.Background(), began.Add(i.config.Drain.Limit))
+	ctx, cancel := context.WithDeadline(context.Background(), startedAt.Add(i.config.Drain.Limit))
 	defer cancel()
-	if err := callers.Shutdown(ctx); err != nil {
+	if err := callerServer.Shutdown(ctx); err != nil {
 		event.IngressDrainCut.Log(i.logger, "in_flight", i.serving.Load())
-		i.answerRemaining(callers)
+		i.answerRemaining(callerServer)
 		return nil
 	}
 	event.IngressStopped.Log(i.logger)
@@ -300,10 +300,10 @@
 const finalAnswerShare = 0.05
 
 // answerRemaining cancels all requests and waits until their answers are sent.
-func (i *Ingress) answerRemaining(callers *http.Server) {
+func (i *Ingress) answerRemaining(callerServer *http.Server) {
 	i.cancelRequests()
-	answering := time.Duration(finalAnswerShare * float64(i.config.Drain.Limit))
-	ctx, cancel := context.WithTimeout(context.Background(), answering)
+	timeout := time.Duration(finalAnswerShare * float64(i.config.Drain.Limit))
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	_ = callers.Shutdown(ctx) // the process ends in any case
+	_ = callerServer.Shutdown(ctx) // the process ends in any case
 }
--- a/process/ingress/session.go
+++ b/process/ingress/session.go
@@ -52,9 +52,10 @@
 	lastEventID  string
 	events       int
 	firstEventAt time.Duration // when the first event was received
-	// capacityWait is when the control group expects capacity for the request.
+	// capacityWait is the time until the control group expects capacity for the request.
 	capacityWait time.Duration
-	// allHeldOff is true if capacityWait is the end of the pauses that all replicas asked for.
+	// allHeldOff is true if capacityWait is the time until the first pause ends, because all
+	// replicas asked for one.
 	allHeldOff bool
 	// usageCounted is true once a replica has started the request, which is counted once.
 	usageCounted bool
@@ -86,7 +87,7 @@
 	verdictCallerEnd                     // the caller is gone or its deadline has passed
 	verdictNoCapacity                    // no replica would answer before the deadline
 	verdictTooLate                       // the deadline passed before the request was sent
-	verdictHeld                          // quarantined because replicas crash while running it: it is sent to none
+	verdictHeld                          // quarantined, and therefore sent to no replica
 )
 
 // maxDialFailures is the number of connections that may fail before a request is given up.
@@ -103,8 +104,8 @@
 			return s.giveUp("no_time")
 		}
 		// Checked before each send, since a crash takes effect as soon as it is known.
-		if rest, held := s.quarantineHold(); held {
-			return s.refuseQuarantined(rest)
+		if remaining, quarantined := s.quarantineHold(); quarantined {
+			return s.refuseQuarantined(remaining)
 		}
 		if !s.mayAttempt() {
 			return s.giveUp("attempts")
@@ -164,9 +165,9 @@
 	if s.dialFailures > maxDialFailures || s.sendCount >= max(s.route.Attempts, 1) {
 		return false
 	}
-	// If this request alone has crashed as many replicas as would quarantine it, it does not wait
-	// for the control group's decision. The same holds if it caused at least one of that many
-	// crashes. A harmless request loses one retry by that.
+	// Does not wait for the control group's decision if this request alone has crashed as many
+	// replicas as would quarantine it, or if that many crashes are known for it and it caused at
+	// least one of them now. If it is harmless after all, it loses only one retry.
 	if s.crashes >= quarantine.CondemningEnds || s.crashes > 0 && s.ingress.guard.EndsMany(s.ingress.now(), s.fingerprint()) {
 		return false
 	}
@@ -225,21 +226,21 @@
 
 // retryAfter returns the delay after which the caller should retry.
 func (s *session) retryAfter() time.Duration {
-	left := s.callerDeadline - s.ingress.now()
+	remaining := s.callerDeadline - s.ingress.now()
 	if s.allHeldOff {
 		return s.capacityWait // no replica accepts the request earlier, however long that is
 	}
 	if s.capacityWait > 0 {
-		return max(min(s.capacityWait, time.Duration(capacityWaitShare*float64(left))), minimumRetryAfter)
+		return max(min(s.capacityWait, time.Duration(capacityWaitShare*float64(remaining))), minimumRetryAfter)
 	}
-	return max(min(defaultRetryAfter, left/retryShareOfLeft), minimumRetryAfter)
+	return max(min(defaultRetryAfter, remaining/retryShareOfRemaining), minimumRetryAfter)
 }
 
 const (
 	defaultRetryAfter = 250 * time.Millisecond
 	minimumRetryAfter = 20 * time.Millisecond
-	// retryShareOfLeft keeps the delay short in relation to the caller's remaining time.
-	retryShareOfLeft = 6
+	// retryShareOfRemaining keeps the delay short in relation to the caller's remaining time.
+	retryShareOfRemaining = 6
 	// capacityWaitShare is the share of the caller's remaining time that a wait for capacity may
 	// take up.
 	capacityWaitShare = 0.3
--- a/process/ingress/stop_test.go
+++ b/process/ingress/stop_test.go
@@ -20,13 +20,13 @@
 // has not run only if it was merely prefilled.
 func TestPlannedStopAnswersUnfinishedRequests(t *testing.T) {
 	silent := func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
-	stopped := func(w *testEnv, waits *fakeReplica, request testRequest) testResponse {
-		w.ingress.config.Drain = Drain{Notice: time.Millisecond, Limit: 200 * time.Millisecond}
+	stopped := func(env *testEnv, waits *fakeReplica, request testRequest) testResponse {
+		env.ingress.config.Drain = Drain{Notice: time.Millisecond, Limit: 200 * time.Millisecond}
 		got := make(chan testResponse, 1)
-		go func() { got <- w.do(request) }()
+		go func() { got <- env.do(request) }()
 		eventually(t, "the request arrives", func() bool { return waits.count() == 1 })
-		must.NoError(t, w.ingress.drain(w.server.Config, noopAnnouncer{}))
-		must.NoError(t, w.server.Config.Close()) // as at the end of the process
+		must.NoError(t, env.ingress.drain(env.server.Config, noopAnnouncer{}))
+		must.NoError(t, env.server.Config.Close()) // as at the end of the process
 		return <-got
 	}
 	t.Run("run", func(t *testing.T) {
@@ -50,24 +50,24 @@
 // replica, and its caller must be told at once.
 func TestLateRequestThatMayOutlastTheStopIsRefusedAtOnce(t *testing.T) {
 	replica := newFakeReplica(t, "r-1", answerOK)
-	w := newTestEnv(t, replica)
-	w.ingress.config.Drain = Drain{Notice: 600 * time.Millisecond, Late: 200 * time.Millisecond, Limit: 900 * time.Millisecond}
+	env := newTestEnv(t, replica)
+	env.ingress.config.Drain = Drain{Notice: 600 * time.Millisecond, Late: 200 * time.Millisecond, Limit: 900 * time.Millisecond}
 	ended := make(chan error, 1)
-	go func() { ended <- w.ingress.drain(w.server.Config, noopAnnouncer{}) }()
-	eventually(t, "the stop begins", func() bool { return !w.ingress.Ready() })
+	go func() { ended <- env.ingress.drain(env.server.Config, noopAnnouncer{}) }()
+	eventually(t, "the stop begins", func() bool { return !env.ingress.Ready() })
 	request := testRequest{method: http.MethodGet, target: "/safe/x", id: "early"}
-	must.Eq(t, http.StatusOK, w.do(request).status)
+	must.Eq(t, http.StatusOK, env.do(request).status)
 	time.Sleep(250 * time.Millisecond)
 
 	request.id = "late"
-	got := w.do(request)
+	got := env.do(request)
 	must.Eq(t, http.StatusServiceUnavailable, got.status)
 	must.Eq(t, "stopping\n", got.body)
 	must.NotEq(t, "", got.header.Get(testAgain))
 	must.Eq(t, 1, replica.count(), must.Sprint("no replica has received it"))
 
 	request.id, request.fields = "short", map[string]string{testWithin: "200"}
-	must.Eq(t, http.StatusOK, w.do(request).status, must.Sprint("it ends in time in any case"))
+	must.Eq(t, http.StatusOK, env.do(request).status, must.Sprint("it ends in time in any case"))
 	must.NoError(t, <-ended)
 }
 
@@ -75,10 +75,10 @@
 // a body that arrives slowly may end much later. The request must reach no replica.
 func TestRequestWhoseBodyArrivesLateInAStopIsRefusedAtOnce(t *testing.T) {
 	replica := newFakeReplica(t, "r-1", answerOK)
-	w := newTestEnv(t, replica)
-	w.ingress.config.Drain = Drain{Notice: 600 * time.Millisecond, Late: 200 * time.Millisecond, Limit: 900 * time.Millisecond}
+	env := newTestEnv(t, replica)
+	env.ingress.config.Drain = Drain{Notice: 600 * time.Millisecond, Late: 200 * time.Millisecond, Limit: 900 * time.Millisecond}
 	body, writing := io.Pipe()
-	request, err := http.NewRequest(http.MethodPost, w.server.URL+"/unsafe/", body)
+	request, err := http.NewRequest(http.MethodPost, env.server.URL+"/unsafe/", body)
 	must.NoError(t, err)
 	request.Host, request.ContentLength = "a.example", 2
 	request.Header.Set(testID, "slow")
@@ -94,10 +94,10 @@
 	}()
 	_, err = writing.Write([]byte("a"))
 	must.NoError(t, err)
-	eventually(t, "the head is read", func() bool { return w.ingress.serving.Load() == 1 })
+	eventually(t, "the head is read", func() bool { return env.ingress.serving.Load() == 1 })
 	ended := make(chan error, 1)
-	go func() { ended <- w.ingress.drain(w.server.Config, noopAnnouncer{}) }()
-	eventually(t, "the stop begins", func() bool { return !w.ingress.Ready() })
+	go func() { ended <- env.ingress.drain(env.server.Config, noopAnnouncer{}) }()
+	eventually(t, "the stop begins", func() bool { return !env.ingress.Ready() })
 	time.Sleep(250 * time.Millisecond)
 	_, err = writing.Write([]byte("b"))
 	must.NoError(t, err)
--- a/process/ingress/stream.go
+++ b/process/ingress/stream.go
@@ -40,7 +40,7 @@
 		if s.events == 0 || !sent.hasStarted(target) {
 			target.noteStarted(sent, s.ingress.now())
 			target.noteCachedParts(s.call.Work.Parts)
-			chosen.tracked.note(placement.StepStarted, "", target.reportedRequests())
+			chosen.tracked.report(placement.StepStarted, "", target.reportedRequests())
 		}
 		s.beginStream(answer)
 		if _, err := s.writer.Write(event); err != nil {
--- a/process/ingress/suspension_test.go
+++ b/process/ingress/suspension_test.go
@@ -30,16 +30,16 @@
 // remains, and is answered at once.
 func TestDeadlineThatPassesDuringASuspension(t *testing.T) {
 	replica := newFakeReplica(t, "r-1", streamEvents(3, ""))
-	w := newTestEnv(t, replica)
+	env := newTestEnv(t, replica)
 	var suspended atomic.Int64
-	running := w.ingress.clock
-	w.ingress.clock = func() time.Duration { return running() + time.Duration(suspended.Load()) }
-	w.ingress.placer = &suspendingPlacer{suspend: func() { suspended.Store(int64(10 * time.Second)) }}
-	w.views.set(func(v *view.View) {
+	running := env.ingress.clock
+	env.ingress.clock = func() time.Duration { return running() + time.Duration(suspended.Load()) }
+	env.ingress.placer = &suspendingPlacer{suspend: func() { suspended.Store(int64(10 * time.Second)) }}
+	env.views.set(func(v *view.View) {
 		v.Replicas = map[string]*api.Replica{"r-1": replicaObject(replica, "model", api.RoleDecode)}
 	})
 	began := time.Now()
-	got := w.do(testRequest{method: "POST", target: "/model/x", id: "one", fields: map[string]string{testTokens: "100", testWithin: "4000"}})
+	got := env.do(testRequest{method: "POST", target: "/model/x", id: "one", fields: map[string]string{testTokens: "100", testWithin: "4000"}})
 	must.Eq(t, http.StatusServiceUnavailable, got.status)
 	must.Eq(t, 0, replica.count())
 	must.Less(t, time.Second, time.Since(began))
@@ -53,22 +53,22 @@
 		close(begun)
 		<-r.Context().Done()
 	})
-	w := newTestEnv(t, replica)
+	env := newTestEnv(t, replica)
 	var suspended atomic.Int64
-	running := w.ingress.clock
-	w.ingress.clock = func() time.Duration { return running() + time.Duration(suspended.Load()) }
+	running := env.ingress.clock
+	env.ingress.clock = func() time.Duration { return running() + time.Duration(suspended.Load()) }
 	began := time.Now()
 	go func() {
 		<-begun
 		suspended.Store(int64(10 * time.Second))
-		w.ingress.sessions.cancelOverdue()
+		env.ingress.sessions.cancelOverdue()
 	}()
-	got := w.do(testRequest{method: "POST", target: "/unsafe/x", id: "one"})
+	got := env.do(testRequest{method: "POST", target: "/unsafe/x", id: "one"})
 	must.Eq(t, http.StatusGatewayTimeout, got.status)
 	must.Less(t, 3*time.Second, time.Since(began))
 	eventually(t, "the session is removed", func() bool {
-		w.ingress.sessions.lock.Lock()
-		defer w.ingress.sessions.lock.Unlock()
-		return len(w.ingress.sessions.cancels) == 0
+		env.ingress.sessions.lock.Lock()
+		defer env.ingress.sessions.lock.Unlock()
+		return len(env.ingress.sessions.cancels) == 0
 	})
 }
--- a/process/ingress/try.go
+++ b/process/ingress/try.go
@@ -34,11 +34,11 @@
 	s.answered, s.misdirected, s.connectionRefused, s.withheld = false, false, false, false
 	chosen := s.choose(ctx)
 	if ctx.Err() != nil {
-		chosen.tracked.note(placement.StepEnded, "", 0)
+		chosen.tracked.report(placement.StepEnded, "", 0)
 		return verdictCallerEnd, nil
 	}
 	if s.remaining() <= 0 {
-		chosen.tracked.note(placement.StepEnded, "", 0)
+		chosen.tracked.report(placement.StepEnded, "", 0)
 		return verdictTooLate, nil
 	}
 	if chosen.quarantined {
@@ -51,8 +51,8 @@
 	if chosen.target == nil {
 		return verdictNotRun, nil
 	}
-	if _, held := s.quarantineHold(); held { // became known while the request waited for its placement
-		chosen.tracked.note(placement.StepEnded, "", 0)
+	if _, quarantined := s.quarantineHold(); quarantined { // became known while the request waited for its placement
+		chosen.tracked.report(placement.StepEnded, "", 0)
 		return verdictHeld, chosen.target
 	}
 	source := Source{}
@@ -60,29 +60,29 @@
 		source = s.prefill(ctx, chosen)
 		s.countPrefill(source)
 		if ctx.Err() != nil {
-			chosen.tracked.note(placement.StepEnded, "", 0)
+			chosen.tracked.report(placement.StepEnded, "", 0)
 			return verdictCallerEnd, chosen.target
 		}
 		if s.outOfTime() {
-			chosen.tracked.note(placement.StepEnded, "", 0)
+			chosen.tracked.report(placement.StepEnded, "", 0)
 			return verdictNotRun, chosen.target
 		}
 		s.replaceTarget(&chosen)
 		source = s.validSource(chosen.prefiller, source)
-		if _, held := s.quarantineHold(); held {
+		if _, quarantined := s.quarantineHold(); quarantined {
 			s.discardPrefill(chosen, source)
 			return verdictHeld, chosen.target
 		}
 	}
 	s.isolated = chosen.isolated
 	result := s.send(ctx, chosen, source)
-	chosen.tracked.note(s.placementStep(result), chosen.target.name, 0)
+	chosen.tracked.report(s.placementStep(result), chosen.target.name, 0)
 	return result, chosen.target
 }
 
 // discardPrefill abandons a prefilled prompt whose request will not run.
 func (s *session) discardPrefill(chosen plan, source Source) {
-	chosen.tracked.note(placement.StepEnded, "", 0)
+	chosen.tracked.report(placement.StepEnded, "", 0)
 	if source.Handle != "" {
 		s.release(source)
 	}
@@ -155,14 +155,14 @@
 	}
 	sent := target.beginSend(s.ingress.now(), tokens)
 	defer target.endSend(sent)
-	attempting, cancel := context.WithCancelCause(ctx)
+	attemptContext, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	stopWatch := s.watchSilence(attempting, chosen, sent, cancel)
+	stopWatch := s.watchSilence(attemptContext, chosen, sent, cancel)
 	defer stopWatch()
 	s.logSent(stageRun, target, tokens, chosen)
-	answer, err := s.exchange(attempting, stageRun, target, s.request(chosen, source))
+	answer, err := s.exchange(attemptContext, stageRun, target, s.request(chosen, source))
 	if err != nil {
-		s.noteBrokenConnection(attempting, stageRun, target, sent, err)
+		s.noteBrokenConnection(attemptContext, stageRun, target, sent, err)
 		return s.handleNoAnswer(ctx, target, number, err)
 	}
 	defer answer.Close()
@@ -309,7 +309,7 @@
 	return timer.Stop
 }
 
-// Timeout for the first sign of life of a replica, as a multiple of the route's objective.
+// Timeout for the first data from a replica, as a multiple of the route's objective.
 const (
 	answerTimeoutObjectives = 2
 	minAnswerTimeout        = 300 * time.Millisecond
--- a/process/ingress/types.go
+++ b/process/ingress/types.go
@@ -103,7 +103,7 @@
 	Misdirected bool
 	// Load is the replica's load, nil if not reported.
 	Load *Load
-	// Asks is what the replica demands of further requests.
+	// Asks is the pause or departure that the replica announces.
 	Asks holdoff.Word
 }
 
--- a/process/ingress/usage_test.go
+++ b/process/ingress/usage_test.go
@@ -37,11 +37,11 @@
 			for i, handler := range each.handlers {
 				replicas = append(replicas, newFakeReplica(t, string(rune('a'+i)), handler))
 			}
-			w := newTestEnv(t, replicas...)
-			w.requireKeys(tenant("north", 0, "key-n"))
-			w.ingress.usage = metering.NewCounter("p", 5*time.Second, time.Now)
-			w.do(withKey("q", each.target, "key-n"))
-			report, _ := w.ingress.usage.Next()
+			env := newTestEnv(t, replicas...)
+			env.requireKeys(tenant("north", 0, "key-n"))
+			env.ingress.usage = metering.NewCounter("p", 5*time.Second, time.Now)
+			env.do(withKey("q", each.target, "key-n"))
+			report, _ := env.ingress.usage.Next()
 			count := uint64(0)
 			for _, counted := range report.Counts {
 				must.Eq(t, "north", counted.Tenant)
@@ -54,10 +54,10 @@
 
 // A prefill is not counted as a request, and neither is a request without a tenant.
 func TestRequestsThatAreNotCounted(t *testing.T) {
-	w := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), newFakeReplica(t, "make", streamEvents(2, "")), nil)
-	w.ingress.usage = metering.NewCounter("p", 5*time.Second, time.Now)
-	w.requireKeys(tenant("north", 0, "key-n"))
-	w.views.set(func(v *view.View) {
+	env := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), newFakeReplica(t, "make", streamEvents(2, "")), nil)
+	env.ingress.usage = metering.NewCounter("p", 5*time.Second, time.Now)
+	env.requireKeys(tenant("north", 0, "key-n"))
+	env.views.set(func(v *view.View) {
 		made := *v.Ingresses[api.IngressName]
 		made.Spec.Routes = append([]api.Route(nil), made.Spec.Routes...)
 		made.Spec.Generation++
@@ -67,13 +67,13 @@
 		v.Ingresses = map[string]*api.Ingress{api.IngressName: &made}
 	})
 	anonymous := modelRequest
-	must.Eq(t, http.StatusOK, w.do(anonymous).status)
-	report, _ := w.ingress.usage.Next()
+	must.Eq(t, http.StatusOK, env.do(anonymous).status)
+	report, _ := env.ingress.usage.Next()
 	must.SliceEmpty(t, report.Counts)
 	named := modelRequest
 	named.fields = map[string]string{testTokens: "9000", testKey: "key-n"}
-	must.Eq(t, http.StatusOK, w.do(named).status)
-	report, _ = w.ingress.usage.Next()
+	must.Eq(t, http.StatusOK, env.do(named).status)
+	report, _ = env.ingress.usage.Next()
 	must.SliceLen(t, 1, report.Counts)
 	must.Eq(t, 1, report.Counts[0].Count)
 }
@@ -88,15 +88,15 @@
 		writeGenuine(w, r)
 		_, _ = io.WriteString(w, "done")
 	})
-	w := newTestEnv(t, slow)
-	w.ingress.usage = metering.NewCounter("p", 5*time.Second, time.Now)
-	w.requireKeys(tenant("north", 0, "key-n"))
+	env := newTestEnv(t, slow)
+	env.ingress.usage = metering.NewCounter("p", 5*time.Second, time.Now)
+	env.requireKeys(tenant("north", 0, "key-n"))
 	done := make(chan testResponse)
-	go func() { done <- w.do(withKey("q", "/safe/x", "key-n")) }()
+	go func() { done <- env.do(withKey("q", "/safe/x", "key-n")) }()
 	<-began
-	w.requireKeys()
+	env.requireKeys()
 	close(end)
 	must.Eq(t, http.StatusOK, (<-done).status)
-	report, _ := w.ingress.usage.Next()
+	report, _ := env.ingress.usage.Next()
 	must.SliceLen(t, 1, report.Counts)
 }
