--- a/process/guard/guard.go
+++ b/process/guard/guard.go
@@ -61,7 +61,7 @@
 
 // suspectedCrash is a recorded crash of a replica.
 type suspectedCrash struct {
-	learntAt  time.Duration
+	learnedAt time.Duration
 	crashedAt time.Time // first recorded crash, by the leader's wall clock
 }
 
@@ -96,9 +96,9 @@
 	}
 	before := g.recorded
 	g.recorded = current.Quarantines
-	for name, known := range g.recorded {
-		if earlier := before[name]; earlier == nil || earlier.Revision != known.Revision {
-			g.applyRecord(earlier, known, now)
+	for name, entry := range g.recorded {
+		if earlier := before[name]; earlier == nil || earlier.Revision != entry.Revision {
+			g.applyRecord(earlier, entry, now)
 		}
 	}
 	for name := range before {
@@ -116,13 +116,13 @@
 func (g *Guard) updateSuspected(now time.Duration) {
 	before := g.suspected
 	g.suspected = map[string]suspectedCrash{}
-	for _, known := range g.recorded {
-		for _, replica := range known.Spec.Replicas {
-			next, found := before[replica]
+	for _, entry := range g.recorded {
+		for _, replica := range entry.Spec.Replicas {
+			crash, found := before[replica]
 			if !found {
-				next = suspectedCrash{learntAt: now, crashedAt: time.UnixMilli(known.Spec.Since)}
+				crash = suspectedCrash{learnedAt: now, crashedAt: time.UnixMilli(entry.Spec.Since)}
 			}
-			g.suspected[replica] = next
+			g.suspected[replica] = crash
 		}
 	}
 }
@@ -135,8 +135,8 @@
 	}
 	g.lock.Lock()
 	defer g.lock.Unlock()
-	known, found := g.suspected[replica]
-	return found && sentAt > known.learntAt
+	crash, found := g.suspected[replica]
+	return found && sentAt > crash.learnedAt
 }
 
 // DoubtsOnConnection is Doubts for a replica whose answers do not identify its process, which may
@@ -148,8 +148,8 @@
 	}
 	g.lock.Lock()
 	defer g.lock.Unlock()
-	known, found := g.suspected[replica]
-	return found && opened.Before(known.crashedAt.Add(-clockMargin))
+	crash, found := g.suspected[replica]
+	return found && opened.Before(crash.crashedAt.Add(-clockMargin))
 }
 
 // clockMargin is the assumed maximum difference between the wall clocks of two machines,
@@ -158,12 +158,12 @@
 
 // applyRecord applies an entry that is new or has changed. If it has fewer replicas than before,
 // a part of it was refuted or expired, and it replaces the local state.
-func (g *Guard) applyRecord(earlier, known *api.Quarantine, now time.Duration) {
-	fingerprint, ok := quarantine.Parse(known.Name)
+func (g *Guard) applyRecord(earlier, entry *api.Quarantine, now time.Duration) {
+	fingerprint, ok := quarantine.Parse(entry.Name)
 	if !ok {
 		return
 	}
-	spec := &known.Spec
+	spec := &entry.Spec
 	about := quarantine.About{Service: spec.Service, Route: spec.Route, Request: spec.Request}
 	record := quarantine.Record{
 		Replicas: spec.Replicas, Weak: spec.Weak, Alone: spec.Alone, AtOnce: spec.EndedAtOnce(), About: about,
@@ -172,9 +172,9 @@
 		g.table.Restore(now, fingerprint, record)
 	}
 	for _, replica := range spec.Replicas {
-		seen := record.Evidence(fingerprint, replica)
-		seen.Alone = false // seen by another proxy
-		g.table.Note(now, seen)
+		evidence := record.Evidence(fingerprint, replica)
+		evidence.Alone = false // seen by another proxy
+		g.table.Note(now, evidence)
 	}
 	g.table.SetHeld(fingerprint, spec.State == api.QuarantineHeld)
 }
@@ -194,16 +194,16 @@
 
 // Ended records that a replica seems to have crashed while processing a request, and reports it
 // to the control group.
-func (g *Guard) Ended(now time.Duration, seen quarantine.Evidence) {
+func (g *Guard) Ended(now time.Duration, evidence quarantine.Evidence) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	g.isCutOff(now)
-	seen.Sight = rand.Uint64()
-	g.table.Note(now, seen)
-	if g.table.Standing(now, seen.Fingerprint) != quarantine.Free {
+	evidence.Sight = rand.Uint64()
+	g.table.Note(now, evidence)
+	if g.table.Standing(now, evidence.Fingerprint) != quarantine.Free {
 		g.active.Store(true)
 	}
-	g.report(feed.EndReport{Ended: []quarantine.Aged{{Evidence: seen}}})
+	g.report(feed.EndReport{Ended: []quarantine.Aged{{Evidence: evidence}}})
 }
 
 // reportMaxAge is how long a member's report of unrecorded crashes is valid. It is repeated while
@@ -215,9 +215,9 @@
 func (g *Guard) Unrecorded(now time.Duration, report feed.EndReport) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
-	for _, seen := range report.Ended {
-		seen.Told = true
-		g.table.NoteAged(now, seen.Age, seen.Evidence)
+	for _, evidence := range report.Ended {
+		evidence.Told = true
+		g.table.NoteAged(now, evidence.Age, evidence.Evidence)
 	}
 	g.reportedUntil = now + reportMaxAge
 	g.updateActive(now)
@@ -292,15 +292,15 @@
 func (g *Guard) Holds(now time.Duration, wall time.Time, fingerprint quarantine.Fingerprint, owner any) (remaining time.Duration, held bool) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
-	known := g.recorded[fingerprint.String()]
+	entry := g.recorded[fingerprint.String()]
 	switch {
-	case known == nil:
-	case known.Spec.State == api.QuarantineHeld:
-		return max(time.UnixMilli(known.Spec.Until).Sub(wall), LeastHold), true
-	case known.Spec.State == api.QuarantineSettling:
+	case entry == nil:
+	case entry.Spec.State == api.QuarantineHeld:
+		return max(time.UnixMilli(entry.Spec.Until).Sub(wall), LeastHold), true
+	case entry.Spec.State == api.QuarantineSettling:
 		return trialRetryAfter, true
-	case known.Spec.State == api.QuarantineTried:
-		return trialRetryAfter, !g.claimTrial(fingerprint, known.Spec.Until, owner)
+	case entry.Spec.State == api.QuarantineTried:
+		return trialRetryAfter, !g.claimTrial(fingerprint, entry.Spec.Until, owner)
 	}
 	if !g.isCutOff(now) && now >= g.reportedUntil || !g.table.IsCertain(fingerprint) {
 		return 0, false
@@ -315,11 +315,11 @@
 func (g *Guard) RequiresLeader(now time.Duration, fingerprint quarantine.Fingerprint) bool {
 	g.lock.Lock()
 	defer g.lock.Unlock()
-	known := g.recorded[fingerprint.String()]
-	if known == nil || known.Spec.State != api.QuarantineWatched {
+	entry := g.recorded[fingerprint.String()]
+	if entry == nil || entry.Spec.State != api.QuarantineWatched {
 		return false
 	}
-	return len(known.Spec.Replicas)-len(known.Spec.Weak) >= quarantine.WatchedEnds && !g.isCutOff(now)
+	return len(entry.Spec.Replicas)-len(entry.Spec.Weak) >= quarantine.WatchedEnds && !g.isCutOff(now)
 }
 
 // HasLeader reports whether a leader currently serves this proxy.
--- a/process/guard/guard_test.go
+++ b/process/guard/guard_test.go
@@ -30,15 +30,15 @@
 // recordView returns a view with the fatal request on record, or with an empty record if state is
 // empty.
 func recordView(revision uint64, state api.QuarantineState, until time.Time, replicas ...string) *view.View {
-	guard := view.New()
-	guard.Version = view.Version{Term: 1, Revision: revision}
+	v := view.New()
+	v.Version = view.Version{Term: 1, Revision: revision}
 	if state != "" {
-		guard.Quarantines[fatal.String()] = &api.Quarantine{
+		v.Quarantines[fatal.String()] = &api.Quarantine{
 			Metadata: api.Metadata{Name: fatal.String(), Revision: revision},
 			Spec:     api.QuarantineSpec{State: state, Replicas: replicas, Until: until.UnixMilli()},
 		}
 	}
-	return guard
+	return v
 }
 
 func (g *Guard) holdsFatal(now time.Duration, wall time.Time) bool {
@@ -49,7 +49,7 @@
 const later = 10 * time.Second
 
 // While a leader serves the proxy the record decides; older views change nothing.
-func TestRecordDecides(t *testing.T) {
+func TestRecordDecidesWhileALeaderServes(t *testing.T) {
 	guard, wall := New("p"), time.Unix(1_700_000_000, 0)
 	guard.SetReporter(&fakeGroup{connected: true})
 	for i := range 5 {
@@ -57,9 +57,9 @@
 	}
 	must.False(t, guard.holdsFatal(later, wall), must.Sprint("the control group may know better"))
 	guard.Follow(recordView(2, api.QuarantineHeld, wall.Add(time.Hour), "r-0", "r-1", "r-2"), later)
-	rest, held := guard.Holds(later, wall, fatal, nil)
+	remaining, held := guard.Holds(later, wall, fatal, nil)
 	must.True(t, held)
-	must.Eq(t, time.Hour, rest)
+	must.Eq(t, time.Hour, remaining)
 	guard.Follow(recordView(1, "", wall), later)
 	must.True(t, guard.holdsFatal(later, wall))
 	guard.Follow(recordView(3, "", wall), later)
@@ -127,16 +127,16 @@
 // An answer that does not identify its process refutes a crash only on a connection that was
 // opened before the crash, allowing for clock differences.
 func TestAnswersWithoutAProcessIdentityRefuteCrashes(t *testing.T) {
-	ended := time.Unix(1_700_000_000, 0)
+	crashedAt := time.Unix(1_700_000_000, 0)
 	guard := New("p")
-	known := recordView(1, api.QuarantineHeld, ended.Add(time.Hour), "r-0", "r-1")
-	known.Quarantines[fatal.String()].Spec.Since = ended.UnixMilli()
-	guard.Follow(known, time.Second)
-	must.False(t, guard.DoubtsOnConnection("r-0", later, ended.Add(time.Minute)), must.Sprint("possibly another process"))
-	must.False(t, guard.DoubtsOnConnection("r-0", later, ended.Add(-time.Second)), must.Sprint("within the clock margin"))
-	must.True(t, guard.DoubtsOnConnection("r-0", later, ended.Add(-time.Minute)))
-	must.False(t, guard.DoubtsOnConnection("r-0", time.Second, ended.Add(-time.Minute)), must.Sprint("sent before the proxy learned of the crash"))
-	must.False(t, guard.DoubtsOnConnection("r-9", later, ended.Add(-time.Minute)))
+	recorded := recordView(1, api.QuarantineHeld, crashedAt.Add(time.Hour), "r-0", "r-1")
+	recorded.Quarantines[fatal.String()].Spec.Since = crashedAt.UnixMilli()
+	guard.Follow(recorded, time.Second)
+	must.False(t, guard.DoubtsOnConnection("r-0", later, crashedAt.Add(time.Minute)), must.Sprint("possibly another process"))
+	must.False(t, guard.DoubtsOnConnection("r-0", later, crashedAt.Add(-time.Second)), must.Sprint("within the clock margin"))
+	must.True(t, guard.DoubtsOnConnection("r-0", later, crashedAt.Add(-time.Minute)))
+	must.False(t, guard.DoubtsOnConnection("r-0", time.Second, crashedAt.Add(-time.Minute)), must.Sprint("sent before the proxy learned of the crash"))
+	must.False(t, guard.DoubtsOnConnection("r-9", later, crashedAt.Add(-time.Minute)))
 }
 
 func TestServedRequestIsReportedOnlyIfSuspected(t *testing.T) {
@@ -165,22 +165,22 @@
 		current := recordView(uint64(turn+2), api.QuarantineTried, wall.Add(time.Duration(turn)*time.Second), "a", "b", "c")
 		current.Proxies = map[string]*api.Proxy{"p-1": {}, "p-2": {}, "p-3": {}, "p-4": {}}
 		trying := ""
-		for name, each := range guards {
-			each.Follow(current, 0)
-			if _, held := each.Holds(0, wall, fatal, "first"); held {
+		for name, guard := range guards {
+			guard.Follow(current, 0)
+			if _, held := guard.Holds(0, wall, fatal, "first"); held {
 				continue
 			}
 			must.Eq(t, "", trying, must.Sprint("only one proxy runs a trial"))
 			trying = name
-			_, held := each.Holds(0, wall, fatal, "first")
+			_, held := guard.Holds(0, wall, fatal, "first")
 			must.False(t, held, must.Sprint("repeated checks for the same owner, as before each send"))
-			_, held = each.Holds(0, wall, fatal, "second")
+			_, held = guard.Holds(0, wall, fatal, "second")
 			must.True(t, held)
-			each.EndTrial(fatal, "second")
-			each.EndTrial(fatal, "first")
-			_, held = each.Holds(0, wall, fatal, "second")
+			guard.EndTrial(fatal, "second")
+			guard.EndTrial(fatal, "first")
+			_, held = guard.Holds(0, wall, fatal, "second")
 			must.False(t, held)
-			each.EndTrial(fatal, "second")
+			guard.EndTrial(fatal, "second")
 		}
 		must.NotEq(t, "", trying)
 		turns[trying] = true
@@ -194,9 +194,9 @@
 	guard, wall := New("p-1"), time.Unix(1_700_000_000, 0)
 	guard.SetReporter(&fakeGroup{connected: true})
 	guard.Follow(recordView(2, api.QuarantineSettling, wall.Add(time.Second), "a", "b", "c"), 0)
-	rest, held := guard.Holds(0, wall, fatal, "first")
+	remaining, held := guard.Holds(0, wall, fatal, "first")
 	must.True(t, held)
-	must.Eq(t, trialRetryAfter, rest)
+	must.Eq(t, trialRetryAfter, remaining)
 }
 
 // A proxy that judges by itself does not take several recorded crashes at one moment for several
--- a/process/ingress/answer.go
+++ b/process/ingress/answer.go
@@ -14,15 +14,15 @@
 	"github.com/pkg/errors"
 )
 
-// maxHeldAnswer limits how much of an answer is buffered before any of it is passed on.
-const maxHeldAnswer = 64 << 10
+// maxBufferedAnswer limits how much of an answer is buffered before any of it is passed on.
+const maxBufferedAnswer = 64 << 10
 
 // handleAnswer evaluates the head of an answer and passes the answer on.
 func (s *session) handleAnswer(ctx context.Context, chosen plan, sent *send, number uint32, answer *exchange.Answer, reply Reply) verdict {
 	target := chosen.target
 	if reply.refuses() {
 		s.lifecycle.Fail(number, attempt.FaultRefused)
-		_, _ = io.Copy(io.Discard, io.LimitReader(answer, maxHeldAnswer)) // allows the connection to be reused
+		_, _ = io.Copy(io.Discard, io.LimitReader(answer, maxBufferedAnswer)) // allows the connection to be reused
 		if reply.Misdirected {
 			s.misdirected = true
 			target.suspect(s.ingress.now())
@@ -75,14 +75,14 @@
 
 func isSuccess(status int) bool { return status >= 200 && status < 300 }
 
-// forwardWhole passes on an answer that is not a stream. Up to maxHeldAnswer it is buffered
+// forwardWhole passes on an answer that is not a stream. Up to maxBufferedAnswer it is buffered
 // completely, so that a truncated answer can be retried elsewhere.
 func (s *session) forwardWhole(ctx context.Context, target *replica, sent *send, number uint32, answer *exchange.Answer) verdict {
-	var held bytes.Buffer
-	_, err := io.CopyN(&held, answer, maxHeldAnswer)
+	var buffer bytes.Buffer
+	_, err := io.CopyN(&buffer, answer, maxBufferedAnswer)
 	switch {
 	case err == nil:
-		return s.forwardLong(ctx, target, sent, number, answer, held.Bytes())
+		return s.forwardLong(ctx, target, sent, number, answer, buffer.Bytes())
 	case !errors.Is(err, io.EOF):
 		s.noteBrokenConnection(ctx, stageRun, target, sent, err)
 		s.lifecycle.Fail(number, attempt.FaultBroken)
@@ -91,14 +91,14 @@
 		return s.brokenOrCallerEnd(ctx)
 	}
 	if answer.Status >= http.StatusInternalServerError {
-		return s.saveFailure(target, number, answer, held.Bytes())
+		return s.saveFailure(target, number, answer, buffer.Bytes())
 	}
 	target.noteSuccess()
 	s.lifecycle.Finish(number)
 	copyHeader(s.writer.Header(), answer.Header)
 	s.headSent = true
 	s.writer.WriteHeader(answer.Status)
-	_, _ = s.writer.Write(held.Bytes()) // the caller may have gone
+	_, _ = s.writer.Write(buffer.Bytes()) // the caller may have gone
 	return verdictDone
 }
 
@@ -112,11 +112,11 @@
 }
 
 // forwardLong passes on an answer that is too long to buffer.
-func (s *session) forwardLong(ctx context.Context, target *replica, sent *send, number uint32, answer *exchange.Answer, begun []byte) verdict {
+func (s *session) forwardLong(ctx context.Context, target *replica, sent *send, number uint32, answer *exchange.Answer, buffered []byte) verdict {
 	copyHeader(s.writer.Header(), answer.Header)
 	s.headSent, s.unresumable = true, true
 	s.writer.WriteHeader(answer.Status)
-	_, err := s.writer.Write(begun)
+	_, err := s.writer.Write(buffered)
 	if err == nil {
 		var readErr error
 		readErr, err = copyAnswer(s.writer, answer)
--- a/process/ingress/asks.go
+++ b/process/ingress/asks.go
@@ -54,7 +54,7 @@
 	if leaves {
 		s.ingress.reportLeaving(s.upstream.service, from.Name())
 	}
-	s.ingress.metrics.asks.WithLabelValues(s.upstream.service, stage).Inc()
+	s.ingress.metrics.replicaAsks.WithLabelValues(s.upstream.service, stage).Inc()
 	event.ReplicaAsks.Log(s.ingress.logger, "replica", from.Name(), "request", s.call.ID, "stage", stage, "status", status,
 		"retry_after_ms", reply.Asks.RetryAfter.Milliseconds(), "leaving", reply.Asks.Leaving)
 }
@@ -86,7 +86,7 @@
 func (s *session) noteWithheld(stage string, from *replica) {
 	s.withheld = stage == stageRun
 	s.trace.WriteString(" withheld(" + from.name + ")")
-	s.ingress.metrics.withheld.WithLabelValues(s.upstream.service, stage).Inc()
+	s.ingress.metrics.withheldSends.WithLabelValues(s.upstream.service, stage).Inc()
 	event.SendWithheld.Log(s.ingress.logger, "request", s.call.ID, "stage", stage, "replica", from.name,
 		"pause_ms", from.holdoff.Pause(s.ingress.now()).Milliseconds(), "leaving", from.holdoff.IsLeaving())
 }
--- a/process/ingress/authenticate_test.go
+++ b/process/ingress/authenticate_test.go
@@ -19,14 +19,14 @@
 // requireKeys requires API keys and installs the tenants; the "unsafe" route becomes public.
 func (env *testEnv) requireKeys(tenants ...api.TenantKeys) {
 	env.views.set(func(v *view.View) {
-		made := testIngress()
-		made.Spec.Generation = v.Ingresses[api.IngressName].Spec.Generation + 1
-		made.Spec.KeysRequired, made.Spec.KeySecret = true, testSecret
-		for i := range made.Spec.Routes {
-			made.Spec.Routes[i].Public = made.Spec.Routes[i].Name == "unsafe"
-			made.Spec.Routes[i].Priority = 5
+		updated := testIngress()
+		updated.Spec.Generation = v.Ingresses[api.IngressName].Spec.Generation + 1
+		updated.Spec.KeysRequired, updated.Spec.KeySecret = true, testSecret
+		for i := range updated.Spec.Routes {
+			updated.Spec.Routes[i].Public = updated.Spec.Routes[i].Name == "unsafe"
+			updated.Spec.Routes[i].Priority = 5
 		}
-		v.Ingresses = map[string]*api.Ingress{api.IngressName: made}
+		v.Ingresses = map[string]*api.Ingress{api.IngressName: updated}
 		v.RouteTenants = map[string]*api.RouteTenant{}
 		for _, sealed := range apikey.Seal(testSecret, tenants) {
 			v.RouteTenants[sealed.Name] = &sealed
@@ -34,7 +34,7 @@
 	})
 }
 
-func tenant(name string, priority int, keys ...string) api.TenantKeys {
+func tenantKeys(name string, priority int, keys ...string) api.TenantKeys {
 	return api.TenantKeys{Name: name, Priority: &priority, Keys: keys}
 }
 
@@ -47,14 +47,14 @@
 func TestKeysDetermineTheTenant(t *testing.T) {
 	replica := newFakeReplica(t, "r-1", answerOK)
 	env := newTestEnv(t, replica)
-	env.requireKeys(tenant("north", 2, "key-n"))
-	given := withKey("a", "/safe/x", "key-n")
-	given.fields[testTenant] = "south" // must be overwritten by the key's tenant
-	must.Eq(t, http.StatusOK, env.do(given).status)
-	seen := replica.requests[0].Header
-	must.Eq(t, []string{"north"}, seen[testTenant])
-	must.SliceEmpty(t, seen[testKey])
-	must.Eq(t, "2", seen.Get(testPriority), must.Sprint("priority of the tenant, not of the route"))
+	env.requireKeys(tenantKeys("north", 2, "key-n"))
+	request := withKey("a", "/safe/x", "key-n")
+	request.fields[testTenant] = "south" // must be overwritten by the key's tenant
+	must.Eq(t, http.StatusOK, env.do(request).status)
+	received := replica.requests[0].Header
+	must.Eq(t, []string{"north"}, received[testTenant])
+	must.SliceEmpty(t, received[testKey])
+	must.Eq(t, "2", received.Get(testPriority), must.Sprint("priority of the tenant, not of the route"))
 	for _, key := range []string{"key-x", "", "KEY-N", "key-n2"} {
 		got := env.do(withKey("b", "/safe/x", key))
 		must.Eq(t, http.StatusUnauthorized, got.status, must.Sprint(key))
@@ -68,7 +68,7 @@
 func TestPublicRoutes(t *testing.T) {
 	replica := newFakeReplica(t, "r-1", answerOK)
 	env := newTestEnv(t, replica)
-	env.requireKeys(tenant("north", 0, "key-n"))
+	env.requireKeys(tenantKeys("north", 0, "key-n"))
 	anonymous := testRequest{method: "POST", target: "/unsafe/x", id: "a", fields: map[string]string{testTenant: "north"}}
 	must.Eq(t, http.StatusOK, env.do(anonymous).status)
 	must.SliceEmpty(t, replica.requests[0].Header[testTenant])
@@ -94,7 +94,7 @@
 // sent.
 func TestUnknownCallersAreRefusedBeforeTheirBodies(t *testing.T) {
 	env := newTestEnv(t, newFakeReplica(t, "r-1", answerOK))
-	env.requireKeys(tenant("north", 0, "key-n"))
+	env.requireKeys(tenantKeys("north", 0, "key-n"))
 	body, sending := io.Pipe()
 	defer func() { _ = sending.Close() }()
 	request, err := http.NewRequest("POST", env.server.URL, body)
@@ -112,16 +112,16 @@
 
 // Prefills, runs on other replicas and resumed runs carry the tenant as well.
 func TestEverySendCarriesTheTenant(t *testing.T) {
-	reader := newFakeReplica(t, "read", answerPrefill)
+	prefiller := newFakeReplica(t, "read", answerPrefill)
 	cut := newFakeReplica(t, "make-1", streamEvents(2, "cut"))
 	whole := newFakeReplica(t, "make-2", streamEvents(4, ""))
-	env := newModelEnv(t, reader, cut, whole)
-	env.requireKeys(tenant("north", 3, "key-n"))
+	env := newModelEnv(t, prefiller, cut, whole)
+	env.requireKeys(tenantKeys("north", 3, "key-n"))
 	env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make-1", Reader: "read"}}
-	given := modelRequest
-	given.fields = map[string]string{testTokens: "9000", testKey: "key-n", testTenant: "south"}
-	must.Eq(t, eventTexts(1, 4), env.do(given).body)
-	for _, replica := range []*fakeReplica{reader, cut, whole} {
+	request := modelRequest
+	request.fields = map[string]string{testTokens: "9000", testKey: "key-n", testTenant: "south"}
+	must.Eq(t, eventTexts(1, 4), env.do(request).body)
+	for _, replica := range []*fakeReplica{prefiller, cut, whole} {
 		must.SliceNotEmpty(t, replica.requests)
 		for _, sent := range replica.requests {
 			must.Eq(t, []string{"north"}, sent.Header[testTenant])
@@ -143,7 +143,7 @@
 		_, _ = io.WriteString(w, eventText(2))
 	})
 	env := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), slow, nil)
-	env.requireKeys(tenant("north", 3, "key-n", "key-o"))
+	env.requireKeys(tenantKeys("north", 3, "key-n", "key-o"))
 	client := &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1}}
 	defer client.CloseIdleConnections()
 	ask := func(id, resume, key string) (*http.Response, error) {
@@ -159,7 +159,7 @@
 	response, err := ask("a", "", "key-n")
 	must.NoError(t, err)
 	<-begun
-	env.requireKeys(tenant("north", 3, "key-o"))
+	env.requireKeys(tenantKeys("north", 3, "key-o"))
 	close(end)
 	body, err := io.ReadAll(response.Body)
 	must.NoError(t, err)
@@ -188,12 +188,12 @@
 		since  time.Duration
 		want   int
 	}{{false, time.Hour, 200}, {true, time.Second, 200}, {true, 4500 * time.Millisecond, 503}}
-	for _, each := range cases {
+	for _, test := range cases {
 		env := newTestEnv(t, newFakeReplica(t, "r-1", answerOK))
-		env.requireKeys(tenant("north", 0, "key-n"))
-		env.ingress.config.Keys = Keys{FailClosed: each.closed, RevokeWithin: 5 * time.Second}
-		env.ingress.confirmer = confirmedAgo(each.since)
-		must.Eq(t, each.want, env.do(withKey("a", "/safe/x", "key-n")).status)
+		env.requireKeys(tenantKeys("north", 0, "key-n"))
+		env.ingress.config.Keys = Keys{FailClosed: test.closed, RevokeWithin: 5 * time.Second}
+		env.ingress.confirmer = confirmedAgo(test.since)
+		must.Eq(t, test.want, env.do(withKey("a", "/safe/x", "key-n")).status)
 		public := testRequest{method: "POST", target: "/unsafe/x", id: "b"}
 		must.Eq(t, http.StatusOK, env.do(public).status)
 	}
--- a/process/ingress/belief_test.go
+++ b/process/ingress/belief_test.go
@@ -82,16 +82,16 @@
 // A handle from a replica becomes part of the next request's head. One with a line break would
 // add fields, or a request, that no caller sent.
 func TestHandleAddsNothingToARequest(t *testing.T) {
-	reader := newFakeReplica(t, "read", func(w http.ResponseWriter, r *http.Request) {
+	prefiller := newFakeReplica(t, "read", func(w http.ResponseWriter, r *http.Request) {
 		writeGenuine(w, r)
 		_, _ = io.WriteString(w, `"handle-7\r\nSmuggled: 1"`)
 	})
-	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	env := newModelEnv(t, reader, generator, nil)
+	decoder := newFakeReplica(t, "make", streamEvents(2, ""))
+	env := newModelEnv(t, prefiller, decoder, nil)
 	env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read", Unread: 9000}}
 	got := env.do(modelRequest)
 	must.NoError(t, got.err)
-	for _, request := range generator.requests {
+	for _, request := range decoder.requests {
 		must.Eq(t, "", request.Header.Get("Smuggled"))
 	}
 	must.Eq(t, http.StatusOK, got.status)
--- a/process/ingress/budget_test.go
+++ b/process/ingress/budget_test.go
@@ -16,11 +16,11 @@
 // machine: a replica that passes for silent would cost a retry.
 func (env *testEnv) withLongObjective() {
 	env.views.set(func(v *view.View) {
-		patient := testIngress()
-		for i := range patient.Spec.Routes {
-			patient.Spec.Routes[i].ObjectiveMilliseconds = testTimeout.Milliseconds()
+		updated := testIngress()
+		for i := range updated.Spec.Routes {
+			updated.Spec.Routes[i].ObjectiveMilliseconds = testTimeout.Milliseconds()
 		}
-		v.Ingresses = map[string]*api.Ingress{api.IngressName: patient}
+		v.Ingresses = map[string]*api.Ingress{api.IngressName: updated}
 	})
 }
 
@@ -34,9 +34,9 @@
 // Each refused prefill counts as a retry. Once they have overdrawn the budget, the decode
 // replicas prefill the prompts themselves.
 func TestRefusedPrefillsEndWithTheBudget(t *testing.T) {
-	reader := newFakeReplica(t, "read", refuseRun)
-	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	env := newModelEnv(t, reader, generator, nil)
+	prefiller := newFakeReplica(t, "read", refuseRun)
+	decoder := newFakeReplica(t, "make", streamEvents(2, ""))
+	env := newModelEnv(t, prefiller, decoder, nil)
 	env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
 	env.withLongObjective()
 	env.withReserve(2)
@@ -44,29 +44,29 @@
 	for range requests {
 		must.Eq(t, eventTexts(1, 2), env.do(modelRequest).body)
 	}
-	must.Eq(t, 2, reader.count())
-	must.Eq(t, requests, generator.count())
+	must.Eq(t, 2, prefiller.count())
+	must.Eq(t, requests, decoder.count())
 }
 
 // An overdrawn budget does not prevent a prefill on a reliable replica.
 func TestReliablePrefillReplicasIgnoreAnOverdrawnBudget(t *testing.T) {
-	reader := newFakeReplica(t, "read", answerPrefill)
-	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	env := newModelEnv(t, reader, generator, nil)
+	prefiller := newFakeReplica(t, "read", answerPrefill)
+	decoder := newFakeReplica(t, "make", streamEvents(2, ""))
+	env := newModelEnv(t, prefiller, decoder, nil)
 	env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
 	env.withReserve(0)
 	env.ingress.upstreams.get("model").budget.Force(env.ingress.now())
 	must.Eq(t, eventTexts(1, 2), env.do(modelRequest).body)
-	must.Eq(t, 1, reader.count())
-	must.NotEq(t, "", generator.requests[0].Header.Get(testSource))
+	must.Eq(t, 1, prefiller.count())
+	must.NotEq(t, "", decoder.requests[0].Header.Get(testSource))
 }
 
 // A replica that answers a prefill with an error of its own has accepted it, and the first
 // accepted prefill is free.
 func TestFailedPrefillsCostNoRetry(t *testing.T) {
-	reader := newFakeReplica(t, "read", answerStatus(http.StatusInternalServerError))
-	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	env := newModelEnv(t, reader, generator, nil)
+	prefiller := newFakeReplica(t, "read", answerStatus(http.StatusInternalServerError))
+	decoder := newFakeReplica(t, "make", streamEvents(2, ""))
+	env := newModelEnv(t, prefiller, decoder, nil)
 	env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
 	env.withReserve(0)
 	const requests = 10
@@ -74,21 +74,21 @@
 		must.Eq(t, eventTexts(1, 2), env.do(modelRequest).body)
 	}
 	must.False(t, env.ingress.upstreams.get("model").budget.Overdrawn(env.ingress.now()))
-	must.Eq(t, requests, generator.count())
+	must.Eq(t, requests, decoder.count())
 }
 
 // A prefill without an answer may not have been accepted; the run that follows then counts as a
 // second send.
 func TestUnansweredPrefillsCountAsRetries(t *testing.T) {
-	reader := newFakeReplica(t, "read", closeConnection)
-	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	env := newModelEnv(t, reader, generator, nil)
+	prefiller := newFakeReplica(t, "read", closeConnection)
+	decoder := newFakeReplica(t, "make", streamEvents(2, ""))
+	env := newModelEnv(t, prefiller, decoder, nil)
 	env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
 	env.withReserve(2)
 	for range 10 {
 		must.Eq(t, eventTexts(1, 2), env.do(modelRequest).body)
 	}
-	must.Eq(t, 2, reader.count())
+	must.Eq(t, 2, prefiller.count())
 }
 
 // The first accepted prefill is free; a second one costs a retry in addition to that of its run.
@@ -97,14 +97,14 @@
 		reserve float64
 		reads   int
 	}{{1, 1}, {2, 2}} {
-		reader := newFakeReplica(t, "read", answerPrefill)
-		generator := newFakeReplica(t, "make", refuseRun)
-		env := newModelEnv(t, reader, generator, nil)
+		prefiller := newFakeReplica(t, "read", answerPrefill)
+		decoder := newFakeReplica(t, "make", refuseRun)
+		env := newModelEnv(t, prefiller, decoder, nil)
 		env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
 		env.withReserve(test.reserve)
 		must.Eq(t, http.StatusServiceUnavailable, env.do(modelRequest).status)
-		must.Eq(t, 2, generator.count())
-		must.Eq(t, test.reads, reader.count())
+		must.Eq(t, 2, decoder.count())
+		must.Eq(t, test.reads, prefiller.count())
 	}
 }
 
@@ -112,12 +112,12 @@
 // request: it is sent to no other replica, and its caller is told that it has not run.
 func TestNothingIsSentWithoutTimeToRun(t *testing.T) {
 	const within = 400 * time.Millisecond
-	reader := newFakeReplica(t, "read", func(w http.ResponseWriter, r *http.Request) {
+	prefiller := newFakeReplica(t, "read", func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(within - 15*time.Millisecond)
 		refuseRun(w, r)
 	})
-	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	env := newModelEnv(t, reader, generator, nil)
+	decoder := newFakeReplica(t, "make", streamEvents(2, ""))
+	env := newModelEnv(t, prefiller, decoder, nil)
 	env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
 	request := modelRequest
 	request.fields = map[string]string{testTokens: "9000", testWithin: "400"}
@@ -125,7 +125,7 @@
 	must.NoError(t, got.err)
 	must.Eq(t, http.StatusServiceUnavailable, got.status)
 	must.NotEq(t, "", got.header.Get(testAgain))
-	must.Eq(t, 0, generator.count())
+	must.Eq(t, 0, decoder.count())
 }
 
 func TestReserveIsSharedWithProxiesThatHaveJustLeft(t *testing.T) {
--- a/process/ingress/cacheguess.go
+++ b/process/ingress/cacheguess.go
@@ -37,8 +37,8 @@
 // add records that the replica now holds the parts.
 func (e *cacheEstimate) add(parts []Part) {
 	for _, part := range parts {
-		if known := e.parts[part.ID]; known != nil {
-			e.order.MoveToFront(known)
+		if element := e.parts[part.ID]; element != nil {
+			e.order.MoveToFront(element)
 			continue
 		}
 		e.parts[part.ID] = e.order.PushFront(part)
--- a/process/ingress/charge_test.go
+++ b/process/ingress/charge_test.go
@@ -40,9 +40,9 @@
 // second, and its charger.
 func newQuotaEnv(t *testing.T, perSecond float64, replicas ...*fakeReplica) (*testEnv, *fakeCharger) {
 	env := newTestEnv(t, replicas...)
-	bounded := tenant("north", 0, "key-n")
+	bounded := tenantKeys("north", 0, "key-n")
 	bounded.Quota = api.Quota{Unit: api.QuotaTokens, PerSecond: perSecond, Burst: perSecond, PlainTokens: 20}
-	env.requireKeys(bounded, tenant("south", 0, "key-s"))
+	env.requireKeys(bounded, tenantKeys("south", 0, "key-s"))
 	env.ingress.config.Quotas = quota.Rule{Window: 8 * time.Second, Overshoot: 0.1}
 	env.ingress.standaloneQuota = quota.NewAlone(env.ingress.config.Quotas)
 	charger := &fakeCharger{grant: quota.Grant{Granted: true}}
--- a/process/ingress/ended.go
+++ b/process/ingress/ended.go
@@ -48,7 +48,7 @@
 	if ctx.Err() != nil || !isConnectionClosed(err) {
 		return
 	}
-	s.ingress.metrics.broken.WithLabelValues(s.upstream.service, stage).Inc()
+	s.ingress.metrics.brokenAttempts.WithLabelValues(s.upstream.service, stage).Inc()
 	now := s.ingress.now()
 	state := addressUnknown
 	if stage == stageRun && (s.isolated || sent.events == 0) {
@@ -129,7 +129,7 @@
 // refuseQuarantined immediately answers a request that crashes replicas. The caller may retry
 // when the hold ends.
 func (s *session) refuseQuarantined(remaining time.Duration) int {
-	s.ingress.metrics.held.WithLabelValues(s.upstream.service).Inc()
+	s.ingress.metrics.heldRequests.WithLabelValues(s.upstream.service).Inc()
 	event.RequestHeld.Log(s.ingress.logger, "request", s.call.ID, "fingerprint", s.fingerprint(), "route", s.route.Name,
 		"sends", s.sendCount, "rest_ms", remaining.Milliseconds())
 	ran := s.lifecycle.GiveUp()
--- a/process/ingress/fleet_test.go
+++ b/process/ingress/fleet_test.go
@@ -62,8 +62,8 @@
 	must.SliceLen(t, 2, f.choices(0))
 }
 
-// The state of a replica is kept while a demand of it is in effect.
-func TestReplicaWithAPendingDemandIsKept(t *testing.T) {
+// The state of a replica is kept while a pause or departure that it announced is in effect.
+func TestPausedOrLeavingReplicaIsKept(t *testing.T) {
 	f := newTestFleet(nil)
 	f.update(listingOf(2), 0)
 	f.find("model-00000", 0).holdoff.Hear(0, time.Now(), holdoff.Word{Leaving: true})
--- a/process/ingress/foreign_test.go
+++ b/process/ingress/foreign_test.go
@@ -28,8 +28,8 @@
 type surplusReplica struct {
 	answer  func(r *http.Request) string // complete, as sent over the connection
 	surplus func(earlier *http.Request) string
-	// silent delays the end of the connection until it is closed, without an answer of its own;
-	// nil for an immediate answer.
+	// silent, if not nil, withholds the replica's own answer: the connection stays open until the
+	// channel is closed, and then ends without it.
 	silent <-chan struct{}
 
 	lock    sync.Mutex
@@ -75,21 +75,23 @@
 // handles generates the answers to prefills: each names its request and the number of the
 // prefill.
 type handles struct {
-	lock  sync.Mutex
-	reads map[string]int
+	lock     sync.Mutex
+	prefills map[string]int
 }
 
-func newHandles() *handles { return &handles{reads: map[string]int{}} }
+func newHandles() *handles { return &handles{prefills: map[string]int{}} }
 
 func (h *handles) next(r *http.Request) string {
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	id := r.Header.Get(testID)
-	h.reads[id]++
-	return handleBody(id, h.reads[id])
+	h.prefills[id]++
+	return handleBody(id, h.prefills[id])
 }
 
-func handleBody(id string, read int) string { return fmt.Sprintf("%q", fmt.Sprintf("%s-%d", id, read)) }
+func handleBody(id string, prefill int) string {
+	return fmt.Sprintf("%q", fmt.Sprintf("%s-%d", id, prefill))
+}
 
 // firstHandle repeats the answer to a request's first prefill.
 func firstHandle(r *http.Request) string { return wireAnswer(r, handleBody(r.Header.Get(testID), 1)) }
@@ -120,16 +122,16 @@
 }
 
 func TestPrefillIgnoresAHandleOfAnotherRequest(t *testing.T) {
-	reader := newSurplusReplica(t, "read", newHandles().next, firstHandle)
-	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	env := newModelEnv(t, reader, generator, nil)
+	prefiller := newSurplusReplica(t, "read", newHandles().next, firstHandle)
+	decoder := newFakeReplica(t, "make", streamEvents(2, ""))
+	env := newModelEnv(t, prefiller, decoder, nil)
 	env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
 	for _, id := range []string{"first", "second"} {
 		must.Eq(t, eventTexts(1, 2), env.do(modelRequestWithID(id)).body)
 	}
-	must.Eq(t, 2, reader.count())
-	for _, run := range generator.requests {
-		own := reader.address() + "/" + run.Header.Get(testID) + "-1"
+	must.Eq(t, 2, prefiller.count())
+	for _, run := range decoder.requests {
+		own := prefiller.address() + "/" + run.Header.Get(testID) + "-1"
 		must.SliceContains(t, []string{own, ""}, run.Header.Get(testSource))
 	}
 }
@@ -137,17 +139,17 @@
 // The request ID does not distinguish the prefills of one request: the prompt that was prefilled
 // for its first attempt may be gone by the second.
 func TestPrefillIgnoresAHandleOfAnEarlierPrefill(t *testing.T) {
-	reader := newSurplusReplica(t, "read", newHandles().next, firstHandle)
+	prefiller := newSurplusReplica(t, "read", newHandles().next, firstHandle)
 	refusing := newFakeReplica(t, "make-1", refuseRun)
-	generator := newFakeReplica(t, "make-2", streamEvents(2, ""))
-	env := newModelEnv(t, reader, refusing, generator)
+	decoder := newFakeReplica(t, "make-2", streamEvents(2, ""))
+	env := newModelEnv(t, prefiller, refusing, decoder)
 	env.ingress.placer = &scriptedPlacer{answers: []placement.Answer{
 		{Generator: "make-1", Reader: "read"}, {Generator: "make-2", Reader: "read"},
 	}}
 	must.Eq(t, eventTexts(1, 2), env.do(modelRequestWithID("q")).body)
-	must.Eq(t, 2, reader.count())
-	must.Eq(t, reader.address()+"/q-1", refusing.requests[0].Header.Get(testSource))
-	must.Eq(t, reader.address()+"/q-2", generator.requests[0].Header.Get(testSource))
+	must.Eq(t, 2, prefiller.count())
+	must.Eq(t, prefiller.address()+"/q-1", refusing.requests[0].Header.Get(testSource))
+	must.Eq(t, prefiller.address()+"/q-2", decoder.requests[0].Header.Get(testSource))
 }
 
 // A refusal that names no request, after the answer to another one, does not prove that this
@@ -181,16 +183,16 @@
 // A replica that answers another request is neither avoided nor reported as silent, and a prefill
 // sent to it may count as a send.
 func TestReplicaThatAnswersAnotherRequestIsNotSilent(t *testing.T) {
-	reader := newFakeReplica(t, "read", answerForeign)
-	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	env := newModelEnv(t, reader, generator, nil)
+	prefiller := newFakeReplica(t, "read", answerForeign)
+	decoder := newFakeReplica(t, "make", streamEvents(2, ""))
+	env := newModelEnv(t, prefiller, decoder, nil)
 	placer := &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
 	env.ingress.placer = placer
 	env.withReserve(2)
 	for range 10 {
 		must.Eq(t, eventTexts(1, 2), env.do(modelRequest).body)
 	}
-	must.Eq(t, 2, reader.count(), must.Sprint("each prefill may count as a second send"))
+	must.Eq(t, 2, prefiller.count(), must.Sprint("each prefill may count as a second send"))
 	upstream := env.ingress.upstreams.get("model")
 	must.False(t, upstream.find("read").isSuspect(env.ingress.now()))
 	must.SliceNotContains(t, placer.steps(), placement.StepFailed)
@@ -217,16 +219,16 @@
 
 // By the time of the run another replica may have the address of a prefill replica that is gone.
 func TestHandleOfAReplicaThatIsGoneIsNotUsed(t *testing.T) {
-	reader := newFakeReplica(t, "read", answerPrefill)
-	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	env := newModelEnv(t, reader, generator, nil)
-	reader.server.Config.Handler = callFirst(reader.server.Config.Handler, func() {
+	prefiller := newFakeReplica(t, "read", answerPrefill)
+	decoder := newFakeReplica(t, "make", streamEvents(2, ""))
+	env := newModelEnv(t, prefiller, decoder, nil)
+	prefiller.server.Config.Handler = callFirst(prefiller.server.Config.Handler, func() {
 		env.views.set(func(v *view.View) {
-			v.Replicas = map[string]*api.Replica{"make": replicaObject(generator, "model", api.RoleDecode)}
+			v.Replicas = map[string]*api.Replica{"make": replicaObject(decoder, "model", api.RoleDecode)}
 		})
 	})
 	env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
 	must.Eq(t, eventTexts(1, 2), env.do(modelRequestWithID("q")).body)
-	must.Eq(t, 1, reader.count())
-	must.Eq(t, "", generator.requests[0].Header.Get(testSource))
+	must.Eq(t, 1, prefiller.count())
+	must.Eq(t, "", decoder.requests[0].Header.Get(testSource))
 }
--- a/process/ingress/holdoff_test.go
+++ b/process/ingress/holdoff_test.go
@@ -52,12 +52,12 @@
 }
 
 func numberedModelRequest(number int) testRequest {
-	given := plainRequest("model", number)
-	given.fields[testTokens] = "9000"
-	return given
+	request := plainRequest("model", number)
+	request.fields[testTokens] = "9000"
+	return request
 }
 
-func TestDemandsOfReplicasAreRespected(t *testing.T) {
+func TestPausesAndDeparturesAreRespected(t *testing.T) {
 	t.Run("pause", testPausesAreRespected)
 	t.Run("leaving", testLeavingReplicasGetNothingNew)
 	t.Run("whole service", testRequestsAreRefusedWhileAllReplicasPause)
@@ -93,23 +93,23 @@
 		must.Eq(t, 1, paused.count())
 	})
 	t.Run("prefill placed by the group", func(t *testing.T) {
-		reader := newFakeReplica(t, "read", pauseOnce(longPause, http.StatusServiceUnavailable, answerPrefill))
-		generator := newFakeReplica(t, "make", streamEvents(2, ""))
-		env := newModelEnv(t, reader, generator, nil)
+		prefiller := newFakeReplica(t, "read", pauseOnce(longPause, http.StatusServiceUnavailable, answerPrefill))
+		decoder := newFakeReplica(t, "make", streamEvents(2, ""))
+		env := newModelEnv(t, prefiller, decoder, nil)
 		env.withLongObjective()
 		env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
 		for i := range laterRequests {
 			must.Eq(t, eventTexts(1, 2), env.do(numberedModelRequest(i)).body)
 		}
-		must.Eq(t, 1, reader.count())
+		must.Eq(t, 1, prefiller.count())
 	})
 	t.Run("run placed by the group, isolated or not", func(t *testing.T) {
-		for _, alone := range []bool{false, true} {
-			reader := newFakeReplica(t, "read", answerPrefill)
+		for _, isolated := range []bool{false, true} {
+			prefiller := newFakeReplica(t, "read", answerPrefill)
 			paused := newFakeReplica(t, "make", pauseOnce(longPause, http.StatusServiceUnavailable, streamEvents(2, "")))
-			env := newModelEnv(t, reader, paused, nil)
+			env := newModelEnv(t, prefiller, paused, nil)
 			env.withLongObjective()
-			env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read", Alone: alone}}
+			env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read", Alone: isolated}}
 			for i := range laterRequests {
 				must.Eq(t, http.StatusServiceUnavailable, env.do(numberedModelRequest(i)).status)
 			}
@@ -117,15 +117,15 @@
 		}
 	})
 	t.Run("placed by the proxy itself", func(t *testing.T) {
-		reader := newFakeReplica(t, "read", pauseOnce(longPause, http.StatusServiceUnavailable, answerPrefill))
+		prefiller := newFakeReplica(t, "read", pauseOnce(longPause, http.StatusServiceUnavailable, answerPrefill))
 		paused := newFakeReplica(t, "make", pauseOnce(longPause, http.StatusServiceUnavailable, streamEvents(2, "")))
 		other := newFakeReplica(t, "also", streamEvents(2, ""))
-		env := newModelEnv(t, reader, paused, other)
+		env := newModelEnv(t, prefiller, paused, other)
 		env.withLongObjective()
 		for i := range 4 * laterRequests {
 			must.Eq(t, eventTexts(1, 2), env.do(numberedModelRequest(i)).body)
 		}
-		must.LessEq(t, 1, reader.count())
+		must.LessEq(t, 1, prefiller.count())
 		must.LessEq(t, 1, paused.count())
 	})
 	t.Run("resumed stream", func(t *testing.T) {
@@ -140,7 +140,7 @@
 	t.Run("release of a handle", func(t *testing.T) {
 		handled := make(chan struct{})
 		var answered atomic.Bool
-		reader := newFakeReplica(t, "read", func(w http.ResponseWriter, r *http.Request) {
+		prefiller := newFakeReplica(t, "read", func(w http.ResponseWriter, r *http.Request) {
 			if answered.Swap(true) {
 				refuseWithPause(w, r)
 				return
@@ -148,28 +148,28 @@
 			answerPrefill(w, r)
 			close(handled)
 		})
-		generator := newFakeReplica(t, "make", streamEvents(2, ""))
-		env := newModelEnv(t, reader, generator, nil)
+		decoder := newFakeReplica(t, "make", streamEvents(2, ""))
+		env := newModelEnv(t, prefiller, decoder, nil)
 		env.withLongObjective()
 		env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
 		env.do(numberedModelRequest(0))
 		env.do(numberedModelRequest(1)) // the prefill replica asks for a pause
-		before := reader.count()
+		before := prefiller.count()
 		s := &session{ingress: env.ingress, upstream: env.ingress.upstreams.get("model")}
-		s.release(Source{Replica: "read", Address: reader.address(), Handle: "handle-7"})
+		s.release(Source{Replica: "read", Address: prefiller.address(), Handle: "handle-7"})
 		time.Sleep(50 * time.Millisecond) // a call on the loopback interface takes less than 1 ms
-		must.Eq(t, before, reader.count())
+		must.Eq(t, before, prefiller.count())
 	})
 	t.Run("while a connection is opened", func(t *testing.T) {
 		paused := newFakeReplica(t, "a", answerOK)
 		env := newTestEnv(t, paused)
 		env.ingress.routes()
 		pauseState := env.ingress.upstreams.holdoffs.Find("a")
-		given := &exchange.Request{Method: "GET", Target: "/", Host: "a", Permit: func() error {
+		request := &exchange.Request{Method: "GET", Target: "/", Host: "a", Permit: func() error {
 			pauseState.Hear(env.ingress.now(), time.Now(), holdoff.Word{RetryAfter: time.Minute}) // as with the answer to another request
 			return env.ingress.permit(pauseState)()
 		}}
-		_, err := env.ingress.upstreams.get("plain").pool.Do(t.Context(), paused.address(), given)
+		_, err := env.ingress.upstreams.get("plain").pool.Do(t.Context(), paused.address(), request)
 		must.ErrorIs(t, err, errWithheld)
 		must.Eq(t, 0, paused.count())
 	})
@@ -209,32 +209,32 @@
 		must.Eq(t, 1, leaving.count())
 	})
 	t.Run("prefill and run placed by the group", func(t *testing.T) {
-		reader := newFakeReplica(t, "read", leaveAlways(answerPrefill))
+		prefiller := newFakeReplica(t, "read", leaveAlways(answerPrefill))
 		leaving := newFakeReplica(t, "make", leaveAlways(streamEvents(2, "")))
 		other := newFakeReplica(t, "also", streamEvents(2, ""))
-		env := newModelEnv(t, reader, leaving, other)
+		env := newModelEnv(t, prefiller, leaving, other)
 		env.withLongObjective()
 		env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
 		for i := range laterRequests {
 			must.Eq(t, eventTexts(1, 2), env.do(numberedModelRequest(i)).body)
 		}
-		must.Eq(t, 1, reader.count())
+		must.Eq(t, 1, prefiller.count())
 		must.Eq(t, 1, leaving.count())
 	})
 	t.Run("until the replica restarts", func(t *testing.T) {
 		leaving := newFakeReplica(t, "a", leaveAlways(answerOK))
 		env := newTestEnv(t)
-		born := func(at int64) {
+		setBorn := func(at int64) {
 			env.views.set(func(v *view.View) {
 				entry := replicaObject(leaving, "plain", api.RoleNone)
 				entry.Spec.Born = at
 				v.Replicas = map[string]*api.Replica{"a": entry}
 			})
 		}
-		born(1000)
+		setBorn(1000)
 		must.Eq(t, http.StatusOK, env.do(plainRequest("safe", 0)).status)
 		must.Eq(t, http.StatusServiceUnavailable, env.do(plainRequest("safe", 1)).status)
-		born(time.Now().Add(time.Minute).UnixMilli())
+		setBorn(time.Now().Add(time.Minute).UnixMilli())
 		must.Eq(t, http.StatusOK, env.do(plainRequest("safe", 2)).status)
 	})
 }
--- a/process/ingress/inflight_order_test.go
+++ b/process/ingress/inflight_order_test.go
@@ -30,14 +30,14 @@
 	return &recordingBoard{t: t, board: board}
 }
 
-func (b *recordingBoard) apply(word func()) {
+func (b *recordingBoard) apply(message func()) {
 	if between := b.between; between != nil {
 		b.between = nil
 		between()
 	}
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	word()
+	message()
 }
 
 func (b *recordingBoard) ReportInFlight(report feed.InFlight) bool {
@@ -102,7 +102,7 @@
 
 // A step that a report contains must not be sent again after it: the failure of a prefill would
 // be taken for that of the run, which continues.
-func TestReportDuringAStepDoesNotTellItTwice(t *testing.T) {
+func TestReportDuringAStepDoesNotSendItTwice(t *testing.T) {
 	board := newRecordingBoard(t)
 	ingress, request := newTrackedRequest(t, board)
 	var running sync.WaitGroup
@@ -142,9 +142,9 @@
 
 // A decision that arrives too late is not followed and must not occupy a place on the board.
 func TestLateDecisionOccupiesNoPlaceOnTheBoard(t *testing.T) {
-	reader := newFakeReplica(t, "read", answerPrefill)
-	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	env := newModelEnv(t, reader, generator, nil)
+	prefiller := newFakeReplica(t, "read", answerPrefill)
+	decoder := newFakeReplica(t, "make", streamEvents(2, ""))
+	env := newModelEnv(t, prefiller, decoder, nil)
 	board := newRecordingBoard(t)
 	env.ingress.placer = lateBoard{board}
 	must.Eq(t, eventTexts(1, 2), env.do(modelRequest).body)
--- a/process/ingress/inflight_test.go
+++ b/process/ingress/inflight_test.go
@@ -41,24 +41,24 @@
 		{"placed by the proxy", &fakePlacer{err: feed.ErrNotPlaced}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			begun, goOn := make(chan struct{}, 4), make(chan struct{})
+			started, proceed := make(chan struct{}, 4), make(chan struct{})
 			hold := func(serve http.HandlerFunc) http.HandlerFunc {
 				return func(w http.ResponseWriter, r *http.Request) {
-					begun <- struct{}{}
-					<-goOn
+					started <- struct{}{}
+					<-proceed
 					serve(w, r)
 				}
 			}
-			reader := newFakeReplica(t, "read", hold(answerPrefill))
-			generator := newFakeReplica(t, "make", hold(streamEvents(2, "")))
-			env := newModelEnv(t, reader, generator, nil)
+			prefiller := newFakeReplica(t, "read", hold(answerPrefill))
+			decoder := newFakeReplica(t, "make", hold(streamEvents(2, "")))
+			env := newModelEnv(t, prefiller, decoder, nil)
 			env.ingress.placer = test.placer
 			done := make(chan struct{})
 			go func() {
 				defer close(done)
 				env.do(modelRequest)
 			}()
-			<-begun
+			<-started
 			var group recordingGroup
 			env.ingress.reportInFlight(&group)
 			must.SliceLen(t, 1, group.inFlight)
@@ -68,7 +68,7 @@
 				must.Eq(t, 9000, request.Ask.Prompt)
 				must.Eq(t, placement.Step(0), request.Step)
 			}
-			close(goOn)
+			close(proceed)
 			<-done
 			group = recordingGroup{}
 			env.ingress.reportInFlight(&group)
--- a/process/ingress/ingress_test.go
+++ b/process/ingress/ingress_test.go
@@ -23,16 +23,16 @@
 	must.Eq(t, http.StatusOK, got.status)
 	must.Eq(t, "answer to q-1", got.body)
 	must.Eq(t, "signature", got.header.Get(testGenuine))
-	seen := replica.requests[0]
-	must.Eq(t, "/unsafe/a//b/%2e%2f?x=%20&y", seen.RequestURI)
-	must.Eq(t, "POST", seen.Method)
-	must.Eq(t, "a.example", seen.Host)
+	received := replica.requests[0]
+	must.Eq(t, "/unsafe/a//b/%2e%2f?x=%20&y", received.RequestURI)
+	must.Eq(t, "POST", received.Method)
+	must.Eq(t, "a.example", received.Host)
 	must.Eq(t, "the body", replica.bodies[0])
-	must.Eq(t, "kept", seen.Header.Get("Other"))
-	must.Eq(t, "", seen.Header.Get("Listed"))
-	must.Eq(t, "r-1", seen.Header.Get(testReplica))
-	must.Eq(t, "", seen.Header.Get("User-Agent"), must.Sprint("no field is added"))
-	must.Eq(t, "", seen.Header.Get("Accept-Encoding"))
+	must.Eq(t, "kept", received.Header.Get("Other"))
+	must.Eq(t, "", received.Header.Get("Listed"))
+	must.Eq(t, "r-1", received.Header.Get(testReplica))
+	must.Eq(t, "", received.Header.Get("User-Agent"), must.Sprint("no field is added"))
+	must.Eq(t, "", received.Header.Get("Accept-Encoding"))
 }
 
 func TestLocalRefusals(t *testing.T) {
@@ -170,12 +170,12 @@
 		Metadata: api.Metadata{Name: "r-1"},
 		Spec:     api.ReplicaSpec{Service: "plain", Address: refusingAddress(t), Zone: "zone-a", Slots: 8},
 	}
-	sound := newFakeReplica(t, "r-2", answerOK)
+	healthy := newFakeReplica(t, "r-2", answerOK)
 	env := newTestEnv(t)
 	env.views.set(func(v *view.View) { v.Replicas = map[string]*api.Replica{"r-1": gone} })
 	must.Eq(t, http.StatusServiceUnavailable, env.do(testRequest{method: "GET", target: "/unsafe/", id: "q"}).status)
 	env.views.set(func(v *view.View) {
-		v.Replicas = map[string]*api.Replica{"r-1": gone, "r-2": replicaObject(sound, "plain", api.RoleNone)}
+		v.Replicas = map[string]*api.Replica{"r-1": gone, "r-2": replicaObject(healthy, "plain", api.RoleNone)}
 	})
 	for range 5 {
 		must.Eq(t, http.StatusOK, env.do(testRequest{method: "GET", target: "/unsafe/", id: "q"}).status)
@@ -258,12 +258,12 @@
 
 func TestStreams(t *testing.T) {
 	cases := []struct {
-		name   string
-		route  string
-		first  http.HandlerFunc
-		second http.HandlerFunc
-		body   string
-		whole  bool
+		name     string
+		route    string
+		first    http.HandlerFunc
+		second   http.HandlerFunc
+		body     string
+		complete bool
 	}{
 		{"whole", "stream", streamEvents(3, ""), nil, eventTexts(1, 3), true},
 		{"cut, not resumable", "stream", streamEvents(2, "cut"), streamEvents(3, ""), eventTexts(1, 2), false},
@@ -283,12 +283,12 @@
 				first.server.Config.Handler = callFirst(first.server.Config.Handler, func() { env.setReplicas(first, second) })
 			}
 			got := env.do(testRequest{method: "POST", target: "/" + test.route + "/", id: "q"})
-			if !test.whole && test.body == "" {
+			if !test.complete && test.body == "" {
 				must.True(t, got.err != nil || got.status == http.StatusBadGateway)
 				return
 			}
 			must.Eq(t, test.body, got.body)
-			must.Eq(t, test.whole, got.err == nil)
+			must.Eq(t, test.complete, got.err == nil)
 			must.Eq(t, "signature", got.header.Get(testGenuine))
 		})
 	}
--- a/process/ingress/log_test.go
+++ b/process/ingress/log_test.go
@@ -36,13 +36,13 @@
 // The log of a proxy that was killed shows where its requests were.
 func TestDestinationIsLoggedBeforeTheSend(t *testing.T) {
 	var lines sharedBuffer
-	reader := newFakeReplica(t, "read", answerPrefill)
-	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	env := newModelEnv(t, reader, generator, nil)
+	prefiller := newFakeReplica(t, "read", answerPrefill)
+	decoder := newFakeReplica(t, "make", streamEvents(2, ""))
+	env := newModelEnv(t, prefiller, decoder, nil)
 	env.ingress.logger = log.NewLogfmtLogger(&lines)
 	env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read", Unread: 9000}}
 	var before []int
-	for _, replica := range []*fakeReplica{reader, generator} {
+	for _, replica := range []*fakeReplica{prefiller, decoder} {
 		serve := replica.server.Config.Handler
 		replica.server.Config.Handler = callFirst(serve, func() { before = append(before, strings.Count(lines.String(), "name=request_sent")) })
 	}
--- a/process/ingress/long_test.go
+++ b/process/ingress/long_test.go
@@ -89,11 +89,11 @@
 // A caller may resume an interrupted stream itself. A run that starts over then is no
 // continuation either.
 func TestOnlyARunThatContinuesItsCallersStreamIsPassedOn(t *testing.T) {
-	anew := newFakeReplica(t, "r-1", func(w http.ResponseWriter, r *http.Request) {
+	restarting := newFakeReplica(t, "r-1", func(w http.ResponseWriter, r *http.Request) {
 		r.Header.Del(testResume)
 		streamEvents(3, "")(w, r)
 	})
-	env := newTestEnv(t, anew)
+	env := newTestEnv(t, restarting)
 	got := env.do(testRequest{method: "GET", target: "/resume/", id: "q", fields: map[string]string{testResume: "2"}})
 	must.StrNotContains(t, got.body, eventText(1))
 	must.StrNotContains(t, got.body, eventText(2))
--- a/process/ingress/metrics.go
+++ b/process/ingress/metrics.go
@@ -22,11 +22,11 @@
 	prefills       *prometheus.CounterVec
 	prefillSeconds *prometheus.HistogramVec
 	retriesRefused *prometheus.CounterVec
-	foreign        *prometheus.CounterVec
-	broken         *prometheus.CounterVec
-	held           *prometheus.CounterVec
-	asks           *prometheus.CounterVec
-	withheld       *prometheus.CounterVec
+	foreignAnswers *prometheus.CounterVec
+	brokenAttempts *prometheus.CounterVec
+	heldRequests   *prometheus.CounterVec
+	replicaAsks    *prometheus.CounterVec
+	withheldSends  *prometheus.CounterVec
 }
 
 func newMetrics() *metrics {
@@ -39,11 +39,11 @@
 	m.prefills = m.counter("prefills_total", "Prompts read apart from the replica that makes the tokens.", "service", "outcome")
 	m.prefillSeconds = m.histogram("prefill_seconds", "Time of a read that succeeded.", "service")
 	m.retriesRefused = m.counter("retries_refused_total", "Retries that the shared budget did not allow.", "service")
-	m.foreign = m.counter("foreign_answers_total", "Answers that name another request than the one that was asked, or none.", "service", "stage")
-	m.broken = m.counter("broken_total", "Attempts whose replica closed or reset the connection while it was at work, as one that ends does.", "service", "stage")
-	m.held = m.counter("held_total", "Requests that went to no replica, since replicas end under them.", "service")
-	m.asks = m.counter("replica_asks_total", "Answers that ask for a pause, or say that their replica leaves.", "service", "stage")
-	m.withheld = m.counter("withheld_total", "Sends to a chosen replica that had asked for a pause, or said that it leaves, meanwhile.", "service", "stage")
+	m.foreignAnswers = m.counter("foreign_answers_total", "Answers that name another request than the one that was asked, or none.", "service", "stage")
+	m.brokenAttempts = m.counter("broken_total", "Attempts whose replica closed or reset the connection while it was at work, as one that ends does.", "service", "stage")
+	m.heldRequests = m.counter("held_total", "Requests that went to no replica, since replicas end under them.", "service")
+	m.replicaAsks = m.counter("replica_asks_total", "Answers that ask for a pause, or say that their replica leaves.", "service", "stage")
+	m.withheldSends = m.counter("withheld_total", "Sends to a chosen replica that had asked for a pause, or said that it leaves, meanwhile.", "service", "stage")
 	return m
 }
 
@@ -68,8 +68,8 @@
 	chosenByGroup = "group"
 	chosenByProxy = "proxy"
 
-	prefillRead   = "read"
-	prefillFailed = "failed"
+	prefillSucceeded = "read"
+	prefillFailed    = "failed"
 )
 
 func (m *metrics) observe(route, outcome string, took time.Duration) {
--- a/process/ingress/metrics_test.go
+++ b/process/ingress/metrics_test.go
@@ -45,10 +45,10 @@
 func (p *singleAnswerPlacer) NotePlaced(feed.PlaceNote) bool { return true }
 
 func TestEachDecisionIsCounted(t *testing.T) {
-	reader := newFakeReplica(t, "read", answerPrefill)
+	prefiller := newFakeReplica(t, "read", answerPrefill)
 	refusing := newFakeReplica(t, "make-1", refuseRun)
-	generator := newFakeReplica(t, "make-2", streamEvents(2, ""))
-	env := newModelEnv(t, reader, refusing, generator)
+	decoder := newFakeReplica(t, "make-2", streamEvents(2, ""))
+	env := newModelEnv(t, prefiller, refusing, decoder)
 	env.ingress.placer = &singleAnswerPlacer{answer: placement.Answer{Generator: "make-1", Reader: "read", Unread: 9000}}
 	must.Eq(t, eventTexts(1, 2), env.do(modelRequest).body)
 	got := env.ingress.metrics.values(t)
--- a/process/ingress/model_test.go
+++ b/process/ingress/model_test.go
@@ -59,12 +59,12 @@
 
 // newModelEnv returns an environment with a prefill replica and up to two decode replicas of the
 // model service.
-func newModelEnv(t *testing.T, reader, first, second *fakeReplica) *testEnv {
+func newModelEnv(t *testing.T, prefiller, first, second *fakeReplica) *testEnv {
 	env := newTestEnv(t)
 	env.views.set(func(v *view.View) {
 		v.Replicas = map[string]*api.Replica{
-			reader.name: replicaObject(reader, "model", api.RolePrefill),
-			first.name:  replicaObject(first, "model", api.RoleDecode),
+			prefiller.name: replicaObject(prefiller, "model", api.RolePrefill),
+			first.name:     replicaObject(first, "model", api.RoleDecode),
 		}
 		if second != nil {
 			v.Replicas[second.name] = replicaObject(second, "model", api.RoleDecode)
@@ -76,17 +76,17 @@
 var modelRequest = testRequest{method: "POST", target: "/model/", id: "q", fields: map[string]string{testTokens: "9000"}}
 
 func TestPromptIsPrefilledWhereTheGroupSays(t *testing.T) {
-	reader := newFakeReplica(t, "read", answerPrefill)
-	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	env := newModelEnv(t, reader, generator, nil)
+	prefiller := newFakeReplica(t, "read", answerPrefill)
+	decoder := newFakeReplica(t, "make", streamEvents(2, ""))
+	env := newModelEnv(t, prefiller, decoder, nil)
 	placer := &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read", Unread: 9000}}
 	env.ingress.placer = placer
 	got := env.do(modelRequest)
 	must.NoError(t, got.err)
 	must.Eq(t, eventTexts(1, 2), got.body)
-	must.Eq(t, "1", reader.requests[0].Header.Get(testPrefill))
-	must.Eq(t, reader.address()+"/handle-7", generator.requests[0].Header.Get(testSource))
-	must.Eq(t, "", generator.requests[0].Header.Get(testPrefill))
+	must.Eq(t, "1", prefiller.requests[0].Header.Get(testPrefill))
+	must.Eq(t, prefiller.address()+"/handle-7", decoder.requests[0].Header.Get(testSource))
+	must.Eq(t, "", decoder.requests[0].Header.Get(testPrefill))
 	must.Eq(t, 9000, placer.asks[0].Prompt)
 	must.Eq(t, []placement.Step{placement.StepRead, placement.StepStarted, placement.StepEnded}, placer.steps())
 }
@@ -98,14 +98,14 @@
 		"handle without a request ID": answerUnnamed, "another request's answer": answerForeign,
 	} {
 		t.Run(name, func(t *testing.T) {
-			reader := newFakeReplica(t, "read", handler)
-			generator := newFakeReplica(t, "make", streamEvents(2, ""))
-			env := newModelEnv(t, reader, generator, nil)
+			prefiller := newFakeReplica(t, "read", handler)
+			decoder := newFakeReplica(t, "make", streamEvents(2, ""))
+			env := newModelEnv(t, prefiller, decoder, nil)
 			env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
 			got := env.do(modelRequest)
 			must.NoError(t, got.err)
 			must.Eq(t, eventTexts(1, 2), got.body)
-			must.Eq(t, "", generator.requests[0].Header.Get(testSource))
+			must.Eq(t, "", decoder.requests[0].Header.Get(testSource))
 		})
 	}
 }
@@ -114,9 +114,9 @@
 func TestDecodeReplicaThatLeavesDuringPrefillGetsNothing(t *testing.T) {
 	leaving := newFakeReplica(t, "make-1", streamEvents(2, ""))
 	staying := newFakeReplica(t, "make-2", streamEvents(2, ""))
-	reader := newFakeReplica(t, "read", answerPrefill)
-	env := newModelEnv(t, reader, leaving, staying)
-	reader.server.Config.Handler = callFirst(reader.server.Config.Handler, func() {
+	prefiller := newFakeReplica(t, "read", answerPrefill)
+	env := newModelEnv(t, prefiller, leaving, staying)
+	prefiller.server.Config.Handler = callFirst(prefiller.server.Config.Handler, func() {
 		env.views.set(func(v *view.View) {
 			entry := replicaObject(leaving, "model", api.RoleDecode)
 			entry.Spec.Leaving = true
@@ -138,23 +138,23 @@
 		{"generator", placement.Answer{Generator: "make-1"}},
 		{"reader", placement.Answer{Generator: "make-2", Reader: "read"}},
 	}
-	for _, each := range cases {
-		t.Run(each.name, func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
 			leaving := newFakeReplica(t, "make-1", streamEvents(2, ""))
 			staying := newFakeReplica(t, "make-2", streamEvents(2, ""))
-			reader := newFakeReplica(t, "read", answerPrefill)
-			env := newModelEnv(t, reader, leaving, staying)
+			prefiller := newFakeReplica(t, "read", answerPrefill)
+			env := newModelEnv(t, prefiller, leaving, staying)
 			env.views.set(func(v *view.View) {
-				left := replicaObject(leaving, "model", api.RoleDecode)
-				left.Spec.Leaving = true
-				alsoLeft := replicaObject(reader, "model", api.RolePrefill)
-				alsoLeft.Spec.Leaving = true
-				v.Replicas = map[string]*api.Replica{"read": alsoLeft, "make-1": left, "make-2": v.Replicas["make-2"]}
+				leavingDecoder := replicaObject(leaving, "model", api.RoleDecode)
+				leavingDecoder.Spec.Leaving = true
+				leavingPrefiller := replicaObject(prefiller, "model", api.RolePrefill)
+				leavingPrefiller.Spec.Leaving = true
+				v.Replicas = map[string]*api.Replica{"read": leavingPrefiller, "make-1": leavingDecoder, "make-2": v.Replicas["make-2"]}
 			})
-			env.ingress.placer = &fakePlacer{answer: each.answer}
+			env.ingress.placer = &fakePlacer{answer: test.answer}
 			must.Eq(t, eventTexts(1, 2), env.do(modelRequest).body)
 			must.Eq(t, 0, leaving.count())
-			must.Eq(t, 0, reader.count())
+			must.Eq(t, 0, prefiller.count())
 			must.Eq(t, 1, staying.count())
 		})
 	}
@@ -167,12 +167,12 @@
 		"unknown replica": &fakePlacer{answer: placement.Answer{Generator: "gone"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			reader := newFakeReplica(t, "read", answerPrefill)
-			generator := newFakeReplica(t, "make", streamEvents(2, ""))
-			env := newModelEnv(t, reader, generator, nil)
+			prefiller := newFakeReplica(t, "read", answerPrefill)
+			decoder := newFakeReplica(t, "make", streamEvents(2, ""))
+			env := newModelEnv(t, prefiller, decoder, nil)
 			env.ingress.placer = placer
 			must.Eq(t, eventTexts(1, 2), env.do(modelRequest).body)
-			must.Eq(t, 1, generator.count())
+			must.Eq(t, 1, decoder.count())
 		})
 	}
 }
@@ -194,27 +194,27 @@
 }
 
 func TestRequestIsPlacedAgainAfterAWait(t *testing.T) {
-	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	env := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), generator, nil)
+	decoder := newFakeReplica(t, "make", streamEvents(2, ""))
+	env := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), decoder, nil)
 	placer := &waitingPlacer{fakePlacer: fakePlacer{answer: placement.Answer{Generator: "make"}}, waits: 3}
 	env.ingress.placer = placer
 	must.Eq(t, eventTexts(1, 2), env.do(modelRequest).body)
 	must.SliceLen(t, 4, placer.asks)
-	must.Eq(t, 1, generator.count())
+	must.Eq(t, 1, decoder.count())
 }
 
 // A request whose deadline passes during a wait was sent to no replica, and its caller is told
 // so.
 func TestRequestWhoseTimeEndsDuringAWaitIsRefused(t *testing.T) {
-	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	env := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), generator, nil)
+	decoder := newFakeReplica(t, "make", streamEvents(2, ""))
+	env := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), decoder, nil)
 	env.ingress.placer = &waitingPlacer{waits: math.MaxInt}
 	request := modelRequest
 	request.fields = map[string]string{testTokens: "9000", testWithin: "100"}
 	got := env.do(request)
 	must.NoError(t, got.err)
 	must.Eq(t, http.StatusServiceUnavailable, got.status)
-	must.Eq(t, 0, generator.count())
+	must.Eq(t, 0, decoder.count())
 }
 
 // A proxy knows the relay addresses of the other proxies and leaves out its own.
@@ -250,10 +250,10 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			generator := newFakeReplica(t, "make", test.handler)
-			env := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), generator, nil)
+			decoder := newFakeReplica(t, "make", test.handler)
+			env := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), decoder, nil)
 			if test.handler == nil {
-				generator.server.Close()
+				decoder.server.Close()
 			}
 			placer := &fakePlacer{answer: placement.Answer{Generator: "make"}}
 			env.ingress.placer = placer
@@ -288,9 +288,9 @@
 		"not sent":    {nil, placement.StepUnread},
 	} {
 		t.Run(name, func(t *testing.T) {
-			reader := newFakeReplica(t, "read", test.handler)
-			generator := newFakeReplica(t, "make", streamEvents(2, ""))
-			env := newModelEnv(t, reader, generator, nil)
+			prefiller := newFakeReplica(t, "read", test.handler)
+			decoder := newFakeReplica(t, "make", streamEvents(2, ""))
+			env := newModelEnv(t, prefiller, decoder, nil)
 			placer := &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read", Unread: 9000}}
 			env.ingress.placer = placer
 			if test.handler == nil {
@@ -299,7 +299,7 @@
 				env.ingress.upstreams.get("model").find("read").failureRate = 1
 			}
 			inFlight := 0
-			generator.server.Config.Handler = callFirst(generator.server.Config.Handler, func() {
+			decoder.server.Config.Handler = callFirst(decoder.server.Config.Handler, func() {
 				var group recordingGroup
 				env.ingress.reportInFlight(&group)
 				inFlight = len(group.of("model"))
@@ -328,11 +328,11 @@
 // A handle is released by the name of its replica, since another replica may have taken over the
 // address.
 func TestHandleIsReleasedByReplicaName(t *testing.T) {
-	reader := newFakeReplica(t, "read", answerOK)
+	prefiller := newFakeReplica(t, "read", answerOK)
 	env := newTestEnv(t)
 	freeing := session{ingress: env.ingress, upstream: env.ingress.upstreams.get("model")}
-	freeing.release(Source{Replica: "read", Address: reader.address(), Handle: "h"})
-	eventually(t, "the release request arrives", func() bool { return reader.count() == 1 })
-	must.Eq(t, "read", reader.requests[0].Header.Get(testReplica))
-	must.Eq(t, "/handle/h", reader.requests[0].URL.Path)
+	freeing.release(Source{Replica: "read", Address: prefiller.address(), Handle: "h"})
+	eventually(t, "the release request arrives", func() bool { return prefiller.count() == 1 })
+	must.Eq(t, "read", prefiller.requests[0].Header.Get(testReplica))
+	must.Eq(t, "/handle/h", prefiller.requests[0].URL.Path)
 }
--- a/process/ingress/older_view_test.go
+++ b/process/ingress/older_view_test.go
@@ -27,7 +27,7 @@
 // A request that has loaded a view may be overtaken by another one that applies a newer view. The
 // older view must not replace the newer one: neither the list of replicas, nor the state of
 // replicas that it lacks, nor the routes.
-func TestOlderViewReplacesNoNewerOne(t *testing.T) {
+func TestOlderViewDoesNotReplaceANewerOne(t *testing.T) {
 	leaving, added := newFakeReplica(t, "r-1", answerOK), newFakeReplica(t, "r-2", answerOK)
 	env := newTestEnv(t, leaving)
 	views := &overtakenViews{viewHolder: env.views}
@@ -35,7 +35,7 @@
 	env.ingress.routes()
 	env.views.set(func(*view.View) {}) // gives the next request a view to apply
 
-	var learnt *replica
+	var state *replica
 	views.overtake = func() {
 		env.views.set(func(v *view.View) {
 			first := replicaObject(leaving, "plain", api.RoleNone)
@@ -47,13 +47,13 @@
 			v.Ingresses = map[string]*api.Ingress{api.IngressName: next}
 		})
 		env.ingress.routes()
-		learnt = env.ingress.upstreams.get("plain").find(added.name)
-		must.NotNil(t, learnt)
+		state = env.ingress.upstreams.get("plain").find(added.name)
+		must.NotNil(t, state)
 	}
 	env.ingress.routes()
 
 	upstream := env.ingress.upstreams.get("plain")
 	must.True(t, upstream.find(leaving.name).spec().Leaving)
-	must.True(t, upstream.find(added.name) == learnt)
+	must.True(t, upstream.find(added.name) == state)
 	must.Eq(t, testIngress().Spec.Generation+1, env.ingress.table.Load().routes.generation)
 }
--- a/process/ingress/order_test.go
+++ b/process/ingress/order_test.go
@@ -13,8 +13,8 @@
 // A request that the control group refuses is answered at once, is sent to no replica, and gets a
 // retry delay within its caller's remaining time.
 func TestRequestWithoutCapacityIsRefusedAtOnce(t *testing.T) {
-	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	env := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), generator, nil)
+	decoder := newFakeReplica(t, "make", streamEvents(2, ""))
+	env := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), decoder, nil)
 	env.ingress.placer = &fakePlacer{answer: placement.Answer{Refused: true, RetryAfter: time.Hour}}
 	got := env.do(modelRequest)
 	must.NoError(t, got.err)
@@ -22,22 +22,22 @@
 	again, err := time.ParseDuration(got.header.Get(testAgain))
 	must.NoError(t, err)
 	must.Between(t, 0, again, 5*time.Second/3)
-	must.Eq(t, 0, generator.count())
+	must.Eq(t, 0, decoder.count())
 }
 
 // Replicas prefill deferred requests last. A run whose prompt is already prefilled keeps the
 // route's priority.
 func TestDeferredRequestsArePrefilledLast(t *testing.T) {
-	reader := newFakeReplica(t, "read", answerPrefill)
-	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	env := newModelEnv(t, reader, generator, nil)
+	prefiller := newFakeReplica(t, "read", answerPrefill)
+	decoder := newFakeReplica(t, "make", streamEvents(2, ""))
+	env := newModelEnv(t, prefiller, decoder, nil)
 	env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read", Deferred: true}}
 	must.Eq(t, eventTexts(1, 2), env.do(modelRequest).body)
-	must.Eq(t, "9", reader.requests[0].Header.Get(testPriority))
-	must.Eq(t, "0", generator.requests[0].Header.Get(testPriority))
+	must.Eq(t, "9", prefiller.requests[0].Header.Get(testPriority))
+	must.Eq(t, "0", decoder.requests[0].Header.Get(testPriority))
 	env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Deferred: true}}
 	must.Eq(t, eventTexts(1, 2), env.do(modelRequest).body)
-	must.Eq(t, "9", generator.requests[1].Header.Get(testPriority))
+	must.Eq(t, "9", decoder.requests[1].Header.Get(testPriority))
 }
 
 func TestSilenceLimitOfRoutes(t *testing.T) {
--- a/process/ingress/placed.go
+++ b/process/ingress/placed.go
@@ -68,7 +68,7 @@
 // namesHeldOff reports whether an answer names a replica that must not be sent anything.
 func (s *session) namesHeldOff(answer placement.Answer) bool {
 	for _, name := range []string{answer.Generator, answer.Reader} {
-		if found := s.upstream.find(name); found != nil && found.holdoff.State(s.ingress.now()) == holdoff.Closed {
+		if named := s.upstream.find(name); named != nil && named.holdoff.State(s.ingress.now()) == holdoff.Closed {
 			return true
 		}
 	}
--- a/process/ingress/prefill.go
+++ b/process/ingress/prefill.go
@@ -181,7 +181,7 @@
 }
 
 func (s *session) countPrefill(source Source) {
-	outcome := prefillRead
+	outcome := prefillSucceeded
 	if source.Handle == "" {
 		outcome = prefillFailed
 	}
--- a/process/ingress/quarantine_test.go
+++ b/process/ingress/quarantine_test.go
@@ -24,20 +24,20 @@
 	reports   []feed.EndReport
 }
 
-func (g *recordingReporter) Connected() bool { return g.connected.Load() }
+func (r *recordingReporter) Connected() bool { return r.connected.Load() }
 
-func (g *recordingReporter) ReportEnds(report feed.EndReport) bool {
-	g.lock.Lock()
-	defer g.lock.Unlock()
-	g.reports = append(g.reports, report)
+func (r *recordingReporter) ReportEnds(report feed.EndReport) bool {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	r.reports = append(r.reports, report)
 	return true
 }
 
 // counts returns the number of reported items of each kind.
-func (g *recordingReporter) counts() (ended, alive, served int) {
-	g.lock.Lock()
-	defer g.lock.Unlock()
-	for _, report := range g.reports {
+func (r *recordingReporter) counts() (ended, alive, served int) {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	for _, report := range r.reports {
 		ended += len(report.Ended)
 		alive += len(report.Alive)
 		served += len(report.Served)
@@ -46,9 +46,9 @@
 }
 
 // crashOn closes the connection for requests of one kind and answers all others.
-func crashOn(fatal string) http.HandlerFunc {
+func crashOn(kind string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if r.Header.Get("Test-Sort") == fatal {
+		if r.Header.Get("Test-Sort") == kind {
 			panic(http.ErrAbortHandler)
 		}
 		answerOK(w, r)
@@ -66,9 +66,9 @@
 		all = append(all, newFakeReplica(t, fmt.Sprint("r-", i), crashOn("fatal")))
 	}
 	env := newTestEnv(t, all...)
-	group := &recordingReporter{}
-	env.ingress.guard.SetReporter(group)
-	return env, group, all
+	reporter := &recordingReporter{}
+	env.ingress.guard.SetReporter(reporter)
+	return env, reporter, all
 }
 
 func totalRequests(replicas []*fakeReplica) int {
@@ -113,7 +113,7 @@
 
 // A proxy without a leader judges by its own observations.
 func TestCutOffProxyUsesItsOwnObservations(t *testing.T) {
-	env, group, replicas := newQuarantineEnv(t, 8)
+	env, reporter, replicas := newQuarantineEnv(t, 8)
 	for i := range 2 {
 		env.do(crashRequest(fmt.Sprint("q-", i)))
 	}
@@ -122,11 +122,11 @@
 		must.Eq(t, http.StatusServiceUnavailable, env.do(crashRequest(fmt.Sprint("later-", i))).status)
 	}
 	must.Eq(t, 4, totalRequests(replicas))
-	ended, _, _ := group.counts()
+	ended, _, _ := reporter.counts()
 	must.Eq(t, 4, ended)
 
 	// With a leader, the observations of all proxies decide.
-	group.connected.Store(true)
+	reporter.connected.Store(true)
 	must.Eq(t, 502, env.do(crashRequest("decided")).status)
 	must.Greater(t, 4, totalRequests(replicas))
 }
@@ -145,13 +145,13 @@
 // A request that crashes three replicas by itself is sent to no fourth one, whatever number of
 // attempts its route allows and before the control group has decided.
 func TestOneRequestCrashesThreeReplicasAtMost(t *testing.T) {
-	env, group, replicas := newQuarantineEnv(t, 8)
-	group.connected.Store(true)
+	env, reporter, replicas := newQuarantineEnv(t, 8)
+	reporter.connected.Store(true)
 	env.views.set(func(v *view.View) {
-		made := testIngress()
-		made.Spec.Generation++
-		made.Spec.Routes[0].Attempts = 8
-		v.Ingresses = map[string]*api.Ingress{api.IngressName: made}
+		updated := testIngress()
+		updated.Spec.Generation++
+		updated.Spec.Routes[0].Attempts = 8
+		v.Ingresses = map[string]*api.Ingress{api.IngressName: updated}
 	})
 	must.Eq(t, http.StatusBadGateway, env.do(crashRequest("one")).status)
 	must.Eq(t, 3, totalRequests(replicas))
@@ -162,13 +162,13 @@
 // replicas within 0.7 s, while the report was on its way to the leader and back: only the crashes
 // of that copy counted, although its proxy knew of the others.
 func TestThirdRecordedCrashStopsTheRequestThatCausedIt(t *testing.T) {
-	env, group, replicas := newQuarantineEnv(t, 8)
-	group.connected.Store(true)
+	env, reporter, replicas := newQuarantineEnv(t, 8)
+	reporter.connected.Store(true)
 	env.views.set(func(v *view.View) {
-		made := testIngress()
-		made.Spec.Generation++
-		made.Spec.Routes[0].Attempts = 8
-		v.Ingresses = map[string]*api.Ingress{api.IngressName: made}
+		updated := testIngress()
+		updated.Spec.Generation++
+		updated.Spec.Routes[0].Attempts = 8
+		v.Ingresses = map[string]*api.Ingress{api.IngressName: updated}
 	})
 	env.setQuarantine(api.QuarantineWatched, time.Hour, "gone-1", "gone-2")
 	must.Eq(t, http.StatusBadGateway, env.do(crashRequest("one")).status)
@@ -179,45 +179,45 @@
 // crashed. On a new connection the answer may come from the next process under its name and
 // proves nothing; accepting it once released a request that had crashed eight replicas.
 func TestAnswerRefutesACrash(t *testing.T) {
-	for _, kept := range []bool{true, false} {
-		env, group, replicas := newQuarantineEnv(t, 1)
-		if kept {
+	for _, keptOpen := range []bool{true, false} {
+		env, reporter, replicas := newQuarantineEnv(t, 1)
+		if keptOpen {
 			env.doConcurrently(replicas[0]) // the crash request breaks one of two connections
 		}
 		env.do(crashRequest("one"))
 		must.Eq(t, 200, env.do(testRequest{method: "GET", target: "/safe/y", id: "two"}).status)
-		ended, alive, _ := group.counts()
+		ended, alive, _ := reporter.counts()
 		must.Eq(t, 1, ended)
 		want := 0
-		if kept {
+		if keptOpen {
 			want = 1
 		}
-		must.Eq(t, want, alive, must.Sprint(kept))
+		must.Eq(t, want, alive, must.Sprint(keptOpen))
 	}
 }
 
 // doConcurrently has two requests in flight at a replica at the same time, each on its own
 // connection.
 func (env *testEnv) doConcurrently(replica *fakeReplica) {
-	var both, asking sync.WaitGroup
-	both.Add(2)
-	usual := replica.server.Config.Handler
+	var arrivals, requests sync.WaitGroup
+	arrivals.Add(2)
+	original := replica.server.Config.Handler
 	replica.server.Config.Handler = http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
-		both.Done()
-		both.Wait()
-		usual.ServeHTTP(rw, r)
+		arrivals.Done()
+		arrivals.Wait()
+		original.ServeHTTP(rw, r)
 	})
 	for _, id := range []string{"before-1", "before-2"} {
-		asking.Go(func() { env.do(testRequest{method: "GET", target: "/safe/y", id: id}) })
+		requests.Go(func() { env.do(testRequest{method: "GET", target: "/safe/y", id: id}) })
 	}
-	asking.Wait()
-	replica.server.Config.Handler = usual
+	requests.Wait()
+	replica.server.Config.Handler = original
 }
 
 // The next process under a replica's name refutes no crash on record, not even for a proxy that
 // has just started and knows the name only from the record.
 func TestRestartedReplicaRefutesNoCrash(t *testing.T) {
-	env, group, _ := newQuarantineEnv(t, 3)
+	env, reporter, _ := newQuarantineEnv(t, 3)
 	env.views.set(func(v *view.View) {
 		for i := range 3 {
 			v.Replicas[fmt.Sprint("r-", i)].Spec.Born = 1000
@@ -227,14 +227,14 @@
 	for i := range 12 {
 		must.Eq(t, 200, env.do(testRequest{method: "GET", target: "/safe/y", id: fmt.Sprint("q-", i)}).status)
 	}
-	_, alive, _ := group.counts()
+	_, alive, _ := reporter.counts()
 	must.Eq(t, 0, alive)
 	must.Eq(t, http.StatusServiceUnavailable, env.do(crashRequest("again")).status)
 }
 
 // The crash of each process counts, including several under one name.
 func TestCrashesOfSeveralProcessesUnderOneName(t *testing.T) {
-	env, group, replicas := newQuarantineEnv(t, 1)
+	env, reporter, replicas := newQuarantineEnv(t, 1)
 	for born := range 4 {
 		env.views.set(func(v *view.View) {
 			entry := replicaObject(replicas[0], "plain", api.RoleNone)
@@ -244,9 +244,9 @@
 		env.do(crashRequest(fmt.Sprint("q-", born)))
 	}
 	names := map[string]bool{}
-	for _, report := range group.reports {
-		for _, seen := range report.Ended {
-			names[seen.Replica] = true
+	for _, report := range reporter.reports {
+		for _, evidence := range report.Ended {
+			names[evidence.Replica] = true
 		}
 	}
 	must.Eq(t, map[string]bool{"r-0@1000": true, "r-0@1001": true, "r-0@1002": true, "r-0@1003": true}, names)
@@ -261,21 +261,21 @@
 
 // The control group is told when a watched request is served completely.
 func TestServedRequestIsReported(t *testing.T) {
-	env, group, _ := newQuarantineEnv(t, 2)
+	env, reporter, _ := newQuarantineEnv(t, 2)
 	env.setQuarantine(api.QuarantineWatched, time.Hour, "gone-1", "gone-2")
-	well := crashRequest("one")
-	well.fields = nil
-	must.Eq(t, 200, env.do(well).status)
-	_, _, served := group.counts()
+	harmless := crashRequest("one")
+	harmless.fields = nil
+	must.Eq(t, 200, env.do(harmless).status)
+	_, _, served := reporter.counts()
 	must.Eq(t, 1, served)
 }
 
 // A new leader is told everything that this proxy has observed.
 func TestNewLeaderIsToldOfCrashes(t *testing.T) {
-	env, group, _ := newQuarantineEnv(t, 2)
+	env, reporter, _ := newQuarantineEnv(t, 2)
 	env.do(crashRequest("one"))
 	env.ingress.guard.ReportAll(env.ingress.now())
-	ended, _, _ := group.counts()
+	ended, _, _ := reporter.counts()
 	must.Eq(t, 4, ended)
 }
 
@@ -290,40 +290,40 @@
 // If an isolated request's connection breaks, the replica has crashed only if nothing listens at
 // its address any more: a faulty replica resets connections and continues.
 func TestAddressIsProbedAfterAnIsolatedCrash(t *testing.T) {
-	for _, ends := range []bool{true, false} {
-		var generator *fakeReplica
-		generator = newFakeReplica(t, "make", func(_ http.ResponseWriter, _ *http.Request) {
-			if ends {
-				_ = generator.server.Listener.Close()
+	for _, crashes := range []bool{true, false} {
+		var decoder *fakeReplica
+		decoder = newFakeReplica(t, "make", func(_ http.ResponseWriter, _ *http.Request) {
+			if crashes {
+				_ = decoder.server.Listener.Close()
 			}
 			panic(http.ErrAbortHandler)
 		})
-		env := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), generator, nil)
-		group := &recordingReporter{}
-		env.ingress.guard.SetReporter(group)
+		env := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), decoder, nil)
+		reporter := &recordingReporter{}
+		env.ingress.guard.SetReporter(reporter)
 		env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Alone: true}}
 		env.do(modelRequest)
-		must.SliceNotEmpty(t, group.reports)
-		must.Eq(t, ends, group.reports[0].Ended[0].Alone)
+		must.SliceNotEmpty(t, reporter.reports)
+		must.Eq(t, crashes, reporter.reports[0].Ended[0].Alone)
 	}
 }
 
 // A proxy reports whether a replica still listens after its connection broke.
 func TestReplicasThatStillListenAreReported(t *testing.T) {
-	for _, ends := range []bool{true, false} {
+	for _, crashes := range []bool{true, false} {
 		var broken *fakeReplica
 		broken = newFakeReplica(t, "broken", func(http.ResponseWriter, *http.Request) {
-			if ends {
+			if crashes {
 				_ = broken.server.Listener.Close()
 			}
 			panic(http.ErrAbortHandler)
 		})
 		env := newTestEnv(t, broken)
-		group := &recordingReporter{}
-		env.ingress.guard.SetReporter(group)
+		reporter := &recordingReporter{}
+		env.ingress.guard.SetReporter(reporter)
 		env.do(testRequest{method: "GET", target: "/safe/x", id: "q"})
-		must.SliceNotEmpty(t, group.reports)
-		must.Eq(t, !ends, group.reports[0].Ended[0].Listens)
+		must.SliceNotEmpty(t, reporter.reports)
+		must.Eq(t, !crashes, reporter.reports[0].Ended[0].Listens)
 	}
 }
 
@@ -331,12 +331,12 @@
 // against it. While the control group asks for fingerprints, placement requests include them.
 func TestServedIsolatedRequestsAreReported(t *testing.T) {
 	env := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), newFakeReplica(t, "make", streamEvents(2, "")), nil)
-	group := &recordingReporter{}
-	env.ingress.guard.SetReporter(group)
+	reporter := &recordingReporter{}
+	env.ingress.guard.SetReporter(reporter)
 	placer := &fingerprintPlacer{fakePlacer: fakePlacer{answer: placement.Answer{Generator: "make", Alone: true}}}
 	env.ingress.placer = placer
 	must.Eq(t, eventTexts(1, 2), env.do(modelRequest).body)
-	_, _, served := group.counts()
+	_, _, served := reporter.counts()
 	must.Eq(t, 1, served)
 	must.SliceLen(t, 2, placer.asks)
 	must.Eq(t, "", placer.asks[0].Name)
@@ -353,13 +353,13 @@
 func TestRequestServedAfterItsFirstCrashIsReported(t *testing.T) {
 	broken := newFakeReplica(t, "broken", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 	env := newTestEnv(t, broken, newFakeReplica(t, "sound", answerOK))
-	group := &recordingReporter{}
-	group.connected.Store(true)
-	env.ingress.guard.SetReporter(group)
+	reporter := &recordingReporter{}
+	reporter.connected.Store(true)
+	env.ingress.guard.SetReporter(reporter)
 	ended, served := 0, 0
 	for i := 0; ended == 0 && i < 50; i++ { // until the broken replica is chosen
 		must.Eq(t, 200, env.do(testRequest{method: "GET", target: "/safe/x", id: fmt.Sprint("q-", i)}).status)
-		ended, _, served = group.counts()
+		ended, _, served = reporter.counts()
 	}
 	must.Eq(t, 1, ended)
 	must.Eq(t, 1, served, must.Sprint("the request that caused the crash was served elsewhere"))
@@ -400,15 +400,15 @@
 // A request that is quarantined while it waits for its placement is refused at once, not when its
 // wait is over.
 func TestRequestQuarantinedDuringAWaitIsRefusedAtOnce(t *testing.T) {
-	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	env := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), generator, nil)
+	decoder := newFakeReplica(t, "make", streamEvents(2, ""))
+	env := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), decoder, nil)
 	env.ingress.placer = &quarantiningPlacer{views: env.views}
 	began := time.Now()
 	got := env.do(modelRequest)
 	must.Eq(t, http.StatusServiceUnavailable, got.status)
 	must.Eq(t, "quarantined\n", got.body)
 	must.Less(t, time.Second, time.Since(began))
-	must.Eq(t, 0, generator.count())
+	must.Eq(t, 0, decoder.count())
 }
 
 // watchModelRequest puts the model request on record as watched.
@@ -429,20 +429,20 @@
 // copies had no leader and were sent at once. A proxy without an answer decided by itself even
 // for a request that it knew to need isolation.
 func TestWatchedRequestIsPlacedByALeaderOnly(t *testing.T) {
-	play := func(change func(env *testEnv, group *recordingReporter, placer *waitingPlacer)) (testResponse, int) {
-		generator := newFakeReplica(t, "make", streamEvents(2, ""))
-		env := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), generator, nil)
-		group := &recordingReporter{}
-		group.connected.Store(true)
-		env.ingress.guard.SetReporter(group)
+	play := func(change func(env *testEnv, reporter *recordingReporter, placer *waitingPlacer)) (testResponse, int) {
+		decoder := newFakeReplica(t, "make", streamEvents(2, ""))
+		env := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), decoder, nil)
+		reporter := &recordingReporter{}
+		reporter.connected.Store(true)
+		env.ingress.guard.SetReporter(reporter)
 		placer := &waitingPlacer{fakePlacer: fakePlacer{answer: placement.Answer{Generator: "make"}}}
 		env.ingress.placer = placer
 		must.Eq(t, eventTexts(1, 2), env.do(modelRequest).body)
 		env.watchModelRequest("x", "y")
-		change(env, group, placer)
-		before := generator.count()
+		change(env, reporter, placer)
+		before := decoder.count()
 		got := env.do(modelRequest)
-		return got, generator.count() - before
+		return got, decoder.count() - before
 	}
 	t.Run("placed", func(t *testing.T) {
 		got, sent := play(func(*testEnv, *recordingReporter, *waitingPlacer) {})
@@ -455,14 +455,14 @@
 		must.Eq(t, 0, sent)
 	})
 	t.Run("no leader", func(t *testing.T) {
-		got, sent := play(func(_ *testEnv, group *recordingReporter, _ *waitingPlacer) { group.connected.Store(false) })
+		got, sent := play(func(_ *testEnv, reporter *recordingReporter, _ *waitingPlacer) { reporter.connected.Store(false) })
 		must.Eq(t, http.StatusServiceUnavailable, got.status)
 		must.Eq(t, 0, sent)
 	})
 	t.Run("a leader appears", func(t *testing.T) {
-		got, sent := play(func(_ *testEnv, group *recordingReporter, _ *waitingPlacer) {
-			group.connected.Store(false)
-			time.AfterFunc(200*time.Millisecond, func() { group.connected.Store(true) })
+		got, sent := play(func(_ *testEnv, reporter *recordingReporter, _ *waitingPlacer) {
+			reporter.connected.Store(false)
+			time.AfterFunc(200*time.Millisecond, func() { reporter.connected.Store(true) })
 		})
 		must.Eq(t, eventTexts(1, 2), got.body)
 		must.Eq(t, 1, sent)
--- a/process/ingress/stop_test.go
+++ b/process/ingress/stop_test.go
@@ -20,27 +20,27 @@
 // has not run only if it was merely prefilled.
 func TestPlannedStopAnswersUnfinishedRequests(t *testing.T) {
 	silent := func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
-	stopped := func(env *testEnv, waits *fakeReplica, request testRequest) testResponse {
+	stopDuring := func(env *testEnv, waiting *fakeReplica, request testRequest) testResponse {
 		env.ingress.config.Drain = Drain{Notice: time.Millisecond, Limit: 200 * time.Millisecond}
 		got := make(chan testResponse, 1)
 		go func() { got <- env.do(request) }()
-		eventually(t, "the request arrives", func() bool { return waits.count() == 1 })
+		eventually(t, "the request arrives", func() bool { return waiting.count() == 1 })
 		must.NoError(t, env.ingress.drain(env.server.Config, noopAnnouncer{}))
 		must.NoError(t, env.server.Config.Close()) // as at the end of the process
 		return <-got
 	}
 	t.Run("run", func(t *testing.T) {
 		replica := newFakeReplica(t, "r-1", silent)
-		got := stopped(newTestEnv(t, replica), replica, testRequest{method: http.MethodPost, target: "/unsafe/", id: "q"})
+		got := stopDuring(newTestEnv(t, replica), replica, testRequest{method: http.MethodPost, target: "/unsafe/", id: "q"})
 		must.NoError(t, got.err)
 		must.Eq(t, http.StatusGatewayTimeout, got.status)
 	})
 	t.Run("read", func(t *testing.T) {
-		reader, generator := newFakeReplica(t, "read", silent), newFakeReplica(t, "make", streamEvents(2, ""))
-		got := stopped(newModelEnv(t, reader, generator, nil), reader, modelRequest)
+		prefiller, decoder := newFakeReplica(t, "read", silent), newFakeReplica(t, "make", streamEvents(2, ""))
+		got := stopDuring(newModelEnv(t, prefiller, decoder, nil), prefiller, modelRequest)
 		must.NoError(t, got.err)
 		must.Eq(t, http.StatusServiceUnavailable, got.status)
-		must.Eq(t, 0, generator.count())
+		must.Eq(t, 0, decoder.count())
 	})
 }
 
--- a/process/ingress/try.go
+++ b/process/ingress/try.go
@@ -212,9 +212,9 @@
 
 // noteForeign logs answers that arrived in place of this request's answer and belong to other
 // requests.
-func (s *session) noteForeign(stage string, from *replica, reused bool, found []*exchange.ForeignAnswer) {
-	for _, foreign := range found {
-		s.ingress.metrics.foreign.WithLabelValues(s.upstream.service, stage).Inc()
+func (s *session) noteForeign(stage string, from *replica, reused bool, answers []*exchange.ForeignAnswer) {
+	for _, foreign := range answers {
+		s.ingress.metrics.foreignAnswers.WithLabelValues(s.upstream.service, stage).Inc()
 		event.ForeignAnswer.Log(s.ingress.logger, "request", s.call.ID, "stage", stage, "replica", from.name,
 			"reused", reused, "answered", foreign.Answered, "status", foreign.Status)
 		s.recordHoldoff(stage, from.holdoff, foreign.Status, foreign.Header)
--- a/process/ingress/usage_test.go
+++ b/process/ingress/usage_test.go
@@ -31,23 +31,23 @@
 		{"stream that ends before its first event", "/stream/x", []http.HandlerFunc{closeConnection}, 0},
 		{"no replica", "/safe/x", nil, 0},
 	}
-	for _, each := range cases {
-		t.Run(each.name, func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
 			var replicas []*fakeReplica
-			for i, handler := range each.handlers {
+			for i, handler := range test.handlers {
 				replicas = append(replicas, newFakeReplica(t, string(rune('a'+i)), handler))
 			}
 			env := newTestEnv(t, replicas...)
-			env.requireKeys(tenant("north", 0, "key-n"))
+			env.requireKeys(tenantKeys("north", 0, "key-n"))
 			env.ingress.usage = metering.NewCounter("p", 5*time.Second, time.Now)
-			env.do(withKey("q", each.target, "key-n"))
+			env.do(withKey("q", test.target, "key-n"))
 			report, _ := env.ingress.usage.Next()
 			count := uint64(0)
 			for _, counted := range report.Counts {
 				must.Eq(t, "north", counted.Tenant)
 				count += counted.Count
 			}
-			must.Eq(t, each.want, count)
+			must.Eq(t, test.want, count)
 		})
 	}
 }
@@ -56,15 +56,15 @@
 func TestRequestsThatAreNotCounted(t *testing.T) {
 	env := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), newFakeReplica(t, "make", streamEvents(2, "")), nil)
 	env.ingress.usage = metering.NewCounter("p", 5*time.Second, time.Now)
-	env.requireKeys(tenant("north", 0, "key-n"))
+	env.requireKeys(tenantKeys("north", 0, "key-n"))
 	env.views.set(func(v *view.View) {
-		made := *v.Ingresses[api.IngressName]
-		made.Spec.Routes = append([]api.Route(nil), made.Spec.Routes...)
-		made.Spec.Generation++
-		for i := range made.Spec.Routes {
-			made.Spec.Routes[i].Public = true
+		updated := *v.Ingresses[api.IngressName]
+		updated.Spec.Routes = append([]api.Route(nil), updated.Spec.Routes...)
+		updated.Spec.Generation++
+		for i := range updated.Spec.Routes {
+			updated.Spec.Routes[i].Public = true
 		}
-		v.Ingresses = map[string]*api.Ingress{api.IngressName: &made}
+		v.Ingresses = map[string]*api.Ingress{api.IngressName: &updated}
 	})
 	anonymous := modelRequest
 	must.Eq(t, http.StatusOK, env.do(anonymous).status)
@@ -90,7 +90,7 @@
 	})
 	env := newTestEnv(t, slow)
 	env.ingress.usage = metering.NewCounter("p", 5*time.Second, time.Now)
-	env.requireKeys(tenant("north", 0, "key-n"))
+	env.requireKeys(tenantKeys("north", 0, "key-n"))
 	done := make(chan testResponse)
 	go func() { done <- env.do(withKey("q", "/safe/x", "key-n")) }()
 	<-began
