--- a/process/guard/guard.go
+++ b/process/guard/guard.go
@@ -1,9 +1,15 @@
 // Package guard keeps requests that crash replicas away from further replicas, for one proxy.
 //
-// While a leader serves the proxy, the quarantine record of the control group decides. It arrives
-// with the view and combines the observations of all proxies, including other requests in flight
-// at the same replicas. A proxy that is cut off uses the last record and its own observations. If
+// The control group consists of members, one of which is the elected leader; the others stand by.
+// The view is the replicated state as this proxy last received it. Its quarantine record lists the
+// requests that are suspected of crashing replicas.
+//
+// While a leader serves the proxy, the record decides. It combines the observations of all
+// proxies, including other requests in flight at the same replicas. A proxy that is cut off,
+// because it has had no leader for cutOffDelay, uses the last record and its own observations. If
 // it reaches members that cannot write to the record, it also uses their reports.
+//
+// Times of the type time.Duration are readings of this process's monotonic clock.
 package guard
 
 import (
@@ -25,6 +31,8 @@
 // Reporter receives reports of replica crashes for the control group; implemented by
 // *feed.Client.
 type Reporter interface {
+	// ReportEnds reports crashes, replicas that proved to be alive, and requests that were served.
+	// It returns whether the report was sent.
 	ReportEnds(report feed.EndReport) bool
 	// Connected reports whether a leader currently serves this proxy.
 	Connected() bool
@@ -32,27 +40,29 @@
 
 // Guard decides which requests must not be sent to replicas. It is safe for concurrent use.
 type Guard struct {
-	// active is true while any request is under suspicion. Otherwise the cost for a request is
-	// one atomic load.
+	// active is true while any request is suspected of crashing replicas. Otherwise a request
+	// costs one atomic load.
 	active atomic.Bool
 
 	lock     sync.Mutex
 	reporter Reporter // nil without a control group
-	// wasServed is true once a leader has served this proxy, lost while none does any more, since
-	// lostAt.
+	// wasServed is true once a leader has served this proxy. lost is true while no leader does so
+	// any more, and lostAt is when that was first seen.
 	wasServed bool
 	lost      bool
 	lostAt    time.Duration
-	// reportedUntil is the time until which this proxy judges by a member's report of unrecorded
+	// reportedUntil is the time until which this proxy acts on a member's report of unrecorded
 	// crashes.
 	reportedUntil time.Duration
 	table         *quarantine.Table
 	version       view.Version
-	recorded      map[string]*api.Quarantine
-	// name is this proxy's, proxies are the sorted names of those that take turns at trials.
+	recorded      map[string]*api.Quarantine // the record of that version, by fingerprint
+	// name is this proxy's name. proxies holds the sorted names of all proxies, which take turns
+	// at trials: one proxy at a time sends one copy of a suspected request to a replica.
 	name    string
 	proxies []string
-	// trials holds the requests on trial at this proxy by fingerprint, each with its owner.
+	// trials holds the requests on trial at this proxy by fingerprint, each with its owner, the
+	// session that may send its copy.
 	trials map[quarantine.Fingerprint]any
 	// suspected holds the replicas that are recorded as crashed. An answer from one of them
 	// refutes that.
@@ -61,8 +71,8 @@
 
 // suspectedCrash is a recorded crash of a replica.
 type suspectedCrash struct {
-	learnedAt time.Duration
-	crashedAt time.Time // first recorded crash, by the leader's wall clock
+	learnedAt time.Duration // when this proxy first saw it on record
+	crashedAt time.Time     // first recorded crash, by the leader's wall clock
 }
 
 // New returns a guard that reports nothing until SetReporter is called. name is the proxy's name,
@@ -71,17 +81,19 @@
 	return &Guard{name: name, table: quarantine.NewTable(), trials: map[quarantine.Fingerprint]any{}}
 }
 
-// SetReporter sets the control group, which receives reports and whose record decides.
+// SetReporter sets the connection to the control group, which receives reports and tells whether a
+// leader serves this proxy. Without a reporter, the proxy is cut off.
 func (g *Guard) SetReporter(reporter Reporter) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	g.reporter = reporter
 }
 
-// Active reports whether any request is under suspicion.
+// Active reports whether any request is suspected: it is on record, or it is known here to have
+// crashed at least quarantine.WatchedEnds replicas.
 func (g *Guard) Active() bool { return g.active.Load() }
 
-// Follow applies the quarantine record of a view that is newer than the last one.
+// Follow applies the quarantine record of a view if it is newer than the last one.
 func (g *Guard) Follow(current *view.View, now time.Duration) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -111,8 +123,8 @@
 	g.updateActive(now)
 }
 
-// updateSuspected collects the replicas that are recorded as crashed. The caller must hold the
-// lock.
+// updateSuspected sets g.suspected to the replicas that are now recorded as crashed, and keeps
+// when each crash was learned. The caller must hold the lock.
 func (g *Guard) updateSuspected(now time.Duration) {
 	before := g.suspected
 	g.suspected = map[string]suspectedCrash{}
@@ -127,8 +139,8 @@
 	}
 }
 
-// Doubts reports whether an answer refutes the recorded crash of a replica: it answers a request
-// that was sent after this proxy learned of the crash.
+// Doubts reports whether an answer refutes the recorded crash of a replica, because it answers a
+// request that was sent after this proxy learned of the crash.
 func (g *Guard) Doubts(replica string, sentAt time.Duration) bool {
 	if !g.Active() {
 		return false
@@ -141,7 +153,8 @@
 
 // DoubtsOnConnection is Doubts for a replica whose answers do not identify its process, which may
 // have been replaced under the same name. The crash is refuted only if the answer arrived on a
-// connection that was opened before the crash, by the clocks of different machines.
+// connection that was opened before the crash. opened is by this machine's wall clock, the time of
+// the crash by the leader's.
 func (g *Guard) DoubtsOnConnection(replica string, sentAt time.Duration, opened time.Time) bool {
 	if !g.Doubts(replica, sentAt) {
 		return false
@@ -152,12 +165,13 @@
 	return found && opened.Before(crash.crashedAt.Add(-clockMargin))
 }
 
-// clockMargin is the assumed maximum difference between the wall clocks of two machines,
-// including steps.
+// clockMargin is the assumed maximum difference between the wall clocks of two machines, including
+// jumps when a clock is corrected.
 const clockMargin = 5 * time.Second
 
 // applyRecord applies an entry that is new or has changed. If it has fewer replicas than before,
-// a part of it was refuted or expired, and it replaces the local state.
+// some of the crashes were refuted or have expired, so it replaces what is known here. Otherwise
+// its crashes are added.
 func (g *Guard) applyRecord(earlier, entry *api.Quarantine, now time.Duration) {
 	fingerprint, ok := quarantine.Parse(entry.Name)
 	if !ok {
@@ -173,7 +187,7 @@
 	}
 	for _, replica := range spec.Replicas {
 		evidence := record.Evidence(fingerprint, replica)
-		evidence.Alone = false // seen by another proxy
+		evidence.Alone = false // another proxy saw it, perhaps at another replica of the entry
 		g.table.Note(now, evidence)
 	}
 	g.table.SetHeld(fingerprint, spec.State == api.QuarantineHeld)
@@ -192,8 +206,8 @@
 	g.active.Store(len(g.recorded) > 0 || len(g.table.Watched(now)) > 0)
 }
 
-// Ended records that a replica seems to have crashed while processing a request, and reports it
-// to the control group.
+// Ended records that a replica seems to have crashed while processing a request, and reports it to
+// the control group. The random Sight identifies the observation if it is reported again.
 func (g *Guard) Ended(now time.Duration, evidence quarantine.Evidence) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -206,12 +220,12 @@
 	g.report(feed.EndReport{Ended: []quarantine.Aged{{Evidence: evidence}}})
 }
 
-// reportMaxAge is how long a member's report of unrecorded crashes is valid. It is repeated while
-// they remain unrecorded.
+// reportMaxAge is how long a member's report of unrecorded crashes is valid. While they remain
+// unrecorded, members repeat it every feed.UnrecordedPause.
 const reportMaxAge = 3 * feed.UnrecordedPause
 
 // Unrecorded applies a member's report of crashes that are not on record, because there is no
-// leader or it cannot commit. No other component acts on them in that case, so this proxy does.
+// leader or it cannot commit. Until they are recorded, only the proxies can act on them.
 func (g *Guard) Unrecorded(now time.Duration, report feed.EndReport) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -225,7 +239,7 @@
 
 // EndsMany reports whether enough replicas have crashed while processing a request to quarantine
 // it, by the record and this proxy's own observations, regardless of other requests in flight
-// there. A proxy that is cut off sees only a part and requires one more.
+// there. A proxy that is cut off sees only a part of the evidence and requires one crash more.
 func (g *Guard) EndsMany(now time.Duration, fingerprint quarantine.Fingerprint) bool {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -236,7 +250,8 @@
 	return g.table.CountEnds(fingerprint) >= threshold
 }
 
-// Lives records that a replica which seemed to have crashed has answered since.
+// Lives records that a replica which seemed to have crashed has answered since, and reports it to
+// the control group.
 func (g *Guard) Lives(now time.Duration, alive quarantine.Alive) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -246,7 +261,8 @@
 	g.report(feed.EndReport{Alive: []quarantine.Alive{alive}})
 }
 
-// Served records that a request was served completely, if there is any evidence against it.
+// Served clears a request that was served completely and reports that to the control group. It
+// does nothing if there is no evidence against the request, here or on record.
 func (g *Guard) Served(now time.Duration, fingerprint quarantine.Fingerprint) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -258,8 +274,9 @@
 	g.report(feed.EndReport{Served: []quarantine.Fingerprint{fingerprint}})
 }
 
-// ServedIsolated records that a request was served completely although the control group
-// suspected it of crashing replicas, whether or not this proxy has evidence against it.
+// ServedIsolated clears and reports a request that was served completely while it was isolated:
+// the control group suspected it of crashing replicas and had it sent to one without other
+// requests. It does so even if this proxy has no evidence against the request.
 func (g *Guard) ServedIsolated(now time.Duration, fingerprint quarantine.Fingerprint) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -267,17 +284,18 @@
 	g.report(feed.EndReport{Served: []quarantine.Fingerprint{fingerprint}})
 }
 
-// report sends a report to the control group, if any. Lost reports are repeated once a leader
-// serves this proxy.
+// report sends a report to the control group, if any. Whether it was sent does not matter: the
+// ingress calls ReportAll once a leader serves this proxy.
 func (g *Guard) report(report feed.EndReport) {
 	if g.reporter != nil {
 		g.reporter.ReportEnds(report)
 	}
 }
 
-// ReportAll sends all observations to a new leader. Served requests are reported again as well as
-// crashes: a report made while there was no leader was lost, and without it only the crashes
-// would count.
+// ReportAll sends all observations of this proxy to the control group. It is called when a leader
+// or a standby member begins to serve this proxy. Requests that were served are reported again as
+// well as crashes: a report made while there was no leader was lost, and without it only the
+// crashes would count.
 func (g *Guard) ReportAll(now time.Duration) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -287,8 +305,11 @@
 	}
 }
 
-// Holds reports whether a request must not be sent to any replica, and for how long. For a
-// request on trial, one owner at a time is not held, until it calls EndTrial.
+// Holds reports whether a request must not be sent to any replica, and for how long; remaining is
+// 0 if it may be sent. A request on record as held or settling (about to be held) is sent nowhere.
+// One on trial may be sent by one owner at a time: Holds claims the trial for the owner, who must
+// call EndTrial. If no such state is on record, the observations of a proxy that is cut off, or
+// that acts on a member's report, decide.
 func (g *Guard) Holds(now time.Duration, wall time.Time, fingerprint quarantine.Fingerprint, owner any) (remaining time.Duration, held bool) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -302,6 +323,7 @@
 	case entry.Spec.State == api.QuarantineTried:
 		return trialRetryAfter, !g.claimTrial(fingerprint, entry.Spec.Until, owner)
 	}
+	// The record alone decides, or the evidence known here does not suffice.
 	if !g.isCutOff(now) && now >= g.reportedUntil || !g.table.IsCertain(fingerprint) {
 		return 0, false
 	}
@@ -309,9 +331,10 @@
 }
 
 // RequiresLeader reports whether only the control group may place a request: enough replicas have
-// crashed while processing it to make it a suspect, and this proxy is not cut off. The control
-// group runs one copy at a time on a replica without other requests, or none; a proxy does not
-// know of copies at other proxies.
+// crashed while processing it to make it a suspect, and this proxy is not cut off. Crashes that
+// tell little (Spec.Weak) do not count. The control group has one copy at a time sent to a replica
+// without other requests, or lets none be sent; a proxy does not know of the copies at other
+// proxies.
 func (g *Guard) RequiresLeader(now time.Duration, fingerprint quarantine.Fingerprint) bool {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -329,14 +352,14 @@
 	return g.reporter != nil && g.reporter.Connected()
 }
 
-// trialRetryAfter is the retry delay for a request on trial by another owner; a trial takes less
-// time.
+// trialRetryAfter is the retry delay for a request on trial by another owner, whose trial is
+// expected to end within that time.
 const trialRetryAfter = 300 * time.Millisecond
 
-// claimTrial reports whether the owner may try the request: it is this proxy's turn, and no other
-// owner tries it here. All proxies derive the turn from a hash of the fingerprint and the end of
-// the turn. Two proxies with different views may both try for a moment. The caller must hold the
-// lock.
+// claimTrial claims the trial of the request for the owner and reports whether the owner has it:
+// it is this proxy's turn, and no other owner here has it. All proxies derive whose turn it is
+// from a hash of the fingerprint and turnEnd, the end of the turn in Unix milliseconds. Two
+// proxies with different views may both run a trial for a moment. The caller must hold the lock.
 func (g *Guard) claimTrial(fingerprint quarantine.Fingerprint, turnEnd int64, owner any) bool {
 	if current, found := g.trials[fingerprint]; found {
 		return current == owner
@@ -351,7 +374,7 @@
 	return true
 }
 
-// EndTrial records that the owner's request has ended.
+// EndTrial lets another owner claim the trial, if this owner has it.
 func (g *Guard) EndTrial(fingerprint quarantine.Fingerprint, owner any) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -362,11 +385,12 @@
 
 // cutOffDelay is how long a proxy must be without a leader before it judges by itself. It is
 // longer than a change of leader or a restart of all members takes, because the proxy sees only a
-// part of the evidence, and requests in flight beside a crash look more suspicious in it.
+// part of the evidence, in which requests that merely ran at the time of a crash look more
+// suspicious.
 const cutOffDelay = 3 * time.Second
 
-// isCutOff reports whether this proxy has to judge by itself, and keeps track of when its leader
-// was lost. The caller must hold the lock.
+// isCutOff reports whether this proxy has to judge by itself. It also records when its leader was
+// lost, and is called for that where the result is not needed. The caller must hold the lock.
 func (g *Guard) isCutOff(now time.Duration) bool {
 	switch {
 	case g.reporter == nil:
@@ -382,5 +406,5 @@
 	return now-g.lostAt >= cutOffDelay
 }
 
-// LeastHold is the reported hold time if the hold is about to expire or not yet on record.
+// LeastHold is the minimum time that Holds returns for a held request.
 const LeastHold = time.Second
--- a/process/guard/guard_test.go
+++ b/process/guard/guard_test.go
@@ -55,7 +55,7 @@
 	for i := range 5 {
 		guard.Ended(0, quarantine.Evidence{Fingerprint: fatal, Replica: fmt.Sprint("r-", i)})
 	}
-	must.False(t, guard.holdsFatal(later, wall), must.Sprint("the control group may know better"))
+	must.False(t, guard.holdsFatal(later, wall), must.Sprint("this proxy's observations do not count while it has a leader"))
 	guard.Follow(recordView(2, api.QuarantineHeld, wall.Add(time.Hour), "r-0", "r-1", "r-2"), later)
 	remaining, held := guard.Holds(later, wall, fatal, nil)
 	must.True(t, held)
@@ -79,10 +79,10 @@
 	leader.connected = false
 	must.False(t, guard.holdsFatal(later, wall), must.Sprint("the hold expired"))
 	guard.Ended(later, quarantine.Evidence{Fingerprint: fatal, Replica: "r-9"})
-	must.False(t, guard.holdsFatal(later+cutOffDelay-1, wall), must.Sprint("a change of leader takes some time"))
+	must.False(t, guard.holdsFatal(later+cutOffDelay-1, wall), must.Sprint("a change of leader takes up to cutOffDelay"))
 	guard.Lives(later, quarantine.Alive{Replica: "r-9", For: quarantine.Ever})
 	guard.Ended(later, quarantine.Evidence{Fingerprint: fatal, Replica: "r-3"})
-	must.False(t, guard.holdsFatal(2*later, wall), must.Sprint("a cut-off proxy sees only a part"))
+	must.False(t, guard.holdsFatal(2*later, wall), must.Sprint("a cut-off proxy sees only a part of the evidence"))
 	guard.Ended(later, quarantine.Evidence{Fingerprint: fatal, Replica: "r-5"})
 	must.True(t, guard.holdsFatal(2*later, wall))
 	guard.Lives(2*later, quarantine.Alive{Replica: "r-3", For: quarantine.Ever})
@@ -199,8 +199,8 @@
 	must.Eq(t, trialRetryAfter, remaining)
 }
 
-// A proxy that judges by itself does not take several recorded crashes at one moment for several
-// incidents.
+// A proxy that judges by itself counts recorded crashes that happened at one moment as one
+// incident.
 func TestRequestOnTrialIsNotHeldByRecordedCrashes(t *testing.T) {
 	guard, wall := New("p-1"), time.Unix(1_700_000_000, 0)
 	guard.Follow(recordView(2, api.QuarantineTried, wall, "a", "b", "c", "d"), 0)
@@ -208,12 +208,12 @@
 	must.False(t, guard.holdsFatal(later, wall))
 }
 
-// Guards against quarantining a harmless request although it was served. It was in flight during
-// five broken connections, most of them of runs that had already produced events, of prefill
-// replicas, or of replicas that went on listening. It was on record as watched and was served
-// while the control group had no leader. The next leader was told of the crashes but not of the
-// served request, and quarantined it for five minutes. Reports of served requests are therefore
-// repeated for as long as they count.
+// Guards against quarantining a harmless request although it was served. If a watched request is
+// served while the control group has no leader, the report of that is lost. The next leader is
+// then told of the crashes only and quarantines the request, in one case for five minutes. It had
+// been in flight during five broken connections, most of them weak evidence: of runs that had
+// already produced events, of prefill replicas, or of replicas that went on listening. Reports of
+// served requests are therefore repeated for as long as they count.
 func TestNewLeaderIsToldOfServedRequests(t *testing.T) {
 	leader := &fakeGroup{}
 	guard := New("p")
--- a/process/guard/unrecorded_test.go
+++ b/process/guard/unrecorded_test.go
@@ -22,10 +22,10 @@
 	return report
 }
 
-// Guards against sending a request that crashes replicas while no leader can commit. Leaders
-// changed, none could commit, and the request was sent on for 17 s: each proxy had seen one
-// crash, and the leader knew of all but could tell nobody, because proxies learned from each
-// other only through the committed record.
+// Guards against sending a request that crashes replicas while no leader can commit. Each proxy
+// has then seen one crash at most, and the leader knows of all but cannot commit them. When
+// proxies learned of each other's crashes only through the committed record, such a request was
+// sent on for 17 s.
 func TestUnrecordedCrashesAreJudgedByTheProxy(t *testing.T) {
 	wall := time.Unix(1_700_000_000, 0)
 	for name, connected := range map[string]bool{"by a leader that can't commit": true, "by a standby member": false} {
@@ -35,7 +35,7 @@
 			guard.Follow(recordView(1, "", wall), 0)
 			members.connected = connected
 			guard.Ended(later, quarantine.Evidence{Fingerprint: fatal, Replica: "r-3"})
-			must.False(t, guard.holdsFatal(later, wall), must.Sprint("a single crash is no evidence"))
+			must.False(t, guard.holdsFatal(later, wall), must.Sprint("a single crash is not enough evidence"))
 			guard.Unrecorded(later, crashReport(3))
 			must.True(t, guard.Active())
 			must.True(t, guard.holdsFatal(later, wall), must.Sprint("four crashes are known to this proxy"))
--- a/process/ingress/answer.go
+++ b/process/ingress/answer.go
@@ -14,10 +14,11 @@
 	"github.com/pkg/errors"
 )
 
-// maxBufferedAnswer limits how much of an answer is buffered before any of it is passed on.
+// maxBufferedAnswer is how many bytes of an answer are buffered before any of it is passed on.
 const maxBufferedAnswer = 64 << 10
 
-// handleAnswer evaluates the head of an answer and passes the answer on.
+// handleAnswer evaluates the head of an answer and passes the answer on. number is the attempt's
+// number in the session's lifecycle, as in the functions below.
 func (s *session) handleAnswer(ctx context.Context, chosen plan, sent *send, number uint32, answer *exchange.Answer, reply Reply) verdict {
 	target := chosen.target
 	if reply.refuses() {
@@ -29,14 +30,16 @@
 		}
 		return verdictNotRun
 	}
+	// The answer proves neither that the request has run nor that it has not; see promisesNotRun
+	// for the statuses.
 	if !reply.Named || isSuccess(answer.Status) && !reply.Genuine || promisesNotRun(answer.Status) {
 		s.lifecycle.Fail(number, attempt.FaultBroken)
 		target.noteFailure()
 		return s.brokenOrCallerEnd(ctx)
 	}
-	s.lifecycle.Admit(number, 0)
+	s.lifecycle.Admit(number, 0) // the incarnation is not tracked here
 	if isSuccess(answer.Status) && s.route.Kind == api.RouteStreaming {
-		// Usage of a stream is counted with its first token.
+		// Usage of a stream is counted with its first event.
 		return s.forwardStream(ctx, chosen, sent, number, answer)
 	}
 	s.countUsage(s.ingress.now() - sent.at)
@@ -46,8 +49,9 @@
 	return s.forwardWhole(ctx, target, sent, number, answer)
 }
 
-// failResume ends a run that was to continue a stream and failed. The caller already has the
-// start of the stream, to which an error answer cannot be appended.
+// failResume records a failed attempt: the answer to a run that was to continue a stream is an
+// error, or is not a stream. The caller already has the start of the stream, to which an error
+// answer cannot be appended.
 func (s *session) failResume(ctx context.Context, target *replica, number uint32, answer *exchange.Answer) verdict {
 	s.lifecycle.Fail(number, attempt.FaultBroken)
 	target.noteFailure()
@@ -55,6 +59,8 @@
 	return s.brokenOrCallerEnd(ctx)
 }
 
+// brokenOrCallerEnd returns the verdict on an attempt without a complete answer, which is not the
+// replica's fault if ctx has ended.
 func (s *session) brokenOrCallerEnd(ctx context.Context) verdict {
 	if ctx.Err() != nil {
 		return verdictCallerEnd
@@ -62,8 +68,9 @@
 	return verdictBroken
 }
 
-// promisesNotRun reports whether a status tells callers that the request has not run and never
-// will. From a replica that does not state so explicitly it is treated like any other failure.
+// promisesNotRun reports whether callers may take a status as a promise that the request was not
+// run. An answer with such a status is passed on as it is only if the replica states so
+// explicitly; otherwise it is treated like any other failure.
 func promisesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -75,8 +82,9 @@
 
 func isSuccess(status int) bool { return status >= 200 && status < 300 }
 
-// forwardWhole passes on an answer that is not a stream. Up to maxBufferedAnswer it is buffered
-// completely, so that a truncated answer can be retried elsewhere.
+// forwardWhole passes on an answer that is not a stream. An answer of up to maxBufferedAnswer
+// bytes is buffered completely first, so that the request can be retried elsewhere if it is
+// truncated.
 func (s *session) forwardWhole(ctx context.Context, target *replica, sent *send, number uint32, answer *exchange.Answer) verdict {
 	var buffer bytes.Buffer
 	_, err := io.CopyN(&buffer, answer, maxBufferedAnswer)
@@ -102,7 +110,8 @@
 	return verdictDone
 }
 
-// saveFailure keeps an error answer that a replica produced by running the request.
+// saveFailure records a failed attempt and keeps its answer, an error that the replica produced by
+// running the request.
 func (s *session) saveFailure(target *replica, number uint32, answer *exchange.Answer, body []byte) verdict {
 	target.noteFailure()
 	s.lifecycle.Fail(number, attempt.FaultBroken)
@@ -131,7 +140,8 @@
 	return verdictDone
 }
 
-// copyAnswer copies the rest of an answer. readErr is the error of the replica's side.
+// copyAnswer copies the rest of an answer. err is the error of either side, readErr that of the
+// replica's side alone.
 func copyAnswer(to io.Writer, from io.Reader) (readErr, err error) {
 	source := &errorRecordingReader{source: from}
 	_, err = io.Copy(to, source)
@@ -152,13 +162,16 @@
 	return count, err
 }
 
-// connectionFields are the connection-specific fields, which are not passed on.
+// connectionFields are the fields that are not passed on because they concern one connection only.
+// Proxy authentication, Expect and Content-Length are included: the proxy handles them for each of
+// its two connections.
 var connectionFields = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Content-Length",
 }
 
-// copyHeader copies all fields that are not connection-specific.
+// copyHeader copies all fields that are not connection-specific. Both headers then share the
+// values.
 func copyHeader(to, from http.Header) {
 	for name, values := range from {
 		if !slices.Contains(connectionFields, name) {
--- a/process/ingress/apart.go
+++ b/process/ingress/apart.go
@@ -10,18 +10,19 @@
 // Timing of requests that only a leader may place, while there is no leader or it does not
 // answer.
 const (
-	// leaderPollInterval is the time between two attempts, maxLeaderWait the longest wait after
-	// the request's arrival. A new leader is available within a few seconds, and the caller may
-	// retry then.
+	// leaderPollInterval is the time between two checks, maxLeaderWait the longest wait after the
+	// request's arrival. It need not span the whole change of leader, which takes up to a few
+	// seconds: the caller is told to retry after leaderRetryAfter.
 	leaderPollInterval = 50 * time.Millisecond
 	maxLeaderWait      = time.Second
 	leaderRetryAfter   = time.Second
 )
 
-// placeSafely is place, except that a request suspected of crashing replicas is sent where a
-// leader says or nowhere. If the proxy chose by itself after an unanswered placement request, a
-// request that the leader delays or isolates would run beside other load, or between two leaders,
-// and each copy could crash a replica. A standby member does not isolate it either.
+// placeSafely places the request like place, but sends a request suspected of crashing replicas
+// only where a leader says. If the proxy chose a replica by itself because the leader did not
+// answer or was being replaced, the suspected request would run beside others although the leader
+// delays or isolates it, and each copy could crash a replica. A standby member does not isolate it
+// either.
 func (s *session) placeSafely(ctx context.Context) (plan, bool) {
 	for {
 		needsLeader := s.needsLeader()
@@ -47,7 +48,7 @@
 	return guard.Active() && s.events == 0 && guard.RequiresLeader(s.ingress.now(), s.fingerprint())
 }
 
-// mayWaitForLeader reports whether the request has time for another attempt.
+// mayWaitForLeader reports whether the request has time to ask for a placement once more.
 func (s *session) mayWaitForLeader() bool {
 	return s.ingress.now()-s.arrivedAt < maxLeaderWait && s.remaining() > 2*leaderPollInterval
 }
--- a/process/ingress/asks.go
+++ b/process/ingress/asks.go
@@ -15,21 +15,24 @@
 	"github.com/pkg/errors"
 )
 
-// The pauses and departures that replicas announce in their answers are applied at three points:
+// Replicas announce in their answers that they pause, which is to be sent no request for some
+// time, or that they are leaving, which is to stop and to be sent nothing new. These pauses and
+// departures are applied at three points:
 //
 //   - Choosing a replica: those that pause or leave are no candidates. They are listed as
 //     excluded for the control group, which does not know what each proxy was told.
 //   - Before a send, since the choice may be older than the announcement.
 //   - Once the connection is open and before anything is written, since opening it takes time.
 //
-// A pausing replica tolerates two more requests, but none is sent deliberately: they are reserved
-// for requests that were already on their way when it asked.
+// The protocol allows two more requests to a pausing replica. None is sent deliberately: the
+// allowance is for requests that were already on their way when it asked.
 
 // errWithheld is the cause of an exchange that was not started because its replica pauses or is
 // leaving.
-var errWithheld = errors.New("ingress: replica asked not to be sent requests")
+var errWithheld = errors.New("ingress: request not sent: replica pauses or is leaving")
 
-// permit returns the last check before a request is written to the replica.
+// permit returns a function that checks, once the connection is open, that the replica still
+// accepts a request.
 func (i *Ingress) permit(to *holdoff.Replica) func() error {
 	return func() error {
 		if !to.Begin(i.now()) {
@@ -39,9 +42,10 @@
 	}
 }
 
-// recordHoldoff applies the pause or departure that an answer of the replica announces, even if
-// it answers another request: it arrived on a connection to the replica. A misdirected answer
-// speaks for another replica only.
+// recordHoldoff applies the pause or departure that an answer of the replica announces, even if it
+// answers another request: it arrived on a connection to the replica. A misdirected answer is
+// ignored, since it comes from another replica. An answer without an announcement is recorded too:
+// it ends the time after a pause in which the replica is avoided.
 func (s *session) recordHoldoff(stage string, from *holdoff.Replica, status int, header http.Header) {
 	reply := s.ingress.config.Dialect.Reply(status, header)
 	if reply.Misdirected {
@@ -59,8 +63,9 @@
 		"retry_after_ms", reply.Asks.RetryAfter.Milliseconds(), "leaving", reply.Asks.Leaving)
 }
 
-// reportLeaving tells the member that places requests that a replica is leaving. The list may
-// show that later, and other proxies would continue to send requests there.
+// reportLeaving tells the member that places requests, the leader or a standby member, that a
+// replica is leaving. The list of replicas may show it only later, and until then other proxies
+// would continue to send requests there.
 func (i *Ingress) reportLeaving(service, replica string) {
 	if i.placer == nil {
 		return
@@ -82,7 +87,7 @@
 	}
 }
 
-// noteWithheld records that nothing is sent to a chosen replica.
+// noteWithheld records that nothing is sent to a chosen replica because it pauses or is leaving.
 func (s *session) noteWithheld(stage string, from *replica) {
 	s.withheld = stage == stageRun
 	s.trace.WriteString(" withheld(" + from.name + ")")
@@ -92,7 +97,9 @@
 }
 
 // avoidedReplicas returns the replicas that the control group must not choose: those already
-// tried, those that accept nothing, and doubtful ones if there are others of their role.
+// tried, those that must be sent nothing (holdoff.Closed), and, if there is an open replica of
+// their role, those to be used only without alternative (holdoff.Doubtful: leaving but still
+// accepting, or not heard of since a pause).
 func (s *session) avoidedReplicas() []string {
 	now := s.ingress.now()
 	avoided := maps.Clone(s.excluded)
@@ -117,7 +124,8 @@
 	return slices.Sorted(maps.Keys(avoided))
 }
 
-// hasOpen reports whether a replica of the role can be sent the request without a doubt.
+// hasOpen reports whether a listed replica of the role is open: not tried yet, and no pause or
+// departure of it is in effect (holdoff.Open).
 func (s *session) hasOpen(role api.EngineRole, now time.Duration) bool {
 	found := false
 	s.upstream.fleet.forEach(func(entry *api.Replica, current *replica) bool {
@@ -129,14 +137,16 @@
 }
 
 // runRoles matches the replicas that can run a request, whichever replica prefills its prompt.
+// RoleNone matches as well.
 var runRoles = replicaFilter{roles: []api.EngineRole{api.RoleDecode, api.RoleMixed}}
 
 // pauseJitter keeps callers that are told the end of a pause from retrying at the same time.
 const pauseJitter = 100 * time.Millisecond
 
 // allPaused reports whether every replica that could run the request has asked this process for a
-// pause, and when the first pause ends. Waiting here would hold the request in vain, and sending
-// it would only result in a refusal.
+// pause, and returns the time until the first pause ends plus a random part of pauseJitter. It
+// returns false if there is no such replica. Waiting here would delay the request without need,
+// and sending it would only result in a refusal.
 func (u *upstream) allPaused(now time.Duration) (wait time.Duration, all bool) {
 	first, isOpen := time.Duration(0), false
 	u.fleet.forEach(func(entry *api.Replica, current *replica) bool {
--- a/process/ingress/authenticate.go
+++ b/process/ingress/authenticate.go
@@ -8,23 +8,24 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
-// Confirmer returns how long ago a leader last confirmed the view; implemented by *view.Holder.
+// Confirmer tells how long ago a leader last confirmed the view; implemented by *view.Holder.
 type Confirmer interface {
-	// SinceConfirmed returns the time since the sending of the last heartbeat that a leader has
-	// answered.
+	// SinceConfirmed returns the time since the last heartbeat that was answered by a leader was
+	// sent; before the first one, the time since the clock's zero.
 	SinceConfirmed(now time.Duration) time.Duration
 }
 
 var _ Confirmer = (*view.Holder)(nil)
 
 // confirmedShare is the share of Keys.RevokeWithin after which a proxy that fails closed stops
-// accepting keys with an unconfirmed view. The rest allows for clock differences and late timers.
+// accepting keys with an unconfirmed view. The rest allows for clocks that run at different speeds
+// and for late timers.
 const confirmedShare = 0.8
 
-// authenticate determines the tenant of a call before anything is stored or done for it; nil if
-// none is needed. The decision holds until the request ends: a request whose key is revoked in
-// the meantime is completed, and the next one, on the same connection or resuming the same
-// stream, is refused.
+// authenticate determines the tenant of a call, before any state is created for the call; nil if
+// none is needed. The decision holds until the request ends: a request whose key is revoked in the
+// meantime is completed, and the next one, on the same connection or resuming the same stream, is
+// refused.
 func (i *Ingress) authenticate(routes *routeTable, route *api.Route, call *Call) (*api.RouteTenant, *localRefusal) {
 	if !routes.keysRequired {
 		return nil, nil
@@ -35,8 +36,8 @@
 	if i.isUnconfirmed() {
 		return nil, &localRefusal{status: http.StatusServiceUnavailable, cause: "keys_unconfirmed", retryAfter: minStartRetryAfter}
 	}
-	// A call with an unknown key is refused on every route, even a public one: its sender
-	// believes to be authenticated and must learn otherwise.
+	// A call with an unknown key is refused on every route, even a public one: its sender would
+	// wrongly think that it was authenticated.
 	if call.Credential.Key == "" {
 		return nil, errUnknownKey
 	}
@@ -47,11 +48,12 @@
 	return tenant, nil
 }
 
-// errUnknownKey refuses a call whose key belongs to no tenant.
+// errUnknownKey refuses a call whose key belongs to no tenant, or whose credential contains no
+// valid key.
 var errUnknownKey = &localRefusal{status: http.StatusUnauthorized, cause: "unknown_key"}
 
-// isUnconfirmed reports whether this proxy accepts no keys for the time being, because one may
-// have been revoked without its knowledge.
+// isUnconfirmed reports whether this proxy accepts no keys for the time being, because the view is
+// unconfirmed and a key may have been revoked.
 func (i *Ingress) isUnconfirmed() bool {
 	if !i.config.Keys.FailClosed || i.confirmer == nil {
 		return false
@@ -59,8 +61,9 @@
 	return i.confirmer.SinceConfirmed(i.now()) > time.Duration(confirmedShare*float64(i.config.Keys.RevokeWithin))
 }
 
-// identify makes the call carry its tenant's identity on all further hops. The tenant's priority,
-// if set, replaces the route's.
+// identify sets the fields that identify the call's tenant to replicas, erases its credential, and
+// returns its priority: the tenant's if set, otherwise the route's. It changes nothing if keys are
+// not required.
 func (i *Ingress) identify(routes *routeTable, route *api.Route, call *Call, tenant *api.RouteTenant) (priority int) {
 	if !routes.keysRequired {
 		return route.Priority
--- a/process/ingress/belief_test.go
+++ b/process/ingress/belief_test.go
@@ -97,7 +97,8 @@
 	must.Eq(t, http.StatusOK, got.status)
 }
 
-// recordingPlacer records the numbers of the placement requests and of the notes that end them.
+// recordingPlacer records the numbers of the placement requests, and of the notes that the
+// requests are over.
 type recordingPlacer struct {
 	placed []uint64
 	ended  []uint64
@@ -116,8 +117,8 @@
 }
 
 // If the control group's decision arrives too late, the proxy places the request by itself under
-// another number. Unless the control group is told, the placement board counts the request twice
-// until two seconds after its deadline.
+// another number. Unless the control group is told, its placement board counts the request twice,
+// since it drops a request by itself only two seconds after its deadline.
 func TestTheGroupIsToldOfAbandonedPlacements(t *testing.T) {
 	env := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), newFakeReplica(t, "make", streamEvents(1, "")), nil)
 	placer := &recordingPlacer{}
--- a/process/ingress/budget_test.go
+++ b/process/ingress/budget_test.go
@@ -13,7 +13,8 @@
 )
 
 // withLongObjective gives all routes an objective that is long enough even for a slow test
-// machine: a replica that passes for silent would cost a retry.
+// machine. With a shorter one, a slow replica could be taken to be silent, and the request would
+// cost a retry.
 func (env *testEnv) withLongObjective() {
 	env.views.set(func(v *view.View) {
 		updated := testIngress()
@@ -24,8 +25,8 @@
 	})
 }
 
-// withReserve sets the number of retries that the model service may use, without a share of its
-// requests.
+// withReserve sets the retry budget of the model service to a fixed number of retries, whatever
+// the number of requests.
 func (env *testEnv) withReserve(reserve float64) {
 	env.ingress.routes()
 	env.ingress.upstreams.get("model").budget = retry.NewWindow(0, reserve, time.Hour)
--- a/process/ingress/cacheguess.go
+++ b/process/ingress/cacheguess.go
@@ -12,7 +12,7 @@
 
 // cacheEstimate tracks which prompt parts a replica has recently processed for this proxy, the
 // most recently used one first. It is an estimate: the replica may have evicted a part, and other
-// proxies' requests add parts that are unknown here. The user must hold a lock.
+// proxies' requests add parts that are unknown here. It is not safe for concurrent use.
 type cacheEstimate struct {
 	order *list.List
 	parts map[string]*list.Element // values are of type Part
@@ -34,7 +34,8 @@
 	return tokens
 }
 
-// add records that the replica now holds the parts.
+// add records that the replica now holds the parts of a prompt. The last part of the prompt
+// becomes the most recently used one, and the least recently used ones are dropped.
 func (e *cacheEstimate) add(parts []Part) {
 	for _, part := range parts {
 		if element := e.parts[part.ID]; element != nil {
@@ -50,12 +51,14 @@
 	}
 }
 
+// cachedTokens returns the number of tokens of the leading parts that the replica probably holds.
 func (r *replica) cachedTokens(parts []Part) int {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	return r.cacheEstimate.leadingTokens(parts)
 }
 
+// noteCachedParts records that the replica has processed the parts of a prompt.
 func (r *replica) noteCachedParts(parts []Part) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -74,7 +77,8 @@
 	return parts
 }
 
-// reportCachedParts tells a new leader of this proxy which parts the replicas probably hold.
+// reportCachedParts tells a new leader, or a standby member, which parts the replicas probably
+// hold.
 func (i *Ingress) reportCachedParts(to groupReporter) {
 	for _, upstream := range i.upstreams.all() {
 		for _, current := range upstream.fleet.inUse() {
@@ -85,7 +89,8 @@
 	}
 }
 
-// groupReporter is the connection to the control group; implemented by *feed.Client.
+// groupReporter is the connection to the control group; implemented by *feed.Client. Its methods
+// return whether the report was sent; one that is lost is sent again to the next leader.
 type groupReporter interface {
 	ReportInFlight(report feed.InFlight) bool
 	ReportKept(kept feed.KeptParts) bool
--- a/process/ingress/charge.go
+++ b/process/ingress/charge.go
@@ -12,19 +12,21 @@
 )
 
 // charger charges requests to the quotas that all proxies share; implemented by *feed.Client.
+// Charge returns an error if the control group does not decide in time; ReturnCharge returns
+// whether the refund was sent.
 type charger interface {
 	Charge(ctx context.Context, request feed.ChargeRequest) (quota.Grant, error)
 	ReturnCharge(request feed.ChargeRequest) bool
 }
 
 // chargeTimeout is how long to wait for the control group's answer to a charge before this proxy
-// decides by its own share.
+// decides by its own share of the quota.
 const chargeTimeout = 30 * time.Millisecond
 
 // charge is the amount charged to a tenant for a request; zero if nothing was charged.
 type charge struct {
 	tenant string
-	cost   float64
+	cost   float64 // in the unit of the tenant's quota
 	// standalone is true if this proxy decided by itself.
 	standalone bool
 }
@@ -32,8 +34,8 @@
 // causeOverQuota is returned to callers whose tenant has used up its quota.
 const causeOverQuota = "over_quota"
 
-// charge deducts a call's cost from its tenant's quota before anything is stored or done for it,
-// or refuses the call until the quota covers the cost.
+// charge deducts a call's cost from its tenant's quota, before the body is read. If the quota does
+// not cover the cost, it returns a refusal with the time until it does.
 func (i *Ingress) charge(ctx context.Context, call *Call, tenant *api.RouteTenant) (charge, *localRefusal) {
 	if tenant == nil || !tenant.Spec.Quota.IsBounded() || i.config.Quotas.Window <= 0 {
 		return charge{}, nil
@@ -56,6 +58,7 @@
 	return charge{}, &localRefusal{status: http.StatusTooManyRequests, cause: causeOverQuota, retryAfter: wait}
 }
 
+// askCharge asks the control group for a charge and waits up to chargeTimeout.
 func (i *Ingress) askCharge(ctx context.Context, amount charge) (quota.Grant, error) {
 	if i.charger == nil {
 		return quota.Grant{}, feed.ErrNotCharged
@@ -65,7 +68,8 @@
 	return i.charger.Charge(ctx, feed.ChargeRequest{Tenant: amount.tenant, Cost: amount.cost})
 }
 
-// sharing returns how quotas are divided while the control group is unreachable.
+// sharing returns what this proxy's part of a quota depends on while the control group is
+// unreachable: the number of proxies, and the time since this proxy's view was last confirmed.
 func (i *Ingress) sharing() quota.Sharing {
 	sharing := quota.Sharing{Proxies: int(i.upstreams.proxies.Load())}
 	if i.confirmer != nil {
--- a/process/ingress/charge_test.go
+++ b/process/ingress/charge_test.go
@@ -81,7 +81,9 @@
 	must.Eq(t, charger.charged, charger.returned)
 }
 
-// While no member answers its charges, a proxy spends its own part of the quota and no more.
+// While no member answers its charges, a proxy spends its own part of the quota and no more. With
+// 1000 proxies the part is less than one request, so that all are refused. If the last grant of
+// the control group left most of the quota, one request is granted in advance.
 func TestStandaloneProxySpendsItsPartOfTheQuota(t *testing.T) {
 	env, charger := newQuotaEnv(t, 20, newFakeReplica(t, "r-1", answerOK))
 	charger.err = feed.ErrNotCharged
@@ -92,6 +94,6 @@
 	charger.err, charger.grant = nil, quota.Grant{Granted: true, Left: 20}
 	must.Eq(t, http.StatusOK, env.do(withKey("a", "/safe/x", "key-n")).status)
 	charger.err = feed.ErrNotCharged
-	must.Eq(t, http.StatusOK, env.do(withKey("a", "/safe/x", "key-n")).status, must.Sprint("the tenant was far from its limit"))
+	must.Eq(t, http.StatusOK, env.do(withKey("a", "/safe/x", "key-n")).status, must.Sprint("the tenant was far from its limit at the last grant"))
 	must.Eq(t, http.StatusTooManyRequests, env.do(withKey("a", "/safe/x", "key-n")).status)
 }
--- a/process/ingress/config.go
+++ b/process/ingress/config.go
@@ -12,30 +12,31 @@
 // ErrConfig is returned for an invalid configuration.
 var ErrConfig = errors.New("ingress: invalid configuration")
 
-// Config is the configuration of the data path. Zero values take the defaults.
+// Config is the configuration of the data path. Zero values of Retry, Drain, Timeouts and
+// ReadyPath take the defaults.
 type Config struct {
-	Name string
-	Zone string
-	// ListenAddress serves callers, ReadyAddress health checks, MetricsAddress metrics; each is
-	// an IP and port.
+	Name string // identifies this proxy to the control group; required
+	Zone string // replicas in the same zone are preferred
+	// ListenAddress serves callers, ReadyAddress health checks, MetricsAddress metrics; each is an
+	// IP:port. Only ListenAddress is required.
 	ListenAddress  string
 	ReadyAddress   string
-	ReadyPath      string
+	ReadyPath      string // answered 200 at ReadyAddress while callers may be sent here
 	MetricsAddress string
 	// FeedAddresses are possible addresses of control group members; Seeds returns further ones
 	// from settings that may change, nil for none.
 	FeedAddresses []string
 	Seeds         func() []string
-	// RelayAddress is where this proxy relays placement requests for proxies that cannot reach
-	// the control group; empty for no relay. RelayOf returns the relay address of the proxy with
-	// the given address for callers; nil if unknown.
+	// RelayAddress is where this proxy relays placement requests for proxies that cannot reach the
+	// control group; empty for no relay. RelayOf maps a proxy's ListenAddress to its relay
+	// address, empty if it has none; a nil function means that no proxy has one.
 	RelayAddress string
 	RelayOf      func(callersAddress string) string
 
 	Retry RetryBudget
 	Drain Drain
-	// LeaveNotice is how long a replica that announced its departure may still be sent requests
-	// if there is no other one; 0 for not at all.
+	// LeaveNotice is how long a replica that announced its departure may still be sent requests if
+	// no other replica accepts them; 0 for not at all.
 	LeaveNotice time.Duration
 	Dialect     Dialect
 	Timeouts    Timeouts
@@ -50,24 +51,26 @@
 
 // Keys configures the use of API keys while no leader confirms the view.
 type Keys struct {
-	// FailClosed refuses callers with keys once the view has been unconfirmed for so long that a
-	// revoked key might still be accepted. Otherwise the last known keys remain valid.
+	// FailClosed refuses callers with keys once the view has been unconfirmed for most of
+	// RevokeWithin, since a key may have been revoked in the meantime. Otherwise the last known
+	// keys remain valid.
 	FailClosed bool
 	// RevokeWithin is how long a key may still be accepted after its revocation.
 	RevokeWithin time.Duration
 }
 
-// Silence is how long callers tolerate a stream without events: the maximum of Least, Objectives
-// times the objective for the first event, and Gaps times the one between events. With the zero
-// value they wait until their deadline.
+// Silence defines how long callers tolerate a stream without events. The limit is the largest of
+// Least, of Objectives times the route's objective for the first event, and of Gaps times its
+// objective for the time between events. The zero value sets no limit, so that callers wait until
+// their deadline.
 type Silence struct {
 	Least      time.Duration
 	Objectives int
 	Gaps       int
 }
 
-// of returns how long the callers of a route wait for a stream's next event; 0 for no limit but
-// the deadline.
+// of returns how long the callers of a route wait for a stream's next event; 0 if only the
+// deadline limits it.
 func (s Silence) of(route *api.Route) time.Duration {
 	if route.Kind != api.RouteStreaming || s == (Silence{}) {
 		return 0
@@ -79,39 +82,43 @@
 
 func milliseconds(count int64) time.Duration { return time.Duration(count) * time.Millisecond }
 
-// RetryBudget limits what all proxies together send beyond the first send of each request: within
-// any window, a share of the requests plus a reserve.
+// RetryBudget limits the retries of all proxies together for each service. In any period of the
+// length Window, at most Share times the number of requests plus Reserve are allowed.
 type RetryBudget struct {
-	Share   float64
-	Reserve float64
+	Share   float64 // retries per request
+	Reserve float64 // retries
 	Window  time.Duration
 	// Settle is how long a process that has just started leaves most of its part of the reserve
-	// unused, since its predecessor may have spent it in the same window. 0 stands for Window, a
-	// negative value for no time at all.
+	// unused, since its predecessor may have spent it in the same window. 0 means Window, and a
+	// negative value disables this.
 	Settle time.Duration
 }
 
-// Drain configures a planned stop.
+// Drain configures a planned stop; all times count from its start.
 type Drain struct {
-	// Notice is how long the proxy goes on accepting requests after it has reported that it is
-	// stopping, Limit when the process has ended at the latest.
+	// Notice is how long the proxy goes on accepting connections after it has reported that it is
+	// stopping. At Limit the remaining requests are cancelled; the process ends at most 5 % of
+	// Limit later.
 	Notice time.Duration
-	// Late is the time after which requests that may outlast Limit are refused; earlier ones may
-	// be cut at Limit. By Late callers have learned that the proxy is stopping. Those that still
-	// arrive use connections that they keep open, and can turn to another proxy at once.
+	// From Late on, requests that may outlast Limit are refused; those that arrive earlier may be
+	// cut at Limit. By then callers are expected to know that the proxy is stopping. A request
+	// that still arrives uses a connection that its caller has kept open, and the caller can send
+	// it to another proxy at once.
 	Late  time.Duration
 	Limit time.Duration
 }
 
 // Timeouts limits waits of the data path.
 type Timeouts struct {
-	Header time.Duration // for a caller's head
-	Idle   time.Duration // for a caller's connection
-	// Transit is subtracted from a deadline for the answer's way back.
+	Header time.Duration // for the head of a caller's request
+	Idle   time.Duration // of a caller's connection between two requests
+	// Transit is subtracted from a request's remaining time to allow for the way of the answer
+	// back to the caller.
 	Transit time.Duration
 }
 
-// Defaults of Config.
+// Defaults of Config. In a planned stop, DefaultLate comes before DefaultNotice, and that before
+// DefaultDrainLimit.
 const (
 	DefaultHeaderTimeout = 10 * time.Second
 	DefaultIdleTimeout   = 60 * time.Second
@@ -142,7 +149,7 @@
 	return c
 }
 
-// Check returns all faults of the configuration.
+// Check returns the required fields that are missing.
 func (c Config) Check() []api.FieldFault {
 	var faults []api.FieldFault
 	need := func(field string, ok bool) {
--- a/process/ingress/ended.go
+++ b/process/ingress/ended.go
@@ -16,13 +16,15 @@
 	"github.com/pkg/errors"
 )
 
-// fingerprint identifies the request by its content, since its ID differs each time it is sent.
-// It is computed only when needed, which is never while no crashes are on record.
+// fingerprint identifies the request by its content, since its ID differs each time it is sent. It
+// is computed only when needed: while requests are suspected of crashing replicas, if a replica
+// seems to crash during this one, or if the control group asks for fingerprints.
 func (s *session) fingerprint() quarantine.Fingerprint {
 	if s.cachedFingerprint == nil {
 		identity := quarantine.Identity{
 			Method: s.call.Method, Host: s.call.Host, Path: s.call.Path, Caller: s.call.Caller, Body: s.call.Body,
 		}
+		// A body tells what is requested; without one, the query does.
 		if len(s.call.Body) == 0 {
 			_, identity.Query, _ = strings.Cut(s.call.Target, "?")
 		}
@@ -32,9 +34,8 @@
 	return *s.cachedFingerprint
 }
 
-// knownFingerprint returns the fingerprint if it was computed, as it is while crashes are on
-// record, and an empty string otherwise. In a log line it shows whether a request on record was
-// served elsewhere.
+// knownFingerprint returns the fingerprint if it was computed, and an empty string otherwise. In a
+// log line it shows whether a request on record was served elsewhere.
 func (s *session) knownFingerprint() string {
 	if s.cachedFingerprint == nil {
 		return ""
@@ -43,7 +44,10 @@
 }
 
 // noteBrokenConnection records that a replica's connection broke while it processed the request,
-// as it does when the replica crashes.
+// which may be due to a crash of the replica. It does nothing for other errors, or if ctx has
+// ended. It marks the replica as crashed and reports the evidence. If a run was isolated or had
+// produced no event, when the evidence weighs most, it first probes the replica's address, which
+// takes up to probeTimeout.
 func (s *session) noteBrokenConnection(ctx context.Context, stage string, target *replica, sent *send, err error) {
 	if ctx.Err() != nil || !isConnectionClosed(err) {
 		return
@@ -69,8 +73,8 @@
 	})
 }
 
-// probeTimeout limits the check whether a replica still listens. One that does accepts a
-// connection within a few milliseconds.
+// probeTimeout limits the check whether a replica still listens. One that does so normally accepts
+// a connection within a few milliseconds.
 const probeTimeout = 250 * time.Millisecond
 
 // addressState is the result of connecting to a replica's address.
@@ -82,8 +86,9 @@
 	addressRefuses              // connections are refused
 )
 
-// probeAddress checks whether anything listens at the address of a replica whose connection
-// broke. A replica that merely resets connections, as a faulty one does, continues to listen.
+// probeAddress checks whether anything listens at the address of a replica whose connection broke.
+// A replica that merely resets connections, as a faulty one does, continues to listen. Any error
+// but a refused connection, such as an unreachable host, proves nothing.
 func probeAddress(target *replica) addressState {
 	conn, err := net.DialTimeout("tcp", target.spec().Address, probeTimeout)
 	switch {
@@ -96,8 +101,9 @@
 	return addressUnknown
 }
 
-// noteAlive evaluates an answer to a request that was sent at sentAt. If it arrived on a
-// connection that was open before the replica's suspected crash, the replica is alive.
+// noteAlive reports that a replica is alive if an answer to a request that was sent at sentAt
+// refutes its suspected crash: the connection was opened before the crash, and the request was
+// sent after it.
 func (s *session) noteAlive(from *replica, sentAt time.Duration, answer *exchange.Answer, reply *Reply) {
 	if !reply.Named || reply.Misdirected {
 		return
@@ -111,7 +117,8 @@
 }
 
 // quarantineHold reports whether the request must not be sent to any replica because it crashes
-// them, and for how long.
+// them, and for how long. If the request is on trial, it claims the trial for this session if it
+// can; see guard.Guard.Holds.
 func (s *session) quarantineHold() (remaining time.Duration, quarantined bool) {
 	if !s.ingress.guard.Active() {
 		return 0, false
@@ -121,13 +128,14 @@
 
 // endTrial allows another copy of the request to be tried if this one was on trial.
 func (s *session) endTrial() {
-	if s.cachedFingerprint != nil { // otherwise it was never checked
+	if s.cachedFingerprint != nil { // otherwise it was never on trial
 		s.ingress.guard.EndTrial(*s.cachedFingerprint, s)
 	}
 }
 
-// refuseQuarantined immediately answers a request that crashes replicas. The caller may retry
-// when the hold ends.
+// refuseQuarantined immediately answers a request that crashes replicas, and returns the status as
+// run does. If the request has certainly not run, the answer tells the caller to retry when the
+// hold ends.
 func (s *session) refuseQuarantined(remaining time.Duration) int {
 	s.ingress.metrics.heldRequests.WithLabelValues(s.upstream.service).Inc()
 	event.RequestHeld.Log(s.ingress.logger, "request", s.call.ID, "fingerprint", s.fingerprint(), "route", s.route.Name,
@@ -146,8 +154,9 @@
 // causeQuarantined is returned to the caller of a quarantined request.
 const causeQuarantined = "quarantined"
 
-// isConnectionClosed reports whether the other side closed or reset the connection. Silence and
-// malformed answers are different faults: the replica may well be alive.
+// isConnectionClosed reports whether the other side closed or reset the connection. No answer at
+// all, and a malformed answer, are different faults, which do not suggest that the replica has
+// crashed.
 func isConnectionClosed(err error) bool {
 	for _, cause := range []error{io.EOF, io.ErrUnexpectedEOF, errEventCut, syscall.ECONNRESET, syscall.EPIPE} {
 		if errors.Is(err, cause) {
--- a/process/ingress/ended_test.go
+++ b/process/ingress/ended_test.go
@@ -11,7 +11,7 @@
 	"github.com/shoenig/test/must"
 )
 
-var loggedFingerprint = regexp.MustCompile(`event=4606 \S+ request=(\S+) fingerprint=([0-9a-f]{32}) `)
+var loggedFingerprint = regexp.MustCompile(`event=4606 name=run_broken request=(\S+) fingerprint=([0-9a-f]{32}) `)
 
 // A run that breaks off because its replica closed the connection is logged with the request's
 // fingerprint, which is independent of the request ID.
@@ -41,5 +41,5 @@
 	for range 4 {
 		must.Eq(t, 200, env.do(testRequest{method: "GET", target: "/safe/a", id: "one"}).status)
 	}
-	must.StrNotContains(t, logged.String(), "event=4606")
+	must.StrNotContains(t, logged.String(), "name=run_broken")
 }
--- a/process/ingress/events.go
+++ b/process/ingress/events.go
@@ -24,7 +24,7 @@
 	id     string
 }
 
-// eventBufferBytes is enough for several events.
+// eventBufferBytes is the size of the read buffer, enough for several events of usual size.
 const eventBufferBytes = 4 << 10
 
 func newEventReader(source io.Reader) *eventReader {
@@ -54,12 +54,13 @@
 	}
 }
 
-// hasData reports whether an event has a data field; comments do not.
+// hasData reports whether an event has a data field. One that consists of comments has none.
 func hasData(event []byte) bool {
 	return bytes.HasPrefix(event, []byte("data:")) || bytes.Contains(event, []byte("\ndata:"))
 }
 
-// readLine appends one line, including its line end, to the event.
+// readLine appends one line, including its line end, to the event. ended is true if the line is
+// complete.
 func (r *eventReader) readLine() (ended bool, err error) {
 	for {
 		part, err := r.reader.ReadSlice('\n')
--- a/process/ingress/fleet.go
+++ b/process/ingress/fleet.go
@@ -18,21 +18,23 @@
 // service, and this proxy's subset of a large one.
 type listing map[string]*api.Replica
 
-// fleet holds the replicas of one service. It keeps no state for a listed replica before its
-// first use, so that memory, and the cost of a change of the list, grow with the replicas in use
-// and not with the size of the service.
+// fleet holds the replicas of one service. It keeps no state for a listed replica before its first
+// use, so that memory, and the cost of a change of the list, grow with the replicas in use and not
+// with the size of the service. If this proxy chooses replicas by itself, all listed ones are in
+// use.
 type fleet struct {
 	service  string
 	pool     *exchange.Pool
 	holdoffs *holdoff.Table
-	// lookupNamed returns replicas that are not listed but were named by an answer of the control
-	// group.
+	// lookupNamed returns the entry of a replica that is not listed but that an answer of the
+	// control group has named as the place for a request, or nil.
 	lookupNamed func(name string) *api.Replica
 
 	lock    sync.Mutex
 	listed  listing
 	tracked map[string]*replica // replicas in use
-	// choiceCache holds all listed replicas of the service, by name; nil until requested.
+	// choiceCache holds all listed replicas of the service, sorted by name; nil until choices is
+	// called.
 	choiceCache []*replica
 }
 
@@ -56,7 +58,9 @@
 	return entry
 }
 
-// update applies a newer listing. A replica whose entry has changed keeps its state.
+// update applies a newer listing. The state of a replica that is gone is dropped and its idle
+// connections are closed; so is the state of one that is idle. A replica whose entry has changed
+// keeps its state.
 func (f *fleet) update(listed listing, now time.Duration) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -80,8 +84,8 @@
 	delete(f.tracked, gone.name)
 }
 
-// track applies the entry of a replica and keeps its state unless the entry is of another
-// process. The caller must hold the lock.
+// track applies the entry of a replica and returns the replica's state. The state is new on first
+// use, or if the entry belongs to another process than before. The caller must hold the lock.
 func (f *fleet) track(entry *api.Replica, now time.Duration) *replica {
 	current := f.tracked[entry.Name]
 	if current != nil && !isSameProcess(current.spec(), &entry.Spec) {
@@ -102,8 +106,8 @@
 	return holdoff.Process{Address: entry.Spec.Address, Born: entry.Spec.Born}
 }
 
-// isSameProcess reports whether the state of a replica remains valid for its new entry. A
-// restarted replica keeps nothing, and its connections are closed.
+// isSameProcess reports whether the state of a replica remains valid for its new entry. The state
+// of a restarted replica is dropped, and its connections are closed.
 func isSameProcess(before, now *api.ReplicaSpec) bool {
 	return before.Address == now.Address && !now.IsAnotherProcess(before)
 }
@@ -146,7 +150,8 @@
 	}
 }
 
-// choices returns the replicas among which this proxy chooses by itself, sorted by name.
+// choices returns the replicas among which this proxy chooses by itself, that is, all listed ones,
+// sorted by name. It creates the state of each.
 func (f *fleet) choices(now time.Duration) []*replica {
 	f.lock.Lock()
 	defer f.lock.Unlock()
--- a/process/ingress/fleet_test.go
+++ b/process/ingress/fleet_test.go
@@ -28,8 +28,9 @@
 	return newFleet("model", exchange.NewPool(exchange.Config{}), holdoff.NewTable(holdoff.Config{}), named)
 }
 
-// A proxy keeps state only for replicas that it uses. Guards against memory use and iteration,
-// for each request and each change of the list, that grow with the number of listed replicas.
+// A proxy keeps state only for replicas that it uses. Guards against memory use that grows with
+// the number of listed replicas, and with it the work for each request and each change of the
+// list.
 func TestFleetKeepsStateOfUsedReplicasOnly(t *testing.T) {
 	for _, size := range []int{100, 10_000} {
 		f := newTestFleet(nil)
@@ -72,8 +73,9 @@
 	must.True(t, f.inUse()[0].holdoff.IsLeaving())
 }
 
-// A replica that was named by an answer of the control group is used like a listed one, with its
-// entry from the last answer, but is no candidate for this proxy's own choices.
+// A replica that is not listed but was named by an answer of the control group is used like a
+// listed one, with its entry from the last answer, but is no candidate for this proxy's own
+// choices.
 func TestNamedReplicasAreUsed(t *testing.T) {
 	others := listingOf(2)
 	f := newTestFleet(func(name string) *api.Replica { return others[name] })
--- a/process/ingress/foreign_test.go
+++ b/process/ingress/foreign_test.go
@@ -16,15 +16,15 @@
 	"github.com/shoenig/test/must"
 )
 
-// Guards against using an answer that belongs to another request. Streams once continued from a
-// prompt that had been prefilled for another request: a prefill replica sent one answer too many
-// on a kept-alive connection, after the proxy had checked the idle connection and before the
-// answer to its own prefill, and the proxy took the first answer that arrived. Only answers to
-// runs were compared with the request's ID. The tests below send the surplus answer when the next
+// Guards against using an answer that belongs to another request. A faulty replica may send a
+// surplus answer on a kept-alive connection, after the proxy has checked the idle connection and
+// before the answer to the proxy's request. When only answers to runs were compared with the
+// request's ID, the proxy took a surplus answer for that to its prefill, and a stream continued
+// from the prompt of another request. The tests below send the surplus answer when the next
 // request arrives, so that they do not depend on timing.
 
-// surplusReplica answers the first request on a connection as its handler says. For a further one
-// on the same connection it sends a surplus answer before its own.
+// surplusReplica answers the first request on a connection with answer. For a further one on the
+// same connection it sends the surplus answer before its own.
 type surplusReplica struct {
 	answer  func(r *http.Request) string // complete, as sent over the connection
 	surplus func(earlier *http.Request) string
@@ -36,10 +36,13 @@
 	earlier map[string]*http.Request // by the remote address of the connection
 }
 
+// newSurplusReplica returns a surplusReplica that always sends its own answer.
 func newSurplusReplica(t *testing.T, name string, answer, surplus func(*http.Request) string) *fakeReplica {
 	return newSilentReplica(t, name, answer, surplus, nil)
 }
 
+// newSilentReplica returns a surplusReplica that does not send its own answer after a surplus one:
+// it leaves the connection open until silent is closed.
 func newSilentReplica(t *testing.T, name string, answer, surplus func(*http.Request) string, silent <-chan struct{}) *fakeReplica {
 	s := &surplusReplica{answer: answer, surplus: surplus, silent: silent, earlier: map[string]*http.Request{}}
 	return newFakeReplica(t, name, s.serve)
@@ -66,14 +69,14 @@
 	})(w, r)
 }
 
-// wireAnswer returns a complete answer to the request, with its head.
+// wireAnswer returns a complete answer to the request, head and body, as sent on the connection.
 func wireAnswer(r *http.Request, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: signature\r\nContent-Length: %d\r\n\r\n%s",
 		testID, r.Header.Get(testID), testGenuine, len(body), body)
 }
 
-// handles generates the answers to prefills: each names its request and the number of the
-// prefill.
+// handles generates the answers to prefills. The handle in each contains the request's ID and the
+// number of the prefill for that request.
 type handles struct {
 	lock     sync.Mutex
 	prefills map[string]int
@@ -165,8 +168,8 @@
 	first.server.Config.Handler = callFirst(first.server.Config.Handler, func() { env.setReplicas(first, second) })
 	got := env.do(testRequest{method: "POST", target: "/unsafe/", id: "q-2"})
 	must.Eq(t, 2, first.count())
-	must.Eq(t, 0, second.count(), must.Sprint("the request ran twice"))
-	must.True(t, got.status != http.StatusServiceUnavailable, must.Sprint("the request was reported as not run, but has run"))
+	must.Eq(t, 0, second.count(), must.Sprint("the request must not run twice"))
+	must.True(t, got.status != http.StatusServiceUnavailable, must.Sprint("the request has run and must not be reported as not run"))
 }
 
 // An answer that names another request is logged with the ID of that request.
--- a/process/ingress/harness_test.go
+++ b/process/ingress/harness_test.go
@@ -29,9 +29,11 @@
 	)
 }
 
-// testTimeout limits every wait; no test measures it.
+// testTimeout limits every wait. No result depends on its length.
 const testTimeout = 20 * time.Second
 
+// eventually waits until the condition holds, and fails the test after testTimeout. what describes
+// the condition.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(testTimeout)
@@ -181,7 +183,8 @@
 	return len(r.requests)
 }
 
-// writeGenuine sets the fields of an answer that the replica produced by a run.
+// writeGenuine sets the header fields of an answer that the replica produced by running the
+// request.
 func writeGenuine(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set(testID, r.Header.Get(testID))
 	w.Header().Set(testGenuine, "signature")
@@ -223,8 +226,8 @@
 var closeConnection = hijack(func(net.Conn) {})
 
 // streamEvents streams events with increasing IDs, from the one after the caller's last event up
-// to the given last one. It then ends the stream, cuts it between events, or cuts it inside an
-// event.
+// to the given last one. It then ends the stream (end is empty), cuts it between events ("cut"),
+// or cuts it inside an event ("inside").
 func streamEvents(last int, end string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		first, _ := strconv.Atoi(r.Header.Get(testResume))
@@ -346,7 +349,7 @@
 	}
 }
 
-// testRequest is a caller's request.
+// testRequest is a caller's request. The id "-" stands for a request without one.
 type testRequest struct {
 	method string
 	target string
--- a/process/ingress/holdoff_test.go
+++ b/process/ingress/holdoff_test.go
@@ -15,14 +15,14 @@
 	"github.com/shoenig/test/must"
 )
 
-// Guards against sending requests to replicas that have asked for a pause. Full replicas answered
-// 503 and asked a proxy to pause for three seconds; it sent them three to six more requests in
-// that time, where two are allowed. No part of the data path read the field with the duration,
-// and the leader considered a refusal for at most 0.1 s, that of a prefill not at all. Each test
-// has a replica that asks for a pause once and would then serve, and counts the requests that
-// reach it afterwards.
+// Guards against sending requests to replicas that have asked for a pause. When the data path did
+// not read the duration of a pause, and the leader considered a refusal for at most 0.1 s and that
+// of a prefill not at all, full replicas that asked for a pause of three seconds were sent three
+// to six more requests in that time, where the protocol allows two. Each test has a replica that
+// asks for a pause once and would then serve, and counts the requests that reach it afterwards.
 
-// pauseOnce asks for a pause with its first answer and serves all further requests.
+// pauseOnce answers the first request with the status and asks for a pause, and serves all further
+// requests.
 func pauseOnce(pause string, status int, serve http.HandlerFunc) http.HandlerFunc {
 	var answered atomic.Bool
 	return func(w http.ResponseWriter, r *http.Request) {
@@ -157,7 +157,7 @@
 		before := prefiller.count()
 		s := &session{ingress: env.ingress, upstream: env.ingress.upstreams.get("model")}
 		s.release(Source{Replica: "read", Address: prefiller.address(), Handle: "handle-7"})
-		time.Sleep(50 * time.Millisecond) // a call on the loopback interface takes less than 1 ms
+		time.Sleep(50 * time.Millisecond) // much longer than a call on the loopback interface, which takes less than 1 ms
 		must.Eq(t, before, prefiller.count())
 	})
 	t.Run("while a connection is opened", func(t *testing.T) {
--- a/process/ingress/inflight.go
+++ b/process/ingress/inflight.go
@@ -9,12 +9,13 @@
 )
 
 // Tracking of this proxy's requests in flight, whether the control group or the proxy itself
-// placed them. The control group is told of each step, and a new leader of all of them.
+// placed them. Each step, such as the end of the prefill or of the request, is reported to the
+// control group; all requests in flight, with their last steps, are reported to a new leader.
 //
 // Invariant: the receiver sees these messages in the order in which the steps happened. So a step
-// and its message form one critical section of the table's lock, and so do the list of requests
-// in flight and its report. A step that arrived before a report which does not contain it would
-// have no effect.
+// and its message form one critical section of the table's lock, and so do the list of requests in
+// flight and its report. If a step arrived before an earlier report of the list, the report would
+// undo it.
 
 // trackedRequest is a request in flight whose progress is reported to the control group.
 type trackedRequest struct {
@@ -27,8 +28,9 @@
 	step     placement.Step // 0 before the prompt was prefilled; guarded by the table's lock
 }
 
-// report sends the request's progress to the control group. It does nothing for a nil
-// trackedRequest.
+// report sends the request's progress to the control group, and removes the request from the table
+// if it has ended. reportedRequests is the number of requests that the replica last reported. It
+// does nothing for a nil trackedRequest.
 func (p *trackedRequest) report(step placement.Step, replica string, reportedRequests int) {
 	if p == nil {
 		return
@@ -40,7 +42,7 @@
 	case step == placement.StepRead || step == placement.StepStarted:
 		p.step = step
 	case replica != "" && replica == p.answer.Reader:
-		p.answer.Reader = "" // continues on the decode replica
+		p.answer.Reader = "" // only the prefill has failed; the request continues on the decode replica
 	default:
 		delete(table.requests, p)
 	}
@@ -61,8 +63,8 @@
 	return tracked
 }
 
-// trackLocal tracks a request that this proxy placed itself, so that the next placement board
-// counts it too.
+// trackLocal tracks a request that this proxy placed itself, so that the placement board of the
+// next member that places requests counts it too.
 func (s *session) trackLocal(chosen *plan) {
 	if s.ingress.placer == nil || chosen.target == nil {
 		return
@@ -75,7 +77,7 @@
 }
 
 // inFlightTable holds the tracked requests in flight. One lock suffices: it is held for a few
-// steps of each request, and for a report when another placement board takes over.
+// steps of each request, and for a report when another member begins to place requests.
 type inFlightTable struct {
 	lock     sync.Mutex
 	requests map[*trackedRequest]struct{}
--- a/process/ingress/inflight_order_test.go
+++ b/process/ingress/inflight_order_test.go
@@ -12,7 +12,7 @@
 )
 
 // recordingBoard applies reports to a new placement board in the order of their arrival. between
-// is called once, after a message was created and before it is applied.
+// is called once, when the first message has been received and before it is applied.
 type recordingBoard struct {
 	t       *testing.T
 	between func()
@@ -76,7 +76,8 @@
 	return env.ingress, request
 }
 
-// asSoonAsPossible runs the step now, or as soon as the table's lock is free.
+// asSoonAsPossible runs the step at once if the table's lock is free; otherwise it returns, and
+// the step runs as soon as the lock is released.
 func asSoonAsPossible(table *inFlightTable, running *sync.WaitGroup, step func()) {
 	if table.lock.TryLock() {
 		table.lock.Unlock()
@@ -86,8 +87,8 @@
 	running.Go(step)
 }
 
-// A request that ends while it is being reported to the next placement board must end there too.
-// Otherwise it occupies its place on that board until its deadline.
+// A request that ends while it is being reported to a new placement board must be removed from
+// that board. Otherwise the board counts it until its deadline.
 func TestRequestThatEndsDuringAReportHasEndedOnTheBoard(t *testing.T) {
 	board := newRecordingBoard(t)
 	ingress, request := newTrackedRequest(t, board)
--- a/process/ingress/ingress.go
+++ b/process/ingress/ingress.go
@@ -35,7 +35,7 @@
 	logger log.Logger
 	views  Views
 	clock  func() time.Duration
-	// day returns the wall clock time with which replicas' start times are compared.
+	// day returns the wall clock time, with which replicas' start times are compared.
 	day       func() time.Time
 	upstreams *upstreams
 	table     atomic.Pointer[versionedTable]
@@ -51,10 +51,10 @@
 	sessions            sessionTable
 	stopSuspensionWatch func()
 	metrics             *metrics
-	// placer places model requests using the load of all proxies; if nil, this proxy uses only
-	// its own knowledge.
+	// placer places model requests and takes those of all proxies into account; if nil, this proxy
+	// uses only its own knowledge.
 	placer Placer
-	// confirmer returns the age of the view; nil without a control group.
+	// confirmer tells how long ago the view was confirmed; nil without a control group.
 	confirmer Confirmer
 	numbers   atomic.Uint64
 	// charger charges requests to tenant quotas; nil without a control group. standaloneQuota is
@@ -63,11 +63,14 @@
 	standaloneQuota *quota.Alone
 	// usage counts started requests per tenant; nil if usage is not reported.
 	usage *metering.Counter
-	// fingerprintsUntil is the time until which placement requests include the fingerprint.
+	// fingerprintsUntil is the time until which placement requests include the fingerprint, as a
+	// time.Duration of clock.
 	fingerprintsUntil atomic.Int64
 }
 
-// Placer decides where model requests go; implemented by *feed.Client.
+// Placer decides where model requests go; implemented by *feed.Client. Place returns an error if
+// there is no decision in time. NotePlaced reports the progress of a request in the order of the
+// calls, and returns whether the report was sent.
 type Placer interface {
 	Place(ctx context.Context, request feed.PlaceRequest) (placement.Answer, error)
 	NotePlaced(note feed.PlaceNote) bool
@@ -81,7 +84,9 @@
 	routes  *routeTable
 }
 
-// New returns an ingress that follows views. The caller must call Close.
+// New returns an ingress that uses the current version of views for each request. now is a
+// monotonic clock that starts at zero with the process. New starts a watch for suspensions of the
+// machine, so the caller must call Close.
 func New(config Config, views Views, now func() time.Duration, logger log.Logger) *Ingress {
 	config = config.WithDefaults()
 	ingress := &Ingress{
@@ -95,7 +100,8 @@
 	return ingress
 }
 
-// Close cancels requests in flight and closes idle connections.
+// Close cancels requests in flight and closes idle connections to replicas. It does not close the
+// listeners.
 func (i *Ingress) Close() {
 	i.stopSuspensionWatch()
 	i.cancelRequests()
@@ -104,8 +110,10 @@
 
 func (i *Ingress) now() time.Duration { return i.clock() }
 
-// routes returns the route table of the current view. Requests load views concurrently; one that
-// was overtaken must not replace a newer view by its older one.
+// routes returns the route table of the current view. If the view is newer than the last one, it
+// first applies its replicas and its quarantine record, and some callers call it only for that.
+// Requests do so concurrently: one that loaded a view before another one applied a newer view must
+// not replace it.
 func (i *Ingress) routes() *routeTable {
 	current := i.views.Load()
 	for {
@@ -133,10 +141,12 @@
 	}
 }
 
-// Ready reports whether callers may be sent here.
+// Ready reports whether callers may be sent here: routes have been received and no planned stop
+// has begun.
 func (i *Ingress) Ready() bool { return !i.stopping.Load() && i.routes().generation > 0 }
 
-// ServeHTTP handles one caller's request.
+// ServeHTTP handles one caller's request. It panics with http.ErrAbortHandler to close the
+// connection without a complete answer.
 func (i *Ingress) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	i.serving.Add(1)
 	defer i.serving.Add(-1)
@@ -154,10 +164,10 @@
 	i.serve(w, r, call, admitted, arrivedAt)
 }
 
-// refuse answers a call that is not processed. It sends the answer before the body has arrived;
-// by default net/http would read the body first.
+// refuse answers a call that is not processed. The answer is sent even if the body has not arrived
+// yet; by default net/http would read the body first.
 func (i *Ingress) refuse(w http.ResponseWriter, call *Call, refusal *localRefusal) {
-	_ = http.NewResponseController(w).EnableFullDuplex() // on error the answer is only sent later
+	_ = http.NewResponseController(w).EnableFullDuplex() // on error the answer is sent after the body
 	i.config.Dialect.Refusal(w.Header(), call, refusal.retryAfter)
 	writeRefusal(w, refusal.status, refusal.cause)
 }
@@ -196,7 +206,7 @@
 	return call, admitted, refusal
 }
 
-// localRefusal is an answer that is given before any replica was contacted.
+// localRefusal is an answer of the proxy to a call for which no replica was contacted.
 type localRefusal struct {
 	status     int
 	cause      string
@@ -215,18 +225,18 @@
 // Retry delays for callers of a proxy that has no routes yet.
 const (
 	// expectedStartup is the time from process start until the view arrives in the slowest
-	// expected case: the whole control group was stopped and one of its disks is lost, so that an
-	// election timeout has to pass. That takes 0.5 s, plus 0.2 to 0.4 s until the last of 295
-	// proxies has its view.
+	// expected case: all members were stopped and one has lost its disk. An election timeout of
+	// 0.5 s then has to pass, and the last of 295 proxies has its view 0.2 to 0.4 s later.
 	expectedStartup = 900 * time.Millisecond
-	// minStartRetryAfter is the delay once the process has been up for longer than that.
+	// minStartRetryAfter is the minimum delay. It is also used while keys are refused because the
+	// view is unconfirmed.
 	minStartRetryAfter = 200 * time.Millisecond
 	// startRetryJitter keeps callers from retrying at the same time.
 	startRetryJitter = 300 * time.Millisecond
 )
 
-// startRetryAfter returns when a process with the given uptime is expected to have its routes.
-// Most callers retry only once, so a delay that is too short loses the request.
+// startRetryAfter returns when a process with the given uptime is expected to have its routes. If
+// a caller retries only once, a delay that is too short loses the request.
 func startRetryAfter(uptime time.Duration) time.Duration {
 	return max(expectedStartup-uptime, minStartRetryAfter) + rand.N(startRetryJitter)
 }
@@ -354,15 +364,16 @@
 	endsAt     time.Duration
 }
 
-// mayOutlastStop reports whether a request whose body was complete at readAt, and which may run
-// until its deadline, arrived so late in a planned stop that it could be cut. No replica has
-// received it yet, so its caller can turn to another proxy at once.
+// mayOutlastStop reports whether a request might still run when a planned stop ends: its body was
+// complete only after refuseFrom, and its deadline is after endsAt. No replica has received it
+// yet, so its caller can send it to another proxy at once.
 func (i *Ingress) mayOutlastStop(readAt, deadline time.Duration) bool {
 	stop := i.plannedStop.Load()
 	return stop != nil && readAt >= stop.refuseFrom && deadline > stop.endsAt
 }
 
-// finish records metrics and the log line of a finished request.
+// finish records metrics and the log line of a finished request, and tells the guard if it was
+// served. status is as returned by session.run.
 func (i *Ingress) finish(s *session, service string, status int) {
 	took := i.now() - s.arrivedAt
 	i.metrics.observe(s.route.Name, outcomeOf(status), took)
@@ -375,8 +386,8 @@
 		case s.wasIsolated:
 			i.guard.ServedIsolated(i.now(), s.fingerprint())
 		case s.cachedFingerprint != nil, i.guard.Active():
-			// A fingerprint was also computed if this request itself caused the first crash,
-			// which the quarantine record does not contain yet.
+			// The guard is not active if this request itself caused the first crash, which is not
+			// on record yet; a fingerprint was then computed.
 			i.guard.Served(i.now(), s.fingerprint())
 		}
 		outcome = event.RequestServed
--- a/process/ingress/ingress_test.go
+++ b/process/ingress/ingress_test.go
@@ -82,13 +82,13 @@
 	must.Eq(t, http.StatusNotFound, env.do(testRequest{method: "GET", target: "/safe/", id: "q"}).status)
 }
 
-// Defines after which results a request may be sent again.
+// After some results of an attempt a request may be sent again, after others it must not be.
 func TestWhichRequestsAreSentAgain(t *testing.T) {
 	cases := []struct {
 		name  string
 		route string
 		first http.HandlerFunc
-		// sends is the number of replicas that receive the request, status the one that the
+		// sends is the number of replicas that receive the request, status the status that the
 		// caller receives.
 		sends  int
 		status int
@@ -137,20 +137,24 @@
 	})
 }
 
+// answerForeign sends an answer with the ID of another request.
 func answerForeign(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set(testID, "another")
 	w.Header().Set(testGenuine, "signature")
-	_, _ = io.WriteString(w, "not yours")
+	_, _ = io.WriteString(w, "foreign answer")
 }
 
+// answerUnsigned sends an answer that does not state that it was produced by a run.
 func answerUnsigned(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set(testID, r.Header.Get(testID))
-	_, _ = io.WriteString(w, "from nobody")
+	_, _ = io.WriteString(w, "unproven answer")
 }
 
+// answerUnnamed sends an answer without a request ID. Its body is also valid as the answer to a
+// prefill.
 func answerUnnamed(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set(testGenuine, "signature")
-	_, _ = io.WriteString(w, `"for somebody"`)
+	_, _ = io.WriteString(w, `"unnamed answer"`)
 }
 
 func answerMisdirected(w http.ResponseWriter, r *http.Request) {
@@ -211,8 +215,8 @@
 	must.Eq(t, 5, failing[0].count()+failing[1].count())
 }
 
-// When the route's timeout expires, the caller receives its final answer: 504 if the request may
-// have run, otherwise a refusal with a retry delay.
+// When the route's timeout expires, the caller of a request that may have run receives 504 as its
+// final answer.
 func TestTimeoutIsAnsweredAtOnce(t *testing.T) {
 	release := make(chan struct{})
 	replica := newFakeReplica(t, "r-1", func(http.ResponseWriter, *http.Request) { <-release })
@@ -283,6 +287,8 @@
 				first.server.Config.Handler = callFirst(first.server.Config.Handler, func() { env.setReplicas(first, second) })
 			}
 			got := env.do(testRequest{method: "POST", target: "/" + test.route + "/", id: "q"})
+			// Nothing was sent to the caller before the run broke off, so that it may get an error
+			// status or none.
 			if !test.complete && test.body == "" {
 				must.True(t, got.err != nil || got.status == http.StatusBadGateway)
 				return
--- a/process/ingress/lane.go
+++ b/process/ingress/lane.go
@@ -14,8 +14,9 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
-// upstream holds everything that requests of one service use. Upstreams share nothing, so that
-// plain services never wait for model work.
+// upstream holds everything that requests of one service use. Upstreams share nothing but the
+// table of pauses and departures, so that requests of plain services, which have no prompts, never
+// wait for model requests.
 type upstream struct {
 	service string
 	pool    *exchange.Pool
@@ -25,7 +26,7 @@
 	speed   prefillSpeed
 }
 
-// upstreams creates an upstream for each requested service and keeps it.
+// upstreams holds an upstream for each service that has been requested.
 type upstreams struct {
 	config   Config
 	clock    func() time.Duration
@@ -94,11 +95,12 @@
 	u.holdoffs.Forget(now)
 }
 
-// proxyCount counts the proxies that share a reserve. One that is no longer listed may still
-// serve, or may have used its share within the current window.
+// proxyCount counts the proxies that share a reserve: the maximum number listed within the last
+// window. One that is no longer listed may still serve, or may have used its share within the
+// current window.
 type proxyCount struct {
 	max    int
-	maxAt  time.Duration // when that many were last listed
+	maxAt  time.Duration // when max proxies were last listed
 	listed int
 }
 
@@ -114,12 +116,12 @@
 	return c.max
 }
 
-// reserveMargin is the usable part of the shared reserve. The rest covers proxies that have just
+// reserveMargin is the share of the reserve that is used. The rest covers proxies that have just
 // started, which do not know what was sent before.
 const reserveMargin = 0.8
 
-// shareMargin is the usable part of the request share. The rest covers prefills that were under
-// way when the budget was used up and may yet be refused.
+// shareMargin is the share of RetryBudget.Share that is used. The rest covers prefills that are in
+// flight when the budget is used up and are then refused.
 const shareMargin = 0.95
 
 // reserveShare returns one proxy's part of the shared reserve.
@@ -156,6 +158,7 @@
 // speedWeight is the weight of the last measurement in the moving average.
 const speedWeight = 0.05
 
+// tokenTime returns the estimated time to prefill one token.
 func (p *prefillSpeed) tokenTime() time.Duration {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -165,7 +168,8 @@
 	return p.timePerToken
 }
 
-// learn records the duration of a prefill of that many tokens, including waits.
+// learn records the duration of a prefill of that many tokens, from sending it to its answer. The
+// estimate therefore includes the time that prefills wait at the replica.
 func (p *prefillSpeed) learn(tokens int, took time.Duration) {
 	if tokens < minMeasuredTokens {
 		return
--- a/process/ingress/log_test.go
+++ b/process/ingress/log_test.go
@@ -33,7 +33,8 @@
 	return b.buffer.String()
 }
 
-// The log of a proxy that was killed shows where its requests were.
+// The destination of each send is logged before the send, so that the log shows it even if the
+// proxy is killed.
 func TestDestinationIsLoggedBeforeTheSend(t *testing.T) {
 	var lines sharedBuffer
 	prefiller := newFakeReplica(t, "read", answerPrefill)
--- a/process/ingress/long_test.go
+++ b/process/ingress/long_test.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// A caller may resume an interrupted stream itself. A run that starts over then is no
-// continuation either.
+// A caller may resume an interrupted stream itself, with the ID of its last event. A run that then
+// starts over with earlier events must not be passed on.
 func TestOnlyARunThatContinuesItsCallersStreamIsPassedOn(t *testing.T) {
 	restarting := newFakeReplica(t, "r-1", func(w http.ResponseWriter, r *http.Request) {
 		r.Header.Del(testResume)
--- a/process/ingress/metrics.go
+++ b/process/ingress/metrics.go
@@ -11,7 +11,7 @@
 const metricsNamespace = "landingtrail_ingress"
 
 // metrics holds the counters and histograms of the ingress. No label names a replica, because
-// replicas come and go; the log names them.
+// replicas come and go and would increase the number of time series; the log names them.
 type metrics struct {
 	registry       *prometheus.Registry
 	requests       *prometheus.CounterVec
@@ -63,7 +63,7 @@
 	return created
 }
 
-// Label values: who chose a replica, and the outcome of a prefill.
+// Label values: who chose a replica, and whether a prefill succeeded.
 const (
 	chosenByGroup = "group"
 	chosenByProxy = "proxy"
@@ -72,6 +72,8 @@
 	prefillFailed    = "failed"
 )
 
+// observe counts a request that ended. Its latency is recorded unless it was refused, in which
+// case route is empty.
 func (m *metrics) observe(route, outcome string, took time.Duration) {
 	m.requests.WithLabelValues(route, outcome).Inc()
 	if route != "" {
@@ -79,7 +81,7 @@
 	}
 }
 
-// outcomeOf returns the outcome label for a status.
+// outcomeOf returns the outcome label for a status; 0 stands for an answer that was cut.
 func outcomeOf(status int) string {
 	switch {
 	case status == 0:
--- a/process/ingress/metrics_test.go
+++ b/process/ingress/metrics_test.go
@@ -52,8 +52,8 @@
 	env.ingress.placer = &singleAnswerPlacer{answer: placement.Answer{Generator: "make-1", Reader: "read", Unread: 9000}}
 	must.Eq(t, eventTexts(1, 2), env.do(modelRequest).body)
 	got := env.ingress.metrics.values(t)
-	// Deciding alone, the proxy may also choose a separate prefill, depending on its
-	// measurements.
+	// When the proxy decides by itself, it may or may not choose a separate prefill, depending on
+	// the prefill speed that it has measured. So the number of prefills is not fixed.
 	must.Positive(t, got["landingtrail_ingress_prefills_total read model"])
 	must.Eq(t, got["landingtrail_ingress_prefills_total read model"], got["landingtrail_ingress_prefill_seconds model"])
 	for name, want := range map[string]float64{
--- a/process/ingress/model_test.go
+++ b/process/ingress/model_test.go
@@ -129,7 +129,8 @@
 	must.Eq(t, 1, staying.count())
 }
 
-// The member that places a request may know less than the proxy does.
+// The member that places a request may not know yet that a replica is leaving, while the proxy
+// does.
 func TestLeavingReplicaNamedByPlacementIsNotUsed(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -272,8 +273,8 @@
 	must.Eq(t, 3, current.cachedTokens([]Part{{ID: "a", Tokens: 1}, {ID: "b", Tokens: 2}, {ID: "c", Tokens: 9}}))
 }
 
-// The placement board takes the start of a run for the end of its prefill. It is told of a
-// prefill that did not happen, for any reason, and the request stays in flight.
+// The placement board assumes that a separate prefill is done when the run starts. So it is told
+// if a prefill failed or was not sent, for any reason, while the request stays in flight.
 func TestTheGroupIsToldOfFailedPrefills(t *testing.T) {
 	for name, test := range map[string]struct {
 		handler http.HandlerFunc
--- a/process/ingress/order_test.go
+++ b/process/ingress/order_test.go
@@ -25,8 +25,8 @@
 	must.Eq(t, 0, decoder.count())
 }
 
-// Replicas prefill deferred requests last. A run whose prompt is already prefilled keeps the
-// route's priority.
+// A send that includes the prefill of a deferred request has the lowest priority, so that replicas
+// prefill it last. A run whose prompt is already prefilled keeps the route's priority.
 func TestDeferredRequestsArePrefilledLast(t *testing.T) {
 	prefiller := newFakeReplica(t, "read", answerPrefill)
 	decoder := newFakeReplica(t, "make", streamEvents(2, ""))
--- a/process/ingress/overdue.go
+++ b/process/ingress/overdue.go
@@ -5,9 +5,9 @@
 	"sync"
 )
 
-// sessionTable holds the requests in progress. Timers enforce their deadlines, but a suspension
-// of the machine delays them; after one, requests past their deadline are cancelled from here.
-// One lock suffices, as for the requests in flight.
+// sessionTable holds the requests in progress. Timers enforce their deadlines, but a suspension of
+// the machine delays them; after one, requests past their deadline are cancelled from here. One
+// lock suffices: it is held briefly, twice for each request.
 type sessionTable struct {
 	lock    sync.Mutex
 	cancels map[*session]context.CancelCauseFunc
--- a/process/ingress/pick.go
+++ b/process/ingress/pick.go
@@ -22,11 +22,11 @@
 	// spreadCost is the maximum random addition to a cost. Without it, proxies that decide
 	// independently would all pick the same one of several equal replicas.
 	spreadCost = 20 * time.Millisecond
-	// fullCost diverts requests from replicas without a free slot.
+	// fullCost is the cost of a replica without a free slot.
 	fullCost = 300 * time.Millisecond
 )
 
-// choice is a replica and the expected wait of a request there.
+// choice is a replica and the cost of sending a request there: the expected wait plus penalties.
 type choice struct {
 	replica        *replica
 	cost           time.Duration
@@ -39,6 +39,7 @@
 	excluded map[string]bool
 }
 
+// matches reports whether the filter selects the replica and the replica accepts requests.
 func (filter *replicaFilter) matches(candidate *replica, now time.Duration) bool {
 	return !filter.excluded[candidate.name] && candidate.acceptsRequests(now) && filter.hasRole(candidate)
 }
@@ -52,8 +53,8 @@
 	return role == api.RoleNone || slices.Contains(filter.roles, role)
 }
 
-// pickPlain returns the cheapest available replica, or nil. A random one is preferred among
-// equals.
+// pickPlain returns the cheapest available replica, or nil. A random one is preferred if it is
+// among the cheapest; otherwise the first of these by name is returned.
 func (u *upstream) pickPlain(zone string, excluded map[string]bool, now time.Duration, random *rand.Rand) *replica {
 	candidates := u.candidates(&replicaFilter{roles: []api.EngineRole{api.RoleNone}, excluded: excluded}, now)
 	if len(candidates) == 0 {
@@ -69,6 +70,7 @@
 	return best
 }
 
+// plainCost returns the cost of sending a request without a prompt to the replica.
 func (r *replica) plainCost(zone string, now time.Duration) time.Duration {
 	occupied := r.occupancy(now)
 	work := time.Duration(occupied.requests+1) * plainCost // including the request to be placed
@@ -82,8 +84,8 @@
 	return cost
 }
 
-// candidates returns the matching replicas. Suspect ones are returned only if there are no
-// others.
+// candidates returns the matching replicas that are not suspect, or the matching suspect ones if
+// there are no others.
 func (u *upstream) candidates(filter *replicaFilter, now time.Duration) []*replica {
 	var healthy, suspects []*replica
 	for _, candidate := range u.fleet.choices(now) {
@@ -105,8 +107,8 @@
 // so that proxies that decide independently choose the same ones.
 const affinityReplicas = 2
 
-// pickModel returns the replica with one of the roles at which the call is expected to wait
-// least, and false if there is none. pace is the time to prefill one token there.
+// pickModel returns the replica with one of the roles that has the lowest cost for the call, and
+// false if there is none. pace is the time to prefill one token there.
 func (u *upstream) pickModel(filter *replicaFilter, call *Call, zone string, pace, now time.Duration, random *rand.Rand) (choice, bool) {
 	candidates := u.candidates(filter, now)
 	if len(candidates) == 0 {
@@ -124,11 +126,14 @@
 	return best, true
 }
 
+// modelCost returns the cost of sending a model request to the replica. preferred is true if
+// hashing assigns the shared part of the prompt to it.
 func (r *replica) modelCost(call *Call, preferred bool, zone string, pace, now time.Duration) choice {
 	occupied := r.occupancy(now)
 	cached := r.cachedTokens(call.Work.Parts)
 	if preferred {
-		// Another proxy has probably had the part prefilled there.
+		// Other proxies choose the same replica for the shared parts, so most of them are probably
+		// cached there.
 		cached = max(cached, sharedTokens(call.Work.Parts)*3/4)
 	}
 	uncached := max(call.Work.PromptTokens-cached, 0)
@@ -154,8 +159,9 @@
 	return tokens
 }
 
-// affinityReplicasOf ranks the candidates by a hash of the last shared part and the replica's
-// name (rendezvous hashing), which reassigns few parts when replicas come and go.
+// affinityReplicasOf returns the names of the affinityReplicas candidates that rank highest by a
+// hash of the last shared part and the replica's name (rendezvous hashing), which reassigns few
+// parts when replicas come and go.
 func (u *upstream) affinityReplicasOf(call *Call, candidates []*replica) map[string]bool {
 	parts := call.Work.Parts
 	if len(parts) < 2 {
--- a/process/ingress/placed.go
+++ b/process/ingress/placed.go
@@ -16,9 +16,11 @@
 // by itself.
 const placeTimeout = 30 * time.Millisecond
 
-// place asks the control group where to send the request, again after each wait that it demands.
-// It returns false if the control group does not answer in time or names replicas that do not
-// accept requests according to this proxy. It returns early when ctx ends.
+// place asks the control group where to send the request, and asks again after each wait that the
+// control group requires. It returns false if this proxy has to choose by itself: there is no
+// control group, it does not answer in time, or it names replicas that do not accept requests
+// according to this proxy. It also returns false when ctx ends. If the control group finds no
+// replica that accepts the request, it returns an empty plan and true.
 func (s *session) place(ctx context.Context) (plan, bool) {
 	if s.ingress.placer == nil {
 		return plan{}, false
@@ -33,6 +35,7 @@
 			s.abandonPlacement(number)
 			return plan{}, false
 		}
+		// The control group asks for the fingerprint of the request.
 		if answer.Name {
 			s.ingress.fingerprintsUntil.Store(int64(s.ingress.now() + fingerprintTime))
 			continue
@@ -65,7 +68,8 @@
 // choice, since only the control group isolates requests that may crash replicas.
 const maxReplacements = 3
 
-// namesHeldOff reports whether an answer names a replica that must not be sent anything.
+// namesHeldOff reports whether an answer names a replica that must not be sent anything because it
+// pauses or is leaving.
 func (s *session) namesHeldOff(answer placement.Answer) bool {
 	for _, name := range []string{answer.Generator, answer.Reader} {
 		if named := s.upstream.find(name); named != nil && named.holdoff.State(s.ingress.now()) == holdoff.Closed {
@@ -75,8 +79,9 @@
 	return false
 }
 
-// abandonPlacement tells the control group that a decision, if still made, will not be followed.
-// Otherwise it would occupy its place on the placement board until the request's deadline.
+// abandonPlacement tells the control group that its decision, should it still make one, will not
+// be followed. Otherwise the request would be counted at its replica on the placement board, the
+// table of placed requests of the member that decides, until its deadline.
 func (s *session) abandonPlacement(number uint64) {
 	s.ingress.placer.NotePlaced(feed.PlaceNote{
 		Service: s.upstream.service, Number: number, Note: placement.Note{Step: placement.StepEnded},
@@ -84,20 +89,23 @@
 }
 
 // fingerprintTime is how long all placement requests include the fingerprint after the control
-// group has asked for one. Asking for each would cost a round trip.
+// group has asked for one. If the control group had to ask for each one, each would cost a further
+// round trip.
 const fingerprintTime = 5 * time.Second
 
-// maxPlacementWait limits each wait before a request is placed again: its reason may end earlier
-// than estimated, or not at all.
+// maxPlacementWait limits each wait before the control group is asked again: the expected change,
+// such as a free replica, may come earlier than estimated, or not at all.
 const maxPlacementWait = 200 * time.Millisecond
 
+// askPlace sends a placement request and waits up to placeTimeout for the decision.
 func (s *session) askPlace(ctx context.Context, number uint64, ask placement.Ask) (placement.Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, placeTimeout)
 	defer cancel()
 	return s.ingress.placer.Place(ctx, feed.PlaceRequest{Service: s.upstream.service, Number: number, Ask: ask})
 }
 
-// planFromAnswer resolves the replicas that an answer names.
+// planFromAnswer looks up the replicas that an answer names, and adds the request to those in
+// flight. It returns false if one of them cannot be used.
 func (s *session) planFromAnswer(ask placement.Ask, answer placement.Answer, number uint64) (plan, bool) {
 	if answer.Generator == "" {
 		return plan{}, true // no replica accepts the request
@@ -117,6 +125,7 @@
 	now := s.ingress.now()
 	if !isUsable(answer.Generator, chosen.target, now) || !isUsable(answer.Reader, chosen.prefiller, now) {
 		tracked.report(placement.StepEnded, "", 0)
+		// Written also if the replica is known and pauses or is leaving.
 		s.trace.WriteString(" unknown_replica")
 		return plan{}, false
 	}
@@ -142,7 +151,9 @@
 	return milliseconds(s.route.ObjectiveMilliseconds)
 }
 
-// firstEventTimeout returns the time after which a first event is of no more use.
+// firstEventTimeout returns how much longer the caller waits for the first event; not positive if
+// it has stopped waiting. Once events have been received, it returns the remaining time of the
+// request.
 func (s *session) firstEventTimeout() time.Duration {
 	silence := s.ingress.config.Silence.of(s.route)
 	if silence == 0 || s.events > 0 {
@@ -151,6 +162,8 @@
 	return min(s.remaining(), silence-(s.ingress.now()-s.arrivedAt))
 }
 
+// placementAsk returns the description of the request on which the control group bases its
+// decision.
 func (s *session) placementAsk() placement.Ask {
 	ask := placement.Ask{
 		Prompt:    s.call.Work.PromptTokens,
@@ -175,8 +188,8 @@
 	return ask
 }
 
-// maxConnected limits the replicas that a placement request lists as connected. With more, most
-// are hardly used before their connections are closed as idle.
+// maxConnected limits the number of replicas that a placement request lists as connected. Of more
+// replicas than that, most would hardly be used before their idle connections are closed.
 const maxConnected = 64
 
 // connectedReplicas returns the replicas to which an idle connection is open.
@@ -193,5 +206,6 @@
 	return names
 }
 
-// find returns the listed replica with that name, or nil.
+// find returns the replica with that name if it is listed or was named by the control group, or
+// nil.
 func (u *upstream) find(name string) *replica { return u.fleet.find(name, u.clock()) }
--- a/process/ingress/plan.go
+++ b/process/ingress/plan.go
@@ -8,7 +8,8 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// plan is the destination of the next send.
+// plan is the destination of the next send, or the decision to send the request nowhere: refused
+// or quarantined is then set, or target is nil because no replica accepts it.
 type plan struct {
 	target *replica
 	// prefiller prefills the prompt first; nil if the target does it itself.
@@ -18,13 +19,14 @@
 	uncachedTokens int
 	estimate       time.Duration   // of the time to the first token
 	tracked        *trackedRequest // nil without a control group
-	// deferred gives precedence to requests that can still meet their objective.
+	// deferred is true if the request gets the lowest priority for its prefill, because it cannot
+	// meet its objective any more and others still can.
 	deferred bool
 	// isolated is true if nothing else is in flight at the target, because the request may crash
 	// it.
 	isolated bool
-	// refused is true if the request is sent nowhere, because it would not be answered before its
-	// deadline. The caller may retry after retryAfter.
+	// refused is true if the request is not sent to any replica, because it would not be answered
+	// before its deadline. The caller may retry after retryAfter.
 	refused    bool
 	retryAfter time.Duration
 	// heldOff is true if it is refused because all eligible replicas have asked for a pause.
@@ -34,10 +36,12 @@
 	quarantined bool
 }
 
-// deferredPriority is the lowest priority that replicas know.
+// deferredPriority is the lowest priority that replicas know; higher numbers mean lower
+// priorities.
 const deferredPriority = 9
 
-// prefillPriority returns the priority of a send that includes the prefill.
+// prefillPriority returns the priority of a send that includes the prefill; own is the request's
+// priority.
 func (p *plan) prefillPriority(own int) int {
 	if p.deferred {
 		return deferredPriority
@@ -45,9 +49,9 @@
 	return own
 }
 
-// runPriority returns the priority of a run. One that takes over a prefilled prompt keeps its own
-// priority even if deferred: little work is left, and until it is done the prompt occupies memory
-// on two replicas.
+// runPriority returns the priority of a run. A run that uses a prompt prefilled on another replica
+// keeps its own priority even if deferred: little work is left, and until it is done the prompt
+// occupies memory on two replicas.
 func (p *plan) runPriority(own int, source Source) int {
 	if source.Handle != "" {
 		return own
@@ -72,7 +76,8 @@
 	return p.fetchAddress()
 }
 
-// choose decides where the next send goes. The target is nil if no replica accepts the request.
+// choose decides where the next send goes. The target is nil if no replica accepts the request, or
+// if the plan is not to send it.
 func (s *session) choose(ctx context.Context) plan {
 	s.ingress.routes() // applies the latest list of replicas
 	now := s.ingress.now()
@@ -93,8 +98,8 @@
 	return chosen
 }
 
-// directPenalty is the cost factor of a prefill on a decode replica, which runs at half the pace
-// there and delays the tokens of other requests.
+// directPenalty is the cost factor of a prefill on a decode replica, which takes twice as long
+// there; the rest is for the tokens of other requests that it delays.
 const directPenalty = 2.5
 
 // handoverCost is the time to move a prefilled prompt to another replica.
@@ -123,7 +128,8 @@
 	return plan{target: direct.replica, uncachedTokens: direct.uncachedTokens}
 }
 
-// pickDecoder returns the replica that currently generates tokens fastest.
+// pickDecoder returns the replica with the lowest cost for a request whose prompt is already
+// prefilled.
 func (u *upstream) pickDecoder(filter *replicaFilter, zone string, now time.Duration, random *rand.Rand) (choice, bool) {
 	return u.pickModel(filter, &Call{}, zone, 0, now, random)
 }
--- a/process/ingress/prefill.go
+++ b/process/ingress/prefill.go
@@ -15,12 +15,14 @@
 	"github.com/pkg/errors"
 )
 
-// maxHandleBytes limits the answer to a prefill.
+// maxHandleBytes is how many bytes of the answer to a prefill are read. The answer contains a
+// handle, an opaque string by which another replica fetches the prefilled prompt.
 const maxHandleBytes = 64 << 10
 
-// allowPrefill checks the retry budget before a prefill. The first prefill that a replica accepts
-// is free. Once refusals have overdrawn the budget, only replicas that have hardly failed
-// recently are sent one. Every later prefill costs a retry, whatever its result.
+// allowPrefill reports whether the retry budget allows a prefill. A request's first prefill is not
+// charged to the budget unless it is refused. Refusals are charged even if nothing is left, and
+// once the budget is overdrawn, first prefills are sent only to reliable replicas. Every later
+// prefill is charged one retry in advance, whatever its result.
 func (s *session) allowPrefill(prefiller *replica) bool {
 	now := s.ingress.now()
 	granted := prefiller.isReliable() || !s.upstream.budget.Overdrawn(now)
@@ -34,9 +36,9 @@
 	return granted
 }
 
-// prefill has the prompt prefilled and returns where it is kept; empty on failure, in which case
-// the target prefills it itself. A prefill is not a run of the request, so any failure is
-// harmless. The first one costs a retry only if it is refused.
+// prefill sends the prompt to the prefill replica and returns where the result is kept; empty on
+// failure, in which case the target prefills it itself. A prefill is not a run of the request, so
+// any failure is harmless. The first one is charged a retry only if it is refused.
 func (s *session) prefill(ctx context.Context, chosen plan) Source {
 	if !chosen.prefiller.acceptsRequests(s.ingress.now()) {
 		s.noteWithheld(stagePrefill, chosen.prefiller)
@@ -62,8 +64,8 @@
 }
 
 // sendPrefill sends the prompt to the prefill replica. refused is true if the replica did not
-// accept it, or if that is unknown: the run that follows may then count as a second send. A
-// replica that answered with an error of its own has accepted it.
+// accept it, or if it was sent and that is unknown: the run that follows may then count as a
+// second send of the request. A replica that answered with an error of its own has accepted it.
 func (s *session) sendPrefill(ctx context.Context, chosen plan) (source Source, refused bool) {
 	prefiller, uncachedTokens := chosen.prefiller, chosen.uncachedTokens
 	startedAt := s.ingress.now()
@@ -87,7 +89,7 @@
 		s.noteBrokenConnection(prefillContext, stagePrefill, prefiller, sent, err)
 		fmt.Fprintf(&s.trace, " prefill(%s: %v)", prefiller.name, err)
 		if ctx.Err() != nil || context.Cause(prefillContext) == errTooLate {
-			return Source{}, false // nothing follows it
+			return Source{}, false // no run follows
 		}
 		return Source{}, s.handlePrefillError(chosen, err)
 	}
@@ -104,8 +106,8 @@
 	return source, false
 }
 
-// handlePrefillError records a prefill that received no answer, and reports whether the replica
-// may not have accepted it.
+// handlePrefillError records a prefill that received no answer. refused is true if the prefill was
+// sent, so that it is unknown whether the replica accepted it.
 func (s *session) handlePrefillError(chosen plan, err error) (refused bool) {
 	if errors.Is(err, errWithheld) {
 		s.noteWithheld(stagePrefill, chosen.prefiller)
@@ -125,8 +127,8 @@
 	return !notSent(err)
 }
 
-// readHandle returns the handle in the answer to a prefill; empty if there is none, together with
-// whether the replica did not accept the prefill.
+// readHandle returns the handle in the answer to a prefill. If there is no valid handle, it is
+// empty, and refused is true unless the replica is known to have accepted the prefill.
 func (s *session) readHandle(chosen plan, answer *exchange.Answer, startedAt time.Duration) (handle string, refused bool) {
 	prefiller, now := chosen.prefiller, s.ingress.now()
 	reply := s.ingress.config.Dialect.Reply(answer.Status, answer.Header)
@@ -142,7 +144,7 @@
 			step = placement.StepMisdirected
 		}
 		if reply.Asks.RetryAfter > 0 {
-			step = placement.StepRefused // keeps other requests' prefills off it as well
+			step = placement.StepRefused // so that other requests' prefills are not sent to it either
 		}
 		chosen.tracked.report(step, prefiller.name, 0)
 		return "", !reply.Named || reply.refuses()
@@ -164,7 +166,7 @@
 var errHandle = errors.New("ingress: prefill handle contains a character other than visible ASCII")
 
 // isVisibleASCII reports whether a value from a replica can be placed in a request head. A line
-// break in it would add to the request what no caller sent.
+// break in the value would add fields, or a request, that no caller sent.
 func isVisibleASCII(value string) bool {
 	return strings.IndexFunc(value, func(r rune) bool { return r <= ' ' || r > '~' }) < 0
 }
@@ -180,6 +182,7 @@
 	fmt.Fprintf(&s.trace, " prefill(%s: %d tokens in %s)", prefiller.name, uncachedTokens, took.Round(time.Millisecond))
 }
 
+// countPrefill counts a prefill in the metrics; source is empty if it failed.
 func (s *session) countPrefill(source Source) {
 	outcome := prefillSucceeded
 	if source.Handle == "" {
@@ -195,6 +198,7 @@
 	minPrefillTimeout    = 1500 * time.Millisecond
 )
 
+// prefillTimeout returns how long to wait for the answer to a prefill.
 func (s *session) prefillTimeout(chosen plan) time.Duration {
 	return max(time.Duration(prefillTimeoutFactor*float64(chosen.estimate)), minPrefillTimeout)
 }
@@ -202,9 +206,9 @@
 // releaseTimeout limits the release of a handle.
 const releaseTimeout = time.Second
 
-// release frees a handle that will not be used. The request has no ID, so that it gets a
-// connection of its own. A replica that pauses or is leaving is not contacted; the handle
-// expires.
+// release frees a handle that will not be used. The request has no ID by which its answer could be
+// recognized, so the pool sends it on a new connection. A replica that pauses or is leaving is not
+// contacted; the handle expires.
 func (s *session) release(source Source) {
 	pauseState := s.ingress.upstreams.holdoffs.Find(source.Replica)
 	if pauseState.State(s.ingress.now()) != holdoff.Open {
--- a/process/ingress/quarantine_test.go
+++ b/process/ingress/quarantine_test.go
@@ -79,7 +79,7 @@
 	return count
 }
 
-// setQuarantine puts the crash request on record.
+// setQuarantine puts the crash request on record; the state ends when until has passed from now.
 func (env *testEnv) setQuarantine(state api.QuarantineState, until time.Duration, replicas ...string) {
 	env.views.set(func(v *view.View) {
 		name := quarantine.Of(quarantine.Identity{Method: "GET", Host: "a.example", Path: "/safe/x", Query: "q=1"}).String()
@@ -111,7 +111,7 @@
 	must.Eq(t, 3, totalRequests(replicas), must.Sprint("a released request is sent again"))
 }
 
-// A proxy without a leader judges by its own observations.
+// A proxy without a leader uses its own observations.
 func TestCutOffProxyUsesItsOwnObservations(t *testing.T) {
 	env, reporter, replicas := newQuarantineEnv(t, 8)
 	for i := range 2 {
@@ -157,10 +157,10 @@
 	must.Eq(t, 3, totalRequests(replicas))
 }
 
-// Guards against sending a request on after it has caused the third crash on record. With two
-// crashes recorded by other proxies, one copy caused the third itself and went on to two more
-// replicas within 0.7 s, while the report was on its way to the leader and back: only the crashes
-// of that copy counted, although its proxy knew of the others.
+// Guards against sending a request on after it has caused the third crash on record. When only the
+// crashes of a copy itself counted, although its proxy knew of two others on record, the copy that
+// caused the third went on to two more replicas within 0.7 s, while the report was on its way to
+// the leader and back.
 func TestThirdRecordedCrashStopsTheRequestThatCausedIt(t *testing.T) {
 	env, reporter, replicas := newQuarantineEnv(t, 8)
 	reporter.connected.Store(true)
@@ -176,8 +176,8 @@
 }
 
 // A replica that answers later on a connection which was open before its suspected crash has not
-// crashed. On a new connection the answer may come from the next process under its name and
-// proves nothing; accepting it once released a request that had crashed eight replicas.
+// crashed. On a new connection the answer may come from the next process under its name and proves
+// nothing. When it was accepted as proof, a request that had crashed eight replicas was released.
 func TestAnswerRefutesACrash(t *testing.T) {
 	for _, keptOpen := range []bool{true, false} {
 		env, reporter, replicas := newQuarantineEnv(t, 1)
@@ -279,7 +279,8 @@
 	must.Eq(t, 4, ended)
 }
 
-// Without any suspicion the check of a request is a single atomic load, without hashing.
+// While no request is suspected, checking a request neither computes its fingerprint nor allocates
+// memory.
 func TestRequestsAreNotHashedWithoutSuspicion(t *testing.T) {
 	env, _, _ := newQuarantineEnv(t, 1)
 	s := &session{ingress: env.ingress, call: Call{Body: make([]byte, 1<<20)}}
@@ -345,11 +346,11 @@
 	must.SliceLen(t, 3, placer.asks, must.Sprint("the next placement request includes the fingerprint at once"))
 }
 
-// Guards against quarantining a harmless request that was served after each crash beside it. Its
-// first crash was seen by one proxy, which served that same request elsewhere 4 ms later. Two
-// more replicas crashed during it within three seconds by coincidence, and it was put on trial,
-// so that all other copies were refused. A served request was reported only if two or more
-// crashes were known.
+// Guards against quarantining a harmless request that is served after each crash during it. A
+// served request was once reported only if two or more crashes were known. A proxy that saw the
+// first crash and served the request elsewhere 4 ms later reported nothing; two more replicas
+// crashed during it within three seconds by coincidence, and it was put on trial, so that all
+// other copies were refused.
 func TestRequestServedAfterItsFirstCrashIsReported(t *testing.T) {
 	broken := newFakeReplica(t, "broken", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 	env := newTestEnv(t, broken, newFakeReplica(t, "sound", answerOK))
@@ -422,12 +423,11 @@
 	})
 }
 
-// Guards against sending a watched request without a leader's decision. A request that had
-// crashed three replicas crashed three more, more than three seconds later, one of them after a
-// wait of 1.2 s. The leader let its copies wait for a replica without other requests. Then one
-// placement request was not answered within 30 ms, and the proxy chose a replica itself; two more
-// copies had no leader and were sent at once. A proxy without an answer decided by itself even
-// for a request that it knew to need isolation.
+// Guards against sending a watched request without a leader's decision. A proxy without an answer
+// once decided by itself even for a request that it knew to need isolation. A request that had
+// crashed three replicas so crashed three more, more than three seconds later, while the leader
+// let its copies wait for a replica without other requests: one placement request was not answered
+// within 30 ms after a wait of 1.2 s, and two more copies had no leader and were sent at once.
 func TestWatchedRequestIsPlacedByALeaderOnly(t *testing.T) {
 	play := func(change func(env *testEnv, reporter *recordingReporter, placer *waitingPlacer)) (testResponse, int) {
 		decoder := newFakeReplica(t, "make", streamEvents(2, ""))
--- a/process/ingress/refusal_test.go
+++ b/process/ingress/refusal_test.go
@@ -8,8 +8,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// Callers retry when the proxy is expected to have its routes, even if an election has to pass,
-// and not all at the same time. The longer the proxy has been up, the shorter the delay.
+// Callers are told to retry when the proxy is expected to have its routes, even if the control
+// group has to elect a leader first, and not all at the same time. The longer the proxy has been
+// up, the shorter the delay.
 func TestRetryDelayOfAProxyWithoutRoutes(t *testing.T) {
 	none := newRouteTable(nil)
 	for range 100 {
--- a/process/ingress/replica.go
+++ b/process/ingress/replica.go
@@ -22,17 +22,19 @@
 	maxSuspectTime     = 8 * time.Second
 	// loadMaxAge is how long a reported load is used.
 	loadMaxAge = 2 * time.Second
-	// loadMargin is how much older than its arrival a reported load may be.
+	// loadMargin is the assumed maximum time between the measurement of a reported load and its
+	// arrival.
 	loadMargin = 5 * time.Millisecond
 )
 
-// replica is the state of one replica at this proxy: its entry in the list, its reported load,
-// and how it has answered. It exists as long as a view lists the replica.
+// replica is the state of one replica at this proxy: its entry in the list, its reported load, and
+// how it has answered. It exists from the first use of the replica until the replica is gone or
+// has been idle for idleRetention.
 type replica struct {
 	name        string
 	currentSpec atomic.Pointer[api.ReplicaSpec] // replaced when the list changes
-	// holdoff outlives this state: a pause that the replica asked for is independent of the views
-	// that list it.
+	// holdoff is kept when this state is dropped: a pause that the replica asked for does not
+	// depend on the views that list it.
 	holdoff *holdoff.Replica
 
 	lock sync.Mutex
@@ -47,7 +49,7 @@
 	failureRate   float64
 	suspectTime   time.Duration
 	suspectUntil  time.Duration // 0 once anything was received from the replica again
-	cacheEstimate cacheEstimate
+	cacheEstimate cacheEstimate // of the prompt parts that the replica has cached
 	usedAt        time.Duration // when a request was last sent, or when the state was created
 	// crashedAt is when the replica seems to have crashed; 0 once it has proved to be alive.
 	crashedAt time.Duration
@@ -56,7 +58,7 @@
 // send is one request in flight to a replica.
 type send struct {
 	at time.Duration
-	// tokens is the part of the prompt that the replica has yet to prefill.
+	// tokens is the number of prompt tokens that the replica has to prefill.
 	tokens int
 	// started is true once the first event was received.
 	started bool
@@ -118,7 +120,7 @@
 	}
 }
 
-// noteSuccess and noteFailure record how a request ended.
+// noteSuccess records a request that was answered successfully.
 func (r *replica) noteSuccess() {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -126,6 +128,7 @@
 	r.suspectTime = 0
 }
 
+// noteFailure records a request that failed at the replica.
 func (r *replica) noteFailure() {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -139,8 +142,8 @@
 	return r.failureRate < maxReliableFailureRate
 }
 
-// suspect marks the replica as suspect for some time, because it gave no answer. Further failures
-// during that time do not extend it: they have the same cause.
+// suspect marks the replica as suspect for some time and raises its failure rate, because it gave
+// no answer. Further failures during that time do not extend it, since they have the same cause.
 func (r *replica) suspect(now time.Duration) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -156,11 +159,12 @@
 func (r *replica) noteCrash(now time.Duration) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.crashedAt = max(now, 1)
+	r.crashedAt = max(now, 1) // 0 stands for no crash
 }
 
 // refutesCrash reports whether an answer to a request sent at sentAt proves that a replica which
-// seemed to have crashed is alive. It is true once per suspected crash.
+// seemed to have crashed is alive. If so, it also clears the suspected crash, so that it returns
+// true once for each.
 //
 // Only an answer on a connection opened before the crash is a proof: connections end with their
 // process, and another process may have been started under the same name.
@@ -177,7 +181,7 @@
 // incarnation returns the identity of the listed process under the replica's name.
 func (r *replica) incarnation() string { return api.IncarnationName(r.name, r.spec().Born) }
 
-// silentSince reports whether nothing was received from the replica since then.
+// silentSince reports whether nothing was received from the replica at that time or later.
 func (r *replica) silentSince(then time.Duration) bool {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -194,7 +198,7 @@
 	suspect       bool
 }
 
-// occupancy adds to the reported load the sends of this proxy that it cannot include.
+// occupancy adds to the reported load those sends of this proxy that it does not include yet.
 func (r *replica) occupancy(now time.Duration) occupancy {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -220,7 +224,8 @@
 	return result
 }
 
-// reportedRequests returns how many requests, running and waiting, the replica last reported.
+// reportedRequests returns how many requests, running and waiting, the replica last reported,
+// however long ago.
 func (r *replica) reportedRequests() int {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -237,7 +242,7 @@
 // announcement.
 func (r *replica) isLeaving() bool { return r.spec().Leaving || r.holdoff.IsLeaving() }
 
-// isSuspect reports whether the replica is to be avoided while there are others.
+// isSuspect reports whether the replica is chosen only if there are no others.
 func (r *replica) isSuspect(now time.Duration) bool {
 	if r.holdoff.State(now) == holdoff.Doubtful {
 		return true
--- a/process/ingress/routes.go
+++ b/process/ingress/routes.go
@@ -23,7 +23,8 @@
 	keys         *apikey.Table
 }
 
-// newRouteTable builds the table from the Ingress object; nil if none has been accepted yet.
+// newRouteTable builds the table from the Ingress object, which is nil if none has been received
+// yet. The caller sets keys.
 func newRouteTable(object *api.Ingress) *routeTable {
 	table := &routeTable{byHost: map[string][]*api.Route{}, services: map[string]*api.RouteService{}, keys: apikey.NewTable()}
 	if object == nil {
@@ -73,7 +74,8 @@
 	return defaultMaxBodyBytes
 }
 
-// chooseService picks one of the route's services at random by weight.
+// chooseService picks one of the route's services at random by weight. It returns an empty name,
+// for which there are no replicas, if the total weight is 0.
 func chooseService(route *api.Route, random *rand.Rand) string {
 	total := 0
 	for _, backend := range route.Backends {
--- a/process/ingress/run.go
+++ b/process/ingress/run.go
@@ -18,8 +18,8 @@
 	"github.com/pkg/errors"
 )
 
-// Timing of the subscription to the control group. An unresponsive leader is abandoned quickly
-// enough for a new configuration to take effect in time.
+// Timing of the subscription to the control group. An unresponsive leader is abandoned after
+// silenceTimeout, so that a new configuration is not delayed much by a change of leader.
 const (
 	beatInterval   = 350 * time.Millisecond
 	silenceTimeout = 1000 * time.Millisecond
@@ -27,11 +27,13 @@
 	maxBackoff     = 200 * time.Millisecond
 )
 
-// maxHeaderBytes is the default limit on the head of a caller's request.
+// maxHeaderBytes is the limit on the head of a caller's request.
 const maxHeaderBytes = 64 << 10
 
-// Run serves callers until ctx ends and then performs a planned stop. It returns ErrConfig before
-// opening anything if the configuration is invalid.
+// Run serves callers until ctx ends and then performs a planned stop. If the configuration is
+// invalid, it returns ErrConfig before opening anything. It also returns an error if it cannot
+// listen or subscribe to the control group, and nil after a planned stop, even one that had to
+// cancel requests.
 func Run(ctx context.Context, config Config, logger log.Logger) error {
 	config = config.WithDefaults()
 	if faults := config.Check(); len(faults) > 0 {
@@ -41,7 +43,8 @@
 	ingress := New(config, views, clock.Now, logger)
 	defer ingress.Close()
 	day := metering.NewDay(clock.Now, time.Now)
-	ingress.day = day.Now // the machine's own wall clock may jump by seconds
+	// Corrected by the control group; the machine's own wall clock may jump by seconds.
+	ingress.day = day.Now
 	if config.UsageWindow > 0 {
 		ingress.usage = metering.NewCounter(config.Name, config.UsageWindow, day.Now)
 	}
@@ -87,8 +90,8 @@
 	return ingress.serveUntil(ctx, client)
 }
 
-// serveRelay forwards placement requests for proxies that cannot reach the control group, until
-// end is called.
+// serveRelay forwards the placement requests of proxies that cannot reach the control group, until
+// the returned function is called.
 func (i *Ingress) serveRelay(relay *feed.PlacementRelay) (end func(), err error) {
 	if i.config.RelayAddress == "" {
 		return func() {}, nil
@@ -102,8 +105,8 @@
 }
 
 // reportOnConnect reports the requests in flight and the cached prompt parts to each new leader,
-// or standby member, until ctx ends. A leader that was only silent for a while still knows the
-// cached parts and is sent the requests in flight alone.
+// or standby member, until ctx ends. A leader that is only heard again after a silence still knows
+// the cached parts, and is sent the requests in flight alone.
 func (i *Ingress) reportOnConnect(ctx context.Context, served, resumed <-chan struct{}, to groupReporter) {
 	for {
 		select {
@@ -112,7 +115,7 @@
 			i.reportCachedParts(to)
 			i.reportAllLeaving()
 			i.guard.ReportAll(i.now())
-			i.usage.Again()
+			i.usage.Again() // does nothing if usage is not reported
 		case <-resumed:
 			i.reportInFlight(to)
 		case <-ctx.Done():
@@ -137,7 +140,7 @@
 	ReportUsage(report feed.UsageReport) bool
 }
 
-// reportUsage reports usage counts to the leader periodically and once more when ctx ends.
+// reportUsage reports usage counts to the leader periodically until ctx ends, and then once more.
 func (i *Ingress) reportUsage(ctx context.Context, to usageReporter) {
 	if i.usage == nil {
 		return
@@ -274,9 +277,9 @@
 }
 
 // drain performs the planned stop. It first reports not ready and asks callers to close their
-// connections while still serving new requests, then stops accepting connections and waits for
-// the requests in flight. Requests that do not finish in time are answered, because their callers
-// would otherwise not learn their outcome.
+// connections while still serving new requests, then stops accepting connections and waits for the
+// requests in flight. Requests that do not finish in time are answered with an error, because
+// their callers would otherwise not learn their outcome; a stream that has begun is cut.
 func (i *Ingress) drain(callerServer *http.Server, group announcer) error {
 	startedAt := time.Now()
 	i.plannedStop.Store(&plannedStop{refuseFrom: i.now() + i.config.Drain.Late, endsAt: i.now() + i.config.Drain.Limit})
@@ -296,7 +299,7 @@
 }
 
 // finalAnswerShare is the additional time, as a share of the drain limit, for sending answers to
-// the requests that are still in flight at the limit.
+// the requests that are still in flight then.
 const finalAnswerShare = 0.05
 
 // answerRemaining cancels all requests and waits until their answers are sent.
--- a/process/ingress/session.go
+++ b/process/ingress/session.go
@@ -29,12 +29,12 @@
 	deadline       time.Duration // the earlier of the caller's and the route's
 	callerDeadline time.Duration // when the caller stops waiting
 
-	sendCount    int // sends to replicas, without the first prefill, which is free
-	prefillCount int // number of separate prefills
+	sendCount    int // runs sent to replicas
+	prefillCount int // separate prefills; the first costs a retry only if it is refused
 	dialFailures int // connections that could not be opened
 	// contacted holds the addresses to which the request was sent, to prefill or to run it.
 	contacted map[string]bool
-	excluded  map[string]bool
+	excluded  map[string]bool // names of replicas that were tried, which are not chosen again
 	// answered is true once the replica of the current attempt has answered.
 	answered bool
 	// misdirected is true if another replica answered at the address in the current attempt.
@@ -52,7 +52,8 @@
 	lastEventID  string
 	events       int
 	firstEventAt time.Duration // when the first event was received
-	// capacityWait is the time until the control group expects capacity for the request.
+	// capacityWait is the estimated time until there is capacity for the request, as last given by
+	// the control group.
 	capacityWait time.Duration
 	// allHeldOff is true if capacityWait is the time until the first pause ends, because all
 	// replicas asked for one.
@@ -63,9 +64,9 @@
 	failure           *savedAnswer
 	trace             strings.Builder         // attempts and their results, for the log
 	cachedFingerprint *quarantine.Fingerprint // nil until it is computed
-	crashes           int                     // runs that ended because the replica seems to have crashed
-	// wasIsolated is true once the request was sent to a replica that had nothing else in flight,
-	// isolated while it is there.
+	crashes           int                     // runs during which the replica seems to have crashed
+	// wasIsolated is true once the request was assigned to a replica with no other request in
+	// flight. isolated is true if the current attempt is such a one.
 	wasIsolated bool
 	isolated    bool
 }
@@ -82,19 +83,21 @@
 
 const (
 	verdictDone       verdict = iota + 1 // the caller has a complete answer
-	verdictNotRun                        // the attempt certainly did not run
+	verdictNotRun                        // no replica has run the request in this attempt
 	verdictBroken                        // it may have run but produced no complete answer
 	verdictCallerEnd                     // the caller is gone or its deadline has passed
 	verdictNoCapacity                    // no replica would answer before the deadline
 	verdictTooLate                       // the deadline passed before the request was sent
-	verdictHeld                          // quarantined, and therefore sent to no replica
+	verdictHeld                          // quarantined, so that it must not be sent to a replica
 )
 
 // maxDialFailures is the number of connections that may fail before a request is given up.
 const maxDialFailures = 3
 
-// run makes attempts until the request has its final answer. It returns the status sent to the
-// caller, or 0 if the connection must be closed without a complete answer.
+// run makes attempts until the request has its final answer. It returns the status for the log and
+// the metrics: 200 for any answer of a replica that was passed on completely, whatever its own
+// status; the status of any other final answer; statusCallerGone if the caller has gone; or 0 if
+// the connection must be closed without a complete answer.
 func (s *session) run(ctx context.Context) int {
 	for {
 		if ctx.Err() != nil {
@@ -103,7 +106,8 @@
 		if s.outOfTime() {
 			return s.giveUp("no_time")
 		}
-		// Checked before each send, since a crash takes effect as soon as it is known.
+		// Checked before each send: a crash that became known in the meantime may have quarantined
+		// the request.
 		if remaining, quarantined := s.quarantineHold(); quarantined {
 			return s.refuseQuarantined(remaining)
 		}
@@ -149,9 +153,9 @@
 }
 
 // outOfTime reports whether there is too little time left to send the request. Before the first
-// send only the deadline counts; it may have passed during a suspension of the machine, which
-// timers do not notice. After that the request also needs enough time to run, or the next replica
-// would only refuse it.
+// send this is so if the deadline has passed, possibly during a suspension of the machine, when
+// timers do not advance. Before a later send the remaining time must also suffice for a run, since
+// the next replica would refuse the request otherwise.
 func (s *session) outOfTime() bool {
 	if s.sendCount == 0 && s.prefillCount == 0 {
 		return s.remaining() <= 0
@@ -160,14 +164,15 @@
 }
 
 // mayAttempt reports whether another send is allowed by the route's limit on attempts and by the
-// retry budget that all proxies share.
+// retry budget that all proxies share. It withdraws a retry from the budget if one is needed.
 func (s *session) mayAttempt() bool {
 	if s.dialFailures > maxDialFailures || s.sendCount >= max(s.route.Attempts, 1) {
 		return false
 	}
-	// Does not wait for the control group's decision if this request alone has crashed as many
-	// replicas as would quarantine it, or if that many crashes are known for it and it caused at
-	// least one of them now. If it is harmless after all, it loses only one retry.
+	// The request is not sent again if its runs in this session crashed enough replicas to
+	// quarantine it, or if they crashed at least one and enough crashes in all are known. Waiting
+	// for the control group's decision could cost another replica, whereas a harmless request
+	// loses only one retry.
 	if s.crashes >= quarantine.CondemningEnds || s.crashes > 0 && s.ingress.guard.EndsMany(s.ingress.now(), s.fingerprint()) {
 		return false
 	}
@@ -182,7 +187,7 @@
 	return true
 }
 
-// giveUp sends the final answer after the last attempt has failed.
+// giveUp sends the final answer if no further attempt is made, which may be before the first one.
 func (s *session) giveUp(cause string) int {
 	ran := s.lifecycle.GiveUp()
 	if s.headSent {
@@ -224,11 +229,11 @@
 // statusCallerGone is logged for a request whose caller has gone.
 const statusCallerGone = 499
 
-// retryAfter returns the delay after which the caller should retry.
+// retryAfter returns the retry delay to send to the caller.
 func (s *session) retryAfter() time.Duration {
 	remaining := s.callerDeadline - s.ingress.now()
 	if s.allHeldOff {
-		return s.capacityWait // no replica accepts the request earlier, however long that is
+		return s.capacityWait // not limited, since no replica accepts the request earlier
 	}
 	if s.capacityWait > 0 {
 		return max(min(s.capacityWait, time.Duration(capacityWaitShare*float64(remaining))), minimumRetryAfter)
@@ -239,14 +244,15 @@
 const (
 	defaultRetryAfter = 250 * time.Millisecond
 	minimumRetryAfter = 20 * time.Millisecond
-	// retryShareOfRemaining keeps the delay short in relation to the caller's remaining time.
+	// retryShareOfRemaining is the divisor of the caller's remaining time that limits the delay.
 	retryShareOfRemaining = 6
 	// capacityWaitShare is the share of the caller's remaining time that a wait for capacity may
 	// take up.
 	capacityWaitShare = 0.3
 )
 
-// refuse sends an answer that the proxy generates itself.
+// refuse sends a final answer that the proxy generates itself, whether or not the request was sent
+// to replicas.
 func (s *session) refuse(status int, cause string, retryAfter time.Duration) int {
 	fmt.Fprintf(&s.trace, " own:%s", cause)
 	header := s.writer.Header()
@@ -279,8 +285,8 @@
 	return s.failure.status
 }
 
-// countUsage counts the request for its tenant; a replica started it that long ago. Later runs,
-// and runs that continue its stream, belong to the same request and are not counted again.
+// countUsage counts the request for its tenant. ago is the time since a replica started it. Later
+// runs, and runs that continue its stream, belong to the same request and are not counted again.
 func (s *session) countUsage(ago time.Duration) {
 	if s.usageCounted || s.ingress.usage == nil {
 		return
--- a/process/ingress/stop_test.go
+++ b/process/ingress/stop_test.go
@@ -44,10 +44,10 @@
 	})
 }
 
-// Guards against accepting requests late in a planned stop that may outlast it. A stream that was
-// sent 3.2 s after the start of a stop was cut 4 s later, in the middle of its answer, because
-// the proxy went on accepting all requests for half of its time. Such a request must reach no
-// replica, and its caller must be told at once.
+// Guards against accepting requests late in a planned stop that may outlast it. When the proxy
+// went on accepting all requests for half of the stop, a stream that was sent 3.2 s after its
+// start was cut 4 s later, in the middle of its answer. Such a request must reach no replica, and
+// its caller must be told at once.
 func TestLateRequestThatMayOutlastTheStopIsRefusedAtOnce(t *testing.T) {
 	replica := newFakeReplica(t, "r-1", answerOK)
 	env := newTestEnv(t, replica)
--- a/process/ingress/stream.go
+++ b/process/ingress/stream.go
@@ -14,11 +14,11 @@
 	"github.com/pkg/errors"
 )
 
-// forwardStream passes on each event of a run as soon as it is complete. The head is sent with
-// the first event; until then the request can be retried elsewhere without the caller noticing. A
-// run that continues another run's stream is passed on under the first run's head, provided that
-// its events come after those that the caller has, whether from this proxy or from the stream
-// that the caller resumes.
+// forwardStream passes on each event of a run as soon as it is complete. The head is sent with the
+// first event; until then the request can be retried elsewhere without the caller noticing. A run
+// that continues another run's stream is passed on without its own head. Its events must come
+// after the last one that the caller has, which was sent by this proxy or is named by a caller
+// that resumes a stream. Otherwise the run counts as broken.
 func (s *session) forwardStream(ctx context.Context, chosen plan, sent *send, number uint32, answer *exchange.Answer) verdict {
 	target := chosen.target
 	events := newEventReader(answer)
@@ -67,7 +67,7 @@
 var errNotContinued = errors.New("ingress: resumed run does not continue the stream")
 
 // isLaterEventID reports whether an event of a resumed run comes after the last event that the
-// caller has. IDs of a stream are increasing numbers; others prove nothing.
+// caller has. Only increasing decimal IDs are supported.
 func isLaterEventID(id, last string) bool {
 	next, err := strconv.ParseUint(id, 10, 64)
 	if err != nil {
@@ -77,7 +77,7 @@
 	return err == nil && next > had
 }
 
-// beginStream sends the head of the first run to the caller.
+// beginStream sends the head of the answer to the caller unless one was already sent.
 func (s *session) beginStream(answer *exchange.Answer) {
 	if s.headSent {
 		return
@@ -87,6 +87,8 @@
 	s.writer.WriteHeader(answer.Status)
 }
 
+// endStream records a stream that ended normally. One without any event counts as well; its head
+// is sent here.
 func (s *session) endStream(target *replica, number uint32, answer *exchange.Answer) verdict {
 	s.beginStream(answer)
 	target.noteSuccess()
@@ -101,6 +103,7 @@
 	if ctx.Err() != nil {
 		return verdictCallerEnd
 	}
+	// Reported to the control group like an attempt without an answer.
 	s.answered = false
 	target.suspect(s.ingress.now())
 	return verdictBroken
--- a/process/ingress/suspension_test.go
+++ b/process/ingress/suspension_test.go
@@ -26,8 +26,8 @@
 }
 
 // The monotonic clock and timers do not advance while a machine is suspended. A request whose
-// deadline has passed on wake-up is sent to no replica, which would be given more time than
-// remains, and is answered at once.
+// deadline has passed on wake-up is answered at once and is sent to no replica: the replica would
+// be told a longer timeout than the caller waits.
 func TestDeadlineThatPassesDuringASuspension(t *testing.T) {
 	replica := newFakeReplica(t, "r-1", streamEvents(3, ""))
 	env := newTestEnv(t, replica)
--- a/process/ingress/try.go
+++ b/process/ingress/try.go
@@ -15,21 +15,24 @@
 	"github.com/pkg/errors"
 )
 
-// errTimeout is the cause of a context whose request has passed its deadline, errStopping of one
-// whose process must stop, errSilent of an attempt whose replica sent nothing, and errTooLate of
-// a prefill that would leave no time to run the request.
+// Causes of cancelled contexts.
 var (
-	errTimeout  = errors.New("ingress: request deadline exceeded")
+	// errTimeout cancels a request whose deadline has passed.
+	errTimeout = errors.New("ingress: request deadline exceeded")
+	// errStopping cancels the requests that a planned stop no longer waits for.
 	errStopping = errors.New("ingress: planned stop has reached its time limit")
-	errSilent   = errors.New("ingress: replica sent no data")
-	errTooLate  = errors.New("ingress: not enough time left to run the request")
+	// errSilent cancels an attempt whose replica has sent nothing.
+	errSilent = errors.New("ingress: replica sent no data")
+	// errTooLate cancels a prefill that would leave no time to run the request.
+	errTooLate = errors.New("ingress: not enough time left to run the request")
 )
 
-// minRunTime is the shortest remaining time with which a replica accepts a run: network transfer,
-// a place in a batch, and the first token.
+// minRunTime is the shortest remaining time for which a run is started. It covers the network
+// transfer, the wait for the next batch, and the first token; replicas refuse runs with less.
 const minRunTime = 30 * time.Millisecond
 
-// try makes one attempt and returns its verdict and the replica, nil if no replica was chosen.
+// try makes one attempt and returns its verdict and the chosen replica, nil if none was chosen.
+// The request may turn out to be quarantined after the choice.
 func (s *session) try(ctx context.Context) (verdict, *replica) {
 	s.answered, s.misdirected, s.connectionRefused, s.withheld = false, false, false, false
 	chosen := s.choose(ctx)
@@ -80,7 +83,7 @@
 	return result, chosen.target
 }
 
-// discardPrefill abandons a prefilled prompt whose request will not run.
+// discardPrefill releases the prefilled prompt of a request that will not run.
 func (s *session) discardPrefill(chosen plan, source Source) {
 	chosen.tracked.report(placement.StepEnded, "", 0)
 	if source.Handle != "" {
@@ -117,8 +120,8 @@
 	return source
 }
 
-// replaceTarget picks another decode replica if the chosen one started to leave or failed during
-// the prefill.
+// replaceTarget picks another decode replica if the chosen one began to pause or leave, or became
+// suspect, during the prefill.
 func (s *session) replaceTarget(chosen *plan) {
 	if chosen.isolated {
 		return // the request would not be isolated on any other replica
@@ -135,7 +138,7 @@
 	}
 }
 
-// send has the target run the request.
+// send sends the request to the target and passes on its answer.
 func (s *session) send(ctx context.Context, chosen plan, source Source) verdict {
 	target := chosen.target
 	if !target.acceptsRequests(s.ingress.now()) {
@@ -190,7 +193,8 @@
 }
 
 // exchange sends the request to a replica. The pool compares the ID in each answer with the
-// request's ID, so the result is the answer to this request.
+// request's ID, so that no answer to another request is returned. Pauses and departures that any
+// of the received answers announce are recorded.
 func (s *session) exchange(ctx context.Context, stage string, to *replica, request *exchange.Request) (*exchange.Answer, error) {
 	address := to.spec().Address
 	request.Identity.Repeated = s.contacted[address]
@@ -210,8 +214,8 @@
 	return nil, err
 }
 
-// noteForeign logs answers that arrived in place of this request's answer and belong to other
-// requests.
+// noteForeign logs and counts foreign answers: those that arrived before this request's answer and
+// name another request or none.
 func (s *session) noteForeign(stage string, from *replica, reused bool, answers []*exchange.ForeignAnswer) {
 	for _, foreign := range answers {
 		s.ingress.metrics.foreignAnswers.WithLabelValues(s.upstream.service, stage).Inc()
@@ -247,7 +251,7 @@
 	}
 }
 
-// handleNoAnswer ends an attempt that received no answer.
+// handleNoAnswer records an attempt that received no answer and returns its verdict.
 func (s *session) handleNoAnswer(ctx context.Context, target *replica, number uint32, err error) verdict {
 	now := s.ingress.now()
 	var failure *exchange.Failure
@@ -277,8 +281,8 @@
 	return verdictBroken
 }
 
-// noteUnanswered records that a replica did not answer the request. A replica that answered
-// another request instead is neither silent nor gone.
+// noteUnanswered records that a replica did not answer the request. One that answered another
+// request instead counts as failed but not as suspect, since it is reachable.
 func (s *session) noteUnanswered(target *replica, err error, now time.Duration) {
 	if isForeign(err) {
 		target.noteFailure()
@@ -293,8 +297,8 @@
 }
 
 // watchSilence cancels an attempt if its replica has sent nothing at all for some time and the
-// request may be retried elsewhere: the replica hangs or its machine is gone. The result stops
-// the watch.
+// request may be retried elsewhere: the replica hangs or its machine is gone. The returned
+// function stops the watch.
 func (s *session) watchSilence(ctx context.Context, chosen plan, sent *send, cancel context.CancelCauseFunc) func() bool {
 	if !s.route.Idempotent() || s.sendCount+1 >= s.route.Attempts {
 		return func() bool { return true }
@@ -309,13 +313,13 @@
 	return timer.Stop
 }
 
-// Timeout for the first data from a replica, as a multiple of the route's objective.
+// Timeout for the first data from a replica: the largest of answerTimeoutObjectives times the
+// route's objective, answerTimeoutEstimates times the estimated time to the first token, and
+// minAnswerTimeout.
 const (
 	answerTimeoutObjectives = 2
 	minAnswerTimeout        = 300 * time.Millisecond
-	// answerTimeoutEstimates is the timeout as a multiple of the estimated time to the first
-	// token.
-	answerTimeoutEstimates = 4
+	answerTimeoutEstimates  = 4
 )
 
 func (s *session) answerTimeout(chosen plan) time.Duration {
--- a/process/ingress/types.go
+++ b/process/ingress/types.go
@@ -2,6 +2,12 @@
 // route in the current view, sends it to replicas of the route's service, and returns exactly one
 // final answer.
 //
+// The view is the replicated state of the control group as this proxy last received it. The
+// control group, or this proxy if the group does not answer, chooses the replica for each model
+// request (placement). The prompt may be prefilled on one replica and the answer generated on
+// another. A retry budget that all proxies share limits how often requests are sent again, and
+// requests that seem to crash replicas are quarantined; see package guard.
+//
 // Guarantees:
 //
 //   - Method, target and body reach a replica exactly as the caller sent them.
@@ -32,8 +38,9 @@
 	Header  http.Header
 	Body    []byte
 	Chunked bool
-	// Caller identifies the caller: the tenant of the API key if keys are required, otherwise the
-	// value of the fields that identify a caller; empty if there are none.
+	// Caller identifies the caller as part of the request's fingerprint: the tenant of the API key
+	// if keys are required, otherwise the value of the fields that identify a caller; empty if
+	// there are none.
 	Caller string
 	// Tenant is the tenant of the API key; empty if keys are not required or none was sent.
 	Tenant string
@@ -41,7 +48,7 @@
 	Credential Credential
 	// Within is how long the caller waits; 0 if unspecified.
 	Within time.Duration
-	Work   Work
+	Work   Work // zero for a request without a prompt
 	// ResumeAfter is the ID of the last event that the caller received of an interrupted stream.
 	ResumeAfter string
 }
@@ -53,12 +60,13 @@
 	Given bool
 }
 
-// Work is what a caller declares about a generation request.
+// Work is what a caller declares about a request to a model.
 type Work struct {
 	Model        string
 	PromptTokens int
 	OutputTokens int
-	// Parts are the pieces of the prompt in order; requests may share them.
+	// Parts are the pieces of the prompt in order. Requests with a part in common use the same ID
+	// for it.
 	Parts []Part
 }
 
@@ -68,7 +76,7 @@
 	Tokens int
 }
 
-// Attempt is what one send adds to a call.
+// Attempt holds what differs between the sends of one call.
 type Attempt struct {
 	Replica  string        // the only replica that may run the request
 	Within   time.Duration // how long the replica may work on it
@@ -84,7 +92,8 @@
 	Fetch string
 }
 
-// Source is a prompt that a replica has prefilled and keeps.
+// Source is a prompt that a replica has prefilled and keeps. Handle is an opaque string of that
+// replica by which the prompt is fetched or released; empty if there is no such prompt.
 type Source struct {
 	Replica string // name of the replica
 	Address string
@@ -95,7 +104,7 @@
 type Reply struct {
 	// Named is true if the answer carries the ID of its request.
 	Named bool
-	// Genuine is true if the replica produced the answer by running a request.
+	// Genuine is true if the answer states that the replica produced it by running a request.
 	Genuine bool
 	// NotRun is true if the replica states that it has not run the request.
 	NotRun bool
@@ -107,7 +116,7 @@
 	Asks holdoff.Word
 }
 
-// refuses reports whether the answer proves that the request has not run. An answer without a
+// refuses reports whether the answer proves that the request was not run. An answer without a
 // request ID proves nothing: it may have been sent before the request was read, and the request
 // may still run afterwards.
 func (r *Reply) refuses() bool { return r.Named && (r.NotRun || r.Misdirected) }
@@ -121,7 +130,7 @@
 	return r.Load
 }
 
-// Load is the load that a replica reports.
+// Load is the load that a replica reports, in requests.
 type Load struct {
 	Running int
 	Waiting int
@@ -131,10 +140,10 @@
 	Slowdown float64
 }
 
-// Dialect reads and writes the header fields of one protocol.
+// Dialect reads and writes the header fields of one protocol. It must be safe for concurrent use.
 type Dialect interface {
 	// Call parses the fields of a caller's request and removes the dialect's internal fields from
-	// the header.
+	// the header. It returns an error if the value of a field is invalid.
 	Call(header http.Header) (Call, error)
 	// Identify replaces every field that identifies a caller, including credentials, by the
 	// tenant; with an empty tenant they are only removed.
@@ -145,12 +154,14 @@
 	IdentityField() string
 	// Reply parses the fields of an answer.
 	Reply(status int, header http.Header) Reply
-	// Handle parses the body of the answer to a prefill.
+	// Handle parses the body of the answer to a prefill. It returns an error if the body contains
+	// no handle; the answer's request ID has been checked before.
 	Handle(body []byte) (handle string, err error)
 	// Release returns the method and target of the request that frees a handle, and sets its
 	// header fields. The request must affect only the named replica, even if another one has
 	// taken over its address.
 	Release(header http.Header, replica, handle string) (method, target string)
-	// Refusal sets the fields of an answer that the proxy generates itself.
+	// Refusal sets the fields of an answer that the proxy generates itself. The call may be
+	// incomplete, without an ID for example; retryAfter is 0 if no retry delay is to be sent.
 	Refusal(header http.Header, call *Call, retryAfter time.Duration)
 }
--- a/process/pause/pause.go
+++ b/process/pause/pause.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// For sleeps for the duration and returns true, or returns false as soon as ctx ends.
+// For sleeps for the duration and returns true, or returns false as soon as ctx ends. If the
+// duration is not positive and ctx has already ended, either may be returned.
 func For(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -18,8 +19,8 @@
 	}
 }
 
-// Signal sends on a channel with a buffer of one without blocking. Signals that are not yet
-// received coalesce.
+// Signal sends on a channel with a buffer of one without blocking. It does nothing if the previous
+// signal has not been received yet.
 func Signal(channel chan<- struct{}) {
 	select {
 	case channel <- struct{}{}:
