--- a/process/guard/guard.go
+++ b/process/guard/guard.go
@@ -101,7 +101,7 @@
 		return
 	}
 	g.version = current.Version
-	g.isCutOff(now)
+	g.updateCutOff(now)
 	if g.reportedUntil > 0 { // a leader commits again, so the record decides
 		g.reportedUntil = 0
 		g.table.DropTold()
@@ -211,7 +211,7 @@
 func (g *Guard) Ended(now time.Duration, evidence quarantine.Evidence) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
-	g.isCutOff(now)
+	g.updateCutOff(now)
 	evidence.Sight = rand.Uint64()
 	g.table.Note(now, evidence)
 	if g.table.Standing(now, evidence.Fingerprint) != quarantine.Free {
@@ -244,7 +244,7 @@
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	threshold := quarantine.CondemningEnds
-	if g.isCutOff(now) {
+	if g.updateCutOff(now) {
 		threshold++
 	}
 	return g.table.CountEnds(fingerprint) >= threshold
@@ -324,7 +324,7 @@
 		return trialRetryAfter, !g.claimTrial(fingerprint, entry.Spec.Until, owner)
 	}
 	// The record alone decides, or the evidence known here does not suffice.
-	if !g.isCutOff(now) && now >= g.reportedUntil || !g.table.IsCertain(fingerprint) {
+	if !g.updateCutOff(now) && now >= g.reportedUntil || !g.table.IsCertain(fingerprint) {
 		return 0, false
 	}
 	return max(g.table.Rest(now, fingerprint), LeastHold), true
@@ -342,7 +342,7 @@
 	if entry == nil || entry.Spec.State != api.QuarantineWatched {
 		return false
 	}
-	return len(entry.Spec.Replicas)-len(entry.Spec.Weak) >= quarantine.WatchedEnds && !g.isCutOff(now)
+	return len(entry.Spec.Replicas)-len(entry.Spec.Weak) >= quarantine.WatchedEnds && !g.updateCutOff(now)
 }
 
 // HasLeader reports whether a leader currently serves this proxy.
@@ -389,9 +389,9 @@
 // suspicious.
 const cutOffDelay = 3 * time.Second
 
-// isCutOff reports whether this proxy has to judge by itself. It also records when its leader was
-// lost, and is called for that where the result is not needed. The caller must hold the lock.
-func (g *Guard) isCutOff(now time.Duration) bool {
+// updateCutOff reports whether this proxy has to judge by itself. It also records when its leader
+// was lost, and is called for that where the result is not needed. The caller must hold the lock.
+func (g *Guard) updateCutOff(now time.Duration) bool {
 	switch {
 	case g.reporter == nil:
 		return true
--- a/process/guard/guard_test.go
+++ b/process/guard/guard_test.go
@@ -12,7 +12,7 @@
 	"github.com/shoenig/test/must"
 )
 
-var fatal = quarantine.Of(quarantine.Identity{Path: "/fatal"})
+var crashingRequest = quarantine.Of(quarantine.Identity{Path: "/fatal"})
 
 // fakeGroup is a control group that a test connects and disconnects.
 type fakeGroup struct {
@@ -27,22 +27,22 @@
 	return g.connected
 }
 
-// recordView returns a view with the fatal request on record, or with an empty record if state is
-// empty.
+// recordView returns a view with the crashing request on record, or with an empty record if state
+// is empty.
 func recordView(revision uint64, state api.QuarantineState, until time.Time, replicas ...string) *view.View {
 	v := view.New()
 	v.Version = view.Version{Term: 1, Revision: revision}
 	if state != "" {
-		v.Quarantines[fatal.String()] = &api.Quarantine{
-			Metadata: api.Metadata{Name: fatal.String(), Revision: revision},
+		v.Quarantines[crashingRequest.String()] = &api.Quarantine{
+			Metadata: api.Metadata{Name: crashingRequest.String(), Revision: revision},
 			Spec:     api.QuarantineSpec{State: state, Replicas: replicas, Until: until.UnixMilli()},
 		}
 	}
 	return v
 }
 
-func (g *Guard) holdsFatal(now time.Duration, wall time.Time) bool {
-	_, held := g.Holds(now, wall, fatal, nil)
+func (g *Guard) holdsCrashing(now time.Duration, wall time.Time) bool {
+	_, held := g.Holds(now, wall, crashingRequest, nil)
 	return held
 }
 
@@ -53,17 +53,17 @@
 	guard, wall := New("p"), time.Unix(1_700_000_000, 0)
 	guard.SetReporter(&fakeGroup{connected: true})
 	for i := range 5 {
-		guard.Ended(0, quarantine.Evidence{Fingerprint: fatal, Replica: fmt.Sprint("r-", i)})
+		guard.Ended(0, quarantine.Evidence{Fingerprint: crashingRequest, Replica: fmt.Sprint("r-", i)})
 	}
-	must.False(t, guard.holdsFatal(later, wall), must.Sprint("this proxy's observations do not count while it has a leader"))
+	must.False(t, guard.holdsCrashing(later, wall), must.Sprint("this proxy's observations do not count while it has a leader"))
 	guard.Follow(recordView(2, api.QuarantineHeld, wall.Add(time.Hour), "r-0", "r-1", "r-2"), later)
-	remaining, held := guard.Holds(later, wall, fatal, nil)
+	remaining, held := guard.Holds(later, wall, crashingRequest, nil)
 	must.True(t, held)
 	must.Eq(t, time.Hour, remaining)
 	guard.Follow(recordView(1, "", wall), later)
-	must.True(t, guard.holdsFatal(later, wall))
+	must.True(t, guard.holdsCrashing(later, wall))
 	guard.Follow(recordView(3, "", wall), later)
-	must.False(t, guard.holdsFatal(later, wall))
+	must.False(t, guard.holdsCrashing(later, wall))
 	must.False(t, guard.Active())
 }
 
@@ -77,23 +77,23 @@
 	guard.Follow(recordView(1, api.QuarantineHeld, wall, "r-0", "r-1", "r-2"), 0)
 	guard.Follow(recordView(2, api.QuarantineWatched, wall, "r-1", "r-2"), 0)
 	leader.connected = false
-	must.False(t, guard.holdsFatal(later, wall), must.Sprint("the hold expired"))
-	guard.Ended(later, quarantine.Evidence{Fingerprint: fatal, Replica: "r-9"})
-	must.False(t, guard.holdsFatal(later+cutOffDelay-1, wall), must.Sprint("a change of leader takes up to cutOffDelay"))
+	must.False(t, guard.holdsCrashing(later, wall), must.Sprint("the hold expired"))
+	guard.Ended(later, quarantine.Evidence{Fingerprint: crashingRequest, Replica: "r-9"})
+	must.False(t, guard.holdsCrashing(later+cutOffDelay-1, wall), must.Sprint("a change of leader takes up to cutOffDelay"))
 	guard.Lives(later, quarantine.Alive{Replica: "r-9", For: quarantine.Ever})
-	guard.Ended(later, quarantine.Evidence{Fingerprint: fatal, Replica: "r-3"})
-	must.False(t, guard.holdsFatal(2*later, wall), must.Sprint("a cut-off proxy sees only a part of the evidence"))
-	guard.Ended(later, quarantine.Evidence{Fingerprint: fatal, Replica: "r-5"})
-	must.True(t, guard.holdsFatal(2*later, wall))
+	guard.Ended(later, quarantine.Evidence{Fingerprint: crashingRequest, Replica: "r-3"})
+	must.False(t, guard.holdsCrashing(2*later, wall), must.Sprint("a cut-off proxy sees only a part of the evidence"))
+	guard.Ended(later, quarantine.Evidence{Fingerprint: crashingRequest, Replica: "r-5"})
+	must.True(t, guard.holdsCrashing(2*later, wall))
 	guard.Lives(2*later, quarantine.Alive{Replica: "r-3", For: quarantine.Ever})
-	must.False(t, guard.holdsFatal(2*later, wall))
+	must.False(t, guard.holdsCrashing(2*later, wall))
 
-	guard.Ended(3*later, quarantine.Evidence{Fingerprint: fatal, Replica: "r-4"})
+	guard.Ended(3*later, quarantine.Evidence{Fingerprint: crashingRequest, Replica: "r-4"})
 	leader.connected = true
 	guard.Follow(recordView(3, "", wall), 3*later)
 	leader.connected = false
-	must.False(t, guard.holdsFatal(4*later, wall))
-	must.False(t, guard.holdsFatal(5*later, wall), must.Sprint("the request was released"))
+	must.False(t, guard.holdsCrashing(4*later, wall))
+	must.False(t, guard.holdsCrashing(5*later, wall), must.Sprint("the request was released"))
 }
 
 // A report that was lost is repeated when a leader begins to serve.
@@ -101,8 +101,8 @@
 	leader := &fakeGroup{}
 	guard := New("p")
 	guard.SetReporter(leader)
-	guard.Ended(0, quarantine.Evidence{Fingerprint: fatal, Replica: "r-0"})
-	guard.Ended(0, quarantine.Evidence{Fingerprint: fatal, Replica: "r-1"})
+	guard.Ended(0, quarantine.Evidence{Fingerprint: crashingRequest, Replica: "r-0"})
+	guard.Ended(0, quarantine.Evidence{Fingerprint: crashingRequest, Replica: "r-1"})
 	leader.connected, leader.reports = true, nil
 	guard.ReportAll(later)
 	must.SliceLen(t, 1, leader.reports)
@@ -130,7 +130,7 @@
 	crashedAt := time.Unix(1_700_000_000, 0)
 	guard := New("p")
 	recorded := recordView(1, api.QuarantineHeld, crashedAt.Add(time.Hour), "r-0", "r-1")
-	recorded.Quarantines[fatal.String()].Spec.Since = crashedAt.UnixMilli()
+	recorded.Quarantines[crashingRequest.String()].Spec.Since = crashedAt.UnixMilli()
 	guard.Follow(recorded, time.Second)
 	must.False(t, guard.DoubtsOnConnection("r-0", later, crashedAt.Add(time.Minute)), must.Sprint("possibly another process"))
 	must.False(t, guard.DoubtsOnConnection("r-0", later, crashedAt.Add(-time.Second)), must.Sprint("within the clock margin"))
@@ -143,12 +143,12 @@
 	leader := &fakeGroup{connected: true}
 	guard := New("p")
 	guard.SetReporter(leader)
-	guard.Served(0, fatal)
+	guard.Served(0, crashingRequest)
 	must.SliceEmpty(t, leader.reports)
 	guard.Follow(recordView(1, api.QuarantineWatched, time.Now(), "r-0", "r-1"), 0)
-	guard.Served(0, fatal)
+	guard.Served(0, crashingRequest)
 	must.SliceLen(t, 1, leader.reports)
-	must.Eq(t, []quarantine.Fingerprint{fatal}, leader.reports[0].Served)
+	must.Eq(t, []quarantine.Fingerprint{crashingRequest}, leader.reports[0].Served)
 }
 
 // A request on trial is sent by one proxy, one copy at a time, and by another proxy once the turn
@@ -167,20 +167,20 @@
 		trying := ""
 		for name, guard := range guards {
 			guard.Follow(current, 0)
-			if _, held := guard.Holds(0, wall, fatal, "first"); held {
+			if _, held := guard.Holds(0, wall, crashingRequest, "first"); held {
 				continue
 			}
 			must.Eq(t, "", trying, must.Sprint("only one proxy runs a trial"))
 			trying = name
-			_, held := guard.Holds(0, wall, fatal, "first")
+			_, held := guard.Holds(0, wall, crashingRequest, "first")
 			must.False(t, held, must.Sprint("repeated checks for the same owner, as before each send"))
-			_, held = guard.Holds(0, wall, fatal, "second")
+			_, held = guard.Holds(0, wall, crashingRequest, "second")
 			must.True(t, held)
-			guard.EndTrial(fatal, "second")
-			guard.EndTrial(fatal, "first")
-			_, held = guard.Holds(0, wall, fatal, "second")
+			guard.EndTrial(crashingRequest, "second")
+			guard.EndTrial(crashingRequest, "first")
+			_, held = guard.Holds(0, wall, crashingRequest, "second")
 			must.False(t, held)
-			guard.EndTrial(fatal, "second")
+			guard.EndTrial(crashingRequest, "second")
 		}
 		must.NotEq(t, "", trying)
 		turns[trying] = true
@@ -194,7 +194,7 @@
 	guard, wall := New("p-1"), time.Unix(1_700_000_000, 0)
 	guard.SetReporter(&fakeGroup{connected: true})
 	guard.Follow(recordView(2, api.QuarantineSettling, wall.Add(time.Second), "a", "b", "c"), 0)
-	remaining, held := guard.Holds(0, wall, fatal, "first")
+	remaining, held := guard.Holds(0, wall, crashingRequest, "first")
 	must.True(t, held)
 	must.Eq(t, trialRetryAfter, remaining)
 }
@@ -205,7 +205,7 @@
 	guard, wall := New("p-1"), time.Unix(1_700_000_000, 0)
 	guard.Follow(recordView(2, api.QuarantineTried, wall, "a", "b", "c", "d"), 0)
 	guard.Follow(recordView(3, "", wall), later)
-	must.False(t, guard.holdsFatal(later, wall))
+	must.False(t, guard.holdsCrashing(later, wall))
 }
 
 // Guards against quarantining a harmless request although it was served. If a watched request is
@@ -219,9 +219,9 @@
 	guard := New("p")
 	guard.SetReporter(leader)
 	guard.Follow(recordView(1, api.QuarantineWatched, time.Now(), "r-0", "r-1"), 0)
-	guard.Served(later, fatal)
+	guard.Served(later, crashingRequest)
 	leader.connected, leader.reports = true, nil
 	guard.ReportAll(later + time.Second)
 	must.SliceLen(t, 1, leader.reports)
-	must.Eq(t, []quarantine.Fingerprint{fatal}, leader.reports[0].Served)
+	must.Eq(t, []quarantine.Fingerprint{crashingRequest}, leader.reports[0].Served)
 }
--- a/process/guard/unrecorded_test.go
+++ b/process/guard/unrecorded_test.go
@@ -10,12 +10,12 @@
 	"github.com/shoenig/test/must"
 )
 
-// crashReport returns a member's report of crashes during the fatal request, one second apart.
+// crashReport returns a member's report of crashes during the crashing request, one second apart.
 func crashReport(replicas int) feed.EndReport {
 	var report feed.EndReport
 	for i := range replicas {
 		report.Ended = append(report.Ended, quarantine.Aged{
-			Evidence: quarantine.Evidence{Fingerprint: fatal, Replica: fmt.Sprint("r-", i)},
+			Evidence: quarantine.Evidence{Fingerprint: crashingRequest, Replica: fmt.Sprint("r-", i)},
 			Age:      time.Duration(replicas-i) * time.Second,
 		})
 	}
@@ -34,18 +34,18 @@
 			guard.SetReporter(members)
 			guard.Follow(recordView(1, "", wall), 0)
 			members.connected = connected
-			guard.Ended(later, quarantine.Evidence{Fingerprint: fatal, Replica: "r-3"})
-			must.False(t, guard.holdsFatal(later, wall), must.Sprint("a single crash is not enough evidence"))
+			guard.Ended(later, quarantine.Evidence{Fingerprint: crashingRequest, Replica: "r-3"})
+			must.False(t, guard.holdsCrashing(later, wall), must.Sprint("a single crash is not enough evidence"))
 			guard.Unrecorded(later, crashReport(3))
 			must.True(t, guard.Active())
-			must.True(t, guard.holdsFatal(later, wall), must.Sprint("four crashes are known to this proxy"))
+			must.True(t, guard.holdsCrashing(later, wall), must.Sprint("four crashes are known to this proxy"))
 			for range 3 {
 				later := later + reportMaxAge - time.Second
 				guard.Unrecorded(later, crashReport(3))
-				must.True(t, guard.holdsFatal(later, wall), must.Sprint("valid while it is repeated"))
+				must.True(t, guard.holdsCrashing(later, wall), must.Sprint("valid while it is repeated"))
 			}
 			members.connected = true
-			must.False(t, guard.holdsFatal(later+3*reportMaxAge, wall), must.Sprint("the record decides again"))
+			must.False(t, guard.holdsCrashing(later+3*reportMaxAge, wall), must.Sprint("the record decides again"))
 			members.reports = nil
 			guard.ReportAll(later)
 			must.SliceLen(t, 1, members.reports[0].Ended, must.Sprint("crashes reported by members are not reported back to them"))
@@ -60,13 +60,13 @@
 	guard := New("p")
 	guard.SetReporter(&fakeGroup{})
 	guard.Unrecorded(later, crashReport(3))
-	must.False(t, guard.holdsFatal(later, wall))
+	must.False(t, guard.holdsCrashing(later, wall))
 	guard.Unrecorded(later, crashReport(4))
-	must.True(t, guard.holdsFatal(later, wall))
-	guard.Served(later, fatal)
-	must.False(t, guard.holdsFatal(later, wall))
+	must.True(t, guard.holdsCrashing(later, wall))
+	guard.Served(later, crashingRequest)
+	must.False(t, guard.holdsCrashing(later, wall))
 	guard.Unrecorded(later, crashReport(4))
-	must.False(t, guard.holdsFatal(later, wall), must.Sprint("the request was served"))
+	must.False(t, guard.holdsCrashing(later, wall), must.Sprint("the request was served"))
 }
 
 // Once a leader commits, its record decides: crashes reported by members are dropped, while this
@@ -75,10 +75,10 @@
 	wall := time.Unix(1_700_000_000, 0)
 	guard := New("p")
 	guard.SetReporter(&fakeGroup{connected: true})
-	guard.Ended(later, quarantine.Evidence{Fingerprint: fatal, Replica: "seen"})
+	guard.Ended(later, quarantine.Evidence{Fingerprint: crashingRequest, Replica: "seen"})
 	guard.Unrecorded(later, crashReport(4))
-	must.True(t, guard.holdsFatal(later, wall))
+	must.True(t, guard.holdsCrashing(later, wall))
 	guard.Follow(recordView(1, "", wall), later)
-	must.False(t, guard.holdsFatal(later, wall))
-	must.Eq(t, 1, guard.table.CountEnds(fatal))
+	must.False(t, guard.holdsCrashing(later, wall))
+	must.Eq(t, 1, guard.table.CountEnds(crashingRequest))
 }
--- a/process/ingress/answer.go
+++ b/process/ingress/answer.go
@@ -35,7 +35,7 @@
 	if !reply.Named || isSuccess(answer.Status) && !reply.Genuine || promisesNotRun(answer.Status) {
 		s.lifecycle.Fail(number, attempt.FaultBroken)
 		target.noteFailure()
-		return s.brokenOrCallerEnd(ctx)
+		return s.verdictAfterBreak(ctx)
 	}
 	s.lifecycle.Admit(number, 0) // the incarnation is not tracked here
 	if isSuccess(answer.Status) && s.route.Kind == api.RouteStreaming {
@@ -56,12 +56,12 @@
 	s.lifecycle.Fail(number, attempt.FaultBroken)
 	target.noteFailure()
 	fmt.Fprintf(&s.trace, " (%s: status %d)", target.name, answer.Status)
-	return s.brokenOrCallerEnd(ctx)
+	return s.verdictAfterBreak(ctx)
 }
 
-// brokenOrCallerEnd returns the verdict on an attempt without a complete answer, which is not the
+// verdictAfterBreak returns the verdict on an attempt without a complete answer, which is not the
 // replica's fault if ctx has ended.
-func (s *session) brokenOrCallerEnd(ctx context.Context) verdict {
+func (s *session) verdictAfterBreak(ctx context.Context) verdict {
 	if ctx.Err() != nil {
 		return verdictCallerEnd
 	}
@@ -96,7 +96,7 @@
 		s.lifecycle.Fail(number, attempt.FaultBroken)
 		target.noteFailure()
 		fmt.Fprintf(&s.trace, " (%s: %v)", target.name, err)
-		return s.brokenOrCallerEnd(ctx)
+		return s.verdictAfterBreak(ctx)
 	}
 	if answer.Status >= http.StatusInternalServerError {
 		return s.saveFailure(target, number, answer, buffer.Bytes())
@@ -133,7 +133,7 @@
 	}
 	if err != nil {
 		s.lifecycle.Fail(number, attempt.FaultBroken)
-		return s.brokenOrCallerEnd(ctx)
+		return s.verdictAfterBreak(ctx)
 	}
 	target.noteSuccess()
 	s.lifecycle.Finish(number)
--- a/process/ingress/asks.go
+++ b/process/ingress/asks.go
@@ -51,14 +51,14 @@
 	if reply.Misdirected {
 		return
 	}
-	leaves := from.Hear(s.ingress.now(), s.ingress.day(), reply.Asks)
+	leaves := from.Hear(s.ingress.now(), s.ingress.wallClock(), reply.Asks)
 	if reply.Asks.IsZero() {
 		return
 	}
 	if leaves {
 		s.ingress.reportLeaving(s.upstream.service, from.Name())
 	}
-	s.ingress.metrics.replicaAsks.WithLabelValues(s.upstream.service, stage).Inc()
+	s.ingress.metrics.announcements.WithLabelValues(s.upstream.service, stage).Inc()
 	event.ReplicaAsks.Log(s.ingress.logger, "replica", from.Name(), "request", s.call.ID, "stage", stage, "status", status,
 		"retry_after_ms", reply.Asks.RetryAfter.Milliseconds(), "leaving", reply.Asks.Leaving)
 }
--- a/process/ingress/authenticate.go
+++ b/process/ingress/authenticate.go
@@ -33,28 +33,28 @@
 	if !call.Credential.Given && route.Public {
 		return nil, nil
 	}
-	if i.isUnconfirmed() {
+	if i.refusesKeys() {
 		return nil, &localRefusal{status: http.StatusServiceUnavailable, cause: "keys_unconfirmed", retryAfter: minStartRetryAfter}
 	}
 	// A call with an unknown key is refused on every route, even a public one: its sender would
 	// wrongly think that it was authenticated.
 	if call.Credential.Key == "" {
-		return nil, errUnknownKey
+		return nil, refusalUnknownKey
 	}
 	tenant := routes.keys.Find(call.Credential.Key)
 	if tenant == nil {
-		return nil, errUnknownKey
+		return nil, refusalUnknownKey
 	}
 	return tenant, nil
 }
 
-// errUnknownKey refuses a call whose key belongs to no tenant, or whose credential contains no
+// refusalUnknownKey refuses a call whose key belongs to no tenant, or whose credential contains no
 // valid key.
-var errUnknownKey = &localRefusal{status: http.StatusUnauthorized, cause: "unknown_key"}
+var refusalUnknownKey = &localRefusal{status: http.StatusUnauthorized, cause: "unknown_key"}
 
-// isUnconfirmed reports whether this proxy accepts no keys for the time being, because the view is
+// refusesKeys reports whether this proxy accepts no keys for the time being, because the view is
 // unconfirmed and a key may have been revoked.
-func (i *Ingress) isUnconfirmed() bool {
+func (i *Ingress) refusesKeys() bool {
 	if !i.config.Keys.FailClosed || i.confirmer == nil {
 		return false
 	}
--- a/process/ingress/budget_test.go
+++ b/process/ingress/budget_test.go
@@ -131,7 +131,7 @@
 
 func TestReserveIsSharedWithProxiesThatHaveJustLeft(t *testing.T) {
 	const window = 10 * time.Second
-	shared := &proxyCount{}
+	shared := &proxyCounter{}
 	must.Eq(t, 8, shared.observe(8, time.Second, window))
 	must.Eq(t, 8, shared.observe(4, 2*time.Second, window), must.Sprint("four proxies have left and may have spent their parts"))
 	must.Eq(t, 8, shared.observe(3, 11*time.Second, window))
--- a/process/ingress/charge.go
+++ b/process/ingress/charge.go
@@ -23,8 +23,8 @@
 // decides by its own share of the quota.
 const chargeTimeout = 30 * time.Millisecond
 
-// charge is the amount charged to a tenant for a request; zero if nothing was charged.
-type charge struct {
+// quotaCharge is the amount charged to a tenant for a request; zero if nothing was charged.
+type quotaCharge struct {
 	tenant string
 	cost   float64 // in the unit of the tenant's quota
 	// standalone is true if this proxy decided by itself.
@@ -36,12 +36,12 @@
 
 // charge deducts a call's cost from its tenant's quota, before the body is read. If the quota does
 // not cover the cost, it returns a refusal with the time until it does.
-func (i *Ingress) charge(ctx context.Context, call *Call, tenant *api.RouteTenant) (charge, *localRefusal) {
+func (i *Ingress) charge(ctx context.Context, call *Call, tenant *api.RouteTenant) (quotaCharge, *localRefusal) {
 	if tenant == nil || !tenant.Spec.Quota.IsBounded() || i.config.Quotas.Window <= 0 {
-		return charge{}, nil
+		return quotaCharge{}, nil
 	}
 	limit := tenant.Spec.Quota
-	amount := charge{tenant: tenant.Name, cost: limit.Cost(call.Work.PromptTokens + call.Work.OutputTokens)}
+	amount := quotaCharge{tenant: tenant.Name, cost: limit.Cost(call.Work.PromptTokens + call.Work.OutputTokens)}
 	grant, err := i.askCharge(ctx, amount)
 	if err == nil {
 		i.standaloneQuota.Heard(amount.tenant, limit, grant)
@@ -55,11 +55,11 @@
 	event.QuotaRefused.Log(i.logger, "request", call.ID, "tenant", amount.tenant, "cost", amount.cost, "left", grant.Left,
 		"wait_ms", grant.Wait.Milliseconds(), "alone", amount.standalone)
 	wait := max(grant.Wait, minimumRetryAfter)
-	return charge{}, &localRefusal{status: http.StatusTooManyRequests, cause: causeOverQuota, retryAfter: wait}
+	return quotaCharge{}, &localRefusal{status: http.StatusTooManyRequests, cause: causeOverQuota, retryAfter: wait}
 }
 
 // askCharge asks the control group for a charge and waits up to chargeTimeout.
-func (i *Ingress) askCharge(ctx context.Context, amount charge) (quota.Grant, error) {
+func (i *Ingress) askCharge(ctx context.Context, amount quotaCharge) (quota.Grant, error) {
 	if i.charger == nil {
 		return quota.Grant{}, feed.ErrNotCharged
 	}
@@ -79,7 +79,7 @@
 }
 
 // returnCharge refunds the charge of a request that no replica has run.
-func (i *Ingress) returnCharge(spent charge) {
+func (i *Ingress) returnCharge(spent quotaCharge) {
 	if spent.tenant == "" {
 		return
 	}
--- a/process/ingress/config.go
+++ b/process/ingress/config.go
@@ -69,9 +69,9 @@
 	Gaps       int
 }
 
-// of returns how long the callers of a route wait for a stream's next event; 0 if only the
+// limitFor returns how long the callers of a route wait for a stream's next event; 0 if only the
 // deadline limits it.
-func (s Silence) of(route *api.Route) time.Duration {
+func (s Silence) limitFor(route *api.Route) time.Duration {
 	if route.Kind != api.RouteStreaming || s == (Silence{}) {
 		return 0
 	}
--- a/process/ingress/ended.go
+++ b/process/ingress/ended.go
@@ -52,7 +52,7 @@
 	if ctx.Err() != nil || !isConnectionClosed(err) {
 		return
 	}
-	s.ingress.metrics.brokenAttempts.WithLabelValues(s.upstream.service, stage).Inc()
+	s.ingress.metrics.brokenConnections.WithLabelValues(s.upstream.service, stage).Inc()
 	now := s.ingress.now()
 	state := addressUnknown
 	if stage == stageRun && (s.isolated || sent.events == 0) {
@@ -137,7 +137,7 @@
 // run does. If the request has certainly not run, the answer tells the caller to retry when the
 // hold ends.
 func (s *session) refuseQuarantined(remaining time.Duration) int {
-	s.ingress.metrics.heldRequests.WithLabelValues(s.upstream.service).Inc()
+	s.ingress.metrics.quarantinedRequests.WithLabelValues(s.upstream.service).Inc()
 	event.RequestHeld.Log(s.ingress.logger, "request", s.call.ID, "fingerprint", s.fingerprint(), "route", s.route.Name,
 		"sends", s.sendCount, "rest_ms", remaining.Milliseconds())
 	ran := s.lifecycle.GiveUp()
@@ -146,9 +146,9 @@
 		return 0
 	}
 	if ran == attempt.RanNo {
-		return s.refuse(http.StatusServiceUnavailable, causeQuarantined, remaining)
+		return s.answerError(http.StatusServiceUnavailable, causeQuarantined, remaining)
 	}
-	return s.refuse(http.StatusBadGateway, causeQuarantined, 0)
+	return s.answerError(http.StatusBadGateway, causeQuarantined, 0)
 }
 
 // causeQuarantined is returned to the caller of a quarantined request.
@@ -158,7 +158,7 @@
 // all, and a malformed answer, are different faults, which do not suggest that the replica has
 // crashed.
 func isConnectionClosed(err error) bool {
-	for _, cause := range []error{io.EOF, io.ErrUnexpectedEOF, errEventCut, syscall.ECONNRESET, syscall.EPIPE} {
+	for _, cause := range []error{io.EOF, io.ErrUnexpectedEOF, errEventTruncated, syscall.ECONNRESET, syscall.EPIPE} {
 		if errors.Is(err, cause) {
 			return true
 		}
--- a/process/ingress/events.go
+++ b/process/ingress/events.go
@@ -14,8 +14,8 @@
 // errEventTooLarge is returned for an event that exceeds maxEventBytes.
 var errEventTooLarge = errors.New("ingress: stream event too large")
 
-// errEventCut is returned when a stream ends inside an event.
-var errEventCut = errors.New("ingress: stream ended inside an event")
+// errEventTruncated is returned when a stream ends inside an event.
+var errEventTruncated = errors.New("ingress: stream ended inside an event")
 
 // eventReader reads complete server-sent events and keeps their bytes unchanged.
 type eventReader struct {
@@ -40,7 +40,7 @@
 		ended, err := r.readLine()
 		if err != nil {
 			if err == io.EOF && len(r.event) > 0 {
-				err = errEventCut
+				err = errEventTruncated
 			}
 			return nil, "", err
 		}
--- a/process/ingress/fleet.go
+++ b/process/ingress/fleet.go
@@ -26,23 +26,23 @@
 	service  string
 	pool     *exchange.Pool
 	holdoffs *holdoff.Table
-	// lookupNamed returns the entry of a replica that is not listed but that an answer of the
+	// lookupUnlisted returns the entry of a replica that is not listed but that an answer of the
 	// control group has named as the place for a request, or nil.
-	lookupNamed func(name string) *api.Replica
+	lookupUnlisted func(name string) *api.Replica
 
 	lock    sync.Mutex
 	listed  listing
 	tracked map[string]*replica // replicas in use
-	// choiceCache holds all listed replicas of the service, sorted by name; nil until choices is
-	// called.
-	choiceCache []*replica
+	// listedReplicas holds all listed replicas of the service, sorted by name; nil until choices
+	// is called.
+	listedReplicas []*replica
 }
 
-func newFleet(service string, pool *exchange.Pool, holdoffs *holdoff.Table, lookupNamed func(name string) *api.Replica) *fleet {
-	if lookupNamed == nil {
-		lookupNamed = func(string) *api.Replica { return nil }
+func newFleet(service string, pool *exchange.Pool, holdoffs *holdoff.Table, lookupUnlisted func(name string) *api.Replica) *fleet {
+	if lookupUnlisted == nil {
+		lookupUnlisted = func(string) *api.Replica { return nil }
 	}
-	return &fleet{service: service, pool: pool, holdoffs: holdoffs, lookupNamed: lookupNamed, tracked: map[string]*replica{}}
+	return &fleet{service: service, pool: pool, holdoffs: holdoffs, lookupUnlisted: lookupUnlisted, tracked: map[string]*replica{}}
 }
 
 // entry returns the replica's entry in the list or from an answer of the control group, nil if
@@ -50,7 +50,7 @@
 func (f *fleet) entry(name string) *api.Replica {
 	entry := f.listed[name]
 	if entry == nil {
-		entry = f.lookupNamed(name)
+		entry = f.lookupUnlisted(name)
 	}
 	if entry == nil || entry.Spec.Service != f.service {
 		return nil
@@ -64,7 +64,7 @@
 func (f *fleet) update(listed listing, now time.Duration) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	f.listed, f.choiceCache = listed, nil
+	f.listed, f.listedReplicas = listed, nil
 	for name, current := range f.tracked {
 		entry := f.entry(name)
 		switch {
@@ -155,14 +155,14 @@
 func (f *fleet) choices(now time.Duration) []*replica {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	if f.choiceCache != nil {
-		return f.choiceCache
+	if f.listedReplicas != nil {
+		return f.listedReplicas
 	}
 	for _, entry := range f.listed {
 		if entry.Spec.Service == f.service {
-			f.choiceCache = append(f.choiceCache, f.track(entry, now))
+			f.listedReplicas = append(f.listedReplicas, f.track(entry, now))
 		}
 	}
-	slices.SortFunc(f.choiceCache, func(a, b *replica) int { return cmp.Compare(a.name, b.name) })
-	return f.choiceCache
+	slices.SortFunc(f.listedReplicas, func(a, b *replica) int { return cmp.Compare(a.name, b.name) })
+	return f.listedReplicas
 }
--- a/process/ingress/inflight.go
+++ b/process/ingress/inflight.go
@@ -73,7 +73,7 @@
 	if chosen.prefiller != nil {
 		answer.Reader = chosen.prefiller.name
 	}
-	chosen.tracked = s.track(s.placementAsk(), answer, s.ingress.numbers.Add(1))
+	chosen.tracked = s.track(s.placementAsk(), answer, s.ingress.placementNumbers.Add(1))
 }
 
 // inFlightTable holds the tracked requests in flight. One lock suffices: it is held for a few
--- a/process/ingress/inflight_test.go
+++ b/process/ingress/inflight_test.go
@@ -17,8 +17,8 @@
 	return true
 }
 
-// of returns the requests in the last report for the service, by number.
-func (g *recordingGroup) of(service string) map[uint64]placement.Placed {
+// lastReportFor returns the requests in the last report for the service, by number.
+func (g *recordingGroup) lastReportFor(service string) map[uint64]placement.Placed {
 	var requests map[uint64]placement.Placed
 	for _, report := range g.inFlight {
 		if report.Service == service {
--- a/process/ingress/ingress.go
+++ b/process/ingress/ingress.go
@@ -35,8 +35,8 @@
 	logger log.Logger
 	views  Views
 	clock  func() time.Duration
-	// day returns the wall clock time, with which replicas' start times are compared.
-	day       func() time.Time
+	// wallClock returns the wall clock time, with which replicas' start times are compared.
+	wallClock func() time.Time
 	upstreams *upstreams
 	table     atomic.Pointer[versionedTable]
 	// stopping is set once answers must ask callers to close their connections.
@@ -55,8 +55,8 @@
 	// uses only its own knowledge.
 	placer Placer
 	// confirmer tells how long ago the view was confirmed; nil without a control group.
-	confirmer Confirmer
-	numbers   atomic.Uint64
+	confirmer        Confirmer
+	placementNumbers atomic.Uint64
 	// charger charges requests to tenant quotas; nil without a control group. standaloneQuota is
 	// used while the control group does not answer.
 	charger         charger
@@ -90,7 +90,7 @@
 func New(config Config, views Views, now func() time.Duration, logger log.Logger) *Ingress {
 	config = config.WithDefaults()
 	ingress := &Ingress{
-		config: config, logger: logger, views: views, clock: now, day: time.Now,
+		config: config, logger: logger, views: views, clock: now, wallClock: time.Now,
 		upstreams: newUpstreams(config, now), metrics: newMetrics(), guard: guard.New(config.Name),
 		standaloneQuota: quota.NewAlone(config.Quotas),
 	}
@@ -157,16 +157,16 @@
 	routes := i.routes()
 	call, admitted, refusal := i.admit(w, r, routes)
 	if refusal != nil {
-		i.refuse(w, &call, refusal)
+		i.refuseCall(w, &call, refusal)
 		i.logRefusal(&call, routes, refusal)
 		return
 	}
 	i.serve(w, r, call, admitted, arrivedAt)
 }
 
-// refuse answers a call that is not processed. The answer is sent even if the body has not arrived
-// yet; by default net/http would read the body first.
-func (i *Ingress) refuse(w http.ResponseWriter, call *Call, refusal *localRefusal) {
+// refuseCall answers a call that is not processed. The answer is sent even if the body has not
+// arrived yet; by default net/http would read the body first.
+func (i *Ingress) refuseCall(w http.ResponseWriter, call *Call, refusal *localRefusal) {
 	_ = http.NewResponseController(w).EnableFullDuplex() // on error the answer is sent after the body
 	i.config.Dialect.Refusal(w.Header(), call, refusal.retryAfter)
 	writeRefusal(w, refusal.status, refusal.cause)
@@ -177,7 +177,7 @@
 	route      *api.Route
 	priority   int
 	generation uint64 // of the Ingress object that the request was routed by
-	charge     charge
+	charge     quotaCharge
 }
 
 // admit finds the route and the tenant of a request and only then reads the body, so that no body
@@ -332,7 +332,7 @@
 	}
 	if i.mayOutlastStop(i.now(), s.deadline) { // the body may have arrived slowly
 		i.returnCharge(admitted.charge)
-		i.finish(s, service, s.refuse(http.StatusServiceUnavailable, causeStopping, minimumRetryAfter))
+		i.finish(s, service, s.answerError(http.StatusServiceUnavailable, causeStopping, minimumRetryAfter))
 		return
 	}
 	ctx, end := context.WithCancelCause(r.Context())
--- a/process/ingress/lane.go
+++ b/process/ingress/lane.go
@@ -31,17 +31,17 @@
 	config   Config
 	clock    func() time.Duration
 	holdoffs *holdoff.Table
-	// lookupNamed returns replicas that the control group has named and the view does not list;
-	// nil if there are none.
-	lookupNamed func(name string) *api.Replica
+	// lookupUnlisted returns the entry of a replica that the control group has named and the view
+	// does not list, or nil; it is nil itself if there are no such replicas.
+	lookupUnlisted func(name string) *api.Replica
 	// proxies is the number of proxies that share the budgets.
 	proxies atomic.Int64
 
-	lock       sync.Mutex
-	version    view.Version
-	listed     listing // of that version
-	byService  map[string]*upstream
-	proxyCount proxyCount
+	lock         sync.Mutex
+	version      view.Version
+	listed       listing // of that version
+	byService    map[string]*upstream
+	proxyCounter proxyCounter
 }
 
 func newUpstreams(config Config, clock func() time.Duration) *upstreams {
@@ -65,8 +65,8 @@
 		service: service,
 		pool:    pool,
 		clock:   u.clock,
-		fleet:   newFleet(service, pool, u.holdoffs, u.lookupNamed),
-		budget:  retry.NewWindow(shareMargin*u.config.Retry.Share, u.config.Retry.Reserve, u.config.Retry.Window),
+		fleet:   newFleet(service, pool, u.holdoffs, u.lookupUnlisted),
+		budget:  retry.NewWindow(usableShare*u.config.Retry.Share, u.config.Retry.Reserve, u.config.Retry.Window),
 	}
 	result.budget.HoldReserve(u.config.Retry.Settle)
 	result.budget.SetReserve(reserveShare(u.config.Retry.Reserve, int(u.proxies.Load())))
@@ -85,7 +85,7 @@
 	}
 	u.version = current.Version
 	u.listed = current.Replicas
-	proxies := u.proxyCount.observe(len(current.Proxies), now, u.config.Retry.Window)
+	proxies := u.proxyCounter.observe(len(current.Proxies), now, u.config.Retry.Window)
 	u.proxies.Store(int64(proxies))
 	share := reserveShare(u.config.Retry.Reserve, proxies)
 	for _, upstream := range u.byService {
@@ -95,17 +95,17 @@
 	u.holdoffs.Forget(now)
 }
 
-// proxyCount counts the proxies that share a reserve: the maximum number listed within the last
+// proxyCounter counts the proxies that share a reserve: the maximum number listed within the last
 // window. One that is no longer listed may still serve, or may have used its share within the
 // current window.
-type proxyCount struct {
+type proxyCounter struct {
 	max    int
 	maxAt  time.Duration // when max proxies were last listed
 	listed int
 }
 
 // observe records the number of listed proxies and returns the number that share the reserve.
-func (c *proxyCount) observe(listed int, now, window time.Duration) int {
+func (c *proxyCounter) observe(listed int, now, window time.Duration) int {
 	if c.listed == c.max {
 		c.maxAt = now
 	}
@@ -116,17 +116,17 @@
 	return c.max
 }
 
-// reserveMargin is the share of the reserve that is used. The rest covers proxies that have just
+// usableReserve is the share of the reserve that is used. The rest covers proxies that have just
 // started, which do not know what was sent before.
-const reserveMargin = 0.8
+const usableReserve = 0.8
 
-// shareMargin is the share of RetryBudget.Share that is used. The rest covers prefills that are in
+// usableShare is the share of RetryBudget.Share that is used. The rest covers prefills that are in
 // flight when the budget is used up and are then refused.
-const shareMargin = 0.95
+const usableShare = 0.95
 
 // reserveShare returns one proxy's part of the shared reserve.
 func reserveShare(reserve float64, proxies int) float64 {
-	return reserve * reserveMargin / float64(max(proxies, 1))
+	return reserve * usableReserve / float64(max(proxies, 1))
 }
 
 // all returns the existing upstreams.
@@ -168,9 +168,9 @@
 	return p.timePerToken
 }
 
-// learn records the duration of a prefill of that many tokens, from sending it to its answer. The
-// estimate therefore includes the time that prefills wait at the replica.
-func (p *prefillSpeed) learn(tokens int, took time.Duration) {
+// observe records the duration of a prefill of that many tokens, from sending it to its answer.
+// The estimate therefore includes the time that prefills wait at the replica.
+func (p *prefillSpeed) observe(tokens int, took time.Duration) {
 	if tokens < minMeasuredTokens {
 		return
 	}
--- a/process/ingress/metrics.go
+++ b/process/ingress/metrics.go
@@ -13,20 +13,20 @@
 // metrics holds the counters and histograms of the ingress. No label names a replica, because
 // replicas come and go and would increase the number of time series; the log names them.
 type metrics struct {
-	registry       *prometheus.Registry
-	requests       *prometheus.CounterVec
-	latency        *prometheus.HistogramVec
-	firstEvent     *prometheus.HistogramVec
-	attempts       *prometheus.CounterVec
-	choices        *prometheus.CounterVec
-	prefills       *prometheus.CounterVec
-	prefillSeconds *prometheus.HistogramVec
-	retriesRefused *prometheus.CounterVec
-	foreignAnswers *prometheus.CounterVec
-	brokenAttempts *prometheus.CounterVec
-	heldRequests   *prometheus.CounterVec
-	replicaAsks    *prometheus.CounterVec
-	withheldSends  *prometheus.CounterVec
+	registry            *prometheus.Registry
+	requests            *prometheus.CounterVec
+	latency             *prometheus.HistogramVec
+	firstEvent          *prometheus.HistogramVec
+	attempts            *prometheus.CounterVec
+	choices             *prometheus.CounterVec
+	prefills            *prometheus.CounterVec
+	prefillSeconds      *prometheus.HistogramVec
+	retriesRefused      *prometheus.CounterVec
+	foreignAnswers      *prometheus.CounterVec
+	brokenConnections   *prometheus.CounterVec
+	quarantinedRequests *prometheus.CounterVec
+	announcements       *prometheus.CounterVec
+	withheldSends       *prometheus.CounterVec
 }
 
 func newMetrics() *metrics {
@@ -40,9 +40,9 @@
 	m.prefillSeconds = m.histogram("prefill_seconds", "Time of a read that succeeded.", "service")
 	m.retriesRefused = m.counter("retries_refused_total", "Retries that the shared budget did not allow.", "service")
 	m.foreignAnswers = m.counter("foreign_answers_total", "Answers that name another request than the one that was asked, or none.", "service", "stage")
-	m.brokenAttempts = m.counter("broken_total", "Attempts whose replica closed or reset the connection while it was at work, as one that ends does.", "service", "stage")
-	m.heldRequests = m.counter("held_total", "Requests that went to no replica, since replicas end under them.", "service")
-	m.replicaAsks = m.counter("replica_asks_total", "Answers that ask for a pause, or say that their replica leaves.", "service", "stage")
+	m.brokenConnections = m.counter("broken_total", "Attempts whose replica closed or reset the connection while it was at work, as one that ends does.", "service", "stage")
+	m.quarantinedRequests = m.counter("held_total", "Requests that went to no replica, since replicas end under them.", "service")
+	m.announcements = m.counter("replica_asks_total", "Answers that ask for a pause, or say that their replica leaves.", "service", "stage")
 	m.withheldSends = m.counter("withheld_total", "Sends to a chosen replica that had asked for a pause, or said that it leaves, meanwhile.", "service", "stage")
 	return m
 }
--- a/process/ingress/model_test.go
+++ b/process/ingress/model_test.go
@@ -303,7 +303,7 @@
 			decoder.server.Config.Handler = callFirst(decoder.server.Config.Handler, func() {
 				var group recordingGroup
 				env.ingress.reportInFlight(&group)
-				inFlight = len(group.of("model"))
+				inFlight = len(group.lastReportFor("model"))
 			})
 			must.NoError(t, env.do(modelRequest).err)
 			must.Eq(t, []placement.Step{test.step, placement.StepStarted, placement.StepEnded}, placer.steps())
--- a/process/ingress/order_test.go
+++ b/process/ingress/order_test.go
@@ -43,10 +43,10 @@
 func TestSilenceLimitOfRoutes(t *testing.T) {
 	silence := Silence{Least: 2 * time.Second, Objectives: 4, Gaps: 8}
 	stream := &api.Route{Kind: api.RouteStreaming, ObjectiveMilliseconds: 800, GapMilliseconds: 300}
-	must.Eq(t, 3200*time.Millisecond, silence.of(stream))
+	must.Eq(t, 3200*time.Millisecond, silence.limitFor(stream))
 	stream.GapMilliseconds = 500
-	must.Eq(t, 4*time.Second, silence.of(stream))
-	must.Eq(t, 2*time.Second, silence.of(&api.Route{Kind: api.RouteStreaming}))
-	must.Eq(t, 0, silence.of(&api.Route{Kind: api.RouteSafe}))
-	must.Eq(t, 0, Silence{}.of(stream))
+	must.Eq(t, 4*time.Second, silence.limitFor(stream))
+	must.Eq(t, 2*time.Second, silence.limitFor(&api.Route{Kind: api.RouteStreaming}))
+	must.Eq(t, 0, silence.limitFor(&api.Route{Kind: api.RouteSafe}))
+	must.Eq(t, 0, Silence{}.limitFor(stream))
 }
--- a/process/ingress/pick.go
+++ b/process/ingress/pick.go
@@ -108,8 +108,8 @@
 const affinityReplicas = 2
 
 // pickModel returns the replica with one of the roles that has the lowest cost for the call, and
-// false if there is none. pace is the time to prefill one token there.
-func (u *upstream) pickModel(filter *replicaFilter, call *Call, zone string, pace, now time.Duration, random *rand.Rand) (choice, bool) {
+// false if there is none. timePerToken is the time to prefill one token there.
+func (u *upstream) pickModel(filter *replicaFilter, call *Call, zone string, timePerToken, now time.Duration, random *rand.Rand) (choice, bool) {
 	candidates := u.candidates(filter, now)
 	if len(candidates) == 0 {
 		return choice{}, false
@@ -117,7 +117,7 @@
 	preferred := u.affinityReplicasOf(call, candidates)
 	var best choice
 	for i, candidate := range candidates {
-		considered := candidate.modelCost(call, preferred[candidate.name], zone, pace, now)
+		considered := candidate.modelCost(call, preferred[candidate.name], zone, timePerToken, now)
 		considered.cost += time.Duration(random.Int64N(int64(spreadCost)))
 		if i == 0 || considered.cost < best.cost {
 			best = considered
@@ -128,7 +128,7 @@
 
 // modelCost returns the cost of sending a model request to the replica. preferred is true if
 // hashing assigns the shared part of the prompt to it.
-func (r *replica) modelCost(call *Call, preferred bool, zone string, pace, now time.Duration) choice {
+func (r *replica) modelCost(call *Call, preferred bool, zone string, timePerToken, now time.Duration) choice {
 	occupied := r.occupancy(now)
 	cached := r.cachedTokens(call.Work.Parts)
 	if preferred {
@@ -138,7 +138,7 @@
 	}
 	uncached := max(call.Work.PromptTokens-cached, 0)
 	cost := time.Duration(occupied.requests) * requestCost
-	cost += time.Duration(occupied.slowdown * float64(time.Duration(occupied.waitingTokens+uncached)*pace))
+	cost += time.Duration(occupied.slowdown * float64(time.Duration(occupied.waitingTokens+uncached)*timePerToken))
 	cost += time.Duration(occupied.failureRate * float64(failureCost))
 	if occupied.slots > 0 && occupied.requests >= occupied.slots {
 		cost += fullCost
--- a/process/ingress/placed.go
+++ b/process/ingress/placed.go
@@ -25,7 +25,7 @@
 	if s.ingress.placer == nil {
 		return plan{}, false
 	}
-	number := s.ingress.numbers.Add(1)
+	number := s.ingress.placementNumbers.Add(1)
 	replacements := 0
 	for {
 		ask := s.placementAsk()
@@ -45,7 +45,7 @@
 		}
 		if answer.Wait <= 0 {
 			chosen, found := s.planFromAnswer(ask, answer, number)
-			if !found && replacements < maxReplacements && s.namesHeldOff(answer) {
+			if !found && replacements < maxReplacements && s.namesClosedReplica(answer) {
 				replacements++
 				continue // the next placement request lists it as excluded
 			}
@@ -68,9 +68,9 @@
 // choice, since only the control group isolates requests that may crash replicas.
 const maxReplacements = 3
 
-// namesHeldOff reports whether an answer names a replica that must not be sent anything because it
-// pauses or is leaving.
-func (s *session) namesHeldOff(answer placement.Answer) bool {
+// namesClosedReplica reports whether an answer names a replica that must not be sent anything
+// because it pauses or is leaving.
+func (s *session) namesClosedReplica(answer placement.Answer) bool {
 	for _, name := range []string{answer.Generator, answer.Reader} {
 		if named := s.upstream.find(name); named != nil && named.holdoff.State(s.ingress.now()) == holdoff.Closed {
 			return true
@@ -155,7 +155,7 @@
 // it has stopped waiting. Once events have been received, it returns the remaining time of the
 // request.
 func (s *session) firstEventTimeout() time.Duration {
-	silence := s.ingress.config.Silence.of(s.route)
+	silence := s.ingress.config.Silence.limitFor(s.route)
 	if silence == 0 || s.events > 0 {
 		return s.remaining()
 	}
--- a/process/ingress/plan.go
+++ b/process/ingress/plan.go
@@ -29,8 +29,8 @@
 	// before its deadline. The caller may retry after retryAfter.
 	refused    bool
 	retryAfter time.Duration
-	// heldOff is true if it is refused because all eligible replicas have asked for a pause.
-	heldOff bool
+	// allPaused is true if it is refused because all eligible replicas have asked for a pause.
+	allPaused bool
 	// quarantined is true if the request was found to crash replicas while it waited for its
 	// placement.
 	quarantined bool
@@ -82,8 +82,8 @@
 	s.ingress.routes() // applies the latest list of replicas
 	now := s.ingress.now()
 	zone := s.ingress.config.Zone
-	if wait, heldOff := s.upstream.allPaused(now); heldOff {
-		return plan{refused: true, retryAfter: wait, heldOff: true}
+	if wait, paused := s.upstream.allPaused(now); paused {
+		return plan{refused: true, retryAfter: wait, allPaused: true}
 	}
 	if s.call.Work.PromptTokens == 0 {
 		return plan{target: s.upstream.pickPlain(zone, s.excluded, now, s.random)}
@@ -108,15 +108,15 @@
 // chooseModel compares a prefill on the decode replica itself with one on a dedicated prefill
 // replica followed by a transfer.
 func (s *session) chooseModel(zone string, now time.Duration) plan {
-	pace := s.upstream.speed.tokenTime()
-	directPace := time.Duration(float64(pace) * directPenalty)
+	timePerToken := s.upstream.speed.tokenTime()
+	directTimePerToken := time.Duration(float64(timePerToken) * directPenalty)
 	decoders := &replicaFilter{roles: []api.EngineRole{api.RoleDecode, api.RoleMixed}, excluded: s.excluded}
-	direct, found := s.upstream.pickModel(decoders, &s.call, zone, directPace, now, s.random)
+	direct, found := s.upstream.pickModel(decoders, &s.call, zone, directTimePerToken, now, s.random)
 	if !found {
 		return plan{}
 	}
 	prefillers := &replicaFilter{roles: []api.EngineRole{api.RolePrefill}, excluded: s.excluded}
-	prefiller, havePrefiller := s.upstream.pickModel(prefillers, &s.call, zone, pace, now, s.random)
+	prefiller, havePrefiller := s.upstream.pickModel(prefillers, &s.call, zone, timePerToken, now, s.random)
 	if !havePrefiller || s.call.ResumeAfter != "" || s.lastEventID != "" {
 		return plan{target: direct.replica, uncachedTokens: direct.uncachedTokens}
 	}
--- a/process/ingress/prefill.go
+++ b/process/ingress/prefill.go
@@ -177,7 +177,7 @@
 	prefiller.noteSuccess()
 	prefiller.noteCachedParts(s.call.Work.Parts)
 	chosen.tracked.report(placement.StepRead, "", prefiller.reportedRequests())
-	s.upstream.speed.learn(uncachedTokens, took)
+	s.upstream.speed.observe(uncachedTokens, took)
 	s.ingress.metrics.prefillSeconds.WithLabelValues(s.upstream.service).Observe(took.Seconds())
 	fmt.Fprintf(&s.trace, " prefill(%s: %d tokens in %s)", prefiller.name, uncachedTokens, took.Round(time.Millisecond))
 }
--- a/process/ingress/run.go
+++ b/process/ingress/run.go
@@ -44,7 +44,7 @@
 	defer ingress.Close()
 	day := metering.NewDay(clock.Now, time.Now)
 	// Corrected by the control group; the machine's own wall clock may jump by seconds.
-	ingress.day = day.Now
+	ingress.wallClock = day.Now
 	if config.UsageWindow > 0 {
 		ingress.usage = metering.NewCounter(config.Name, config.UsageWindow, day.Now)
 	}
@@ -73,7 +73,7 @@
 		return errors.Wrap(err, "ingress: subscribe to the control group")
 	}
 	defer client.Close()
-	ingress.upstreams.lookupNamed = client.Listed
+	ingress.upstreams.lookupUnlisted = client.Listed
 	ingress.placer = client
 	ingress.charger = client
 	ingress.confirmer = views
--- a/process/ingress/session.go
+++ b/process/ingress/session.go
@@ -55,9 +55,9 @@
 	// capacityWait is the estimated time until there is capacity for the request, as last given by
 	// the control group.
 	capacityWait time.Duration
-	// allHeldOff is true if capacityWait is the time until the first pause ends, because all
+	// allPaused is true if capacityWait is the time until the first pause ends, because all
 	// replicas asked for one.
-	allHeldOff bool
+	allPaused bool
 	// usageCounted is true once a replica has started the request, which is counted once.
 	usageCounted bool
 	// failure is an error answer from a replica, passed on if no later attempt succeeds.
@@ -82,13 +82,13 @@
 type verdict uint8
 
 const (
-	verdictDone       verdict = iota + 1 // the caller has a complete answer
-	verdictNotRun                        // no replica has run the request in this attempt
-	verdictBroken                        // it may have run but produced no complete answer
-	verdictCallerEnd                     // the caller is gone or its deadline has passed
-	verdictNoCapacity                    // no replica would answer before the deadline
-	verdictTooLate                       // the deadline passed before the request was sent
-	verdictHeld                          // quarantined, so that it must not be sent to a replica
+	verdictDone        verdict = iota + 1 // the caller has a complete answer
+	verdictNotRun                         // no replica has run the request in this attempt
+	verdictBroken                         // it may have run but produced no complete answer
+	verdictCallerEnd                      // the caller is gone or its deadline has passed
+	verdictNoCapacity                     // no replica would answer before the deadline
+	verdictTooLate                        // the deadline passed before the request was sent
+	verdictQuarantined                    // quarantined, so that it must not be sent to a replica
 )
 
 // maxDialFailures is the number of connections that may fail before a request is given up.
@@ -125,13 +125,13 @@
 		case verdictCallerEnd:
 			return s.answerInterrupted(ctx)
 		case verdictNoCapacity:
-			if s.allHeldOff {
+			if s.allPaused {
 				return s.giveUp("pause")
 			}
 			return s.giveUp("no_capacity")
 		case verdictTooLate:
 			return s.giveUp("no_time")
-		case verdictHeld:
+		case verdictQuarantined:
 			continue // refused at the top of the loop
 		case verdictNotRun:
 			if target == nil {
@@ -198,9 +198,9 @@
 		return s.forwardFailure()
 	}
 	if ran == attempt.RanNo {
-		return s.refuse(http.StatusServiceUnavailable, cause, s.retryAfter())
+		return s.answerError(http.StatusServiceUnavailable, cause, s.retryAfter())
 	}
-	return s.refuse(http.StatusBadGateway, cause, 0)
+	return s.answerError(http.StatusBadGateway, cause, 0)
 }
 
 // answerInterrupted answers a request whose deadline has passed or whose process is stopping. It
@@ -221,9 +221,9 @@
 		return 0
 	}
 	if ran == attempt.RanNo {
-		return s.refuse(http.StatusServiceUnavailable, cause, s.retryAfter())
+		return s.answerError(http.StatusServiceUnavailable, cause, s.retryAfter())
 	}
-	return s.refuse(http.StatusGatewayTimeout, cause, 0)
+	return s.answerError(http.StatusGatewayTimeout, cause, 0)
 }
 
 // statusCallerGone is logged for a request whose caller has gone.
@@ -232,7 +232,7 @@
 // retryAfter returns the retry delay to send to the caller.
 func (s *session) retryAfter() time.Duration {
 	remaining := s.callerDeadline - s.ingress.now()
-	if s.allHeldOff {
+	if s.allPaused {
 		return s.capacityWait // not limited, since no replica accepts the request earlier
 	}
 	if s.capacityWait > 0 {
@@ -251,9 +251,9 @@
 	capacityWaitShare = 0.3
 )
 
-// refuse sends a final answer that the proxy generates itself, whether or not the request was sent
-// to replicas.
-func (s *session) refuse(status int, cause string, retryAfter time.Duration) int {
+// answerError sends a final answer that the proxy generates itself, whether or not the request was
+// sent to replicas.
+func (s *session) answerError(status int, cause string, retryAfter time.Duration) int {
 	fmt.Fprintf(&s.trace, " own:%s", cause)
 	header := s.writer.Header()
 	s.ingress.config.Dialect.Refusal(header, &s.call, retryAfter)
--- a/process/ingress/try.go
+++ b/process/ingress/try.go
@@ -45,10 +45,10 @@
 		return verdictTooLate, nil
 	}
 	if chosen.quarantined {
-		return verdictHeld, nil
+		return verdictQuarantined, nil
 	}
 	if chosen.refused {
-		s.capacityWait, s.allHeldOff = chosen.retryAfter, chosen.heldOff
+		s.capacityWait, s.allPaused = chosen.retryAfter, chosen.allPaused
 		return verdictNoCapacity, nil
 	}
 	if chosen.target == nil {
@@ -56,7 +56,7 @@
 	}
 	if _, quarantined := s.quarantineHold(); quarantined { // became known while the request waited for its placement
 		chosen.tracked.report(placement.StepEnded, "", 0)
-		return verdictHeld, chosen.target
+		return verdictQuarantined, chosen.target
 	}
 	source := Source{}
 	if chosen.prefiller != nil {
@@ -74,7 +74,7 @@
 		source = s.validSource(chosen.prefiller, source)
 		if _, quarantined := s.quarantineHold(); quarantined {
 			s.discardPrefill(chosen, source)
-			return verdictHeld, chosen.target
+			return verdictQuarantined, chosen.target
 		}
 	}
 	s.isolated = chosen.isolated
