--- a/process/ingress/authenticate_test.go
+++ b/process/ingress/authenticate_test.go
@@ -81,7 +81,7 @@
 
 // Before any configuration has arrived, a request with a key is answered 503 with a retry delay
 // and not 401, since the key may be valid.
-func TestNoKeyIsRefusedBeforeAConfiguration(t *testing.T) {
+func TestKeysBeforeAConfigurationAreAnsweredWithARetryDelay(t *testing.T) {
 	env := newTestEnv(t, newFakeReplica(t, "r-1", answerOK))
 	bare := New(Config{Name: "p", Dialect: testDialect{}}, &viewHolder{current: view.New()}, env.ingress.clock, env.ingress.logger)
 	defer bare.Close()
--- a/process/ingress/order_test.go
+++ b/process/ingress/order_test.go
@@ -27,7 +27,7 @@
 
 // A send that includes the prefill of a deferred request has the lowest priority, so that replicas
 // prefill it last. A run whose prompt is already prefilled keeps the route's priority.
-func TestDeferredRequestsArePrefilledLast(t *testing.T) {
+func TestDeferredRequestsHaveTheLowestPrefillPriority(t *testing.T) {
 	prefiller := newFakeReplica(t, "read", answerPrefill)
 	decoder := newFakeReplica(t, "make", streamEvents(2, ""))
 	env := newModelEnv(t, prefiller, decoder, nil)
