--- a/process/guard/guard.go
+++ b/process/guard/guard.go
@@ -139,9 +139,9 @@
 	}
 }
 
-// Doubts reports whether an answer refutes the recorded crash of a replica, because it answers a
-// request that was sent after this proxy learned of the crash.
-func (g *Guard) Doubts(replica string, sentAt time.Duration) bool {
+// RefutesCrash reports whether an answer refutes the recorded crash of a replica, because it
+// answers a request that was sent after this proxy learned of the crash.
+func (g *Guard) RefutesCrash(replica string, sentAt time.Duration) bool {
 	if !g.Active() {
 		return false
 	}
@@ -151,12 +151,12 @@
 	return found && sentAt > crash.learnedAt
 }
 
-// DoubtsOnConnection is Doubts for a replica whose answers do not identify its process, which may
-// have been replaced under the same name. The crash is refuted only if the answer arrived on a
-// connection that was opened before the crash. opened is by this machine's wall clock, the time of
-// the crash by the leader's.
-func (g *Guard) DoubtsOnConnection(replica string, sentAt time.Duration, opened time.Time) bool {
-	if !g.Doubts(replica, sentAt) {
+// RefutesCrashOnConnection is RefutesCrash for a replica whose answers do not identify its
+// process, which may have been replaced under the same name. The crash is refuted only if the
+// answer arrived on a connection that was opened before the crash. opened is by this machine's
+// wall clock, the time of the crash by the leader's.
+func (g *Guard) RefutesCrashOnConnection(replica string, sentAt time.Duration, opened time.Time) bool {
+	if !g.RefutesCrash(replica, sentAt) {
 		return false
 	}
 	g.lock.Lock()
@@ -206,9 +206,9 @@
 	g.active.Store(len(g.recorded) > 0 || len(g.table.Watched(now)) > 0)
 }
 
-// Ended records that a replica seems to have crashed while processing a request, and reports it to
-// the control group. The random Sight identifies the observation if it is reported again.
-func (g *Guard) Ended(now time.Duration, evidence quarantine.Evidence) {
+// NoteCrash records that a replica seems to have crashed while processing a request, and reports
+// it to the control group. The random Sight identifies the observation if it is reported again.
+func (g *Guard) NoteCrash(now time.Duration, evidence quarantine.Evidence) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	g.updateCutOff(now)
@@ -224,9 +224,9 @@
 // unrecorded, members repeat it every feed.UnrecordedPause.
 const reportMaxAge = 3 * feed.UnrecordedPause
 
-// Unrecorded applies a member's report of crashes that are not on record, because there is no
+// ApplyUnrecorded applies a member's report of crashes that are not on record, because there is no
 // leader or it cannot commit. Until they are recorded, only the proxies can act on them.
-func (g *Guard) Unrecorded(now time.Duration, report feed.EndReport) {
+func (g *Guard) ApplyUnrecorded(now time.Duration, report feed.EndReport) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	for _, evidence := range report.Ended {
@@ -237,10 +237,11 @@
 	g.updateActive(now)
 }
 
-// EndsMany reports whether enough replicas have crashed while processing a request to quarantine
-// it, by the record and this proxy's own observations, regardless of other requests in flight
-// there. A proxy that is cut off sees only a part of the evidence and requires one crash more.
-func (g *Guard) EndsMany(now time.Duration, fingerprint quarantine.Fingerprint) bool {
+// HasManyCrashes reports whether enough replicas have crashed while processing a request to
+// quarantine it, by the record and this proxy's own observations, regardless of other requests in
+// flight there. A proxy that is cut off sees only a part of the evidence and requires one crash
+// more.
+func (g *Guard) HasManyCrashes(now time.Duration, fingerprint quarantine.Fingerprint) bool {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	threshold := quarantine.CondemningEnds
@@ -250,9 +251,9 @@
 	return g.table.CountEnds(fingerprint) >= threshold
 }
 
-// Lives records that a replica which seemed to have crashed has answered since, and reports it to
-// the control group.
-func (g *Guard) Lives(now time.Duration, alive quarantine.Alive) {
+// NoteAlive records that a replica which seemed to have crashed has answered since, and reports it
+// to the control group.
+func (g *Guard) NoteAlive(now time.Duration, alive quarantine.Alive) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	g.table.Lives(now, alive)
@@ -261,9 +262,9 @@
 	g.report(feed.EndReport{Alive: []quarantine.Alive{alive}})
 }
 
-// Served clears a request that was served completely and reports that to the control group. It
+// NoteServed clears a request that was served completely and reports that to the control group. It
 // does nothing if there is no evidence against the request, here or on record.
-func (g *Guard) Served(now time.Duration, fingerprint quarantine.Fingerprint) {
+func (g *Guard) NoteServed(now time.Duration, fingerprint quarantine.Fingerprint) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	evidence, _ := g.table.Ends(fingerprint)
@@ -274,10 +275,10 @@
 	g.report(feed.EndReport{Served: []quarantine.Fingerprint{fingerprint}})
 }
 
-// ServedIsolated clears and reports a request that was served completely while it was isolated:
-// the control group suspected it of crashing replicas and had it sent to one without other
-// requests. It does so even if this proxy has no evidence against the request.
-func (g *Guard) ServedIsolated(now time.Duration, fingerprint quarantine.Fingerprint) {
+// NoteServedIsolated clears and reports a request that was served completely while it was
+// isolated: the control group suspected it of crashing replicas and had it sent to one without
+// other requests. It does so even if this proxy has no evidence against the request.
+func (g *Guard) NoteServedIsolated(now time.Duration, fingerprint quarantine.Fingerprint) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	g.table.Served(now, fingerprint)
@@ -305,19 +306,19 @@
 	}
 }
 
-// Holds reports whether a request must not be sent to any replica, and for how long; remaining is
-// 0 if it may be sent. A request on record as held or settling (about to be held) is sent nowhere.
-// One on trial may be sent by one owner at a time: Holds claims the trial for the owner, who must
-// call EndTrial. If no such state is on record, the observations of a proxy that is cut off, or
-// that acts on a member's report, decide.
-func (g *Guard) Holds(now time.Duration, wall time.Time, fingerprint quarantine.Fingerprint, owner any) (remaining time.Duration, held bool) {
+// CheckHold reports whether a request must not be sent to any replica, and for how long; remaining
+// is 0 if it may be sent. A request on record as held or settling (about to be held) is sent
+// nowhere. One on trial may be sent by one owner at a time: CheckHold claims the trial for the
+// owner, who must call EndTrial. If no such state is on record, the observations of a proxy that
+// is cut off, or that acts on a member's report, decide.
+func (g *Guard) CheckHold(now time.Duration, wall time.Time, fingerprint quarantine.Fingerprint, owner any) (remaining time.Duration, held bool) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	entry := g.recorded[fingerprint.String()]
 	switch {
 	case entry == nil:
 	case entry.Spec.State == api.QuarantineHeld:
-		return max(time.UnixMilli(entry.Spec.Until).Sub(wall), LeastHold), true
+		return max(time.UnixMilli(entry.Spec.Until).Sub(wall), MinHold), true
 	case entry.Spec.State == api.QuarantineSettling:
 		return trialRetryAfter, true
 	case entry.Spec.State == api.QuarantineTried:
@@ -327,7 +328,7 @@
 	if !g.updateCutOff(now) && now >= g.reportedUntil || !g.table.IsCertain(fingerprint) {
 		return 0, false
 	}
-	return max(g.table.Rest(now, fingerprint), LeastHold), true
+	return max(g.table.Rest(now, fingerprint), MinHold), true
 }
 
 // RequiresLeader reports whether only the control group may place a request: enough replicas have
@@ -406,5 +407,5 @@
 	return now-g.lostAt >= cutOffDelay
 }
 
-// LeastHold is the minimum time that Holds returns for a held request.
-const LeastHold = time.Second
+// MinHold is the minimum time that CheckHold returns for a held request.
+const MinHold = time.Second
--- a/process/guard/guard_test.go
+++ b/process/guard/guard_test.go
@@ -42,7 +42,7 @@
 }
 
 func (g *Guard) holdsCrashing(now time.Duration, wall time.Time) bool {
-	_, held := g.Holds(now, wall, crashingRequest, nil)
+	_, held := g.CheckHold(now, wall, crashingRequest, nil)
 	return held
 }
 
@@ -53,11 +53,11 @@
 	guard, wall := New("p"), time.Unix(1_700_000_000, 0)
 	guard.SetReporter(&fakeGroup{connected: true})
 	for i := range 5 {
-		guard.Ended(0, quarantine.Evidence{Fingerprint: crashingRequest, Replica: fmt.Sprint("r-", i)})
+		guard.NoteCrash(0, quarantine.Evidence{Fingerprint: crashingRequest, Replica: fmt.Sprint("r-", i)})
 	}
 	must.False(t, guard.holdsCrashing(later, wall), must.Sprint("this proxy's observations do not count while it has a leader"))
 	guard.Follow(recordView(2, api.QuarantineHeld, wall.Add(time.Hour), "r-0", "r-1", "r-2"), later)
-	remaining, held := guard.Holds(later, wall, crashingRequest, nil)
+	remaining, held := guard.CheckHold(later, wall, crashingRequest, nil)
 	must.True(t, held)
 	must.Eq(t, time.Hour, remaining)
 	guard.Follow(recordView(1, "", wall), later)
@@ -78,17 +78,17 @@
 	guard.Follow(recordView(2, api.QuarantineWatched, wall, "r-1", "r-2"), 0)
 	leader.connected = false
 	must.False(t, guard.holdsCrashing(later, wall), must.Sprint("the hold expired"))
-	guard.Ended(later, quarantine.Evidence{Fingerprint: crashingRequest, Replica: "r-9"})
+	guard.NoteCrash(later, quarantine.Evidence{Fingerprint: crashingRequest, Replica: "r-9"})
 	must.False(t, guard.holdsCrashing(later+cutOffDelay-1, wall), must.Sprint("a change of leader takes up to cutOffDelay"))
-	guard.Lives(later, quarantine.Alive{Replica: "r-9", For: quarantine.Ever})
-	guard.Ended(later, quarantine.Evidence{Fingerprint: crashingRequest, Replica: "r-3"})
+	guard.NoteAlive(later, quarantine.Alive{Replica: "r-9", For: quarantine.Ever})
+	guard.NoteCrash(later, quarantine.Evidence{Fingerprint: crashingRequest, Replica: "r-3"})
 	must.False(t, guard.holdsCrashing(2*later, wall), must.Sprint("a cut-off proxy sees only a part of the evidence"))
-	guard.Ended(later, quarantine.Evidence{Fingerprint: crashingRequest, Replica: "r-5"})
+	guard.NoteCrash(later, quarantine.Evidence{Fingerprint: crashingRequest, Replica: "r-5"})
 	must.True(t, guard.holdsCrashing(2*later, wall))
-	guard.Lives(2*later, quarantine.Alive{Replica: "r-3", For: quarantine.Ever})
+	guard.NoteAlive(2*later, quarantine.Alive{Replica: "r-3", For: quarantine.Ever})
 	must.False(t, guard.holdsCrashing(2*later, wall))
 
-	guard.Ended(3*later, quarantine.Evidence{Fingerprint: crashingRequest, Replica: "r-4"})
+	guard.NoteCrash(3*later, quarantine.Evidence{Fingerprint: crashingRequest, Replica: "r-4"})
 	leader.connected = true
 	guard.Follow(recordView(3, "", wall), 3*later)
 	leader.connected = false
@@ -101,8 +101,8 @@
 	leader := &fakeGroup{}
 	guard := New("p")
 	guard.SetReporter(leader)
-	guard.Ended(0, quarantine.Evidence{Fingerprint: crashingRequest, Replica: "r-0"})
-	guard.Ended(0, quarantine.Evidence{Fingerprint: crashingRequest, Replica: "r-1"})
+	guard.NoteCrash(0, quarantine.Evidence{Fingerprint: crashingRequest, Replica: "r-0"})
+	guard.NoteCrash(0, quarantine.Evidence{Fingerprint: crashingRequest, Replica: "r-1"})
 	leader.connected, leader.reports = true, nil
 	guard.ReportAll(later)
 	must.SliceLen(t, 1, leader.reports)
@@ -113,15 +113,15 @@
 // Every proxy checks answers of replicas that are recorded as crashed.
 func TestAnswersOfRecordedReplicasRefuteCrashes(t *testing.T) {
 	guard := New("p")
-	must.False(t, guard.Doubts("r-0", later))
+	must.False(t, guard.RefutesCrash("r-0", later))
 	guard.Follow(recordView(1, api.QuarantineWatched, time.Now(), "r-0", "r-1"), time.Second)
 	guard.Follow(recordView(2, api.QuarantineHeld, time.Now(), "r-0", "r-1", "r-2"), 2*time.Second)
-	must.False(t, guard.Doubts("r-0", time.Second), must.Sprint("sent before the proxy learned of the crash"))
-	must.True(t, guard.Doubts("r-0", 2*time.Second))
-	must.False(t, guard.Doubts("r-2", 2*time.Second))
-	must.False(t, guard.Doubts("r-9", later))
-	guard.Lives(later, quarantine.Alive{Replica: "r-0", For: quarantine.Ever})
-	must.False(t, guard.Doubts("r-0", later))
+	must.False(t, guard.RefutesCrash("r-0", time.Second), must.Sprint("sent before the proxy learned of the crash"))
+	must.True(t, guard.RefutesCrash("r-0", 2*time.Second))
+	must.False(t, guard.RefutesCrash("r-2", 2*time.Second))
+	must.False(t, guard.RefutesCrash("r-9", later))
+	guard.NoteAlive(later, quarantine.Alive{Replica: "r-0", For: quarantine.Ever})
+	must.False(t, guard.RefutesCrash("r-0", later))
 }
 
 // An answer that does not identify its process refutes a crash only on a connection that was
@@ -132,21 +132,21 @@
 	recorded := recordView(1, api.QuarantineHeld, crashedAt.Add(time.Hour), "r-0", "r-1")
 	recorded.Quarantines[crashingRequest.String()].Spec.Since = crashedAt.UnixMilli()
 	guard.Follow(recorded, time.Second)
-	must.False(t, guard.DoubtsOnConnection("r-0", later, crashedAt.Add(time.Minute)), must.Sprint("possibly another process"))
-	must.False(t, guard.DoubtsOnConnection("r-0", later, crashedAt.Add(-time.Second)), must.Sprint("within the clock margin"))
-	must.True(t, guard.DoubtsOnConnection("r-0", later, crashedAt.Add(-time.Minute)))
-	must.False(t, guard.DoubtsOnConnection("r-0", time.Second, crashedAt.Add(-time.Minute)), must.Sprint("sent before the proxy learned of the crash"))
-	must.False(t, guard.DoubtsOnConnection("r-9", later, crashedAt.Add(-time.Minute)))
+	must.False(t, guard.RefutesCrashOnConnection("r-0", later, crashedAt.Add(time.Minute)), must.Sprint("possibly another process"))
+	must.False(t, guard.RefutesCrashOnConnection("r-0", later, crashedAt.Add(-time.Second)), must.Sprint("within the clock margin"))
+	must.True(t, guard.RefutesCrashOnConnection("r-0", later, crashedAt.Add(-time.Minute)))
+	must.False(t, guard.RefutesCrashOnConnection("r-0", time.Second, crashedAt.Add(-time.Minute)), must.Sprint("sent before the proxy learned of the crash"))
+	must.False(t, guard.RefutesCrashOnConnection("r-9", later, crashedAt.Add(-time.Minute)))
 }
 
 func TestServedRequestIsReportedOnlyIfSuspected(t *testing.T) {
 	leader := &fakeGroup{connected: true}
 	guard := New("p")
 	guard.SetReporter(leader)
-	guard.Served(0, crashingRequest)
+	guard.NoteServed(0, crashingRequest)
 	must.SliceEmpty(t, leader.reports)
 	guard.Follow(recordView(1, api.QuarantineWatched, time.Now(), "r-0", "r-1"), 0)
-	guard.Served(0, crashingRequest)
+	guard.NoteServed(0, crashingRequest)
 	must.SliceLen(t, 1, leader.reports)
 	must.Eq(t, []quarantine.Fingerprint{crashingRequest}, leader.reports[0].Served)
 }
@@ -167,18 +167,18 @@
 		trying := ""
 		for name, guard := range guards {
 			guard.Follow(current, 0)
-			if _, held := guard.Holds(0, wall, crashingRequest, "first"); held {
+			if _, held := guard.CheckHold(0, wall, crashingRequest, "first"); held {
 				continue
 			}
 			must.Eq(t, "", trying, must.Sprint("only one proxy runs a trial"))
 			trying = name
-			_, held := guard.Holds(0, wall, crashingRequest, "first")
+			_, held := guard.CheckHold(0, wall, crashingRequest, "first")
 			must.False(t, held, must.Sprint("repeated checks for the same owner, as before each send"))
-			_, held = guard.Holds(0, wall, crashingRequest, "second")
+			_, held = guard.CheckHold(0, wall, crashingRequest, "second")
 			must.True(t, held)
 			guard.EndTrial(crashingRequest, "second")
 			guard.EndTrial(crashingRequest, "first")
-			_, held = guard.Holds(0, wall, crashingRequest, "second")
+			_, held = guard.CheckHold(0, wall, crashingRequest, "second")
 			must.False(t, held)
 			guard.EndTrial(crashingRequest, "second")
 		}
@@ -194,7 +194,7 @@
 	guard, wall := New("p-1"), time.Unix(1_700_000_000, 0)
 	guard.SetReporter(&fakeGroup{connected: true})
 	guard.Follow(recordView(2, api.QuarantineSettling, wall.Add(time.Second), "a", "b", "c"), 0)
-	remaining, held := guard.Holds(0, wall, crashingRequest, "first")
+	remaining, held := guard.CheckHold(0, wall, crashingRequest, "first")
 	must.True(t, held)
 	must.Eq(t, trialRetryAfter, remaining)
 }
@@ -219,7 +219,7 @@
 	guard := New("p")
 	guard.SetReporter(leader)
 	guard.Follow(recordView(1, api.QuarantineWatched, time.Now(), "r-0", "r-1"), 0)
-	guard.Served(later, crashingRequest)
+	guard.NoteServed(later, crashingRequest)
 	leader.connected, leader.reports = true, nil
 	guard.ReportAll(later + time.Second)
 	must.SliceLen(t, 1, leader.reports)
--- a/process/guard/unrecorded_test.go
+++ b/process/guard/unrecorded_test.go
@@ -34,14 +34,14 @@
 			guard.SetReporter(members)
 			guard.Follow(recordView(1, "", wall), 0)
 			members.connected = connected
-			guard.Ended(later, quarantine.Evidence{Fingerprint: crashingRequest, Replica: "r-3"})
+			guard.NoteCrash(later, quarantine.Evidence{Fingerprint: crashingRequest, Replica: "r-3"})
 			must.False(t, guard.holdsCrashing(later, wall), must.Sprint("a single crash is not enough evidence"))
-			guard.Unrecorded(later, crashReport(3))
+			guard.ApplyUnrecorded(later, crashReport(3))
 			must.True(t, guard.Active())
 			must.True(t, guard.holdsCrashing(later, wall), must.Sprint("four crashes are known to this proxy"))
 			for range 3 {
 				later := later + reportMaxAge - time.Second
-				guard.Unrecorded(later, crashReport(3))
+				guard.ApplyUnrecorded(later, crashReport(3))
 				must.True(t, guard.holdsCrashing(later, wall), must.Sprint("valid while it is repeated"))
 			}
 			members.connected = true
@@ -59,13 +59,13 @@
 	wall := time.Unix(1_700_000_000, 0)
 	guard := New("p")
 	guard.SetReporter(&fakeGroup{})
-	guard.Unrecorded(later, crashReport(3))
+	guard.ApplyUnrecorded(later, crashReport(3))
 	must.False(t, guard.holdsCrashing(later, wall))
-	guard.Unrecorded(later, crashReport(4))
+	guard.ApplyUnrecorded(later, crashReport(4))
 	must.True(t, guard.holdsCrashing(later, wall))
-	guard.Served(later, crashingRequest)
+	guard.NoteServed(later, crashingRequest)
 	must.False(t, guard.holdsCrashing(later, wall))
-	guard.Unrecorded(later, crashReport(4))
+	guard.ApplyUnrecorded(later, crashReport(4))
 	must.False(t, guard.holdsCrashing(later, wall), must.Sprint("the request was served"))
 }
 
@@ -75,8 +75,8 @@
 	wall := time.Unix(1_700_000_000, 0)
 	guard := New("p")
 	guard.SetReporter(&fakeGroup{connected: true})
-	guard.Ended(later, quarantine.Evidence{Fingerprint: crashingRequest, Replica: "seen"})
-	guard.Unrecorded(later, crashReport(4))
+	guard.NoteCrash(later, quarantine.Evidence{Fingerprint: crashingRequest, Replica: "seen"})
+	guard.ApplyUnrecorded(later, crashReport(4))
 	must.True(t, guard.holdsCrashing(later, wall))
 	guard.Follow(recordView(1, "", wall), later)
 	must.False(t, guard.holdsCrashing(later, wall))
--- a/process/ingress/answer.go
+++ b/process/ingress/answer.go
@@ -32,7 +32,7 @@
 	}
 	// The answer proves neither that the request has run nor that it has not; see promisesNotRun
 	// for the statuses.
-	if !reply.Named || isSuccess(answer.Status) && !reply.Genuine || promisesNotRun(answer.Status) {
+	if !reply.HasRequestID || isSuccess(answer.Status) && !reply.Genuine || promisesNotRun(answer.Status) {
 		s.lifecycle.Fail(number, attempt.FaultBroken)
 		target.noteFailure()
 		return s.verdictAfterBreak(ctx)
--- a/process/ingress/asks.go
+++ b/process/ingress/asks.go
@@ -51,8 +51,8 @@
 	if reply.Misdirected {
 		return
 	}
-	leaves := from.Hear(s.ingress.now(), s.ingress.wallClock(), reply.Asks)
-	if reply.Asks.IsZero() {
+	leaves := from.Hear(s.ingress.now(), s.ingress.wallClock(), reply.Holdoff)
+	if reply.Holdoff.IsZero() {
 		return
 	}
 	if leaves {
@@ -60,7 +60,7 @@
 	}
 	s.ingress.metrics.announcements.WithLabelValues(s.upstream.service, stage).Inc()
 	event.ReplicaAsks.Log(s.ingress.logger, "replica", from.Name(), "request", s.call.ID, "stage", stage, "status", status,
-		"retry_after_ms", reply.Asks.RetryAfter.Milliseconds(), "leaving", reply.Asks.Leaving)
+		"retry_after_ms", reply.Holdoff.RetryAfter.Milliseconds(), "leaving", reply.Holdoff.Leaving)
 }
 
 // reportLeaving tells the member that places requests, the leader or a standby member, that a
--- a/process/ingress/authenticate.go
+++ b/process/ingress/authenticate.go
@@ -30,7 +30,7 @@
 	if !routes.keysRequired {
 		return nil, nil
 	}
-	if !call.Credential.Given && route.Public {
+	if !call.Credential.Present && route.Public {
 		return nil, nil
 	}
 	if i.refusesKeys() {
--- a/process/ingress/config.go
+++ b/process/ingress/config.go
@@ -28,10 +28,10 @@
 	FeedAddresses []string
 	Seeds         func() []string
 	// RelayAddress is where this proxy relays placement requests for proxies that cannot reach the
-	// control group; empty for no relay. RelayOf maps a proxy's ListenAddress to its relay
+	// control group; empty for no relay. RelayAddressOf maps a proxy's ListenAddress to its relay
 	// address, empty if it has none; a nil function means that no proxy has one.
-	RelayAddress string
-	RelayOf      func(callersAddress string) string
+	RelayAddress   string
+	RelayAddressOf func(callersAddress string) string
 
 	Retry RetryBudget
 	Drain Drain
@@ -60,11 +60,11 @@
 }
 
 // Silence defines how long callers tolerate a stream without events. The limit is the largest of
-// Least, of Objectives times the route's objective for the first event, and of Gaps times its
+// Min, of Objectives times the route's objective for the first event, and of Gaps times its
 // objective for the time between events. The zero value sets no limit, so that callers wait until
 // their deadline.
 type Silence struct {
-	Least      time.Duration
+	Min        time.Duration
 	Objectives int
 	Gaps       int
 }
@@ -77,7 +77,7 @@
 	}
 	first := time.Duration(s.Objectives) * milliseconds(route.ObjectiveMilliseconds)
 	between := time.Duration(s.Gaps) * milliseconds(route.GapMilliseconds)
-	return max(s.Least, first, between)
+	return max(s.Min, first, between)
 }
 
 func milliseconds(count int64) time.Duration { return time.Duration(count) * time.Millisecond }
@@ -100,12 +100,12 @@
 	// stopping. At Limit the remaining requests are cancelled; the process ends at most 5 % of
 	// Limit later.
 	Notice time.Duration
-	// From Late on, requests that may outlast Limit are refused; those that arrive earlier may be
-	// cut at Limit. By then callers are expected to know that the proxy is stopping. A request
-	// that still arrives uses a connection that its caller has kept open, and the caller can send
-	// it to another proxy at once.
-	Late  time.Duration
-	Limit time.Duration
+	// From RefuseAfter on, requests that may outlast Limit are refused; those that arrive earlier
+	// may be cut at Limit. By then callers are expected to know that the proxy is stopping. A
+	// request that still arrives uses a connection that its caller has kept open, and the caller
+	// can send it to another proxy at once.
+	RefuseAfter time.Duration
+	Limit       time.Duration
 }
 
 // Timeouts limits waits of the data path.
@@ -117,14 +117,14 @@
 	Transit time.Duration
 }
 
-// Defaults of Config. In a planned stop, DefaultLate comes before DefaultNotice, and that before
-// DefaultDrainLimit.
+// Defaults of Config. In a planned stop, DefaultRefuseAfter comes before DefaultNotice, and that
+// before DefaultDrainLimit.
 const (
 	DefaultHeaderTimeout = 10 * time.Second
 	DefaultIdleTimeout   = 60 * time.Second
 	DefaultTransit       = 10 * time.Millisecond
 	DefaultNotice        = 4500 * time.Millisecond
-	DefaultLate          = 2500 * time.Millisecond
+	DefaultRefuseAfter   = 2500 * time.Millisecond
 	DefaultDrainLimit    = 7500 * time.Millisecond
 	DefaultRetryShare    = 0.1
 	DefaultRetryReserve  = 50
@@ -141,7 +141,7 @@
 	c.Retry.Window = cmp.Or(c.Retry.Window, DefaultRetryWindow)
 	c.Retry.Settle = cmp.Or(c.Retry.Settle, c.Retry.Window)
 	c.Drain.Notice = cmp.Or(c.Drain.Notice, DefaultNotice)
-	c.Drain.Late = cmp.Or(c.Drain.Late, DefaultLate)
+	c.Drain.RefuseAfter = cmp.Or(c.Drain.RefuseAfter, DefaultRefuseAfter)
 	c.Drain.Limit = cmp.Or(c.Drain.Limit, DefaultDrainLimit)
 	c.Timeouts.Header = cmp.Or(c.Timeouts.Header, DefaultHeaderTimeout)
 	c.Timeouts.Idle = cmp.Or(c.Timeouts.Idle, DefaultIdleTimeout)
--- a/process/ingress/ended.go
+++ b/process/ingress/ended.go
@@ -66,7 +66,7 @@
 		s.crashes++
 	}
 	target.noteCrash(now)
-	s.ingress.guard.Ended(now, quarantine.Evidence{
+	s.ingress.guard.NoteCrash(now, quarantine.Evidence{
 		Fingerprint: s.fingerprint(), Replica: target.incarnation(), Began: sent.events > 0, Read: stage == stagePrefill,
 		Alone: isolated, Listens: state == addressListens, Ran: now - sent.at, Once: target.spec().Born != 0,
 		About: quarantine.About{Service: s.upstream.service, Route: s.route.Name, Request: s.call.ID},
@@ -105,25 +105,25 @@
 // refutes its suspected crash: the connection was opened before the crash, and the request was
 // sent after it.
 func (s *session) noteAlive(from *replica, sentAt time.Duration, answer *exchange.Answer, reply *Reply) {
-	if !reply.Named || reply.Misdirected {
+	if !reply.HasRequestID || reply.Misdirected {
 		return
 	}
 	now, incarnation := s.ingress.now(), from.incarnation()
 	opened := time.Now().Add(answer.Opened - now)
-	if from.refutesCrash(sentAt, answer.Opened) || s.ingress.guard.DoubtsOnConnection(incarnation, sentAt, opened) {
+	if from.refutesCrash(sentAt, answer.Opened) || s.ingress.guard.RefutesCrashOnConnection(incarnation, sentAt, opened) {
 		event.ReplicaLives.Log(s.ingress.logger, "request", s.call.ID, "replica", incarnation, "open_ms", (now - answer.Opened).Milliseconds())
-		s.ingress.guard.Lives(now, quarantine.Alive{Replica: incarnation, For: now - answer.Opened})
+		s.ingress.guard.NoteAlive(now, quarantine.Alive{Replica: incarnation, For: now - answer.Opened})
 	}
 }
 
 // quarantineHold reports whether the request must not be sent to any replica because it crashes
 // them, and for how long. If the request is on trial, it claims the trial for this session if it
-// can; see guard.Guard.Holds.
+// can; see guard.Guard.CheckHold.
 func (s *session) quarantineHold() (remaining time.Duration, quarantined bool) {
 	if !s.ingress.guard.Active() {
 		return 0, false
 	}
-	return s.ingress.guard.Holds(s.ingress.now(), time.Now(), s.fingerprint(), s)
+	return s.ingress.guard.CheckHold(s.ingress.now(), time.Now(), s.fingerprint(), s)
 }
 
 // endTrial allows another copy of the request to be tried if this one was on trial.
--- a/process/ingress/harness_test.go
+++ b/process/ingress/harness_test.go
@@ -70,12 +70,12 @@
 
 func (testDialect) Call(header http.Header) (Call, error) {
 	call := Call{ID: header.Get(testID), Header: header, ResumeAfter: header.Get(testResume)}
-	call.Credential = Credential{Key: header.Get(testKey), Given: len(header[testKey]) > 0}
+	call.Credential = Credential{Key: header.Get(testKey), Present: len(header[testKey]) > 0}
 	if call.ID == "" {
 		return call, errors.New("no ID")
 	}
 	within, _ := strconv.Atoi(header.Get(testWithin))
-	call.Within = time.Duration(within) * time.Millisecond
+	call.Timeout = time.Duration(within) * time.Millisecond
 	call.Work.PromptTokens, _ = strconv.Atoi(header.Get(testTokens))
 	return call, nil
 }
@@ -91,7 +91,7 @@
 func (testDialect) Attempt(header http.Header, attempt Attempt) {
 	header.Set(testReplica, attempt.Replica)
 	header.Set(testPriority, strconv.Itoa(attempt.Priority))
-	header.Set(testWithin, strconv.FormatInt(attempt.Within.Milliseconds(), 10))
+	header.Set(testWithin, strconv.FormatInt(attempt.Timeout.Milliseconds(), 10))
 	if attempt.ResumeAfter != "" {
 		header.Set(testResume, attempt.ResumeAfter)
 	}
@@ -107,13 +107,13 @@
 
 func (testDialect) Reply(status int, header http.Header) Reply {
 	reply := Reply{
-		Named:       header.Get(testID) != "",
-		Genuine:     header.Get(testGenuine) != "",
-		NotRun:      header.Get(testNotRun) != "",
-		Misdirected: status == http.StatusMisdirectedRequest,
+		HasRequestID: header.Get(testID) != "",
+		Genuine:      header.Get(testGenuine) != "",
+		NotRun:       header.Get(testNotRun) != "",
+		Misdirected:  status == http.StatusMisdirectedRequest,
 	}
-	reply.Asks.RetryAfter, _ = time.ParseDuration(header.Get(testPause))
-	reply.Asks.Leaving = header.Get(testLeaving) != ""
+	reply.Holdoff.RetryAfter, _ = time.ParseDuration(header.Get(testPause))
+	reply.Holdoff.Leaving = header.Get(testLeaving) != ""
 	if running, err := strconv.Atoi(header.Get(testLoad)); err == nil {
 		reply.Load = &Load{Running: running, Slots: 8}
 	}
--- a/process/ingress/ingress.go
+++ b/process/ingress/ingress.go
@@ -326,8 +326,8 @@
 	timeout := time.Duration(route.TimeoutMilliseconds) * time.Millisecond
 	s.deadline = arrivedAt + timeout
 	s.callerDeadline = s.deadline
-	if call.Within > 0 {
-		s.callerDeadline = arrivedAt + call.Within
+	if call.Timeout > 0 {
+		s.callerDeadline = arrivedAt + call.Timeout
 		s.deadline = min(s.deadline, s.callerDeadline)
 	}
 	if i.mayOutlastStop(i.now(), s.deadline) { // the body may have arrived slowly
@@ -384,11 +384,11 @@
 	if status == http.StatusOK {
 		switch {
 		case s.wasIsolated:
-			i.guard.ServedIsolated(i.now(), s.fingerprint())
+			i.guard.NoteServedIsolated(i.now(), s.fingerprint())
 		case s.cachedFingerprint != nil, i.guard.Active():
 			// The guard is not active if this request itself caused the first crash, which is not
 			// on record yet; a fingerprint was then computed.
-			i.guard.Served(i.now(), s.fingerprint())
+			i.guard.NoteServed(i.now(), s.fingerprint())
 		}
 		outcome = event.RequestServed
 	}
--- a/process/ingress/model_test.go
+++ b/process/ingress/model_test.go
@@ -227,7 +227,7 @@
 	config := Config{Name: "self"}
 	i := &Ingress{config: config}
 	must.SliceEmpty(t, i.relays(current))
-	i.config.RelayOf = func(address string) string {
+	i.config.RelayAddressOf = func(address string) string {
 		if address == "" {
 			return ""
 		}
--- a/process/ingress/order_test.go
+++ b/process/ingress/order_test.go
@@ -41,7 +41,7 @@
 }
 
 func TestSilenceLimitOfRoutes(t *testing.T) {
-	silence := Silence{Least: 2 * time.Second, Objectives: 4, Gaps: 8}
+	silence := Silence{Min: 2 * time.Second, Objectives: 4, Gaps: 8}
 	stream := &api.Route{Kind: api.RouteStreaming, ObjectiveMilliseconds: 800, GapMilliseconds: 300}
 	must.Eq(t, 3200*time.Millisecond, silence.limitFor(stream))
 	stream.GapMilliseconds = 500
--- a/process/ingress/prefill.go
+++ b/process/ingress/prefill.go
@@ -73,11 +73,11 @@
 	defer prefiller.endSend(sent)
 	request := s.request(chosen, Source{})
 	s.ingress.config.Dialect.Attempt(request.Header, Attempt{
-		Replica:  prefiller.name,
-		Within:   s.replicaTimeout(),
-		Priority: chosen.prefillPriority(s.priority),
-		Prefill:  true,
-		Fetch:    chosen.fetchAddress(),
+		Replica:      prefiller.name,
+		Timeout:      s.replicaTimeout(),
+		Priority:     chosen.prefillPriority(s.priority),
+		Prefill:      true,
+		FetchAddress: chosen.fetchAddress(),
 	})
 	prefillContext, cancel := context.WithTimeoutCause(ctx, s.prefillTimeout(chosen), errSilent)
 	defer cancel()
@@ -135,7 +135,7 @@
 	prefiller.noteAnswer(reply.ownLoad(), now)
 	s.noteAlive(prefiller, startedAt, answer, &reply)
 	body, err := io.ReadAll(io.LimitReader(answer, maxHandleBytes))
-	if err != nil || answer.Status != http.StatusOK || !reply.Named {
+	if err != nil || answer.Status != http.StatusOK || !reply.HasRequestID {
 		fmt.Fprintf(&s.trace, " prefill(%s: status %d)", prefiller.name, answer.Status)
 		prefiller.noteFailure()
 		step := placement.StepUnread
@@ -143,11 +143,11 @@
 			prefiller.suspect(now)
 			step = placement.StepMisdirected
 		}
-		if reply.Asks.RetryAfter > 0 {
+		if reply.Holdoff.RetryAfter > 0 {
 			step = placement.StepRefused // so that other requests' prefills are not sent to it either
 		}
 		chosen.tracked.report(step, prefiller.name, 0)
-		return "", !reply.Named || reply.refuses()
+		return "", !reply.HasRequestID || reply.refuses()
 	}
 	handle, err = s.ingress.config.Dialect.Handle(body)
 	if err == nil && !isVisibleASCII(handle) {
--- a/process/ingress/run.go
+++ b/process/ingress/run.go
@@ -128,7 +128,7 @@
 // present.
 func (i *Ingress) noteUnrecorded(report feed.EndReport) {
 	event.EndsUnrecorded.Log(i.logger, "ends", len(report.Ended))
-	i.guard.Unrecorded(i.now(), report)
+	i.guard.ApplyUnrecorded(i.now(), report)
 }
 
 // usageInterval is the time between two usage reports. Usage that was not yet reported is lost
@@ -169,7 +169,7 @@
 
 // relays returns the relay addresses of the other proxies in the view.
 func (i *Ingress) relays(current *view.View) []string {
-	if i.config.RelayOf == nil {
+	if i.config.RelayAddressOf == nil {
 		return nil
 	}
 	var addresses []string
@@ -177,7 +177,7 @@
 		if name == i.config.Name {
 			continue
 		}
-		if address := i.config.RelayOf(other.Spec.Address); address != "" {
+		if address := i.config.RelayAddressOf(other.Spec.Address); address != "" {
 			addresses = append(addresses, address)
 		}
 	}
@@ -282,7 +282,7 @@
 // their callers would otherwise not learn their outcome; a stream that has begun is cut.
 func (i *Ingress) drain(callerServer *http.Server, group announcer) error {
 	startedAt := time.Now()
-	i.plannedStop.Store(&plannedStop{refuseFrom: i.now() + i.config.Drain.Late, endsAt: i.now() + i.config.Drain.Limit})
+	i.plannedStop.Store(&plannedStop{refuseFrom: i.now() + i.config.Drain.RefuseAfter, endsAt: i.now() + i.config.Drain.Limit})
 	i.stopping.Store(true)
 	group.Announce()
 	event.IngressDraining.Log(i.logger, "in_flight", i.serving.Load())
--- a/process/ingress/stop_test.go
+++ b/process/ingress/stop_test.go
@@ -51,7 +51,7 @@
 func TestLateRequestThatMayOutlastTheStopIsRefusedAtOnce(t *testing.T) {
 	replica := newFakeReplica(t, "r-1", answerOK)
 	env := newTestEnv(t, replica)
-	env.ingress.config.Drain = Drain{Notice: 600 * time.Millisecond, Late: 200 * time.Millisecond, Limit: 900 * time.Millisecond}
+	env.ingress.config.Drain = Drain{Notice: 600 * time.Millisecond, RefuseAfter: 200 * time.Millisecond, Limit: 900 * time.Millisecond}
 	ended := make(chan error, 1)
 	go func() { ended <- env.ingress.drain(env.server.Config, noopAnnouncer{}) }()
 	eventually(t, "the stop begins", func() bool { return !env.ingress.Ready() })
@@ -76,7 +76,7 @@
 func TestRequestWhoseBodyArrivesLateInAStopIsRefusedAtOnce(t *testing.T) {
 	replica := newFakeReplica(t, "r-1", answerOK)
 	env := newTestEnv(t, replica)
-	env.ingress.config.Drain = Drain{Notice: 600 * time.Millisecond, Late: 200 * time.Millisecond, Limit: 900 * time.Millisecond}
+	env.ingress.config.Drain = Drain{Notice: 600 * time.Millisecond, RefuseAfter: 200 * time.Millisecond, Limit: 900 * time.Millisecond}
 	body, writing := io.Pipe()
 	request, err := http.NewRequest(http.MethodPost, env.server.URL+"/unsafe/", body)
 	must.NoError(t, err)
--- a/process/ingress/try.go
+++ b/process/ingress/try.go
@@ -233,12 +233,12 @@
 		resumeAfter = s.lastEventID
 	}
 	s.ingress.config.Dialect.Attempt(header, Attempt{
-		Replica:     chosen.target.name,
-		Within:      s.replicaTimeout(),
-		Priority:    chosen.runPriority(s.priority, source),
-		ResumeAfter: resumeAfter,
-		Source:      source,
-		Fetch:       chosen.runFetchAddress(source),
+		Replica:      chosen.target.name,
+		Timeout:      s.replicaTimeout(),
+		Priority:     chosen.runPriority(s.priority, source),
+		ResumeAfter:  resumeAfter,
+		Source:       source,
+		FetchAddress: chosen.runFetchAddress(source),
 	})
 	return &exchange.Request{
 		Method:   s.call.Method,
--- a/process/ingress/types.go
+++ b/process/ingress/types.go
@@ -46,9 +46,9 @@
 	Tenant string
 	// Credential is the API key that was sent with the call.
 	Credential Credential
-	// Within is how long the caller waits; 0 if unspecified.
-	Within time.Duration
-	Work   Work // zero for a request without a prompt
+	// Timeout is how long the caller waits; 0 if unspecified.
+	Timeout time.Duration
+	Work    Work // zero for a request without a prompt
 	// ResumeAfter is the ID of the last event that the caller received of an interrupted stream.
 	ResumeAfter string
 }
@@ -56,8 +56,8 @@
 // Credential is an API key as received. It is used for the lookup only and never passed on.
 type Credential struct {
 	Key string
-	// Given is true if the call carried a credential, even one that cannot be a valid key.
-	Given bool
+	// Present is true if the call carried a credential, even one that cannot be a valid key.
+	Present bool
 }
 
 // Work is what a caller declares about a request to a model.
@@ -79,7 +79,7 @@
 // Attempt holds what differs between the sends of one call.
 type Attempt struct {
 	Replica  string        // the only replica that may run the request
-	Within   time.Duration // how long the replica may work on it
+	Timeout  time.Duration // how long the replica may work on it
 	Priority int
 	// ResumeAfter is the ID of the last event that the caller has.
 	ResumeAfter string
@@ -87,9 +87,9 @@
 	Prefill bool
 	// Source names the replica and the handle from which to take the prefilled prompt.
 	Source Source
-	// Fetch is the address from which the replica first fetches cached parts of the prompt; empty
-	// for none.
-	Fetch string
+	// FetchAddress is the address from which the replica first fetches cached parts of the prompt;
+	// empty for none.
+	FetchAddress string
 }
 
 // Source is a prompt that a replica has prefilled and keeps. Handle is an opaque string of that
@@ -102,8 +102,8 @@
 
 // Reply is the information in the head of an answer.
 type Reply struct {
-	// Named is true if the answer carries the ID of its request.
-	Named bool
+	// HasRequestID is true if the answer carries the ID of its request.
+	HasRequestID bool
 	// Genuine is true if the answer states that the replica produced it by running a request.
 	Genuine bool
 	// NotRun is true if the replica states that it has not run the request.
@@ -112,19 +112,19 @@
 	Misdirected bool
 	// Load is the replica's load, nil if not reported.
 	Load *Load
-	// Asks is the pause or departure that the replica announces.
-	Asks holdoff.Word
+	// Holdoff is the pause or departure that the replica announces.
+	Holdoff holdoff.Word
 }
 
 // refuses reports whether the answer proves that the request was not run. An answer without a
 // request ID proves nothing: it may have been sent before the request was read, and the request
 // may still run afterwards.
-func (r *Reply) refuses() bool { return r.Named && (r.NotRun || r.Misdirected) }
+func (r *Reply) refuses() bool { return r.HasRequestID && (r.NotRun || r.Misdirected) }
 
 // ownLoad returns the load of the replica that was addressed. A misdirected answer reports
 // another replica's load, and an answer without a request ID may come from any replica.
 func (r *Reply) ownLoad() *Load {
-	if r.Misdirected || !r.Named {
+	if r.Misdirected || !r.HasRequestID {
 		return nil
 	}
 	return r.Load
--- a/process/proxy/quarantine.go
+++ b/process/proxy/quarantine.go
@@ -60,7 +60,7 @@
 	event.ProxyRunBroken.Log(c.proxy.logger, "request", c.id, "fingerprint", c.fingerprint(), "class", c.envelope.class,
 		"engine", name, "after_ms", (now - at.sentAt).Milliseconds(), "events", at.events, "err", err)
 	at.target.noteEnd(now, at.incarnation)
-	c.proxy.guard.Ended(now, quarantine.Evidence{
+	c.proxy.guard.NoteCrash(now, quarantine.Evidence{
 		Fingerprint: c.fingerprint(), Replica: name, Began: at.events > 0, Ran: now - at.sentAt, Once: true,
 		About: quarantine.About{Service: c.lane.service, Route: c.envelope.class, Request: c.id},
 	})
@@ -84,23 +84,23 @@
 // after that.
 func (p *Proxy) noteLife(heard *endpoint, asked time.Duration) {
 	if incarnation, refuted := heard.refutesEnd(asked); refuted {
-		p.guard.Lives(p.clock(), quarantine.Alive{Replica: instance(heard.name, incarnation), For: quarantine.Ever})
+		p.guard.NoteAlive(p.clock(), quarantine.Alive{Replica: instance(heard.name, incarnation), For: quarantine.Ever})
 	}
-	if name := instance(heard.name, heard.word().incarnation); p.guard.Active() && p.guard.Doubts(name, asked) {
-		p.guard.Lives(p.clock(), quarantine.Alive{Replica: name, For: quarantine.Ever})
+	if name := instance(heard.name, heard.word().incarnation); p.guard.Active() && p.guard.RefutesCrash(name, asked) {
+		p.guard.NoteAlive(p.clock(), quarantine.Alive{Replica: name, For: quarantine.Ever})
 	}
 }
 
 // held reports whether the request is to go to no engine, and for how long. What has ended
 // enough of them by itself, or one of as many, does not wait for the group's word.
 func (c *call) held() (rest time.Duration, held bool) {
-	if c.ended >= quarantine.CondemningEnds || c.ended > 0 && c.proxy.guard.EndsMany(c.proxy.clock(), c.fingerprint()) {
-		return guard.LeastHold, true
+	if c.ended >= quarantine.CondemningEnds || c.ended > 0 && c.proxy.guard.HasManyCrashes(c.proxy.clock(), c.fingerprint()) {
+		return guard.MinHold, true
 	}
 	if !c.proxy.guard.Active() {
 		return 0, false
 	}
-	return c.proxy.guard.Holds(c.proxy.clock(), time.Now(), c.fingerprint(), nil)
+	return c.proxy.guard.CheckHold(c.proxy.clock(), time.Now(), c.fingerprint(), nil)
 }
 
 // refuseHeld returns the refusal of a request under which engines end, nil for any other.
@@ -121,7 +121,7 @@
 func (c *call) noteServed() {
 	// Named is also one that met its first end itself: no one else knows of it yet.
 	if c.named != nil || c.proxy.guard.Active() {
-		c.proxy.guard.Served(c.proxy.clock(), c.fingerprint())
+		c.proxy.guard.NoteServed(c.proxy.clock(), c.fingerprint())
 	}
 }
 
--- a/process/proxy/run.go
+++ b/process/proxy/run.go
@@ -71,7 +71,7 @@
 		case <-served:
 			p.guard.ReportAll(p.clock())
 		case report := <-told:
-			p.guard.Unrecorded(p.clock(), report)
+			p.guard.ApplyUnrecorded(p.clock(), report)
 		case <-p.background.Done():
 			return
 		}
