--- a/connection/feed/follow.go
+++ b/connection/feed/follow.go
@@ -40,7 +40,7 @@
 		if named != "" && !followed || served && errors.Is(err, errNotLeader) {
 			continue
 		}
-		pause.For(c.context, jitter(backoff))
+		pause.Sleep(c.context, jitter(backoff))
 		backoff = min(2*backoff, c.config.BackoffMax)
 	}
 }
--- a/connection/feed/standby.go
+++ b/connection/feed/standby.go
@@ -119,11 +119,11 @@
 			return
 		}
 		if c.session.Load() == nil {
-			pause.For(c.context, standbyDelay)
+			pause.Sleep(c.context, standbyDelay)
 		}
 		for c.context.Err() == nil && c.leaderPlaces() == nil {
 			if !c.askAround() {
-				pause.For(c.context, jitter(standbyPause))
+				pause.Sleep(c.context, jitter(standbyPause))
 			}
 		}
 	}
--- a/connection/operator/order.go
+++ b/connection/operator/order.go
@@ -68,7 +68,7 @@
 	due := max(jittered, b.asked)
 	b.next = min(2*b.next, maxBackoff)
 	b.asked = 0
-	return pause.For(ctx, due)
+	return pause.Sleep(ctx, due)
 }
 
 func retryAfter(response *http.Response) time.Duration {
--- a/lab/caller/caller.go
+++ b/lab/caller/caller.go
@@ -154,7 +154,7 @@
 	sent := time.Now()
 	ended := p.attempt(ctx, call, sent)
 	for p.config.RetryRefused && ended.kind == OutcomeRefused && ended.retryAfter > 0 {
-		if time.Since(sent)+ended.retryAfter >= call.item.Deadline || !pause.For(ctx, ended.retryAfter) {
+		if time.Since(sent)+ended.retryAfter >= call.item.Deadline || !pause.Sleep(ctx, ended.retryAfter) {
 			break
 		}
 		p.report.class(call.item).addRetry()
--- a/lab/fleet/data_fault_test.go
+++ b/lab/fleet/data_fault_test.go
@@ -454,7 +454,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	var sending sync.WaitGroup
 	sending.Go(func() {
-		for pause.For(ctx, longAnswerPause) {
+		for pause.Sleep(ctx, longAnswerPause) {
 			s.load.alone(s.fleet.layout.proxies[0], item)
 		}
 	})
--- a/process/control/actions.go
+++ b/process/control/actions.go
@@ -184,7 +184,7 @@
 // pause keeps the engine's place for a while, so that what cannot be committed
 // now is not tried in a tight loop.
 func (r *actionRunner) pause() {
-	_ = pause.For(r.context, r.duties.group.config.Durations.Reconcile)
+	_ = pause.Sleep(r.context, r.duties.group.config.Durations.Reconcile)
 }
 
 // leads reports whether this leadership holds its lease now. It is asked right
@@ -260,5 +260,5 @@
 
 func (r *actionRunner) query(action controller.Query) {
 	r.term.poller.Poke(action.Engine)
-	_ = pause.For(r.context, queryPause)
+	_ = pause.Sleep(r.context, queryPause)
 }
--- a/process/control/duties.go
+++ b/process/control/duties.go
@@ -122,7 +122,7 @@
 	for {
 		started := monotonic()
 		d.round(ctx)
-		_ = pause.For(ctx, d.pauseAfter(monotonic()-started))
+		_ = pause.Sleep(ctx, d.pauseAfter(monotonic()-started))
 		select {
 		case <-ticker.C:
 		case <-d.wakeup:
--- a/process/control/evidence.go
+++ b/process/control/evidence.go
@@ -171,7 +171,7 @@
 		case <-ctx.Done():
 			return
 		}
-		if !pause.For(ctx, tellPause) {
+		if !pause.Sleep(ctx, tellPause) {
 			return
 		}
 		e.tellUntold()
@@ -208,7 +208,7 @@
 		} else {
 			event.EvidenceKept.Log(e.logger, "ends", kept, "took_ms", (monotonic() - began).Milliseconds())
 		}
-		if !pause.For(ctx, evidencePause) {
+		if !pause.Sleep(ctx, evidencePause) {
 			return
 		}
 	}
--- a/process/control/fleet.go
+++ b/process/control/fleet.go
@@ -103,7 +103,7 @@
 		if f.keep(list, err) {
 			changed()
 		}
-		if !pause.For(ctx, f.config.Durations.PlatformPoll) {
+		if !pause.Sleep(ctx, f.config.Durations.PlatformPoll) {
 			return
 		}
 	}
--- a/process/control/founding.go
+++ b/process/control/founding.go
@@ -48,7 +48,7 @@
 		if decided {
 			return configuration, nil
 		}
-		if !pause.For(ctx, foundingPause) {
+		if !pause.Sleep(ctx, foundingPause) {
 			return raft.Configuration{}, ctx.Err()
 		}
 	}
@@ -142,7 +142,7 @@
 			m.noteRemoved() // it never joined: its folder holds nothing but the identity
 			return
 		}
-		if !pause.For(ctx, joinPause) {
+		if !pause.Sleep(ctx, joinPause) {
 			return
 		}
 	}
--- a/process/control/platform.go
+++ b/process/control/platform.go
@@ -88,7 +88,7 @@
 	for {
 		list, err := p.read(ctx)
 		p.keep(list, err)
-		if !pause.For(ctx, p.config.Durations.PlatformPoll) {
+		if !pause.Sleep(ctx, p.config.Durations.PlatformPoll) {
 			return
 		}
 	}
--- a/process/control/quota_test.go
+++ b/process/control/quota_test.go
@@ -132,7 +132,7 @@
 	for i := range proxies {
 		client, _ := g.follow(fmt.Sprint("proxy-", i))
 		asking.Go(func() {
-			for pause.For(ctx, time.Duration(proxies*cost/(4*limit.PerSecond)*float64(time.Second))) {
+			for pause.Sleep(ctx, time.Duration(proxies*cost/(4*limit.PerSecond)*float64(time.Second))) {
 				asked, cancel := context.WithTimeout(ctx, 30*time.Millisecond)
 				grant, err := client.Charge(asked, feed.ChargeRequest{Tenant: "north", Cost: cost})
 				cancel()
--- a/process/control/recovery.go
+++ b/process/control/recovery.go
@@ -77,7 +77,7 @@
 // removal is committed. So no disk is given up that a quorum may need.
 func (m *member) watchRemoval(ctx context.Context) {
 	suspect := 0
-	for pause.For(ctx, m.config.Durations.Election) {
+	for pause.Sleep(ctx, m.config.Durations.Election) {
 		status := m.replica.Status()
 		switch {
 		case len(status.Configuration.Voters) == 0:
--- a/process/control/roles.go
+++ b/process/control/roles.go
@@ -171,7 +171,7 @@
 // awaitIdle waits until nothing is under way on the replica, or for drainTimeout.
 func (d *duties) awaitIdle(ctx context.Context, service, replica string) {
 	for waited := time.Duration(0); waited < drainTimeout; waited += drainPoll {
-		if d.group.desk.idle(service, replica) || !pause.For(ctx, drainPoll) {
+		if d.group.desk.idle(service, replica) || !pause.Sleep(ctx, drainPoll) {
 			return
 		}
 	}
--- a/process/control/run.go
+++ b/process/control/run.go
@@ -52,7 +52,7 @@
 			config.Found = false // what it founded goes on without it
 		}
 		event.ControlReopens.Log(logger, "err", err, "pause", before)
-		if !pause.For(ctx, before) {
+		if !pause.Sleep(ctx, before) {
 			return nil
 		}
 	}
@@ -241,7 +241,7 @@
 		status := m.replica.Status()
 		if status.Role == raft.Leader && announced != status.Term {
 			if _, valid := current.Lease(ctx); !valid {
-				if !pause.For(ctx, m.config.Durations.Heartbeat/leaseAsksPerHeartbeat) {
+				if !pause.Sleep(ctx, m.config.Durations.Heartbeat/leaseAsksPerHeartbeat) {
 					return
 				}
 				continue
@@ -289,7 +289,7 @@
 			// An address that does not answer is asked again in the next round.
 			_, _ = m.addresses.ask(ctx, configured)
 		}
-		if !pause.For(ctx, m.config.Durations.Election) {
+		if !pause.Sleep(ctx, m.config.Durations.Election) {
 			return
 		}
 	}
--- a/process/control/stop.go
+++ b/process/control/stop.go
@@ -40,7 +40,7 @@
 // waitForSubscribers keeps the streams until the subscribers have moved on.
 func (m *member) waitForSubscribers(ctx context.Context) {
 	for m.feed.Subscribers() > 0 && m.replica.Status().Role != raft.Leader {
-		if !pause.For(ctx, foundingPause) {
+		if !pause.Sleep(ctx, foundingPause) {
 			return
 		}
 	}
--- a/process/control/summary.go
+++ b/process/control/summary.go
@@ -16,7 +16,7 @@
 // logBoards writes what the boards of this member show until ctx ends. A member
 // whose boards place nothing writes nothing.
 func (g *group) logBoards(ctx context.Context) {
-	for pause.For(ctx, summaryInterval) {
+	for pause.Sleep(ctx, summaryInterval) {
 		for service, shown := range g.desk.summaries(monotonic()) {
 			event.BoardShows.Log(g.logger, boardFields(service, shown)...)
 		}
--- a/process/control/warm.go
+++ b/process/control/warm.go
@@ -74,7 +74,7 @@
 	var asking sync.WaitGroup
 	places := make(chan struct{}, warmAtOnce)
 	for i, name := range cold {
-		if i >= warmBurst && !pause.For(ctx, warmPace) {
+		if i >= warmBurst && !pause.Sleep(ctx, warmPace) {
 			break
 		}
 		places <- struct{}{}
--- a/process/ingress/apart.go
+++ b/process/ingress/apart.go
@@ -31,7 +31,7 @@
 				return chosen, decided
 			}
 		}
-		if !s.mayWaitForLeader() || !pause.For(ctx, leaderPollInterval) {
+		if !s.mayWaitForLeader() || !pause.Sleep(ctx, leaderPollInterval) {
 			return plan{refused: true, retryAfter: leaderRetryAfter}, true
 		}
 		s.ingress.routes() // applies the latest quarantine record
--- a/process/ingress/placed.go
+++ b/process/ingress/placed.go
@@ -53,7 +53,7 @@
 		}
 		fmt.Fprintf(&s.trace, " waits(%s)", answer.Wait.Round(time.Millisecond))
 		event.RequestWaits.Log(s.ingress.logger, "request", s.call.ID, "generation", s.generation, "wait_ms", answer.Wait.Milliseconds())
-		if !pause.For(ctx, min(answer.Wait, maxPlacementWait)) {
+		if !pause.Sleep(ctx, min(answer.Wait, maxPlacementWait)) {
 			return plan{}, false
 		}
 		s.ingress.routes() // applies the latest list of replicas and quarantine record
--- a/process/ingress/run.go
+++ b/process/ingress/run.go
@@ -145,7 +145,7 @@
 	if i.usage == nil {
 		return
 	}
-	for pause.For(ctx, usageInterval) {
+	for pause.Sleep(ctx, usageInterval) {
 		i.sendUsage(to)
 	}
 	i.sendUsage(to)
--- a/process/pause/pause.go
+++ b/process/pause/pause.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// For sleeps for the duration and returns true, or returns false as soon as ctx ends. If the
+// Sleep waits for the duration and returns true, or returns false as soon as ctx ends. If the
 // duration is not positive and ctx has already ended, either may be returned.
-func For(ctx context.Context, duration time.Duration) bool {
+func Sleep(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
--- a/process/pause/pause_test.go
+++ b/process/pause/pause_test.go
@@ -8,9 +8,9 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestForEndsWithTheDurationOrTheContext(t *testing.T) {
-	must.True(t, For(t.Context(), time.Nanosecond))
+func TestSleepEndsWithTheDurationOrTheContext(t *testing.T) {
+	must.True(t, Sleep(t.Context(), time.Nanosecond))
 	ended, end := context.WithCancel(t.Context())
 	end()
-	must.False(t, For(ended, time.Hour))
+	must.False(t, Sleep(ended, time.Hour))
 }
--- a/process/proxy/call.go
+++ b/process/proxy/call.go
@@ -146,7 +146,7 @@
 	if last.free {
 		return true
 	}
-	return pause.For(ctx, delay)
+	return pause.Sleep(ctx, delay)
 }
 
 // decide asks the router where the request goes now.
--- a/process/proxy/demand.go
+++ b/process/proxy/demand.go
@@ -84,7 +84,7 @@
 // reportDemand tells the control group each interval what was offered.
 func (p *Proxy) reportDemand() {
 	since := time.Now()
-	for pause.For(p.background, p.config.Intervals.Demand) {
+	for pause.Sleep(p.background, p.config.Intervals.Demand) {
 		window := time.Since(since)
 		counts := p.demand.take()
 		report := feed.DemandReport{Window: window}
--- a/process/proxy/poller.go
+++ b/process/proxy/poller.go
@@ -55,7 +55,7 @@
 			asked = time.Now()
 			p.pollCache(ctx)
 		}
-		if !pause.For(ctx, jitter(intervals.Load)) {
+		if !pause.Sleep(ctx, jitter(intervals.Load)) {
 			return
 		}
 	}
--- a/process/proxy/poller_test.go
+++ b/process/proxy/poller_test.go
@@ -38,7 +38,7 @@
 				for budget.wait(ctx) {
 					counts[i]++
 					budget.charge(pollBytes)
-					pause.For(ctx, jitter(250*time.Millisecond))
+					pause.Sleep(ctx, jitter(250*time.Millisecond))
 				}
 			}()
 		}
--- a/process/proxy/proxy.go
+++ b/process/proxy/proxy.go
@@ -120,7 +120,7 @@
 func (p *Proxy) followViews() {
 	for {
 		p.standing()
-		if !pause.For(p.background, p.config.Intervals.View) {
+		if !pause.Sleep(p.background, p.config.Intervals.View) {
 			return
 		}
 	}
--- a/process/proxy/run_backend.go
+++ b/process/proxy/run_backend.go
@@ -53,7 +53,7 @@
 		return false
 	}
 	c.proxy.metrics.retries.Inc()
-	return pause.For(ctx, delay)
+	return pause.Sleep(ctx, delay)
 }
 
 // left is how long the caller still waits, as that of a call.
--- a/process/proxy/run_engine.go
+++ b/process/proxy/run_engine.go
@@ -81,7 +81,7 @@
 	}
 	c.proxy.metrics.resumes.Inc()
 	delay, _ := c.proxy.config.Backoff.Delay(0, c.left(), c.random)
-	if !pause.For(ctx, delay) {
+	if !pause.Sleep(ctx, delay) {
 		c.life.Fail(step.Number, attempt.FaultBroken)
 		return upstreamFailed("interrupted")
 	}
