--- a/process/ingress/answer.go
+++ b/process/ingress/answer.go
@@ -132,6 +132,7 @@
 		s.noteBrokenConnection(ctx, stageRun, target, sent, readErr)
 	}
 	if err != nil {
+		// Not sent again in any case: s.unresumable is set.
 		s.lifecycle.Fail(number, attempt.FaultBroken)
 		return s.verdictAfterBreak(ctx)
 	}
--- a/process/ingress/session.go
+++ b/process/ingress/session.go
@@ -62,7 +62,7 @@
 	usageCounted bool
 	// failure is an error answer from a replica, passed on if no later attempt succeeds.
 	failure           *savedAnswer
-	trace             strings.Builder         // attempts and their results, for the log
+	trace             strings.Builder         // attempts, their results and this proxy's decisions, for the log
 	cachedFingerprint *quarantine.Fingerprint // nil until it is computed
 	crashes           int                     // runs during which the replica seems to have crashed
 	// wasIsolated is true once the request was assigned to a replica with no other request in
