--- a/process/guard/guard.go
+++ b/process/guard/guard.go
@@ -1,9 +1,15 @@
-// Package guard keeps requests under which replicas end from the replicas, in one proxy.
+// Package guard keeps requests that crash replicas away from further replicas, for one proxy.
 //
-// The group's record, which comes with the view, decides while a leader serves the proxy:
-// it knows what all proxies saw, also of what stood beside. A proxy that is cut off goes on
-// by that record and by what it sees itself. Where members reach it that can't write to the
-// record, it goes by what they tell it as well.
+// The control group consists of members, one of which is the elected leader; the others stand by.
+// The view is the replicated state as this proxy last received it. Its quarantine record lists the
+// requests that are suspected of crashing replicas.
+//
+// While a leader serves the proxy, the record decides. It combines the observations of all
+// proxies, including other requests in flight at the same replicas. A proxy that is cut off,
+// because it has had no leader for cutOffDelay, uses the last record and its own observations. If
+// it reaches members that cannot write to the record, it also uses their reports.
+//
+// Times of the type time.Duration are readings of this process's monotonic clock.
 package guard
 
 import (
@@ -22,65 +28,72 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
-// Reporter is the control group as it is told of replicas that ended; *feed.Client is one.
+// Reporter receives reports of replica crashes for the control group; implemented by
+// *feed.Client.
 type Reporter interface {
+	// ReportEnds reports crashes, replicas that proved to be alive, and requests that were served.
+	// It returns whether the report was sent.
 	ReportEnds(report feed.EndReport) bool
-	// Connected reports whether a leader serves this proxy now.
+	// Connected reports whether a leader currently serves this proxy.
 	Connected() bool
 }
 
-// Guard is safe for concurrent use.
+// Guard decides which requests must not be sent to replicas. It is safe for concurrent use.
 type Guard struct {
-	// active is true while there is anything to look for. Until then a request costs the
-	// reading of one flag.
+	// active is true while any request is suspected of crashing replicas. Otherwise a request
+	// costs one atomic load.
 	active atomic.Bool
 
 	lock     sync.Mutex
-	reporter Reporter // nil without a group
-	// served is true once a leader was seen to serve this proxy, lost since lostAt that none
-	// does any more.
-	served bool
-	lost   bool
-	lostAt time.Duration
-	// toldTill is until when this proxy judges by what a member has told it of ends that are not
-	// on record.
-	toldTill time.Duration
-	table    *quarantine.Table
-	version  view.Version
-	recorded map[string]*api.Quarantine
-	// name is this proxy's, proxies are those that may be given turns, in order.
+	reporter Reporter // nil without a control group
+	// wasServed is true once a leader has served this proxy. lost is true while no leader does so
+	// any more, and lostAt is when that was first seen.
+	wasServed bool
+	lost      bool
+	lostAt    time.Duration
+	// reportedUntil is the time until which this proxy acts on a member's report of unrecorded
+	// crashes.
+	reportedUntil time.Duration
+	table         *quarantine.Table
+	version       view.Version
+	recorded      map[string]*api.Quarantine // the record of that version, by fingerprint
+	// name is this proxy's name. proxies holds the sorted names of all proxies, which take turns
+	// at trials: one proxy at a time sends one copy of a suspected request to a replica.
 	name    string
 	proxies []string
-	// trials are the requests that this proxy is trying, by fingerprint, each with its owner.
+	// trials holds the requests on trial at this proxy by fingerprint, each with its owner, the
+	// session that may send its copy.
 	trials map[quarantine.Fingerprint]any
-	// doubted are the replicas that are on record as ended, with when this proxy learnt it:
-	// whoever hears of one refutes that.
-	doubted map[string]doubt
+	// suspected holds the replicas that are recorded as crashed. An answer from one of them
+	// refutes that.
+	suspected map[string]suspectedCrash
 }
 
-// doubt is what makes a replica that is on record as ended doubtful.
-type doubt struct {
-	learntAt time.Duration
-	endedAt  time.Time // the first end on its record, by the leader's time of day
+// suspectedCrash is a recorded crash of a replica.
+type suspectedCrash struct {
+	learnedAt time.Duration // when this proxy first saw it on record
+	crashedAt time.Time     // first recorded crash, by the leader's wall clock
 }
 
-// New returns a guard that tells nobody until it has a Reporter. name is its proxy's, empty
-// where no request is tried.
+// New returns a guard that reports nothing until SetReporter is called. name is the proxy's name,
+// empty if the proxy does not run trials.
 func New(name string) *Guard {
 	return &Guard{name: name, table: quarantine.NewTable(), trials: map[quarantine.Fingerprint]any{}}
 }
 
-// SetReporter sets who is told, and whose record decides.
+// SetReporter sets the connection to the control group, which receives reports and tells whether a
+// leader serves this proxy. Without a reporter, the proxy is cut off.
 func (g *Guard) SetReporter(reporter Reporter) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	g.reporter = reporter
 }
 
-// Active reports whether there is anything to look for.
+// Active reports whether any request is suspected: it is on record, or it is known here to have
+// crashed at least quarantine.WatchedEnds replicas.
 func (g *Guard) Active() bool { return g.active.Load() }
 
-// Follow takes in the record of a view that is newer than the last one.
+// Follow applies the quarantine record of a view if it is newer than the last one.
 func (g *Guard) Follow(current *view.View, now time.Duration) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -88,193 +101,202 @@
 		return
 	}
 	g.version = current.Version
-	g.isCutOff(now)
-	if g.toldTill > 0 { // a leader commits: its record decides again
-		g.toldTill = 0
+	g.updateCutOff(now)
+	if g.reportedUntil > 0 { // a leader commits again, so the record decides
+		g.reportedUntil = 0
 		g.table.DropTold()
 	}
 	before := g.recorded
 	g.recorded = current.Quarantines
-	for name, known := range g.recorded {
-		if earlier := before[name]; earlier == nil || earlier.Revision != known.Revision {
-			g.learn(earlier, known, now)
+	for name, entry := range g.recorded {
+		if earlier := before[name]; earlier == nil || earlier.Revision != entry.Revision {
+			g.applyRecord(earlier, entry, now)
 		}
 	}
 	for name := range before {
 		if g.recorded[name] == nil {
-			g.forget(name)
+			g.dropRecord(name)
 		}
 	}
 	g.proxies = slices.Sorted(maps.Keys(current.Proxies))
-	g.doubt(now)
-	g.rest(now)
+	g.updateSuspected(now)
+	g.updateActive(now)
 }
 
-// doubt keeps which replicas are on record as ended.
-func (g *Guard) doubt(now time.Duration) {
-	before := g.doubted
-	g.doubted = map[string]doubt{}
-	for _, known := range g.recorded {
-		for _, replica := range known.Spec.Replicas {
-			next, found := before[replica]
+// updateSuspected sets g.suspected to the replicas that are now recorded as crashed, and keeps
+// when each crash was learned. The caller must hold the lock.
+func (g *Guard) updateSuspected(now time.Duration) {
+	before := g.suspected
+	g.suspected = map[string]suspectedCrash{}
+	for _, entry := range g.recorded {
+		for _, replica := range entry.Spec.Replicas {
+			crash, found := before[replica]
 			if !found {
-				next = doubt{learntAt: now, endedAt: time.UnixMilli(known.Spec.Since)}
+				crash = suspectedCrash{learnedAt: now, crashedAt: time.UnixMilli(entry.Spec.Since)}
 			}
-			g.doubted[replica] = next
+			g.suspected[replica] = crash
 		}
 	}
 }
 
-// Doubts reports whether a replica is on record as ended that has answered what was sent to
-// it then, after this proxy had learnt so: it lives.
-func (g *Guard) Doubts(replica string, sentAt time.Duration) bool {
+// RefutesCrash reports whether an answer refutes the recorded crash of a replica, because it
+// answers a request that was sent after this proxy learned of the crash.
+func (g *Guard) RefutesCrash(replica string, sentAt time.Duration) bool {
 	if !g.Active() {
 		return false
 	}
 	g.lock.Lock()
 	defer g.lock.Unlock()
-	known, found := g.doubted[replica]
-	return found && sentAt > known.learntAt
+	crash, found := g.suspected[replica]
+	return found && sentAt > crash.learnedAt
 }
 
-// DoubtsSince is Doubts for a replica that does not say which process answers: another one
-// may have its name by now. It is the same only if it answered on a connection that was
-// open before the end, by clocks of different machines.
-func (g *Guard) DoubtsSince(replica string, sentAt time.Duration, opened time.Time) bool {
-	if !g.Doubts(replica, sentAt) {
+// RefutesCrashOnConnection is RefutesCrash for a replica whose answers do not identify its
+// process, which may have been replaced under the same name. The crash is refuted only if the
+// answer arrived on a connection that was opened before the crash. opened is by this machine's
+// wall clock, the time of the crash by the leader's.
+func (g *Guard) RefutesCrashOnConnection(replica string, sentAt time.Duration, opened time.Time) bool {
+	if !g.RefutesCrash(replica, sentAt) {
 		return false
 	}
 	g.lock.Lock()
 	defer g.lock.Unlock()
-	known, found := g.doubted[replica]
-	return found && opened.Before(known.endedAt.Add(-clockMargin))
+	crash, found := g.suspected[replica]
+	return found && opened.Before(crash.crashedAt.Add(-clockMargin))
 }
 
-// clockMargin is by how much clocks of different machines may disagree, steps of the time
-// of day included.
+// clockMargin is the assumed maximum difference between the wall clocks of two machines, including
+// jumps when a clock is corrected.
 const clockMargin = 5 * time.Second
 
-// learn takes in one entry that is new or has changed. One with fewer replicas than before
-// was refuted in part, or has lapsed: what is known here is then replaced by it.
-func (g *Guard) learn(earlier, known *api.Quarantine, now time.Duration) {
-	fingerprint, ok := quarantine.Parse(known.Name)
+// applyRecord applies an entry that is new or has changed. If it has fewer replicas than before,
+// some of the crashes were refuted or have expired, so it replaces what is known here. Otherwise
+// its crashes are added.
+func (g *Guard) applyRecord(earlier, entry *api.Quarantine, now time.Duration) {
+	fingerprint, ok := quarantine.Parse(entry.Name)
 	if !ok {
 		return
 	}
-	spec := &known.Spec
+	spec := &entry.Spec
 	about := quarantine.About{Service: spec.Service, Route: spec.Route, Request: spec.Request}
-	recorded := quarantine.Record{
+	record := quarantine.Record{
 		Replicas: spec.Replicas, Weak: spec.Weak, Alone: spec.Alone, AtOnce: spec.EndedAtOnce(), About: about,
 	}
 	if earlier != nil && len(spec.Replicas) < len(earlier.Spec.Replicas) {
-		g.table.Restore(now, fingerprint, recorded)
+		g.table.Restore(now, fingerprint, record)
 	}
 	for _, replica := range spec.Replicas {
-		seen := recorded.Evidence(fingerprint, replica)
-		seen.Alone = false // that was seen elsewhere
-		g.table.Note(now, seen)
+		evidence := record.Evidence(fingerprint, replica)
+		evidence.Alone = false // another proxy saw it, perhaps at another replica of the entry
+		g.table.Note(now, evidence)
 	}
 	g.table.SetHeld(fingerprint, spec.State == api.QuarantineHeld)
 }
 
-// forget drops a request that is on record no more.
-func (g *Guard) forget(name string) {
+// dropRecord removes a request that is no longer on record.
+func (g *Guard) dropRecord(name string) {
 	if fingerprint, ok := quarantine.Parse(name); ok {
 		g.table.Forget(fingerprint)
 	}
 }
 
-// rest works out whether there is anything to look for; the lock is held.
-func (g *Guard) rest(now time.Duration) {
+// updateActive updates the active flag. The caller must hold the lock.
+func (g *Guard) updateActive(now time.Duration) {
 	g.table.Expire(now)
 	g.active.Store(len(g.recorded) > 0 || len(g.table.Watched(now)) > 0)
 }
 
-// Ended notes that a replica seems to have ended under a request, and tells the group.
-func (g *Guard) Ended(now time.Duration, seen quarantine.Evidence) {
+// NoteCrash records that a replica seems to have crashed while processing a request, and reports
+// it to the control group. The random Sight identifies the observation if it is reported again.
+func (g *Guard) NoteCrash(now time.Duration, evidence quarantine.Evidence) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
-	g.isCutOff(now)
-	seen.Sight = rand.Uint64()
-	g.table.Note(now, seen)
-	if g.table.Standing(now, seen.Fingerprint) != quarantine.Free {
+	g.updateCutOff(now)
+	evidence.Sight = rand.Uint64()
+	g.table.Note(now, evidence)
+	if g.table.Standing(now, evidence.Fingerprint) != quarantine.Free {
 		g.active.Store(true)
 	}
-	g.report(feed.EndReport{Ended: []quarantine.Aged{{Evidence: seen}}})
+	g.report(feed.EndReport{Ended: []quarantine.Aged{{Evidence: evidence}}})
 }
 
-// toldTime is for how long a member's word on ends that are not on record holds; it comes again as long
-// as they aren't.
-const toldTime = 3 * feed.UnrecordedPause
+// reportMaxAge is how long a member's report of unrecorded crashes is valid. While they remain
+// unrecorded, members repeat it every feed.UnrecordedPause.
+const reportMaxAge = 3 * feed.UnrecordedPause
 
-// Unrecorded takes in what a member tells of ends that are not on record: there is no leader, or it
-// can't commit. Nobody else judges by them then, so this proxy does.
-func (g *Guard) Unrecorded(now time.Duration, report feed.EndReport) {
+// ApplyUnrecorded applies a member's report of crashes that are not on record, because there is no
+// leader or it cannot commit. Until they are recorded, only the proxies can act on them.
+func (g *Guard) ApplyUnrecorded(now time.Duration, report feed.EndReport) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
-	for _, seen := range report.Ended {
-		seen.Told = true
-		g.table.NoteAged(now, seen.Age, seen.Evidence)
+	for _, evidence := range report.Ended {
+		evidence.Told = true
+		g.table.NoteAged(now, evidence.Age, evidence.Evidence)
 	}
-	g.toldTill = now + toldTime
-	g.rest(now)
+	g.reportedUntil = now + reportMaxAge
+	g.updateActive(now)
 }
 
-// EndsMany reports whether as many replicas ended under a request as would condemn it, by the
-// record and by what this proxy has seen, whatever stood beside. Who is cut off sees only a
-// part, and asks for one more.
-func (g *Guard) EndsMany(now time.Duration, fingerprint quarantine.Fingerprint) bool {
+// HasManyCrashes reports whether enough replicas have crashed while processing a request to
+// quarantine it, by the record and this proxy's own observations, regardless of other requests in
+// flight there. A proxy that is cut off sees only a part of the evidence and requires one crash
+// more.
+func (g *Guard) HasManyCrashes(now time.Duration, fingerprint quarantine.Fingerprint) bool {
 	g.lock.Lock()
 	defer g.lock.Unlock()
-	many := quarantine.CondemningEnds
-	if g.isCutOff(now) {
-		many++
+	threshold := quarantine.CondemningEnds
+	if g.updateCutOff(now) {
+		threshold++
 	}
-	return g.table.CountEnds(fingerprint) >= many
+	return g.table.CountEnds(fingerprint) >= threshold
 }
 
-// Lives notes that a replica which seemed to have ended has answered since.
-func (g *Guard) Lives(now time.Duration, alive quarantine.Alive) {
+// NoteAlive records that a replica which seemed to have crashed has answered since, and reports it
+// to the control group.
+func (g *Guard) NoteAlive(now time.Duration, alive quarantine.Alive) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	g.table.Lives(now, alive)
-	delete(g.doubted, alive.Replica)
-	g.rest(now)
+	delete(g.suspected, alive.Replica)
+	g.updateActive(now)
 	g.report(feed.EndReport{Alive: []quarantine.Alive{alive}})
 }
 
-// Served notes that a request was served whole, if anything speaks against it.
-func (g *Guard) Served(now time.Duration, fingerprint quarantine.Fingerprint) {
+// NoteServed clears a request that was served completely and reports that to the control group. It
+// does nothing if there is no evidence against the request, here or on record.
+func (g *Guard) NoteServed(now time.Duration, fingerprint quarantine.Fingerprint) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
-	heard, _ := g.table.Ends(fingerprint)
-	if len(heard) == 0 && g.recorded[fingerprint.String()] == nil {
+	evidence, _ := g.table.Ends(fingerprint)
+	if len(evidence) == 0 && g.recorded[fingerprint.String()] == nil {
 		return
 	}
 	g.table.Served(now, fingerprint)
 	g.report(feed.EndReport{Served: []quarantine.Fingerprint{fingerprint}})
 }
 
-// Cleared notes that a request was served whole that the group took for one that may end
-// replicas, whatever this proxy knows of it.
-func (g *Guard) Cleared(now time.Duration, fingerprint quarantine.Fingerprint) {
+// NoteServedIsolated clears and reports a request that was served completely while it was
+// isolated: the control group suspected it of crashing replicas and had it sent to one without
+// other requests. It does so even if this proxy has no evidence against the request.
+func (g *Guard) NoteServedIsolated(now time.Duration, fingerprint quarantine.Fingerprint) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	g.table.Served(now, fingerprint)
 	g.report(feed.EndReport{Served: []quarantine.Fingerprint{fingerprint}})
 }
 
-// report tells the group if there is one; a word that is lost comes again when a leader
-// begins to serve.
-func (g *Guard) report(told feed.EndReport) {
+// report sends a report to the control group, if any. Whether it was sent does not matter: the
+// ingress calls ReportAll once a leader serves this proxy.
+func (g *Guard) report(report feed.EndReport) {
 	if g.reporter != nil {
-		g.reporter.ReportEnds(told)
+		g.reporter.ReportEnds(report)
 	}
 }
 
-// ReportAll tells a leader that has just begun what this proxy knows. Good answers are told
-// again as ends are: one that came while there was no leader was heard by nobody, and without
-// it the ends would stand alone.
+// ReportAll sends all observations of this proxy to the control group. It is called when a leader
+// or a standby member begins to serve this proxy. Requests that were served are reported again as
+// well as crashes: a report made while there was no leader was lost, and without it only the
+// crashes would count.
 func (g *Guard) ReportAll(now time.Duration) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -284,60 +306,68 @@
 	}
 }
 
-// Holds reports whether a request is to go to no replica, and for how long. Of the owners of
-// a request that is tried, one at a time is told that it is not held, until it calls EndTrial.
-func (g *Guard) Holds(now time.Duration, wall time.Time, fingerprint quarantine.Fingerprint, owner any) (rest time.Duration, held bool) {
+// CheckHold reports whether a request must not be sent to any replica, and for how long; remaining
+// is 0 if it may be sent. A request on record as held or settling (about to be held) is sent
+// nowhere. One on trial may be sent by one owner at a time: CheckHold claims the trial for the
+// owner, who must call EndTrial. If no such state is on record, the observations of a proxy that
+// is cut off, or that acts on a member's report, decide.
+func (g *Guard) CheckHold(now time.Duration, wall time.Time, fingerprint quarantine.Fingerprint, owner any) (remaining time.Duration, held bool) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
-	known := g.recorded[fingerprint.String()]
+	entry := g.recorded[fingerprint.String()]
 	switch {
-	case known == nil:
-	case known.Spec.State == api.QuarantineHeld:
-		return max(time.UnixMilli(known.Spec.Until).Sub(wall), LeastHold), true
-	case known.Spec.State == api.QuarantineSettling:
-		return tryPause, true
-	case known.Spec.State == api.QuarantineTried:
-		return tryPause, !g.tries(fingerprint, known.Spec.Until, owner)
+	case entry == nil:
+	case entry.Spec.State == api.QuarantineHeld:
+		return max(time.UnixMilli(entry.Spec.Until).Sub(wall), MinHold), true
+	case entry.Spec.State == api.QuarantineSettling:
+		return trialRetryAfter, true
+	case entry.Spec.State == api.QuarantineTried:
+		return trialRetryAfter, !g.claimTrial(fingerprint, entry.Spec.Until, owner)
 	}
-	if !g.isCutOff(now) && now >= g.toldTill || !g.table.IsCertain(fingerprint) {
+	// The record alone decides, or the evidence known here does not suffice.
+	if !g.updateCutOff(now) && now >= g.reportedUntil || !g.table.IsCertain(fingerprint) {
 		return 0, false
 	}
-	return max(g.table.Rest(now, fingerprint), LeastHold), true
+	return max(g.table.Rest(now, fingerprint), MinHold), true
 }
 
-// KeepsApart reports whether a request goes only where the group says: as many replicas ended under
-// it as make it a suspect, and this proxy is not cut off. The group gives it a place where nothing
-// else is, one copy at a time, or none; a proxy knows of no other copy.
-func (g *Guard) KeepsApart(now time.Duration, fingerprint quarantine.Fingerprint) bool {
+// RequiresLeader reports whether only the control group may place a request: enough replicas have
+// crashed while processing it to make it a suspect, and this proxy is not cut off. Crashes that
+// tell little (Spec.Weak) do not count. The control group has one copy at a time sent to a replica
+// without other requests, or lets none be sent; a proxy does not know of the copies at other
+// proxies.
+func (g *Guard) RequiresLeader(now time.Duration, fingerprint quarantine.Fingerprint) bool {
 	g.lock.Lock()
 	defer g.lock.Unlock()
-	known := g.recorded[fingerprint.String()]
-	if known == nil || known.Spec.State != api.QuarantineWatched {
+	entry := g.recorded[fingerprint.String()]
+	if entry == nil || entry.Spec.State != api.QuarantineWatched {
 		return false
 	}
-	return len(known.Spec.Replicas)-len(known.Spec.Weak) >= quarantine.WatchedEnds && !g.isCutOff(now)
+	return len(entry.Spec.Replicas)-len(entry.Spec.Weak) >= quarantine.WatchedEnds && !g.updateCutOff(now)
 }
 
-// IsLed reports whether a leader serves this proxy now.
-func (g *Guard) IsLed() bool {
+// HasLeader reports whether a leader currently serves this proxy.
+func (g *Guard) HasLeader() bool {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	return g.reporter != nil && g.reporter.Connected()
 }
 
-// tryPause is told of a request that is tried by another owner: an answer to it takes less.
-const tryPause = 300 * time.Millisecond
-
-// tries reports whether the owner may try the request: it is this proxy's turn, which the
-// turn's end and the request's name draw alike at all proxies, and nobody else tries it here.
-// Two proxies that see different views may both try for a moment. The lock is held.
-func (g *Guard) tries(fingerprint quarantine.Fingerprint, turn int64, owner any) bool {
-	if trying, found := g.trials[fingerprint]; found {
-		return trying == owner
+// trialRetryAfter is the retry delay for a request on trial by another owner, whose trial is
+// expected to end within that time.
+const trialRetryAfter = 300 * time.Millisecond
+
+// claimTrial claims the trial of the request for the owner and reports whether the owner has it:
+// it is this proxy's turn, and no other owner here has it. All proxies derive whose turn it is
+// from a hash of the fingerprint and turnEnd, the end of the turn in Unix milliseconds. Two
+// proxies with different views may both run a trial for a moment. The caller must hold the lock.
+func (g *Guard) claimTrial(fingerprint quarantine.Fingerprint, turnEnd int64, owner any) bool {
+	if current, found := g.trials[fingerprint]; found {
+		return current == owner
 	}
 	if len(g.proxies) > 0 {
-		drawn := xxhash.Sum64(binary.BigEndian.AppendUint64(fingerprint[:], uint64(turn)))
-		if g.proxies[drawn%uint64(len(g.proxies))] != g.name {
+		hash := xxhash.Sum64(binary.BigEndian.AppendUint64(fingerprint[:], uint64(turnEnd)))
+		if g.proxies[hash%uint64(len(g.proxies))] != g.name {
 			return false
 		}
 	}
@@ -345,7 +375,7 @@
 	return true
 }
 
-// EndTrial notes that the owner's request is over.
+// EndTrial lets another owner claim the trial, if this owner has it.
 func (g *Guard) EndTrial(fingerprint quarantine.Fingerprint, owner any) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -354,26 +384,28 @@
 	}
 }
 
-// cutOffTime is for how long no leader must have served a proxy until it judges by itself:
-// longer than leaders take to change, or to come back after all members were stopped. What
-// it sees is a part of what the group sees, and what stood beside looks worse in it.
-const cutOffTime = 3 * time.Second
+// cutOffDelay is how long a proxy must be without a leader before it judges by itself. It is
+// longer than a change of leader or a restart of all members takes, because the proxy sees only a
+// part of the evidence, in which requests that merely ran at the time of a crash look more
+// suspicious.
+const cutOffDelay = 3 * time.Second
 
-// isCutOff reports whether this proxy has to judge by itself; the lock is held.
-func (g *Guard) isCutOff(now time.Duration) bool {
+// updateCutOff reports whether this proxy has to judge by itself. It also records when its leader
+// was lost, and is called for that where the result is not needed. The caller must hold the lock.
+func (g *Guard) updateCutOff(now time.Duration) bool {
 	switch {
 	case g.reporter == nil:
 		return true
 	case g.reporter.Connected():
-		g.served, g.lost = true, false
+		g.wasServed, g.lost = true, false
 		return false
-	case !g.served:
+	case !g.wasServed:
 		return true
 	case !g.lost:
 		g.lost, g.lostAt = true, now
 	}
-	return now-g.lostAt >= cutOffTime
+	return now-g.lostAt >= cutOffDelay
 }
 
-// LeastHold is told of a hold that is about to lapse, or is not on record yet.
-const LeastHold = time.Second
+// MinHold is the minimum time that CheckHold returns for a held request.
+const MinHold = time.Second
--- a/process/ingress/answer.go
+++ b/process/ingress/answer.go
@@ -14,56 +14,63 @@
 	"github.com/pkg/errors"
 )
 
-// maxHeldAnswer bounds what is held of an answer before any of it is passed on.
-const maxHeldAnswer = 64 << 10
+// maxBufferedAnswer is how many bytes of an answer are buffered before any of it is passed on.
+const maxBufferedAnswer = 64 << 10
 
-// judge decides by the head of the answer what it means, and passes it on.
-func (s *session) judge(ctx context.Context, chosen plan, sent *send, number uint32, answer *exchange.Answer, reply Reply) verdict {
+// handleAnswer evaluates the head of an answer and passes the answer on. number is the attempt's
+// number in the session's lifecycle, as in the functions below.
+func (s *session) handleAnswer(ctx context.Context, chosen plan, sent *send, number uint32, answer *exchange.Answer, reply Reply) verdict {
 	target := chosen.target
 	if reply.refuses() {
-		s.life.Fail(number, attempt.FaultRefused)
-		_, _ = io.Copy(io.Discard, io.LimitReader(answer, maxHeldAnswer)) // lets the connection be kept
+		s.lifecycle.Fail(number, attempt.FaultRefused)
+		_, _ = io.Copy(io.Discard, io.LimitReader(answer, maxBufferedAnswer)) // allows the connection to be reused
 		if reply.Misdirected {
 			s.misdirected = true
 			target.suspect(s.ingress.now())
 		}
 		return verdictNotRun
 	}
-	if !reply.Named || isSuccess(answer.Status) && !reply.Genuine || promisesNotRun(answer.Status) {
-		s.life.Fail(number, attempt.FaultBroken)
-		target.fail()
-		return s.brokenUnless(ctx)
+	// The answer proves neither that the request has run nor that it has not; see promisesNotRun
+	// for the statuses.
+	if !reply.HasRequestID || isSuccess(answer.Status) && !reply.Genuine || promisesNotRun(answer.Status) {
+		s.lifecycle.Fail(number, attempt.FaultBroken)
+		target.noteFailure()
+		return s.verdictAfterBreak(ctx)
 	}
-	s.life.Admit(number, 0)
+	s.lifecycle.Admit(number, 0) // the incarnation is not tracked here
 	if isSuccess(answer.Status) && s.route.Kind == api.RouteStreaming {
-		// It begins with its first token.
-		return s.stream(ctx, chosen, sent, number, answer)
+		// Usage of a stream is counted with its first event.
+		return s.forwardStream(ctx, chosen, sent, number, answer)
 	}
-	s.countBegun(s.ingress.now() - sent.at)
+	s.countUsage(s.ingress.now() - sent.at)
 	if s.headSent {
 		return s.failResume(ctx, target, number, answer)
 	}
-	return s.whole(ctx, target, sent, number, answer)
+	return s.forwardWhole(ctx, target, sent, number, answer)
 }
 
-// failResume ends a run that was to continue a stream and failed: the caller has the
-// stream's beginning, which the answer to a failure is no part of.
+// failResume records a failed attempt: the answer to a run that was to continue a stream is an
+// error, or is not a stream. The caller already has the start of the stream, to which an error
+// answer cannot be appended.
 func (s *session) failResume(ctx context.Context, target *replica, number uint32, answer *exchange.Answer) verdict {
-	s.life.Fail(number, attempt.FaultBroken)
-	target.fail()
+	s.lifecycle.Fail(number, attempt.FaultBroken)
+	target.noteFailure()
 	fmt.Fprintf(&s.trace, " (%s: status %d)", target.name, answer.Status)
-	return s.brokenUnless(ctx)
+	return s.verdictAfterBreak(ctx)
 }
 
-func (s *session) brokenUnless(ctx context.Context) verdict {
+// verdictAfterBreak returns the verdict on an attempt without a complete answer, which is not the
+// replica's fault if ctx has ended.
+func (s *session) verdictAfterBreak(ctx context.Context) verdict {
 	if ctx.Err() != nil {
 		return verdictCallerEnd
 	}
 	return verdictBroken
 }
 
-// promisesNotRun reports whether a status tells callers that the request has not run and
-// never will. Of a replica that does not say so itself it is a failure like any other.
+// promisesNotRun reports whether callers may take a status as a promise that the request was not
+// run. An answer with such a status is passed on as it is only if the replica states so
+// explicitly; otherwise it is treated like any other failure.
 func promisesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -75,76 +82,80 @@
 
 func isSuccess(status int) bool { return status >= 200 && status < 300 }
 
-// whole passes on an answer that is no stream. Up to the bound it is held until
-// it is whole, so that one that breaks off can be tried elsewhere.
-func (s *session) whole(ctx context.Context, target *replica, sent *send, number uint32, answer *exchange.Answer) verdict {
-	var held bytes.Buffer
-	_, err := io.CopyN(&held, answer, maxHeldAnswer)
+// forwardWhole passes on an answer that is not a stream. An answer of up to maxBufferedAnswer
+// bytes is buffered completely first, so that the request can be retried elsewhere if it is
+// truncated.
+func (s *session) forwardWhole(ctx context.Context, target *replica, sent *send, number uint32, answer *exchange.Answer) verdict {
+	var buffer bytes.Buffer
+	_, err := io.CopyN(&buffer, answer, maxBufferedAnswer)
 	switch {
 	case err == nil:
-		return s.passLong(ctx, target, sent, number, answer, held.Bytes())
+		return s.forwardLong(ctx, target, sent, number, answer, buffer.Bytes())
 	case !errors.Is(err, io.EOF):
-		s.noteBroken(ctx, stageRun, target, sent, err)
-		s.life.Fail(number, attempt.FaultBroken)
-		target.fail()
+		s.noteBrokenConnection(ctx, stageRun, target, sent, err)
+		s.lifecycle.Fail(number, attempt.FaultBroken)
+		target.noteFailure()
 		fmt.Fprintf(&s.trace, " (%s: %v)", target.name, err)
-		return s.brokenUnless(ctx)
+		return s.verdictAfterBreak(ctx)
 	}
 	if answer.Status >= http.StatusInternalServerError {
-		return s.keepFailure(target, number, answer, held.Bytes())
+		return s.saveFailure(target, number, answer, buffer.Bytes())
 	}
-	target.succeed()
-	s.life.Finish(number)
+	target.noteSuccess()
+	s.lifecycle.Finish(number)
 	copyHeader(s.writer.Header(), answer.Header)
 	s.headSent = true
 	s.writer.WriteHeader(answer.Status)
-	_, _ = s.writer.Write(held.Bytes()) // the caller may have gone
+	_, _ = s.writer.Write(buffer.Bytes()) // the caller may have gone
 	return verdictDone
 }
 
-// keepFailure keeps a failure that a replica answered by running the request.
-func (s *session) keepFailure(target *replica, number uint32, answer *exchange.Answer, body []byte) verdict {
-	target.fail()
-	s.life.Fail(number, attempt.FaultBroken)
-	s.failed = &answerCopy{status: answer.Status, header: answer.Header, body: body}
+// saveFailure records a failed attempt and keeps its answer, an error that the replica produced by
+// running the request.
+func (s *session) saveFailure(target *replica, number uint32, answer *exchange.Answer, body []byte) verdict {
+	target.noteFailure()
+	s.lifecycle.Fail(number, attempt.FaultBroken)
+	s.failure = &savedAnswer{status: answer.Status, header: answer.Header, body: body}
 	fmt.Fprintf(&s.trace, " (%s: status %d)", target.name, answer.Status)
 	return verdictBroken
 }
 
-// passLong passes on an answer that is too long to hold.
-func (s *session) passLong(ctx context.Context, target *replica, sent *send, number uint32, answer *exchange.Answer, begun []byte) verdict {
+// forwardLong passes on an answer that is too long to buffer.
+func (s *session) forwardLong(ctx context.Context, target *replica, sent *send, number uint32, answer *exchange.Answer, buffered []byte) verdict {
 	copyHeader(s.writer.Header(), answer.Header)
-	s.headSent, s.begun = true, true
+	s.headSent, s.unresumable = true, true
 	s.writer.WriteHeader(answer.Status)
-	_, err := s.writer.Write(begun)
+	_, err := s.writer.Write(buffered)
 	if err == nil {
 		var readErr error
 		readErr, err = copyAnswer(s.writer, answer)
-		s.noteBroken(ctx, stageRun, target, sent, readErr)
+		s.noteBrokenConnection(ctx, stageRun, target, sent, readErr)
 	}
 	if err != nil {
-		s.life.Fail(number, attempt.FaultBroken)
-		return s.brokenUnless(ctx)
+		// Not sent again in any case: s.unresumable is set.
+		s.lifecycle.Fail(number, attempt.FaultBroken)
+		return s.verdictAfterBreak(ctx)
 	}
-	target.succeed()
-	s.life.Finish(number)
+	target.noteSuccess()
+	s.lifecycle.Finish(number)
 	return verdictDone
 }
 
-// copyAnswer passes the rest of an answer on; readErr is what the replica's side brought.
+// copyAnswer copies the rest of an answer. err is the error of either side, readErr that of the
+// replica's side alone.
 func copyAnswer(to io.Writer, from io.Reader) (readErr, err error) {
-	source := &failingReader{source: from}
+	source := &errorRecordingReader{source: from}
 	_, err = io.Copy(to, source)
 	return source.err, err
 }
 
-// failingReader remembers the error that ended its source.
-type failingReader struct {
+// errorRecordingReader records the error of its source.
+type errorRecordingReader struct {
 	source io.Reader
 	err    error
 }
 
-func (r *failingReader) Read(buffer []byte) (int, error) {
+func (r *errorRecordingReader) Read(buffer []byte) (int, error) {
 	count, err := r.source.Read(buffer)
 	if err != nil && err != io.EOF {
 		r.err = err
@@ -152,13 +163,16 @@
 	return count, err
 }
 
-// connectionFields concern one connection only and are not passed on.
+// connectionFields are the fields that are not passed on because they concern one connection only.
+// Proxy authentication, Expect and Content-Length are included: the proxy handles them for each of
+// its two connections.
 var connectionFields = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Content-Length",
 }
 
-// copyHeader copies what is not of one connection only.
+// copyHeader copies all fields that are not connection-specific. Both headers then share the
+// values.
 func copyHeader(to, from http.Header) {
 	for name, values := range from {
 		if !slices.Contains(connectionFields, name) {
--- a/process/ingress/apart.go
+++ b/process/ingress/apart.go
@@ -7,45 +7,48 @@
 	"github.com/landingtrail/landingtrail/process/pause"
 )
 
-// Times of a request that goes only where a leader says, while there is none or it does not answer.
+// Timing of requests that only a leader may place, while there is no leader or it does not
+// answer.
 const (
-	// apartWait is until it is asked for again, apartPatience for how long after its arrival at
-	// most: a new leader is there within some seconds, and a caller can come back then.
-	apartWait     = 50 * time.Millisecond
-	apartPatience = time.Second
-	apartPause    = time.Second
+	// leaderPollInterval is the time between two checks, maxLeaderWait the longest wait after the
+	// request's arrival. It need not span the whole change of leader, which takes up to a few
+	// seconds: the caller is told to retry after leaderRetryAfter.
+	leaderPollInterval = 50 * time.Millisecond
+	maxLeaderWait      = time.Second
+	leaderRetryAfter   = time.Second
 )
 
-// placeApart is place, but for a request under which replicas ended: that goes where a leader says
-// or nowhere. What a leader lets wait, or keeps apart, would else go out with the first question
-// that it leaves unanswered, beside load or between two leaders, and each copy might end a replica.
-// A member that stands by for a leader knows nothing of it either.
-func (s *session) placeApart(ctx context.Context) (plan, bool) {
+// placeSafely places the request like place, but sends a request suspected of crashing replicas
+// only where a leader says. If the proxy chose a replica by itself because the leader did not
+// answer or was being replaced, the suspected request would run beside others although the leader
+// delays or isolates it, and each copy could crash a replica. A standby member does not isolate it
+// either.
+func (s *session) placeSafely(ctx context.Context) (plan, bool) {
 	for {
-		apart := s.isKeptApart()
-		if !apart || s.ingress.guard.IsLed() {
-			if chosen, decided := s.place(ctx); decided || !apart {
+		needsLeader := s.needsLeader()
+		if !needsLeader || s.ingress.guard.HasLeader() {
+			if chosen, decided := s.place(ctx); decided || !needsLeader {
 				return chosen, decided
 			}
 		}
-		if !s.isPatient() || !pause.For(ctx, apartWait) {
-			return plan{refused: true, retryAfter: apartPause}, true
+		if !s.mayWaitForLeader() || !pause.Sleep(ctx, leaderPollInterval) {
+			return plan{refused: true, retryAfter: leaderRetryAfter}, true
 		}
-		s.ingress.routes() // takes in what the record says by now
-		if _, held := s.held(); held {
-			return plan{held: true}, true
+		s.ingress.routes() // applies the latest quarantine record
+		if _, quarantined := s.quarantineHold(); quarantined {
+			return plan{quarantined: true}, true
 		}
 	}
 }
 
-// isKeptApart reports whether the request goes only where a leader says. A stream that has brought
-// something goes on anywhere.
-func (s *session) isKeptApart() bool {
+// needsLeader reports whether only a leader may place the request. A stream that has already
+// produced events may continue anywhere.
+func (s *session) needsLeader() bool {
 	guard := s.ingress.guard
-	return guard.Active() && s.events == 0 && guard.KeepsApart(s.ingress.now(), s.fingerprint())
+	return guard.Active() && s.events == 0 && guard.RequiresLeader(s.ingress.now(), s.fingerprint())
 }
 
-// isPatient reports whether the request can wait for a leader once more.
-func (s *session) isPatient() bool {
-	return s.ingress.now()-s.arrived < apartPatience && s.left() > 2*apartWait
+// mayWaitForLeader reports whether the request has time to ask for a placement once more.
+func (s *session) mayWaitForLeader() bool {
+	return s.ingress.now()-s.arrivedAt < maxLeaderWait && s.remaining() > 2*leaderPollInterval
 }
--- a/process/ingress/asks.go
+++ b/process/ingress/asks.go
@@ -15,20 +15,24 @@
 	"github.com/pkg/errors"
 )
 
-// What replicas ask for with their answers is kept on each way to them:
+// Replicas announce in their answers that they pause, which is to be sent no request for some
+// time, or that they are leaving, which is to stop and to be sent nothing new. These pauses and
+// departures are applied at three points:
 //
-//   - where replicas are chosen: those that pause or leave are no candidates, and are named to
-//     the control group as excluded, which does not know what each proxy was asked;
-//   - before a send, since the choice may be older than the answer that asked;
-//   - when the connection is there and nothing is written yet, since opening it takes time.
+//   - Choosing a replica: those that pause or leave are no candidates. They are listed as
+//     excluded for the control group, which does not know what each proxy was told.
+//   - Before a send, since the choice may be older than the announcement.
+//   - Once the connection is open and before anything is written, since opening it takes time.
 //
-// No send is meant for a replica that pauses, although it bears two: those are left for what
-// was on its way when it asked.
+// The protocol allows two more requests to a pausing replica. None is sent deliberately: the
+// allowance is for requests that were already on their way when it asked.
 
-// errWithheld is the cause of an exchange that did not begin, since its replica pauses or leaves.
-var errWithheld = errors.New("ingress: the replica has asked to be sent nothing")
+// errWithheld is the cause of an exchange that was not started because its replica pauses or is
+// leaving.
+var errWithheld = errors.New("ingress: request not sent: replica pauses or is leaving")
 
-// permit returns what is asked last before a request is written to the replica.
+// permit returns a function that checks, once the connection is open, that the replica still
+// accepts a request.
 func (i *Ingress) permit(to *holdoff.Replica) func() error {
 	return func() error {
 		if !to.Begin(i.now()) {
@@ -38,29 +42,31 @@
 	}
 }
 
-// hearAsks takes in what an answer of the replica says of further requests, whomever it
-// answers: it came on a connection to the replica. Another one that answers at its address
-// speaks of itself.
-func (s *session) hearAsks(stage string, from *holdoff.Replica, status int, header http.Header) {
+// recordHoldoff applies the pause or departure that an answer of the replica announces, even if it
+// answers another request: it arrived on a connection to the replica. A misdirected answer is
+// ignored, since it comes from another replica. An answer without an announcement is recorded too:
+// it ends the time after a pause in which the replica is avoided.
+func (s *session) recordHoldoff(stage string, from *holdoff.Replica, status int, header http.Header) {
 	reply := s.ingress.config.Dialect.Reply(status, header)
 	if reply.Misdirected {
 		return
 	}
-	leaves := from.Hear(s.ingress.now(), s.ingress.day(), reply.Asks)
-	if reply.Asks.IsZero() {
+	leaves := from.Hear(s.ingress.now(), s.ingress.wallClock(), reply.Holdoff)
+	if reply.Holdoff.IsZero() {
 		return
 	}
 	if leaves {
-		s.ingress.tellLeaving(s.lane.service, from.Name())
+		s.ingress.reportLeaving(s.upstream.service, from.Name())
 	}
-	s.ingress.metrics.asks.WithLabelValues(s.lane.service, stage).Inc()
+	s.ingress.metrics.announcements.WithLabelValues(s.upstream.service, stage).Inc()
 	event.ReplicaAsks.Log(s.ingress.logger, "replica", from.Name(), "request", s.call.ID, "stage", stage, "status", status,
-		"retry_after_ms", reply.Asks.RetryAfter.Milliseconds(), "leaving", reply.Asks.Leaving)
+		"retry_after_ms", reply.Holdoff.RetryAfter.Milliseconds(), "leaving", reply.Holdoff.Leaving)
 }
 
-// tellLeaving tells who places requests that a replica leaves: the list may show it later,
-// and others would go on sending there.
-func (i *Ingress) tellLeaving(service, replica string) {
+// reportLeaving tells the member that places requests, the leader or a standby member, that a
+// replica is leaving. The list of replicas may show it only later, and until then other proxies
+// would continue to send requests there.
+func (i *Ingress) reportLeaving(service, replica string) {
 	if i.placer == nil {
 		return
 	}
@@ -69,39 +75,42 @@
 	})
 }
 
-// reportLeaving tells a member that has just begun to place requests which replicas leave.
-func (i *Ingress) reportLeaving() {
-	for _, opened := range i.lanes.all() {
-		for _, known := range opened.fleet.used() {
-			if known.asks.IsLeaving() {
-				i.tellLeaving(opened.service, known.name)
+// reportAllLeaving tells a member that has just started to place requests which replicas are
+// leaving.
+func (i *Ingress) reportAllLeaving() {
+	for _, upstream := range i.upstreams.all() {
+		for _, current := range upstream.fleet.inUse() {
+			if current.holdoff.IsLeaving() {
+				i.reportLeaving(upstream.service, current.name)
 			}
 		}
 	}
 }
 
-// withhold notes that nothing is sent to a replica that was chosen.
-func (s *session) withhold(stage string, from *replica) {
+// noteWithheld records that nothing is sent to a chosen replica because it pauses or is leaving.
+func (s *session) noteWithheld(stage string, from *replica) {
 	s.withheld = stage == stageRun
 	s.trace.WriteString(" withheld(" + from.name + ")")
-	s.ingress.metrics.withheld.WithLabelValues(s.lane.service, stage).Inc()
+	s.ingress.metrics.withheldSends.WithLabelValues(s.upstream.service, stage).Inc()
 	event.SendWithheld.Log(s.ingress.logger, "request", s.call.ID, "stage", stage, "replica", from.name,
-		"pause_ms", from.asks.Pause(s.ingress.now()).Milliseconds(), "leaving", from.asks.IsLeaving())
+		"pause_ms", from.holdoff.Pause(s.ingress.now()).Milliseconds(), "leaving", from.holdoff.IsLeaving())
 }
 
-// avoided names the replicas to which the group is not to send the request: those where it
-// was, those that take nothing, and those that are in doubt while their role has others.
-func (s *session) avoided() []string {
+// avoidedReplicas returns the replicas that the control group must not choose: those already
+// tried, those that must be sent nothing (holdoff.Closed), and, if there is an open replica of
+// their role, those to be used only without alternative (holdoff.Doubtful: leaving but still
+// accepting, or not heard of since a pause).
+func (s *session) avoidedReplicas() []string {
 	now := s.ingress.now()
 	avoided := maps.Clone(s.excluded)
 	doubtful := map[api.EngineRole][]string{}
-	for _, known := range s.lane.fleet.used() {
-		role := known.listed().Role
-		switch known.asks.State(now) {
+	for _, current := range s.upstream.fleet.inUse() {
+		role := current.spec().Role
+		switch current.holdoff.State(now) {
 		case holdoff.Closed:
-			avoided[known.name] = true
+			avoided[current.name] = true
 		case holdoff.Doubtful:
-			doubtful[role] = append(doubtful[role], known.name)
+			doubtful[role] = append(doubtful[role], current.name)
 		}
 	}
 	for role, names := range doubtful {
@@ -115,40 +124,43 @@
 	return slices.Sorted(maps.Keys(avoided))
 }
 
-// hasOpen reports whether a replica of the role may be sent the request without a doubt.
+// hasOpen reports whether a listed replica of the role is open: not tried yet, and no pause or
+// departure of it is in effect (holdoff.Open).
 func (s *session) hasOpen(role api.EngineRole, now time.Duration) bool {
 	found := false
-	s.lane.fleet.all(func(entry *api.Replica, known *replica) bool {
+	s.upstream.fleet.forEach(func(entry *api.Replica, current *replica) bool {
 		found = entry.Spec.Role == role && !entry.Spec.Leaving && !s.excluded[entry.Name] &&
-			(known == nil || known.asks.State(now) == holdoff.Open)
+			(current == nil || current.holdoff.State(now) == holdoff.Open)
 		return !found
 	})
 	return found
 }
 
-// runRoles are the roles of replicas that can run a request, whoever reads its prompt.
-var runRoles = wanted{roles: []api.EngineRole{api.RoleDecode, api.RoleMixed}}
+// runRoles matches the replicas that can run a request, whichever replica prefills its prompt.
+// RoleNone matches as well.
+var runRoles = replicaFilter{roles: []api.EngineRole{api.RoleDecode, api.RoleMixed}}
 
-// pauseSpread keeps callers that are told the end of a pause from coming back together.
-const pauseSpread = 100 * time.Millisecond
+// pauseJitter keeps callers that are told the end of a pause from retrying at the same time.
+const pauseJitter = 100 * time.Millisecond
 
-// allPause reports whether every replica that could run the request has asked this process
-// for a pause, and when the first of them is over. To wait for that here would hold the
-// request for nothing, and to send it all the same would only be refused.
-func (l *lane) allPause(now time.Duration) (wait time.Duration, all bool) {
+// allPaused reports whether every replica that could run the request has asked this process for a
+// pause, and returns the time until the first pause ends plus a random part of pauseJitter. It
+// returns false if there is no such replica. Waiting here would delay the request without need,
+// and sending it would only result in a refusal.
+func (u *upstream) allPaused(now time.Duration) (wait time.Duration, all bool) {
 	first, isOpen := time.Duration(0), false
-	l.fleet.all(func(entry *api.Replica, known *replica) bool {
-		if entry.Spec.Leaving || !runRoles.includes(entry.Spec.Role) {
+	u.fleet.forEach(func(entry *api.Replica, current *replica) bool {
+		if entry.Spec.Leaving || !runRoles.includesRole(entry.Spec.Role) {
 			return true
 		}
-		if known == nil {
+		if current == nil {
 			isOpen = true
 			return false
 		}
-		pause := known.asks.Pause(now)
-		// Be it one that has just refused this request: it may have room sooner.
-		isOpen = pause == 0 && known.takes(now)
-		if pause > 0 && !known.asks.IsLeaving() && (first == 0 || pause < first) {
+		pause := current.holdoff.Pause(now)
+		// Includes a replica that has just refused this request: it may have capacity sooner.
+		isOpen = pause == 0 && current.acceptsRequests(now)
+		if pause > 0 && !current.holdoff.IsLeaving() && (first == 0 || pause < first) {
 			first = pause
 		}
 		return !isOpen
@@ -156,5 +168,5 @@
 	if isOpen {
 		return 0, false
 	}
-	return first + rand.N(pauseSpread), first > 0
+	return first + rand.N(pauseJitter), first > 0
 }
--- a/process/ingress/budget_test.go
+++ b/process/ingress/budget_test.go
@@ -12,129 +12,129 @@
 	"github.com/shoenig/test/must"
 )
 
-// withPatience gives the model route an objective of which no machine is late by so much
-// that a replica passes for silent: giving it up would cost a retry.
-func (w *world) withPatience() {
-	w.views.set(func(v *view.View) {
-		patient := testIngress()
-		for i := range patient.Spec.Routes {
-			patient.Spec.Routes[i].ObjectiveMilliseconds = patience.Milliseconds()
+// withLongObjective gives all routes an objective that is long enough even for a slow test
+// machine. With a shorter one, a slow replica could be taken to be silent, and the request would
+// cost a retry.
+func (env *testEnv) withLongObjective() {
+	env.views.set(func(v *view.View) {
+		updated := testIngress()
+		for i := range updated.Spec.Routes {
+			updated.Spec.Routes[i].ObjectiveMilliseconds = testTimeout.Milliseconds()
 		}
-		v.Ingresses = map[string]*api.Ingress{api.IngressName: patient}
+		v.Ingresses = map[string]*api.Ingress{api.IngressName: updated}
 	})
 }
 
-// withReserve leaves the model service's lane so many retries, and no share of
-// its requests.
-func (w *world) withReserve(reserve float64) {
-	w.ingress.routes()
-	w.ingress.lanes.lane("model").budget = retry.NewWindow(0, reserve, time.Hour)
+// withReserve sets the retry budget of the model service to a fixed number of retries, whatever
+// the number of requests.
+func (env *testEnv) withReserve(reserve float64) {
+	env.ingress.routes()
+	env.ingress.upstreams.get("model").budget = retry.NewWindow(0, reserve, time.Hour)
 }
 
-// Each read that a replica refuses counts as a retry. Once they have overdrawn
-// the budget, generators read the prompts themselves.
-func TestRefusedReadsEndWithTheBudget(t *testing.T) {
-	reader := newFakeReplica(t, "read", refuseRun)
-	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	w := newModelWorld(t, reader, generator, nil)
-	w.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
-	w.withPatience()
-	w.withReserve(2)
-	const asked = 10
-	for range asked {
-		must.Eq(t, events(1, 2), w.ask(modelRequest).body)
+// Each refused prefill counts as a retry. Once they have overdrawn the budget, the decode
+// replicas prefill the prompts themselves.
+func TestRefusedPrefillsEndWithTheBudget(t *testing.T) {
+	prefiller := newFakeReplica(t, "read", refuseRun)
+	decoder := newFakeReplica(t, "make", streamEvents(2, ""))
+	env := newModelEnv(t, prefiller, decoder, nil)
+	env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
+	env.withLongObjective()
+	env.withReserve(2)
+	const requests = 10
+	for range requests {
+		must.Eq(t, eventTexts(1, 2), env.do(modelRequest).body)
 	}
-	must.Eq(t, 2, reader.count())
-	must.Eq(t, asked, generator.count())
+	must.Eq(t, 2, prefiller.count())
+	must.Eq(t, requests, decoder.count())
 }
 
-// A budget that other readers have overdrawn keeps no read from a reliable one.
-func TestReliableReadersAreReadWithWhateverIsLeft(t *testing.T) {
-	reader := newFakeReplica(t, "read", readPrompt)
-	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	w := newModelWorld(t, reader, generator, nil)
-	w.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
-	w.withReserve(0)
-	w.ingress.lanes.lane("model").budget.Force(w.ingress.now())
-	must.Eq(t, events(1, 2), w.ask(modelRequest).body)
-	must.Eq(t, 1, reader.count())
-	must.NotEq(t, "", generator.requests[0].Header.Get(testSource))
+// An overdrawn budget does not prevent a prefill on a reliable replica.
+func TestReliablePrefillReplicasIgnoreAnOverdrawnBudget(t *testing.T) {
+	prefiller := newFakeReplica(t, "read", answerPrefill)
+	decoder := newFakeReplica(t, "make", streamEvents(2, ""))
+	env := newModelEnv(t, prefiller, decoder, nil)
+	env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
+	env.withReserve(0)
+	env.ingress.upstreams.get("model").budget.Force(env.ingress.now())
+	must.Eq(t, eventTexts(1, 2), env.do(modelRequest).body)
+	must.Eq(t, 1, prefiller.count())
+	must.NotEq(t, "", decoder.requests[0].Header.Get(testSource))
 }
 
-// A reader that answers with a failure of its own has taken the read up, and the
-// first one taken up counts nowhere.
-func TestFailedReadsCostNoRetry(t *testing.T) {
-	reader := newFakeReplica(t, "read", answerStatus(http.StatusInternalServerError))
-	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	w := newModelWorld(t, reader, generator, nil)
-	w.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
-	w.withReserve(0)
-	const asked = 10
-	for range asked {
-		must.Eq(t, events(1, 2), w.ask(modelRequest).body)
+// A replica that answers a prefill with an error of its own has accepted it, and the first
+// accepted prefill is free.
+func TestFailedPrefillsCostNoRetry(t *testing.T) {
+	prefiller := newFakeReplica(t, "read", answerStatus(http.StatusInternalServerError))
+	decoder := newFakeReplica(t, "make", streamEvents(2, ""))
+	env := newModelEnv(t, prefiller, decoder, nil)
+	env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
+	env.withReserve(0)
+	const requests = 10
+	for range requests {
+		must.Eq(t, eventTexts(1, 2), env.do(modelRequest).body)
 	}
-	must.False(t, w.ingress.lanes.lane("model").budget.Overdrawn(w.ingress.now()))
-	must.Eq(t, asked, generator.count())
+	must.False(t, env.ingress.upstreams.get("model").budget.Overdrawn(env.ingress.now()))
+	must.Eq(t, requests, decoder.count())
 }
 
-// A read that brought no answer may not have been taken up; the run that follows
-// it then counts as a second send.
-func TestUnansweredReadsCountAsRetries(t *testing.T) {
-	reader := newFakeReplica(t, "read", breakOff)
-	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	w := newModelWorld(t, reader, generator, nil)
-	w.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
-	w.withReserve(2)
+// A prefill without an answer may not have been accepted; the run that follows then counts as a
+// second send.
+func TestUnansweredPrefillsCountAsRetries(t *testing.T) {
+	prefiller := newFakeReplica(t, "read", closeConnection)
+	decoder := newFakeReplica(t, "make", streamEvents(2, ""))
+	env := newModelEnv(t, prefiller, decoder, nil)
+	env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
+	env.withReserve(2)
 	for range 10 {
-		must.Eq(t, events(1, 2), w.ask(modelRequest).body)
+		must.Eq(t, eventTexts(1, 2), env.do(modelRequest).body)
 	}
-	must.Eq(t, 2, reader.count())
+	must.Eq(t, 2, prefiller.count())
 }
 
-// The first read is free once it is taken up; a second one costs a retry beside
-// that of its run.
-func TestSecondReadAsksTheBudget(t *testing.T) {
+// The first accepted prefill is free; a second one costs a retry in addition to that of its run.
+func TestSecondPrefillCostsARetry(t *testing.T) {
 	for _, test := range []struct {
 		reserve float64
 		reads   int
 	}{{1, 1}, {2, 2}} {
-		reader := newFakeReplica(t, "read", readPrompt)
-		generator := newFakeReplica(t, "make", refuseRun)
-		w := newModelWorld(t, reader, generator, nil)
-		w.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
-		w.withReserve(test.reserve)
-		must.Eq(t, http.StatusServiceUnavailable, w.ask(modelRequest).status)
-		must.Eq(t, 2, generator.count())
-		must.Eq(t, test.reads, reader.count())
+		prefiller := newFakeReplica(t, "read", answerPrefill)
+		decoder := newFakeReplica(t, "make", refuseRun)
+		env := newModelEnv(t, prefiller, decoder, nil)
+		env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
+		env.withReserve(test.reserve)
+		must.Eq(t, http.StatusServiceUnavailable, env.do(modelRequest).status)
+		must.Eq(t, 2, decoder.count())
+		must.Eq(t, test.reads, prefiller.count())
 	}
 }
 
-// A reader that refuses when the time is nearly over leaves nothing to run with:
-// the request goes nowhere else, and its caller is told that it has not run.
+// If a prefill is refused shortly before the deadline, too little time is left to run the
+// request: it is sent to no other replica, and its caller is told that it has not run.
 func TestNothingIsSentWithoutTimeToRun(t *testing.T) {
 	const within = 400 * time.Millisecond
-	reader := newFakeReplica(t, "read", func(w http.ResponseWriter, r *http.Request) {
+	prefiller := newFakeReplica(t, "read", func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(within - 15*time.Millisecond)
 		refuseRun(w, r)
 	})
-	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	w := newModelWorld(t, reader, generator, nil)
-	w.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
+	decoder := newFakeReplica(t, "make", streamEvents(2, ""))
+	env := newModelEnv(t, prefiller, decoder, nil)
+	env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
 	request := modelRequest
 	request.fields = map[string]string{testTokens: "9000", testWithin: "400"}
-	got := w.ask(request)
+	got := env.do(request)
 	must.NoError(t, got.err)
 	must.Eq(t, http.StatusServiceUnavailable, got.status)
 	must.NotEq(t, "", got.header.Get(testAgain))
-	must.Eq(t, 0, generator.count())
+	must.Eq(t, 0, decoder.count())
 }
 
-func TestReserveIsSharedWithThoseThatHaveJustLeft(t *testing.T) {
+func TestReserveIsSharedWithProxiesThatHaveJustLeft(t *testing.T) {
 	const window = 10 * time.Second
-	shared := &sharers{}
-	must.Eq(t, 8, shared.among(8, time.Second, window))
-	must.Eq(t, 8, shared.among(4, 2*time.Second, window), must.Sprint("four have left, and may have spent their parts"))
-	must.Eq(t, 8, shared.among(3, 11*time.Second, window))
-	must.Eq(t, 3, shared.among(3, 13*time.Second, window))
-	must.Eq(t, 9, shared.among(9, 14*time.Second, window))
+	shared := &proxyCounter{}
+	must.Eq(t, 8, shared.observe(8, time.Second, window))
+	must.Eq(t, 8, shared.observe(4, 2*time.Second, window), must.Sprint("four proxies have left and may have spent their parts"))
+	must.Eq(t, 8, shared.observe(3, 11*time.Second, window))
+	must.Eq(t, 3, shared.observe(3, 13*time.Second, window))
+	must.Eq(t, 9, shared.observe(9, 14*time.Second, window))
 }
--- a/process/ingress/charge.go
+++ b/process/ingress/charge.go
@@ -11,76 +11,80 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// charger charges requests to the quotas that all proxies share; *feed.Client is one.
+// charger charges requests to the quotas that all proxies share; implemented by *feed.Client.
+// Charge returns an error if the control group does not decide in time; ReturnCharge returns
+// whether the refund was sent.
 type charger interface {
 	Charge(ctx context.Context, request feed.ChargeRequest) (quota.Grant, error)
 	ReturnCharge(request feed.ChargeRequest) bool
 }
 
-// chargeTimeout is how long the group's answer to a charge is waited for before this proxy
-// decides by what it keeps itself.
+// chargeTimeout is how long to wait for the control group's answer to a charge before this proxy
+// decides by its own share of the quota.
 const chargeTimeout = 30 * time.Millisecond
 
-// charge is what a request cost its tenant; the zero charge cost nothing.
-type charge struct {
+// quotaCharge is the amount charged to a tenant for a request; zero if nothing was charged.
+type quotaCharge struct {
 	tenant string
-	cost   float64
-	// alone is true where this proxy decided by itself.
-	alone bool
+	cost   float64 // in the unit of the tenant's quota
+	// standalone is true if this proxy decided by itself.
+	standalone bool
 }
 
-// causeOverQuota is told to callers whose tenant has spent its quota.
+// causeOverQuota is returned to callers whose tenant has used up its quota.
 const causeOverQuota = "over_quota"
 
-// charge takes a call's cost off its tenant's quota before anything is kept or done for it,
-// or refuses it until the quota will cover it.
-func (i *Ingress) charge(ctx context.Context, call *Call, tenant *api.RouteTenant) (charge, *ownRefusal) {
+// charge deducts a call's cost from its tenant's quota, before the body is read. If the quota does
+// not cover the cost, it returns a refusal with the time until it does.
+func (i *Ingress) charge(ctx context.Context, call *Call, tenant *api.RouteTenant) (quotaCharge, *localRefusal) {
 	if tenant == nil || !tenant.Spec.Quota.IsBounded() || i.config.Quotas.Window <= 0 {
-		return charge{}, nil
+		return quotaCharge{}, nil
 	}
 	limit := tenant.Spec.Quota
-	asked := charge{tenant: tenant.Name, cost: limit.Cost(call.Work.PromptTokens + call.Work.OutputTokens)}
-	grant, err := i.askCharge(ctx, asked)
+	amount := quotaCharge{tenant: tenant.Name, cost: limit.Cost(call.Work.PromptTokens + call.Work.OutputTokens)}
+	grant, err := i.askCharge(ctx, amount)
 	if err == nil {
-		i.alone.Heard(asked.tenant, limit, grant)
+		i.standaloneQuota.Heard(amount.tenant, limit, grant)
 	} else {
-		asked.alone = true
-		grant = i.alone.Charge(i.now(), asked.tenant, limit, asked.cost, i.sharing())
+		amount.standalone = true
+		grant = i.standaloneQuota.Charge(i.now(), amount.tenant, limit, amount.cost, i.sharing())
 	}
 	if grant.Granted {
-		return asked, nil
+		return amount, nil
 	}
-	event.QuotaRefused.Log(i.logger, "request", call.ID, "tenant", asked.tenant, "cost", asked.cost, "left", grant.Left,
-		"wait_ms", grant.Wait.Milliseconds(), "alone", asked.alone)
+	event.QuotaRefused.Log(i.logger, "request", call.ID, "tenant", amount.tenant, "cost", amount.cost, "left", grant.Left,
+		"wait_ms", grant.Wait.Milliseconds(), "alone", amount.standalone)
 	wait := max(grant.Wait, minimumRetryAfter)
-	return charge{}, &ownRefusal{status: http.StatusTooManyRequests, cause: causeOverQuota, retryAfter: wait}
+	return quotaCharge{}, &localRefusal{status: http.StatusTooManyRequests, cause: causeOverQuota, retryAfter: wait}
 }
 
-func (i *Ingress) askCharge(ctx context.Context, asked charge) (quota.Grant, error) {
+// askCharge asks the control group for a charge and waits up to chargeTimeout.
+func (i *Ingress) askCharge(ctx context.Context, amount quotaCharge) (quota.Grant, error) {
 	if i.charger == nil {
 		return quota.Grant{}, feed.ErrNotCharged
 	}
 	ctx, cancel := context.WithTimeout(ctx, chargeTimeout)
 	defer cancel()
-	return i.charger.Charge(ctx, feed.ChargeRequest{Tenant: asked.tenant, Cost: asked.cost})
+	return i.charger.Charge(ctx, feed.ChargeRequest{Tenant: amount.tenant, Cost: amount.cost})
 }
 
-// sharing says how the quotas are divided while this proxy is left alone.
+// sharing returns what this proxy's part of a quota depends on while the control group is
+// unreachable: the number of proxies, and the time since this proxy's view was last confirmed.
 func (i *Ingress) sharing() quota.Sharing {
-	made := quota.Sharing{Proxies: int(i.lanes.proxies.Load())}
+	sharing := quota.Sharing{Proxies: int(i.upstreams.proxies.Load())}
 	if i.confirmer != nil {
-		made.Alone = i.confirmer.SinceConfirmed(i.now())
+		sharing.Alone = i.confirmer.SinceConfirmed(i.now())
 	}
-	return made
+	return sharing
 }
 
-// returnCharge gives back what was charged for a request that no replica has run.
-func (i *Ingress) returnCharge(spent charge) {
+// returnCharge refunds the charge of a request that no replica has run.
+func (i *Ingress) returnCharge(spent quotaCharge) {
 	if spent.tenant == "" {
 		return
 	}
-	if spent.alone || i.charger == nil {
-		i.alone.Return(spent.tenant, spent.cost)
+	if spent.standalone || i.charger == nil {
+		i.standaloneQuota.Return(spent.tenant, spent.cost)
 		return
 	}
 	i.charger.ReturnCharge(feed.ChargeRequest{Tenant: spent.tenant, Cost: spent.cost})
--- a/process/ingress/config.go
+++ b/process/ingress/config.go
@@ -9,115 +9,122 @@
 	"github.com/pkg/errors"
 )
 
-// ErrConfig says that the configuration is of no use.
+// ErrConfig is returned for an invalid configuration.
 var ErrConfig = errors.New("ingress: invalid configuration")
 
-// Config is what the data path runs with. Zero values take the defaults.
+// Config is the configuration of the data path. Zero values of Retry, Drain, Timeouts and
+// ReadyPath take the defaults.
 type Config struct {
-	Name string
-	Zone string
-	// ListenAddress is where callers connect, ReadyAddress where health is
-	// asked for, MetricsAddress where metrics are read; IP and port.
+	Name string // identifies this proxy to the control group; required
+	Zone string // replicas in the same zone are preferred
+	// ListenAddress serves callers, ReadyAddress health checks, MetricsAddress metrics; each is an
+	// IP:port. Only ListenAddress is required.
 	ListenAddress  string
 	ReadyAddress   string
-	ReadyPath      string
+	ReadyPath      string // answered 200 at ReadyAddress while callers may be sent here
 	MetricsAddress string
-	// FeedAddresses are where members of the control group may be; Seeds returns
-	// where they may be by settings that change, nil for none.
+	// FeedAddresses are possible addresses of control group members; Seeds returns further ones
+	// from settings that may change, nil for none.
 	FeedAddresses []string
 	Seeds         func() []string
-	// RelayAddress is where this proxy passes placements on for proxies that are
-	// cut off from the members; empty: it does not. RelayOf returns that address of
-	// the proxy that callers reach at an address; nil: none is known.
-	RelayAddress string
-	RelayOf      func(callersAddress string) string
+	// RelayAddress is where this proxy relays placement requests for proxies that cannot reach the
+	// control group; empty for no relay. RelayAddressOf maps a proxy's ListenAddress to its relay
+	// address, empty if it has none; a nil function means that no proxy has one.
+	RelayAddress   string
+	RelayAddressOf func(callersAddress string) string
 
 	Retry RetryBudget
 	Drain Drain
-	// LeaveNotice is how long a replica that says it leaves may still be asked where no
-	// other is left; 0 for not at all.
+	// LeaveNotice is how long a replica that announced its departure may still be sent requests if
+	// no other replica accepts them; 0 for not at all.
 	LeaveNotice time.Duration
 	Dialect     Dialect
 	Timeouts    Timeouts
 	Silence     Silence
 	Keys        Keys
-	// Quotas says by which windows the quotas of tenants are kept; the zero Rule: not at all.
+	// Quotas defines the windows of tenant quotas; the zero Rule disables quotas.
 	Quotas quota.Rule
-	// UsageWindow is the length of the windows by which requests that began are counted
-	// for each tenant; 0: they are not.
+	// UsageWindow is the length of the windows in which started requests are counted per tenant;
+	// 0 disables counting.
 	UsageWindow time.Duration
 }
 
-// Keys says what becomes of API keys while no leader confirms the view.
+// Keys configures the use of API keys while no leader confirms the view.
 type Keys struct {
-	// FailClosed refuses callers with keys once the view was not confirmed for so long
-	// that a key which was taken away might still be taken; else what was held last goes on.
+	// FailClosed refuses callers with keys once the view has been unconfirmed for most of
+	// RevokeWithin, since a key may have been revoked in the meantime. Otherwise the last known
+	// keys remain valid.
 	FailClosed bool
-	// RevokeWithin is how long after its removal a key may still be taken.
+	// RevokeWithin is how long a key may still be accepted after its revocation.
 	RevokeWithin time.Duration
 }
 
-// Silence is how long callers bear with a stream that says nothing: the longest
-// of Least, so many objectives of the first event and so many between events. A
-// zero value says that they bear with it until their deadline.
+// Silence defines how long callers tolerate a stream without events. The limit is the largest of
+// Min, of Objectives times the route's objective for the first event, and of Gaps times its
+// objective for the time between events. The zero value sets no limit, so that callers wait until
+// their deadline.
 type Silence struct {
-	Least      time.Duration
+	Min        time.Duration
 	Objectives int
 	Gaps       int
 }
 
-// of returns how long the callers of a route wait for a stream's next event; 0
-// for as long as they wait at all.
-func (s Silence) of(route *api.Route) time.Duration {
+// limitFor returns how long the callers of a route wait for a stream's next event; 0 if only the
+// deadline limits it.
+func (s Silence) limitFor(route *api.Route) time.Duration {
 	if route.Kind != api.RouteStreaming || s == (Silence{}) {
 		return 0
 	}
 	first := time.Duration(s.Objectives) * milliseconds(route.ObjectiveMilliseconds)
 	between := time.Duration(s.Gaps) * milliseconds(route.GapMilliseconds)
-	return max(s.Least, first, between)
+	return max(s.Min, first, between)
 }
 
 func milliseconds(count int64) time.Duration { return time.Duration(count) * time.Millisecond }
 
-// RetryBudget bounds what all proxies together send beyond the first send of
-// each request: within any window, a share of the requests plus a reserve.
+// RetryBudget limits the retries of all proxies together for each service. In any period of the
+// length Window, at most Share times the number of requests plus Reserve are allowed.
 type RetryBudget struct {
-	Share   float64
-	Reserve float64
+	Share   float64 // retries per request
+	Reserve float64 // retries
 	Window  time.Duration
-	// Settle is how long a process that has just started leaves most of its part of
-	// the reserve unused: the one before it may have spent it in the same window. 0
-	// stands for a window, less than 0 for no time at all.
+	// Settle is how long a process that has just started leaves most of its part of the reserve
+	// unused, since its predecessor may have spent it in the same window. 0 means Window, and a
+	// negative value disables this.
 	Settle time.Duration
 }
 
-// Drain times a planned stop.
+// Drain configures a planned stop; all times count from its start.
 type Drain struct {
-	// Notice is how long the proxy goes on taking requests after it has said
-	// that it is leaving, Limit when the process has ended at the latest.
+	// Notice is how long the proxy goes on accepting connections after it has reported that it is
+	// stopping. At Limit the remaining requests are cancelled; the process ends at most 5 % of
+	// Limit later.
 	Notice time.Duration
-	// Late is from when on a request is refused that may not be over before Limit; what
-	// came earlier may be cut then. Callers have heard by Late that the proxy leaves: those
-	// that still come do so on connections which they keep, and can go elsewhere at once.
-	Late  time.Duration
-	Limit time.Duration
+	// From RefuseAfter on, requests that may outlast Limit are refused; those that arrive earlier
+	// may be cut at Limit. By then callers are expected to know that the proxy is stopping. A
+	// request that still arrives uses a connection that its caller has kept open, and the caller
+	// can send it to another proxy at once.
+	RefuseAfter time.Duration
+	Limit       time.Duration
 }
 
-// Timeouts bound waits of the data path.
+// Timeouts limits waits of the data path.
 type Timeouts struct {
-	Header time.Duration // of a caller's head
-	Idle   time.Duration // of a caller's connection
-	// Transit is what is kept off a deadline for the way back.
+	Header time.Duration // for the head of a caller's request
+	Idle   time.Duration // of a caller's connection between two requests
+	// Transit is subtracted from a request's remaining time to allow for the way of the answer
+	// back to the caller.
 	Transit time.Duration
 }
 
-// Defaults of a Config.
+// Defaults of Config. In a planned stop, DefaultRefuseAfter comes before DefaultNotice, and that
+// before DefaultDrainLimit.
 const (
 	DefaultHeaderTimeout = 10 * time.Second
 	DefaultIdleTimeout   = 60 * time.Second
 	DefaultTransit       = 10 * time.Millisecond
 	DefaultNotice        = 4500 * time.Millisecond
-	DefaultLate          = 2500 * time.Millisecond
+	DefaultRefuseAfter   = 2500 * time.Millisecond
 	DefaultDrainLimit    = 7500 * time.Millisecond
 	DefaultRetryShare    = 0.1
 	DefaultRetryReserve  = 50
@@ -126,7 +133,7 @@
 	defaultMaxBodyBytes  = 8 << 20
 )
 
-// WithDefaults returns the configuration with zero values filled in.
+// WithDefaults returns the configuration with zero values replaced by the defaults.
 func (c Config) WithDefaults() Config {
 	c.ReadyPath = cmp.Or(c.ReadyPath, defaultReadyPath)
 	c.Retry.Share = cmp.Or(c.Retry.Share, DefaultRetryShare)
@@ -134,7 +141,7 @@
 	c.Retry.Window = cmp.Or(c.Retry.Window, DefaultRetryWindow)
 	c.Retry.Settle = cmp.Or(c.Retry.Settle, c.Retry.Window)
 	c.Drain.Notice = cmp.Or(c.Drain.Notice, DefaultNotice)
-	c.Drain.Late = cmp.Or(c.Drain.Late, DefaultLate)
+	c.Drain.RefuseAfter = cmp.Or(c.Drain.RefuseAfter, DefaultRefuseAfter)
 	c.Drain.Limit = cmp.Or(c.Drain.Limit, DefaultDrainLimit)
 	c.Timeouts.Header = cmp.Or(c.Timeouts.Header, DefaultHeaderTimeout)
 	c.Timeouts.Idle = cmp.Or(c.Timeouts.Idle, DefaultIdleTimeout)
@@ -142,7 +149,7 @@
 	return c
 }
 
-// Check returns every fault of the configuration.
+// Check returns the required fields that are missing.
 func (c Config) Check() []api.FieldFault {
 	var faults []api.FieldFault
 	need := func(field string, ok bool) {
--- a/process/ingress/harness_test.go
+++ b/process/ingress/harness_test.go
@@ -23,27 +23,29 @@
 
 func TestMain(m *testing.M) {
 	goleak.VerifyTestMain(m,
-		// Both run from the start of a process that links go-zero to its end.
+		// Both are started by the init functions of go-zero and never end.
 		goleak.IgnoreTopFunction("github.com/zeromicro/go-zero/core/proc.init.1.func1"),
 		goleak.IgnoreTopFunction("github.com/zeromicro/go-zero/core/stat.init.1.func1"),
 	)
 }
 
-// patience bounds every wait; it measures nothing.
-const patience = 20 * time.Second
+// testTimeout limits every wait. No result depends on its length.
+const testTimeout = 20 * time.Second
 
+// eventually waits until the condition holds, and fails the test after testTimeout. what describes
+// the condition.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(testTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("not within %v: %s", patience, what)
+			t.Fatalf("not within %v: %s", testTimeout, what)
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// Fields of the tests' dialect.
+// Header fields of the test dialect.
 const (
 	testID       = "Test-Id"
 	testWithin   = "Test-Within"
@@ -63,17 +65,17 @@
 	testLeaving  = "Test-Leaving"
 )
 
-// testDialect is a protocol of these tests.
+// testDialect is the protocol used in these tests.
 type testDialect struct{}
 
 func (testDialect) Call(header http.Header) (Call, error) {
 	call := Call{ID: header.Get(testID), Header: header, ResumeAfter: header.Get(testResume)}
-	call.Credential = Credential{Key: header.Get(testKey), Given: len(header[testKey]) > 0}
+	call.Credential = Credential{Key: header.Get(testKey), Present: len(header[testKey]) > 0}
 	if call.ID == "" {
 		return call, errors.New("no ID")
 	}
 	within, _ := strconv.Atoi(header.Get(testWithin))
-	call.Within = time.Duration(within) * time.Millisecond
+	call.Timeout = time.Duration(within) * time.Millisecond
 	call.Work.PromptTokens, _ = strconv.Atoi(header.Get(testTokens))
 	return call, nil
 }
@@ -89,7 +91,7 @@
 func (testDialect) Attempt(header http.Header, attempt Attempt) {
 	header.Set(testReplica, attempt.Replica)
 	header.Set(testPriority, strconv.Itoa(attempt.Priority))
-	header.Set(testWithin, strconv.FormatInt(attempt.Within.Milliseconds(), 10))
+	header.Set(testWithin, strconv.FormatInt(attempt.Timeout.Milliseconds(), 10))
 	if attempt.ResumeAfter != "" {
 		header.Set(testResume, attempt.ResumeAfter)
 	}
@@ -105,13 +107,13 @@
 
 func (testDialect) Reply(status int, header http.Header) Reply {
 	reply := Reply{
-		Named:       header.Get(testID) != "",
-		Genuine:     header.Get(testGenuine) != "",
-		NotRun:      header.Get(testNotRun) != "",
-		Misdirected: status == http.StatusMisdirectedRequest,
+		HasRequestID: header.Get(testID) != "",
+		Genuine:      header.Get(testGenuine) != "",
+		NotRun:       header.Get(testNotRun) != "",
+		Misdirected:  status == http.StatusMisdirectedRequest,
 	}
-	reply.Asks.RetryAfter, _ = time.ParseDuration(header.Get(testPause))
-	reply.Asks.Leaving = header.Get(testLeaving) != ""
+	reply.Holdoff.RetryAfter, _ = time.ParseDuration(header.Get(testPause))
+	reply.Holdoff.Leaving = header.Get(testLeaving) != ""
 	if running, err := strconv.Atoi(header.Get(testLoad)); err == nil {
 		reply.Load = &Load{Running: running, Slots: 8}
 	}
@@ -135,7 +137,7 @@
 	}
 }
 
-// fakeReplica is a replica whose every request goes to a handler of the test.
+// fakeReplica is a replica whose requests are handled by the test.
 type fakeReplica struct {
 	name   string
 	server *httptest.Server
@@ -162,8 +164,8 @@
 
 func (r *fakeReplica) address() string { return r.server.Listener.Addr().String() }
 
-// refusingAddress returns an address that refuses connections: its port is bound, so that
-// nobody else gets it, and nobody listens there.
+// refusingAddress returns an address that refuses connections: the port is bound, so that no
+// other process gets it, but nothing listens there.
 func refusingAddress(t *testing.T) string {
 	t.Helper()
 	socket, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
@@ -181,33 +183,34 @@
 	return len(r.requests)
 }
 
-// genuine writes the fields of an answer that the replica made by a run.
-func genuine(w http.ResponseWriter, r *http.Request) {
+// writeGenuine sets the header fields of an answer that the replica produced by running the
+// request.
+func writeGenuine(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set(testID, r.Header.Get(testID))
 	w.Header().Set(testGenuine, "signature")
 }
 
 func answerOK(w http.ResponseWriter, r *http.Request) {
-	genuine(w, r)
+	writeGenuine(w, r)
 	_, _ = io.WriteString(w, "answer to "+r.Header.Get(testID))
 }
 
 func answerStatus(status int) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		genuine(w, r)
+		writeGenuine(w, r)
 		w.WriteHeader(status)
 		_, _ = io.WriteString(w, "failure")
 	}
 }
 
-// refuseRun says that the request was not run.
+// refuseRun states that the request was not run.
 func refuseRun(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set(testID, r.Header.Get(testID))
 	w.Header().Set(testNotRun, "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// hijack hands the connection to the test.
+// hijack passes the connection to the test.
 func hijack(use func(net.Conn)) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		conn, _, err := w.(http.Hijacker).Hijack()
@@ -219,15 +222,16 @@
 	}
 }
 
-// breakOff closes the connection without a word.
-var breakOff = hijack(func(net.Conn) {})
+// closeConnection closes the connection without an answer.
+var closeConnection = hijack(func(net.Conn) {})
 
-// events streams events with rising IDs from one after the caller's last to last,
-// and then ends the stream, or cuts it after an event or inside one.
+// streamEvents streams events with increasing IDs, from the one after the caller's last event up
+// to the given last one. It then ends the stream (end is empty), cuts it between events ("cut"),
+// or cuts it inside an event ("inside").
 func streamEvents(last int, end string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		first, _ := strconv.Atoi(r.Header.Get(testResume))
-		genuine(w, r)
+		writeGenuine(w, r)
 		w.Header().Set("Content-Type", "text/event-stream")
 		for id := first + 1; id <= last; id++ {
 			_, _ = io.WriteString(w, eventText(id))
@@ -248,7 +252,7 @@
 	return "id: " + strconv.Itoa(id) + "\ndata: piece " + strconv.Itoa(id) + "\n\n"
 }
 
-func events(first, last int) string {
+func eventTexts(first, last int) string {
 	var text strings.Builder
 	for id := first; id <= last; id++ {
 		text.WriteString(eventText(id))
@@ -256,7 +260,7 @@
 	return text.String()
 }
 
-// Routes of the tests: one host, a prefix each.
+// testIngress returns the routes of the tests: one host, with a path prefix for each route.
 func testIngress() *api.Ingress {
 	route := func(name string, kind api.RouteKind, attempts int, resumable bool, service string) api.Route {
 		return api.Route{
@@ -282,20 +286,20 @@
 	}}
 }
 
-// holder is a view that tests replace.
-type holder struct {
+// viewHolder holds a view that tests replace.
+type viewHolder struct {
 	lock    sync.Mutex
 	current *view.View
 }
 
-func (h *holder) Load() *view.View {
+func (h *viewHolder) Load() *view.View {
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	return h.current
 }
 
-// set moves the view on.
-func (h *holder) set(change func(*view.View)) {
+// set replaces the view by a changed copy with the next revision.
+func (h *viewHolder) set(change func(*view.View)) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	next := *h.current
@@ -304,49 +308,49 @@
 	h.current = &next
 }
 
-// world is an ingress before fake replicas.
-type world struct {
+// testEnv is an ingress with fake replicas.
+type testEnv struct {
 	t       *testing.T
-	views   *holder
+	views   *viewHolder
 	ingress *Ingress
 	server  *httptest.Server
 }
 
-func newWorld(t *testing.T, replicas ...*fakeReplica) *world {
+func newTestEnv(t *testing.T, replicas ...*fakeReplica) *testEnv {
 	t.Helper()
-	w := &world{t: t, views: &holder{current: view.New()}}
+	env := &testEnv{t: t, views: &viewHolder{current: view.New()}}
 	start := time.Now()
 	clock := func() time.Duration { return time.Since(start) }
-	w.ingress = New(Config{Name: "proxy-1", Zone: "zone-a", Dialect: testDialect{}, Retry: RetryBudget{Share: 1, Reserve: 100, Settle: -1}}, w.views, clock, log.NewNopLogger())
-	w.views.set(func(v *view.View) { v.Ingresses = map[string]*api.Ingress{api.IngressName: testIngress()} })
-	w.list(replicas...)
-	w.server = httptest.NewServer(w.ingress)
+	env.ingress = New(Config{Name: "proxy-1", Zone: "zone-a", Dialect: testDialect{}, Retry: RetryBudget{Share: 1, Reserve: 100, Settle: -1}}, env.views, clock, log.NewNopLogger())
+	env.views.set(func(v *view.View) { v.Ingresses = map[string]*api.Ingress{api.IngressName: testIngress()} })
+	env.setReplicas(replicas...)
+	env.server = httptest.NewServer(env.ingress)
 	t.Cleanup(func() {
-		w.server.Close()
-		w.ingress.Close()
+		env.server.Close()
+		env.ingress.Close()
 	})
-	return w
+	return env
 }
 
-// list replaces the plain replicas.
-func (w *world) list(replicas ...*fakeReplica) {
-	w.views.set(func(v *view.View) {
+// setReplicas replaces the list by the given plain replicas.
+func (env *testEnv) setReplicas(replicas ...*fakeReplica) {
+	env.views.set(func(v *view.View) {
 		v.Replicas = map[string]*api.Replica{}
 		for _, replica := range replicas {
-			v.Replicas[replica.name] = listed(replica, "plain", api.RoleNone)
+			v.Replicas[replica.name] = replicaObject(replica, "plain", api.RoleNone)
 		}
 	})
 }
 
-func listed(replica *fakeReplica, service string, role api.EngineRole) *api.Replica {
+func replicaObject(replica *fakeReplica, service string, role api.EngineRole) *api.Replica {
 	return &api.Replica{
 		Metadata: api.Metadata{Name: replica.name},
 		Spec:     api.ReplicaSpec{Service: service, Address: replica.address(), Zone: "zone-a", Slots: 8, Role: role},
 	}
 }
 
-// asked is one request of a test.
-type asked struct {
+// testRequest is a caller's request. The id "-" stands for a request without one.
+type testRequest struct {
 	method string
 	target string
 	host   string
@@ -355,8 +359,8 @@
 	body   string
 }
 
-// answered is what the caller got; err is set where the answer broke off.
-type answered struct {
+// testResponse is what the caller receives; err is set if the answer was interrupted.
+type testResponse struct {
 	status int
 	header http.Header
 	body   string
@@ -365,27 +369,27 @@
 
 var testClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true}}
 
-func (w *world) ask(given asked) answered {
-	w.t.Helper()
-	request, err := http.NewRequest(given.method, w.server.URL, strings.NewReader(given.body))
-	must.NoError(w.t, err)
-	request.URL.Opaque = given.target
-	request.Host = given.host
-	if given.host == "" {
+func (env *testEnv) do(params testRequest) testResponse {
+	env.t.Helper()
+	request, err := http.NewRequest(params.method, env.server.URL, strings.NewReader(params.body))
+	must.NoError(env.t, err)
+	request.URL.Opaque = params.target
+	request.Host = params.host
+	if params.host == "" {
 		request.Host = "a.example"
 	}
-	if given.id != "-" {
-		request.Header.Set(testID, given.id)
+	if params.id != "-" {
+		request.Header.Set(testID, params.id)
 	}
-	request.Header.Set("User-Agent", "") // net/http then sends none
-	for name, value := range given.fields {
+	request.Header.Set("User-Agent", "") // keeps net/http from sending its default
+	for name, value := range params.fields {
 		request.Header.Set(name, value)
 	}
 	response, err := testClient.Do(request)
 	if err != nil {
-		return answered{err: err}
+		return testResponse{err: err}
 	}
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
-	return answered{status: response.StatusCode, header: response.Header, body: string(body), err: err}
+	return testResponse{status: response.StatusCode, header: response.Header, body: string(body), err: err}
 }
--- a/process/ingress/inflight_test.go
+++ b/process/ingress/inflight_test.go
@@ -9,30 +9,30 @@
 	"github.com/shoenig/test/must"
 )
 
-// toldGroup keeps what it is told.
-type toldGroup struct{ inFlight []feed.InFlight }
+// recordingGroup records the reports that it receives.
+type recordingGroup struct{ inFlight []feed.InFlight }
 
-func (g *toldGroup) ReportInFlight(told feed.InFlight) bool {
-	g.inFlight = append(g.inFlight, told)
+func (g *recordingGroup) ReportInFlight(report feed.InFlight) bool {
+	g.inFlight = append(g.inFlight, report)
 	return true
 }
 
-// of returns what it was told last of the service.
-func (g *toldGroup) of(service string) map[uint64]placement.Placed {
+// lastReportFor returns the requests in the last report for the service, by number.
+func (g *recordingGroup) lastReportFor(service string) map[uint64]placement.Placed {
 	var requests map[uint64]placement.Placed
-	for _, told := range g.inFlight {
-		if told.Service == service {
-			requests = told.Requests
+	for _, report := range g.inFlight {
+		if report.Service == service {
+			requests = report.Requests
 		}
 	}
 	return requests
 }
 
-func (g *toldGroup) ReportKept(feed.KeptParts) bool { return true }
+func (g *recordingGroup) ReportKept(feed.KeptParts) bool { return true }
 
-// What is in flight is told to whoever places from now on, also what this proxy has
-// placed itself, and nothing that is over.
-func TestNextLeaderIsToldWhatIsInFlight(t *testing.T) {
+// A new leader is told of all requests in flight, including those that this proxy placed itself,
+// and of none that has ended.
+func TestNewLeaderIsToldWhatIsInFlight(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		placer *fakePlacer
@@ -41,39 +41,39 @@
 		{"placed by the proxy", &fakePlacer{err: feed.ErrNotPlaced}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			begun, goOn := make(chan struct{}, 4), make(chan struct{})
+			started, proceed := make(chan struct{}, 4), make(chan struct{})
 			hold := func(serve http.HandlerFunc) http.HandlerFunc {
 				return func(w http.ResponseWriter, r *http.Request) {
-					begun <- struct{}{}
-					<-goOn
+					started <- struct{}{}
+					<-proceed
 					serve(w, r)
 				}
 			}
-			reader := newFakeReplica(t, "read", hold(readPrompt))
-			generator := newFakeReplica(t, "make", hold(streamEvents(2, "")))
-			w := newModelWorld(t, reader, generator, nil)
-			w.ingress.placer = test.placer
+			prefiller := newFakeReplica(t, "read", hold(answerPrefill))
+			decoder := newFakeReplica(t, "make", hold(streamEvents(2, "")))
+			env := newModelEnv(t, prefiller, decoder, nil)
+			env.ingress.placer = test.placer
 			done := make(chan struct{})
 			go func() {
 				defer close(done)
-				w.ask(modelRequest)
+				env.do(modelRequest)
 			}()
-			<-begun
-			var told toldGroup
-			w.ingress.reportInFlight(&told)
-			must.SliceLen(t, 1, told.inFlight)
-			must.MapLen(t, 1, told.inFlight[0].Requests)
-			for _, request := range told.inFlight[0].Requests {
+			<-started
+			var group recordingGroup
+			env.ingress.reportInFlight(&group)
+			must.SliceLen(t, 1, group.inFlight)
+			must.MapLen(t, 1, group.inFlight[0].Requests)
+			for _, request := range group.inFlight[0].Requests {
 				must.Eq(t, "make", request.Answer.Generator)
 				must.Eq(t, 9000, request.Ask.Prompt)
 				must.Eq(t, placement.Step(0), request.Step)
 			}
-			close(goOn)
+			close(proceed)
 			<-done
-			told = toldGroup{}
-			w.ingress.reportInFlight(&told)
-			must.SliceLen(t, 1, told.inFlight)
-			must.MapEmpty(t, told.inFlight[0].Requests)
+			group = recordingGroup{}
+			env.ingress.reportInFlight(&group)
+			must.SliceLen(t, 1, group.inFlight)
+			must.MapEmpty(t, group.inFlight[0].Requests)
 		})
 	}
 }
--- a/process/ingress/ingress.go
+++ b/process/ingress/ingress.go
@@ -24,7 +24,7 @@
 	"github.com/pkg/errors"
 )
 
-// Views is the version of the replicated state that the ingress acts on.
+// Views provides the current version of the replicated state.
 type Views interface {
 	Load() *view.View
 }
@@ -35,144 +35,154 @@
 	logger log.Logger
 	views  Views
 	clock  func() time.Duration
-	// day is the time of day that replicas' births are told by.
-	day   func() time.Time
-	lanes *lanes
-	table atomic.Pointer[tableAt]
-	// stopping is set once answers must ask callers to close connections.
-	stopping atomic.Bool
-	stop     atomic.Pointer[plannedStop] // nil before one
-	serving  atomic.Int64                // requests
-	// patient ends when a planned stop cannot wait for requests any longer.
-	patient    context.Context
-	endPatient context.CancelFunc
-	inFlight   inFlightTable
-	guard      *guard.Guard
-	sessions   sessionTable
-	unwatch    func() // of suspensions
-	metrics    *metrics
-	// placer places model requests by all that is in flight; nil leaves it to
-	// what this proxy knows itself.
+	// wallClock returns the wall clock time, with which replicas' start times are compared.
+	wallClock func() time.Time
+	upstreams *upstreams
+	table     atomic.Pointer[versionedTable]
+	// stopping is set once answers must ask callers to close their connections.
+	stopping    atomic.Bool
+	plannedStop atomic.Pointer[plannedStop] // nil unless a planned stop has begun
+	serving     atomic.Int64                // number of requests being served
+	// requestContext is cancelled when a planned stop can no longer wait for requests.
+	requestContext      context.Context
+	cancelRequests      context.CancelFunc
+	inFlight            inFlightTable
+	guard               *guard.Guard
+	sessions            sessionTable
+	stopSuspensionWatch func()
+	metrics             *metrics
+	// placer places model requests and takes those of all proxies into account; if nil, this proxy
+	// uses only its own knowledge.
 	placer Placer
-	// confirmer tells how old the view may be; nil without a group.
-	confirmer Confirmer
-	numbers   atomic.Uint64
-	// charger charges requests to their tenants' quotas; nil without a group. alone does so
-	// while nobody answers it.
-	charger charger
-	alone   *quota.Alone
-	// usage counts the requests of each tenant that began; nil: nobody asks for it.
+	// confirmer tells how long ago the view was confirmed; nil without a control group.
+	confirmer        Confirmer
+	placementNumbers atomic.Uint64
+	// charger charges requests to tenant quotas; nil without a control group. standaloneQuota is
+	// used while the control group does not answer.
+	charger         charger
+	standaloneQuota *quota.Alone
+	// usage counts started requests per tenant; nil if usage is not reported.
 	usage *metering.Counter
-	// namesTill is until when questions bring the requests' fingerprints.
-	namesTill atomic.Int64
+	// fingerprintsUntil is the time until which placement requests include the fingerprint, as a
+	// time.Duration of clock.
+	fingerprintsUntil atomic.Int64
 }
 
-// Placer decides where model requests go; *feed.Client is one.
+// Placer decides where model requests go; implemented by *feed.Client. Place returns an error if
+// there is no decision in time. NotePlaced reports the progress of a request in the order of the
+// calls, and returns whether the report was sent.
 type Placer interface {
 	Place(ctx context.Context, request feed.PlaceRequest) (placement.Answer, error)
 	NotePlaced(note feed.PlaceNote) bool
 }
 
-// tableAt is the route table of one version of the view.
-type tableAt struct {
+// versionedTable is the route table of one version of the view.
+type versionedTable struct {
 	version view.Version
 	ingress *api.Ingress
-	tenants map[string]*api.RouteTenant // those that the keys of routes are of
+	tenants map[string]*api.RouteTenant // the tenants whose keys routes.keys holds
 	routes  *routeTable
 }
 
-// New returns an ingress over the views. Close ends it.
+// New returns an ingress that uses the current version of views for each request. now is a
+// monotonic clock that starts at zero with the process. New starts a watch for suspensions of the
+// machine, so the caller must call Close.
 func New(config Config, views Views, now func() time.Duration, logger log.Logger) *Ingress {
 	config = config.WithDefaults()
-	made := &Ingress{
-		config: config, logger: logger, views: views, clock: now, day: time.Now,
-		lanes: newLanes(config, now), metrics: newMetrics(), guard: guard.New(config.Name),
-		alone: quota.NewAlone(config.Quotas),
+	ingress := &Ingress{
+		config: config, logger: logger, views: views, clock: now, wallClock: time.Now,
+		upstreams: newUpstreams(config, now), metrics: newMetrics(), guard: guard.New(config.Name),
+		standaloneQuota: quota.NewAlone(config.Quotas),
 	}
-	made.patient, made.endPatient = context.WithCancel(context.Background())
-	made.table.Store(&tableAt{routes: newRouteTable(nil)})
-	made.unwatch = clock.Watch(made.sessions.endOverdue)
-	return made
+	ingress.requestContext, ingress.cancelRequests = context.WithCancel(context.Background())
+	ingress.table.Store(&versionedTable{routes: newRouteTable(nil)})
+	ingress.stopSuspensionWatch = clock.Watch(ingress.sessions.cancelOverdue)
+	return ingress
 }
 
-// Close ends what is in flight and closes the idle connections.
+// Close cancels requests in flight and closes idle connections to replicas. It does not close the
+// listeners.
 func (i *Ingress) Close() {
-	i.unwatch()
-	i.endPatient()
-	i.lanes.close()
+	i.stopSuspensionWatch()
+	i.cancelRequests()
+	i.upstreams.close()
 }
 
 func (i *Ingress) now() time.Duration { return i.clock() }
 
-// routes returns the route table of the view that is held now. Requests load views side by
-// side: one that was overtaken must not put its older view in the place of a newer one.
+// routes returns the route table of the current view. If the view is newer than the last one, it
+// first applies its replicas and its quarantine record, and some callers call it only for that.
+// Requests do so concurrently: one that loaded a view before another one applied a newer view must
+// not replace it.
 func (i *Ingress) routes() *routeTable {
 	current := i.views.Load()
 	for {
-		known := i.table.Load()
-		if current.Version.Compare(known.version) <= 0 {
-			return known.routes
+		cached := i.table.Load()
+		if current.Version.Compare(cached.version) <= 0 {
+			return cached.routes
 		}
-		i.lanes.update(current, i.now())
+		i.upstreams.update(current, i.now())
 		i.guard.Follow(current, i.now())
-		held := current.Ingresses[api.IngressName]
-		next := &tableAt{version: current.Version, ingress: held, tenants: known.tenants, routes: known.routes}
-		if held != known.ingress || !maps.Equal(current.RouteTenants, known.tenants) {
-			next.routes = newRouteTable(held)
-			next.routes.keys = known.routes.keys.Follow(next.routes.keySecret, current.RouteTenants)
+		object := current.Ingresses[api.IngressName]
+		next := &versionedTable{version: current.Version, ingress: object, tenants: cached.tenants, routes: cached.routes}
+		if object != cached.ingress || !maps.Equal(current.RouteTenants, cached.tenants) {
+			next.routes = newRouteTable(object)
+			next.routes.keys = cached.routes.keys.Follow(next.routes.keySecret, current.RouteTenants)
 			next.tenants = current.RouteTenants
 		}
-		if !i.table.CompareAndSwap(known, next) {
+		if !i.table.CompareAndSwap(cached, next) {
 			continue
 		}
-		if held != known.ingress {
-			event.IngressInForce.Log(i.logger, "generation", next.routes.generation, "routes", len(held.Spec.Routes),
+		if object != cached.ingress {
+			event.IngressInForce.Log(i.logger, "generation", next.routes.generation, "routes", len(object.Spec.Routes),
 				"revision", current.Version.Revision, "term", current.Version.Term)
 		}
 		return next.routes
 	}
 }
 
-// Ready reports whether callers may be sent here.
+// Ready reports whether callers may be sent here: routes have been received and no planned stop
+// has begun.
 func (i *Ingress) Ready() bool { return !i.stopping.Load() && i.routes().generation > 0 }
 
-// ServeHTTP takes one caller's request.
+// ServeHTTP handles one caller's request. It panics with http.ErrAbortHandler to close the
+// connection without a complete answer.
 func (i *Ingress) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	i.serving.Add(1)
 	defer i.serving.Add(-1)
-	arrived := i.now()
+	arrivedAt := i.now()
 	if i.stopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
 	routes := i.routes()
-	call, taken, refusal := i.take(w, r, routes)
+	call, admitted, refusal := i.admit(w, r, routes)
 	if refusal != nil {
-		i.refuse(w, &call, refusal)
+		i.refuseCall(w, &call, refusal)
 		i.logRefusal(&call, routes, refusal)
 		return
 	}
-	i.serve(w, r, call, taken, arrived)
+	i.serve(w, r, call, admitted, arrivedAt)
 }
 
-// refuse answers a call of which nothing is done. The answer leaves before the body is in,
-// which net/http would else read first.
-func (i *Ingress) refuse(w http.ResponseWriter, call *Call, refusal *ownRefusal) {
-	_ = http.NewResponseController(w).EnableFullDuplex() // without it the answer comes later
+// refuseCall answers a call that is not processed. The answer is sent even if the body has not
+// arrived yet; by default net/http would read the body first.
+func (i *Ingress) refuseCall(w http.ResponseWriter, call *Call, refusal *localRefusal) {
+	_ = http.NewResponseController(w).EnableFullDuplex() // on error the answer is sent after the body
 	i.config.Dialect.Refusal(w.Header(), call, refusal.retryAfter)
-	writeOwn(w, refusal.status, refusal.cause)
+	writeRefusal(w, refusal.status, refusal.cause)
 }
 
-// admission is how a call was taken in.
+// admission is the result of admitting a call.
 type admission struct {
 	route      *api.Route
 	priority   int
-	generation uint64 // of the Ingress that the request is handled by
-	charge     charge
+	generation uint64 // of the Ingress object that the request was routed by
+	charge     quotaCharge
 }
 
-// take finds the route of a request and who asks, and then reads it whole: nothing is kept
-// of the body of one that is refused.
-func (i *Ingress) take(w http.ResponseWriter, r *http.Request, routes *routeTable) (Call, admission, *ownRefusal) {
+// admit finds the route and the tenant of a request and only then reads the body, so that no body
+// is buffered for a request that is refused.
+func (i *Ingress) admit(w http.ResponseWriter, r *http.Request, routes *routeTable) (Call, admission, *localRefusal) {
 	call, refusal := i.readHead(r)
 	if refusal != nil {
 		return call, admission{}, refusal
@@ -185,56 +195,57 @@
 	if refusal != nil {
 		return call, admission{}, refusal
 	}
-	taken := admission{route: route, generation: routes.generation}
-	taken.priority = i.identify(routes, route, &call, tenant)
-	if taken.charge, refusal = i.charge(r.Context(), &call, tenant); refusal != nil {
+	admitted := admission{route: route, generation: routes.generation}
+	admitted.priority = i.identify(routes, route, &call, tenant)
+	if admitted.charge, refusal = i.charge(r.Context(), &call, tenant); refusal != nil {
 		return call, admission{}, refusal
 	}
-	if refusal = i.readWhole(w, r, routes, &call); refusal != nil {
-		i.returnCharge(taken.charge)
+	if refusal = i.readCallBody(w, r, routes, &call); refusal != nil {
+		i.returnCharge(admitted.charge)
 	}
-	return call, taken, refusal
+	return call, admitted, refusal
 }
 
-// ownRefusal is an answer that is given before any replica was asked.
-type ownRefusal struct {
+// localRefusal is an answer of the proxy to a call for which no replica was contacted.
+type localRefusal struct {
 	status     int
 	cause      string
 	retryAfter time.Duration
 }
 
-// noRoute tells a request that no route takes from one that came before this
-// process knew any route.
-func noRoute(routes *routeTable, uptime time.Duration) *ownRefusal {
+// noRoute distinguishes a request that matches no route from one that arrived before this process
+// had received any routes.
+func noRoute(routes *routeTable, uptime time.Duration) *localRefusal {
 	if routes.generation == 0 {
-		return &ownRefusal{status: http.StatusServiceUnavailable, cause: "no_configuration", retryAfter: startPause(uptime)}
+		return &localRefusal{status: http.StatusServiceUnavailable, cause: "no_configuration", retryAfter: startRetryAfter(uptime)}
 	}
-	return &ownRefusal{status: http.StatusNotFound, cause: "no_route"}
+	return &localRefusal{status: http.StatusNotFound, cause: "no_route"}
 }
 
-// Times of the pause that callers of a proxy without routes are told to make.
+// Retry delays for callers of a proxy that has no routes yet.
 const (
-	// expectedStart is how long after its start a proxy has its view where the group was
-	// stopped as a whole and one of its disks is lost, so that an election timeout is
-	// waited out: 0.5 s, and 0.2 to 0.4 s until the last of 295 proxies has its view.
-	expectedStart = 900 * time.Millisecond
-	// leastStartPause is the pause of one that has been up for longer.
-	leastStartPause = 200 * time.Millisecond
-	// startSpread keeps callers from coming back together.
-	startSpread = 300 * time.Millisecond
+	// expectedStartup is the time from process start until the view arrives in the slowest
+	// expected case: all members were stopped and one has lost its disk. An election timeout of
+	// 0.5 s then has to pass, and the last of 295 proxies has its view 0.2 to 0.4 s later.
+	expectedStartup = 900 * time.Millisecond
+	// minStartRetryAfter is the minimum delay. It is also used while keys are refused because the
+	// view is unconfirmed.
+	minStartRetryAfter = 200 * time.Millisecond
+	// startRetryJitter keeps callers from retrying at the same time.
+	startRetryJitter = 300 * time.Millisecond
 )
 
-// startPause is when a process that started so long ago will know the routes. Most callers
-// come back once: one who is told to come too early is lost.
-func startPause(uptime time.Duration) time.Duration {
-	return max(expectedStart-uptime, leastStartPause) + rand.N(startSpread)
+// startRetryAfter returns when a process with the given uptime is expected to have its routes. If
+// a caller retries only once, a delay that is too short loses the request.
+func startRetryAfter(uptime time.Duration) time.Duration {
+	return max(expectedStartup-uptime, minStartRetryAfter) + rand.N(startRetryJitter)
 }
 
-// readHead reads what stands before the body.
-func (i *Ingress) readHead(r *http.Request) (Call, *ownRefusal) {
+// readHead parses the part of the request before the body.
+func (i *Ingress) readHead(r *http.Request) (Call, *localRefusal) {
 	call, err := i.config.Dialect.Call(r.Header)
 	if err != nil {
-		return call, &ownRefusal{status: http.StatusBadRequest, cause: "invalid_fields"}
+		return call, &localRefusal{status: http.StatusBadRequest, cause: "invalid_fields"}
 	}
 	call.Method = r.Method
 	call.Target = r.RequestURI
@@ -245,20 +256,20 @@
 	return call, nil
 }
 
-// readWhole reads the body of a call that is taken.
-func (i *Ingress) readWhole(w http.ResponseWriter, r *http.Request, routes *routeTable, call *Call) *ownRefusal {
+// readCallBody reads the body of an admitted call.
+func (i *Ingress) readCallBody(w http.ResponseWriter, r *http.Request, routes *routeTable, call *Call) *localRefusal {
 	limit := routes.maxBodyBytes()
 	if r.ContentLength > limit {
-		return &ownRefusal{status: http.StatusRequestEntityTooLarge, cause: "body_too_large"}
+		return &localRefusal{status: http.StatusRequestEntityTooLarge, cause: "body_too_large"}
 	}
 	var err error
 	call.Body, err = readBody(w, r, limit)
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return &ownRefusal{status: http.StatusRequestEntityTooLarge, cause: "body_too_large"}
+		return &localRefusal{status: http.StatusRequestEntityTooLarge, cause: "body_too_large"}
 	case err != nil:
-		return &ownRefusal{status: http.StatusBadRequest, cause: "body_cut"}
+		return &localRefusal{status: http.StatusBadRequest, cause: "body_cut"}
 	}
 	return nil
 }
@@ -275,7 +286,7 @@
 	return io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 }
 
-// rawPath is the path of a request target as it was sent.
+// rawPath returns the path of a request target as it was sent.
 func rawPath(target string) string {
 	if rest, absolute := strings.CutPrefix(target, "http://"); absolute {
 		if slash := strings.IndexByte(rest, '/'); slash >= 0 {
@@ -286,8 +297,8 @@
 	return path
 }
 
-// stripConnectionFields removes the fields that concern the caller's connection,
-// those that its Connection field names among them.
+// stripConnectionFields removes the connection-specific fields, including those that the
+// Connection field lists.
 func stripConnectionFields(header http.Header) {
 	for _, value := range header["Connection"] {
 		for name := range strings.SplitSeq(value, ",") {
@@ -299,92 +310,94 @@
 	}
 }
 
-// serve sees a routed request through.
-func (i *Ingress) serve(w http.ResponseWriter, r *http.Request, call Call, taken admission, arrived time.Duration) {
-	route := taken.route
+// serve processes an admitted request until its final answer.
+func (i *Ingress) serve(w http.ResponseWriter, r *http.Request, call Call, admitted admission, arrivedAt time.Duration) {
+	route := admitted.route
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	service := chooseService(route, random)
 	s := &session{
-		ingress: i, writer: w, call: call, route: route, lane: i.lanes.lane(service), random: random,
-		generation: taken.generation, priority: taken.priority, arrived: arrived, excluded: map[string]bool{}, sentTo: map[string]bool{},
-		life: attempt.New(attempt.Policy{
+		ingress: i, writer: w, call: call, route: route, upstream: i.upstreams.get(service), random: random,
+		generation: admitted.generation, priority: admitted.priority, arrivedAt: arrivedAt, excluded: map[string]bool{}, contacted: map[string]bool{},
+		lifecycle: attempt.New(attempt.Policy{
 			Once:     !route.Idempotent(),
-			Attempts: max(route.Attempts, 1) + maxDials + 1,
+			Attempts: max(route.Attempts, 1) + maxDialFailures + 1,
 		}),
 	}
 	timeout := time.Duration(route.TimeoutMilliseconds) * time.Millisecond
-	s.deadline = arrived + timeout
-	s.callerEnds = s.deadline
-	if call.Within > 0 {
-		s.callerEnds = arrived + call.Within
-		s.deadline = min(s.deadline, s.callerEnds)
+	s.deadline = arrivedAt + timeout
+	s.callerDeadline = s.deadline
+	if call.Timeout > 0 {
+		s.callerDeadline = arrivedAt + call.Timeout
+		s.deadline = min(s.deadline, s.callerDeadline)
 	}
-	if i.isTooLate(i.now(), s.deadline) { // it may have come in slowly
-		i.returnCharge(taken.charge)
-		i.finish(s, service, s.refuse(http.StatusServiceUnavailable, causeStopping, minimumRetryAfter))
+	if i.mayOutlastStop(i.now(), s.deadline) { // the body may have arrived slowly
+		i.returnCharge(admitted.charge)
+		i.finish(s, service, s.answerError(http.StatusServiceUnavailable, causeStopping, minimumRetryAfter))
 		return
 	}
 	ctx, end := context.WithCancelCause(r.Context())
 	defer end(nil)
 	i.sessions.add(s, end)
 	defer i.sessions.remove(s)
-	defer context.AfterFunc(i.patient, func() { end(errStopping) })()
-	ctx, cancel := context.WithTimeoutCause(ctx, s.left(), errTimeout)
+	defer context.AfterFunc(i.requestContext, func() { end(errStopping) })()
+	ctx, cancel := context.WithTimeoutCause(ctx, s.remaining(), errTimeout)
 	defer cancel()
-	s.life.Dispatch()
-	s.lane.budget.Request(arrived)
+	s.lifecycle.Dispatch()
+	s.upstream.budget.Request(arrivedAt)
 	status := s.run(ctx)
 	s.endTrial()
-	if s.life.Ran() == attempt.RanNo {
-		i.returnCharge(taken.charge)
+	if s.lifecycle.Ran() == attempt.RanNo {
+		i.returnCharge(admitted.charge)
 	}
 	i.finish(s, service, status)
 	if status == 0 || status == statusCallerGone {
-		panic(http.ErrAbortHandler) // cuts the connection: what was sent must not look whole
+		panic(http.ErrAbortHandler) // closes the connection, so that a truncated answer does not look complete
 	}
 }
 
-// causeStopping is told to callers whose request a planned stop leaves no time for.
+// causeStopping is returned to callers whose request cannot finish before a planned stop ends.
 const causeStopping = "stopping"
 
-// plannedStop times a planned stop that has begun.
+// plannedStop holds the times of a planned stop that has begun.
 type plannedStop struct {
-	lateFrom time.Duration // from then on nothing is taken that may not be over by the end
-	endsAt   time.Duration
+	refuseFrom time.Duration // from then on, requests that may outlast the stop are refused
+	endsAt     time.Duration
 }
 
-// isTooLate reports whether a request that was read whole at that time, and may last until its
-// deadline, came so late in a planned stop that it could be cut. No replica has read it, and its
-// caller can ask another proxy at once.
-func (i *Ingress) isTooLate(readAt, deadline time.Duration) bool {
-	stop := i.stop.Load()
-	return stop != nil && readAt >= stop.lateFrom && deadline > stop.endsAt
+// mayOutlastStop reports whether a request might still run when a planned stop ends: its body was
+// complete only after refuseFrom, and its deadline is after endsAt. No replica has received it
+// yet, so its caller can send it to another proxy at once.
+func (i *Ingress) mayOutlastStop(readAt, deadline time.Duration) bool {
+	stop := i.plannedStop.Load()
+	return stop != nil && readAt >= stop.refuseFrom && deadline > stop.endsAt
 }
 
-// finish counts and logs how a request ended.
+// finish records metrics and the log line of a finished request, and tells the guard if it was
+// served. status is as returned by session.run.
 func (i *Ingress) finish(s *session, service string, status int) {
-	took := i.now() - s.arrived
+	took := i.now() - s.arrivedAt
 	i.metrics.observe(s.route.Name, outcomeOf(status), took)
-	if s.firstAt > 0 {
-		i.metrics.firstEvent.WithLabelValues(s.route.Name).Observe((s.firstAt - s.arrived).Seconds())
+	if s.firstEventAt > 0 {
+		i.metrics.firstEvent.WithLabelValues(s.route.Name).Observe((s.firstEventAt - s.arrivedAt).Seconds())
 	}
-	ended := event.RequestFailed
+	outcome := event.RequestFailed
 	if status == http.StatusOK {
 		switch {
-		case s.confined:
-			i.guard.Cleared(i.now(), s.fingerprint())
-		case s.named != nil, i.guard.Active():
-			// Named is also one that met its first end itself: no one else knows of it yet.
-			i.guard.Served(i.now(), s.fingerprint())
+		case s.wasIsolated:
+			i.guard.NoteServedIsolated(i.now(), s.fingerprint())
+		case s.cachedFingerprint != nil, i.guard.Active():
+			// The guard is not active if this request itself caused the first crash, which is not
+			// on record yet; a fingerprint was then computed.
+			i.guard.NoteServed(i.now(), s.fingerprint())
 		}
-		ended = event.RequestServed
+		outcome = event.RequestServed
 	}
-	ended.Log(i.logger, "request", s.call.ID, "fingerprint", s.knownFingerprint(), "route", s.route.Name, "service", service,
-		"generation", s.generation, "status", status, "took_ms", took.Milliseconds(), "first_ms", max(s.firstAt-s.arrived, 0).Milliseconds(), "sends", s.sends,
+	outcome.Log(i.logger, "request", s.call.ID, "fingerprint", s.knownFingerprint(), "route", s.route.Name, "service", service,
+		"generation", s.generation, "status", status, "took_ms", took.Milliseconds(), "first_ms", max(s.firstEventAt-s.arrivedAt, 0).Milliseconds(), "sends", s.sendCount,
 		"events", s.events, "tokens", s.call.Work.PromptTokens, "tried", strings.TrimSpace(s.trace.String()))
 }
 
-func (i *Ingress) logRefusal(call *Call, routes *routeTable, refusal *ownRefusal) {
+func (i *Ingress) logRefusal(call *Call, routes *routeTable, refusal *localRefusal) {
 	i.metrics.observe("", outcomeOf(refusal.status), 0)
 	event.RequestRefused.Log(i.logger, "request", call.ID, "host", call.Host, "path", call.Path,
 		"generation", routes.generation, "status", refusal.status, "cause", refusal.cause)
--- a/process/ingress/metrics.go
+++ b/process/ingress/metrics.go
@@ -10,23 +10,23 @@
 
 const metricsNamespace = "landingtrail_ingress"
 
-// metrics are the ingress's counters and histograms. No label names a replica:
-// replicas come and go, and the log names them.
+// metrics holds the counters and histograms of the ingress. No label names a replica, because
+// replicas come and go and would increase the number of time series; the log names them.
 type metrics struct {
-	registry       *prometheus.Registry
-	requests       *prometheus.CounterVec
-	latency        *prometheus.HistogramVec
-	firstEvent     *prometheus.HistogramVec
-	attempts       *prometheus.CounterVec
-	choices        *prometheus.CounterVec
-	prefills       *prometheus.CounterVec
-	prefillSeconds *prometheus.HistogramVec
-	retriesRefused *prometheus.CounterVec
-	foreign        *prometheus.CounterVec
-	broken         *prometheus.CounterVec
-	held           *prometheus.CounterVec
-	asks           *prometheus.CounterVec
-	withheld       *prometheus.CounterVec
+	registry            *prometheus.Registry
+	requests            *prometheus.CounterVec
+	latency             *prometheus.HistogramVec
+	firstEvent          *prometheus.HistogramVec
+	attempts            *prometheus.CounterVec
+	choices             *prometheus.CounterVec
+	prefills            *prometheus.CounterVec
+	prefillSeconds      *prometheus.HistogramVec
+	retriesRefused      *prometheus.CounterVec
+	foreignAnswers      *prometheus.CounterVec
+	brokenConnections   *prometheus.CounterVec
+	quarantinedRequests *prometheus.CounterVec
+	announcements       *prometheus.CounterVec
+	withheldSends       *prometheus.CounterVec
 }
 
 func newMetrics() *metrics {
@@ -39,11 +39,11 @@
 	m.prefills = m.counter("prefills_total", "Prompts read apart from the replica that makes the tokens.", "service", "outcome")
 	m.prefillSeconds = m.histogram("prefill_seconds", "Time of a read that succeeded.", "service")
 	m.retriesRefused = m.counter("retries_refused_total", "Retries that the shared budget did not allow.", "service")
-	m.foreign = m.counter("foreign_answers_total", "Answers that name another request than the one that was asked, or none.", "service", "stage")
-	m.broken = m.counter("broken_total", "Attempts whose replica closed or reset the connection while it was at work, as one that ends does.", "service", "stage")
-	m.held = m.counter("held_total", "Requests that went to no replica, since replicas end under them.", "service")
-	m.asks = m.counter("replica_asks_total", "Answers that ask for a pause, or say that their replica leaves.", "service", "stage")
-	m.withheld = m.counter("withheld_total", "Sends to a chosen replica that had asked for a pause, or said that it leaves, meanwhile.", "service", "stage")
+	m.foreignAnswers = m.counter("foreign_answers_total", "Answers that name another request than the one that was asked, or none.", "service", "stage")
+	m.brokenConnections = m.counter("broken_total", "Attempts whose replica closed or reset the connection while it was at work, as one that ends does.", "service", "stage")
+	m.quarantinedRequests = m.counter("held_total", "Requests that went to no replica, since replicas end under them.", "service")
+	m.announcements = m.counter("replica_asks_total", "Answers that ask for a pause, or say that their replica leaves.", "service", "stage")
+	m.withheldSends = m.counter("withheld_total", "Sends to a chosen replica that had asked for a pause, or said that it leaves, meanwhile.", "service", "stage")
 	return m
 }
 
@@ -53,7 +53,7 @@
 	return created
 }
 
-// histogram has buckets from 10 ms to 10 s.
+// histogram registers a histogram with buckets from 10 ms to 10 s.
 func (m *metrics) histogram(name, help string, labels ...string) *prometheus.HistogramVec {
 	created := prometheus.NewHistogramVec(prometheus.HistogramOpts{
 		Namespace: metricsNamespace, Name: name, Help: help,
@@ -63,15 +63,17 @@
 	return created
 }
 
-// Who chose a replica, and how a read ended.
+// Label values: who chose a replica, and whether a prefill succeeded.
 const (
 	chosenByGroup = "group"
 	chosenByProxy = "proxy"
 
-	prefillRead   = "read"
-	prefillFailed = "failed"
+	prefillSucceeded = "read"
+	prefillFailed    = "failed"
 )
 
+// observe counts a request that ended. Its latency is recorded unless it was refused, in which
+// case route is empty.
 func (m *metrics) observe(route, outcome string, took time.Duration) {
 	m.requests.WithLabelValues(route, outcome).Inc()
 	if route != "" {
@@ -79,7 +81,7 @@
 	}
 }
 
-// outcomeOf names an outcome by its status.
+// outcomeOf returns the outcome label for a status; 0 stands for an answer that was cut.
 func outcomeOf(status int) string {
 	switch {
 	case status == 0:
--- a/process/ingress/metrics_test.go
+++ b/process/ingress/metrics_test.go
@@ -9,8 +9,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// values returns the registry's counters, and the counts of its histograms, by
-// name and label values.
+// values returns the registry's counters, and the sample counts of its histograms, by name and
+// label values.
 func (m *metrics) values(t *testing.T) map[string]float64 {
 	t.Helper()
 	families, err := m.registry.Gather()
@@ -28,31 +28,32 @@
 	return values
 }
 
-// onePlacer answers the first question only.
-type onePlacer struct {
-	answer placement.Answer
-	asked  bool
+// singleAnswerPlacer answers only the first placement request.
+type singleAnswerPlacer struct {
+	answer   placement.Answer
+	answered bool
 }
 
-func (p *onePlacer) Place(context.Context, feed.PlaceRequest) (placement.Answer, error) {
-	if p.asked {
+func (p *singleAnswerPlacer) Place(context.Context, feed.PlaceRequest) (placement.Answer, error) {
+	if p.answered {
 		return placement.Answer{}, feed.ErrNotPlaced
 	}
-	p.asked = true
+	p.answered = true
 	return p.answer, nil
 }
 
-func (p *onePlacer) NotePlaced(feed.PlaceNote) bool { return true }
+func (p *singleAnswerPlacer) NotePlaced(feed.PlaceNote) bool { return true }
 
 func TestEachDecisionIsCounted(t *testing.T) {
-	reader := newFakeReplica(t, "read", readPrompt)
+	prefiller := newFakeReplica(t, "read", answerPrefill)
 	refusing := newFakeReplica(t, "make-1", refuseRun)
-	generator := newFakeReplica(t, "make-2", streamEvents(2, ""))
-	w := newModelWorld(t, reader, refusing, generator)
-	w.ingress.placer = &onePlacer{answer: placement.Answer{Generator: "make-1", Reader: "read", Unread: 9000}}
-	must.Eq(t, events(1, 2), w.ask(modelRequest).body)
-	got := w.ingress.metrics.values(t)
-	// The proxy alone may have the prompt read apart as well, by what it measured.
+	decoder := newFakeReplica(t, "make-2", streamEvents(2, ""))
+	env := newModelEnv(t, prefiller, refusing, decoder)
+	env.ingress.placer = &singleAnswerPlacer{answer: placement.Answer{Generator: "make-1", Reader: "read", Unread: 9000}}
+	must.Eq(t, eventTexts(1, 2), env.do(modelRequest).body)
+	got := env.ingress.metrics.values(t)
+	// When the proxy decides by itself, it may or may not choose a separate prefill, depending on
+	// the prefill speed that it has measured. So the number of prefills is not fixed.
 	must.Positive(t, got["landingtrail_ingress_prefills_total read model"])
 	must.Eq(t, got["landingtrail_ingress_prefills_total read model"], got["landingtrail_ingress_prefill_seconds model"])
 	for name, want := range map[string]float64{
--- a/process/ingress/model_test.go
+++ b/process/ingress/model_test.go
@@ -17,7 +17,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// fakePlacer answers every question alike and keeps the notes.
+// fakePlacer gives every placement request the same answer and records the notes.
 type fakePlacer struct {
 	answer placement.Answer
 	err    error
@@ -51,85 +51,87 @@
 	return steps
 }
 
-// readPrompt answers a prefill with a handle.
-func readPrompt(w http.ResponseWriter, r *http.Request) {
-	genuine(w, r)
+// answerPrefill answers a prefill with a handle.
+func answerPrefill(w http.ResponseWriter, r *http.Request) {
+	writeGenuine(w, r)
 	_, _ = io.WriteString(w, `"handle-7"`)
 }
 
-// newModelWorld has a reader and two generators of the model service.
-func newModelWorld(t *testing.T, reader, first, second *fakeReplica) *world {
-	w := newWorld(t)
-	w.views.set(func(v *view.View) {
+// newModelEnv returns an environment with a prefill replica and up to two decode replicas of the
+// model service.
+func newModelEnv(t *testing.T, prefiller, first, second *fakeReplica) *testEnv {
+	env := newTestEnv(t)
+	env.views.set(func(v *view.View) {
 		v.Replicas = map[string]*api.Replica{
-			reader.name: listed(reader, "model", api.RolePrefill),
-			first.name:  listed(first, "model", api.RoleDecode),
+			prefiller.name: replicaObject(prefiller, "model", api.RolePrefill),
+			first.name:     replicaObject(first, "model", api.RoleDecode),
 		}
 		if second != nil {
-			v.Replicas[second.name] = listed(second, "model", api.RoleDecode)
+			v.Replicas[second.name] = replicaObject(second, "model", api.RoleDecode)
 		}
 	})
-	return w
+	return env
 }
 
-var modelRequest = asked{method: "POST", target: "/model/", id: "q", fields: map[string]string{testTokens: "9000"}}
+var modelRequest = testRequest{method: "POST", target: "/model/", id: "q", fields: map[string]string{testTokens: "9000"}}
 
-func TestPromptIsReadWhereTheGroupSays(t *testing.T) {
-	reader := newFakeReplica(t, "read", readPrompt)
-	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	w := newModelWorld(t, reader, generator, nil)
+func TestPromptIsPrefilledWhereTheGroupSays(t *testing.T) {
+	prefiller := newFakeReplica(t, "read", answerPrefill)
+	decoder := newFakeReplica(t, "make", streamEvents(2, ""))
+	env := newModelEnv(t, prefiller, decoder, nil)
 	placer := &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read", Unread: 9000}}
-	w.ingress.placer = placer
-	got := w.ask(modelRequest)
+	env.ingress.placer = placer
+	got := env.do(modelRequest)
 	must.NoError(t, got.err)
-	must.Eq(t, events(1, 2), got.body)
-	must.Eq(t, "1", reader.requests[0].Header.Get(testPrefill))
-	must.Eq(t, reader.address()+"/handle-7", generator.requests[0].Header.Get(testSource))
-	must.Eq(t, "", generator.requests[0].Header.Get(testPrefill))
+	must.Eq(t, eventTexts(1, 2), got.body)
+	must.Eq(t, "1", prefiller.requests[0].Header.Get(testPrefill))
+	must.Eq(t, prefiller.address()+"/handle-7", decoder.requests[0].Header.Get(testSource))
+	must.Eq(t, "", decoder.requests[0].Header.Get(testPrefill))
 	must.Eq(t, 9000, placer.asks[0].Prompt)
 	must.Eq(t, []placement.Step{placement.StepRead, placement.StepStarted, placement.StepEnded}, placer.steps())
 }
 
-// A read is no run: when it fails in any way the request is still served.
-func TestFailedReadLeavesTheReadingToTheGenerator(t *testing.T) {
+// A prefill is not a run of the request, which is served whichever way the prefill fails.
+func TestDecodeReplicaPrefillsAfterFailedPrefill(t *testing.T) {
 	for name, handler := range map[string]http.HandlerFunc{
-		"broken off": breakOff, "refused": refuseRun, "failed": answerStatus(500), "no handle": answerOK, "misdirected": misdirected,
-		"a handle for nobody": unnamed, "another request's": foreign,
+		"connection closed": closeConnection, "refused": refuseRun, "failed": answerStatus(500), "no handle": answerOK, "misdirected": answerMisdirected,
+		"handle without a request ID": answerUnnamed, "another request's answer": answerForeign,
 	} {
 		t.Run(name, func(t *testing.T) {
-			reader := newFakeReplica(t, "read", handler)
-			generator := newFakeReplica(t, "make", streamEvents(2, ""))
-			w := newModelWorld(t, reader, generator, nil)
-			w.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
-			got := w.ask(modelRequest)
+			prefiller := newFakeReplica(t, "read", handler)
+			decoder := newFakeReplica(t, "make", streamEvents(2, ""))
+			env := newModelEnv(t, prefiller, decoder, nil)
+			env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
+			got := env.do(modelRequest)
 			must.NoError(t, got.err)
-			must.Eq(t, events(1, 2), got.body)
-			must.Eq(t, "", generator.requests[0].Header.Get(testSource))
+			must.Eq(t, eventTexts(1, 2), got.body)
+			must.Eq(t, "", decoder.requests[0].Header.Get(testSource))
 		})
 	}
 }
 
-// A replica that began to leave while the prompt was read gets nothing new.
-func TestGeneratorThatLeavesDuringTheReadGetsNothing(t *testing.T) {
+// A replica that starts to leave during the prefill receives nothing new.
+func TestDecodeReplicaThatLeavesDuringPrefillGetsNothing(t *testing.T) {
 	leaving := newFakeReplica(t, "make-1", streamEvents(2, ""))
 	staying := newFakeReplica(t, "make-2", streamEvents(2, ""))
-	reader := newFakeReplica(t, "read", readPrompt)
-	w := newModelWorld(t, reader, leaving, staying)
-	reader.server.Config.Handler = after(reader.server.Config.Handler, func() {
-		w.views.set(func(v *view.View) {
-			entry := listed(leaving, "model", api.RoleDecode)
+	prefiller := newFakeReplica(t, "read", answerPrefill)
+	env := newModelEnv(t, prefiller, leaving, staying)
+	prefiller.server.Config.Handler = callFirst(prefiller.server.Config.Handler, func() {
+		env.views.set(func(v *view.View) {
+			entry := replicaObject(leaving, "model", api.RoleDecode)
 			entry.Spec.Leaving = true
 			v.Replicas = map[string]*api.Replica{"read": v.Replicas["read"], "make-1": entry, "make-2": v.Replicas["make-2"]}
 		})
 	})
-	w.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make-1", Reader: "read"}}
-	must.Eq(t, events(1, 2), w.ask(modelRequest).body)
+	env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make-1", Reader: "read"}}
+	must.Eq(t, eventTexts(1, 2), env.do(modelRequest).body)
 	must.Eq(t, 0, leaving.count())
 	must.Eq(t, 1, staying.count())
 }
 
-// A member that places may know less than the proxy does.
-func TestReplicaThatLeavesIsNotTakenFromAnAnswer(t *testing.T) {
+// The member that places a request may not know yet that a replica is leaving, while the proxy
+// does.
+func TestLeavingReplicaNamedByPlacementIsNotUsed(t *testing.T) {
 	cases := []struct {
 		name   string
 		answer placement.Answer
@@ -137,46 +139,46 @@
 		{"generator", placement.Answer{Generator: "make-1"}},
 		{"reader", placement.Answer{Generator: "make-2", Reader: "read"}},
 	}
-	for _, each := range cases {
-		t.Run(each.name, func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
 			leaving := newFakeReplica(t, "make-1", streamEvents(2, ""))
 			staying := newFakeReplica(t, "make-2", streamEvents(2, ""))
-			reader := newFakeReplica(t, "read", readPrompt)
-			w := newModelWorld(t, reader, leaving, staying)
-			w.views.set(func(v *view.View) {
-				left := listed(leaving, "model", api.RoleDecode)
-				left.Spec.Leaving = true
-				alsoLeft := listed(reader, "model", api.RolePrefill)
-				alsoLeft.Spec.Leaving = true
-				v.Replicas = map[string]*api.Replica{"read": alsoLeft, "make-1": left, "make-2": v.Replicas["make-2"]}
+			prefiller := newFakeReplica(t, "read", answerPrefill)
+			env := newModelEnv(t, prefiller, leaving, staying)
+			env.views.set(func(v *view.View) {
+				leavingDecoder := replicaObject(leaving, "model", api.RoleDecode)
+				leavingDecoder.Spec.Leaving = true
+				leavingPrefiller := replicaObject(prefiller, "model", api.RolePrefill)
+				leavingPrefiller.Spec.Leaving = true
+				v.Replicas = map[string]*api.Replica{"read": leavingPrefiller, "make-1": leavingDecoder, "make-2": v.Replicas["make-2"]}
 			})
-			w.ingress.placer = &fakePlacer{answer: each.answer}
-			must.Eq(t, events(1, 2), w.ask(modelRequest).body)
+			env.ingress.placer = &fakePlacer{answer: test.answer}
+			must.Eq(t, eventTexts(1, 2), env.do(modelRequest).body)
 			must.Eq(t, 0, leaving.count())
-			must.Eq(t, 0, reader.count())
+			must.Eq(t, 0, prefiller.count())
 			must.Eq(t, 1, staying.count())
 		})
 	}
 }
 
-func TestWithoutTheGroupAProxyPlacesByItself(t *testing.T) {
+func TestProxyPlacesRequestsWithoutTheGroup(t *testing.T) {
 	for name, placer := range map[string]Placer{
 		"no group":        nil,
 		"no answer":       &fakePlacer{err: feed.ErrNotPlaced},
 		"unknown replica": &fakePlacer{answer: placement.Answer{Generator: "gone"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			reader := newFakeReplica(t, "read", readPrompt)
-			generator := newFakeReplica(t, "make", streamEvents(2, ""))
-			w := newModelWorld(t, reader, generator, nil)
-			w.ingress.placer = placer
-			must.Eq(t, events(1, 2), w.ask(modelRequest).body)
-			must.Eq(t, 1, generator.count())
+			prefiller := newFakeReplica(t, "read", answerPrefill)
+			decoder := newFakeReplica(t, "make", streamEvents(2, ""))
+			env := newModelEnv(t, prefiller, decoder, nil)
+			env.ingress.placer = placer
+			must.Eq(t, eventTexts(1, 2), env.do(modelRequest).body)
+			must.Eq(t, 1, decoder.count())
 		})
 	}
 }
 
-// waitingPlacer tells the first waits questions to wait.
+// waitingPlacer answers the first waits placement requests with a wait.
 type waitingPlacer struct {
 	fakePlacer
 	waits int
@@ -193,29 +195,30 @@
 }
 
 func TestRequestIsPlacedAgainAfterAWait(t *testing.T) {
-	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	w := newModelWorld(t, newFakeReplica(t, "read", readPrompt), generator, nil)
+	decoder := newFakeReplica(t, "make", streamEvents(2, ""))
+	env := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), decoder, nil)
 	placer := &waitingPlacer{fakePlacer: fakePlacer{answer: placement.Answer{Generator: "make"}}, waits: 3}
-	w.ingress.placer = placer
-	must.Eq(t, events(1, 2), w.ask(modelRequest).body)
+	env.ingress.placer = placer
+	must.Eq(t, eventTexts(1, 2), env.do(modelRequest).body)
 	must.SliceLen(t, 4, placer.asks)
-	must.Eq(t, 1, generator.count())
+	must.Eq(t, 1, decoder.count())
 }
 
-// A request whose time ends during a wait was sent to nobody, and is told so.
+// A request whose deadline passes during a wait was sent to no replica, and its caller is told
+// so.
 func TestRequestWhoseTimeEndsDuringAWaitIsRefused(t *testing.T) {
-	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	w := newModelWorld(t, newFakeReplica(t, "read", readPrompt), generator, nil)
-	w.ingress.placer = &waitingPlacer{waits: math.MaxInt}
+	decoder := newFakeReplica(t, "make", streamEvents(2, ""))
+	env := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), decoder, nil)
+	env.ingress.placer = &waitingPlacer{waits: math.MaxInt}
 	request := modelRequest
 	request.fields = map[string]string{testTokens: "9000", testWithin: "100"}
-	got := w.ask(request)
+	got := env.do(request)
 	must.NoError(t, got.err)
 	must.Eq(t, http.StatusServiceUnavailable, got.status)
-	must.Eq(t, 0, generator.count())
+	must.Eq(t, 0, decoder.count())
 }
 
-// A proxy knows where the others pass placements on, and not itself.
+// A proxy knows the relay addresses of the other proxies and leaves out its own.
 func TestRelaysAreTheOtherProxies(t *testing.T) {
 	proxy := func(name, address string) *api.Proxy {
 		return &api.Proxy{Metadata: api.Metadata{Name: name}, Spec: api.ProxySpec{Address: address}}
@@ -224,7 +227,7 @@
 	config := Config{Name: "self"}
 	i := &Ingress{config: config}
 	must.SliceEmpty(t, i.relays(current))
-	i.config.RelayOf = func(address string) string {
+	i.config.RelayAddressOf = func(address string) string {
 		if address == "" {
 			return ""
 		}
@@ -239,23 +242,23 @@
 		handler http.HandlerFunc
 		step    placement.Step
 	}{
-		{"no answer", breakOff, placement.StepFailed},
-		{"a failure", answerStatus(500), placement.StepErred},
-		{"a refusal", refuseRun, placement.StepRefused},
-		{"another replica there", misdirected, placement.StepMisdirected},
-		{"another request's answer", foreign, placement.StepErred},
-		{"nobody there", nil, placement.StepGone},
+		{"no answer", closeConnection, placement.StepFailed},
+		{"failure", answerStatus(500), placement.StepErred},
+		{"refusal", refuseRun, placement.StepRefused},
+		{"another replica at the address", answerMisdirected, placement.StepMisdirected},
+		{"another request's answer", answerForeign, placement.StepErred},
+		{"connection refused", nil, placement.StepGone},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			generator := newFakeReplica(t, "make", test.handler)
-			w := newModelWorld(t, newFakeReplica(t, "read", readPrompt), generator, nil)
+			decoder := newFakeReplica(t, "make", test.handler)
+			env := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), decoder, nil)
 			if test.handler == nil {
-				generator.server.Close()
+				decoder.server.Close()
 			}
 			placer := &fakePlacer{answer: placement.Answer{Generator: "make"}}
-			w.ingress.placer = placer
-			w.ask(modelRequest)
+			env.ingress.placer = placer
+			env.do(modelRequest)
 			must.Eq(t, test.step, placer.steps()[0])
 			must.Eq(t, "make", placer.notes[0].Replica)
 		})
@@ -263,46 +266,46 @@
 }
 
 func TestKeptPartsAreReportedOldestFirst(t *testing.T) {
-	known := newReplica("r", api.ReplicaSpec{}, &holdoff.Replica{})
-	known.noteParts([]Part{{ID: "a", Tokens: 1}, {ID: "b", Tokens: 2}})
-	known.noteParts([]Part{{ID: "a", Tokens: 1}})
-	must.Eq(t, []placement.Part{{ID: "b", Tokens: 2}, {ID: "a", Tokens: 1}}, known.kept())
-	must.Eq(t, 3, known.cachedTokens([]Part{{ID: "a", Tokens: 1}, {ID: "b", Tokens: 2}, {ID: "c", Tokens: 9}}))
+	current := newReplica("r", api.ReplicaSpec{}, &holdoff.Replica{})
+	current.noteCachedParts([]Part{{ID: "a", Tokens: 1}, {ID: "b", Tokens: 2}})
+	current.noteCachedParts([]Part{{ID: "a", Tokens: 1}})
+	must.Eq(t, []placement.Part{{ID: "b", Tokens: 2}, {ID: "a", Tokens: 1}}, current.cachedParts())
+	must.Eq(t, 3, current.cachedTokens([]Part{{ID: "a", Tokens: 1}, {ID: "b", Tokens: 2}, {ID: "c", Tokens: 9}}))
 }
 
-// The board takes the start of a run for the end of its read: it is told of a read that
-// did not come about, whatever became of it, and the request stays in flight.
-func TestTheGroupIsToldOfReadsThatDidNotComeAbout(t *testing.T) {
+// The placement board assumes that a separate prefill is done when the run starts. So it is told
+// if a prefill failed or was not sent, for any reason, while the request stays in flight.
+func TestTheGroupIsToldOfFailedPrefills(t *testing.T) {
 	for name, test := range map[string]struct {
 		handler http.HandlerFunc
 		step    placement.Step
 	}{
 		"refused":     {refuseRun, placement.StepUnread},
 		"failed":      {answerStatus(500), placement.StepUnread},
-		"foreign":     {foreign, placement.StepUnread},
+		"foreign":     {answerForeign, placement.StepUnread},
 		"no handle":   {answerOK, placement.StepUnread},
-		"no answer":   {breakOff, placement.StepFailed},
-		"misdirected": {misdirected, placement.StepMisdirected},
+		"no answer":   {closeConnection, placement.StepFailed},
+		"misdirected": {answerMisdirected, placement.StepMisdirected},
 		"not sent":    {nil, placement.StepUnread},
 	} {
 		t.Run(name, func(t *testing.T) {
-			reader := newFakeReplica(t, "read", test.handler)
-			generator := newFakeReplica(t, "make", streamEvents(2, ""))
-			w := newModelWorld(t, reader, generator, nil)
+			prefiller := newFakeReplica(t, "read", test.handler)
+			decoder := newFakeReplica(t, "make", streamEvents(2, ""))
+			env := newModelEnv(t, prefiller, decoder, nil)
 			placer := &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read", Unread: 9000}}
-			w.ingress.placer = placer
+			env.ingress.placer = placer
 			if test.handler == nil {
-				w.withReserve(0)
-				w.ingress.lanes.lane("model").budget.Force(w.ingress.now())
-				w.ingress.lanes.lane("model").find("read").failureRate = 1
+				env.withReserve(0)
+				env.ingress.upstreams.get("model").budget.Force(env.ingress.now())
+				env.ingress.upstreams.get("model").find("read").failureRate = 1
 			}
 			inFlight := 0
-			generator.server.Config.Handler = after(generator.server.Config.Handler, func() {
-				var told toldGroup
-				w.ingress.reportInFlight(&told)
-				inFlight = len(told.of("model"))
+			decoder.server.Config.Handler = callFirst(decoder.server.Config.Handler, func() {
+				var group recordingGroup
+				env.ingress.reportInFlight(&group)
+				inFlight = len(group.lastReportFor("model"))
 			})
-			must.NoError(t, w.ask(modelRequest).err)
+			must.NoError(t, env.do(modelRequest).err)
 			must.Eq(t, []placement.Step{test.step, placement.StepStarted, placement.StepEnded}, placer.steps())
 			must.Eq(t, "read", placer.notes[0].Replica)
 			must.Eq(t, 1, inFlight)
@@ -310,27 +313,27 @@
 	}
 }
 
-// A replica that has another address under its name is not asked over connections to the
-// former one.
+// When a replica's address changes, connections to the former address are no longer used.
 func TestConnectionsToAFormerAddressAreDropped(t *testing.T) {
 	before, now := newFakeReplica(t, "r-1", answerOK), newFakeReplica(t, "r-1", answerOK)
-	w := newWorld(t, before)
-	must.Eq(t, http.StatusOK, w.ask(asked{method: "GET", target: "/safe/", id: "q-1"}).status)
-	lane := w.ingress.lanes.lane("plain")
-	must.True(t, lane.pool.Idle(before.address()))
-	w.list(now)
-	must.Eq(t, http.StatusOK, w.ask(asked{method: "GET", target: "/safe/", id: "q-2"}).status)
-	must.False(t, lane.pool.Idle(before.address()))
+	env := newTestEnv(t, before)
+	must.Eq(t, http.StatusOK, env.do(testRequest{method: "GET", target: "/safe/", id: "q-1"}).status)
+	upstream := env.ingress.upstreams.get("plain")
+	must.True(t, upstream.pool.Idle(before.address()))
+	env.setReplicas(now)
+	must.Eq(t, http.StatusOK, env.do(testRequest{method: "GET", target: "/safe/", id: "q-2"}).status)
+	must.False(t, upstream.pool.Idle(before.address()))
 	must.Eq(t, 1, now.count())
 }
 
-// A handle is freed at its replica by name: another one may have the address by now.
-func TestHandleIsFreedByTheNameOfItsReplica(t *testing.T) {
-	reader := newFakeReplica(t, "read", answerOK)
-	w := newWorld(t)
-	freeing := session{ingress: w.ingress, lane: w.ingress.lanes.lane("model")}
-	freeing.release(Source{Replica: "read", Address: reader.address(), Handle: "h"})
-	eventually(t, "the call", func() bool { return reader.count() == 1 })
-	must.Eq(t, "read", reader.requests[0].Header.Get(testReplica))
-	must.Eq(t, "/handle/h", reader.requests[0].URL.Path)
+// A handle is released by the name of its replica, since another replica may have taken over the
+// address.
+func TestHandleIsReleasedByReplicaName(t *testing.T) {
+	prefiller := newFakeReplica(t, "read", answerOK)
+	env := newTestEnv(t)
+	freeing := session{ingress: env.ingress, upstream: env.ingress.upstreams.get("model")}
+	freeing.release(Source{Replica: "read", Address: prefiller.address(), Handle: "h"})
+	eventually(t, "the release request arrives", func() bool { return prefiller.count() == 1 })
+	must.Eq(t, "read", prefiller.requests[0].Header.Get(testReplica))
+	must.Eq(t, "/handle/h", prefiller.requests[0].URL.Path)
 }
--- a/process/ingress/older_view_test.go
+++ b/process/ingress/older_view_test.go
@@ -8,15 +8,15 @@
 	"github.com/shoenig/test/must"
 )
 
-// overtakenViews is a holder whose next load is overtaken: what overtake does happens after
-// the view was loaded and before the loader goes on.
+// overtakenViews calls overtake once, after a view was loaded and before the caller continues
+// with it.
 type overtakenViews struct {
-	*holder
+	*viewHolder
 	overtake func()
 }
 
 func (v *overtakenViews) Load() *view.View {
-	loaded := v.holder.Load()
+	loaded := v.viewHolder.Load()
 	if overtake := v.overtake; overtake != nil {
 		v.overtake = nil
 		overtake()
@@ -24,36 +24,36 @@
 	return loaded
 }
 
-// A request that has loaded a view is overtaken by another one, which takes a newer view in.
-// The older view must not replace the newer one: neither what the list says of replicas, nor
-// what was learnt of those that it lacks, nor the routes in force.
-func TestOlderViewReplacesNoNewerOne(t *testing.T) {
+// A request that has loaded a view may be overtaken by another one that applies a newer view. The
+// older view must not replace the newer one: neither the list of replicas, nor the state of
+// replicas that it lacks, nor the routes.
+func TestOlderViewDoesNotReplaceANewerOne(t *testing.T) {
 	leaving, added := newFakeReplica(t, "r-1", answerOK), newFakeReplica(t, "r-2", answerOK)
-	w := newWorld(t, leaving)
-	views := &overtakenViews{holder: w.views}
-	w.ingress.views = views
-	w.ingress.routes()
-	w.views.set(func(*view.View) {}) // so that the next request has a view to take in
+	env := newTestEnv(t, leaving)
+	views := &overtakenViews{viewHolder: env.views}
+	env.ingress.views = views
+	env.ingress.routes()
+	env.views.set(func(*view.View) {}) // gives the next request a view to apply
 
-	var learnt *replica
+	var state *replica
 	views.overtake = func() {
-		w.views.set(func(v *view.View) {
-			first := listed(leaving, "plain", api.RoleNone)
+		env.views.set(func(v *view.View) {
+			first := replicaObject(leaving, "plain", api.RoleNone)
 			first.Spec.Leaving = true
-			v.Replicas = map[string]*api.Replica{leaving.name: first, added.name: listed(added, "plain", api.RoleNone)}
+			v.Replicas = map[string]*api.Replica{leaving.name: first, added.name: replicaObject(added, "plain", api.RoleNone)}
 			next := testIngress()
 			next.Spec.Generation++
 			next.Spec.Routes = next.Spec.Routes[1:]
 			v.Ingresses = map[string]*api.Ingress{api.IngressName: next}
 		})
-		w.ingress.routes()
-		learnt = w.ingress.lanes.lane("plain").find(added.name)
-		must.NotNil(t, learnt)
+		env.ingress.routes()
+		state = env.ingress.upstreams.get("plain").find(added.name)
+		must.NotNil(t, state)
 	}
-	w.ingress.routes()
+	env.ingress.routes()
 
-	lane := w.ingress.lanes.lane("plain")
-	must.True(t, lane.find(leaving.name).listed().Leaving)
-	must.True(t, lane.find(added.name) == learnt)
-	must.Eq(t, testIngress().Spec.Generation+1, w.ingress.table.Load().routes.generation)
+	upstream := env.ingress.upstreams.get("plain")
+	must.True(t, upstream.find(leaving.name).spec().Leaving)
+	must.True(t, upstream.find(added.name) == state)
+	must.Eq(t, testIngress().Spec.Generation+1, env.ingress.table.Load().routes.generation)
 }
--- a/process/ingress/prefill.go
+++ b/process/ingress/prefill.go
@@ -15,90 +15,90 @@
 	"github.com/pkg/errors"
 )
 
-// maxHandleBytes bounds the answer to a prefill.
+// maxHandleBytes is how many bytes of the answer to a prefill are read. The answer contains a
+// handle, an opaque string by which another replica fetches the prefilled prompt.
 const maxHandleBytes = 64 << 10
 
-// grantRead asks the shared budget for a read. The first read that a replica
-// takes up costs nothing, so it leaves freely; but once refusals have overdrawn
-// the budget, only to readers that have hardly failed lately. Later reads cost a
-// retry however they end.
-func (s *session) grantRead(reader *replica) bool {
+// allowPrefill reports whether the retry budget allows a prefill. A request's first prefill is not
+// charged to the budget unless it is refused. Refusals are charged even if nothing is left, and
+// once the budget is overdrawn, first prefills are sent only to reliable replicas. Every later
+// prefill is charged one retry in advance, whatever its result.
+func (s *session) allowPrefill(prefiller *replica) bool {
 	now := s.ingress.now()
-	granted := reader.reliable() || !s.lane.budget.Overdrawn(now)
-	if s.reads > 0 {
-		granted = s.lane.budget.Withdraw(now)
+	granted := prefiller.isReliable() || !s.upstream.budget.Overdrawn(now)
+	if s.prefillCount > 0 {
+		granted = s.upstream.budget.Withdraw(now)
 	}
 	if !granted {
 		s.trace.WriteString(" read_budget")
-		s.ingress.metrics.retriesRefused.WithLabelValues(s.lane.service).Inc()
+		s.ingress.metrics.retriesRefused.WithLabelValues(s.upstream.service).Inc()
 	}
 	return granted
 }
 
-// prefill has the reader read the prompt and returns where it is kept; empty
-// when that failed, after which the target reads it itself. A prefill is no run
-// of the request: it may fail in any way and harms nothing. The first one costs
-// a retry of the budget only if it is refused.
+// prefill sends the prompt to the prefill replica and returns where the result is kept; empty on
+// failure, in which case the target prefills it itself. A prefill is not a run of the request, so
+// any failure is harmless. The first one is charged a retry only if it is refused.
 func (s *session) prefill(ctx context.Context, chosen plan) Source {
-	if !chosen.reader.takes(s.ingress.now()) {
-		s.withhold(stageRead, chosen.reader)
-		chosen.placed.note(placement.StepUnread, chosen.reader.name, 0)
+	if !chosen.prefiller.acceptsRequests(s.ingress.now()) {
+		s.noteWithheld(stagePrefill, chosen.prefiller)
+		chosen.tracked.report(placement.StepUnread, chosen.prefiller.name, 0)
 		return Source{}
 	}
-	if !s.grantRead(chosen.reader) {
-		chosen.placed.note(placement.StepUnread, chosen.reader.name, 0)
+	if !s.allowPrefill(chosen.prefiller) {
+		chosen.tracked.report(placement.StepUnread, chosen.prefiller.name, 0)
 		return Source{}
 	}
-	s.reads++
-	source, refused := s.read(ctx, chosen)
-	if refused && s.reads == 1 {
-		s.lane.budget.Force(s.ingress.now())
+	s.prefillCount++
+	source, refused := s.sendPrefill(ctx, chosen)
+	if refused && s.prefillCount == 1 {
+		s.upstream.budget.Force(s.ingress.now())
 	}
 	return source
 }
 
-// notSent reports whether a send that failed never reached its replica.
+// notSent reports whether a failed send never reached its replica.
 func notSent(err error) bool {
 	var failure *exchange.Failure
 	return errors.As(err, &failure) && !failure.Sent
 }
 
-// read sends the prompt to its reader; refused says that the reader did not take it
-// up, or that nobody knows: the run that follows may then count as a second send. A
-// reader that answered with a failure of its own has taken it up.
-func (s *session) read(ctx context.Context, chosen plan) (source Source, refused bool) {
-	reader, uncached := chosen.reader, chosen.uncached
-	began := s.ingress.now()
-	sent := reader.begin(began, uncached)
-	defer reader.end(sent)
+// sendPrefill sends the prompt to the prefill replica. refused is true if the replica did not
+// accept it, or if it was sent and that is unknown: the run that follows may then count as a
+// second send of the request. A replica that answered with an error of its own has accepted it.
+func (s *session) sendPrefill(ctx context.Context, chosen plan) (source Source, refused bool) {
+	prefiller, uncachedTokens := chosen.prefiller, chosen.uncachedTokens
+	startedAt := s.ingress.now()
+	sent := prefiller.beginSend(startedAt, uncachedTokens)
+	defer prefiller.endSend(sent)
 	request := s.request(chosen, Source{})
 	s.ingress.config.Dialect.Attempt(request.Header, Attempt{
-		Replica:  reader.name,
-		Within:   s.replicaTime(),
-		Priority: chosen.readPriority(s.priority),
-		Prefill:  true,
-		Fetch:    chosen.fetchAddress(),
+		Replica:      prefiller.name,
+		Timeout:      s.replicaTimeout(),
+		Priority:     chosen.prefillPriority(s.priority),
+		Prefill:      true,
+		FetchAddress: chosen.fetchAddress(),
 	})
-	reading, cancel := context.WithTimeoutCause(ctx, s.readPatience(chosen), errSilent)
+	prefillContext, cancel := context.WithTimeoutCause(ctx, s.prefillTimeout(chosen), errSilent)
 	defer cancel()
-	reading, cancelLate := context.WithTimeoutCause(reading, s.left()-s.ingress.config.Timeouts.Transit-leastRun, errTooLate)
+	prefillContext, cancelLate := context.WithTimeoutCause(prefillContext, s.remaining()-s.ingress.config.Timeouts.Transit-minRunTime, errTooLate)
 	defer cancelLate()
-	s.logSent(stageRead, reader, uncached, chosen)
-	answer, err := s.exchange(reading, stageRead, reader, request)
+	s.logSent(stagePrefill, prefiller, uncachedTokens, chosen)
+	answer, err := s.exchange(prefillContext, stagePrefill, prefiller, request)
 	if err != nil {
-		s.noteBroken(reading, stageRead, reader, sent, err)
-		fmt.Fprintf(&s.trace, " prefill(%s: %v)", reader.name, err)
-		if ctx.Err() != nil || context.Cause(reading) == errTooLate {
-			return Source{}, false // nothing follows it
+		s.noteBrokenConnection(prefillContext, stagePrefill, prefiller, sent, err)
+		fmt.Fprintf(&s.trace, " prefill(%s: %v)", prefiller.name, err)
+		if ctx.Err() != nil || context.Cause(prefillContext) == errTooLate {
+			return Source{}, false // no run follows
 		}
-		return Source{}, s.readUnanswered(chosen, err)
+		return Source{}, s.handlePrefillError(chosen, err)
 	}
 	defer answer.Close()
-	handle, refused := s.takeHandle(chosen, answer, began)
+	handle, refused := s.readHandle(chosen, answer, startedAt)
 	if handle == "" {
 		return Source{}, refused
 	}
-	source = Source{Replica: reader.name, Address: reader.listed().Address, Handle: handle}
+	source = Source{Replica: prefiller.name, Address: prefiller.spec().Address, Handle: handle}
 	if ctx.Err() != nil {
 		s.release(source)
 		return Source{}, false
@@ -106,125 +106,128 @@
 	return source, false
 }
 
-// readUnanswered notes a read that brought no answer, and reports whether the reader may
-// not have taken it up.
-func (s *session) readUnanswered(chosen plan, err error) (refused bool) {
+// handlePrefillError records a prefill that received no answer. refused is true if the prefill was
+// sent, so that it is unknown whether the replica accepted it.
+func (s *session) handlePrefillError(chosen plan, err error) (refused bool) {
 	if errors.Is(err, errWithheld) {
-		s.withhold(stageRead, chosen.reader)
-		chosen.placed.note(placement.StepUnread, chosen.reader.name, 0)
+		s.noteWithheld(stagePrefill, chosen.prefiller)
+		chosen.tracked.report(placement.StepUnread, chosen.prefiller.name, 0)
 		return false
 	}
-	s.blame(chosen.reader, err, s.ingress.now())
+	s.noteUnanswered(chosen.prefiller, err, s.ingress.now())
 	if isForeign(err) {
-		chosen.placed.note(placement.StepUnread, chosen.reader.name, 0)
+		chosen.tracked.report(placement.StepUnread, chosen.prefiller.name, 0)
 		return true
 	}
 	step := placement.StepFailed
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		step = placement.StepGone
 	}
-	chosen.placed.note(step, chosen.reader.name, 0)
+	chosen.tracked.report(step, chosen.prefiller.name, 0)
 	return !notSent(err)
 }
 
-// takeHandle returns the handle that the answer to a read names; empty where it names
-// none, with whether the reader did not take the read up.
-func (s *session) takeHandle(chosen plan, answer *exchange.Answer, began time.Duration) (handle string, refused bool) {
-	reader, now := chosen.reader, s.ingress.now()
+// readHandle returns the handle in the answer to a prefill. If there is no valid handle, it is
+// empty, and refused is true unless the replica is known to have accepted the prefill.
+func (s *session) readHandle(chosen plan, answer *exchange.Answer, startedAt time.Duration) (handle string, refused bool) {
+	prefiller, now := chosen.prefiller, s.ingress.now()
 	reply := s.ingress.config.Dialect.Reply(answer.Status, answer.Header)
-	reader.hear(reply.ownLoad(), now)
-	s.noteAnswer(reader, began, answer, &reply)
+	prefiller.noteAnswer(reply.ownLoad(), now)
+	s.noteAlive(prefiller, startedAt, answer, &reply)
 	body, err := io.ReadAll(io.LimitReader(answer, maxHandleBytes))
-	if err != nil || answer.Status != http.StatusOK || !reply.Named {
-		fmt.Fprintf(&s.trace, " prefill(%s: status %d)", reader.name, answer.Status)
-		reader.fail()
+	if err != nil || answer.Status != http.StatusOK || !reply.HasRequestID {
+		fmt.Fprintf(&s.trace, " prefill(%s: status %d)", prefiller.name, answer.Status)
+		prefiller.noteFailure()
 		step := placement.StepUnread
 		if reply.Misdirected {
-			reader.suspect(now)
+			prefiller.suspect(now)
 			step = placement.StepMisdirected
 		}
-		if reply.Asks.RetryAfter > 0 {
-			step = placement.StepRefused // the group keeps others' reads off it, too
+		if reply.Holdoff.RetryAfter > 0 {
+			step = placement.StepRefused // so that other requests' prefills are not sent to it either
 		}
-		chosen.placed.note(step, reader.name, 0)
-		return "", !reply.Named || reply.refuses()
+		chosen.tracked.report(step, prefiller.name, 0)
+		return "", !reply.HasRequestID || reply.refuses()
 	}
 	handle, err = s.ingress.config.Dialect.Handle(body)
-	if err == nil && !isPlain(handle) {
+	if err == nil && !isVisibleASCII(handle) {
 		err = errHandle
 	}
 	if err != nil {
-		fmt.Fprintf(&s.trace, " prefill(%s: %v)", reader.name, err)
-		chosen.placed.note(placement.StepUnread, reader.name, 0)
+		fmt.Fprintf(&s.trace, " prefill(%s: %v)", prefiller.name, err)
+		chosen.tracked.report(placement.StepUnread, prefiller.name, 0)
 		return "", true
 	}
-	s.noteRead(chosen, now-began)
+	s.notePrefilled(chosen, now-startedAt)
 	return handle, false
 }
 
-// errHandle says that a replica named something as a handle that cannot be one.
-var errHandle = errors.New("ingress: handle with other than visible characters")
+// errHandle is returned for a handle that contains invalid characters.
+var errHandle = errors.New("ingress: prefill handle contains a character other than visible ASCII")
 
-// isPlain reports whether a replica's word can stand in the head of a request: with a line
-// end in it, it would add to the request what no caller sent.
-func isPlain(word string) bool {
-	return strings.IndexFunc(word, func(r rune) bool { return r <= ' ' || r > '~' }) < 0
+// isVisibleASCII reports whether a value from a replica can be placed in a request head. A line
+// break in the value would add fields, or a request, that no caller sent.
+func isVisibleASCII(value string) bool {
+	return strings.IndexFunc(value, func(r rune) bool { return r <= ' ' || r > '~' }) < 0
 }
 
-// noteRead learns from a read that its reader has done.
-func (s *session) noteRead(chosen plan, took time.Duration) {
-	reader, uncached := chosen.reader, chosen.uncached
-	reader.succeed()
-	reader.noteParts(s.call.Work.Parts)
-	chosen.placed.note(placement.StepRead, "", reader.told())
-	s.lane.speed.learn(uncached, took)
-	s.ingress.metrics.prefillSeconds.WithLabelValues(s.lane.service).Observe(took.Seconds())
-	fmt.Fprintf(&s.trace, " prefill(%s: %d tokens in %s)", reader.name, uncached, took.Round(time.Millisecond))
+// notePrefilled updates the estimates after a successful prefill.
+func (s *session) notePrefilled(chosen plan, took time.Duration) {
+	prefiller, uncachedTokens := chosen.prefiller, chosen.uncachedTokens
+	prefiller.noteSuccess()
+	prefiller.noteCachedParts(s.call.Work.Parts)
+	chosen.tracked.report(placement.StepRead, "", prefiller.reportedRequests())
+	s.upstream.speed.observe(uncachedTokens, took)
+	s.ingress.metrics.prefillSeconds.WithLabelValues(s.upstream.service).Observe(took.Seconds())
+	fmt.Fprintf(&s.trace, " prefill(%s: %d tokens in %s)", prefiller.name, uncachedTokens, took.Round(time.Millisecond))
 }
 
+// countPrefill counts a prefill in the metrics; source is empty if it failed.
 func (s *session) countPrefill(source Source) {
-	outcome := prefillRead
+	outcome := prefillSucceeded
 	if source.Handle == "" {
 		outcome = prefillFailed
 	}
-	s.ingress.metrics.prefills.WithLabelValues(s.lane.service, outcome).Inc()
+	s.ingress.metrics.prefills.WithLabelValues(s.upstream.service, outcome).Inc()
 }
 
-// Patience with a replica that reads a prompt: a read harms nothing when it is
-// given up, and the request is then read where it runs.
+// Timeout of a prefill. Abandoning one is harmless: the prompt is then prefilled where the
+// request runs.
 const (
-	readPatienceFactor = 4
-	minimumReadTime    = 1500 * time.Millisecond
+	prefillTimeoutFactor = 4
+	minPrefillTimeout    = 1500 * time.Millisecond
 )
 
-func (s *session) readPatience(chosen plan) time.Duration {
-	return max(time.Duration(readPatienceFactor*float64(chosen.estimate)), minimumReadTime)
+// prefillTimeout returns how long to wait for the answer to a prefill.
+func (s *session) prefillTimeout(chosen plan) time.Duration {
+	return max(time.Duration(prefillTimeoutFactor*float64(chosen.estimate)), minPrefillTimeout)
 }
 
-// releaseTimeout bounds the freeing of a handle.
+// releaseTimeout limits the release of a handle.
 const releaseTimeout = time.Second
 
-// release frees a handle that nobody will take. The call has no ID, so that it takes a
-// connection of its own. A replica that pauses or leaves is not called: the handle lapses.
+// release frees a handle that will not be used. The request has no ID by which its answer could be
+// recognized, so the pool sends it on a new connection. A replica that pauses or is leaving is not
+// contacted; the handle expires.
 func (s *session) release(source Source) {
-	asks := s.ingress.lanes.asks.Find(source.Replica)
-	if asks.State(s.ingress.now()) != holdoff.Open {
+	pauseState := s.ingress.upstreams.holdoffs.Find(source.Replica)
+	if pauseState.State(s.ingress.now()) != holdoff.Open {
 		return
 	}
 	header := http.Header{}
 	method, target := s.ingress.config.Dialect.Release(header, source.Replica, source.Handle)
-	lane := s.lane
+	upstream := s.upstream
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 		defer cancel()
-		answer, err := lane.pool.Do(ctx, source.Address, &exchange.Request{
+		answer, err := upstream.pool.Do(ctx, source.Address, &exchange.Request{
 			Method: method, Target: target, Host: source.Address, Header: header,
-			Permit: s.ingress.permit(asks),
+			Permit: s.ingress.permit(pauseState),
 		})
 		if err != nil {
-			return // it lapses by itself
+			return // the handle expires by itself
 		}
-		s.hearAsks(stageFree, asks, answer.Status, answer.Header)
+		s.recordHoldoff(stageRelease, pauseState, answer.Status, answer.Header)
 		_, _ = io.Copy(io.Discard, io.LimitReader(answer, maxHandleBytes))
 		answer.Close()
 	}()
--- a/process/ingress/quarantine_test.go
+++ b/process/ingress/quarantine_test.go
@@ -17,27 +17,27 @@
 	"github.com/shoenig/test/must"
 )
 
-// endsGroup keeps what it is told of replicas that ended.
-type endsGroup struct {
+// recordingReporter records reports of replica crashes.
+type recordingReporter struct {
 	connected atomic.Bool
 	lock      sync.Mutex
-	told      []feed.EndReport
+	reports   []feed.EndReport
 }
 
-func (g *endsGroup) Connected() bool { return g.connected.Load() }
+func (r *recordingReporter) Connected() bool { return r.connected.Load() }
 
-func (g *endsGroup) ReportEnds(report feed.EndReport) bool {
-	g.lock.Lock()
-	defer g.lock.Unlock()
-	g.told = append(g.told, report)
+func (r *recordingReporter) ReportEnds(report feed.EndReport) bool {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	r.reports = append(r.reports, report)
 	return true
 }
 
-// sum returns how much was told of each sort.
-func (g *endsGroup) sum() (ended, alive, served int) {
-	g.lock.Lock()
-	defer g.lock.Unlock()
-	for _, report := range g.told {
+// counts returns the number of reported items of each kind.
+func (r *recordingReporter) counts() (ended, alive, served int) {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	for _, report := range r.reports {
 		ended += len(report.Ended)
 		alive += len(report.Alive)
 		served += len(report.Served)
@@ -45,33 +45,33 @@
 	return ended, alive, served
 }
 
-// fatalWhere ends the connection under a fatal body and answers any other.
-func fatalWhere(fatal string) http.HandlerFunc {
+// crashOn closes the connection for requests of one kind and answers all others.
+func crashOn(kind string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if r.Header.Get("Test-Sort") == fatal {
+		if r.Header.Get("Test-Sort") == kind {
 			panic(http.ErrAbortHandler)
 		}
 		answerOK(w, r)
 	}
 }
 
-// fatalAsk is a request under which each replica of these tests ends.
-func fatalAsk(id string) asked {
-	return asked{method: "GET", target: "/safe/x?q=1", id: id, fields: map[string]string{"Test-Sort": "fatal"}}
+// crashRequest is a request that crashes every replica of these tests.
+func crashRequest(id string) testRequest {
+	return testRequest{method: "GET", target: "/safe/x?q=1", id: id, fields: map[string]string{"Test-Sort": "fatal"}}
 }
 
-func newQuarantineWorld(t *testing.T, replicas int) (*world, *endsGroup, []*fakeReplica) {
+func newQuarantineEnv(t *testing.T, replicas int) (*testEnv, *recordingReporter, []*fakeReplica) {
 	var all []*fakeReplica
 	for i := range replicas {
-		all = append(all, newFakeReplica(t, fmt.Sprint("r-", i), fatalWhere("fatal")))
+		all = append(all, newFakeReplica(t, fmt.Sprint("r-", i), crashOn("fatal")))
 	}
-	w := newWorld(t, all...)
-	group := &endsGroup{}
-	w.ingress.guard.SetReporter(group)
-	return w, group, all
+	env := newTestEnv(t, all...)
+	reporter := &recordingReporter{}
+	env.ingress.guard.SetReporter(reporter)
+	return env, reporter, all
 }
 
-func arrivals(replicas []*fakeReplica) int {
+func totalRequests(replicas []*fakeReplica) int {
 	count := 0
 	for _, replica := range replicas {
 		count += replica.count()
@@ -79,9 +79,9 @@
 	return count
 }
 
-// holdAs puts the fatal request on record.
-func (w *world) holdAs(state api.QuarantineState, until time.Duration, replicas ...string) {
-	w.views.set(func(v *view.View) {
+// setQuarantine puts the crash request on record; the state ends when until has passed from now.
+func (env *testEnv) setQuarantine(state api.QuarantineState, until time.Duration, replicas ...string) {
+	env.views.set(func(v *view.View) {
 		name := quarantine.Of(quarantine.Identity{Method: "GET", Host: "a.example", Path: "/safe/x", Query: "q=1"}).String()
 		v.Quarantines = map[string]*api.Quarantine{name: {
 			Metadata: api.Metadata{Name: name, Revision: v.Version.Revision},
@@ -90,289 +90,286 @@
 	})
 }
 
-// What is on record goes to no replica, is answered at once, and told when to come back;
-// other requests on the route are served.
-func TestHeldRequestGoesToNoReplica(t *testing.T) {
-	w, _, replicas := newQuarantineWorld(t, 3)
-	w.holdAs(api.QuarantineHeld, time.Hour, "x", "y", "z")
+// A quarantined request is sent to no replica and is answered at once with a retry delay. Other
+// requests on the route are served.
+func TestQuarantinedRequestIsSentToNoReplica(t *testing.T) {
+	env, _, replicas := newQuarantineEnv(t, 3)
+	env.setQuarantine(api.QuarantineHeld, time.Hour, "x", "y", "z")
 	began := time.Now()
-	got := w.ask(fatalAsk("one"))
+	got := env.do(crashRequest("one"))
 	must.Less(t, time.Second, time.Since(began))
 	must.Eq(t, http.StatusServiceUnavailable, got.status)
 	must.Eq(t, "quarantined\n", got.body)
 	again, err := time.ParseDuration(got.header.Get(testAgain))
 	must.NoError(t, err)
 	must.Between(t, 59*time.Minute, again, time.Hour)
-	must.Eq(t, 0, arrivals(replicas))
-	must.Eq(t, 200, w.ask(asked{method: "GET", target: "/safe/x?q=2", id: "two"}).status)
+	must.Eq(t, 0, totalRequests(replicas))
+	must.Eq(t, 200, env.do(testRequest{method: "GET", target: "/safe/x?q=2", id: "two"}).status)
 
-	w.views.set(func(v *view.View) { v.Quarantines = nil })
-	must.Eq(t, 502, w.ask(fatalAsk("three")).status)
-	must.Eq(t, 3, arrivals(replicas), must.Sprint("a released request is sent again"))
+	env.views.set(func(v *view.View) { v.Quarantines = nil })
+	must.Eq(t, 502, env.do(crashRequest("three")).status)
+	must.Eq(t, 3, totalRequests(replicas), must.Sprint("a released request is sent again"))
 }
 
-// A proxy that no leader serves goes by what it has seen itself.
-func TestProxyThatIsCutOffHoldsByWhatItSaw(t *testing.T) {
-	w, group, replicas := newQuarantineWorld(t, 8)
+// A proxy without a leader uses its own observations.
+func TestCutOffProxyUsesItsOwnObservations(t *testing.T) {
+	env, reporter, replicas := newQuarantineEnv(t, 8)
 	for i := range 2 {
-		w.ask(fatalAsk(fmt.Sprint("q-", i)))
+		env.do(crashRequest(fmt.Sprint("q-", i)))
 	}
-	must.Eq(t, 4, arrivals(replicas))
+	must.Eq(t, 4, totalRequests(replicas))
 	for i := range 10 {
-		must.Eq(t, http.StatusServiceUnavailable, w.ask(fatalAsk(fmt.Sprint("later-", i))).status)
+		must.Eq(t, http.StatusServiceUnavailable, env.do(crashRequest(fmt.Sprint("later-", i))).status)
 	}
-	must.Eq(t, 4, arrivals(replicas))
-	ended, _, _ := group.sum()
+	must.Eq(t, 4, totalRequests(replicas))
+	ended, _, _ := reporter.counts()
 	must.Eq(t, 4, ended)
 
-	// Once a leader serves it, what all proxies saw decides.
-	group.connected.Store(true)
-	must.Eq(t, 502, w.ask(fatalAsk("decided")).status)
-	must.Greater(t, 4, arrivals(replicas))
+	// With a leader, the observations of all proxies decide.
+	reporter.connected.Store(true)
+	must.Eq(t, 502, env.do(crashRequest("decided")).status)
+	must.Greater(t, 4, totalRequests(replicas))
 }
 
-// What the group had on record before the cut counts with what is seen after it.
-func TestRecordCountsWithWhatIsSeen(t *testing.T) {
-	w, _, replicas := newQuarantineWorld(t, 3)
-	w.holdAs(api.QuarantineWatched, time.Hour, "gone-1", "gone-2")
-	w.ask(fatalAsk("one"))
-	sent := arrivals(replicas)
+// The record from before the loss of the leader is combined with later observations.
+func TestRecordIsCombinedWithOwnObservations(t *testing.T) {
+	env, _, replicas := newQuarantineEnv(t, 3)
+	env.setQuarantine(api.QuarantineWatched, time.Hour, "gone-1", "gone-2")
+	env.do(crashRequest("one"))
+	sent := totalRequests(replicas)
 	must.Eq(t, 2, sent)
-	must.Eq(t, http.StatusServiceUnavailable, w.ask(fatalAsk("two")).status)
-	must.Eq(t, sent, arrivals(replicas))
+	must.Eq(t, http.StatusServiceUnavailable, env.do(crashRequest("two")).status)
+	must.Eq(t, sent, totalRequests(replicas))
 }
 
-// What ends three replicas by itself goes to no fourth, whatever its route allows and before
-// the group has a word on it.
-func TestOneRequestEndsThreeReplicasAtMost(t *testing.T) {
-	w, group, replicas := newQuarantineWorld(t, 8)
-	group.connected.Store(true)
-	w.views.set(func(v *view.View) {
-		made := testIngress()
-		made.Spec.Generation++
-		made.Spec.Routes[0].Attempts = 8
-		v.Ingresses = map[string]*api.Ingress{api.IngressName: made}
+// A request that crashes three replicas by itself is sent to no fourth one, whatever number of
+// attempts its route allows and before the control group has decided.
+func TestOneRequestCrashesThreeReplicasAtMost(t *testing.T) {
+	env, reporter, replicas := newQuarantineEnv(t, 8)
+	reporter.connected.Store(true)
+	env.views.set(func(v *view.View) {
+		updated := testIngress()
+		updated.Spec.Generation++
+		updated.Spec.Routes[0].Attempts = 8
+		v.Ingresses = map[string]*api.Ingress{api.IngressName: updated}
 	})
-	must.Eq(t, http.StatusBadGateway, w.ask(fatalAsk("one")).status)
-	must.Eq(t, 3, arrivals(replicas))
+	must.Eq(t, http.StatusBadGateway, env.do(crashRequest("one")).status)
+	must.Eq(t, 3, totalRequests(replicas))
 }
 
-// Seen: a request that ends each replica was sent on three times by one proxy, 0.7 s long, after
-// the third replica had ended under it.
-// How: two ends were on record, and one arrival met the third itself. It had ended one replica
-// only, so that it went on to two more, while the word took its way over the leader and back.
-// Cause: an arrival counted its own ends alone, and its proxy knew of the others.
-// Proof: the log lines of that one arrival at one proxy (soak, seed 9112 beside three busy loops).
-func TestThirdEndOnRecordStopsTheArrivalThatMetIt(t *testing.T) {
-	w, group, replicas := newQuarantineWorld(t, 8)
-	group.connected.Store(true)
-	w.views.set(func(v *view.View) {
-		made := testIngress()
-		made.Spec.Generation++
-		made.Spec.Routes[0].Attempts = 8
-		v.Ingresses = map[string]*api.Ingress{api.IngressName: made}
+// Guards against sending a request on after it has caused the third crash on record. When only the
+// crashes of a copy itself counted, although its proxy knew of two others on record, the copy that
+// caused the third went on to two more replicas within 0.7 s, while the report was on its way to
+// the leader and back.
+func TestThirdRecordedCrashStopsTheRequestThatCausedIt(t *testing.T) {
+	env, reporter, replicas := newQuarantineEnv(t, 8)
+	reporter.connected.Store(true)
+	env.views.set(func(v *view.View) {
+		updated := testIngress()
+		updated.Spec.Generation++
+		updated.Spec.Routes[0].Attempts = 8
+		v.Ingresses = map[string]*api.Ingress{api.IngressName: updated}
 	})
-	w.holdAs(api.QuarantineWatched, time.Hour, "gone-1", "gone-2")
-	must.Eq(t, http.StatusBadGateway, w.ask(fatalAsk("one")).status)
-	must.Eq(t, 1, arrivals(replicas))
+	env.setQuarantine(api.QuarantineWatched, time.Hour, "gone-1", "gone-2")
+	must.Eq(t, http.StatusBadGateway, env.do(crashRequest("one")).status)
+	must.Eq(t, 1, totalRequests(replicas))
 }
 
-// A replica that answers later on a connection which was open before has not ended. On a
-// new one it may be the next process under its name, of which the end says nothing: to take
-// its word let a request go that had ended eight replicas.
-func TestAnswerRefutesAnEnd(t *testing.T) {
-	for _, kept := range []bool{true, false} {
-		w, group, replicas := newQuarantineWorld(t, 1)
-		if kept {
-			w.askTogether(replicas[0]) // the fatal one breaks one connection, the other one lasts
+// A replica that answers later on a connection which was open before its suspected crash has not
+// crashed. On a new connection the answer may come from the next process under its name and proves
+// nothing. When it was accepted as proof, a request that had crashed eight replicas was released.
+func TestAnswerRefutesACrash(t *testing.T) {
+	for _, keptOpen := range []bool{true, false} {
+		env, reporter, replicas := newQuarantineEnv(t, 1)
+		if keptOpen {
+			env.doConcurrently(replicas[0]) // the crash request breaks one of two connections
 		}
-		w.ask(fatalAsk("one"))
-		must.Eq(t, 200, w.ask(asked{method: "GET", target: "/safe/y", id: "two"}).status)
-		ended, alive, _ := group.sum()
+		env.do(crashRequest("one"))
+		must.Eq(t, 200, env.do(testRequest{method: "GET", target: "/safe/y", id: "two"}).status)
+		ended, alive, _ := reporter.counts()
 		must.Eq(t, 1, ended)
 		want := 0
-		if kept {
+		if keptOpen {
 			want = 1
 		}
-		must.Eq(t, want, alive, must.Sprint(kept))
+		must.Eq(t, want, alive, must.Sprint(keptOpen))
 	}
 }
 
-// askTogether has two requests in flight at a replica at the same time, on a connection each.
-func (w *world) askTogether(replica *fakeReplica) {
-	var both, asking sync.WaitGroup
-	both.Add(2)
-	usual := replica.server.Config.Handler
+// doConcurrently has two requests in flight at a replica at the same time, each on its own
+// connection.
+func (env *testEnv) doConcurrently(replica *fakeReplica) {
+	var arrivals, requests sync.WaitGroup
+	arrivals.Add(2)
+	original := replica.server.Config.Handler
 	replica.server.Config.Handler = http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
-		both.Done()
-		both.Wait()
-		usual.ServeHTTP(rw, r)
+		arrivals.Done()
+		arrivals.Wait()
+		original.ServeHTTP(rw, r)
 	})
 	for _, id := range []string{"before-1", "before-2"} {
-		asking.Go(func() { w.ask(asked{method: "GET", target: "/safe/y", id: id}) })
+		requests.Go(func() { env.do(testRequest{method: "GET", target: "/safe/y", id: id}) })
 	}
-	asking.Wait()
-	replica.server.Config.Handler = usual
+	requests.Wait()
+	replica.server.Config.Handler = original
 }
 
-// The next process under a name answers for itself: the ends on record stand, also for a
-// proxy that has just started and knows the name from the record alone.
-func TestReplicaBornAgainRefutesNothing(t *testing.T) {
-	w, group, _ := newQuarantineWorld(t, 3)
-	w.views.set(func(v *view.View) {
+// The next process under a replica's name refutes no crash on record, not even for a proxy that
+// has just started and knows the name only from the record.
+func TestRestartedReplicaRefutesNoCrash(t *testing.T) {
+	env, reporter, _ := newQuarantineEnv(t, 3)
+	env.views.set(func(v *view.View) {
 		for i := range 3 {
 			v.Replicas[fmt.Sprint("r-", i)].Spec.Born = 1000
 		}
 	})
-	w.holdAs(api.QuarantineHeld, time.Hour, "r-0", "r-1", "r-2", "r-0@1000", "r-1@1000", "r-2@1000")
+	env.setQuarantine(api.QuarantineHeld, time.Hour, "r-0", "r-1", "r-2", "r-0@1000", "r-1@1000", "r-2@1000")
 	for i := range 12 {
-		must.Eq(t, 200, w.ask(asked{method: "GET", target: "/safe/y", id: fmt.Sprint("q-", i)}).status)
+		must.Eq(t, 200, env.do(testRequest{method: "GET", target: "/safe/y", id: fmt.Sprint("q-", i)}).status)
 	}
-	_, alive, _ := group.sum()
+	_, alive, _ := reporter.counts()
 	must.Eq(t, 0, alive)
-	must.Eq(t, http.StatusServiceUnavailable, w.ask(fatalAsk("again")).status)
+	must.Eq(t, http.StatusServiceUnavailable, env.do(crashRequest("again")).status)
 }
 
-// Each process that ends counts, also two under one name.
-func TestEndsOfTwoProcessesUnderOneName(t *testing.T) {
-	w, group, replicas := newQuarantineWorld(t, 1)
+// The crash of each process counts, including several under one name.
+func TestCrashesOfSeveralProcessesUnderOneName(t *testing.T) {
+	env, reporter, replicas := newQuarantineEnv(t, 1)
 	for born := range 4 {
-		w.views.set(func(v *view.View) {
-			entry := listed(replicas[0], "plain", api.RoleNone)
+		env.views.set(func(v *view.View) {
+			entry := replicaObject(replicas[0], "plain", api.RoleNone)
 			entry.Spec.Born = int64(1000 + born)
 			v.Replicas = map[string]*api.Replica{"r-0": entry}
 		})
-		w.ask(fatalAsk(fmt.Sprint("q-", born)))
+		env.do(crashRequest(fmt.Sprint("q-", born)))
 	}
 	names := map[string]bool{}
-	for _, report := range group.told {
-		for _, seen := range report.Ended {
-			names[seen.Replica] = true
+	for _, report := range reporter.reports {
+		for _, evidence := range report.Ended {
+			names[evidence.Replica] = true
 		}
 	}
 	must.Eq(t, map[string]bool{"r-0@1000": true, "r-0@1001": true, "r-0@1002": true, "r-0@1003": true}, names)
 }
 
-// One end makes nobody look: requests are looked at from the second end on.
-func TestOneEndCostsNothing(t *testing.T) {
-	w, _, _ := newQuarantineWorld(t, 1)
-	w.ask(fatalAsk("one"))
-	must.False(t, w.ingress.guard.Active())
+// A single crash does not activate the guard: requests are checked from the second crash on.
+func TestSingleCrashDoesNotActivateTheGuard(t *testing.T) {
+	env, _, _ := newQuarantineEnv(t, 1)
+	env.do(crashRequest("one"))
+	must.False(t, env.ingress.guard.Active())
 }
 
-// A request that is watched and served whole is cleared at the group.
-func TestServedRequestIsToldOf(t *testing.T) {
-	w, group, _ := newQuarantineWorld(t, 2)
-	w.holdAs(api.QuarantineWatched, time.Hour, "gone-1", "gone-2")
-	well := fatalAsk("one")
-	well.fields = nil
-	must.Eq(t, 200, w.ask(well).status)
-	_, _, served := group.sum()
+// The control group is told when a watched request is served completely.
+func TestServedRequestIsReported(t *testing.T) {
+	env, reporter, _ := newQuarantineEnv(t, 2)
+	env.setQuarantine(api.QuarantineWatched, time.Hour, "gone-1", "gone-2")
+	harmless := crashRequest("one")
+	harmless.fields = nil
+	must.Eq(t, 200, env.do(harmless).status)
+	_, _, served := reporter.counts()
 	must.Eq(t, 1, served)
 }
 
-// A leader that begins is told all that this proxy has seen.
-func TestNewLeaderIsToldOfEnds(t *testing.T) {
-	w, group, _ := newQuarantineWorld(t, 2)
-	w.ask(fatalAsk("one"))
-	w.ingress.guard.ReportAll(w.ingress.now())
-	ended, _, _ := group.sum()
+// A new leader is told everything that this proxy has observed.
+func TestNewLeaderIsToldOfCrashes(t *testing.T) {
+	env, reporter, _ := newQuarantineEnv(t, 2)
+	env.do(crashRequest("one"))
+	env.ingress.guard.ReportAll(env.ingress.now())
+	ended, _, _ := reporter.counts()
 	must.Eq(t, 4, ended)
 }
 
-// While nothing is known, a request costs the reading of one flag.
-func TestCalmRequestsAreNotHashed(t *testing.T) {
-	w, _, _ := newQuarantineWorld(t, 1)
-	s := &session{ingress: w.ingress, call: Call{Body: make([]byte, 1<<20)}}
-	must.Zero(t, testing.AllocsPerRun(100, func() { s.held() }))
-	must.Nil(t, s.named)
+// While no request is suspected, checking a request neither computes its fingerprint nor allocates
+// memory.
+func TestRequestsAreNotHashedWithoutSuspicion(t *testing.T) {
+	env, _, _ := newQuarantineEnv(t, 1)
+	s := &session{ingress: env.ingress, call: Call{Body: make([]byte, 1<<20)}}
+	must.Zero(t, testing.AllocsPerRun(100, func() { s.quarantineHold() }))
+	must.Nil(t, s.cachedFingerprint)
 }
 
-// What stood alone where a connection broke has ended the replica only if nobody listens
-// there any more: a faulty one resets connections and goes on.
-func TestEndsAloneAreLookedAt(t *testing.T) {
-	for _, ends := range []bool{true, false} {
-		var generator *fakeReplica
-		generator = newFakeReplica(t, "make", func(_ http.ResponseWriter, _ *http.Request) {
-			if ends {
-				_ = generator.server.Listener.Close()
+// If an isolated request's connection breaks, the replica has crashed only if nothing listens at
+// its address any more: a faulty replica resets connections and continues.
+func TestAddressIsProbedAfterAnIsolatedCrash(t *testing.T) {
+	for _, crashes := range []bool{true, false} {
+		var decoder *fakeReplica
+		decoder = newFakeReplica(t, "make", func(_ http.ResponseWriter, _ *http.Request) {
+			if crashes {
+				_ = decoder.server.Listener.Close()
 			}
 			panic(http.ErrAbortHandler)
 		})
-		w := newModelWorld(t, newFakeReplica(t, "read", readPrompt), generator, nil)
-		group := &endsGroup{}
-		w.ingress.guard.SetReporter(group)
-		w.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Alone: true}}
-		w.ask(modelRequest)
-		must.SliceNotEmpty(t, group.told)
-		must.Eq(t, ends, group.told[0].Ended[0].Alone)
+		env := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), decoder, nil)
+		reporter := &recordingReporter{}
+		env.ingress.guard.SetReporter(reporter)
+		env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Alone: true}}
+		env.do(modelRequest)
+		must.SliceNotEmpty(t, reporter.reports)
+		must.Eq(t, crashes, reporter.reports[0].Ended[0].Alone)
 	}
 }
 
-// A proxy tells whether somebody listens where a connection broke under a request.
-func TestReplicasThatGoOnListeningAreTold(t *testing.T) {
-	for _, ends := range []bool{true, false} {
+// A proxy reports whether a replica still listens after its connection broke.
+func TestReplicasThatStillListenAreReported(t *testing.T) {
+	for _, crashes := range []bool{true, false} {
 		var broken *fakeReplica
 		broken = newFakeReplica(t, "broken", func(http.ResponseWriter, *http.Request) {
-			if ends {
+			if crashes {
 				_ = broken.server.Listener.Close()
 			}
 			panic(http.ErrAbortHandler)
 		})
-		w := newWorld(t, broken)
-		group := &endsGroup{}
-		w.ingress.guard.SetReporter(group)
-		w.ask(asked{method: "GET", target: "/safe/x", id: "q"})
-		must.SliceNotEmpty(t, group.told)
-		must.Eq(t, !ends, group.told[0].Ended[0].Listens)
+		env := newTestEnv(t, broken)
+		reporter := &recordingReporter{}
+		env.ingress.guard.SetReporter(reporter)
+		env.do(testRequest{method: "GET", target: "/safe/x", id: "q"})
+		must.SliceNotEmpty(t, reporter.reports)
+		must.Eq(t, !crashes, reporter.reports[0].Ended[0].Listens)
 	}
 }
 
-// A request that ran where nothing else was, and was served, is cleared, whatever this proxy
-// knows of it; while the group asks for names, questions bring them.
-func TestConfinedRequestsAreCleared(t *testing.T) {
-	w := newModelWorld(t, newFakeReplica(t, "read", readPrompt), newFakeReplica(t, "make", streamEvents(2, "")), nil)
-	group := &endsGroup{}
-	w.ingress.guard.SetReporter(group)
-	placer := &namingPlacer{fakePlacer: fakePlacer{answer: placement.Answer{Generator: "make", Alone: true}}}
-	w.ingress.placer = placer
-	must.Eq(t, events(1, 2), w.ask(modelRequest).body)
-	_, _, served := group.sum()
+// An isolated request that was served is reported as harmless, even if this proxy has no evidence
+// against it. While the control group asks for fingerprints, placement requests include them.
+func TestServedIsolatedRequestsAreReported(t *testing.T) {
+	env := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), newFakeReplica(t, "make", streamEvents(2, "")), nil)
+	reporter := &recordingReporter{}
+	env.ingress.guard.SetReporter(reporter)
+	placer := &fingerprintPlacer{fakePlacer: fakePlacer{answer: placement.Answer{Generator: "make", Alone: true}}}
+	env.ingress.placer = placer
+	must.Eq(t, eventTexts(1, 2), env.do(modelRequest).body)
+	_, _, served := reporter.counts()
 	must.Eq(t, 1, served)
 	must.SliceLen(t, 2, placer.asks)
 	must.Eq(t, "", placer.asks[0].Name)
 	must.Eq(t, 16, len(placer.asks[1].Name))
-	w.ask(modelRequest)
-	must.SliceLen(t, 3, placer.asks, must.Sprint("the next one brings its name at once"))
+	env.do(modelRequest)
+	must.SliceLen(t, 3, placer.asks, must.Sprint("the next placement request includes the fingerprint at once"))
 }
 
-// Seen: a harmless request that many clients send was shut out, though it was served at once
-// after each end at which it stood.
-// How: its first end was seen by one proxy, which served that very arrival elsewhere 4 ms later;
-// two more replicas ended under it within three seconds, by chance, and it was tried as one that
-// may end replicas, which refused all other copies of it.
-// Cause: who served it told the group only while two ends or more were known of it.
-// Proof: the log lines of the served requests, which name the fingerprint, stand between the
-// ends (soak, seed 5008 beside five busy loops).
-func TestServedAfterItsFirstEndIsTold(t *testing.T) {
+// Guards against quarantining a harmless request that is served after each crash during it. A
+// served request was once reported only if two or more crashes were known. A proxy that saw the
+// first crash and served the request elsewhere 4 ms later reported nothing; two more replicas
+// crashed during it within three seconds by coincidence, and it was put on trial, so that all
+// other copies were refused.
+func TestRequestServedAfterItsFirstCrashIsReported(t *testing.T) {
 	broken := newFakeReplica(t, "broken", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
-	w := newWorld(t, broken, newFakeReplica(t, "sound", answerOK))
-	group := &endsGroup{}
-	group.connected.Store(true)
-	w.ingress.guard.SetReporter(group)
+	env := newTestEnv(t, broken, newFakeReplica(t, "sound", answerOK))
+	reporter := &recordingReporter{}
+	reporter.connected.Store(true)
+	env.ingress.guard.SetReporter(reporter)
 	ended, served := 0, 0
-	for i := 0; ended == 0 && i < 50; i++ { // until the broken one is asked
-		must.Eq(t, 200, w.ask(asked{method: "GET", target: "/safe/x", id: fmt.Sprint("q-", i)}).status)
-		ended, _, served = group.sum()
+	for i := 0; ended == 0 && i < 50; i++ { // until the broken replica is chosen
+		must.Eq(t, 200, env.do(testRequest{method: "GET", target: "/safe/x", id: fmt.Sprint("q-", i)}).status)
+		ended, _, served = reporter.counts()
 	}
 	must.Eq(t, 1, ended)
-	must.Eq(t, 1, served, must.Sprint("the arrival that met the end was served elsewhere"))
+	must.Eq(t, 1, served, must.Sprint("the request that caused the crash was served elsewhere"))
 }
 
-// namingPlacer asks for names.
-type namingPlacer struct{ fakePlacer }
+// fingerprintPlacer asks for fingerprints.
+type fingerprintPlacer struct{ fakePlacer }
 
-func (p *namingPlacer) Place(ctx context.Context, request feed.PlaceRequest) (placement.Answer, error) {
+func (p *fingerprintPlacer) Place(ctx context.Context, request feed.PlaceRequest) (placement.Answer, error) {
 	answer, err := p.fakePlacer.Place(ctx, request)
 	if request.Ask.Name == "" {
 		return placement.Answer{Name: true}, err
@@ -380,13 +377,13 @@
 	return answer, err
 }
 
-// judgingPlacer lets requests wait, and puts each that has a name on record as held.
-type judgingPlacer struct {
+// quarantiningPlacer makes requests wait, and quarantines each one that has a fingerprint.
+type quarantiningPlacer struct {
 	fakePlacer
-	views *holder
+	views *viewHolder
 }
 
-func (p *judgingPlacer) Place(_ context.Context, request feed.PlaceRequest) (placement.Answer, error) {
+func (p *quarantiningPlacer) Place(_ context.Context, request feed.PlaceRequest) (placement.Answer, error) {
 	if request.Ask.Name == "" {
 		return placement.Answer{Name: true}, nil
 	}
@@ -401,23 +398,23 @@
 	return placement.Answer{Wait: time.Millisecond}, nil
 }
 
-// Whoever waits for a place while the verdict on it is under way is told of the hold at once, and
-// not when its time to wait is over.
-func TestRequestHeldDuringAWaitIsRefusedAtOnce(t *testing.T) {
-	generator := newFakeReplica(t, "make", streamEvents(2, ""))
-	w := newModelWorld(t, newFakeReplica(t, "read", readPrompt), generator, nil)
-	w.ingress.placer = &judgingPlacer{views: w.views}
+// A request that is quarantined while it waits for its placement is refused at once, not when its
+// wait is over.
+func TestRequestQuarantinedDuringAWaitIsRefusedAtOnce(t *testing.T) {
+	decoder := newFakeReplica(t, "make", streamEvents(2, ""))
+	env := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), decoder, nil)
+	env.ingress.placer = &quarantiningPlacer{views: env.views}
 	began := time.Now()
-	got := w.ask(modelRequest)
+	got := env.do(modelRequest)
 	must.Eq(t, http.StatusServiceUnavailable, got.status)
 	must.Eq(t, "quarantined\n", got.body)
 	must.Less(t, time.Second, time.Since(began))
-	must.Eq(t, 0, generator.count())
+	must.Eq(t, 0, decoder.count())
 }
 
 // watchModelRequest puts the model request on record as watched.
-func (w *world) watchModelRequest(replicas ...string) {
-	w.views.set(func(v *view.View) {
+func (env *testEnv) watchModelRequest(replicas ...string) {
+	env.views.set(func(v *view.View) {
 		name := quarantine.Of(quarantine.Identity{Method: "POST", Host: "a.example", Path: "/model/"}).String()
 		v.Quarantines = map[string]*api.Quarantine{name: {
 			Metadata: api.Metadata{Name: name, Revision: v.Version.Revision},
@@ -426,64 +423,60 @@
 	})
 }
 
-// Seen: a request that ends each replica ended three more, later than three seconds after it had
-// ended three, one of them after it had waited for a place for 1.2 s.
-// How: it was on record as watched, and the leader let its copies wait for a replica where nothing
-// else is. Then a question had no answer within 30 ms, and the proxy chose a replica itself; a second
-// and a third copy found no leader at all, and went out at once.
-// Cause: a proxy without an answer decides by what it knows, also for a request that it knows to be
-// kept apart from others.
-// Proof: the log lines of the three copies, "waits" 28 times and then "unplaced", and "unplaced" at
-// once (soak, seed 9112 at a load of 28 on 5 cores: f1-36, f1-38, f1-39).
-func TestWatchedRequestGoesWhereALeaderSays(t *testing.T) {
-	play := func(change func(w *world, group *endsGroup, placer *waitingPlacer)) (answered, int) {
-		generator := newFakeReplica(t, "make", streamEvents(2, ""))
-		w := newModelWorld(t, newFakeReplica(t, "read", readPrompt), generator, nil)
-		group := &endsGroup{}
-		group.connected.Store(true)
-		w.ingress.guard.SetReporter(group)
+// Guards against sending a watched request without a leader's decision. A proxy without an answer
+// once decided by itself even for a request that it knew to need isolation. A request that had
+// crashed three replicas so crashed three more, more than three seconds later, while the leader
+// let its copies wait for a replica without other requests: one placement request was not answered
+// within 30 ms after a wait of 1.2 s, and two more copies had no leader and were sent at once.
+func TestWatchedRequestIsPlacedByALeaderOnly(t *testing.T) {
+	play := func(change func(env *testEnv, reporter *recordingReporter, placer *waitingPlacer)) (testResponse, int) {
+		decoder := newFakeReplica(t, "make", streamEvents(2, ""))
+		env := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), decoder, nil)
+		reporter := &recordingReporter{}
+		reporter.connected.Store(true)
+		env.ingress.guard.SetReporter(reporter)
 		placer := &waitingPlacer{fakePlacer: fakePlacer{answer: placement.Answer{Generator: "make"}}}
-		w.ingress.placer = placer
-		must.Eq(t, events(1, 2), w.ask(modelRequest).body)
-		w.watchModelRequest("x", "y")
-		change(w, group, placer)
-		before := generator.count()
-		got := w.ask(modelRequest)
-		return got, generator.count() - before
+		env.ingress.placer = placer
+		must.Eq(t, eventTexts(1, 2), env.do(modelRequest).body)
+		env.watchModelRequest("x", "y")
+		change(env, reporter, placer)
+		before := decoder.count()
+		got := env.do(modelRequest)
+		return got, decoder.count() - before
 	}
-	t.Run("it is placed", func(t *testing.T) {
-		got, sent := play(func(*world, *endsGroup, *waitingPlacer) {})
-		must.Eq(t, events(1, 2), got.body)
+	t.Run("placed", func(t *testing.T) {
+		got, sent := play(func(*testEnv, *recordingReporter, *waitingPlacer) {})
+		must.Eq(t, eventTexts(1, 2), got.body)
 		must.Eq(t, 1, sent)
 	})
 	t.Run("no answer", func(t *testing.T) {
-		got, sent := play(func(_ *world, _ *endsGroup, placer *waitingPlacer) { placer.err = feed.ErrNotPlaced })
+		got, sent := play(func(_ *testEnv, _ *recordingReporter, placer *waitingPlacer) { placer.err = feed.ErrNotPlaced })
 		must.Eq(t, http.StatusServiceUnavailable, got.status)
 		must.Eq(t, 0, sent)
 	})
 	t.Run("no leader", func(t *testing.T) {
-		got, sent := play(func(_ *world, group *endsGroup, _ *waitingPlacer) { group.connected.Store(false) })
+		got, sent := play(func(_ *testEnv, reporter *recordingReporter, _ *waitingPlacer) { reporter.connected.Store(false) })
 		must.Eq(t, http.StatusServiceUnavailable, got.status)
 		must.Eq(t, 0, sent)
 	})
-	t.Run("a leader comes", func(t *testing.T) {
-		got, sent := play(func(_ *world, group *endsGroup, _ *waitingPlacer) {
-			group.connected.Store(false)
-			time.AfterFunc(200*time.Millisecond, func() { group.connected.Store(true) })
+	t.Run("a leader appears", func(t *testing.T) {
+		got, sent := play(func(_ *testEnv, reporter *recordingReporter, _ *waitingPlacer) {
+			reporter.connected.Store(false)
+			time.AfterFunc(200*time.Millisecond, func() { reporter.connected.Store(true) })
 		})
-		must.Eq(t, events(1, 2), got.body)
+		must.Eq(t, eventTexts(1, 2), got.body)
 		must.Eq(t, 1, sent)
 	})
-	t.Run("weak ends keep nothing apart", func(t *testing.T) {
-		got, sent := play(func(w *world, _ *endsGroup, placer *waitingPlacer) {
+	t.Run("weak evidence requires no leader", func(t *testing.T) {
+		got, sent := play(func(env *testEnv, _ *recordingReporter, placer *waitingPlacer) {
 			placer.err = feed.ErrNotPlaced
-			w.views.set(func(v *view.View) {
+			env.views.set(func(v *view.View) {
 				for _, known := range v.Quarantines {
 					known.Spec.Weak = []string{"y"}
 				}
 			})
 		})
-		must.Eq(t, events(1, 2), got.body)
+		must.Eq(t, eventTexts(1, 2), got.body)
 		must.Eq(t, 1, sent)
 	})
 }
--- a/process/ingress/refusal_test.go
+++ b/process/ingress/refusal_test.go
@@ -8,14 +8,15 @@
 	"github.com/shoenig/test/must"
 )
 
-// Callers come back when the proxy has its routes even where an election had to be waited
-// for, and not together; the longer the proxy has been up, the sooner.
-func TestCallersOfAProxyWithoutRoutesComeBackOnceItHasThem(t *testing.T) {
+// Callers are told to retry when the proxy is expected to have its routes, even if the control
+// group has to elect a leader first, and not all at the same time. The longer the proxy has been
+// up, the shorter the delay.
+func TestRetryDelayOfAProxyWithoutRoutes(t *testing.T) {
 	none := newRouteTable(nil)
 	for range 100 {
-		must.Between(t, expectedStart, noRoute(none, 0).retryAfter, expectedStart+startSpread)
-		must.Between(t, expectedStart/2, noRoute(none, expectedStart/2).retryAfter, expectedStart/2+startSpread)
-		must.Between(t, leastStartPause, noRoute(none, time.Minute).retryAfter, leastStartPause+startSpread)
+		must.Between(t, expectedStartup, noRoute(none, 0).retryAfter, expectedStartup+startRetryJitter)
+		must.Between(t, expectedStartup/2, noRoute(none, expectedStartup/2).retryAfter, expectedStartup/2+startRetryJitter)
+		must.Between(t, minStartRetryAfter, noRoute(none, time.Minute).retryAfter, minStartRetryAfter+startRetryJitter)
 	}
 	must.Eq(t, http.StatusServiceUnavailable, noRoute(none, 0).status)
 }
