--- a/process/ingress/harness_test.go
+++ b/process/ingress/harness_test.go
@@ -75,7 +75,7 @@
 		return call, errors.New("no ID")
 	}
 	within, _ := strconv.Atoi(header.Get(testWithin))
-	call.Timeout = time.Duration(within) * time.Millisecond
+	call.MaxWait = time.Duration(within) * time.Millisecond
 	call.Work.PromptTokens, _ = strconv.Atoi(header.Get(testTokens))
 	return call, nil
 }
@@ -91,7 +91,7 @@
 func (testDialect) Attempt(header http.Header, attempt Attempt) {
 	header.Set(testReplica, attempt.Replica)
 	header.Set(testPriority, strconv.Itoa(attempt.Priority))
-	header.Set(testWithin, strconv.FormatInt(attempt.Timeout.Milliseconds(), 10))
+	header.Set(testWithin, strconv.FormatInt(attempt.TimeLimit.Milliseconds(), 10))
 	if attempt.ResumeAfter != "" {
 		header.Set(testResume, attempt.ResumeAfter)
 	}
--- a/process/ingress/ingress.go
+++ b/process/ingress/ingress.go
@@ -326,8 +326,8 @@
 	timeout := time.Duration(route.TimeoutMilliseconds) * time.Millisecond
 	s.deadline = arrivedAt + timeout
 	s.callerDeadline = s.deadline
-	if call.Timeout > 0 {
-		s.callerDeadline = arrivedAt + call.Timeout
+	if call.MaxWait > 0 {
+		s.callerDeadline = arrivedAt + call.MaxWait
 		s.deadline = min(s.deadline, s.callerDeadline)
 	}
 	if i.mayOutlastStop(i.now(), s.deadline) { // the body may have arrived slowly
--- a/process/ingress/prefill.go
+++ b/process/ingress/prefill.go
@@ -74,7 +74,7 @@
 	request := s.request(chosen, Source{})
 	s.ingress.config.Dialect.Attempt(request.Header, Attempt{
 		Replica:      prefiller.name,
-		Timeout:      s.replicaTimeout(),
+		TimeLimit:    s.replicaTimeout(),
 		Priority:     chosen.prefillPriority(s.priority),
 		Prefill:      true,
 		FetchAddress: chosen.fetchAddress(),
--- a/process/ingress/try.go
+++ b/process/ingress/try.go
@@ -234,7 +234,7 @@
 	}
 	s.ingress.config.Dialect.Attempt(header, Attempt{
 		Replica:      chosen.target.name,
-		Timeout:      s.replicaTimeout(),
+		TimeLimit:    s.replicaTimeout(),
 		Priority:     chosen.runPriority(s.priority, source),
 		ResumeAfter:  resumeAfter,
 		Source:       source,
--- a/process/ingress/types.go
+++ b/process/ingress/types.go
@@ -47,7 +47,7 @@
 	// Credential is the API key that was sent with the call.
 	Credential Credential
 	// Timeout is how long the caller waits; 0 if unspecified.
-	Timeout time.Duration
+	MaxWait time.Duration
 	Work    Work // zero for a request without a prompt
 	// ResumeAfter is the ID of the last event that the caller received of an interrupted stream.
 	ResumeAfter string
@@ -78,9 +78,9 @@
 
 // Attempt holds what differs between the sends of one call.
 type Attempt struct {
-	Replica  string        // the only replica that may run the request
-	Timeout  time.Duration // how long the replica may work on it
-	Priority int
+	Replica   string        // the only replica that may run the request
+	TimeLimit time.Duration // how long the replica may work on it
+	Priority  int
 	// ResumeAfter is the ID of the last event that the caller has.
 	ResumeAfter string
 	// Prefill requests that the prompt is processed and kept, without generating anything.
