--- a/process/proxy/admit.go
+++ b/process/proxy/admit.go
@@ -10,58 +10,58 @@
 	"github.com/landingtrail/landingtrail/request/limit"
 )
 
-// admit charges the tenant and waits for a place in the lane. The release
-// function is to be called when the request has ended.
+// admit charges the tenant's rate limit and waits for a slot in the lane's
+// queue. The caller must call release when the request has ended.
 func (p *Proxy) admit(ctx context.Context, l *lane, ticket limit.Ticket) (release func(), failed *failure) {
-	known := p.lanes.catalog.Load()
-	if tenant := known.view.Tenants[ticket.Tenant]; tenant != nil {
+	current := p.lanes.catalog.Load()
+	if tenant := current.view.Tenants[ticket.Tenant]; tenant != nil {
 		ticket.Weight = tenant.Spec.Weight
 		allowed := limit.Rate{PerSecond: tenant.Spec.TokensPerSecond, Burst: tenant.Spec.Burst}
 		if wait, taken := p.buckets.Take(ticket.Tenant, allowed, int(ticket.Cost), time.Now()); !taken {
 			ticket.Gate.Expire()
-			return nil, rateLimited(wait)
+			return nil, rateLimitFailure(wait)
 		}
 	}
-	if class := known.view.Classes[ticket.Class]; class != nil {
+	if class := current.view.Classes[ticket.Class]; class != nil {
 		ticket.QueueLimit = class.Spec.QueueLimit
 		ticket.MaxInFlight = class.Spec.MaxInFlight
 	}
 	release, refusal := l.queue.Acquire(ctx, ticket)
 	if refusal != nil {
-		return nil, refuseQueue(refusal)
+		return nil, queueFailure(refusal)
 	}
 	return release, nil
 }
 
-func rateLimited(wait time.Duration) *failure {
+func rateLimitFailure(wait time.Duration) *failure {
 	return &failure{
 		status:     http.StatusTooManyRequests,
-		kind:       typeRateLimit,
+		errorType:  typeRateLimit,
 		code:       codeRateLimited,
-		message:    "the tenant's tokens are used up; they suffice again in " + strconv.FormatFloat(wait.Seconds(), 'f', 1, 64) + " s",
+		message:    "the tenant's rate limit is exhausted; retry in " + strconv.FormatFloat(wait.Seconds(), 'f', 1, 64) + " s",
 		ran:        attempt.RanNo,
 		retryAfter: max(wait, time.Second),
 	}
 }
 
-// refuseQueue is the answer to each refusal of the queue.
-func refuseQueue(refusal *limit.Refusal) *failure {
+// queueFailure returns the failure to report for a refusal by the queue.
+func queueFailure(refusal *limit.Refusal) *failure {
 	switch refusal.Reason {
 	case limit.ReasonQueueFull:
-		return unavailable(codeQueueFull, "too many requests of the class are waiting", refusal.RetryAfter)
+		return unavailable(codeQueueFull, "the class's queue is full", refusal.RetryAfter)
 	case limit.ReasonDeadline:
-		return deadlineShort("the wait for a place is longer than the deadline", max(refusal.RetryAfter, time.Second))
+		return deadlineTooShort("the expected queueing time exceeds the deadline", max(refusal.RetryAfter, time.Second))
 	case limit.ReasonExpired:
-		failed := deadlineShort("the deadline passed in the queue", max(refusal.RetryAfter, time.Second))
+		failed := deadlineTooShort("the deadline passed while the request was queued", max(refusal.RetryAfter, time.Second))
 		failed.code = codeDeadlineExceeded
 		return failed
 	default:
 		return &failure{
-			status:  statusClientClosed,
-			kind:    typeInvalid,
-			code:    codeCancelled,
-			message: "the caller has gone",
-			ran:     attempt.RanNo,
+			status:    statusClientClosed,
+			errorType: typeInvalid,
+			code:      codeCancelled,
+			message:   "the client disconnected",
+			ran:       attempt.RanNo,
 		}
 	}
 }
--- a/process/proxy/answer.go
+++ b/process/proxy/answer.go
@@ -11,7 +11,7 @@
 	"github.com/landingtrail/landingtrail/request/attempt"
 )
 
-// Types of errors, as OpenAI's clients know them.
+// Error types of the OpenAI API.
 const (
 	typeInvalid     = "invalid_request_error"
 	typeRateLimit   = "rate_limit_error"
@@ -19,65 +19,66 @@
 	typeServer      = "server_error"
 )
 
-// Codes of errors. The documented answer to each kind of request that cannot
-// be served stands beside it.
+// Error codes, each with the HTTP status that is documented for it.
 const (
 	codeBadRequest       = "bad_request"         // 400
-	codeKeyRequired      = "key_required"        // 400: marked, but without Idempotency-Key
+	codeKeyRequired      = "key_required"        // 400: at-most-once request without Idempotency-Key
 	codeUnknownClass     = "unknown_class"       // 400
 	codeUnknownModel     = "unknown_model"       // 404
 	codeUnknownService   = "unknown_service"     // 404
 	codeNotFound         = "not_found"           // 404: no such path
 	codeMethod           = "method_not_allowed"  // 405
-	codeClassRefused     = "class_refused"       // 403: no intent serves the class
+	codeClassRefused     = "class_refused"       // 403: no engine serves the class
 	codeBodyTooLarge     = "body_too_large"      // 413
 	codeRateLimited      = "rate_limited"        // 429: the tenant's bucket is empty
 	codeQueueFull        = "queue_full"          // 503
-	codeOverloaded       = "overloaded"          // 503: request bodies fill their memory
-	codeNoEngine         = "no_engine"           // 503: none admits now
-	codeQuarantined      = "quarantined"         // 503: engines ended under it
-	codeControlLost      = "control_lost"        // 503: the view lease has lapsed
-	codeStopping         = "stopping"            // 503: a planned stop leaves it no time
-	codeNoQuorum         = "no_quorum"           // 503: a marked request could not be claimed
-	codeDeadlineShort    = "deadline_too_short"  // 504: it cannot be met
+	codeOverloaded       = "overloaded"          // 503: request bodies use up their memory limit
+	codeNoEngine         = "no_engine"           // 503: no engine or backend accepts requests now
+	codeQuarantined      = "quarantined"         // 503: engines crashed while running the request
+	codeControlLost      = "control_lost"        // 503: the view lease has expired
+	codeStopping         = "stopping"            // 503: the deadline is after the end of the shutdown
+	codeNoQuorum         = "no_quorum"           // 503: an at-most-once request could not be claimed
+	codeDeadlineShort    = "deadline_too_short"  // 504: the deadline cannot be met
 	codeDeadlineExceeded = "deadline_exceeded"   // 504
 	codeKeyConflict      = "key_conflict"        // 409: the key was used with another body
-	codeKeyRunning       = "key_running"         // 409: the key's run has no known outcome
-	codeKeyDone          = "key_done"            // 409: it ran, the answer was not kept
+	codeKeyRunning       = "key_running"         // 409: the run with this key has no known outcome
+	codeKeyDone          = "key_done"            // 409: the request ran, but its response was not stored
 	codeUpstream         = "upstream_failed"     // 502
-	codeCancelled        = "cancelled"           // 499: the caller went away
-	codeAnswerTooLarge   = "answer_too_large"    // 502: a whole answer past the bound
+	codeCancelled        = "cancelled"           // 499: the client disconnected
+	codeAnswerTooLarge   = "answer_too_large"    // 502: a buffered response exceeds the size limit
 	codeInternal         = "internal_error"      // 500
-	codeEngineRefused    = "refused_by_upstream" // the engine's own status
+	codeEngineRefused    = "refused_by_upstream" // the status that the engine returned
 )
 
 const contentTypeJSON = "application/json"
 
-// statusClientClosed is the customary status for a caller that went away.
+// statusClientClosed is the status that nginx introduced for a client that
+// closed its connection before the response.
 const statusClientClosed = 499
 
-// failure is a final answer other than what was asked for.
+// failure is an error response to the client.
 type failure struct {
 	status     int
-	kind       string // the error object's type
+	errorType  string // the type field of the error object
 	code       string
 	message    string
 	ran        attempt.Ran
-	retryAfter time.Duration // 0 when asking again makes no sense
-	// final says that no other engine need be asked.
+	retryAfter time.Duration // 0 if a retry is pointless
+	// final means that no other engine or backend is tried.
 	final bool
-	// free says that asking another engine costs none of the retry budget.
-	free bool
+	// budgetExempt means that trying another engine does not count against the
+	// retry budget.
+	budgetExempt bool
 }
 
 func invalid(code, message string) *failure {
-	return &failure{status: http.StatusBadRequest, kind: typeInvalid, code: code, message: message, ran: attempt.RanNo}
+	return &failure{status: http.StatusBadRequest, errorType: typeInvalid, code: code, message: message, ran: attempt.RanNo}
 }
 
 func unavailable(code, message string, retryAfter time.Duration) *failure {
 	return &failure{
 		status:     http.StatusServiceUnavailable,
-		kind:       typeUnavailable,
+		errorType:  typeUnavailable,
 		code:       code,
 		message:    message,
 		ran:        attempt.RanNo,
@@ -85,35 +86,37 @@
 	}
 }
 
-func (f *failure) body() engineapi.ErrorBody {
+func (f *failure) errorBody() engineapi.ErrorBody {
 	return engineapi.ErrorBody{Error: engineapi.ErrorDetail{
 		Message: f.message,
-		Type:    f.kind,
+		Type:    f.errorType,
 		Code:    f.code,
 		Ran:     string(f.ran),
 	}}
 }
 
 func (f *failure) encode() []byte {
-	encoded, err := json.Marshal(f.body())
+	encoded, err := json.Marshal(f.errorBody())
 	if err != nil {
-		panic(err) // a type of ours that cannot be encoded
+		panic(err) // programming error: the type always encodes
 	}
 	return encoded
 }
 
-// write answers with the failure. It must be called before the status is sent.
+// write sends the failure as the response. It must be called before the status
+// is sent.
 func (f *failure) write(w http.ResponseWriter) {
 	header := w.Header()
 	body := append(f.encode(), '\n')
 	header.Set("Content-Type", contentTypeJSON)
-	// With its length the answer is whole for the caller before the handler ends.
+	// With a Content-Length the client has the complete response before the
+	// handler returns.
 	header.Set("Content-Length", strconv.Itoa(len(body)))
 	if f.retryAfter > 0 {
 		seconds := int(math.Ceil(f.retryAfter.Seconds()))
 		header.Set("Retry-After", strconv.Itoa(seconds))
 	}
 	w.WriteHeader(f.status)
-	_, _ = w.Write(body)                      // the caller may be gone
-	_ = http.NewResponseController(w).Flush() // a test's writer may have none
+	_, _ = w.Write(body)                      // the client may have disconnected
+	_ = http.NewResponseController(w).Flush() // a writer in a test may not support it
 }
--- a/process/proxy/body.go
+++ b/process/proxy/body.go
@@ -10,16 +10,16 @@
 	"github.com/pkg/errors"
 )
 
-// bodyBudget bounds the bytes of request bodies that are held at once. Each
-// type of service has its own, so that model work cannot use up that of frames
-// and lookups.
+// bodyBudget limits the memory used by request bodies. Each type of service has
+// its own, so that model requests cannot exhaust the memory for requests to
+// plain backends.
 type bodyBudget struct {
 	limit int64
 	held  atomic.Int64
 }
 
-// take reserves size bytes; false when they do not fit.
-func (b *bodyBudget) take(size int64) bool {
+// reserve reserves size bytes and reports whether they fit.
+func (b *bodyBudget) reserve(size int64) bool {
 	if b.held.Add(size) <= b.limit {
 		return true
 	}
@@ -27,59 +27,59 @@
 	return false
 }
 
-func (b *bodyBudget) give(size int64) { b.held.Add(-size) }
+func (b *bodyBudget) release(size int64) { b.held.Add(-size) }
 
-// heldBody is a request's body and what it has reserved.
-type heldBody struct {
+// requestBody is the body of a request and its reservation in the budget.
+type requestBody struct {
 	data     []byte
 	budget   *bodyBudget
 	reserved int64
 }
 
-// release gives the reservation back. It must be called once.
-func (h *heldBody) release() { h.budget.give(h.reserved) }
+// release returns the reservation to the budget. It must be called once.
+func (h *requestBody) release() { h.budget.release(h.reserved) }
 
-// readBody reads a body up to the bound. A body of unknown length reserves the
-// bound until it is read.
-func (p *Proxy) readBody(w http.ResponseWriter, r *http.Request, budget *bodyBudget) (*heldBody, *failure) {
+// readBody reads a body up to the size limit. A body of unknown length reserves
+// the limit until it has been read.
+func (p *Proxy) readBody(w http.ResponseWriter, r *http.Request, budget *bodyBudget) (*requestBody, *failure) {
 	limit := p.config.Limits.BodyBytes
 	if r.ContentLength > limit {
-		return nil, tooLarge(limit)
+		return nil, bodyTooLarge(limit)
 	}
 	reserved := r.ContentLength
 	if reserved < 0 {
 		reserved = limit
 	}
-	if !budget.take(reserved) {
-		return nil, unavailable(codeOverloaded, "too many bytes of request bodies are held", time.Second)
+	if !budget.reserve(reserved) {
+		return nil, unavailable(codeOverloaded, "the memory for request bodies is used up", time.Second)
 	}
 	data, failed := p.readAll(w, r, limit)
 	if failed != nil {
-		budget.give(reserved)
+		budget.release(reserved)
 		return nil, failed
 	}
-	budget.give(reserved - int64(len(data)))
-	return &heldBody{data: data, budget: budget, reserved: int64(len(data))}, nil
+	budget.release(reserved - int64(len(data)))
+	return &requestBody{data: data, budget: budget, reserved: int64(len(data))}, nil
 }
 
 func (p *Proxy) readAll(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, *failure) {
 	deadline := time.Now().Add(p.config.Timeouts.ReadBody)
 	controller := http.NewResponseController(w)
-	_ = controller.SetReadDeadline(deadline) // without it the server's own limits hold
+	_ = controller.SetReadDeadline(deadline) // if unsupported, the server's own limits apply
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
-	var past *http.MaxBytesError
+	var maxBytesErr *http.MaxBytesError
 	switch {
-	case errors.As(err, &past):
-		return nil, tooLarge(limit)
+	case errors.As(err, &maxBytesErr):
+		return nil, bodyTooLarge(limit)
 	case err != nil:
-		return nil, invalid(codeBadRequest, "the body was cut short")
+		return nil, invalid(codeBadRequest, "the request body is incomplete")
 	}
 	_ = controller.SetReadDeadline(time.Time{})
 	return body, nil
 }
 
-func tooLarge(limit int64) *failure {
-	refused := invalid(codeBodyTooLarge, "the body is larger than "+strconv.FormatInt(limit, 10)+" bytes")
-	refused.status = http.StatusRequestEntityTooLarge
-	return refused
+func bodyTooLarge(limit int64) *failure {
+	failed := invalid(codeBodyTooLarge, "the request body is larger than "+strconv.FormatInt(limit, 10)+" bytes")
+	failed.status = http.StatusRequestEntityTooLarge
+	return failed
 }
--- a/process/proxy/budget_test.go
+++ b/process/proxy/budget_test.go
@@ -9,10 +9,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestRetriesOfModelWorkCostFramesNone: engines that fail use up the retries of
-// their own lane alone, so that a frame whose back end has just died is still
-// taken to another one.
-func TestRetriesOfModelWorkCostFramesNone(t *testing.T) {
+// Failing engines must exhaust the retry budget of their own service only.
+// Otherwise requests to a plain backend that has just died would not be retried
+// on another one.
+func TestRetryBudgetIsPerService(t *testing.T) {
 	engine, alive := newFakeEngine(t, "e1", 11), newFakeBackend(t)
 	other := newFakeEngine(t, "e2", 12)
 	fail := func(_ *fakeEngine, w http.ResponseWriter, _ *http.Request, _ int) {
@@ -22,7 +22,7 @@
 	dead := httptest.NewServer(http.NotFoundHandler())
 	dead.Close()
 	config := quick()
-	config.Intervals.Load = time.Minute // polls do not tell that it is dead
+	config.Intervals.Load = time.Minute // polls must not detect that the backend is dead
 	config.Limits.RetryShare, config.Limits.RetryReserve = 0.001, 2
 	f := start(t, config, []*fakeEngine{engine, other}, dead, alive.server)
 	for range 4 {
--- a/process/proxy/call.go
+++ b/process/proxy/call.go
@@ -15,49 +15,49 @@
 	"github.com/landingtrail/landingtrail/request/router"
 )
 
-// call is one model request on its way through the proxy.
+// call is the state of one model request.
 type call struct {
 	proxy    *Proxy
 	lane     *lane
 	id       string
-	parsed   *completion
-	envelope envelope
+	parsed   *completionRequest
+	envelope requestHeaders
 	priority int
-	endsAt   time.Duration // by the proxy's clock
-	life     *attempt.Life
+	deadline time.Duration // reading of the proxy's clock
+	attempts *attempt.Life
 	sink     sink
-	claim    *claim // nil unless marked
-	random   *rand.Rand
+	claim    *claim // nil unless the request is at-most-once
+	rng      *rand.Rand
 	excluded map[string]bool
 	retries  int
-	// handOvers counts the calls that hand KV cache over.
-	handOvers uint32
-	// resumes counts the times that a stream was taken up again, of all attempts.
-	resumes  uint32
-	running  running
-	ended    int                     // engines that seem to have ended under it, this time alone
-	named    *quarantine.Fingerprint // nil until it is needed
-	cached   int                     // prompt tokens believed to be cached where it ran
-	expected int                     // length of the answer, in tokens
+	// kvTransfers counts the export and import calls for KV cache.
+	kvTransfers uint32
+	// resumeCount counts the resumed streams of all attempts.
+	resumeCount    uint32
+	running        running
+	ended          int                     // engines that seem to have crashed while running this request
+	named          *quarantine.Fingerprint // computed on first use
+	cachedTokens   int                     // prompt tokens that were probably cached on the engine
+	expectedTokens int                     // estimated length of the response in tokens
 }
 
-// run sees the request through to its end. It returns nil after a whole
-// answer, else what the caller is told.
+// run executes the request, including retries and resumes. It returns nil after
+// a complete response, otherwise the failure to report to the client.
 func (c *call) run(ctx context.Context) *failure {
-	defer c.cancelLeftovers()
+	defer c.cancelUnfinishedRuns()
 	var last *failure
 	for {
-		if failed := c.interrupted(ctx); failed != nil {
+		if failed := c.interruptedFailure(ctx); failed != nil {
 			return failed
 		}
-		// Looked at before each run: under what an engine ends is known from then on.
+		// Checked before each attempt, since the previous one may have crashed an engine.
 		if failed := c.refuseHeld(); failed != nil {
 			return c.giveUp(failed)
 		}
-		step := c.life.Next()
+		step := c.attempts.Next()
 		switch step.Kind {
 		case attempt.StepRun:
-			if last != nil && !c.retryAllowed(ctx, last) {
+			if last != nil && !c.prepareRetry(ctx, last) {
 				return c.giveUp(last)
 			}
 			last = c.runOnce(ctx)
@@ -75,82 +75,83 @@
 	}
 }
 
-// giveUp is the end without a whole answer; what the caller is told of the run
-// is decided here.
+// giveUp ends the request without a complete response. It returns the failure to
+// report, including whether the request may have run.
 func (c *call) giveUp(last *failure) *failure {
-	given := finalFailure(last, c.life.GiveUp())
-	if given.ran == attempt.RanNo && given.status >= http.StatusInternalServerError {
-		given.status = http.StatusServiceUnavailable
-		if given.code == codeDeadlineShort || given.code == codeDeadlineExceeded {
-			given.status = http.StatusGatewayTimeout
+	result := finalFailure(last, c.attempts.GiveUp())
+	if result.ran == attempt.RanNo && result.status >= http.StatusInternalServerError {
+		result.status = http.StatusServiceUnavailable
+		if result.code == codeDeadlineShort || result.code == codeDeadlineExceeded {
+			result.status = http.StatusGatewayTimeout
 		}
-		given.retryAfter = max(given.retryAfter, time.Second)
+		result.retryAfter = max(result.retryAfter, time.Second)
 	}
-	return given
+	return result
 }
 
-// finalFailure is the last failure with what the caller may be told of the
-// run. A refusal after an attempt that may have run says nothing of that
-// attempt: the caller must not be asked to try again as if nothing had run.
+// finalFailure returns the last failure with ran as its run state. If the last
+// attempt was refused but an earlier one may have run, the refusal is replaced:
+// the client must not be told to retry as if nothing had run.
 func finalFailure(last *failure, ran attempt.Ran) *failure {
 	if last == nil || (last.ran == attempt.RanNo && ran != attempt.RanNo) {
-		last = upstreamFailed("the request was sent, but no whole answer came")
+		last = upstreamFailed("the request was sent, but no complete response was received")
 	}
-	given := *last
-	given.ran = ran
-	return &given
+	result := *last
+	result.ran = ran
+	return &result
 }
 
-// interrupted returns the failure of a request whose deadline has passed or
-// whose caller has gone.
-func (c *call) interrupted(ctx context.Context) *failure {
-	if c.left() > 0 && ctx.Err() == nil {
+// interruptedFailure returns the failure of a request whose deadline has passed
+// or whose client has disconnected, or nil for any other request.
+func (c *call) interruptedFailure(ctx context.Context) *failure {
+	if c.timeLeft() > 0 && ctx.Err() == nil {
 		return nil
 	}
-	if c.left() <= 0 || errors.Is(ctx.Err(), context.DeadlineExceeded) {
+	if c.timeLeft() <= 0 || errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return c.giveUp(&failure{
-			status:  http.StatusGatewayTimeout,
-			kind:    typeServer,
-			code:    codeDeadlineExceeded,
-			message: "the deadline has passed",
+			status:    http.StatusGatewayTimeout,
+			errorType: typeServer,
+			code:      codeDeadlineExceeded,
+			message:   "the deadline has passed",
 		})
 	}
 	return c.giveUp(&failure{
-		status:  statusClientClosed,
-		kind:    typeInvalid,
-		code:    codeCancelled,
-		message: "the caller has gone",
+		status:    statusClientClosed,
+		errorType: typeInvalid,
+		code:      codeCancelled,
+		message:   "the client disconnected",
 	})
 }
 
-// left is how long the caller still waits. Timers and contexts do not count a suspension of
-// the machine, the proxy's clock does.
-func (c *call) left() time.Duration { return c.endsAt - c.proxy.clock() }
+// timeLeft returns the time until the deadline. Unlike timers and contexts, the
+// proxy's clock keeps running while the machine is suspended.
+func (c *call) timeLeft() time.Duration { return c.deadline - c.proxy.clock() }
 
-// retryAllowed pays for another run out of the budget and waits for the
-// backoff. A refusal because the engine drains or changes costs nothing: each
-// engine gives it once, and a planned change must not use up the budget.
-func (c *call) retryAllowed(ctx context.Context, last *failure) bool {
+// prepareRetry charges the retry budget and waits for the backoff. It reports
+// whether to retry. A refusal by an engine that is draining or changing is not
+// charged: each engine refuses in this way only once, and a planned change must
+// not exhaust the budget.
+func (c *call) prepareRetry(ctx context.Context, last *failure) bool {
 	if c.retries >= c.proxy.config.Limits.Attempts {
 		return false
 	}
-	if !last.free && !c.lane.budget.Withdraw() {
+	if !last.budgetExempt && !c.lane.budget.Withdraw() {
 		return false
 	}
 	c.proxy.metrics.retries.Inc()
-	delay, fits := c.proxy.config.Backoff.Delay(c.retries, c.left(), c.random)
+	delay, fits := c.proxy.config.Backoff.Delay(c.retries, c.timeLeft(), c.rng)
 	c.retries++
 	if !fits {
 		return false
 	}
-	if last.free {
+	if last.budgetExempt {
 		return true
 	}
 	return pause.For(ctx, delay)
 }
 
-// decide asks the router where the request goes now.
-func (c *call) decide() (router.Decision, *failure) {
+// route asks the router for the engine to send the request to.
+func (c *call) route() (router.Decision, *failure) {
 	s := c.proxy.standing()
 	if failed := c.proxy.refuseLost(&s, c.lane.kind); failed != nil {
 		failed.final = true
@@ -164,46 +165,46 @@
 		Model:        c.parsed.request.Model,
 		Priority:     c.priority,
 		PromptTokens: c.parsed.promptTokens,
-		OutputTokens: c.expected,
+		OutputTokens: c.expectedTokens,
 		Blocks:       c.parsed.blocks,
-		Deadline:     c.left(),
+		Deadline:     c.timeLeft(),
 		Excluded:     c.excluded,
 		Zone:         c.proxy.config.Zone,
 	}
 	_, request.Adapter, _ = strings.Cut(request.Model, ":")
-	decision, reason := c.proxy.router.Route(c.lane.snapshot(&s), request, c.random)
+	decision, reason := c.proxy.router.Route(c.lane.snapshot(&s), request, c.rng)
 	if reason != router.ReasonNone {
-		return decision, refuseRoute(reason)
+		return decision, routeFailure(reason)
 	}
 	return decision, nil
 }
 
-// refuseRoute is the answer when the router finds no engine. Only where time
-// can help is it worth another try.
-func refuseRoute(reason router.Reason) *failure {
+// routeFailure returns the failure to report if the router finds no engine. It
+// is final unless an engine may become available later.
+func routeFailure(reason router.Reason) *failure {
 	switch reason {
 	case router.ReasonUnknownModel:
-		// The model is known, or the request would not have come so far: no
-		// engine holds it now.
+		// Unknown models were rejected earlier, so an intent has the model but no
+		// engine has it loaded now.
 		return unavailable(codeNoEngine, "no engine serves the model now", time.Second)
 	case router.ReasonClassRefused:
 		return &failure{
-			status:  http.StatusForbidden,
-			kind:    typeInvalid,
-			code:    codeClassRefused,
-			message: "no engine serves the class",
-			ran:     attempt.RanNo,
-			final:   true,
+			status:    http.StatusForbidden,
+			errorType: typeInvalid,
+			code:      codeClassRefused,
+			message:   "no engine serves the class",
+			ran:       attempt.RanNo,
+			final:     true,
 		}
 	case router.ReasonDeadline:
-		failed := deadlineShort("no engine can finish within the deadline", time.Second)
+		failed := deadlineTooShort("no engine can meet the deadline", time.Second)
 		failed.final = true
 		return failed
 	case router.ReasonAllExcluded:
-		failed := unavailable(codeNoEngine, "every engine was tried", time.Second)
+		failed := unavailable(codeNoEngine, "all engines were tried", time.Second)
 		failed.final = true
 		return failed
 	default:
-		return unavailable(codeNoEngine, "no engine admits requests now", time.Second)
+		return unavailable(codeNoEngine, "no engine accepts requests now", time.Second)
 	}
 }
--- a/process/proxy/cancel.go
+++ b/process/proxy/cancel.go
@@ -8,15 +8,15 @@
 	"github.com/landingtrail/landingtrail/connection/upstream"
 )
 
-// cancelLeftovers tells the engines of attempts that may still run that nobody
-// waits for them.
-func (c *call) cancelLeftovers() {
-	whole := c.life.Done()
-	records := c.life.Attempts()
+// cancelUnfinishedRuns asks engines to cancel the attempts that may still be
+// running and whose response is no longer needed.
+func (c *call) cancelUnfinishedRuns() {
+	completed := c.attempts.Done()
+	records := c.attempts.Attempts()
 	for i := range records {
 		record := &records[i]
 		last := i == len(records)-1
-		if !record.Wrote || record.Refused || (last && whole) {
+		if !record.Wrote || record.Refused || (last && completed) {
 			continue
 		}
 		target := (*c.lane.endpoints.Load())[record.Endpoint]
@@ -24,24 +24,24 @@
 			continue
 		}
 		request := engineapi.CancelRequest{RequestID: c.id, Attempt: record.Number}
-		c.proxy.tasks.Go(func() { c.proxy.cancelRun(c.lane, target, request) })
+		c.proxy.tasks.Go(func() { c.proxy.sendCancel(c.lane, target, request) })
 	}
 }
 
-// cancelRun is a hint: an engine that does not get it ends the run by itself
-// once nobody reads it.
-func (p *Proxy) cancelRun(l *lane, target *endpoint, body engineapi.CancelRequest) {
+// sendCancel asks an engine to cancel a run. It is best effort: without the
+// request the engine ends the run once nobody reads its stream.
+func (p *Proxy) sendCancel(l *lane, target *endpoint, body engineapi.CancelRequest) {
 	ctx, cancel := context.WithTimeout(context.Background(), p.config.Timeouts.Cancel)
 	defer cancel()
-	request, err := postJSON(ctx, target.address, engineapi.PathCancel, body)
+	request, err := newJSONPost(ctx, target.address, engineapi.PathCancel, body)
 	if err != nil {
 		return
 	}
-	// Runs go over other connections, so that their identity can serve here too.
+	// Runs use other connections, so the identity of the run can be reused here.
 	response, err := l.polls.Do(request, upstream.Identity{RequestID: body.RequestID, Attempt: body.Attempt})
 	if err != nil {
 		return
 	}
-	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxErrorBytes)) // so that the connection can be reused
+	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxErrorBytes)) // allows the connection to be reused
 	_ = response.Body.Close()
 }
--- a/process/proxy/catalog.go
+++ b/process/proxy/catalog.go
@@ -8,47 +8,47 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
-// catalog is what a view means for routing, worked out once for each view and
-// immutable from then on.
+// catalog is the routing data derived from a view. It is computed once for each
+// view and immutable.
 type catalog struct {
 	view *view.View
-	// intents holds the intent that selects each engine.
+	// intents maps each engine to the intent that selects it.
 	intents map[string]*api.Intent
-	// classes holds the classes that each intent serves.
+	// classes maps each intent to the classes that it serves.
 	classes map[string]map[string]bool
-	// classOrder holds the classes of each service, lowest priority first.
-	classOrder map[string][]*api.Class
-	leaving    map[string]bool // back ends on the platform's list of leaving or gone
+	// classesByPriority maps each service to its classes, lowest priority first.
+	classesByPriority map[string][]*api.Class
+	leavingBackends   map[string]bool // backends that the platform reports as leaving or gone
 }
 
 func newCatalog(current *view.View) *catalog {
-	made := &catalog{
-		view:       current,
-		intents:    make(map[string]*api.Intent, len(current.Engines)),
-		classes:    map[string]map[string]bool{},
-		classOrder: map[string][]*api.Class{},
-		leaving:    map[string]bool{},
+	result := &catalog{
+		view:              current,
+		intents:           make(map[string]*api.Intent, len(current.Engines)),
+		classes:           map[string]map[string]bool{},
+		classesByPriority: map[string][]*api.Class{},
+		leavingBackends:   map[string]bool{},
 	}
 	for _, intent := range current.Intents {
-		made.addIntent(intent)
+		result.addIntent(intent)
 	}
 	for _, class := range current.Classes {
-		made.classOrder[class.Spec.Service] = append(made.classOrder[class.Spec.Service], class)
+		result.classesByPriority[class.Spec.Service] = append(result.classesByPriority[class.Spec.Service], class)
 	}
-	for _, classes := range made.classOrder {
+	for _, classes := range result.classesByPriority {
 		sortClasses(classes)
 	}
 	for _, service := range current.Services {
 		for _, name := range append(service.Status.Leaving[:len(service.Status.Leaving):len(service.Status.Leaving)], service.Status.Gone...) {
-			made.leaving[name] = true
+			result.leavingBackends[name] = true
 		}
 	}
-	return made
+	return result
 }
 
-// addIntent notes the engines and classes of an intent. No two intents select
-// the same engine with different wishes: the control group refuses that. If
-// they agree, the one with the lower name counts.
+// addIntent adds the engines and classes of an intent. The control group rejects
+// intents that select the same engine with conflicting specs. If several intents
+// select it without a conflict, the first by name is used.
 func (c *catalog) addIntent(intent *api.Intent) {
 	for name, engine := range c.view.Engines {
 		if !selector.Matches(intent.Spec.Engines, engine.Labels) {
@@ -67,8 +67,8 @@
 	c.classes[intent.Name] = served
 }
 
-// serves reports whether the engine's intent serves the class; engines that no
-// intent selects any more serve none.
+// serves reports whether the engine's intent serves the class. An engine without
+// an intent serves no class.
 func (c *catalog) serves(engine, class string) bool {
 	intent := c.intents[engine]
 	return intent != nil && c.classes[intent.Name][class]
@@ -79,7 +79,7 @@
 func (c *catalog) intentFor(model, class string) string {
 	found := ""
 	for name, intent := range c.view.Intents {
-		if !offers(intent, model) || !c.classes[name][class] {
+		if !offersModel(intent, model) || !c.classes[name][class] {
 			continue
 		}
 		if found == "" || name < found {
@@ -89,8 +89,9 @@
 	return found
 }
 
-// offers reports whether the intent serves the model as a caller named it.
-func offers(intent *api.Intent, model string) bool {
+// offersModel reports whether the intent serves the model, given as "model" or
+// "model:adapter".
+func offersModel(intent *api.Intent, model string) bool {
 	base, adapter, hasAdapter := strings.Cut(model, ":")
 	if intent.Spec.Model != base {
 		return false
@@ -106,22 +107,22 @@
 	return false
 }
 
-// knowsModel reports whether any intent serves the model to anybody.
+// knowsModel reports whether any intent serves the model.
 func (c *catalog) knowsModel(model string) bool {
 	for _, intent := range c.view.Intents {
-		if offers(intent, model) {
+		if offersModel(intent, model) {
 			return true
 		}
 	}
 	return false
 }
 
-// defaultModelClass returns the class of a request that names none: the one of
-// the lowest priority that some intent with the model serves.
+// defaultModelClass returns the class of a request that names none: the class of
+// the lowest priority that an intent with the model serves.
 func (c *catalog) defaultModelClass(model string) *api.Class {
 	var found *api.Class
 	for name, intent := range c.view.Intents {
-		if !offers(intent, model) {
+		if !offersModel(intent, model) {
 			continue
 		}
 		for class := range c.classes[name] {
@@ -134,8 +135,8 @@
 	return found
 }
 
-// models lists the names by which models can be asked for.
-func (c *catalog) models() []string {
+// modelNames returns the model names that requests can use.
+func (c *catalog) modelNames() []string {
 	seen := map[string]bool{}
 	var names []string
 	add := func(name string) {
--- a/process/proxy/claim.go
+++ b/process/proxy/claim.go
@@ -18,37 +18,39 @@
 	"github.com/landingtrail/landingtrail/version/state"
 )
 
-// headerIdempotency tells a back end which claim a run belongs to, as a hash.
-// The caller's key itself is not passed on: net/http takes a request with an
-// Idempotency-Key for one that it may send again.
+// headerIdempotency carries a hash of the claim that a run belongs to. The
+// client's key itself is not forwarded: net/http considers a request with an
+// Idempotency-Key header safe to send again.
 const headerIdempotency = "Engine-Idempotency"
 
-// claim is the right to run a marked request, given by the control group.
+// claim is the permission to run an at-most-once request, granted by the control
+// group.
 type claim struct {
 	tenant string
 	key    string
 	nonce  uint64
 }
 
-// claimKey is what two claims on the same run have in common.
+// claimKey identifies the request that a claim is for.
 type claimKey struct {
 	tenant string
 	key    string
 }
 
-// hash names the claim without its key.
+// hash identifies the claim without revealing its key.
 func (c *claim) hash() string {
 	digest := xxhash.New()
-	_, _ = digest.WriteString(c.tenant) // a digest's writes never fail
+	_, _ = digest.WriteString(c.tenant) // writes to a digest never fail
 	_, _ = digest.Write([]byte{0})
 	_, _ = digest.WriteString(c.key)
 	return strconv.FormatUint(digest.Sum64(), 16)
 }
 
-// hashBody identifies what a key stands for.
+// hashBody returns a hash of the request, to detect a key that is reused for a
+// different request.
 func hashBody(method, path string, body []byte) uint64 {
 	digest := xxhash.New()
-	_, _ = digest.WriteString(method) // a digest's writes never fail
+	_, _ = digest.WriteString(method) // writes to a digest never fail
 	_, _ = digest.Write([]byte{0})
 	_, _ = digest.WriteString(path)
 	_, _ = digest.Write([]byte{0})
@@ -56,143 +58,147 @@
 	return digest.Sum64()
 }
 
-// recorded is an answer as it is kept with its claim.
-type recorded struct {
+// recordedResponse is a response as it is stored with its claim.
+type recordedResponse struct {
 	Status      int    `json:"status"`
 	ContentType string `json:"contentType"`
 	Body        []byte `json:"body"`
 }
 
-// claimed is the result of asking for a claim: exactly one field is set.
-type claimed struct {
-	granted *claim
-	answer  *recorded
-	failed  *failure
+// claimResult is the result of a claim request. Exactly one field is set.
+type claimResult struct {
+	granted  *claim
+	response *recordedResponse
+	failed   *failure
 }
 
-// claimRun asks the control group for the right to run a marked request.
-func (p *Proxy) claimRun(ctx context.Context, read *envelope, bodyHash uint64) claimed {
+// acquireClaim asks the control group for permission to run an at-most-once
+// request.
+func (p *Proxy) acquireClaim(ctx context.Context, headers *requestHeaders, bodyHash uint64) claimResult {
 	ctx, cancel := context.WithTimeout(ctx, p.config.Timeouts.Claim)
 	defer cancel()
-	if err := p.recordOwed(ctx, claimKey{read.tenant, read.key}); err != nil {
-		return p.notClaimed(read, err)
+	if err := p.flushPending(ctx, claimKey{headers.tenant, headers.key}); err != nil {
+		return p.claimUnavailable(headers, err)
 	}
 	request := state.ClaimRequest{
-		Tenant:   read.tenant,
-		Key:      read.key,
+		Tenant:   headers.tenant,
+		Key:      headers.key,
 		BodyHash: bodyHash,
 		Attempt:  1,
 		Proxy:    p.config.ID,
 		Nonce:    rand.Uint64(),
 	}
 	result, err := p.commitClaim(ctx, request)
-	asked := &claim{tenant: read.tenant, key: read.key, nonce: request.Nonce}
+	requested := &claim{tenant: headers.tenant, key: headers.key, nonce: request.Nonce}
 	if errors.Is(err, feed.ErrOutcomeUnknown) {
-		// It may have been granted; nothing will be dispatched under it.
-		record := p.owe(asked, api.RunNotRun, nil)
-		p.tasks.Go(func() { p.record(record) })
+		// The claim may have been granted, but nothing will be run under it.
+		record := p.newOutcomeRecord(requested, api.RunNotRun, nil)
+		p.tasks.Go(func() { p.recordOutcome(record) })
 	}
 	if err != nil {
-		return p.notClaimed(read, err)
+		return p.claimUnavailable(headers, err)
 	}
 	switch result.Code {
 	case api.ClaimGranted:
-		return claimed{granted: asked}
+		return claimResult{granted: requested}
 	case api.ClaimDone:
-		return replay(&result.Claim)
+		return replayResult(&result.Claim)
 	case api.ClaimConflict:
-		return claimed{failed: conflict(codeKeyConflict, "the key was used with another body", attempt.RanNo)}
+		return claimResult{failed: conflict(codeKeyConflict, "the key was used with a different request", attempt.RanNo)}
 	default:
-		return claimed{failed: conflict(codeKeyRunning, "the key's run is under way or its outcome is not known", attempt.RanUnknown)}
+		return claimResult{failed: conflict(codeKeyRunning, "a run with this key is in progress or its outcome is unknown", attempt.RanUnknown)}
 	}
 }
 
-// notClaimed refuses a request that was not dispatched for want of a claim.
-func (p *Proxy) notClaimed(read *envelope, cause error) claimed {
-	event.ProxyClaimFailed.Log(p.logger, "tenant", read.tenant, "error", cause)
-	return claimed{failed: unavailable(codeNoQuorum, "the request could not be claimed, so it was not run", time.Second)}
+// claimUnavailable returns the result for a request that was not run because it
+// could not be claimed.
+func (p *Proxy) claimUnavailable(headers *requestHeaders, cause error) claimResult {
+	event.ProxyClaimFailed.Log(p.logger, "tenant", headers.tenant, "error", cause)
+	return claimResult{failed: unavailable(codeNoQuorum, "the request could not be claimed, so it was not run", time.Second)}
 }
 
-// commitClaim tries twice where the first try may have been committed: the same
-// nonce gets the same answer. A second try that surely was not made says nothing
-// of the first, whose outcome stays unknown.
+// commitClaim sends the claim a second time if the first attempt may have been
+// committed; the same nonce yields the same result. If the second attempt
+// certainly did not reach the group, the outcome of the first remains unknown.
 func (p *Proxy) commitClaim(ctx context.Context, request state.ClaimRequest) (api.ClaimResult, error) {
 	result, err := p.control.Claim(ctx, request)
 	if !errors.Is(err, feed.ErrOutcomeUnknown) || ctx.Err() != nil {
 		return result, err
 	}
-	result, again := p.control.Claim(ctx, request)
-	if errors.Is(again, feed.ErrNoQuorum) {
+	result, retryErr := p.control.Claim(ctx, request)
+	if errors.Is(retryErr, feed.ErrNoQuorum) {
 		return result, err
 	}
-	return result, again
+	return result, retryErr
 }
 
 func conflict(code, message string, ran attempt.Ran) *failure {
-	return &failure{status: http.StatusConflict, kind: typeInvalid, code: code, message: message, ran: ran}
+	return &failure{status: http.StatusConflict, errorType: typeInvalid, code: code, message: message, ran: ran}
 }
 
-// replay turns a claim that is done into its recorded answer.
-func replay(done *api.Claim) claimed {
+// replayResult returns the recorded response of a completed claim.
+func replayResult(done *api.Claim) claimResult {
 	if done.Outcome != api.RunCompleted {
-		return claimed{failed: conflict(codeKeyRunning, "the outcome of the key's run is not known", attempt.RanUnknown)}
+		return claimResult{failed: conflict(codeKeyRunning, "the outcome of the run with this key is unknown", attempt.RanUnknown)}
 	}
-	var answer recorded
+	var answer recordedResponse
 	if len(done.Answer) == 0 || json.Unmarshal(done.Answer, &answer) != nil || answer.Status == 0 {
-		return claimed{failed: conflict(codeKeyDone, "the request was run before; its answer was not kept", attempt.RanYes)}
+		return claimResult{failed: conflict(codeKeyDone, "the request has already run, but its response was not stored", attempt.RanYes)}
 	}
-	return claimed{answer: &answer}
+	return claimResult{response: &answer}
 }
 
-// settleClaim records what became of a claimed run. It waits for one try only,
-// so that the caller's answer is not held while the control group is away;
-// further tries go on without the request, whose caller may have gone.
-func (p *Proxy) settleClaim(held *claim, outcome api.RunOutcome, answer *recorded) {
-	if held == nil {
+// finishClaim records the outcome of a claimed run. It waits for one attempt
+// only, so that the response is not delayed while the control group is
+// unavailable. Further attempts run in the background, independently of the
+// request, whose client may have disconnected.
+func (p *Proxy) finishClaim(granted *claim, outcome api.RunOutcome, answer *recordedResponse) {
+	if granted == nil {
 		return
 	}
-	p.record(p.owe(held, outcome, answer))
+	p.recordOutcome(p.newOutcomeRecord(granted, outcome, answer))
 }
 
-// owe returns what is to be recorded of a claim. That a request was not run is
-// kept until it is recorded: its caller may ask again before.
-func (p *Proxy) owe(held *claim, outcome api.RunOutcome, answer *recorded) *state.RunOutcome {
-	record := &state.RunOutcome{Tenant: held.tenant, Key: held.key, Nonce: held.nonce, Outcome: outcome}
+// newOutcomeRecord returns the outcome to record for a claim. A not-run outcome
+// is also kept as pending until it is recorded, since the client may send the
+// request again before that.
+func (p *Proxy) newOutcomeRecord(granted *claim, outcome api.RunOutcome, answer *recordedResponse) *state.RunOutcome {
+	record := &state.RunOutcome{Tenant: granted.tenant, Key: granted.key, Nonce: granted.nonce, Outcome: outcome}
 	if answer != nil {
 		record.Answer = encodeRecorded(answer)
 	}
 	if outcome == api.RunNotRun {
-		p.owed.Store(claimKey{held.tenant, held.key}, record)
+		p.owed.Store(claimKey{granted.tenant, granted.key}, record)
 	}
 	return record
 }
 
-// settled ends the keeping of a record that is confirmed or given up.
-func (p *Proxy) settled(record *state.RunOutcome) {
+// dropPending removes a record that is confirmed or abandoned.
+func (p *Proxy) dropPending(record *state.RunOutcome) {
 	p.owed.CompareAndDelete(claimKey{record.Tenant, record.Key}, record)
 }
 
-// recordOwed records that this proxy has not run an earlier request with the
-// key, if that is still owed: a new claim must not overtake it.
-func (p *Proxy) recordOwed(ctx context.Context, key claimKey) error {
-	owed, found := p.owed.Load(key)
+// flushPending records the pending not-run outcome of an earlier request with
+// the key, if there is one. It must be recorded before a new claim is sent.
+func (p *Proxy) flushPending(ctx context.Context, key claimKey) error {
+	pending, found := p.owed.Load(key)
 	if !found {
 		return nil
 	}
-	return p.tryOutcome(ctx, owed.(*state.RunOutcome))
+	return p.sendOutcome(ctx, pending.(*state.RunOutcome))
 }
 
-// record tries once, and leaves further tries to the background.
-func (p *Proxy) record(record *state.RunOutcome) {
-	if p.tryOutcome(context.Background(), record) != nil {
+// recordOutcome tries once to record the outcome and retries in the background.
+func (p *Proxy) recordOutcome(record *state.RunOutcome) {
+	if p.sendOutcome(context.Background(), record) != nil {
 		p.tasks.Go(func() { p.retryOutcome(record) })
 	}
 }
 
-func encodeRecorded(answer *recorded) []byte {
+func encodeRecorded(answer *recordedResponse) []byte {
 	encoded, err := json.Marshal(answer)
 	if err != nil {
-		panic(err) // a type of ours that cannot be encoded
+		panic(err) // programming error: the type always encodes
 	}
 	if len(encoded) > state.MaxAnswerBytes {
 		return nil
@@ -200,43 +206,45 @@
 	return encoded
 }
 
-// outcomeRetries is how often recording an outcome is tried again. Recording
-// the same outcome again changes nothing.
+// outcomeRetries is how often recording an outcome is retried. Recording an
+// outcome is idempotent.
 const outcomeRetries = 2
 
-func (p *Proxy) tryOutcome(ctx context.Context, record *state.RunOutcome) error {
+func (p *Proxy) sendOutcome(ctx context.Context, record *state.RunOutcome) error {
 	ctx, cancel := context.WithTimeout(ctx, p.config.Timeouts.Claim)
 	defer cancel()
 	if err := p.control.RecordOutcome(ctx, *record); err != nil {
 		return err
 	}
-	p.settled(record)
+	p.dropPending(record)
 	return nil
 }
 
-// retryOutcome goes on for as long as the proxy runs where the request was surely
-// not run: its caller may ask again, and would find the key taken.
+// retryOutcome retries to record an outcome. If the request was certainly not
+// run, it retries for as long as the proxy runs, since otherwise the client
+// would find the key in use when it sends the request again.
 func (p *Proxy) retryOutcome(record *state.RunOutcome) {
-	defer p.settled(record)
+	defer p.dropPending(record)
 	random := newRandom()
 	var err error
-	for try := 0; try < outcomeRetries || p.isOwed(record); try++ {
+	for try := 0; try < outcomeRetries || p.retriesUntilConfirmed(record); try++ {
 		delay, _ := p.config.Backoff.Delay(try, time.Hour, random)
 		time.Sleep(delay)
-		if err = p.tryOutcome(context.Background(), record); err == nil {
+		if err = p.sendOutcome(context.Background(), record); err == nil {
 			return
 		}
 	}
 	event.ProxyOutcomeLost.Log(p.logger, "tenant", record.Tenant, "outcome", string(record.Outcome), "error", err)
 }
 
-// isOwed reports whether the record is to be tried until it is confirmed.
-func (p *Proxy) isOwed(record *state.RunOutcome) bool {
+// retriesUntilConfirmed reports whether recording is retried without limit.
+func (p *Proxy) retriesUntilConfirmed(record *state.RunOutcome) bool {
 	return record.Outcome == api.RunNotRun && p.background.Err() == nil
 }
 
-// outcomeOf translates what the caller is told into what is recorded.
-func outcomeOf(ran attempt.Ran) api.RunOutcome {
+// outcomeFor returns the outcome to record for a request whose client was told
+// ran.
+func outcomeFor(ran attempt.Ran) api.RunOutcome {
 	if ran == attempt.RanNo {
 		return api.RunNotRun
 	}
--- a/process/proxy/claim_test.go
+++ b/process/proxy/claim_test.go
@@ -19,16 +19,16 @@
 	"github.com/landingtrail/landingtrail/version/state"
 )
 
-// marked are the headers of a marked request with a key.
-func marked(key string) []string { return []string{HeaderClass, "briefing", HeaderKey, key} }
+// atMostOnceHeaders returns the headers of an at-most-once request with the key.
+func atMostOnceHeaders(key string) []string { return []string{HeaderClass, "briefing", HeaderKey, key} }
 
-// second starts another proxy before the same engines and control group.
-func (f *fleet) second() *fleet {
+// startSecondProxy starts another proxy with the same engines and control group.
+func (f *fleet) startSecondProxy() *fleet {
 	f.t.Helper()
 	return startWith(f.t, quick(), f.proxy.control, f.engines)
 }
 
-func TestClaimIsCommittedBeforeTheRun(t *testing.T) {
+func TestClaimIsCommittedBeforeRun(t *testing.T) {
 	control := newFakeControl()
 	engine := newFakeEngine(t, "e1", 11)
 	engine.script = func(e *fakeEngine, w http.ResponseWriter, r *http.Request, _ int) {
@@ -42,25 +42,26 @@
 		e.answer(w, r, 0, 3)
 	}
 	f := startWith(t, quick(), control, []*fakeEngine{engine})
-	_, whole := f.stream(append(marked("k1"), "X-Idempotency-Key", "k1")...).words()
+	_, whole := f.stream(append(atMostOnceHeaders("k1"), "X-Idempotency-Key", "k1")...).words()
 	must.True(t, whole)
 	must.Eq(t, 1, engine.runs.Load())
 }
 
-// TestMarkedRequestRunsOnce asks again with the same key, by the same proxy
-// and by another one, streamed and whole: one run, and the recorded answer.
-func TestMarkedRequestRunsOnce(t *testing.T) {
+// Sends an at-most-once request again with the same key, to the same proxy and
+// to another one. It must run once and return the recorded response. A different
+// request with the same key must be rejected.
+func TestAtMostOnceRequestRunsOnce(t *testing.T) {
 	engine := newFakeEngine(t, "e1", 11)
 	f := start(t, quick(), []*fakeEngine{engine})
-	first := f.stream(marked("k1")...)
+	first := f.stream(atMostOnceHeaders("k1")...)
 	words, whole := first.words()
 	must.True(t, whole)
-	for _, asked := range []*fleet{f, f.second()} {
+	for _, asked := range []*fleet{f, f.startSecondProxy()} {
 		eventually(t, func() bool {
-			again, ended := asked.stream(marked("k1")...).words()
+			again, ended := asked.stream(atMostOnceHeaders("k1")...).words()
 			return ended && len(again) == len(words)
 		})
-		other := asked.do(http.MethodPost, engineapi.PathCompletions, wholeBody, marked("k1")...)
+		other := asked.do(http.MethodPost, engineapi.PathCompletions, wholeBody, atMostOnceHeaders("k1")...)
 		must.Eq(t, http.StatusConflict, other.status)
 		must.Eq(t, codeKeyConflict, other.code())
 		must.Eq(t, "no", other.ran())
@@ -68,8 +69,8 @@
 	must.Eq(t, 1, engine.runs.Load())
 }
 
-// TestSameKeyAtOnce sends the same marked request by two proxies at once.
-func TestSameKeyAtOnce(t *testing.T) {
+// Sends the same at-most-once request to two proxies at the same time.
+func TestConcurrentRequestsWithSameKey(t *testing.T) {
 	engine := newFakeEngine(t, "e1", 11)
 	hold := make(chan struct{})
 	release := sync.OnceFunc(func() { close(hold) })
@@ -78,15 +79,15 @@
 		e.answer(w, r, 0, 3)
 	}
 	f := start(t, quick(), []*fakeEngine{engine})
-	t.Cleanup(release) // before the proxy is waited for
-	asked := []*fleet{f, f.second()}
+	t.Cleanup(release) // runs before the proxy's cleanup, which waits for the run
+	asked := []*fleet{f, f.startSecondProxy()}
 	answers := make([]*reply, len(asked))
 	var group sync.WaitGroup
 	for i, one := range asked {
-		group.Go(func() { answers[i] = one.stream(marked("k1")...) })
+		group.Go(func() { answers[i] = one.stream(atMostOnceHeaders("k1")...) })
 	}
 	eventually(t, func() bool { return engine.runs.Load() == 1 })
-	time.Sleep(20 * time.Millisecond) // room for a second run, if there is one
+	time.Sleep(20 * time.Millisecond) // leaves time for a second run to start
 	release()
 	group.Wait()
 	must.Eq(t, 1, engine.runs.Load())
@@ -102,13 +103,13 @@
 	must.True(t, wholes >= 1)
 }
 
-func TestUnknownOutcomeIsNeverRunAgain(t *testing.T) {
+func TestUnknownOutcomeIsNotRetried(t *testing.T) {
 	engine := newFakeEngine(t, "e1", 11)
-	engine.script = func(_ *fakeEngine, w http.ResponseWriter, _ *http.Request, _ int) { drop(w) }
+	engine.script = func(_ *fakeEngine, w http.ResponseWriter, _ *http.Request, _ int) { dropConnection(w) }
 	f := start(t, quick(), []*fakeEngine{engine})
-	must.Eq(t, "unknown", f.stream(marked("k1")...).ran())
-	for _, asked := range []*fleet{f, f.second()} {
-		answer := asked.stream(marked("k1")...)
+	must.Eq(t, "unknown", f.stream(atMostOnceHeaders("k1")...).ran())
+	for _, asked := range []*fleet{f, f.startSecondProxy()} {
+		answer := asked.stream(atMostOnceHeaders("k1")...)
 		must.Eq(t, http.StatusConflict, answer.status)
 		must.Eq(t, "unknown", answer.ran())
 		must.Eq(t, "", answer.header.Get("Retry-After"))
@@ -116,9 +117,9 @@
 	must.Eq(t, 1, engine.runs.Load())
 }
 
-// TestNotRunFreesTheKey refuses a marked request: told "no", its caller asks
-// again with the same key and it runs.
-func TestNotRunFreesTheKey(t *testing.T) {
+// A refused at-most-once request is reported as not run. A retry with the same
+// key must then run.
+func TestRefusedRequestReleasesKey(t *testing.T) {
 	engine := newFakeEngine(t, "e1", 11)
 	engine.script = func(e *fakeEngine, w http.ResponseWriter, r *http.Request, n int) {
 		if n == 1 {
@@ -128,14 +129,14 @@
 		e.answer(w, r, 0, 3)
 	}
 	f := start(t, quick(), []*fakeEngine{engine})
-	refused := f.stream(marked("k1")...)
+	refused := f.stream(atMostOnceHeaders("k1")...)
 	must.Eq(t, "no", refused.ran())
 	must.Eq(t, http.StatusServiceUnavailable, refused.status)
-	_, whole := f.stream(marked("k1")...).words()
+	_, whole := f.stream(atMostOnceHeaders("k1")...).words()
 	must.True(t, whole)
 }
 
-func TestMarkedRequestWithoutKey(t *testing.T) {
+func TestAtMostOnceRequestRequiresKey(t *testing.T) {
 	engine := newFakeEngine(t, "e1", 11)
 	f := start(t, quick(), []*fakeEngine{engine})
 	for _, headers := range [][]string{{HeaderClass, "briefing"}, {HeaderClass, "cap", HeaderRepeat, "never"}} {
@@ -147,14 +148,15 @@
 	must.Eq(t, 0, engine.runs.Load())
 }
 
-// TestNoQuorum refuses marked requests at once as not run; others are served.
-func TestNoQuorum(t *testing.T) {
+// Without a quorum, at-most-once requests must be refused as not run, while other
+// requests are served.
+func TestClaimWithoutQuorumIsRefused(t *testing.T) {
 	for _, cause := range []error{feed.ErrNoQuorum, feed.ErrOutcomeUnknown} {
 		engine := newFakeEngine(t, "e1", 11)
 		control := newFakeControl()
 		control.lost = errors.Wrap(cause, "test")
 		f := startWith(t, quick(), control, []*fakeEngine{engine})
-		answer := f.stream(marked("k1")...)
+		answer := f.stream(atMostOnceHeaders("k1")...)
 		must.Eq(t, http.StatusServiceUnavailable, answer.status)
 		must.Eq(t, codeNoQuorum, answer.code())
 		must.Eq(t, "no", answer.ran())
@@ -165,30 +167,31 @@
 	}
 }
 
-// stuckControl grants claims and then never answers a recorded outcome.
-type stuckControl struct{ *fakeControl }
+// hangingControl grants claims, but never responds when an outcome is recorded.
+type hangingControl struct{ *fakeControl }
 
-func (c stuckControl) RecordOutcome(ctx context.Context, _ state.RunOutcome) error {
+func (c hangingControl) RecordOutcome(ctx context.Context, _ state.RunOutcome) error {
 	<-ctx.Done()
 	return errors.Wrap(feed.ErrOutcomeUnknown, "test")
 }
 
-// TestUnknownIsToldBeforeItIsRecorded loses the control group between claim
-// and outcome: the caller has the whole answer while the record is tried.
-func TestUnknownIsToldBeforeItIsRecorded(t *testing.T) {
+// The control group becomes unavailable between the claim and its outcome. The
+// client must get the complete response while the proxy still tries to record the
+// outcome.
+func TestUnknownOutcomeIsReportedBeforeRecording(t *testing.T) {
 	engine := newFakeEngine(t, "e1", 11)
-	engine.script = func(_ *fakeEngine, w http.ResponseWriter, _ *http.Request, _ int) { drop(w) }
+	engine.script = func(_ *fakeEngine, w http.ResponseWriter, _ *http.Request, _ int) { dropConnection(w) }
 	config := quick()
 	config.Timeouts.Claim = 300 * time.Millisecond
-	f := startWith(t, config, stuckControl{newFakeControl()}, []*fakeEngine{engine})
-	answer := f.stream(marked("k1")...)
+	f := startWith(t, config, hangingControl{newFakeControl()}, []*fakeEngine{engine})
+	answer := f.stream(atMostOnceHeaders("k1")...)
 	must.Eq(t, "unknown", answer.ran())
 	must.Eq(t, 1, f.proxy.running.count()) // the handler is still recording
 }
 
-// TestCallerOfAMarkedRunHangsUp lets the run go on, so that the caller who
-// asks again gets its answer.
-func TestCallerOfAMarkedRunHangsUp(t *testing.T) {
+// The run must continue after the client disconnects, so that a retry gets the
+// response.
+func TestAtMostOnceRunContinuesAfterClientDisconnects(t *testing.T) {
 	engine := newFakeEngine(t, "e1", 11)
 	hold := make(chan struct{})
 	release := sync.OnceFunc(func() { close(hold) })
@@ -199,13 +202,13 @@
 		e.answer(w, r, 1, 3)
 	}
 	f := start(t, quick(), []*fakeEngine{engine})
-	t.Cleanup(release) // before the proxy is waited for
-	hangUp := f.open(marked("k1")...)
-	hangUp()
+	t.Cleanup(release) // runs before the proxy's cleanup, which waits for the run
+	disconnect := f.open(atMostOnceHeaders("k1")...)
+	disconnect()
 	release()
 	var words []string
 	eventually(t, func() bool {
-		again, whole := f.stream(marked("k1")...).words()
+		again, whole := f.stream(atMostOnceHeaders("k1")...).words()
 		words = again
 		return whole
 	})
@@ -214,8 +217,8 @@
 	must.Eq(t, 0, engine.cancels.Load())
 }
 
-// TestKeyOfABackEnd claims a marked request for a plain back end as well.
-func TestKeyOfABackEnd(t *testing.T) {
+// At-most-once requests to plain backends must be claimed as well.
+func TestAtMostOnceRequestToBackend(t *testing.T) {
 	backend := newFakeBackend(t)
 	f := start(t, quick(), nil, backend.server)
 	headers := []string{HeaderRepeat, "never", HeaderKey, "k1"}
@@ -230,49 +233,49 @@
 	must.Eq(t, 1, backend.runs.Load())
 }
 
-// TestClaimWithoutAnAnswerIsGivenBack: a claim whose grant was lost is recorded
-// as not run, since nothing was dispatched under it.
-func TestClaimWithoutAnAnswerIsGivenBack(t *testing.T) {
+// A claim is granted, but the response of the control group is lost. The claim
+// must be recorded as not run, since nothing was run under it.
+func TestClaimWithLostResponseIsReleased(t *testing.T) {
 	control := &lossyControl{fakeControl: newFakeControl()}
 	views := &fixedViews{}
 	views.view.Store(newView(nil, nil))
 	made := New(quick(), views, control, func() time.Duration { return 0 }, log.NewNopLogger())
 	made.config.Timeouts.Claim = 50 * time.Millisecond
-	answer := made.claimRun(context.Background(), &envelope{tenant: "default", key: "k1"}, 1)
+	answer := made.acquireClaim(context.Background(), &requestHeaders{tenant: "default", key: "k1"}, 1)
 	must.Nil(t, answer.granted)
 	must.Eq(t, attempt.RanNo, answer.failed.ran)
 	made.Close()
 	must.Eq(t, api.RunNotRun, control.claims["default/k1"].Outcome)
 }
 
-// lossyControl commits each claim and loses the answer.
+// lossyControl commits each claim, but loses the response.
 type lossyControl struct{ *fakeControl }
 
 func (c *lossyControl) Claim(ctx context.Context, request state.ClaimRequest) (api.ClaimResult, error) {
-	_, _ = c.fakeControl.Claim(ctx, request) // the commit is what counts
+	_, _ = c.fakeControl.Claim(ctx, request) // only the commit matters
 	<-ctx.Done()
 	return api.ClaimResult{}, errors.Wrap(feed.ErrOutcomeUnknown, "test")
 }
 
-// TestClaimIsGivenBackThoughTheSecondTryMetNoLeader: the first try was committed
-// and its answer lost, the second surely not made. The caller, told "no", asks
-// again and has to be granted the key.
-func TestClaimIsGivenBackThoughTheSecondTryMetNoLeader(t *testing.T) {
+// The first claim attempt is committed but its response is lost, and the second
+// attempt certainly does not reach the group. The client is told that the request
+// did not run, so a retry must be granted the key.
+func TestClaimIsReleasedWhenRetryFindsNoLeader(t *testing.T) {
 	control := &leaderlessControl{fakeControl: newFakeControl()}
 	views := &fixedViews{}
 	views.view.Store(newView(nil, nil))
 	made := New(quick(), views, control, func() time.Duration { return 0 }, log.NewNopLogger())
-	read := &envelope{tenant: "default", key: "k1"}
-	answer := made.claimRun(context.Background(), read, 1)
+	read := &requestHeaders{tenant: "default", key: "k1"}
+	answer := made.acquireClaim(context.Background(), read, 1)
 	must.NotNil(t, answer.failed)
 	must.Eq(t, attempt.RanNo, answer.failed.ran)
-	made.Close() // waits for what is recorded
+	made.Close() // waits until the outcome is recorded
 	must.Eq(t, api.RunNotRun, control.claims["default/k1"].Outcome)
-	must.NotNil(t, made.claimRun(context.Background(), read, 1).granted)
+	must.NotNil(t, made.acquireClaim(context.Background(), read, 1).granted)
 }
 
-// leaderlessControl commits the first claim and loses the answer with its
-// leader; the second try meets no leader.
+// leaderlessControl commits the first claim, but loses its response along with
+// the leader, so that the second attempt finds no leader.
 type leaderlessControl struct {
 	*fakeControl
 	tries int
@@ -282,7 +285,7 @@
 	c.tries++
 	switch c.tries {
 	case 1:
-		_, _ = c.fakeControl.Claim(ctx, request) // the commit is what counts
+		_, _ = c.fakeControl.Claim(ctx, request) // only the commit matters
 		return api.ClaimResult{}, errors.Wrap(feed.ErrOutcomeUnknown, "test")
 	case 2:
 		return api.ClaimResult{}, errors.Wrap(feed.ErrNoQuorum, "test")
@@ -291,11 +294,11 @@
 	}
 }
 
-// TestCallerAsksAgainBeforeItsClaimIsGivenBack: the caller was told "no" while
-// the record of that was still on its way. A new claim that overtook the record
-// would find the key taken.
-func TestCallerAsksAgainBeforeItsClaimIsGivenBack(t *testing.T) {
-	control := &slowRecords{
+// The client is told that the request did not run while that outcome is still
+// being recorded. A new claim must not overtake the record, or it would find the
+// key in use.
+func TestNewClaimWaitsForPendingRelease(t *testing.T) {
+	control := &blockedRecords{
 		leaderlessControl: leaderlessControl{fakeControl: newFakeControl()},
 		begun:             make(chan struct{}),
 		release:           make(chan struct{}),
@@ -303,27 +306,28 @@
 	views := &fixedViews{}
 	views.view.Store(newView(nil, nil))
 	made := New(quick(), views, control, func() time.Duration { return 0 }, log.NewNopLogger())
-	read := &envelope{tenant: "default", key: "k1"}
-	must.Eq(t, attempt.RanNo, made.claimRun(context.Background(), read, 1).failed.ran)
+	read := &requestHeaders{tenant: "default", key: "k1"}
+	must.Eq(t, attempt.RanNo, made.acquireClaim(context.Background(), read, 1).failed.ran)
 	<-control.begun
-	again := made.claimRun(context.Background(), read, 1)
+	again := made.acquireClaim(context.Background(), read, 1)
 	close(control.release)
 	made.Close()
 	must.NotNil(t, again.granted)
-	must.Eq(t, api.RunUnknown, control.claims["default/k1"].Outcome, must.Sprint("the late record is of the first claim"))
+	must.Eq(t, api.RunUnknown, control.claims["default/k1"].Outcome, must.Sprint("the late record belongs to the first claim"))
 	_, kept := made.owed.Load(claimKey{"default", "k1"})
 	must.False(t, kept)
 }
 
-// slowRecords holds the first record up until it is released.
-type slowRecords struct {
+// blockedRecords blocks the recording of the first outcome until release is
+// closed.
+type blockedRecords struct {
 	leaderlessControl
 	records atomic.Int32
 	begun   chan struct{}
 	release chan struct{}
 }
 
-func (c *slowRecords) RecordOutcome(ctx context.Context, outcome state.RunOutcome) error {
+func (c *blockedRecords) RecordOutcome(ctx context.Context, outcome state.RunOutcome) error {
 	if c.records.Add(1) == 1 {
 		close(c.begun)
 		<-c.release
@@ -331,16 +335,16 @@
 	return c.fakeControl.RecordOutcome(ctx, outcome)
 }
 
-// TestNotRunIsRecordedHoweverLongTheGroupIsAway: nothing but the record frees the
-// key of a request that was not run.
-func TestNotRunIsRecordedHoweverLongTheGroupIsAway(t *testing.T) {
-	control := &awayRecords{leaderlessControl: leaderlessControl{fakeControl: newFakeControl()}}
-	control.away.Store(3 * outcomeRetries)
+// Only the recorded outcome releases the key of a request that was not run, so
+// recording must be retried however long the control group is unavailable.
+func TestNotRunOutcomeIsRetriedUntilRecorded(t *testing.T) {
+	control := &unavailableRecords{leaderlessControl: leaderlessControl{fakeControl: newFakeControl()}}
+	control.failures.Store(3 * outcomeRetries)
 	views := &fixedViews{}
 	views.view.Store(newView(nil, nil))
 	made := New(quick(), views, control, func() time.Duration { return 0 }, log.NewNopLogger())
 	t.Cleanup(made.Close)
-	must.Eq(t, attempt.RanNo, made.claimRun(context.Background(), &envelope{tenant: "default", key: "k1"}, 1).failed.ran)
+	must.Eq(t, attempt.RanNo, made.acquireClaim(context.Background(), &requestHeaders{tenant: "default", key: "k1"}, 1).failed.ran)
 	eventually(t, func() bool {
 		control.lock.Lock()
 		defer control.lock.Unlock()
@@ -348,14 +352,14 @@
 	})
 }
 
-// awayRecords takes no record for the first tries.
-type awayRecords struct {
+// unavailableRecords fails the first attempts to record an outcome.
+type unavailableRecords struct {
 	leaderlessControl
-	away atomic.Int32
+	failures atomic.Int32
 }
 
-func (c *awayRecords) RecordOutcome(ctx context.Context, outcome state.RunOutcome) error {
-	if c.away.Add(-1) >= 0 {
+func (c *unavailableRecords) RecordOutcome(ctx context.Context, outcome state.RunOutcome) error {
+	if c.failures.Add(-1) >= 0 {
 		return errors.Wrap(feed.ErrNoQuorum, "test")
 	}
 	return c.fakeControl.RecordOutcome(ctx, outcome)
--- a/process/proxy/deadline_test.go
+++ b/process/proxy/deadline_test.go
@@ -15,9 +15,10 @@
 
 const pathTile = "/services/tiles/frame/1"
 
-// What is left is less than the proxy keeps for itself, although the deadline has not
-// passed yet: the back end is not asked, and the request is not at fault.
-func TestNothingLeftForTheBackEnd(t *testing.T) {
+// The deadline has not passed, but the time left is less than the margin that the
+// proxy reserves for itself. The backend must not be called, and the failure must
+// not be reported as a client error.
+func TestDeadlineBelowMarginIsRefused(t *testing.T) {
 	backend := newFakeBackend(t)
 	config := quick()
 	config.Margin = retry.Margin{Least: time.Hour}
@@ -30,8 +31,8 @@
 	must.Zero(t, backend.runs.Load())
 }
 
-// The deadline passes while a back end's answer comes.
-func TestDeadlineInAnAnswerOfABackEnd(t *testing.T) {
+// The deadline passes while a backend is sending its response.
+func TestDeadlineDuringBackendResponse(t *testing.T) {
 	const left = time.Second
 	ask := func(t *testing.T, script http.HandlerFunc) (answer *reply, took time.Duration) {
 		backend := newFakeBackend(t)
@@ -41,7 +42,7 @@
 		answer = f.do(http.MethodGet, pathTile, "", HeaderClass, "frame", HeaderDeadline, strconv.FormatInt(left.Milliseconds(), 10))
 		return answer, time.Since(began)
 	}
-	t.Run("before its first byte", func(t *testing.T) {
+	t.Run("before the first byte", func(t *testing.T) {
 		t.Parallel()
 		answer, _ := ask(t, func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("X-Tile", "1")
@@ -53,7 +54,7 @@
 		must.Eq(t, "yes", answer.ran())
 		must.Eq(t, "", answer.header.Get("X-Tile"))
 	})
-	t.Run("after a part", func(t *testing.T) {
+	t.Run("after part of the body", func(t *testing.T) {
 		t.Parallel()
 		part := strings.Repeat("x", 4<<10)
 		answer, took := ask(t, func(w http.ResponseWriter, r *http.Request) {
@@ -62,21 +63,22 @@
 			hang(r)
 		})
 		must.Eq(t, http.StatusOK, answer.status)
-		must.Error(t, answer.err, must.Sprint("a part must not look whole"))
+		must.Error(t, answer.err, must.Sprint("a partial response must not look complete"))
 		must.Eq(t, part, answer.body)
-		must.GreaterEq(t, left, took, must.Sprint("it broke before its deadline"))
+		must.GreaterEq(t, left, took, must.Sprint("the response ended before its deadline"))
 	})
 }
 
-// A back end breaks its answer off before the first byte: the caller has been given
-// nothing, so another one can be asked, and if none can, the caller is told.
-func TestBackEndBreaksOffBeforeTheFirstByte(t *testing.T) {
+// A backend drops the connection before the first byte of the body. Nothing has
+// been sent to the client, so the request must be retried on another backend, or
+// fail with an error if there is none.
+func TestBackendDropsConnectionBeforeFirstByte(t *testing.T) {
 	broken := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("X-Tile", "broken")
 		_ = http.NewResponseController(w).Flush()
-		drop(w)
+		dropConnection(w)
 	}
-	t.Run("once", func(t *testing.T) {
+	t.Run("one backend", func(t *testing.T) {
 		var asked atomic.Int32
 		script := func(w http.ResponseWriter, r *http.Request) {
 			if asked.Add(1) == 1 {
@@ -95,7 +97,7 @@
 		must.Eq(t, 1, second.runs.Load())
 		must.Eq(t, "", answer.header.Get("X-Tile"))
 	})
-	t.Run("by all", func(t *testing.T) {
+	t.Run("all backends", func(t *testing.T) {
 		backend := newFakeBackend(t)
 		backend.script = broken
 		f := start(t, quick(), nil, backend.server)
@@ -106,7 +108,7 @@
 		must.Eq(t, "", answer.header.Get("X-Tile"))
 		must.Eq(t, 1, backend.runs.Load())
 	})
-	t.Run("of a request that is not safe", func(t *testing.T) {
+	t.Run("unsafe method", func(t *testing.T) {
 		backend := newFakeBackend(t)
 		backend.script = broken
 		f := start(t, quick(), nil, backend.server)
--- a/process/proxy/fault_test.go
+++ b/process/proxy/fault_test.go
@@ -15,23 +15,23 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// script is what an engine does with its n-th run.
+// script defines how an engine handles its n-th run.
 type script = func(e *fakeEngine, w http.ResponseWriter, r *http.Request, n int)
 
-func drop(http.ResponseWriter) { panic(http.ErrAbortHandler) }
+func dropConnection(http.ResponseWriter) { panic(http.ErrAbortHandler) }
 
-// hang holds a request until its sender has gone, which net/http's server sees
-// only after it has read the body.
+// hang blocks until the client of the request has disconnected, which net/http's
+// server detects only after the body has been read.
 func hang(r *http.Request) {
-	_, _ = io.Copy(io.Discard, r.Body) // whoever has gone is gone
+	_, _ = io.Copy(io.Discard, r.Body) // the client may have disconnected already
 	<-r.Context().Done()
 }
 
-// patience is longer than any engine of these tests takes to begin, however busy the machine.
+// patience is a timeout that no engine of these tests reaches, even on a busy machine.
 const patience = 10 * time.Second
 
-// TestStreamFaults brings about each fault on both engines' first runs and
-// checks what the caller of an unmarked and of a marked request gets.
+// Injects each fault on both engines and checks the response to an ordinary and
+// to an at-most-once request.
 func TestStreamFaults(t *testing.T) {
 	refuse := func(status int, code string) script {
 		return func(e *fakeEngine, w http.ResponseWriter, _ *http.Request, _ int) { e.refuse(w, status, code) }
@@ -39,26 +39,26 @@
 	cases := []struct {
 		name   string
 		script script
-		// what an unmarked streaming caller gets when every engine does this
+		// response to an ordinary streaming request if every engine does this
 		status int
 		ran    string
 		whole  bool
-		runs   int32 // by the first engine and the second together
-		// what the marked one gets: how many engines were asked
-		markedRan  string
-		markedRuns int32
-		// hangs says that the engines never end their answers: only then may the proxy's
-		// patience end an attempt. Elsewhere an engine that begins late on a busy machine
-		// would be given up before it counts the run.
+		runs   int32 // total of both engines
+		// the same for an at-most-once request
+		atMostOnceRan  string
+		atMostOnceRuns int32
+		// hangs means that the engines never end their responses. Only then do the
+		// proxy's short timeouts apply. Otherwise, on a busy machine, an attempt could
+		// time out before the engine starts and counts the run.
 		hangs bool
 	}{
 		{"refused while draining", refuse(503, "draining"), 503, "no", false, 2, "no", 2, false},
 		{"refused with a full queue", refuse(503, "queue_full"), 503, "no", false, 2, "no", 2, false},
 		{"refused as a bad request", refuse(400, "bad_request"), 400, "no", false, 1, "no", 1, false},
-		{"connection dropped before the head", func(_ *fakeEngine, w http.ResponseWriter, _ *http.Request, _ int) {
-			drop(w)
+		{"connection dropped before the response header", func(_ *fakeEngine, w http.ResponseWriter, _ *http.Request, _ int) {
+			dropConnection(w)
 		}, 502, "unknown", false, 2, "unknown", 1, false},
-		{"never answers", func(_ *fakeEngine, _ http.ResponseWriter, r *http.Request, _ int) {
+		{"never responds", func(_ *fakeEngine, _ http.ResponseWriter, r *http.Request, _ int) {
 			hang(r)
 		}, 502, "unknown", false, 2, "unknown", 1, true},
 		{"admits and sends no token", func(e *fakeEngine, w http.ResponseWriter, r *http.Request, _ int) {
@@ -66,28 +66,28 @@
 			e.tokens(w, id, number, 0, 0)
 			hang(r)
 		}, 502, "yes", false, 2, "yes", 1, true},
-		{"status 500 without a word on admission", func(_ *fakeEngine, w http.ResponseWriter, _ *http.Request, _ int) {
+		{"status 500 without admission header", func(_ *fakeEngine, w http.ResponseWriter, _ *http.Request, _ int) {
 			w.WriteHeader(500)
 		}, 502, "unknown", false, 2, "unknown", 1, false},
-		{"answers another request", func(e *fakeEngine, w http.ResponseWriter, _ *http.Request, _ int) {
+		{"responds to a different request", func(e *fakeEngine, w http.ResponseWriter, _ *http.Request, _ int) {
 			w.Header().Set(engineapi.HeaderRequestID, "another")
 			e.tokens(w, "another", 1, 0, 3)
 		}, 502, "unknown", false, 2, "unknown", 1, false},
-		{"streams another request's events", func(e *fakeEngine, w http.ResponseWriter, _ *http.Request, _ int) {
+		{"streams events of a different request", func(e *fakeEngine, w http.ResponseWriter, _ *http.Request, _ int) {
 			e.tokens(w, "another", 1, 0, 3)
 		}, 502, "yes", false, 2, "yes", 1, false},
-		{"streams events of another attempt", func(e *fakeEngine, w http.ResponseWriter, r *http.Request, _ int) {
+		{"streams events of a different attempt", func(e *fakeEngine, w http.ResponseWriter, r *http.Request, _ int) {
 			id, _ := runOf(r)
 			e.tokens(w, id, 99, 0, 3)
 		}, 502, "yes", false, 2, "yes", 1, false},
-		{"leaves out the first token", func(e *fakeEngine, w http.ResponseWriter, r *http.Request, _ int) {
+		{"omits the first token", func(e *fakeEngine, w http.ResponseWriter, r *http.Request, _ int) {
 			id, number := runOf(r)
 			e.tokens(w, id, number, 1, 3)
 		}, 502, "yes", false, 2, "yes", 1, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			for _, marked := range []bool{false, true} {
+			for _, atMostOnce := range []bool{false, true} {
 				first, second := newFakeEngine(t, "e1", 11), newFakeEngine(t, "e2", 12)
 				first.script, second.script = test.script, test.script
 				config := quick()
@@ -98,18 +98,18 @@
 				f := start(t, config, []*fakeEngine{first, second})
 				headers := []string{HeaderClass, "cap"}
 				wantRan, wantRuns := test.ran, test.runs
-				if marked {
+				if atMostOnce {
 					headers = []string{HeaderClass, "briefing", HeaderKey, "k1"}
-					wantRan, wantRuns = test.markedRan, test.markedRuns
+					wantRan, wantRuns = test.atMostOnceRan, test.atMostOnceRuns
 				}
 				answer := f.stream(headers...)
 				must.Eq(t, wantRan, answer.ran())
 				runs := func() int32 { return first.runs.Load() + second.runs.Load() }
-				if test.hangs { // an engine may begin, and count, after it was given up
+				if test.hangs { // an engine may start and count the run after the attempt timed out
 					must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return runs() >= wantRuns }), wait.Timeout(patience)))
 				}
 				must.Eq(t, wantRuns, runs())
-				if !marked {
+				if !atMostOnce {
 					must.Eq(t, test.status, answer.status)
 				}
 				_, whole := answer.words()
@@ -120,7 +120,7 @@
 	}
 }
 
-func TestRefusalIsRetriedElsewhere(t *testing.T) {
+func TestRefusedRequestIsRetriedOnAnotherEngine(t *testing.T) {
 	first, second := newFakeEngine(t, "e1", 11), newFakeEngine(t, "e2", 12)
 	first.script = func(e *fakeEngine, w http.ResponseWriter, _ *http.Request, _ int) {
 		e.setPhase(api.PhaseDraining)
@@ -134,23 +134,23 @@
 		must.True(t, whole)
 		must.Eq(t, []string{"e2-0", "e2-1", "e2-2"}, words)
 	}
-	// The refusal tells the phase: the engine is asked at most once.
+	// The refusal carries the engine's phase, so the engine is called at most once.
 	must.True(t, first.runs.Load() <= 1)
 }
 
-// cutAfter streams count tokens and breaks the connection.
-func cutAfter(count int) script {
+// dropAfter streams count tokens and drops the connection.
+func dropAfter(count int) script {
 	return func(e *fakeEngine, w http.ResponseWriter, r *http.Request, _ int) {
 		id, number := runOf(r)
 		e.tokens(w, id, number, 0, count)
-		drop(w)
+		dropConnection(w)
 	}
 }
 
-func TestCutStreamIsResumed(t *testing.T) {
+func TestInterruptedStreamIsResumed(t *testing.T) {
 	for _, headers := range [][]string{{HeaderClass, "cap"}, {HeaderClass, "briefing", HeaderKey, "k1"}} {
 		engine := newFakeEngine(t, "e1", 11)
-		engine.script = cutAfter(2)
+		engine.script = dropAfter(2)
 		engine.resume = func(e *fakeEngine, w http.ResponseWriter, _ *http.Request, request engineapi.ResumeRequest) {
 			must.Eq(t, 2, request.Offset)
 			must.Eq(t, 11, request.Incarnation)
@@ -165,11 +165,11 @@
 	}
 }
 
-// TestCutStreamIsNeverSpliced cuts a stream that cannot be resumed: a caller
-// who has seen a token gets an error event and no other engine's tokens.
-func TestCutStreamIsNeverSpliced(t *testing.T) {
+// The stream is interrupted and cannot be resumed. A client that has received a
+// token must get an error event, and no tokens of another engine.
+func TestInterruptedStreamIsNotContinuedByAnotherEngine(t *testing.T) {
 	first, second := newFakeEngine(t, "e1", 11), newFakeEngine(t, "e2", 12)
-	first.script, second.script = cutAfter(1), cutAfter(1)
+	first.script, second.script = dropAfter(1), dropAfter(1)
 	f := start(t, quick(), []*fakeEngine{first, second})
 	answer := f.stream(HeaderClass, "cap")
 	must.Eq(t, http.StatusOK, answer.status)
@@ -181,9 +181,9 @@
 	must.Eq(t, 1, first.runs.Load()+second.runs.Load())
 }
 
-func TestWholeAnswerIsRunAgainAfterACut(t *testing.T) {
+func TestBufferedRequestIsRetriedAfterDroppedStream(t *testing.T) {
 	first, second := newFakeEngine(t, "e1", 11), newFakeEngine(t, "e2", 12)
-	first.script = cutAfter(2)
+	first.script = dropAfter(2)
 	second.script = func(e *fakeEngine, w http.ResponseWriter, r *http.Request, _ int) {
 		e.answer(w, r, 0, 3)
 	}
@@ -195,7 +195,7 @@
 	}
 }
 
-func TestStalledStreamMakesTheEngineSuspect(t *testing.T) {
+func TestStalledStreamMarksEngineSuspect(t *testing.T) {
 	engine := newFakeEngine(t, "e1", 11)
 	engine.script = func(e *fakeEngine, w http.ResponseWriter, r *http.Request, _ int) {
 		id, number := runOf(r)
@@ -215,7 +215,7 @@
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(holds), wait.Timeout(5*time.Second), wait.Gap(5*time.Millisecond)))
 }
 
-func TestCallerWhoHangsUpCancelsTheRun(t *testing.T) {
+func TestClientDisconnectCancelsRun(t *testing.T) {
 	engine := newFakeEngine(t, "e1", 11)
 	engine.script = func(e *fakeEngine, w http.ResponseWriter, r *http.Request, _ int) {
 		id, number := runOf(r)
@@ -225,7 +225,7 @@
 	config := quick()
 	config.Timeouts.Stall = time.Minute
 	f := start(t, config, []*fakeEngine{engine})
-	ctx, hangUp := context.WithCancel(context.Background())
+	ctx, disconnect := context.WithCancel(context.Background())
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, f.url+engineapi.PathCompletions, strings.NewReader(streamBody))
 	must.NoError(t, err)
 	transport := &http.Transport{}
@@ -234,15 +234,15 @@
 	must.NoError(t, err)
 	_, err = response.Body.Read(make([]byte, 1))
 	must.NoError(t, err)
-	hangUp()
+	disconnect()
 	_ = response.Body.Close()
 	eventually(t, func() bool { return engine.cancels.Load() == 1 && f.proxy.running.count() == 0 })
 	must.Eq(t, 0, f.proxy.lanes.find("narrator").queue.Depth().InFlight)
 }
 
-// TestCallerWhoStopsReading fills the connection's buffers: the write deadline
-// ends the request and the engine is told.
-func TestCallerWhoStopsReading(t *testing.T) {
+// The client stops reading until the connection's buffers are full. The write
+// deadline must end the request, and the run on the engine must be cancelled.
+func TestClientStopsReading(t *testing.T) {
 	engine := newFakeEngine(t, "e1", 11)
 	engine.script = func(e *fakeEngine, w http.ResponseWriter, r *http.Request, _ int) {
 		id, number := runOf(r)
@@ -264,7 +264,7 @@
 	eventually(t, func() bool { return engine.cancels.Load() == 1 && f.proxy.running.count() == 0 })
 }
 
-func TestDeadlineEndsTheRequestAtOnce(t *testing.T) {
+func TestDeadlineEndsRequest(t *testing.T) {
 	engine := newFakeEngine(t, "e1", 11)
 	engine.script = func(e *fakeEngine, w http.ResponseWriter, r *http.Request, _ int) {
 		id, number := runOf(r)
@@ -281,13 +281,13 @@
 	eventually(t, func() bool { return engine.cancels.Load() == 1 })
 }
 
-func TestSplitServing(t *testing.T) {
+func TestDisaggregatedPrefill(t *testing.T) {
 	drain := func(e *fakeEngine, w http.ResponseWriter) {
 		e.setPhase(api.PhaseDraining)
 		w.Header().Set(engineapi.HeaderPhase, string(api.PhaseDraining))
 		e.refuse(w, http.StatusServiceUnavailable, "draining")
 	}
-	crash := func(_ *fakeEngine, w http.ResponseWriter) { drop(w) }
+	crash := func(_ *fakeEngine, w http.ResponseWriter) { dropConnection(w) }
 	breaks := func(_ *fakeEngine, w http.ResponseWriter) { http.Error(w, "broken", http.StatusInternalServerError) }
 	for _, fails := range []func(*fakeEngine, http.ResponseWriter){nil, drain, crash, breaks} {
 		prefill, decode := newFakeEngine(t, "e1", 11), newFakeEngine(t, "e2", 12)
--- a/process/proxy/handle_model.go
+++ b/process/proxy/handle_model.go
@@ -13,41 +13,41 @@
 	"github.com/landingtrail/landingtrail/version/state"
 )
 
-// serveCompletion answers POST /v1/chat/completions and /v1/completions.
+// serveCompletion handles POST /v1/chat/completions and /v1/completions.
 func (p *Proxy) serveCompletion(w http.ResponseWriter, r *http.Request) {
-	p.prepare(w)
-	held, failed := p.readBody(w, r, &p.modelBodies)
+	p.setCommonHeaders(w)
+	body, failed := p.readBody(w, r, &p.modelBodies)
 	if failed != nil {
 		failed.write(w)
 		return
 	}
-	defer held.release()
-	parsed, failed := parseCompletion(r.URL.Path, held.data)
+	defer body.release()
+	parsed, failed := parseCompletion(r.URL.Path, body.data)
 	if failed != nil {
 		failed.write(w)
 		return
 	}
-	made, failed := p.newCall(w, r, parsed)
+	c, failed := p.newCall(w, r, parsed)
 	if failed != nil {
 		failed.write(w)
 		return
 	}
 	started := time.Now()
-	made.offer()
-	failed = made.serve(r.Context(), w, hashBody(r.Method, r.URL.Path, held.data))
-	made.account(failed, time.Since(started))
+	c.countOffered()
+	failed = c.serve(r.Context(), w, hashBody(r.Method, r.URL.Path, body.data))
+	c.countEnded(failed, time.Since(started))
 }
 
-// prepare sets the headers that every answer has.
-func (p *Proxy) prepare(w http.ResponseWriter) {
+// setCommonHeaders sets the headers that all responses share.
+func (p *Proxy) setCommonHeaders(w http.ResponseWriter) {
 	if p.stopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
 }
 
-// newCall checks a request against the view.
-func (p *Proxy) newCall(w http.ResponseWriter, r *http.Request, parsed *completion) (*call, *failure) {
-	read, failed := readEnvelope(r.Header)
+// newCall validates a request against the view and returns its call.
+func (p *Proxy) newCall(w http.ResponseWriter, r *http.Request, parsed *completionRequest) (*call, *failure) {
+	headers, failed := parseHeaders(r.Header)
 	if failed != nil {
 		return nil, failed
 	}
@@ -56,68 +56,69 @@
 		return nil, failed
 	}
 	if !s.catalog.knowsModel(parsed.request.Model) {
-		return nil, notFound(codeUnknownModel, "no intent serves the model")
+		return nil, notFound(codeUnknownModel, "the model does not exist")
 	}
-	class, failed := s.catalog.modelClass(read.class, parsed.request.Model)
+	class, failed := s.catalog.modelClass(headers.class, parsed.request.Model)
 	if failed != nil {
 		return nil, failed
 	}
-	if failed := p.settle(&read, class); failed != nil {
+	if failed := p.applyClass(&headers, class); failed != nil {
 		return nil, failed
 	}
-	if failed := p.refuseLate(read.left); failed != nil {
+	if failed := p.refuseBeyondDrain(headers.timeLeft); failed != nil {
 		return nil, failed
 	}
 	found := p.lanes.find(class.Spec.Service)
 	if found == nil || found.kind != api.ServiceModel {
-		return nil, invalid(codeUnknownClass, "the class is not one of a model service")
+		return nil, invalid(codeUnknownClass, "the class does not belong to a model service")
 	}
-	made := &call{
-		proxy:    p,
-		lane:     found,
-		id:       p.newID(),
-		parsed:   parsed,
-		envelope: read,
-		priority: class.Spec.Priority,
-		expected: p.answers.Expect(read.class, parsed.outputTokens()),
-		endsAt:   p.clock() + read.left,
-		random:   newRandom(),
-		excluded: map[string]bool{},
+	c := &call{
+		proxy:          p,
+		lane:           found,
+		id:             p.newID(),
+		parsed:         parsed,
+		envelope:       headers,
+		priority:       class.Spec.Priority,
+		expectedTokens: p.answers.Expect(headers.class, parsed.outputTokens()),
+		deadline:       p.clock() + headers.timeLeft,
+		rng:            newRandom(),
+		excluded:       map[string]bool{},
 	}
-	made.life = attempt.New(attempt.Policy{
-		Once:     read.never,
+	c.attempts = attempt.New(attempt.Policy{
+		Once:     headers.atMostOnce,
 		Buffered: !parsed.request.Stream,
 		Attempts: p.config.Limits.Attempts,
 		Resumes:  p.config.Limits.Resumes,
 	})
-	made.sink = p.newSink(w, made)
-	w.Header().Set(HeaderRequest, made.id)
-	return made, nil
+	c.sink = p.newSink(w, c)
+	w.Header().Set(HeaderRequest, c.id)
+	return c, nil
 }
 
 func notFound(code, message string) *failure {
-	return &failure{status: http.StatusNotFound, kind: typeInvalid, code: code, message: message, ran: attempt.RanNo}
+	return &failure{status: http.StatusNotFound, errorType: typeInvalid, code: code, message: message, ran: attempt.RanNo}
 }
 
-func (p *Proxy) newSink(w http.ResponseWriter, made *call) sink {
-	if !made.parsed.request.Stream {
-		kept := newAssembler(made.parsed.chat, p.config.Limits.AnswerBytes)
-		return &wholeSink{writer: w, timeout: p.config.Timeouts.Write, kept: kept}
+func (p *Proxy) newSink(w http.ResponseWriter, c *call) sink {
+	if !c.parsed.request.Stream {
+		kept := newAssembler(c.parsed.chat, p.config.Limits.AnswerBytes)
+		return &bufferedSink{writer: w, timeout: p.config.Timeouts.Write, assembled: kept}
 	}
 	var kept *assembler
-	if made.envelope.never {
-		kept = newAssembler(made.parsed.chat, state.MaxAnswerBytes)
+	if c.envelope.atMostOnce {
+		kept = newAssembler(c.parsed.chat, state.MaxAnswerBytes)
 	}
 	return newStreamSink(w, p.config.Timeouts.Write, kept)
 }
 
-// modelClass returns the class that a caller named, or the default one.
+// modelClass returns the class of the given name, or the model's default class
+// if the name is empty.
 func (c *catalog) modelClass(name, model string) (*api.Class, *failure) {
 	if name == "" {
 		if class := c.defaultModelClass(model); class != nil {
 			return class, nil
 		}
-		return nil, invalid(codeUnknownClass, "no class is served by the model")
+		return nil, invalid(codeUnknownClass, "no class can use the model")
 	}
 	class := c.view.Classes[name]
 	if class == nil {
@@ -126,8 +127,8 @@
 	return class, nil
 }
 
-// serve admits, claims and runs the request and answers the caller. It returns
-// nil after a whole answer.
+// serve admits, claims and runs the request and sends the response. It returns
+// nil after a complete response.
 func (c *call) serve(ctx context.Context, w http.ResponseWriter, bodyHash uint64) *failure {
 	defer c.proxy.running.add(&entry{
 		id:      c.id,
@@ -135,112 +136,114 @@
 		class:   c.envelope.class,
 		tenant:  c.envelope.tenant,
 		started: time.Now(),
-		life:    c.life,
+		life:    c.attempts,
 		model:   c.parsed.request.Model,
 		tokens:  c.parsed.promptTokens,
 	})()
-	release, failed := c.proxy.admit(ctx, c.lane, c.ticket())
+	release, failed := c.proxy.admit(ctx, c.lane, c.queueTicket())
 	if failed != nil {
 		c.sink.fail(failed)
 		return failed
 	}
 	defer release()
 	c.lane.budget.Deposit()
-	if c.envelope.never {
-		// A marked run goes on without its caller, who may ask again for the
-		// recorded answer.
+	if c.envelope.atMostOnce {
+		// An at-most-once run continues after its client disconnects. The client
+		// may send the request again to get the recorded response.
 		ctx = context.WithoutCancel(ctx)
-		answer := c.proxy.claimRun(ctx, &c.envelope, bodyHash)
-		if answer.granted == nil {
-			return c.answerClaimed(w, answer)
+		claimed := c.proxy.acquireClaim(ctx, &c.envelope, bodyHash)
+		if claimed.granted == nil {
+			return c.answerFromClaim(w, claimed)
 		}
-		c.claim = answer.granted
+		c.claim = claimed.granted
 	}
-	ctx, cancel := context.WithTimeout(ctx, c.left())
+	ctx, cancel := context.WithTimeout(ctx, c.timeLeft())
 	defer cancel()
-	return c.conclude(c.run(ctx))
+	return c.endRequest(c.run(ctx))
 }
 
-// ticket is the request as the queue sees it.
-func (c *call) ticket() limit.Ticket {
+// queueTicket describes the request to the queue.
+func (c *call) queueTicket() limit.Ticket {
 	return limit.Ticket{
 		Class:    c.envelope.class,
 		Priority: c.priority,
 		Tenant:   c.envelope.tenant,
 		Cost:     float64(c.parsed.promptTokens + c.parsed.outputTokens()),
-		Deadline: time.Now().Add(c.left()),
-		Gate:     c.life,
+		Deadline: time.Now().Add(c.timeLeft()),
+		Gate:     c.attempts,
 	}
 }
 
-// conclude tells the caller how the run ended and records it. That a marked
-// request was not run is recorded before its caller is told so, so that the key
-// is free when the caller asks again; an unknown outcome is told first, since a
-// request that is given up gets its answer at once.
-func (c *call) conclude(failed *failure) *failure {
-	if c.life.Done() {
-		c.proxy.settleClaim(c.claim, api.RunCompleted, recordWhole(c.sink.held()))
+// endRequest reports the result to the client and records the outcome. A not-run
+// outcome is recorded before it is reported, so that the key is free when the
+// client retries. An unknown outcome is reported first, so that the response is
+// not delayed by the recording.
+func (c *call) endRequest(failed *failure) *failure {
+	if c.attempts.Done() {
+		c.proxy.finishClaim(c.claim, api.RunCompleted, newRecordedResponse(c.sink.recorded()))
 		return failed
 	}
-	outcome := outcomeOf(failed.ran)
+	outcome := outcomeFor(failed.ran)
 	if outcome == api.RunNotRun {
-		c.proxy.settleClaim(c.claim, outcome, nil)
+		c.proxy.finishClaim(c.claim, outcome, nil)
 		c.sink.fail(failed)
 		return failed
 	}
 	c.sink.fail(failed)
-	c.proxy.settleClaim(c.claim, outcome, nil)
+	c.proxy.finishClaim(c.claim, outcome, nil)
 	return failed
 }
 
-// recordWhole returns the answer as it is kept with its claim, or nil.
-func recordWhole(body []byte) *recorded {
+// newRecordedResponse returns the response to store with the claim, or nil if
+// there is no body.
+func newRecordedResponse(body []byte) *recordedResponse {
 	if body == nil {
 		return nil
 	}
-	return &recorded{Status: http.StatusOK, ContentType: contentTypeJSON, Body: body}
+	return &recordedResponse{Status: http.StatusOK, ContentType: contentTypeJSON, Body: body}
 }
 
-// answerClaimed answers a marked request that may not run now.
-func (c *call) answerClaimed(w http.ResponseWriter, answer claimed) *failure {
-	c.life.GiveUp()
-	if answer.failed != nil {
-		c.sink.fail(answer.failed)
-		return answer.failed
+// answerFromClaim responds to an at-most-once request that may not run now.
+func (c *call) answerFromClaim(w http.ResponseWriter, claimed claimResult) *failure {
+	c.attempts.GiveUp()
+	if claimed.failed != nil {
+		c.sink.fail(claimed.failed)
+		return claimed.failed
 	}
 	w.Header().Set("Landingtrail-Replayed", "true")
 	if c.parsed.request.Stream {
-		replayStream(newStreamSink(w, c.proxy.config.Timeouts.Write, nil), answer.answer.Body)
+		replayStream(newStreamSink(w, c.proxy.config.Timeouts.Write, nil), claimed.response.Body)
 		return nil
 	}
-	_ = writeWhole(w, c.proxy.config.Timeouts.Write, answer.answer.Body) // the caller may be gone
+	_ = writeJSONResponse(w, c.proxy.config.Timeouts.Write, claimed.response.Body) // the client may have disconnected
 	return nil
 }
 
-// demandKey is what the request's demand is counted under.
+// demandKey returns the key under which the request's demand is counted.
 func (c *call) demandKey() demandKey {
-	known := c.proxy.lanes.catalog.Load()
-	return demandKey{intent: known.intentFor(c.parsed.request.Model, c.envelope.class), class: c.envelope.class}
+	current := c.proxy.lanes.catalog.Load()
+	return demandKey{intent: current.intentFor(c.parsed.request.Model, c.envelope.class), class: c.envelope.class}
 }
 
-// offer counts the request for the planner when it comes: what is counted at
-// the end is late by the time of a run, and short of all that was never served.
-func (c *call) offer() {
+// countOffered counts the request for the planner on arrival. Counting at the
+// end would be late by the duration of a run and would miss requests that are
+// never served.
+func (c *call) countOffered() {
 	c.proxy.demand.add(c.demandKey(), func(demand *feed.Demand) {
 		demand.Requests++
 		demand.PromptTokens += float64(c.parsed.promptTokens)
-		demand.OutputTokens += float64(c.expected)
+		demand.OutputTokens += float64(c.expectedTokens)
 	})
 }
 
-// account counts the request's end for the planner and the metrics.
-func (c *call) account(failed *failure, took time.Duration) {
+// countEnded counts the end of the request for the planner and the metrics.
+func (c *call) countEnded(failed *failure, took time.Duration) {
 	c.proxy.metrics.ended(c.lane.service, c.envelope.class, failed, took)
 	if failed == nil {
-		c.proxy.answers.Learn(c.envelope.class, c.life.Passed())
+		c.proxy.answers.Learn(c.envelope.class, c.attempts.Passed())
 	}
 	c.proxy.demand.add(c.demandKey(), func(demand *feed.Demand) {
-		demand.CachedPromptTokens += float64(c.cached)
+		demand.CachedPromptTokens += float64(c.cachedTokens)
 		if failed == nil {
 			return
 		}
@@ -253,15 +256,15 @@
 	})
 }
 
-// serveModels answers GET /v1/models.
+// serveModels handles GET /v1/models.
 func (p *Proxy) serveModels(w http.ResponseWriter, _ *http.Request) {
-	p.prepare(w)
+	p.setCommonHeaders(w)
 	s := p.standing()
 	if failed := p.refuseLost(&s, api.ServiceModel); failed != nil {
 		failed.write(w)
 		return
 	}
-	names := s.catalog.models()
+	names := s.catalog.modelNames()
 	sort.Strings(names)
 	list := modelList{Object: "list", Data: make([]modelEntry, len(names))}
 	for i, name := range names {
--- a/process/proxy/handle_service.go
+++ b/process/proxy/handle_service.go
@@ -13,31 +13,32 @@
 	"github.com/landingtrail/landingtrail/version/state"
 )
 
-// servicesPrefix begins the paths of plain back ends; a back end sees what
-// follows the service's name.
+// servicesPrefix is the path prefix of requests to plain backends. It is followed
+// by the name of the service and the path that the backend receives.
 const servicesPrefix = "/services/"
 
-// backendCall is one request for a plain back end.
+// backendCall is the state of one request to a plain backend.
 type backendCall struct {
-	proxy    *Proxy
-	lane     *lane
-	id       string
-	request  *http.Request
-	target   string // path and query as the back end sees them
-	body     *heldBody
-	envelope envelope
-	priority int
-	endsAt   time.Duration // by the proxy's clock
-	life     *attempt.Life
-	claim    *claim
-	excluded map[string]bool
-	writer   http.ResponseWriter
-	sent     bool
-	kept     *recorded // the answer of a claimed run while it is small enough
+	proxy      *Proxy
+	lane       *lane
+	id         string
+	request    *http.Request
+	targetPath string // path and query that the backend receives
+	body       *requestBody
+	envelope   requestHeaders
+	priority   int
+	deadline   time.Duration // reading of the proxy's clock
+	attempts   *attempt.Life
+	claim      *claim
+	excluded   map[string]bool
+	writer     http.ResponseWriter
+	headerSent bool
+	recorded   *recordedResponse // the response of a claimed run, nil once it is too large
 }
 
-// splitService parts "/services/{service}/rest" into the service and "/rest".
-func splitService(path string) (service, rest string, found bool) {
+// splitServicePath splits "/services/{service}/rest" into the service and
+// "/rest".
+func splitServicePath(path string) (service, rest string, found bool) {
 	after, found := strings.CutPrefix(path, servicesPrefix)
 	if !found {
 		return "", "", false
@@ -46,35 +47,35 @@
 	return service, "/" + rest, service != ""
 }
 
-// serveService answers every method of /services/{service}/….
+// serveService handles all methods of /services/{service}/….
 func (p *Proxy) serveService(w http.ResponseWriter, r *http.Request) {
-	p.prepare(w)
-	made, failed := p.newBackendCall(w, r)
+	p.setCommonHeaders(w)
+	c, failed := p.newBackendCall(w, r)
 	if failed != nil {
 		failed.write(w)
 		return
 	}
-	defer made.body.release()
+	defer c.body.release()
 	started := time.Now()
-	failed = made.serve(r.Context())
-	p.metrics.ended(made.lane.service, made.envelope.class, failed, time.Since(started))
+	failed = c.serve(r.Context())
+	p.metrics.ended(c.lane.service, c.envelope.class, failed, time.Since(started))
 	if failed == nil {
 		return
 	}
-	if made.sent {
-		// The status is out and the rest is missing: only a broken connection
-		// tells the caller so.
+	if c.headerSent {
+		// The status has been sent, so only a closed connection can tell the client
+		// that the response is incomplete.
 		panic(http.ErrAbortHandler)
 	}
 	failed.write(w)
 }
 
 func (p *Proxy) newBackendCall(w http.ResponseWriter, r *http.Request) (*backendCall, *failure) {
-	service, rest, found := splitService(r.URL.EscapedPath())
+	service, rest, found := splitServicePath(r.URL.EscapedPath())
 	if !found {
 		return nil, notFound(codeNotFound, "no such path")
 	}
-	read, failed := readEnvelope(r.Header)
+	headers, failed := parseHeaders(r.Header)
 	if failed != nil {
 		return nil, failed
 	}
@@ -86,46 +87,46 @@
 	if lane == nil || lane.kind == api.ServiceModel {
 		return nil, notFound(codeUnknownService, "no such service")
 	}
-	class, failed := s.catalog.backendClass(read.class, service)
+	class, failed := s.catalog.backendClass(headers.class, service)
 	if failed != nil {
 		return nil, failed
 	}
-	if failed := p.settle(&read, class); failed != nil {
+	if failed := p.applyClass(&headers, class); failed != nil {
 		return nil, failed
 	}
 	body, failed := p.readBody(w, r, &p.backendBodies)
 	if failed != nil {
 		return nil, failed
 	}
-	if failed := p.refuseLate(read.left); failed != nil {
+	if failed := p.refuseBeyondDrain(headers.timeLeft); failed != nil {
 		body.release()
 		return nil, failed
 	}
 	if r.URL.RawQuery != "" {
 		rest += "?" + r.URL.RawQuery
 	}
-	made := &backendCall{
-		proxy:    p,
-		lane:     lane,
-		id:       p.newID(),
-		request:  r,
-		target:   rest,
-		body:     body,
-		envelope: read,
-		endsAt:   p.clock() + read.left,
-		excluded: map[string]bool{},
-		writer:   w,
+	c := &backendCall{
+		proxy:      p,
+		lane:       lane,
+		id:         p.newID(),
+		request:    r,
+		targetPath: rest,
+		body:       body,
+		envelope:   headers,
+		deadline:   p.clock() + headers.timeLeft,
+		excluded:   map[string]bool{},
+		writer:     w,
 	}
 	if class != nil {
-		made.priority = class.Spec.Priority
+		c.priority = class.Spec.Priority
 	}
-	made.life = attempt.New(attempt.Policy{Once: read.never || !safeMethod(r.Method), Attempts: p.config.Limits.Attempts})
-	w.Header().Set(HeaderRequest, made.id)
-	return made, nil
+	c.attempts = attempt.New(attempt.Policy{Once: headers.atMostOnce || !safeMethod(r.Method), Attempts: p.config.Limits.Attempts})
+	w.Header().Set(HeaderRequest, c.id)
+	return c, nil
 }
 
-// safeMethod reports whether a request may be run again after an unknown
-// outcome without being told so by its caller.
+// safeMethod reports whether a request with the method may be retried after an
+// unknown outcome.
 func safeMethod(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions:
@@ -134,18 +135,19 @@
 	return false
 }
 
-// backendClass returns the class that a caller named, the service's class of
-// the lowest priority if none was named, or nil if the service has no class.
+// backendClass returns the class of the given name. If the name is empty, it
+// returns the service's class of the lowest priority, or nil if the service has
+// no classes.
 func (c *catalog) backendClass(name, service string) (*api.Class, *failure) {
 	if name == "" {
-		if classes := c.classOrder[service]; len(classes) > 0 {
+		if classes := c.classesByPriority[service]; len(classes) > 0 {
 			return classes[0], nil
 		}
 		return nil, nil
 	}
 	class := c.view.Classes[name]
 	if class == nil || class.Spec.Service != service {
-		return nil, invalid(codeUnknownClass, "no such class of the service")
+		return nil, invalid(codeUnknownClass, "the service has no such class")
 	}
 	return class, nil
 }
@@ -157,103 +159,104 @@
 		class:   c.envelope.class,
 		tenant:  c.envelope.tenant,
 		started: time.Now(),
-		life:    c.life,
+		life:    c.attempts,
 	})()
 	release, failed := c.proxy.admit(ctx, c.lane, limit.Ticket{
 		Class:    c.envelope.class,
 		Priority: c.priority,
 		Tenant:   c.envelope.tenant,
-		Deadline: time.Now().Add(c.left()),
-		Gate:     c.life,
+		Deadline: time.Now().Add(c.timeLeft()),
+		Gate:     c.attempts,
 	})
 	if failed != nil {
 		return failed
 	}
 	defer release()
 	c.lane.budget.Deposit()
-	if c.envelope.never {
+	if c.envelope.atMostOnce {
 		ctx = context.WithoutCancel(ctx)
-		answer := c.proxy.claimRun(ctx, &c.envelope, hashBody(c.request.Method, c.request.URL.RequestURI(), c.body.data))
-		if answer.granted == nil {
-			return c.answerClaimed(answer)
+		claimed := c.proxy.acquireClaim(ctx, &c.envelope, hashBody(c.request.Method, c.request.URL.RequestURI(), c.body.data))
+		if claimed.granted == nil {
+			return c.answerFromClaim(claimed)
 		}
-		c.claim = answer.granted
-		c.kept = &recorded{}
+		c.claim = claimed.granted
+		c.recorded = &recordedResponse{}
 	}
-	ctx, cancel := context.WithTimeout(ctx, c.left())
+	ctx, cancel := context.WithTimeout(ctx, c.timeLeft())
 	defer cancel()
 	failed = c.run(ctx)
-	c.settle(failed)
+	c.recordOutcome(failed)
 	return failed
 }
 
-func (c *backendCall) settle(failed *failure) {
+func (c *backendCall) recordOutcome(failed *failure) {
 	if c.claim == nil {
 		return
 	}
-	if c.life.Done() {
-		c.proxy.settleClaim(c.claim, api.RunCompleted, c.kept)
+	if c.attempts.Done() {
+		c.proxy.finishClaim(c.claim, api.RunCompleted, c.recorded)
 		return
 	}
-	c.proxy.settleClaim(c.claim, outcomeOf(failed.ran), nil)
+	c.proxy.finishClaim(c.claim, outcomeFor(failed.ran), nil)
 }
 
-func (c *backendCall) answerClaimed(answer claimed) *failure {
-	c.life.GiveUp()
-	if answer.failed != nil {
-		return answer.failed
+func (c *backendCall) answerFromClaim(claimed claimResult) *failure {
+	c.attempts.GiveUp()
+	if claimed.failed != nil {
+		return claimed.failed
 	}
 	header := c.writer.Header()
 	header.Set("Landingtrail-Replayed", "true")
-	if answer.answer.ContentType != "" {
-		header.Set("Content-Type", answer.answer.ContentType)
+	if claimed.response.ContentType != "" {
+		header.Set("Content-Type", claimed.response.ContentType)
 	}
-	c.sent = true
-	c.writer.WriteHeader(answer.answer.Status)
-	_, _ = c.writer.Write(answer.answer.Body) // the caller may be gone
+	c.headerSent = true
+	c.writer.WriteHeader(claimed.response.Status)
+	_, _ = c.writer.Write(claimed.response.Body) // the client may have disconnected
 	return nil
 }
 
-// keep adds to the answer that is kept with the claim while it is small.
-func (c *backendCall) keep(part []byte) {
-	if c.kept == nil {
+// recordBody appends to the response that is stored with the claim, unless it
+// becomes too large.
+func (c *backendCall) recordBody(part []byte) {
+	if c.recorded == nil {
 		return
 	}
-	if len(c.kept.Body)+len(part) > state.MaxAnswerBytes {
-		c.kept = nil
+	if len(c.recorded.Body)+len(part) > state.MaxAnswerBytes {
+		c.recorded = nil
 		return
 	}
-	c.kept.Body = append(c.kept.Body, part...)
+	c.recorded.Body = append(c.recorded.Body, part...)
 }
 
-// relayBufferBytes is how much of an answer is copied at once.
+// relayBufferBytes is the size of the buffer for copying response bodies.
 const relayBufferBytes = 32 << 10
 
-// relay copies an answer's body to the caller. With a claim it goes on when
-// the caller has gone, so that the answer can be kept. An answer of unknown
-// length may be a stream: each part goes on as it comes.
+// relay copies a response body to the client. For a claimed request it continues
+// after the client has disconnected, so that the run completes. A response of
+// unknown length may be a stream, so each part is flushed as it arrives.
 func (c *backendCall) relay(response *http.Response) error {
 	streamed := response.ContentLength < 0
 	controller := http.NewResponseController(c.writer)
 	buffer := make([]byte, relayBufferBytes)
-	gone := false
+	clientGone := false
 	for {
 		count, err := response.Body.Read(buffer)
 		if count > 0 || err == io.EOF {
-			c.passHead(response)
+			c.sendHeader(response)
 		}
-		if count > 0 && !gone {
-			c.keep(buffer[:count])
-			_ = controller.SetWriteDeadline(time.Now().Add(c.proxy.config.Timeouts.Write)) // a test's writer may have none
+		if count > 0 && !clientGone {
+			c.recordBody(buffer[:count])
+			_ = controller.SetWriteDeadline(time.Now().Add(c.proxy.config.Timeouts.Write)) // a writer in a test may not support it
 			if _, failed := c.writer.Write(buffer[:count]); failed != nil {
-				gone = true
+				clientGone = true
 			}
 			if streamed {
-				_ = controller.Flush() // the next write tells whether the caller has gone
+				_ = controller.Flush() // the next write fails if the client has disconnected
 			}
 		}
-		if gone && c.claim == nil {
-			return errCaller
+		if clientGone && c.claim == nil {
+			return errClientGone
 		}
 		if err == io.EOF {
 			return nil
--- a/process/proxy/incarnation_test.go
+++ b/process/proxy/incarnation_test.go
@@ -10,8 +10,9 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// A lagging report of the life before says nothing of the present one.
-func TestReportOfAnEarlierIncarnationSaysNothing(t *testing.T) {
+// A load report that was delayed and comes from an earlier incarnation must not
+// change the state of the current one.
+func TestLoadReportFromEarlierIncarnationIsIgnored(t *testing.T) {
 	e := newEndpoint("e1", "", "", true)
 	e.hear(spokenWord{said: 10 * time.Second, now: 10 * time.Second, phase: api.PhaseServing, incarnation: 8})
 	e.report(10100*time.Millisecond, 10101*time.Millisecond, engineapi.Load{Incarnation: 7, Phase: api.PhaseServing, Running: 50, AgeMilliseconds: 900})
@@ -19,17 +20,19 @@
 	must.Eq(t, 0, e.load.Running)
 }
 
-// An answer to an earlier question that comes late.
-func TestLateAnswerOfAnEarlierIncarnationSaysNothing(t *testing.T) {
+// A response to an earlier request arrives late and comes from an earlier
+// incarnation. It must not replace the current one.
+func TestLateResponseFromEarlierIncarnationIsIgnored(t *testing.T) {
 	e := newEndpoint("e1", "", "", true)
 	e.hear(spokenWord{said: 10 * time.Second, now: 10 * time.Second, phase: api.PhaseServing, incarnation: 8})
 	e.hear(spokenWord{said: 9 * time.Second, now: 11 * time.Second, phase: api.PhaseServing, incarnation: 7})
 	must.Eq(t, uint64(8), e.word().incarnation)
 }
 
-// An address may have gone to another engine, whose report says nothing of the one that is
-// looked for there. Until an engine has spoken for itself, nothing else tells the two apart.
-func TestReportOfAnotherEngineSaysNothing(t *testing.T) {
+// An address may have been reassigned to another engine, whose report must not be
+// taken for that of the expected one. Before the first report, only the engine's
+// name in the report distinguishes them.
+func TestLoadReportFromAnotherEngineIsIgnored(t *testing.T) {
 	e := newEndpoint("e1", "", "", true)
 	e.report(time.Second, time.Second, engineapi.Load{Engine: "e2", Incarnation: 7, Phase: api.PhaseServing, Running: 50})
 	must.Eq(t, uint64(0), e.word().incarnation)
--- a/process/proxy/replay.go
+++ b/process/proxy/replay.go
@@ -7,12 +7,12 @@
 	"github.com/landingtrail/landingtrail/connection/engineapi"
 )
 
-// replayStream sends a recorded whole answer as a stream of one event for each
+// replayStream sends a recorded response as a stream with one event for each
 // choice.
 func replayStream(out *streamSink, body []byte) {
-	var answer wholeAnswer
+	var answer completionResponse
 	if err := json.Unmarshal(body, &answer); err != nil {
-		out.fail(conflict(codeKeyDone, "the recorded answer cannot be read", "yes"))
+		out.fail(conflict(codeKeyDone, "the stored response cannot be decoded", "yes"))
 		return
 	}
 	object := answer.Object
@@ -31,19 +31,19 @@
 			Usage:   answer.Usage,
 		})
 		if err != nil {
-			panic(err) // a type of ours that cannot be encoded
+			panic(err) // programming error: the type always encodes
 		}
-		out.event("", encoded)
+		out.writeEvent("", encoded)
 	}
-	_ = out.finish() // the caller may be gone
+	_ = out.finish() // the client may have disconnected
 }
 
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
-		panic(err) // a type of ours that cannot be encoded
+		panic(err) // programming error: the type always encodes
 	}
 	w.Header().Set("Content-Type", contentTypeJSON)
 	w.WriteHeader(status)
-	_, _ = w.Write(append(encoded, '\n')) // the caller may be gone
+	_, _ = w.Write(append(encoded, '\n')) // the client may have disconnected
 }
--- a/process/proxy/request.go
+++ b/process/proxy/request.go
@@ -15,63 +15,63 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// Headers of callers.
+// Request headers, and HeaderRequest, which is set on responses.
 const (
-	HeaderKey      = "Idempotency-Key"       // names a request
-	HeaderRepeat   = "Landingtrail-Repeat"   // "never": run at most once
-	HeaderDeadline = "Landingtrail-Deadline" // milliseconds left
+	HeaderKey      = "Idempotency-Key"       // identifies a request across retries by the client
+	HeaderRepeat   = "Landingtrail-Repeat"   // "never": the request runs at most once
+	HeaderDeadline = "Landingtrail-Deadline" // time left in milliseconds
 	HeaderClass    = "Landingtrail-Class"
 	HeaderTenant   = "Landingtrail-Tenant"
-	// HeaderRequest is on every answer: the name under which the proxy and the
-	// engines know the request.
+	// HeaderRequest is set on every response to an accepted request. It has the
+	// request ID that the proxy and the engines use.
 	HeaderRequest = "Landingtrail-Request"
 )
 
-// DefaultTenant is the tenant of requests that name none.
+// DefaultTenant is the tenant of requests without HeaderTenant.
 const DefaultTenant = "default"
 
 const repeatNever = "never"
 
-// maxHeaderValue bounds the key, class and tenant that are kept.
+// maxHeaderValue is the maximum length of a key, class or tenant in bytes.
 const maxHeaderValue = 256
 
-// maxDeadline bounds the deadline that a caller may give.
+// maxDeadline is the longest deadline that a client can set.
 const maxDeadline = 24 * time.Hour
 
-// envelope is what the headers of a request say.
-type envelope struct {
-	tenant string
-	class  string // "" if not given
-	key    string
-	never  bool
-	left   time.Duration // 0 if not given
+// requestHeaders has the values of a request's headers.
+type requestHeaders struct {
+	tenant     string
+	class      string // "" if not set
+	key        string
+	atMostOnce bool
+	timeLeft   time.Duration // 0 if not set
 }
 
-func readEnvelope(header http.Header) (envelope, *failure) {
-	read := envelope{
+func parseHeaders(header http.Header) (requestHeaders, *failure) {
+	headers := requestHeaders{
 		tenant: header.Get(HeaderTenant),
 		class:  header.Get(HeaderClass),
 		key:    header.Get(HeaderKey),
 	}
-	read.tenant = cmp.Or(read.tenant, DefaultTenant)
-	for _, value := range []string{read.tenant, read.class, read.key} {
+	headers.tenant = cmp.Or(headers.tenant, DefaultTenant)
+	for _, value := range []string{headers.tenant, headers.class, headers.key} {
 		if len(value) > maxHeaderValue {
-			return read, invalid(codeBadRequest, "a header value is longer than "+strconv.Itoa(maxHeaderValue)+" bytes")
+			return headers, invalid(codeBadRequest, "a header value is longer than "+strconv.Itoa(maxHeaderValue)+" bytes")
 		}
 	}
 	switch header.Get(HeaderRepeat) {
 	case "":
 	case repeatNever:
-		read.never = true
+		headers.atMostOnce = true
 	default:
-		return read, invalid(codeBadRequest, HeaderRepeat+` must be "never"`)
+		return headers, invalid(codeBadRequest, HeaderRepeat+` must be "never"`)
 	}
-	left, fault := readDeadline(header.Get(HeaderDeadline))
-	read.left = left
-	return read, fault
+	left, failed := parseDeadline(header.Get(HeaderDeadline))
+	headers.timeLeft = left
+	return headers, failed
 }
 
-func readDeadline(given string) (time.Duration, *failure) {
+func parseDeadline(given string) (time.Duration, *failure) {
 	if given == "" {
 		return 0, nil
 	}
@@ -80,15 +80,15 @@
 		return 0, invalid(codeBadRequest, HeaderDeadline+" must be a number of milliseconds")
 	}
 	if milliseconds == 0 {
-		return 0, deadlineShort("no time is left", 0)
+		return 0, deadlineTooShort("the deadline has already passed", 0)
 	}
 	return min(time.Duration(milliseconds), maxDeadline/time.Millisecond) * time.Millisecond, nil
 }
 
-func deadlineShort(message string, retryAfter time.Duration) *failure {
+func deadlineTooShort(message string, retryAfter time.Duration) *failure {
 	return &failure{
 		status:     http.StatusGatewayTimeout,
-		kind:       typeUnavailable,
+		errorType:  typeUnavailable,
 		code:       codeDeadlineShort,
 		message:    message,
 		ran:        attempt.RanNo,
@@ -96,39 +96,40 @@
 	}
 }
 
-// settle brings the envelope and its class together.
-func (p *Proxy) settle(read *envelope, class *api.Class) *failure {
+// applyClass fills in the headers from the class and the defaults, and checks
+// them.
+func (p *Proxy) applyClass(headers *requestHeaders, class *api.Class) *failure {
 	if class != nil {
-		read.class = class.Name
-		read.never = read.never || class.Spec.RepeatNever
-		if read.left == 0 {
-			read.left = time.Duration(class.Spec.DeadlineMilliseconds) * time.Millisecond
+		headers.class = class.Name
+		headers.atMostOnce = headers.atMostOnce || class.Spec.RepeatNever
+		if headers.timeLeft == 0 {
+			headers.timeLeft = time.Duration(class.Spec.DeadlineMilliseconds) * time.Millisecond
 		}
 	}
-	read.left = cmp.Or(read.left, p.config.Timeouts.Deadline)
-	if read.never && read.key == "" {
+	headers.timeLeft = cmp.Or(headers.timeLeft, p.config.Timeouts.Deadline)
+	if headers.atMostOnce && headers.key == "" {
 		return invalid(codeKeyRequired, "a request that must run at most once needs the header "+HeaderKey)
 	}
 	return nil
 }
 
-// completion is a parsed model request.
-type completion struct {
+// completionRequest is a parsed model request.
+type completionRequest struct {
 	path         string
 	chat         bool
-	body         []byte // with "stream": true
+	body         []byte // always with "stream": true
 	request      engineapi.CompletionRequest
 	promptTokens int
 	blocks       []uint64
 }
 
-// defaultOutputTokens is the expected length of an answer without max_tokens.
+// defaultOutputTokens is the assumed length of a response without max_tokens.
 const defaultOutputTokens = 256
 
-func parseCompletion(path string, body []byte) (*completion, *failure) {
-	parsed := &completion{path: path, chat: path == engineapi.PathChatCompletions, body: body}
+func parseCompletion(path string, body []byte) (*completionRequest, *failure) {
+	parsed := &completionRequest{path: path, chat: path == engineapi.PathChatCompletions, body: body}
 	if err := json.Unmarshal(body, &parsed.request); err != nil {
-		return nil, invalid(codeBadRequest, "the body is no valid request: "+err.Error())
+		return nil, invalid(codeBadRequest, "the request body is not valid: "+err.Error())
 	}
 	switch {
 	case parsed.request.Model == "":
@@ -146,23 +147,23 @@
 	if !parsed.request.Stream {
 		streamed, err := withStream(body)
 		if err != nil {
-			return nil, invalid(codeBadRequest, "the body is no valid request: "+err.Error())
+			return nil, invalid(codeBadRequest, "the request body is not valid: "+err.Error())
 		}
 		parsed.body = streamed
 	}
 	return parsed, nil
 }
 
-func (c *completion) outputTokens() int {
+func (c *completionRequest) outputTokens() int {
 	if c.request.MaxTokens > 0 {
 		return c.request.MaxTokens
 	}
 	return defaultOutputTokens
 }
 
-// withStream returns the body with "stream": true and all else as it was. Also
-// whole answers are streamed from the engine: only so can a stall be seen, a
-// broken answer be taken up again and each part be verified.
+// withStream returns the body with "stream" set to true and everything else
+// unchanged. Engines stream buffered responses too: only a stream allows stalls
+// to be detected, broken responses to be resumed and each part to be verified.
 func withStream(body []byte) ([]byte, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil {
--- a/process/proxy/rules_test.go
+++ b/process/proxy/rules_test.go
@@ -15,9 +15,9 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// TestConnectionWithUnreadBytesIsNotUsedAgain leaves bytes on an engine's
-// connection in two ways: the next request gets another connection.
-func TestConnectionWithUnreadBytesIsNotUsedAgain(t *testing.T) {
+// Leaves unread bytes on an engine's connection in two ways. The next request
+// must use another connection.
+func TestConnectionWithUnreadBytesIsNotReused(t *testing.T) {
 	var lock sync.Mutex
 	var peers []string
 	engine := newFakeEngine(t, "e1", 11)
@@ -27,10 +27,10 @@
 		lock.Unlock()
 		id, number := runOf(r)
 		switch n {
-		case 1: // its caller hangs up
+		case 1: // the client disconnects
 			e.tokens(w, id, number, 0, 1)
 			hang(r)
-		case 2: // another answer follows the terminal event
+		case 2: // another response follows the terminal event
 			e.answer(w, r, 0, 3)
 			e.tokens(w, "another", 1, 0, 500)
 		default:
@@ -49,14 +49,14 @@
 	must.Len(t, 4, peers)
 	must.NotEq(t, peers[0], peers[1])
 	must.NotEq(t, peers[1], peers[2])
-	must.Eq(t, peers[2], peers[3]) // after a whole answer it is used again
+	must.Eq(t, peers[2], peers[3]) // the connection is reused after a complete response
 }
 
-// TestResumeInAnotherIncarnation lets the engine start anew between cut and
-// resume: what it would send is another run's.
-func TestResumeInAnotherIncarnation(t *testing.T) {
+// The engine restarts between the interruption of a stream and its resume, so the
+// resumed stream would belong to a different run.
+func TestResumeAfterEngineRestartFails(t *testing.T) {
 	engine := newFakeEngine(t, "e1", 11)
-	engine.script = cutAfter(2)
+	engine.script = dropAfter(2)
 	engine.resume = func(_ *fakeEngine, w http.ResponseWriter, _ *http.Request, request engineapi.ResumeRequest) {
 		w.Header().Set(engineapi.HeaderIncarnation, "12")
 		restarted := &fakeEngine{name: "e1", incarnation: 12}
@@ -71,7 +71,8 @@
 	must.StrContains(t, answer.body, `"ran":"yes"`)
 }
 
-// TestStreamWithoutTerminalEvent ends in every way but the right one.
+// A stream that ends without a well-formed terminal event must not count as
+// complete.
 func TestStreamWithoutTerminalEvent(t *testing.T) {
 	for _, ending := range []string{"", "data: [DONE", "data: [DONE]\n", "event: x\ndata: [DONE]\n\n"} {
 		engine := newFakeEngine(t, "e1", 11)
@@ -89,12 +90,12 @@
 	}
 }
 
-func TestCutBackEndAnswerIsNotWhole(t *testing.T) {
+func TestTruncatedBackendResponseFails(t *testing.T) {
 	backend := newFakeBackend(t)
 	backend.script = func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, "half a frame")
 		_ = http.NewResponseController(w).Flush()
-		drop(w)
+		dropConnection(w)
 	}
 	f := start(t, quick(), nil, backend.server)
 	answer := f.do(http.MethodGet, "/services/tiles/frame", "")
@@ -102,11 +103,12 @@
 	must.Eq(t, 1, backend.runs.Load())
 }
 
-// TestUnsafeMethodIsNotRepeated drops a POST and a GET to plain back ends.
-func TestUnsafeMethodIsNotRepeated(t *testing.T) {
+// Plain backends drop the connection for a POST and a GET. Only the GET may be
+// retried.
+func TestUnsafeMethodIsNotRetried(t *testing.T) {
 	for method, runs := range map[string]int32{http.MethodPost: 1, http.MethodGet: 2} {
 		first, second := newFakeBackend(t), newFakeBackend(t)
-		fail := func(w http.ResponseWriter, _ *http.Request) { drop(w) }
+		fail := func(w http.ResponseWriter, _ *http.Request) { dropConnection(w) }
 		first.script, second.script = fail, fail
 		f := start(t, quick(), nil, first.server, second.server)
 		answer := f.do(method, "/services/tiles/frame", "")
@@ -116,15 +118,15 @@
 	}
 }
 
-// TestLeavingEngineGetsNothingNew tells that e1 leaves by one source at a time
-// while all others still say that it serves.
-func TestLeavingEngineGetsNothingNew(t *testing.T) {
+// One source at a time reports that e1 is leaving while all others still report
+// it as serving.
+func TestLeavingEngineGetsNoNewRequests(t *testing.T) {
 	changes := map[string]func(*fleet, *api.Engine){
-		"the engine's own word":      func(f *fleet, _ *api.Engine) { f.engines[0].setPhase(api.PhaseDraining) },
-		"the view's phase":           func(_ *fleet, e *api.Engine) { e.Status.Phase = api.PhaseLeaving },
-		"an open order":              func(_ *fleet, e *api.Engine) { e.Status.OpenOrder = &api.Order{} },
-		"a drain":                    func(_ *fleet, e *api.Engine) { e.Spec.Drain = true },
-		"an unconfirmed incarnation": func(_ *fleet, e *api.Engine) { e.Status.Incarnation = 10 },
+		"the phase reported by the engine": func(f *fleet, _ *api.Engine) { f.engines[0].setPhase(api.PhaseDraining) },
+		"the phase in the view":            func(_ *fleet, e *api.Engine) { e.Status.Phase = api.PhaseLeaving },
+		"an open order":                    func(_ *fleet, e *api.Engine) { e.Status.OpenOrder = &api.Order{} },
+		"a drain":                          func(_ *fleet, e *api.Engine) { e.Spec.Drain = true },
+		"an unconfirmed incarnation":       func(_ *fleet, e *api.Engine) { e.Status.Incarnation = 10 },
 	}
 	for name, change := range changes {
 		t.Run(name, func(t *testing.T) {
@@ -149,19 +151,19 @@
 }
 
 func (f *fleet) endpoint(service, name string) *endpoint {
-	f.proxy.standing() // takes the view in
+	f.proxy.standing() // applies the current view
 	return (*f.proxy.lanes.find(service).endpoints.Load())[name]
 }
 
-// TestLeavingBackEndGetsNothingNew: by the platform's list, and by its own word
-// on an answer while the list lags.
-func TestLeavingBackEndGetsNothingNew(t *testing.T) {
+// A backend is reported as leaving by a header of its own responses, while the
+// platform's list lags, and by the platform's list.
+func TestLeavingBackendGetsNoNewRequests(t *testing.T) {
 	leaving, staying := newFakeBackend(t), newFakeBackend(t)
 	leaving.script = func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(engineapi.HeaderBackendState, backendLeaving)
 	}
 	config := quick()
-	config.Intervals.Load = time.Minute // only answers tell
+	config.Intervals.Load = time.Minute // only responses report the state
 	f := start(t, config, nil, leaving.server, staying.server)
 	eventually(t, func() bool { return f.endpoint("tiles", "tile-0").word().heard }) // the only poll
 	for range 20 {
@@ -178,9 +180,10 @@
 	must.Eq(t, before, staying.runs.Load())
 }
 
-// TestLapsedLease: model work is refused as not run while frames go on, each by
-// its own setting; with "serve" only to those who spoke since the lapse.
-func TestLapsedLease(t *testing.T) {
+// With an expired view lease, model requests are refused as not run while requests
+// to plain backends are still served, according to the setting for each. With
+// "serve", only endpoints that were heard from since the expiry get requests.
+func TestExpiredViewLease(t *testing.T) {
 	for _, policy := range []LossPolicy{LossRefuse, LossServe} {
 		for _, polled := range []bool{false, true} {
 			t.Run(fmt.Sprint(policy, polled), func(t *testing.T) {
@@ -215,9 +218,10 @@
 	}
 }
 
-// TestPlannedStop stops a proxy with a stream in flight and a kept-alive
-// caller: nothing is cut, and the caller learns of it with an answer.
-func TestPlannedStop(t *testing.T) {
+// Stops a proxy with a stream in flight and a client on a kept-alive connection.
+// The stream must complete, and the client must learn of the shutdown from a
+// response.
+func TestGracefulShutdown(t *testing.T) {
 	engine := newFakeEngine(t, "e1", 11)
 	hold := make(chan struct{})
 	release := sync.OnceFunc(func() { close(hold) })
@@ -235,7 +239,7 @@
 	config.Timeouts.Stall = time.Minute
 	config.DrainNotice = 200 * time.Millisecond
 	f := start(t, config, []*fakeEngine{engine})
-	t.Cleanup(release) // before the proxy is waited for
+	t.Cleanup(release) // runs before the proxy's cleanup, which waits for the run
 	streamed := make(chan *reply, 1)
 	go func() { streamed <- f.stream(HeaderClass, "cap", HeaderDeadline, "60000") }()
 	eventually(t, func() bool { return engine.runs.Load() == 1 })
@@ -250,7 +254,7 @@
 	must.False(t, models())
 	f.stop()
 	eventually(t, f.proxy.stopping.Load)
-	must.True(t, models()) // answered, and asked to close the connection
+	must.True(t, models()) // a response that asks to close the connection
 	ready, err := http.Get(f.admin + PathReady)
 	must.NoError(t, err)
 	_ = ready.Body.Close()
@@ -260,7 +264,7 @@
 		if err == nil {
 			_ = response.Body.Close()
 		}
-		return err != nil // no more is accepted
+		return err != nil // no more connections are accepted
 	})
 	must.Eq(t, 1, f.proxy.running.count())
 	release()
@@ -272,10 +276,10 @@
 	caller.CloseIdleConnections()
 }
 
-// Seen by reading, of the same class as a stream that a routed proxy's stop has cut: what was taken while a
-// stopping proxy still accepts, and lasts longer than it waits for, was cut at the end.
-// Proof: a request that may last longer is to reach no engine and be told so at once; it ran before.
-func TestWhatAPlannedStopWouldCutIsRefusedAtOnce(t *testing.T) {
+// A proxy that is shutting down still accepts requests for a while. One that lasted
+// longer than the proxy waits for was interrupted at the end of the shutdown. A
+// request whose deadline is after that must be refused at once and reach no engine.
+func TestRequestBeyondDrainLimitIsRefused(t *testing.T) {
 	engine := newFakeEngine(t, "e1", 11)
 	engine.script = func(e *fakeEngine, w http.ResponseWriter, r *http.Request, _ int) { e.answer(w, r, 0, 3) }
 	config := quick()
@@ -288,7 +292,7 @@
 	must.Eq(t, http.StatusServiceUnavailable, late.status)
 	must.Eq(t, codeStopping, late.code())
 	must.Eq(t, 1, engine.runs.Load())
-	must.Eq(t, http.StatusOK, f.stream(HeaderClass, "cap", HeaderDeadline, "200").status, must.Sprint("over in time, however long it takes"))
+	must.Eq(t, http.StatusOK, f.stream(HeaderClass, "cap", HeaderDeadline, "200").status, must.Sprint("the deadline is before the end of the shutdown"))
 	must.NoError(t, <-f.done)
 	http.DefaultClient.CloseIdleConnections()
 }
--- a/process/proxy/run.go
+++ b/process/proxy/run.go
@@ -15,7 +15,8 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
-// baseContext tells where a server listens once it does.
+// baseContext returns a BaseContext function that sends the server's listen
+// address to bound.
 func baseContext(bound chan<- net.Addr) func(net.Listener) context.Context {
 	return func(listener net.Listener) context.Context {
 		bound <- listener.Addr()
@@ -30,15 +31,15 @@
 		return err
 	}
 	holder := view.NewHolder()
-	served, told := make(chan struct{}, 1), make(chan feed.EndReport, maxToldWaiting)
+	served, reports := make(chan struct{}, 1), make(chan feed.EndReport, maxPendingReports)
 	client, err := feed.Dial(feed.ClientConfig{
 		Daemon:       config.ID,
 		Zone:         config.Zone,
 		Addresses:    config.FeedAddresses,
 		BeatInterval: config.Intervals.Beat,
 		Served:       func() { pause.Signal(served) },
-		Unrecorded:   func(report feed.EndReport) { offer(told, report) },
-		Standby:      true, // for the ends of engines alone: no request of this path is placed
+		Unrecorded:   func(report feed.EndReport) { trySend(reports, report) },
+		Standby:      true, // only for the reports of engine crashes; the proxy places no requests this way
 		Clock:        clock.Now,
 		Logger:       logger,
 	}, holder)
@@ -46,31 +47,33 @@
 		return errors.Wrap(err, "follow the control group")
 	}
 	defer client.Close()
-	made := New(config, holder, client, clock.Now, logger)
-	defer made.Close()
-	made.tasks.Go(func() { made.exchangeEnds(served, told) })
-	return made.Serve(ctx)
+	p := New(config, holder, client, clock.Now, logger)
+	defer p.Close()
+	p.tasks.Go(func() { p.exchangeEndReports(served, reports) })
+	return p.Serve(ctx)
 }
 
-// maxToldWaiting bounds the words of members that wait to be taken in.
-const maxToldWaiting = 16
+// maxPendingReports is the capacity of the channel of end reports.
+const maxPendingReports = 16
 
-// offer puts a member's word into the channel, unless that is full: it comes again.
-func offer(to chan<- feed.EndReport, report feed.EndReport) {
+// trySend sends the report unless the channel is full. Members repeat their
+// reports, so a dropped one is not lost.
+func trySend(to chan<- feed.EndReport, report feed.EndReport) {
 	select {
 	case to <- report:
 	default:
 	}
 }
 
-// exchangeEnds tells each member that begins to serve this proxy under which requests it has seen
-// engines end, and takes in what members tell while the record can't.
-func (p *Proxy) exchangeEnds(served <-chan struct{}, told <-chan feed.EndReport) {
+// exchangeEndReports reports all engine crashes that this proxy has seen, and the
+// requests that ran during them, to each control member that starts to serve it.
+// It also handles the reports that members send while they cannot record them.
+func (p *Proxy) exchangeEndReports(served <-chan struct{}, reports <-chan feed.EndReport) {
 	for {
 		select {
 		case <-served:
 			p.guard.ReportAll(p.clock())
-		case report := <-told:
+		case report := <-reports:
 			p.guard.Unrecorded(p.clock(), report)
 		case <-p.background.Done():
 			return
@@ -78,24 +81,25 @@
 	}
 }
 
-// refuseLate returns the refusal of a request that a planned stop may cut before its time is over, nil
-// for any other: no engine has read it, and its caller can ask another proxy at once.
-func (p *Proxy) refuseLate(left time.Duration) *failure {
+// refuseBeyondDrain returns the failure of a request that the shutdown could
+// interrupt before its deadline, or nil for any other request. No engine has read
+// the request, so the client can send it to another proxy at once.
+func (p *Proxy) refuseBeyondDrain(left time.Duration) *failure {
 	cutAt := time.Duration(p.cutAt.Load())
 	if cutAt == 0 || p.clock()+left <= cutAt {
 		return nil
 	}
-	return unavailable(codeStopping, "the proxy stops before the request's time is over", 0)
+	return unavailable(codeStopping, "the proxy shuts down before the request's deadline", 0)
 }
 
-// Serve listens for callers and for the admin until ctx ends and every request
-// in flight has ended.
+// Serve runs the client and admin servers until ctx ends and every request in
+// flight has ended.
 func (p *Proxy) Serve(ctx context.Context) error {
 	admin, err := p.listenAdmin()
 	if err != nil {
 		return err
 	}
-	defer func() { _ = admin.http.Close() }() // nothing of a caller's goes by the admin server
+	defer func() { _ = admin.http.Close() }() // no client request uses the admin server
 	callers, err := p.listenCallers()
 	if err != nil {
 		return err
@@ -105,11 +109,11 @@
 	return p.drain(callers)
 }
 
-// drain is the planned stop. For DrainNotice the proxy says that it is not
-// ready and asks each caller to close its connection, while it still serves
-// all that comes: a caller on a kept-alive connection learns of the stop with
-// an answer, not with a lost request. Then it accepts no more and waits for
-// what is in flight, for as long as that takes.
+// drain shuts the proxy down gracefully. For DrainNotice the proxy reports that
+// it is not ready and asks each client to close its connection, but still serves
+// requests: a client on a kept-alive connection learns of the shutdown from a
+// response, not from a lost request. After that, the proxy accepts no more
+// requests and waits for those in flight, up to DrainLimit if it is set.
 func (p *Proxy) drain(callers *server) error {
 	if p.config.DrainLimit > 0 {
 		p.cutAt.Store(int64(p.clock() + p.config.DrainNotice + p.config.DrainLimit))
@@ -125,7 +129,7 @@
 	}
 	if err := callers.http.Shutdown(ctx); err != nil {
 		event.ProxyDrainCut.Log(p.logger, "in_flight", p.running.count())
-		_ = callers.http.Close() // the bound was set to cut what is left
+		_ = callers.http.Close() // DrainLimit is set to end the remaining requests
 		return errors.Wrap(err, "requests were still in flight at the drain limit")
 	}
 	event.ProxyStopped.Log(p.logger)
--- a/process/proxy/run_backend.go
+++ b/process/proxy/run_backend.go
@@ -17,18 +17,19 @@
 	"github.com/landingtrail/landingtrail/request/attempt"
 )
 
-// run sees the request through to its end; nil after a whole answer.
+// run executes the request, including retries. It returns nil after a complete
+// response, otherwise the failure to report to the client.
 func (c *backendCall) run(ctx context.Context) *failure {
 	random := newRandom()
 	var last *failure
 	for retries := 0; ; retries++ {
 		if ctx.Err() != nil {
-			return c.interrupted(ctx)
+			return c.interruptedFailure(ctx)
 		}
-		if c.sent || c.life.Next().Kind != attempt.StepRun {
+		if c.headerSent || c.attempts.Next().Kind != attempt.StepRun {
 			return c.giveUp(last)
 		}
-		if last != nil && !c.retryAllowed(ctx, last, retries, random) {
+		if last != nil && !c.prepareRetry(ctx, last, retries, random) {
 			return c.giveUp(last)
 		}
 		last = c.runOnce(ctx, random)
@@ -41,14 +42,14 @@
 	}
 }
 
-func (c *backendCall) retryAllowed(ctx context.Context, last *failure, retries int, random *rand.Rand) bool {
+func (c *backendCall) prepareRetry(ctx context.Context, last *failure, retries int, random *rand.Rand) bool {
 	if retries > c.proxy.config.Limits.Attempts {
 		return false
 	}
-	if last.free {
+	if last.budgetExempt {
 		return true
 	}
-	delay, fits := c.proxy.config.Backoff.Delay(retries-1, c.left(), random)
+	delay, fits := c.proxy.config.Backoff.Delay(retries-1, c.timeLeft(), random)
 	if !fits || !c.lane.budget.Withdraw() {
 		return false
 	}
@@ -56,46 +57,48 @@
 	return pause.For(ctx, delay)
 }
 
-// left is how long the caller still waits, as that of a call.
-func (c *backendCall) left() time.Duration { return c.endsAt - c.proxy.clock() }
+// timeLeft returns the time until the deadline, like that of call.
+func (c *backendCall) timeLeft() time.Duration { return c.deadline - c.proxy.clock() }
 
 func (c *backendCall) giveUp(last *failure) *failure {
-	given := finalFailure(last, c.life.GiveUp())
-	if given.ran == attempt.RanNo && given.status == http.StatusBadGateway {
-		given.status = http.StatusServiceUnavailable
-		given.retryAfter = time.Second
+	result := finalFailure(last, c.attempts.GiveUp())
+	if result.ran == attempt.RanNo && result.status == http.StatusBadGateway {
+		result.status = http.StatusServiceUnavailable
+		result.retryAfter = time.Second
 	}
-	return given
+	return result
 }
 
-func (c *backendCall) interrupted(ctx context.Context) *failure {
-	if c.left() <= 0 || errors.Is(ctx.Err(), context.DeadlineExceeded) {
+func (c *backendCall) interruptedFailure(ctx context.Context) *failure {
+	if c.timeLeft() <= 0 || errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return c.giveUp(&failure{
-			status:  http.StatusGatewayTimeout,
-			kind:    typeServer,
-			code:    codeDeadlineExceeded,
-			message: "the deadline has passed",
+			status:    http.StatusGatewayTimeout,
+			errorType: typeServer,
+			code:      codeDeadlineExceeded,
+			message:   "the deadline has passed",
 		})
 	}
-	return c.giveUp(&failure{status: statusClientClosed, kind: typeInvalid, code: codeCancelled, message: "the caller has gone"})
+	return c.giveUp(&failure{status: statusClientClosed, errorType: typeInvalid, code: codeCancelled, message: "the client disconnected"})
 }
 
-// zonePenalty is how many requests in flight the own zone is worth.
-const zonePenalty = 1
+// remoteZonePenalty is the number of requests in flight that are added to the
+// load of a backend in another zone.
+const remoteZonePenalty = 1
 
-// pick returns the back end with the least work of two drawn at random among
-// those that admit; suspects only when there is nothing else.
-func (c *backendCall) pick(random *rand.Rand) (*endpoint, *failure) {
+// pickBackend draws two random backends among those that accept requests and
+// returns the one with the lower load. Suspect backends are used only if there
+// are no others.
+func (c *backendCall) pickBackend(random *rand.Rand) (*endpoint, *failure) {
 	s := c.proxy.standing()
 	if failed := c.proxy.refuseLost(&s, c.lane.kind); failed != nil {
 		failed.final = true
 		return nil, failed
 	}
-	var sound, suspect []*endpoint
+	var healthy, suspect []*endpoint
 	tried := false
 	for name, candidate := range *c.lane.endpoints.Load() {
-		word := candidate.word()
-		if s.catalog.leaving[name] || closedPhase(word.phase) || !s.confirmed(word) {
+		reported := candidate.word()
+		if s.catalog.leavingBackends[name] || closedPhase(reported.phase) || !s.confirmed(reported) {
 			continue
 		}
 		if c.excluded[name] {
@@ -105,19 +108,19 @@
 		if candidate.suspected(s.now) {
 			suspect = append(suspect, candidate)
 		} else {
-			sound = append(sound, candidate)
+			healthy = append(healthy, candidate)
 		}
 	}
-	if len(sound) == 0 {
-		sound = suspect
+	if len(healthy) == 0 {
+		healthy = suspect
 	}
-	if len(sound) == 0 {
-		failed := unavailable(codeNoEngine, "no back end takes requests now", time.Second)
-		failed.final = tried // whoever takes requests was asked
+	if len(healthy) == 0 {
+		failed := unavailable(codeNoEngine, "no backend accepts requests now", time.Second)
+		failed.final = tried // all backends that accept requests were tried
 		return nil, failed
 	}
-	first, second := sound[random.IntN(len(sound))], sound[random.IntN(len(sound))]
-	if second.work(c.proxy.config.Zone) < first.work(c.proxy.config.Zone) {
+	first, second := healthy[random.IntN(len(healthy))], healthy[random.IntN(len(healthy))]
+	if second.loadScore(c.proxy.config.Zone) < first.loadScore(c.proxy.config.Zone) {
 		return second, nil
 	}
 	return first, nil
@@ -129,63 +132,65 @@
 	return e.suspectedLocked(now)
 }
 
-// work is the load of a plain back end: the report and what was sent since.
-func (e *endpoint) work(zone string) int {
+// loadScore returns the load of a plain backend: the last report and the requests
+// sent since, plus a penalty for a backend in another zone.
+func (e *endpoint) loadScore(zone string) int {
 	e.lock.Lock()
 	defer e.lock.Unlock()
-	work := e.load.Running + e.load.Waiting
+	score := e.load.Running + e.load.Waiting
 	for _, sent := range e.dispatches {
 		if sent.at > e.loadAt {
-			work++
+			score++
 		}
 	}
 	if e.zone != zone {
-		work += zonePenalty
+		score += remoteZonePenalty
 	}
-	return work
+	return score
 }
 
-// runOnce lets one back end run the request; nil after a whole answer.
+// runOnce runs the request on one backend. It returns nil after a complete
+// response.
 func (c *backendCall) runOnce(ctx context.Context, random *rand.Rand) *failure {
-	target, failed := c.pick(random)
+	target, failed := c.pickBackend(random)
 	if failed != nil {
 		return failed
 	}
-	number, err := c.life.Begin(target.name, 0)
+	number, err := c.attempts.Begin(target.name, 0)
 	if err != nil {
-		return &failure{status: http.StatusBadGateway, kind: typeServer, code: codeUpstream, message: err.Error(), final: true}
+		return &failure{status: http.StatusBadGateway, errorType: typeServer, code: codeUpstream, message: err.Error(), final: true}
 	}
 	end := target.begin(c.proxy.clock(), 1)
 	defer end()
-	request, err := c.build(ctx, target)
+	request, err := c.buildRequest(ctx, target)
 	if err != nil {
-		c.life.Fail(number, attempt.FaultNotWritten)
-		failed := invalid(codeBadRequest, "the request cannot be passed on")
+		c.attempts.Fail(number, attempt.FaultNotWritten)
+		failed := invalid(codeBadRequest, "the request cannot be forwarded")
 		if errors.Is(err, context.DeadlineExceeded) {
-			failed = deadlineShort("no time is left for the back end", time.Second)
+			failed = deadlineTooShort("not enough time is left before the deadline to call a backend", time.Second)
 		}
 		failed.final = true
 		return failed
 	}
-	asked := c.proxy.clock()
+	sentAt := c.proxy.clock()
 	response, err := c.lane.pool.Do(request, upstream.Identity{RequestID: c.id, Attempt: number})
 	if err != nil {
-		return c.unanswered(ctx, target, number, err)
+		return c.noResponse(ctx, target, number, err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	target.hearHeader(asked, c.proxy.clock(), response.Header)
+	target.hearHeader(sentAt, c.proxy.clock(), response.Header)
 	if upstream.SurelyRefused(response) {
 		return c.refused(target, number, response)
 	}
-	return c.answer(ctx, target, number, response)
+	return c.relayResponse(ctx, target, number, response)
 }
 
-func (c *backendCall) build(ctx context.Context, target *endpoint) (*http.Request, error) {
-	left, some := c.proxy.config.Margin.Shrink(c.left())
-	if !some {
+func (c *backendCall) buildRequest(ctx context.Context, target *endpoint) (*http.Request, error) {
+	left, enough := c.proxy.config.Margin.Shrink(c.timeLeft())
+	if !enough {
 		return nil, errors.WithStack(context.DeadlineExceeded)
 	}
-	request, err := http.NewRequestWithContext(ctx, c.request.Method, "http://"+target.address+c.target, bytes.NewReader(c.body.data))
+	request, err := http.NewRequestWithContext(ctx, c.request.Method, "http://"+target.address+c.targetPath, bytes.NewReader(c.body.data))
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
@@ -204,78 +209,78 @@
 	return request, nil
 }
 
-func (c *backendCall) unanswered(ctx context.Context, target *endpoint, number uint32, err error) *failure {
+func (c *backendCall) noResponse(ctx context.Context, target *endpoint, number uint32, err error) *failure {
 	fault := attempt.FaultBroken
 	var failed *upstream.Failure
 	if errors.As(err, &failed) && !failed.Wrote {
 		fault = attempt.FaultNotWritten
 	}
-	c.life.Fail(number, fault)
+	c.attempts.Fail(number, fault)
 	c.excluded[target.name] = true
 	if errors.Is(err, upstream.ErrForeign) {
-		return upstreamFailed("the back end answered another request")
+		return upstreamFailed("the backend responded to a different request")
 	}
 	if ctx.Err() == nil || errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		target.fail(c.proxy.clock())
 	}
-	return upstreamFailed("the back end could not be reached or gave no answer")
+	return upstreamFailed("the backend could not be reached or did not respond")
 }
 
-// refused closes an attempt that the back end surely did not run. When the
-// request itself is at fault the refusal is passed on.
+// refused ends an attempt that the backend certainly did not run. If the request
+// itself is invalid, the backend's refusal is passed on to the client.
 func (c *backendCall) refused(target *endpoint, number uint32, response *http.Response) *failure {
-	c.life.Fail(number, attempt.FaultRefused)
+	c.attempts.Fail(number, attempt.FaultRefused)
 	c.proxy.metrics.refusals.Inc()
 	c.excluded[target.name] = true
-	body, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes)) // what came is enough
-	if final := callerFault(response.StatusCode, body); final != nil {
+	body, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes)) // a partial body is enough
+	if final := clientError(response.StatusCode, body); final != nil {
 		return final
 	}
-	failed := unavailable(codeNoEngine, "the back ends refused the request", time.Second)
-	failed.free = closedPhase(target.word().phase)
+	failed := unavailable(codeNoEngine, "the backends refused the request", time.Second)
+	failed.budgetExempt = closedPhase(target.word().phase)
 	return failed
 }
 
-// answerHeaders are not passed on to the caller.
-var answerHeaders = []string{
+// strippedHeaders are the response headers that are not forwarded to the client.
+var strippedHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 	engineapi.HeaderAdmitted, engineapi.HeaderRequestID, engineapi.HeaderAttempt,
 	engineapi.HeaderIncarnation, engineapi.HeaderPhase, engineapi.HeaderBackendState,
 }
 
-func (c *backendCall) answer(ctx context.Context, target *endpoint, number uint32, response *http.Response) *failure {
-	c.life.Admit(number, 0)
+func (c *backendCall) relayResponse(ctx context.Context, target *endpoint, number uint32, response *http.Response) *failure {
+	c.attempts.Admit(number, 0)
 	if err := c.relay(response); err != nil {
-		c.life.Fail(number, attempt.FaultBroken)
+		c.attempts.Fail(number, attempt.FaultBroken)
 		c.excluded[target.name] = true
-		if ctx.Err() == nil && !errors.Is(err, errCaller) {
+		if ctx.Err() == nil && !errors.Is(err, errClientGone) {
 			target.fail(c.proxy.clock())
 		}
-		return upstreamFailed("the answer broke off")
+		return upstreamFailed("the backend's response was interrupted")
 	}
-	c.life.Finish(number)
+	c.attempts.Finish(number)
 	target.succeed()
 	return nil
 }
 
-// passHead passes on the head of the answer, once its body has begun or has ended
-// empty: until then the caller can still be told of a failure, or be given the answer
-// of another back end.
-func (c *backendCall) passHead(response *http.Response) {
-	if c.sent {
+// sendHeader sends the status and headers of the response to the client. It is
+// called once the body has begun or has ended empty: until then the client can
+// still get an error, or the response of another backend.
+func (c *backendCall) sendHeader(response *http.Response) {
+	if c.headerSent {
 		return
 	}
-	c.sent = true
-	for _, name := range answerHeaders {
+	c.headerSent = true
+	for _, name := range strippedHeaders {
 		response.Header.Del(name)
 	}
 	header := c.writer.Header()
 	for name, values := range response.Header {
 		header[name] = values
 	}
-	if c.kept != nil {
-		c.kept.Status = response.StatusCode
-		c.kept.ContentType = response.Header.Get("Content-Type")
+	if c.recorded != nil {
+		c.recorded.Status = response.StatusCode
+		c.recorded.ContentType = response.Header.Get("Content-Type")
 	}
 	c.writer.WriteHeader(response.StatusCode)
 }
--- a/process/proxy/run_engine.go
+++ b/process/proxy/run_engine.go
@@ -19,20 +19,21 @@
 	"github.com/landingtrail/landingtrail/request/router"
 )
 
-// Causes of an attempt that this proxy itself ends.
+// Causes of the cancellation or failure of an attempt by this proxy.
 var (
-	errHeadTimeout  = errors.New("no answer from the engine")
-	errTokenTimeout = errors.New("no first token from the engine")
-	errStalled      = errors.New("the engine's stream stalled")
-	errGap          = errors.New("tokens are missing in the engine's stream")
+	errHeaderTimeout     = errors.New("timed out waiting for the engine's response header")
+	errFirstTokenTimeout = errors.New("timed out waiting for the engine's first token")
+	errStreamStalled     = errors.New("the engine's stream stalled")
+	errTokenGap          = errors.New("the engine's stream skipped tokens")
 )
 
-// maxErrorBytes bounds what is read of an engine's error answer.
+// maxErrorBytes is the maximum size of an error response that is read.
 const maxErrorBytes = 64 << 10
 
-// runOnce lets one engine run the request. It returns nil after a whole answer.
+// runOnce runs the request on one engine. It returns nil after a complete
+// response.
 func (c *call) runOnce(ctx context.Context) *failure {
-	decision, failed := c.decide()
+	decision, failed := c.route()
 	if failed != nil {
 		return failed
 	}
@@ -46,67 +47,69 @@
 	target := (*c.lane.endpoints.Load())[decision.Target.Name]
 	if target == nil {
 		c.excluded[decision.Target.Name] = true
-		return unavailable(codeNoEngine, "the engine is gone", time.Second)
+		return unavailable(codeNoEngine, "the engine no longer exists", time.Second)
 	}
-	number, err := c.life.Begin(target.name, decision.Target.Incarnation)
+	number, err := c.attempts.Begin(target.name, decision.Target.Incarnation)
 	if err != nil {
-		return &failure{status: http.StatusBadGateway, kind: typeServer, code: codeUpstream, message: err.Error(), final: true}
+		return &failure{status: http.StatusBadGateway, errorType: typeServer, code: codeUpstream, message: err.Error(), final: true}
 	}
 	if number > 1 {
-		c.sink.restart()
+		c.sink.discard()
 	}
-	c.noteCached(decision.Target)
+	c.estimateCachedTokens(decision.Target)
 	end := target.begin(c.proxy.clock(), c.parsed.promptTokens)
 	defer end()
 	run := c.runIdentity(number, decision.Target.Incarnation)
 	return c.exchange(ctx, target, run, run, func(ctx context.Context) (*http.Request, error) {
-		return c.runRequest(ctx, target, decision.Target.Incarnation, handle)
+		return c.newRunRequest(ctx, target, decision.Target.Incarnation, handle)
 	})
 }
 
-func (c *call) noteCached(target *router.Endpoint) {
-	c.cached = 0
+func (c *call) estimateCachedTokens(target *router.Endpoint) {
+	c.cachedTokens = 0
 	if target.CachedBlocks != nil && len(c.parsed.blocks) > 0 {
 		count, _ := target.CachedBlocks(c.parsed.blocks)
-		c.cached = count * (c.parsed.promptTokens / max(1, len(c.parsed.blocks)))
+		c.cachedTokens = count * (c.parsed.promptTokens / max(1, len(c.parsed.blocks)))
 	}
 }
 
-// resumeOnce takes up the attempt's stream again at the offset.
+// resumeOnce resumes the attempt's stream at the offset.
 func (c *call) resumeOnce(ctx context.Context, step attempt.Step) *failure {
 	target := (*c.lane.endpoints.Load())[step.Endpoint]
-	if target == nil || c.life.Resume(step.Number) != nil {
-		c.life.AbandonResume(step.Number)
-		return upstreamFailed("the engine is gone")
+	if target == nil || c.attempts.Resume(step.Number) != nil {
+		c.attempts.AbandonResume(step.Number)
+		return upstreamFailed("the engine no longer exists")
 	}
 	c.proxy.metrics.resumes.Inc()
-	delay, _ := c.proxy.config.Backoff.Delay(0, c.left(), c.random)
+	delay, _ := c.proxy.config.Backoff.Delay(0, c.timeLeft(), c.rng)
 	if !pause.For(ctx, delay) {
-		c.life.Fail(step.Number, attempt.FaultBroken)
+		c.attempts.Fail(step.Number, attempt.FaultBroken)
 		return upstreamFailed("interrupted")
 	}
 	end := target.begin(c.proxy.clock(), 0)
 	defer end()
 	run := c.runIdentity(step.Number, step.Incarnation)
-	return c.exchange(ctx, target, c.resumeIdentity(), run, func(ctx context.Context) (*http.Request, error) {
+	return c.exchange(ctx, target, c.nextResumeIdentity(), run, func(ctx context.Context) (*http.Request, error) {
 		body := engineapi.ResumeRequest{RequestID: c.id, Attempt: step.Number, Offset: step.Offset, Incarnation: step.Incarnation}
-		return postJSON(ctx, target.address, engineapi.PathResume, body)
+		return newJSONPost(ctx, target.address, engineapi.PathResume, body)
 	})
 }
 
-// runIdentity names a run: its request and the events of its stream.
+// runIdentity returns the identity of a run, which its request and the events of
+// its stream carry.
 func (c *call) runIdentity(number uint32, incarnation uint64) upstream.Identity {
 	return upstream.Identity{RequestID: c.id, Attempt: number, Incarnation: incarnation}
 }
 
-// resumeIdentity names the head of one resume. It is never that of the run or
-// of another resume: an answer to one of those says nothing of this resume.
-func (c *call) resumeIdentity() upstream.Identity {
-	c.resumes++
-	return upstream.Identity{RequestID: c.id + "-resume", Attempt: c.resumes}
+// nextResumeIdentity returns the identity of one resume request. It differs from
+// that of the run and of every other resume, so that a response to one of those
+// is not taken for the response to this one.
+func (c *call) nextResumeIdentity() upstream.Identity {
+	c.resumeCount++
+	return upstream.Identity{RequestID: c.id + "-resume", Attempt: c.resumeCount}
 }
 
-func postJSON(ctx context.Context, address, path string, body any) (*http.Request, error) {
+func newJSONPost(ctx context.Context, address, path string, body any) (*http.Request, error) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
 		return nil, errors.WithStack(err)
@@ -123,20 +126,20 @@
 	return request, nil
 }
 
-func (c *call) runRequest(ctx context.Context, target *endpoint, incarnation uint64, handle string) (*http.Request, error) {
+func (c *call) newRunRequest(ctx context.Context, target *endpoint, incarnation uint64, handle string) (*http.Request, error) {
 	request, err := newPost(ctx, target.address, c.parsed.path, c.parsed.body)
 	if err != nil {
 		return nil, err
 	}
-	left, some := c.proxy.config.Margin.Shrink(c.left())
-	if !some {
+	left, enough := c.proxy.config.Margin.Shrink(c.timeLeft())
+	if !enough {
 		return nil, errors.WithStack(context.DeadlineExceeded)
 	}
 	header := request.Header
 	header.Set(engineapi.HeaderPriority, strconv.Itoa(c.priority))
 	header.Set(engineapi.HeaderDeadline, strconv.FormatInt(left.Milliseconds(), 10))
 	if incarnation != 0 {
-		// An engine that started anew since the view was made must refuse.
+		// Makes the engine refuse if it has restarted since the view was built.
 		header.Set(engineapi.HeaderIncarnation, strconv.FormatUint(incarnation, 10))
 	}
 	if handle != "" {
@@ -148,128 +151,129 @@
 	return request, nil
 }
 
-// watchdog ends an exchange when nothing comes for too long.
+// watchdog cancels an exchange if the engine makes no progress in time.
 type watchdog struct {
-	cause atomic.Pointer[error] // of the end, if it comes now
+	cause atomic.Pointer[error] // cause of the cancellation when the timer fires
 	timer *time.Timer
 }
 
 func newWatchdog(cancel context.CancelCauseFunc, wait time.Duration, cause *error) *watchdog {
-	made := &watchdog{}
-	made.cause.Store(cause)
-	made.timer = time.AfterFunc(wait, func() { cancel(*made.cause.Load()) })
-	return made
+	w := &watchdog{}
+	w.cause.Store(cause)
+	w.timer = time.AfterFunc(wait, func() { cancel(*w.cause.Load()) })
+	return w
 }
 
-// expect replaces what is waited for. It costs no memory, since it is called
-// for every token.
-func (w *watchdog) expect(wait time.Duration, cause *error) {
+// reset restarts the timer with a new timeout and cause. It does not allocate,
+// since it is called for every token.
+func (w *watchdog) reset(wait time.Duration, cause *error) {
 	w.cause.Store(cause)
 	w.timer.Reset(wait)
 }
 
 func (w *watchdog) stop() { w.timer.Stop() }
 
-// exchange sends one request of an attempt, under the identity head, and passes
-// on its stream, whose events are the run's.
+// exchange sends one request of an attempt and relays the stream of the response.
+// The response header must carry the identity head, the events that of the run.
 func (c *call) exchange(ctx context.Context, target *endpoint, head, run upstream.Identity, build func(context.Context) (*http.Request, error)) *failure {
 	number := run.Attempt
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	request, err := build(ctx)
 	if err != nil {
-		c.life.Fail(number, attempt.FaultNotWritten)
-		return deadlineShort("no time is left for the engine", 0)
+		c.attempts.Fail(number, attempt.FaultNotWritten)
+		return deadlineTooShort("not enough time is left before the deadline to call an engine", 0)
 	}
-	dog := newWatchdog(cancel, c.proxy.config.Timeouts.Head, &errHeadTimeout)
-	defer func() { dog.stop() }()
-	asked := c.proxy.clock()
-	c.running = running{target: target, incarnation: run.Incarnation, sentAt: asked}
+	watch := newWatchdog(cancel, c.proxy.config.Timeouts.Head, &errHeaderTimeout)
+	defer func() { watch.stop() }()
+	sentAt := c.proxy.clock()
+	c.running = running{target: target, incarnation: run.Incarnation, sentAt: sentAt}
 	response, err := c.lane.pool.Do(request, head)
 	if err != nil {
 		c.noteBroken(ctx, err)
-		return c.unanswered(ctx, target, number, err)
+		return c.noResponse(ctx, target, number, err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	target.hearHeader(asked, c.proxy.clock(), response.Header)
-	c.proxy.noteLife(target, asked)
+	target.hearHeader(sentAt, c.proxy.clock(), response.Header)
+	c.proxy.noteLife(target, sentAt)
 	if response.StatusCode != http.StatusOK {
 		return c.refused(target, number, response)
 	}
-	c.life.Admit(number, incarnationOf(response.Header))
-	dog.expect(c.proxy.config.Timeouts.FirstToken, &errTokenTimeout)
+	c.attempts.Admit(number, incarnationOf(response.Header))
+	watch.reset(c.proxy.config.Timeouts.FirstToken, &errFirstTokenTimeout)
 	stream := upstream.NewStream(response.Body, run, c.proxy.config.Limits.EventBytes)
-	return c.relay(ctx, target, number, stream, dog)
+	return c.relayStream(ctx, target, number, stream, watch)
 }
 
 func upstreamFailed(message string) *failure {
-	return &failure{status: http.StatusBadGateway, kind: typeServer, code: codeUpstream, message: message}
+	return &failure{status: http.StatusBadGateway, errorType: typeServer, code: codeUpstream, message: message}
 }
 
-// unanswered closes an attempt that brought no answer.
-func (c *call) unanswered(ctx context.Context, target *endpoint, number uint32, err error) *failure {
+// noResponse ends an attempt that got no response.
+func (c *call) noResponse(ctx context.Context, target *endpoint, number uint32, err error) *failure {
 	fault := attempt.FaultBroken
 	var failed *upstream.Failure
 	if errors.As(err, &failed) && !failed.Wrote {
 		fault = attempt.FaultNotWritten
 	}
-	c.life.Fail(number, fault)
+	c.attempts.Fail(number, fault)
 	if errors.Is(err, upstream.ErrForeign) {
 		c.exclude(target)
-		return upstreamFailed("the engine answered another request")
+		return upstreamFailed("the engine responded to a different request")
 	}
-	c.suspect(ctx, target)
-	return upstreamFailed("the engine could not be reached or gave no answer")
+	c.markSuspect(ctx, target)
+	return upstreamFailed("the engine could not be reached or did not respond")
 }
 
-// suspect marks an engine that failed, unless the caller or the deadline ended
-// the exchange.
-func (c *call) suspect(ctx context.Context, target *endpoint) {
+// markSuspect marks an engine as suspect after a failure, unless the client or
+// the deadline ended the exchange.
+func (c *call) markSuspect(ctx context.Context, target *endpoint) {
 	cause := context.Cause(ctx)
-	if cause != nil && !ownTimeout(cause) {
+	if cause != nil && !isProxyTimeout(cause) {
 		return
 	}
 	target.fail(c.proxy.clock())
 	c.exclude(target)
 }
 
-func ownTimeout(cause error) bool {
-	return errors.Is(cause, errHeadTimeout) || errors.Is(cause, errTokenTimeout) || errors.Is(cause, errStalled)
+func isProxyTimeout(cause error) bool {
+	return errors.Is(cause, errHeaderTimeout) || errors.Is(cause, errFirstTokenTimeout) || errors.Is(cause, errStreamStalled)
 }
 
 func (c *call) exclude(target *endpoint) { c.excluded[target.name] = true }
 
-// refused closes an attempt whose answer is no 200. An explicit refusal is a
-// sure "not run"; anything else may have run.
+// refused ends an attempt whose response status is not 200. After an explicit
+// refusal the request certainly did not run; after any other status it may have.
 func (c *call) refused(target *endpoint, number uint32, response *http.Response) *failure {
-	body, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes)) // what came is enough
+	body, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes)) // a partial body is enough
 	c.exclude(target)
 	if !upstream.SurelyRefused(response) {
-		c.life.Fail(number, attempt.FaultBroken)
-		c.life.AbandonResume(number)
-		c.noteStatus(target, response)
-		return upstreamFailed("the engine answered with status " + strconv.Itoa(response.StatusCode))
+		c.attempts.Fail(number, attempt.FaultBroken)
+		c.attempts.AbandonResume(number)
+		c.suspectOnServerError(target, response)
+		return upstreamFailed("the engine responded with status " + strconv.Itoa(response.StatusCode))
 	}
-	c.life.Fail(number, attempt.FaultRefused)
+	c.attempts.Fail(number, attempt.FaultRefused)
 	c.proxy.metrics.refusals.Inc()
-	failed := unavailable(codeNoEngine, "engines refused the request", time.Second)
-	failed.free = closedPhase(target.word().phase)
-	if final := callerFault(response.StatusCode, body); final != nil {
+	failed := unavailable(codeNoEngine, "the engines refused the request", time.Second)
+	failed.budgetExempt = closedPhase(target.word().phase)
+	if final := clientError(response.StatusCode, body); final != nil {
 		return final
 	}
 	return failed
 }
 
-// noteStatus makes an engine suspect that fails rather than refuses.
-func (c *call) noteStatus(target *endpoint, response *http.Response) {
+// suspectOnServerError marks an engine as suspect if the response is a server
+// error rather than a refusal.
+func (c *call) suspectOnServerError(target *endpoint, response *http.Response) {
 	if response.StatusCode >= http.StatusInternalServerError && !upstream.SurelyRefused(response) {
 		target.fail(c.proxy.clock())
 	}
 }
 
-// callerFault passes on an engine's refusal that another engine would repeat:
-// the request itself is at fault.
-func callerFault(status int, body []byte) *failure {
+// clientError returns the failure for a refusal that every engine would repeat,
+// because the request itself is invalid. It returns nil for any other status.
+func clientError(status int, body []byte) *failure {
 	switch status {
 	case http.StatusBadRequest, http.StatusRequestEntityTooLarge, http.StatusUnprocessableEntity:
 	default:
@@ -280,38 +284,38 @@
 	if json.Unmarshal(body, &decoded) == nil && decoded.Error.Message != "" {
 		message = decoded.Error.Message
 	}
-	return &failure{status: status, kind: typeInvalid, code: codeBadRequest, message: message, final: true}
+	return &failure{status: status, errorType: typeInvalid, code: codeBadRequest, message: message, final: true}
 }
 
-// relay passes the frames of a stream on until its end.
-func (c *call) relay(ctx context.Context, target *endpoint, number uint32, stream *upstream.Stream, dog *watchdog) *failure {
+// relayStream forwards the frames of a stream until its end.
+func (c *call) relayStream(ctx context.Context, target *endpoint, number uint32, stream *upstream.Stream, watch *watchdog) *failure {
 	for {
 		frame, err := stream.Next()
 		if errors.Is(err, io.EOF) {
-			return c.finish(target, number)
+			return c.finishRun(target, number)
 		}
 		if err != nil {
 			c.noteBroken(ctx, err)
-			return c.broken(ctx, target, number, err)
+			return c.streamBroken(ctx, target, number, err)
 		}
 		c.running.events++
-		switch c.life.Accept(number, frame.Event.Offset, frame.Tokens) {
+		switch c.attempts.Accept(number, frame.Event.Offset, frame.Tokens) {
 		case attempt.VerdictPass:
-			dog.expect(c.proxy.config.Timeouts.Stall, &errStalled)
-			if err := c.sink.pass(&frame, stream.Buffered()); err != nil {
+			watch.reset(c.proxy.config.Timeouts.Stall, &errStreamStalled)
+			if err := c.sink.send(&frame, stream.Buffered()); err != nil {
 				return c.sinkFailed(number, err)
 			}
 		case attempt.VerdictDuplicate:
 		default:
-			return c.broken(ctx, target, number, errGap)
+			return c.streamBroken(ctx, target, number, errTokenGap)
 		}
 	}
 }
 
-// finish ends a whole answer.
-func (c *call) finish(target *endpoint, number uint32) *failure {
-	if !c.life.Finish(number) {
-		return upstreamFailed("the answer came after its attempt had ended")
+// finishRun ends an attempt with a complete response.
+func (c *call) finishRun(target *endpoint, number uint32) *failure {
+	if !c.attempts.Finish(number) {
+		return upstreamFailed("the response ended after its attempt had been closed")
 	}
 	target.succeed()
 	c.noteServed()
@@ -321,25 +325,25 @@
 	return nil
 }
 
-// broken closes an attempt whose stream broke off.
-func (c *call) broken(ctx context.Context, target *endpoint, number uint32, err error) *failure {
-	c.life.Fail(number, attempt.FaultBroken)
-	if errors.Is(err, errGap) || errors.Is(err, upstream.ErrForeign) || errors.Is(err, upstream.ErrMalformed) ||
+// streamBroken ends an attempt whose stream was interrupted.
+func (c *call) streamBroken(ctx context.Context, target *endpoint, number uint32, err error) *failure {
+	c.attempts.Fail(number, attempt.FaultBroken)
+	if errors.Is(err, errTokenGap) || errors.Is(err, upstream.ErrForeign) || errors.Is(err, upstream.ErrMalformed) ||
 		errors.Is(err, upstream.ErrEngine) || errors.Is(err, upstream.ErrEventTooLarge) || errors.Is(err, upstream.ErrAfterTerminal) {
-		// The same stream would break again in the same way.
-		c.life.AbandonResume(number)
+		// A resumed stream would fail in the same way.
+		c.attempts.AbandonResume(number)
 	}
 	c.proxy.metrics.broken.Inc()
-	c.suspect(ctx, target)
-	return upstreamFailed("the engine's stream broke off")
+	c.markSuspect(ctx, target)
+	return upstreamFailed("the engine's stream was interrupted")
 }
 
-// sinkFailed closes an attempt whose answer can go no further.
+// sinkFailed ends an attempt whose response cannot be delivered.
 func (c *call) sinkFailed(number uint32, err error) *failure {
-	c.life.Fail(number, attempt.FaultBroken)
+	c.attempts.Fail(number, attempt.FaultBroken)
 	if errors.Is(err, errAnswerTooLarge) {
-		return &failure{status: http.StatusBadGateway, kind: typeServer, code: codeAnswerTooLarge,
-			message: "the answer is too large to be held; ask for a stream", final: true}
+		return &failure{status: http.StatusBadGateway, errorType: typeServer, code: codeAnswerTooLarge,
+			message: "the response is too large to be buffered; request a stream instead", final: true}
 	}
-	return &failure{status: statusClientClosed, kind: typeInvalid, code: codeCancelled, message: "the caller has gone", final: true}
+	return &failure{status: statusClientClosed, errorType: typeInvalid, code: codeCancelled, message: "the client disconnected", final: true}
 }
--- a/process/proxy/sink.go
+++ b/process/proxy/sink.go
@@ -16,59 +16,60 @@
 
 // Errors of a sink.
 var (
-	// errCaller means that the caller went away or stopped reading.
-	errCaller = errors.New("caller is gone")
-	// errAnswerTooLarge means that a held answer is past its bound.
-	errAnswerTooLarge = errors.New("answer too large")
+	// errClientGone means that the client disconnected or stopped reading.
+	errClientGone = errors.New("client disconnected")
+	// errAnswerTooLarge means that a buffered response exceeds its size limit.
+	errAnswerTooLarge = errors.New("response too large to buffer")
 )
 
-// sink takes an answer to the caller.
+// sink delivers a response to the client.
 type sink interface {
-	// pass takes the next frame; more says that another one is at hand.
-	pass(frame *upstream.Frame, more bool) error
-	// restart throws away what was held. It is called only while nothing
-	// reached the caller.
-	restart()
-	// finish ends the whole answer.
+	// send delivers the next frame; more means that another frame is available.
+	send(frame *upstream.Frame, more bool) error
+	// discard drops the buffered frames before the next attempt. It is called
+	// only while nothing has been sent to the client.
+	discard()
+	// finish ends a complete response.
 	finish() error
-	// fail ends the answer with a failure that cannot be taken for a clean end.
+	// fail ends the response with a failure that the client cannot mistake for a
+	// complete response.
 	fail(failed *failure)
-	// held returns the whole answer, or nil when it was not kept.
-	held() []byte
+	// recorded returns the complete response, or nil if it was not kept.
+	recorded() []byte
 }
 
-// streamSink passes frames on as server-sent events. What is not yet written
-// is bounded: one frame here, and the buffers of the connection. A caller that
-// stops reading fails the write deadline.
+// streamSink sends frames as server-sent events. Unwritten data is bounded by
+// maxBufferedBytes, one frame and the buffers of the connection. If the client
+// stops reading, the write deadline fails the request.
 type streamSink struct {
 	writer     http.ResponseWriter
 	controller *http.ResponseController
 	timeout    time.Duration
 	buffer     bytes.Buffer
-	sent       bool
-	gone       bool
-	kept       *assembler // nil unless the answer is kept for its claim
+	headerSent bool
+	clientGone bool
+	assembled  *assembler // nil unless the response is recorded with its claim
 }
 
 func newStreamSink(w http.ResponseWriter, timeout time.Duration, kept *assembler) *streamSink {
-	return &streamSink{writer: w, controller: http.NewResponseController(w), timeout: timeout, kept: kept}
+	return &streamSink{writer: w, controller: http.NewResponseController(w), timeout: timeout, assembled: kept}
 }
 
-func (s *streamSink) pass(frame *upstream.Frame, more bool) error {
-	if s.kept != nil {
-		s.kept.add(frame)
+func (s *streamSink) send(frame *upstream.Frame, more bool) error {
+	if s.assembled != nil {
+		s.assembled.add(frame)
 	}
-	s.event("", frame.Data)
-	if more && s.buffer.Len() < maxBufferedFrames {
+	s.writeEvent("", frame.Data)
+	if more && s.buffer.Len() < maxBufferedBytes {
 		return nil
 	}
 	return s.flush()
 }
 
-// maxBufferedFrames bounds in bytes the frames that are written at once.
-const maxBufferedFrames = 16 << 10
+// maxBufferedBytes is the number of buffered bytes from which frames are written.
+const maxBufferedBytes = 16 << 10
 
-func (s *streamSink) event(name string, data []byte) {
+func (s *streamSink) writeEvent(name string, data []byte) {
 	if name != "" {
 		s.buffer.WriteString("event: ")
 		s.buffer.WriteString(name)
@@ -83,103 +84,103 @@
 }
 
 func (s *streamSink) flush() error {
-	if s.gone {
-		return s.lost()
+	if s.clientGone {
+		return s.disconnectError()
 	}
-	if !s.sent {
-		s.sent = true
+	if !s.headerSent {
+		s.headerSent = true
 		header := s.writer.Header()
 		header.Set("Content-Type", "text/event-stream")
 		header.Set("Cache-Control", "no-cache")
 		s.writer.WriteHeader(http.StatusOK)
 	}
-	_ = s.controller.SetWriteDeadline(time.Now().Add(s.timeout)) // a test's writer may have none
+	_ = s.controller.SetWriteDeadline(time.Now().Add(s.timeout)) // a writer in a test may not support it
 	_, err := s.writer.Write(s.buffer.Bytes())
 	s.buffer.Reset()
 	if err == nil {
 		err = s.controller.Flush()
 	}
 	if err != nil {
-		s.gone = true
-		return s.lost()
+		s.clientGone = true
+		return s.disconnectError()
 	}
 	return nil
 }
 
-// lost is the error after the caller went away. An answer that is kept for its
-// claim goes on without the caller.
-func (s *streamSink) lost() error {
+// disconnectError returns the error after the client has disconnected, or nil if
+// the response is recorded with its claim, so that the run continues.
+func (s *streamSink) disconnectError() error {
 	s.buffer.Reset()
-	if s.kept != nil {
+	if s.assembled != nil {
 		return nil
 	}
-	return errCaller
+	return errClientGone
 }
 
-func (s *streamSink) restart() {
+func (s *streamSink) discard() {
 	s.buffer.Reset()
-	if s.kept != nil {
-		s.kept.reset()
+	if s.assembled != nil {
+		s.assembled.reset()
 	}
 }
 
 func (s *streamSink) finish() error {
-	s.event("", []byte("[DONE]"))
+	s.writeEvent("", []byte("[DONE]"))
 	return s.flush()
 }
 
 func (s *streamSink) fail(failed *failure) {
-	if !s.sent {
+	if !s.headerSent {
 		failed.write(s.writer)
 		return
 	}
-	s.event("error", failed.encode())
-	_ = s.flush() // the caller may be gone
+	s.writeEvent("error", failed.encode())
+	_ = s.flush() // the client may have disconnected
 }
 
-func (s *streamSink) held() []byte {
-	if s.kept == nil || s.kept.overflowed() {
+func (s *streamSink) recorded() []byte {
+	if s.assembled == nil || s.assembled.overflowed() {
 		return nil
 	}
-	return s.kept.encode()
+	return s.assembled.encode()
 }
 
-// wholeSink holds the frames until the answer is whole.
-type wholeSink struct {
-	writer  http.ResponseWriter
-	timeout time.Duration
-	kept    *assembler
+// bufferedSink collects the frames until the response is complete.
+type bufferedSink struct {
+	writer    http.ResponseWriter
+	timeout   time.Duration
+	assembled *assembler
 }
 
-func (s *wholeSink) pass(frame *upstream.Frame, _ bool) error {
-	s.kept.add(frame)
-	if s.kept.overflowed() {
+func (s *bufferedSink) send(frame *upstream.Frame, _ bool) error {
+	s.assembled.add(frame)
+	if s.assembled.overflowed() {
 		return errAnswerTooLarge
 	}
 	return nil
 }
 
-func (s *wholeSink) restart() { s.kept.reset() }
+func (s *bufferedSink) discard() { s.assembled.reset() }
 
-func (s *wholeSink) finish() error {
-	return writeWhole(s.writer, s.timeout, s.kept.encode())
+func (s *bufferedSink) finish() error {
+	return writeJSONResponse(s.writer, s.timeout, s.assembled.encode())
 }
 
-func writeWhole(w http.ResponseWriter, timeout time.Duration, body []byte) error {
+func writeJSONResponse(w http.ResponseWriter, timeout time.Duration, body []byte) error {
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(timeout))
 	w.Header().Set("Content-Type", contentTypeJSON)
 	w.WriteHeader(http.StatusOK)
 	if _, err := w.Write(body); err != nil {
-		return errCaller
+		return errClientGone
 	}
 	return nil
 }
 
-func (s *wholeSink) fail(failed *failure) { failed.write(s.writer) }
+func (s *bufferedSink) fail(failed *failure) { failed.write(s.writer) }
 
-func (s *wholeSink) held() []byte { return s.kept.encode() }
+func (s *bufferedSink) recorded() []byte { return s.assembled.encode() }
 
-// assembler puts frames together to a whole answer.
+// assembler combines frames into a complete response.
 type assembler struct {
 	chat    bool
 	created int64
@@ -188,7 +189,7 @@
 	choices []*assembledChoice
 	usage   *engineapi.Usage
 	size    int64
-	limit   int64 // of size; what comes past it is dropped
+	limit   int64 // maximum of size; text beyond it is dropped
 }
 
 type assembledChoice struct {
@@ -201,7 +202,7 @@
 	return &assembler{chat: chat, created: time.Now().Unix(), limit: limit}
 }
 
-// overflowed reports whether the answer is larger than the limit.
+// overflowed reports whether the response exceeds the limit.
 func (a *assembler) overflowed() bool { return a.size > a.limit }
 
 func (a *assembler) reset() {
@@ -210,7 +211,7 @@
 	a.size = 0
 }
 
-// maxChoices bounds the choices of one answer.
+// maxChoices is the maximum number of choices in a response.
 const maxChoices = 128
 
 func (a *assembler) add(frame *upstream.Frame) {
@@ -248,8 +249,9 @@
 	}
 }
 
-// wholeAnswer is a whole completion as OpenAI's clients know it.
-type wholeAnswer struct {
+// completionResponse is a non-streamed completion in the format of the OpenAI
+// API.
+type completionResponse struct {
 	ID      string             `json:"id"`
 	Object  string             `json:"object"`
 	Created int64              `json:"created"`
@@ -259,7 +261,7 @@
 }
 
 func (a *assembler) encode() []byte {
-	answer := wholeAnswer{ID: a.id, Object: "text_completion", Created: a.created, Model: a.model, Usage: a.usage}
+	answer := completionResponse{ID: a.id, Object: "text_completion", Created: a.created, Model: a.model, Usage: a.usage}
 	if a.chat {
 		answer.Object = "chat.completion"
 	}
@@ -276,7 +278,7 @@
 	}
 	encoded, err := json.Marshal(answer)
 	if err != nil {
-		panic(err) // a type of ours that cannot be encoded
+		panic(err) // programming error: the type always encodes
 	}
 	return encoded
 }
--- a/process/proxy/split.go
+++ b/process/proxy/split.go
@@ -14,27 +14,28 @@
 	"github.com/landingtrail/landingtrail/request/router"
 )
 
-// errSplit is returned when KV cache could not be handed over.
-var errSplit = errors.New("hand-over of KV cache failed")
+// errKVTransfer is returned if the KV cache could not be transferred.
+var errKVTransfer = errors.New("KV cache transfer failed")
 
-// prefillAttempt numbers the prompt's run on the prefill engine apart from the
-// attempts of the request. The prompt's run makes no answer, so it is not the
-// run that a caller is told of: when the hand-over fails, the request surely
-// has not run.
+// prefillAttempt is the attempt number of the prefill, which is separate from the
+// attempts of the request. The prefill generates no response, so it does not
+// count as a run of the request: if the transfer fails, the request has certainly
+// not run.
 const prefillAttempt = 1
 
-// prefill has the prompt read by the prefill engine and its KV cache handed
-// over to the target. The cache goes from engine to engine, never through the
-// proxy. An engine that fails or refuses is left out and the rest is asked; the
-// router says when no pair is left and one engine has to do it all.
+// prefill runs the prefill on the prefill engine and transfers its KV cache to
+// the target. The cache is sent directly between the engines, not through the
+// proxy. After a failure or refusal it excludes the engine and routes again; the
+// router returns a decision without a prefill engine if no pair is left and one
+// engine must do both phases.
 func (c *call) prefill(ctx context.Context, decision router.Decision) (router.Decision, string, *failure) {
 	for decision.Prefill != nil {
-		handle, failedEngine := c.handOver(ctx, decision)
+		handle, failedEngine := c.transferKV(ctx, decision)
 		if failedEngine == "" {
 			return decision, handle, nil
 		}
 		c.proxy.metrics.splitFailures.Inc()
-		if failed := c.interrupted(ctx); failed != nil {
+		if failed := c.interruptedFailure(ctx); failed != nil {
 			failed.final = true
 			return decision, "", failed
 		}
@@ -42,18 +43,19 @@
 			return decision, "", failed
 		}
 		c.excluded[failedEngine] = true
-		again, failed := c.decide()
+		next, failed := c.route()
 		if failed != nil {
-			return again, "", failed
+			return next, "", failed
 		}
-		decision = again
+		decision = next
 	}
 	return decision, "", nil
 }
 
-// handOver returns the handle of the KV cache on the target, or the name of the
-// engine that it failed on.
-func (c *call) handOver(ctx context.Context, decision router.Decision) (handle, failedEngine string) {
+// transferKV exports the KV cache of the prompt from the prefill engine and
+// imports it into the target. It returns the handle of the cache on the target,
+// or the name of the engine that failed.
+func (c *call) transferKV(ctx context.Context, decision router.Decision) (handle, failedEngine string) {
 	endpoints := *c.lane.endpoints.Load()
 	source, target := endpoints[decision.Prefill.Name], endpoints[decision.Target.Name]
 	if source == nil {
@@ -80,53 +82,54 @@
 	return imported.Handle, ""
 }
 
-// handOverIdentity names one call of a hand-over. It is never that of a run:
-// the refusal of an import is none of the run that follows on the same engine.
-func (c *call) handOverIdentity() upstream.Identity {
-	c.handOvers++
-	return upstream.Identity{RequestID: c.id + "-kv", Attempt: c.handOvers}
+// nextTransferIdentity returns the identity of one export or import call. It
+// differs from that of a run, so that the refusal of an import is not taken for a
+// refusal of the run that follows on the same engine.
+func (c *call) nextTransferIdentity() upstream.Identity {
+	c.kvTransfers++
+	return upstream.Identity{RequestID: c.id + "-kv", Attempt: c.kvTransfers}
 }
 
-// maxHandleBytes bounds the answer that names a handle.
+// maxHandleBytes is the maximum size of a response with a KV handle.
 const maxHandleBytes = 64 << 10
 
 func (c *call) callKV(ctx context.Context, target *endpoint, path string, incarnation uint64, body any) (engineapi.KVHandle, error) {
 	var handle engineapi.KVHandle
-	request, err := postJSON(ctx, target.address, path, body)
+	request, err := newJSONPost(ctx, target.address, path, body)
 	if err != nil {
 		return handle, err
 	}
 	request.Header.Set(engineapi.HeaderPriority, strconv.Itoa(c.priority))
-	request.Header.Set(engineapi.HeaderDeadline, strconv.FormatInt(c.left().Milliseconds(), 10))
+	request.Header.Set(engineapi.HeaderDeadline, strconv.FormatInt(c.timeLeft().Milliseconds(), 10))
 	if incarnation != 0 {
 		request.Header.Set(engineapi.HeaderIncarnation, strconv.FormatUint(incarnation, 10))
 	}
-	asked := c.proxy.clock()
-	c.running = running{target: target, incarnation: incarnation, sentAt: asked}
-	response, err := c.lane.pool.Do(request, c.handOverIdentity())
+	sentAt := c.proxy.clock()
+	c.running = running{target: target, incarnation: incarnation, sentAt: sentAt}
+	response, err := c.lane.pool.Do(request, c.nextTransferIdentity())
 	if err != nil {
 		c.noteBroken(ctx, err)
 	}
 	if errors.Is(err, upstream.ErrForeign) {
-		return handle, err // the connection was at fault, which is closed
+		return handle, err // the fault was in the connection, which has been closed
 	}
 	if err != nil {
-		c.suspect(ctx, target)
+		c.markSuspect(ctx, target)
 		return handle, err
 	}
 	defer func() { _ = response.Body.Close() }()
-	target.hearHeader(asked, c.proxy.clock(), response.Header)
+	target.hearHeader(sentAt, c.proxy.clock(), response.Header)
 	encoded, err := io.ReadAll(io.LimitReader(response.Body, maxHandleBytes))
 	if err != nil {
 		c.noteBroken(ctx, err)
-		return handle, errors.Wrap(errSplit, err.Error())
+		return handle, errors.Wrap(errKVTransfer, err.Error())
 	}
 	if response.StatusCode != http.StatusOK {
-		c.noteStatus(target, response)
-		return handle, errors.Wrapf(errSplit, "%s answered with status %d", target.name, response.StatusCode)
+		c.suspectOnServerError(target, response)
+		return handle, errors.Wrapf(errKVTransfer, "%s responded with status %d", target.name, response.StatusCode)
 	}
 	if err := json.Unmarshal(encoded, &handle); err != nil {
-		return handle, errors.Wrap(errSplit, err.Error())
+		return handle, errors.Wrap(errKVTransfer, err.Error())
 	}
 	return handle, nil
 }
