--- a/process/proxy/surplus_test.go
+++ b/process/proxy/surplus_test.go
@@ -21,79 +21,79 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// surplus is a fault of a server that otherwise keeps to the protocol: when a
-// request comes on a connection that has served another one, the server first
-// sends an answer that belongs to no request, and then the real one. The wrong
-// answer so comes after the connection was taken from the proxy's pool, when no
-// look at the idle connection can find it.
+// surplus makes a server send stray responses: for a request on a connection that
+// has served another one, the server first sends a response that belongs to no
+// request, and then the real one. The stray response is sent after the proxy took
+// the connection from its pool, so a check of idle connections cannot detect it.
 type surplus struct {
-	// answer returns the bytes of the wrong answer, or "" for none.
+	// answer returns the bytes of the stray response, or "" for none.
 	answer func(r *http.Request) string
-	// observe sees each request; what it returns is of no meaning. nil for nobody.
+	// observe is called for each request if not nil; its result is ignored.
 	observe func(r *http.Request) string
 	sent    atomic.Int32
 }
 
-// connKey is the key of a request's connection in its context.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
-// servedConn is a server's connection and the requests that came on it.
-type servedConn struct {
+// countedConn is a server's connection that counts its requests.
+type countedConn struct {
 	net.Conn
 	requests atomic.Int32
 }
 
-// serve starts a server that echoes the identity of each request.
+// serve starts a server that echoes the identity of each request and sends stray
+// responses.
 func (s *surplus) serve(handler http.Handler) *httptest.Server {
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if s.observe != nil {
 			s.observe(r)
 		}
-		s.precede(r)
+		s.sendStray(r)
 		engineapi.EchoCall(w.Header(), r.Header)
 		handler.ServeHTTP(w, r)
 	}))
 	server.Config.ConnContext = func(ctx context.Context, conn net.Conn) context.Context {
-		return context.WithValue(ctx, connKey{}, &servedConn{Conn: conn})
+		return context.WithValue(ctx, connKey{}, &countedConn{Conn: conn})
 	}
 	server.Start()
 	return server
 }
 
-// precede sends the wrong answer ahead of the real one.
-func (s *surplus) precede(r *http.Request) {
-	conn := r.Context().Value(connKey{}).(*servedConn)
+// sendStray sends the stray response ahead of the real one.
+func (s *surplus) sendStray(r *http.Request) {
+	conn := r.Context().Value(connKey{}).(*countedConn)
 	if conn.requests.Add(1) == 1 || s.answer == nil {
 		return
 	}
 	if wrong := s.answer(r); wrong != "" {
-		_, _ = io.WriteString(conn, wrong) // whoever has gone needs none
+		_, _ = io.WriteString(conn, wrong) // the proxy may have closed the connection
 		s.sent.Add(1)
 	}
 }
 
-// otherAttempt is an attempt that no test comes to.
-const otherAttempt = 99
+// unusedAttempt is an attempt number that no test reaches.
+const unusedAttempt = 99
 
-// wrongIdentities are the identities of a wrong answer to the request.
-var wrongIdentities = map[string]func(r *http.Request) string{
-	"of another request": func(*http.Request) string {
+// strayIdentities returns the identity headers of a stray response to the request.
+var strayIdentities = map[string]func(r *http.Request) string{
+	"different request": func(*http.Request) string {
 		return identityLines("another", 1)
 	},
-	"of another attempt": func(r *http.Request) string {
-		return identityLines(r.Header.Get(engineapi.HeaderRequestID), otherAttempt)
+	"different attempt": func(r *http.Request) string {
+		return identityLines(r.Header.Get(engineapi.HeaderRequestID), unusedAttempt)
 	},
-	"of no attempt": func(r *http.Request) string {
+	"no attempt": func(r *http.Request) string {
 		return engineapi.HeaderRequestID + ": " + r.Header.Get(engineapi.HeaderRequestID) + "\r\n"
 	},
-	"of no request": func(*http.Request) string { return "" },
+	"no identity": func(*http.Request) string { return "" },
 }
 
 func identityLines(id string, number int) string {
 	return engineapi.HeaderRequestID + ": " + id + "\r\n" + engineapi.HeaderAttempt + ": " + strconv.Itoa(number) + "\r\n"
 }
 
-// rawAnswer is an answer as it goes over the connection.
+// rawAnswer returns the bytes of an HTTP response.
 func rawAnswer(status int, header, body string) string {
 	return fmt.Sprintf("HTTP/1.1 %d Status\r\n%sContent-Length: %d\r\n\r\n%s", status, header, len(body), body)
 }
@@ -101,22 +101,23 @@
 const (
 	admittedLine = engineapi.HeaderAdmitted + ": yes\r\n"
 	refusedLine  = engineapi.HeaderAdmitted + ": no\r\n"
-	foreignText  = "written for another"
+	strayBody    = "body of a stray response"
 )
 
-// surplusRequests is how many requests a test sends one after the other: enough
-// for kept connections to be used.
-const surplusRequests = 6
+// strayTestRequests is the number of requests that a test sends, large enough for
+// idle connections to be reused.
+const strayTestRequests = 6
 
-// forWrongIdentities runs a test for each identity that a wrong answer can have.
-func forWrongIdentities(t *testing.T, test func(t *testing.T, identity func(r *http.Request) string)) {
-	for name, identity := range wrongIdentities {
+// forStrayIdentities runs a test for each identity that a stray response can have.
+func forStrayIdentities(t *testing.T, test func(t *testing.T, identity func(r *http.Request) string)) {
+	for name, identity := range strayIdentities {
 		t.Run(name, func(t *testing.T) { test(t, identity) })
 	}
 }
 
-// onWork sends the wrong answer before the answers to work alone.
-func onWork(answer func(r *http.Request) string) func(r *http.Request) string {
+// onRequestPaths restricts stray responses to model and backend requests and
+// leaves out polls and cancellations.
+func onRequestPaths(answer func(r *http.Request) string) func(r *http.Request) string {
 	return func(r *http.Request) string {
 		switch r.URL.Path {
 		case engineapi.PathLoad, engineapi.PathCacheEvents, engineapi.PathCancel:
@@ -126,31 +127,31 @@
 	}
 }
 
-// TestSurplusAnswerReachesNoCaller: a caller of a plain back end was given the
-// answer to another's request. The back end had sent one answer too many on a
-// kept connection, and the proxy compared the ID only when there was one, and
-// the attempt never. Proof: whatever the wrong answer names, no caller reads it.
-func TestSurplusAnswerReachesNoCaller(t *testing.T) {
-	forWrongIdentities(t, func(t *testing.T, identity func(r *http.Request) string) {
+// Guards against a client getting the response to another client's request: a
+// backend sent a stray response on a kept-alive connection, and the proxy compared
+// the request ID only if there was one, and the attempt never. Whatever identity
+// the stray response has, no client may receive it.
+func TestStrayResponseReachesNoClient(t *testing.T) {
+	forStrayIdentities(t, func(t *testing.T, identity func(r *http.Request) string) {
 		first, second := newFakeBackend(t), newFakeBackend(t)
-		first.surplus.answer = onWork(func(r *http.Request) string {
-			return rawAnswer(http.StatusOK, identity(r)+admittedLine, foreignText)
+		first.surplus.answer = onRequestPaths(func(r *http.Request) string {
+			return rawAnswer(http.StatusOK, identity(r)+admittedLine, strayBody)
 		})
 		f := start(t, quick(), nil, first.server, second.server)
-		for range 4 * surplusRequests {
+		for range 4 * strayTestRequests {
 			answer := f.do(http.MethodGet, "/services/tiles/frame", "")
-			// A failure is told as one when the budget of retries is used up.
+			// The request fails with 502 once the retry budget is used up.
 			must.True(t, answer.status == http.StatusOK || answer.status == http.StatusBadGateway)
-			must.StrNotContains(t, answer.body, foreignText)
+			must.StrNotContains(t, answer.body, strayBody)
 			for _, back := range *f.proxy.lanes.find("tiles").endpoints.Load() {
-				must.False(t, back.suspected(f.proxy.clock()), must.Sprint("it is there"))
+				must.False(t, back.suspected(f.proxy.clock()), must.Sprint("the endpoint is reachable"))
 			}
 		}
 		must.Positive(t, first.surplus.sent.Load())
 	})
 }
 
-// runCounts counts the runs of each request, by a name of its own.
+// runCounts counts the runs of each request by name.
 type runCounts struct {
 	lock sync.Mutex
 	runs map[string]int
@@ -165,8 +166,9 @@
 	c.runs[name]++
 }
 
-// check holds what the caller was told against the runs. The server must have
-// been closed: a run may start after the wrong answer has ended its attempt.
+// check compares the run states reported to clients with the counted runs. The
+// server must be closed before, since a run may start after the stray response
+// has ended its attempt.
 func (c *runCounts) check(t *testing.T, told map[string]string) {
 	t.Helper()
 	c.lock.Lock()
@@ -179,23 +181,23 @@
 	}
 }
 
-// TestSurplusRefusalIsNoProof: a request that must run at most once ran at two
-// back ends. The refusal of another request came on a kept connection and was
-// taken for "surely not run" before its ID was looked at. Proof: each request
-// runs at most once, and none that ran is called not run.
-func TestSurplusRefusalIsNoProof(t *testing.T) {
-	forWrongIdentities(t, func(t *testing.T, identity func(r *http.Request) string) {
+// Guards against an at-most-once request running on two backends: the refusal of
+// another request arrived on a kept-alive connection and was taken as proof that
+// the request did not run, before its ID was checked. Each request may run at most
+// once, and none that ran may be reported as not run.
+func TestStrayBackendRefusalIsNotTrusted(t *testing.T) {
+	forStrayIdentities(t, func(t *testing.T, identity func(r *http.Request) string) {
 		first, second := newFakeBackend(t), newFakeBackend(t)
 		counts := &runCounts{}
 		for _, one := range []*fakeBackend{first, second} {
 			one.script = func(_ http.ResponseWriter, r *http.Request) { counts.add(r.URL.RawQuery) }
-			one.surplus.answer = onWork(func(r *http.Request) string {
+			one.surplus.answer = onRequestPaths(func(r *http.Request) string {
 				return rawAnswer(http.StatusServiceUnavailable, identity(r)+refusedLine, "{}")
 			})
 		}
 		f := start(t, quick(), nil, first.server, second.server)
 		told := map[string]string{}
-		for i := range 2 * surplusRequests {
+		for i := range 2 * strayTestRequests {
 			name := "n=" + strconv.Itoa(i)
 			told[name] = f.do(http.MethodPost, "/services/tiles/order?"+name, "x").ran()
 		}
@@ -206,10 +208,10 @@
 	})
 }
 
-// TestSurplusRefusalOfAnEngineIsNoProof is the same for a marked model request,
-// whose refusal was believed before its ID was looked at.
-func TestSurplusRefusalOfAnEngineIsNoProof(t *testing.T) {
-	forWrongIdentities(t, func(t *testing.T, identity func(r *http.Request) string) {
+// The same for an at-most-once model request, whose refusal was also trusted
+// before its ID was checked.
+func TestStrayEngineRefusalIsNotTrusted(t *testing.T) {
+	forStrayIdentities(t, func(t *testing.T, identity func(r *http.Request) string) {
 		first, second := newFakeEngine(t, "e1", 11), newFakeEngine(t, "e2", 12)
 		counts := &runCounts{}
 		for _, one := range []*fakeEngine{first, second} {
@@ -217,13 +219,13 @@
 				counts.add(r.Header.Get(headerIdempotency))
 				e.answer(w, r, 0, 3)
 			}
-			one.surplus.answer = onWork(func(r *http.Request) string {
+			one.surplus.answer = onRequestPaths(func(r *http.Request) string {
 				return rawAnswer(http.StatusServiceUnavailable, identity(r)+refusedLine, "{}")
 			})
 		}
 		f := start(t, quick(), []*fakeEngine{first, second})
 		told := map[string]string{}
-		for i := range 2 * surplusRequests {
+		for i := range 2 * strayTestRequests {
 			marked := claim{key: strconv.Itoa(i)}
 			told[marked.hash()] = f.stream(HeaderClass, "briefing", HeaderKey, marked.key).ran()
 		}
@@ -234,14 +236,14 @@
 	})
 }
 
-// TestSurplusHandleIsNotUsed: a request was decoded from the prompt of another.
-// The answer of a prompt read was never held against the call: the handle in a
-// surplus answer on a kept connection was named to the decoding engine. Proof:
-// whatever the wrong answer names, its handle reaches no engine.
-func TestSurplusHandleIsNotUsed(t *testing.T) {
-	handle := fmt.Sprintf(`{"handle":%q,"engine":"e1"}`, foreignText)
+// Guards against a request being decoded from the prompt of another: the identity
+// of a KV export or import response was not checked, so the handle in a stray
+// response on a kept-alive connection was sent to the decode engine. Whatever
+// identity the stray response has, its handle must reach no engine.
+func TestStrayKVHandleIsNotUsed(t *testing.T) {
+	handle := fmt.Sprintf(`{"handle":%q,"engine":"e1"}`, strayBody)
 	for _, path := range []string{engineapi.PathKVExport, engineapi.PathKVImport} {
-		forWrongIdentities(t, func(t *testing.T, identity func(r *http.Request) string) {
+		forStrayIdentities(t, func(t *testing.T, identity func(r *http.Request) string) {
 			first, second := newFakeEngine(t, "e1", 11), newFakeEngine(t, "e2", 12)
 			for _, one := range []*fakeEngine{first, second} {
 				one.surplus.answer = func(r *http.Request) string {
@@ -252,15 +254,15 @@
 				}
 			}
 			f := start(t, quick(), []*fakeEngine{first, second})
-			splitRoles(f)
+			assignSplitRoles(f)
 			eventually(t, func() bool {
 				answer := f.stream(HeaderClass, "cap")
 				if named := second.lastHeader.Load(); named != nil {
-					must.StrNotContains(t, named.Get(engineapi.HeaderKVHandle), foreignText)
+					must.StrNotContains(t, named.Get(engineapi.HeaderKVHandle), strayBody)
 				}
-				must.StrNotContains(t, answer.body, foreignText)
+				must.StrNotContains(t, answer.body, strayBody)
 				for _, name := range []string{"e1", "e2"} {
-					must.False(t, f.endpoint("narrator", name).suspected(f.proxy.clock()), must.Sprint("it is there"))
+					must.False(t, f.endpoint("narrator", name).suspected(f.proxy.clock()), must.Sprint("the endpoint is reachable"))
 				}
 				return first.surplus.sent.Load()+second.surplus.sent.Load() > 0
 			})
@@ -268,8 +270,8 @@
 	}
 }
 
-// splitRoles makes e1 read prompts and e2 decode.
-func splitRoles(f *fleet) {
+// assignSplitRoles assigns the prefill role to e1 and the decode role to e2.
+func assignSplitRoles(f *fleet) {
 	made := newView(f.engines, nil)
 	made.Engines["e1"].Status.Assignment.Role = api.RolePrefill
 	made.Engines["e2"].Status.Assignment.Role = api.RoleDecode
@@ -278,17 +280,18 @@
 	f.proxy.standing()
 }
 
-// foreignIncarnation is the incarnation that a wrong answer names.
-const foreignIncarnation = 77
+// strayIncarnation is the incarnation in stray responses.
+const strayIncarnation = 77
 
-// wrongWord is what a wrong answer says of an engine.
-func wrongWord() string {
+// strayStateHeaders returns the engine state headers of a stray response.
+func strayStateHeaders() string {
 	return engineapi.HeaderPhase + ": " + string(api.PhaseDraining) + "\r\n" +
-		engineapi.HeaderIncarnation + ": " + strconv.Itoa(foreignIncarnation) + "\r\n"
+		engineapi.HeaderIncarnation + ": " + strconv.Itoa(strayIncarnation) + "\r\n"
 }
 
-// foreignAnswers is the proxy's own count of them.
-func foreignAnswers(t *testing.T, p *Proxy) float64 {
+// foreignResponseCount returns the number of mismatched responses that the proxy
+// has counted.
+func foreignResponseCount(t *testing.T, p *Proxy) float64 {
 	families, err := p.metrics.registry.Gather()
 	must.NoError(t, err)
 	for _, family := range families {
@@ -299,45 +302,45 @@
 	return 0
 }
 
-// TestSurplusAnswerTeachesNothing: an engine was taken for draining, and for
-// restarted, by an answer to a request that was never sent to it. The header of
-// an answer was taken in before its identity was looked at. Proof: after a wrong
-// answer the engine's word is what it was.
-func TestSurplusAnswerTeachesNothing(t *testing.T) {
-	forWrongIdentities(t, func(t *testing.T, identity func(r *http.Request) string) {
+// Guards against an engine being taken for draining or restarted because of a
+// response to a request that was never sent to it: the state headers were applied
+// before the identity was checked. A stray response must not change the engine's
+// state.
+func TestStrayResponseDoesNotChangeEngineState(t *testing.T) {
+	forStrayIdentities(t, func(t *testing.T, identity func(r *http.Request) string) {
 		engine := newFakeEngine(t, "e1", 11)
-		engine.surplus.answer = onWork(func(r *http.Request) string {
-			// Nothing is asked of the engine again after this status.
-			return rawAnswer(http.StatusNotFound, identity(r)+wrongWord(), foreignText)
+		engine.surplus.answer = onRequestPaths(func(r *http.Request) string {
+			// This status is not retried.
+			return rawAnswer(http.StatusNotFound, identity(r)+strayStateHeaders(), strayBody)
 		})
 		config := quick()
-		config.Intervals.Load = time.Hour // no poll mends what was learnt
+		config.Intervals.Load = time.Hour // no poll may correct a wrong state
 		f := start(t, config, []*fakeEngine{engine})
 		followed := f.endpoint("narrator", "e1")
 		eventually(t, func() bool { return followed.word().heard })
-		for range surplusRequests {
+		for range strayTestRequests {
 			f.stream(HeaderClass, "cap")
 			must.Eq(t, api.PhaseServing, followed.word().phase)
 			must.Eq(t, 11, followed.word().incarnation)
-			must.False(t, followed.suspected(f.proxy.clock()), must.Sprint("it is there"))
+			must.False(t, followed.suspected(f.proxy.clock()), must.Sprint("the endpoint is reachable"))
 		}
 		must.Positive(t, engine.surplus.sent.Load())
-		// Each is counted; the server counts after it has sent.
-		eventually(t, func() bool { return float64(engine.surplus.sent.Load()) == foreignAnswers(t, f.proxy) })
+		// Each stray response is counted. The server counts it after sending it.
+		eventually(t, func() bool { return float64(engine.surplus.sent.Load()) == foreignResponseCount(t, f.proxy) })
 	})
 }
 
-// TestSurplusReportIsNotTakenIn: a load report was taken from the answer to an
-// earlier poll. Polls named no identity, so that a connection on which one
-// answer too many had come gave each poll the answer before its own. Proof: the
-// report in a wrong answer is never the endpoint's.
-func TestSurplusReportIsNotTakenIn(t *testing.T) {
-	report := fmt.Sprintf(`{"engine":"e1","incarnation":"%d","phase":"draining","running":5000}`, foreignIncarnation)
-	identities := maps.Clone(wrongIdentities)
-	// Polls have no attempts: what names a poll's ID alone is its own answer.
-	delete(identities, "of no attempt")
+// Guards against a load report being read from the response to an earlier poll:
+// polls had no identity, so on a connection with one stray response every poll got
+// the response to the previous one. The report in a stray response must never be
+// applied to the endpoint.
+func TestStrayLoadReportIsIgnored(t *testing.T) {
+	report := fmt.Sprintf(`{"engine":"e1","incarnation":"%d","phase":"draining","running":5000}`, strayIncarnation)
+	identities := maps.Clone(strayIdentities)
+	// Polls have no attempts, so a response with just the poll's ID is genuine.
+	delete(identities, "no attempt")
 	var before atomic.Pointer[string]
-	identities["of the poll before"] = func(r *http.Request) string {
+	identities["previous poll"] = func(r *http.Request) string {
 		id := r.Header.Get(engineapi.HeaderRequestID)
 		if last := before.Swap(&id); last != nil {
 			return engineapi.HeaderRequestID + ": " + *last + "\r\n"
@@ -351,41 +354,44 @@
 				if r.URL.Path != engineapi.PathLoad {
 					return ""
 				}
-				return rawAnswer(http.StatusOK, identity(r)+wrongWord(), report)
+				return rawAnswer(http.StatusOK, identity(r)+strayStateHeaders(), report)
 			}
 			f := start(t, quick(), []*fakeEngine{engine})
 			followed := f.endpoint("narrator", "e1")
 			eventually(t, func() bool {
 				word := followed.word()
-				must.NotEq(t, foreignIncarnation, word.incarnation)
+				must.NotEq(t, strayIncarnation, word.incarnation)
 				must.NotEq(t, api.PhaseDraining, word.phase)
-				must.False(t, followed.suspected(f.proxy.clock()), must.Sprint("it is not silent"))
+				must.False(t, followed.suspected(f.proxy.clock()), must.Sprint("the endpoint responds"))
 				return engine.surplus.sent.Load() > 2
 			})
 		})
 	}
 }
 
-// overlap is so long that runs which start together are on several connections.
+// overlap is the duration of a run, long enough for runs that start together to
+// use several connections.
 const overlap = 60 * time.Millisecond
 
-// keepConnections has whole runs leave several kept connections to the engine.
-func keepConnections(f *fleet) {
-	f.stream(HeaderClass, "cap") // its echo tells that connections can be kept
+// openIdleConnections leaves several idle connections to the engine by completing
+// runs concurrently.
+func openIdleConnections(f *fleet) {
+	f.stream(HeaderClass, "cap") // its echoed identity shows that connections can be reused
 	var runs sync.WaitGroup
-	for range surplusRequests {
+	for range strayTestRequests {
 		runs.Go(func() { f.stream(HeaderClass, "cap") })
 	}
 	runs.Wait()
 }
 
-// resumedEngine is an engine that, once cutting is true, cuts each run's stream
-// and the first resume of it; the second resume ends it. Before the answer to the resume numbered
-// late (from 1) it sends a surplus one under the identity that before names.
-func resumedEngine(t *testing.T, cutting *atomic.Bool, late int32, before func(run, resume string) string) *fakeEngine {
+// newResumedEngine returns an engine that, while cutting is true, interrupts the
+// stream of each run and of its first resume; the second resume completes it.
+// Before its response to the resume numbered late (from 1) it sends a stray
+// response with the identity that before returns.
+func newResumedEngine(t *testing.T, cutting *atomic.Bool, late int32, before func(run, resume string) string) *fakeEngine {
 	engine := newFakeEngine(t, "e1", 11)
-	var run, resume atomic.Pointer[string] // the identities of the last ones
-	var resumes atomic.Int32               // of the present run
+	var run, resume atomic.Pointer[string] // identity headers of the last run and the last resume
+	var resumes atomic.Int32               // number of resumes of the current run
 	remember := func(to *atomic.Pointer[string], r *http.Request) {
 		id, number := runOf(r)
 		lines := identityLines(id, int(number))
@@ -399,13 +405,13 @@
 			e.answer(w, r, 0, 4)
 			return
 		}
-		cutAfter(2)(e, w, r, n)
+		dropAfter(2)(e, w, r, n)
 	}
 	engine.resume = func(e *fakeEngine, w http.ResponseWriter, r *http.Request, request engineapi.ResumeRequest) {
 		remember(&resume, r)
 		if resumes.Add(1) == 1 {
 			e.tokens(w, request.RequestID, request.Attempt, request.Offset, request.Offset+1)
-			drop(w)
+			dropConnection(w)
 			return
 		}
 		e.tokens(w, request.RequestID, request.Attempt, request.Offset, 4)
@@ -424,47 +430,47 @@
 	return engine
 }
 
-// TestSurplusAnswerBeforeAResume: a stream that could be taken up again ended
-// for its caller. A resume had the identity of its run and of the resumes before
-// it, so that a surplus answer to one of them was taken for its own. Proof: with
-// either before the answer to the resume, the caller gets the whole answer.
-func TestSurplusAnswerBeforeAResume(t *testing.T) {
+// Guards against a resumable stream failing: a resume had the same identity as its
+// run and as earlier resumes, so a stray response to one of those was taken for its
+// own. With such a stray response before that to the resume, the client must still
+// get the complete response.
+func TestStrayResponseBeforeResume(t *testing.T) {
 	cases := map[string]struct {
 		late   int32
 		before func(run, resume string) string
 	}{
-		"of the run":            {1, func(run, _ string) string { return run }},
-		"of the resume before":  {2, func(_, resume string) string { return resume }},
-		"of the run, no number": {1, func(run, _ string) string { return run[:strings.Index(run, "\r\n")+2] }},
+		"identity of the run":                 {1, func(run, _ string) string { return run }},
+		"identity of the previous resume":     {2, func(_, resume string) string { return resume }},
+		"identity of the run without attempt": {1, func(run, _ string) string { return run[:strings.Index(run, "\r\n")+2] }},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			var cutting atomic.Bool
-			engine := resumedEngine(t, &cutting, test.late, test.before)
+			engine := newResumedEngine(t, &cutting, test.late, test.before)
 			f := start(t, quick(), []*fakeEngine{engine})
 			eventually(t, func() bool {
 				cutting.Store(false)
-				keepConnections(f)
+				openIdleConnections(f)
 				cutting.Store(true)
 				words, whole := f.stream(HeaderClass, "cap").words()
 				must.True(t, whole)
 				must.Eq(t, []string{"e1-0", "e1-1", "e1-2", "e1-3"}, words)
-				f.endpoint("narrator", "e1").succeed() // the next request may go there at once
+				f.endpoint("narrator", "e1").succeed() // clears the suspicion, so that the next request uses the engine
 				return engine.surplus.sent.Load() > 0
 			})
 		})
 	}
 }
 
-// TestCallsOfAHandOverShareNoIdentity: a surplus answer to one call of a request
-// is told from that to another only by its identity. Proof: the export, the
-// import and the run of each request have one each.
-func TestCallsOfAHandOverShareNoIdentity(t *testing.T) {
+// A stray response to one call of a request can be distinguished from that to
+// another only by its identity, so the export, the import and the run of each
+// request must have different identities.
+func TestKVTransferCallsHaveDistinctIdentities(t *testing.T) {
 	engines := []*fakeEngine{newFakeEngine(t, "e1", 11), newFakeEngine(t, "e2", 12)}
 	var lock sync.Mutex
-	calls := map[string]string{} // the path of each identity
+	calls := map[string]string{} // path by identity
 	for _, engine := range engines {
-		engine.surplus.observe = onWork(func(r *http.Request) string {
+		engine.surplus.observe = onRequestPaths(func(r *http.Request) string {
 			id, number := runOf(r)
 			lock.Lock()
 			defer lock.Unlock()
@@ -477,7 +483,7 @@
 		})
 	}
 	f := start(t, quick(), engines)
-	splitRoles(f)
+	assignSplitRoles(f)
 	eventually(t, func() bool {
 		_, whole := f.stream(HeaderClass, "cap").words()
 		must.True(t, whole)
