--- a/process/proxy/body.go
+++ b/process/proxy/body.go
@@ -37,7 +37,7 @@
 }
 
 // release returns the reservation to the budget. It must be called once.
-func (h *requestBody) release() { h.budget.release(h.reserved) }
+func (b *requestBody) release() { b.budget.release(b.reserved) }
 
 // readBody reads a body up to the size limit. A body of unknown length reserves
 // the limit until it has been read.
--- a/process/proxy/call.go
+++ b/process/proxy/call.go
@@ -35,7 +35,7 @@
 	// resumeCount counts the resumed streams of all attempts.
 	resumeCount    uint32
 	running        running
-	ended          int                     // engines that seem to have crashed while running this request
+	ended          int                     // engines that seem to have crashed during this request, not in earlier submissions of it
 	named          *quarantine.Fingerprint // computed on first use
 	cachedTokens   int                     // prompt tokens that were probably cached on the engine
 	expectedTokens int                     // estimated length of the response in tokens
--- a/process/proxy/claim.go
+++ b/process/proxy/claim.go
@@ -18,10 +18,10 @@
 	"github.com/landingtrail/landingtrail/version/state"
 )
 
-// headerIdempotency carries a hash of the claim that a run belongs to. The
+// headerClaimHash carries a hash of the claim that a run belongs to. The
 // client's key itself is not forwarded: net/http considers a request with an
 // Idempotency-Key header safe to send again.
-const headerIdempotency = "Engine-Idempotency"
+const headerClaimHash = "Engine-Idempotency"
 
 // claim is the permission to run an at-most-once request, granted by the control
 // group.
@@ -46,9 +46,9 @@
 	return strconv.FormatUint(digest.Sum64(), 16)
 }
 
-// hashBody returns a hash of the request, to detect a key that is reused for a
+// hashRequest returns a hash of the request, to detect a key that is reused for a
 // different request.
-func hashBody(method, path string, body []byte) uint64 {
+func hashRequest(method, path string, body []byte) uint64 {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(method) // writes to a digest never fail
 	_, _ = digest.Write([]byte{0})
@@ -141,31 +141,31 @@
 	if done.Outcome != api.RunCompleted {
 		return claimResult{failed: conflict(codeKeyRunning, "the outcome of the run with this key is unknown", attempt.RanUnknown)}
 	}
-	var answer recordedResponse
-	if len(done.Answer) == 0 || json.Unmarshal(done.Answer, &answer) != nil || answer.Status == 0 {
+	var response recordedResponse
+	if len(done.Answer) == 0 || json.Unmarshal(done.Answer, &response) != nil || response.Status == 0 {
 		return claimResult{failed: conflict(codeKeyDone, "the request has already run, but its response was not stored", attempt.RanYes)}
 	}
-	return claimResult{response: &answer}
+	return claimResult{response: &response}
 }
 
 // finishClaim records the outcome of a claimed run. It waits for one attempt
 // only, so that the response is not delayed while the control group is
 // unavailable. Further attempts run in the background, independently of the
 // request, whose client may have disconnected.
-func (p *Proxy) finishClaim(granted *claim, outcome api.RunOutcome, answer *recordedResponse) {
+func (p *Proxy) finishClaim(granted *claim, outcome api.RunOutcome, response *recordedResponse) {
 	if granted == nil {
 		return
 	}
-	p.recordOutcome(p.newOutcomeRecord(granted, outcome, answer))
+	p.recordOutcome(p.newOutcomeRecord(granted, outcome, response))
 }
 
 // newOutcomeRecord returns the outcome to record for a claim. A not-run outcome
 // is also kept as pending until it is recorded, since the client may send the
 // request again before that.
-func (p *Proxy) newOutcomeRecord(granted *claim, outcome api.RunOutcome, answer *recordedResponse) *state.RunOutcome {
+func (p *Proxy) newOutcomeRecord(granted *claim, outcome api.RunOutcome, response *recordedResponse) *state.RunOutcome {
 	record := &state.RunOutcome{Tenant: granted.tenant, Key: granted.key, Nonce: granted.nonce, Outcome: outcome}
-	if answer != nil {
-		record.Answer = encodeRecorded(answer)
+	if response != nil {
+		record.Answer = encodeRecorded(response)
 	}
 	if outcome == api.RunNotRun {
 		p.owed.Store(claimKey{granted.tenant, granted.key}, record)
@@ -195,8 +195,8 @@
 	}
 }
 
-func encodeRecorded(answer *recordedResponse) []byte {
-	encoded, err := json.Marshal(answer)
+func encodeRecorded(response *recordedResponse) []byte {
+	encoded, err := json.Marshal(response)
 	if err != nil {
 		panic(err) // programming error: the type always encodes
 	}
@@ -225,10 +225,10 @@
 // would find the key in use when it sends the request again.
 func (p *Proxy) retryOutcome(record *state.RunOutcome) {
 	defer p.dropPending(record)
-	random := newRandom()
+	rng := newRandom()
 	var err error
 	for try := 0; try < outcomeRetries || p.retriesUntilConfirmed(record); try++ {
-		delay, _ := p.config.Backoff.Delay(try, time.Hour, random)
+		delay, _ := p.config.Backoff.Delay(try, time.Hour, rng)
 		time.Sleep(delay)
 		if err = p.sendOutcome(context.Background(), record); err == nil {
 			return
--- a/process/proxy/claim_test.go
+++ b/process/proxy/claim_test.go
@@ -56,12 +56,12 @@
 	first := f.stream(atMostOnceHeaders("k1")...)
 	words, whole := first.words()
 	must.True(t, whole)
-	for _, asked := range []*fleet{f, f.startSecondProxy()} {
+	for _, target := range []*fleet{f, f.startSecondProxy()} {
 		eventually(t, func() bool {
-			again, ended := asked.stream(atMostOnceHeaders("k1")...).words()
+			again, ended := target.stream(atMostOnceHeaders("k1")...).words()
 			return ended && len(again) == len(words)
 		})
-		other := asked.do(http.MethodPost, engineapi.PathCompletions, wholeBody, atMostOnceHeaders("k1")...)
+		other := target.do(http.MethodPost, engineapi.PathCompletions, wholeBody, atMostOnceHeaders("k1")...)
 		must.Eq(t, http.StatusConflict, other.status)
 		must.Eq(t, codeKeyConflict, other.code())
 		must.Eq(t, "no", other.ran())
@@ -80,10 +80,10 @@
 	}
 	f := start(t, quick(), []*fakeEngine{engine})
 	t.Cleanup(release) // runs before the proxy's cleanup, which waits for the run
-	asked := []*fleet{f, f.startSecondProxy()}
-	answers := make([]*reply, len(asked))
+	fleets := []*fleet{f, f.startSecondProxy()}
+	answers := make([]*reply, len(fleets))
 	var group sync.WaitGroup
-	for i, one := range asked {
+	for i, one := range fleets {
 		group.Go(func() { answers[i] = one.stream(atMostOnceHeaders("k1")...) })
 	}
 	eventually(t, func() bool { return engine.runs.Load() == 1 })
@@ -91,16 +91,16 @@
 	release()
 	group.Wait()
 	must.Eq(t, 1, engine.runs.Load())
-	wholes := 0
+	complete := 0
 	for _, answer := range answers {
 		if _, whole := answer.words(); whole {
-			wholes++
+			complete++
 			continue
 		}
 		must.Eq(t, http.StatusConflict, answer.status)
 		must.Eq(t, "unknown", answer.ran())
 	}
-	must.True(t, wholes >= 1)
+	must.True(t, complete >= 1)
 }
 
 func TestUnknownOutcomeIsNotRetried(t *testing.T) {
@@ -108,8 +108,8 @@
 	engine.script = func(_ *fakeEngine, w http.ResponseWriter, _ *http.Request, _ int) { dropConnection(w) }
 	f := start(t, quick(), []*fakeEngine{engine})
 	must.Eq(t, "unknown", f.stream(atMostOnceHeaders("k1")...).ran())
-	for _, asked := range []*fleet{f, f.startSecondProxy()} {
-		answer := asked.stream(atMostOnceHeaders("k1")...)
+	for _, target := range []*fleet{f, f.startSecondProxy()} {
+		answer := target.stream(atMostOnceHeaders("k1")...)
 		must.Eq(t, http.StatusConflict, answer.status)
 		must.Eq(t, "unknown", answer.ran())
 		must.Eq(t, "", answer.header.Get("Retry-After"))
@@ -176,8 +176,8 @@
 }
 
 // The control group becomes unavailable between the claim and its outcome. The
-// client must get the complete response while the proxy still tries to record the
-// outcome.
+// client must get the complete error response while the proxy still tries to
+// record the outcome.
 func TestUnknownOutcomeIsReportedBeforeRecording(t *testing.T) {
 	engine := newFakeEngine(t, "e1", 11)
 	engine.script = func(_ *fakeEngine, w http.ResponseWriter, _ *http.Request, _ int) { dropConnection(w) }
@@ -239,12 +239,12 @@
 	control := &lossyControl{fakeControl: newFakeControl()}
 	views := &fixedViews{}
 	views.view.Store(newView(nil, nil))
-	made := New(quick(), views, control, func() time.Duration { return 0 }, log.NewNopLogger())
-	made.config.Timeouts.Claim = 50 * time.Millisecond
-	answer := made.acquireClaim(context.Background(), &requestHeaders{tenant: "default", key: "k1"}, 1)
+	p := New(quick(), views, control, func() time.Duration { return 0 }, log.NewNopLogger())
+	p.config.Timeouts.Claim = 50 * time.Millisecond
+	answer := p.acquireClaim(context.Background(), &requestHeaders{tenant: "default", key: "k1"}, 1)
 	must.Nil(t, answer.granted)
 	must.Eq(t, attempt.RanNo, answer.failed.ran)
-	made.Close()
+	p.Close()
 	must.Eq(t, api.RunNotRun, control.claims["default/k1"].Outcome)
 }
 
@@ -264,14 +264,14 @@
 	control := &leaderlessControl{fakeControl: newFakeControl()}
 	views := &fixedViews{}
 	views.view.Store(newView(nil, nil))
-	made := New(quick(), views, control, func() time.Duration { return 0 }, log.NewNopLogger())
-	read := &requestHeaders{tenant: "default", key: "k1"}
-	answer := made.acquireClaim(context.Background(), read, 1)
+	p := New(quick(), views, control, func() time.Duration { return 0 }, log.NewNopLogger())
+	headers := &requestHeaders{tenant: "default", key: "k1"}
+	answer := p.acquireClaim(context.Background(), headers, 1)
 	must.NotNil(t, answer.failed)
 	must.Eq(t, attempt.RanNo, answer.failed.ran)
-	made.Close() // waits until the outcome is recorded
+	p.Close() // waits until the outcome is recorded
 	must.Eq(t, api.RunNotRun, control.claims["default/k1"].Outcome)
-	must.NotNil(t, made.acquireClaim(context.Background(), read, 1).granted)
+	must.NotNil(t, p.acquireClaim(context.Background(), headers, 1).granted)
 }
 
 // leaderlessControl commits the first claim, but loses its response along with
@@ -297,7 +297,7 @@
 // The client is told that the request did not run while that outcome is still
 // being recorded. A new claim must not overtake the record, or it would find the
 // key in use.
-func TestNewClaimWaitsForPendingRelease(t *testing.T) {
+func TestNewClaimRecordsPendingReleaseFirst(t *testing.T) {
 	control := &blockedRecords{
 		leaderlessControl: leaderlessControl{fakeControl: newFakeControl()},
 		begun:             make(chan struct{}),
@@ -305,16 +305,16 @@
 	}
 	views := &fixedViews{}
 	views.view.Store(newView(nil, nil))
-	made := New(quick(), views, control, func() time.Duration { return 0 }, log.NewNopLogger())
-	read := &requestHeaders{tenant: "default", key: "k1"}
-	must.Eq(t, attempt.RanNo, made.acquireClaim(context.Background(), read, 1).failed.ran)
+	p := New(quick(), views, control, func() time.Duration { return 0 }, log.NewNopLogger())
+	headers := &requestHeaders{tenant: "default", key: "k1"}
+	must.Eq(t, attempt.RanNo, p.acquireClaim(context.Background(), headers, 1).failed.ran)
 	<-control.begun
-	again := made.acquireClaim(context.Background(), read, 1)
+	again := p.acquireClaim(context.Background(), headers, 1)
 	close(control.release)
-	made.Close()
+	p.Close()
 	must.NotNil(t, again.granted)
 	must.Eq(t, api.RunUnknown, control.claims["default/k1"].Outcome, must.Sprint("the late record belongs to the first claim"))
-	_, kept := made.owed.Load(claimKey{"default", "k1"})
+	_, kept := p.owed.Load(claimKey{"default", "k1"})
 	must.False(t, kept)
 }
 
@@ -342,9 +342,9 @@
 	control.failures.Store(3 * outcomeRetries)
 	views := &fixedViews{}
 	views.view.Store(newView(nil, nil))
-	made := New(quick(), views, control, func() time.Duration { return 0 }, log.NewNopLogger())
-	t.Cleanup(made.Close)
-	must.Eq(t, attempt.RanNo, made.acquireClaim(context.Background(), &requestHeaders{tenant: "default", key: "k1"}, 1).failed.ran)
+	p := New(quick(), views, control, func() time.Duration { return 0 }, log.NewNopLogger())
+	t.Cleanup(p.Close)
+	must.Eq(t, attempt.RanNo, p.acquireClaim(context.Background(), &requestHeaders{tenant: "default", key: "k1"}, 1).failed.ran)
 	eventually(t, func() bool {
 		control.lock.Lock()
 		defer control.lock.Unlock()
--- a/process/proxy/fault_test.go
+++ b/process/proxy/fault_test.go
@@ -27,11 +27,11 @@
 	<-r.Context().Done()
 }
 
-// patience is a timeout that no engine of these tests reaches, even on a busy machine.
+// patience is longer than any engine of these tests takes to start, even on a busy machine.
 const patience = 10 * time.Second
 
-// Injects each fault on both engines and checks the response to an ordinary and
-// to an at-most-once request.
+// Injects each fault into the runs of both engines and checks the response to an
+// ordinary and to an at-most-once request.
 func TestStreamFaults(t *testing.T) {
 	refuse := func(status int, code string) script {
 		return func(e *fakeEngine, w http.ResponseWriter, _ *http.Request, _ int) { e.refuse(w, status, code) }
--- a/process/proxy/handle_model.go
+++ b/process/proxy/handle_model.go
@@ -34,7 +34,7 @@
 	}
 	started := time.Now()
 	c.countOffered()
-	failed = c.serve(r.Context(), w, hashBody(r.Method, r.URL.Path, body.data))
+	failed = c.serve(r.Context(), w, hashRequest(r.Method, r.URL.Path, body.data))
 	c.countEnded(failed, time.Since(started))
 }
 
@@ -101,14 +101,14 @@
 
 func (p *Proxy) newSink(w http.ResponseWriter, c *call) sink {
 	if !c.parsed.request.Stream {
-		kept := newAssembler(c.parsed.chat, p.config.Limits.AnswerBytes)
-		return &bufferedSink{writer: w, timeout: p.config.Timeouts.Write, assembled: kept}
+		assembled := newAssembler(c.parsed.chat, p.config.Limits.AnswerBytes)
+		return &bufferedSink{writer: w, timeout: p.config.Timeouts.Write, assembled: assembled}
 	}
-	var kept *assembler
+	var assembled *assembler
 	if c.envelope.atMostOnce {
-		kept = newAssembler(c.parsed.chat, state.MaxAnswerBytes)
+		assembled = newAssembler(c.parsed.chat, state.MaxAnswerBytes)
 	}
-	return newStreamSink(w, p.config.Timeouts.Write, kept)
+	return newStreamSink(w, p.config.Timeouts.Write, assembled)
 }
 
 // modelClass returns the class of the given name, or the model's default class
--- a/process/proxy/handle_service.go
+++ b/process/proxy/handle_service.go
@@ -175,7 +175,7 @@
 	c.lane.budget.Deposit()
 	if c.envelope.atMostOnce {
 		ctx = context.WithoutCancel(ctx)
-		claimed := c.proxy.acquireClaim(ctx, &c.envelope, hashBody(c.request.Method, c.request.URL.RequestURI(), c.body.data))
+		claimed := c.proxy.acquireClaim(ctx, &c.envelope, hashRequest(c.request.Method, c.request.URL.RequestURI(), c.body.data))
 		if claimed.granted == nil {
 			return c.answerFromClaim(claimed)
 		}
@@ -189,6 +189,7 @@
 	return failed
 }
 
+// recordOutcome records the outcome of a claimed request with the control group.
 func (c *backendCall) recordOutcome(failed *failure) {
 	if c.claim == nil {
 		return
@@ -233,8 +234,9 @@
 const relayBufferBytes = 32 << 10
 
 // relay copies a response body to the client. For a claimed request it continues
-// after the client has disconnected, so that the run completes. A response of
-// unknown length may be a stream, so each part is flushed as it arrives.
+// after the client has disconnected, so that the response can be recorded. A
+// response of unknown length may be a stream, so each part is flushed as it
+// arrives.
 func (c *backendCall) relay(response *http.Response) error {
 	streamed := response.ContentLength < 0
 	controller := http.NewResponseController(c.writer)
--- a/process/proxy/replay.go
+++ b/process/proxy/replay.go
@@ -10,25 +10,25 @@
 // replayStream sends a recorded response as a stream with one event for each
 // choice.
 func replayStream(out *streamSink, body []byte) {
-	var answer completionResponse
-	if err := json.Unmarshal(body, &answer); err != nil {
+	var response completionResponse
+	if err := json.Unmarshal(body, &response); err != nil {
 		out.fail(conflict(codeKeyDone, "the stored response cannot be decoded", "yes"))
 		return
 	}
-	object := answer.Object
+	object := response.Object
 	if object == "chat.completion" {
 		object = "chat.completion.chunk"
 	}
-	for _, choice := range answer.Choices {
+	for _, choice := range response.Choices {
 		if choice.Message != nil {
 			choice.Delta, choice.Message = choice.Message, nil
 		}
 		encoded, err := json.Marshal(engineapi.StreamEvent{
-			ID:      answer.ID,
+			ID:      response.ID,
 			Object:  object,
-			Model:   answer.Model,
+			Model:   response.Model,
 			Choices: []engineapi.Choice{choice},
-			Usage:   answer.Usage,
+			Usage:   response.Usage,
 		})
 		if err != nil {
 			panic(err) // programming error: the type always encodes
--- a/process/proxy/request.go
+++ b/process/proxy/request.go
@@ -22,8 +22,8 @@
 	HeaderDeadline = "Landingtrail-Deadline" // time left in milliseconds
 	HeaderClass    = "Landingtrail-Class"
 	HeaderTenant   = "Landingtrail-Tenant"
-	// HeaderRequest is set on every response to an accepted request. It has the
-	// request ID that the proxy and the engines use.
+	// HeaderRequest is set on the response to every request that passed
+	// validation. It has the request ID that the proxy and the engines use.
 	HeaderRequest = "Landingtrail-Request"
 )
 
@@ -66,16 +66,16 @@
 	default:
 		return headers, invalid(codeBadRequest, HeaderRepeat+` must be "never"`)
 	}
-	left, failed := parseDeadline(header.Get(HeaderDeadline))
-	headers.timeLeft = left
+	timeLeft, failed := parseDeadline(header.Get(HeaderDeadline))
+	headers.timeLeft = timeLeft
 	return headers, failed
 }
 
-func parseDeadline(given string) (time.Duration, *failure) {
-	if given == "" {
+func parseDeadline(value string) (time.Duration, *failure) {
+	if value == "" {
 		return 0, nil
 	}
-	milliseconds, err := strconv.ParseInt(given, 10, 64)
+	milliseconds, err := strconv.ParseInt(value, 10, 64)
 	if err != nil || milliseconds < 0 {
 		return 0, invalid(codeBadRequest, HeaderDeadline+" must be a number of milliseconds")
 	}
@@ -96,8 +96,8 @@
 	}
 }
 
-// applyClass fills in the headers from the class and the defaults, and checks
-// them.
+// applyClass sets the values that the headers leave open from the class and the
+// configured defaults. It returns a failure if an at-most-once request has no key.
 func (p *Proxy) applyClass(headers *requestHeaders, class *api.Class) *failure {
 	if class != nil {
 		headers.class = class.Name
--- a/process/proxy/rules_test.go
+++ b/process/proxy/rules_test.go
@@ -276,9 +276,10 @@
 	caller.CloseIdleConnections()
 }
 
-// A proxy that is shutting down still accepts requests for a while. One that lasted
-// longer than the proxy waits for was interrupted at the end of the shutdown. A
-// request whose deadline is after that must be refused at once and reach no engine.
+// A proxy that is shutting down still accepts requests for a while. A request that
+// took longer than the drain limit reached an engine and was interrupted at the end
+// of the shutdown. A request whose deadline is after that must be refused at once
+// and reach no engine.
 func TestRequestBeyondDrainLimitIsRefused(t *testing.T) {
 	engine := newFakeEngine(t, "e1", 11)
 	engine.script = func(e *fakeEngine, w http.ResponseWriter, r *http.Request, _ int) { e.answer(w, r, 0, 3) }
--- a/process/proxy/run.go
+++ b/process/proxy/run.go
@@ -58,9 +58,9 @@
 
 // trySend sends the report unless the channel is full. Members repeat their
 // reports, so a dropped one is not lost.
-func trySend(to chan<- feed.EndReport, report feed.EndReport) {
+func trySend(reports chan<- feed.EndReport, report feed.EndReport) {
 	select {
-	case to <- report:
+	case reports <- report:
 	default:
 	}
 }
@@ -84,9 +84,9 @@
 // refuseBeyondDrain returns the failure of a request that the shutdown could
 // interrupt before its deadline, or nil for any other request. No engine has read
 // the request, so the client can send it to another proxy at once.
-func (p *Proxy) refuseBeyondDrain(left time.Duration) *failure {
+func (p *Proxy) refuseBeyondDrain(timeLeft time.Duration) *failure {
 	cutAt := time.Duration(p.cutAt.Load())
-	if cutAt == 0 || p.clock()+left <= cutAt {
+	if cutAt == 0 || p.clock()+timeLeft <= cutAt {
 		return nil
 	}
 	return unavailable(codeStopping, "the proxy shuts down before the request's deadline", 0)
--- a/process/proxy/run_backend.go
+++ b/process/proxy/run_backend.go
@@ -20,7 +20,7 @@
 // run executes the request, including retries. It returns nil after a complete
 // response, otherwise the failure to report to the client.
 func (c *backendCall) run(ctx context.Context) *failure {
-	random := newRandom()
+	rng := newRandom()
 	var last *failure
 	for retries := 0; ; retries++ {
 		if ctx.Err() != nil {
@@ -29,10 +29,10 @@
 		if c.headerSent || c.attempts.Next().Kind != attempt.StepRun {
 			return c.giveUp(last)
 		}
-		if last != nil && !c.prepareRetry(ctx, last, retries, random) {
+		if last != nil && !c.prepareRetry(ctx, last, retries, rng) {
 			return c.giveUp(last)
 		}
-		last = c.runOnce(ctx, random)
+		last = c.runOnce(ctx, rng)
 		if last == nil {
 			return nil
 		}
@@ -42,14 +42,16 @@
 	}
 }
 
-func (c *backendCall) prepareRetry(ctx context.Context, last *failure, retries int, random *rand.Rand) bool {
+// prepareRetry charges the retry budget, waits for the backoff and reports whether
+// to retry. A retry after a refusal by a draining backend is free and immediate.
+func (c *backendCall) prepareRetry(ctx context.Context, last *failure, retries int, rng *rand.Rand) bool {
 	if retries > c.proxy.config.Limits.Attempts {
 		return false
 	}
 	if last.budgetExempt {
 		return true
 	}
-	delay, fits := c.proxy.config.Backoff.Delay(retries-1, c.timeLeft(), random)
+	delay, fits := c.proxy.config.Backoff.Delay(retries-1, c.timeLeft(), rng)
 	if !fits || !c.lane.budget.Withdraw() {
 		return false
 	}
@@ -88,7 +90,7 @@
 // pickBackend draws two random backends among those that accept requests and
 // returns the one with the lower load. Suspect backends are used only if there
 // are no others.
-func (c *backendCall) pickBackend(random *rand.Rand) (*endpoint, *failure) {
+func (c *backendCall) pickBackend(rng *rand.Rand) (*endpoint, *failure) {
 	s := c.proxy.standing()
 	if failed := c.proxy.refuseLost(&s, c.lane.kind); failed != nil {
 		failed.final = true
@@ -119,7 +121,7 @@
 		failed.final = tried // all backends that accept requests were tried
 		return nil, failed
 	}
-	first, second := healthy[random.IntN(len(healthy))], healthy[random.IntN(len(healthy))]
+	first, second := healthy[rng.IntN(len(healthy))], healthy[rng.IntN(len(healthy))]
 	if second.loadScore(c.proxy.config.Zone) < first.loadScore(c.proxy.config.Zone) {
 		return second, nil
 	}
@@ -151,8 +153,8 @@
 
 // runOnce runs the request on one backend. It returns nil after a complete
 // response.
-func (c *backendCall) runOnce(ctx context.Context, random *rand.Rand) *failure {
-	target, failed := c.pickBackend(random)
+func (c *backendCall) runOnce(ctx context.Context, rng *rand.Rand) *failure {
+	target, failed := c.pickBackend(rng)
 	if failed != nil {
 		return failed
 	}
@@ -202,9 +204,9 @@
 	header := request.Header
 	header.Set(engineapi.HeaderPriority, strconv.Itoa(c.priority))
 	header.Set(engineapi.HeaderDeadline, strconv.FormatInt(left.Milliseconds(), 10))
-	header.Del(headerIdempotency)
+	header.Del(headerClaimHash)
 	if c.claim != nil {
-		header.Set(headerIdempotency, c.claim.hash())
+		header.Set(headerClaimHash, c.claim.hash())
 	}
 	return request, nil
 }
--- a/process/proxy/run_engine.go
+++ b/process/proxy/run_engine.go
@@ -19,7 +19,7 @@
 	"github.com/landingtrail/landingtrail/request/router"
 )
 
-// Causes of the cancellation or failure of an attempt by this proxy.
+// Reasons for which the proxy itself ends an attempt.
 var (
 	errHeaderTimeout     = errors.New("timed out waiting for the engine's response header")
 	errFirstTokenTimeout = errors.New("timed out waiting for the engine's first token")
@@ -65,6 +65,7 @@
 	})
 }
 
+// estimateCachedTokens sets cachedTokens for a run on the target.
 func (c *call) estimateCachedTokens(target *router.Endpoint) {
 	c.cachedTokens = 0
 	if target.CachedBlocks != nil && len(c.parsed.blocks) > 0 {
@@ -146,7 +147,7 @@
 		header.Set(engineapi.HeaderKVHandle, handle)
 	}
 	if c.claim != nil {
-		header.Set(headerIdempotency, c.claim.hash())
+		header.Set(headerClaimHash, c.claim.hash())
 	}
 	return request, nil
 }
@@ -157,25 +158,25 @@
 	timer *time.Timer
 }
 
-func newWatchdog(cancel context.CancelCauseFunc, wait time.Duration, cause *error) *watchdog {
+func newWatchdog(cancel context.CancelCauseFunc, timeout time.Duration, cause *error) *watchdog {
 	w := &watchdog{}
 	w.cause.Store(cause)
-	w.timer = time.AfterFunc(wait, func() { cancel(*w.cause.Load()) })
+	w.timer = time.AfterFunc(timeout, func() { cancel(*w.cause.Load()) })
 	return w
 }
 
 // reset restarts the timer with a new timeout and cause. It does not allocate,
 // since it is called for every token.
-func (w *watchdog) reset(wait time.Duration, cause *error) {
+func (w *watchdog) reset(timeout time.Duration, cause *error) {
 	w.cause.Store(cause)
-	w.timer.Reset(wait)
+	w.timer.Reset(timeout)
 }
 
 func (w *watchdog) stop() { w.timer.Stop() }
 
 // exchange sends one request of an attempt and relays the stream of the response.
-// The response header must carry the identity head, the events that of the run.
-func (c *call) exchange(ctx context.Context, target *endpoint, head, run upstream.Identity, build func(context.Context) (*http.Request, error)) *failure {
+// The response header must carry headerIdentity, the events the identity run.
+func (c *call) exchange(ctx context.Context, target *endpoint, headerIdentity, run upstream.Identity, build func(context.Context) (*http.Request, error)) *failure {
 	number := run.Attempt
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -188,7 +189,7 @@
 	defer func() { watch.stop() }()
 	sentAt := c.proxy.clock()
 	c.running = running{target: target, incarnation: run.Incarnation, sentAt: sentAt}
-	response, err := c.lane.pool.Do(request, head)
+	response, err := c.lane.pool.Do(request, headerIdentity)
 	if err != nil {
 		c.noteBroken(ctx, err)
 		return c.noResponse(ctx, target, number, err)
@@ -341,7 +342,7 @@
 // sinkFailed ends an attempt whose response cannot be delivered.
 func (c *call) sinkFailed(number uint32, err error) *failure {
 	c.attempts.Fail(number, attempt.FaultBroken)
-	if errors.Is(err, errAnswerTooLarge) {
+	if errors.Is(err, errResponseTooLarge) {
 		return &failure{status: http.StatusBadGateway, errorType: typeServer, code: codeAnswerTooLarge,
 			message: "the response is too large to be buffered; request a stream instead", final: true}
 	}
--- a/process/proxy/sink.go
+++ b/process/proxy/sink.go
@@ -18,8 +18,8 @@
 var (
 	// errClientGone means that the client disconnected or stopped reading.
 	errClientGone = errors.New("client disconnected")
-	// errAnswerTooLarge means that a buffered response exceeds its size limit.
-	errAnswerTooLarge = errors.New("response too large to buffer")
+	// errResponseTooLarge means that a buffered response exceeds its size limit.
+	errResponseTooLarge = errors.New("response too large to buffer")
 )
 
 // sink delivers a response to the client.
@@ -51,8 +51,8 @@
 	assembled  *assembler // nil unless the response is recorded with its claim
 }
 
-func newStreamSink(w http.ResponseWriter, timeout time.Duration, kept *assembler) *streamSink {
-	return &streamSink{writer: w, controller: http.NewResponseController(w), timeout: timeout, assembled: kept}
+func newStreamSink(w http.ResponseWriter, timeout time.Duration, assembled *assembler) *streamSink {
+	return &streamSink{writer: w, controller: http.NewResponseController(w), timeout: timeout, assembled: assembled}
 }
 
 func (s *streamSink) send(frame *upstream.Frame, more bool) error {
@@ -155,7 +155,7 @@
 func (s *bufferedSink) send(frame *upstream.Frame, _ bool) error {
 	s.assembled.add(frame)
 	if s.assembled.overflowed() {
-		return errAnswerTooLarge
+		return errResponseTooLarge
 	}
 	return nil
 }
@@ -261,22 +261,22 @@
 }
 
 func (a *assembler) encode() []byte {
-	answer := completionResponse{ID: a.id, Object: "text_completion", Created: a.created, Model: a.model, Usage: a.usage}
+	response := completionResponse{ID: a.id, Object: "text_completion", Created: a.created, Model: a.model, Usage: a.usage}
 	if a.chat {
-		answer.Object = "chat.completion"
+		response.Object = "chat.completion"
 	}
-	answer.Choices = make([]engineapi.Choice, len(a.choices))
+	response.Choices = make([]engineapi.Choice, len(a.choices))
 	for i, choice := range a.choices {
-		answer.Choices[i] = engineapi.Choice{Index: i, FinishReason: choice.finish}
+		response.Choices[i] = engineapi.Choice{Index: i, FinishReason: choice.finish}
 		if a.chat {
 			role := choice.role
 			role = cmp.Or(role, "assistant")
-			answer.Choices[i].Message = &engineapi.Message{Role: role, Content: choice.text.String()}
+			response.Choices[i].Message = &engineapi.Message{Role: role, Content: choice.text.String()}
 		} else {
-			answer.Choices[i].Text = choice.text.String()
+			response.Choices[i].Text = choice.text.String()
 		}
 	}
-	encoded, err := json.Marshal(answer)
+	encoded, err := json.Marshal(response)
 	if err != nil {
 		panic(err) // programming error: the type always encodes
 	}
--- a/process/proxy/surplus_test.go
+++ b/process/proxy/surplus_test.go
@@ -66,8 +66,8 @@
 	if conn.requests.Add(1) == 1 || s.answer == nil {
 		return
 	}
-	if wrong := s.answer(r); wrong != "" {
-		_, _ = io.WriteString(conn, wrong) // the proxy may have closed the connection
+	if stray := s.answer(r); stray != "" {
+		_, _ = io.WriteString(conn, stray) // the proxy may have closed the connection
 		s.sent.Add(1)
 	}
 }
@@ -75,7 +75,8 @@
 // unusedAttempt is an attempt number that no test reaches.
 const unusedAttempt = 99
 
-// strayIdentities returns the identity headers of a stray response to the request.
+// strayIdentities has functions that return the identity headers of a stray
+// response to a request.
 var strayIdentities = map[string]func(r *http.Request) string{
 	"different request": func(*http.Request) string {
 		return identityLines("another", 1)
@@ -115,8 +116,8 @@
 	}
 }
 
-// onRequestPaths restricts stray responses to model and backend requests and
-// leaves out polls and cancellations.
+// onRequestPaths limits answer to model and backend requests: there are no stray
+// responses to polls and cancellations.
 func onRequestPaths(answer func(r *http.Request) string) func(r *http.Request) string {
 	return func(r *http.Request) string {
 		switch r.URL.Path {
@@ -143,8 +144,8 @@
 			// The request fails with 502 once the retry budget is used up.
 			must.True(t, answer.status == http.StatusOK || answer.status == http.StatusBadGateway)
 			must.StrNotContains(t, answer.body, strayBody)
-			for _, back := range *f.proxy.lanes.find("tiles").endpoints.Load() {
-				must.False(t, back.suspected(f.proxy.clock()), must.Sprint("the endpoint is reachable"))
+			for _, endpoint := range *f.proxy.lanes.find("tiles").endpoints.Load() {
+				must.False(t, endpoint.suspected(f.proxy.clock()), must.Sprint("the endpoint is reachable"))
 			}
 		}
 		must.Positive(t, first.surplus.sent.Load())
@@ -169,11 +170,11 @@
 // check compares the run states reported to clients with the counted runs. The
 // server must be closed before, since a run may start after the stray response
 // has ended its attempt.
-func (c *runCounts) check(t *testing.T, told map[string]string) {
+func (c *runCounts) check(t *testing.T, reported map[string]string) {
 	t.Helper()
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	for name, ran := range told {
+	for name, ran := range reported {
 		must.LessEq(t, 1, c.runs[name])
 		if ran == "no" {
 			must.Eq(t, 0, c.runs[name])
@@ -189,21 +190,21 @@
 	forStrayIdentities(t, func(t *testing.T, identity func(r *http.Request) string) {
 		first, second := newFakeBackend(t), newFakeBackend(t)
 		counts := &runCounts{}
-		for _, one := range []*fakeBackend{first, second} {
-			one.script = func(_ http.ResponseWriter, r *http.Request) { counts.add(r.URL.RawQuery) }
-			one.surplus.answer = onRequestPaths(func(r *http.Request) string {
+		for _, backend := range []*fakeBackend{first, second} {
+			backend.script = func(_ http.ResponseWriter, r *http.Request) { counts.add(r.URL.RawQuery) }
+			backend.surplus.answer = onRequestPaths(func(r *http.Request) string {
 				return rawAnswer(http.StatusServiceUnavailable, identity(r)+refusedLine, "{}")
 			})
 		}
 		f := start(t, quick(), nil, first.server, second.server)
-		told := map[string]string{}
+		reported := map[string]string{}
 		for i := range 2 * strayTestRequests {
 			name := "n=" + strconv.Itoa(i)
-			told[name] = f.do(http.MethodPost, "/services/tiles/order?"+name, "x").ran()
+			reported[name] = f.do(http.MethodPost, "/services/tiles/order?"+name, "x").ran()
 		}
 		first.server.Close()
 		second.server.Close()
-		counts.check(t, told)
+		counts.check(t, reported)
 		must.Positive(t, first.surplus.sent.Load()+second.surplus.sent.Load())
 	})
 }
@@ -214,24 +215,24 @@
 	forStrayIdentities(t, func(t *testing.T, identity func(r *http.Request) string) {
 		first, second := newFakeEngine(t, "e1", 11), newFakeEngine(t, "e2", 12)
 		counts := &runCounts{}
-		for _, one := range []*fakeEngine{first, second} {
-			one.script = func(e *fakeEngine, w http.ResponseWriter, r *http.Request, _ int) {
-				counts.add(r.Header.Get(headerIdempotency))
+		for _, engine := range []*fakeEngine{first, second} {
+			engine.script = func(e *fakeEngine, w http.ResponseWriter, r *http.Request, _ int) {
+				counts.add(r.Header.Get(headerClaimHash))
 				e.answer(w, r, 0, 3)
 			}
-			one.surplus.answer = onRequestPaths(func(r *http.Request) string {
+			engine.surplus.answer = onRequestPaths(func(r *http.Request) string {
 				return rawAnswer(http.StatusServiceUnavailable, identity(r)+refusedLine, "{}")
 			})
 		}
 		f := start(t, quick(), []*fakeEngine{first, second})
-		told := map[string]string{}
+		reported := map[string]string{}
 		for i := range 2 * strayTestRequests {
-			marked := claim{key: strconv.Itoa(i)}
-			told[marked.hash()] = f.stream(HeaderClass, "briefing", HeaderKey, marked.key).ran()
+			c := claim{key: strconv.Itoa(i)}
+			reported[c.hash()] = f.stream(HeaderClass, "briefing", HeaderKey, c.key).ran()
 		}
 		first.server.Close()
 		second.server.Close()
-		counts.check(t, told)
+		counts.check(t, reported)
 		must.Positive(t, first.surplus.sent.Load()+second.surplus.sent.Load())
 	})
 }
@@ -245,8 +246,8 @@
 	for _, path := range []string{engineapi.PathKVExport, engineapi.PathKVImport} {
 		forStrayIdentities(t, func(t *testing.T, identity func(r *http.Request) string) {
 			first, second := newFakeEngine(t, "e1", 11), newFakeEngine(t, "e2", 12)
-			for _, one := range []*fakeEngine{first, second} {
-				one.surplus.answer = func(r *http.Request) string {
+			for _, engine := range []*fakeEngine{first, second} {
+				engine.surplus.answer = func(r *http.Request) string {
 					if r.URL.Path != path {
 						return ""
 					}
