--- a/process/proxy/claim_test.go
+++ b/process/proxy/claim_test.go
@@ -33,10 +33,10 @@
 	engine := newFakeEngine(t, "e1", 11)
 	engine.script = func(e *fakeEngine, w http.ResponseWriter, r *http.Request, _ int) {
 		control.lock.Lock()
-		held := control.claims["default/k1"]
+		claimed := control.claims["default/k1"]
 		control.lock.Unlock()
-		must.NotNil(t, held)
-		must.Eq(t, api.RunUnknown, held.Outcome)
+		must.NotNil(t, claimed)
+		must.Eq(t, api.RunUnknown, claimed.Outcome)
 		must.Eq(t, "", r.Header.Get("Idempotency-Key"))
 		must.Eq(t, "", r.Header.Get("X-Idempotency-Key"))
 		e.answer(w, r, 0, 3)
@@ -83,8 +83,8 @@
 	fleets := []*fleet{f, f.startSecondProxy()}
 	answers := make([]*reply, len(fleets))
 	var group sync.WaitGroup
-	for i, one := range fleets {
-		group.Go(func() { answers[i] = one.stream(atMostOnceHeaders("k1")...) })
+	for i, target := range fleets {
+		group.Go(func() { answers[i] = target.stream(atMostOnceHeaders("k1")...) })
 	}
 	eventually(t, func() bool { return engine.runs.Load() == 1 })
 	time.Sleep(20 * time.Millisecond) // leaves time for a second run to start
@@ -309,10 +309,10 @@
 	headers := &requestHeaders{tenant: "default", key: "k1"}
 	must.Eq(t, attempt.RanNo, p.acquireClaim(context.Background(), headers, 1).failed.ran)
 	<-control.begun
-	again := p.acquireClaim(context.Background(), headers, 1)
+	retried := p.acquireClaim(context.Background(), headers, 1)
 	close(control.release)
 	p.Close()
-	must.NotNil(t, again.granted)
+	must.NotNil(t, retried.granted)
 	must.Eq(t, api.RunUnknown, control.claims["default/k1"].Outcome, must.Sprint("the late record belongs to the first claim"))
 	_, kept := p.owed.Load(claimKey{"default", "k1"})
 	must.False(t, kept)
--- a/process/proxy/fault_test.go
+++ b/process/proxy/fault_test.go
@@ -205,8 +205,8 @@
 	f := start(t, quick(), []*fakeEngine{engine})
 	_, whole := f.stream(HeaderClass, "cap").words()
 	must.False(t, whole)
-	followed := (*f.proxy.lanes.find("narrator").endpoints.Load())["e1"]
-	must.True(t, followed.suspected(f.proxy.clock()))
+	endpoint := (*f.proxy.lanes.find("narrator").endpoints.Load())["e1"]
+	must.True(t, endpoint.suspected(f.proxy.clock()))
 	eventually(t, func() bool { return engine.cancels.Load() > 0 })
 }
 
--- a/process/proxy/surplus_test.go
+++ b/process/proxy/surplus_test.go
@@ -94,8 +94,8 @@
 	return engineapi.HeaderRequestID + ": " + id + "\r\n" + engineapi.HeaderAttempt + ": " + strconv.Itoa(number) + "\r\n"
 }
 
-// rawAnswer returns the bytes of an HTTP response.
-func rawAnswer(status int, header, body string) string {
+// rawResponse returns the bytes of an HTTP response.
+func rawResponse(status int, header, body string) string {
 	return fmt.Sprintf("HTTP/1.1 %d Status\r\n%sContent-Length: %d\r\n\r\n%s", status, header, len(body), body)
 }
 
@@ -136,7 +136,7 @@
 	forStrayIdentities(t, func(t *testing.T, identity func(r *http.Request) string) {
 		first, second := newFakeBackend(t), newFakeBackend(t)
 		first.surplus.answer = onRequestPaths(func(r *http.Request) string {
-			return rawAnswer(http.StatusOK, identity(r)+admittedLine, strayBody)
+			return rawResponse(http.StatusOK, identity(r)+admittedLine, strayBody)
 		})
 		f := start(t, quick(), nil, first.server, second.server)
 		for range 4 * strayTestRequests {
@@ -193,7 +193,7 @@
 		for _, backend := range []*fakeBackend{first, second} {
 			backend.script = func(_ http.ResponseWriter, r *http.Request) { counts.add(r.URL.RawQuery) }
 			backend.surplus.answer = onRequestPaths(func(r *http.Request) string {
-				return rawAnswer(http.StatusServiceUnavailable, identity(r)+refusedLine, "{}")
+				return rawResponse(http.StatusServiceUnavailable, identity(r)+refusedLine, "{}")
 			})
 		}
 		f := start(t, quick(), nil, first.server, second.server)
@@ -221,7 +221,7 @@
 				e.answer(w, r, 0, 3)
 			}
 			engine.surplus.answer = onRequestPaths(func(r *http.Request) string {
-				return rawAnswer(http.StatusServiceUnavailable, identity(r)+refusedLine, "{}")
+				return rawResponse(http.StatusServiceUnavailable, identity(r)+refusedLine, "{}")
 			})
 		}
 		f := start(t, quick(), []*fakeEngine{first, second})
@@ -251,7 +251,7 @@
 					if r.URL.Path != path {
 						return ""
 					}
-					return rawAnswer(http.StatusOK, identity(r), handle)
+					return rawResponse(http.StatusOK, identity(r), handle)
 				}
 			}
 			f := start(t, quick(), []*fakeEngine{first, second})
@@ -273,11 +273,11 @@
 
 // assignSplitRoles assigns the prefill role to e1 and the decode role to e2.
 func assignSplitRoles(f *fleet) {
-	made := newView(f.engines, nil)
-	made.Engines["e1"].Status.Assignment.Role = api.RolePrefill
-	made.Engines["e2"].Status.Assignment.Role = api.RoleDecode
-	made.Version.Revision = 2
-	f.views.view.Store(made)
+	changed := newView(f.engines, nil)
+	changed.Engines["e1"].Status.Assignment.Role = api.RolePrefill
+	changed.Engines["e2"].Status.Assignment.Role = api.RoleDecode
+	changed.Version.Revision = 2
+	f.views.view.Store(changed)
 	f.proxy.standing()
 }
 
@@ -312,18 +312,18 @@
 		engine := newFakeEngine(t, "e1", 11)
 		engine.surplus.answer = onRequestPaths(func(r *http.Request) string {
 			// This status is not retried.
-			return rawAnswer(http.StatusNotFound, identity(r)+strayStateHeaders(), strayBody)
+			return rawResponse(http.StatusNotFound, identity(r)+strayStateHeaders(), strayBody)
 		})
 		config := quick()
 		config.Intervals.Load = time.Hour // no poll may correct a wrong state
 		f := start(t, config, []*fakeEngine{engine})
-		followed := f.endpoint("narrator", "e1")
-		eventually(t, func() bool { return followed.word().heard })
+		engineEndpoint := f.endpoint("narrator", "e1")
+		eventually(t, func() bool { return engineEndpoint.word().heard })
 		for range strayTestRequests {
 			f.stream(HeaderClass, "cap")
-			must.Eq(t, api.PhaseServing, followed.word().phase)
-			must.Eq(t, 11, followed.word().incarnation)
-			must.False(t, followed.suspected(f.proxy.clock()), must.Sprint("the endpoint is reachable"))
+			must.Eq(t, api.PhaseServing, engineEndpoint.word().phase)
+			must.Eq(t, 11, engineEndpoint.word().incarnation)
+			must.False(t, engineEndpoint.suspected(f.proxy.clock()), must.Sprint("the endpoint is reachable"))
 		}
 		must.Positive(t, engine.surplus.sent.Load())
 		// Each stray response is counted. The server counts it after sending it.
@@ -355,15 +355,15 @@
 				if r.URL.Path != engineapi.PathLoad {
 					return ""
 				}
-				return rawAnswer(http.StatusOK, identity(r)+strayStateHeaders(), report)
+				return rawResponse(http.StatusOK, identity(r)+strayStateHeaders(), report)
 			}
 			f := start(t, quick(), []*fakeEngine{engine})
-			followed := f.endpoint("narrator", "e1")
+			engineEndpoint := f.endpoint("narrator", "e1")
 			eventually(t, func() bool {
-				word := followed.word()
+				word := engineEndpoint.word()
 				must.NotEq(t, strayIncarnation, word.incarnation)
 				must.NotEq(t, api.PhaseDraining, word.phase)
-				must.False(t, followed.suspected(f.proxy.clock()), must.Sprint("the endpoint responds"))
+				must.False(t, engineEndpoint.suspected(f.proxy.clock()), must.Sprint("the endpoint responds"))
 				return engine.surplus.sent.Load() > 2
 			})
 		})
@@ -385,11 +385,11 @@
 	runs.Wait()
 }
 
-// newResumedEngine returns an engine that, while cutting is true, interrupts the
+// newResumedEngine returns an engine that, while interrupt is true, interrupts the
 // stream of each run and of its first resume; the second resume completes it.
-// Before its response to the resume numbered late (from 1) it sends a stray
-// response with the identity that before returns.
-func newResumedEngine(t *testing.T, cutting *atomic.Bool, late int32, before func(run, resume string) string) *fakeEngine {
+// Before its response to the resume numbered strayBefore (from 1) it sends a stray
+// response with the result of identity as its identity headers.
+func newResumedEngine(t *testing.T, interrupt *atomic.Bool, strayBefore int32, identity func(run, resume string) string) *fakeEngine {
 	engine := newFakeEngine(t, "e1", 11)
 	var run, resume atomic.Pointer[string] // identity headers of the last run and the last resume
 	var resumes atomic.Int32               // number of resumes of the current run
@@ -401,7 +401,7 @@
 	engine.script = func(e *fakeEngine, w http.ResponseWriter, r *http.Request, n int) {
 		resumes.Store(0)
 		remember(&run, r)
-		if !cutting.Load() {
+		if !interrupt.Load() {
 			time.Sleep(overlap)
 			e.answer(w, r, 0, 4)
 			return
@@ -419,14 +419,14 @@
 		_, _ = io.WriteString(w, "data: [DONE]\n\n")
 	}
 	engine.surplus.answer = func(r *http.Request) string {
-		if r.URL.Path != engineapi.PathResume || resumes.Load() != late-1 {
+		if r.URL.Path != engineapi.PathResume || resumes.Load() != strayBefore-1 {
 			return ""
 		}
 		last := ""
 		if named := resume.Load(); named != nil {
 			last = *named
 		}
-		return rawAnswer(http.StatusConflict, before(*run.Load(), last), "{}")
+		return rawResponse(http.StatusConflict, identity(*run.Load(), last), "{}")
 	}
 	return engine
 }
@@ -437,8 +437,8 @@
 // get the complete response.
 func TestStrayResponseBeforeResume(t *testing.T) {
 	cases := map[string]struct {
-		late   int32
-		before func(run, resume string) string
+		strayBefore int32
+		identity    func(run, resume string) string
 	}{
 		"identity of the run":                 {1, func(run, _ string) string { return run }},
 		"identity of the previous resume":     {2, func(_, resume string) string { return resume }},
@@ -446,13 +446,13 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			var cutting atomic.Bool
-			engine := newResumedEngine(t, &cutting, test.late, test.before)
+			var interrupt atomic.Bool
+			engine := newResumedEngine(t, &interrupt, test.strayBefore, test.identity)
 			f := start(t, quick(), []*fakeEngine{engine})
 			eventually(t, func() bool {
-				cutting.Store(false)
+				interrupt.Store(false)
 				openIdleConnections(f)
-				cutting.Store(true)
+				interrupt.Store(true)
 				words, whole := f.stream(HeaderClass, "cap").words()
 				must.True(t, whole)
 				must.Eq(t, []string{"e1-0", "e1-1", "e1-2", "e1-3"}, words)
