--- a/process/proxy/admin.go
+++ b/process/proxy/admin.go
@@ -9,15 +9,15 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
-// Paths of the admin server.
+// HTTP paths of the admin server.
 const (
-	PathHealth   = "/healthz" // 200 while the process serves at all
-	PathReady    = "/readyz"  // 200 while callers should send here
+	PathHealth   = "/healthz" // always answers 200 while the process runs
+	PathReady    = "/readyz"  // 200 while the proxy accepts requests, else 503
 	PathMetrics  = "/metrics"
 	PathInFlight = "/debug/inflight"
 )
 
-// listenAdmin starts the admin server.
+// listenAdmin starts the HTTP server for health checks, metrics and debugging.
 func (p *Proxy) listenAdmin() (*server, error) {
 	routes := &prefixRouter{Router: newRouter()}
 	return p.listen("landingtrail-proxy-admin", p.config.AdminAddress, routes, func(made *rest.Server) {
@@ -30,7 +30,7 @@
 	})
 }
 
-// Readiness is the body of PathHealth and PathReady.
+// Readiness is the response body of PathHealth and PathReady.
 type Readiness struct {
 	Ready    bool         `json:"ready"`
 	Reason   string       `json:"reason,omitempty"`
@@ -67,7 +67,7 @@
 	writeJSON(w, status, state)
 }
 
-// InFlightRequest is one row of PathInFlight.
+// InFlightRequest describes one request in the response of PathInFlight.
 type InFlightRequest struct {
 	ID       string           `json:"id"`
 	Service  string           `json:"service"`
@@ -79,7 +79,7 @@
 	Attempts []InFlightRecord `json:"attempts"`
 }
 
-// InFlightRecord is one attempt of an InFlightRequest.
+// InFlightRecord describes one attempt of an InFlightRequest.
 type InFlightRecord struct {
 	Number   uint32 `json:"number"`
 	Endpoint string `json:"endpoint"`
--- a/process/proxy/bench_test.go
+++ b/process/proxy/bench_test.go
@@ -16,12 +16,12 @@
 	"github.com/landingtrail/landingtrail/connection/engineapi"
 )
 
-// relayHandler passes a request on to the address and the answer back, each
-// part as it comes, and does nothing else.
+// forwarderHandler is a minimal reverse proxy: it forwards each request to the address and
+// flushes every chunk of the response as it arrives.
 func relayHandler(address string) http.Handler {
 	transport := &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 64}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		body, _ := io.ReadAll(r.Body) // an HTTP/1 server closes it when the answer begins
+		body, _ := io.ReadAll(r.Body) // an HTTP/1 server closes the request body once the response starts
 		out := r.Clone(r.Context())
 		out.Body = io.NopCloser(bytes.NewReader(body))
 		out.URL.Scheme, out.URL.Host, out.RequestURI = "http", address, ""
@@ -47,7 +47,8 @@
 	})
 }
 
-// path is one way from the caller to the engine, and what it took.
+// path is a route from the client to the engine, with the wall and processor time that its
+// requests have used.
 type path struct {
 	url       string
 	transport *http.Transport
@@ -76,7 +77,8 @@
 	_ = response.Body.Close()
 }
 
-// newBenchEngine streams tokens, each in its own write and after a pause.
+// newBenchEngine starts an engine that streams the given number of tokens. Each token is written
+// separately, after the pause.
 func newBenchEngine(b *testing.B, tokens int, pause time.Duration) *httptest.Server {
 	engine := &fakeEngine{name: "e1", incarnation: 11}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -97,18 +99,18 @@
 	return server
 }
 
-// BenchmarkDataPath compares the proxy with a plain forwarder in the same run. Both
-// figures are without what caller and engine take when they talk directly.
+// BenchmarkDataPath compares the proxy's overhead with that of a minimal reverse proxy in the same
+// run. The cost of a direct connection from client to engine is subtracted from both.
 func BenchmarkDataPath(b *testing.B) {
 	cases := []struct {
 		name   string
-		batch  int // requests at once
+		batch  int // concurrent requests
 		tokens int
 		pause  time.Duration
 	}{
-		{"request", 1, 1, 0},                     // the cost of a request
-		{"paced", 20, 200, 5 * time.Millisecond}, // of a token by itself, as engines send them
-		{"burst", 1, 400, 0},                     // of a token among many that came together
+		{"request", 1, 1, 0},                     // cost per request
+		{"paced", 20, 200, 5 * time.Millisecond}, // cost per token when tokens arrive one at a time, as engines send them
+		{"burst", 1, 400, 0},                     // cost per token when many arrive together
 	}
 	for _, test := range cases {
 		b.Run(test.name, func(b *testing.B) {
@@ -134,7 +136,7 @@
 			b.ReportMetric(float64((plain.cpu-direct.cpu).Microseconds())/count, "relay-cpu-us")
 			b.ReportMetric(float64((proxied.cpu-direct.cpu).Microseconds())/count, "proxy-cpu-us")
 			if test.name == "burst" {
-				return // the relay's share is too small for a ratio
+				return // the forwarder's overhead is too small for a meaningful ratio
 			}
 			b.ReportMetric(float64(proxied.cpu-direct.cpu)/float64(plain.cpu-direct.cpu), "cpu-ratio")
 			if test.pause == 0 {
@@ -144,7 +146,7 @@
 	}
 }
 
-// benchProxy starts a proxy with default settings and returns its URL.
+// benchProxy starts a proxy with default settings in front of the engine and returns its URL.
 func benchProxy(b *testing.B, server *httptest.Server) string {
 	b.Helper()
 	views := &fixedViews{}
--- a/process/proxy/cacheindex.go
+++ b/process/proxy/cacheindex.go
@@ -2,23 +2,24 @@
 
 import "github.com/landingtrail/landingtrail/connection/engineapi"
 
-// cacheIndex is what is believed of an engine's prompt cache. The zero value
-// knows nothing. Its owner locks it.
+// cacheIndex is a local copy of the set of blocks in an engine's prompt cache, maintained from the
+// engine's cache events. The zero value is empty. It is not safe for concurrent use: the owner
+// guards it with a lock.
 type cacheIndex struct {
 	blocks map[uint64]bool
-	next   uint64 // the last sequence number taken in; 0 asks for a snapshot
-	sure   bool
+	next   uint64 // sequence number of the last applied event; 0 requests a snapshot
+	sure   bool   // no event has been missed since the last snapshot
 }
 
-// reset forgets everything; the next page must be a snapshot.
+// reset clears the index; the next page must be a snapshot.
 func (c *cacheIndex) reset() { *c = cacheIndex{} }
 
-// apply takes in a page of events that was asked for with the sequence number
-// after. A gap makes the index unsure and the next page a snapshot; what is
-// known stays as a hint until then.
+// apply applies a page of events that was requested with the sequence number after. If events are
+// missing, the index is marked as out of sync and requests a snapshot; its blocks remain as hints
+// until that arrives.
 func (c *cacheIndex) apply(page engineapi.CacheEvents, after uint64) {
 	if after != c.next {
-		return // the answer to a question that a reset has overtaken
+		return // requested before the index was reset
 	}
 	if page.Snapshot {
 		c.blocks = make(map[uint64]bool, len(page.Blocks))
@@ -61,7 +62,8 @@
 	c.sure = false
 }
 
-// leading returns how many of the first blocks are believed to be cached.
+// cachedPrefix returns how many of the leading blocks are in the index, and whether the index is
+// in sync with the engine.
 func (c *cacheIndex) leading(blocks []uint64) (count int, sure bool) {
 	for _, block := range blocks {
 		if !c.blocks[block] {
--- a/process/proxy/config.go
+++ b/process/proxy/config.go
@@ -12,74 +12,74 @@
 	"github.com/landingtrail/landingtrail/version/subset"
 )
 
-// LossPolicy says what a proxy does for a type of service once its view lease
-// has lapsed, because the whole control group is lost or out of reach.
+// LossPolicy defines how a proxy handles requests to a type of service after its view lease has
+// expired because the whole control group is down or unreachable.
 type LossPolicy string
 
 // Loss policies.
 const (
-	// LossServe goes on with the last view, but only towards back ends that
-	// have themselves confirmed since the lapse that they serve.
+	// LossServe keeps serving by the last view, but only through backends that have
+	// reported since the lease expired that they serve.
 	LossServe LossPolicy = "serve"
-	// LossRefuse refuses with ran "no" and Retry-After.
+	// LossRefuse rejects requests with ran "no" and a Retry-After header.
 	LossRefuse LossPolicy = "refuse"
 )
 
-// ControlLoss is the policy for each type of service.
+// ControlLoss holds the LossPolicy of each type of service.
 type ControlLoss struct {
 	Model   LossPolicy
 	Backend LossPolicy
 }
 
-// Timeouts bound what a proxy waits for. A zero field takes its default.
+// Timeouts limit how long a proxy waits for other parties. A zero field takes its default.
 type Timeouts struct {
-	Dial time.Duration // connecting to an engine or a back end
-	// Head is the wait for the head of an engine's answer, which comes with
-	// its admission or refusal.
+	Dial time.Duration // connecting to an engine or a backend
+	// Head is the wait for the status line and headers of an engine's response, which tell
+	// whether the engine admitted or refused the request.
 	Head time.Duration
 	// FirstToken is the wait for the first token after admission.
 	FirstToken time.Duration
 	// Stall is the wait between two events of a stream.
 	Stall time.Duration
-	// Write is the wait for a caller that stopped reading.
+	// Write is the wait for a caller that has stopped reading.
 	Write time.Duration
-	// ReadHeader and ReadBody bound how long a caller may take to send.
+	// ReadHeader and ReadBody limit how long a caller may take to send a request.
 	ReadHeader time.Duration
 	ReadBody   time.Duration
-	Idle       time.Duration // of callers' connections
-	Claim      time.Duration // claims and outcomes at the control group
-	Cancel     time.Duration // telling an engine that nobody waits any more
-	// Deadline holds for requests whose class has none.
+	Idle       time.Duration // keep-alive of callers' idle connections
+	Claim      time.Duration // requesting a claim from, or recording an outcome at, the control group
+	Cancel     time.Duration // sending a cancellation to an engine
+	// Deadline applies to requests whose class has none.
 	Deadline time.Duration
 }
 
-// Limits bound what a proxy holds. A zero field takes its default.
+// Limits bound the resources that a proxy uses. A zero field takes its default.
 type Limits struct {
-	BodyBytes   int64   // of a request
-	HeldBytes   int64   // of all requests of a type of service together
-	AnswerBytes int64   // of an answer that is held until it is whole
-	EventBytes  int     // of one stream event
-	PollBytes   float64 // a second of all load reports and cache events
-	MaxInFlight int     // of a lane whose service sets none
-	QueueLimit  int     // of a class that sets none
+	BodyBytes   int64   // size of a request body
+	HeldBytes   int64   // total size of the request bodies in memory, per type of service
+	AnswerBytes int64   // size of a response that is buffered until it is complete
+	EventBytes  int     // size of one stream event
+	PollBytes   float64 // traffic of all load reports and cache events, per second
+	MaxInFlight int     // concurrent requests of a service that sets no limit
+	QueueLimit  int     // queued requests of a class that sets no limit
 	Attempts    int     // runs of one request
-	Resumes     int     // of one run's stream
-	// RetryShare is the share of the traffic that may be retries, RetryReserve
-	// how many may be saved up.
+	Resumes     int     // resumptions of one run's stream
+	// RetryShare is the ratio of retries to requests that the retry budget allows;
+	// RetryReserve is how many unused retries it accumulates at most.
 	RetryShare   float64
 	RetryReserve int
 }
 
-// Intervals of the proxy's periodic work. A zero field takes its default.
+// Intervals of the proxy's periodic tasks. A zero field takes its default.
 type Intervals struct {
-	Load   time.Duration // between two load reports of a back end
-	Cache  time.Duration // between two pages of cache events
-	Demand time.Duration // between two demand reports
-	View   time.Duration // between two looks for a new view
-	Beat   time.Duration // between two beats to the control group
+	Load   time.Duration // polling an endpoint's load report
+	Cache  time.Duration // polling an engine's cache events
+	Demand time.Duration // reporting demand to the control group
+	View   time.Duration // checking for a new view
+	Beat   time.Duration // sending heartbeats to the control group
 }
 
-// Config is all that a proxy is told at its start.
+// Config is the configuration of a proxy.
 type Config struct {
 	ID            string
 	Zone          string
@@ -94,14 +94,14 @@
 	Speed         router.Speed
 	Backoff       retry.Backoff
 	Margin        retry.Margin
-	// DrainNotice is how long a stopping proxy still accepts, while it is not
-	// ready and every answer asks the caller to close the connection.
+	// DrainNotice is how long a stopping proxy keeps accepting requests, while it reports
+	// that it is not ready and every response asks the caller to close the connection.
 	DrainNotice time.Duration
-	// DrainLimit bounds the wait for requests in flight; 0 means no bound.
+	// DrainLimit limits the wait for requests in flight; 0 means no limit.
 	DrainLimit time.Duration
 }
 
-// Defaults of a Config.
+// Default values of Config.
 const (
 	DefaultDialTimeout       = time.Second
 	DefaultHeadTimeout       = 3 * time.Second
@@ -140,7 +140,7 @@
 	DefaultDrainNotice = time.Second
 )
 
-// ErrConfig is returned for a configuration that a proxy cannot run with.
+// ErrConfig is returned when a Config is invalid.
 var ErrConfig = errors.New("invalid proxy configuration")
 
 func (c Config) withDefaults() Config {
@@ -194,19 +194,19 @@
 
 func (c *Config) check() error {
 	if c.ID == "" {
-		return errors.Wrap(ErrConfig, "no ID")
+		return errors.Wrap(ErrConfig, "ID is empty")
 	}
 	if len(c.FeedAddresses) == 0 {
-		return errors.Wrap(ErrConfig, "no feed addresses")
+		return errors.Wrap(ErrConfig, "no feed address is configured")
 	}
 	for _, address := range []string{c.ListenAddress, c.AdminAddress} {
 		if _, _, err := net.SplitHostPort(address); err != nil {
-			return errors.Wrapf(ErrConfig, "address %q: %s", address, err)
+			return errors.Wrapf(ErrConfig, "invalid listen address %q: %s", address, err)
 		}
 	}
 	for _, policy := range []LossPolicy{c.OnControlLoss.Model, c.OnControlLoss.Backend} {
 		if policy != LossServe && policy != LossRefuse {
-			return errors.Wrapf(ErrConfig, "loss policy %q", policy)
+			return errors.Wrapf(ErrConfig, "unknown control loss policy %q", policy)
 		}
 	}
 	return nil
--- a/process/proxy/demand.go
+++ b/process/proxy/demand.go
@@ -10,13 +10,13 @@
 	"github.com/landingtrail/landingtrail/request/attempt"
 )
 
-// demandShards is the number of shards of the counted demand.
+// demandShards is the number of independently locked shards of a demandWindow.
 const demandShards = 8
 
 type demandKey struct{ intent, class string }
 
-// demandWindow counts what was offered since the last report, in shards under
-// their own locks.
+// demandWindow accumulates the demand since the last report. It is split into independently locked
+// shards to reduce lock contention.
 type demandWindow struct {
 	seed   maphash.Seed
 	shards [demandShards]demandShard
@@ -35,7 +35,7 @@
 	return made
 }
 
-// add changes the counts of an intent and class.
+// add updates the counts of an intent and class with change, which runs under the shard's lock.
 func (d *demandWindow) add(key demandKey, change func(*feed.Demand)) {
 	shard := &d.shards[maphash.Comparable(d.seed, key)%demandShards]
 	shard.lock.Lock()
@@ -48,7 +48,7 @@
 	change(counts)
 }
 
-// take returns the counts and starts a new window.
+// take returns the accumulated counts and resets the window.
 func (d *demandWindow) take() map[demandKey]*feed.Demand {
 	taken := map[demandKey]*feed.Demand{}
 	for i := range d.shards {
@@ -63,7 +63,7 @@
 	return taken
 }
 
-// putBack adds counts that could not be reported to the next window.
+// restore adds counts whose report could not be sent to the current window.
 func (d *demandWindow) putBack(counts map[demandKey]*feed.Demand) {
 	for key, old := range counts {
 		d.add(key, func(into *feed.Demand) {
@@ -77,11 +77,11 @@
 	}
 }
 
-// maxDemandWindow bounds how long unreported counts are kept: older demand
-// would only mislead the planner.
+// maxDemandWindow limits how long unreported counts are kept: older demand would mislead the
+// planner.
 const maxDemandWindow = 10 * time.Second
 
-// reportDemand tells the control group each interval what was offered.
+// reportDemand periodically reports the demand to the control group.
 func (p *Proxy) reportDemand() {
 	since := time.Now()
 	for pause.For(p.background, p.config.Intervals.Demand) {
@@ -115,7 +115,7 @@
 	tokens   float64
 }
 
-// waitingDemand counts the model requests that wait in queues now.
+// queuedDemand counts the model requests that are queued now.
 func (p *Proxy) waitingDemand() map[demandKey]waitingCount {
 	waiting := map[demandKey]waitingCount{}
 	known := p.lanes.catalog.Load()
--- a/process/proxy/endpoint.go
+++ b/process/proxy/endpoint.go
@@ -10,48 +10,50 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// suspicion is how long an endpoint is avoided after a failure; it doubles
-// with each further one up to maxSuspicion.
+// minSuspectTime is how long an endpoint is avoided after a failure. It doubles with each further
+// consecutive failure, up to maxSuspectTime.
 const (
 	suspicion    = 500 * time.Millisecond
 	maxSuspicion = 15 * time.Second
 )
 
-// dispatch is one request in flight to an endpoint.
+// dispatch is a request in flight to an endpoint.
 type dispatch struct {
 	at     time.Duration
 	tokens int
 }
 
-// endpoint is one engine or back end as this proxy knows it: a shard of the
-// proxy's state under its own lock. Times are readings of the proxy's clock.
+// endpoint is the proxy's state of one engine or backend. Each endpoint has its own lock. Times are
+// readings of the proxy's clock.
 type endpoint struct {
 	name    string
 	address string
 	zone    string
-	model   bool // an engine, not a plain back end
+	model   bool // an engine rather than a plain backend
 
 	lock sync.Mutex
-	// phase and incarnation are the endpoint's own last word, heardAt when it came.
+	// phase and incarnation are what the endpoint last reported about itself, lastReportAt when
+	// the proxy received that.
 	phase       api.EnginePhase
 	incarnation uint64
-	// incarnationSaid is when the incarnation was said, at the earliest: the word of an
-	// earlier one may come late.
+	// incarnationAsOf is the earliest time at which the incarnation can have been reported. Reports
+	// may arrive out of order, so one of an earlier incarnation may arrive later.
 	incarnationSaid time.Duration
 	heardAt         time.Duration
 	heard           bool
-	closedAt        time.Duration // when a phase that takes no new work was last heard
+	closedAt        time.Duration // when a phase that takes no new work was last reported
 	load            engineapi.Load
 	loadAt          time.Duration // when the load was measured
 	failures        int
 	suspectTill     time.Duration
-	// silent is set while polls bring no answer; it outlasts suspectTill, so
-	// that no request is spent on finding out that nothing has changed.
+	// silent is set while polls get no response. Unlike suspectUntil it does not expire, so that
+	// no request is spent on probing an endpoint that is still down.
 	silent     bool
 	dispatches map[uint64]dispatch
 	nextID     uint64
 	cache      cacheIndex
-	// endedAt is when the incarnation seemed to end, 0 once the engine has spoken since.
+	// suspectedEndAt is when the incarnation appeared to end, because its connection broke; 0 once
+	// the engine has answered a later request.
 	endedAt          time.Duration
 	endedIncarnation uint64
 }
@@ -60,7 +62,7 @@
 	return &endpoint{name: name, address: address, zone: zone, model: model, dispatches: map[uint64]dispatch{}}
 }
 
-// begin counts a request in flight and returns the function that ends it.
+// begin registers a request in flight and returns the function that removes it.
 func (e *endpoint) begin(now time.Duration, tokens int) func() {
 	e.lock.Lock()
 	defer e.lock.Unlock()
@@ -74,22 +76,23 @@
 	}
 }
 
-// spokenWord is what an endpoint says of itself: not before said, and heard now.
+// spokenWord is an endpoint's report of its own state. said is the earliest time at which it can
+// have been true, now when the proxy received it.
 type spokenWord struct {
 	said, now   time.Duration
-	phase       api.EnginePhase // empty: says nothing
+	phase       api.EnginePhase // empty if not reported
 	incarnation uint64
 }
 
-// hear notes the endpoint's own word on its phase and incarnation.
+// hear records the phase and incarnation that the endpoint reported.
 func (e *endpoint) hear(news spokenWord) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	e.hearLocked(news)
 }
 
-// hearLocked takes a phase that admits only if it cannot be older than the last
-// one that did not: the answer to an earlier question may come late.
+// hearLocked is hear for a caller that holds the lock. Responses may arrive out of order, so a phase
+// that takes new work is ignored if it may be older than the last one that did not.
 func (e *endpoint) hearLocked(news spokenWord) {
 	e.heard = true
 	e.silent = false
@@ -111,12 +114,12 @@
 	}
 }
 
-// backendLeaving is the value of engineapi.HeaderBackendState of a back end
-// whose machine leaves.
+// backendLeaving is the value of engineapi.HeaderBackendState that a backend sends when its machine
+// is about to be removed.
 const backendLeaving = "leaving"
 
-// hearHeader notes what the header of an answer says of the endpoint. A plain
-// back end that does not say that it leaves serves.
+// hearHeader records the state that the endpoint reports in the headers of a response to a request
+// sent at asked. A plain backend is serving unless it reports that it is leaving.
 func (e *endpoint) hearHeader(asked, now time.Duration, header http.Header) {
 	phase := api.EnginePhase(header.Get(engineapi.HeaderPhase))
 	if !e.model {
@@ -128,12 +131,14 @@
 	e.hear(spokenWord{said: asked, now: now, phase: phase, incarnation: incarnationOf(header)})
 }
 
-// speaksForAnother reports whether a report is another engine's, which has the address now.
+// isFromOtherEngine reports whether the load report comes from a different engine, which has taken
+// over the address.
 func (e *endpoint) speaksForAnother(load engineapi.Load) bool {
 	return load.Engine != "" && load.Engine != e.name
 }
 
-// report takes in a load report, which tells of a time that is past.
+// report records a load report in response to a poll sent at asked. The report describes the load
+// at an earlier time, by its age.
 func (e *endpoint) report(asked, now time.Duration, load engineapi.Load) {
 	if e.speaksForAnother(load) {
 		return
@@ -143,13 +148,13 @@
 	defer e.lock.Unlock()
 	e.hearLocked(spokenWord{said: asked - age, now: now, phase: load.Phase, incarnation: load.Incarnation})
 	if load.Incarnation != 0 && load.Incarnation != e.incarnation {
-		return // of an earlier life
+		return // measured by an earlier incarnation
 	}
 	e.load = load
 	e.loadAt = now - age
 }
 
-// succeed ends the suspicion.
+// succeed records a successful request: the endpoint is no longer suspect because of failures.
 func (e *endpoint) succeed() {
 	e.lock.Lock()
 	defer e.lock.Unlock()
@@ -157,7 +162,7 @@
 	e.suspectTill = 0
 }
 
-// fail makes the endpoint suspect.
+// fail records a failed request and makes the endpoint suspect for a limited time.
 func (e *endpoint) fail(now time.Duration) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
@@ -166,7 +171,7 @@
 	e.suspectTill = now + min(wait, maxSuspicion)
 }
 
-// markSilent makes the endpoint suspect until it speaks again.
+// markSilent makes the endpoint suspect until it responds again.
 func (e *endpoint) markSilent() {
 	e.lock.Lock()
 	defer e.lock.Unlock()
@@ -175,7 +180,7 @@
 
 func (e *endpoint) suspectedLocked(now time.Duration) bool { return e.silent || now < e.suspectTill }
 
-// ownWord is what an endpoint says of itself.
+// reportedState is the state that an endpoint last reported about itself.
 type ownWord struct {
 	phase       api.EnginePhase
 	incarnation uint64
@@ -189,7 +194,9 @@
 	return ownWord{phase: e.phase, incarnation: e.incarnation, heard: e.heard, heardAt: e.heardAt}
 }
 
-// describe fills in what the endpoint itself and this proxy's dispatches say.
+// fillCandidate sets the fields of a routing candidate that come from the endpoint's reports and
+// from this proxy's requests in flight. Requests sent after the load was measured are counted
+// separately, since the report does not include them.
 func (e *endpoint) describe(now time.Duration, into *router.Endpoint) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
@@ -212,8 +219,8 @@
 	}
 }
 
-// closedPhase reports whether an endpoint in the phase takes no new work. An
-// endpoint that has not spoken is not closed by that.
+// closedPhase reports whether an endpoint in the phase takes no new work. An endpoint that has not
+// reported its phase may take new work.
 func closedPhase(phase api.EnginePhase) bool {
 	switch phase {
 	case api.PhaseServing, api.PhaseUnknown:
--- a/process/proxy/harness_test.go
+++ b/process/proxy/harness_test.go
@@ -26,7 +26,8 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
-// shutdownAfter ends the goroutines in which rest waits for the process's end.
+// shutdownAfter runs the tests and then ends the goroutines in which rest waits for the process to
+// exit.
 type shutdownAfter struct{ *testing.M }
 
 // Run implements goleak.TestingM.
@@ -37,12 +38,12 @@
 }
 
 func TestMain(m *testing.M) {
-	// go-zero's own goroutines started before any test.
+	// go-zero starts goroutines of its own before the first test.
 	goleak.VerifyTestMain(shutdownAfter{m}, goleak.IgnoreCurrent(),
 		goleak.IgnoreAnyFunction("github.com/zeromicro/go-zero/core/proc.init.1.func1"))
 }
 
-// fixedViews is a view whose lease the test sets.
+// fixedViews is a Views whose view and lease the test sets.
 type fixedViews struct {
 	view    atomic.Pointer[view.View]
 	invalid atomic.Bool
@@ -51,7 +52,8 @@
 func (v *fixedViews) Load() *view.View           { return v.view.Load() }
 func (v *fixedViews) Valid(_ time.Duration) bool { return !v.invalid.Load() }
 
-// fakeControl is a control group of one that claims by a map.
+// fakeControl is an in-memory control group. Unless lost is set it grants claims and records every
+// report.
 type fakeControl struct {
 	lock     sync.Mutex
 	lost     error
@@ -99,7 +101,7 @@
 	return nil
 }
 
-// Connected implements guard.Reporter: nobody leads, so that the proxy decides by itself.
+// Connected implements guard.Reporter. There is no leader, so the proxy decides by itself.
 func (c *fakeControl) Connected() bool { return false }
 
 func (c *fakeControl) ReportEnds(report feed.EndReport) bool {
@@ -116,8 +118,8 @@
 	return true
 }
 
-// fakeEngine is an engine whose answer to the n-th completion (from 1) a test
-// scripts; without a script it answers maxTokens words.
+// fakeEngine is an engine whose response to the n-th completion (from 1) is given by script. Without
+// a script it streams three tokens.
 type fakeEngine struct {
 	name        string
 	server      *httptest.Server
@@ -199,7 +201,7 @@
 	writeJSON(w, status, engineapi.ErrorBody{Error: engineapi.ErrorDetail{Message: code, Code: code, Ran: "no"}})
 }
 
-// tokens streams the tokens from offset up to end, without a terminal event.
+// tokens streams the tokens from offset up to but not including end, without a terminal event.
 func (e *fakeEngine) tokens(w http.ResponseWriter, id string, number uint32, offset, end int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set(engineapi.HeaderAdmitted, "yes")
@@ -223,7 +225,7 @@
 	_, _ = io.WriteString(w, "data: [DONE]\n\n")
 }
 
-// fleet is a proxy in front of fake engines and back ends.
+// fleet is a proxy in front of fake engines and backends.
 type fleet struct {
 	t       *testing.T
 	proxy   *Proxy
@@ -235,7 +237,7 @@
 	done    chan error
 }
 
-// quick are settings under which failures show in milliseconds.
+// quick returns a configuration with timeouts and intervals short enough for tests.
 func quick() Config {
 	return Config{
 		ID:            "proxy-1",
@@ -250,8 +252,8 @@
 	}
 }
 
-// newView is a view with the engines, one model service and the back ends as
-// the service "tiles".
+// newView returns a view with a model service "narrator" of the engines and a service "tiles" of the
+// backends.
 func newView(engines []*fakeEngine, backends []*httptest.Server) *view.View {
 	made := view.New()
 	made.Version = view.Version{Term: 1, Revision: 1}
@@ -292,7 +294,7 @@
 	return startBy(t, func() time.Duration { return time.Since(begin) }, config, control, engines, backends...)
 }
 
-// startBy starts a fleet whose proxy goes by a clock of the test's.
+// startWithClock starts a fleet whose proxy uses the given clock.
 func startBy(t *testing.T, clock func() time.Duration, config Config, control Control, engines []*fakeEngine, backends ...*httptest.Server) *fleet {
 	t.Helper()
 	f := &fleet{t: t, views: &fixedViews{}, engines: engines, done: make(chan error, 1)}
@@ -318,12 +320,12 @@
 	return f
 }
 
-// reply is a whole answer to a caller.
+// reply is the response that a caller received.
 type reply struct {
 	status int
 	header http.Header
 	body   string
-	err    error // the body was cut
+	err    error // from reading the body, if it was cut off
 }
 
 func (r *reply) code() string {
@@ -353,8 +355,8 @@
 	return &reply{status: response.StatusCode, header: response.Header, body: string(read), err: err}
 }
 
-// open sends a streaming request and waits for its first byte. The returned
-// function hangs up.
+// open sends a streaming request and waits for the first byte of the response body. The returned
+// function closes the body.
 func (f *fleet) open(headers ...string) (hangUp func()) {
 	f.t.Helper()
 	request, err := http.NewRequest(http.MethodPost, f.url+engineapi.PathCompletions, strings.NewReader(streamBody))
@@ -370,7 +372,7 @@
 	return func() { _ = response.Body.Close() }
 }
 
-// fakeBackend is a plain back end; without a script it echoes.
+// fakeBackend is a plain backend. Without a script it echoes the request body.
 type fakeBackend struct {
 	server     *httptest.Server
 	script     http.HandlerFunc
@@ -410,7 +412,8 @@
 	return f.do(http.MethodPost, engineapi.PathCompletions, streamBody, headers...)
 }
 
-// words returns the words of the tokens in a stream, and whether it ended whole.
+// words returns the words of the tokens in a stream and whether the stream ended with its terminal
+// event.
 func (r *reply) words() (words []string, whole bool) {
 	for block := range strings.SplitSeq(r.body, "\n\n") {
 		data, found := strings.CutPrefix(block, "data: ")
--- a/process/proxy/inflight.go
+++ b/process/proxy/inflight.go
@@ -9,10 +9,10 @@
 	"github.com/landingtrail/landingtrail/request/attempt"
 )
 
-// inFlightShards is the number of shards of the requests in flight.
+// inFlightShards is the number of independently locked shards of an inFlight.
 const inFlightShards = 32
 
-// entry is one request in flight.
+// entry describes one request in flight.
 type entry struct {
 	id      string
 	service string
@@ -20,11 +20,12 @@
 	tenant  string
 	started time.Time
 	life    *attempt.Life
-	model   string // "" for a plain back end
-	tokens  int    // of the prompt
+	model   string // "" for a plain backend
+	tokens  int    // prompt length
 }
 
-// inFlight holds the requests in flight, in shards under their own locks.
+// inFlight tracks the requests in flight. It is split into independently locked shards to reduce
+// lock contention.
 type inFlight struct {
 	seed   maphash.Seed
 	shards [inFlightShards]inFlightShard
@@ -47,7 +48,7 @@
 	return &f.shards[maphash.String(f.seed, id)%inFlightShards]
 }
 
-// add counts the request in and returns the function that counts it out.
+// add registers the request and returns the function that removes it.
 func (f *inFlight) add(added *entry) func() {
 	shard := f.shard(added.id)
 	shard.lock.Lock()
--- a/process/proxy/lane.go
+++ b/process/proxy/lane.go
@@ -15,24 +15,25 @@
 	"github.com/landingtrail/landingtrail/version/subset"
 )
 
-// lane is everything that requests of one service use: connections, queue and
-// endpoints. Lanes share nothing, so that frames and lookups never wait for
-// model work.
+// lane holds the connections, the queue, the retry budget and the endpoints of one service. Lanes
+// share nothing, so that fast requests to plain backends never wait behind model requests.
 type lane struct {
 	service string
 	kind    api.ServiceType
 	pool    *upstream.Pool
-	polls   *upstream.Pool // load reports must not wait behind requests
+	polls   *upstream.Pool // separate from pool, so that polls never wait behind requests
 	queue   *limit.Queue
-	// budget pays for retries; failures of one service cost another none.
+	// budget limits retries, per service so that the failures of one do not use up the retries
+	// of another.
 	budget *retry.Budget
-	// loadBudget and cacheBudget bound the bytes of polls.
+	// loadBudget and cacheBudget limit the traffic of load and cache event polls.
 	loadBudget  *pollBudget
 	cacheBudget *pollBudget
-	// endpoints is replaced whole when the followed set changes.
+	// endpoints maps names to the endpoints that the proxy polls and routes to. The map is
+	// immutable and is replaced when the set changes.
 	endpoints atomic.Pointer[map[string]*endpoint]
 
-	lock    sync.Mutex // held while the followed set changes
+	lock    sync.Mutex // held while endpoints and pollers change
 	pollers map[string]*poller
 }
 
@@ -62,12 +63,13 @@
 	return config.Limits.MaxInFlight
 }
 
-// member is a back end that a view names for a lane.
+// endpointSpec is an engine or backend of a service, as the view describes it. Endpoints with the
+// same group are interchangeable.
 type member struct {
 	name, address, zone, group string
 }
 
-// members lists the back ends of a service, in no order.
+// endpointSpecs lists the engines or backends of a service in unspecified order.
 func (c *catalog) members(service *api.Service) []member {
 	if service.Spec.Type != api.ServiceModel {
 		members := make([]member, 0, len(service.Spec.Backends))
@@ -91,8 +93,8 @@
 	return members
 }
 
-// group names the engines that can stand in for the engine: those of the same
-// intent in the same role.
+// engineGroup returns the name of the engine's group. The engines of one intent and role are
+// interchangeable.
 func (c *catalog) group(engine *api.Engine) string {
 	intent := ""
 	if selected := c.intents[engine.Name]; selected != nil {
@@ -101,8 +103,8 @@
 	return intent + "/" + string(engine.Status.Assignment.Role)
 }
 
-// follow makes the lane follow the chosen members: it starts to poll new ones
-// and stops polling those that are gone. What is in flight to these goes on.
+// updateEndpoints selects the endpoints that the lane uses, starts polling new ones and stops
+// polling those that are no longer selected. Requests in flight to the latter continue.
 func (l *lane) follow(p *Proxy, members []member) {
 	chosen := l.choose(&p.config, members)
 	l.lock.Lock()
@@ -133,8 +135,8 @@
 	}
 }
 
-// choose returns the members that the proxy follows. It is called for each view
-// with every member of the fleet, so it makes no map of them.
+// selectSubset returns the specs of the endpoints that the proxy uses. It runs on every view update
+// with all endpoints of the fleet, so it avoids building a map of them.
 func (l *lane) choose(config *Config, members []member) []member {
 	candidates := make([]subset.Endpoint, len(members))
 	for i := range members {
@@ -150,7 +152,7 @@
 	return chosen
 }
 
-// close stops the polling and closes what is idle. Requests in flight go on.
+// close stops polling and closes idle connections. Requests in flight continue.
 func (l *lane) close() {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -162,21 +164,21 @@
 	l.polls.Close()
 }
 
-// standing is whether the view may be acted on, and if not, since when.
+// standing is the view in force, with whether its lease is valid and if not, since when.
 type standing struct {
 	catalog  *catalog
 	valid    bool
-	lapsedAt time.Duration // when not valid
+	lapsedAt time.Duration // when the lease expired; unused if valid
 	now      time.Duration
 }
 
-// confirmed reports whether work may go to an endpoint with this word: always
-// while the view's lease holds; after that only if it has spoken since.
+// confirmed reports whether requests may be sent to an endpoint that last reported this state:
+// always while the view's lease is valid, afterwards only if it has reported since the expiry.
 func (s *standing) confirmed(word ownWord) bool {
 	return s.valid || (word.heard && word.heardAt > s.lapsedAt)
 }
 
-// snapshot describes the lane's engines for the router.
+// snapshot returns the lane's engines as routing candidates, sorted by name.
 func (l *lane) snapshot(s *standing) router.Snapshot {
 	endpoints := *l.endpoints.Load()
 	snapshot := router.Snapshot{Endpoints: make([]*router.Endpoint, 0, len(endpoints))}
@@ -218,9 +220,9 @@
 	return candidate
 }
 
-// admits reports whether the engine takes new work by every source: the view,
-// its own word, and a word since the lease lapsed. An incarnation that differs
-// from the committed one means that the view speaks of an earlier life.
+// admits reports whether the engine takes new work by all sources: the view, the engine's own
+// reports and, once the view's lease has expired, a report since then. If the engine reports
+// another incarnation than the view, the view describes an earlier one and does not apply.
 func (e *endpoint) admits(s *standing, engine *api.Engine) bool {
 	if engine.Spec.Drain || engine.Status.OpenOrder != nil || engine.Status.Phase != api.PhaseServing {
 		return false
--- a/process/proxy/lanes.go
+++ b/process/proxy/lanes.go
@@ -21,8 +21,8 @@
 	})
 }
 
-// lanes holds the lane of each service. Readers take the map whole; the lock
-// is held only while a new view is taken in.
+// lanes maps service names to lanes. Readers load the immutable map atomically; the lock is held
+// only while a new view is applied.
 type lanes struct {
 	current atomic.Pointer[map[string]*lane]
 	catalog atomic.Pointer[catalog]
@@ -38,8 +38,8 @@
 
 func (l *lanes) find(service string) *lane { return (*l.current.Load())[service] }
 
-// update takes in the view if it is another than the last one, and returns
-// what it means.
+// update applies the view unless it is the last applied one or older, and returns the catalog in
+// force.
 func (l *lanes) update(p *Proxy, current *view.View) *catalog {
 	known := l.catalog.Load()
 	if known.view == current {
--- a/process/proxy/lapse_test.go
+++ b/process/proxy/lapse_test.go
@@ -15,7 +15,7 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
-// lockedBuffer takes lines of several goroutines.
+// lockedBuffer is a buffer that is safe for concurrent use.
 type lockedBuffer struct {
 	lock sync.Mutex
 	text strings.Builder
@@ -33,21 +33,21 @@
 	return b.text.String()
 }
 
-// TestLapseIsToldOnce: a lapse and its end are one event each, however often the
-// view is asked for, and the gauge follows. A proxy without a view has lost none.
+// The expiry of the view lease and its renewal are logged once each, however often the view is
+// loaded, and the gauge reflects the state. A proxy that has received no view logs no expiry.
 func TestLapseIsToldOnce(t *testing.T) {
 	views := &fixedViews{}
 	views.view.Store(view.New())
 	views.invalid.Store(true)
 	config := quick()
-	config.Intervals.View = time.Hour // the test asks
+	config.Intervals.View = time.Hour // only the test loads the view
 	written := &lockedBuffer{}
 	proxy := New(config, views, newFakeControl(), func() time.Duration { return time.Second }, log.NewLogfmtLogger(written))
 	defer proxy.Close()
 	told := func(defined event.Event) int {
 		return strings.Count(written.String(), fmt.Sprintf("event=%d ", defined.Number))
 	}
-	// The proxy's own first look at the view may still be under way.
+	// The proxy's own first check of the view may still be running.
 	eventuallyTold := func(defined event.Event, times int) {
 		eventually(t, func() bool { return told(defined) == times })
 	}
--- a/process/proxy/metrics.go
+++ b/process/proxy/metrics.go
@@ -11,8 +11,8 @@
 
 const metricsNamespace = "landingtrail_proxy"
 
-// metrics are the proxy's own; a registry for each proxy keeps several in one
-// process apart.
+// metrics are the metrics of one proxy. Each proxy has its own registry, so that several can run in
+// one process.
 type metrics struct {
 	registry      *prometheus.Registry
 	requests      *prometheus.CounterVec
@@ -57,7 +57,7 @@
 	return prometheus.NewCounter(prometheus.CounterOpts{Namespace: metricsNamespace, Name: name, Help: help})
 }
 
-// watch adds the gauges of a proxy's view.
+// registerViewGauges adds the gauges of the proxy's view.
 func (m *metrics) watch(p *Proxy) {
 	m.registry.MustRegister(
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{
@@ -82,7 +82,7 @@
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-// ended counts a request that was let in.
+// ended records the end of a request that passed validation.
 func (m *metrics) ended(service, class string, failed *failure, took time.Duration) {
 	status, ran := http.StatusOK, "yes"
 	if failed != nil {
--- a/process/proxy/overload_test.go
+++ b/process/proxy/overload_test.go
@@ -14,8 +14,8 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// TestRefusals sends what cannot be served: each gets its documented answer at
-// once and no engine is asked. docs/CALLERS.md has the same table.
+// Each request that cannot be served gets its documented response at once, and no engine receives
+// it. docs/CALLERS.md has the same table.
 func TestRefusals(t *testing.T) {
 	const completions = engineapi.PathCompletions
 	long := strings.Repeat("x", maxHeaderValue+1)
@@ -28,7 +28,7 @@
 		retry                    bool
 	}{
 		{"empty body", "POST", completions, "", nil, 400, codeBadRequest, false},
-		{"no JSON", "POST", completions, "{", nil, 400, codeBadRequest, false},
+		{"invalid JSON", "POST", completions, "{", nil, 400, codeBadRequest, false},
 		{"no model", "POST", completions, model(""), nil, 400, codeBadRequest, false},
 		{"no prompt", "POST", completions, `{"model":"llm"}`, nil, 400, codeBadRequest, false},
 		{"no messages", "POST", engineapi.PathChatCompletions, model("llm"), nil, 400, codeBadRequest, false},
@@ -36,17 +36,17 @@
 		{"unknown model", "POST", completions, model("other"), nil, 404, codeUnknownModel, false},
 		{"unknown adapter", "POST", completions, model("llm:other"), nil, 404, codeUnknownModel, false},
 		{"unknown class", "POST", completions, wholeBody, []string{HeaderClass, "x"}, 400, codeUnknownClass, false},
-		{"class of a back end", "POST", completions, wholeBody, []string{HeaderClass, "frame"}, 400, codeUnknownClass, false},
+		{"class of a backend service", "POST", completions, wholeBody, []string{HeaderClass, "frame"}, 400, codeUnknownClass, false},
 		{"class that no intent serves", "POST", completions, wholeBody, []string{HeaderClass, "unserved"}, 403, codeClassRefused, false},
 		{"long tenant", "POST", completions, wholeBody, []string{HeaderTenant, long}, 400, codeBadRequest, false},
-		{"deadline is no number", "POST", completions, wholeBody, []string{HeaderDeadline, "soon"}, 400, codeBadRequest, false},
+		{"deadline is not a number", "POST", completions, wholeBody, []string{HeaderDeadline, "soon"}, 400, codeBadRequest, false},
 		{"negative deadline", "POST", completions, wholeBody, []string{HeaderDeadline, "-1"}, 400, codeBadRequest, false},
 		{"no time left", "POST", completions, wholeBody, []string{HeaderDeadline, "0"}, 504, codeDeadlineShort, false},
 		{"deadline that no engine can meet", "POST", completions, wholeBody, []string{HeaderDeadline, "9"}, 504, codeDeadlineShort, true},
-		{"body past the cap", "POST", completions, strings.Repeat(" ", 3000), nil, 413, codeBodyTooLarge, false},
-		{"frame past the cap", "PUT", "/services/tiles/a", strings.Repeat(" ", 3000), nil, 413, codeBodyTooLarge, false},
+		{"body over the limit", "POST", completions, strings.Repeat(" ", 3000), nil, 413, codeBodyTooLarge, false},
+		{"backend body over the limit", "PUT", "/services/tiles/a", strings.Repeat(" ", 3000), nil, 413, codeBodyTooLarge, false},
 		{"unknown service", "GET", "/services/none/a", "", nil, 404, codeUnknownService, false},
-		{"model service as a back end", "GET", "/services/narrator/a", "", nil, 404, codeUnknownService, false},
+		{"model service addressed as a backend", "GET", "/services/narrator/a", "", nil, 404, codeUnknownService, false},
 		{"class of another service", "GET", "/services/tiles/a", "", []string{HeaderClass, "cap"}, 400, codeUnknownClass, false},
 		{"no path", "GET", "/nowhere", "", nil, 404, codeNotFound, false},
 		{"wrong method", "GET", completions, "", nil, 405, codeMethod, false},
@@ -68,8 +68,8 @@
 	eventually(t, func() bool { return f.proxy.modelBodies.held.Load()+f.proxy.backendBodies.held.Load() == 0 })
 }
 
-// overloaded is a proxy whose only place is taken by a stream that runs until
-// free is called; class "cap" may have one request waiting.
+// startOverloaded starts a fleet whose only request slot is taken by a stream that runs until release
+// is called. Class "cap" may have one queued request.
 func overloaded(t *testing.T, change func(*Config)) (f *fleet, free func()) {
 	t.Helper()
 	hold := make(chan struct{})
@@ -113,7 +113,7 @@
 	must.Eq(t, codeQueueFull, full.code())
 	must.Eq(t, "no", full.ran())
 	must.NotEq(t, "", full.header.Get("Retry-After"))
-	must.Eq(t, http.StatusOK, f.do(http.MethodGet, "/services/tiles/frame", "").status) // its own lane
+	must.Eq(t, http.StatusOK, f.do(http.MethodGet, "/services/tiles/frame", "").status) // not affected by the model service's queue
 
 	expired := <-waiting
 	must.Eq(t, http.StatusGatewayTimeout, expired.status)
@@ -138,7 +138,7 @@
 	must.Eq(t, http.StatusOK, f.stream(HeaderClass, "cap").status)
 }
 
-// TestCallerHangsUpInTheQueue leaves the queue, and no engine hears of it.
+// A request whose caller disconnects while it is queued leaves the queue and reaches no engine.
 func TestCallerHangsUpInTheQueue(t *testing.T) {
 	f, free := overloaded(t, func(*Config) {})
 	defer free()
@@ -154,8 +154,9 @@
 	must.Eq(t, 1, f.engines[0].runs.Load())
 }
 
-// TestCallerWhoSendsNoBody holds a part of the memory for bodies until its time
-// is over; what does not fit besides is refused, except on the other type's.
+// A caller that announces a body and does not send it holds its share of the body memory until the
+// read timeout. Until then requests that do not fit are refused, except those of the other type of
+// service, which has its own limit.
 func TestCallerWhoSendsNoBody(t *testing.T) {
 	backend := newFakeBackend(t)
 	config := quick()
@@ -177,7 +178,8 @@
 	eventually(t, func() bool { return f.proxy.modelBodies.held.Load() == 0 })
 }
 
-// TestAnswerPastItsBound is not held: its caller is told to ask for a stream.
+// A response that exceeds the buffer limit is not retried: it fails with an error that advises the
+// caller to use streaming.
 func TestAnswerPastItsBound(t *testing.T) {
 	engine := newFakeEngine(t, "e1", 11)
 	engine.script = func(e *fakeEngine, w http.ResponseWriter, r *http.Request, _ int) { e.answer(w, r, 0, 1000) }
--- a/process/proxy/pollbudget.go
+++ b/process/proxy/pollbudget.go
@@ -8,25 +8,23 @@
 	"golang.org/x/time/rate"
 )
 
-// cacheShare is the share of a model lane's bytes that its cache events get.
-// Apart from the load reports, a large page delays no report.
+// cacheEventShare is the share of a lane's poll traffic that is reserved for cache events. The
+// budgets are separate so that a large page of cache events does not delay load reports.
 const cacheShare = 1.0 / 3
 
-// typicalPollBytes is set aside before a poll; what it really took is charged
-// after it.
+// typicalPollBytes is reserved before each poll. The size beyond it is charged afterwards.
 const typicalPollBytes = 400
 
-// pollBurst is how long a budget's bytes may be saved up, and how much of a
-// large answer is charged: no single page silences a lane for longer.
+// pollBurstWindow is the time over which an unused budget accumulates. It also caps the charge for
+// a large response, so that no single page suspends a lane's polls for longer.
 const pollBurst = 4 * time.Second
 
-// pollBudget bounds the bytes of one kind of poll of one lane. Pollers wait in
-// the order in which they ask, so that with more endpoints each is asked less
-// often. It must be resized before its first use.
+// pollBudget limits the traffic of one kind of poll in one lane. Pollers wait in first-come order,
+// so with more endpoints each is polled less often. Call resize before the first use.
 type pollBudget struct{ limiter *rate.Limiter }
 
-// resize sets the bytes a second. The first time it also fills the budget, so
-// that a proxy knows its endpoints soon after its start.
+// resize sets the bytes per second. The first call also fills the budget, so that a proxy learns
+// the state of its endpoints soon after its start.
 func (b *pollBudget) resize(bytesPerSecond float64) {
 	limit := rate.Limit(bytesPerSecond)
 	burst := max(2*typicalPollBytes, int(bytesPerSecond*pollBurst.Seconds()))
@@ -38,20 +36,20 @@
 	b.limiter.SetBurst(burst)
 }
 
-// wait sets the bytes of one poll aside; false when ctx ended first.
+// wait reserves the bytes of one poll. It returns false if ctx ends first.
 func (b *pollBudget) wait(ctx context.Context) bool {
 	return b.limiter.WaitN(ctx, typicalPollBytes) == nil
 }
 
-// charge takes what a poll cost beyond what was set aside.
+// charge deducts the bytes that a poll used beyond its reservation.
 func (b *pollBudget) charge(spent int) {
 	if extra := min(spent-typicalPollBytes, b.limiter.Burst()); extra > 0 {
 		b.limiter.ReserveN(time.Now(), extra)
 	}
 }
 
-// sharePolls gives each lane the same share of the proxy's bytes for polls, so
-// that many engines do not slow down the reports of tile and portal back ends.
+// sharePollBudget divides the proxy's poll traffic equally among the lanes, so that a service with
+// many engines does not slow down the polls of plain backends.
 func (p *Proxy) sharePolls(lanes map[string]*lane) {
 	share := p.config.Limits.PollBytes / float64(max(1, len(lanes)))
 	for _, one := range lanes {
@@ -60,15 +58,15 @@
 	}
 }
 
-// Bytes of an HTTP message besides what is counted: the lines, and the headers
-// that net/http adds.
+// Bytes of an HTTP message that wireBytes does not count one by one: the fixed parts of the request
+// and status lines, and separators and headers that net/http adds.
 const (
 	requestOverheadBytes = 25
 	answerOverheadBytes  = 19
 	headerOverheadBytes  = 4
 )
 
-// wireBytes estimates the bytes of a poll on its connection.
+// wireBytes estimates the bytes that a poll sends and receives on its connection.
 func wireBytes(request *http.Request, header http.Header, body int) int {
 	total := requestOverheadBytes + len(request.URL.RequestURI()) + len(request.URL.Host) + answerOverheadBytes + body
 	return total + headerBytes(request.Header) + headerBytes(header)
@@ -78,7 +76,7 @@
 	total := 0
 	for name, values := range header {
 		for _, value := range values {
-			if value != "" { // net/http leaves an empty User-Agent out
+			if value != "" { // net/http omits an empty User-Agent
 				total += len(name) + len(value) + headerOverheadBytes
 			}
 		}
--- a/process/proxy/poller.go
+++ b/process/proxy/poller.go
@@ -18,19 +18,19 @@
 
 // Errors of polls.
 var (
-	errPoll     = errors.New("poll failed") // the answer is of no use
-	errNoAnswer = errors.New("no answer to the poll")
+	errPoll     = errors.New("poll returned no usable response")
+	errNoAnswer = errors.New("endpoint did not respond to the poll")
 )
 
-// maxReportBytes bounds a load report or a page of cache events.
+// maxReportBytes limits the size of a load report or a page of cache events.
 const maxReportBytes = 4 << 20
 
-// pollFailures is how many polls in a row must fail before the endpoint is suspect.
+// pollFailures is how many consecutive polls must fail before the endpoint becomes suspect.
 const pollFailures = 3
 
-// poller asks one endpoint for its load and cache events. It goes by net/http
-// and not by httpc: the breaker in httpc would stop the polls of an endpoint
-// that fails, and with them the news that it is back.
+// poller polls one endpoint for its load report and cache events. It uses net/http instead of
+// go-zero's httpc, whose circuit breaker would stop polling a failing endpoint and so delay
+// noticing its recovery.
 type poller struct {
 	proxy    *Proxy
 	lane     *lane
@@ -47,7 +47,7 @@
 
 func (p *poller) run(ctx context.Context) {
 	intervals := p.proxy.config.Intervals
-	var asked time.Time // the last page of cache events
+	var asked time.Time // when cache events were last polled
 	failures := 0
 	for p.mayPoll(ctx, failures) {
 		failures = p.judge(ctx, failures, p.pollLoad(ctx))
@@ -61,19 +61,20 @@
 	}
 }
 
-// mayPoll waits for the budget. An endpoint that has just failed to answer, or
-// takes no new work by its own word, is asked again without waiting: that it is
-// silent or serves again is known as soon as with few endpoints.
+// waitForBudget waits until the budget allows the next poll. It does not wait for an endpoint that
+// has just failed a poll or reports that it takes no new work, so that its failure or return is
+// noticed promptly however many endpoints share the budget. It returns false if ctx has ended.
 func (p *poller) mayPoll(ctx context.Context, failures int) bool {
 	justFailed := failures > 0 && failures < pollFailures
 	if justFailed || closedPhase(p.endpoint.word().phase) {
-		p.lane.loadBudget.limiter.AllowN(time.Now(), typicalPollBytes) // the others have what is left
+		p.lane.loadBudget.limiter.AllowN(time.Now(), typicalPollBytes) // charge the poll if the budget allows; go ahead either way
 		return ctx.Err() == nil
 	}
 	return p.lane.loadBudget.wait(ctx)
 }
 
-// judge returns how many polls in a row have failed after one more.
+// recordResult takes the number of consecutive failed polls and the error of the next poll, and
+// returns the new number. The endpoint becomes suspect when the number reaches pollFailures.
 func (p *poller) judge(ctx context.Context, failures int, err error) int {
 	if err == nil {
 		return 0
@@ -91,7 +92,8 @@
 	return failures
 }
 
-// jitter spreads polls over time, so that daemons do not ask in step.
+// jitter returns the interval with a random deviation of up to 10%, so that proxies do not poll in
+// lockstep.
 func jitter(interval time.Duration) time.Duration {
 	return interval*9/10 + time.Duration(rand.Int64N(int64(interval/5)+1))
 }
@@ -102,7 +104,7 @@
 	header, err := p.get(ctx, p.lane.loadBudget, engineapi.PathLoad, &load)
 	now := p.proxy.clock()
 	if p.endpoint.speaksForAnother(load) {
-		return errors.Wrapf(errNoAnswer, "engine %s answers", load.Engine)
+		return errors.Wrapf(errNoAnswer, "the address belongs to engine %s", load.Engine)
 	}
 	if header != nil {
 		p.endpoint.hearHeader(asked, now, header)
@@ -122,7 +124,7 @@
 	var page engineapi.CacheEvents
 	path := engineapi.PathCacheEvents + "?after=" + strconv.FormatUint(after, 10)
 	if _, err := p.get(ctx, p.lane.cacheBudget, path, &page); err != nil {
-		return // cache events are hints; the next page will do
+		return // cache events are hints; the next poll catches up
 	}
 	p.endpoint.lock.Lock()
 	defer p.endpoint.lock.Unlock()
@@ -133,8 +135,8 @@
 	p.endpoint.cache.apply(page, after)
 }
 
-// get reads one JSON answer. The header is not nil when the endpoint has
-// answered at all.
+// get polls the path and decodes the JSON response into the value. The header is non-nil if the
+// endpoint responded, even with an error.
 func (p *poller) get(ctx context.Context, budget *pollBudget, path string, into any) (http.Header, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.proxy.config.Timeouts.Head)
 	defer cancel()
@@ -142,7 +144,7 @@
 	if err != nil {
 		return nil, errors.Wrap(errPoll, err.Error())
 	}
-	request.Header.Set("User-Agent", "") // bytes that no endpoint needs
+	request.Header.Set("User-Agent", "") // omitted to save bytes on every poll
 	response, err := p.lane.polls.Do(request, newPollIdentity())
 	if errors.Is(err, upstream.ErrForeign) {
 		return nil, errors.Wrap(errPoll, err.Error())
@@ -165,12 +167,12 @@
 	return response.Header, nil
 }
 
-// pollIDBits make a poll's ID differ from those of all polls whose answers can
-// be under way, and keep it to eight digits: each poll carries it twice.
+// pollIDBits is the size of a poll's random ID: large enough to tell apart all polls in flight, and
+// small enough for eight base-36 digits, since each poll carries the ID twice.
 const pollIDBits = 40
 
-// newPollIdentity names one poll. An identity costs fewer bytes and less time
-// than a connection for each poll.
+// newPollIdentity returns a random identity by which the response to a poll is matched to its
+// request. That costs less traffic and time than a new connection for each poll.
 func newPollIdentity() upstream.Identity {
 	return upstream.Identity{RequestID: strconv.FormatUint(rand.Uint64N(1<<pollIDBits), 36)}
 }
--- a/process/proxy/poller_test.go
+++ b/process/proxy/poller_test.go
@@ -23,8 +23,7 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
-// TestPollsStayWithinTheirBytes lets 192 pollers share a budget in virtual
-// time: the bytes are bounded, and each poller gets its share of them.
+// 192 pollers that share a budget, in virtual time, stay within it and each get an equal share.
 func TestPollsStayWithinTheirBytes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const pollers, perSecond, pollBytes, window = 192, 7000, 1000, 10 * time.Minute
@@ -55,7 +54,7 @@
 	})
 }
 
-// countingListener counts the bytes of all its connections.
+// countingListener counts the bytes sent and received on its connections.
 type countingListener struct {
 	net.Listener
 	bytes atomic.Int64
@@ -83,8 +82,8 @@
 	return count, err
 }
 
-// largeFleet is a view of count stand-in engines that share one address, at which
-// nobody is named: a report that names another engine counts for nothing.
+// largeFleet returns a view of count fake engines that share one address. The load reports name no
+// engine, because the proxy ignores a report that names another engine.
 func largeFleet(tb testing.TB, count int) (*view.View, *countingListener) {
 	tb.Helper()
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -123,8 +122,7 @@
 	return made, views
 }
 
-// TestSilenceIsFoundWithoutBytes follows an engine that is gone with a budget
-// for two polls.
+// An engine that is down becomes suspect even if the budget allows only two polls.
 func TestSilenceIsFoundWithoutBytes(t *testing.T) {
 	gone := newFakeEngine(t, "e1", 11)
 	gone.server.Close()
@@ -134,23 +132,22 @@
 	eventually(t, func() bool { return f.endpoint("narrator", "e1").suspected(f.proxy.clock()) })
 }
 
-// TestLateReportDoesNotReopen: a report that may be older than the word that
-// the engine leaves does not count, a newer one does.
+// A load report that may be older than the last report of a draining engine must not mark the engine
+// as serving again; a newer one does.
 func TestLateReportDoesNotReopen(t *testing.T) {
 	one := newEndpoint("e1", "", "", true)
 	serving := engineapi.Load{Phase: api.PhaseServing, AgeMilliseconds: 300}
 	one.report(0, time.Second, serving)
 	one.hear(spokenWord{said: time.Second, now: 2 * time.Second, phase: api.PhaseDraining})
-	one.report(1900*time.Millisecond, 2100*time.Millisecond, serving) // asked before
+	one.report(1900*time.Millisecond, 2100*time.Millisecond, serving) // requested before the engine drained
 	must.Eq(t, api.PhaseDraining, one.word().phase)
-	one.report(2200*time.Millisecond, 2300*time.Millisecond, serving) // measured before
+	one.report(2200*time.Millisecond, 2300*time.Millisecond, serving) // measured before the engine drained
 	must.Eq(t, api.PhaseDraining, one.word().phase)
 	one.report(2300*time.Millisecond, 2400*time.Millisecond, serving)
 	must.Eq(t, api.PhaseServing, one.word().phase)
 }
 
-// TestReturningEngineIsFoundWithoutBytes drains an engine and lets it serve
-// again with a budget for two polls.
+// A drained engine that serves again is noticed even if the budget allows only two polls.
 func TestReturningEngineIsFoundWithoutBytes(t *testing.T) {
 	engine := newFakeEngine(t, "e1", 11)
 	engine.setPhase(api.PhaseDraining)
@@ -159,13 +156,12 @@
 	f := start(t, config, []*fakeEngine{engine})
 	phase := func() api.EnginePhase { return f.endpoint("narrator", "e1").word().phase }
 	eventually(t, func() bool { return phase() == api.PhaseDraining })
-	time.Sleep(5 * config.Intervals.Load) // the budget is used up
+	time.Sleep(5 * config.Intervals.Load) // exhaust the budget
 	engine.setPhase(api.PhaseServing)
 	eventually(t, func() bool { return phase() == api.PhaseServing })
 }
 
-// TestWireBytesAreThoseOfTheConnection compares what is charged with what one
-// kept connection has carried.
+// The bytes charged for a poll match the bytes measured on a keep-alive connection.
 func TestWireBytesAreThoseOfTheConnection(t *testing.T) {
 	current, counting := largeFleet(t, 1)
 	config := quick()
@@ -201,8 +197,8 @@
 	return followed
 }
 
-// TestSubsetMovesOn follows six of sixty engines, four of the own zone, and
-// routes over these alone. When one leaves the fleet, one other takes its place.
+// A proxy uses six of sixty engines, four of them in its own zone, and routes only to these. When one
+// of them leaves the fleet, exactly one other replaces it.
 func TestSubsetMovesOn(t *testing.T) {
 	current, _ := largeFleet(t, 60)
 	config := quick()
@@ -251,8 +247,8 @@
 	must.MapLen(t, 9, names(made.lanes.find("narrator")))
 }
 
-// BenchmarkPolling measures polling of 2,000 replicas, whole and as a proxy
-// does it by default. The processor time includes the stand-ins' answers.
+// BenchmarkPolling measures the cost of polling 2,000 replicas: all of them, a subset, and a subset
+// with the default budget. The processor time includes that of the fake engines.
 func BenchmarkPolling(b *testing.B) {
 	const replicas, settle = 2000, 5 * time.Second
 	cases := map[string]func(*Config){
@@ -287,7 +283,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// BenchmarkView measures taking in a view that changes one of 10,000 engines.
+// BenchmarkView measures applying a new view of 10,000 engines.
 func BenchmarkView(b *testing.B) {
 	current, _ := largeFleet(b, 10_000)
 	config := Config{ID: "proxy-1", Zone: "zone-0"}
--- a/process/proxy/proxy.go
+++ b/process/proxy/proxy.go
@@ -1,5 +1,6 @@
-// Package proxy is the daemon beside the callers: it takes their requests,
-// decides by the view where each goes, and sees it through to one final answer.
+// Package proxy implements the sidecar proxy that runs next to the callers. It accepts their
+// requests, routes each by the replicated view to an engine or backend, and handles retries and
+// stream resumption until the caller has one final response.
 package proxy
 
 import (
@@ -23,16 +24,16 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
-// Views is the version of the replicated state that the proxy acts on.
+// Views provides the view: the version of the replicated state that the proxy acts on.
 type Views interface {
 	// Load returns the view in force.
 	Load() *view.View
-	// Valid reports whether the view lease covers now, read from the clock
-	// that the views were given.
+	// Valid reports whether the view lease is valid at now, a reading of the clock that the
+	// Views was created with.
 	Valid(now time.Duration) bool
 }
 
-// Control is the control group as the proxy uses it.
+// Control is the proxy's client of the control group.
 type Control interface {
 	Claim(ctx context.Context, request state.ClaimRequest) (api.ClaimResult, error)
 	RecordOutcome(ctx context.Context, outcome state.RunOutcome) error
@@ -56,30 +57,31 @@
 	running *inFlight
 	demand  *demandWindow
 	metrics *metrics
-	// owed has the records that are not confirmed yet, *state.RunOutcome by
-	// claimKey, of requests that were surely not run.
+	// owed maps claimKey to *state.RunOutcome. It holds the outcomes of requests that certainly
+	// did not run, until the control group confirms that they are recorded.
 	owed sync.Map
-	// modelBodies and backendBodies bound the memory of request bodies.
+	// modelBodies and backendBodies limit the memory used by request bodies.
 	modelBodies   bodyBudget
 	backendBodies bodyBudget
 
-	// lapsed is when the view lease was first seen lapsed; 0 while it holds.
+	// lapsedAt is when the proxy noticed that the view lease had expired; 0 while it is valid.
 	lapsed atomic.Int64
-	// stopping is set once answers must ask callers to close connections.
+	// stopping is set once responses must ask callers to close their connections.
 	stopping atomic.Bool
-	// cutAt is when a planned stop ends what is still in flight, 0 where nothing is cut.
+	// cutAt is when a graceful stop aborts the requests that are still in flight; 0 if it never
+	// does.
 	cutAt atomic.Int64
 
-	instance uint64 // drawn anew at each start
+	instance uint64 // random for each start, so that request IDs do not repeat after a restart
 	sequence atomic.Uint64
-	// background bounds the tasks that no request waits for.
+	// background is the context of tasks that outlive requests.
 	background context.Context
 	stop       context.CancelFunc
 	tasks      sync.WaitGroup
 }
 
-// New returns a proxy over the views and the control group. clock must be the
-// one that the views' lease counts by. Close ends it.
+// New returns a proxy and starts its background tasks. clock must be the clock by which the view
+// lease expires. Call Close to stop the proxy.
 func New(config Config, views Views, control Control, clock func() time.Duration, logger log.Logger) *Proxy {
 	config = config.withDefaults()
 	made := &Proxy{
@@ -108,7 +110,7 @@
 	return made
 }
 
-// Close ends the background work and waits for it. Requests must have ended.
+// Close stops the background tasks and waits for them. All requests must have ended before.
 func (p *Proxy) Close() {
 	p.stop()
 	p.lanes.close()
@@ -116,7 +118,7 @@
 	p.lanes.close()
 }
 
-// followViews takes in each new view even when no request comes.
+// watchViews applies new views periodically, so that they take effect without requests too.
 func (p *Proxy) followViews() {
 	for {
 		p.standing()
@@ -126,8 +128,8 @@
 	}
 }
 
-// standing returns the view's meaning and whether it may be acted on now. It
-// must be asked again after any wait.
+// standing applies the latest view and returns it with the validity of its lease. Callers must not
+// keep the result across a wait.
 func (p *Proxy) standing() standing {
 	known := p.lanes.update(p, p.views.Load())
 	now := p.clock()
@@ -139,23 +141,23 @@
 	return standing{catalog: known, lapsedAt: time.Duration(p.lapsed.Load()), now: now}
 }
 
-// noteConfirmed ends a lapse.
+// noteConfirmed logs that the lease is valid again and resets lapsedAt.
 func (p *Proxy) noteConfirmed(current *view.View) {
 	if p.lapsed.Load() != 0 && p.lapsed.Swap(0) != 0 {
 		event.ProxyViewConfirmed.Log(p.logger, "revision", current.Version.Revision)
 	}
 }
 
-// noteLapsed keeps when the lapse was first seen. A proxy that has had no view
-// yet has lost none.
+// noteLapsed sets lapsedAt when the lease expires. It logs the expiry unless the proxy has not
+// received a view yet.
 func (p *Proxy) noteLapsed(current *view.View, now time.Duration) {
 	if p.lapsed.CompareAndSwap(0, int64(max(now, 1))) && !current.Version.IsZero() {
 		event.ProxyViewLapsed.Log(p.logger, "revision", current.Version.Revision)
 	}
 }
 
-// refuseLost returns the refusal of a request whose service may not be served
-// without the control group, or nil.
+// refuseLost returns the failure of a request whose type of service must not be served while the
+// control group is lost, or nil if it may be served.
 func (p *Proxy) refuseLost(s *standing, kind api.ServiceType) *failure {
 	if s.catalog.view.Version.IsZero() {
 		return unavailable(codeControlLost, "no view of the fleet yet", time.Second)
@@ -170,7 +172,7 @@
 	return unavailable(codeControlLost, "the view of the fleet has not been confirmed for its lease", time.Second)
 }
 
-// newID names a request so that no other request of any proxy has the name.
+// newID returns a request ID that is unique among the requests of all proxies.
 func (p *Proxy) newID() string {
 	buffer := make([]byte, 0, len(p.config.ID)+32)
 	buffer = append(buffer, p.config.ID...)
@@ -181,10 +183,10 @@
 	return string(buffer)
 }
 
-// newRandom returns a generator for one request.
+// newRandom returns a random number generator for one request.
 func newRandom() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
-// noteForeign tells of an answer that was not its request's.
+// noteForeign counts and logs a response that does not belong to the request it arrived for.
 func (p *Proxy) noteForeign(address string, cause error) {
 	p.metrics.foreign.Inc()
 	event.ProxyForeignAnswer.Log(p.logger, "address", address, "err", cause)
--- a/process/proxy/quarantine.go
+++ b/process/proxy/quarantine.go
@@ -16,7 +16,7 @@
 	"github.com/landingtrail/landingtrail/request/quarantine"
 )
 
-// running is where a model request is at work now, or was last.
+// running describes the last dispatch of a model request to an engine.
 type running struct {
 	target      *endpoint
 	incarnation uint64
@@ -24,12 +24,14 @@
 	events      int
 }
 
-// instance names an engine's incarnation: the engine comes back under its own name.
+// replicaName returns a name for the engine's incarnation, since a restarted engine keeps its own
+// name.
 func instance(engine string, incarnation uint64) string {
 	return engine + "/" + strconv.FormatUint(incarnation, 16)
 }
 
-// fingerprint names the request by what it is; its ID is new each time it comes.
+// fingerprint returns a hash of the request's content, which identifies it across resends; its ID
+// is new for each.
 func (c *call) fingerprint() quarantine.Fingerprint {
 	if c.named == nil {
 		named := quarantine.Of(quarantine.Identity{
@@ -40,9 +42,9 @@
 	return *c.named
 }
 
-// noteBroken notes that an engine's connection broke while it was at work on the request,
-// as it does when the engine ends. An engine that never said which incarnation it is cannot
-// be told from the one that comes after it, and is left out.
+// noteBroken reports to the guard that the engine's connection broke while it processed the request,
+// as it does when the engine crashes. An engine that never reported its incarnation is ignored,
+// since it cannot be distinguished from its successor.
 func (c *call) noteBroken(ctx context.Context, err error) {
 	at := &c.running
 	if ctx.Err() != nil || at.target == nil || !isBroken(err) {
@@ -66,8 +68,8 @@
 	})
 }
 
-// isBroken reports whether a connection was closed or reset by the other side. What the
-// engine says itself, and silence, are other faults.
+// isConnectionBroken reports whether the error means that the peer closed or reset the connection.
+// Errors that the engine reports itself and timeouts do not count.
 func isBroken(err error) bool {
 	if errors.Is(err, upstream.ErrForeign) || errors.Is(err, upstream.ErrMalformed) || errors.Is(err, upstream.ErrEngine) {
 		return false
@@ -80,8 +82,8 @@
 	return false
 }
 
-// noteLife tells of an engine that seemed to have ended and has answered what was asked
-// after that.
+// noteLife tells the guard that an engine which appeared to have ended has answered a request that
+// was sent to it afterwards.
 func (p *Proxy) noteLife(heard *endpoint, asked time.Duration) {
 	if incarnation, refuted := heard.refutesEnd(asked); refuted {
 		p.guard.Lives(p.clock(), quarantine.Alive{Replica: instance(heard.name, incarnation), For: quarantine.Ever})
@@ -91,8 +93,9 @@
 	}
 }
 
-// held reports whether the request is to go to no engine, and for how long. What has ended
-// enough of them by itself, or one of as many, does not wait for the group's word.
+// held reports whether the request must not be sent to any engine, and for how long. The request is
+// held without waiting for the control group's decision if it has ended enough engines itself, or
+// has ended one and the guard knows of enough for the same fingerprint.
 func (c *call) held() (rest time.Duration, held bool) {
 	if c.ended >= quarantine.CondemningEnds || c.ended > 0 && c.proxy.guard.EndsMany(c.proxy.clock(), c.fingerprint()) {
 		return guard.LeastHold, true
@@ -103,7 +106,8 @@
 	return c.proxy.guard.Holds(c.proxy.clock(), time.Now(), c.fingerprint(), nil)
 }
 
-// refuseHeld returns the refusal of a request under which engines end, nil for any other.
+// refuseHeld returns the failure of a request that is held because engines ended while processing
+// it, or nil if it is not held.
 func (c *call) refuseHeld() *failure {
 	rest, held := c.held()
 	if !held {
@@ -117,23 +121,25 @@
 	return failed
 }
 
-// noteServed clears a request that was answered whole, if anything speaks against it.
+// noteServed tells the guard that the request was answered completely, which clears it of suspicion.
 func (c *call) noteServed() {
-	// Named is also one that met its first end itself: no one else knows of it yet.
+	// c.named is also set if an engine ended under this call, which nobody else may know of yet.
 	if c.named != nil || c.proxy.guard.Active() {
 		c.proxy.guard.Served(c.proxy.clock(), c.fingerprint())
 	}
 }
 
-// noteEnd notes that the engine's incarnation seems to have ended.
+// noteSuspectedEnd records that the engine's incarnation appears to have ended.
 func (e *endpoint) noteEnd(now time.Duration, incarnation uint64) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	e.endedAt, e.endedIncarnation = max(now, 1), incarnation
 }
 
-// refutesEnd reports whether an answer to what was asked then is by the incarnation that
-// seemed to have ended; once for each time. One that came after it ends the question.
+// resolveSuspectedEnd checks a suspected end against a response to a request sent at asked. It
+// reports whether the response refutes the end because it comes from the same incarnation. A response
+// to a request sent after the end resolves the suspicion either way, so each end is refuted at most
+// once.
 func (e *endpoint) refutesEnd(asked time.Duration) (incarnation uint64, refuted bool) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
--- a/process/proxy/quarantine_test.go
+++ b/process/proxy/quarantine_test.go
@@ -14,7 +14,8 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// fatalEngines are engines that end under one body and come back as another incarnation.
+// crashingEngines is a script for engines that break the connection, as if they crashed, when a
+// request body contains "fatal".
 type fatalEngines struct {
 	lock sync.Mutex
 	ends int
@@ -32,13 +33,13 @@
 	panic(http.ErrAbortHandler)
 }
 
-// askFor streams the answer to a prompt.
+// streamPrompt sends a streaming request with the prompt.
 func (f *fleet) askFor(prompt string) *reply {
 	return f.do(http.MethodPost, "/v1/completions", `{"model":"llm","stream":true,"max_tokens":3,"prompt":"`+prompt+`"}`, HeaderClass, "cap")
 }
 
-// awaitHeard waits until each engine has answered its first poll: one that answers after its
-// seeming end has not ended, and these engines live on.
+// awaitFirstPoll waits until each engine has answered its first poll. The fake engines keep running
+// after a simulated crash, so an answer to a later poll would refute the crash.
 func (f *fleet) awaitHeard(engines []*fakeEngine) {
 	f.t.Helper()
 	deadline := time.Now().Add(patience)
@@ -59,8 +60,8 @@
 	return followed != nil && followed.word().incarnation == engine.incarnation
 }
 
-// The same contract on the product's own data path: a request under which three engines
-// have ended goes to no further one, is told so at once, and others are served.
+// A request that has crashed enough engines is sent to no further one and is refused at once, while
+// other requests are served.
 func TestRequestUnderWhichEnginesEndIsHeld(t *testing.T) {
 	fatal := &fatalEngines{}
 	var engines []*fakeEngine
@@ -70,7 +71,7 @@
 		engines = append(engines, engine)
 	}
 	config := quick()
-	config.Timeouts.Head, config.Intervals.Load = patience, time.Hour // no poll refutes an end
+	config.Timeouts.Head, config.Intervals.Load = patience, time.Hour // no poll may refute the suspected end
 	control := newFakeControl()
 	f := startWith(t, config, control, engines)
 	f.awaitHeard(engines)
@@ -79,7 +80,7 @@
 		must.NotEq(t, http.StatusOK, answer.status)
 	}
 	fatal.lock.Lock()
-	must.Eq(t, 4, fatal.ends, must.Sprint("a proxy that no leader serves waits for one more"))
+	must.Eq(t, 4, fatal.ends, must.Sprint("three crashes, and one more because the proxy has no leader"))
 	fatal.lock.Unlock()
 	answer := f.askFor("fatal")
 	must.Eq(t, http.StatusServiceUnavailable, answer.status)
@@ -91,7 +92,7 @@
 	must.SliceLen(t, 4, control.ends)
 	control.lock.Unlock()
 
-	// What is held at the group is held here before any engine ends.
+	// A request that the control group quarantined is refused before any engine of this proxy ends.
 	name := ""
 	for _, report := range control.ends {
 		name = report.Ended[0].Fingerprint.String()
@@ -106,7 +107,7 @@
 	must.Eq(t, http.StatusOK, other.askFor("another").status)
 }
 
-// An engine that answers under the same incarnation has not ended.
+// A poll that is answered by the same incarnation refutes the suspected end of an engine.
 func TestPollRefutesAnEnd(t *testing.T) {
 	fatal := &fatalEngines{}
 	engine := newFakeEngine(t, "e0", 11)
@@ -120,8 +121,8 @@
 	}
 }
 
-// A request that ends the engines that read its prompt goes to no fourth one, though each
-// failed hand-over is free to be tried at another engine.
+// A request that crashes prefill engines is sent to no fourth one, although a failed KV transfer is
+// otherwise retried at another engine without using the retry budget.
 func TestRequestThatEndsReadersIsHeld(t *testing.T) {
 	var engines []*fakeEngine
 	for i := range 6 {
@@ -130,7 +131,7 @@
 		engines = append(engines, engine)
 	}
 	config := quick()
-	config.Timeouts.Head, config.Intervals.Load = patience, time.Hour // no poll refutes an end
+	config.Timeouts.Head, config.Intervals.Load = patience, time.Hour // no poll may refute the suspected end
 	f := start(t, config, engines)
 	made := newView(engines, nil)
 	for i, engine := range engines {
--- a/process/proxy/server.go
+++ b/process/proxy/server.go
@@ -19,17 +19,16 @@
 	"github.com/landingtrail/landingtrail/process/event"
 )
 
-// server is one HTTP listener on go-zero's rest. What rest brings by default
-// is taken over: its timeout, body cap, breaker, shedding, access log and
-// metrics are off, since a stream outlasts any timeout, the body cap has its
-// own answer, and shedding is the queue's decision. Its signal handling is
-// disarmed.
+// server is an HTTP server on go-zero's rest package. The timeout, body limit, circuit breaker, load
+// shedding, access log, metrics and signal handling that rest enables by default are off: a stream
+// may outlast any timeout, the proxy has its own response for oversized bodies, and the queue decides
+// what to shed.
 type server struct {
 	http  *http.Server
 	bound net.Addr
 }
 
-// restConf returns the settings with every middleware off.
+// restConf returns a rest configuration with all middleware disabled.
 func restConf(name, address string) (rest.RestConf, error) {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil {
@@ -44,8 +43,8 @@
 	return conf, nil
 }
 
-// prefixRouter serves the paths under a prefix by one handler for all methods,
-// which rest's own router cannot express, and leaves the others to it.
+// prefixRouter routes all paths under a prefix, with any method, to one handler. rest's own router
+// cannot express that; it routes all other paths.
 type prefixRouter struct {
 	httpx.Router
 	prefix  string
@@ -61,7 +60,7 @@
 	r.Router.ServeHTTP(w, request)
 }
 
-// listen starts a server on the address and returns once it is bound.
+// listen starts a server and returns once it listens on the address.
 func (p *Proxy) listen(name, address string, routes *prefixRouter, add func(*rest.Server)) (*server, error) {
 	conf, err := restConf(name, address)
 	if err != nil {
@@ -69,7 +68,7 @@
 	}
 	made, err := rest.NewServer(conf, rest.WithRouter(routes))
 	if err != nil {
-		return nil, errors.Wrap(err, "rest server")
+		return nil, errors.Wrap(err, "create HTTP server")
 	}
 	logx.SetWriter(&logWriter{logger: p.logger})
 	routes.SetNotFoundHandler(http.HandlerFunc(serveNotFound))
@@ -87,9 +86,8 @@
 	}
 }
 
-// start serves until the HTTP server is shut down. rest waits for its own stop
-// signal after that, which never comes, so this goroutine lasts as long as the
-// process. rest panics when it cannot listen.
+// start serves until the HTTP server is shut down. rest then waits for its own stop signal, which is
+// never sent, so the goroutine stays until the process exits. rest panics if it cannot listen.
 func (s *server) start(made *rest.Server, timeouts Timeouts, bound chan<- net.Addr, failed chan<- error) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -118,7 +116,7 @@
 
 func newRouter() httpx.Router { return router.NewRouter() }
 
-// listenCallers starts the server for callers.
+// listenCallers starts the HTTP server for callers.
 func (p *Proxy) listenCallers() (*server, error) {
 	routes := &prefixRouter{Router: newRouter(), prefix: servicesPrefix, handler: p.serveService}
 	return p.listen("landingtrail-proxy", p.config.ListenAddress, routes, func(made *rest.Server) {
@@ -130,7 +128,7 @@
 	})
 }
 
-// logWriter passes rest's own log lines on as numbered events.
+// logWriter writes rest's error logs as ProxyServerLog events and drops the other levels.
 type logWriter struct{ logger log.Logger }
 
 func (w *logWriter) Alert(v any)                 { event.ProxyServerLog.Log(w.logger, "message", fmt.Sprint(v)) }
--- a/process/proxy/silence_test.go
+++ b/process/proxy/silence_test.go
@@ -11,9 +11,8 @@
 	"github.com/landingtrail/landingtrail/connection/engineapi"
 )
 
-// TestSilentBackEndStaysSuspect: a back end that accepts and never answers gets
-// no frame once its polls have told so, also when a suspicion has run out, and
-// gets frames again when it answers.
+// A backend that accepts connections and never responds gets no requests once its polls have failed,
+// even after the suspect time of earlier failures has passed. It gets requests again once it responds.
 func TestSilentBackEndStaysSuspect(t *testing.T) {
 	var paused atomic.Bool
 	var frames atomic.Int32
@@ -41,7 +40,7 @@
 	})
 	before := frames.Load()
 	for range 12 {
-		followed.succeed() // any suspicion of a failed request has run out
+		followed.succeed() // clear the suspect time of failed requests
 		must.Eq(t, http.StatusOK, frame())
 	}
 	must.Eq(t, before, frames.Load())
--- a/process/proxy/suspension_test.go
+++ b/process/proxy/suspension_test.go
@@ -9,8 +9,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// A request whose time ran out while the machine was suspended, which timers do not see,
-// goes to no engine and no back end.
+// A request whose deadline passed while the machine was suspended is sent to no further engine. Timers
+// do not count the time of a suspension, but the proxy's clock does.
 func TestDeadlineThatPassedInASuspension(t *testing.T) {
 	engine := newFakeEngine(t, "e1", 11)
 	var suspended atomic.Int64
@@ -18,7 +18,7 @@
 	clock := func() time.Duration { return time.Since(begin) + time.Duration(suspended.Load()) }
 	f := startBy(t, clock, quick(), newFakeControl(), []*fakeEngine{engine})
 	engine.script = func(e *fakeEngine, w http.ResponseWriter, r *http.Request, _ int) {
-		suspended.Store(int64(time.Hour)) // while it is refused here, before it is sent on
+		suspended.Store(int64(time.Hour)) // during the refusal, before the retry
 		e.refuse(w, http.StatusServiceUnavailable, "draining")
 	}
 	second := newFakeEngine(t, "e2", 12)
