--- a/process/proxy/admin.go
+++ b/process/proxy/admin.go
@@ -20,8 +20,8 @@
 // listenAdmin starts the HTTP server for health checks, metrics and debugging.
 func (p *Proxy) listenAdmin() (*server, error) {
 	routes := &prefixRouter{Router: newRouter()}
-	return p.listen("landingtrail-proxy-admin", p.config.AdminAddress, routes, func(made *rest.Server) {
-		made.AddRoutes([]rest.Route{
+	return p.listen("landingtrail-proxy-admin", p.config.AdminAddress, routes, func(srv *rest.Server) {
+		srv.AddRoutes([]rest.Route{
 			{Method: http.MethodGet, Path: PathHealth, Handler: p.serveHealth},
 			{Method: http.MethodGet, Path: PathReady, Handler: p.serveReady},
 			{Method: http.MethodGet, Path: PathMetrics, Handler: p.metrics.handler().ServeHTTP},
@@ -92,17 +92,17 @@
 func (p *Proxy) serveInFlight(w http.ResponseWriter, _ *http.Request) {
 	list := p.running.list()
 	rows := make([]InFlightRequest, len(list))
-	for i, one := range list {
+	for i, request := range list {
 		rows[i] = InFlightRequest{
-			ID:      one.id,
-			Service: one.service,
-			Class:   one.class,
-			Tenant:  one.tenant,
-			State:   one.life.State().String(),
-			Seconds: time.Since(one.started).Seconds(),
-			Passed:  one.life.Passed(),
+			ID:      request.id,
+			Service: request.service,
+			Class:   request.class,
+			Tenant:  request.tenant,
+			State:   request.life.State().String(),
+			Seconds: time.Since(request.started).Seconds(),
+			Passed:  request.life.Passed(),
 		}
-		for _, record := range one.life.Attempts() {
+		for _, record := range request.life.Attempts() {
 			rows[i].Attempts = append(rows[i].Attempts, InFlightRecord{
 				Number:   record.Number,
 				Endpoint: record.Endpoint,
--- a/process/proxy/bench_test.go
+++ b/process/proxy/bench_test.go
@@ -18,7 +18,7 @@
 
 // forwarderHandler is a minimal reverse proxy: it forwards each request to the address and
 // flushes every chunk of the response as it arrives.
-func relayHandler(address string) http.Handler {
+func forwarderHandler(address string) http.Handler {
 	transport := &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 64}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body) // an HTTP/1 server closes the request body once the response starts
@@ -47,33 +47,33 @@
 	})
 }
 
-// path is a route from the client to the engine, with the wall and processor time that its
+// measuredPath is a route from the client to the engine, with the wall and processor time that its
 // requests have used.
-type path struct {
+type measuredPath struct {
 	url       string
 	transport *http.Transport
 	wall, cpu time.Duration
 }
 
-func (p *path) ask(b *testing.B, times int) {
-	cpu, begun := processorTime(b), time.Now()
+func (p *measuredPath) sendConcurrently(b *testing.B, times int) {
+	cpu, started := processorTime(b), time.Now()
 	var group sync.WaitGroup
 	for range times {
-		group.Go(func() { p.askOnce(b) })
+		group.Go(func() { p.sendOne(b) })
 	}
 	group.Wait()
-	p.wall += time.Since(begun)
+	p.wall += time.Since(started)
 	p.cpu += processorTime(b) - cpu
 }
 
-func (p *path) askOnce(b *testing.B) {
+func (p *measuredPath) sendOne(b *testing.B) {
 	request, _ := http.NewRequest(http.MethodPost, p.url+engineapi.PathCompletions, strings.NewReader(streamBody))
 	request.Header.Set(HeaderClass, "cap")
 	response, err := p.transport.RoundTrip(request)
 	must.NoError(b, err)
-	read, err := io.ReadAll(response.Body)
+	body, err := io.ReadAll(response.Body)
 	must.NoError(b, err)
-	must.StrHasSuffix(b, "data: [DONE]\n\n", string(read))
+	must.StrHasSuffix(b, "data: [DONE]\n\n", string(body))
 	_ = response.Body.Close()
 }
 
@@ -115,32 +115,32 @@
 	for _, test := range cases {
 		b.Run(test.name, func(b *testing.B) {
 			server := newBenchEngine(b, test.tokens, test.pause)
-			relay := httptest.NewServer(relayHandler(server.Listener.Addr().String()))
-			b.Cleanup(relay.Close)
-			paths := []*path{{url: server.URL}, {url: relay.URL}, {url: benchProxy(b, server)}}
-			for _, one := range paths {
-				one.transport = &http.Transport{}
-				b.Cleanup(one.transport.CloseIdleConnections)
-				one.ask(b, test.batch)
-				one.wall, one.cpu = 0, 0
+			forwarder := httptest.NewServer(forwarderHandler(server.Listener.Addr().String()))
+			b.Cleanup(forwarder.Close)
+			paths := []*measuredPath{{url: server.URL}, {url: forwarder.URL}, {url: benchProxy(b, server)}}
+			for _, p := range paths {
+				p.transport = &http.Transport{}
+				b.Cleanup(p.transport.CloseIdleConnections)
+				p.sendConcurrently(b, test.batch)
+				p.wall, p.cpu = 0, 0
 			}
 			rounds := 0
 			for b.Loop() {
-				for _, one := range paths {
-					one.ask(b, test.batch)
+				for _, p := range paths {
+					p.sendConcurrently(b, test.batch)
 				}
 				rounds++
 			}
 			count := float64(rounds * test.batch * test.tokens)
-			direct, plain, proxied := paths[0], paths[1], paths[2]
-			b.ReportMetric(float64((plain.cpu-direct.cpu).Microseconds())/count, "relay-cpu-us")
+			direct, forwarded, proxied := paths[0], paths[1], paths[2]
+			b.ReportMetric(float64((forwarded.cpu-direct.cpu).Microseconds())/count, "relay-cpu-us")
 			b.ReportMetric(float64((proxied.cpu-direct.cpu).Microseconds())/count, "proxy-cpu-us")
 			if test.name == "burst" {
 				return // the forwarder's overhead is too small for a meaningful ratio
 			}
-			b.ReportMetric(float64(proxied.cpu-direct.cpu)/float64(plain.cpu-direct.cpu), "cpu-ratio")
+			b.ReportMetric(float64(proxied.cpu-direct.cpu)/float64(forwarded.cpu-direct.cpu), "cpu-ratio")
 			if test.pause == 0 {
-				b.ReportMetric(float64(proxied.wall-direct.wall)/float64(plain.wall-direct.wall), "time-ratio")
+				b.ReportMetric(float64(proxied.wall-direct.wall)/float64(forwarded.wall-direct.wall), "time-ratio")
 			}
 		})
 	}
@@ -152,13 +152,13 @@
 	views := &fixedViews{}
 	views.view.Store(newView([]*fakeEngine{{name: "e1", incarnation: 11, server: server}}, nil))
 	config := Config{ID: "proxy-1", Zone: "zone-a", ListenAddress: "127.0.0.1:0", AdminAddress: "127.0.0.1:0"}
-	begin := time.Now()
-	made := New(config, views, newFakeControl(), func() time.Duration { return time.Since(begin) }, log.NewNopLogger())
-	callers, err := made.listenCallers()
+	started := time.Now()
+	proxy := New(config, views, newFakeControl(), func() time.Duration { return time.Since(started) }, log.NewNopLogger())
+	callers, err := proxy.listenCallers()
 	must.NoError(b, err)
 	b.Cleanup(func() {
 		_ = callers.http.Close()
-		made.Close()
+		proxy.Close()
 	})
 	return "http://" + callers.bound.String()
 }
--- a/process/proxy/cacheindex.go
+++ b/process/proxy/cacheindex.go
@@ -6,9 +6,9 @@
 // engine's cache events. The zero value is empty. It is not safe for concurrent use: the owner
 // guards it with a lock.
 type cacheIndex struct {
-	blocks map[uint64]bool
-	next   uint64 // sequence number of the last applied event; 0 requests a snapshot
-	sure   bool   // no event has been missed since the last snapshot
+	blocks       map[uint64]bool
+	lastSequence uint64 // sequence number of the last applied event; 0 requests a snapshot
+	synced       bool   // no event has been missed since the last snapshot
 }
 
 // reset clears the index; the next page must be a snapshot.
@@ -18,7 +18,7 @@
 // missing, the index is marked as out of sync and requests a snapshot; its blocks remain as hints
 // until that arrives.
 func (c *cacheIndex) apply(page engineapi.CacheEvents, after uint64) {
-	if after != c.next {
+	if after != c.lastSequence {
 		return // requested before the index was reset
 	}
 	if page.Snapshot {
@@ -26,50 +26,50 @@
 		for _, block := range page.Blocks {
 			c.blocks[block] = true
 		}
-		c.next = page.Next
-		c.sure = true
+		c.lastSequence = page.Next
+		c.synced = true
 		return
 	}
 	expected := after + 1
 	for _, event := range page.Events {
 		if event.Sequence != expected {
-			c.lose()
+			c.requireSnapshot()
 			return
 		}
 		expected++
 		if event.Removed {
 			delete(c.blocks, event.Block)
 		} else {
-			c.set(event.Block)
+			c.add(event.Block)
 		}
 	}
 	if page.Next != expected-1 {
-		c.lose()
+		c.requireSnapshot()
 		return
 	}
-	c.next = page.Next
+	c.lastSequence = page.Next
 }
 
-func (c *cacheIndex) set(block uint64) {
+func (c *cacheIndex) add(block uint64) {
 	if c.blocks == nil {
 		c.blocks = map[uint64]bool{}
 	}
 	c.blocks[block] = true
 }
 
-func (c *cacheIndex) lose() {
-	c.next = 0
-	c.sure = false
+func (c *cacheIndex) requireSnapshot() {
+	c.lastSequence = 0
+	c.synced = false
 }
 
 // cachedPrefix returns how many of the leading blocks are in the index, and whether the index is
 // in sync with the engine.
-func (c *cacheIndex) leading(blocks []uint64) (count int, sure bool) {
+func (c *cacheIndex) cachedPrefix(blocks []uint64) (count int, synced bool) {
 	for _, block := range blocks {
 		if !c.blocks[block] {
 			break
 		}
 		count++
 	}
-	return count, c.sure
+	return count, c.synced
 }
--- a/process/proxy/demand.go
+++ b/process/proxy/demand.go
@@ -28,11 +28,11 @@
 }
 
 func newDemandWindow() *demandWindow {
-	made := &demandWindow{seed: maphash.MakeSeed()}
-	for i := range made.shards {
-		made.shards[i].counts = map[demandKey]*feed.Demand{}
+	window := &demandWindow{seed: maphash.MakeSeed()}
+	for i := range window.shards {
+		window.shards[i].counts = map[demandKey]*feed.Demand{}
 	}
-	return made
+	return window
 }
 
 // add updates the counts of an intent and class with change, which runs under the shard's lock.
@@ -50,29 +50,29 @@
 
 // take returns the accumulated counts and resets the window.
 func (d *demandWindow) take() map[demandKey]*feed.Demand {
-	taken := map[demandKey]*feed.Demand{}
+	all := map[demandKey]*feed.Demand{}
 	for i := range d.shards {
 		shard := &d.shards[i]
 		shard.lock.Lock()
 		for key, counts := range shard.counts {
-			taken[key] = counts
+			all[key] = counts
 		}
 		shard.counts = map[demandKey]*feed.Demand{}
 		shard.lock.Unlock()
 	}
-	return taken
+	return all
 }
 
 // restore adds counts whose report could not be sent to the current window.
-func (d *demandWindow) putBack(counts map[demandKey]*feed.Demand) {
-	for key, old := range counts {
-		d.add(key, func(into *feed.Demand) {
-			into.Requests += old.Requests
-			into.PromptTokens += old.PromptTokens
-			into.CachedPromptTokens += old.CachedPromptTokens
-			into.OutputTokens += old.OutputTokens
-			into.Refused += old.Refused
-			into.Late += old.Late
+func (d *demandWindow) restore(counts map[demandKey]*feed.Demand) {
+	for key, unreported := range counts {
+		d.add(key, func(target *feed.Demand) {
+			target.Requests += unreported.Requests
+			target.PromptTokens += unreported.PromptTokens
+			target.CachedPromptTokens += unreported.CachedPromptTokens
+			target.OutputTokens += unreported.OutputTokens
+			target.Refused += unreported.Refused
+			target.Late += unreported.Late
 		})
 	}
 }
@@ -88,46 +88,46 @@
 		window := time.Since(since)
 		counts := p.demand.take()
 		report := feed.DemandReport{Window: window}
-		waiting := p.waitingDemand()
-		for key := range waiting {
+		queued := p.queuedDemand()
+		for key := range queued {
 			if counts[key] == nil {
 				counts[key] = &feed.Demand{Intent: key.intent, Class: key.class}
 			}
 		}
 		for key, count := range counts {
-			count.QueuedRequests = waiting[key].requests
-			count.QueuedPromptTokens = waiting[key].tokens
+			count.QueuedRequests = queued[key].requests
+			count.QueuedPromptTokens = queued[key].tokens
 			report.Demands = append(report.Demands, *count)
 		}
 		switch {
 		case p.control.ReportDemand(report):
 			since = time.Now()
 		case window < maxDemandWindow:
-			p.demand.putBack(counts)
+			p.demand.restore(counts)
 		default:
 			since = time.Now()
 		}
 	}
 }
 
-type waitingCount struct {
+type queuedCount struct {
 	requests int
 	tokens   float64
 }
 
 // queuedDemand counts the model requests that are queued now.
-func (p *Proxy) waitingDemand() map[demandKey]waitingCount {
-	waiting := map[demandKey]waitingCount{}
-	known := p.lanes.catalog.Load()
-	for _, one := range p.running.list() {
-		if one.model == "" || one.life.State() != attempt.Queued {
+func (p *Proxy) queuedDemand() map[demandKey]queuedCount {
+	queued := map[demandKey]queuedCount{}
+	current := p.lanes.catalog.Load()
+	for _, request := range p.running.list() {
+		if request.model == "" || request.life.State() != attempt.Queued {
 			continue
 		}
-		key := demandKey{intent: known.intentFor(one.model, one.class), class: one.class}
-		count := waiting[key]
+		key := demandKey{intent: current.intentFor(request.model, request.class), class: request.class}
+		count := queued[key]
 		count.requests++
-		count.tokens += float64(one.tokens)
-		waiting[key] = count
+		count.tokens += float64(request.tokens)
+		queued[key] = count
 	}
-	return waiting
+	return queued
 }
--- a/process/proxy/endpoint.go
+++ b/process/proxy/endpoint.go
@@ -13,8 +13,8 @@
 // minSuspectTime is how long an endpoint is avoided after a failure. It doubles with each further
 // consecutive failure, up to maxSuspectTime.
 const (
-	suspicion    = 500 * time.Millisecond
-	maxSuspicion = 15 * time.Second
+	minSuspectTime = 500 * time.Millisecond
+	maxSuspectTime = 15 * time.Second
 )
 
 // dispatch is a request in flight to an endpoint.
@@ -38,14 +38,14 @@
 	incarnation uint64
 	// incarnationAsOf is the earliest time at which the incarnation can have been reported. Reports
 	// may arrive out of order, so one of an earlier incarnation may arrive later.
-	incarnationSaid time.Duration
-	heardAt         time.Duration
+	incarnationAsOf time.Duration
+	lastReportAt    time.Duration
 	heard           bool
 	closedAt        time.Duration // when a phase that takes no new work was last reported
 	load            engineapi.Load
 	loadAt          time.Duration // when the load was measured
 	failures        int
-	suspectTill     time.Duration
+	suspectUntil    time.Duration
 	// silent is set while polls get no response. Unlike suspectUntil it does not expire, so that
 	// no request is spent on probing an endpoint that is still down.
 	silent     bool
@@ -54,8 +54,8 @@
 	cache      cacheIndex
 	// suspectedEndAt is when the incarnation appeared to end, because its connection broke; 0 once
 	// the engine has answered a later request.
-	endedAt          time.Duration
-	endedIncarnation uint64
+	suspectedEndAt          time.Duration
+	suspectedEndIncarnation uint64
 }
 
 func newEndpoint(name, address, zone string, model bool) *endpoint {
@@ -85,31 +85,31 @@
 }
 
 // hear records the phase and incarnation that the endpoint reported.
-func (e *endpoint) hear(news spokenWord) {
+func (e *endpoint) hear(reported spokenWord) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
-	e.hearLocked(news)
+	e.hearLocked(reported)
 }
 
 // hearLocked is hear for a caller that holds the lock. Responses may arrive out of order, so a phase
 // that takes new work is ignored if it may be older than the last one that did not.
-func (e *endpoint) hearLocked(news spokenWord) {
+func (e *endpoint) hearLocked(reported spokenWord) {
 	e.heard = true
 	e.silent = false
-	e.heardAt = max(e.heardAt, news.now)
+	e.lastReportAt = max(e.lastReportAt, reported.now)
 	switch {
-	case news.phase == api.PhaseUnknown:
-	case closedPhase(news.phase):
-		e.phase, e.closedAt = news.phase, news.now
-	case news.said >= e.closedAt:
-		e.phase = news.phase
+	case reported.phase == api.PhaseUnknown:
+	case closedPhase(reported.phase):
+		e.phase, e.closedAt = reported.phase, reported.now
+	case reported.said >= e.closedAt:
+		e.phase = reported.phase
 	}
-	if news.incarnation == 0 || news.incarnation != e.incarnation && news.said < e.incarnationSaid {
+	if reported.incarnation == 0 || reported.incarnation != e.incarnation && reported.said < e.incarnationAsOf {
 		return
 	}
-	e.incarnationSaid = max(e.incarnationSaid, news.said)
-	if news.incarnation != e.incarnation {
-		e.incarnation = news.incarnation
+	e.incarnationAsOf = max(e.incarnationAsOf, reported.said)
+	if reported.incarnation != e.incarnation {
+		e.incarnation = reported.incarnation
 		e.cache.reset()
 	}
 }
@@ -119,8 +119,8 @@
 const backendLeaving = "leaving"
 
 // hearHeader records the state that the endpoint reports in the headers of a response to a request
-// sent at asked. A plain backend is serving unless it reports that it is leaving.
-func (e *endpoint) hearHeader(asked, now time.Duration, header http.Header) {
+// sent at sentAt. A plain backend is serving unless it reports that it is leaving.
+func (e *endpoint) hearHeader(sentAt, now time.Duration, header http.Header) {
 	phase := api.EnginePhase(header.Get(engineapi.HeaderPhase))
 	if !e.model {
 		phase = api.PhaseServing
@@ -128,25 +128,25 @@
 			phase = api.PhaseLeaving
 		}
 	}
-	e.hear(spokenWord{said: asked, now: now, phase: phase, incarnation: incarnationOf(header)})
+	e.hear(spokenWord{said: sentAt, now: now, phase: phase, incarnation: incarnationOf(header)})
 }
 
 // isFromOtherEngine reports whether the load report comes from a different engine, which has taken
 // over the address.
-func (e *endpoint) speaksForAnother(load engineapi.Load) bool {
+func (e *endpoint) isFromOtherEngine(load engineapi.Load) bool {
 	return load.Engine != "" && load.Engine != e.name
 }
 
-// report records a load report in response to a poll sent at asked. The report describes the load
+// report records a load report in response to a poll sent at sentAt. The report describes the load
 // at an earlier time, by its age.
-func (e *endpoint) report(asked, now time.Duration, load engineapi.Load) {
-	if e.speaksForAnother(load) {
+func (e *endpoint) report(sentAt, now time.Duration, load engineapi.Load) {
+	if e.isFromOtherEngine(load) {
 		return
 	}
 	age := time.Duration(load.AgeMilliseconds) * time.Millisecond
 	e.lock.Lock()
 	defer e.lock.Unlock()
-	e.hearLocked(spokenWord{said: asked - age, now: now, phase: load.Phase, incarnation: load.Incarnation})
+	e.hearLocked(spokenWord{said: sentAt - age, now: now, phase: load.Phase, incarnation: load.Incarnation})
 	if load.Incarnation != 0 && load.Incarnation != e.incarnation {
 		return // measured by an earlier incarnation
 	}
@@ -159,16 +159,16 @@
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	e.failures = 0
-	e.suspectTill = 0
+	e.suspectUntil = 0
 }
 
 // fail records a failed request and makes the endpoint suspect for a limited time.
 func (e *endpoint) fail(now time.Duration) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
-	wait := suspicion << min(e.failures, 5)
+	suspectTime := minSuspectTime << min(e.failures, 5)
 	e.failures++
-	e.suspectTill = now + min(wait, maxSuspicion)
+	e.suspectUntil = now + min(suspectTime, maxSuspectTime)
 }
 
 // markSilent makes the endpoint suspect until it responds again.
@@ -178,43 +178,43 @@
 	e.silent = true
 }
 
-func (e *endpoint) suspectedLocked(now time.Duration) bool { return e.silent || now < e.suspectTill }
+func (e *endpoint) suspectedLocked(now time.Duration) bool { return e.silent || now < e.suspectUntil }
 
 // reportedState is the state that an endpoint last reported about itself.
-type ownWord struct {
-	phase       api.EnginePhase
-	incarnation uint64
-	heard       bool
-	heardAt     time.Duration
+type reportedState struct {
+	phase        api.EnginePhase
+	incarnation  uint64
+	heard        bool
+	lastReportAt time.Duration
 }
 
-func (e *endpoint) word() ownWord {
+func (e *endpoint) word() reportedState {
 	e.lock.Lock()
 	defer e.lock.Unlock()
-	return ownWord{phase: e.phase, incarnation: e.incarnation, heard: e.heard, heardAt: e.heardAt}
+	return reportedState{phase: e.phase, incarnation: e.incarnation, heard: e.heard, lastReportAt: e.lastReportAt}
 }
 
 // fillCandidate sets the fields of a routing candidate that come from the endpoint's reports and
 // from this proxy's requests in flight. Requests sent after the load was measured are counted
 // separately, since the report does not include them.
-func (e *endpoint) describe(now time.Duration, into *router.Endpoint) {
+func (e *endpoint) fillCandidate(now time.Duration, candidate *router.Endpoint) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
-	into.Name = e.name
-	into.Address = e.address
-	into.Zone = e.zone
-	into.Suspect = e.suspectedLocked(now)
-	into.Load = router.Load{
+	candidate.Name = e.name
+	candidate.Address = e.address
+	candidate.Zone = e.zone
+	candidate.Suspect = e.suspectedLocked(now)
+	candidate.Load = router.Load{
 		Running:       e.load.Running,
 		Waiting:       e.load.Waiting,
 		WaitingTokens: e.load.WaitingTokens,
 		KVUsed:        e.load.KVUsed,
 		Age:           now - e.loadAt,
 	}
-	for _, sent := range e.dispatches {
-		if sent.at > e.loadAt {
-			into.Load.OwnRunning++
-			into.Load.OwnTokens += sent.tokens
+	for _, dispatched := range e.dispatches {
+		if dispatched.at > e.loadAt {
+			candidate.Load.OwnRunning++
+			candidate.Load.OwnTokens += dispatched.tokens
 		}
 	}
 }
--- a/process/proxy/harness_test.go
+++ b/process/proxy/harness_test.go
@@ -26,12 +26,12 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
-// shutdownAfter runs the tests and then ends the goroutines in which rest waits for the process to
+// shutdownAfterTests runs the tests and then ends the goroutines in which rest waits for the process to
 // exit.
-type shutdownAfter struct{ *testing.M }
+type shutdownAfterTests struct{ *testing.M }
 
 // Run implements goleak.TestingM.
-func (m shutdownAfter) Run() int {
+func (m shutdownAfterTests) Run() int {
 	code := m.M.Run()
 	proc.Shutdown()
 	return code
@@ -39,7 +39,7 @@
 
 func TestMain(m *testing.M) {
 	// go-zero starts goroutines of its own before the first test.
-	goleak.VerifyTestMain(shutdownAfter{m}, goleak.IgnoreCurrent(),
+	goleak.VerifyTestMain(shutdownAfterTests{m}, goleak.IgnoreCurrent(),
 		goleak.IgnoreAnyFunction("github.com/zeromicro/go-zero/core/proc.init.1.func1"))
 }
 
@@ -52,8 +52,7 @@
 func (v *fixedViews) Load() *view.View           { return v.view.Load() }
 func (v *fixedViews) Valid(_ time.Duration) bool { return !v.invalid.Load() }
 
-// fakeControl is an in-memory control group. Unless lost is set it grants claims and records every
-// report.
+// fakeControl is an in-memory control group. Claim returns the error lost if it is set.
 type fakeControl struct {
 	lock     sync.Mutex
 	lost     error
@@ -75,18 +74,18 @@
 		return api.ClaimResult{}, c.lost
 	}
 	name := request.Tenant + "/" + request.Key
-	known := c.claims[name]
+	existing := c.claims[name]
 	switch {
-	case known == nil || known.Outcome == api.RunNotRun:
+	case existing == nil || existing.Outcome == api.RunNotRun:
 		c.claims[name] = &api.Claim{Tenant: request.Tenant, Key: request.Key, BodyHash: request.BodyHash, Outcome: api.RunUnknown}
 		c.nonces[name] = request.Nonce
 		return api.ClaimResult{Code: api.ClaimGranted, Claim: *c.claims[name]}, nil
-	case known.BodyHash != request.BodyHash:
-		return api.ClaimResult{Code: api.ClaimConflict, Claim: *known}, nil
-	case known.Outcome == api.RunCompleted:
-		return api.ClaimResult{Code: api.ClaimDone, Claim: *known}, nil
+	case existing.BodyHash != request.BodyHash:
+		return api.ClaimResult{Code: api.ClaimConflict, Claim: *existing}, nil
+	case existing.Outcome == api.RunCompleted:
+		return api.ClaimResult{Code: api.ClaimDone, Claim: *existing}, nil
 	default:
-		return api.ClaimResult{Code: api.ClaimRunning, Claim: *known}, nil
+		return api.ClaimResult{Code: api.ClaimRunning, Claim: *existing}, nil
 	}
 }
 
@@ -95,8 +94,8 @@
 	defer c.lock.Unlock()
 	name := outcome.Tenant + "/" + outcome.Key
 	c.outcomes = append(c.outcomes, outcome)
-	if known := c.claims[name]; known != nil && c.nonces[name] == outcome.Nonce {
-		known.Outcome, known.Answer = outcome.Outcome, outcome.Answer
+	if existing := c.claims[name]; existing != nil && c.nonces[name] == outcome.Nonce {
+		existing.Outcome, existing.Answer = outcome.Outcome, outcome.Answer
 	}
 	return nil
 }
@@ -255,19 +254,19 @@
 // newView returns a view with a model service "narrator" of the engines and a service "tiles" of the
 // backends.
 func newView(engines []*fakeEngine, backends []*httptest.Server) *view.View {
-	made := view.New()
-	made.Version = view.Version{Term: 1, Revision: 1}
+	current := view.New()
+	current.Version = view.Version{Term: 1, Revision: 1}
 	all := api.Selector{All: true}
-	made.Intents["narration"] = &api.Intent{Metadata: api.Metadata{Name: "narration"}, Spec: api.IntentSpec{
+	current.Intents["narration"] = &api.Intent{Metadata: api.Metadata{Name: "narration"}, Spec: api.IntentSpec{
 		Engines: all, Classes: api.Selector{MatchLabels: api.Labels{"work": "model"}}, Model: "llm", Roles: []api.EngineRole{api.RoleMixed}}}
-	made.Services["narrator"] = &api.Service{Metadata: api.Metadata{Name: "narrator"}, Spec: api.ServiceSpec{Type: api.ServiceModel}}
+	current.Services["narrator"] = &api.Service{Metadata: api.Metadata{Name: "narrator"}, Spec: api.ServiceSpec{Type: api.ServiceModel}}
 	tiles := &api.Service{Metadata: api.Metadata{Name: "tiles"}, Spec: api.ServiceSpec{Type: api.ServiceBackend}}
 	for i, backend := range backends {
 		tiles.Spec.Backends = append(tiles.Spec.Backends, api.Backend{Name: fmt.Sprintf("tile-%d", i), Address: backend.Listener.Addr().String(), Zone: "zone-a"})
 	}
-	made.Services["tiles"] = tiles
+	current.Services["tiles"] = tiles
 	addClass := func(name, service string, never bool, labels api.Labels) {
-		made.Classes[name] = &api.Class{Metadata: api.Metadata{Name: name, Labels: labels},
+		current.Classes[name] = &api.Class{Metadata: api.Metadata{Name: name, Labels: labels},
 			Spec: api.ClassSpec{Service: service, Priority: len(name), DeadlineMilliseconds: 5000, RepeatNever: never}}
 	}
 	addClass("cap", "narrator", false, api.Labels{"work": "model"})
@@ -275,12 +274,12 @@
 	addClass("unserved", "narrator", false, nil)
 	addClass("frame", "tiles", false, nil)
 	for _, engine := range engines {
-		made.Engines[engine.name] = &api.Engine{Metadata: api.Metadata{Name: engine.name},
+		current.Engines[engine.name] = &api.Engine{Metadata: api.Metadata{Name: engine.name},
 			Spec: api.EngineSpec{Address: engine.server.Listener.Addr().String(), Zone: "zone-a", Service: "narrator"},
 			Status: api.EngineStatus{Phase: api.PhaseServing, Incarnation: engine.incarnation,
 				Assignment: api.Assignment{Model: "llm", Version: "1", Role: api.RoleMixed}}}
 	}
-	return made
+	return current
 }
 
 func start(t *testing.T, config Config, engines []*fakeEngine, backends ...*httptest.Server) *fleet {
@@ -291,11 +290,11 @@
 func startWith(t *testing.T, config Config, control Control, engines []*fakeEngine, backends ...*httptest.Server) *fleet {
 	t.Helper()
 	begin := time.Now()
-	return startBy(t, func() time.Duration { return time.Since(begin) }, config, control, engines, backends...)
+	return startWithClock(t, func() time.Duration { return time.Since(begin) }, config, control, engines, backends...)
 }
 
 // startWithClock starts a fleet whose proxy uses the given clock.
-func startBy(t *testing.T, clock func() time.Duration, config Config, control Control, engines []*fakeEngine, backends ...*httptest.Server) *fleet {
+func startWithClock(t *testing.T, clock func() time.Duration, config Config, control Control, engines []*fakeEngine, backends ...*httptest.Server) *fleet {
 	t.Helper()
 	f := &fleet{t: t, views: &fixedViews{}, engines: engines, done: make(chan error, 1)}
 	f.views.view.Store(newView(engines, backends))
@@ -351,8 +350,8 @@
 	response, err := client.Do(request)
 	must.NoError(f.t, err)
 	defer func() { _ = response.Body.Close() }()
-	read, err := io.ReadAll(response.Body)
-	return &reply{status: response.StatusCode, header: response.Header, body: string(read), err: err}
+	content, err := io.ReadAll(response.Body)
+	return &reply{status: response.StatusCode, header: response.Header, body: string(content), err: err}
 }
 
 // open sends a streaming request and waits for the first byte of the response body. The returned
@@ -383,23 +382,23 @@
 
 func newFakeBackend(t *testing.T) *fakeBackend {
 	t.Helper()
-	made := &fakeBackend{}
-	made.server = made.surplus.serve(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	backend := &fakeBackend{}
+	backend.server = backend.surplus.serve(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == engineapi.PathLoad {
 			writeJSON(w, http.StatusOK, engineapi.Load{})
 			return
 		}
 		header := r.Header.Clone()
-		made.lastHeader.Store(&header)
-		made.runs.Add(1)
-		if made.script != nil {
-			made.script(w, r)
+		backend.lastHeader.Store(&header)
+		backend.runs.Add(1)
+		if backend.script != nil {
+			backend.script(w, r)
 			return
 		}
 		_, _ = io.Copy(w, r.Body)
 	}))
-	t.Cleanup(made.server.Close)
-	return made
+	t.Cleanup(backend.server.Close)
+	return backend
 }
 
 const (
--- a/process/proxy/inflight.go
+++ b/process/proxy/inflight.go
@@ -37,11 +37,11 @@
 }
 
 func newInFlight() *inFlight {
-	made := &inFlight{seed: maphash.MakeSeed()}
-	for i := range made.shards {
-		made.shards[i].entries = map[string]*entry{}
+	requests := &inFlight{seed: maphash.MakeSeed()}
+	for i := range requests.shards {
+		requests.shards[i].entries = map[string]*entry{}
 	}
-	return made
+	return requests
 }
 
 func (f *inFlight) shard(id string) *inFlightShard {
@@ -49,15 +49,15 @@
 }
 
 // add registers the request and returns the function that removes it.
-func (f *inFlight) add(added *entry) func() {
-	shard := f.shard(added.id)
+func (f *inFlight) add(request *entry) func() {
+	shard := f.shard(request.id)
 	shard.lock.Lock()
 	defer shard.lock.Unlock()
-	shard.entries[added.id] = added
+	shard.entries[request.id] = request
 	return func() {
 		shard.lock.Lock()
 		defer shard.lock.Unlock()
-		delete(shard.entries, added.id)
+		delete(shard.entries, request.id)
 	}
 }
 
@@ -78,8 +78,8 @@
 	for i := range f.shards {
 		shard := &f.shards[i]
 		shard.lock.Lock()
-		for _, one := range shard.entries {
-			all = append(all, one)
+		for _, request := range shard.entries {
+			all = append(all, request)
 		}
 		shard.lock.Unlock()
 	}
--- a/process/proxy/lane.go
+++ b/process/proxy/lane.go
@@ -37,14 +37,14 @@
 	pollers map[string]*poller
 }
 
-func newLane(config *Config, service *api.Service, foreign func(address string, cause error)) *lane {
-	opened := &lane{
+func newLane(config *Config, service *api.Service, onForeign func(address string, cause error)) *lane {
+	created := &lane{
 		service: service.Name,
 		kind:    service.Spec.Type,
-		pool:    upstream.NewPool(upstream.Config{DialTimeout: config.Timeouts.Dial, Foreign: foreign}),
-		polls:   upstream.NewPool(upstream.Config{DialTimeout: config.Timeouts.Dial, MaxIdlePerHost: 2, Foreign: foreign}),
+		pool:    upstream.NewPool(upstream.Config{DialTimeout: config.Timeouts.Dial, Foreign: onForeign}),
+		polls:   upstream.NewPool(upstream.Config{DialTimeout: config.Timeouts.Dial, MaxIdlePerHost: 2, Foreign: onForeign}),
 		queue: limit.NewQueue(limit.Config{
-			MaxInFlight: laneWidth(config, service),
+			MaxInFlight: maxInFlight(config, service),
 			QueueLimit:  config.Limits.QueueLimit,
 		}),
 		budget:      retry.NewBudget(config.Limits.RetryShare, config.Limits.RetryReserve),
@@ -52,11 +52,11 @@
 		cacheBudget: &pollBudget{},
 		pollers:     map[string]*poller{},
 	}
-	opened.endpoints.Store(&map[string]*endpoint{})
-	return opened
+	created.endpoints.Store(&map[string]*endpoint{})
+	return created
 }
 
-func laneWidth(config *Config, service *api.Service) int {
+func maxInFlight(config *Config, service *api.Service) int {
 	if service.Spec.MaxInFlight > 0 {
 		return service.Spec.MaxInFlight
 	}
@@ -65,37 +65,37 @@
 
 // endpointSpec is an engine or backend of a service, as the view describes it. Endpoints with the
 // same group are interchangeable.
-type member struct {
+type endpointSpec struct {
 	name, address, zone, group string
 }
 
 // endpointSpecs lists the engines or backends of a service in unspecified order.
-func (c *catalog) members(service *api.Service) []member {
+func (c *catalog) endpointSpecs(service *api.Service) []endpointSpec {
 	if service.Spec.Type != api.ServiceModel {
-		members := make([]member, 0, len(service.Spec.Backends))
+		specs := make([]endpointSpec, 0, len(service.Spec.Backends))
 		for _, backend := range service.Spec.Backends {
-			members = append(members, member{name: backend.Name, address: backend.Address, zone: backend.Zone})
+			specs = append(specs, endpointSpec{name: backend.Name, address: backend.Address, zone: backend.Zone})
 		}
-		return members
+		return specs
 	}
-	members := make([]member, 0, len(c.view.Engines))
+	specs := make([]endpointSpec, 0, len(c.view.Engines))
 	for name, engine := range c.view.Engines {
 		if engine.Spec.Service != service.Name {
 			continue
 		}
-		members = append(members, member{
+		specs = append(specs, endpointSpec{
 			name:    name,
 			address: engine.Spec.Address,
 			zone:    engine.Spec.Zone,
-			group:   c.group(engine),
+			group:   c.engineGroup(engine),
 		})
 	}
-	return members
+	return specs
 }
 
 // engineGroup returns the name of the engine's group. The engines of one intent and role are
 // interchangeable.
-func (c *catalog) group(engine *api.Engine) string {
+func (c *catalog) engineGroup(engine *api.Engine) string {
 	intent := ""
 	if selected := c.intents[engine.Name]; selected != nil {
 		intent = selected.Name
@@ -105,59 +105,59 @@
 
 // updateEndpoints selects the endpoints that the lane uses, starts polling new ones and stops
 // polling those that are no longer selected. Requests in flight to the latter continue.
-func (l *lane) follow(p *Proxy, members []member) {
-	chosen := l.choose(&p.config, members)
+func (l *lane) updateEndpoints(p *Proxy, specs []endpointSpec) {
+	selected := l.selectSubset(&p.config, specs)
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	current := *l.endpoints.Load()
-	next := make(map[string]*endpoint, len(chosen))
-	for _, wanted := range chosen {
-		known := current[wanted.name]
-		if known == nil || known.address != wanted.address || known.zone != wanted.zone {
-			known = newEndpoint(wanted.name, wanted.address, wanted.zone, l.kind == api.ServiceModel)
+	next := make(map[string]*endpoint, len(selected))
+	for _, spec := range selected {
+		ep := current[spec.name]
+		if ep == nil || ep.address != spec.address || ep.zone != spec.zone {
+			ep = newEndpoint(spec.name, spec.address, spec.zone, l.kind == api.ServiceModel)
 		}
-		next[wanted.name] = known
+		next[spec.name] = ep
 	}
 	if maps.Equal(current, next) {
 		return
 	}
 	l.endpoints.Store(&next)
-	for name, running := range l.pollers {
-		if next[name] != running.endpoint {
-			running.stop()
+	for name, active := range l.pollers {
+		if next[name] != active.endpoint {
+			active.stop()
 			delete(l.pollers, name)
 		}
 	}
-	for name, followed := range next {
+	for name, target := range next {
 		if l.pollers[name] == nil {
-			l.pollers[name] = p.startPoller(l, followed)
+			l.pollers[name] = p.startPoller(l, target)
 		}
 	}
 }
 
 // selectSubset returns the specs of the endpoints that the proxy uses. It runs on every view update
 // with all endpoints of the fleet, so it avoids building a map of them.
-func (l *lane) choose(config *Config, members []member) []member {
-	candidates := make([]subset.Endpoint, len(members))
-	for i := range members {
-		candidates[i] = subset.Endpoint{Name: members[i].name, Zone: members[i].zone, Group: members[i].group}
+func (l *lane) selectSubset(config *Config, specs []endpointSpec) []endpointSpec {
+	candidates := make([]subset.Endpoint, len(specs))
+	for i := range specs {
+		candidates[i] = subset.Endpoint{Name: specs[i].name, Zone: specs[i].zone, Group: specs[i].group}
 	}
 	names := subset.Choose(config.ID, config.Zone, candidates, config.Subset)
-	chosen := make([]member, 0, len(names))
-	for i := range members {
-		if _, wanted := slices.BinarySearch(names, members[i].name); wanted {
-			chosen = append(chosen, members[i])
+	selected := make([]endpointSpec, 0, len(names))
+	for i := range specs {
+		if _, found := slices.BinarySearch(names, specs[i].name); found {
+			selected = append(selected, specs[i])
 		}
 	}
-	return chosen
+	return selected
 }
 
 // close stops polling and closes idle connections. Requests in flight continue.
 func (l *lane) close() {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	for _, running := range l.pollers {
-		running.stop()
+	for _, active := range l.pollers {
+		active.stop()
 	}
 	l.pollers = map[string]*poller{}
 	l.pool.Close()
@@ -174,20 +174,20 @@
 
 // confirmed reports whether requests may be sent to an endpoint that last reported this state:
 // always while the view's lease is valid, afterwards only if it has reported since the expiry.
-func (s *standing) confirmed(word ownWord) bool {
-	return s.valid || (word.heard && word.heardAt > s.lapsedAt)
+func (s *standing) confirmed(state reportedState) bool {
+	return s.valid || (state.heard && state.lastReportAt > s.lapsedAt)
 }
 
 // snapshot returns the lane's engines as routing candidates, sorted by name.
 func (l *lane) snapshot(s *standing) router.Snapshot {
 	endpoints := *l.endpoints.Load()
 	snapshot := router.Snapshot{Endpoints: make([]*router.Endpoint, 0, len(endpoints))}
-	for name, followed := range endpoints {
+	for name, target := range endpoints {
 		engine := s.catalog.view.Engines[name]
 		if engine == nil {
 			continue
 		}
-		snapshot.Endpoints = append(snapshot.Endpoints, followed.candidate(s, engine))
+		snapshot.Endpoints = append(snapshot.Endpoints, target.candidate(s, engine))
 	}
 	slices.SortFunc(snapshot.Endpoints, func(a, b *router.Endpoint) int {
 		switch {
@@ -213,10 +213,10 @@
 		CachedBlocks: func(blocks []uint64) (int, bool) {
 			e.lock.Lock()
 			defer e.lock.Unlock()
-			return e.cache.leading(blocks)
+			return e.cache.cachedPrefix(blocks)
 		},
 	}
-	e.describe(s.now, candidate)
+	e.fillCandidate(s.now, candidate)
 	return candidate
 }
 
@@ -227,12 +227,12 @@
 	if engine.Spec.Drain || engine.Status.OpenOrder != nil || engine.Status.Phase != api.PhaseServing {
 		return false
 	}
-	word := e.word()
-	if closedPhase(word.phase) {
+	state := e.word()
+	if closedPhase(state.phase) {
 		return false
 	}
-	if word.incarnation != 0 && word.incarnation != engine.Status.Incarnation {
+	if state.incarnation != 0 && state.incarnation != engine.Status.Incarnation {
 		return false
 	}
-	return s.confirmed(word)
+	return s.confirmed(state)
 }
--- a/process/proxy/lanes.go
+++ b/process/proxy/lanes.go
@@ -30,53 +30,53 @@
 }
 
 func newLanes() *lanes {
-	made := &lanes{}
-	made.current.Store(&map[string]*lane{})
-	made.catalog.Store(newCatalog(view.New()))
-	return made
+	created := &lanes{}
+	created.current.Store(&map[string]*lane{})
+	created.catalog.Store(newCatalog(view.New()))
+	return created
 }
 
 func (l *lanes) find(service string) *lane { return (*l.current.Load())[service] }
 
 // update applies the view unless it is the last applied one or older, and returns the catalog in
 // force.
-func (l *lanes) update(p *Proxy, current *view.View) *catalog {
-	known := l.catalog.Load()
-	if known.view == current {
-		return known
+func (l *lanes) update(p *Proxy, latest *view.View) *catalog {
+	applied := l.catalog.Load()
+	if applied.view == latest {
+		return applied
 	}
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	known = l.catalog.Load()
-	if known.view == current || current.Version.Compare(known.view.Version) < 0 {
-		return known
+	applied = l.catalog.Load()
+	if applied.view == latest || latest.Version.Compare(applied.view.Version) < 0 {
+		return applied
 	}
-	p.guard.Follow(current, p.clock())
-	made := newCatalog(current)
-	l.rebuild(p, made)
-	l.catalog.Store(made)
-	return made
+	p.guard.Follow(latest, p.clock())
+	updated := newCatalog(latest)
+	l.rebuild(p, updated)
+	l.catalog.Store(updated)
+	return updated
 }
 
-func (l *lanes) rebuild(p *Proxy, made *catalog) {
+func (l *lanes) rebuild(p *Proxy, updated *catalog) {
 	old := *l.current.Load()
-	next := make(map[string]*lane, len(made.view.Services))
-	for name, service := range made.view.Services {
-		kept := old[name]
-		if kept == nil || kept.kind != service.Spec.Type {
-			kept = newLane(&p.config, service, p.noteForeign)
+	next := make(map[string]*lane, len(updated.view.Services))
+	for name, service := range updated.view.Services {
+		serviceLane := old[name]
+		if serviceLane == nil || serviceLane.kind != service.Spec.Type {
+			serviceLane = newLane(&p.config, service, p.noteForeign)
 		}
-		kept.queue.Resize(laneWidth(&p.config, service))
-		next[name] = kept
+		serviceLane.queue.Resize(maxInFlight(&p.config, service))
+		next[name] = serviceLane
 	}
-	p.sharePolls(next)
-	for name, service := range made.view.Services {
-		next[name].follow(p, made.members(service))
+	p.sharePollBudget(next)
+	for name, service := range updated.view.Services {
+		next[name].updateEndpoints(p, updated.endpointSpecs(service))
 	}
 	l.current.Store(&next)
-	for name, dropped := range old {
-		if next[name] != dropped {
-			dropped.close()
+	for name, removed := range old {
+		if next[name] != removed {
+			removed.close()
 		}
 	}
 }
@@ -84,7 +84,7 @@
 func (l *lanes) close() {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	for _, open := range *l.current.Load() {
-		open.close()
+	for _, active := range *l.current.Load() {
+		active.close()
 	}
 }
--- a/process/proxy/lapse_test.go
+++ b/process/proxy/lapse_test.go
@@ -21,10 +21,10 @@
 	text strings.Builder
 }
 
-func (b *lockedBuffer) Write(part []byte) (int, error) {
+func (b *lockedBuffer) Write(data []byte) (int, error) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	return b.text.Write(part)
+	return b.text.Write(data)
 }
 
 func (b *lockedBuffer) String() string {
@@ -35,21 +35,21 @@
 
 // The expiry of the view lease and its renewal are logged once each, however often the view is
 // loaded, and the gauge reflects the state. A proxy that has received no view logs no expiry.
-func TestLapseIsToldOnce(t *testing.T) {
+func TestViewLapseIsLoggedOnce(t *testing.T) {
 	views := &fixedViews{}
 	views.view.Store(view.New())
 	views.invalid.Store(true)
 	config := quick()
 	config.Intervals.View = time.Hour // only the test loads the view
-	written := &lockedBuffer{}
-	proxy := New(config, views, newFakeControl(), func() time.Duration { return time.Second }, log.NewLogfmtLogger(written))
+	output := &lockedBuffer{}
+	proxy := New(config, views, newFakeControl(), func() time.Duration { return time.Second }, log.NewLogfmtLogger(output))
 	defer proxy.Close()
-	told := func(defined event.Event) int {
-		return strings.Count(written.String(), fmt.Sprintf("event=%d ", defined.Number))
+	logged := func(expected event.Event) int {
+		return strings.Count(output.String(), fmt.Sprintf("event=%d ", expected.Number))
 	}
 	// The proxy's own first check of the view may still be running.
-	eventuallyTold := func(defined event.Event, times int) {
-		eventually(t, func() bool { return told(defined) == times })
+	eventuallyLogged := func(expected event.Event, times int) {
+		eventually(t, func() bool { return logged(expected) == times })
 	}
 	gauge := func() string {
 		answer := httptest.NewRecorder()
@@ -58,22 +58,22 @@
 		return after[:1]
 	}
 	must.Eq(t, "0", gauge())
-	must.Eq(t, 0, told(event.ProxyViewLapsed))
+	must.Eq(t, 0, logged(event.ProxyViewLapsed))
 
 	views.view.Store(newView(nil, nil))
 	views.invalid.Store(false)
 	must.Eq(t, "1", gauge())
-	eventuallyTold(event.ProxyViewConfirmed, 1)
+	eventuallyLogged(event.ProxyViewConfirmed, 1)
 
 	views.invalid.Store(true)
 	for range 3 {
 		proxy.standing()
 	}
 	must.Eq(t, "0", gauge())
-	eventuallyTold(event.ProxyViewLapsed, 1)
+	eventuallyLogged(event.ProxyViewLapsed, 1)
 
 	views.invalid.Store(false)
 	must.Eq(t, "1", gauge())
-	eventuallyTold(event.ProxyViewConfirmed, 2)
-	must.Eq(t, 1, told(event.ProxyViewLapsed))
+	eventuallyLogged(event.ProxyViewConfirmed, 2)
+	must.Eq(t, 1, logged(event.ProxyViewLapsed))
 }
--- a/process/proxy/metrics.go
+++ b/process/proxy/metrics.go
@@ -16,7 +16,7 @@
 type metrics struct {
 	registry      *prometheus.Registry
 	requests      *prometheus.CounterVec
-	seconds       *prometheus.HistogramVec
+	duration      *prometheus.HistogramVec
 	retries       prometheus.Counter
 	resumes       prometheus.Counter
 	refusals      prometheus.Counter
@@ -27,38 +27,38 @@
 }
 
 func newMetrics() *metrics {
-	made := &metrics{
+	m := &metrics{
 		registry: prometheus.NewRegistry(),
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Namespace: metricsNamespace,
 			Name:      "requests_total",
 			Help:      "Requests by service, class, status and what the caller was told of the run.",
 		}, []string{"service", "class", "status", "ran"}),
-		seconds: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		duration: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Namespace: metricsNamespace,
 			Name:      "request_seconds",
 			Help:      "Time from a request's arrival to its end.",
 			Buckets:   prometheus.ExponentialBuckets(0.001, 2, 16),
 		}, []string{"service", "class"}),
-		retries:       counter("retries_total", "Further tries of requests after a failure."),
-		resumes:       counter("resumes_total", "Streams that were taken up again."),
-		refusals:      counter("engine_refusals_total", "Explicit refusals before admission by back ends."),
-		broken:        counter("broken_streams_total", "Streams that ended without their terminal event."),
-		held:          counter("held_total", "Requests that went to no engine, since engines end under them."),
-		splitFailures: counter("split_failures_total", "Hand-overs of KV cache that failed."),
-		foreign:       counter("foreign_answers_total", "Answers of back ends that are not proven to be of the request that they came to."),
+		retries:       newCounter("retries_total", "Further tries of requests after a failure."),
+		resumes:       newCounter("resumes_total", "Streams that were taken up again."),
+		refusals:      newCounter("engine_refusals_total", "Explicit refusals before admission by back ends."),
+		broken:        newCounter("broken_streams_total", "Streams that ended without their terminal event."),
+		held:          newCounter("held_total", "Requests that went to no engine, since engines end under them."),
+		splitFailures: newCounter("split_failures_total", "Hand-overs of KV cache that failed."),
+		foreign:       newCounter("foreign_answers_total", "Answers of back ends that are not proven to be of the request that they came to."),
 	}
-	made.registry.MustRegister(made.requests, made.seconds, made.retries, made.resumes,
-		made.refusals, made.broken, made.held, made.splitFailures, made.foreign)
-	return made
+	m.registry.MustRegister(m.requests, m.duration, m.retries, m.resumes,
+		m.refusals, m.broken, m.held, m.splitFailures, m.foreign)
+	return m
 }
 
-func counter(name, help string) prometheus.Counter {
+func newCounter(name, help string) prometheus.Counter {
 	return prometheus.NewCounter(prometheus.CounterOpts{Namespace: metricsNamespace, Name: name, Help: help})
 }
 
 // registerViewGauges adds the gauges of the proxy's view.
-func (m *metrics) watch(p *Proxy) {
+func (m *metrics) registerViewGauges(p *Proxy) {
 	m.registry.MustRegister(
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Namespace: metricsNamespace,
@@ -83,11 +83,11 @@
 }
 
 // ended records the end of a request that passed validation.
-func (m *metrics) ended(service, class string, failed *failure, took time.Duration) {
+func (m *metrics) ended(service, class string, failed *failure, elapsed time.Duration) {
 	status, ran := http.StatusOK, "yes"
 	if failed != nil {
 		status, ran = failed.status, string(failed.ran)
 	}
 	m.requests.WithLabelValues(service, class, strconv.Itoa(status), ran).Inc()
-	m.seconds.WithLabelValues(service, class).Observe(took.Seconds())
+	m.duration.WithLabelValues(service, class).Observe(elapsed.Seconds())
 }
--- a/process/proxy/overload_test.go
+++ b/process/proxy/overload_test.go
@@ -70,7 +70,7 @@
 
 // startOverloaded starts a fleet whose only request slot is taken by a stream that runs until release
 // is called. Class "cap" may have one queued request.
-func overloaded(t *testing.T, change func(*Config)) (f *fleet, free func()) {
+func startOverloaded(t *testing.T, change func(*Config)) (f *fleet, release func()) {
 	t.Helper()
 	hold := make(chan struct{})
 	engine, backend := newFakeEngine(t, "e1", 11), newFakeBackend(t)
@@ -91,13 +91,13 @@
 	limited.Version.Revision = 2
 	f.views.view.Store(limited)
 	hangUp := f.open(HeaderClass, "cap")
-	free = func() { close(hold); hangUp() }
-	return f, free
+	release = func() { close(hold); hangUp() }
+	return f, release
 }
 
 func TestOverload(t *testing.T) {
-	f, free := overloaded(t, func(*Config) {})
-	defer free()
+	f, release := startOverloaded(t, func(*Config) {})
+	defer release()
 	early := f.stream(HeaderClass, "cap", HeaderDeadline, "90")
 	must.Eq(t, http.StatusGatewayTimeout, early.status)
 	must.Eq(t, codeDeadlineShort, early.code())
@@ -123,7 +123,7 @@
 	must.Eq(t, 1, f.engines[0].runs.Load())
 }
 
-func TestTenantOverItsLimit(t *testing.T) {
+func TestTenantRateLimit(t *testing.T) {
 	f := start(t, quick(), []*fakeEngine{newFakeEngine(t, "e1", 11)})
 	limited := newView(f.engines, nil)
 	limited.Tenants["small"] = &api.Tenant{Metadata: api.Metadata{Name: "small"}, Spec: api.TenantSpec{TokensPerSecond: 0.01, Burst: 10}}
@@ -139,9 +139,9 @@
 }
 
 // A request whose caller disconnects while it is queued leaves the queue and reaches no engine.
-func TestCallerHangsUpInTheQueue(t *testing.T) {
-	f, free := overloaded(t, func(*Config) {})
-	defer free()
+func TestCallerDisconnectsWhileQueued(t *testing.T) {
+	f, release := startOverloaded(t, func(*Config) {})
+	defer release()
 	conn, err := net.Dial("tcp", strings.TrimPrefix(f.url, "http://"))
 	must.NoError(t, err)
 	_, err = io.WriteString(conn, "POST /v1/completions HTTP/1.1\r\nHost: a\r\nLandingtrail-Class: cap\r\nContent-Length: 49\r\n\r\n"+
@@ -157,7 +157,7 @@
 // A caller that announces a body and does not send it holds its share of the body memory until the
 // read timeout. Until then requests that do not fit are refused, except those of the other type of
 // service, which has its own limit.
-func TestCallerWhoSendsNoBody(t *testing.T) {
+func TestUnsentBodyHoldsMemoryUntilReadTimeout(t *testing.T) {
 	backend := newFakeBackend(t)
 	config := quick()
 	config.Limits.BodyBytes, config.Limits.HeldBytes = 1024, 1024
@@ -180,7 +180,7 @@
 
 // A response that exceeds the buffer limit is not retried: it fails with an error that advises the
 // caller to use streaming.
-func TestAnswerPastItsBound(t *testing.T) {
+func TestResponseTooLargeToBuffer(t *testing.T) {
 	engine := newFakeEngine(t, "e1", 11)
 	engine.script = func(e *fakeEngine, w http.ResponseWriter, r *http.Request, _ int) { e.answer(w, r, 0, 1000) }
 	config := quick()
--- a/process/proxy/pollbudget.go
+++ b/process/proxy/pollbudget.go
@@ -10,14 +10,14 @@
 
 // cacheEventShare is the share of a lane's poll traffic that is reserved for cache events. The
 // budgets are separate so that a large page of cache events does not delay load reports.
-const cacheShare = 1.0 / 3
+const cacheEventShare = 1.0 / 3
 
 // typicalPollBytes is reserved before each poll. The size beyond it is charged afterwards.
 const typicalPollBytes = 400
 
 // pollBurstWindow is the time over which an unused budget accumulates. It also caps the charge for
 // a large response, so that no single page suspends a lane's polls for longer.
-const pollBurst = 4 * time.Second
+const pollBurstWindow = 4 * time.Second
 
 // pollBudget limits the traffic of one kind of poll in one lane. Pollers wait in first-come order,
 // so with more endpoints each is polled less often. Call resize before the first use.
@@ -27,7 +27,7 @@
 // the state of its endpoints soon after its start.
 func (b *pollBudget) resize(bytesPerSecond float64) {
 	limit := rate.Limit(bytesPerSecond)
-	burst := max(2*typicalPollBytes, int(bytesPerSecond*pollBurst.Seconds()))
+	burst := max(2*typicalPollBytes, int(bytesPerSecond*pollBurstWindow.Seconds()))
 	if b.limiter == nil {
 		b.limiter = rate.NewLimiter(limit, burst)
 		return
@@ -50,11 +50,11 @@
 
 // sharePollBudget divides the proxy's poll traffic equally among the lanes, so that a service with
 // many engines does not slow down the polls of plain backends.
-func (p *Proxy) sharePolls(lanes map[string]*lane) {
+func (p *Proxy) sharePollBudget(lanes map[string]*lane) {
 	share := p.config.Limits.PollBytes / float64(max(1, len(lanes)))
-	for _, one := range lanes {
-		one.cacheBudget.resize(share * cacheShare)
-		one.loadBudget.resize(share * (1 - cacheShare))
+	for _, l := range lanes {
+		l.cacheBudget.resize(share * cacheEventShare)
+		l.loadBudget.resize(share * (1 - cacheEventShare))
 	}
 }
 
--- a/process/proxy/poller.go
+++ b/process/proxy/poller.go
@@ -18,8 +18,8 @@
 
 // Errors of polls.
 var (
-	errPoll     = errors.New("poll returned no usable response")
-	errNoAnswer = errors.New("endpoint did not respond to the poll")
+	errUnusableResponse = errors.New("poll returned no usable response")
+	errNoAnswer         = errors.New("endpoint did not respond to the poll")
 )
 
 // maxReportBytes limits the size of a load report or a page of cache events.
@@ -38,21 +38,21 @@
 	stop     context.CancelFunc
 }
 
-func (p *Proxy) startPoller(l *lane, followed *endpoint) *poller {
+func (p *Proxy) startPoller(l *lane, target *endpoint) *poller {
 	ctx, cancel := context.WithCancel(p.background)
-	started := &poller{proxy: p, lane: l, endpoint: followed, stop: cancel}
+	started := &poller{proxy: p, lane: l, endpoint: target, stop: cancel}
 	p.tasks.Go(func() { started.run(ctx) })
 	return started
 }
 
 func (p *poller) run(ctx context.Context) {
 	intervals := p.proxy.config.Intervals
-	var asked time.Time // when cache events were last polled
+	var cachePolledAt time.Time // when cache events were last polled
 	failures := 0
-	for p.mayPoll(ctx, failures) {
-		failures = p.judge(ctx, failures, p.pollLoad(ctx))
-		if p.endpoint.model && time.Since(asked) >= intervals.Cache && p.lane.cacheBudget.limiter.AllowN(time.Now(), typicalPollBytes) {
-			asked = time.Now()
+	for p.waitForBudget(ctx, failures) {
+		failures = p.recordResult(ctx, failures, p.pollLoad(ctx))
+		if p.endpoint.model && time.Since(cachePolledAt) >= intervals.Cache && p.lane.cacheBudget.limiter.AllowN(time.Now(), typicalPollBytes) {
+			cachePolledAt = time.Now()
 			p.pollCache(ctx)
 		}
 		if !pause.For(ctx, jitter(intervals.Load)) {
@@ -64,7 +64,7 @@
 // waitForBudget waits until the budget allows the next poll. It does not wait for an endpoint that
 // has just failed a poll or reports that it takes no new work, so that its failure or return is
 // noticed promptly however many endpoints share the budget. It returns false if ctx has ended.
-func (p *poller) mayPoll(ctx context.Context, failures int) bool {
+func (p *poller) waitForBudget(ctx context.Context, failures int) bool {
 	justFailed := failures > 0 && failures < pollFailures
 	if justFailed || closedPhase(p.endpoint.word().phase) {
 		p.lane.loadBudget.limiter.AllowN(time.Now(), typicalPollBytes) // charge the poll if the budget allows; go ahead either way
@@ -75,7 +75,7 @@
 
 // recordResult takes the number of consecutive failed polls and the error of the next poll, and
 // returns the new number. The endpoint becomes suspect when the number reaches pollFailures.
-func (p *poller) judge(ctx context.Context, failures int, err error) int {
+func (p *poller) recordResult(ctx context.Context, failures int, err error) int {
 	if err == nil {
 		return 0
 	}
@@ -100,30 +100,30 @@
 
 func (p *poller) pollLoad(ctx context.Context) error {
 	var load engineapi.Load
-	asked := p.proxy.clock()
-	header, err := p.get(ctx, p.lane.loadBudget, engineapi.PathLoad, &load)
+	sentAt := p.proxy.clock()
+	header, err := p.getJSON(ctx, p.lane.loadBudget, engineapi.PathLoad, &load)
 	now := p.proxy.clock()
-	if p.endpoint.speaksForAnother(load) {
+	if p.endpoint.isFromOtherEngine(load) {
 		return errors.Wrapf(errNoAnswer, "the address belongs to engine %s", load.Engine)
 	}
 	if header != nil {
-		p.endpoint.hearHeader(asked, now, header)
+		p.endpoint.hearHeader(sentAt, now, header)
 	}
 	if err != nil {
 		return err
 	}
-	p.endpoint.report(asked, now, load)
-	p.proxy.noteLife(p.endpoint, asked)
+	p.endpoint.report(sentAt, now, load)
+	p.proxy.noteLife(p.endpoint, sentAt)
 	return nil
 }
 
 func (p *poller) pollCache(ctx context.Context) {
 	p.endpoint.lock.Lock()
-	after := p.endpoint.cache.next
+	after := p.endpoint.cache.lastSequence
 	p.endpoint.lock.Unlock()
 	var page engineapi.CacheEvents
 	path := engineapi.PathCacheEvents + "?after=" + strconv.FormatUint(after, 10)
-	if _, err := p.get(ctx, p.lane.cacheBudget, path, &page); err != nil {
+	if _, err := p.getJSON(ctx, p.lane.cacheBudget, path, &page); err != nil {
 		return // cache events are hints; the next poll catches up
 	}
 	p.endpoint.lock.Lock()
@@ -135,19 +135,19 @@
 	p.endpoint.cache.apply(page, after)
 }
 
-// get polls the path and decodes the JSON response into the value. The header is non-nil if the
+// getJSON polls the path and decodes the JSON response into the value. The header is non-nil if the
 // endpoint responded, even with an error.
-func (p *poller) get(ctx context.Context, budget *pollBudget, path string, into any) (http.Header, error) {
+func (p *poller) getJSON(ctx context.Context, budget *pollBudget, path string, target any) (http.Header, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.proxy.config.Timeouts.Head)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.endpoint.address+path, nil)
 	if err != nil {
-		return nil, errors.Wrap(errPoll, err.Error())
+		return nil, errors.Wrap(errUnusableResponse, err.Error())
 	}
 	request.Header.Set("User-Agent", "") // omitted to save bytes on every poll
 	response, err := p.lane.polls.Do(request, newPollIdentity())
 	if errors.Is(err, upstream.ErrForeign) {
-		return nil, errors.Wrap(errPoll, err.Error())
+		return nil, errors.Wrap(errUnusableResponse, err.Error())
 	}
 	if err != nil {
 		return nil, errors.Wrap(errNoAnswer, err.Error())
@@ -156,13 +156,13 @@
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxReportBytes))
 	budget.charge(wireBytes(request, response.Header, len(body)))
 	if err != nil {
-		return response.Header, errors.Wrap(errPoll, err.Error())
+		return response.Header, errors.Wrap(errUnusableResponse, err.Error())
 	}
 	if response.StatusCode != http.StatusOK {
-		return response.Header, errors.Wrapf(errPoll, "status %d", response.StatusCode)
+		return response.Header, errors.Wrapf(errUnusableResponse, "status %d", response.StatusCode)
 	}
-	if err := json.Unmarshal(body, into); err != nil {
-		return response.Header, errors.Wrap(errPoll, err.Error())
+	if err := json.Unmarshal(body, target); err != nil {
+		return response.Header, errors.Wrap(errUnusableResponse, err.Error())
 	}
 	return response.Header, nil
 }
--- a/process/proxy/poller_test.go
+++ b/process/proxy/poller_test.go
@@ -24,7 +24,7 @@
 )
 
 // 192 pollers that share a budget, in virtual time, stay within it and each get an equal share.
-func TestPollsStayWithinTheirBytes(t *testing.T) {
+func TestPollersShareBudgetEqually(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const pollers, perSecond, pollBytes, window = 192, 7000, 1000, 10 * time.Minute
 		budget := &pollBudget{}
@@ -47,7 +47,7 @@
 		for _, count := range counts {
 			total += count
 		}
-		allowed := int(perSecond * (window + pollBurst).Seconds())
+		allowed := int(perSecond * (window + pollBurstWindow).Seconds())
 		must.LessEq(t, allowed+pollers*pollBytes, total*pollBytes)
 		must.GreaterEq(t, allowed*9/10, total*pollBytes)
 		must.LessEq(t, slices.Min(counts)+2, slices.Max(counts))
@@ -100,55 +100,55 @@
 	server.Listener = counting
 	server.Start()
 	tb.Cleanup(server.Close)
-	made := newView(nil, nil)
+	fleetView := newView(nil, nil)
 	for i := range count {
 		name := fmt.Sprintf("engine-%05d", i)
-		made.Engines[name] = &api.Engine{Metadata: api.Metadata{Name: name},
+		fleetView.Engines[name] = &api.Engine{Metadata: api.Metadata{Name: name},
 			Spec: api.EngineSpec{Address: counting.Addr().String(), Zone: fmt.Sprint("zone-", i%5), Service: "narrator"},
 			Status: api.EngineStatus{Phase: api.PhaseServing, Incarnation: 11,
 				Assignment: api.Assignment{Model: "llm", Version: "1", Role: api.RoleMixed}}}
 	}
-	return made, counting
+	return fleetView, counting
 }
 
-func startPolling(tb testing.TB, config Config, current *view.View) (*Proxy, *fixedViews) {
+func startPollingProxy(tb testing.TB, config Config, current *view.View) (*Proxy, *fixedViews) {
 	tb.Helper()
 	views := &fixedViews{}
 	views.view.Store(current)
 	begin := time.Now()
-	made := New(config, views, newFakeControl(), func() time.Duration { return time.Since(begin) }, log.NewNopLogger())
-	tb.Cleanup(made.Close)
-	made.standing()
-	return made, views
+	proxy := New(config, views, newFakeControl(), func() time.Duration { return time.Since(begin) }, log.NewNopLogger())
+	tb.Cleanup(proxy.Close)
+	proxy.standing()
+	return proxy, views
 }
 
 // An engine that is down becomes suspect even if the budget allows only two polls.
-func TestSilenceIsFoundWithoutBytes(t *testing.T) {
-	gone := newFakeEngine(t, "e1", 11)
-	gone.server.Close()
+func TestDownEngineIsDetectedOnExhaustedPollBudget(t *testing.T) {
+	stopped := newFakeEngine(t, "e1", 11)
+	stopped.server.Close()
 	config := quick()
 	config.Limits.PollBytes = 1
-	f := start(t, config, []*fakeEngine{gone})
+	f := start(t, config, []*fakeEngine{stopped})
 	eventually(t, func() bool { return f.endpoint("narrator", "e1").suspected(f.proxy.clock()) })
 }
 
 // A load report that may be older than the last report of a draining engine must not mark the engine
 // as serving again; a newer one does.
-func TestLateReportDoesNotReopen(t *testing.T) {
-	one := newEndpoint("e1", "", "", true)
+func TestStaleLoadReportDoesNotEndDraining(t *testing.T) {
+	target := newEndpoint("e1", "", "", true)
 	serving := engineapi.Load{Phase: api.PhaseServing, AgeMilliseconds: 300}
-	one.report(0, time.Second, serving)
-	one.hear(spokenWord{said: time.Second, now: 2 * time.Second, phase: api.PhaseDraining})
-	one.report(1900*time.Millisecond, 2100*time.Millisecond, serving) // requested before the engine drained
-	must.Eq(t, api.PhaseDraining, one.word().phase)
-	one.report(2200*time.Millisecond, 2300*time.Millisecond, serving) // measured before the engine drained
-	must.Eq(t, api.PhaseDraining, one.word().phase)
-	one.report(2300*time.Millisecond, 2400*time.Millisecond, serving)
-	must.Eq(t, api.PhaseServing, one.word().phase)
+	target.report(0, time.Second, serving)
+	target.hear(spokenWord{said: time.Second, now: 2 * time.Second, phase: api.PhaseDraining})
+	target.report(1900*time.Millisecond, 2100*time.Millisecond, serving) // requested before the engine drained
+	must.Eq(t, api.PhaseDraining, target.word().phase)
+	target.report(2200*time.Millisecond, 2300*time.Millisecond, serving) // measured before the engine drained
+	must.Eq(t, api.PhaseDraining, target.word().phase)
+	target.report(2300*time.Millisecond, 2400*time.Millisecond, serving)
+	must.Eq(t, api.PhaseServing, target.word().phase)
 }
 
 // A drained engine that serves again is noticed even if the budget allows only two polls.
-func TestReturningEngineIsFoundWithoutBytes(t *testing.T) {
+func TestReturningEngineIsDetectedOnExhaustedPollBudget(t *testing.T) {
 	engine := newFakeEngine(t, "e1", 11)
 	engine.setPhase(api.PhaseDraining)
 	config := quick()
@@ -162,73 +162,73 @@
 }
 
 // The bytes charged for a poll match the bytes measured on a keep-alive connection.
-func TestWireBytesAreThoseOfTheConnection(t *testing.T) {
+func TestWireBytesMatchConnection(t *testing.T) {
 	current, counting := largeFleet(t, 1)
 	config := quick()
 	config.Intervals.Load = time.Minute
-	made, _ := startPolling(t, config, current)
-	followed := made.lanes.find("narrator")
-	eventually(t, func() bool { return (*followed.endpoints.Load())["engine-00000"].word().heard })
+	proxy, _ := startPollingProxy(t, config, current)
+	narrator := proxy.lanes.find("narrator")
+	eventually(t, func() bool { return (*narrator.endpoints.Load())["engine-00000"].word().heard })
 	budget := &pollBudget{}
 	budget.resize(1 << 20)
-	one := &poller{proxy: made, lane: followed, endpoint: (*followed.endpoints.Load())["engine-00000"]}
+	p := &poller{proxy: proxy, lane: narrator, endpoint: (*narrator.endpoints.Load())["engine-00000"]}
 	before := counting.bytes.Load()
 	const polls = 50
 	for range polls {
 		budget.limiter.ReserveN(time.Now(), typicalPollBytes)
 		var load engineapi.Load
-		_, err := one.get(context.Background(), budget, engineapi.PathLoad, &load)
+		_, err := p.getJSON(context.Background(), budget, engineapi.PathLoad, &load)
 		must.NoError(t, err)
 	}
 	wire := float64(counting.bytes.Load()-before) / polls
 	request, _ := http.NewRequest(http.MethodGet, "http://"+counting.Addr().String()+engineapi.PathLoad, nil)
 	request.Header.Set(engineapi.HeaderRequestID, newPollIdentity().RequestID)
-	header, _ := one.get(context.Background(), budget, engineapi.PathLoad, &engineapi.Load{})
+	header, _ := p.getJSON(context.Background(), budget, engineapi.PathLoad, &engineapi.Load{})
 	body := 0
 	_, _ = fmt.Sscan(header.Get("Content-Length"), &body)
 	must.Between(t, 0.97*wire, float64(wireBytes(request, header, body)), 1.03*wire)
 }
 
-func names(l *lane) map[string]bool {
-	followed := map[string]bool{}
+func endpointNames(l *lane) map[string]bool {
+	names := map[string]bool{}
 	for name := range *l.endpoints.Load() {
-		followed[name] = true
+		names[name] = true
 	}
-	return followed
+	return names
 }
 
 // A proxy uses six of sixty engines, four of them in its own zone, and routes only to these. When one
 // of them leaves the fleet, exactly one other replaces it.
-func TestSubsetMovesOn(t *testing.T) {
+func TestSubsetReplacesRemovedEngine(t *testing.T) {
 	current, _ := largeFleet(t, 60)
 	config := quick()
 	config.Zone = "zone-0"
 	config.Subset = subset.Sizes{Local: 4, Remote: 2}
-	made, views := startPolling(t, config, current)
-	lane := made.lanes.find("narrator")
-	before := names(lane)
+	proxy, views := startPollingProxy(t, config, current)
+	lane := proxy.lanes.find("narrator")
+	before := endpointNames(lane)
 	must.MapLen(t, 6, before)
 	local := 0
-	left := ""
+	removed := ""
 	for name := range before {
 		if current.Engines[name].Spec.Zone == "zone-0" {
 			local++
-			left = name
+			removed = name
 		}
 	}
 	must.Eq(t, 4, local)
-	s := made.standing()
+	s := proxy.standing()
 	must.Len(t, 6, lane.snapshot(&s).Endpoints)
 
 	next, _ := largeFleet(t, 60)
 	for name, engine := range next.Engines {
 		engine.Spec.Address = current.Engines[name].Spec.Address
 	}
-	delete(next.Engines, left)
+	delete(next.Engines, removed)
 	next.Version.Revision = 2
 	views.view.Store(next)
-	made.standing()
-	after := names(lane)
+	proxy.standing()
+	after := endpointNames(lane)
 	must.MapLen(t, 6, after)
 	kept := 0
 	for name := range after {
@@ -237,14 +237,14 @@
 		}
 	}
 	must.Eq(t, 5, kept)
-	must.False(t, after[left])
+	must.False(t, after[removed])
 	must.MapLen(t, 6, lane.pollers)
 }
 
-func TestTodaysEnginesAreAllFollowed(t *testing.T) {
+func TestSmallFleetIsPolledCompletely(t *testing.T) {
 	current, _ := largeFleet(t, 9)
-	made, _ := startPolling(t, quick(), current)
-	must.MapLen(t, 9, names(made.lanes.find("narrator")))
+	proxy, _ := startPollingProxy(t, quick(), current)
+	must.MapLen(t, 9, endpointNames(proxy.lanes.find("narrator")))
 }
 
 // BenchmarkPolling measures the cost of polling 2,000 replicas: all of them, a subset, and a subset
@@ -263,7 +263,7 @@
 			config := Config{ID: "proxy-1", Zone: "zone-0"}
 			change(&config)
 			current, counting := largeFleet(b, replicas)
-			_, _ = startPolling(b, config, current)
+			_, _ = startPollingProxy(b, config, current)
 			time.Sleep(settle)
 			bytes, busy, began := counting.bytes.Load(), processorTime(b), time.Now()
 			for b.Loop() {
@@ -288,11 +288,11 @@
 	current, _ := largeFleet(b, 10_000)
 	config := Config{ID: "proxy-1", Zone: "zone-0"}
 	config.Intervals.View = time.Hour
-	made, views := startPolling(b, config, current)
+	proxy, views := startPollingProxy(b, config, current)
 	for b.Loop() {
 		next := *current
-		next.Version.Revision = made.standing().catalog.view.Version.Revision + 1
+		next.Version.Revision = proxy.standing().catalog.view.Version.Revision + 1
 		views.view.Store(&next)
-		made.standing()
+		proxy.standing()
 	}
 }
--- a/process/proxy/proxy.go
+++ b/process/proxy/proxy.go
@@ -65,14 +65,14 @@
 	backendBodies bodyBudget
 
 	// lapsedAt is when the proxy noticed that the view lease had expired; 0 while it is valid.
-	lapsed atomic.Int64
+	lapsedAt atomic.Int64
 	// stopping is set once responses must ask callers to close their connections.
 	stopping atomic.Bool
 	// cutAt is when a graceful stop aborts the requests that are still in flight; 0 if it never
 	// does.
 	cutAt atomic.Int64
 
-	instance uint64 // random for each start, so that request IDs do not repeat after a restart
+	startID  uint64 // random for each start, so that request IDs do not repeat after a restart
 	sequence atomic.Uint64
 	// background is the context of tasks that outlive requests.
 	background context.Context
@@ -84,30 +84,30 @@
 // lease expires. Call Close to stop the proxy.
 func New(config Config, views Views, control Control, clock func() time.Duration, logger log.Logger) *Proxy {
 	config = config.withDefaults()
-	made := &Proxy{
-		config:   config,
-		logger:   logger,
-		views:    views,
-		control:  control,
-		clock:    clock,
-		guard:    guard.New(""),
-		lanes:    newLanes(),
-		buckets:  limit.NewBuckets(),
-		answers:  router.NewAnswerLengths(),
-		router:   router.New(router.Config{Speed: config.Speed}),
-		running:  newInFlight(),
-		demand:   newDemandWindow(),
-		metrics:  newMetrics(),
-		instance: rand.Uint64(),
+	p := &Proxy{
+		config:  config,
+		logger:  logger,
+		views:   views,
+		control: control,
+		clock:   clock,
+		guard:   guard.New(""),
+		lanes:   newLanes(),
+		buckets: limit.NewBuckets(),
+		answers: router.NewAnswerLengths(),
+		router:  router.New(router.Config{Speed: config.Speed}),
+		running: newInFlight(),
+		demand:  newDemandWindow(),
+		metrics: newMetrics(),
+		startID: rand.Uint64(),
 	}
-	made.guard.SetReporter(control)
-	made.modelBodies.limit = config.Limits.HeldBytes
-	made.backendBodies.limit = config.Limits.HeldBytes
-	made.metrics.watch(made)
-	made.background, made.stop = context.WithCancel(context.Background())
-	made.tasks.Go(made.followViews)
-	made.tasks.Go(made.reportDemand)
-	return made
+	p.guard.SetReporter(control)
+	p.modelBodies.limit = config.Limits.HeldBytes
+	p.backendBodies.limit = config.Limits.HeldBytes
+	p.metrics.registerViewGauges(p)
+	p.background, p.stop = context.WithCancel(context.Background())
+	p.tasks.Go(p.watchViews)
+	p.tasks.Go(p.reportDemand)
+	return p
 }
 
 // Close stops the background tasks and waits for them. All requests must have ended before.
@@ -119,7 +119,7 @@
 }
 
 // watchViews applies new views periodically, so that they take effect without requests too.
-func (p *Proxy) followViews() {
+func (p *Proxy) watchViews() {
 	for {
 		p.standing()
 		if !pause.For(p.background, p.config.Intervals.View) {
@@ -131,19 +131,19 @@
 // standing applies the latest view and returns it with the validity of its lease. Callers must not
 // keep the result across a wait.
 func (p *Proxy) standing() standing {
-	known := p.lanes.update(p, p.views.Load())
+	current := p.lanes.update(p, p.views.Load())
 	now := p.clock()
 	if p.views.Valid(now) {
-		p.noteConfirmed(known.view)
-		return standing{catalog: known, valid: true, now: now}
+		p.noteConfirmed(current.view)
+		return standing{catalog: current, valid: true, now: now}
 	}
-	p.noteLapsed(known.view, now)
-	return standing{catalog: known, lapsedAt: time.Duration(p.lapsed.Load()), now: now}
+	p.noteLapsed(current.view, now)
+	return standing{catalog: current, lapsedAt: time.Duration(p.lapsedAt.Load()), now: now}
 }
 
 // noteConfirmed logs that the lease is valid again and resets lapsedAt.
 func (p *Proxy) noteConfirmed(current *view.View) {
-	if p.lapsed.Load() != 0 && p.lapsed.Swap(0) != 0 {
+	if p.lapsedAt.Load() != 0 && p.lapsedAt.Swap(0) != 0 {
 		event.ProxyViewConfirmed.Log(p.logger, "revision", current.Version.Revision)
 	}
 }
@@ -151,7 +151,7 @@
 // noteLapsed sets lapsedAt when the lease expires. It logs the expiry unless the proxy has not
 // received a view yet.
 func (p *Proxy) noteLapsed(current *view.View, now time.Duration) {
-	if p.lapsed.CompareAndSwap(0, int64(max(now, 1))) && !current.Version.IsZero() {
+	if p.lapsedAt.CompareAndSwap(0, int64(max(now, 1))) && !current.Version.IsZero() {
 		event.ProxyViewLapsed.Log(p.logger, "revision", current.Version.Revision)
 	}
 }
@@ -177,7 +177,7 @@
 	buffer := make([]byte, 0, len(p.config.ID)+32)
 	buffer = append(buffer, p.config.ID...)
 	buffer = append(buffer, '-')
-	buffer = strconv.AppendUint(buffer, p.instance, 36)
+	buffer = strconv.AppendUint(buffer, p.startID, 36)
 	buffer = append(buffer, '-')
 	buffer = strconv.AppendUint(buffer, p.sequence.Add(1), 36)
 	return string(buffer)
--- a/process/proxy/quarantine.go
+++ b/process/proxy/quarantine.go
@@ -26,7 +26,7 @@
 
 // replicaName returns a name for the engine's incarnation, since a restarted engine keeps its own
 // name.
-func instance(engine string, incarnation uint64) string {
+func replicaName(engine string, incarnation uint64) string {
 	return engine + "/" + strconv.FormatUint(incarnation, 16)
 }
 
@@ -34,10 +34,10 @@
 // is new for each.
 func (c *call) fingerprint() quarantine.Fingerprint {
 	if c.named == nil {
-		named := quarantine.Of(quarantine.Identity{
+		computed := quarantine.Of(quarantine.Identity{
 			Method: http.MethodPost, Path: c.parsed.path, Caller: c.envelope.tenant, Body: c.parsed.body,
 		})
-		c.named = &named
+		c.named = &computed
 	}
 	return *c.named
 }
@@ -46,31 +46,31 @@
 // as it does when the engine crashes. An engine that never reported its incarnation is ignored,
 // since it cannot be distinguished from its successor.
 func (c *call) noteBroken(ctx context.Context, err error) {
-	at := &c.running
-	if ctx.Err() != nil || at.target == nil || !isBroken(err) {
+	last := &c.running
+	if ctx.Err() != nil || last.target == nil || !isConnectionBroken(err) {
 		return
 	}
-	if at.incarnation == 0 {
-		at.incarnation = at.target.word().incarnation
+	if last.incarnation == 0 {
+		last.incarnation = last.target.word().incarnation
 	}
-	if at.incarnation == 0 {
+	if last.incarnation == 0 {
 		return
 	}
 	now := c.proxy.clock()
 	c.ended++
-	name := instance(at.target.name, at.incarnation)
+	replica := replicaName(last.target.name, last.incarnation)
 	event.ProxyRunBroken.Log(c.proxy.logger, "request", c.id, "fingerprint", c.fingerprint(), "class", c.envelope.class,
-		"engine", name, "after_ms", (now - at.sentAt).Milliseconds(), "events", at.events, "err", err)
-	at.target.noteEnd(now, at.incarnation)
+		"engine", replica, "after_ms", (now - last.sentAt).Milliseconds(), "events", last.events, "err", err)
+	last.target.noteSuspectedEnd(now, last.incarnation)
 	c.proxy.guard.Ended(now, quarantine.Evidence{
-		Fingerprint: c.fingerprint(), Replica: name, Began: at.events > 0, Ran: now - at.sentAt, Once: true,
+		Fingerprint: c.fingerprint(), Replica: replica, Began: last.events > 0, Ran: now - last.sentAt, Once: true,
 		About: quarantine.About{Service: c.lane.service, Route: c.envelope.class, Request: c.id},
 	})
 }
 
 // isConnectionBroken reports whether the error means that the peer closed or reset the connection.
 // Errors that the engine reports itself and timeouts do not count.
-func isBroken(err error) bool {
+func isConnectionBroken(err error) bool {
 	if errors.Is(err, upstream.ErrForeign) || errors.Is(err, upstream.ErrMalformed) || errors.Is(err, upstream.ErrEngine) {
 		return false
 	}
@@ -84,19 +84,19 @@
 
 // noteLife tells the guard that an engine which appeared to have ended has answered a request that
 // was sent to it afterwards.
-func (p *Proxy) noteLife(heard *endpoint, asked time.Duration) {
-	if incarnation, refuted := heard.refutesEnd(asked); refuted {
-		p.guard.Lives(p.clock(), quarantine.Alive{Replica: instance(heard.name, incarnation), For: quarantine.Ever})
+func (p *Proxy) noteLife(target *endpoint, sentAt time.Duration) {
+	if incarnation, refuted := target.resolveSuspectedEnd(sentAt); refuted {
+		p.guard.Lives(p.clock(), quarantine.Alive{Replica: replicaName(target.name, incarnation), For: quarantine.Ever})
 	}
-	if name := instance(heard.name, heard.word().incarnation); p.guard.Active() && p.guard.Doubts(name, asked) {
-		p.guard.Lives(p.clock(), quarantine.Alive{Replica: name, For: quarantine.Ever})
+	if replica := replicaName(target.name, target.word().incarnation); p.guard.Active() && p.guard.Doubts(replica, sentAt) {
+		p.guard.Lives(p.clock(), quarantine.Alive{Replica: replica, For: quarantine.Ever})
 	}
 }
 
 // held reports whether the request must not be sent to any engine, and for how long. The request is
-// held without waiting for the control group's decision if it has ended enough engines itself, or
-// has ended one and the guard knows of enough for the same fingerprint.
-func (c *call) held() (rest time.Duration, held bool) {
+// held without waiting for the control group's decision if CondemningEnds engines ended under this
+// call, or if one did and the guard knows of as many ends under the same fingerprint.
+func (c *call) held() (remaining time.Duration, held bool) {
 	if c.ended >= quarantine.CondemningEnds || c.ended > 0 && c.proxy.guard.EndsMany(c.proxy.clock(), c.fingerprint()) {
 		return guard.LeastHold, true
 	}
@@ -109,19 +109,19 @@
 // refuseHeld returns the failure of a request that is held because engines ended while processing
 // it, or nil if it is not held.
 func (c *call) refuseHeld() *failure {
-	rest, held := c.held()
+	remaining, held := c.held()
 	if !held {
 		return nil
 	}
 	c.proxy.metrics.held.Inc()
 	event.ProxyRequestHeld.Log(c.proxy.logger, "request", c.id, "fingerprint", c.fingerprint(), "class", c.envelope.class,
-		"rest_ms", rest.Milliseconds())
-	failed := unavailable(codeQuarantined, "engines ended under this request; it is held", rest)
+		"rest_ms", remaining.Milliseconds())
+	failed := unavailable(codeQuarantined, "engines ended under this request; it is held", remaining)
 	failed.final = true
 	return failed
 }
 
-// noteServed tells the guard that the request was answered completely, which clears it of suspicion.
+// noteServed tells the guard that the request was answered completely, so that earlier ends no longer count against it.
 func (c *call) noteServed() {
 	// c.named is also set if an engine ended under this call, which nobody else may know of yet.
 	if c.named != nil || c.proxy.guard.Active() {
@@ -130,23 +130,23 @@
 }
 
 // noteSuspectedEnd records that the engine's incarnation appears to have ended.
-func (e *endpoint) noteEnd(now time.Duration, incarnation uint64) {
+func (e *endpoint) noteSuspectedEnd(now time.Duration, incarnation uint64) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
-	e.endedAt, e.endedIncarnation = max(now, 1), incarnation
+	e.suspectedEndAt, e.suspectedEndIncarnation = max(now, 1), incarnation
 }
 
-// resolveSuspectedEnd checks a suspected end against a response to a request sent at asked. It
+// resolveSuspectedEnd checks a suspected end against a response to a request sent at sentAt. It
 // reports whether the response refutes the end because it comes from the same incarnation. A response
 // to a request sent after the end resolves the suspicion either way, so each end is refuted at most
 // once.
-func (e *endpoint) refutesEnd(asked time.Duration) (incarnation uint64, refuted bool) {
+func (e *endpoint) resolveSuspectedEnd(sentAt time.Duration) (incarnation uint64, refuted bool) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
-	if e.endedAt == 0 || asked <= e.endedAt || e.incarnation == 0 {
+	if e.suspectedEndAt == 0 || sentAt <= e.suspectedEndAt || e.incarnation == 0 {
 		return 0, false
 	}
-	incarnation, refuted = e.endedIncarnation, e.incarnation == e.endedIncarnation
-	e.endedAt = 0
+	incarnation, refuted = e.suspectedEndIncarnation, e.incarnation == e.suspectedEndIncarnation
+	e.suspectedEndAt = 0
 	return incarnation, refuted
 }
--- a/process/proxy/quarantine_test.go
+++ b/process/proxy/quarantine_test.go
@@ -16,12 +16,12 @@
 
 // crashingEngines is a script for engines that break the connection, as if they crashed, when a
 // request body contains "fatal".
-type fatalEngines struct {
-	lock sync.Mutex
-	ends int
+type crashingEngines struct {
+	lock    sync.Mutex
+	crashes int
 }
 
-func (f *fatalEngines) script(e *fakeEngine, w http.ResponseWriter, r *http.Request, _ int) {
+func (f *crashingEngines) script(e *fakeEngine, w http.ResponseWriter, r *http.Request, _ int) {
 	body, _ := io.ReadAll(r.Body)
 	if !strings.Contains(string(body), "fatal") {
 		e.answer(w, r, 0, 3)
@@ -29,65 +29,65 @@
 	}
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	f.ends++
+	f.crashes++
 	panic(http.ErrAbortHandler)
 }
 
 // streamPrompt sends a streaming request with the prompt.
-func (f *fleet) askFor(prompt string) *reply {
+func (f *fleet) streamPrompt(prompt string) *reply {
 	return f.do(http.MethodPost, "/v1/completions", `{"model":"llm","stream":true,"max_tokens":3,"prompt":"`+prompt+`"}`, HeaderClass, "cap")
 }
 
 // awaitFirstPoll waits until each engine has answered its first poll. The fake engines keep running
 // after a simulated crash, so an answer to a later poll would refute the crash.
-func (f *fleet) awaitHeard(engines []*fakeEngine) {
+func (f *fleet) awaitFirstPoll(engines []*fakeEngine) {
 	f.t.Helper()
 	deadline := time.Now().Add(patience)
 	for _, engine := range engines {
-		for !f.heard(engine) {
+		for !f.hasPolled(engine) {
 			must.True(f.t, time.Now().Before(deadline))
 			time.Sleep(time.Millisecond)
 		}
 	}
 }
 
-func (f *fleet) heard(engine *fakeEngine) bool {
+func (f *fleet) hasPolled(engine *fakeEngine) bool {
 	lane := f.proxy.lanes.find("narrator")
 	if lane == nil {
 		return false
 	}
-	followed := (*lane.endpoints.Load())[engine.name]
-	return followed != nil && followed.word().incarnation == engine.incarnation
+	target := (*lane.endpoints.Load())[engine.name]
+	return target != nil && target.word().incarnation == engine.incarnation
 }
 
-// A request that has crashed enough engines is sent to no further one and is refused at once, while
-// other requests are served.
-func TestRequestUnderWhichEnginesEndIsHeld(t *testing.T) {
-	fatal := &fatalEngines{}
+// A request that has crashed three engines, or four if the proxy has no leader, is sent to no further
+// one and is refused at once, while other requests are served.
+func TestRequestThatCrashesEnginesIsHeld(t *testing.T) {
+	crashing := &crashingEngines{}
 	var engines []*fakeEngine
 	for i := range 6 {
 		engine := newFakeEngine(t, "e"+strconv.Itoa(i), uint64(11+i))
-		engine.script = fatal.script
+		engine.script = crashing.script
 		engines = append(engines, engine)
 	}
 	config := quick()
 	config.Timeouts.Head, config.Intervals.Load = patience, time.Hour // no poll may refute the suspected end
 	control := newFakeControl()
 	f := startWith(t, config, control, engines)
-	f.awaitHeard(engines)
+	f.awaitFirstPoll(engines)
 	for range 10 {
-		answer := f.askFor("fatal")
+		answer := f.streamPrompt("fatal")
 		must.NotEq(t, http.StatusOK, answer.status)
 	}
-	fatal.lock.Lock()
-	must.Eq(t, 4, fatal.ends, must.Sprint("three crashes, and one more because the proxy has no leader"))
-	fatal.lock.Unlock()
-	answer := f.askFor("fatal")
+	crashing.lock.Lock()
+	must.Eq(t, 4, crashing.crashes, must.Sprint("three crashes, and one more because the proxy has no leader"))
+	crashing.lock.Unlock()
+	answer := f.streamPrompt("fatal")
 	must.Eq(t, http.StatusServiceUnavailable, answer.status)
 	must.Eq(t, codeQuarantined, answer.code())
 	must.Eq(t, "no", answer.ran())
 	must.NotEq(t, "", answer.header.Get("Retry-After"))
-	must.Eq(t, http.StatusOK, f.askFor("another").status)
+	must.Eq(t, http.StatusOK, f.streamPrompt("another").status)
 	control.lock.Lock()
 	must.SliceLen(t, 4, control.ends)
 	control.lock.Unlock()
@@ -98,22 +98,22 @@
 		name = report.Ended[0].Fingerprint.String()
 	}
 	other := start(t, quick(), engines)
-	known := *other.views.view.Load()
-	known.Version.Revision++
-	known.Quarantines = map[string]*api.Quarantine{name: {Metadata: api.Metadata{Name: name, Revision: 2},
+	quarantined := *other.views.view.Load()
+	quarantined.Version.Revision++
+	quarantined.Quarantines = map[string]*api.Quarantine{name: {Metadata: api.Metadata{Name: name, Revision: 2},
 		Spec: api.QuarantineSpec{State: api.QuarantineHeld, Until: time.Now().Add(time.Hour).UnixMilli()}}}
-	other.views.view.Store(&known)
-	must.Eq(t, codeQuarantined, other.askFor("fatal").code())
-	must.Eq(t, http.StatusOK, other.askFor("another").status)
+	other.views.view.Store(&quarantined)
+	must.Eq(t, codeQuarantined, other.streamPrompt("fatal").code())
+	must.Eq(t, http.StatusOK, other.streamPrompt("another").status)
 }
 
 // A poll that is answered by the same incarnation refutes the suspected end of an engine.
-func TestPollRefutesAnEnd(t *testing.T) {
-	fatal := &fatalEngines{}
+func TestPollRefutesSuspectedEnd(t *testing.T) {
+	crashing := &crashingEngines{}
 	engine := newFakeEngine(t, "e0", 11)
-	engine.script = fatal.script
+	engine.script = crashing.script
 	f := start(t, quick(), []*fakeEngine{engine})
-	must.NotEq(t, http.StatusOK, f.askFor("fatal").status)
+	must.NotEq(t, http.StatusOK, f.streamPrompt("fatal").status)
 	deadline := time.Now().Add(patience)
 	for f.proxy.guard.Active() {
 		must.True(t, time.Now().Before(deadline))
@@ -123,7 +123,7 @@
 
 // A request that crashes prefill engines is sent to no fourth one, although a failed KV transfer is
 // otherwise retried at another engine without using the retry budget.
-func TestRequestThatEndsReadersIsHeld(t *testing.T) {
+func TestRequestThatCrashesPrefillEnginesIsHeld(t *testing.T) {
 	var engines []*fakeEngine
 	for i := range 6 {
 		engine := newFakeEngine(t, "e"+strconv.Itoa(i), uint64(11+i))
@@ -133,16 +133,16 @@
 	config := quick()
 	config.Timeouts.Head, config.Intervals.Load = patience, time.Hour // no poll may refute the suspected end
 	f := start(t, config, engines)
-	made := newView(engines, nil)
+	splitView := newView(engines, nil)
 	for i, engine := range engines {
-		made.Engines[engine.name].Status.Assignment.Role = api.RolePrefill
+		splitView.Engines[engine.name].Status.Assignment.Role = api.RolePrefill
 		if i == 0 {
-			made.Engines[engine.name].Status.Assignment.Role = api.RoleDecode
+			splitView.Engines[engine.name].Status.Assignment.Role = api.RoleDecode
 		}
 	}
-	made.Version.Revision = 2
-	f.views.view.Store(made)
-	answer := f.askFor("fatal")
+	splitView.Version.Revision = 2
+	f.views.view.Store(splitView)
+	answer := f.streamPrompt("fatal")
 	must.Eq(t, http.StatusServiceUnavailable, answer.status)
 	must.Eq(t, codeQuarantined, answer.code())
 	exports := int32(0)
--- a/process/proxy/server.go
+++ b/process/proxy/server.go
@@ -34,12 +34,12 @@
 	if err != nil {
 		return rest.RestConf{}, errors.Wrap(ErrConfig, err.Error())
 	}
-	number, err := strconv.Atoi(port)
+	portNumber, err := strconv.Atoi(port)
 	if err != nil {
 		return rest.RestConf{}, errors.Wrap(ErrConfig, err.Error())
 	}
 	conf := admin.RestConf(name)
-	conf.Host, conf.Port = host, number
+	conf.Host, conf.Port = host, portNumber
 	return conf, nil
 }
 
@@ -61,23 +61,23 @@
 }
 
 // listen starts a server and returns once it listens on the address.
-func (p *Proxy) listen(name, address string, routes *prefixRouter, add func(*rest.Server)) (*server, error) {
+func (p *Proxy) listen(name, address string, routes *prefixRouter, addRoutes func(*rest.Server)) (*server, error) {
 	conf, err := restConf(name, address)
 	if err != nil {
 		return nil, err
 	}
-	made, err := rest.NewServer(conf, rest.WithRouter(routes))
+	srv, err := rest.NewServer(conf, rest.WithRouter(routes))
 	if err != nil {
 		return nil, errors.Wrap(err, "create HTTP server")
 	}
 	logx.SetWriter(&logWriter{logger: p.logger})
 	routes.SetNotFoundHandler(http.HandlerFunc(serveNotFound))
 	routes.SetNotAllowedHandler(http.HandlerFunc(serveNotAllowed))
-	add(made)
+	addRoutes(srv)
 	started := &server{}
 	bound := make(chan net.Addr, 1)
 	failed := make(chan error, 1)
-	go started.start(made, p.config.Timeouts, bound, failed)
+	go started.start(srv, p.config.Timeouts, bound, failed)
 	select {
 	case started.bound = <-bound:
 		return started, nil
@@ -88,19 +88,19 @@
 
 // start serves until the HTTP server is shut down. rest then waits for its own stop signal, which is
 // never sent, so the goroutine stays until the process exits. rest panics if it cannot listen.
-func (s *server) start(made *rest.Server, timeouts Timeouts, bound chan<- net.Addr, failed chan<- error) {
+func (s *server) start(srv *rest.Server, timeouts Timeouts, bound chan<- net.Addr, failed chan<- error) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			failed <- errors.Errorf("listen: %v", cause)
 		}
 	}()
-	made.StartWithOpts(func(configured *http.Server) {
-		s.http = configured
-		configured.ReadHeaderTimeout = timeouts.ReadHeader
-		configured.ReadTimeout = 0
-		configured.WriteTimeout = 0
-		configured.IdleTimeout = timeouts.Idle
-		configured.BaseContext = baseContext(bound)
+	srv.StartWithOpts(func(httpServer *http.Server) {
+		s.http = httpServer
+		httpServer.ReadHeaderTimeout = timeouts.ReadHeader
+		httpServer.ReadTimeout = 0
+		httpServer.WriteTimeout = 0
+		httpServer.IdleTimeout = timeouts.Idle
+		httpServer.BaseContext = baseContext(bound)
 	})
 }
 
@@ -119,12 +119,12 @@
 // listenCallers starts the HTTP server for callers.
 func (p *Proxy) listenCallers() (*server, error) {
 	routes := &prefixRouter{Router: newRouter(), prefix: servicesPrefix, handler: p.serveService}
-	return p.listen("landingtrail-proxy", p.config.ListenAddress, routes, func(made *rest.Server) {
-		made.AddRoutes([]rest.Route{
+	return p.listen("landingtrail-proxy", p.config.ListenAddress, routes, func(srv *rest.Server) {
+		srv.AddRoutes([]rest.Route{
 			{Method: http.MethodPost, Path: engineapi.PathChatCompletions, Handler: p.serveCompletion},
 			{Method: http.MethodPost, Path: engineapi.PathCompletions, Handler: p.serveCompletion},
 		}, rest.WithSSE(), rest.WithTimeout(0))
-		made.AddRoute(rest.Route{Method: http.MethodGet, Path: engineapi.PathModels, Handler: p.serveModels})
+		srv.AddRoute(rest.Route{Method: http.MethodGet, Path: engineapi.PathModels, Handler: p.serveModels})
 	})
 }
 
--- a/process/proxy/silence_test.go
+++ b/process/proxy/silence_test.go
@@ -13,12 +13,12 @@
 
 // A backend that accepts connections and never responds gets no requests once its polls have failed,
 // even after the suspect time of earlier failures has passed. It gets requests again once it responds.
-func TestSilentBackEndStaysSuspect(t *testing.T) {
+func TestSilentBackendStaysSuspect(t *testing.T) {
 	var paused atomic.Bool
-	var frames atomic.Int32
-	pausing := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	var requests atomic.Int32
+	pausable := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != engineapi.PathLoad {
-			frames.Add(1)
+			requests.Add(1)
 		}
 		if paused.Load() {
 			hang(r)
@@ -26,25 +26,25 @@
 		}
 		writeJSON(w, http.StatusOK, engineapi.Load{})
 	}))
-	t.Cleanup(pausing.Close)
+	t.Cleanup(pausable.Close)
 	alive := newFakeBackend(t)
-	f := start(t, quick(), nil, pausing, alive.server)
-	followed := f.endpoint("tiles", "tile-0")
-	frame := func() int { return f.do(http.MethodGet, "/services/tiles/frame", "").status }
+	f := start(t, quick(), nil, pausable, alive.server)
+	target := f.endpoint("tiles", "tile-0")
+	send := func() int { return f.do(http.MethodGet, "/services/tiles/frame", "").status }
 
 	paused.Store(true)
 	eventually(t, func() bool {
-		followed.lock.Lock()
-		defer followed.lock.Unlock()
-		return followed.silent
+		target.lock.Lock()
+		defer target.lock.Unlock()
+		return target.silent
 	})
-	before := frames.Load()
+	before := requests.Load()
 	for range 12 {
-		followed.succeed() // clear the suspect time of failed requests
-		must.Eq(t, http.StatusOK, frame())
+		target.succeed() // clear the suspect time of failed requests
+		must.Eq(t, http.StatusOK, send())
 	}
-	must.Eq(t, before, frames.Load())
+	must.Eq(t, before, requests.Load())
 
 	paused.Store(false)
-	eventually(t, func() bool { return frame() == http.StatusOK && frames.Load() > before })
+	eventually(t, func() bool { return send() == http.StatusOK && requests.Load() > before })
 }
--- a/process/proxy/suspension_test.go
+++ b/process/proxy/suspension_test.go
@@ -11,12 +11,12 @@
 
 // A request whose deadline passed while the machine was suspended is sent to no further engine. Timers
 // do not count the time of a suspension, but the proxy's clock does.
-func TestDeadlineThatPassedInASuspension(t *testing.T) {
+func TestDeadlinePassesWhileSuspended(t *testing.T) {
 	engine := newFakeEngine(t, "e1", 11)
 	var suspended atomic.Int64
 	begin := time.Now()
 	clock := func() time.Duration { return time.Since(begin) + time.Duration(suspended.Load()) }
-	f := startBy(t, clock, quick(), newFakeControl(), []*fakeEngine{engine})
+	f := startWithClock(t, clock, quick(), newFakeControl(), []*fakeEngine{engine})
 	engine.script = func(e *fakeEngine, w http.ResponseWriter, r *http.Request, _ int) {
 		suspended.Store(int64(time.Hour)) // during the refusal, before the retry
 		e.refuse(w, http.StatusServiceUnavailable, "draining")
