--- a/process/proxy/endpoint.go
+++ b/process/proxy/endpoint.go
@@ -76,8 +76,8 @@
 	}
 }
 
-// spokenWord is an endpoint's report of its own state. said is the earliest time at which it can
-// have been true, now when the proxy received it.
+// spokenWord is a report by an endpoint of its own state. said is the earliest time at which the
+// endpoint can have made it, now is when the proxy received it.
 type spokenWord struct {
 	said, now   time.Duration
 	phase       api.EnginePhase // empty if not reported
--- a/process/proxy/harness_test.go
+++ b/process/proxy/harness_test.go
@@ -265,9 +265,9 @@
 		tiles.Spec.Backends = append(tiles.Spec.Backends, api.Backend{Name: fmt.Sprintf("tile-%d", i), Address: backend.Listener.Addr().String(), Zone: "zone-a"})
 	}
 	current.Services["tiles"] = tiles
-	addClass := func(name, service string, never bool, labels api.Labels) {
+	addClass := func(name, service string, repeatNever bool, labels api.Labels) {
 		current.Classes[name] = &api.Class{Metadata: api.Metadata{Name: name, Labels: labels},
-			Spec: api.ClassSpec{Service: service, Priority: len(name), DeadlineMilliseconds: 5000, RepeatNever: never}}
+			Spec: api.ClassSpec{Service: service, Priority: len(name), DeadlineMilliseconds: 5000, RepeatNever: repeatNever}}
 	}
 	addClass("cap", "narrator", false, api.Labels{"work": "model"})
 	addClass("briefing", "narrator", true, api.Labels{"work": "model"})
@@ -289,8 +289,8 @@
 
 func startWith(t *testing.T, config Config, control Control, engines []*fakeEngine, backends ...*httptest.Server) *fleet {
 	t.Helper()
-	begin := time.Now()
-	return startWithClock(t, func() time.Duration { return time.Since(begin) }, config, control, engines, backends...)
+	started := time.Now()
+	return startWithClock(t, func() time.Duration { return time.Since(started) }, config, control, engines, backends...)
 }
 
 // startWithClock starts a fleet whose proxy uses the given clock.
--- a/process/proxy/overload_test.go
+++ b/process/proxy/overload_test.go
@@ -95,6 +95,8 @@
 	return f, release
 }
 
+// With all slots taken, a request whose deadline is too short to wait, one that finds the queue full
+// and one whose deadline passes in the queue are refused as not run. Other services are not affected.
 func TestOverload(t *testing.T) {
 	f, release := startOverloaded(t, func(*Config) {})
 	defer release()
--- a/process/proxy/poller.go
+++ b/process/proxy/poller.go
@@ -25,8 +25,8 @@
 // maxReportBytes limits the size of a load report or a page of cache events.
 const maxReportBytes = 4 << 20
 
-// pollFailures is how many consecutive polls must fail before the endpoint becomes suspect.
-const pollFailures = 3
+// suspectAfterPolls is how many consecutive polls must fail before the endpoint becomes suspect.
+const suspectAfterPolls = 3
 
 // poller polls one endpoint for its load report and cache events. It uses net/http instead of
 // go-zero's httpc, whose circuit breaker would stop polling a failing endpoint and so delay
@@ -65,7 +65,7 @@
 // has just failed a poll or reports that it takes no new work, so that its failure or return is
 // noticed promptly however many endpoints share the budget. It returns false if ctx has ended.
 func (p *poller) waitForBudget(ctx context.Context, failures int) bool {
-	justFailed := failures > 0 && failures < pollFailures
+	justFailed := failures > 0 && failures < suspectAfterPolls
 	if justFailed || closedPhase(p.endpoint.word().phase) {
 		p.lane.loadBudget.limiter.AllowN(time.Now(), typicalPollBytes) // charge the poll if the budget allows; go ahead either way
 		return ctx.Err() == nil
@@ -74,16 +74,17 @@
 }
 
 // recordResult takes the number of consecutive failed polls and the error of the next poll, and
-// returns the new number. The endpoint becomes suspect when the number reaches pollFailures.
+// returns the new number. When that reaches suspectAfterPolls, the endpoint becomes suspect for a
+// limited time or, if it did not respond at all, until it responds.
 func (p *poller) recordResult(ctx context.Context, failures int, err error) int {
 	if err == nil {
 		return 0
 	}
 	failures++
-	if failures < pollFailures || ctx.Err() != nil {
+	if failures < suspectAfterPolls || ctx.Err() != nil {
 		return failures
 	}
-	if failures == pollFailures {
+	if failures == suspectAfterPolls {
 		p.endpoint.fail(p.proxy.clock())
 	}
 	if errors.Is(err, errNoAnswer) {
--- a/process/proxy/poller_test.go
+++ b/process/proxy/poller_test.go
@@ -115,8 +115,8 @@
 	tb.Helper()
 	views := &fixedViews{}
 	views.view.Store(current)
-	begin := time.Now()
-	proxy := New(config, views, newFakeControl(), func() time.Duration { return time.Since(begin) }, log.NewNopLogger())
+	started := time.Now()
+	proxy := New(config, views, newFakeControl(), func() time.Duration { return time.Since(started) }, log.NewNopLogger())
 	tb.Cleanup(proxy.Close)
 	proxy.standing()
 	return proxy, views
--- a/process/proxy/quarantine.go
+++ b/process/proxy/quarantine.go
@@ -121,7 +121,8 @@
 	return failed
 }
 
-// noteServed tells the guard that the request was answered completely, so that earlier ends no longer count against it.
+// noteServed tells the guard that the request was answered completely, so that earlier ends no longer
+// count against it.
 func (c *call) noteServed() {
 	// c.named is also set if an engine ended under this call, which nobody else may know of yet.
 	if c.named != nil || c.proxy.guard.Active() {
--- a/process/proxy/quarantine_test.go
+++ b/process/proxy/quarantine_test.go
@@ -21,15 +21,15 @@
 	crashes int
 }
 
-func (f *crashingEngines) script(e *fakeEngine, w http.ResponseWriter, r *http.Request, _ int) {
+func (c *crashingEngines) script(e *fakeEngine, w http.ResponseWriter, r *http.Request, _ int) {
 	body, _ := io.ReadAll(r.Body)
 	if !strings.Contains(string(body), "fatal") {
 		e.answer(w, r, 0, 3)
 		return
 	}
-	f.lock.Lock()
-	defer f.lock.Unlock()
-	f.crashes++
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	c.crashes++
 	panic(http.ErrAbortHandler)
 }
 
--- a/process/proxy/server.go
+++ b/process/proxy/server.go
@@ -109,9 +109,9 @@
 }
 
 func serveNotAllowed(w http.ResponseWriter, _ *http.Request) {
-	refused := notFound(codeMethod, "the path does not take this method")
-	refused.status = http.StatusMethodNotAllowed
-	refused.write(w)
+	failed := notFound(codeMethod, "the path does not take this method")
+	failed.status = http.StatusMethodNotAllowed
+	failed.write(w)
 }
 
 func newRouter() httpx.Router { return router.NewRouter() }
