--- a/process/proxy/lane.go
+++ b/process/proxy/lane.go
@@ -168,7 +168,7 @@
 type standing struct {
 	catalog  *catalog
 	valid    bool
-	lapsedAt time.Duration // when the lease expired; unused if valid
+	lapsedAt time.Duration // when the expiry was noticed; unused if valid
 	now      time.Duration
 }
 
