--- a/process/proxy/endpoint.go
+++ b/process/proxy/endpoint.go
@@ -10,57 +10,59 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// suspicion is how long an endpoint is avoided after a failure; it doubles
-// with each further one up to maxSuspicion.
+// minSuspectTime is how long an endpoint is avoided after a failure. It doubles with each further
+// consecutive failure, up to maxSuspectTime.
 const (
-	suspicion    = 500 * time.Millisecond
-	maxSuspicion = 15 * time.Second
+	minSuspectTime = 500 * time.Millisecond
+	maxSuspectTime = 15 * time.Second
 )
 
-// dispatch is one request in flight to an endpoint.
+// dispatch is a request in flight to an endpoint.
 type dispatch struct {
 	at     time.Duration
 	tokens int
 }
 
-// endpoint is one engine or back end as this proxy knows it: a shard of the
-// proxy's state under its own lock. Times are readings of the proxy's clock.
+// endpoint is the proxy's state of one engine or backend. Each endpoint has its own lock. Times are
+// readings of the proxy's clock.
 type endpoint struct {
 	name    string
 	address string
 	zone    string
-	model   bool // an engine, not a plain back end
+	model   bool // an engine rather than a plain backend
 
 	lock sync.Mutex
-	// phase and incarnation are the endpoint's own last word, heardAt when it came.
+	// phase and incarnation are what the endpoint last reported about itself, lastReportAt when
+	// the proxy received that.
 	phase       api.EnginePhase
 	incarnation uint64
-	// incarnationSaid is when the incarnation was said, at the earliest: the word of an
-	// earlier one may come late.
-	incarnationSaid time.Duration
-	heardAt         time.Duration
+	// incarnationAsOf is the earliest time at which the incarnation can have been reported. Reports
+	// may arrive out of order, so one of an earlier incarnation may arrive later.
+	incarnationAsOf time.Duration
+	lastReportAt    time.Duration
 	heard           bool
-	closedAt        time.Duration // when a phase that takes no new work was last heard
+	closedAt        time.Duration // when a phase that takes no new work was last reported
 	load            engineapi.Load
 	loadAt          time.Duration // when the load was measured
 	failures        int
-	suspectTill     time.Duration
-	// silent is set while polls bring no answer; it outlasts suspectTill, so
-	// that no request is spent on finding out that nothing has changed.
+	suspectUntil    time.Duration
+	// silent is set while polls get no response. Unlike suspectUntil it does not expire, so that
+	// no request is spent on probing an endpoint that is still down.
 	silent     bool
 	dispatches map[uint64]dispatch
 	nextID     uint64
 	cache      cacheIndex
-	// endedAt is when the incarnation seemed to end, 0 once the engine has spoken since.
-	endedAt          time.Duration
-	endedIncarnation uint64
+	// suspectedEndAt is when the incarnation appeared to end, because its connection broke; 0 once
+	// the engine has answered a later request.
+	suspectedEndAt          time.Duration
+	suspectedEndIncarnation uint64
 }
 
 func newEndpoint(name, address, zone string, model bool) *endpoint {
 	return &endpoint{name: name, address: address, zone: zone, model: model, dispatches: map[uint64]dispatch{}}
 }
 
-// begin counts a request in flight and returns the function that ends it.
+// begin registers a request in flight and returns the function that removes it.
 func (e *endpoint) begin(now time.Duration, tokens int) func() {
 	e.lock.Lock()
 	defer e.lock.Unlock()
@@ -74,50 +76,51 @@
 	}
 }
 
-// spokenWord is what an endpoint says of itself: not before said, and heard now.
+// spokenWord is a report by an endpoint of its own state. said is the earliest time at which the
+// endpoint can have made it, now is when the proxy received it.
 type spokenWord struct {
 	said, now   time.Duration
-	phase       api.EnginePhase // empty: says nothing
+	phase       api.EnginePhase // empty if not reported
 	incarnation uint64
 }
 
-// hear notes the endpoint's own word on its phase and incarnation.
-func (e *endpoint) hear(news spokenWord) {
+// hear records the phase and incarnation that the endpoint reported.
+func (e *endpoint) hear(reported spokenWord) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
-	e.hearLocked(news)
+	e.hearLocked(reported)
 }
 
-// hearLocked takes a phase that admits only if it cannot be older than the last
-// one that did not: the answer to an earlier question may come late.
-func (e *endpoint) hearLocked(news spokenWord) {
+// hearLocked is hear for a caller that holds the lock. Responses may arrive out of order, so a phase
+// that takes new work is ignored if it may be older than the last one that did not.
+func (e *endpoint) hearLocked(reported spokenWord) {
 	e.heard = true
 	e.silent = false
-	e.heardAt = max(e.heardAt, news.now)
+	e.lastReportAt = max(e.lastReportAt, reported.now)
 	switch {
-	case news.phase == api.PhaseUnknown:
-	case closedPhase(news.phase):
-		e.phase, e.closedAt = news.phase, news.now
-	case news.said >= e.closedAt:
-		e.phase = news.phase
+	case reported.phase == api.PhaseUnknown:
+	case closedPhase(reported.phase):
+		e.phase, e.closedAt = reported.phase, reported.now
+	case reported.said >= e.closedAt:
+		e.phase = reported.phase
 	}
-	if news.incarnation == 0 || news.incarnation != e.incarnation && news.said < e.incarnationSaid {
+	if reported.incarnation == 0 || reported.incarnation != e.incarnation && reported.said < e.incarnationAsOf {
 		return
 	}
-	e.incarnationSaid = max(e.incarnationSaid, news.said)
-	if news.incarnation != e.incarnation {
-		e.incarnation = news.incarnation
+	e.incarnationAsOf = max(e.incarnationAsOf, reported.said)
+	if reported.incarnation != e.incarnation {
+		e.incarnation = reported.incarnation
 		e.cache.reset()
 	}
 }
 
-// backendLeaving is the value of engineapi.HeaderBackendState of a back end
-// whose machine leaves.
+// backendLeaving is the value of engineapi.HeaderBackendState that a backend sends when its machine
+// is about to be removed.
 const backendLeaving = "leaving"
 
-// hearHeader notes what the header of an answer says of the endpoint. A plain
-// back end that does not say that it leaves serves.
-func (e *endpoint) hearHeader(asked, now time.Duration, header http.Header) {
+// hearHeader records the state that the endpoint reports in the headers of a response to a request
+// sent at sentAt. A plain backend is serving unless it reports that it is leaving.
+func (e *endpoint) hearHeader(sentAt, now time.Duration, header http.Header) {
 	phase := api.EnginePhase(header.Get(engineapi.HeaderPhase))
 	if !e.model {
 		phase = api.PhaseServing
@@ -125,95 +128,99 @@
 			phase = api.PhaseLeaving
 		}
 	}
-	e.hear(spokenWord{said: asked, now: now, phase: phase, incarnation: incarnationOf(header)})
+	e.hear(spokenWord{said: sentAt, now: now, phase: phase, incarnation: incarnationOf(header)})
 }
 
-// speaksForAnother reports whether a report is another engine's, which has the address now.
-func (e *endpoint) speaksForAnother(load engineapi.Load) bool {
+// isFromOtherEngine reports whether the load report comes from a different engine, which has taken
+// over the address.
+func (e *endpoint) isFromOtherEngine(load engineapi.Load) bool {
 	return load.Engine != "" && load.Engine != e.name
 }
 
-// report takes in a load report, which tells of a time that is past.
-func (e *endpoint) report(asked, now time.Duration, load engineapi.Load) {
-	if e.speaksForAnother(load) {
+// report records a load report in response to a poll sent at sentAt. The report describes the load
+// at an earlier time, by its age.
+func (e *endpoint) report(sentAt, now time.Duration, load engineapi.Load) {
+	if e.isFromOtherEngine(load) {
 		return
 	}
 	age := time.Duration(load.AgeMilliseconds) * time.Millisecond
 	e.lock.Lock()
 	defer e.lock.Unlock()
-	e.hearLocked(spokenWord{said: asked - age, now: now, phase: load.Phase, incarnation: load.Incarnation})
+	e.hearLocked(spokenWord{said: sentAt - age, now: now, phase: load.Phase, incarnation: load.Incarnation})
 	if load.Incarnation != 0 && load.Incarnation != e.incarnation {
-		return // of an earlier life
+		return // measured by an earlier incarnation
 	}
 	e.load = load
 	e.loadAt = now - age
 }
 
-// succeed ends the suspicion.
+// succeed records a successful request: the endpoint is no longer suspect because of failures.
 func (e *endpoint) succeed() {
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	e.failures = 0
-	e.suspectTill = 0
+	e.suspectUntil = 0
 }
 
-// fail makes the endpoint suspect.
+// fail records a failed request and makes the endpoint suspect for a limited time.
 func (e *endpoint) fail(now time.Duration) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
-	wait := suspicion << min(e.failures, 5)
+	suspectTime := minSuspectTime << min(e.failures, 5)
 	e.failures++
-	e.suspectTill = now + min(wait, maxSuspicion)
+	e.suspectUntil = now + min(suspectTime, maxSuspectTime)
 }
 
-// markSilent makes the endpoint suspect until it speaks again.
+// markSilent makes the endpoint suspect until it responds again.
 func (e *endpoint) markSilent() {
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	e.silent = true
 }
 
-func (e *endpoint) suspectedLocked(now time.Duration) bool { return e.silent || now < e.suspectTill }
+func (e *endpoint) suspectedLocked(now time.Duration) bool { return e.silent || now < e.suspectUntil }
 
-// ownWord is what an endpoint says of itself.
-type ownWord struct {
-	phase       api.EnginePhase
-	incarnation uint64
-	heard       bool
-	heardAt     time.Duration
+// reportedState is the state that an endpoint last reported about itself.
+type reportedState struct {
+	phase        api.EnginePhase
+	incarnation  uint64
+	heard        bool
+	lastReportAt time.Duration
 }
 
-func (e *endpoint) word() ownWord {
+func (e *endpoint) word() reportedState {
 	e.lock.Lock()
 	defer e.lock.Unlock()
-	return ownWord{phase: e.phase, incarnation: e.incarnation, heard: e.heard, heardAt: e.heardAt}
+	return reportedState{phase: e.phase, incarnation: e.incarnation, heard: e.heard, lastReportAt: e.lastReportAt}
 }
 
-// describe fills in what the endpoint itself and this proxy's dispatches say.
-func (e *endpoint) describe(now time.Duration, into *router.Endpoint) {
+// fillCandidate sets the fields of a routing candidate that come from the endpoint's reports and
+// from this proxy's requests in flight. Requests sent after the load was measured are counted
+// separately, since the report does not include them.
+func (e *endpoint) fillCandidate(now time.Duration, candidate *router.Endpoint) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
-	into.Name = e.name
-	into.Address = e.address
-	into.Zone = e.zone
-	into.Suspect = e.suspectedLocked(now)
-	into.Load = router.Load{
+	candidate.Name = e.name
+	candidate.Address = e.address
+	candidate.Zone = e.zone
+	candidate.Suspect = e.suspectedLocked(now)
+	candidate.Load = router.Load{
 		Running:       e.load.Running,
 		Waiting:       e.load.Waiting,
 		WaitingTokens: e.load.WaitingTokens,
 		KVUsed:        e.load.KVUsed,
 		Age:           now - e.loadAt,
 	}
-	for _, sent := range e.dispatches {
-		if sent.at > e.loadAt {
-			into.Load.OwnRunning++
-			into.Load.OwnTokens += sent.tokens
+	for _, dispatched := range e.dispatches {
+		if dispatched.at > e.loadAt {
+			candidate.Load.OwnRunning++
+			candidate.Load.OwnTokens += dispatched.tokens
 		}
 	}
 }
 
-// closedPhase reports whether an endpoint in the phase takes no new work. An
-// endpoint that has not spoken is not closed by that.
+// closedPhase reports whether an endpoint in the phase takes no new work. An endpoint that has not
+// reported its phase may take new work.
 func closedPhase(phase api.EnginePhase) bool {
 	switch phase {
 	case api.PhaseServing, api.PhaseUnknown:
--- a/process/proxy/harness_test.go
+++ b/process/proxy/harness_test.go
@@ -26,23 +26,24 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
-// shutdownAfter ends the goroutines in which rest waits for the process's end.
-type shutdownAfter struct{ *testing.M }
+// shutdownAfterTests runs the tests and then ends the goroutines in which rest waits for the process to
+// exit.
+type shutdownAfterTests struct{ *testing.M }
 
 // Run implements goleak.TestingM.
-func (m shutdownAfter) Run() int {
+func (m shutdownAfterTests) Run() int {
 	code := m.M.Run()
 	proc.Shutdown()
 	return code
 }
 
 func TestMain(m *testing.M) {
-	// go-zero's own goroutines started before any test.
-	goleak.VerifyTestMain(shutdownAfter{m}, goleak.IgnoreCurrent(),
+	// go-zero starts goroutines of its own before the first test.
+	goleak.VerifyTestMain(shutdownAfterTests{m}, goleak.IgnoreCurrent(),
 		goleak.IgnoreAnyFunction("github.com/zeromicro/go-zero/core/proc.init.1.func1"))
 }
 
-// fixedViews is a view whose lease the test sets.
+// fixedViews is a Views whose view and lease the test sets.
 type fixedViews struct {
 	view    atomic.Pointer[view.View]
 	invalid atomic.Bool
@@ -51,7 +52,7 @@
 func (v *fixedViews) Load() *view.View           { return v.view.Load() }
 func (v *fixedViews) Valid(_ time.Duration) bool { return !v.invalid.Load() }
 
-// fakeControl is a control group of one that claims by a map.
+// fakeControl is an in-memory control group. Claim returns the error lost if it is set.
 type fakeControl struct {
 	lock     sync.Mutex
 	lost     error
@@ -73,18 +74,18 @@
 		return api.ClaimResult{}, c.lost
 	}
 	name := request.Tenant + "/" + request.Key
-	known := c.claims[name]
+	existing := c.claims[name]
 	switch {
-	case known == nil || known.Outcome == api.RunNotRun:
+	case existing == nil || existing.Outcome == api.RunNotRun:
 		c.claims[name] = &api.Claim{Tenant: request.Tenant, Key: request.Key, BodyHash: request.BodyHash, Outcome: api.RunUnknown}
 		c.nonces[name] = request.Nonce
 		return api.ClaimResult{Code: api.ClaimGranted, Claim: *c.claims[name]}, nil
-	case known.BodyHash != request.BodyHash:
-		return api.ClaimResult{Code: api.ClaimConflict, Claim: *known}, nil
-	case known.Outcome == api.RunCompleted:
-		return api.ClaimResult{Code: api.ClaimDone, Claim: *known}, nil
+	case existing.BodyHash != request.BodyHash:
+		return api.ClaimResult{Code: api.ClaimConflict, Claim: *existing}, nil
+	case existing.Outcome == api.RunCompleted:
+		return api.ClaimResult{Code: api.ClaimDone, Claim: *existing}, nil
 	default:
-		return api.ClaimResult{Code: api.ClaimRunning, Claim: *known}, nil
+		return api.ClaimResult{Code: api.ClaimRunning, Claim: *existing}, nil
 	}
 }
 
@@ -93,13 +94,13 @@
 	defer c.lock.Unlock()
 	name := outcome.Tenant + "/" + outcome.Key
 	c.outcomes = append(c.outcomes, outcome)
-	if known := c.claims[name]; known != nil && c.nonces[name] == outcome.Nonce {
-		known.Outcome, known.Answer = outcome.Outcome, outcome.Answer
+	if existing := c.claims[name]; existing != nil && c.nonces[name] == outcome.Nonce {
+		existing.Outcome, existing.Answer = outcome.Outcome, outcome.Answer
 	}
 	return nil
 }
 
-// Connected implements guard.Reporter: nobody leads, so that the proxy decides by itself.
+// Connected implements guard.Reporter. There is no leader, so the proxy decides by itself.
 func (c *fakeControl) Connected() bool { return false }
 
 func (c *fakeControl) ReportEnds(report feed.EndReport) bool {
@@ -116,8 +117,8 @@
 	return true
 }
 
-// fakeEngine is an engine whose answer to the n-th completion (from 1) a test
-// scripts; without a script it answers maxTokens words.
+// fakeEngine is an engine whose response to the n-th completion (from 1) is given by script. Without
+// a script it streams three tokens.
 type fakeEngine struct {
 	name        string
 	server      *httptest.Server
@@ -199,7 +200,7 @@
 	writeJSON(w, status, engineapi.ErrorBody{Error: engineapi.ErrorDetail{Message: code, Code: code, Ran: "no"}})
 }
 
-// tokens streams the tokens from offset up to end, without a terminal event.
+// tokens streams the tokens from offset up to but not including end, without a terminal event.
 func (e *fakeEngine) tokens(w http.ResponseWriter, id string, number uint32, offset, end int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set(engineapi.HeaderAdmitted, "yes")
@@ -223,7 +224,7 @@
 	_, _ = io.WriteString(w, "data: [DONE]\n\n")
 }
 
-// fleet is a proxy in front of fake engines and back ends.
+// fleet is a proxy in front of fake engines and backends.
 type fleet struct {
 	t       *testing.T
 	proxy   *Proxy
@@ -235,7 +236,7 @@
 	done    chan error
 }
 
-// quick are settings under which failures show in milliseconds.
+// quick returns a configuration with timeouts and intervals short enough for tests.
 func quick() Config {
 	return Config{
 		ID:            "proxy-1",
@@ -250,35 +251,35 @@
 	}
 }
 
-// newView is a view with the engines, one model service and the back ends as
-// the service "tiles".
+// newView returns a view with a model service "narrator" of the engines and a service "tiles" of the
+// backends.
 func newView(engines []*fakeEngine, backends []*httptest.Server) *view.View {
-	made := view.New()
-	made.Version = view.Version{Term: 1, Revision: 1}
+	current := view.New()
+	current.Version = view.Version{Term: 1, Revision: 1}
 	all := api.Selector{All: true}
-	made.Intents["narration"] = &api.Intent{Metadata: api.Metadata{Name: "narration"}, Spec: api.IntentSpec{
+	current.Intents["narration"] = &api.Intent{Metadata: api.Metadata{Name: "narration"}, Spec: api.IntentSpec{
 		Engines: all, Classes: api.Selector{MatchLabels: api.Labels{"work": "model"}}, Model: "llm", Roles: []api.EngineRole{api.RoleMixed}}}
-	made.Services["narrator"] = &api.Service{Metadata: api.Metadata{Name: "narrator"}, Spec: api.ServiceSpec{Type: api.ServiceModel}}
+	current.Services["narrator"] = &api.Service{Metadata: api.Metadata{Name: "narrator"}, Spec: api.ServiceSpec{Type: api.ServiceModel}}
 	tiles := &api.Service{Metadata: api.Metadata{Name: "tiles"}, Spec: api.ServiceSpec{Type: api.ServiceBackend}}
 	for i, backend := range backends {
 		tiles.Spec.Backends = append(tiles.Spec.Backends, api.Backend{Name: fmt.Sprintf("tile-%d", i), Address: backend.Listener.Addr().String(), Zone: "zone-a"})
 	}
-	made.Services["tiles"] = tiles
-	addClass := func(name, service string, never bool, labels api.Labels) {
-		made.Classes[name] = &api.Class{Metadata: api.Metadata{Name: name, Labels: labels},
-			Spec: api.ClassSpec{Service: service, Priority: len(name), DeadlineMilliseconds: 5000, RepeatNever: never}}
+	current.Services["tiles"] = tiles
+	addClass := func(name, service string, repeatNever bool, labels api.Labels) {
+		current.Classes[name] = &api.Class{Metadata: api.Metadata{Name: name, Labels: labels},
+			Spec: api.ClassSpec{Service: service, Priority: len(name), DeadlineMilliseconds: 5000, RepeatNever: repeatNever}}
 	}
 	addClass("cap", "narrator", false, api.Labels{"work": "model"})
 	addClass("briefing", "narrator", true, api.Labels{"work": "model"})
 	addClass("unserved", "narrator", false, nil)
 	addClass("frame", "tiles", false, nil)
 	for _, engine := range engines {
-		made.Engines[engine.name] = &api.Engine{Metadata: api.Metadata{Name: engine.name},
+		current.Engines[engine.name] = &api.Engine{Metadata: api.Metadata{Name: engine.name},
 			Spec: api.EngineSpec{Address: engine.server.Listener.Addr().String(), Zone: "zone-a", Service: "narrator"},
 			Status: api.EngineStatus{Phase: api.PhaseServing, Incarnation: engine.incarnation,
 				Assignment: api.Assignment{Model: "llm", Version: "1", Role: api.RoleMixed}}}
 	}
-	return made
+	return current
 }
 
 func start(t *testing.T, config Config, engines []*fakeEngine, backends ...*httptest.Server) *fleet {
@@ -288,12 +289,12 @@
 
 func startWith(t *testing.T, config Config, control Control, engines []*fakeEngine, backends ...*httptest.Server) *fleet {
 	t.Helper()
-	begin := time.Now()
-	return startBy(t, func() time.Duration { return time.Since(begin) }, config, control, engines, backends...)
+	started := time.Now()
+	return startWithClock(t, func() time.Duration { return time.Since(started) }, config, control, engines, backends...)
 }
 
-// startBy starts a fleet whose proxy goes by a clock of the test's.
-func startBy(t *testing.T, clock func() time.Duration, config Config, control Control, engines []*fakeEngine, backends ...*httptest.Server) *fleet {
+// startWithClock starts a fleet whose proxy uses the given clock.
+func startWithClock(t *testing.T, clock func() time.Duration, config Config, control Control, engines []*fakeEngine, backends ...*httptest.Server) *fleet {
 	t.Helper()
 	f := &fleet{t: t, views: &fixedViews{}, engines: engines, done: make(chan error, 1)}
 	f.views.view.Store(newView(engines, backends))
@@ -318,12 +319,12 @@
 	return f
 }
 
-// reply is a whole answer to a caller.
+// reply is the response that a caller received.
 type reply struct {
 	status int
 	header http.Header
 	body   string
-	err    error // the body was cut
+	err    error // from reading the body, if it was cut off
 }
 
 func (r *reply) code() string {
@@ -349,12 +350,12 @@
 	response, err := client.Do(request)
 	must.NoError(f.t, err)
 	defer func() { _ = response.Body.Close() }()
-	read, err := io.ReadAll(response.Body)
-	return &reply{status: response.StatusCode, header: response.Header, body: string(read), err: err}
+	content, err := io.ReadAll(response.Body)
+	return &reply{status: response.StatusCode, header: response.Header, body: string(content), err: err}
 }
 
-// open sends a streaming request and waits for its first byte. The returned
-// function hangs up.
+// open sends a streaming request and waits for the first byte of the response body. The returned
+// function closes the body.
 func (f *fleet) open(headers ...string) (hangUp func()) {
 	f.t.Helper()
 	request, err := http.NewRequest(http.MethodPost, f.url+engineapi.PathCompletions, strings.NewReader(streamBody))
@@ -370,7 +371,7 @@
 	return func() { _ = response.Body.Close() }
 }
 
-// fakeBackend is a plain back end; without a script it echoes.
+// fakeBackend is a plain backend. Without a script it echoes the request body.
 type fakeBackend struct {
 	server     *httptest.Server
 	script     http.HandlerFunc
@@ -381,23 +382,23 @@
 
 func newFakeBackend(t *testing.T) *fakeBackend {
 	t.Helper()
-	made := &fakeBackend{}
-	made.server = made.surplus.serve(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	backend := &fakeBackend{}
+	backend.server = backend.surplus.serve(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == engineapi.PathLoad {
 			writeJSON(w, http.StatusOK, engineapi.Load{})
 			return
 		}
 		header := r.Header.Clone()
-		made.lastHeader.Store(&header)
-		made.runs.Add(1)
-		if made.script != nil {
-			made.script(w, r)
+		backend.lastHeader.Store(&header)
+		backend.runs.Add(1)
+		if backend.script != nil {
+			backend.script(w, r)
 			return
 		}
 		_, _ = io.Copy(w, r.Body)
 	}))
-	t.Cleanup(made.server.Close)
-	return made
+	t.Cleanup(backend.server.Close)
+	return backend
 }
 
 const (
@@ -410,7 +411,8 @@
 	return f.do(http.MethodPost, engineapi.PathCompletions, streamBody, headers...)
 }
 
-// words returns the words of the tokens in a stream, and whether it ended whole.
+// words returns the words of the tokens in a stream and whether the stream ended with its terminal
+// event.
 func (r *reply) words() (words []string, whole bool) {
 	for block := range strings.SplitSeq(r.body, "\n\n") {
 		data, found := strings.CutPrefix(block, "data: ")
--- a/process/proxy/overload_test.go
+++ b/process/proxy/overload_test.go
@@ -14,8 +14,8 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// TestRefusals sends what cannot be served: each gets its documented answer at
-// once and no engine is asked. docs/CALLERS.md has the same table.
+// Each request that cannot be served gets its documented response at once, and no engine receives
+// it. docs/CALLERS.md has the same table.
 func TestRefusals(t *testing.T) {
 	const completions = engineapi.PathCompletions
 	long := strings.Repeat("x", maxHeaderValue+1)
@@ -28,7 +28,7 @@
 		retry                    bool
 	}{
 		{"empty body", "POST", completions, "", nil, 400, codeBadRequest, false},
-		{"no JSON", "POST", completions, "{", nil, 400, codeBadRequest, false},
+		{"invalid JSON", "POST", completions, "{", nil, 400, codeBadRequest, false},
 		{"no model", "POST", completions, model(""), nil, 400, codeBadRequest, false},
 		{"no prompt", "POST", completions, `{"model":"llm"}`, nil, 400, codeBadRequest, false},
 		{"no messages", "POST", engineapi.PathChatCompletions, model("llm"), nil, 400, codeBadRequest, false},
@@ -36,17 +36,17 @@
 		{"unknown model", "POST", completions, model("other"), nil, 404, codeUnknownModel, false},
 		{"unknown adapter", "POST", completions, model("llm:other"), nil, 404, codeUnknownModel, false},
 		{"unknown class", "POST", completions, wholeBody, []string{HeaderClass, "x"}, 400, codeUnknownClass, false},
-		{"class of a back end", "POST", completions, wholeBody, []string{HeaderClass, "frame"}, 400, codeUnknownClass, false},
+		{"class of a backend service", "POST", completions, wholeBody, []string{HeaderClass, "frame"}, 400, codeUnknownClass, false},
 		{"class that no intent serves", "POST", completions, wholeBody, []string{HeaderClass, "unserved"}, 403, codeClassRefused, false},
 		{"long tenant", "POST", completions, wholeBody, []string{HeaderTenant, long}, 400, codeBadRequest, false},
-		{"deadline is no number", "POST", completions, wholeBody, []string{HeaderDeadline, "soon"}, 400, codeBadRequest, false},
+		{"deadline is not a number", "POST", completions, wholeBody, []string{HeaderDeadline, "soon"}, 400, codeBadRequest, false},
 		{"negative deadline", "POST", completions, wholeBody, []string{HeaderDeadline, "-1"}, 400, codeBadRequest, false},
 		{"no time left", "POST", completions, wholeBody, []string{HeaderDeadline, "0"}, 504, codeDeadlineShort, false},
 		{"deadline that no engine can meet", "POST", completions, wholeBody, []string{HeaderDeadline, "9"}, 504, codeDeadlineShort, true},
-		{"body past the cap", "POST", completions, strings.Repeat(" ", 3000), nil, 413, codeBodyTooLarge, false},
-		{"frame past the cap", "PUT", "/services/tiles/a", strings.Repeat(" ", 3000), nil, 413, codeBodyTooLarge, false},
+		{"body over the limit", "POST", completions, strings.Repeat(" ", 3000), nil, 413, codeBodyTooLarge, false},
+		{"backend body over the limit", "PUT", "/services/tiles/a", strings.Repeat(" ", 3000), nil, 413, codeBodyTooLarge, false},
 		{"unknown service", "GET", "/services/none/a", "", nil, 404, codeUnknownService, false},
-		{"model service as a back end", "GET", "/services/narrator/a", "", nil, 404, codeUnknownService, false},
+		{"model service addressed as a backend", "GET", "/services/narrator/a", "", nil, 404, codeUnknownService, false},
 		{"class of another service", "GET", "/services/tiles/a", "", []string{HeaderClass, "cap"}, 400, codeUnknownClass, false},
 		{"no path", "GET", "/nowhere", "", nil, 404, codeNotFound, false},
 		{"wrong method", "GET", completions, "", nil, 405, codeMethod, false},
@@ -68,9 +68,9 @@
 	eventually(t, func() bool { return f.proxy.modelBodies.held.Load()+f.proxy.backendBodies.held.Load() == 0 })
 }
 
-// overloaded is a proxy whose only place is taken by a stream that runs until
-// free is called; class "cap" may have one request waiting.
-func overloaded(t *testing.T, change func(*Config)) (f *fleet, free func()) {
+// startOverloaded starts a fleet whose only request slot is taken by a stream that runs until release
+// is called. Class "cap" may have one queued request.
+func startOverloaded(t *testing.T, change func(*Config)) (f *fleet, release func()) {
 	t.Helper()
 	hold := make(chan struct{})
 	engine, backend := newFakeEngine(t, "e1", 11), newFakeBackend(t)
@@ -91,13 +91,15 @@
 	limited.Version.Revision = 2
 	f.views.view.Store(limited)
 	hangUp := f.open(HeaderClass, "cap")
-	free = func() { close(hold); hangUp() }
-	return f, free
+	release = func() { close(hold); hangUp() }
+	return f, release
 }
 
+// With all slots taken, a request whose deadline is too short to wait, one that finds the queue full
+// and one whose deadline passes in the queue are refused as not run. Other services are not affected.
 func TestOverload(t *testing.T) {
-	f, free := overloaded(t, func(*Config) {})
-	defer free()
+	f, release := startOverloaded(t, func(*Config) {})
+	defer release()
 	early := f.stream(HeaderClass, "cap", HeaderDeadline, "90")
 	must.Eq(t, http.StatusGatewayTimeout, early.status)
 	must.Eq(t, codeDeadlineShort, early.code())
@@ -113,7 +115,7 @@
 	must.Eq(t, codeQueueFull, full.code())
 	must.Eq(t, "no", full.ran())
 	must.NotEq(t, "", full.header.Get("Retry-After"))
-	must.Eq(t, http.StatusOK, f.do(http.MethodGet, "/services/tiles/frame", "").status) // its own lane
+	must.Eq(t, http.StatusOK, f.do(http.MethodGet, "/services/tiles/frame", "").status) // not affected by the model service's queue
 
 	expired := <-waiting
 	must.Eq(t, http.StatusGatewayTimeout, expired.status)
@@ -123,7 +125,7 @@
 	must.Eq(t, 1, f.engines[0].runs.Load())
 }
 
-func TestTenantOverItsLimit(t *testing.T) {
+func TestTenantRateLimit(t *testing.T) {
 	f := start(t, quick(), []*fakeEngine{newFakeEngine(t, "e1", 11)})
 	limited := newView(f.engines, nil)
 	limited.Tenants["small"] = &api.Tenant{Metadata: api.Metadata{Name: "small"}, Spec: api.TenantSpec{TokensPerSecond: 0.01, Burst: 10}}
@@ -138,10 +140,10 @@
 	must.Eq(t, http.StatusOK, f.stream(HeaderClass, "cap").status)
 }
 
-// TestCallerHangsUpInTheQueue leaves the queue, and no engine hears of it.
-func TestCallerHangsUpInTheQueue(t *testing.T) {
-	f, free := overloaded(t, func(*Config) {})
-	defer free()
+// A request whose caller disconnects while it is queued leaves the queue and reaches no engine.
+func TestCallerDisconnectsWhileQueued(t *testing.T) {
+	f, release := startOverloaded(t, func(*Config) {})
+	defer release()
 	conn, err := net.Dial("tcp", strings.TrimPrefix(f.url, "http://"))
 	must.NoError(t, err)
 	_, err = io.WriteString(conn, "POST /v1/completions HTTP/1.1\r\nHost: a\r\nLandingtrail-Class: cap\r\nContent-Length: 49\r\n\r\n"+
@@ -154,9 +156,10 @@
 	must.Eq(t, 1, f.engines[0].runs.Load())
 }
 
-// TestCallerWhoSendsNoBody holds a part of the memory for bodies until its time
-// is over; what does not fit besides is refused, except on the other type's.
-func TestCallerWhoSendsNoBody(t *testing.T) {
+// A caller that announces a body and does not send it holds its share of the body memory until the
+// read timeout. Until then requests that do not fit are refused, except those of the other type of
+// service, which has its own limit.
+func TestUnsentBodyHoldsMemoryUntilReadTimeout(t *testing.T) {
 	backend := newFakeBackend(t)
 	config := quick()
 	config.Limits.BodyBytes, config.Limits.HeldBytes = 1024, 1024
@@ -177,8 +180,9 @@
 	eventually(t, func() bool { return f.proxy.modelBodies.held.Load() == 0 })
 }
 
-// TestAnswerPastItsBound is not held: its caller is told to ask for a stream.
-func TestAnswerPastItsBound(t *testing.T) {
+// A response that exceeds the buffer limit is not retried: it fails with an error that advises the
+// caller to use streaming.
+func TestResponseTooLargeToBuffer(t *testing.T) {
 	engine := newFakeEngine(t, "e1", 11)
 	engine.script = func(e *fakeEngine, w http.ResponseWriter, r *http.Request, _ int) { e.answer(w, r, 0, 1000) }
 	config := quick()
