--- a/process/proxy/admit.go
+++ b/process/proxy/admit.go
@@ -38,7 +38,7 @@
 		status:     http.StatusTooManyRequests,
 		errorType:  typeRateLimit,
 		code:       codeRateLimited,
-		message:    "the tenant's rate limit is exhausted; retry in " + strconv.FormatFloat(wait.Seconds(), 'f', 1, 64) + " s",
+		message:    "the tenant's tokens are used up; they suffice again in " + strconv.FormatFloat(wait.Seconds(), 'f', 1, 64) + " s",
 		ran:        attempt.RanNo,
 		retryAfter: max(wait, time.Second),
 	}
@@ -48,11 +48,11 @@
 func queueFailure(refusal *limit.Refusal) *failure {
 	switch refusal.Reason {
 	case limit.ReasonQueueFull:
-		return unavailable(codeQueueFull, "the class's queue is full", refusal.RetryAfter)
+		return unavailable(codeQueueFull, "too many requests of the class are waiting", refusal.RetryAfter)
 	case limit.ReasonDeadline:
-		return deadlineTooShort("the expected queueing time exceeds the deadline", max(refusal.RetryAfter, time.Second))
+		return deadlineTooShort("the wait for a place is longer than the deadline", max(refusal.RetryAfter, time.Second))
 	case limit.ReasonExpired:
-		failed := deadlineTooShort("the deadline passed while the request was queued", max(refusal.RetryAfter, time.Second))
+		failed := deadlineTooShort("the deadline passed in the queue", max(refusal.RetryAfter, time.Second))
 		failed.code = codeDeadlineExceeded
 		return failed
 	default:
@@ -60,7 +60,7 @@
 			status:    statusClientClosed,
 			errorType: typeInvalid,
 			code:      codeCancelled,
-			message:   "the client disconnected",
+			message:   "the caller has gone",
 			ran:       attempt.RanNo,
 		}
 	}
--- a/process/proxy/answer.go
+++ b/process/proxy/answer.go
@@ -44,7 +44,7 @@
 	codeKeyRunning       = "key_running"         // 409: the run with this key has no known outcome
 	codeKeyDone          = "key_done"            // 409: the request ran, but its response was not stored
 	codeUpstream         = "upstream_failed"     // 502
-	codeCancelled        = "cancelled"           // 499: the client disconnected
+	codeCancelled        = "cancelled"           // 499: the caller disconnected
 	codeAnswerTooLarge   = "answer_too_large"    // 502: a buffered response exceeds the size limit
 	codeInternal         = "internal_error"      // 500
 	codeEngineRefused    = "refused_by_upstream" // the status that the engine returned
@@ -56,7 +56,7 @@
 // closed its connection before the response.
 const statusClientClosed = 499
 
-// failure is an error response to the client.
+// failure is an error response to the caller.
 type failure struct {
 	status     int
 	errorType  string // the type field of the error object
@@ -109,7 +109,7 @@
 	header := w.Header()
 	body := append(f.encode(), '\n')
 	header.Set("Content-Type", contentTypeJSON)
-	// With a Content-Length the client has the complete response before the
+	// With a Content-Length the caller has the complete response before the
 	// handler returns.
 	header.Set("Content-Length", strconv.Itoa(len(body)))
 	if f.retryAfter > 0 {
@@ -117,6 +117,6 @@
 		header.Set("Retry-After", strconv.Itoa(seconds))
 	}
 	w.WriteHeader(f.status)
-	_, _ = w.Write(body)                      // the client may have disconnected
+	_, _ = w.Write(body)                      // the caller may have disconnected
 	_ = http.NewResponseController(w).Flush() // a writer in a test may not support it
 }
--- a/process/proxy/bench_test.go
+++ b/process/proxy/bench_test.go
@@ -47,7 +47,7 @@
 	})
 }
 
-// measuredPath is a route from the client to the engine, with the wall and processor time that its
+// measuredPath is a route from the caller to the engine, with the wall and processor time that its
 // requests have used.
 type measuredPath struct {
 	url       string
@@ -100,7 +100,7 @@
 }
 
 // BenchmarkDataPath compares the proxy's overhead with that of a minimal reverse proxy in the same
-// run. The cost of a direct connection from client to engine is subtracted from both.
+// run. The cost of a direct connection from caller to engine is subtracted from both.
 func BenchmarkDataPath(b *testing.B) {
 	cases := []struct {
 		name   string
--- a/process/proxy/body.go
+++ b/process/proxy/body.go
@@ -51,7 +51,7 @@
 		reserved = limit
 	}
 	if !budget.reserve(reserved) {
-		return nil, unavailable(codeOverloaded, "the memory for request bodies is used up", time.Second)
+		return nil, unavailable(codeOverloaded, "too many bytes of request bodies are held", time.Second)
 	}
 	data, failed := p.readAll(w, r, limit)
 	if failed != nil {
@@ -72,14 +72,14 @@
 	case errors.As(err, &maxBytesErr):
 		return nil, bodyTooLarge(limit)
 	case err != nil:
-		return nil, invalid(codeBadRequest, "the request body is incomplete")
+		return nil, invalid(codeBadRequest, "the body was cut short")
 	}
 	_ = controller.SetReadDeadline(time.Time{})
 	return body, nil
 }
 
 func bodyTooLarge(limit int64) *failure {
-	failed := invalid(codeBodyTooLarge, "the request body is larger than "+strconv.FormatInt(limit, 10)+" bytes")
+	failed := invalid(codeBodyTooLarge, "the body is larger than "+strconv.FormatInt(limit, 10)+" bytes")
 	failed.status = http.StatusRequestEntityTooLarge
 	return failed
 }
--- a/process/proxy/call.go
+++ b/process/proxy/call.go
@@ -42,7 +42,7 @@
 }
 
 // run executes the request, including retries and resumes. It returns nil after
-// a complete response, otherwise the failure to report to the client.
+// a complete response, otherwise the failure to report to the caller.
 func (c *call) run(ctx context.Context) *failure {
 	defer c.cancelUnfinishedRuns()
 	var last *failure
@@ -91,10 +91,10 @@
 
 // finalFailure returns the last failure with ran as its run state. If the last
 // attempt was refused but an earlier one may have run, the refusal is replaced:
-// the client must not be told to retry as if nothing had run.
+// the caller must not be told to retry as if nothing had run.
 func finalFailure(last *failure, ran attempt.Ran) *failure {
 	if last == nil || (last.ran == attempt.RanNo && ran != attempt.RanNo) {
-		last = upstreamFailed("the request was sent, but no complete response was received")
+		last = upstreamFailed("the request was sent, but no whole answer came")
 	}
 	result := *last
 	result.ran = ran
@@ -102,7 +102,7 @@
 }
 
 // interruptedFailure returns the failure of a request whose deadline has passed
-// or whose client has disconnected, or nil for any other request.
+// or whose caller has disconnected, or nil for any other request.
 func (c *call) interruptedFailure(ctx context.Context) *failure {
 	if c.timeLeft() > 0 && ctx.Err() == nil {
 		return nil
@@ -119,7 +119,7 @@
 		status:    statusClientClosed,
 		errorType: typeInvalid,
 		code:      codeCancelled,
-		message:   "the client disconnected",
+		message:   "the caller has gone",
 	})
 }
 
@@ -197,14 +197,14 @@
 			final:     true,
 		}
 	case router.ReasonDeadline:
-		failed := deadlineTooShort("no engine can meet the deadline", time.Second)
+		failed := deadlineTooShort("no engine can finish within the deadline", time.Second)
 		failed.final = true
 		return failed
 	case router.ReasonAllExcluded:
-		failed := unavailable(codeNoEngine, "all engines were tried", time.Second)
+		failed := unavailable(codeNoEngine, "every engine was tried", time.Second)
 		failed.final = true
 		return failed
 	default:
-		return unavailable(codeNoEngine, "no engine accepts requests now", time.Second)
+		return unavailable(codeNoEngine, "no engine admits requests now", time.Second)
 	}
 }
--- a/process/proxy/claim.go
+++ b/process/proxy/claim.go
@@ -19,7 +19,7 @@
 )
 
 // headerClaimHash carries a hash of the claim that a run belongs to. The
-// client's key itself is not forwarded: net/http considers a request with an
+// caller's key itself is not forwarded: net/http considers a request with an
 // Idempotency-Key header safe to send again.
 const headerClaimHash = "Engine-Idempotency"
 
@@ -104,9 +104,9 @@
 	case api.ClaimDone:
 		return replayResult(&result.Claim)
 	case api.ClaimConflict:
-		return claimResult{failed: conflict(codeKeyConflict, "the key was used with a different request", attempt.RanNo)}
+		return claimResult{failed: conflict(codeKeyConflict, "the key was used with another body", attempt.RanNo)}
 	default:
-		return claimResult{failed: conflict(codeKeyRunning, "a run with this key is in progress or its outcome is unknown", attempt.RanUnknown)}
+		return claimResult{failed: conflict(codeKeyRunning, "the key's run is under way or its outcome is not known", attempt.RanUnknown)}
 	}
 }
 
@@ -139,11 +139,11 @@
 // replayResult returns the recorded response of a completed claim.
 func replayResult(done *api.Claim) claimResult {
 	if done.Outcome != api.RunCompleted {
-		return claimResult{failed: conflict(codeKeyRunning, "the outcome of the run with this key is unknown", attempt.RanUnknown)}
+		return claimResult{failed: conflict(codeKeyRunning, "the outcome of the key's run is not known", attempt.RanUnknown)}
 	}
 	var response recordedResponse
 	if len(done.Answer) == 0 || json.Unmarshal(done.Answer, &response) != nil || response.Status == 0 {
-		return claimResult{failed: conflict(codeKeyDone, "the request has already run, but its response was not stored", attempt.RanYes)}
+		return claimResult{failed: conflict(codeKeyDone, "the request was run before; its answer was not kept", attempt.RanYes)}
 	}
 	return claimResult{response: &response}
 }
@@ -151,7 +151,7 @@
 // finishClaim records the outcome of a claimed run. It waits for one attempt
 // only, so that the response is not delayed while the control group is
 // unavailable. Further attempts run in the background, independently of the
-// request, whose client may have disconnected.
+// request, whose caller may have disconnected.
 func (p *Proxy) finishClaim(granted *claim, outcome api.RunOutcome, response *recordedResponse) {
 	if granted == nil {
 		return
@@ -160,7 +160,7 @@
 }
 
 // newOutcomeRecord returns the outcome to record for a claim. A not-run outcome
-// is also kept as pending until it is recorded, since the client may send the
+// is also kept as pending until it is recorded, since the caller may send the
 // request again before that.
 func (p *Proxy) newOutcomeRecord(granted *claim, outcome api.RunOutcome, response *recordedResponse) *state.RunOutcome {
 	record := &state.RunOutcome{Tenant: granted.tenant, Key: granted.key, Nonce: granted.nonce, Outcome: outcome}
@@ -221,7 +221,7 @@
 }
 
 // retryOutcome retries to record an outcome. If the request was certainly not
-// run, it retries for as long as the proxy runs, since otherwise the client
+// run, it retries for as long as the proxy runs, since otherwise the caller
 // would find the key in use when it sends the request again.
 func (p *Proxy) retryOutcome(record *state.RunOutcome) {
 	defer p.dropPending(record)
@@ -242,7 +242,7 @@
 	return record.Outcome == api.RunNotRun && p.background.Err() == nil
 }
 
-// outcomeFor returns the outcome to record for a request whose client was told
+// outcomeFor returns the outcome to record for a request whose caller was told
 // ran.
 func outcomeFor(ran attempt.Ran) api.RunOutcome {
 	if ran == attempt.RanNo {
--- a/process/proxy/claim_test.go
+++ b/process/proxy/claim_test.go
@@ -176,7 +176,7 @@
 }
 
 // The control group becomes unavailable between the claim and its outcome. The
-// client must get the complete error response while the proxy still tries to
+// caller must get the complete error response while the proxy still tries to
 // record the outcome.
 func TestUnknownOutcomeIsReportedBeforeRecording(t *testing.T) {
 	engine := newFakeEngine(t, "e1", 11)
@@ -189,7 +189,7 @@
 	must.Eq(t, 1, f.proxy.running.count()) // the handler is still recording
 }
 
-// The run must continue after the client disconnects, so that a retry gets the
+// The run must continue after the caller disconnects, so that a retry gets the
 // response.
 func TestAtMostOnceRunContinuesAfterClientDisconnects(t *testing.T) {
 	engine := newFakeEngine(t, "e1", 11)
@@ -258,7 +258,7 @@
 }
 
 // The first claim attempt is committed but its response is lost, and the second
-// attempt certainly does not reach the group. The client is told that the request
+// attempt certainly does not reach the group. The caller is told that the request
 // did not run, so a retry must be granted the key.
 func TestClaimIsReleasedWhenRetryFindsNoLeader(t *testing.T) {
 	control := &leaderlessControl{fakeControl: newFakeControl()}
@@ -294,7 +294,7 @@
 	}
 }
 
-// The client is told that the request did not run while that outcome is still
+// The caller is told that the request did not run while that outcome is still
 // being recorded. A new claim must not overtake the record, or it would find the
 // key in use.
 func TestNewClaimRecordsPendingReleaseFirst(t *testing.T) {
--- a/process/proxy/deadline_test.go
+++ b/process/proxy/deadline_test.go
@@ -70,7 +70,7 @@
 }
 
 // A backend drops the connection before the first byte of the body. Nothing has
-// been sent to the client, so the request must be retried on another backend, or
+// been sent to the caller, so the request must be retried on another backend, or
 // fail with an error if there is none.
 func TestBackendDropsConnectionBeforeFirstByte(t *testing.T) {
 	broken := func(w http.ResponseWriter, _ *http.Request) {
--- a/process/proxy/fault_test.go
+++ b/process/proxy/fault_test.go
@@ -165,7 +165,7 @@
 	}
 }
 
-// The stream is interrupted and cannot be resumed. A client that has received a
+// The stream is interrupted and cannot be resumed. A caller that has received a
 // token must get an error event, and no tokens of another engine.
 func TestInterruptedStreamIsNotContinuedByAnotherEngine(t *testing.T) {
 	first, second := newFakeEngine(t, "e1", 11), newFakeEngine(t, "e2", 12)
@@ -240,7 +240,7 @@
 	must.Eq(t, 0, f.proxy.lanes.find("narrator").queue.Depth().InFlight)
 }
 
-// The client stops reading until the connection's buffers are full. The write
+// The caller stops reading until the connection's buffers are full. The write
 // deadline must end the request, and the run on the engine must be cancelled.
 func TestClientStopsReading(t *testing.T) {
 	engine := newFakeEngine(t, "e1", 11)
--- a/process/proxy/handle_model.go
+++ b/process/proxy/handle_model.go
@@ -56,7 +56,7 @@
 		return nil, failed
 	}
 	if !s.catalog.knowsModel(parsed.request.Model) {
-		return nil, notFound(codeUnknownModel, "the model does not exist")
+		return nil, notFound(codeUnknownModel, "no intent serves the model")
 	}
 	class, failed := s.catalog.modelClass(headers.class, parsed.request.Model)
 	if failed != nil {
@@ -70,7 +70,7 @@
 	}
 	found := p.lanes.find(class.Spec.Service)
 	if found == nil || found.kind != api.ServiceModel {
-		return nil, invalid(codeUnknownClass, "the class does not belong to a model service")
+		return nil, invalid(codeUnknownClass, "the class is not one of a model service")
 	}
 	c := &call{
 		proxy:          p,
@@ -118,7 +118,7 @@
 		if class := c.defaultModelClass(model); class != nil {
 			return class, nil
 		}
-		return nil, invalid(codeUnknownClass, "no class can use the model")
+		return nil, invalid(codeUnknownClass, "no class is served by the model")
 	}
 	class := c.view.Classes[name]
 	if class == nil {
@@ -148,7 +148,7 @@
 	defer release()
 	c.lane.budget.Deposit()
 	if c.envelope.atMostOnce {
-		// An at-most-once run continues after its client disconnects. The client
+		// An at-most-once run continues after its caller disconnects. The caller
 		// may send the request again to get the recorded response.
 		ctx = context.WithoutCancel(ctx)
 		claimed := c.proxy.acquireClaim(ctx, &c.envelope, bodyHash)
@@ -174,9 +174,9 @@
 	}
 }
 
-// endRequest reports the result to the client and records the outcome. A not-run
+// endRequest reports the result to the caller and records the outcome. A not-run
 // outcome is recorded before it is reported, so that the key is free when the
-// client retries. An unknown outcome is reported first, so that the response is
+// caller retries. An unknown outcome is reported first, so that the response is
 // not delayed by the recording.
 func (c *call) endRequest(failed *failure) *failure {
 	if c.attempts.Done() {
@@ -215,7 +215,7 @@
 		replayStream(newStreamSink(w, c.proxy.config.Timeouts.Write, nil), claimed.response.Body)
 		return nil
 	}
-	_ = writeJSONResponse(w, c.proxy.config.Timeouts.Write, claimed.response.Body) // the client may have disconnected
+	_ = writeJSONResponse(w, c.proxy.config.Timeouts.Write, claimed.response.Body) // the caller may have disconnected
 	return nil
 }
 
--- a/process/proxy/handle_service.go
+++ b/process/proxy/handle_service.go
@@ -63,7 +63,7 @@
 		return
 	}
 	if c.headerSent {
-		// The status has been sent, so only a closed connection can tell the client
+		// The status has been sent, so only a closed connection can tell the caller
 		// that the response is incomplete.
 		panic(http.ErrAbortHandler)
 	}
@@ -147,7 +147,7 @@
 	}
 	class := c.view.Classes[name]
 	if class == nil || class.Spec.Service != service {
-		return nil, invalid(codeUnknownClass, "the service has no such class")
+		return nil, invalid(codeUnknownClass, "no such class of the service")
 	}
 	return class, nil
 }
@@ -213,7 +213,7 @@
 	}
 	c.headerSent = true
 	c.writer.WriteHeader(claimed.response.Status)
-	_, _ = c.writer.Write(claimed.response.Body) // the client may have disconnected
+	_, _ = c.writer.Write(claimed.response.Body) // the caller may have disconnected
 	return nil
 }
 
@@ -233,8 +233,8 @@
 // relayBufferBytes is the size of the buffer for copying response bodies.
 const relayBufferBytes = 32 << 10
 
-// relay copies a response body to the client. For a claimed request it continues
-// after the client has disconnected, so that the response can be recorded. A
+// relay copies a response body to the caller. For a claimed request it continues
+// after the caller has disconnected, so that the response can be recorded. A
 // response of unknown length may be a stream, so each part is flushed as it
 // arrives.
 func (c *backendCall) relay(response *http.Response) error {
@@ -254,7 +254,7 @@
 				clientGone = true
 			}
 			if streamed {
-				_ = controller.Flush() // the next write fails if the client has disconnected
+				_ = controller.Flush() // the next write fails if the caller has disconnected
 			}
 		}
 		if clientGone && c.claim == nil {
--- a/process/proxy/replay.go
+++ b/process/proxy/replay.go
@@ -12,7 +12,7 @@
 func replayStream(out *streamSink, body []byte) {
 	var response completionResponse
 	if err := json.Unmarshal(body, &response); err != nil {
-		out.fail(conflict(codeKeyDone, "the stored response cannot be decoded", "yes"))
+		out.fail(conflict(codeKeyDone, "the recorded answer cannot be read", "yes"))
 		return
 	}
 	object := response.Object
@@ -35,7 +35,7 @@
 		}
 		out.writeEvent("", encoded)
 	}
-	_ = out.finish() // the client may have disconnected
+	_ = out.finish() // the caller may have disconnected
 }
 
 func writeJSON(w http.ResponseWriter, status int, body any) {
@@ -45,5 +45,5 @@
 	}
 	w.Header().Set("Content-Type", contentTypeJSON)
 	w.WriteHeader(status)
-	_, _ = w.Write(append(encoded, '\n')) // the client may have disconnected
+	_, _ = w.Write(append(encoded, '\n')) // the caller may have disconnected
 }
--- a/process/proxy/request.go
+++ b/process/proxy/request.go
@@ -17,7 +17,7 @@
 
 // Request headers, and HeaderRequest, which is set on responses.
 const (
-	HeaderKey      = "Idempotency-Key"       // identifies a request across retries by the client
+	HeaderKey      = "Idempotency-Key"       // identifies a request across retries by the caller
 	HeaderRepeat   = "Landingtrail-Repeat"   // "never": the request runs at most once
 	HeaderDeadline = "Landingtrail-Deadline" // time left in milliseconds
 	HeaderClass    = "Landingtrail-Class"
@@ -35,7 +35,7 @@
 // maxHeaderValue is the maximum length of a key, class or tenant in bytes.
 const maxHeaderValue = 256
 
-// maxDeadline is the longest deadline that a client can set.
+// maxDeadline is the longest deadline that a caller can set.
 const maxDeadline = 24 * time.Hour
 
 // requestHeaders has the values of a request's headers.
@@ -80,7 +80,7 @@
 		return 0, invalid(codeBadRequest, HeaderDeadline+" must be a number of milliseconds")
 	}
 	if milliseconds == 0 {
-		return 0, deadlineTooShort("the deadline has already passed", 0)
+		return 0, deadlineTooShort("no time is left", 0)
 	}
 	return min(time.Duration(milliseconds), maxDeadline/time.Millisecond) * time.Millisecond, nil
 }
@@ -129,7 +129,7 @@
 func parseCompletion(path string, body []byte) (*completionRequest, *failure) {
 	parsed := &completionRequest{path: path, chat: path == engineapi.PathChatCompletions, body: body}
 	if err := json.Unmarshal(body, &parsed.request); err != nil {
-		return nil, invalid(codeBadRequest, "the request body is not valid: "+err.Error())
+		return nil, invalid(codeBadRequest, "the body is no valid request: "+err.Error())
 	}
 	switch {
 	case parsed.request.Model == "":
@@ -147,7 +147,7 @@
 	if !parsed.request.Stream {
 		streamed, err := withStream(body)
 		if err != nil {
-			return nil, invalid(codeBadRequest, "the request body is not valid: "+err.Error())
+			return nil, invalid(codeBadRequest, "the body is no valid request: "+err.Error())
 		}
 		parsed.body = streamed
 	}
--- a/process/proxy/rules_test.go
+++ b/process/proxy/rules_test.go
@@ -27,7 +27,7 @@
 		lock.Unlock()
 		id, number := runOf(r)
 		switch n {
-		case 1: // the client disconnects
+		case 1: // the caller disconnects
 			e.tokens(w, id, number, 0, 1)
 			hang(r)
 		case 2: // another response follows the terminal event
@@ -218,8 +218,8 @@
 	}
 }
 
-// Stops a proxy with a stream in flight and a client on a kept-alive connection.
-// The stream must complete, and the client must learn of the shutdown from a
+// Stops a proxy with a stream in flight and a caller on a kept-alive connection.
+// The stream must complete, and the caller must learn of the shutdown from a
 // response.
 func TestGracefulShutdown(t *testing.T) {
 	engine := newFakeEngine(t, "e1", 11)
--- a/process/proxy/run.go
+++ b/process/proxy/run.go
@@ -83,23 +83,23 @@
 
 // refuseBeyondDrain returns the failure of a request that the shutdown could
 // interrupt before its deadline, or nil for any other request. No engine has read
-// the request, so the client can send it to another proxy at once.
+// the request, so the caller can send it to another proxy at once.
 func (p *Proxy) refuseBeyondDrain(timeLeft time.Duration) *failure {
 	cutAt := time.Duration(p.cutAt.Load())
 	if cutAt == 0 || p.clock()+timeLeft <= cutAt {
 		return nil
 	}
-	return unavailable(codeStopping, "the proxy shuts down before the request's deadline", 0)
+	return unavailable(codeStopping, "the proxy stops before the request's time is over", 0)
 }
 
-// Serve runs the client and admin servers until ctx ends and every request in
+// Serve runs the caller and admin servers until ctx ends and every request in
 // flight has ended.
 func (p *Proxy) Serve(ctx context.Context) error {
 	admin, err := p.listenAdmin()
 	if err != nil {
 		return err
 	}
-	defer func() { _ = admin.http.Close() }() // no client request uses the admin server
+	defer func() { _ = admin.http.Close() }() // no caller request uses the admin server
 	callers, err := p.listenCallers()
 	if err != nil {
 		return err
@@ -110,8 +110,8 @@
 }
 
 // drain shuts the proxy down gracefully. For DrainNotice the proxy reports that
-// it is not ready and asks each client to close its connection, but still serves
-// requests: a client on a kept-alive connection learns of the shutdown from a
+// it is not ready and asks each caller to close its connection, but still serves
+// requests: a caller on a kept-alive connection learns of the shutdown from a
 // response, not from a lost request. After that, the proxy accepts no more
 // requests and waits for those in flight, up to DrainLimit if it is set.
 func (p *Proxy) drain(callers *server) error {
--- a/process/proxy/run_backend.go
+++ b/process/proxy/run_backend.go
@@ -18,7 +18,7 @@
 )
 
 // run executes the request, including retries. It returns nil after a complete
-// response, otherwise the failure to report to the client.
+// response, otherwise the failure to report to the caller.
 func (c *backendCall) run(ctx context.Context) *failure {
 	rng := newRandom()
 	var last *failure
@@ -80,7 +80,7 @@
 			message:   "the deadline has passed",
 		})
 	}
-	return c.giveUp(&failure{status: statusClientClosed, errorType: typeInvalid, code: codeCancelled, message: "the client disconnected"})
+	return c.giveUp(&failure{status: statusClientClosed, errorType: typeInvalid, code: codeCancelled, message: "the caller has gone"})
 }
 
 // remoteZonePenalty is the number of requests in flight that are added to the
@@ -117,7 +117,7 @@
 		healthy = suspect
 	}
 	if len(healthy) == 0 {
-		failed := unavailable(codeNoEngine, "no backend accepts requests now", time.Second)
+		failed := unavailable(codeNoEngine, "no back end takes requests now", time.Second)
 		failed.final = tried // all backends that accept requests were tried
 		return nil, failed
 	}
@@ -167,9 +167,9 @@
 	request, err := c.buildRequest(ctx, target)
 	if err != nil {
 		c.attempts.Fail(number, attempt.FaultNotWritten)
-		failed := invalid(codeBadRequest, "the request cannot be forwarded")
+		failed := invalid(codeBadRequest, "the request cannot be passed on")
 		if errors.Is(err, context.DeadlineExceeded) {
-			failed = deadlineTooShort("not enough time is left before the deadline to call a backend", time.Second)
+			failed = deadlineTooShort("no time is left for the back end", time.Second)
 		}
 		failed.final = true
 		return failed
@@ -220,16 +220,16 @@
 	c.attempts.Fail(number, fault)
 	c.excluded[target.name] = true
 	if errors.Is(err, upstream.ErrForeign) {
-		return upstreamFailed("the backend responded to a different request")
+		return upstreamFailed("the back end answered another request")
 	}
 	if ctx.Err() == nil || errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		target.fail(c.proxy.clock())
 	}
-	return upstreamFailed("the backend could not be reached or did not respond")
+	return upstreamFailed("the back end could not be reached or gave no answer")
 }
 
 // refused ends an attempt that the backend certainly did not run. If the request
-// itself is invalid, the backend's refusal is passed on to the client.
+// itself is invalid, the backend's refusal is passed on to the caller.
 func (c *backendCall) refused(target *endpoint, number uint32, response *http.Response) *failure {
 	c.attempts.Fail(number, attempt.FaultRefused)
 	c.proxy.metrics.refusals.Inc()
@@ -238,12 +238,12 @@
 	if final := clientError(response.StatusCode, body); final != nil {
 		return final
 	}
-	failed := unavailable(codeNoEngine, "the backends refused the request", time.Second)
+	failed := unavailable(codeNoEngine, "the back ends refused the request", time.Second)
 	failed.budgetExempt = closedPhase(target.word().phase)
 	return failed
 }
 
-// strippedHeaders are the response headers that are not forwarded to the client.
+// strippedHeaders are the response headers that are not forwarded to the caller.
 var strippedHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 	engineapi.HeaderAdmitted, engineapi.HeaderRequestID, engineapi.HeaderAttempt,
@@ -258,15 +258,15 @@
 		if ctx.Err() == nil && !errors.Is(err, errClientGone) {
 			target.fail(c.proxy.clock())
 		}
-		return upstreamFailed("the backend's response was interrupted")
+		return upstreamFailed("the answer broke off")
 	}
 	c.attempts.Finish(number)
 	target.succeed()
 	return nil
 }
 
-// sendHeader sends the status and headers of the response to the client. It is
-// called once the body has begun or has ended empty: until then the client can
+// sendHeader sends the status and headers of the response to the caller. It is
+// called once the body has begun or has ended empty: until then the caller can
 // still get an error, or the response of another backend.
 func (c *backendCall) sendHeader(response *http.Response) {
 	if c.headerSent {
--- a/process/proxy/run_engine.go
+++ b/process/proxy/run_engine.go
@@ -47,7 +47,7 @@
 	target := (*c.lane.endpoints.Load())[decision.Target.Name]
 	if target == nil {
 		c.excluded[decision.Target.Name] = true
-		return unavailable(codeNoEngine, "the engine no longer exists", time.Second)
+		return unavailable(codeNoEngine, "the engine is gone", time.Second)
 	}
 	number, err := c.attempts.Begin(target.name, decision.Target.Incarnation)
 	if err != nil {
@@ -79,7 +79,7 @@
 	target := (*c.lane.endpoints.Load())[step.Endpoint]
 	if target == nil || c.attempts.Resume(step.Number) != nil {
 		c.attempts.AbandonResume(step.Number)
-		return upstreamFailed("the engine no longer exists")
+		return upstreamFailed("the engine is gone")
 	}
 	c.proxy.metrics.resumes.Inc()
 	delay, _ := c.proxy.config.Backoff.Delay(0, c.timeLeft(), c.rng)
@@ -183,7 +183,7 @@
 	request, err := build(ctx)
 	if err != nil {
 		c.attempts.Fail(number, attempt.FaultNotWritten)
-		return deadlineTooShort("not enough time is left before the deadline to call an engine", 0)
+		return deadlineTooShort("no time is left for the engine", 0)
 	}
 	watch := newWatchdog(cancel, c.proxy.config.Timeouts.Head, &errHeaderTimeout)
 	defer func() { watch.stop() }()
@@ -220,13 +220,13 @@
 	c.attempts.Fail(number, fault)
 	if errors.Is(err, upstream.ErrForeign) {
 		c.exclude(target)
-		return upstreamFailed("the engine responded to a different request")
+		return upstreamFailed("the engine answered another request")
 	}
 	c.markSuspect(ctx, target)
-	return upstreamFailed("the engine could not be reached or did not respond")
+	return upstreamFailed("the engine could not be reached or gave no answer")
 }
 
-// markSuspect marks an engine as suspect after a failure, unless the client or
+// markSuspect marks an engine as suspect after a failure, unless the caller or
 // the deadline ended the exchange.
 func (c *call) markSuspect(ctx context.Context, target *endpoint) {
 	cause := context.Cause(ctx)
@@ -252,11 +252,11 @@
 		c.attempts.Fail(number, attempt.FaultBroken)
 		c.attempts.AbandonResume(number)
 		c.suspectOnServerError(target, response)
-		return upstreamFailed("the engine responded with status " + strconv.Itoa(response.StatusCode))
+		return upstreamFailed("the engine answered with status " + strconv.Itoa(response.StatusCode))
 	}
 	c.attempts.Fail(number, attempt.FaultRefused)
 	c.proxy.metrics.refusals.Inc()
-	failed := unavailable(codeNoEngine, "the engines refused the request", time.Second)
+	failed := unavailable(codeNoEngine, "engines refused the request", time.Second)
 	failed.budgetExempt = closedPhase(target.word().phase)
 	if final := clientError(response.StatusCode, body); final != nil {
 		return final
@@ -316,7 +316,7 @@
 // finishRun ends an attempt with a complete response.
 func (c *call) finishRun(target *endpoint, number uint32) *failure {
 	if !c.attempts.Finish(number) {
-		return upstreamFailed("the response ended after its attempt had been closed")
+		return upstreamFailed("the answer came after its attempt had ended")
 	}
 	target.succeed()
 	c.noteServed()
@@ -336,7 +336,7 @@
 	}
 	c.proxy.metrics.broken.Inc()
 	c.markSuspect(ctx, target)
-	return upstreamFailed("the engine's stream was interrupted")
+	return upstreamFailed("the engine's stream broke off")
 }
 
 // sinkFailed ends an attempt whose response cannot be delivered.
@@ -344,7 +344,7 @@
 	c.attempts.Fail(number, attempt.FaultBroken)
 	if errors.Is(err, errResponseTooLarge) {
 		return &failure{status: http.StatusBadGateway, errorType: typeServer, code: codeAnswerTooLarge,
-			message: "the response is too large to be buffered; request a stream instead", final: true}
+			message: "the answer is too large to be held; ask for a stream", final: true}
 	}
-	return &failure{status: statusClientClosed, errorType: typeInvalid, code: codeCancelled, message: "the client disconnected", final: true}
+	return &failure{status: statusClientClosed, errorType: typeInvalid, code: codeCancelled, message: "the caller has gone", final: true}
 }
--- a/process/proxy/sink.go
+++ b/process/proxy/sink.go
@@ -16,22 +16,22 @@
 
 // Errors of a sink.
 var (
-	// errClientGone means that the client disconnected or stopped reading.
+	// errClientGone means that the caller disconnected or stopped reading.
 	errClientGone = errors.New("client disconnected")
 	// errResponseTooLarge means that a buffered response exceeds its size limit.
 	errResponseTooLarge = errors.New("response too large to buffer")
 )
 
-// sink delivers a response to the client.
+// sink delivers a response to the caller.
 type sink interface {
 	// send delivers the next frame; more means that another frame is available.
 	send(frame *upstream.Frame, more bool) error
 	// discard drops the buffered frames before the next attempt. It is called
-	// only while nothing has been sent to the client.
+	// only while nothing has been sent to the caller.
 	discard()
 	// finish ends a complete response.
 	finish() error
-	// fail ends the response with a failure that the client cannot mistake for a
+	// fail ends the response with a failure that the caller cannot mistake for a
 	// complete response.
 	fail(failed *failure)
 	// recorded returns the complete response, or nil if it was not kept.
@@ -39,7 +39,7 @@
 }
 
 // streamSink sends frames as server-sent events. Unwritten data is bounded by
-// maxBufferedBytes, one frame and the buffers of the connection. If the client
+// maxBufferedBytes, one frame and the buffers of the connection. If the caller
 // stops reading, the write deadline fails the request.
 type streamSink struct {
 	writer     http.ResponseWriter
@@ -107,7 +107,7 @@
 	return nil
 }
 
-// disconnectError returns the error after the client has disconnected, or nil if
+// disconnectError returns the error after the caller has disconnected, or nil if
 // the response is recorded with its claim, so that the run continues.
 func (s *streamSink) disconnectError() error {
 	s.buffer.Reset()
@@ -135,7 +135,7 @@
 		return
 	}
 	s.writeEvent("error", failed.encode())
-	_ = s.flush() // the client may have disconnected
+	_ = s.flush() // the caller may have disconnected
 }
 
 func (s *streamSink) recorded() []byte {
--- a/process/proxy/surplus_test.go
+++ b/process/proxy/surplus_test.go
@@ -128,10 +128,10 @@
 	}
 }
 
-// Guards against a client getting the response to another client's request: a
+// Guards against a caller getting the response to another caller's request: a
 // backend sent a stray response on a kept-alive connection, and the proxy compared
 // the request ID only if there was one, and the attempt never. Whatever identity
-// the stray response has, no client may receive it.
+// the stray response has, no caller may receive it.
 func TestStrayResponseReachesNoClient(t *testing.T) {
 	forStrayIdentities(t, func(t *testing.T, identity func(r *http.Request) string) {
 		first, second := newFakeBackend(t), newFakeBackend(t)
@@ -167,7 +167,7 @@
 	c.runs[name]++
 }
 
-// check compares the run states reported to clients with the counted runs. The
+// check compares the run states reported to callers with the counted runs. The
 // server must be closed before, since a run may start after the stray response
 // has ended its attempt.
 func (c *runCounts) check(t *testing.T, reported map[string]string) {
@@ -433,7 +433,7 @@
 
 // Guards against a resumable stream failing: a resume had the same identity as its
 // run and as earlier resumes, so a stray response to one of those was taken for its
-// own. With such a stray response before that to the resume, the client must still
+// own. With such a stray response before that to the resume, the caller must still
 // get the complete response.
 func TestStrayResponseBeforeResume(t *testing.T) {
 	cases := map[string]struct {
