--- a/process/proxy/admin.go
+++ b/process/proxy/admin.go
@@ -11,10 +11,10 @@
 
 // HTTP paths of the admin server.
 const (
-	PathHealth   = "/healthz" // always answers 200 while the process runs
-	PathReady    = "/readyz"  // 200 while the proxy accepts requests, else 503
-	PathMetrics  = "/metrics"
-	PathInFlight = "/debug/inflight"
+	PathHealth   = "/healthz"        // 200 while the process runs, also if Readiness.Ready is false
+	PathReady    = "/readyz"         // 200 while the proxy accepts requests, else 503
+	PathMetrics  = "/metrics"        // Prometheus metrics
+	PathInFlight = "/debug/inflight" // list of InFlightRequest
 )
 
 // listenAdmin starts the HTTP server for health checks, metrics and debugging.
@@ -33,8 +33,8 @@
 // Readiness is the response body of PathHealth and PathReady.
 type Readiness struct {
 	Ready    bool         `json:"ready"`
-	Reason   string       `json:"reason,omitempty"`
-	Version  view.Version `json:"version"`
+	Reason   string       `json:"reason,omitempty"` // why the proxy is not ready
+	Version  view.Version `json:"version"`          // of the view
 	InFlight int          `json:"inFlight"`
 }
 
@@ -73,9 +73,9 @@
 	Service  string           `json:"service"`
 	Class    string           `json:"class"`
 	Tenant   string           `json:"tenant"`
-	State    string           `json:"state"`
-	Seconds  float64          `json:"seconds"`
-	Passed   int              `json:"tokensPassed"`
+	State    string           `json:"state"`        // an attempt.State
+	Seconds  float64          `json:"seconds"`      // since the request was validated
+	Passed   int              `json:"tokensPassed"` // tokens passed on to the caller
 	Attempts []InFlightRecord `json:"attempts"`
 }
 
@@ -83,9 +83,9 @@
 type InFlightRecord struct {
 	Number   uint32 `json:"number"`
 	Endpoint string `json:"endpoint"`
-	Open     bool   `json:"open"`
-	Admitted bool   `json:"admitted"`
-	Refused  bool   `json:"refused"`
+	Open     bool   `json:"open"`     // the attempt has not ended
+	Admitted bool   `json:"admitted"` // the endpoint confirmed that it accepted the request
+	Refused  bool   `json:"refused"`  // the endpoint explicitly refused the request
 	Resumes  int    `json:"resumes"`
 }
 
--- a/process/proxy/admit.go
+++ b/process/proxy/admit.go
@@ -10,15 +10,15 @@
 	"github.com/landingtrail/landingtrail/request/limit"
 )
 
-// admit charges the tenant's rate limit and waits for a slot in the lane's
-// queue. The caller must call release when the request has ended.
+// admit charges the tenant's rate limit, completes the ticket with the limits of the tenant and
+// class, and waits for a slot in the lane's queue. Call release when the request has ended.
 func (p *Proxy) admit(ctx context.Context, l *lane, ticket limit.Ticket) (release func(), failed *failure) {
 	current := p.lanes.catalog.Load()
 	if tenant := current.view.Tenants[ticket.Tenant]; tenant != nil {
 		ticket.Weight = tenant.Spec.Weight
 		allowed := limit.Rate{PerSecond: tenant.Spec.TokensPerSecond, Burst: tenant.Spec.Burst}
 		if wait, taken := p.buckets.Take(ticket.Tenant, allowed, int(ticket.Cost), time.Now()); !taken {
-			ticket.Gate.Expire()
+			ticket.Gate.Expire() // marks the request as not run
 			return nil, rateLimitFailure(wait)
 		}
 	}
@@ -55,7 +55,7 @@
 		failed := deadlineTooShort("the deadline passed in the queue", max(refusal.RetryAfter, time.Second))
 		failed.code = codeDeadlineExceeded
 		return failed
-	default:
+	default: // limit.ReasonCancelled
 		return &failure{
 			status:    statusClientClosed,
 			errorType: typeInvalid,
--- a/process/proxy/answer.go
+++ b/process/proxy/answer.go
@@ -19,7 +19,7 @@
 	typeServer      = "server_error"
 )
 
-// Error codes, each with the HTTP status that is documented for it.
+// Error codes, each with its usual HTTP status and its cause.
 const (
 	codeBadRequest       = "bad_request"         // 400
 	codeKeyRequired      = "key_required"        // 400: at-most-once request without Idempotency-Key
@@ -28,7 +28,7 @@
 	codeUnknownService   = "unknown_service"     // 404
 	codeNotFound         = "not_found"           // 404: no such path
 	codeMethod           = "method_not_allowed"  // 405
-	codeClassRefused     = "class_refused"       // 403: no engine serves the class
+	codeClassRefused     = "class_refused"       // 403: the class exists, but no engine serves it
 	codeBodyTooLarge     = "body_too_large"      // 413
 	codeRateLimited      = "rate_limited"        // 429: the tenant's bucket is empty
 	codeQueueFull        = "queue_full"          // 503
@@ -36,7 +36,7 @@
 	codeNoEngine         = "no_engine"           // 503: no engine or backend accepts requests now
 	codeQuarantined      = "quarantined"         // 503: engines crashed while running the request
 	codeControlLost      = "control_lost"        // 503: the view lease has expired
-	codeStopping         = "stopping"            // 503: the deadline is after the end of the shutdown
+	codeStopping         = "stopping"            // 503: a planned stop would interrupt the request before its deadline
 	codeNoQuorum         = "no_quorum"           // 503: an at-most-once request could not be claimed
 	codeDeadlineShort    = "deadline_too_short"  // 504: the deadline cannot be met
 	codeDeadlineExceeded = "deadline_exceeded"   // 504
@@ -56,14 +56,15 @@
 // closed its connection before the response.
 const statusClientClosed = 499
 
-// failure is an error response to the caller.
+// failure is an error response to the caller. Its ran tells whether the request ran: yes, no or
+// unknown.
 type failure struct {
 	status     int
 	errorType  string // the type field of the error object
 	code       string
 	message    string
 	ran        attempt.Ran
-	retryAfter time.Duration // 0 if a retry is pointless
+	retryAfter time.Duration // 0 omits the Retry-After header
 	// final means that no other engine or backend is tried.
 	final bool
 	// budgetExempt means that trying another engine does not count against the
@@ -71,10 +72,13 @@
 	budgetExempt bool
 }
 
+// invalid returns the failure of a request that must not be sent again unchanged.
 func invalid(code, message string) *failure {
 	return &failure{status: http.StatusBadRequest, errorType: typeInvalid, code: code, message: message, ran: attempt.RanNo}
 }
 
+// unavailable returns the failure of a request that did not run and may be sent again later, after at
+// least a second.
 func unavailable(code, message string, retryAfter time.Duration) *failure {
 	return &failure{
 		status:     http.StatusServiceUnavailable,
--- a/process/proxy/bench_test.go
+++ b/process/proxy/bench_test.go
@@ -99,8 +99,9 @@
 	return server
 }
 
-// BenchmarkDataPath compares the proxy's overhead with that of a minimal reverse proxy in the same
-// run. The cost of a direct connection from caller to engine is subtracted from both.
+// BenchmarkDataPath compares the proxy's overhead with that of a minimal reverse proxy, alternating
+// between them. The metrics in microseconds are per token. The cost of a direct connection from
+// caller to engine is subtracted from both.
 func BenchmarkDataPath(b *testing.B) {
 	cases := []struct {
 		name   string
--- a/process/proxy/body.go
+++ b/process/proxy/body.go
@@ -36,7 +36,7 @@
 	reserved int64
 }
 
-// release returns the reservation to the budget. It must be called once.
+// release returns the reservation to the budget. It must be called exactly once.
 func (b *requestBody) release() { b.budget.release(b.reserved) }
 
 // readBody reads a body up to the size limit. A body of unknown length reserves
@@ -62,6 +62,7 @@
 	return &requestBody{data: data, budget: budget, reserved: int64(len(data))}, nil
 }
 
+// readAll reads a body up to the size limit, within Timeouts.ReadBody.
 func (p *Proxy) readAll(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, *failure) {
 	deadline := time.Now().Add(p.config.Timeouts.ReadBody)
 	controller := http.NewResponseController(w)
--- a/process/proxy/budget_test.go
+++ b/process/proxy/budget_test.go
@@ -9,9 +9,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// Failing engines must exhaust the retry budget of their own service only.
-// Otherwise requests to a plain backend that has just died would not be retried
-// on another one.
+// Failing engines may exhaust only the retry budget of their own service. Otherwise requests to a
+// plain backend that has just died would not be retried on another one.
 func TestRetryBudgetIsPerService(t *testing.T) {
 	engine, alive := newFakeEngine(t, "e1", 11), newFakeBackend(t)
 	other := newFakeEngine(t, "e2", 12)
--- a/process/proxy/cacheindex.go
+++ b/process/proxy/cacheindex.go
@@ -11,12 +11,12 @@
 	synced       bool   // no event has been missed since the last snapshot
 }
 
-// reset clears the index; the next page must be a snapshot.
+// reset clears the index; the next page of cache events must be a snapshot.
 func (c *cacheIndex) reset() { *c = cacheIndex{} }
 
-// apply applies a page of events that was requested with the sequence number after. If events are
-// missing, the index is marked as out of sync and requests a snapshot; its blocks remain as hints
-// until that arrives.
+// apply applies a page of the events that follow the sequence number `after`. If events are missing,
+// the index is marked as out of sync and requests a snapshot; its blocks remain as hints until that
+// arrives.
 func (c *cacheIndex) apply(page engineapi.CacheEvents, after uint64) {
 	if after != c.lastSequence {
 		return // requested before the index was reset
@@ -62,8 +62,8 @@
 	c.synced = false
 }
 
-// cachedPrefix returns how many of the leading blocks are in the index, and whether the index is
-// in sync with the engine.
+// cachedPrefix returns how many of the prompt's leading blocks are in the index, and whether the
+// index is in sync with the engine.
 func (c *cacheIndex) cachedPrefix(blocks []uint64) (count int, synced bool) {
 	for _, block := range blocks {
 		if !c.blocks[block] {
--- a/process/proxy/call.go
+++ b/process/proxy/call.go
@@ -28,8 +28,8 @@
 	sink     sink
 	claim    *claim // nil unless the request is at-most-once
 	rng      *rand.Rand
-	excluded map[string]bool
-	retries  int
+	excluded map[string]bool // names of the engines that are not to be tried again
+	retries  int             // including those that the deadline left no time for
 	// kvTransfers counts the export and import calls for KV cache.
 	kvTransfers uint32
 	// resumeCount counts the resumed streams of all attempts.
@@ -54,6 +54,8 @@
 		if failed := c.refuseHeld(); failed != nil {
 			return c.giveUp(failed)
 		}
+		// Next decides between a run, a resume and giving up by what the earlier attempts
+		// came to.
 		step := c.attempts.Next()
 		switch step.Kind {
 		case attempt.StepRun:
@@ -75,8 +77,9 @@
 	}
 }
 
-// giveUp ends the request without a complete response. It returns the failure to
-// report, including whether the request may have run.
+// giveUp ends the request without a complete response. It returns the failure to report, including
+// whether the request may have run. A server error of a request that certainly did not run becomes
+// 504 if the deadline was the cause and 503 otherwise.
 func (c *call) giveUp(last *failure) *failure {
 	result := finalFailure(last, c.attempts.GiveUp())
 	if result.ran == attempt.RanNo && result.status >= http.StatusInternalServerError {
@@ -89,9 +92,9 @@
 	return result
 }
 
-// finalFailure returns the last failure with ran as its run state. If the last
-// attempt was refused but an earlier one may have run, the refusal is replaced:
-// the caller must not be told to retry as if nothing had run.
+// finalFailure returns the last failure with its run state replaced by ran. If the last attempt was
+// refused but an earlier one may have run, the refusal is replaced: the caller must not be told to
+// retry as if nothing had run.
 func finalFailure(last *failure, ran attempt.Ran) *failure {
 	if last == nil || (last.ran == attempt.RanNo && ran != attempt.RanNo) {
 		last = upstreamFailed("the request was sent, but no whole answer came")
@@ -127,10 +130,10 @@
 // proxy's clock keeps running while the machine is suspended.
 func (c *call) timeLeft() time.Duration { return c.deadline - c.proxy.clock() }
 
-// prepareRetry charges the retry budget and waits for the backoff. It reports
-// whether to retry. A refusal by an engine that is draining or changing is not
-// charged: each engine refuses in this way only once, and a planned change must
-// not exhaust the budget.
+// prepareRetry charges the retry budget and waits for the backoff. It reports whether to retry. A
+// retry that the deadline leaves no time for is charged and counted too. A refusal by an engine that
+// is draining or changing its assignment is not charged: each engine refuses in this way only once,
+// since it is then excluded, and a planned change must not exhaust the budget.
 func (c *call) prepareRetry(ctx context.Context, last *failure) bool {
 	if c.retries >= c.proxy.config.Limits.Attempts {
 		return false
@@ -179,8 +182,8 @@
 	return decision, nil
 }
 
-// routeFailure returns the failure to report if the router finds no engine. It
-// is final unless an engine may become available later.
+// routeFailure returns the failure to report if the router finds no engine. It is final unless
+// another try may find one.
 func routeFailure(reason router.Reason) *failure {
 	switch reason {
 	case router.ReasonUnknownModel:
@@ -204,7 +207,7 @@
 		failed := unavailable(codeNoEngine, "every engine was tried", time.Second)
 		failed.final = true
 		return failed
-	default:
+	default: // router.ReasonNoEngine
 		return unavailable(codeNoEngine, "no engine admits requests now", time.Second)
 	}
 }
--- a/process/proxy/cancel.go
+++ b/process/proxy/cancel.go
@@ -14,7 +14,7 @@
 	completed := c.attempts.Done()
 	records := c.attempts.Attempts()
 	for i := range records {
-		record := &records[i]
+		record := &records[i] // Wrote means that a byte of the request may have reached the engine
 		last := i == len(records)-1
 		if !record.Wrote || record.Refused || (last && completed) {
 			continue
@@ -28,8 +28,8 @@
 	}
 }
 
-// sendCancel asks an engine to cancel a run. It is best effort: without the
-// request the engine ends the run once nobody reads its stream.
+// sendCancel asks an engine to cancel a run. It is best effort: without a cancellation the engine
+// ends the run once nobody reads its stream.
 func (p *Proxy) sendCancel(l *lane, target *endpoint, body engineapi.CancelRequest) {
 	ctx, cancel := context.WithTimeout(context.Background(), p.config.Timeouts.Cancel)
 	defer cancel()
@@ -37,7 +37,8 @@
 	if err != nil {
 		return
 	}
-	// Runs use other connections, so the identity of the run can be reused here.
+	// Runs use another pool of connections, so a response to the run cannot be taken for the
+	// response to this request although both have the same identity.
 	response, err := l.polls.Do(request, upstream.Identity{RequestID: body.RequestID, Attempt: body.Attempt})
 	if err != nil {
 		return
--- a/process/proxy/catalog.go
+++ b/process/proxy/catalog.go
@@ -39,6 +39,8 @@
 		sortClasses(classes)
 	}
 	for _, service := range current.Services {
+		// The capacity is limited to the length, so that append copies and leaves the view
+		// unchanged.
 		for _, name := range append(service.Status.Leaving[:len(service.Status.Leaving):len(service.Status.Leaving)], service.Status.Gone...) {
 			result.leavingBackends[name] = true
 		}
@@ -74,8 +76,8 @@
 	return intent != nil && c.classes[intent.Name][class]
 }
 
-// intentFor returns the name of the intent that serves the model to the class,
-// or "" if there is none.
+// intentFor returns the name of the intent that serves the model to the class, the first by name if
+// there are several, or "" if there is none.
 func (c *catalog) intentFor(model, class string) string {
 	found := ""
 	for name, intent := range c.view.Intents {
@@ -154,6 +156,7 @@
 	return names
 }
 
+// classBefore reports whether a comes before b in order of priority, lowest first, and name.
 func classBefore(a, b *api.Class) bool {
 	if a.Spec.Priority != b.Spec.Priority {
 		return a.Spec.Priority < b.Spec.Priority
--- a/process/proxy/claim.go
+++ b/process/proxy/claim.go
@@ -18,9 +18,8 @@
 	"github.com/landingtrail/landingtrail/version/state"
 )
 
-// headerClaimHash carries a hash of the claim that a run belongs to. The
-// caller's key itself is not forwarded: net/http considers a request with an
-// Idempotency-Key header safe to send again.
+// headerClaimHash carries a hash of the claim that a run belongs to. The caller's key itself is not
+// forwarded: net/http would send a request with an Idempotency-Key header again by itself.
 const headerClaimHash = "Engine-Idempotency"
 
 // claim is the permission to run an at-most-once request, granted by the control
@@ -28,7 +27,7 @@
 type claim struct {
 	tenant string
 	key    string
-	nonce  uint64
+	nonce  uint64 // distinguishes this claim from others with the same key
 }
 
 // claimKey identifies the request that a claim is for.
@@ -72,8 +71,8 @@
 	failed   *failure
 }
 
-// acquireClaim asks the control group for permission to run an at-most-once
-// request.
+// acquireClaim asks the control group for permission to run an at-most-once request, within
+// Timeouts.Claim. A pending outcome of an earlier request with the key is recorded first.
 func (p *Proxy) acquireClaim(ctx context.Context, headers *requestHeaders, bodyHash uint64) claimResult {
 	ctx, cancel := context.WithTimeout(ctx, p.config.Timeouts.Claim)
 	defer cancel()
@@ -91,7 +90,7 @@
 	result, err := p.commitClaim(ctx, request)
 	requested := &claim{tenant: headers.tenant, key: headers.key, nonce: request.Nonce}
 	if errors.Is(err, feed.ErrOutcomeUnknown) {
-		// The claim may have been granted, but nothing will be run under it.
+		// The claim may have been granted, but the request will not run.
 		record := p.newOutcomeRecord(requested, api.RunNotRun, nil)
 		p.tasks.Go(func() { p.recordOutcome(record) })
 	}
@@ -110,16 +109,15 @@
 	}
 }
 
-// claimUnavailable returns the result for a request that was not run because it
-// could not be claimed.
+// claimUnavailable logs that a request could not be claimed, and returns the result: it was not run.
 func (p *Proxy) claimUnavailable(headers *requestHeaders, cause error) claimResult {
 	event.ProxyClaimFailed.Log(p.logger, "tenant", headers.tenant, "error", cause)
 	return claimResult{failed: unavailable(codeNoQuorum, "the request could not be claimed, so it was not run", time.Second)}
 }
 
-// commitClaim sends the claim a second time if the first attempt may have been
-// committed; the same nonce yields the same result. If the second attempt
-// certainly did not reach the group, the outcome of the first remains unknown.
+// commitClaim sends the claim a second time if the first attempt may have been committed; the same
+// nonce yields the same result. If the second attempt certainly did not reach the group, the outcome
+// of the first remains unknown and its error is returned.
 func (p *Proxy) commitClaim(ctx context.Context, request state.ClaimRequest) (api.ClaimResult, error) {
 	result, err := p.control.Claim(ctx, request)
 	if !errors.Is(err, feed.ErrOutcomeUnknown) || ctx.Err() != nil {
@@ -136,7 +134,8 @@
 	return &failure{status: http.StatusConflict, errorType: typeInvalid, code: code, message: message, ran: ran}
 }
 
-// replayResult returns the recorded response of a completed claim.
+// replayResult returns the recorded response of a claim that is done, or the failure if its run is
+// not known to have completed or its response was not stored.
 func replayResult(done *api.Claim) claimResult {
 	if done.Outcome != api.RunCompleted {
 		return claimResult{failed: conflict(codeKeyRunning, "the outcome of the key's run is not known", attempt.RanUnknown)}
@@ -159,9 +158,8 @@
 	p.recordOutcome(p.newOutcomeRecord(granted, outcome, response))
 }
 
-// newOutcomeRecord returns the outcome to record for a claim. A not-run outcome
-// is also kept as pending until it is recorded, since the caller may send the
-// request again before that.
+// newOutcomeRecord returns the outcome to record for a claim. A not-run outcome is also stored as
+// pending until it is recorded, since the caller may send the request again before that.
 func (p *Proxy) newOutcomeRecord(granted *claim, outcome api.RunOutcome, response *recordedResponse) *state.RunOutcome {
 	record := &state.RunOutcome{Tenant: granted.tenant, Key: granted.key, Nonce: granted.nonce, Outcome: outcome}
 	if response != nil {
@@ -173,7 +171,7 @@
 	return record
 }
 
-// dropPending removes a record that is confirmed or abandoned.
+// dropPending removes a record that the control group has confirmed or that the proxy has given up.
 func (p *Proxy) dropPending(record *state.RunOutcome) {
 	p.owed.CompareAndDelete(claimKey{record.Tenant, record.Key}, record)
 }
@@ -188,7 +186,7 @@
 	return p.sendOutcome(ctx, pending.(*state.RunOutcome))
 }
 
-// recordOutcome tries once to record the outcome and retries in the background.
+// recordOutcome tries once to record the outcome and, if that fails, retries in the background.
 func (p *Proxy) recordOutcome(record *state.RunOutcome) {
 	if p.sendOutcome(context.Background(), record) != nil {
 		p.tasks.Go(func() { p.retryOutcome(record) })
@@ -206,8 +204,8 @@
 	return encoded
 }
 
-// outcomeRetries is how often recording an outcome is retried. Recording an
-// outcome is idempotent.
+// outcomeRetries is how often recording an outcome is retried; a not-run outcome is retried until the
+// proxy stops. Recording an outcome is idempotent.
 const outcomeRetries = 2
 
 func (p *Proxy) sendOutcome(ctx context.Context, record *state.RunOutcome) error {
@@ -228,7 +226,7 @@
 	rng := newRandom()
 	var err error
 	for try := 0; try < outcomeRetries || p.retriesUntilConfirmed(record); try++ {
-		delay, _ := p.config.Backoff.Delay(try, time.Hour, rng)
+		delay, _ := p.config.Backoff.Delay(try, time.Hour, rng) // an hour, since no deadline applies
 		time.Sleep(delay)
 		if err = p.sendOutcome(context.Background(), record); err == nil {
 			return
@@ -242,8 +240,8 @@
 	return record.Outcome == api.RunNotRun && p.background.Err() == nil
 }
 
-// outcomeFor returns the outcome to record for a request whose caller was told
-// ran.
+// outcomeFor returns the outcome to record for a request that was reported to its caller with the run
+// state ran.
 func outcomeFor(ran attempt.Ran) api.RunOutcome {
 	if ran == attempt.RanNo {
 		return api.RunNotRun
--- a/process/proxy/claim_test.go
+++ b/process/proxy/claim_test.go
@@ -47,9 +47,9 @@
 	must.Eq(t, 1, engine.runs.Load())
 }
 
-// Sends an at-most-once request again with the same key, to the same proxy and
-// to another one. It must run once and return the recorded response. A different
-// request with the same key must be rejected.
+// An at-most-once request is sent again with the same key, to the same proxy and to another one. It
+// must run once and return the recorded response. A different request with the same key must be
+// rejected.
 func TestAtMostOnceRequestRunsOnce(t *testing.T) {
 	engine := newFakeEngine(t, "e1", 11)
 	f := start(t, quick(), []*fakeEngine{engine})
@@ -69,7 +69,7 @@
 	must.Eq(t, 1, engine.runs.Load())
 }
 
-// Sends the same at-most-once request to two proxies at the same time.
+// The same at-most-once request is sent to two proxies at the same time and must run once.
 func TestConcurrentRequestsWithSameKey(t *testing.T) {
 	engine := newFakeEngine(t, "e1", 11)
 	hold := make(chan struct{})
@@ -274,8 +274,8 @@
 	must.NotNil(t, p.acquireClaim(context.Background(), headers, 1).granted)
 }
 
-// leaderlessControl commits the first claim, but loses its response along with
-// the leader, so that the second attempt finds no leader.
+// leaderlessControl commits the first claim and then has no leader: the response is lost and the
+// second attempt finds no quorum.
 type leaderlessControl struct {
 	*fakeControl
 	tries int
--- a/process/proxy/config.go
+++ b/process/proxy/config.go
@@ -18,14 +18,14 @@
 
 // Loss policies.
 const (
-	// LossServe keeps serving by the last view, but only through backends that have
+	// LossServe keeps serving by the last view, but only through engines and backends that have
 	// reported since the lease expired that they serve.
 	LossServe LossPolicy = "serve"
-	// LossRefuse rejects requests with ran "no" and a Retry-After header.
+	// LossRefuse rejects requests as not run (ran "no"), with a Retry-After header.
 	LossRefuse LossPolicy = "refuse"
 )
 
-// ControlLoss holds the LossPolicy of each type of service.
+// ControlLoss holds the LossPolicy of each type of service; empty means LossServe.
 type ControlLoss struct {
 	Model   LossPolicy
 	Backend LossPolicy
@@ -37,11 +37,11 @@
 	// Head is the wait for the status line and headers of an engine's response, which tell
 	// whether the engine admitted or refused the request.
 	Head time.Duration
-	// FirstToken is the wait for the first token after admission.
+	// FirstToken is the wait for the first token after the engine has admitted the request.
 	FirstToken time.Duration
 	// Stall is the wait between two events of a stream.
 	Stall time.Duration
-	// Write is the wait for a caller that has stopped reading.
+	// Write is the wait of one write for a caller that has stopped reading.
 	Write time.Duration
 	// ReadHeader and ReadBody limit how long a caller may take to send a request.
 	ReadHeader time.Duration
@@ -49,7 +49,7 @@
 	Idle       time.Duration // keep-alive of callers' idle connections
 	Claim      time.Duration // requesting a claim from, or recording an outcome at, the control group
 	Cancel     time.Duration // sending a cancellation to an engine
-	// Deadline applies to requests whose class has none.
+	// Deadline applies to requests that carry none and whose class has none.
 	Deadline time.Duration
 }
 
@@ -59,13 +59,13 @@
 	HeldBytes   int64   // total size of the request bodies in memory, per type of service
 	AnswerBytes int64   // size of a response that is buffered until it is complete
 	EventBytes  int     // size of one stream event
-	PollBytes   float64 // traffic of all load reports and cache events, per second
+	PollBytes   float64 // traffic of polls for load reports and cache events, sent and received, per second
 	MaxInFlight int     // concurrent requests of a service that sets no limit
 	QueueLimit  int     // queued requests of a class that sets no limit
 	Attempts    int     // runs of one request
 	Resumes     int     // resumptions of one run's stream
-	// RetryShare is the ratio of retries to requests that the retry budget allows;
-	// RetryReserve is how many unused retries it accumulates at most.
+	// RetryShare is the ratio of retries to requests that the retry budget allows; RetryReserve
+	// is the maximum number of unused retries that it accumulates.
 	RetryShare   float64
 	RetryReserve int
 }
@@ -81,11 +81,11 @@
 
 // Config is the configuration of a proxy.
 type Config struct {
-	ID            string
+	ID            string // unique among the proxies of the control group
 	Zone          string
-	ListenAddress string // for callers
-	AdminAddress  string // for health, metrics and debugging
-	FeedAddresses []string
+	ListenAddress string   // for callers
+	AdminAddress  string   // for health, metrics and debugging
+	FeedAddresses []string // of the control group's members
 	OnControlLoss ControlLoss
 	Timeouts      Timeouts
 	Limits        Limits
@@ -93,11 +93,11 @@
 	Subset        subset.Sizes
 	Speed         router.Speed
 	Backoff       retry.Backoff
-	Margin        retry.Margin
-	// DrainNotice is how long a stopping proxy keeps accepting requests, while it reports
-	// that it is not ready and every response asks the caller to close the connection.
+	Margin        retry.Margin // time that the proxy keeps of a deadline for itself
+	// DrainNotice is how long a proxy in a planned stop keeps accepting requests, while it
+	// reports that it is not ready and every response asks the caller to close the connection.
 	DrainNotice time.Duration
-	// DrainLimit limits the wait for requests in flight; 0 means no limit.
+	// DrainLimit limits the wait for requests in flight after DrainNotice; 0 means no limit.
 	DrainLimit time.Duration
 }
 
@@ -119,7 +119,7 @@
 	DefaultHeldBytes    = 64 << 20
 	DefaultAnswerBytes  = 4 << 20
 	DefaultEventBytes   = 256 << 10
-	DefaultPollBytes    = 7000
+	DefaultPollBytes    = 7000 // per second
 	DefaultMaxInFlight  = 256
 	DefaultQueueLimit   = 128
 	DefaultAttempts     = 4
--- a/process/proxy/demand.go
+++ b/process/proxy/demand.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// maxDemandWindow limits how long unreported counts are kept: older demand would mislead the
-// planner.
+// maxDemandWindow limits how long unreported counts are kept before they are dropped: older demand
+// would mislead the planner, the part of the control group that assigns engines to models.
 const maxDemandWindow = 10 * time.Second
 
 // reportDemand periodically reports the demand to the control group.
@@ -115,7 +115,8 @@
 	tokens   float64
 }
 
-// queuedDemand counts the model requests that are queued now.
+// queuedDemand counts the model requests that are queued now. Plain backends have no intent, so their
+// requests are no demand.
 func (p *Proxy) queuedDemand() map[demandKey]queuedCount {
 	queued := map[demandKey]queuedCount{}
 	current := p.lanes.catalog.Load()
--- a/process/proxy/endpoint.go
+++ b/process/proxy/endpoint.go
@@ -10,8 +10,8 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// minSuspectTime is how long an endpoint is avoided after a failure. It doubles with each further
-// consecutive failure, up to maxSuspectTime.
+// minSuspectTime is how long an endpoint is suspect after a failure: it is used only if no other
+// endpoint is available. It doubles with each further consecutive failure, up to maxSuspectTime.
 const (
 	minSuspectTime = 500 * time.Millisecond
 	maxSuspectTime = 15 * time.Second
@@ -36,8 +36,9 @@
 	// the proxy received that.
 	phase       api.EnginePhase
 	incarnation uint64
-	// incarnationAsOf is the earliest time at which the incarnation can have been reported. Reports
-	// may arrive out of order, so one of an earlier incarnation may arrive later.
+	// incarnationAsOf is the earliest time at which the endpoint can have made the latest report
+	// of the incarnation. Reports may arrive out of order, so one of an earlier incarnation may
+	// follow.
 	incarnationAsOf time.Duration
 	lastReportAt    time.Duration
 	heard           bool
@@ -47,13 +48,13 @@
 	failures        int
 	suspectUntil    time.Duration
 	// silent is set while polls get no response. Unlike suspectUntil it does not expire, so that
-	// no request is spent on probing an endpoint that is still down.
+	// no request is sent just to find that the endpoint is still down.
 	silent     bool
 	dispatches map[uint64]dispatch
 	nextID     uint64
 	cache      cacheIndex
-	// suspectedEndAt is when the incarnation appeared to end, because its connection broke; 0 once
-	// the engine has answered a later request.
+	// suspectedEndAt is when the incarnation appeared to crash, because its connection broke; 0
+	// once the engine has responded to a later request.
 	suspectedEndAt          time.Duration
 	suspectedEndIncarnation uint64
 }
@@ -91,14 +92,14 @@
 	e.hearLocked(reported)
 }
 
-// hearLocked is hear for a caller that holds the lock. Responses may arrive out of order, so a phase
-// that takes new work is ignored if it may be older than the last one that did not.
+// hearLocked is hear for code that holds the lock. Responses may arrive out of order, so a phase that
+// takes new work is ignored if it may predate the last one that did not.
 func (e *endpoint) hearLocked(reported spokenWord) {
 	e.heard = true
 	e.silent = false
 	e.lastReportAt = max(e.lastReportAt, reported.now)
 	switch {
-	case reported.phase == api.PhaseUnknown:
+	case reported.phase == api.PhaseUnknown: // not reported: the phase stays
 	case closedPhase(reported.phase):
 		e.phase, e.closedAt = reported.phase, reported.now
 	case reported.said >= e.closedAt:
@@ -138,7 +139,7 @@
 }
 
 // report records a load report in response to a poll sent at sentAt. The report describes the load
-// at an earlier time, by its age.
+// AgeMilliseconds earlier.
 func (e *endpoint) report(sentAt, now time.Duration, load engineapi.Load) {
 	if e.isFromOtherEngine(load) {
 		return
@@ -154,7 +155,8 @@
 	e.loadAt = now - age
 }
 
-// succeed records a successful request: the endpoint is no longer suspect because of failures.
+// succeed records a successful request: the endpoint is no longer suspect because of failures. It may
+// still be silent.
 func (e *endpoint) succeed() {
 	e.lock.Lock()
 	defer e.lock.Unlock()
--- a/process/proxy/fault_test.go
+++ b/process/proxy/fault_test.go
@@ -20,18 +20,18 @@
 
 func dropConnection(http.ResponseWriter) { panic(http.ErrAbortHandler) }
 
-// hang blocks until the client of the request has disconnected, which net/http's
-// server detects only after the body has been read.
+// hang blocks until the proxy has disconnected, which net/http's server detects only after the
+// request body has been read.
 func hang(r *http.Request) {
-	_, _ = io.Copy(io.Discard, r.Body) // the client may have disconnected already
+	_, _ = io.Copy(io.Discard, r.Body) // the proxy may have disconnected already
 	<-r.Context().Done()
 }
 
-// patience is longer than any engine of these tests takes to start, even on a busy machine.
+// patience is longer than any engine of these tests takes to start on a busy machine.
 const patience = 10 * time.Second
 
-// Injects each fault into the runs of both engines and checks the response to an
-// ordinary and to an at-most-once request.
+// Each fault occurs in the runs of both engines. The response to an ordinary and to an at-most-once
+// request must tell whether the request ran, and the latter may run only once.
 func TestStreamFaults(t *testing.T) {
 	refuse := func(status int, code string) script {
 		return func(e *fakeEngine, w http.ResponseWriter, _ *http.Request, _ int) { e.refuse(w, status, code) }
@@ -39,12 +39,12 @@
 	cases := []struct {
 		name   string
 		script script
-		// response to an ordinary streaming request if every engine does this
+		// response to an ordinary streaming request if both engines use the script
 		status int
 		ran    string
 		whole  bool
 		runs   int32 // total of both engines
-		// the same for an at-most-once request
+		// run state and total runs of an at-most-once request
 		atMostOnceRan  string
 		atMostOnceRuns int32
 		// hangs means that the engines never end their responses. Only then do the
@@ -289,6 +289,7 @@
 	}
 	crash := func(_ *fakeEngine, w http.ResponseWriter) { dropConnection(w) }
 	breaks := func(_ *fakeEngine, w http.ResponseWriter) { http.Error(w, "broken", http.StatusInternalServerError) }
+	// nil is a KV transfer that succeeds.
 	for _, fails := range []func(*fakeEngine, http.ResponseWriter){nil, drain, crash, breaks} {
 		prefill, decode := newFakeEngine(t, "e1", 11), newFakeEngine(t, "e2", 12)
 		prefill.failKV = fails
--- a/process/proxy/handle_model.go
+++ b/process/proxy/handle_model.go
@@ -38,14 +38,15 @@
 	c.countEnded(failed, time.Since(started))
 }
 
-// setCommonHeaders sets the headers that all responses share.
+// setCommonHeaders asks callers to close their connections during a planned stop.
 func (p *Proxy) setCommonHeaders(w http.ResponseWriter) {
 	if p.stopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
 }
 
-// newCall validates a request against the view and returns its call.
+// newCall validates a request against the view, returns its call and sets the response header with
+// its ID.
 func (p *Proxy) newCall(w http.ResponseWriter, r *http.Request, parsed *completionRequest) (*call, *failure) {
 	headers, failed := parseHeaders(r.Header)
 	if failed != nil {
@@ -203,7 +204,8 @@
 	return &recordedResponse{Status: http.StatusOK, ContentType: contentTypeJSON, Body: body}
 }
 
-// answerFromClaim responds to an at-most-once request that may not run now.
+// answerFromClaim responds to an at-most-once request without running it: with the recorded response
+// or with a failure.
 func (c *call) answerFromClaim(w http.ResponseWriter, claimed claimResult) *failure {
 	c.attempts.GiveUp()
 	if claimed.failed != nil {
@@ -225,9 +227,8 @@
 	return demandKey{intent: current.intentFor(c.parsed.request.Model, c.envelope.class), class: c.envelope.class}
 }
 
-// countOffered counts the request for the planner on arrival. Counting at the
-// end would be late by the duration of a run and would miss requests that are
-// never served.
+// countOffered counts the request as demand on arrival: at the end it would be late by the duration
+// of the run, and requests that are never served would be missed.
 func (c *call) countOffered() {
 	c.proxy.demand.add(c.demandKey(), func(demand *feed.Demand) {
 		demand.Requests++
@@ -236,7 +237,8 @@
 	})
 }
 
-// countEnded counts the end of the request for the planner and the metrics.
+// countEnded counts the end of the request in the demand and the metrics, and learns the length of a
+// complete response.
 func (c *call) countEnded(failed *failure, took time.Duration) {
 	c.proxy.metrics.ended(c.lane.service, c.envelope.class, failed, took)
 	if failed == nil {
--- a/process/proxy/handle_service.go
+++ b/process/proxy/handle_service.go
@@ -70,6 +70,8 @@
 	failed.write(w)
 }
 
+// newBackendCall validates a request against the view, reads its body, and sets the response header
+// with its ID.
 func (p *Proxy) newBackendCall(w http.ResponseWriter, r *http.Request) (*backendCall, *failure) {
 	service, rest, found := splitServicePath(r.URL.EscapedPath())
 	if !found {
@@ -152,6 +154,8 @@
 	return class, nil
 }
 
+// serve admits, claims and runs the request and sends a successful response. It returns nil after a
+// complete response.
 func (c *backendCall) serve(ctx context.Context) *failure {
 	defer c.proxy.running.add(&entry{
 		id:      c.id,
@@ -201,6 +205,7 @@
 	c.proxy.finishClaim(c.claim, outcomeFor(failed.ran), nil)
 }
 
+// answerFromClaim sends the recorded response, or returns the failure of the claim.
 func (c *backendCall) answerFromClaim(claimed claimResult) *failure {
 	c.attempts.GiveUp()
 	if claimed.failed != nil {
@@ -217,7 +222,7 @@
 	return nil
 }
 
-// recordBody appends to the response that is stored with the claim, unless it
+// recordBody appends to the response that is stored with the claim, or drops that response if it
 // becomes too large.
 func (c *backendCall) recordBody(part []byte) {
 	if c.recorded == nil {
@@ -233,10 +238,9 @@
 // relayBufferBytes is the size of the buffer for copying response bodies.
 const relayBufferBytes = 32 << 10
 
-// relay copies a response body to the caller. For a claimed request it continues
-// after the caller has disconnected, so that the response can be recorded. A
-// response of unknown length may be a stream, so each part is flushed as it
-// arrives.
+// relay copies a response body to the caller. For a claimed request it reads on after the caller has
+// disconnected, so that the run can be recorded; the parts that follow the failed write are not
+// recorded. A response of unknown length may be a stream, so each part is flushed as it arrives.
 func (c *backendCall) relay(response *http.Response) error {
 	streamed := response.ContentLength < 0
 	controller := http.NewResponseController(c.writer)
@@ -254,7 +258,7 @@
 				clientGone = true
 			}
 			if streamed {
-				_ = controller.Flush() // the next write fails if the caller has disconnected
+				_ = controller.Flush() // the error also shows at the next write
 			}
 		}
 		if clientGone && c.claim == nil {
--- a/process/proxy/harness_test.go
+++ b/process/proxy/harness_test.go
@@ -52,7 +52,8 @@
 func (v *fixedViews) Load() *view.View           { return v.view.Load() }
 func (v *fixedViews) Valid(_ time.Duration) bool { return !v.invalid.Load() }
 
-// fakeControl is an in-memory control group. Claim returns the error lost if it is set.
+// fakeControl is an in-memory control group. Claim returns the error lost, if it is set, instead of a
+// result.
 type fakeControl struct {
 	lock     sync.Mutex
 	lost     error
@@ -195,6 +196,7 @@
 	e.answer(w, r, 0, 3)
 }
 
+// refuse refuses a request before admission.
 func (e *fakeEngine) refuse(w http.ResponseWriter, status int, code string) {
 	w.Header().Set(engineapi.HeaderAdmitted, "no")
 	writeJSON(w, status, engineapi.ErrorBody{Error: engineapi.ErrorDetail{Message: code, Code: code, Ran: "no"}})
@@ -218,13 +220,14 @@
 	return r.Header.Get(engineapi.HeaderRequestID), uint32(number)
 }
 
+// answer streams the tokens from offset up to but not including end, and the terminal event.
 func (e *fakeEngine) answer(w http.ResponseWriter, r *http.Request, offset, end int) {
 	id, number := runOf(r)
 	e.tokens(w, id, number, offset, end)
 	_, _ = io.WriteString(w, "data: [DONE]\n\n")
 }
 
-// fleet is a proxy in front of fake engines and backends.
+// fleet is one running proxy in front of fake engines and backends.
 type fleet struct {
 	t       *testing.T
 	proxy   *Proxy
@@ -282,11 +285,13 @@
 	return current
 }
 
+// start starts a fleet with a fakeControl.
 func start(t *testing.T, config Config, engines []*fakeEngine, backends ...*httptest.Server) *fleet {
 	t.Helper()
 	return startWith(t, config, newFakeControl(), engines, backends...)
 }
 
+// startWith starts a fleet with the given control group.
 func startWith(t *testing.T, config Config, control Control, engines []*fakeEngine, backends ...*httptest.Server) *fleet {
 	t.Helper()
 	started := time.Now()
@@ -327,18 +332,21 @@
 	err    error // from reading the body, if it was cut off
 }
 
+// code returns the code in an error response.
 func (r *reply) code() string {
 	var body engineapi.ErrorBody
 	_ = json.Unmarshal([]byte(r.body), &body)
 	return body.Error.Code
 }
 
+// ran returns the run state in an error response.
 func (r *reply) ran() string {
 	var body engineapi.ErrorBody
 	_ = json.Unmarshal([]byte(r.body), &body)
 	return body.Error.Ran
 }
 
+// do sends a request; headers alternate names and values.
 func (f *fleet) do(method, path, body string, headers ...string) *reply {
 	f.t.Helper()
 	request, err := http.NewRequest(method, f.url+path, strings.NewReader(body))
@@ -406,6 +414,7 @@
 	wholeBody  = `{"model":"llm","prompt":"tell of the storm","max_tokens":3}`
 )
 
+// stream sends a streaming request and reads the response to its end.
 func (f *fleet) stream(headers ...string) *reply {
 	f.t.Helper()
 	return f.do(http.MethodPost, engineapi.PathCompletions, streamBody, headers...)
--- a/process/proxy/inflight.go
+++ b/process/proxy/inflight.go
@@ -21,7 +21,7 @@
 	started time.Time
 	life    *attempt.Life
 	model   string // "" for a plain backend
-	tokens  int    // prompt length
+	tokens  int    // estimated prompt tokens
 }
 
 // inFlight tracks the requests in flight. It is split into independently locked shards to reduce
@@ -61,6 +61,7 @@
 	}
 }
 
+// count returns the number of requests in flight.
 func (f *inFlight) count() int {
 	total := 0
 	for i := range f.shards {
--- a/process/proxy/lane.go
+++ b/process/proxy/lane.go
@@ -16,7 +16,7 @@
 )
 
 // lane holds the connections, the queue, the retry budget and the endpoints of one service. Lanes
-// share nothing, so that fast requests to plain backends never wait behind model requests.
+// share none of these, so that fast requests to plain backends never wait behind model requests.
 type lane struct {
 	service string
 	kind    api.ServiceType
@@ -37,6 +37,7 @@
 	pollers map[string]*poller
 }
 
+// newLane returns a lane without endpoints. onForeign is called for each foreign response.
 func newLane(config *Config, service *api.Service, onForeign func(address string, cause error)) *lane {
 	created := &lane{
 		service: service.Name,
@@ -64,7 +65,7 @@
 }
 
 // endpointSpec is an engine or backend of a service, as the view describes it. Endpoints with the
-// same group are interchangeable.
+// same group can replace each other in the subset that the proxy uses.
 type endpointSpec struct {
 	name, address, zone, group string
 }
@@ -136,13 +137,13 @@
 }
 
 // selectSubset returns the specs of the endpoints that the proxy uses. It runs on every view update
-// with all endpoints of the fleet, so it avoids building a map of them.
+// with all endpoints of the fleet, so it builds no map of them.
 func (l *lane) selectSubset(config *Config, specs []endpointSpec) []endpointSpec {
 	candidates := make([]subset.Endpoint, len(specs))
 	for i := range specs {
 		candidates[i] = subset.Endpoint{Name: specs[i].name, Zone: specs[i].zone, Group: specs[i].group}
 	}
-	names := subset.Choose(config.ID, config.Zone, candidates, config.Subset)
+	names := subset.Choose(config.ID, config.Zone, candidates, config.Subset) // sorted
 	selected := make([]endpointSpec, 0, len(names))
 	for i := range specs {
 		if _, found := slices.BinarySearch(names, specs[i].name); found {
@@ -164,7 +165,7 @@
 	l.polls.Close()
 }
 
-// standing is the view in force, with whether its lease is valid and if not, since when.
+// standing is the applied view, whether its lease is valid, and since when it is not.
 type standing struct {
 	catalog  *catalog
 	valid    bool
@@ -178,7 +179,8 @@
 	return s.valid || (state.heard && state.lastReportAt > s.lapsedAt)
 }
 
-// snapshot returns the lane's engines as routing candidates, sorted by name.
+// snapshot returns those of the lane's engines that the view has as routing candidates, sorted by
+// name.
 func (l *lane) snapshot(s *standing) router.Snapshot {
 	endpoints := *l.endpoints.Load()
 	snapshot := router.Snapshot{Endpoints: make([]*router.Endpoint, 0, len(endpoints))}
@@ -220,9 +222,9 @@
 	return candidate
 }
 
-// admits reports whether the engine takes new work by all sources: the view, the engine's own
-// reports and, once the view's lease has expired, a report since then. If the engine reports
-// another incarnation than the view, the view describes an earlier one and does not apply.
+// admits reports whether the engine takes new work according to all sources: the view, the engine's
+// own reports and, once the view's lease has expired, a report since then. It returns false if the
+// view has an open order for the engine, or describes another incarnation than the engine reports.
 func (e *endpoint) admits(s *standing, engine *api.Engine) bool {
 	if engine.Spec.Drain || engine.Status.OpenOrder != nil || engine.Status.Phase != api.PhaseServing {
 		return false
--- a/process/proxy/lanes.go
+++ b/process/proxy/lanes.go
@@ -9,6 +9,7 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
+// sortClasses sorts by priority, lowest first, and name.
 func sortClasses(classes []*api.Class) {
 	slices.SortFunc(classes, func(a, b *api.Class) int {
 		switch {
@@ -38,8 +39,8 @@
 
 func (l *lanes) find(service string) *lane { return (*l.current.Load())[service] }
 
-// update applies the view unless it is the last applied one or older, and returns the catalog in
-// force.
+// update applies the view unless it is the last applied one or older, and returns the catalog of the
+// applied view.
 func (l *lanes) update(p *Proxy, latest *view.View) *catalog {
 	applied := l.catalog.Load()
 	if applied.view == latest {
@@ -51,13 +52,15 @@
 	if applied.view == latest || latest.Version.Compare(applied.view.Version) < 0 {
 		return applied
 	}
-	p.guard.Follow(latest, p.clock())
+	p.guard.Follow(latest, p.clock()) // learns which requests are quarantined
 	updated := newCatalog(latest)
 	l.rebuild(p, updated)
 	l.catalog.Store(updated)
 	return updated
 }
 
+// rebuild keeps the lanes of the services that remain, adds those of new services and closes the
+// others.
 func (l *lanes) rebuild(p *Proxy, updated *catalog) {
 	old := *l.current.Load()
 	next := make(map[string]*lane, len(updated.view.Services))
--- a/process/proxy/lapse_test.go
+++ b/process/proxy/lapse_test.go
@@ -34,7 +34,8 @@
 }
 
 // The expiry of the view lease and its renewal are logged once each, however often the view is
-// loaded, and the gauge reflects the state. A proxy that has received no view logs no expiry.
+// loaded, and the gauge view_confirmed reflects the state. A proxy that has received no view logs no
+// expiry.
 func TestViewLapseIsLoggedOnce(t *testing.T) {
 	views := &fixedViews{}
 	views.view.Store(view.New())
--- a/process/proxy/metrics.go
+++ b/process/proxy/metrics.go
@@ -20,10 +20,10 @@
 	retries       prometheus.Counter
 	resumes       prometheus.Counter
 	refusals      prometheus.Counter
-	broken        prometheus.Counter
-	held          prometheus.Counter
-	splitFailures prometheus.Counter
-	foreign       prometheus.Counter
+	broken        prometheus.Counter // interrupted streams
+	held          prometheus.Counter // quarantined requests that were refused
+	splitFailures prometheus.Counter // failed KV cache transfers
+	foreign       prometheus.Counter // responses that do not belong to their request
 }
 
 func newMetrics() *metrics {
--- a/process/proxy/overload_test.go
+++ b/process/proxy/overload_test.go
@@ -14,8 +14,8 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// Each request that cannot be served gets its documented response at once, and no engine receives
-// it. docs/CALLERS.md has the same table.
+// Each request that cannot be served gets its documented response at once, and no engine receives it.
+// docs/CALLERS.md has the same table and must be kept in line by hand.
 func TestRefusals(t *testing.T) {
 	const completions = engineapi.PathCompletions
 	long := strings.Repeat("x", maxHeaderValue+1)
--- a/process/proxy/pollbudget.go
+++ b/process/proxy/pollbudget.go
@@ -15,8 +15,8 @@
 // typicalPollBytes is reserved before each poll. The size beyond it is charged afterwards.
 const typicalPollBytes = 400
 
-// pollBurstWindow is the time over which an unused budget accumulates. It also caps the charge for
-// a large response, so that no single page suspends a lane's polls for longer.
+// pollBurstWindow is the time over which an unused budget accumulates. It also caps the charge for a
+// large response, so that no single page stops a lane's polls for longer than this.
 const pollBurstWindow = 4 * time.Second
 
 // pollBudget limits the traffic of one kind of poll in one lane. Pollers wait in first-come order,
@@ -36,7 +36,7 @@
 	b.limiter.SetBurst(burst)
 }
 
-// wait reserves the bytes of one poll. It returns false if ctx ends first.
+// wait waits until the bytes of one poll are reserved. It returns false if ctx ends first.
 func (b *pollBudget) wait(ctx context.Context) bool {
 	return b.limiter.WaitN(ctx, typicalPollBytes) == nil
 }
@@ -48,8 +48,8 @@
 	}
 }
 
-// sharePollBudget divides the proxy's poll traffic equally among the lanes, so that a service with
-// many engines does not slow down the polls of plain backends.
+// sharePollBudget divides the proxy's poll traffic equally among the lanes, with or without
+// endpoints, so that a service with many engines does not slow down the polls of plain backends.
 func (p *Proxy) sharePollBudget(lanes map[string]*lane) {
 	share := p.config.Limits.PollBytes / float64(max(1, len(lanes)))
 	for _, l := range lanes {
@@ -61,9 +61,9 @@
 // Bytes of an HTTP message that wireBytes does not count one by one: the fixed parts of the request
 // and status lines, and separators and headers that net/http adds.
 const (
-	requestOverheadBytes = 25
-	answerOverheadBytes  = 19
-	headerOverheadBytes  = 4
+	requestOverheadBytes = 25 // "GET  HTTP/1.1", "Host: " and line ends
+	answerOverheadBytes  = 19 // "HTTP/1.1 200 OK" and line ends
+	headerOverheadBytes  = 4  // ": " and the line end
 )
 
 // wireBytes estimates the bytes that a poll sends and receives on its connection.
--- a/process/proxy/poller.go
+++ b/process/proxy/poller.go
@@ -51,6 +51,7 @@
 	failures := 0
 	for p.waitForBudget(ctx, failures) {
 		failures = p.recordResult(ctx, failures, p.pollLoad(ctx))
+		// AllowN also charges the poll of cache events to their budget.
 		if p.endpoint.model && time.Since(cachePolledAt) >= intervals.Cache && p.lane.cacheBudget.limiter.AllowN(time.Now(), typicalPollBytes) {
 			cachePolledAt = time.Now()
 			p.pollCache(ctx)
@@ -75,7 +76,8 @@
 
 // recordResult takes the number of consecutive failed polls and the error of the next poll, and
 // returns the new number. When that reaches suspectAfterPolls, the endpoint becomes suspect for a
-// limited time or, if it did not respond at all, until it responds.
+// limited time, once for the series. From then on it is also silent, and so suspect until it
+// responds, if it does not respond at all.
 func (p *poller) recordResult(ctx context.Context, failures int, err error) int {
 	if err == nil {
 		return 0
@@ -136,8 +138,8 @@
 	p.endpoint.cache.apply(page, after)
 }
 
-// getJSON polls the path and decodes the JSON response into the value. The header is non-nil if the
-// endpoint responded, even with an error.
+// getJSON polls the path and decodes the JSON response into the value. The header is nil unless the
+// endpoint responded to this poll, be it with an error.
 func (p *poller) getJSON(ctx context.Context, budget *pollBudget, path string, target any) (http.Header, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.proxy.config.Timeouts.Head)
 	defer cancel()
@@ -168,8 +170,8 @@
 	return response.Header, nil
 }
 
-// pollIDBits is the size of a poll's random ID: large enough to tell apart all polls in flight, and
-// small enough for eight base-36 digits, since each poll carries the ID twice.
+// pollIDBits is the size of a poll's random ID: enough to tell apart all polls in flight, in only
+// eight base-36 digits, since each poll carries the ID twice.
 const pollIDBits = 40
 
 // newPollIdentity returns a random identity by which the response to a poll is matched to its
@@ -178,6 +180,7 @@
 	return upstream.Identity{RequestID: strconv.FormatUint(rand.Uint64N(1<<pollIDBits), 36)}
 }
 
+// incarnationOf returns the incarnation in the header, 0 if it is absent or invalid.
 func incarnationOf(header http.Header) uint64 {
 	incarnation, err := strconv.ParseUint(header.Get(engineapi.HeaderIncarnation), 10, 64)
 	if err != nil {
--- a/process/proxy/poller_test.go
+++ b/process/proxy/poller_test.go
@@ -23,7 +23,9 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
-// 192 pollers that share a budget, in virtual time, stay within it and each get an equal share.
+// Pollers that share a budget stay within it and each get an equal share. The test runs in virtual
+// time with 192 pollers, more than a proxy usually polls, and 7000 bytes per second, the default
+// budget.
 func TestPollersShareBudgetEqually(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const pollers, perSecond, pollBytes, window = 192, 7000, 1000, 10 * time.Minute
@@ -82,8 +84,8 @@
 	return count, err
 }
 
-// largeFleet returns a view of count fake engines that share one address. The load reports name no
-// engine, because the proxy ignores a report that names another engine.
+// largeFleet returns a view of the given number of engines, all of which one fake engine serves. The
+// load reports name no engine, because the proxy ignores a report that names another engine.
 func largeFleet(tb testing.TB, count int) (*view.View, *countingListener) {
 	tb.Helper()
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -122,7 +124,8 @@
 	return proxy, views
 }
 
-// An engine that is down becomes suspect even if the budget allows only two polls.
+// An engine that is down becomes suspect although the budget of one byte per second allows only the
+// two polls with which it starts.
 func TestDownEngineIsDetectedOnExhaustedPollBudget(t *testing.T) {
 	stopped := newFakeEngine(t, "e1", 11)
 	stopped.server.Close()
@@ -147,7 +150,8 @@
 	must.Eq(t, api.PhaseServing, target.word().phase)
 }
 
-// A drained engine that serves again is noticed even if the budget allows only two polls.
+// A drained engine that serves again is noticed although the budget of one byte per second allows
+// only the two polls with which it starts.
 func TestReturningEngineIsDetectedOnExhaustedPollBudget(t *testing.T) {
 	engine := newFakeEngine(t, "e1", 11)
 	engine.setPhase(api.PhaseDraining)
@@ -247,7 +251,7 @@
 	must.MapLen(t, 9, endpointNames(proxy.lanes.find("narrator")))
 }
 
-// BenchmarkPolling measures the cost of polling 2,000 replicas: all of them, a subset, and a subset
+// BenchmarkPolling measures the cost of polling 2,000 engines: all of them, a subset, and a subset
 // with the default budget. The processor time includes that of the fake engines.
 func BenchmarkPolling(b *testing.B) {
 	const replicas, settle = 2000, 5 * time.Second
--- a/process/proxy/proxy.go
+++ b/process/proxy/proxy.go
@@ -1,6 +1,20 @@
 // Package proxy implements the sidecar proxy that runs next to the callers. It accepts their
-// requests, routes each by the replicated view to an engine or backend, and handles retries and
-// stream resumption until the caller has one final response.
+// requests, routes each by its view to an engine or backend, and handles retries and stream
+// resumption until the caller has one final response.
+//
+// The terms of the package:
+//   - The control group is the set of replicated control processes. The proxy receives its state
+//     over the feed. A view is one version of that state; its lease limits how long the proxy may
+//     rely on it without hearing from the control group.
+//   - An engine runs a model. A plain backend is any other HTTP server behind the proxy. Endpoint
+//     stands for either.
+//   - An incarnation is one run of an engine process: a restarted engine keeps its name and has a
+//     new incarnation. The phase of an engine says whether it serves, drains or leaves.
+//   - An intent assigns a model to the engines that it selects and names the classes that they
+//     serve. A class sets the priority, deadline and queue limits of its requests.
+//   - Ran, the run state of a request, tells its caller whether the request ran on an engine or
+//     backend: "yes", "no" or "unknown".
+//   - A planned stop is a graceful shutdown.
 package proxy
 
 import (
@@ -26,7 +40,7 @@
 
 // Views provides the view: the version of the replicated state that the proxy acts on.
 type Views interface {
-	// Load returns the view in force.
+	// Load returns the latest view. It must not be nil, even before the first view has arrived.
 	Load() *view.View
 	// Valid reports whether the view lease is valid at now, a reading of the clock that the
 	// Views was created with.
@@ -35,8 +49,12 @@
 
 // Control is the proxy's client of the control group.
 type Control interface {
+	// Claim requests the permission to run an at-most-once request. feed.ErrNoQuorum means that
+	// the claim was certainly not committed, feed.ErrOutcomeUnknown that it may have been.
 	Claim(ctx context.Context, request state.ClaimRequest) (api.ClaimResult, error)
+	// RecordOutcome records the outcome of a claimed run. It may be repeated.
 	RecordOutcome(ctx context.Context, outcome state.RunOutcome) error
+	// ReportDemand sends the report. It returns false if the report was dropped.
 	ReportDemand(report feed.DemandReport) bool
 	guard.Reporter
 }
@@ -58,18 +76,19 @@
 	demand  *demandWindow
 	metrics *metrics
 	// owed maps claimKey to *state.RunOutcome. It holds the outcomes of requests that certainly
-	// did not run, until the control group confirms that they are recorded.
+	// did not run, until the control group confirms that it has recorded them.
 	owed sync.Map
 	// modelBodies and backendBodies limit the memory used by request bodies.
 	modelBodies   bodyBudget
 	backendBodies bodyBudget
 
-	// lapsedAt is when the proxy noticed that the view lease had expired; 0 while it is valid.
+	// lapsedAt is when the proxy noticed that the view lease had expired, in nanoseconds by its
+	// clock; 0 while the lease is valid.
 	lapsedAt atomic.Int64
 	// stopping is set once responses must ask callers to close their connections.
 	stopping atomic.Bool
-	// cutAt is when a graceful stop aborts the requests that are still in flight; 0 if it never
-	// does.
+	// cutAt is when a planned stop aborts the requests that are still in flight, in nanoseconds
+	// by the proxy's clock; 0 while none is under way or if it has no drain limit.
 	cutAt atomic.Int64
 
 	startID  uint64 // random for each start, so that request IDs do not repeat after a restart
@@ -80,8 +99,8 @@
 	tasks      sync.WaitGroup
 }
 
-// New returns a proxy and starts its background tasks. clock must be the clock by which the view
-// lease expires. Call Close to stop the proxy.
+// New returns a proxy and starts its background tasks; Serve makes it listen. It does not check the
+// config. clock must be the clock by which the view lease expires. Call Close to stop the proxy.
 func New(config Config, views Views, control Control, clock func() time.Duration, logger log.Logger) *Proxy {
 	config = config.withDefaults()
 	p := &Proxy{
@@ -115,10 +134,11 @@
 	p.stop()
 	p.lanes.close()
 	p.tasks.Wait()
-	p.lanes.close()
+	p.lanes.close() // a task may have added lanes or pollers after the first close
 }
 
-// watchViews applies new views periodically, so that they take effect without requests too.
+// watchViews applies new views periodically, so that they also take effect while there are no
+// requests.
 func (p *Proxy) watchViews() {
 	for {
 		p.standing()
@@ -128,8 +148,8 @@
 	}
 }
 
-// standing applies the latest view and returns it with the validity of its lease. Callers must not
-// keep the result across a wait.
+// standing applies the latest view and returns it with the validity of its lease. The result must not
+// be used after blocking: request it again.
 func (p *Proxy) standing() standing {
 	current := p.lanes.update(p, p.views.Load())
 	now := p.clock()
@@ -156,8 +176,8 @@
 	}
 }
 
-// refuseLost returns the failure of a request whose type of service must not be served while the
-// control group is lost, or nil if it may be served.
+// refuseLost returns the failure of a request whose type of service must not be served now, since the
+// proxy has no view yet or the view lease has expired, or nil if it may be served.
 func (p *Proxy) refuseLost(s *standing, kind api.ServiceType) *failure {
 	if s.catalog.view.Version.IsZero() {
 		return unavailable(codeControlLost, "no view of the fleet yet", time.Second)
@@ -186,7 +206,8 @@
 // newRandom returns a random number generator for one request.
 func newRandom() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
-// noteForeign counts and logs a response that does not belong to the request it arrived for.
+// noteForeign counts and logs a foreign response: one that does not belong to the request it arrived
+// for.
 func (p *Proxy) noteForeign(address string, cause error) {
 	p.metrics.foreign.Inc()
 	event.ProxyForeignAnswer.Log(p.logger, "address", address, "err", cause)
--- a/process/proxy/quarantine.go
+++ b/process/proxy/quarantine.go
@@ -19,13 +19,13 @@
 // running describes the last dispatch of a model request to an engine.
 type running struct {
 	target      *endpoint
-	incarnation uint64
-	sentAt      time.Duration
-	events      int
+	incarnation uint64        // 0 if unknown
+	sentAt      time.Duration // reading of the proxy's clock
+	events      int           // stream events received
 }
 
-// replicaName returns a name for the engine's incarnation, since a restarted engine keeps its own
-// name.
+// replicaName returns a name for the engine's incarnation, which the guard calls a replica, since a
+// restarted engine keeps its own name.
 func replicaName(engine string, incarnation uint64) string {
 	return engine + "/" + strconv.FormatUint(incarnation, 16)
 }
@@ -43,8 +43,8 @@
 }
 
 // noteBroken reports to the guard that the engine's connection broke while it processed the request,
-// as it does when the engine crashes. An engine that never reported its incarnation is ignored,
-// since it cannot be distinguished from its successor.
+// as it does when the engine crashes. An engine that never reported its incarnation is ignored, since
+// it cannot be distinguished from the engine after a restart.
 func (c *call) noteBroken(ctx context.Context, err error) {
 	last := &c.running
 	if ctx.Err() != nil || last.target == nil || !isConnectionBroken(err) {
@@ -82,20 +82,21 @@
 	return false
 }
 
-// noteLife tells the guard that an engine which appeared to have ended has answered a request that
-// was sent to it afterwards.
+// noteLife tells the guard that an engine which appeared to have crashed has responded to a request
+// that was sent to it afterwards, whether this proxy or another one reported the crash.
 func (p *Proxy) noteLife(target *endpoint, sentAt time.Duration) {
 	if incarnation, refuted := target.resolveSuspectedEnd(sentAt); refuted {
 		p.guard.Lives(p.clock(), quarantine.Alive{Replica: replicaName(target.name, incarnation), For: quarantine.Ever})
 	}
+	// Another proxy may have reported the crash.
 	if replica := replicaName(target.name, target.word().incarnation); p.guard.Active() && p.guard.Doubts(replica, sentAt) {
 		p.guard.Lives(p.clock(), quarantine.Alive{Replica: replica, For: quarantine.Ever})
 	}
 }
 
-// held reports whether the request must not be sent to any engine, and for how long. The request is
-// held without waiting for the control group's decision if CondemningEnds engines ended under this
-// call, or if one did and the guard knows of as many ends under the same fingerprint.
+// held reports whether the request is quarantined, that is must not be sent to any engine, and for
+// how long. It is so before the control group decides if CondemningEnds engines crashed during this
+// call, or if at least one did and EndsMany finds enough crashes for the fingerprint.
 func (c *call) held() (remaining time.Duration, held bool) {
 	if c.ended >= quarantine.CondemningEnds || c.ended > 0 && c.proxy.guard.EndsMany(c.proxy.clock(), c.fingerprint()) {
 		return guard.LeastHold, true
@@ -106,8 +107,8 @@
 	return c.proxy.guard.Holds(c.proxy.clock(), time.Now(), c.fingerprint(), nil)
 }
 
-// refuseHeld returns the failure of a request that is held because engines ended while processing
-// it, or nil if it is not held.
+// refuseHeld returns the failure of a request that is quarantined because engines crashed while
+// processing it, or nil for any other.
 func (c *call) refuseHeld() *failure {
 	remaining, held := c.held()
 	if !held {
@@ -121,26 +122,27 @@
 	return failed
 }
 
-// noteServed tells the guard that the request was answered completely, so that earlier ends no longer
-// count against it.
+// noteServed tells the guard that the request got a complete response, so that earlier crashes no
+// longer count against it.
 func (c *call) noteServed() {
-	// c.named is also set if an engine ended under this call, which nobody else may know of yet.
+	// c.named is also set if an engine crashed during this call, which the guard of this proxy
+	// may be the only one to know.
 	if c.named != nil || c.proxy.guard.Active() {
 		c.proxy.guard.Served(c.proxy.clock(), c.fingerprint())
 	}
 }
 
-// noteSuspectedEnd records that the engine's incarnation appears to have ended.
+// noteSuspectedEnd records that the engine's incarnation appears to have crashed.
 func (e *endpoint) noteSuspectedEnd(now time.Duration, incarnation uint64) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
-	e.suspectedEndAt, e.suspectedEndIncarnation = max(now, 1), incarnation
+	e.suspectedEndAt, e.suspectedEndIncarnation = max(now, 1), incarnation // a time of 0 means no suspected crash
 }
 
-// resolveSuspectedEnd checks a suspected end against a response to a request sent at sentAt. It
-// reports whether the response refutes the end because it comes from the same incarnation. A response
-// to a request sent after the end resolves the suspicion either way, so each end is refuted at most
-// once.
+// resolveSuspectedEnd checks a suspected crash against a response to a request sent at sentAt. It
+// reports whether the response refutes the crash because it comes from the same incarnation. A
+// response to a request sent after the crash clears the suspicion, also if it comes from a new
+// incarnation, so each crash is refuted at most once.
 func (e *endpoint) resolveSuspectedEnd(sentAt time.Duration) (incarnation uint64, refuted bool) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
--- a/process/proxy/quarantine_test.go
+++ b/process/proxy/quarantine_test.go
@@ -60,8 +60,8 @@
 	return target != nil && target.word().incarnation == engine.incarnation
 }
 
-// A request that has crashed three engines, or four if the proxy has no leader, is sent to no further
-// one and is refused at once, while other requests are served.
+// A request that has crashed enough engines, three or here four since the proxy has no leader, is
+// sent to no other engine and is refused at once, while other requests are served.
 func TestRequestThatCrashesEnginesIsHeld(t *testing.T) {
 	crashing := &crashingEngines{}
 	var engines []*fakeEngine
@@ -71,7 +71,7 @@
 		engines = append(engines, engine)
 	}
 	config := quick()
-	config.Timeouts.Head, config.Intervals.Load = patience, time.Hour // no poll may refute the suspected end
+	config.Timeouts.Head, config.Intervals.Load = patience, time.Hour // no poll may refute the suspected crash
 	control := newFakeControl()
 	f := startWith(t, config, control, engines)
 	f.awaitFirstPoll(engines)
@@ -92,7 +92,8 @@
 	must.SliceLen(t, 4, control.ends)
 	control.lock.Unlock()
 
-	// A request that the control group quarantined is refused before any engine of this proxy ends.
+	// A request that the control group quarantined is refused before it crashes an engine of this
+	// proxy.
 	name := ""
 	for _, report := range control.ends {
 		name = report.Ended[0].Fingerprint.String()
@@ -107,7 +108,7 @@
 	must.Eq(t, http.StatusOK, other.streamPrompt("another").status)
 }
 
-// A poll that is answered by the same incarnation refutes the suspected end of an engine.
+// A response of the same incarnation to a poll refutes the suspected crash of an engine.
 func TestPollRefutesSuspectedEnd(t *testing.T) {
 	crashing := &crashingEngines{}
 	engine := newFakeEngine(t, "e0", 11)
@@ -121,8 +122,8 @@
 	}
 }
 
-// A request that crashes prefill engines is sent to no fourth one, although a failed KV transfer is
-// otherwise retried at another engine without using the retry budget.
+// A request that has crashed three prefill engines is not sent to another one, although a failed KV
+// transfer is otherwise retried at another engine without using the retry budget.
 func TestRequestThatCrashesPrefillEnginesIsHeld(t *testing.T) {
 	var engines []*fakeEngine
 	for i := range 6 {
@@ -131,7 +132,7 @@
 		engines = append(engines, engine)
 	}
 	config := quick()
-	config.Timeouts.Head, config.Intervals.Load = patience, time.Hour // no poll may refute the suspected end
+	config.Timeouts.Head, config.Intervals.Load = patience, time.Hour // no poll may refute the suspected crash
 	f := start(t, config, engines)
 	splitView := newView(engines, nil)
 	for i, engine := range engines {
--- a/process/proxy/replay.go
+++ b/process/proxy/replay.go
@@ -38,6 +38,7 @@
 	_ = out.finish() // the caller may have disconnected
 }
 
+// writeJSON sends the body as a JSON response.
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
--- a/process/proxy/request.go
+++ b/process/proxy/request.go
@@ -18,10 +18,10 @@
 // Request headers, and HeaderRequest, which is set on responses.
 const (
 	HeaderKey      = "Idempotency-Key"       // identifies a request across retries by the caller
-	HeaderRepeat   = "Landingtrail-Repeat"   // "never": the request runs at most once
+	HeaderRepeat   = "Landingtrail-Repeat"   // "never": the request must run at most once
 	HeaderDeadline = "Landingtrail-Deadline" // time left in milliseconds
-	HeaderClass    = "Landingtrail-Class"
-	HeaderTenant   = "Landingtrail-Tenant"
+	HeaderClass    = "Landingtrail-Class"    // default: the lowest priority that can serve the request
+	HeaderTenant   = "Landingtrail-Tenant"   // default: DefaultTenant
 	// HeaderRequest is set on the response to every request that passed
 	// validation. It has the request ID that the proxy and the engines use.
 	HeaderRequest = "Landingtrail-Request"
@@ -35,7 +35,7 @@
 // maxHeaderValue is the maximum length of a key, class or tenant in bytes.
 const maxHeaderValue = 256
 
-// maxDeadline is the longest deadline that a caller can set.
+// maxDeadline is the longest deadline that a caller can set; longer ones are shortened to it.
 const maxDeadline = 24 * time.Hour
 
 // requestHeaders has the values of a request's headers.
@@ -96,8 +96,8 @@
 	}
 }
 
-// applyClass sets the values that the headers leave open from the class and the
-// configured defaults. It returns a failure if an at-most-once request has no key.
+// applyClass takes missing values of the headers from the class and the configured defaults. It
+// returns a failure if an at-most-once request has no key.
 func (p *Proxy) applyClass(headers *requestHeaders, class *api.Class) *failure {
 	if class != nil {
 		headers.class = class.Name
@@ -119,8 +119,8 @@
 	chat         bool
 	body         []byte // always with "stream": true
 	request      engineapi.CompletionRequest
-	promptTokens int
-	blocks       []uint64
+	promptTokens int      // estimated: one for each word
+	blocks       []uint64 // hashes of the prompt's leading blocks, as in a cacheIndex
 }
 
 // defaultOutputTokens is the assumed length of a response without max_tokens.
@@ -154,6 +154,7 @@
 	return parsed, nil
 }
 
+// outputTokens returns the maximum length of the response, or an assumed one if none is set.
 func (c *completionRequest) outputTokens() int {
 	if c.request.MaxTokens > 0 {
 		return c.request.MaxTokens
@@ -161,9 +162,9 @@
 	return defaultOutputTokens
 }
 
-// withStream returns the body with "stream" set to true and everything else
-// unchanged. Engines stream buffered responses too: only a stream allows stalls
-// to be detected, broken responses to be resumed and each part to be verified.
+// withStream returns the body with "stream" set to true and everything else unchanged. Engines stream
+// buffered responses too: only a stream allows stalls to be detected, broken responses to be resumed
+// and each part to be verified as one of this run.
 func withStream(body []byte) ([]byte, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil {
--- a/process/proxy/rules_test.go
+++ b/process/proxy/rules_test.go
@@ -15,8 +15,8 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// Leaves unread bytes on an engine's connection in two ways. The next request
-// must use another connection.
+// Unread bytes are left on an engine's connection in two ways. The next request must use another
+// connection.
 func TestConnectionWithUnreadBytesIsNotReused(t *testing.T) {
 	var lock sync.Mutex
 	var peers []string
@@ -118,8 +118,8 @@
 	}
 }
 
-// One source at a time reports that e1 is leaving while all others still report
-// it as serving.
+// In each case, one source alone reports that e1 takes no new work, while all others still report it
+// as serving.
 func TestLeavingEngineGetsNoNewRequests(t *testing.T) {
 	changes := map[string]func(*fleet, *api.Engine){
 		"the phase reported by the engine": func(f *fleet, _ *api.Engine) { f.engines[0].setPhase(api.PhaseDraining) },
@@ -218,9 +218,8 @@
 	}
 }
 
-// Stops a proxy with a stream in flight and a caller on a kept-alive connection.
-// The stream must complete, and the caller must learn of the shutdown from a
-// response.
+// A planned stop begins with a stream in flight and a caller on a kept-alive connection. The stream
+// must complete, and the caller must learn of the stop from a response.
 func TestGracefulShutdown(t *testing.T) {
 	engine := newFakeEngine(t, "e1", 11)
 	hold := make(chan struct{})
@@ -276,10 +275,9 @@
 	caller.CloseIdleConnections()
 }
 
-// A proxy that is shutting down still accepts requests for a while. A request that
-// took longer than the drain limit reached an engine and was interrupted at the end
-// of the shutdown. A request whose deadline is after that must be refused at once
-// and reach no engine.
+// In a planned stop the proxy still accepts requests for a while. A request whose deadline is after
+// the drain limit must be refused at once and reach no engine: it could be interrupted on the engine
+// at the end of the stop.
 func TestRequestBeyondDrainLimitIsRefused(t *testing.T) {
 	engine := newFakeEngine(t, "e1", 11)
 	engine.script = func(e *fakeEngine, w http.ResponseWriter, r *http.Request, _ int) { e.answer(w, r, 0, 3) }
@@ -293,7 +291,7 @@
 	must.Eq(t, http.StatusServiceUnavailable, late.status)
 	must.Eq(t, codeStopping, late.code())
 	must.Eq(t, 1, engine.runs.Load())
-	must.Eq(t, http.StatusOK, f.stream(HeaderClass, "cap", HeaderDeadline, "200").status, must.Sprint("the deadline is before the end of the shutdown"))
+	must.Eq(t, http.StatusOK, f.stream(HeaderClass, "cap", HeaderDeadline, "200").status, must.Sprint("the deadline is before the end of the planned stop"))
 	must.NoError(t, <-f.done)
 	http.DefaultClient.CloseIdleConnections()
 }
--- a/process/proxy/run.go
+++ b/process/proxy/run.go
@@ -24,7 +24,9 @@
 	}
 }
 
-// Run runs a proxy until ctx ends and every request in flight has ended.
+// Run runs a proxy until ctx ends and every request in flight has ended or the drain limit has
+// passed. It returns ErrConfig for an invalid config, and otherwise the error of connecting, of
+// listening or of requests that were cut off at the drain limit.
 func Run(ctx context.Context, config Config, logger log.Logger) error {
 	config = config.withDefaults()
 	if err := config.check(); err != nil {
@@ -39,7 +41,7 @@
 		BeatInterval: config.Intervals.Beat,
 		Served:       func() { pause.Signal(served) },
 		Unrecorded:   func(report feed.EndReport) { trySend(reports, report) },
-		Standby:      true, // only for the reports of engine crashes; the proxy places no requests this way
+		Standby:      true, // only for the reports of engine crashes; the proxy never has members place its requests
 		Clock:        clock.Now,
 		Logger:       logger,
 	}, holder)
@@ -53,11 +55,11 @@
 	return p.Serve(ctx)
 }
 
-// maxPendingReports is the capacity of the channel of end reports.
+// maxPendingReports is the capacity of the channel of reports on engine crashes.
 const maxPendingReports = 16
 
-// trySend sends the report unless the channel is full. Members repeat their
-// reports, so a dropped one is not lost.
+// trySend sends the report unless the channel is full. Control members repeat their reports, so a
+// dropped one is not lost.
 func trySend(reports chan<- feed.EndReport, report feed.EndReport) {
 	select {
 	case reports <- report:
@@ -65,9 +67,9 @@
 	}
 }
 
-// exchangeEndReports reports all engine crashes that this proxy has seen, and the
-// requests that ran during them, to each control member that starts to serve it.
-// It also handles the reports that members send while they cannot record them.
+// exchangeEndReports reports all engine crashes that this proxy has seen, and the requests that ran
+// during them, to each leader of the control group that begins to serve its feed. It also handles the
+// reports that members send while they cannot record them.
 func (p *Proxy) exchangeEndReports(served <-chan struct{}, reports <-chan feed.EndReport) {
 	for {
 		select {
@@ -81,9 +83,9 @@
 	}
 }
 
-// refuseBeyondDrain returns the failure of a request that the shutdown could
-// interrupt before its deadline, or nil for any other request. No engine has read
-// the request, so the caller can send it to another proxy at once.
+// refuseBeyondDrain returns the failure of a request that the planned stop could interrupt before its
+// deadline, or nil for any other request. No engine has read the request, so the caller can send it
+// to another proxy at once.
 func (p *Proxy) refuseBeyondDrain(timeLeft time.Duration) *failure {
 	cutAt := time.Duration(p.cutAt.Load())
 	if cutAt == 0 || p.clock()+timeLeft <= cutAt {
@@ -92,8 +94,9 @@
 	return unavailable(codeStopping, "the proxy stops before the request's time is over", 0)
 }
 
-// Serve runs the caller and admin servers until ctx ends and every request in
-// flight has ended.
+// Serve runs the callers' server and the admin server until ctx ends and every request in flight has
+// ended or the drain limit has passed. It returns the error of listening, or of requests that were
+// cut off at the drain limit.
 func (p *Proxy) Serve(ctx context.Context) error {
 	admin, err := p.listenAdmin()
 	if err != nil {
@@ -109,11 +112,10 @@
 	return p.drain(callers)
 }
 
-// drain shuts the proxy down gracefully. For DrainNotice the proxy reports that
-// it is not ready and asks each caller to close its connection, but still serves
-// requests: a caller on a kept-alive connection learns of the shutdown from a
-// response, not from a lost request. After that, the proxy accepts no more
-// requests and waits for those in flight, up to DrainLimit if it is set.
+// drain performs a planned stop. For DrainNotice the proxy reports that it is not ready and asks each
+// caller to close its connection, but still serves requests: a caller on a kept-alive connection
+// learns of the stop from a response instead of from a failed request. After that, the proxy accepts
+// no more requests and waits for those in flight, up to DrainLimit if it is set.
 func (p *Proxy) drain(callers *server) error {
 	if p.config.DrainLimit > 0 {
 		p.cutAt.Store(int64(p.clock() + p.config.DrainNotice + p.config.DrainLimit))
--- a/process/proxy/run_backend.go
+++ b/process/proxy/run_backend.go
@@ -42,8 +42,9 @@
 	}
 }
 
-// prepareRetry charges the retry budget, waits for the backoff and reports whether
-// to retry. A retry after a refusal by a draining backend is free and immediate.
+// prepareRetry charges the retry budget, waits for the backoff and reports whether to retry. A retry
+// after a refusal by a draining backend is free and immediate. The budget is not charged if the
+// deadline leaves no time for the retry.
 func (c *backendCall) prepareRetry(ctx context.Context, last *failure, retries int, rng *rand.Rand) bool {
 	if retries > c.proxy.config.Limits.Attempts {
 		return false
@@ -59,9 +60,12 @@
 	return pause.For(ctx, delay)
 }
 
-// timeLeft returns the time until the deadline, like that of call.
+// timeLeft returns the time until the deadline by the proxy's clock, which, unlike timers and
+// contexts, keeps running while the machine is suspended.
 func (c *backendCall) timeLeft() time.Duration { return c.deadline - c.proxy.clock() }
 
+// giveUp ends the request without a complete response and returns the failure to report. A 502 of a
+// request that certainly did not run becomes 503.
 func (c *backendCall) giveUp(last *failure) *failure {
 	result := finalFailure(last, c.attempts.GiveUp())
 	if result.ran == attempt.RanNo && result.status == http.StatusBadGateway {
@@ -71,6 +75,7 @@
 	return result
 }
 
+// interruptedFailure returns the failure of a request whose context has ended.
 func (c *backendCall) interruptedFailure(ctx context.Context) *failure {
 	if c.timeLeft() <= 0 || errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return c.giveUp(&failure{
@@ -87,9 +92,8 @@
 // load of a backend in another zone.
 const remoteZonePenalty = 1
 
-// pickBackend draws two random backends among those that accept requests and
-// returns the one with the lower load. Suspect backends are used only if there
-// are no others.
+// pickBackend draws two random backends, possibly the same one, among those that accept requests and
+// returns the one with the lower load. Suspect backends are used only if there are no others.
 func (c *backendCall) pickBackend(rng *rand.Rand) (*endpoint, *failure) {
 	s := c.proxy.standing()
 	if failed := c.proxy.refuseLost(&s, c.lane.kind); failed != nil {
@@ -134,8 +138,8 @@
 	return e.suspectedLocked(now)
 }
 
-// loadScore returns the load of a plain backend: the last report and the requests
-// sent since, plus a penalty for a backend in another zone.
+// loadScore returns the load of a plain backend in requests: the last report and the requests sent
+// since, plus a penalty for a backend in another zone.
 func (e *endpoint) loadScore(zone string) int {
 	e.lock.Lock()
 	defer e.lock.Unlock()
@@ -187,6 +191,8 @@
 	return c.relayResponse(ctx, target, number, response)
 }
 
+// buildRequest returns the request to send to the backend. The error is context.DeadlineExceeded if
+// too little time is left.
 func (c *backendCall) buildRequest(ctx context.Context, target *endpoint) (*http.Request, error) {
 	left, enough := c.proxy.config.Margin.Shrink(c.timeLeft())
 	if !enough {
@@ -211,6 +217,7 @@
 	return request, nil
 }
 
+// noResponse ends an attempt that got no response.
 func (c *backendCall) noResponse(ctx context.Context, target *endpoint, number uint32, err error) *failure {
 	fault := attempt.FaultBroken
 	var failed *upstream.Failure
@@ -243,13 +250,15 @@
 	return failed
 }
 
-// strippedHeaders are the response headers that are not forwarded to the caller.
+// strippedHeaders are the response headers that are not forwarded to the caller: those of the
+// connection and those between proxy and backend.
 var strippedHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 	engineapi.HeaderAdmitted, engineapi.HeaderRequestID, engineapi.HeaderAttempt,
 	engineapi.HeaderIncarnation, engineapi.HeaderPhase, engineapi.HeaderBackendState,
 }
 
+// relayResponse relays a response and ends its attempt.
 func (c *backendCall) relayResponse(ctx context.Context, target *endpoint, number uint32, response *http.Response) *failure {
 	c.attempts.Admit(number, 0)
 	if err := c.relay(response); err != nil {
--- a/process/proxy/run_engine.go
+++ b/process/proxy/run_engine.go
@@ -65,7 +65,8 @@
 	})
 }
 
-// estimateCachedTokens sets cachedTokens for a run on the target.
+// estimateCachedTokens sets cachedTokens for a run on the target: the number of cached blocks times
+// the average tokens in a block.
 func (c *call) estimateCachedTokens(target *router.Endpoint) {
 	c.cachedTokens = 0
 	if target.CachedBlocks != nil && len(c.parsed.blocks) > 0 {
@@ -74,7 +75,7 @@
 	}
 }
 
-// resumeOnce resumes the attempt's stream at the offset.
+// resumeOnce resumes the attempt's stream at step.Offset.
 func (c *call) resumeOnce(ctx context.Context, step attempt.Step) *failure {
 	target := (*c.lane.endpoints.Load())[step.Endpoint]
 	if target == nil || c.attempts.Resume(step.Number) != nil {
@@ -165,8 +166,8 @@
 	return w
 }
 
-// reset restarts the timer with a new timeout and cause. It does not allocate,
-// since it is called for every token.
+// reset restarts the timer with a new timeout and cause. It must not allocate, since it is called for
+// every token.
 func (w *watchdog) reset(timeout time.Duration, cause *error) {
 	w.cause.Store(cause)
 	w.timer.Reset(timeout)
@@ -174,8 +175,8 @@
 
 func (w *watchdog) stop() { w.timer.Stop() }
 
-// exchange sends one request of an attempt and relays the stream of the response.
-// The response header must carry headerIdentity, the events the identity run.
+// exchange sends one request of an attempt and relays the stream of the response. The response header
+// must carry headerIdentity, the events of the stream must carry run.
 func (c *call) exchange(ctx context.Context, target *endpoint, headerIdentity, run upstream.Identity, build func(context.Context) (*http.Request, error)) *failure {
 	number := run.Attempt
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -226,8 +227,8 @@
 	return upstreamFailed("the engine could not be reached or gave no answer")
 }
 
-// markSuspect marks an engine as suspect after a failure, unless the caller or
-// the deadline ended the exchange.
+// markSuspect marks an engine as suspect after a failure and excludes it, unless the caller or the
+// deadline ended the exchange.
 func (c *call) markSuspect(ctx context.Context, target *endpoint) {
 	cause := context.Cause(ctx)
 	if cause != nil && !isProxyTimeout(cause) {
@@ -313,7 +314,8 @@
 	}
 }
 
-// finishRun ends an attempt with a complete response.
+// finishRun ends an attempt with a complete response and returns nil, or the failure if that could
+// not be delivered.
 func (c *call) finishRun(target *endpoint, number uint32) *failure {
 	if !c.attempts.Finish(number) {
 		return upstreamFailed("the answer came after its attempt had ended")
--- a/process/proxy/server.go
+++ b/process/proxy/server.go
@@ -21,8 +21,8 @@
 
 // server is an HTTP server on go-zero's rest package. The timeout, body limit, circuit breaker, load
 // shedding, access log, metrics and signal handling that rest enables by default are off: a stream
-// may outlast any timeout, the proxy has its own response for oversized bodies, and the queue decides
-// what to shed.
+// may outlast any timeout, the proxy has its own response for oversized bodies, and the queue of each
+// service decides what to shed.
 type server struct {
 	http  *http.Server
 	bound net.Addr
@@ -60,7 +60,8 @@
 	r.Router.ServeHTTP(w, request)
 }
 
-// listen starts a server and returns once it listens on the address.
+// listen starts a server and returns once it listens on the address. It also redirects the log of
+// rest, which is global to the process, to the proxy's logger.
 func (p *Proxy) listen(name, address string, routes *prefixRouter, addRoutes func(*rest.Server)) (*server, error) {
 	conf, err := restConf(name, address)
 	if err != nil {
@@ -114,6 +115,7 @@
 	failed.write(w)
 }
 
+// newRouter returns rest's own HTTP router; it is unrelated to the router of requests to engines.
 func newRouter() httpx.Router { return router.NewRouter() }
 
 // listenCallers starts the HTTP server for callers.
@@ -128,7 +130,8 @@
 	})
 }
 
-// logWriter writes rest's error logs as ProxyServerLog events and drops the other levels.
+// logWriter writes rest's alerts, errors, severe errors and stack traces as ProxyServerLog events and
+// drops the other levels.
 type logWriter struct{ logger log.Logger }
 
 func (w *logWriter) Alert(v any)                 { event.ProxyServerLog.Log(w.logger, "message", fmt.Sprint(v)) }
--- a/process/proxy/sink.go
+++ b/process/proxy/sink.go
@@ -17,14 +17,14 @@
 // Errors of a sink.
 var (
 	// errClientGone means that the caller disconnected or stopped reading.
-	errClientGone = errors.New("client disconnected")
+	errClientGone = errors.New("caller disconnected")
 	// errResponseTooLarge means that a buffered response exceeds its size limit.
 	errResponseTooLarge = errors.New("response too large to buffer")
 )
 
 // sink delivers a response to the caller.
 type sink interface {
-	// send delivers the next frame; more means that another frame is available.
+	// send delivers the next frame; more means that another frame has already been received.
 	send(frame *upstream.Frame, more bool) error
 	// discard drops the buffered frames before the next attempt. It is called
 	// only while nothing has been sent to the caller.
@@ -44,7 +44,7 @@
 type streamSink struct {
 	writer     http.ResponseWriter
 	controller *http.ResponseController
-	timeout    time.Duration
+	timeout    time.Duration // of each write
 	buffer     bytes.Buffer
 	headerSent bool
 	clientGone bool
@@ -107,8 +107,8 @@
 	return nil
 }
 
-// disconnectError returns the error after the caller has disconnected, or nil if
-// the response is recorded with its claim, so that the run continues.
+// disconnectError drops the unwritten data and returns the error after the caller has disconnected,
+// or nil if the response is recorded with its claim, so that the run continues.
 func (s *streamSink) disconnectError() error {
 	s.buffer.Reset()
 	if s.assembled != nil {
@@ -188,7 +188,7 @@
 	model   string
 	choices []*assembledChoice
 	usage   *engineapi.Usage
-	size    int64
+	size    int64 // bytes of text
 	limit   int64 // maximum of size; text beyond it is dropped
 }
 
@@ -211,7 +211,7 @@
 	a.size = 0
 }
 
-// maxChoices is the maximum number of choices in a response.
+// maxChoices is the maximum number of choices in a response; further ones are dropped.
 const maxChoices = 128
 
 func (a *assembler) add(frame *upstream.Frame) {
--- a/process/proxy/split.go
+++ b/process/proxy/split.go
@@ -23,11 +23,11 @@
 // not run.
 const prefillAttempt = 1
 
-// prefill runs the prefill on the prefill engine and transfers its KV cache to
-// the target. The cache is sent directly between the engines, not through the
-// proxy. After a failure or refusal it excludes the engine and routes again; the
-// router returns a decision without a prefill engine if no pair is left and one
-// engine must do both phases.
+// prefill performs disaggregated prefill: it runs the prefill on the prefill engine and transfers its
+// KV cache to the target. It returns the decision to run by and the handle of the cache, "" if one
+// engine does both phases. The cache is sent directly between the engines, not through the proxy.
+// After a failure or refusal it excludes the engine and routes again; the router returns a decision
+// without a prefill engine if no pair is left and one engine must do both phases.
 func (c *call) prefill(ctx context.Context, decision router.Decision) (router.Decision, string, *failure) {
 	for decision.Prefill != nil {
 		handle, failedEngine := c.transferKV(ctx, decision)
@@ -82,9 +82,9 @@
 	return imported.Handle, ""
 }
 
-// nextTransferIdentity returns the identity of one export or import call. It
-// differs from that of a run, so that the refusal of an import is not taken for a
-// refusal of the run that follows on the same engine.
+// nextTransferIdentity returns the identity of one export or import call. It differs from that of a
+// run: the run follows on the engine of the import, and a refusal of the import must not be taken for
+// a refusal of the run.
 func (c *call) nextTransferIdentity() upstream.Identity {
 	c.kvTransfers++
 	return upstream.Identity{RequestID: c.id + "-kv", Attempt: c.kvTransfers}
@@ -93,6 +93,7 @@
 // maxHandleBytes is the maximum size of a response with a KV handle.
 const maxHandleBytes = 64 << 10
 
+// callKV sends one export or import call and returns the handle in its response.
 func (c *call) callKV(ctx context.Context, target *endpoint, path string, incarnation uint64, body any) (engineapi.KVHandle, error) {
 	var handle engineapi.KVHandle
 	request, err := newJSONPost(ctx, target.address, path, body)
--- a/process/proxy/surplus_test.go
+++ b/process/proxy/surplus_test.go
@@ -128,10 +128,9 @@
 	}
 }
 
-// Guards against a caller getting the response to another caller's request: a
-// backend sent a stray response on a kept-alive connection, and the proxy compared
-// the request ID only if there was one, and the attempt never. Whatever identity
-// the stray response has, no caller may receive it.
+// A backend sends a stray response on a kept-alive connection. Whatever identity it has, and also if
+// it has none, no caller may receive it: it can be the response to another caller's request. The
+// proxy must compare both the request ID and the attempt.
 func TestStrayResponseReachesNoClient(t *testing.T) {
 	forStrayIdentities(t, func(t *testing.T, identity func(r *http.Request) string) {
 		first, second := newFakeBackend(t), newFakeBackend(t)
@@ -182,10 +181,9 @@
 	}
 }
 
-// Guards against an at-most-once request running on two backends: the refusal of
-// another request arrived on a kept-alive connection and was taken as proof that
-// the request did not run, before its ID was checked. Each request may run at most
-// once, and none that ran may be reported as not run.
+// A refusal of another request arrives on a kept-alive connection. It must not be taken as proof that
+// this request did not run before its ID is checked, or an at-most-once request could run on two
+// backends. Each request may run at most once, and none that ran may be reported as not run.
 func TestStrayBackendRefusalIsNotTrusted(t *testing.T) {
 	forStrayIdentities(t, func(t *testing.T, identity func(r *http.Request) string) {
 		first, second := newFakeBackend(t), newFakeBackend(t)
@@ -209,8 +207,9 @@
 	})
 }
 
-// The same for an at-most-once model request, whose refusal was also trusted
-// before its ID was checked.
+// A refusal of another request arrives on a kept-alive connection to an engine. It must not be
+// trusted before its ID is checked: each at-most-once model request may run at most once, and none
+// that ran may be reported as not run.
 func TestStrayEngineRefusalIsNotTrusted(t *testing.T) {
 	forStrayIdentities(t, func(t *testing.T, identity func(r *http.Request) string) {
 		first, second := newFakeEngine(t, "e1", 11), newFakeEngine(t, "e2", 12)
@@ -237,10 +236,8 @@
 	})
 }
 
-// Guards against a request being decoded from the prompt of another: the identity
-// of a KV export or import response was not checked, so the handle in a stray
-// response on a kept-alive connection was sent to the decode engine. Whatever
-// identity the stray response has, its handle must reach no engine.
+// A stray response to a KV export or import arrives on a kept-alive connection. Whatever identity it
+// has, its handle must reach no engine, or a request would be decoded from the prompt of another.
 func TestStrayKVHandleIsNotUsed(t *testing.T) {
 	handle := fmt.Sprintf(`{"handle":%q,"engine":"e1"}`, strayBody)
 	for _, path := range []string{engineapi.PathKVExport, engineapi.PathKVImport} {
@@ -303,10 +300,9 @@
 	return 0
 }
 
-// Guards against an engine being taken for draining or restarted because of a
-// response to a request that was never sent to it: the state headers were applied
-// before the identity was checked. A stray response must not change the engine's
-// state.
+// A stray response must not change the engine's state: its identity must be checked before its state
+// headers are applied, or an engine is taken for draining or restarted because of a request that was
+// never sent to it.
 func TestStrayResponseDoesNotChangeEngineState(t *testing.T) {
 	forStrayIdentities(t, func(t *testing.T, identity func(r *http.Request) string) {
 		engine := newFakeEngine(t, "e1", 11)
@@ -331,10 +327,8 @@
 	})
 }
 
-// Guards against a load report being read from the response to an earlier poll:
-// polls had no identity, so on a connection with one stray response every poll got
-// the response to the previous one. The report in a stray response must never be
-// applied to the endpoint.
+// The report in a stray response must never be applied to the endpoint. If polls had no identity,
+// then on a connection with one stray response every poll would get the response to the previous one.
 func TestStrayLoadReportIsIgnored(t *testing.T) {
 	report := fmt.Sprintf(`{"engine":"e1","incarnation":"%d","phase":"draining","running":5000}`, strayIncarnation)
 	identities := maps.Clone(strayIdentities)
@@ -385,10 +379,10 @@
 	runs.Wait()
 }
 
-// newResumedEngine returns an engine that, while interrupt is true, interrupts the
-// stream of each run and of its first resume; the second resume completes it.
-// Before its response to the resume numbered strayBefore (from 1) it sends a stray
-// response with the result of identity as its identity headers.
+// newResumedEngine returns an engine that, while interrupt is true, interrupts the stream of each run
+// and of its first resume; the second resume completes it. It sends a stray response before that to
+// one resume, the first if strayBefore is 1, the second if it is 2. The stray response has the
+// identity headers that identity returns.
 func newResumedEngine(t *testing.T, interrupt *atomic.Bool, strayBefore int32, identity func(run, resume string) string) *fakeEngine {
 	engine := newFakeEngine(t, "e1", 11)
 	var run, resume atomic.Pointer[string] // identity headers of the last run and the last resume
@@ -431,10 +425,9 @@
 	return engine
 }
 
-// Guards against a resumable stream failing: a resume had the same identity as its
-// run and as earlier resumes, so a stray response to one of those was taken for its
-// own. With such a stray response before that to the resume, the caller must still
-// get the complete response.
+// A stray response to the run or to an earlier resume precedes the response to a resume. The caller
+// must still get the complete response, so a resume must not have the same identity as its run or
+// another resume: the stray response would be taken for its own.
 func TestStrayResponseBeforeResume(t *testing.T) {
 	cases := map[string]struct {
 		strayBefore int32
--- a/process/proxy/suspension_test.go
+++ b/process/proxy/suspension_test.go
@@ -9,8 +9,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// A request whose deadline passed while the machine was suspended is sent to no further engine. Timers
-// do not count the time of a suspension, but the proxy's clock does.
+// A request whose deadline passed while the machine was suspended is not sent to another engine.
+// Timers do not count the time of a suspension, but the proxy's clock does.
 func TestDeadlinePassesWhileSuspended(t *testing.T) {
 	engine := newFakeEngine(t, "e1", 11)
 	var suspended atomic.Int64
