--- a/process/proxy/admin.go
+++ b/process/proxy/admin.go
@@ -19,7 +19,7 @@
 
 // listenAdmin starts the HTTP server for health checks, metrics and debugging.
 func (p *Proxy) listenAdmin() (*server, error) {
-	routes := &prefixRouter{Router: newRouter()}
+	routes := &prefixRouter{Router: newHTTPRouter()}
 	return p.listen("landingtrail-proxy-admin", p.config.AdminAddress, routes, func(srv *rest.Server) {
 		srv.AddRoutes([]rest.Route{
 			{Method: http.MethodGet, Path: PathHealth, Handler: p.serveHealth},
@@ -39,8 +39,8 @@
 }
 
 func (p *Proxy) readiness() Readiness {
-	s := p.standing()
-	state := Readiness{Version: s.catalog.view.Version, InFlight: p.running.count()}
+	s := p.viewState()
+	state := Readiness{Version: s.catalog.view.Version, InFlight: p.inFlight.count()}
 	switch {
 	case p.stopping.Load():
 		state.Reason = "stopping"
@@ -90,7 +90,7 @@
 }
 
 func (p *Proxy) serveInFlight(w http.ResponseWriter, _ *http.Request) {
-	list := p.running.list()
+	list := p.inFlight.list()
 	rows := make([]InFlightRequest, len(list))
 	for i, request := range list {
 		rows[i] = InFlightRequest{
@@ -98,11 +98,11 @@
 			Service: request.service,
 			Class:   request.class,
 			Tenant:  request.tenant,
-			State:   request.life.State().String(),
+			State:   request.attempts.State().String(),
 			Seconds: time.Since(request.started).Seconds(),
-			Passed:  request.life.Passed(),
+			Passed:  request.attempts.Passed(),
 		}
-		for _, record := range request.life.Attempts() {
+		for _, record := range request.attempts.Attempts() {
 			rows[i].Attempts = append(rows[i].Attempts, InFlightRecord{
 				Number:   record.Number,
 				Endpoint: record.Endpoint,
--- a/process/proxy/admit.go
+++ b/process/proxy/admit.go
@@ -39,7 +39,7 @@
 		errorType:  typeRateLimit,
 		code:       codeRateLimited,
 		message:    "the tenant's tokens are used up; they suffice again in " + strconv.FormatFloat(wait.Seconds(), 'f', 1, 64) + " s",
-		ran:        attempt.RanNo,
+		runState:   attempt.RanNo,
 		retryAfter: max(wait, time.Second),
 	}
 }
@@ -48,7 +48,7 @@
 func queueFailure(refusal *limit.Refusal) *failure {
 	switch refusal.Reason {
 	case limit.ReasonQueueFull:
-		return unavailable(codeQueueFull, "too many requests of the class are waiting", refusal.RetryAfter)
+		return unavailableFailure(codeQueueFull, "too many requests of the class are waiting", refusal.RetryAfter)
 	case limit.ReasonDeadline:
 		return deadlineTooShort("the wait for a place is longer than the deadline", max(refusal.RetryAfter, time.Second))
 	case limit.ReasonExpired:
@@ -57,11 +57,11 @@
 		return failed
 	default: // limit.ReasonCancelled
 		return &failure{
-			status:    statusClientClosed,
+			status:    statusCallerGone,
 			errorType: typeInvalid,
 			code:      codeCancelled,
 			message:   "the caller has gone",
-			ran:       attempt.RanNo,
+			runState:  attempt.RanNo,
 		}
 	}
 }
--- a/process/proxy/answer.go
+++ b/process/proxy/answer.go
@@ -27,7 +27,7 @@
 	codeUnknownModel     = "unknown_model"       // 404
 	codeUnknownService   = "unknown_service"     // 404
 	codeNotFound         = "not_found"           // 404: no such path
-	codeMethod           = "method_not_allowed"  // 405
+	codeMethodNotAllowed = "method_not_allowed"  // 405
 	codeClassRefused     = "class_refused"       // 403: the class exists, but no engine serves it
 	codeBodyTooLarge     = "body_too_large"      // 413
 	codeRateLimited      = "rate_limited"        // 429: the tenant's bucket is empty
@@ -38,7 +38,7 @@
 	codeControlLost      = "control_lost"        // 503: the view lease has expired
 	codeStopping         = "stopping"            // 503: a planned stop would interrupt the request before its deadline
 	codeNoQuorum         = "no_quorum"           // 503: an at-most-once request could not be claimed
-	codeDeadlineShort    = "deadline_too_short"  // 504: the deadline cannot be met
+	codeDeadlineTooShort = "deadline_too_short"  // 504: the deadline cannot be met
 	codeDeadlineExceeded = "deadline_exceeded"   // 504
 	codeKeyConflict      = "key_conflict"        // 409: the key was used with another body
 	codeKeyRunning       = "key_running"         // 409: the run with this key has no known outcome
@@ -52,9 +52,9 @@
 
 const contentTypeJSON = "application/json"
 
-// statusClientClosed is the status that nginx introduced for a client that
-// closed its connection before the response.
-const statusClientClosed = 499
+// statusCallerGone is the status that nginx introduced for a client that closed its connection before
+// the response.
+const statusCallerGone = 499
 
 // failure is an error response to the caller. Its ran tells whether the request ran: yes, no or
 // unknown.
@@ -63,8 +63,8 @@
 	errorType  string // the type field of the error object
 	code       string
 	message    string
-	ran        attempt.Ran
-	retryAfter time.Duration // 0 omits the Retry-After header
+	runState   attempt.Ran
+	retryAfter time.Duration // 0 omits the Retry-After header, since a retry is pointless
 	// final means that no other engine or backend is tried.
 	final bool
 	// budgetExempt means that trying another engine does not count against the
@@ -72,20 +72,20 @@
 	budgetExempt bool
 }
 
-// invalid returns the failure of a request that must not be sent again unchanged.
-func invalid(code, message string) *failure {
-	return &failure{status: http.StatusBadRequest, errorType: typeInvalid, code: code, message: message, ran: attempt.RanNo}
+// invalidFailure returns the failure of a request that is itself at fault.
+func invalidFailure(code, message string) *failure {
+	return &failure{status: http.StatusBadRequest, errorType: typeInvalid, code: code, message: message, runState: attempt.RanNo}
 }
 
-// unavailable returns the failure of a request that did not run and may be sent again later, after at
-// least a second.
-func unavailable(code, message string, retryAfter time.Duration) *failure {
+// unavailableFailure returns the failure of a request that did not run and may be sent again later,
+// after at least a second.
+func unavailableFailure(code, message string, retryAfter time.Duration) *failure {
 	return &failure{
 		status:     http.StatusServiceUnavailable,
 		errorType:  typeUnavailable,
 		code:       code,
 		message:    message,
-		ran:        attempt.RanNo,
+		runState:   attempt.RanNo,
 		retryAfter: max(retryAfter, time.Second),
 	}
 }
@@ -95,7 +95,7 @@
 		Message: f.message,
 		Type:    f.errorType,
 		Code:    f.code,
-		Ran:     string(f.ran),
+		Ran:     string(f.runState),
 	}}
 }
 
--- a/process/proxy/bench_test.go
+++ b/process/proxy/bench_test.go
@@ -35,7 +35,7 @@
 			w.Header()[name] = values
 		}
 		w.WriteHeader(response.StatusCode)
-		controller, buffer := http.NewResponseController(w), make([]byte, relayBufferBytes)
+		controller, buffer := http.NewResponseController(w), make([]byte, copyBufferBytes)
 		for {
 			count, err := response.Body.Read(buffer)
 			_, _ = w.Write(buffer[:count])
@@ -161,5 +161,5 @@
 		_ = callers.http.Close()
 		proxy.Close()
 	})
-	return "http://" + callers.bound.String()
+	return "http://" + callers.addr.String()
 }
--- a/process/proxy/body.go
+++ b/process/proxy/body.go
@@ -14,20 +14,20 @@
 // its own, so that model requests cannot exhaust the memory for requests to
 // plain backends.
 type bodyBudget struct {
-	limit int64
-	held  atomic.Int64
+	limit    int64
+	reserved atomic.Int64
 }
 
 // reserve reserves size bytes and reports whether they fit.
 func (b *bodyBudget) reserve(size int64) bool {
-	if b.held.Add(size) <= b.limit {
+	if b.reserved.Add(size) <= b.limit {
 		return true
 	}
-	b.held.Add(-size)
+	b.reserved.Add(-size)
 	return false
 }
 
-func (b *bodyBudget) release(size int64) { b.held.Add(-size) }
+func (b *bodyBudget) release(size int64) { b.reserved.Add(-size) }
 
 // requestBody is the body of a request and its reservation in the budget.
 type requestBody struct {
@@ -51,7 +51,7 @@
 		reserved = limit
 	}
 	if !budget.reserve(reserved) {
-		return nil, unavailable(codeOverloaded, "too many bytes of request bodies are held", time.Second)
+		return nil, unavailableFailure(codeOverloaded, "too many bytes of request bodies are held", time.Second)
 	}
 	data, failed := p.readAll(w, r, limit)
 	if failed != nil {
@@ -73,14 +73,14 @@
 	case errors.As(err, &maxBytesErr):
 		return nil, bodyTooLarge(limit)
 	case err != nil:
-		return nil, invalid(codeBadRequest, "the body was cut short")
+		return nil, invalidFailure(codeBadRequest, "the body was cut short")
 	}
 	_ = controller.SetReadDeadline(time.Time{})
 	return body, nil
 }
 
 func bodyTooLarge(limit int64) *failure {
-	failed := invalid(codeBodyTooLarge, "the body is larger than "+strconv.FormatInt(limit, 10)+" bytes")
+	failed := invalidFailure(codeBodyTooLarge, "the body is larger than "+strconv.FormatInt(limit, 10)+" bytes")
 	failed.status = http.StatusRequestEntityTooLarge
 	return failed
 }
--- a/process/proxy/budget_test.go
+++ b/process/proxy/budget_test.go
@@ -20,10 +20,10 @@
 	engine.script, other.script = fail, fail
 	dead := httptest.NewServer(http.NotFoundHandler())
 	dead.Close()
-	config := quick()
+	config := fastConfig()
 	config.Intervals.Load = time.Minute // polls must not detect that the backend is dead
 	config.Limits.RetryShare, config.Limits.RetryReserve = 0.001, 2
-	f := start(t, config, []*fakeEngine{engine, other}, dead, alive.server)
+	f := startFleet(t, config, []*fakeEngine{engine, other}, dead, alive.server)
 	for range 4 {
 		must.NotEq(t, http.StatusOK, f.stream(HeaderClass, "cap").status)
 	}
--- a/process/proxy/call.go
+++ b/process/proxy/call.go
@@ -15,13 +15,13 @@
 	"github.com/landingtrail/landingtrail/request/router"
 )
 
-// call is the state of one model request.
-type call struct {
+// modelCall is the state of one model request.
+type modelCall struct {
 	proxy    *Proxy
 	lane     *lane
 	id       string
 	parsed   *completionRequest
-	envelope requestHeaders
+	headers  requestHeaders
 	priority int
 	deadline time.Duration // reading of the proxy's clock
 	attempts *attempt.Life
@@ -33,17 +33,17 @@
 	// kvTransfers counts the export and import calls for KV cache.
 	kvTransfers uint32
 	// resumeCount counts the resumed streams of all attempts.
-	resumeCount    uint32
-	running        running
-	ended          int                     // engines that seem to have crashed during this request, not in earlier submissions of it
-	named          *quarantine.Fingerprint // computed on first use
-	cachedTokens   int                     // prompt tokens that were probably cached on the engine
-	expectedTokens int                     // estimated length of the response in tokens
+	resumeCount       uint32
+	lastDispatch      lastDispatch
+	crashedEngines    int                     // engines that seem to have crashed during this request, not in earlier submissions of it
+	cachedFingerprint *quarantine.Fingerprint // computed on first use
+	cachedTokens      int                     // prompt tokens that were probably cached on the engine
+	expectedTokens    int                     // estimated length of the response in tokens
 }
 
 // run executes the request, including retries and resumes. It returns nil after
 // a complete response, otherwise the failure to report to the caller.
-func (c *call) run(ctx context.Context) *failure {
+func (c *modelCall) run(ctx context.Context) *failure {
 	defer c.cancelUnfinishedRuns()
 	var last *failure
 	for {
@@ -51,7 +51,7 @@
 			return failed
 		}
 		// Checked before each attempt, since the previous one may have crashed an engine.
-		if failed := c.refuseHeld(); failed != nil {
+		if failed := c.refuseQuarantined(); failed != nil {
 			return c.giveUp(failed)
 		}
 		// Next decides between a run, a resume and giving up by what the earlier attempts
@@ -80,11 +80,11 @@
 // giveUp ends the request without a complete response. It returns the failure to report, including
 // whether the request may have run. A server error of a request that certainly did not run becomes
 // 504 if the deadline was the cause and 503 otherwise.
-func (c *call) giveUp(last *failure) *failure {
+func (c *modelCall) giveUp(last *failure) *failure {
 	result := finalFailure(last, c.attempts.GiveUp())
-	if result.ran == attempt.RanNo && result.status >= http.StatusInternalServerError {
+	if result.runState == attempt.RanNo && result.status >= http.StatusInternalServerError {
 		result.status = http.StatusServiceUnavailable
-		if result.code == codeDeadlineShort || result.code == codeDeadlineExceeded {
+		if result.code == codeDeadlineTooShort || result.code == codeDeadlineExceeded {
 			result.status = http.StatusGatewayTimeout
 		}
 		result.retryAfter = max(result.retryAfter, time.Second)
@@ -96,17 +96,17 @@
 // refused but an earlier one may have run, the refusal is replaced: the caller must not be told to
 // retry as if nothing had run.
 func finalFailure(last *failure, ran attempt.Ran) *failure {
-	if last == nil || (last.ran == attempt.RanNo && ran != attempt.RanNo) {
-		last = upstreamFailed("the request was sent, but no whole answer came")
+	if last == nil || (last.runState == attempt.RanNo && ran != attempt.RanNo) {
+		last = upstreamFailure("the request was sent, but no whole answer came")
 	}
 	result := *last
-	result.ran = ran
+	result.runState = ran
 	return &result
 }
 
 // interruptedFailure returns the failure of a request whose deadline has passed
 // or whose caller has disconnected, or nil for any other request.
-func (c *call) interruptedFailure(ctx context.Context) *failure {
+func (c *modelCall) interruptedFailure(ctx context.Context) *failure {
 	if c.timeLeft() > 0 && ctx.Err() == nil {
 		return nil
 	}
@@ -119,7 +119,7 @@
 		})
 	}
 	return c.giveUp(&failure{
-		status:    statusClientClosed,
+		status:    statusCallerGone,
 		errorType: typeInvalid,
 		code:      codeCancelled,
 		message:   "the caller has gone",
@@ -128,13 +128,13 @@
 
 // timeLeft returns the time until the deadline. Unlike timers and contexts, the
 // proxy's clock keeps running while the machine is suspended.
-func (c *call) timeLeft() time.Duration { return c.deadline - c.proxy.clock() }
+func (c *modelCall) timeLeft() time.Duration { return c.deadline - c.proxy.clock() }
 
 // prepareRetry charges the retry budget and waits for the backoff. It reports whether to retry. A
 // retry that the deadline leaves no time for is charged and counted too. A refusal by an engine that
 // is draining or changing its assignment is not charged: each engine refuses in this way only once,
 // since it is then excluded, and a planned change must not exhaust the budget.
-func (c *call) prepareRetry(ctx context.Context, last *failure) bool {
+func (c *modelCall) prepareRetry(ctx context.Context, last *failure) bool {
 	if c.retries >= c.proxy.config.Limits.Attempts {
 		return false
 	}
@@ -154,17 +154,17 @@
 }
 
 // route asks the router for the engine to send the request to.
-func (c *call) route() (router.Decision, *failure) {
-	s := c.proxy.standing()
-	if failed := c.proxy.refuseLost(&s, c.lane.kind); failed != nil {
+func (c *modelCall) route() (router.Decision, *failure) {
+	s := c.proxy.viewState()
+	if failed := c.proxy.refuseWithoutControl(&s, c.lane.kind); failed != nil {
 		failed.final = true
 		return router.Decision{}, failed
 	}
 	request := router.Request{
 		ID:           c.id,
 		Service:      c.lane.service,
-		Class:        c.envelope.class,
-		Tenant:       c.envelope.tenant,
+		Class:        c.headers.class,
+		Tenant:       c.headers.tenant,
 		Model:        c.parsed.request.Model,
 		Priority:     c.priority,
 		PromptTokens: c.parsed.promptTokens,
@@ -189,14 +189,14 @@
 	case router.ReasonUnknownModel:
 		// Unknown models were rejected earlier, so an intent has the model but no
 		// engine has it loaded now.
-		return unavailable(codeNoEngine, "no engine serves the model now", time.Second)
+		return unavailableFailure(codeNoEngine, "no engine serves the model now", time.Second)
 	case router.ReasonClassRefused:
 		return &failure{
 			status:    http.StatusForbidden,
 			errorType: typeInvalid,
 			code:      codeClassRefused,
 			message:   "no engine serves the class",
-			ran:       attempt.RanNo,
+			runState:  attempt.RanNo,
 			final:     true,
 		}
 	case router.ReasonDeadline:
@@ -204,10 +204,10 @@
 		failed.final = true
 		return failed
 	case router.ReasonAllExcluded:
-		failed := unavailable(codeNoEngine, "every engine was tried", time.Second)
+		failed := unavailableFailure(codeNoEngine, "every engine was tried", time.Second)
 		failed.final = true
 		return failed
 	default: // router.ReasonNoEngine
-		return unavailable(codeNoEngine, "no engine admits requests now", time.Second)
+		return unavailableFailure(codeNoEngine, "no engine admits requests now", time.Second)
 	}
 }
--- a/process/proxy/cancel.go
+++ b/process/proxy/cancel.go
@@ -10,7 +10,7 @@
 
 // cancelUnfinishedRuns asks engines to cancel the attempts that may still be
 // running and whose response is no longer needed.
-func (c *call) cancelUnfinishedRuns() {
+func (c *modelCall) cancelUnfinishedRuns() {
 	completed := c.attempts.Done()
 	records := c.attempts.Attempts()
 	for i := range records {
@@ -39,7 +39,7 @@
 	}
 	// Runs use another pool of connections, so a response to the run cannot be taken for the
 	// response to this request although both have the same identity.
-	response, err := l.polls.Do(request, upstream.Identity{RequestID: body.RequestID, Attempt: body.Attempt})
+	response, err := l.pollPool.Do(request, upstream.Identity{RequestID: body.RequestID, Attempt: body.Attempt})
 	if err != nil {
 		return
 	}
--- a/process/proxy/catalog.go
+++ b/process/proxy/catalog.go
@@ -12,10 +12,10 @@
 // view and immutable.
 type catalog struct {
 	view *view.View
-	// intents maps each engine to the intent that selects it.
-	intents map[string]*api.Intent
-	// classes maps each intent to the classes that it serves.
-	classes map[string]map[string]bool
+	// intentByEngine maps each engine to the intent that selects it.
+	intentByEngine map[string]*api.Intent
+	// classesByIntent maps each intent to the classes that it serves.
+	classesByIntent map[string]map[string]bool
 	// classesByPriority maps each service to its classes, lowest priority first.
 	classesByPriority map[string][]*api.Class
 	leavingBackends   map[string]bool // backends that the platform reports as leaving or gone
@@ -24,8 +24,8 @@
 func newCatalog(current *view.View) *catalog {
 	result := &catalog{
 		view:              current,
-		intents:           make(map[string]*api.Intent, len(current.Engines)),
-		classes:           map[string]map[string]bool{},
+		intentByEngine:    make(map[string]*api.Intent, len(current.Engines)),
+		classesByIntent:   map[string]map[string]bool{},
 		classesByPriority: map[string][]*api.Class{},
 		leavingBackends:   map[string]bool{},
 	}
@@ -56,8 +56,8 @@
 		if !selector.Matches(intent.Spec.Engines, engine.Labels) {
 			continue
 		}
-		if other := c.intents[name]; other == nil || intent.Name < other.Name {
-			c.intents[name] = intent
+		if other := c.intentByEngine[name]; other == nil || intent.Name < other.Name {
+			c.intentByEngine[name] = intent
 		}
 	}
 	served := map[string]bool{}
@@ -66,14 +66,14 @@
 			served[name] = true
 		}
 	}
-	c.classes[intent.Name] = served
+	c.classesByIntent[intent.Name] = served
 }
 
 // serves reports whether the engine's intent serves the class. An engine without
 // an intent serves no class.
 func (c *catalog) serves(engine, class string) bool {
-	intent := c.intents[engine]
-	return intent != nil && c.classes[intent.Name][class]
+	intent := c.intentByEngine[engine]
+	return intent != nil && c.classesByIntent[intent.Name][class]
 }
 
 // intentFor returns the name of the intent that serves the model to the class, the first by name if
@@ -81,7 +81,7 @@
 func (c *catalog) intentFor(model, class string) string {
 	found := ""
 	for name, intent := range c.view.Intents {
-		if !offersModel(intent, model) || !c.classes[name][class] {
+		if !intentServesModel(intent, model) || !c.classesByIntent[name][class] {
 			continue
 		}
 		if found == "" || name < found {
@@ -91,9 +91,8 @@
 	return found
 }
 
-// offersModel reports whether the intent serves the model, given as "model" or
-// "model:adapter".
-func offersModel(intent *api.Intent, model string) bool {
+// intentServesModel reports whether the intent serves the model, given as "model" or "model:adapter".
+func intentServesModel(intent *api.Intent, model string) bool {
 	base, adapter, hasAdapter := strings.Cut(model, ":")
 	if intent.Spec.Model != base {
 		return false
@@ -109,10 +108,10 @@
 	return false
 }
 
-// knowsModel reports whether any intent serves the model.
-func (c *catalog) knowsModel(model string) bool {
+// servesModel reports whether any intent serves the model.
+func (c *catalog) servesModel(model string) bool {
 	for _, intent := range c.view.Intents {
-		if offersModel(intent, model) {
+		if intentServesModel(intent, model) {
 			return true
 		}
 	}
@@ -124,12 +123,12 @@
 func (c *catalog) defaultModelClass(model string) *api.Class {
 	var found *api.Class
 	for name, intent := range c.view.Intents {
-		if !offersModel(intent, model) {
+		if !intentServesModel(intent, model) {
 			continue
 		}
-		for class := range c.classes[name] {
+		for class := range c.classesByIntent[name] {
 			candidate := c.view.Classes[class]
-			if found == nil || classBefore(candidate, found) {
+			if found == nil || lowerPriority(candidate, found) {
 				found = candidate
 			}
 		}
@@ -156,8 +155,8 @@
 	return names
 }
 
-// classBefore reports whether a comes before b in order of priority, lowest first, and name.
-func classBefore(a, b *api.Class) bool {
+// lowerPriority reports whether a comes before b in order of priority, lowest first, and name.
+func lowerPriority(a, b *api.Class) bool {
 	if a.Spec.Priority != b.Spec.Priority {
 		return a.Spec.Priority < b.Spec.Priority
 	}
--- a/process/proxy/claim.go
+++ b/process/proxy/claim.go
@@ -91,7 +91,7 @@
 	requested := &claim{tenant: headers.tenant, key: headers.key, nonce: request.Nonce}
 	if errors.Is(err, feed.ErrOutcomeUnknown) {
 		// The claim may have been granted, but the request will not run.
-		record := p.newOutcomeRecord(requested, api.RunNotRun, nil)
+		record := p.prepareOutcome(requested, api.RunNotRun, nil)
 		p.tasks.Go(func() { p.recordOutcome(record) })
 	}
 	if err != nil {
@@ -101,18 +101,18 @@
 	case api.ClaimGranted:
 		return claimResult{granted: requested}
 	case api.ClaimDone:
-		return replayResult(&result.Claim)
+		return resultOfDoneClaim(&result.Claim)
 	case api.ClaimConflict:
-		return claimResult{failed: conflict(codeKeyConflict, "the key was used with another body", attempt.RanNo)}
+		return claimResult{failed: conflictFailure(codeKeyConflict, "the key was used with another body", attempt.RanNo)}
 	default:
-		return claimResult{failed: conflict(codeKeyRunning, "the key's run is under way or its outcome is not known", attempt.RanUnknown)}
+		return claimResult{failed: conflictFailure(codeKeyRunning, "the key's run is under way or its outcome is not known", attempt.RanUnknown)}
 	}
 }
 
 // claimUnavailable logs that a request could not be claimed, and returns the result: it was not run.
 func (p *Proxy) claimUnavailable(headers *requestHeaders, cause error) claimResult {
 	event.ProxyClaimFailed.Log(p.logger, "tenant", headers.tenant, "error", cause)
-	return claimResult{failed: unavailable(codeNoQuorum, "the request could not be claimed, so it was not run", time.Second)}
+	return claimResult{failed: unavailableFailure(codeNoQuorum, "the request could not be claimed, so it was not run", time.Second)}
 }
 
 // commitClaim sends the claim a second time if the first attempt may have been committed; the same
@@ -130,19 +130,19 @@
 	return result, retryErr
 }
 
-func conflict(code, message string, ran attempt.Ran) *failure {
-	return &failure{status: http.StatusConflict, errorType: typeInvalid, code: code, message: message, ran: ran}
+func conflictFailure(code, message string, ran attempt.Ran) *failure {
+	return &failure{status: http.StatusConflict, errorType: typeInvalid, code: code, message: message, runState: ran}
 }
 
-// replayResult returns the recorded response of a claim that is done, or the failure if its run is
-// not known to have completed or its response was not stored.
-func replayResult(done *api.Claim) claimResult {
+// resultOfDoneClaim returns the recorded response of a claim that is done, or the failure if its run
+// is not known to have completed or its response was not stored.
+func resultOfDoneClaim(done *api.Claim) claimResult {
 	if done.Outcome != api.RunCompleted {
-		return claimResult{failed: conflict(codeKeyRunning, "the outcome of the key's run is not known", attempt.RanUnknown)}
+		return claimResult{failed: conflictFailure(codeKeyRunning, "the outcome of the key's run is not known", attempt.RanUnknown)}
 	}
 	var response recordedResponse
 	if len(done.Answer) == 0 || json.Unmarshal(done.Answer, &response) != nil || response.Status == 0 {
-		return claimResult{failed: conflict(codeKeyDone, "the request was run before; its answer was not kept", attempt.RanYes)}
+		return claimResult{failed: conflictFailure(codeKeyDone, "the request was run before; its answer was not kept", attempt.RanYes)}
 	}
 	return claimResult{response: &response}
 }
@@ -155,31 +155,31 @@
 	if granted == nil {
 		return
 	}
-	p.recordOutcome(p.newOutcomeRecord(granted, outcome, response))
+	p.recordOutcome(p.prepareOutcome(granted, outcome, response))
 }
 
-// newOutcomeRecord returns the outcome to record for a claim. A not-run outcome is also stored as
+// prepareOutcome returns the outcome to record for a claim. A not-run outcome is also stored as
 // pending until it is recorded, since the caller may send the request again before that.
-func (p *Proxy) newOutcomeRecord(granted *claim, outcome api.RunOutcome, response *recordedResponse) *state.RunOutcome {
+func (p *Proxy) prepareOutcome(granted *claim, outcome api.RunOutcome, response *recordedResponse) *state.RunOutcome {
 	record := &state.RunOutcome{Tenant: granted.tenant, Key: granted.key, Nonce: granted.nonce, Outcome: outcome}
 	if response != nil {
 		record.Answer = encodeRecorded(response)
 	}
 	if outcome == api.RunNotRun {
-		p.owed.Store(claimKey{granted.tenant, granted.key}, record)
+		p.pendingOutcomes.Store(claimKey{granted.tenant, granted.key}, record)
 	}
 	return record
 }
 
 // dropPending removes a record that the control group has confirmed or that the proxy has given up.
 func (p *Proxy) dropPending(record *state.RunOutcome) {
-	p.owed.CompareAndDelete(claimKey{record.Tenant, record.Key}, record)
+	p.pendingOutcomes.CompareAndDelete(claimKey{record.Tenant, record.Key}, record)
 }
 
 // flushPending records the pending not-run outcome of an earlier request with
 // the key, if there is one. It must be recorded before a new claim is sent.
 func (p *Proxy) flushPending(ctx context.Context, key claimKey) error {
-	pending, found := p.owed.Load(key)
+	pending, found := p.pendingOutcomes.Load(key)
 	if !found {
 		return nil
 	}
--- a/process/proxy/claim_test.go
+++ b/process/proxy/claim_test.go
@@ -20,12 +20,14 @@
 )
 
 // atMostOnceHeaders returns the headers of an at-most-once request with the key.
-func atMostOnceHeaders(key string) []string { return []string{HeaderClass, "briefing", HeaderKey, key} }
+func atMostOnceHeaders(key string) []string {
+	return []string{HeaderClass, "briefing", HeaderIdempotencyKey, key}
+}
 
 // startSecondProxy starts another proxy with the same engines and control group.
 func (f *fleet) startSecondProxy() *fleet {
 	f.t.Helper()
-	return startWith(f.t, quick(), f.proxy.control, f.engines)
+	return startFleetWithControl(f.t, fastConfig(), f.proxy.control, f.engines)
 }
 
 func TestClaimIsCommittedBeforeRun(t *testing.T) {
@@ -41,8 +43,8 @@
 		must.Eq(t, "", r.Header.Get("X-Idempotency-Key"))
 		e.answer(w, r, 0, 3)
 	}
-	f := startWith(t, quick(), control, []*fakeEngine{engine})
-	_, whole := f.stream(append(atMostOnceHeaders("k1"), "X-Idempotency-Key", "k1")...).words()
+	f := startFleetWithControl(t, fastConfig(), control, []*fakeEngine{engine})
+	_, whole := f.stream(append(atMostOnceHeaders("k1"), "X-Idempotency-Key", "k1")...).tokens()
 	must.True(t, whole)
 	must.Eq(t, 1, engine.runs.Load())
 }
@@ -52,19 +54,19 @@
 // rejected.
 func TestAtMostOnceRequestRunsOnce(t *testing.T) {
 	engine := newFakeEngine(t, "e1", 11)
-	f := start(t, quick(), []*fakeEngine{engine})
+	f := startFleet(t, fastConfig(), []*fakeEngine{engine})
 	first := f.stream(atMostOnceHeaders("k1")...)
-	words, whole := first.words()
+	words, whole := first.tokens()
 	must.True(t, whole)
 	for _, target := range []*fleet{f, f.startSecondProxy()} {
 		eventually(t, func() bool {
-			again, ended := target.stream(atMostOnceHeaders("k1")...).words()
+			again, ended := target.stream(atMostOnceHeaders("k1")...).tokens()
 			return ended && len(again) == len(words)
 		})
-		other := target.do(http.MethodPost, engineapi.PathCompletions, wholeBody, atMostOnceHeaders("k1")...)
+		other := target.do(http.MethodPost, engineapi.PathCompletions, bufferedBody, atMostOnceHeaders("k1")...)
 		must.Eq(t, http.StatusConflict, other.status)
 		must.Eq(t, codeKeyConflict, other.code())
-		must.Eq(t, "no", other.ran())
+		must.Eq(t, "no", other.runState())
 	}
 	must.Eq(t, 1, engine.runs.Load())
 }
@@ -78,7 +80,7 @@
 		<-hold
 		e.answer(w, r, 0, 3)
 	}
-	f := start(t, quick(), []*fakeEngine{engine})
+	f := startFleet(t, fastConfig(), []*fakeEngine{engine})
 	t.Cleanup(release) // runs before the proxy's cleanup, which waits for the run
 	fleets := []*fleet{f, f.startSecondProxy()}
 	answers := make([]*reply, len(fleets))
@@ -93,12 +95,12 @@
 	must.Eq(t, 1, engine.runs.Load())
 	complete := 0
 	for _, answer := range answers {
-		if _, whole := answer.words(); whole {
+		if _, whole := answer.tokens(); whole {
 			complete++
 			continue
 		}
 		must.Eq(t, http.StatusConflict, answer.status)
-		must.Eq(t, "unknown", answer.ran())
+		must.Eq(t, "unknown", answer.runState())
 	}
 	must.True(t, complete >= 1)
 }
@@ -106,12 +108,12 @@
 func TestUnknownOutcomeIsNotRetried(t *testing.T) {
 	engine := newFakeEngine(t, "e1", 11)
 	engine.script = func(_ *fakeEngine, w http.ResponseWriter, _ *http.Request, _ int) { dropConnection(w) }
-	f := start(t, quick(), []*fakeEngine{engine})
-	must.Eq(t, "unknown", f.stream(atMostOnceHeaders("k1")...).ran())
+	f := startFleet(t, fastConfig(), []*fakeEngine{engine})
+	must.Eq(t, "unknown", f.stream(atMostOnceHeaders("k1")...).runState())
 	for _, target := range []*fleet{f, f.startSecondProxy()} {
 		answer := target.stream(atMostOnceHeaders("k1")...)
 		must.Eq(t, http.StatusConflict, answer.status)
-		must.Eq(t, "unknown", answer.ran())
+		must.Eq(t, "unknown", answer.runState())
 		must.Eq(t, "", answer.header.Get("Retry-After"))
 	}
 	must.Eq(t, 1, engine.runs.Load())
@@ -128,23 +130,23 @@
 		}
 		e.answer(w, r, 0, 3)
 	}
-	f := start(t, quick(), []*fakeEngine{engine})
+	f := startFleet(t, fastConfig(), []*fakeEngine{engine})
 	refused := f.stream(atMostOnceHeaders("k1")...)
-	must.Eq(t, "no", refused.ran())
+	must.Eq(t, "no", refused.runState())
 	must.Eq(t, http.StatusServiceUnavailable, refused.status)
-	_, whole := f.stream(atMostOnceHeaders("k1")...).words()
+	_, whole := f.stream(atMostOnceHeaders("k1")...).tokens()
 	must.True(t, whole)
 }
 
 func TestAtMostOnceRequestRequiresKey(t *testing.T) {
 	engine := newFakeEngine(t, "e1", 11)
-	f := start(t, quick(), []*fakeEngine{engine})
-	for _, headers := range [][]string{{HeaderClass, "briefing"}, {HeaderClass, "cap", HeaderRepeat, "never"}} {
+	f := startFleet(t, fastConfig(), []*fakeEngine{engine})
+	for _, headers := range [][]string{{HeaderClass, "briefing"}, {HeaderClass, "cap", HeaderRepeatPolicy, "never"}} {
 		answer := f.stream(headers...)
 		must.Eq(t, http.StatusBadRequest, answer.status)
 		must.Eq(t, codeKeyRequired, answer.code())
 	}
-	must.Eq(t, http.StatusBadRequest, f.stream(HeaderRepeat, "sometimes").status)
+	must.Eq(t, http.StatusBadRequest, f.stream(HeaderRepeatPolicy, "sometimes").status)
 	must.Eq(t, 0, engine.runs.Load())
 }
 
@@ -154,15 +156,15 @@
 	for _, cause := range []error{feed.ErrNoQuorum, feed.ErrOutcomeUnknown} {
 		engine := newFakeEngine(t, "e1", 11)
 		control := newFakeControl()
-		control.lost = errors.Wrap(cause, "test")
-		f := startWith(t, quick(), control, []*fakeEngine{engine})
+		control.claimErr = errors.Wrap(cause, "test")
+		f := startFleetWithControl(t, fastConfig(), control, []*fakeEngine{engine})
 		answer := f.stream(atMostOnceHeaders("k1")...)
 		must.Eq(t, http.StatusServiceUnavailable, answer.status)
 		must.Eq(t, codeNoQuorum, answer.code())
-		must.Eq(t, "no", answer.ran())
+		must.Eq(t, "no", answer.runState())
 		must.NotEq(t, "", answer.header.Get("Retry-After"))
 		must.Eq(t, 0, engine.runs.Load())
-		_, whole := f.stream(HeaderClass, "cap").words()
+		_, whole := f.stream(HeaderClass, "cap").tokens()
 		must.True(t, whole)
 	}
 }
@@ -181,17 +183,17 @@
 func TestUnknownOutcomeIsReportedBeforeRecording(t *testing.T) {
 	engine := newFakeEngine(t, "e1", 11)
 	engine.script = func(_ *fakeEngine, w http.ResponseWriter, _ *http.Request, _ int) { dropConnection(w) }
-	config := quick()
+	config := fastConfig()
 	config.Timeouts.Claim = 300 * time.Millisecond
-	f := startWith(t, config, hangingControl{newFakeControl()}, []*fakeEngine{engine})
+	f := startFleetWithControl(t, config, hangingControl{newFakeControl()}, []*fakeEngine{engine})
 	answer := f.stream(atMostOnceHeaders("k1")...)
-	must.Eq(t, "unknown", answer.ran())
-	must.Eq(t, 1, f.proxy.running.count()) // the handler is still recording
+	must.Eq(t, "unknown", answer.runState())
+	must.Eq(t, 1, f.proxy.inFlight.count()) // the handler is still recording
 }
 
 // The run must continue after the caller disconnects, so that a retry gets the
 // response.
-func TestAtMostOnceRunContinuesAfterClientDisconnects(t *testing.T) {
+func TestAtMostOnceRunContinuesAfterCallerDisconnects(t *testing.T) {
 	engine := newFakeEngine(t, "e1", 11)
 	hold := make(chan struct{})
 	release := sync.OnceFunc(func() { close(hold) })
@@ -201,14 +203,14 @@
 		<-hold
 		e.answer(w, r, 1, 3)
 	}
-	f := start(t, quick(), []*fakeEngine{engine})
+	f := startFleet(t, fastConfig(), []*fakeEngine{engine})
 	t.Cleanup(release) // runs before the proxy's cleanup, which waits for the run
 	disconnect := f.open(atMostOnceHeaders("k1")...)
 	disconnect()
 	release()
 	var words []string
 	eventually(t, func() bool {
-		again, whole := f.stream(atMostOnceHeaders("k1")...).words()
+		again, whole := f.stream(atMostOnceHeaders("k1")...).tokens()
 		words = again
 		return whole
 	})
@@ -220,8 +222,8 @@
 // At-most-once requests to plain backends must be claimed as well.
 func TestAtMostOnceRequestToBackend(t *testing.T) {
 	backend := newFakeBackend(t)
-	f := start(t, quick(), nil, backend.server)
-	headers := []string{HeaderRepeat, "never", HeaderKey, "k1"}
+	f := startFleet(t, fastConfig(), nil, backend.server)
+	headers := []string{HeaderRepeatPolicy, "never", HeaderIdempotencyKey, "k1"}
 	first := f.do(http.MethodPost, "/services/tiles/render", "storm", headers...)
 	must.Eq(t, http.StatusOK, first.status)
 	must.Eq(t, "", backend.lastHeader.Load().Get("Idempotency-Key"))
@@ -239,11 +241,11 @@
 	control := &lossyControl{fakeControl: newFakeControl()}
 	views := &fixedViews{}
 	views.view.Store(newView(nil, nil))
-	p := New(quick(), views, control, func() time.Duration { return 0 }, log.NewNopLogger())
+	p := New(fastConfig(), views, control, func() time.Duration { return 0 }, log.NewNopLogger())
 	p.config.Timeouts.Claim = 50 * time.Millisecond
 	answer := p.acquireClaim(context.Background(), &requestHeaders{tenant: "default", key: "k1"}, 1)
 	must.Nil(t, answer.granted)
-	must.Eq(t, attempt.RanNo, answer.failed.ran)
+	must.Eq(t, attempt.RanNo, answer.failed.runState)
 	p.Close()
 	must.Eq(t, api.RunNotRun, control.claims["default/k1"].Outcome)
 }
@@ -264,11 +266,11 @@
 	control := &leaderlessControl{fakeControl: newFakeControl()}
 	views := &fixedViews{}
 	views.view.Store(newView(nil, nil))
-	p := New(quick(), views, control, func() time.Duration { return 0 }, log.NewNopLogger())
+	p := New(fastConfig(), views, control, func() time.Duration { return 0 }, log.NewNopLogger())
 	headers := &requestHeaders{tenant: "default", key: "k1"}
 	answer := p.acquireClaim(context.Background(), headers, 1)
 	must.NotNil(t, answer.failed)
-	must.Eq(t, attempt.RanNo, answer.failed.ran)
+	must.Eq(t, attempt.RanNo, answer.failed.runState)
 	p.Close() // waits until the outcome is recorded
 	must.Eq(t, api.RunNotRun, control.claims["default/k1"].Outcome)
 	must.NotNil(t, p.acquireClaim(context.Background(), headers, 1).granted)
@@ -305,16 +307,16 @@
 	}
 	views := &fixedViews{}
 	views.view.Store(newView(nil, nil))
-	p := New(quick(), views, control, func() time.Duration { return 0 }, log.NewNopLogger())
+	p := New(fastConfig(), views, control, func() time.Duration { return 0 }, log.NewNopLogger())
 	headers := &requestHeaders{tenant: "default", key: "k1"}
-	must.Eq(t, attempt.RanNo, p.acquireClaim(context.Background(), headers, 1).failed.ran)
+	must.Eq(t, attempt.RanNo, p.acquireClaim(context.Background(), headers, 1).failed.runState)
 	<-control.begun
 	retried := p.acquireClaim(context.Background(), headers, 1)
 	close(control.release)
 	p.Close()
 	must.NotNil(t, retried.granted)
 	must.Eq(t, api.RunUnknown, control.claims["default/k1"].Outcome, must.Sprint("the late record belongs to the first claim"))
-	_, kept := p.owed.Load(claimKey{"default", "k1"})
+	_, kept := p.pendingOutcomes.Load(claimKey{"default", "k1"})
 	must.False(t, kept)
 }
 
@@ -342,9 +344,9 @@
 	control.failures.Store(3 * outcomeRetries)
 	views := &fixedViews{}
 	views.view.Store(newView(nil, nil))
-	p := New(quick(), views, control, func() time.Duration { return 0 }, log.NewNopLogger())
+	p := New(fastConfig(), views, control, func() time.Duration { return 0 }, log.NewNopLogger())
 	t.Cleanup(p.Close)
-	must.Eq(t, attempt.RanNo, p.acquireClaim(context.Background(), &requestHeaders{tenant: "default", key: "k1"}, 1).failed.ran)
+	must.Eq(t, attempt.RanNo, p.acquireClaim(context.Background(), &requestHeaders{tenant: "default", key: "k1"}, 1).failed.runState)
 	eventually(t, func() bool {
 		control.lock.Lock()
 		defer control.lock.Unlock()
--- a/process/proxy/deadline_test.go
+++ b/process/proxy/deadline_test.go
@@ -20,13 +20,13 @@
 // not be reported as a client error.
 func TestDeadlineBelowMarginIsRefused(t *testing.T) {
 	backend := newFakeBackend(t)
-	config := quick()
+	config := fastConfig()
 	config.Margin = retry.Margin{Least: time.Hour}
-	f := start(t, config, nil, backend.server)
+	f := startFleet(t, config, nil, backend.server)
 	answer := f.do(http.MethodGet, pathTile, "", HeaderClass, "frame")
 	must.Eq(t, http.StatusGatewayTimeout, answer.status)
-	must.Eq(t, codeDeadlineShort, answer.code())
-	must.Eq(t, "no", answer.ran())
+	must.Eq(t, codeDeadlineTooShort, answer.code())
+	must.Eq(t, "no", answer.runState())
 	must.NotEq(t, "", answer.header.Get("Retry-After"))
 	must.Zero(t, backend.runs.Load())
 }
@@ -34,33 +34,33 @@
 // The deadline passes while a backend is sending its response.
 func TestDeadlineDuringBackendResponse(t *testing.T) {
 	const left = time.Second
-	ask := func(t *testing.T, script http.HandlerFunc) (answer *reply, took time.Duration) {
+	send := func(t *testing.T, script http.HandlerFunc) (answer *reply, took time.Duration) {
 		backend := newFakeBackend(t)
 		backend.script = script
-		f := start(t, quick(), nil, backend.server)
+		f := startFleet(t, fastConfig(), nil, backend.server)
 		began := time.Now()
 		answer = f.do(http.MethodGet, pathTile, "", HeaderClass, "frame", HeaderDeadline, strconv.FormatInt(left.Milliseconds(), 10))
 		return answer, time.Since(began)
 	}
 	t.Run("before the first byte", func(t *testing.T) {
 		t.Parallel()
-		answer, _ := ask(t, func(w http.ResponseWriter, r *http.Request) {
+		answer, _ := send(t, func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("X-Tile", "1")
 			_ = http.NewResponseController(w).Flush()
-			hang(r)
+			waitForDisconnect(r)
 		})
 		must.Eq(t, http.StatusGatewayTimeout, answer.status)
 		must.Eq(t, codeDeadlineExceeded, answer.code())
-		must.Eq(t, "yes", answer.ran())
+		must.Eq(t, "yes", answer.runState())
 		must.Eq(t, "", answer.header.Get("X-Tile"))
 	})
 	t.Run("after part of the body", func(t *testing.T) {
 		t.Parallel()
 		part := strings.Repeat("x", 4<<10)
-		answer, took := ask(t, func(w http.ResponseWriter, r *http.Request) {
+		answer, took := send(t, func(w http.ResponseWriter, r *http.Request) {
 			_, _ = w.Write([]byte(part))
 			_ = http.NewResponseController(w).Flush()
-			hang(r)
+			waitForDisconnect(r)
 		})
 		must.Eq(t, http.StatusOK, answer.status)
 		must.Error(t, answer.err, must.Sprint("a partial response must not look complete"))
@@ -88,7 +88,7 @@
 		}
 		first, second := newFakeBackend(t), newFakeBackend(t)
 		first.script, second.script = script, script
-		f := start(t, quick(), nil, first.server, second.server)
+		f := startFleet(t, fastConfig(), nil, first.server, second.server)
 		answer := f.do(http.MethodGet, pathTile, "", HeaderClass, "frame")
 		must.NoError(t, answer.err)
 		must.Eq(t, http.StatusOK, answer.status)
@@ -100,21 +100,21 @@
 	t.Run("all backends", func(t *testing.T) {
 		backend := newFakeBackend(t)
 		backend.script = broken
-		f := start(t, quick(), nil, backend.server)
+		f := startFleet(t, fastConfig(), nil, backend.server)
 		answer := f.do(http.MethodGet, pathTile, "", HeaderClass, "frame")
 		must.Eq(t, http.StatusBadGateway, answer.status)
 		must.Eq(t, codeUpstream, answer.code())
-		must.Eq(t, "yes", answer.ran())
+		must.Eq(t, "yes", answer.runState())
 		must.Eq(t, "", answer.header.Get("X-Tile"))
 		must.Eq(t, 1, backend.runs.Load())
 	})
 	t.Run("unsafe method", func(t *testing.T) {
 		backend := newFakeBackend(t)
 		backend.script = broken
-		f := start(t, quick(), nil, backend.server)
+		f := startFleet(t, fastConfig(), nil, backend.server)
 		answer := f.do(http.MethodPost, pathTile, "body", HeaderClass, "frame")
 		must.Eq(t, http.StatusBadGateway, answer.status)
-		must.Eq(t, "yes", answer.ran())
+		must.Eq(t, "yes", answer.runState())
 		must.Eq(t, 1, backend.runs.Load())
 	})
 }
--- a/process/proxy/demand.go
+++ b/process/proxy/demand.go
@@ -120,14 +120,14 @@
 func (p *Proxy) queuedDemand() map[demandKey]queuedCount {
 	queued := map[demandKey]queuedCount{}
 	current := p.lanes.catalog.Load()
-	for _, request := range p.running.list() {
-		if request.model == "" || request.life.State() != attempt.Queued {
+	for _, request := range p.inFlight.list() {
+		if request.model == "" || request.attempts.State() != attempt.Queued {
 			continue
 		}
 		key := demandKey{intent: current.intentFor(request.model, request.class), class: request.class}
 		count := queued[key]
 		count.requests++
-		count.tokens += float64(request.tokens)
+		count.tokens += float64(request.promptTokens)
 		queued[key] = count
 	}
 	return queued
--- a/process/proxy/endpoint.go
+++ b/process/proxy/endpoint.go
@@ -19,7 +19,7 @@
 
 // dispatch is a request in flight to an endpoint.
 type dispatch struct {
-	at     time.Duration
+	sentAt time.Duration
 	tokens int
 }
 
@@ -41,7 +41,7 @@
 	// follow.
 	incarnationAsOf time.Duration
 	lastReportAt    time.Duration
-	heard           bool
+	hasReported     bool
 	closedAt        time.Duration // when a phase that takes no new work was last reported
 	load            engineapi.Load
 	loadAt          time.Duration // when the load was measured
@@ -53,23 +53,23 @@
 	dispatches map[uint64]dispatch
 	nextID     uint64
 	cache      cacheIndex
-	// suspectedEndAt is when the incarnation appeared to crash, because its connection broke; 0
+	// suspectedCrashAt is when the incarnation appeared to crash, because its connection broke; 0
 	// once the engine has responded to a later request.
-	suspectedEndAt          time.Duration
-	suspectedEndIncarnation uint64
+	suspectedCrashAt          time.Duration
+	suspectedCrashIncarnation uint64
 }
 
 func newEndpoint(name, address, zone string, model bool) *endpoint {
 	return &endpoint{name: name, address: address, zone: zone, model: model, dispatches: map[uint64]dispatch{}}
 }
 
-// begin registers a request in flight and returns the function that removes it.
-func (e *endpoint) begin(now time.Duration, tokens int) func() {
+// trackRequest registers a request in flight and returns the function that removes it.
+func (e *endpoint) trackRequest(now time.Duration, tokens int) func() {
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	id := e.nextID
 	e.nextID++
-	e.dispatches[id] = dispatch{at: now, tokens: tokens}
+	e.dispatches[id] = dispatch{sentAt: now, tokens: tokens}
 	return func() {
 		e.lock.Lock()
 		defer e.lock.Unlock()
@@ -77,38 +77,38 @@
 	}
 }
 
-// spokenWord is a report by an endpoint of its own state. said is the earliest time at which the
+// stateReport is a report by an endpoint of its own state. asOf is the earliest time at which the
 // endpoint can have made it, now is when the proxy received it.
-type spokenWord struct {
-	said, now   time.Duration
+type stateReport struct {
+	asOf, now   time.Duration
 	phase       api.EnginePhase // empty if not reported
 	incarnation uint64
 }
 
-// hear records the phase and incarnation that the endpoint reported.
-func (e *endpoint) hear(reported spokenWord) {
+// recordState records the phase and incarnation that the endpoint reported.
+func (e *endpoint) recordState(reported stateReport) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
-	e.hearLocked(reported)
+	e.recordStateLocked(reported)
 }
 
-// hearLocked is hear for code that holds the lock. Responses may arrive out of order, so a phase that
-// takes new work is ignored if it may predate the last one that did not.
-func (e *endpoint) hearLocked(reported spokenWord) {
-	e.heard = true
+// recordStateLocked is recordState for code that holds the lock. Responses may arrive out of order,
+// so a phase that takes new work is ignored if it may predate the last one that did not.
+func (e *endpoint) recordStateLocked(reported stateReport) {
+	e.hasReported = true
 	e.silent = false
 	e.lastReportAt = max(e.lastReportAt, reported.now)
 	switch {
 	case reported.phase == api.PhaseUnknown: // not reported: the phase stays
-	case closedPhase(reported.phase):
+	case refusesNewWork(reported.phase):
 		e.phase, e.closedAt = reported.phase, reported.now
-	case reported.said >= e.closedAt:
+	case reported.asOf >= e.closedAt:
 		e.phase = reported.phase
 	}
-	if reported.incarnation == 0 || reported.incarnation != e.incarnation && reported.said < e.incarnationAsOf {
+	if reported.incarnation == 0 || reported.incarnation != e.incarnation && reported.asOf < e.incarnationAsOf {
 		return
 	}
-	e.incarnationAsOf = max(e.incarnationAsOf, reported.said)
+	e.incarnationAsOf = max(e.incarnationAsOf, reported.asOf)
 	if reported.incarnation != e.incarnation {
 		e.incarnation = reported.incarnation
 		e.cache.reset()
@@ -119,9 +119,9 @@
 // is about to be removed.
 const backendLeaving = "leaving"
 
-// hearHeader records the state that the endpoint reports in the headers of a response to a request
+// recordHeader records the state that the endpoint reports in the headers of a response to a request
 // sent at sentAt. A plain backend is serving unless it reports that it is leaving.
-func (e *endpoint) hearHeader(sentAt, now time.Duration, header http.Header) {
+func (e *endpoint) recordHeader(sentAt, now time.Duration, header http.Header) {
 	phase := api.EnginePhase(header.Get(engineapi.HeaderPhase))
 	if !e.model {
 		phase = api.PhaseServing
@@ -129,7 +129,7 @@
 			phase = api.PhaseLeaving
 		}
 	}
-	e.hear(spokenWord{said: sentAt, now: now, phase: phase, incarnation: incarnationOf(header)})
+	e.recordState(stateReport{asOf: sentAt, now: now, phase: phase, incarnation: incarnationOf(header)})
 }
 
 // isFromOtherEngine reports whether the load report comes from a different engine, which has taken
@@ -138,16 +138,16 @@
 	return load.Engine != "" && load.Engine != e.name
 }
 
-// report records a load report in response to a poll sent at sentAt. The report describes the load
-// AgeMilliseconds earlier.
-func (e *endpoint) report(sentAt, now time.Duration, load engineapi.Load) {
+// recordLoad records a load report in response to a poll sent at sentAt. The report describes the
+// load AgeMilliseconds earlier.
+func (e *endpoint) recordLoad(sentAt, now time.Duration, load engineapi.Load) {
 	if e.isFromOtherEngine(load) {
 		return
 	}
 	age := time.Duration(load.AgeMilliseconds) * time.Millisecond
 	e.lock.Lock()
 	defer e.lock.Unlock()
-	e.hearLocked(spokenWord{said: sentAt - age, now: now, phase: load.Phase, incarnation: load.Incarnation})
+	e.recordStateLocked(stateReport{asOf: sentAt - age, now: now, phase: load.Phase, incarnation: load.Incarnation})
 	if load.Incarnation != 0 && load.Incarnation != e.incarnation {
 		return // measured by an earlier incarnation
 	}
@@ -155,17 +155,17 @@
 	e.loadAt = now - age
 }
 
-// succeed records a successful request: the endpoint is no longer suspect because of failures. It may
-// still be silent.
-func (e *endpoint) succeed() {
+// recordSuccess records a successful request: the endpoint is no longer suspect because of failures.
+// It may still be silent.
+func (e *endpoint) recordSuccess() {
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	e.failures = 0
 	e.suspectUntil = 0
 }
 
-// fail records a failed request and makes the endpoint suspect for a limited time.
-func (e *endpoint) fail(now time.Duration) {
+// recordFailure records a failed request and makes the endpoint suspect for a limited time.
+func (e *endpoint) recordFailure(now time.Duration) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	suspectTime := minSuspectTime << min(e.failures, 5)
@@ -186,14 +186,14 @@
 type reportedState struct {
 	phase        api.EnginePhase
 	incarnation  uint64
-	heard        bool
+	hasReported  bool
 	lastReportAt time.Duration
 }
 
-func (e *endpoint) word() reportedState {
+func (e *endpoint) reported() reportedState {
 	e.lock.Lock()
 	defer e.lock.Unlock()
-	return reportedState{phase: e.phase, incarnation: e.incarnation, heard: e.heard, lastReportAt: e.lastReportAt}
+	return reportedState{phase: e.phase, incarnation: e.incarnation, hasReported: e.hasReported, lastReportAt: e.lastReportAt}
 }
 
 // fillCandidate sets the fields of a routing candidate that come from the endpoint's reports and
@@ -214,16 +214,16 @@
 		Age:           now - e.loadAt,
 	}
 	for _, dispatched := range e.dispatches {
-		if dispatched.at > e.loadAt {
+		if dispatched.sentAt > e.loadAt {
 			candidate.Load.OwnRunning++
 			candidate.Load.OwnTokens += dispatched.tokens
 		}
 	}
 }
 
-// closedPhase reports whether an endpoint in the phase takes no new work. An endpoint that has not
+// refusesNewWork reports whether an endpoint in the phase takes no new work. An endpoint that has not
 // reported its phase may take new work.
-func closedPhase(phase api.EnginePhase) bool {
+func refusesNewWork(phase api.EnginePhase) bool {
 	switch phase {
 	case api.PhaseServing, api.PhaseUnknown:
 		return false
--- a/process/proxy/fault_test.go
+++ b/process/proxy/fault_test.go
@@ -20,15 +20,15 @@
 
 func dropConnection(http.ResponseWriter) { panic(http.ErrAbortHandler) }
 
-// hang blocks until the proxy has disconnected, which net/http's server detects only after the
-// request body has been read.
-func hang(r *http.Request) {
+// waitForDisconnect blocks until the proxy has disconnected, which net/http's server detects only
+// after the request body has been read.
+func waitForDisconnect(r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body) // the proxy may have disconnected already
 	<-r.Context().Done()
 }
 
-// patience is longer than any engine of these tests takes to start on a busy machine.
-const patience = 10 * time.Second
+// longTimeout is longer than any engine of these tests takes to start on a busy machine.
+const longTimeout = 10 * time.Second
 
 // Each fault occurs in the runs of both engines. The response to an ordinary and to an at-most-once
 // request must tell whether the request ran, and the latter may run only once.
@@ -59,12 +59,12 @@
 			dropConnection(w)
 		}, 502, "unknown", false, 2, "unknown", 1, false},
 		{"never responds", func(_ *fakeEngine, _ http.ResponseWriter, r *http.Request, _ int) {
-			hang(r)
+			waitForDisconnect(r)
 		}, 502, "unknown", false, 2, "unknown", 1, true},
 		{"admits and sends no token", func(e *fakeEngine, w http.ResponseWriter, r *http.Request, _ int) {
 			id, number := runOf(r)
 			e.tokens(w, id, number, 0, 0)
-			hang(r)
+			waitForDisconnect(r)
 		}, 502, "yes", false, 2, "yes", 1, true},
 		{"status 500 without admission header", func(_ *fakeEngine, w http.ResponseWriter, _ *http.Request, _ int) {
 			w.WriteHeader(500)
@@ -90,29 +90,29 @@
 			for _, atMostOnce := range []bool{false, true} {
 				first, second := newFakeEngine(t, "e1", 11), newFakeEngine(t, "e2", 12)
 				first.script, second.script = test.script, test.script
-				config := quick()
+				config := fastConfig()
 				config.Limits.Resumes = 1
 				if !test.hangs {
-					config.Timeouts.Head, config.Timeouts.FirstToken, config.Timeouts.Stall = patience, patience, patience
+					config.Timeouts.Head, config.Timeouts.FirstToken, config.Timeouts.Stall = longTimeout, longTimeout, longTimeout
 				}
-				f := start(t, config, []*fakeEngine{first, second})
+				f := startFleet(t, config, []*fakeEngine{first, second})
 				headers := []string{HeaderClass, "cap"}
 				wantRan, wantRuns := test.ran, test.runs
 				if atMostOnce {
-					headers = []string{HeaderClass, "briefing", HeaderKey, "k1"}
+					headers = []string{HeaderClass, "briefing", HeaderIdempotencyKey, "k1"}
 					wantRan, wantRuns = test.atMostOnceRan, test.atMostOnceRuns
 				}
 				answer := f.stream(headers...)
-				must.Eq(t, wantRan, answer.ran())
+				must.Eq(t, wantRan, answer.runState())
 				runs := func() int32 { return first.runs.Load() + second.runs.Load() }
 				if test.hangs { // an engine may start and count the run after the attempt timed out
-					must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return runs() >= wantRuns }), wait.Timeout(patience)))
+					must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return runs() >= wantRuns }), wait.Timeout(longTimeout)))
 				}
 				must.Eq(t, wantRuns, runs())
 				if !atMostOnce {
 					must.Eq(t, test.status, answer.status)
 				}
-				_, whole := answer.words()
+				_, whole := answer.tokens()
 				must.False(t, whole)
 				must.Eq(t, wantRan == "no" && answer.status == 503, answer.header.Get("Retry-After") != "")
 			}
@@ -127,10 +127,10 @@
 		w.Header().Set(engineapi.HeaderPhase, string(api.PhaseDraining))
 		e.refuse(w, 503, "draining")
 	}
-	f := start(t, quick(), []*fakeEngine{first, second})
+	f := startFleet(t, fastConfig(), []*fakeEngine{first, second})
 	for range 10 {
-		answer := f.stream(HeaderClass, "briefing", HeaderKey, time.Now().String())
-		words, whole := answer.words()
+		answer := f.stream(HeaderClass, "briefing", HeaderIdempotencyKey, time.Now().String())
+		words, whole := answer.tokens()
 		must.True(t, whole)
 		must.Eq(t, []string{"e2-0", "e2-1", "e2-2"}, words)
 	}
@@ -148,7 +148,7 @@
 }
 
 func TestInterruptedStreamIsResumed(t *testing.T) {
-	for _, headers := range [][]string{{HeaderClass, "cap"}, {HeaderClass, "briefing", HeaderKey, "k1"}} {
+	for _, headers := range [][]string{{HeaderClass, "cap"}, {HeaderClass, "briefing", HeaderIdempotencyKey, "k1"}} {
 		engine := newFakeEngine(t, "e1", 11)
 		engine.script = dropAfter(2)
 		engine.resume = func(e *fakeEngine, w http.ResponseWriter, _ *http.Request, request engineapi.ResumeRequest) {
@@ -157,8 +157,8 @@
 			e.tokens(w, request.RequestID, request.Attempt, request.Offset, 3)
 			_, _ = io.WriteString(w, "data: [DONE]\n\n")
 		}
-		f := start(t, quick(), []*fakeEngine{engine})
-		words, whole := f.stream(headers...).words()
+		f := startFleet(t, fastConfig(), []*fakeEngine{engine})
+		words, whole := f.stream(headers...).tokens()
 		must.True(t, whole)
 		must.Eq(t, []string{"e1-0", "e1-1", "e1-2"}, words)
 		must.Eq(t, 1, engine.runs.Load())
@@ -170,10 +170,10 @@
 func TestInterruptedStreamIsNotContinuedByAnotherEngine(t *testing.T) {
 	first, second := newFakeEngine(t, "e1", 11), newFakeEngine(t, "e2", 12)
 	first.script, second.script = dropAfter(1), dropAfter(1)
-	f := start(t, quick(), []*fakeEngine{first, second})
+	f := startFleet(t, fastConfig(), []*fakeEngine{first, second})
 	answer := f.stream(HeaderClass, "cap")
 	must.Eq(t, http.StatusOK, answer.status)
-	words, whole := answer.words()
+	words, whole := answer.tokens()
 	must.False(t, whole)
 	must.Len(t, 1, words)
 	must.StrContains(t, answer.body, "event: error\n")
@@ -187,9 +187,9 @@
 	second.script = func(e *fakeEngine, w http.ResponseWriter, r *http.Request, _ int) {
 		e.answer(w, r, 0, 3)
 	}
-	f := start(t, quick(), []*fakeEngine{first, second})
+	f := startFleet(t, fastConfig(), []*fakeEngine{first, second})
 	for first.runs.Load() == 0 {
-		answer := f.do(http.MethodPost, engineapi.PathCompletions, wholeBody, HeaderClass, "cap")
+		answer := f.do(http.MethodPost, engineapi.PathCompletions, bufferedBody, HeaderClass, "cap")
 		must.Eq(t, http.StatusOK, answer.status)
 		must.StrContains(t, answer.body, `"text":"e2-0 e2-1 e2-2 "`)
 	}
@@ -200,13 +200,13 @@
 	engine.script = func(e *fakeEngine, w http.ResponseWriter, r *http.Request, _ int) {
 		id, number := runOf(r)
 		e.tokens(w, id, number, 0, 1)
-		hang(r)
+		waitForDisconnect(r)
 	}
-	f := start(t, quick(), []*fakeEngine{engine})
-	_, whole := f.stream(HeaderClass, "cap").words()
+	f := startFleet(t, fastConfig(), []*fakeEngine{engine})
+	_, whole := f.stream(HeaderClass, "cap").tokens()
 	must.False(t, whole)
 	endpoint := (*f.proxy.lanes.find("narrator").endpoints.Load())["e1"]
-	must.True(t, endpoint.suspected(f.proxy.clock()))
+	must.True(t, endpoint.isSuspect(f.proxy.clock()))
 	eventually(t, func() bool { return engine.cancels.Load() > 0 })
 }
 
@@ -215,16 +215,16 @@
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(holds), wait.Timeout(5*time.Second), wait.Gap(5*time.Millisecond)))
 }
 
-func TestClientDisconnectCancelsRun(t *testing.T) {
+func TestCallerDisconnectCancelsRun(t *testing.T) {
 	engine := newFakeEngine(t, "e1", 11)
 	engine.script = func(e *fakeEngine, w http.ResponseWriter, r *http.Request, _ int) {
 		id, number := runOf(r)
 		e.tokens(w, id, number, 0, 1)
-		hang(r)
+		waitForDisconnect(r)
 	}
-	config := quick()
+	config := fastConfig()
 	config.Timeouts.Stall = time.Minute
-	f := start(t, config, []*fakeEngine{engine})
+	f := startFleet(t, config, []*fakeEngine{engine})
 	ctx, disconnect := context.WithCancel(context.Background())
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, f.url+engineapi.PathCompletions, strings.NewReader(streamBody))
 	must.NoError(t, err)
@@ -236,13 +236,13 @@
 	must.NoError(t, err)
 	disconnect()
 	_ = response.Body.Close()
-	eventually(t, func() bool { return engine.cancels.Load() == 1 && f.proxy.running.count() == 0 })
+	eventually(t, func() bool { return engine.cancels.Load() == 1 && f.proxy.inFlight.count() == 0 })
 	must.Eq(t, 0, f.proxy.lanes.find("narrator").queue.Depth().InFlight)
 }
 
 // The caller stops reading until the connection's buffers are full. The write
 // deadline must end the request, and the run on the engine must be cancelled.
-func TestClientStopsReading(t *testing.T) {
+func TestCallerStopsReading(t *testing.T) {
 	engine := newFakeEngine(t, "e1", 11)
 	engine.script = func(e *fakeEngine, w http.ResponseWriter, r *http.Request, _ int) {
 		id, number := runOf(r)
@@ -250,9 +250,9 @@
 			e.tokens(w, id, number, i, i+100)
 		}
 	}
-	config := quick()
+	config := fastConfig()
 	config.Timeouts.Write = 100 * time.Millisecond
-	f := start(t, config, []*fakeEngine{engine})
+	f := startFleet(t, config, []*fakeEngine{engine})
 	request, err := http.NewRequest(http.MethodPost, f.url+engineapi.PathCompletions, strings.NewReader(streamBody))
 	must.NoError(t, err)
 	request.Header.Set(HeaderDeadline, "60000")
@@ -261,7 +261,7 @@
 	response, err := transport.RoundTrip(request)
 	must.NoError(t, err)
 	defer func() { _ = response.Body.Close() }()
-	eventually(t, func() bool { return engine.cancels.Load() == 1 && f.proxy.running.count() == 0 })
+	eventually(t, func() bool { return engine.cancels.Load() == 1 && f.proxy.inFlight.count() == 0 })
 }
 
 func TestDeadlineEndsRequest(t *testing.T) {
@@ -269,15 +269,15 @@
 	engine.script = func(e *fakeEngine, w http.ResponseWriter, r *http.Request, _ int) {
 		id, number := runOf(r)
 		e.tokens(w, id, number, 0, 0)
-		hang(r)
+		waitForDisconnect(r)
 	}
-	config := quick()
+	config := fastConfig()
 	config.Timeouts.FirstToken = time.Minute
-	f := start(t, config, []*fakeEngine{engine})
+	f := startFleet(t, config, []*fakeEngine{engine})
 	answer := f.stream(HeaderClass, "cap", HeaderDeadline, "300")
 	must.Eq(t, http.StatusGatewayTimeout, answer.status)
 	must.Eq(t, codeDeadlineExceeded, answer.code())
-	must.Eq(t, "yes", answer.ran())
+	must.Eq(t, "yes", answer.runState())
 	eventually(t, func() bool { return engine.cancels.Load() == 1 })
 }
 
@@ -294,14 +294,14 @@
 		prefill, decode := newFakeEngine(t, "e1", 11), newFakeEngine(t, "e2", 12)
 		prefill.failKV = fails
 		engines := []*fakeEngine{prefill, decode}
-		f := start(t, quick(), engines)
+		f := startFleet(t, fastConfig(), engines)
 		view := newView(engines, nil)
 		view.Engines["e1"].Status.Assignment.Role = api.RolePrefill
 		view.Engines["e2"].Status.Assignment.Role = api.RoleDecode
 		view.Version.Revision = 2
 		f.views.view.Store(view)
-		answer := f.stream(HeaderClass, "briefing", HeaderKey, "k1")
-		words, whole := answer.words()
+		answer := f.stream(HeaderClass, "briefing", HeaderIdempotencyKey, "k1")
+		words, whole := answer.tokens()
 		must.True(t, whole, must.Sprint(answer.status, answer.body))
 		must.Eq(t, []string{"e2-0", "e2-1", "e2-2"}, words)
 		must.Eq(t, 1, prefill.exports.Load())
--- a/process/proxy/handle_model.go
+++ b/process/proxy/handle_model.go
@@ -47,17 +47,17 @@
 
 // newCall validates a request against the view, returns its call and sets the response header with
 // its ID.
-func (p *Proxy) newCall(w http.ResponseWriter, r *http.Request, parsed *completionRequest) (*call, *failure) {
+func (p *Proxy) newCall(w http.ResponseWriter, r *http.Request, parsed *completionRequest) (*modelCall, *failure) {
 	headers, failed := parseHeaders(r.Header)
 	if failed != nil {
 		return nil, failed
 	}
-	s := p.standing()
-	if failed := p.refuseLost(&s, api.ServiceModel); failed != nil {
+	s := p.viewState()
+	if failed := p.refuseWithoutControl(&s, api.ServiceModel); failed != nil {
 		return nil, failed
 	}
-	if !s.catalog.knowsModel(parsed.request.Model) {
-		return nil, notFound(codeUnknownModel, "no intent serves the model")
+	if !s.catalog.servesModel(parsed.request.Model) {
+		return nil, notFoundFailure(codeUnknownModel, "no intent serves the model")
 	}
 	class, failed := s.catalog.modelClass(headers.class, parsed.request.Model)
 	if failed != nil {
@@ -71,16 +71,16 @@
 	}
 	found := p.lanes.find(class.Spec.Service)
 	if found == nil || found.kind != api.ServiceModel {
-		return nil, invalid(codeUnknownClass, "the class is not one of a model service")
+		return nil, invalidFailure(codeUnknownClass, "the class is not one of a model service")
 	}
-	c := &call{
+	c := &modelCall{
 		proxy:          p,
 		lane:           found,
 		id:             p.newID(),
 		parsed:         parsed,
-		envelope:       headers,
+		headers:        headers,
 		priority:       class.Spec.Priority,
-		expectedTokens: p.answers.Expect(headers.class, parsed.outputTokens()),
+		expectedTokens: p.answerLengths.Expect(headers.class, parsed.outputTokens()),
 		deadline:       p.clock() + headers.timeLeft,
 		rng:            newRandom(),
 		excluded:       map[string]bool{},
@@ -92,21 +92,21 @@
 		Resumes:  p.config.Limits.Resumes,
 	})
 	c.sink = p.newSink(w, c)
-	w.Header().Set(HeaderRequest, c.id)
+	w.Header().Set(HeaderRequestID, c.id)
 	return c, nil
 }
 
-func notFound(code, message string) *failure {
-	return &failure{status: http.StatusNotFound, errorType: typeInvalid, code: code, message: message, ran: attempt.RanNo}
+func notFoundFailure(code, message string) *failure {
+	return &failure{status: http.StatusNotFound, errorType: typeInvalid, code: code, message: message, runState: attempt.RanNo}
 }
 
-func (p *Proxy) newSink(w http.ResponseWriter, c *call) sink {
+func (p *Proxy) newSink(w http.ResponseWriter, c *modelCall) sink {
 	if !c.parsed.request.Stream {
 		assembled := newAssembler(c.parsed.chat, p.config.Limits.AnswerBytes)
 		return &bufferedSink{writer: w, timeout: p.config.Timeouts.Write, assembled: assembled}
 	}
 	var assembled *assembler
-	if c.envelope.atMostOnce {
+	if c.headers.atMostOnce {
 		assembled = newAssembler(c.parsed.chat, state.MaxAnswerBytes)
 	}
 	return newStreamSink(w, p.config.Timeouts.Write, assembled)
@@ -119,27 +119,27 @@
 		if class := c.defaultModelClass(model); class != nil {
 			return class, nil
 		}
-		return nil, invalid(codeUnknownClass, "no class is served by the model")
+		return nil, invalidFailure(codeUnknownClass, "no class is served by the model")
 	}
 	class := c.view.Classes[name]
 	if class == nil {
-		return nil, invalid(codeUnknownClass, "no such class")
+		return nil, invalidFailure(codeUnknownClass, "no such class")
 	}
 	return class, nil
 }
 
 // serve admits, claims and runs the request and sends the response. It returns
 // nil after a complete response.
-func (c *call) serve(ctx context.Context, w http.ResponseWriter, bodyHash uint64) *failure {
-	defer c.proxy.running.add(&entry{
-		id:      c.id,
-		service: c.lane.service,
-		class:   c.envelope.class,
-		tenant:  c.envelope.tenant,
-		started: time.Now(),
-		life:    c.attempts,
-		model:   c.parsed.request.Model,
-		tokens:  c.parsed.promptTokens,
+func (c *modelCall) serve(ctx context.Context, w http.ResponseWriter, bodyHash uint64) *failure {
+	defer c.proxy.inFlight.add(&entry{
+		id:           c.id,
+		service:      c.lane.service,
+		class:        c.headers.class,
+		tenant:       c.headers.tenant,
+		started:      time.Now(),
+		attempts:     c.attempts,
+		model:        c.parsed.request.Model,
+		promptTokens: c.parsed.promptTokens,
 	})()
 	release, failed := c.proxy.admit(ctx, c.lane, c.queueTicket())
 	if failed != nil {
@@ -148,13 +148,13 @@
 	}
 	defer release()
 	c.lane.budget.Deposit()
-	if c.envelope.atMostOnce {
+	if c.headers.atMostOnce {
 		// An at-most-once run continues after its caller disconnects. The caller
 		// may send the request again to get the recorded response.
 		ctx = context.WithoutCancel(ctx)
-		claimed := c.proxy.acquireClaim(ctx, &c.envelope, bodyHash)
+		claimed := c.proxy.acquireClaim(ctx, &c.headers, bodyHash)
 		if claimed.granted == nil {
-			return c.answerFromClaim(w, claimed)
+			return c.respondFromClaim(w, claimed)
 		}
 		c.claim = claimed.granted
 	}
@@ -164,11 +164,11 @@
 }
 
 // queueTicket describes the request to the queue.
-func (c *call) queueTicket() limit.Ticket {
+func (c *modelCall) queueTicket() limit.Ticket {
 	return limit.Ticket{
-		Class:    c.envelope.class,
+		Class:    c.headers.class,
 		Priority: c.priority,
-		Tenant:   c.envelope.tenant,
+		Tenant:   c.headers.tenant,
 		Cost:     float64(c.parsed.promptTokens + c.parsed.outputTokens()),
 		Deadline: time.Now().Add(c.timeLeft()),
 		Gate:     c.attempts,
@@ -179,12 +179,12 @@
 // outcome is recorded before it is reported, so that the key is free when the
 // caller retries. An unknown outcome is reported first, so that the response is
 // not delayed by the recording.
-func (c *call) endRequest(failed *failure) *failure {
+func (c *modelCall) endRequest(failed *failure) *failure {
 	if c.attempts.Done() {
 		c.proxy.finishClaim(c.claim, api.RunCompleted, newRecordedResponse(c.sink.recorded()))
 		return failed
 	}
-	outcome := outcomeFor(failed.ran)
+	outcome := outcomeFor(failed.runState)
 	if outcome == api.RunNotRun {
 		c.proxy.finishClaim(c.claim, outcome, nil)
 		c.sink.fail(failed)
@@ -204,9 +204,9 @@
 	return &recordedResponse{Status: http.StatusOK, ContentType: contentTypeJSON, Body: body}
 }
 
-// answerFromClaim responds to an at-most-once request without running it: with the recorded response
+// respondFromClaim responds to an at-most-once request without running it: with the recorded response
 // or with a failure.
-func (c *call) answerFromClaim(w http.ResponseWriter, claimed claimResult) *failure {
+func (c *modelCall) respondFromClaim(w http.ResponseWriter, claimed claimResult) *failure {
 	c.attempts.GiveUp()
 	if claimed.failed != nil {
 		c.sink.fail(claimed.failed)
@@ -222,14 +222,14 @@
 }
 
 // demandKey returns the key under which the request's demand is counted.
-func (c *call) demandKey() demandKey {
+func (c *modelCall) demandKey() demandKey {
 	current := c.proxy.lanes.catalog.Load()
-	return demandKey{intent: current.intentFor(c.parsed.request.Model, c.envelope.class), class: c.envelope.class}
+	return demandKey{intent: current.intentFor(c.parsed.request.Model, c.headers.class), class: c.headers.class}
 }
 
 // countOffered counts the request as demand on arrival: at the end it would be late by the duration
 // of the run, and requests that are never served would be missed.
-func (c *call) countOffered() {
+func (c *modelCall) countOffered() {
 	c.proxy.demand.add(c.demandKey(), func(demand *feed.Demand) {
 		demand.Requests++
 		demand.PromptTokens += float64(c.parsed.promptTokens)
@@ -239,10 +239,10 @@
 
 // countEnded counts the end of the request in the demand and the metrics, and learns the length of a
 // complete response.
-func (c *call) countEnded(failed *failure, took time.Duration) {
-	c.proxy.metrics.ended(c.lane.service, c.envelope.class, failed, took)
+func (c *modelCall) countEnded(failed *failure, took time.Duration) {
+	c.proxy.metrics.observeEnd(c.lane.service, c.headers.class, failed, took)
 	if failed == nil {
-		c.proxy.answers.Learn(c.envelope.class, c.attempts.Passed())
+		c.proxy.answerLengths.Learn(c.headers.class, c.attempts.Passed())
 	}
 	c.proxy.demand.add(c.demandKey(), func(demand *feed.Demand) {
 		demand.CachedPromptTokens += float64(c.cachedTokens)
@@ -250,7 +250,7 @@
 			return
 		}
 		switch failed.code {
-		case codeQueueFull, codeNoEngine, codeDeadlineShort:
+		case codeQueueFull, codeNoEngine, codeDeadlineTooShort:
 			demand.Refused++
 		case codeDeadlineExceeded:
 			demand.Late++
@@ -261,8 +261,8 @@
 // serveModels handles GET /v1/models.
 func (p *Proxy) serveModels(w http.ResponseWriter, _ *http.Request) {
 	p.setCommonHeaders(w)
-	s := p.standing()
-	if failed := p.refuseLost(&s, api.ServiceModel); failed != nil {
+	s := p.viewState()
+	if failed := p.refuseWithoutControl(&s, api.ServiceModel); failed != nil {
 		failed.write(w)
 		return
 	}
--- a/process/proxy/handle_service.go
+++ b/process/proxy/handle_service.go
@@ -25,7 +25,7 @@
 	request    *http.Request
 	targetPath string // path and query that the backend receives
 	body       *requestBody
-	envelope   requestHeaders
+	headers    requestHeaders
 	priority   int
 	deadline   time.Duration // reading of the proxy's clock
 	attempts   *attempt.Life
@@ -58,7 +58,7 @@
 	defer c.body.release()
 	started := time.Now()
 	failed = c.serve(r.Context())
-	p.metrics.ended(c.lane.service, c.envelope.class, failed, time.Since(started))
+	p.metrics.observeEnd(c.lane.service, c.headers.class, failed, time.Since(started))
 	if failed == nil {
 		return
 	}
@@ -75,19 +75,19 @@
 func (p *Proxy) newBackendCall(w http.ResponseWriter, r *http.Request) (*backendCall, *failure) {
 	service, rest, found := splitServicePath(r.URL.EscapedPath())
 	if !found {
-		return nil, notFound(codeNotFound, "no such path")
+		return nil, notFoundFailure(codeNotFound, "no such path")
 	}
 	headers, failed := parseHeaders(r.Header)
 	if failed != nil {
 		return nil, failed
 	}
-	s := p.standing()
-	if failed := p.refuseLost(&s, api.ServiceBackend); failed != nil {
+	s := p.viewState()
+	if failed := p.refuseWithoutControl(&s, api.ServiceBackend); failed != nil {
 		return nil, failed
 	}
 	lane := p.lanes.find(service)
 	if lane == nil || lane.kind == api.ServiceModel {
-		return nil, notFound(codeUnknownService, "no such service")
+		return nil, notFoundFailure(codeUnknownService, "no such service")
 	}
 	class, failed := s.catalog.backendClass(headers.class, service)
 	if failed != nil {
@@ -114,7 +114,7 @@
 		request:    r,
 		targetPath: rest,
 		body:       body,
-		envelope:   headers,
+		headers:    headers,
 		deadline:   p.clock() + headers.timeLeft,
 		excluded:   map[string]bool{},
 		writer:     w,
@@ -123,7 +123,7 @@
 		c.priority = class.Spec.Priority
 	}
 	c.attempts = attempt.New(attempt.Policy{Once: headers.atMostOnce || !safeMethod(r.Method), Attempts: p.config.Limits.Attempts})
-	w.Header().Set(HeaderRequest, c.id)
+	w.Header().Set(HeaderRequestID, c.id)
 	return c, nil
 }
 
@@ -149,7 +149,7 @@
 	}
 	class := c.view.Classes[name]
 	if class == nil || class.Spec.Service != service {
-		return nil, invalid(codeUnknownClass, "no such class of the service")
+		return nil, invalidFailure(codeUnknownClass, "no such class of the service")
 	}
 	return class, nil
 }
@@ -157,18 +157,18 @@
 // serve admits, claims and runs the request and sends a successful response. It returns nil after a
 // complete response.
 func (c *backendCall) serve(ctx context.Context) *failure {
-	defer c.proxy.running.add(&entry{
-		id:      c.id,
-		service: c.lane.service,
-		class:   c.envelope.class,
-		tenant:  c.envelope.tenant,
-		started: time.Now(),
-		life:    c.attempts,
+	defer c.proxy.inFlight.add(&entry{
+		id:       c.id,
+		service:  c.lane.service,
+		class:    c.headers.class,
+		tenant:   c.headers.tenant,
+		started:  time.Now(),
+		attempts: c.attempts,
 	})()
 	release, failed := c.proxy.admit(ctx, c.lane, limit.Ticket{
-		Class:    c.envelope.class,
+		Class:    c.headers.class,
 		Priority: c.priority,
-		Tenant:   c.envelope.tenant,
+		Tenant:   c.headers.tenant,
 		Deadline: time.Now().Add(c.timeLeft()),
 		Gate:     c.attempts,
 	})
@@ -177,11 +177,11 @@
 	}
 	defer release()
 	c.lane.budget.Deposit()
-	if c.envelope.atMostOnce {
+	if c.headers.atMostOnce {
 		ctx = context.WithoutCancel(ctx)
-		claimed := c.proxy.acquireClaim(ctx, &c.envelope, hashRequest(c.request.Method, c.request.URL.RequestURI(), c.body.data))
+		claimed := c.proxy.acquireClaim(ctx, &c.headers, hashRequest(c.request.Method, c.request.URL.RequestURI(), c.body.data))
 		if claimed.granted == nil {
-			return c.answerFromClaim(claimed)
+			return c.respondFromClaim(claimed)
 		}
 		c.claim = claimed.granted
 		c.recorded = &recordedResponse{}
@@ -202,11 +202,11 @@
 		c.proxy.finishClaim(c.claim, api.RunCompleted, c.recorded)
 		return
 	}
-	c.proxy.finishClaim(c.claim, outcomeFor(failed.ran), nil)
+	c.proxy.finishClaim(c.claim, outcomeFor(failed.runState), nil)
 }
 
-// answerFromClaim sends the recorded response, or returns the failure of the claim.
-func (c *backendCall) answerFromClaim(claimed claimResult) *failure {
+// respondFromClaim sends the recorded response, or returns the failure of the claim.
+func (c *backendCall) respondFromClaim(claimed claimResult) *failure {
 	c.attempts.GiveUp()
 	if claimed.failed != nil {
 		return claimed.failed
@@ -235,34 +235,34 @@
 	c.recorded.Body = append(c.recorded.Body, part...)
 }
 
-// relayBufferBytes is the size of the buffer for copying response bodies.
-const relayBufferBytes = 32 << 10
+// copyBufferBytes is the size of the buffer for copying response bodies.
+const copyBufferBytes = 32 << 10
 
-// relay copies a response body to the caller. For a claimed request it reads on after the caller has
-// disconnected, so that the run can be recorded; the parts that follow the failed write are not
+// copyBody copies a response body to the caller. For a claimed request it reads on after the caller
+// has disconnected, so that the run can be recorded; the parts that follow the failed write are not
 // recorded. A response of unknown length may be a stream, so each part is flushed as it arrives.
-func (c *backendCall) relay(response *http.Response) error {
+func (c *backendCall) copyBody(response *http.Response) error {
 	streamed := response.ContentLength < 0
 	controller := http.NewResponseController(c.writer)
-	buffer := make([]byte, relayBufferBytes)
-	clientGone := false
+	buffer := make([]byte, copyBufferBytes)
+	callerGone := false
 	for {
 		count, err := response.Body.Read(buffer)
 		if count > 0 || err == io.EOF {
 			c.sendHeader(response)
 		}
-		if count > 0 && !clientGone {
+		if count > 0 && !callerGone {
 			c.recordBody(buffer[:count])
 			_ = controller.SetWriteDeadline(time.Now().Add(c.proxy.config.Timeouts.Write)) // a writer in a test may not support it
-			if _, failed := c.writer.Write(buffer[:count]); failed != nil {
-				clientGone = true
+			if _, writeErr := c.writer.Write(buffer[:count]); writeErr != nil {
+				callerGone = true
 			}
 			if streamed {
 				_ = controller.Flush() // the error also shows at the next write
 			}
 		}
-		if clientGone && c.claim == nil {
-			return errClientGone
+		if callerGone && c.claim == nil {
+			return errCallerGone
 		}
 		if err == io.EOF {
 			return nil
--- a/process/proxy/harness_test.go
+++ b/process/proxy/harness_test.go
@@ -52,11 +52,11 @@
 func (v *fixedViews) Load() *view.View           { return v.view.Load() }
 func (v *fixedViews) Valid(_ time.Duration) bool { return !v.invalid.Load() }
 
-// fakeControl is an in-memory control group. Claim returns the error lost, if it is set, instead of a
-// result.
+// fakeControl is an in-memory control group. Claim returns the error claimErr, if it is set, instead
+// of a result.
 type fakeControl struct {
 	lock     sync.Mutex
-	lost     error
+	claimErr error
 	claims   map[string]*api.Claim
 	nonces   map[string]uint64
 	outcomes []state.RunOutcome
@@ -71,8 +71,8 @@
 func (c *fakeControl) Claim(_ context.Context, request state.ClaimRequest) (api.ClaimResult, error) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	if c.lost != nil {
-		return api.ClaimResult{}, c.lost
+	if c.claimErr != nil {
+		return api.ClaimResult{}, c.claimErr
 	}
 	name := request.Tenant + "/" + request.Key
 	existing := c.claims[name]
@@ -133,7 +133,7 @@
 	imports     atomic.Int32
 	failKV      func(e *fakeEngine, w http.ResponseWriter)
 	lastHeader  atomic.Pointer[http.Header]
-	surplus     surplus
+	stray       strayResponder
 }
 
 func newFakeEngine(t *testing.T, name string, incarnation uint64) *fakeEngine {
@@ -162,7 +162,7 @@
 		_ = json.NewDecoder(r.Body).Decode(&request)
 		writeJSON(w, http.StatusOK, engineapi.KVHandle{Handle: request.Handle.Handle, Engine: name})
 	})
-	engine.server = engine.surplus.serve(mux)
+	engine.server = engine.stray.serve(mux)
 	t.Cleanup(engine.server.Close)
 	return engine
 }
@@ -239,8 +239,8 @@
 	done    chan error
 }
 
-// quick returns a configuration with timeouts and intervals short enough for tests.
-func quick() Config {
+// fastConfig returns a configuration with timeouts and intervals short enough for tests.
+func fastConfig() Config {
 	return Config{
 		ID:            "proxy-1",
 		Zone:          "zone-a",
@@ -285,21 +285,21 @@
 	return current
 }
 
-// start starts a fleet with a fakeControl.
-func start(t *testing.T, config Config, engines []*fakeEngine, backends ...*httptest.Server) *fleet {
+// startFleet starts a fleet with a fakeControl.
+func startFleet(t *testing.T, config Config, engines []*fakeEngine, backends ...*httptest.Server) *fleet {
 	t.Helper()
-	return startWith(t, config, newFakeControl(), engines, backends...)
+	return startFleetWithControl(t, config, newFakeControl(), engines, backends...)
 }
 
-// startWith starts a fleet with the given control group.
-func startWith(t *testing.T, config Config, control Control, engines []*fakeEngine, backends ...*httptest.Server) *fleet {
+// startFleetWithControl starts a fleet with the given control group.
+func startFleetWithControl(t *testing.T, config Config, control Control, engines []*fakeEngine, backends ...*httptest.Server) *fleet {
 	t.Helper()
 	started := time.Now()
-	return startWithClock(t, func() time.Duration { return time.Since(started) }, config, control, engines, backends...)
+	return startFleetWithClock(t, func() time.Duration { return time.Since(started) }, config, control, engines, backends...)
 }
 
-// startWithClock starts a fleet whose proxy uses the given clock.
-func startWithClock(t *testing.T, clock func() time.Duration, config Config, control Control, engines []*fakeEngine, backends ...*httptest.Server) *fleet {
+// startFleetWithClock starts a fleet whose proxy uses the given clock.
+func startFleetWithClock(t *testing.T, clock func() time.Duration, config Config, control Control, engines []*fakeEngine, backends ...*httptest.Server) *fleet {
 	t.Helper()
 	f := &fleet{t: t, views: &fixedViews{}, engines: engines, done: make(chan error, 1)}
 	f.views.view.Store(newView(engines, backends))
@@ -308,7 +308,7 @@
 	must.NoError(t, err)
 	callers, err := f.proxy.listenCallers()
 	must.NoError(t, err)
-	f.url, f.admin = "http://"+callers.bound.String(), "http://"+admin.bound.String()
+	f.url, f.admin = "http://"+callers.addr.String(), "http://"+admin.addr.String()
 	ctx, stop := context.WithCancel(context.Background())
 	f.stop = stop
 	go func() {
@@ -339,8 +339,8 @@
 	return body.Error.Code
 }
 
-// ran returns the run state in an error response.
-func (r *reply) ran() string {
+// runState returns the run state in an error response.
+func (r *reply) runState() string {
 	var body engineapi.ErrorBody
 	_ = json.Unmarshal([]byte(r.body), &body)
 	return body.Error.Ran
@@ -385,13 +385,13 @@
 	script     http.HandlerFunc
 	runs       atomic.Int32
 	lastHeader atomic.Pointer[http.Header]
-	surplus    surplus
+	stray      strayResponder
 }
 
 func newFakeBackend(t *testing.T) *fakeBackend {
 	t.Helper()
 	backend := &fakeBackend{}
-	backend.server = backend.surplus.serve(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	backend.server = backend.stray.serve(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == engineapi.PathLoad {
 			writeJSON(w, http.StatusOK, engineapi.Load{})
 			return
@@ -410,8 +410,8 @@
 }
 
 const (
-	streamBody = `{"model":"llm","prompt":"tell of the storm","max_tokens":3,"stream":true}`
-	wholeBody  = `{"model":"llm","prompt":"tell of the storm","max_tokens":3}`
+	streamBody   = `{"model":"llm","prompt":"tell of the storm","max_tokens":3,"stream":true}`
+	bufferedBody = `{"model":"llm","prompt":"tell of the storm","max_tokens":3}`
 )
 
 // stream sends a streaming request and reads the response to its end.
@@ -420,9 +420,8 @@
 	return f.do(http.MethodPost, engineapi.PathCompletions, streamBody, headers...)
 }
 
-// words returns the words of the tokens in a stream and whether the stream ended with its terminal
-// event.
-func (r *reply) words() (words []string, whole bool) {
+// tokens returns the tokens in a stream and whether the stream ended with its terminal event.
+func (r *reply) tokens() (words []string, whole bool) {
 	for block := range strings.SplitSeq(r.body, "\n\n") {
 		data, found := strings.CutPrefix(block, "data: ")
 		if !found {
--- a/process/proxy/inflight.go
+++ b/process/proxy/inflight.go
@@ -14,14 +14,14 @@
 
 // entry describes one request in flight.
 type entry struct {
-	id      string
-	service string
-	class   string
-	tenant  string
-	started time.Time
-	life    *attempt.Life
-	model   string // "" for a plain backend
-	tokens  int    // estimated prompt tokens
+	id           string
+	service      string
+	class        string
+	tenant       string
+	started      time.Time
+	attempts     *attempt.Life
+	model        string // "" for a plain backend
+	promptTokens int    // estimated prompt tokens
 }
 
 // inFlight tracks the requests in flight. It is split into independently locked shards to reduce
--- a/process/proxy/lane.go
+++ b/process/proxy/lane.go
@@ -18,11 +18,11 @@
 // lane holds the connections, the queue, the retry budget and the endpoints of one service. Lanes
 // share none of these, so that fast requests to plain backends never wait behind model requests.
 type lane struct {
-	service string
-	kind    api.ServiceType
-	pool    *upstream.Pool
-	polls   *upstream.Pool // separate from pool, so that polls never wait behind requests
-	queue   *limit.Queue
+	service  string
+	kind     api.ServiceType
+	pool     *upstream.Pool
+	pollPool *upstream.Pool // separate from pool, so that polls never wait behind requests
+	queue    *limit.Queue
 	// budget limits retries, per service so that the failures of one do not use up the retries
 	// of another.
 	budget *retry.Budget
@@ -40,10 +40,10 @@
 // newLane returns a lane without endpoints. onForeign is called for each foreign response.
 func newLane(config *Config, service *api.Service, onForeign func(address string, cause error)) *lane {
 	created := &lane{
-		service: service.Name,
-		kind:    service.Spec.Type,
-		pool:    upstream.NewPool(upstream.Config{DialTimeout: config.Timeouts.Dial, Foreign: onForeign}),
-		polls:   upstream.NewPool(upstream.Config{DialTimeout: config.Timeouts.Dial, MaxIdlePerHost: 2, Foreign: onForeign}),
+		service:  service.Name,
+		kind:     service.Spec.Type,
+		pool:     upstream.NewPool(upstream.Config{DialTimeout: config.Timeouts.Dial, Foreign: onForeign}),
+		pollPool: upstream.NewPool(upstream.Config{DialTimeout: config.Timeouts.Dial, MaxIdlePerHost: 2, Foreign: onForeign}),
 		queue: limit.NewQueue(limit.Config{
 			MaxInFlight: maxInFlight(config, service),
 			QueueLimit:  config.Limits.QueueLimit,
@@ -98,7 +98,7 @@
 // interchangeable.
 func (c *catalog) engineGroup(engine *api.Engine) string {
 	intent := ""
-	if selected := c.intents[engine.Name]; selected != nil {
+	if selected := c.intentByEngine[engine.Name]; selected != nil {
 		intent = selected.Name
 	}
 	return intent + "/" + string(engine.Status.Assignment.Role)
@@ -162,26 +162,26 @@
 	}
 	l.pollers = map[string]*poller{}
 	l.pool.Close()
-	l.polls.Close()
+	l.pollPool.Close()
 }
 
-// standing is the applied view, whether its lease is valid, and since when it is not.
-type standing struct {
-	catalog  *catalog
-	valid    bool
-	lapsedAt time.Duration // when the expiry was noticed; unused if valid
-	now      time.Duration
+// viewState is the applied view, whether its lease is valid, and since when it is not.
+type viewState struct {
+	catalog   *catalog
+	valid     bool
+	expiredAt time.Duration // when the expiry was noticed; unused if valid
+	now       time.Duration
 }
 
-// confirmed reports whether requests may be sent to an endpoint that last reported this state:
-// always while the view's lease is valid, afterwards only if it has reported since the expiry.
-func (s *standing) confirmed(state reportedState) bool {
-	return s.valid || (state.heard && state.lastReportAt > s.lapsedAt)
+// mayUse reports whether requests may be sent to an endpoint that last reported this state: always
+// while the view's lease is valid, afterwards only if it has reported since the expiry.
+func (s *viewState) mayUse(state reportedState) bool {
+	return s.valid || (state.hasReported && state.lastReportAt > s.expiredAt)
 }
 
 // snapshot returns those of the lane's engines that the view has as routing candidates, sorted by
 // name.
-func (l *lane) snapshot(s *standing) router.Snapshot {
+func (l *lane) snapshot(s *viewState) router.Snapshot {
 	endpoints := *l.endpoints.Load()
 	snapshot := router.Snapshot{Endpoints: make([]*router.Endpoint, 0, len(endpoints))}
 	for name, target := range endpoints {
@@ -203,7 +203,7 @@
 	return snapshot
 }
 
-func (e *endpoint) candidate(s *standing, engine *api.Engine) *router.Endpoint {
+func (e *endpoint) candidate(s *viewState, engine *api.Engine) *router.Endpoint {
 	candidate := &router.Endpoint{
 		Incarnation: engine.Status.Incarnation,
 		Role:        engine.Status.Assignment.Role,
@@ -225,16 +225,16 @@
 // admits reports whether the engine takes new work according to all sources: the view, the engine's
 // own reports and, once the view's lease has expired, a report since then. It returns false if the
 // view has an open order for the engine, or describes another incarnation than the engine reports.
-func (e *endpoint) admits(s *standing, engine *api.Engine) bool {
+func (e *endpoint) admits(s *viewState, engine *api.Engine) bool {
 	if engine.Spec.Drain || engine.Status.OpenOrder != nil || engine.Status.Phase != api.PhaseServing {
 		return false
 	}
-	state := e.word()
-	if closedPhase(state.phase) {
+	state := e.reported()
+	if refusesNewWork(state.phase) {
 		return false
 	}
 	if state.incarnation != 0 && state.incarnation != engine.Status.Incarnation {
 		return false
 	}
-	return s.confirmed(state)
+	return s.mayUse(state)
 }
--- a/process/proxy/lanes.go
+++ b/process/proxy/lanes.go
@@ -13,9 +13,9 @@
 func sortClasses(classes []*api.Class) {
 	slices.SortFunc(classes, func(a, b *api.Class) int {
 		switch {
-		case classBefore(a, b):
+		case lowerPriority(a, b):
 			return -1
-		case classBefore(b, a):
+		case lowerPriority(b, a):
 			return 1
 		}
 		return 0
@@ -67,7 +67,7 @@
 	for name, service := range updated.view.Services {
 		serviceLane := old[name]
 		if serviceLane == nil || serviceLane.kind != service.Spec.Type {
-			serviceLane = newLane(&p.config, service, p.noteForeign)
+			serviceLane = newLane(&p.config, service, p.countForeign)
 		}
 		serviceLane.queue.Resize(maxInFlight(&p.config, service))
 		next[name] = serviceLane
--- a/process/proxy/lapse_test.go
+++ b/process/proxy/lapse_test.go
@@ -36,11 +36,11 @@
 // The expiry of the view lease and its renewal are logged once each, however often the view is
 // loaded, and the gauge view_confirmed reflects the state. A proxy that has received no view logs no
 // expiry.
-func TestViewLapseIsLoggedOnce(t *testing.T) {
+func TestLeaseExpiryIsLoggedOnce(t *testing.T) {
 	views := &fixedViews{}
 	views.view.Store(view.New())
 	views.invalid.Store(true)
-	config := quick()
+	config := fastConfig()
 	config.Intervals.View = time.Hour // only the test loads the view
 	output := &lockedBuffer{}
 	proxy := New(config, views, newFakeControl(), func() time.Duration { return time.Second }, log.NewLogfmtLogger(output))
@@ -68,7 +68,7 @@
 
 	views.invalid.Store(true)
 	for range 3 {
-		proxy.standing()
+		proxy.viewState()
 	}
 	must.Eq(t, "0", gauge())
 	eventuallyLogged(event.ProxyViewLapsed, 1)
--- a/process/proxy/metrics.go
+++ b/process/proxy/metrics.go
@@ -65,7 +65,7 @@
 			Name:      "view_confirmed",
 			Help:      "1 while the view's lease holds, else 0.",
 		}, func() float64 {
-			if p.standing().valid {
+			if p.viewState().valid {
 				return 1
 			}
 			return 0
@@ -82,11 +82,11 @@
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-// ended records the end of a request that passed validation.
-func (m *metrics) ended(service, class string, failed *failure, elapsed time.Duration) {
+// observeEnd records the end of a request that passed validation.
+func (m *metrics) observeEnd(service, class string, failed *failure, elapsed time.Duration) {
 	status, ran := http.StatusOK, "yes"
 	if failed != nil {
-		status, ran = failed.status, string(failed.ran)
+		status, ran = failed.status, string(failed.runState)
 	}
 	m.requests.WithLabelValues(service, class, strconv.Itoa(status), ran).Inc()
 	m.duration.WithLabelValues(service, class).Observe(elapsed.Seconds())
--- a/process/proxy/pollbudget.go
+++ b/process/proxy/pollbudget.go
@@ -61,14 +61,14 @@
 // Bytes of an HTTP message that wireBytes does not count one by one: the fixed parts of the request
 // and status lines, and separators and headers that net/http adds.
 const (
-	requestOverheadBytes = 25 // "GET  HTTP/1.1", "Host: " and line ends
-	answerOverheadBytes  = 19 // "HTTP/1.1 200 OK" and line ends
-	headerOverheadBytes  = 4  // ": " and the line end
+	requestOverheadBytes  = 25 // "GET  HTTP/1.1", "Host: " and line ends
+	responseOverheadBytes = 19 // "HTTP/1.1 200 OK" and line ends
+	headerOverheadBytes   = 4  // ": " and the line end
 )
 
 // wireBytes estimates the bytes that a poll sends and receives on its connection.
 func wireBytes(request *http.Request, header http.Header, body int) int {
-	total := requestOverheadBytes + len(request.URL.RequestURI()) + len(request.URL.Host) + answerOverheadBytes + body
+	total := requestOverheadBytes + len(request.URL.RequestURI()) + len(request.URL.Host) + responseOverheadBytes + body
 	return total + headerBytes(request.Header) + headerBytes(header)
 }
 
--- a/process/proxy/poller.go
+++ b/process/proxy/poller.go
@@ -19,7 +19,7 @@
 // Errors of polls.
 var (
 	errUnusableResponse = errors.New("poll returned no usable response")
-	errNoAnswer         = errors.New("endpoint did not respond to the poll")
+	errNoResponse       = errors.New("endpoint did not respond to the poll")
 )
 
 // maxReportBytes limits the size of a load report or a page of cache events.
@@ -67,7 +67,7 @@
 // noticed promptly however many endpoints share the budget. It returns false if ctx has ended.
 func (p *poller) waitForBudget(ctx context.Context, failures int) bool {
 	justFailed := failures > 0 && failures < suspectAfterPolls
-	if justFailed || closedPhase(p.endpoint.word().phase) {
+	if justFailed || refusesNewWork(p.endpoint.reported().phase) {
 		p.lane.loadBudget.limiter.AllowN(time.Now(), typicalPollBytes) // charge the poll if the budget allows; go ahead either way
 		return ctx.Err() == nil
 	}
@@ -87,9 +87,9 @@
 		return failures
 	}
 	if failures == suspectAfterPolls {
-		p.endpoint.fail(p.proxy.clock())
+		p.endpoint.recordFailure(p.proxy.clock())
 	}
-	if errors.Is(err, errNoAnswer) {
+	if errors.Is(err, errNoResponse) {
 		p.endpoint.markSilent()
 	}
 	return failures
@@ -107,16 +107,16 @@
 	header, err := p.getJSON(ctx, p.lane.loadBudget, engineapi.PathLoad, &load)
 	now := p.proxy.clock()
 	if p.endpoint.isFromOtherEngine(load) {
-		return errors.Wrapf(errNoAnswer, "the address belongs to engine %s", load.Engine)
+		return errors.Wrapf(errNoResponse, "the address belongs to engine %s", load.Engine)
 	}
 	if header != nil {
-		p.endpoint.hearHeader(sentAt, now, header)
+		p.endpoint.recordHeader(sentAt, now, header)
 	}
 	if err != nil {
 		return err
 	}
-	p.endpoint.report(sentAt, now, load)
-	p.proxy.noteLife(p.endpoint, sentAt)
+	p.endpoint.recordLoad(sentAt, now, load)
+	p.proxy.reportAlive(p.endpoint, sentAt)
 	return nil
 }
 
@@ -140,7 +140,7 @@
 
 // getJSON polls the path and decodes the JSON response into the value. The header is nil unless the
 // endpoint responded to this poll, be it with an error.
-func (p *poller) getJSON(ctx context.Context, budget *pollBudget, path string, target any) (http.Header, error) {
+func (p *poller) getJSON(ctx context.Context, budget *pollBudget, path string, into any) (http.Header, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.proxy.config.Timeouts.Head)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.endpoint.address+path, nil)
@@ -148,12 +148,12 @@
 		return nil, errors.Wrap(errUnusableResponse, err.Error())
 	}
 	request.Header.Set("User-Agent", "") // omitted to save bytes on every poll
-	response, err := p.lane.polls.Do(request, newPollIdentity())
+	response, err := p.lane.pollPool.Do(request, newPollIdentity())
 	if errors.Is(err, upstream.ErrForeign) {
 		return nil, errors.Wrap(errUnusableResponse, err.Error())
 	}
 	if err != nil {
-		return nil, errors.Wrap(errNoAnswer, err.Error())
+		return nil, errors.Wrap(errNoResponse, err.Error())
 	}
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxReportBytes))
@@ -164,7 +164,7 @@
 	if response.StatusCode != http.StatusOK {
 		return response.Header, errors.Wrapf(errUnusableResponse, "status %d", response.StatusCode)
 	}
-	if err := json.Unmarshal(body, target); err != nil {
+	if err := json.Unmarshal(body, into); err != nil {
 		return response.Header, errors.Wrap(errUnusableResponse, err.Error())
 	}
 	return response.Header, nil
--- a/process/proxy/poller_test.go
+++ b/process/proxy/poller_test.go
@@ -120,7 +120,7 @@
 	started := time.Now()
 	proxy := New(config, views, newFakeControl(), func() time.Duration { return time.Since(started) }, log.NewNopLogger())
 	tb.Cleanup(proxy.Close)
-	proxy.standing()
+	proxy.viewState()
 	return proxy, views
 }
 
@@ -129,10 +129,10 @@
 func TestDownEngineIsDetectedOnExhaustedPollBudget(t *testing.T) {
 	stopped := newFakeEngine(t, "e1", 11)
 	stopped.server.Close()
-	config := quick()
+	config := fastConfig()
 	config.Limits.PollBytes = 1
-	f := start(t, config, []*fakeEngine{stopped})
-	eventually(t, func() bool { return f.endpoint("narrator", "e1").suspected(f.proxy.clock()) })
+	f := startFleet(t, config, []*fakeEngine{stopped})
+	eventually(t, func() bool { return f.endpoint("narrator", "e1").isSuspect(f.proxy.clock()) })
 }
 
 // A load report that may be older than the last report of a draining engine must not mark the engine
@@ -140,14 +140,14 @@
 func TestStaleLoadReportDoesNotEndDraining(t *testing.T) {
 	target := newEndpoint("e1", "", "", true)
 	serving := engineapi.Load{Phase: api.PhaseServing, AgeMilliseconds: 300}
-	target.report(0, time.Second, serving)
-	target.hear(spokenWord{said: time.Second, now: 2 * time.Second, phase: api.PhaseDraining})
-	target.report(1900*time.Millisecond, 2100*time.Millisecond, serving) // requested before the engine drained
-	must.Eq(t, api.PhaseDraining, target.word().phase)
-	target.report(2200*time.Millisecond, 2300*time.Millisecond, serving) // measured before the engine drained
-	must.Eq(t, api.PhaseDraining, target.word().phase)
-	target.report(2300*time.Millisecond, 2400*time.Millisecond, serving)
-	must.Eq(t, api.PhaseServing, target.word().phase)
+	target.recordLoad(0, time.Second, serving)
+	target.recordState(stateReport{asOf: time.Second, now: 2 * time.Second, phase: api.PhaseDraining})
+	target.recordLoad(1900*time.Millisecond, 2100*time.Millisecond, serving) // requested before the engine drained
+	must.Eq(t, api.PhaseDraining, target.reported().phase)
+	target.recordLoad(2200*time.Millisecond, 2300*time.Millisecond, serving) // measured before the engine drained
+	must.Eq(t, api.PhaseDraining, target.reported().phase)
+	target.recordLoad(2300*time.Millisecond, 2400*time.Millisecond, serving)
+	must.Eq(t, api.PhaseServing, target.reported().phase)
 }
 
 // A drained engine that serves again is noticed although the budget of one byte per second allows
@@ -155,10 +155,10 @@
 func TestReturningEngineIsDetectedOnExhaustedPollBudget(t *testing.T) {
 	engine := newFakeEngine(t, "e1", 11)
 	engine.setPhase(api.PhaseDraining)
-	config := quick()
+	config := fastConfig()
 	config.Limits.PollBytes = 1
-	f := start(t, config, []*fakeEngine{engine})
-	phase := func() api.EnginePhase { return f.endpoint("narrator", "e1").word().phase }
+	f := startFleet(t, config, []*fakeEngine{engine})
+	phase := func() api.EnginePhase { return f.endpoint("narrator", "e1").reported().phase }
 	eventually(t, func() bool { return phase() == api.PhaseDraining })
 	time.Sleep(5 * config.Intervals.Load) // exhaust the budget
 	engine.setPhase(api.PhaseServing)
@@ -168,11 +168,11 @@
 // The bytes charged for a poll match the bytes measured on a keep-alive connection.
 func TestWireBytesMatchConnection(t *testing.T) {
 	current, counting := largeFleet(t, 1)
-	config := quick()
+	config := fastConfig()
 	config.Intervals.Load = time.Minute
 	proxy, _ := startPollingProxy(t, config, current)
 	narrator := proxy.lanes.find("narrator")
-	eventually(t, func() bool { return (*narrator.endpoints.Load())["engine-00000"].word().heard })
+	eventually(t, func() bool { return (*narrator.endpoints.Load())["engine-00000"].reported().hasReported })
 	budget := &pollBudget{}
 	budget.resize(1 << 20)
 	p := &poller{proxy: proxy, lane: narrator, endpoint: (*narrator.endpoints.Load())["engine-00000"]}
@@ -205,7 +205,7 @@
 // of them leaves the fleet, exactly one other replaces it.
 func TestSubsetReplacesRemovedEngine(t *testing.T) {
 	current, _ := largeFleet(t, 60)
-	config := quick()
+	config := fastConfig()
 	config.Zone = "zone-0"
 	config.Subset = subset.Sizes{Local: 4, Remote: 2}
 	proxy, views := startPollingProxy(t, config, current)
@@ -221,7 +221,7 @@
 		}
 	}
 	must.Eq(t, 4, local)
-	s := proxy.standing()
+	s := proxy.viewState()
 	must.Len(t, 6, lane.snapshot(&s).Endpoints)
 
 	next, _ := largeFleet(t, 60)
@@ -231,7 +231,7 @@
 	delete(next.Engines, removed)
 	next.Version.Revision = 2
 	views.view.Store(next)
-	proxy.standing()
+	proxy.viewState()
 	after := endpointNames(lane)
 	must.MapLen(t, 6, after)
 	kept := 0
@@ -247,17 +247,17 @@
 
 func TestSmallFleetIsPolledCompletely(t *testing.T) {
 	current, _ := largeFleet(t, 9)
-	proxy, _ := startPollingProxy(t, quick(), current)
+	proxy, _ := startPollingProxy(t, fastConfig(), current)
 	must.MapLen(t, 9, endpointNames(proxy.lanes.find("narrator")))
 }
 
 // BenchmarkPolling measures the cost of polling 2,000 engines: all of them, a subset, and a subset
 // with the default budget. The processor time includes that of the fake engines.
 func BenchmarkPolling(b *testing.B) {
-	const replicas, settle = 2000, 5 * time.Second
+	const engineCount, settleTime = 2000, 5 * time.Second
 	cases := map[string]func(*Config){
 		"whole": func(c *Config) {
-			c.Subset, c.Limits.PollBytes = subset.Sizes{Local: replicas, Remote: replicas}, 1<<30
+			c.Subset, c.Limits.PollBytes = subset.Sizes{Local: engineCount, Remote: engineCount}, 1<<30
 		},
 		"subset":           func(c *Config) { c.Limits.PollBytes = 1 << 30 },
 		"subset_and_bytes": func(*Config) {},
@@ -266,12 +266,12 @@
 		b.Run(name, func(b *testing.B) {
 			config := Config{ID: "proxy-1", Zone: "zone-0"}
 			change(&config)
-			current, counting := largeFleet(b, replicas)
+			current, counting := largeFleet(b, engineCount)
 			_, _ = startPollingProxy(b, config, current)
-			time.Sleep(settle)
+			time.Sleep(settleTime)
 			bytes, busy, began := counting.bytes.Load(), processorTime(b), time.Now()
 			for b.Loop() {
-				time.Sleep(settle)
+				time.Sleep(settleTime)
 			}
 			seconds := time.Since(began).Seconds()
 			b.ReportMetric(float64(counting.bytes.Load()-bytes)/seconds, "bytes/s")
@@ -295,8 +295,8 @@
 	proxy, views := startPollingProxy(b, config, current)
 	for b.Loop() {
 		next := *current
-		next.Version.Revision = proxy.standing().catalog.view.Version.Revision + 1
+		next.Version.Revision = proxy.viewState().catalog.view.Version.Revision + 1
 		views.view.Store(&next)
-		proxy.standing()
+		proxy.viewState()
 	}
 }
--- a/process/proxy/proxy.go
+++ b/process/proxy/proxy.go
@@ -67,29 +67,29 @@
 	control Control
 	clock   func() time.Duration
 
-	guard   *guard.Guard
-	lanes   *lanes
-	buckets *limit.Buckets
-	answers *router.AnswerLengths
-	router  *router.Router
-	running *inFlight
-	demand  *demandWindow
-	metrics *metrics
-	// owed maps claimKey to *state.RunOutcome. It holds the outcomes of requests that certainly
-	// did not run, until the control group confirms that it has recorded them.
-	owed sync.Map
+	guard         *guard.Guard // finds requests that crash engines
+	lanes         *lanes
+	buckets       *limit.Buckets        // rate limits of tenants
+	answerLengths *router.AnswerLengths // learned response lengths by class
+	router        *router.Router
+	inFlight      *inFlight
+	demand        *demandWindow // not yet reported
+	metrics       *metrics
+	// pendingOutcomes maps claimKey to *state.RunOutcome. It holds the outcomes of requests that
+	// certainly did not run, until the control group confirms that it has recorded them.
+	pendingOutcomes sync.Map
 	// modelBodies and backendBodies limit the memory used by request bodies.
 	modelBodies   bodyBudget
 	backendBodies bodyBudget
 
-	// lapsedAt is when the proxy noticed that the view lease had expired, in nanoseconds by its
+	// expiredAt is when the proxy noticed that the view lease had expired, in nanoseconds by its
 	// clock; 0 while the lease is valid.
-	lapsedAt atomic.Int64
+	expiredAt atomic.Int64
 	// stopping is set once responses must ask callers to close their connections.
 	stopping atomic.Bool
-	// cutAt is when a planned stop aborts the requests that are still in flight, in nanoseconds
-	// by the proxy's clock; 0 while none is under way or if it has no drain limit.
-	cutAt atomic.Int64
+	// drainDeadline is when a planned stop aborts the requests that are still in flight, in
+	// nanoseconds by the proxy's clock; 0 while none is under way or if it has no drain limit.
+	drainDeadline atomic.Int64
 
 	startID  uint64 // random for each start, so that request IDs do not repeat after a restart
 	sequence atomic.Uint64
@@ -104,20 +104,20 @@
 func New(config Config, views Views, control Control, clock func() time.Duration, logger log.Logger) *Proxy {
 	config = config.withDefaults()
 	p := &Proxy{
-		config:  config,
-		logger:  logger,
-		views:   views,
-		control: control,
-		clock:   clock,
-		guard:   guard.New(""),
-		lanes:   newLanes(),
-		buckets: limit.NewBuckets(),
-		answers: router.NewAnswerLengths(),
-		router:  router.New(router.Config{Speed: config.Speed}),
-		running: newInFlight(),
-		demand:  newDemandWindow(),
-		metrics: newMetrics(),
-		startID: rand.Uint64(),
+		config:        config,
+		logger:        logger,
+		views:         views,
+		control:       control,
+		clock:         clock,
+		guard:         guard.New(""), // no name, since this proxy tries no quarantined requests
+		lanes:         newLanes(),
+		buckets:       limit.NewBuckets(),
+		answerLengths: router.NewAnswerLengths(),
+		router:        router.New(router.Config{Speed: config.Speed}),
+		inFlight:      newInFlight(),
+		demand:        newDemandWindow(),
+		metrics:       newMetrics(),
+		startID:       rand.Uint64(),
 	}
 	p.guard.SetReporter(control)
 	p.modelBodies.limit = config.Limits.HeldBytes
@@ -141,46 +141,46 @@
 // requests.
 func (p *Proxy) watchViews() {
 	for {
-		p.standing()
+		p.viewState()
 		if !pause.For(p.background, p.config.Intervals.View) {
 			return
 		}
 	}
 }
 
-// standing applies the latest view and returns it with the validity of its lease. The result must not
-// be used after blocking: request it again.
-func (p *Proxy) standing() standing {
+// viewState applies the latest view and returns it with the validity of its lease. The result must
+// not be used after blocking: request it again.
+func (p *Proxy) viewState() viewState {
 	current := p.lanes.update(p, p.views.Load())
 	now := p.clock()
 	if p.views.Valid(now) {
-		p.noteConfirmed(current.view)
-		return standing{catalog: current, valid: true, now: now}
+		p.recordLeaseValid(current.view)
+		return viewState{catalog: current, valid: true, now: now}
 	}
-	p.noteLapsed(current.view, now)
-	return standing{catalog: current, lapsedAt: time.Duration(p.lapsedAt.Load()), now: now}
+	p.recordLeaseExpired(current.view, now)
+	return viewState{catalog: current, expiredAt: time.Duration(p.expiredAt.Load()), now: now}
 }
 
-// noteConfirmed logs that the lease is valid again and resets lapsedAt.
-func (p *Proxy) noteConfirmed(current *view.View) {
-	if p.lapsedAt.Load() != 0 && p.lapsedAt.Swap(0) != 0 {
+// recordLeaseValid logs that the lease is valid again and resets expiredAt.
+func (p *Proxy) recordLeaseValid(current *view.View) {
+	if p.expiredAt.Load() != 0 && p.expiredAt.Swap(0) != 0 {
 		event.ProxyViewConfirmed.Log(p.logger, "revision", current.Version.Revision)
 	}
 }
 
-// noteLapsed sets lapsedAt when the lease expires. It logs the expiry unless the proxy has not
-// received a view yet.
-func (p *Proxy) noteLapsed(current *view.View, now time.Duration) {
-	if p.lapsedAt.CompareAndSwap(0, int64(max(now, 1))) && !current.Version.IsZero() {
+// recordLeaseExpired sets expiredAt when the lease expires. It logs the expiry unless the proxy has
+// not received a view yet.
+func (p *Proxy) recordLeaseExpired(current *view.View, now time.Duration) {
+	if p.expiredAt.CompareAndSwap(0, int64(max(now, 1))) && !current.Version.IsZero() {
 		event.ProxyViewLapsed.Log(p.logger, "revision", current.Version.Revision)
 	}
 }
 
-// refuseLost returns the failure of a request whose type of service must not be served now, since the
-// proxy has no view yet or the view lease has expired, or nil if it may be served.
-func (p *Proxy) refuseLost(s *standing, kind api.ServiceType) *failure {
+// refuseWithoutControl returns the failure of a request whose type of service must not be served now,
+// since the proxy has no view yet or the view lease has expired, or nil if it may be served.
+func (p *Proxy) refuseWithoutControl(s *viewState, kind api.ServiceType) *failure {
 	if s.catalog.view.Version.IsZero() {
-		return unavailable(codeControlLost, "no view of the fleet yet", time.Second)
+		return unavailableFailure(codeControlLost, "no view of the fleet yet", time.Second)
 	}
 	policy := p.config.OnControlLoss.Backend
 	if kind == api.ServiceModel {
@@ -189,7 +189,7 @@
 	if s.valid || policy == LossServe {
 		return nil
 	}
-	return unavailable(codeControlLost, "the view of the fleet has not been confirmed for its lease", time.Second)
+	return unavailableFailure(codeControlLost, "the view of the fleet has not been confirmed for its lease", time.Second)
 }
 
 // newID returns a request ID that is unique among the requests of all proxies.
@@ -206,9 +206,9 @@
 // newRandom returns a random number generator for one request.
 func newRandom() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
-// noteForeign counts and logs a foreign response: one that does not belong to the request it arrived
+// countForeign counts and logs a foreign response: one that does not belong to the request it arrived
 // for.
-func (p *Proxy) noteForeign(address string, cause error) {
+func (p *Proxy) countForeign(address string, cause error) {
 	p.metrics.foreign.Inc()
 	event.ProxyForeignAnswer.Log(p.logger, "address", address, "err", cause)
 }
--- a/process/proxy/quarantine.go
+++ b/process/proxy/quarantine.go
@@ -16,8 +16,8 @@
 	"github.com/landingtrail/landingtrail/request/quarantine"
 )
 
-// running describes the last dispatch of a model request to an engine.
-type running struct {
+// lastDispatch describes the last dispatch of a model request to an engine.
+type lastDispatch struct {
 	target      *endpoint
 	incarnation uint64        // 0 if unknown
 	sentAt      time.Duration // reading of the proxy's clock
@@ -32,39 +32,40 @@
 
 // fingerprint returns a hash of the request's content, which identifies it across resends; its ID
 // is new for each.
-func (c *call) fingerprint() quarantine.Fingerprint {
-	if c.named == nil {
+func (c *modelCall) fingerprint() quarantine.Fingerprint {
+	if c.cachedFingerprint == nil {
 		computed := quarantine.Of(quarantine.Identity{
-			Method: http.MethodPost, Path: c.parsed.path, Caller: c.envelope.tenant, Body: c.parsed.body,
+			Method: http.MethodPost, Path: c.parsed.path, Caller: c.headers.tenant, Body: c.parsed.body,
 		})
-		c.named = &computed
+		c.cachedFingerprint = &computed
 	}
-	return *c.named
+	return *c.cachedFingerprint
 }
 
-// noteBroken reports to the guard that the engine's connection broke while it processed the request,
-// as it does when the engine crashes. An engine that never reported its incarnation is ignored, since
-// it cannot be distinguished from the engine after a restart.
-func (c *call) noteBroken(ctx context.Context, err error) {
-	last := &c.running
+// reportBroken reports to the guard that the engine's connection broke while it processed the
+// request, as it does when the engine crashes. An engine that never reported its incarnation is
+// ignored, since it cannot be distinguished from the engine after a restart.
+func (c *modelCall) reportBroken(ctx context.Context, err error) {
+	last := &c.lastDispatch
 	if ctx.Err() != nil || last.target == nil || !isConnectionBroken(err) {
 		return
 	}
 	if last.incarnation == 0 {
-		last.incarnation = last.target.word().incarnation
+		last.incarnation = last.target.reported().incarnation
 	}
 	if last.incarnation == 0 {
 		return
 	}
 	now := c.proxy.clock()
-	c.ended++
+	c.crashedEngines++
 	replica := replicaName(last.target.name, last.incarnation)
-	event.ProxyRunBroken.Log(c.proxy.logger, "request", c.id, "fingerprint", c.fingerprint(), "class", c.envelope.class,
+	event.ProxyRunBroken.Log(c.proxy.logger, "request", c.id, "fingerprint", c.fingerprint(), "class", c.headers.class,
 		"engine", replica, "after_ms", (now - last.sentAt).Milliseconds(), "events", last.events, "err", err)
-	last.target.noteSuspectedEnd(now, last.incarnation)
+	last.target.recordSuspectedCrash(now, last.incarnation)
+	// Once: the replica is one incarnation, which can crash only once.
 	c.proxy.guard.Ended(now, quarantine.Evidence{
 		Fingerprint: c.fingerprint(), Replica: replica, Began: last.events > 0, Ran: now - last.sentAt, Once: true,
-		About: quarantine.About{Service: c.lane.service, Route: c.envelope.class, Request: c.id},
+		About: quarantine.About{Service: c.lane.service, Route: c.headers.class, Request: c.id},
 	})
 }
 
@@ -82,74 +83,74 @@
 	return false
 }
 
-// noteLife tells the guard that an engine which appeared to have crashed has responded to a request
-// that was sent to it afterwards, whether this proxy or another one reported the crash.
-func (p *Proxy) noteLife(target *endpoint, sentAt time.Duration) {
-	if incarnation, refuted := target.resolveSuspectedEnd(sentAt); refuted {
+// reportAlive tells the guard that an engine which appeared to have crashed has responded to a
+// request that was sent to it afterwards, whether this proxy or another one reported the crash.
+func (p *Proxy) reportAlive(target *endpoint, sentAt time.Duration) {
+	if incarnation, refuted := target.resolveSuspectedCrash(sentAt); refuted {
 		p.guard.Lives(p.clock(), quarantine.Alive{Replica: replicaName(target.name, incarnation), For: quarantine.Ever})
 	}
 	// Another proxy may have reported the crash.
-	if replica := replicaName(target.name, target.word().incarnation); p.guard.Active() && p.guard.Doubts(replica, sentAt) {
+	if replica := replicaName(target.name, target.reported().incarnation); p.guard.Active() && p.guard.Doubts(replica, sentAt) {
 		p.guard.Lives(p.clock(), quarantine.Alive{Replica: replica, For: quarantine.Ever})
 	}
 }
 
-// held reports whether the request is quarantined, that is must not be sent to any engine, and for
-// how long. It is so before the control group decides if CondemningEnds engines crashed during this
-// call, or if at least one did and EndsMany finds enough crashes for the fingerprint.
-func (c *call) held() (remaining time.Duration, held bool) {
-	if c.ended >= quarantine.CondemningEnds || c.ended > 0 && c.proxy.guard.EndsMany(c.proxy.clock(), c.fingerprint()) {
+// quarantined reports whether the request is quarantined, that is must not be sent to any engine, and
+// for how long. It is so before the control group decides if CondemningEnds engines crashed during
+// this call, or if at least one did and EndsMany finds enough crashes for the fingerprint.
+func (c *modelCall) quarantined() (remaining time.Duration, isQuarantined bool) {
+	if c.crashedEngines >= quarantine.CondemningEnds || c.crashedEngines > 0 && c.proxy.guard.EndsMany(c.proxy.clock(), c.fingerprint()) {
 		return guard.LeastHold, true
 	}
 	if !c.proxy.guard.Active() {
 		return 0, false
 	}
-	return c.proxy.guard.Holds(c.proxy.clock(), time.Now(), c.fingerprint(), nil)
+	return c.proxy.guard.Holds(c.proxy.clock(), time.Now(), c.fingerprint(), nil) // no owner: no request is tried
 }
 
-// refuseHeld returns the failure of a request that is quarantined because engines crashed while
-// processing it, or nil for any other.
-func (c *call) refuseHeld() *failure {
-	remaining, held := c.held()
-	if !held {
+// refuseQuarantined returns the failure of a request that is quarantined because engines crashed
+// while processing it, or nil for any other.
+func (c *modelCall) refuseQuarantined() *failure {
+	remaining, isQuarantined := c.quarantined()
+	if !isQuarantined {
 		return nil
 	}
 	c.proxy.metrics.held.Inc()
-	event.ProxyRequestHeld.Log(c.proxy.logger, "request", c.id, "fingerprint", c.fingerprint(), "class", c.envelope.class,
+	event.ProxyRequestHeld.Log(c.proxy.logger, "request", c.id, "fingerprint", c.fingerprint(), "class", c.headers.class,
 		"rest_ms", remaining.Milliseconds())
-	failed := unavailable(codeQuarantined, "engines ended under this request; it is held", remaining)
+	failed := unavailableFailure(codeQuarantined, "engines ended under this request; it is held", remaining)
 	failed.final = true
 	return failed
 }
 
-// noteServed tells the guard that the request got a complete response, so that earlier crashes no
+// reportServed tells the guard that the request got a complete response, so that earlier crashes no
 // longer count against it.
-func (c *call) noteServed() {
-	// c.named is also set if an engine crashed during this call, which the guard of this proxy
-	// may be the only one to know.
-	if c.named != nil || c.proxy.guard.Active() {
+func (c *modelCall) reportServed() {
+	// c.cachedFingerprint is also set if an engine crashed during this call, which the guard of
+	// this proxy may be the only one to know.
+	if c.cachedFingerprint != nil || c.proxy.guard.Active() {
 		c.proxy.guard.Served(c.proxy.clock(), c.fingerprint())
 	}
 }
 
-// noteSuspectedEnd records that the engine's incarnation appears to have crashed.
-func (e *endpoint) noteSuspectedEnd(now time.Duration, incarnation uint64) {
+// recordSuspectedCrash records that the engine's incarnation appears to have crashed.
+func (e *endpoint) recordSuspectedCrash(now time.Duration, incarnation uint64) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
-	e.suspectedEndAt, e.suspectedEndIncarnation = max(now, 1), incarnation // a time of 0 means no suspected crash
+	e.suspectedCrashAt, e.suspectedCrashIncarnation = max(now, 1), incarnation // a time of 0 means no suspected crash
 }
 
-// resolveSuspectedEnd checks a suspected crash against a response to a request sent at sentAt. It
+// resolveSuspectedCrash checks a suspected crash against a response to a request sent at sentAt. It
 // reports whether the response refutes the crash because it comes from the same incarnation. A
 // response to a request sent after the crash clears the suspicion, also if it comes from a new
 // incarnation, so each crash is refuted at most once.
-func (e *endpoint) resolveSuspectedEnd(sentAt time.Duration) (incarnation uint64, refuted bool) {
+func (e *endpoint) resolveSuspectedCrash(sentAt time.Duration) (incarnation uint64, refuted bool) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
-	if e.suspectedEndAt == 0 || sentAt <= e.suspectedEndAt || e.incarnation == 0 {
+	if e.suspectedCrashAt == 0 || sentAt <= e.suspectedCrashAt || e.incarnation == 0 {
 		return 0, false
 	}
-	incarnation, refuted = e.suspectedEndIncarnation, e.incarnation == e.suspectedEndIncarnation
-	e.suspectedEndAt = 0
+	incarnation, refuted = e.suspectedCrashIncarnation, e.incarnation == e.suspectedCrashIncarnation
+	e.suspectedCrashAt = 0
 	return incarnation, refuted
 }
--- a/process/proxy/quarantine_test.go
+++ b/process/proxy/quarantine_test.go
@@ -42,7 +42,7 @@
 // after a simulated crash, so an answer to a later poll would refute the crash.
 func (f *fleet) awaitFirstPoll(engines []*fakeEngine) {
 	f.t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(longTimeout)
 	for _, engine := range engines {
 		for !f.hasPolled(engine) {
 			must.True(f.t, time.Now().Before(deadline))
@@ -57,12 +57,12 @@
 		return false
 	}
 	target := (*lane.endpoints.Load())[engine.name]
-	return target != nil && target.word().incarnation == engine.incarnation
+	return target != nil && target.reported().incarnation == engine.incarnation
 }
 
 // A request that has crashed enough engines, three or here four since the proxy has no leader, is
 // sent to no other engine and is refused at once, while other requests are served.
-func TestRequestThatCrashesEnginesIsHeld(t *testing.T) {
+func TestRequestThatCrashesEnginesIsQuarantined(t *testing.T) {
 	crashing := &crashingEngines{}
 	var engines []*fakeEngine
 	for i := range 6 {
@@ -70,10 +70,10 @@
 		engine.script = crashing.script
 		engines = append(engines, engine)
 	}
-	config := quick()
-	config.Timeouts.Head, config.Intervals.Load = patience, time.Hour // no poll may refute the suspected crash
+	config := fastConfig()
+	config.Timeouts.Head, config.Intervals.Load = longTimeout, time.Hour // no poll may refute the suspected crash
 	control := newFakeControl()
-	f := startWith(t, config, control, engines)
+	f := startFleetWithControl(t, config, control, engines)
 	f.awaitFirstPoll(engines)
 	for range 10 {
 		answer := f.streamPrompt("fatal")
@@ -85,7 +85,7 @@
 	answer := f.streamPrompt("fatal")
 	must.Eq(t, http.StatusServiceUnavailable, answer.status)
 	must.Eq(t, codeQuarantined, answer.code())
-	must.Eq(t, "no", answer.ran())
+	must.Eq(t, "no", answer.runState())
 	must.NotEq(t, "", answer.header.Get("Retry-After"))
 	must.Eq(t, http.StatusOK, f.streamPrompt("another").status)
 	control.lock.Lock()
@@ -98,7 +98,7 @@
 	for _, report := range control.ends {
 		name = report.Ended[0].Fingerprint.String()
 	}
-	other := start(t, quick(), engines)
+	other := startFleet(t, fastConfig(), engines)
 	quarantined := *other.views.view.Load()
 	quarantined.Version.Revision++
 	quarantined.Quarantines = map[string]*api.Quarantine{name: {Metadata: api.Metadata{Name: name, Revision: 2},
@@ -109,13 +109,13 @@
 }
 
 // A response of the same incarnation to a poll refutes the suspected crash of an engine.
-func TestPollRefutesSuspectedEnd(t *testing.T) {
+func TestPollRefutesSuspectedCrash(t *testing.T) {
 	crashing := &crashingEngines{}
 	engine := newFakeEngine(t, "e0", 11)
 	engine.script = crashing.script
-	f := start(t, quick(), []*fakeEngine{engine})
+	f := startFleet(t, fastConfig(), []*fakeEngine{engine})
 	must.NotEq(t, http.StatusOK, f.streamPrompt("fatal").status)
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(longTimeout)
 	for f.proxy.guard.Active() {
 		must.True(t, time.Now().Before(deadline))
 		time.Sleep(time.Millisecond)
@@ -124,16 +124,16 @@
 
 // A request that has crashed three prefill engines is not sent to another one, although a failed KV
 // transfer is otherwise retried at another engine without using the retry budget.
-func TestRequestThatCrashesPrefillEnginesIsHeld(t *testing.T) {
+func TestRequestThatCrashesPrefillEnginesIsQuarantined(t *testing.T) {
 	var engines []*fakeEngine
 	for i := range 6 {
 		engine := newFakeEngine(t, "e"+strconv.Itoa(i), uint64(11+i))
 		engine.failKV = func(*fakeEngine, http.ResponseWriter) { panic(http.ErrAbortHandler) }
 		engines = append(engines, engine)
 	}
-	config := quick()
-	config.Timeouts.Head, config.Intervals.Load = patience, time.Hour // no poll may refute the suspected crash
-	f := start(t, config, engines)
+	config := fastConfig()
+	config.Timeouts.Head, config.Intervals.Load = longTimeout, time.Hour // no poll may refute the suspected crash
+	f := startFleet(t, config, engines)
 	splitView := newView(engines, nil)
 	for i, engine := range engines {
 		splitView.Engines[engine.name].Status.Assignment.Role = api.RolePrefill
--- a/process/proxy/replay.go
+++ b/process/proxy/replay.go
@@ -12,7 +12,7 @@
 func replayStream(out *streamSink, body []byte) {
 	var response completionResponse
 	if err := json.Unmarshal(body, &response); err != nil {
-		out.fail(conflict(codeKeyDone, "the recorded answer cannot be read", "yes"))
+		out.fail(conflictFailure(codeKeyDone, "the recorded answer cannot be read", "yes"))
 		return
 	}
 	object := response.Object
--- a/process/proxy/request.go
+++ b/process/proxy/request.go
@@ -15,16 +15,16 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// Request headers, and HeaderRequest, which is set on responses.
+// Request headers, and HeaderRequestID, which is set on responses.
 const (
-	HeaderKey      = "Idempotency-Key"       // identifies a request across retries by the caller
-	HeaderRepeat   = "Landingtrail-Repeat"   // "never": the request must run at most once
-	HeaderDeadline = "Landingtrail-Deadline" // time left in milliseconds
-	HeaderClass    = "Landingtrail-Class"    // default: the lowest priority that can serve the request
-	HeaderTenant   = "Landingtrail-Tenant"   // default: DefaultTenant
-	// HeaderRequest is set on the response to every request that passed
-	// validation. It has the request ID that the proxy and the engines use.
-	HeaderRequest = "Landingtrail-Request"
+	HeaderIdempotencyKey = "Idempotency-Key"       // identifies a request across retries by the caller
+	HeaderRepeatPolicy   = "Landingtrail-Repeat"   // "never": the request must run at most once
+	HeaderDeadline       = "Landingtrail-Deadline" // time left in milliseconds
+	HeaderClass          = "Landingtrail-Class"    // default: the class of the lowest priority
+	HeaderTenant         = "Landingtrail-Tenant"   // default: DefaultTenant
+	// HeaderRequestID is set on the response to every request that passed validation. It has the
+	// request ID that the proxy and the engines use.
+	HeaderRequestID = "Landingtrail-Request"
 )
 
 // DefaultTenant is the tenant of requests without HeaderTenant.
@@ -32,8 +32,8 @@
 
 const repeatNever = "never"
 
-// maxHeaderValue is the maximum length of a key, class or tenant in bytes.
-const maxHeaderValue = 256
+// maxHeaderValueBytes is the maximum length of a key, class or tenant in bytes.
+const maxHeaderValueBytes = 256
 
 // maxDeadline is the longest deadline that a caller can set; longer ones are shortened to it.
 const maxDeadline = 24 * time.Hour
@@ -51,20 +51,20 @@
 	headers := requestHeaders{
 		tenant: header.Get(HeaderTenant),
 		class:  header.Get(HeaderClass),
-		key:    header.Get(HeaderKey),
+		key:    header.Get(HeaderIdempotencyKey),
 	}
 	headers.tenant = cmp.Or(headers.tenant, DefaultTenant)
 	for _, value := range []string{headers.tenant, headers.class, headers.key} {
-		if len(value) > maxHeaderValue {
-			return headers, invalid(codeBadRequest, "a header value is longer than "+strconv.Itoa(maxHeaderValue)+" bytes")
+		if len(value) > maxHeaderValueBytes {
+			return headers, invalidFailure(codeBadRequest, "a header value is longer than "+strconv.Itoa(maxHeaderValueBytes)+" bytes")
 		}
 	}
-	switch header.Get(HeaderRepeat) {
+	switch header.Get(HeaderRepeatPolicy) {
 	case "":
 	case repeatNever:
 		headers.atMostOnce = true
 	default:
-		return headers, invalid(codeBadRequest, HeaderRepeat+` must be "never"`)
+		return headers, invalidFailure(codeBadRequest, HeaderRepeatPolicy+` must be "never"`)
 	}
 	timeLeft, failed := parseDeadline(header.Get(HeaderDeadline))
 	headers.timeLeft = timeLeft
@@ -77,7 +77,7 @@
 	}
 	milliseconds, err := strconv.ParseInt(value, 10, 64)
 	if err != nil || milliseconds < 0 {
-		return 0, invalid(codeBadRequest, HeaderDeadline+" must be a number of milliseconds")
+		return 0, invalidFailure(codeBadRequest, HeaderDeadline+" must be a number of milliseconds")
 	}
 	if milliseconds == 0 {
 		return 0, deadlineTooShort("no time is left", 0)
@@ -89,9 +89,9 @@
 	return &failure{
 		status:     http.StatusGatewayTimeout,
 		errorType:  typeUnavailable,
-		code:       codeDeadlineShort,
+		code:       codeDeadlineTooShort,
 		message:    message,
-		ran:        attempt.RanNo,
+		runState:   attempt.RanNo,
 		retryAfter: retryAfter,
 	}
 }
@@ -108,7 +108,7 @@
 	}
 	headers.timeLeft = cmp.Or(headers.timeLeft, p.config.Timeouts.Deadline)
 	if headers.atMostOnce && headers.key == "" {
-		return invalid(codeKeyRequired, "a request that must run at most once needs the header "+HeaderKey)
+		return invalidFailure(codeKeyRequired, "a request that must run at most once needs the header "+HeaderIdempotencyKey)
 	}
 	return nil
 }
@@ -129,17 +129,17 @@
 func parseCompletion(path string, body []byte) (*completionRequest, *failure) {
 	parsed := &completionRequest{path: path, chat: path == engineapi.PathChatCompletions, body: body}
 	if err := json.Unmarshal(body, &parsed.request); err != nil {
-		return nil, invalid(codeBadRequest, "the body is no valid request: "+err.Error())
+		return nil, invalidFailure(codeBadRequest, "the body is no valid request: "+err.Error())
 	}
 	switch {
 	case parsed.request.Model == "":
-		return nil, invalid(codeBadRequest, "model must not be empty")
+		return nil, invalidFailure(codeBadRequest, "model must not be empty")
 	case parsed.chat && len(parsed.request.Messages) == 0:
-		return nil, invalid(codeBadRequest, "messages must not be empty")
+		return nil, invalidFailure(codeBadRequest, "messages must not be empty")
 	case !parsed.chat && parsed.request.Prompt == "":
-		return nil, invalid(codeBadRequest, "prompt must not be empty")
+		return nil, invalidFailure(codeBadRequest, "prompt must not be empty")
 	case parsed.request.MaxTokens < 0:
-		return nil, invalid(codeBadRequest, "max_tokens must not be negative")
+		return nil, invalidFailure(codeBadRequest, "max_tokens must not be negative")
 	}
 	words := prefix.Words(prefix.Text(&parsed.request))
 	parsed.promptTokens = len(words)
@@ -147,7 +147,7 @@
 	if !parsed.request.Stream {
 		streamed, err := withStream(body)
 		if err != nil {
-			return nil, invalid(codeBadRequest, "the body is no valid request: "+err.Error())
+			return nil, invalidFailure(codeBadRequest, "the body is no valid request: "+err.Error())
 		}
 		parsed.body = streamed
 	}
--- a/process/proxy/rules_test.go
+++ b/process/proxy/rules_test.go
@@ -29,7 +29,7 @@
 		switch n {
 		case 1: // the caller disconnects
 			e.tokens(w, id, number, 0, 1)
-			hang(r)
+			waitForDisconnect(r)
 		case 2: // another response follows the terminal event
 			e.answer(w, r, 0, 3)
 			e.tokens(w, "another", 1, 0, 500)
@@ -37,12 +37,12 @@
 			e.answer(w, r, 0, 3)
 		}
 	}
-	f := start(t, quick(), []*fakeEngine{engine})
+	f := startFleet(t, fastConfig(), []*fakeEngine{engine})
 	f.open(HeaderClass, "cap")()
-	eventually(t, func() bool { return f.proxy.running.count() == 0 })
+	eventually(t, func() bool { return f.proxy.inFlight.count() == 0 })
 	f.stream(HeaderClass, "cap")
 	for range 2 {
-		words, whole := f.stream(HeaderClass, "cap").words()
+		words, whole := f.stream(HeaderClass, "cap").tokens()
 		must.True(t, whole)
 		must.Eq(t, []string{"e1-0", "e1-1", "e1-2"}, words)
 	}
@@ -63,9 +63,9 @@
 		restarted.tokens(w, request.RequestID, request.Attempt, request.Offset, 3)
 		_, _ = io.WriteString(w, "data: [DONE]\n\n")
 	}
-	f := start(t, quick(), []*fakeEngine{engine})
+	f := startFleet(t, fastConfig(), []*fakeEngine{engine})
 	answer := f.stream(HeaderClass, "cap")
-	words, whole := answer.words()
+	words, whole := answer.tokens()
 	must.False(t, whole)
 	must.Eq(t, []string{"e1-0", "e1-1"}, words)
 	must.StrContains(t, answer.body, `"ran":"yes"`)
@@ -81,9 +81,9 @@
 			e.tokens(w, id, number, 0, 3)
 			_, _ = io.WriteString(w, ending)
 		}
-		f := start(t, quick(), []*fakeEngine{engine})
+		f := startFleet(t, fastConfig(), []*fakeEngine{engine})
 		answer := f.stream(HeaderClass, "cap")
-		_, whole := answer.words()
+		_, whole := answer.tokens()
 		must.False(t, whole, must.Sprintf("ending %q", ending))
 		must.True(t, answer.status != http.StatusOK || strings.Contains(answer.body, "event: error\n"))
 		must.StrContains(t, answer.body, `"ran":"yes"`)
@@ -97,7 +97,7 @@
 		_ = http.NewResponseController(w).Flush()
 		dropConnection(w)
 	}
-	f := start(t, quick(), nil, backend.server)
+	f := startFleet(t, fastConfig(), nil, backend.server)
 	answer := f.do(http.MethodGet, "/services/tiles/frame", "")
 	must.Error(t, answer.err)
 	must.Eq(t, 1, backend.runs.Load())
@@ -110,10 +110,10 @@
 		first, second := newFakeBackend(t), newFakeBackend(t)
 		fail := func(w http.ResponseWriter, _ *http.Request) { dropConnection(w) }
 		first.script, second.script = fail, fail
-		f := start(t, quick(), nil, first.server, second.server)
+		f := startFleet(t, fastConfig(), nil, first.server, second.server)
 		answer := f.do(method, "/services/tiles/frame", "")
 		must.Eq(t, http.StatusBadGateway, answer.status)
-		must.Eq(t, "unknown", answer.ran())
+		must.Eq(t, "unknown", answer.runState())
 		must.Eq(t, runs, first.runs.Load()+second.runs.Load())
 	}
 }
@@ -131,18 +131,18 @@
 	for name, change := range changes {
 		t.Run(name, func(t *testing.T) {
 			engines := []*fakeEngine{newFakeEngine(t, "e1", 11), newFakeEngine(t, "e2", 12)}
-			f := start(t, quick(), engines)
-			eventually(t, func() bool { return f.endpoint("narrator", "e1").word().heard })
+			f := startFleet(t, fastConfig(), engines)
+			eventually(t, func() bool { return f.endpoint("narrator", "e1").reported().hasReported })
 			changed := newView(engines, nil)
 			changed.Version.Revision = 2
 			change(f, changed.Engines["e1"])
 			f.views.view.Store(changed)
 			eventually(t, func() bool {
-				s := f.proxy.standing()
+				s := f.proxy.viewState()
 				return !f.endpoint("narrator", "e1").admits(&s, s.catalog.view.Engines["e1"])
 			})
 			for range 8 {
-				_, whole := f.stream(HeaderClass, "cap").words()
+				_, whole := f.stream(HeaderClass, "cap").tokens()
 				must.True(t, whole)
 			}
 			must.Eq(t, 0, engines[0].runs.Load())
@@ -151,7 +151,7 @@
 }
 
 func (f *fleet) endpoint(service, name string) *endpoint {
-	f.proxy.standing() // applies the current view
+	f.proxy.viewState() // applies the current view
 	return (*f.proxy.lanes.find(service).endpoints.Load())[name]
 }
 
@@ -162,16 +162,16 @@
 	leaving.script = func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(engineapi.HeaderBackendState, backendLeaving)
 	}
-	config := quick()
+	config := fastConfig()
 	config.Intervals.Load = time.Minute // only responses report the state
-	f := start(t, config, nil, leaving.server, staying.server)
-	eventually(t, func() bool { return f.endpoint("tiles", "tile-0").word().heard }) // the only poll
+	f := startFleet(t, config, nil, leaving.server, staying.server)
+	eventually(t, func() bool { return f.endpoint("tiles", "tile-0").reported().hasReported }) // the only poll
 	for range 20 {
 		must.Eq(t, http.StatusOK, f.do(http.MethodGet, "/services/tiles/frame", "").status)
 	}
 	must.True(t, leaving.runs.Load() <= 1)
 	listed := newView(nil, nil)
-	listed.Services["tiles"] = f.proxy.standing().catalog.view.Services["tiles"]
+	listed.Services["tiles"] = f.proxy.viewState().catalog.view.Services["tiles"]
 	listed.Services["tiles"].Status.Leaving = []string{"tile-1"}
 	listed.Version.Revision = 2
 	f.views.view.Store(listed)
@@ -180,22 +180,22 @@
 	must.Eq(t, before, staying.runs.Load())
 }
 
-// With an expired view lease, model requests are refused as not run while requests
-// to plain backends are still served, according to the setting for each. With
-// "serve", only endpoints that were heard from since the expiry get requests.
+// With an expired view lease, model requests are refused as not run while requests to plain backends
+// are still served, according to the setting for each. With "serve", only endpoints that have
+// reported since the expiry get requests.
 func TestExpiredViewLease(t *testing.T) {
 	for _, policy := range []LossPolicy{LossRefuse, LossServe} {
 		for _, polled := range []bool{false, true} {
 			t.Run(fmt.Sprint(policy, polled), func(t *testing.T) {
 				engine, backend := newFakeEngine(t, "e1", 11), newFakeBackend(t)
-				config := quick()
+				config := fastConfig()
 				config.OnControlLoss = ControlLoss{Model: policy, Backend: LossServe}
 				if !polled {
 					config.Intervals.Load = time.Minute
 				}
-				f := start(t, config, []*fakeEngine{engine}, backend.server)
+				f := startFleet(t, config, []*fakeEngine{engine}, backend.server)
 				eventually(t, func() bool {
-					return f.endpoint("narrator", "e1").word().heard && f.endpoint("tiles", "tile-0").word().heard
+					return f.endpoint("narrator", "e1").reported().hasReported && f.endpoint("tiles", "tile-0").reported().hasReported
 				})
 				f.views.invalid.Store(true)
 				frame := func() int { return f.do(http.MethodGet, "/services/tiles/frame", "").status }
@@ -210,7 +210,7 @@
 				}
 				answer := f.stream(HeaderClass, "cap")
 				must.Eq(t, http.StatusServiceUnavailable, answer.status)
-				must.Eq(t, "no", answer.ran())
+				must.Eq(t, "no", answer.runState())
 				must.NotEq(t, "", answer.header.Get("Retry-After"))
 				must.Eq(t, 0, engine.runs.Load())
 			})
@@ -220,7 +220,7 @@
 
 // A planned stop begins with a stream in flight and a caller on a kept-alive connection. The stream
 // must complete, and the caller must learn of the stop from a response.
-func TestGracefulShutdown(t *testing.T) {
+func TestPlannedStop(t *testing.T) {
 	engine := newFakeEngine(t, "e1", 11)
 	hold := make(chan struct{})
 	release := sync.OnceFunc(func() { close(hold) })
@@ -234,10 +234,10 @@
 		}
 		e.answer(w, r, 0, 3)
 	}
-	config := quick()
+	config := fastConfig()
 	config.Timeouts.Stall = time.Minute
 	config.DrainNotice = 200 * time.Millisecond
-	f := start(t, config, []*fakeEngine{engine})
+	f := startFleet(t, config, []*fakeEngine{engine})
 	t.Cleanup(release) // runs before the proxy's cleanup, which waits for the run
 	streamed := make(chan *reply, 1)
 	go func() { streamed <- f.stream(HeaderClass, "cap", HeaderDeadline, "60000") }()
@@ -265,9 +265,9 @@
 		}
 		return err != nil // no more connections are accepted
 	})
-	must.Eq(t, 1, f.proxy.running.count())
+	must.Eq(t, 1, f.proxy.inFlight.count())
 	release()
-	words, whole := (<-streamed).words()
+	words, whole := (<-streamed).tokens()
 	must.True(t, whole)
 	must.Len(t, 3, words)
 	must.NoError(t, <-f.done)
@@ -281,9 +281,9 @@
 func TestRequestBeyondDrainLimitIsRefused(t *testing.T) {
 	engine := newFakeEngine(t, "e1", 11)
 	engine.script = func(e *fakeEngine, w http.ResponseWriter, r *http.Request, _ int) { e.answer(w, r, 0, 3) }
-	config := quick()
+	config := fastConfig()
 	config.DrainNotice, config.DrainLimit = 400*time.Millisecond, 400*time.Millisecond
-	f := start(t, config, []*fakeEngine{engine})
+	f := startFleet(t, config, []*fakeEngine{engine})
 	must.Eq(t, http.StatusOK, f.stream(HeaderClass, "cap", HeaderDeadline, "60000").status)
 	f.stop()
 	eventually(t, f.proxy.stopping.Load)
--- a/process/proxy/run.go
+++ b/process/proxy/run.go
@@ -15,9 +15,8 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
-// baseContext returns a BaseContext function that sends the server's listen
-// address to bound.
-func baseContext(bound chan<- net.Addr) func(net.Listener) context.Context {
+// reportAddress returns a BaseContext function that sends the server's listen address to bound.
+func reportAddress(bound chan<- net.Addr) func(net.Listener) context.Context {
 	return func(listener net.Listener) context.Context {
 		bound <- listener.Addr()
 		return context.Background()
@@ -87,11 +86,11 @@
 // deadline, or nil for any other request. No engine has read the request, so the caller can send it
 // to another proxy at once.
 func (p *Proxy) refuseBeyondDrain(timeLeft time.Duration) *failure {
-	cutAt := time.Duration(p.cutAt.Load())
-	if cutAt == 0 || p.clock()+timeLeft <= cutAt {
+	drainDeadline := time.Duration(p.drainDeadline.Load())
+	if drainDeadline == 0 || p.clock()+timeLeft <= drainDeadline {
 		return nil
 	}
-	return unavailable(codeStopping, "the proxy stops before the request's time is over", 0)
+	return unavailableFailure(codeStopping, "the proxy stops before the request's time is over", 0)
 }
 
 // Serve runs the callers' server and the admin server until ctx ends and every request in flight has
@@ -107,7 +106,7 @@
 	if err != nil {
 		return err
 	}
-	event.ProxyStarted.Log(p.logger, "address", callers.bound, "admin", admin.bound, "zone", p.config.Zone)
+	event.ProxyStarted.Log(p.logger, "address", callers.addr, "admin", admin.addr, "zone", p.config.Zone)
 	<-ctx.Done()
 	return p.drain(callers)
 }
@@ -118,10 +117,10 @@
 // no more requests and waits for those in flight, up to DrainLimit if it is set.
 func (p *Proxy) drain(callers *server) error {
 	if p.config.DrainLimit > 0 {
-		p.cutAt.Store(int64(p.clock() + p.config.DrainNotice + p.config.DrainLimit))
+		p.drainDeadline.Store(int64(p.clock() + p.config.DrainNotice + p.config.DrainLimit))
 	}
 	p.stopping.Store(true)
-	event.ProxyDraining.Log(p.logger, "in_flight", p.running.count())
+	event.ProxyDraining.Log(p.logger, "in_flight", p.inFlight.count())
 	time.Sleep(p.config.DrainNotice)
 	ctx := context.Background()
 	if p.config.DrainLimit > 0 {
@@ -130,7 +129,7 @@
 		ctx = limited
 	}
 	if err := callers.http.Shutdown(ctx); err != nil {
-		event.ProxyDrainCut.Log(p.logger, "in_flight", p.running.count())
+		event.ProxyDrainCut.Log(p.logger, "in_flight", p.inFlight.count())
 		_ = callers.http.Close() // DrainLimit is set to end the remaining requests
 		return errors.Wrap(err, "requests were still in flight at the drain limit")
 	}
--- a/process/proxy/run_backend.go
+++ b/process/proxy/run_backend.go
@@ -68,7 +68,7 @@
 // request that certainly did not run becomes 503.
 func (c *backendCall) giveUp(last *failure) *failure {
 	result := finalFailure(last, c.attempts.GiveUp())
-	if result.ran == attempt.RanNo && result.status == http.StatusBadGateway {
+	if result.runState == attempt.RanNo && result.status == http.StatusBadGateway {
 		result.status = http.StatusServiceUnavailable
 		result.retryAfter = time.Second
 	}
@@ -85,7 +85,7 @@
 			message:   "the deadline has passed",
 		})
 	}
-	return c.giveUp(&failure{status: statusClientClosed, errorType: typeInvalid, code: codeCancelled, message: "the caller has gone"})
+	return c.giveUp(&failure{status: statusCallerGone, errorType: typeInvalid, code: codeCancelled, message: "the caller has gone"})
 }
 
 // remoteZonePenalty is the number of requests in flight that are added to the
@@ -95,23 +95,23 @@
 // pickBackend draws two random backends, possibly the same one, among those that accept requests and
 // returns the one with the lower load. Suspect backends are used only if there are no others.
 func (c *backendCall) pickBackend(rng *rand.Rand) (*endpoint, *failure) {
-	s := c.proxy.standing()
-	if failed := c.proxy.refuseLost(&s, c.lane.kind); failed != nil {
+	s := c.proxy.viewState()
+	if failed := c.proxy.refuseWithoutControl(&s, c.lane.kind); failed != nil {
 		failed.final = true
 		return nil, failed
 	}
 	var healthy, suspect []*endpoint
 	tried := false
 	for name, candidate := range *c.lane.endpoints.Load() {
-		reported := candidate.word()
-		if s.catalog.leavingBackends[name] || closedPhase(reported.phase) || !s.confirmed(reported) {
+		reported := candidate.reported()
+		if s.catalog.leavingBackends[name] || refusesNewWork(reported.phase) || !s.mayUse(reported) {
 			continue
 		}
 		if c.excluded[name] {
 			tried = true
 			continue
 		}
-		if candidate.suspected(s.now) {
+		if candidate.isSuspect(s.now) {
 			suspect = append(suspect, candidate)
 		} else {
 			healthy = append(healthy, candidate)
@@ -121,7 +121,7 @@
 		healthy = suspect
 	}
 	if len(healthy) == 0 {
-		failed := unavailable(codeNoEngine, "no back end takes requests now", time.Second)
+		failed := unavailableFailure(codeNoEngine, "no back end takes requests now", time.Second)
 		failed.final = tried // all backends that accept requests were tried
 		return nil, failed
 	}
@@ -132,7 +132,7 @@
 	return first, nil
 }
 
-func (e *endpoint) suspected(now time.Duration) bool {
+func (e *endpoint) isSuspect(now time.Duration) bool {
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	return e.suspectedLocked(now)
@@ -145,7 +145,7 @@
 	defer e.lock.Unlock()
 	score := e.load.Running + e.load.Waiting
 	for _, sent := range e.dispatches {
-		if sent.at > e.loadAt {
+		if sent.sentAt > e.loadAt {
 			score++
 		}
 	}
@@ -166,12 +166,12 @@
 	if err != nil {
 		return &failure{status: http.StatusBadGateway, errorType: typeServer, code: codeUpstream, message: err.Error(), final: true}
 	}
-	end := target.begin(c.proxy.clock(), 1)
+	end := target.trackRequest(c.proxy.clock(), 1)
 	defer end()
 	request, err := c.buildRequest(ctx, target)
 	if err != nil {
 		c.attempts.Fail(number, attempt.FaultNotWritten)
-		failed := invalid(codeBadRequest, "the request cannot be passed on")
+		failed := invalidFailure(codeBadRequest, "the request cannot be passed on")
 		if errors.Is(err, context.DeadlineExceeded) {
 			failed = deadlineTooShort("no time is left for the back end", time.Second)
 		}
@@ -181,12 +181,12 @@
 	sentAt := c.proxy.clock()
 	response, err := c.lane.pool.Do(request, upstream.Identity{RequestID: c.id, Attempt: number})
 	if err != nil {
-		return c.noResponse(ctx, target, number, err)
+		return c.endWithoutResponse(ctx, target, number, err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	target.hearHeader(sentAt, c.proxy.clock(), response.Header)
+	target.recordHeader(sentAt, c.proxy.clock(), response.Header)
 	if upstream.SurelyRefused(response) {
-		return c.refused(target, number, response)
+		return c.endRefused(target, number, response)
 	}
 	return c.relayResponse(ctx, target, number, response)
 }
@@ -217,8 +217,8 @@
 	return request, nil
 }
 
-// noResponse ends an attempt that got no response.
-func (c *backendCall) noResponse(ctx context.Context, target *endpoint, number uint32, err error) *failure {
+// endWithoutResponse ends an attempt that got no response.
+func (c *backendCall) endWithoutResponse(ctx context.Context, target *endpoint, number uint32, err error) *failure {
 	fault := attempt.FaultBroken
 	var failed *upstream.Failure
 	if errors.As(err, &failed) && !failed.Wrote {
@@ -227,17 +227,17 @@
 	c.attempts.Fail(number, fault)
 	c.excluded[target.name] = true
 	if errors.Is(err, upstream.ErrForeign) {
-		return upstreamFailed("the back end answered another request")
+		return upstreamFailure("the back end answered another request")
 	}
 	if ctx.Err() == nil || errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		target.fail(c.proxy.clock())
+		target.recordFailure(c.proxy.clock())
 	}
-	return upstreamFailed("the back end could not be reached or gave no answer")
+	return upstreamFailure("the back end could not be reached or gave no answer")
 }
 
-// refused ends an attempt that the backend certainly did not run. If the request
-// itself is invalid, the backend's refusal is passed on to the caller.
-func (c *backendCall) refused(target *endpoint, number uint32, response *http.Response) *failure {
+// endRefused ends an attempt that the backend certainly did not run. If the request itself is
+// invalid, the backend's refusal is passed on to the caller.
+func (c *backendCall) endRefused(target *endpoint, number uint32, response *http.Response) *failure {
 	c.attempts.Fail(number, attempt.FaultRefused)
 	c.proxy.metrics.refusals.Inc()
 	c.excluded[target.name] = true
@@ -245,8 +245,8 @@
 	if final := clientError(response.StatusCode, body); final != nil {
 		return final
 	}
-	failed := unavailable(codeNoEngine, "the back ends refused the request", time.Second)
-	failed.budgetExempt = closedPhase(target.word().phase)
+	failed := unavailableFailure(codeNoEngine, "the back ends refused the request", time.Second)
+	failed.budgetExempt = refusesNewWork(target.reported().phase)
 	return failed
 }
 
@@ -261,16 +261,16 @@
 // relayResponse relays a response and ends its attempt.
 func (c *backendCall) relayResponse(ctx context.Context, target *endpoint, number uint32, response *http.Response) *failure {
 	c.attempts.Admit(number, 0)
-	if err := c.relay(response); err != nil {
+	if err := c.copyBody(response); err != nil {
 		c.attempts.Fail(number, attempt.FaultBroken)
 		c.excluded[target.name] = true
-		if ctx.Err() == nil && !errors.Is(err, errClientGone) {
-			target.fail(c.proxy.clock())
+		if ctx.Err() == nil && !errors.Is(err, errCallerGone) {
+			target.recordFailure(c.proxy.clock())
 		}
-		return upstreamFailed("the answer broke off")
+		return upstreamFailure("the answer broke off")
 	}
 	c.attempts.Finish(number)
-	target.succeed()
+	target.recordSuccess()
 	return nil
 }
 
--- a/process/proxy/run_engine.go
+++ b/process/proxy/run_engine.go
@@ -32,7 +32,7 @@
 
 // runOnce runs the request on one engine. It returns nil after a complete
 // response.
-func (c *call) runOnce(ctx context.Context) *failure {
+func (c *modelCall) runOnce(ctx context.Context) *failure {
 	decision, failed := c.route()
 	if failed != nil {
 		return failed
@@ -47,7 +47,7 @@
 	target := (*c.lane.endpoints.Load())[decision.Target.Name]
 	if target == nil {
 		c.excluded[decision.Target.Name] = true
-		return unavailable(codeNoEngine, "the engine is gone", time.Second)
+		return unavailableFailure(codeNoEngine, "the engine is gone", time.Second)
 	}
 	number, err := c.attempts.Begin(target.name, decision.Target.Incarnation)
 	if err != nil {
@@ -57,7 +57,7 @@
 		c.sink.discard()
 	}
 	c.estimateCachedTokens(decision.Target)
-	end := target.begin(c.proxy.clock(), c.parsed.promptTokens)
+	end := target.trackRequest(c.proxy.clock(), c.parsed.promptTokens)
 	defer end()
 	run := c.runIdentity(number, decision.Target.Incarnation)
 	return c.exchange(ctx, target, run, run, func(ctx context.Context) (*http.Request, error) {
@@ -67,7 +67,7 @@
 
 // estimateCachedTokens sets cachedTokens for a run on the target: the number of cached blocks times
 // the average tokens in a block.
-func (c *call) estimateCachedTokens(target *router.Endpoint) {
+func (c *modelCall) estimateCachedTokens(target *router.Endpoint) {
 	c.cachedTokens = 0
 	if target.CachedBlocks != nil && len(c.parsed.blocks) > 0 {
 		count, _ := target.CachedBlocks(c.parsed.blocks)
@@ -76,19 +76,19 @@
 }
 
 // resumeOnce resumes the attempt's stream at step.Offset.
-func (c *call) resumeOnce(ctx context.Context, step attempt.Step) *failure {
+func (c *modelCall) resumeOnce(ctx context.Context, step attempt.Step) *failure {
 	target := (*c.lane.endpoints.Load())[step.Endpoint]
 	if target == nil || c.attempts.Resume(step.Number) != nil {
 		c.attempts.AbandonResume(step.Number)
-		return upstreamFailed("the engine is gone")
+		return upstreamFailure("the engine is gone")
 	}
 	c.proxy.metrics.resumes.Inc()
 	delay, _ := c.proxy.config.Backoff.Delay(0, c.timeLeft(), c.rng)
 	if !pause.For(ctx, delay) {
 		c.attempts.Fail(step.Number, attempt.FaultBroken)
-		return upstreamFailed("interrupted")
+		return upstreamFailure("interrupted")
 	}
-	end := target.begin(c.proxy.clock(), 0)
+	end := target.trackRequest(c.proxy.clock(), 0)
 	defer end()
 	run := c.runIdentity(step.Number, step.Incarnation)
 	return c.exchange(ctx, target, c.nextResumeIdentity(), run, func(ctx context.Context) (*http.Request, error) {
@@ -99,14 +99,14 @@
 
 // runIdentity returns the identity of a run, which its request and the events of
 // its stream carry.
-func (c *call) runIdentity(number uint32, incarnation uint64) upstream.Identity {
+func (c *modelCall) runIdentity(number uint32, incarnation uint64) upstream.Identity {
 	return upstream.Identity{RequestID: c.id, Attempt: number, Incarnation: incarnation}
 }
 
 // nextResumeIdentity returns the identity of one resume request. It differs from
 // that of the run and of every other resume, so that a response to one of those
 // is not taken for the response to this one.
-func (c *call) nextResumeIdentity() upstream.Identity {
+func (c *modelCall) nextResumeIdentity() upstream.Identity {
 	c.resumeCount++
 	return upstream.Identity{RequestID: c.id + "-resume", Attempt: c.resumeCount}
 }
@@ -128,7 +128,7 @@
 	return request, nil
 }
 
-func (c *call) newRunRequest(ctx context.Context, target *endpoint, incarnation uint64, handle string) (*http.Request, error) {
+func (c *modelCall) newRunRequest(ctx context.Context, target *endpoint, incarnation uint64, handle string) (*http.Request, error) {
 	request, err := newPost(ctx, target.address, c.parsed.path, c.parsed.body)
 	if err != nil {
 		return nil, err
@@ -177,7 +177,7 @@
 
 // exchange sends one request of an attempt and relays the stream of the response. The response header
 // must carry headerIdentity, the events of the stream must carry run.
-func (c *call) exchange(ctx context.Context, target *endpoint, headerIdentity, run upstream.Identity, build func(context.Context) (*http.Request, error)) *failure {
+func (c *modelCall) exchange(ctx context.Context, target *endpoint, headerIdentity, run upstream.Identity, build func(context.Context) (*http.Request, error)) *failure {
 	number := run.Attempt
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -189,17 +189,17 @@
 	watch := newWatchdog(cancel, c.proxy.config.Timeouts.Head, &errHeaderTimeout)
 	defer func() { watch.stop() }()
 	sentAt := c.proxy.clock()
-	c.running = running{target: target, incarnation: run.Incarnation, sentAt: sentAt}
+	c.lastDispatch = lastDispatch{target: target, incarnation: run.Incarnation, sentAt: sentAt}
 	response, err := c.lane.pool.Do(request, headerIdentity)
 	if err != nil {
-		c.noteBroken(ctx, err)
-		return c.noResponse(ctx, target, number, err)
+		c.reportBroken(ctx, err)
+		return c.endWithoutResponse(ctx, target, number, err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	target.hearHeader(sentAt, c.proxy.clock(), response.Header)
-	c.proxy.noteLife(target, sentAt)
+	target.recordHeader(sentAt, c.proxy.clock(), response.Header)
+	c.proxy.reportAlive(target, sentAt)
 	if response.StatusCode != http.StatusOK {
-		return c.refused(target, number, response)
+		return c.endWithStatus(target, number, response)
 	}
 	c.attempts.Admit(number, incarnationOf(response.Header))
 	watch.reset(c.proxy.config.Timeouts.FirstToken, &errFirstTokenTimeout)
@@ -207,12 +207,12 @@
 	return c.relayStream(ctx, target, number, stream, watch)
 }
 
-func upstreamFailed(message string) *failure {
+func upstreamFailure(message string) *failure {
 	return &failure{status: http.StatusBadGateway, errorType: typeServer, code: codeUpstream, message: message}
 }
 
-// noResponse ends an attempt that got no response.
-func (c *call) noResponse(ctx context.Context, target *endpoint, number uint32, err error) *failure {
+// endWithoutResponse ends an attempt that got no response.
+func (c *modelCall) endWithoutResponse(ctx context.Context, target *endpoint, number uint32, err error) *failure {
 	fault := attempt.FaultBroken
 	var failed *upstream.Failure
 	if errors.As(err, &failed) && !failed.Wrote {
@@ -221,20 +221,20 @@
 	c.attempts.Fail(number, fault)
 	if errors.Is(err, upstream.ErrForeign) {
 		c.exclude(target)
-		return upstreamFailed("the engine answered another request")
+		return upstreamFailure("the engine answered another request")
 	}
 	c.markSuspect(ctx, target)
-	return upstreamFailed("the engine could not be reached or gave no answer")
+	return upstreamFailure("the engine could not be reached or gave no answer")
 }
 
 // markSuspect marks an engine as suspect after a failure and excludes it, unless the caller or the
 // deadline ended the exchange.
-func (c *call) markSuspect(ctx context.Context, target *endpoint) {
+func (c *modelCall) markSuspect(ctx context.Context, target *endpoint) {
 	cause := context.Cause(ctx)
 	if cause != nil && !isProxyTimeout(cause) {
 		return
 	}
-	target.fail(c.proxy.clock())
+	target.recordFailure(c.proxy.clock())
 	c.exclude(target)
 }
 
@@ -242,23 +242,23 @@
 	return errors.Is(cause, errHeaderTimeout) || errors.Is(cause, errFirstTokenTimeout) || errors.Is(cause, errStreamStalled)
 }
 
-func (c *call) exclude(target *endpoint) { c.excluded[target.name] = true }
+func (c *modelCall) exclude(target *endpoint) { c.excluded[target.name] = true }
 
-// refused ends an attempt whose response status is not 200. After an explicit
-// refusal the request certainly did not run; after any other status it may have.
-func (c *call) refused(target *endpoint, number uint32, response *http.Response) *failure {
+// endWithStatus ends an attempt whose response status is not 200. After an explicit refusal the
+// request certainly did not run; after any other status it may have.
+func (c *modelCall) endWithStatus(target *endpoint, number uint32, response *http.Response) *failure {
 	body, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes)) // a partial body is enough
 	c.exclude(target)
 	if !upstream.SurelyRefused(response) {
 		c.attempts.Fail(number, attempt.FaultBroken)
 		c.attempts.AbandonResume(number)
 		c.suspectOnServerError(target, response)
-		return upstreamFailed("the engine answered with status " + strconv.Itoa(response.StatusCode))
+		return upstreamFailure("the engine answered with status " + strconv.Itoa(response.StatusCode))
 	}
 	c.attempts.Fail(number, attempt.FaultRefused)
 	c.proxy.metrics.refusals.Inc()
-	failed := unavailable(codeNoEngine, "engines refused the request", time.Second)
-	failed.budgetExempt = closedPhase(target.word().phase)
+	failed := unavailableFailure(codeNoEngine, "engines refused the request", time.Second)
+	failed.budgetExempt = refusesNewWork(target.reported().phase)
 	if final := clientError(response.StatusCode, body); final != nil {
 		return final
 	}
@@ -267,9 +267,9 @@
 
 // suspectOnServerError marks an engine as suspect if the response is a server
 // error rather than a refusal.
-func (c *call) suspectOnServerError(target *endpoint, response *http.Response) {
+func (c *modelCall) suspectOnServerError(target *endpoint, response *http.Response) {
 	if response.StatusCode >= http.StatusInternalServerError && !upstream.SurelyRefused(response) {
-		target.fail(c.proxy.clock())
+		target.recordFailure(c.proxy.clock())
 	}
 }
 
@@ -290,46 +290,46 @@
 }
 
 // relayStream forwards the frames of a stream until its end.
-func (c *call) relayStream(ctx context.Context, target *endpoint, number uint32, stream *upstream.Stream, watch *watchdog) *failure {
+func (c *modelCall) relayStream(ctx context.Context, target *endpoint, number uint32, stream *upstream.Stream, watch *watchdog) *failure {
 	for {
 		frame, err := stream.Next()
 		if errors.Is(err, io.EOF) {
 			return c.finishRun(target, number)
 		}
 		if err != nil {
-			c.noteBroken(ctx, err)
-			return c.streamBroken(ctx, target, number, err)
+			c.reportBroken(ctx, err)
+			return c.endBrokenStream(ctx, target, number, err)
 		}
-		c.running.events++
+		c.lastDispatch.events++
 		switch c.attempts.Accept(number, frame.Event.Offset, frame.Tokens) {
 		case attempt.VerdictPass:
 			watch.reset(c.proxy.config.Timeouts.Stall, &errStreamStalled)
 			if err := c.sink.send(&frame, stream.Buffered()); err != nil {
-				return c.sinkFailed(number, err)
+				return c.endUndelivered(number, err)
 			}
 		case attempt.VerdictDuplicate:
 		default:
-			return c.streamBroken(ctx, target, number, errTokenGap)
+			return c.endBrokenStream(ctx, target, number, errTokenGap)
 		}
 	}
 }
 
 // finishRun ends an attempt with a complete response and returns nil, or the failure if that could
 // not be delivered.
-func (c *call) finishRun(target *endpoint, number uint32) *failure {
+func (c *modelCall) finishRun(target *endpoint, number uint32) *failure {
 	if !c.attempts.Finish(number) {
-		return upstreamFailed("the answer came after its attempt had ended")
+		return upstreamFailure("the answer came after its attempt had ended")
 	}
-	target.succeed()
-	c.noteServed()
+	target.recordSuccess()
+	c.reportServed()
 	if err := c.sink.finish(); err != nil {
-		return c.sinkFailed(number, err)
+		return c.endUndelivered(number, err)
 	}
 	return nil
 }
 
-// streamBroken ends an attempt whose stream was interrupted.
-func (c *call) streamBroken(ctx context.Context, target *endpoint, number uint32, err error) *failure {
+// endBrokenStream ends an attempt whose stream was interrupted.
+func (c *modelCall) endBrokenStream(ctx context.Context, target *endpoint, number uint32, err error) *failure {
 	c.attempts.Fail(number, attempt.FaultBroken)
 	if errors.Is(err, errTokenGap) || errors.Is(err, upstream.ErrForeign) || errors.Is(err, upstream.ErrMalformed) ||
 		errors.Is(err, upstream.ErrEngine) || errors.Is(err, upstream.ErrEventTooLarge) || errors.Is(err, upstream.ErrAfterTerminal) {
@@ -338,15 +338,15 @@
 	}
 	c.proxy.metrics.broken.Inc()
 	c.markSuspect(ctx, target)
-	return upstreamFailed("the engine's stream broke off")
+	return upstreamFailure("the engine's stream broke off")
 }
 
-// sinkFailed ends an attempt whose response cannot be delivered.
-func (c *call) sinkFailed(number uint32, err error) *failure {
+// endUndelivered ends an attempt whose response cannot be delivered.
+func (c *modelCall) endUndelivered(number uint32, err error) *failure {
 	c.attempts.Fail(number, attempt.FaultBroken)
 	if errors.Is(err, errResponseTooLarge) {
 		return &failure{status: http.StatusBadGateway, errorType: typeServer, code: codeAnswerTooLarge,
 			message: "the answer is too large to be held; ask for a stream", final: true}
 	}
-	return &failure{status: statusClientClosed, errorType: typeInvalid, code: codeCancelled, message: "the caller has gone", final: true}
+	return &failure{status: statusCallerGone, errorType: typeInvalid, code: codeCancelled, message: "the caller has gone", final: true}
 }
--- a/process/proxy/server.go
+++ b/process/proxy/server.go
@@ -24,8 +24,8 @@
 // may outlast any timeout, the proxy has its own response for oversized bodies, and the queue of each
 // service decides what to shed.
 type server struct {
-	http  *http.Server
-	bound net.Addr
+	http *http.Server
+	addr net.Addr
 }
 
 // restConf returns a rest configuration with all middleware disabled.
@@ -80,7 +80,7 @@
 	failed := make(chan error, 1)
 	go started.start(srv, p.config.Timeouts, bound, failed)
 	select {
-	case started.bound = <-bound:
+	case started.addr = <-bound:
 		return started, nil
 	case err := <-failed:
 		return nil, err
@@ -101,26 +101,26 @@
 		httpServer.ReadTimeout = 0
 		httpServer.WriteTimeout = 0
 		httpServer.IdleTimeout = timeouts.Idle
-		httpServer.BaseContext = baseContext(bound)
+		httpServer.BaseContext = reportAddress(bound)
 	})
 }
 
 func serveNotFound(w http.ResponseWriter, _ *http.Request) {
-	notFound(codeNotFound, "no such path").write(w)
+	notFoundFailure(codeNotFound, "no such path").write(w)
 }
 
 func serveNotAllowed(w http.ResponseWriter, _ *http.Request) {
-	failed := notFound(codeMethod, "the path does not take this method")
+	failed := notFoundFailure(codeMethodNotAllowed, "the path does not take this method")
 	failed.status = http.StatusMethodNotAllowed
 	failed.write(w)
 }
 
-// newRouter returns rest's own HTTP router; it is unrelated to the router of requests to engines.
-func newRouter() httpx.Router { return router.NewRouter() }
+// newHTTPRouter returns rest's own HTTP router; it is unrelated to the router of requests to engines.
+func newHTTPRouter() httpx.Router { return router.NewRouter() }
 
 // listenCallers starts the HTTP server for callers.
 func (p *Proxy) listenCallers() (*server, error) {
-	routes := &prefixRouter{Router: newRouter(), prefix: servicesPrefix, handler: p.serveService}
+	routes := &prefixRouter{Router: newHTTPRouter(), prefix: servicesPrefix, handler: p.serveService}
 	return p.listen("landingtrail-proxy", p.config.ListenAddress, routes, func(srv *rest.Server) {
 		srv.AddRoutes([]rest.Route{
 			{Method: http.MethodPost, Path: engineapi.PathChatCompletions, Handler: p.serveCompletion},
--- a/process/proxy/silence_test.go
+++ b/process/proxy/silence_test.go
@@ -21,14 +21,14 @@
 			requests.Add(1)
 		}
 		if paused.Load() {
-			hang(r)
+			waitForDisconnect(r)
 			return
 		}
 		writeJSON(w, http.StatusOK, engineapi.Load{})
 	}))
 	t.Cleanup(pausable.Close)
 	alive := newFakeBackend(t)
-	f := start(t, quick(), nil, pausable, alive.server)
+	f := startFleet(t, fastConfig(), nil, pausable, alive.server)
 	target := f.endpoint("tiles", "tile-0")
 	send := func() int { return f.do(http.MethodGet, "/services/tiles/frame", "").status }
 
@@ -40,7 +40,7 @@
 	})
 	before := requests.Load()
 	for range 12 {
-		target.succeed() // clear the suspect time of failed requests
+		target.recordSuccess() // clear the suspect time of failed requests
 		must.Eq(t, http.StatusOK, send())
 	}
 	must.Eq(t, before, requests.Load())
--- a/process/proxy/sink.go
+++ b/process/proxy/sink.go
@@ -16,8 +16,8 @@
 
 // Errors of a sink.
 var (
-	// errClientGone means that the caller disconnected or stopped reading.
-	errClientGone = errors.New("caller disconnected")
+	// errCallerGone means that the caller disconnected or stopped reading.
+	errCallerGone = errors.New("caller disconnected")
 	// errResponseTooLarge means that a buffered response exceeds its size limit.
 	errResponseTooLarge = errors.New("response too large to buffer")
 )
@@ -47,7 +47,7 @@
 	timeout    time.Duration // of each write
 	buffer     bytes.Buffer
 	headerSent bool
-	clientGone bool
+	callerGone bool
 	assembled  *assembler // nil unless the response is recorded with its claim
 }
 
@@ -84,7 +84,7 @@
 }
 
 func (s *streamSink) flush() error {
-	if s.clientGone {
+	if s.callerGone {
 		return s.disconnectError()
 	}
 	if !s.headerSent {
@@ -101,7 +101,7 @@
 		err = s.controller.Flush()
 	}
 	if err != nil {
-		s.clientGone = true
+		s.callerGone = true
 		return s.disconnectError()
 	}
 	return nil
@@ -114,7 +114,7 @@
 	if s.assembled != nil {
 		return nil
 	}
-	return errClientGone
+	return errCallerGone
 }
 
 func (s *streamSink) discard() {
@@ -171,7 +171,7 @@
 	w.Header().Set("Content-Type", contentTypeJSON)
 	w.WriteHeader(http.StatusOK)
 	if _, err := w.Write(body); err != nil {
-		return errClientGone
+		return errCallerGone
 	}
 	return nil
 }
--- a/process/proxy/split.go
+++ b/process/proxy/split.go
@@ -28,7 +28,7 @@
 // engine does both phases. The cache is sent directly between the engines, not through the proxy.
 // After a failure or refusal it excludes the engine and routes again; the router returns a decision
 // without a prefill engine if no pair is left and one engine must do both phases.
-func (c *call) prefill(ctx context.Context, decision router.Decision) (router.Decision, string, *failure) {
+func (c *modelCall) prefill(ctx context.Context, decision router.Decision) (router.Decision, string, *failure) {
 	for decision.Prefill != nil {
 		handle, failedEngine := c.transferKV(ctx, decision)
 		if failedEngine == "" {
@@ -39,7 +39,7 @@
 			failed.final = true
 			return decision, "", failed
 		}
-		if failed := c.refuseHeld(); failed != nil {
+		if failed := c.refuseQuarantined(); failed != nil {
 			return decision, "", failed
 		}
 		c.excluded[failedEngine] = true
@@ -55,7 +55,7 @@
 // transferKV exports the KV cache of the prompt from the prefill engine and
 // imports it into the target. It returns the handle of the cache on the target,
 // or the name of the engine that failed.
-func (c *call) transferKV(ctx context.Context, decision router.Decision) (handle, failedEngine string) {
+func (c *modelCall) transferKV(ctx context.Context, decision router.Decision) (handle, failedEngine string) {
 	endpoints := *c.lane.endpoints.Load()
 	source, target := endpoints[decision.Prefill.Name], endpoints[decision.Target.Name]
 	if source == nil {
@@ -66,14 +66,14 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.proxy.config.Timeouts.FirstToken)
 	defer cancel()
-	end := source.begin(c.proxy.clock(), c.parsed.promptTokens)
+	end := source.trackRequest(c.proxy.clock(), c.parsed.promptTokens)
 	export := engineapi.KVExportRequest{RequestID: c.id, Attempt: prefillAttempt, Request: c.parsed.request}
 	exported, err := c.callKV(ctx, source, engineapi.PathKVExport, decision.Prefill.Incarnation, export)
 	end()
 	if err != nil {
 		return "", source.name
 	}
-	end = target.begin(c.proxy.clock(), 0)
+	end = target.trackRequest(c.proxy.clock(), 0)
 	defer end()
 	imported, err := c.callKV(ctx, target, engineapi.PathKVImport, decision.Target.Incarnation, engineapi.KVImportRequest{Handle: exported})
 	if err != nil {
@@ -85,7 +85,7 @@
 // nextTransferIdentity returns the identity of one export or import call. It differs from that of a
 // run: the run follows on the engine of the import, and a refusal of the import must not be taken for
 // a refusal of the run.
-func (c *call) nextTransferIdentity() upstream.Identity {
+func (c *modelCall) nextTransferIdentity() upstream.Identity {
 	c.kvTransfers++
 	return upstream.Identity{RequestID: c.id + "-kv", Attempt: c.kvTransfers}
 }
@@ -94,7 +94,7 @@
 const maxHandleBytes = 64 << 10
 
 // callKV sends one export or import call and returns the handle in its response.
-func (c *call) callKV(ctx context.Context, target *endpoint, path string, incarnation uint64, body any) (engineapi.KVHandle, error) {
+func (c *modelCall) callKV(ctx context.Context, target *endpoint, path string, incarnation uint64, body any) (engineapi.KVHandle, error) {
 	var handle engineapi.KVHandle
 	request, err := newJSONPost(ctx, target.address, path, body)
 	if err != nil {
@@ -106,10 +106,10 @@
 		request.Header.Set(engineapi.HeaderIncarnation, strconv.FormatUint(incarnation, 10))
 	}
 	sentAt := c.proxy.clock()
-	c.running = running{target: target, incarnation: incarnation, sentAt: sentAt}
+	c.lastDispatch = lastDispatch{target: target, incarnation: incarnation, sentAt: sentAt}
 	response, err := c.lane.pool.Do(request, c.nextTransferIdentity())
 	if err != nil {
-		c.noteBroken(ctx, err)
+		c.reportBroken(ctx, err)
 	}
 	if errors.Is(err, upstream.ErrForeign) {
 		return handle, err // the fault was in the connection, which has been closed
@@ -119,10 +119,10 @@
 		return handle, err
 	}
 	defer func() { _ = response.Body.Close() }()
-	target.hearHeader(sentAt, c.proxy.clock(), response.Header)
+	target.recordHeader(sentAt, c.proxy.clock(), response.Header)
 	encoded, err := io.ReadAll(io.LimitReader(response.Body, maxHandleBytes))
 	if err != nil {
-		c.noteBroken(ctx, err)
+		c.reportBroken(ctx, err)
 		return handle, errors.Wrap(errKVTransfer, err.Error())
 	}
 	if response.StatusCode != http.StatusOK {
--- a/process/proxy/surplus_test.go
+++ b/process/proxy/surplus_test.go
@@ -21,11 +21,11 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// surplus makes a server send stray responses: for a request on a connection that
-// has served another one, the server first sends a response that belongs to no
-// request, and then the real one. The stray response is sent after the proxy took
-// the connection from its pool, so a check of idle connections cannot detect it.
-type surplus struct {
+// strayResponder makes a server send stray responses: for a request on a connection that has served
+// another one, the server first sends a response that belongs to no request, and then the real one.
+// The stray response is sent after the proxy took the connection from its pool, so a check of idle
+// connections cannot detect it.
+type strayResponder struct {
 	// answer returns the bytes of the stray response, or "" for none.
 	answer func(r *http.Request) string
 	// observe is called for each request if not nil; its result is ignored.
@@ -44,7 +44,7 @@
 
 // serve starts a server that echoes the identity of each request and sends stray
 // responses.
-func (s *surplus) serve(handler http.Handler) *httptest.Server {
+func (s *strayResponder) serve(handler http.Handler) *httptest.Server {
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if s.observe != nil {
 			s.observe(r)
@@ -61,7 +61,7 @@
 }
 
 // sendStray sends the stray response ahead of the real one.
-func (s *surplus) sendStray(r *http.Request) {
+func (s *strayResponder) sendStray(r *http.Request) {
 	conn := r.Context().Value(connKey{}).(*countedConn)
 	if conn.requests.Add(1) == 1 || s.answer == nil {
 		return
@@ -131,23 +131,23 @@
 // A backend sends a stray response on a kept-alive connection. Whatever identity it has, and also if
 // it has none, no caller may receive it: it can be the response to another caller's request. The
 // proxy must compare both the request ID and the attempt.
-func TestStrayResponseReachesNoClient(t *testing.T) {
+func TestStrayResponseReachesNoCaller(t *testing.T) {
 	forStrayIdentities(t, func(t *testing.T, identity func(r *http.Request) string) {
 		first, second := newFakeBackend(t), newFakeBackend(t)
-		first.surplus.answer = onRequestPaths(func(r *http.Request) string {
+		first.stray.answer = onRequestPaths(func(r *http.Request) string {
 			return rawResponse(http.StatusOK, identity(r)+admittedLine, strayBody)
 		})
-		f := start(t, quick(), nil, first.server, second.server)
+		f := startFleet(t, fastConfig(), nil, first.server, second.server)
 		for range 4 * strayTestRequests {
 			answer := f.do(http.MethodGet, "/services/tiles/frame", "")
 			// The request fails with 502 once the retry budget is used up.
 			must.True(t, answer.status == http.StatusOK || answer.status == http.StatusBadGateway)
 			must.StrNotContains(t, answer.body, strayBody)
 			for _, endpoint := range *f.proxy.lanes.find("tiles").endpoints.Load() {
-				must.False(t, endpoint.suspected(f.proxy.clock()), must.Sprint("the endpoint is reachable"))
+				must.False(t, endpoint.isSuspect(f.proxy.clock()), must.Sprint("the endpoint is reachable"))
 			}
 		}
-		must.Positive(t, first.surplus.sent.Load())
+		must.Positive(t, first.stray.sent.Load())
 	})
 }
 
@@ -190,20 +190,20 @@
 		counts := &runCounts{}
 		for _, backend := range []*fakeBackend{first, second} {
 			backend.script = func(_ http.ResponseWriter, r *http.Request) { counts.add(r.URL.RawQuery) }
-			backend.surplus.answer = onRequestPaths(func(r *http.Request) string {
+			backend.stray.answer = onRequestPaths(func(r *http.Request) string {
 				return rawResponse(http.StatusServiceUnavailable, identity(r)+refusedLine, "{}")
 			})
 		}
-		f := start(t, quick(), nil, first.server, second.server)
+		f := startFleet(t, fastConfig(), nil, first.server, second.server)
 		reported := map[string]string{}
 		for i := range 2 * strayTestRequests {
 			name := "n=" + strconv.Itoa(i)
-			reported[name] = f.do(http.MethodPost, "/services/tiles/order?"+name, "x").ran()
+			reported[name] = f.do(http.MethodPost, "/services/tiles/order?"+name, "x").runState()
 		}
 		first.server.Close()
 		second.server.Close()
 		counts.check(t, reported)
-		must.Positive(t, first.surplus.sent.Load()+second.surplus.sent.Load())
+		must.Positive(t, first.stray.sent.Load()+second.stray.sent.Load())
 	})
 }
 
@@ -219,20 +219,20 @@
 				counts.add(r.Header.Get(headerClaimHash))
 				e.answer(w, r, 0, 3)
 			}
-			engine.surplus.answer = onRequestPaths(func(r *http.Request) string {
+			engine.stray.answer = onRequestPaths(func(r *http.Request) string {
 				return rawResponse(http.StatusServiceUnavailable, identity(r)+refusedLine, "{}")
 			})
 		}
-		f := start(t, quick(), []*fakeEngine{first, second})
+		f := startFleet(t, fastConfig(), []*fakeEngine{first, second})
 		reported := map[string]string{}
 		for i := range 2 * strayTestRequests {
 			c := claim{key: strconv.Itoa(i)}
-			reported[c.hash()] = f.stream(HeaderClass, "briefing", HeaderKey, c.key).ran()
+			reported[c.hash()] = f.stream(HeaderClass, "briefing", HeaderIdempotencyKey, c.key).runState()
 		}
 		first.server.Close()
 		second.server.Close()
 		counts.check(t, reported)
-		must.Positive(t, first.surplus.sent.Load()+second.surplus.sent.Load())
+		must.Positive(t, first.stray.sent.Load()+second.stray.sent.Load())
 	})
 }
 
@@ -244,14 +244,14 @@
 		forStrayIdentities(t, func(t *testing.T, identity func(r *http.Request) string) {
 			first, second := newFakeEngine(t, "e1", 11), newFakeEngine(t, "e2", 12)
 			for _, engine := range []*fakeEngine{first, second} {
-				engine.surplus.answer = func(r *http.Request) string {
+				engine.stray.answer = func(r *http.Request) string {
 					if r.URL.Path != path {
 						return ""
 					}
 					return rawResponse(http.StatusOK, identity(r), handle)
 				}
 			}
-			f := start(t, quick(), []*fakeEngine{first, second})
+			f := startFleet(t, fastConfig(), []*fakeEngine{first, second})
 			assignSplitRoles(f)
 			eventually(t, func() bool {
 				answer := f.stream(HeaderClass, "cap")
@@ -260,9 +260,9 @@
 				}
 				must.StrNotContains(t, answer.body, strayBody)
 				for _, name := range []string{"e1", "e2"} {
-					must.False(t, f.endpoint("narrator", name).suspected(f.proxy.clock()), must.Sprint("the endpoint is reachable"))
+					must.False(t, f.endpoint("narrator", name).isSuspect(f.proxy.clock()), must.Sprint("the endpoint is reachable"))
 				}
-				return first.surplus.sent.Load()+second.surplus.sent.Load() > 0
+				return first.stray.sent.Load()+second.stray.sent.Load() > 0
 			})
 		})
 	}
@@ -275,7 +275,7 @@
 	changed.Engines["e2"].Status.Assignment.Role = api.RoleDecode
 	changed.Version.Revision = 2
 	f.views.view.Store(changed)
-	f.proxy.standing()
+	f.proxy.viewState()
 }
 
 // strayIncarnation is the incarnation in stray responses.
@@ -306,24 +306,24 @@
 func TestStrayResponseDoesNotChangeEngineState(t *testing.T) {
 	forStrayIdentities(t, func(t *testing.T, identity func(r *http.Request) string) {
 		engine := newFakeEngine(t, "e1", 11)
-		engine.surplus.answer = onRequestPaths(func(r *http.Request) string {
+		engine.stray.answer = onRequestPaths(func(r *http.Request) string {
 			// This status is not retried.
 			return rawResponse(http.StatusNotFound, identity(r)+strayStateHeaders(), strayBody)
 		})
-		config := quick()
+		config := fastConfig()
 		config.Intervals.Load = time.Hour // no poll may correct a wrong state
-		f := start(t, config, []*fakeEngine{engine})
+		f := startFleet(t, config, []*fakeEngine{engine})
 		engineEndpoint := f.endpoint("narrator", "e1")
-		eventually(t, func() bool { return engineEndpoint.word().heard })
+		eventually(t, func() bool { return engineEndpoint.reported().hasReported })
 		for range strayTestRequests {
 			f.stream(HeaderClass, "cap")
-			must.Eq(t, api.PhaseServing, engineEndpoint.word().phase)
-			must.Eq(t, 11, engineEndpoint.word().incarnation)
-			must.False(t, engineEndpoint.suspected(f.proxy.clock()), must.Sprint("the endpoint is reachable"))
+			must.Eq(t, api.PhaseServing, engineEndpoint.reported().phase)
+			must.Eq(t, 11, engineEndpoint.reported().incarnation)
+			must.False(t, engineEndpoint.isSuspect(f.proxy.clock()), must.Sprint("the endpoint is reachable"))
 		}
-		must.Positive(t, engine.surplus.sent.Load())
+		must.Positive(t, engine.stray.sent.Load())
 		// Each stray response is counted. The server counts it after sending it.
-		eventually(t, func() bool { return float64(engine.surplus.sent.Load()) == foreignResponseCount(t, f.proxy) })
+		eventually(t, func() bool { return float64(engine.stray.sent.Load()) == foreignResponseCount(t, f.proxy) })
 	})
 }
 
@@ -345,20 +345,20 @@
 	for name, identity := range identities {
 		t.Run(name, func(t *testing.T) {
 			engine := newFakeEngine(t, "e1", 11)
-			engine.surplus.answer = func(r *http.Request) string {
+			engine.stray.answer = func(r *http.Request) string {
 				if r.URL.Path != engineapi.PathLoad {
 					return ""
 				}
 				return rawResponse(http.StatusOK, identity(r)+strayStateHeaders(), report)
 			}
-			f := start(t, quick(), []*fakeEngine{engine})
+			f := startFleet(t, fastConfig(), []*fakeEngine{engine})
 			engineEndpoint := f.endpoint("narrator", "e1")
 			eventually(t, func() bool {
-				word := engineEndpoint.word()
+				word := engineEndpoint.reported()
 				must.NotEq(t, strayIncarnation, word.incarnation)
 				must.NotEq(t, api.PhaseDraining, word.phase)
-				must.False(t, engineEndpoint.suspected(f.proxy.clock()), must.Sprint("the endpoint responds"))
-				return engine.surplus.sent.Load() > 2
+				must.False(t, engineEndpoint.isSuspect(f.proxy.clock()), must.Sprint("the endpoint responds"))
+				return engine.stray.sent.Load() > 2
 			})
 		})
 	}
@@ -412,7 +412,7 @@
 		e.tokens(w, request.RequestID, request.Attempt, request.Offset, 4)
 		_, _ = io.WriteString(w, "data: [DONE]\n\n")
 	}
-	engine.surplus.answer = func(r *http.Request) string {
+	engine.stray.answer = func(r *http.Request) string {
 		if r.URL.Path != engineapi.PathResume || resumes.Load() != strayBefore-1 {
 			return ""
 		}
@@ -441,16 +441,16 @@
 		t.Run(name, func(t *testing.T) {
 			var interrupt atomic.Bool
 			engine := newResumedEngine(t, &interrupt, test.strayBefore, test.identity)
-			f := start(t, quick(), []*fakeEngine{engine})
+			f := startFleet(t, fastConfig(), []*fakeEngine{engine})
 			eventually(t, func() bool {
 				interrupt.Store(false)
 				openIdleConnections(f)
 				interrupt.Store(true)
-				words, whole := f.stream(HeaderClass, "cap").words()
+				words, whole := f.stream(HeaderClass, "cap").tokens()
 				must.True(t, whole)
 				must.Eq(t, []string{"e1-0", "e1-1", "e1-2", "e1-3"}, words)
-				f.endpoint("narrator", "e1").succeed() // clears the suspicion, so that the next request uses the engine
-				return engine.surplus.sent.Load() > 0
+				f.endpoint("narrator", "e1").recordSuccess() // clears the suspicion, so that the next request uses the engine
+				return engine.stray.sent.Load() > 0
 			})
 		})
 	}
@@ -464,7 +464,7 @@
 	var lock sync.Mutex
 	calls := map[string]string{} // path by identity
 	for _, engine := range engines {
-		engine.surplus.observe = onRequestPaths(func(r *http.Request) string {
+		engine.stray.observe = onRequestPaths(func(r *http.Request) string {
 			id, number := runOf(r)
 			lock.Lock()
 			defer lock.Unlock()
@@ -476,10 +476,10 @@
 			return ""
 		})
 	}
-	f := start(t, quick(), engines)
+	f := startFleet(t, fastConfig(), engines)
 	assignSplitRoles(f)
 	eventually(t, func() bool {
-		_, whole := f.stream(HeaderClass, "cap").words()
+		_, whole := f.stream(HeaderClass, "cap").tokens()
 		must.True(t, whole)
 		return engines[1].imports.Load() > 0
 	})
--- a/process/proxy/suspension_test.go
+++ b/process/proxy/suspension_test.go
@@ -16,7 +16,7 @@
 	var suspended atomic.Int64
 	begin := time.Now()
 	clock := func() time.Duration { return time.Since(begin) + time.Duration(suspended.Load()) }
-	f := startWithClock(t, clock, quick(), newFakeControl(), []*fakeEngine{engine})
+	f := startFleetWithClock(t, clock, fastConfig(), newFakeControl(), []*fakeEngine{engine})
 	engine.script = func(e *fakeEngine, w http.ResponseWriter, r *http.Request, _ int) {
 		suspended.Store(int64(time.Hour)) // during the refusal, before the retry
 		e.refuse(w, http.StatusServiceUnavailable, "draining")
@@ -26,6 +26,6 @@
 	f.views.view.Store(newView([]*fakeEngine{engine, second}, nil))
 	answer := f.stream(HeaderClass, "cap", HeaderDeadline, "5000")
 	must.Eq(t, http.StatusGatewayTimeout, answer.status)
-	must.Eq(t, "no", answer.ran())
+	must.Eq(t, "no", answer.runState())
 	must.Eq(t, 1, engine.runs.Load()+second.runs.Load())
 }
