--- a/process/proxy/admin.go
+++ b/process/proxy/admin.go
@@ -9,19 +9,19 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
-// Paths of the admin server.
+// HTTP paths of the admin server.
 const (
-	PathHealth   = "/healthz" // 200 while the process serves at all
-	PathReady    = "/readyz"  // 200 while callers should send here
-	PathMetrics  = "/metrics"
-	PathInFlight = "/debug/inflight"
+	PathHealth   = "/healthz"        // 200 while the process runs, also if Readiness.Ready is false
+	PathReady    = "/readyz"         // 200 while the proxy accepts requests, else 503
+	PathMetrics  = "/metrics"        // Prometheus metrics
+	PathInFlight = "/debug/inflight" // list of InFlightRequest
 )
 
-// listenAdmin starts the admin server.
+// listenAdmin starts the HTTP server for health checks, metrics and debugging.
 func (p *Proxy) listenAdmin() (*server, error) {
-	routes := &prefixRouter{Router: newRouter()}
-	return p.listen("landingtrail-proxy-admin", p.config.AdminAddress, routes, func(made *rest.Server) {
-		made.AddRoutes([]rest.Route{
+	routes := &prefixRouter{Router: newHTTPRouter()}
+	return p.listen("landingtrail-proxy-admin", p.config.AdminAddress, routes, func(srv *rest.Server) {
+		srv.AddRoutes([]rest.Route{
 			{Method: http.MethodGet, Path: PathHealth, Handler: p.serveHealth},
 			{Method: http.MethodGet, Path: PathReady, Handler: p.serveReady},
 			{Method: http.MethodGet, Path: PathMetrics, Handler: p.metrics.handler().ServeHTTP},
@@ -30,17 +30,17 @@
 	})
 }
 
-// Readiness is the body of PathHealth and PathReady.
+// Readiness is the response body of PathHealth and PathReady.
 type Readiness struct {
 	Ready    bool         `json:"ready"`
-	Reason   string       `json:"reason,omitempty"`
-	Version  view.Version `json:"version"`
+	Reason   string       `json:"reason,omitempty"` // why the proxy is not ready
+	Version  view.Version `json:"version"`          // of the view
 	InFlight int          `json:"inFlight"`
 }
 
 func (p *Proxy) readiness() Readiness {
-	s := p.standing()
-	state := Readiness{Version: s.catalog.view.Version, InFlight: p.running.count()}
+	s := p.viewState()
+	state := Readiness{Version: s.catalog.view.Version, InFlight: p.inFlight.count()}
 	switch {
 	case p.stopping.Load():
 		state.Reason = "stopping"
@@ -67,42 +67,42 @@
 	writeJSON(w, status, state)
 }
 
-// InFlightRequest is one row of PathInFlight.
+// InFlightRequest describes one request in the response of PathInFlight.
 type InFlightRequest struct {
 	ID       string           `json:"id"`
 	Service  string           `json:"service"`
 	Class    string           `json:"class"`
 	Tenant   string           `json:"tenant"`
-	State    string           `json:"state"`
-	Seconds  float64          `json:"seconds"`
-	Passed   int              `json:"tokensPassed"`
+	State    string           `json:"state"`        // an attempt.State
+	Seconds  float64          `json:"seconds"`      // since the request was validated
+	Passed   int              `json:"tokensPassed"` // tokens passed on to the caller
 	Attempts []InFlightRecord `json:"attempts"`
 }
 
-// InFlightRecord is one attempt of an InFlightRequest.
+// InFlightRecord describes one attempt of an InFlightRequest.
 type InFlightRecord struct {
 	Number   uint32 `json:"number"`
 	Endpoint string `json:"endpoint"`
-	Open     bool   `json:"open"`
-	Admitted bool   `json:"admitted"`
-	Refused  bool   `json:"refused"`
+	Open     bool   `json:"open"`     // the attempt has not ended
+	Admitted bool   `json:"admitted"` // the endpoint confirmed that it accepted the request
+	Refused  bool   `json:"refused"`  // the endpoint explicitly refused the request
 	Resumes  int    `json:"resumes"`
 }
 
 func (p *Proxy) serveInFlight(w http.ResponseWriter, _ *http.Request) {
-	list := p.running.list()
+	list := p.inFlight.list()
 	rows := make([]InFlightRequest, len(list))
-	for i, one := range list {
+	for i, request := range list {
 		rows[i] = InFlightRequest{
-			ID:      one.id,
-			Service: one.service,
-			Class:   one.class,
-			Tenant:  one.tenant,
-			State:   one.life.State().String(),
-			Seconds: time.Since(one.started).Seconds(),
-			Passed:  one.life.Passed(),
+			ID:      request.id,
+			Service: request.service,
+			Class:   request.class,
+			Tenant:  request.tenant,
+			State:   request.attempts.State().String(),
+			Seconds: time.Since(request.started).Seconds(),
+			Passed:  request.attempts.Passed(),
 		}
-		for _, record := range one.life.Attempts() {
+		for _, record := range request.attempts.Attempts() {
 			rows[i].Attempts = append(rows[i].Attempts, InFlightRecord{
 				Number:   record.Number,
 				Endpoint: record.Endpoint,
--- a/process/proxy/bench_test.go
+++ b/process/proxy/bench_test.go
@@ -16,12 +16,12 @@
 	"github.com/landingtrail/landingtrail/connection/engineapi"
 )
 
-// relayHandler passes a request on to the address and the answer back, each
-// part as it comes, and does nothing else.
-func relayHandler(address string) http.Handler {
+// forwarderHandler is a minimal reverse proxy: it forwards each request to the address and
+// flushes every chunk of the response as it arrives.
+func forwarderHandler(address string) http.Handler {
 	transport := &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 64}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		body, _ := io.ReadAll(r.Body) // an HTTP/1 server closes it when the answer begins
+		body, _ := io.ReadAll(r.Body) // an HTTP/1 server closes the request body once the response starts
 		out := r.Clone(r.Context())
 		out.Body = io.NopCloser(bytes.NewReader(body))
 		out.URL.Scheme, out.URL.Host, out.RequestURI = "http", address, ""
@@ -35,7 +35,7 @@
 			w.Header()[name] = values
 		}
 		w.WriteHeader(response.StatusCode)
-		controller, buffer := http.NewResponseController(w), make([]byte, relayBufferBytes)
+		controller, buffer := http.NewResponseController(w), make([]byte, copyBufferBytes)
 		for {
 			count, err := response.Body.Read(buffer)
 			_, _ = w.Write(buffer[:count])
@@ -47,36 +47,38 @@
 	})
 }
 
-// path is one way from the caller to the engine, and what it took.
-type path struct {
+// measuredPath is a route from the caller to the engine, with the wall and processor time that its
+// requests have used.
+type measuredPath struct {
 	url       string
 	transport *http.Transport
 	wall, cpu time.Duration
 }
 
-func (p *path) ask(b *testing.B, times int) {
-	cpu, begun := processorTime(b), time.Now()
+func (p *measuredPath) sendConcurrently(b *testing.B, times int) {
+	cpu, started := processorTime(b), time.Now()
 	var group sync.WaitGroup
 	for range times {
-		group.Go(func() { p.askOnce(b) })
+		group.Go(func() { p.sendOne(b) })
 	}
 	group.Wait()
-	p.wall += time.Since(begun)
+	p.wall += time.Since(started)
 	p.cpu += processorTime(b) - cpu
 }
 
-func (p *path) askOnce(b *testing.B) {
+func (p *measuredPath) sendOne(b *testing.B) {
 	request, _ := http.NewRequest(http.MethodPost, p.url+engineapi.PathCompletions, strings.NewReader(streamBody))
 	request.Header.Set(HeaderClass, "cap")
 	response, err := p.transport.RoundTrip(request)
 	must.NoError(b, err)
-	read, err := io.ReadAll(response.Body)
+	body, err := io.ReadAll(response.Body)
 	must.NoError(b, err)
-	must.StrHasSuffix(b, "data: [DONE]\n\n", string(read))
+	must.StrHasSuffix(b, "data: [DONE]\n\n", string(body))
 	_ = response.Body.Close()
 }
 
-// newBenchEngine streams tokens, each in its own write and after a pause.
+// newBenchEngine starts an engine that streams the given number of tokens. Each token is written
+// separately, after the pause.
 func newBenchEngine(b *testing.B, tokens int, pause time.Duration) *httptest.Server {
 	engine := &fakeEngine{name: "e1", incarnation: 11}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -97,66 +99,67 @@
 	return server
 }
 
-// BenchmarkDataPath compares the proxy with a plain forwarder in the same run. Both
-// figures are without what caller and engine take when they talk directly.
+// BenchmarkDataPath compares the proxy's overhead with that of a minimal reverse proxy, alternating
+// between them. The metrics in microseconds are per token. The cost of a direct connection from
+// caller to engine is subtracted from both.
 func BenchmarkDataPath(b *testing.B) {
 	cases := []struct {
 		name   string
-		batch  int // requests at once
+		batch  int // concurrent requests
 		tokens int
 		pause  time.Duration
 	}{
-		{"request", 1, 1, 0},                     // the cost of a request
-		{"paced", 20, 200, 5 * time.Millisecond}, // of a token by itself, as engines send them
-		{"burst", 1, 400, 0},                     // of a token among many that came together
+		{"request", 1, 1, 0},                     // cost per request
+		{"paced", 20, 200, 5 * time.Millisecond}, // cost per token when tokens arrive one at a time, as engines send them
+		{"burst", 1, 400, 0},                     // cost per token when many arrive together
 	}
 	for _, test := range cases {
 		b.Run(test.name, func(b *testing.B) {
 			server := newBenchEngine(b, test.tokens, test.pause)
-			relay := httptest.NewServer(relayHandler(server.Listener.Addr().String()))
-			b.Cleanup(relay.Close)
-			paths := []*path{{url: server.URL}, {url: relay.URL}, {url: benchProxy(b, server)}}
-			for _, one := range paths {
-				one.transport = &http.Transport{}
-				b.Cleanup(one.transport.CloseIdleConnections)
-				one.ask(b, test.batch)
-				one.wall, one.cpu = 0, 0
+			forwarder := httptest.NewServer(forwarderHandler(server.Listener.Addr().String()))
+			b.Cleanup(forwarder.Close)
+			paths := []*measuredPath{{url: server.URL}, {url: forwarder.URL}, {url: benchProxy(b, server)}}
+			for _, p := range paths {
+				p.transport = &http.Transport{}
+				b.Cleanup(p.transport.CloseIdleConnections)
+				p.sendConcurrently(b, test.batch)
+				p.wall, p.cpu = 0, 0
 			}
 			rounds := 0
 			for b.Loop() {
-				for _, one := range paths {
-					one.ask(b, test.batch)
+				for _, p := range paths {
+					p.sendConcurrently(b, test.batch)
 				}
 				rounds++
 			}
 			count := float64(rounds * test.batch * test.tokens)
-			direct, plain, proxied := paths[0], paths[1], paths[2]
-			b.ReportMetric(float64((plain.cpu-direct.cpu).Microseconds())/count, "relay-cpu-us")
+			direct, forwarded, proxied := paths[0], paths[1], paths[2]
+			b.ReportMetric(float64((forwarded.cpu-direct.cpu).Microseconds())/count, "relay-cpu-us")
 			b.ReportMetric(float64((proxied.cpu-direct.cpu).Microseconds())/count, "proxy-cpu-us")
 			if test.name == "burst" {
-				return // the relay's share is too small for a ratio
+				return // the forwarder's overhead is too small for a meaningful ratio
 			}
-			b.ReportMetric(float64(proxied.cpu-direct.cpu)/float64(plain.cpu-direct.cpu), "cpu-ratio")
+			b.ReportMetric(float64(proxied.cpu-direct.cpu)/float64(forwarded.cpu-direct.cpu), "cpu-ratio")
 			if test.pause == 0 {
-				b.ReportMetric(float64(proxied.wall-direct.wall)/float64(plain.wall-direct.wall), "time-ratio")
+				b.ReportMetric(float64(proxied.wall-direct.wall)/float64(forwarded.wall-direct.wall), "time-ratio")
 			}
 		})
 	}
 }
 
-// benchProxy starts a proxy with default settings and returns its URL.
+// benchProxy starts a proxy with default settings in front of the engine and returns its URL.
 func benchProxy(b *testing.B, server *httptest.Server) string {
 	b.Helper()
 	views := &fixedViews{}
 	views.view.Store(newView([]*fakeEngine{{name: "e1", incarnation: 11, server: server}}, nil))
 	config := Config{ID: "proxy-1", Zone: "zone-a", ListenAddress: "127.0.0.1:0", AdminAddress: "127.0.0.1:0"}
-	begin := time.Now()
-	made := New(config, views, newFakeControl(), func() time.Duration { return time.Since(begin) }, log.NewNopLogger())
-	callers, err := made.listenCallers()
+	started := time.Now()
+	proxy := New(config, views, newFakeControl(), func() time.Duration { return time.Since(started) }, log.NewNopLogger())
+	callers, err := proxy.listenCallers()
 	must.NoError(b, err)
 	b.Cleanup(func() {
 		_ = callers.http.Close()
-		made.Close()
+		proxy.Close()
 	})
-	return "http://" + callers.bound.String()
+	return "http://" + callers.addr.String()
 }
--- a/process/proxy/budget_test.go
+++ b/process/proxy/budget_test.go
@@ -9,10 +9,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestRetriesOfModelWorkCostFramesNone: engines that fail use up the retries of
-// their own lane alone, so that a frame whose back end has just died is still
-// taken to another one.
-func TestRetriesOfModelWorkCostFramesNone(t *testing.T) {
+// Failing engines may exhaust only the retry budget of their own service. Otherwise requests to a
+// plain backend that has just died would not be retried on another one.
+func TestRetryBudgetIsPerService(t *testing.T) {
 	engine, alive := newFakeEngine(t, "e1", 11), newFakeBackend(t)
 	other := newFakeEngine(t, "e2", 12)
 	fail := func(_ *fakeEngine, w http.ResponseWriter, _ *http.Request, _ int) {
@@ -21,10 +20,10 @@
 	engine.script, other.script = fail, fail
 	dead := httptest.NewServer(http.NotFoundHandler())
 	dead.Close()
-	config := quick()
-	config.Intervals.Load = time.Minute // polls do not tell that it is dead
+	config := fastConfig()
+	config.Intervals.Load = time.Minute // polls must not detect that the backend is dead
 	config.Limits.RetryShare, config.Limits.RetryReserve = 0.001, 2
-	f := start(t, config, []*fakeEngine{engine, other}, dead, alive.server)
+	f := startFleet(t, config, []*fakeEngine{engine, other}, dead, alive.server)
 	for range 4 {
 		must.NotEq(t, http.StatusOK, f.stream(HeaderClass, "cap").status)
 	}
--- a/process/proxy/deadline_test.go
+++ b/process/proxy/deadline_test.go
@@ -15,68 +15,70 @@
 
 const pathTile = "/services/tiles/frame/1"
 
-// What is left is less than the proxy keeps for itself, although the deadline has not
-// passed yet: the back end is not asked, and the request is not at fault.
-func TestNothingLeftForTheBackEnd(t *testing.T) {
+// The deadline has not passed, but the time left is less than the margin that the
+// proxy reserves for itself. The backend must not be called, and the failure must
+// not be reported as a client error.
+func TestDeadlineBelowMarginIsRefused(t *testing.T) {
 	backend := newFakeBackend(t)
-	config := quick()
+	config := fastConfig()
 	config.Margin = retry.Margin{Least: time.Hour}
-	f := start(t, config, nil, backend.server)
+	f := startFleet(t, config, nil, backend.server)
 	answer := f.do(http.MethodGet, pathTile, "", HeaderClass, "frame")
 	must.Eq(t, http.StatusGatewayTimeout, answer.status)
-	must.Eq(t, codeDeadlineShort, answer.code())
-	must.Eq(t, "no", answer.ran())
+	must.Eq(t, codeDeadlineTooShort, answer.code())
+	must.Eq(t, "no", answer.runState())
 	must.NotEq(t, "", answer.header.Get("Retry-After"))
 	must.Zero(t, backend.runs.Load())
 }
 
-// The deadline passes while a back end's answer comes.
-func TestDeadlineInAnAnswerOfABackEnd(t *testing.T) {
+// The deadline passes while a backend is sending its response.
+func TestDeadlineDuringBackendResponse(t *testing.T) {
 	const left = time.Second
-	ask := func(t *testing.T, script http.HandlerFunc) (answer *reply, took time.Duration) {
+	send := func(t *testing.T, script http.HandlerFunc) (answer *reply, took time.Duration) {
 		backend := newFakeBackend(t)
 		backend.script = script
-		f := start(t, quick(), nil, backend.server)
+		f := startFleet(t, fastConfig(), nil, backend.server)
 		began := time.Now()
 		answer = f.do(http.MethodGet, pathTile, "", HeaderClass, "frame", HeaderDeadline, strconv.FormatInt(left.Milliseconds(), 10))
 		return answer, time.Since(began)
 	}
-	t.Run("before its first byte", func(t *testing.T) {
+	t.Run("before the first byte", func(t *testing.T) {
 		t.Parallel()
-		answer, _ := ask(t, func(w http.ResponseWriter, r *http.Request) {
+		answer, _ := send(t, func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("X-Tile", "1")
 			_ = http.NewResponseController(w).Flush()
-			hang(r)
+			waitForDisconnect(r)
 		})
 		must.Eq(t, http.StatusGatewayTimeout, answer.status)
 		must.Eq(t, codeDeadlineExceeded, answer.code())
-		must.Eq(t, "yes", answer.ran())
+		must.Eq(t, "yes", answer.runState())
 		must.Eq(t, "", answer.header.Get("X-Tile"))
 	})
-	t.Run("after a part", func(t *testing.T) {
+	t.Run("after part of the body", func(t *testing.T) {
 		t.Parallel()
 		part := strings.Repeat("x", 4<<10)
-		answer, took := ask(t, func(w http.ResponseWriter, r *http.Request) {
+		answer, took := send(t, func(w http.ResponseWriter, r *http.Request) {
 			_, _ = w.Write([]byte(part))
 			_ = http.NewResponseController(w).Flush()
-			hang(r)
+			waitForDisconnect(r)
 		})
 		must.Eq(t, http.StatusOK, answer.status)
-		must.Error(t, answer.err, must.Sprint("a part must not look whole"))
+		must.Error(t, answer.err, must.Sprint("a partial response must not look complete"))
 		must.Eq(t, part, answer.body)
-		must.GreaterEq(t, left, took, must.Sprint("it broke before its deadline"))
+		must.GreaterEq(t, left, took, must.Sprint("the response ended before its deadline"))
 	})
 }
 
-// A back end breaks its answer off before the first byte: the caller has been given
-// nothing, so another one can be asked, and if none can, the caller is told.
-func TestBackEndBreaksOffBeforeTheFirstByte(t *testing.T) {
+// A backend drops the connection before the first byte of the body. Nothing has
+// been sent to the caller, so the request must be retried on another backend, or
+// fail with an error if there is none.
+func TestBackendDropsConnectionBeforeFirstByte(t *testing.T) {
 	broken := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("X-Tile", "broken")
 		_ = http.NewResponseController(w).Flush()
-		drop(w)
+		dropConnection(w)
 	}
-	t.Run("once", func(t *testing.T) {
+	t.Run("one backend", func(t *testing.T) {
 		var asked atomic.Int32
 		script := func(w http.ResponseWriter, r *http.Request) {
 			if asked.Add(1) == 1 {
@@ -86,7 +88,7 @@
 		}
 		first, second := newFakeBackend(t), newFakeBackend(t)
 		first.script, second.script = script, script
-		f := start(t, quick(), nil, first.server, second.server)
+		f := startFleet(t, fastConfig(), nil, first.server, second.server)
 		answer := f.do(http.MethodGet, pathTile, "", HeaderClass, "frame")
 		must.NoError(t, answer.err)
 		must.Eq(t, http.StatusOK, answer.status)
@@ -95,24 +97,24 @@
 		must.Eq(t, 1, second.runs.Load())
 		must.Eq(t, "", answer.header.Get("X-Tile"))
 	})
-	t.Run("by all", func(t *testing.T) {
+	t.Run("all backends", func(t *testing.T) {
 		backend := newFakeBackend(t)
 		backend.script = broken
-		f := start(t, quick(), nil, backend.server)
+		f := startFleet(t, fastConfig(), nil, backend.server)
 		answer := f.do(http.MethodGet, pathTile, "", HeaderClass, "frame")
 		must.Eq(t, http.StatusBadGateway, answer.status)
 		must.Eq(t, codeUpstream, answer.code())
-		must.Eq(t, "yes", answer.ran())
+		must.Eq(t, "yes", answer.runState())
 		must.Eq(t, "", answer.header.Get("X-Tile"))
 		must.Eq(t, 1, backend.runs.Load())
 	})
-	t.Run("of a request that is not safe", func(t *testing.T) {
+	t.Run("unsafe method", func(t *testing.T) {
 		backend := newFakeBackend(t)
 		backend.script = broken
-		f := start(t, quick(), nil, backend.server)
+		f := startFleet(t, fastConfig(), nil, backend.server)
 		answer := f.do(http.MethodPost, pathTile, "body", HeaderClass, "frame")
 		must.Eq(t, http.StatusBadGateway, answer.status)
-		must.Eq(t, "yes", answer.ran())
+		must.Eq(t, "yes", answer.runState())
 		must.Eq(t, 1, backend.runs.Load())
 	})
 }
--- a/process/proxy/demand.go
+++ b/process/proxy/demand.go
@@ -10,13 +10,13 @@
 	"github.com/landingtrail/landingtrail/request/attempt"
 )
 
-// demandShards is the number of shards of the counted demand.
+// demandShards is the number of independently locked shards of a demandWindow.
 const demandShards = 8
 
 type demandKey struct{ intent, class string }
 
-// demandWindow counts what was offered since the last report, in shards under
-// their own locks.
+// demandWindow accumulates the demand since the last report. It is split into independently locked
+// shards to reduce lock contention.
 type demandWindow struct {
 	seed   maphash.Seed
 	shards [demandShards]demandShard
@@ -28,14 +28,14 @@
 }
 
 func newDemandWindow() *demandWindow {
-	made := &demandWindow{seed: maphash.MakeSeed()}
-	for i := range made.shards {
-		made.shards[i].counts = map[demandKey]*feed.Demand{}
+	window := &demandWindow{seed: maphash.MakeSeed()}
+	for i := range window.shards {
+		window.shards[i].counts = map[demandKey]*feed.Demand{}
 	}
-	return made
+	return window
 }
 
-// add changes the counts of an intent and class.
+// add updates the counts of an intent and class with change, which runs under the shard's lock.
 func (d *demandWindow) add(key demandKey, change func(*feed.Demand)) {
 	shard := &d.shards[maphash.Comparable(d.seed, key)%demandShards]
 	shard.lock.Lock()
@@ -48,86 +48,87 @@
 	change(counts)
 }
 
-// take returns the counts and starts a new window.
+// take returns the accumulated counts and resets the window.
 func (d *demandWindow) take() map[demandKey]*feed.Demand {
-	taken := map[demandKey]*feed.Demand{}
+	all := map[demandKey]*feed.Demand{}
 	for i := range d.shards {
 		shard := &d.shards[i]
 		shard.lock.Lock()
 		for key, counts := range shard.counts {
-			taken[key] = counts
+			all[key] = counts
 		}
 		shard.counts = map[demandKey]*feed.Demand{}
 		shard.lock.Unlock()
 	}
-	return taken
+	return all
 }
 
-// putBack adds counts that could not be reported to the next window.
-func (d *demandWindow) putBack(counts map[demandKey]*feed.Demand) {
-	for key, old := range counts {
-		d.add(key, func(into *feed.Demand) {
-			into.Requests += old.Requests
-			into.PromptTokens += old.PromptTokens
-			into.CachedPromptTokens += old.CachedPromptTokens
-			into.OutputTokens += old.OutputTokens
-			into.Refused += old.Refused
-			into.Late += old.Late
+// restore adds counts whose report could not be sent to the current window.
+func (d *demandWindow) restore(counts map[demandKey]*feed.Demand) {
+	for key, unreported := range counts {
+		d.add(key, func(target *feed.Demand) {
+			target.Requests += unreported.Requests
+			target.PromptTokens += unreported.PromptTokens
+			target.CachedPromptTokens += unreported.CachedPromptTokens
+			target.OutputTokens += unreported.OutputTokens
+			target.Refused += unreported.Refused
+			target.Late += unreported.Late
 		})
 	}
 }
 
-// maxDemandWindow bounds how long unreported counts are kept: older demand
-// would only mislead the planner.
+// maxDemandWindow limits how long unreported counts are kept before they are dropped: older demand
+// would mislead the planner, the part of the control group that assigns engines to models.
 const maxDemandWindow = 10 * time.Second
 
-// reportDemand tells the control group each interval what was offered.
+// reportDemand periodically reports the demand to the control group.
 func (p *Proxy) reportDemand() {
 	since := time.Now()
 	for pause.Sleep(p.background, p.config.Intervals.Demand) {
 		window := time.Since(since)
 		counts := p.demand.take()
 		report := feed.DemandReport{Window: window}
-		waiting := p.waitingDemand()
-		for key := range waiting {
+		queued := p.queuedDemand()
+		for key := range queued {
 			if counts[key] == nil {
 				counts[key] = &feed.Demand{Intent: key.intent, Class: key.class}
 			}
 		}
 		for key, count := range counts {
-			count.QueuedRequests = waiting[key].requests
-			count.QueuedPromptTokens = waiting[key].tokens
+			count.QueuedRequests = queued[key].requests
+			count.QueuedPromptTokens = queued[key].tokens
 			report.Demands = append(report.Demands, *count)
 		}
 		switch {
 		case p.control.ReportDemand(report):
 			since = time.Now()
 		case window < maxDemandWindow:
-			p.demand.putBack(counts)
+			p.demand.restore(counts)
 		default:
 			since = time.Now()
 		}
 	}
 }
 
-type waitingCount struct {
+type queuedCount struct {
 	requests int
 	tokens   float64
 }
 
-// waitingDemand counts the model requests that wait in queues now.
-func (p *Proxy) waitingDemand() map[demandKey]waitingCount {
-	waiting := map[demandKey]waitingCount{}
-	known := p.lanes.catalog.Load()
-	for _, one := range p.running.list() {
-		if one.model == "" || one.life.State() != attempt.Queued {
+// queuedDemand counts the model requests that are queued now. Plain backends have no intent, so their
+// requests are no demand.
+func (p *Proxy) queuedDemand() map[demandKey]queuedCount {
+	queued := map[demandKey]queuedCount{}
+	current := p.lanes.catalog.Load()
+	for _, request := range p.inFlight.list() {
+		if request.model == "" || request.attempts.State() != attempt.Queued {
 			continue
 		}
-		key := demandKey{intent: known.intentFor(one.model, one.class), class: one.class}
-		count := waiting[key]
+		key := demandKey{intent: current.intentFor(request.model, request.class), class: request.class}
+		count := queued[key]
 		count.requests++
-		count.tokens += float64(one.tokens)
-		waiting[key] = count
+		count.tokens += float64(request.promptTokens)
+		queued[key] = count
 	}
-	return waiting
+	return queued
 }
--- a/process/proxy/inflight.go
+++ b/process/proxy/inflight.go
@@ -9,22 +9,23 @@
 	"github.com/landingtrail/landingtrail/request/attempt"
 )
 
-// inFlightShards is the number of shards of the requests in flight.
+// inFlightShards is the number of independently locked shards of an inFlight.
 const inFlightShards = 32
 
-// entry is one request in flight.
+// entry describes one request in flight.
 type entry struct {
-	id      string
-	service string
-	class   string
-	tenant  string
-	started time.Time
-	life    *attempt.Life
-	model   string // "" for a plain back end
-	tokens  int    // of the prompt
+	id           string
+	service      string
+	class        string
+	tenant       string
+	started      time.Time
+	attempts     *attempt.Life
+	model        string // "" for a plain backend
+	promptTokens int    // estimated prompt tokens
 }
 
-// inFlight holds the requests in flight, in shards under their own locks.
+// inFlight tracks the requests in flight. It is split into independently locked shards to reduce
+// lock contention.
 type inFlight struct {
 	seed   maphash.Seed
 	shards [inFlightShards]inFlightShard
@@ -36,30 +37,31 @@
 }
 
 func newInFlight() *inFlight {
-	made := &inFlight{seed: maphash.MakeSeed()}
-	for i := range made.shards {
-		made.shards[i].entries = map[string]*entry{}
+	requests := &inFlight{seed: maphash.MakeSeed()}
+	for i := range requests.shards {
+		requests.shards[i].entries = map[string]*entry{}
 	}
-	return made
+	return requests
 }
 
 func (f *inFlight) shard(id string) *inFlightShard {
 	return &f.shards[maphash.String(f.seed, id)%inFlightShards]
 }
 
-// add counts the request in and returns the function that counts it out.
-func (f *inFlight) add(added *entry) func() {
-	shard := f.shard(added.id)
+// add registers the request and returns the function that removes it.
+func (f *inFlight) add(request *entry) func() {
+	shard := f.shard(request.id)
 	shard.lock.Lock()
 	defer shard.lock.Unlock()
-	shard.entries[added.id] = added
+	shard.entries[request.id] = request
 	return func() {
 		shard.lock.Lock()
 		defer shard.lock.Unlock()
-		delete(shard.entries, added.id)
+		delete(shard.entries, request.id)
 	}
 }
 
+// count returns the number of requests in flight.
 func (f *inFlight) count() int {
 	total := 0
 	for i := range f.shards {
@@ -77,8 +79,8 @@
 	for i := range f.shards {
 		shard := &f.shards[i]
 		shard.lock.Lock()
-		for _, one := range shard.entries {
-			all = append(all, one)
+		for _, request := range shard.entries {
+			all = append(all, request)
 		}
 		shard.lock.Unlock()
 	}
--- a/process/proxy/lane.go
+++ b/process/proxy/lane.go
@@ -15,35 +15,37 @@
 	"github.com/landingtrail/landingtrail/version/subset"
 )
 
-// lane is everything that requests of one service use: connections, queue and
-// endpoints. Lanes share nothing, so that frames and lookups never wait for
-// model work.
+// lane holds the connections, the queue, the retry budget and the endpoints of one service. Lanes
+// share none of these, so that fast requests to plain backends never wait behind model requests.
 type lane struct {
-	service string
-	kind    api.ServiceType
-	pool    *upstream.Pool
-	polls   *upstream.Pool // load reports must not wait behind requests
-	queue   *limit.Queue
-	// budget pays for retries; failures of one service cost another none.
+	service  string
+	kind     api.ServiceType
+	pool     *upstream.Pool
+	pollPool *upstream.Pool // separate from pool, so that polls never wait behind requests
+	queue    *limit.Queue
+	// budget limits retries, per service so that the failures of one do not use up the retries
+	// of another.
 	budget *retry.Budget
-	// loadBudget and cacheBudget bound the bytes of polls.
+	// loadBudget and cacheBudget limit the traffic of load and cache event polls.
 	loadBudget  *pollBudget
 	cacheBudget *pollBudget
-	// endpoints is replaced whole when the followed set changes.
+	// endpoints maps names to the endpoints that the proxy polls and routes to. The map is
+	// immutable and is replaced when the set changes.
 	endpoints atomic.Pointer[map[string]*endpoint]
 
-	lock    sync.Mutex // held while the followed set changes
+	lock    sync.Mutex // held while endpoints and pollers change
 	pollers map[string]*poller
 }
 
-func newLane(config *Config, service *api.Service, foreign func(address string, cause error)) *lane {
-	opened := &lane{
-		service: service.Name,
-		kind:    service.Spec.Type,
-		pool:    upstream.NewPool(upstream.Config{DialTimeout: config.Timeouts.Dial, Foreign: foreign}),
-		polls:   upstream.NewPool(upstream.Config{DialTimeout: config.Timeouts.Dial, MaxIdlePerHost: 2, Foreign: foreign}),
+// newLane returns a lane without endpoints. onForeign is called for each foreign response.
+func newLane(config *Config, service *api.Service, onForeign func(address string, cause error)) *lane {
+	created := &lane{
+		service:  service.Name,
+		kind:     service.Spec.Type,
+		pool:     upstream.NewPool(upstream.Config{DialTimeout: config.Timeouts.Dial, Foreign: onForeign}),
+		pollPool: upstream.NewPool(upstream.Config{DialTimeout: config.Timeouts.Dial, MaxIdlePerHost: 2, Foreign: onForeign}),
 		queue: limit.NewQueue(limit.Config{
-			MaxInFlight: laneWidth(config, service),
+			MaxInFlight: maxInFlight(config, service),
 			QueueLimit:  config.Limits.QueueLimit,
 		}),
 		budget:      retry.NewBudget(config.Limits.RetryShare, config.Limits.RetryReserve),
@@ -51,141 +53,143 @@
 		cacheBudget: &pollBudget{},
 		pollers:     map[string]*poller{},
 	}
-	opened.endpoints.Store(&map[string]*endpoint{})
-	return opened
+	created.endpoints.Store(&map[string]*endpoint{})
+	return created
 }
 
-func laneWidth(config *Config, service *api.Service) int {
+func maxInFlight(config *Config, service *api.Service) int {
 	if service.Spec.MaxInFlight > 0 {
 		return service.Spec.MaxInFlight
 	}
 	return config.Limits.MaxInFlight
 }
 
-// member is a back end that a view names for a lane.
-type member struct {
+// endpointSpec is an engine or backend of a service, as the view describes it. Endpoints with the
+// same group can replace each other in the subset that the proxy uses.
+type endpointSpec struct {
 	name, address, zone, group string
 }
 
-// members lists the back ends of a service, in no order.
-func (c *catalog) members(service *api.Service) []member {
+// endpointSpecs lists the engines or backends of a service in unspecified order.
+func (c *catalog) endpointSpecs(service *api.Service) []endpointSpec {
 	if service.Spec.Type != api.ServiceModel {
-		members := make([]member, 0, len(service.Spec.Backends))
+		specs := make([]endpointSpec, 0, len(service.Spec.Backends))
 		for _, backend := range service.Spec.Backends {
-			members = append(members, member{name: backend.Name, address: backend.Address, zone: backend.Zone})
+			specs = append(specs, endpointSpec{name: backend.Name, address: backend.Address, zone: backend.Zone})
 		}
-		return members
+		return specs
 	}
-	members := make([]member, 0, len(c.view.Engines))
+	specs := make([]endpointSpec, 0, len(c.view.Engines))
 	for name, engine := range c.view.Engines {
 		if engine.Spec.Service != service.Name {
 			continue
 		}
-		members = append(members, member{
+		specs = append(specs, endpointSpec{
 			name:    name,
 			address: engine.Spec.Address,
 			zone:    engine.Spec.Zone,
-			group:   c.group(engine),
+			group:   c.engineGroup(engine),
 		})
 	}
-	return members
+	return specs
 }
 
-// group names the engines that can stand in for the engine: those of the same
-// intent in the same role.
-func (c *catalog) group(engine *api.Engine) string {
+// engineGroup returns the name of the engine's group. The engines of one intent and role are
+// interchangeable.
+func (c *catalog) engineGroup(engine *api.Engine) string {
 	intent := ""
-	if selected := c.intents[engine.Name]; selected != nil {
+	if selected := c.intentByEngine[engine.Name]; selected != nil {
 		intent = selected.Name
 	}
 	return intent + "/" + string(engine.Status.Assignment.Role)
 }
 
-// follow makes the lane follow the chosen members: it starts to poll new ones
-// and stops polling those that are gone. What is in flight to these goes on.
-func (l *lane) follow(p *Proxy, members []member) {
-	chosen := l.choose(&p.config, members)
+// updateEndpoints selects the endpoints that the lane uses, starts polling new ones and stops
+// polling those that are no longer selected. Requests in flight to the latter continue.
+func (l *lane) updateEndpoints(p *Proxy, specs []endpointSpec) {
+	selected := l.selectSubset(&p.config, specs)
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	current := *l.endpoints.Load()
-	next := make(map[string]*endpoint, len(chosen))
-	for _, wanted := range chosen {
-		known := current[wanted.name]
-		if known == nil || known.address != wanted.address || known.zone != wanted.zone {
-			known = newEndpoint(wanted.name, wanted.address, wanted.zone, l.kind == api.ServiceModel)
+	next := make(map[string]*endpoint, len(selected))
+	for _, spec := range selected {
+		ep := current[spec.name]
+		if ep == nil || ep.address != spec.address || ep.zone != spec.zone {
+			ep = newEndpoint(spec.name, spec.address, spec.zone, l.kind == api.ServiceModel)
 		}
-		next[wanted.name] = known
+		next[spec.name] = ep
 	}
 	if maps.Equal(current, next) {
 		return
 	}
 	l.endpoints.Store(&next)
-	for name, running := range l.pollers {
-		if next[name] != running.endpoint {
-			running.stop()
+	for name, active := range l.pollers {
+		if next[name] != active.endpoint {
+			active.stop()
 			delete(l.pollers, name)
 		}
 	}
-	for name, followed := range next {
+	for name, target := range next {
 		if l.pollers[name] == nil {
-			l.pollers[name] = p.startPoller(l, followed)
+			l.pollers[name] = p.startPoller(l, target)
 		}
 	}
 }
 
-// choose returns the members that the proxy follows. It is called for each view
-// with every member of the fleet, so it makes no map of them.
-func (l *lane) choose(config *Config, members []member) []member {
-	candidates := make([]subset.Endpoint, len(members))
-	for i := range members {
-		candidates[i] = subset.Endpoint{Name: members[i].name, Zone: members[i].zone, Group: members[i].group}
-	}
-	names := subset.Choose(config.ID, config.Zone, candidates, config.Subset)
-	chosen := make([]member, 0, len(names))
-	for i := range members {
-		if _, wanted := slices.BinarySearch(names, members[i].name); wanted {
-			chosen = append(chosen, members[i])
+// selectSubset returns the specs of the endpoints that the proxy uses. It runs on every view update
+// with all endpoints of the fleet, so it builds no map of them.
+func (l *lane) selectSubset(config *Config, specs []endpointSpec) []endpointSpec {
+	candidates := make([]subset.Endpoint, len(specs))
+	for i := range specs {
+		candidates[i] = subset.Endpoint{Name: specs[i].name, Zone: specs[i].zone, Group: specs[i].group}
+	}
+	names := subset.Choose(config.ID, config.Zone, candidates, config.Subset) // sorted
+	selected := make([]endpointSpec, 0, len(names))
+	for i := range specs {
+		if _, found := slices.BinarySearch(names, specs[i].name); found {
+			selected = append(selected, specs[i])
 		}
 	}
-	return chosen
+	return selected
 }
 
-// close stops the polling and closes what is idle. Requests in flight go on.
+// close stops polling and closes idle connections. Requests in flight continue.
 func (l *lane) close() {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	for _, running := range l.pollers {
-		running.stop()
+	for _, active := range l.pollers {
+		active.stop()
 	}
 	l.pollers = map[string]*poller{}
 	l.pool.Close()
-	l.polls.Close()
+	l.pollPool.Close()
 }
 
-// standing is whether the view may be acted on, and if not, since when.
-type standing struct {
-	catalog  *catalog
-	valid    bool
-	lapsedAt time.Duration // when not valid
-	now      time.Duration
+// viewState is the applied view, whether its lease is valid, and since when it is not.
+type viewState struct {
+	catalog   *catalog
+	valid     bool
+	expiredAt time.Duration // when the expiry was noticed; unused if valid
+	now       time.Duration
 }
 
-// confirmed reports whether work may go to an endpoint with this word: always
-// while the view's lease holds; after that only if it has spoken since.
-func (s *standing) confirmed(word ownWord) bool {
-	return s.valid || (word.heard && word.heardAt > s.lapsedAt)
+// mayUse reports whether requests may be sent to an endpoint that last reported this state: always
+// while the view's lease is valid, afterwards only if it has reported since the expiry.
+func (s *viewState) mayUse(state reportedState) bool {
+	return s.valid || (state.hasReported && state.lastReportAt > s.expiredAt)
 }
 
-// snapshot describes the lane's engines for the router.
-func (l *lane) snapshot(s *standing) router.Snapshot {
+// snapshot returns those of the lane's engines that the view has as routing candidates, sorted by
+// name.
+func (l *lane) snapshot(s *viewState) router.Snapshot {
 	endpoints := *l.endpoints.Load()
 	snapshot := router.Snapshot{Endpoints: make([]*router.Endpoint, 0, len(endpoints))}
-	for name, followed := range endpoints {
+	for name, target := range endpoints {
 		engine := s.catalog.view.Engines[name]
 		if engine == nil {
 			continue
 		}
-		snapshot.Endpoints = append(snapshot.Endpoints, followed.candidate(s, engine))
+		snapshot.Endpoints = append(snapshot.Endpoints, target.candidate(s, engine))
 	}
 	slices.SortFunc(snapshot.Endpoints, func(a, b *router.Endpoint) int {
 		switch {
@@ -199,7 +203,7 @@
 	return snapshot
 }
 
-func (e *endpoint) candidate(s *standing, engine *api.Engine) *router.Endpoint {
+func (e *endpoint) candidate(s *viewState, engine *api.Engine) *router.Endpoint {
 	candidate := &router.Endpoint{
 		Incarnation: engine.Status.Incarnation,
 		Role:        engine.Status.Assignment.Role,
@@ -211,26 +215,26 @@
 		CachedBlocks: func(blocks []uint64) (int, bool) {
 			e.lock.Lock()
 			defer e.lock.Unlock()
-			return e.cache.leading(blocks)
+			return e.cache.cachedPrefix(blocks)
 		},
 	}
-	e.describe(s.now, candidate)
+	e.fillCandidate(s.now, candidate)
 	return candidate
 }
 
-// admits reports whether the engine takes new work by every source: the view,
-// its own word, and a word since the lease lapsed. An incarnation that differs
-// from the committed one means that the view speaks of an earlier life.
-func (e *endpoint) admits(s *standing, engine *api.Engine) bool {
+// admits reports whether the engine takes new work according to all sources: the view, the engine's
+// own reports and, once the view's lease has expired, a report since then. It returns false if the
+// view has an open order for the engine, or describes another incarnation than the engine reports.
+func (e *endpoint) admits(s *viewState, engine *api.Engine) bool {
 	if engine.Spec.Drain || engine.Status.OpenOrder != nil || engine.Status.Phase != api.PhaseServing {
 		return false
 	}
-	word := e.word()
-	if closedPhase(word.phase) {
+	state := e.reported()
+	if refusesNewWork(state.phase) {
 		return false
 	}
-	if word.incarnation != 0 && word.incarnation != engine.Status.Incarnation {
+	if state.incarnation != 0 && state.incarnation != engine.Status.Incarnation {
 		return false
 	}
-	return s.confirmed(word)
+	return s.mayUse(state)
 }
--- a/process/proxy/lanes.go
+++ b/process/proxy/lanes.go
@@ -9,20 +9,21 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
+// sortClasses sorts by priority, lowest first, and name.
 func sortClasses(classes []*api.Class) {
 	slices.SortFunc(classes, func(a, b *api.Class) int {
 		switch {
-		case classBefore(a, b):
+		case lowerPriority(a, b):
 			return -1
-		case classBefore(b, a):
+		case lowerPriority(b, a):
 			return 1
 		}
 		return 0
 	})
 }
 
-// lanes holds the lane of each service. Readers take the map whole; the lock
-// is held only while a new view is taken in.
+// lanes maps service names to lanes. Readers load the immutable map atomically; the lock is held
+// only while a new view is applied.
 type lanes struct {
 	current atomic.Pointer[map[string]*lane]
 	catalog atomic.Pointer[catalog]
@@ -30,53 +31,55 @@
 }
 
 func newLanes() *lanes {
-	made := &lanes{}
-	made.current.Store(&map[string]*lane{})
-	made.catalog.Store(newCatalog(view.New()))
-	return made
+	created := &lanes{}
+	created.current.Store(&map[string]*lane{})
+	created.catalog.Store(newCatalog(view.New()))
+	return created
 }
 
 func (l *lanes) find(service string) *lane { return (*l.current.Load())[service] }
 
-// update takes in the view if it is another than the last one, and returns
-// what it means.
-func (l *lanes) update(p *Proxy, current *view.View) *catalog {
-	known := l.catalog.Load()
-	if known.view == current {
-		return known
+// update applies the view unless it is the last applied one or older, and returns the catalog of the
+// applied view.
+func (l *lanes) update(p *Proxy, latest *view.View) *catalog {
+	applied := l.catalog.Load()
+	if applied.view == latest {
+		return applied
 	}
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	known = l.catalog.Load()
-	if known.view == current || current.Version.Compare(known.view.Version) < 0 {
-		return known
+	applied = l.catalog.Load()
+	if applied.view == latest || latest.Version.Compare(applied.view.Version) < 0 {
+		return applied
 	}
-	p.guard.Follow(current, p.clock())
-	made := newCatalog(current)
-	l.rebuild(p, made)
-	l.catalog.Store(made)
-	return made
+	p.guard.Follow(latest, p.clock()) // learns which requests are quarantined
+	updated := newCatalog(latest)
+	l.rebuild(p, updated)
+	l.catalog.Store(updated)
+	return updated
 }
 
-func (l *lanes) rebuild(p *Proxy, made *catalog) {
+// rebuild keeps the lanes of the services that remain, adds those of new services and closes the
+// others.
+func (l *lanes) rebuild(p *Proxy, updated *catalog) {
 	old := *l.current.Load()
-	next := make(map[string]*lane, len(made.view.Services))
-	for name, service := range made.view.Services {
-		kept := old[name]
-		if kept == nil || kept.kind != service.Spec.Type {
-			kept = newLane(&p.config, service, p.noteForeign)
+	next := make(map[string]*lane, len(updated.view.Services))
+	for name, service := range updated.view.Services {
+		serviceLane := old[name]
+		if serviceLane == nil || serviceLane.kind != service.Spec.Type {
+			serviceLane = newLane(&p.config, service, p.countForeign)
 		}
-		kept.queue.Resize(laneWidth(&p.config, service))
-		next[name] = kept
+		serviceLane.queue.Resize(maxInFlight(&p.config, service))
+		next[name] = serviceLane
 	}
-	p.sharePolls(next)
-	for name, service := range made.view.Services {
-		next[name].follow(p, made.members(service))
+	p.sharePollBudget(next)
+	for name, service := range updated.view.Services {
+		next[name].updateEndpoints(p, updated.endpointSpecs(service))
 	}
 	l.current.Store(&next)
-	for name, dropped := range old {
-		if next[name] != dropped {
-			dropped.close()
+	for name, removed := range old {
+		if next[name] != removed {
+			removed.close()
 		}
 	}
 }
@@ -84,7 +87,7 @@
 func (l *lanes) close() {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	for _, open := range *l.current.Load() {
-		open.close()
+	for _, active := range *l.current.Load() {
+		active.close()
 	}
 }
--- a/process/proxy/poller_test.go
+++ b/process/proxy/poller_test.go
@@ -23,9 +23,10 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
-// TestPollsStayWithinTheirBytes lets 192 pollers share a budget in virtual
-// time: the bytes are bounded, and each poller gets its share of them.
-func TestPollsStayWithinTheirBytes(t *testing.T) {
+// Pollers that share a budget stay within it and each get an equal share. The test runs in virtual
+// time with 192 pollers, more than a proxy usually polls, and 7000 bytes per second, the default
+// budget.
+func TestPollersShareBudgetEqually(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const pollers, perSecond, pollBytes, window = 192, 7000, 1000, 10 * time.Minute
 		budget := &pollBudget{}
@@ -48,14 +49,14 @@
 		for _, count := range counts {
 			total += count
 		}
-		allowed := int(perSecond * (window + pollBurst).Seconds())
+		allowed := int(perSecond * (window + pollBurstWindow).Seconds())
 		must.LessEq(t, allowed+pollers*pollBytes, total*pollBytes)
 		must.GreaterEq(t, allowed*9/10, total*pollBytes)
 		must.LessEq(t, slices.Min(counts)+2, slices.Max(counts))
 	})
 }
 
-// countingListener counts the bytes of all its connections.
+// countingListener counts the bytes sent and received on its connections.
 type countingListener struct {
 	net.Listener
 	bytes atomic.Int64
@@ -83,8 +84,8 @@
 	return count, err
 }
 
-// largeFleet is a view of count stand-in engines that share one address, at which
-// nobody is named: a report that names another engine counts for nothing.
+// largeFleet returns a view of the given number of engines, all of which one fake engine serves. The
+// load reports name no engine, because the proxy ignores a report that names another engine.
 func largeFleet(tb testing.TB, count int) (*view.View, *countingListener) {
 	tb.Helper()
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -101,138 +102,137 @@
 	server.Listener = counting
 	server.Start()
 	tb.Cleanup(server.Close)
-	made := newView(nil, nil)
+	fleetView := newView(nil, nil)
 	for i := range count {
 		name := fmt.Sprintf("engine-%05d", i)
-		made.Engines[name] = &api.Engine{Metadata: api.Metadata{Name: name},
+		fleetView.Engines[name] = &api.Engine{Metadata: api.Metadata{Name: name},
 			Spec: api.EngineSpec{Address: counting.Addr().String(), Zone: fmt.Sprint("zone-", i%5), Service: "narrator"},
 			Status: api.EngineStatus{Phase: api.PhaseServing, Incarnation: 11,
 				Assignment: api.Assignment{Model: "llm", Version: "1", Role: api.RoleMixed}}}
 	}
-	return made, counting
+	return fleetView, counting
 }
 
-func startPolling(tb testing.TB, config Config, current *view.View) (*Proxy, *fixedViews) {
+func startPollingProxy(tb testing.TB, config Config, current *view.View) (*Proxy, *fixedViews) {
 	tb.Helper()
 	views := &fixedViews{}
 	views.view.Store(current)
-	begin := time.Now()
-	made := New(config, views, newFakeControl(), func() time.Duration { return time.Since(begin) }, log.NewNopLogger())
-	tb.Cleanup(made.Close)
-	made.standing()
-	return made, views
+	started := time.Now()
+	proxy := New(config, views, newFakeControl(), func() time.Duration { return time.Since(started) }, log.NewNopLogger())
+	tb.Cleanup(proxy.Close)
+	proxy.viewState()
+	return proxy, views
 }
 
-// TestSilenceIsFoundWithoutBytes follows an engine that is gone with a budget
-// for two polls.
-func TestSilenceIsFoundWithoutBytes(t *testing.T) {
-	gone := newFakeEngine(t, "e1", 11)
-	gone.server.Close()
-	config := quick()
+// An engine that is down becomes suspect although the budget of one byte per second allows only the
+// two polls with which it starts.
+func TestDownEngineIsDetectedOnExhaustedPollBudget(t *testing.T) {
+	stopped := newFakeEngine(t, "e1", 11)
+	stopped.server.Close()
+	config := fastConfig()
 	config.Limits.PollBytes = 1
-	f := start(t, config, []*fakeEngine{gone})
-	eventually(t, func() bool { return f.endpoint("narrator", "e1").suspected(f.proxy.clock()) })
+	f := startFleet(t, config, []*fakeEngine{stopped})
+	eventually(t, func() bool { return f.endpoint("narrator", "e1").isSuspect(f.proxy.clock()) })
 }
 
-// TestLateReportDoesNotReopen: a report that may be older than the word that
-// the engine leaves does not count, a newer one does.
-func TestLateReportDoesNotReopen(t *testing.T) {
-	one := newEndpoint("e1", "", "", true)
+// A load report that may be older than the last report of a draining engine must not mark the engine
+// as serving again; a newer one does.
+func TestStaleLoadReportDoesNotEndDraining(t *testing.T) {
+	target := newEndpoint("e1", "", "", true)
 	serving := engineapi.Load{Phase: api.PhaseServing, AgeMilliseconds: 300}
-	one.report(0, time.Second, serving)
-	one.hear(spokenWord{said: time.Second, now: 2 * time.Second, phase: api.PhaseDraining})
-	one.report(1900*time.Millisecond, 2100*time.Millisecond, serving) // asked before
-	must.Eq(t, api.PhaseDraining, one.word().phase)
-	one.report(2200*time.Millisecond, 2300*time.Millisecond, serving) // measured before
-	must.Eq(t, api.PhaseDraining, one.word().phase)
-	one.report(2300*time.Millisecond, 2400*time.Millisecond, serving)
-	must.Eq(t, api.PhaseServing, one.word().phase)
+	target.recordLoad(0, time.Second, serving)
+	target.recordState(stateReport{asOf: time.Second, now: 2 * time.Second, phase: api.PhaseDraining})
+	target.recordLoad(1900*time.Millisecond, 2100*time.Millisecond, serving) // requested before the engine drained
+	must.Eq(t, api.PhaseDraining, target.reported().phase)
+	target.recordLoad(2200*time.Millisecond, 2300*time.Millisecond, serving) // measured before the engine drained
+	must.Eq(t, api.PhaseDraining, target.reported().phase)
+	target.recordLoad(2300*time.Millisecond, 2400*time.Millisecond, serving)
+	must.Eq(t, api.PhaseServing, target.reported().phase)
 }
 
-// TestReturningEngineIsFoundWithoutBytes drains an engine and lets it serve
-// again with a budget for two polls.
-func TestReturningEngineIsFoundWithoutBytes(t *testing.T) {
+// A drained engine that serves again is noticed although the budget of one byte per second allows
+// only the two polls with which it starts.
+func TestReturningEngineIsDetectedOnExhaustedPollBudget(t *testing.T) {
 	engine := newFakeEngine(t, "e1", 11)
 	engine.setPhase(api.PhaseDraining)
-	config := quick()
+	config := fastConfig()
 	config.Limits.PollBytes = 1
-	f := start(t, config, []*fakeEngine{engine})
-	phase := func() api.EnginePhase { return f.endpoint("narrator", "e1").word().phase }
+	f := startFleet(t, config, []*fakeEngine{engine})
+	phase := func() api.EnginePhase { return f.endpoint("narrator", "e1").reported().phase }
 	eventually(t, func() bool { return phase() == api.PhaseDraining })
-	time.Sleep(5 * config.Intervals.Load) // the budget is used up
+	time.Sleep(5 * config.Intervals.Load) // exhaust the budget
 	engine.setPhase(api.PhaseServing)
 	eventually(t, func() bool { return phase() == api.PhaseServing })
 }
 
-// TestWireBytesAreThoseOfTheConnection compares what is charged with what one
-// kept connection has carried.
-func TestWireBytesAreThoseOfTheConnection(t *testing.T) {
+// The bytes charged for a poll match the bytes measured on a keep-alive connection.
+func TestWireBytesMatchConnection(t *testing.T) {
 	current, counting := largeFleet(t, 1)
-	config := quick()
+	config := fastConfig()
 	config.Intervals.Load = time.Minute
-	made, _ := startPolling(t, config, current)
-	followed := made.lanes.find("narrator")
-	eventually(t, func() bool { return (*followed.endpoints.Load())["engine-00000"].word().heard })
+	proxy, _ := startPollingProxy(t, config, current)
+	narrator := proxy.lanes.find("narrator")
+	eventually(t, func() bool { return (*narrator.endpoints.Load())["engine-00000"].reported().hasReported })
 	budget := &pollBudget{}
 	budget.resize(1 << 20)
-	one := &poller{proxy: made, lane: followed, endpoint: (*followed.endpoints.Load())["engine-00000"]}
+	p := &poller{proxy: proxy, lane: narrator, endpoint: (*narrator.endpoints.Load())["engine-00000"]}
 	before := counting.bytes.Load()
 	const polls = 50
 	for range polls {
 		budget.limiter.ReserveN(time.Now(), typicalPollBytes)
 		var load engineapi.Load
-		_, err := one.get(context.Background(), budget, engineapi.PathLoad, &load)
+		_, err := p.getJSON(context.Background(), budget, engineapi.PathLoad, &load)
 		must.NoError(t, err)
 	}
 	wire := float64(counting.bytes.Load()-before) / polls
 	request, _ := http.NewRequest(http.MethodGet, "http://"+counting.Addr().String()+engineapi.PathLoad, nil)
 	request.Header.Set(engineapi.HeaderRequestID, newPollIdentity().RequestID)
-	header, _ := one.get(context.Background(), budget, engineapi.PathLoad, &engineapi.Load{})
+	header, _ := p.getJSON(context.Background(), budget, engineapi.PathLoad, &engineapi.Load{})
 	body := 0
 	_, _ = fmt.Sscan(header.Get("Content-Length"), &body)
 	must.Between(t, 0.97*wire, float64(wireBytes(request, header, body)), 1.03*wire)
 }
 
-func names(l *lane) map[string]bool {
-	followed := map[string]bool{}
+func endpointNames(l *lane) map[string]bool {
+	names := map[string]bool{}
 	for name := range *l.endpoints.Load() {
-		followed[name] = true
+		names[name] = true
 	}
-	return followed
+	return names
 }
 
-// TestSubsetMovesOn follows six of sixty engines, four of the own zone, and
-// routes over these alone. When one leaves the fleet, one other takes its place.
-func TestSubsetMovesOn(t *testing.T) {
+// A proxy uses six of sixty engines, four of them in its own zone, and routes only to these. When one
+// of them leaves the fleet, exactly one other replaces it.
+func TestSubsetReplacesRemovedEngine(t *testing.T) {
 	current, _ := largeFleet(t, 60)
-	config := quick()
+	config := fastConfig()
 	config.Zone = "zone-0"
 	config.Subset = subset.Sizes{Local: 4, Remote: 2}
-	made, views := startPolling(t, config, current)
-	lane := made.lanes.find("narrator")
-	before := names(lane)
+	proxy, views := startPollingProxy(t, config, current)
+	lane := proxy.lanes.find("narrator")
+	before := endpointNames(lane)
 	must.MapLen(t, 6, before)
 	local := 0
-	left := ""
+	removed := ""
 	for name := range before {
 		if current.Engines[name].Spec.Zone == "zone-0" {
 			local++
-			left = name
+			removed = name
 		}
 	}
 	must.Eq(t, 4, local)
-	s := made.standing()
+	s := proxy.viewState()
 	must.Len(t, 6, lane.snapshot(&s).Endpoints)
 
 	next, _ := largeFleet(t, 60)
 	for name, engine := range next.Engines {
 		engine.Spec.Address = current.Engines[name].Spec.Address
 	}
-	delete(next.Engines, left)
+	delete(next.Engines, removed)
 	next.Version.Revision = 2
 	views.view.Store(next)
-	made.standing()
-	after := names(lane)
+	proxy.viewState()
+	after := endpointNames(lane)
 	must.MapLen(t, 6, after)
 	kept := 0
 	for name := range after {
@@ -241,23 +241,23 @@
 		}
 	}
 	must.Eq(t, 5, kept)
-	must.False(t, after[left])
+	must.False(t, after[removed])
 	must.MapLen(t, 6, lane.pollers)
 }
 
-func TestTodaysEnginesAreAllFollowed(t *testing.T) {
+func TestSmallFleetIsPolledCompletely(t *testing.T) {
 	current, _ := largeFleet(t, 9)
-	made, _ := startPolling(t, quick(), current)
-	must.MapLen(t, 9, names(made.lanes.find("narrator")))
+	proxy, _ := startPollingProxy(t, fastConfig(), current)
+	must.MapLen(t, 9, endpointNames(proxy.lanes.find("narrator")))
 }
 
-// BenchmarkPolling measures polling of 2,000 replicas, whole and as a proxy
-// does it by default. The processor time includes the stand-ins' answers.
+// BenchmarkPolling measures the cost of polling 2,000 engines: all of them, a subset, and a subset
+// with the default budget. The processor time includes that of the fake engines.
 func BenchmarkPolling(b *testing.B) {
-	const replicas, settle = 2000, 5 * time.Second
+	const engineCount, settleTime = 2000, 5 * time.Second
 	cases := map[string]func(*Config){
 		"whole": func(c *Config) {
-			c.Subset, c.Limits.PollBytes = subset.Sizes{Local: replicas, Remote: replicas}, 1<<30
+			c.Subset, c.Limits.PollBytes = subset.Sizes{Local: engineCount, Remote: engineCount}, 1<<30
 		},
 		"subset":           func(c *Config) { c.Limits.PollBytes = 1 << 30 },
 		"subset_and_bytes": func(*Config) {},
@@ -266,12 +266,12 @@
 		b.Run(name, func(b *testing.B) {
 			config := Config{ID: "proxy-1", Zone: "zone-0"}
 			change(&config)
-			current, counting := largeFleet(b, replicas)
-			_, _ = startPolling(b, config, current)
-			time.Sleep(settle)
+			current, counting := largeFleet(b, engineCount)
+			_, _ = startPollingProxy(b, config, current)
+			time.Sleep(settleTime)
 			bytes, busy, began := counting.bytes.Load(), processorTime(b), time.Now()
 			for b.Loop() {
-				time.Sleep(settle)
+				time.Sleep(settleTime)
 			}
 			seconds := time.Since(began).Seconds()
 			b.ReportMetric(float64(counting.bytes.Load()-bytes)/seconds, "bytes/s")
@@ -287,16 +287,16 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// BenchmarkView measures taking in a view that changes one of 10,000 engines.
+// BenchmarkView measures applying a new view of 10,000 engines.
 func BenchmarkView(b *testing.B) {
 	current, _ := largeFleet(b, 10_000)
 	config := Config{ID: "proxy-1", Zone: "zone-0"}
 	config.Intervals.View = time.Hour
-	made, views := startPolling(b, config, current)
+	proxy, views := startPollingProxy(b, config, current)
 	for b.Loop() {
 		next := *current
-		next.Version.Revision = made.standing().catalog.view.Version.Revision + 1
+		next.Version.Revision = proxy.viewState().catalog.view.Version.Revision + 1
 		views.view.Store(&next)
-		made.standing()
+		proxy.viewState()
 	}
 }
--- a/process/proxy/proxy.go
+++ b/process/proxy/proxy.go
@@ -1,5 +1,20 @@
-// Package proxy is the daemon beside the callers: it takes their requests,
-// decides by the view where each goes, and sees it through to one final answer.
+// Package proxy implements the sidecar proxy that runs next to the callers. It accepts their
+// requests, routes each by its view to an engine or backend, and handles retries and stream
+// resumption until the caller has one final response.
+//
+// The terms of the package:
+//   - The control group is the set of replicated control processes. The proxy receives its state
+//     over the feed. A view is one version of that state; its lease limits how long the proxy may
+//     rely on it without hearing from the control group.
+//   - An engine runs a model. A plain backend is any other HTTP server behind the proxy. Endpoint
+//     stands for either.
+//   - An incarnation is one run of an engine process: a restarted engine keeps its name and has a
+//     new incarnation. The phase of an engine says whether it serves, drains or leaves.
+//   - An intent assigns a model to the engines that it selects and names the classes that they
+//     serve. A class sets the priority, deadline and queue limits of its requests.
+//   - Ran, the run state of a request, tells its caller whether the request ran on an engine or
+//     backend: "yes", "no" or "unknown".
+//   - A planned stop is a graceful shutdown.
 package proxy
 
 import (
@@ -23,19 +38,23 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
-// Views is the version of the replicated state that the proxy acts on.
+// Views provides the view: the version of the replicated state that the proxy acts on.
 type Views interface {
-	// Load returns the view in force.
+	// Load returns the latest view. It must not be nil, even before the first view has arrived.
 	Load() *view.View
-	// Valid reports whether the view lease covers now, read from the clock
-	// that the views were given.
+	// Valid reports whether the view lease is valid at now, a reading of the clock that the
+	// Views was created with.
 	Valid(now time.Duration) bool
 }
 
-// Control is the control group as the proxy uses it.
+// Control is the proxy's client of the control group.
 type Control interface {
+	// Claim requests the permission to run an at-most-once request. feed.ErrNoQuorum means that
+	// the claim was certainly not committed, feed.ErrOutcomeUnknown that it may have been.
 	Claim(ctx context.Context, request state.ClaimRequest) (api.ClaimResult, error)
+	// RecordOutcome records the outcome of a claimed run. It may be repeated.
 	RecordOutcome(ctx context.Context, outcome state.RunOutcome) error
+	// ReportDemand sends the report. It returns false if the report was dropped.
 	ReportDemand(report feed.DemandReport) bool
 	guard.Reporter
 }
@@ -48,117 +67,120 @@
 	control Control
 	clock   func() time.Duration
 
-	guard   *guard.Guard
-	lanes   *lanes
-	buckets *limit.Buckets
-	answers *router.AnswerLengths
-	router  *router.Router
-	running *inFlight
-	demand  *demandWindow
-	metrics *metrics
-	// owed has the records that are not confirmed yet, *state.RunOutcome by
-	// claimKey, of requests that were surely not run.
-	owed sync.Map
-	// modelBodies and backendBodies bound the memory of request bodies.
+	guard         *guard.Guard // finds requests that crash engines
+	lanes         *lanes
+	buckets       *limit.Buckets        // rate limits of tenants
+	answerLengths *router.AnswerLengths // learned response lengths by class
+	router        *router.Router
+	inFlight      *inFlight
+	demand        *demandWindow // not yet reported
+	metrics       *metrics
+	// pendingOutcomes maps claimKey to *state.RunOutcome. It holds the outcomes of requests that
+	// certainly did not run, until the control group confirms that it has recorded them.
+	pendingOutcomes sync.Map
+	// modelBodies and backendBodies limit the memory used by request bodies.
 	modelBodies   bodyBudget
 	backendBodies bodyBudget
 
-	// lapsed is when the view lease was first seen lapsed; 0 while it holds.
-	lapsed atomic.Int64
-	// stopping is set once answers must ask callers to close connections.
+	// expiredAt is when the proxy noticed that the view lease had expired, in nanoseconds by its
+	// clock; 0 while the lease is valid.
+	expiredAt atomic.Int64
+	// stopping is set once responses must ask callers to close their connections.
 	stopping atomic.Bool
-	// cutAt is when a planned stop ends what is still in flight, 0 where nothing is cut.
-	cutAt atomic.Int64
+	// drainDeadline is when a planned stop aborts the requests that are still in flight, in
+	// nanoseconds by the proxy's clock; 0 while none is under way or if it has no drain limit.
+	drainDeadline atomic.Int64
 
-	instance uint64 // drawn anew at each start
+	startID  uint64 // random for each start, so that request IDs do not repeat after a restart
 	sequence atomic.Uint64
-	// background bounds the tasks that no request waits for.
+	// background is the context of tasks that outlive requests.
 	background context.Context
 	stop       context.CancelFunc
 	tasks      sync.WaitGroup
 }
 
-// New returns a proxy over the views and the control group. clock must be the
-// one that the views' lease counts by. Close ends it.
+// New returns a proxy and starts its background tasks; Serve makes it listen. It does not check the
+// config. clock must be the clock by which the view lease expires. Call Close to stop the proxy.
 func New(config Config, views Views, control Control, clock func() time.Duration, logger log.Logger) *Proxy {
 	config = config.withDefaults()
-	made := &Proxy{
-		config:   config,
-		logger:   logger,
-		views:    views,
-		control:  control,
-		clock:    clock,
-		guard:    guard.New(""),
-		lanes:    newLanes(),
-		buckets:  limit.NewBuckets(),
-		answers:  router.NewAnswerLengths(),
-		router:   router.New(router.Config{Speed: config.Speed}),
-		running:  newInFlight(),
-		demand:   newDemandWindow(),
-		metrics:  newMetrics(),
-		instance: rand.Uint64(),
+	p := &Proxy{
+		config:        config,
+		logger:        logger,
+		views:         views,
+		control:       control,
+		clock:         clock,
+		guard:         guard.New(""), // no name, since this proxy tries no quarantined requests
+		lanes:         newLanes(),
+		buckets:       limit.NewBuckets(),
+		answerLengths: router.NewAnswerLengths(),
+		router:        router.New(router.Config{Speed: config.Speed}),
+		inFlight:      newInFlight(),
+		demand:        newDemandWindow(),
+		metrics:       newMetrics(),
+		startID:       rand.Uint64(),
 	}
-	made.guard.SetReporter(control)
-	made.modelBodies.limit = config.Limits.HeldBytes
-	made.backendBodies.limit = config.Limits.HeldBytes
-	made.metrics.watch(made)
-	made.background, made.stop = context.WithCancel(context.Background())
-	made.tasks.Go(made.followViews)
-	made.tasks.Go(made.reportDemand)
-	return made
+	p.guard.SetReporter(control)
+	p.modelBodies.limit = config.Limits.HeldBytes
+	p.backendBodies.limit = config.Limits.HeldBytes
+	p.metrics.registerViewGauges(p)
+	p.background, p.stop = context.WithCancel(context.Background())
+	p.tasks.Go(p.watchViews)
+	p.tasks.Go(p.reportDemand)
+	return p
 }
 
-// Close ends the background work and waits for it. Requests must have ended.
+// Close stops the background tasks and waits for them. All requests must have ended before.
 func (p *Proxy) Close() {
 	p.stop()
 	p.lanes.close()
 	p.tasks.Wait()
-	p.lanes.close()
+	p.lanes.close() // a task may have added lanes or pollers after the first close
 }
 
-// followViews takes in each new view even when no request comes.
-func (p *Proxy) followViews() {
+// watchViews applies new views periodically, so that they also take effect while there are no
+// requests.
+func (p *Proxy) watchViews() {
 	for {
-		p.standing()
+		p.viewState()
 		if !pause.Sleep(p.background, p.config.Intervals.View) {
 			return
 		}
 	}
 }
 
-// standing returns the view's meaning and whether it may be acted on now. It
-// must be asked again after any wait.
-func (p *Proxy) standing() standing {
-	known := p.lanes.update(p, p.views.Load())
+// viewState applies the latest view and returns it with the validity of its lease. The result must
+// not be used after blocking: request it again.
+func (p *Proxy) viewState() viewState {
+	current := p.lanes.update(p, p.views.Load())
 	now := p.clock()
 	if p.views.Valid(now) {
-		p.noteConfirmed(known.view)
-		return standing{catalog: known, valid: true, now: now}
+		p.recordLeaseValid(current.view)
+		return viewState{catalog: current, valid: true, now: now}
 	}
-	p.noteLapsed(known.view, now)
-	return standing{catalog: known, lapsedAt: time.Duration(p.lapsed.Load()), now: now}
+	p.recordLeaseExpired(current.view, now)
+	return viewState{catalog: current, expiredAt: time.Duration(p.expiredAt.Load()), now: now}
 }
 
-// noteConfirmed ends a lapse.
-func (p *Proxy) noteConfirmed(current *view.View) {
-	if p.lapsed.Load() != 0 && p.lapsed.Swap(0) != 0 {
+// recordLeaseValid logs that the lease is valid again and resets expiredAt.
+func (p *Proxy) recordLeaseValid(current *view.View) {
+	if p.expiredAt.Load() != 0 && p.expiredAt.Swap(0) != 0 {
 		event.ProxyViewConfirmed.Log(p.logger, "revision", current.Version.Revision)
 	}
 }
 
-// noteLapsed keeps when the lapse was first seen. A proxy that has had no view
-// yet has lost none.
-func (p *Proxy) noteLapsed(current *view.View, now time.Duration) {
-	if p.lapsed.CompareAndSwap(0, int64(max(now, 1))) && !current.Version.IsZero() {
+// recordLeaseExpired sets expiredAt when the lease expires. It logs the expiry unless the proxy has
+// not received a view yet.
+func (p *Proxy) recordLeaseExpired(current *view.View, now time.Duration) {
+	if p.expiredAt.CompareAndSwap(0, int64(max(now, 1))) && !current.Version.IsZero() {
 		event.ProxyViewLapsed.Log(p.logger, "revision", current.Version.Revision)
 	}
 }
 
-// refuseLost returns the refusal of a request whose service may not be served
-// without the control group, or nil.
-func (p *Proxy) refuseLost(s *standing, kind api.ServiceType) *failure {
+// refuseWithoutControl returns the failure of a request whose type of service must not be served now,
+// since the proxy has no view yet or the view lease has expired, or nil if it may be served.
+func (p *Proxy) refuseWithoutControl(s *viewState, kind api.ServiceType) *failure {
 	if s.catalog.view.Version.IsZero() {
-		return unavailable(codeControlLost, "no view of the fleet yet", time.Second)
+		return unavailableFailure(codeControlLost, "no view of the fleet yet", time.Second)
 	}
 	policy := p.config.OnControlLoss.Backend
 	if kind == api.ServiceModel {
@@ -167,25 +189,26 @@
 	if s.valid || policy == LossServe {
 		return nil
 	}
-	return unavailable(codeControlLost, "the view of the fleet has not been confirmed for its lease", time.Second)
+	return unavailableFailure(codeControlLost, "the view of the fleet has not been confirmed for its lease", time.Second)
 }
 
-// newID names a request so that no other request of any proxy has the name.
+// newID returns a request ID that is unique among the requests of all proxies.
 func (p *Proxy) newID() string {
 	buffer := make([]byte, 0, len(p.config.ID)+32)
 	buffer = append(buffer, p.config.ID...)
 	buffer = append(buffer, '-')
-	buffer = strconv.AppendUint(buffer, p.instance, 36)
+	buffer = strconv.AppendUint(buffer, p.startID, 36)
 	buffer = append(buffer, '-')
 	buffer = strconv.AppendUint(buffer, p.sequence.Add(1), 36)
 	return string(buffer)
 }
 
-// newRandom returns a generator for one request.
+// newRandom returns a random number generator for one request.
 func newRandom() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
-// noteForeign tells of an answer that was not its request's.
-func (p *Proxy) noteForeign(address string, cause error) {
+// countForeign counts and logs a foreign response: one that does not belong to the request it arrived
+// for.
+func (p *Proxy) countForeign(address string, cause error) {
 	p.metrics.foreign.Inc()
 	event.ProxyForeignAnswer.Log(p.logger, "address", address, "err", cause)
 }
--- a/process/proxy/quarantine.go
+++ b/process/proxy/quarantine.go
@@ -16,59 +16,62 @@
 	"github.com/landingtrail/landingtrail/request/quarantine"
 )
 
-// running is where a model request is at work now, or was last.
-type running struct {
+// lastDispatch describes the last dispatch of a model request to an engine.
+type lastDispatch struct {
 	target      *endpoint
-	incarnation uint64
-	sentAt      time.Duration
-	events      int
+	incarnation uint64        // 0 if unknown
+	sentAt      time.Duration // reading of the proxy's clock
+	events      int           // stream events received
 }
 
-// instance names an engine's incarnation: the engine comes back under its own name.
-func instance(engine string, incarnation uint64) string {
+// replicaName returns a name for the engine's incarnation, which the guard calls a replica, since a
+// restarted engine keeps its own name.
+func replicaName(engine string, incarnation uint64) string {
 	return engine + "/" + strconv.FormatUint(incarnation, 16)
 }
 
-// fingerprint names the request by what it is; its ID is new each time it comes.
-func (c *call) fingerprint() quarantine.Fingerprint {
-	if c.named == nil {
-		named := quarantine.Of(quarantine.Identity{
-			Method: http.MethodPost, Path: c.parsed.path, Caller: c.envelope.tenant, Body: c.parsed.body,
+// fingerprint returns a hash of the request's content, which identifies it across resends; its ID
+// is new for each.
+func (c *modelCall) fingerprint() quarantine.Fingerprint {
+	if c.cachedFingerprint == nil {
+		computed := quarantine.Of(quarantine.Identity{
+			Method: http.MethodPost, Path: c.parsed.path, Caller: c.headers.tenant, Body: c.parsed.body,
 		})
-		c.named = &named
+		c.cachedFingerprint = &computed
 	}
-	return *c.named
+	return *c.cachedFingerprint
 }
 
-// noteBroken notes that an engine's connection broke while it was at work on the request,
-// as it does when the engine ends. An engine that never said which incarnation it is cannot
-// be told from the one that comes after it, and is left out.
-func (c *call) noteBroken(ctx context.Context, err error) {
-	at := &c.running
-	if ctx.Err() != nil || at.target == nil || !isBroken(err) {
+// reportBroken reports to the guard that the engine's connection broke while it processed the
+// request, as it does when the engine crashes. An engine that never reported its incarnation is
+// ignored, since it cannot be distinguished from the engine after a restart.
+func (c *modelCall) reportBroken(ctx context.Context, err error) {
+	last := &c.lastDispatch
+	if ctx.Err() != nil || last.target == nil || !isConnectionBroken(err) {
 		return
 	}
-	if at.incarnation == 0 {
-		at.incarnation = at.target.word().incarnation
+	if last.incarnation == 0 {
+		last.incarnation = last.target.reported().incarnation
 	}
-	if at.incarnation == 0 {
+	if last.incarnation == 0 {
 		return
 	}
 	now := c.proxy.clock()
-	c.ended++
-	name := instance(at.target.name, at.incarnation)
-	event.ProxyRunBroken.Log(c.proxy.logger, "request", c.id, "fingerprint", c.fingerprint(), "class", c.envelope.class,
-		"engine", name, "after_ms", (now - at.sentAt).Milliseconds(), "events", at.events, "err", err)
-	at.target.noteEnd(now, at.incarnation)
+	c.crashedEngines++
+	replica := replicaName(last.target.name, last.incarnation)
+	event.ProxyRunBroken.Log(c.proxy.logger, "request", c.id, "fingerprint", c.fingerprint(), "class", c.headers.class,
+		"engine", replica, "after_ms", (now - last.sentAt).Milliseconds(), "events", last.events, "err", err)
+	last.target.recordSuspectedCrash(now, last.incarnation)
+	// Once: the replica is one incarnation, which can crash only once.
 	c.proxy.guard.NoteCrash(now, quarantine.Evidence{
-		Fingerprint: c.fingerprint(), Replica: name, Began: at.events > 0, Ran: now - at.sentAt, Once: true,
-		About: quarantine.About{Service: c.lane.service, Route: c.envelope.class, Request: c.id},
+		Fingerprint: c.fingerprint(), Replica: replica, Began: last.events > 0, Ran: now - last.sentAt, Once: true,
+		About: quarantine.About{Service: c.lane.service, Route: c.headers.class, Request: c.id},
 	})
 }
 
-// isBroken reports whether a connection was closed or reset by the other side. What the
-// engine says itself, and silence, are other faults.
-func isBroken(err error) bool {
+// isConnectionBroken reports whether the error means that the peer closed or reset the connection.
+// Errors that the engine reports itself and timeouts do not count.
+func isConnectionBroken(err error) bool {
 	if errors.Is(err, upstream.ErrForeign) || errors.Is(err, upstream.ErrMalformed) || errors.Is(err, upstream.ErrEngine) {
 		return false
 	}
@@ -80,67 +83,74 @@
 	return false
 }
 
-// noteLife tells of an engine that seemed to have ended and has answered what was asked
-// after that.
-func (p *Proxy) noteLife(heard *endpoint, asked time.Duration) {
-	if incarnation, refuted := heard.refutesEnd(asked); refuted {
-		p.guard.NoteAlive(p.clock(), quarantine.Alive{Replica: instance(heard.name, incarnation), For: quarantine.Ever})
+// reportAlive tells the guard that an engine which appeared to have crashed has responded to a
+// request that was sent to it afterwards, whether this proxy or another one reported the crash.
+func (p *Proxy) reportAlive(target *endpoint, sentAt time.Duration) {
+	if incarnation, refuted := target.resolveSuspectedCrash(sentAt); refuted {
+		p.guard.NoteAlive(p.clock(), quarantine.Alive{Replica: replicaName(target.name, incarnation), For: quarantine.Ever})
 	}
-	if name := instance(heard.name, heard.word().incarnation); p.guard.Active() && p.guard.RefutesCrash(name, asked) {
-		p.guard.NoteAlive(p.clock(), quarantine.Alive{Replica: name, For: quarantine.Ever})
+	// Another proxy may have reported the crash.
+	if replica := replicaName(target.name, target.reported().incarnation); p.guard.Active() && p.guard.RefutesCrash(replica, sentAt) {
+		p.guard.NoteAlive(p.clock(), quarantine.Alive{Replica: replica, For: quarantine.Ever})
 	}
 }
 
-// held reports whether the request is to go to no engine, and for how long. What has ended
-// enough of them by itself, or one of as many, does not wait for the group's word.
-func (c *call) held() (rest time.Duration, held bool) {
-	if c.ended >= quarantine.CondemningEnds || c.ended > 0 && c.proxy.guard.HasManyCrashes(c.proxy.clock(), c.fingerprint()) {
+// quarantined reports whether the request is quarantined, that is must not be sent to any engine, and
+// for how long. It is so before the control group decides if CondemningEnds engines crashed during
+// this call, or if at least one did and EndsMany finds enough crashes for the fingerprint.
+func (c *modelCall) quarantined() (remaining time.Duration, isQuarantined bool) {
+	if c.crashedEngines >= quarantine.CondemningEnds || c.crashedEngines > 0 && c.proxy.guard.HasManyCrashes(c.proxy.clock(), c.fingerprint()) {
 		return guard.MinHold, true
 	}
 	if !c.proxy.guard.Active() {
 		return 0, false
 	}
-	return c.proxy.guard.CheckHold(c.proxy.clock(), time.Now(), c.fingerprint(), nil)
+	return c.proxy.guard.CheckHold(c.proxy.clock(), time.Now(), c.fingerprint(), nil) // no owner: no request is tried
 }
 
-// refuseHeld returns the refusal of a request under which engines end, nil for any other.
-func (c *call) refuseHeld() *failure {
-	rest, held := c.held()
-	if !held {
+// refuseQuarantined returns the failure of a request that is quarantined because engines crashed
+// while processing it, or nil for any other.
+func (c *modelCall) refuseQuarantined() *failure {
+	remaining, isQuarantined := c.quarantined()
+	if !isQuarantined {
 		return nil
 	}
 	c.proxy.metrics.held.Inc()
-	event.ProxyRequestHeld.Log(c.proxy.logger, "request", c.id, "fingerprint", c.fingerprint(), "class", c.envelope.class,
-		"rest_ms", rest.Milliseconds())
-	failed := unavailable(codeQuarantined, "engines ended under this request; it is held", rest)
+	event.ProxyRequestHeld.Log(c.proxy.logger, "request", c.id, "fingerprint", c.fingerprint(), "class", c.headers.class,
+		"rest_ms", remaining.Milliseconds())
+	failed := unavailableFailure(codeQuarantined, "engines ended under this request; it is held", remaining)
 	failed.final = true
 	return failed
 }
 
-// noteServed clears a request that was answered whole, if anything speaks against it.
-func (c *call) noteServed() {
-	// Named is also one that met its first end itself: no one else knows of it yet.
-	if c.named != nil || c.proxy.guard.Active() {
+// reportServed tells the guard that the request got a complete response, so that earlier crashes no
+// longer count against it.
+func (c *modelCall) reportServed() {
+	// c.cachedFingerprint is also set if an engine crashed during this call, which the guard of
+	// this proxy may be the only one to know.
+	if c.cachedFingerprint != nil || c.proxy.guard.Active() {
 		c.proxy.guard.NoteServed(c.proxy.clock(), c.fingerprint())
 	}
 }
 
-// noteEnd notes that the engine's incarnation seems to have ended.
-func (e *endpoint) noteEnd(now time.Duration, incarnation uint64) {
+// recordSuspectedCrash records that the engine's incarnation appears to have crashed.
+func (e *endpoint) recordSuspectedCrash(now time.Duration, incarnation uint64) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
-	e.endedAt, e.endedIncarnation = max(now, 1), incarnation
+	e.suspectedCrashAt, e.suspectedCrashIncarnation = max(now, 1), incarnation // a time of 0 means no suspected crash
 }
 
-// refutesEnd reports whether an answer to what was asked then is by the incarnation that
-// seemed to have ended; once for each time. One that came after it ends the question.
-func (e *endpoint) refutesEnd(asked time.Duration) (incarnation uint64, refuted bool) {
+// resolveSuspectedCrash checks a suspected crash against a response to a request sent at sentAt. It
+// reports whether the response refutes the crash because it comes from the same incarnation. A
+// response to a request sent after the crash clears the suspicion, also if it comes from a new
+// incarnation, so each crash is refuted at most once.
+func (e *endpoint) resolveSuspectedCrash(sentAt time.Duration) (incarnation uint64, refuted bool) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
-	if e.endedAt == 0 || asked <= e.endedAt || e.incarnation == 0 {
+	if e.suspectedCrashAt == 0 || sentAt <= e.suspectedCrashAt || e.incarnation == 0 {
 		return 0, false
 	}
-	incarnation, refuted = e.endedIncarnation, e.incarnation == e.endedIncarnation
-	e.endedAt = 0
+	incarnation, refuted = e.suspectedCrashIncarnation, e.incarnation == e.suspectedCrashIncarnation
+	e.suspectedCrashAt = 0
 	return incarnation, refuted
 }
--- a/process/proxy/quarantine_test.go
+++ b/process/proxy/quarantine_test.go
@@ -14,134 +14,136 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// fatalEngines are engines that end under one body and come back as another incarnation.
-type fatalEngines struct {
-	lock sync.Mutex
-	ends int
+// crashingEngines is a script for engines that break the connection, as if they crashed, when a
+// request body contains "fatal".
+type crashingEngines struct {
+	lock    sync.Mutex
+	crashes int
 }
 
-func (f *fatalEngines) script(e *fakeEngine, w http.ResponseWriter, r *http.Request, _ int) {
+func (c *crashingEngines) script(e *fakeEngine, w http.ResponseWriter, r *http.Request, _ int) {
 	body, _ := io.ReadAll(r.Body)
 	if !strings.Contains(string(body), "fatal") {
 		e.answer(w, r, 0, 3)
 		return
 	}
-	f.lock.Lock()
-	defer f.lock.Unlock()
-	f.ends++
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	c.crashes++
 	panic(http.ErrAbortHandler)
 }
 
-// askFor streams the answer to a prompt.
-func (f *fleet) askFor(prompt string) *reply {
+// streamPrompt sends a streaming request with the prompt.
+func (f *fleet) streamPrompt(prompt string) *reply {
 	return f.do(http.MethodPost, "/v1/completions", `{"model":"llm","stream":true,"max_tokens":3,"prompt":"`+prompt+`"}`, HeaderClass, "cap")
 }
 
-// awaitHeard waits until each engine has answered its first poll: one that answers after its
-// seeming end has not ended, and these engines live on.
-func (f *fleet) awaitHeard(engines []*fakeEngine) {
+// awaitFirstPoll waits until each engine has answered its first poll. The fake engines keep running
+// after a simulated crash, so an answer to a later poll would refute the crash.
+func (f *fleet) awaitFirstPoll(engines []*fakeEngine) {
 	f.t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(longTimeout)
 	for _, engine := range engines {
-		for !f.heard(engine) {
+		for !f.hasPolled(engine) {
 			must.True(f.t, time.Now().Before(deadline))
 			time.Sleep(time.Millisecond)
 		}
 	}
 }
 
-func (f *fleet) heard(engine *fakeEngine) bool {
+func (f *fleet) hasPolled(engine *fakeEngine) bool {
 	lane := f.proxy.lanes.find("narrator")
 	if lane == nil {
 		return false
 	}
-	followed := (*lane.endpoints.Load())[engine.name]
-	return followed != nil && followed.word().incarnation == engine.incarnation
+	target := (*lane.endpoints.Load())[engine.name]
+	return target != nil && target.reported().incarnation == engine.incarnation
 }
 
-// The same contract on the product's own data path: a request under which three engines
-// have ended goes to no further one, is told so at once, and others are served.
-func TestRequestUnderWhichEnginesEndIsHeld(t *testing.T) {
-	fatal := &fatalEngines{}
+// A request that has crashed enough engines, three or here four since the proxy has no leader, is
+// sent to no other engine and is refused at once, while other requests are served.
+func TestRequestThatCrashesEnginesIsQuarantined(t *testing.T) {
+	crashing := &crashingEngines{}
 	var engines []*fakeEngine
 	for i := range 6 {
 		engine := newFakeEngine(t, "e"+strconv.Itoa(i), uint64(11+i))
-		engine.script = fatal.script
+		engine.script = crashing.script
 		engines = append(engines, engine)
 	}
-	config := quick()
-	config.Timeouts.Head, config.Intervals.Load = patience, time.Hour // no poll refutes an end
+	config := fastConfig()
+	config.Timeouts.Head, config.Intervals.Load = longTimeout, time.Hour // no poll may refute the suspected crash
 	control := newFakeControl()
-	f := startWith(t, config, control, engines)
-	f.awaitHeard(engines)
+	f := startFleetWithControl(t, config, control, engines)
+	f.awaitFirstPoll(engines)
 	for range 10 {
-		answer := f.askFor("fatal")
+		answer := f.streamPrompt("fatal")
 		must.NotEq(t, http.StatusOK, answer.status)
 	}
-	fatal.lock.Lock()
-	must.Eq(t, 4, fatal.ends, must.Sprint("a proxy that no leader serves waits for one more"))
-	fatal.lock.Unlock()
-	answer := f.askFor("fatal")
+	crashing.lock.Lock()
+	must.Eq(t, 4, crashing.crashes, must.Sprint("three crashes, and one more because the proxy has no leader"))
+	crashing.lock.Unlock()
+	answer := f.streamPrompt("fatal")
 	must.Eq(t, http.StatusServiceUnavailable, answer.status)
 	must.Eq(t, codeQuarantined, answer.code())
-	must.Eq(t, "no", answer.ran())
+	must.Eq(t, "no", answer.runState())
 	must.NotEq(t, "", answer.header.Get("Retry-After"))
-	must.Eq(t, http.StatusOK, f.askFor("another").status)
+	must.Eq(t, http.StatusOK, f.streamPrompt("another").status)
 	control.lock.Lock()
 	must.SliceLen(t, 4, control.ends)
 	control.lock.Unlock()
 
-	// What is held at the group is held here before any engine ends.
+	// A request that the control group quarantined is refused before it crashes an engine of this
+	// proxy.
 	name := ""
 	for _, report := range control.ends {
 		name = report.Ended[0].Fingerprint.String()
 	}
-	other := start(t, quick(), engines)
-	known := *other.views.view.Load()
-	known.Version.Revision++
-	known.Quarantines = map[string]*api.Quarantine{name: {Metadata: api.Metadata{Name: name, Revision: 2},
+	other := startFleet(t, fastConfig(), engines)
+	quarantined := *other.views.view.Load()
+	quarantined.Version.Revision++
+	quarantined.Quarantines = map[string]*api.Quarantine{name: {Metadata: api.Metadata{Name: name, Revision: 2},
 		Spec: api.QuarantineSpec{State: api.QuarantineHeld, Until: time.Now().Add(time.Hour).UnixMilli()}}}
-	other.views.view.Store(&known)
-	must.Eq(t, codeQuarantined, other.askFor("fatal").code())
-	must.Eq(t, http.StatusOK, other.askFor("another").status)
+	other.views.view.Store(&quarantined)
+	must.Eq(t, codeQuarantined, other.streamPrompt("fatal").code())
+	must.Eq(t, http.StatusOK, other.streamPrompt("another").status)
 }
 
-// An engine that answers under the same incarnation has not ended.
-func TestPollRefutesAnEnd(t *testing.T) {
-	fatal := &fatalEngines{}
+// A response of the same incarnation to a poll refutes the suspected crash of an engine.
+func TestPollRefutesSuspectedCrash(t *testing.T) {
+	crashing := &crashingEngines{}
 	engine := newFakeEngine(t, "e0", 11)
-	engine.script = fatal.script
-	f := start(t, quick(), []*fakeEngine{engine})
-	must.NotEq(t, http.StatusOK, f.askFor("fatal").status)
-	deadline := time.Now().Add(patience)
+	engine.script = crashing.script
+	f := startFleet(t, fastConfig(), []*fakeEngine{engine})
+	must.NotEq(t, http.StatusOK, f.streamPrompt("fatal").status)
+	deadline := time.Now().Add(longTimeout)
 	for f.proxy.guard.Active() {
 		must.True(t, time.Now().Before(deadline))
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// A request that ends the engines that read its prompt goes to no fourth one, though each
-// failed hand-over is free to be tried at another engine.
-func TestRequestThatEndsReadersIsHeld(t *testing.T) {
+// A request that has crashed three prefill engines is not sent to another one, although a failed KV
+// transfer is otherwise retried at another engine without using the retry budget.
+func TestRequestThatCrashesPrefillEnginesIsQuarantined(t *testing.T) {
 	var engines []*fakeEngine
 	for i := range 6 {
 		engine := newFakeEngine(t, "e"+strconv.Itoa(i), uint64(11+i))
 		engine.failKV = func(*fakeEngine, http.ResponseWriter) { panic(http.ErrAbortHandler) }
 		engines = append(engines, engine)
 	}
-	config := quick()
-	config.Timeouts.Head, config.Intervals.Load = patience, time.Hour // no poll refutes an end
-	f := start(t, config, engines)
-	made := newView(engines, nil)
+	config := fastConfig()
+	config.Timeouts.Head, config.Intervals.Load = longTimeout, time.Hour // no poll may refute the suspected crash
+	f := startFleet(t, config, engines)
+	splitView := newView(engines, nil)
 	for i, engine := range engines {
-		made.Engines[engine.name].Status.Assignment.Role = api.RolePrefill
+		splitView.Engines[engine.name].Status.Assignment.Role = api.RolePrefill
 		if i == 0 {
-			made.Engines[engine.name].Status.Assignment.Role = api.RoleDecode
+			splitView.Engines[engine.name].Status.Assignment.Role = api.RoleDecode
 		}
 	}
-	made.Version.Revision = 2
-	f.views.view.Store(made)
-	answer := f.askFor("fatal")
+	splitView.Version.Revision = 2
+	f.views.view.Store(splitView)
+	answer := f.streamPrompt("fatal")
 	must.Eq(t, http.StatusServiceUnavailable, answer.status)
 	must.Eq(t, codeQuarantined, answer.code())
 	exports := int32(0)
--- a/process/proxy/request.go
+++ b/process/proxy/request.go
@@ -15,130 +15,131 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// Headers of callers.
+// Request headers, and HeaderRequestID, which is set on responses.
 const (
-	HeaderKey      = "Idempotency-Key"       // names a request
-	HeaderRepeat   = "Landingtrail-Repeat"   // "never": run at most once
-	HeaderDeadline = "Landingtrail-Deadline" // milliseconds left
-	HeaderClass    = "Landingtrail-Class"
-	HeaderTenant   = "Landingtrail-Tenant"
-	// HeaderRequest is on every answer: the name under which the proxy and the
-	// engines know the request.
-	HeaderRequest = "Landingtrail-Request"
+	HeaderIdempotencyKey = "Idempotency-Key"       // identifies a request across retries by the caller
+	HeaderRepeatPolicy   = "Landingtrail-Repeat"   // "never": the request must run at most once
+	HeaderDeadline       = "Landingtrail-Deadline" // time left in milliseconds
+	HeaderClass          = "Landingtrail-Class"    // default: the class of the lowest priority
+	HeaderTenant         = "Landingtrail-Tenant"   // default: DefaultTenant
+	// HeaderRequestID is set on the response to every request that passed validation. It has the
+	// request ID that the proxy and the engines use.
+	HeaderRequestID = "Landingtrail-Request"
 )
 
-// DefaultTenant is the tenant of requests that name none.
+// DefaultTenant is the tenant of requests without HeaderTenant.
 const DefaultTenant = "default"
 
 const repeatNever = "never"
 
-// maxHeaderValue bounds the key, class and tenant that are kept.
-const maxHeaderValue = 256
+// maxHeaderValueBytes is the maximum length of a key, class or tenant in bytes.
+const maxHeaderValueBytes = 256
 
-// maxDeadline bounds the deadline that a caller may give.
+// maxDeadline is the longest deadline that a caller can set; longer ones are shortened to it.
 const maxDeadline = 24 * time.Hour
 
-// envelope is what the headers of a request say.
-type envelope struct {
-	tenant string
-	class  string // "" if not given
-	key    string
-	never  bool
-	left   time.Duration // 0 if not given
+// requestHeaders has the values of a request's headers.
+type requestHeaders struct {
+	tenant     string
+	class      string // "" if not set
+	key        string
+	atMostOnce bool
+	timeLeft   time.Duration // 0 if not set
 }
 
-func readEnvelope(header http.Header) (envelope, *failure) {
-	read := envelope{
+func parseHeaders(header http.Header) (requestHeaders, *failure) {
+	headers := requestHeaders{
 		tenant: header.Get(HeaderTenant),
 		class:  header.Get(HeaderClass),
-		key:    header.Get(HeaderKey),
+		key:    header.Get(HeaderIdempotencyKey),
 	}
-	read.tenant = cmp.Or(read.tenant, DefaultTenant)
-	for _, value := range []string{read.tenant, read.class, read.key} {
-		if len(value) > maxHeaderValue {
-			return read, invalid(codeBadRequest, "a header value is longer than "+strconv.Itoa(maxHeaderValue)+" bytes")
+	headers.tenant = cmp.Or(headers.tenant, DefaultTenant)
+	for _, value := range []string{headers.tenant, headers.class, headers.key} {
+		if len(value) > maxHeaderValueBytes {
+			return headers, invalidFailure(codeBadRequest, "a header value is longer than "+strconv.Itoa(maxHeaderValueBytes)+" bytes")
 		}
 	}
-	switch header.Get(HeaderRepeat) {
+	switch header.Get(HeaderRepeatPolicy) {
 	case "":
 	case repeatNever:
-		read.never = true
+		headers.atMostOnce = true
 	default:
-		return read, invalid(codeBadRequest, HeaderRepeat+` must be "never"`)
+		return headers, invalidFailure(codeBadRequest, HeaderRepeatPolicy+` must be "never"`)
 	}
-	left, fault := readDeadline(header.Get(HeaderDeadline))
-	read.left = left
-	return read, fault
+	timeLeft, failed := parseDeadline(header.Get(HeaderDeadline))
+	headers.timeLeft = timeLeft
+	return headers, failed
 }
 
-func readDeadline(given string) (time.Duration, *failure) {
-	if given == "" {
+func parseDeadline(value string) (time.Duration, *failure) {
+	if value == "" {
 		return 0, nil
 	}
-	milliseconds, err := strconv.ParseInt(given, 10, 64)
+	milliseconds, err := strconv.ParseInt(value, 10, 64)
 	if err != nil || milliseconds < 0 {
-		return 0, invalid(codeBadRequest, HeaderDeadline+" must be a number of milliseconds")
+		return 0, invalidFailure(codeBadRequest, HeaderDeadline+" must be a number of milliseconds")
 	}
 	if milliseconds == 0 {
-		return 0, deadlineShort("no time is left", 0)
+		return 0, deadlineTooShort("no time is left", 0)
 	}
 	return min(time.Duration(milliseconds), maxDeadline/time.Millisecond) * time.Millisecond, nil
 }
 
-func deadlineShort(message string, retryAfter time.Duration) *failure {
+func deadlineTooShort(message string, retryAfter time.Duration) *failure {
 	return &failure{
 		status:     http.StatusGatewayTimeout,
-		kind:       typeUnavailable,
-		code:       codeDeadlineShort,
+		errorType:  typeUnavailable,
+		code:       codeDeadlineTooShort,
 		message:    message,
-		ran:        attempt.RanNo,
+		runState:   attempt.RanNo,
 		retryAfter: retryAfter,
 	}
 }
 
-// settle brings the envelope and its class together.
-func (p *Proxy) settle(read *envelope, class *api.Class) *failure {
+// applyClass takes missing values of the headers from the class and the configured defaults. It
+// returns a failure if an at-most-once request has no key.
+func (p *Proxy) applyClass(headers *requestHeaders, class *api.Class) *failure {
 	if class != nil {
-		read.class = class.Name
-		read.never = read.never || class.Spec.RepeatNever
-		if read.left == 0 {
-			read.left = time.Duration(class.Spec.DeadlineMilliseconds) * time.Millisecond
+		headers.class = class.Name
+		headers.atMostOnce = headers.atMostOnce || class.Spec.RepeatNever
+		if headers.timeLeft == 0 {
+			headers.timeLeft = time.Duration(class.Spec.DeadlineMilliseconds) * time.Millisecond
 		}
 	}
-	read.left = cmp.Or(read.left, p.config.Timeouts.Deadline)
-	if read.never && read.key == "" {
-		return invalid(codeKeyRequired, "a request that must run at most once needs the header "+HeaderKey)
+	headers.timeLeft = cmp.Or(headers.timeLeft, p.config.Timeouts.Deadline)
+	if headers.atMostOnce && headers.key == "" {
+		return invalidFailure(codeKeyRequired, "a request that must run at most once needs the header "+HeaderIdempotencyKey)
 	}
 	return nil
 }
 
-// completion is a parsed model request.
-type completion struct {
+// completionRequest is a parsed model request.
+type completionRequest struct {
 	path         string
 	chat         bool
-	body         []byte // with "stream": true
+	body         []byte // always with "stream": true
 	request      engineapi.CompletionRequest
-	promptTokens int
-	blocks       []uint64
+	promptTokens int      // estimated: one for each word
+	blocks       []uint64 // hashes of the prompt's leading blocks, as in a cacheIndex
 }
 
-// defaultOutputTokens is the expected length of an answer without max_tokens.
+// defaultOutputTokens is the assumed length of a response without max_tokens.
 const defaultOutputTokens = 256
 
-func parseCompletion(path string, body []byte) (*completion, *failure) {
-	parsed := &completion{path: path, chat: path == engineapi.PathChatCompletions, body: body}
+func parseCompletion(path string, body []byte) (*completionRequest, *failure) {
+	parsed := &completionRequest{path: path, chat: path == engineapi.PathChatCompletions, body: body}
 	if err := json.Unmarshal(body, &parsed.request); err != nil {
-		return nil, invalid(codeBadRequest, "the body is no valid request: "+err.Error())
+		return nil, invalidFailure(codeBadRequest, "the body is no valid request: "+err.Error())
 	}
 	switch {
 	case parsed.request.Model == "":
-		return nil, invalid(codeBadRequest, "model must not be empty")
+		return nil, invalidFailure(codeBadRequest, "model must not be empty")
 	case parsed.chat && len(parsed.request.Messages) == 0:
-		return nil, invalid(codeBadRequest, "messages must not be empty")
+		return nil, invalidFailure(codeBadRequest, "messages must not be empty")
 	case !parsed.chat && parsed.request.Prompt == "":
-		return nil, invalid(codeBadRequest, "prompt must not be empty")
+		return nil, invalidFailure(codeBadRequest, "prompt must not be empty")
 	case parsed.request.MaxTokens < 0:
-		return nil, invalid(codeBadRequest, "max_tokens must not be negative")
+		return nil, invalidFailure(codeBadRequest, "max_tokens must not be negative")
 	}
 	words := prefix.Words(prefix.Text(&parsed.request))
 	parsed.promptTokens = len(words)
@@ -146,23 +147,24 @@
 	if !parsed.request.Stream {
 		streamed, err := withStream(body)
 		if err != nil {
-			return nil, invalid(codeBadRequest, "the body is no valid request: "+err.Error())
+			return nil, invalidFailure(codeBadRequest, "the body is no valid request: "+err.Error())
 		}
 		parsed.body = streamed
 	}
 	return parsed, nil
 }
 
-func (c *completion) outputTokens() int {
+// outputTokens returns the maximum length of the response, or an assumed one if none is set.
+func (c *completionRequest) outputTokens() int {
 	if c.request.MaxTokens > 0 {
 		return c.request.MaxTokens
 	}
 	return defaultOutputTokens
 }
 
-// withStream returns the body with "stream": true and all else as it was. Also
-// whole answers are streamed from the engine: only so can a stall be seen, a
-// broken answer be taken up again and each part be verified.
+// withStream returns the body with "stream" set to true and everything else unchanged. Engines stream
+// buffered responses too: only a stream allows stalls to be detected, broken responses to be resumed
+// and each part to be verified as one of this run.
 func withStream(body []byte) ([]byte, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil {
--- a/process/proxy/server.go
+++ b/process/proxy/server.go
@@ -19,33 +19,32 @@
 	"github.com/landingtrail/landingtrail/process/event"
 )
 
-// server is one HTTP listener on go-zero's rest. What rest brings by default
-// is taken over: its timeout, body cap, breaker, shedding, access log and
-// metrics are off, since a stream outlasts any timeout, the body cap has its
-// own answer, and shedding is the queue's decision. Its signal handling is
-// disarmed.
+// server is an HTTP server on go-zero's rest package. The timeout, body limit, circuit breaker, load
+// shedding, access log, metrics and signal handling that rest enables by default are off: a stream
+// may outlast any timeout, the proxy has its own response for oversized bodies, and the queue of each
+// service decides what to shed.
 type server struct {
-	http  *http.Server
-	bound net.Addr
+	http *http.Server
+	addr net.Addr
 }
 
-// restConf returns the settings with every middleware off.
+// restConf returns a rest configuration with all middleware disabled.
 func restConf(name, address string) (rest.RestConf, error) {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil {
 		return rest.RestConf{}, errors.Wrap(ErrConfig, err.Error())
 	}
-	number, err := strconv.Atoi(port)
+	portNumber, err := strconv.Atoi(port)
 	if err != nil {
 		return rest.RestConf{}, errors.Wrap(ErrConfig, err.Error())
 	}
 	conf := admin.RestConf(name)
-	conf.Host, conf.Port = host, number
+	conf.Host, conf.Port = host, portNumber
 	return conf, nil
 }
 
-// prefixRouter serves the paths under a prefix by one handler for all methods,
-// which rest's own router cannot express, and leaves the others to it.
+// prefixRouter routes all paths under a prefix, with any method, to one handler. rest's own router
+// cannot express that; it routes all other paths.
 type prefixRouter struct {
 	httpx.Router
 	prefix  string
@@ -61,76 +60,78 @@
 	r.Router.ServeHTTP(w, request)
 }
 
-// listen starts a server on the address and returns once it is bound.
-func (p *Proxy) listen(name, address string, routes *prefixRouter, add func(*rest.Server)) (*server, error) {
+// listen starts a server and returns once it listens on the address. It also redirects the log of
+// rest, which is global to the process, to the proxy's logger.
+func (p *Proxy) listen(name, address string, routes *prefixRouter, addRoutes func(*rest.Server)) (*server, error) {
 	conf, err := restConf(name, address)
 	if err != nil {
 		return nil, err
 	}
-	made, err := rest.NewServer(conf, rest.WithRouter(routes))
+	srv, err := rest.NewServer(conf, rest.WithRouter(routes))
 	if err != nil {
-		return nil, errors.Wrap(err, "rest server")
+		return nil, errors.Wrap(err, "create HTTP server")
 	}
 	logx.SetWriter(&logWriter{logger: p.logger})
 	routes.SetNotFoundHandler(http.HandlerFunc(serveNotFound))
 	routes.SetNotAllowedHandler(http.HandlerFunc(serveNotAllowed))
-	add(made)
+	addRoutes(srv)
 	started := &server{}
 	bound := make(chan net.Addr, 1)
 	failed := make(chan error, 1)
-	go started.start(made, p.config.Timeouts, bound, failed)
+	go started.start(srv, p.config.Timeouts, bound, failed)
 	select {
-	case started.bound = <-bound:
+	case started.addr = <-bound:
 		return started, nil
 	case err := <-failed:
 		return nil, err
 	}
 }
 
-// start serves until the HTTP server is shut down. rest waits for its own stop
-// signal after that, which never comes, so this goroutine lasts as long as the
-// process. rest panics when it cannot listen.
-func (s *server) start(made *rest.Server, timeouts Timeouts, bound chan<- net.Addr, failed chan<- error) {
+// start serves until the HTTP server is shut down. rest then waits for its own stop signal, which is
+// never sent, so the goroutine stays until the process exits. rest panics if it cannot listen.
+func (s *server) start(srv *rest.Server, timeouts Timeouts, bound chan<- net.Addr, failed chan<- error) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			failed <- errors.Errorf("listen: %v", cause)
 		}
 	}()
-	made.StartWithOpts(func(configured *http.Server) {
-		s.http = configured
-		configured.ReadHeaderTimeout = timeouts.ReadHeader
-		configured.ReadTimeout = 0
-		configured.WriteTimeout = 0
-		configured.IdleTimeout = timeouts.Idle
-		configured.BaseContext = baseContext(bound)
+	srv.StartWithOpts(func(httpServer *http.Server) {
+		s.http = httpServer
+		httpServer.ReadHeaderTimeout = timeouts.ReadHeader
+		httpServer.ReadTimeout = 0
+		httpServer.WriteTimeout = 0
+		httpServer.IdleTimeout = timeouts.Idle
+		httpServer.BaseContext = reportAddress(bound)
 	})
 }
 
 func serveNotFound(w http.ResponseWriter, _ *http.Request) {
-	notFound(codeNotFound, "no such path").write(w)
+	notFoundFailure(codeNotFound, "no such path").write(w)
 }
 
 func serveNotAllowed(w http.ResponseWriter, _ *http.Request) {
-	refused := notFound(codeMethod, "the path does not take this method")
-	refused.status = http.StatusMethodNotAllowed
-	refused.write(w)
+	failed := notFoundFailure(codeMethodNotAllowed, "the path does not take this method")
+	failed.status = http.StatusMethodNotAllowed
+	failed.write(w)
 }
 
-func newRouter() httpx.Router { return router.NewRouter() }
+// newHTTPRouter returns rest's own HTTP router; it is unrelated to the router of requests to engines.
+func newHTTPRouter() httpx.Router { return router.NewRouter() }
 
-// listenCallers starts the server for callers.
+// listenCallers starts the HTTP server for callers.
 func (p *Proxy) listenCallers() (*server, error) {
-	routes := &prefixRouter{Router: newRouter(), prefix: servicesPrefix, handler: p.serveService}
-	return p.listen("landingtrail-proxy", p.config.ListenAddress, routes, func(made *rest.Server) {
-		made.AddRoutes([]rest.Route{
+	routes := &prefixRouter{Router: newHTTPRouter(), prefix: servicesPrefix, handler: p.serveService}
+	return p.listen("landingtrail-proxy", p.config.ListenAddress, routes, func(srv *rest.Server) {
+		srv.AddRoutes([]rest.Route{
 			{Method: http.MethodPost, Path: engineapi.PathChatCompletions, Handler: p.serveCompletion},
 			{Method: http.MethodPost, Path: engineapi.PathCompletions, Handler: p.serveCompletion},
 		}, rest.WithSSE(), rest.WithTimeout(0))
-		made.AddRoute(rest.Route{Method: http.MethodGet, Path: engineapi.PathModels, Handler: p.serveModels})
+		srv.AddRoute(rest.Route{Method: http.MethodGet, Path: engineapi.PathModels, Handler: p.serveModels})
 	})
 }
 
-// logWriter passes rest's own log lines on as numbered events.
+// logWriter writes rest's alerts, errors, severe errors and stack traces as ProxyServerLog events and
+// drops the other levels.
 type logWriter struct{ logger log.Logger }
 
 func (w *logWriter) Alert(v any)                 { event.ProxyServerLog.Log(w.logger, "message", fmt.Sprint(v)) }
--- a/process/proxy/surplus_test.go
+++ b/process/proxy/surplus_test.go
@@ -21,102 +21,104 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// surplus is a fault of a server that otherwise keeps to the protocol: when a
-// request comes on a connection that has served another one, the server first
-// sends an answer that belongs to no request, and then the real one. The wrong
-// answer so comes after the connection was taken from the proxy's pool, when no
-// look at the idle connection can find it.
-type surplus struct {
-	// answer returns the bytes of the wrong answer, or "" for none.
+// strayResponder makes a server send stray responses: for a request on a connection that has served
+// another one, the server first sends a response that belongs to no request, and then the real one.
+// The stray response is sent after the proxy took the connection from its pool, so a check of idle
+// connections cannot detect it.
+type strayResponder struct {
+	// answer returns the bytes of the stray response, or "" for none.
 	answer func(r *http.Request) string
-	// observe sees each request; what it returns is of no meaning. nil for nobody.
+	// observe is called for each request if not nil; its result is ignored.
 	observe func(r *http.Request) string
 	sent    atomic.Int32
 }
 
-// connKey is the key of a request's connection in its context.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
-// servedConn is a server's connection and the requests that came on it.
-type servedConn struct {
+// countedConn is a server's connection that counts its requests.
+type countedConn struct {
 	net.Conn
 	requests atomic.Int32
 }
 
-// serve starts a server that echoes the identity of each request.
-func (s *surplus) serve(handler http.Handler) *httptest.Server {
+// serve starts a server that echoes the identity of each request and sends stray
+// responses.
+func (s *strayResponder) serve(handler http.Handler) *httptest.Server {
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if s.observe != nil {
 			s.observe(r)
 		}
-		s.precede(r)
+		s.sendStray(r)
 		engineapi.EchoCall(w.Header(), r.Header)
 		handler.ServeHTTP(w, r)
 	}))
 	server.Config.ConnContext = func(ctx context.Context, conn net.Conn) context.Context {
-		return context.WithValue(ctx, connKey{}, &servedConn{Conn: conn})
+		return context.WithValue(ctx, connKey{}, &countedConn{Conn: conn})
 	}
 	server.Start()
 	return server
 }
 
-// precede sends the wrong answer ahead of the real one.
-func (s *surplus) precede(r *http.Request) {
-	conn := r.Context().Value(connKey{}).(*servedConn)
+// sendStray sends the stray response ahead of the real one.
+func (s *strayResponder) sendStray(r *http.Request) {
+	conn := r.Context().Value(connKey{}).(*countedConn)
 	if conn.requests.Add(1) == 1 || s.answer == nil {
 		return
 	}
-	if wrong := s.answer(r); wrong != "" {
-		_, _ = io.WriteString(conn, wrong) // whoever has gone needs none
+	if stray := s.answer(r); stray != "" {
+		_, _ = io.WriteString(conn, stray) // the proxy may have closed the connection
 		s.sent.Add(1)
 	}
 }
 
-// otherAttempt is an attempt that no test comes to.
-const otherAttempt = 99
+// unusedAttempt is an attempt number that no test reaches.
+const unusedAttempt = 99
 
-// wrongIdentities are the identities of a wrong answer to the request.
-var wrongIdentities = map[string]func(r *http.Request) string{
-	"of another request": func(*http.Request) string {
+// strayIdentities has functions that return the identity headers of a stray
+// response to a request.
+var strayIdentities = map[string]func(r *http.Request) string{
+	"different request": func(*http.Request) string {
 		return identityLines("another", 1)
 	},
-	"of another attempt": func(r *http.Request) string {
-		return identityLines(r.Header.Get(engineapi.HeaderRequestID), otherAttempt)
+	"different attempt": func(r *http.Request) string {
+		return identityLines(r.Header.Get(engineapi.HeaderRequestID), unusedAttempt)
 	},
-	"of no attempt": func(r *http.Request) string {
+	"no attempt": func(r *http.Request) string {
 		return engineapi.HeaderRequestID + ": " + r.Header.Get(engineapi.HeaderRequestID) + "\r\n"
 	},
-	"of no request": func(*http.Request) string { return "" },
+	"no identity": func(*http.Request) string { return "" },
 }
 
 func identityLines(id string, number int) string {
 	return engineapi.HeaderRequestID + ": " + id + "\r\n" + engineapi.HeaderAttempt + ": " + strconv.Itoa(number) + "\r\n"
 }
 
-// rawAnswer is an answer as it goes over the connection.
-func rawAnswer(status int, header, body string) string {
+// rawResponse returns the bytes of an HTTP response.
+func rawResponse(status int, header, body string) string {
 	return fmt.Sprintf("HTTP/1.1 %d Status\r\n%sContent-Length: %d\r\n\r\n%s", status, header, len(body), body)
 }
 
 const (
 	admittedLine = engineapi.HeaderAdmitted + ": yes\r\n"
 	refusedLine  = engineapi.HeaderAdmitted + ": no\r\n"
-	foreignText  = "written for another"
+	strayBody    = "body of a stray response"
 )
 
-// surplusRequests is how many requests a test sends one after the other: enough
-// for kept connections to be used.
-const surplusRequests = 6
+// strayTestRequests is the number of requests that a test sends, large enough for
+// idle connections to be reused.
+const strayTestRequests = 6
 
-// forWrongIdentities runs a test for each identity that a wrong answer can have.
-func forWrongIdentities(t *testing.T, test func(t *testing.T, identity func(r *http.Request) string)) {
-	for name, identity := range wrongIdentities {
+// forStrayIdentities runs a test for each identity that a stray response can have.
+func forStrayIdentities(t *testing.T, test func(t *testing.T, identity func(r *http.Request) string)) {
+	for name, identity := range strayIdentities {
 		t.Run(name, func(t *testing.T) { test(t, identity) })
 	}
 }
 
-// onWork sends the wrong answer before the answers to work alone.
-func onWork(answer func(r *http.Request) string) func(r *http.Request) string {
+// onRequestPaths limits answer to model and backend requests: there are no stray
+// responses to polls and cancellations.
+func onRequestPaths(answer func(r *http.Request) string) func(r *http.Request) string {
 	return func(r *http.Request) string {
 		switch r.URL.Path {
 		case engineapi.PathLoad, engineapi.PathCacheEvents, engineapi.PathCancel:
@@ -126,31 +128,30 @@
 	}
 }
 
-// TestSurplusAnswerReachesNoCaller: a caller of a plain back end was given the
-// answer to another's request. The back end had sent one answer too many on a
-// kept connection, and the proxy compared the ID only when there was one, and
-// the attempt never. Proof: whatever the wrong answer names, no caller reads it.
-func TestSurplusAnswerReachesNoCaller(t *testing.T) {
-	forWrongIdentities(t, func(t *testing.T, identity func(r *http.Request) string) {
+// A backend sends a stray response on a kept-alive connection. Whatever identity it has, and also if
+// it has none, no caller may receive it: it can be the response to another caller's request. The
+// proxy must compare both the request ID and the attempt.
+func TestStrayResponseReachesNoCaller(t *testing.T) {
+	forStrayIdentities(t, func(t *testing.T, identity func(r *http.Request) string) {
 		first, second := newFakeBackend(t), newFakeBackend(t)
-		first.surplus.answer = onWork(func(r *http.Request) string {
-			return rawAnswer(http.StatusOK, identity(r)+admittedLine, foreignText)
+		first.stray.answer = onRequestPaths(func(r *http.Request) string {
+			return rawResponse(http.StatusOK, identity(r)+admittedLine, strayBody)
 		})
-		f := start(t, quick(), nil, first.server, second.server)
-		for range 4 * surplusRequests {
+		f := startFleet(t, fastConfig(), nil, first.server, second.server)
+		for range 4 * strayTestRequests {
 			answer := f.do(http.MethodGet, "/services/tiles/frame", "")
-			// A failure is told as one when the budget of retries is used up.
+			// The request fails with 502 once the retry budget is used up.
 			must.True(t, answer.status == http.StatusOK || answer.status == http.StatusBadGateway)
-			must.StrNotContains(t, answer.body, foreignText)
-			for _, back := range *f.proxy.lanes.find("tiles").endpoints.Load() {
-				must.False(t, back.suspected(f.proxy.clock()), must.Sprint("it is there"))
+			must.StrNotContains(t, answer.body, strayBody)
+			for _, endpoint := range *f.proxy.lanes.find("tiles").endpoints.Load() {
+				must.False(t, endpoint.isSuspect(f.proxy.clock()), must.Sprint("the endpoint is reachable"))
 			}
 		}
-		must.Positive(t, first.surplus.sent.Load())
+		must.Positive(t, first.stray.sent.Load())
 	})
 }
 
-// runCounts counts the runs of each request, by a name of its own.
+// runCounts counts the runs of each request by name.
 type runCounts struct {
 	lock sync.Mutex
 	runs map[string]int
@@ -165,13 +166,14 @@
 	c.runs[name]++
 }
 
-// check holds what the caller was told against the runs. The server must have
-// been closed: a run may start after the wrong answer has ended its attempt.
-func (c *runCounts) check(t *testing.T, told map[string]string) {
+// check compares the run states reported to callers with the counted runs. The
+// server must be closed before, since a run may start after the stray response
+// has ended its attempt.
+func (c *runCounts) check(t *testing.T, reported map[string]string) {
 	t.Helper()
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	for name, ran := range told {
+	for name, ran := range reported {
 		must.LessEq(t, 1, c.runs[name])
 		if ran == "no" {
 			must.Eq(t, 0, c.runs[name])
@@ -179,116 +181,115 @@
 	}
 }
 
-// TestSurplusRefusalIsNoProof: a request that must run at most once ran at two
-// back ends. The refusal of another request came on a kept connection and was
-// taken for "surely not run" before its ID was looked at. Proof: each request
-// runs at most once, and none that ran is called not run.
-func TestSurplusRefusalIsNoProof(t *testing.T) {
-	forWrongIdentities(t, func(t *testing.T, identity func(r *http.Request) string) {
+// A refusal of another request arrives on a kept-alive connection. It must not be taken as proof that
+// this request did not run before its ID is checked, or an at-most-once request could run on two
+// backends. Each request may run at most once, and none that ran may be reported as not run.
+func TestStrayBackendRefusalIsNotTrusted(t *testing.T) {
+	forStrayIdentities(t, func(t *testing.T, identity func(r *http.Request) string) {
 		first, second := newFakeBackend(t), newFakeBackend(t)
 		counts := &runCounts{}
-		for _, one := range []*fakeBackend{first, second} {
-			one.script = func(_ http.ResponseWriter, r *http.Request) { counts.add(r.URL.RawQuery) }
-			one.surplus.answer = onWork(func(r *http.Request) string {
-				return rawAnswer(http.StatusServiceUnavailable, identity(r)+refusedLine, "{}")
+		for _, backend := range []*fakeBackend{first, second} {
+			backend.script = func(_ http.ResponseWriter, r *http.Request) { counts.add(r.URL.RawQuery) }
+			backend.stray.answer = onRequestPaths(func(r *http.Request) string {
+				return rawResponse(http.StatusServiceUnavailable, identity(r)+refusedLine, "{}")
 			})
 		}
-		f := start(t, quick(), nil, first.server, second.server)
-		told := map[string]string{}
-		for i := range 2 * surplusRequests {
+		f := startFleet(t, fastConfig(), nil, first.server, second.server)
+		reported := map[string]string{}
+		for i := range 2 * strayTestRequests {
 			name := "n=" + strconv.Itoa(i)
-			told[name] = f.do(http.MethodPost, "/services/tiles/order?"+name, "x").ran()
+			reported[name] = f.do(http.MethodPost, "/services/tiles/order?"+name, "x").runState()
 		}
 		first.server.Close()
 		second.server.Close()
-		counts.check(t, told)
-		must.Positive(t, first.surplus.sent.Load()+second.surplus.sent.Load())
+		counts.check(t, reported)
+		must.Positive(t, first.stray.sent.Load()+second.stray.sent.Load())
 	})
 }
 
-// TestSurplusRefusalOfAnEngineIsNoProof is the same for a marked model request,
-// whose refusal was believed before its ID was looked at.
-func TestSurplusRefusalOfAnEngineIsNoProof(t *testing.T) {
-	forWrongIdentities(t, func(t *testing.T, identity func(r *http.Request) string) {
+// A refusal of another request arrives on a kept-alive connection to an engine. It must not be
+// trusted before its ID is checked: each at-most-once model request may run at most once, and none
+// that ran may be reported as not run.
+func TestStrayEngineRefusalIsNotTrusted(t *testing.T) {
+	forStrayIdentities(t, func(t *testing.T, identity func(r *http.Request) string) {
 		first, second := newFakeEngine(t, "e1", 11), newFakeEngine(t, "e2", 12)
 		counts := &runCounts{}
-		for _, one := range []*fakeEngine{first, second} {
-			one.script = func(e *fakeEngine, w http.ResponseWriter, r *http.Request, _ int) {
-				counts.add(r.Header.Get(headerIdempotency))
+		for _, engine := range []*fakeEngine{first, second} {
+			engine.script = func(e *fakeEngine, w http.ResponseWriter, r *http.Request, _ int) {
+				counts.add(r.Header.Get(headerClaimHash))
 				e.answer(w, r, 0, 3)
 			}
-			one.surplus.answer = onWork(func(r *http.Request) string {
-				return rawAnswer(http.StatusServiceUnavailable, identity(r)+refusedLine, "{}")
+			engine.stray.answer = onRequestPaths(func(r *http.Request) string {
+				return rawResponse(http.StatusServiceUnavailable, identity(r)+refusedLine, "{}")
 			})
 		}
-		f := start(t, quick(), []*fakeEngine{first, second})
-		told := map[string]string{}
-		for i := range 2 * surplusRequests {
-			marked := claim{key: strconv.Itoa(i)}
-			told[marked.hash()] = f.stream(HeaderClass, "briefing", HeaderKey, marked.key).ran()
+		f := startFleet(t, fastConfig(), []*fakeEngine{first, second})
+		reported := map[string]string{}
+		for i := range 2 * strayTestRequests {
+			c := claim{key: strconv.Itoa(i)}
+			reported[c.hash()] = f.stream(HeaderClass, "briefing", HeaderIdempotencyKey, c.key).runState()
 		}
 		first.server.Close()
 		second.server.Close()
-		counts.check(t, told)
-		must.Positive(t, first.surplus.sent.Load()+second.surplus.sent.Load())
+		counts.check(t, reported)
+		must.Positive(t, first.stray.sent.Load()+second.stray.sent.Load())
 	})
 }
 
-// TestSurplusHandleIsNotUsed: a request was decoded from the prompt of another.
-// The answer of a prompt read was never held against the call: the handle in a
-// surplus answer on a kept connection was named to the decoding engine. Proof:
-// whatever the wrong answer names, its handle reaches no engine.
-func TestSurplusHandleIsNotUsed(t *testing.T) {
-	handle := fmt.Sprintf(`{"handle":%q,"engine":"e1"}`, foreignText)
+// A stray response to a KV export or import arrives on a kept-alive connection. Whatever identity it
+// has, its handle must reach no engine, or a request would be decoded from the prompt of another.
+func TestStrayKVHandleIsNotUsed(t *testing.T) {
+	handle := fmt.Sprintf(`{"handle":%q,"engine":"e1"}`, strayBody)
 	for _, path := range []string{engineapi.PathKVExport, engineapi.PathKVImport} {
-		forWrongIdentities(t, func(t *testing.T, identity func(r *http.Request) string) {
+		forStrayIdentities(t, func(t *testing.T, identity func(r *http.Request) string) {
 			first, second := newFakeEngine(t, "e1", 11), newFakeEngine(t, "e2", 12)
-			for _, one := range []*fakeEngine{first, second} {
-				one.surplus.answer = func(r *http.Request) string {
+			for _, engine := range []*fakeEngine{first, second} {
+				engine.stray.answer = func(r *http.Request) string {
 					if r.URL.Path != path {
 						return ""
 					}
-					return rawAnswer(http.StatusOK, identity(r), handle)
+					return rawResponse(http.StatusOK, identity(r), handle)
 				}
 			}
-			f := start(t, quick(), []*fakeEngine{first, second})
-			splitRoles(f)
+			f := startFleet(t, fastConfig(), []*fakeEngine{first, second})
+			assignSplitRoles(f)
 			eventually(t, func() bool {
 				answer := f.stream(HeaderClass, "cap")
 				if named := second.lastHeader.Load(); named != nil {
-					must.StrNotContains(t, named.Get(engineapi.HeaderKVHandle), foreignText)
+					must.StrNotContains(t, named.Get(engineapi.HeaderKVHandle), strayBody)
 				}
-				must.StrNotContains(t, answer.body, foreignText)
+				must.StrNotContains(t, answer.body, strayBody)
 				for _, name := range []string{"e1", "e2"} {
-					must.False(t, f.endpoint("narrator", name).suspected(f.proxy.clock()), must.Sprint("it is there"))
+					must.False(t, f.endpoint("narrator", name).isSuspect(f.proxy.clock()), must.Sprint("the endpoint is reachable"))
 				}
-				return first.surplus.sent.Load()+second.surplus.sent.Load() > 0
+				return first.stray.sent.Load()+second.stray.sent.Load() > 0
 			})
 		})
 	}
 }
 
-// splitRoles makes e1 read prompts and e2 decode.
-func splitRoles(f *fleet) {
-	made := newView(f.engines, nil)
-	made.Engines["e1"].Status.Assignment.Role = api.RolePrefill
-	made.Engines["e2"].Status.Assignment.Role = api.RoleDecode
-	made.Version.Revision = 2
-	f.views.view.Store(made)
-	f.proxy.standing()
+// assignSplitRoles assigns the prefill role to e1 and the decode role to e2.
+func assignSplitRoles(f *fleet) {
+	changed := newView(f.engines, nil)
+	changed.Engines["e1"].Status.Assignment.Role = api.RolePrefill
+	changed.Engines["e2"].Status.Assignment.Role = api.RoleDecode
+	changed.Version.Revision = 2
+	f.views.view.Store(changed)
+	f.proxy.viewState()
 }
 
-// foreignIncarnation is the incarnation that a wrong answer names.
-const foreignIncarnation = 77
+// strayIncarnation is the incarnation in stray responses.
+const strayIncarnation = 77
 
-// wrongWord is what a wrong answer says of an engine.
-func wrongWord() string {
+// strayStateHeaders returns the engine state headers of a stray response.
+func strayStateHeaders() string {
 	return engineapi.HeaderPhase + ": " + string(api.PhaseDraining) + "\r\n" +
-		engineapi.HeaderIncarnation + ": " + strconv.Itoa(foreignIncarnation) + "\r\n"
+		engineapi.HeaderIncarnation + ": " + strconv.Itoa(strayIncarnation) + "\r\n"
 }
 
-// foreignAnswers is the proxy's own count of them.
-func foreignAnswers(t *testing.T, p *Proxy) float64 {
+// foreignResponseCount returns the number of mismatched responses that the proxy
+// has counted.
+func foreignResponseCount(t *testing.T, p *Proxy) float64 {
 	families, err := p.metrics.registry.Gather()
 	must.NoError(t, err)
 	for _, family := range families {
@@ -299,45 +300,42 @@
 	return 0
 }
 
-// TestSurplusAnswerTeachesNothing: an engine was taken for draining, and for
-// restarted, by an answer to a request that was never sent to it. The header of
-// an answer was taken in before its identity was looked at. Proof: after a wrong
-// answer the engine's word is what it was.
-func TestSurplusAnswerTeachesNothing(t *testing.T) {
-	forWrongIdentities(t, func(t *testing.T, identity func(r *http.Request) string) {
+// A stray response must not change the engine's state: its identity must be checked before its state
+// headers are applied, or an engine is taken for draining or restarted because of a request that was
+// never sent to it.
+func TestStrayResponseDoesNotChangeEngineState(t *testing.T) {
+	forStrayIdentities(t, func(t *testing.T, identity func(r *http.Request) string) {
 		engine := newFakeEngine(t, "e1", 11)
-		engine.surplus.answer = onWork(func(r *http.Request) string {
-			// Nothing is asked of the engine again after this status.
-			return rawAnswer(http.StatusNotFound, identity(r)+wrongWord(), foreignText)
+		engine.stray.answer = onRequestPaths(func(r *http.Request) string {
+			// This status is not retried.
+			return rawResponse(http.StatusNotFound, identity(r)+strayStateHeaders(), strayBody)
 		})
-		config := quick()
-		config.Intervals.Load = time.Hour // no poll mends what was learnt
-		f := start(t, config, []*fakeEngine{engine})
-		followed := f.endpoint("narrator", "e1")
-		eventually(t, func() bool { return followed.word().heard })
-		for range surplusRequests {
+		config := fastConfig()
+		config.Intervals.Load = time.Hour // no poll may correct a wrong state
+		f := startFleet(t, config, []*fakeEngine{engine})
+		engineEndpoint := f.endpoint("narrator", "e1")
+		eventually(t, func() bool { return engineEndpoint.reported().hasReported })
+		for range strayTestRequests {
 			f.stream(HeaderClass, "cap")
-			must.Eq(t, api.PhaseServing, followed.word().phase)
-			must.Eq(t, 11, followed.word().incarnation)
-			must.False(t, followed.suspected(f.proxy.clock()), must.Sprint("it is there"))
+			must.Eq(t, api.PhaseServing, engineEndpoint.reported().phase)
+			must.Eq(t, 11, engineEndpoint.reported().incarnation)
+			must.False(t, engineEndpoint.isSuspect(f.proxy.clock()), must.Sprint("the endpoint is reachable"))
 		}
-		must.Positive(t, engine.surplus.sent.Load())
-		// Each is counted; the server counts after it has sent.
-		eventually(t, func() bool { return float64(engine.surplus.sent.Load()) == foreignAnswers(t, f.proxy) })
+		must.Positive(t, engine.stray.sent.Load())
+		// Each stray response is counted. The server counts it after sending it.
+		eventually(t, func() bool { return float64(engine.stray.sent.Load()) == foreignResponseCount(t, f.proxy) })
 	})
 }
 
-// TestSurplusReportIsNotTakenIn: a load report was taken from the answer to an
-// earlier poll. Polls named no identity, so that a connection on which one
-// answer too many had come gave each poll the answer before its own. Proof: the
-// report in a wrong answer is never the endpoint's.
-func TestSurplusReportIsNotTakenIn(t *testing.T) {
-	report := fmt.Sprintf(`{"engine":"e1","incarnation":"%d","phase":"draining","running":5000}`, foreignIncarnation)
-	identities := maps.Clone(wrongIdentities)
-	// Polls have no attempts: what names a poll's ID alone is its own answer.
-	delete(identities, "of no attempt")
+// The report in a stray response must never be applied to the endpoint. If polls had no identity,
+// then on a connection with one stray response every poll would get the response to the previous one.
+func TestStrayLoadReportIsIgnored(t *testing.T) {
+	report := fmt.Sprintf(`{"engine":"e1","incarnation":"%d","phase":"draining","running":5000}`, strayIncarnation)
+	identities := maps.Clone(strayIdentities)
+	// Polls have no attempts, so a response with just the poll's ID is genuine.
+	delete(identities, "no attempt")
 	var before atomic.Pointer[string]
-	identities["of the poll before"] = func(r *http.Request) string {
+	identities["previous poll"] = func(r *http.Request) string {
 		id := r.Header.Get(engineapi.HeaderRequestID)
 		if last := before.Swap(&id); last != nil {
 			return engineapi.HeaderRequestID + ": " + *last + "\r\n"
@@ -347,45 +345,48 @@
 	for name, identity := range identities {
 		t.Run(name, func(t *testing.T) {
 			engine := newFakeEngine(t, "e1", 11)
-			engine.surplus.answer = func(r *http.Request) string {
+			engine.stray.answer = func(r *http.Request) string {
 				if r.URL.Path != engineapi.PathLoad {
 					return ""
 				}
-				return rawAnswer(http.StatusOK, identity(r)+wrongWord(), report)
+				return rawResponse(http.StatusOK, identity(r)+strayStateHeaders(), report)
 			}
-			f := start(t, quick(), []*fakeEngine{engine})
-			followed := f.endpoint("narrator", "e1")
+			f := startFleet(t, fastConfig(), []*fakeEngine{engine})
+			engineEndpoint := f.endpoint("narrator", "e1")
 			eventually(t, func() bool {
-				word := followed.word()
-				must.NotEq(t, foreignIncarnation, word.incarnation)
+				word := engineEndpoint.reported()
+				must.NotEq(t, strayIncarnation, word.incarnation)
 				must.NotEq(t, api.PhaseDraining, word.phase)
-				must.False(t, followed.suspected(f.proxy.clock()), must.Sprint("it is not silent"))
-				return engine.surplus.sent.Load() > 2
+				must.False(t, engineEndpoint.isSuspect(f.proxy.clock()), must.Sprint("the endpoint responds"))
+				return engine.stray.sent.Load() > 2
 			})
 		})
 	}
 }
 
-// overlap is so long that runs which start together are on several connections.
+// overlap is the duration of a run, long enough for runs that start together to
+// use several connections.
 const overlap = 60 * time.Millisecond
 
-// keepConnections has whole runs leave several kept connections to the engine.
-func keepConnections(f *fleet) {
-	f.stream(HeaderClass, "cap") // its echo tells that connections can be kept
+// openIdleConnections leaves several idle connections to the engine by completing
+// runs concurrently.
+func openIdleConnections(f *fleet) {
+	f.stream(HeaderClass, "cap") // its echoed identity shows that connections can be reused
 	var runs sync.WaitGroup
-	for range surplusRequests {
+	for range strayTestRequests {
 		runs.Go(func() { f.stream(HeaderClass, "cap") })
 	}
 	runs.Wait()
 }
 
-// resumedEngine is an engine that, once cutting is true, cuts each run's stream
-// and the first resume of it; the second resume ends it. Before the answer to the resume numbered
-// late (from 1) it sends a surplus one under the identity that before names.
-func resumedEngine(t *testing.T, cutting *atomic.Bool, late int32, before func(run, resume string) string) *fakeEngine {
+// newResumedEngine returns an engine that, while interrupt is true, interrupts the stream of each run
+// and of its first resume; the second resume completes it. It sends a stray response before that to
+// one resume, the first if strayBefore is 1, the second if it is 2. The stray response has the
+// identity headers that identity returns.
+func newResumedEngine(t *testing.T, interrupt *atomic.Bool, strayBefore int32, identity func(run, resume string) string) *fakeEngine {
 	engine := newFakeEngine(t, "e1", 11)
-	var run, resume atomic.Pointer[string] // the identities of the last ones
-	var resumes atomic.Int32               // of the present run
+	var run, resume atomic.Pointer[string] // identity headers of the last run and the last resume
+	var resumes atomic.Int32               // number of resumes of the current run
 	remember := func(to *atomic.Pointer[string], r *http.Request) {
 		id, number := runOf(r)
 		lines := identityLines(id, int(number))
@@ -394,77 +395,76 @@
 	engine.script = func(e *fakeEngine, w http.ResponseWriter, r *http.Request, n int) {
 		resumes.Store(0)
 		remember(&run, r)
-		if !cutting.Load() {
+		if !interrupt.Load() {
 			time.Sleep(overlap)
 			e.answer(w, r, 0, 4)
 			return
 		}
-		cutAfter(2)(e, w, r, n)
+		dropAfter(2)(e, w, r, n)
 	}
 	engine.resume = func(e *fakeEngine, w http.ResponseWriter, r *http.Request, request engineapi.ResumeRequest) {
 		remember(&resume, r)
 		if resumes.Add(1) == 1 {
 			e.tokens(w, request.RequestID, request.Attempt, request.Offset, request.Offset+1)
-			drop(w)
+			dropConnection(w)
 			return
 		}
 		e.tokens(w, request.RequestID, request.Attempt, request.Offset, 4)
 		_, _ = io.WriteString(w, "data: [DONE]\n\n")
 	}
-	engine.surplus.answer = func(r *http.Request) string {
-		if r.URL.Path != engineapi.PathResume || resumes.Load() != late-1 {
+	engine.stray.answer = func(r *http.Request) string {
+		if r.URL.Path != engineapi.PathResume || resumes.Load() != strayBefore-1 {
 			return ""
 		}
 		last := ""
 		if named := resume.Load(); named != nil {
 			last = *named
 		}
-		return rawAnswer(http.StatusConflict, before(*run.Load(), last), "{}")
+		return rawResponse(http.StatusConflict, identity(*run.Load(), last), "{}")
 	}
 	return engine
 }
 
-// TestSurplusAnswerBeforeAResume: a stream that could be taken up again ended
-// for its caller. A resume had the identity of its run and of the resumes before
-// it, so that a surplus answer to one of them was taken for its own. Proof: with
-// either before the answer to the resume, the caller gets the whole answer.
-func TestSurplusAnswerBeforeAResume(t *testing.T) {
+// A stray response to the run or to an earlier resume precedes the response to a resume. The caller
+// must still get the complete response, so a resume must not have the same identity as its run or
+// another resume: the stray response would be taken for its own.
+func TestStrayResponseBeforeResume(t *testing.T) {
 	cases := map[string]struct {
-		late   int32
-		before func(run, resume string) string
+		strayBefore int32
+		identity    func(run, resume string) string
 	}{
-		"of the run":            {1, func(run, _ string) string { return run }},
-		"of the resume before":  {2, func(_, resume string) string { return resume }},
-		"of the run, no number": {1, func(run, _ string) string { return run[:strings.Index(run, "\r\n")+2] }},
+		"identity of the run":                 {1, func(run, _ string) string { return run }},
+		"identity of the previous resume":     {2, func(_, resume string) string { return resume }},
+		"identity of the run without attempt": {1, func(run, _ string) string { return run[:strings.Index(run, "\r\n")+2] }},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			var cutting atomic.Bool
-			engine := resumedEngine(t, &cutting, test.late, test.before)
-			f := start(t, quick(), []*fakeEngine{engine})
+			var interrupt atomic.Bool
+			engine := newResumedEngine(t, &interrupt, test.strayBefore, test.identity)
+			f := startFleet(t, fastConfig(), []*fakeEngine{engine})
 			eventually(t, func() bool {
-				cutting.Store(false)
-				keepConnections(f)
-				cutting.Store(true)
-				words, whole := f.stream(HeaderClass, "cap").words()
+				interrupt.Store(false)
+				openIdleConnections(f)
+				interrupt.Store(true)
+				words, whole := f.stream(HeaderClass, "cap").tokens()
 				must.True(t, whole)
 				must.Eq(t, []string{"e1-0", "e1-1", "e1-2", "e1-3"}, words)
-				f.endpoint("narrator", "e1").succeed() // the next request may go there at once
-				return engine.surplus.sent.Load() > 0
+				f.endpoint("narrator", "e1").recordSuccess() // clears the suspicion, so that the next request uses the engine
+				return engine.stray.sent.Load() > 0
 			})
 		})
 	}
 }
 
-// TestCallsOfAHandOverShareNoIdentity: a surplus answer to one call of a request
-// is told from that to another only by its identity. Proof: the export, the
-// import and the run of each request have one each.
-func TestCallsOfAHandOverShareNoIdentity(t *testing.T) {
+// A stray response to one call of a request can be distinguished from that to
+// another only by its identity, so the export, the import and the run of each
+// request must have different identities.
+func TestKVTransferCallsHaveDistinctIdentities(t *testing.T) {
 	engines := []*fakeEngine{newFakeEngine(t, "e1", 11), newFakeEngine(t, "e2", 12)}
 	var lock sync.Mutex
-	calls := map[string]string{} // the path of each identity
+	calls := map[string]string{} // path by identity
 	for _, engine := range engines {
-		engine.surplus.observe = onWork(func(r *http.Request) string {
+		engine.stray.observe = onRequestPaths(func(r *http.Request) string {
 			id, number := runOf(r)
 			lock.Lock()
 			defer lock.Unlock()
@@ -476,10 +476,10 @@
 			return ""
 		})
 	}
-	f := start(t, quick(), engines)
-	splitRoles(f)
+	f := startFleet(t, fastConfig(), engines)
+	assignSplitRoles(f)
 	eventually(t, func() bool {
-		_, whole := f.stream(HeaderClass, "cap").words()
+		_, whole := f.stream(HeaderClass, "cap").tokens()
 		must.True(t, whole)
 		return engines[1].imports.Load() > 0
 	})
