--- a/process/control/actions.go
+++ b/process/control/actions.go
@@ -74,7 +74,7 @@
 	return shard.invalid[engine]
 }
 
-func (r *actionRunner) noteInvalid(engine string, fence api.Fence) {
+func (r *actionRunner) recordInvalid(engine string, fence api.Fence) {
 	shard := r.shard(engine)
 	shard.Lock()
 	defer shard.Unlock()
@@ -208,7 +208,7 @@
 	if reply.Code == engineapi.OrderInvalid {
 		event.OrderRefused.Log(r.duties.logger, "engine", action.Engine, "fence_term", action.Order.Fence.Term,
 			"fence_index", action.Order.Fence.Index)
-		r.noteInvalid(action.Engine, action.Order.Fence)
+		r.recordInvalid(action.Engine, action.Order.Fence)
 	}
 	r.term.poller.Record(action.Engine, action.Address, reply.State, askedAt)
 }
--- a/process/control/addresses.go
+++ b/process/control/addresses.go
@@ -77,8 +77,8 @@
 	return member, found
 }
 
-// unasked returns the configured members at whose addresses no member is known.
-func (b *addressBook) unasked() []Member {
+// unprobedMembers returns the configured members at whose addresses no member is known.
+func (b *addressBook) unprobedMembers() []Member {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	var open []Member
--- a/process/control/answers.go
+++ b/process/control/answers.go
@@ -41,8 +41,8 @@
 	writeError(w, http.StatusServiceUnavailable, body)
 }
 
-// writeUnknown answers a request that may have been accepted.
-func writeUnknown(w http.ResponseWriter, leader string) {
+// writeOutcomeUnknown answers a request that may have been accepted.
+func writeOutcomeUnknown(w http.ResponseWriter, leader string) {
 	writeError(w, http.StatusGatewayTimeout, operatorapi.Error{
 		Code:    operatorapi.ErrorOutcomeUnknown,
 		Message: "the outcome is unknown; send the same operation ID again",
@@ -52,11 +52,11 @@
 
 // writeProposalError answers a command that brought no result.
 func writeProposalError(w http.ResponseWriter, err error) {
-	if surelyNotProposed(err) {
+	if definitelyNotProposed(err) {
 		writeNoQuorum(w, err.Error(), "")
 		return
 	}
-	writeUnknown(w, "")
+	writeOutcomeUnknown(w, "")
 }
 
 // decodeBody reads strict JSON: no unknown fields, no wrong types, nothing
--- a/process/control/config.go
+++ b/process/control/config.go
@@ -209,16 +209,16 @@
 	return d
 }
 
-// silentRounds is how many rounds of questions an engine may leave unanswered
+// silentPollRounds is how many rounds of questions an engine may leave unanswered
 // before it counts as silent.
-const silentRounds = 3
+const silentPollRounds = 3
 
 // silenceOf returns the age from which an observation counts for nothing in a
 // fleet of so many engines: before a large one the rounds of questions take
 // longer than EngineSilence, and an engine that answers each must not count as
 // silent in between.
 func (d Durations) silenceOf(engines int) time.Duration {
-	return max(d.EngineSilence, silentRounds*orders.RoundTime(d.Poll, engines))
+	return max(d.EngineSilence, silentPollRounds*orders.RoundTime(d.Poll, engines))
 }
 
 func (l Limits) withDefaults() Limits {
--- a/process/control/config_test.go
+++ b/process/control/config_test.go
@@ -7,10 +7,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestSilenceGrowsWithTheFleet holds what a scale run showed: before 10,000
+// TestEngineSilenceGrowsWithFleetSize holds what a scale run showed: before 10,000
 // engines a round of questions takes the 5 s of the default, so every engine
 // counted as silent half of the time.
-func TestSilenceGrowsWithTheFleet(t *testing.T) {
+func TestEngineSilenceGrowsWithFleetSize(t *testing.T) {
 	durations := Durations{}.withDefaults()
 	for _, c := range []struct {
 		name    string
--- a/process/control/control_test.go
+++ b/process/control/control_test.go
@@ -55,7 +55,7 @@
 	})
 }
 
-func TestResendAfterLeaderCrashGetsFirstAnswer(t *testing.T) {
+func TestRetryAfterLeaderCrashReturnsOriginalResult(t *testing.T) {
 	c := newCluster(t, 3, nil)
 	c.start(0, 1, 2)
 	transaction := api.Transaction{OperationID: "first", Writes: narratorObjects()}
@@ -192,7 +192,7 @@
 	}
 }
 
-func TestLostDiskComesBackAsNewMember(t *testing.T) {
+func TestMemberWithLostDiskRejoinsAsNewMember(t *testing.T) {
 	c := newCluster(t, 3, nil)
 	c.start(0, 1, 2)
 	c.transact(api.Transaction{OperationID: "first", Writes: narratorObjects()})
@@ -243,8 +243,8 @@
 	return len(ids) == len(c.running)
 }
 
-func TestPlannedStopMovesSubscribersAndFailsNoWrite(t *testing.T) {
-	c := newCluster(t, 3, lastingLeader)
+func TestPlannedStopMovesSubscribersWithoutFailedWrites(t *testing.T) {
+	c := newCluster(t, 3, withLongElectionTimeout)
 	c.start(0, 1, 2)
 	leader := c.leader()
 	client, holder := c.follow("proxy-a")
@@ -328,7 +328,7 @@
 	})
 }
 
-func TestWholeGroupRestartsInBoundedTime(t *testing.T) {
+func TestGroupRestartRecoveryIsBounded(t *testing.T) {
 	const snapshotEntries, writers, writes = 50, 8, 40
 	c := newCluster(t, 3, func(config *Config) { config.Limits.SnapshotEntries = snapshotEntries })
 	c.start(0, 1, 2)
@@ -362,7 +362,7 @@
 	must.Len(t, writers*writes, list.Objects)
 }
 
-func TestNoQuorumIsToldAtOnce(t *testing.T) {
+func TestNoQuorumIsReportedImmediately(t *testing.T) {
 	c := newCluster(t, 3, nil)
 	c.start(0, 1, 2)
 	client, _ := c.follow("proxy-a")
@@ -385,7 +385,7 @@
 	})
 }
 
-func TestRemovedMemberStopsAndJoinsAnew(t *testing.T) {
+func TestRemovedMemberStopsAndRejoins(t *testing.T) {
 	c := newCluster(t, 3, func(config *Config) { config.Join = config.Name == "control-2" })
 	founding := c.configs[2]
 	c.configs[2].Join = false
@@ -412,7 +412,7 @@
 
 // An identity that was removed before it ever joined holds nothing: its member
 // comes back under another one, without an operator and without a new process.
-func TestIdentityRemovedBeforeItJoinedIsDrawnAnew(t *testing.T) {
+func TestIdentityRemovedBeforeJoiningIsReplaced(t *testing.T) {
 	c := newCluster(t, 3, func(config *Config) { config.Join = config.Name == "control-2" })
 	founding := c.configs[2]
 	c.configs[2].Join = false
@@ -446,19 +446,19 @@
 }
 
 // A member that is removed while it is asked to stop would only have joined again.
-func TestStopDuringARemovalIsAPlannedStop(t *testing.T) {
+func TestStopDuringRemovalIsPlanned(t *testing.T) {
 	stopped, stop := context.WithCancel(context.Background())
 	stop()
 	const joins, stays = true, false
-	must.True(t, endsRun(stopped, joins, ErrRemoved))
-	must.NoError(t, outcomeOfRun(stopped, joins, ErrRemoved))
-	must.ErrorIs(t, outcomeOfRun(stopped, stays, ErrRemoved), ErrRemoved)
-	must.ErrorIs(t, outcomeOfRun(stopped, joins, ErrConfig), ErrConfig)
-	must.False(t, endsRun(context.Background(), joins, ErrRemoved))
-	must.True(t, endsRun(context.Background(), stays, ErrRemoved))
+	must.True(t, isFinal(stopped, joins, ErrRemoved))
+	must.NoError(t, runResult(stopped, joins, ErrRemoved))
+	must.ErrorIs(t, runResult(stopped, stays, ErrRemoved), ErrRemoved)
+	must.ErrorIs(t, runResult(stopped, joins, ErrConfig), ErrConfig)
+	must.False(t, isFinal(context.Background(), joins, ErrRemoved))
+	must.True(t, isFinal(context.Background(), stays, ErrRemoved))
 }
 
-func TestDamagedFolderIsDiscardedOnlyBesideALeader(t *testing.T) {
+func TestDamagedDataFolderIsDiscardedOnlyWithLeader(t *testing.T) {
 	c := newCluster(t, 3, nil)
 	c.start(0, 1, 2)
 	c.awaitFurtherLosses(1)
--- a/process/control/course_test.go
+++ b/process/control/course_test.go
@@ -16,11 +16,11 @@
 // Sizes of a course: five members know the first three, two may be lost at once,
 // and two more stand ready to replace members that are gone for good.
 const (
-	courseMembers = 5
-	courseSeeds   = 3
-	courseLosses  = 2
-	courseSpares  = 2
-	courseSteps   = 6
+	scenarioMembers = 5
+	scenarioSeeds   = 3
+	scenarioLosses  = 2
+	scenarioSpares  = 2
+	scenarioSteps   = 6
 )
 
 // course plays losses against a growing group, one after the other and some at
@@ -35,20 +35,20 @@
 // A group that bears two losses keeps what it acknowledged and becomes whole
 // again by itself, whatever is lost within that: processes, disks, machines for
 // good, and the leader right in the middle of a repair.
-func TestGroupBecomesWholeAfterEachLoss(t *testing.T) {
+func TestGroupRecoversFromEachLoss(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3, 4} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			c := &course{
-				growing: newGrowing(t, courseMembers+courseSpares, courseSeeds, courseLosses),
+				growing: newGrowing(t, scenarioMembers+scenarioSpares, scenarioSeeds, scenarioLosses),
 				random:  rand.New(rand.NewPCG(seed, 0)),
-				spares:  []int{courseMembers, courseMembers + 1},
+				spares:  []int{scenarioMembers, scenarioMembers + 1},
 			}
 			c.start(0, 1, 2, 3, 4)
-			c.awaitWhole()
-			for range courseSteps {
+			c.awaitRecovered()
+			for range scenarioSteps {
 				c.step()
-				c.awaitWhole()
+				c.awaitRecovered()
 				c.readBack()
 			}
 		})
@@ -120,7 +120,7 @@
 	switch draw := c.random.IntN(4); {
 	case draw == 0:
 		return i
-	case draw == 1 && i >= courseSeeds && len(c.spares) > 0:
+	case draw == 1 && i >= scenarioSeeds && len(c.spares) > 0:
 		next := c.spares[0]
 		c.spares = c.spares[1:]
 		return next
@@ -130,10 +130,10 @@
 	}
 }
 
-// awaitWhole waits until the running members are the voters and two more losses
+// awaitRecovered waits until the running members are the voters and two more losses
 // can be borne. A member whose identity was removed is opened again, as its
 // process does.
-func (c *course) awaitWhole() {
+func (c *course) awaitRecovered() {
 	c.t.Helper()
 	eventually(c.t, "the group is whole", func() bool {
 		for i, running := range c.running {
@@ -145,7 +145,7 @@
 			}
 		}
 		status, ok := c.status()
-		return ok && status.FurtherLosses == courseLosses && len(status.Repairing) == 0 && c.listed(status)
+		return ok && status.FurtherLosses == scenarioLosses && len(status.Repairing) == 0 && c.listed(status)
 	})
 }
 
--- a/process/control/cut_test.go
+++ b/process/control/cut_test.go
@@ -29,7 +29,7 @@
 	running   sync.WaitGroup
 }
 
-func newCable(t *testing.T) *cable {
+func newPeerNetwork(t *testing.T) *cable {
 	c := &cable{t: t}
 	c.open = sync.NewCond(&c.lock)
 	t.Cleanup(c.end)
@@ -144,8 +144,8 @@
 	}
 }
 
-func TestOldLeaderThatComesBackChangesNothing(t *testing.T) {
-	wire := newCable(t)
+func TestReconnectedOldLeaderChangesNothing(t *testing.T) {
+	wire := newPeerNetwork(t)
 	c := newCluster(t, 3, nil)
 	c.connect(wire)
 	c.start(0, 1, 2)
--- a/process/control/engine_test.go
+++ b/process/control/engine_test.go
@@ -161,7 +161,7 @@
 // it. It comes about where another engine answers at the address, as after a move: it
 // calls an order in another name invalid, and that is taken for the engine's own word.
 // Proof: the order is carried out once the engine itself gets it, and nothing is voided.
-func TestAnswerOfAnotherEngineSaysNothingOfAnOrder(t *testing.T) {
+func TestReplyFromAnotherEngineDoesNotAffectOrder(t *testing.T) {
 	f := newFleet(t, 1)
 	f.awaitVersion("1")
 	const foreignAnswers = 2
--- a/process/control/fleet.go
+++ b/process/control/fleet.go
@@ -130,14 +130,14 @@
 		event.FleetReadable.Log(f.logger, "replicas", len(replicas))
 	}
 	f.failed = false
-	f.noteForeign(list.Foreign)
+	f.recordForeign(list.Foreign)
 	f.listed = mergeList(f.listed, replicas)
 	f.reads++
 	return true
 }
 
-// noteForeign tells once of entries that name no replica: again only when there are others.
-func (f *fleetReader) noteForeign(faults []string) {
+// recordForeign tells once of entries that name no replica: again only when there are others.
+func (f *fleetReader) recordForeign(faults []string) {
 	counts := map[string]int{}
 	for _, fault := range faults {
 		counts[fault]++
@@ -172,9 +172,9 @@
 	return f.listed, f.reads
 }
 
-// proxyPause is the least time between two looks at which proxies there are. Proxies that come
+// proxyDiffInterval is the least time between two looks at which proxies there are. Proxies that come
 // together are one change then: each of a thousand would else be told to all others.
-const proxyPause = 100 * time.Millisecond
+const proxyDiffInterval = 100 * time.Millisecond
 
 // tendFleet commits what differs between the fleet as it is seen and as it is
 // recorded: the replicas on the list, and the proxies that take requests.
@@ -185,7 +185,7 @@
 	current := d.group.machine.view()
 	var seen state.Observe
 	listed, reads := d.fleet.replicas()
-	compared := comparedWith(reads, current)
+	compared := comparedListOf(reads, current)
 	if reads > 0 && compared != term.comparedList {
 		diffReplicas(&seen, current, listed)
 		if len(seen.Put)+len(seen.Removed) == 0 {
@@ -193,7 +193,7 @@
 		}
 	}
 	if now := monotonic(); now >= term.nextProxies {
-		term.nextProxies = now + proxyPause
+		term.nextProxies = now + proxyDiffInterval
 		silence := d.group.config.Durations.ProxySilence
 		heard := d.group.presence.heardSince(now - silence)
 		// Proxies of an earlier leadership get time to find this member.
@@ -257,9 +257,9 @@
 	replicas uintptr
 }
 
-// comparedWith names the list that was read so many times and the view's replicas. Views
+// comparedListOf names the list that was read so many times and the view's replicas. Views
 // share the map of replicas until one changes.
-func comparedWith(reads uint64, current *view.View) comparedList {
+func comparedListOf(reads uint64, current *view.View) comparedList {
 	return comparedList{reads: reads, replicas: reflect.ValueOf(current.Replicas).Pointer()}
 }
 
--- a/process/control/forward.go
+++ b/process/control/forward.go
@@ -12,8 +12,8 @@
 	"github.com/pkg/errors"
 )
 
-// maxForwardedAnswer bounds the answer that is handed back from the leader.
-const maxForwardedAnswer = 256 << 20
+// maxForwardedResponseBytes bounds the answer that is handed back from the leader.
+const maxForwardedResponseBytes = 256 << 20
 
 func newForwardingClient() *http.Client {
 	client := singleuse.NewClient(nil)
@@ -92,15 +92,15 @@
 		return
 	}
 	defer func() { _ = response.Body.Close() }()
-	answer, err := io.ReadAll(io.LimitReader(response.Body, maxForwardedAnswer))
+	answer, err := io.ReadAll(io.LimitReader(response.Body, maxForwardedResponseBytes))
 	if err != nil {
 		writeForwardError(w, r, address, err)
 		return
 	}
-	copyAnswer(w, response, answer)
+	copyResponse(w, response, answer)
 }
 
-func copyAnswer(w http.ResponseWriter, response *http.Response, body []byte) {
+func copyResponse(w http.ResponseWriter, response *http.Response, body []byte) {
 	for _, name := range []string{"Content-Type", "Retry-After"} {
 		if value := response.Header.Get(name); value != "" {
 			w.Header().Set(name, value)
@@ -110,8 +110,8 @@
 	_, _ = w.Write(body) // the caller is told of a cut answer by its length
 }
 
-// neverSent reports whether the connection for a request was never made.
-func neverSent(err error) bool {
+// isDialError reports whether the connection for a request was never made.
+func isDialError(err error) bool {
 	var dialing *net.OpError
 	return errors.As(err, &dialing) && dialing.Op == "dial"
 }
@@ -119,9 +119,9 @@
 // writeForwardError answers for a leader that gave no whole answer. A read, or
 // a request whose connection was never made, surely changed nothing.
 func writeForwardError(w http.ResponseWriter, r *http.Request, address string, err error) {
-	if r.Method == http.MethodGet || neverSent(err) {
+	if r.Method == http.MethodGet || isDialError(err) {
 		writeNoQuorum(w, "the leader does not answer", address)
 		return
 	}
-	writeUnknown(w, address)
+	writeOutcomeUnknown(w, address)
 }
--- a/process/control/founding.go
+++ b/process/control/founding.go
@@ -31,8 +31,8 @@
 	logger    log.Logger
 }
 
-// foundingPause is the wait between two rounds of questions.
-const foundingPause = 100 * time.Millisecond
+// bootstrapRetryInterval is the wait between two rounds of questions.
+const bootstrapRetryInterval = 100 * time.Millisecond
 
 // configuration returns the configuration to start with; it is empty for a
 // member that has to join. The error is that of ctx.
@@ -48,7 +48,7 @@
 		if decided {
 			return configuration, nil
 		}
-		if !pause.For(ctx, foundingPause) {
+		if !pause.For(ctx, bootstrapRetryInterval) {
 			return raft.Configuration{}, ctx.Err()
 		}
 	}
@@ -64,7 +64,7 @@
 		if configured.Name == e.config.Name {
 			return false
 		}
-		self, err := askMember(ctx, configured.OperatorAddress)
+		self, err := fetchMemberStatus(ctx, configured.OperatorAddress)
 		return err == nil && len(self.Voters) > 0
 	})
 }
@@ -104,7 +104,7 @@
 func (e *entry) follow(ctx context.Context, configured Member) (raft.Configuration, bool) {
 	ctx, cancel := context.WithTimeout(ctx, e.config.Durations.Election)
 	defer cancel()
-	self, err := askMember(ctx, configured.OperatorAddress)
+	self, err := fetchMemberStatus(ctx, configured.OperatorAddress)
 	if err != nil {
 		return raft.Configuration{}, false
 	}
@@ -124,8 +124,8 @@
 	return ids
 }
 
-// joinPause is the wait between two requests to be taken in.
-const joinPause = 250 * time.Millisecond
+// joinRetryInterval is the wait between two requests to be taken in.
+const joinRetryInterval = 250 * time.Millisecond
 
 // join asks the group to take this member in, until it is a member.
 func (m *member) join(ctx context.Context) {
@@ -134,22 +134,22 @@
 		return // there is no other member to ask
 	}
 	for !m.isMember() {
-		err := m.askToJoin(ctx, client)
+		err := m.requestJoin(ctx, client)
 		if err != nil && ctx.Err() == nil {
 			event.ControlJoinDelayed.Log(m.logger, "err", err)
 		}
-		if isRemoval(err) && len(m.replica.Status().Configuration.Voters) == 0 {
-			m.noteRemoved() // it never joined: its folder holds nothing but the identity
+		if isRemovedError(err) && len(m.replica.Status().Configuration.Voters) == 0 {
+			m.signalRemoved() // it never joined: its folder holds nothing but the identity
 			return
 		}
-		if !pause.For(ctx, joinPause) {
+		if !pause.For(ctx, joinRetryInterval) {
 			return
 		}
 	}
 }
 
-// isRemoval reports whether the group has refused an identity that it removed.
-func isRemoval(err error) bool {
+// isRemovedError reports whether the group has refused an identity that it removed.
+func isRemovedError(err error) bool {
 	var refused *operator.RefusedError
 	return errors.As(err, &refused) && refused.Body.Code == operatorapi.ErrorRemoved
 }
@@ -163,10 +163,10 @@
 
 // joinClient asks the other members that are known by now.
 func (m *member) joinClient() (*operator.Client, error) {
-	return operator.New(operator.Config{Members: m.otherOperators(), AttemptTimeout: m.config.Durations.Proposal})
+	return operator.New(operator.Config{Members: m.otherOperatorAddresses(), AttemptTimeout: m.config.Durations.Proposal})
 }
 
-func (m *member) askToJoin(ctx context.Context, client *operator.Client) error {
+func (m *member) requestJoin(ctx context.Context, client *operator.Client) error {
 	own := m.config.own(m.id)
 	reply, err := client.ChangeMembers(ctx, operatorapi.MemberRequest{
 		Action:          operatorapi.MemberAdd,
@@ -179,14 +179,14 @@
 	if err != nil {
 		return err
 	}
-	m.learnMembers(reply.Members)
+	m.addAddresses(reply.Members)
 	return nil
 }
 
-// learnMembers keeps where the members are. A member that joins has no state to
+// addAddresses keeps where the members are. A member that joins has no state to
 // tell it, and the leader, to whom it must answer before it gets any, need not be
 // one of those that its settings name.
-func (m *member) learnMembers(members []operatorapi.Member) {
+func (m *member) addAddresses(members []operatorapi.Member) {
 	for _, known := range members {
 		if raft.MemberID(known.ID) == m.id || known.PeerAddress == "" {
 			continue
@@ -201,9 +201,9 @@
 	}
 }
 
-// otherOperators returns where the other members take requests, as far as the
+// otherOperatorAddresses returns where the other members take requests, as far as the
 // settings or the group's state tell.
-func (m *member) otherOperators() []string {
+func (m *member) otherOperatorAddresses() []string {
 	var addresses []string
 	add := func(address string) {
 		if address != "" && !slices.Contains(addresses, address) {
--- a/process/control/group.go
+++ b/process/control/group.go
@@ -41,7 +41,7 @@
 	// ledTerm is the last term for which this member has held a valid lease,
 	// and therefore has applied everything that earlier leaders committed.
 	ledTerm atomic.Uint64
-	leases  leaseReads
+	leases  leaseReadBatcher
 	// membership makes additions and removals of members one at a time.
 	membership sync.Mutex
 }
@@ -68,13 +68,13 @@
 // Lease returns the term that this member leads, and false unless its lease is
 // valid by a clock read after the call began.
 func (g *group) Lease(ctx context.Context) (uint64, bool) {
-	term, err := g.leases.read(ctx, g.leaseRead)
+	term, err := g.leases.read(ctx, g.readLease)
 	return term, err == nil
 }
 
-// leaseRead asks the replica. The term is read before and after, since the
+// readLease asks the replica. The term is read before and after, since the
 // lease that was found valid belongs to one of the terms in between.
-func (g *group) leaseRead(ctx context.Context) (uint64, error) {
+func (g *group) readLease(ctx context.Context) (uint64, error) {
 	before := g.replica.Status()
 	if err := g.replica.LeaseRead(ctx); err != nil {
 		return 0, err
@@ -110,7 +110,7 @@
 func (g *group) propose(ctx context.Context, command state.Command) (any, error) {
 	ctx, cancel := context.WithTimeout(ctx, g.config.Durations.Proposal)
 	defer cancel()
-	term, err := g.leases.read(ctx, g.leaseRead)
+	term, err := g.leases.read(ctx, g.readLease)
 	if err != nil {
 		g.countFailure(errNoLease)
 		return nil, errors.Wrap(errNoLease, err.Error())
@@ -126,7 +126,7 @@
 
 func (g *group) countFailure(err error) {
 	outcome := "unknown"
-	if surelyNotProposed(err) {
+	if definitelyNotProposed(err) {
 		outcome = "not_proposed"
 	}
 	g.metrics.proposalError.WithLabelValues(outcome).Inc()
@@ -143,9 +143,9 @@
 // errNoLease refuses a command that was not proposed for want of a valid lease.
 var errNoLease = errors.New("control: no valid leader lease")
 
-// surelyNotProposed reports whether the error says that the command was not and
+// definitelyNotProposed reports whether the error says that the command was not and
 // will not be committed.
-func surelyNotProposed(err error) bool {
+func definitelyNotProposed(err error) bool {
 	for _, sure := range []error{errNoLease, replica.ErrNotLeader, replica.ErrOverloaded, replica.ErrStopped, replica.ErrWithdrawn} {
 		if errors.Is(err, sure) {
 			return true
@@ -178,7 +178,7 @@
 }
 
 func feedError(err error) error {
-	if surelyNotProposed(err) {
+	if definitelyNotProposed(err) {
 		return errors.Wrap(feed.ErrNoQuorum, err.Error())
 	}
 	return errors.Wrap(feed.ErrOutcomeUnknown, err.Error())
@@ -223,22 +223,22 @@
 	g.desk.takeOver(g.machine.history.Load(), daemon, told, monotonic())
 }
 
-// leaseReads lets any number of callers share lease reads. A caller gets the
+// leaseReadBatcher lets any number of callers share lease reads. A caller gets the
 // answer of a read that was started after its call, so a shared answer is as
 // good as one of its own.
-type leaseReads struct {
+type leaseReadBatcher struct {
 	lock    sync.Mutex
 	running bool
-	next    *leaseAnswer // of the read that starts once the running one ends
+	next    *leaseResult // of the read that starts once the running one ends
 }
 
-type leaseAnswer struct {
+type leaseResult struct {
 	done chan struct{}
 	term uint64
 	err  error
 }
 
-func (l *leaseReads) read(ctx context.Context, ask func(context.Context) (uint64, error)) (uint64, error) {
+func (l *leaseReadBatcher) read(ctx context.Context, ask func(context.Context) (uint64, error)) (uint64, error) {
 	answer := l.join(ask)
 	select {
 	case <-answer.done:
@@ -248,11 +248,11 @@
 	}
 }
 
-func (l *leaseReads) join(ask func(context.Context) (uint64, error)) *leaseAnswer {
+func (l *leaseReadBatcher) join(ask func(context.Context) (uint64, error)) *leaseResult {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	if l.next == nil {
-		l.next = &leaseAnswer{done: make(chan struct{})}
+		l.next = &leaseResult{done: make(chan struct{})}
 	}
 	answer := l.next
 	if !l.running {
@@ -266,7 +266,7 @@
 const leaseReadTimeout = time.Second
 
 // serve runs one read after the other until nobody waits.
-func (l *leaseReads) serve(ask func(context.Context) (uint64, error)) {
+func (l *leaseReadBatcher) serve(ask func(context.Context) (uint64, error)) {
 	for {
 		answer := l.take()
 		if answer == nil {
@@ -279,7 +279,7 @@
 	}
 }
 
-func (l *leaseReads) take() *leaseAnswer {
+func (l *leaseReadBatcher) take() *leaseResult {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	answer := l.next
--- a/process/control/group_test.go
+++ b/process/control/group_test.go
@@ -53,8 +53,8 @@
 	FailurePause:  time.Minute,
 }
 
-// lastingLeader keeps what the machine does beside the test from ending a leader's term.
-func lastingLeader(config *Config) { config.Durations.Election = 3 * time.Second }
+// withLongElectionTimeout keeps what the machine does beside the test from ending a leader's term.
+func withLongElectionTimeout(config *Config) { config.Durations.Election = 3 * time.Second }
 
 // unsyncedFiles are the operating system's files without waits for the disk, which may
 // hang for longer than an election timeout of these tests. No machine loses its power
--- a/process/control/history_test.go
+++ b/process/control/history_test.go
@@ -295,7 +295,7 @@
 		if err == nil && c.random.IntN(10) > 0 {
 			return answer, true
 		}
-		proposed = proposed || !surelyNotProposed(err)
+		proposed = proposed || !definitelyNotProposed(err)
 		time.Sleep(time.Duration(c.random.IntN(200)) * time.Millisecond)
 	}
 	return nil, proposed
@@ -512,7 +512,7 @@
 	must.Positive(t, lost)
 }
 
-func TestHistoryCheckFindsFaults(t *testing.T) {
+func TestHistoryModelRejectsViolations(t *testing.T) {
 	at := func(input, output any, call, ended int64) porcupine.Operation {
 		return porcupine.Operation{Input: input, Output: output, Call: call, Return: ended}
 	}
--- a/process/control/ingress.go
+++ b/process/control/ingress.go
@@ -46,7 +46,7 @@
 		return api.ReplaceResult{}, errors.Wrap(ErrUnavailable, err.Error())
 	}
 	var result api.ReplaceResult
-	err = a.askLeader(ctx, http.MethodPost, operatorapi.PathIngress, body, &result)
+	err = a.callLeader(ctx, http.MethodPost, operatorapi.PathIngress, body, &result)
 	return result, err
 }
 
@@ -61,7 +61,7 @@
 		return current.machine.ingress()
 	}
 	var list operatorapi.ObjectList
-	if err := a.askLeader(ctx, http.MethodGet, operatorapi.PathIngress, nil, &list); err != nil {
+	if err := a.callLeader(ctx, http.MethodGet, operatorapi.PathIngress, nil, &list); err != nil {
 		return nil, errors.Wrap(ErrUnavailable, err.Error())
 	}
 	for _, object := range list.Objects {
@@ -98,8 +98,8 @@
 // asks nobody, and the answer may lag.
 func (a *Access) Proxies() map[string]*api.Proxy { return a.member.machine.view().Proxies }
 
-// askLeader hands a call on to the leader.
-func (a *Access) askLeader(ctx context.Context, method, path string, body []byte, answer any) error {
+// callLeader hands a call on to the leader.
+func (a *Access) callLeader(ctx context.Context, method, path string, body []byte, answer any) error {
 	address := a.leaderAddress()
 	if address == "" {
 		return errors.Wrap(ErrUnavailable, "no leader is known")
@@ -112,10 +112,10 @@
 	request.Header.Set(operatorapi.HeaderForwarded, a.member.config.Name)
 	response, err := a.member.operator.forwarding.Do(request)
 	if err != nil {
-		return forwardFailure(err)
+		return forwardError(err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxForwardedAnswer))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxForwardedResponseBytes))
 	if err != nil {
 		return errors.Wrap(ErrOutcomeUnknown, err.Error())
 	}
@@ -138,9 +138,9 @@
 	return member.OperatorAddress
 }
 
-// forwardFailure tells a call that was never sent from one that may have been.
-func forwardFailure(err error) error {
-	if neverSent(err) {
+// forwardError tells a call that was never sent from one that may have been.
+func forwardError(err error) error {
+	if isDialError(err) {
 		return errors.Wrap(ErrUnavailable, err.Error())
 	}
 	return errors.Wrap(ErrOutcomeUnknown, err.Error())
@@ -153,7 +153,7 @@
 		event.IngressRefused.Log(g.logger, "generation", spec.Generation, "faults", len(faults), "first", faults[0].Field+" "+faults[0].Message)
 		return api.ReplaceResult{Code: api.ReplaceInvalid, Faults: faults}, nil
 	}
-	if status := g.replica.Status(); !g.bearsLosses(status) {
+	if status := g.replica.Status(); !g.toleratesLosses(status) {
 		event.IngressNotTaken.Log(g.logger, "generation", spec.Generation, "voters", len(status.Configuration.Voters), "err", "too few voters")
 		return api.ReplaceResult{}, errors.Wrap(ErrUnavailable, "the group is not complete yet")
 	}
@@ -161,7 +161,7 @@
 	value, err := g.propose(ctx, state.Command{Kind: state.CommandReplaceIngress, ReplaceIngress: &replacement})
 	if err != nil {
 		event.IngressNotTaken.Log(g.logger, "generation", spec.Generation, "err", err)
-		if surelyNotProposed(err) {
+		if definitelyNotProposed(err) {
 			return api.ReplaceResult{}, errors.Wrap(ErrUnavailable, err.Error())
 		}
 		return api.ReplaceResult{}, errors.Wrap(ErrOutcomeUnknown, err.Error())
@@ -184,16 +184,16 @@
 	return state.ReplaceIngress{Spec: spec, Tenants: tenants}
 }
 
-// bearsLosses reports whether each quorum of the group outlives the losses that
+// toleratesLosses reports whether each quorum of the group outlives the losses that
 // must be borne.
-func (g *group) bearsLosses(status raft.Status) bool {
+func (g *group) toleratesLosses(status raft.Status) bool {
 	quorum := len(status.Configuration.Voters)/2 + 1
 	return quorum > g.config.LossesToBear
 }
 
-// votersWanted is how many voters it takes so that the group goes on after the
+// requiredVoters is how many voters it takes so that the group goes on after the
 // losses that must be borne.
-func (g *group) votersWanted() int { return 2*g.config.LossesToBear + 1 }
+func (g *group) requiredVoters() int { return 2*g.config.LossesToBear + 1 }
 
 // readIngress serves the operator API's call on the leader. It is the only answer in
 // which the document stands, keys included, since operators read it back as they sent it.
@@ -228,13 +228,13 @@
 	case errors.Is(err, ErrUnavailable):
 		writeNoQuorum(w, err.Error(), "")
 	default:
-		writeUnknown(w, "")
+		writeOutcomeUnknown(w, "")
 	}
 }
 
-// minimumNear is how many proxies of a caller's zone there must be for the
+// minZoneProxies is how many proxies of a caller's zone there must be for the
 // caller to be sent to these alone.
-const minimumNear = 2
+const minZoneProxies = 2
 
 // ProxyAddresses returns where a caller in the zone is to connect: to at most so
 // many proxies, those of its own zone where there are enough of them. Names
@@ -249,7 +249,7 @@
 			near = append(near, spec.Address)
 		}
 	}
-	if len(near) >= minimumNear {
+	if len(near) >= minZoneProxies {
 		all = near
 	}
 	return all[:min(most, len(all))]
--- a/process/control/ingress_test.go
+++ b/process/control/ingress_test.go
@@ -149,7 +149,7 @@
 
 // What a group acknowledges must outlive the losses that it is to bear, so a
 // group that is still growing takes nothing.
-func TestNothingIsTakenBeforeTheGroupBearsItsLosses(t *testing.T) {
+func TestIngressIsRefusedUntilGroupToleratesLosses(t *testing.T) {
 	g := newGrowing(t, 5, 3, 2)
 	g.start(0)
 	g.awaitVoters(1, 0)
@@ -167,12 +167,12 @@
 // The leader need not be one of those that a joining member's settings name.
 // When it was not, the member could not answer it and never got a log: the next
 // two lost disks then left one voter of five.
-func TestMemberJoinsUnderALeaderThatItsSettingsDoNotName(t *testing.T) {
+func TestMemberJoinsUnderNonSeedLeader(t *testing.T) {
 	g := newGrowing(t, 5, 3, 2)
 	g.start(0, 1, 2, 3, 4)
 	g.awaitVoters(5, 0, 1, 2, 3, 4)
 	leader := g.running[3].member
-	g.leadByNoSeed(3)
+	g.transferToNonSeed(3)
 	g.crash(1)
 	g.loseDisk(1)
 	g.start(1)
@@ -184,7 +184,7 @@
 }
 
 // The first of the members that a joining one knows may be gone without a word.
-func TestMemberJoinsThoughItsFirstSeedAnswersNothing(t *testing.T) {
+func TestMemberJoinsWithUnresponsiveFirstSeed(t *testing.T) {
 	g := newGrowing(t, 4, 3, 1)
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -197,8 +197,8 @@
 	g.awaitVoters(4, 0, 1, 2, 3)
 }
 
-// leadByNoSeed has a member lead that the settings of the others do not name.
-func (g *growing) leadByNoSeed(i int) {
+// transferToNonSeed has a member lead that the settings of the others do not name.
+func (g *growing) transferToNonSeed(i int) {
 	g.t.Helper()
 	leader := g.running[i].member
 	eventually(g.t, "leadership of a member that is no seed", func() bool {
@@ -213,11 +213,11 @@
 
 // A member that was dropped while it was cut off has to learn of it from a leader
 // that its settings do not name.
-func TestDroppedMemberJoinsAnewUnderALeaderThatItsSettingsDoNotName(t *testing.T) {
+func TestRemovedMemberRejoinsUnderNonSeedLeader(t *testing.T) {
 	g := newGrowing(t, 5, 3, 2)
 	g.start(0, 1, 2, 3, 4)
 	g.awaitVoters(5, 0, 1, 2, 3, 4)
-	g.leadByNoSeed(3)
+	g.transferToNonSeed(3)
 	dropped := g.running[4]
 	eventually(t, "the removal", func() bool {
 		request := operatorapi.MemberRequest{Action: operatorapi.MemberRemove, ID: operatorapi.MemberID(dropped.member.id)}
@@ -237,7 +237,7 @@
 
 // A founder is told so at its first start. When it has lost its disk, or was
 // removed, it joins the group that it founded, even if it is still told so.
-func TestFounderFoundsNoSecondGroup(t *testing.T) {
+func TestFounderDoesNotBootstrapSecondGroup(t *testing.T) {
 	g := newGrowing(t, 5, 3, 2)
 	g.start(0, 1, 2, 3, 4)
 	g.awaitVoters(5, 0, 1, 2, 3, 4)
@@ -248,7 +248,7 @@
 	g.awaitVoters(5, 0, 1, 2, 3, 4)
 }
 
-func TestRemovedFounderJoinsTheGroupThatItFounded(t *testing.T) {
+func TestRemovedFounderRejoinsItsGroup(t *testing.T) {
 	g := newGrowing(t, 5, 3, 2)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -279,11 +279,11 @@
 }
 
 // Whether a damaged folder may be emptied must not depend on who leads the others.
-func TestDamagedFolderIsDiscardedUnderALeaderThatItsSettingsDoNotName(t *testing.T) {
+func TestDamagedDataFolderIsDiscardedUnderNonSeedLeader(t *testing.T) {
 	g := newGrowing(t, 5, 3, 2)
 	g.start(0, 1, 2, 3, 4)
 	g.awaitVoters(5, 0, 1, 2, 3, 4)
-	g.leadByNoSeed(3)
+	g.transferToNonSeed(3)
 	g.crash(4)
 	segments, err := filepath.Glob(filepath.Join(g.configs[4].DataFolder, "*.wal"))
 	must.NoError(t, err)
@@ -295,7 +295,7 @@
 	g.awaitVoters(5, 0, 1, 2, 3, 4)
 }
 
-func TestLostMemberIsDroppedOnceASuccessorHasJoined(t *testing.T) {
+func TestLostMemberIsRemovedAfterReplacementJoins(t *testing.T) {
 	g := newGrowing(t, 6, 3, 2)
 	g.start(0, 1, 2, 3, 4)
 	g.awaitVoters(5, 0, 1, 2, 3, 4)
@@ -308,7 +308,7 @@
 	})
 }
 
-func TestAnyMemberTakesAndReadsAnIngress(t *testing.T) {
+func TestAnyMemberReplacesAndReadsIngress(t *testing.T) {
 	g := newGrowing(t, 3, 3, 1)
 	g.start(0, 1, 2)
 	g.awaitVoters(3, 0, 1, 2)
@@ -316,7 +316,7 @@
 		generation := uint64(10 + i)
 		must.Eq(t, generation, g.replaceIngress(i, ingressOf(generation, "document")).Generation)
 		for reader := range 3 {
-			held := g.heldIngress(reader)
+			held := g.currentIngress(reader)
 			must.Eq(t, generation, held.Spec.Generation)
 			must.Eq(t, "document", string(held.Spec.Source))
 		}
@@ -330,12 +330,12 @@
 		must.Eq(t, api.ReplaceInvalid, result.Code)
 		must.SliceNotEmpty(t, result.Faults)
 	}
-	must.Eq(t, 12, g.heldIngress(0).Spec.Generation)
+	must.Eq(t, 12, g.currentIngress(0).Spec.Generation)
 }
 
 // Keys stand in the document alone, which no view holds: neither in what proxies get nor in
 // what operators read of objects.
-func TestNoViewHoldsAKey(t *testing.T) {
+func TestViewsContainNoAPIKeys(t *testing.T) {
 	g := newGrowing(t, 3, 3, 1)
 	g.start(0, 1, 2)
 	g.awaitVoters(3, 0, 1, 2)
@@ -347,7 +347,7 @@
 		spec.Generation++
 		must.Eq(t, api.ReplaceApplied, g.replaceIngress(i, spec).Code)
 		for reader := range 3 {
-			must.StrContains(t, string(g.heldIngress(reader).Spec.Source), key)
+			must.StrContains(t, string(g.currentIngress(reader).Spec.Source), key)
 		}
 	}
 	current := g.running[g.leader()].member.group.Load().machine.view()
@@ -383,8 +383,8 @@
 	return result
 }
 
-// heldIngress reads the configuration through the member until it has an answer.
-func (g *growing) heldIngress(i int) *api.Ingress {
+// currentIngress reads the configuration through the member until it has an answer.
+func (g *growing) currentIngress(i int) *api.Ingress {
 	g.t.Helper()
 	var held *api.Ingress
 	eventually(g.t, "the configuration in force", func() bool {
@@ -421,7 +421,7 @@
 	must.Eq(t, http.StatusBadRequest, g.call(0, http.MethodPost, operatorapi.PathIngress, "text", nil))
 }
 
-func TestReplicasOfTheListReachDaemons(t *testing.T) {
+func TestListedReplicasReachDaemons(t *testing.T) {
 	g := newGrowing(t, 1, 1, 0)
 	g.fleet.set(replicaOf("r-1", false), replicaOf("r-2", false))
 	g.start(0)
@@ -439,7 +439,7 @@
 	must.Eq(t, 2, names(), must.Sprint("an empty list is a fault"))
 }
 
-func TestOneListWithoutAReplicaTakesNothingAway(t *testing.T) {
+func TestReplicaMissingFromOneListIsKept(t *testing.T) {
 	first := mergeList(nil, []api.Replica{replicaOf("r-1", false), replicaOf("r-2", false)})
 	second := mergeList(first, []api.Replica{replicaOf("r-1", false)})
 	must.MapLen(t, 2, second)
@@ -449,7 +449,7 @@
 	must.MapLen(t, 2, back)
 }
 
-func TestProxiesAreNamedToCallersWhileTheyAreReady(t *testing.T) {
+func TestReadyProxiesAreAdvertised(t *testing.T) {
 	g := newGrowing(t, 1, 1, 0)
 	g.start(0)
 	g.awaitVoters(1, 0)
@@ -523,7 +523,7 @@
 
 // After a stop of everything nobody remembers what replicas keep: a leader asks
 // those of which no proxy has spoken, and only then.
-func TestLeaderAsksColdReplicasOnceItHasAnIngress(t *testing.T) {
+func TestLeaderQueriesColdReplicasAfterIngress(t *testing.T) {
 	g := newGrowing(t, 1, 1, 0)
 	replica := api.Replica{Metadata: api.Metadata{Name: "make"}, Spec: api.ReplicaSpec{Service: "narrator", Zone: "a", Address: "addr", Role: api.RoleDecode}}
 	g.fleet.set(replica)
@@ -556,7 +556,7 @@
 	})
 }
 
-func TestFleetIsLeftAloneWithoutASource(t *testing.T) {
+func TestNoFleetChangesWithoutFleetSource(t *testing.T) {
 	c := newCluster(t, 1, nil)
 	c.start(0)
 	c.leader()
@@ -566,7 +566,7 @@
 }
 
 // A full disk ends the member, not its process: it is opened again.
-func TestMemberIsOpenedAgainAfterItsStorageFailed(t *testing.T) {
+func TestMemberRestartsAfterStorageFailure(t *testing.T) {
 	c := newCluster(t, 1, nil)
 	config := c.configs[0]
 	config.DataFolder = filepath.Join(t.TempDir(), "missing", "\x00")
--- a/process/control/input_test.go
+++ b/process/control/input_test.go
@@ -116,8 +116,8 @@
 	}
 }
 
-func TestForeignBytesOnAnyPortEndOnlyTheirConnection(t *testing.T) {
-	c := newCluster(t, 3, lastingLeader)
+func TestMalformedInputClosesOnlyItsConnection(t *testing.T) {
+	c := newCluster(t, 3, withLongElectionTimeout)
 	c.start(0, 1, 2)
 	before := c.awaitFurtherLosses(1)
 	client, _ := c.follow("proxy-a")
--- a/process/control/membership.go
+++ b/process/control/membership.go
@@ -31,7 +31,7 @@
 	if status.Role != raft.Leader {
 		return
 	}
-	defer term.noteCommit(status.Commit)
+	defer term.recordCommit(status.Commit)
 	if d.recordAddresses(ctx, status) {
 		return
 	}
@@ -41,22 +41,22 @@
 	if d.removeReplaced(ctx, term, status) {
 		return
 	}
-	d.removeLost(ctx, term, status)
+	d.removeUnreachable(ctx, term, status)
 }
 
-// removeLost drops a voter that has been away for the member silence, as long
+// removeUnreachable drops a voter that has been away for the member silence, as long
 // as more voters are left than it takes to bear the losses asked for: then a
 // successor has joined, and to go on counting the lost one would only make
 // quorums harder to reach. The quorums of the configurations before and after
 // share a member, as with every change of one voter.
-func (d *duties) removeLost(ctx context.Context, term *termDuties, status raft.Status) {
+func (d *duties) removeUnreachable(ctx context.Context, term *termDuties, status raft.Status) {
 	if d.group.config.LossesToBear == 0 {
 		return // an operator tends such a group
 	}
 	now := monotonic()
-	term.noteAway(status, now)
+	term.updateAway(status, now)
 	lost, away := term.longestAway(status, now)
-	if away < d.group.config.Durations.MemberSilence || len(status.Configuration.Voters) <= d.group.votersWanted() {
+	if away < d.group.config.Durations.MemberSilence || len(status.Configuration.Voters) <= d.group.requiredVoters() {
 		return
 	}
 	member := d.group.address(lost)
@@ -66,8 +66,8 @@
 	}
 }
 
-// noteAway keeps since when each voter has not been heard.
-func (t *termDuties) noteAway(status raft.Status, now time.Duration) {
+// updateAway keeps since when each voter has not been heard.
+func (t *termDuties) updateAway(status raft.Status, now time.Duration) {
 	for _, voter := range status.Configuration.Voters {
 		if isActive(status, voter) {
 			delete(t.awaySince, voter)
@@ -307,8 +307,8 @@
 	return "unknown"
 }
 
-// noteCommit keeps the commit index of a round.
-func (t *termDuties) noteCommit(commit uint64) {
+// recordCommit keeps the commit index of a round.
+func (t *termDuties) recordCommit(commit uint64) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	t.commit = commit
--- a/process/control/membership_test.go
+++ b/process/control/membership_test.go
@@ -15,10 +15,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestHealthCountsNoLossDuringAMembershipChange holds what campaign seed 25 met:
+// TestHealthReportsNoFurtherLossesDuringMembershipChange holds what campaign seed 25 met:
 // the removal of a lost member was appended on the leader alone when the leader
 // was lost as well, and two of the four voters of the configuration before were gone.
-func TestHealthCountsNoLossDuringAMembershipChange(t *testing.T) {
+func TestHealthReportsNoFurtherLossesDuringMembershipChange(t *testing.T) {
 	current := &group{machine: newMachine()}
 	status := raft.Status{
 		ID:             1,
@@ -72,7 +72,7 @@
 		return status
 	}
 	look := func(now time.Duration, status raft.Status) (raft.MemberID, time.Duration) {
-		term.noteAway(status, now)
+		term.updateAway(status, now)
 		return term.longestAway(status, now)
 	}
 	lost, away := look(time.Second, heard(2, 3, 4))
@@ -92,22 +92,22 @@
 
 // A member asks whoever its settings name and whoever the group's state records:
 // after a long life the settings may name machines that are gone.
-func TestOthersAreThoseOfTheSettingsAndTheState(t *testing.T) {
+func TestOtherOperatorAddressesMergeConfigAndState(t *testing.T) {
 	m := &member{
 		id:      4,
 		machine: newMachine(),
 		config:  Config{Name: "self", Members: []Member{{Name: "self", OperatorAddress: "s"}, {Name: "seed", OperatorAddress: "a"}}},
 	}
-	must.Eq(t, []string{"a"}, m.otherOperators())
+	must.Eq(t, []string{"a"}, m.otherOperatorAddresses())
 	for i, recorded := range []state.Member{{ID: 1, Name: "seed", OperatorAddress: "a"}, {ID: 2, Name: "later", OperatorAddress: "b"}, {ID: 3, Name: "gone", OperatorAddress: "c", Removed: true}, {ID: 4, Name: "self", OperatorAddress: "s"}} {
 		m.machine.apply(raft.Entry{Term: 1, Index: uint64(i) + 1}, memberCommand(recorded))
 	}
-	must.Eq(t, []string{"a", "b"}, m.otherOperators())
+	must.Eq(t, []string{"a", "b"}, m.otherOperatorAddresses())
 }
 
 // A member that is being taken in, while the duties hold it for one that never joined, is
 // removed whole: what the duties saw of the configuration is older than its joining.
-func TestMemberTakenInMeanwhileIsRemovedWhole(t *testing.T) {
+func TestConcurrentlyAddedMemberIsFullyRemoved(t *testing.T) {
 	c := newCluster(t, 3, nil)
 	c.start(0, 1, 2)
 	c.awaitFurtherLosses(1)
@@ -123,11 +123,11 @@
 // The duties may record an address of their own for a member that they know without one,
 // in the step in which the member's word is committed. What is recorded then differs from
 // what the member asked for; but it was not removed, and must not be told to empty its disk.
-func TestMemberWhoseRecordIsReplacedMeanwhileIsNotTakenForRemoved(t *testing.T) {
+func TestMemberWithReplacedRecordIsNotReportedRemoved(t *testing.T) {
 	joining := state.Member{ID: 7, Name: "control-7", PeerAddress: "127.0.0.1:1", FeedAddress: "127.0.0.1:2", OperatorAddress: "127.0.0.1:3"}
 	otherwise := joining
 	otherwise.FeedAddress = "127.0.0.1:4"
-	current := newLoneGroup(t, func(m *machine) replica.StateMachine {
+	current := newSingleMemberGroup(t, func(m *machine) replica.StateMachine {
 		return &interleaved{machine: m, first: memberCommand(joining), second: memberCommand(otherwise)}
 	})
 	must.NoError(t, current.addMember(t.Context(), joining))
@@ -138,9 +138,9 @@
 
 // Two changes of leader between a removal's steps can leave an identity marked as removed
 // that counts again. Its disk may be needed: it is told so only once it counts no more.
-func TestMemberThatCountsIsNotToldThatItWasRemoved(t *testing.T) {
+func TestConfiguredMemberIsNotReportedRemoved(t *testing.T) {
 	counting := state.Member{ID: 7, Name: "control-7", PeerAddress: "127.0.0.1:1", FeedAddress: "127.0.0.1:2", OperatorAddress: "127.0.0.1:3"}
-	current := newLoneGroup(t, func(m *machine) replica.StateMachine { return m })
+	current := newSingleMemberGroup(t, func(m *machine) replica.StateMachine { return m })
 	must.NoError(t, current.addMember(t.Context(), counting))
 	marked := counting
 	marked.Removed = true
@@ -170,9 +170,9 @@
 	return result
 }
 
-// newLoneGroup returns a group of one member that leads, on a disk in memory and without
+// newSingleMemberGroup returns a group of one member that leads, on a disk in memory and without
 // its servers.
-func newLoneGroup(t *testing.T, around func(*machine) replica.StateMachine) *group {
+func newSingleMemberGroup(t *testing.T, around func(*machine) replica.StateMachine) *group {
 	t.Helper()
 	g := &group{
 		machine: newMachine(),
@@ -218,7 +218,7 @@
 // the mark. The next one took the old identity in again, at its own request, while the
 // operator's second order waited: the order had looked at the configuration before, marked
 // the identity and left it a learner, which hears a leader and never asks whether it counts.
-func TestRemovalLooksAtTheConfigurationWhenItIsItsTurn(t *testing.T) {
+func TestRemovalReadsConfigurationUnderLock(t *testing.T) {
 	g := newGrowing(t, 1, 1, 0)
 	g.start(0)
 	g.awaitVoters(1, 0)
--- a/process/control/open.go
+++ b/process/control/open.go
@@ -79,7 +79,7 @@
 		ID:          m.id,
 		Listener:    m.listeners.peer,
 		Initialized: m.initialized.Load,
-		OnEvent:     m.notePeer,
+		OnEvent:     m.handlePeerEvent,
 		OnNotice:    m.evidence.receive,
 	}, m.receive)
 	if err != nil {
@@ -93,16 +93,16 @@
 	return nil
 }
 
-// notePeer takes in that a connection to another member came up, ended or was refused.
-func (m *member) notePeer(happened peer.Event) {
-	m.logPeer(happened)
+// handlePeerEvent takes in that a connection to another member came up, ended or was refused.
+func (m *member) handlePeerEvent(happened peer.Event) {
+	m.logPeerEvent(happened)
 	if happened.Kind == peer.EventConnected {
 		m.evidence.greet(happened.Member)
 	}
 }
 
-// logPeer logs that a connection to another member came up, ended or was refused.
-func (m *member) logPeer(happened peer.Event) {
+// logPeerEvent logs that a connection to another member came up, ended or was refused.
+func (m *member) logPeerEvent(happened peer.Event) {
 	if !m.peers.changed(happened) {
 		return
 	}
--- a/process/control/recovery.go
+++ b/process/control/recovery.go
@@ -24,7 +24,7 @@
 func openDisk(ctx context.Context, config Config, logger log.Logger) (*replica.Disk, error) {
 	options := replica.DiskOptions{FileSystem: config.fileSystem, Dir: config.DataFolder, Group: config.GroupID}
 	disk, err := replica.OpenDisk(options)
-	if err == nil || !config.Join || !isDamage(err) {
+	if err == nil || !config.Join || !isDataLoss(err) {
 		return disk, errors.Wrap(err, "control: data folder")
 	}
 	if !othersHaveLeader(ctx, config) {
@@ -38,7 +38,7 @@
 	return disk, errors.Wrap(err, "control: data folder")
 }
 
-func isDamage(err error) bool {
+func isDataLoss(err error) bool {
 	return errors.Is(err, wal.ErrLostLog) || errors.Is(err, wal.ErrCorrupt) || errors.Is(err, snap.ErrDamaged)
 }
 
@@ -53,16 +53,16 @@
 func knowsLeader(ctx context.Context, config Config, configured Member) bool {
 	ctx, cancel := context.WithTimeout(ctx, config.Durations.Election)
 	defer cancel()
-	self, err := askMember(ctx, configured.OperatorAddress)
+	self, err := fetchMemberStatus(ctx, configured.OperatorAddress)
 	return err == nil && self.Leader != uint64(raft.None)
 }
 
-// suspectElections is for how many election timeouts a member that still counts
+// removalCheckElections is for how many election timeouts a member that still counts
 // itself must know no leader before it asks whether it was removed.
-const suspectElections = 5
+const removalCheckElections = 5
 
-// noteRemoved has the member end as one that was removed.
-func (m *member) noteRemoved() {
+// signalRemoved has the member end as one that was removed.
+func (m *member) signalRemoved() {
 	select {
 	case m.removed <- struct{}{}:
 	default:
@@ -90,20 +90,20 @@
 			continue
 		default:
 			// The log of one that was away still counts it.
-			if suspect++; suspect%suspectElections != 0 {
+			if suspect++; suspect%removalCheckElections != 0 {
 				continue
 			}
 		}
-		if client, err := m.joinClient(); err == nil && isRemoval(m.askToJoin(ctx, client)) {
-			m.noteRemoved()
+		if client, err := m.joinClient(); err == nil && isRemovedError(m.requestJoin(ctx, client)) {
+			m.signalRemoved()
 			return
 		}
 	}
 }
 
-// endRemoved empties the data folder of a member that was removed, if it is to
+// finishRemoved empties the data folder of a member that was removed, if it is to
 // join again; the next start then draws a new identity.
-func (m *member) endRemoved() error {
+func (m *member) finishRemoved() error {
 	event.ControlRemoved.Log(m.logger, "id", uint64(m.id))
 	if !m.config.Join {
 		return ErrRemoved
--- a/process/control/run.go
+++ b/process/control/run.go
@@ -33,8 +33,8 @@
 	return m.run(ctx)
 }
 
-// storagePause is the wait before a member whose storage failed is opened again.
-const storagePause = time.Second
+// storageRetryDelay is the wait before a member whose storage failed is opened again.
+const storageRetryDelay = time.Second
 
 // RunAgain is Run, but opens the member again, after a pause, when its storage
 // has failed: a full disk may have room again, and a process that ends each time
@@ -43,12 +43,12 @@
 func RunAgain(ctx context.Context, config Config, logger log.Logger) error {
 	for {
 		err := Run(ctx, config, logger)
-		if endsRun(ctx, config.Join, err) {
-			return outcomeOfRun(ctx, config.Join, err)
+		if isFinal(ctx, config.Join, err) {
+			return runResult(ctx, config.Join, err)
 		}
-		before := storagePause
+		before := storageRetryDelay
 		if errors.Is(err, ErrRemoved) {
-			before = joinPause
+			before = joinRetryInterval
 			config.Found = false // what it founded goes on without it
 		}
 		event.ControlReopens.Log(logger, "err", err, "pause", before)
@@ -58,18 +58,18 @@
 	}
 }
 
-// endsRun reports whether a member, which joins again after a removal or does not, is
+// isFinal reports whether a member, which joins again after a removal or does not, is
 // not to be run again.
-func endsRun(ctx context.Context, joins bool, err error) bool {
+func isFinal(ctx context.Context, joins bool, err error) bool {
 	if err == nil || ctx.Err() != nil || errors.Is(err, ErrConfig) {
 		return true
 	}
 	return errors.Is(err, ErrRemoved) && !joins
 }
 
-// outcomeOfRun is what the last run's end means. A removal is none where the member
+// runResult is what the last run's end means. A removal is none where the member
 // would have joined again, had it not been asked to stop meanwhile.
-func outcomeOfRun(ctx context.Context, joins bool, err error) error {
+func runResult(ctx context.Context, joins bool, err error) error {
 	if errors.Is(err, ErrRemoved) && joins && ctx.Err() != nil {
 		return nil
 	}
@@ -105,8 +105,8 @@
 
 func (m *member) run(ctx context.Context) error {
 	// Background work ends after the planned stop, not with ctx.
-	work, endWork := context.WithCancel(context.WithoutCancel(ctx))
-	defer endWork()
+	work, cancelBackground := context.WithCancel(context.WithoutCancel(ctx))
+	defer cancelBackground()
 	server, err := newOperatorServer(m)
 	if err != nil {
 		m.abandon()
@@ -127,14 +127,14 @@
 	m.background.Go(func() { m.watchRemoval(work) })
 	select {
 	case <-ctx.Done():
-		return m.stop(endWork)
+		return m.stop(cancelBackground)
 	case <-m.replica.Done():
-		return m.fail(endWork)
+		return m.fail(cancelBackground)
 	case <-m.removed:
-		if err := m.stop(endWork); err != nil {
+		if err := m.stop(cancelBackground); err != nil {
 			return err
 		}
-		return m.endRemoved()
+		return m.finishRemoved()
 	}
 }
 
@@ -164,15 +164,15 @@
 		MaxSubscribers: m.config.Limits.MaxDaemons,
 		Logger:         m.logger,
 	}, m.listeners.feed)
-	m.evidence.tellDaemons(m.wakeUnled)
+	m.evidence.tellDaemons(m.wakeIfNotLeader)
 	m.duties = newDuties(m.group.Load(), m.addresses, m.logger)
 	m.metrics.watch(m)
 	m.background.Go(func() { m.watchLeadership(work) })
 	m.background.Go(func() { m.watchVersion(work) })
-	m.background.Go(func() { m.findAddresses(work) })
+	m.background.Go(func() { m.probeAddresses(work) })
 	m.background.Go(func() { m.join(work) })
 	m.background.Go(func() { m.duties.run(work) })
-	m.background.Go(func() { m.group.Load().logBoards(work) })
+	m.background.Go(func() { m.group.Load().logPlacementSummaries(work) })
 	m.background.Go(func() { m.evidence.run(work) })
 	m.background.Go(func() { m.evidence.tell(work) })
 	for _, extension := range m.config.Extensions {
@@ -181,8 +181,8 @@
 	return nil
 }
 
-// wakeUnled has daemons look again that this member stands by for.
-func (m *member) wakeUnled() {
+// wakeIfNotLeader has daemons look again that this member stands by for.
+func (m *member) wakeIfNotLeader() {
 	if !m.group.Load().Leadership().Leads {
 		m.feed.Wake()
 	}
@@ -227,9 +227,9 @@
 	return nil
 }
 
-// leaseAsksPerHeartbeat is how often a new leader asks for its first lease, which
+// leaseChecksPerHeartbeat is how often a new leader asks for its first lease, which
 // needs one exchange with a quorum; requests wait for it.
-const leaseAsksPerHeartbeat = 20
+const leaseChecksPerHeartbeat = 20
 
 // watchLeadership takes up a leadership as soon as its lease is valid, and
 // tells the feed and the duties of every change.
@@ -241,7 +241,7 @@
 		status := m.replica.Status()
 		if status.Role == raft.Leader && announced != status.Term {
 			if _, valid := current.Lease(ctx); !valid {
-				if !pause.For(ctx, m.config.Durations.Heartbeat/leaseAsksPerHeartbeat) {
+				if !pause.For(ctx, m.config.Durations.Heartbeat/leaseChecksPerHeartbeat) {
 					return
 				}
 				continue
@@ -281,11 +281,11 @@
 	}
 }
 
-// findAddresses asks at the configured addresses for members that the state
+// probeAddresses asks at the configured addresses for members that the state
 // does not name yet.
-func (m *member) findAddresses(ctx context.Context) {
+func (m *member) probeAddresses(ctx context.Context) {
 	for {
-		for _, configured := range m.addresses.unasked() {
+		for _, configured := range m.addresses.unprobedMembers() {
 			// An address that does not answer is asked again in the next round.
 			_, _ = m.addresses.ask(ctx, configured)
 		}
--- a/process/control/server.go
+++ b/process/control/server.go
@@ -53,7 +53,7 @@
 	logx.Disable() // go-zero's logger would write lines of its own form
 	routes, err := rest.NewServer(restConf(),
 		rest.WithNotFoundHandler(http.HandlerFunc(notFound)),
-		rest.WithNotAllowedHandler(http.HandlerFunc(wrongMethod)),
+		rest.WithNotAllowedHandler(http.HandlerFunc(methodNotAllowed)),
 	)
 	if err != nil {
 		return nil, errors.Wrap(err, "control: operator server")
@@ -146,7 +146,7 @@
 	writeError(w, http.StatusNotFound, operatorapi.Error{Code: operatorapi.ErrorNotFound, Message: "no such path: " + r.URL.Path})
 }
 
-func wrongMethod(w http.ResponseWriter, r *http.Request) {
+func methodNotAllowed(w http.ResponseWriter, r *http.Request) {
 	writeError(w, http.StatusMethodNotAllowed, operatorapi.Error{
 		Code:    operatorapi.ErrorWrongMethod,
 		Message: r.URL.Path + " does not take " + r.Method,
--- a/process/control/status.go
+++ b/process/control/status.go
@@ -193,11 +193,11 @@
 	return ids
 }
 
-// maxMemberAnswer bounds the answer of askMember.
-const maxMemberAnswer = 1 << 20
+// maxMemberStatusBytes bounds the answer of fetchMemberStatus.
+const maxMemberStatusBytes = 1 << 20
 
-// askMember reads what another member says of itself.
-func askMember(ctx context.Context, operatorAddress string) (operatorapi.MemberSelf, error) {
+// fetchMemberStatus reads what another member says of itself.
+func fetchMemberStatus(ctx context.Context, operatorAddress string) (operatorapi.MemberSelf, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+operatorAddress+operatorapi.PathMemberStatus, nil)
 	if err != nil {
 		return operatorapi.MemberSelf{}, errors.Wrap(err, "control: ask member")
@@ -212,6 +212,6 @@
 		return operatorapi.MemberSelf{}, errors.Errorf("control: ask member: status %d", response.StatusCode)
 	}
 	var self operatorapi.MemberSelf
-	err = json.NewDecoder(io.LimitReader(response.Body, maxMemberAnswer)).Decode(&self)
+	err = json.NewDecoder(io.LimitReader(response.Body, maxMemberStatusBytes)).Decode(&self)
 	return self, errors.Wrap(err, "control: ask member")
 }
--- a/process/control/stop.go
+++ b/process/control/stop.go
@@ -11,24 +11,24 @@
 
 // stop ends the member as planned. Leadership moves first; the subscribers
 // follow the new leader's address, and operator requests in flight are answered.
-func (m *member) stop(endWork context.CancelFunc) error {
+func (m *member) stop(cancelBackground context.CancelFunc) error {
 	ctx, cancel := context.WithTimeout(context.Background(), m.config.Durations.Shutdown)
 	defer cancel()
 	m.duties.stop()
-	m.handOver(ctx)
+	m.transferLeadership(ctx)
 	m.feed.Wake()
 	m.waitForSubscribers(ctx)
 	m.operator.shutdown(ctx)
 	m.feed.Close()
 	// A leadership that is not handed over is no failure: the others elect a leader.
 	_ = m.replica.Stop(ctx)
-	m.finish(endWork)
+	m.finish(cancelBackground)
 	event.ControlStopped.Log(m.logger)
 	return m.replica.Err()
 }
 
-// handOver moves leadership to another voter, if this member leads.
-func (m *member) handOver(ctx context.Context) {
+// transferLeadership moves leadership to another voter, if this member leads.
+func (m *member) transferLeadership(ctx context.Context) {
 	if m.replica.Status().Role != raft.Leader {
 		return
 	}
@@ -40,25 +40,25 @@
 // waitForSubscribers keeps the streams until the subscribers have moved on.
 func (m *member) waitForSubscribers(ctx context.Context) {
 	for m.feed.Subscribers() > 0 && m.replica.Status().Role != raft.Leader {
-		if !pause.For(ctx, foundingPause) {
+		if !pause.For(ctx, bootstrapRetryInterval) {
 			return
 		}
 	}
 }
 
 // fail ends the member after its storage has failed.
-func (m *member) fail(endWork context.CancelFunc) error {
+func (m *member) fail(cancelBackground context.CancelFunc) error {
 	err := m.replica.Err()
 	event.ControlFailed.Log(m.logger, "err", err)
 	m.duties.stop()
 	m.operator.close()
 	m.feed.Close()
-	m.finish(endWork)
+	m.finish(cancelBackground)
 	return errors.Wrap(err, "control: storage")
 }
 
-func (m *member) finish(endWork context.CancelFunc) {
-	endWork()
+func (m *member) finish(cancelBackground context.CancelFunc) {
+	cancelBackground()
 	_ = m.transport.Close()
 	m.background.Wait()
 }
--- a/process/control/stop_test.go
+++ b/process/control/stop_test.go
@@ -11,7 +11,7 @@
 // it leads when the time to stop is over, as one that is elected while it stops.
 // Cause: a leadership that it had no time to hand over was taken for a failure.
 // Proof: it ends without an error, and the others elect a leader.
-func TestStopWithoutTimeToHandOverIsAPlannedStop(t *testing.T) {
+func TestStopWithoutLeadershipTransferIsPlanned(t *testing.T) {
 	c := newCluster(t, 3, func(config *Config) { config.Durations.Shutdown = time.Nanosecond })
 	c.start(0, 1, 2)
 	c.awaitFurtherLosses(1)
--- a/process/control/summary.go
+++ b/process/control/summary.go
@@ -13,17 +13,17 @@
 // of a second shows, at a few hundred bytes a second.
 const summaryInterval = time.Second
 
-// logBoards writes what the boards of this member show until ctx ends. A member
+// logPlacementSummaries writes what the boards of this member show until ctx ends. A member
 // whose boards place nothing writes nothing.
-func (g *group) logBoards(ctx context.Context) {
+func (g *group) logPlacementSummaries(ctx context.Context) {
 	for pause.For(ctx, summaryInterval) {
 		for service, shown := range g.desk.summaries(monotonic()) {
-			event.BoardShows.Log(g.logger, boardFields(service, shown)...)
+			event.BoardShows.Log(g.logger, placementSummaryFields(service, shown)...)
 		}
 	}
 }
 
-func boardFields(service string, shown placement.Summary) []any {
+func placementSummaryFields(service string, shown placement.Summary) []any {
 	return []any{
 		"service", service, "in_flight", shown.InFlight, "late_percent", int(100 * shown.Late),
 		"cold", shown.Cold, "suspect", shown.Suspect, "handover_ms", shown.Handover.Milliseconds(),
--- a/process/control/surplus_test.go
+++ b/process/control/surplus_test.go
@@ -15,7 +15,7 @@
 // the platform sends an answer too many on a kept connection after the next list was
 // asked for: a machine that leaves would go on being given work.
 // Proof: the platform names another machine each time, and each list must name its own.
-func TestMachineListIsTheAnswerToItsOwnQuestion(t *testing.T) {
+func TestMachineListMatchesItsRequest(t *testing.T) {
 	var asked atomic.Int32
 	server, err := surplus.Start(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprintf(w, `{"machines":[{"name":"machine-%d","state":"live"}]}`, asked.Add(1))
