--- a/process/control/platform.go
+++ b/process/control/platform.go
@@ -20,19 +20,19 @@
 	"github.com/pkg/errors"
 )
 
-// pathMachines is where the platform serves its list.
+// pathMachines is the path of the platform's machine list.
 const pathMachines = "/machines"
 
-// maxListBytes bounds the platform's answer.
+// maxListBytes bounds the platform's response.
 const maxListBytes = 16 << 20
 
-// machineState is the platform's word on a machine.
+// machineState is the state of a machine as reported by the platform.
 type machineState string
 
 const machineLeaving machineState = "leaving"
 
-// machineList is the platform's answer: the live and the leaving machines, as
-// they were some time ago. A machine that is gone is not on it.
+// machineList is the platform's response: the live and the leaving machines, as of some time ago. A
+// machine that is gone is missing from it.
 type machineList struct {
 	Machines []struct {
 		Name  string       `json:"name"`
@@ -40,30 +40,30 @@
 	} `json:"machines"`
 }
 
-// platformReader reads the platform's list while this member leads.
+// platformReader reads the platform's machine list periodically while this member leads.
 type platformReader struct {
 	config Config
 	logger log.Logger
 	http   *http.Client
 
 	lock   sync.Mutex
-	listed map[string]machineState // the last list; nil while none was read
-	known  map[string]bool         // every machine on any list of this leadership
+	listed map[string]machineState // last list; nil until one was read
+	known  map[string]bool         // all machines listed in this term of leadership
 	failed bool
 	cancel context.CancelFunc
 	done   sync.WaitGroup
 }
 
 func newPlatformReader(config Config, logger log.Logger) *platformReader {
-	// The list is read with net/http: a breaker would keep the list out of reach
-	// for a while after the platform has come back. A list does not say when it was
-	// asked for, so each has a connection of its own.
+	// The client is plain net/http, since a circuit breaker would keep the list unavailable for a
+	// while after the platform has recovered. A list carries no reference to its request, so each
+	// request uses a connection of its own.
 	client := singleuse.NewClient(nil)
 	client.Timeout = config.Durations.EngineTimeout
 	return &platformReader{config: config, logger: logger, http: client}
 }
 
-// start begins to read the list; nothing is known from an earlier leadership.
+// start begins to read the list, without any state from an earlier term of leadership.
 func (p *platformReader) start() {
 	if p.config.PlatformAddress == "" {
 		return
@@ -87,7 +87,7 @@
 func (p *platformReader) run(ctx context.Context) {
 	for {
 		list, err := p.read(ctx)
-		p.keep(list, err)
+		p.update(list, err)
 		if !pause.For(ctx, p.config.Durations.PlatformPoll) {
 			return
 		}
@@ -97,30 +97,30 @@
 func (p *platformReader) read(ctx context.Context) (machineList, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.config.PlatformAddress+pathMachines, nil)
 	if err != nil {
-		return machineList{}, errors.Wrap(err, "control: platform")
+		return machineList{}, errors.Wrap(err, "control: read machine list")
 	}
 	response, err := p.http.Do(request)
 	if err != nil {
-		return machineList{}, errors.Wrap(err, "control: platform")
+		return machineList{}, errors.Wrap(err, "control: read machine list")
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return machineList{}, errors.Errorf("control: platform: status %d", response.StatusCode)
+		return machineList{}, errors.Errorf("control: read machine list: unexpected status %d", response.StatusCode)
 	}
 	var list machineList
 	if err := json.NewDecoder(io.LimitReader(response.Body, maxListBytes)).Decode(&list); err != nil {
-		return machineList{}, errors.Wrap(err, "control: platform")
+		return machineList{}, errors.Wrap(err, "control: read machine list")
 	}
 	return list, nil
 }
 
-// keep replaces the list. An empty one is taken for a fault: believing it would
-// take the whole fleet away at once.
-func (p *platformReader) keep(list machineList, err error) {
+// update replaces the list. An empty list is treated as a fault: accepting it would remove the
+// whole fleet at once.
+func (p *platformReader) update(list machineList, err error) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	if err == nil && len(list.Machines) == 0 {
-		err = errors.New("control: platform: the list is empty")
+		err = errors.New("control: the machine list is empty")
 	}
 	if err != nil {
 		if !p.failed {
@@ -137,8 +137,8 @@
 	}
 }
 
-// machines returns what the platform says of the engines and back ends of the
-// view, or nil while no list was read.
+// machines returns the leaving and gone machines among the engines and backends of the view, or nil
+// until a list was read.
 func (p *platformReader) machines(current *view.View, seen map[string]orders.Seen, now time.Duration) *state.Machines {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -149,39 +149,39 @@
 	silence := p.config.Durations.silenceOf(len(current.Engines))
 	for name, engine := range current.Engines {
 		before := engine.Status.Phase
-		p.judge(result, machineRecord{
+		p.classify(result, machineRecord{
 			name:        name,
 			wasReported: before == api.PhaseLeaving || before == api.PhaseGone,
-			answers:     now-seen[name].AskedAt < silence && seen[name].State.Engine == name,
+			responding:     now-seen[name].AskedAt < silence && seen[name].State.Engine == name,
 		})
 	}
 	for _, service := range current.Services {
 		reported := append(slices.Clone(service.Status.Leaving), service.Status.Gone...)
 		for _, backend := range service.Spec.Backends {
-			p.judge(result, machineRecord{name: backend.Name, wasReported: slices.Contains(reported, backend.Name)})
+			p.classify(result, machineRecord{name: backend.Name, wasReported: slices.Contains(reported, backend.Name)})
 		}
 	}
 	return result
 }
 
-// machineRecord is what is known of a machine besides the platform's list.
+// machineRecord is what is known of a machine apart from the platform's list.
 type machineRecord struct {
 	name        string
-	wasReported bool // committed as leaving or gone
-	answers     bool // an engine that has lately answered for itself
+	wasReported bool // recorded as leaving or gone in the state
+	responding     bool // an engine that has recently replied under its own name
 }
 
-// judge adds a machine to the result if it is leaving or gone; the lock is
-// held. A machine that is missing from the list is gone only if it was on one
-// before, since the list also lags for machines that are new; and an engine
-// that still answers for itself is not gone, whatever the list says.
-func (p *platformReader) judge(result *state.Machines, machine machineRecord) {
+// classify adds a machine to the result if it is leaving or gone. The caller holds the lock. A
+// machine that is missing from the list is gone only if it was listed before, since the list also
+// lags for new machines. An engine that still replies under its own name is not gone, whatever the
+// list says.
+func (p *platformReader) classify(result *state.Machines, machine machineRecord) {
 	listed, found := p.listed[machine.name]
 	missing := !found && (machine.wasReported || p.known[machine.name])
 	switch {
-	case found && listed == machineLeaving, missing && machine.answers && machine.wasReported:
+	case found && listed == machineLeaving, missing && machine.responding && machine.wasReported:
 		result.Leaving = append(result.Leaving, machine.name)
-	case missing && !machine.answers:
+	case missing && !machine.responding:
 		result.Gone = append(result.Gone, machine.name)
 	}
 }
--- a/process/control/presence.go
+++ b/process/control/presence.go
@@ -10,7 +10,7 @@
 
 const presenceShards = 8
 
-// presenceTable keeps what proxies last said of themselves to this member.
+// presenceTable holds the last presence report of each proxy to this member.
 type presenceTable struct {
 	seed   maphash.Seed
 	shards [presenceShards]presenceShard
@@ -23,7 +23,7 @@
 
 type presenceRecord struct {
 	presence feed.Presence
-	heardAt  time.Duration
+	receivedAt  time.Duration
 }
 
 func newPresenceTable() *presenceTable {
@@ -34,29 +34,28 @@
 	return t
 }
 
-// note keeps a proxy's word that arrived now.
-func (t *presenceTable) note(presence feed.Presence, now time.Duration) {
+// record stores a proxy's report that was received now.
+func (t *presenceTable) record(presence feed.Presence, now time.Duration) {
 	shard := &t.shards[maphash.String(t.seed, presence.Proxy)%presenceShards]
 	shard.Lock()
 	defer shard.Unlock()
-	shard.proxies[presence.Proxy] = presenceRecord{presence: presence, heardAt: now}
+	shard.proxies[presence.Proxy] = presenceRecord{presence: presence, receivedAt: now}
 }
 
-// heardSince returns the proxies that have spoken since then, by name, and
-// forgets the others.
-func (t *presenceTable) heardSince(then time.Duration) map[string]feed.Presence {
+// heardSince returns the reports received since the cutoff, by proxy, and deletes older ones.
+func (t *presenceTable) heardSince(cutoff time.Duration) map[string]feed.Presence {
 	heard := map[string]feed.Presence{}
 	for i := range t.shards {
-		t.shards[i].collect(then, heard)
+		t.shards[i].collect(cutoff, heard)
 	}
 	return heard
 }
 
-func (s *presenceShard) collect(then time.Duration, heard map[string]feed.Presence) {
+func (s *presenceShard) collect(cutoff time.Duration, heard map[string]feed.Presence) {
 	s.Lock()
 	defer s.Unlock()
 	for name, record := range s.proxies {
-		if record.heardAt < then {
+		if record.receivedAt < cutoff {
 			delete(s.proxies, name)
 			continue
 		}
--- a/process/control/recovery.go
+++ b/process/control/recovery.go
@@ -14,36 +14,35 @@
 	"github.com/pkg/errors"
 )
 
-// ErrRemoved says that the group has removed this member's identity.
+// ErrRemoved means that the group has removed this member's identity.
 var ErrRemoved = errors.New("control: the group has removed this member")
 
-// openDisk opens the data folder. With Join, a folder whose state is lost or
-// damaged is emptied, and the member comes back as a new one, but only while the
-// others have a leader: then everything that was committed is held by them.
-// Without Join, or without a leader, the damage is left for an operator.
+// openDisk opens the data directory. With Join, a directory whose state is lost or damaged is
+// discarded and the member rejoins as a new one, but only while the others have a leader: then they
+// hold everything that was committed. Otherwise the damage is left for an operator to repair.
 func openDisk(ctx context.Context, config Config, logger log.Logger) (*replica.Disk, error) {
 	options := replica.DiskOptions{FileSystem: config.fileSystem, Dir: config.DataFolder, Group: config.GroupID}
 	disk, err := replica.OpenDisk(options)
 	if err == nil || !config.Join || !isDataLoss(err) {
-		return disk, errors.Wrap(err, "control: data folder")
+		return disk, errors.Wrap(err, "control: open data directory")
 	}
 	if !othersHaveLeader(ctx, config) {
-		return nil, errors.Wrap(err, "control: data folder; not emptied, since the others have no leader")
+		return nil, errors.Wrap(err, "control: data directory not discarded, since no other member knows a leader")
 	}
 	event.ControlDiskDiscarded.Log(logger, "err", err)
 	if err := replica.DiscardDisk(config.fileSystem, config.DataFolder); err != nil {
-		return nil, errors.Wrap(err, "control: discard data folder")
+		return nil, errors.Wrap(err, "control: discard data directory")
 	}
 	disk, err = replica.OpenDisk(options)
-	return disk, errors.Wrap(err, "control: data folder")
+	return disk, errors.Wrap(err, "control: open data directory")
 }
 
 func isDataLoss(err error) bool {
 	return errors.Is(err, wal.ErrLostLog) || errors.Is(err, wal.ErrCorrupt) || errors.Is(err, snap.ErrDamaged)
 }
 
-// othersHaveLeader reports whether any other configured member leads now, or
-// follows a leader: the one that leads need not be among those configured.
+// othersHaveLeader reports whether any other configured member leads or follows a leader. The
+// leader itself may not be among the configured members.
 func othersHaveLeader(ctx context.Context, config Config) bool {
 	return slices.ContainsFunc(config.Members, func(configured Member) bool {
 		return configured.Name != config.Name && knowsLeader(ctx, config, configured)
@@ -57,11 +56,11 @@
 	return err == nil && self.Leader != uint64(raft.None)
 }
 
-// removalCheckElections is for how many election timeouts a member that still counts
-// itself must know no leader before it asks whether it was removed.
+// removalCheckElections is the number of election timeouts without a leader after which a member
+// that is in its own configuration checks whether it was removed.
 const removalCheckElections = 5
 
-// signalRemoved has the member end as one that was removed.
+// signalRemoved makes the member stop because it was removed.
 func (m *member) signalRemoved() {
 	select {
 	case m.removed <- struct{}{}:
@@ -69,28 +68,28 @@
 	}
 }
 
-// watchRemoval notes when the group has removed this member. A removed member
-// hears from no leader from then on and would otherwise wait for ever.
+// watchRemoval detects that the group has removed this member, which would otherwise wait forever,
+// since a removed member no longer hears from a leader.
 //
-// It asks to be taken in: that reaches the leader through any member, changes
-// nothing for one that still counts, and is refused for good only once the
-// removal is committed. So no disk is given up that a quorum may need.
+// It does so by asking to join. The request reaches the leader through any member, changes nothing
+// for a current member, and is refused as removed only once the removal is committed. Therefore no
+// disk is discarded that a quorum may need.
 func (m *member) watchRemoval(ctx context.Context) {
-	suspect := 0
+	leaderlessChecks := 0
 	for pause.For(ctx, m.config.Durations.Election) {
 		status := m.replica.Status()
 		switch {
 		case len(status.Configuration.Voters) == 0:
-			suspect = 0 // has yet to join
+			leaderlessChecks = 0 // has not joined yet
 			continue
 		case !slices.Contains(allMembers(status.Configuration), status.ID):
-			// The log of a member that was there ends with its removal.
+			// A member that was connected has its removal as the last entry of its log.
 		case status.Leader != raft.None:
-			suspect = 0
+			leaderlessChecks = 0
 			continue
 		default:
-			// The log of one that was away still counts it.
-			if suspect++; suspect%removalCheckElections != 0 {
+			// A member that was disconnected is still in the configuration of its own log.
+			if leaderlessChecks++; leaderlessChecks%removalCheckElections != 0 {
 				continue
 			}
 		}
@@ -101,15 +100,15 @@
 	}
 }
 
-// finishRemoved empties the data folder of a member that was removed, if it is to
-// join again; the next start then draws a new identity.
+// finishRemoved discards the data directory of a removed member if the member is to rejoin; the
+// next start then generates a new identity.
 func (m *member) finishRemoved() error {
 	event.ControlRemoved.Log(m.logger, "id", uint64(m.id))
 	if !m.config.Join {
 		return ErrRemoved
 	}
 	if err := replica.DiscardDisk(m.config.fileSystem, m.config.DataFolder); err != nil {
-		return errors.Wrap(err, "control: discard data folder")
+		return errors.Wrap(err, "control: discard data directory")
 	}
 	return ErrRemoved
 }
--- a/process/control/run.go
+++ b/process/control/run.go
@@ -18,9 +18,9 @@
 	"github.com/pkg/errors"
 )
 
-// Run serves the member until ctx ends, then stops it as planned: leadership is
-// handed over first. It returns nil after a planned stop, ErrConfig before
-// anything was opened, and otherwise what stopped the member.
+// Run runs the member until ctx ends and then performs a planned stop, which first transfers
+// leadership. It returns nil after a planned stop, ErrConfig before anything was opened, and
+// otherwise the error that stopped the member.
 func Run(ctx context.Context, config Config, logger log.Logger) error {
 	config = config.WithDefaults()
 	if faults := config.Check(); len(faults) > 0 {
@@ -33,50 +33,50 @@
 	return m.run(ctx)
 }
 
-// storageRetryDelay is the wait before a member whose storage failed is opened again.
+// storageRetryDelay is the delay before a member whose storage failed is opened again.
 const storageRetryDelay = time.Second
 
-// RunAgain is Run, but opens the member again, after a pause, when its storage
-// has failed: a full disk may have room again, and a process that ends each time
-// only costs starts. So does a member that was removed and is to join again, under
-// the next identity. Invalid configurations and other removals end it as they end Run.
+// RunAgain is like Run, but opens the member again after a delay when its storage has failed: a
+// full disk may get space again, and ending the process each time would only cost restarts. It also
+// does so, under a new identity, when the member was removed and Join is set. An invalid
+// configuration or any other removal ends it as it ends Run.
 func RunAgain(ctx context.Context, config Config, logger log.Logger) error {
 	for {
 		err := Run(ctx, config, logger)
 		if isFinal(ctx, config.Join, err) {
 			return runResult(ctx, config.Join, err)
 		}
-		before := storageRetryDelay
+		delay := storageRetryDelay
 		if errors.Is(err, ErrRemoved) {
-			before = joinRetryInterval
-			config.Found = false // what it founded goes on without it
+			delay = joinRetryInterval
+			config.Found = false // its group continues without it
 		}
-		event.ControlReopens.Log(logger, "err", err, "pause", before)
-		if !pause.For(ctx, before) {
+		event.ControlReopens.Log(logger, "err", err, "pause", delay)
+		if !pause.For(ctx, delay) {
 			return nil
 		}
 	}
 }
 
-// isFinal reports whether a member, which joins again after a removal or does not, is
-// not to be run again.
-func isFinal(ctx context.Context, joins bool, err error) bool {
+// isFinal reports whether the member is not to be run again after the error. rejoins tells whether
+// it rejoins after a removal.
+func isFinal(ctx context.Context, rejoins bool, err error) bool {
 	if err == nil || ctx.Err() != nil || errors.Is(err, ErrConfig) {
 		return true
 	}
-	return errors.Is(err, ErrRemoved) && !joins
+	return errors.Is(err, ErrRemoved) && !rejoins
 }
 
-// runResult is what the last run's end means. A removal is none where the member
-// would have joined again, had it not been asked to stop meanwhile.
-func runResult(ctx context.Context, joins bool, err error) error {
-	if errors.Is(err, ErrRemoved) && joins && ctx.Err() != nil {
+// runResult returns the result of the last run. A removal is not an error if the member would have
+// rejoined, had it not been asked to stop in the meantime.
+func runResult(ctx context.Context, rejoins bool, err error) error {
+	if errors.Is(err, ErrRemoved) && rejoins && ctx.Err() != nil {
 		return nil
 	}
 	return err
 }
 
-// member is this process's member of the group.
+// member is one member of the group: its storage, servers and background work.
 type member struct {
 	config    Config
 	logger    log.Logger
@@ -90,41 +90,41 @@
 	operator  *operatorServer
 	metrics   *metrics
 	feed      *feed.Server
-	// replica is set before group is published; both are nil until the member
-	// knows how it takes part in the group.
+	// replica is set before group is published. Both are nil until the member knows its initial
+	// configuration.
 	replica *replica.Replica
 	group   atomic.Pointer[group]
 	duties  *duties
-	// initialized is true once the folder holds a group's log.
+	// initialized is true once the data directory holds a group's log.
 	initialized atomic.Bool
-	// removed has an item once the group has removed the member's identity.
+	// removed receives a value once the group has removed the member's identity.
 	removed    chan struct{}
 	background sync.WaitGroup
 	peers      peerStates
 }
 
 func (m *member) run(ctx context.Context) error {
-	// Background work ends after the planned stop, not with ctx.
-	work, cancelBackground := context.WithCancel(context.WithoutCancel(ctx))
+	// Background backgroundCtx ends after the planned stop, not when ctx ends.
+	backgroundCtx, cancelBackground := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancelBackground()
 	server, err := newOperatorServer(m)
 	if err != nil {
-		m.abandon()
+		m.releaseResources()
 		return err
 	}
 	m.operator = server
 	m.background.Go(server.serve)
-	if err := m.start(ctx, work); err != nil {
+	if err := m.start(ctx, backgroundCtx); err != nil {
 		server.close()
-		m.abandon()
+		m.releaseResources()
 		m.background.Wait()
 		if errors.Is(err, context.Canceled) {
-			return nil // asked to stop before the group was found
+			return nil // asked to stop before it joined the group
 		}
 		return err
 	}
 	event.ControlStarted.Log(m.logger, "id", uint64(m.id), "operator", m.listeners.operator.Addr())
-	m.background.Go(func() { m.watchRemoval(work) })
+	m.background.Go(func() { m.watchRemoval(backgroundCtx) })
 	select {
 	case <-ctx.Done():
 		return m.stop(cancelBackground)
@@ -138,20 +138,20 @@
 	}
 }
 
-// abandon releases what was opened when the replica was not started.
-func (m *member) abandon() {
+// releaseResources closes what was opened if the replica was not started.
+func (m *member) releaseResources() {
 	_ = m.transport.Close()
 	m.listeners.close()
 	_ = m.disk.Close()
 }
 
-// start takes part in the group.
-func (m *member) start(ctx, work context.Context) error {
+// start starts the replica, the feed and the background work.
+func (m *member) start(ctx, backgroundCtx context.Context) error {
 	configuration := raft.Configuration{}
 	if m.disk.Empty() {
-		deciding := &entry{config: m.config, self: m.id, addresses: m.addresses, logger: m.logger}
+		bootstrap := &bootstrapper{config: m.config, self: m.id, addresses: m.addresses, logger: m.logger}
 		var err error
-		if configuration, err = deciding.configuration(ctx); err != nil {
+		if configuration, err = bootstrap.configuration(ctx); err != nil {
 			return err
 		}
 	}
@@ -166,22 +166,22 @@
 	}, m.listeners.feed)
 	m.evidence.tellDaemons(m.wakeIfNotLeader)
 	m.duties = newDuties(m.group.Load(), m.addresses, m.logger)
-	m.metrics.watch(m)
-	m.background.Go(func() { m.watchLeadership(work) })
-	m.background.Go(func() { m.watchVersion(work) })
-	m.background.Go(func() { m.probeAddresses(work) })
-	m.background.Go(func() { m.join(work) })
-	m.background.Go(func() { m.duties.run(work) })
-	m.background.Go(func() { m.group.Load().logPlacementSummaries(work) })
-	m.background.Go(func() { m.evidence.run(work) })
-	m.background.Go(func() { m.evidence.tell(work) })
+	m.metrics.registerGauges(m)
+	m.background.Go(func() { m.watchLeadership(backgroundCtx) })
+	m.background.Go(func() { m.watchVersion(backgroundCtx) })
+	m.background.Go(func() { m.probeAddresses(backgroundCtx) })
+	m.background.Go(func() { m.join(backgroundCtx) })
+	m.background.Go(func() { m.duties.run(backgroundCtx) })
+	m.background.Go(func() { m.group.Load().logPlacementSummaries(backgroundCtx) })
+	m.background.Go(func() { m.evidence.run(backgroundCtx) })
+	m.background.Go(func() { m.evidence.tell(backgroundCtx) })
 	for _, extension := range m.config.Extensions {
-		m.background.Go(func() { extension(work, &Access{member: m}) })
+		m.background.Go(func() { extension(backgroundCtx, &Access{member: m}) })
 	}
 	return nil
 }
 
-// wakeIfNotLeader has daemons look again that this member stands by for.
+// wakeIfNotLeader wakes the daemons that use this member as a standby while it does not lead.
 func (m *member) wakeIfNotLeader() {
 	if !m.group.Load().Leadership().Leads {
 		m.feed.Wake()
@@ -205,7 +205,7 @@
 		SnapshotEntries: m.config.Limits.SnapshotEntries,
 	})
 	if err != nil {
-		return errors.Wrap(err, "control: replica")
+		return errors.Wrap(err, "control: start replica")
 	}
 	m.replica = started
 	m.initialized.Store(true)
@@ -227,26 +227,26 @@
 	return nil
 }
 
-// leaseChecksPerHeartbeat is how often a new leader asks for its first lease, which
-// needs one exchange with a quorum; requests wait for it.
+// leaseChecksPerHeartbeat is how often per heartbeat interval a new leader checks for its first
+// lease. The lease needs one exchange with a quorum, and requests wait for it.
 const leaseChecksPerHeartbeat = 20
 
-// watchLeadership takes up a leadership as soon as its lease is valid, and
-// tells the feed and the duties of every change.
+// watchLeadership starts a term of leadership as soon as its lease is valid, and notifies the feed
+// and the duties of every change.
 func (m *member) watchLeadership(ctx context.Context) {
 	current := m.group.Load()
-	announced := uint64(0) // the last term in which this member was seen to lead
+	announcedTerm := uint64(0) // last term logged as led by this member
 	for {
 		changed := m.replica.Changed()
 		status := m.replica.Status()
-		if status.Role == raft.Leader && announced != status.Term {
+		if status.Role == raft.Leader && announcedTerm != status.Term {
 			if _, valid := current.Lease(ctx); !valid {
 				if !pause.For(ctx, m.config.Durations.Heartbeat/leaseChecksPerHeartbeat) {
 					return
 				}
 				continue
 			}
-			announced = status.Term
+			announcedTerm = status.Term
 			event.ControlLeads.Log(m.logger, "term", status.Term)
 		}
 		event.ControlRole.Log(m.logger, "role", roleOf(m.id, status), "term", status.Term, "leader", uint64(status.Leader),
@@ -262,12 +262,12 @@
 	}
 }
 
-// watchVersion tells the evidence, the feed and the duties of every new version.
+// watchVersion notifies the evidence, the feed and the duties of every new version.
 func (m *member) watchVersion(ctx context.Context) {
 	recorded := m.machine.view().Quarantines
 	for {
 		select {
-		case <-m.machine.moved:
+		case <-m.machine.versionChanged:
 			before := recorded
 			recorded = m.machine.view().Quarantines
 			if !m.group.Load().Leadership().Leads {
@@ -281,13 +281,12 @@
 	}
 }
 
-// probeAddresses asks at the configured addresses for members that the state
-// does not name yet.
+// probeAddresses probes the configured addresses of members that the state does not contain yet.
 func (m *member) probeAddresses(ctx context.Context) {
 	for {
 		for _, configured := range m.addresses.unprobedMembers() {
-			// An address that does not answer is asked again in the next round.
-			_, _ = m.addresses.ask(ctx, configured)
+			// An address that does not reply is probed again in the next round.
+			_, _ = m.addresses.probe(ctx, configured)
 		}
 		if !pause.For(ctx, m.config.Durations.Election) {
 			return
--- a/process/control/server.go
+++ b/process/control/server.go
@@ -16,7 +16,7 @@
 	"github.com/zeromicro/go-zero/rest"
 )
 
-// Bounds of the operator server's connections.
+// Limits of the operator server's connections.
 const (
 	readHeaderTimeout = 5 * time.Second
 	requestTimeout    = 30 * time.Second
@@ -24,25 +24,23 @@
 	maxHeaderBytes    = 64 << 10
 )
 
-// operatorServer serves the operator API, health and metrics.
+// operatorServer serves the operator API, health checks and metrics.
 //
-// Routes and middlewares are go-zero's; the http.Server around them is ours,
-// because rest's own server ends by its own signal handling and knows no other
-// planned stop.
+// It uses the routes and middleware of go-zero but its own http.Server, because the server of
+// package rest shuts down by its own signal handling and supports no other planned stop.
 type operatorServer struct {
 	member *member
 	http   *http.Server
-	places chan struct{} // one for each request under way
-	// forwarding hands requests on to the leader.
+	slots chan struct{} // one per concurrent request
+	// forwarding forwards requests to the leader.
 	forwarding *http.Client
 }
 
-// restConf keeps go-zero's recovery from panics and switches off the rest: the
-// timeout, since each handler bounds its own wait and tells "unknown" from "not
-// accepted"; the breaker, the shedding and the bound on connections, whose
-// refusals are not this protocol's answers; the body cap, which the handlers
-// set to answer in their own words; gunzip, which would let a small body grow
-// past the cap; and logs, traces and metrics, which are the daemon's own.
+// restConf keeps go-zero's panic recovery and disables everything else: the timeout, since each
+// handler bounds its own wait and distinguishes unknown outcomes from refusals; the circuit
+// breaker, load shedding and connection limit, whose refusals are not responses of this API; the
+// body limit, which the handlers apply to return their own error; gunzip, which would let a small
+// body grow beyond the limit; and logs, traces and metrics, since the daemon has its own.
 func restConf() rest.RestConf {
 	conf := admin.RestConf("landingtrail-control")
 	conf.Middlewares = rest.MiddlewaresConf{Recover: true}
@@ -50,26 +48,26 @@
 }
 
 func newOperatorServer(m *member) (*operatorServer, error) {
-	logx.Disable() // go-zero's logger would write lines of its own form
+	logx.Disable() // go-zero's log lines have a different format
 	routes, err := rest.NewServer(restConf(),
 		rest.WithNotFoundHandler(http.HandlerFunc(notFound)),
 		rest.WithNotAllowedHandler(http.HandlerFunc(methodNotAllowed)),
 	)
 	if err != nil {
-		return nil, errors.Wrap(err, "control: operator server")
+		return nil, errors.Wrap(err, "control: create operator server")
 	}
 	s := &operatorServer{
 		member:     m,
-		places:     make(chan struct{}, m.config.Limits.MaxOperatorConnections),
+		slots:     make(chan struct{}, m.config.Limits.MaxOperatorConnections),
 		forwarding: newForwardingClient(),
 	}
 	routes.AddRoutes(s.routes())
 	built, err := rest.NewServerless(routes)
 	if err != nil {
-		return nil, errors.Wrap(err, "control: operator server")
+		return nil, errors.Wrap(err, "control: create operator server")
 	}
 	s.http = &http.Server{
-		Handler:           s.bounded(http.HandlerFunc(built.Serve)),
+		Handler:           s.limitRequests(http.HandlerFunc(built.Serve)),
 		ReadHeaderTimeout: readHeaderTimeout,
 		ReadTimeout:       requestTimeout,
 		WriteTimeout:      requestTimeout,
@@ -80,15 +78,15 @@
 	return s, nil
 }
 
-// bounded refuses requests beyond the number that may be under way.
-func (s *operatorServer) bounded(next http.Handler) http.Handler {
+// limitRequests refuses requests beyond the limit of concurrent requests.
+func (s *operatorServer) limitRequests(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
-		case s.places <- struct{}{}:
-			defer func() { <-s.places }()
+		case s.slots <- struct{}{}:
+			defer func() { <-s.slots }()
 			next.ServeHTTP(w, r)
 		default:
-			writeNoQuorum(w, "too many requests are under way", "")
+			writeNoQuorum(w, "too many concurrent requests", "")
 		}
 	})
 }
@@ -114,7 +112,7 @@
 	}
 }
 
-// serve answers requests until the server is shut down.
+// serve accepts requests until the server is shut down.
 func (s *operatorServer) serve() {
 	err := s.http.Serve(s.member.listeners.operator)
 	if !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
@@ -122,21 +120,21 @@
 	}
 }
 
-// shutdown answers the requests in flight and then ends the connections.
+// shutdown completes the requests in flight and then closes the connections.
 func (s *operatorServer) shutdown(ctx context.Context) {
 	if err := s.http.Shutdown(ctx); err != nil {
 		s.close()
 	}
 }
 
-// close ends the connections at once.
+// close ends all connections without waiting for their requests.
 func (s *operatorServer) close() {
 	_ = s.http.Close()
 }
 
 func (s *operatorServer) health(w http.ResponseWriter, _ *http.Request) {
 	if s.member.group.Load() == nil {
-		writeError(w, http.StatusServiceUnavailable, operatorapi.Error{Code: operatorapi.ErrorNoQuorum, Message: "the member has not found its group yet"})
+		writeError(w, http.StatusServiceUnavailable, operatorapi.Error{Code: operatorapi.ErrorNoQuorum, Message: "the member has not joined its group yet"})
 		return
 	}
 	writeJSON(w, http.StatusOK, map[string]string{"status": "ok"})
@@ -149,6 +147,6 @@
 func methodNotAllowed(w http.ResponseWriter, r *http.Request) {
 	writeError(w, http.StatusMethodNotAllowed, operatorapi.Error{
 		Code:    operatorapi.ErrorWrongMethod,
-		Message: r.URL.Path + " does not take " + r.Method,
+		Message: r.URL.Path + " does not allow method " + r.Method,
 	})
 }
--- a/process/control/status.go
+++ b/process/control/status.go
@@ -20,25 +20,25 @@
 func (s *operatorServer) status(w http.ResponseWriter, r *http.Request, _ []byte) {
 	s.leased(w, r, func(current *group, term uint64) {
 		raftStatus := current.replica.Status()
-		shown := current.machine.view()
+		currentView := current.machine.view()
 		condition := s.member.health(raftStatus)
-		daemons := s.member.feed.Daemons(shown.Version.Revision)
+		daemons := s.member.feed.Daemons(currentView.Version.Revision)
 		writeJSON(w, http.StatusOK, operatorapi.Status{
 			Leader:        s.member.config.Name,
 			Term:          term,
-			Revision:      shown.Version.Revision,
+			Revision:      currentView.Version.Revision,
 			Commit:        raftStatus.Commit,
 			Members:       memberList(current, raftStatus),
 			FurtherLosses: condition.furtherLosses,
 			Repairing:     condition.repairing,
-			Engines:       s.engineSummaries(shown),
+			Engines:       s.engineSummaries(currentView),
 			Daemons:       daemons.Leased,
 			DaemonsBehind: daemons.Behind,
 		})
 	})
 }
 
-// health is what this member knows as the leader.
+// health returns the group's health as known to this member as leader.
 func (m *member) health(status raft.Status) health {
 	commit := status.Commit
 	if duties := m.duties.current(); duties != nil {
@@ -47,11 +47,11 @@
 	return m.group.Load().health(status, commit)
 }
 
-// memberList returns the members of the configuration as the leader sees them.
+// memberList returns the members of the configuration as seen by the leader.
 func memberList(current *group, status raft.Status) []operatorapi.Member {
 	members := make([]operatorapi.Member, 0, len(status.Configuration.Voters)+len(status.Configuration.Learners))
 	for _, id := range allMembers(status.Configuration) {
-		recorded := current.address(id)
+		recorded := current.memberByID(id)
 		match := status.Match[id]
 		if id == status.ID {
 			match = status.LastIndex
@@ -85,12 +85,12 @@
 	}
 }
 
-func (s *operatorServer) engineSummaries(shown *view.View) []operatorapi.EngineSummary {
-	intents := s.member.duties.intentsByEngine(shown)
-	silent := s.silentEngines(shown)
-	summaries := make([]operatorapi.EngineSummary, 0, len(shown.Engines))
-	for _, name := range slices.Sorted(maps.Keys(shown.Engines)) {
-		engine := shown.Engines[name]
+func (s *operatorServer) engineSummaries(currentView *view.View) []operatorapi.EngineSummary {
+	intents := s.member.duties.intentsByEngine(currentView)
+	silent := s.silentEngines(currentView)
+	summaries := make([]operatorapi.EngineSummary, 0, len(currentView.Engines))
+	for _, name := range slices.Sorted(maps.Keys(currentView.Engines)) {
+		engine := currentView.Engines[name]
 		summary := operatorapi.EngineSummary{
 			Name:       name,
 			Intent:     intents[name],
@@ -108,17 +108,17 @@
 	return summaries
 }
 
-// silentEngines returns the engines that the leader has not heard from lately.
-func (s *operatorServer) silentEngines(shown *view.View) map[string]bool {
-	silent := make(map[string]bool, len(shown.Engines))
-	for name := range shown.Engines {
+// silentEngines returns the engines that the leader has not heard from recently.
+func (s *operatorServer) silentEngines(currentView *view.View) map[string]bool {
+	silent := make(map[string]bool, len(currentView.Engines))
+	for name := range currentView.Engines {
 		silent[name] = true
 	}
 	duties := s.member.duties.current()
 	if duties == nil {
 		return silent
 	}
-	oldest := monotonic() - s.member.config.Durations.silenceOf(len(shown.Engines))
+	oldest := monotonic() - s.member.config.Durations.silenceOf(len(currentView.Engines))
 	for name, seen := range duties.poller.Seen() {
 		silent[name] = seen.AskedAt < oldest || seen.State.Engine != name
 	}
@@ -127,11 +127,11 @@
 
 func (s *operatorServer) orders(w http.ResponseWriter, r *http.Request, _ []byte) {
 	s.leased(w, r, func(current *group, _ uint64) {
-		shown := current.machine.view()
-		silent := s.silentEngines(shown)
-		list := operatorapi.OrderList{Revision: shown.Version.Revision, Orders: []operatorapi.OpenOrder{}}
-		for _, name := range slices.Sorted(maps.Keys(shown.Engines)) {
-			status := shown.Engines[name].Status
+		currentView := current.machine.view()
+		silent := s.silentEngines(currentView)
+		list := operatorapi.OrderList{Revision: currentView.Version.Revision, Orders: []operatorapi.OpenOrder{}}
+		for _, name := range slices.Sorted(maps.Keys(currentView.Engines)) {
+			status := currentView.Engines[name].Status
 			if status.OpenOrder == nil {
 				continue
 			}
@@ -146,7 +146,7 @@
 	})
 }
 
-// ledger answers with the claim of a tenant's key, or no claim if none is kept.
+// ledger responds with the claim of a tenant's key, or with no claim if none is recorded.
 func (s *operatorServer) ledger(w http.ResponseWriter, r *http.Request, _ []byte) {
 	tenant, key := r.URL.Query().Get("tenant"), r.URL.Query().Get("key")
 	if key == "" {
@@ -164,11 +164,11 @@
 	})
 }
 
-// memberStatus answers for this member alone, leader or not.
+// memberStatus responds with the status of this member, whether or not it leads.
 func (s *operatorServer) memberStatus(w http.ResponseWriter, _ *http.Request) {
 	current := s.member.group.Load()
 	if current == nil {
-		writeNoQuorum(w, "the member has not found its group yet", "")
+		writeNoQuorum(w, "the member has not joined its group yet", "")
 		return
 	}
 	status := current.replica.Status()
@@ -185,33 +185,33 @@
 	})
 }
 
-func apiMemberIDs(given []raft.MemberID) []operatorapi.MemberID {
-	ids := make([]operatorapi.MemberID, len(given))
-	for i := range given {
-		ids[i] = operatorapi.MemberID(given[i])
+func apiMemberIDs(members []raft.MemberID) []operatorapi.MemberID {
+	ids := make([]operatorapi.MemberID, len(members))
+	for i := range members {
+		ids[i] = operatorapi.MemberID(members[i])
 	}
 	return ids
 }
 
-// maxMemberStatusBytes bounds the answer of fetchMemberStatus.
+// maxMemberStatusBytes bounds the response in fetchMemberStatus.
 const maxMemberStatusBytes = 1 << 20
 
-// fetchMemberStatus reads what another member says of itself.
+// fetchMemberStatus reads the status that another member reports of itself.
 func fetchMemberStatus(ctx context.Context, operatorAddress string) (operatorapi.MemberSelf, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+operatorAddress+operatorapi.PathMemberStatus, nil)
 	if err != nil {
-		return operatorapi.MemberSelf{}, errors.Wrap(err, "control: ask member")
+		return operatorapi.MemberSelf{}, errors.Wrap(err, "control: fetch member status")
 	}
 	client := newForwardingClient()
 	response, err := client.Do(request)
 	if err != nil {
-		return operatorapi.MemberSelf{}, errors.Wrap(err, "control: ask member")
+		return operatorapi.MemberSelf{}, errors.Wrap(err, "control: fetch member status")
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return operatorapi.MemberSelf{}, errors.Errorf("control: ask member: status %d", response.StatusCode)
+		return operatorapi.MemberSelf{}, errors.Errorf("control: fetch member status: unexpected status %d", response.StatusCode)
 	}
 	var self operatorapi.MemberSelf
 	err = json.NewDecoder(io.LimitReader(response.Body, maxMemberStatusBytes)).Decode(&self)
-	return self, errors.Wrap(err, "control: ask member")
+	return self, errors.Wrap(err, "control: fetch member status")
 }
--- a/process/control/stop.go
+++ b/process/control/stop.go
@@ -9,8 +9,8 @@
 	"github.com/pkg/errors"
 )
 
-// stop ends the member as planned. Leadership moves first; the subscribers
-// follow the new leader's address, and operator requests in flight are answered.
+// stop performs a planned stop. It transfers leadership first; then subscribers follow to the new
+// leader's address, and operator requests in flight are completed.
 func (m *member) stop(cancelBackground context.CancelFunc) error {
 	ctx, cancel := context.WithTimeout(context.Background(), m.config.Durations.Shutdown)
 	defer cancel()
@@ -20,14 +20,14 @@
 	m.waitForSubscribers(ctx)
 	m.operator.shutdown(ctx)
 	m.feed.Close()
-	// A leadership that is not handed over is no failure: the others elect a leader.
+	// Failing to transfer leadership is not an error: the others elect a leader.
 	_ = m.replica.Stop(ctx)
-	m.finish(cancelBackground)
+	m.closeBackground(cancelBackground)
 	event.ControlStopped.Log(m.logger)
 	return m.replica.Err()
 }
 
-// transferLeadership moves leadership to another voter, if this member leads.
+// transferLeadership transfers leadership to another voter if this member leads.
 func (m *member) transferLeadership(ctx context.Context) {
 	if m.replica.Status().Role != raft.Leader {
 		return
@@ -37,7 +37,7 @@
 	}
 }
 
-// waitForSubscribers keeps the streams until the subscribers have moved on.
+// waitForSubscribers keeps the streams open until all subscribers have switched to another member.
 func (m *member) waitForSubscribers(ctx context.Context) {
 	for m.feed.Subscribers() > 0 && m.replica.Status().Role != raft.Leader {
 		if !pause.For(ctx, bootstrapRetryInterval) {
@@ -46,18 +46,18 @@
 	}
 }
 
-// fail ends the member after its storage has failed.
+// fail stops the member after its storage has failed.
 func (m *member) fail(cancelBackground context.CancelFunc) error {
 	err := m.replica.Err()
 	event.ControlFailed.Log(m.logger, "err", err)
 	m.duties.stop()
 	m.operator.close()
 	m.feed.Close()
-	m.finish(cancelBackground)
-	return errors.Wrap(err, "control: storage")
+	m.closeBackground(cancelBackground)
+	return errors.Wrap(err, "control: storage failed")
 }
 
-func (m *member) finish(cancelBackground context.CancelFunc) {
+func (m *member) closeBackground(cancelBackground context.CancelFunc) {
 	cancelBackground()
 	_ = m.transport.Close()
 	m.background.Wait()
--- a/process/control/stop_test.go
+++ b/process/control/stop_test.go
@@ -7,10 +7,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// Seen: a member that was asked to stop ended as one that had failed. It comes about where
-// it leads when the time to stop is over, as one that is elected while it stops.
-// Cause: a leadership that it had no time to hand over was taken for a failure.
-// Proof: it ends without an error, and the others elect a leader.
+// Guards against a planned stop that is reported as a failure. It happened to a member that was
+// still the leader when its stop timed out, for example because it was elected while it stopped:
+// the missing leadership transfer was treated as an error. The member must stop without an error,
+// and the others must elect a leader.
 func TestStopWithoutLeadershipTransferIsPlanned(t *testing.T) {
 	c := newCluster(t, 3, func(config *Config) { config.Durations.Shutdown = time.Nanosecond })
 	c.start(0, 1, 2)
--- a/process/control/summary.go
+++ b/process/control/summary.go
@@ -9,31 +9,31 @@
 	"github.com/landingtrail/landingtrail/request/placement"
 )
 
-// summaryInterval is the time between two lines of the log on the boards: an outage
-// of a second shows, at a few hundred bytes a second.
+// summaryInterval is the time between two log lines on placements. An outage of one second is
+// visible, at a cost of a few hundred bytes of log per second.
 const summaryInterval = time.Second
 
-// logPlacementSummaries writes what the boards of this member show until ctx ends. A member
-// whose boards place nothing writes nothing.
+// logPlacementSummaries logs the placement summary of each service until ctx ends. A member that
+// places no requests logs nothing.
 func (g *group) logPlacementSummaries(ctx context.Context) {
 	for pause.For(ctx, summaryInterval) {
-		for service, shown := range g.desk.summaries(monotonic()) {
-			event.BoardShows.Log(g.logger, placementSummaryFields(service, shown)...)
+		for service, summary := range g.desk.summaries(monotonic()) {
+			event.BoardShows.Log(g.logger, placementSummaryFields(service, summary)...)
 		}
 	}
 }
 
-func placementSummaryFields(service string, shown placement.Summary) []any {
+func placementSummaryFields(service string, summary placement.Summary) []any {
 	return []any{
-		"service", service, "in_flight", shown.InFlight, "late_percent", int(100 * shown.Late),
-		"cold", shown.Cold, "suspect", shown.Suspect, "handover_ms", shown.Handover.Milliseconds(),
-		"readers", shown.Readers.Replicas, "read_ms", shown.Readers.Mean.Milliseconds(), "read_most_ms", shown.Readers.Most.Milliseconds(),
-		"read_start_ms", shown.Readers.Start.Milliseconds(), "read_ns_token", shown.Readers.PerToken.Nanoseconds(),
-		"generators", shown.Generators.Replicas, "running", shown.Generators.Running,
-		"direct_ms", shown.Generators.Mean.Milliseconds(), "direct_most_ms", shown.Generators.Most.Milliseconds(),
-		"direct_start_ms", shown.Generators.Start.Milliseconds(), "direct_ns_token", shown.Generators.PerToken.Nanoseconds(),
-		"placed", shown.Answers.Placed, "split", shown.Answers.Split, "fetched", shown.Answers.Fetched,
-		"deferred", shown.Answers.Deferred, "waits", shown.Answers.Waits, "refused", shown.Answers.Refused,
-		"unread", shown.Answers.Unread,
+		"service", service, "in_flight", summary.InFlight, "late_percent", int(100 * summary.Late),
+		"cold", summary.Cold, "suspect", summary.Suspect, "handover_ms", summary.Handover.Milliseconds(),
+		"readers", summary.Readers.Replicas, "read_ms", summary.Readers.Mean.Milliseconds(), "read_most_ms", summary.Readers.Most.Milliseconds(),
+		"read_start_ms", summary.Readers.Start.Milliseconds(), "read_ns_token", summary.Readers.PerToken.Nanoseconds(),
+		"generators", summary.Generators.Replicas, "running", summary.Generators.Running,
+		"direct_ms", summary.Generators.Mean.Milliseconds(), "direct_most_ms", summary.Generators.Most.Milliseconds(),
+		"direct_start_ms", summary.Generators.Start.Milliseconds(), "direct_ns_token", summary.Generators.PerToken.Nanoseconds(),
+		"placed", summary.Answers.Placed, "split", summary.Answers.Split, "fetched", summary.Answers.Fetched,
+		"deferred", summary.Answers.Deferred, "waits", summary.Answers.Waits, "refused", summary.Answers.Refused,
+		"unread", summary.Answers.Unread,
 	}
 }
--- a/process/control/surplus_test.go
+++ b/process/control/surplus_test.go
@@ -11,10 +11,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// Seen: an earlier list of machines is taken for the present one. It comes about where
-// the platform sends an answer too many on a kept connection after the next list was
-// asked for: a machine that leaves would go on being given work.
-// Proof: the platform names another machine each time, and each list must name its own.
+// Guards against using an earlier machine list as the current one. It happens when the platform
+// sends a surplus response on a kept-alive connection after the next list was requested; a leaving
+// machine would then still be assigned work. The platform lists a different machine each time, and
+// each list must contain the one of its own request.
 func TestMachineListMatchesItsRequest(t *testing.T) {
 	var asked atomic.Int32
 	server, err := surplus.Start(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
