--- a/process/control/control_test.go
+++ b/process/control/control_test.go
@@ -113,9 +113,9 @@
 				continue
 			}
 			must.Len(t, 1, result.Conflicts)
-			stands := result.Conflicts[0].Current.Tenant
-			must.Eq(t, revision, stands.Revision)
-			must.Eq(t, float64(winner+1), stands.Spec.Weight)
+			current := result.Conflicts[0].Current.Tenant
+			must.Eq(t, revision, current.Revision)
+			must.Eq(t, float64(winner+1), current.Spec.Weight)
 		}
 	}
 }
@@ -156,8 +156,8 @@
 	granted := map[api.ClaimCode]int{results[0].Code: 1}
 	granted[results[1].Code]++
 	must.Eq(t, map[api.ClaimCode]int{api.ClaimGranted: 1, api.ClaimRunning: 1}, granted)
-	stands := results[0].Claim
-	stands.Answer = nil // the feed encodes a missing answer as an empty one
+	claim := results[0].Claim
+	claim.Answer = nil // the feed encodes a missing answer as an empty one
 	again, err := claimUntilKnown(ctx, first, request)
 	must.NoError(t, err)
 	must.Eq(t, results[0], again, must.Sprint("a repeated request gets the same result"))
@@ -165,7 +165,7 @@
 	for i := range c.configs {
 		must.Eq(t, http.StatusOK, c.call(i, http.MethodGet, operatorapi.PathLedger+"?tenant=water&key=crew-7", nil, &ledger))
 		must.Len(t, 1, ledger.Claims)
-		must.Eq(t, stands, ledger.Claims[0])
+		must.Eq(t, claim, ledger.Claims[0])
 		must.Eq(t, http.StatusOK, c.call(i, http.MethodGet, operatorapi.PathLedger+"?tenant=fire&key=crew-7", nil, &ledger))
 		must.SliceEmpty(t, ledger.Claims)
 	}
--- a/process/control/course_test.go
+++ b/process/control/course_test.go
@@ -57,119 +57,119 @@
 
 // step has an Ingress acknowledged, crashes members immediately afterwards, and starts them or
 // their replacements.
-func (c *lossScenario) step() {
-	c.t.Helper()
-	c.acknowledgeNextIngress()
-	victims := c.pickVictims()
+func (s *lossScenario) step() {
+	s.t.Helper()
+	s.acknowledgeNextIngress()
+	victims := s.pickVictims()
 	for _, i := range victims {
-		c.crash(i)
+		s.crash(i)
 	}
 	var back []int
 	for _, i := range victims {
-		back = append(back, c.replacementOf(i))
+		back = append(back, s.replacementOf(i))
 	}
-	c.start(back...)
-	if c.random.IntN(2) == 0 {
+	s.start(back...)
+	if s.random.IntN(2) == 0 {
 		// Another member, often the leader, crashes in the middle of the repair; it keeps its disk.
-		again := c.pickMember()
-		c.awaitStarted(again)
-		time.Sleep(time.Duration(c.random.IntN(200)) * time.Millisecond)
-		c.crash(again)
-		c.start(again)
+		again := s.pickMember()
+		s.awaitStarted(again)
+		time.Sleep(time.Duration(s.random.IntN(200)) * time.Millisecond)
+		s.crash(again)
+		s.start(again)
 	}
 }
 
-func (c *lossScenario) awaitStarted(i int) {
-	c.t.Helper()
-	eventually(c.t, "the member has started", func() bool { return c.running[i].member.group.Load() != nil })
+func (s *lossScenario) awaitStarted(i int) {
+	s.t.Helper()
+	eventually(s.t, "the member has started", func() bool { return s.running[i].member.group.Load() != nil })
 	time.Sleep(10 * time.Millisecond) // lets its background work start
 }
 
 // pickVictims picks one or two running members at random.
-func (c *lossScenario) pickVictims() []int {
-	first := c.pickMember()
-	second := c.pickMember()
-	if first == second || c.random.IntN(2) == 0 {
+func (s *lossScenario) pickVictims() []int {
+	first := s.pickMember()
+	second := s.pickMember()
+	if first == second || s.random.IntN(2) == 0 {
 		return []int{first}
 	}
 	return []int{first, second}
 }
 
 // pickMember picks a running member at random, the leader more often than any other.
-func (c *lossScenario) pickMember() int {
-	if c.random.IntN(2) == 0 {
-		for i, running := range c.running {
+func (s *lossScenario) pickMember() int {
+	if s.random.IntN(2) == 0 {
+		for i, running := range s.running {
 			if current := running.member.group.Load(); current != nil && current.Leadership().Leads {
 				return i
 			}
 		}
 	}
-	running := make([]int, 0, len(c.running))
-	for i := range c.running {
+	running := make([]int, 0, len(s.running))
+	for i := range s.running {
 		running = append(running, i)
 	}
 	slices.Sort(running)
-	return running[c.random.IntN(len(running))]
+	return running[s.random.IntN(len(running))]
 }
 
 // replacementOf returns the index of the member to start after a loss: the same member, the same
 // one with an empty disk, or a spare. Seed members are never replaced by a spare, since nothing
 // here would tell a joining member of new seeds.
-func (c *lossScenario) replacementOf(i int) int {
-	switch draw := c.random.IntN(4); {
+func (s *lossScenario) replacementOf(i int) int {
+	switch draw := s.random.IntN(4); {
 	case draw == 0:
 		return i
-	case draw == 1 && i >= scenarioSeeds && len(c.spares) > 0:
-		next := c.spares[0]
-		c.spares = c.spares[1:]
+	case draw == 1 && i >= scenarioSeeds && len(s.spares) > 0:
+		next := s.spares[0]
+		s.spares = s.spares[1:]
 		return next
 	default:
-		c.loseDisk(i)
+		s.loseDisk(i)
 		return i
 	}
 }
 
 // awaitRecovered waits until the running members are the voters and two further losses are
 // tolerated. A member whose identity was removed is started again, as its process would do.
-func (c *lossScenario) awaitRecovered() {
-	c.t.Helper()
-	eventually(c.t, "the group has recovered", func() bool {
-		for i, running := range c.running {
+func (s *lossScenario) awaitRecovered() {
+	s.t.Helper()
+	eventually(s.t, "the group has recovered", func() bool {
+		for i, running := range s.running {
 			select {
 			case err := <-running.done:
-				must.True(c.t, errors.Is(err, ErrRemoved), must.Sprint(err))
-				c.start(i)
+				must.True(s.t, errors.Is(err, ErrRemoved), must.Sprint(err))
+				s.start(i)
 			default:
 			}
 		}
-		status, ok := c.status()
-		return ok && status.FurtherLosses == scenarioLosses && len(status.Repairing) == 0 && c.listed(status)
+		status, ok := s.status()
+		return ok && status.FurtherLosses == scenarioLosses && len(status.Repairing) == 0 && s.listed(status)
 	})
 }
 
 // acknowledgeNextIngress has the Ingress of the next generation acknowledged.
-func (c *lossScenario) acknowledgeNextIngress() {
-	c.t.Helper()
-	c.generation++
-	eventually(c.t, "an acknowledged Ingress", func() bool {
+func (s *lossScenario) acknowledgeNextIngress() {
+	s.t.Helper()
+	s.generation++
+	eventually(s.t, "an acknowledged Ingress", func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		result, err := c.accessOf(c.pickMember()).ReplaceIngress(ctx, ingressOf(c.generation, "document"))
-		return err == nil && (result.Code == api.ReplaceApplied || result.Generation == c.generation)
+		result, err := s.accessOf(s.pickMember()).ReplaceIngress(ctx, ingressOf(s.generation, "document"))
+		return err == nil && (result.Code == api.ReplaceApplied || result.Generation == s.generation)
 	})
 }
 
 // verifyIngress checks that a read returns the Ingress that was acknowledged last.
-func (c *lossScenario) verifyIngress() {
-	c.t.Helper()
-	eventually(c.t, "a successful read", func() bool {
+func (s *lossScenario) verifyIngress() {
+	s.t.Helper()
+	eventually(s.t, "a successful read", func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		held, err := c.accessOf(c.pickMember()).Ingress(ctx)
+		held, err := s.accessOf(s.pickMember()).Ingress(ctx)
 		if err != nil {
 			return false
 		}
-		must.Eq(c.t, c.generation, held.Spec.Generation)
+		must.Eq(s.t, s.generation, held.Spec.Generation)
 		return true
 	})
 }
--- a/process/control/cut_test.go
+++ b/process/control/cut_test.go
@@ -30,24 +30,24 @@
 }
 
 func newPeerNetwork(t *testing.T) *peerNetwork {
-	c := &peerNetwork{t: t}
-	c.open = sync.NewCond(&c.lock)
-	t.Cleanup(c.end)
-	return c
+	n := &peerNetwork{t: t}
+	n.open = sync.NewCond(&n.lock)
+	t.Cleanup(n.end)
+	return n
 }
 
 // proxyTo returns an address that forwards to the target.
-func (c *peerNetwork) proxyTo(target string) string {
+func (n *peerNetwork) proxyTo(target string) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	must.NoError(c.t, err)
-	c.listeners = append(c.listeners, listener)
-	c.running.Go(func() {
+	must.NoError(n.t, err)
+	n.listeners = append(n.listeners, listener)
+	n.running.Go(func() {
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			c.running.Go(func() { c.handle(conn, target) })
+			n.running.Go(func() { n.handle(conn, target) })
 		}
 	})
 	return listener.Addr().String()
@@ -67,7 +67,7 @@
 
 // handle reads the sender and the receiver from the first frame, forwards it, and then copies data
 // in both directions.
-func (c *peerNetwork) handle(conn net.Conn, target string) {
+func (n *peerNetwork) handle(conn net.Conn, target string) {
 	defer func() { _ = conn.Close() }()
 	opening := &recordingConn{Conn: conn}
 	const helloBytes = 64
@@ -83,57 +83,57 @@
 		return
 	}
 	defer func() { _ = upstream.Close() }()
-	must.NoError(c.t, conn.SetReadDeadline(time.Time{}))
-	c.wait(sender, receiver)
+	must.NoError(n.t, conn.SetReadDeadline(time.Time{}))
+	n.wait(sender, receiver)
 	if _, err := upstream.Write(opening.read.Bytes()); err != nil {
 		return
 	}
 	var copying sync.WaitGroup
-	copying.Go(func() { c.copy(upstream, conn, sender, receiver) })
-	copying.Go(func() { c.copy(conn, upstream, sender, receiver) })
+	copying.Go(func() { n.copy(upstream, conn, sender, receiver) })
+	copying.Go(func() { n.copy(conn, upstream, sender, receiver) })
 	copying.Wait()
 }
 
-func (c *peerNetwork) copy(to, from net.Conn, endpoints ...raft.MemberID) {
+func (n *peerNetwork) copy(to, from net.Conn, endpoints ...raft.MemberID) {
 	defer func() { _, _ = to.Close(), from.Close() }()
 	buffer := make([]byte, 32<<10)
 	for {
-		n, err := from.Read(buffer)
-		c.wait(endpoints...)
-		if _, writeErr := to.Write(buffer[:n]); err != nil || writeErr != nil {
+		count, err := from.Read(buffer)
+		n.wait(endpoints...)
+		if _, writeErr := to.Write(buffer[:count]); err != nil || writeErr != nil {
 			return
 		}
 	}
 }
 
 // wait blocks while either endpoint is isolated.
-func (c *peerNetwork) wait(endpoints ...raft.MemberID) {
-	c.lock.Lock()
-	defer c.lock.Unlock()
-	for !c.ended && c.cut != raft.None && (endpoints[0] == c.cut || endpoints[1] == c.cut) {
-		c.open.Wait()
+func (n *peerNetwork) wait(endpoints ...raft.MemberID) {
+	n.lock.Lock()
+	defer n.lock.Unlock()
+	for !n.ended && n.cut != raft.None && (endpoints[0] == n.cut || endpoints[1] == n.cut) {
+		n.open.Wait()
 	}
 }
 
 // isolate cuts the member off from all others; raft.None heals the partition.
-func (c *peerNetwork) isolate(member raft.MemberID) {
-	c.lock.Lock()
-	defer c.lock.Unlock()
-	c.cut = member
-	c.open.Broadcast()
+func (n *peerNetwork) isolate(member raft.MemberID) {
+	n.lock.Lock()
+	defer n.lock.Unlock()
+	n.cut = member
+	n.open.Broadcast()
 }
 
 // end closes the listeners. It runs after the members have stopped, when all connections are
 // closed.
-func (c *peerNetwork) end() {
-	c.lock.Lock()
-	c.ended = true
-	c.lock.Unlock()
-	c.open.Broadcast()
-	for _, listener := range c.listeners {
-		must.NoError(c.t, listener.Close())
+func (n *peerNetwork) end() {
+	n.lock.Lock()
+	n.ended = true
+	n.lock.Unlock()
+	n.open.Broadcast()
+	for _, listener := range n.listeners {
+		must.NoError(n.t, listener.Close())
 	}
-	c.running.Wait()
+	n.running.Wait()
 }
 
 // connect routes the connections between members through the network. It must be called before any
--- a/process/control/forward.go
+++ b/process/control/forward.go
@@ -120,7 +120,7 @@
 // connection was never established, has definitely changed nothing.
 func writeForwardError(w http.ResponseWriter, r *http.Request, address string, err error) {
 	if r.Method == http.MethodGet || isDialError(err) {
-		writeNoQuorum(w, "the leader is unreachable", address)
+		writeNoQuorum(w, "the request to the leader failed", address)
 		return
 	}
 	writeOutcomeUnknown(w, address)
--- a/process/control/founding.go
+++ b/process/control/founding.go
@@ -35,15 +35,15 @@
 
 // configuration returns the initial configuration, which is empty for a member that has to join.
 // Its only error is that of ctx.
-func (e *bootstrapper) configuration(ctx context.Context) (raft.Configuration, error) {
-	if e.config.Found && !e.groupExists(ctx) {
-		return raft.Configuration{Voters: []raft.MemberID{e.self}}, nil
+func (b *bootstrapper) configuration(ctx context.Context) (raft.Configuration, error) {
+	if b.config.Found && !b.groupExists(ctx) {
+		return raft.Configuration{Voters: []raft.MemberID{b.self}}, nil
 	}
-	if e.config.Join {
+	if b.config.Join {
 		return raft.Configuration{}, nil
 	}
 	for {
-		configuration, decided := e.probeMembers(ctx)
+		configuration, decided := b.probeMembers(ctx)
 		if decided {
 			return configuration, nil
 		}
@@ -56,11 +56,11 @@
 // groupExists reports whether another configured member belongs to a group. In that case this
 // member has bootstrapped the group before and has lost its disk since. A member that still waits
 // to be added knows no voters.
-func (e *bootstrapper) groupExists(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, e.config.Durations.Election)
+func (b *bootstrapper) groupExists(ctx context.Context) bool {
+	ctx, cancel := context.WithTimeout(ctx, b.config.Durations.Election)
 	defer cancel()
-	return slices.ContainsFunc(e.config.Members, func(configured Member) bool {
-		if configured.Name == e.config.Name {
+	return slices.ContainsFunc(b.config.Members, func(configured Member) bool {
+		if configured.Name == b.config.Name {
 			return false
 		}
 		self, err := fetchMemberStatus(ctx, configured.OperatorAddress)
@@ -69,49 +69,49 @@
 }
 
 // probeMembers probes every other configured member once.
-func (e *bootstrapper) probeMembers(ctx context.Context) (raft.Configuration, bool) {
-	voters := []raft.MemberID{e.self}
-	for _, configured := range e.config.Members {
-		if configured.Name == e.config.Name {
+func (b *bootstrapper) probeMembers(ctx context.Context) (raft.Configuration, bool) {
+	voters := []raft.MemberID{b.self}
+	for _, configured := range b.config.Members {
+		if configured.Name == b.config.Name {
 			continue
 		}
-		identity, err := e.addresses.probe(ctx, configured)
+		identity, err := b.addresses.probe(ctx, configured)
 		if err != nil {
-			e.logWrongGroup(configured, err)
+			b.logWrongGroup(configured, err)
 			continue
 		}
 		if identity.Initialized {
-			return e.adoptConfiguration(ctx, configured)
+			return b.adoptConfiguration(ctx, configured)
 		}
 		voters = append(voters, identity.Member)
 	}
-	if len(voters) < len(e.config.Members) {
+	if len(voters) < len(b.config.Members) {
 		return raft.Configuration{}, false
 	}
 	slices.Sort(voters)
 	return raft.Configuration{Voters: voters}, true
 }
 
-func (e *bootstrapper) logWrongGroup(configured Member, err error) {
+func (b *bootstrapper) logWrongGroup(configured Member, err error) {
 	if errors.Is(err, peer.ErrWrongGroup) {
-		event.ControlOtherGroup.Log(e.logger, "member", configured.Name, "address", configured.PeerAddress)
+		event.ControlOtherGroup.Log(b.logger, "member", configured.Name, "address", configured.PeerAddress)
 	}
 }
 
 // adoptConfiguration asks a member that holds a log for its configuration. If this member is one of
 // the voters, the others have just bootstrapped the group with it.
-func (e *bootstrapper) adoptConfiguration(ctx context.Context, configured Member) (raft.Configuration, bool) {
-	ctx, cancel := context.WithTimeout(ctx, e.config.Durations.Election)
+func (b *bootstrapper) adoptConfiguration(ctx context.Context, configured Member) (raft.Configuration, bool) {
+	ctx, cancel := context.WithTimeout(ctx, b.config.Durations.Election)
 	defer cancel()
 	self, err := fetchMemberStatus(ctx, configured.OperatorAddress)
 	if err != nil {
 		return raft.Configuration{}, false
 	}
 	configuration := raft.Configuration{Voters: memberIDs(self.Voters), Learners: memberIDs(self.Learners)}
-	if slices.Contains(configuration.Voters, e.self) {
+	if slices.Contains(configuration.Voters, b.self) {
 		return configuration, true
 	}
-	event.ControlJoins.Log(e.logger, "id", uint64(e.self), "known_by", configured.Name)
+	event.ControlJoins.Log(b.logger, "id", uint64(b.self), "known_by", configured.Name)
 	return raft.Configuration{}, true
 }
 
--- a/process/control/handlers.go
+++ b/process/control/handlers.go
@@ -44,7 +44,8 @@
 	}
 }
 
-// leased calls serve if the leader lease is valid, and responds with an error otherwise.
+// leased checks the leader lease and then calls serve, which reads the state as of that time.
+// Without a valid lease it responds with an error.
 func (s *operatorServer) leased(w http.ResponseWriter, r *http.Request, serve func(current *group, term uint64)) {
 	current := s.member.group.Load()
 	term, valid := current.Lease(r.Context())
--- a/process/control/ingress_test.go
+++ b/process/control/ingress_test.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// growingGroup is a group that one member bootstraps and the others join. Each member's
-// configuration names only the first few members and itself.
+// growing is a group that one member bootstraps and the others join. Each member's configuration
+// names only the first few members and itself.
 type growing struct {
 	*cluster
 	fleet *fakeFleet
@@ -522,7 +522,7 @@
 }
 
 // After a restart of the whole system no member knows what replicas have cached: the leader must
-// query the replicas for which no proxy has reported it, and no others.
+// query the replicas for which no proxy has reported it, and none before there is an Ingress.
 func TestLeaderQueriesColdReplicasAfterIngress(t *testing.T) {
 	g := newGrowing(t, 1, 1, 0)
 	replica := api.Replica{Metadata: api.Metadata{Name: "make"}, Spec: api.ReplicaSpec{Service: "narrator", Zone: "a", Address: "addr", Role: api.RoleDecode}}
--- a/process/control/membership.go
+++ b/process/control/membership.go
@@ -17,7 +17,7 @@
 	// errNameInUse refuses a member whose name belongs to another active member.
 	errNameInUse = errors.New("control: an active member has this name")
 	// errRemovedMember refuses an identity that was removed from the group.
-	errRemovedMember = errors.New("control: this identity was removed from the group; delete the data directory to rejoin")
+	errRemovedMember = errors.New("control: this identity was removed from the group; empty the data directory to rejoin")
 	// errUnknownMember refuses the removal of an ID that is not a member.
 	errUnknownMember = errors.New("control: no member has this ID")
 	errInvalidMember = errors.New("control: a member needs an ID, a name and its addresses")
