--- a/process/control/engine_test.go
+++ b/process/control/engine_test.go
@@ -22,15 +22,15 @@
 
 // testEngine is an emulated engine behind a server that can drop replies.
 type testEngine struct {
-	t       *testing.T
-	name    string
-	http    *httptest.Server
-	current atomic.Pointer[engine.Server]
-	handler atomic.Pointer[http.Handler]
+	t              *testing.T
+	name           string
+	http           *httptest.Server
+	current        atomic.Pointer[engine.Server]
+	handler        atomic.Pointer[http.Handler]
 	repliesToDrop  atomic.Int32 // replies to orders and voids still to be dropped
 	foreignReplies atomic.Int32 // orders still to be answered by another engine at the address
-	lock    sync.Mutex
-	orders  []string // paths of the received orders and voids
+	lock           sync.Mutex
+	orders         []string // paths of the received orders and voids
 }
 
 func newTestEngine(t *testing.T, name string) *testEngine {
--- a/process/control/membership_test.go
+++ b/process/control/membership_test.go
@@ -120,9 +120,9 @@
 	must.SliceNotContains(t, allMembers(current.replica.Status().Configuration), raft.MemberID(joining.ID))
 }
 
-// The duties may replace a member's record right after the member's own record was committed. The
-// record then differs from the requested one, but the member was not removed and must not be told
-// to discard its disk.
+// The duties record the address that they know of a member that has no record. This may happen
+// right after the member's own record was committed, which it then replaces. The record differs
+// from the requested one, but the member was not removed and must not be told to discard its disk.
 func TestMemberWithReplacedRecordIsNotReportedRemoved(t *testing.T) {
 	joining := state.Member{ID: 7, Name: "control-7", PeerAddress: "127.0.0.1:1", FeedAddress: "127.0.0.1:2", OperatorAddress: "127.0.0.1:3"}
 	otherwise := joining
--- a/process/control/metrics.go
+++ b/process/control/metrics.go
@@ -76,7 +76,7 @@
 // Histogram buckets: placement decisions take 4 µs to 4 ms, expected times to the first token are
 // 10 ms to 10 s.
 var (
-	placementTimeBuckets  = prometheus.ExponentialBuckets(4e-6, 4, 6)
+	placementTimeBuckets      = prometheus.ExponentialBuckets(4e-6, 4, 6)
 	expectedFirstTokenBuckets = prometheus.ExponentialBuckets(0.01, 2, 11)
 )
 
--- a/process/control/platform.go
+++ b/process/control/platform.go
@@ -152,7 +152,7 @@
 		p.classify(result, machineRecord{
 			name:        name,
 			wasReported: before == api.PhaseLeaving || before == api.PhaseGone,
-			responding:     now-seen[name].AskedAt < silence && seen[name].State.Engine == name,
+			responding:  now-seen[name].AskedAt < silence && seen[name].State.Engine == name,
 		})
 	}
 	for _, service := range current.Services {
@@ -168,7 +168,7 @@
 type machineRecord struct {
 	name        string
 	wasReported bool // recorded as leaving or gone in the state
-	responding     bool // an engine that has recently replied under its own name
+	responding  bool // an engine that has recently replied under its own name
 }
 
 // classify adds a machine to the result if it is leaving or gone. The caller holds the lock. A
--- a/process/control/presence.go
+++ b/process/control/presence.go
@@ -22,8 +22,8 @@
 }
 
 type presenceRecord struct {
-	presence feed.Presence
-	receivedAt  time.Duration
+	presence   feed.Presence
+	receivedAt time.Duration
 }
 
 func newPresenceTable() *presenceTable {
--- a/process/control/run.go
+++ b/process/control/run.go
@@ -104,7 +104,7 @@
 }
 
 func (m *member) run(ctx context.Context) error {
-	// Background backgroundCtx ends after the planned stop, not when ctx ends.
+	// Background work ends after the planned stop, not when ctx ends.
 	backgroundCtx, cancelBackground := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancelBackground()
 	server, err := newOperatorServer(m)
--- a/process/control/server.go
+++ b/process/control/server.go
@@ -31,7 +31,7 @@
 type operatorServer struct {
 	member *member
 	http   *http.Server
-	slots chan struct{} // one per concurrent request
+	slots  chan struct{} // one per concurrent request
 	// forwarding forwards requests to the leader.
 	forwarding *http.Client
 }
@@ -58,7 +58,7 @@
 	}
 	s := &operatorServer{
 		member:     m,
-		slots:     make(chan struct{}, m.config.Limits.MaxOperatorConnections),
+		slots:      make(chan struct{}, m.config.Limits.MaxOperatorConnections),
 		forwarding: newForwardingClient(),
 	}
 	routes.AddRoutes(s.routes())
