--- a/process/control/demand.go
+++ b/process/control/demand.go
@@ -12,16 +12,15 @@
 
 const (
 	demandShards = 8
-	// demandWindow is how far back the measured demand reaches; it is counted
-	// in buckets of demandBucket.
+	// demandWindow is the period over which demand is measured, in buckets of demandBucket.
 	demandWindow  = 10 * time.Second
 	demandBucket  = time.Second
 	demandBuckets = int(demandWindow / demandBucket)
-	// queueMemory is how long a proxy's last word on its queues counts.
+	// queueReportMaxAge is the age at which a proxy's last report of its queues is discarded.
 	queueMemory = 3 * time.Second
 )
 
-// demandTable sums what the proxies were offered over the recent past.
+// demandTable sums the demand that proxies reported over the last demandWindow.
 type demandTable struct {
 	started time.Time
 	seed    maphash.Seed
@@ -33,14 +32,14 @@
 	intents map[string]*intentDemand
 }
 
-// intentDemand is what the proxies of one shard were offered for one intent.
+// intentDemand is the demand for one intent, as reported by the proxies of one shard.
 type intentDemand struct {
 	buckets [demandBuckets]demandCount
 	queues  map[string]queueReport // by daemon
 }
 
 type demandCount struct {
-	number int64 // of the bucket since the table was started
+	number int64 // index of the bucket since the table was created
 	counts planner.Demand
 }
 
@@ -62,7 +61,7 @@
 	return int64(now.Sub(t.started) / demandBucket)
 }
 
-// add counts a report that arrived now.
+// add counts a demand report received at time now.
 func (t *demandTable) add(daemon string, report feed.DemandReport, now time.Time) {
 	shard := &t.shards[maphash.String(t.seed, daemon)%demandShards]
 	number := t.bucketNumber(now)
@@ -117,8 +116,8 @@
 	sum.QueuedPromptTokens += more.QueuedPromptTokens
 }
 
-// sum returns the demand of each intent, sorted by name. Intents that no proxy
-// has reported lately have none. It forgets what is too old to count.
+// sum returns the demand per intent, sorted by name, without intents that no proxy has reported
+// recently. It deletes expired entries.
 func (t *demandTable) sum(now time.Time) []planner.Demand {
 	totals := map[string]*planner.Demand{}
 	for i := range t.shards {
--- a/process/control/duties.go
+++ b/process/control/duties.go
@@ -16,13 +16,13 @@
 	"github.com/landingtrail/landingtrail/version/state"
 )
 
-// monotonic reads the time that has passed, also in a suspension: what a leader that wakes
-// knows is as old as it is for the others.
+// monotonic returns the time elapsed, including time spent suspended, so that a leader that
+// resumes judges its state to be as old as the other members do.
 func monotonic() time.Duration { return clock.Now() }
 
-// duties are what only the leader does: it observes the engines, plans, carries
-// orders out, watches the platform and tends the membership. Each round starts
-// with a check of the lease, and each order is sent after another one.
+// duties runs the tasks of the leader: it polls the engines, plans, executes actions, watches the
+// platform and manages the group's membership. Each round starts with a check of the lease, and
+// the lease is checked again before each order.
 type duties struct {
 	group     *group
 	addresses *addressBook
@@ -30,7 +30,7 @@
 	client    *orders.Client
 	platform  *platformReader
 	fleet     *fleetReader
-	// lease returns the term that this member leads in by a valid lease.
+	// lease returns the term in which this member leads under a valid lease.
 	lease    func(context.Context) (term uint64, valid bool)
 	wakeup   chan struct{}
 	stopping chan struct{}
@@ -40,36 +40,38 @@
 	// term is the leadership being served, nil while there is none. The loop's
 	// goroutine writes it; the operator API reads it.
 	termLock sync.Mutex
-	term     *termDuties
+	// term is the term being served, nil while there is none. It is written by the loop's
+	// goroutine and read by the operator API.
+	term *termDuties
 }
 
-// termDuties is what one leadership keeps. It is dropped with the lease, so
-// everything observed in it is later than the entries of earlier leaders.
+// termDuties is the state of one term of leadership. It is discarded with the lease, so
+// everything observed in it is newer than the log entries of earlier leaders.
 type termDuties struct {
 	number  uint64
 	planner planner.Planner
 	poller  *orders.Poller
 	actions *actionRunner
-	// nextPlan is when the next plan is due; commit is the commit index seen
-	// in the round before. Only the loop uses them.
+	// nextPlan is when the next plan is due; commit is the commit index seen in the previous
+	// round. Only the loop uses them.
 	nextPlan time.Duration
-	// startedAt is when the term began here, awaySince when each member that is
-	// not active now was first seen so. Only the loop uses them.
+	// startedAt is when the term began on this member; awaySince is when each currently inactive
+	// member was first seen inactive. Only the loop uses them.
 	startedAt time.Duration
 	awaySince map[raft.MemberID]time.Duration
-	// warmed is true once replicas were asked what they keep; hadIngress whether
-	// there was an Ingress when the term began. Only the loop uses them.
+	// cachesQueried is true once replicas were asked for their cached prompt parts; hadIngress is
+	// whether an Ingress existed when the term began. Only the loop uses them.
 	warmed     bool
 	hadIngress bool
 	background sync.WaitGroup
-	// comparedList is what tendFleet last found equal. Only the loop uses it.
+	// comparedList is the list that tendFleet last found unchanged. Only the loop uses it.
 	comparedList comparedList
-	// nextProxies is when tendFleet next looks at the proxies. Only the loop uses it.
+	// nextProxies is when tendFleet next checks the proxies. Only the loop uses it.
 	nextProxies time.Duration
 	roles       roleDuty
 	usage       usageDuty
 	capacity    capacityDuty
-	// orders ends with the leadership, by endOrders.
+	// orders is the context of the term's orders, canceled by cancelOrders.
 	orders    context.Context
 	endOrders context.CancelFunc
 
@@ -96,10 +98,10 @@
 	}
 }
 
-// roundPause is the least time between two rounds.
+// minRoundPause is the minimum pause between two rounds.
 const roundPause = 5 * time.Millisecond
 
-// wake makes the next round start now; calls coalesce.
+// wake makes the next round start immediately; calls coalesce.
 func (d *duties) wake() {
 	select {
 	case d.wakeup <- struct{}{}:
@@ -107,7 +109,7 @@
 	}
 }
 
-// stop ends the duties and waits until none is under way.
+// stop ends the loop and waits until it has returned.
 func (d *duties) stop() {
 	d.stopOnce.Do(func() { close(d.stopping) })
 	<-d.stopped
@@ -134,13 +136,14 @@
 	}
 }
 
-// pauseAfter bounds the rounds that a busy fleet can wake: with many engines, to
-// half of one core. A round that waited for a commit pauses no longer than usual.
+// pauseAfter returns the pause after a round. It limits the rounds that frequent wake-ups can
+// cause to half of one core when there are many engines. The pause after a round that waited for
+// a commit is capped at the reconcile interval.
 func (d *duties) pauseAfter(took time.Duration) time.Duration {
 	return max(roundPause, min(took, d.group.config.Durations.Reconcile))
 }
 
-// round carries out one round if this member leads with a valid lease.
+// round executes one round if this member leads under a valid lease.
 func (d *duties) round(ctx context.Context) {
 	if !d.group.Leadership().Leads {
 		d.endTerm()
@@ -148,7 +151,7 @@
 	}
 	number, valid := d.group.Lease(ctx)
 	if !valid {
-		return // the lease may come back in the same term
+		return // the lease may be renewed in the same term
 	}
 	term := d.beginTerm(number)
 	d.warmBoards(ctx, term, monotonic())
@@ -167,7 +170,8 @@
 	return d.term
 }
 
-// beginTerm returns the duties of the term, and starts them when it is new.
+// beginTerm returns the state of the term, creating it and starting the term's background work if
+// the term is new.
 func (d *duties) beginTerm(number uint64) *termDuties {
 	if term := d.current(); term != nil && term.number == number {
 		return term
@@ -217,7 +221,8 @@
 	term.poller.Close()
 }
 
-// reconcile compares what is committed with what is seen, and acts.
+// reconcile compares the committed state with the observed state and starts the actions that are
+// needed.
 func (d *duties) reconcile(ctx context.Context, term *termDuties) {
 	current := d.group.machine.view()
 	addresses := make(map[string]string, len(current.Engines))
@@ -242,7 +247,8 @@
 	}
 }
 
-// observations adds to what the engines said which orders they called invalid.
+// observations combines the engines' reported states with the orders that each engine rejected as
+// invalid.
 func (t *termDuties) observations(seen map[string]orders.Seen) map[string]controller.Observation {
 	observations := make(map[string]controller.Observation, len(seen))
 	for name, heard := range seen {
@@ -255,7 +261,7 @@
 	return observations
 }
 
-// fill copies the term's own memory into the input.
+// addTermState copies the machines and failures known in this term into input.
 func (t *termDuties) fill(input *controller.Input) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -285,7 +291,7 @@
 	delete(t.failures, engine)
 }
 
-// sinceChange returns how long ago the engine's last change ended, negative if
+// sinceChange returns the time since the engine's last change completed, or a negative value if
 // this leader has seen none.
 func (t *termDuties) sinceChange(engine string, now time.Duration) time.Duration {
 	t.lock.Lock()
--- a/process/control/duty.go
+++ b/process/control/duty.go
@@ -6,32 +6,33 @@
 	"time"
 )
 
-// A duty is what one daemon at a time does for all of them outside of the group: calls to
-// the platform on one matter. Its holder is the leader, its fence the leader's term, which
-// rises with each change of holder and is never shared. What is to be done is committed
-// before it is done, so that the next holder goes on with the same.
+// callGuard restricts the platform calls of one kind to one daemon at a time. Its holder is the
+// leader, and the fencing token is the leader's term, which rises with each change of holder and
+// is never shared. What a call is to do is committed first, so that the next holder continues
+// with the same work.
 //
-// Invariant: a call leaves only while the leader lease is valid by a clock that counts
-// suspensions, in the term whose fence it bears, and no sooner in a term than the calls of
-// the holder before it can have arrived.
+// Invariant: a call is sent only while the leader lease is valid, by a clock that includes
+// suspensions, in the term whose fencing token it carries, and not before the previous holder's
+// calls must have arrived.
 type duty struct {
-	// fenced is set once the platform has heard of a higher fence: another holder has
-	// begun, and this one does nothing more in its term.
+	// fenced is set once the platform has seen a higher fencing token: another holder has
+	// started, and this one makes no more calls in its term.
 	fenced atomic.Bool
-	// busy is true while a call is under way: calls on one matter go one after the other.
+	// busy is true while a call is in progress: calls of one kind are made sequentially.
 	busy atomic.Bool
 }
 
-// DutyOutcome is what came of a call on a duty.
+// DutyOutcome is the result of a platform call.
 type DutyOutcome uint8
 
-// Outcomes of a call. One that is unanswered may have been carried out, or may be later.
+// Results of a platform call. An unanswered call may have been executed, or may be executed
+// later.
 const (
 	DutyUnanswered DutyOutcome = iota
 	DutyDone
-	DutyRefused // it was not done, and may be asked for again
-	DutyFenced  // a holder with a higher fence has called
-	DutyDry     // what is asked for is not to be had now
+	DutyRefused // not executed; the call may be retried
+	DutyFenced  // rejected because a holder with a higher fencing token has called
+	DutyDry     // the platform has no capacity for the request now
 )
 
 // String returns the outcome's name.
@@ -40,26 +41,27 @@
 	return names[o]
 }
 
-// DutyHolder signs a call on a duty.
+// DutyHolder identifies the caller of a platform call and its fencing token.
 type DutyHolder struct {
 	Name  string
 	Fence uint64
 }
 
-// Times of calls on duties.
+// Timing of platform calls.
 const (
-	// dutyTimeout bounds one call. A call that has no answer by then is made again.
+	// platformCallTimeout bounds one call. A call that is unanswered by then is retried.
 	dutyTimeout = time.Second
-	// dutyPause is between two calls of which the first was not done.
+	// platformCallPause is the pause after a call that was not executed.
 	dutyPause = 500 * time.Millisecond
 )
 
-// mayAct reports whether a holder may call now, and how it signs.
+// authorizeCall reports whether this member may make a platform call now, and returns the
+// identity to make it with.
 func (d *duties) mayAct(ctx context.Context, term *termDuties, on *duty) (DutyHolder, bool) {
 	if on.fenced.Load() || monotonic()-term.startedAt < d.group.config.Durations.OrderSettle {
 		return DutyHolder{}, false
 	}
-	// The lease is read last: whatever time has passed until then is in it.
+	// The lease is checked last, so that it covers all the time spent above.
 	if number, valid := d.lease(ctx); !valid || number != term.number {
 		return DutyHolder{}, false
 	}
--- a/process/control/evidence.go
+++ b/process/control/evidence.go
@@ -23,45 +23,47 @@
 	"github.com/pkg/errors"
 )
 
-// That a replica ended under a request is a fact: it needs neither an order nor an agreement, and
-// nothing is lost if it is kept twice. So each member keeps what it is told on its own disk and hands
-// it to the others, whether or not there is a leader: at once where it is worth telling, and whoever
-// begins to lead asks for all. The record, which needs a leader, is what verdicts are written to.
+// Replica crashes are facts that need neither ordering nor consensus, and storing one twice is
+// harmless. So each member stores the crash reports it receives on its own disk and forwards notable
+// ones to the other members at once, whether or not there is a leader; a new leader requests all of
+// them. Quarantine decisions go to the replicated record, which needs a leader.
 
-// Bounds of what is kept.
+// Limits of the stored evidence.
 const (
 	evidenceFile = "evidence"
-	// maxEvidence bounds the ends that are kept, some 150 bytes each, and maxToldEvidence those
-	// that daemons are told of.
+	// maxEvidence limits the stored crash observations, about 150 bytes each; maxReportedEvidence
+	// limits those sent to daemons.
 	maxEvidence     = 256
 	maxToldEvidence = 64
-	// evidencePause is the least time between two writes; what comes meanwhile is written together.
+	// evidenceWriteInterval is the minimum time between two writes; changes in between are
+	// written together.
 	evidencePause = 50 * time.Millisecond
-	// tellPause is how long what came up waits for what comes with it before others are told.
+	// noticeDelay is how long new evidence waits for more before it is sent to other members.
 	tellPause = 20 * time.Millisecond
 )
 
-// errEvidence says that a file of evidence is damaged.
-var errEvidence = errors.New("control: the file of evidence is damaged")
+// errDamagedEvidence reports a damaged evidence file.
+var errEvidence = errors.New("control: evidence file is damaged")
 
-// noticeSender tells the other members; *peer.Transport is one.
+// noticeSender sends notices to the other members; *peer.Transport implements it.
 type noticeSender interface {
 	Notify(payload []byte)
 	NotifyOne(payload []byte, member raft.MemberID)
 }
 
-// evidence keeps what is known of replicas that ended beside the log, and has the other members
-// keep it as well.
+// evidence stores crash evidence outside the Raft log and replicates it to the other members.
 type evidence struct {
 	desk   *quarantineDesk
 	files  wal.FileSystem
 	folder string
-	// wake has daemons be told of news that are not on record; set before the feed serves them.
+	// wake notifies daemons of evidence that is not in the record; set before the feed serves
+	// them.
 	wake atomic.Pointer[func()]
-	// others is set once the transport is open, which hands on what comes before that as well.
+	// others is nil until the transport is open. Evidence received before that is sent as
+	// connections to other members are established.
 	others  atomic.Pointer[noticeSender]
-	changed chan struct{} // has an item once something has to be written
-	telling chan struct{} // has an item once something is untold
+	changed chan struct{} // holds an item while there are changes to write
+	telling chan struct{} // holds an item while there is evidence to send
 	logger  log.Logger
 
 	lock   sync.Mutex
@@ -80,19 +82,19 @@
 	}
 }
 
-// tellOthers sets who is told from now on.
+// tellOthers sets the sender for notices to the other members.
 func (e *evidence) tellOthers(others noticeSender) { e.others.Store(&others) }
 
-// tellDaemons sets what has daemons be told of news.
+// tellDaemons sets the function that notifies daemons of new evidence.
 func (e *evidence) tellDaemons(wake func()) { e.wake.Store(&wake) }
 
-// note takes in what a daemon has told, keeps it and hands on what others are to know.
+// note adds a daemon's report, and stores and forwards what is new.
 func (e *evidence) note(report feed.EndReport, now time.Duration) {
 	e.handOn(e.desk.note(report, now))
 }
 
-// receive takes in what another member has told, or its question for all that is known here. What is
-// new is handed on: the member that knew it first may not reach all others.
+// receive handles a notice from another member: a report, or an empty payload that requests all
+// evidence known here. New evidence is forwarded, since its origin may not reach all members.
 func (e *evidence) receive(from raft.MemberID, payload []byte) {
 	if len(payload) == 0 {
 		e.answer(from)
@@ -106,8 +108,8 @@
 	e.handOn(e.desk.hear(report, monotonic()))
 }
 
-// ask has the other members tell all that they know, as a new leader does: a member that it reaches may
-// have been told what never came to it.
+// ask requests all evidence from the other members. A new leader does so because the members that
+// it reaches may know of evidence that it never received.
 func (e *evidence) ask() {
 	if others := e.others.Load(); others != nil {
 		(*others).Notify(nil)
@@ -118,7 +120,7 @@
 	e.tellOne(member, e.desk.sights(monotonic()))
 }
 
-// greet tells a member with which a connection has come up what is worth watching for.
+// greet sends the notable evidence to a member whose connection was just established.
 func (e *evidence) greet(member raft.MemberID) {
 	e.tellOne(member, e.desk.notableSights(monotonic()))
 }
@@ -129,14 +131,15 @@
 	}
 }
 
-// follow takes in how the record has changed.
+// follow applies a change of the replicated record.
 func (e *evidence) follow(before, current map[string]*api.Quarantine) {
 	if e.desk.follow(before, current, monotonic()) {
 		pause.Signal(e.changed)
 	}
 }
 
-// handOn has what was learnt written soon, and told to the others and to daemons.
+// publish schedules new findings to be written, sent to the other members and reported to
+// daemons.
 func (e *evidence) handOn(found learnt) {
 	if !found.isNew {
 		return
@@ -155,15 +158,16 @@
 	}
 }
 
-// untold is what the other members have not been told yet. Ends are told as they are by then.
+// pendingNotice is evidence not yet sent to the other members. Crashes are looked up when the
+// notice is sent, so that it carries their latest state.
 type untold struct {
 	ended  map[quarantine.Fingerprint]struct{}
 	alive  []quarantine.Alive
 	served []quarantine.Fingerprint
 }
 
-// tell tells the other members what has come up, until ctx ends. Many words come with the end of one
-// replica, and go out together.
+// tell sends new evidence to the other members until ctx ends. The crash of one replica causes
+// many reports, which are sent together.
 func (e *evidence) tell(ctx context.Context) {
 	for {
 		select {
@@ -192,7 +196,7 @@
 	}
 }
 
-// run writes what has changed until ctx ends. A write that fails is tried again.
+// run writes changes to disk until ctx ends. Failed writes are retried.
 func (e *evidence) run(ctx context.Context) {
 	for {
 		select {
@@ -214,13 +218,13 @@
 	}
 }
 
-// save writes what is known, synced, and returns how many ends it is.
+// save writes and syncs the known evidence, and returns the number of crash observations written.
 func (e *evidence) save(now time.Duration) (kept int, err error) {
 	report := feed.EndReport{Ended: e.desk.sights(now)}
 	return len(report.Ended), wal.WriteFile(e.files, filepath.Join(e.folder, evidenceFile), encodeEvidence(report, time.Now()))
 }
 
-// load takes in what an earlier life of this member has kept.
+// load restores the evidence stored before a restart.
 func (e *evidence) load(now time.Duration, wall time.Time) {
 	data, err := e.files.ReadFile(filepath.Join(e.folder, evidenceFile))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -238,7 +242,8 @@
 	event.EvidenceRecalled.Log(e.logger, "ends", len(report.Ended))
 }
 
-// encodeEvidence encodes a file: a checksum, the time of day, and the ends by their age then.
+// encodeEvidence encodes an evidence file: a checksum, the wall-clock time, and the crash
+// observations with their ages at that time.
 func encodeEvidence(report feed.EndReport, wall time.Time) []byte {
 	body := frame.NewEncoder(nil)
 	body.Int64(wall.UnixMilli())
@@ -248,7 +253,8 @@
 	return append(sum.Data(), content...)
 }
 
-// decodeEvidence reads a file; the ends are as old as they are now by the time of day.
+// decodeEvidence decodes an evidence file and adds the wall-clock time elapsed since it was
+// written to the ages.
 func decodeEvidence(data []byte, wall time.Time) (feed.EndReport, error) {
 	const headSize = 4 + 8
 	if len(data) < headSize {
--- a/process/control/evidence_test.go
+++ b/process/control/evidence_test.go
@@ -17,13 +17,13 @@
 	"github.com/shoenig/test/must"
 )
 
-// stallingFiles are files whose syncs wait while the disk stalls.
+// stallingFiles is a file system whose syncs block while the disk stalls.
 type stallingFiles struct {
 	unsyncedFiles
 	disk *stallingDisk
 }
 
-// stallingDisk is one member's disk.
+// stallingDisk controls whether one member's disk stalls.
 type stallingDisk struct {
 	lock    sync.Mutex
 	resumed *sync.Cond
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// stallingCluster is a group whose disks can stall.
+// stallingCluster is a group whose disks can be stalled.
 type stallingCluster struct {
 	*cluster
 	disks []*stallingDisk
@@ -91,13 +91,14 @@
 	return made
 }
 
-// stallMajority has all disks stall but the first, so that nothing is committed and nobody elected.
+// stallMajority stalls all disks but the first, so that nothing can be committed and no leader
+// elected.
 func (c *stallingCluster) stallMajority() {
 	leader := c.leader()
 	for _, disk := range c.disks[1:] {
 		disk.stall(true)
 	}
-	// Whatever is proposed now has the leader wait for its disk, or for a follower that does.
+	// The proposal makes the leader wait for its own disk or for a follower with a stalled disk.
 	go c.call(leader, http.MethodPost, operatorapi.PathTransactions, api.Transaction{OperationID: "stalls", Writes: []api.Write{{Object: engineObject("stalls", freeAddress(c.t))}}}, nil)
 }
 
@@ -107,7 +108,7 @@
 	}
 }
 
-// proxy starts a proxy's client, which tells whoever serves it or stands by.
+// proxy starts a proxy's feed client, which reports to the leader or to a standby member.
 func (c *stallingCluster) proxy(name string) *feed.Client {
 	client, _ := c.followBy(feed.ClientConfig{
 		Daemon: name, BeatInterval: 30 * time.Millisecond, SilenceTimeout: time.Second,
@@ -116,7 +117,7 @@
 	return client
 }
 
-// keptByFirst returns how many ends the first member has on its disk.
+// storedByFirst returns the number of crash observations on the first member's disk.
 func (c *stallingCluster) keptByFirst() int {
 	data, err := wal.OS{}.ReadFile(filepath.Join(c.configs[0].DataFolder, evidenceFile))
 	if err != nil {
@@ -127,13 +128,10 @@
 	return len(report.Ended)
 }
 
-// Seen: a request that ends each replica ended three, and then three more (the soak's seeds 9112, 9231 and
-// 3024, "fatal").
-// How: no leader could commit for many seconds. Each end was seen by another proxy, which was killed; then
-// everything was killed, and nobody knew of any.
-// Cause: what is seen while nobody leads was kept by its proxy alone, since only a leader put it on record.
-// Proof: without the evidence that members keep, no leader after the kill ever holds the request: this test
-// waits in vain each time.
+// Guards against losing crash evidence while there is no leader: if each proxy alone knows of the
+// crash that it observed, and all processes are then killed, the request crashes as many replicas
+// again (soak seeds 9112, 9231 and 3024, "fatal"). Members store reports on disk without a
+// leader, so the next leader holds the request.
 func TestEndsSeenWithoutALeaderOutlastAllProcesses(t *testing.T) {
 	c := newStallingCluster(t, 3)
 	c.leader()
@@ -148,12 +146,12 @@
 	c.stallMajority()
 	for i, proxy := range proxies {
 		seen, ended := endsOf(fatalRequest, fmt.Sprint("r-", i)), time.Now()
-		eventually(t, "a member whose disk works has kept it", func() bool {
+		eventually(t, "the member with a working disk has stored the crash", func() bool {
 			seen.Ended[0].Age = time.Since(ended)
-			_ = proxy.ReportEnds(seen) // told again to whoever serves it next
+			_ = proxy.ReportEnds(seen) // repeated for the next member that serves the proxy
 			return c.keptByFirst() == i+1
 		})
-		proxy.Close() // killed: what it saw is lost with it
+		proxy.Close() // simulates a kill: the proxy's own observations are lost
 	}
 	c.resumeAll()
 	for i := range c.configs {
--- a/process/control/placement.go
+++ b/process/control/placement.go
@@ -11,9 +11,9 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
-// placementDesk places the requests of model services: one board a service,
-// which knows of the requests of all proxies. What it knows lasts as long as the
-// process; a new leader begins with an empty board and learns within seconds.
+// placementDesk places the requests of model services with one board per service, which knows the
+// requests of all proxies. Its state is in memory only: a new leader starts with empty boards and
+// learns their contents within seconds.
 type placementDesk struct {
 	lock    sync.Mutex
 	version view.Version
@@ -24,8 +24,8 @@
 	return &placementDesk{boards: map[string]*placement.Board{}}
 }
 
-// place answers one question by the view; alert says that replicas of the service end one
-// after the other under some request.
+// place answers a placement request according to the view. alert is true while replicas of the
+// service crash in series under some request.
 func (d *placementDesk) place(current *view.History, daemon string, request feed.PlaceRequest, alert bool, now time.Duration) (placement.Answer, bool) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -49,7 +49,7 @@
 	}
 }
 
-// kept takes in what a proxy believes that a replica keeps.
+// kept records which prompt parts a replica has cached, according to a proxy.
 func (d *placementDesk) kept(current *view.History, kept feed.KeptParts) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -59,7 +59,7 @@
 	}
 }
 
-// takeOver counts what a proxy has in flight.
+// takeOver adds the requests that a proxy already has in flight.
 func (d *placementDesk) takeOver(current *view.History, daemon string, told feed.InFlight, now time.Duration) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -69,8 +69,8 @@
 	}
 }
 
-// summaries returns what the boards show, by service, of those that were asked for places
-// since the last time.
+// summaries returns the board summaries, by service, of the services that received placement
+// requests since the previous call.
 func (d *placementDesk) summaries(now time.Duration) map[string]placement.Summary {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -83,10 +83,10 @@
 	return shown
 }
 
-// update takes in a view that is newer than the last one: callers load theirs before they
-// have the lock, and may be overtaken. Of a view that follows on the last one only what has
-// changed is looked at, so that one replica's change costs the same however many there are.
-// The lock is held.
+// update applies a view if it is newer than the last one applied; callers load their view before
+// acquiring the lock, so views can arrive out of order. If the changes since the last view are
+// known, only these are applied, so that the cost of a replica change does not depend on the
+// number of replicas. The caller holds the lock.
 func (d *placementDesk) update(current *view.History) {
 	delta, newer := current.DeltaSince(d.version)
 	if !newer {
@@ -109,12 +109,12 @@
 	}
 }
 
-// touchesIngress reports whether services or their sheets may have changed.
+// touchesIngress reports whether the services or their model parameters may have changed.
 func touchesIngress(delta view.Delta) bool {
 	return slices.ContainsFunc(delta.Objects, func(o api.Object) bool { return o.Ingress != nil })
 }
 
-// rebuild takes in a whole view.
+// rebuild applies a complete view.
 func (d *placementDesk) rebuild(current *view.View) {
 	held := current.Ingresses[api.IngressName]
 	if held == nil {
@@ -135,7 +135,7 @@
 	}
 }
 
-// put takes in a replica that is new or has changed; it may have changed its service.
+// putReplica adds or updates a replica, whose service may have changed.
 func (d *placementDesk) put(entry *api.Replica) {
 	for service, board := range d.boards {
 		if service == entry.Spec.Service {
@@ -160,7 +160,7 @@
 	return listed
 }
 
-// placedReplica is a replica as boards know it.
+// placementReplica converts a replica to the form that boards use.
 func placedReplica(entry *api.Replica) placement.Replica {
 	role := placement.RoleDecode
 	if entry.Spec.Role == api.RolePrefill {
@@ -172,7 +172,8 @@
 	}
 }
 
-// sheetOf gathers what the configuration says of a service's replicas.
+// sheetOf returns the configured model parameters of a service, including the shortest token gap
+// objective of the routes that lead to it.
 func sheetOf(spec *api.IngressSpec, service *api.RouteService) placement.Sheet {
 	sheet := placement.Sheet{
 		KVTokens:    service.Model.KVTokens,
--- a/process/control/placement_test.go
+++ b/process/control/placement_test.go
@@ -12,7 +12,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// servedModel is a view with one model service, and a replica unless it is empty.
+// modelView returns a view with one model service and, unless its name is empty, one replica.
 func servedModel(revision uint64, replica string) *view.History {
 	shown := view.New()
 	shown.Version.Revision = revision
@@ -32,10 +32,10 @@
 		name, service, replica, generator string
 		known                             bool
 	}{
-		{"a model service", "chat", "r-1", "r-1", true},
-		{"without a replica", "chat", "", "", true},
-		{"a plain service", "plain", "r-1", "", false},
-		{"a service that is not there", "other", "r-1", "", false},
+		{"model service", "chat", "r-1", "r-1", true},
+		{"model service without replicas", "chat", "", "", true},
+		{"plain service", "plain", "r-1", "", false},
+		{"unknown service", "other", "r-1", "", false},
 	}
 	for _, each := range cases {
 		t.Run(each.name, func(t *testing.T) {
@@ -80,9 +80,9 @@
 	must.Eq(t, 2, counted["landingtrail_control_placing_seconds chat"])
 }
 
-// The duties ask the desk by the view that their round began with, and proxies by the one of
-// their question. An older view must not replace a newer one: what was placed on a replica
-// that the older one lacks, or lists in another role, would be forgotten.
+// The leader's tasks pass the view loaded at the start of their round, and proxies' requests the
+// current one. If an older view replaced a newer one, the board would lose the requests placed on
+// replicas that are missing from the older view or have another role in it.
 func TestDeskTakesNoOlderViewForANewerOne(t *testing.T) {
 	desk := newPlacementDesk()
 	older, newer := servedModel(1, "r-1"), servedModel(2, "r-2")
@@ -96,8 +96,7 @@
 	must.False(t, desk.idle("chat", "r-2"))
 }
 
-// A desk that is told only what has changed knows the same as one that is given each view
-// whole.
+// Applying only the changes must give the same state as applying each view as a whole.
 func TestDeskFollowsChangesAsItFollowsWholeViews(t *testing.T) {
 	first := servedModel(1, "r-1")
 	changed := func(revision uint64, change func(v *view.View), keys ...api.Key) *view.History {
--- a/process/control/planning.go
+++ b/process/control/planning.go
@@ -13,14 +13,14 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
-// Names of the planning policies.
+// Planning policies.
 const (
 	PolicyLandingtrail = "landingtrail"
 	PolicyStatic       = "static"
 	PolicyThreshold    = "threshold"
 )
 
-// staticPrefillShare is the share of prefill engines under the static policy.
+// staticPrefillShare is the fraction of prefill engines under the static policy.
 const staticPrefillShare = 1.0 / 3
 
 func newPlanner(config Planner) planner.Planner {
@@ -34,7 +34,7 @@
 	}
 }
 
-// plan returns the planner's decisions when a plan is due, and none otherwise.
+// plan returns the planner's decisions if a plan is due, otherwise nil.
 func (d *duties) plan(term *termDuties, current *view.View, seen map[string]orders.Seen, now time.Duration) []planner.Decision {
 	if now < term.nextPlan {
 		return nil
@@ -48,8 +48,8 @@
 	})
 }
 
-// plannedIntents returns the intents by name, with the configured change cost
-// where they name none.
+// plannedIntents returns the intents sorted by name, with the configured change cost where they
+// specify none.
 func (d *duties) plannedIntents(current *view.View) []*api.Intent {
 	intents := make([]*api.Intent, 0, len(current.Intents))
 	for _, name := range slices.Sorted(maps.Keys(current.Intents)) {
@@ -89,8 +89,8 @@
 	return intents
 }
 
-// planEngine shows the planner what the engine says and its load, if it was
-// heard from since silentAt.
+// plannedEngine returns the planner's view of an engine. It includes the engine's reported state
+// and load if the engine has answered since silentAt.
 func planEngine(committed *api.Engine, seen orders.Seen, silentAt time.Duration) planner.Engine {
 	if seen.State.Engine != committed.Name || seen.AskedAt < silentAt {
 		return controller.PlannedEngine(committed, nil)
--- a/process/control/quarantine.go
+++ b/process/control/quarantine.go
@@ -16,65 +16,68 @@
 	"github.com/zeromicro/go-zero/rest/pathvar"
 )
 
-// Times and bounds of quarantines. They are policy: a request that ends replicas costs
-// several seconds of a replica each time that it is tried again.
+// Durations and limits of quarantines. They are chosen by policy: each attempt of a request that
+// crashes replicas costs several seconds of a replica's time.
 const (
-	// firstHold is how long a request is held for the first time, twice as long the second, and
-	// longestHold from then on. After each of them it is tried, one copy at a time, and one end
-	// more holds it: a hold by mistake costs callers minutes, and one that is right two replicas
-	// more within a quarter of an hour, and then one a day.
+	// firstHoldDuration is the length of a request's first hold. The second hold is twice as
+	// long, and all later ones last maxHoldDuration. A hold is followed by a trial, which sends
+	// one copy at a time; one more crash renews the hold. This way a mistaken hold costs callers
+	// minutes, and a correct one costs two more replicas within a quarter of an hour and then one
+	// a day.
 	firstHold   = 5 * time.Minute
 	longestHold = 24 * time.Hour
-	// tryTurn is how long one proxy has to try a request alone until it is another one's turn:
-	// callers come to each of them every now and then. tryTime is after which time without an
-	// end or an answer the request is taken for harmless.
+	// trialTurn is how long one proxy alone may try a request before the next proxy's turn; each
+	// proxy is expected to receive the request now and then. After trialDuration without a crash
+	// or an answer the request is considered harmless.
 	tryTurn = time.Second
 	tryTime = time.Minute
-	// watchTime is how long a request is watched under which no more replicas end.
+	// watchDuration is how long a request is watched without further crashes.
 	watchTime = time.Hour
-	// maxQuarantines bounds the requests on record, a kilobyte each at most.
+	// maxQuarantines limits the requests in the record, at most a kilobyte each.
 	maxQuarantines = 256
-	// maxRecordedEnds bounds the replicas named of one request.
+	// maxRecordedReplicas limits the crashed replicas listed per request.
 	maxRecordedEnds = 8
 )
 
-// quarantineDesk gathers what proxies say of replicas that ended, and works out what is to
-// be on record. The record is replicated and reaches every proxy with its view, so it
-// outlasts leaders, restarts and losses; the table is what this member has heard itself.
+// quarantineTracker collects the proxies' reports of crashed replicas and computes what the
+// quarantine record should contain. The record is replicated and reaches every proxy with its
+// view, so it survives leader changes, restarts and the loss of members. The table holds what was
+// reported to this member.
 type quarantineDesk struct {
 	lock  sync.Mutex
 	table *quarantine.Table
-	// term is the leadership that the table was last filled for from the record.
+	// term is the term for which the table was last loaded from the record.
 	term    uint64
 	refuted refutations
-	// reviewUntil is how long what was heard is still to be looked through: until it has
-	// settled, was watched, and was committed.
+	// reviewUntil is the time until which the reports are reviewed in each round, so that they
+	// are settled, watched and committed.
 	reviewUntil time.Duration
-	// judgeFrom is from when on a new leader holds or tries requests: proxies tell it first what
-	// they saw, also of those that stood beside and of those that were served.
+	// decideFrom is when a new leader starts to hold or try requests. Until then proxies report
+	// what they observed, including requests that were merely in flight during a crash and
+	// requests that were served.
 	judgeFrom time.Duration
-	// sentUnheard are the requests of which one copy may have gone out since this leader began,
-	// before it had heard.
+	// sentEarly is the set of requests of which one copy may have been sent since this leader's
+	// term began, before decideFrom.
 	sentUnheard map[quarantine.Fingerprint]bool
-	// alertTill is until when ends are taken to come in series, by service; alerted is the
-	// latest of them, which is read without the lock.
+	// alertUntil is, per service, the time until which crashes are assumed to come in series.
+	// latestAlert is the maximum of these times, readable without the lock.
 	alertTill map[string]time.Duration
 	alerted   atomic.Int64
-	// unrecorded is what daemons are told while the record can't tell it.
+	// unrecorded is what daemons are told while the record lags behind.
 	unrecorded unrecorded
 }
 
-// takeOverTime is how long proxies take to find a new leader and to tell it all.
+// takeoverDelay is how long proxies need to find a new leader and report everything they know.
 const takeOverTime = time.Second
 
-// reviewTime is how long after the last word the record is looked through in each round.
+// reviewPeriod is how long after the last report the record is reviewed in each round.
 const reviewTime = 3 * time.Second
 
-// refutations are words that take something off the record. They are kept until they were
-// committed.
+// refutations are reports that remove something from the record. They are kept until the removal
+// is committed.
 type refutations struct {
-	alive  map[string]quarantine.Alive // by replica
-	heard  map[string]time.Duration    // when that was heard
+	alive  map[string]quarantine.Alive // replicas found alive, by name
+	heard  map[string]time.Duration    // when each was reported alive
 	served map[quarantine.Fingerprint]bool
 }
 
@@ -89,7 +92,7 @@
 	}
 }
 
-// note takes in what a proxy has seen.
+// note adds a proxy's report.
 func (d *quarantineDesk) note(report feed.EndReport, now time.Duration) learnt {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -102,36 +105,38 @@
 	return d.learn(report, now)
 }
 
-// hear takes in what another member was told, or has kept. It takes nothing off the record: proxies tell
-// that to the leader themselves.
+// merge adds evidence that another member sent or that was stored on disk. It removes nothing
+// from the record: proxies report refutations to the leader themselves.
 func (d *quarantineDesk) hear(report feed.EndReport, now time.Duration) learnt {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	return d.learn(report, now)
 }
 
-// sights returns what is known of ends, for those that have to learn it.
+// observations returns the known crash observations, for members that need all of them.
 func (d *quarantineDesk) sights(now time.Duration) []quarantine.Aged {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	return d.table.Sights(now, maxEvidence)
 }
 
-// sightsOf returns what is known of the ends of these requests.
+// observationsOf returns the known crash observations of the given requests.
 func (d *quarantineDesk) sightsOf(fingerprints []quarantine.Fingerprint, now time.Duration) []quarantine.Aged {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	return d.table.SightsOf(fingerprints, now, maxEvidence)
 }
 
-// notableSights returns what is known of the ends of requests that are worth watching for.
+// notableObservations returns the known crash observations of the requests that are worth
+// watching.
 func (d *quarantineDesk) notableSights(now time.Duration) []quarantine.Aged {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	return d.table.NotableSights(now, maxEvidence)
 }
 
-// learnt is what of a report was new, and what of that others are to know: ends by their requests.
+// findings are the new facts of a report and, among them, those to forward to other members.
+// Crashes are identified by their requests.
 type learnt struct {
 	isNew  bool
 	ended  []quarantine.Fingerprint
@@ -139,7 +144,7 @@
 	served []quarantine.Fingerprint
 }
 
-// learn puts a report into the table; the lock is held.
+// mergeLocked adds a report to the table. The caller holds the lock.
 func (d *quarantineDesk) learn(report feed.EndReport, now time.Duration) (found learnt) {
 	before := d.table.News()
 	d.reviewUntil = now + reviewTime
@@ -172,11 +177,11 @@
 	return found
 }
 
-// alertTime is how long after the last end that fits one, or the last word of a request at two
-// of them, a series of ends is taken to go on.
+// alertDuration is how long a series of crashes is assumed to continue after its last crash, or
+// after the last placement request of a suspect with at least two crashes.
 const alertTime = 10 * time.Second
 
-// isAlert reports whether replicas of the service end one after the other under a request.
+// isAlert reports whether replicas of the service are crashing in series under some request.
 func (d *quarantineDesk) isAlert(service string, now time.Duration) bool {
 	if int64(now) >= d.alerted.Load() {
 		return false
@@ -186,9 +191,9 @@
 	return now < d.alertTill[service]
 }
 
-// isSuspect reports whether a replica has lately ended under the request of that name. As long
-// as one asks under which they end in series, the alert goes on: its copies may have waited for
-// all of it, and would go out at once.
+// isSuspect reports whether a replica recently crashed under the named request. A request with a
+// series of crashes extends the alert each time it asks for a place: otherwise copies that waited
+// for the whole alert would all be sent at once when it ends.
 func (d *quarantineDesk) isSuspect(name string, now time.Duration) bool {
 	fingerprint, ok := fingerprintOf(name)
 	if !ok {
@@ -206,10 +211,11 @@
 	return true
 }
 
-// isJudged reports whether the request of that name is about to be held. The record reaches the
-// proxies some hundred milliseconds after the end that decides, and copies that went out until
-// then would each end a replica. A new leader first hears what there is to say for it: until then
-// one copy may go, whose answer or end is heard here, and the others wait.
+// isJudged reports whether no copy of the named request may be sent because the request is about
+// to be held. The record reaches the proxies a few hundred milliseconds after the deciding crash,
+// and each copy sent until then would crash a replica. A new leader first collects reports that
+// may clear the request. Until then it lets one copy through, whose answer or crash is reported
+// to it, and makes the others wait.
 func (d *quarantineDesk) isJudged(name string, now time.Duration) bool {
 	fingerprint, ok := fingerprintOf(name)
 	if !ok {
@@ -228,13 +234,14 @@
 	return before
 }
 
-// fingerprintOf reads the name that a question for a place brings, false where it brings none.
+// fingerprintOf converts the request name of a placement request to a fingerprint; ok is false if
+// there is none.
 func fingerprintOf(name string) (fingerprint quarantine.Fingerprint, ok bool) {
 	ok = copy(fingerprint[:], name) == len(fingerprint)
 	return fingerprint, ok
 }
 
-// alert notes that replicas of the service end in series; the lock is held.
+// raiseAlert marks that replicas of the service crash in series. The caller holds the lock.
 func (d *quarantineDesk) alert(service string, now time.Duration) {
 	d.alertTill[service] = now + alertTime
 	d.alerted.Store(int64(now + alertTime))
@@ -247,7 +254,8 @@
 	d.table.Forget(fingerprint)
 }
 
-// takeBack keeps refutations that were not committed for the next review, which follows.
+// restoreRefutations returns refutations that were not committed, so that the next review applies
+// them.
 func (d *quarantineDesk) takeBack(refuted refutations, now time.Duration) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -257,15 +265,15 @@
 	maps.Copy(d.refuted.served, refuted.served)
 }
 
-// NoteEnds takes in under which requests replicas ended.
+// NoteEnds adds a proxy's report of requests under which replicas crashed.
 func (g *group) NoteEnds(report feed.EndReport) { g.evidence.note(report, monotonic()) }
 
-// release takes a request off the record, as an operator asks.
+// release removes a request from the quarantine record on behalf of an operator.
 func (s *operatorServer) release(w http.ResponseWriter, r *http.Request, _ []byte) {
 	name := pathvar.Vars(r)["name"]
 	current := s.member.group.Load()
 	if current.machine.view().Quarantines[name] == nil {
-		message := "no request with this fingerprint is on record"
+		message := "no request with this fingerprint is quarantined"
 		writeError(w, http.StatusNotFound, operatorapi.Error{
 			Code: operatorapi.ErrorNotFound, Message: message, Faults: []api.FieldFault{{Field: "name", Message: message}},
 		})
--- a/process/control/quarantine_review.go
+++ b/process/control/quarantine_review.go
@@ -15,8 +15,8 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
-// tendQuarantine commits what differs between the record of requests under which replicas
-// end and what was seen of them.
+// manageQuarantine commits the differences between the quarantine record and what it should
+// contain.
 func (d *duties) tendQuarantine(ctx context.Context, term *termDuties) {
 	desk := d.group.evidence.desk
 	seen, refuted := desk.review(term.number, d.group.machine.view(), monotonic(), time.Now())
@@ -47,26 +47,26 @@
 	}
 	for _, key := range seen.Removed {
 		if key.Kind == api.KindSuspect {
-			continue // it lapses, or the line of its quarantine tells
+			continue // it expires, or its quarantine is logged
 		}
 		event.QuarantineEnded.Log(logger, "fingerprint", key.Name, "by", "review", "err", err)
 	}
 }
 
-// review returns what differs between the record and what is to be on it, and the
-// refutations that it took into account. wall is the time of day: holds are as long as
-// people say, and seconds do not matter.
+// review returns the changes that the record needs, and the refutations that they take into
+// account. wall is the wall-clock time: holds are measured in minutes and longer, so an
+// inaccuracy of seconds does not matter.
 func (d *quarantineDesk) review(term uint64, current *view.View, now time.Duration, wall time.Time) (state.Observe, refutations) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	refuted := d.refuted
 	if now > d.reviewUntil && d.term == term && !anyLapsed(current, wall) {
-		return state.Observe{}, refuted // nothing can have changed
+		return state.Observe{}, refuted // nothing has been reported and nothing has expired
 	}
 	d.refuted = newRefutations()
 	d.table.Expire(now)
 	if d.fill(term, current, now, wall) {
-		for _, alive := range refuted.alive { // what is on record is refuted as well
+		for _, alive := range refuted.alive { // the entries just loaded are refuted as well
 			d.table.Lives(refuted.heard[alive.Replica], alive)
 		}
 	}
@@ -87,7 +87,7 @@
 	return seen, refuted
 }
 
-// reviewRecorded brings one entry of the record up to date.
+// reviewRecorded updates or removes one entry of the record.
 func (d *quarantineDesk) reviewRecorded(seen *state.Observe, current *view.View, known *api.Quarantine, refuted *refutations, now time.Duration, wall time.Time) {
 	fingerprint, ok := quarantine.Parse(known.Name)
 	spec := d.refreshed(known.Spec, fingerprint, refuted)
@@ -104,7 +104,7 @@
 	}
 }
 
-// refreshed returns an entry with what was heard since it was written.
+// refreshed returns an entry updated with the reports received since it was written.
 func (d *quarantineDesk) refreshed(spec api.QuarantineSpec, fingerprint quarantine.Fingerprint, refuted *refutations) api.QuarantineSpec {
 	spec.Replicas = slices.DeleteFunc(slices.Clone(spec.Replicas), func(name string) bool {
 		_, lives := refuted.alive[quarantine.ReplicaOf(name)]
@@ -120,8 +120,8 @@
 	return spec
 }
 
-// isOver reports whether an entry leaves the record: too few of its replicas have ended, or
-// its time is over and nothing came of it.
+// isOver reports whether an entry is to be removed: too few replicas have crashed, or it expired
+// without a further crash.
 func isOver(spec *api.QuarantineSpec, wall time.Time) bool {
 	switch {
 	case len(spec.Replicas) < quarantine.WatchedEnds:
@@ -134,7 +134,7 @@
 
 func hasLapsed(spec *api.QuarantineSpec, wall time.Time) bool { return wall.UnixMilli() >= spec.Until }
 
-// notable returns the requests that are to be on record, each once.
+// requestsToRecord returns the requests that belong in the record, without duplicates.
 func (d *quarantineDesk) notable(current *view.View, now time.Duration) []quarantine.Fingerprint {
 	found := d.table.Watched(now)
 	for _, fingerprint := range d.table.Tried() {
@@ -145,7 +145,7 @@
 	return found
 }
 
-// anyLapsed reports whether the time of anything on record is over.
+// anyExpired reports whether any entry of the record has expired.
 func anyLapsed(current *view.View, wall time.Time) bool {
 	for _, known := range current.Quarantines {
 		if wall.UnixMilli() >= known.Spec.Until {
@@ -160,8 +160,8 @@
 	return false
 }
 
-// fill puts the record into the table when this member begins to lead, and reports whether
-// it did.
+// loadRecord loads the record into the table if this member has not done so in this term, and
+// reports whether it did.
 func (d *quarantineDesk) fill(term uint64, current *view.View, now time.Duration, wall time.Time) bool {
 	if d.term == term {
 		return false
@@ -170,7 +170,7 @@
 	d.judgeFrom = now + takeOverTime
 	clear(d.sentUnheard)
 	d.reviewUntil = max(d.reviewUntil, d.judgeFrom+reviewTime)
-	// Those that are held come first: what ended since then ended without them.
+	// Held requests are loaded first: later crashes happened without them.
 	names := slices.SortedFunc(maps.Keys(current.Quarantines), func(a, b string) int {
 		return cmp.Or(-compareHeld(current.Quarantines[a], current.Quarantines[b]), cmp.Compare(a, b))
 	})
@@ -209,7 +209,7 @@
 	return quarantine.About{Service: spec.Service, Route: spec.Route, Request: spec.Request}
 }
 
-// weakOf returns those of the replicas on record whose ends tell little.
+// weakOf returns the recorded replicas whose crashes are weak evidence.
 func weakOf(replicas, weak []string) []string {
 	var found []string
 	for _, replica := range replicas {
@@ -220,7 +220,7 @@
 	return found
 }
 
-// mergeNames returns the names of both lists once, the last maxRecordedEnds of them.
+// mergeNames returns the last maxRecordedReplicas names of both lists, without duplicates.
 func mergeNames(known, more []string) []string {
 	merged := slices.Clone(known)
 	for _, name := range more {
@@ -231,9 +231,9 @@
 	return merged[max(0, len(merged)-maxRecordedEnds):]
 }
 
-// record is the entry of a request that is not on record yet. It is watched first, however
-// many replicas have ended: proxies that know of it tell when it is served, as one is that
-// merely stood beside.
+// newEntry returns the entry of a request that is not in the record yet. Unless a trial is due,
+// the request is watched first, however many replicas have crashed, since proxies that know of it
+// report when it is served; a request that was merely in flight during the crashes will be.
 func (d *quarantineDesk) record(current *view.View, fingerprint quarantine.Fingerprint, now time.Duration, wall time.Time) api.Object {
 	replicas, about := d.table.Ends(fingerprint)
 	spec := api.QuarantineSpec{
@@ -246,7 +246,7 @@
 	return quarantineObject(fingerprint.String(), spec)
 }
 
-// since is when the first replica ended under a request, by the time of day.
+// firstCrashAt returns the wall-clock time of the first crash under a request, in milliseconds.
 func (d *quarantineDesk) since(fingerprint quarantine.Fingerprint, now time.Duration, wall time.Time) int64 {
 	first, found := d.table.FirstEnd(fingerprint)
 	if !found {
--- a/process/control/quarantine_settling_test.go
+++ b/process/control/quarantine_settling_test.go
@@ -10,14 +10,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// Seen: a harmful request of a plain service ended four replicas one after the other, though three
-// are enough to hold it.
-// How: with the third end it was on record as tried at once; the copy that came to the proxy whose
-// turn it was ended the fourth replica 0.1 s before the hold.
-// Cause: a trial was given to whatever three replicas had ended under, also where these had ended at
-// different moments and only the words of bystanders were waited for.
-// Proof: the log of the soak's seed 9231, third end at 56.981, on record as tried at 57.177, sent at
-// 57.307, held at 57.374.
+// Guards against starting a trial of a request that is about to be held. A request with three
+// crashes at different moments was given a trial while only late reports were awaited, and the
+// trial crashed a fourth replica 0.1 s before the hold (soak seed 9231).
 func TestNoTrialBetweenTheLastEndAndTheVerdict(t *testing.T) {
 	begin := func() *deskTest {
 		d := newDeskTest(t)
@@ -35,13 +30,13 @@
 		d.pass(1, 300*time.Millisecond)
 		must.Eq(t, api.QuarantineHeld, d.state())
 	})
-	t.Run("its replica lives", func(t *testing.T) {
+	t.Run("one of its replicas is alive", func(t *testing.T) {
 		d := begin()
 		d.desk.note(feed.EndReport{Alive: []quarantine.Alive{{Replica: "r-1", For: quarantine.Ever}}}, d.now)
 		d.pass(1, 50*time.Millisecond)
 		must.Eq(t, api.QuarantineWatched, d.state())
 	})
-	t.Run("another one explains it", func(t *testing.T) {
+	t.Run("another request explains the crashes", func(t *testing.T) {
 		d := begin()
 		other := quarantine.Of(quarantine.Identity{Path: "/other"})
 		d.desk.note(endsOf(other, "r-0", "r-1", "r-2", "r-3", "r-4"), d.now)
@@ -53,13 +48,13 @@
 		d := begin()
 		d.desk = newQuarantineDesk()
 		d.pass(2, 50*time.Millisecond)
-		must.Eq(t, api.QuarantineSettling, d.state(), must.Sprint("nobody tries it meanwhile"))
+		must.Eq(t, api.QuarantineSettling, d.state(), must.Sprint("no proxy tries it meanwhile"))
 		d.pass(2, takeOverTime)
 		must.Eq(t, api.QuarantineHeld, d.state())
 	})
 }
 
-// A trial that ended one more is followed by none before the verdict.
+// After a trial that crashed one more replica, no further trial starts before the decision.
 func TestTrialThatEndedOneMoreIsTheLast(t *testing.T) {
 	d := newDeskTest(t)
 	d.route(nil)
--- a/process/control/quarantine_states.go
+++ b/process/control/quarantine_states.go
@@ -9,7 +9,7 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
-// advance takes an entry to the state that is due by what is known.
+// advance moves an entry to the state that follows from what is known.
 func (d *quarantineDesk) advance(spec *api.QuarantineSpec, fingerprint quarantine.Fingerprint, current *view.View, now time.Duration, wall time.Time) {
 	standing := d.table.Standing(now, fingerprint)
 	isHarmful := standing == quarantine.Condemned && d.hasHeard(now)
@@ -21,7 +21,7 @@
 		case d.isAboutToBeHeld(fingerprint, now):
 			settle(spec, wall)
 		case isTriedOut(spec, wall), spec.EndedAtOnce() && !d.isToTry(current, fingerprint):
-			watch(spec, wall) // it hardly comes, or merely stood beside one that is held by now
+			watch(spec, wall) // it comes rarely, or was merely in flight beside a request that is now held
 		case hasLapsed(spec, wall):
 			try(spec, wall)
 		}
@@ -52,16 +52,16 @@
 	}
 }
 
-// isMistaken reports whether what a request is held for was another one's doing, or its
-// replicas live.
+// isMistaken reports whether a hold is unfounded: another request explains the crashes, or too
+// few of the replicas have crashed because some turned out to be alive.
 func (d *quarantineDesk) isMistaken(spec *api.QuarantineSpec, fingerprint quarantine.Fingerprint, standing quarantine.Standing) bool {
 	heard, _ := d.table.Ends(fingerprint)
 	isExplained := len(heard) >= endsToHold(spec) && standing == quarantine.Watched
 	return isExplained || len(spec.Replicas) < endsToHold(spec)
 }
 
-// endHold ends a hold whose time is over. One more end shows whether the request is still what
-// it was.
+// endHold ends an expired hold. Only as many crashes are kept that one more shows whether the
+// request still crashes replicas.
 func (d *quarantineDesk) endHold(spec *api.QuarantineSpec, fingerprint quarantine.Fingerprint, current *view.View, now time.Duration, wall time.Time) {
 	watch(spec, wall)
 	if routedService(current, spec.Service) != nil {
@@ -72,18 +72,18 @@
 	d.table.Restore(now, fingerprint, quarantine.Record{Replicas: spec.Replicas, About: aboutOf(spec)})
 }
 
-// watch lets a request run and waits for its next end.
+// startWatch lets a request run and waits for its next crash.
 func watch(spec *api.QuarantineSpec, wall time.Time) {
 	spec.State, spec.TriedSince = api.QuarantineWatched, 0
 	spec.Until = wall.Add(watchTime).UnixMilli()
 }
 
-// isTriedOut reports whether a request was tried for long without an end or an answer.
+// isTrialOver reports whether a request was tried for trialDuration without a crash or an answer.
 func isTriedOut(spec *api.QuarantineSpec, wall time.Time) bool {
 	return spec.State == api.QuarantineTried && wall.Sub(time.UnixMilli(spec.TriedSince)) >= tryTime
 }
 
-// endsToHold is how many replicas must have ended under a request that stays held.
+// crashesToHold returns how many crashed replicas a held request must have to stay held.
 func endsToHold(spec *api.QuarantineSpec) int {
 	if spec.Alone {
 		return quarantine.WatchedEnds
@@ -91,7 +91,7 @@
 	return quarantine.CondemningEnds
 }
 
-// hold holds a request from now on.
+// startHold holds a request from now on.
 func hold(spec *api.QuarantineSpec, wall time.Time) {
 	length := longestHold
 	if spec.Times < 2 {
@@ -102,8 +102,8 @@
 	spec.Until = wall.Add(length).UnixMilli()
 }
 
-// tryOrSettle lets a request be tried, unless it is about to be held: a trial would end one more
-// replica for nothing.
+// startTrialOrSettle starts a trial of a request, unless the request is about to be held: a trial
+// would crash one more replica for nothing.
 func (d *quarantineDesk) tryOrSettle(spec *api.QuarantineSpec, fingerprint quarantine.Fingerprint, now time.Duration, wall time.Time) {
 	if d.isAboutToBeHeld(fingerprint, now) {
 		settle(spec, wall)
@@ -112,17 +112,19 @@
 	try(spec, wall)
 }
 
-// isAboutToBeHeld reports whether a request is held as soon as the words of bystanders are there.
+// isAboutToBeHeld reports whether a request will be held unless reports that are still expected
+// clear it.
 func (d *quarantineDesk) isAboutToBeHeld(fingerprint quarantine.Fingerprint, now time.Duration) bool {
 	return d.hasHeard(now) && d.table.IsConvicted(fingerprint)
 }
 
-// hasHeard reports whether proxies have had the time to tell this leader what they know. Until then
-// it neither holds a request nor begins to try one: it hears of ends and of the good answers that
-// refute them in any order, and a trial refuses all copies but one.
+// hasInitialReports reports whether proxies have had time to report to this leader what they
+// know. Until then it neither holds a request nor starts a trial, which refuses all copies but
+// one: crashes and the successful answers that refute them are reported in any order.
 func (d *quarantineDesk) hasHeard(now time.Duration) bool { return now >= d.judgeFrom }
 
-// settle keeps a request from all replicas until the verdict, which comes within a turn.
+// startSettling keeps a request away from all replicas until the decision, which is made within
+// one turn.
 func settle(spec *api.QuarantineSpec, wall time.Time) {
 	if spec.State != api.QuarantineSettling {
 		spec.State = api.QuarantineSettling
@@ -130,7 +132,7 @@
 	}
 }
 
-// try gives the next proxy its turn.
+// startTrialTurn starts the next proxy's turn.
 func try(spec *api.QuarantineSpec, wall time.Time) {
 	spec.State = api.QuarantineTried
 	if spec.TriedSince == 0 {
@@ -139,16 +141,16 @@
 	spec.Until = wall.Add(tryTurn).UnixMilli()
 }
 
-// isToTry reports whether a request is to be tried by one proxy at a time.
+// needsTrial reports whether a request is to be tried by one proxy at a time.
 func (d *quarantineDesk) isToTry(current *view.View, fingerprint quarantine.Fingerprint) bool {
 	_, about := d.table.Ends(fingerprint)
 	routed := routedService(current, about.Service)
-	// Where requests are placed, the board keeps suspects apart.
+	// Where requests are placed, the board isolates suspects.
 	return d.table.IsTried(fingerprint) && routed != nil && routed.Model == nil
 }
 
-// routedService returns the routed service of the name, or nil. Proxies take turns with the
-// requests of such services only.
+// routedService returns the routed service with the given name, or nil. Proxies take turns only
+// with requests of such services.
 func routedService(current *view.View, service string) *api.RouteService {
 	held := current.Ingresses[api.IngressName]
 	if held == nil {
--- a/process/control/quarantine_suspects.go
+++ b/process/control/quarantine_suspects.go
@@ -13,21 +13,21 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
-// One end under a request tells nothing, and proxies and leader keep it in memory. Where all of
-// them are lost at once, as in a loss of power, a request that ends replicas would begin anew and
-// end as many again. So the latest single ends are on record for a while, for the next leader
-// alone.
+// A single crash under a request proves nothing, and proxies and the leader keep it in memory only.
+// If all of them are lost at once, as in a power failure, a harmful request could crash as many
+// replicas again before it is held. So the latest single crashes are recorded for a short time, for
+// the next leader only.
 
-// Bounds of what is on record as suspect. A replica that ends by itself leaves some requests
-// behind that stood there, and each costs an entry and its way to every daemon.
+// Limits of the recorded suspects. A replica that crashes by itself leaves behind some requests
+// that were in flight, and each of them costs an entry that is sent to every daemon.
 const (
-	// suspectRecordTime is how long a single end is on record: callers of what failed come again
-	// within seconds, and all processes are back within some more.
+	// suspectRecordDuration is how long a single crash is recorded: callers retry failed requests
+	// within seconds, and all processes have restarted within some more.
 	suspectRecordTime = time.Minute
 	maxSuspects       = 32
 )
 
-// recordSuspects puts single ends on record that are not yet, the latest first.
+// recordSuspects adds the single crashes that are not recorded yet, the latest first.
 func (d *quarantineDesk) recordSuspects(seen *state.Observe, current *view.View, now time.Duration, wall time.Time) {
 	left := maxSuspects - len(current.Suspects)
 	for _, fingerprint := range d.table.Lone(now) {
@@ -47,8 +47,9 @@
 	}
 }
 
-// reviewSuspects takes suspects off the record that are none any more. What this leader knows of
-// them stays: the record keeps only what would else be lost between leaders.
+// reviewSuspects removes the suspects that are expired, refuted or recorded as quarantines from
+// the record. This leader keeps what it knows of them: the record only holds what would be lost
+// between leaders.
 func (d *quarantineDesk) reviewSuspects(seen *state.Observe, current *view.View, refuted *refutations, now time.Duration, wall time.Time) {
 	for _, name := range slices.Sorted(maps.Keys(current.Suspects)) {
 		fingerprint, ok := quarantine.Parse(name)
@@ -60,9 +61,9 @@
 	}
 }
 
-// recallSuspects takes the single ends in that are on record when this member begins to lead.
-// The run is taken to have lasted long enough to have been cut off by whatever ended others in
-// that moment.
+// loadSuspects loads the recorded single crashes into the table when this member becomes leader.
+// The run is assumed to have lasted long enough to have been interrupted by the cause of any
+// other crash at that moment.
 func (d *quarantineDesk) recallSuspects(current *view.View, now time.Duration, wall time.Time) {
 	for name, known := range current.Suspects {
 		fingerprint, ok := quarantine.Parse(name)
@@ -78,7 +79,7 @@
 	}
 }
 
-// logSuspect says that a single end was put on record.
+// logSuspect logs that a single crash was recorded.
 func logSuspect(logger log.Logger, known *api.Suspect, err error) {
 	event.SuspectRecorded.Log(logger, "fingerprint", known.Name, "service", known.Spec.Service, "route", known.Spec.Route,
 		"request", known.Spec.Request, "replica", known.Spec.Replica, "err", err)
--- a/process/control/quarantine_suspects_test.go
+++ b/process/control/quarantine_suspects_test.go
@@ -11,33 +11,30 @@
 	"github.com/shoenig/test/must"
 )
 
-// Seen: a request that ends each replica had ended three when everything was stopped and killed; it
-// ended four more before it was held.
-// How: its first end was told to a leader, which kept it in memory, as one end tells nothing; the
-// others were seen while there was no leader, by proxies that were killed. Nothing was left.
-// Cause: what is seen and not yet on record is lost when all processes are lost at once.
-// Proof: the run's story, and the record, which begins with the ends after the kill (soak, seed
-// 9231: ends at 1.84, 2.15 and 2.49 s, all stopped at 2.01 s and killed at 4.49 s, ends at 9.10,
-// 9.30, 9.90 and 10.23 s).
+// Guards against losing the first crash under a request when all processes are killed at once. A
+// request had crashed three replicas: the first crash was known to a leader that kept it in
+// memory, the others to proxies that were killed as well. It then crashed four more before it was
+// held (soak seed 9231).
 func TestOneEndOutlastsAllProcesses(t *testing.T) {
 	d := newDeskTest(t)
 	d.desk.note(endsOf(fatalRequest, "r-0"), d.now)
 	d.pass(1, 50*time.Millisecond)
 	must.Eq(t, "", d.state())
 	must.Eq(t, "r-0", d.suspect())
-	d.desk = newQuarantineDesk() // all that knew it are gone
+	d.desk = newQuarantineDesk() // simulates the loss of everything in memory
 	d.pass(2, 5*time.Second)
 	d.desk.note(endsOf(fatalRequest, "r-1"), d.now)
 	d.pass(2, time.Second)
 	must.Eq(t, api.QuarantineWatched, d.state())
 	must.Eq(t, []string{"r-0", "r-1"}, d.machine.View().Quarantines[fatalRequest.String()].Spec.Replicas)
-	must.Eq(t, "", d.suspect(), must.Sprint("it is on record as more"))
+	must.Eq(t, "", d.suspect(), must.Sprint("it is recorded as a quarantine instead"))
 	d.desk.note(endsOf(fatalRequest, "r-2"), d.now)
 	d.pass(2, time.Second)
 	must.Eq(t, api.QuarantineHeld, d.state())
 }
 
-// suspect returns the replica that is on record as ended under the fatal request alone.
+// suspect returns the replica recorded as the single crash under the fatal request, or an empty
+// string.
 func (d *deskTest) suspect() string {
 	known := d.machine.View().Suspects[fatalRequest.String()]
 	if known == nil {
@@ -46,8 +43,8 @@
 	return known.Spec.Replica
 }
 
-// A single end leaves the record when its time is over, its replica lives or the request was
-// served; the leader itself goes on knowing the end.
+// A single crash leaves the record when it expires, its replica is alive or the request was
+// served. An expired one stays known to the leader.
 func TestSuspectLeavesTheRecord(t *testing.T) {
 	begin := func() *deskTest {
 		d := newDeskTest(t)
@@ -62,14 +59,14 @@
 		d.pass(1, 50*time.Millisecond)
 		must.Eq(t, "", d.suspect())
 	})
-	t.Run("its replica lives", func(t *testing.T) {
+	t.Run("its replica is alive", func(t *testing.T) {
 		d := begin()
 		d.desk = newQuarantineDesk()
 		d.desk.note(feed.EndReport{Alive: []quarantine.Alive{{Replica: "r-0", For: quarantine.Ever}}}, d.now)
 		d.pass(2, 50*time.Millisecond)
 		must.Eq(t, "", d.suspect())
 	})
-	t.Run("its time is over", func(t *testing.T) {
+	t.Run("expired", func(t *testing.T) {
 		d := begin()
 		d.pass(1, suspectRecordTime)
 		must.Eq(t, "", d.suspect())
@@ -81,8 +78,8 @@
 	})
 }
 
-// Replicas that ended in one moment are one end, also where one of them is on record for the next
-// leader and another one is told to it.
+// Replicas that crashed at one moment count as one crash, even if the next leader learns of one
+// from the record and of another from a report.
 func TestRecordedEndIsOneWithThoseOfItsMoment(t *testing.T) {
 	d := newDeskTest(t)
 	d.desk.note(atOnce(fatalRequest, "a", "b"), d.now)
@@ -100,8 +97,8 @@
 	must.Eq(t, "a", d.suspect())
 }
 
-// What brought something, merely read or was met by a replica that listens is not put on record,
-// and of a lost rack no more than a few are.
+// A request that had returned events, that was only in prefill, or whose replica still listens is
+// not recorded. When a whole rack is lost, the number of recorded suspects stays limited.
 func TestRecordOfSuspectsIsBounded(t *testing.T) {
 	d := newDeskTest(t)
 	for _, change := range []func(*quarantine.Evidence){
@@ -125,8 +122,8 @@
 	}
 }
 
-// What tells little goes on telling little under the next leader, whether or not anybody tells it
-// again, and whichever word comes first.
+// Weak evidence stays weak under the next leader, whether it is reported again or not, and
+// whether the report or the record comes first.
 func TestNextLeaderWeighsEndsAlike(t *testing.T) {
 	popular := func() feed.EndReport {
 		report := endsOf(fatalRequest, "r-0", "r-1", "r-2", "r-3")
@@ -136,9 +133,9 @@
 		return report
 	}
 	for name, tell := range map[string]func(d *deskTest){
-		"nobody tells it again": func(*deskTest) {},
-		"told before":           func(d *deskTest) { d.desk.note(popular(), d.now) },
-		"told after": func(d *deskTest) {
+		"not reported again":                   func(*deskTest) {},
+		"reported before the record is loaded": func(d *deskTest) { d.desk.note(popular(), d.now) },
+		"reported after the record is loaded": func(d *deskTest) {
 			d.pass(2, 0)
 			d.desk.note(popular(), d.now)
 		},
--- a/process/control/quarantine_test.go
+++ b/process/control/quarantine_test.go
@@ -19,7 +19,7 @@
 
 var fatalRequest = quarantine.Of(quarantine.Identity{Path: "/fatal"})
 
-// endsOf reports that replicas ended under a request.
+// crashReport returns a report that the replicas crashed under a request.
 func endsOf(fingerprint quarantine.Fingerprint, replicas ...string) feed.EndReport {
 	var report feed.EndReport
 	for _, replica := range replicas {
@@ -30,7 +30,7 @@
 	return report
 }
 
-// deskTest drives a desk with a state machine in the group's place.
+// trackerTest drives a quarantineTracker with a state machine in place of a Raft group.
 type deskTest struct {
 	t       *testing.T
 	desk    *quarantineDesk
@@ -42,11 +42,11 @@
 
 func newDeskTest(t *testing.T) *deskTest {
 	d := &deskTest{t: t, desk: newQuarantineDesk(), machine: state.New(), wall: time.Unix(1_700_000_000, 0)}
-	d.settle(1) // proxies have told what they know
+	d.settle(1) // proxies have reported what they know
 	return d
 }
 
-// pass lets time go by and commits what the review of a term finds.
+// step advances the time and commits the result of a review in the given term.
 func (d *deskTest) pass(term uint64, took time.Duration) {
 	d.now += took
 	d.wall = d.wall.Add(took)
@@ -55,13 +55,14 @@
 	d.machine.Apply(term, d.index, state.Command{Kind: state.CommandObserve, Observe: &seen})
 }
 
-// settle lets the group record what is known, watch, and judge.
+// reviewTwice advances the time by two seconds, with a review after each, so that a request can
+// be recorded as watched and then held.
 func (d *deskTest) settle(term uint64) {
 	d.pass(term, time.Second)
 	d.pass(term, time.Second)
 }
 
-// state returns the recorded state of the fatal request; empty where it is not on record.
+// state returns the recorded state of the fatal request, empty if it is not recorded.
 func (d *deskTest) state() api.QuarantineState {
 	known := d.machine.View().Quarantines[fatalRequest.String()]
 	if known == nil {
@@ -75,7 +76,7 @@
 	for i, want := range []api.QuarantineState{"", api.QuarantineWatched, api.QuarantineHeld} {
 		d.desk.note(endsOf(fatalRequest, fmt.Sprint("r-", i)), d.now)
 		d.pass(1, time.Second)
-		must.Eq(t, want, d.state(), must.Sprint(i+1, " ends"))
+		must.Eq(t, want, d.state(), must.Sprint(i+1, " crashes"))
 	}
 	spec := d.machine.View().Quarantines[fatalRequest.String()].Spec
 	must.Eq(t, api.QuarantineSpec{
@@ -84,7 +85,7 @@
 	}, spec)
 }
 
-// A new leader, on another machine, goes on from the record with what it is told.
+// A new leader on another machine continues from the record and the reports that it receives.
 func TestNextLeaderGoesOnFromTheRecord(t *testing.T) {
 	d := newDeskTest(t)
 	d.desk.note(endsOf(fatalRequest, "r-0", "r-1"), d.now)
@@ -92,7 +93,7 @@
 	d.desk = newQuarantineDesk()
 	d.desk.note(endsOf(fatalRequest, "r-2"), d.now)
 	d.pass(2, time.Second)
-	must.Eq(t, api.QuarantineWatched, d.state(), must.Sprint("proxies may have more to tell"))
+	must.Eq(t, api.QuarantineWatched, d.state(), must.Sprint("proxies may have more to report"))
 	d.pass(2, takeOverTime)
 	must.Eq(t, api.QuarantineHeld, d.state())
 	d.desk = newQuarantineDesk()
@@ -100,12 +101,13 @@
 	must.Eq(t, api.QuarantineHeld, d.state())
 }
 
-// A hold lapses into a watch: one end more renews it, for twice as long, and nothing ends it.
+// An expired hold of a service without a route turns into a watch. One more crash renews the hold
+// for twice as long, and a watch without a crash expires.
 func TestHoldLapsesAndDoubles(t *testing.T) {
 	d := newDeskTest(t)
 	d.desk.note(endsOf(fatalRequest, "r-0", "r-1", "r-2"), d.now)
 	d.pass(1, time.Second)
-	must.Eq(t, api.QuarantineWatched, d.state(), must.Sprint("proxies that serve it can tell"))
+	must.Eq(t, api.QuarantineWatched, d.state(), must.Sprint("proxies that serve it can report that"))
 	d.pass(1, time.Second)
 	must.Eq(t, api.QuarantineHeld, d.state())
 	d.pass(1, firstHold-2*time.Second)
@@ -122,11 +124,10 @@
 	must.Eq(t, "", d.state())
 }
 
-// Seen: a harmless request that was held by mistake was refused for an hour, or for a day when
-// that had happened before.
-// Cause: holds were as long for what is sure as for what is likely, and nothing tested them.
-// A hold of a routed service ends in a trial now, one copy at a time: an answer frees the request,
-// one more end holds it, for a day from the third time on.
+// Guards against refusing a harmless request for long after a mistaken hold. Holds lasted an
+// hour, or a day when repeated, and were never tested. A hold of a routed service now lasts
+// minutes and is followed by a trial of one copy at a time: an answer frees the request, and one
+// more crash holds it again, for a day from the third hold on.
 func TestHoldOfMinutesEndsInATrial(t *testing.T) {
 	begin := func() *deskTest {
 		d := newDeskTest(t)
@@ -144,7 +145,7 @@
 		d.pass(1, time.Second)
 		must.Eq(t, "", d.state())
 	})
-	t.Run("ends another, also under the next leader", func(t *testing.T) {
+	t.Run("crashes another replica, also under the next leader", func(t *testing.T) {
 		d := begin()
 		for times, length := range []time.Duration{10 * time.Minute, 24 * time.Hour, 24 * time.Hour} {
 			d.desk = newQuarantineDesk()
@@ -159,10 +160,10 @@
 			must.Eq(t, api.QuarantineTried, d.state())
 		}
 	})
-	t.Run("hardly comes", func(t *testing.T) {
+	t.Run("comes rarely", func(t *testing.T) {
 		d := begin()
 		d.pass(1, tryTime)
-		must.Eq(t, api.QuarantineWatched, d.state(), must.Sprint("one end more is enough"))
+		must.Eq(t, api.QuarantineWatched, d.state(), must.Sprint("one more crash is enough"))
 		d.desk.note(endsOf(fatalRequest, "more"), d.now)
 		d.pass(1, time.Second)
 		must.Eq(t, api.QuarantineHeld, d.state())
@@ -191,8 +192,8 @@
 	must.Eq(t, "", d.state())
 }
 
-// A request that was served stays cleared for a while after it has left the record: it is
-// as likely to stand at the next ends.
+// A request that was served stays cleared for a while after it left the record, since it may well
+// be in flight at the next crashes too.
 func TestClearanceOutlastsTheRecord(t *testing.T) {
 	d := newDeskTest(t)
 	d.desk.note(endsOf(fatalRequest, "r-0", "r-1"), d.now)
@@ -205,8 +206,9 @@
 	must.Eq(t, "", d.state())
 }
 
-// A popular request that stood beside, and met an unrelated end, is not held; one that was
-// held by mistake is held no longer once the other shows. Both come from a seed of the soak.
+// A popular request that was in flight beside a harmful one, and then at one unrelated crash, is
+// not held. If it was held by mistake, it is released once the harmful request is identified.
+// Both cases were found by the soak test.
 func TestBystanderOfAHeldRequest(t *testing.T) {
 	popular := quarantine.Of(quarantine.Identity{Path: "/popular"})
 	stateOf := func(d *deskTest, fingerprint quarantine.Fingerprint) api.QuarantineState {
@@ -244,9 +246,9 @@
 	must.Eq(t, api.QuarantineWatched, stateOf(d, popular))
 }
 
-// Looks without news commit nothing, also under the next leader: whatever ended, what is held
-// stays held and what is watched is watched. (A harmless request was held and let go with each
-// look, 375 times in one run: soak seed 9137.)
+// Reviews without new reports commit nothing, under the next leader as well. Guards against
+// alternating between states: a harmless request was held and released with each review, 375
+// times in one run (soak seed 9137).
 func TestLooksWithoutNewsCommitNothing(t *testing.T) {
 	for seed := range uint64(300) {
 		random := rand.New(rand.NewPCG(seed, 1))
@@ -286,10 +288,10 @@
 	must.MapLen(t, maxQuarantines, d.machine.View().Quarantines)
 }
 
-// On calm days nothing is looked through.
+// Without reports, a review returns immediately.
 func TestCalmReviewFindsNothing(t *testing.T) {
 	desk, current := newQuarantineDesk(), view.New()
-	for i := range 1000 { // after a day on which a rack failed
+	for i := range 1000 { // as after the failure of a rack
 		desk.note(endsOf(quarantine.Of(quarantine.Identity{Path: fmt.Sprint(i)}), "r-0"), 0)
 	}
 	desk.review(1, current, 0, time.Time{})
@@ -299,8 +301,8 @@
 	must.Zero(t, testing.AllocsPerRun(100, func() { desk.review(1, current, calm, time.Time{}) }))
 }
 
-// What proxies tell the leader holds at every proxy, through a stop of everything, until
-// an operator releases it.
+// A hold that results from one proxy's report reaches every proxy and survives a restart of the
+// whole group, until an operator releases it.
 func TestHeldRequestReachesDaemonsAndIsReleased(t *testing.T) {
 	g := newGrowing(t, 1, 1, 0)
 	g.start(0)
@@ -313,11 +315,11 @@
 		known := other.Load().Quarantines[fatalRequest.String()]
 		return known != nil && known.Spec.State == api.QuarantineHeld
 	}
-	eventually(t, "another proxy knows", held)
+	eventually(t, "the hold at another proxy", held)
 	must.NoError(t, g.stop(0))
 	g.start(0)
 	_, fresh := g.follow("proxy-3")
-	eventually(t, "a proxy that starts after it", func() bool { return fresh.Load().Quarantines[fatalRequest.String()] != nil })
+	eventually(t, "the hold at a proxy that starts later", func() bool { return fresh.Load().Quarantines[fatalRequest.String()] != nil })
 
 	path := operatorapi.PathQuarantine + "/"
 	must.Eq(t, http.StatusNotFound, g.call(0, http.MethodDelete, path+"ffff", "", nil))
@@ -325,15 +327,15 @@
 	must.Eq(t, http.StatusOK, g.call(0, http.MethodGet, operatorapi.PathObjects+"/"+string(api.KindQuarantine), "", &list))
 	must.SliceLen(t, 1, list.Objects)
 	var released operatorapi.Released
-	eventually(t, "the release", func() bool {
+	eventually(t, "an accepted release", func() bool {
 		return g.call(0, http.MethodDelete, path+fatalRequest.String(), "", &released) == http.StatusOK
 	})
 	must.Eq(t, fatalRequest.String(), released.Fingerprint)
-	eventually(t, "no proxy holds it", func() bool { return len(fresh.Load().Quarantines) == 0 })
+	eventually(t, "no hold at the proxy", func() bool { return len(fresh.Load().Quarantines) == 0 })
 }
 
-// From the second end under a request on, what stood at ends is told apart; one end, or many
-// at once as when a rack fails, make nobody a suspect.
+// From the second crash under a request on, the requests in flight at crashes are treated as
+// suspects. A single crash, or several at once as when a rack fails, raises no alert.
 func TestSeriesOfEndsRaisesAnAlert(t *testing.T) {
 	d := newDeskTest(t)
 	name := string(fatalRequest[:])
@@ -357,14 +359,11 @@
 	must.False(t, d.desk.isAlert("s", d.now))
 }
 
-// Seen: a request under which three replicas had ended was sent to replicas 11 times more, all
-// within 50 ms.
-// How: two of the three ended together, so that it was watched and its copies were kept apart. For
-// ten seconds hardly a replica was there for that, and they waited; then the time was over in which
-// suspects are kept apart, and all that waited went out at once.
-// Cause: that time was counted from the last end alone, though the suspect had not been looked at.
-// Proof: the log lines of its copies, which wait until 10.0 s after the third end to the
-// millisecond (deadly-two --vary --seed 892418633478, one play in ten).
+// Guards against ending the isolation of suspects while copies wait for it. A request with three
+// crashes, two of them at once, was watched and its copies were isolated, but hardly a replica
+// was free for that. The isolation ended 10 s after the last crash, and 11 waiting copies were
+// sent to replicas within 50 ms (deadly-two --vary --seed 892418633478, one run in ten). A
+// placement request of a suspect therefore extends the alert.
 func TestSuspectsAreKeptApartForAsLongAsTheyAsk(t *testing.T) {
 	d := newDeskTest(t)
 	name := string(fatalRequest[:])
@@ -376,10 +375,10 @@
 		must.True(t, d.desk.isAlert("s", d.now))
 		must.True(t, d.desk.isSuspect(name, d.now))
 	}
-	must.False(t, d.desk.isAlert("s", d.now+alertTime), must.Sprint("nobody asks any more"))
+	must.False(t, d.desk.isAlert("s", d.now+alertTime), must.Sprint("no more placement requests"))
 }
 
-// What a leader kept apart is kept apart by the next one, though it has seen no end itself.
+// A new leader continues to isolate suspects, even if it received no report itself.
 func TestNextLeaderKeepsSuspectsApart(t *testing.T) {
 	d := newDeskTest(t)
 	d.desk.note(endsOf(fatalRequest, "r-0"), d.now)
@@ -393,7 +392,7 @@
 	must.True(t, d.desk.isSuspect(string(fatalRequest[:]), d.now))
 }
 
-// A member that places asks what a request is only while ends come in series.
+// A member that places requests asks for their fingerprints only while crashes come in series.
 func TestRequestsAreNamedDuringAnAlert(t *testing.T) {
 	g := newGrowing(t, 1, 1, 0)
 	g.start(0)
@@ -404,16 +403,16 @@
 	must.False(t, known)
 	must.False(t, answer.Name)
 	current.NoteEnds(endsOf(fatalRequest, "r-0"))
-	time.Sleep(20 * time.Millisecond) // at another moment
+	time.Sleep(20 * time.Millisecond) // so that the crashes do not count as one
 	current.NoteEnds(endsOf(fatalRequest, "r-1"))
 	answer, known = current.Place("p", request)
 	must.True(t, known)
 	must.True(t, answer.Name)
 }
 
-// A request under which a replica ended alone is held from its second end on, and stays so:
-// with the next looks, and with the next leader. (It was let go and held anew with each look,
-// and a commit for each: soak seed 3037.)
+// A request that was the only one in flight at a crash is held from its second crash on, and
+// stays held through later reviews and under the next leader. It had been released and held
+// again, with a commit, at each review (soak seed 3037).
 func TestHoldByAnEndAloneStands(t *testing.T) {
 	d := newDeskTest(t)
 	d.desk.note(endsOf(fatalRequest, "r-0"), d.now)
@@ -436,10 +435,11 @@
 	must.Eq(t, 1, d.machine.View().Quarantines[fatalRequest.String()].Spec.Times)
 	d.desk.note(feed.EndReport{Alive: []quarantine.Alive{{Replica: "r-1", For: quarantine.Ever}}}, d.now)
 	d.pass(2, time.Second)
-	must.NotEq(t, api.QuarantineHeld, d.state(), must.Sprint("its replica lives"))
+	must.NotEq(t, api.QuarantineHeld, d.state(), must.Sprint("its replica is alive"))
 }
 
-// atOnce reports that replicas ended in one moment under a request that had brought nothing.
+// simultaneousCrashReport returns a report that the replicas crashed at one moment under a
+// request that had returned nothing.
 func atOnce(fingerprint quarantine.Fingerprint, replicas ...string) feed.EndReport {
 	report := endsOf(fingerprint, replicas...)
 	for i := range report.Ended {
@@ -448,7 +448,7 @@
 	return report
 }
 
-// route has a plain service, whose requests nobody places.
+// addService configures a service, which has placement only if model is not nil.
 func (d *deskTest) route(model *api.ModelSheet) {
 	spec := api.IngressSpec{
 		Generation: 1, Services: []api.RouteService{{Name: "s", Model: model}},
@@ -457,8 +457,9 @@
 	d.machine.Apply(1, d.index, state.Command{Kind: state.CommandReplaceIngress, ReplaceIngress: &state.ReplaceIngress{Spec: spec}})
 }
 
-// A request under which many replicas of a plain service end at once is tried at one proxy
-// after the other until it is answered, ends another one, or was tried for long enough.
+// A request under which many replicas of a service without placement crash at once is tried at
+// one proxy after the other, until it is answered, crashes another replica, or was tried for
+// trialDuration.
 func TestManyEndsAtOnceAreTried(t *testing.T) {
 	begin := func(model *api.ModelSheet) *deskTest {
 		d := newDeskTest(t)
@@ -478,14 +479,14 @@
 		d.pass(1, 50*time.Millisecond)
 		must.Eq(t, "", d.state())
 	})
-	t.Run("ends another", func(t *testing.T) {
+	t.Run("crashes another replica", func(t *testing.T) {
 		d := begin(nil)
 		d.pass(1, 3*time.Second)
 		d.desk.note(endsOf(fatalRequest, "a-again"), d.now)
 		d.pass(1, time.Second)
 		must.Eq(t, api.QuarantineHeld, d.state())
 		d.pass(1, time.Second)
-		must.Eq(t, api.QuarantineHeld, d.state(), must.Sprint("the record stands"))
+		must.Eq(t, api.QuarantineHeld, d.state(), must.Sprint("the record is unchanged"))
 	})
 	t.Run("under a new leader", func(t *testing.T) {
 		d := begin(nil)
@@ -493,30 +494,28 @@
 		d.desk = next
 		d.pass(2, 2*time.Second)
 		d.pass(2, 2*time.Second)
-		must.Eq(t, api.QuarantineTried, d.state(), must.Sprint("one moment is no more in its record"))
+		must.Eq(t, api.QuarantineTried, d.state(), must.Sprint("the record keeps that the crashes were simultaneous"))
 	})
-	t.Run("for long enough", func(t *testing.T) {
+	t.Run("tried for long enough", func(t *testing.T) {
 		d := begin(nil)
 		d.pass(1, tryTime)
 		must.Eq(t, "", d.state())
 		d.pass(1, time.Second)
 		must.Eq(t, "", d.state())
 	})
-	t.Run("placed by the group", func(t *testing.T) {
+	t.Run("service with placement", func(t *testing.T) {
 		must.Eq(t, "", begin(&api.ModelSheet{}).state())
 	})
 }
 
-// Seen: a harmless request was held by the next leader, a second after it had been served.
-// How: the word of the good answer reached the next leader before it had looked through the
-// record, or before the words of the ends.
-// Cause: to take over the record dropped what had been heard of a request, the good answer as
-// well; and of a request of which no end was known a good answer was not kept.
-// Proof: both courses below, which ended in "watched" before. What was served lately is kept apart
-// from the ends now.
+// Guards against holding a request a second after it was served. The report of the successful
+// answer reached the next leader before it had loaded the record, or before the reports of the
+// crashes, and was dropped: loading the record discarded it, and an answer was not kept for
+// requests without known crashes. Served requests are therefore remembered separately from
+// crashes.
 func TestGoodAnswerHoldsWhicheverWordComesFirst(t *testing.T) {
 	served := feed.EndReport{Served: []quarantine.Fingerprint{fatalRequest}}
-	t.Run("before the record is taken over", func(t *testing.T) {
+	t.Run("before the record is loaded", func(t *testing.T) {
 		d := newDeskTest(t)
 		d.desk.note(endsOf(fatalRequest, "r-0", "r-1"), d.now)
 		d.pass(1, time.Second)
@@ -530,7 +529,7 @@
 		d.pass(2, time.Second)
 		must.Eq(t, "", d.state())
 	})
-	t.Run("before the ends are told", func(t *testing.T) {
+	t.Run("before the crashes are reported", func(t *testing.T) {
 		d := newDeskTest(t)
 		d.desk.note(served, d.now)
 		d.desk.note(endsOf(fatalRequest, "r-0", "r-1", "r-2"), d.now)
@@ -539,21 +538,16 @@
 	})
 }
 
-// Seen: a request that ends each replica was sent four times and ended two more, later than three
-// seconds after it had ended three.
-// How: one of the three ends was lost with the proxy that saw it, when everything was killed. So
-// the third end that was known was the fourth; the copies that came until the record of it had
-// reached the proxies each ended one more.
-// Cause: while the words of bystanders were waited for, copies were placed as those of any suspect,
-// alone but at once, and a ward was there for the next as soon as the one before had ended.
-// Proof: the ends of the run, two of them before and three after all were killed (soak, seed 9112,
-// in a run of CI). That its last copies came in this time is inferred: the part of its log that
-// would show it was cut off.
+// Guards against sending copies of a request between the crash that decides and the hold. Copies
+// were placed like those of any suspect, isolated but without delay, until the record reached the
+// proxies, and each crashed another replica. A request was sent four times and crashed two more
+// replicas more than three seconds after its third crash (soak seed 9112); one of the known three
+// had been lost with its proxy, so the fourth crash counted as the third.
 func TestNoCopyGoesOutBetweenTheLastEndAndTheVerdict(t *testing.T) {
 	d := newDeskTest(t)
 	name := string(fatalRequest[:])
 	for i := range 3 {
-		must.False(t, d.desk.isJudged(name, d.now), must.Sprint(i, " ends"))
+		must.False(t, d.desk.isJudged(name, d.now), must.Sprint(i, " crashes"))
 		d.now += time.Second
 		d.desk.note(endsOf(fatalRequest, fmt.Sprint("r-", i)), d.now)
 	}
@@ -564,17 +558,14 @@
 	must.Eq(t, api.QuarantineHeld, d.state())
 	d.desk = newQuarantineDesk()
 	d.pass(2, 0)
-	must.False(t, d.desk.isJudged(name, d.now), must.Sprint("others may have been told of a good answer"))
+	must.False(t, d.desk.isJudged(name, d.now), must.Sprint("proxies may still report a successful answer"))
 	must.True(t, d.desk.isJudged(name, d.now+takeOverTime))
 }
 
-// Seen: after everything had been killed a request ended three replicas more within a new leader's first
-// second, though three were on record (a test of real processes, each time).
-// How: the leader waits for a second before it holds what it finds on record; a copy went to each ward
-// meanwhile, a third of the generators.
-// Cause: as long as the leader had not heard, a request with enough ends was placed as any suspect is.
-// Proof: the test's log: watched with three replicas as the leader begins, sent three times in the next
-// 200 ms, held a second later.
+// Guards against sending several copies of a request with enough crashes for a hold during a new
+// leader's first second, in which it collects reports before it holds. Such a request was placed
+// like any suspect, on each isolated replica (a third of the generators), and crashed three more
+// replicas after all processes had been killed.
 func TestNewLeaderLetsOneCopyGoBeforeItHasHeard(t *testing.T) {
 	d := newDeskTest(t)
 	name := string(fatalRequest[:])
@@ -583,7 +574,7 @@
 	for term := uint64(2); term < 4; term++ {
 		d.desk = newQuarantineDesk()
 		d.pass(term, 0)
-		must.False(t, d.desk.isJudged(name, d.now), must.Sprint("one may show that it is harmless"))
+		must.False(t, d.desk.isJudged(name, d.now), must.Sprint("one copy may show that it is harmless"))
 		for range 3 {
 			d.now += takeOverTime / 4
 			must.True(t, d.desk.isJudged(name, d.now))
@@ -593,7 +584,8 @@
 	}
 }
 
-// What two ends condemn, one of them alone, is not kept from being answered meanwhile.
+// A request with two crashes, at one of which it was the only one in flight, may still be sent
+// before the decision, since a successful answer would clear it.
 func TestWhatWaitsForAGoodAnswerGoesOn(t *testing.T) {
 	d := newDeskTest(t)
 	d.desk.note(endsOf(fatalRequest, "r-0"), d.now)
--- a/process/control/quarantine_trial_test.go
+++ b/process/control/quarantine_trial_test.go
@@ -10,17 +10,14 @@
 	"github.com/shoenig/test/must"
 )
 
-// Seen: a harmless request of a plain service was refused by all proxies but one, again and again,
-// though it was served between the refusals (the soak's seed 3024, "shut out").
-// How: no leader lasted for longer than some two seconds. Each was told first of the ends at which
-// the request had stood, put it on record as tried, and heard of its good answers after that.
-// Cause: a new leader waits a second for what proxies have to tell before it holds a request, and did
-// not wait before it began a trial, which refuses all copies but one as well.
-// Proof: the kept log: served at 42.25, tried from 48.69 on, by leader after leader.
+// Guards against starting trials before proxies have reported to a new leader. A trial refuses
+// all copies but one, so a harmless request was refused again and again under leaders that lasted
+// about two seconds each: each learned first of the crashes at which the request had been in
+// flight, and only after starting a trial of its successful answers (soak seed 3024, "shut out").
 func TestNewLeaderTriesNothingBeforeItHasHeard(t *testing.T) {
 	stoodAtThree := func() feed.EndReport { return atOnce(fatalRequest, "a", "b", "c") }
 	served := feed.EndReport{Served: []quarantine.Fingerprint{fatalRequest}}
-	t.Run("served all the time, by leaders of two seconds", func(t *testing.T) {
+	t.Run("served under leaders that last two seconds", func(t *testing.T) {
 		d := newDeskTest(t)
 		d.route(nil)
 		for term := uint64(2); term < 12; term++ {
@@ -35,7 +32,7 @@
 			must.Eq(t, "", d.state(), must.Sprint("term ", term))
 		}
 	})
-	t.Run("the next leader's word is lost, and the record stands", func(t *testing.T) {
+	t.Run("leaders replaced before reports of answers arrive", func(t *testing.T) {
 		d := newDeskTest(t)
 		d.route(nil)
 		for term := uint64(2); term < 12; term++ {
@@ -45,7 +42,7 @@
 			must.NotEq(t, api.QuarantineTried, d.state(), must.Sprint("term ", term))
 		}
 	})
-	t.Run("nobody serves it", func(t *testing.T) {
+	t.Run("never served", func(t *testing.T) {
 		d := newDeskTest(t)
 		d.route(nil)
 		d.desk = newQuarantineDesk()
@@ -53,9 +50,9 @@
 		d.pass(2, 50*time.Millisecond)
 		must.Eq(t, api.QuarantineWatched, d.state())
 		d.pass(2, takeOverTime)
-		must.Eq(t, api.QuarantineTried, d.state(), must.Sprint("once the second is over"))
+		must.Eq(t, api.QuarantineTried, d.state(), must.Sprint("after takeoverDelay"))
 	})
-	t.Run("a trial that an earlier leader began goes on", func(t *testing.T) {
+	t.Run("trial of an earlier leader continues", func(t *testing.T) {
 		d := newDeskTest(t)
 		d.route(nil)
 		d.desk.note(stoodAtThree(), d.now)
--- a/process/control/quota.go
+++ b/process/control/quota.go
@@ -14,12 +14,12 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
-// quotaDesk charges requests to the quotas of tenants: to an account while this member
-// leads, and else to what members keep for proxies that reach no leader.
+// quotaDesk charges requests to the tenants' quotas: to an account while this member leads, and
+// otherwise to a standby allowance for proxies that reach no leader.
 type quotaDesk struct {
 	rule    quota.Rule
 	lock    sync.Mutex
-	account *quota.Account // of the term that this member leads, or led last
+	account *quota.Account // of the current or last term led by this member
 	standby *quota.Standby
 }
 
@@ -27,21 +27,22 @@
 	return &quotaDesk{rule: rule, standby: quota.NewStandby(rule)}
 }
 
-// begin opens the account of a term.
+// begin opens a new account at the start of a term.
 func (d *quotaDesk) begin(now time.Duration) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	d.account = quota.NewAccount(d.rule, now)
 }
 
-// opened returns the account, nil before this member has led.
+// currentAccount returns the account, or nil if this member has never led.
 func (d *quotaDesk) opened() *quota.Account {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	return d.account
 }
 
-// quotaOf returns the quota of a tenant by the view; false where it is unbounded or unknown.
+// quotaOf returns a tenant's quota according to the view; false if the tenant is unknown or its
+// quota is unbounded.
 func quotaOf(current *view.View, tenant string) (api.Quota, bool) {
 	known := current.RouteTenants[tenant]
 	if known == nil {
@@ -50,7 +51,7 @@
 	return known.Spec.Quota, known.Spec.Quota.IsBounded()
 }
 
-// Charge takes the cost of a tenant's request off its quota.
+// Charge deducts the cost of a tenant's request from its quota.
 func (g *group) Charge(request feed.ChargeRequest) (quota.Grant, bool) {
 	limit, bounded := quotaOf(g.machine.view(), request.Tenant)
 	if !bounded || !(request.Cost >= 0) || g.config.Quotas.Window <= 0 {
@@ -66,8 +67,8 @@
 	return grant, true
 }
 
-// ReturnCharge gives back what was charged for a request that no replica has run. What a
-// member that does not lead has granted stays spent.
+// ReturnCharge refunds the charge of a request that no replica has run. Grants of a member that
+// does not lead are not refunded.
 func (g *group) ReturnCharge(request feed.ChargeRequest) {
 	limit, bounded := quotaOf(g.machine.view(), request.Tenant)
 	if bounded && request.Cost >= 0 && g.Leadership().Leads {
@@ -75,7 +76,7 @@
 	}
 }
 
-// quotas shows how the tenants with a quota stand at this leader, in order of their names.
+// quotas lists the quota usage of the bounded tenants at this leader, sorted by name.
 func (s *operatorServer) quotas(w http.ResponseWriter, r *http.Request, _ []byte) {
 	s.leased(w, r, func(current *group, _ uint64) {
 		list := operatorapi.QuotaList{Tenants: []operatorapi.TenantQuota{}}
--- a/process/control/quota_test.go
+++ b/process/control/quota_test.go
@@ -18,7 +18,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// newBounded is a group of three with a tenant that has a quota.
+// newQuotaGroup returns a group of three members with one tenant that has a quota.
 func newBounded(t *testing.T, limit api.Quota) *growing {
 	g := newGrowing(t, 3, 3, 1)
 	for i := range g.configs {
@@ -33,11 +33,11 @@
 	return g
 }
 
-// charge asks for a charge until somebody answers it.
+// awaitCharge requests a charge until a member answers it.
 func (g *growing) charge(client *feed.Client, tenant string, cost float64) quota.Grant {
 	g.t.Helper()
 	var grant quota.Grant
-	eventually(g.t, "an answer to a charge", func() bool {
+	eventually(g.t, "an answer to the charge", func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		answered, err := client.Charge(ctx, feed.ChargeRequest{Tenant: tenant, Cost: cost})
@@ -47,12 +47,12 @@
 	return grant
 }
 
-// All proxies spend one quota, and operators see how it stands.
+// All proxies draw on one quota, whose usage is visible to operators.
 func TestProxiesShareOneQuota(t *testing.T) {
 	g := newBounded(t, api.Quota{Unit: api.QuotaTokens, PerSecond: 0.001, Burst: 1000})
 	first, _ := g.follow("proxy-1")
 	second, _ := g.follow("proxy-2")
-	must.False(t, g.charge(first, "north", 100).Granted, must.Sprint("a leader begins with nothing"))
+	must.False(t, g.charge(first, "north", 100).Granted, must.Sprint("a new account starts empty"))
 	raised := ingressOf(2, "")
 	raised.KeysRequired = true
 	raised.Tenants = []api.TenantKeys{{Name: "north", Keys: []string{"k"}, Quota: api.Quota{Unit: api.QuotaTokens, PerSecond: 1e9, Burst: 1000}}}
@@ -75,7 +75,8 @@
 	must.Less(t, 500, list.Tenants[0].Left)
 }
 
-// The next leader grants nothing that the last one has granted already.
+// A new leader starts with an empty account, so it does not grant again what the previous leader
+// has granted.
 func TestNextLeaderBeginsWithNothing(t *testing.T) {
 	g := newBounded(t, api.Quota{Unit: api.QuotaTokens, PerSecond: 20, Burst: 200})
 	client, _ := g.follow("proxy-1")
@@ -85,7 +86,7 @@
 	must.False(t, g.charge(client, "north", 200).Granted)
 }
 
-// grants keeps what was granted, by when its answer came.
+// grantLog records granted costs by the time of their answers.
 type grants struct {
 	lock sync.Mutex
 	all  []grantAt
@@ -102,7 +103,7 @@
 	g.all = append(g.all, grantAt{monotonic(), cost})
 }
 
-// most returns the largest sum of any window.
+// maxInWindow returns the largest sum of costs within any window.
 func (g *grants) most(window time.Duration) float64 {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -119,8 +120,8 @@
 	return most
 }
 
-// A tenant that asks four times its quota through several proxies runs no more than the rule
-// allows in any window, through the death of one leader after the other.
+// A tenant that requests four times its quota through several proxies is granted no more than the
+// rule allows in any window, while one leader after the other crashes.
 func TestQuotaHoldsThroughTheDeathOfLeaders(t *testing.T) {
 	limit := api.Quota{Unit: api.QuotaTokens, PerSecond: 400, Burst: 200}
 	g := newBounded(t, limit)
--- a/process/control/roles.go
+++ b/process/control/roles.go
@@ -15,29 +15,29 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
-// RoleOrders tells replicas of routed services which role to take.
+// RoleOrders queries and changes the roles of replicas of routed services.
 type RoleOrders interface {
-	// State asks a replica what it is.
+	// State asks a replica for its role.
 	State(ctx context.Context, replica *api.Replica) (RoleState, error)
-	// Order tells it to take a role. With OrderUnanswered the order may have been
-	// taken, or may be carried out later.
+	// Order tells a replica to take a role. With OrderUnanswered the order may have been taken,
+	// or may still be executed later.
 	Order(ctx context.Context, replica *api.Replica, order RoleOrder) (OrderOutcome, error)
 }
 
-// RoleState is what a replica says of its role.
+// RoleState is a replica's reported role.
 type RoleState struct {
 	Role api.EngineRole
-	// Busy is true while an order is under way.
+	// Busy is true while a role change is in progress.
 	Busy bool
-	// Sequence counts the orders that it has taken.
+	// Sequence is the number of orders that the replica has taken.
 	Sequence uint64
-	// Born is when its process started by its own word, in milliseconds since 1970; 0 if it
-	// did not say.
+	// Born is the reported start time of the replica's process in milliseconds since 1970; 0 if
+	// not reported.
 	Born int64
 }
 
-// RoleOrder is one order. The replica carries it out only while it has taken
-// Expected orders, so one that arrives late undoes nothing newer.
+// RoleOrder is an order to take a role. The replica executes it only if it has taken exactly
+// Expected orders, so that a delayed order cannot override a newer one.
 type RoleOrder struct {
 	Role     api.EngineRole
 	Holder   string
@@ -45,15 +45,15 @@
 	Expected uint64
 }
 
-// OrderOutcome is what came of an order.
+// OrderOutcome is the result of an order.
 type OrderOutcome uint8
 
-// Outcomes of an order.
+// Results of an order.
 const (
 	OrderUnanswered OrderOutcome = iota
 	OrderTaken
-	OrderRefused // not taken; another may be under way
-	OrderFenced  // a newer leader has ordered there
+	OrderRefused // not taken, for example because another change is in progress
+	OrderFenced  // rejected because a newer leader has sent an order to the replica
 )
 
 // String returns the outcome's name.
@@ -62,31 +62,30 @@
 	return names[o]
 }
 
-// Times of role changes.
+// Timing of role changes.
 const (
-	rolePause    = 250 * time.Millisecond // between two looks at the balance
-	roleTimeout  = time.Second            // of one question or order
-	drainTimeout = time.Second            // of a replica's requests before its order
+	rolePause    = 250 * time.Millisecond // between two checks of the role balance
+	roleTimeout  = time.Second            // for one state query or order
+	drainTimeout = time.Second            // for a replica's requests to finish before an order
 	drainPoll    = 20 * time.Millisecond
-	// defaultSwitch is how long a change takes where the configuration does not say.
+	// defaultSwitchTime is the duration of a role change if the configuration specifies none.
 	defaultSwitch = 3 * time.Second
-	// changeSlack is how much longer than that a change may take to be listed.
+	// changeSlack is the additional time after which a role change that is not listed is
+	// considered failed.
 	changeSlack = 5 * time.Second
 )
 
-// roleDuty is what one leadership keeps of role changes. Only the duties' loop
-// uses it, but for fenced.
+// roleTermState is the state of role changes in one term. Only the leader's loop uses it, except
+// for fenced.
 type roleDuty struct {
 	next time.Duration
-	// readAt is when a replica was last told to read.
+	// lastPrefillAt is when a replica was last told to take the prefill role.
 	readAt time.Duration
-	// fenced is set once a replica has heard of a newer leader: this one orders
-	// nothing any more.
+	// fenced is set once a replica has seen a newer leader; this one then sends no more orders.
 	fenced atomic.Bool
 }
 
-// tendRoles has replicas take the other role where their service's requests show
-// that it pays.
+// manageRoles changes the roles of replicas where this benefits the requests of their service.
 func (d *duties) tendRoles(term *termDuties, now time.Duration) {
 	if d.group.config.Roles == nil || !d.group.config.ChangeRoles || term.roles.fenced.Load() || now < term.roles.next {
 		return
@@ -127,7 +126,7 @@
 	}
 }
 
-// switchTime is how long a change of role takes in a service.
+// switchTime returns the duration of a role change in a service.
 func switchTime(current *view.View, service string) time.Duration {
 	held := current.Ingresses[api.IngressName]
 	if held == nil {
@@ -142,9 +141,9 @@
 	return defaultSwitch
 }
 
-// changeRole waits until the replica has nothing under way, asks what it is, and
-// orders the role. The lease is checked last before the order leaves: a leader
-// that was stopped or cut off meanwhile orders nothing.
+// changeRole waits until the replica is idle, queries its state and sends the order. The lease is
+// checked last before the order is sent, so that a leader that was suspended or partitioned in
+// the meantime sends nothing.
 func (d *duties) changeRole(ctx context.Context, term *termDuties, service string, replica *api.Replica, role api.EngineRole) {
 	d.awaitIdle(ctx, service, replica.Name)
 	asking, cancel := context.WithTimeout(ctx, roleTimeout)
@@ -168,7 +167,7 @@
 	}
 }
 
-// awaitIdle waits until nothing is under way on the replica, or for drainTimeout.
+// awaitIdle waits until the replica has no requests in flight, at most for drainTimeout.
 func (d *duties) awaitIdle(ctx context.Context, service, replica string) {
 	for waited := time.Duration(0); waited < drainTimeout; waited += drainPoll {
 		if d.group.desk.idle(service, replica) || !pause.For(ctx, drainPoll) {
@@ -177,14 +176,14 @@
 	}
 }
 
-// services returns the model services that requests were placed for.
+// services returns the names of the model services, sorted.
 func (d *placementDesk) services() []string {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	return slices.Sorted(maps.Keys(d.boards))
 }
 
-// load returns what the service's board shows.
+// load returns the load of a service according to its board.
 func (d *placementDesk) load(current *view.History, service string, now time.Duration) planner.ServiceLoad {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -207,7 +206,8 @@
 	return load
 }
 
-// change keeps requests off a replica that is to take the role.
+// startRoleChange stops placing requests on a replica that is to take the role, until the change
+// is listed or considered failed.
 func (d *placementDesk) change(service, replica string, role api.EngineRole, takes, now time.Duration) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
--- a/process/control/roles_test.go
+++ b/process/control/roles_test.go
@@ -15,14 +15,14 @@
 	"github.com/shoenig/test/must"
 )
 
-// sentOrder is an order as it came to a replica.
+// sentOrder is an order received by a replica.
 type sentOrder struct {
 	replica string
 	order   RoleOrder
 	at      time.Time
 }
 
-// fakeRoles are replicas that take orders.
+// fakeRoles implements RoleOrders with a configurable state and outcome.
 type fakeRoles struct {
 	lock    sync.Mutex
 	state   RoleState
@@ -50,7 +50,7 @@
 	return append([]sentOrder(nil), f.sent...)
 }
 
-// rolesDuties are duties of a leader of the term, whose lease the test gives.
+// newRoleDuties returns the tasks of a leader in term 7 whose lease is given by the test.
 func rolesDuties(roles RoleOrders, lease func() (uint64, bool)) (*duties, *termDuties) {
 	desk := newPlacementDesk()
 	desk.update(servedModel(1, "r-1"))
@@ -71,11 +71,11 @@
 		sent  int
 	}{
 		{"leading", &fakeRoles{state: RoleState{Role: api.RoleDecode, Sequence: 3}}, leads, 1},
-		{"lease over", &fakeRoles{}, func() (uint64, bool) { return 7, false }, 0},
-		{"elected anew", &fakeRoles{}, func() (uint64, bool) { return 8, true }, 0},
-		{"replica does not answer", &fakeRoles{failing: errors.New("silent")}, leads, 0},
-		{"another order under way", &fakeRoles{state: RoleState{Busy: true}}, leads, 0},
-		{"role held already", &fakeRoles{state: RoleState{Role: api.RolePrefill}}, leads, 0},
+		{"lease expired", &fakeRoles{}, func() (uint64, bool) { return 7, false }, 0},
+		{"elected for another term", &fakeRoles{}, func() (uint64, bool) { return 8, true }, 0},
+		{"replica does not answer", &fakeRoles{failing: errors.New("replica does not answer")}, leads, 0},
+		{"another order in progress", &fakeRoles{state: RoleState{Busy: true}}, leads, 0},
+		{"role taken already", &fakeRoles{state: RoleState{Role: api.RolePrefill}}, leads, 0},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -91,7 +91,7 @@
 	}
 }
 
-// A replica that has heard of a newer leader ends all orders of this one.
+// A leader sends no more orders once one replica has reported a newer leader.
 func TestFencedLeaderOrdersNothingMore(t *testing.T) {
 	roles := &fakeRoles{outcome: OrderFenced}
 	d, term := rolesDuties(roles, func() (uint64, bool) { return 7, true })
@@ -105,9 +105,9 @@
 	must.Eq(t, before, term.roles.next)
 }
 
-// Without the setting, or anyone to tell, replicas keep their roles.
+// Replicas keep their roles if role changes are disabled or no RoleOrders are configured.
 func TestRolesChangeOnlyWhereTheyMay(t *testing.T) {
-	for name, config := range map[string]Config{"off": {Roles: &fakeRoles{}}, "nobody to tell": {ChangeRoles: true}} {
+	for name, config := range map[string]Config{"disabled": {Roles: &fakeRoles{}}, "no role orders configured": {ChangeRoles: true}} {
 		t.Run(name, func(t *testing.T) {
 			d, term := rolesDuties(&fakeRoles{}, func() (uint64, bool) { return 7, true })
 			d.group.config = config.WithDefaults()
@@ -117,8 +117,8 @@
 	}
 }
 
-// A replica that is to change gets nothing new, and takes requests again once it
-// is listed with its new role.
+// A replica that is changing its role gets no new requests until it is listed with its new role
+// or the change is considered failed.
 func TestNothingIsPlacedOnAReplicaThatChanges(t *testing.T) {
 	desk := newPlacementDesk()
 	request := feed.PlaceRequest{Service: "chat", Number: 1, Ask: placement.Ask{Prompt: 100, Output: 10, Deadline: time.Second}}
@@ -132,10 +132,11 @@
 	must.Eq(t, "r-1", place(1, 1100*time.Millisecond))
 	desk.change("chat", "r-1", api.RolePrefill, time.Second, 2*time.Second)
 	must.Eq(t, "", place(1, 4*time.Second), must.Sprint("it is still listed with its old role"))
-	must.Eq(t, "r-1", place(1, time.Minute), must.Sprint("the change has come to nothing"))
+	must.Eq(t, "r-1", place(1, time.Minute), must.Sprint("the change is considered failed"))
 }
 
-// modelIngress has one model service whose requests are to start at once.
+// modelIngress returns a configuration with one model service and an objective for the first
+// token.
 func modelIngress() api.IngressSpec {
 	return api.IngressSpec{
 		Generation: 1,
@@ -146,8 +147,8 @@
 	}
 }
 
-// keepLate has the leader of the members place requests that cannot be in time,
-// until ended.
+// placeLateRequests makes the leader place requests that cannot meet their objective, until ended
+// is closed.
 func keepLate(members []*member, ended <-chan struct{}) {
 	for number := uint64(1); ; number++ {
 		select {
@@ -167,8 +168,8 @@
 	}
 }
 
-// One leader after another orders, each under its own term, and none before the
-// last one's orders are settled.
+// Each leader sends orders under its own term, and a new leader none before the orders of the
+// previous one have settled.
 func TestOrdersOfTwoLeadersDoNotMix(t *testing.T) {
 	const settle = 400 * time.Millisecond
 	roles := &fakeRoles{state: RoleState{Role: api.RoleDecode}, outcome: OrderUnanswered}
@@ -210,10 +211,10 @@
 	holders := map[uint64]string{}
 	last := uint64(0)
 	for _, sent := range roles.orders() {
-		must.GreaterEq(t, last, sent.order.Fence, must.Sprint("fences only rise"))
+		must.GreaterEq(t, last, sent.order.Fence, must.Sprint("fencing tokens never decrease"))
 		last = sent.order.Fence
 		if holder, known := holders[sent.order.Fence]; known {
-			must.Eq(t, holder, sent.order.Holder, must.Sprint("a fence has one holder"))
+			must.Eq(t, holder, sent.order.Holder, must.Sprint("a fencing token has one holder"))
 		}
 		holders[sent.order.Fence] = sent.order.Holder
 	}
--- a/process/control/scaling.go
+++ b/process/control/scaling.go
@@ -12,13 +12,15 @@
 	"github.com/landingtrail/landingtrail/version/state"
 )
 
-// CapacityOrders says how many replicas of a kind a zone of a service is to have.
+// CapacityOrders sets the number of replicas per zone and kind of a service.
 type CapacityOrders interface {
-	// Scale orders it. DutyDry says that none of the kind are to be had there now.
+	// Scale sends an order. DutyDry means that the platform has no replicas of the kind in the
+	// zone now.
 	Scale(ctx context.Context, holder DutyHolder, order CapacityOrder) (DutyOutcome, error)
 }
 
-// CapacityOrder is one order. The newest one holds.
+// CapacityOrder is a wanted number of replicas. The latest order for a service, zone and kind
+// applies.
 type CapacityOrder struct {
 	Service      string
 	Zone         string
@@ -26,34 +28,34 @@
 	Wanted       int
 }
 
-// Times of capacity.
+// Timing of capacity management.
 const (
 	capacityPause = 250 * time.Millisecond // between two plans
-	// capacitySettle is how long the number of listed replicas must stand before it is taken
-	// for what was found: a list that fills up shows too few.
+	// capacitySettleTime is how long the number of listed replicas must stay the same before it
+	// is taken as the initial capacity: a list that is still filling up shows too few.
 	capacitySettle = 2 * time.Second
-	// orderLate is how long after an order without an answer it may still be carried out,
-	// over newer ones; until then the newest is said again.
+	// orderExpiry is how long an unanswered order may still be executed, overriding newer ones;
+	// until then the latest order is repeated.
 	orderLate = 13 * time.Second
-	// orderAgain is between two times that an order is said again.
+	// orderRepeatInterval is the interval at which an order is repeated.
 	orderAgain = 2 * time.Second
-	// longestDry bounds the pause after which a zone is asked again that has none of a kind.
+	// maxNoCapacityPause limits the pause before a zone without capacity is asked again.
 	longestDry = 4 * time.Second
-	// orderRead is how long an order that was carried out takes to show in the list, beside
-	// the time that a replica needs to start.
+	// orderListTime is how long it takes an executed order to show in the list, in addition to
+	// the start time of a replica.
 	orderRead = 3 * time.Second
 )
 
-// capacityDuty is what one leadership keeps of its orders. Only the duties' loop uses it,
-// but for what its embedded duty guards.
+// capacityTermState is the state of capacity management in one term. Only the leader's loop uses
+// it, except for what callGuard protects.
 type capacityDuty struct {
 	duty
 	next time.Duration
-	// listed is how many replicas were listed of each service, and since when that stands.
+	// listed is the number of replicas listed per service, and since when it is unchanged.
 	listed map[string]listedSince
 	orders map[orderKey]*orderState
-	// results are those of the last orders. Who makes the orders writes them while the duty
-	// is busy, the loop reads them while it is not.
+	// results are the results of the last orders. They are written by the sending goroutine while
+	// busy is set, and read by the loop while it is not.
 	results []orderResult
 }
 
@@ -68,14 +70,14 @@
 	withdrawable bool
 }
 
-// orderState is what is known of the orders on one matter.
+// orderState is the state of the orders for one service, zone and kind.
 type orderState struct {
-	said    int // the newest number, when it was said, and with what outcome
+	said    int // the last number ordered, with the time of the order or its result, and the result
 	at      time.Duration
 	outcome DutyOutcome
-	// unsure is until when an order without an answer may be carried out.
+	// unsureUntil is the time until which an unanswered order may still be executed.
 	unsure time.Duration
-	dry    time.Duration // the pause after the last refusal for lack of replicas
+	dry    time.Duration // pause after the last result of DutyDry
 }
 
 type orderResult struct {
@@ -87,7 +89,7 @@
 	return capacityDuty{listed: map[string]listedSince{}, orders: map[orderKey]*orderState{}}
 }
 
-// tendCapacity decides how many replicas each zone is to have, and orders them.
+// manageCapacity decides how many replicas each zone should have, and orders them.
 func (d *duties) tendCapacity(ctx context.Context, term *termDuties) {
 	now := monotonic()
 	if d.group.config.Capacity == nil || now < term.capacity.next {
@@ -109,7 +111,7 @@
 	}
 	if len(seen.Put) > 0 {
 		if _, err := d.group.propose(ctx, state.Command{Kind: state.CommandObserve, Observe: &seen}); err != nil {
-			return // it is decided again with the next look
+			return // decided again in a later round
 		}
 		for _, object := range seen.Put {
 			spec := &object.Capacity.Spec
@@ -119,7 +121,7 @@
 	d.orderCapacity(term, held, listed, now)
 }
 
-// planCapacity adds what differs from the last decision on a service.
+// planCapacity adds the decisions on a service that differ from the last ones to seen.
 func (d *duties) planCapacity(term *termDuties, service *api.RouteService, listed map[string]listedReplica, now time.Duration, seen *state.Observe) {
 	zones := zonesOf(service, listed, d.group.machine.view().Capacities)
 	if !term.capacity.isSettled(service.Name, zones, now) {
@@ -138,8 +140,8 @@
 	}
 }
 
-// isSettled reports whether it is known what was found: once it was decided upon, or when
-// the number of listed replicas has stood for a while.
+// isSettled reports whether the initial capacity of a service is known: either a decision was
+// made before, or the number of listed replicas has not changed for capacitySettleTime.
 func (c *capacityDuty) isSettled(service string, zones []planner.ZoneCapacity, now time.Duration) bool {
 	count, decided := 0, true
 	for i := range zones {
@@ -156,8 +158,8 @@
 	return count > 0 && now-c.listed[service].at >= capacitySettle
 }
 
-// zonesOf returns what the zones of a service have, by name. One that nothing was decided on
-// has wanted what it was found with.
+// zonesOf returns the capacity of a service's zones, sorted by name. For a zone without a
+// decision, the capacity found is the wanted one.
 func zonesOf(service *api.RouteService, listed map[string]listedReplica, decided map[string]*api.Capacity) []planner.ZoneCapacity {
 	zones := map[string]*planner.ZoneCapacity{}
 	for _, known := range listed {
@@ -181,7 +183,7 @@
 	for name, known := range decided {
 		for zone := range service.Scaling.ZonePrices {
 			if name == api.CapacityName(service.Name, zone) && zones[zone] == nil {
-				zones[zone] = &planner.ZoneCapacity{Zone: zone, Wanted: known.Spec} // all of it is gone
+				zones[zone] = &planner.ZoneCapacity{Zone: zone, Wanted: known.Spec} // no replicas are left in the zone
 			}
 		}
 	}
@@ -198,7 +200,7 @@
 	return all
 }
 
-// collect takes in what became of the orders that were under way.
+// collectResults applies the results of the last orders once they are complete.
 func (c *capacityDuty) collect(now time.Duration) {
 	if c.busy.Load() {
 		return
@@ -218,13 +220,13 @@
 	c.results = nil
 }
 
-// dueOrder is an order that is to be said.
+// dueOrder is an order that is to be sent.
 type dueOrder struct {
 	key    orderKey
 	wanted int
 }
 
-// orderCapacity says the orders that are due, one after the other beside the rounds.
+// orderCapacity starts sending the orders that are due, sequentially and in the background.
 func (d *duties) orderCapacity(term *termDuties, held *api.Ingress, listed map[string]listedReplica, now time.Duration) {
 	capacity := &term.capacity
 	if capacity.busy.Load() {
@@ -255,12 +257,13 @@
 	}
 }
 
-// isDue reports whether an order is to be said now: a new one, one that was not taken, one
-// over which an older one may yet be carried out, or one that does not show.
+// isDue reports whether an order is to be sent now: its number is new, the last one was not
+// executed, an older unanswered one may still override it, or it has not taken effect in time.
 func (c *capacityDuty) isDue(key orderKey, wanted, ready, found int, boot, now time.Duration) bool {
 	known := c.orders[key]
 	if known == nil {
-		// What was found is as it should be until something else was wanted.
+		// Without a previous order, none is needed as long as the capacity found is the wanted
+		// one.
 		unchanged := !key.withdrawable && wanted == found && ready == found || key.withdrawable && wanted == 0 && ready == 0
 		return !unchanged
 	}
@@ -296,12 +299,12 @@
 		for i, next := range due {
 			capacity.results[i] = orderResult{key: next.key, outcome: d.orderOne(term, next.key, next.wanted)}
 		}
-		capacity.busy.Store(false) // the loop reads the results from here on
+		capacity.busy.Store(false) // from here on the loop may read the results
 		d.wake()
 	})
 }
 
-// orderOne makes one call.
+// sendOrder sends one order.
 func (d *duties) orderOne(term *termDuties, key orderKey, wanted int) DutyOutcome {
 	ctx, cancel := context.WithTimeout(term.orders, dutyTimeout)
 	defer cancel()
--- a/process/control/scaling_test.go
+++ b/process/control/scaling_test.go
@@ -11,16 +11,16 @@
 	"github.com/shoenig/test/must"
 )
 
-// fakeMarket is the platform as it has replicas. Orders are carried out at once.
+// fakePlatform is a platform with replicas, which executes orders immediately.
 type fakeMarket struct {
 	fleet *fakeFleet
 
 	lock    sync.Mutex
-	dry     map[string]bool // zones that have none of the cheaper kind
-	outcome DutyOutcome     // of calls; DutyDone carries them out
+	dry     map[string]bool // zones without withdrawable capacity
+	outcome DutyOutcome     // of calls; only DutyDone executes them
 	orders  []CapacityOrder
 	fences  []uint64
-	counts  map[CapacityOrder]int // Wanted is 0 in the key
+	counts  map[CapacityOrder]int // keyed by orders with Wanted = 0
 }
 
 func newFakeMarket(fleet *fakeFleet, found int, zones ...string) *fakeMarket {
@@ -32,7 +32,7 @@
 	return m
 }
 
-// list shows what there is; the lock is held, or nobody else knows of the market.
+// list publishes the current replicas. The caller holds the lock or has exclusive access.
 func (m *fakeMarket) list() {
 	var all []api.Replica
 	for kind, count := range m.counts {
@@ -81,7 +81,7 @@
 	m.dry[zone] = false
 }
 
-// newScaled is a group before a market of 20 lasting replicas a zone.
+// newScalingGroup returns a group and a platform with 20 lasting replicas per zone.
 func newScaled(t *testing.T) (*growing, *fakeMarket) {
 	g := newGrowing(t, 3, 3, 1)
 	market := newFakeMarket(g.fleet, 20, "a", "b", "c")
@@ -97,9 +97,10 @@
 	return g, market
 }
 
-// The cheaper kind is ordered first, and what lasts goes down to its base once that is
-// there; a withdrawn zone is asked for again until it has them; a new leader goes on from
-// what was decided, and takes what it finds for nothing else.
+// Withdrawable replicas, the cheaper kind, are ordered first, and lasting ones are reduced to
+// their minimum once those are present. After a withdrawal the zone is asked again until it has
+// capacity. A new leader continues from the decisions made, and does not take the present
+// capacity for the initial one.
 func TestCapacityIsOrdered(t *testing.T) {
 	g, market := newScaled(t)
 	settled := func() bool {
@@ -110,43 +111,44 @@
 		}
 		return true
 	}
-	eventually(t, "the portfolio", settled)
+	eventually(t, "the wanted capacity", settled)
 	market.lock.Lock()
 	for _, order := range market.orders[:3] {
-		must.True(t, order.Withdrawable, must.Sprint("nothing is given up first"))
+		must.True(t, order.Withdrawable, must.Sprint("no replicas are given up first"))
 	}
 	market.lock.Unlock()
 	market.withdraw("b")
 	time.Sleep(300 * time.Millisecond)
 	must.Eq(t, 2, market.count("a", false))
 	market.fill("b")
-	eventually(t, "the zone's are back", settled)
+	eventually(t, "the zone's replicas again", settled)
 
 	g.crash(g.leader())
-	eventually(t, "another leader's orders, where any are needed", func() bool { return g.leader() >= 0 && settled() })
+	eventually(t, "another leader and the wanted capacity", func() bool { return g.leader() >= 0 && settled() })
 	time.Sleep(time.Second)
 	must.True(t, settled())
 	current := g.running[g.leader()].member.machine.view().Capacities
 	must.MapLen(t, 3, current)
-	must.Eq(t, 20, current["llm/a"].Spec.Found, must.Sprint("what was found at first, not what is there now"))
+	must.Eq(t, 20, current["llm/a"].Spec.Found, must.Sprint("the initial capacity, not the present one"))
 }
 
-// Two zones at once: lasting replicas stand in, and go again.
+// When two zones lose their withdrawable replicas at once, lasting ones replace them until they
+// are back.
 func TestLastingReplicasAreOrderedForWithdrawnOnes(t *testing.T) {
 	_, market := newScaled(t)
-	eventually(t, "the portfolio", func() bool {
+	eventually(t, "the wanted capacity", func() bool {
 		return market.count("a", false) == 2 && market.count("c", false) == 2 && market.count("a", true) == 27
 	})
 	market.withdraw("a")
 	market.withdraw("b")
-	eventually(t, "lasting ones", func() bool { return market.count("a", false)+market.count("b", false)+market.count("c", false) >= 33 })
+	eventually(t, "additional lasting replicas", func() bool { return market.count("a", false)+market.count("b", false)+market.count("c", false) >= 33 })
 	market.fill("a")
 	market.fill("b")
-	eventually(t, "the portfolio again", func() bool { return market.count("a", false) == 2 && market.count("b", true) == 27 })
+	eventually(t, "the wanted capacity again", func() bool { return market.count("a", false) == 2 && market.count("b", true) == 27 })
 }
 
-// What is due: a new number, one that was not taken, one that an older order may overwrite,
-// one that does not show.
+// An order is due if its number is new, it was not executed, an older order may still override
+// it, or it has not taken effect in time.
 func TestWhenOrdersAreSaidAgain(t *testing.T) {
 	key := orderKey{service: "s", zone: "a", withdrawable: true}
 	const boot = 4 * time.Second
@@ -157,17 +159,17 @@
 		now           time.Duration
 		due           bool
 	}{
-		{"never said, nothing wanted", nil, 0, 0, 0, false},
-		{"never said", nil, 5, 0, 0, true},
-		{"as said", &orderState{said: 5, outcome: DutyDone}, 5, 5, time.Hour, false},
+		{"never ordered, none wanted", nil, 0, 0, 0, false},
+		{"never ordered", nil, 5, 0, 0, true},
+		{"as ordered", &orderState{said: 5, outcome: DutyDone}, 5, 5, time.Hour, false},
 		{"another number", &orderState{said: 5, outcome: DutyDone}, 6, 5, 0, true},
 		{"refused, at once", &orderState{said: 5, outcome: DutyRefused}, 5, 0, time.Millisecond, false},
 		{"refused, later", &orderState{said: 5, outcome: DutyRefused}, 5, 0, dutyPause, true},
-		{"none to be had, at once", &orderState{said: 5, outcome: DutyDry, dry: time.Second}, 5, 0, 900 * time.Millisecond, false},
-		{"none to be had, later", &orderState{said: 5, outcome: DutyDry, dry: time.Second}, 5, 0, time.Second, true},
-		{"an older one may come yet", &orderState{said: 5, outcome: DutyDone, unsure: orderLate}, 5, 5, orderAgain, true},
-		{"starting", &orderState{said: 5, outcome: DutyDone}, 5, 0, boot, false},
-		{"does not show", &orderState{said: 5, outcome: DutyDone}, 5, 0, boot + orderRead, true},
+		{"no capacity, at once", &orderState{said: 5, outcome: DutyDry, dry: time.Second}, 5, 0, 900 * time.Millisecond, false},
+		{"no capacity, later", &orderState{said: 5, outcome: DutyDry, dry: time.Second}, 5, 0, time.Second, true},
+		{"an older order may still be executed", &orderState{said: 5, outcome: DutyDone, unsure: orderLate}, 5, 5, orderAgain, true},
+		{"replicas starting", &orderState{said: 5, outcome: DutyDone}, 5, 0, boot, false},
+		{"no effect in time", &orderState{said: 5, outcome: DutyDone}, 5, 0, boot + orderRead, true},
 	}
 	for _, each := range cases {
 		t.Run(each.name, func(t *testing.T) {
--- a/process/control/unrecorded.go
+++ b/process/control/unrecorded.go
@@ -9,41 +9,43 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// The record reaches each daemon with its view. Where a leader can't commit, or there is none, daemons
-// would each know of what they saw themselves alone, and one harmful request ends a replica under each
-// of them. Then members tell them what they know.
+// The quarantine record reaches each daemon with its view. If there is no leader or it cannot commit,
+// each daemon would know only the crashes that it observed itself, and a harmful request would crash a
+// replica under each of them. In that case members send the daemons what they know.
 
-// recordTime is for how long the record may lag behind what was heard: a review, a commit and some more.
+// maxRecordLag is how long the record may lag behind the reports: the time of a review and a
+// commit, with some margin.
 const recordTime = 300 * time.Millisecond
 
-// unrecorded is what daemons are told while the record can't tell it.
+// unrecorded is the evidence sent to daemons while the record lags behind.
 type unrecorded struct {
-	// recordedNews is the table's news that were looked through and committed last; heardAt is
-	// when the first after them came.
+	// recordedChangeCount is the table's change count at the last review that was committed;
+	// heardAt is when the first change after it arrived.
 	recordedNews uint64
 	heardAt      time.Duration
-	// sights are those of the table's at cachedNews, with their ages at cachedAt.
+	// observations are the notable observations at cachedChangeCount, with their ages at
+	// cachedAt.
 	sights     []quarantine.Aged
 	cachedNews uint64
 	cachedAt   time.Duration
 }
 
-// news tells what the table holds from what it held before.
+// changeCount returns a number that rises with each change of the table.
 func (d *quarantineDesk) news() uint64 {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	return d.table.News()
 }
 
-// markRecorded notes that the record says all that the table did at these news.
+// markRecorded notes that the record contains everything in the table up to a change count.
 func (d *quarantineDesk) markRecorded(news uint64, now time.Duration) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	d.unrecorded.recordedNews, d.unrecorded.heardAt = news, now
 }
 
-// tell returns what daemons are to be told, and the news that it goes by. A member that leads says
-// nothing as long as its record keeps up.
+// unrecordedReport returns the evidence for daemons and the change count that it corresponds to.
+// The evidence of a leader is empty while its record keeps up.
 func (d *quarantineDesk) tell(leads bool, now time.Duration) (feed.EndReport, uint64) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -61,13 +63,14 @@
 	return feed.EndReport{Ended: sights}, news
 }
 
-// Unrecorded returns what is known of ends and can't be read in the record.
+// Unrecorded returns the evidence that is missing from the record, with its change count.
 func (g *group) Unrecorded() (feed.EndReport, uint64) {
 	return g.evidence.desk.tell(g.Leadership().Leads, monotonic())
 }
 
-// follow takes in how the record has changed, at a member that does not lead: the evidence for what the
-// leader has taken off it, or let go in part, is not to bring it back under the next one.
+// follow applies a change of the record at a member that does not lead, and reports whether the
+// table changed. Evidence for entries that the leader removed or reduced must not bring them back
+// under the next leader.
 func (d *quarantineDesk) follow(before, current map[string]*api.Quarantine, now time.Duration) (changed bool) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
--- a/process/control/unrecorded_test.go
+++ b/process/control/unrecorded_test.go
@@ -16,8 +16,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// A leader tells daemons of ends only while its record lags behind what it heard, one that stands by
-// whenever there is anything; what tells nothing, one end of a request, is told nobody.
+// A leader sends evidence to daemons only while its record lags behind, and a standby member
+// whenever it has any. A single crash under a request proves nothing and is not sent.
 func TestWhatIsNotOnRecordIsTold(t *testing.T) {
 	d := newDeskTest(t)
 	told := func(leads bool) int {
@@ -31,27 +31,27 @@
 	d.desk.note(endsOf(fatalRequest, "r-1"), d.now)
 	must.Eq(t, 2, told(false))
 	d.now += recordTime
-	must.Eq(t, 2, told(true), must.Sprint("it was heard a while ago and is not on record"))
+	must.Eq(t, 2, told(true), must.Sprint("reported a while ago and still not recorded"))
 	report, news := d.desk.tell(true, d.now)
 	must.Eq(t, []time.Duration{time.Second + recordTime, recordTime}, []time.Duration{report.Ended[0].Age, report.Ended[1].Age})
 	d.desk.markRecorded(news, d.now)
 	must.Zero(t, told(true))
 	d.desk.note(endsOf(fatalRequest, "r-2"), d.now)
-	must.Zero(t, told(true), must.Sprint("a commit takes a moment"))
+	must.Zero(t, told(true), must.Sprint("the commit may still be in progress"))
 	must.Eq(t, 3, told(false))
 	d.now += recordTime
 	must.Eq(t, 3, told(true))
 }
 
-// tellingMembers are members that hand on what they hear, over links that a test opens.
+// gossipGroup is a group of members that forward evidence over links controlled by the test.
 type tellingMembers struct {
 	members []*evidence
 	links   map[[2]int]bool
-	// told counts the words that went over them.
+	// sent counts the messages sent over the links.
 	told int
 }
 
-// link is how one of them sends to the others.
+// link sends one member's notices to the others.
 type link struct {
 	group *tellingMembers
 	from  int
@@ -82,7 +82,7 @@
 	return group
 }
 
-// rest lets all tell what they have to until nobody has.
+// sendAll makes the members send pending evidence until none has any left.
 func (g *tellingMembers) rest() {
 	for before := -1; before != g.told && g.told < mostTold; {
 		before = g.told
@@ -100,15 +100,14 @@
 	return counts
 }
 
-// mostTold ends a test whose members do not come to rest.
+// maxMessages ends a test whose members never stop sending.
 const mostTold = 100_000
 
-// Seen: the bytes between zones of one day cost nearly as much as all that was served earned (caroni-stmt,
-// scale-1, a trial of the code that was to be handed in).
-// How: a popular request stood at more ends of one moment than a table keeps. What one member dropped for a
-// new end was new to the next, which handed it on, round and round.
-// Cause: that something was dropped counted as news.
-// Proof: the members of this test go on until they are stopped.
+// Guards against members that forward evidence to each other endlessly. A popular request was in
+// flight at more simultaneous crashes than a table keeps; what one member dropped for a newer
+// crash was new to the next one, which forwarded it, because dropping an entry counted as a
+// change. The traffic between zones of one day cost nearly as much as all served requests earned
+// (caroni-stmt, scale-1).
 func TestMembersComeToRest(t *testing.T) {
 	const size, ends = 4, 30
 	g := newTellingMembers(t, size)
@@ -124,11 +123,12 @@
 	must.Less(t, 2*ends*size*size, g.told)
 }
 
-// What one member is told reaches those that it does not reach itself, over one that it does, and
-// those that were cut off once a connection comes up, or one of them begins to lead.
+// Evidence that one member receives reaches members that it has no connection to through others.
+// Members that were cut off get it once a connection is established or one of them becomes
+// leader.
 func TestMembersHandEvidenceOn(t *testing.T) {
 	g := newTellingMembers(t, 3)
-	g.links = map[[2]int]bool{{0, 1}: true, {1, 2}: true} // one way each
+	g.links = map[[2]int]bool{{0, 1}: true, {1, 2}: true} // links are unidirectional
 	g.members[0].note(endsOf(fatalRequest, "r-0"), monotonic())
 	must.Eq(t, []int{1, 1, 1}, g.counts())
 	g.members[2].note(endsOf(fatalRequest, "r-1"), monotonic())
@@ -141,17 +141,16 @@
 	g.members[1].note(endsOf(other, "r-9"), monotonic())
 	must.Eq(t, []int{2, 3, 2}, g.counts())
 	g.links = map[[2]int]bool{{0, 1}: true, {1, 0}: true, {0, 2}: true, {1, 2}: true}
-	must.Eq(t, []int{2, 3, 2}, g.counts(), must.Sprint("nothing is told again"))
+	must.Eq(t, []int{2, 3, 2}, g.counts(), must.Sprint("nothing is sent twice"))
 	g.members[0].ask()
-	must.Eq(t, []int{3, 3, 3}, g.counts(), must.Sprint("a new leader asks for all, and hands it on"))
+	must.Eq(t, []int{3, 3, 3}, g.counts(), must.Sprint("a new leader requests all evidence and forwards it"))
 	g.members[1].note(feed.EndReport{Served: []quarantine.Fingerprint{fatalRequest, other}}, monotonic())
-	must.Eq(t, []int{1, 0, 1}, g.counts(), must.Sprint("a good answer refutes a series everywhere"))
-	g.members[0].receive(2, []byte("what is this"))
+	must.Eq(t, []int{1, 0, 1}, g.counts(), must.Sprint("a successful answer refutes a series at every member"))
+	g.members[0].receive(2, []byte("malformed report"))
 	must.Eq(t, []int{1, 0, 1}, g.counts())
 }
 
-// What a member was told is there after its next start, as old as it is by then. A file that can't be
-// read is passed over, and one that can't be written is written again.
+// Evidence survives a restart with its age adjusted. A damaged file is skipped.
 func TestEvidenceIsKept(t *testing.T) {
 	files := faultfs.New(1)
 	must.NoError(t, files.MakeDir("data"))
@@ -175,7 +174,7 @@
 	must.Eq(t, 2, kept)
 	must.Eq(t, []time.Duration{3 * time.Second, time.Second}, ages(time.Now()))
 	must.Eq(t, []time.Duration{13 * time.Second, 11 * time.Second}, ages(time.Now().Add(10*time.Second)))
-	must.Eq(t, []time.Duration{3 * time.Second, time.Second}, ages(time.Now().Add(-time.Minute)), must.Sprint("a clock that was put back"))
+	must.Eq(t, []time.Duration{3 * time.Second, time.Second}, ages(time.Now().Add(-time.Minute)), must.Sprint("the clock was set back"))
 
 	data, err := files.ReadFile("data/" + evidenceFile)
 	must.NoError(t, err)
@@ -187,7 +186,7 @@
 	}
 }
 
-// The least that a member that runs has to do: what changes is written soon.
+// A running member writes changes promptly.
 func TestEvidenceIsWrittenSoon(t *testing.T) {
 	member := newEvidence(Config{DataFolder: t.TempDir()}, log.NewNopLogger())
 	ctx, cancel := context.WithCancel(context.Background())
@@ -198,7 +197,7 @@
 	}()
 	for i := range 3 {
 		member.note(endsOf(fatalRequest, fmt.Sprint("r-", i)), monotonic())
-		eventually(t, "it is written", func() bool {
+		eventually(t, "the evidence on disk", func() bool {
 			next := newEvidence(Config{DataFolder: member.folder}, log.NewNopLogger())
 			next.load(monotonic(), time.Now())
 			return len(next.desk.sights(monotonic())) == i+1
@@ -208,8 +207,8 @@
 	<-done
 }
 
-// What the leader has let go, or an operator has released, is let go by all that keep evidence of it: the
-// next leader would else hold it again without a further end.
+// Evidence for what the leader dropped from the record, or an operator released, is dropped by
+// all members: otherwise the next leader would hold the request again without a further crash.
 func TestWhatLeavesTheRecordLeavesTheEvidence(t *testing.T) {
 	recorded := func(replicas ...string) map[string]*api.Quarantine {
 		return map[string]*api.Quarantine{fatalRequest.String(): {
@@ -225,9 +224,9 @@
 	}
 	desk := begin()
 	must.True(t, desk.follow(recorded("r-0", "r-1", "r-2"), recorded("r-1", "r-2"), time.Second))
-	must.Eq(t, 2, desk.table.CountEnds(fatalRequest), must.Sprint("a hold that is over leaves two"))
-	must.SliceEmpty(t, desk.sights(time.Second), must.Sprint("those are on record"))
+	must.Eq(t, 2, desk.table.CountEnds(fatalRequest), must.Sprint("an expired hold keeps two crashes"))
+	must.SliceEmpty(t, desk.sights(time.Second), must.Sprint("the remaining crashes are in the record"))
 	desk = begin()
 	must.True(t, desk.follow(recorded("r-0", "r-1", "r-2"), map[string]*api.Quarantine{}, time.Second))
-	must.Eq(t, 0, desk.table.CountEnds(fatalRequest), must.Sprint("it was released"))
+	must.Eq(t, 0, desk.table.CountEnds(fatalRequest), must.Sprint("the request was released"))
 }
--- a/process/control/usage.go
+++ b/process/control/usage.go
@@ -15,49 +15,50 @@
 	"github.com/landingtrail/landingtrail/version/state"
 )
 
-// UsageSink takes the reports of usage.
+// UsageSink receives usage reports.
 type UsageSink interface {
-	// Report hands a window's counts over. The same window always has the same counts.
+	// Report submits the counts of a window. Repeated reports of a window always have the same
+	// counts.
 	Report(ctx context.Context, holder DutyHolder, window api.UsageWindow) (DutyOutcome, error)
 }
 
-// Usage says by which windows usage is reported; a zero Window: not at all.
+// Usage configures usage reporting. A zero Window disables it.
 type Usage struct {
 	Window time.Duration
-	// Sink takes the reports; nil: none are made.
+	// Sink receives the reports; nil disables them.
 	Sink UsageSink
 }
 
-// Times of usage.
+// Timing and limits of usage reporting.
 const (
-	// usageCommit is between two commits of what proxies have counted. A leader that is lost
-	// takes with it what only it had heard of proxies that are lost at the same time.
+	// usageCommitInterval is the interval between commits of counted usage. If a leader is lost,
+	// counts that only it has received are lost if their proxies are lost at the same time.
 	usageCommit = time.Second
-	// usageSettle is how long after a window's end its decision waits in any case: what
-	// began before the end is told within usagePause of a proxy and its way.
+	// usageMinDelay is the minimum time between the end of a window and its decision. It covers
+	// the reporting interval of the proxies and the transmission of counts from before the end.
 	usageSettle = 700 * time.Millisecond
-	// usageLatest is how long it waits for a proxy that has not told all of it. A report
-	// falls due ten seconds after its window on the strictest platform known; a leader that
-	// is replaced after the decision takes up to five.
+	// usageMaxDelay is how long a decision waits for a proxy that has not reported all its
+	// counts. The strictest known platform expects a report ten seconds after its window, and
+	// replacing a leader after the decision takes up to five seconds.
 	usageLatest = 3500 * time.Millisecond
-	// usageTakeOver is how long a new leader hears before it decides: proxies find it and
-	// tell it all that they have counted within a second.
+	// usageTakeoverDelay is how long a new leader collects reports before it decides: proxies
+	// find it and report all their counts within a second.
 	usageTakeOver = 1500 * time.Millisecond
-	// usageSilence is how long a proxy that says nothing is waited for.
+	// usageSilenceTimeout is how long a decision waits for a proxy that sends no reports.
 	usageSilence = 2 * time.Second
-	// usageRound bounds the windows that are decided in one round.
+	// maxWindowsPerRound limits the windows decided in one round.
 	usageRound = 16
-	// maxUsageCommit bounds the counters of one commit; the rest follows with the next.
+	// maxUsageCommit limits the counters in one commit; the rest follows with the next.
 	maxUsageCommit = 1 << 14
 )
 
-// usageDesk gathers what proxies have counted. Its counts are committed now and then, and
-// all of them before their window is decided.
+// usageDesk collects the usage counted by proxies. Its counts are committed regularly, and all of
+// them before their window is decided.
 type usageDesk struct {
 	lock sync.Mutex
-	// pending are counters that are not committed, by life, window and tenant.
+	// pending are the uncommitted counters by process, window and tenant.
 	pending map[usageKey]uint64
-	// through is up to when each process has told all, in milliseconds of the day.
+	// progress is how far each process has reported its counts completely.
 	through map[string]heardThrough
 }
 
@@ -68,15 +69,15 @@
 }
 
 type heardThrough struct {
-	through int64
-	at      time.Duration
+	through int64         // all counts up to this time are reported, in milliseconds since 1970
+	at      time.Duration // of the last report
 }
 
 func newUsageDesk() *usageDesk {
 	return &usageDesk{pending: map[usageKey]uint64{}, through: map[string]heardThrough{}}
 }
 
-// note takes in what a proxy has counted.
+// note adds the counts reported by a process. Counts are cumulative, so the highest one applies.
 func (u *usageDesk) note(report feed.UsageReport, now time.Duration) {
 	u.lock.Lock()
 	defer u.lock.Unlock()
@@ -88,8 +89,8 @@
 	u.through[report.Life] = heardThrough{through: max(known.through, report.Through), at: now}
 }
 
-// take returns counters that are to be committed, the oldest windows first, and drops what
-// is of windows that are decided.
+// take removes and returns counters to commit, the oldest windows first. It drops the counters of
+// windows that are already decided.
 func (u *usageDesk) take(decided int64) []state.UsageCount {
 	u.lock.Lock()
 	defer u.lock.Unlock()
@@ -126,7 +127,7 @@
 	return 1
 }
 
-// putBack keeps counters that were not committed.
+// putBack returns counters that could not be committed.
 func (u *usageDesk) putBack(counts []state.UsageCount) {
 	u.lock.Lock()
 	defer u.lock.Unlock()
@@ -136,8 +137,9 @@
 	}
 }
 
-// isTold reports whether all processes that are heard of have told everything up to a
-// moment; one that has been silent for a while is not waited for.
+// hasAllReports reports whether all known processes have reported their counts up to a time,
+// ignoring processes that have been silent for usageSilenceTimeout. It forgets processes that
+// have been silent for usageRetention.
 func (u *usageDesk) isTold(upTo int64, now time.Duration) bool {
 	u.lock.Lock()
 	defer u.lock.Unlock()
@@ -152,11 +154,11 @@
 	return true
 }
 
-// usageMemory is how long a silent process is remembered.
+// usageRetention is how long a silent process is remembered.
 const usageMemory = time.Minute
 
-// isSilent reports whether a process fell silent lately that had not told everything up to
-// a moment: its counts of that window may lack.
+// hasSilentProcess reports whether a process recently fell silent before it had reported its
+// counts up to a time, so that some counts may be missing.
 func (u *usageDesk) isSilent(upTo int64, now time.Duration) bool {
 	u.lock.Lock()
 	defer u.lock.Unlock()
@@ -168,27 +170,28 @@
 	return false
 }
 
-// NoteUsage takes in what a process has counted.
+// NoteUsage adds the usage reported by a process.
 func (g *group) NoteUsage(report feed.UsageReport) {
 	if g.config.Usage.Sink != nil {
 		g.usage.note(report, monotonic())
 	}
 }
 
-// Day is the group's time of day, which no minority of clocks moves.
+// Day returns the group's wall-clock time in milliseconds, which a minority of wrong clocks
+// cannot change.
 func (g *group) Day() int64 { return g.day.Now().UnixMilli() }
 
-// usageDuty is what one leadership keeps of its reports.
+// usageTermState is the state of usage reporting in one term.
 type usageDuty struct {
 	duty
 	committedAt time.Duration
-	// first is the first window that is reported where none was decided yet.
+	// first is the first window to report if none has been decided yet.
 	first   int64
 	retryAt time.Duration
 }
 
-// tendUsage commits what was counted, decides the windows that are over, and reports those
-// that were decided.
+// manageUsage commits the counted usage, decides the windows that have ended, and reports the
+// decided ones.
 func (d *duties) tendUsage(ctx context.Context, term *termDuties) {
 	config := d.group.config.Usage
 	if config.Sink == nil || config.Window <= 0 || !d.countsTenants() {
@@ -218,7 +221,7 @@
 	d.startReporting(term)
 }
 
-// countsTenants reports whether there are tenants whose requests are counted.
+// countsTenants reports whether requests are counted per tenant.
 func (d *duties) countsTenants() bool {
 	held := d.group.machine.view().Ingresses[api.IngressName]
 	return held != nil && held.Spec.KeysRequired
@@ -229,8 +232,8 @@
 	return decided
 }
 
-// isOver reports whether a window is to be decided now, in a term that has lasted so long:
-// a new leader has yet to be told what proxies have counted.
+// isWindowDue reports whether a window is to be decided now, in a term that has lasted for the
+// given time: a new leader first has to receive the proxies' counts.
 func (d *duties) isOver(window, length, day int64, now, lasted time.Duration) bool {
 	end := (window + 1) * length
 	if lasted < usageTakeOver {
@@ -246,7 +249,7 @@
 	}
 }
 
-// commitUsage commits what was counted; false when it failed, or some is left.
+// commitUsage commits counted usage. It returns false if that failed or counters may be left.
 func (d *duties) commitUsage(ctx context.Context, decided int64) bool {
 	counts := d.group.usage.take(decided)
 	if len(counts) == 0 {
@@ -280,7 +283,7 @@
 	return total
 }
 
-// startReporting reports what is outstanding beside the rounds, one window after the other.
+// startReporting reports the outstanding windows sequentially in the background.
 func (d *duties) startReporting(term *termDuties) {
 	if monotonic() < term.usage.retryAt || !term.usage.busy.CompareAndSwap(false, true) {
 		return
@@ -295,7 +298,7 @@
 	term.background.Go(func() {
 		defer term.usage.busy.Store(false)
 		for _, window := range outstanding {
-			// One that is not taken keeps none of the others waiting.
+			// A window that is not accepted does not block the others.
 			if !d.reportUsage(term.orders, term, window) {
 				return
 			}
@@ -303,7 +306,7 @@
 	})
 }
 
-// reportUsage hands one window over; false ends the series, since nothing may be called now.
+// reportUsage reports one window. It returns false if no further windows can be reported now.
 func (d *duties) reportUsage(ctx context.Context, term *termDuties, window api.UsageWindow) bool {
 	ctx, cancel := context.WithTimeout(ctx, dutyTimeout)
 	defer cancel()
@@ -319,14 +322,14 @@
 		return false
 	case DutyDone:
 		command := state.Command{Kind: state.CommandUsageReported, UsageReported: &state.UsageReported{Window: window.Window}}
-		// What is not noted is reported once more, in the same bytes.
+		// If this is not committed, the same report is sent again.
 		_, err := d.group.propose(context.WithoutCancel(ctx), command)
 		return err == nil
 	}
 	return term.orders.Err() == nil
 }
 
-// usage serves the operators' question for what was counted.
+// usage lists the counted usage for operators.
 func (s *operatorServer) usage(w http.ResponseWriter, r *http.Request, _ []byte) {
 	s.leased(w, r, func(current *group, _ uint64) {
 		list := operatorapi.UsageList{WindowMilliseconds: current.config.Usage.Window.Milliseconds(), Windows: []api.UsageWindow{}}
--- a/process/control/usage_test.go
+++ b/process/control/usage_test.go
@@ -15,7 +15,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// fakeSink is the platform as it takes reports.
+// fakeSink records usage reports and returns a configurable outcome.
 type fakeSink struct {
 	lock    sync.Mutex
 	outcome DutyOutcome
@@ -40,7 +40,7 @@
 	s.outcome = outcome
 }
 
-// of returns the reports of a window.
+// reportsOf returns the reports of a window.
 func (s *fakeSink) of(window int64) []takenReport {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -55,7 +55,7 @@
 
 const testWindow = 400 * time.Millisecond
 
-// newMetered is a group of three that accounts for its tenants.
+// newMeteredGroup returns a group of three members that counts usage per tenant.
 func newMetered(t *testing.T, sink *fakeSink) *growing {
 	g := newGrowing(t, 3, 3, 1)
 	for i := range g.configs {
@@ -71,19 +71,20 @@
 	return g
 }
 
-// windowAhead is one that has not begun: what is told of it is told before its decision.
+// futureWindow returns a window that has not started, so that its counts are reported before it
+// is decided.
 func windowAhead() int64 { return time.Now().UnixMilli()/testWindow.Milliseconds() + 3 }
 
-// count has a proxy tell of requests, until the leader has taken it.
+// reportCount makes a proxy report a count to the leader.
 func (g *growing) count(client *feed.Client, life string, window int64, count uint64) {
 	g.t.Helper()
-	eventually(g.t, "a subscription", client.Connected)
+	eventually(g.t, "a connected client", client.Connected)
 	must.True(g.t, client.ReportUsage(feed.UsageReport{
 		Life: life, Through: time.Now().UnixMilli(), Counts: []feed.UsageCount{{Window: window, Tenant: "north", Count: count}},
 	}))
 }
 
-// What proxies have counted is decided once its window is over, and reported once.
+// A window is decided once it has ended, and reported once.
 func TestUsageIsReported(t *testing.T) {
 	sink := &fakeSink{outcome: DutyDone}
 	g := newMetered(t, sink)
@@ -104,8 +105,8 @@
 	must.SliceNotEmpty(t, list.Windows)
 }
 
-// A report that is not answered is made again, and by the next leader: with the same
-// counts, whatever it has heard since, and under a higher fence.
+// An unanswered report is repeated, also by the next leader: with the same counts, whatever was
+// reported since, and under a higher fencing token.
 func TestReportOutlastsItsLeader(t *testing.T) {
 	sink := &fakeSink{}
 	g := newMetered(t, sink)
@@ -129,7 +130,7 @@
 	must.NotEq(t, reports[0].holder.Fence, reports[len(reports)-1].holder.Fence)
 }
 
-// A holder that is told of a higher fence calls no more in its term.
+// A holder that learns of a higher fencing token makes no more calls in its term.
 func TestFencedHolderCallsNoMore(t *testing.T) {
 	sink := &fakeSink{outcome: DutyFenced}
 	g := newMetered(t, sink)
@@ -154,8 +155,8 @@
 	must.Eq(t, before, len(sink.taken))
 }
 
-// Nothing is called before the calls of the holder before can have arrived, nor under a
-// lease that is another term's.
+// No call is made before the previous holder's calls must have arrived, or without a lease of the
+// same term.
 func TestHoldersCallInTheirTimeAlone(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -189,13 +190,14 @@
 	}
 }
 
-// A window waits for who has not told all of it, but not for long, nor for who is gone.
+// The decision on a window waits for processes that have not reported all counts, but not for
+// silent ones.
 func TestWindowsWaitForProxies(t *testing.T) {
 	desk := newUsageDesk()
 	desk.note(feed.UsageReport{Life: "a", Through: 900}, 0)
 	desk.note(feed.UsageReport{Life: "b", Through: 1100}, 0)
 	must.False(t, desk.isTold(1000, time.Second))
-	must.True(t, desk.isTold(1000, usageSilence+1), must.Sprint("it is gone"))
+	must.True(t, desk.isTold(1000, usageSilence+1), must.Sprint("the process is silent"))
 	must.True(t, desk.isSilent(1000, usageSilence+1))
 	desk.note(feed.UsageReport{Life: "a", Through: 1000}, time.Second)
 	must.True(t, desk.isTold(1000, time.Second))
@@ -204,8 +206,8 @@
 	must.MapEmpty(t, desk.through)
 }
 
-// A new leader knows nothing of what proxies have counted: it decides nothing before they
-// had the time to tell it, however late the window is.
+// A new leader knows none of the uncommitted counts. However late a window is, it is not decided
+// before proxies have had time to report.
 func TestNewLeaderHearsBeforeItDecides(t *testing.T) {
 	d := &duties{group: &group{usage: newUsageDesk()}}
 	const window, length = 7, 5000
@@ -215,10 +217,11 @@
 	must.False(t, d.isOver(window, length, end+usageSettle.Milliseconds()-1, 0, time.Hour))
 	must.True(t, d.isOver(window, length, end+usageSettle.Milliseconds(), 0, time.Hour))
 	d.group.usage.note(feed.UsageReport{Life: "a", Through: end - 1}, 0)
-	must.False(t, d.isOver(window, length, end+usageSettle.Milliseconds(), 0, time.Hour), must.Sprint("one has not told all"))
+	must.False(t, d.isOver(window, length, end+usageSettle.Milliseconds(), 0, time.Hour), must.Sprint("a process has not reported all counts"))
 }
 
-// Commits are bounded, oldest windows first, and what was not committed comes again.
+// Commits are limited in size, start with the oldest windows, and counters that could not be
+// committed are taken again.
 func TestUsageCommitsAreBounded(t *testing.T) {
 	desk := newUsageDesk()
 	for i := range maxUsageCommit + 10 {
--- a/process/control/warm.go
+++ b/process/control/warm.go
@@ -13,35 +13,34 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
-// KeptSource asks a replica which parts of prompts it keeps. The question holds
-// the replica's work up, so it is asked rarely. Another replica that has the address
-// by now is an error.
+// KeptSource queries which prompt parts a replica has cached. The query interrupts the replica's
+// work, so it is used rarely. It fails if another replica answers at the address.
 type KeptSource interface {
 	Kept(ctx context.Context, replica *api.Replica) ([]placement.Part, error)
 }
 
 const (
-	// warmDelay is how long a new leader waits for the proxies' word on what
-	// replicas keep before it asks the replicas that nobody has spoken of.
+	// cacheQueryDelay is how long a new leader waits for the proxies to report which prompt parts
+	// replicas have cached. It then queries the replicas that no proxy has reported on.
 	warmDelay = 150 * time.Millisecond
-	// warmTimeout bounds one question, warmAtOnce the questions at once: 160 replicas
-	// answer within some 50 ms then, and a question takes one descriptor.
+	// cacheQueryTimeout limits one query, maxCacheQueries the concurrent ones: 160 replicas
+	// answer within about 50 ms this way, and each query uses one file descriptor.
 	warmTimeout = time.Second
 	warmAtOnce  = 64
-	// warmBurst is how many replicas are asked as fast as they answer; of more the rest is
-	// asked one each warmPace, since a leader that has just begun has no time for thousands
-	// of questions beside its proxies'. What a replica keeps that nobody has asked is learnt
-	// from its requests.
+	// cacheQueryBurst is how many replicas are queried without delay. Further ones are queried
+	// one per cacheQueryPace, since a new leader has no time for thousands of queries beside its
+	// proxies' requests. The cached parts of replicas that were not queried are learned from
+	// their requests.
 	warmBurst = 256
 	warmPace  = 20 * time.Millisecond
-	// freshProcess is how long after its start a member is taken for one of a group that
-	// was stopped as a whole: then no proxy remembers anything, and none is waited for.
-	// Until the answers are in, prompts would be read again that replicas keep.
+	// freshProcess is the process age up to which a new leader assumes that the whole group was
+	// restarted. In that case no proxy remembers anything, so it does not wait for their reports.
+	// Until replicas answer, prompts that they have cached are computed again.
 	freshProcess = 3 * time.Second
 )
 
-// warmsAfter is how long after a leadership has begun its leader asks, by when that was in
-// the life of its process.
+// cacheQueryDelayFor returns how long after the start of a term its leader queries replicas,
+// given the age of its process at that time.
 func warmsAfter(began time.Duration) time.Duration {
 	if began < freshProcess {
 		return 0
@@ -49,10 +48,10 @@
 	return warmDelay
 }
 
-// warmBoards asks, once in a leadership, the replicas of which no proxy has said
-// what they keep: after a stop of everything nobody remembers it, and to read it
-// all again would cost far more than the question. Before the first Ingress was
-// accepted there is nothing to ask for.
+// queryCaches queries, once per term, the replicas whose cached prompt parts no proxy has
+// reported. After a restart of the whole system no proxy remembers them, and computing them again
+// would cost far more than the queries. If there was no Ingress when the term began there is
+// nothing to query.
 func (d *duties) warmBoards(ctx context.Context, term *termDuties, now time.Duration) {
 	if term.warmed || now-term.startedAt < warmsAfter(term.startedAt) {
 		return
@@ -69,7 +68,7 @@
 	term.background.Go(func() { d.askKept(term.orders, current, cold) })
 }
 
-// askKept asks the replicas, warmAtOnce at a time.
+// queryReplicas queries the replicas, at most maxCacheQueries at a time.
 func (d *duties) askKept(ctx context.Context, current *view.View, cold []string) {
 	var asking sync.WaitGroup
 	places := make(chan struct{}, warmAtOnce)
@@ -92,13 +91,13 @@
 	parts, err := d.group.config.Kept.Kept(ctx, replica)
 	event.KeptAsked.Log(d.logger, "replica", replica.Name, "parts", len(parts), "err", err)
 	if err != nil {
-		return // it is learnt from its requests
+		return // its cached parts are learned from its requests
 	}
 	kept := feed.KeptParts{Service: replica.Spec.Service, Replica: replica.Name, Parts: parts}
 	d.group.desk.kept(d.group.machine.history.Load(), kept)
 }
 
-// cold returns the replicas of model services of which nothing is known to be kept.
+// cold returns the replicas of model services that are not known to have cached anything.
 func (d *placementDesk) cold(current *view.History) []string {
 	d.lock.Lock()
 	defer d.lock.Unlock()
