--- a/process/control/demand.go
+++ b/process/control/demand.go
@@ -17,7 +17,7 @@
 	demandBucket  = time.Second
 	demandBuckets = int(demandWindow / demandBucket)
 	// queueReportMaxAge is the age at which a proxy's last report of its queues is discarded.
-	queueMemory = 3 * time.Second
+	queueReportMaxAge = 3 * time.Second
 )
 
 // demandTable sums the demand that proxies reported over the last demandWindow.
@@ -69,7 +69,7 @@
 	defer shard.Unlock()
 	queues := map[string]queueReport{}
 	for _, demand := range report.Demands {
-		shard.intent(demand.Intent).count(number, demand)
+		shard.demandFor(demand.Intent).count(number, demand)
 		queue := queues[demand.Intent]
 		queue.at = now
 		queue.requests += demand.QueuedRequests
@@ -81,7 +81,7 @@
 	}
 }
 
-func (s *demandShard) intent(name string) *intentDemand {
+func (s *demandShard) demandFor(name string) *intentDemand {
 	known := s.intents[name]
 	if known == nil {
 		known = &intentDemand{queues: map[string]queueReport{}}
@@ -159,7 +159,7 @@
 		}
 	}
 	for daemon, queue := range d.queues {
-		if now.Sub(queue.at) > queueMemory {
+		if now.Sub(queue.at) > queueReportMaxAge {
 			delete(d.queues, daemon)
 			continue
 		}
--- a/process/control/duties.go
+++ b/process/control/duties.go
@@ -61,19 +61,19 @@
 	awaySince map[raft.MemberID]time.Duration
 	// cachesQueried is true once replicas were asked for their cached prompt parts; hadIngress is
 	// whether an Ingress existed when the term began. Only the loop uses them.
-	warmed     bool
-	hadIngress bool
-	background sync.WaitGroup
+	cachesQueried bool
+	hadIngress    bool
+	background    sync.WaitGroup
 	// comparedList is the list that tendFleet last found unchanged. Only the loop uses it.
 	comparedList comparedList
 	// nextProxies is when tendFleet next checks the proxies. Only the loop uses it.
 	nextProxies time.Duration
-	roles       roleDuty
-	usage       usageDuty
-	capacity    capacityDuty
+	roles       roleTermState
+	usage       usageTermState
+	capacity    capacityTermState
 	// orders is the context of the term's orders, canceled by cancelOrders.
-	orders    context.Context
-	endOrders context.CancelFunc
+	orders       context.Context
+	cancelOrders context.CancelFunc
 
 	lock      sync.Mutex
 	machines  *state.Machines
@@ -99,7 +99,7 @@
 }
 
 // minRoundPause is the minimum pause between two rounds.
-const roundPause = 5 * time.Millisecond
+const minRoundPause = 5 * time.Millisecond
 
 // wake makes the next round start immediately; calls coalesce.
 func (d *duties) wake() {
@@ -140,7 +140,7 @@
 // cause to half of one core when there are many engines. The pause after a round that waited for
 // a commit is capped at the reconcile interval.
 func (d *duties) pauseAfter(took time.Duration) time.Duration {
-	return max(roundPause, min(took, d.group.config.Durations.Reconcile))
+	return max(minRoundPause, min(took, d.group.config.Durations.Reconcile))
 }
 
 // round executes one round if this member leads under a valid lease.
@@ -154,13 +154,13 @@
 		return // the lease may be renewed in the same term
 	}
 	term := d.beginTerm(number)
-	d.warmBoards(ctx, term, monotonic())
+	d.queryCaches(ctx, term, monotonic())
 	d.tendMembers(ctx, term)
 	d.tendFleet(ctx, term)
-	d.tendQuarantine(ctx, term)
-	d.tendUsage(ctx, term)
-	d.tendCapacity(ctx, term)
-	d.tendRoles(term, monotonic())
+	d.manageQuarantine(ctx, term)
+	d.manageUsage(ctx, term)
+	d.manageCapacity(ctx, term)
+	d.manageRoles(term, monotonic())
 	d.reconcile(ctx, term)
 }
 
@@ -184,9 +184,9 @@
 		failures:  map[string]controller.Failure{},
 		changedAt: map[string]time.Duration{},
 		awaySince: map[raft.MemberID]time.Duration{},
-		capacity:  newCapacityDuty(),
+		capacity:  newCapacityTermState(),
 	}
-	term.orders, term.endOrders = context.WithCancel(context.Background())
+	term.orders, term.cancelOrders = context.WithCancel(context.Background())
 	term.poller = orders.NewPoller(orders.PollerConfig{
 		Asker:    d.client,
 		Interval: durations.Poll,
@@ -196,7 +196,7 @@
 	term.actions = newActionRunner(d, term)
 	d.platform.start()
 	d.fleet.start(d.wake)
-	d.group.evidence.ask()
+	d.group.evidence.requestAll()
 	term.startedAt = monotonic()
 	term.hadIngress = d.group.machine.view().Ingresses[api.IngressName] != nil
 	d.termLock.Lock()
@@ -215,7 +215,7 @@
 	}
 	d.platform.stop()
 	d.fleet.stop()
-	term.endOrders()
+	term.cancelOrders()
 	term.actions.close()
 	term.background.Wait()
 	term.poller.Close()
@@ -241,7 +241,7 @@
 		Silence:      d.group.config.Durations.silenceOf(len(current.Engines)),
 		FailurePause: d.group.config.Durations.FailurePause,
 	}
-	term.fill(&input)
+	term.addTermState(&input)
 	for _, action := range controller.Reconcile(input) {
 		term.actions.start(action)
 	}
@@ -262,7 +262,7 @@
 }
 
 // addTermState copies the machines and failures known in this term into input.
-func (t *termDuties) fill(input *controller.Input) {
+func (t *termDuties) addTermState(input *controller.Input) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	input.Machines = t.machines
--- a/process/control/duties_test.go
+++ b/process/control/duties_test.go
@@ -7,11 +7,11 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestRoundsPauseAsLongAsTheyTook(t *testing.T) {
+func TestPauseAfterRound(t *testing.T) {
 	reconcile := 200 * time.Millisecond
 	d := &duties{group: &group{config: Config{Durations: Durations{Reconcile: reconcile}}}}
 	for _, test := range []struct{ took, want time.Duration }{
-		{took: time.Millisecond, want: roundPause},
+		{took: time.Millisecond, want: minRoundPause},
 		{took: 30 * time.Millisecond, want: 30 * time.Millisecond},
 		{took: 5 * time.Second, want: reconcile},
 	} {
--- a/process/control/duty.go
+++ b/process/control/duty.go
@@ -14,7 +14,7 @@
 // Invariant: a call is sent only while the leader lease is valid, by a clock that includes
 // suspensions, in the term whose fencing token it carries, and not before the previous holder's
 // calls must have arrived.
-type duty struct {
+type callGuard struct {
 	// fenced is set once the platform has seen a higher fencing token: another holder has
 	// started, and this one makes no more calls in its term.
 	fenced atomic.Bool
@@ -50,15 +50,15 @@
 // Timing of platform calls.
 const (
 	// platformCallTimeout bounds one call. A call that is unanswered by then is retried.
-	dutyTimeout = time.Second
+	platformCallTimeout = time.Second
 	// platformCallPause is the pause after a call that was not executed.
-	dutyPause = 500 * time.Millisecond
+	platformCallPause = 500 * time.Millisecond
 )
 
 // authorizeCall reports whether this member may make a platform call now, and returns the
 // identity to make it with.
-func (d *duties) mayAct(ctx context.Context, term *termDuties, on *duty) (DutyHolder, bool) {
-	if on.fenced.Load() || monotonic()-term.startedAt < d.group.config.Durations.OrderSettle {
+func (d *duties) authorizeCall(ctx context.Context, term *termDuties, guard *callGuard) (DutyHolder, bool) {
+	if guard.fenced.Load() || monotonic()-term.startedAt < d.group.config.Durations.OrderSettle {
 		return DutyHolder{}, false
 	}
 	// The lease is checked last, so that it covers all the time spent above.
--- a/process/control/evidence.go
+++ b/process/control/evidence.go
@@ -33,17 +33,17 @@
 	evidenceFile = "evidence"
 	// maxEvidence limits the stored crash observations, about 150 bytes each; maxReportedEvidence
 	// limits those sent to daemons.
-	maxEvidence     = 256
-	maxToldEvidence = 64
+	maxEvidence         = 256
+	maxReportedEvidence = 64
 	// evidenceWriteInterval is the minimum time between two writes; changes in between are
 	// written together.
-	evidencePause = 50 * time.Millisecond
+	evidenceWriteInterval = 50 * time.Millisecond
 	// noticeDelay is how long new evidence waits for more before it is sent to other members.
-	tellPause = 20 * time.Millisecond
+	noticeDelay = 20 * time.Millisecond
 )
 
 // errDamagedEvidence reports a damaged evidence file.
-var errEvidence = errors.New("control: evidence file is damaged")
+var errDamagedEvidence = errors.New("control: evidence file is damaged")
 
 // noticeSender sends notices to the other members; *peer.Transport implements it.
 type noticeSender interface {
@@ -53,21 +53,21 @@
 
 // evidence stores crash evidence outside the Raft log and replicates it to the other members.
 type evidence struct {
-	desk   *quarantineDesk
+	desk   *quarantineTracker
 	files  wal.FileSystem
 	folder string
 	// wake notifies daemons of evidence that is not in the record; set before the feed serves
 	// them.
 	wake atomic.Pointer[func()]
-	// others is nil until the transport is open. Evidence received before that is sent as
+	// sender is nil until the transport is open. Evidence received before that is sent as
 	// connections to other members are established.
-	others  atomic.Pointer[noticeSender]
-	changed chan struct{} // holds an item while there are changes to write
-	telling chan struct{} // holds an item while there is evidence to send
-	logger  log.Logger
+	sender       atomic.Pointer[noticeSender]
+	changed      chan struct{} // holds an item while there are changes to write
+	unsentSignal chan struct{} // holds an item while there is evidence to send
+	logger       log.Logger
 
 	lock   sync.Mutex
-	untold untold
+	unsent pendingNotice
 }
 
 func newEvidence(config Config, logger log.Logger) *evidence {
@@ -76,28 +76,28 @@
 		files = wal.OS{}
 	}
 	return &evidence{
-		desk: newQuarantineDesk(), files: files, folder: config.DataFolder,
-		changed: make(chan struct{}, 1), telling: make(chan struct{}, 1), logger: logger,
-		untold: untold{ended: map[quarantine.Fingerprint]struct{}{}},
+		desk: newQuarantineTracker(), files: files, folder: config.DataFolder,
+		changed: make(chan struct{}, 1), unsentSignal: make(chan struct{}, 1), logger: logger,
+		unsent: pendingNotice{ended: map[quarantine.Fingerprint]struct{}{}},
 	}
 }
 
 // tellOthers sets the sender for notices to the other members.
-func (e *evidence) tellOthers(others noticeSender) { e.others.Store(&others) }
+func (e *evidence) tellOthers(others noticeSender) { e.sender.Store(&others) }
 
 // tellDaemons sets the function that notifies daemons of new evidence.
 func (e *evidence) tellDaemons(wake func()) { e.wake.Store(&wake) }
 
 // note adds a daemon's report, and stores and forwards what is new.
 func (e *evidence) note(report feed.EndReport, now time.Duration) {
-	e.handOn(e.desk.note(report, now))
+	e.publish(e.desk.note(report, now))
 }
 
 // receive handles a notice from another member: a report, or an empty payload that requests all
 // evidence known here. New evidence is forwarded, since its origin may not reach all members.
 func (e *evidence) receive(from raft.MemberID, payload []byte) {
 	if len(payload) == 0 {
-		e.answer(from)
+		e.sendAll(from)
 		return
 	}
 	report, err := feed.DecodeEnds(payload)
@@ -105,28 +105,28 @@
 		event.EvidenceUnreadable.Log(e.logger, "from", uint64(from), "err", err)
 		return
 	}
-	e.handOn(e.desk.hear(report, monotonic()))
+	e.publish(e.desk.merge(report, monotonic()))
 }
 
-// ask requests all evidence from the other members. A new leader does so because the members that
+// requestAll requests all evidence from the other members. A new leader does so because the members that
 // it reaches may know of evidence that it never received.
-func (e *evidence) ask() {
-	if others := e.others.Load(); others != nil {
+func (e *evidence) requestAll() {
+	if others := e.sender.Load(); others != nil {
 		(*others).Notify(nil)
 	}
 }
 
-func (e *evidence) answer(member raft.MemberID) {
-	e.tellOne(member, e.desk.sights(monotonic()))
+func (e *evidence) sendAll(member raft.MemberID) {
+	e.sendTo(member, e.desk.observations(monotonic()))
 }
 
 // greet sends the notable evidence to a member whose connection was just established.
 func (e *evidence) greet(member raft.MemberID) {
-	e.tellOne(member, e.desk.notableSights(monotonic()))
+	e.sendTo(member, e.desk.notableObservations(monotonic()))
 }
 
-func (e *evidence) tellOne(member raft.MemberID, sights []quarantine.Aged) {
-	if others := e.others.Load(); others != nil && len(sights) > 0 {
+func (e *evidence) sendTo(member raft.MemberID, sights []quarantine.Aged) {
+	if others := e.sender.Load(); others != nil && len(sights) > 0 {
 		(*others).NotifyOne(feed.EncodeEnds(feed.EndReport{Ended: sights}), member)
 	}
 }
@@ -140,19 +140,19 @@
 
 // publish schedules new findings to be written, sent to the other members and reported to
 // daemons.
-func (e *evidence) handOn(found learnt) {
+func (e *evidence) publish(found findings) {
 	if !found.isNew {
 		return
 	}
 	e.lock.Lock()
 	for _, fingerprint := range found.ended {
-		e.untold.ended[fingerprint] = struct{}{}
+		e.unsent.ended[fingerprint] = struct{}{}
 	}
-	e.untold.alive = append(e.untold.alive, found.alive...)
-	e.untold.served = append(e.untold.served, found.served...)
+	e.unsent.alive = append(e.unsent.alive, found.alive...)
+	e.unsent.served = append(e.unsent.served, found.served...)
 	e.lock.Unlock()
 	pause.Signal(e.changed)
-	pause.Signal(e.telling)
+	pause.Signal(e.unsentSignal)
 	if wake := e.wake.Load(); wake != nil {
 		(*wake)()
 	}
@@ -160,7 +160,7 @@
 
 // pendingNotice is evidence not yet sent to the other members. Crashes are looked up when the
 // notice is sent, so that it carries their latest state.
-type untold struct {
+type pendingNotice struct {
 	ended  map[quarantine.Fingerprint]struct{}
 	alive  []quarantine.Alive
 	served []quarantine.Fingerprint
@@ -171,25 +171,25 @@
 func (e *evidence) tell(ctx context.Context) {
 	for {
 		select {
-		case <-e.telling:
+		case <-e.unsentSignal:
 		case <-ctx.Done():
 			return
 		}
-		if !pause.For(ctx, tellPause) {
+		if !pause.For(ctx, noticeDelay) {
 			return
 		}
-		e.tellUntold()
+		e.sendUnsent()
 	}
 }
 
-func (e *evidence) tellUntold() {
+func (e *evidence) sendUnsent() {
 	e.lock.Lock()
-	next := e.untold
-	e.untold = untold{ended: map[quarantine.Fingerprint]struct{}{}}
+	next := e.unsent
+	e.unsent = pendingNotice{ended: map[quarantine.Fingerprint]struct{}{}}
 	e.lock.Unlock()
 	fingerprints := slices.Collect(maps.Keys(next.ended))
-	report := feed.EndReport{Ended: e.desk.sightsOf(fingerprints, monotonic()), Alive: next.alive, Served: next.served}
-	if others := e.others.Load(); others != nil && !report.IsEmpty() {
+	report := feed.EndReport{Ended: e.desk.observationsOf(fingerprints, monotonic()), Alive: next.alive, Served: next.served}
+	if others := e.sender.Load(); others != nil && !report.IsEmpty() {
 		for _, part := range report.Split() {
 			(*others).Notify(feed.EncodeEnds(part))
 		}
@@ -212,7 +212,7 @@
 		} else {
 			event.EvidenceKept.Log(e.logger, "ends", kept, "took_ms", (monotonic() - began).Milliseconds())
 		}
-		if !pause.For(ctx, evidencePause) {
+		if !pause.For(ctx, evidenceWriteInterval) {
 			return
 		}
 	}
@@ -220,7 +220,7 @@
 
 // save writes and syncs the known evidence, and returns the number of crash observations written.
 func (e *evidence) save(now time.Duration) (kept int, err error) {
-	report := feed.EndReport{Ended: e.desk.sights(now)}
+	report := feed.EndReport{Ended: e.desk.observations(now)}
 	return len(report.Ended), wal.WriteFile(e.files, filepath.Join(e.folder, evidenceFile), encodeEvidence(report, time.Now()))
 }
 
@@ -238,7 +238,7 @@
 		event.EvidenceUnreadable.Log(e.logger, "from", evidenceFile, "err", err)
 		return
 	}
-	e.desk.hear(report, now)
+	e.desk.merge(report, now)
 	event.EvidenceRecalled.Log(e.logger, "ends", len(report.Ended))
 }
 
@@ -258,7 +258,7 @@
 func decodeEvidence(data []byte, wall time.Time) (feed.EndReport, error) {
 	const headSize = 4 + 8
 	if len(data) < headSize {
-		return feed.EndReport{}, errors.Wrapf(errEvidence, "%d bytes", len(data))
+		return feed.EndReport{}, errors.Wrapf(errDamagedEvidence, "%d bytes", len(data))
 	}
 	head := frame.NewDecoder(data[:headSize])
 	sum, written := head.Uint32(), head.Int64()
@@ -266,7 +266,7 @@
 		return feed.EndReport{}, err
 	}
 	if sum != crc32.ChecksumIEEE(data[headSize-8:]) {
-		return feed.EndReport{}, errors.Wrap(errEvidence, "checksum")
+		return feed.EndReport{}, errors.Wrap(errDamagedEvidence, "checksum")
 	}
 	report, err := feed.DecodeEnds(data[headSize:])
 	elapsed := max(wall.Sub(time.UnixMilli(written)), 0)
--- a/process/control/evidence_test.go
+++ b/process/control/evidence_test.go
@@ -118,7 +118,7 @@
 }
 
 // storedByFirst returns the number of crash observations on the first member's disk.
-func (c *stallingCluster) keptByFirst() int {
+func (c *stallingCluster) storedByFirst() int {
 	data, err := wal.OS{}.ReadFile(filepath.Join(c.configs[0].DataFolder, evidenceFile))
 	if err != nil {
 		return 0
@@ -132,7 +132,7 @@
 // crash that it observed, and all processes are then killed, the request crashes as many replicas
 // again (soak seeds 9112, 9231 and 3024, "fatal"). Members store reports on disk without a
 // leader, so the next leader holds the request.
-func TestEndsSeenWithoutALeaderOutlastAllProcesses(t *testing.T) {
+func TestCrashesReportedWithoutLeaderSurviveRestart(t *testing.T) {
 	c := newStallingCluster(t, 3)
 	c.leader()
 	must.Eq(t, api.OutcomeAccepted, c.transact(api.Transaction{OperationID: "first", Writes: narratorObjects()}).Code)
@@ -145,11 +145,11 @@
 	}
 	c.stallMajority()
 	for i, proxy := range proxies {
-		seen, ended := endsOf(fatalRequest, fmt.Sprint("r-", i)), time.Now()
+		seen, ended := crashReport(fatalRequest, fmt.Sprint("r-", i)), time.Now()
 		eventually(t, "the member with a working disk has stored the crash", func() bool {
 			seen.Ended[0].Age = time.Since(ended)
 			_ = proxy.ReportEnds(seen) // repeated for the next member that serves the proxy
-			return c.keptByFirst() == i+1
+			return c.storedByFirst() == i+1
 		})
 		proxy.Close() // simulates a kill: the proxy's own observations are lost
 	}
--- a/process/control/placement.go
+++ b/process/control/placement.go
@@ -74,13 +74,13 @@
 func (d *placementDesk) summaries(now time.Duration) map[string]placement.Summary {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	shown := map[string]placement.Summary{}
+	summaries := map[string]placement.Summary{}
 	for service, board := range d.boards {
-		if made := board.Summarize(now); made.Answers != (placement.Answers{}) {
-			shown[service] = made
+		if summary := board.Summarize(now); summary.Answers != (placement.Answers{}) {
+			summaries[service] = summary
 		}
 	}
-	return shown
+	return summaries
 }
 
 // update applies a view if it is newer than the last one applied; callers load their view before
@@ -99,12 +99,12 @@
 	}
 	for i := range delta.Objects {
 		if replica := delta.Objects[i].Replica; replica != nil {
-			d.put(replica)
+			d.putReplica(replica)
 		}
 	}
 	for _, key := range delta.Removed {
 		if key.Kind == api.KindReplica {
-			d.remove(key.Name)
+			d.removeReplica(key.Name)
 		}
 	}
 }
@@ -131,22 +131,22 @@
 			board = placement.NewBoard()
 			d.boards[service.Name] = board
 		}
-		board.SetReplicas(sheetOf(&held.Spec, service), listed[service.Name])
+		board.SetReplicas(modelSheet(&held.Spec, service), listed[service.Name])
 	}
 }
 
 // putReplica adds or updates a replica, whose service may have changed.
-func (d *placementDesk) put(entry *api.Replica) {
+func (d *placementDesk) putReplica(entry *api.Replica) {
 	for service, board := range d.boards {
 		if service == entry.Spec.Service {
-			board.Put(placedReplica(entry))
+			board.Put(placementReplica(entry))
 			continue
 		}
 		board.Remove(entry.Name)
 	}
 }
 
-func (d *placementDesk) remove(name string) {
+func (d *placementDesk) removeReplica(name string) {
 	for _, board := range d.boards {
 		board.Remove(name)
 	}
@@ -155,13 +155,13 @@
 func replicasByService(current *view.View) map[string][]placement.Replica {
 	listed := map[string][]placement.Replica{}
 	for _, entry := range current.Replicas {
-		listed[entry.Spec.Service] = append(listed[entry.Spec.Service], placedReplica(entry))
+		listed[entry.Spec.Service] = append(listed[entry.Spec.Service], placementReplica(entry))
 	}
 	return listed
 }
 
 // placementReplica converts a replica to the form that boards use.
-func placedReplica(entry *api.Replica) placement.Replica {
+func placementReplica(entry *api.Replica) placement.Replica {
 	role := placement.RoleDecode
 	if entry.Spec.Role == api.RolePrefill {
 		role = placement.RolePrefill
@@ -172,9 +172,9 @@
 	}
 }
 
-// sheetOf returns the configured model parameters of a service, including the shortest token gap
+// modelSheet returns the configured model parameters of a service, including the shortest token gap
 // objective of the routes that lead to it.
-func sheetOf(spec *api.IngressSpec, service *api.RouteService) placement.Sheet {
+func modelSheet(spec *api.IngressSpec, service *api.RouteService) placement.Sheet {
 	sheet := placement.Sheet{
 		KVTokens:    service.Model.KVTokens,
 		BytesPerTok: service.Model.KVBytesPerTok,
@@ -183,14 +183,14 @@
 	for i := range spec.Routes {
 		route := &spec.Routes[i]
 		gap := time.Duration(route.GapMilliseconds) * time.Millisecond
-		if gap > 0 && leadsTo(route, service.Name) && (sheet.GapObjective == 0 || gap < sheet.GapObjective) {
+		if gap > 0 && routesTo(route, service.Name) && (sheet.GapObjective == 0 || gap < sheet.GapObjective) {
 			sheet.GapObjective = gap
 		}
 	}
 	return sheet
 }
 
-func leadsTo(route *api.Route, service string) bool {
+func routesTo(route *api.Route, service string) bool {
 	for _, backend := range route.Backends {
 		if backend.Service == service {
 			return true
--- a/process/control/placement_test.go
+++ b/process/control/placement_test.go
@@ -13,7 +13,7 @@
 )
 
 // modelView returns a view with one model service and, unless its name is empty, one replica.
-func servedModel(revision uint64, replica string) *view.History {
+func modelView(revision uint64, replica string) *view.History {
 	shown := view.New()
 	shown.Version.Revision = revision
 	shown.Ingresses = map[string]*api.Ingress{api.IngressName: {Spec: api.IngressSpec{
@@ -26,7 +26,7 @@
 	return &view.History{View: shown, Floor: revision}
 }
 
-func TestDeskPlacesModelServicesOnly(t *testing.T) {
+func TestOnlyModelServicesArePlaced(t *testing.T) {
 	ask := placement.Ask{Prompt: 100, Output: 10, Deadline: time.Second}
 	cases := []struct {
 		name, service, replica, generator string
@@ -40,18 +40,18 @@
 	for _, each := range cases {
 		t.Run(each.name, func(t *testing.T) {
 			desk := newPlacementDesk()
-			answer, known := desk.place(servedModel(1, each.replica), "proxy-1", feed.PlaceRequest{Service: each.service, Number: 1, Ask: ask}, false, 0)
+			answer, known := desk.place(modelView(1, each.replica), "proxy-1", feed.PlaceRequest{Service: each.service, Number: 1, Ask: ask}, false, 0)
 			must.Eq(t, each.known, known)
 			must.Eq(t, each.generator, answer.Generator)
 		})
 	}
 }
 
-func TestDeskFollowsTheView(t *testing.T) {
+func TestPlacementFollowsView(t *testing.T) {
 	desk := newPlacementDesk()
 	request := feed.PlaceRequest{Service: "chat", Number: 1, Ask: placement.Ask{Prompt: 100, Output: 10, Deadline: time.Second}}
 	for i, replica := range []string{"r-1", "r-2", "r-3"} {
-		answer, _ := desk.place(servedModel(uint64(i)+1, replica), "proxy-1", request, false, 0)
+		answer, _ := desk.place(modelView(uint64(i)+1, replica), "proxy-1", request, false, 0)
 		must.Eq(t, replica, answer.Generator)
 	}
 }
@@ -83,9 +83,9 @@
 // The leader's tasks pass the view loaded at the start of their round, and proxies' requests the
 // current one. If an older view replaced a newer one, the board would lose the requests placed on
 // replicas that are missing from the older view or have another role in it.
-func TestDeskTakesNoOlderViewForANewerOne(t *testing.T) {
+func TestOlderViewIsIgnored(t *testing.T) {
 	desk := newPlacementDesk()
-	older, newer := servedModel(1, "r-1"), servedModel(2, "r-2")
+	older, newer := modelView(1, "r-1"), modelView(2, "r-2")
 	request := feed.PlaceRequest{Service: "chat", Number: 1, Ask: placement.Ask{Prompt: 100, Output: 10, Deadline: time.Second}}
 	answer, _ := desk.place(newer, "proxy-1", request, false, 0)
 	must.Eq(t, "r-2", answer.Generator)
@@ -97,8 +97,8 @@
 }
 
 // Applying only the changes must give the same state as applying each view as a whole.
-func TestDeskFollowsChangesAsItFollowsWholeViews(t *testing.T) {
-	first := servedModel(1, "r-1")
+func TestIncrementalUpdateMatchesRebuild(t *testing.T) {
+	first := modelView(1, "r-1")
 	changed := func(revision uint64, change func(v *view.View), keys ...api.Key) *view.History {
 		next := *first.View
 		next.Version.Revision = revision
--- a/process/control/planning.go
+++ b/process/control/planning.go
@@ -68,7 +68,7 @@
 	intents := d.intentsByEngine(current)
 	engines := make([]planner.Engine, 0, len(current.Engines))
 	for _, name := range slices.Sorted(maps.Keys(current.Engines)) {
-		engine := planEngine(current.Engines[name], seen[name], now-d.group.config.Durations.silenceOf(len(current.Engines)))
+		engine := plannedEngine(current.Engines[name], seen[name], now-d.group.config.Durations.silenceOf(len(current.Engines)))
 		engine.Intent = intents[name]
 		engine.SinceChange = term.sinceChange(name, now)
 		engines = append(engines, engine)
@@ -91,7 +91,7 @@
 
 // plannedEngine returns the planner's view of an engine. It includes the engine's reported state
 // and load if the engine has answered since silentAt.
-func planEngine(committed *api.Engine, seen orders.Seen, silentAt time.Duration) planner.Engine {
+func plannedEngine(committed *api.Engine, seen orders.Seen, silentAt time.Duration) planner.Engine {
 	if seen.State.Engine != committed.Name || seen.AskedAt < silentAt {
 		return controller.PlannedEngine(committed, nil)
 	}
--- a/process/control/quarantine.go
+++ b/process/control/quarantine.go
@@ -24,26 +24,26 @@
 	// one copy at a time; one more crash renews the hold. This way a mistaken hold costs callers
 	// minutes, and a correct one costs two more replicas within a quarter of an hour and then one
 	// a day.
-	firstHold   = 5 * time.Minute
-	longestHold = 24 * time.Hour
+	firstHoldDuration = 5 * time.Minute
+	maxHoldDuration   = 24 * time.Hour
 	// trialTurn is how long one proxy alone may try a request before the next proxy's turn; each
 	// proxy is expected to receive the request now and then. After trialDuration without a crash
 	// or an answer the request is considered harmless.
-	tryTurn = time.Second
-	tryTime = time.Minute
+	trialTurn     = time.Second
+	trialDuration = time.Minute
 	// watchDuration is how long a request is watched without further crashes.
-	watchTime = time.Hour
+	watchDuration = time.Hour
 	// maxQuarantines limits the requests in the record, at most a kilobyte each.
 	maxQuarantines = 256
 	// maxRecordedReplicas limits the crashed replicas listed per request.
-	maxRecordedEnds = 8
+	maxRecordedReplicas = 8
 )
 
 // quarantineTracker collects the proxies' reports of crashed replicas and computes what the
 // quarantine record should contain. The record is replicated and reaches every proxy with its
 // view, so it survives leader changes, restarts and the loss of members. The table holds what was
 // reported to this member.
-type quarantineDesk struct {
+type quarantineTracker struct {
 	lock  sync.Mutex
 	table *quarantine.Table
 	// term is the term for which the table was last loaded from the record.
@@ -55,73 +55,73 @@
 	// decideFrom is when a new leader starts to hold or try requests. Until then proxies report
 	// what they observed, including requests that were merely in flight during a crash and
 	// requests that were served.
-	judgeFrom time.Duration
+	decideFrom time.Duration
 	// sentEarly is the set of requests of which one copy may have been sent since this leader's
 	// term began, before decideFrom.
-	sentUnheard map[quarantine.Fingerprint]bool
+	sentEarly map[quarantine.Fingerprint]bool
 	// alertUntil is, per service, the time until which crashes are assumed to come in series.
 	// latestAlert is the maximum of these times, readable without the lock.
-	alertTill map[string]time.Duration
-	alerted   atomic.Int64
+	alertUntil  map[string]time.Duration
+	latestAlert atomic.Int64
 	// unrecorded is what daemons are told while the record lags behind.
 	unrecorded unrecorded
 }
 
 // takeoverDelay is how long proxies need to find a new leader and report everything they know.
-const takeOverTime = time.Second
+const takeoverDelay = time.Second
 
 // reviewPeriod is how long after the last report the record is reviewed in each round.
-const reviewTime = 3 * time.Second
+const reviewPeriod = 3 * time.Second
 
 // refutations are reports that remove something from the record. They are kept until the removal
 // is committed.
 type refutations struct {
-	alive  map[string]quarantine.Alive // replicas found alive, by name
-	heard  map[string]time.Duration    // when each was reported alive
-	served map[quarantine.Fingerprint]bool
+	alive      map[string]quarantine.Alive // replicas found alive, by name
+	reportedAt map[string]time.Duration    // when each was reported alive
+	served     map[quarantine.Fingerprint]bool
 }
 
 func newRefutations() refutations {
-	return refutations{alive: map[string]quarantine.Alive{}, heard: map[string]time.Duration{}, served: map[quarantine.Fingerprint]bool{}}
+	return refutations{alive: map[string]quarantine.Alive{}, reportedAt: map[string]time.Duration{}, served: map[quarantine.Fingerprint]bool{}}
 }
 
-func newQuarantineDesk() *quarantineDesk {
-	return &quarantineDesk{
-		table: quarantine.NewTable(), refuted: newRefutations(), alertTill: map[string]time.Duration{},
-		sentUnheard: map[quarantine.Fingerprint]bool{},
+func newQuarantineTracker() *quarantineTracker {
+	return &quarantineTracker{
+		table: quarantine.NewTable(), refuted: newRefutations(), alertUntil: map[string]time.Duration{},
+		sentEarly: map[quarantine.Fingerprint]bool{},
 	}
 }
 
 // note adds a proxy's report.
-func (d *quarantineDesk) note(report feed.EndReport, now time.Duration) learnt {
+func (d *quarantineTracker) note(report feed.EndReport, now time.Duration) findings {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	for _, alive := range report.Alive {
-		d.refuted.alive[alive.Replica], d.refuted.heard[alive.Replica] = alive, now
+		d.refuted.alive[alive.Replica], d.refuted.reportedAt[alive.Replica] = alive, now
 	}
 	for _, fingerprint := range report.Served {
 		d.refuted.served[fingerprint] = true
 	}
-	return d.learn(report, now)
+	return d.mergeLocked(report, now)
 }
 
 // merge adds evidence that another member sent or that was stored on disk. It removes nothing
 // from the record: proxies report refutations to the leader themselves.
-func (d *quarantineDesk) hear(report feed.EndReport, now time.Duration) learnt {
+func (d *quarantineTracker) merge(report feed.EndReport, now time.Duration) findings {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	return d.learn(report, now)
+	return d.mergeLocked(report, now)
 }
 
 // observations returns the known crash observations, for members that need all of them.
-func (d *quarantineDesk) sights(now time.Duration) []quarantine.Aged {
+func (d *quarantineTracker) observations(now time.Duration) []quarantine.Aged {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	return d.table.Sights(now, maxEvidence)
 }
 
 // observationsOf returns the known crash observations of the given requests.
-func (d *quarantineDesk) sightsOf(fingerprints []quarantine.Fingerprint, now time.Duration) []quarantine.Aged {
+func (d *quarantineTracker) observationsOf(fingerprints []quarantine.Fingerprint, now time.Duration) []quarantine.Aged {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	return d.table.SightsOf(fingerprints, now, maxEvidence)
@@ -129,7 +129,7 @@
 
 // notableObservations returns the known crash observations of the requests that are worth
 // watching.
-func (d *quarantineDesk) notableSights(now time.Duration) []quarantine.Aged {
+func (d *quarantineTracker) notableObservations(now time.Duration) []quarantine.Aged {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	return d.table.NotableSights(now, maxEvidence)
@@ -137,7 +137,7 @@
 
 // findings are the new facts of a report and, among them, those to forward to other members.
 // Crashes are identified by their requests.
-type learnt struct {
+type findings struct {
 	isNew  bool
 	ended  []quarantine.Fingerprint
 	alive  []quarantine.Alive
@@ -145,9 +145,9 @@
 }
 
 // mergeLocked adds a report to the table. The caller holds the lock.
-func (d *quarantineDesk) learn(report feed.EndReport, now time.Duration) (found learnt) {
+func (d *quarantineTracker) mergeLocked(report feed.EndReport, now time.Duration) (found findings) {
 	before := d.table.News()
-	d.reviewUntil = now + reviewTime
+	d.reviewUntil = now + reviewPeriod
 	for _, seen := range report.Ended {
 		known := d.table.News()
 		d.table.NoteAged(now, seen.Age, seen.Evidence)
@@ -155,7 +155,7 @@
 			found.ended = append(found.ended, seen.Fingerprint)
 		}
 		if d.table.IsSeries(seen.Fingerprint) && !seen.Read {
-			d.alert(seen.About.Service, now)
+			d.raiseAlert(seen.About.Service, now)
 		}
 	}
 	for _, alive := range report.Alive {
@@ -171,7 +171,7 @@
 		d.table.Served(now, fingerprint)
 	}
 	found.isNew = d.table.News() != before
-	if found.isNew && before == d.unrecorded.recordedNews {
+	if found.isNew && before == d.unrecorded.recordedChangeCount {
 		d.unrecorded.heardAt = now
 	}
 	return found
@@ -179,22 +179,22 @@
 
 // alertDuration is how long a series of crashes is assumed to continue after its last crash, or
 // after the last placement request of a suspect with at least two crashes.
-const alertTime = 10 * time.Second
+const alertDuration = 10 * time.Second
 
 // isAlert reports whether replicas of the service are crashing in series under some request.
-func (d *quarantineDesk) isAlert(service string, now time.Duration) bool {
-	if int64(now) >= d.alerted.Load() {
+func (d *quarantineTracker) isAlert(service string, now time.Duration) bool {
+	if int64(now) >= d.latestAlert.Load() {
 		return false
 	}
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	return now < d.alertTill[service]
+	return now < d.alertUntil[service]
 }
 
 // isSuspect reports whether a replica recently crashed under the named request. A request with a
 // series of crashes extends the alert each time it asks for a place: otherwise copies that waited
 // for the whole alert would all be sent at once when it ends.
-func (d *quarantineDesk) isSuspect(name string, now time.Duration) bool {
+func (d *quarantineTracker) isSuspect(name string, now time.Duration) bool {
 	fingerprint, ok := fingerprintOf(name)
 	if !ok {
 		return false
@@ -206,7 +206,7 @@
 	}
 	if d.table.IsSeries(fingerprint) {
 		_, about := d.table.Ends(fingerprint)
-		d.alert(about.Service, now)
+		d.raiseAlert(about.Service, now)
 	}
 	return true
 }
@@ -216,21 +216,21 @@
 // and each copy sent until then would crash a replica. A new leader first collects reports that
 // may clear the request. Until then it lets one copy through, whose answer or crash is reported
 // to it, and makes the others wait.
-func (d *quarantineDesk) isJudged(name string, now time.Duration) bool {
+func (d *quarantineTracker) isJudged(name string, now time.Duration) bool {
 	fingerprint, ok := fingerprintOf(name)
 	if !ok {
 		return false
 	}
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	if d.hasHeard(now) {
+	if d.hasInitialReports(now) {
 		return d.isAboutToBeHeld(fingerprint, now)
 	}
 	if !d.table.IsConvicted(fingerprint) {
 		return false
 	}
-	before := d.sentUnheard[fingerprint]
-	d.sentUnheard[fingerprint] = true
+	before := d.sentEarly[fingerprint]
+	d.sentEarly[fingerprint] = true
 	return before
 }
 
@@ -242,13 +242,13 @@
 }
 
 // raiseAlert marks that replicas of the service crash in series. The caller holds the lock.
-func (d *quarantineDesk) alert(service string, now time.Duration) {
-	d.alertTill[service] = now + alertTime
-	d.alerted.Store(int64(now + alertTime))
+func (d *quarantineTracker) raiseAlert(service string, now time.Duration) {
+	d.alertUntil[service] = now + alertDuration
+	d.latestAlert.Store(int64(now + alertDuration))
 }
 
 // forget drops what is known of a request that an operator has released.
-func (d *quarantineDesk) forget(fingerprint quarantine.Fingerprint) {
+func (d *quarantineTracker) forget(fingerprint quarantine.Fingerprint) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	d.table.Forget(fingerprint)
@@ -256,12 +256,12 @@
 
 // restoreRefutations returns refutations that were not committed, so that the next review applies
 // them.
-func (d *quarantineDesk) takeBack(refuted refutations, now time.Duration) {
+func (d *quarantineTracker) restoreRefutations(refuted refutations, now time.Duration) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	d.reviewUntil = now + reviewTime
+	d.reviewUntil = now + reviewPeriod
 	maps.Copy(d.refuted.alive, refuted.alive)
-	maps.Copy(d.refuted.heard, refuted.heard)
+	maps.Copy(d.refuted.reportedAt, refuted.reportedAt)
 	maps.Copy(d.refuted.served, refuted.served)
 }
 
--- a/process/control/quarantine_review.go
+++ b/process/control/quarantine_review.go
@@ -17,17 +17,17 @@
 
 // manageQuarantine commits the differences between the quarantine record and what it should
 // contain.
-func (d *duties) tendQuarantine(ctx context.Context, term *termDuties) {
+func (d *duties) manageQuarantine(ctx context.Context, term *termDuties) {
 	desk := d.group.evidence.desk
 	seen, refuted := desk.review(term.number, d.group.machine.view(), monotonic(), time.Now())
-	news := desk.news()
+	news := desk.changeCount()
 	if len(seen.Put) == 0 && len(seen.Removed) == 0 {
 		desk.markRecorded(news, monotonic())
 		return
 	}
 	_, err := d.group.propose(ctx, state.Command{Kind: state.CommandObserve, Observe: &seen})
 	if err != nil {
-		desk.takeBack(refuted, monotonic())
+		desk.restoreRefutations(refuted, monotonic())
 	} else {
 		desk.markRecorded(news, monotonic())
 	}
@@ -56,18 +56,18 @@
 // review returns the changes that the record needs, and the refutations that they take into
 // account. wall is the wall-clock time: holds are measured in minutes and longer, so an
 // inaccuracy of seconds does not matter.
-func (d *quarantineDesk) review(term uint64, current *view.View, now time.Duration, wall time.Time) (state.Observe, refutations) {
+func (d *quarantineTracker) review(term uint64, current *view.View, now time.Duration, wall time.Time) (state.Observe, refutations) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	refuted := d.refuted
-	if now > d.reviewUntil && d.term == term && !anyLapsed(current, wall) {
+	if now > d.reviewUntil && d.term == term && !anyExpired(current, wall) {
 		return state.Observe{}, refuted // nothing has been reported and nothing has expired
 	}
 	d.refuted = newRefutations()
 	d.table.Expire(now)
-	if d.fill(term, current, now, wall) {
+	if d.loadRecord(term, current, now, wall) {
 		for _, alive := range refuted.alive { // the entries just loaded are refuted as well
-			d.table.Lives(refuted.heard[alive.Replica], alive)
+			d.table.Lives(refuted.reportedAt[alive.Replica], alive)
 		}
 	}
 	var seen state.Observe
@@ -76,10 +76,10 @@
 		d.reviewRecorded(&seen, current, current.Quarantines[name], &refuted, now, wall)
 	}
 	recorded -= len(seen.Removed)
-	for _, fingerprint := range d.notable(current, now) {
+	for _, fingerprint := range d.requestsToRecord(current, now) {
 		if current.Quarantines[fingerprint.String()] == nil && recorded < maxQuarantines {
 			recorded++
-			seen.Put = append(seen.Put, d.record(current, fingerprint, now, wall))
+			seen.Put = append(seen.Put, d.newEntry(current, fingerprint, now, wall))
 		}
 	}
 	d.reviewSuspects(&seen, current, &refuted, now, wall)
@@ -88,10 +88,10 @@
 }
 
 // reviewRecorded updates or removes one entry of the record.
-func (d *quarantineDesk) reviewRecorded(seen *state.Observe, current *view.View, known *api.Quarantine, refuted *refutations, now time.Duration, wall time.Time) {
+func (d *quarantineTracker) reviewRecorded(seen *state.Observe, current *view.View, known *api.Quarantine, refuted *refutations, now time.Duration, wall time.Time) {
 	fingerprint, ok := quarantine.Parse(known.Name)
 	spec := d.refreshed(known.Spec, fingerprint, refuted)
-	if !ok || refuted.served[fingerprint] || isOver(&spec, wall) {
+	if !ok || refuted.served[fingerprint] || isEntryOver(&spec, wall) {
 		seen.Removed = append(seen.Removed, api.Key{Kind: api.KindQuarantine, Name: known.Name})
 		d.table.Forget(fingerprint)
 		return
@@ -105,14 +105,14 @@
 }
 
 // refreshed returns an entry updated with the reports received since it was written.
-func (d *quarantineDesk) refreshed(spec api.QuarantineSpec, fingerprint quarantine.Fingerprint, refuted *refutations) api.QuarantineSpec {
+func (d *quarantineTracker) refreshed(spec api.QuarantineSpec, fingerprint quarantine.Fingerprint, refuted *refutations) api.QuarantineSpec {
 	spec.Replicas = slices.DeleteFunc(slices.Clone(spec.Replicas), func(name string) bool {
 		_, lives := refuted.alive[quarantine.ReplicaOf(name)]
 		return lives && !d.table.HasEnd(fingerprint, name)
 	})
 	heard, about := d.table.Ends(fingerprint)
 	spec.Replicas = mergeNames(spec.Replicas, heard)
-	spec.Weak = weakOf(spec.Replicas, d.table.Weak(fingerprint))
+	spec.Weak = filterWeak(spec.Replicas, d.table.Weak(fingerprint))
 	if about.Request != "" {
 		spec.Request = about.Request
 	}
@@ -120,25 +120,25 @@
 	return spec
 }
 
-// isOver reports whether an entry is to be removed: too few replicas have crashed, or it expired
+// isEntryOver reports whether an entry is to be removed: too few replicas have crashed, or it expired
 // without a further crash.
-func isOver(spec *api.QuarantineSpec, wall time.Time) bool {
+func isEntryOver(spec *api.QuarantineSpec, wall time.Time) bool {
 	switch {
 	case len(spec.Replicas) < quarantine.WatchedEnds:
 		return true
 	case spec.State == api.QuarantineWatched:
-		return hasLapsed(spec, wall)
+		return isExpired(spec, wall)
 	}
-	return isTriedOut(spec, wall) && spec.Times == 0
+	return isTrialOver(spec, wall) && spec.Times == 0
 }
 
-func hasLapsed(spec *api.QuarantineSpec, wall time.Time) bool { return wall.UnixMilli() >= spec.Until }
+func isExpired(spec *api.QuarantineSpec, wall time.Time) bool { return wall.UnixMilli() >= spec.Until }
 
 // requestsToRecord returns the requests that belong in the record, without duplicates.
-func (d *quarantineDesk) notable(current *view.View, now time.Duration) []quarantine.Fingerprint {
+func (d *quarantineTracker) requestsToRecord(current *view.View, now time.Duration) []quarantine.Fingerprint {
 	found := d.table.Watched(now)
 	for _, fingerprint := range d.table.Tried() {
-		if !slices.Contains(found, fingerprint) && d.isToTry(current, fingerprint) {
+		if !slices.Contains(found, fingerprint) && d.needsTrial(current, fingerprint) {
 			found = append(found, fingerprint)
 		}
 	}
@@ -146,7 +146,7 @@
 }
 
 // anyExpired reports whether any entry of the record has expired.
-func anyLapsed(current *view.View, wall time.Time) bool {
+func anyExpired(current *view.View, wall time.Time) bool {
 	for _, known := range current.Quarantines {
 		if wall.UnixMilli() >= known.Spec.Until {
 			return true
@@ -162,14 +162,14 @@
 
 // loadRecord loads the record into the table if this member has not done so in this term, and
 // reports whether it did.
-func (d *quarantineDesk) fill(term uint64, current *view.View, now time.Duration, wall time.Time) bool {
+func (d *quarantineTracker) loadRecord(term uint64, current *view.View, now time.Duration, wall time.Time) bool {
 	if d.term == term {
 		return false
 	}
 	d.term = term
-	d.judgeFrom = now + takeOverTime
-	clear(d.sentUnheard)
-	d.reviewUntil = max(d.reviewUntil, d.judgeFrom+reviewTime)
+	d.decideFrom = now + takeoverDelay
+	clear(d.sentEarly)
+	d.reviewUntil = max(d.reviewUntil, d.decideFrom+reviewPeriod)
 	// Held requests are loaded first: later crashes happened without them.
 	names := slices.SortedFunc(maps.Keys(current.Quarantines), func(a, b string) int {
 		return cmp.Or(-compareHeld(current.Quarantines[a], current.Quarantines[b]), cmp.Compare(a, b))
@@ -186,10 +186,10 @@
 		})
 		d.table.SetHeld(fingerprint, known.Spec.State == api.QuarantineHeld)
 		if known.Spec.State == api.QuarantineWatched && d.table.IsSuspect(now, fingerprint) {
-			d.alert(known.Spec.Service, now)
+			d.raiseAlert(known.Spec.Service, now)
 		}
 	}
-	d.recallSuspects(current, now, wall)
+	d.loadSuspects(current, now, wall)
 	return true
 }
 
@@ -209,8 +209,8 @@
 	return quarantine.About{Service: spec.Service, Route: spec.Route, Request: spec.Request}
 }
 
-// weakOf returns the recorded replicas whose crashes are weak evidence.
-func weakOf(replicas, weak []string) []string {
+// filterWeak returns the recorded replicas whose crashes are weak evidence.
+func filterWeak(replicas, weak []string) []string {
 	var found []string
 	for _, replica := range replicas {
 		if slices.Contains(weak, replica) {
@@ -228,26 +228,26 @@
 			merged = append(merged, name)
 		}
 	}
-	return merged[max(0, len(merged)-maxRecordedEnds):]
+	return merged[max(0, len(merged)-maxRecordedReplicas):]
 }
 
-// newEntry returns the entry of a request that is not in the record yet. Unless a trial is due,
+// newEntry returns the entry of a request that is not in the newEntry yet. Unless a trial is due,
 // the request is watched first, however many replicas have crashed, since proxies that know of it
 // report when it is served; a request that was merely in flight during the crashes will be.
-func (d *quarantineDesk) record(current *view.View, fingerprint quarantine.Fingerprint, now time.Duration, wall time.Time) api.Object {
+func (d *quarantineTracker) newEntry(current *view.View, fingerprint quarantine.Fingerprint, now time.Duration, wall time.Time) api.Object {
 	replicas, about := d.table.Ends(fingerprint)
 	spec := api.QuarantineSpec{
 		State: api.QuarantineWatched, Service: about.Service, Route: about.Route, Request: about.Request,
-		Replicas: replicas, Weak: weakOf(replicas, d.table.Weak(fingerprint)), Since: d.since(fingerprint, now, wall), Until: wall.Add(watchTime).UnixMilli(),
+		Replicas: replicas, Weak: filterWeak(replicas, d.table.Weak(fingerprint)), Since: d.firstCrashAt(fingerprint, now, wall), Until: wall.Add(watchDuration).UnixMilli(),
 	}
-	if d.hasHeard(now) && d.isToTry(current, fingerprint) {
-		d.tryOrSettle(&spec, fingerprint, now, wall)
+	if d.hasInitialReports(now) && d.needsTrial(current, fingerprint) {
+		d.startTrialOrSettle(&spec, fingerprint, now, wall)
 	}
 	return quarantineObject(fingerprint.String(), spec)
 }
 
 // firstCrashAt returns the wall-clock time of the first crash under a request, in milliseconds.
-func (d *quarantineDesk) since(fingerprint quarantine.Fingerprint, now time.Duration, wall time.Time) int64 {
+func (d *quarantineTracker) firstCrashAt(fingerprint quarantine.Fingerprint, now time.Duration, wall time.Time) int64 {
 	first, found := d.table.FirstEnd(fingerprint)
 	if !found {
 		return wall.UnixMilli()
--- a/process/control/quarantine_settling_test.go
+++ b/process/control/quarantine_settling_test.go
@@ -13,58 +13,58 @@
 // Guards against starting a trial of a request that is about to be held. A request with three
 // crashes at different moments was given a trial while only late reports were awaited, and the
 // trial crashed a fourth replica 0.1 s before the hold (soak seed 9231).
-func TestNoTrialBetweenTheLastEndAndTheVerdict(t *testing.T) {
-	begin := func() *deskTest {
-		d := newDeskTest(t)
-		d.route(nil)
+func TestNoTrialOfRequestAboutToBeHeld(t *testing.T) {
+	begin := func() *trackerTest {
+		d := newTrackerTest(t)
+		d.addService(nil)
 		for i, replica := range []string{"r-0", "r-1", "r-2"} {
 			must.NotEq(t, api.QuarantineSettling, d.state(), must.Sprint(i, " ends"))
-			d.desk.note(endsOf(fatalRequest, replica), d.now)
-			d.pass(1, 50*time.Millisecond)
+			d.tracker.note(crashReport(fatalRequest, replica), d.now)
+			d.step(1, 50*time.Millisecond)
 		}
 		must.Eq(t, api.QuarantineSettling, d.state())
 		return d
 	}
 	t.Run("held", func(t *testing.T) {
 		d := begin()
-		d.pass(1, 300*time.Millisecond)
+		d.step(1, 300*time.Millisecond)
 		must.Eq(t, api.QuarantineHeld, d.state())
 	})
 	t.Run("one of its replicas is alive", func(t *testing.T) {
 		d := begin()
-		d.desk.note(feed.EndReport{Alive: []quarantine.Alive{{Replica: "r-1", For: quarantine.Ever}}}, d.now)
-		d.pass(1, 50*time.Millisecond)
+		d.tracker.note(feed.EndReport{Alive: []quarantine.Alive{{Replica: "r-1", For: quarantine.Ever}}}, d.now)
+		d.step(1, 50*time.Millisecond)
 		must.Eq(t, api.QuarantineWatched, d.state())
 	})
 	t.Run("another request explains the crashes", func(t *testing.T) {
 		d := begin()
 		other := quarantine.Of(quarantine.Identity{Path: "/other"})
-		d.desk.note(endsOf(other, "r-0", "r-1", "r-2", "r-3", "r-4"), d.now)
-		d.pass(1, 300*time.Millisecond)
+		d.tracker.note(crashReport(other, "r-0", "r-1", "r-2", "r-3", "r-4"), d.now)
+		d.step(1, 300*time.Millisecond)
 		must.NotEq(t, api.QuarantineSettling, d.state())
 		must.NotEq(t, api.QuarantineHeld, d.state())
 	})
 	t.Run("under a new leader", func(t *testing.T) {
 		d := begin()
-		d.desk = newQuarantineDesk()
-		d.pass(2, 50*time.Millisecond)
+		d.tracker = newQuarantineTracker()
+		d.step(2, 50*time.Millisecond)
 		must.Eq(t, api.QuarantineSettling, d.state(), must.Sprint("no proxy tries it meanwhile"))
-		d.pass(2, takeOverTime)
+		d.step(2, takeoverDelay)
 		must.Eq(t, api.QuarantineHeld, d.state())
 	})
 }
 
 // After a trial that crashed one more replica, no further trial starts before the decision.
-func TestTrialThatEndedOneMoreIsTheLast(t *testing.T) {
-	d := newDeskTest(t)
-	d.route(nil)
-	d.desk.note(atOnce(fatalRequest, "a", "b", "c"), d.now)
-	d.pass(1, 50*time.Millisecond)
+func TestNoTrialAfterCrashInTrial(t *testing.T) {
+	d := newTrackerTest(t)
+	d.addService(nil)
+	d.tracker.note(simultaneousCrashReport(fatalRequest, "a", "b", "c"), d.now)
+	d.step(1, 50*time.Millisecond)
 	must.Eq(t, api.QuarantineTried, d.state())
-	d.pass(1, time.Second)
-	d.desk.note(endsOf(fatalRequest, "a-again"), d.now)
-	d.pass(1, 50*time.Millisecond)
+	d.step(1, time.Second)
+	d.tracker.note(crashReport(fatalRequest, "a-again"), d.now)
+	d.step(1, 50*time.Millisecond)
 	must.Eq(t, api.QuarantineSettling, d.state())
-	d.pass(1, 300*time.Millisecond)
+	d.step(1, 300*time.Millisecond)
 	must.Eq(t, api.QuarantineHeld, d.state())
 }
--- a/process/control/quarantine_states.go
+++ b/process/control/quarantine_states.go
@@ -10,62 +10,62 @@
 )
 
 // advance moves an entry to the state that follows from what is known.
-func (d *quarantineDesk) advance(spec *api.QuarantineSpec, fingerprint quarantine.Fingerprint, current *view.View, now time.Duration, wall time.Time) {
+func (d *quarantineTracker) advance(spec *api.QuarantineSpec, fingerprint quarantine.Fingerprint, current *view.View, now time.Duration, wall time.Time) {
 	standing := d.table.Standing(now, fingerprint)
-	isHarmful := standing == quarantine.Condemned && d.hasHeard(now)
+	isHarmful := standing == quarantine.Condemned && d.hasInitialReports(now)
 	switch spec.State {
 	case api.QuarantineTried:
 		switch {
 		case isHarmful:
-			hold(spec, wall)
+			startHold(spec, wall)
 		case d.isAboutToBeHeld(fingerprint, now):
-			settle(spec, wall)
-		case isTriedOut(spec, wall), spec.EndedAtOnce() && !d.isToTry(current, fingerprint):
-			watch(spec, wall) // it comes rarely, or was merely in flight beside a request that is now held
-		case hasLapsed(spec, wall):
-			try(spec, wall)
+			startSettling(spec, wall)
+		case isTrialOver(spec, wall), spec.EndedAtOnce() && !d.needsTrial(current, fingerprint):
+			startWatch(spec, wall) // it comes rarely, or was merely in flight beside a request that is now held
+		case isExpired(spec, wall):
+			startTrialTurn(spec, wall)
 		}
 	case api.QuarantineSettling:
 		switch {
 		case isHarmful:
-			hold(spec, wall)
-		case d.isAboutToBeHeld(fingerprint, now), !d.hasHeard(now):
-		case d.isToTry(current, fingerprint):
-			try(spec, wall)
+			startHold(spec, wall)
+		case d.isAboutToBeHeld(fingerprint, now), !d.hasInitialReports(now):
+		case d.needsTrial(current, fingerprint):
+			startTrialTurn(spec, wall)
 		default:
-			watch(spec, wall)
+			startWatch(spec, wall)
 		}
 	case api.QuarantineWatched:
 		switch {
-		case standing != quarantine.Condemned && d.hasHeard(now) && d.isToTry(current, fingerprint):
-			d.tryOrSettle(spec, fingerprint, now, wall)
+		case standing != quarantine.Condemned && d.hasInitialReports(now) && d.needsTrial(current, fingerprint):
+			d.startTrialOrSettle(spec, fingerprint, now, wall)
 		case isHarmful:
-			hold(spec, wall)
+			startHold(spec, wall)
 		}
 	case api.QuarantineHeld:
 		switch {
-		case hasLapsed(spec, wall):
+		case isExpired(spec, wall):
 			d.endHold(spec, fingerprint, current, now, wall)
 		case d.isMistaken(spec, fingerprint, standing):
-			watch(spec, wall)
+			startWatch(spec, wall)
 		}
 	}
 }
 
 // isMistaken reports whether a hold is unfounded: another request explains the crashes, or too
 // few of the replicas have crashed because some turned out to be alive.
-func (d *quarantineDesk) isMistaken(spec *api.QuarantineSpec, fingerprint quarantine.Fingerprint, standing quarantine.Standing) bool {
+func (d *quarantineTracker) isMistaken(spec *api.QuarantineSpec, fingerprint quarantine.Fingerprint, standing quarantine.Standing) bool {
 	heard, _ := d.table.Ends(fingerprint)
-	isExplained := len(heard) >= endsToHold(spec) && standing == quarantine.Watched
-	return isExplained || len(spec.Replicas) < endsToHold(spec)
+	isExplained := len(heard) >= crashesToHold(spec) && standing == quarantine.Watched
+	return isExplained || len(spec.Replicas) < crashesToHold(spec)
 }
 
 // endHold ends an expired hold. Only as many crashes are kept that one more shows whether the
 // request still crashes replicas.
-func (d *quarantineDesk) endHold(spec *api.QuarantineSpec, fingerprint quarantine.Fingerprint, current *view.View, now time.Duration, wall time.Time) {
-	watch(spec, wall)
+func (d *quarantineTracker) endHold(spec *api.QuarantineSpec, fingerprint quarantine.Fingerprint, current *view.View, now time.Duration, wall time.Time) {
+	startWatch(spec, wall)
 	if routedService(current, spec.Service) != nil {
-		try(spec, wall)
+		startTrialTurn(spec, wall)
 	}
 	spec.Alone, spec.Weak = false, nil
 	spec.Replicas = spec.Replicas[len(spec.Replicas)-quarantine.WatchedEnds:]
@@ -73,18 +73,18 @@
 }
 
 // startWatch lets a request run and waits for its next crash.
-func watch(spec *api.QuarantineSpec, wall time.Time) {
+func startWatch(spec *api.QuarantineSpec, wall time.Time) {
 	spec.State, spec.TriedSince = api.QuarantineWatched, 0
-	spec.Until = wall.Add(watchTime).UnixMilli()
+	spec.Until = wall.Add(watchDuration).UnixMilli()
 }
 
 // isTrialOver reports whether a request was tried for trialDuration without a crash or an answer.
-func isTriedOut(spec *api.QuarantineSpec, wall time.Time) bool {
-	return spec.State == api.QuarantineTried && wall.Sub(time.UnixMilli(spec.TriedSince)) >= tryTime
+func isTrialOver(spec *api.QuarantineSpec, wall time.Time) bool {
+	return spec.State == api.QuarantineTried && wall.Sub(time.UnixMilli(spec.TriedSince)) >= trialDuration
 }
 
 // crashesToHold returns how many crashed replicas a held request must have to stay held.
-func endsToHold(spec *api.QuarantineSpec) int {
+func crashesToHold(spec *api.QuarantineSpec) int {
 	if spec.Alone {
 		return quarantine.WatchedEnds
 	}
@@ -92,10 +92,10 @@
 }
 
 // startHold holds a request from now on.
-func hold(spec *api.QuarantineSpec, wall time.Time) {
-	length := longestHold
+func startHold(spec *api.QuarantineSpec, wall time.Time) {
+	length := maxHoldDuration
 	if spec.Times < 2 {
-		length = firstHold << spec.Times
+		length = firstHoldDuration << spec.Times
 	}
 	spec.State, spec.TriedSince = api.QuarantineHeld, 0
 	spec.Times++
@@ -104,45 +104,45 @@
 
 // startTrialOrSettle starts a trial of a request, unless the request is about to be held: a trial
 // would crash one more replica for nothing.
-func (d *quarantineDesk) tryOrSettle(spec *api.QuarantineSpec, fingerprint quarantine.Fingerprint, now time.Duration, wall time.Time) {
+func (d *quarantineTracker) startTrialOrSettle(spec *api.QuarantineSpec, fingerprint quarantine.Fingerprint, now time.Duration, wall time.Time) {
 	if d.isAboutToBeHeld(fingerprint, now) {
-		settle(spec, wall)
+		startSettling(spec, wall)
 		return
 	}
-	try(spec, wall)
+	startTrialTurn(spec, wall)
 }
 
 // isAboutToBeHeld reports whether a request will be held unless reports that are still expected
 // clear it.
-func (d *quarantineDesk) isAboutToBeHeld(fingerprint quarantine.Fingerprint, now time.Duration) bool {
-	return d.hasHeard(now) && d.table.IsConvicted(fingerprint)
+func (d *quarantineTracker) isAboutToBeHeld(fingerprint quarantine.Fingerprint, now time.Duration) bool {
+	return d.hasInitialReports(now) && d.table.IsConvicted(fingerprint)
 }
 
 // hasInitialReports reports whether proxies have had time to report to this leader what they
 // know. Until then it neither holds a request nor starts a trial, which refuses all copies but
 // one: crashes and the successful answers that refute them are reported in any order.
-func (d *quarantineDesk) hasHeard(now time.Duration) bool { return now >= d.judgeFrom }
+func (d *quarantineTracker) hasInitialReports(now time.Duration) bool { return now >= d.decideFrom }
 
 // startSettling keeps a request away from all replicas until the decision, which is made within
 // one turn.
-func settle(spec *api.QuarantineSpec, wall time.Time) {
+func startSettling(spec *api.QuarantineSpec, wall time.Time) {
 	if spec.State != api.QuarantineSettling {
 		spec.State = api.QuarantineSettling
-		spec.Until = wall.Add(tryTurn).UnixMilli()
+		spec.Until = wall.Add(trialTurn).UnixMilli()
 	}
 }
 
 // startTrialTurn starts the next proxy's turn.
-func try(spec *api.QuarantineSpec, wall time.Time) {
+func startTrialTurn(spec *api.QuarantineSpec, wall time.Time) {
 	spec.State = api.QuarantineTried
 	if spec.TriedSince == 0 {
 		spec.TriedSince = wall.UnixMilli()
 	}
-	spec.Until = wall.Add(tryTurn).UnixMilli()
+	spec.Until = wall.Add(trialTurn).UnixMilli()
 }
 
 // needsTrial reports whether a request is to be tried by one proxy at a time.
-func (d *quarantineDesk) isToTry(current *view.View, fingerprint quarantine.Fingerprint) bool {
+func (d *quarantineTracker) needsTrial(current *view.View, fingerprint quarantine.Fingerprint) bool {
 	_, about := d.table.Ends(fingerprint)
 	routed := routedService(current, about.Service)
 	// Where requests are placed, the board isolates suspects.
--- a/process/control/quarantine_suspects.go
+++ b/process/control/quarantine_suspects.go
@@ -23,26 +23,26 @@
 const (
 	// suspectRecordDuration is how long a single crash is recorded: callers retry failed requests
 	// within seconds, and all processes have restarted within some more.
-	suspectRecordTime = time.Minute
-	maxSuspects       = 32
+	suspectRecordDuration = time.Minute
+	maxSuspects           = 32
 )
 
 // recordSuspects adds the single crashes that are not recorded yet, the latest first.
-func (d *quarantineDesk) recordSuspects(seen *state.Observe, current *view.View, now time.Duration, wall time.Time) {
+func (d *quarantineTracker) recordSuspects(seen *state.Observe, current *view.View, now time.Duration, wall time.Time) {
 	left := maxSuspects - len(current.Suspects)
 	for _, fingerprint := range d.table.Lone(now) {
 		if left <= 0 {
 			return
 		}
 		name := fingerprint.String()
-		if current.Suspects[name] != nil || current.Quarantines[name] != nil || d.isToTry(current, fingerprint) {
+		if current.Suspects[name] != nil || current.Quarantines[name] != nil || d.needsTrial(current, fingerprint) {
 			continue
 		}
 		left--
 		replicas, about := d.table.Ends(fingerprint)
 		seen.Put = append(seen.Put, api.Object{Suspect: &api.Suspect{Metadata: api.Metadata{Name: name}, Spec: api.SuspectSpec{
 			Service: about.Service, Route: about.Route, Request: about.Request, Replica: replicas[0],
-			EndedAt: d.since(fingerprint, now, wall), Until: wall.Add(suspectRecordTime).UnixMilli(),
+			EndedAt: d.firstCrashAt(fingerprint, now, wall), Until: wall.Add(suspectRecordDuration).UnixMilli(),
 		}}})
 	}
 }
@@ -50,7 +50,7 @@
 // reviewSuspects removes the suspects that are expired, refuted or recorded as quarantines from
 // the record. This leader keeps what it knows of them: the record only holds what would be lost
 // between leaders.
-func (d *quarantineDesk) reviewSuspects(seen *state.Observe, current *view.View, refuted *refutations, now time.Duration, wall time.Time) {
+func (d *quarantineTracker) reviewSuspects(seen *state.Observe, current *view.View, refuted *refutations, now time.Duration, wall time.Time) {
 	for _, name := range slices.Sorted(maps.Keys(current.Suspects)) {
 		fingerprint, ok := quarantine.Parse(name)
 		isOver := wall.UnixMilli() >= current.Suspects[name].Spec.Until
@@ -64,7 +64,7 @@
 // loadSuspects loads the recorded single crashes into the table when this member becomes leader.
 // The run is assumed to have lasted long enough to have been interrupted by the cause of any
 // other crash at that moment.
-func (d *quarantineDesk) recallSuspects(current *view.View, now time.Duration, wall time.Time) {
+func (d *quarantineTracker) loadSuspects(current *view.View, now time.Duration, wall time.Time) {
 	for name, known := range current.Suspects {
 		fingerprint, ok := quarantine.Parse(name)
 		if !ok {
--- a/process/control/quarantine_suspects_test.go
+++ b/process/control/quarantine_suspects_test.go
@@ -15,27 +15,27 @@
 // request had crashed three replicas: the first crash was known to a leader that kept it in
 // memory, the others to proxies that were killed as well. It then crashed four more before it was
 // held (soak seed 9231).
-func TestOneEndOutlastsAllProcesses(t *testing.T) {
-	d := newDeskTest(t)
-	d.desk.note(endsOf(fatalRequest, "r-0"), d.now)
-	d.pass(1, 50*time.Millisecond)
+func TestSingleCrashSurvivesLossOfAllProcesses(t *testing.T) {
+	d := newTrackerTest(t)
+	d.tracker.note(crashReport(fatalRequest, "r-0"), d.now)
+	d.step(1, 50*time.Millisecond)
 	must.Eq(t, "", d.state())
 	must.Eq(t, "r-0", d.suspect())
-	d.desk = newQuarantineDesk() // simulates the loss of everything in memory
-	d.pass(2, 5*time.Second)
-	d.desk.note(endsOf(fatalRequest, "r-1"), d.now)
-	d.pass(2, time.Second)
+	d.tracker = newQuarantineTracker() // simulates the loss of everything in memory
+	d.step(2, 5*time.Second)
+	d.tracker.note(crashReport(fatalRequest, "r-1"), d.now)
+	d.step(2, time.Second)
 	must.Eq(t, api.QuarantineWatched, d.state())
 	must.Eq(t, []string{"r-0", "r-1"}, d.machine.View().Quarantines[fatalRequest.String()].Spec.Replicas)
 	must.Eq(t, "", d.suspect(), must.Sprint("it is recorded as a quarantine instead"))
-	d.desk.note(endsOf(fatalRequest, "r-2"), d.now)
-	d.pass(2, time.Second)
+	d.tracker.note(crashReport(fatalRequest, "r-2"), d.now)
+	d.step(2, time.Second)
 	must.Eq(t, api.QuarantineHeld, d.state())
 }
 
 // suspect returns the replica recorded as the single crash under the fatal request, or an empty
 // string.
-func (d *deskTest) suspect() string {
+func (d *trackerTest) suspect() string {
 	known := d.machine.View().Suspects[fatalRequest.String()]
 	if known == nil {
 		return ""
@@ -45,112 +45,112 @@
 
 // A single crash leaves the record when it expires, its replica is alive or the request was
 // served. An expired one stays known to the leader.
-func TestSuspectLeavesTheRecord(t *testing.T) {
-	begin := func() *deskTest {
-		d := newDeskTest(t)
-		d.desk.note(endsOf(fatalRequest, "r-0"), d.now)
-		d.pass(1, 50*time.Millisecond)
+func TestSuspectIsRemovedFromRecord(t *testing.T) {
+	begin := func() *trackerTest {
+		d := newTrackerTest(t)
+		d.tracker.note(crashReport(fatalRequest, "r-0"), d.now)
+		d.step(1, 50*time.Millisecond)
 		must.Eq(t, "r-0", d.suspect())
 		return d
 	}
 	t.Run("served", func(t *testing.T) {
 		d := begin()
-		d.desk.note(feed.EndReport{Served: []quarantine.Fingerprint{fatalRequest}}, d.now)
-		d.pass(1, 50*time.Millisecond)
+		d.tracker.note(feed.EndReport{Served: []quarantine.Fingerprint{fatalRequest}}, d.now)
+		d.step(1, 50*time.Millisecond)
 		must.Eq(t, "", d.suspect())
 	})
 	t.Run("its replica is alive", func(t *testing.T) {
 		d := begin()
-		d.desk = newQuarantineDesk()
-		d.desk.note(feed.EndReport{Alive: []quarantine.Alive{{Replica: "r-0", For: quarantine.Ever}}}, d.now)
-		d.pass(2, 50*time.Millisecond)
+		d.tracker = newQuarantineTracker()
+		d.tracker.note(feed.EndReport{Alive: []quarantine.Alive{{Replica: "r-0", For: quarantine.Ever}}}, d.now)
+		d.step(2, 50*time.Millisecond)
 		must.Eq(t, "", d.suspect())
 	})
 	t.Run("expired", func(t *testing.T) {
 		d := begin()
-		d.pass(1, suspectRecordTime)
+		d.step(1, suspectRecordDuration)
 		must.Eq(t, "", d.suspect())
-		d.pass(1, time.Second)
+		d.step(1, time.Second)
 		must.Eq(t, "", d.suspect())
-		d.desk.note(endsOf(fatalRequest, "r-1"), d.now)
-		d.pass(1, time.Second)
+		d.tracker.note(crashReport(fatalRequest, "r-1"), d.now)
+		d.step(1, time.Second)
 		must.Eq(t, api.QuarantineWatched, d.state())
 	})
 }
 
 // Replicas that crashed at one moment count as one crash, even if the next leader learns of one
 // from the record and of another from a report.
-func TestRecordedEndIsOneWithThoseOfItsMoment(t *testing.T) {
-	d := newDeskTest(t)
-	d.desk.note(atOnce(fatalRequest, "a", "b"), d.now)
-	d.pass(1, 50*time.Millisecond)
+func TestRecordedAndReportedSimultaneousCrashesCountOnce(t *testing.T) {
+	d := newTrackerTest(t)
+	d.tracker.note(simultaneousCrashReport(fatalRequest, "a", "b"), d.now)
+	d.step(1, 50*time.Millisecond)
 	must.Eq(t, "a", d.suspect())
-	d.desk = newQuarantineDesk()
+	d.tracker = newQuarantineTracker()
 	d.now += time.Second
 	d.wall = d.wall.Add(time.Second)
-	again := atOnce(fatalRequest, "b")
+	again := simultaneousCrashReport(fatalRequest, "b")
 	again.Ended[0].Age = 1050 * time.Millisecond
-	d.desk.note(again, d.now)
-	d.pass(2, 0)
-	d.pass(2, 2*time.Second)
+	d.tracker.note(again, d.now)
+	d.step(2, 0)
+	d.step(2, 2*time.Second)
 	must.Eq(t, "", d.state())
 	must.Eq(t, "a", d.suspect())
 }
 
 // A request that had returned events, that was only in prefill, or whose replica still listens is
 // not recorded. When a whole rack is lost, the number of recorded suspects stays limited.
-func TestRecordOfSuspectsIsBounded(t *testing.T) {
-	d := newDeskTest(t)
+func TestRecordedSuspectsAreLimited(t *testing.T) {
+	d := newTrackerTest(t)
 	for _, change := range []func(*quarantine.Evidence){
 		func(seen *quarantine.Evidence) { seen.Began = true },
 		func(seen *quarantine.Evidence) { seen.Read = true },
 		func(seen *quarantine.Evidence) { seen.Listens = true },
 	} {
-		report := endsOf(fatalRequest, "r-0")
+		report := crashReport(fatalRequest, "r-0")
 		change(&report.Ended[0].Evidence)
-		d.desk.note(report, d.now)
-		d.pass(1, time.Second)
+		d.tracker.note(report, d.now)
+		d.step(1, time.Second)
 		must.Eq(t, "", d.suspect())
-		d.desk = newQuarantineDesk()
+		d.tracker = newQuarantineTracker()
 	}
 	for i := range 10 * maxSuspects {
-		d.desk.note(endsOf(quarantine.Of(quarantine.Identity{Path: fmt.Sprint(i)}), fmt.Sprint("rack-", i%9)), d.now)
+		d.tracker.note(crashReport(quarantine.Of(quarantine.Identity{Path: fmt.Sprint(i)}), fmt.Sprint("rack-", i%9)), d.now)
 	}
 	for range 3 {
-		d.pass(1, time.Second)
+		d.step(1, time.Second)
 		must.MapLen(t, maxSuspects, d.machine.View().Suspects)
 	}
 }
 
 // Weak evidence stays weak under the next leader, whether it is reported again or not, and
 // whether the report or the record comes first.
-func TestNextLeaderWeighsEndsAlike(t *testing.T) {
+func TestWeakEvidenceStaysWeakUnderNextLeader(t *testing.T) {
 	popular := func() feed.EndReport {
-		report := endsOf(fatalRequest, "r-0", "r-1", "r-2", "r-3")
+		report := crashReport(fatalRequest, "r-0", "r-1", "r-2", "r-3")
 		report.Ended[0].Began = true
 		report.Ended[1].Listens = true
 		report.Ended[2].Read = true
 		return report
 	}
-	for name, tell := range map[string]func(d *deskTest){
-		"not reported again":                   func(*deskTest) {},
-		"reported before the record is loaded": func(d *deskTest) { d.desk.note(popular(), d.now) },
-		"reported after the record is loaded": func(d *deskTest) {
-			d.pass(2, 0)
-			d.desk.note(popular(), d.now)
+	for name, tell := range map[string]func(d *trackerTest){
+		"not reported again":                   func(*trackerTest) {},
+		"reported before the record is loaded": func(d *trackerTest) { d.tracker.note(popular(), d.now) },
+		"reported after the record is loaded": func(d *trackerTest) {
+			d.step(2, 0)
+			d.tracker.note(popular(), d.now)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			d := newDeskTest(t)
-			d.desk.note(popular(), d.now)
-			d.settle(1)
+			d := newTrackerTest(t)
+			d.tracker.note(popular(), d.now)
+			d.reviewTwice(1)
 			must.Eq(t, api.QuarantineWatched, d.state())
 			must.Eq(t, []string{"r-0", "r-1", "r-2"}, d.machine.View().Quarantines[fatalRequest.String()].Spec.Weak)
-			d.desk = newQuarantineDesk()
+			d.tracker = newQuarantineTracker()
 			tell(d)
-			d.pass(2, 0)
-			d.pass(2, 2*takeOverTime)
-			d.pass(2, time.Second)
+			d.step(2, 0)
+			d.step(2, 2*takeoverDelay)
+			d.step(2, time.Second)
 			must.Eq(t, api.QuarantineWatched, d.state())
 		})
 	}
--- a/process/control/quarantine_test.go
+++ b/process/control/quarantine_test.go
@@ -20,7 +20,7 @@
 var fatalRequest = quarantine.Of(quarantine.Identity{Path: "/fatal"})
 
 // crashReport returns a report that the replicas crashed under a request.
-func endsOf(fingerprint quarantine.Fingerprint, replicas ...string) feed.EndReport {
+func crashReport(fingerprint quarantine.Fingerprint, replicas ...string) feed.EndReport {
 	var report feed.EndReport
 	for _, replica := range replicas {
 		report.Ended = append(report.Ended, quarantine.Aged{Evidence: quarantine.Evidence{
@@ -31,39 +31,39 @@
 }
 
 // trackerTest drives a quarantineTracker with a state machine in place of a Raft group.
-type deskTest struct {
+type trackerTest struct {
 	t       *testing.T
-	desk    *quarantineDesk
+	tracker *quarantineTracker
 	machine *state.Machine
 	index   uint64
 	now     time.Duration
 	wall    time.Time
 }
 
-func newDeskTest(t *testing.T) *deskTest {
-	d := &deskTest{t: t, desk: newQuarantineDesk(), machine: state.New(), wall: time.Unix(1_700_000_000, 0)}
-	d.settle(1) // proxies have reported what they know
+func newTrackerTest(t *testing.T) *trackerTest {
+	d := &trackerTest{t: t, tracker: newQuarantineTracker(), machine: state.New(), wall: time.Unix(1_700_000_000, 0)}
+	d.reviewTwice(1) // proxies have reported what they know
 	return d
 }
 
 // step advances the time and commits the result of a review in the given term.
-func (d *deskTest) pass(term uint64, took time.Duration) {
+func (d *trackerTest) step(term uint64, took time.Duration) {
 	d.now += took
 	d.wall = d.wall.Add(took)
-	seen, _ := d.desk.review(term, d.machine.View(), d.now, d.wall)
+	seen, _ := d.tracker.review(term, d.machine.View(), d.now, d.wall)
 	d.index++
 	d.machine.Apply(term, d.index, state.Command{Kind: state.CommandObserve, Observe: &seen})
 }
 
 // reviewTwice advances the time by two seconds, with a review after each, so that a request can
 // be recorded as watched and then held.
-func (d *deskTest) settle(term uint64) {
-	d.pass(term, time.Second)
-	d.pass(term, time.Second)
+func (d *trackerTest) reviewTwice(term uint64) {
+	d.step(term, time.Second)
+	d.step(term, time.Second)
 }
 
 // state returns the recorded state of the fatal request, empty if it is not recorded.
-func (d *deskTest) state() api.QuarantineState {
+func (d *trackerTest) state() api.QuarantineState {
 	known := d.machine.View().Quarantines[fatalRequest.String()]
 	if known == nil {
 		return ""
@@ -71,56 +71,56 @@
 	return known.Spec.State
 }
 
-func TestThirdEndIsRecordedAsHeld(t *testing.T) {
-	d := newDeskTest(t)
+func TestThirdCrashIsRecordedAsHeld(t *testing.T) {
+	d := newTrackerTest(t)
 	for i, want := range []api.QuarantineState{"", api.QuarantineWatched, api.QuarantineHeld} {
-		d.desk.note(endsOf(fatalRequest, fmt.Sprint("r-", i)), d.now)
-		d.pass(1, time.Second)
+		d.tracker.note(crashReport(fatalRequest, fmt.Sprint("r-", i)), d.now)
+		d.step(1, time.Second)
 		must.Eq(t, want, d.state(), must.Sprint(i+1, " crashes"))
 	}
 	spec := d.machine.View().Quarantines[fatalRequest.String()].Spec
 	must.Eq(t, api.QuarantineSpec{
 		State: api.QuarantineHeld, Service: "s", Route: "r", Request: "q", Replicas: []string{"r-0", "r-1", "r-2"},
-		Since: d.wall.Add(-3 * time.Second).UnixMilli(), Until: d.wall.Add(firstHold).UnixMilli(), Times: 1,
+		Since: d.wall.Add(-3 * time.Second).UnixMilli(), Until: d.wall.Add(firstHoldDuration).UnixMilli(), Times: 1,
 	}, spec)
 }
 
 // A new leader on another machine continues from the record and the reports that it receives.
-func TestNextLeaderGoesOnFromTheRecord(t *testing.T) {
-	d := newDeskTest(t)
-	d.desk.note(endsOf(fatalRequest, "r-0", "r-1"), d.now)
-	d.pass(1, time.Second)
-	d.desk = newQuarantineDesk()
-	d.desk.note(endsOf(fatalRequest, "r-2"), d.now)
-	d.pass(2, time.Second)
+func TestNextLeaderContinuesFromRecord(t *testing.T) {
+	d := newTrackerTest(t)
+	d.tracker.note(crashReport(fatalRequest, "r-0", "r-1"), d.now)
+	d.step(1, time.Second)
+	d.tracker = newQuarantineTracker()
+	d.tracker.note(crashReport(fatalRequest, "r-2"), d.now)
+	d.step(2, time.Second)
 	must.Eq(t, api.QuarantineWatched, d.state(), must.Sprint("proxies may have more to report"))
-	d.pass(2, takeOverTime)
+	d.step(2, takeoverDelay)
 	must.Eq(t, api.QuarantineHeld, d.state())
-	d.desk = newQuarantineDesk()
-	d.pass(3, time.Second)
+	d.tracker = newQuarantineTracker()
+	d.step(3, time.Second)
 	must.Eq(t, api.QuarantineHeld, d.state())
 }
 
 // An expired hold of a service without a route turns into a watch. One more crash renews the hold
 // for twice as long, and a watch without a crash expires.
-func TestHoldLapsesAndDoubles(t *testing.T) {
-	d := newDeskTest(t)
-	d.desk.note(endsOf(fatalRequest, "r-0", "r-1", "r-2"), d.now)
-	d.pass(1, time.Second)
+func TestHoldExpiresAndDoubles(t *testing.T) {
+	d := newTrackerTest(t)
+	d.tracker.note(crashReport(fatalRequest, "r-0", "r-1", "r-2"), d.now)
+	d.step(1, time.Second)
 	must.Eq(t, api.QuarantineWatched, d.state(), must.Sprint("proxies that serve it can report that"))
-	d.pass(1, time.Second)
+	d.step(1, time.Second)
 	must.Eq(t, api.QuarantineHeld, d.state())
-	d.pass(1, firstHold-2*time.Second)
+	d.step(1, firstHoldDuration-2*time.Second)
 	must.Eq(t, api.QuarantineHeld, d.state())
-	d.pass(1, 3*time.Second)
+	d.step(1, 3*time.Second)
 	must.Eq(t, api.QuarantineWatched, d.state())
-	d.desk.note(endsOf(fatalRequest, "r-3"), d.now)
-	d.pass(1, time.Second)
+	d.tracker.note(crashReport(fatalRequest, "r-3"), d.now)
+	d.step(1, time.Second)
 	must.Eq(t, api.QuarantineHeld, d.state())
-	must.Eq(t, d.wall.Add(2*firstHold).UnixMilli(), d.machine.View().Quarantines[fatalRequest.String()].Spec.Until)
-	d.pass(1, 2*firstHold)
+	must.Eq(t, d.wall.Add(2*firstHoldDuration).UnixMilli(), d.machine.View().Quarantines[fatalRequest.String()].Spec.Until)
+	d.step(1, 2*firstHoldDuration)
 	must.Eq(t, api.QuarantineWatched, d.state())
-	d.pass(1, watchTime)
+	d.step(1, watchDuration)
 	must.Eq(t, "", d.state())
 }
 
@@ -128,90 +128,90 @@
 // hour, or a day when repeated, and were never tested. A hold of a routed service now lasts
 // minutes and is followed by a trial of one copy at a time: an answer frees the request, and one
 // more crash holds it again, for a day from the third hold on.
-func TestHoldOfMinutesEndsInATrial(t *testing.T) {
-	begin := func() *deskTest {
-		d := newDeskTest(t)
-		d.route(&api.ModelSheet{})
-		d.desk.note(endsOf(fatalRequest, "r-0", "r-1", "r-2"), d.now)
-		d.settle(1)
+func TestExpiredHoldIsFollowedByTrial(t *testing.T) {
+	begin := func() *trackerTest {
+		d := newTrackerTest(t)
+		d.addService(&api.ModelSheet{})
+		d.tracker.note(crashReport(fatalRequest, "r-0", "r-1", "r-2"), d.now)
+		d.reviewTwice(1)
 		must.Eq(t, api.QuarantineHeld, d.state())
-		d.pass(1, 5*time.Minute)
+		d.step(1, 5*time.Minute)
 		must.Eq(t, api.QuarantineTried, d.state())
 		return d
 	}
 	t.Run("answered", func(t *testing.T) {
 		d := begin()
-		d.desk.note(feed.EndReport{Served: []quarantine.Fingerprint{fatalRequest}}, d.now)
-		d.pass(1, time.Second)
+		d.tracker.note(feed.EndReport{Served: []quarantine.Fingerprint{fatalRequest}}, d.now)
+		d.step(1, time.Second)
 		must.Eq(t, "", d.state())
 	})
 	t.Run("crashes another replica, also under the next leader", func(t *testing.T) {
 		d := begin()
 		for times, length := range []time.Duration{10 * time.Minute, 24 * time.Hour, 24 * time.Hour} {
-			d.desk = newQuarantineDesk()
-			d.pass(uint64(times+2), time.Second)
-			d.pass(uint64(times+2), time.Second)
+			d.tracker = newQuarantineTracker()
+			d.step(uint64(times+2), time.Second)
+			d.step(uint64(times+2), time.Second)
 			must.Eq(t, api.QuarantineTried, d.state())
-			d.desk.note(endsOf(fatalRequest, fmt.Sprint("more-", times)), d.now)
-			d.pass(uint64(times+2), time.Second)
+			d.tracker.note(crashReport(fatalRequest, fmt.Sprint("more-", times)), d.now)
+			d.step(uint64(times+2), time.Second)
 			must.Eq(t, api.QuarantineHeld, d.state())
 			must.Eq(t, d.wall.Add(length).UnixMilli(), d.machine.View().Quarantines[fatalRequest.String()].Spec.Until)
-			d.pass(uint64(times+2), length)
+			d.step(uint64(times+2), length)
 			must.Eq(t, api.QuarantineTried, d.state())
 		}
 	})
 	t.Run("comes rarely", func(t *testing.T) {
 		d := begin()
-		d.pass(1, tryTime)
+		d.step(1, trialDuration)
 		must.Eq(t, api.QuarantineWatched, d.state(), must.Sprint("one more crash is enough"))
-		d.desk.note(endsOf(fatalRequest, "more"), d.now)
-		d.pass(1, time.Second)
+		d.tracker.note(crashReport(fatalRequest, "more"), d.now)
+		d.step(1, time.Second)
 		must.Eq(t, api.QuarantineHeld, d.state())
 	})
 }
 
 func TestRecordIsRefuted(t *testing.T) {
-	d := newDeskTest(t)
-	d.desk.note(endsOf(fatalRequest, "r-0", "r-1", "r-2"), d.now)
-	d.settle(1)
+	d := newTrackerTest(t)
+	d.tracker.note(crashReport(fatalRequest, "r-0", "r-1", "r-2"), d.now)
+	d.reviewTwice(1)
 	must.Eq(t, api.QuarantineHeld, d.state())
-	d.desk.note(feed.EndReport{Alive: []quarantine.Alive{{Replica: "r-1", For: quarantine.Ever}}}, d.now)
-	d.pass(1, time.Second)
+	d.tracker.note(feed.EndReport{Alive: []quarantine.Alive{{Replica: "r-1", For: quarantine.Ever}}}, d.now)
+	d.step(1, time.Second)
 	must.Eq(t, api.QuarantineWatched, d.state())
-	d.desk.note(feed.EndReport{Served: []quarantine.Fingerprint{fatalRequest}}, d.now)
-	d.pass(1, time.Second)
+	d.tracker.note(feed.EndReport{Served: []quarantine.Fingerprint{fatalRequest}}, d.now)
+	d.step(1, time.Second)
 	must.Eq(t, "", d.state())
 
-	d = newDeskTest(t)
-	d.desk.note(endsOf(fatalRequest, "r-0", "r-1"), d.now)
-	d.pass(1, time.Second)
-	d.desk.note(feed.EndReport{Served: []quarantine.Fingerprint{fatalRequest}}, d.now)
-	_, refuted := d.desk.review(1, d.machine.View(), d.now, d.wall)
-	d.desk.takeBack(refuted, d.now) // it was not committed
-	d.pass(1, time.Second)
+	d = newTrackerTest(t)
+	d.tracker.note(crashReport(fatalRequest, "r-0", "r-1"), d.now)
+	d.step(1, time.Second)
+	d.tracker.note(feed.EndReport{Served: []quarantine.Fingerprint{fatalRequest}}, d.now)
+	_, refuted := d.tracker.review(1, d.machine.View(), d.now, d.wall)
+	d.tracker.restoreRefutations(refuted, d.now) // it was not committed
+	d.step(1, time.Second)
 	must.Eq(t, "", d.state())
 }
 
 // A request that was served stays cleared for a while after it left the record, since it may well
 // be in flight at the next crashes too.
-func TestClearanceOutlastsTheRecord(t *testing.T) {
-	d := newDeskTest(t)
-	d.desk.note(endsOf(fatalRequest, "r-0", "r-1"), d.now)
-	d.pass(1, time.Second)
-	d.desk.note(feed.EndReport{Served: []quarantine.Fingerprint{fatalRequest}}, d.now)
-	d.pass(1, time.Second)
+func TestClearanceOutlastsRecordEntry(t *testing.T) {
+	d := newTrackerTest(t)
+	d.tracker.note(crashReport(fatalRequest, "r-0", "r-1"), d.now)
+	d.step(1, time.Second)
+	d.tracker.note(feed.EndReport{Served: []quarantine.Fingerprint{fatalRequest}}, d.now)
+	d.step(1, time.Second)
 	must.Eq(t, "", d.state())
-	d.desk.note(endsOf(fatalRequest, "r-2", "r-3"), d.now)
-	d.pass(1, time.Second)
+	d.tracker.note(crashReport(fatalRequest, "r-2", "r-3"), d.now)
+	d.step(1, time.Second)
 	must.Eq(t, "", d.state())
 }
 
 // A popular request that was in flight beside a harmful one, and then at one unrelated crash, is
 // not held. If it was held by mistake, it is released once the harmful request is identified.
 // Both cases were found by the soak test.
-func TestBystanderOfAHeldRequest(t *testing.T) {
+func TestRequestInFlightBesideHeldRequest(t *testing.T) {
 	popular := quarantine.Of(quarantine.Identity{Path: "/popular"})
-	stateOf := func(d *deskTest, fingerprint quarantine.Fingerprint) api.QuarantineState {
+	stateOf := func(d *trackerTest, fingerprint quarantine.Fingerprint) api.QuarantineState {
 		known := d.machine.View().Quarantines[fingerprint.String()]
 		if known == nil {
 			return ""
@@ -219,83 +219,83 @@
 		return known.Spec.State
 	}
 	began := func(replicas ...string) feed.EndReport {
-		report := endsOf(popular, replicas...)
+		report := crashReport(popular, replicas...)
 		for i := range report.Ended {
 			report.Ended[i].Began = i < 2
 		}
 		return report
 	}
-	d := newDeskTest(t)
-	d.desk.note(endsOf(fatalRequest, "r-0", "r-1", "r-2"), d.now)
-	d.desk.note(began("r-0", "r-1", "r-2"), d.now)
-	d.settle(1)
+	d := newTrackerTest(t)
+	d.tracker.note(crashReport(fatalRequest, "r-0", "r-1", "r-2"), d.now)
+	d.tracker.note(began("r-0", "r-1", "r-2"), d.now)
+	d.reviewTwice(1)
 	must.Eq(t, api.QuarantineHeld, d.state())
-	d.desk.note(endsOf(popular, "unrelated"), d.now)
-	d.settle(1)
+	d.tracker.note(crashReport(popular, "unrelated"), d.now)
+	d.reviewTwice(1)
 	must.Eq(t, api.QuarantineWatched, stateOf(d, popular))
 	must.Eq(t, api.QuarantineHeld, d.state())
 
-	d = newDeskTest(t)
-	d.desk.note(endsOf(popular, "r-0", "r-1", "r-2"), d.now)
-	d.settle(1)
+	d = newTrackerTest(t)
+	d.tracker.note(crashReport(popular, "r-0", "r-1", "r-2"), d.now)
+	d.reviewTwice(1)
 	must.Eq(t, api.QuarantineHeld, stateOf(d, popular))
-	d.desk.note(endsOf(fatalRequest, "r-0", "r-1", "r-2", "r-3", "r-4"), d.now)
-	d.settle(1)
+	d.tracker.note(crashReport(fatalRequest, "r-0", "r-1", "r-2", "r-3", "r-4"), d.now)
+	d.reviewTwice(1)
 	must.Eq(t, api.QuarantineHeld, d.state())
-	d.pass(1, 0)
+	d.step(1, 0)
 	must.Eq(t, api.QuarantineWatched, stateOf(d, popular))
 }
 
 // Reviews without new reports commit nothing, under the next leader as well. Guards against
 // alternating between states: a harmless request was held and released with each review, 375
 // times in one run (soak seed 9137).
-func TestLooksWithoutNewsCommitNothing(t *testing.T) {
+func TestReviewWithoutNewReportsCommitsNothing(t *testing.T) {
 	for seed := range uint64(300) {
 		random := rand.New(rand.NewPCG(seed, 1))
-		d := newDeskTest(t)
+		d := newTrackerTest(t)
 		for number := range 3 + random.IntN(10) {
 			for request := range 3 {
 				if random.IntN(5) < 2 {
 					continue
 				}
-				report := endsOf(quarantine.Of(quarantine.Identity{Path: fmt.Sprint(request)}), fmt.Sprint("r-", number))
+				report := crashReport(quarantine.Of(quarantine.Identity{Path: fmt.Sprint(request)}), fmt.Sprint("r-", number))
 				report.Ended[0].Alone, report.Ended[0].Began = random.IntN(6) == 0, random.IntN(4) == 0
-				d.desk.note(report, d.now)
+				d.tracker.note(report, d.now)
 			}
-			d.pass(1, time.Duration(random.IntN(3000))*time.Millisecond)
+			d.step(1, time.Duration(random.IntN(3000))*time.Millisecond)
 		}
 		for term := uint64(1); term < 3; term++ {
-			d.pass(term, 2*time.Second)
-			d.pass(term, 2*time.Second)
+			d.step(term, 2*time.Second)
+			d.step(term, 2*time.Second)
 			for range 5 {
-				seen, _ := d.desk.review(term, d.machine.View(), d.now, d.wall)
+				seen, _ := d.tracker.review(term, d.machine.View(), d.now, d.wall)
 				must.SliceEmpty(t, seen.Put, must.Sprintf("seed %d, term %d", seed, term))
-				d.pass(term, 10*time.Millisecond)
+				d.step(term, 10*time.Millisecond)
 			}
-			d.desk = newQuarantineDesk()
+			d.tracker = newQuarantineTracker()
 		}
 	}
 }
 
 func TestRecordIsBounded(t *testing.T) {
-	d := newDeskTest(t)
+	d := newTrackerTest(t)
 	for i := range 2 * maxQuarantines {
 		request := quarantine.Of(quarantine.Identity{Path: fmt.Sprint(i)})
-		d.desk.note(endsOf(request, fmt.Sprint("a-", i), fmt.Sprint("b-", i), fmt.Sprint("c-", i)), d.now)
+		d.tracker.note(crashReport(request, fmt.Sprint("a-", i), fmt.Sprint("b-", i), fmt.Sprint("c-", i)), d.now)
 	}
-	d.pass(1, time.Second)
-	d.pass(1, time.Second)
+	d.step(1, time.Second)
+	d.step(1, time.Second)
 	must.MapLen(t, maxQuarantines, d.machine.View().Quarantines)
 }
 
 // Without reports, a review returns immediately.
-func TestCalmReviewFindsNothing(t *testing.T) {
-	desk, current := newQuarantineDesk(), view.New()
+func TestIdleReviewDoesNothing(t *testing.T) {
+	desk, current := newQuarantineTracker(), view.New()
 	for i := range 1000 { // as after the failure of a rack
-		desk.note(endsOf(quarantine.Of(quarantine.Identity{Path: fmt.Sprint(i)}), "r-0"), 0)
+		desk.note(crashReport(quarantine.Of(quarantine.Identity{Path: fmt.Sprint(i)}), "r-0"), 0)
 	}
 	desk.review(1, current, 0, time.Time{})
-	calm := 2 * reviewTime
+	calm := 2 * reviewPeriod
 	seen, _ := desk.review(1, current, calm, time.Now())
 	must.Eq(t, state.Observe{}, seen)
 	must.Zero(t, testing.AllocsPerRun(100, func() { desk.review(1, current, calm, time.Time{}) }))
@@ -310,7 +310,7 @@
 	client, _ := g.follow("proxy-1")
 	_, other := g.follow("proxy-2")
 	eventually(t, "a subscription", client.Connected)
-	must.True(t, client.ReportEnds(endsOf(fatalRequest, "r-0", "r-1", "r-2")))
+	must.True(t, client.ReportEnds(crashReport(fatalRequest, "r-0", "r-1", "r-2")))
 	held := func() bool {
 		known := other.Load().Quarantines[fatalRequest.String()]
 		return known != nil && known.Spec.State == api.QuarantineHeld
@@ -336,27 +336,27 @@
 
 // From the second crash under a request on, the requests in flight at crashes are treated as
 // suspects. A single crash, or several at once as when a rack fails, raises no alert.
-func TestSeriesOfEndsRaisesAnAlert(t *testing.T) {
-	d := newDeskTest(t)
+func TestSeriesOfCrashesRaisesAlert(t *testing.T) {
+	d := newTrackerTest(t)
 	name := string(fatalRequest[:])
-	d.desk.note(endsOf(fatalRequest, "r-0"), d.now)
-	must.False(t, d.desk.isAlert("s", d.now))
+	d.tracker.note(crashReport(fatalRequest, "r-0"), d.now)
+	must.False(t, d.tracker.isAlert("s", d.now))
 	d.now += time.Second
-	d.desk.note(endsOf(fatalRequest, "r-1"), d.now)
-	must.True(t, d.desk.isAlert("s", d.now))
-	must.False(t, d.desk.isAlert("other", d.now))
-	must.True(t, d.desk.isSuspect(name, d.now))
-	must.False(t, d.desk.isSuspect("", d.now))
-	must.False(t, d.desk.isSuspect("another-request-", d.now))
-	must.False(t, d.desk.isAlert("s", d.now+alertTime))
-
-	d = newDeskTest(t)
-	rack := endsOf(fatalRequest, "r-0", "r-1", "r-2")
+	d.tracker.note(crashReport(fatalRequest, "r-1"), d.now)
+	must.True(t, d.tracker.isAlert("s", d.now))
+	must.False(t, d.tracker.isAlert("other", d.now))
+	must.True(t, d.tracker.isSuspect(name, d.now))
+	must.False(t, d.tracker.isSuspect("", d.now))
+	must.False(t, d.tracker.isSuspect("another-request-", d.now))
+	must.False(t, d.tracker.isAlert("s", d.now+alertDuration))
+
+	d = newTrackerTest(t)
+	rack := crashReport(fatalRequest, "r-0", "r-1", "r-2")
 	for i := range rack.Ended {
 		rack.Ended[i].Ran = time.Second
 	}
-	d.desk.note(rack, d.now)
-	must.False(t, d.desk.isAlert("s", d.now))
+	d.tracker.note(rack, d.now)
+	must.False(t, d.tracker.isAlert("s", d.now))
 }
 
 // Guards against ending the isolation of suspects while copies wait for it. A request with three
@@ -364,36 +364,36 @@
 // was free for that. The isolation ended 10 s after the last crash, and 11 waiting copies were
 // sent to replicas within 50 ms (deadly-two --vary --seed 892418633478, one run in ten). A
 // placement request of a suspect therefore extends the alert.
-func TestSuspectsAreKeptApartForAsLongAsTheyAsk(t *testing.T) {
-	d := newDeskTest(t)
+func TestPlacementRequestsOfSuspectsExtendAlert(t *testing.T) {
+	d := newTrackerTest(t)
 	name := string(fatalRequest[:])
-	d.desk.note(endsOf(fatalRequest, "r-0"), d.now)
+	d.tracker.note(crashReport(fatalRequest, "r-0"), d.now)
 	d.now += time.Second
-	d.desk.note(endsOf(fatalRequest, "r-1"), d.now)
+	d.tracker.note(crashReport(fatalRequest, "r-1"), d.now)
 	for range 3 {
-		d.now += alertTime - time.Second
-		must.True(t, d.desk.isAlert("s", d.now))
-		must.True(t, d.desk.isSuspect(name, d.now))
+		d.now += alertDuration - time.Second
+		must.True(t, d.tracker.isAlert("s", d.now))
+		must.True(t, d.tracker.isSuspect(name, d.now))
 	}
-	must.False(t, d.desk.isAlert("s", d.now+alertTime), must.Sprint("no more placement requests"))
+	must.False(t, d.tracker.isAlert("s", d.now+alertDuration), must.Sprint("no more placement requests"))
 }
 
 // A new leader continues to isolate suspects, even if it received no report itself.
-func TestNextLeaderKeepsSuspectsApart(t *testing.T) {
-	d := newDeskTest(t)
-	d.desk.note(endsOf(fatalRequest, "r-0"), d.now)
+func TestNextLeaderIsolatesSuspects(t *testing.T) {
+	d := newTrackerTest(t)
+	d.tracker.note(crashReport(fatalRequest, "r-0"), d.now)
 	d.now += time.Second
-	d.desk.note(endsOf(fatalRequest, "r-1"), d.now)
-	d.pass(1, time.Second)
+	d.tracker.note(crashReport(fatalRequest, "r-1"), d.now)
+	d.step(1, time.Second)
 	must.Eq(t, api.QuarantineWatched, d.state())
-	d.desk = newQuarantineDesk()
-	d.pass(2, time.Second)
-	must.True(t, d.desk.isAlert("s", d.now))
-	must.True(t, d.desk.isSuspect(string(fatalRequest[:]), d.now))
+	d.tracker = newQuarantineTracker()
+	d.step(2, time.Second)
+	must.True(t, d.tracker.isAlert("s", d.now))
+	must.True(t, d.tracker.isSuspect(string(fatalRequest[:]), d.now))
 }
 
 // A member that places requests asks for their fingerprints only while crashes come in series.
-func TestRequestsAreNamedDuringAnAlert(t *testing.T) {
+func TestFingerprintsAreRequestedDuringAlert(t *testing.T) {
 	g := newGrowing(t, 1, 1, 0)
 	g.start(0)
 	g.awaitVoters(1, 0)
@@ -402,9 +402,9 @@
 	answer, known := current.Place("p", request)
 	must.False(t, known)
 	must.False(t, answer.Name)
-	current.NoteEnds(endsOf(fatalRequest, "r-0"))
+	current.NoteEnds(crashReport(fatalRequest, "r-0"))
 	time.Sleep(20 * time.Millisecond) // so that the crashes do not count as one
-	current.NoteEnds(endsOf(fatalRequest, "r-1"))
+	current.NoteEnds(crashReport(fatalRequest, "r-1"))
 	answer, known = current.Place("p", request)
 	must.True(t, known)
 	must.True(t, answer.Name)
@@ -413,35 +413,35 @@
 // A request that was the only one in flight at a crash is held from its second crash on, and
 // stays held through later reviews and under the next leader. It had been released and held
 // again, with a commit, at each review (soak seed 3037).
-func TestHoldByAnEndAloneStands(t *testing.T) {
-	d := newDeskTest(t)
-	d.desk.note(endsOf(fatalRequest, "r-0"), d.now)
-	d.pass(1, time.Second)
-	alone := endsOf(fatalRequest, "r-1")
+func TestHoldAfterCrashAloneIsStable(t *testing.T) {
+	d := newTrackerTest(t)
+	d.tracker.note(crashReport(fatalRequest, "r-0"), d.now)
+	d.step(1, time.Second)
+	alone := crashReport(fatalRequest, "r-1")
 	alone.Ended[0].Alone = true
-	d.desk.note(alone, d.now)
-	d.settle(1)
+	d.tracker.note(alone, d.now)
+	d.reviewTwice(1)
 	must.Eq(t, api.QuarantineHeld, d.state())
 	for range 20 {
-		seen, _ := d.desk.review(1, d.machine.View(), d.now, d.wall)
+		seen, _ := d.tracker.review(1, d.machine.View(), d.now, d.wall)
 		must.SliceEmpty(t, seen.Put, must.Sprint("nothing has changed"))
-		d.pass(1, 10*time.Millisecond)
+		d.step(1, 10*time.Millisecond)
 	}
-	d.desk = newQuarantineDesk()
+	d.tracker = newQuarantineTracker()
 	for range 20 {
-		d.pass(2, takeOverTime/4)
+		d.step(2, takeoverDelay/4)
 		must.Eq(t, api.QuarantineHeld, d.state())
 	}
 	must.Eq(t, 1, d.machine.View().Quarantines[fatalRequest.String()].Spec.Times)
-	d.desk.note(feed.EndReport{Alive: []quarantine.Alive{{Replica: "r-1", For: quarantine.Ever}}}, d.now)
-	d.pass(2, time.Second)
+	d.tracker.note(feed.EndReport{Alive: []quarantine.Alive{{Replica: "r-1", For: quarantine.Ever}}}, d.now)
+	d.step(2, time.Second)
 	must.NotEq(t, api.QuarantineHeld, d.state(), must.Sprint("its replica is alive"))
 }
 
 // simultaneousCrashReport returns a report that the replicas crashed at one moment under a
 // request that had returned nothing.
-func atOnce(fingerprint quarantine.Fingerprint, replicas ...string) feed.EndReport {
-	report := endsOf(fingerprint, replicas...)
+func simultaneousCrashReport(fingerprint quarantine.Fingerprint, replicas ...string) feed.EndReport {
+	report := crashReport(fingerprint, replicas...)
 	for i := range report.Ended {
 		report.Ended[i].Ran = 60 * time.Millisecond
 	}
@@ -449,7 +449,7 @@
 }
 
 // addService configures a service, which has placement only if model is not nil.
-func (d *deskTest) route(model *api.ModelSheet) {
+func (d *trackerTest) addService(model *api.ModelSheet) {
 	spec := api.IngressSpec{
 		Generation: 1, Services: []api.RouteService{{Name: "s", Model: model}},
 	}
@@ -460,47 +460,47 @@
 // A request under which many replicas of a service without placement crash at once is tried at
 // one proxy after the other, until it is answered, crashes another replica, or was tried for
 // trialDuration.
-func TestManyEndsAtOnceAreTried(t *testing.T) {
-	begin := func(model *api.ModelSheet) *deskTest {
-		d := newDeskTest(t)
-		d.route(model)
-		d.desk.note(atOnce(fatalRequest, "a", "b", "c"), d.now)
-		d.pass(1, 50*time.Millisecond)
+func TestSimultaneousCrashesLeadToTrial(t *testing.T) {
+	begin := func(model *api.ModelSheet) *trackerTest {
+		d := newTrackerTest(t)
+		d.addService(model)
+		d.tracker.note(simultaneousCrashReport(fatalRequest, "a", "b", "c"), d.now)
+		d.step(1, 50*time.Millisecond)
 		return d
 	}
-	until := func(d *deskTest) int64 { return d.machine.View().Quarantines[fatalRequest.String()].Spec.Until }
+	until := func(d *trackerTest) int64 { return d.machine.View().Quarantines[fatalRequest.String()].Spec.Until }
 	t.Run("answered", func(t *testing.T) {
 		d := begin(nil)
 		must.Eq(t, api.QuarantineTried, d.state())
 		first := until(d)
-		d.pass(1, tryTurn)
-		must.Eq(t, first+tryTurn.Milliseconds(), until(d))
-		d.desk.note(feed.EndReport{Served: []quarantine.Fingerprint{fatalRequest}}, d.now)
-		d.pass(1, 50*time.Millisecond)
+		d.step(1, trialTurn)
+		must.Eq(t, first+trialTurn.Milliseconds(), until(d))
+		d.tracker.note(feed.EndReport{Served: []quarantine.Fingerprint{fatalRequest}}, d.now)
+		d.step(1, 50*time.Millisecond)
 		must.Eq(t, "", d.state())
 	})
 	t.Run("crashes another replica", func(t *testing.T) {
 		d := begin(nil)
-		d.pass(1, 3*time.Second)
-		d.desk.note(endsOf(fatalRequest, "a-again"), d.now)
-		d.pass(1, time.Second)
+		d.step(1, 3*time.Second)
+		d.tracker.note(crashReport(fatalRequest, "a-again"), d.now)
+		d.step(1, time.Second)
 		must.Eq(t, api.QuarantineHeld, d.state())
-		d.pass(1, time.Second)
+		d.step(1, time.Second)
 		must.Eq(t, api.QuarantineHeld, d.state(), must.Sprint("the record is unchanged"))
 	})
 	t.Run("under a new leader", func(t *testing.T) {
 		d := begin(nil)
-		next := newQuarantineDesk()
-		d.desk = next
-		d.pass(2, 2*time.Second)
-		d.pass(2, 2*time.Second)
+		next := newQuarantineTracker()
+		d.tracker = next
+		d.step(2, 2*time.Second)
+		d.step(2, 2*time.Second)
 		must.Eq(t, api.QuarantineTried, d.state(), must.Sprint("the record keeps that the crashes were simultaneous"))
 	})
 	t.Run("tried for long enough", func(t *testing.T) {
 		d := begin(nil)
-		d.pass(1, tryTime)
+		d.step(1, trialDuration)
 		must.Eq(t, "", d.state())
-		d.pass(1, time.Second)
+		d.step(1, time.Second)
 		must.Eq(t, "", d.state())
 	})
 	t.Run("service with placement", func(t *testing.T) {
@@ -513,27 +513,27 @@
 // crashes, and was dropped: loading the record discarded it, and an answer was not kept for
 // requests without known crashes. Served requests are therefore remembered separately from
 // crashes.
-func TestGoodAnswerHoldsWhicheverWordComesFirst(t *testing.T) {
+func TestSuccessfulAnswerClearsInAnyReportOrder(t *testing.T) {
 	served := feed.EndReport{Served: []quarantine.Fingerprint{fatalRequest}}
 	t.Run("before the record is loaded", func(t *testing.T) {
-		d := newDeskTest(t)
-		d.desk.note(endsOf(fatalRequest, "r-0", "r-1"), d.now)
-		d.pass(1, time.Second)
+		d := newTrackerTest(t)
+		d.tracker.note(crashReport(fatalRequest, "r-0", "r-1"), d.now)
+		d.step(1, time.Second)
 		must.Eq(t, api.QuarantineWatched, d.state())
-		d.desk = newQuarantineDesk()
-		d.desk.note(served, d.now)
-		d.pass(2, 50*time.Millisecond)
+		d.tracker = newQuarantineTracker()
+		d.tracker.note(served, d.now)
+		d.step(2, 50*time.Millisecond)
 		must.Eq(t, "", d.state())
-		d.desk.note(endsOf(fatalRequest, "r-2"), d.now)
-		d.pass(2, 2*time.Second)
-		d.pass(2, time.Second)
+		d.tracker.note(crashReport(fatalRequest, "r-2"), d.now)
+		d.step(2, 2*time.Second)
+		d.step(2, time.Second)
 		must.Eq(t, "", d.state())
 	})
 	t.Run("before the crashes are reported", func(t *testing.T) {
-		d := newDeskTest(t)
-		d.desk.note(served, d.now)
-		d.desk.note(endsOf(fatalRequest, "r-0", "r-1", "r-2"), d.now)
-		d.settle(1)
+		d := newTrackerTest(t)
+		d.tracker.note(served, d.now)
+		d.tracker.note(crashReport(fatalRequest, "r-0", "r-1", "r-2"), d.now)
+		d.reviewTwice(1)
 		must.Eq(t, "", d.state())
 	})
 }
@@ -543,55 +543,55 @@
 // proxies, and each crashed another replica. A request was sent four times and crashed two more
 // replicas more than three seconds after its third crash (soak seed 9112); one of the known three
 // had been lost with its proxy, so the fourth crash counted as the third.
-func TestNoCopyGoesOutBetweenTheLastEndAndTheVerdict(t *testing.T) {
-	d := newDeskTest(t)
+func TestNoCopyIsSentOfRequestAboutToBeHeld(t *testing.T) {
+	d := newTrackerTest(t)
 	name := string(fatalRequest[:])
 	for i := range 3 {
-		must.False(t, d.desk.isJudged(name, d.now), must.Sprint(i, " crashes"))
+		must.False(t, d.tracker.isJudged(name, d.now), must.Sprint(i, " crashes"))
 		d.now += time.Second
-		d.desk.note(endsOf(fatalRequest, fmt.Sprint("r-", i)), d.now)
+		d.tracker.note(crashReport(fatalRequest, fmt.Sprint("r-", i)), d.now)
 	}
-	must.True(t, d.desk.isJudged(name, d.now), must.Sprint("at once, before the next review"))
-	must.False(t, d.desk.isJudged("", d.now))
-	d.pass(1, time.Second)
-	d.pass(1, time.Second)
+	must.True(t, d.tracker.isJudged(name, d.now), must.Sprint("at once, before the next review"))
+	must.False(t, d.tracker.isJudged("", d.now))
+	d.step(1, time.Second)
+	d.step(1, time.Second)
 	must.Eq(t, api.QuarantineHeld, d.state())
-	d.desk = newQuarantineDesk()
-	d.pass(2, 0)
-	must.False(t, d.desk.isJudged(name, d.now), must.Sprint("proxies may still report a successful answer"))
-	must.True(t, d.desk.isJudged(name, d.now+takeOverTime))
+	d.tracker = newQuarantineTracker()
+	d.step(2, 0)
+	must.False(t, d.tracker.isJudged(name, d.now), must.Sprint("proxies may still report a successful answer"))
+	must.True(t, d.tracker.isJudged(name, d.now+takeoverDelay))
 }
 
 // Guards against sending several copies of a request with enough crashes for a hold during a new
 // leader's first second, in which it collects reports before it holds. Such a request was placed
 // like any suspect, on each isolated replica (a third of the generators), and crashed three more
 // replicas after all processes had been killed.
-func TestNewLeaderLetsOneCopyGoBeforeItHasHeard(t *testing.T) {
-	d := newDeskTest(t)
+func TestNewLeaderSendsOneCopyBeforeInitialReports(t *testing.T) {
+	d := newTrackerTest(t)
 	name := string(fatalRequest[:])
-	d.desk.note(endsOf(fatalRequest, "r-0", "r-1", "r-2"), d.now)
-	d.settle(1)
+	d.tracker.note(crashReport(fatalRequest, "r-0", "r-1", "r-2"), d.now)
+	d.reviewTwice(1)
 	for term := uint64(2); term < 4; term++ {
-		d.desk = newQuarantineDesk()
-		d.pass(term, 0)
-		must.False(t, d.desk.isJudged(name, d.now), must.Sprint("one copy may show that it is harmless"))
+		d.tracker = newQuarantineTracker()
+		d.step(term, 0)
+		must.False(t, d.tracker.isJudged(name, d.now), must.Sprint("one copy may show that it is harmless"))
 		for range 3 {
-			d.now += takeOverTime / 4
-			must.True(t, d.desk.isJudged(name, d.now))
+			d.now += takeoverDelay / 4
+			must.True(t, d.tracker.isJudged(name, d.now))
 		}
-		d.desk.note(feed.EndReport{Served: []quarantine.Fingerprint{fatalRequest}}, d.now)
-		must.False(t, d.desk.isJudged(name, d.now), must.Sprint("it was served"))
+		d.tracker.note(feed.EndReport{Served: []quarantine.Fingerprint{fatalRequest}}, d.now)
+		must.False(t, d.tracker.isJudged(name, d.now), must.Sprint("it was served"))
 	}
 }
 
 // A request with two crashes, at one of which it was the only one in flight, may still be sent
 // before the decision, since a successful answer would clear it.
-func TestWhatWaitsForAGoodAnswerGoesOn(t *testing.T) {
-	d := newDeskTest(t)
-	d.desk.note(endsOf(fatalRequest, "r-0"), d.now)
+func TestRequestThatAnAnswerCanClearIsSent(t *testing.T) {
+	d := newTrackerTest(t)
+	d.tracker.note(crashReport(fatalRequest, "r-0"), d.now)
 	d.now += time.Second
-	alone := endsOf(fatalRequest, "r-1")
+	alone := crashReport(fatalRequest, "r-1")
 	alone.Ended[0].Alone = true
-	d.desk.note(alone, d.now)
-	must.False(t, d.desk.isJudged(string(fatalRequest[:]), d.now))
+	d.tracker.note(alone, d.now)
+	must.False(t, d.tracker.isJudged(string(fatalRequest[:]), d.now))
 }
--- a/process/control/quota.go
+++ b/process/control/quota.go
@@ -35,7 +35,7 @@
 }
 
 // currentAccount returns the account, or nil if this member has never led.
-func (d *quotaDesk) opened() *quota.Account {
+func (d *quotaDesk) currentAccount() *quota.Account {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	return d.account
@@ -59,7 +59,7 @@
 	}
 	var grant quota.Grant
 	if g.Leadership().Leads {
-		grant = g.quotas.opened().Charge(monotonic(), request.Tenant, limit, request.Cost)
+		grant = g.quotas.currentAccount().Charge(monotonic(), request.Tenant, limit, request.Cost)
 	} else {
 		grant = g.quotas.standby.Charge(monotonic(), request.Tenant, limit, request.Cost)
 	}
@@ -72,7 +72,7 @@
 func (g *group) ReturnCharge(request feed.ChargeRequest) {
 	limit, bounded := quotaOf(g.machine.view(), request.Tenant)
 	if bounded && request.Cost >= 0 && g.Leadership().Leads {
-		g.quotas.opened().Return(monotonic(), request.Tenant, limit, request.Cost)
+		g.quotas.currentAccount().Return(monotonic(), request.Tenant, limit, request.Cost)
 	}
 }
 
@@ -80,7 +80,7 @@
 func (s *operatorServer) quotas(w http.ResponseWriter, r *http.Request, _ []byte) {
 	s.leased(w, r, func(current *group, _ uint64) {
 		list := operatorapi.QuotaList{Tenants: []operatorapi.TenantQuota{}}
-		now, account := monotonic(), current.quotas.opened()
+		now, account := monotonic(), current.quotas.currentAccount()
 		for name, tenant := range current.machine.view().RouteTenants {
 			if !tenant.Spec.Quota.IsBounded() {
 				continue
--- a/process/control/quota_test.go
+++ b/process/control/quota_test.go
@@ -19,7 +19,7 @@
 )
 
 // newQuotaGroup returns a group of three members with one tenant that has a quota.
-func newBounded(t *testing.T, limit api.Quota) *growing {
+func newQuotaGroup(t *testing.T, limit api.Quota) *growing {
 	g := newGrowing(t, 3, 3, 1)
 	for i := range g.configs {
 		g.configs[i].Quotas = quota.Rule{Window: 8 * time.Second, Overshoot: 0.1}
@@ -33,8 +33,8 @@
 	return g
 }
 
-// awaitCharge requests a charge until a member answers it.
-func (g *growing) charge(client *feed.Client, tenant string, cost float64) quota.Grant {
+// awaitCharge requests a awaitCharge until a member answers it.
+func (g *growing) awaitCharge(client *feed.Client, tenant string, cost float64) quota.Grant {
 	g.t.Helper()
 	var grant quota.Grant
 	eventually(g.t, "an answer to the charge", func() bool {
@@ -49,22 +49,22 @@
 
 // All proxies draw on one quota, whose usage is visible to operators.
 func TestProxiesShareOneQuota(t *testing.T) {
-	g := newBounded(t, api.Quota{Unit: api.QuotaTokens, PerSecond: 0.001, Burst: 1000})
+	g := newQuotaGroup(t, api.Quota{Unit: api.QuotaTokens, PerSecond: 0.001, Burst: 1000})
 	first, _ := g.follow("proxy-1")
 	second, _ := g.follow("proxy-2")
-	must.False(t, g.charge(first, "north", 100).Granted, must.Sprint("a new account starts empty"))
+	must.False(t, g.awaitCharge(first, "north", 100).Granted, must.Sprint("a new account starts empty"))
 	raised := ingressOf(2, "")
 	raised.KeysRequired = true
 	raised.Tenants = []api.TenantKeys{{Name: "north", Keys: []string{"k"}, Quota: api.Quota{Unit: api.QuotaTokens, PerSecond: 1e9, Burst: 1000}}}
 	must.Eq(t, api.ReplaceApplied, g.replaceIngress(0, raised).Code)
-	eventually(t, "the raised quota", func() bool { return g.charge(first, "north", 1000).Granted })
+	eventually(t, "the raised quota", func() bool { return g.awaitCharge(first, "north", 1000).Granted })
 	lowered := ingressOf(3, "")
 	lowered.KeysRequired = true
 	lowered.Tenants = []api.TenantKeys{{Name: "north", Keys: []string{"k"}, Quota: api.Quota{Unit: api.QuotaTokens, PerSecond: 0.001, Burst: 500}}}
 	must.Eq(t, api.ReplaceApplied, g.replaceIngress(0, lowered).Code)
 	eventually(t, "the lowered quota", func() bool {
-		g.charge(first, "north", 400)
-		return !g.charge(second, "north", 400).Granted
+		g.awaitCharge(first, "north", 400)
+		return !g.awaitCharge(second, "north", 400).Granted
 	})
 	var list operatorapi.QuotaList
 	must.Eq(t, http.StatusOK, g.call(0, http.MethodGet, operatorapi.PathQuotas, "", &list))
@@ -77,17 +77,17 @@
 
 // A new leader starts with an empty account, so it does not grant again what the previous leader
 // has granted.
-func TestNextLeaderBeginsWithNothing(t *testing.T) {
-	g := newBounded(t, api.Quota{Unit: api.QuotaTokens, PerSecond: 20, Burst: 200})
+func TestNextLeaderStartsWithEmptyAccount(t *testing.T) {
+	g := newQuotaGroup(t, api.Quota{Unit: api.QuotaTokens, PerSecond: 20, Burst: 200})
 	client, _ := g.follow("proxy-1")
-	eventually(t, "the whole burst", func() bool { return g.charge(client, "north", 200).Granted })
+	eventually(t, "the whole burst", func() bool { return g.awaitCharge(client, "north", 200).Granted })
 	g.crash(g.leader())
 	eventually(t, "another leader", client.Connected)
-	must.False(t, g.charge(client, "north", 200).Granted)
+	must.False(t, g.awaitCharge(client, "north", 200).Granted)
 }
 
 // grantLog records granted costs by the time of their answers.
-type grants struct {
+type grantLog struct {
 	lock sync.Mutex
 	all  []grantAt
 }
@@ -97,14 +97,14 @@
 	cost float64
 }
 
-func (g *grants) add(cost float64) {
+func (g *grantLog) add(cost float64) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	g.all = append(g.all, grantAt{monotonic(), cost})
 }
 
 // maxInWindow returns the largest sum of costs within any window.
-func (g *grants) most(window time.Duration) float64 {
+func (g *grantLog) maxInWindow(window time.Duration) float64 {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	slices.SortFunc(g.all, func(a, b grantAt) int { return cmp.Compare(a.at, b.at) })
@@ -122,11 +122,11 @@
 
 // A tenant that requests four times its quota through several proxies is granted no more than the
 // rule allows in any window, while one leader after the other crashes.
-func TestQuotaHoldsThroughTheDeathOfLeaders(t *testing.T) {
+func TestQuotaHoldsAcrossLeaderCrashes(t *testing.T) {
 	limit := api.Quota{Unit: api.QuotaTokens, PerSecond: 400, Burst: 200}
-	g := newBounded(t, limit)
+	g := newQuotaGroup(t, limit)
 	rule := g.configs[0].Quotas
-	var granted grants
+	var granted grantLog
 	var asking sync.WaitGroup
 	ctx, stop := context.WithCancel(t.Context())
 	const cost, proxies = 10.0, 4
@@ -154,6 +154,6 @@
 	stop()
 	asking.Wait()
 	allowed := limit.PerSecond*rule.Window.Seconds() + limit.Burst + rule.Overrun(limit)
-	must.LessEq(t, allowed, granted.most(rule.Window))
-	must.Positive(t, granted.most(rule.Window))
+	must.LessEq(t, allowed, granted.maxInWindow(rule.Window))
+	must.Positive(t, granted.maxInWindow(rule.Window))
 }
--- a/process/control/roles.go
+++ b/process/control/roles.go
@@ -64,12 +64,12 @@
 
 // Timing of role changes.
 const (
-	rolePause    = 250 * time.Millisecond // between two checks of the role balance
-	roleTimeout  = time.Second            // for one state query or order
-	drainTimeout = time.Second            // for a replica's requests to finish before an order
-	drainPoll    = 20 * time.Millisecond
+	roleCheckInterval = 250 * time.Millisecond // between two checks of the role balance
+	roleTimeout       = time.Second            // for one state query or order
+	drainTimeout      = time.Second            // for a replica's requests to finish before an order
+	drainPoll         = 20 * time.Millisecond
 	// defaultSwitchTime is the duration of a role change if the configuration specifies none.
-	defaultSwitch = 3 * time.Second
+	defaultSwitchTime = 3 * time.Second
 	// changeSlack is the additional time after which a role change that is not listed is
 	// considered failed.
 	changeSlack = 5 * time.Second
@@ -77,33 +77,33 @@
 
 // roleTermState is the state of role changes in one term. Only the leader's loop uses it, except
 // for fenced.
-type roleDuty struct {
+type roleTermState struct {
 	next time.Duration
 	// lastPrefillAt is when a replica was last told to take the prefill role.
-	readAt time.Duration
+	lastPrefillAt time.Duration
 	// fenced is set once a replica has seen a newer leader; this one then sends no more orders.
 	fenced atomic.Bool
 }
 
 // manageRoles changes the roles of replicas where this benefits the requests of their service.
-func (d *duties) tendRoles(term *termDuties, now time.Duration) {
+func (d *duties) manageRoles(term *termDuties, now time.Duration) {
 	if d.group.config.Roles == nil || !d.group.config.ChangeRoles || term.roles.fenced.Load() || now < term.roles.next {
 		return
 	}
 	if now-term.startedAt < d.group.config.Durations.OrderSettle {
 		return
 	}
-	term.roles.next = now + rolePause
+	term.roles.next = now + roleCheckInterval
 	current := d.group.machine.view()
 	for _, service := range d.group.desk.services() {
-		d.balance(term, current, service)
+		d.balanceRoles(term, current, service)
 	}
 }
 
-func (d *duties) balance(term *termDuties, current *view.View, service string) {
+func (d *duties) balanceRoles(term *termDuties, current *view.View, service string) {
 	now := monotonic()
 	load := d.group.desk.load(d.group.machine.history.Load(), service, now)
-	load.Settled = now-max(term.roles.readAt, term.startedAt) >= planner.ReversalPause
+	load.Settled = now-max(term.roles.lastPrefillAt, term.startedAt) >= planner.ReversalPause
 	changes := planner.Balance(load)
 	if len(changes) == 0 {
 		return
@@ -118,10 +118,10 @@
 		role := api.RoleDecode
 		if wanted.Reads {
 			role = api.RolePrefill
-			term.roles.readAt = now
+			term.roles.lastPrefillAt = now
 		}
-		takes := switchTime(current, service)
-		d.group.desk.change(service, replica.Name, role, takes, monotonic())
+		duration := switchTime(current, service)
+		d.group.desk.startRoleChange(service, replica.Name, role, duration, monotonic())
 		term.background.Go(func() { d.changeRole(term.orders, term, service, replica, role) })
 	}
 }
@@ -130,7 +130,7 @@
 func switchTime(current *view.View, service string) time.Duration {
 	held := current.Ingresses[api.IngressName]
 	if held == nil {
-		return defaultSwitch
+		return defaultSwitchTime
 	}
 	for i := range held.Spec.Services {
 		sheet := held.Spec.Services[i].Model
@@ -138,7 +138,7 @@
 			return time.Duration(sheet.SwitchMillis) * time.Millisecond
 		}
 	}
-	return defaultSwitch
+	return defaultSwitchTime
 }
 
 // changeRole waits until the replica is idle, queries its state and sends the order. The lease is
@@ -148,9 +148,9 @@
 	d.awaitIdle(ctx, service, replica.Name)
 	asking, cancel := context.WithTimeout(ctx, roleTimeout)
 	defer cancel()
-	told, err := d.group.config.Roles.State(asking, replica)
-	if err != nil || told.Busy || told.Role == role {
-		event.RoleOrdered.Log(d.logger, "replica", replica.Name, "role", role, "fence", term.number, "outcome", "not_sent", "busy", told.Busy, "err", err)
+	reported, err := d.group.config.Roles.State(asking, replica)
+	if err != nil || reported.Busy || reported.Role == role {
+		event.RoleOrdered.Log(d.logger, "replica", replica.Name, "role", role, "fence", term.number, "outcome", "not_sent", "busy", reported.Busy, "err", err)
 		return
 	}
 	ordering, cancel := context.WithTimeout(ctx, roleTimeout)
@@ -159,7 +159,7 @@
 		return
 	}
 	outcome, err := d.group.config.Roles.Order(ordering, replica, RoleOrder{
-		Role: role, Holder: d.group.config.Name, Fence: term.number, Expected: told.Sequence,
+		Role: role, Holder: d.group.config.Name, Fence: term.number, Expected: reported.Sequence,
 	})
 	event.RoleOrdered.Log(d.logger, "replica", replica.Name, "role", role, "fence", term.number, "outcome", outcome, "err", err)
 	if outcome == OrderFenced {
@@ -206,16 +206,16 @@
 	return load
 }
 
-// startRoleChange stops placing requests on a replica that is to take the role, until the change
+// startRoleChange stops placing requests on a replica that is to take the role, until the startRoleChange
 // is listed or considered failed.
-func (d *placementDesk) change(service, replica string, role api.EngineRole, takes, now time.Duration) {
+func (d *placementDesk) startRoleChange(service, replica string, role api.EngineRole, duration, now time.Duration) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	placed := placement.RoleDecode
 	if role == api.RolePrefill {
 		placed = placement.RolePrefill
 	}
-	d.boards[service].Change(now, replica, placed, takes, drainTimeout+takes+changeSlack)
+	d.boards[service].Change(now, replica, placed, duration, drainTimeout+duration+changeSlack)
 }
 
 func (d *placementDesk) idle(service, replica string) bool {
--- a/process/control/roles_test.go
+++ b/process/control/roles_test.go
@@ -51,9 +51,9 @@
 }
 
 // newRoleDuties returns the tasks of a leader in term 7 whose lease is given by the test.
-func rolesDuties(roles RoleOrders, lease func() (uint64, bool)) (*duties, *termDuties) {
+func newRoleDuties(roles RoleOrders, lease func() (uint64, bool)) (*duties, *termDuties) {
 	desk := newPlacementDesk()
-	desk.update(servedModel(1, "r-1"))
+	desk.update(modelView(1, "r-1"))
 	d := &duties{
 		group:  &group{desk: desk, config: Config{Name: "member-1", Roles: roles, ChangeRoles: true}.WithDefaults()},
 		logger: log.NewNopLogger(),
@@ -62,7 +62,7 @@
 	return d, &termDuties{number: 7}
 }
 
-func TestOrderLeavesOnlyUnderTheLeaseOfItsTerm(t *testing.T) {
+func TestRoleOrderRequiresLeaseOfTerm(t *testing.T) {
 	leads := func() (uint64, bool) { return 7, true }
 	cases := []struct {
 		name  string
@@ -79,7 +79,7 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			d, term := rolesDuties(test.roles, test.lease)
+			d, term := newRoleDuties(test.roles, test.lease)
 			replica := &api.Replica{Metadata: api.Metadata{Name: "r-1"}}
 			d.changeRole(t.Context(), term, "chat", replica, api.RolePrefill)
 			sent := test.roles.orders()
@@ -92,26 +92,26 @@
 }
 
 // A leader sends no more orders once one replica has reported a newer leader.
-func TestFencedLeaderOrdersNothingMore(t *testing.T) {
+func TestFencedLeaderSendsNoRoleOrders(t *testing.T) {
 	roles := &fakeRoles{outcome: OrderFenced}
-	d, term := rolesDuties(roles, func() (uint64, bool) { return 7, true })
+	d, term := newRoleDuties(roles, func() (uint64, bool) { return 7, true })
 	replica := &api.Replica{Metadata: api.Metadata{Name: "r-1"}}
 	d.changeRole(t.Context(), term, "chat", replica, api.RolePrefill)
 	d.changeRole(t.Context(), term, "chat", replica, api.RolePrefill)
 	must.SliceLen(t, 1, roles.orders())
 	must.True(t, term.roles.fenced.Load())
 	before := term.roles.next
-	d.tendRoles(term, time.Hour)
+	d.manageRoles(term, time.Hour)
 	must.Eq(t, before, term.roles.next)
 }
 
 // Replicas keep their roles if role changes are disabled or no RoleOrders are configured.
-func TestRolesChangeOnlyWhereTheyMay(t *testing.T) {
+func TestRoleChangesRequireConfiguration(t *testing.T) {
 	for name, config := range map[string]Config{"disabled": {Roles: &fakeRoles{}}, "no role orders configured": {ChangeRoles: true}} {
 		t.Run(name, func(t *testing.T) {
-			d, term := rolesDuties(&fakeRoles{}, func() (uint64, bool) { return 7, true })
+			d, term := newRoleDuties(&fakeRoles{}, func() (uint64, bool) { return 7, true })
 			d.group.config = config.WithDefaults()
-			d.tendRoles(term, time.Hour)
+			d.manageRoles(term, time.Hour)
 			must.Eq(t, 0, term.roles.next)
 		})
 	}
@@ -119,18 +119,18 @@
 
 // A replica that is changing its role gets no new requests until it is listed with its new role
 // or the change is considered failed.
-func TestNothingIsPlacedOnAReplicaThatChanges(t *testing.T) {
+func TestNoPlacementDuringRoleChange(t *testing.T) {
 	desk := newPlacementDesk()
 	request := feed.PlaceRequest{Service: "chat", Number: 1, Ask: placement.Ask{Prompt: 100, Output: 10, Deadline: time.Second}}
 	place := func(revision uint64, now time.Duration) string {
-		answer, _ := desk.place(servedModel(revision, "r-1"), "proxy-1", request, false, now)
+		answer, _ := desk.place(modelView(revision, "r-1"), "proxy-1", request, false, now)
 		return answer.Generator
 	}
 	must.Eq(t, "r-1", place(1, 0))
-	desk.change("chat", "r-1", api.RoleDecode, time.Second, 0)
+	desk.startRoleChange("chat", "r-1", api.RoleDecode, time.Second, 0)
 	must.Eq(t, "", place(1, 500*time.Millisecond))
 	must.Eq(t, "r-1", place(1, 1100*time.Millisecond))
-	desk.change("chat", "r-1", api.RolePrefill, time.Second, 2*time.Second)
+	desk.startRoleChange("chat", "r-1", api.RolePrefill, time.Second, 2*time.Second)
 	must.Eq(t, "", place(1, 4*time.Second), must.Sprint("it is still listed with its old role"))
 	must.Eq(t, "r-1", place(1, time.Minute), must.Sprint("the change is considered failed"))
 }
@@ -149,7 +149,7 @@
 
 // placeLateRequests makes the leader place requests that cannot meet their objective, until ended
 // is closed.
-func keepLate(members []*member, ended <-chan struct{}) {
+func placeLateRequests(members []*member, ended <-chan struct{}) {
 	for number := uint64(1); ; number++ {
 		select {
 		case <-ended:
@@ -170,7 +170,7 @@
 
 // Each leader sends orders under its own term, and a new leader none before the orders of the
 // previous one have settled.
-func TestOrdersOfTwoLeadersDoNotMix(t *testing.T) {
+func TestRoleOrdersOfTwoLeadersDoNotOverlap(t *testing.T) {
 	const settle = 400 * time.Millisecond
 	roles := &fakeRoles{state: RoleState{Role: api.RoleDecode}, outcome: OrderUnanswered}
 	g := newGrowing(t, 3, 3, 1)
@@ -200,7 +200,7 @@
 	}
 	ended := make(chan struct{})
 	var asking sync.WaitGroup
-	asking.Go(func() { keepLate(members, ended) })
+	asking.Go(func() { placeLateRequests(members, ended) })
 	eventually(t, "the first orders", func() bool { return len(roles.orders()) > 0 })
 	g.crash(g.leader())
 	crashed := time.Now()
--- a/process/control/scaling.go
+++ b/process/control/scaling.go
@@ -30,26 +30,26 @@
 
 // Timing of capacity management.
 const (
-	capacityPause = 250 * time.Millisecond // between two plans
+	capacityCheckInterval = 250 * time.Millisecond // between two plans
 	// capacitySettleTime is how long the number of listed replicas must stay the same before it
 	// is taken as the initial capacity: a list that is still filling up shows too few.
-	capacitySettle = 2 * time.Second
+	capacitySettleTime = 2 * time.Second
 	// orderExpiry is how long an unanswered order may still be executed, overriding newer ones;
 	// until then the latest order is repeated.
-	orderLate = 13 * time.Second
+	orderExpiry = 13 * time.Second
 	// orderRepeatInterval is the interval at which an order is repeated.
-	orderAgain = 2 * time.Second
+	orderRepeatInterval = 2 * time.Second
 	// maxNoCapacityPause limits the pause before a zone without capacity is asked again.
-	longestDry = 4 * time.Second
+	maxNoCapacityPause = 4 * time.Second
 	// orderListTime is how long it takes an executed order to show in the list, in addition to
 	// the start time of a replica.
-	orderRead = 3 * time.Second
+	orderListTime = 3 * time.Second
 )
 
 // capacityTermState is the state of capacity management in one term. Only the leader's loop uses
 // it, except for what callGuard protects.
-type capacityDuty struct {
-	duty
+type capacityTermState struct {
+	callGuard
 	next time.Duration
 	// listed is the number of replicas listed per service, and since when it is unchanged.
 	listed map[string]listedSince
@@ -72,12 +72,12 @@
 
 // orderState is the state of the orders for one service, zone and kind.
 type orderState struct {
-	said    int // the last number ordered, with the time of the order or its result, and the result
+	ordered int // the last number ordered, with the time of the order or its result, and the result
 	at      time.Duration
 	outcome DutyOutcome
 	// unsureUntil is the time until which an unanswered order may still be executed.
-	unsure time.Duration
-	dry    time.Duration // pause after the last result of DutyDry
+	unsureUntil     time.Duration
+	noCapacityPause time.Duration // pause after the last result of DutyDry
 }
 
 type orderResult struct {
@@ -85,18 +85,18 @@
 	outcome DutyOutcome
 }
 
-func newCapacityDuty() capacityDuty {
-	return capacityDuty{listed: map[string]listedSince{}, orders: map[orderKey]*orderState{}}
+func newCapacityTermState() capacityTermState {
+	return capacityTermState{listed: map[string]listedSince{}, orders: map[orderKey]*orderState{}}
 }
 
 // manageCapacity decides how many replicas each zone should have, and orders them.
-func (d *duties) tendCapacity(ctx context.Context, term *termDuties) {
+func (d *duties) manageCapacity(ctx context.Context, term *termDuties) {
 	now := monotonic()
 	if d.group.config.Capacity == nil || now < term.capacity.next {
 		return
 	}
-	term.capacity.next = now + capacityPause
-	term.capacity.collect(now)
+	term.capacity.next = now + capacityCheckInterval
+	term.capacity.collectResults(now)
 	listed, reads := d.fleet.replicas()
 	held := d.group.machine.view().Ingresses[api.IngressName]
 	if reads == 0 || held == nil {
@@ -142,7 +142,7 @@
 
 // isSettled reports whether the initial capacity of a service is known: either a decision was
 // made before, or the number of listed replicas has not changed for capacitySettleTime.
-func (c *capacityDuty) isSettled(service string, zones []planner.ZoneCapacity, now time.Duration) bool {
+func (c *capacityTermState) isSettled(service string, zones []planner.ZoneCapacity, now time.Duration) bool {
 	count, decided := 0, true
 	for i := range zones {
 		count += zones[i].Lasting + zones[i].Withdrawable
@@ -155,7 +155,7 @@
 		c.listed[service] = listedSince{count: count, at: now}
 		return false
 	}
-	return count > 0 && now-c.listed[service].at >= capacitySettle
+	return count > 0 && now-c.listed[service].at >= capacitySettleTime
 }
 
 // zonesOf returns the capacity of a service's zones, sorted by name. For a zone without a
@@ -201,7 +201,7 @@
 }
 
 // collectResults applies the results of the last orders once they are complete.
-func (c *capacityDuty) collect(now time.Duration) {
+func (c *capacityTermState) collectResults(now time.Duration) {
 	if c.busy.Load() {
 		return
 	}
@@ -210,11 +210,11 @@
 		known.outcome, known.at = result.outcome, now
 		switch result.outcome {
 		case DutyUnanswered:
-			known.unsure = now + orderLate
+			known.unsureUntil = now + orderExpiry
 		case DutyDry:
-			known.dry = min(max(2*known.dry, dutyPause), longestDry)
+			known.noCapacityPause = min(max(2*known.noCapacityPause, platformCallPause), maxNoCapacityPause)
 		default:
-			known.dry = 0
+			known.noCapacityPause = 0
 		}
 	}
 	c.results = nil
@@ -259,7 +259,7 @@
 
 // isDue reports whether an order is to be sent now: its number is new, the last one was not
 // executed, an older unanswered one may still override it, or it has not taken effect in time.
-func (c *capacityDuty) isDue(key orderKey, wanted, ready, found int, boot, now time.Duration) bool {
+func (c *capacityTermState) isDue(key orderKey, wanted, ready, found int, boot, now time.Duration) bool {
 	known := c.orders[key]
 	if known == nil {
 		// Without a previous order, none is needed as long as the capacity found is the wanted
@@ -268,16 +268,16 @@
 		return !unchanged
 	}
 	switch {
-	case known.said != wanted:
+	case known.ordered != wanted:
 		return true
 	case known.outcome == DutyDry:
-		return now-known.at >= known.dry
+		return now-known.at >= known.noCapacityPause
 	case known.outcome != DutyDone:
-		return now-known.at >= dutyPause
-	case now < known.unsure:
-		return now-known.at >= orderAgain
+		return now-known.at >= platformCallPause
+	case now < known.unsureUntil:
+		return now-known.at >= orderRepeatInterval
 	default:
-		return ready < wanted && now-known.at >= boot+orderRead
+		return ready < wanted && now-known.at >= boot+orderListTime
 	}
 }
 
@@ -292,12 +292,12 @@
 			known = &orderState{}
 			capacity.orders[next.key] = known
 		}
-		known.said, known.at = next.wanted, monotonic()
+		known.ordered, known.at = next.wanted, monotonic()
 	}
 	capacity.results = make([]orderResult, len(due))
 	term.background.Go(func() {
 		for i, next := range due {
-			capacity.results[i] = orderResult{key: next.key, outcome: d.orderOne(term, next.key, next.wanted)}
+			capacity.results[i] = orderResult{key: next.key, outcome: d.sendOrder(term, next.key, next.wanted)}
 		}
 		capacity.busy.Store(false) // from here on the loop may read the results
 		d.wake()
@@ -305,11 +305,11 @@
 }
 
 // sendOrder sends one order.
-func (d *duties) orderOne(term *termDuties, key orderKey, wanted int) DutyOutcome {
-	ctx, cancel := context.WithTimeout(term.orders, dutyTimeout)
+func (d *duties) sendOrder(term *termDuties, key orderKey, wanted int) DutyOutcome {
+	ctx, cancel := context.WithTimeout(term.orders, platformCallTimeout)
 	defer cancel()
-	holder, may := d.mayAct(ctx, term, &term.capacity.duty)
-	if !may {
+	holder, ok := d.authorizeCall(ctx, term, &term.capacity.callGuard)
+	if !ok {
 		return DutyRefused
 	}
 	outcome, err := d.group.config.Capacity.Scale(ctx, holder, CapacityOrder{
--- a/process/control/scaling_test.go
+++ b/process/control/scaling_test.go
@@ -12,19 +12,19 @@
 )
 
 // fakePlatform is a platform with replicas, which executes orders immediately.
-type fakeMarket struct {
+type fakePlatform struct {
 	fleet *fakeFleet
 
-	lock    sync.Mutex
-	dry     map[string]bool // zones without withdrawable capacity
-	outcome DutyOutcome     // of calls; only DutyDone executes them
-	orders  []CapacityOrder
-	fences  []uint64
-	counts  map[CapacityOrder]int // keyed by orders with Wanted = 0
+	lock      sync.Mutex
+	exhausted map[string]bool // zones without withdrawable capacity
+	outcome   DutyOutcome     // of calls; only DutyDone executes them
+	orders    []CapacityOrder
+	fences    []uint64
+	counts    map[CapacityOrder]int // keyed by orders with Wanted = 0
 }
 
-func newFakeMarket(fleet *fakeFleet, found int, zones ...string) *fakeMarket {
-	m := &fakeMarket{fleet: fleet, dry: map[string]bool{}, outcome: DutyDone, counts: map[CapacityOrder]int{}}
+func newFakePlatform(fleet *fakeFleet, found int, zones ...string) *fakePlatform {
+	m := &fakePlatform{fleet: fleet, exhausted: map[string]bool{}, outcome: DutyDone, counts: map[CapacityOrder]int{}}
 	for _, zone := range zones {
 		m.counts[CapacityOrder{Service: "llm", Zone: zone}] = found
 	}
@@ -33,7 +33,7 @@
 }
 
 // list publishes the current replicas. The caller holds the lock or has exclusive access.
-func (m *fakeMarket) list() {
+func (m *fakePlatform) list() {
 	var all []api.Replica
 	for kind, count := range m.counts {
 		for i := range count {
@@ -46,12 +46,12 @@
 	m.fleet.set(all...)
 }
 
-func (m *fakeMarket) Scale(_ context.Context, holder DutyHolder, order CapacityOrder) (DutyOutcome, error) {
+func (m *fakePlatform) Scale(_ context.Context, holder DutyHolder, order CapacityOrder) (DutyOutcome, error) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	m.orders = append(m.orders, order)
 	m.fences = append(m.fences, holder.Fence)
-	if order.Withdrawable && m.dry[order.Zone] {
+	if order.Withdrawable && m.exhausted[order.Zone] {
 		return DutyDry, nil
 	}
 	if m.outcome == DutyDone {
@@ -61,30 +61,30 @@
 	return m.outcome, nil
 }
 
-func (m *fakeMarket) count(zone string, withdrawable bool) int {
+func (m *fakePlatform) count(zone string, withdrawable bool) int {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	return m.counts[CapacityOrder{Service: "llm", Zone: zone, Withdrawable: withdrawable}]
 }
 
-func (m *fakeMarket) withdraw(zone string) {
+func (m *fakePlatform) withdraw(zone string) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
-	m.dry[zone] = true
+	m.exhausted[zone] = true
 	m.counts[CapacityOrder{Service: "llm", Zone: zone, Withdrawable: true}] = 0
 	m.list()
 }
 
-func (m *fakeMarket) fill(zone string) {
+func (m *fakePlatform) restock(zone string) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
-	m.dry[zone] = false
+	m.exhausted[zone] = false
 }
 
 // newScalingGroup returns a group and a platform with 20 lasting replicas per zone.
-func newScaled(t *testing.T) (*growing, *fakeMarket) {
+func newScalingGroup(t *testing.T) (*growing, *fakePlatform) {
 	g := newGrowing(t, 3, 3, 1)
-	market := newFakeMarket(g.fleet, 20, "a", "b", "c")
+	market := newFakePlatform(g.fleet, 20, "a", "b", "c")
 	for i := range g.configs {
 		g.configs[i].Capacity = market
 		g.configs[i].Durations.OrderSettle = time.Millisecond
@@ -102,7 +102,7 @@
 // capacity. A new leader continues from the decisions made, and does not take the present
 // capacity for the initial one.
 func TestCapacityIsOrdered(t *testing.T) {
-	g, market := newScaled(t)
+	g, market := newScalingGroup(t)
 	settled := func() bool {
 		for _, zone := range []string{"a", "b", "c"} {
 			if market.count(zone, false) != 2 || market.count(zone, true) != 27 {
@@ -120,7 +120,7 @@
 	market.withdraw("b")
 	time.Sleep(300 * time.Millisecond)
 	must.Eq(t, 2, market.count("a", false))
-	market.fill("b")
+	market.restock("b")
 	eventually(t, "the zone's replicas again", settled)
 
 	g.crash(g.leader())
@@ -134,22 +134,22 @@
 
 // When two zones lose their withdrawable replicas at once, lasting ones replace them until they
 // are back.
-func TestLastingReplicasAreOrderedForWithdrawnOnes(t *testing.T) {
-	_, market := newScaled(t)
+func TestLastingReplicasReplaceWithdrawnOnes(t *testing.T) {
+	_, market := newScalingGroup(t)
 	eventually(t, "the wanted capacity", func() bool {
 		return market.count("a", false) == 2 && market.count("c", false) == 2 && market.count("a", true) == 27
 	})
 	market.withdraw("a")
 	market.withdraw("b")
 	eventually(t, "additional lasting replicas", func() bool { return market.count("a", false)+market.count("b", false)+market.count("c", false) >= 33 })
-	market.fill("a")
-	market.fill("b")
+	market.restock("a")
+	market.restock("b")
 	eventually(t, "the wanted capacity again", func() bool { return market.count("a", false) == 2 && market.count("b", true) == 27 })
 }
 
 // An order is due if its number is new, it was not executed, an older order may still override
 // it, or it has not taken effect in time.
-func TestWhenOrdersAreSaidAgain(t *testing.T) {
+func TestWhenCapacityOrdersAreDue(t *testing.T) {
 	key := orderKey{service: "s", zone: "a", withdrawable: true}
 	const boot = 4 * time.Second
 	cases := []struct {
@@ -161,26 +161,26 @@
 	}{
 		{"never ordered, none wanted", nil, 0, 0, 0, false},
 		{"never ordered", nil, 5, 0, 0, true},
-		{"as ordered", &orderState{said: 5, outcome: DutyDone}, 5, 5, time.Hour, false},
-		{"another number", &orderState{said: 5, outcome: DutyDone}, 6, 5, 0, true},
-		{"refused, at once", &orderState{said: 5, outcome: DutyRefused}, 5, 0, time.Millisecond, false},
-		{"refused, later", &orderState{said: 5, outcome: DutyRefused}, 5, 0, dutyPause, true},
-		{"no capacity, at once", &orderState{said: 5, outcome: DutyDry, dry: time.Second}, 5, 0, 900 * time.Millisecond, false},
-		{"no capacity, later", &orderState{said: 5, outcome: DutyDry, dry: time.Second}, 5, 0, time.Second, true},
-		{"an older order may still be executed", &orderState{said: 5, outcome: DutyDone, unsure: orderLate}, 5, 5, orderAgain, true},
-		{"replicas starting", &orderState{said: 5, outcome: DutyDone}, 5, 0, boot, false},
-		{"no effect in time", &orderState{said: 5, outcome: DutyDone}, 5, 0, boot + orderRead, true},
+		{"as ordered", &orderState{ordered: 5, outcome: DutyDone}, 5, 5, time.Hour, false},
+		{"another number", &orderState{ordered: 5, outcome: DutyDone}, 6, 5, 0, true},
+		{"refused, at once", &orderState{ordered: 5, outcome: DutyRefused}, 5, 0, time.Millisecond, false},
+		{"refused, later", &orderState{ordered: 5, outcome: DutyRefused}, 5, 0, platformCallPause, true},
+		{"no capacity, at once", &orderState{ordered: 5, outcome: DutyDry, noCapacityPause: time.Second}, 5, 0, 900 * time.Millisecond, false},
+		{"no capacity, later", &orderState{ordered: 5, outcome: DutyDry, noCapacityPause: time.Second}, 5, 0, time.Second, true},
+		{"an older order may still be executed", &orderState{ordered: 5, outcome: DutyDone, unsureUntil: orderExpiry}, 5, 5, orderRepeatInterval, true},
+		{"replicas starting", &orderState{ordered: 5, outcome: DutyDone}, 5, 0, boot, false},
+		{"no effect in time", &orderState{ordered: 5, outcome: DutyDone}, 5, 0, boot + orderListTime, true},
 	}
 	for _, each := range cases {
 		t.Run(each.name, func(t *testing.T) {
-			duty := newCapacityDuty()
+			duty := newCapacityTermState()
 			if each.known != nil {
 				duty.orders[key] = each.known
 			}
 			must.Eq(t, each.due, duty.isDue(key, each.wanted, each.ready, 0, boot, each.now))
 		})
 	}
-	lasting := newCapacityDuty()
+	lasting := newCapacityTermState()
 	must.False(t, lasting.isDue(orderKey{service: "s", zone: "a"}, 47, 47, 47, boot, 0), must.Sprint("as found"))
 	must.True(t, lasting.isDue(orderKey{service: "s", zone: "a"}, 47, 40, 47, boot, 0))
 }
--- a/process/control/unrecorded.go
+++ b/process/control/unrecorded.go
@@ -15,48 +15,48 @@
 
 // maxRecordLag is how long the record may lag behind the reports: the time of a review and a
 // commit, with some margin.
-const recordTime = 300 * time.Millisecond
+const maxRecordLag = 300 * time.Millisecond
 
 // unrecorded is the evidence sent to daemons while the record lags behind.
 type unrecorded struct {
 	// recordedChangeCount is the table's change count at the last review that was committed;
 	// heardAt is when the first change after it arrived.
-	recordedNews uint64
-	heardAt      time.Duration
+	recordedChangeCount uint64
+	heardAt             time.Duration
 	// observations are the notable observations at cachedChangeCount, with their ages at
 	// cachedAt.
-	sights     []quarantine.Aged
-	cachedNews uint64
-	cachedAt   time.Duration
+	observations      []quarantine.Aged
+	cachedChangeCount uint64
+	cachedAt          time.Duration
 }
 
 // changeCount returns a number that rises with each change of the table.
-func (d *quarantineDesk) news() uint64 {
+func (d *quarantineTracker) changeCount() uint64 {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	return d.table.News()
 }
 
 // markRecorded notes that the record contains everything in the table up to a change count.
-func (d *quarantineDesk) markRecorded(news uint64, now time.Duration) {
+func (d *quarantineTracker) markRecorded(news uint64, now time.Duration) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	d.unrecorded.recordedNews, d.unrecorded.heardAt = news, now
+	d.unrecorded.recordedChangeCount, d.unrecorded.heardAt = news, now
 }
 
 // unrecordedReport returns the evidence for daemons and the change count that it corresponds to.
 // The evidence of a leader is empty while its record keeps up.
-func (d *quarantineDesk) tell(leads bool, now time.Duration) (feed.EndReport, uint64) {
+func (d *quarantineTracker) unrecordedReport(leads bool, now time.Duration) (feed.EndReport, uint64) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	told, news := &d.unrecorded, d.table.News()
-	if leads && (news == told.recordedNews || now-told.heardAt < recordTime) {
+	if leads && (news == told.recordedChangeCount || now-told.heardAt < maxRecordLag) {
 		return feed.EndReport{}, news
 	}
-	if told.cachedNews != news {
-		told.sights, told.cachedNews, told.cachedAt = d.table.NotableSights(now, maxToldEvidence), news, now
+	if told.cachedChangeCount != news {
+		told.observations, told.cachedChangeCount, told.cachedAt = d.table.NotableSights(now, maxReportedEvidence), news, now
 	}
-	sights := slices.Clone(told.sights)
+	sights := slices.Clone(told.observations)
 	for i := range sights {
 		sights[i].Age += now - told.cachedAt
 	}
@@ -65,13 +65,13 @@
 
 // Unrecorded returns the evidence that is missing from the record, with its change count.
 func (g *group) Unrecorded() (feed.EndReport, uint64) {
-	return g.evidence.desk.tell(g.Leadership().Leads, monotonic())
+	return g.evidence.desk.unrecordedReport(g.Leadership().Leads, monotonic())
 }
 
 // follow applies a change of the record at a member that does not lead, and reports whether the
 // table changed. Evidence for entries that the leader removed or reduced must not bring them back
 // under the next leader.
-func (d *quarantineDesk) follow(before, current map[string]*api.Quarantine, now time.Duration) (changed bool) {
+func (d *quarantineTracker) follow(before, current map[string]*api.Quarantine, now time.Duration) (changed bool) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	news := d.table.News()
--- a/process/control/unrecorded_test.go
+++ b/process/control/unrecorded_test.go
@@ -18,42 +18,42 @@
 
 // A leader sends evidence to daemons only while its record lags behind, and a standby member
 // whenever it has any. A single crash under a request proves nothing and is not sent.
-func TestWhatIsNotOnRecordIsTold(t *testing.T) {
-	d := newDeskTest(t)
-	told := func(leads bool) int {
-		report, _ := d.desk.tell(leads, d.now)
+func TestUnrecordedEvidenceIsReported(t *testing.T) {
+	d := newTrackerTest(t)
+	reported := func(leads bool) int {
+		report, _ := d.tracker.unrecordedReport(leads, d.now)
 		return len(report.Ended)
 	}
-	d.desk.markRecorded(d.desk.news(), d.now)
-	d.desk.note(endsOf(fatalRequest, "r-0"), d.now)
-	must.Zero(t, told(false))
+	d.tracker.markRecorded(d.tracker.changeCount(), d.now)
+	d.tracker.note(crashReport(fatalRequest, "r-0"), d.now)
+	must.Zero(t, reported(false))
 	d.now += time.Second
-	d.desk.note(endsOf(fatalRequest, "r-1"), d.now)
-	must.Eq(t, 2, told(false))
-	d.now += recordTime
-	must.Eq(t, 2, told(true), must.Sprint("reported a while ago and still not recorded"))
-	report, news := d.desk.tell(true, d.now)
-	must.Eq(t, []time.Duration{time.Second + recordTime, recordTime}, []time.Duration{report.Ended[0].Age, report.Ended[1].Age})
-	d.desk.markRecorded(news, d.now)
-	must.Zero(t, told(true))
-	d.desk.note(endsOf(fatalRequest, "r-2"), d.now)
-	must.Zero(t, told(true), must.Sprint("the commit may still be in progress"))
-	must.Eq(t, 3, told(false))
-	d.now += recordTime
-	must.Eq(t, 3, told(true))
+	d.tracker.note(crashReport(fatalRequest, "r-1"), d.now)
+	must.Eq(t, 2, reported(false))
+	d.now += maxRecordLag
+	must.Eq(t, 2, reported(true), must.Sprint("reported a while ago and still not recorded"))
+	report, news := d.tracker.unrecordedReport(true, d.now)
+	must.Eq(t, []time.Duration{time.Second + maxRecordLag, maxRecordLag}, []time.Duration{report.Ended[0].Age, report.Ended[1].Age})
+	d.tracker.markRecorded(news, d.now)
+	must.Zero(t, reported(true))
+	d.tracker.note(crashReport(fatalRequest, "r-2"), d.now)
+	must.Zero(t, reported(true), must.Sprint("the commit may still be in progress"))
+	must.Eq(t, 3, reported(false))
+	d.now += maxRecordLag
+	must.Eq(t, 3, reported(true))
 }
 
 // gossipGroup is a group of members that forward evidence over links controlled by the test.
-type tellingMembers struct {
+type gossipGroup struct {
 	members []*evidence
 	links   map[[2]int]bool
 	// sent counts the messages sent over the links.
-	told int
+	sent int
 }
 
 // link sends one member's notices to the others.
 type link struct {
-	group *tellingMembers
+	group *gossipGroup
 	from  int
 }
 
@@ -66,14 +66,14 @@
 }
 
 func (l link) NotifyOne(payload []byte, member raft.MemberID) {
-	if to := int(member) - 1; l.group.links[[2]int{l.from, to}] && l.group.told < mostTold {
-		l.group.told++
+	if to := int(member) - 1; l.group.links[[2]int{l.from, to}] && l.group.sent < maxMessages {
+		l.group.sent++
 		l.group.members[to].receive(raft.MemberID(l.from+1), payload)
 	}
 }
 
-func newTellingMembers(t *testing.T, size int) *tellingMembers {
-	group := &tellingMembers{links: map[[2]int]bool{}}
+func newGossipGroup(t *testing.T, size int) *gossipGroup {
+	group := &gossipGroup{links: map[[2]int]bool{}}
 	for i := range size {
 		member := newEvidence(Config{DataFolder: t.TempDir()}, log.NewNopLogger())
 		group.members = append(group.members, member)
@@ -83,66 +83,66 @@
 }
 
 // sendAll makes the members send pending evidence until none has any left.
-func (g *tellingMembers) rest() {
-	for before := -1; before != g.told && g.told < mostTold; {
-		before = g.told
+func (g *gossipGroup) sendAll() {
+	for before := -1; before != g.sent && g.sent < maxMessages; {
+		before = g.sent
 		for _, member := range g.members {
-			member.tellUntold()
+			member.sendUnsent()
 		}
 	}
 }
 
-func (g *tellingMembers) counts() (counts []int) {
-	g.rest()
+func (g *gossipGroup) counts() (counts []int) {
+	g.sendAll()
 	for _, member := range g.members {
-		counts = append(counts, len(member.desk.sights(monotonic())))
+		counts = append(counts, len(member.desk.observations(monotonic())))
 	}
 	return counts
 }
 
 // maxMessages ends a test whose members never stop sending.
-const mostTold = 100_000
+const maxMessages = 100_000
 
 // Guards against members that forward evidence to each other endlessly. A popular request was in
 // flight at more simultaneous crashes than a table keeps; what one member dropped for a newer
 // crash was new to the next one, which forwarded it, because dropping an entry counted as a
 // change. The traffic between zones of one day cost nearly as much as all served requests earned
 // (caroni-stmt, scale-1).
-func TestMembersComeToRest(t *testing.T) {
+func TestEvidenceForwardingTerminates(t *testing.T) {
 	const size, ends = 4, 30
-	g := newTellingMembers(t, size)
+	g := newGossipGroup(t, size)
 	for from := range size {
 		for to := range size {
 			g.links[[2]int{from, to}] = true
 		}
 	}
 	for i := range ends {
-		g.members[i%size].note(atOnce(fatalRequest, fmt.Sprint("r-", i)), monotonic())
-		g.rest()
+		g.members[i%size].note(simultaneousCrashReport(fatalRequest, fmt.Sprint("r-", i)), monotonic())
+		g.sendAll()
 	}
-	must.Less(t, 2*ends*size*size, g.told)
+	must.Less(t, 2*ends*size*size, g.sent)
 }
 
 // Evidence that one member receives reaches members that it has no connection to through others.
 // Members that were cut off get it once a connection is established or one of them becomes
 // leader.
-func TestMembersHandEvidenceOn(t *testing.T) {
-	g := newTellingMembers(t, 3)
+func TestMembersForwardEvidence(t *testing.T) {
+	g := newGossipGroup(t, 3)
 	g.links = map[[2]int]bool{{0, 1}: true, {1, 2}: true} // links are unidirectional
-	g.members[0].note(endsOf(fatalRequest, "r-0"), monotonic())
+	g.members[0].note(crashReport(fatalRequest, "r-0"), monotonic())
 	must.Eq(t, []int{1, 1, 1}, g.counts())
-	g.members[2].note(endsOf(fatalRequest, "r-1"), monotonic())
+	g.members[2].note(crashReport(fatalRequest, "r-1"), monotonic())
 	must.Eq(t, []int{1, 1, 2}, g.counts())
 	g.links[[2]int{2, 0}] = true
 	g.members[2].greet(1)
 	must.Eq(t, []int{2, 2, 2}, g.counts())
 	g.links = map[[2]int]bool{}
 	other := quarantine.Of(quarantine.Identity{Path: "/other"})
-	g.members[1].note(endsOf(other, "r-9"), monotonic())
+	g.members[1].note(crashReport(other, "r-9"), monotonic())
 	must.Eq(t, []int{2, 3, 2}, g.counts())
 	g.links = map[[2]int]bool{{0, 1}: true, {1, 0}: true, {0, 2}: true, {1, 2}: true}
 	must.Eq(t, []int{2, 3, 2}, g.counts(), must.Sprint("nothing is sent twice"))
-	g.members[0].ask()
+	g.members[0].requestAll()
 	must.Eq(t, []int{3, 3, 3}, g.counts(), must.Sprint("a new leader requests all evidence and forwards it"))
 	g.members[1].note(feed.EndReport{Served: []quarantine.Fingerprint{fatalRequest, other}}, monotonic())
 	must.Eq(t, []int{1, 0, 1}, g.counts(), must.Sprint("a successful answer refutes a series at every member"))
@@ -151,7 +151,7 @@
 }
 
 // Evidence survives a restart with its age adjusted. A damaged file is skipped.
-func TestEvidenceIsKept(t *testing.T) {
+func TestEvidenceSurvivesRestart(t *testing.T) {
 	files := faultfs.New(1)
 	must.NoError(t, files.MakeDir("data"))
 	open := func() *evidence {
@@ -160,15 +160,15 @@
 	ages := func(at time.Time) (ages []time.Duration) {
 		member := open()
 		member.load(time.Hour, at)
-		for _, seen := range member.desk.sights(time.Hour) {
+		for _, seen := range member.desk.observations(time.Hour) {
 			ages = append(ages, seen.Age.Round(time.Second))
 		}
 		return ages
 	}
 	must.SliceEmpty(t, ages(time.Now()))
 	member := open()
-	member.desk.hear(endsOf(fatalRequest, "r-0"), time.Second)
-	member.desk.hear(endsOf(fatalRequest, "r-1"), 3*time.Second)
+	member.desk.merge(crashReport(fatalRequest, "r-0"), time.Second)
+	member.desk.merge(crashReport(fatalRequest, "r-1"), 3*time.Second)
 	kept, err := member.save(4 * time.Second)
 	must.NoError(t, err)
 	must.Eq(t, 2, kept)
@@ -187,7 +187,7 @@
 }
 
 // A running member writes changes promptly.
-func TestEvidenceIsWrittenSoon(t *testing.T) {
+func TestEvidenceIsWrittenPromptly(t *testing.T) {
 	member := newEvidence(Config{DataFolder: t.TempDir()}, log.NewNopLogger())
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -196,11 +196,11 @@
 		member.run(ctx)
 	}()
 	for i := range 3 {
-		member.note(endsOf(fatalRequest, fmt.Sprint("r-", i)), monotonic())
+		member.note(crashReport(fatalRequest, fmt.Sprint("r-", i)), monotonic())
 		eventually(t, "the evidence on disk", func() bool {
 			next := newEvidence(Config{DataFolder: member.folder}, log.NewNopLogger())
 			next.load(monotonic(), time.Now())
-			return len(next.desk.sights(monotonic())) == i+1
+			return len(next.desk.observations(monotonic())) == i+1
 		})
 	}
 	cancel()
@@ -209,15 +209,15 @@
 
 // Evidence for what the leader dropped from the record, or an operator released, is dropped by
 // all members: otherwise the next leader would hold the request again without a further crash.
-func TestWhatLeavesTheRecordLeavesTheEvidence(t *testing.T) {
+func TestEvidenceFollowsRecordRemovals(t *testing.T) {
 	recorded := func(replicas ...string) map[string]*api.Quarantine {
 		return map[string]*api.Quarantine{fatalRequest.String(): {
 			Metadata: api.Metadata{Name: fatalRequest.String()}, Spec: api.QuarantineSpec{Replicas: replicas},
 		}}
 	}
-	begin := func() *quarantineDesk {
-		desk := newQuarantineDesk()
-		desk.hear(endsOf(fatalRequest, "r-0", "r-1", "r-2"), time.Second)
+	begin := func() *quarantineTracker {
+		desk := newQuarantineTracker()
+		desk.merge(crashReport(fatalRequest, "r-0", "r-1", "r-2"), time.Second)
 		must.False(t, desk.follow(nil, recorded("r-0", "r-1", "r-2"), time.Second))
 		must.Eq(t, 3, desk.table.CountEnds(fatalRequest))
 		return desk
@@ -225,7 +225,7 @@
 	desk := begin()
 	must.True(t, desk.follow(recorded("r-0", "r-1", "r-2"), recorded("r-1", "r-2"), time.Second))
 	must.Eq(t, 2, desk.table.CountEnds(fatalRequest), must.Sprint("an expired hold keeps two crashes"))
-	must.SliceEmpty(t, desk.sights(time.Second), must.Sprint("the remaining crashes are in the record"))
+	must.SliceEmpty(t, desk.observations(time.Second), must.Sprint("the remaining crashes are in the record"))
 	desk = begin()
 	must.True(t, desk.follow(recorded("r-0", "r-1", "r-2"), map[string]*api.Quarantine{}, time.Second))
 	must.Eq(t, 0, desk.table.CountEnds(fatalRequest), must.Sprint("the request was released"))
--- a/process/control/usage.go
+++ b/process/control/usage.go
@@ -33,21 +33,21 @@
 const (
 	// usageCommitInterval is the interval between commits of counted usage. If a leader is lost,
 	// counts that only it has received are lost if their proxies are lost at the same time.
-	usageCommit = time.Second
+	usageCommitInterval = time.Second
 	// usageMinDelay is the minimum time between the end of a window and its decision. It covers
 	// the reporting interval of the proxies and the transmission of counts from before the end.
-	usageSettle = 700 * time.Millisecond
+	usageMinDelay = 700 * time.Millisecond
 	// usageMaxDelay is how long a decision waits for a proxy that has not reported all its
 	// counts. The strictest known platform expects a report ten seconds after its window, and
 	// replacing a leader after the decision takes up to five seconds.
-	usageLatest = 3500 * time.Millisecond
+	usageMaxDelay = 3500 * time.Millisecond
 	// usageTakeoverDelay is how long a new leader collects reports before it decides: proxies
 	// find it and report all their counts within a second.
-	usageTakeOver = 1500 * time.Millisecond
+	usageTakeoverDelay = 1500 * time.Millisecond
 	// usageSilenceTimeout is how long a decision waits for a proxy that sends no reports.
-	usageSilence = 2 * time.Second
+	usageSilenceTimeout = 2 * time.Second
 	// maxWindowsPerRound limits the windows decided in one round.
-	usageRound = 16
+	maxWindowsPerRound = 16
 	// maxUsageCommit limits the counters in one commit; the rest follows with the next.
 	maxUsageCommit = 1 << 14
 )
@@ -59,22 +59,22 @@
 	// pending are the uncommitted counters by process, window and tenant.
 	pending map[usageKey]uint64
 	// progress is how far each process has reported its counts completely.
-	through map[string]heardThrough
+	progress map[string]reportProgress
 }
 
 type usageKey struct {
-	life   string
-	window int64
-	tenant string
+	process string
+	window  int64
+	tenant  string
 }
 
-type heardThrough struct {
+type reportProgress struct {
 	through int64         // all counts up to this time are reported, in milliseconds since 1970
 	at      time.Duration // of the last report
 }
 
 func newUsageDesk() *usageDesk {
-	return &usageDesk{pending: map[usageKey]uint64{}, through: map[string]heardThrough{}}
+	return &usageDesk{pending: map[usageKey]uint64{}, progress: map[string]reportProgress{}}
 }
 
 // note adds the counts reported by a process. Counts are cumulative, so the highest one applies.
@@ -82,11 +82,11 @@
 	u.lock.Lock()
 	defer u.lock.Unlock()
 	for _, counted := range report.Counts {
-		key := usageKey{life: report.Life, window: counted.Window, tenant: counted.Tenant}
+		key := usageKey{process: report.Life, window: counted.Window, tenant: counted.Tenant}
 		u.pending[key] = max(u.pending[key], counted.Count)
 	}
-	known := u.through[report.Life]
-	u.through[report.Life] = heardThrough{through: max(known.through, report.Through), at: now}
+	known := u.progress[report.Life]
+	u.progress[report.Life] = reportProgress{through: max(known.through, report.Through), at: now}
 }
 
 // take removes and returns counters to commit, the oldest windows first. It drops the counters of
@@ -100,12 +100,12 @@
 			delete(u.pending, key)
 			continue
 		}
-		counts = append(counts, state.UsageCount{Life: key.life, Window: key.window, Tenant: key.tenant, Count: count})
+		counts = append(counts, state.UsageCount{Life: key.process, Window: key.window, Tenant: key.tenant, Count: count})
 	}
 	slices.SortFunc(counts, compareUsage)
 	counts = counts[:min(len(counts), maxUsageCommit)]
 	for _, counted := range counts {
-		delete(u.pending, usageKey{life: counted.Life, window: counted.Window, tenant: counted.Tenant})
+		delete(u.pending, usageKey{process: counted.Life, window: counted.Window, tenant: counted.Tenant})
 	}
 	return counts
 }
@@ -132,7 +132,7 @@
 	u.lock.Lock()
 	defer u.lock.Unlock()
 	for _, counted := range counts {
-		key := usageKey{life: counted.Life, window: counted.Window, tenant: counted.Tenant}
+		key := usageKey{process: counted.Life, window: counted.Window, tenant: counted.Tenant}
 		u.pending[key] = max(u.pending[key], counted.Count)
 	}
 }
@@ -140,14 +140,14 @@
 // hasAllReports reports whether all known processes have reported their counts up to a time,
 // ignoring processes that have been silent for usageSilenceTimeout. It forgets processes that
 // have been silent for usageRetention.
-func (u *usageDesk) isTold(upTo int64, now time.Duration) bool {
+func (u *usageDesk) hasAllReports(upTo int64, now time.Duration) bool {
 	u.lock.Lock()
 	defer u.lock.Unlock()
-	for life, known := range u.through {
+	for life, known := range u.progress {
 		switch silent := now - known.at; {
-		case silent > usageMemory:
-			delete(u.through, life)
-		case silent <= usageSilence && known.through < upTo:
+		case silent > usageRetention:
+			delete(u.progress, life)
+		case silent <= usageSilenceTimeout && known.through < upTo:
 			return false
 		}
 	}
@@ -155,15 +155,15 @@
 }
 
 // usageRetention is how long a silent process is remembered.
-const usageMemory = time.Minute
+const usageRetention = time.Minute
 
 // hasSilentProcess reports whether a process recently fell silent before it had reported its
 // counts up to a time, so that some counts may be missing.
-func (u *usageDesk) isSilent(upTo int64, now time.Duration) bool {
+func (u *usageDesk) hasSilentProcess(upTo int64, now time.Duration) bool {
 	u.lock.Lock()
 	defer u.lock.Unlock()
-	for _, known := range u.through {
-		if now-known.at > usageSilence && known.through < upTo && known.through > upTo-usageMemory.Milliseconds() {
+	for _, known := range u.progress {
+		if now-known.at > usageSilenceTimeout && known.through < upTo && known.through > upTo-usageRetention.Milliseconds() {
 			return true
 		}
 	}
@@ -182,8 +182,8 @@
 func (g *group) Day() int64 { return g.day.Now().UnixMilli() }
 
 // usageTermState is the state of usage reporting in one term.
-type usageDuty struct {
-	duty
+type usageTermState struct {
+	callGuard
 	committedAt time.Duration
 	// first is the first window to report if none has been decided yet.
 	first   int64
@@ -192,7 +192,7 @@
 
 // manageUsage commits the counted usage, decides the windows that have ended, and reports the
 // decided ones.
-func (d *duties) tendUsage(ctx context.Context, term *termDuties) {
+func (d *duties) manageUsage(ctx context.Context, term *termDuties) {
 	config := d.group.config.Usage
 	if config.Sink == nil || config.Window <= 0 || !d.countsTenants() {
 		return
@@ -204,7 +204,7 @@
 		duty.first = day / length
 	}
 	decided := d.usageDecided()
-	if now-duty.committedAt >= usageCommit {
+	if now-duty.committedAt >= usageCommitInterval {
 		duty.committedAt = now
 		d.commitUsage(ctx, decided)
 	}
@@ -212,8 +212,8 @@
 	if decided == 0 {
 		next = duty.first
 	}
-	for range usageRound {
-		if !d.isOver(next, length, day, now, now-term.startedAt) || !d.commitUsage(ctx, decided) || !d.decideUsage(ctx, next, (next+1)*length, now) {
+	for range maxWindowsPerRound {
+		if !d.isWindowDue(next, length, day, now, now-term.startedAt) || !d.commitUsage(ctx, decided) || !d.decideUsage(ctx, next, (next+1)*length, now) {
 			break
 		}
 		decided, next = next, next+1
@@ -234,18 +234,18 @@
 
 // isWindowDue reports whether a window is to be decided now, in a term that has lasted for the
 // given time: a new leader first has to receive the proxies' counts.
-func (d *duties) isOver(window, length, day int64, now, lasted time.Duration) bool {
+func (d *duties) isWindowDue(window, length, day int64, now, lasted time.Duration) bool {
 	end := (window + 1) * length
-	if lasted < usageTakeOver {
+	if lasted < usageTakeoverDelay {
 		return false
 	}
 	switch since := time.Duration(day-end) * time.Millisecond; {
-	case since < usageSettle:
+	case since < usageMinDelay:
 		return false
-	case since >= usageLatest:
+	case since >= usageMaxDelay:
 		return true
 	default:
-		return d.group.usage.isTold(end, now)
+		return d.group.usage.hasAllReports(end, now)
 	}
 }
 
@@ -264,15 +264,15 @@
 }
 
 func (d *duties) decideUsage(ctx context.Context, window, end int64, now time.Duration) bool {
-	partial := d.group.usage.isSilent(end, now)
+	partial := d.group.usage.hasSilentProcess(end, now)
 	result, err := d.group.propose(ctx, state.Command{
 		Kind: state.CommandDecideUsage, DecideUsage: &state.DecideUsage{Window: window, Partial: partial},
 	})
 	if err != nil {
 		return false
 	}
-	made := result.(api.UsageWindow)
-	event.UsageDecided.Log(d.logger, "window", window, "tenants", len(made.Counts), "requests", totalOf(made.Counts), "partial", made.Partial)
+	decided := result.(api.UsageWindow)
+	event.UsageDecided.Log(d.logger, "window", window, "tenants", len(decided.Counts), "requests", totalOf(decided.Counts), "partial", decided.Partial)
 	return true
 }
 
@@ -294,7 +294,7 @@
 		term.usage.busy.Store(false)
 		return
 	}
-	term.usage.retryAt = monotonic() + dutyPause
+	term.usage.retryAt = monotonic() + platformCallPause
 	term.background.Go(func() {
 		defer term.usage.busy.Store(false)
 		for _, window := range outstanding {
@@ -308,10 +308,10 @@
 
 // reportUsage reports one window. It returns false if no further windows can be reported now.
 func (d *duties) reportUsage(ctx context.Context, term *termDuties, window api.UsageWindow) bool {
-	ctx, cancel := context.WithTimeout(ctx, dutyTimeout)
+	ctx, cancel := context.WithTimeout(ctx, platformCallTimeout)
 	defer cancel()
-	holder, may := d.mayAct(ctx, term, &term.usage.duty)
-	if !may {
+	holder, ok := d.authorizeCall(ctx, term, &term.usage.callGuard)
+	if !ok {
 		return false
 	}
 	outcome, err := d.group.config.Usage.Sink.Report(ctx, holder, window)
--- a/process/control/usage_test.go
+++ b/process/control/usage_test.go
@@ -19,10 +19,10 @@
 type fakeSink struct {
 	lock    sync.Mutex
 	outcome DutyOutcome
-	taken   []takenReport
+	reports []receivedReport
 }
 
-type takenReport struct {
+type receivedReport struct {
 	holder DutyHolder
 	window api.UsageWindow
 }
@@ -30,7 +30,7 @@
 func (s *fakeSink) Report(_ context.Context, holder DutyHolder, window api.UsageWindow) (DutyOutcome, error) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.taken = append(s.taken, takenReport{holder, window})
+	s.reports = append(s.reports, receivedReport{holder, window})
 	return s.outcome, nil
 }
 
@@ -40,12 +40,12 @@
 	s.outcome = outcome
 }
 
-// reportsOf returns the reports of a window.
-func (s *fakeSink) of(window int64) []takenReport {
+// reportsOf returns the reports reportsOf a window.
+func (s *fakeSink) reportsOf(window int64) []receivedReport {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	var found []takenReport
-	for _, report := range s.taken {
+	var found []receivedReport
+	for _, report := range s.reports {
 		if report.window.Window == window {
 			found = append(found, report)
 		}
@@ -56,7 +56,7 @@
 const testWindow = 400 * time.Millisecond
 
 // newMeteredGroup returns a group of three members that counts usage per tenant.
-func newMetered(t *testing.T, sink *fakeSink) *growing {
+func newMeteredGroup(t *testing.T, sink *fakeSink) *growing {
 	g := newGrowing(t, 3, 3, 1)
 	for i := range g.configs {
 		g.configs[i].Usage = Usage{Window: testWindow, Sink: sink}
@@ -73,10 +73,10 @@
 
 // futureWindow returns a window that has not started, so that its counts are reported before it
 // is decided.
-func windowAhead() int64 { return time.Now().UnixMilli()/testWindow.Milliseconds() + 3 }
+func futureWindow() int64 { return time.Now().UnixMilli()/testWindow.Milliseconds() + 3 }
 
-// reportCount makes a proxy report a count to the leader.
-func (g *growing) count(client *feed.Client, life string, window int64, count uint64) {
+// reportCount makes a proxy report a reportCount to the leader.
+func (g *growing) reportCount(client *feed.Client, life string, window int64, count uint64) {
 	g.t.Helper()
 	eventually(g.t, "a connected client", client.Connected)
 	must.True(g.t, client.ReportUsage(feed.UsageReport{
@@ -87,15 +87,15 @@
 // A window is decided once it has ended, and reported once.
 func TestUsageIsReported(t *testing.T) {
 	sink := &fakeSink{outcome: DutyDone}
-	g := newMetered(t, sink)
+	g := newMeteredGroup(t, sink)
 	first, _ := g.follow("proxy-1")
 	second, _ := g.follow("proxy-2")
-	window := windowAhead()
-	g.count(first, "a", window, 2)
-	g.count(first, "a", window, 5)
-	g.count(second, "b", window, 7)
-	eventually(t, "the next window's report", func() bool { return len(sink.of(window+1)) > 0 })
-	reports := sink.of(window)
+	window := futureWindow()
+	g.reportCount(first, "a", window, 2)
+	g.reportCount(first, "a", window, 5)
+	g.reportCount(second, "b", window, 7)
+	eventually(t, "the next window's report", func() bool { return len(sink.reportsOf(window+1)) > 0 })
+	reports := sink.reportsOf(window)
 	must.SliceLen(t, 1, reports)
 	must.Eq(t, map[string]uint64{"north": 12}, reports[0].window.Counts)
 	must.True(t, reports[0].window.Decided)
@@ -107,22 +107,22 @@
 
 // An unanswered report is repeated, also by the next leader: with the same counts, whatever was
 // reported since, and under a higher fencing token.
-func TestReportOutlastsItsLeader(t *testing.T) {
+func TestUnansweredReportIsRepeatedByNextLeader(t *testing.T) {
 	sink := &fakeSink{}
-	g := newMetered(t, sink)
+	g := newMeteredGroup(t, sink)
 	client, _ := g.follow("proxy-1")
-	window := windowAhead()
-	g.count(client, "a", window, 3)
-	eventually(t, "a second try", func() bool { return len(sink.of(window)) > 1 })
+	window := futureWindow()
+	g.reportCount(client, "a", window, 3)
+	eventually(t, "a second try", func() bool { return len(sink.reportsOf(window)) > 1 })
 	g.crash(g.leader())
 	eventually(t, "another leader", client.Connected)
 	_ = client.ReportUsage(feed.UsageReport{Life: "b", Counts: []feed.UsageCount{{Window: window, Tenant: "north", Count: 9}}})
 	sink.answer(DutyDone)
 	eventually(t, "the next leader's report", func() bool {
-		reports := sink.of(window)
+		reports := sink.reportsOf(window)
 		return reports[len(reports)-1].holder.Name != reports[0].holder.Name
 	})
-	reports := sink.of(window)
+	reports := sink.reportsOf(window)
 	for _, report := range reports {
 		must.Eq(t, map[string]uint64{"north": 3}, report.window.Counts)
 		must.GreaterEq(t, reports[0].holder.Fence, report.holder.Fence)
@@ -131,19 +131,19 @@
 }
 
 // A holder that learns of a higher fencing token makes no more calls in its term.
-func TestFencedHolderCallsNoMore(t *testing.T) {
+func TestFencedHolderMakesNoMoreCalls(t *testing.T) {
 	sink := &fakeSink{outcome: DutyFenced}
-	g := newMetered(t, sink)
+	g := newMeteredGroup(t, sink)
 	client, _ := g.follow("proxy-1")
-	window := windowAhead()
-	g.count(client, "a", window, 3)
+	window := futureWindow()
+	g.reportCount(client, "a", window, 3)
 	eventually(t, "a report", func() bool {
 		sink.lock.Lock()
 		defer sink.lock.Unlock()
-		return len(sink.taken) > 0
+		return len(sink.reports) > 0
 	})
 	sink.lock.Lock()
-	before := len(sink.taken)
+	before := len(sink.reports)
 	sink.lock.Unlock()
 	decided := func() (last int64) {
 		g.running[g.leader()].member.machine.read(func(m *state.Machine) { last = m.UsageDecided() })
@@ -152,12 +152,12 @@
 	eventually(t, "more windows", func() bool { return decided() > window+4 })
 	sink.lock.Lock()
 	defer sink.lock.Unlock()
-	must.Eq(t, before, len(sink.taken))
+	must.Eq(t, before, len(sink.reports))
 }
 
 // No call is made before the previous holder's calls must have arrived, or without a lease of the
 // same term.
-func TestHoldersCallInTheirTimeAlone(t *testing.T) {
+func TestPlatformCallRequiresLeaseAndSettledOrders(t *testing.T) {
 	cases := []struct {
 		name    string
 		started time.Duration // ago
@@ -179,9 +179,9 @@
 				group: &group{config: config},
 				lease: func(context.Context) (uint64, bool) { return each.number, each.valid },
 			}
-			on := &duty{}
+			on := &callGuard{}
 			on.fenced.Store(each.fenced)
-			holder, may := d.mayAct(t.Context(), &termDuties{number: 7, startedAt: monotonic() - each.started}, on)
+			holder, may := d.authorizeCall(t.Context(), &termDuties{number: 7, startedAt: monotonic() - each.started}, on)
 			must.Eq(t, each.may, may)
 			if may {
 				must.Eq(t, DutyHolder{Name: "n", Fence: 7}, holder)
@@ -196,28 +196,28 @@
 	desk := newUsageDesk()
 	desk.note(feed.UsageReport{Life: "a", Through: 900}, 0)
 	desk.note(feed.UsageReport{Life: "b", Through: 1100}, 0)
-	must.False(t, desk.isTold(1000, time.Second))
-	must.True(t, desk.isTold(1000, usageSilence+1), must.Sprint("the process is silent"))
-	must.True(t, desk.isSilent(1000, usageSilence+1))
+	must.False(t, desk.hasAllReports(1000, time.Second))
+	must.True(t, desk.hasAllReports(1000, usageSilenceTimeout+1), must.Sprint("the process is silent"))
+	must.True(t, desk.hasSilentProcess(1000, usageSilenceTimeout+1))
 	desk.note(feed.UsageReport{Life: "a", Through: 1000}, time.Second)
-	must.True(t, desk.isTold(1000, time.Second))
-	must.False(t, desk.isSilent(1000, time.Second))
-	must.True(t, desk.isTold(5000, 2*usageMemory))
-	must.MapEmpty(t, desk.through)
+	must.True(t, desk.hasAllReports(1000, time.Second))
+	must.False(t, desk.hasSilentProcess(1000, time.Second))
+	must.True(t, desk.hasAllReports(5000, 2*usageRetention))
+	must.MapEmpty(t, desk.progress)
 }
 
 // A new leader knows none of the uncommitted counts. However late a window is, it is not decided
 // before proxies have had time to report.
-func TestNewLeaderHearsBeforeItDecides(t *testing.T) {
+func TestNewLeaderCollectsReportsBeforeDeciding(t *testing.T) {
 	d := &duties{group: &group{usage: newUsageDesk()}}
 	const window, length = 7, 5000
 	end := int64((window + 1) * length)
-	must.False(t, d.isOver(window, length, end+usageLatest.Milliseconds(), 0, usageTakeOver-1))
-	must.True(t, d.isOver(window, length, end+usageLatest.Milliseconds(), 0, usageTakeOver))
-	must.False(t, d.isOver(window, length, end+usageSettle.Milliseconds()-1, 0, time.Hour))
-	must.True(t, d.isOver(window, length, end+usageSettle.Milliseconds(), 0, time.Hour))
+	must.False(t, d.isWindowDue(window, length, end+usageMaxDelay.Milliseconds(), 0, usageTakeoverDelay-1))
+	must.True(t, d.isWindowDue(window, length, end+usageMaxDelay.Milliseconds(), 0, usageTakeoverDelay))
+	must.False(t, d.isWindowDue(window, length, end+usageMinDelay.Milliseconds()-1, 0, time.Hour))
+	must.True(t, d.isWindowDue(window, length, end+usageMinDelay.Milliseconds(), 0, time.Hour))
 	d.group.usage.note(feed.UsageReport{Life: "a", Through: end - 1}, 0)
-	must.False(t, d.isOver(window, length, end+usageSettle.Milliseconds(), 0, time.Hour), must.Sprint("a process has not reported all counts"))
+	must.False(t, d.isWindowDue(window, length, end+usageMinDelay.Milliseconds(), 0, time.Hour), must.Sprint("a process has not reported all counts"))
 }
 
 // Commits are limited in size, start with the oldest windows, and counters that could not be
--- a/process/control/warm.go
+++ b/process/control/warm.go
@@ -22,71 +22,71 @@
 const (
 	// cacheQueryDelay is how long a new leader waits for the proxies to report which prompt parts
 	// replicas have cached. It then queries the replicas that no proxy has reported on.
-	warmDelay = 150 * time.Millisecond
+	cacheQueryDelay = 150 * time.Millisecond
 	// cacheQueryTimeout limits one query, maxCacheQueries the concurrent ones: 160 replicas
 	// answer within about 50 ms this way, and each query uses one file descriptor.
-	warmTimeout = time.Second
-	warmAtOnce  = 64
+	cacheQueryTimeout = time.Second
+	maxCacheQueries   = 64
 	// cacheQueryBurst is how many replicas are queried without delay. Further ones are queried
 	// one per cacheQueryPace, since a new leader has no time for thousands of queries beside its
 	// proxies' requests. The cached parts of replicas that were not queried are learned from
 	// their requests.
-	warmBurst = 256
-	warmPace  = 20 * time.Millisecond
-	// freshProcess is the process age up to which a new leader assumes that the whole group was
+	cacheQueryBurst = 256
+	cacheQueryPace  = 20 * time.Millisecond
+	// maxRestartedProcessAge is the process age up to which a new leader assumes that the whole group was
 	// restarted. In that case no proxy remembers anything, so it does not wait for their reports.
 	// Until replicas answer, prompts that they have cached are computed again.
-	freshProcess = 3 * time.Second
+	maxRestartedProcessAge = 3 * time.Second
 )
 
 // cacheQueryDelayFor returns how long after the start of a term its leader queries replicas,
 // given the age of its process at that time.
-func warmsAfter(began time.Duration) time.Duration {
-	if began < freshProcess {
+func cacheQueryDelayFor(processAge time.Duration) time.Duration {
+	if processAge < maxRestartedProcessAge {
 		return 0
 	}
-	return warmDelay
+	return cacheQueryDelay
 }
 
 // queryCaches queries, once per term, the replicas whose cached prompt parts no proxy has
 // reported. After a restart of the whole system no proxy remembers them, and computing them again
 // would cost far more than the queries. If there was no Ingress when the term began there is
 // nothing to query.
-func (d *duties) warmBoards(ctx context.Context, term *termDuties, now time.Duration) {
-	if term.warmed || now-term.startedAt < warmsAfter(term.startedAt) {
+func (d *duties) queryCaches(ctx context.Context, term *termDuties, now time.Duration) {
+	if term.cachesQueried || now-term.startedAt < cacheQueryDelayFor(term.startedAt) {
 		return
 	}
-	term.warmed = true
+	term.cachesQueried = true
 	if d.group.config.Kept == nil || !term.hadIngress {
 		return
 	}
 	current := d.group.machine.view()
-	cold := d.group.desk.cold(d.group.machine.history.Load())
-	if len(cold) == 0 {
+	uncached := d.group.desk.uncachedReplicas(d.group.machine.history.Load())
+	if len(uncached) == 0 {
 		return
 	}
-	term.background.Go(func() { d.askKept(term.orders, current, cold) })
+	term.background.Go(func() { d.queryReplicas(term.orders, current, uncached) })
 }
 
 // queryReplicas queries the replicas, at most maxCacheQueries at a time.
-func (d *duties) askKept(ctx context.Context, current *view.View, cold []string) {
-	var asking sync.WaitGroup
-	places := make(chan struct{}, warmAtOnce)
-	for i, name := range cold {
-		if i >= warmBurst && !pause.For(ctx, warmPace) {
+func (d *duties) queryReplicas(ctx context.Context, current *view.View, replicas []string) {
+	var queries sync.WaitGroup
+	slots := make(chan struct{}, maxCacheQueries)
+	for i, name := range replicas {
+		if i >= cacheQueryBurst && !pause.For(ctx, cacheQueryPace) {
 			break
 		}
-		places <- struct{}{}
-		asking.Go(func() {
-			defer func() { <-places }()
-			d.askOneKept(ctx, current.Replicas[name])
+		slots <- struct{}{}
+		queries.Go(func() {
+			defer func() { <-slots }()
+			d.queryReplica(ctx, current.Replicas[name])
 		})
 	}
-	asking.Wait()
+	queries.Wait()
 }
 
-func (d *duties) askOneKept(ctx context.Context, replica *api.Replica) {
-	ctx, cancel := context.WithTimeout(ctx, warmTimeout)
+func (d *duties) queryReplica(ctx context.Context, replica *api.Replica) {
+	ctx, cancel := context.WithTimeout(ctx, cacheQueryTimeout)
 	defer cancel()
 	parts, err := d.group.config.Kept.Kept(ctx, replica)
 	event.KeptAsked.Log(d.logger, "replica", replica.Name, "parts", len(parts), "err", err)
@@ -97,8 +97,8 @@
 	d.group.desk.kept(d.group.machine.history.Load(), kept)
 }
 
-// cold returns the replicas of model services that are not known to have cached anything.
-func (d *placementDesk) cold(current *view.History) []string {
+// uncachedReplicas returns the replicas of model services that are not known to have cached anything.
+func (d *placementDesk) uncachedReplicas(current *view.History) []string {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	d.update(current)
--- a/process/control/warm_test.go
+++ b/process/control/warm_test.go
@@ -9,7 +9,7 @@
 
 // A leader whose process has just started queries replicas at once; one that takes over from
 // another leader first waits for the proxies' reports.
-func TestFreshLeaderAsksReplicasAtOnce(t *testing.T) {
-	must.Eq(t, 0, warmsAfter(500*time.Millisecond))
-	must.Eq(t, warmDelay, warmsAfter(time.Minute))
+func TestCacheQueryDelay(t *testing.T) {
+	must.Eq(t, 0, cacheQueryDelayFor(500*time.Millisecond))
+	must.Eq(t, cacheQueryDelay, cacheQueryDelayFor(time.Minute))
 }
