--- a/process/control/duty.go
+++ b/process/control/duty.go
@@ -12,8 +12,8 @@
 // with the same work.
 //
 // Invariant: a call is sent only while the leader lease is valid, by a clock that includes
-// suspensions, in the term whose fencing token it carries, and not before the previous holder's
-// calls must have arrived.
+// suspensions, in the term whose fencing token it carries, and only once the calls of the
+// previous holder can no longer be in transit.
 type callGuard struct {
 	// fenced is set once the platform has seen a higher fencing token: another holder has
 	// started, and this one makes no more calls in its term.
--- a/process/control/evidence.go
+++ b/process/control/evidence.go
@@ -83,7 +83,7 @@
 }
 
 // tellOthers sets the sender for notices to the other members.
-func (e *evidence) tellOthers(others noticeSender) { e.sender.Store(&others) }
+func (e *evidence) tellOthers(sender noticeSender) { e.sender.Store(&sender) }
 
 // tellDaemons sets the function that notifies daemons of new evidence.
 func (e *evidence) tellDaemons(wake func()) { e.wake.Store(&wake) }
@@ -108,11 +108,11 @@
 	e.publish(e.desk.merge(report, monotonic()))
 }
 
-// requestAll requests all evidence from the other members. A new leader does so because the members that
-// it reaches may know of evidence that it never received.
+// requestAll requests all evidence from the other members. A new leader does so because the
+// members that it reaches may know of evidence that it never received.
 func (e *evidence) requestAll() {
-	if others := e.sender.Load(); others != nil {
-		(*others).Notify(nil)
+	if sender := e.sender.Load(); sender != nil {
+		(*sender).Notify(nil)
 	}
 }
 
@@ -125,9 +125,9 @@
 	e.sendTo(member, e.desk.notableObservations(monotonic()))
 }
 
-func (e *evidence) sendTo(member raft.MemberID, sights []quarantine.Aged) {
-	if others := e.sender.Load(); others != nil && len(sights) > 0 {
-		(*others).NotifyOne(feed.EncodeEnds(feed.EndReport{Ended: sights}), member)
+func (e *evidence) sendTo(member raft.MemberID, observations []quarantine.Aged) {
+	if sender := e.sender.Load(); sender != nil && len(observations) > 0 {
+		(*sender).NotifyOne(feed.EncodeEnds(feed.EndReport{Ended: observations}), member)
 	}
 }
 
@@ -189,9 +189,9 @@
 	e.lock.Unlock()
 	fingerprints := slices.Collect(maps.Keys(next.ended))
 	report := feed.EndReport{Ended: e.desk.observationsOf(fingerprints, monotonic()), Alive: next.alive, Served: next.served}
-	if others := e.sender.Load(); others != nil && !report.IsEmpty() {
+	if sender := e.sender.Load(); sender != nil && !report.IsEmpty() {
 		for _, part := range report.Split() {
-			(*others).Notify(feed.EncodeEnds(part))
+			(*sender).Notify(feed.EncodeEnds(part))
 		}
 	}
 }
@@ -204,13 +204,13 @@
 		case <-ctx.Done():
 			return
 		}
-		began := monotonic()
-		kept, err := e.save(began)
+		started := monotonic()
+		stored, err := e.save(started)
 		if err != nil {
-			event.EvidenceNotKept.Log(e.logger, "ends", kept, "err", err)
+			event.EvidenceNotKept.Log(e.logger, "ends", stored, "err", err)
 			pause.Signal(e.changed)
 		} else {
-			event.EvidenceKept.Log(e.logger, "ends", kept, "took_ms", (monotonic() - began).Milliseconds())
+			event.EvidenceKept.Log(e.logger, "ends", stored, "took_ms", (monotonic() - started).Milliseconds())
 		}
 		if !pause.For(ctx, evidenceWriteInterval) {
 			return
@@ -219,7 +219,7 @@
 }
 
 // save writes and syncs the known evidence, and returns the number of crash observations written.
-func (e *evidence) save(now time.Duration) (kept int, err error) {
+func (e *evidence) save(now time.Duration) (stored int, err error) {
 	report := feed.EndReport{Ended: e.desk.observations(now)}
 	return len(report.Ended), wal.WriteFile(e.files, filepath.Join(e.folder, evidenceFile), encodeEvidence(report, time.Now()))
 }
--- a/process/control/placement.go
+++ b/process/control/placement.go
@@ -60,12 +60,12 @@
 }
 
 // takeOver adds the requests that a proxy already has in flight.
-func (d *placementDesk) takeOver(current *view.History, daemon string, told feed.InFlight, now time.Duration) {
+func (d *placementDesk) takeOver(current *view.History, daemon string, inFlight feed.InFlight, now time.Duration) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	d.update(current)
-	if board := d.boards[told.Service]; board != nil {
-		board.TakeOver(now, daemon, told.Requests)
+	if board := d.boards[inFlight.Service]; board != nil {
+		board.TakeOver(now, daemon, inFlight.Requests)
 	}
 }
 
@@ -116,13 +116,13 @@
 
 // rebuild applies a complete view.
 func (d *placementDesk) rebuild(current *view.View) {
-	held := current.Ingresses[api.IngressName]
-	if held == nil {
+	ingress := current.Ingresses[api.IngressName]
+	if ingress == nil {
 		return
 	}
 	listed := replicasByService(current)
-	for i := range held.Spec.Services {
-		service := &held.Spec.Services[i]
+	for i := range ingress.Spec.Services {
+		service := &ingress.Spec.Services[i]
 		if service.Model == nil {
 			continue
 		}
@@ -131,7 +131,7 @@
 			board = placement.NewBoard()
 			d.boards[service.Name] = board
 		}
-		board.SetReplicas(modelSheet(&held.Spec, service), listed[service.Name])
+		board.SetReplicas(modelSheet(&ingress.Spec, service), listed[service.Name])
 	}
 }
 
--- a/process/control/quarantine.go
+++ b/process/control/quarantine.go
@@ -16,8 +16,8 @@
 	"github.com/zeromicro/go-zero/rest/pathvar"
 )
 
-// Durations and limits of quarantines. They are chosen by policy: each attempt of a request that
-// crashes replicas costs several seconds of a replica's time.
+// Durations and limits of quarantines. Each attempt of a request that crashes replicas costs
+// several seconds of a replica's time.
 const (
 	// firstHoldDuration is the length of a request's first hold. The second hold is twice as
 	// long, and all later ones last maxHoldDuration. A hold is followed by a trial, which sends
--- a/process/control/quarantine_review.go
+++ b/process/control/quarantine_review.go
@@ -18,24 +18,24 @@
 // manageQuarantine commits the differences between the quarantine record and what it should
 // contain.
 func (d *duties) manageQuarantine(ctx context.Context, term *termDuties) {
-	desk := d.group.evidence.desk
-	seen, refuted := desk.review(term.number, d.group.machine.view(), monotonic(), time.Now())
-	news := desk.changeCount()
-	if len(seen.Put) == 0 && len(seen.Removed) == 0 {
-		desk.markRecorded(news, monotonic())
+	tracker := d.group.evidence.desk
+	changes, refuted := tracker.review(term.number, d.group.machine.view(), monotonic(), time.Now())
+	changeCount := tracker.changeCount()
+	if len(changes.Put) == 0 && len(changes.Removed) == 0 {
+		tracker.markRecorded(changeCount, monotonic())
 		return
 	}
-	_, err := d.group.propose(ctx, state.Command{Kind: state.CommandObserve, Observe: &seen})
+	_, err := d.group.propose(ctx, state.Command{Kind: state.CommandObserve, Observe: &changes})
 	if err != nil {
-		desk.restoreRefutations(refuted, monotonic())
+		tracker.restoreRefutations(refuted, monotonic())
 	} else {
-		desk.markRecorded(news, monotonic())
+		tracker.markRecorded(changeCount, monotonic())
 	}
-	logQuarantine(d.logger, &seen, err)
+	logQuarantine(d.logger, &changes, err)
 }
 
-func logQuarantine(logger log.Logger, seen *state.Observe, err error) {
-	for _, object := range seen.Put {
+func logQuarantine(logger log.Logger, changes *state.Observe, err error) {
+	for _, object := range changes.Put {
 		if object.Suspect != nil {
 			logSuspect(logger, object.Suspect, err)
 			continue
@@ -45,7 +45,7 @@
 			"route", spec.Route, "request", spec.Request, "replicas", len(spec.Replicas),
 			"until", time.UnixMilli(spec.Until).UTC().Format(time.RFC3339), "times", spec.Times, "err", err)
 	}
-	for _, key := range seen.Removed {
+	for _, key := range changes.Removed {
 		if key.Kind == api.KindSuspect {
 			continue // it expires, or its quarantine is logged
 		}
@@ -54,8 +54,8 @@
 }
 
 // review returns the changes that the record needs, and the refutations that they take into
-// account. wall is the wall-clock time: holds are measured in minutes and longer, so an
-// inaccuracy of seconds does not matter.
+// account. wall is the wall-clock time: holds are measured in minutes, so an inaccuracy of
+// seconds does not matter.
 func (d *quarantineTracker) review(term uint64, current *view.View, now time.Duration, wall time.Time) (state.Observe, refutations) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -70,29 +70,29 @@
 			d.table.Lives(refuted.reportedAt[alive.Replica], alive)
 		}
 	}
-	var seen state.Observe
+	var changes state.Observe
 	recorded := len(current.Quarantines)
 	for _, name := range slices.Sorted(maps.Keys(current.Quarantines)) {
-		d.reviewRecorded(&seen, current, current.Quarantines[name], &refuted, now, wall)
+		d.reviewRecorded(&changes, current, current.Quarantines[name], &refuted, now, wall)
 	}
-	recorded -= len(seen.Removed)
+	recorded -= len(changes.Removed)
 	for _, fingerprint := range d.requestsToRecord(current, now) {
 		if current.Quarantines[fingerprint.String()] == nil && recorded < maxQuarantines {
 			recorded++
-			seen.Put = append(seen.Put, d.newEntry(current, fingerprint, now, wall))
+			changes.Put = append(changes.Put, d.newEntry(current, fingerprint, now, wall))
 		}
 	}
-	d.reviewSuspects(&seen, current, &refuted, now, wall)
-	d.recordSuspects(&seen, current, now, wall)
-	return seen, refuted
+	d.reviewSuspects(&changes, current, &refuted, now, wall)
+	d.recordSuspects(&changes, current, now, wall)
+	return changes, refuted
 }
 
 // reviewRecorded updates or removes one entry of the record.
-func (d *quarantineTracker) reviewRecorded(seen *state.Observe, current *view.View, known *api.Quarantine, refuted *refutations, now time.Duration, wall time.Time) {
+func (d *quarantineTracker) reviewRecorded(changes *state.Observe, current *view.View, known *api.Quarantine, refuted *refutations, now time.Duration, wall time.Time) {
 	fingerprint, ok := quarantine.Parse(known.Name)
 	spec := d.refreshed(known.Spec, fingerprint, refuted)
 	if !ok || refuted.served[fingerprint] || isEntryOver(&spec, wall) {
-		seen.Removed = append(seen.Removed, api.Key{Kind: api.KindQuarantine, Name: known.Name})
+		changes.Removed = append(changes.Removed, api.Key{Kind: api.KindQuarantine, Name: known.Name})
 		d.table.Forget(fingerprint)
 		return
 	}
@@ -100,18 +100,18 @@
 	d.table.SetHeld(fingerprint, spec.State == api.QuarantineHeld)
 	if spec.State != known.Spec.State || spec.Until != known.Spec.Until || !slices.Equal(spec.Replicas, known.Spec.Replicas) ||
 		!slices.Equal(spec.Weak, known.Spec.Weak) {
-		seen.Put = append(seen.Put, quarantineObject(known.Name, spec))
+		changes.Put = append(changes.Put, quarantineObject(known.Name, spec))
 	}
 }
 
 // refreshed returns an entry updated with the reports received since it was written.
 func (d *quarantineTracker) refreshed(spec api.QuarantineSpec, fingerprint quarantine.Fingerprint, refuted *refutations) api.QuarantineSpec {
 	spec.Replicas = slices.DeleteFunc(slices.Clone(spec.Replicas), func(name string) bool {
-		_, lives := refuted.alive[quarantine.ReplicaOf(name)]
-		return lives && !d.table.HasEnd(fingerprint, name)
+		_, isAlive := refuted.alive[quarantine.ReplicaOf(name)]
+		return isAlive && !d.table.HasEnd(fingerprint, name)
 	})
-	heard, about := d.table.Ends(fingerprint)
-	spec.Replicas = mergeNames(spec.Replicas, heard)
+	crashed, about := d.table.Ends(fingerprint)
+	spec.Replicas = mergeNames(spec.Replicas, crashed)
 	spec.Weak = filterWeak(spec.Replicas, d.table.Weak(fingerprint))
 	if about.Request != "" {
 		spec.Request = about.Request
@@ -120,8 +120,8 @@
 	return spec
 }
 
-// isEntryOver reports whether an entry is to be removed: too few replicas have crashed, or it expired
-// without a further crash.
+// isEntryOver reports whether an entry is to be removed: too few of its replicas have crashed,
+// its watch has expired, or its trial has ended without a crash and it has never been held.
 func isEntryOver(spec *api.QuarantineSpec, wall time.Time) bool {
 	switch {
 	case len(spec.Replicas) < quarantine.WatchedEnds:
@@ -231,7 +231,7 @@
 	return merged[max(0, len(merged)-maxRecordedReplicas):]
 }
 
-// newEntry returns the entry of a request that is not in the newEntry yet. Unless a trial is due,
+// newEntry returns the entry of a request that is not in the record yet. Unless a trial is due,
 // the request is watched first, however many replicas have crashed, since proxies that know of it
 // report when it is served; a request that was merely in flight during the crashes will be.
 func (d *quarantineTracker) newEntry(current *view.View, fingerprint quarantine.Fingerprint, now time.Duration, wall time.Time) api.Object {
--- a/process/control/quarantine_states.go
+++ b/process/control/quarantine_states.go
@@ -55,13 +55,13 @@
 // isMistaken reports whether a hold is unfounded: another request explains the crashes, or too
 // few of the replicas have crashed because some turned out to be alive.
 func (d *quarantineTracker) isMistaken(spec *api.QuarantineSpec, fingerprint quarantine.Fingerprint, standing quarantine.Standing) bool {
-	heard, _ := d.table.Ends(fingerprint)
-	isExplained := len(heard) >= crashesToHold(spec) && standing == quarantine.Watched
+	crashed, _ := d.table.Ends(fingerprint)
+	isExplained := len(crashed) >= crashesToHold(spec) && standing == quarantine.Watched
 	return isExplained || len(spec.Replicas) < crashesToHold(spec)
 }
 
-// endHold ends an expired hold. Only as many crashes are kept that one more shows whether the
-// request still crashes replicas.
+// endHold ends an expired hold. It keeps just enough crashes that a single further one, in a
+// trial or while the request is watched, renews the hold.
 func (d *quarantineTracker) endHold(spec *api.QuarantineSpec, fingerprint quarantine.Fingerprint, current *view.View, now time.Duration, wall time.Time) {
 	startWatch(spec, wall)
 	if routedService(current, spec.Service) != nil {
@@ -119,8 +119,9 @@
 }
 
 // hasInitialReports reports whether proxies have had time to report to this leader what they
-// know. Until then it neither holds a request nor starts a trial, which refuses all copies but
-// one: crashes and the successful answers that refute them are reported in any order.
+// know. Until then the leader neither holds a request nor starts a trial, which refuses all
+// copies but one, because crashes and the successful answers that refute them are reported in any
+// order.
 func (d *quarantineTracker) hasInitialReports(now time.Duration) bool { return now >= d.decideFrom }
 
 // startSettling keeps a request away from all replicas until the decision, which is made within
@@ -152,13 +153,13 @@
 // routedService returns the routed service with the given name, or nil. Proxies take turns only
 // with requests of such services.
 func routedService(current *view.View, service string) *api.RouteService {
-	held := current.Ingresses[api.IngressName]
-	if held == nil {
+	ingress := current.Ingresses[api.IngressName]
+	if ingress == nil {
 		return nil
 	}
-	at := slices.IndexFunc(held.Spec.Services, func(known api.RouteService) bool { return known.Name == service })
+	at := slices.IndexFunc(ingress.Spec.Services, func(known api.RouteService) bool { return known.Name == service })
 	if at < 0 {
 		return nil
 	}
-	return &held.Spec.Services[at]
+	return &ingress.Spec.Services[at]
 }
--- a/process/control/quarantine_suspects.go
+++ b/process/control/quarantine_suspects.go
@@ -28,7 +28,7 @@
 )
 
 // recordSuspects adds the single crashes that are not recorded yet, the latest first.
-func (d *quarantineTracker) recordSuspects(seen *state.Observe, current *view.View, now time.Duration, wall time.Time) {
+func (d *quarantineTracker) recordSuspects(changes *state.Observe, current *view.View, now time.Duration, wall time.Time) {
 	left := maxSuspects - len(current.Suspects)
 	for _, fingerprint := range d.table.Lone(now) {
 		if left <= 0 {
@@ -40,7 +40,7 @@
 		}
 		left--
 		replicas, about := d.table.Ends(fingerprint)
-		seen.Put = append(seen.Put, api.Object{Suspect: &api.Suspect{Metadata: api.Metadata{Name: name}, Spec: api.SuspectSpec{
+		changes.Put = append(changes.Put, api.Object{Suspect: &api.Suspect{Metadata: api.Metadata{Name: name}, Spec: api.SuspectSpec{
 			Service: about.Service, Route: about.Route, Request: about.Request, Replica: replicas[0],
 			EndedAt: d.firstCrashAt(fingerprint, now, wall), Until: wall.Add(suspectRecordDuration).UnixMilli(),
 		}}})
@@ -50,13 +50,13 @@
 // reviewSuspects removes the suspects that are expired, refuted or recorded as quarantines from
 // the record. This leader keeps what it knows of them: the record only holds what would be lost
 // between leaders.
-func (d *quarantineTracker) reviewSuspects(seen *state.Observe, current *view.View, refuted *refutations, now time.Duration, wall time.Time) {
+func (d *quarantineTracker) reviewSuspects(changes *state.Observe, current *view.View, refuted *refutations, now time.Duration, wall time.Time) {
 	for _, name := range slices.Sorted(maps.Keys(current.Suspects)) {
 		fingerprint, ok := quarantine.Parse(name)
 		isOver := wall.UnixMilli() >= current.Suspects[name].Spec.Until
 		isMore := d.table.Standing(now, fingerprint) != quarantine.Free || current.Quarantines[name] != nil
 		if !ok || isOver || isMore || refuted.served[fingerprint] || d.table.CountEnds(fingerprint) == 0 {
-			seen.Removed = append(seen.Removed, api.Key{Kind: api.KindSuspect, Name: name})
+			changes.Removed = append(changes.Removed, api.Key{Kind: api.KindSuspect, Name: name})
 		}
 	}
 }
--- a/process/control/quota_test.go
+++ b/process/control/quota_test.go
@@ -33,7 +33,7 @@
 	return g
 }
 
-// awaitCharge requests a awaitCharge until a member answers it.
+// awaitCharge requests a charge until a member answers.
 func (g *growing) awaitCharge(client *feed.Client, tenant string, cost float64) quota.Grant {
 	g.t.Helper()
 	var grant quota.Grant
--- a/process/control/roles.go
+++ b/process/control/roles.go
@@ -128,13 +128,13 @@
 
 // switchTime returns the duration of a role change in a service.
 func switchTime(current *view.View, service string) time.Duration {
-	held := current.Ingresses[api.IngressName]
-	if held == nil {
+	ingress := current.Ingresses[api.IngressName]
+	if ingress == nil {
 		return defaultSwitchTime
 	}
-	for i := range held.Spec.Services {
-		sheet := held.Spec.Services[i].Model
-		if held.Spec.Services[i].Name == service && sheet != nil && sheet.SwitchMillis > 0 {
+	for i := range ingress.Spec.Services {
+		sheet := ingress.Spec.Services[i].Model
+		if ingress.Spec.Services[i].Name == service && sheet != nil && sheet.SwitchMillis > 0 {
 			return time.Duration(sheet.SwitchMillis) * time.Millisecond
 		}
 	}
@@ -146,19 +146,19 @@
 // the meantime sends nothing.
 func (d *duties) changeRole(ctx context.Context, term *termDuties, service string, replica *api.Replica, role api.EngineRole) {
 	d.awaitIdle(ctx, service, replica.Name)
-	asking, cancel := context.WithTimeout(ctx, roleTimeout)
+	queryCtx, cancel := context.WithTimeout(ctx, roleTimeout)
 	defer cancel()
-	reported, err := d.group.config.Roles.State(asking, replica)
+	reported, err := d.group.config.Roles.State(queryCtx, replica)
 	if err != nil || reported.Busy || reported.Role == role {
 		event.RoleOrdered.Log(d.logger, "replica", replica.Name, "role", role, "fence", term.number, "outcome", "not_sent", "busy", reported.Busy, "err", err)
 		return
 	}
-	ordering, cancel := context.WithTimeout(ctx, roleTimeout)
+	orderCtx, cancel := context.WithTimeout(ctx, roleTimeout)
 	defer cancel()
-	if number, valid := d.lease(ordering); !valid || number != term.number || term.roles.fenced.Load() {
+	if number, valid := d.lease(orderCtx); !valid || number != term.number || term.roles.fenced.Load() {
 		return
 	}
-	outcome, err := d.group.config.Roles.Order(ordering, replica, RoleOrder{
+	outcome, err := d.group.config.Roles.Order(orderCtx, replica, RoleOrder{
 		Role: role, Holder: d.group.config.Name, Fence: term.number, Expected: reported.Sequence,
 	})
 	event.RoleOrdered.Log(d.logger, "replica", replica.Name, "role", role, "fence", term.number, "outcome", outcome, "err", err)
@@ -206,8 +206,8 @@
 	return load
 }
 
-// startRoleChange stops placing requests on a replica that is to take the role, until the startRoleChange
-// is listed or considered failed.
+// startRoleChange stops placing requests on a replica that is to take the role, until the replica
+// is listed with that role or the change is considered failed.
 func (d *placementDesk) startRoleChange(service, replica string, role api.EngineRole, duration, now time.Duration) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
--- a/process/control/scaling.go
+++ b/process/control/scaling.go
@@ -98,31 +98,31 @@
 	term.capacity.next = now + capacityCheckInterval
 	term.capacity.collectResults(now)
 	listed, reads := d.fleet.replicas()
-	held := d.group.machine.view().Ingresses[api.IngressName]
-	if reads == 0 || held == nil {
+	ingress := d.group.machine.view().Ingresses[api.IngressName]
+	if reads == 0 || ingress == nil {
 		return
 	}
-	var seen state.Observe
-	for i := range held.Spec.Services {
-		service := &held.Spec.Services[i]
+	var changes state.Observe
+	for i := range ingress.Spec.Services {
+		service := &ingress.Spec.Services[i]
 		if service.Scaling != nil {
-			d.planCapacity(term, service, listed, now, &seen)
+			d.planCapacity(term, service, listed, now, &changes)
 		}
 	}
-	if len(seen.Put) > 0 {
-		if _, err := d.group.propose(ctx, state.Command{Kind: state.CommandObserve, Observe: &seen}); err != nil {
+	if len(changes.Put) > 0 {
+		if _, err := d.group.propose(ctx, state.Command{Kind: state.CommandObserve, Observe: &changes}); err != nil {
 			return // decided again in a later round
 		}
-		for _, object := range seen.Put {
+		for _, object := range changes.Put {
 			spec := &object.Capacity.Spec
 			event.CapacityDecided.Log(d.logger, "capacity", object.Capacity.Name, "found", spec.Found, "lasting", spec.Lasting, "withdrawable", spec.Withdrawable, "reason", spec.Reason)
 		}
 	}
-	d.orderCapacity(term, held, listed, now)
+	d.orderCapacity(term, ingress, listed, now)
 }
 
-// planCapacity adds the decisions on a service that differ from the last ones to seen.
-func (d *duties) planCapacity(term *termDuties, service *api.RouteService, listed map[string]listedReplica, now time.Duration, seen *state.Observe) {
+// planCapacity adds the decisions on a service that differ from the last ones to changes.
+func (d *duties) planCapacity(term *termDuties, service *api.RouteService, listed map[string]listedReplica, now time.Duration, changes *state.Observe) {
 	zones := zonesOf(service, listed, d.group.machine.view().Capacities)
 	if !term.capacity.isSettled(service.Name, zones, now) {
 		return
@@ -136,7 +136,7 @@
 		if known := d.group.machine.view().Capacities[name]; known != nil && known.Spec == plans[i] {
 			continue
 		}
-		seen.Put = append(seen.Put, api.Object{Capacity: &api.Capacity{Metadata: api.Metadata{Name: name}, Spec: plans[i]}})
+		changes.Put = append(changes.Put, api.Object{Capacity: &api.Capacity{Metadata: api.Metadata{Name: name}, Spec: plans[i]}})
 	}
 }
 
@@ -227,14 +227,14 @@
 }
 
 // orderCapacity starts sending the orders that are due, sequentially and in the background.
-func (d *duties) orderCapacity(term *termDuties, held *api.Ingress, listed map[string]listedReplica, now time.Duration) {
+func (d *duties) orderCapacity(term *termDuties, ingress *api.Ingress, listed map[string]listedReplica, now time.Duration) {
 	capacity := &term.capacity
 	if capacity.busy.Load() {
 		return
 	}
 	var due []dueOrder
-	for i := range held.Spec.Services {
-		service := &held.Spec.Services[i]
+	for i := range ingress.Spec.Services {
+		service := &ingress.Spec.Services[i]
 		if service.Scaling == nil {
 			continue
 		}
--- a/process/control/unrecorded.go
+++ b/process/control/unrecorded.go
@@ -38,10 +38,10 @@
 }
 
 // markRecorded notes that the record contains everything in the table up to a change count.
-func (d *quarantineTracker) markRecorded(news uint64, now time.Duration) {
+func (d *quarantineTracker) markRecorded(changeCount uint64, now time.Duration) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	d.unrecorded.recordedChangeCount, d.unrecorded.heardAt = news, now
+	d.unrecorded.recordedChangeCount, d.unrecorded.heardAt = changeCount, now
 }
 
 // unrecordedReport returns the evidence for daemons and the change count that it corresponds to.
@@ -49,18 +49,18 @@
 func (d *quarantineTracker) unrecordedReport(leads bool, now time.Duration) (feed.EndReport, uint64) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	told, news := &d.unrecorded, d.table.News()
-	if leads && (news == told.recordedChangeCount || now-told.heardAt < maxRecordLag) {
-		return feed.EndReport{}, news
+	cached, changeCount := &d.unrecorded, d.table.News()
+	if leads && (changeCount == cached.recordedChangeCount || now-cached.heardAt < maxRecordLag) {
+		return feed.EndReport{}, changeCount
 	}
-	if told.cachedChangeCount != news {
-		told.observations, told.cachedChangeCount, told.cachedAt = d.table.NotableSights(now, maxReportedEvidence), news, now
+	if cached.cachedChangeCount != changeCount {
+		cached.observations, cached.cachedChangeCount, cached.cachedAt = d.table.NotableSights(now, maxReportedEvidence), changeCount, now
 	}
-	sights := slices.Clone(told.observations)
-	for i := range sights {
-		sights[i].Age += now - told.cachedAt
+	observations := slices.Clone(cached.observations)
+	for i := range observations {
+		observations[i].Age += now - cached.cachedAt
 	}
-	return feed.EndReport{Ended: sights}, news
+	return feed.EndReport{Ended: observations}, changeCount
 }
 
 // Unrecorded returns the evidence that is missing from the record, with its change count.
@@ -74,7 +74,7 @@
 func (d *quarantineTracker) follow(before, current map[string]*api.Quarantine, now time.Duration) (changed bool) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	news := d.table.News()
+	changeCount := d.table.News()
 	for name, earlier := range before {
 		fingerprint, ok := quarantine.Parse(name)
 		if !ok {
@@ -91,5 +91,5 @@
 			})
 		}
 	}
-	return d.table.News() != news
+	return d.table.News() != changeCount
 }
--- a/process/control/usage.go
+++ b/process/control/usage.go
@@ -58,7 +58,7 @@
 	lock sync.Mutex
 	// pending are the uncommitted counters by process, window and tenant.
 	pending map[usageKey]uint64
-	// progress is how far each process has reported its counts completely.
+	// progress is the progress of each process in reporting its counts.
 	progress map[string]reportProgress
 }
 
@@ -223,8 +223,8 @@
 
 // countsTenants reports whether requests are counted per tenant.
 func (d *duties) countsTenants() bool {
-	held := d.group.machine.view().Ingresses[api.IngressName]
-	return held != nil && held.Spec.KeysRequired
+	ingress := d.group.machine.view().Ingresses[api.IngressName]
+	return ingress != nil && ingress.Spec.KeysRequired
 }
 
 func (d *duties) usageDecided() (decided int64) {
--- a/process/control/warm.go
+++ b/process/control/warm.go
@@ -33,9 +33,9 @@
 	// their requests.
 	cacheQueryBurst = 256
 	cacheQueryPace  = 20 * time.Millisecond
-	// maxRestartedProcessAge is the process age up to which a new leader assumes that the whole group was
-	// restarted. In that case no proxy remembers anything, so it does not wait for their reports.
-	// Until replicas answer, prompts that they have cached are computed again.
+	// maxRestartedProcessAge is the process age up to which a new leader assumes that the whole
+	// group was restarted. In that case no proxy remembers anything, so the leader does not wait
+	// for their reports. Until replicas answer, prompts that they have cached are computed again.
 	maxRestartedProcessAge = 3 * time.Second
 )
 
@@ -97,7 +97,8 @@
 	d.group.desk.kept(d.group.machine.history.Load(), kept)
 }
 
-// uncachedReplicas returns the replicas of model services that are not known to have cached anything.
+// uncachedReplicas returns the replicas of model services that are not known to have cached more
+// than a few prompt parts.
 func (d *placementDesk) uncachedReplicas(current *view.History) []string {
 	d.lock.Lock()
 	defer d.lock.Unlock()
