--- a/process/control/quarantine_settling_test.go
+++ b/process/control/quarantine_settling_test.go
@@ -18,7 +18,7 @@
 		d := newTrackerTest(t)
 		d.addService(nil)
 		for i, replica := range []string{"r-0", "r-1", "r-2"} {
-			must.NotEq(t, api.QuarantineSettling, d.state(), must.Sprint(i, " ends"))
+			must.NotEq(t, api.QuarantineSettling, d.state(), must.Sprint(i, " crashes"))
 			d.tracker.note(crashReport(fatalRequest, replica), d.now)
 			d.step(1, 50*time.Millisecond)
 		}
--- a/process/control/quarantine_test.go
+++ b/process/control/quarantine_test.go
@@ -50,9 +50,9 @@
 func (d *trackerTest) step(term uint64, took time.Duration) {
 	d.now += took
 	d.wall = d.wall.Add(took)
-	seen, _ := d.tracker.review(term, d.machine.View(), d.now, d.wall)
+	changes, _ := d.tracker.review(term, d.machine.View(), d.now, d.wall)
 	d.index++
-	d.machine.Apply(term, d.index, state.Command{Kind: state.CommandObserve, Observe: &seen})
+	d.machine.Apply(term, d.index, state.Command{Kind: state.CommandObserve, Observe: &changes})
 }
 
 // reviewTwice advances the time by two seconds, with a review after each, so that a request can
@@ -101,8 +101,8 @@
 	must.Eq(t, api.QuarantineHeld, d.state())
 }
 
-// An expired hold of a service without a route turns into a watch. One more crash renews the hold
-// for twice as long, and a watch without a crash expires.
+// An expired hold of a service that is not routed turns into a watch. One more crash renews the
+// hold for twice as long, and a watch without a crash expires.
 func TestHoldExpiresAndDoubles(t *testing.T) {
 	d := newTrackerTest(t)
 	d.tracker.note(crashReport(fatalRequest, "r-0", "r-1", "r-2"), d.now)
@@ -125,9 +125,9 @@
 }
 
 // Guards against refusing a harmless request for long after a mistaken hold. Holds lasted an
-// hour, or a day when repeated, and were never tested. A hold of a routed service now lasts
-// minutes and is followed by a trial of one copy at a time: an answer frees the request, and one
-// more crash holds it again, for a day from the third hold on.
+// hour, or a day when repeated, and nothing verified them. The hold of a routed service is
+// therefore short and followed by a trial of one copy at a time: an answer frees the request, and
+// one more crash holds it again, for a day from the third hold on.
 func TestExpiredHoldIsFollowedByTrial(t *testing.T) {
 	begin := func() *trackerTest {
 		d := newTrackerTest(t)
@@ -268,8 +268,8 @@
 			d.step(term, 2*time.Second)
 			d.step(term, 2*time.Second)
 			for range 5 {
-				seen, _ := d.tracker.review(term, d.machine.View(), d.now, d.wall)
-				must.SliceEmpty(t, seen.Put, must.Sprintf("seed %d, term %d", seed, term))
+				changes, _ := d.tracker.review(term, d.machine.View(), d.now, d.wall)
+				must.SliceEmpty(t, changes.Put, must.Sprintf("seed %d, term %d", seed, term))
 				d.step(term, 10*time.Millisecond)
 			}
 			d.tracker = newQuarantineTracker()
@@ -290,15 +290,15 @@
 
 // Without reports, a review returns immediately.
 func TestIdleReviewDoesNothing(t *testing.T) {
-	desk, current := newQuarantineTracker(), view.New()
+	tracker, current := newQuarantineTracker(), view.New()
 	for i := range 1000 { // as after the failure of a rack
-		desk.note(crashReport(quarantine.Of(quarantine.Identity{Path: fmt.Sprint(i)}), "r-0"), 0)
+		tracker.note(crashReport(quarantine.Of(quarantine.Identity{Path: fmt.Sprint(i)}), "r-0"), 0)
 	}
-	desk.review(1, current, 0, time.Time{})
+	tracker.review(1, current, 0, time.Time{})
 	calm := 2 * reviewPeriod
-	seen, _ := desk.review(1, current, calm, time.Now())
-	must.Eq(t, state.Observe{}, seen)
-	must.Zero(t, testing.AllocsPerRun(100, func() { desk.review(1, current, calm, time.Time{}) }))
+	changes, _ := tracker.review(1, current, calm, time.Now())
+	must.Eq(t, state.Observe{}, changes)
+	must.Zero(t, testing.AllocsPerRun(100, func() { tracker.review(1, current, calm, time.Time{}) }))
 }
 
 // A hold that results from one proxy's report reaches every proxy and survives a restart of the
@@ -423,8 +423,8 @@
 	d.reviewTwice(1)
 	must.Eq(t, api.QuarantineHeld, d.state())
 	for range 20 {
-		seen, _ := d.tracker.review(1, d.machine.View(), d.now, d.wall)
-		must.SliceEmpty(t, seen.Put, must.Sprint("nothing has changed"))
+		changes, _ := d.tracker.review(1, d.machine.View(), d.now, d.wall)
+		must.SliceEmpty(t, changes.Put, must.Sprint("nothing has changed"))
 		d.step(1, 10*time.Millisecond)
 	}
 	d.tracker = newQuarantineTracker()
--- a/process/control/quota_test.go
+++ b/process/control/quota_test.go
@@ -127,15 +127,15 @@
 	g := newQuotaGroup(t, limit)
 	rule := g.configs[0].Quotas
 	var granted grantLog
-	var asking sync.WaitGroup
+	var requests sync.WaitGroup
 	ctx, stop := context.WithCancel(t.Context())
 	const cost, proxies = 10.0, 4
 	for i := range proxies {
 		client, _ := g.follow(fmt.Sprint("proxy-", i))
-		asking.Go(func() {
+		requests.Go(func() {
 			for pause.For(ctx, time.Duration(proxies*cost/(4*limit.PerSecond)*float64(time.Second))) {
-				asked, cancel := context.WithTimeout(ctx, 30*time.Millisecond)
-				grant, err := client.Charge(asked, feed.ChargeRequest{Tenant: "north", Cost: cost})
+				requestCtx, cancel := context.WithTimeout(ctx, 30*time.Millisecond)
+				grant, err := client.Charge(requestCtx, feed.ChargeRequest{Tenant: "north", Cost: cost})
 				cancel()
 				if err == nil && grant.Granted {
 					granted.add(cost)
@@ -152,7 +152,7 @@
 	}
 	time.Sleep(time.Second)
 	stop()
-	asking.Wait()
+	requests.Wait()
 	allowed := limit.PerSecond*rule.Window.Seconds() + limit.Burst + rule.Overrun(limit)
 	must.LessEq(t, allowed, granted.maxInWindow(rule.Window))
 	must.Positive(t, granted.maxInWindow(rule.Window))
--- a/process/control/roles_test.go
+++ b/process/control/roles_test.go
@@ -199,15 +199,15 @@
 		members = append(members, running.member)
 	}
 	ended := make(chan struct{})
-	var asking sync.WaitGroup
-	asking.Go(func() { placeLateRequests(members, ended) })
+	var requests sync.WaitGroup
+	requests.Go(func() { placeLateRequests(members, ended) })
 	eventually(t, "the first orders", func() bool { return len(roles.orders()) > 0 })
 	g.crash(g.leader())
 	crashed := time.Now()
 	first := roles.orders()
 	eventually(t, "orders of the next leader", func() bool { return len(roles.orders()) > len(first) })
 	close(ended)
-	asking.Wait()
+	requests.Wait()
 	holders := map[uint64]string{}
 	last := uint64(0)
 	for _, sent := range roles.orders() {
--- a/process/control/unrecorded_test.go
+++ b/process/control/unrecorded_test.go
@@ -32,9 +32,9 @@
 	must.Eq(t, 2, reported(false))
 	d.now += maxRecordLag
 	must.Eq(t, 2, reported(true), must.Sprint("reported a while ago and still not recorded"))
-	report, news := d.tracker.unrecordedReport(true, d.now)
+	report, changeCount := d.tracker.unrecordedReport(true, d.now)
 	must.Eq(t, []time.Duration{time.Second + maxRecordLag, maxRecordLag}, []time.Duration{report.Ended[0].Age, report.Ended[1].Age})
-	d.tracker.markRecorded(news, d.now)
+	d.tracker.markRecorded(changeCount, d.now)
 	must.Zero(t, reported(true))
 	d.tracker.note(crashReport(fatalRequest, "r-2"), d.now)
 	must.Zero(t, reported(true), must.Sprint("the commit may still be in progress"))
@@ -109,18 +109,18 @@
 // change. The traffic between zones of one day cost nearly as much as all served requests earned
 // (caroni-stmt, scale-1).
 func TestEvidenceForwardingTerminates(t *testing.T) {
-	const size, ends = 4, 30
+	const size, crashes = 4, 30
 	g := newGossipGroup(t, size)
 	for from := range size {
 		for to := range size {
 			g.links[[2]int{from, to}] = true
 		}
 	}
-	for i := range ends {
+	for i := range crashes {
 		g.members[i%size].note(simultaneousCrashReport(fatalRequest, fmt.Sprint("r-", i)), monotonic())
 		g.sendAll()
 	}
-	must.Less(t, 2*ends*size*size, g.sent)
+	must.Less(t, 2*crashes*size*size, g.sent)
 }
 
 // Evidence that one member receives reaches members that it has no connection to through others.
@@ -169,9 +169,9 @@
 	member := open()
 	member.desk.merge(crashReport(fatalRequest, "r-0"), time.Second)
 	member.desk.merge(crashReport(fatalRequest, "r-1"), 3*time.Second)
-	kept, err := member.save(4 * time.Second)
+	stored, err := member.save(4 * time.Second)
 	must.NoError(t, err)
-	must.Eq(t, 2, kept)
+	must.Eq(t, 2, stored)
 	must.Eq(t, []time.Duration{3 * time.Second, time.Second}, ages(time.Now()))
 	must.Eq(t, []time.Duration{13 * time.Second, 11 * time.Second}, ages(time.Now().Add(10*time.Second)))
 	must.Eq(t, []time.Duration{3 * time.Second, time.Second}, ages(time.Now().Add(-time.Minute)), must.Sprint("the clock was set back"))
@@ -216,17 +216,17 @@
 		}}
 	}
 	begin := func() *quarantineTracker {
-		desk := newQuarantineTracker()
-		desk.merge(crashReport(fatalRequest, "r-0", "r-1", "r-2"), time.Second)
-		must.False(t, desk.follow(nil, recorded("r-0", "r-1", "r-2"), time.Second))
-		must.Eq(t, 3, desk.table.CountEnds(fatalRequest))
-		return desk
+		tracker := newQuarantineTracker()
+		tracker.merge(crashReport(fatalRequest, "r-0", "r-1", "r-2"), time.Second)
+		must.False(t, tracker.follow(nil, recorded("r-0", "r-1", "r-2"), time.Second))
+		must.Eq(t, 3, tracker.table.CountEnds(fatalRequest))
+		return tracker
 	}
-	desk := begin()
-	must.True(t, desk.follow(recorded("r-0", "r-1", "r-2"), recorded("r-1", "r-2"), time.Second))
-	must.Eq(t, 2, desk.table.CountEnds(fatalRequest), must.Sprint("an expired hold keeps two crashes"))
-	must.SliceEmpty(t, desk.observations(time.Second), must.Sprint("the remaining crashes are in the record"))
-	desk = begin()
-	must.True(t, desk.follow(recorded("r-0", "r-1", "r-2"), map[string]*api.Quarantine{}, time.Second))
-	must.Eq(t, 0, desk.table.CountEnds(fatalRequest), must.Sprint("the request was released"))
+	tracker := begin()
+	must.True(t, tracker.follow(recorded("r-0", "r-1", "r-2"), recorded("r-1", "r-2"), time.Second))
+	must.Eq(t, 2, tracker.table.CountEnds(fatalRequest), must.Sprint("an expired hold keeps two crashes"))
+	must.SliceEmpty(t, tracker.observations(time.Second), must.Sprint("the remaining crashes are in the record"))
+	tracker = begin()
+	must.True(t, tracker.follow(recorded("r-0", "r-1", "r-2"), map[string]*api.Quarantine{}, time.Second))
+	must.Eq(t, 0, tracker.table.CountEnds(fatalRequest), must.Sprint("the request was released"))
 }
--- a/process/control/usage_test.go
+++ b/process/control/usage_test.go
@@ -155,8 +155,8 @@
 	must.Eq(t, before, len(sink.reports))
 }
 
-// No call is made before the previous holder's calls must have arrived, or without a lease of the
-// same term.
+// No call is made while the previous holder's calls may still be in transit, or without a lease
+// of the same term.
 func TestPlatformCallRequiresLeaseAndSettledOrders(t *testing.T) {
 	cases := []struct {
 		name    string
