--- a/process/control/quarantine.go
+++ b/process/control/quarantine.go
@@ -43,6 +43,10 @@
 // quarantine record should contain. The record is replicated and reaches every proxy with its
 // view, so it survives leader changes, restarts and the loss of members. The table holds what was
 // reported to this member.
+//
+// The state of a recorded request is one of: watched, it runs while further crashes are awaited;
+// tried, one proxy at a time may send one copy; settling, it is refused until a decision that is
+// due shortly; held, it is refused until the hold expires or an operator releases it.
 type quarantineTracker struct {
 	lock  sync.Mutex
 	table *quarantine.Table
