--- a/process/control/evidence.go
+++ b/process/control/evidence.go
@@ -59,7 +59,7 @@
 	// wake notifies daemons of evidence that is not in the record; set before the feed serves
 	// them.
 	wake atomic.Pointer[func()]
-	// sender is nil until the transport is open. Evidence received before that is sent as
+	// sender is nil until the transport is open. Notable evidence received before that is sent as
 	// connections to other members are established.
 	sender       atomic.Pointer[noticeSender]
 	changed      chan struct{} // holds an item while there are changes to write
--- a/process/control/quarantine_test.go
+++ b/process/control/quarantine_test.go
@@ -125,9 +125,9 @@
 }
 
 // Guards against refusing a harmless request for long after a mistaken hold. Holds lasted an
-// hour, or a day when repeated, and nothing verified them. The hold of a routed service is
-// therefore short and followed by a trial of one copy at a time: an answer frees the request, and
-// one more crash holds it again, for a day from the third hold on.
+// hour, or a day when repeated, however certain the evidence was, and nothing verified them. The
+// hold of a routed service is therefore short and followed by a trial of one copy at a time: an
+// answer frees the request, and one more crash holds it again, for a day from the third hold on.
 func TestExpiredHoldIsFollowedByTrial(t *testing.T) {
 	begin := func() *trackerTest {
 		d := newTrackerTest(t)
@@ -538,11 +538,12 @@
 	})
 }
 
-// Guards against sending copies of a request between the crash that decides and the hold. Copies
-// were placed like those of any suspect, isolated but without delay, until the record reached the
-// proxies, and each crashed another replica. A request was sent four times and crashed two more
-// replicas more than three seconds after its third crash (soak seed 9112); one of the known three
-// had been lost with its proxy, so the fourth crash counted as the third.
+// Guards against sending copies of a request between the deciding crash and the hold. Copies were
+// placed like those of any suspect, isolated but without delay, until the record reached the
+// proxies, and each crashed another replica. With soak seed 9112 a request crashed two more
+// replicas more than three seconds after its third crash; one of the three had been lost with its
+// proxy, so the fourth counted as the third. That the last copies were sent in this gap is
+// inferred.
 func TestNoCopyIsSentOfRequestAboutToBeHeld(t *testing.T) {
 	d := newTrackerTest(t)
 	name := string(fatalRequest[:])
--- a/process/control/scaling_test.go
+++ b/process/control/scaling_test.go
@@ -98,8 +98,8 @@
 }
 
 // Withdrawable replicas, the cheaper kind, are ordered first, and lasting ones are reduced to
-// their minimum once those are present. After a withdrawal the zone is asked again until it has
-// capacity. A new leader continues from the decisions made, and does not take the present
+// their base number once those are present. After a withdrawal the zone is asked again until it
+// has capacity. A new leader continues from the decisions made, and does not take the present
 // capacity for the initial one.
 func TestCapacityIsOrdered(t *testing.T) {
 	g, market := newScalingGroup(t)
--- a/process/control/unrecorded_test.go
+++ b/process/control/unrecorded_test.go
@@ -150,7 +150,8 @@
 	must.Eq(t, []int{1, 0, 1}, g.counts())
 }
 
-// Evidence survives a restart with its age adjusted. A damaged file is skipped.
+// Evidence survives a restart with its age adjusted. A damaged file is skipped and replaced by
+// the next write.
 func TestEvidenceSurvivesRestart(t *testing.T) {
 	files := faultfs.New(1)
 	must.NoError(t, files.MakeDir("data"))
