--- a/process/control/placement.go
+++ b/process/control/placement.go
@@ -11,9 +11,9 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
-// placementDesk places the requests of model services: one board a service,
-// which knows of the requests of all proxies. What it knows lasts as long as the
-// process; a new leader begins with an empty board and learns within seconds.
+// placementDesk places the requests of model services with one board per service, which knows the
+// requests of all proxies. Its state is in memory only: a new leader starts with empty boards and
+// learns their contents within seconds.
 type placementDesk struct {
 	lock    sync.Mutex
 	version view.Version
@@ -24,8 +24,8 @@
 	return &placementDesk{boards: map[string]*placement.Board{}}
 }
 
-// place answers one question by the view; alert says that replicas of the service end one
-// after the other under some request.
+// place answers a placement request according to the view. alert is true while replicas of the
+// service crash in series under some request.
 func (d *placementDesk) place(current *view.History, daemon string, request feed.PlaceRequest, alert bool, now time.Duration) (placement.Answer, bool) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -49,7 +49,7 @@
 	}
 }
 
-// kept takes in what a proxy believes that a replica keeps.
+// kept records which prompt parts a replica has cached, according to a proxy.
 func (d *placementDesk) kept(current *view.History, kept feed.KeptParts) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -59,34 +59,34 @@
 	}
 }
 
-// takeOver counts what a proxy has in flight.
-func (d *placementDesk) takeOver(current *view.History, daemon string, told feed.InFlight, now time.Duration) {
+// takeOver adds the requests that a proxy already has in flight.
+func (d *placementDesk) takeOver(current *view.History, daemon string, inFlight feed.InFlight, now time.Duration) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	d.update(current)
-	if board := d.boards[told.Service]; board != nil {
-		board.TakeOver(now, daemon, told.Requests)
+	if board := d.boards[inFlight.Service]; board != nil {
+		board.TakeOver(now, daemon, inFlight.Requests)
 	}
 }
 
-// summaries returns what the boards show, by service, of those that were asked for places
-// since the last time.
+// summaries returns the board summaries, by service, of the services that received placement
+// requests since the previous call.
 func (d *placementDesk) summaries(now time.Duration) map[string]placement.Summary {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	shown := map[string]placement.Summary{}
+	summaries := map[string]placement.Summary{}
 	for service, board := range d.boards {
-		if made := board.Summarize(now); made.Answers != (placement.Answers{}) {
-			shown[service] = made
+		if summary := board.Summarize(now); summary.Answers != (placement.Answers{}) {
+			summaries[service] = summary
 		}
 	}
-	return shown
+	return summaries
 }
 
-// update takes in a view that is newer than the last one: callers load theirs before they
-// have the lock, and may be overtaken. Of a view that follows on the last one only what has
-// changed is looked at, so that one replica's change costs the same however many there are.
-// The lock is held.
+// update applies a view if it is newer than the last one applied; callers load their view before
+// acquiring the lock, so views can arrive out of order. If the changes since the last view are
+// known, only these are applied, so that the cost of a replica change does not depend on the
+// number of replicas. The caller holds the lock.
 func (d *placementDesk) update(current *view.History) {
 	delta, newer := current.DeltaSince(d.version)
 	if !newer {
@@ -99,30 +99,30 @@
 	}
 	for i := range delta.Objects {
 		if replica := delta.Objects[i].Replica; replica != nil {
-			d.put(replica)
+			d.putReplica(replica)
 		}
 	}
 	for _, key := range delta.Removed {
 		if key.Kind == api.KindReplica {
-			d.remove(key.Name)
+			d.removeReplica(key.Name)
 		}
 	}
 }
 
-// touchesIngress reports whether services or their sheets may have changed.
+// touchesIngress reports whether the services or their model parameters may have changed.
 func touchesIngress(delta view.Delta) bool {
 	return slices.ContainsFunc(delta.Objects, func(o api.Object) bool { return o.Ingress != nil })
 }
 
-// rebuild takes in a whole view.
+// rebuild applies a complete view.
 func (d *placementDesk) rebuild(current *view.View) {
-	held := current.Ingresses[api.IngressName]
-	if held == nil {
+	ingress := current.Ingresses[api.IngressName]
+	if ingress == nil {
 		return
 	}
 	listed := replicasByService(current)
-	for i := range held.Spec.Services {
-		service := &held.Spec.Services[i]
+	for i := range ingress.Spec.Services {
+		service := &ingress.Spec.Services[i]
 		if service.Model == nil {
 			continue
 		}
@@ -131,22 +131,22 @@
 			board = placement.NewBoard()
 			d.boards[service.Name] = board
 		}
-		board.SetReplicas(sheetOf(&held.Spec, service), listed[service.Name])
+		board.SetReplicas(modelSheet(&ingress.Spec, service), listed[service.Name])
 	}
 }
 
-// put takes in a replica that is new or has changed; it may have changed its service.
-func (d *placementDesk) put(entry *api.Replica) {
+// putReplica adds or updates a replica, whose service may have changed.
+func (d *placementDesk) putReplica(entry *api.Replica) {
 	for service, board := range d.boards {
 		if service == entry.Spec.Service {
-			board.Put(placedReplica(entry))
+			board.Put(placementReplica(entry))
 			continue
 		}
 		board.Remove(entry.Name)
 	}
 }
 
-func (d *placementDesk) remove(name string) {
+func (d *placementDesk) removeReplica(name string) {
 	for _, board := range d.boards {
 		board.Remove(name)
 	}
@@ -155,13 +155,13 @@
 func replicasByService(current *view.View) map[string][]placement.Replica {
 	listed := map[string][]placement.Replica{}
 	for _, entry := range current.Replicas {
-		listed[entry.Spec.Service] = append(listed[entry.Spec.Service], placedReplica(entry))
+		listed[entry.Spec.Service] = append(listed[entry.Spec.Service], placementReplica(entry))
 	}
 	return listed
 }
 
-// placedReplica is a replica as boards know it.
-func placedReplica(entry *api.Replica) placement.Replica {
+// placementReplica converts a replica to the form that boards use.
+func placementReplica(entry *api.Replica) placement.Replica {
 	role := placement.RoleDecode
 	if entry.Spec.Role == api.RolePrefill {
 		role = placement.RolePrefill
@@ -172,8 +172,9 @@
 	}
 }
 
-// sheetOf gathers what the configuration says of a service's replicas.
-func sheetOf(spec *api.IngressSpec, service *api.RouteService) placement.Sheet {
+// modelSheet returns the configured model parameters of a service, including the shortest token gap
+// objective of the routes that lead to it.
+func modelSheet(spec *api.IngressSpec, service *api.RouteService) placement.Sheet {
 	sheet := placement.Sheet{
 		KVTokens:    service.Model.KVTokens,
 		BytesPerTok: service.Model.KVBytesPerTok,
@@ -182,14 +183,14 @@
 	for i := range spec.Routes {
 		route := &spec.Routes[i]
 		gap := time.Duration(route.GapMilliseconds) * time.Millisecond
-		if gap > 0 && leadsTo(route, service.Name) && (sheet.GapObjective == 0 || gap < sheet.GapObjective) {
+		if gap > 0 && routesTo(route, service.Name) && (sheet.GapObjective == 0 || gap < sheet.GapObjective) {
 			sheet.GapObjective = gap
 		}
 	}
 	return sheet
 }
 
-func leadsTo(route *api.Route, service string) bool {
+func routesTo(route *api.Route, service string) bool {
 	for _, backend := range route.Backends {
 		if backend.Service == service {
 			return true
--- a/process/control/quarantine_review.go
+++ b/process/control/quarantine_review.go
@@ -15,27 +15,27 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
-// tendQuarantine commits what differs between the record of requests under which replicas
-// end and what was seen of them.
-func (d *duties) tendQuarantine(ctx context.Context, term *termDuties) {
-	desk := d.group.evidence.desk
-	seen, refuted := desk.review(term.number, d.group.machine.view(), monotonic(), time.Now())
-	news := desk.news()
-	if len(seen.Put) == 0 && len(seen.Removed) == 0 {
-		desk.markRecorded(news, monotonic())
+// manageQuarantine commits the differences between the quarantine record and what it should
+// contain.
+func (d *duties) manageQuarantine(ctx context.Context, term *termDuties) {
+	tracker := d.group.evidence.desk
+	changes, refuted := tracker.review(term.number, d.group.machine.view(), monotonic(), time.Now())
+	changeCount := tracker.changeCount()
+	if len(changes.Put) == 0 && len(changes.Removed) == 0 {
+		tracker.markRecorded(changeCount, monotonic())
 		return
 	}
-	_, err := d.group.propose(ctx, state.Command{Kind: state.CommandObserve, Observe: &seen})
+	_, err := d.group.propose(ctx, state.Command{Kind: state.CommandObserve, Observe: &changes})
 	if err != nil {
-		desk.takeBack(refuted, monotonic())
+		tracker.restoreRefutations(refuted, monotonic())
 	} else {
-		desk.markRecorded(news, monotonic())
+		tracker.markRecorded(changeCount, monotonic())
 	}
-	logQuarantine(d.logger, &seen, err)
+	logQuarantine(d.logger, &changes, err)
 }
 
-func logQuarantine(logger log.Logger, seen *state.Observe, err error) {
-	for _, object := range seen.Put {
+func logQuarantine(logger log.Logger, changes *state.Observe, err error) {
+	for _, object := range changes.Put {
 		if object.Suspect != nil {
 			logSuspect(logger, object.Suspect, err)
 			continue
@@ -45,54 +45,54 @@
 			"route", spec.Route, "request", spec.Request, "replicas", len(spec.Replicas),
 			"until", time.UnixMilli(spec.Until).UTC().Format(time.RFC3339), "times", spec.Times, "err", err)
 	}
-	for _, key := range seen.Removed {
+	for _, key := range changes.Removed {
 		if key.Kind == api.KindSuspect {
-			continue // it lapses, or the line of its quarantine tells
+			continue // it expires, or its quarantine is logged
 		}
 		event.QuarantineEnded.Log(logger, "fingerprint", key.Name, "by", "review", "err", err)
 	}
 }
 
-// review returns what differs between the record and what is to be on it, and the
-// refutations that it took into account. wall is the time of day: holds are as long as
-// people say, and seconds do not matter.
-func (d *quarantineDesk) review(term uint64, current *view.View, now time.Duration, wall time.Time) (state.Observe, refutations) {
+// review returns the changes that the record needs, and the refutations that they take into
+// account. wall is the wall-clock time: holds are measured in minutes, so an inaccuracy of
+// seconds does not matter.
+func (d *quarantineTracker) review(term uint64, current *view.View, now time.Duration, wall time.Time) (state.Observe, refutations) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	refuted := d.refuted
-	if now > d.reviewUntil && d.term == term && !anyLapsed(current, wall) {
-		return state.Observe{}, refuted // nothing can have changed
+	if now > d.reviewUntil && d.term == term && !anyExpired(current, wall) {
+		return state.Observe{}, refuted // nothing has been reported and nothing has expired
 	}
 	d.refuted = newRefutations()
 	d.table.Expire(now)
-	if d.fill(term, current, now, wall) {
-		for _, alive := range refuted.alive { // what is on record is refuted as well
-			d.table.Lives(refuted.heard[alive.Replica], alive)
+	if d.loadRecord(term, current, now, wall) {
+		for _, alive := range refuted.alive { // the entries just loaded are refuted as well
+			d.table.Lives(refuted.reportedAt[alive.Replica], alive)
 		}
 	}
-	var seen state.Observe
+	var changes state.Observe
 	recorded := len(current.Quarantines)
 	for _, name := range slices.Sorted(maps.Keys(current.Quarantines)) {
-		d.reviewRecorded(&seen, current, current.Quarantines[name], &refuted, now, wall)
+		d.reviewRecorded(&changes, current, current.Quarantines[name], &refuted, now, wall)
 	}
-	recorded -= len(seen.Removed)
-	for _, fingerprint := range d.notable(current, now) {
+	recorded -= len(changes.Removed)
+	for _, fingerprint := range d.requestsToRecord(current, now) {
 		if current.Quarantines[fingerprint.String()] == nil && recorded < maxQuarantines {
 			recorded++
-			seen.Put = append(seen.Put, d.record(current, fingerprint, now, wall))
+			changes.Put = append(changes.Put, d.newEntry(current, fingerprint, now, wall))
 		}
 	}
-	d.reviewSuspects(&seen, current, &refuted, now, wall)
-	d.recordSuspects(&seen, current, now, wall)
-	return seen, refuted
+	d.reviewSuspects(&changes, current, &refuted, now, wall)
+	d.recordSuspects(&changes, current, now, wall)
+	return changes, refuted
 }
 
-// reviewRecorded brings one entry of the record up to date.
-func (d *quarantineDesk) reviewRecorded(seen *state.Observe, current *view.View, known *api.Quarantine, refuted *refutations, now time.Duration, wall time.Time) {
+// reviewRecorded updates or removes one entry of the record.
+func (d *quarantineTracker) reviewRecorded(changes *state.Observe, current *view.View, known *api.Quarantine, refuted *refutations, now time.Duration, wall time.Time) {
 	fingerprint, ok := quarantine.Parse(known.Name)
 	spec := d.refreshed(known.Spec, fingerprint, refuted)
-	if !ok || refuted.served[fingerprint] || isOver(&spec, wall) {
-		seen.Removed = append(seen.Removed, api.Key{Kind: api.KindQuarantine, Name: known.Name})
+	if !ok || refuted.served[fingerprint] || isEntryOver(&spec, wall) {
+		changes.Removed = append(changes.Removed, api.Key{Kind: api.KindQuarantine, Name: known.Name})
 		d.table.Forget(fingerprint)
 		return
 	}
@@ -100,19 +100,19 @@
 	d.table.SetHeld(fingerprint, spec.State == api.QuarantineHeld)
 	if spec.State != known.Spec.State || spec.Until != known.Spec.Until || !slices.Equal(spec.Replicas, known.Spec.Replicas) ||
 		!slices.Equal(spec.Weak, known.Spec.Weak) {
-		seen.Put = append(seen.Put, quarantineObject(known.Name, spec))
+		changes.Put = append(changes.Put, quarantineObject(known.Name, spec))
 	}
 }
 
-// refreshed returns an entry with what was heard since it was written.
-func (d *quarantineDesk) refreshed(spec api.QuarantineSpec, fingerprint quarantine.Fingerprint, refuted *refutations) api.QuarantineSpec {
+// refreshed returns an entry updated with the reports received since it was written.
+func (d *quarantineTracker) refreshed(spec api.QuarantineSpec, fingerprint quarantine.Fingerprint, refuted *refutations) api.QuarantineSpec {
 	spec.Replicas = slices.DeleteFunc(slices.Clone(spec.Replicas), func(name string) bool {
-		_, lives := refuted.alive[quarantine.ReplicaOf(name)]
-		return lives && !d.table.HasEnd(fingerprint, name)
+		_, isAlive := refuted.alive[quarantine.ReplicaOf(name)]
+		return isAlive && !d.table.HasEnd(fingerprint, name)
 	})
-	heard, about := d.table.Ends(fingerprint)
-	spec.Replicas = mergeNames(spec.Replicas, heard)
-	spec.Weak = weakOf(spec.Replicas, d.table.Weak(fingerprint))
+	crashed, about := d.table.Ends(fingerprint)
+	spec.Replicas = mergeNames(spec.Replicas, crashed)
+	spec.Weak = filterWeak(spec.Replicas, d.table.Weak(fingerprint))
 	if about.Request != "" {
 		spec.Request = about.Request
 	}
@@ -120,33 +120,33 @@
 	return spec
 }
 
-// isOver reports whether an entry leaves the record: too few of its replicas have ended, or
-// its time is over and nothing came of it.
-func isOver(spec *api.QuarantineSpec, wall time.Time) bool {
+// isEntryOver reports whether an entry is to be removed: too few of its replicas have crashed,
+// its watch has expired, or its trial has ended without a crash and it has never been held.
+func isEntryOver(spec *api.QuarantineSpec, wall time.Time) bool {
 	switch {
 	case len(spec.Replicas) < quarantine.WatchedEnds:
 		return true
 	case spec.State == api.QuarantineWatched:
-		return hasLapsed(spec, wall)
+		return isExpired(spec, wall)
 	}
-	return isTriedOut(spec, wall) && spec.Times == 0
+	return isTrialOver(spec, wall) && spec.Times == 0
 }
 
-func hasLapsed(spec *api.QuarantineSpec, wall time.Time) bool { return wall.UnixMilli() >= spec.Until }
+func isExpired(spec *api.QuarantineSpec, wall time.Time) bool { return wall.UnixMilli() >= spec.Until }
 
-// notable returns the requests that are to be on record, each once.
-func (d *quarantineDesk) notable(current *view.View, now time.Duration) []quarantine.Fingerprint {
+// requestsToRecord returns the requests that belong in the record, without duplicates.
+func (d *quarantineTracker) requestsToRecord(current *view.View, now time.Duration) []quarantine.Fingerprint {
 	found := d.table.Watched(now)
 	for _, fingerprint := range d.table.Tried() {
-		if !slices.Contains(found, fingerprint) && d.isToTry(current, fingerprint) {
+		if !slices.Contains(found, fingerprint) && d.needsTrial(current, fingerprint) {
 			found = append(found, fingerprint)
 		}
 	}
 	return found
 }
 
-// anyLapsed reports whether the time of anything on record is over.
-func anyLapsed(current *view.View, wall time.Time) bool {
+// anyExpired reports whether any entry of the record has expired.
+func anyExpired(current *view.View, wall time.Time) bool {
 	for _, known := range current.Quarantines {
 		if wall.UnixMilli() >= known.Spec.Until {
 			return true
@@ -160,17 +160,17 @@
 	return false
 }
 
-// fill puts the record into the table when this member begins to lead, and reports whether
-// it did.
-func (d *quarantineDesk) fill(term uint64, current *view.View, now time.Duration, wall time.Time) bool {
+// loadRecord loads the record into the table if this member has not done so in this term, and
+// reports whether it did.
+func (d *quarantineTracker) loadRecord(term uint64, current *view.View, now time.Duration, wall time.Time) bool {
 	if d.term == term {
 		return false
 	}
 	d.term = term
-	d.judgeFrom = now + takeOverTime
-	clear(d.sentUnheard)
-	d.reviewUntil = max(d.reviewUntil, d.judgeFrom+reviewTime)
-	// Those that are held come first: what ended since then ended without them.
+	d.decideFrom = now + takeoverDelay
+	clear(d.sentEarly)
+	d.reviewUntil = max(d.reviewUntil, d.decideFrom+reviewPeriod)
+	// Held requests are loaded first: later crashes happened without them.
 	names := slices.SortedFunc(maps.Keys(current.Quarantines), func(a, b string) int {
 		return cmp.Or(-compareHeld(current.Quarantines[a], current.Quarantines[b]), cmp.Compare(a, b))
 	})
@@ -186,10 +186,10 @@
 		})
 		d.table.SetHeld(fingerprint, known.Spec.State == api.QuarantineHeld)
 		if known.Spec.State == api.QuarantineWatched && d.table.IsSuspect(now, fingerprint) {
-			d.alert(known.Spec.Service, now)
+			d.raiseAlert(known.Spec.Service, now)
 		}
 	}
-	d.recallSuspects(current, now, wall)
+	d.loadSuspects(current, now, wall)
 	return true
 }
 
@@ -209,8 +209,8 @@
 	return quarantine.About{Service: spec.Service, Route: spec.Route, Request: spec.Request}
 }
 
-// weakOf returns those of the replicas on record whose ends tell little.
-func weakOf(replicas, weak []string) []string {
+// filterWeak returns the recorded replicas whose crashes are weak evidence.
+func filterWeak(replicas, weak []string) []string {
 	var found []string
 	for _, replica := range replicas {
 		if slices.Contains(weak, replica) {
@@ -220,7 +220,7 @@
 	return found
 }
 
-// mergeNames returns the names of both lists once, the last maxRecordedEnds of them.
+// mergeNames returns the last maxRecordedReplicas names of both lists, without duplicates.
 func mergeNames(known, more []string) []string {
 	merged := slices.Clone(known)
 	for _, name := range more {
@@ -228,26 +228,26 @@
 			merged = append(merged, name)
 		}
 	}
-	return merged[max(0, len(merged)-maxRecordedEnds):]
+	return merged[max(0, len(merged)-maxRecordedReplicas):]
 }
 
-// record is the entry of a request that is not on record yet. It is watched first, however
-// many replicas have ended: proxies that know of it tell when it is served, as one is that
-// merely stood beside.
-func (d *quarantineDesk) record(current *view.View, fingerprint quarantine.Fingerprint, now time.Duration, wall time.Time) api.Object {
+// newEntry returns the entry of a request that is not in the record yet. Unless a trial is due,
+// the request is watched first, however many replicas have crashed, since proxies that know of it
+// report when it is served; a request that was merely in flight during the crashes will be.
+func (d *quarantineTracker) newEntry(current *view.View, fingerprint quarantine.Fingerprint, now time.Duration, wall time.Time) api.Object {
 	replicas, about := d.table.Ends(fingerprint)
 	spec := api.QuarantineSpec{
 		State: api.QuarantineWatched, Service: about.Service, Route: about.Route, Request: about.Request,
-		Replicas: replicas, Weak: weakOf(replicas, d.table.Weak(fingerprint)), Since: d.since(fingerprint, now, wall), Until: wall.Add(watchTime).UnixMilli(),
+		Replicas: replicas, Weak: filterWeak(replicas, d.table.Weak(fingerprint)), Since: d.firstCrashAt(fingerprint, now, wall), Until: wall.Add(watchDuration).UnixMilli(),
 	}
-	if d.hasHeard(now) && d.isToTry(current, fingerprint) {
-		d.tryOrSettle(&spec, fingerprint, now, wall)
+	if d.hasInitialReports(now) && d.needsTrial(current, fingerprint) {
+		d.startTrialOrSettle(&spec, fingerprint, now, wall)
 	}
 	return quarantineObject(fingerprint.String(), spec)
 }
 
-// since is when the first replica ended under a request, by the time of day.
-func (d *quarantineDesk) since(fingerprint quarantine.Fingerprint, now time.Duration, wall time.Time) int64 {
+// firstCrashAt returns the wall-clock time of the first crash under a request, in milliseconds.
+func (d *quarantineTracker) firstCrashAt(fingerprint quarantine.Fingerprint, now time.Duration, wall time.Time) int64 {
 	first, found := d.table.FirstEnd(fingerprint)
 	if !found {
 		return wall.UnixMilli()
--- a/process/control/quota_test.go
+++ b/process/control/quota_test.go
@@ -18,8 +18,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// newBounded is a group of three with a tenant that has a quota.
-func newBounded(t *testing.T, limit api.Quota) *growing {
+// newQuotaGroup returns a group of three members with one tenant that has a quota.
+func newQuotaGroup(t *testing.T, limit api.Quota) *growing {
 	g := newGrowing(t, 3, 3, 1)
 	for i := range g.configs {
 		g.configs[i].Quotas = quota.Rule{Window: 8 * time.Second, Overshoot: 0.1}
@@ -33,11 +33,11 @@
 	return g
 }
 
-// charge asks for a charge until somebody answers it.
-func (g *growing) charge(client *feed.Client, tenant string, cost float64) quota.Grant {
+// awaitCharge requests a charge until a member answers.
+func (g *growing) awaitCharge(client *feed.Client, tenant string, cost float64) quota.Grant {
 	g.t.Helper()
 	var grant quota.Grant
-	eventually(g.t, "an answer to a charge", func() bool {
+	eventually(g.t, "an answer to the charge", func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		answered, err := client.Charge(ctx, feed.ChargeRequest{Tenant: tenant, Cost: cost})
@@ -47,24 +47,24 @@
 	return grant
 }
 
-// All proxies spend one quota, and operators see how it stands.
+// All proxies draw on one quota, whose usage is visible to operators.
 func TestProxiesShareOneQuota(t *testing.T) {
-	g := newBounded(t, api.Quota{Unit: api.QuotaTokens, PerSecond: 0.001, Burst: 1000})
+	g := newQuotaGroup(t, api.Quota{Unit: api.QuotaTokens, PerSecond: 0.001, Burst: 1000})
 	first, _ := g.follow("proxy-1")
 	second, _ := g.follow("proxy-2")
-	must.False(t, g.charge(first, "north", 100).Granted, must.Sprint("a leader begins with nothing"))
+	must.False(t, g.awaitCharge(first, "north", 100).Granted, must.Sprint("a new account starts empty"))
 	raised := ingressOf(2, "")
 	raised.KeysRequired = true
 	raised.Tenants = []api.TenantKeys{{Name: "north", Keys: []string{"k"}, Quota: api.Quota{Unit: api.QuotaTokens, PerSecond: 1e9, Burst: 1000}}}
 	must.Eq(t, api.ReplaceApplied, g.replaceIngress(0, raised).Code)
-	eventually(t, "the raised quota", func() bool { return g.charge(first, "north", 1000).Granted })
+	eventually(t, "the raised quota", func() bool { return g.awaitCharge(first, "north", 1000).Granted })
 	lowered := ingressOf(3, "")
 	lowered.KeysRequired = true
 	lowered.Tenants = []api.TenantKeys{{Name: "north", Keys: []string{"k"}, Quota: api.Quota{Unit: api.QuotaTokens, PerSecond: 0.001, Burst: 500}}}
 	must.Eq(t, api.ReplaceApplied, g.replaceIngress(0, lowered).Code)
 	eventually(t, "the lowered quota", func() bool {
-		g.charge(first, "north", 400)
-		return !g.charge(second, "north", 400).Granted
+		g.awaitCharge(first, "north", 400)
+		return !g.awaitCharge(second, "north", 400).Granted
 	})
 	var list operatorapi.QuotaList
 	must.Eq(t, http.StatusOK, g.call(0, http.MethodGet, operatorapi.PathQuotas, "", &list))
@@ -75,18 +75,19 @@
 	must.Less(t, 500, list.Tenants[0].Left)
 }
 
-// The next leader grants nothing that the last one has granted already.
-func TestNextLeaderBeginsWithNothing(t *testing.T) {
-	g := newBounded(t, api.Quota{Unit: api.QuotaTokens, PerSecond: 20, Burst: 200})
+// A new leader starts with an empty account, so it does not grant again what the previous leader
+// has granted.
+func TestNextLeaderStartsWithEmptyAccount(t *testing.T) {
+	g := newQuotaGroup(t, api.Quota{Unit: api.QuotaTokens, PerSecond: 20, Burst: 200})
 	client, _ := g.follow("proxy-1")
-	eventually(t, "the whole burst", func() bool { return g.charge(client, "north", 200).Granted })
+	eventually(t, "the whole burst", func() bool { return g.awaitCharge(client, "north", 200).Granted })
 	g.crash(g.leader())
 	eventually(t, "another leader", client.Connected)
-	must.False(t, g.charge(client, "north", 200).Granted)
+	must.False(t, g.awaitCharge(client, "north", 200).Granted)
 }
 
-// grants keeps what was granted, by when its answer came.
-type grants struct {
+// grantLog records granted costs by the time of their answers.
+type grantLog struct {
 	lock sync.Mutex
 	all  []grantAt
 }
@@ -96,14 +97,14 @@
 	cost float64
 }
 
-func (g *grants) add(cost float64) {
+func (g *grantLog) add(cost float64) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	g.all = append(g.all, grantAt{monotonic(), cost})
 }
 
-// most returns the largest sum of any window.
-func (g *grants) most(window time.Duration) float64 {
+// maxInWindow returns the largest sum of costs within any window.
+func (g *grantLog) maxInWindow(window time.Duration) float64 {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	slices.SortFunc(g.all, func(a, b grantAt) int { return cmp.Compare(a.at, b.at) })
@@ -119,22 +120,22 @@
 	return most
 }
 
-// A tenant that asks four times its quota through several proxies runs no more than the rule
-// allows in any window, through the death of one leader after the other.
-func TestQuotaHoldsThroughTheDeathOfLeaders(t *testing.T) {
+// A tenant that requests four times its quota through several proxies is granted no more than the
+// rule allows in any window, while one leader after the other crashes.
+func TestQuotaHoldsAcrossLeaderCrashes(t *testing.T) {
 	limit := api.Quota{Unit: api.QuotaTokens, PerSecond: 400, Burst: 200}
-	g := newBounded(t, limit)
+	g := newQuotaGroup(t, limit)
 	rule := g.configs[0].Quotas
-	var granted grants
-	var asking sync.WaitGroup
+	var granted grantLog
+	var requests sync.WaitGroup
 	ctx, stop := context.WithCancel(t.Context())
 	const cost, proxies = 10.0, 4
 	for i := range proxies {
 		client, _ := g.follow(fmt.Sprint("proxy-", i))
-		asking.Go(func() {
+		requests.Go(func() {
 			for pause.For(ctx, time.Duration(proxies*cost/(4*limit.PerSecond)*float64(time.Second))) {
-				asked, cancel := context.WithTimeout(ctx, 30*time.Millisecond)
-				grant, err := client.Charge(asked, feed.ChargeRequest{Tenant: "north", Cost: cost})
+				requestCtx, cancel := context.WithTimeout(ctx, 30*time.Millisecond)
+				grant, err := client.Charge(requestCtx, feed.ChargeRequest{Tenant: "north", Cost: cost})
 				cancel()
 				if err == nil && grant.Granted {
 					granted.add(cost)
@@ -151,8 +152,8 @@
 	}
 	time.Sleep(time.Second)
 	stop()
-	asking.Wait()
+	requests.Wait()
 	allowed := limit.PerSecond*rule.Window.Seconds() + limit.Burst + rule.Overrun(limit)
-	must.LessEq(t, allowed, granted.most(rule.Window))
-	must.Positive(t, granted.most(rule.Window))
+	must.LessEq(t, allowed, granted.maxInWindow(rule.Window))
+	must.Positive(t, granted.maxInWindow(rule.Window))
 }
--- a/process/control/scaling.go
+++ b/process/control/scaling.go
@@ -12,13 +12,15 @@
 	"github.com/landingtrail/landingtrail/version/state"
 )
 
-// CapacityOrders says how many replicas of a kind a zone of a service is to have.
+// CapacityOrders sets the number of replicas per zone and kind of a service.
 type CapacityOrders interface {
-	// Scale orders it. DutyDry says that none of the kind are to be had there now.
+	// Scale sends an order. DutyDry means that the platform has no replicas of the kind in the
+	// zone now.
 	Scale(ctx context.Context, holder DutyHolder, order CapacityOrder) (DutyOutcome, error)
 }
 
-// CapacityOrder is one order. The newest one holds.
+// CapacityOrder is a wanted number of replicas. The latest order for a service, zone and kind
+// applies.
 type CapacityOrder struct {
 	Service      string
 	Zone         string
@@ -26,34 +28,34 @@
 	Wanted       int
 }
 
-// Times of capacity.
+// Timing of capacity management.
 const (
-	capacityPause = 250 * time.Millisecond // between two plans
-	// capacitySettle is how long the number of listed replicas must stand before it is taken
-	// for what was found: a list that fills up shows too few.
-	capacitySettle = 2 * time.Second
-	// orderLate is how long after an order without an answer it may still be carried out,
-	// over newer ones; until then the newest is said again.
-	orderLate = 13 * time.Second
-	// orderAgain is between two times that an order is said again.
-	orderAgain = 2 * time.Second
-	// longestDry bounds the pause after which a zone is asked again that has none of a kind.
-	longestDry = 4 * time.Second
-	// orderRead is how long an order that was carried out takes to show in the list, beside
-	// the time that a replica needs to start.
-	orderRead = 3 * time.Second
+	capacityCheckInterval = 250 * time.Millisecond // between two plans
+	// capacitySettleTime is how long the number of listed replicas must stay the same before it
+	// is taken as the initial capacity: a list that is still filling up shows too few.
+	capacitySettleTime = 2 * time.Second
+	// orderExpiry is how long an unanswered order may still be executed, overriding newer ones;
+	// until then the latest order is repeated.
+	orderExpiry = 13 * time.Second
+	// orderRepeatInterval is the interval at which an order is repeated.
+	orderRepeatInterval = 2 * time.Second
+	// maxNoCapacityPause limits the pause before a zone without capacity is asked again.
+	maxNoCapacityPause = 4 * time.Second
+	// orderListTime is how long it takes an executed order to show in the list, in addition to
+	// the start time of a replica.
+	orderListTime = 3 * time.Second
 )
 
-// capacityDuty is what one leadership keeps of its orders. Only the duties' loop uses it,
-// but for what its embedded duty guards.
-type capacityDuty struct {
-	duty
+// capacityTermState is the state of capacity management in one term. Only the leader's loop uses
+// it, except for what callGuard protects.
+type capacityTermState struct {
+	callGuard
 	next time.Duration
-	// listed is how many replicas were listed of each service, and since when that stands.
+	// listed is the number of replicas listed per service, and since when it is unchanged.
 	listed map[string]listedSince
 	orders map[orderKey]*orderState
-	// results are those of the last orders. Who makes the orders writes them while the duty
-	// is busy, the loop reads them while it is not.
+	// results are the results of the last orders. They are written by the sending goroutine while
+	// busy is set, and read by the loop while it is not.
 	results []orderResult
 }
 
@@ -68,14 +70,14 @@
 	withdrawable bool
 }
 
-// orderState is what is known of the orders on one matter.
+// orderState is the state of the orders for one service, zone and kind.
 type orderState struct {
-	said    int // the newest number, when it was said, and with what outcome
+	ordered int // the last number ordered, with the time of the order or its result, and the result
 	at      time.Duration
 	outcome DutyOutcome
-	// unsure is until when an order without an answer may be carried out.
-	unsure time.Duration
-	dry    time.Duration // the pause after the last refusal for lack of replicas
+	// unsureUntil is the time until which an unanswered order may still be executed.
+	unsureUntil     time.Duration
+	noCapacityPause time.Duration // pause after the last result of DutyDry
 }
 
 type orderResult struct {
@@ -83,44 +85,44 @@
 	outcome DutyOutcome
 }
 
-func newCapacityDuty() capacityDuty {
-	return capacityDuty{listed: map[string]listedSince{}, orders: map[orderKey]*orderState{}}
+func newCapacityTermState() capacityTermState {
+	return capacityTermState{listed: map[string]listedSince{}, orders: map[orderKey]*orderState{}}
 }
 
-// tendCapacity decides how many replicas each zone is to have, and orders them.
-func (d *duties) tendCapacity(ctx context.Context, term *termDuties) {
+// manageCapacity decides how many replicas each zone should have, and orders them.
+func (d *duties) manageCapacity(ctx context.Context, term *termDuties) {
 	now := monotonic()
 	if d.group.config.Capacity == nil || now < term.capacity.next {
 		return
 	}
-	term.capacity.next = now + capacityPause
-	term.capacity.collect(now)
+	term.capacity.next = now + capacityCheckInterval
+	term.capacity.collectResults(now)
 	listed, reads := d.fleet.replicas()
-	held := d.group.machine.view().Ingresses[api.IngressName]
-	if reads == 0 || held == nil {
+	ingress := d.group.machine.view().Ingresses[api.IngressName]
+	if reads == 0 || ingress == nil {
 		return
 	}
-	var seen state.Observe
-	for i := range held.Spec.Services {
-		service := &held.Spec.Services[i]
+	var changes state.Observe
+	for i := range ingress.Spec.Services {
+		service := &ingress.Spec.Services[i]
 		if service.Scaling != nil {
-			d.planCapacity(term, service, listed, now, &seen)
+			d.planCapacity(term, service, listed, now, &changes)
 		}
 	}
-	if len(seen.Put) > 0 {
-		if _, err := d.group.propose(ctx, state.Command{Kind: state.CommandObserve, Observe: &seen}); err != nil {
-			return // it is decided again with the next look
+	if len(changes.Put) > 0 {
+		if _, err := d.group.propose(ctx, state.Command{Kind: state.CommandObserve, Observe: &changes}); err != nil {
+			return // decided again in a later round
 		}
-		for _, object := range seen.Put {
+		for _, object := range changes.Put {
 			spec := &object.Capacity.Spec
 			event.CapacityDecided.Log(d.logger, "capacity", object.Capacity.Name, "found", spec.Found, "lasting", spec.Lasting, "withdrawable", spec.Withdrawable, "reason", spec.Reason)
 		}
 	}
-	d.orderCapacity(term, held, listed, now)
+	d.orderCapacity(term, ingress, listed, now)
 }
 
-// planCapacity adds what differs from the last decision on a service.
-func (d *duties) planCapacity(term *termDuties, service *api.RouteService, listed map[string]listedReplica, now time.Duration, seen *state.Observe) {
+// planCapacity adds the decisions on a service that differ from the last ones to changes.
+func (d *duties) planCapacity(term *termDuties, service *api.RouteService, listed map[string]listedReplica, now time.Duration, changes *state.Observe) {
 	zones := zonesOf(service, listed, d.group.machine.view().Capacities)
 	if !term.capacity.isSettled(service.Name, zones, now) {
 		return
@@ -134,13 +136,13 @@
 		if known := d.group.machine.view().Capacities[name]; known != nil && known.Spec == plans[i] {
 			continue
 		}
-		seen.Put = append(seen.Put, api.Object{Capacity: &api.Capacity{Metadata: api.Metadata{Name: name}, Spec: plans[i]}})
+		changes.Put = append(changes.Put, api.Object{Capacity: &api.Capacity{Metadata: api.Metadata{Name: name}, Spec: plans[i]}})
 	}
 }
 
-// isSettled reports whether it is known what was found: once it was decided upon, or when
-// the number of listed replicas has stood for a while.
-func (c *capacityDuty) isSettled(service string, zones []planner.ZoneCapacity, now time.Duration) bool {
+// isSettled reports whether the initial capacity of a service is known: either a decision was
+// made before, or the number of listed replicas has not changed for capacitySettleTime.
+func (c *capacityTermState) isSettled(service string, zones []planner.ZoneCapacity, now time.Duration) bool {
 	count, decided := 0, true
 	for i := range zones {
 		count += zones[i].Lasting + zones[i].Withdrawable
@@ -153,11 +155,11 @@
 		c.listed[service] = listedSince{count: count, at: now}
 		return false
 	}
-	return count > 0 && now-c.listed[service].at >= capacitySettle
+	return count > 0 && now-c.listed[service].at >= capacitySettleTime
 }
 
-// zonesOf returns what the zones of a service have, by name. One that nothing was decided on
-// has wanted what it was found with.
+// zonesOf returns the capacity of a service's zones, sorted by name. For a zone without a
+// decision, the capacity found is the wanted one.
 func zonesOf(service *api.RouteService, listed map[string]listedReplica, decided map[string]*api.Capacity) []planner.ZoneCapacity {
 	zones := map[string]*planner.ZoneCapacity{}
 	for _, known := range listed {
@@ -181,7 +183,7 @@
 	for name, known := range decided {
 		for zone := range service.Scaling.ZonePrices {
 			if name == api.CapacityName(service.Name, zone) && zones[zone] == nil {
-				zones[zone] = &planner.ZoneCapacity{Zone: zone, Wanted: known.Spec} // all of it is gone
+				zones[zone] = &planner.ZoneCapacity{Zone: zone, Wanted: known.Spec} // no replicas are left in the zone
 			}
 		}
 	}
@@ -198,8 +200,8 @@
 	return all
 }
 
-// collect takes in what became of the orders that were under way.
-func (c *capacityDuty) collect(now time.Duration) {
+// collectResults applies the results of the last orders once they are complete.
+func (c *capacityTermState) collectResults(now time.Duration) {
 	if c.busy.Load() {
 		return
 	}
@@ -208,31 +210,31 @@
 		known.outcome, known.at = result.outcome, now
 		switch result.outcome {
 		case DutyUnanswered:
-			known.unsure = now + orderLate
+			known.unsureUntil = now + orderExpiry
 		case DutyDry:
-			known.dry = min(max(2*known.dry, dutyPause), longestDry)
+			known.noCapacityPause = min(max(2*known.noCapacityPause, platformCallPause), maxNoCapacityPause)
 		default:
-			known.dry = 0
+			known.noCapacityPause = 0
 		}
 	}
 	c.results = nil
 }
 
-// dueOrder is an order that is to be said.
+// dueOrder is an order that is to be sent.
 type dueOrder struct {
 	key    orderKey
 	wanted int
 }
 
-// orderCapacity says the orders that are due, one after the other beside the rounds.
-func (d *duties) orderCapacity(term *termDuties, held *api.Ingress, listed map[string]listedReplica, now time.Duration) {
+// orderCapacity starts sending the orders that are due, sequentially and in the background.
+func (d *duties) orderCapacity(term *termDuties, ingress *api.Ingress, listed map[string]listedReplica, now time.Duration) {
 	capacity := &term.capacity
 	if capacity.busy.Load() {
 		return
 	}
 	var due []dueOrder
-	for i := range held.Spec.Services {
-		service := &held.Spec.Services[i]
+	for i := range ingress.Spec.Services {
+		service := &ingress.Spec.Services[i]
 		if service.Scaling == nil {
 			continue
 		}
@@ -255,26 +257,27 @@
 	}
 }
 
-// isDue reports whether an order is to be said now: a new one, one that was not taken, one
-// over which an older one may yet be carried out, or one that does not show.
-func (c *capacityDuty) isDue(key orderKey, wanted, ready, found int, boot, now time.Duration) bool {
+// isDue reports whether an order is to be sent now: its number is new, the last one was not
+// executed, an older unanswered one may still override it, or it has not taken effect in time.
+func (c *capacityTermState) isDue(key orderKey, wanted, ready, found int, boot, now time.Duration) bool {
 	known := c.orders[key]
 	if known == nil {
-		// What was found is as it should be until something else was wanted.
+		// Without a previous order, none is needed as long as the capacity found is the wanted
+		// one.
 		unchanged := !key.withdrawable && wanted == found && ready == found || key.withdrawable && wanted == 0 && ready == 0
 		return !unchanged
 	}
 	switch {
-	case known.said != wanted:
+	case known.ordered != wanted:
 		return true
 	case known.outcome == DutyDry:
-		return now-known.at >= known.dry
+		return now-known.at >= known.noCapacityPause
 	case known.outcome != DutyDone:
-		return now-known.at >= dutyPause
-	case now < known.unsure:
-		return now-known.at >= orderAgain
+		return now-known.at >= platformCallPause
+	case now < known.unsureUntil:
+		return now-known.at >= orderRepeatInterval
 	default:
-		return ready < wanted && now-known.at >= boot+orderRead
+		return ready < wanted && now-known.at >= boot+orderListTime
 	}
 }
 
@@ -289,24 +292,24 @@
 			known = &orderState{}
 			capacity.orders[next.key] = known
 		}
-		known.said, known.at = next.wanted, monotonic()
+		known.ordered, known.at = next.wanted, monotonic()
 	}
 	capacity.results = make([]orderResult, len(due))
 	term.background.Go(func() {
 		for i, next := range due {
-			capacity.results[i] = orderResult{key: next.key, outcome: d.orderOne(term, next.key, next.wanted)}
+			capacity.results[i] = orderResult{key: next.key, outcome: d.sendOrder(term, next.key, next.wanted)}
 		}
-		capacity.busy.Store(false) // the loop reads the results from here on
+		capacity.busy.Store(false) // from here on the loop may read the results
 		d.wake()
 	})
 }
 
-// orderOne makes one call.
-func (d *duties) orderOne(term *termDuties, key orderKey, wanted int) DutyOutcome {
-	ctx, cancel := context.WithTimeout(term.orders, dutyTimeout)
+// sendOrder sends one order.
+func (d *duties) sendOrder(term *termDuties, key orderKey, wanted int) DutyOutcome {
+	ctx, cancel := context.WithTimeout(term.orders, platformCallTimeout)
 	defer cancel()
-	holder, may := d.mayAct(ctx, term, &term.capacity.duty)
-	if !may {
+	holder, ok := d.authorizeCall(ctx, term, &term.capacity.callGuard)
+	if !ok {
 		return DutyRefused
 	}
 	outcome, err := d.group.config.Capacity.Scale(ctx, holder, CapacityOrder{
--- a/process/control/scaling_test.go
+++ b/process/control/scaling_test.go
@@ -11,20 +11,20 @@
 	"github.com/shoenig/test/must"
 )
 
-// fakeMarket is the platform as it has replicas. Orders are carried out at once.
-type fakeMarket struct {
+// fakePlatform is a platform with replicas, which executes orders immediately.
+type fakePlatform struct {
 	fleet *fakeFleet
 
-	lock    sync.Mutex
-	dry     map[string]bool // zones that have none of the cheaper kind
-	outcome DutyOutcome     // of calls; DutyDone carries them out
-	orders  []CapacityOrder
-	fences  []uint64
-	counts  map[CapacityOrder]int // Wanted is 0 in the key
+	lock      sync.Mutex
+	exhausted map[string]bool // zones without withdrawable capacity
+	outcome   DutyOutcome     // of calls; only DutyDone executes them
+	orders    []CapacityOrder
+	fences    []uint64
+	counts    map[CapacityOrder]int // keyed by orders with Wanted = 0
 }
 
-func newFakeMarket(fleet *fakeFleet, found int, zones ...string) *fakeMarket {
-	m := &fakeMarket{fleet: fleet, dry: map[string]bool{}, outcome: DutyDone, counts: map[CapacityOrder]int{}}
+func newFakePlatform(fleet *fakeFleet, found int, zones ...string) *fakePlatform {
+	m := &fakePlatform{fleet: fleet, exhausted: map[string]bool{}, outcome: DutyDone, counts: map[CapacityOrder]int{}}
 	for _, zone := range zones {
 		m.counts[CapacityOrder{Service: "llm", Zone: zone}] = found
 	}
@@ -32,8 +32,8 @@
 	return m
 }
 
-// list shows what there is; the lock is held, or nobody else knows of the market.
-func (m *fakeMarket) list() {
+// list publishes the current replicas. The caller holds the lock or has exclusive access.
+func (m *fakePlatform) list() {
 	var all []api.Replica
 	for kind, count := range m.counts {
 		for i := range count {
@@ -46,12 +46,12 @@
 	m.fleet.set(all...)
 }
 
-func (m *fakeMarket) Scale(_ context.Context, holder DutyHolder, order CapacityOrder) (DutyOutcome, error) {
+func (m *fakePlatform) Scale(_ context.Context, holder DutyHolder, order CapacityOrder) (DutyOutcome, error) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	m.orders = append(m.orders, order)
 	m.fences = append(m.fences, holder.Fence)
-	if order.Withdrawable && m.dry[order.Zone] {
+	if order.Withdrawable && m.exhausted[order.Zone] {
 		return DutyDry, nil
 	}
 	if m.outcome == DutyDone {
@@ -61,30 +61,30 @@
 	return m.outcome, nil
 }
 
-func (m *fakeMarket) count(zone string, withdrawable bool) int {
+func (m *fakePlatform) count(zone string, withdrawable bool) int {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	return m.counts[CapacityOrder{Service: "llm", Zone: zone, Withdrawable: withdrawable}]
 }
 
-func (m *fakeMarket) withdraw(zone string) {
+func (m *fakePlatform) withdraw(zone string) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
-	m.dry[zone] = true
+	m.exhausted[zone] = true
 	m.counts[CapacityOrder{Service: "llm", Zone: zone, Withdrawable: true}] = 0
 	m.list()
 }
 
-func (m *fakeMarket) fill(zone string) {
+func (m *fakePlatform) restock(zone string) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
-	m.dry[zone] = false
+	m.exhausted[zone] = false
 }
 
-// newScaled is a group before a market of 20 lasting replicas a zone.
-func newScaled(t *testing.T) (*growing, *fakeMarket) {
+// newScalingGroup returns a group and a platform with 20 lasting replicas per zone.
+func newScalingGroup(t *testing.T) (*growing, *fakePlatform) {
 	g := newGrowing(t, 3, 3, 1)
-	market := newFakeMarket(g.fleet, 20, "a", "b", "c")
+	market := newFakePlatform(g.fleet, 20, "a", "b", "c")
 	for i := range g.configs {
 		g.configs[i].Capacity = market
 		g.configs[i].Durations.OrderSettle = time.Millisecond
@@ -97,11 +97,12 @@
 	return g, market
 }
 
-// The cheaper kind is ordered first, and what lasts goes down to its base once that is
-// there; a withdrawn zone is asked for again until it has them; a new leader goes on from
-// what was decided, and takes what it finds for nothing else.
+// Withdrawable replicas, the cheaper kind, are ordered first, and lasting ones are reduced to
+// their base number once those are present. After a withdrawal the zone is asked again until it
+// has capacity. A new leader continues from the decisions made, and does not take the present
+// capacity for the initial one.
 func TestCapacityIsOrdered(t *testing.T) {
-	g, market := newScaled(t)
+	g, market := newScalingGroup(t)
 	settled := func() bool {
 		for _, zone := range []string{"a", "b", "c"} {
 			if market.count(zone, false) != 2 || market.count(zone, true) != 27 {
@@ -110,44 +111,45 @@
 		}
 		return true
 	}
-	eventually(t, "the portfolio", settled)
+	eventually(t, "the wanted capacity", settled)
 	market.lock.Lock()
 	for _, order := range market.orders[:3] {
-		must.True(t, order.Withdrawable, must.Sprint("nothing is given up first"))
+		must.True(t, order.Withdrawable, must.Sprint("no replicas are given up first"))
 	}
 	market.lock.Unlock()
 	market.withdraw("b")
 	time.Sleep(300 * time.Millisecond)
 	must.Eq(t, 2, market.count("a", false))
-	market.fill("b")
-	eventually(t, "the zone's are back", settled)
+	market.restock("b")
+	eventually(t, "the zone's replicas again", settled)
 
 	g.crash(g.leader())
-	eventually(t, "another leader's orders, where any are needed", func() bool { return g.leader() >= 0 && settled() })
+	eventually(t, "another leader and the wanted capacity", func() bool { return g.leader() >= 0 && settled() })
 	time.Sleep(time.Second)
 	must.True(t, settled())
 	current := g.running[g.leader()].member.machine.view().Capacities
 	must.MapLen(t, 3, current)
-	must.Eq(t, 20, current["llm/a"].Spec.Found, must.Sprint("what was found at first, not what is there now"))
+	must.Eq(t, 20, current["llm/a"].Spec.Found, must.Sprint("the initial capacity, not the present one"))
 }
 
-// Two zones at once: lasting replicas stand in, and go again.
-func TestLastingReplicasAreOrderedForWithdrawnOnes(t *testing.T) {
-	_, market := newScaled(t)
-	eventually(t, "the portfolio", func() bool {
+// When two zones lose their withdrawable replicas at once, lasting ones replace them until they
+// are back.
+func TestLastingReplicasReplaceWithdrawnOnes(t *testing.T) {
+	_, market := newScalingGroup(t)
+	eventually(t, "the wanted capacity", func() bool {
 		return market.count("a", false) == 2 && market.count("c", false) == 2 && market.count("a", true) == 27
 	})
 	market.withdraw("a")
 	market.withdraw("b")
-	eventually(t, "lasting ones", func() bool { return market.count("a", false)+market.count("b", false)+market.count("c", false) >= 33 })
-	market.fill("a")
-	market.fill("b")
-	eventually(t, "the portfolio again", func() bool { return market.count("a", false) == 2 && market.count("b", true) == 27 })
+	eventually(t, "additional lasting replicas", func() bool { return market.count("a", false)+market.count("b", false)+market.count("c", false) >= 33 })
+	market.restock("a")
+	market.restock("b")
+	eventually(t, "the wanted capacity again", func() bool { return market.count("a", false) == 2 && market.count("b", true) == 27 })
 }
 
-// What is due: a new number, one that was not taken, one that an older order may overwrite,
-// one that does not show.
-func TestWhenOrdersAreSaidAgain(t *testing.T) {
+// An order is due if its number is new, it was not executed, an older order may still override
+// it, or it has not taken effect in time.
+func TestWhenCapacityOrdersAreDue(t *testing.T) {
 	key := orderKey{service: "s", zone: "a", withdrawable: true}
 	const boot = 4 * time.Second
 	cases := []struct {
@@ -157,28 +159,28 @@
 		now           time.Duration
 		due           bool
 	}{
-		{"never said, nothing wanted", nil, 0, 0, 0, false},
-		{"never said", nil, 5, 0, 0, true},
-		{"as said", &orderState{said: 5, outcome: DutyDone}, 5, 5, time.Hour, false},
-		{"another number", &orderState{said: 5, outcome: DutyDone}, 6, 5, 0, true},
-		{"refused, at once", &orderState{said: 5, outcome: DutyRefused}, 5, 0, time.Millisecond, false},
-		{"refused, later", &orderState{said: 5, outcome: DutyRefused}, 5, 0, dutyPause, true},
-		{"none to be had, at once", &orderState{said: 5, outcome: DutyDry, dry: time.Second}, 5, 0, 900 * time.Millisecond, false},
-		{"none to be had, later", &orderState{said: 5, outcome: DutyDry, dry: time.Second}, 5, 0, time.Second, true},
-		{"an older one may come yet", &orderState{said: 5, outcome: DutyDone, unsure: orderLate}, 5, 5, orderAgain, true},
-		{"starting", &orderState{said: 5, outcome: DutyDone}, 5, 0, boot, false},
-		{"does not show", &orderState{said: 5, outcome: DutyDone}, 5, 0, boot + orderRead, true},
+		{"never ordered, none wanted", nil, 0, 0, 0, false},
+		{"never ordered", nil, 5, 0, 0, true},
+		{"as ordered", &orderState{ordered: 5, outcome: DutyDone}, 5, 5, time.Hour, false},
+		{"another number", &orderState{ordered: 5, outcome: DutyDone}, 6, 5, 0, true},
+		{"refused, at once", &orderState{ordered: 5, outcome: DutyRefused}, 5, 0, time.Millisecond, false},
+		{"refused, later", &orderState{ordered: 5, outcome: DutyRefused}, 5, 0, platformCallPause, true},
+		{"no capacity, at once", &orderState{ordered: 5, outcome: DutyDry, noCapacityPause: time.Second}, 5, 0, 900 * time.Millisecond, false},
+		{"no capacity, later", &orderState{ordered: 5, outcome: DutyDry, noCapacityPause: time.Second}, 5, 0, time.Second, true},
+		{"an older order may still be executed", &orderState{ordered: 5, outcome: DutyDone, unsureUntil: orderExpiry}, 5, 5, orderRepeatInterval, true},
+		{"replicas starting", &orderState{ordered: 5, outcome: DutyDone}, 5, 0, boot, false},
+		{"no effect in time", &orderState{ordered: 5, outcome: DutyDone}, 5, 0, boot + orderListTime, true},
 	}
 	for _, each := range cases {
 		t.Run(each.name, func(t *testing.T) {
-			duty := newCapacityDuty()
+			duty := newCapacityTermState()
 			if each.known != nil {
 				duty.orders[key] = each.known
 			}
 			must.Eq(t, each.due, duty.isDue(key, each.wanted, each.ready, 0, boot, each.now))
 		})
 	}
-	lasting := newCapacityDuty()
+	lasting := newCapacityTermState()
 	must.False(t, lasting.isDue(orderKey{service: "s", zone: "a"}, 47, 47, 47, boot, 0), must.Sprint("as found"))
 	must.True(t, lasting.isDue(orderKey{service: "s", zone: "a"}, 47, 40, 47, boot, 0))
 }
