--- a/process/control/config_test.go
+++ b/process/control/config_test.go
@@ -7,8 +7,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// With 10,000 engines a poll round takes the default 5 s of EngineSilence. Without scaling the
-// threshold, every engine counted as silent half of the time.
+// Guards against treating engines as silent between two polls. With 10,000 engines a poll round takes
+// the default 5 s of EngineSilence, and with a constant threshold every engine counted as silent half
+// of the time.
 func TestEngineSilenceGrowsWithFleetSize(t *testing.T) {
 	durations := Durations{}.withDefaults()
 	for _, c := range []struct {
--- a/process/control/control_test.go
+++ b/process/control/control_test.go
@@ -36,7 +36,7 @@
 		must.Eq(t, result.Revision, list.Objects[0].Intent.Revision)
 	}
 	_, holder := c.follow("proxy-a")
-	eventually(t, "the view", func() bool { return holder.Load().Intents["narrate"] != nil })
+	eventually(t, "the daemon receives the view", func() bool { return holder.Load().Intents["narrate"] != nil })
 	c.awaitInForce(result.Revision)
 	must.Eq(t, result.Revision, holder.Load().Version.Revision)
 }
@@ -139,7 +139,7 @@
 	c.leader()
 	first, _ := c.follow("proxy-a")
 	second, _ := c.follow("proxy-b")
-	eventually(t, "connections", func() bool { return first.Connected() && second.Connected() })
+	eventually(t, "both daemons are connected", func() bool { return first.Connected() && second.Connected() })
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	request := state.ClaimRequest{Tenant: "water", Key: "crew-7", BodyHash: 9, Attempt: 1, Proxy: "proxy-a", Nonce: 1}
@@ -171,10 +171,10 @@
 	}
 
 	c.crash(c.leader())
-	eventually(t, "a connection to the new leader", func() bool { return second.Connected() })
+	eventually(t, "the client is connected to the new leader", func() bool { return second.Connected() })
 	conflicting := other
 	conflicting.BodyHash, conflicting.Nonce = 10, 3
-	eventually(t, "a reply from the new leader", func() bool {
+	eventually(t, "the new leader replies", func() bool {
 		result, err := second.Claim(ctx, conflicting)
 		return err == nil && result.Code == api.ClaimConflict
 	})
@@ -261,7 +261,7 @@
 	must.Zero(t, unknownProposals(t, stopping))
 	result := c.transact(api.Transaction{OperationID: "after", Writes: narratorObjects()})
 	eventually(t, "the view has the change", func() bool { return holder.Load().Version.Revision >= result.Revision })
-	eventually(t, "a valid lease", func() bool { return client.Connected() })
+	eventually(t, "the lease is valid", func() bool { return client.Connected() })
 }
 
 // unknownProposals returns the number of the member's proposals whose outcome remained unknown.
@@ -348,8 +348,9 @@
 	}
 	c.start(0, 1, 2)
 	for i := range c.configs {
-		// The log tail holds at most the entries applied between two snapshots and while a snapshot
-		// is written; it does not grow with the total number of changes.
+		// The log tail holds the entries applied between two snapshots and those applied while
+		// snapshots are written, for which the bound leaves three times as much room. It does not
+		// grow with the total number of changes.
 		must.Less(t, 4*snapshotEntries, c.running[i].member.disk.Recovery().Entries)
 	}
 	must.Eq(t, answer, c.transact(first))
--- a/process/control/course_test.go
+++ b/process/control/course_test.go
@@ -151,7 +151,7 @@
 func (s *lossScenario) acknowledgeNextIngress() {
 	s.t.Helper()
 	s.generation++
-	eventually(s.t, "an acknowledged Ingress", func() bool {
+	eventually(s.t, "the Ingress is acknowledged", func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		result, err := s.accessOf(s.pickMember()).ReplaceIngress(ctx, ingressOf(s.generation, "document"))
@@ -162,7 +162,7 @@
 // verifyIngress checks that a read returns the Ingress that was acknowledged last.
 func (s *lossScenario) verifyIngress() {
 	s.t.Helper()
-	eventually(s.t, "a successful read", func() bool {
+	eventually(s.t, "a read succeeds", func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		held, err := s.accessOf(s.pickMember()).Ingress(ctx)
--- a/process/control/engine_test.go
+++ b/process/control/engine_test.go
@@ -122,7 +122,7 @@
 func (f *fleet) setVersion(operation, version string) api.TransactionResult {
 	f.t.Helper()
 	var list operatorapi.ObjectList
-	eventually(f.t, "the intent", func() bool {
+	eventually(f.t, "the intent is accepted", func() bool {
 		for i := range f.running {
 			if f.call(i, http.MethodGet, operatorapi.PathObjects+"/Intent/narrate", nil, &list) == http.StatusOK {
 				return true
@@ -150,7 +150,7 @@
 		engine.repliesToDrop.Store(3)
 	}
 	must.Eq(t, api.OutcomeAccepted, f.setVersion("second", "2").Code)
-	eventually(t, "a dropped reply to an order", func() bool { return f.engines[0].repliesToDrop.Load() < 3 })
+	eventually(t, "a reply to an order is dropped", func() bool { return f.engines[0].repliesToDrop.Load() < 3 })
 	f.engines[0].restart()
 	f.awaitVersion("2")
 	f.engines[1].restart()
--- a/process/control/evidence_test.go
+++ b/process/control/evidence_test.go
@@ -36,6 +36,7 @@
 	return disk
 }
 
+// stall makes the disk stall, or resume if stalls is false.
 func (d *stallingDisk) stall(stalls bool) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -91,8 +92,8 @@
 	return made
 }
 
-// stallMajority stalls all disks but the first, so that nothing can be committed and no leader
-// elected.
+// stallMajority stalls all disks but the first. In a group of three or more members nothing can then
+// be committed, and no leader elected.
 func (c *stallingCluster) stallMajority() {
 	leader := c.leader()
 	for _, disk := range c.disks[1:] {
@@ -130,8 +131,8 @@
 
 // Guards against losing crash evidence while there is no leader: if each proxy alone knows of the
 // crash that it observed, and all processes are then killed, the request crashes as many replicas
-// again (soak seeds 9112, 9231 and 3024, "fatal"). Members store reports on disk without a
-// leader, so the next leader holds the request.
+// again (soak seeds 9112, 9231 and 3024). Members store reports on disk without a leader, so the
+// next leader holds the request.
 func TestCrashesReportedWithoutLeaderSurviveRestart(t *testing.T) {
 	c := newStallingCluster(t, 3)
 	c.leader()
--- a/process/control/group_test.go
+++ b/process/control/group_test.go
@@ -37,8 +37,8 @@
 // patience bounds every wait of these tests. It is a limit, not an expected duration.
 const patience = 20 * time.Second
 
-// testDurations are short so that elections and leases take little time. A leader keeps its lease
-// when a busy machine does not schedule it for up to half a second.
+// testDurations are short so that elections and leases take little time. The lease is long enough
+// for a leader to keep it when a busy machine does not schedule it for up to half a second.
 var testDurations = Durations{
 	Election:      600 * time.Millisecond,
 	Heartbeat:     20 * time.Millisecond,
@@ -268,7 +268,7 @@
 func (c *cluster) leader() int {
 	c.t.Helper()
 	found := -1
-	eventually(c.t, "a leader", func() bool {
+	eventually(c.t, "a leader is elected", func() bool {
 		status, ok := c.status()
 		for i := range c.configs {
 			if ok && c.running[i] != nil && c.configs[i].Name == status.Leader {
@@ -284,7 +284,7 @@
 func (c *cluster) transact(transaction api.Transaction) api.TransactionResult {
 	c.t.Helper()
 	var result api.TransactionResult
-	eventually(c.t, "a response to "+transaction.OperationID, func() bool {
+	eventually(c.t, "the transaction is answered: "+transaction.OperationID, func() bool {
 		for i := range c.running {
 			result = api.TransactionResult{}
 			status := c.call(i, http.MethodPost, operatorapi.PathTransactions, transaction, &result)
--- a/process/control/history_test.go
+++ b/process/control/history_test.go
@@ -240,7 +240,7 @@
 		accepted bool // set for accepted writes
 	}
 	claimOutput struct{ code api.ClaimCode }
-	lostOutput  struct{} // it is unknown whether the operation took effect
+	lostOutput  struct{} // there was no answer: it is unknown whether the operation took effect
 )
 
 // historyClient sends one operation at a time to random members.
@@ -397,8 +397,9 @@
 	return false, s
 }
 
-// matches compares an observed value with the state. After a lost write, the first observer learns
-// its revision.
+// matches compares an observed value with the state. The revision of a write with unknown outcome is
+// not known either: the first value observed after it must have a higher revision than the state and
+// determines the revision.
 func (s keyState) matches(seen register) (bool, any) {
 	if s.lost {
 		ok := seen.weight == s.register.weight && seen.revision > s.register.revision
@@ -414,8 +415,9 @@
 	case !answered && fits:
 		return true, keyState{register: register{revision: s.register.revision, weight: input.weight}, lost: true}
 	case !answered:
-		// It was refused. Otherwise its revision would be that of a lost write, but no client can
-		// write on a revision that it was not told.
+		// The write names a revision that is not the current one, so it was refused. It cannot name
+		// the unknown revision of a write with unknown outcome, since clients write only on
+		// revisions that they were told.
 		return true, s
 	case known.accepted:
 		ok := fits && known.revision > s.register.revision
--- a/process/control/ingress_test.go
+++ b/process/control/ingress_test.go
@@ -122,7 +122,7 @@
 
 func (g *growing) awaitVoters(count int, members ...int) {
 	g.t.Helper()
-	eventually(g.t, "the expected number of voters", func() bool {
+	eventually(g.t, "the group has the expected number of voters", func() bool {
 		return !slices.ContainsFunc(members, func(i int) bool { return g.voters(i) != count })
 	})
 }
@@ -154,7 +154,7 @@
 	g.start(0)
 	g.awaitVoters(1, 0)
 	access := g.accessOf(0)
-	eventually(t, "a leader", func() bool { return access.member.group.Load().Leadership().Leads })
+	eventually(t, "a leader is elected", func() bool { return access.member.group.Load().Leadership().Leads })
 	_, err := access.ReplaceIngress(t.Context(), ingressOf(1, "one"))
 	must.ErrorIs(t, err, ErrUnavailable)
 	g.start(1, 2, 3, 4)
@@ -164,9 +164,9 @@
 	must.Eq(t, api.ReplaceApplied, result.Code)
 }
 
-// The leader may be none of the joining member's configured seeds. The member then could not reply
-// to it and never received a log, so that after two more lost disks only one voter of five was
-// left.
+// Guards against a member that cannot join because the leader is none of its configured seeds. The
+// member could not reply to the leader and never received a log, so that after two more lost disks
+// only one voter of five was left.
 func TestMemberJoinsUnderNonSeedLeader(t *testing.T) {
 	g := newGrowing(t, 5, 3, 2)
 	g.start(0, 1, 2, 3, 4)
@@ -375,7 +375,7 @@
 func (g *growing) replaceIngress(i int, spec api.IngressSpec) api.ReplaceResult {
 	g.t.Helper()
 	var result api.ReplaceResult
-	eventually(g.t, "a response to the Ingress", func() bool {
+	eventually(g.t, "the Ingress is answered", func() bool {
 		var err error
 		result, err = g.accessOf(i).ReplaceIngress(g.t.Context(), spec)
 		return g.answered(err)
@@ -387,7 +387,7 @@
 func (g *growing) currentIngress(i int) *api.Ingress {
 	g.t.Helper()
 	var held *api.Ingress
-	eventually(g.t, "the current Ingress", func() bool {
+	eventually(g.t, "the current Ingress is read", func() bool {
 		var err error
 		held, err = g.accessOf(i).Ingress(g.t.Context())
 		return g.answered(err)
@@ -428,7 +428,7 @@
 	g.awaitVoters(1, 0)
 	_, holder := g.follow("proxy-1")
 	names := func() int { return len(holder.Load().Replicas) }
-	eventually(t, "both replicas", func() bool { return names() == 2 })
+	eventually(t, "the daemon receives both replicas", func() bool { return names() == 2 })
 	g.fleet.set(replicaOf("r-1", true), replicaOf("r-3", false))
 	eventually(t, "one replica leaves, one is removed, one is added", func() bool {
 		replicas := holder.Load().Replicas
@@ -436,7 +436,7 @@
 	})
 	g.fleet.set()
 	eventually(t, "members are listed", func() bool { return len(holder.Load().Members) == 1 })
-	must.Eq(t, 2, names(), must.Sprint("an empty list is treated as a fault"))
+	must.Eq(t, 2, names(), must.Sprint("an empty list removed replicas"))
 }
 
 func TestReplicaMissingFromOneListIsKept(t *testing.T) {
@@ -469,9 +469,9 @@
 			},
 		})
 	}
-	eventually(t, "all proxies", func() bool { return len(access.Proxies()) == 3 })
+	eventually(t, "all proxies are advertised", func() bool { return len(access.Proxies()) == 3 })
 	must.Eq(t, []string{"addr-p-1", "addr-p-2"}, access.ProxyAddresses("a", 64))
-	must.Eq(t, []string{"addr-p-1", "addr-p-2", "addr-p-3"}, access.ProxyAddresses("b", 64), must.Sprint("one proxy in the zone is not enough"))
+	must.Eq(t, []string{"addr-p-1", "addr-p-2", "addr-p-3"}, access.ProxyAddresses("b", 64), must.Sprint("a single proxy in the zone got all callers"))
 	must.Eq(t, []string{"addr-p-1"}, access.ProxyAddresses("b", 1))
 	lock.Lock()
 	ready["p-1"] = false // restarting
@@ -480,7 +480,7 @@
 	clients["p-1"].Announce()
 	clients["p-2"].Announce()
 	eventually(t, "a stopping proxy is not advertised", func() bool { return len(access.Proxies()) == 2 })
-	must.Eq(t, []string{"addr-p-1", "addr-p-3"}, access.ProxyAddresses("", 64), must.Sprint("a restarting proxy is advertised"))
+	must.Eq(t, []string{"addr-p-1", "addr-p-3"}, access.ProxyAddresses("", 64), must.Sprint("a restarting proxy was removed, or a stopping one was not"))
 	clients["p-3"].Close()
 	eventually(t, "a closed proxy is not advertised", func() bool { return len(access.Proxies()) == 1 })
 }
@@ -497,15 +497,15 @@
 	request := feed.PlaceRequest{Service: "narrator", Number: 1, Ask: placement.Ask{Prompt: 20_000, Deadline: time.Second, Zone: "a"}}
 	eventually(t, "the client is subscribed", client.Connected)
 	_, err := client.Place(t.Context(), request)
-	must.ErrorIs(t, err, feed.ErrNotPlaced, must.Sprint("the service is not known yet"))
+	must.ErrorIs(t, err, feed.ErrNotPlaced, must.Sprint("placed a request of an unknown service"))
 	spec := ingressOf(1, "")
 	spec.Services = append(spec.Services, api.RouteService{Name: "narrator", Model: &api.ModelSheet{KVTokens: 100_000}})
-	eventually(t, "an acknowledged Ingress", func() bool {
+	eventually(t, "the Ingress is acknowledged", func() bool {
 		_, err := g.accessOf(0).ReplaceIngress(t.Context(), spec)
 		return err == nil
 	})
 	var answer placement.Answer
-	eventually(t, "a placement", func() bool {
+	eventually(t, "the request is placed", func() bool {
 		answer, err = client.Place(t.Context(), request)
 		return err == nil && answer.Generator != ""
 	})
@@ -532,7 +532,7 @@
 	g.awaitVoters(1, 0)
 	spec := ingressOf(1, "")
 	spec.Services = append(spec.Services, api.RouteService{Name: "narrator", Model: &api.ModelSheet{KVTokens: 100_000}})
-	eventually(t, "an acknowledged Ingress", func() bool {
+	eventually(t, "the Ingress is acknowledged", func() bool {
 		_, err := g.accessOf(0).ReplaceIngress(t.Context(), spec)
 		return err == nil
 	})
@@ -540,7 +540,7 @@
 	eventually(t, "the replica is committed", func() bool { return len(holder.Load().Replicas) == 1 })
 	must.NoError(t, g.stop(0))
 	g.fleet.lock.Lock()
-	must.SliceEmpty(t, g.fleet.asked, must.Sprint("no replica is queried before there is an Ingress"))
+	must.SliceEmpty(t, g.fleet.asked, must.Sprint("queried a replica before there was an Ingress"))
 	g.fleet.lock.Unlock()
 	g.start(0)
 	eventually(t, "the replica is queried", func() bool {
@@ -565,8 +565,9 @@
 	must.Eq(t, view.Version{}, holder.Load().Version)
 }
 
-// A storage failure such as a full disk must stop the member but not its process, which starts the
-// member again.
+// A storage failure must not end the process: the member is opened again after a delay, until it is
+// stopped. A data directory that cannot be created stands for the failure. An invalid configuration
+// ends the process at once.
 func TestMemberRestartsAfterStorageFailure(t *testing.T) {
 	c := newCluster(t, 1, nil)
 	config := c.configs[0]
--- a/process/control/membership_test.go
+++ b/process/control/membership_test.go
@@ -191,7 +191,7 @@
 	must.NoError(t, err)
 	t.Cleanup(func() { must.NoError(t, started.Stop(context.Background())) })
 	g.replica = started
-	eventually(t, "a lease", func() bool {
+	eventually(t, "the lease is valid", func() bool {
 		_, valid := g.Lease(t.Context())
 		return valid
 	})
--- a/process/control/quarantine_test.go
+++ b/process/control/quarantine_test.go
@@ -93,7 +93,7 @@
 	d.tracker = newQuarantineTracker()
 	d.tracker.note(crashReport(fatalRequest, "r-2"), d.now)
 	d.step(2, time.Second)
-	must.Eq(t, api.QuarantineWatched, d.state(), must.Sprint("proxies may have more to report"))
+	must.Eq(t, api.QuarantineWatched, d.state(), must.Sprint("changed state before all proxies could report"))
 	d.step(2, takeoverDelay)
 	must.Eq(t, api.QuarantineHeld, d.state())
 	d.tracker = newQuarantineTracker()
@@ -107,7 +107,7 @@
 	d := newTrackerTest(t)
 	d.tracker.note(crashReport(fatalRequest, "r-0", "r-1", "r-2"), d.now)
 	d.step(1, time.Second)
-	must.Eq(t, api.QuarantineWatched, d.state(), must.Sprint("proxies that serve it can report that"))
+	must.Eq(t, api.QuarantineWatched, d.state(), must.Sprint("held before proxies could report a successful answer"))
 	d.step(1, time.Second)
 	must.Eq(t, api.QuarantineHeld, d.state())
 	d.step(1, firstHoldDuration-2*time.Second)
@@ -160,10 +160,10 @@
 			must.Eq(t, api.QuarantineTried, d.state())
 		}
 	})
-	t.Run("comes rarely", func(t *testing.T) {
+	t.Run("rarely sent", func(t *testing.T) {
 		d := begin()
 		d.step(1, trialDuration)
-		must.Eq(t, api.QuarantineWatched, d.state(), must.Sprint("one more crash is enough"))
+		must.Eq(t, api.QuarantineWatched, d.state(), must.Sprint("not watched after a trial without crashes"))
 		d.tracker.note(crashReport(fatalRequest, "more"), d.now)
 		d.step(1, time.Second)
 		must.Eq(t, api.QuarantineHeld, d.state())
@@ -309,17 +309,17 @@
 	g.awaitVoters(1, 0)
 	client, _ := g.follow("proxy-1")
 	_, other := g.follow("proxy-2")
-	eventually(t, "a subscription", client.Connected)
+	eventually(t, "the client is connected", client.Connected)
 	must.True(t, client.ReportEnds(crashReport(fatalRequest, "r-0", "r-1", "r-2")))
 	held := func() bool {
 		known := other.Load().Quarantines[fatalRequest.String()]
 		return known != nil && known.Spec.State == api.QuarantineHeld
 	}
-	eventually(t, "the hold at another proxy", held)
+	eventually(t, "the hold reaches another proxy", held)
 	must.NoError(t, g.stop(0))
 	g.start(0)
 	_, fresh := g.follow("proxy-3")
-	eventually(t, "the hold at a proxy that starts later", func() bool { return fresh.Load().Quarantines[fatalRequest.String()] != nil })
+	eventually(t, "the hold reaches a proxy that starts later", func() bool { return fresh.Load().Quarantines[fatalRequest.String()] != nil })
 
 	path := operatorapi.PathQuarantine + "/"
 	must.Eq(t, http.StatusNotFound, g.call(0, http.MethodDelete, path+"ffff", "", nil))
@@ -327,11 +327,11 @@
 	must.Eq(t, http.StatusOK, g.call(0, http.MethodGet, operatorapi.PathObjects+"/"+string(api.KindQuarantine), "", &list))
 	must.SliceLen(t, 1, list.Objects)
 	var released operatorapi.Released
-	eventually(t, "an accepted release", func() bool {
+	eventually(t, "the release is accepted", func() bool {
 		return g.call(0, http.MethodDelete, path+fatalRequest.String(), "", &released) == http.StatusOK
 	})
 	must.Eq(t, fatalRequest.String(), released.Fingerprint)
-	eventually(t, "no hold at the proxy", func() bool { return len(fresh.Load().Quarantines) == 0 })
+	eventually(t, "the proxy learns that the hold has ended", func() bool { return len(fresh.Load().Quarantines) == 0 })
 }
 
 // From the second crash under a request on, the requests in flight at crashes are treated as
@@ -362,8 +362,8 @@
 // Guards against ending the isolation of suspects while copies wait for it. A request with three
 // crashes, two of them at once, was watched and its copies were isolated, but hardly a replica
 // was free for that. The isolation ended 10 s after the last crash, and 11 waiting copies were
-// sent to replicas within 50 ms (deadly-two --vary --seed 892418633478, one run in ten). A
-// placement request of a suspect therefore extends the alert.
+// sent to replicas within 50 ms (seed 892418633478, one run in ten). A placement request of a
+// suspect therefore extends the alert.
 func TestPlacementRequestsOfSuspectsExtendAlert(t *testing.T) {
 	d := newTrackerTest(t)
 	name := string(fatalRequest[:])
@@ -375,7 +375,7 @@
 		must.True(t, d.tracker.isAlert("s", d.now))
 		must.True(t, d.tracker.isSuspect(name, d.now))
 	}
-	must.False(t, d.tracker.isAlert("s", d.now+alertDuration), must.Sprint("no more placement requests"))
+	must.False(t, d.tracker.isAlert("s", d.now+alertDuration), must.Sprint("the alert continues without placement requests"))
 }
 
 // A new leader continues to isolate suspects, even if it received no report itself.
@@ -424,7 +424,7 @@
 	must.Eq(t, api.QuarantineHeld, d.state())
 	for range 20 {
 		changes, _ := d.tracker.review(1, d.machine.View(), d.now, d.wall)
-		must.SliceEmpty(t, changes.Put, must.Sprint("nothing has changed"))
+		must.SliceEmpty(t, changes.Put, must.Sprint("a review without new reports changed the record"))
 		d.step(1, 10*time.Millisecond)
 	}
 	d.tracker = newQuarantineTracker()
@@ -435,7 +435,7 @@
 	must.Eq(t, 1, d.machine.View().Quarantines[fatalRequest.String()].Spec.Times)
 	d.tracker.note(feed.EndReport{Alive: []quarantine.Alive{{Replica: "r-1", For: quarantine.Ever}}}, d.now)
 	d.step(2, time.Second)
-	must.NotEq(t, api.QuarantineHeld, d.state(), must.Sprint("its replica is alive"))
+	must.NotEq(t, api.QuarantineHeld, d.state(), must.Sprint("held for a replica that is alive"))
 }
 
 // simultaneousCrashReport returns a report that the replicas crashed at one moment under a
@@ -542,8 +542,7 @@
 // placed like those of any suspect, isolated but without delay, until the record reached the
 // proxies, and each crashed another replica. With soak seed 9112 a request crashed two more
 // replicas more than three seconds after its third crash; one of the three had been lost with its
-// proxy, so the fourth counted as the third. That the last copies were sent in this gap is
-// inferred.
+// proxy, so the fourth counted as the third. The log does not show when the last copies were sent.
 func TestNoCopyIsSentOfRequestAboutToBeHeld(t *testing.T) {
 	d := newTrackerTest(t)
 	name := string(fatalRequest[:])
@@ -552,21 +551,21 @@
 		d.now += time.Second
 		d.tracker.note(crashReport(fatalRequest, fmt.Sprint("r-", i)), d.now)
 	}
-	must.True(t, d.tracker.isJudged(name, d.now), must.Sprint("at once, before the next review"))
+	must.True(t, d.tracker.isJudged(name, d.now), must.Sprint("a copy was let through before the next review"))
 	must.False(t, d.tracker.isJudged("", d.now))
 	d.step(1, time.Second)
 	d.step(1, time.Second)
 	must.Eq(t, api.QuarantineHeld, d.state())
 	d.tracker = newQuarantineTracker()
 	d.step(2, 0)
-	must.False(t, d.tracker.isJudged(name, d.now), must.Sprint("proxies may still report a successful answer"))
+	must.False(t, d.tracker.isJudged(name, d.now), must.Sprint("refused although proxies may still report a successful answer"))
 	must.True(t, d.tracker.isJudged(name, d.now+takeoverDelay))
 }
 
 // Guards against sending several copies of a request with enough crashes for a hold during a new
 // leader's first second, in which it collects reports before it holds. Such a request was placed
-// like any suspect, on each isolated replica (a third of the generators), and crashed three more
-// replicas after all processes had been killed.
+// like any suspect, on each isolated replica, which are a third of the decode replicas, and crashed
+// three more replicas after all processes had been killed.
 func TestNewLeaderSendsOneCopyBeforeInitialReports(t *testing.T) {
 	d := newTrackerTest(t)
 	name := string(fatalRequest[:])
@@ -575,13 +574,13 @@
 	for term := uint64(2); term < 4; term++ {
 		d.tracker = newQuarantineTracker()
 		d.step(term, 0)
-		must.False(t, d.tracker.isJudged(name, d.now), must.Sprint("one copy may show that it is harmless"))
+		must.False(t, d.tracker.isJudged(name, d.now), must.Sprint("the first copy was refused"))
 		for range 3 {
 			d.now += takeoverDelay / 4
 			must.True(t, d.tracker.isJudged(name, d.now))
 		}
 		d.tracker.note(feed.EndReport{Served: []quarantine.Fingerprint{fatalRequest}}, d.now)
-		must.False(t, d.tracker.isJudged(name, d.now), must.Sprint("it was served"))
+		must.False(t, d.tracker.isJudged(name, d.now), must.Sprint("refused although it was served"))
 	}
 }
 
--- a/process/control/quarantine_trial_test.go
+++ b/process/control/quarantine_trial_test.go
@@ -10,10 +10,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// Guards against starting trials before proxies have reported to a new leader. A trial refuses
-// all copies but one, so a harmless request was refused again and again under leaders that lasted
-// about two seconds each: each learned first of the crashes at which the request had been in
-// flight, and only after starting a trial of its successful answers (soak seed 3024, "shut out").
+// Guards against starting trials before proxies have reported to a new leader. A trial refuses all
+// copies but one. Under leaders that last about two seconds each, a harmless request would be refused
+// again and again: each leader learns first of the crashes at which the request was in flight, and of
+// its successful answers only after it has started a trial (soak seed 3024).
 func TestNewLeaderStartsNoTrialBeforeInitialReports(t *testing.T) {
 	stoodAtThree := func() feed.EndReport { return simultaneousCrashReport(fatalRequest, "a", "b", "c") }
 	served := feed.EndReport{Served: []quarantine.Fingerprint{fatalRequest}}
--- a/process/control/quota_test.go
+++ b/process/control/quota_test.go
@@ -37,7 +37,7 @@
 func (g *growing) awaitCharge(client *feed.Client, tenant string, cost float64) quota.Grant {
 	g.t.Helper()
 	var grant quota.Grant
-	eventually(g.t, "an answer to the charge", func() bool {
+	eventually(g.t, "the charge is answered", func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		answered, err := client.Charge(ctx, feed.ChargeRequest{Tenant: tenant, Cost: cost})
@@ -52,17 +52,17 @@
 	g := newQuotaGroup(t, api.Quota{Unit: api.QuotaTokens, PerSecond: 0.001, Burst: 1000})
 	first, _ := g.follow("proxy-1")
 	second, _ := g.follow("proxy-2")
-	must.False(t, g.awaitCharge(first, "north", 100).Granted, must.Sprint("a new account starts empty"))
+	must.False(t, g.awaitCharge(first, "north", 100).Granted, must.Sprint("a new account granted a charge"))
 	raised := ingressOf(2, "")
 	raised.KeysRequired = true
 	raised.Tenants = []api.TenantKeys{{Name: "north", Keys: []string{"k"}, Quota: api.Quota{Unit: api.QuotaTokens, PerSecond: 1e9, Burst: 1000}}}
 	must.Eq(t, api.ReplaceApplied, g.replaceIngress(0, raised).Code)
-	eventually(t, "the raised quota", func() bool { return g.awaitCharge(first, "north", 1000).Granted })
+	eventually(t, "the raised quota applies", func() bool { return g.awaitCharge(first, "north", 1000).Granted })
 	lowered := ingressOf(3, "")
 	lowered.KeysRequired = true
 	lowered.Tenants = []api.TenantKeys{{Name: "north", Keys: []string{"k"}, Quota: api.Quota{Unit: api.QuotaTokens, PerSecond: 0.001, Burst: 500}}}
 	must.Eq(t, api.ReplaceApplied, g.replaceIngress(0, lowered).Code)
-	eventually(t, "the lowered quota", func() bool {
+	eventually(t, "the lowered quota applies", func() bool {
 		g.awaitCharge(first, "north", 400)
 		return !g.awaitCharge(second, "north", 400).Granted
 	})
@@ -80,9 +80,9 @@
 func TestNextLeaderStartsWithEmptyAccount(t *testing.T) {
 	g := newQuotaGroup(t, api.Quota{Unit: api.QuotaTokens, PerSecond: 20, Burst: 200})
 	client, _ := g.follow("proxy-1")
-	eventually(t, "the whole burst", func() bool { return g.awaitCharge(client, "north", 200).Granted })
+	eventually(t, "the whole burst is granted", func() bool { return g.awaitCharge(client, "north", 200).Granted })
 	g.crash(g.leader())
-	eventually(t, "another leader", client.Connected)
+	eventually(t, "another leader is elected", client.Connected)
 	must.False(t, g.awaitCharge(client, "north", 200).Granted)
 }
 
@@ -147,7 +147,7 @@
 		time.Sleep(2 * time.Second)
 		killed := g.leader()
 		g.crash(killed)
-		eventually(t, "another leader", func() bool { return g.leader() != killed })
+		eventually(t, "another leader is elected", func() bool { return g.leader() != killed })
 		g.start(killed)
 	}
 	time.Sleep(time.Second)
--- a/process/control/roles_test.go
+++ b/process/control/roles_test.go
@@ -201,11 +201,11 @@
 	ended := make(chan struct{})
 	var requests sync.WaitGroup
 	requests.Go(func() { placeLateRequests(members, ended) })
-	eventually(t, "the first orders", func() bool { return len(roles.orders()) > 0 })
+	eventually(t, "the leader sends orders", func() bool { return len(roles.orders()) > 0 })
 	g.crash(g.leader())
 	crashed := time.Now()
 	first := roles.orders()
-	eventually(t, "orders of the next leader", func() bool { return len(roles.orders()) > len(first) })
+	eventually(t, "the next leader sends orders", func() bool { return len(roles.orders()) > len(first) })
 	close(ended)
 	requests.Wait()
 	holders := map[uint64]string{}
--- a/process/control/scaling_test.go
+++ b/process/control/scaling_test.go
@@ -111,7 +111,7 @@
 		}
 		return true
 	}
-	eventually(t, "the wanted capacity", settled)
+	eventually(t, "the wanted capacity is reached", settled)
 	market.lock.Lock()
 	for _, order := range market.orders[:3] {
 		must.True(t, order.Withdrawable, must.Sprint("no replicas are given up first"))
@@ -121,10 +121,10 @@
 	time.Sleep(300 * time.Millisecond)
 	must.Eq(t, 2, market.count("a", false))
 	market.restock("b")
-	eventually(t, "the zone's replicas again", settled)
+	eventually(t, "the zone's replicas are replaced", settled)
 
 	g.crash(g.leader())
-	eventually(t, "another leader and the wanted capacity", func() bool { return g.leader() >= 0 && settled() })
+	eventually(t, "the next leader reaches the wanted capacity", func() bool { return g.leader() >= 0 && settled() })
 	time.Sleep(time.Second)
 	must.True(t, settled())
 	current := g.running[g.leader()].member.machine.view().Capacities
@@ -136,15 +136,15 @@
 // are back.
 func TestLastingReplicasReplaceWithdrawnOnes(t *testing.T) {
 	_, market := newScalingGroup(t)
-	eventually(t, "the wanted capacity", func() bool {
+	eventually(t, "the wanted capacity is reached", func() bool {
 		return market.count("a", false) == 2 && market.count("c", false) == 2 && market.count("a", true) == 27
 	})
 	market.withdraw("a")
 	market.withdraw("b")
-	eventually(t, "additional lasting replicas", func() bool { return market.count("a", false)+market.count("b", false)+market.count("c", false) >= 33 })
+	eventually(t, "additional lasting replicas are ordered", func() bool { return market.count("a", false)+market.count("b", false)+market.count("c", false) >= 33 })
 	market.restock("a")
 	market.restock("b")
-	eventually(t, "the wanted capacity again", func() bool { return market.count("a", false) == 2 && market.count("b", true) == 27 })
+	eventually(t, "the wanted capacity is reached again", func() bool { return market.count("a", false) == 2 && market.count("b", true) == 27 })
 }
 
 // An order is due if its number is new, it was not executed, an older order may still override
--- a/process/control/stop_test.go
+++ b/process/control/stop_test.go
@@ -17,7 +17,7 @@
 	c.awaitFurtherLosses(1)
 	leader := c.leader()
 	must.NoError(t, c.stop(leader))
-	eventually(t, "another leader", func() bool {
+	eventually(t, "another leader is elected", func() bool {
 		status, found := c.status()
 		return found && status.Leader != "" && c.leader() != leader
 	})
--- a/process/control/unrecorded_test.go
+++ b/process/control/unrecorded_test.go
@@ -31,13 +31,13 @@
 	d.tracker.note(crashReport(fatalRequest, "r-1"), d.now)
 	must.Eq(t, 2, reported(false))
 	d.now += maxRecordLag
-	must.Eq(t, 2, reported(true), must.Sprint("reported a while ago and still not recorded"))
+	must.Eq(t, 2, reported(true), must.Sprint("evidence missing although the record lags behind"))
 	report, changeCount := d.tracker.unrecordedReport(true, d.now)
 	must.Eq(t, []time.Duration{time.Second + maxRecordLag, maxRecordLag}, []time.Duration{report.Ended[0].Age, report.Ended[1].Age})
 	d.tracker.markRecorded(changeCount, d.now)
 	must.Zero(t, reported(true))
 	d.tracker.note(crashReport(fatalRequest, "r-2"), d.now)
-	must.Zero(t, reported(true), must.Sprint("the commit may still be in progress"))
+	must.Zero(t, reported(true), must.Sprint("evidence sent while the commit may still be in progress"))
 	must.Eq(t, 3, reported(false))
 	d.now += maxRecordLag
 	must.Eq(t, 3, reported(true))
@@ -106,8 +106,8 @@
 // Guards against members that forward evidence to each other endlessly. A popular request was in
 // flight at more simultaneous crashes than a table keeps; what one member dropped for a newer
 // crash was new to the next one, which forwarded it, because dropping an entry counted as a
-// change. The traffic between zones of one day cost nearly as much as all served requests earned
-// (caroni-stmt, scale-1).
+// change. The resulting traffic between zones cost nearly as much as all served requests of a day
+// earned.
 func TestEvidenceForwardingTerminates(t *testing.T) {
 	const size, crashes = 4, 30
 	g := newGossipGroup(t, size)
@@ -198,7 +198,7 @@
 	}()
 	for i := range 3 {
 		member.note(crashReport(fatalRequest, fmt.Sprint("r-", i)), monotonic())
-		eventually(t, "the evidence on disk", func() bool {
+		eventually(t, "the evidence is on disk", func() bool {
 			next := newEvidence(Config{DataFolder: member.folder}, log.NewNopLogger())
 			next.load(monotonic(), time.Now())
 			return len(next.desk.observations(monotonic())) == i+1
--- a/process/control/usage_test.go
+++ b/process/control/usage_test.go
@@ -40,7 +40,7 @@
 	s.outcome = outcome
 }
 
-// reportsOf returns the reports reportsOf a window.
+// reportsOf returns the received reports of a window.
 func (s *fakeSink) reportsOf(window int64) []receivedReport {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -75,10 +75,10 @@
 // is decided.
 func futureWindow() int64 { return time.Now().UnixMilli()/testWindow.Milliseconds() + 3 }
 
-// reportCount makes a proxy report a reportCount to the leader.
+// reportCount makes a proxy report a count to the leader.
 func (g *growing) reportCount(client *feed.Client, life string, window int64, count uint64) {
 	g.t.Helper()
-	eventually(g.t, "a connected client", client.Connected)
+	eventually(g.t, "the client is connected", client.Connected)
 	must.True(g.t, client.ReportUsage(feed.UsageReport{
 		Life: life, Through: time.Now().UnixMilli(), Counts: []feed.UsageCount{{Window: window, Tenant: "north", Count: count}},
 	}))
@@ -94,7 +94,7 @@
 	g.reportCount(first, "a", window, 2)
 	g.reportCount(first, "a", window, 5)
 	g.reportCount(second, "b", window, 7)
-	eventually(t, "the next window's report", func() bool { return len(sink.reportsOf(window+1)) > 0 })
+	eventually(t, "the next window is reported", func() bool { return len(sink.reportsOf(window+1)) > 0 })
 	reports := sink.reportsOf(window)
 	must.SliceLen(t, 1, reports)
 	must.Eq(t, map[string]uint64{"north": 12}, reports[0].window.Counts)
@@ -113,12 +113,12 @@
 	client, _ := g.follow("proxy-1")
 	window := futureWindow()
 	g.reportCount(client, "a", window, 3)
-	eventually(t, "a second try", func() bool { return len(sink.reportsOf(window)) > 1 })
+	eventually(t, "the report is repeated", func() bool { return len(sink.reportsOf(window)) > 1 })
 	g.crash(g.leader())
-	eventually(t, "another leader", client.Connected)
+	eventually(t, "another leader is elected", client.Connected)
 	_ = client.ReportUsage(feed.UsageReport{Life: "b", Counts: []feed.UsageCount{{Window: window, Tenant: "north", Count: 9}}})
 	sink.answer(DutyDone)
-	eventually(t, "the next leader's report", func() bool {
+	eventually(t, "the next leader reports", func() bool {
 		reports := sink.reportsOf(window)
 		return reports[len(reports)-1].holder.Name != reports[0].holder.Name
 	})
@@ -137,7 +137,7 @@
 	client, _ := g.follow("proxy-1")
 	window := futureWindow()
 	g.reportCount(client, "a", window, 3)
-	eventually(t, "a report", func() bool {
+	eventually(t, "a window is reported", func() bool {
 		sink.lock.Lock()
 		defer sink.lock.Unlock()
 		return len(sink.reports) > 0
@@ -149,18 +149,18 @@
 		g.running[g.leader()].member.machine.read(func(m *state.Machine) { last = m.UsageDecided() })
 		return last
 	}
-	eventually(t, "more windows", func() bool { return decided() > window+4 })
+	eventually(t, "more windows are decided", func() bool { return decided() > window+4 })
 	sink.lock.Lock()
 	defer sink.lock.Unlock()
 	must.Eq(t, before, len(sink.reports))
 }
 
-// No call is made while the previous holder's calls may still be in transit, or without a lease
-// of the same term.
+// No call is made before OrderSettle has elapsed, while the previous holder's calls may still be in
+// transit, or without a lease of the same term.
 func TestPlatformCallRequiresLeaseAndSettledOrders(t *testing.T) {
 	cases := []struct {
 		name    string
-		started time.Duration // ago
+		started time.Duration // time since the term began
 		number  uint64
 		valid   bool
 		fenced  bool
