--- a/process/control/actions.go
+++ b/process/control/actions.go
@@ -164,7 +164,7 @@
 		return
 	}
 	if request.Reason == state.CloseDone {
-		r.term.noteChange(request.Engine)
+		r.term.recordChange(request.Engine)
 	}
 	r.duties.group.metrics.ordersClosed.WithLabelValues(closeReason(request.Reason)).Inc()
 	event.OrderClosed.Log(r.duties.logger, "engine", request.Engine, "fence_term", request.Fence.Term,
@@ -218,7 +218,7 @@
 
 // void commits that an order is never to be executed, and tells its engine.
 func (r *actionRunner) void(action controller.Void) {
-	r.term.noteFailure(action.Engine, action.Order.Assignment)
+	r.term.recordFailure(action.Engine, action.Order.Assignment)
 	result, err := r.duties.group.propose(r.context, action.Command())
 	if err != nil {
 		r.backOff()
--- a/process/control/addresses.go
+++ b/process/control/addresses.go
@@ -77,9 +77,9 @@
 	return member, found
 }
 
-// unprobedMembers returns the other configured members whose member ID is not known yet: no known
+// membersWithUnknownID returns the other configured members whose member ID is not known yet: no known
 // member has their peer address.
-func (b *addressBook) unprobedMembers() []Member {
+func (b *addressBook) membersWithUnknownID() []Member {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	var unprobed []Member
--- a/process/control/answers.go
+++ b/process/control/answers.go
@@ -86,8 +86,8 @@
 	return &api.FieldFault{Message: err.Error()}
 }
 
-// writeInvalidBody responds to a request with an invalid body or query parameter.
-func writeInvalidBody(w http.ResponseWriter, fault api.FieldFault) {
+// writeInvalidRequest responds to a request with an invalid body or query parameter.
+func writeInvalidRequest(w http.ResponseWriter, fault api.FieldFault) {
 	writeError(w, http.StatusBadRequest, operatorapi.Error{
 		Code:    operatorapi.ErrorInvalidBody,
 		Message: "the request is not valid: " + strings.TrimSpace(fault.Field+" "+fault.Message),
--- a/process/control/bench_test.go
+++ b/process/control/bench_test.go
@@ -49,7 +49,7 @@
 			c := benchCluster(b)
 			var holders []*view.Holder
 			for i := range daemons {
-				client, holder := c.followBy(feed.ClientConfig{Daemon: fmt.Sprintf("proxy-%d", i)})
+				client, holder := c.subscribeWith(feed.ClientConfig{Daemon: fmt.Sprintf("proxy-%d", i)})
 				eventually(b, "the client is connected", client.Connected)
 				holders = append(holders, holder)
 			}
@@ -95,7 +95,7 @@
 	for _, claimants := range []int{1, 16, 128} {
 		b.Run(fmt.Sprintf("claimants=%d", claimants), func(b *testing.B) {
 			c := benchCluster(b)
-			client, _ := c.followBy(feed.ClientConfig{Daemon: "proxy-a"})
+			client, _ := c.subscribeWith(feed.ClientConfig{Daemon: "proxy-a"})
 			eventually(b, "the client is connected", client.Connected)
 			latency := microseconds()
 			var lock sync.Mutex
--- a/process/control/control_test.go
+++ b/process/control/control_test.go
@@ -35,7 +35,7 @@
 		must.Eq(t, http.StatusOK, c.call(i, http.MethodGet, operatorapi.PathObjects+"/Intent/narrate", nil, &list))
 		must.Eq(t, result.Revision, list.Objects[0].Intent.Revision)
 	}
-	_, holder := c.follow("proxy-a")
+	_, holder := c.subscribe("proxy-a")
 	eventually(t, "the daemon receives the view", func() bool { return holder.Load().Intents["narrate"] != nil })
 	c.awaitInForce(result.Revision)
 	must.Eq(t, result.Revision, holder.Load().Version.Revision)
@@ -137,8 +137,8 @@
 	c := newCluster(t, 3, nil)
 	c.start(0, 1, 2)
 	c.leader()
-	first, _ := c.follow("proxy-a")
-	second, _ := c.follow("proxy-b")
+	first, _ := c.subscribe("proxy-a")
+	second, _ := c.subscribe("proxy-b")
 	eventually(t, "both daemons are connected", func() bool { return first.Connected() && second.Connected() })
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
@@ -224,13 +224,13 @@
 	eventually(c.t, fmt.Sprintf("the group tolerates %d further losses", count), func() bool {
 		var ok bool
 		status, ok = c.status()
-		return ok && status.FurtherLosses == count && (count == 0 || len(status.Repairing) == 0 && c.listed(status))
+		return ok && status.FurtherLosses == count && (count == 0 || len(status.Repairing) == 0 && c.listsRunningMembers(status))
 	})
 	return status
 }
 
-// listed reports whether the members in the status are exactly the running ones.
-func (c *cluster) listed(status operatorapi.Status) bool {
+// listsRunningMembers reports whether the members in the status are exactly the running ones.
+func (c *cluster) listsRunningMembers(status operatorapi.Status) bool {
 	ids := map[uint64]bool{}
 	for _, member := range status.Members {
 		ids[member.ID] = true
@@ -247,7 +247,7 @@
 	c := newCluster(t, 3, withLongElectionTimeout)
 	c.start(0, 1, 2)
 	leader := c.leader()
-	client, holder := c.follow("proxy-a")
+	client, holder := c.subscribe("proxy-a")
 	eventually(t, "the client is connected", client.Connected)
 	var writing sync.WaitGroup
 	stopped := make(chan struct{})
@@ -285,7 +285,7 @@
 
 // writeUntil writes through an operator client until stopped is closed, and once more after that.
 func (c *cluster) writeUntil(stopped <-chan struct{}, writer int) {
-	client := c.operators()
+	client := c.operatorClient()
 	for count := 0; ; count++ {
 		c.write(client, fmt.Sprintf("writer-%d-%d", writer, count))
 		select {
@@ -296,7 +296,7 @@
 	}
 }
 
-func (c *cluster) operators() *operator.Client {
+func (c *cluster) operatorClient() *operator.Client {
 	var members []string
 	for _, config := range c.configs {
 		members = append(members, config.OperatorAddress)
@@ -336,7 +336,7 @@
 	var writing sync.WaitGroup
 	for writer := range writers {
 		writing.Go(func() {
-			client := c.operators()
+			client := c.operatorClient()
 			for i := range writes {
 				c.write(client, fmt.Sprintf("tenant-%d-%d", writer, i))
 			}
@@ -365,7 +365,7 @@
 func TestNoQuorumIsReportedImmediately(t *testing.T) {
 	c := newCluster(t, 3, nil)
 	c.start(0, 1, 2)
-	client, _ := c.follow("proxy-a")
+	client, _ := c.subscribe("proxy-a")
 	eventually(t, "the client is connected", client.Connected)
 	leader := c.leader()
 	c.crash((leader + 1) % 3)
@@ -387,7 +387,7 @@
 
 func TestRemovedMemberStopsAndRejoins(t *testing.T) {
 	c := newCluster(t, 3, func(config *Config) { config.Join = config.Name == "control-2" })
-	founding := c.configs[2]
+	joinConfig := c.configs[2]
 	c.configs[2].Join = false
 	c.start(0, 1, 2)
 	c.awaitFurtherLosses(1)
@@ -400,7 +400,7 @@
 		request := operatorapi.MemberRequest{Action: operatorapi.MemberRemove, ID: operatorapi.MemberID(old)}
 		return c.call(0, http.MethodPost, operatorapi.PathMembers, request, nil) == http.StatusOK
 	})
-	c.configs[2] = founding
+	c.configs[2] = joinConfig
 	c.start(2)
 	removed := c.running[2]
 	delete(c.running, 2)
@@ -414,18 +414,18 @@
 // identity without an operator and without a restart of the process.
 func TestIdentityRemovedBeforeJoiningIsReplaced(t *testing.T) {
 	c := newCluster(t, 3, func(config *Config) { config.Join = config.Name == "control-2" })
-	founding := c.configs[2]
+	joinConfig := c.configs[2]
 	c.configs[2].Join = false
 	c.start(0, 1, 2)
 	c.awaitFurtherLosses(1)
 	old := uint64(c.running[2].member.id)
 	c.crash(2)
-	must.NoError(t, replica.DiscardDisk(wal.OS{}, founding.DataFolder))
-	disk, err := replica.OpenDisk(replica.DiskOptions{Dir: founding.DataFolder, Group: founding.GroupID})
+	must.NoError(t, replica.DiscardDisk(wal.OS{}, joinConfig.DataFolder))
+	disk, err := replica.OpenDisk(replica.DiskOptions{Dir: joinConfig.DataFolder, Group: joinConfig.GroupID})
 	must.NoError(t, err)
-	drawn := disk.Identity().Member
+	unusedID := disk.Identity().Member
 	must.NoError(t, disk.Close())
-	lost := founding.selfMember(drawn)
+	lost := joinConfig.selfMember(unusedID)
 	lost.Removed = true
 	eventually(t, "the removal is recorded", func() bool {
 		_, err := c.running[c.leader()].member.group.Load().propose(context.Background(), memberCommand(lost))
@@ -433,12 +433,12 @@
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- RunAgain(ctx, founding, nopLogger{}) }()
+	go func() { ended <- RunAgain(ctx, joinConfig, nopLogger{}) }()
 	eventually(t, "all members are voters, with a new identity", func() bool {
 		status, ok := c.status()
 		return ok && status.FurtherLosses == 1 && len(status.Repairing) == 0 && len(status.Members) == 3 &&
 			!slices.ContainsFunc(status.Members, func(member operatorapi.Member) bool {
-				return member.ID == uint64(drawn) || member.ID == old
+				return member.ID == uint64(unusedID) || member.ID == old
 			})
 	})
 	cancel()
@@ -451,9 +451,9 @@
 	stop()
 	const rejoins, leaves = true, false
 	must.True(t, isFinal(stopped, rejoins, ErrRemoved))
-	must.NoError(t, runResult(stopped, rejoins, ErrRemoved))
-	must.ErrorIs(t, runResult(stopped, leaves, ErrRemoved), ErrRemoved)
-	must.ErrorIs(t, runResult(stopped, rejoins, ErrConfig), ErrConfig)
+	must.NoError(t, finalResult(stopped, rejoins, ErrRemoved))
+	must.ErrorIs(t, finalResult(stopped, leaves, ErrRemoved), ErrRemoved)
+	must.ErrorIs(t, finalResult(stopped, rejoins, ErrConfig), ErrConfig)
 	must.False(t, isFinal(context.Background(), rejoins, ErrRemoved))
 	must.True(t, isFinal(context.Background(), leaves, ErrRemoved))
 }
@@ -494,7 +494,7 @@
 	must.Eq(t, start.UnixMilli(), first)
 	must.Eq(t, first+1000, clock.now(1, m, start.Add(time.Second)))
 	tenant := &api.Transaction{OperationID: "a"}
-	m.apply(raft.Entry{Term: 1, Index: 1}, state.Command{Kind: state.CommandTransaction, Transaction: tenant, Time: first + 1000})
+	m.applyAndPublish(raft.Entry{Term: 1, Index: 1}, state.Command{Kind: state.CommandTransaction, Transaction: tenant, Time: first + 1000})
 	jumped := start.Add(1000 * time.Hour)
 	must.Eq(t, first+1000, clock.now(2, m, jumped))
 	must.Eq(t, first+2000, clock.now(2, m, jumped.Add(time.Second)))
--- a/process/control/course_test.go
+++ b/process/control/course_test.go
@@ -143,7 +143,7 @@
 			}
 		}
 		status, ok := s.status()
-		return ok && status.FurtherLosses == scenarioLosses && len(status.Repairing) == 0 && s.listed(status)
+		return ok && status.FurtherLosses == scenarioLosses && len(status.Repairing) == 0 && s.listsRunningMembers(status)
 	})
 }
 
--- a/process/control/demand.go
+++ b/process/control/demand.go
@@ -46,7 +46,7 @@
 
 // queueReport is what a proxy has queued for one intent.
 type queueReport struct {
-	at           time.Time
+	receivedAt   time.Time
 	requests     int
 	promptTokens float64
 }
@@ -72,9 +72,9 @@
 	defer shard.Unlock()
 	queues := map[string]queueReport{}
 	for _, demand := range report.Demands {
-		shard.demandFor(demand.Intent).count(number, demand)
+		shard.demandFor(demand.Intent).addDemand(number, demand)
 		queue := queues[demand.Intent]
-		queue.at = now
+		queue.receivedAt = now
 		queue.requests += demand.QueuedRequests
 		queue.promptTokens += demand.QueuedPromptTokens
 		queues[demand.Intent] = queue
@@ -95,8 +95,8 @@
 	return known
 }
 
-// count adds the demand to the bucket with the number.
-func (d *intentDemand) count(number int64, demand feed.Demand) {
+// addDemand adds the demand to the bucket with the number.
+func (d *intentDemand) addDemand(number int64, demand feed.Demand) {
 	bucket := &d.buckets[number%int64(demandBuckets)]
 	if bucket.number != number {
 		*bucket = demandCount{number: number}
@@ -166,7 +166,7 @@
 		}
 	}
 	for daemon, queue := range d.queues {
-		if now.Sub(queue.at) > queueReportMaxAge {
+		if now.Sub(queue.receivedAt) > queueReportMaxAge {
 			delete(d.queues, daemon)
 			continue
 		}
--- a/process/control/duties.go
+++ b/process/control/duties.go
@@ -55,8 +55,8 @@
 	nextPlan time.Duration
 	// startedAt is when the term began on this member.
 	startedAt time.Duration
-	// awaySince is when each currently inactive voter was first seen inactive.
-	awaySince map[raft.MemberID]time.Duration
+	// unreachableSince is when each currently inactive voter was first seen inactive.
+	unreachableSince map[raft.MemberID]time.Duration
 	// cachesQueried is true once replicas were asked for their cached prompt parts.
 	cachesQueried bool
 	// hadIngress is whether an Ingress existed when the term began.
@@ -184,12 +184,12 @@
 	d.endTerm()
 	durations := d.group.config.Durations
 	term := &termDuties{
-		number:    number,
-		planner:   newPlanner(d.group.config.Planner),
-		failures:  map[string]controller.Failure{},
-		changedAt: map[string]time.Duration{},
-		awaySince: map[raft.MemberID]time.Duration{},
-		capacity:  newCapacityTermState(),
+		number:           number,
+		planner:          newPlanner(d.group.config.Planner),
+		failures:         map[string]controller.Failure{},
+		changedAt:        map[string]time.Duration{},
+		unreachableSince: map[raft.MemberID]time.Duration{},
+		capacity:         newCapacityTermState(),
 	}
 	term.orders, term.cancelOrders = context.WithCancel(context.Background())
 	term.poller = orders.NewPoller(orders.PollerConfig{
@@ -242,7 +242,7 @@
 		Now:          now,
 		Engines:      current.Engines,
 		Observations: term.observations(seen),
-		Platform:     d.platform.machines(current, seen, now),
+		Platform:     d.platform.leavingAndGone(current, seen, now),
 		Decisions:    d.plan(term, current, seen, now),
 		Silence:      d.group.config.Durations.silenceOf(len(current.Engines)),
 		FailurePause: d.group.config.Durations.FailurePause,
@@ -285,15 +285,15 @@
 	t.machines = &machines
 }
 
-// noteFailure records that an assignment of the engine failed now.
-func (t *termDuties) noteFailure(engine string, assignment api.Assignment) {
+// recordFailure records that an assignment of the engine failed now.
+func (t *termDuties) recordFailure(engine string, assignment api.Assignment) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	t.failures[engine] = controller.Failure{Assignment: assignment, At: monotonic()}
 }
 
-// noteChange records that the engine completed a change now, and forgets its failure.
-func (t *termDuties) noteChange(engine string) {
+// recordChange records that the engine completed a change now, and forgets its failure.
+func (t *termDuties) recordChange(engine string) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	t.changedAt[engine] = monotonic()
--- a/process/control/evidence.go
+++ b/process/control/evidence.go
@@ -95,7 +95,7 @@
 
 // note adds a daemon's report, and stores and forwards what is new.
 func (e *evidence) note(report feed.EndReport, now time.Duration) {
-	e.publish(e.desk.note(report, now))
+	e.publish(e.desk.addProxyReport(report, now))
 }
 
 // receive handles a notice from another member: a report, or an empty payload that requests all
@@ -110,7 +110,7 @@
 		event.EvidenceUnreadable.Log(e.logger, "from", uint64(from), "err", err)
 		return
 	}
-	e.publish(e.desk.merge(report, monotonic()))
+	e.publish(e.desk.addEvidence(report, monotonic()))
 }
 
 // requestAll requests all evidence from the other members. A new leader does so because the
@@ -139,7 +139,7 @@
 
 // follow applies a change of the replicated record.
 func (e *evidence) follow(before, current map[string]*api.Quarantine) {
-	if e.desk.follow(before, current, monotonic()) {
+	if e.desk.applyRecordChange(before, current, monotonic()) {
 		pause.Signal(e.changed)
 	}
 }
@@ -203,8 +203,8 @@
 	}
 }
 
-// run writes changes to disk until ctx ends. Failed writes are retried.
-func (e *evidence) run(ctx context.Context) {
+// runWriter writes changes to disk until ctx ends. Failed writes are retried.
+func (e *evidence) runWriter(ctx context.Context) {
 	for {
 		select {
 		case <-e.changed:
@@ -245,7 +245,7 @@
 		event.EvidenceUnreadable.Log(e.logger, "from", evidenceFile, "err", err)
 		return
 	}
-	e.desk.merge(report, now)
+	e.desk.addEvidence(report, now)
 	event.EvidenceRecalled.Log(e.logger, "ends", len(report.Ended))
 }
 
--- a/process/control/evidence_test.go
+++ b/process/control/evidence_test.go
@@ -36,8 +36,8 @@
 	return disk
 }
 
-// stall makes the disk stall, or resume if stalls is false.
-func (d *stallingDisk) stall(stalls bool) {
+// setStalled makes the disk stall, or resume if stalls is false.
+func (d *stallingDisk) setStalled(stalls bool) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	d.stalls = stalls
@@ -97,7 +97,7 @@
 func (c *stallingCluster) stallMajority() {
 	leader := c.leader()
 	for _, disk := range c.disks[1:] {
-		disk.stall(true)
+		disk.setStalled(true)
 	}
 	// The proposal makes the leader wait for its own disk or for a follower with a stalled disk.
 	go c.call(leader, http.MethodPost, operatorapi.PathTransactions, api.Transaction{OperationID: "stalls", Writes: []api.Write{{Object: engineObject("stalls", freeAddress(c.t))}}}, nil)
@@ -105,13 +105,13 @@
 
 func (c *stallingCluster) resumeAll() {
 	for _, disk := range c.disks {
-		disk.stall(false)
+		disk.setStalled(false)
 	}
 }
 
 // proxy starts a proxy's feed client, which reports to the leader or to a standby member.
 func (c *stallingCluster) proxy(name string) *feed.Client {
-	client, _ := c.followBy(feed.ClientConfig{
+	client, _ := c.subscribeWith(feed.ClientConfig{
 		Daemon: name, BeatInterval: 30 * time.Millisecond, SilenceTimeout: time.Second,
 		BackoffMax: 50 * time.Millisecond, Standby: true,
 	})
@@ -159,7 +159,7 @@
 		c.crash(i)
 	}
 	c.start(0, 1, 2)
-	_, holder := c.follow("fresh")
+	_, holder := c.subscribe("fresh")
 	eventually(t, "the request is held", func() bool {
 		known := holder.Load().Quarantines[fatalRequest.String()]
 		return known != nil && known.Spec.State == api.QuarantineHeld
--- a/process/control/fleet.go
+++ b/process/control/fleet.go
@@ -101,7 +101,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if f.update(list, err) {
+		if f.applyList(list, err) {
 			changed()
 		}
 		if !pause.For(ctx, f.config.Durations.PlatformPoll) {
@@ -110,9 +110,9 @@
 	}
 }
 
-// update applies a list that was read, and reports whether it was usable. An empty list after one with replicas
-// is treated as a fault: accepting it would remove the whole fleet at once.
-func (f *fleetReader) update(list FleetList, err error) bool {
+// applyList applies a list that was read, and reports whether it was usable. An empty list after one
+// with replicas is treated as a fault: accepting it would remove all replicas at once.
+func (f *fleetReader) applyList(list FleetList, err error) bool {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	replicas := list.Replicas
@@ -184,12 +184,12 @@
 		return // there are no routed services
 	}
 	current := d.group.machine.view()
-	var seen state.Observe
+	var changes state.Observe
 	listed, reads := d.fleet.replicas()
 	compared := comparedListOf(reads, current)
 	if reads > 0 && compared != term.comparedList {
-		diffReplicas(&seen, current, listed)
-		if len(seen.Put)+len(seen.Removed) == 0 {
+		diffReplicas(&changes, current, listed)
+		if len(changes.Put)+len(changes.Removed) == 0 {
 			term.comparedList = compared
 		}
 	}
@@ -198,14 +198,14 @@
 		silence := d.group.config.Durations.ProxySilence
 		heard := d.group.presence.heardSince(now - silence)
 		// Proxies that reported to the previous leader need time to find this member.
-		diffProxies(&seen, current, heard, now-term.startedAt >= silence)
+		diffProxies(&changes, current, heard, now-term.startedAt >= silence)
 	}
-	diffMembers(&seen, current, d.group.machine.members())
-	if len(seen.Put) == 0 && len(seen.Removed) == 0 {
+	diffMembers(&changes, current, d.group.machine.members())
+	if len(changes.Put) == 0 && len(changes.Removed) == 0 {
 		return
 	}
-	_, err := d.group.propose(ctx, state.Command{Kind: state.CommandObserve, Observe: &seen})
-	event.FleetChanged.Log(d.logger, "put", keysText(keysOf(seen.Put)), "removed", keysText(seen.Removed), "err", err)
+	_, err := d.group.propose(ctx, state.Command{Kind: state.CommandObserve, Observe: &changes})
+	event.FleetChanged.Log(d.logger, "put", keysText(keysOf(changes.Put)), "removed", keysText(changes.Removed), "err", err)
 }
 
 // maxLoggedKeys bounds the number of objects named in one log line.
@@ -228,8 +228,8 @@
 	return keys
 }
 
-// diffReplicas adds the differences between the list and the view, sorted by name, to seen.
-func diffReplicas(seen *state.Observe, current *view.View, listed map[string]listedReplica) {
+// diffReplicas adds the differences between the list and the view, sorted by name, to changes.
+func diffReplicas(changes *state.Observe, current *view.View, listed map[string]listedReplica) {
 	var put []api.Object
 	for name, entry := range listed {
 		replica := entry.replica
@@ -247,8 +247,8 @@
 		}
 	}
 	slices.SortFunc(removed, func(a, b api.Key) int { return strings.Compare(a.Name, b.Name) })
-	seen.Put = append(seen.Put, put...)
-	seen.Removed = append(seen.Removed, removed...)
+	changes.Put = append(changes.Put, put...)
+	changes.Removed = append(changes.Removed, removed...)
 }
 
 // comparedList identifies a list and a set of replicas that were found equal, so that rounds in
@@ -270,8 +270,8 @@
 }
 
 // diffMembers adds the differences between the recorded members and those in the view, which
-// daemons may subscribe to, to seen.
-func diffMembers(seen *state.Observe, current *view.View, members []state.Member) {
+// daemons may subscribe to, to changes.
+func diffMembers(changes *state.Observe, current *view.View, members []state.Member) {
 	recorded := map[string]bool{}
 	for _, member := range members {
 		name := strconv.FormatUint(member.ID, 16)
@@ -280,21 +280,21 @@
 		if known := current.Members[name]; known != nil && known.Spec == wanted {
 			continue
 		}
-		seen.Put = append(seen.Put, api.Object{Member: &api.Member{Metadata: api.Metadata{Name: name}, Spec: wanted}})
+		changes.Put = append(changes.Put, api.Object{Member: &api.Member{Metadata: api.Metadata{Name: name}, Spec: wanted}})
 	}
 	for _, name := range slices.Sorted(maps.Keys(current.Members)) {
 		if !recorded[name] {
-			seen.Removed = append(seen.Removed, api.Key{Kind: api.KindMember, Name: name})
+			changes.Removed = append(changes.Removed, api.Key{Kind: api.KindMember, Name: name})
 		}
 	}
 }
 
-// diffProxies adds the changes of the recorded proxies to seen. Ready proxies are added. Removed are
+// diffProxies adds what is to be recorded of the proxies to changes. Ready proxies are added. Removed are
 // those that report that they are stopping and, if settled is true because proxies have had time to
 // report to this leader, those that report nothing. A recorded proxy that is only restarting stays:
 // it is ready again before its callers have found another one, and removing it after a restart of
 // the whole system would leave callers without any proxy.
-func diffProxies(seen *state.Observe, current *view.View, heard map[string]feed.Presence, settled bool) {
+func diffProxies(changes *state.Observe, current *view.View, heard map[string]feed.Presence, settled bool) {
 	for _, name := range slices.Sorted(maps.Keys(heard)) {
 		presence := heard[name]
 		wanted := api.ProxySpec{Address: presence.Address, Zone: presence.Zone}
@@ -302,12 +302,12 @@
 		if !presence.Ready || recorded != nil && recorded.Spec == wanted {
 			continue
 		}
-		seen.Put = append(seen.Put, api.Object{Proxy: &api.Proxy{Metadata: api.Metadata{Name: name}, Spec: wanted}})
+		changes.Put = append(changes.Put, api.Object{Proxy: &api.Proxy{Metadata: api.Metadata{Name: name}, Spec: wanted}})
 	}
 	for _, name := range slices.Sorted(maps.Keys(current.Proxies)) {
 		presence, reported := heard[name]
 		if reported && presence.Stopping || !reported && settled {
-			seen.Removed = append(seen.Removed, api.Key{Kind: api.KindProxy, Name: name})
+			changes.Removed = append(changes.Removed, api.Key{Kind: api.KindProxy, Name: name})
 		}
 	}
 }
--- a/process/control/forward.go
+++ b/process/control/forward.go
@@ -15,7 +15,7 @@
 // maxForwardedResponseBytes bounds a response that is relayed from the leader.
 const maxForwardedResponseBytes = 256 << 20
 
-func newForwardingClient() *http.Client {
+func newMemberClient() *http.Client {
 	client := singleuse.NewClient(nil)
 	client.Timeout = requestTimeout
 	return client
--- a/process/control/founding.go
+++ b/process/control/founding.go
@@ -78,7 +78,7 @@
 		}
 		identity, err := b.addresses.probe(ctx, configured)
 		if err != nil {
-			b.logWrongGroup(configured, err)
+			b.logIfWrongGroup(configured, err)
 			continue
 		}
 		if identity.Initialized {
@@ -93,8 +93,8 @@
 	return raft.Configuration{Voters: voters}, true
 }
 
-// logWrongGroup logs a failed probe if the member at the address belongs to another group.
-func (b *bootstrapper) logWrongGroup(configured Member, err error) {
+// logIfWrongGroup logs a failed probe if the member at the address belongs to another group.
+func (b *bootstrapper) logIfWrongGroup(configured Member, err error) {
 	if errors.Is(err, peer.ErrWrongGroup) {
 		event.ControlOtherGroup.Log(b.logger, "member", configured.Name, "address", configured.PeerAddress)
 	}
--- a/process/control/group.go
+++ b/process/control/group.go
@@ -29,8 +29,8 @@
 	presence *presenceTable
 	// usage holds the counts reported by proxies.
 	usage *usageDesk
-	// day is the wall-clock time that a majority of the proxies' clocks agrees on.
-	day *metering.Agreement
+	// agreedTime is the wall-clock time that a majority of the proxies' clocks agrees on.
+	agreedTime *metering.Agreement
 	// desk places the requests of model services.
 	desk *placementDesk
 	// quotas charges requests to the quotas of their tenants.
@@ -195,7 +195,7 @@
 // ReportPresence records a proxy's presence report.
 func (g *group) ReportPresence(presence feed.Presence) {
 	g.presence.record(presence, monotonic())
-	g.day.Note(presence.Proxy, presence.Day)
+	g.agreedTime.Note(presence.Proxy, presence.Day)
 }
 
 // Place chooses the replica for a request, with all requests of all proxies taken into account. It
@@ -204,13 +204,13 @@
 // suspects are isolated, and requests that are about to be held have to wait.
 func (g *group) Place(daemon string, request feed.PlaceRequest) (placement.Answer, bool) {
 	began := monotonic()
-	desk := g.evidence.desk
-	alert := desk.isAlert(request.Service, began)
+	tracker := g.evidence.desk
+	alert := tracker.isAlert(request.Service, began)
 	if alert && request.Ask.Name == "" {
 		return placement.Answer{Name: true}, true
 	}
-	request.Ask.Suspect = alert && desk.isSuspect(request.Ask.Name, began)
-	request.Ask.Judged = request.Ask.Suspect && desk.isJudged(request.Ask.Name, began)
+	request.Ask.Suspect = alert && tracker.isSuspect(request.Ask.Name, began)
+	request.Ask.Judged = request.Ask.Suspect && tracker.isJudged(request.Ask.Name, began)
 	answer, known := g.desk.place(g.machine.history.Load(), daemon, request, alert, began)
 	g.metrics.observePlacement(request.Service, answer, known, monotonic()-began)
 	return answer, known
@@ -218,7 +218,7 @@
 
 // NotePlaced records the progress of a request that this member has placed.
 func (g *group) NotePlaced(daemon string, note feed.PlaceNote) {
-	g.desk.note(daemon, note, monotonic())
+	g.desk.recordProgress(daemon, note, monotonic())
 }
 
 // NoteKept records the prompt parts that a replica is believed to have cached.
--- a/process/control/group_test.go
+++ b/process/control/group_test.go
@@ -297,10 +297,10 @@
 	return result
 }
 
-// follow starts a feed client of the group with short intervals.
-func (c *cluster) follow(daemon string) (*feed.Client, *view.Holder) {
+// subscribe starts a feed client of the group with short intervals.
+func (c *cluster) subscribe(daemon string) (*feed.Client, *view.Holder) {
 	c.t.Helper()
-	return c.followBy(feed.ClientConfig{
+	return c.subscribeWith(feed.ClientConfig{
 		Daemon:         daemon,
 		BeatInterval:   30 * time.Millisecond,
 		SilenceTimeout: time.Second,
@@ -308,7 +308,7 @@
 	})
 }
 
-func (c *cluster) followBy(config feed.ClientConfig) (*feed.Client, *view.Holder) {
+func (c *cluster) subscribeWith(config feed.ClientConfig) (*feed.Client, *view.Holder) {
 	c.t.Helper()
 	config.Zone = "zone-a"
 	for _, member := range c.configs {
--- a/process/control/handlers.go
+++ b/process/control/handlers.go
@@ -19,7 +19,7 @@
 func (s *operatorServer) transact(w http.ResponseWriter, r *http.Request, body []byte) {
 	var transaction api.Transaction
 	if fault := decodeBody(body, &transaction); fault != nil {
-		writeInvalidBody(w, *fault)
+		writeInvalidRequest(w, *fault)
 		return
 	}
 	command := state.Command{Kind: state.CommandTransaction, Transaction: &transaction}
@@ -124,7 +124,7 @@
 func (s *operatorServer) inForce(w http.ResponseWriter, r *http.Request, _ []byte) {
 	revision, err := strconv.ParseUint(r.URL.Query().Get("revision"), 10, 64)
 	if err != nil {
-		writeInvalidBody(w, api.FieldFault{Field: "revision", Message: "must be a number"})
+		writeInvalidRequest(w, api.FieldFault{Field: "revision", Message: "must be a number"})
 		return
 	}
 	result, valid := s.member.feed.InForce(r.Context(), revision)
@@ -145,18 +145,18 @@
 func (s *operatorServer) changeMembers(w http.ResponseWriter, r *http.Request, body []byte) {
 	var request operatorapi.MemberRequest
 	if fault := decodeBody(body, &request); fault != nil {
-		writeInvalidBody(w, *fault)
+		writeInvalidRequest(w, *fault)
 		return
 	}
 	err, known := s.changeMember(r, request)
 	switch {
 	case !known:
-		writeInvalidBody(w, api.FieldFault{Field: "action", Message: "must be add, promote or remove"})
+		writeInvalidRequest(w, api.FieldFault{Field: "action", Message: "must be add, promote or remove"})
 	case err == nil:
 		current := s.member.group.Load()
 		writeJSON(w, http.StatusOK, operatorapi.MemberReply{Members: memberList(current, current.replica.Status())})
 	case err == errInvalidMember:
-		writeInvalidBody(w, api.FieldFault{Message: err.Error()})
+		writeInvalidRequest(w, api.FieldFault{Message: err.Error()})
 	case errors.Is(err, errUnknownMember):
 		writeError(w, http.StatusNotFound, operatorapi.Error{
 			Code:    operatorapi.ErrorNotFound,
@@ -189,7 +189,7 @@
 		change := raft.ConfigurationChange{Kind: raft.ChangePromote, Member: raft.MemberID(request.ID)}
 		return current.changeMembership(r.Context(), change), true
 	case operatorapi.MemberRemove:
-		return current.removeNamed(r.Context(), raft.MemberID(request.ID)), true
+		return current.removeByID(r.Context(), raft.MemberID(request.ID)), true
 	default:
 		return nil, false
 	}
--- a/process/control/history_test.go
+++ b/process/control/history_test.go
@@ -239,8 +239,8 @@
 		weight   float64
 		accepted bool // set for accepted writes
 	}
-	claimOutput struct{ code api.ClaimCode }
-	lostOutput  struct{} // there was no answer: it is unknown whether the operation took effect
+	claimOutput   struct{ code api.ClaimCode }
+	unknownOutput struct{} // there was no answer: it is unknown whether the operation took effect
 )
 
 // historyClient sends one operation at a time to random members.
@@ -272,7 +272,7 @@
 
 func (c *historyClient) record(call time.Time, input, output any) {
 	ended := time.Now().UnixNano()
-	if _, lost := output.(lostOutput); lost {
+	if _, unknown := output.(unknownOutput); unknown {
 		ended = time.Now().Add(1000 * time.Hour).UnixNano()
 	}
 	c.log = append(c.log, porcupine.Operation{
@@ -322,7 +322,7 @@
 		c.last[key] = output
 		c.record(call, input, output)
 	case proposed:
-		c.record(call, input, lostOutput{})
+		c.record(call, input, unknownOutput{})
 	}
 }
 
@@ -366,7 +366,7 @@
 	case answer != nil:
 		c.record(call, input, claimOutput{code: answer.(api.ClaimResult).Code})
 	case proposed:
-		c.record(call, input, lostOutput{})
+		c.record(call, input, unknownOutput{})
 	}
 }
 
@@ -380,9 +380,9 @@
 type keyState struct {
 	register register
 	nonce    uint64 // nonce of the granted claim
-	// lost is true after a write with unknown outcome took effect, so that no client knows its
+	// isRevisionUnknown is true after a write with unknown outcome took effect, so that no client knows its
 	// revision.
-	lost bool
+	isRevisionUnknown bool
 }
 
 func (s keyState) step(input, output any) (bool, any) {
@@ -401,7 +401,7 @@
 // not known either: the first value observed after it must have a higher revision than the state and
 // determines the revision.
 func (s keyState) matches(seen register) (bool, any) {
-	if s.lost {
+	if s.isRevisionUnknown {
 		ok := seen.weight == s.register.weight && seen.revision > s.register.revision
 		return ok, keyState{register: register{revision: seen.revision, weight: seen.weight}}
 	}
@@ -410,10 +410,10 @@
 
 func (s keyState) write(input writeInput, output any) (bool, any) {
 	known, answered := output.(register)
-	fits := !s.lost && input.revision == s.register.revision
+	fits := !s.isRevisionUnknown && input.revision == s.register.revision
 	switch {
 	case !answered && fits:
-		return true, keyState{register: register{revision: s.register.revision, weight: input.weight}, lost: true}
+		return true, keyState{register: register{revision: s.register.revision, weight: input.weight}, isRevisionUnknown: true}
 	case !answered:
 		// The write names a revision that is not the current one, so it was refused. It cannot name
 		// the unknown revision of a write with unknown outcome, since clients write only on
@@ -488,14 +488,14 @@
 }
 
 func TestHistoriesAreLinearizable(t *testing.T) {
-	var operations, lost, accepted, crashes, cuts, hangs int
+	var operations, unknown, accepted, crashes, cuts, hangs int
 	for seed := uint64(1); seed <= 12; seed++ {
 		history, g := runHistory(t, seed)
 		for _, operation := range history {
 			operations++
 			switch output := operation.Output.(type) {
-			case lostOutput:
-				lost++
+			case unknownOutput:
+				unknown++
 			case register:
 				if output.accepted {
 					accepted++
@@ -506,13 +506,13 @@
 		result := porcupine.CheckOperationsTimeout(keyModel, history, 20*time.Second)
 		must.Eq(t, porcupine.Ok, result, must.Sprintf("seed %d", seed))
 	}
-	t.Logf("operations %d, accepted writes %d, lost %d, crashes %d, cuts %d, hangs %d", operations, accepted, lost, crashes, cuts, hangs)
+	t.Logf("operations %d, accepted writes %d, lost %d, crashes %d, cuts %d, hangs %d", operations, accepted, unknown, crashes, cuts, hangs)
 	// A run without faults and lost replies would test nothing.
 	must.Positive(t, crashes)
 	must.Positive(t, cuts)
 	must.Positive(t, hangs)
 	must.Positive(t, accepted)
-	must.Positive(t, lost)
+	must.Positive(t, unknown)
 }
 
 func TestHistoryModelRejectsViolations(t *testing.T) {
--- a/process/control/ingress.go
+++ b/process/control/ingress.go
@@ -161,7 +161,7 @@
 		event.IngressNotTaken.Log(g.logger, "generation", spec.Generation, "voters", len(status.Configuration.Voters), "err", "too few voters")
 		return api.ReplaceResult{}, errors.Wrap(ErrUnavailable, "the group is not complete yet")
 	}
-	replacement := g.sealSpec(spec)
+	replacement := g.replicatedSpec(spec)
 	value, err := g.propose(ctx, state.Command{Kind: state.CommandReplaceIngress, ReplaceIngress: &replacement})
 	if err != nil {
 		event.IngressNotTaken.Log(g.logger, "generation", spec.Generation, "err", err)
@@ -175,10 +175,10 @@
 	return result, nil
 }
 
-// sealSpec returns the spec in its replicated form: API keys are replaced by digests, and the
+// replicatedSpec returns the spec in its replicated form: API keys are replaced by digests, and the
 // document is compressed. The document, which no proxy receives, still contains the keys in plain
 // text.
-func (g *group) sealSpec(spec api.IngressSpec) state.ReplaceIngress {
+func (g *group) replicatedSpec(spec api.IngressSpec) state.ReplaceIngress {
 	secret := apikey.NewSecret()
 	if held := g.machine.view().Ingresses[api.IngressName]; held != nil {
 		secret = held.Spec.KeySecret
@@ -221,7 +221,7 @@
 func (s *operatorServer) replaceIngress(w http.ResponseWriter, r *http.Request, body []byte) {
 	var spec api.IngressSpec
 	if fault := decodeBody(body, &spec); fault != nil {
-		writeInvalidBody(w, *fault)
+		writeInvalidRequest(w, *fault)
 		return
 	}
 	result, err := s.member.group.Load().replaceIngress(r.Context(), spec)
--- a/process/control/ingress_test.go
+++ b/process/control/ingress_test.go
@@ -426,7 +426,7 @@
 	g.fleet.set(replicaOf("r-1", false), replicaOf("r-2", false))
 	g.start(0)
 	g.awaitVoters(1, 0)
-	_, holder := g.follow("proxy-1")
+	_, holder := g.subscribe("proxy-1")
 	names := func() int { return len(holder.Load().Replicas) }
 	eventually(t, "the daemon receives both replicas", func() bool { return names() == 2 })
 	g.fleet.set(replicaOf("r-1", true), replicaOf("r-3", false))
@@ -460,7 +460,7 @@
 	zones := map[string]string{"p-1": "a", "p-2": "a", "p-3": "b"}
 	clients := map[string]*feed.Client{}
 	for name := range ready {
-		clients[name], _ = g.followBy(feed.ClientConfig{
+		clients[name], _ = g.subscribeWith(feed.ClientConfig{
 			Daemon: name, BeatInterval: 30 * time.Millisecond, BackoffMax: 50 * time.Millisecond,
 			Presence: func() feed.Presence {
 				lock.Lock()
@@ -493,7 +493,7 @@
 	g.fleet.set(model("read", api.RolePrefill), model("make", api.RoleDecode))
 	g.start(0)
 	g.awaitVoters(1, 0)
-	client, _ := g.follow("proxy-1")
+	client, _ := g.subscribe("proxy-1")
 	request := feed.PlaceRequest{Service: "narrator", Number: 1, Ask: placement.Ask{Prompt: 20_000, Deadline: time.Second, Zone: "a"}}
 	eventually(t, "the client is subscribed", client.Connected)
 	_, err := client.Place(t.Context(), request)
@@ -536,7 +536,7 @@
 		_, err := g.accessOf(0).ReplaceIngress(t.Context(), spec)
 		return err == nil
 	})
-	_, holder := g.follow("proxy-1")
+	_, holder := g.subscribe("proxy-1")
 	eventually(t, "the replica is committed", func() bool { return len(holder.Load().Replicas) == 1 })
 	must.NoError(t, g.stop(0))
 	g.fleet.lock.Lock()
@@ -560,7 +560,7 @@
 	c := newCluster(t, 1, nil)
 	c.start(0)
 	c.leader()
-	_, holder := c.follow("proxy-1")
+	_, holder := c.subscribe("proxy-1")
 	eventually(t, "the client is subscribed", func() bool { return c.running[0].member.feed.Subscribers() == 1 })
 	must.Eq(t, view.Version{}, holder.Load().Version)
 }
--- a/process/control/input_test.go
+++ b/process/control/input_test.go
@@ -120,7 +120,7 @@
 	c := newCluster(t, 3, withLongElectionTimeout)
 	c.start(0, 1, 2)
 	before := c.awaitFurtherLosses(1)
-	client, _ := c.follow("proxy-a")
+	client, _ := c.subscribe("proxy-a")
 	eventually(t, "the client is connected", client.Connected)
 	disconnects := c.disconnects.Load()
 	ports := []struct {
--- a/process/control/machine.go
+++ b/process/control/machine.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		panic(fmt.Sprintf("control: entry %d cannot be decoded: %v", entry.Index, err))
 	}
-	result, changed := m.apply(entry, command)
+	result, changed := m.applyAndPublish(entry, command)
 	if changed {
 		m.signal()
 	}
@@ -59,8 +59,8 @@
 	return result
 }
 
-// apply applies a command under the lock and reports whether the version has changed.
-func (m *machine) apply(entry raft.Entry, command state.Command) (result any, changed bool) {
+// applyAndPublish applies a command under the lock and reports whether the version has changed.
+func (m *machine) applyAndPublish(entry raft.Entry, command state.Command) (result any, changed bool) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	result = m.state.Apply(entry.Term, entry.Index, command)
@@ -80,7 +80,7 @@
 
 // Restore replaces the state by an encoded one.
 func (m *machine) Restore(data []byte) error {
-	if err := m.restore(data); err != nil {
+	if err := m.restoreAndPublish(data); err != nil {
 		return errors.Wrap(err, "control: restore state")
 	}
 	m.signal()
@@ -97,8 +97,8 @@
 	}
 }
 
-// restore replaces the state under the lock and publishes it.
-func (m *machine) restore(data []byte) error {
+// restoreAndPublish replaces the state under the lock and publishes it.
+func (m *machine) restoreAndPublish(data []byte) error {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	if err := m.state.Restore(data); err != nil {
--- a/process/control/membership.go
+++ b/process/control/membership.go
@@ -54,8 +54,8 @@
 		return // an operator manages the members of such a group
 	}
 	now := monotonic()
-	term.updateAway(status, now)
-	lost, away := term.longestAway(status, now)
+	term.updateUnreachable(status, now)
+	lost, away := term.longestUnreachable(status, now)
 	if away < d.group.config.Durations.MemberSilence || len(status.Configuration.Voters) <= d.group.requiredVoters() {
 		return
 	}
@@ -66,24 +66,24 @@
 	}
 }
 
-// updateAway records since when each voter has been unreachable.
-func (t *termDuties) updateAway(status raft.Status, now time.Duration) {
+// updateUnreachable records since when each voter has been unreachable.
+func (t *termDuties) updateUnreachable(status raft.Status, now time.Duration) {
 	for _, voter := range status.Configuration.Voters {
 		if isActive(status, voter) {
-			delete(t.awaySince, voter)
+			delete(t.unreachableSince, voter)
 			continue
 		}
-		if _, known := t.awaySince[voter]; !known {
-			t.awaySince[voter] = now
+		if _, known := t.unreachableSince[voter]; !known {
+			t.unreachableSince[voter] = now
 		}
 	}
 }
 
-// longestAway returns the voter that has been unreachable for the longest time, and for how long.
+// longestUnreachable returns the voter that has been unreachable for the longest time, and for how long.
 // It returns none and 0 if all voters are active.
-func (t *termDuties) longestAway(status raft.Status, now time.Duration) (lost raft.MemberID, away time.Duration) {
+func (t *termDuties) longestUnreachable(status raft.Status, now time.Duration) (lost raft.MemberID, away time.Duration) {
 	for _, voter := range status.Configuration.Voters {
-		since, isAway := t.awaySince[voter]
+		since, isAway := t.unreachableSince[voter]
 		if isAway && now-since > away {
 			lost, away = voter, now-since
 		}
@@ -235,8 +235,8 @@
 	return false
 }
 
-// removeNamed removes the member with the ID at the request of an operator.
-func (g *group) removeNamed(ctx context.Context, id raft.MemberID) error {
+// removeByID removes the member with the ID at the request of an operator.
+func (g *group) removeByID(ctx context.Context, id raft.MemberID) error {
 	status := g.replica.Status()
 	member := g.memberByID(id)
 	if member.ID == 0 && !slices.Contains(allMembers(status.Configuration), id) {
@@ -262,20 +262,20 @@
 	return err
 }
 
-// health describes how many losses the group tolerates, as known to the leader.
-type health struct {
+// faultTolerance describes how many losses the group tolerates, as known to the leader.
+type faultTolerance struct {
 	// furtherLosses is the number of voters that may be lost without losing the quorum.
 	furtherLosses int
 	// repairing names the members that have not caught up: lagging or inactive voters, and learners.
 	repairing []string
 }
 
-// health counts only voters that are active and have replicated everything that was committed by
+// faultTolerance counts only voters that are active and have replicated everything that was committed by
 // the previous round: a repair is complete when its data is replicated. While a membership change
 // is uncommitted, no further loss is safe: losing the leader would restore the previous
 // configuration, in which the replaced member still counts.
-func (g *group) health(status raft.Status, commit uint64) health {
-	var result health
+func (g *group) faultTolerance(status raft.Status, commit uint64) faultTolerance {
+	var result faultTolerance
 	upToDate := 0
 	for _, voter := range status.Configuration.Voters {
 		if isUpToDate(status, voter, commit) {
--- a/process/control/membership_test.go
+++ b/process/control/membership_test.go
@@ -26,9 +26,9 @@
 		Match:          map[raft.MemberID]uint64{1: 10, 2: 10, 4: 10},
 		RecentlyActive: map[raft.MemberID]bool{1: true, 2: true, 4: true},
 	}
-	must.Eq(t, 1, current.health(status, 10).furtherLosses)
+	must.Eq(t, 1, current.faultTolerance(status, 10).furtherLosses)
 	status.ConfigurationPending = true
-	must.Eq(t, 0, current.health(status, 10).furtherLosses)
+	must.Eq(t, 0, current.faultTolerance(status, 10).furtherLosses)
 }
 
 // At the start of a term every voter counts as active. A member that lost its disk and returns
@@ -53,8 +53,8 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			found, is := replacedMember(members, c.status, c.termAge, election)
-			must.Eq(t, c.want != 0, is)
+			found, hasReplaced := replacedMember(members, c.status, c.termAge, election)
+			must.Eq(t, c.want != 0, hasReplaced)
 			must.Eq(t, c.want, found.ID)
 		})
 	}
@@ -63,7 +63,7 @@
 // Of several unreachable voters, the one that has been unreachable for the longest time must be
 // removed first: it is the one whose replacement has joined.
 func TestLongestAway(t *testing.T) {
-	term := &termDuties{awaySince: map[raft.MemberID]time.Duration{}}
+	term := &termDuties{unreachableSince: map[raft.MemberID]time.Duration{}}
 	heard := func(ids ...raft.MemberID) raft.Status {
 		status := raft.Status{ID: 1, Configuration: raft.Configuration{Voters: []raft.MemberID{1, 2, 3, 4}}, RecentlyActive: map[raft.MemberID]bool{}}
 		for _, id := range ids {
@@ -72,8 +72,8 @@
 		return status
 	}
 	updateAndFind := func(now time.Duration, status raft.Status) (raft.MemberID, time.Duration) {
-		term.updateAway(status, now)
-		return term.longestAway(status, now)
+		term.updateUnreachable(status, now)
+		return term.longestUnreachable(status, now)
 	}
 	lost, away := updateAndFind(time.Second, heard(2, 3, 4))
 	must.Eq(t, raft.None, lost)
@@ -100,7 +100,7 @@
 	}
 	must.Eq(t, []string{"a"}, m.otherOperatorAddresses())
 	for i, recorded := range []state.Member{{ID: 1, Name: "seed", OperatorAddress: "a"}, {ID: 2, Name: "later", OperatorAddress: "b"}, {ID: 3, Name: "gone", OperatorAddress: "c", Removed: true}, {ID: 4, Name: "self", OperatorAddress: "s"}} {
-		m.machine.apply(raft.Entry{Term: 1, Index: uint64(i) + 1}, memberCommand(recorded))
+		m.machine.applyAndPublish(raft.Entry{Term: 1, Index: uint64(i) + 1}, memberCommand(recorded))
 	}
 	must.Eq(t, []string{"a", "b"}, m.otherOperatorAddresses())
 }
@@ -120,15 +120,15 @@
 	must.SliceNotContains(t, allMembers(current.replica.Status().Configuration), raft.MemberID(joining.ID))
 }
 
-// The duties record the address that they know of a member that has no record. This may happen
+// The leader records the address that they know of a member that has no record. This may happen
 // right after the member's own record was committed, which it then replaces. The record differs
 // from the requested one, but the member was not removed and must not be told to discard its disk.
 func TestMemberWithReplacedRecordIsNotReportedRemoved(t *testing.T) {
 	joining := state.Member{ID: 7, Name: "control-7", PeerAddress: "127.0.0.1:1", FeedAddress: "127.0.0.1:2", OperatorAddress: "127.0.0.1:3"}
-	otherwise := joining
-	otherwise.FeedAddress = "127.0.0.1:4"
+	replacing := joining
+	replacing.FeedAddress = "127.0.0.1:4"
 	current := newSingleMemberGroup(t, func(m *machine) replica.StateMachine {
-		return &interleavingMachine{machine: m, first: memberCommand(joining), second: memberCommand(otherwise)}
+		return &interleavingMachine{machine: m, first: memberCommand(joining), second: memberCommand(replacing)}
 	})
 	must.NoError(t, current.addMember(t.Context(), joining))
 	must.SliceContains(t, allMembers(current.replica.Status().Configuration), raft.MemberID(joining.ID))
@@ -140,16 +140,16 @@
 // but is in the configuration again. Its disk may be needed, so it must be told of the removal only
 // once it is out of the configuration.
 func TestConfiguredMemberIsNotReportedRemoved(t *testing.T) {
-	counting := state.Member{ID: 7, Name: "control-7", PeerAddress: "127.0.0.1:1", FeedAddress: "127.0.0.1:2", OperatorAddress: "127.0.0.1:3"}
+	joining := state.Member{ID: 7, Name: "control-7", PeerAddress: "127.0.0.1:1", FeedAddress: "127.0.0.1:2", OperatorAddress: "127.0.0.1:3"}
 	current := newSingleMemberGroup(t, func(m *machine) replica.StateMachine { return m })
-	must.NoError(t, current.addMember(t.Context(), counting))
-	marked := counting
+	must.NoError(t, current.addMember(t.Context(), joining))
+	marked := joining
 	marked.Removed = true
 	_, err := current.propose(t.Context(), memberCommand(marked))
 	must.NoError(t, err)
-	must.NoError(t, current.addMember(t.Context(), counting))
-	must.NoError(t, current.removeNamed(t.Context(), raft.MemberID(counting.ID)))
-	must.ErrorIs(t, current.addMember(t.Context(), counting), errRemovedMember)
+	must.NoError(t, current.addMember(t.Context(), joining))
+	must.NoError(t, current.removeByID(t.Context(), raft.MemberID(joining.ID)))
+	must.ErrorIs(t, current.addMember(t.Context(), joining), errRemovedMember)
 }
 
 // interleavingMachine applies a second command right after the first, before the proposer of the
@@ -224,19 +224,19 @@
 	g.start(0)
 	g.awaitVoters(1, 0)
 	current := g.running[0].member.group.Load()
-	again := state.Member{ID: 4242, Name: "again", PeerAddress: "127.0.0.1:1", FeedAddress: "127.0.0.1:1", OperatorAddress: "127.0.0.1:1"}
+	rejoining := state.Member{ID: 4242, Name: "again", PeerAddress: "127.0.0.1:1", FeedAddress: "127.0.0.1:1", OperatorAddress: "127.0.0.1:1"}
 	eventually(t, "the member is recorded", func() bool {
-		_, err := current.propose(t.Context(), memberCommand(again))
+		_, err := current.propose(t.Context(), memberCommand(rejoining))
 		return err == nil
 	})
 	current.membership.Lock()
 	removed := make(chan error, 1)
-	go func() { removed <- current.removeNamed(t.Context(), raft.MemberID(again.ID)) }()
+	go func() { removed <- current.removeByID(t.Context(), raft.MemberID(rejoining.ID)) }()
 	eventually(t, "the removal waits for the lock", func() bool { return waitsForLock("(*group).removeMember") })
-	err := current.changeMembership(t.Context(), raft.ConfigurationChange{Kind: raft.ChangeAddLearner, Member: raft.MemberID(again.ID)})
+	err := current.changeMembership(t.Context(), raft.ConfigurationChange{Kind: raft.ChangeAddLearner, Member: raft.MemberID(rejoining.ID)})
 	current.membership.Unlock()
 	must.NoError(t, err)
 	must.NoError(t, <-removed)
-	must.SliceNotContains(t, allMembers(current.replica.Status().Configuration), raft.MemberID(again.ID))
-	must.False(t, current.isRecorded(again))
+	must.SliceNotContains(t, allMembers(current.replica.Status().Configuration), raft.MemberID(rejoining.ID))
+	must.False(t, current.isRecorded(rejoining))
 }
--- a/process/control/metrics.go
+++ b/process/control/metrics.go
@@ -153,7 +153,7 @@
 	}
 	daemons := func() feed.Daemons { return started.feed.Daemons(started.machine.view().Version.Revision) }
 	m.gauge("further_losses", "Voters that can be lost without losing the quorum; only the leader knows.", leaderGauge(func() int {
-		return started.health(status()).furtherLosses
+		return started.faultTolerance(status()).furtherLosses
 	}))
 	m.gauge("daemons_leased", "Daemons that hold a view lease; only the leader knows.", leaderGauge(func() int { return daemons().Leased }))
 	m.gauge("daemons_behind", "Daemons that hold a lease on an older revision; only the leader knows.", leaderGauge(func() int {
--- a/process/control/placement.go
+++ b/process/control/placement.go
@@ -41,8 +41,8 @@
 	return board.Place(now, key, request.Ask), true
 }
 
-// note records the progress of a placed request.
-func (d *placementDesk) note(daemon string, note feed.PlaceNote, now time.Duration) {
+// recordProgress records the progress of a placed request.
+func (d *placementDesk) recordProgress(daemon string, note feed.PlaceNote, now time.Duration) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	if board := d.boards[note.Service]; board != nil {
@@ -132,7 +132,7 @@
 			board = placement.NewBoard()
 			d.boards[service.Name] = board
 		}
-		board.SetReplicas(modelSheet(&ingress.Spec, service), listed[service.Name])
+		board.SetReplicas(modelParameters(&ingress.Spec, service), listed[service.Name])
 	}
 }
 
@@ -173,10 +173,10 @@
 	}
 }
 
-// modelSheet returns the configured model parameters of a service: the KV cache size in tokens, the
+// modelParameters returns the configured model parameters of a service: the KV cache size in tokens, the
 // bytes per token, the link speed in Mbit/s, and the shortest objective for the time between two
 // output tokens among the routes that lead to the service.
-func modelSheet(spec *api.IngressSpec, service *api.RouteService) placement.Sheet {
+func modelParameters(spec *api.IngressSpec, service *api.RouteService) placement.Sheet {
 	sheet := placement.Sheet{
 		KVTokens:    service.Model.KVTokens,
 		BytesPerTok: service.Model.KVBytesPerTok,
--- a/process/control/placement_test.go
+++ b/process/control/placement_test.go
@@ -39,8 +39,8 @@
 	}
 	for _, each := range cases {
 		t.Run(each.name, func(t *testing.T) {
-			desk := newPlacementDesk()
-			answer, known := desk.place(modelView(1, each.replica), "proxy-1", feed.PlaceRequest{Service: each.service, Number: 1, Ask: ask}, false, 0)
+			boards := newPlacementDesk()
+			answer, known := boards.place(modelView(1, each.replica), "proxy-1", feed.PlaceRequest{Service: each.service, Number: 1, Ask: ask}, false, 0)
 			must.Eq(t, each.known, known)
 			must.Eq(t, each.generator, answer.Generator)
 		})
@@ -48,10 +48,10 @@
 }
 
 func TestPlacementFollowsView(t *testing.T) {
-	desk := newPlacementDesk()
+	boards := newPlacementDesk()
 	request := feed.PlaceRequest{Service: "chat", Number: 1, Ask: placement.Ask{Prompt: 100, Output: 10, Deadline: time.Second}}
 	for i, replica := range []string{"r-1", "r-2", "r-3"} {
-		answer, _ := desk.place(modelView(uint64(i)+1, replica), "proxy-1", request, false, 0)
+		answer, _ := boards.place(modelView(uint64(i)+1, replica), "proxy-1", request, false, 0)
 		must.Eq(t, replica, answer.Generator)
 	}
 }
@@ -84,16 +84,16 @@
 // current one. If an older view replaced a newer one, the board would lose the requests placed on
 // replicas that are missing from the older view or have another role in it.
 func TestOlderViewIsIgnored(t *testing.T) {
-	desk := newPlacementDesk()
+	boards := newPlacementDesk()
 	older, newer := modelView(1, "r-1"), modelView(2, "r-2")
 	request := feed.PlaceRequest{Service: "chat", Number: 1, Ask: placement.Ask{Prompt: 100, Output: 10, Deadline: time.Second}}
-	answer, _ := desk.place(newer, "proxy-1", request, false, 0)
+	answer, _ := boards.place(newer, "proxy-1", request, false, 0)
 	must.Eq(t, "r-2", answer.Generator)
-	load := desk.load(older, "chat", 0)
+	load := boards.serviceLoad(older, "chat", 0)
 	must.Len(t, 1, load.Replicas)
 	must.Eq(t, "r-2", load.Replicas[0].Name)
-	desk.load(newer, "chat", 0)
-	must.False(t, desk.idle("chat", "r-2"))
+	boards.serviceLoad(newer, "chat", 0)
+	must.False(t, boards.isIdle("chat", "r-2"))
 }
 
 // Applying only the changes must give the same state as applying each view as a whole.
@@ -115,8 +115,8 @@
 		return &api.Replica{Metadata: api.Metadata{Name: name}, Spec: api.ReplicaSpec{Service: service, Slots: 4, Role: api.RoleDecode, Leaving: leaving}}
 	}
 	key := func(name string) api.Key { return api.Key{Kind: api.KindReplica, Name: name} }
-	desk := newPlacementDesk()
-	desk.update(first)
+	boards := newPlacementDesk()
+	boards.update(first)
 	steps := []*view.History{
 		changed(2, func(v *view.View) { v.Replicas["r-2"] = replica("r-2", "chat", false) }, key("r-2")),
 		changed(3, func(v *view.View) { v.Replicas["r-1"] = replica("r-1", "chat", true) }, key("r-1")),
@@ -124,9 +124,9 @@
 		changed(5, func(v *view.View) { delete(v.Replicas, "r-1"); v.Replicas["r-3"] = replica("r-3", "chat", false) }, key("r-1"), key("r-3")),
 	}
 	for _, step := range steps {
-		desk.update(step)
+		boards.update(step)
 		whole := newPlacementDesk()
 		whole.update(&view.History{View: step.View, Floor: step.View.Version.Revision})
-		must.Eq(t, whole.load(step, "chat", 0).Replicas, desk.load(step, "chat", 0).Replicas, must.Sprint(step.View.Version))
+		must.Eq(t, whole.serviceLoad(step, "chat", 0).Replicas, boards.serviceLoad(step, "chat", 0).Replicas, must.Sprint(step.View.Version))
 	}
 }
--- a/process/control/platform.go
+++ b/process/control/platform.go
@@ -90,7 +90,7 @@
 func (p *platformReader) run(ctx context.Context) {
 	for {
 		list, err := p.read(ctx)
-		p.update(list, err)
+		p.applyList(list, err)
 		if !pause.For(ctx, p.config.Durations.PlatformPoll) {
 			return
 		}
@@ -117,9 +117,9 @@
 	return list, nil
 }
 
-// update replaces the list, or logs the first of several failed reads. An empty list is treated as a fault: accepting it would remove the
-// whole fleet at once.
-func (p *platformReader) update(list machineList, err error) {
+// applyList replaces the list, or logs the first of several failed reads. An empty list is treated as
+// a fault: accepting it would remove all machines at once.
+func (p *platformReader) applyList(list machineList, err error) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	if err == nil && len(list.Machines) == 0 {
@@ -140,9 +140,9 @@
 	}
 }
 
-// machines returns the leaving and gone machines among the engines and backends of the view, or nil
+// leavingAndGone returns the leaving and gone machines among the engines and backends of the view, or nil
 // until a list was read.
-func (p *platformReader) machines(current *view.View, seen map[string]orders.Seen, now time.Duration) *state.Machines {
+func (p *platformReader) leavingAndGone(current *view.View, seen map[string]orders.Seen, now time.Duration) *state.Machines {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	if p.listed == nil {
--- a/process/control/quarantine.go
+++ b/process/control/quarantine.go
@@ -105,8 +105,8 @@
 	}
 }
 
-// note adds a proxy's report.
-func (d *quarantineTracker) note(report feed.EndReport, now time.Duration) findings {
+// addProxyReport adds a proxy's report.
+func (d *quarantineTracker) addProxyReport(report feed.EndReport, now time.Duration) findings {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	for _, alive := range report.Alive {
@@ -115,15 +115,15 @@
 	for _, fingerprint := range report.Served {
 		d.refuted.served[fingerprint] = true
 	}
-	return d.mergeLocked(report, now)
+	return d.addLocked(report, now)
 }
 
-// merge adds evidence that another member sent or that was stored on disk. It removes nothing
+// addEvidence adds evidence that another member sent or that was stored on disk. It removes nothing
 // from the record: proxies report refutations to the leader themselves.
-func (d *quarantineTracker) merge(report feed.EndReport, now time.Duration) findings {
+func (d *quarantineTracker) addEvidence(report feed.EndReport, now time.Duration) findings {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	return d.mergeLocked(report, now)
+	return d.addLocked(report, now)
 }
 
 // observations returns the known crash observations, for members that need all of them.
@@ -157,8 +157,8 @@
 	served []quarantine.Fingerprint
 }
 
-// mergeLocked adds a report to the table. The caller holds the lock.
-func (d *quarantineTracker) mergeLocked(report feed.EndReport, now time.Duration) (found findings) {
+// addLocked adds a report to the table. The caller holds the lock.
+func (d *quarantineTracker) addLocked(report feed.EndReport, now time.Duration) (found findings) {
 	before := d.table.News()
 	d.reviewUntil = now + reviewPeriod
 	for _, seen := range report.Ended {
--- a/process/control/quarantine_review.go
+++ b/process/control/quarantine_review.go
@@ -92,7 +92,7 @@
 // forgets its evidence.
 func (d *quarantineTracker) reviewRecorded(changes *state.Observe, current *view.View, known *api.Quarantine, refuted *refutations, now time.Duration, wall time.Time) {
 	fingerprint, ok := quarantine.Parse(known.Name)
-	spec := d.refreshed(known.Spec, fingerprint, refuted)
+	spec := d.withNewReports(known.Spec, fingerprint, refuted)
 	if !ok || refuted.served[fingerprint] || isEntryOver(&spec, wall) {
 		changes.Removed = append(changes.Removed, api.Key{Kind: api.KindQuarantine, Name: known.Name})
 		d.table.Forget(fingerprint)
@@ -106,8 +106,8 @@
 	}
 }
 
-// refreshed returns an entry updated with the reports received since it was written.
-func (d *quarantineTracker) refreshed(spec api.QuarantineSpec, fingerprint quarantine.Fingerprint, refuted *refutations) api.QuarantineSpec {
+// withNewReports returns an entry updated with the reports received since it was written.
+func (d *quarantineTracker) withNewReports(spec api.QuarantineSpec, fingerprint quarantine.Fingerprint, refuted *refutations) api.QuarantineSpec {
 	spec.Replicas = slices.DeleteFunc(slices.Clone(spec.Replicas), func(name string) bool {
 		_, isAlive := refuted.alive[quarantine.ReplicaOf(name)]
 		return isAlive && !d.table.HasEnd(fingerprint, name)
--- a/process/control/quarantine_settling_test.go
+++ b/process/control/quarantine_settling_test.go
@@ -19,7 +19,7 @@
 		d.addService(nil)
 		for i, replica := range []string{"r-0", "r-1", "r-2"} {
 			must.NotEq(t, api.QuarantineSettling, d.state(), must.Sprint(i, " crashes"))
-			d.tracker.note(crashReport(fatalRequest, replica), d.now)
+			d.tracker.addProxyReport(crashReport(fatalRequest, replica), d.now)
 			d.step(1, 50*time.Millisecond)
 		}
 		must.Eq(t, api.QuarantineSettling, d.state())
@@ -32,14 +32,14 @@
 	})
 	t.Run("one of its replicas is alive", func(t *testing.T) {
 		d := begin()
-		d.tracker.note(feed.EndReport{Alive: []quarantine.Alive{{Replica: "r-1", For: quarantine.Ever}}}, d.now)
+		d.tracker.addProxyReport(feed.EndReport{Alive: []quarantine.Alive{{Replica: "r-1", For: quarantine.Ever}}}, d.now)
 		d.step(1, 50*time.Millisecond)
 		must.Eq(t, api.QuarantineWatched, d.state())
 	})
 	t.Run("another request explains the crashes", func(t *testing.T) {
 		d := begin()
 		other := quarantine.Of(quarantine.Identity{Path: "/other"})
-		d.tracker.note(crashReport(other, "r-0", "r-1", "r-2", "r-3", "r-4"), d.now)
+		d.tracker.addProxyReport(crashReport(other, "r-0", "r-1", "r-2", "r-3", "r-4"), d.now)
 		d.step(1, 300*time.Millisecond)
 		must.NotEq(t, api.QuarantineSettling, d.state())
 		must.NotEq(t, api.QuarantineHeld, d.state())
@@ -58,11 +58,11 @@
 func TestNoTrialAfterCrashInTrial(t *testing.T) {
 	d := newTrackerTest(t)
 	d.addService(nil)
-	d.tracker.note(simultaneousCrashReport(fatalRequest, "a", "b", "c"), d.now)
+	d.tracker.addProxyReport(simultaneousCrashReport(fatalRequest, "a", "b", "c"), d.now)
 	d.step(1, 50*time.Millisecond)
 	must.Eq(t, api.QuarantineTried, d.state())
 	d.step(1, time.Second)
-	d.tracker.note(crashReport(fatalRequest, "a-again"), d.now)
+	d.tracker.addProxyReport(crashReport(fatalRequest, "a-again"), d.now)
 	d.step(1, 50*time.Millisecond)
 	must.Eq(t, api.QuarantineSettling, d.state())
 	d.step(1, 300*time.Millisecond)
--- a/process/control/quarantine_states.go
+++ b/process/control/quarantine_states.go
@@ -59,8 +59,8 @@
 // alive.
 func (d *quarantineTracker) isMistaken(spec *api.QuarantineSpec, fingerprint quarantine.Fingerprint, standing quarantine.Standing) bool {
 	crashed, _ := d.table.Ends(fingerprint)
-	isExplained := len(crashed) >= crashesToHold(spec) && standing == quarantine.Watched
-	return isExplained || len(spec.Replicas) < crashesToHold(spec)
+	isExplained := len(crashed) >= minCrashesToStayHeld(spec) && standing == quarantine.Watched
+	return isExplained || len(spec.Replicas) < minCrashesToStayHeld(spec)
 }
 
 // endHold ends an expired hold. It keeps quarantine.WatchedEnds crashes, one less than it takes to
@@ -87,9 +87,9 @@
 	return spec.State == api.QuarantineTried && wall.Sub(time.UnixMilli(spec.TriedSince)) >= trialDuration
 }
 
-// crashesToHold returns how many crashed replicas a held request must have to stay held. It takes
+// minCrashesToStayHeld returns how many crashed replicas a held request must have to stay held. It takes
 // fewer if the request was once the only one in flight at a crash.
-func crashesToHold(spec *api.QuarantineSpec) int {
+func minCrashesToStayHeld(spec *api.QuarantineSpec) int {
 	if spec.Alone {
 		return quarantine.WatchedEnds
 	}
--- a/process/control/quarantine_suspects.go
+++ b/process/control/quarantine_suspects.go
@@ -55,8 +55,8 @@
 	for _, name := range slices.Sorted(maps.Keys(current.Suspects)) {
 		fingerprint, ok := quarantine.Parse(name)
 		isOver := wall.UnixMilli() >= current.Suspects[name].Spec.Until
-		isMore := d.table.Standing(now, fingerprint) != quarantine.Free || current.Quarantines[name] != nil
-		if !ok || isOver || isMore || refuted.served[fingerprint] || d.table.CountEnds(fingerprint) == 0 {
+		isRecordedElsewhere := d.table.Standing(now, fingerprint) != quarantine.Free || current.Quarantines[name] != nil
+		if !ok || isOver || isRecordedElsewhere || refuted.served[fingerprint] || d.table.CountEnds(fingerprint) == 0 {
 			changes.Removed = append(changes.Removed, api.Key{Kind: api.KindSuspect, Name: name})
 		}
 	}
--- a/process/control/quarantine_suspects_test.go
+++ b/process/control/quarantine_suspects_test.go
@@ -17,18 +17,18 @@
 // held (soak seed 9231).
 func TestSingleCrashSurvivesLossOfAllProcesses(t *testing.T) {
 	d := newTrackerTest(t)
-	d.tracker.note(crashReport(fatalRequest, "r-0"), d.now)
+	d.tracker.addProxyReport(crashReport(fatalRequest, "r-0"), d.now)
 	d.step(1, 50*time.Millisecond)
 	must.Eq(t, "", d.state())
 	must.Eq(t, "r-0", d.suspect())
 	d.tracker = newQuarantineTracker() // simulates the loss of everything in memory
 	d.step(2, 5*time.Second)
-	d.tracker.note(crashReport(fatalRequest, "r-1"), d.now)
+	d.tracker.addProxyReport(crashReport(fatalRequest, "r-1"), d.now)
 	d.step(2, time.Second)
 	must.Eq(t, api.QuarantineWatched, d.state())
 	must.Eq(t, []string{"r-0", "r-1"}, d.machine.View().Quarantines[fatalRequest.String()].Spec.Replicas)
 	must.Eq(t, "", d.suspect(), must.Sprint("it is recorded as a quarantine instead"))
-	d.tracker.note(crashReport(fatalRequest, "r-2"), d.now)
+	d.tracker.addProxyReport(crashReport(fatalRequest, "r-2"), d.now)
 	d.step(2, time.Second)
 	must.Eq(t, api.QuarantineHeld, d.state())
 }
@@ -48,21 +48,21 @@
 func TestSuspectIsRemovedFromRecord(t *testing.T) {
 	begin := func() *trackerTest {
 		d := newTrackerTest(t)
-		d.tracker.note(crashReport(fatalRequest, "r-0"), d.now)
+		d.tracker.addProxyReport(crashReport(fatalRequest, "r-0"), d.now)
 		d.step(1, 50*time.Millisecond)
 		must.Eq(t, "r-0", d.suspect())
 		return d
 	}
 	t.Run("served", func(t *testing.T) {
 		d := begin()
-		d.tracker.note(feed.EndReport{Served: []quarantine.Fingerprint{fatalRequest}}, d.now)
+		d.tracker.addProxyReport(feed.EndReport{Served: []quarantine.Fingerprint{fatalRequest}}, d.now)
 		d.step(1, 50*time.Millisecond)
 		must.Eq(t, "", d.suspect())
 	})
 	t.Run("its replica is alive", func(t *testing.T) {
 		d := begin()
 		d.tracker = newQuarantineTracker()
-		d.tracker.note(feed.EndReport{Alive: []quarantine.Alive{{Replica: "r-0", For: quarantine.Ever}}}, d.now)
+		d.tracker.addProxyReport(feed.EndReport{Alive: []quarantine.Alive{{Replica: "r-0", For: quarantine.Ever}}}, d.now)
 		d.step(2, 50*time.Millisecond)
 		must.Eq(t, "", d.suspect())
 	})
@@ -72,7 +72,7 @@
 		must.Eq(t, "", d.suspect())
 		d.step(1, time.Second)
 		must.Eq(t, "", d.suspect())
-		d.tracker.note(crashReport(fatalRequest, "r-1"), d.now)
+		d.tracker.addProxyReport(crashReport(fatalRequest, "r-1"), d.now)
 		d.step(1, time.Second)
 		must.Eq(t, api.QuarantineWatched, d.state())
 	})
@@ -82,7 +82,7 @@
 // from the record and of another from a report.
 func TestRecordedAndReportedSimultaneousCrashesCountOnce(t *testing.T) {
 	d := newTrackerTest(t)
-	d.tracker.note(simultaneousCrashReport(fatalRequest, "a", "b"), d.now)
+	d.tracker.addProxyReport(simultaneousCrashReport(fatalRequest, "a", "b"), d.now)
 	d.step(1, 50*time.Millisecond)
 	must.Eq(t, "a", d.suspect())
 	d.tracker = newQuarantineTracker()
@@ -90,7 +90,7 @@
 	d.wall = d.wall.Add(time.Second)
 	again := simultaneousCrashReport(fatalRequest, "b")
 	again.Ended[0].Age = 1050 * time.Millisecond
-	d.tracker.note(again, d.now)
+	d.tracker.addProxyReport(again, d.now)
 	d.step(2, 0)
 	d.step(2, 2*time.Second)
 	must.Eq(t, "", d.state())
@@ -108,13 +108,13 @@
 	} {
 		report := crashReport(fatalRequest, "r-0")
 		change(&report.Ended[0].Evidence)
-		d.tracker.note(report, d.now)
+		d.tracker.addProxyReport(report, d.now)
 		d.step(1, time.Second)
 		must.Eq(t, "", d.suspect())
 		d.tracker = newQuarantineTracker()
 	}
 	for i := range 10 * maxSuspects {
-		d.tracker.note(crashReport(quarantine.Of(quarantine.Identity{Path: fmt.Sprint(i)}), fmt.Sprint("rack-", i%9)), d.now)
+		d.tracker.addProxyReport(crashReport(quarantine.Of(quarantine.Identity{Path: fmt.Sprint(i)}), fmt.Sprint("rack-", i%9)), d.now)
 	}
 	for range 3 {
 		d.step(1, time.Second)
@@ -134,15 +134,15 @@
 	}
 	for name, tell := range map[string]func(d *trackerTest){
 		"not reported again":                   func(*trackerTest) {},
-		"reported before the record is loaded": func(d *trackerTest) { d.tracker.note(popular(), d.now) },
+		"reported before the record is loaded": func(d *trackerTest) { d.tracker.addProxyReport(popular(), d.now) },
 		"reported after the record is loaded": func(d *trackerTest) {
 			d.step(2, 0)
-			d.tracker.note(popular(), d.now)
+			d.tracker.addProxyReport(popular(), d.now)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := newTrackerTest(t)
-			d.tracker.note(popular(), d.now)
+			d.tracker.addProxyReport(popular(), d.now)
 			d.reviewTwice(1)
 			must.Eq(t, api.QuarantineWatched, d.state())
 			must.Eq(t, []string{"r-0", "r-1", "r-2"}, d.machine.View().Quarantines[fatalRequest.String()].Spec.Weak)
--- a/process/control/quarantine_test.go
+++ b/process/control/quarantine_test.go
@@ -74,7 +74,7 @@
 func TestThirdCrashIsRecordedAsHeld(t *testing.T) {
 	d := newTrackerTest(t)
 	for i, want := range []api.QuarantineState{"", api.QuarantineWatched, api.QuarantineHeld} {
-		d.tracker.note(crashReport(fatalRequest, fmt.Sprint("r-", i)), d.now)
+		d.tracker.addProxyReport(crashReport(fatalRequest, fmt.Sprint("r-", i)), d.now)
 		d.step(1, time.Second)
 		must.Eq(t, want, d.state(), must.Sprint(i+1, " crashes"))
 	}
@@ -88,10 +88,10 @@
 // A new leader on another machine continues from the record and the reports that it receives.
 func TestNextLeaderContinuesFromRecord(t *testing.T) {
 	d := newTrackerTest(t)
-	d.tracker.note(crashReport(fatalRequest, "r-0", "r-1"), d.now)
+	d.tracker.addProxyReport(crashReport(fatalRequest, "r-0", "r-1"), d.now)
 	d.step(1, time.Second)
 	d.tracker = newQuarantineTracker()
-	d.tracker.note(crashReport(fatalRequest, "r-2"), d.now)
+	d.tracker.addProxyReport(crashReport(fatalRequest, "r-2"), d.now)
 	d.step(2, time.Second)
 	must.Eq(t, api.QuarantineWatched, d.state(), must.Sprint("changed state before all proxies could report"))
 	d.step(2, takeoverDelay)
@@ -105,7 +105,7 @@
 // hold for twice as long, and a watch without a crash expires.
 func TestHoldExpiresAndDoubles(t *testing.T) {
 	d := newTrackerTest(t)
-	d.tracker.note(crashReport(fatalRequest, "r-0", "r-1", "r-2"), d.now)
+	d.tracker.addProxyReport(crashReport(fatalRequest, "r-0", "r-1", "r-2"), d.now)
 	d.step(1, time.Second)
 	must.Eq(t, api.QuarantineWatched, d.state(), must.Sprint("held before proxies could report a successful answer"))
 	d.step(1, time.Second)
@@ -114,7 +114,7 @@
 	must.Eq(t, api.QuarantineHeld, d.state())
 	d.step(1, 3*time.Second)
 	must.Eq(t, api.QuarantineWatched, d.state())
-	d.tracker.note(crashReport(fatalRequest, "r-3"), d.now)
+	d.tracker.addProxyReport(crashReport(fatalRequest, "r-3"), d.now)
 	d.step(1, time.Second)
 	must.Eq(t, api.QuarantineHeld, d.state())
 	must.Eq(t, d.wall.Add(2*firstHoldDuration).UnixMilli(), d.machine.View().Quarantines[fatalRequest.String()].Spec.Until)
@@ -132,7 +132,7 @@
 	begin := func() *trackerTest {
 		d := newTrackerTest(t)
 		d.addService(&api.ModelSheet{})
-		d.tracker.note(crashReport(fatalRequest, "r-0", "r-1", "r-2"), d.now)
+		d.tracker.addProxyReport(crashReport(fatalRequest, "r-0", "r-1", "r-2"), d.now)
 		d.reviewTwice(1)
 		must.Eq(t, api.QuarantineHeld, d.state())
 		d.step(1, 5*time.Minute)
@@ -141,7 +141,7 @@
 	}
 	t.Run("answered", func(t *testing.T) {
 		d := begin()
-		d.tracker.note(feed.EndReport{Served: []quarantine.Fingerprint{fatalRequest}}, d.now)
+		d.tracker.addProxyReport(feed.EndReport{Served: []quarantine.Fingerprint{fatalRequest}}, d.now)
 		d.step(1, time.Second)
 		must.Eq(t, "", d.state())
 	})
@@ -152,7 +152,7 @@
 			d.step(uint64(times+2), time.Second)
 			d.step(uint64(times+2), time.Second)
 			must.Eq(t, api.QuarantineTried, d.state())
-			d.tracker.note(crashReport(fatalRequest, fmt.Sprint("more-", times)), d.now)
+			d.tracker.addProxyReport(crashReport(fatalRequest, fmt.Sprint("more-", times)), d.now)
 			d.step(uint64(times+2), time.Second)
 			must.Eq(t, api.QuarantineHeld, d.state())
 			must.Eq(t, d.wall.Add(length).UnixMilli(), d.machine.View().Quarantines[fatalRequest.String()].Spec.Until)
@@ -164,7 +164,7 @@
 		d := begin()
 		d.step(1, trialDuration)
 		must.Eq(t, api.QuarantineWatched, d.state(), must.Sprint("not watched after a trial without crashes"))
-		d.tracker.note(crashReport(fatalRequest, "more"), d.now)
+		d.tracker.addProxyReport(crashReport(fatalRequest, "more"), d.now)
 		d.step(1, time.Second)
 		must.Eq(t, api.QuarantineHeld, d.state())
 	})
@@ -172,20 +172,20 @@
 
 func TestRecordIsRefuted(t *testing.T) {
 	d := newTrackerTest(t)
-	d.tracker.note(crashReport(fatalRequest, "r-0", "r-1", "r-2"), d.now)
+	d.tracker.addProxyReport(crashReport(fatalRequest, "r-0", "r-1", "r-2"), d.now)
 	d.reviewTwice(1)
 	must.Eq(t, api.QuarantineHeld, d.state())
-	d.tracker.note(feed.EndReport{Alive: []quarantine.Alive{{Replica: "r-1", For: quarantine.Ever}}}, d.now)
+	d.tracker.addProxyReport(feed.EndReport{Alive: []quarantine.Alive{{Replica: "r-1", For: quarantine.Ever}}}, d.now)
 	d.step(1, time.Second)
 	must.Eq(t, api.QuarantineWatched, d.state())
-	d.tracker.note(feed.EndReport{Served: []quarantine.Fingerprint{fatalRequest}}, d.now)
+	d.tracker.addProxyReport(feed.EndReport{Served: []quarantine.Fingerprint{fatalRequest}}, d.now)
 	d.step(1, time.Second)
 	must.Eq(t, "", d.state())
 
 	d = newTrackerTest(t)
-	d.tracker.note(crashReport(fatalRequest, "r-0", "r-1"), d.now)
+	d.tracker.addProxyReport(crashReport(fatalRequest, "r-0", "r-1"), d.now)
 	d.step(1, time.Second)
-	d.tracker.note(feed.EndReport{Served: []quarantine.Fingerprint{fatalRequest}}, d.now)
+	d.tracker.addProxyReport(feed.EndReport{Served: []quarantine.Fingerprint{fatalRequest}}, d.now)
 	_, refuted := d.tracker.review(1, d.machine.View(), d.now, d.wall)
 	d.tracker.restoreRefutations(refuted, d.now) // it was not committed
 	d.step(1, time.Second)
@@ -196,12 +196,12 @@
 // be in flight at the next crashes too.
 func TestClearanceOutlastsRecordEntry(t *testing.T) {
 	d := newTrackerTest(t)
-	d.tracker.note(crashReport(fatalRequest, "r-0", "r-1"), d.now)
+	d.tracker.addProxyReport(crashReport(fatalRequest, "r-0", "r-1"), d.now)
 	d.step(1, time.Second)
-	d.tracker.note(feed.EndReport{Served: []quarantine.Fingerprint{fatalRequest}}, d.now)
+	d.tracker.addProxyReport(feed.EndReport{Served: []quarantine.Fingerprint{fatalRequest}}, d.now)
 	d.step(1, time.Second)
 	must.Eq(t, "", d.state())
-	d.tracker.note(crashReport(fatalRequest, "r-2", "r-3"), d.now)
+	d.tracker.addProxyReport(crashReport(fatalRequest, "r-2", "r-3"), d.now)
 	d.step(1, time.Second)
 	must.Eq(t, "", d.state())
 }
@@ -226,20 +226,20 @@
 		return report
 	}
 	d := newTrackerTest(t)
-	d.tracker.note(crashReport(fatalRequest, "r-0", "r-1", "r-2"), d.now)
-	d.tracker.note(began("r-0", "r-1", "r-2"), d.now)
+	d.tracker.addProxyReport(crashReport(fatalRequest, "r-0", "r-1", "r-2"), d.now)
+	d.tracker.addProxyReport(began("r-0", "r-1", "r-2"), d.now)
 	d.reviewTwice(1)
 	must.Eq(t, api.QuarantineHeld, d.state())
-	d.tracker.note(crashReport(popular, "unrelated"), d.now)
+	d.tracker.addProxyReport(crashReport(popular, "unrelated"), d.now)
 	d.reviewTwice(1)
 	must.Eq(t, api.QuarantineWatched, stateOf(d, popular))
 	must.Eq(t, api.QuarantineHeld, d.state())
 
 	d = newTrackerTest(t)
-	d.tracker.note(crashReport(popular, "r-0", "r-1", "r-2"), d.now)
+	d.tracker.addProxyReport(crashReport(popular, "r-0", "r-1", "r-2"), d.now)
 	d.reviewTwice(1)
 	must.Eq(t, api.QuarantineHeld, stateOf(d, popular))
-	d.tracker.note(crashReport(fatalRequest, "r-0", "r-1", "r-2", "r-3", "r-4"), d.now)
+	d.tracker.addProxyReport(crashReport(fatalRequest, "r-0", "r-1", "r-2", "r-3", "r-4"), d.now)
 	d.reviewTwice(1)
 	must.Eq(t, api.QuarantineHeld, d.state())
 	d.step(1, 0)
@@ -260,7 +260,7 @@
 				}
 				report := crashReport(quarantine.Of(quarantine.Identity{Path: fmt.Sprint(request)}), fmt.Sprint("r-", number))
 				report.Ended[0].Alone, report.Ended[0].Began = random.IntN(6) == 0, random.IntN(4) == 0
-				d.tracker.note(report, d.now)
+				d.tracker.addProxyReport(report, d.now)
 			}
 			d.step(1, time.Duration(random.IntN(3000))*time.Millisecond)
 		}
@@ -281,7 +281,7 @@
 	d := newTrackerTest(t)
 	for i := range 2 * maxQuarantines {
 		request := quarantine.Of(quarantine.Identity{Path: fmt.Sprint(i)})
-		d.tracker.note(crashReport(request, fmt.Sprint("a-", i), fmt.Sprint("b-", i), fmt.Sprint("c-", i)), d.now)
+		d.tracker.addProxyReport(crashReport(request, fmt.Sprint("a-", i), fmt.Sprint("b-", i), fmt.Sprint("c-", i)), d.now)
 	}
 	d.step(1, time.Second)
 	d.step(1, time.Second)
@@ -292,13 +292,13 @@
 func TestIdleReviewDoesNothing(t *testing.T) {
 	tracker, current := newQuarantineTracker(), view.New()
 	for i := range 1000 { // as after the failure of a rack
-		tracker.note(crashReport(quarantine.Of(quarantine.Identity{Path: fmt.Sprint(i)}), "r-0"), 0)
+		tracker.addProxyReport(crashReport(quarantine.Of(quarantine.Identity{Path: fmt.Sprint(i)}), "r-0"), 0)
 	}
 	tracker.review(1, current, 0, time.Time{})
-	calm := 2 * reviewPeriod
-	changes, _ := tracker.review(1, current, calm, time.Now())
+	idle := 2 * reviewPeriod
+	changes, _ := tracker.review(1, current, idle, time.Now())
 	must.Eq(t, state.Observe{}, changes)
-	must.Zero(t, testing.AllocsPerRun(100, func() { tracker.review(1, current, calm, time.Time{}) }))
+	must.Zero(t, testing.AllocsPerRun(100, func() { tracker.review(1, current, idle, time.Time{}) }))
 }
 
 // A hold that results from one proxy's report reaches every proxy and survives a restart of the
@@ -307,8 +307,8 @@
 	g := newGrowing(t, 1, 1, 0)
 	g.start(0)
 	g.awaitVoters(1, 0)
-	client, _ := g.follow("proxy-1")
-	_, other := g.follow("proxy-2")
+	client, _ := g.subscribe("proxy-1")
+	_, other := g.subscribe("proxy-2")
 	eventually(t, "the client is connected", client.Connected)
 	must.True(t, client.ReportEnds(crashReport(fatalRequest, "r-0", "r-1", "r-2")))
 	held := func() bool {
@@ -318,7 +318,7 @@
 	eventually(t, "the hold reaches another proxy", held)
 	must.NoError(t, g.stop(0))
 	g.start(0)
-	_, fresh := g.follow("proxy-3")
+	_, fresh := g.subscribe("proxy-3")
 	eventually(t, "the hold reaches a proxy that starts later", func() bool { return fresh.Load().Quarantines[fatalRequest.String()] != nil })
 
 	path := operatorapi.PathQuarantine + "/"
@@ -339,10 +339,10 @@
 func TestSeriesOfCrashesRaisesAlert(t *testing.T) {
 	d := newTrackerTest(t)
 	name := string(fatalRequest[:])
-	d.tracker.note(crashReport(fatalRequest, "r-0"), d.now)
+	d.tracker.addProxyReport(crashReport(fatalRequest, "r-0"), d.now)
 	must.False(t, d.tracker.isAlert("s", d.now))
 	d.now += time.Second
-	d.tracker.note(crashReport(fatalRequest, "r-1"), d.now)
+	d.tracker.addProxyReport(crashReport(fatalRequest, "r-1"), d.now)
 	must.True(t, d.tracker.isAlert("s", d.now))
 	must.False(t, d.tracker.isAlert("other", d.now))
 	must.True(t, d.tracker.isSuspect(name, d.now))
@@ -355,7 +355,7 @@
 	for i := range rack.Ended {
 		rack.Ended[i].Ran = time.Second
 	}
-	d.tracker.note(rack, d.now)
+	d.tracker.addProxyReport(rack, d.now)
 	must.False(t, d.tracker.isAlert("s", d.now))
 }
 
@@ -367,9 +367,9 @@
 func TestPlacementRequestsOfSuspectsExtendAlert(t *testing.T) {
 	d := newTrackerTest(t)
 	name := string(fatalRequest[:])
-	d.tracker.note(crashReport(fatalRequest, "r-0"), d.now)
+	d.tracker.addProxyReport(crashReport(fatalRequest, "r-0"), d.now)
 	d.now += time.Second
-	d.tracker.note(crashReport(fatalRequest, "r-1"), d.now)
+	d.tracker.addProxyReport(crashReport(fatalRequest, "r-1"), d.now)
 	for range 3 {
 		d.now += alertDuration - time.Second
 		must.True(t, d.tracker.isAlert("s", d.now))
@@ -381,9 +381,9 @@
 // A new leader continues to isolate suspects, even if it received no report itself.
 func TestNextLeaderIsolatesSuspects(t *testing.T) {
 	d := newTrackerTest(t)
-	d.tracker.note(crashReport(fatalRequest, "r-0"), d.now)
+	d.tracker.addProxyReport(crashReport(fatalRequest, "r-0"), d.now)
 	d.now += time.Second
-	d.tracker.note(crashReport(fatalRequest, "r-1"), d.now)
+	d.tracker.addProxyReport(crashReport(fatalRequest, "r-1"), d.now)
 	d.step(1, time.Second)
 	must.Eq(t, api.QuarantineWatched, d.state())
 	d.tracker = newQuarantineTracker()
@@ -415,11 +415,11 @@
 // again, with a commit, at each review (soak seed 3037).
 func TestHoldAfterCrashAloneIsStable(t *testing.T) {
 	d := newTrackerTest(t)
-	d.tracker.note(crashReport(fatalRequest, "r-0"), d.now)
+	d.tracker.addProxyReport(crashReport(fatalRequest, "r-0"), d.now)
 	d.step(1, time.Second)
 	alone := crashReport(fatalRequest, "r-1")
 	alone.Ended[0].Alone = true
-	d.tracker.note(alone, d.now)
+	d.tracker.addProxyReport(alone, d.now)
 	d.reviewTwice(1)
 	must.Eq(t, api.QuarantineHeld, d.state())
 	for range 20 {
@@ -433,7 +433,7 @@
 		must.Eq(t, api.QuarantineHeld, d.state())
 	}
 	must.Eq(t, 1, d.machine.View().Quarantines[fatalRequest.String()].Spec.Times)
-	d.tracker.note(feed.EndReport{Alive: []quarantine.Alive{{Replica: "r-1", For: quarantine.Ever}}}, d.now)
+	d.tracker.addProxyReport(feed.EndReport{Alive: []quarantine.Alive{{Replica: "r-1", For: quarantine.Ever}}}, d.now)
 	d.step(2, time.Second)
 	must.NotEq(t, api.QuarantineHeld, d.state(), must.Sprint("held for a replica that is alive"))
 }
@@ -464,7 +464,7 @@
 	begin := func(model *api.ModelSheet) *trackerTest {
 		d := newTrackerTest(t)
 		d.addService(model)
-		d.tracker.note(simultaneousCrashReport(fatalRequest, "a", "b", "c"), d.now)
+		d.tracker.addProxyReport(simultaneousCrashReport(fatalRequest, "a", "b", "c"), d.now)
 		d.step(1, 50*time.Millisecond)
 		return d
 	}
@@ -475,14 +475,14 @@
 		first := until(d)
 		d.step(1, trialTurn)
 		must.Eq(t, first+trialTurn.Milliseconds(), until(d))
-		d.tracker.note(feed.EndReport{Served: []quarantine.Fingerprint{fatalRequest}}, d.now)
+		d.tracker.addProxyReport(feed.EndReport{Served: []quarantine.Fingerprint{fatalRequest}}, d.now)
 		d.step(1, 50*time.Millisecond)
 		must.Eq(t, "", d.state())
 	})
 	t.Run("crashes another replica", func(t *testing.T) {
 		d := begin(nil)
 		d.step(1, 3*time.Second)
-		d.tracker.note(crashReport(fatalRequest, "a-again"), d.now)
+		d.tracker.addProxyReport(crashReport(fatalRequest, "a-again"), d.now)
 		d.step(1, time.Second)
 		must.Eq(t, api.QuarantineHeld, d.state())
 		d.step(1, time.Second)
@@ -517,22 +517,22 @@
 	served := feed.EndReport{Served: []quarantine.Fingerprint{fatalRequest}}
 	t.Run("before the record is loaded", func(t *testing.T) {
 		d := newTrackerTest(t)
-		d.tracker.note(crashReport(fatalRequest, "r-0", "r-1"), d.now)
+		d.tracker.addProxyReport(crashReport(fatalRequest, "r-0", "r-1"), d.now)
 		d.step(1, time.Second)
 		must.Eq(t, api.QuarantineWatched, d.state())
 		d.tracker = newQuarantineTracker()
-		d.tracker.note(served, d.now)
+		d.tracker.addProxyReport(served, d.now)
 		d.step(2, 50*time.Millisecond)
 		must.Eq(t, "", d.state())
-		d.tracker.note(crashReport(fatalRequest, "r-2"), d.now)
+		d.tracker.addProxyReport(crashReport(fatalRequest, "r-2"), d.now)
 		d.step(2, 2*time.Second)
 		d.step(2, time.Second)
 		must.Eq(t, "", d.state())
 	})
 	t.Run("before the crashes are reported", func(t *testing.T) {
 		d := newTrackerTest(t)
-		d.tracker.note(served, d.now)
-		d.tracker.note(crashReport(fatalRequest, "r-0", "r-1", "r-2"), d.now)
+		d.tracker.addProxyReport(served, d.now)
+		d.tracker.addProxyReport(crashReport(fatalRequest, "r-0", "r-1", "r-2"), d.now)
 		d.reviewTwice(1)
 		must.Eq(t, "", d.state())
 	})
@@ -549,7 +549,7 @@
 	for i := range 3 {
 		must.False(t, d.tracker.isJudged(name, d.now), must.Sprint(i, " crashes"))
 		d.now += time.Second
-		d.tracker.note(crashReport(fatalRequest, fmt.Sprint("r-", i)), d.now)
+		d.tracker.addProxyReport(crashReport(fatalRequest, fmt.Sprint("r-", i)), d.now)
 	}
 	must.True(t, d.tracker.isJudged(name, d.now), must.Sprint("a copy was let through before the next review"))
 	must.False(t, d.tracker.isJudged("", d.now))
@@ -569,7 +569,7 @@
 func TestNewLeaderSendsOneCopyBeforeInitialReports(t *testing.T) {
 	d := newTrackerTest(t)
 	name := string(fatalRequest[:])
-	d.tracker.note(crashReport(fatalRequest, "r-0", "r-1", "r-2"), d.now)
+	d.tracker.addProxyReport(crashReport(fatalRequest, "r-0", "r-1", "r-2"), d.now)
 	d.reviewTwice(1)
 	for term := uint64(2); term < 4; term++ {
 		d.tracker = newQuarantineTracker()
@@ -579,7 +579,7 @@
 			d.now += takeoverDelay / 4
 			must.True(t, d.tracker.isJudged(name, d.now))
 		}
-		d.tracker.note(feed.EndReport{Served: []quarantine.Fingerprint{fatalRequest}}, d.now)
+		d.tracker.addProxyReport(feed.EndReport{Served: []quarantine.Fingerprint{fatalRequest}}, d.now)
 		must.False(t, d.tracker.isJudged(name, d.now), must.Sprint("refused although it was served"))
 	}
 }
@@ -588,10 +588,10 @@
 // before the decision, since a successful answer would clear it.
 func TestRequestThatAnAnswerCanClearIsSent(t *testing.T) {
 	d := newTrackerTest(t)
-	d.tracker.note(crashReport(fatalRequest, "r-0"), d.now)
+	d.tracker.addProxyReport(crashReport(fatalRequest, "r-0"), d.now)
 	d.now += time.Second
 	alone := crashReport(fatalRequest, "r-1")
 	alone.Ended[0].Alone = true
-	d.tracker.note(alone, d.now)
+	d.tracker.addProxyReport(alone, d.now)
 	must.False(t, d.tracker.isJudged(string(fatalRequest[:]), d.now))
 }
--- a/process/control/quarantine_trial_test.go
+++ b/process/control/quarantine_trial_test.go
@@ -15,17 +15,17 @@
 // again and again: each leader learns first of the crashes at which the request was in flight, and of
 // its successful answers only after it has started a trial (soak seed 3024).
 func TestNewLeaderStartsNoTrialBeforeInitialReports(t *testing.T) {
-	stoodAtThree := func() feed.EndReport { return simultaneousCrashReport(fatalRequest, "a", "b", "c") }
+	threeCrashes := func() feed.EndReport { return simultaneousCrashReport(fatalRequest, "a", "b", "c") }
 	served := feed.EndReport{Served: []quarantine.Fingerprint{fatalRequest}}
 	t.Run("served under leaders that last two seconds", func(t *testing.T) {
 		d := newTrackerTest(t)
 		d.addService(nil)
 		for term := uint64(2); term < 12; term++ {
 			d.tracker = newQuarantineTracker()
-			d.tracker.note(stoodAtThree(), d.now)
+			d.tracker.addProxyReport(threeCrashes(), d.now)
 			d.step(term, 50*time.Millisecond)
 			must.NotEq(t, api.QuarantineTried, d.state(), must.Sprint("term ", term))
-			d.tracker.note(served, d.now+takeoverDelay-100*time.Millisecond)
+			d.tracker.addProxyReport(served, d.now+takeoverDelay-100*time.Millisecond)
 			d.step(term, takeoverDelay)
 			must.Eq(t, "", d.state(), must.Sprint("term ", term))
 			d.step(term, time.Second)
@@ -37,7 +37,7 @@
 		d.addService(nil)
 		for term := uint64(2); term < 12; term++ {
 			d.tracker = newQuarantineTracker()
-			d.tracker.note(stoodAtThree(), d.now)
+			d.tracker.addProxyReport(threeCrashes(), d.now)
 			d.step(term, takeoverDelay-50*time.Millisecond)
 			must.NotEq(t, api.QuarantineTried, d.state(), must.Sprint("term ", term))
 		}
@@ -46,7 +46,7 @@
 		d := newTrackerTest(t)
 		d.addService(nil)
 		d.tracker = newQuarantineTracker()
-		d.tracker.note(stoodAtThree(), d.now)
+		d.tracker.addProxyReport(threeCrashes(), d.now)
 		d.step(2, 50*time.Millisecond)
 		must.Eq(t, api.QuarantineWatched, d.state())
 		d.step(2, takeoverDelay)
@@ -55,7 +55,7 @@
 	t.Run("trial of an earlier leader continues", func(t *testing.T) {
 		d := newTrackerTest(t)
 		d.addService(nil)
-		d.tracker.note(stoodAtThree(), d.now)
+		d.tracker.addProxyReport(threeCrashes(), d.now)
 		d.step(1, 50*time.Millisecond)
 		must.Eq(t, api.QuarantineTried, d.state())
 		d.tracker = newQuarantineTracker()
--- a/process/control/quota_test.go
+++ b/process/control/quota_test.go
@@ -50,8 +50,8 @@
 // All proxies draw on one quota, whose usage is visible to operators.
 func TestProxiesShareOneQuota(t *testing.T) {
 	g := newQuotaGroup(t, api.Quota{Unit: api.QuotaTokens, PerSecond: 0.001, Burst: 1000})
-	first, _ := g.follow("proxy-1")
-	second, _ := g.follow("proxy-2")
+	first, _ := g.subscribe("proxy-1")
+	second, _ := g.subscribe("proxy-2")
 	must.False(t, g.awaitCharge(first, "north", 100).Granted, must.Sprint("a new account granted a charge"))
 	raised := ingressOf(2, "")
 	raised.KeysRequired = true
@@ -79,7 +79,7 @@
 // has granted.
 func TestNextLeaderStartsWithEmptyAccount(t *testing.T) {
 	g := newQuotaGroup(t, api.Quota{Unit: api.QuotaTokens, PerSecond: 20, Burst: 200})
-	client, _ := g.follow("proxy-1")
+	client, _ := g.subscribe("proxy-1")
 	eventually(t, "the whole burst is granted", func() bool { return g.awaitCharge(client, "north", 200).Granted })
 	g.crash(g.leader())
 	eventually(t, "another leader is elected", client.Connected)
@@ -131,7 +131,7 @@
 	ctx, stop := context.WithCancel(t.Context())
 	const cost, proxies = 10.0, 4
 	for i := range proxies {
-		client, _ := g.follow(fmt.Sprint("proxy-", i))
+		client, _ := g.subscribe(fmt.Sprint("proxy-", i))
 		requests.Go(func() {
 			for pause.For(ctx, time.Duration(proxies*cost/(4*limit.PerSecond)*float64(time.Second))) {
 				requestCtx, cancel := context.WithTimeout(ctx, 30*time.Millisecond)
--- a/process/control/roles.go
+++ b/process/control/roles.go
@@ -78,7 +78,7 @@
 // roleTermState is the state of role changes in one term. Only the leader's loop uses it, except
 // for fenced.
 type roleTermState struct {
-	next time.Duration // when the role balance is next checked
+	nextCheck time.Duration // when the role balance is next checked
 	// lastPrefillAt is when a replica was last told to take the prefill role.
 	lastPrefillAt time.Duration
 	// fenced is set once a replica has seen a newer leader; this one then sends no more orders.
@@ -87,13 +87,13 @@
 
 // manageRoles changes the roles of replicas where this benefits the requests of their service.
 func (d *duties) manageRoles(term *termDuties, now time.Duration) {
-	if d.group.config.Roles == nil || !d.group.config.ChangeRoles || term.roles.fenced.Load() || now < term.roles.next {
+	if d.group.config.Roles == nil || !d.group.config.ChangeRoles || term.roles.fenced.Load() || now < term.roles.nextCheck {
 		return
 	}
 	if now-term.startedAt < d.group.config.Durations.OrderSettle {
 		return
 	}
-	term.roles.next = now + roleCheckInterval
+	term.roles.nextCheck = now + roleCheckInterval
 	current := d.group.machine.view()
 	for _, service := range d.group.desk.services() {
 		d.balanceRoles(term, current, service)
@@ -104,7 +104,7 @@
 // settled once no replica was told to take the prefill role for planner.ReversalPause.
 func (d *duties) balanceRoles(term *termDuties, current *view.View, service string) {
 	now := monotonic()
-	load := d.group.desk.load(d.group.machine.history.Load(), service, now)
+	load := d.group.desk.serviceLoad(d.group.machine.history.Load(), service, now)
 	load.Settled = now-max(term.roles.lastPrefillAt, term.startedAt) >= planner.ReversalPause
 	changes := planner.Balance(load)
 	if len(changes) == 0 {
@@ -172,7 +172,7 @@
 // awaitIdle waits until the replica has no requests in flight, at most for drainTimeout.
 func (d *duties) awaitIdle(ctx context.Context, service, replica string) {
 	for waited := time.Duration(0); waited < drainTimeout; waited += drainPoll {
-		if d.group.desk.idle(service, replica) || !pause.For(ctx, drainPoll) {
+		if d.group.desk.isIdle(service, replica) || !pause.For(ctx, drainPoll) {
 			return
 		}
 	}
@@ -185,9 +185,9 @@
 	return slices.Sorted(maps.Keys(d.boards))
 }
 
-// load returns the load of a service according to its board, which must exist, after applying the
+// serviceLoad returns the load of a service according to its board, which must exist, after applying the
 // view.
-func (d *placementDesk) load(current *view.History, service string, now time.Duration) planner.ServiceLoad {
+func (d *placementDesk) serviceLoad(current *view.History, service string, now time.Duration) planner.ServiceLoad {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	d.update(current)
@@ -221,8 +221,8 @@
 	d.boards[service].Change(now, replica, placed, duration, drainTimeout+duration+changeSlack)
 }
 
-// idle reports whether the replica has no requests in flight.
-func (d *placementDesk) idle(service, replica string) bool {
+// isIdle reports whether the replica has no requests in flight.
+func (d *placementDesk) isIdle(service, replica string) bool {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	return d.boards[service].Idle(replica)
--- a/process/control/roles_test.go
+++ b/process/control/roles_test.go
@@ -52,10 +52,10 @@
 
 // newRoleDuties returns the tasks of a leader in term 7 whose lease is given by the test.
 func newRoleDuties(roles RoleOrders, lease func() (uint64, bool)) (*duties, *termDuties) {
-	desk := newPlacementDesk()
-	desk.update(modelView(1, "r-1"))
+	boards := newPlacementDesk()
+	boards.update(modelView(1, "r-1"))
 	d := &duties{
-		group:  &group{desk: desk, config: Config{Name: "member-1", Roles: roles, ChangeRoles: true}.WithDefaults()},
+		group:  &group{desk: boards, config: Config{Name: "member-1", Roles: roles, ChangeRoles: true}.WithDefaults()},
 		logger: log.NewNopLogger(),
 		lease:  func(context.Context) (uint64, bool) { return lease() },
 	}
@@ -100,9 +100,9 @@
 	d.changeRole(t.Context(), term, "chat", replica, api.RolePrefill)
 	must.SliceLen(t, 1, roles.orders())
 	must.True(t, term.roles.fenced.Load())
-	before := term.roles.next
+	before := term.roles.nextCheck
 	d.manageRoles(term, time.Hour)
-	must.Eq(t, before, term.roles.next)
+	must.Eq(t, before, term.roles.nextCheck)
 }
 
 // Replicas keep their roles if role changes are disabled or no RoleOrders are configured.
@@ -112,7 +112,7 @@
 			d, term := newRoleDuties(&fakeRoles{}, func() (uint64, bool) { return 7, true })
 			d.group.config = config.WithDefaults()
 			d.manageRoles(term, time.Hour)
-			must.Eq(t, 0, term.roles.next)
+			must.Eq(t, 0, term.roles.nextCheck)
 		})
 	}
 }
@@ -120,17 +120,17 @@
 // A replica that is changing its role gets no new requests until it is listed with its new role
 // or the change is considered failed.
 func TestNoPlacementDuringRoleChange(t *testing.T) {
-	desk := newPlacementDesk()
+	boards := newPlacementDesk()
 	request := feed.PlaceRequest{Service: "chat", Number: 1, Ask: placement.Ask{Prompt: 100, Output: 10, Deadline: time.Second}}
 	place := func(revision uint64, now time.Duration) string {
-		answer, _ := desk.place(modelView(revision, "r-1"), "proxy-1", request, false, now)
+		answer, _ := boards.place(modelView(revision, "r-1"), "proxy-1", request, false, now)
 		return answer.Generator
 	}
 	must.Eq(t, "r-1", place(1, 0))
-	desk.startRoleChange("chat", "r-1", api.RoleDecode, time.Second, 0)
+	boards.startRoleChange("chat", "r-1", api.RoleDecode, time.Second, 0)
 	must.Eq(t, "", place(1, 500*time.Millisecond))
 	must.Eq(t, "r-1", place(1, 1100*time.Millisecond))
-	desk.startRoleChange("chat", "r-1", api.RolePrefill, time.Second, 2*time.Second)
+	boards.startRoleChange("chat", "r-1", api.RolePrefill, time.Second, 2*time.Second)
 	must.Eq(t, "", place(1, 4*time.Second), must.Sprint("it is still listed with its old role"))
 	must.Eq(t, "r-1", place(1, time.Minute), must.Sprint("the change is considered failed"))
 }
--- a/process/control/run.go
+++ b/process/control/run.go
@@ -45,7 +45,7 @@
 	for {
 		err := Run(ctx, config, logger)
 		if isFinal(ctx, config.Join, err) {
-			return runResult(ctx, config.Join, err)
+			return finalResult(ctx, config.Join, err)
 		}
 		delay := storageRetryDelay
 		if errors.Is(err, ErrRemoved) {
@@ -68,9 +68,9 @@
 	return errors.Is(err, ErrRemoved) && !rejoins
 }
 
-// runResult returns the error with which RunAgain ends. A removal is not an error if the member would have
-// rejoined, had it not been asked to stop in the meantime.
-func runResult(ctx context.Context, rejoins bool, err error) error {
+// finalResult returns the error with which RunAgain ends. A removal is not an error if the member
+// would have rejoined, had it not been asked to stop in the meantime.
+func finalResult(ctx context.Context, rejoins bool, err error) error {
 	if errors.Is(err, ErrRemoved) && rejoins && ctx.Err() != nil {
 		return nil
 	}
@@ -130,7 +130,7 @@
 	case <-ctx.Done():
 		return m.stop(cancelBackground)
 	case <-m.replica.Done():
-		return m.fail(cancelBackground)
+		return m.stopAfterFailure(cancelBackground)
 	case <-m.removed:
 		if err := m.stop(cancelBackground); err != nil {
 			return err
@@ -174,7 +174,7 @@
 	m.background.Go(func() { m.join(backgroundCtx) })
 	m.background.Go(func() { m.duties.run(backgroundCtx) })
 	m.background.Go(func() { m.group.Load().logPlacementSummaries(backgroundCtx) })
-	m.background.Go(func() { m.evidence.run(backgroundCtx) })
+	m.background.Go(func() { m.evidence.runWriter(backgroundCtx) })
 	m.background.Go(func() { m.evidence.tell(backgroundCtx) })
 	for _, extension := range m.config.Extensions {
 		m.background.Go(func() { extension(backgroundCtx, &Access{member: m}) })
@@ -211,15 +211,15 @@
 	m.replica = started
 	m.initialized.Store(true)
 	m.group.Store(&group{
-		replica:  started,
-		machine:  m.machine,
-		config:   m.config,
-		demand:   newDemandTable(time.Now()),
-		presence: newPresenceTable(),
-		usage:    newUsageDesk(),
-		day:      metering.NewAgreement(monotonic, time.Now),
-		desk:     newPlacementDesk(),
-		quotas:   newQuotaDesk(m.config.Quotas),
+		replica:    started,
+		machine:    m.machine,
+		config:     m.config,
+		demand:     newDemandTable(time.Now()),
+		presence:   newPresenceTable(),
+		usage:      newUsageDesk(),
+		agreedTime: metering.NewAgreement(monotonic, time.Now),
+		desk:       newPlacementDesk(),
+		quotas:     newQuotaDesk(m.config.Quotas),
 
 		evidence: m.evidence,
 		metrics:  m.metrics,
@@ -285,7 +285,7 @@
 // probeAddresses probes the configured addresses of members that the state does not contain yet.
 func (m *member) probeAddresses(ctx context.Context) {
 	for {
-		for _, configured := range m.addresses.unprobedMembers() {
+		for _, configured := range m.addresses.membersWithUnknownID() {
 			// An address that does not reply is probed again in the next round.
 			_, _ = m.addresses.probe(ctx, configured)
 		}
--- a/process/control/scaling.go
+++ b/process/control/scaling.go
@@ -51,7 +51,7 @@
 // it, except for what callGuard protects.
 type capacityTermState struct {
 	callGuard
-	next time.Duration // when the capacity is next planned
+	nextCheck time.Duration // when the capacity is next planned
 	// listed is the number of listed replicas by service, with the time since when it has been the
 	// same.
 	listed map[string]listedSince
@@ -80,8 +80,8 @@
 	at time.Duration
 	// outcome is the result of that order.
 	outcome DutyOutcome
-	// unsureUntil is the time until which an unanswered order may still be executed.
-	unsureUntil     time.Duration
+	// mayExecuteUntil is the time until which an unanswered order may still be executed.
+	mayExecuteUntil time.Duration
 	noCapacityPause time.Duration // pause after the last result of DutyDry
 }
 
@@ -97,10 +97,10 @@
 // manageCapacity decides how many replicas each zone should have, and orders them.
 func (d *duties) manageCapacity(ctx context.Context, term *termDuties) {
 	now := monotonic()
-	if d.group.config.Capacity == nil || now < term.capacity.next {
+	if d.group.config.Capacity == nil || now < term.capacity.nextCheck {
 		return
 	}
-	term.capacity.next = now + capacityCheckInterval
+	term.capacity.nextCheck = now + capacityCheckInterval
 	term.capacity.collectResults(now)
 	listed, reads := d.fleet.replicas()
 	ingress := d.group.machine.view().Ingresses[api.IngressName]
@@ -216,7 +216,7 @@
 		known.outcome, known.at = result.outcome, now
 		switch result.outcome {
 		case DutyUnanswered:
-			known.unsureUntil = now + orderExpiry
+			known.mayExecuteUntil = now + orderExpiry
 		case DutyDry:
 			known.noCapacityPause = min(max(2*known.noCapacityPause, platformCallPause), maxNoCapacityPause)
 		default:
@@ -281,7 +281,7 @@
 		return now-known.at >= known.noCapacityPause
 	case known.outcome != DutyDone:
 		return now-known.at >= platformCallPause
-	case now < known.unsureUntil:
+	case now < known.mayExecuteUntil:
 		return now-known.at >= orderRepeatInterval
 	default:
 		return ready < wanted && now-known.at >= boot+orderListTime
--- a/process/control/scaling_test.go
+++ b/process/control/scaling_test.go
@@ -84,9 +84,9 @@
 // newScalingGroup returns a group and a platform with 20 lasting replicas per zone.
 func newScalingGroup(t *testing.T) (*growing, *fakePlatform) {
 	g := newGrowing(t, 3, 3, 1)
-	market := newFakePlatform(g.fleet, 20, "a", "b", "c")
+	platform := newFakePlatform(g.fleet, 20, "a", "b", "c")
 	for i := range g.configs {
-		g.configs[i].Capacity = market
+		g.configs[i].Capacity = platform
 		g.configs[i].Durations.OrderSettle = time.Millisecond
 	}
 	g.start(0, 1, 2)
@@ -94,7 +94,7 @@
 	spec := ingressOf(1, "")
 	spec.Services = append(spec.Services, api.RouteService{Name: "llm", Scaling: &api.ScalingSheet{Min: 1, Max: 60, WithdrawablePrice: 0.2}})
 	must.Eq(t, api.ReplaceApplied, g.replaceIngress(0, spec).Code)
-	return g, market
+	return g, platform
 }
 
 // Withdrawable replicas, the cheaper kind, are ordered first, and lasting ones are reduced to
@@ -102,25 +102,25 @@
 // has capacity. A new leader continues from the decisions made, and does not take the present
 // capacity for the initial one.
 func TestCapacityIsOrdered(t *testing.T) {
-	g, market := newScalingGroup(t)
+	g, platform := newScalingGroup(t)
 	settled := func() bool {
 		for _, zone := range []string{"a", "b", "c"} {
-			if market.count(zone, false) != 2 || market.count(zone, true) != 27 {
+			if platform.count(zone, false) != 2 || platform.count(zone, true) != 27 {
 				return false
 			}
 		}
 		return true
 	}
 	eventually(t, "the wanted capacity is reached", settled)
-	market.lock.Lock()
-	for _, order := range market.orders[:3] {
+	platform.lock.Lock()
+	for _, order := range platform.orders[:3] {
 		must.True(t, order.Withdrawable, must.Sprint("no replicas are given up first"))
 	}
-	market.lock.Unlock()
-	market.withdraw("b")
+	platform.lock.Unlock()
+	platform.withdraw("b")
 	time.Sleep(300 * time.Millisecond)
-	must.Eq(t, 2, market.count("a", false))
-	market.restock("b")
+	must.Eq(t, 2, platform.count("a", false))
+	platform.restock("b")
 	eventually(t, "the zone's replicas are replaced", settled)
 
 	g.crash(g.leader())
@@ -135,16 +135,18 @@
 // When two zones lose their withdrawable replicas at once, lasting ones replace them until they
 // are back.
 func TestLastingReplicasReplaceWithdrawnOnes(t *testing.T) {
-	_, market := newScalingGroup(t)
+	_, platform := newScalingGroup(t)
 	eventually(t, "the wanted capacity is reached", func() bool {
-		return market.count("a", false) == 2 && market.count("c", false) == 2 && market.count("a", true) == 27
+		return platform.count("a", false) == 2 && platform.count("c", false) == 2 && platform.count("a", true) == 27
 	})
-	market.withdraw("a")
-	market.withdraw("b")
-	eventually(t, "additional lasting replicas are ordered", func() bool { return market.count("a", false)+market.count("b", false)+market.count("c", false) >= 33 })
-	market.restock("a")
-	market.restock("b")
-	eventually(t, "the wanted capacity is reached again", func() bool { return market.count("a", false) == 2 && market.count("b", true) == 27 })
+	platform.withdraw("a")
+	platform.withdraw("b")
+	eventually(t, "additional lasting replicas are ordered", func() bool {
+		return platform.count("a", false)+platform.count("b", false)+platform.count("c", false) >= 33
+	})
+	platform.restock("a")
+	platform.restock("b")
+	eventually(t, "the wanted capacity is reached again", func() bool { return platform.count("a", false) == 2 && platform.count("b", true) == 27 })
 }
 
 // An order is due if its number is new, it was not executed, an older order may still override
@@ -167,17 +169,17 @@
 		{"refused, later", &orderState{ordered: 5, outcome: DutyRefused}, 5, 0, platformCallPause, true},
 		{"no capacity, at once", &orderState{ordered: 5, outcome: DutyDry, noCapacityPause: time.Second}, 5, 0, 900 * time.Millisecond, false},
 		{"no capacity, later", &orderState{ordered: 5, outcome: DutyDry, noCapacityPause: time.Second}, 5, 0, time.Second, true},
-		{"an older order may still be executed", &orderState{ordered: 5, outcome: DutyDone, unsureUntil: orderExpiry}, 5, 5, orderRepeatInterval, true},
+		{"an older order may still be executed", &orderState{ordered: 5, outcome: DutyDone, mayExecuteUntil: orderExpiry}, 5, 5, orderRepeatInterval, true},
 		{"replicas starting", &orderState{ordered: 5, outcome: DutyDone}, 5, 0, boot, false},
 		{"no effect in time", &orderState{ordered: 5, outcome: DutyDone}, 5, 0, boot + orderListTime, true},
 	}
 	for _, each := range cases {
 		t.Run(each.name, func(t *testing.T) {
-			duty := newCapacityTermState()
+			capacity := newCapacityTermState()
 			if each.known != nil {
-				duty.orders[key] = each.known
+				capacity.orders[key] = each.known
 			}
-			must.Eq(t, each.due, duty.isDue(key, each.wanted, each.ready, 0, boot, each.now))
+			must.Eq(t, each.due, capacity.isDue(key, each.wanted, each.ready, 0, boot, each.now))
 		})
 	}
 	lasting := newCapacityTermState()
--- a/process/control/server.go
+++ b/process/control/server.go
@@ -62,7 +62,7 @@
 	s := &operatorServer{
 		member:     m,
 		slots:      make(chan struct{}, m.config.Limits.MaxOperatorConnections),
-		forwarding: newForwardingClient(),
+		forwarding: newMemberClient(),
 	}
 	routes.AddRoutes(s.routes())
 	built, err := rest.NewServerless(routes)
--- a/process/control/status.go
+++ b/process/control/status.go
@@ -22,7 +22,7 @@
 	s.leased(w, r, func(current *group, term uint64) {
 		raftStatus := current.replica.Status()
 		currentView := current.machine.view()
-		condition := s.member.health(raftStatus)
+		tolerance := s.member.faultTolerance(raftStatus)
 		daemons := s.member.feed.Daemons(currentView.Version.Revision)
 		writeJSON(w, http.StatusOK, operatorapi.Status{
 			Leader:        s.member.config.Name,
@@ -30,8 +30,8 @@
 			Revision:      currentView.Version.Revision,
 			Commit:        raftStatus.Commit,
 			Members:       memberList(current, raftStatus),
-			FurtherLosses: condition.furtherLosses,
-			Repairing:     condition.repairing,
+			FurtherLosses: tolerance.furtherLosses,
+			Repairing:     tolerance.repairing,
 			Engines:       s.engineSummaries(currentView),
 			Daemons:       daemons.Leased,
 			DaemonsBehind: daemons.Behind,
@@ -39,14 +39,14 @@
 	})
 }
 
-// health returns the group's health as known to this member as leader. Without a term it uses the
+// faultTolerance returns the group's fault tolerance as known to this member as leader. Without a term it uses the
 // current commit index instead of that of the previous round.
-func (m *member) health(status raft.Status) health {
+func (m *member) faultTolerance(status raft.Status) faultTolerance {
 	commit := status.Commit
-	if duties := m.duties.current(); duties != nil {
-		commit = duties.lastCommit()
+	if term := m.duties.current(); term != nil {
+		commit = term.lastCommit()
 	}
-	return m.group.Load().health(status, commit)
+	return m.group.Load().faultTolerance(status, commit)
 }
 
 // memberList returns the members of the configuration as seen by the leader.
@@ -116,12 +116,12 @@
 	for name := range currentView.Engines {
 		silent[name] = true
 	}
-	duties := s.member.duties.current()
-	if duties == nil {
+	term := s.member.duties.current()
+	if term == nil {
 		return silent
 	}
 	oldest := monotonic() - s.member.config.Durations.silenceOf(len(currentView.Engines))
-	for name, seen := range duties.poller.Seen() {
+	for name, seen := range term.poller.Seen() {
 		silent[name] = seen.AskedAt < oldest || seen.State.Engine != name
 	}
 	return silent
@@ -154,7 +154,7 @@
 func (s *operatorServer) ledger(w http.ResponseWriter, r *http.Request, _ []byte) {
 	tenant, key := r.URL.Query().Get("tenant"), r.URL.Query().Get("key")
 	if key == "" {
-		writeInvalidBody(w, api.FieldFault{Field: "key", Message: "is required"})
+		writeInvalidRequest(w, api.FieldFault{Field: "key", Message: "is required"})
 		return
 	}
 	s.leased(w, r, func(current *group, _ uint64) {
@@ -206,7 +206,7 @@
 	if err != nil {
 		return operatorapi.MemberSelf{}, errors.Wrap(err, "control: fetch member status")
 	}
-	client := newForwardingClient()
+	client := newMemberClient()
 	response, err := client.Do(request)
 	if err != nil {
 		return operatorapi.MemberSelf{}, errors.Wrap(err, "control: fetch member status")
--- a/process/control/stop.go
+++ b/process/control/stop.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// fail stops the member after its storage has failed and returns the storage error.
-func (m *member) fail(cancelBackground context.CancelFunc) error {
+// stopAfterFailure stops the member after its storage has failed and returns the storage error.
+func (m *member) stopAfterFailure(cancelBackground context.CancelFunc) error {
 	err := m.replica.Err()
 	event.ControlFailed.Log(m.logger, "err", err)
 	m.duties.stop()
--- a/process/control/unrecorded.go
+++ b/process/control/unrecorded.go
@@ -67,10 +67,10 @@
 	return g.evidence.desk.unrecordedReport(g.Leadership().Leads, monotonic())
 }
 
-// follow applies a change of the record at a member that does not lead, and reports whether the
+// applyRecordChange applies a change of the record at a member that does not lead, and reports whether the
 // table changed. It drops the evidence for entries that the leader removed or reduced; the next
 // leader would otherwise restore them from it.
-func (d *quarantineTracker) follow(before, current map[string]*api.Quarantine, now time.Duration) (changed bool) {
+func (d *quarantineTracker) applyRecordChange(before, current map[string]*api.Quarantine, now time.Duration) (changed bool) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	changeCount := d.table.News()
--- a/process/control/unrecorded_test.go
+++ b/process/control/unrecorded_test.go
@@ -25,10 +25,10 @@
 		return len(report.Ended)
 	}
 	d.tracker.markRecorded(d.tracker.changeCount(), d.now)
-	d.tracker.note(crashReport(fatalRequest, "r-0"), d.now)
+	d.tracker.addProxyReport(crashReport(fatalRequest, "r-0"), d.now)
 	must.Zero(t, reported(false))
 	d.now += time.Second
-	d.tracker.note(crashReport(fatalRequest, "r-1"), d.now)
+	d.tracker.addProxyReport(crashReport(fatalRequest, "r-1"), d.now)
 	must.Eq(t, 2, reported(false))
 	d.now += maxRecordLag
 	must.Eq(t, 2, reported(true), must.Sprint("evidence missing although the record lags behind"))
@@ -36,7 +36,7 @@
 	must.Eq(t, []time.Duration{time.Second + maxRecordLag, maxRecordLag}, []time.Duration{report.Ended[0].Age, report.Ended[1].Age})
 	d.tracker.markRecorded(changeCount, d.now)
 	must.Zero(t, reported(true))
-	d.tracker.note(crashReport(fatalRequest, "r-2"), d.now)
+	d.tracker.addProxyReport(crashReport(fatalRequest, "r-2"), d.now)
 	must.Zero(t, reported(true), must.Sprint("evidence sent while the commit may still be in progress"))
 	must.Eq(t, 3, reported(false))
 	d.now += maxRecordLag
@@ -168,8 +168,8 @@
 	}
 	must.SliceEmpty(t, ages(time.Now()))
 	member := open()
-	member.desk.merge(crashReport(fatalRequest, "r-0"), time.Second)
-	member.desk.merge(crashReport(fatalRequest, "r-1"), 3*time.Second)
+	member.desk.addEvidence(crashReport(fatalRequest, "r-0"), time.Second)
+	member.desk.addEvidence(crashReport(fatalRequest, "r-1"), 3*time.Second)
 	stored, err := member.save(4 * time.Second)
 	must.NoError(t, err)
 	must.Eq(t, 2, stored)
@@ -194,7 +194,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		member.run(ctx)
+		member.runWriter(ctx)
 	}()
 	for i := range 3 {
 		member.note(crashReport(fatalRequest, fmt.Sprint("r-", i)), monotonic())
@@ -218,16 +218,16 @@
 	}
 	begin := func() *quarantineTracker {
 		tracker := newQuarantineTracker()
-		tracker.merge(crashReport(fatalRequest, "r-0", "r-1", "r-2"), time.Second)
-		must.False(t, tracker.follow(nil, recorded("r-0", "r-1", "r-2"), time.Second))
+		tracker.addEvidence(crashReport(fatalRequest, "r-0", "r-1", "r-2"), time.Second)
+		must.False(t, tracker.applyRecordChange(nil, recorded("r-0", "r-1", "r-2"), time.Second))
 		must.Eq(t, 3, tracker.table.CountEnds(fatalRequest))
 		return tracker
 	}
 	tracker := begin()
-	must.True(t, tracker.follow(recorded("r-0", "r-1", "r-2"), recorded("r-1", "r-2"), time.Second))
+	must.True(t, tracker.applyRecordChange(recorded("r-0", "r-1", "r-2"), recorded("r-1", "r-2"), time.Second))
 	must.Eq(t, 2, tracker.table.CountEnds(fatalRequest), must.Sprint("an expired hold keeps two crashes"))
 	must.SliceEmpty(t, tracker.observations(time.Second), must.Sprint("the remaining crashes are in the record"))
 	tracker = begin()
-	must.True(t, tracker.follow(recorded("r-0", "r-1", "r-2"), map[string]*api.Quarantine{}, time.Second))
+	must.True(t, tracker.applyRecordChange(recorded("r-0", "r-1", "r-2"), map[string]*api.Quarantine{}, time.Second))
 	must.Eq(t, 0, tracker.table.CountEnds(fatalRequest), must.Sprint("the request was released"))
 }
--- a/process/control/usage.go
+++ b/process/control/usage.go
@@ -94,7 +94,7 @@
 
 // take removes and returns counters to commit, the oldest windows first. It drops the counters of
 // windows that are already decided.
-func (u *usageDesk) take(decided int64) []state.UsageCount {
+func (u *usageDesk) takePending(decided int64) []state.UsageCount {
 	u.lock.Lock()
 	defer u.lock.Unlock()
 	var counts []state.UsageCount
@@ -183,14 +183,14 @@
 
 // Day returns the group's wall-clock time in milliseconds, which a minority of wrong clocks
 // cannot change.
-func (g *group) Day() int64 { return g.day.Now().UnixMilli() }
+func (g *group) Day() int64 { return g.agreedTime.Now().UnixMilli() }
 
 // usageTermState is the state of usage reporting in one term.
 type usageTermState struct {
 	callGuard
 	committedAt time.Duration
-	// first is the first window to report if none has been decided yet.
-	first int64
+	// firstWindow is the first window to report if none has been decided yet.
+	firstWindow int64
 	// retryAt is when outstanding windows may be reported again.
 	retryAt time.Duration
 }
@@ -204,18 +204,18 @@
 	}
 	now, day := monotonic(), d.group.Day()
 	length := config.Window.Milliseconds()
-	duty := &term.usage
-	if duty.first == 0 {
-		duty.first = day / length
+	usage := &term.usage
+	if usage.firstWindow == 0 {
+		usage.firstWindow = day / length
 	}
 	decided := d.usageDecided()
-	if now-duty.committedAt >= usageCommitInterval {
-		duty.committedAt = now
+	if now-usage.committedAt >= usageCommitInterval {
+		usage.committedAt = now
 		d.commitUsage(ctx, decided)
 	}
 	next := decided + 1
 	if decided == 0 {
-		next = duty.first
+		next = usage.firstWindow
 	}
 	for range maxWindowsPerRound {
 		if !d.isWindowDue(next, length, day, now, now-term.startedAt) || !d.commitUsage(ctx, decided) || !d.decideUsage(ctx, next, (next+1)*length, now) {
@@ -258,7 +258,7 @@
 // commitUsage commits counted usage. It returns true if everything is committed, and false if that
 // failed or counters may be left.
 func (d *duties) commitUsage(ctx context.Context, decided int64) bool {
-	counts := d.group.usage.take(decided)
+	counts := d.group.usage.takePending(decided)
 	if len(counts) == 0 {
 		return true
 	}
--- a/process/control/usage_test.go
+++ b/process/control/usage_test.go
@@ -88,8 +88,8 @@
 func TestUsageIsReported(t *testing.T) {
 	sink := &fakeSink{outcome: DutyDone}
 	g := newMeteredGroup(t, sink)
-	first, _ := g.follow("proxy-1")
-	second, _ := g.follow("proxy-2")
+	first, _ := g.subscribe("proxy-1")
+	second, _ := g.subscribe("proxy-2")
 	window := futureWindow()
 	g.reportCount(first, "a", window, 2)
 	g.reportCount(first, "a", window, 5)
@@ -110,7 +110,7 @@
 func TestUnansweredReportIsRepeatedByNextLeader(t *testing.T) {
 	sink := &fakeSink{}
 	g := newMeteredGroup(t, sink)
-	client, _ := g.follow("proxy-1")
+	client, _ := g.subscribe("proxy-1")
 	window := futureWindow()
 	g.reportCount(client, "a", window, 3)
 	eventually(t, "the report is repeated", func() bool { return len(sink.reportsOf(window)) > 1 })
@@ -134,7 +134,7 @@
 func TestFencedHolderMakesNoMoreCalls(t *testing.T) {
 	sink := &fakeSink{outcome: DutyFenced}
 	g := newMeteredGroup(t, sink)
-	client, _ := g.follow("proxy-1")
+	client, _ := g.subscribe("proxy-1")
 	window := futureWindow()
 	g.reportCount(client, "a", window, 3)
 	eventually(t, "a window is reported", func() bool {
@@ -164,7 +164,7 @@
 		number  uint64
 		valid   bool
 		fenced  bool
-		may     bool
+		allowed bool
 	}{
 		{"settled", time.Minute, 7, true, false, true},
 		{"too early", 0, 7, true, false, false},
@@ -179,11 +179,11 @@
 				group: &group{config: config},
 				lease: func(context.Context) (uint64, bool) { return each.number, each.valid },
 			}
-			on := &callGuard{}
-			on.fenced.Store(each.fenced)
-			holder, may := d.authorizeCall(t.Context(), &termDuties{number: 7, startedAt: monotonic() - each.started}, on)
-			must.Eq(t, each.may, may)
-			if may {
+			guard := &callGuard{}
+			guard.fenced.Store(each.fenced)
+			holder, allowed := d.authorizeCall(t.Context(), &termDuties{number: 7, startedAt: monotonic() - each.started}, guard)
+			must.Eq(t, each.allowed, allowed)
+			if allowed {
 				must.Eq(t, DutyHolder{Name: "n", Fence: 7}, holder)
 			}
 		})
@@ -193,17 +193,17 @@
 // The decision on a window waits for processes that have not reported all counts, but not for
 // silent ones.
 func TestWindowsWaitForProxies(t *testing.T) {
-	desk := newUsageDesk()
-	desk.note(feed.UsageReport{Life: "a", Through: 900}, 0)
-	desk.note(feed.UsageReport{Life: "b", Through: 1100}, 0)
-	must.False(t, desk.hasAllReports(1000, time.Second))
-	must.True(t, desk.hasAllReports(1000, usageSilenceTimeout+1), must.Sprint("the process is silent"))
-	must.True(t, desk.hasSilentProcess(1000, usageSilenceTimeout+1))
-	desk.note(feed.UsageReport{Life: "a", Through: 1000}, time.Second)
-	must.True(t, desk.hasAllReports(1000, time.Second))
-	must.False(t, desk.hasSilentProcess(1000, time.Second))
-	must.True(t, desk.hasAllReports(5000, 2*usageRetention))
-	must.MapEmpty(t, desk.progress)
+	collector := newUsageDesk()
+	collector.note(feed.UsageReport{Life: "a", Through: 900}, 0)
+	collector.note(feed.UsageReport{Life: "b", Through: 1100}, 0)
+	must.False(t, collector.hasAllReports(1000, time.Second))
+	must.True(t, collector.hasAllReports(1000, usageSilenceTimeout+1), must.Sprint("the process is silent"))
+	must.True(t, collector.hasSilentProcess(1000, usageSilenceTimeout+1))
+	collector.note(feed.UsageReport{Life: "a", Through: 1000}, time.Second)
+	must.True(t, collector.hasAllReports(1000, time.Second))
+	must.False(t, collector.hasSilentProcess(1000, time.Second))
+	must.True(t, collector.hasAllReports(5000, 2*usageRetention))
+	must.MapEmpty(t, collector.progress)
 }
 
 // A new leader knows none of the uncommitted counts. However late a window is, it is not decided
@@ -223,15 +223,15 @@
 // Commits are limited in size, start with the oldest windows, and counters that could not be
 // committed are taken again.
 func TestUsageCommitsAreBounded(t *testing.T) {
-	desk := newUsageDesk()
+	collector := newUsageDesk()
 	for i := range maxUsageCommit + 10 {
-		desk.note(feed.UsageReport{Life: fmt.Sprint(i), Counts: []feed.UsageCount{{Window: int64(10 + i%2), Tenant: "t", Count: 1}, {Window: 3, Tenant: "t", Count: 1}}}, 0)
+		collector.note(feed.UsageReport{Life: fmt.Sprint(i), Counts: []feed.UsageCount{{Window: int64(10 + i%2), Tenant: "t", Count: 1}, {Window: 3, Tenant: "t", Count: 1}}}, 0)
 	}
-	taken := desk.take(5)
+	taken := collector.takePending(5)
 	must.SliceLen(t, maxUsageCommit, taken)
 	must.Eq(t, 10, taken[0].Window)
-	desk.putBack(taken)
-	must.SliceLen(t, maxUsageCommit, desk.take(5))
-	must.SliceLen(t, 10, desk.take(5))
-	must.SliceEmpty(t, desk.take(5))
+	collector.putBack(taken)
+	must.SliceLen(t, maxUsageCommit, collector.takePending(5))
+	must.SliceLen(t, 10, collector.takePending(5))
+	must.SliceEmpty(t, collector.takePending(5))
 }
