--- a/process/control/actions.go
+++ b/process/control/actions.go
@@ -28,8 +28,8 @@
 
 // actionRunner executes the controller's actions concurrently, at most one per engine.
 type actionRunner struct {
-	duties  *duties
-	term    *termDuties
+	tasks   *leaderTasks
+	term    *termState
 	context context.Context
 	cancel  context.CancelFunc
 	done    sync.WaitGroup
@@ -44,8 +44,8 @@
 	invalid map[string]api.Fence
 }
 
-func newActionRunner(d *duties, term *termDuties) *actionRunner {
-	r := &actionRunner{duties: d, term: term}
+func newActionRunner(d *leaderTasks, term *termState) *actionRunner {
+	r := &actionRunner{tasks: d, term: term}
 	r.context, r.cancel = context.WithCancel(context.Background())
 	for i := range r.shards {
 		r.shards[i].busy = map[string]bool{}
@@ -68,8 +68,8 @@
 	return &r.shards[sum%actionShards]
 }
 
-// refused returns the fence of the last order that the engine rejected as invalid.
-func (r *actionRunner) refused(engine string) api.Fence {
+// lastInvalidFence returns the fence of the last order that the engine rejected as invalid.
+func (r *actionRunner) lastInvalidFence(engine string) api.Fence {
 	shard := r.shard(engine)
 	shard.Lock()
 	defer shard.Unlock()
@@ -93,7 +93,7 @@
 	r.done.Go(func() {
 		execute()
 		r.shard(engine).release(engine)
-		r.duties.wake()
+		r.tasks.wake()
 	})
 }
 
@@ -132,7 +132,7 @@
 // propose commits a command. If the outcome is unknown, the controller returns the command again in
 // later rounds as long as it is needed; the state machine rejects it if it no longer applies.
 func (r *actionRunner) propose(command state.Command) {
-	result, err := r.duties.group.propose(r.context, command)
+	result, err := r.tasks.group.propose(r.context, command)
 	if err != nil {
 		r.backOff()
 		return
@@ -144,7 +144,7 @@
 		r.recordClosed(command.CloseOrder, result.(state.CloseOrderResult))
 	case state.CommandMachines:
 		r.term.setMachines(*command.Machines)
-		event.MachinesChanged.Log(r.duties.logger, "leaving", len(command.Machines.Leaving), "gone", len(command.Machines.Gone))
+		event.MachinesChanged.Log(r.tasks.logger, "leaving", len(command.Machines.Leaving), "gone", len(command.Machines.Gone))
 	}
 }
 
@@ -152,8 +152,8 @@
 	if result.Code != state.OpenOrderOpened {
 		return
 	}
-	r.duties.group.metrics.ordersOpened.Inc()
-	event.OrderOpened.Log(r.duties.logger, "engine", request.Engine, "fence_term", result.Order.Fence.Term,
+	r.tasks.group.metrics.ordersOpened.Inc()
+	event.OrderOpened.Log(r.tasks.logger, "engine", request.Engine, "fence_term", result.Order.Fence.Term,
 		"fence_index", result.Order.Fence.Index, "model", request.Assignment.Model, "version", request.Assignment.Version,
 		"role", request.Assignment.Role, "reason", request.Reason)
 }
@@ -166,8 +166,8 @@
 	if request.Reason == state.CloseDone {
 		r.term.recordChange(request.Engine)
 	}
-	r.duties.group.metrics.ordersClosed.WithLabelValues(closeReason(request.Reason)).Inc()
-	event.OrderClosed.Log(r.duties.logger, "engine", request.Engine, "fence_term", request.Fence.Term,
+	r.tasks.group.metrics.ordersClosed.WithLabelValues(closeReason(request.Reason)).Inc()
+	event.OrderClosed.Log(r.tasks.logger, "engine", request.Engine, "fence_term", request.Fence.Term,
 		"fence_index", request.Fence.Index, "reason", closeReason(request.Reason))
 }
 
@@ -187,13 +187,13 @@
 // backOff holds the engine's slot for a while, so that a command that cannot be committed now is
 // not retried in a tight loop.
 func (r *actionRunner) backOff() {
-	_ = pause.For(r.context, r.duties.group.config.Durations.Reconcile)
+	_ = pause.For(r.context, r.tasks.group.config.Durations.Reconcile)
 }
 
 // holdsLease reports whether this member still holds the leader lease of this term. It is checked
 // immediately before each order is sent.
 func (r *actionRunner) holdsLease() bool {
-	number, valid := r.duties.group.Lease(r.context)
+	number, valid := r.tasks.group.Lease(r.context)
 	return valid && number == r.term.number
 }
 
@@ -202,14 +202,14 @@
 		return
 	}
 	askedAt := monotonic()
-	r.duties.group.metrics.ordersSent.Inc()
-	reply, err := r.duties.client.Send(r.context, action.Address, action.Order)
+	r.tasks.group.metrics.ordersSent.Inc()
+	reply, err := r.tasks.client.Send(r.context, action.Address, action.Order)
 	if err = replyFrom(action.Engine, reply, err); err != nil {
 		r.handleLostReply(action.Engine, err)
 		return
 	}
 	if reply.Code == engineapi.OrderInvalid {
-		event.OrderRefused.Log(r.duties.logger, "engine", action.Engine, "fence_term", action.Order.Fence.Term,
+		event.OrderRefused.Log(r.tasks.logger, "engine", action.Engine, "fence_term", action.Order.Fence.Term,
 			"fence_index", action.Order.Fence.Index)
 		r.recordInvalid(action.Engine, action.Order.Fence)
 	}
@@ -219,7 +219,7 @@
 // void commits that an order is never to be executed, and tells its engine.
 func (r *actionRunner) void(action controller.Void) {
 	r.term.recordFailure(action.Engine, action.Order.Assignment)
-	result, err := r.duties.group.propose(r.context, action.Command())
+	result, err := r.tasks.group.propose(r.context, action.Command())
 	if err != nil {
 		r.backOff()
 		return
@@ -229,8 +229,8 @@
 		return
 	}
 	askedAt := monotonic()
-	r.duties.group.metrics.ordersSent.Inc()
-	reply, err := r.duties.client.Void(r.context, action.Address, action.Request(voided.Fence))
+	r.tasks.group.metrics.ordersSent.Inc()
+	reply, err := r.tasks.client.Void(r.context, action.Address, action.Request(voided.Fence))
 	if err = replyFrom(action.Engine, reply, err); err != nil {
 		r.handleLostReply(action.Engine, err)
 		return
@@ -253,8 +253,8 @@
 // handleLostReply triggers a poll of the engine, since an order whose reply was lost may or may not
 // have been executed.
 func (r *actionRunner) handleLostReply(engine string, err error) {
-	r.duties.group.metrics.ordersFailed.Inc()
-	event.OrderSendFailed.Log(r.duties.logger, "engine", engine, "err", err)
+	r.tasks.group.metrics.ordersFailed.Inc()
+	event.OrderSendFailed.Log(r.tasks.logger, "engine", engine, "err", err)
 	r.term.poller.Poke(engine)
 	r.backOff()
 }
--- a/process/control/addresses.go
+++ b/process/control/addresses.go
@@ -77,8 +77,8 @@
 	return member, found
 }
 
-// membersWithUnknownID returns the other configured members whose member ID is not known yet: no known
-// member has their peer address.
+// membersWithUnknownID returns the other configured members whose member ID is not known yet: no
+// known member has their peer address.
 func (b *addressBook) membersWithUnknownID() []Member {
 	b.lock.Lock()
 	defer b.lock.Unlock()
--- a/process/control/bench_test.go
+++ b/process/control/bench_test.go
@@ -89,8 +89,8 @@
 	_ = last.RecordValue(time.Since(started).Microseconds())
 }
 
-// BenchmarkClaim measures at-most-once claims over the feed. Each is synced to disk by at least two of
-// the three members before the reply.
+// BenchmarkClaim measures at-most-once claims over the feed. Each is synced to disk by at least two
+// of the three members before the reply.
 func BenchmarkClaim(b *testing.B) {
 	for _, claimants := range []int{1, 16, 128} {
 		b.Run(fmt.Sprintf("claimants=%d", claimants), func(b *testing.B) {
--- a/process/control/config.go
+++ b/process/control/config.go
@@ -61,21 +61,21 @@
 	// PlatformAddress is the IP and port of the platform's machine list. Without it, no machine is
 	// treated as leaving or gone.
 	PlatformAddress string
-	// Found makes a member with an empty data directory bootstrap a new group of which it is the
+	// Bootstrap makes a member with an empty data directory bootstrap a new group of which it is the
 	// only voter; the other members join it. It must be set on at most one member, and only for the
 	// first start of the whole system.
-	Found bool
-	// LossesToBear is the number of members that may fail at the same time, including their disks,
+	Bootstrap bool
+	// ToleratedLosses is the number of members that may fail at the same time, including their disks,
 	// without losing acknowledged data. The group accepts no Ingress while its quorum is smaller
-	// than LossesToBear+1. It removes a member that stays unreachable while it has more than
-	// 2*LossesToBear+1 voters.
-	LossesToBear int
+	// than ToleratedLosses+1. It removes a member that stays unreachable while it has more than
+	// 2*ToleratedLosses+1 voters.
+	ToleratedLosses int
 	// Fleet is the leader's source of the replicas of routed services; nil if there are no routed
 	// services.
 	Fleet FleetSource
-	// Kept lets the leader query replicas for the prompt parts that they have cached; nil if
+	// PromptCache lets the leader query replicas for the prompt parts that they have cached; nil if
 	// replicas support no such query.
-	Kept KeptSource
+	PromptCache CacheSource
 	// Roles lets the leader order replicas to change their role; nil if replicas accept no such
 	// orders.
 	Roles RoleOrders
@@ -130,7 +130,7 @@
 	// ProxySilence is how long a proxy that reports nothing is still advertised to callers.
 	ProxySilence time.Duration
 	// MemberSilence is how long a member may be unreachable before it is removed from a group that
-	// has more voters than LossesToBear requires.
+	// has more voters than ToleratedLosses requires.
 	MemberSilence time.Duration
 	// OrderSettle is how long a new leader orders no role changes and makes no platform calls. In
 	// that time orders and calls of the previous leader may still arrive, and its lease on the
@@ -238,10 +238,10 @@
 // counts as silent.
 const silentPollRounds = 3
 
-// silenceOf returns the age at which an observation becomes stale if there are this many engines.
-// With many engines a poll round takes longer than EngineSilence, and an engine that answers every
-// poll must not count as silent between two of them.
-func (d Durations) silenceOf(engines int) time.Duration {
+// engineSilenceFor returns the age at which an observation becomes stale if there are this many
+// engines. With many engines a poll round takes longer than EngineSilence, and an engine that
+// answers every poll must not count as silent between two of them.
+func (d Durations) engineSilenceFor(engines int) time.Duration {
 	return max(d.EngineSilence, silentPollRounds*orders.RoundTime(d.Poll, engines))
 }
 
--- a/process/control/config_test.go
+++ b/process/control/config_test.go
@@ -7,9 +7,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// Guards against treating engines as silent between two polls. With 10,000 engines a poll round takes
-// the default 5 s of EngineSilence, and with a constant threshold every engine counted as silent half
-// of the time.
+// Guards against treating engines as silent between two polls. With 10,000 engines a poll round
+// takes the default 5 s of EngineSilence, and with a constant threshold every engine counted as
+// silent half of the time.
 func TestEngineSilenceGrowsWithFleetSize(t *testing.T) {
 	durations := Durations{}.withDefaults()
 	for _, c := range []struct {
@@ -22,6 +22,6 @@
 		{"one thousand", 1_000, DefaultEngineSilence},
 		{"ten thousand", 10_000, 15 * time.Second},
 	} {
-		t.Run(c.name, func(t *testing.T) { must.Eq(t, c.want, durations.silenceOf(c.engines)) })
+		t.Run(c.name, func(t *testing.T) { must.Eq(t, c.want, durations.engineSilenceFor(c.engines)) })
 	}
 }
--- a/process/control/control_test.go
+++ b/process/control/control_test.go
@@ -123,7 +123,7 @@
 // transactUntilKnown sends the transaction to the member and, as operators do, repeats it while the
 // outcome is unknown: the leader may change between proposal and commit.
 func (c *cluster) transactUntilKnown(i int, transaction api.Transaction) api.TransactionResult {
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		var result api.TransactionResult
 		status := c.call(i, http.MethodPost, operatorapi.PathTransactions, transaction, &result)
 		if status != 0 && status < http.StatusInternalServerError {
@@ -140,7 +140,7 @@
 	first, _ := c.subscribe("proxy-a")
 	second, _ := c.subscribe("proxy-b")
 	eventually(t, "both daemons are connected", func() bool { return first.Connected() && second.Connected() })
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	request := state.ClaimRequest{Tenant: "water", Key: "crew-7", BodyHash: 9, Attempt: 1, Proxy: "proxy-a", Nonce: 1}
 	other := request
@@ -433,7 +433,7 @@
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- RunAgain(ctx, joinConfig, nopLogger{}) }()
+	go func() { ended <- RunWithRestart(ctx, joinConfig, nopLogger{}) }()
 	eventually(t, "all members are voters, with a new identity", func() bool {
 		status, ok := c.status()
 		return ok && status.FurtherLosses == 1 && len(status.Repairing) == 0 && len(status.Members) == 3 &&
--- a/process/control/course_test.go
+++ b/process/control/course_test.go
@@ -26,7 +26,7 @@
 // lossScenario crashes members of a group, one at a time or several at once, in an order drawn from
 // its seed.
 type lossScenario struct {
-	*growing
+	*growingGroup
 	random     *rand.Rand
 	spares     []int // members not yet started
 	generation uint64
@@ -40,9 +40,9 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			s := &lossScenario{
-				growing: newGrowing(t, scenarioMembers+scenarioSpares, scenarioSeeds, scenarioLosses),
-				random:  rand.New(rand.NewPCG(seed, 0)),
-				spares:  []int{scenarioMembers, scenarioMembers + 1},
+				growingGroup: newGrowingGroup(t, scenarioMembers+scenarioSpares, scenarioSeeds, scenarioLosses),
+				random:       rand.New(rand.NewPCG(seed, 0)),
+				spares:       []int{scenarioMembers, scenarioMembers + 1},
 			}
 			s.start(0, 1, 2, 3, 4)
 			s.awaitRecovered()
--- a/process/control/cut_test.go
+++ b/process/control/cut_test.go
@@ -71,7 +71,7 @@
 	defer func() { _ = conn.Close() }()
 	opening := &recordingConn{Conn: conn}
 	const helloBytes = 64
-	hello, err := frame.NewReader(opening, peer.Protocol, helloBytes, patience).ReadFrame()
+	hello, err := frame.NewReader(opening, peer.Protocol, helloBytes, waitTimeout).ReadFrame()
 	if err != nil {
 		return
 	}
--- a/process/control/duties.go
+++ b/process/control/duties.go
@@ -16,14 +16,14 @@
 	"github.com/landingtrail/landingtrail/version/state"
 )
 
-// monotonic returns the time elapsed since an arbitrary origin. It includes time spent suspended, so
-// that a leader that resumes after a suspension treats its state as old.
+// monotonic returns the time elapsed since an arbitrary origin. It includes time spent suspended,
+// so that a leader that resumes after a suspension treats its state as old.
 func monotonic() time.Duration { return clock.Now() }
 
-// duties runs the leader's tasks: it polls the engines, plans, executes actions, reads the platform's
-// machine list and manages the group's membership, among others. Each round starts with a check of
-// the lease, and the lease is checked again before each order.
-type duties struct {
+// leaderTasks runs the leader's tasks: it polls the engines, plans, executes actions, reads the
+// platform's machine list and manages the group's membership, among others. Each round starts with
+// a check of the lease, and the lease is checked again before each order.
+type leaderTasks struct {
 	group     *group
 	addresses *addressBook
 	logger    log.Logger
@@ -40,20 +40,20 @@
 	termLock sync.Mutex
 	// term is the term being served, nil while there is none. It is written by the loop's
 	// goroutine and read by the operator API.
-	term *termDuties
+	term *termState
 }
 
-// termDuties is the state of one term of leadership. It is discarded when the leadership ends, so
-// everything observed in it is newer than the log entries of earlier leaders. The fields without
-// another note are used only by the loop.
-type termDuties struct {
+// termState is the state of one term of leadership. It is discarded when the leadership ends, so
+// everything observed in it is newer than the log entries of earlier leaders. Only the loop uses
+// nextPlan, unreachableSince, cachesQueried, hadIngress, comparedList and nextProxies.
+type termState struct {
 	number  uint64
 	planner planner.Planner
 	poller  *orders.Poller
 	actions *actionRunner
 	// nextPlan is when the next plan is due.
 	nextPlan time.Duration
-	// startedAt is when the term began on this member.
+	// startedAt is when the term began on this member; it does not change.
 	startedAt time.Duration
 	// unreachableSince is when each currently inactive voter was first seen inactive.
 	unreachableSince map[raft.MemberID]time.Duration
@@ -63,9 +63,9 @@
 	hadIngress bool
 	// background waits for the goroutines of the term.
 	background sync.WaitGroup
-	// comparedList is the list that tendFleet last found unchanged.
+	// comparedList is the list that manageFleet last found unchanged.
 	comparedList comparedList
-	// nextProxies is when tendFleet next checks the proxies.
+	// nextProxies is when manageFleet next checks the proxies.
 	nextProxies time.Duration
 	roles       roleTermState
 	usage       usageTermState
@@ -85,15 +85,15 @@
 	commit uint64
 }
 
-func newDuties(g *group, addresses *addressBook, logger log.Logger) *duties {
+func newLeaderTasks(g *group, addresses *addressBook, logger log.Logger) *leaderTasks {
 	client := orders.NewClient(g.config.Durations.EngineTimeout)
-	return &duties{
+	return &leaderTasks{
 		group:     g,
 		addresses: addresses,
 		logger:    logger,
 		client:    client,
 		platform:  newPlatformReader(g.config, logger),
-		fleet:     newFleetReader(g.config, g.metrics.foreign, logger),
+		fleet:     newFleetReader(g.config, g.metrics.foreignEntries, logger),
 		lease:     g.Lease,
 		wakeup:    make(chan struct{}, 1),
 		stopping:  make(chan struct{}),
@@ -106,7 +106,7 @@
 
 // wake makes the next round start as soon as the pause after the running one has passed. Calls in
 // between cause one round.
-func (d *duties) wake() {
+func (d *leaderTasks) wake() {
 	select {
 	case d.wakeup <- struct{}{}:
 	default:
@@ -114,12 +114,12 @@
 }
 
 // stop ends the loop and waits until it has returned.
-func (d *duties) stop() {
+func (d *leaderTasks) stop() {
 	d.stopOnce.Do(func() { close(d.stopping) })
 	<-d.stopped
 }
 
-func (d *duties) run(ctx context.Context) {
+func (d *leaderTasks) run(ctx context.Context) {
 	defer close(d.stopped)
 	defer d.client.Close()
 	defer d.endTerm()
@@ -140,15 +140,15 @@
 	}
 }
 
-// pauseAfter returns the pause after a round, which is as long as the round took. With many engines,
-// rounds caused by frequent wake-ups then use at most half of one core. The pause is at most the
-// reconcile interval, since a round may have spent its time waiting for a commit.
-func (d *duties) pauseAfter(took time.Duration) time.Duration {
+// pauseAfter returns the pause after a round, which is as long as the round took. With many
+// engines, rounds caused by frequent wake-ups then use at most half of one core. The pause is at
+// most the reconcile interval, since a round may have spent its time waiting for a commit.
+func (d *leaderTasks) pauseAfter(took time.Duration) time.Duration {
 	return max(minRoundPause, min(took, d.group.config.Durations.Reconcile))
 }
 
 // round executes one round if this member leads under a valid lease.
-func (d *duties) round(ctx context.Context) {
+func (d *leaderTasks) round(ctx context.Context) {
 	if !d.group.Leadership().Leads {
 		d.endTerm()
 		return
@@ -159,8 +159,8 @@
 	}
 	term := d.beginTerm(number)
 	d.queryCaches(ctx, term, monotonic())
-	d.tendMembers(ctx, term)
-	d.tendFleet(ctx, term)
+	d.manageMembers(ctx, term)
+	d.manageFleet(ctx, term)
 	d.manageQuarantine(ctx, term)
 	d.manageUsage(ctx, term)
 	d.manageCapacity(ctx, term)
@@ -169,7 +169,7 @@
 }
 
 // current returns the state of the term being served, or nil while there is none.
-func (d *duties) current() *termDuties {
+func (d *leaderTasks) current() *termState {
 	d.termLock.Lock()
 	defer d.termLock.Unlock()
 	return d.term
@@ -177,13 +177,13 @@
 
 // beginTerm returns the state of the term, creating it and starting the term's background work if
 // the term is new.
-func (d *duties) beginTerm(number uint64) *termDuties {
+func (d *leaderTasks) beginTerm(number uint64) *termState {
 	if term := d.current(); term != nil && term.number == number {
 		return term
 	}
 	d.endTerm()
 	durations := d.group.config.Durations
-	term := &termDuties{
+	term := &termState{
 		number:           number,
 		planner:          newPlanner(d.group.config.Planner),
 		failures:         map[string]controller.Failure{},
@@ -211,7 +211,7 @@
 }
 
 // endTerm discards the state of the term and waits for its background work.
-func (d *duties) endTerm() {
+func (d *leaderTasks) endTerm() {
 	d.termLock.Lock()
 	term := d.term
 	d.term = nil
@@ -229,7 +229,7 @@
 
 // reconcile compares the committed state with the observed state and starts the actions that are
 // needed.
-func (d *duties) reconcile(ctx context.Context, term *termDuties) {
+func (d *leaderTasks) reconcile(ctx context.Context, term *termState) {
 	current := d.group.machine.view()
 	addresses := make(map[string]string, len(current.Engines))
 	for name, engine := range current.Engines {
@@ -244,7 +244,7 @@
 		Observations: term.observations(seen),
 		Platform:     d.platform.leavingAndGone(current, seen, now),
 		Decisions:    d.plan(term, current, seen, now),
-		Silence:      d.group.config.Durations.silenceOf(len(current.Engines)),
+		Silence:      d.group.config.Durations.engineSilenceFor(len(current.Engines)),
 		FailurePause: d.group.config.Durations.FailurePause,
 	}
 	term.addTermState(&input)
@@ -255,20 +255,20 @@
 
 // observations combines the engines' reported states with the orders that each engine rejected as
 // invalid.
-func (t *termDuties) observations(seen map[string]orders.Seen) map[string]controller.Observation {
+func (t *termState) observations(seen map[string]orders.Seen) map[string]controller.Observation {
 	observations := make(map[string]controller.Observation, len(seen))
 	for name, heard := range seen {
 		observations[name] = controller.Observation{
 			State:   heard.State,
 			AskedAt: heard.AskedAt,
-			Refused: t.actions.refused(name),
+			Refused: t.actions.lastInvalidFence(name),
 		}
 	}
 	return observations
 }
 
 // addTermState copies the machines and failures known in this term into input.
-func (t *termDuties) addTermState(input *controller.Input) {
+func (t *termState) addTermState(input *controller.Input) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	input.Machines = t.machines
@@ -279,21 +279,21 @@
 }
 
 // setMachines records the leaving and gone machines that were committed.
-func (t *termDuties) setMachines(machines state.Machines) {
+func (t *termState) setMachines(machines state.Machines) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	t.machines = &machines
 }
 
 // recordFailure records that an assignment of the engine failed now.
-func (t *termDuties) recordFailure(engine string, assignment api.Assignment) {
+func (t *termState) recordFailure(engine string, assignment api.Assignment) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	t.failures[engine] = controller.Failure{Assignment: assignment, At: monotonic()}
 }
 
 // recordChange records that the engine completed a change now, and forgets its failure.
-func (t *termDuties) recordChange(engine string) {
+func (t *termState) recordChange(engine string) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	t.changedAt[engine] = monotonic()
@@ -302,7 +302,7 @@
 
 // sinceChange returns the time since the engine's last change completed, or a negative value if
 // this leader has seen none.
-func (t *termDuties) sinceChange(engine string, now time.Duration) time.Duration {
+func (t *termState) sinceChange(engine string, now time.Duration) time.Duration {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	at, found := t.changedAt[engine]
--- a/process/control/duties_test.go
+++ b/process/control/duties_test.go
@@ -9,7 +9,7 @@
 
 func TestPauseAfterRound(t *testing.T) {
 	reconcile := 200 * time.Millisecond
-	d := &duties{group: &group{config: Config{Durations: Durations{Reconcile: reconcile}}}}
+	d := &leaderTasks{group: &group{config: Config{Durations: Durations{Reconcile: reconcile}}}}
 	for _, test := range []struct{ took, want time.Duration }{
 		{took: time.Millisecond, want: minRoundPause},
 		{took: 30 * time.Millisecond, want: 30 * time.Millisecond},
--- a/process/control/duty.go
+++ b/process/control/duty.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// callGuard restricts the platform calls of one kind to one member at a time, the holder. The holder
-// is the leader, and its fencing token is its term, which rises with each change of holder and is
-// never shared. What a call is to do is committed before the call, so that the next holder continues
-// with the same work.
+// callGuard restricts the platform calls of one kind to one member at a time, the holder. The
+// holder is the leader, and its fencing token is its term, which rises with each change of holder
+// and is never shared. What a call is to do is committed before the call, so that the next holder
+// continues with the same work.
 //
 // Invariant: a call is sent only
 //   - while the leader lease is valid, by a clock that includes suspensions;
@@ -24,27 +24,27 @@
 	busy atomic.Bool
 }
 
-// DutyOutcome is the result of a platform call.
-type DutyOutcome uint8
+// CallOutcome is the result of a platform call.
+type CallOutcome uint8
 
 // Results of a platform call. An unanswered call may have been executed, or may be executed
 // later.
 const (
-	DutyUnanswered DutyOutcome = iota
-	DutyDone
-	DutyRefused // not sent, or not executed; the call may be retried
-	DutyFenced  // rejected because a holder with a higher fencing token has called
-	DutyDry     // the platform has no capacity for the request now
+	CallUnanswered CallOutcome = iota
+	CallDone
+	CallRefused    // not sent, or not executed; the call may be retried
+	CallFenced     // rejected because a holder with a higher fencing token has called
+	CallNoCapacity // the platform has no capacity for the request now
 )
 
 // String returns the outcome's name.
-func (o DutyOutcome) String() string {
+func (o CallOutcome) String() string {
 	names := [...]string{"unanswered", "done", "refused", "fenced", "dry"}
 	return names[o]
 }
 
-// DutyHolder identifies the caller of a platform call.
-type DutyHolder struct {
+// CallHolder identifies the caller of a platform call.
+type CallHolder struct {
 	Name  string // name of the member
 	Fence uint64 // fencing token: the member's term
 }
@@ -60,13 +60,13 @@
 
 // authorizeCall reports whether this member may make a platform call now, and returns the
 // identity to make it with.
-func (d *duties) authorizeCall(ctx context.Context, term *termDuties, guard *callGuard) (DutyHolder, bool) {
+func (d *leaderTasks) authorizeCall(ctx context.Context, term *termState, guard *callGuard) (CallHolder, bool) {
 	if guard.fenced.Load() || monotonic()-term.startedAt < d.group.config.Durations.OrderSettle {
-		return DutyHolder{}, false
+		return CallHolder{}, false
 	}
 	// The lease is checked last, so that it covers all the time spent above.
 	if number, valid := d.lease(ctx); !valid || number != term.number {
-		return DutyHolder{}, false
+		return CallHolder{}, false
 	}
-	return DutyHolder{Name: d.group.config.Name, Fence: term.number}, true
+	return CallHolder{Name: d.group.config.Name, Fence: term.number}, true
 }
--- a/process/control/evidence.go
+++ b/process/control/evidence.go
@@ -23,15 +23,15 @@
 	"github.com/pkg/errors"
 )
 
-// A crash observation is a report that a replica crashed under a request; a proxy's EndReport contains
-// some, and a table stores them. Observations need neither ordering nor consensus, and storing one
-// twice is harmless. So each member stores the observations it receives on its own disk, whether or
-// not there is a leader, and a new leader requests all of them. Those of requests that are worth
-// watching (see quarantine.Table.IsWorthTelling), called notable, are forwarded to the other members
-// at once.
+// A crash observation is a report that a replica crashed under a request; a proxy's EndReport
+// contains some, and a table stores them. Observations need neither ordering nor consensus, and
+// storing one twice is harmless. So each member stores the observations it receives on its own
+// disk, whether or not there is a leader, and a new leader requests all of them. Those of requests
+// that are worth watching (see quarantine.Table.IsWorthTelling), called notable, are forwarded to
+// the other members at once.
 //
-// Quarantine decisions go to the record, the Quarantine and Suspect objects of the replicated state,
-// which needs a leader.
+// Quarantine decisions go to the record, the Quarantine and Suspect objects of the replicated
+// state, which needs a leader.
 
 // Limits of the stored evidence.
 const (
@@ -58,9 +58,9 @@
 
 // evidence stores crash observations outside the Raft log and sends them to the other members.
 type evidence struct {
-	desk   *quarantineTracker
-	files  wal.FileSystem
-	folder string
+	tracker *quarantineTracker
+	files   wal.FileSystem
+	folder  string
 	// wake notifies daemons of evidence that is not in the record; set before the feed serves
 	// them.
 	wake atomic.Pointer[func()]
@@ -81,21 +81,21 @@
 		files = wal.OS{}
 	}
 	return &evidence{
-		desk: newQuarantineTracker(), files: files, folder: config.DataFolder,
+		tracker: newQuarantineTracker(), files: files, folder: config.DataFolder,
 		changed: make(chan struct{}, 1), unsentSignal: make(chan struct{}, 1), logger: logger,
 		unsent: pendingNotice{ended: map[quarantine.Fingerprint]struct{}{}},
 	}
 }
 
-// tellOthers sets the sender for notices to the other members.
-func (e *evidence) tellOthers(sender noticeSender) { e.sender.Store(&sender) }
+// setSender sets the sender for notices to the other members.
+func (e *evidence) setSender(sender noticeSender) { e.sender.Store(&sender) }
 
-// tellDaemons sets the function that notifies daemons of new evidence.
-func (e *evidence) tellDaemons(wake func()) { e.wake.Store(&wake) }
+// setDaemonNotifier sets the function that notifies daemons of new evidence.
+func (e *evidence) setDaemonNotifier(wake func()) { e.wake.Store(&wake) }
 
 // note adds a daemon's report, and stores and forwards what is new.
 func (e *evidence) note(report feed.EndReport, now time.Duration) {
-	e.publish(e.desk.addProxyReport(report, now))
+	e.publish(e.tracker.addProxyReport(report, now))
 }
 
 // receive handles a notice from another member: a report, or an empty payload that requests all
@@ -110,7 +110,7 @@
 		event.EvidenceUnreadable.Log(e.logger, "from", uint64(from), "err", err)
 		return
 	}
-	e.publish(e.desk.addEvidence(report, monotonic()))
+	e.publish(e.tracker.addEvidence(report, monotonic()))
 }
 
 // requestAll requests all evidence from the other members. A new leader does so because the
@@ -123,12 +123,12 @@
 
 // sendAll sends all evidence to a member.
 func (e *evidence) sendAll(member raft.MemberID) {
-	e.sendTo(member, e.desk.observations(monotonic()))
+	e.sendTo(member, e.tracker.observations(monotonic()))
 }
 
-// greet sends the notable evidence to a member whose connection was just established.
-func (e *evidence) greet(member raft.MemberID) {
-	e.sendTo(member, e.desk.notableObservations(monotonic()))
+// sendNotable sends the notable evidence to a member whose connection was just established.
+func (e *evidence) sendNotable(member raft.MemberID) {
+	e.sendTo(member, e.tracker.notableObservations(monotonic()))
 }
 
 func (e *evidence) sendTo(member raft.MemberID, observations []quarantine.Aged) {
@@ -137,9 +137,9 @@
 	}
 }
 
-// follow applies a change of the replicated record.
-func (e *evidence) follow(before, current map[string]*api.Quarantine) {
-	if e.desk.applyRecordChange(before, current, monotonic()) {
+// applyRecordChange applies a change of the replicated record.
+func (e *evidence) applyRecordChange(before, current map[string]*api.Quarantine) {
+	if e.tracker.applyRecordChange(before, current, monotonic()) {
 		pause.Signal(e.changed)
 	}
 }
@@ -172,9 +172,9 @@
 	served []quarantine.Fingerprint
 }
 
-// tell sends new evidence to the other members until ctx ends. The crash of one replica causes
+// runSender sends new evidence to the other members until ctx ends. The crash of one replica causes
 // many reports, which are sent together.
-func (e *evidence) tell(ctx context.Context) {
+func (e *evidence) runSender(ctx context.Context) {
 	for {
 		select {
 		case <-e.unsentSignal:
@@ -195,7 +195,7 @@
 	e.unsent = pendingNotice{ended: map[quarantine.Fingerprint]struct{}{}}
 	e.lock.Unlock()
 	fingerprints := slices.Collect(maps.Keys(next.ended))
-	report := feed.EndReport{Ended: e.desk.observationsOf(fingerprints, monotonic()), Alive: next.alive, Served: next.served}
+	report := feed.EndReport{Ended: e.tracker.observationsOf(fingerprints, monotonic()), Alive: next.alive, Served: next.served}
 	if sender := e.sender.Load(); sender != nil && !report.IsEmpty() {
 		for _, part := range report.Split() {
 			(*sender).Notify(feed.EncodeEnds(part))
@@ -227,7 +227,7 @@
 
 // save writes and syncs the known evidence, and returns the number of crash observations written.
 func (e *evidence) save(now time.Duration) (stored int, err error) {
-	report := feed.EndReport{Ended: e.desk.observations(now)}
+	report := feed.EndReport{Ended: e.tracker.observations(now)}
 	return len(report.Ended), wal.WriteFile(e.files, filepath.Join(e.folder, evidenceFile), encodeEvidence(report, time.Now()))
 }
 
@@ -245,7 +245,7 @@
 		event.EvidenceUnreadable.Log(e.logger, "from", evidenceFile, "err", err)
 		return
 	}
-	e.desk.addEvidence(report, now)
+	e.tracker.addEvidence(report, now)
 	event.EvidenceRecalled.Log(e.logger, "ends", len(report.Ended))
 }
 
--- a/process/control/evidence_test.go
+++ b/process/control/evidence_test.go
@@ -92,8 +92,8 @@
 	return made
 }
 
-// stallMajority stalls all disks but the first. In a group of three or more members nothing can then
-// be committed, and no leader elected.
+// stallMajority stalls all disks but the first. In a group of three or more members nothing can
+// then be committed, and no leader elected.
 func (c *stallingCluster) stallMajority() {
 	leader := c.leader()
 	for _, disk := range c.disks[1:] {
--- a/process/control/fleet.go
+++ b/process/control/fleet.go
@@ -32,9 +32,9 @@
 // FleetList is one read of the list of replicas.
 type FleetList struct {
 	Replicas []api.Replica
-	// Foreign describes the fault of each entry that is not a replica. Other users of the platform
+	// Invalid describes the fault of each entry that is not a replica. Other users of the platform
 	// also write to the list, and their entries must not affect the valid ones.
-	Foreign []string
+	Invalid []string
 }
 
 // missesToRemove is the number of consecutive lists that must lack a replica before it counts as
@@ -110,8 +110,8 @@
 	}
 }
 
-// applyList applies a list that was read, and reports whether it was usable. An empty list after one
-// with replicas is treated as a fault: accepting it would remove all replicas at once.
+// applyList applies a list that was read, and reports whether it was usable. An empty list after
+// one with replicas is treated as a fault: accepting it would remove all replicas at once.
 func (f *fleetReader) applyList(list FleetList, err error) bool {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -130,7 +130,7 @@
 		event.FleetReadable.Log(f.logger, "replicas", len(replicas))
 	}
 	f.failed = false
-	f.recordForeign(list.Foreign)
+	f.recordForeign(list.Invalid)
 	f.listed = mergeList(f.listed, replicas)
 	f.reads++
 	return true
@@ -177,9 +177,9 @@
 // that start together: each change is sent to every proxy, of which there may be a thousand.
 const proxyDiffInterval = 100 * time.Millisecond
 
-// tendFleet commits the differences between the observed and the recorded fleet: the listed
+// manageFleet commits the differences between the observed and the recorded fleet: the listed
 // replicas, the proxies that accept requests, and the members.
-func (d *duties) tendFleet(ctx context.Context, term *termDuties) {
+func (d *leaderTasks) manageFleet(ctx context.Context, term *termState) {
 	if d.group.config.Fleet == nil {
 		return // there are no routed services
 	}
@@ -289,11 +289,11 @@
 	}
 }
 
-// diffProxies adds what is to be recorded of the proxies to changes. Ready proxies are added. Removed are
-// those that report that they are stopping and, if settled is true because proxies have had time to
-// report to this leader, those that report nothing. A recorded proxy that is only restarting stays:
-// it is ready again before its callers have found another one, and removing it after a restart of
-// the whole system would leave callers without any proxy.
+// diffProxies adds what is to be recorded of the proxies to changes. Ready proxies are added.
+// Removed are those that report that they are stopping and, if settled is true because proxies have
+// had time to report to this leader, those that report nothing. A recorded proxy that is only
+// restarting stays: it is ready again before its callers have found another one, and removing it
+// after a restart of the whole system would leave callers without any proxy.
 func diffProxies(changes *state.Observe, current *view.View, heard map[string]feed.Presence, settled bool) {
 	for _, name := range slices.Sorted(maps.Keys(heard)) {
 		presence := heard[name]
--- a/process/control/forward.go
+++ b/process/control/forward.go
@@ -74,7 +74,8 @@
 	return ""
 }
 
-// forward relays a request to the leader, if one is known and the request was not forwarded already.
+// forward relays a request to the leader, if one is known and the request was not forwarded
+// already.
 func (s *operatorServer) forward(w http.ResponseWriter, r *http.Request, body []byte) {
 	address := s.leaderAddress()
 	if address == "" || r.Header.Get(operatorapi.HeaderForwarded) != "" {
--- a/process/control/founding.go
+++ b/process/control/founding.go
@@ -36,7 +36,7 @@
 // configuration returns the initial configuration, which is empty for a member that has to join.
 // Its only error is that of ctx.
 func (b *bootstrapper) configuration(ctx context.Context) (raft.Configuration, error) {
-	if b.config.Found && !b.groupExists(ctx) {
+	if b.config.Bootstrap && !b.groupExists(ctx) {
 		return raft.Configuration{Voters: []raft.MemberID{b.self}}, nil
 	}
 	if b.config.Join {
@@ -54,7 +54,7 @@
 }
 
 // groupExists reports whether another configured member belongs to a group, that is, knows voters:
-// a member that still waits to be added knows none. Since Found is set on one member only, that
+// a member that still waits to be added knows none. Since Bootstrap is set on one member only, that
 // member bootstrapped the group before and has lost its disk since.
 func (b *bootstrapper) groupExists(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, b.config.Durations.Election)
--- a/process/control/group.go
+++ b/process/control/group.go
@@ -28,13 +28,13 @@
 	// presence holds the presence reports of proxies to this member.
 	presence *presenceTable
 	// usage holds the counts reported by proxies.
-	usage *usageDesk
+	usage *usageCollector
 	// agreedTime is the wall-clock time that a majority of the proxies' clocks agrees on.
 	agreedTime *metering.Agreement
-	// desk places the requests of model services.
-	desk *placementDesk
+	// boards places the requests of model services.
+	boards *placementBoards
 	// quotas charges requests to the quotas of their tenants.
-	quotas *quotaDesk
+	quotas *quotaCharger
 	// evidence holds the proxies' reports of crashed replicas.
 	evidence *evidence
 	metrics  *metrics
@@ -100,8 +100,8 @@
 // View returns the last applied view.
 func (g *group) View() *view.View { return g.machine.view() }
 
-// DeltaSince returns the delta from a version to the last applied one, and false if the last applied
-// one is not newer.
+// DeltaSince returns the delta from a version to the last applied one, and false if the last
+// applied one is not newer.
 func (g *group) DeltaSince(from view.Version) (view.Delta, bool) {
 	return g.machine.history.Load().DeltaSince(from)
 }
@@ -204,29 +204,31 @@
 // suspects are isolated, and requests that are about to be held have to wait.
 func (g *group) Place(daemon string, request feed.PlaceRequest) (placement.Answer, bool) {
 	began := monotonic()
-	tracker := g.evidence.desk
+	tracker := g.evidence.tracker
 	alert := tracker.isAlert(request.Service, began)
 	if alert && request.Ask.Name == "" {
 		return placement.Answer{Name: true}, true
 	}
 	request.Ask.Suspect = alert && tracker.isSuspect(request.Ask.Name, began)
-	request.Ask.Judged = request.Ask.Suspect && tracker.isJudged(request.Ask.Name, began)
-	answer, known := g.desk.place(g.machine.history.Load(), daemon, request, alert, began)
+	request.Ask.Judged = request.Ask.Suspect && tracker.mustWait(request.Ask.Name, began)
+	answer, known := g.boards.place(g.machine.history.Load(), daemon, request, alert, began)
 	g.metrics.observePlacement(request.Service, answer, known, monotonic()-began)
 	return answer, known
 }
 
 // NotePlaced records the progress of a request that this member has placed.
 func (g *group) NotePlaced(daemon string, note feed.PlaceNote) {
-	g.desk.recordProgress(daemon, note, monotonic())
+	g.boards.recordProgress(daemon, note, monotonic())
 }
 
 // NoteKept records the prompt parts that a replica is believed to have cached.
-func (g *group) NoteKept(kept feed.KeptParts) { g.desk.kept(g.machine.history.Load(), kept) }
+func (g *group) NoteKept(kept feed.KeptParts) {
+	g.boards.addCachedParts(g.machine.history.Load(), kept)
+}
 
 // NoteInFlight records requests that a proxy has in flight and that another member has placed.
 func (g *group) NoteInFlight(daemon string, told feed.InFlight) {
-	g.desk.takeOver(g.machine.history.Load(), daemon, told, monotonic())
+	g.boards.addInFlight(g.machine.history.Load(), daemon, told, monotonic())
 }
 
 // leaseReadBatcher shares lease reads among concurrent callers. Every caller gets the result of a
--- a/process/control/group_test.go
+++ b/process/control/group_test.go
@@ -34,8 +34,8 @@
 	)
 }
 
-// patience bounds every wait of these tests. It is a limit, not an expected duration.
-const patience = 20 * time.Second
+// waitTimeout bounds every wait of these tests. It is a limit, not an expected duration.
+const waitTimeout = 20 * time.Second
 
 // testDurations are short so that elections and leases take little time. The lease is long enough
 // for a leader to keep it when a busy machine does not schedule it for up to half a second.
@@ -217,10 +217,10 @@
 // eventually polls until the condition holds.
 func eventually(t testing.TB, what string, condition func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("not within %v: %s", patience, what)
+			t.Fatalf("not within %v: %s", waitTimeout, what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
--- a/process/control/handlers.go
+++ b/process/control/handlers.go
@@ -44,9 +44,9 @@
 	}
 }
 
-// leased checks the leader lease and then calls serve, which so reads everything that was committed
-// before the request. Without a valid lease it responds with an error.
-func (s *operatorServer) leased(w http.ResponseWriter, r *http.Request, serve func(current *group, term uint64)) {
+// withLease checks the leader lease and then calls serve, which so reads everything that was
+// committed before the request. Without a valid lease it responds with an error.
+func (s *operatorServer) withLease(w http.ResponseWriter, r *http.Request, serve func(current *group, term uint64)) {
 	current := s.member.group.Load()
 	term, valid := current.Lease(r.Context())
 	if !valid {
@@ -62,7 +62,7 @@
 		writeUnknownKind(w)
 		return
 	}
-	s.leased(w, r, func(current *group, term uint64) {
+	s.withLease(w, r, func(current *group, term uint64) {
 		currentView := current.machine.view()
 		objects := currentView.List(kind)
 		for i := range objects {
@@ -79,7 +79,7 @@
 		writeUnknownKind(w)
 		return
 	}
-	s.leased(w, r, func(current *group, term uint64) {
+	s.withLease(w, r, func(current *group, term uint64) {
 		currentView := current.machine.view()
 		object, found := currentView.Object(key)
 		if !found {
--- a/process/control/history_test.go
+++ b/process/control/history_test.go
@@ -115,7 +115,7 @@
 		machine: machine,
 		config:  Config{Durations: Durations{Proposal: 700 * time.Millisecond}}.WithDefaults(),
 		demand:  newDemandTable(time.Now()),
-		quotas:  newQuotaDesk(quota.Rule{}),
+		quotas:  newQuotaCharger(quota.Rule{}),
 		metrics: newMetrics(),
 	})
 }
@@ -380,8 +380,8 @@
 type keyState struct {
 	register register
 	nonce    uint64 // nonce of the granted claim
-	// isRevisionUnknown is true after a write with unknown outcome took effect, so that no client knows its
-	// revision.
+	// isRevisionUnknown is true after a write with unknown outcome took effect, so that no client
+	// knows its revision.
 	isRevisionUnknown bool
 }
 
@@ -397,9 +397,9 @@
 	return false, s
 }
 
-// matches compares an observed value with the state. The revision of a write with unknown outcome is
-// not known either: the first value observed after it must have a higher revision than the state and
-// determines the revision.
+// matches compares an observed value with the state. The revision of a write with unknown outcome
+// is not known either: the first value observed after it must have a higher revision than the state
+// and determines the revision.
 func (s keyState) matches(seen register) (bool, any) {
 	if s.isRevisionUnknown {
 		ok := seen.weight == s.register.weight && seen.revision > s.register.revision
--- a/process/control/ingress.go
+++ b/process/control/ingress.go
@@ -150,8 +150,8 @@
 }
 
 // replaceIngress commits the spec if it is valid and the group tolerates the configured number of
-// losses: data acknowledged by a smaller group would not survive them. It logs IngressRefused for an
-// invalid spec and IngressNotTaken for a valid one that was not committed.
+// losses: data acknowledged by a smaller group would not survive them. It logs IngressRefused for
+// an invalid spec and IngressNotTaken for a valid one that was not committed.
 func (g *group) replaceIngress(ctx context.Context, spec api.IngressSpec) (api.ReplaceResult, error) {
 	if faults := api.ValidateIngress(&spec); len(faults) > 0 {
 		event.IngressRefused.Log(g.logger, "generation", spec.Generation, "faults", len(faults), "first", faults[0].Field+" "+faults[0].Message)
@@ -193,17 +193,17 @@
 // that must be tolerated.
 func (g *group) toleratesLosses(status raft.Status) bool {
 	quorum := len(status.Configuration.Voters)/2 + 1
-	return quorum > g.config.LossesToBear
+	return quorum > g.config.ToleratedLosses
 }
 
 // requiredVoters returns the number of voters that the group needs to continue after the losses
 // that must be tolerated.
-func (g *group) requiredVoters() int { return 2*g.config.LossesToBear + 1 }
+func (g *group) requiredVoters() int { return 2*g.config.ToleratedLosses + 1 }
 
 // readIngress serves the operator API's request on the leader. Only this response contains the
 // document with its API keys, since operators must read it back as they sent it.
 func (s *operatorServer) readIngress(w http.ResponseWriter, r *http.Request, _ []byte) {
-	s.leased(w, r, func(current *group, term uint64) {
+	s.withLease(w, r, func(current *group, term uint64) {
 		held, err := current.machine.ingress()
 		if err != nil {
 			writeNoQuorum(w, err.Error(), "")
--- a/process/control/ingress_test.go
+++ b/process/control/ingress_test.go
@@ -44,7 +44,7 @@
 	f.replicas = replicas
 }
 
-func (f *fakeFleet) Kept(_ context.Context, replica *api.Replica) ([]placement.Part, error) {
+func (f *fakeFleet) CachedParts(_ context.Context, replica *api.Replica) ([]placement.Part, error) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	f.asked = append(f.asked, replica.Name)
@@ -58,9 +58,9 @@
 	}
 }
 
-// growing is a group that one member bootstraps and the others join. Each member's configuration
-// names only the first few members and itself.
-type growing struct {
+// growingGroup is a group that one member bootstraps and the others join. Each member's
+// configuration names only the first few members and itself.
+type growingGroup struct {
 	*cluster
 	fleet *fakeFleet
 
@@ -68,12 +68,12 @@
 	access map[string]*Access
 }
 
-func newGrowing(t *testing.T, size, seeds, losses int) *growing {
-	g := &growing{fleet: &fakeFleet{}, access: map[string]*Access{}}
+func newGrowingGroup(t *testing.T, size, seeds, losses int) *growingGroup {
+	g := &growingGroup{fleet: &fakeFleet{}, access: map[string]*Access{}}
 	g.cluster = newCluster(t, size, func(config *Config) {
 		config.Join = true
-		config.LossesToBear = losses
-		config.Fleet, config.Kept = g.fleet, g.fleet
+		config.ToleratedLosses = losses
+		config.Fleet, config.PromptCache = g.fleet, g.fleet
 		config.Durations.ProxySilence = 300 * time.Millisecond
 		config.Durations.MemberSilence = 600 * time.Millisecond
 		name := config.Name
@@ -85,7 +85,7 @@
 		}}
 	})
 	for i := range g.configs {
-		g.configs[i].Found = i == 0
+		g.configs[i].Bootstrap = i == 0
 		known := slices.Clone(g.configs[i].Members[:seeds])
 		if i >= seeds {
 			known = append(known, g.configs[i].Members[i])
@@ -96,7 +96,7 @@
 }
 
 // voters returns the number of voters in the member's committed configuration, or 0 if it has none.
-func (g *growing) voters(i int) int {
+func (g *growingGroup) voters(i int) int {
 	current := g.running[i].member.group.Load()
 	if current == nil {
 		return 0
@@ -108,7 +108,7 @@
 	return len(status.Configuration.Voters)
 }
 
-func (g *growing) accessOf(i int) *Access {
+func (g *growingGroup) accessOf(i int) *Access {
 	g.t.Helper()
 	var found *Access
 	eventually(g.t, "the extension has started", func() bool {
@@ -120,7 +120,7 @@
 	return found
 }
 
-func (g *growing) awaitVoters(count int, members ...int) {
+func (g *growingGroup) awaitVoters(count int, members ...int) {
 	g.t.Helper()
 	eventually(g.t, "the group has the expected number of voters", func() bool {
 		return !slices.ContainsFunc(members, func(i int) bool { return g.voters(i) != count })
@@ -140,7 +140,7 @@
 func TestGroupGrowsFromOneFounderInAnyOrder(t *testing.T) {
 	for name, order := range map[string][]int{"founder first": {0, 1, 2, 3, 4}, "founder last": {4, 3, 2, 1, 0}} {
 		t.Run(name, func(t *testing.T) {
-			g := newGrowing(t, 5, 3, 2)
+			g := newGrowingGroup(t, 5, 3, 2)
 			g.start(order...)
 			g.awaitVoters(5, 0, 1, 2, 3, 4)
 		})
@@ -150,7 +150,7 @@
 // Acknowledged data must survive the configured number of losses, so a group that still has too few
 // voters must refuse an Ingress.
 func TestIngressIsRefusedUntilGroupToleratesLosses(t *testing.T) {
-	g := newGrowing(t, 5, 3, 2)
+	g := newGrowingGroup(t, 5, 3, 2)
 	g.start(0)
 	g.awaitVoters(1, 0)
 	access := g.accessOf(0)
@@ -168,7 +168,7 @@
 // member could not reply to the leader and never received a log, so that after two more lost disks
 // only one voter of five was left.
 func TestMemberJoinsUnderNonSeedLeader(t *testing.T) {
-	g := newGrowing(t, 5, 3, 2)
+	g := newGrowingGroup(t, 5, 3, 2)
 	g.start(0, 1, 2, 3, 4)
 	g.awaitVoters(5, 0, 1, 2, 3, 4)
 	leader := g.running[3].member
@@ -185,7 +185,7 @@
 
 // A member must be able to join even if its first seed is unresponsive.
 func TestMemberJoinsWithUnresponsiveFirstSeed(t *testing.T) {
-	g := newGrowing(t, 4, 3, 1)
+	g := newGrowingGroup(t, 4, 3, 1)
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	defer func() { _ = silent.Close() }() // the kernel accepts connections, but nothing replies
@@ -198,7 +198,7 @@
 }
 
 // transferToNonSeed makes a member the leader that the others' configuration does not name.
-func (g *growing) transferToNonSeed(i int) {
+func (g *growingGroup) transferToNonSeed(i int) {
 	g.t.Helper()
 	leader := g.running[i].member
 	eventually(g.t, "a member that is not a seed leads", func() bool {
@@ -214,7 +214,7 @@
 // A member that was removed while it was disconnected must learn of it from a leader that its
 // configuration does not name.
 func TestRemovedMemberRejoinsUnderNonSeedLeader(t *testing.T) {
-	g := newGrowing(t, 5, 3, 2)
+	g := newGrowingGroup(t, 5, 3, 2)
 	g.start(0, 1, 2, 3, 4)
 	g.awaitVoters(5, 0, 1, 2, 3, 4)
 	g.transferToNonSeed(3)
@@ -227,7 +227,7 @@
 	select {
 	case err := <-dropped.done:
 		must.ErrorIs(t, err, ErrRemoved)
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatal("the member did not notice its removal")
 	}
 	g.start(4)
@@ -235,13 +235,13 @@
 	must.NotEq(t, dropped.member.id, g.running[4].member.id)
 }
 
-// The Found setting applies to a member's first start. A founder that lost its disk or was removed
-// must join the group that it bootstrapped, even if Found is still set.
+// The Bootstrap setting applies to a member's first start. A founder that lost its disk or was
+// removed must join the group that it bootstrapped, even if Bootstrap is still set.
 func TestFounderDoesNotBootstrapSecondGroup(t *testing.T) {
-	g := newGrowing(t, 5, 3, 2)
+	g := newGrowingGroup(t, 5, 3, 2)
 	g.start(0, 1, 2, 3, 4)
 	g.awaitVoters(5, 0, 1, 2, 3, 4)
-	must.True(t, g.configs[0].Found)
+	must.True(t, g.configs[0].Bootstrap)
 	g.crash(0)
 	g.loseDisk(0)
 	g.start(0)
@@ -249,10 +249,10 @@
 }
 
 func TestRemovedFounderRejoinsItsGroup(t *testing.T) {
-	g := newGrowing(t, 5, 3, 2)
+	g := newGrowingGroup(t, 5, 3, 2)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- RunAgain(ctx, g.configs[0], nopLogger{}) }()
+	go func() { ended <- RunWithRestart(ctx, g.configs[0], nopLogger{}) }()
 	g.start(1, 2, 3, 4)
 	g.awaitVoters(5, 1, 2, 3, 4)
 	idOfFounder := func() uint64 {
@@ -280,7 +280,7 @@
 
 // A damaged data directory must be discarded whichever of the other members leads.
 func TestDamagedDataFolderIsDiscardedUnderNonSeedLeader(t *testing.T) {
-	g := newGrowing(t, 5, 3, 2)
+	g := newGrowingGroup(t, 5, 3, 2)
 	g.start(0, 1, 2, 3, 4)
 	g.awaitVoters(5, 0, 1, 2, 3, 4)
 	g.transferToNonSeed(3)
@@ -296,7 +296,7 @@
 }
 
 func TestLostMemberIsRemovedAfterReplacementJoins(t *testing.T) {
-	g := newGrowing(t, 6, 3, 2)
+	g := newGrowingGroup(t, 6, 3, 2)
 	g.start(0, 1, 2, 3, 4)
 	g.awaitVoters(5, 0, 1, 2, 3, 4)
 	g.crash(4)
@@ -309,7 +309,7 @@
 }
 
 func TestAnyMemberReplacesAndReadsIngress(t *testing.T) {
-	g := newGrowing(t, 3, 3, 1)
+	g := newGrowingGroup(t, 3, 3, 1)
 	g.start(0, 1, 2)
 	g.awaitVoters(3, 0, 1, 2)
 	for i := range 3 {
@@ -336,7 +336,7 @@
 // API keys occur only in the document, which no view contains: neither what proxies receive nor
 // what operators read as objects.
 func TestViewsContainNoAPIKeys(t *testing.T) {
-	g := newGrowing(t, 3, 3, 1)
+	g := newGrowingGroup(t, 3, 3, 1)
 	g.start(0, 1, 2)
 	g.awaitVoters(3, 0, 1, 2)
 	key := "key-of-north-0123456789"
@@ -372,7 +372,7 @@
 
 // replaceIngress submits the Ingress through the member until the request is answered. As callers
 // do, it retries when the outcome is unknown or the group is unavailable.
-func (g *growing) replaceIngress(i int, spec api.IngressSpec) api.ReplaceResult {
+func (g *growingGroup) replaceIngress(i int, spec api.IngressSpec) api.ReplaceResult {
 	g.t.Helper()
 	var result api.ReplaceResult
 	eventually(g.t, "the Ingress is answered", func() bool {
@@ -384,7 +384,7 @@
 }
 
 // currentIngress reads the Ingress through the member until the request is answered.
-func (g *growing) currentIngress(i int) *api.Ingress {
+func (g *growingGroup) currentIngress(i int) *api.Ingress {
 	g.t.Helper()
 	var held *api.Ingress
 	eventually(g.t, "the current Ingress is read", func() bool {
@@ -397,7 +397,7 @@
 
 // answered reports whether a request was answered. It fails the test on any error other than those
 // that allow a retry.
-func (g *growing) answered(err error) bool {
+func (g *growingGroup) answered(err error) bool {
 	g.t.Helper()
 	if err == nil {
 		return true
@@ -407,7 +407,7 @@
 }
 
 func TestOperatorAPIReplacesAnIngress(t *testing.T) {
-	g := newGrowing(t, 1, 1, 0)
+	g := newGrowingGroup(t, 1, 1, 0)
 	g.start(0)
 	g.awaitVoters(1, 0)
 	var result api.ReplaceResult
@@ -422,7 +422,7 @@
 }
 
 func TestListedReplicasReachDaemons(t *testing.T) {
-	g := newGrowing(t, 1, 1, 0)
+	g := newGrowingGroup(t, 1, 1, 0)
 	g.fleet.set(replicaOf("r-1", false), replicaOf("r-2", false))
 	g.start(0)
 	g.awaitVoters(1, 0)
@@ -450,7 +450,7 @@
 }
 
 func TestReadyProxiesAreAdvertised(t *testing.T) {
-	g := newGrowing(t, 1, 1, 0)
+	g := newGrowingGroup(t, 1, 1, 0)
 	g.start(0)
 	g.awaitVoters(1, 0)
 	access := g.accessOf(0)
@@ -486,7 +486,7 @@
 }
 
 func TestLeaderPlacesRequestsOfAllProxies(t *testing.T) {
-	g := newGrowing(t, 1, 1, 0)
+	g := newGrowingGroup(t, 1, 1, 0)
 	model := func(name string, role api.EngineRole) api.Replica {
 		return api.Replica{Metadata: api.Metadata{Name: name}, Spec: api.ReplicaSpec{Service: "narrator", Zone: "a", Address: "addr-" + name, Role: role}}
 	}
@@ -524,7 +524,7 @@
 // After a restart of the whole system no member knows what replicas have cached: the leader must
 // query the replicas for which no proxy has reported it, and none before there is an Ingress.
 func TestLeaderQueriesColdReplicasAfterIngress(t *testing.T) {
-	g := newGrowing(t, 1, 1, 0)
+	g := newGrowingGroup(t, 1, 1, 0)
 	replica := api.Replica{Metadata: api.Metadata{Name: "make"}, Spec: api.ReplicaSpec{Service: "narrator", Zone: "a", Address: "addr", Role: api.RoleDecode}}
 	g.fleet.set(replica)
 	g.fleet.kept = map[string][]placement.Part{"make": {{ID: "p", Tokens: 5_000}}}
@@ -574,9 +574,9 @@
 	config.DataFolder = filepath.Join(t.TempDir(), "missing", "\x00")
 	ctx, cancel := context.WithTimeout(t.Context(), 1500*time.Millisecond)
 	defer cancel()
-	must.NoError(t, RunAgain(ctx, config, nopLogger{}))
+	must.NoError(t, RunWithRestart(ctx, config, nopLogger{}))
 	config.Name = "stranger"
-	must.ErrorIs(t, RunAgain(t.Context(), config, nopLogger{}), ErrConfig)
+	must.ErrorIs(t, RunWithRestart(t.Context(), config, nopLogger{}), ErrConfig)
 }
 
 type nopLogger struct{}
--- a/process/control/membership.go
+++ b/process/control/membership.go
@@ -24,10 +24,10 @@
 	errInvalidMember = errors.New("control: a member needs an ID, a name and its addresses")
 )
 
-// tendMembers performs at most one step of membership maintenance: it records the addresses of a
+// manageMembers performs at most one step of membership maintenance: it records the addresses of a
 // member, promotes a learner that has caught up, removes a replaced identity, or removes an
 // unreachable voter.
-func (d *duties) tendMembers(ctx context.Context, term *termDuties) {
+func (d *leaderTasks) manageMembers(ctx context.Context, term *termState) {
 	status := d.group.replica.Status()
 	if status.Role != raft.Leader {
 		return
@@ -49,8 +49,8 @@
 // more voters than the configured losses require. Then a replacement has joined, and the lost voter
 // only makes quorums harder to reach. The quorums of the configurations before and after share a
 // member, as in every change of a single voter.
-func (d *duties) removeUnreachable(ctx context.Context, term *termDuties, status raft.Status) {
-	if d.group.config.LossesToBear == 0 {
+func (d *leaderTasks) removeUnreachable(ctx context.Context, term *termState, status raft.Status) {
+	if d.group.config.ToleratedLosses == 0 {
 		return // an operator manages the members of such a group
 	}
 	now := monotonic()
@@ -67,7 +67,7 @@
 }
 
 // updateUnreachable records since when each voter has been unreachable.
-func (t *termDuties) updateUnreachable(status raft.Status, now time.Duration) {
+func (t *termState) updateUnreachable(status raft.Status, now time.Duration) {
 	for _, voter := range status.Configuration.Voters {
 		if isActive(status, voter) {
 			delete(t.unreachableSince, voter)
@@ -79,9 +79,9 @@
 	}
 }
 
-// longestUnreachable returns the voter that has been unreachable for the longest time, and for how long.
-// It returns none and 0 if all voters are active.
-func (t *termDuties) longestUnreachable(status raft.Status, now time.Duration) (lost raft.MemberID, away time.Duration) {
+// longestUnreachable returns the voter that has been unreachable for the longest time, and for how
+// long. It returns none and 0 if all voters are active.
+func (t *termState) longestUnreachable(status raft.Status, now time.Duration) (lost raft.MemberID, away time.Duration) {
 	for _, voter := range status.Configuration.Voters {
 		since, isAway := t.unreachableSince[voter]
 		if isAway && now-since > away {
@@ -93,7 +93,7 @@
 
 // recordAddresses commits the addresses of one member that the state lacks, and reports whether it
 // did.
-func (d *duties) recordAddresses(ctx context.Context, status raft.Status) bool {
+func (d *leaderTasks) recordAddresses(ctx context.Context, status raft.Status) bool {
 	recorded := map[raft.MemberID]bool{}
 	for _, member := range d.group.machine.members() {
 		recorded[raft.MemberID(member.ID)] = true
@@ -124,7 +124,7 @@
 
 // promoteLearner makes one learner a voter and reports whether it did. The replica refuses a
 // learner that has not caught up; it is tried again in the next round.
-func (d *duties) promoteLearner(ctx context.Context, status raft.Status) bool {
+func (d *leaderTasks) promoteLearner(ctx context.Context, status raft.Status) bool {
 	for _, learner := range status.Configuration.Learners {
 		if !status.RecentlyActive[learner] {
 			continue
@@ -139,7 +139,7 @@
 
 // removeReplaced tries to remove one identity whose name is now used by an active voter. It returns
 // true if there is one, even if the removal failed.
-func (d *duties) removeReplaced(ctx context.Context, term *termDuties, status raft.Status) bool {
+func (d *leaderTasks) removeReplaced(ctx context.Context, term *termState, status raft.Status) bool {
 	termAge := monotonic() - term.startedAt
 	member, found := replacedMember(d.group.machine.members(), status, termAge, d.group.config.Durations.Election)
 	if !found {
@@ -270,10 +270,10 @@
 	repairing []string
 }
 
-// faultTolerance counts only voters that are active and have replicated everything that was committed by
-// the previous round: a repair is complete when its data is replicated. While a membership change
-// is uncommitted, no further loss is safe: losing the leader would restore the previous
-// configuration, in which the replaced member still counts.
+// faultTolerance counts only voters that are active and have replicated everything that was
+// committed by the previous round: a repair is complete when its data is replicated. While a
+// membership change is uncommitted, no further loss is safe: losing the leader would restore the
+// previous configuration, in which the replaced member still counts.
 func (g *group) faultTolerance(status raft.Status, commit uint64) faultTolerance {
 	var result faultTolerance
 	upToDate := 0
@@ -311,14 +311,14 @@
 }
 
 // recordCommit stores the commit index of a round.
-func (t *termDuties) recordCommit(commit uint64) {
+func (t *termState) recordCommit(commit uint64) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	t.commit = commit
 }
 
 // lastCommit returns the commit index that the previous round stored.
-func (t *termDuties) lastCommit() uint64 {
+func (t *termState) lastCommit() uint64 {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	return t.commit
--- a/process/control/membership_test.go
+++ b/process/control/membership_test.go
@@ -63,7 +63,7 @@
 // Of several unreachable voters, the one that has been unreachable for the longest time must be
 // removed first: it is the one whose replacement has joined.
 func TestLongestAway(t *testing.T) {
-	term := &termDuties{unreachableSince: map[raft.MemberID]time.Duration{}}
+	term := &termState{unreachableSince: map[raft.MemberID]time.Duration{}}
 	heard := func(ids ...raft.MemberID) raft.Status {
 		status := raft.Status{ID: 1, Configuration: raft.Configuration{Voters: []raft.MemberID{1, 2, 3, 4}}, RecentlyActive: map[raft.MemberID]bool{}}
 		for _, id := range ids {
@@ -178,7 +178,7 @@
 	g := &group{
 		machine: newMachine(),
 		config:  Config{Durations: testDurations}.WithDefaults(),
-		quotas:  newQuotaDesk(quota.Rule{}),
+		quotas:  newQuotaCharger(quota.Rule{}),
 		metrics: newMetrics(),
 	}
 	started, err := replica.Start(replica.Config{
@@ -220,7 +220,7 @@
 // read the configuration before, so it only marked the identity and left it a learner, which hears
 // from a leader and therefore never checks whether it was removed.
 func TestRemovalReadsConfigurationUnderLock(t *testing.T) {
-	g := newGrowing(t, 1, 1, 0)
+	g := newGrowingGroup(t, 1, 1, 0)
 	g.start(0)
 	g.awaitVoters(1, 0)
 	current := g.running[0].member.group.Load()
--- a/process/control/metrics.go
+++ b/process/control/metrics.go
@@ -30,7 +30,7 @@
 	charges            *prometheus.CounterVec
 	placementTime      *prometheus.HistogramVec
 	expectedFirstToken *prometheus.HistogramVec
-	foreign            prometheus.Gauge
+	foreignEntries     prometheus.Gauge
 }
 
 func newMetrics() *metrics {
@@ -46,10 +46,10 @@
 	m.placements = m.counterVec("placements_total", "Requests that proxies asked this member to place.", "outcome")
 	m.placementTime = m.histogram("placing_seconds", "Time of one decision where a request goes.", placementTimeBuckets, "service")
 	m.expectedFirstToken = m.histogram("placed_first_token_seconds", "Expected time to the first token of placed requests.", expectedFirstTokenBuckets, "service")
-	m.foreign = prometheus.NewGauge(prometheus.GaugeOpts{
+	m.foreignEntries = prometheus.NewGauge(prometheus.GaugeOpts{
 		Namespace: metricsNamespace, Name: "fleet_foreign_entries", Help: "Entries of the list that name no replica, as last read by this member as leader.",
 	})
-	m.registry.MustRegister(m.foreign)
+	m.registry.MustRegister(m.foreignEntries)
 	return m
 }
 
@@ -73,8 +73,8 @@
 	return created
 }
 
-// Histogram buckets: from 4 µs to 4 ms for placement decisions, and from 10 ms to 10 s for expected
-// times to the first token.
+// Histogram buckets: from 4 µs to 4 ms for placement decisions, and from 10 ms to 10 s for
+// expected times to the first token.
 var (
 	placementTimeBuckets      = prometheus.ExponentialBuckets(4e-6, 4, 6)
 	expectedFirstTokenBuckets = prometheus.ExponentialBuckets(0.01, 2, 11)
--- a/process/control/open.go
+++ b/process/control/open.go
@@ -90,7 +90,7 @@
 		return errors.Wrap(err, "control: create peer transport")
 	}
 	m.transport = transport
-	m.evidence.tellOthers(transport)
+	m.evidence.setSender(transport)
 	m.addresses = newAddressBook(m.config, m.id, transport)
 	return nil
 }
@@ -99,7 +99,7 @@
 func (m *member) handlePeerEvent(peerEvent peer.Event) {
 	m.logPeerEvent(peerEvent)
 	if peerEvent.Kind == peer.EventConnected {
-		m.evidence.greet(peerEvent.Member)
+		m.evidence.sendNotable(peerEvent.Member)
 	}
 }
 
--- a/process/control/placement.go
+++ b/process/control/placement.go
@@ -11,22 +11,22 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
-// placementDesk places the requests of model services. It has one board per service, the load model
-// of the service's replicas with the requests of all proxies. Its state is in memory only: a new
-// leader starts with empty boards and learns their contents within seconds.
-type placementDesk struct {
+// placementBoards places the requests of model services. It has one board per service, the load
+// model of the service's replicas with the requests of all proxies. Its state is in memory only: a
+// new leader starts with empty boards and learns their contents within seconds.
+type placementBoards struct {
 	lock    sync.Mutex
 	version view.Version
 	boards  map[string]*placement.Board
 }
 
-func newPlacementDesk() *placementDesk {
-	return &placementDesk{boards: map[string]*placement.Board{}}
+func newPlacementBoards() *placementBoards {
+	return &placementBoards{boards: map[string]*placement.Board{}}
 }
 
 // place answers a placement request according to the view, and returns false if the service has no
 // board. alert is true while replicas of the service crash one after the other under some request.
-func (d *placementDesk) place(current *view.History, daemon string, request feed.PlaceRequest, alert bool, now time.Duration) (placement.Answer, bool) {
+func (d *placementBoards) place(current *view.History, daemon string, request feed.PlaceRequest, alert bool, now time.Duration) (placement.Answer, bool) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	d.update(current)
@@ -42,7 +42,7 @@
 }
 
 // recordProgress records the progress of a placed request.
-func (d *placementDesk) recordProgress(daemon string, note feed.PlaceNote, now time.Duration) {
+func (d *placementBoards) recordProgress(daemon string, note feed.PlaceNote, now time.Duration) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	if board := d.boards[note.Service]; board != nil {
@@ -50,8 +50,8 @@
 	}
 }
 
-// kept records which prompt parts a replica has cached, according to a proxy.
-func (d *placementDesk) kept(current *view.History, kept feed.KeptParts) {
+// addCachedParts records which prompt parts a replica has cached, according to a proxy.
+func (d *placementBoards) addCachedParts(current *view.History, kept feed.KeptParts) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	d.update(current)
@@ -60,8 +60,8 @@
 	}
 }
 
-// takeOver adds the requests that a proxy already has in flight.
-func (d *placementDesk) takeOver(current *view.History, daemon string, inFlight feed.InFlight, now time.Duration) {
+// addInFlight adds the requests that a proxy already has in flight.
+func (d *placementBoards) addInFlight(current *view.History, daemon string, inFlight feed.InFlight, now time.Duration) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	d.update(current)
@@ -72,7 +72,7 @@
 
 // summaries returns the board summaries, by service, of the services that received placement
 // requests since the previous call.
-func (d *placementDesk) summaries(now time.Duration) map[string]placement.Summary {
+func (d *placementBoards) summaries(now time.Duration) map[string]placement.Summary {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	summaries := map[string]placement.Summary{}
@@ -88,7 +88,7 @@
 // acquiring the lock, so views can arrive out of order. If the changes since the last view are
 // known, only these are applied, so that the cost of a replica change does not depend on the
 // number of replicas. The caller holds the lock.
-func (d *placementDesk) update(current *view.History) {
+func (d *placementBoards) update(current *view.History) {
 	delta, newer := current.DeltaSince(d.version)
 	if !newer {
 		return
@@ -116,7 +116,7 @@
 }
 
 // rebuild applies a complete view. Boards of services that no longer exist stay.
-func (d *placementDesk) rebuild(current *view.View) {
+func (d *placementBoards) rebuild(current *view.View) {
 	ingress := current.Ingresses[api.IngressName]
 	if ingress == nil {
 		return
@@ -137,7 +137,7 @@
 }
 
 // putReplica adds or updates a replica, whose service may have changed.
-func (d *placementDesk) putReplica(entry *api.Replica) {
+func (d *placementBoards) putReplica(entry *api.Replica) {
 	for service, board := range d.boards {
 		if service == entry.Spec.Service {
 			board.Put(placementReplica(entry))
@@ -147,7 +147,7 @@
 	}
 }
 
-func (d *placementDesk) removeReplica(name string) {
+func (d *placementBoards) removeReplica(name string) {
 	for _, board := range d.boards {
 		board.Remove(name)
 	}
@@ -173,9 +173,9 @@
 	}
 }
 
-// modelParameters returns the configured model parameters of a service: the KV cache size in tokens, the
-// bytes per token, the link speed in Mbit/s, and the shortest objective for the time between two
-// output tokens among the routes that lead to the service.
+// modelParameters returns the configured model parameters of a service: the KV cache size in
+// tokens, the bytes per token, the link speed in Mbit/s, and the shortest objective for the time
+// between two output tokens among the routes that lead to the service.
 func modelParameters(spec *api.IngressSpec, service *api.RouteService) placement.Sheet {
 	sheet := placement.Sheet{
 		KVTokens:    service.Model.KVTokens,
--- a/process/control/placement_test.go
+++ b/process/control/placement_test.go
@@ -39,7 +39,7 @@
 	}
 	for _, each := range cases {
 		t.Run(each.name, func(t *testing.T) {
-			boards := newPlacementDesk()
+			boards := newPlacementBoards()
 			answer, known := boards.place(modelView(1, each.replica), "proxy-1", feed.PlaceRequest{Service: each.service, Number: 1, Ask: ask}, false, 0)
 			must.Eq(t, each.known, known)
 			must.Eq(t, each.generator, answer.Generator)
@@ -48,7 +48,7 @@
 }
 
 func TestPlacementFollowsView(t *testing.T) {
-	boards := newPlacementDesk()
+	boards := newPlacementBoards()
 	request := feed.PlaceRequest{Service: "chat", Number: 1, Ask: placement.Ask{Prompt: 100, Output: 10, Deadline: time.Second}}
 	for i, replica := range []string{"r-1", "r-2", "r-3"} {
 		answer, _ := boards.place(modelView(uint64(i)+1, replica), "proxy-1", request, false, 0)
@@ -84,7 +84,7 @@
 // current one. If an older view replaced a newer one, the board would lose the requests placed on
 // replicas that are missing from the older view or have another role in it.
 func TestOlderViewIsIgnored(t *testing.T) {
-	boards := newPlacementDesk()
+	boards := newPlacementBoards()
 	older, newer := modelView(1, "r-1"), modelView(2, "r-2")
 	request := feed.PlaceRequest{Service: "chat", Number: 1, Ask: placement.Ask{Prompt: 100, Output: 10, Deadline: time.Second}}
 	answer, _ := boards.place(newer, "proxy-1", request, false, 0)
@@ -115,7 +115,7 @@
 		return &api.Replica{Metadata: api.Metadata{Name: name}, Spec: api.ReplicaSpec{Service: service, Slots: 4, Role: api.RoleDecode, Leaving: leaving}}
 	}
 	key := func(name string) api.Key { return api.Key{Kind: api.KindReplica, Name: name} }
-	boards := newPlacementDesk()
+	boards := newPlacementBoards()
 	boards.update(first)
 	steps := []*view.History{
 		changed(2, func(v *view.View) { v.Replicas["r-2"] = replica("r-2", "chat", false) }, key("r-2")),
@@ -125,7 +125,7 @@
 	}
 	for _, step := range steps {
 		boards.update(step)
-		whole := newPlacementDesk()
+		whole := newPlacementBoards()
 		whole.update(&view.History{View: step.View, Floor: step.View.Version.Revision})
 		must.Eq(t, whole.serviceLoad(step, "chat", 0).Replicas, boards.serviceLoad(step, "chat", 0).Replicas, must.Sprint(step.View.Version))
 	}
--- a/process/control/planning.go
+++ b/process/control/planning.go
@@ -36,7 +36,7 @@
 }
 
 // plan returns the planner's decisions if a plan is due, otherwise nil.
-func (d *duties) plan(term *termDuties, current *view.View, seen map[string]orders.Seen, now time.Duration) []planner.Decision {
+func (d *leaderTasks) plan(term *termState, current *view.View, seen map[string]orders.Seen, now time.Duration) []planner.Decision {
 	if now < term.nextPlan {
 		return nil
 	}
@@ -51,7 +51,7 @@
 
 // plannedIntents returns the intents sorted by name, with the configured change cost where they
 // specify none.
-func (d *duties) plannedIntents(current *view.View) []*api.Intent {
+func (d *leaderTasks) plannedIntents(current *view.View) []*api.Intent {
 	intents := make([]*api.Intent, 0, len(current.Intents))
 	for _, name := range slices.Sorted(maps.Keys(current.Intents)) {
 		intent := current.Intents[name]
@@ -65,11 +65,11 @@
 	return intents
 }
 
-func (d *duties) plannedEngines(term *termDuties, current *view.View, seen map[string]orders.Seen, now time.Duration) []planner.Engine {
+func (d *leaderTasks) plannedEngines(term *termState, current *view.View, seen map[string]orders.Seen, now time.Duration) []planner.Engine {
 	intents := d.intentsByEngine(current)
 	engines := make([]planner.Engine, 0, len(current.Engines))
 	for _, name := range slices.Sorted(maps.Keys(current.Engines)) {
-		engine := plannedEngine(current.Engines[name], seen[name], now-d.group.config.Durations.silenceOf(len(current.Engines)))
+		engine := plannedEngine(current.Engines[name], seen[name], now-d.group.config.Durations.engineSilenceFor(len(current.Engines)))
 		engine.Intent = intents[name]
 		engine.SinceChange = term.sinceChange(name, now)
 		engines = append(engines, engine)
@@ -78,7 +78,7 @@
 }
 
 // intentsByEngine returns the name of the intent that selects each engine.
-func (d *duties) intentsByEngine(current *view.View) map[string]string {
+func (d *leaderTasks) intentsByEngine(current *view.View) map[string]string {
 	intents := make(map[string]string, len(current.Engines))
 	d.group.machine.read(func(machine *state.Machine) {
 		for name := range current.Engines {
--- a/process/control/platform.go
+++ b/process/control/platform.go
@@ -117,8 +117,8 @@
 	return list, nil
 }
 
-// applyList replaces the list, or logs the first of several failed reads. An empty list is treated as
-// a fault: accepting it would remove all machines at once.
+// applyList replaces the list, or logs the first of several failed reads. An empty list is treated
+// as a fault: accepting it would remove all machines at once.
 func (p *platformReader) applyList(list machineList, err error) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -140,8 +140,8 @@
 	}
 }
 
-// leavingAndGone returns the leaving and gone machines among the engines and backends of the view, or nil
-// until a list was read.
+// leavingAndGone returns the leaving and gone machines among the engines and backends of the view,
+// or nil until a list was read.
 func (p *platformReader) leavingAndGone(current *view.View, seen map[string]orders.Seen, now time.Duration) *state.Machines {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -149,7 +149,7 @@
 		return nil
 	}
 	result := &state.Machines{}
-	silence := p.config.Durations.silenceOf(len(current.Engines))
+	silence := p.config.Durations.engineSilenceFor(len(current.Engines))
 	for name, engine := range current.Engines {
 		before := engine.Status.Phase
 		p.classify(result, machineRecord{
--- a/process/control/quarantine.go
+++ b/process/control/quarantine.go
@@ -16,9 +16,9 @@
 	"github.com/zeromicro/go-zero/rest/pathvar"
 )
 
-// Durations and limits of quarantines. A request may reach the proxies many times; each time that it
-// is sent to a replica is a copy of it. Each copy of a request that crashes replicas costs several
-// seconds of a replica's time.
+// Durations and limits of quarantines. A request may reach the proxies many times; each time that
+// it is sent to a replica is a copy of it. Each copy of a request that crashes replicas costs
+// several seconds of a replica's time.
 const (
 	// firstHoldDuration is the length of a request's first hold. The second hold is twice as
 	// long, and all later ones last maxHoldDuration. A hold is followed by a trial, which sends
@@ -43,12 +43,12 @@
 
 // quarantineTracker collects the proxies' reports of crashed replicas and computes what the
 // quarantine record should contain. The record consists of the Quarantine and Suspect objects of
-// the replicated state. It reaches every proxy with its view, so it survives leader changes, restarts
-// and the loss of members. The table holds what was reported to this member.
+// the replicated state. It reaches every proxy with its view, so it survives leader changes,
+// restarts and the loss of members. The table holds what was reported to this member.
 //
 // A crash under a request is one at which the request was in flight at the replica. A series of
-// crashes is two or more under the same request at different moments. Replicas that crash at the same
-// moment, as in the failure of a rack, count as one crash.
+// crashes is two or more under the same request at different moments. Replicas that crash at the
+// same moment, as in the failure of a rack, count as one crash.
 //
 // The states of a recorded request are:
 //   - watched: the request is sent as usual, and further crashes are awaited;
@@ -82,8 +82,8 @@
 // takeoverDelay is how long proxies need to find a new leader and report everything they know.
 const takeoverDelay = time.Second
 
-// reviewPeriod is how long after the last report the record is reviewed in each round. It covers the
-// wait for late reports and the commit.
+// reviewPeriod is how long after the last report the record is reviewed in each round. It covers
+// the wait for late reports and the commit.
 const reviewPeriod = 3 * time.Second
 
 // refutations are reports that remove something from the record. They are kept until the removal
@@ -224,12 +224,12 @@
 	return true
 }
 
-// isJudged reports whether a copy of the named request has to wait because the request is about to be
-// held: the record reaches the proxies a few hundred milliseconds after the deciding crash, and each
-// copy sent until then would crash a replica. While a new leader still collects reports that may
-// clear the request, it lets one copy through, whose answer or crash is reported to it. isJudged
-// therefore returns false once per request and term, and records that in sentEarly.
-func (d *quarantineTracker) isJudged(name string, now time.Duration) bool {
+// mustWait reports whether a copy of the named request has to wait because the request is about to
+// be held: the record reaches the proxies a few hundred milliseconds after the deciding crash, and
+// each copy sent until then would crash a replica. While a new leader still collects reports that
+// may clear the request, it lets one copy through, whose answer or crash is reported to it.
+// mustWait therefore returns false once per request and term, and records that in sentEarly.
+func (d *quarantineTracker) mustWait(name string, now time.Duration) bool {
 	fingerprint, ok := fingerprintOf(name)
 	if !ok {
 		return false
@@ -298,7 +298,7 @@
 		return
 	}
 	if fingerprint, ok := quarantine.Parse(name); ok {
-		current.evidence.desk.forget(fingerprint)
+		current.evidence.tracker.forget(fingerprint)
 	}
 	event.QuarantineEnded.Log(s.member.logger, "fingerprint", name, "by", "operator", "err", nil)
 	writeJSON(w, http.StatusOK, operatorapi.Released{Fingerprint: name})
--- a/process/control/quarantine_review.go
+++ b/process/control/quarantine_review.go
@@ -17,8 +17,8 @@
 
 // manageQuarantine commits the differences between the quarantine record and what it should
 // contain.
-func (d *duties) manageQuarantine(ctx context.Context, term *termDuties) {
-	tracker := d.group.evidence.desk
+func (d *leaderTasks) manageQuarantine(ctx context.Context, term *termState) {
+	tracker := d.group.evidence.tracker
 	changes, refuted := tracker.review(term.number, d.group.machine.view(), monotonic(), time.Now())
 	changeCount := tracker.changeCount()
 	if len(changes.Put) == 0 && len(changes.Removed) == 0 {
@@ -53,10 +53,10 @@
 	}
 }
 
-// review returns the changes that the record needs, and the refutations that they take into account,
-// which it removes from the tracker. It also brings the table up to date: it drops expired entries
-// and loads the record in a new term. wall is the wall-clock time, which may be wrong by seconds,
-// since holds last minutes.
+// review returns the changes that the record needs, and the refutations that they take into
+// account, which it removes from the tracker. It also brings the table up to date: it drops expired
+// entries and loads the record in a new term. wall is the wall-clock time, which may be wrong by
+// seconds, since holds last minutes.
 func (d *quarantineTracker) review(term uint64, current *view.View, now time.Duration, wall time.Time) (state.Observe, refutations) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -211,8 +211,9 @@
 	return quarantine.About{Service: spec.Service, Route: spec.Route, Request: spec.Request}
 }
 
-// filterWeak returns the recorded replicas whose crashes are weak evidence against the request: it had
-// produced output there, the replica only ran prefills, or it accepted connections right afterwards.
+// filterWeak returns the recorded replicas whose crashes are weak evidence against the request: it
+// had produced output there, the replica only ran prefills, or it accepted connections right
+// afterwards.
 func filterWeak(replicas, weak []string) []string {
 	var found []string
 	for _, replica := range replicas {
@@ -236,8 +237,8 @@
 }
 
 // newEntry returns the entry of a request that is not in the record yet. Unless a trial is due, the
-// request is watched first, however many replicas have crashed. Proxies report when a watched request
-// is served, as one is that was merely in flight during the crashes.
+// request is watched first, however many replicas have crashed. Proxies report when a watched
+// request is served, as one is that was merely in flight during the crashes.
 func (d *quarantineTracker) newEntry(current *view.View, fingerprint quarantine.Fingerprint, now time.Duration, wall time.Time) api.Object {
 	replicas, about := d.table.Ends(fingerprint)
 	spec := api.QuarantineSpec{
--- a/process/control/quarantine_states.go
+++ b/process/control/quarantine_states.go
@@ -9,8 +9,8 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
-// advance moves an entry to the state that follows from the table and the time. A request is harmful
-// if its standing in the table is quarantine.Condemned.
+// advance moves an entry to the state that follows from the table and the time. A request is
+// harmful if its standing in the table is quarantine.Condemned.
 func (d *quarantineTracker) advance(spec *api.QuarantineSpec, fingerprint quarantine.Fingerprint, current *view.View, now time.Duration, wall time.Time) {
 	standing := d.table.Standing(now, fingerprint)
 	isHarmful := standing == quarantine.Condemned && d.hasInitialReports(now)
@@ -87,8 +87,8 @@
 	return spec.State == api.QuarantineTried && wall.Sub(time.UnixMilli(spec.TriedSince)) >= trialDuration
 }
 
-// minCrashesToStayHeld returns how many crashed replicas a held request must have to stay held. It takes
-// fewer if the request was once the only one in flight at a crash.
+// minCrashesToStayHeld returns how many crashed replicas a held request must have to stay held. It
+// takes fewer if the request was once the only one in flight at a crash.
 func minCrashesToStayHeld(spec *api.QuarantineSpec) int {
 	if spec.Alone {
 		return quarantine.WatchedEnds
--- a/process/control/quarantine_suspects.go
+++ b/process/control/quarantine_suspects.go
@@ -63,8 +63,8 @@
 }
 
 // loadSuspects loads the recorded single crashes into the table when this member becomes leader.
-// How long the request had run before the crash is not recorded. AtOnce is therefore assumed: that it
-// had run long enough for its crash to count as one with all other crashes at that moment.
+// How long the request had run before the crash is not recorded. AtOnce is therefore assumed: that
+// it had run long enough for its crash to count as one with all other crashes at that moment.
 func (d *quarantineTracker) loadSuspects(current *view.View, now time.Duration, wall time.Time) {
 	for name, known := range current.Suspects {
 		fingerprint, ok := quarantine.Parse(name)
--- a/process/control/quarantine_test.go
+++ b/process/control/quarantine_test.go
@@ -304,7 +304,7 @@
 // A hold that results from one proxy's report reaches every proxy and survives a restart of the
 // whole group, until an operator releases it.
 func TestHeldRequestReachesDaemonsAndIsReleased(t *testing.T) {
-	g := newGrowing(t, 1, 1, 0)
+	g := newGrowingGroup(t, 1, 1, 0)
 	g.start(0)
 	g.awaitVoters(1, 0)
 	client, _ := g.subscribe("proxy-1")
@@ -394,7 +394,7 @@
 
 // A member that places requests asks for their fingerprints only while crashes come in series.
 func TestFingerprintsAreRequestedDuringAlert(t *testing.T) {
-	g := newGrowing(t, 1, 1, 0)
+	g := newGrowingGroup(t, 1, 1, 0)
 	g.start(0)
 	g.awaitVoters(1, 0)
 	current := g.running[0].member.group.Load()
@@ -547,19 +547,19 @@
 	d := newTrackerTest(t)
 	name := string(fatalRequest[:])
 	for i := range 3 {
-		must.False(t, d.tracker.isJudged(name, d.now), must.Sprint(i, " crashes"))
+		must.False(t, d.tracker.mustWait(name, d.now), must.Sprint(i, " crashes"))
 		d.now += time.Second
 		d.tracker.addProxyReport(crashReport(fatalRequest, fmt.Sprint("r-", i)), d.now)
 	}
-	must.True(t, d.tracker.isJudged(name, d.now), must.Sprint("a copy was let through before the next review"))
-	must.False(t, d.tracker.isJudged("", d.now))
+	must.True(t, d.tracker.mustWait(name, d.now), must.Sprint("a copy was let through before the next review"))
+	must.False(t, d.tracker.mustWait("", d.now))
 	d.step(1, time.Second)
 	d.step(1, time.Second)
 	must.Eq(t, api.QuarantineHeld, d.state())
 	d.tracker = newQuarantineTracker()
 	d.step(2, 0)
-	must.False(t, d.tracker.isJudged(name, d.now), must.Sprint("refused although proxies may still report a successful answer"))
-	must.True(t, d.tracker.isJudged(name, d.now+takeoverDelay))
+	must.False(t, d.tracker.mustWait(name, d.now), must.Sprint("refused although proxies may still report a successful answer"))
+	must.True(t, d.tracker.mustWait(name, d.now+takeoverDelay))
 }
 
 // Guards against sending several copies of a request with enough crashes for a hold during a new
@@ -574,13 +574,13 @@
 	for term := uint64(2); term < 4; term++ {
 		d.tracker = newQuarantineTracker()
 		d.step(term, 0)
-		must.False(t, d.tracker.isJudged(name, d.now), must.Sprint("the first copy was refused"))
+		must.False(t, d.tracker.mustWait(name, d.now), must.Sprint("the first copy was refused"))
 		for range 3 {
 			d.now += takeoverDelay / 4
-			must.True(t, d.tracker.isJudged(name, d.now))
+			must.True(t, d.tracker.mustWait(name, d.now))
 		}
 		d.tracker.addProxyReport(feed.EndReport{Served: []quarantine.Fingerprint{fatalRequest}}, d.now)
-		must.False(t, d.tracker.isJudged(name, d.now), must.Sprint("refused although it was served"))
+		must.False(t, d.tracker.mustWait(name, d.now), must.Sprint("refused although it was served"))
 	}
 }
 
@@ -593,5 +593,5 @@
 	alone := crashReport(fatalRequest, "r-1")
 	alone.Ended[0].Alone = true
 	d.tracker.addProxyReport(alone, d.now)
-	must.False(t, d.tracker.isJudged(string(fatalRequest[:]), d.now))
+	must.False(t, d.tracker.mustWait(string(fatalRequest[:]), d.now))
 }
--- a/process/control/quarantine_trial_test.go
+++ b/process/control/quarantine_trial_test.go
@@ -11,9 +11,9 @@
 )
 
 // Guards against starting trials before proxies have reported to a new leader. A trial refuses all
-// copies but one. Under leaders that last about two seconds each, a harmless request would be refused
-// again and again: each leader learns first of the crashes at which the request was in flight, and of
-// its successful answers only after it has started a trial (soak seed 3024).
+// copies but one. Under leaders that last about two seconds each, a harmless request would be
+// refused again and again: each leader learns first of the crashes at which the request was in
+// flight, and of its successful answers only after it has started a trial (soak seed 3024).
 func TestNewLeaderStartsNoTrialBeforeInitialReports(t *testing.T) {
 	threeCrashes := func() feed.EndReport { return simultaneousCrashReport(fatalRequest, "a", "b", "c") }
 	served := feed.EndReport{Served: []quarantine.Fingerprint{fatalRequest}}
--- a/process/control/quota.go
+++ b/process/control/quota.go
@@ -14,21 +14,21 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
-// quotaDesk charges requests to the tenants' quotas: to an account while this member leads, and
+// quotaCharger charges requests to the tenants' quotas: to an account while this member leads, and
 // otherwise, for proxies that reach no leader, to the smaller allowance of quota.Standby.
-type quotaDesk struct {
+type quotaCharger struct {
 	rule    quota.Rule
 	lock    sync.Mutex
 	account *quota.Account // of the current or last term led by this member
 	standby *quota.Standby
 }
 
-func newQuotaDesk(rule quota.Rule) *quotaDesk {
-	return &quotaDesk{rule: rule, standby: quota.NewStandby(rule)}
+func newQuotaCharger(rule quota.Rule) *quotaCharger {
+	return &quotaCharger{rule: rule, standby: quota.NewStandby(rule)}
 }
 
 // begin opens a new account at the start of a term.
-func (d *quotaDesk) begin(now time.Duration) {
+func (d *quotaCharger) begin(now time.Duration) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	d.account = quota.NewAccount(d.rule, now)
@@ -36,7 +36,7 @@
 
 // currentAccount returns the account, or nil if this member has never led. A member that leads has
 // one, since begin is called before its term counts as led.
-func (d *quotaDesk) currentAccount() *quota.Account {
+func (d *quotaCharger) currentAccount() *quota.Account {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	return d.account
@@ -52,9 +52,9 @@
 	return known.Spec.Quota, known.Spec.Quota.IsBounded()
 }
 
-// Charge deducts the cost of a tenant's request, in the unit of its quota, from the quota. It returns
-// false if there is nothing to charge: the quota is unbounded, quotas are disabled, or the cost is
-// negative or not a number.
+// Charge deducts the cost of a tenant's request, in the unit of its quota, from the quota. It
+// returns false if there is nothing to charge: the quota is unbounded, quotas are disabled, or the
+// cost is negative or not a number.
 func (g *group) Charge(request feed.ChargeRequest) (quota.Grant, bool) {
 	limit, bounded := quotaOf(g.machine.view(), request.Tenant)
 	if !bounded || !(request.Cost >= 0) || g.config.Quotas.Window <= 0 {
@@ -81,7 +81,7 @@
 
 // quotas lists the quota usage of the bounded tenants at this leader, sorted by name.
 func (s *operatorServer) quotas(w http.ResponseWriter, r *http.Request, _ []byte) {
-	s.leased(w, r, func(current *group, _ uint64) {
+	s.withLease(w, r, func(current *group, _ uint64) {
 		list := operatorapi.QuotaList{Tenants: []operatorapi.TenantQuota{}}
 		now, account := monotonic(), current.quotas.currentAccount()
 		for name, tenant := range current.machine.view().RouteTenants {
--- a/process/control/quota_test.go
+++ b/process/control/quota_test.go
@@ -19,8 +19,8 @@
 )
 
 // newQuotaGroup returns a group of three members with one tenant that has a quota.
-func newQuotaGroup(t *testing.T, limit api.Quota) *growing {
-	g := newGrowing(t, 3, 3, 1)
+func newQuotaGroup(t *testing.T, limit api.Quota) *growingGroup {
+	g := newGrowingGroup(t, 3, 3, 1)
 	for i := range g.configs {
 		g.configs[i].Quotas = quota.Rule{Window: 8 * time.Second, Overshoot: 0.1}
 	}
@@ -34,7 +34,7 @@
 }
 
 // awaitCharge requests a charge until a member answers.
-func (g *growing) awaitCharge(client *feed.Client, tenant string, cost float64) quota.Grant {
+func (g *growingGroup) awaitCharge(client *feed.Client, tenant string, cost float64) quota.Grant {
 	g.t.Helper()
 	var grant quota.Grant
 	eventually(g.t, "the charge is answered", func() bool {
--- a/process/control/roles.go
+++ b/process/control/roles.go
@@ -86,7 +86,7 @@
 }
 
 // manageRoles changes the roles of replicas where this benefits the requests of their service.
-func (d *duties) manageRoles(term *termDuties, now time.Duration) {
+func (d *leaderTasks) manageRoles(term *termState, now time.Duration) {
 	if d.group.config.Roles == nil || !d.group.config.ChangeRoles || term.roles.fenced.Load() || now < term.roles.nextCheck {
 		return
 	}
@@ -95,16 +95,16 @@
 	}
 	term.roles.nextCheck = now + roleCheckInterval
 	current := d.group.machine.view()
-	for _, service := range d.group.desk.services() {
+	for _, service := range d.group.boards.services() {
 		d.balanceRoles(term, current, service)
 	}
 }
 
 // balanceRoles starts the role changes that the planner wants for a service. The load counts as
 // settled once no replica was told to take the prefill role for planner.ReversalPause.
-func (d *duties) balanceRoles(term *termDuties, current *view.View, service string) {
+func (d *leaderTasks) balanceRoles(term *termState, current *view.View, service string) {
 	now := monotonic()
-	load := d.group.desk.serviceLoad(d.group.machine.history.Load(), service, now)
+	load := d.group.boards.serviceLoad(d.group.machine.history.Load(), service, now)
 	load.Settled = now-max(term.roles.lastPrefillAt, term.startedAt) >= planner.ReversalPause
 	changes := planner.Balance(load)
 	if len(changes) == 0 {
@@ -123,7 +123,7 @@
 			term.roles.lastPrefillAt = now
 		}
 		duration := switchTime(current, service)
-		d.group.desk.startRoleChange(service, replica.Name, role, duration, monotonic())
+		d.group.boards.startRoleChange(service, replica.Name, role, duration, monotonic())
 		term.background.Go(func() { d.changeRole(term.orders, term, service, replica, role) })
 	}
 }
@@ -146,7 +146,7 @@
 // changeRole waits until the replica is idle, queries its state and sends the order. The lease is
 // checked last before the order is sent, so that a leader that was suspended or partitioned in
 // the meantime sends nothing.
-func (d *duties) changeRole(ctx context.Context, term *termDuties, service string, replica *api.Replica, role api.EngineRole) {
+func (d *leaderTasks) changeRole(ctx context.Context, term *termState, service string, replica *api.Replica, role api.EngineRole) {
 	d.awaitIdle(ctx, service, replica.Name)
 	queryCtx, cancel := context.WithTimeout(ctx, roleTimeout)
 	defer cancel()
@@ -170,24 +170,24 @@
 }
 
 // awaitIdle waits until the replica has no requests in flight, at most for drainTimeout.
-func (d *duties) awaitIdle(ctx context.Context, service, replica string) {
+func (d *leaderTasks) awaitIdle(ctx context.Context, service, replica string) {
 	for waited := time.Duration(0); waited < drainTimeout; waited += drainPoll {
-		if d.group.desk.isIdle(service, replica) || !pause.For(ctx, drainPoll) {
+		if d.group.boards.isIdle(service, replica) || !pause.For(ctx, drainPoll) {
 			return
 		}
 	}
 }
 
 // services returns the names of the model services, sorted.
-func (d *placementDesk) services() []string {
+func (d *placementBoards) services() []string {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	return slices.Sorted(maps.Keys(d.boards))
 }
 
-// serviceLoad returns the load of a service according to its board, which must exist, after applying the
-// view.
-func (d *placementDesk) serviceLoad(current *view.History, service string, now time.Duration) planner.ServiceLoad {
+// serviceLoad returns the load of a service according to its board, which must exist, after
+// applying the view.
+func (d *placementBoards) serviceLoad(current *view.History, service string, now time.Duration) planner.ServiceLoad {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	d.update(current)
@@ -211,7 +211,7 @@
 
 // startRoleChange marks that a replica is to take the role. No requests are placed on the replica
 // until it is listed with that role or the change is considered failed.
-func (d *placementDesk) startRoleChange(service, replica string, role api.EngineRole, duration, now time.Duration) {
+func (d *placementBoards) startRoleChange(service, replica string, role api.EngineRole, duration, now time.Duration) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	placed := placement.RoleDecode
@@ -222,7 +222,7 @@
 }
 
 // isIdle reports whether the replica has no requests in flight.
-func (d *placementDesk) isIdle(service, replica string) bool {
+func (d *placementBoards) isIdle(service, replica string) bool {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	return d.boards[service].Idle(replica)
--- a/process/control/roles_test.go
+++ b/process/control/roles_test.go
@@ -51,15 +51,15 @@
 }
 
 // newRoleDuties returns the tasks of a leader in term 7 whose lease is given by the test.
-func newRoleDuties(roles RoleOrders, lease func() (uint64, bool)) (*duties, *termDuties) {
-	boards := newPlacementDesk()
+func newRoleTasks(roles RoleOrders, lease func() (uint64, bool)) (*leaderTasks, *termState) {
+	boards := newPlacementBoards()
 	boards.update(modelView(1, "r-1"))
-	d := &duties{
-		group:  &group{desk: boards, config: Config{Name: "member-1", Roles: roles, ChangeRoles: true}.WithDefaults()},
+	d := &leaderTasks{
+		group:  &group{boards: boards, config: Config{Name: "member-1", Roles: roles, ChangeRoles: true}.WithDefaults()},
 		logger: log.NewNopLogger(),
 		lease:  func(context.Context) (uint64, bool) { return lease() },
 	}
-	return d, &termDuties{number: 7}
+	return d, &termState{number: 7}
 }
 
 func TestRoleOrderRequiresLeaseOfTerm(t *testing.T) {
@@ -79,7 +79,7 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			d, term := newRoleDuties(test.roles, test.lease)
+			d, term := newRoleTasks(test.roles, test.lease)
 			replica := &api.Replica{Metadata: api.Metadata{Name: "r-1"}}
 			d.changeRole(t.Context(), term, "chat", replica, api.RolePrefill)
 			sent := test.roles.orders()
@@ -94,7 +94,7 @@
 // A leader sends no more orders once one replica has reported a newer leader.
 func TestFencedLeaderSendsNoRoleOrders(t *testing.T) {
 	roles := &fakeRoles{outcome: OrderFenced}
-	d, term := newRoleDuties(roles, func() (uint64, bool) { return 7, true })
+	d, term := newRoleTasks(roles, func() (uint64, bool) { return 7, true })
 	replica := &api.Replica{Metadata: api.Metadata{Name: "r-1"}}
 	d.changeRole(t.Context(), term, "chat", replica, api.RolePrefill)
 	d.changeRole(t.Context(), term, "chat", replica, api.RolePrefill)
@@ -109,7 +109,7 @@
 func TestRoleChangesRequireConfiguration(t *testing.T) {
 	for name, config := range map[string]Config{"disabled": {Roles: &fakeRoles{}}, "no role orders configured": {ChangeRoles: true}} {
 		t.Run(name, func(t *testing.T) {
-			d, term := newRoleDuties(&fakeRoles{}, func() (uint64, bool) { return 7, true })
+			d, term := newRoleTasks(&fakeRoles{}, func() (uint64, bool) { return 7, true })
 			d.group.config = config.WithDefaults()
 			d.manageRoles(term, time.Hour)
 			must.Eq(t, 0, term.roles.nextCheck)
@@ -120,7 +120,7 @@
 // A replica that is changing its role gets no new requests until it is listed with its new role
 // or the change is considered failed.
 func TestNoPlacementDuringRoleChange(t *testing.T) {
-	boards := newPlacementDesk()
+	boards := newPlacementBoards()
 	request := feed.PlaceRequest{Service: "chat", Number: 1, Ask: placement.Ask{Prompt: 100, Output: 10, Deadline: time.Second}}
 	place := func(revision uint64, now time.Duration) string {
 		answer, _ := boards.place(modelView(revision, "r-1"), "proxy-1", request, false, now)
@@ -173,7 +173,7 @@
 func TestRoleOrdersOfTwoLeadersDoNotOverlap(t *testing.T) {
 	const settle = 400 * time.Millisecond
 	roles := &fakeRoles{state: RoleState{Role: api.RoleDecode}, outcome: OrderUnanswered}
-	g := newGrowing(t, 3, 3, 1)
+	g := newGrowingGroup(t, 3, 3, 1)
 	for i := range g.configs {
 		g.configs[i].Roles, g.configs[i].ChangeRoles = roles, true
 		g.configs[i].Durations.OrderSettle = settle
--- a/process/control/run.go
+++ b/process/control/run.go
@@ -37,11 +37,11 @@
 // storageRetryDelay is the delay before a member whose storage failed is opened again.
 const storageRetryDelay = time.Second
 
-// RunAgain is like Run, but opens the member again after a delay when its storage has failed, since
-// a full disk may get space again. This way the process does not have to be restarted each time. It
-// also opens the member again, under a new identity, when the member was removed and Join is set.
-// For an invalid configuration or any other removal it returns what Run returns.
-func RunAgain(ctx context.Context, config Config, logger log.Logger) error {
+// RunWithRestart is like Run, but opens the member again after a delay when its storage has failed,
+// since a full disk may get space again. This way the process does not have to be restarted each
+// time. It also opens the member again, under a new identity, when the member was removed and Join
+// is set. For an invalid configuration or any other removal it returns what Run returns.
+func RunWithRestart(ctx context.Context, config Config, logger log.Logger) error {
 	for {
 		err := Run(ctx, config, logger)
 		if isFinal(ctx, config.Join, err) {
@@ -50,7 +50,7 @@
 		delay := storageRetryDelay
 		if errors.Is(err, ErrRemoved) {
 			delay = joinRetryInterval
-			config.Found = false // applies to the first start only: its group continues without it
+			config.Bootstrap = false // applies to the first start only: its group continues without it
 		}
 		event.ControlReopens.Log(logger, "err", err, "pause", delay)
 		if !pause.For(ctx, delay) {
@@ -68,8 +68,8 @@
 	return errors.Is(err, ErrRemoved) && !rejoins
 }
 
-// finalResult returns the error with which RunAgain ends. A removal is not an error if the member
-// would have rejoined, had it not been asked to stop in the meantime.
+// finalResult returns the error with which RunWithRestart ends. A removal is not an error if the
+// member would have rejoined, had it not been asked to stop in the meantime.
 func finalResult(ctx context.Context, rejoins bool, err error) error {
 	if errors.Is(err, ErrRemoved) && rejoins && ctx.Err() != nil {
 		return nil
@@ -95,7 +95,7 @@
 	// configuration.
 	replica *replica.Replica
 	group   atomic.Pointer[group]
-	duties  *duties
+	tasks   *leaderTasks
 	// initialized is true once the data directory holds a group's log.
 	initialized atomic.Bool
 	// removed receives a value once the group has removed the member's identity.
@@ -165,17 +165,17 @@
 		MaxSubscribers: m.config.Limits.MaxDaemons,
 		Logger:         m.logger,
 	}, m.listeners.feed)
-	m.evidence.tellDaemons(m.wakeIfNotLeader)
-	m.duties = newDuties(m.group.Load(), m.addresses, m.logger)
+	m.evidence.setDaemonNotifier(m.wakeIfNotLeader)
+	m.tasks = newLeaderTasks(m.group.Load(), m.addresses, m.logger)
 	m.metrics.registerGauges(m)
 	m.background.Go(func() { m.watchLeadership(backgroundCtx) })
 	m.background.Go(func() { m.watchVersion(backgroundCtx) })
 	m.background.Go(func() { m.probeAddresses(backgroundCtx) })
 	m.background.Go(func() { m.join(backgroundCtx) })
-	m.background.Go(func() { m.duties.run(backgroundCtx) })
+	m.background.Go(func() { m.tasks.run(backgroundCtx) })
 	m.background.Go(func() { m.group.Load().logPlacementSummaries(backgroundCtx) })
 	m.background.Go(func() { m.evidence.runWriter(backgroundCtx) })
-	m.background.Go(func() { m.evidence.tell(backgroundCtx) })
+	m.background.Go(func() { m.evidence.runSender(backgroundCtx) })
 	for _, extension := range m.config.Extensions {
 		m.background.Go(func() { extension(backgroundCtx, &Access{member: m}) })
 	}
@@ -216,10 +216,10 @@
 		config:     m.config,
 		demand:     newDemandTable(time.Now()),
 		presence:   newPresenceTable(),
-		usage:      newUsageDesk(),
+		usage:      newUsageCollector(),
 		agreedTime: metering.NewAgreement(monotonic, time.Now),
-		desk:       newPlacementDesk(),
-		quotas:     newQuotaDesk(m.config.Quotas),
+		boards:     newPlacementBoards(),
+		quotas:     newQuotaCharger(m.config.Quotas),
 
 		evidence: m.evidence,
 		metrics:  m.metrics,
@@ -254,7 +254,7 @@
 			"commit", status.Commit, "last", status.LastIndex, "voters", fmt.Sprint(status.Configuration.Voters),
 			"learners", fmt.Sprint(status.Configuration.Learners))
 		m.feed.Wake()
-		m.duties.wake()
+		m.tasks.wake()
 		select {
 		case <-changed:
 		case <-ctx.Done():
@@ -272,10 +272,10 @@
 			before := recorded
 			recorded = m.machine.view().Quarantines
 			if !m.group.Load().Leadership().Leads {
-				m.evidence.follow(before, recorded)
+				m.evidence.applyRecordChange(before, recorded)
 			}
 			m.feed.Wake()
-			m.duties.wake()
+			m.tasks.wake()
 		case <-ctx.Done():
 			return
 		}
--- a/process/control/scaling.go
+++ b/process/control/scaling.go
@@ -15,9 +15,9 @@
 // CapacityOrders sets the number of replicas per zone and kind of a service. There are two kinds:
 // withdrawable replicas, which the platform may take back, and lasting ones.
 type CapacityOrders interface {
-	// Scale sends an order. DutyDry means that the platform has no replicas of the kind in the
+	// Scale sends an order. CallNoCapacity means that the platform has no replicas of the kind in the
 	// zone now; the other outcomes are those of any platform call.
-	Scale(ctx context.Context, holder DutyHolder, order CapacityOrder) (DutyOutcome, error)
+	Scale(ctx context.Context, holder CallHolder, order CapacityOrder) (CallOutcome, error)
 }
 
 // CapacityOrder is a wanted number of replicas, as an absolute number. The latest order for a
@@ -79,15 +79,15 @@
 	// at is when that order was started or, once there is one, when its result was read.
 	at time.Duration
 	// outcome is the result of that order.
-	outcome DutyOutcome
+	outcome CallOutcome
 	// mayExecuteUntil is the time until which an unanswered order may still be executed.
 	mayExecuteUntil time.Duration
-	noCapacityPause time.Duration // pause after the last result of DutyDry
+	noCapacityPause time.Duration // pause after the last result of CallNoCapacity
 }
 
 type orderResult struct {
 	key     orderKey
-	outcome DutyOutcome
+	outcome CallOutcome
 }
 
 func newCapacityTermState() capacityTermState {
@@ -95,7 +95,7 @@
 }
 
 // manageCapacity decides how many replicas each zone should have, and orders them.
-func (d *duties) manageCapacity(ctx context.Context, term *termDuties) {
+func (d *leaderTasks) manageCapacity(ctx context.Context, term *termState) {
 	now := monotonic()
 	if d.group.config.Capacity == nil || now < term.capacity.nextCheck {
 		return
@@ -127,7 +127,7 @@
 }
 
 // planCapacity adds the decisions on a service that differ from the last ones to changes.
-func (d *duties) planCapacity(term *termDuties, service *api.RouteService, listed map[string]listedReplica, now time.Duration, changes *state.Observe) {
+func (d *leaderTasks) planCapacity(term *termState, service *api.RouteService, listed map[string]listedReplica, now time.Duration, changes *state.Observe) {
 	zones := zonesOf(service, listed, d.group.machine.view().Capacities)
 	if !term.capacity.isSettled(service.Name, zones, now) {
 		return
@@ -215,9 +215,9 @@
 		known := c.orders[result.key]
 		known.outcome, known.at = result.outcome, now
 		switch result.outcome {
-		case DutyUnanswered:
+		case CallUnanswered:
 			known.mayExecuteUntil = now + orderExpiry
-		case DutyDry:
+		case CallNoCapacity:
 			known.noCapacityPause = min(max(2*known.noCapacityPause, platformCallPause), maxNoCapacityPause)
 		default:
 			known.noCapacityPause = 0
@@ -233,7 +233,7 @@
 }
 
 // orderCapacity starts sending the orders that are due, sequentially and in the background.
-func (d *duties) orderCapacity(term *termDuties, ingress *api.Ingress, listed map[string]listedReplica, now time.Duration) {
+func (d *leaderTasks) orderCapacity(term *termState, ingress *api.Ingress, listed map[string]listedReplica, now time.Duration) {
 	capacity := &term.capacity
 	if capacity.busy.Load() {
 		return
@@ -263,9 +263,9 @@
 	}
 }
 
-// isDue reports whether an order is to be sent now: its number differs from the last one ordered, the
-// last order was not executed, an older unanswered one may still override it, or it has not taken
-// effect in time.
+// isDue reports whether an order is to be sent now: its number differs from the last one ordered,
+// the last order was not executed, an older unanswered one may still override it, or it has not
+// taken effect in time.
 func (c *capacityTermState) isDue(key orderKey, wanted, ready, found int, boot, now time.Duration) bool {
 	known := c.orders[key]
 	if known == nil {
@@ -277,9 +277,9 @@
 	switch {
 	case known.ordered != wanted:
 		return true
-	case known.outcome == DutyDry:
+	case known.outcome == CallNoCapacity:
 		return now-known.at >= known.noCapacityPause
-	case known.outcome != DutyDone:
+	case known.outcome != CallDone:
 		return now-known.at >= platformCallPause
 	case now < known.mayExecuteUntil:
 		return now-known.at >= orderRepeatInterval
@@ -289,7 +289,7 @@
 }
 
 // startOrders sends the orders sequentially in the background, unless orders are being sent.
-func (d *duties) startOrders(term *termDuties, due []dueOrder) {
+func (d *leaderTasks) startOrders(term *termState, due []dueOrder) {
 	capacity := &term.capacity
 	if !capacity.busy.CompareAndSwap(false, true) {
 		return
@@ -312,20 +312,20 @@
 	})
 }
 
-// sendOrder sends one order. An order that this member may not send now gives DutyRefused.
-func (d *duties) sendOrder(term *termDuties, key orderKey, wanted int) DutyOutcome {
+// sendOrder sends one order. An order that this member may not send now gives CallRefused.
+func (d *leaderTasks) sendOrder(term *termState, key orderKey, wanted int) CallOutcome {
 	ctx, cancel := context.WithTimeout(term.orders, platformCallTimeout)
 	defer cancel()
 	holder, ok := d.authorizeCall(ctx, term, &term.capacity.callGuard)
 	if !ok {
-		return DutyRefused
+		return CallRefused
 	}
 	outcome, err := d.group.config.Capacity.Scale(ctx, holder, CapacityOrder{
 		Service: key.service, Zone: key.zone, Withdrawable: key.withdrawable, Wanted: wanted,
 	})
 	event.CapacityOrdered.Log(d.logger, "service", key.service, "zone", key.zone, "withdrawable", key.withdrawable, "wanted", wanted,
 		"fence", holder.Fence, "outcome", outcome, "err", err)
-	if outcome == DutyFenced {
+	if outcome == CallFenced {
 		term.capacity.fenced.Store(true)
 	}
 	return outcome
--- a/process/control/scaling_test.go
+++ b/process/control/scaling_test.go
@@ -17,14 +17,14 @@
 
 	lock      sync.Mutex
 	exhausted map[string]bool // zones without withdrawable capacity
-	outcome   DutyOutcome     // of calls; only DutyDone executes them
+	outcome   CallOutcome     // of calls; only CallDone executes them
 	orders    []CapacityOrder
 	fences    []uint64
 	counts    map[CapacityOrder]int // keyed by orders with Wanted = 0
 }
 
 func newFakePlatform(fleet *fakeFleet, found int, zones ...string) *fakePlatform {
-	m := &fakePlatform{fleet: fleet, exhausted: map[string]bool{}, outcome: DutyDone, counts: map[CapacityOrder]int{}}
+	m := &fakePlatform{fleet: fleet, exhausted: map[string]bool{}, outcome: CallDone, counts: map[CapacityOrder]int{}}
 	for _, zone := range zones {
 		m.counts[CapacityOrder{Service: "llm", Zone: zone}] = found
 	}
@@ -46,15 +46,15 @@
 	m.fleet.set(all...)
 }
 
-func (m *fakePlatform) Scale(_ context.Context, holder DutyHolder, order CapacityOrder) (DutyOutcome, error) {
+func (m *fakePlatform) Scale(_ context.Context, holder CallHolder, order CapacityOrder) (CallOutcome, error) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	m.orders = append(m.orders, order)
 	m.fences = append(m.fences, holder.Fence)
 	if order.Withdrawable && m.exhausted[order.Zone] {
-		return DutyDry, nil
+		return CallNoCapacity, nil
 	}
-	if m.outcome == DutyDone {
+	if m.outcome == CallDone {
 		m.counts[CapacityOrder{Service: order.Service, Zone: order.Zone, Withdrawable: order.Withdrawable}] = order.Wanted
 		m.list()
 	}
@@ -82,8 +82,8 @@
 }
 
 // newScalingGroup returns a group and a platform with 20 lasting replicas per zone.
-func newScalingGroup(t *testing.T) (*growing, *fakePlatform) {
-	g := newGrowing(t, 3, 3, 1)
+func newScalingGroup(t *testing.T) (*growingGroup, *fakePlatform) {
+	g := newGrowingGroup(t, 3, 3, 1)
 	platform := newFakePlatform(g.fleet, 20, "a", "b", "c")
 	for i := range g.configs {
 		g.configs[i].Capacity = platform
@@ -163,15 +163,15 @@
 	}{
 		{"never ordered, none wanted", nil, 0, 0, 0, false},
 		{"never ordered", nil, 5, 0, 0, true},
-		{"as ordered", &orderState{ordered: 5, outcome: DutyDone}, 5, 5, time.Hour, false},
-		{"another number", &orderState{ordered: 5, outcome: DutyDone}, 6, 5, 0, true},
-		{"refused, at once", &orderState{ordered: 5, outcome: DutyRefused}, 5, 0, time.Millisecond, false},
-		{"refused, later", &orderState{ordered: 5, outcome: DutyRefused}, 5, 0, platformCallPause, true},
-		{"no capacity, at once", &orderState{ordered: 5, outcome: DutyDry, noCapacityPause: time.Second}, 5, 0, 900 * time.Millisecond, false},
-		{"no capacity, later", &orderState{ordered: 5, outcome: DutyDry, noCapacityPause: time.Second}, 5, 0, time.Second, true},
-		{"an older order may still be executed", &orderState{ordered: 5, outcome: DutyDone, mayExecuteUntil: orderExpiry}, 5, 5, orderRepeatInterval, true},
-		{"replicas starting", &orderState{ordered: 5, outcome: DutyDone}, 5, 0, boot, false},
-		{"no effect in time", &orderState{ordered: 5, outcome: DutyDone}, 5, 0, boot + orderListTime, true},
+		{"as ordered", &orderState{ordered: 5, outcome: CallDone}, 5, 5, time.Hour, false},
+		{"another number", &orderState{ordered: 5, outcome: CallDone}, 6, 5, 0, true},
+		{"refused, at once", &orderState{ordered: 5, outcome: CallRefused}, 5, 0, time.Millisecond, false},
+		{"refused, later", &orderState{ordered: 5, outcome: CallRefused}, 5, 0, platformCallPause, true},
+		{"no capacity, at once", &orderState{ordered: 5, outcome: CallNoCapacity, noCapacityPause: time.Second}, 5, 0, 900 * time.Millisecond, false},
+		{"no capacity, later", &orderState{ordered: 5, outcome: CallNoCapacity, noCapacityPause: time.Second}, 5, 0, time.Second, true},
+		{"an older order may still be executed", &orderState{ordered: 5, outcome: CallDone, mayExecuteUntil: orderExpiry}, 5, 5, orderRepeatInterval, true},
+		{"replicas starting", &orderState{ordered: 5, outcome: CallDone}, 5, 0, boot, false},
+		{"no effect in time", &orderState{ordered: 5, outcome: CallDone}, 5, 0, boot + orderListTime, true},
 	}
 	for _, each := range cases {
 		t.Run(each.name, func(t *testing.T) {
--- a/process/control/status.go
+++ b/process/control/status.go
@@ -19,7 +19,7 @@
 
 // status responds with the status of the group, its engines and its daemons.
 func (s *operatorServer) status(w http.ResponseWriter, r *http.Request, _ []byte) {
-	s.leased(w, r, func(current *group, term uint64) {
+	s.withLease(w, r, func(current *group, term uint64) {
 		raftStatus := current.replica.Status()
 		currentView := current.machine.view()
 		tolerance := s.member.faultTolerance(raftStatus)
@@ -39,11 +39,11 @@
 	})
 }
 
-// faultTolerance returns the group's fault tolerance as known to this member as leader. Without a term it uses the
-// current commit index instead of that of the previous round.
+// faultTolerance returns the group's fault tolerance as known to this member as leader. Without a
+// term it uses the current commit index instead of that of the previous round.
 func (m *member) faultTolerance(status raft.Status) faultTolerance {
 	commit := status.Commit
-	if term := m.duties.current(); term != nil {
+	if term := m.tasks.current(); term != nil {
 		commit = term.lastCommit()
 	}
 	return m.group.Load().faultTolerance(status, commit)
@@ -88,7 +88,7 @@
 }
 
 func (s *operatorServer) engineSummaries(currentView *view.View) []operatorapi.EngineSummary {
-	intents := s.member.duties.intentsByEngine(currentView)
+	intents := s.member.tasks.intentsByEngine(currentView)
 	silent := s.silentEngines(currentView)
 	summaries := make([]operatorapi.EngineSummary, 0, len(currentView.Engines))
 	for _, name := range slices.Sorted(maps.Keys(currentView.Engines)) {
@@ -116,11 +116,11 @@
 	for name := range currentView.Engines {
 		silent[name] = true
 	}
-	term := s.member.duties.current()
+	term := s.member.tasks.current()
 	if term == nil {
 		return silent
 	}
-	oldest := monotonic() - s.member.config.Durations.silenceOf(len(currentView.Engines))
+	oldest := monotonic() - s.member.config.Durations.engineSilenceFor(len(currentView.Engines))
 	for name, seen := range term.poller.Seen() {
 		silent[name] = seen.AskedAt < oldest || seen.State.Engine != name
 	}
@@ -129,7 +129,7 @@
 
 // orders responds with the open orders, sorted by engine.
 func (s *operatorServer) orders(w http.ResponseWriter, r *http.Request, _ []byte) {
-	s.leased(w, r, func(current *group, _ uint64) {
+	s.withLease(w, r, func(current *group, _ uint64) {
 		currentView := current.machine.view()
 		silent := s.silentEngines(currentView)
 		list := operatorapi.OrderList{Revision: currentView.Version.Revision, Orders: []operatorapi.OpenOrder{}}
@@ -157,7 +157,7 @@
 		writeInvalidRequest(w, api.FieldFault{Field: "key", Message: "is required"})
 		return
 	}
-	s.leased(w, r, func(current *group, _ uint64) {
+	s.withLease(w, r, func(current *group, _ uint64) {
 		list := operatorapi.Ledger{Revision: current.Version().Revision, Claims: []api.Claim{}}
 		current.machine.read(func(machine *state.Machine) {
 			if claim, found := machine.Claim(tenant, key); found {
--- a/process/control/stop.go
+++ b/process/control/stop.go
@@ -14,7 +14,7 @@
 func (m *member) stop(cancelBackground context.CancelFunc) error {
 	ctx, cancel := context.WithTimeout(context.Background(), m.config.Durations.Shutdown)
 	defer cancel()
-	m.duties.stop()
+	m.tasks.stop()
 	m.transferLeadership(ctx)
 	m.feed.Wake()
 	m.waitForSubscribers(ctx)
@@ -50,7 +50,7 @@
 func (m *member) stopAfterFailure(cancelBackground context.CancelFunc) error {
 	err := m.replica.Err()
 	event.ControlFailed.Log(m.logger, "err", err)
-	m.duties.stop()
+	m.tasks.stop()
 	m.operator.close()
 	m.feed.Close()
 	m.closeBackground(cancelBackground)
--- a/process/control/summary.go
+++ b/process/control/summary.go
@@ -17,7 +17,7 @@
 // places no requests logs nothing.
 func (g *group) logPlacementSummaries(ctx context.Context) {
 	for pause.For(ctx, summaryInterval) {
-		for service, summary := range g.desk.summaries(monotonic()) {
+		for service, summary := range g.boards.summaries(monotonic()) {
 			event.BoardShows.Log(g.logger, placementSummaryFields(service, summary)...)
 		}
 	}
--- a/process/control/unrecorded.go
+++ b/process/control/unrecorded.go
@@ -9,9 +9,9 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// The quarantine record reaches each daemon with its view. If there is no leader or it cannot commit,
-// each daemon would know only the crashes that it observed itself, and a harmful request would crash
-// one replica for each daemon. In that case members send the daemons what they know.
+// The quarantine record reaches each daemon with its view. If there is no leader or it cannot
+// commit, each daemon would know only the crashes that it observed itself, and a harmful request
+// would crash one replica for each daemon. In that case members send the daemons what they know.
 
 // maxRecordLag is how long the record may lag behind the reports. It covers a review and a commit,
 // with some margin.
@@ -64,12 +64,12 @@
 
 // Unrecorded returns the evidence that is missing from the record, with its change count.
 func (g *group) Unrecorded() (feed.EndReport, uint64) {
-	return g.evidence.desk.unrecordedReport(g.Leadership().Leads, monotonic())
+	return g.evidence.tracker.unrecordedReport(g.Leadership().Leads, monotonic())
 }
 
-// applyRecordChange applies a change of the record at a member that does not lead, and reports whether the
-// table changed. It drops the evidence for entries that the leader removed or reduced; the next
-// leader would otherwise restore them from it.
+// applyRecordChange applies a change of the record at a member that does not lead, and reports
+// whether the table changed. It drops the evidence for entries that the leader removed or reduced;
+// the next leader would otherwise restore them from it.
 func (d *quarantineTracker) applyRecordChange(before, current map[string]*api.Quarantine, now time.Duration) (changed bool) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
--- a/process/control/unrecorded_test.go
+++ b/process/control/unrecorded_test.go
@@ -77,7 +77,7 @@
 	for i := range size {
 		member := newEvidence(Config{DataFolder: t.TempDir()}, log.NewNopLogger())
 		group.members = append(group.members, member)
-		member.tellOthers(link{group: group, from: i})
+		member.setSender(link{group: group, from: i})
 	}
 	return group
 }
@@ -95,7 +95,7 @@
 func (g *gossipGroup) counts() (counts []int) {
 	g.sendAll()
 	for _, member := range g.members {
-		counts = append(counts, len(member.desk.observations(monotonic())))
+		counts = append(counts, len(member.tracker.observations(monotonic())))
 	}
 	return counts
 }
@@ -134,7 +134,7 @@
 	g.members[2].note(crashReport(fatalRequest, "r-1"), monotonic())
 	must.Eq(t, []int{1, 1, 2}, g.counts())
 	g.links[[2]int{2, 0}] = true
-	g.members[2].greet(1)
+	g.members[2].sendNotable(1)
 	must.Eq(t, []int{2, 2, 2}, g.counts())
 	g.links = map[[2]int]bool{}
 	other := quarantine.Of(quarantine.Identity{Path: "/other"})
@@ -161,15 +161,15 @@
 	ages := func(at time.Time) (ages []time.Duration) {
 		member := open()
 		member.load(time.Hour, at)
-		for _, seen := range member.desk.observations(time.Hour) {
+		for _, seen := range member.tracker.observations(time.Hour) {
 			ages = append(ages, seen.Age.Round(time.Second))
 		}
 		return ages
 	}
 	must.SliceEmpty(t, ages(time.Now()))
 	member := open()
-	member.desk.addEvidence(crashReport(fatalRequest, "r-0"), time.Second)
-	member.desk.addEvidence(crashReport(fatalRequest, "r-1"), 3*time.Second)
+	member.tracker.addEvidence(crashReport(fatalRequest, "r-0"), time.Second)
+	member.tracker.addEvidence(crashReport(fatalRequest, "r-1"), 3*time.Second)
 	stored, err := member.save(4 * time.Second)
 	must.NoError(t, err)
 	must.Eq(t, 2, stored)
@@ -201,7 +201,7 @@
 		eventually(t, "the evidence is on disk", func() bool {
 			next := newEvidence(Config{DataFolder: member.folder}, log.NewNopLogger())
 			next.load(monotonic(), time.Now())
-			return len(next.desk.observations(monotonic())) == i+1
+			return len(next.tracker.observations(monotonic())) == i+1
 		})
 	}
 	cancel()
--- a/process/control/usage.go
+++ b/process/control/usage.go
@@ -18,9 +18,9 @@
 // UsageSink receives usage reports.
 type UsageSink interface {
 	// Report submits the counts of a window. Repeated reports of a window always have the same
-	// counts. DutyDone means that the report was accepted; after any other outcome but DutyFenced
+	// counts. CallDone means that the report was accepted; after any other outcome but CallFenced
 	// it is repeated.
-	Report(ctx context.Context, holder DutyHolder, window api.UsageWindow) (DutyOutcome, error)
+	Report(ctx context.Context, holder CallHolder, window api.UsageWindow) (CallOutcome, error)
 }
 
 // Usage configures usage reporting. A zero Window or a nil Sink disables it.
@@ -54,10 +54,10 @@
 	maxUsageCommit = 1 << 14
 )
 
-// usageDesk collects the usage counted by proxies. Its counts are committed regularly, and all of
-// them before their window is decided. A process is one run of a proxy, which a report names in its
-// field Life.
-type usageDesk struct {
+// usageCollector collects the usage counted by proxies. Its counts are committed regularly, and all
+// of them before their window is decided. A process is one run of a proxy, which a report names in
+// its field Life.
+type usageCollector struct {
 	lock sync.Mutex
 	// pending are the uncommitted counters by process, window and tenant.
 	pending map[usageKey]uint64
@@ -76,12 +76,12 @@
 	at      time.Duration // of the last report
 }
 
-func newUsageDesk() *usageDesk {
-	return &usageDesk{pending: map[usageKey]uint64{}, progress: map[string]reportProgress{}}
+func newUsageCollector() *usageCollector {
+	return &usageCollector{pending: map[usageKey]uint64{}, progress: map[string]reportProgress{}}
 }
 
 // note adds the counts reported by a process. Counts are cumulative, so the highest one applies.
-func (u *usageDesk) note(report feed.UsageReport, now time.Duration) {
+func (u *usageCollector) note(report feed.UsageReport, now time.Duration) {
 	u.lock.Lock()
 	defer u.lock.Unlock()
 	for _, counted := range report.Counts {
@@ -94,7 +94,7 @@
 
 // take removes and returns counters to commit, the oldest windows first. It drops the counters of
 // windows that are already decided.
-func (u *usageDesk) takePending(decided int64) []state.UsageCount {
+func (u *usageCollector) takePending(decided int64) []state.UsageCount {
 	u.lock.Lock()
 	defer u.lock.Unlock()
 	var counts []state.UsageCount
@@ -132,7 +132,7 @@
 }
 
 // putBack returns counters that could not be committed.
-func (u *usageDesk) putBack(counts []state.UsageCount) {
+func (u *usageCollector) putBack(counts []state.UsageCount) {
 	u.lock.Lock()
 	defer u.lock.Unlock()
 	for _, counted := range counts {
@@ -144,7 +144,7 @@
 // hasAllReports reports whether all known processes have reported their counts up to a time,
 // ignoring processes that have been silent for usageSilenceTimeout. As a side effect it forgets
 // processes that have been silent for usageRetention.
-func (u *usageDesk) hasAllReports(upTo int64, now time.Duration) bool {
+func (u *usageCollector) hasAllReports(upTo int64, now time.Duration) bool {
 	u.lock.Lock()
 	defer u.lock.Unlock()
 	for life, known := range u.progress {
@@ -163,7 +163,7 @@
 
 // hasSilentProcess reports whether a process recently fell silent before it had reported its
 // counts up to a time, so that some counts may be missing.
-func (u *usageDesk) hasSilentProcess(upTo int64, now time.Duration) bool {
+func (u *usageCollector) hasSilentProcess(upTo int64, now time.Duration) bool {
 	u.lock.Lock()
 	defer u.lock.Unlock()
 	for _, known := range u.progress {
@@ -197,7 +197,7 @@
 
 // manageUsage commits the counted usage, decides the windows that have ended, and reports the
 // decided ones.
-func (d *duties) manageUsage(ctx context.Context, term *termDuties) {
+func (d *leaderTasks) manageUsage(ctx context.Context, term *termState) {
 	config := d.group.config.Usage
 	if config.Sink == nil || config.Window <= 0 || !d.countsTenants() {
 		return
@@ -227,20 +227,20 @@
 }
 
 // countsTenants reports whether requests are counted per tenant.
-func (d *duties) countsTenants() bool {
+func (d *leaderTasks) countsTenants() bool {
 	ingress := d.group.machine.view().Ingresses[api.IngressName]
 	return ingress != nil && ingress.Spec.KeysRequired
 }
 
-func (d *duties) usageDecided() (decided int64) {
+func (d *leaderTasks) usageDecided() (decided int64) {
 	d.group.machine.read(func(machine *state.Machine) { decided = machine.UsageDecided() })
 	return decided
 }
 
 // isWindowDue reports whether a window of the length is to be decided at the wall-clock time day,
-// both in milliseconds. lasted is how long the term has lasted: a new leader first has to receive the
-// proxies' counts.
-func (d *duties) isWindowDue(window, length, day int64, now, lasted time.Duration) bool {
+// both in milliseconds. lasted is how long the term has lasted: a new leader first has to receive
+// the proxies' counts.
+func (d *leaderTasks) isWindowDue(window, length, day int64, now, lasted time.Duration) bool {
 	end := (window + 1) * length
 	if lasted < usageTakeoverDelay {
 		return false
@@ -257,7 +257,7 @@
 
 // commitUsage commits counted usage. It returns true if everything is committed, and false if that
 // failed or counters may be left.
-func (d *duties) commitUsage(ctx context.Context, decided int64) bool {
+func (d *leaderTasks) commitUsage(ctx context.Context, decided int64) bool {
 	counts := d.group.usage.takePending(decided)
 	if len(counts) == 0 {
 		return true
@@ -272,7 +272,7 @@
 
 // decideUsage commits the decision that fixes the counts of a window, and returns false if that
 // failed.
-func (d *duties) decideUsage(ctx context.Context, window, end int64, now time.Duration) bool {
+func (d *leaderTasks) decideUsage(ctx context.Context, window, end int64, now time.Duration) bool {
 	partial := d.group.usage.hasSilentProcess(end, now)
 	result, err := d.group.propose(ctx, state.Command{
 		Kind: state.CommandDecideUsage, DecideUsage: &state.DecideUsage{Window: window, Partial: partial},
@@ -293,7 +293,7 @@
 }
 
 // startReporting reports the outstanding windows sequentially in the background.
-func (d *duties) startReporting(term *termDuties) {
+func (d *leaderTasks) startReporting(term *termState) {
 	if monotonic() < term.usage.retryAt || !term.usage.busy.CompareAndSwap(false, true) {
 		return
 	}
@@ -316,7 +316,7 @@
 }
 
 // reportUsage reports one window. It returns false if no further windows can be reported now.
-func (d *duties) reportUsage(ctx context.Context, term *termDuties, window api.UsageWindow) bool {
+func (d *leaderTasks) reportUsage(ctx context.Context, term *termState, window api.UsageWindow) bool {
 	ctx, cancel := context.WithTimeout(ctx, platformCallTimeout)
 	defer cancel()
 	holder, ok := d.authorizeCall(ctx, term, &term.usage.callGuard)
@@ -326,10 +326,10 @@
 	outcome, err := d.group.config.Usage.Sink.Report(ctx, holder, window)
 	event.UsageReported.Log(d.logger, "window", window.Window, "fence", holder.Fence, "outcome", outcome, "err", err)
 	switch outcome {
-	case DutyFenced:
+	case CallFenced:
 		term.usage.fenced.Store(true)
 		return false
-	case DutyDone:
+	case CallDone:
 		command := state.Command{Kind: state.CommandUsageReported, UsageReported: &state.UsageReported{Window: window.Window}}
 		// If this is not committed, the same report is sent again.
 		_, err := d.group.propose(context.WithoutCancel(ctx), command)
@@ -340,7 +340,7 @@
 
 // usage lists the counted usage for operators.
 func (s *operatorServer) usage(w http.ResponseWriter, r *http.Request, _ []byte) {
-	s.leased(w, r, func(current *group, _ uint64) {
+	s.withLease(w, r, func(current *group, _ uint64) {
 		list := operatorapi.UsageList{WindowMilliseconds: current.config.Usage.Window.Milliseconds(), Windows: []api.UsageWindow{}}
 		current.machine.read(func(machine *state.Machine) {
 			for _, window := range machine.Usage() {
--- a/process/control/usage_test.go
+++ b/process/control/usage_test.go
@@ -18,23 +18,23 @@
 // fakeSink records usage reports and returns a configurable outcome.
 type fakeSink struct {
 	lock    sync.Mutex
-	outcome DutyOutcome
+	outcome CallOutcome
 	reports []receivedReport
 }
 
 type receivedReport struct {
-	holder DutyHolder
+	holder CallHolder
 	window api.UsageWindow
 }
 
-func (s *fakeSink) Report(_ context.Context, holder DutyHolder, window api.UsageWindow) (DutyOutcome, error) {
+func (s *fakeSink) Report(_ context.Context, holder CallHolder, window api.UsageWindow) (CallOutcome, error) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.reports = append(s.reports, receivedReport{holder, window})
 	return s.outcome, nil
 }
 
-func (s *fakeSink) answer(outcome DutyOutcome) {
+func (s *fakeSink) answer(outcome CallOutcome) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.outcome = outcome
@@ -56,8 +56,8 @@
 const testWindow = 400 * time.Millisecond
 
 // newMeteredGroup returns a group of three members that counts usage per tenant.
-func newMeteredGroup(t *testing.T, sink *fakeSink) *growing {
-	g := newGrowing(t, 3, 3, 1)
+func newMeteredGroup(t *testing.T, sink *fakeSink) *growingGroup {
+	g := newGrowingGroup(t, 3, 3, 1)
 	for i := range g.configs {
 		g.configs[i].Usage = Usage{Window: testWindow, Sink: sink}
 		g.configs[i].Durations.OrderSettle = time.Millisecond
@@ -76,7 +76,7 @@
 func futureWindow() int64 { return time.Now().UnixMilli()/testWindow.Milliseconds() + 3 }
 
 // reportCount makes a proxy report a count to the leader.
-func (g *growing) reportCount(client *feed.Client, life string, window int64, count uint64) {
+func (g *growingGroup) reportCount(client *feed.Client, life string, window int64, count uint64) {
 	g.t.Helper()
 	eventually(g.t, "the client is connected", client.Connected)
 	must.True(g.t, client.ReportUsage(feed.UsageReport{
@@ -86,7 +86,7 @@
 
 // A window is decided once it has ended, and reported once.
 func TestUsageIsReported(t *testing.T) {
-	sink := &fakeSink{outcome: DutyDone}
+	sink := &fakeSink{outcome: CallDone}
 	g := newMeteredGroup(t, sink)
 	first, _ := g.subscribe("proxy-1")
 	second, _ := g.subscribe("proxy-2")
@@ -117,7 +117,7 @@
 	g.crash(g.leader())
 	eventually(t, "another leader is elected", client.Connected)
 	_ = client.ReportUsage(feed.UsageReport{Life: "b", Counts: []feed.UsageCount{{Window: window, Tenant: "north", Count: 9}}})
-	sink.answer(DutyDone)
+	sink.answer(CallDone)
 	eventually(t, "the next leader reports", func() bool {
 		reports := sink.reportsOf(window)
 		return reports[len(reports)-1].holder.Name != reports[0].holder.Name
@@ -132,7 +132,7 @@
 
 // A holder that learns of a higher fencing token makes no more calls in its term.
 func TestFencedHolderMakesNoMoreCalls(t *testing.T) {
-	sink := &fakeSink{outcome: DutyFenced}
+	sink := &fakeSink{outcome: CallFenced}
 	g := newMeteredGroup(t, sink)
 	client, _ := g.subscribe("proxy-1")
 	window := futureWindow()
@@ -175,16 +175,16 @@
 	for _, each := range cases {
 		t.Run(each.name, func(t *testing.T) {
 			config := Config{Name: "n", Durations: Durations{OrderSettle: time.Second}}
-			d := &duties{
+			d := &leaderTasks{
 				group: &group{config: config},
 				lease: func(context.Context) (uint64, bool) { return each.number, each.valid },
 			}
 			guard := &callGuard{}
 			guard.fenced.Store(each.fenced)
-			holder, allowed := d.authorizeCall(t.Context(), &termDuties{number: 7, startedAt: monotonic() - each.started}, guard)
+			holder, allowed := d.authorizeCall(t.Context(), &termState{number: 7, startedAt: monotonic() - each.started}, guard)
 			must.Eq(t, each.allowed, allowed)
 			if allowed {
-				must.Eq(t, DutyHolder{Name: "n", Fence: 7}, holder)
+				must.Eq(t, CallHolder{Name: "n", Fence: 7}, holder)
 			}
 		})
 	}
@@ -193,7 +193,7 @@
 // The decision on a window waits for processes that have not reported all counts, but not for
 // silent ones.
 func TestWindowsWaitForProxies(t *testing.T) {
-	collector := newUsageDesk()
+	collector := newUsageCollector()
 	collector.note(feed.UsageReport{Life: "a", Through: 900}, 0)
 	collector.note(feed.UsageReport{Life: "b", Through: 1100}, 0)
 	must.False(t, collector.hasAllReports(1000, time.Second))
@@ -209,7 +209,7 @@
 // A new leader knows none of the uncommitted counts. However late a window is, it is not decided
 // before proxies have had time to report.
 func TestNewLeaderCollectsReportsBeforeDeciding(t *testing.T) {
-	d := &duties{group: &group{usage: newUsageDesk()}}
+	d := &leaderTasks{group: &group{usage: newUsageCollector()}}
 	const window, length = 7, 5000
 	end := int64((window + 1) * length)
 	must.False(t, d.isWindowDue(window, length, end+usageMaxDelay.Milliseconds(), 0, usageTakeoverDelay-1))
@@ -223,7 +223,7 @@
 // Commits are limited in size, start with the oldest windows, and counters that could not be
 // committed are taken again.
 func TestUsageCommitsAreBounded(t *testing.T) {
-	collector := newUsageDesk()
+	collector := newUsageCollector()
 	for i := range maxUsageCommit + 10 {
 		collector.note(feed.UsageReport{Life: fmt.Sprint(i), Counts: []feed.UsageCount{{Window: int64(10 + i%2), Tenant: "t", Count: 1}, {Window: 3, Tenant: "t", Count: 1}}}, 0)
 	}
--- a/process/control/warm.go
+++ b/process/control/warm.go
@@ -13,10 +13,10 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
-// KeptSource queries which prompt parts a replica has cached. The query interrupts the replica's
+// CacheSource queries which prompt parts a replica has cached. The query interrupts the replica's
 // work, so it is used rarely. It fails if another replica answers at the address.
-type KeptSource interface {
-	Kept(ctx context.Context, replica *api.Replica) ([]placement.Part, error)
+type CacheSource interface {
+	CachedParts(ctx context.Context, replica *api.Replica) ([]placement.Part, error)
 }
 
 const (
@@ -53,16 +53,16 @@
 // reported. After a restart of the whole system no proxy remembers them, and computing them again
 // would cost far more than the queries. If there was no Ingress when the term began there is
 // nothing to query.
-func (d *duties) queryCaches(ctx context.Context, term *termDuties, now time.Duration) {
+func (d *leaderTasks) queryCaches(ctx context.Context, term *termState, now time.Duration) {
 	if term.cachesQueried || now-term.startedAt < cacheQueryDelayFor(term.startedAt) {
 		return
 	}
 	term.cachesQueried = true
-	if d.group.config.Kept == nil || !term.hadIngress {
+	if d.group.config.PromptCache == nil || !term.hadIngress {
 		return
 	}
 	current := d.group.machine.view()
-	uncached := d.group.desk.uncachedReplicas(d.group.machine.history.Load())
+	uncached := d.group.boards.uncachedReplicas(d.group.machine.history.Load())
 	if len(uncached) == 0 {
 		return
 	}
@@ -70,7 +70,7 @@
 }
 
 // queryReplicas queries the replicas, at most maxCacheQueries at a time.
-func (d *duties) queryReplicas(ctx context.Context, current *view.View, replicas []string) {
+func (d *leaderTasks) queryReplicas(ctx context.Context, current *view.View, replicas []string) {
 	var queries sync.WaitGroup
 	slots := make(chan struct{}, maxCacheQueries)
 	for i, name := range replicas {
@@ -86,21 +86,21 @@
 	queries.Wait()
 }
 
-func (d *duties) queryReplica(ctx context.Context, replica *api.Replica) {
+func (d *leaderTasks) queryReplica(ctx context.Context, replica *api.Replica) {
 	ctx, cancel := context.WithTimeout(ctx, cacheQueryTimeout)
 	defer cancel()
-	parts, err := d.group.config.Kept.Kept(ctx, replica)
+	parts, err := d.group.config.PromptCache.CachedParts(ctx, replica)
 	event.KeptAsked.Log(d.logger, "replica", replica.Name, "parts", len(parts), "err", err)
 	if err != nil {
 		return // its cached parts are learned from its requests
 	}
 	kept := feed.KeptParts{Service: replica.Spec.Service, Replica: replica.Name, Parts: parts}
-	d.group.desk.kept(d.group.machine.history.Load(), kept)
+	d.group.boards.addCachedParts(d.group.machine.history.Load(), kept)
 }
 
-// uncachedReplicas returns the replicas of model services of which hardly any cached prompt parts are
-// known, as placement.Board.Cold defines it.
-func (d *placementDesk) uncachedReplicas(current *view.History) []string {
+// uncachedReplicas returns the replicas of model services of which hardly any cached prompt parts
+// are known, as placement.Board.Cold defines it.
+func (d *placementBoards) uncachedReplicas(current *view.History) []string {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	d.update(current)
