--- a/process/control/actions.go
+++ b/process/control/actions.go
@@ -171,6 +171,8 @@
 		"fence_index", request.Fence.Index, "reason", closeReason(request.Reason))
 }
 
+// closeReason returns the name of a reason in logs and metrics. An incarnation is one run of an
+// engine's process: an order to an earlier one is closed, since the engine was restarted.
 func closeReason(reason state.CloseReason) string {
 	switch reason {
 	case state.CloseDone:
--- a/process/control/scaling.go
+++ b/process/control/scaling.go
@@ -126,7 +126,8 @@
 	d.orderCapacity(term, ingress, listed, now)
 }
 
-// planCapacity adds the decisions on a service that differ from the last ones to changes.
+// planCapacity adds the decisions on a service that differ from the last ones to changes. If too few
+// replicas are left, lasting ones are planned in place of missing withdrawable ones.
 func (d *leaderTasks) planCapacity(term *termState, service *api.RouteService, listed map[string]listedReplica, now time.Duration, changes *state.Observe) {
 	zones := zonesOf(service, listed, d.group.machine.view().Capacities)
 	if !term.capacity.isSettled(service.Name, zones, now) {
