--- a/process/control/answers.go
+++ b/process/control/answers.go
@@ -12,8 +12,8 @@
 	"github.com/pkg/errors"
 )
 
-// retryAfterSeconds is what a caller is asked to wait when there is no quorum;
-// an election takes about as long.
+// retryAfterSeconds is the Retry-After value of responses sent without a quorum; an election takes
+// about as long.
 const retryAfterSeconds = 1
 
 func writeJSON(w http.ResponseWriter, status int, body any) {
@@ -25,7 +25,7 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(data)+1))
 	w.WriteHeader(status)
-	_, _ = w.Write(append(data, '\n')) // a caller that is gone needs no answer
+	_, _ = w.Write(append(data, '\n')) // a failed write means that the caller is gone
 }
 
 func writeError(w http.ResponseWriter, status int, body operatorapi.Error) {
@@ -35,14 +35,14 @@
 	writeJSON(w, status, body)
 }
 
-// writeNoQuorum answers a request that was surely not accepted.
+// writeNoQuorum responds to a request that was definitely not accepted.
 func writeNoQuorum(w http.ResponseWriter, message, leader string) {
 	body := operatorapi.Error{Code: operatorapi.ErrorNoQuorum, Message: message, Leader: leader}
 	writeError(w, http.StatusServiceUnavailable, body)
 }
 
-// writeUnknown answers a request that may have been accepted.
-func writeUnknown(w http.ResponseWriter, leader string) {
+// writeOutcomeUnknown responds to a request that may have been accepted.
+func writeOutcomeUnknown(w http.ResponseWriter, leader string) {
 	writeError(w, http.StatusGatewayTimeout, operatorapi.Error{
 		Code:    operatorapi.ErrorOutcomeUnknown,
 		Message: "the outcome is unknown; send the same operation ID again",
@@ -50,17 +50,17 @@
 	})
 }
 
-// writeProposalError answers a command that brought no result.
+// writeProposalError responds to a request whose command failed.
 func writeProposalError(w http.ResponseWriter, err error) {
-	if surelyNotProposed(err) {
+	if definitelyNotProposed(err) {
 		writeNoQuorum(w, err.Error(), "")
 		return
 	}
-	writeUnknown(w, "")
+	writeOutcomeUnknown(w, "")
 }
 
-// decodeBody reads strict JSON: no unknown fields, no wrong types, nothing
-// behind the value. The fault names the field.
+// decodeBody decodes strict JSON: it rejects unknown fields, wrong types and data after the value.
+// The fault names the field where the decoder knows it.
 func decodeBody(body []byte, target any) *api.FieldFault {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.DisallowUnknownFields()
@@ -86,7 +86,8 @@
 	return &api.FieldFault{Message: err.Error()}
 }
 
-func writeInvalidBody(w http.ResponseWriter, fault api.FieldFault) {
+// writeInvalidRequest responds to a request with an invalid body or query parameter.
+func writeInvalidRequest(w http.ResponseWriter, fault api.FieldFault) {
 	writeError(w, http.StatusBadRequest, operatorapi.Error{
 		Code:    operatorapi.ErrorInvalidBody,
 		Message: "the request is not valid: " + strings.TrimSpace(fault.Field+" "+fault.Message),
--- a/process/control/config_test.go
+++ b/process/control/config_test.go
@@ -7,10 +7,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestSilenceGrowsWithTheFleet holds what a scale run showed: before 10,000
-// engines a round of questions takes the 5 s of the default, so every engine
-// counted as silent half of the time.
-func TestSilenceGrowsWithTheFleet(t *testing.T) {
+// Guards against treating engines as silent between two polls. With 10,000 engines a poll round
+// takes the default 5 s of EngineSilence, and with a constant threshold every engine counted as
+// silent half of the time.
+func TestEngineSilenceGrowsWithFleetSize(t *testing.T) {
 	durations := Durations{}.withDefaults()
 	for _, c := range []struct {
 		name    string
@@ -18,10 +18,10 @@
 		want    time.Duration
 	}{
 		{"none", 0, DefaultEngineSilence},
-		{"today's", 9, DefaultEngineSilence},
-		{"a thousand", 1_000, DefaultEngineSilence},
-		{"the target's", 10_000, 15 * time.Second},
+		{"small fleet", 9, DefaultEngineSilence},
+		{"one thousand", 1_000, DefaultEngineSilence},
+		{"ten thousand", 10_000, 15 * time.Second},
 	} {
-		t.Run(c.name, func(t *testing.T) { must.Eq(t, c.want, durations.silenceOf(c.engines)) })
+		t.Run(c.name, func(t *testing.T) { must.Eq(t, c.want, durations.engineSilenceFor(c.engines)) })
 	}
 }
--- a/process/control/control_test.go
+++ b/process/control/control_test.go
@@ -35,8 +35,8 @@
 		must.Eq(t, http.StatusOK, c.call(i, http.MethodGet, operatorapi.PathObjects+"/Intent/narrate", nil, &list))
 		must.Eq(t, result.Revision, list.Objects[0].Intent.Revision)
 	}
-	_, holder := c.follow("proxy-a")
-	eventually(t, "the view", func() bool { return holder.Load().Intents["narrate"] != nil })
+	_, holder := c.subscribe("proxy-a")
+	eventually(t, "the daemon receives the view", func() bool { return holder.Load().Intents["narrate"] != nil })
 	c.awaitInForce(result.Revision)
 	must.Eq(t, result.Revision, holder.Load().Version.Revision)
 }
@@ -44,7 +44,7 @@
 func (c *cluster) awaitInForce(revision uint64) {
 	c.t.Helper()
 	path := fmt.Sprintf("%s?revision=%d", operatorapi.PathInForce, revision)
-	eventually(c.t, "in force", func() bool {
+	eventually(c.t, "the revision is in force", func() bool {
 		for i := range c.running {
 			var inForce operatorapi.InForce
 			if c.call(i, http.MethodGet, path, nil, &inForce) == http.StatusOK {
@@ -55,7 +55,7 @@
 	})
 }
 
-func TestResendAfterLeaderCrashGetsFirstAnswer(t *testing.T) {
+func TestRetryAfterLeaderCrashReturnsOriginalResult(t *testing.T) {
 	c := newCluster(t, 3, nil)
 	c.start(0, 1, 2)
 	transaction := api.Transaction{OperationID: "first", Writes: narratorObjects()}
@@ -113,17 +113,17 @@
 				continue
 			}
 			must.Len(t, 1, result.Conflicts)
-			stands := result.Conflicts[0].Current.Tenant
-			must.Eq(t, revision, stands.Revision)
-			must.Eq(t, float64(winner+1), stands.Spec.Weight)
+			current := result.Conflicts[0].Current.Tenant
+			must.Eq(t, revision, current.Revision)
+			must.Eq(t, float64(winner+1), current.Spec.Weight)
 		}
 	}
 }
 
-// transactUntilKnown sends the transaction to the member, again as operators do while
-// the outcome is unknown: the leader may change between proposal and commit.
+// transactUntilKnown sends the transaction to the member and, as operators do, repeats it while the
+// outcome is unknown: the leader may change between proposal and commit.
 func (c *cluster) transactUntilKnown(i int, transaction api.Transaction) api.TransactionResult {
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		var result api.TransactionResult
 		status := c.call(i, http.MethodPost, operatorapi.PathTransactions, transaction, &result)
 		if status != 0 && status < http.StatusInternalServerError {
@@ -137,10 +137,10 @@
 	c := newCluster(t, 3, nil)
 	c.start(0, 1, 2)
 	c.leader()
-	first, _ := c.follow("proxy-a")
-	second, _ := c.follow("proxy-b")
-	eventually(t, "connections", func() bool { return first.Connected() && second.Connected() })
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	first, _ := c.subscribe("proxy-a")
+	second, _ := c.subscribe("proxy-b")
+	eventually(t, "both daemons are connected", func() bool { return first.Connected() && second.Connected() })
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	request := state.ClaimRequest{Tenant: "water", Key: "crew-7", BodyHash: 9, Attempt: 1, Proxy: "proxy-a", Nonce: 1}
 	other := request
@@ -156,32 +156,32 @@
 	granted := map[api.ClaimCode]int{results[0].Code: 1}
 	granted[results[1].Code]++
 	must.Eq(t, map[api.ClaimCode]int{api.ClaimGranted: 1, api.ClaimRunning: 1}, granted)
-	stands := results[0].Claim
-	stands.Answer = nil // the feed's form of no answer is an empty one
+	claim := results[0].Claim
+	claim.Answer = nil // the feed encodes a missing answer as an empty one
 	again, err := claimUntilKnown(ctx, first, request)
 	must.NoError(t, err)
-	must.Eq(t, results[0], again, must.Sprint("the same request gets the same answer"))
+	must.Eq(t, results[0], again, must.Sprint("a repeated request gets the same result"))
 	var ledger operatorapi.Ledger
 	for i := range c.configs {
 		must.Eq(t, http.StatusOK, c.call(i, http.MethodGet, operatorapi.PathLedger+"?tenant=water&key=crew-7", nil, &ledger))
 		must.Len(t, 1, ledger.Claims)
-		must.Eq(t, stands, ledger.Claims[0])
+		must.Eq(t, claim, ledger.Claims[0])
 		must.Eq(t, http.StatusOK, c.call(i, http.MethodGet, operatorapi.PathLedger+"?tenant=fire&key=crew-7", nil, &ledger))
 		must.SliceEmpty(t, ledger.Claims)
 	}
 
 	c.crash(c.leader())
-	eventually(t, "a connection to the new leader", func() bool { return second.Connected() })
+	eventually(t, "the client is connected to the new leader", func() bool { return second.Connected() })
 	conflicting := other
 	conflicting.BodyHash, conflicting.Nonce = 10, 3
-	eventually(t, "an answer of the new leader", func() bool {
+	eventually(t, "the new leader replies", func() bool {
 		result, err := second.Claim(ctx, conflicting)
 		return err == nil && result.Code == api.ClaimConflict
 	})
 }
 
-// claimUntilKnown sends the same claim again while its outcome is unknown or no
-// leader takes it, as a proxy may: the leader can change at any moment.
+// claimUntilKnown repeats the same claim while its outcome is unknown or there is no quorum, as a
+// proxy may: the leader can change at any moment.
 func claimUntilKnown(ctx context.Context, client *feed.Client, request state.ClaimRequest) (api.ClaimResult, error) {
 	for {
 		result, err := client.Claim(ctx, request)
@@ -192,7 +192,7 @@
 	}
 }
 
-func TestLostDiskComesBackAsNewMember(t *testing.T) {
+func TestMemberWithLostDiskRejoinsAsNewMember(t *testing.T) {
 	c := newCluster(t, 3, nil)
 	c.start(0, 1, 2)
 	c.transact(api.Transaction{OperationID: "first", Writes: narratorObjects()})
@@ -209,7 +209,7 @@
 	for _, member := range status.Members {
 		must.NotEq(t, uint64(old), member.ID)
 	}
-	// A second machine is lost right after the repair.
+	// A second machine fails right after the repair.
 	c.crash((lost + 1) % 3)
 	must.Eq(t, api.OutcomeAccepted, c.transact(api.Transaction{
 		OperationID: "second",
@@ -217,20 +217,20 @@
 	}).Code)
 }
 
-// awaitFurtherLosses returns the first status that says how many losses can be
-// borne.
+// awaitFurtherLosses waits until the status reports that the group tolerates the given number of
+// further losses, and returns that status.
 func (c *cluster) awaitFurtherLosses(count int) (status operatorapi.Status) {
 	c.t.Helper()
-	eventually(c.t, fmt.Sprintf("%d further losses can be borne", count), func() bool {
+	eventually(c.t, fmt.Sprintf("the group tolerates %d further losses", count), func() bool {
 		var ok bool
 		status, ok = c.status()
-		return ok && status.FurtherLosses == count && (count == 0 || len(status.Repairing) == 0 && c.listed(status))
+		return ok && status.FurtherLosses == count && (count == 0 || len(status.Repairing) == 0 && c.listsRunningMembers(status))
 	})
 	return status
 }
 
-// listed reports whether the members of the status are the running ones.
-func (c *cluster) listed(status operatorapi.Status) bool {
+// listsRunningMembers reports whether the members in the status are exactly the running ones.
+func (c *cluster) listsRunningMembers(status operatorapi.Status) bool {
 	ids := map[uint64]bool{}
 	for _, member := range status.Members {
 		ids[member.ID] = true
@@ -243,12 +243,12 @@
 	return len(ids) == len(c.running)
 }
 
-func TestPlannedStopMovesSubscribersAndFailsNoWrite(t *testing.T) {
-	c := newCluster(t, 3, lastingLeader)
+func TestPlannedStopMovesSubscribersWithoutFailedWrites(t *testing.T) {
+	c := newCluster(t, 3, withLongElectionTimeout)
 	c.start(0, 1, 2)
 	leader := c.leader()
-	client, holder := c.follow("proxy-a")
-	eventually(t, "a connection", client.Connected)
+	client, holder := c.subscribe("proxy-a")
+	eventually(t, "the client is connected", client.Connected)
 	var writing sync.WaitGroup
 	stopped := make(chan struct{})
 	for writer := range 4 {
@@ -260,12 +260,11 @@
 	writing.Wait()
 	must.Zero(t, unknownProposals(t, stopping))
 	result := c.transact(api.Transaction{OperationID: "after", Writes: narratorObjects()})
-	eventually(t, "the change in the view", func() bool { return holder.Load().Version.Revision >= result.Revision })
-	eventually(t, "a valid lease", func() bool { return client.Connected() })
+	eventually(t, "the view has the change", func() bool { return holder.Load().Version.Revision >= result.Revision })
+	eventually(t, "the lease is valid", func() bool { return client.Connected() })
 }
 
-// unknownProposals returns how many of the member's proposals ended without a
-// known outcome.
+// unknownProposals returns the number of the member's proposals whose outcome remained unknown.
 func unknownProposals(t *testing.T, m *member) float64 {
 	m.metrics.proposalError.WithLabelValues("unknown")
 	families, err := m.metrics.registry.Gather()
@@ -280,13 +279,13 @@
 			}
 		}
 	}
-	t.Fatal("no metric of failed proposals")
+	t.Fatal("the metric of failed proposals is missing")
 	return 0
 }
 
-// writeUntil writes as operators do until stopped is closed, and once more.
+// writeUntil writes through an operator client until stopped is closed, and once more after that.
 func (c *cluster) writeUntil(stopped <-chan struct{}, writer int) {
-	client := c.operators()
+	client := c.operatorClient()
 	for count := 0; ; count++ {
 		c.write(client, fmt.Sprintf("writer-%d-%d", writer, count))
 		select {
@@ -297,7 +296,7 @@
 	}
 }
 
-func (c *cluster) operators() *operator.Client {
+func (c *cluster) operatorClient() *operator.Client {
 	var members []string
 	for _, config := range c.configs {
 		members = append(members, config.OperatorAddress)
@@ -307,7 +306,7 @@
 	return client
 }
 
-// write adds a tenant, which must be accepted.
+// write adds a tenant and fails the test unless it is accepted.
 func (c *cluster) write(client *operator.Client, tenant string) {
 	result, err := client.Transact(context.Background(), api.Transaction{OperationID: tenant, Writes: tenantWrites(tenant)})
 	if err != nil || result.Code != api.OutcomeAccepted {
@@ -315,10 +314,10 @@
 	}
 }
 
-// awaitLeaderKnown waits until every running member hands requests on to a leader.
+// awaitLeaderKnown waits until every running member serves or forwards requests.
 func (c *cluster) awaitLeaderKnown() {
 	c.t.Helper()
-	eventually(c.t, "a leader that all members know", func() bool {
+	eventually(c.t, "all members know the leader", func() bool {
 		for i := range c.running {
 			if c.call(i, http.MethodGet, operatorapi.PathStatus, nil, nil) != http.StatusOK {
 				return false
@@ -328,7 +327,7 @@
 	})
 }
 
-func TestWholeGroupRestartsInBoundedTime(t *testing.T) {
+func TestGroupRestartRecoveryIsBounded(t *testing.T) {
 	const snapshotEntries, writers, writes = 50, 8, 40
 	c := newCluster(t, 3, func(config *Config) { config.Limits.SnapshotEntries = snapshotEntries })
 	c.start(0, 1, 2)
@@ -337,7 +336,7 @@
 	var writing sync.WaitGroup
 	for writer := range writers {
 		writing.Go(func() {
-			client := c.operators()
+			client := c.operatorClient()
 			for i := range writes {
 				c.write(client, fmt.Sprintf("tenant-%d-%d", writer, i))
 			}
@@ -349,8 +348,9 @@
 	}
 	c.start(0, 1, 2)
 	for i := range c.configs {
-		// The tail is at most what is applied between two snapshots and while
-		// one is being written; it does not grow with the changes made.
+		// The log tail holds the entries applied between two snapshots and those applied while
+		// snapshots are written, for which the bound leaves three times as much room. It does not
+		// grow with the total number of changes.
 		must.Less(t, 4*snapshotEntries, c.running[i].member.disk.Recovery().Entries)
 	}
 	must.Eq(t, answer, c.transact(first))
@@ -362,16 +362,16 @@
 	must.Len(t, writers*writes, list.Objects)
 }
 
-func TestNoQuorumIsToldAtOnce(t *testing.T) {
+func TestNoQuorumIsReportedImmediately(t *testing.T) {
 	c := newCluster(t, 3, nil)
 	c.start(0, 1, 2)
-	client, _ := c.follow("proxy-a")
-	eventually(t, "a connection", client.Connected)
+	client, _ := c.subscribe("proxy-a")
+	eventually(t, "the client is connected", client.Connected)
 	leader := c.leader()
 	c.crash((leader + 1) % 3)
 	c.crash((leader + 2) % 3)
 	var answer operatorapi.Error
-	eventually(t, "a refusal", func() bool {
+	eventually(t, "the status request is refused", func() bool {
 		return c.call(leader, http.MethodGet, operatorapi.PathStatus, nil, &answer) == http.StatusServiceUnavailable
 	})
 	begun := c.running[leader].member.group.Load()
@@ -379,15 +379,15 @@
 	must.ErrorIs(t, err, feed.ErrNoQuorum)
 	status := c.call(leader, http.MethodPost, operatorapi.PathTransactions, api.Transaction{OperationID: "late"}, &answer)
 	must.Eq(t, http.StatusServiceUnavailable, status)
-	eventually(t, "a sure refusal of a claim", func() bool {
+	eventually(t, "a claim is refused for lack of a quorum", func() bool {
 		_, err := client.Claim(context.Background(), state.ClaimRequest{Tenant: "water", Key: "crew-9", Nonce: 6, Proxy: "proxy-a"})
 		return errors.Is(err, feed.ErrNoQuorum)
 	})
 }
 
-func TestRemovedMemberStopsAndJoinsAnew(t *testing.T) {
+func TestRemovedMemberStopsAndRejoins(t *testing.T) {
 	c := newCluster(t, 3, func(config *Config) { config.Join = config.Name == "control-2" })
-	founding := c.configs[2]
+	joinConfig := c.configs[2]
 	c.configs[2].Join = false
 	c.start(0, 1, 2)
 	c.awaitFurtherLosses(1)
@@ -396,11 +396,11 @@
 	}
 	old := c.running[2].member.id
 	c.crash(2)
-	eventually(t, "the removal", func() bool {
+	eventually(t, "the member is removed", func() bool {
 		request := operatorapi.MemberRequest{Action: operatorapi.MemberRemove, ID: operatorapi.MemberID(old)}
 		return c.call(0, http.MethodPost, operatorapi.PathMembers, request, nil) == http.StatusOK
 	})
-	c.configs[2] = founding
+	c.configs[2] = joinConfig
 	c.start(2)
 	removed := c.running[2]
 	delete(c.running, 2)
@@ -410,22 +410,22 @@
 	must.NotEq(t, old, c.running[2].member.id)
 }
 
-// An identity that was removed before it ever joined holds nothing: its member
-// comes back under another one, without an operator and without a new process.
-func TestIdentityRemovedBeforeItJoinedIsDrawnAnew(t *testing.T) {
+// An identity that was removed before it joined holds no data: its member must rejoin under a new
+// identity without an operator and without a restart of the process.
+func TestIdentityRemovedBeforeJoiningIsReplaced(t *testing.T) {
 	c := newCluster(t, 3, func(config *Config) { config.Join = config.Name == "control-2" })
-	founding := c.configs[2]
+	joinConfig := c.configs[2]
 	c.configs[2].Join = false
 	c.start(0, 1, 2)
 	c.awaitFurtherLosses(1)
 	old := uint64(c.running[2].member.id)
 	c.crash(2)
-	must.NoError(t, replica.DiscardDisk(wal.OS{}, founding.DataFolder))
-	disk, err := replica.OpenDisk(replica.DiskOptions{Dir: founding.DataFolder, Group: founding.GroupID})
+	must.NoError(t, replica.DiscardDisk(wal.OS{}, joinConfig.DataFolder))
+	disk, err := replica.OpenDisk(replica.DiskOptions{Dir: joinConfig.DataFolder, Group: joinConfig.GroupID})
 	must.NoError(t, err)
-	drawn := disk.Identity().Member
+	unusedID := disk.Identity().Member
 	must.NoError(t, disk.Close())
-	lost := founding.own(drawn)
+	lost := joinConfig.selfMember(unusedID)
 	lost.Removed = true
 	eventually(t, "the removal is recorded", func() bool {
 		_, err := c.running[c.leader()].member.group.Load().propose(context.Background(), memberCommand(lost))
@@ -433,32 +433,32 @@
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- RunAgain(ctx, founding, nopLogger{}) }()
-	eventually(t, "the group is whole, with another identity", func() bool {
+	go func() { ended <- RunWithRestart(ctx, joinConfig, nopLogger{}) }()
+	eventually(t, "all members are voters, with a new identity", func() bool {
 		status, ok := c.status()
 		return ok && status.FurtherLosses == 1 && len(status.Repairing) == 0 && len(status.Members) == 3 &&
 			!slices.ContainsFunc(status.Members, func(member operatorapi.Member) bool {
-				return member.ID == uint64(drawn) || member.ID == old
+				return member.ID == uint64(unusedID) || member.ID == old
 			})
 	})
 	cancel()
 	must.NoError(t, <-ended)
 }
 
-// A member that is removed while it is asked to stop would only have joined again.
-func TestStopDuringARemovalIsAPlannedStop(t *testing.T) {
+// A member that is removed while it stops would only have rejoined, so the stop counts as planned.
+func TestStopDuringRemovalIsPlanned(t *testing.T) {
 	stopped, stop := context.WithCancel(context.Background())
 	stop()
-	const joins, stays = true, false
-	must.True(t, endsRun(stopped, joins, ErrRemoved))
-	must.NoError(t, outcomeOfRun(stopped, joins, ErrRemoved))
-	must.ErrorIs(t, outcomeOfRun(stopped, stays, ErrRemoved), ErrRemoved)
-	must.ErrorIs(t, outcomeOfRun(stopped, joins, ErrConfig), ErrConfig)
-	must.False(t, endsRun(context.Background(), joins, ErrRemoved))
-	must.True(t, endsRun(context.Background(), stays, ErrRemoved))
+	const rejoins, leaves = true, false
+	must.True(t, isFinal(stopped, rejoins, ErrRemoved))
+	must.NoError(t, finalResult(stopped, rejoins, ErrRemoved))
+	must.ErrorIs(t, finalResult(stopped, leaves, ErrRemoved), ErrRemoved)
+	must.ErrorIs(t, finalResult(stopped, rejoins, ErrConfig), ErrConfig)
+	must.False(t, isFinal(context.Background(), rejoins, ErrRemoved))
+	must.True(t, isFinal(context.Background(), leaves, ErrRemoved))
 }
 
-func TestDamagedFolderIsDiscardedOnlyBesideALeader(t *testing.T) {
+func TestDamagedDataFolderIsDiscardedOnlyWithLeader(t *testing.T) {
 	c := newCluster(t, 3, nil)
 	c.start(0, 1, 2)
 	c.awaitFurtherLosses(1)
@@ -494,7 +494,7 @@
 	must.Eq(t, start.UnixMilli(), first)
 	must.Eq(t, first+1000, clock.now(1, m, start.Add(time.Second)))
 	tenant := &api.Transaction{OperationID: "a"}
-	m.apply(raft.Entry{Term: 1, Index: 1}, state.Command{Kind: state.CommandTransaction, Transaction: tenant, Time: first + 1000})
+	m.applyAndPublish(raft.Entry{Term: 1, Index: 1}, state.Command{Kind: state.CommandTransaction, Transaction: tenant, Time: first + 1000})
 	jumped := start.Add(1000 * time.Hour)
 	must.Eq(t, first+1000, clock.now(2, m, jumped))
 	must.Eq(t, first+2000, clock.now(2, m, jumped.Add(time.Second)))
--- a/process/control/course_test.go
+++ b/process/control/course_test.go
@@ -13,165 +13,163 @@
 	"github.com/shoenig/test/must"
 )
 
-// Sizes of a course: five members know the first three, two may be lost at once,
-// and two more stand ready to replace members that are gone for good.
+// A scenario starts five members whose configuration names the first three. Two may be lost at
+// once, and two spares can replace members that are lost permanently.
 const (
-	courseMembers = 5
-	courseSeeds   = 3
-	courseLosses  = 2
-	courseSpares  = 2
-	courseSteps   = 6
+	scenarioMembers = 5
+	scenarioSeeds   = 3
+	scenarioLosses  = 2
+	scenarioSpares  = 2
+	scenarioSteps   = 6
 )
 
-// course plays losses against a growing group, one after the other and some at
-// the same moment, as its seed draws them.
-type course struct {
-	*growing
+// lossScenario crashes members of a group, one at a time or several at once, in an order drawn from
+// its seed.
+type lossScenario struct {
+	*growingGroup
 	random     *rand.Rand
-	spares     []int // not started yet
+	spares     []int // members not yet started
 	generation uint64
 }
 
-// A group that bears two losses keeps what it acknowledged and becomes whole
-// again by itself, whatever is lost within that: processes, disks, machines for
-// good, and the leader right in the middle of a repair.
-func TestGroupBecomesWholeAfterEachLoss(t *testing.T) {
+// A group that tolerates two losses must keep acknowledged data and restore its fault tolerance by
+// itself after any loss within that limit: of processes, disks, whole machines, or the leader in
+// the middle of a repair.
+func TestGroupRecoversFromEachLoss(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3, 4} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			c := &course{
-				growing: newGrowing(t, courseMembers+courseSpares, courseSeeds, courseLosses),
-				random:  rand.New(rand.NewPCG(seed, 0)),
-				spares:  []int{courseMembers, courseMembers + 1},
+			s := &lossScenario{
+				growingGroup: newGrowingGroup(t, scenarioMembers+scenarioSpares, scenarioSeeds, scenarioLosses),
+				random:       rand.New(rand.NewPCG(seed, 0)),
+				spares:       []int{scenarioMembers, scenarioMembers + 1},
 			}
-			c.start(0, 1, 2, 3, 4)
-			c.awaitWhole()
-			for range courseSteps {
-				c.step()
-				c.awaitWhole()
-				c.readBack()
+			s.start(0, 1, 2, 3, 4)
+			s.awaitRecovered()
+			for range scenarioSteps {
+				s.step()
+				s.awaitRecovered()
+				s.verifyIngress()
 			}
 		})
 	}
 }
 
-// step acknowledges an Ingress, loses members right after it, and brings them or
-// their successors back.
-func (c *course) step() {
-	c.t.Helper()
-	c.replace()
-	victims := c.victims()
+// step has an Ingress acknowledged, crashes members immediately afterwards, and starts them or
+// their replacements.
+func (s *lossScenario) step() {
+	s.t.Helper()
+	s.acknowledgeNextIngress()
+	victims := s.pickVictims()
 	for _, i := range victims {
-		c.crash(i)
+		s.crash(i)
 	}
 	var back []int
 	for _, i := range victims {
-		back = append(back, c.successor(i))
+		back = append(back, s.replacementOf(i))
 	}
-	c.start(back...)
-	if c.random.IntN(2) == 0 {
-		// One more, the leader as often as not, ends in the middle of the repair;
-		// its disk stays.
-		again := c.pick()
-		c.awaitStarted(again)
-		time.Sleep(time.Duration(c.random.IntN(200)) * time.Millisecond)
-		c.crash(again)
-		c.start(again)
+	s.start(back...)
+	if s.random.IntN(2) == 0 {
+		// Another member, often the leader, crashes in the middle of the repair; it keeps its disk.
+		again := s.pickMember()
+		s.awaitStarted(again)
+		time.Sleep(time.Duration(s.random.IntN(200)) * time.Millisecond)
+		s.crash(again)
+		s.start(again)
 	}
 }
 
-func (c *course) awaitStarted(i int) {
-	c.t.Helper()
-	eventually(c.t, "a started member", func() bool { return c.running[i].member.group.Load() != nil })
-	time.Sleep(10 * time.Millisecond) // for what its start does after that
+func (s *lossScenario) awaitStarted(i int) {
+	s.t.Helper()
+	eventually(s.t, "the member has started", func() bool { return s.running[i].member.group.Load() != nil })
+	time.Sleep(10 * time.Millisecond) // lets its background work start
 }
 
-// victims draws one or two running members.
-func (c *course) victims() []int {
-	first := c.pick()
-	second := c.pick()
-	if first == second || c.random.IntN(2) == 0 {
+// pickVictims picks one or two running members at random.
+func (s *lossScenario) pickVictims() []int {
+	first := s.pickMember()
+	second := s.pickMember()
+	if first == second || s.random.IntN(2) == 0 {
 		return []int{first}
 	}
 	return []int{first, second}
 }
 
-// pick draws a running member, more often the leader than not.
-func (c *course) pick() int {
-	if c.random.IntN(2) == 0 {
-		for i, running := range c.running {
+// pickMember picks a running member at random, the leader more often than any other.
+func (s *lossScenario) pickMember() int {
+	if s.random.IntN(2) == 0 {
+		for i, running := range s.running {
 			if current := running.member.group.Load(); current != nil && current.Leadership().Leads {
 				return i
 			}
 		}
 	}
-	running := make([]int, 0, len(c.running))
-	for i := range c.running {
+	running := make([]int, 0, len(s.running))
+	for i := range s.running {
 		running = append(running, i)
 	}
 	slices.Sort(running)
-	return running[c.random.IntN(len(running))]
+	return running[s.random.IntN(len(running))]
 }
 
-// successor says what a lost member comes back as: itself, itself without its
-// disk, or another machine in its place. Seeds are not replaced, since nobody
-// would tell a newcomer of new ones here.
-func (c *course) successor(i int) int {
-	switch draw := c.random.IntN(4); {
+// replacementOf returns the index of the member to start after a loss: the same member, the same
+// one with an empty disk, or a spare. Seed members are never replaced by a spare, since nothing
+// here would tell a joining member of new seeds.
+func (s *lossScenario) replacementOf(i int) int {
+	switch draw := s.random.IntN(4); {
 	case draw == 0:
 		return i
-	case draw == 1 && i >= courseSeeds && len(c.spares) > 0:
-		next := c.spares[0]
-		c.spares = c.spares[1:]
+	case draw == 1 && i >= scenarioSeeds && len(s.spares) > 0:
+		next := s.spares[0]
+		s.spares = s.spares[1:]
 		return next
 	default:
-		c.loseDisk(i)
+		s.loseDisk(i)
 		return i
 	}
 }
 
-// awaitWhole waits until the running members are the voters and two more losses
-// can be borne. A member whose identity was removed is opened again, as its
-// process does.
-func (c *course) awaitWhole() {
-	c.t.Helper()
-	eventually(c.t, "the group is whole", func() bool {
-		for i, running := range c.running {
+// awaitRecovered waits until the running members are the voters and two further losses are
+// tolerated. A member whose identity was removed is started again, as its process would do.
+func (s *lossScenario) awaitRecovered() {
+	s.t.Helper()
+	eventually(s.t, "the group has recovered", func() bool {
+		for i, running := range s.running {
 			select {
 			case err := <-running.done:
-				must.True(c.t, errors.Is(err, ErrRemoved), must.Sprint(err))
-				c.start(i)
+				must.True(s.t, errors.Is(err, ErrRemoved), must.Sprint(err))
+				s.start(i)
 			default:
 			}
 		}
-		status, ok := c.status()
-		return ok && status.FurtherLosses == courseLosses && len(status.Repairing) == 0 && c.listed(status)
+		status, ok := s.status()
+		return ok && status.FurtherLosses == scenarioLosses && len(status.Repairing) == 0 && s.listsRunningMembers(status)
 	})
 }
 
-// replace has the next Ingress acknowledged.
-func (c *course) replace() {
-	c.t.Helper()
-	c.generation++
-	eventually(c.t, "an acknowledgement", func() bool {
+// acknowledgeNextIngress has the Ingress of the next generation acknowledged.
+func (s *lossScenario) acknowledgeNextIngress() {
+	s.t.Helper()
+	s.generation++
+	eventually(s.t, "the Ingress is acknowledged", func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		result, err := c.accessOf(c.pick()).ReplaceIngress(ctx, ingressOf(c.generation, "document"))
-		return err == nil && (result.Code == api.ReplaceApplied || result.Generation == c.generation)
+		result, err := s.accessOf(s.pickMember()).ReplaceIngress(ctx, ingressOf(s.generation, "document"))
+		return err == nil && (result.Code == api.ReplaceApplied || result.Generation == s.generation)
 	})
 }
 
-// readBack holds that what was acknowledged last is what is read.
-func (c *course) readBack() {
-	c.t.Helper()
-	eventually(c.t, "a read", func() bool {
+// verifyIngress checks that a read returns the Ingress that was acknowledged last.
+func (s *lossScenario) verifyIngress() {
+	s.t.Helper()
+	eventually(s.t, "a read succeeds", func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		held, err := c.accessOf(c.pick()).Ingress(ctx)
+		held, err := s.accessOf(s.pickMember()).Ingress(ctx)
 		if err != nil {
 			return false
 		}
-		must.Eq(c.t, c.generation, held.Spec.Generation)
+		must.Eq(s.t, s.generation, held.Spec.Generation)
 		return true
 	})
 }
--- a/process/control/demand.go
+++ b/process/control/demand.go
@@ -11,17 +11,17 @@
 )
 
 const (
+	// demandShards is the number of separately locked parts of a demandTable.
 	demandShards = 8
-	// demandWindow is how far back the measured demand reaches; it is counted
-	// in buckets of demandBucket.
+	// demandWindow is the period over which demand is measured, in buckets of demandBucket.
 	demandWindow  = 10 * time.Second
 	demandBucket  = time.Second
 	demandBuckets = int(demandWindow / demandBucket)
-	// queueMemory is how long a proxy's last word on its queues counts.
-	queueMemory = 3 * time.Second
+	// queueReportMaxAge is the age at which a proxy's last report of its queues is discarded.
+	queueReportMaxAge = 3 * time.Second
 )
 
-// demandTable sums what the proxies were offered over the recent past.
+// demandTable sums the demand that proxies reported over the last demandWindow.
 type demandTable struct {
 	started time.Time
 	seed    maphash.Seed
@@ -33,19 +33,20 @@
 	intents map[string]*intentDemand
 }
 
-// intentDemand is what the proxies of one shard were offered for one intent.
+// intentDemand is the demand for one intent, as reported by the proxies of one shard.
 type intentDemand struct {
 	buckets [demandBuckets]demandCount
 	queues  map[string]queueReport // by daemon
 }
 
 type demandCount struct {
-	number int64 // of the bucket since the table was started
+	number int64 // index of the bucket since the table was created
 	counts planner.Demand
 }
 
+// queueReport is what a proxy has queued for one intent.
 type queueReport struct {
-	at           time.Time
+	receivedAt   time.Time
 	requests     int
 	promptTokens float64
 }
@@ -62,7 +63,8 @@
 	return int64(now.Sub(t.started) / demandBucket)
 }
 
-// add counts a report that arrived now.
+// add counts a demand report received at time now. The report's queues replace those that the
+// daemon reported before.
 func (t *demandTable) add(daemon string, report feed.DemandReport, now time.Time) {
 	shard := &t.shards[maphash.String(t.seed, daemon)%demandShards]
 	number := t.bucketNumber(now)
@@ -70,9 +72,9 @@
 	defer shard.Unlock()
 	queues := map[string]queueReport{}
 	for _, demand := range report.Demands {
-		shard.intent(demand.Intent).count(number, demand)
+		shard.demandFor(demand.Intent).addDemand(number, demand)
 		queue := queues[demand.Intent]
-		queue.at = now
+		queue.receivedAt = now
 		queue.requests += demand.QueuedRequests
 		queue.promptTokens += demand.QueuedPromptTokens
 		queues[demand.Intent] = queue
@@ -82,7 +84,9 @@
 	}
 }
 
-func (s *demandShard) intent(name string) *intentDemand {
+// demandFor returns the demand for the intent, creating it if there is none. The caller holds the
+// lock.
+func (s *demandShard) demandFor(name string) *intentDemand {
 	known := s.intents[name]
 	if known == nil {
 		known = &intentDemand{queues: map[string]queueReport{}}
@@ -91,7 +95,8 @@
 	return known
 }
 
-func (d *intentDemand) count(number int64, demand feed.Demand) {
+// addDemand adds the demand to the bucket with the number.
+func (d *intentDemand) addDemand(number int64, demand feed.Demand) {
 	bucket := &d.buckets[number%int64(demandBuckets)]
 	if bucket.number != number {
 		*bucket = demandCount{number: number}
@@ -106,6 +111,7 @@
 	})
 }
 
+// addCounts adds counts of requests and tokens; Refused and Late are numbers of requests.
 func addCounts(sum *planner.Demand, more planner.Demand) {
 	sum.Requests += more.Requests
 	sum.PromptTokens += more.PromptTokens
@@ -117,8 +123,8 @@
 	sum.QueuedPromptTokens += more.QueuedPromptTokens
 }
 
-// sum returns the demand of each intent, sorted by name. Intents that no proxy
-// has reported lately have none. It forgets what is too old to count.
+// sum returns the demand per intent, sorted by name, without intents that no proxy has reported
+// recently. It deletes expired entries.
 func (t *demandTable) sum(now time.Time) []planner.Demand {
 	totals := map[string]*planner.Demand{}
 	for i := range t.shards {
@@ -160,7 +166,7 @@
 		}
 	}
 	for daemon, queue := range d.queues {
-		if now.Sub(queue.at) > queueMemory {
+		if now.Sub(queue.receivedAt) > queueReportMaxAge {
 			delete(d.queues, daemon)
 			continue
 		}
--- a/process/control/duties.go
+++ b/process/control/duties.go
@@ -16,79 +16,84 @@
 	"github.com/landingtrail/landingtrail/version/state"
 )
 
-// monotonic reads the time that has passed, also in a suspension: what a leader that wakes
-// knows is as old as it is for the others.
+// monotonic returns the time elapsed since an arbitrary origin. It includes time spent suspended,
+// so that a leader that resumes after a suspension treats its state as old.
 func monotonic() time.Duration { return clock.Now() }
 
-// duties are what only the leader does: it observes the engines, plans, carries
-// orders out, watches the platform and tends the membership. Each round starts
-// with a check of the lease, and each order is sent after another one.
-type duties struct {
+// leaderTasks runs the leader's tasks: it polls the engines, plans, executes actions, reads the
+// platform's machine list and manages the group's membership, among others. Each round starts with
+// a check of the lease, and the lease is checked again before each order.
+type leaderTasks struct {
 	group     *group
 	addresses *addressBook
 	logger    log.Logger
 	client    *orders.Client
 	platform  *platformReader
 	fleet     *fleetReader
-	// lease returns the term that this member leads in by a valid lease.
+	// lease returns the term in which this member leads under a valid lease.
 	lease    func(context.Context) (term uint64, valid bool)
 	wakeup   chan struct{}
 	stopping chan struct{}
 	stopOnce sync.Once
 	stopped  chan struct{}
 
-	// term is the leadership being served, nil while there is none. The loop's
-	// goroutine writes it; the operator API reads it.
 	termLock sync.Mutex
-	term     *termDuties
+	// term is the term being served, nil while there is none. It is written by the loop's
+	// goroutine and read by the operator API.
+	term *termState
 }
 
-// termDuties is what one leadership keeps. It is dropped with the lease, so
-// everything observed in it is later than the entries of earlier leaders.
-type termDuties struct {
+// termState is the state of one term of leadership. It is discarded when the leadership ends, so
+// everything observed in it is newer than the log entries of earlier leaders. Only the loop uses
+// nextPlan, unreachableSince, cachesQueried, hadIngress, comparedList and nextProxies.
+type termState struct {
 	number  uint64
 	planner planner.Planner
 	poller  *orders.Poller
 	actions *actionRunner
-	// nextPlan is when the next plan is due; commit is the commit index seen
-	// in the round before. Only the loop uses them.
+	// nextPlan is when the next plan is due.
 	nextPlan time.Duration
-	// startedAt is when the term began here, awaySince when each member that is
-	// not active now was first seen so. Only the loop uses them.
+	// startedAt is when the term began on this member; it does not change.
 	startedAt time.Duration
-	awaySince map[raft.MemberID]time.Duration
-	// warmed is true once replicas were asked what they keep; hadIngress whether
-	// there was an Ingress when the term began. Only the loop uses them.
-	warmed     bool
+	// unreachableSince is when each currently inactive voter was first seen inactive.
+	unreachableSince map[raft.MemberID]time.Duration
+	// cachesQueried is true once replicas were asked for their cached prompt parts.
+	cachesQueried bool
+	// hadIngress is whether an Ingress existed when the term began.
 	hadIngress bool
+	// background waits for the goroutines of the term.
 	background sync.WaitGroup
-	// comparedList is what tendFleet last found equal. Only the loop uses it.
+	// comparedList is the list that manageFleet last found unchanged.
 	comparedList comparedList
-	// nextProxies is when tendFleet next looks at the proxies. Only the loop uses it.
+	// nextProxies is when manageFleet next checks the proxies.
 	nextProxies time.Duration
-	roles       roleDuty
-	usage       usageDuty
-	capacity    capacityDuty
-	// orders ends with the leadership, by endOrders.
-	orders    context.Context
-	endOrders context.CancelFunc
+	roles       roleTermState
+	usage       usageTermState
+	capacity    capacityTermState
+	// orders is the context of the term's orders, canceled by cancelOrders.
+	orders       context.Context
+	cancelOrders context.CancelFunc
 
-	lock      sync.Mutex
-	machines  *state.Machines
-	failures  map[string]controller.Failure
+	lock sync.Mutex // guards the fields below
+	// machines are the leaving and gone machines of the last commit of this term.
+	machines *state.Machines
+	// failures are the last failed assignments, by engine.
+	failures map[string]controller.Failure
+	// changedAt is when each engine last completed a change.
 	changedAt map[string]time.Duration
-	commit    uint64
+	// commit is the commit index seen in the previous round.
+	commit uint64
 }
 
-func newDuties(g *group, addresses *addressBook, logger log.Logger) *duties {
+func newLeaderTasks(g *group, addresses *addressBook, logger log.Logger) *leaderTasks {
 	client := orders.NewClient(g.config.Durations.EngineTimeout)
-	return &duties{
+	return &leaderTasks{
 		group:     g,
 		addresses: addresses,
 		logger:    logger,
 		client:    client,
 		platform:  newPlatformReader(g.config, logger),
-		fleet:     newFleetReader(g.config, g.metrics.foreign, logger),
+		fleet:     newFleetReader(g.config, g.metrics.foreignEntries, logger),
 		lease:     g.Lease,
 		wakeup:    make(chan struct{}, 1),
 		stopping:  make(chan struct{}),
@@ -96,24 +101,25 @@
 	}
 }
 
-// roundPause is the least time between two rounds.
-const roundPause = 5 * time.Millisecond
+// minRoundPause is the minimum pause between two rounds.
+const minRoundPause = 5 * time.Millisecond
 
-// wake makes the next round start now; calls coalesce.
-func (d *duties) wake() {
+// wake makes the next round start as soon as the pause after the running one has passed. Calls in
+// between cause one round.
+func (d *leaderTasks) wake() {
 	select {
 	case d.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// stop ends the duties and waits until none is under way.
-func (d *duties) stop() {
+// stop ends the loop and waits until it has returned.
+func (d *leaderTasks) stop() {
 	d.stopOnce.Do(func() { close(d.stopping) })
 	<-d.stopped
 }
 
-func (d *duties) run(ctx context.Context) {
+func (d *leaderTasks) run(ctx context.Context) {
 	defer close(d.stopped)
 	defer d.client.Close()
 	defer d.endTerm()
@@ -134,55 +140,58 @@
 	}
 }
 
-// pauseAfter bounds the rounds that a busy fleet can wake: with many engines, to
-// half of one core. A round that waited for a commit pauses no longer than usual.
-func (d *duties) pauseAfter(took time.Duration) time.Duration {
-	return max(roundPause, min(took, d.group.config.Durations.Reconcile))
+// pauseAfter returns the pause after a round, which is as long as the round took. With many
+// engines, rounds caused by frequent wake-ups then use at most half of one core. The pause is at
+// most the reconcile interval, since a round may have spent its time waiting for a commit.
+func (d *leaderTasks) pauseAfter(took time.Duration) time.Duration {
+	return max(minRoundPause, min(took, d.group.config.Durations.Reconcile))
 }
 
-// round carries out one round if this member leads with a valid lease.
-func (d *duties) round(ctx context.Context) {
+// round executes one round if this member leads under a valid lease.
+func (d *leaderTasks) round(ctx context.Context) {
 	if !d.group.Leadership().Leads {
 		d.endTerm()
 		return
 	}
 	number, valid := d.group.Lease(ctx)
 	if !valid {
-		return // the lease may come back in the same term
+		return // the lease may be renewed in the same term
 	}
 	term := d.beginTerm(number)
-	d.warmBoards(ctx, term, monotonic())
-	d.tendMembers(ctx, term)
-	d.tendFleet(ctx, term)
-	d.tendQuarantine(ctx, term)
-	d.tendUsage(ctx, term)
-	d.tendCapacity(ctx, term)
-	d.tendRoles(term, monotonic())
+	d.queryCaches(ctx, term, monotonic())
+	d.manageMembers(ctx, term)
+	d.manageFleet(ctx, term)
+	d.manageQuarantine(ctx, term)
+	d.manageUsage(ctx, term)
+	d.manageCapacity(ctx, term)
+	d.manageRoles(term, monotonic())
 	d.reconcile(ctx, term)
 }
 
-func (d *duties) current() *termDuties {
+// current returns the state of the term being served, or nil while there is none.
+func (d *leaderTasks) current() *termState {
 	d.termLock.Lock()
 	defer d.termLock.Unlock()
 	return d.term
 }
 
-// beginTerm returns the duties of the term, and starts them when it is new.
-func (d *duties) beginTerm(number uint64) *termDuties {
+// beginTerm returns the state of the term, creating it and starting the term's background work if
+// the term is new.
+func (d *leaderTasks) beginTerm(number uint64) *termState {
 	if term := d.current(); term != nil && term.number == number {
 		return term
 	}
 	d.endTerm()
 	durations := d.group.config.Durations
-	term := &termDuties{
-		number:    number,
-		planner:   newPlanner(d.group.config.Planner),
-		failures:  map[string]controller.Failure{},
-		changedAt: map[string]time.Duration{},
-		awaySince: map[raft.MemberID]time.Duration{},
-		capacity:  newCapacityDuty(),
+	term := &termState{
+		number:           number,
+		planner:          newPlanner(d.group.config.Planner),
+		failures:         map[string]controller.Failure{},
+		changedAt:        map[string]time.Duration{},
+		unreachableSince: map[raft.MemberID]time.Duration{},
+		capacity:         newCapacityTermState(),
 	}
-	term.orders, term.endOrders = context.WithCancel(context.Background())
+	term.orders, term.cancelOrders = context.WithCancel(context.Background())
 	term.poller = orders.NewPoller(orders.PollerConfig{
 		Asker:    d.client,
 		Interval: durations.Poll,
@@ -192,7 +201,7 @@
 	term.actions = newActionRunner(d, term)
 	d.platform.start()
 	d.fleet.start(d.wake)
-	d.group.evidence.ask()
+	d.group.evidence.requestAll()
 	term.startedAt = monotonic()
 	term.hadIngress = d.group.machine.view().Ingresses[api.IngressName] != nil
 	d.termLock.Lock()
@@ -201,7 +210,8 @@
 	return term
 }
 
-func (d *duties) endTerm() {
+// endTerm discards the state of the term and waits for its background work.
+func (d *leaderTasks) endTerm() {
 	d.termLock.Lock()
 	term := d.term
 	d.term = nil
@@ -211,14 +221,15 @@
 	}
 	d.platform.stop()
 	d.fleet.stop()
-	term.endOrders()
+	term.cancelOrders()
 	term.actions.close()
 	term.background.Wait()
 	term.poller.Close()
 }
 
-// reconcile compares what is committed with what is seen, and acts.
-func (d *duties) reconcile(ctx context.Context, term *termDuties) {
+// reconcile compares the committed state with the observed state and starts the actions that are
+// needed.
+func (d *leaderTasks) reconcile(ctx context.Context, term *termState) {
 	current := d.group.machine.view()
 	addresses := make(map[string]string, len(current.Engines))
 	for name, engine := range current.Engines {
@@ -231,32 +242,33 @@
 		Now:          now,
 		Engines:      current.Engines,
 		Observations: term.observations(seen),
-		Platform:     d.platform.machines(current, seen, now),
+		Platform:     d.platform.leavingAndGone(current, seen, now),
 		Decisions:    d.plan(term, current, seen, now),
-		Silence:      d.group.config.Durations.silenceOf(len(current.Engines)),
+		Silence:      d.group.config.Durations.engineSilenceFor(len(current.Engines)),
 		FailurePause: d.group.config.Durations.FailurePause,
 	}
-	term.fill(&input)
+	term.addTermState(&input)
 	for _, action := range controller.Reconcile(input) {
 		term.actions.start(action)
 	}
 }
 
-// observations adds to what the engines said which orders they called invalid.
-func (t *termDuties) observations(seen map[string]orders.Seen) map[string]controller.Observation {
+// observations combines the engines' reported states with the orders that each engine rejected as
+// invalid.
+func (t *termState) observations(seen map[string]orders.Seen) map[string]controller.Observation {
 	observations := make(map[string]controller.Observation, len(seen))
 	for name, heard := range seen {
 		observations[name] = controller.Observation{
 			State:   heard.State,
 			AskedAt: heard.AskedAt,
-			Refused: t.actions.refused(name),
+			Refused: t.actions.lastInvalidFence(name),
 		}
 	}
 	return observations
 }
 
-// fill copies the term's own memory into the input.
-func (t *termDuties) fill(input *controller.Input) {
+// addTermState copies the machines and failures known in this term into input.
+func (t *termState) addTermState(input *controller.Input) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	input.Machines = t.machines
@@ -266,28 +278,31 @@
 	}
 }
 
-func (t *termDuties) setMachines(machines state.Machines) {
+// setMachines records the leaving and gone machines that were committed.
+func (t *termState) setMachines(machines state.Machines) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	t.machines = &machines
 }
 
-func (t *termDuties) noteFailure(engine string, assignment api.Assignment) {
+// recordFailure records that an assignment of the engine failed now.
+func (t *termState) recordFailure(engine string, assignment api.Assignment) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	t.failures[engine] = controller.Failure{Assignment: assignment, At: monotonic()}
 }
 
-func (t *termDuties) noteChange(engine string) {
+// recordChange records that the engine completed a change now, and forgets its failure.
+func (t *termState) recordChange(engine string) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	t.changedAt[engine] = monotonic()
 	delete(t.failures, engine)
 }
 
-// sinceChange returns how long ago the engine's last change ended, negative if
+// sinceChange returns the time since the engine's last change completed, or a negative value if
 // this leader has seen none.
-func (t *termDuties) sinceChange(engine string, now time.Duration) time.Duration {
+func (t *termState) sinceChange(engine string, now time.Duration) time.Duration {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	at, found := t.changedAt[engine]
--- a/process/control/duty.go
+++ b/process/control/duty.go
@@ -6,62 +6,67 @@
 	"time"
 )
 
-// A duty is what one daemon at a time does for all of them outside of the group: calls to
-// the platform on one matter. Its holder is the leader, its fence the leader's term, which
-// rises with each change of holder and is never shared. What is to be done is committed
-// before it is done, so that the next holder goes on with the same.
+// callGuard restricts the platform calls of one kind to one member at a time, the holder. The
+// holder is the leader, and its fencing token is its term, which rises with each change of holder
+// and is never shared. What a call is to do is committed before the call, so that the next holder
+// continues with the same work.
 //
-// Invariant: a call leaves only while the leader lease is valid by a clock that counts
-// suspensions, in the term whose fence it bears, and no sooner in a term than the calls of
-// the holder before it can have arrived.
-type duty struct {
-	// fenced is set once the platform has heard of a higher fence: another holder has
-	// begun, and this one does nothing more in its term.
+// Invariant: a call is sent only
+//   - while the leader lease is valid, by a clock that includes suspensions;
+//   - in the term whose fencing token it carries;
+//   - once the term has lasted for OrderSettle, after which the calls of the previous holder can no
+//     longer be in transit.
+type callGuard struct {
+	// fenced is set once the platform has seen a higher fencing token: another holder has
+	// started, and this one makes no more calls in its term.
 	fenced atomic.Bool
-	// busy is true while a call is under way: calls on one matter go one after the other.
+	// busy is true while a call is in progress: calls of one kind are made sequentially.
 	busy atomic.Bool
 }
 
-// DutyOutcome is what came of a call on a duty.
-type DutyOutcome uint8
+// CallOutcome is the result of a platform call.
+type CallOutcome uint8
 
-// Outcomes of a call. One that is unanswered may have been carried out, or may be later.
+// Results of a platform call. An unanswered call may have been executed, or may be executed
+// later.
 const (
-	DutyUnanswered DutyOutcome = iota
-	DutyDone
-	DutyRefused // it was not done, and may be asked for again
-	DutyFenced  // a holder with a higher fence has called
-	DutyDry     // what is asked for is not to be had now
+	CallUnanswered CallOutcome = iota
+	CallDone
+	CallRefused    // not sent, or not executed; the call may be retried
+	CallFenced     // rejected because a holder with a higher fencing token has called
+	CallNoCapacity // the platform has no capacity for the request now
 )
 
 // String returns the outcome's name.
-func (o DutyOutcome) String() string {
+func (o CallOutcome) String() string {
 	names := [...]string{"unanswered", "done", "refused", "fenced", "dry"}
 	return names[o]
 }
 
-// DutyHolder signs a call on a duty.
-type DutyHolder struct {
-	Name  string
-	Fence uint64
+// CallHolder identifies the caller of a platform call.
+type CallHolder struct {
+	Name  string // name of the member
+	Fence uint64 // fencing token: the member's term
 }
 
-// Times of calls on duties.
+// Timing of platform calls.
 const (
-	// dutyTimeout bounds one call. A call that has no answer by then is made again.
-	dutyTimeout = time.Second
-	// dutyPause is between two calls of which the first was not done.
-	dutyPause = 500 * time.Millisecond
+	// platformCallTimeout bounds one call. A call that is unanswered by then is retried.
+	platformCallTimeout = time.Second
+	// platformCallPause is the pause before a call is repeated that was not executed or has no
+	// known result.
+	platformCallPause = 500 * time.Millisecond
 )
 
-// mayAct reports whether a holder may call now, and how it signs.
-func (d *duties) mayAct(ctx context.Context, term *termDuties, on *duty) (DutyHolder, bool) {
-	if on.fenced.Load() || monotonic()-term.startedAt < d.group.config.Durations.OrderSettle {
-		return DutyHolder{}, false
+// authorizeCall reports whether this member may make a platform call now, and returns the
+// identity to make it with.
+func (d *leaderTasks) authorizeCall(ctx context.Context, term *termState, guard *callGuard) (CallHolder, bool) {
+	if guard.fenced.Load() || monotonic()-term.startedAt < d.group.config.Durations.OrderSettle {
+		return CallHolder{}, false
 	}
-	// The lease is read last: whatever time has passed until then is in it.
+	// The lease is checked last, so that it covers all the time spent above.
 	if number, valid := d.lease(ctx); !valid || number != term.number {
-		return DutyHolder{}, false
+		return CallHolder{}, false
 	}
-	return DutyHolder{Name: d.group.config.Name, Fence: term.number}, true
+	return CallHolder{Name: d.group.config.Name, Fence: term.number}, true
 }
--- a/process/control/evidence.go
+++ b/process/control/evidence.go
@@ -23,49 +23,56 @@
 	"github.com/pkg/errors"
 )
 
-// That a replica ended under a request is a fact: it needs neither an order nor an agreement, and
-// nothing is lost if it is kept twice. So each member keeps what it is told on its own disk and hands
-// it to the others, whether or not there is a leader: at once where it is worth telling, and whoever
-// begins to lead asks for all. The record, which needs a leader, is what verdicts are written to.
+// A crash observation is a report that a replica crashed under a request; a proxy's EndReport
+// contains some, and a table stores them. Observations need neither ordering nor consensus, and
+// storing one twice is harmless. So each member stores the observations it receives on its own
+// disk, whether or not there is a leader, and a new leader requests all of them. Those of requests
+// that are worth watching (see quarantine.Table.IsWorthTelling), called notable, are forwarded to
+// the other members at once.
+//
+// Quarantine decisions go to the record, the Quarantine and Suspect objects of the replicated
+// state, which needs a leader.
 
-// Bounds of what is kept.
+// Limits of the stored evidence.
 const (
 	evidenceFile = "evidence"
-	// maxEvidence bounds the ends that are kept, some 150 bytes each, and maxToldEvidence those
-	// that daemons are told of.
-	maxEvidence     = 256
-	maxToldEvidence = 64
-	// evidencePause is the least time between two writes; what comes meanwhile is written together.
-	evidencePause = 50 * time.Millisecond
-	// tellPause is how long what came up waits for what comes with it before others are told.
-	tellPause = 20 * time.Millisecond
+	// maxEvidence limits the stored crash observations, of about 150 bytes each.
+	maxEvidence = 256
+	// maxReportedEvidence limits the crash observations sent to daemons.
+	maxReportedEvidence = 64
+	// evidenceWriteInterval is the minimum time between two writes; changes in between are
+	// written together.
+	evidenceWriteInterval = 50 * time.Millisecond
+	// noticeDelay is how long new evidence waits for more before it is sent to other members.
+	noticeDelay = 20 * time.Millisecond
 )
 
-// errEvidence says that a file of evidence is damaged.
-var errEvidence = errors.New("control: the file of evidence is damaged")
+// errDamagedEvidence reports a damaged file evidenceFile.
+var errDamagedEvidence = errors.New("control: evidence file is damaged")
 
-// noticeSender tells the other members; *peer.Transport is one.
+// noticeSender sends notices to the other members; *peer.Transport implements it.
 type noticeSender interface {
 	Notify(payload []byte)
 	NotifyOne(payload []byte, member raft.MemberID)
 }
 
-// evidence keeps what is known of replicas that ended beside the log, and has the other members
-// keep it as well.
+// evidence stores crash observations outside the Raft log and sends them to the other members.
 type evidence struct {
-	desk   *quarantineDesk
-	files  wal.FileSystem
-	folder string
-	// wake has daemons be told of news that are not on record; set before the feed serves them.
+	tracker *quarantineTracker
+	files   wal.FileSystem
+	folder  string
+	// wake notifies daemons of evidence that is not in the record; set before the feed serves
+	// them.
 	wake atomic.Pointer[func()]
-	// others is set once the transport is open, which hands on what comes before that as well.
-	others  atomic.Pointer[noticeSender]
-	changed chan struct{} // has an item once something has to be written
-	telling chan struct{} // has an item once something is untold
-	logger  log.Logger
+	// sender is nil until the transport is open. Notable evidence received before that is sent as
+	// connections to other members are established.
+	sender       atomic.Pointer[noticeSender]
+	changed      chan struct{} // holds an item while there are changes to write
+	unsentSignal chan struct{} // holds an item while there is evidence to send
+	logger       log.Logger
 
 	lock   sync.Mutex
-	untold untold
+	unsent pendingNotice
 }
 
 func newEvidence(config Config, logger log.Logger) *evidence {
@@ -74,28 +81,28 @@
 		files = wal.OS{}
 	}
 	return &evidence{
-		desk: newQuarantineDesk(), files: files, folder: config.DataFolder,
-		changed: make(chan struct{}, 1), telling: make(chan struct{}, 1), logger: logger,
-		untold: untold{ended: map[quarantine.Fingerprint]struct{}{}},
+		tracker: newQuarantineTracker(), files: files, folder: config.DataFolder,
+		changed: make(chan struct{}, 1), unsentSignal: make(chan struct{}, 1), logger: logger,
+		unsent: pendingNotice{ended: map[quarantine.Fingerprint]struct{}{}},
 	}
 }
 
-// tellOthers sets who is told from now on.
-func (e *evidence) tellOthers(others noticeSender) { e.others.Store(&others) }
+// setSender sets the sender for notices to the other members.
+func (e *evidence) setSender(sender noticeSender) { e.sender.Store(&sender) }
 
-// tellDaemons sets what has daemons be told of news.
-func (e *evidence) tellDaemons(wake func()) { e.wake.Store(&wake) }
+// setDaemonNotifier sets the function that notifies daemons of new evidence.
+func (e *evidence) setDaemonNotifier(wake func()) { e.wake.Store(&wake) }
 
-// note takes in what a daemon has told, keeps it and hands on what others are to know.
+// note adds a daemon's report, and stores and forwards what is new.
 func (e *evidence) note(report feed.EndReport, now time.Duration) {
-	e.handOn(e.desk.note(report, now))
+	e.publish(e.tracker.addProxyReport(report, now))
 }
 
-// receive takes in what another member has told, or its question for all that is known here. What is
-// new is handed on: the member that knew it first may not reach all others.
+// receive handles a notice from another member: a report, or an empty payload that requests all
+// evidence known here. New evidence is forwarded, since its origin may not reach all members.
 func (e *evidence) receive(from raft.MemberID, payload []byte) {
 	if len(payload) == 0 {
-		e.answer(from)
+		e.sendAll(from)
 		return
 	}
 	report, err := feed.DecodeEnds(payload)
@@ -103,124 +110,128 @@
 		event.EvidenceUnreadable.Log(e.logger, "from", uint64(from), "err", err)
 		return
 	}
-	e.handOn(e.desk.hear(report, monotonic()))
+	e.publish(e.tracker.addEvidence(report, monotonic()))
 }
 
-// ask has the other members tell all that they know, as a new leader does: a member that it reaches may
-// have been told what never came to it.
-func (e *evidence) ask() {
-	if others := e.others.Load(); others != nil {
-		(*others).Notify(nil)
+// requestAll requests all evidence from the other members. A new leader does so because the
+// members that it reaches may know of evidence that it never received.
+func (e *evidence) requestAll() {
+	if sender := e.sender.Load(); sender != nil {
+		(*sender).Notify(nil)
 	}
 }
 
-func (e *evidence) answer(member raft.MemberID) {
-	e.tellOne(member, e.desk.sights(monotonic()))
+// sendAll sends all evidence to a member.
+func (e *evidence) sendAll(member raft.MemberID) {
+	e.sendTo(member, e.tracker.observations(monotonic()))
 }
 
-// greet tells a member with which a connection has come up what is worth watching for.
-func (e *evidence) greet(member raft.MemberID) {
-	e.tellOne(member, e.desk.notableSights(monotonic()))
+// sendNotable sends the notable evidence to a member whose connection was just established.
+func (e *evidence) sendNotable(member raft.MemberID) {
+	e.sendTo(member, e.tracker.notableObservations(monotonic()))
 }
 
-func (e *evidence) tellOne(member raft.MemberID, sights []quarantine.Aged) {
-	if others := e.others.Load(); others != nil && len(sights) > 0 {
-		(*others).NotifyOne(feed.EncodeEnds(feed.EndReport{Ended: sights}), member)
+func (e *evidence) sendTo(member raft.MemberID, observations []quarantine.Aged) {
+	if sender := e.sender.Load(); sender != nil && len(observations) > 0 {
+		(*sender).NotifyOne(feed.EncodeEnds(feed.EndReport{Ended: observations}), member)
 	}
 }
 
-// follow takes in how the record has changed.
-func (e *evidence) follow(before, current map[string]*api.Quarantine) {
-	if e.desk.follow(before, current, monotonic()) {
+// applyRecordChange applies a change of the replicated record.
+func (e *evidence) applyRecordChange(before, current map[string]*api.Quarantine) {
+	if e.tracker.applyRecordChange(before, current, monotonic()) {
 		pause.Signal(e.changed)
 	}
 }
 
-// handOn has what was learnt written soon, and told to the others and to daemons.
-func (e *evidence) handOn(found learnt) {
+// publish schedules new findings to be written, sent to the other members and reported to
+// daemons.
+func (e *evidence) publish(found findings) {
 	if !found.isNew {
 		return
 	}
 	e.lock.Lock()
 	for _, fingerprint := range found.ended {
-		e.untold.ended[fingerprint] = struct{}{}
+		e.unsent.ended[fingerprint] = struct{}{}
 	}
-	e.untold.alive = append(e.untold.alive, found.alive...)
-	e.untold.served = append(e.untold.served, found.served...)
+	e.unsent.alive = append(e.unsent.alive, found.alive...)
+	e.unsent.served = append(e.unsent.served, found.served...)
 	e.lock.Unlock()
 	pause.Signal(e.changed)
-	pause.Signal(e.telling)
+	pause.Signal(e.unsentSignal)
 	if wake := e.wake.Load(); wake != nil {
 		(*wake)()
 	}
 }
 
-// untold is what the other members have not been told yet. Ends are told as they are by then.
-type untold struct {
+// pendingNotice is evidence not yet sent to the other members. Crashes are looked up when the
+// notice is sent, so that it carries their latest state.
+type pendingNotice struct {
 	ended  map[quarantine.Fingerprint]struct{}
 	alive  []quarantine.Alive
 	served []quarantine.Fingerprint
 }
 
-// tell tells the other members what has come up, until ctx ends. Many words come with the end of one
-// replica, and go out together.
-func (e *evidence) tell(ctx context.Context) {
+// runSender sends new evidence to the other members until ctx ends. The crash of one replica causes
+// many reports, which are sent together.
+func (e *evidence) runSender(ctx context.Context) {
 	for {
 		select {
-		case <-e.telling:
+		case <-e.unsentSignal:
 		case <-ctx.Done():
 			return
 		}
-		if !pause.Sleep(ctx, tellPause) {
+		if !pause.Sleep(ctx, noticeDelay) {
 			return
 		}
-		e.tellUntold()
+		e.sendUnsent()
 	}
 }
 
-func (e *evidence) tellUntold() {
+// sendUnsent sends the pending notice to all other members.
+func (e *evidence) sendUnsent() {
 	e.lock.Lock()
-	next := e.untold
-	e.untold = untold{ended: map[quarantine.Fingerprint]struct{}{}}
+	next := e.unsent
+	e.unsent = pendingNotice{ended: map[quarantine.Fingerprint]struct{}{}}
 	e.lock.Unlock()
 	fingerprints := slices.Collect(maps.Keys(next.ended))
-	report := feed.EndReport{Ended: e.desk.sightsOf(fingerprints, monotonic()), Alive: next.alive, Served: next.served}
-	if others := e.others.Load(); others != nil && !report.IsEmpty() {
+	report := feed.EndReport{Ended: e.tracker.observationsOf(fingerprints, monotonic()), Alive: next.alive, Served: next.served}
+	if sender := e.sender.Load(); sender != nil && !report.IsEmpty() {
 		for _, part := range report.Split() {
-			(*others).Notify(feed.EncodeEnds(part))
+			(*sender).Notify(feed.EncodeEnds(part))
 		}
 	}
 }
 
-// run writes what has changed until ctx ends. A write that fails is tried again.
-func (e *evidence) run(ctx context.Context) {
+// runWriter writes changes to disk until ctx ends. Failed writes are retried.
+func (e *evidence) runWriter(ctx context.Context) {
 	for {
 		select {
 		case <-e.changed:
 		case <-ctx.Done():
 			return
 		}
-		began := monotonic()
-		kept, err := e.save(began)
+		started := monotonic()
+		stored, err := e.save(started)
 		if err != nil {
-			event.EvidenceNotKept.Log(e.logger, "ends", kept, "err", err)
+			event.EvidenceNotKept.Log(e.logger, "ends", stored, "err", err)
 			pause.Signal(e.changed)
 		} else {
-			event.EvidenceKept.Log(e.logger, "ends", kept, "took_ms", (monotonic() - began).Milliseconds())
+			event.EvidenceKept.Log(e.logger, "ends", stored, "took_ms", (monotonic() - started).Milliseconds())
 		}
-		if !pause.Sleep(ctx, evidencePause) {
+		if !pause.Sleep(ctx, evidenceWriteInterval) {
 			return
 		}
 	}
 }
 
-// save writes what is known, synced, and returns how many ends it is.
-func (e *evidence) save(now time.Duration) (kept int, err error) {
-	report := feed.EndReport{Ended: e.desk.sights(now)}
+// save writes and syncs the known evidence, and returns the number of crash observations written.
+func (e *evidence) save(now time.Duration) (stored int, err error) {
+	report := feed.EndReport{Ended: e.tracker.observations(now)}
 	return len(report.Ended), wal.WriteFile(e.files, filepath.Join(e.folder, evidenceFile), encodeEvidence(report, time.Now()))
 }
 
-// load takes in what an earlier life of this member has kept.
+// load restores the evidence stored before a restart.
 func (e *evidence) load(now time.Duration, wall time.Time) {
 	data, err := e.files.ReadFile(filepath.Join(e.folder, evidenceFile))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -234,11 +245,12 @@
 		event.EvidenceUnreadable.Log(e.logger, "from", evidenceFile, "err", err)
 		return
 	}
-	e.desk.hear(report, now)
+	e.tracker.addEvidence(report, now)
 	event.EvidenceRecalled.Log(e.logger, "ends", len(report.Ended))
 }
 
-// encodeEvidence encodes a file: a checksum, the time of day, and the ends by their age then.
+// encodeEvidence encodes an evidence file: a checksum, the wall-clock time, and the crash
+// observations with their ages at that time.
 func encodeEvidence(report feed.EndReport, wall time.Time) []byte {
 	body := frame.NewEncoder(nil)
 	body.Int64(wall.UnixMilli())
@@ -248,11 +260,12 @@
 	return append(sum.Data(), content...)
 }
 
-// decodeEvidence reads a file; the ends are as old as they are now by the time of day.
+// decodeEvidence decodes an evidence file and adds the wall-clock time elapsed since it was
+// written to the ages.
 func decodeEvidence(data []byte, wall time.Time) (feed.EndReport, error) {
 	const headSize = 4 + 8
 	if len(data) < headSize {
-		return feed.EndReport{}, errors.Wrapf(errEvidence, "%d bytes", len(data))
+		return feed.EndReport{}, errors.Wrapf(errDamagedEvidence, "%d bytes", len(data))
 	}
 	head := frame.NewDecoder(data[:headSize])
 	sum, written := head.Uint32(), head.Int64()
@@ -260,7 +273,7 @@
 		return feed.EndReport{}, err
 	}
 	if sum != crc32.ChecksumIEEE(data[headSize-8:]) {
-		return feed.EndReport{}, errors.Wrap(errEvidence, "checksum")
+		return feed.EndReport{}, errors.Wrap(errDamagedEvidence, "checksum")
 	}
 	report, err := feed.DecodeEnds(data[headSize:])
 	elapsed := max(wall.Sub(time.UnixMilli(written)), 0)
--- a/process/control/forward.go
+++ b/process/control/forward.go
@@ -12,21 +12,21 @@
 	"github.com/pkg/errors"
 )
 
-// maxForwardedAnswer bounds the answer that is handed back from the leader.
-const maxForwardedAnswer = 256 << 20
+// maxForwardedResponseBytes bounds a response that is relayed from the leader.
+const maxForwardedResponseBytes = 256 << 20
 
-func newForwardingClient() *http.Client {
+func newMemberClient() *http.Client {
 	client := singleuse.NewClient(nil)
 	client.Timeout = requestTimeout
 	return client
 }
 
-// leaderHandler serves a request on the leader. body is the whole body.
+// leaderHandler serves a request on the leader. body is the complete request body.
 type leaderHandler func(w http.ResponseWriter, r *http.Request, body []byte)
 
-// onLeader serves the request if this member leads, and hands it on to the
-// leader otherwise. A request is handed on once, so that two members that take
-// each other for the leader do not pass it around.
+// onLeader serves the request if this member leads, and forwards it to the leader otherwise. A
+// request is forwarded at most once, so that two members that take each other for the leader do not
+// forward it in a loop.
 func (s *operatorServer) onLeader(serve leaderHandler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		body, ok := s.readBody(w, r)
@@ -45,6 +45,7 @@
 	}
 }
 
+// readBody reads the request body. If that fails, it responds with an error and returns false.
 func (s *operatorServer) readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, s.member.config.Limits.MaxBodyBytes))
 	if err == nil {
@@ -59,8 +60,8 @@
 	return nil, false
 }
 
-// leaderAddress returns the operator address of the leader, empty if none is
-// known or this member is on its way to lead.
+// leaderAddress returns the operator address of the leader. It is empty if no leader is known, or
+// if this member is elected but not yet ready to lead.
 func (s *operatorServer) leaderAddress() string {
 	current := s.member.group.Load()
 	leader := current.replica.Status().Leader
@@ -73,6 +74,8 @@
 	return ""
 }
 
+// forward relays a request to the leader, if one is known and the request was not forwarded
+// already.
 func (s *operatorServer) forward(w http.ResponseWriter, r *http.Request, body []byte) {
 	address := s.leaderAddress()
 	if address == "" || r.Header.Get(operatorapi.HeaderForwarded) != "" {
@@ -92,36 +95,36 @@
 		return
 	}
 	defer func() { _ = response.Body.Close() }()
-	answer, err := io.ReadAll(io.LimitReader(response.Body, maxForwardedAnswer))
+	responseBody, err := io.ReadAll(io.LimitReader(response.Body, maxForwardedResponseBytes))
 	if err != nil {
 		writeForwardError(w, r, address, err)
 		return
 	}
-	copyAnswer(w, response, answer)
+	copyResponse(w, response, responseBody)
 }
 
-func copyAnswer(w http.ResponseWriter, response *http.Response, body []byte) {
+func copyResponse(w http.ResponseWriter, response *http.Response, body []byte) {
 	for _, name := range []string{"Content-Type", "Retry-After"} {
 		if value := response.Header.Get(name); value != "" {
 			w.Header().Set(name, value)
 		}
 	}
 	w.WriteHeader(response.StatusCode)
-	_, _ = w.Write(body) // the caller is told of a cut answer by its length
+	_, _ = w.Write(body) // the caller detects a truncated response by its Content-Length
 }
 
-// neverSent reports whether the connection for a request was never made.
-func neverSent(err error) bool {
-	var dialing *net.OpError
-	return errors.As(err, &dialing) && dialing.Op == "dial"
+// isDialError reports whether the connection for a request was never established.
+func isDialError(err error) bool {
+	var opErr *net.OpError
+	return errors.As(err, &opErr) && opErr.Op == "dial"
 }
 
-// writeForwardError answers for a leader that gave no whole answer. A read, or
-// a request whose connection was never made, surely changed nothing.
+// writeForwardError responds when the request to the leader failed. A read, or a request whose
+// connection was never established, has definitely changed nothing.
 func writeForwardError(w http.ResponseWriter, r *http.Request, address string, err error) {
-	if r.Method == http.MethodGet || neverSent(err) {
+	if r.Method == http.MethodGet || isDialError(err) {
 		writeNoQuorum(w, "the leader does not answer", address)
 		return
 	}
-	writeUnknown(w, address)
+	writeOutcomeUnknown(w, address)
 }
--- a/process/control/group.go
+++ b/process/control/group.go
@@ -18,45 +18,47 @@
 	"github.com/pkg/errors"
 )
 
-// group is the control group as this member sees it. It serves the feed, the
-// operator API and the leader's duties.
+// group is the control group as seen by this member. It is used by the feed, the operator API and
+// the leader's tasks.
 type group struct {
 	replica *replica.Replica
 	machine *machine
 	config  Config
 	demand  *demandTable
-	// presence is what proxies say of themselves to this member.
+	// presence holds the presence reports of proxies to this member.
 	presence *presenceTable
-	// usage is what proxies have counted, day the time of day that their clocks agree on.
-	usage *usageDesk
-	day   *metering.Agreement
-	desk  *placementDesk
-	// quotas charges requests to their tenants.
-	quotas *quotaDesk
-	// evidence is what proxies say of replicas that ended.
+	// usage holds the counts reported by proxies.
+	usage *usageCollector
+	// agreedTime is the wall-clock time that a majority of the proxies' clocks agrees on.
+	agreedTime *metering.Agreement
+	// boards places the requests of model services.
+	boards *placementBoards
+	// quotas charges requests to the quotas of their tenants.
+	quotas *quotaCharger
+	// evidence holds the proxies' reports of crashed replicas.
 	evidence *evidence
 	metrics  *metrics
 	logger   log.Logger
 	clock    groupClock
-	// ledTerm is the last term for which this member has held a valid lease,
-	// and therefore has applied everything that earlier leaders committed.
+	// ledTerm is the last term in which this member held a valid lease. When the lease of a term
+	// first becomes valid, the leader has applied everything that earlier leaders committed.
 	ledTerm atomic.Uint64
-	leases  leaseReads
-	// membership makes additions and removals of members one at a time.
+	leases  leaseReadBatcher
+	// membership serializes additions and removals of members.
 	membership sync.Mutex
 }
 
 var _ feed.Group = (*group)(nil)
 
-// Leadership tells who leads, without asking anybody.
+// Leadership returns who leads as far as this member knows, without contacting others.
 func (g *group) Leadership() feed.Leadership {
 	status := g.replica.Status()
 	leads := status.Role == raft.Leader && g.ledTerm.Load() == status.Term
-	return feed.Leadership{Leads: leads, Term: status.Term, Address: g.address(status.Leader).FeedAddress}
+	return feed.Leadership{Leads: leads, Term: status.Term, Address: g.memberByID(status.Leader).FeedAddress}
 }
 
-// address returns the member's addresses, zero if they are not known.
-func (g *group) address(id raft.MemberID) state.Member {
+// memberByID returns the record of the member, or a zero record if there is none.
+func (g *group) memberByID(id raft.MemberID) state.Member {
 	for _, member := range g.machine.members() {
 		if member.ID == uint64(id) {
 			return member
@@ -65,16 +67,16 @@
 	return state.Member{}
 }
 
-// Lease returns the term that this member leads, and false unless its lease is
-// valid by a clock read after the call began.
+// Lease returns the term that this member leads, and true if the lease was valid at some time after
+// the call began. Otherwise it returns false.
 func (g *group) Lease(ctx context.Context) (uint64, bool) {
-	term, err := g.leases.read(ctx, g.leaseRead)
+	term, err := g.leases.read(ctx, g.readLease)
 	return term, err == nil
 }
 
-// leaseRead asks the replica. The term is read before and after, since the
-// lease that was found valid belongs to one of the terms in between.
-func (g *group) leaseRead(ctx context.Context) (uint64, error) {
+// readLease checks the lease with the replica. The term is read before and after, since the lease
+// may belong to any term in between.
+func (g *group) readLease(ctx context.Context) (uint64, error) {
 	before := g.replica.Status()
 	if err := g.replica.LeaseRead(ctx); err != nil {
 		return 0, err
@@ -87,30 +89,30 @@
 		return 0, replica.ErrLeaseExpired
 	}
 	if g.ledTerm.Swap(after.Term) != after.Term {
-		g.quotas.begin(monotonic()) // reads of the lease are one at a time
+		g.quotas.begin(monotonic()) // lease reads do not run concurrently
 	}
 	return after.Term, nil
 }
 
-// Version returns the version last applied.
+// Version returns the version of the last applied view.
 func (g *group) Version() view.Version { return g.machine.view().Version }
 
-// View returns the view last applied.
+// View returns the last applied view.
 func (g *group) View() *view.View { return g.machine.view() }
 
-// DeltaSince returns what leads from a version to the one last applied.
+// DeltaSince returns the delta from a version to the last applied one, and false if the last
+// applied one is not newer.
 func (g *group) DeltaSince(from view.Version) (view.Delta, bool) {
 	return g.machine.history.Load().DeltaSince(from)
 }
 
-// propose commits the command and returns the state's answer. The errors are
-// those of replica.Propose. Without a valid lease the command is refused with
-// errNoLease at once, since what it appended might not be committed
-// before a caller gives up, and then nobody could say what became of it.
+// propose commits the command and returns the result of the state machine. Errors are errNoLease
+// and those of replica.Propose. Without a valid lease it fails at once with errNoLease: an appended
+// command might not be committed before the caller gives up, and its outcome would then be unknown.
 func (g *group) propose(ctx context.Context, command state.Command) (any, error) {
 	ctx, cancel := context.WithTimeout(ctx, g.config.Durations.Proposal)
 	defer cancel()
-	term, err := g.leases.read(ctx, g.leaseRead)
+	term, err := g.leases.read(ctx, g.readLease)
 	if err != nil {
 		g.countFailure(errNoLease)
 		return nil, errors.Wrap(errNoLease, err.Error())
@@ -126,7 +128,7 @@
 
 func (g *group) countFailure(err error) {
 	outcome := "unknown"
-	if surelyNotProposed(err) {
+	if definitelyNotProposed(err) {
 		outcome = "not_proposed"
 	}
 	g.metrics.proposalError.WithLabelValues(outcome).Inc()
@@ -140,21 +142,22 @@
 	}
 }
 
-// errNoLease refuses a command that was not proposed for want of a valid lease.
+// errNoLease means that a command was not proposed because the leader lease was not valid.
 var errNoLease = errors.New("control: no valid leader lease")
 
-// surelyNotProposed reports whether the error says that the command was not and
-// will not be committed.
-func surelyNotProposed(err error) bool {
-	for _, sure := range []error{errNoLease, replica.ErrNotLeader, replica.ErrOverloaded, replica.ErrStopped, replica.ErrWithdrawn} {
-		if errors.Is(err, sure) {
+// definitelyNotProposed reports whether the error guarantees that the command was not and will not
+// be committed.
+func definitelyNotProposed(err error) bool {
+	for _, notProposed := range []error{errNoLease, replica.ErrNotLeader, replica.ErrOverloaded, replica.ErrStopped, replica.ErrWithdrawn} {
+		if errors.Is(err, notProposed) {
 			return true
 		}
 	}
 	return false
 }
 
-// Claim commits an at-most-once claim.
+// Claim commits an at-most-once claim of a tenant's request key. A request without a retention, in
+// milliseconds, gets the configured one.
 func (g *group) Claim(ctx context.Context, request state.ClaimRequest) (api.ClaimResult, error) {
 	if request.Retention <= 0 {
 		request.Retention = g.config.Limits.ClaimRetention.Milliseconds()
@@ -168,7 +171,7 @@
 	return answer, nil
 }
 
-// RecordOutcome commits what became of a claimed run.
+// RecordOutcome commits the outcome of a request that was run under a claim.
 func (g *group) RecordOutcome(ctx context.Context, outcome state.RunOutcome) error {
 	_, err := g.propose(ctx, state.Command{Kind: state.CommandRunOutcome, RunOutcome: &outcome})
 	if err != nil {
@@ -178,7 +181,7 @@
 }
 
 func feedError(err error) error {
-	if surelyNotProposed(err) {
+	if definitelyNotProposed(err) {
 		return errors.Wrap(feed.ErrNoQuorum, err.Error())
 	}
 	return errors.Wrap(feed.ErrOutcomeUnknown, err.Error())
@@ -189,57 +192,61 @@
 	g.demand.add(daemon, report, time.Now())
 }
 
-// ReportPresence keeps a proxy's word on itself.
+// ReportPresence records a proxy's presence report.
 func (g *group) ReportPresence(presence feed.Presence) {
-	g.presence.note(presence, monotonic())
-	g.day.Note(presence.Proxy, presence.Day)
+	g.presence.record(presence, monotonic())
+	g.agreedTime.Note(presence.Proxy, presence.Day)
 }
 
-// Place decides where a request goes by all requests of all proxies.
+// Place chooses the replica for a request, with all requests of all proxies taken into account. It
+// returns false if the service is not known. While replicas of the service crash in series, it
+// answers a request without a fingerprint only by Name, which asks the proxy for the fingerprint:
+// suspects are isolated, and requests that are about to be held have to wait.
 func (g *group) Place(daemon string, request feed.PlaceRequest) (placement.Answer, bool) {
 	began := monotonic()
-	desk := g.evidence.desk
-	alert := desk.isAlert(request.Service, began)
+	tracker := g.evidence.tracker
+	alert := tracker.isAlert(request.Service, began)
 	if alert && request.Ask.Name == "" {
 		return placement.Answer{Name: true}, true
 	}
-	request.Ask.Suspect = alert && desk.isSuspect(request.Ask.Name, began)
-	request.Ask.Judged = request.Ask.Suspect && desk.isJudged(request.Ask.Name, began)
-	answer, known := g.desk.place(g.machine.history.Load(), daemon, request, alert, began)
+	request.Ask.Suspect = alert && tracker.isSuspect(request.Ask.Name, began)
+	request.Ask.Judged = request.Ask.Suspect && tracker.mustWait(request.Ask.Name, began)
+	answer, known := g.boards.place(g.machine.history.Load(), daemon, request, alert, began)
 	g.metrics.observePlacement(request.Service, answer, known, monotonic()-began)
 	return answer, known
 }
 
-// NotePlaced takes in how far a placed request has come.
+// NotePlaced records the progress of a request that this member has placed.
 func (g *group) NotePlaced(daemon string, note feed.PlaceNote) {
-	g.desk.note(daemon, note, monotonic())
+	g.boards.recordProgress(daemon, note, monotonic())
 }
 
-// NoteKept takes in what a replica is believed to keep of prompts.
-func (g *group) NoteKept(kept feed.KeptParts) { g.desk.kept(g.machine.history.Load(), kept) }
+// NoteKept records the prompt parts that a replica is believed to have cached.
+func (g *group) NoteKept(kept feed.KeptParts) {
+	g.boards.addCachedParts(g.machine.history.Load(), kept)
+}
 
-// NoteInFlight takes in what a proxy has in flight that other boards have placed.
+// NoteInFlight records requests that a proxy has in flight and that another member has placed.
 func (g *group) NoteInFlight(daemon string, told feed.InFlight) {
-	g.desk.takeOver(g.machine.history.Load(), daemon, told, monotonic())
+	g.boards.addInFlight(g.machine.history.Load(), daemon, told, monotonic())
 }
 
-// leaseReads lets any number of callers share lease reads. A caller gets the
-// answer of a read that was started after its call, so a shared answer is as
-// good as one of its own.
-type leaseReads struct {
+// leaseReadBatcher shares lease reads among concurrent callers. Every caller gets the result of a
+// read that started after its call.
+type leaseReadBatcher struct {
 	lock    sync.Mutex
 	running bool
-	next    *leaseAnswer // of the read that starts once the running one ends
+	next    *leaseResult // result of the read that starts after the running one
 }
 
-type leaseAnswer struct {
+type leaseResult struct {
 	done chan struct{}
 	term uint64
 	err  error
 }
 
-func (l *leaseReads) read(ctx context.Context, ask func(context.Context) (uint64, error)) (uint64, error) {
-	answer := l.join(ask)
+func (l *leaseReadBatcher) read(ctx context.Context, ask func(context.Context) (uint64, error)) (uint64, error) {
+	answer := l.enqueue(ask)
 	select {
 	case <-answer.done:
 		return answer.term, answer.err
@@ -248,27 +255,27 @@
 	}
 }
 
-func (l *leaseReads) join(ask func(context.Context) (uint64, error)) *leaseAnswer {
+func (l *leaseReadBatcher) enqueue(ask func(context.Context) (uint64, error)) *leaseResult {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	if l.next == nil {
-		l.next = &leaseAnswer{done: make(chan struct{})}
+		l.next = &leaseResult{done: make(chan struct{})}
 	}
 	answer := l.next
 	if !l.running {
 		l.running = true
-		go l.serve(ask)
+		go l.runReads(ask)
 	}
 	return answer
 }
 
-// leaseReadTimeout bounds one lease read; a replica whose disk hangs answers none.
+// leaseReadTimeout bounds a lease read, since a Raft replica whose disk hangs does not answer.
 const leaseReadTimeout = time.Second
 
-// serve runs one read after the other until nobody waits.
-func (l *leaseReads) serve(ask func(context.Context) (uint64, error)) {
+// runReads runs one read after the other until no caller waits.
+func (l *leaseReadBatcher) runReads(ask func(context.Context) (uint64, error)) {
 	for {
-		answer := l.take()
+		answer := l.nextRead()
 		if answer == nil {
 			return
 		}
@@ -279,7 +286,7 @@
 	}
 }
 
-func (l *leaseReads) take() *leaseAnswer {
+func (l *leaseReadBatcher) nextRead() *leaseResult {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	answer := l.next
--- a/process/control/handlers.go
+++ b/process/control/handlers.go
@@ -15,11 +15,11 @@
 	"github.com/zeromicro/go-zero/rest/pathvar"
 )
 
-// transact commits a transaction and answers with its result.
+// transact commits a transaction and responds with its result.
 func (s *operatorServer) transact(w http.ResponseWriter, r *http.Request, body []byte) {
 	var transaction api.Transaction
 	if fault := decodeBody(body, &transaction); fault != nil {
-		writeInvalidBody(w, *fault)
+		writeInvalidRequest(w, *fault)
 		return
 	}
 	command := state.Command{Kind: state.CommandTransaction, Transaction: &transaction}
@@ -44,8 +44,9 @@
 	}
 }
 
-// leased runs serve if the leader lease is valid, on the state as it is then.
-func (s *operatorServer) leased(w http.ResponseWriter, r *http.Request, serve func(current *group, term uint64)) {
+// withLease checks the leader lease and then calls serve, which so reads everything that was
+// committed before the request. Without a valid lease it responds with an error.
+func (s *operatorServer) withLease(w http.ResponseWriter, r *http.Request, serve func(current *group, term uint64)) {
 	current := s.member.group.Load()
 	term, valid := current.Lease(r.Context())
 	if !valid {
@@ -61,13 +62,13 @@
 		writeUnknownKind(w)
 		return
 	}
-	s.leased(w, r, func(current *group, term uint64) {
-		shown := current.machine.view()
-		objects := shown.List(kind)
+	s.withLease(w, r, func(current *group, term uint64) {
+		currentView := current.machine.view()
+		objects := currentView.List(kind)
 		for i := range objects {
-			objects[i] = withStatus(shown, objects[i])
+			objects[i] = withStatus(currentView, objects[i])
 		}
-		writeObjects(w, shown, term, objects)
+		writeObjects(w, currentView, term, objects)
 	})
 }
 
@@ -78,9 +79,9 @@
 		writeUnknownKind(w)
 		return
 	}
-	s.leased(w, r, func(current *group, term uint64) {
-		shown := current.machine.view()
-		object, found := shown.Object(key)
+	s.withLease(w, r, func(current *group, term uint64) {
+		currentView := current.machine.view()
+		object, found := currentView.Object(key)
 		if !found {
 			writeError(w, http.StatusNotFound, operatorapi.Error{
 				Code:    operatorapi.ErrorNotFound,
@@ -89,12 +90,12 @@
 			})
 			return
 		}
-		writeObjects(w, shown, term, []api.Object{withStatus(shown, object)})
+		writeObjects(w, currentView, term, []api.Object{withStatus(currentView, object)})
 	})
 }
 
-func writeObjects(w http.ResponseWriter, shown *view.View, term uint64, objects []api.Object) {
-	writeJSON(w, http.StatusOK, operatorapi.ObjectList{Term: term, Revision: shown.Version.Revision, Objects: objects})
+func writeObjects(w http.ResponseWriter, currentView *view.View, term uint64, objects []api.Object) {
+	writeJSON(w, http.StatusOK, operatorapi.ObjectList{Term: term, Revision: currentView.Version.Revision, Objects: objects})
 }
 
 func isKind(kind api.Kind) bool { return slices.Contains(api.Kinds, kind) }
@@ -108,20 +109,22 @@
 	})
 }
 
-// withStatus fills in the statuses that are worked out when read.
-func withStatus(shown *view.View, object api.Object) api.Object {
+// withStatus fills in the status of an intent, which is computed on reads.
+func withStatus(currentView *view.View, object api.Object) api.Object {
 	if object.Intent == nil {
 		return object
 	}
 	intent := *object.Intent
-	intent.Status = state.IntentStatus(shown, object.Intent)
+	intent.Status = state.IntentStatus(currentView, object.Intent)
 	return api.Object{Intent: &intent}
 }
 
+// inForce responds whether the revision is in force: whether every daemon has acknowledged it or
+// lost its view lease, so that none uses an older revision.
 func (s *operatorServer) inForce(w http.ResponseWriter, r *http.Request, _ []byte) {
 	revision, err := strconv.ParseUint(r.URL.Query().Get("revision"), 10, 64)
 	if err != nil {
-		writeInvalidBody(w, api.FieldFault{Field: "revision", Message: "must be a number"})
+		writeInvalidRequest(w, api.FieldFault{Field: "revision", Message: "must be a number"})
 		return
 	}
 	result, valid := s.member.feed.InForce(r.Context(), revision)
@@ -142,18 +145,18 @@
 func (s *operatorServer) changeMembers(w http.ResponseWriter, r *http.Request, body []byte) {
 	var request operatorapi.MemberRequest
 	if fault := decodeBody(body, &request); fault != nil {
-		writeInvalidBody(w, *fault)
+		writeInvalidRequest(w, *fault)
 		return
 	}
 	err, known := s.changeMember(r, request)
 	switch {
 	case !known:
-		writeInvalidBody(w, api.FieldFault{Field: "action", Message: "must be add, promote or remove"})
+		writeInvalidRequest(w, api.FieldFault{Field: "action", Message: "must be add, promote or remove"})
 	case err == nil:
 		current := s.member.group.Load()
 		writeJSON(w, http.StatusOK, operatorapi.MemberReply{Members: memberList(current, current.replica.Status())})
 	case err == errInvalidMember:
-		writeInvalidBody(w, api.FieldFault{Message: err.Error()})
+		writeInvalidRequest(w, api.FieldFault{Message: err.Error()})
 	case errors.Is(err, errUnknownMember):
 		writeError(w, http.StatusNotFound, operatorapi.Error{
 			Code:    operatorapi.ErrorNotFound,
@@ -169,9 +172,10 @@
 	}
 }
 
+// changeMember performs the request and returns its error. known is false if the action is unknown.
 func (s *operatorServer) changeMember(r *http.Request, request operatorapi.MemberRequest) (err error, known bool) {
 	current := s.member.group.Load()
-	named := state.Member{
+	member := state.Member{
 		ID:              uint64(request.ID),
 		Name:            request.Name,
 		PeerAddress:     request.PeerAddress,
@@ -180,12 +184,12 @@
 	}
 	switch request.Action {
 	case operatorapi.MemberAdd:
-		return current.addMember(r.Context(), named), true
+		return current.addMember(r.Context(), member), true
 	case operatorapi.MemberPromote:
 		change := raft.ConfigurationChange{Kind: raft.ChangePromote, Member: raft.MemberID(request.ID)}
 		return current.changeMembership(r.Context(), change), true
 	case operatorapi.MemberRemove:
-		return current.removeNamed(r.Context(), raft.MemberID(request.ID)), true
+		return current.removeByID(r.Context(), raft.MemberID(request.ID)), true
 	default:
 		return nil, false
 	}
--- a/process/control/ingress.go
+++ b/process/control/ingress.go
@@ -19,23 +19,24 @@
 	"github.com/pkg/errors"
 )
 
-// Errors of Access.
+// Errors returned by Access.
 var (
-	// ErrUnavailable says that the group surely did not take the request: ask again.
+	// ErrUnavailable means that the group definitely did not accept the request. It may be retried,
+	// which succeeds unless the cause is permanent, such as a document that cannot be decompressed.
 	ErrUnavailable = errors.New("control: the group does not take the request now")
-	// ErrOutcomeUnknown says that the request may have been carried out, or may be.
+	// ErrOutcomeUnknown means that the request may have been carried out or may still be.
 	ErrOutcomeUnknown = errors.New("control: the outcome is unknown")
 )
 
-// Extension serves something beside a member, until its context ends.
+// Extension runs alongside a member until its context ends.
 type Extension func(ctx context.Context, group *Access)
 
-// Access is the group as an Extension uses it. Any member takes any call; a
-// call that needs the leader is handed on to it once.
+// Access gives an Extension access to the group. Every member accepts all calls; a call that needs
+// the leader is forwarded to it at most once.
 type Access struct{ member *member }
 
-// ReplaceIngress commits the spec and returns what holds then. Errors:
-// ErrUnavailable, ErrOutcomeUnknown.
+// ReplaceIngress commits the spec and returns the result. Errors are ErrUnavailable,
+// ErrOutcomeUnknown, and an error without either cause if the leader's response cannot be decoded.
 func (a *Access) ReplaceIngress(ctx context.Context, spec api.IngressSpec) (api.ReplaceResult, error) {
 	current := a.member.group.Load()
 	if current.Leadership().Leads {
@@ -46,12 +47,12 @@
 		return api.ReplaceResult{}, errors.Wrap(ErrUnavailable, err.Error())
 	}
 	var result api.ReplaceResult
-	err = a.askLeader(ctx, http.MethodPost, operatorapi.PathIngress, body, &result)
+	err = a.callLeader(ctx, http.MethodPost, operatorapi.PathIngress, body, &result)
 	return result, err
 }
 
-// Ingress returns the newest accepted Ingress, nil if there is none. The error
-// is ErrUnavailable unless it is surely the newest.
+// Ingress returns the latest accepted Ingress, or nil if there is none. It fails with
+// ErrUnavailable if the leader cannot confirm its lease, without which a newer Ingress may exist.
 func (a *Access) Ingress(ctx context.Context) (*api.Ingress, error) {
 	current := a.member.group.Load()
 	if current.Leadership().Leads {
@@ -61,7 +62,7 @@
 		return current.machine.ingress()
 	}
 	var list operatorapi.ObjectList
-	if err := a.askLeader(ctx, http.MethodGet, operatorapi.PathIngress, nil, &list); err != nil {
+	if err := a.callLeader(ctx, http.MethodGet, operatorapi.PathIngress, nil, &list); err != nil {
 		return nil, errors.Wrap(ErrUnavailable, err.Error())
 	}
 	for _, object := range list.Objects {
@@ -72,10 +73,10 @@
 	return nil, nil
 }
 
-// maxSourceBytes bounds an unpacked document.
+// maxSourceBytes bounds the decompressed document that an Ingress was built from.
 const maxSourceBytes = 64 << 20
 
-// ingress returns the Ingress with its document as it came, nil if there is none.
+// ingress returns the Ingress with its original document, or nil if there is none.
 func (m *machine) ingress() (*api.Ingress, error) {
 	var held *api.Ingress
 	var packed []byte
@@ -94,12 +95,14 @@
 	return &unpacked, nil
 }
 
-// Proxies returns the proxies that take requests as this member knows them; it
-// asks nobody, and the answer may lag.
+// Proxies returns the proxies that accept requests, as known to this member. It contacts no other
+// member, so the result may be stale.
 func (a *Access) Proxies() map[string]*api.Proxy { return a.member.machine.view().Proxies }
 
-// askLeader hands a call on to the leader.
-func (a *Access) askLeader(ctx context.Context, method, path string, body []byte, answer any) error {
+// callLeader forwards a call to the leader and decodes the result of status 200 or 422. It fails
+// with ErrUnavailable if no leader is known, if no connection was established, and on status 503,
+// and with ErrOutcomeUnknown on other statuses and if the response is lost.
+func (a *Access) callLeader(ctx context.Context, method, path string, body []byte, answer any) error {
 	address := a.leaderAddress()
 	if address == "" {
 		return errors.Wrap(ErrUnavailable, "no leader is known")
@@ -112,10 +115,10 @@
 	request.Header.Set(operatorapi.HeaderForwarded, a.member.config.Name)
 	response, err := a.member.operator.forwarding.Do(request)
 	if err != nil {
-		return forwardFailure(err)
+		return forwardError(err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxForwardedAnswer))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxForwardedResponseBytes))
 	if err != nil {
 		return errors.Wrap(ErrOutcomeUnknown, err.Error())
 	}
@@ -138,30 +141,31 @@
 	return member.OperatorAddress
 }
 
-// forwardFailure tells a call that was never sent from one that may have been.
-func forwardFailure(err error) error {
-	if neverSent(err) {
+// forwardError distinguishes a call that was never sent from one that may have been.
+func forwardError(err error) error {
+	if isDialError(err) {
 		return errors.Wrap(ErrUnavailable, err.Error())
 	}
 	return errors.Wrap(ErrOutcomeUnknown, err.Error())
 }
 
-// replaceIngress commits the spec if it is valid and the group can bear the
-// losses it must: an acknowledgement by a smaller group would not survive them.
+// replaceIngress commits the spec if it is valid and the group tolerates the configured number of
+// losses: data acknowledged by a smaller group would not survive them. It logs IngressRefused for
+// an invalid spec and IngressNotTaken for a valid one that was not committed.
 func (g *group) replaceIngress(ctx context.Context, spec api.IngressSpec) (api.ReplaceResult, error) {
 	if faults := api.ValidateIngress(&spec); len(faults) > 0 {
 		event.IngressRefused.Log(g.logger, "generation", spec.Generation, "faults", len(faults), "first", faults[0].Field+" "+faults[0].Message)
 		return api.ReplaceResult{Code: api.ReplaceInvalid, Faults: faults}, nil
 	}
-	if status := g.replica.Status(); !g.bearsLosses(status) {
+	if status := g.replica.Status(); !g.toleratesLosses(status) {
 		event.IngressNotTaken.Log(g.logger, "generation", spec.Generation, "voters", len(status.Configuration.Voters), "err", "too few voters")
 		return api.ReplaceResult{}, errors.Wrap(ErrUnavailable, "the group is not complete yet")
 	}
-	replacement := g.seal(spec)
+	replacement := g.replicatedSpec(spec)
 	value, err := g.propose(ctx, state.Command{Kind: state.CommandReplaceIngress, ReplaceIngress: &replacement})
 	if err != nil {
 		event.IngressNotTaken.Log(g.logger, "generation", spec.Generation, "err", err)
-		if surelyNotProposed(err) {
+		if definitelyNotProposed(err) {
 			return api.ReplaceResult{}, errors.Wrap(ErrUnavailable, err.Error())
 		}
 		return api.ReplaceResult{}, errors.Wrap(ErrOutcomeUnknown, err.Error())
@@ -171,9 +175,10 @@
 	return result, nil
 }
 
-// seal returns the spec as it is replicated: its keys are digests, and stand nowhere else
-// but in the packed document, which no proxy gets.
-func (g *group) seal(spec api.IngressSpec) state.ReplaceIngress {
+// replicatedSpec returns the spec in its replicated form: API keys are replaced by digests, and the
+// document is compressed. The document, which no proxy receives, still contains the keys in plain
+// text.
+func (g *group) replicatedSpec(spec api.IngressSpec) state.ReplaceIngress {
 	secret := apikey.NewSecret()
 	if held := g.machine.view().Ingresses[api.IngressName]; held != nil {
 		secret = held.Spec.KeySecret
@@ -184,21 +189,21 @@
 	return state.ReplaceIngress{Spec: spec, Tenants: tenants}
 }
 
-// bearsLosses reports whether each quorum of the group outlives the losses that
-// must be borne.
-func (g *group) bearsLosses(status raft.Status) bool {
+// toleratesLosses reports whether every quorum of the group is larger than the number of losses
+// that must be tolerated.
+func (g *group) toleratesLosses(status raft.Status) bool {
 	quorum := len(status.Configuration.Voters)/2 + 1
-	return quorum > g.config.LossesToBear
+	return quorum > g.config.ToleratedLosses
 }
 
-// votersWanted is how many voters it takes so that the group goes on after the
-// losses that must be borne.
-func (g *group) votersWanted() int { return 2*g.config.LossesToBear + 1 }
+// requiredVoters returns the number of voters that the group needs to continue after the losses
+// that must be tolerated.
+func (g *group) requiredVoters() int { return 2*g.config.ToleratedLosses + 1 }
 
-// readIngress serves the operator API's call on the leader. It is the only answer in
-// which the document stands, keys included, since operators read it back as they sent it.
+// readIngress serves the operator API's request on the leader. Only this response contains the
+// document with its API keys, since operators must read it back as they sent it.
 func (s *operatorServer) readIngress(w http.ResponseWriter, r *http.Request, _ []byte) {
-	s.leased(w, r, func(current *group, term uint64) {
+	s.withLease(w, r, func(current *group, term uint64) {
 		held, err := current.machine.ingress()
 		if err != nil {
 			writeNoQuorum(w, err.Error(), "")
@@ -212,11 +217,11 @@
 	})
 }
 
-// replaceIngress serves the operator API's call on the leader.
+// replaceIngress serves the operator API's request on the leader.
 func (s *operatorServer) replaceIngress(w http.ResponseWriter, r *http.Request, body []byte) {
 	var spec api.IngressSpec
 	if fault := decodeBody(body, &spec); fault != nil {
-		writeInvalidBody(w, *fault)
+		writeInvalidRequest(w, *fault)
 		return
 	}
 	result, err := s.member.group.Load().replaceIngress(r.Context(), spec)
@@ -228,29 +233,29 @@
 	case errors.Is(err, ErrUnavailable):
 		writeNoQuorum(w, err.Error(), "")
 	default:
-		writeUnknown(w, "")
+		writeOutcomeUnknown(w, "")
 	}
 }
 
-// minimumNear is how many proxies of a caller's zone there must be for the
-// caller to be sent to these alone.
-const minimumNear = 2
+// minZoneProxies is the minimum number of proxies in a caller's zone for the caller to be sent only
+// to proxies of its zone.
+const minZoneProxies = 2
 
-// ProxyAddresses returns where a caller in the zone is to connect: to at most so
-// many proxies, those of its own zone where there are enough of them. Names
-// order the proxies, so that equal states give equal answers.
-func (a *Access) ProxyAddresses(zone string, most int) []string {
+// ProxyAddresses returns at most limit proxy addresses, as the proxies report them, for a caller in
+// the zone: only those of its zone if there are at least minZoneProxies. Proxies are ordered by
+// name, so that equal states give equal results. limit must not be negative.
+func (a *Access) ProxyAddresses(zone string, limit int) []string {
 	proxies := a.Proxies()
-	var near, all []string
+	var inZone, all []string
 	for _, name := range slices.Sorted(maps.Keys(proxies)) {
 		spec := &proxies[name].Spec
 		all = append(all, spec.Address)
 		if spec.Zone == zone {
-			near = append(near, spec.Address)
+			inZone = append(inZone, spec.Address)
 		}
 	}
-	if len(near) >= minimumNear {
-		all = near
+	if len(inZone) >= minZoneProxies {
+		all = inZone
 	}
-	return all[:min(most, len(all))]
+	return all[:min(limit, len(all))]
 }
--- a/process/control/ingress_test.go
+++ b/process/control/ingress_test.go
@@ -23,12 +23,12 @@
 	"github.com/shoenig/test/must"
 )
 
-// fakeFleet is a list of replicas that tests replace.
+// fakeFleet is a list of replicas that tests can replace.
 type fakeFleet struct {
 	lock     sync.Mutex
 	replicas []api.Replica
 	err      error
-	kept     map[string][]placement.Part // by replica
+	kept     map[string][]placement.Part // by replica name
 	asked    []string
 }
 
@@ -44,7 +44,7 @@
 	f.replicas = replicas
 }
 
-func (f *fakeFleet) Kept(_ context.Context, replica *api.Replica) ([]placement.Part, error) {
+func (f *fakeFleet) CachedParts(_ context.Context, replica *api.Replica) ([]placement.Part, error) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	f.asked = append(f.asked, replica.Name)
@@ -58,9 +58,9 @@
 	}
 }
 
-// growing is a group that one member founds and the others join, knowing only
-// the first few of them.
-type growing struct {
+// growingGroup is a group that one member bootstraps and the others join. Each member's
+// configuration names only the first few members and itself.
+type growingGroup struct {
 	*cluster
 	fleet *fakeFleet
 
@@ -68,12 +68,12 @@
 	access map[string]*Access
 }
 
-func newGrowing(t *testing.T, size, seeds, losses int) *growing {
-	g := &growing{fleet: &fakeFleet{}, access: map[string]*Access{}}
+func newGrowingGroup(t *testing.T, size, seeds, losses int) *growingGroup {
+	g := &growingGroup{fleet: &fakeFleet{}, access: map[string]*Access{}}
 	g.cluster = newCluster(t, size, func(config *Config) {
 		config.Join = true
-		config.LossesToBear = losses
-		config.Fleet, config.Kept = g.fleet, g.fleet
+		config.ToleratedLosses = losses
+		config.Fleet, config.PromptCache = g.fleet, g.fleet
 		config.Durations.ProxySilence = 300 * time.Millisecond
 		config.Durations.MemberSilence = 600 * time.Millisecond
 		name := config.Name
@@ -85,7 +85,7 @@
 		}}
 	})
 	for i := range g.configs {
-		g.configs[i].Found = i == 0
+		g.configs[i].Bootstrap = i == 0
 		known := slices.Clone(g.configs[i].Members[:seeds])
 		if i >= seeds {
 			known = append(known, g.configs[i].Members[i])
@@ -95,8 +95,8 @@
 	return g
 }
 
-// voters is how many voters a member counts.
-func (g *growing) voters(i int) int {
+// voters returns the number of voters in the member's committed configuration, or 0 if it has none.
+func (g *growingGroup) voters(i int) int {
 	current := g.running[i].member.group.Load()
 	if current == nil {
 		return 0
@@ -108,10 +108,10 @@
 	return len(status.Configuration.Voters)
 }
 
-func (g *growing) accessOf(i int) *Access {
+func (g *growingGroup) accessOf(i int) *Access {
 	g.t.Helper()
 	var found *Access
-	eventually(g.t, "the extension", func() bool {
+	eventually(g.t, "the extension has started", func() bool {
 		g.lock.Lock()
 		defer g.lock.Unlock()
 		found = g.access[g.configs[i].Name]
@@ -120,9 +120,9 @@
 	return found
 }
 
-func (g *growing) awaitVoters(count int, members ...int) {
+func (g *growingGroup) awaitVoters(count int, members ...int) {
 	g.t.Helper()
-	eventually(g.t, "voters", func() bool {
+	eventually(g.t, "the group has the expected number of voters", func() bool {
 		return !slices.ContainsFunc(members, func(i int) bool { return g.voters(i) != count })
 	})
 }
@@ -140,21 +140,21 @@
 func TestGroupGrowsFromOneFounderInAnyOrder(t *testing.T) {
 	for name, order := range map[string][]int{"founder first": {0, 1, 2, 3, 4}, "founder last": {4, 3, 2, 1, 0}} {
 		t.Run(name, func(t *testing.T) {
-			g := newGrowing(t, 5, 3, 2)
+			g := newGrowingGroup(t, 5, 3, 2)
 			g.start(order...)
 			g.awaitVoters(5, 0, 1, 2, 3, 4)
 		})
 	}
 }
 
-// What a group acknowledges must outlive the losses that it is to bear, so a
-// group that is still growing takes nothing.
-func TestNothingIsTakenBeforeTheGroupBearsItsLosses(t *testing.T) {
-	g := newGrowing(t, 5, 3, 2)
+// Acknowledged data must survive the configured number of losses, so a group that still has too few
+// voters must refuse an Ingress.
+func TestIngressIsRefusedUntilGroupToleratesLosses(t *testing.T) {
+	g := newGrowingGroup(t, 5, 3, 2)
 	g.start(0)
 	g.awaitVoters(1, 0)
 	access := g.accessOf(0)
-	eventually(t, "a leader", func() bool { return access.member.group.Load().Leadership().Leads })
+	eventually(t, "a leader is elected", func() bool { return access.member.group.Load().Leadership().Leads })
 	_, err := access.ReplaceIngress(t.Context(), ingressOf(1, "one"))
 	must.ErrorIs(t, err, ErrUnavailable)
 	g.start(1, 2, 3, 4)
@@ -164,31 +164,31 @@
 	must.Eq(t, api.ReplaceApplied, result.Code)
 }
 
-// The leader need not be one of those that a joining member's settings name.
-// When it was not, the member could not answer it and never got a log: the next
-// two lost disks then left one voter of five.
-func TestMemberJoinsUnderALeaderThatItsSettingsDoNotName(t *testing.T) {
-	g := newGrowing(t, 5, 3, 2)
+// Guards against a member that cannot join because the leader is none of its configured seeds. The
+// member could not reply to the leader and never received a log, so that after two more lost disks
+// only one voter of five was left.
+func TestMemberJoinsUnderNonSeedLeader(t *testing.T) {
+	g := newGrowingGroup(t, 5, 3, 2)
 	g.start(0, 1, 2, 3, 4)
 	g.awaitVoters(5, 0, 1, 2, 3, 4)
 	leader := g.running[3].member
-	g.leadByNoSeed(3)
+	g.transferToNonSeed(3)
 	g.crash(1)
 	g.loseDisk(1)
 	g.start(1)
-	eventually(t, "the emptied member votes again", func() bool {
+	eventually(t, "the member with the lost disk is a voter again", func() bool {
 		id := g.running[1].member.id
 		status := leader.group.Load().replica.Status()
 		return slices.Contains(status.Configuration.Voters, id) && len(status.Configuration.Voters) == 5
 	})
 }
 
-// The first of the members that a joining one knows may be gone without a word.
-func TestMemberJoinsThoughItsFirstSeedAnswersNothing(t *testing.T) {
-	g := newGrowing(t, 4, 3, 1)
+// A member must be able to join even if its first seed is unresponsive.
+func TestMemberJoinsWithUnresponsiveFirstSeed(t *testing.T) {
+	g := newGrowingGroup(t, 4, 3, 1)
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
-	defer func() { _ = silent.Close() }() // accepts, by the kernel, and never answers
+	defer func() { _ = silent.Close() }() // the kernel accepts connections, but nothing replies
 	gone := Member{Name: "gone", PeerAddress: silent.Addr().String(), FeedAddress: silent.Addr().String(), OperatorAddress: silent.Addr().String()}
 	g.configs[3].Members = append([]Member{gone}, g.configs[3].Members...)
 	g.start(0, 1, 2)
@@ -197,11 +197,11 @@
 	g.awaitVoters(4, 0, 1, 2, 3)
 }
 
-// leadByNoSeed has a member lead that the settings of the others do not name.
-func (g *growing) leadByNoSeed(i int) {
+// transferToNonSeed makes a member the leader that the others' configuration does not name.
+func (g *growingGroup) transferToNonSeed(i int) {
 	g.t.Helper()
 	leader := g.running[i].member
-	eventually(g.t, "leadership of a member that is no seed", func() bool {
+	eventually(g.t, "a member that is not a seed leads", func() bool {
 		for _, running := range g.running {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			_ = running.member.replica.TransferLeadership(ctx, leader.id)
@@ -211,15 +211,15 @@
 	})
 }
 
-// A member that was dropped while it was cut off has to learn of it from a leader
-// that its settings do not name.
-func TestDroppedMemberJoinsAnewUnderALeaderThatItsSettingsDoNotName(t *testing.T) {
-	g := newGrowing(t, 5, 3, 2)
+// A member that was removed while it was disconnected must learn of it from a leader that its
+// configuration does not name.
+func TestRemovedMemberRejoinsUnderNonSeedLeader(t *testing.T) {
+	g := newGrowingGroup(t, 5, 3, 2)
 	g.start(0, 1, 2, 3, 4)
 	g.awaitVoters(5, 0, 1, 2, 3, 4)
-	g.leadByNoSeed(3)
+	g.transferToNonSeed(3)
 	dropped := g.running[4]
-	eventually(t, "the removal", func() bool {
+	eventually(t, "the member is removed", func() bool {
 		request := operatorapi.MemberRequest{Action: operatorapi.MemberRemove, ID: operatorapi.MemberID(dropped.member.id)}
 		return g.call(3, http.MethodPost, operatorapi.PathMembers, request, nil) == http.StatusOK
 	})
@@ -227,32 +227,32 @@
 	select {
 	case err := <-dropped.done:
 		must.ErrorIs(t, err, ErrRemoved)
-	case <-time.After(patience):
-		t.Fatal("the member does not notice that it was removed")
+	case <-time.After(waitTimeout):
+		t.Fatal("the member did not notice its removal")
 	}
 	g.start(4)
 	g.awaitVoters(5, 0, 1, 2, 3, 4)
 	must.NotEq(t, dropped.member.id, g.running[4].member.id)
 }
 
-// A founder is told so at its first start. When it has lost its disk, or was
-// removed, it joins the group that it founded, even if it is still told so.
-func TestFounderFoundsNoSecondGroup(t *testing.T) {
-	g := newGrowing(t, 5, 3, 2)
+// The Bootstrap setting applies to a member's first start. A founder that lost its disk or was
+// removed must join the group that it bootstrapped, even if Bootstrap is still set.
+func TestFounderDoesNotBootstrapSecondGroup(t *testing.T) {
+	g := newGrowingGroup(t, 5, 3, 2)
 	g.start(0, 1, 2, 3, 4)
 	g.awaitVoters(5, 0, 1, 2, 3, 4)
-	must.True(t, g.configs[0].Found)
+	must.True(t, g.configs[0].Bootstrap)
 	g.crash(0)
 	g.loseDisk(0)
 	g.start(0)
 	g.awaitVoters(5, 0, 1, 2, 3, 4)
 }
 
-func TestRemovedFounderJoinsTheGroupThatItFounded(t *testing.T) {
-	g := newGrowing(t, 5, 3, 2)
+func TestRemovedFounderRejoinsItsGroup(t *testing.T) {
+	g := newGrowingGroup(t, 5, 3, 2)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- RunAgain(ctx, g.configs[0], nopLogger{}) }()
+	go func() { ended <- RunWithRestart(ctx, g.configs[0], nopLogger{}) }()
 	g.start(1, 2, 3, 4)
 	g.awaitVoters(5, 1, 2, 3, 4)
 	idOfFounder := func() uint64 {
@@ -265,11 +265,11 @@
 		return 0
 	}
 	old := idOfFounder()
-	eventually(t, "the removal", func() bool {
+	eventually(t, "the member is removed", func() bool {
 		request := operatorapi.MemberRequest{Action: operatorapi.MemberRemove, ID: operatorapi.MemberID(old)}
 		return g.call(1, http.MethodPost, operatorapi.PathMembers, request, nil) == http.StatusOK
 	})
-	eventually(t, "the founder under another identity", func() bool {
+	eventually(t, "the founder rejoins under a new identity", func() bool {
 		var self operatorapi.MemberSelf
 		return g.call(0, http.MethodGet, operatorapi.PathMemberStatus, nil, &self) == http.StatusOK &&
 			self.ID != old && len(self.Voters) == 5 && idOfFounder() == self.ID
@@ -278,12 +278,12 @@
 	must.NoError(t, <-ended)
 }
 
-// Whether a damaged folder may be emptied must not depend on who leads the others.
-func TestDamagedFolderIsDiscardedUnderALeaderThatItsSettingsDoNotName(t *testing.T) {
-	g := newGrowing(t, 5, 3, 2)
+// A damaged data directory must be discarded whichever of the other members leads.
+func TestDamagedDataFolderIsDiscardedUnderNonSeedLeader(t *testing.T) {
+	g := newGrowingGroup(t, 5, 3, 2)
 	g.start(0, 1, 2, 3, 4)
 	g.awaitVoters(5, 0, 1, 2, 3, 4)
-	g.leadByNoSeed(3)
+	g.transferToNonSeed(3)
 	g.crash(4)
 	segments, err := filepath.Glob(filepath.Join(g.configs[4].DataFolder, "*.wal"))
 	must.NoError(t, err)
@@ -295,28 +295,28 @@
 	g.awaitVoters(5, 0, 1, 2, 3, 4)
 }
 
-func TestLostMemberIsDroppedOnceASuccessorHasJoined(t *testing.T) {
-	g := newGrowing(t, 6, 3, 2)
+func TestLostMemberIsRemovedAfterReplacementJoins(t *testing.T) {
+	g := newGrowingGroup(t, 6, 3, 2)
 	g.start(0, 1, 2, 3, 4)
 	g.awaitVoters(5, 0, 1, 2, 3, 4)
 	g.crash(4)
 	g.start(5)
 	g.awaitVoters(5, 0, 1, 2, 3, 5)
-	eventually(t, "the lost member is dropped", func() bool {
+	eventually(t, "the lost member is removed", func() bool {
 		status := g.running[0].member.group.Load().replica.Status()
 		return slices.Contains(status.Configuration.Voters, g.running[5].member.id) && len(status.Configuration.Voters) == 5
 	})
 }
 
-func TestAnyMemberTakesAndReadsAnIngress(t *testing.T) {
-	g := newGrowing(t, 3, 3, 1)
+func TestAnyMemberReplacesAndReadsIngress(t *testing.T) {
+	g := newGrowingGroup(t, 3, 3, 1)
 	g.start(0, 1, 2)
 	g.awaitVoters(3, 0, 1, 2)
 	for i := range 3 {
 		generation := uint64(10 + i)
 		must.Eq(t, generation, g.replaceIngress(i, ingressOf(generation, "document")).Generation)
 		for reader := range 3 {
-			held := g.heldIngress(reader)
+			held := g.currentIngress(reader)
 			must.Eq(t, generation, held.Spec.Generation)
 			must.Eq(t, "document", string(held.Spec.Source))
 		}
@@ -330,13 +330,13 @@
 		must.Eq(t, api.ReplaceInvalid, result.Code)
 		must.SliceNotEmpty(t, result.Faults)
 	}
-	must.Eq(t, 12, g.heldIngress(0).Spec.Generation)
+	must.Eq(t, 12, g.currentIngress(0).Spec.Generation)
 }
 
-// Keys stand in the document alone, which no view holds: neither in what proxies get nor in
-// what operators read of objects.
-func TestNoViewHoldsAKey(t *testing.T) {
-	g := newGrowing(t, 3, 3, 1)
+// API keys occur only in the document, which no view contains: neither what proxies receive nor
+// what operators read as objects.
+func TestViewsContainNoAPIKeys(t *testing.T) {
+	g := newGrowingGroup(t, 3, 3, 1)
 	g.start(0, 1, 2)
 	g.awaitVoters(3, 0, 1, 2)
 	key := "key-of-north-0123456789"
@@ -347,7 +347,7 @@
 		spec.Generation++
 		must.Eq(t, api.ReplaceApplied, g.replaceIngress(i, spec).Code)
 		for reader := range 3 {
-			must.StrContains(t, string(g.heldIngress(reader).Spec.Source), key)
+			must.StrContains(t, string(g.currentIngress(reader).Spec.Source), key)
 		}
 	}
 	current := g.running[g.leader()].member.group.Load().machine.view()
@@ -370,12 +370,12 @@
 	must.Eq(t, "tenants[1].keys[0]", result.Faults[0].Field)
 }
 
-// replaceIngress hands the member a configuration until it has an answer, as a caller
-// does: one that is told of no outcome, or of no leader, sends it again.
-func (g *growing) replaceIngress(i int, spec api.IngressSpec) api.ReplaceResult {
+// replaceIngress submits the Ingress through the member until the request is answered. As callers
+// do, it retries when the outcome is unknown or the group is unavailable.
+func (g *growingGroup) replaceIngress(i int, spec api.IngressSpec) api.ReplaceResult {
 	g.t.Helper()
 	var result api.ReplaceResult
-	eventually(g.t, "an answer to a configuration", func() bool {
+	eventually(g.t, "the Ingress is answered", func() bool {
 		var err error
 		result, err = g.accessOf(i).ReplaceIngress(g.t.Context(), spec)
 		return g.answered(err)
@@ -383,11 +383,11 @@
 	return result
 }
 
-// heldIngress reads the configuration through the member until it has an answer.
-func (g *growing) heldIngress(i int) *api.Ingress {
+// currentIngress reads the Ingress through the member until the request is answered.
+func (g *growingGroup) currentIngress(i int) *api.Ingress {
 	g.t.Helper()
 	var held *api.Ingress
-	eventually(g.t, "the configuration in force", func() bool {
+	eventually(g.t, "the current Ingress is read", func() bool {
 		var err error
 		held, err = g.accessOf(i).Ingress(g.t.Context())
 		return g.answered(err)
@@ -395,9 +395,9 @@
 	return held
 }
 
-// answered tells whether a request had an answer; its only legal errors are those that
-// ask for it to be sent again.
-func (g *growing) answered(err error) bool {
+// answered reports whether a request was answered. It fails the test on any error other than those
+// that allow a retry.
+func (g *growingGroup) answered(err error) bool {
 	g.t.Helper()
 	if err == nil {
 		return true
@@ -407,11 +407,11 @@
 }
 
 func TestOperatorAPIReplacesAnIngress(t *testing.T) {
-	g := newGrowing(t, 1, 1, 0)
+	g := newGrowingGroup(t, 1, 1, 0)
 	g.start(0)
 	g.awaitVoters(1, 0)
 	var result api.ReplaceResult
-	eventually(t, "an answer", func() bool {
+	eventually(t, "the Ingress is accepted", func() bool {
 		return g.call(0, http.MethodPost, operatorapi.PathIngress, ingressOf(3, ""), &result) == http.StatusOK
 	})
 	must.Eq(t, 3, result.Generation)
@@ -421,25 +421,25 @@
 	must.Eq(t, http.StatusBadRequest, g.call(0, http.MethodPost, operatorapi.PathIngress, "text", nil))
 }
 
-func TestReplicasOfTheListReachDaemons(t *testing.T) {
-	g := newGrowing(t, 1, 1, 0)
+func TestListedReplicasReachDaemons(t *testing.T) {
+	g := newGrowingGroup(t, 1, 1, 0)
 	g.fleet.set(replicaOf("r-1", false), replicaOf("r-2", false))
 	g.start(0)
 	g.awaitVoters(1, 0)
-	_, holder := g.follow("proxy-1")
+	_, holder := g.subscribe("proxy-1")
 	names := func() int { return len(holder.Load().Replicas) }
-	eventually(t, "both replicas", func() bool { return names() == 2 })
+	eventually(t, "the daemon receives both replicas", func() bool { return names() == 2 })
 	g.fleet.set(replicaOf("r-1", true), replicaOf("r-3", false))
-	eventually(t, "one leaves, one is gone, one is new", func() bool {
+	eventually(t, "one replica leaves, one is removed, one is added", func() bool {
 		replicas := holder.Load().Replicas
 		return replicas["r-1"] != nil && replicas["r-1"].Spec.Leaving && replicas["r-2"] == nil && replicas["r-3"] != nil
 	})
 	g.fleet.set()
 	eventually(t, "members are listed", func() bool { return len(holder.Load().Members) == 1 })
-	must.Eq(t, 2, names(), must.Sprint("an empty list is a fault"))
+	must.Eq(t, 2, names(), must.Sprint("an empty list removed replicas"))
 }
 
-func TestOneListWithoutAReplicaTakesNothingAway(t *testing.T) {
+func TestReplicaMissingFromOneListIsKept(t *testing.T) {
 	first := mergeList(nil, []api.Replica{replicaOf("r-1", false), replicaOf("r-2", false)})
 	second := mergeList(first, []api.Replica{replicaOf("r-1", false)})
 	must.MapLen(t, 2, second)
@@ -449,8 +449,8 @@
 	must.MapLen(t, 2, back)
 }
 
-func TestProxiesAreNamedToCallersWhileTheyAreReady(t *testing.T) {
-	g := newGrowing(t, 1, 1, 0)
+func TestReadyProxiesAreAdvertised(t *testing.T) {
+	g := newGrowingGroup(t, 1, 1, 0)
 	g.start(0)
 	g.awaitVoters(1, 0)
 	access := g.accessOf(0)
@@ -460,7 +460,7 @@
 	zones := map[string]string{"p-1": "a", "p-2": "a", "p-3": "b"}
 	clients := map[string]*feed.Client{}
 	for name := range ready {
-		clients[name], _ = g.followBy(feed.ClientConfig{
+		clients[name], _ = g.subscribeWith(feed.ClientConfig{
 			Daemon: name, BeatInterval: 30 * time.Millisecond, BackoffMax: 50 * time.Millisecond,
 			Presence: func() feed.Presence {
 				lock.Lock()
@@ -469,43 +469,43 @@
 			},
 		})
 	}
-	eventually(t, "all proxies", func() bool { return len(access.Proxies()) == 3 })
+	eventually(t, "all proxies are advertised", func() bool { return len(access.Proxies()) == 3 })
 	must.Eq(t, []string{"addr-p-1", "addr-p-2"}, access.ProxyAddresses("a", 64))
-	must.Eq(t, []string{"addr-p-1", "addr-p-2", "addr-p-3"}, access.ProxyAddresses("b", 64), must.Sprint("one near proxy is not enough"))
+	must.Eq(t, []string{"addr-p-1", "addr-p-2", "addr-p-3"}, access.ProxyAddresses("b", 64), must.Sprint("a single proxy in the zone got all callers"))
 	must.Eq(t, []string{"addr-p-1"}, access.ProxyAddresses("b", 1))
 	lock.Lock()
-	ready["p-1"] = false // as one that starts again
+	ready["p-1"] = false // restarting
 	ready["p-2"], stopping["p-2"] = false, true
 	lock.Unlock()
 	clients["p-1"].Announce()
 	clients["p-2"].Announce()
-	eventually(t, "a proxy that leaves is not named", func() bool { return len(access.Proxies()) == 2 })
-	must.Eq(t, []string{"addr-p-1", "addr-p-3"}, access.ProxyAddresses("", 64), must.Sprint("one that starts again is"))
+	eventually(t, "a stopping proxy is not advertised", func() bool { return len(access.Proxies()) == 2 })
+	must.Eq(t, []string{"addr-p-1", "addr-p-3"}, access.ProxyAddresses("", 64), must.Sprint("a restarting proxy was removed, or a stopping one was not"))
 	clients["p-3"].Close()
-	eventually(t, "a proxy that is gone is not named", func() bool { return len(access.Proxies()) == 1 })
+	eventually(t, "a closed proxy is not advertised", func() bool { return len(access.Proxies()) == 1 })
 }
 
 func TestLeaderPlacesRequestsOfAllProxies(t *testing.T) {
-	g := newGrowing(t, 1, 1, 0)
+	g := newGrowingGroup(t, 1, 1, 0)
 	model := func(name string, role api.EngineRole) api.Replica {
 		return api.Replica{Metadata: api.Metadata{Name: name}, Spec: api.ReplicaSpec{Service: "narrator", Zone: "a", Address: "addr-" + name, Role: role}}
 	}
 	g.fleet.set(model("read", api.RolePrefill), model("make", api.RoleDecode))
 	g.start(0)
 	g.awaitVoters(1, 0)
-	client, _ := g.follow("proxy-1")
+	client, _ := g.subscribe("proxy-1")
 	request := feed.PlaceRequest{Service: "narrator", Number: 1, Ask: placement.Ask{Prompt: 20_000, Deadline: time.Second, Zone: "a"}}
-	eventually(t, "a subscription", client.Connected)
+	eventually(t, "the client is subscribed", client.Connected)
 	_, err := client.Place(t.Context(), request)
-	must.ErrorIs(t, err, feed.ErrNotPlaced, must.Sprint("nothing is known of the service yet"))
+	must.ErrorIs(t, err, feed.ErrNotPlaced, must.Sprint("placed a request of an unknown service"))
 	spec := ingressOf(1, "")
 	spec.Services = append(spec.Services, api.RouteService{Name: "narrator", Model: &api.ModelSheet{KVTokens: 100_000}})
-	eventually(t, "an acknowledgement", func() bool {
+	eventually(t, "the Ingress is acknowledged", func() bool {
 		_, err := g.accessOf(0).ReplaceIngress(t.Context(), spec)
 		return err == nil
 	})
 	var answer placement.Answer
-	eventually(t, "a place", func() bool {
+	eventually(t, "the request is placed", func() bool {
 		answer, err = client.Place(t.Context(), request)
 		return err == nil && answer.Generator != ""
 	})
@@ -514,17 +514,17 @@
 	must.True(t, client.NotePlaced(feed.PlaceNote{Service: "narrator", Number: 1, Note: placement.Note{Step: placement.StepEnded}}))
 	must.True(t, client.ReportKept(feed.KeptParts{Service: "narrator", Replica: "make", Parts: []placement.Part{{ID: "p", Tokens: 19_000}}}))
 	request.Ask.Parts = []placement.Part{{ID: "p", Tokens: 19_000}, {ID: "own", Tokens: 1_000}}
-	eventually(t, "the kept part counts", func() bool {
+	eventually(t, "the cached part is counted", func() bool {
 		request.Number++
 		answer, err = client.Place(t.Context(), request)
 		return err == nil && answer.Unread == 1_000
 	})
 }
 
-// After a stop of everything nobody remembers what replicas keep: a leader asks
-// those of which no proxy has spoken, and only then.
-func TestLeaderAsksColdReplicasOnceItHasAnIngress(t *testing.T) {
-	g := newGrowing(t, 1, 1, 0)
+// After a restart of the whole system no member knows what replicas have cached: the leader must
+// query the replicas for which no proxy has reported it, and none before there is an Ingress.
+func TestLeaderQueriesColdReplicasAfterIngress(t *testing.T) {
+	g := newGrowingGroup(t, 1, 1, 0)
 	replica := api.Replica{Metadata: api.Metadata{Name: "make"}, Spec: api.ReplicaSpec{Service: "narrator", Zone: "a", Address: "addr", Role: api.RoleDecode}}
 	g.fleet.set(replica)
 	g.fleet.kept = map[string][]placement.Part{"make": {{ID: "p", Tokens: 5_000}}}
@@ -532,49 +532,51 @@
 	g.awaitVoters(1, 0)
 	spec := ingressOf(1, "")
 	spec.Services = append(spec.Services, api.RouteService{Name: "narrator", Model: &api.ModelSheet{KVTokens: 100_000}})
-	eventually(t, "an acknowledgement", func() bool {
+	eventually(t, "the Ingress is acknowledged", func() bool {
 		_, err := g.accessOf(0).ReplaceIngress(t.Context(), spec)
 		return err == nil
 	})
-	_, holder := g.follow("proxy-1")
+	_, holder := g.subscribe("proxy-1")
 	eventually(t, "the replica is committed", func() bool { return len(holder.Load().Replicas) == 1 })
 	must.NoError(t, g.stop(0))
 	g.fleet.lock.Lock()
-	must.SliceEmpty(t, g.fleet.asked, must.Sprint("before there was an Ingress nothing is asked"))
+	must.SliceEmpty(t, g.fleet.asked, must.Sprint("queried a replica before there was an Ingress"))
 	g.fleet.lock.Unlock()
 	g.start(0)
-	eventually(t, "the question", func() bool {
+	eventually(t, "the replica is queried", func() bool {
 		g.fleet.lock.Lock()
 		defer g.fleet.lock.Unlock()
 		return len(g.fleet.asked) == 1
 	})
 	ask := placement.Ask{Prompt: 6_000, Zone: "a", Deadline: time.Second, Parts: []placement.Part{{ID: "p", Tokens: 5_000}}}
-	eventually(t, "the kept part counts", func() bool {
+	eventually(t, "the cached part is counted", func() bool {
 		current := g.running[0].member.group.Load()
 		answer, placed := current.Place("proxy-1", feed.PlaceRequest{Service: "narrator", Number: 1, Ask: ask})
 		return placed && answer.Unread == 1_000
 	})
 }
 
-func TestFleetIsLeftAloneWithoutASource(t *testing.T) {
+func TestNoFleetChangesWithoutFleetSource(t *testing.T) {
 	c := newCluster(t, 1, nil)
 	c.start(0)
 	c.leader()
-	_, holder := c.follow("proxy-1")
-	eventually(t, "a subscription", func() bool { return c.running[0].member.feed.Subscribers() == 1 })
+	_, holder := c.subscribe("proxy-1")
+	eventually(t, "the client is subscribed", func() bool { return c.running[0].member.feed.Subscribers() == 1 })
 	must.Eq(t, view.Version{}, holder.Load().Version)
 }
 
-// A full disk ends the member, not its process: it is opened again.
-func TestMemberIsOpenedAgainAfterItsStorageFailed(t *testing.T) {
+// A storage failure must not end the process: the member is opened again after a delay, until it is
+// stopped. A data directory that cannot be created stands for the failure. An invalid configuration
+// ends the process at once.
+func TestMemberRestartsAfterStorageFailure(t *testing.T) {
 	c := newCluster(t, 1, nil)
 	config := c.configs[0]
 	config.DataFolder = filepath.Join(t.TempDir(), "missing", "\x00")
 	ctx, cancel := context.WithTimeout(t.Context(), 1500*time.Millisecond)
 	defer cancel()
-	must.NoError(t, RunAgain(ctx, config, nopLogger{}))
+	must.NoError(t, RunWithRestart(ctx, config, nopLogger{}))
 	config.Name = "stranger"
-	must.ErrorIs(t, RunAgain(t.Context(), config, nopLogger{}), ErrConfig)
+	must.ErrorIs(t, RunWithRestart(t.Context(), config, nopLogger{}), ErrConfig)
 }
 
 type nopLogger struct{}
--- a/process/control/membership_test.go
+++ b/process/control/membership_test.go
@@ -15,10 +15,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestHealthCountsNoLossDuringAMembershipChange holds what campaign seed 25 met:
-// the removal of a lost member was appended on the leader alone when the leader
-// was lost as well, and two of the four voters of the configuration before were gone.
-func TestHealthCountsNoLossDuringAMembershipChange(t *testing.T) {
+// Guards against counting further losses during a membership change, as found by seed 25 of the
+// fault campaign. The removal of a lost member was appended only on the leader when the leader was
+// lost as well, so that two of the four voters of the previous configuration were gone.
+func TestHealthReportsNoFurtherLossesDuringMembershipChange(t *testing.T) {
 	current := &group{machine: newMachine()}
 	status := raft.Status{
 		ID:             1,
@@ -26,14 +26,14 @@
 		Match:          map[raft.MemberID]uint64{1: 10, 2: 10, 4: 10},
 		RecentlyActive: map[raft.MemberID]bool{1: true, 2: true, 4: true},
 	}
-	must.Eq(t, 1, current.health(status, 10).furtherLosses)
+	must.Eq(t, 1, current.faultTolerance(status, 10).furtherLosses)
 	status.ConfigurationPending = true
-	must.Eq(t, 0, current.health(status, 10).furtherLosses)
+	must.Eq(t, 0, current.faultTolerance(status, 10).furtherLosses)
 }
 
-// At the start of a term every voter counts as active, heard or not. A member
-// that lost its disk and comes back as another one must not be taken for one that
-// its silent earlier identity has replaced.
+// At the start of a term every voter counts as active. A member that lost its disk and returns
+// under a new identity must not be mistaken for one that was replaced by its silent earlier
+// identity.
 func TestReplacedMembers(t *testing.T) {
 	const election = time.Second
 	members := []state.Member{{ID: 1, Name: "control-1"}, {ID: 2, Name: "control-2"}, {ID: 12, Name: "control-2"}}
@@ -42,7 +42,7 @@
 		name    string
 		status  raft.Status
 		termAge time.Duration
-		want    uint64 // 0: none
+		want    uint64 // ID, or 0 for none
 	}{
 		{"the new one votes and is heard", raft.Status{ID: 1, Configuration: voters(1, 2, 12), RecentlyActive: map[raft.MemberID]bool{12: true}}, 2 * election, 2},
 		{"the new one is recorded and the old one not heard yet", raft.Status{ID: 1, Configuration: voters(1, 2), RecentlyActive: map[raft.MemberID]bool{2: true}}, election, 0},
@@ -53,17 +53,17 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			found, is := replacedMember(members, c.status, c.termAge, election)
-			must.Eq(t, c.want != 0, is)
+			found, hasReplaced := replacedMember(members, c.status, c.termAge, election)
+			must.Eq(t, c.want != 0, hasReplaced)
 			must.Eq(t, c.want, found.ID)
 		})
 	}
 }
 
-// Of several voters that are away, the one that has been for longest is dropped
-// first: it is the one whose successor has joined.
+// Of several unreachable voters, the one that has been unreachable for the longest time must be
+// removed first: it is the one whose replacement has joined.
 func TestLongestAway(t *testing.T) {
-	term := &termDuties{awaySince: map[raft.MemberID]time.Duration{}}
+	term := &termState{unreachableSince: map[raft.MemberID]time.Duration{}}
 	heard := func(ids ...raft.MemberID) raft.Status {
 		status := raft.Status{ID: 1, Configuration: raft.Configuration{Voters: []raft.MemberID{1, 2, 3, 4}}, RecentlyActive: map[raft.MemberID]bool{}}
 		for _, id := range ids {
@@ -71,43 +71,43 @@
 		}
 		return status
 	}
-	look := func(now time.Duration, status raft.Status) (raft.MemberID, time.Duration) {
-		term.noteAway(status, now)
-		return term.longestAway(status, now)
+	updateAndFind := func(now time.Duration, status raft.Status) (raft.MemberID, time.Duration) {
+		term.updateUnreachable(status, now)
+		return term.longestUnreachable(status, now)
 	}
-	lost, away := look(time.Second, heard(2, 3, 4))
+	lost, away := updateAndFind(time.Second, heard(2, 3, 4))
 	must.Eq(t, raft.None, lost)
 	must.Eq(t, 0, away)
-	look(2*time.Second, heard(3, 4))
-	lost, away = look(5*time.Second, heard(3))
+	updateAndFind(2*time.Second, heard(3, 4))
+	lost, away = updateAndFind(5*time.Second, heard(3))
 	must.Eq(t, raft.MemberID(2), lost)
 	must.Eq(t, 3*time.Second, away)
-	lost, away = look(6*time.Second, heard(2, 3))
+	lost, away = updateAndFind(6*time.Second, heard(2, 3))
 	must.Eq(t, raft.MemberID(4), lost)
 	must.Eq(t, time.Second, away)
-	look(7*time.Second, heard(2, 3, 4))
-	lost, _ = look(8*time.Second, heard(2, 3, 4))
+	updateAndFind(7*time.Second, heard(2, 3, 4))
+	lost, _ = updateAndFind(8*time.Second, heard(2, 3, 4))
 	must.Eq(t, raft.None, lost)
 }
 
-// A member asks whoever its settings name and whoever the group's state records:
-// after a long life the settings may name machines that are gone.
-func TestOthersAreThoseOfTheSettingsAndTheState(t *testing.T) {
+// A member must contact the members in its configuration as well as those recorded in the state:
+// over time the machines in the configuration may all be gone.
+func TestOtherOperatorAddressesMergeConfigAndState(t *testing.T) {
 	m := &member{
 		id:      4,
 		machine: newMachine(),
 		config:  Config{Name: "self", Members: []Member{{Name: "self", OperatorAddress: "s"}, {Name: "seed", OperatorAddress: "a"}}},
 	}
-	must.Eq(t, []string{"a"}, m.otherOperators())
+	must.Eq(t, []string{"a"}, m.otherOperatorAddresses())
 	for i, recorded := range []state.Member{{ID: 1, Name: "seed", OperatorAddress: "a"}, {ID: 2, Name: "later", OperatorAddress: "b"}, {ID: 3, Name: "gone", OperatorAddress: "c", Removed: true}, {ID: 4, Name: "self", OperatorAddress: "s"}} {
-		m.machine.apply(raft.Entry{Term: 1, Index: uint64(i) + 1}, memberCommand(recorded))
+		m.machine.applyAndPublish(raft.Entry{Term: 1, Index: uint64(i) + 1}, memberCommand(recorded))
 	}
-	must.Eq(t, []string{"a", "b"}, m.otherOperators())
+	must.Eq(t, []string{"a", "b"}, m.otherOperatorAddresses())
 }
 
-// A member that is being taken in, while the duties hold it for one that never joined, is
-// removed whole: what the duties saw of the configuration is older than its joining.
-func TestMemberTakenInMeanwhileIsRemovedWhole(t *testing.T) {
+// A member that is added while its removal is under way must be removed from the configuration as
+// well: the caller of the removal may have looked at the configuration before the addition.
+func TestConcurrentlyAddedMemberIsFullyRemoved(t *testing.T) {
 	c := newCluster(t, 3, nil)
 	c.start(0, 1, 2)
 	c.awaitFurtherLosses(1)
@@ -120,15 +120,15 @@
 	must.SliceNotContains(t, allMembers(current.replica.Status().Configuration), raft.MemberID(joining.ID))
 }
 
-// The duties may record an address of their own for a member that they know without one,
-// in the step in which the member's word is committed. What is recorded then differs from
-// what the member asked for; but it was not removed, and must not be told to empty its disk.
-func TestMemberWhoseRecordIsReplacedMeanwhileIsNotTakenForRemoved(t *testing.T) {
+// The leader records the address that they know of a member that has no record. This may happen
+// right after the member's own record was committed, which it then replaces. The record differs
+// from the requested one, but the member was not removed and must not be told to discard its disk.
+func TestMemberWithReplacedRecordIsNotReportedRemoved(t *testing.T) {
 	joining := state.Member{ID: 7, Name: "control-7", PeerAddress: "127.0.0.1:1", FeedAddress: "127.0.0.1:2", OperatorAddress: "127.0.0.1:3"}
-	otherwise := joining
-	otherwise.FeedAddress = "127.0.0.1:4"
-	current := newLoneGroup(t, func(m *machine) replica.StateMachine {
-		return &interleaved{machine: m, first: memberCommand(joining), second: memberCommand(otherwise)}
+	replacing := joining
+	replacing.FeedAddress = "127.0.0.1:4"
+	current := newSingleMemberGroup(t, func(m *machine) replica.StateMachine {
+		return &interleavingMachine{machine: m, first: memberCommand(joining), second: memberCommand(replacing)}
 	})
 	must.NoError(t, current.addMember(t.Context(), joining))
 	must.SliceContains(t, allMembers(current.replica.Status().Configuration), raft.MemberID(joining.ID))
@@ -136,31 +136,32 @@
 	must.ErrorIs(t, current.addMember(t.Context(), joining), errRemovedMember)
 }
 
-// Two changes of leader between a removal's steps can leave an identity marked as removed
-// that counts again. Its disk may be needed: it is told so only once it counts no more.
-func TestMemberThatCountsIsNotToldThatItWasRemoved(t *testing.T) {
-	counting := state.Member{ID: 7, Name: "control-7", PeerAddress: "127.0.0.1:1", FeedAddress: "127.0.0.1:2", OperatorAddress: "127.0.0.1:3"}
-	current := newLoneGroup(t, func(m *machine) replica.StateMachine { return m })
-	must.NoError(t, current.addMember(t.Context(), counting))
-	marked := counting
+// Two leader changes between the steps of a removal can leave an identity that is marked as removed
+// but is in the configuration again. Its disk may be needed, so it must be told of the removal only
+// once it is out of the configuration.
+func TestConfiguredMemberIsNotReportedRemoved(t *testing.T) {
+	joining := state.Member{ID: 7, Name: "control-7", PeerAddress: "127.0.0.1:1", FeedAddress: "127.0.0.1:2", OperatorAddress: "127.0.0.1:3"}
+	current := newSingleMemberGroup(t, func(m *machine) replica.StateMachine { return m })
+	must.NoError(t, current.addMember(t.Context(), joining))
+	marked := joining
 	marked.Removed = true
 	_, err := current.propose(t.Context(), memberCommand(marked))
 	must.NoError(t, err)
-	must.NoError(t, current.addMember(t.Context(), counting))
-	must.NoError(t, current.removeNamed(t.Context(), raft.MemberID(counting.ID)))
-	must.ErrorIs(t, current.addMember(t.Context(), counting), errRemovedMember)
+	must.NoError(t, current.addMember(t.Context(), joining))
+	must.NoError(t, current.removeByID(t.Context(), raft.MemberID(joining.ID)))
+	must.ErrorIs(t, current.addMember(t.Context(), joining), errRemovedMember)
 }
 
-// interleaved has one more command committed right behind the first of its kind, before
-// whoever proposed that can look.
-type interleaved struct {
+// interleavingMachine applies a second command right after the first, before the proposer of the
+// first can read the state.
+type interleavingMachine struct {
 	*machine
 	first, second state.Command
 	done          bool
 }
 
-func (s *interleaved) Apply(entry raft.Entry) any {
-	entry.Index *= 2 // leaves a place behind each
+func (s *interleavingMachine) Apply(entry raft.Entry) any {
+	entry.Index *= 2 // reserves an index after each entry
 	result := s.machine.Apply(entry)
 	command, err := state.Decode(entry.Data)
 	if err == nil && !s.done && command.Kind == state.CommandMember && *command.Member == *s.first.Member {
@@ -170,14 +171,14 @@
 	return result
 }
 
-// newLoneGroup returns a group of one member that leads, on a disk in memory and without
-// its servers.
-func newLoneGroup(t *testing.T, around func(*machine) replica.StateMachine) *group {
+// newSingleMemberGroup returns a group of a single leading member, with an in-memory disk and
+// without servers.
+func newSingleMemberGroup(t *testing.T, around func(*machine) replica.StateMachine) *group {
 	t.Helper()
 	g := &group{
 		machine: newMachine(),
 		config:  Config{Durations: testDurations}.WithDefaults(),
-		quotas:  newQuotaDesk(quota.Rule{}),
+		quotas:  newQuotaCharger(quota.Rule{}),
 		metrics: newMetrics(),
 	}
 	started, err := replica.Start(replica.Config{
@@ -190,7 +191,7 @@
 	must.NoError(t, err)
 	t.Cleanup(func() { must.NoError(t, started.Stop(context.Background())) })
 	g.replica = started
-	eventually(t, "a lease", func() bool {
+	eventually(t, "the lease is valid", func() bool {
 		_, valid := g.Lease(t.Context())
 		return valid
 	})
@@ -201,7 +202,7 @@
 
 func (noPeers) Send([]raft.Message) {}
 
-// waitsForLock reports whether a goroutine waits for a lock in the function.
+// waitsForLock reports whether a goroutine is waiting for a mutex in the function.
 func waitsForLock(function string) bool {
 	var stacks bytes.Buffer
 	_ = pprof.Lookup("goroutine").WriteTo(&stacks, 2)
@@ -213,29 +214,29 @@
 	return false
 }
 
-// Seen: a founder that was removed never came back. How it came about: the leader that
-// removed it was the founder itself, and ended between the change of the configuration and
-// the mark. The next one took the old identity in again, at its own request, while the
-// operator's second order waited: the order had looked at the configuration before, marked
-// the identity and left it a learner, which hears a leader and never asks whether it counts.
-func TestRemovalLooksAtTheConfigurationWhenItIsItsTurn(t *testing.T) {
-	g := newGrowing(t, 1, 1, 0)
+// Guards against a removed founder that never rejoined. The founder led its own removal and failed
+// between the configuration change and the removal mark. The next leader added the old identity
+// again at its own request, while a second removal by the operator was waiting. That removal had
+// read the configuration before, so it only marked the identity and left it a learner, which hears
+// from a leader and therefore never checks whether it was removed.
+func TestRemovalReadsConfigurationUnderLock(t *testing.T) {
+	g := newGrowingGroup(t, 1, 1, 0)
 	g.start(0)
 	g.awaitVoters(1, 0)
 	current := g.running[0].member.group.Load()
-	again := state.Member{ID: 4242, Name: "again", PeerAddress: "127.0.0.1:1", FeedAddress: "127.0.0.1:1", OperatorAddress: "127.0.0.1:1"}
-	eventually(t, "the record", func() bool {
-		_, err := current.propose(t.Context(), memberCommand(again))
+	rejoining := state.Member{ID: 4242, Name: "again", PeerAddress: "127.0.0.1:1", FeedAddress: "127.0.0.1:1", OperatorAddress: "127.0.0.1:1"}
+	eventually(t, "the member is recorded", func() bool {
+		_, err := current.propose(t.Context(), memberCommand(rejoining))
 		return err == nil
 	})
 	current.membership.Lock()
 	removed := make(chan error, 1)
-	go func() { removed <- current.removeNamed(t.Context(), raft.MemberID(again.ID)) }()
-	eventually(t, "the removal waits", func() bool { return waitsForLock("(*group).removeMember") })
-	err := current.changeMembership(t.Context(), raft.ConfigurationChange{Kind: raft.ChangeAddLearner, Member: raft.MemberID(again.ID)})
+	go func() { removed <- current.removeByID(t.Context(), raft.MemberID(rejoining.ID)) }()
+	eventually(t, "the removal waits for the lock", func() bool { return waitsForLock("(*group).removeMember") })
+	err := current.changeMembership(t.Context(), raft.ConfigurationChange{Kind: raft.ChangeAddLearner, Member: raft.MemberID(rejoining.ID)})
 	current.membership.Unlock()
 	must.NoError(t, err)
 	must.NoError(t, <-removed)
-	must.SliceNotContains(t, allMembers(current.replica.Status().Configuration), raft.MemberID(again.ID))
-	must.False(t, current.isRecorded(again))
+	must.SliceNotContains(t, allMembers(current.replica.Status().Configuration), raft.MemberID(rejoining.ID))
+	must.False(t, current.isRecorded(rejoining))
 }
--- a/process/control/placement_test.go
+++ b/process/control/placement_test.go
@@ -12,8 +12,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// servedModel is a view with one model service, and a replica unless it is empty.
-func servedModel(revision uint64, replica string) *view.History {
+// modelView returns a view with one model service and, unless its name is empty, one replica.
+func modelView(revision uint64, replica string) *view.History {
 	shown := view.New()
 	shown.Version.Revision = revision
 	shown.Ingresses = map[string]*api.Ingress{api.IngressName: {Spec: api.IngressSpec{
@@ -26,32 +26,32 @@
 	return &view.History{View: shown, Floor: revision}
 }
 
-func TestDeskPlacesModelServicesOnly(t *testing.T) {
+func TestOnlyModelServicesArePlaced(t *testing.T) {
 	ask := placement.Ask{Prompt: 100, Output: 10, Deadline: time.Second}
 	cases := []struct {
 		name, service, replica, generator string
 		known                             bool
 	}{
-		{"a model service", "chat", "r-1", "r-1", true},
-		{"without a replica", "chat", "", "", true},
-		{"a plain service", "plain", "r-1", "", false},
-		{"a service that is not there", "other", "r-1", "", false},
+		{"model service", "chat", "r-1", "r-1", true},
+		{"model service without replicas", "chat", "", "", true},
+		{"plain service", "plain", "r-1", "", false},
+		{"unknown service", "other", "r-1", "", false},
 	}
 	for _, each := range cases {
 		t.Run(each.name, func(t *testing.T) {
-			desk := newPlacementDesk()
-			answer, known := desk.place(servedModel(1, each.replica), "proxy-1", feed.PlaceRequest{Service: each.service, Number: 1, Ask: ask}, false, 0)
+			boards := newPlacementBoards()
+			answer, known := boards.place(modelView(1, each.replica), "proxy-1", feed.PlaceRequest{Service: each.service, Number: 1, Ask: ask}, false, 0)
 			must.Eq(t, each.known, known)
 			must.Eq(t, each.generator, answer.Generator)
 		})
 	}
 }
 
-func TestDeskFollowsTheView(t *testing.T) {
-	desk := newPlacementDesk()
+func TestPlacementFollowsView(t *testing.T) {
+	boards := newPlacementBoards()
 	request := feed.PlaceRequest{Service: "chat", Number: 1, Ask: placement.Ask{Prompt: 100, Output: 10, Deadline: time.Second}}
 	for i, replica := range []string{"r-1", "r-2", "r-3"} {
-		answer, _ := desk.place(servedModel(uint64(i)+1, replica), "proxy-1", request, false, 0)
+		answer, _ := boards.place(modelView(uint64(i)+1, replica), "proxy-1", request, false, 0)
 		must.Eq(t, replica, answer.Generator)
 	}
 }
@@ -80,26 +80,25 @@
 	must.Eq(t, 2, counted["landingtrail_control_placing_seconds chat"])
 }
 
-// The duties ask the desk by the view that their round began with, and proxies by the one of
-// their question. An older view must not replace a newer one: what was placed on a replica
-// that the older one lacks, or lists in another role, would be forgotten.
-func TestDeskTakesNoOlderViewForANewerOne(t *testing.T) {
-	desk := newPlacementDesk()
-	older, newer := servedModel(1, "r-1"), servedModel(2, "r-2")
+// The leader's tasks pass the view loaded at the start of their round, and proxies' requests the
+// current one. If an older view replaced a newer one, the board would lose the requests placed on
+// replicas that are missing from the older view or have another role in it.
+func TestOlderViewIsIgnored(t *testing.T) {
+	boards := newPlacementBoards()
+	older, newer := modelView(1, "r-1"), modelView(2, "r-2")
 	request := feed.PlaceRequest{Service: "chat", Number: 1, Ask: placement.Ask{Prompt: 100, Output: 10, Deadline: time.Second}}
-	answer, _ := desk.place(newer, "proxy-1", request, false, 0)
+	answer, _ := boards.place(newer, "proxy-1", request, false, 0)
 	must.Eq(t, "r-2", answer.Generator)
-	load := desk.load(older, "chat", 0)
+	load := boards.serviceLoad(older, "chat", 0)
 	must.Len(t, 1, load.Replicas)
 	must.Eq(t, "r-2", load.Replicas[0].Name)
-	desk.load(newer, "chat", 0)
-	must.False(t, desk.idle("chat", "r-2"))
+	boards.serviceLoad(newer, "chat", 0)
+	must.False(t, boards.isIdle("chat", "r-2"))
 }
 
-// A desk that is told only what has changed knows the same as one that is given each view
-// whole.
-func TestDeskFollowsChangesAsItFollowsWholeViews(t *testing.T) {
-	first := servedModel(1, "r-1")
+// Applying only the changes must give the same state as applying each view as a whole.
+func TestIncrementalUpdateMatchesRebuild(t *testing.T) {
+	first := modelView(1, "r-1")
 	changed := func(revision uint64, change func(v *view.View), keys ...api.Key) *view.History {
 		next := *first.View
 		next.Version.Revision = revision
@@ -116,8 +115,8 @@
 		return &api.Replica{Metadata: api.Metadata{Name: name}, Spec: api.ReplicaSpec{Service: service, Slots: 4, Role: api.RoleDecode, Leaving: leaving}}
 	}
 	key := func(name string) api.Key { return api.Key{Kind: api.KindReplica, Name: name} }
-	desk := newPlacementDesk()
-	desk.update(first)
+	boards := newPlacementBoards()
+	boards.update(first)
 	steps := []*view.History{
 		changed(2, func(v *view.View) { v.Replicas["r-2"] = replica("r-2", "chat", false) }, key("r-2")),
 		changed(3, func(v *view.View) { v.Replicas["r-1"] = replica("r-1", "chat", true) }, key("r-1")),
@@ -125,9 +124,9 @@
 		changed(5, func(v *view.View) { delete(v.Replicas, "r-1"); v.Replicas["r-3"] = replica("r-3", "chat", false) }, key("r-1"), key("r-3")),
 	}
 	for _, step := range steps {
-		desk.update(step)
-		whole := newPlacementDesk()
+		boards.update(step)
+		whole := newPlacementBoards()
 		whole.update(&view.History{View: step.View, Floor: step.View.Version.Revision})
-		must.Eq(t, whole.load(step, "chat", 0).Replicas, desk.load(step, "chat", 0).Replicas, must.Sprint(step.View.Version))
+		must.Eq(t, whole.serviceLoad(step, "chat", 0).Replicas, boards.serviceLoad(step, "chat", 0).Replicas, must.Sprint(step.View.Version))
 	}
 }
--- a/process/control/quarantine_states.go
+++ b/process/control/quarantine_states.go
@@ -9,154 +9,161 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
-// advance takes an entry to the state that is due by what is known.
-func (d *quarantineDesk) advance(spec *api.QuarantineSpec, fingerprint quarantine.Fingerprint, current *view.View, now time.Duration, wall time.Time) {
+// advance moves an entry to the state that follows from the table and the time. A request is
+// harmful if its standing in the table is quarantine.Condemned.
+func (d *quarantineTracker) advance(spec *api.QuarantineSpec, fingerprint quarantine.Fingerprint, current *view.View, now time.Duration, wall time.Time) {
 	standing := d.table.Standing(now, fingerprint)
-	isHarmful := standing == quarantine.Condemned && d.hasHeard(now)
+	isHarmful := standing == quarantine.Condemned && d.hasInitialReports(now)
 	switch spec.State {
 	case api.QuarantineTried:
 		switch {
 		case isHarmful:
-			hold(spec, wall)
+			startHold(spec, wall)
 		case d.isAboutToBeHeld(fingerprint, now):
-			settle(spec, wall)
-		case isTriedOut(spec, wall), spec.EndedAtOnce() && !d.isToTry(current, fingerprint):
-			watch(spec, wall) // it hardly comes, or merely stood beside one that is held by now
-		case hasLapsed(spec, wall):
-			try(spec, wall)
+			startSettling(spec, wall)
+		case isTrialOver(spec, wall), spec.EndedAtOnce() && !d.needsTrial(current, fingerprint):
+			startWatch(spec, wall) // it is rarely sent, or was merely in flight beside a request that is now held
+		case isExpired(spec, wall):
+			startTrialTurn(spec, wall)
 		}
 	case api.QuarantineSettling:
 		switch {
 		case isHarmful:
-			hold(spec, wall)
-		case d.isAboutToBeHeld(fingerprint, now), !d.hasHeard(now):
-		case d.isToTry(current, fingerprint):
-			try(spec, wall)
+			startHold(spec, wall)
+		case d.isAboutToBeHeld(fingerprint, now), !d.hasInitialReports(now):
+			// The decision is still to come.
+		case d.needsTrial(current, fingerprint):
+			startTrialTurn(spec, wall)
 		default:
-			watch(spec, wall)
+			startWatch(spec, wall)
 		}
 	case api.QuarantineWatched:
 		switch {
-		case standing != quarantine.Condemned && d.hasHeard(now) && d.isToTry(current, fingerprint):
-			d.tryOrSettle(spec, fingerprint, now, wall)
+		case standing != quarantine.Condemned && d.hasInitialReports(now) && d.needsTrial(current, fingerprint):
+			d.startTrialOrSettle(spec, fingerprint, now, wall)
 		case isHarmful:
-			hold(spec, wall)
+			startHold(spec, wall)
 		}
 	case api.QuarantineHeld:
 		switch {
-		case hasLapsed(spec, wall):
+		case isExpired(spec, wall):
 			d.endHold(spec, fingerprint, current, now, wall)
 		case d.isMistaken(spec, fingerprint, standing):
-			watch(spec, wall)
+			startWatch(spec, wall)
 		}
 	}
 }
 
-// isMistaken reports whether what a request is held for was another one's doing, or its
-// replicas live.
-func (d *quarantineDesk) isMistaken(spec *api.QuarantineSpec, fingerprint quarantine.Fingerprint, standing quarantine.Standing) bool {
-	heard, _ := d.table.Ends(fingerprint)
-	isExplained := len(heard) >= endsToHold(spec) && standing == quarantine.Watched
-	return isExplained || len(spec.Replicas) < endsToHold(spec)
+// isMistaken reports whether a hold is unfounded: another request, which was in flight at the same
+// crashes, explains them, or too few of the replicas have crashed because some turned out to be
+// alive.
+func (d *quarantineTracker) isMistaken(spec *api.QuarantineSpec, fingerprint quarantine.Fingerprint, standing quarantine.Standing) bool {
+	crashed, _ := d.table.Ends(fingerprint)
+	isExplained := len(crashed) >= minCrashesToStayHeld(spec) && standing == quarantine.Watched
+	return isExplained || len(spec.Replicas) < minCrashesToStayHeld(spec)
 }
 
-// endHold ends a hold whose time is over. One more end shows whether the request is still what
-// it was.
-func (d *quarantineDesk) endHold(spec *api.QuarantineSpec, fingerprint quarantine.Fingerprint, current *view.View, now time.Duration, wall time.Time) {
-	watch(spec, wall)
+// endHold ends an expired hold. It keeps quarantine.WatchedEnds crashes, one less than it takes to
+// hold a request, so that a single further one, in a trial or while the request is watched, renews
+// the hold.
+func (d *quarantineTracker) endHold(spec *api.QuarantineSpec, fingerprint quarantine.Fingerprint, current *view.View, now time.Duration, wall time.Time) {
+	startWatch(spec, wall)
 	if routedService(current, spec.Service) != nil {
-		try(spec, wall)
+		startTrialTurn(spec, wall)
 	}
 	spec.Alone, spec.Weak = false, nil
 	spec.Replicas = spec.Replicas[len(spec.Replicas)-quarantine.WatchedEnds:]
 	d.table.Restore(now, fingerprint, quarantine.Record{Replicas: spec.Replicas, About: aboutOf(spec)})
 }
 
-// watch lets a request run and waits for its next end.
-func watch(spec *api.QuarantineSpec, wall time.Time) {
+// startWatch lets a request be sent as usual, and waits for its next crash.
+func startWatch(spec *api.QuarantineSpec, wall time.Time) {
 	spec.State, spec.TriedSince = api.QuarantineWatched, 0
-	spec.Until = wall.Add(watchTime).UnixMilli()
+	spec.Until = wall.Add(watchDuration).UnixMilli()
 }
 
-// isTriedOut reports whether a request was tried for long without an end or an answer.
-func isTriedOut(spec *api.QuarantineSpec, wall time.Time) bool {
-	return spec.State == api.QuarantineTried && wall.Sub(time.UnixMilli(spec.TriedSince)) >= tryTime
+// isTrialOver reports whether a request was tried for trialDuration without a crash or an answer.
+func isTrialOver(spec *api.QuarantineSpec, wall time.Time) bool {
+	return spec.State == api.QuarantineTried && wall.Sub(time.UnixMilli(spec.TriedSince)) >= trialDuration
 }
 
-// endsToHold is how many replicas must have ended under a request that stays held.
-func endsToHold(spec *api.QuarantineSpec) int {
+// minCrashesToStayHeld returns how many crashed replicas a held request must have to stay held. It
+// takes fewer if the request was once the only one in flight at a crash.
+func minCrashesToStayHeld(spec *api.QuarantineSpec) int {
 	if spec.Alone {
 		return quarantine.WatchedEnds
 	}
 	return quarantine.CondemningEnds
 }
 
-// hold holds a request from now on.
-func hold(spec *api.QuarantineSpec, wall time.Time) {
-	length := longestHold
+// startHold holds a request from now on.
+func startHold(spec *api.QuarantineSpec, wall time.Time) {
+	length := maxHoldDuration
 	if spec.Times < 2 {
-		length = firstHold << spec.Times
+		length = firstHoldDuration << spec.Times
 	}
 	spec.State, spec.TriedSince = api.QuarantineHeld, 0
 	spec.Times++
 	spec.Until = wall.Add(length).UnixMilli()
 }
 
-// tryOrSettle lets a request be tried, unless it is about to be held: a trial would end one more
-// replica for nothing.
-func (d *quarantineDesk) tryOrSettle(spec *api.QuarantineSpec, fingerprint quarantine.Fingerprint, now time.Duration, wall time.Time) {
+// startTrialOrSettle starts a trial of a request, unless the request is about to be held: a trial
+// would crash one more replica for nothing.
+func (d *quarantineTracker) startTrialOrSettle(spec *api.QuarantineSpec, fingerprint quarantine.Fingerprint, now time.Duration, wall time.Time) {
 	if d.isAboutToBeHeld(fingerprint, now) {
-		settle(spec, wall)
+		startSettling(spec, wall)
 		return
 	}
-	try(spec, wall)
+	startTrialTurn(spec, wall)
 }
 
-// isAboutToBeHeld reports whether a request is held as soon as the words of bystanders are there.
-func (d *quarantineDesk) isAboutToBeHeld(fingerprint quarantine.Fingerprint, now time.Duration) bool {
-	return d.hasHeard(now) && d.table.IsConvicted(fingerprint)
+// isAboutToBeHeld reports whether a request will be held unless reports that are still expected
+// clear it.
+func (d *quarantineTracker) isAboutToBeHeld(fingerprint quarantine.Fingerprint, now time.Duration) bool {
+	return d.hasInitialReports(now) && d.table.IsConvicted(fingerprint)
 }
 
-// hasHeard reports whether proxies have had the time to tell this leader what they know. Until then
-// it neither holds a request nor begins to try one: it hears of ends and of the good answers that
-// refute them in any order, and a trial refuses all copies but one.
-func (d *quarantineDesk) hasHeard(now time.Duration) bool { return now >= d.judgeFrom }
+// hasInitialReports reports whether proxies have had time to report to this leader what they
+// know. Until then the leader neither holds a request nor starts a trial, which refuses all
+// copies but one, because crashes and the successful answers that refute them are reported in any
+// order.
+func (d *quarantineTracker) hasInitialReports(now time.Duration) bool { return now >= d.decideFrom }
 
-// settle keeps a request from all replicas until the verdict, which comes within a turn.
-func settle(spec *api.QuarantineSpec, wall time.Time) {
+// startSettling refuses a request until the decision, which is made within one turn.
+func startSettling(spec *api.QuarantineSpec, wall time.Time) {
 	if spec.State != api.QuarantineSettling {
 		spec.State = api.QuarantineSettling
-		spec.Until = wall.Add(tryTurn).UnixMilli()
+		spec.Until = wall.Add(trialTurn).UnixMilli()
 	}
 }
 
-// try gives the next proxy its turn.
-func try(spec *api.QuarantineSpec, wall time.Time) {
+// startTrialTurn starts the next proxy's turn.
+func startTrialTurn(spec *api.QuarantineSpec, wall time.Time) {
 	spec.State = api.QuarantineTried
 	if spec.TriedSince == 0 {
 		spec.TriedSince = wall.UnixMilli()
 	}
-	spec.Until = wall.Add(tryTurn).UnixMilli()
+	spec.Until = wall.Add(trialTurn).UnixMilli()
 }
 
-// isToTry reports whether a request is to be tried by one proxy at a time.
-func (d *quarantineDesk) isToTry(current *view.View, fingerprint quarantine.Fingerprint) bool {
+// needsTrial reports whether a request is to be tried by one proxy at a time.
+func (d *quarantineTracker) needsTrial(current *view.View, fingerprint quarantine.Fingerprint) bool {
 	_, about := d.table.Ends(fingerprint)
 	routed := routedService(current, about.Service)
-	// Where requests are placed, the board keeps suspects apart.
+	// Services with a model need no trials: placement runs their suspects on isolated replicas.
 	return d.table.IsTried(fingerprint) && routed != nil && routed.Model == nil
 }
 
-// routedService returns the routed service of the name, or nil. Proxies take turns with the
-// requests of such services only.
+// routedService returns the routed service with the given name, or nil. Proxies take turns only
+// with requests of such services.
 func routedService(current *view.View, service string) *api.RouteService {
-	held := current.Ingresses[api.IngressName]
-	if held == nil {
+	ingress := current.Ingresses[api.IngressName]
+	if ingress == nil {
 		return nil
 	}
-	at := slices.IndexFunc(held.Spec.Services, func(known api.RouteService) bool { return known.Name == service })
+	at := slices.IndexFunc(ingress.Spec.Services, func(known api.RouteService) bool { return known.Name == service })
 	if at < 0 {
 		return nil
 	}
-	return &held.Spec.Services[at]
+	return &ingress.Spec.Services[at]
 }
--- a/process/control/quarantine_suspects.go
+++ b/process/control/quarantine_suspects.go
@@ -13,57 +13,59 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
-// One end under a request tells nothing, and proxies and leader keep it in memory. Where all of
-// them are lost at once, as in a loss of power, a request that ends replicas would begin anew and
-// end as many again. So the latest single ends are on record for a while, for the next leader
-// alone.
+// A single crash under a request proves nothing, and proxies and the leader keep it in memory only.
+// If all of them are lost at once, as in a power failure, a harmful request could crash as many
+// replicas again before it is held. So the latest single crashes are recorded for a short time, for
+// the next leader only.
 
-// Bounds of what is on record as suspect. A replica that ends by itself leaves some requests
-// behind that stood there, and each costs an entry and its way to every daemon.
+// Limits of the recorded suspects.
 const (
-	// suspectRecordTime is how long a single end is on record: callers of what failed come again
-	// within seconds, and all processes are back within some more.
-	suspectRecordTime = time.Minute
-	maxSuspects       = 32
+	// suspectRecordDuration is how long a single crash is recorded: callers retry failed requests
+	// within seconds, and all processes have restarted within some more.
+	suspectRecordDuration = time.Minute
+	// maxSuspects limits the suspects, since each is sent to every daemon: a replica that crashes
+	// by itself makes suspects of all requests that were in flight.
+	maxSuspects = 32
 )
 
-// recordSuspects puts single ends on record that are not yet, the latest first.
-func (d *quarantineDesk) recordSuspects(seen *state.Observe, current *view.View, now time.Duration, wall time.Time) {
+// recordSuspects adds the single crashes that are not recorded yet, the latest first.
+func (d *quarantineTracker) recordSuspects(changes *state.Observe, current *view.View, now time.Duration, wall time.Time) {
 	left := maxSuspects - len(current.Suspects)
 	for _, fingerprint := range d.table.Lone(now) {
 		if left <= 0 {
 			return
 		}
 		name := fingerprint.String()
-		if current.Suspects[name] != nil || current.Quarantines[name] != nil || d.isToTry(current, fingerprint) {
+		if current.Suspects[name] != nil || current.Quarantines[name] != nil || d.needsTrial(current, fingerprint) {
 			continue
 		}
 		left--
 		replicas, about := d.table.Ends(fingerprint)
-		seen.Put = append(seen.Put, api.Object{Suspect: &api.Suspect{Metadata: api.Metadata{Name: name}, Spec: api.SuspectSpec{
+		changes.Put = append(changes.Put, api.Object{Suspect: &api.Suspect{Metadata: api.Metadata{Name: name}, Spec: api.SuspectSpec{
 			Service: about.Service, Route: about.Route, Request: about.Request, Replica: replicas[0],
-			EndedAt: d.since(fingerprint, now, wall), Until: wall.Add(suspectRecordTime).UnixMilli(),
+			EndedAt: d.firstCrashAt(fingerprint, now, wall), Until: wall.Add(suspectRecordDuration).UnixMilli(),
 		}}})
 	}
 }
 
-// reviewSuspects takes suspects off the record that are none any more. What this leader knows of
-// them stays: the record keeps only what would else be lost between leaders.
-func (d *quarantineDesk) reviewSuspects(seen *state.Observe, current *view.View, refuted *refutations, now time.Duration, wall time.Time) {
+// reviewSuspects removes the suspects that are expired, refuted or recorded as quarantines from
+// the record. This leader keeps what it knows of them: the record only holds what would be lost
+// between leaders.
+func (d *quarantineTracker) reviewSuspects(changes *state.Observe, current *view.View, refuted *refutations, now time.Duration, wall time.Time) {
 	for _, name := range slices.Sorted(maps.Keys(current.Suspects)) {
 		fingerprint, ok := quarantine.Parse(name)
 		isOver := wall.UnixMilli() >= current.Suspects[name].Spec.Until
-		isMore := d.table.Standing(now, fingerprint) != quarantine.Free || current.Quarantines[name] != nil
-		if !ok || isOver || isMore || refuted.served[fingerprint] || d.table.CountEnds(fingerprint) == 0 {
-			seen.Removed = append(seen.Removed, api.Key{Kind: api.KindSuspect, Name: name})
+		isRecordedElsewhere := d.table.Standing(now, fingerprint) != quarantine.Free || current.Quarantines[name] != nil
+		if !ok || isOver || isRecordedElsewhere || refuted.served[fingerprint] || d.table.CountEnds(fingerprint) == 0 {
+			changes.Removed = append(changes.Removed, api.Key{Kind: api.KindSuspect, Name: name})
 		}
 	}
 }
 
-// recallSuspects takes the single ends in that are on record when this member begins to lead.
-// The run is taken to have lasted long enough to have been cut off by whatever ended others in
-// that moment.
-func (d *quarantineDesk) recallSuspects(current *view.View, now time.Duration, wall time.Time) {
+// loadSuspects loads the recorded single crashes into the table when this member becomes leader.
+// How long the request had run before the crash is not recorded. AtOnce is therefore assumed: that
+// it had run long enough for its crash to count as one with all other crashes at that moment.
+func (d *quarantineTracker) loadSuspects(current *view.View, now time.Duration, wall time.Time) {
 	for name, known := range current.Suspects {
 		fingerprint, ok := quarantine.Parse(name)
 		if !ok {
@@ -78,7 +80,7 @@
 	}
 }
 
-// logSuspect says that a single end was put on record.
+// logSuspect logs that a single crash was recorded.
 func logSuspect(logger log.Logger, known *api.Suspect, err error) {
 	event.SuspectRecorded.Log(logger, "fingerprint", known.Name, "service", known.Spec.Service, "route", known.Spec.Route,
 		"request", known.Spec.Request, "replica", known.Spec.Replica, "err", err)
