--- a/version/planner/adaptive.go
+++ b/version/planner/adaptive.go
@@ -7,42 +7,42 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// Config sets up the planner. Zero fields take defaults.
+// Config configures the adaptive planner. Zero fields take defaults.
 type Config struct {
 	Rates    Rates
 	Forecast ForecastConfig
-	// ChangeTime is how long a role change takes an engine away, drain not counted.
+	// ChangeTime is how long a role change makes an engine unavailable, without the drain.
 	ChangeTime time.Duration
-	// DrainTime is how long an engine typically takes to finish what it has.
+	// DrainTime is how long an engine typically takes to finish its requests.
 	DrainTime time.Duration
-	// ColdTime is the engine time lost to a cold prefix cache after a change.
-	ColdTime time.Duration
-	// MinStay, FirstStay and MaxStay bound and start the estimate of how long
-	// a mix of work lasts.
-	MinStay   time.Duration
-	FirstStay time.Duration
-	MaxStay   time.Duration
-	// GainRatio is how many times its cost a change must be expected to gain.
-	// Above 1, since both are estimates, and of all moves that seem to pay the
-	// ones whose gain was judged too high are chosen.
+	// CacheWarmupTime is the engine time lost to a cold prefix cache after a change.
+	CacheWarmupTime time.Duration
+	// MinMixDuration and MaxMixDuration bound the estimate of how long a mix of
+	// prompt and output work lasts; InitialMixDuration is its first value.
+	MinMixDuration     time.Duration
+	InitialMixDuration time.Duration
+	MaxMixDuration     time.Duration
+	// GainRatio is the ratio of expected gain to cost that a change must exceed.
+	// It is above 1 because both are estimates, and choosing the best candidate
+	// favors those whose gain is overestimated.
 	GainRatio float64
-	// CoolDown is the least time between two role changes of an intent. It
-	// doubles with each change that soon undoes the one before, up to MaxCoolDown.
+	// CoolDown is the minimum time between two role changes of an intent. It
+	// doubles with each change that soon reverses the previous one, up to MaxCoolDown.
 	CoolDown    time.Duration
 	MaxCoolDown time.Duration
 }
 
 // Defaults of Config.
 const (
-	DefaultChangeTime  = 3 * time.Second
-	DefaultDrainTime   = 8 * time.Second
-	DefaultColdTime    = 2 * time.Second
-	DefaultMinStay     = 45 * time.Second
-	DefaultFirstStay   = 2 * time.Minute
-	DefaultMaxStay     = 10 * time.Minute
-	DefaultCoolDown    = 10 * time.Second
-	DefaultMaxCoolDown = 5 * time.Minute
-	DefaultGainRatio   = 2
+	DefaultChangeTime         = 3 * time.Second
+	DefaultDrainTime          = 8 * time.Second
+	DefaultCacheWarmupTime    = 2 * time.Second
+	DefaultMinMixDuration     = 45 * time.Second
+	DefaultInitialMixDuration = 2 * time.Minute
+	DefaultMaxMixDuration     = 10 * time.Minute
+	DefaultCoolDown           = 10 * time.Second
+	DefaultMaxCoolDown        = 5 * time.Minute
+	DefaultGainRatio          = 2
 )
 
 func (c Config) withDefaults() Config {
@@ -51,10 +51,10 @@
 	setDefault(&c.Forecast.TrendTime, DefaultTrendTime)
 	setDefault(&c.ChangeTime, DefaultChangeTime)
 	setDefault(&c.DrainTime, DefaultDrainTime)
-	setDefault(&c.ColdTime, DefaultColdTime)
-	setDefault(&c.MinStay, DefaultMinStay)
-	setDefault(&c.FirstStay, DefaultFirstStay)
-	setDefault(&c.MaxStay, DefaultMaxStay)
+	setDefault(&c.CacheWarmupTime, DefaultCacheWarmupTime)
+	setDefault(&c.MinMixDuration, DefaultMinMixDuration)
+	setDefault(&c.InitialMixDuration, DefaultInitialMixDuration)
+	setDefault(&c.MaxMixDuration, DefaultMaxMixDuration)
 	if c.GainRatio <= 0 {
 		c.GainRatio = DefaultGainRatio
 	}
@@ -69,81 +69,83 @@
 	}
 }
 
-// New returns the planner: it forecasts the demand of each intent and moves an
-// engine only where the work that the new split is expected to win over the
-// mix's stay exceeds what the change costs.
+// New returns the adaptive planner. It forecasts the demand of each intent and
+// changes an engine's role only where the additional work that the new split is
+// expected to serve while the current mix of work lasts exceeds the cost of the
+// change.
 func New(config Config) Planner {
-	return &policyPlanner{policy: &adaptive{config: config.withDefaults(), memory: map[string]*memory{}}}
+	return &policyPlanner{policy: &adaptive{config: config.withDefaults(), states: map[string]*intentState{}}}
 }
 
-// adaptive is the policy of New.
+// adaptive is the policy of the planner that New returns.
 type adaptive struct {
 	config Config
-	memory map[string]*memory // by intent name
+	states map[string]*intentState // by intent name
 }
 
-// memory is what the policy keeps of one intent between plans. Losing it is
-// harmless: forecasts start anew from the next measurement.
-type memory struct {
-	forecast forecast
-	stay     stayEstimate
-	last     move
-	changed  time.Duration
-	moved    bool
-	coolDown time.Duration
+// intentState is what the policy keeps about one intent between plans. Losing it
+// is harmless: forecasts start again from the next measurement.
+type intentState struct {
+	forecast    forecast
+	mixDuration mixDurationEstimate
+	lastMove    move
+	lastMoveAt  time.Duration
+	moved       bool
+	coolDown    time.Duration
 }
 
-// move is one role change.
+// move is the role change of one engine.
 type move struct {
 	from, to api.EngineRole
 }
 
-func (m move) undoes(other move) bool { return m.from == other.to && m.to == other.from }
+func (m move) reverses(other move) bool { return m.from == other.to && m.to == other.from }
 
-func (a *adaptive) remember(g *group) *memory {
-	kept := a.memory[g.intent.Name]
-	if kept == nil {
-		kept = &memory{
-			forecast: forecast{config: a.config.Forecast},
-			stay:     stayEstimate{expected: a.config.FirstStay, crossed: g.now},
-			coolDown: a.config.CoolDown,
+// updateState adds the measured demand to the intent's state and returns the state.
+func (a *adaptive) updateState(g *group) *intentState {
+	state := a.states[g.intent.Name]
+	if state == nil {
+		state = &intentState{
+			forecast:    forecast{config: a.config.Forecast},
+			mixDuration: mixDurationEstimate{expected: a.config.InitialMixDuration, lastCrossing: g.now},
+			coolDown:    a.config.CoolDown,
 		}
-		a.memory[g.intent.Name] = kept
+		a.states[g.intent.Name] = state
 	}
 	measured := measuredWork(g.demand)
-	elapsed := g.now - kept.forecast.last
-	kept.forecast.update(g.now, measured)
-	kept.stay.update(g.now, elapsed, a.config.Rates.prefillShare(measured))
-	return kept
+	elapsed := g.now - state.forecast.lastUpdate
+	state.forecast.update(g.now, measured)
+	state.mixDuration.update(g.now, elapsed, a.config.Rates.prefillShare(measured))
+	return state
 }
 
 // target implements policy.
 func (a *adaptive) target(g *group) (Split, string) {
-	kept := a.remember(g)
-	current := g.split()
-	if missing := g.capacity() - current.Total(); missing > 0 {
-		return a.extend(g, current, missing, kept), "first assignment"
+	state := a.updateState(g)
+	current := g.currentSplit()
+	if missing := g.assignableCount() - current.Total(); missing > 0 {
+		return a.assignUnassigned(g, current, missing, state), "first assignment"
 	}
-	if g.budget() == 0 || kept.moved && g.now-kept.changed < kept.coolDown {
+	if g.availableBudget() == 0 || state.moved && g.now-state.lastMoveAt < state.coolDown {
 		return current, ""
 	}
-	choice, found := a.choose(g, current, kept)
+	best, found := a.bestMove(g, current, state)
 	if !found {
 		return current, ""
 	}
-	a.note(g.now, kept, choice.next)
-	return current.with(choice.next.from, -1).with(choice.next.to, 1), choice.reason
+	a.recordMove(g.now, state, best.move)
+	return current.with(best.move.from, -1).with(best.move.to, 1), best.reason
 }
 
-// nominalWork stands in for the demand while none is known.
-var nominalWork = work{requests: 10, prompt: 5000, read: 10000, output: 1000}
+// defaultWork is used in place of the demand while none was measured.
+var defaultWork = work{requests: 10, uncachedPrompt: 5000, totalPrompt: 10000, output: 1000}
 
-// extend gives roles to engines that have none, one at a time, each the role
-// in which it adds most.
-func (a *adaptive) extend(g *group, current Split, missing int, kept *memory) Split {
-	expected := kept.forecast.at(a.config.ChangeTime)
-	if a.config.Rates.engines(expected) == 0 {
-		expected = nominalWork
+// assignUnassigned returns the current split with roles added for the engines that
+// have none, one engine at a time, each with the role in which it adds most.
+func (a *adaptive) assignUnassigned(g *group, current Split, missing int, state *intentState) Split {
+	expected := state.forecast.predict(a.config.ChangeTime)
+	if a.config.Rates.requiredEngines(expected) == 0 {
+		expected = defaultWork
 	}
 	for range missing {
 		best, most := api.RoleNone, -1.0
@@ -151,7 +153,7 @@
 			if !g.allows(role) {
 				continue
 			}
-			served := a.potential(current.with(role, 1), expected)
+			served := a.partialSplitValue(current.with(role, 1), expected)
 			if served > most {
 				best, most = role, served
 			}
@@ -161,73 +163,76 @@
 	return current
 }
 
-// potential values a split that is not complete yet: what it serves, and a
-// little for the scarcer of the two kinds of work, so that neither is left out.
-func (a *adaptive) potential(split Split, w work) float64 {
+// partialSplitValue rates a split that may lack a role still: the work that it can
+// serve, plus a small bonus for its coverage of the scarcer of prompt and output
+// work, so that both roles get engines.
+func (a *adaptive) partialSplitValue(split Split, w work) float64 {
 	balance := min(
-		share(float64(split.Prefill+split.Mixed), a.config.Rates.prefillEngines(w)),
-		share(float64(split.Decode+split.Mixed), a.config.Rates.decodeEngines(w)),
+		coverage(float64(split.Prefill+split.Mixed), a.config.Rates.requiredPrefillEngines(w)),
+		coverage(float64(split.Decode+split.Mixed), a.config.Rates.requiredDecodeEngines(w)),
 	)
-	return a.config.Rates.served(split, w) + 1e-3*balance
+	return a.config.Rates.servableWork(split, w) + 1e-3*balance
 }
 
-// choice is a move that pays.
-type choice struct {
-	next   move
+// moveChoice is a move whose expected gain exceeds its cost.
+type moveChoice struct {
+	move   move
 	reason string
 }
 
-// choose looks for the split whose gain over the expected stay most exceeds the
-// cost of the moves to it, and returns the first of these moves.
-func (a *adaptive) choose(g *group, current Split, kept *memory) (choice, bool) {
-	stay := min(max(kept.stay.expected, a.config.MinStay), a.config.MaxStay)
-	expected := kept.forecast.at(a.config.DrainTime + a.config.ChangeTime + stay/4)
-	expected.prompt += g.demand.QueuedPromptTokens / stay.Seconds()
-	now := a.config.Rates.served(current, expected)
+// bestMove finds the split whose gain over the expected duration of the mix most
+// exceeds the cost of the moves that lead to it, and returns the first of these
+// moves. It returns false where no split is worth its cost.
+func (a *adaptive) bestMove(g *group, current Split, state *intentState) (moveChoice, bool) {
+	duration := min(max(state.mixDuration.expected, a.config.MinMixDuration), a.config.MaxMixDuration)
+	expected := state.forecast.predict(a.config.DrainTime + a.config.ChangeTime + duration/4)
+	expected.uncachedPrompt += g.demand.QueuedPromptTokens / duration.Seconds()
+	servedNow := a.config.Rates.servableWork(current, expected)
 
 	best, bestNet, bestGain, bestCost := current, 0.0, 0.0, 0.0
-	for _, candidate := range candidates(current, g.allows) {
-		gain := (a.config.Rates.served(candidate, expected) - now) * stay.Seconds()
+	for _, candidate := range candidateSplits(current, g.allows) {
+		gain := (a.config.Rates.servableWork(candidate, expected) - servedNow) * duration.Seconds()
 		if gain <= bestNet {
 			continue
 		}
-		cost := a.cost(g, current, candidate, expected)
+		cost := a.moveCost(g, current, candidate, expected)
 		if gain > a.config.GainRatio*cost && gain-cost > bestNet {
 			best, bestNet, bestGain, bestCost = candidate, gain-cost, gain, cost
 		}
 	}
 	if best == current {
-		return choice{}, false
+		return moveChoice{}, false
 	}
 	reason := fmt.Sprintf("expect %.0f prompt and %.0f output tokens/s; %s gains %.0f engine-seconds over %s, costs %.0f",
-		expected.prompt, expected.output, best, bestGain, stay.Round(time.Second), bestCost)
-	return choice{next: a.firstMove(current, best, expected), reason: reason}, true
+		expected.uncachedPrompt, expected.output, best, bestGain, duration.Round(time.Second), bestCost)
+	return moveChoice{move: a.firstMoveToward(current, best, expected), reason: reason}, true
 }
 
-// cost is the engine-seconds that the moves to a split cost: the work not
-// served while each engine is away, its cold cache, and the intent's own weight.
-func (a *adaptive) cost(g *group, current, candidate Split, expected work) float64 {
+// moveCost returns the cost in engine-seconds of the moves that lead to a split:
+// the work not served while each engine is unavailable, its cold prefix cache, and
+// the intent's ChangeCost.
+func (a *adaptive) moveCost(g *group, current, candidate Split, expected work) float64 {
 	moves := float64(current.Moves(candidate))
-	away := (a.config.DrainTime/2 + a.config.ChangeTime).Seconds()
-	now := a.config.Rates.served(current, expected)
-	lost := 0.0
+	unavailable := (a.config.DrainTime/2 + a.config.ChangeTime).Seconds()
+	servedNow := a.config.Rates.servableWork(current, expected)
+	lostWork := 0.0
 	for _, role := range splitRoles {
 		if current.Of(role) > candidate.Of(role) {
-			lost = max(lost, now-a.config.Rates.served(current.with(role, -1), expected))
+			lostWork = max(lostWork, servedNow-a.config.Rates.servableWork(current.with(role, -1), expected))
 		}
 	}
-	return moves * (lost*away + a.config.ColdTime.Seconds() + g.intent.Spec.ChangeCost)
+	return moves * (lostWork*unavailable + a.config.CacheWarmupTime.Seconds() + g.intent.Spec.ChangeCost)
 }
 
-// firstMove is the move towards a split after which most work is served.
-func (a *adaptive) firstMove(current, target Split, expected work) move {
+// firstMoveToward returns the move toward a split after which most work can be served.
+func (a *adaptive) firstMoveToward(current, target Split, expected work) move {
 	best, most := move{}, -1.0
 	for _, from := range splitRoles {
 		for _, to := range splitRoles {
 			if current.Of(from) <= target.Of(from) || current.Of(to) >= target.Of(to) {
 				continue
 			}
-			served := a.potential(current.with(from, -1).with(to, 1), expected)
+			served := a.partialSplitValue(current.with(from, -1).with(to, 1), expected)
 			if served > most {
 				best, most = move{from, to}, served
 			}
@@ -236,16 +241,17 @@
 	return best
 }
 
-// note records a change and bounds flapping: a change that undoes the one
-// before within MinStay doubles the cool-down, and only a change long after the
-// one before resets it.
-func (a *adaptive) note(now time.Duration, kept *memory, next move) {
-	since := now - kept.changed
+// recordMove records a role change and bounds flapping. A change that reverses the
+// previous one within MinMixDuration, or within twice the cool-down if that is
+// longer, doubles the cool-down; a change later than MaxMixDuration and twice the
+// cool-down resets it.
+func (a *adaptive) recordMove(now time.Duration, state *intentState, next move) {
+	since := now - state.lastMoveAt
 	switch {
-	case kept.moved && next.undoes(kept.last) && since < max(a.config.MinStay, 2*kept.coolDown):
-		kept.coolDown = min(2*kept.coolDown, a.config.MaxCoolDown)
-	case since > max(a.config.MaxStay, 2*kept.coolDown):
-		kept.coolDown = a.config.CoolDown
+	case state.moved && next.reverses(state.lastMove) && since < max(a.config.MinMixDuration, 2*state.coolDown):
+		state.coolDown = min(2*state.coolDown, a.config.MaxCoolDown)
+	case since > max(a.config.MaxMixDuration, 2*state.coolDown):
+		state.coolDown = a.config.CoolDown
 	}
-	kept.last, kept.changed, kept.moved = next, now, true
+	state.lastMove, state.lastMoveAt, state.moved = next, now, true
 }
--- a/version/planner/balance.go
+++ b/version/planner/balance.go
@@ -7,192 +7,200 @@
 	"time"
 )
 
-// ReplicaLoad is what is known of one replica of a routed service.
+// ReplicaLoad is the role and load of one replica of a routed service.
 type ReplicaLoad struct {
 	Name string
 	Zone string
-	// Reads is true for a replica that reads prompts for others, false for one
-	// that makes tokens.
+	// Reads is true for a replica in the prefill role, which processes prompts for
+	// others, false for one in the decode role, which generates tokens.
 	Reads bool
-	// Running counts the requests that make tokens there, Slots the places for
-	// them, 0 if not known; Queued the prompts that wait to be read.
+	// Running is the number of requests in decode on the replica and Slots the
+	// number it has room for, 0 if unknown. Queued is the number of prompts that
+	// wait for prefill.
 	Running int
 	Slots   int
 	Queued  int
-	// Changing is true for a replica that was told to change its part.
+	// Changing is true for a replica that is changing its role.
 	Changing bool
 }
 
-// ServiceLoad is what the placement of one service's requests has shown lately.
+// ServiceLoad is the recent load of one service, as seen by the placement of its requests.
 type ServiceLoad struct {
 	Replicas []ReplicaLoad
-	// Requests weighs what Late is the share of: the requests that could not be
-	// placed so that their first token comes in time.
+	// Requests is the weight of the recent requests. Late is the share of them that
+	// could not be placed so that their first token meets its objective.
 	Requests float64
 	Late     float64
-	// Starting is the part of the objective that a prompt which was read and moved
-	// takes to its first token.
+	// Starting is the time from the end of prefill and transfer to the first token,
+	// as a share of the first-token objective.
 	Starting float64
-	// Settled is true once no replica was told to read for ReversalPause.
+	// Settled is true once no replica was moved to prefill for ReversalPause.
 	Settled bool
 }
 
-// Readers counts the replicas that read prompts, Changing those that change.
+// Readers returns the number of prefill replicas, without those that are changing their role.
 func (l *ServiceLoad) Readers() int {
 	return l.count(func(r ReplicaLoad) bool { return r.Reads && !r.Changing })
 }
 
-// Changing counts the replicas that were told to change their part.
+// Changing returns the number of replicas that are changing their role.
 func (l *ServiceLoad) Changing() int {
 	return l.count(func(r ReplicaLoad) bool { return r.Changing })
 }
 
-func (l *ServiceLoad) count(counts func(ReplicaLoad) bool) int {
+func (l *ServiceLoad) count(match func(ReplicaLoad) bool) int {
 	total := 0
 	for _, replica := range l.Replicas {
-		if counts(replica) {
+		if match(replica) {
 			total++
 		}
 	}
 	return total
 }
 
-// PartChange is one replica that is to take the other part.
-type PartChange struct {
+// RoleChange moves one replica to the other role: prefill if Reads is true, else decode.
+type RoleChange struct {
 	Replica string
 	Reads   bool
 }
 
-// ReversalPause is how long after the last change to reading no replica is taken
-// back: demand comes in waves, and each change costs seconds of a replica.
+// ReversalPause is how long after the last change to prefill no prefill replica is
+// moved back for high decode occupancy: demand comes in waves, and each change costs
+// seconds of a replica.
 const ReversalPause = 20 * time.Second
 
-// Bounds of Balance.
+// Thresholds and limits of Balance.
 const (
-	// leastRequests is how many requests must have been seen lately: fewer tell little.
-	leastRequests = 150
-	// lateToRead is the share of late requests from which reading wants more replicas.
-	lateToRead = 0.15
-	// calmShare is the share of late requests below which a reader can be spared.
-	calmShare = 0.02
-	// slowStart is the part of the objective from which prompts that are read wait
-	// too long for the generators; before a change to reading it is half of that.
-	slowStart = 0.6
-	// keptGenerators is the part of the replicas that goes on making tokens.
-	keptGenerators = 1.0 / 3
-	// fullGenerators is the occupancy from which making tokens wants more replicas;
-	// after a change to reading the others may be half as full.
-	fullGenerators = 0.75
-	halfGenerators = 0.5
-	// awayShare is the part of the replicas that may change at once.
-	awayShare = 1.0 / 4
+	// minRequests is the weight of recent requests below which the shares are too noisy.
+	minRequests = 150
+	// morePrefillLateShare is the share of late requests from which replicas move to prefill.
+	morePrefillLateShare = 0.15
+	// sparePrefillLateShare is the share of late requests up to which a prefill replica
+	// can be spared.
+	sparePrefillLateShare = 0.02
+	// slowDecodeStart is the share of the objective from which requests wait too long for
+	// decode after their prefill. Replicas move to prefill only up to half of it.
+	slowDecodeStart = 0.6
+	// minDecodeShare is the share of the replicas that stays in the decode role.
+	minDecodeShare = 1.0 / 3
+	// moreDecodeOccupancy is the occupancy of the decode slots above which a replica moves
+	// to decode; after moves to prefill the remaining ones may be filled only to
+	// maxDecodeOccupancyAfterChange.
+	moreDecodeOccupancy           = 0.75
+	maxDecodeOccupancyAfterChange = 0.5
+	// maxChangingShare is the share of the replicas that may change their role at once.
+	maxChangingShare = 1.0 / 4
 )
 
-// Balance decides which replicas take the other part. A change takes a replica
-// away for seconds and its memory with it, so it is made only where the waits for
-// reading show that prompts are what binds, or slow starts and full places that
-// tokens are.
+// Balance decides which replicas change their role. A change makes a replica
+// unavailable for seconds and loses its KV cache, so it is made only where late
+// requests show that prefill is the bottleneck, or slow decode starts or occupied
+// decode slots show that decode is.
 //
-// Invariants: of each part one replica is left in every zone that has it, a third of
-// all go on making tokens, and no more than a quarter are away at once, or one.
-func Balance(load ServiceLoad) []PartChange {
-	if load.Requests < leastRequests {
+// Invariants: each role keeps one replica in every zone that has one, a third of all
+// replicas stay in the decode role, and at most a quarter of them, or one if that is
+// more, change at once.
+func Balance(load ServiceLoad) []RoleChange {
+	if load.Requests < minRequests {
 		return nil
 	}
-	by := newParts(load.Replicas)
+	byRole := groupByRole(load.Replicas)
 	switch {
-	case load.Starting >= slowStart:
-		return by.toGenerating()
-	case load.Late >= lateToRead && load.Starting <= slowStart/2:
-		return by.toReading()
-	case load.Settled && load.Late <= calmShare && by.occupancy(0) > fullGenerators:
-		return by.toGenerating()
+	case load.Starting >= slowDecodeStart:
+		return byRole.changeToDecode()
+	case load.Late >= morePrefillLateShare && load.Starting <= slowDecodeStart/2:
+		return byRole.changesToPrefill()
+	case load.Settled && load.Late <= sparePrefillLateShare && byRole.decodeOccupancy(0) > moreDecodeOccupancy:
+		return byRole.changeToDecode()
 	default:
 		return nil
 	}
 }
 
-// parts is the replicas of one service by their parts.
-type parts struct {
-	total      int
-	changing   int
-	readers    []ReplicaLoad
-	generators []ReplicaLoad
+// replicasByRole holds the replicas of one service by their roles.
+type replicasByRole struct {
+	total    int
+	changing int
+	prefill  []ReplicaLoad
+	decode   []ReplicaLoad
 }
 
-func newParts(replicas []ReplicaLoad) *parts {
-	p := &parts{total: len(replicas)}
+func groupByRole(replicas []ReplicaLoad) *replicasByRole {
+	p := &replicasByRole{total: len(replicas)}
 	for _, replica := range replicas {
 		switch {
 		case replica.Changing:
 			p.changing++
 		case replica.Reads:
-			p.readers = append(p.readers, replica)
+			p.prefill = append(p.prefill, replica)
 		default:
-			p.generators = append(p.generators, replica)
+			p.decode = append(p.decode, replica)
 		}
 	}
 	return p
 }
 
-// mayLeave is how many replicas may be taken away now.
-func (p *parts) mayLeave() int {
-	return max(int(float64(p.total)*awayShare), 1) - p.changing
+// changeAllowance returns how many more replicas may change their role now.
+func (p *replicasByRole) changeAllowance() int {
+	return max(int(float64(p.total)*maxChangingShare), 1) - p.changing
 }
 
-// occupancy is the part of the generators' places that would be taken without so
-// many of them; 0 where no places are known.
-func (p *parts) occupancy(without int) float64 {
+// decodeOccupancy returns the share of the decode slots that would be occupied if the
+// given number of decode replicas were removed; 0 where no slots are known.
+func (p *replicasByRole) decodeOccupancy(removed int) float64 {
 	running, slots := 0, 0
-	for _, generator := range p.generators {
-		running += generator.Running
-		slots += generator.Slots
+	for _, replica := range p.decode {
+		running += replica.Running
+		slots += replica.Slots
 	}
-	left := len(p.generators) - without
-	if slots == 0 || left <= 0 {
+	remaining := len(p.decode) - removed
+	if slots == 0 || remaining <= 0 {
 		return 0
 	}
-	return float64(running) * float64(len(p.generators)) / (float64(slots) * float64(left))
+	return float64(running) * float64(len(p.decode)) / (float64(slots) * float64(remaining))
 }
 
-func (p *parts) toReading() []PartChange {
-	kept := int(math.Ceil(float64(p.total) * keptGenerators))
-	var changes []PartChange
-	for len(changes) < p.mayLeave() && len(p.generators)-len(changes) > kept && p.occupancy(len(changes)+1) <= halfGenerators {
-		chosen := leastMissed(p.generators, changes, func(r ReplicaLoad) int { return r.Running })
+// changesToPrefill returns as many moves to prefill as the limits allow.
+func (p *replicasByRole) changesToPrefill() []RoleChange {
+	minDecode := int(math.Ceil(float64(p.total) * minDecodeShare))
+	var changes []RoleChange
+	for len(changes) < p.changeAllowance() && len(p.decode)-len(changes) > minDecode && p.decodeOccupancy(len(changes)+1) <= maxDecodeOccupancyAfterChange {
+		chosen := leastLoadedInLargestZone(p.decode, changes, func(r ReplicaLoad) int { return r.Running })
 		if chosen == "" {
 			break
 		}
-		changes = append(changes, PartChange{Replica: chosen, Reads: true})
+		changes = append(changes, RoleChange{Replica: chosen, Reads: true})
 	}
 	return changes
 }
 
-func (p *parts) toGenerating() []PartChange {
-	if p.mayLeave() < 1 {
+// changeToDecode returns one move to decode, none where the limits forbid it.
+func (p *replicasByRole) changeToDecode() []RoleChange {
+	if p.changeAllowance() < 1 {
 		return nil
 	}
-	chosen := leastMissed(p.readers, nil, func(r ReplicaLoad) int { return r.Queued })
+	chosen := leastLoadedInLargestZone(p.prefill, nil, func(r ReplicaLoad) int { return r.Queued })
 	if chosen == "" {
 		return nil
 	}
-	return []PartChange{{Replica: chosen, Reads: false}}
+	return []RoleChange{{Replica: chosen, Reads: false}}
 }
 
-// leastMissed returns the replica with the least work in the zone that has most
-// of the part, empty where each zone has only one left.
-func leastMissed(replicas []ReplicaLoad, gone []PartChange, work func(ReplicaLoad) int) string {
-	left := slices.DeleteFunc(slices.Clone(replicas), func(r ReplicaLoad) bool {
-		return slices.ContainsFunc(gone, func(change PartChange) bool { return change.Replica == r.Name })
+// leastLoadedInLargestZone returns the name of the replica with the least work in the
+// zone that has most of the replicas, not counting those that already change. It is
+// empty where each zone has only one left.
+func leastLoadedInLargestZone(replicas []ReplicaLoad, changes []RoleChange, work func(ReplicaLoad) int) string {
+	remaining := slices.DeleteFunc(slices.Clone(replicas), func(r ReplicaLoad) bool {
+		return slices.ContainsFunc(changes, func(change RoleChange) bool { return change.Replica == r.Name })
 	})
 	inZone := map[string]int{}
-	for _, replica := range left {
+	for _, replica := range remaining {
 		inZone[replica.Zone]++
 	}
-	if len(left) == 0 {
+	if len(remaining) == 0 {
 		return ""
 	}
-	best := slices.MinFunc(left, func(a, b ReplicaLoad) int {
+	best := slices.MinFunc(remaining, func(a, b ReplicaLoad) int {
 		return cmp.Or(cmp.Compare(inZone[b.Zone], inZone[a.Zone]), cmp.Compare(work(a), work(b)), cmp.Compare(a.Name, b.Name))
 	})
 	if inZone[best.Zone] < 2 {
--- a/version/planner/balance_test.go
+++ b/version/planner/balance_test.go
@@ -8,12 +8,12 @@
 	"pgregory.net/rapid"
 )
 
-// replicasOf has readers and generators over three zones, with the occupancy of
-// each generator's eight places.
-func replicasOf(readers, generators, running int) []ReplicaLoad {
+// testReplicas returns prefill and decode replicas over three zones. Each decode replica
+// has eight slots, of which the given number is occupied.
+func testReplicas(prefill, decode, running int) []ReplicaLoad {
 	var replicas []ReplicaLoad
-	for i := range readers + generators {
-		replica := ReplicaLoad{Name: fmt.Sprintf("r-%02d", i), Zone: fmt.Sprint("zone-", i%3), Slots: 8, Reads: i < readers}
+	for i := range prefill + decode {
+		replica := ReplicaLoad{Name: fmt.Sprintf("r-%02d", i), Zone: fmt.Sprint("zone-", i%3), Slots: 8, Reads: i < prefill}
 		if !replica.Reads {
 			replica.Running = running
 		}
@@ -22,19 +22,19 @@
 	return replicas
 }
 
-func TestLateReadsMoveReplicasToReading(t *testing.T) {
+func TestBalanceMovesReplicasToPrefillWhenLate(t *testing.T) {
 	cases := []struct {
 		name    string
 		load    ServiceLoad
 		changes int
 	}{
-		{"late", ServiceLoad{Replicas: replicasOf(4, 8, 1), Requests: 200, Late: 0.4}, 3},
-		{"in time", ServiceLoad{Replicas: replicasOf(4, 8, 1), Requests: 200, Late: 0.05}, 0},
-		{"too few requests to tell", ServiceLoad{Replicas: replicasOf(4, 8, 1), Requests: 10, Late: 1}, 0},
-		{"starts are slow already", ServiceLoad{Replicas: replicasOf(4, 8, 1), Requests: 200, Late: 0.4, Starting: 0.4}, 0},
-		{"a third makes tokens", ServiceLoad{Replicas: replicasOf(8, 4, 1), Requests: 200, Late: 0.4}, 0},
-		{"the generators are needed", ServiceLoad{Replicas: replicasOf(4, 8, 4), Requests: 200, Late: 0.4}, 0},
-		{"nobody makes tokens otherwise", ServiceLoad{Replicas: replicasOf(0, 1, 0), Requests: 200, Late: 1}, 0},
+		{"late", ServiceLoad{Replicas: testReplicas(4, 8, 1), Requests: 200, Late: 0.4}, 3},
+		{"in time", ServiceLoad{Replicas: testReplicas(4, 8, 1), Requests: 200, Late: 0.05}, 0},
+		{"too few requests to tell", ServiceLoad{Replicas: testReplicas(4, 8, 1), Requests: 10, Late: 1}, 0},
+		{"decode starts are slow already", ServiceLoad{Replicas: testReplicas(4, 8, 1), Requests: 200, Late: 0.4, Starting: 0.4}, 0},
+		{"only a third is in decode", ServiceLoad{Replicas: testReplicas(8, 4, 1), Requests: 200, Late: 0.4}, 0},
+		{"decode is occupied", ServiceLoad{Replicas: testReplicas(4, 8, 4), Requests: 200, Late: 0.4}, 0},
+		{"the only decode replica", ServiceLoad{Replicas: testReplicas(0, 1, 0), Requests: 200, Late: 1}, 0},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -47,27 +47,28 @@
 	}
 }
 
-func TestFullGeneratorsTakeAReaderBack(t *testing.T) {
-	load := ServiceLoad{Replicas: replicasOf(6, 6, 7), Requests: 200, Late: 0}
-	must.SliceEmpty(t, Balance(load), must.Sprint("replicas were told to read not long ago"))
+func TestBalanceReturnsReplicaToDecodeWhenOccupied(t *testing.T) {
+	load := ServiceLoad{Replicas: testReplicas(6, 6, 7), Requests: 200, Late: 0}
+	must.SliceEmpty(t, Balance(load), must.Sprint("replicas were moved to prefill recently"))
 	load.Settled = true
 	changes := Balance(load)
 	must.SliceLen(t, 1, changes)
 	must.False(t, changes[0].Reads)
 	load.Late = 0.1
-	must.SliceEmpty(t, Balance(load), must.Sprint("reading has nothing to spare"))
+	must.SliceEmpty(t, Balance(load), must.Sprint("prefill has no replica to spare"))
 }
 
-// Where read prompts wait for the generators, one reader helps them at once.
-func TestSlowStartsTakeAReaderBack(t *testing.T) {
-	load := ServiceLoad{Replicas: replicasOf(6, 3, 1), Requests: 200, Late: 0.4, Starting: 0.7}
+// Where requests wait for decode after their prefill, one prefill replica moves to decode
+// even if requests are late.
+func TestBalanceReturnsReplicaToDecodeWhenStartsAreSlow(t *testing.T) {
+	load := ServiceLoad{Replicas: testReplicas(6, 3, 1), Requests: 200, Late: 0.4, Starting: 0.7}
 	changes := Balance(load)
 	must.SliceLen(t, 1, changes)
 	must.False(t, changes[0].Reads)
 }
 
-// Whatever is observed, no zone loses the last of a part, enough go on making
-// tokens, few are away at once, and nobody is told twice.
+// For any load, no zone loses the last replica of a role, at most a quarter of the
+// replicas change at once, and no replica is chosen twice or while it is changing.
 func TestBalanceLeavesEnough(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var load ServiceLoad
@@ -86,28 +87,28 @@
 		load.Starting = rapid.Float64Range(0, 1).Draw(t, "starting")
 		load.Settled = rapid.Bool().Draw(t, "settled")
 		changes := Balance(load)
-		told := map[string]bool{}
+		changed := map[string]bool{}
 		for _, change := range changes {
-			must.False(t, told[change.Replica])
-			told[change.Replica] = true
+			must.False(t, changed[change.Replica])
+			changed[change.Replica] = true
 		}
 		if len(changes) == 0 {
 			return
 		}
 		must.LessEq(t, max(len(load.Replicas)/4, 1), load.Changing()+len(changes))
-		left := map[string]int{}
+		remaining := map[string]int{}
 		for _, replica := range load.Replicas {
-			part := fmt.Sprint(replica.Zone, replica.Reads)
-			if told[replica.Name] {
+			zoneAndRole := fmt.Sprint(replica.Zone, replica.Reads)
+			if changed[replica.Name] {
 				must.False(t, replica.Changing)
 				must.NotEq(t, changes[0].Reads, replica.Reads)
-				left[part] += 0
+				remaining[zoneAndRole] += 0
 			} else if !replica.Changing {
-				left[part]++
+				remaining[zoneAndRole]++
 			}
 		}
-		for part, count := range left {
-			must.Greater(t, 0, count, must.Sprint(part))
+		for zoneAndRole, count := range remaining {
+			must.Greater(t, 0, count, must.Sprint(zoneAndRole))
 		}
 	})
 }
--- a/version/planner/baseline.go
+++ b/version/planner/baseline.go
@@ -7,14 +7,14 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// StaticConfig sets up the static baseline.
+// StaticConfig configures the static baseline.
 type StaticConfig struct {
-	// PrefillShare is the share of engines that are prefill engines, the rest
-	// being decode engines. 0 makes all engines mixed.
+	// PrefillShare is the share of engines that get the prefill role; the others
+	// get the decode role. 0 makes all engines mixed.
 	PrefillShare float64
 }
 
-// NewStatic returns a planner that gives out a fixed split and then changes no role.
+// NewStatic returns a planner that assigns a fixed split once and then changes no role.
 func NewStatic(config StaticConfig) Planner {
 	return &policyPlanner{policy: &static{config: config}}
 }
@@ -24,36 +24,36 @@
 }
 
 func (s *static) target(g *group) (Split, string) {
-	total := g.capacity()
+	total := g.assignableCount()
 	if s.config.PrefillShare == 0 || !g.allows(api.RolePrefill) || !g.allows(api.RoleDecode) {
-		return fixedTarget(g, total), "fixed split"
+		return defaultTarget(g, total), "fixed split"
 	}
-	current := g.split()
+	current := g.currentSplit()
 	if current.Total() == total {
-		return current, "fixed split" // an engine lost or back is no reason to change another's role
+		return current, "fixed split" // the loss or return of an engine does not change the roles of others
 	}
-	return proportional(total, s.config.PrefillShare), "fixed split"
+	return proportionalSplit(total, s.config.PrefillShare), "fixed split"
 }
 
-// fixedTarget is the split for intents that leave no choice: mixed if
-// permitted, else the permitted roles in halves.
-func fixedTarget(g *group, total int) Split {
+// defaultTarget returns the split that doesn't depend on the demand: all mixed if
+// permitted, else the one permitted role, else half prefill and half decode.
+func defaultTarget(g *group, total int) Split {
 	if g.allows(api.RoleMixed) {
 		return Split{Mixed: total}
 	}
 	if len(g.intent.Spec.Roles) == 1 {
 		return Split{}.with(g.intent.Spec.Roles[0], total)
 	}
-	return proportional(total, 0.5)
+	return proportionalSplit(total, 0.5)
 }
 
-// ThresholdConfig sets up the threshold baseline. Zero fields take defaults.
+// ThresholdConfig configures the threshold baseline. Zero fields take defaults.
 type ThresholdConfig struct {
 	Rates Rates
-	// Band is by how many engines the balance of the measured demand must
-	// differ from the split before an engine is moved.
+	// Band is the number of engines by which the prefill engines that the measured
+	// demand calls for must differ from the current ones before one is moved.
 	Band float64
-	// CoolDown is the least time between two changes of an intent.
+	// CoolDown is the minimum time between two role changes of an intent.
 	CoolDown time.Duration
 }
 
@@ -63,9 +63,9 @@
 	DefaultThresholdCoolDown = 20 * time.Second
 )
 
-// NewThreshold returns a planner that follows the measured balance of prompt
-// and output work with hysteresis: as soon as it differs from the split by
-// more than a band, one engine is moved.
+// NewThreshold returns a planner that follows the measured ratio of prompt to output
+// work with hysteresis: when the split that it calls for differs from the current one
+// by more than Band, one engine is moved.
 func NewThreshold(config ThresholdConfig) Planner {
 	config.Rates = config.Rates.withDefaults()
 	if config.Band == 0 {
@@ -79,35 +79,35 @@
 
 type threshold struct {
 	config  ThresholdConfig
-	changed map[string]time.Duration // by intent, when the last change was asked for
+	changed map[string]time.Duration // time of the last role change, by intent name
 }
 
 func (t *threshold) target(g *group) (Split, string) {
-	total := g.capacity()
+	total := g.assignableCount()
 	if total < 2 || !g.allows(api.RolePrefill) || !g.allows(api.RoleDecode) {
-		return fixedTarget(g, total), "no choice of roles"
+		return defaultTarget(g, total), "no choice of roles"
 	}
 	work := measuredWork(g.demand)
-	share := t.config.Rates.prefillShare(work)
-	current := g.split()
+	prefillShare := t.config.Rates.prefillShare(work)
+	current := g.currentSplit()
 	if current.Total() < total || current.Mixed > 0 {
-		return proportional(total, share), "first split"
+		return proportionalSplit(total, prefillShare), "first split"
 	}
-	wanted := share * float64(total)
+	wanted := prefillShare * float64(total)
 	offset := wanted - float64(current.Prefill)
-	target := proportional(total, share)
+	target := proportionalSplit(total, prefillShare)
 	if offset*offset < t.config.Band*t.config.Band || target == current {
 		return current, ""
 	}
 	last, changed := t.changed[g.intent.Name]
-	if g.budget() == 0 || changed && g.now-last < t.config.CoolDown {
+	if g.availableBudget() == 0 || changed && g.now-last < t.config.CoolDown {
 		return current, ""
 	}
 	t.changed[g.intent.Name] = g.now
 	return current.toward(target), fmt.Sprintf("prompt work is worth %.1f engines, has %d", wanted, current.Prefill)
 }
 
-// toward returns the split one move nearer to a target.
+// toward returns the split after one move toward a target.
 func (s Split) toward(target Split) Split {
 	for _, from := range splitRoles {
 		for _, to := range splitRoles {
--- a/version/planner/capacity.go
+++ b/version/planner/capacity.go
@@ -7,60 +7,62 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// How many replicas of a service each zone is to have, and of which kind. Those that may be
-// withdrawn cost a part of those that last, and go all at once in a zone. So most are of the
-// cheaper kind, spread evenly over the zones, and so many that the loss of any one zone's
-// leaves what was found to be enough; a base in each zone lasts.
+// Capacity plans set how many replicas of a service each zone should have, and of which
+// kind. Withdrawable replicas cost a fraction of lasting ones, but the platform may withdraw
+// all those of a zone at once. So most replicas are withdrawable, spread evenly over the
+// zones, and so many that the number found at first remains after the loss of any one zone's;
+// a base in each zone is lasting.
 const (
-	// lastingShare is the part of a zone's found replicas that lasts in any case: what is
-	// left where the cheaper kind is nowhere to be had, and serves until more has started.
-	lastingShare = 0.1
-	// shortShare is the part of what was found below which lasting replicas are ordered
-	// for those that are withdrawn and do not come back.
-	shortShare = 0.85
+	// baseLastingShare is the share of a zone's found replicas that is always lasting. It is
+	// what remains where no withdrawable replicas can be had, and serves until more start.
+	baseLastingShare = 0.1
+	// shortageShare is the share of the found replicas below which lasting replicas are
+	// ordered in place of withdrawn ones that do not return.
+	shortageShare = 0.85
 )
 
-// ZoneCapacity is what a zone has of a service.
+// ZoneCapacity is the wanted and the ready capacity of a service in one zone.
 type ZoneCapacity struct {
 	Zone string
-	// Wanted is what was decided last, Found in it what there was at first.
+	// Wanted is the previous plan. Its Found is the number of replicas found at first.
 	Wanted api.CapacitySpec
-	// Lasting and Withdrawable replicas take requests now.
+	// Lasting and Withdrawable count the replicas that are ready for requests.
 	Lasting      int
 	Withdrawable int
 }
 
-// PlanCapacity returns what each zone is to have, in the order of the zones. It never asks
-// for less than the found replicas as long as they are not there in the cheaper kind, and
-// stands still where that kind would bring nothing.
+// PlanCapacity returns the capacity that each zone should have, in the order of the zones.
+// It requests fewer lasting replicas than were found only once withdrawable ones are ready
+// in their place, and keeps the found replicas where withdrawable ones would save nothing.
 //
-// Invariant: with the replicas that are ready when it is made, a plan leaves as many as were
-// found after the loss of any one zone's withdrawable ones, or asks for no fewer lasting ones
-// than the plan before it.
-func PlanCapacity(sheet *api.ScalingSheet, zones []ZoneCapacity) []api.CapacitySpec {
+// Invariant: with the replicas that are ready at the time of the plan, either as many as
+// were found remain after the loss of any one zone's withdrawable ones, or the plan requests
+// no fewer lasting replicas than the previous one.
+func PlanCapacity(scaling *api.ScalingSheet, zones []ZoneCapacity) []api.CapacitySpec {
 	found := 0
 	for i := range zones {
 		found += zones[i].Wanted.Found
 	}
-	base, cheap, pays := portfolio(sheet, zones, found)
+	base, withdrawable, saves := replicaMix(scaling, zones, found)
 	plans := make([]api.CapacitySpec, len(zones))
-	if !pays {
+	if !saves {
 		for i := range zones {
 			plans[i] = zones[i].Wanted
 			plans[i].Lasting, plans[i].Withdrawable, plans[i].Reason = zones[i].Wanted.Found, 0, "as found"
 		}
 		return plans
 	}
-	needed := lastingNeeded(zones, found)
+	needed := requiredLasting(zones, found)
 	for i := range zones {
-		plans[i] = planZone(sheet, &zones[i], base[i], cheap, partOf(needed, zones[i].Wanted.Found, found))
+		plans[i] = planZone(scaling, &zones[i], base[i], withdrawable, proportionalShare(needed, zones[i].Wanted.Found, found))
 	}
-	return keepEnough(sheet, zones, plans, needed)
+	return keepRequiredLasting(scaling, zones, plans, needed)
 }
 
-// keepEnough gives no lasting replica up where that would leave fewer than are needed: zones
-// may hold other parts of them than of what was found.
-func keepEnough(sheet *api.ScalingSheet, zones []ZoneCapacity, plans []api.CapacitySpec, needed int) []api.CapacitySpec {
+// keepRequiredLasting keeps the lasting replicas of the previous plan where the new plans
+// would leave fewer than needed in total. This happens where the lasting replicas are
+// distributed over the zones differently from the found ones.
+func keepRequiredLasting(scaling *api.ScalingSheet, zones []ZoneCapacity, plans []api.CapacitySpec, needed int) []api.CapacitySpec {
 	before, after := 0, 0
 	for i := range plans {
 		before += zones[i].Wanted.Lasting
@@ -71,38 +73,39 @@
 	}
 	for i := range plans {
 		plans[i].Lasting = max(plans[i].Lasting, zones[i].Wanted.Lasting)
-		plans[i].Withdrawable = min(plans[i].Withdrawable, max(sheet.Max-plans[i].Lasting, 0))
+		plans[i].Withdrawable = min(plans[i].Withdrawable, max(scaling.Max-plans[i].Lasting, 0))
 	}
 	return plans
 }
 
-// portfolio returns the base of lasting replicas of each zone and how many withdrawable
-// ones each is to have; pays is false where they would not cost less.
-func portfolio(sheet *api.ScalingSheet, zones []ZoneCapacity, found int) (base []int, cheap int, pays bool) {
-	if sheet.WithdrawablePrice <= 0 || len(zones) < 2 || found == 0 {
+// replicaMix returns the base of lasting replicas of each zone and the number of
+// withdrawable ones that each should have; saves is false where the mix would not cost
+// less than lasting replicas alone.
+func replicaMix(scaling *api.ScalingSheet, zones []ZoneCapacity, found int) (base []int, withdrawable int, saves bool) {
+	if scaling.WithdrawablePrice <= 0 || len(zones) < 2 || found == 0 {
 		return nil, 0, false
 	}
-	for part := lastingShare; part < 1; part += lastingShare {
+	for share := baseLastingShare; share < 1; share += baseLastingShare {
 		base = base[:0]
 		lasting, largest := 0, 0
 		for i := range zones {
-			kept := max(int(math.Ceil(part*float64(zones[i].Wanted.Found))), sheet.Min, 1)
-			base = append(base, kept)
-			lasting += kept
-			largest = max(largest, kept)
+			zoneBase := max(int(math.Ceil(share*float64(zones[i].Wanted.Found))), scaling.Min, 1)
+			base = append(base, zoneBase)
+			lasting += zoneBase
+			largest = max(largest, zoneBase)
 		}
-		cheap = max((found-lasting+len(zones)-2)/(len(zones)-1), 0)
-		if largest+cheap <= sheet.Max {
-			cost := float64(lasting) + sheet.WithdrawablePrice*float64(cheap*len(zones))
-			return base, cheap, cost < float64(found)
+		withdrawable = max((found-lasting+len(zones)-2)/(len(zones)-1), 0)
+		if largest+withdrawable <= scaling.Max {
+			cost := float64(lasting) + scaling.WithdrawablePrice*float64(withdrawable*len(zones))
+			return base, withdrawable, cost < float64(found)
 		}
 	}
 	return nil, 0, false
 }
 
-// lastingNeeded is how many lasting replicas there have to be beside the withdrawable ones
-// that are ready, of which any one zone's may go.
-func lastingNeeded(zones []ZoneCapacity, found int) int {
+// requiredLasting returns how many lasting replicas are needed in addition to the ready
+// withdrawable ones, so that the loss of any one zone's withdrawable ones can be absorbed.
+func requiredLasting(zones []ZoneCapacity, found int) int {
 	ready, largest := 0, 0
 	for i := range zones {
 		ready += zones[i].Withdrawable
@@ -111,46 +114,47 @@
 	return max(found-(ready-largest), 0)
 }
 
-// partOf is a zone's part of a number by what was found there, rounded up.
-func partOf(of, own, all int) int { return (of*own + all - 1) / all }
+// proportionalShare returns a zone's share of a total, in proportion to the replicas found
+// there, rounded up.
+func proportionalShare(total, zoneFound, found int) int { return (total*zoneFound + found - 1) / found }
 
-// planZone decides for one zone: the cheaper kind first, and of the lasting kind no more
-// than is needed until that is there.
-func planZone(sheet *api.ScalingSheet, zone *ZoneCapacity, base, cheap, needed int) api.CapacitySpec {
+// planZone plans one zone: all its withdrawable replicas at once, and lasting ones beyond
+// the base only as long as the withdrawable ones are not ready.
+func planZone(scaling *api.ScalingSheet, zone *ZoneCapacity, base, withdrawable, needed int) api.CapacitySpec {
 	next := zone.Wanted
-	next.Withdrawable = cheap
+	next.Withdrawable = withdrawable
 	next.Lasting = max(base, min(needed, zone.Wanted.Lasting))
-	next.Reason = fmt.Sprintf("base %d, any zone's %d may go", base, cheap)
+	next.Reason = fmt.Sprintf("base %d, any zone's %d may go", base, withdrawable)
 	if next.Lasting > base {
 		next.Reason += fmt.Sprintf(", %d until those are ready", next.Lasting)
 	}
-	next.Withdrawable = min(next.Withdrawable, max(sheet.Max-next.Lasting, 0))
+	next.Withdrawable = min(next.Withdrawable, max(scaling.Max-next.Lasting, 0))
 	return next
 }
 
-// IsShort reports whether so few replicas are left that lasting ones have to stand in for
-// withdrawable ones.
+// IsShort reports whether so few replicas are ready that lasting ones have to replace the
+// missing withdrawable ones.
 func IsShort(zones []ZoneCapacity) bool {
 	found, ready := 0, 0
 	for i := range zones {
 		found += zones[i].Wanted.Found
 		ready += zones[i].Lasting + zones[i].Withdrawable
 	}
-	return float64(ready) < shortShare*float64(found)
+	return float64(ready) < shortageShare*float64(found)
 }
 
-// StandIn returns plans in which lasting replicas stand in for those that are missing.
-func StandIn(sheet *api.ScalingSheet, zones []ZoneCapacity, plans []api.CapacitySpec) []api.CapacitySpec {
+// StandIn returns the plans with lasting replicas in place of the missing withdrawable ones.
+func StandIn(scaling *api.ScalingSheet, zones []ZoneCapacity, plans []api.CapacitySpec) []api.CapacitySpec {
 	found, ready := 0, 0
 	for i := range zones {
 		found += zones[i].Wanted.Found
 		ready += zones[i].Withdrawable
 	}
 	for i := range plans {
-		wanted := partOf(max(found-ready, 0), plans[i].Found, found)
+		wanted := proportionalShare(max(found-ready, 0), plans[i].Found, found)
 		if wanted > plans[i].Lasting {
-			plans[i].Lasting = min(wanted, sheet.Max-zones[i].Withdrawable)
-			plans[i].Withdrawable = min(plans[i].Withdrawable, sheet.Max-plans[i].Lasting)
+			plans[i].Lasting = min(wanted, scaling.Max-zones[i].Withdrawable)
+			plans[i].Withdrawable = min(plans[i].Withdrawable, scaling.Max-plans[i].Lasting)
 			plans[i].Reason = "stands in for withdrawn ones"
 		}
 	}
--- a/version/planner/forecast.go
+++ b/version/planner/forecast.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// ForecastConfig sets up forecasts. Zero fields take defaults.
+// ForecastConfig configures the smoothing of forecasts. Zero fields take defaults.
 type ForecastConfig struct {
-	// LevelTime and TrendTime are how fast the level and the trend follow the measurements.
+	// LevelTime and TrendTime are the time constants of the level and of the trend.
 	LevelTime time.Duration
 	TrendTime time.Duration
 }
@@ -15,20 +15,21 @@
 	DefaultTrendTime = 45 * time.Second
 )
 
-// maxTrendShare bounds what the trend may add to or take from the level.
+// maxTrendShare bounds the change that the trend predicts, as a share of the level.
 const maxTrendShare = 0.5
 
-// series is a level and a trend of one measured rate (Holt's method, with
-// smoothing by time so that irregular measurements weigh rightly).
-type series struct {
-	level float64
-	trend float64 // a second
-	since bool    // has a level
+// smoothedRate is the level and the trend of one measured rate by Holt's method. The
+// smoothing weights follow the elapsed time, so that measurements at irregular
+// intervals are weighted correctly.
+type smoothedRate struct {
+	level       float64
+	trend       float64 // change per second
+	initialized bool    // a first value was taken as the level
 }
 
-func (s *series) update(value float64, elapsed time.Duration, config ForecastConfig) {
-	if !s.since {
-		s.level, s.since = value, true
+func (s *smoothedRate) update(value float64, elapsed time.Duration, config ForecastConfig) {
+	if !s.initialized {
+		s.level, s.initialized = value, true
 		return
 	}
 	if elapsed <= 0 {
@@ -43,71 +44,71 @@
 	s.level = max(level, 0)
 }
 
-// at is the rate expected after a time.
-func (s *series) at(ahead time.Duration) float64 {
+// predict returns the rate expected after a time.
+func (s *smoothedRate) predict(ahead time.Duration) float64 {
 	change := s.trend * ahead.Seconds()
 	bound := maxTrendShare * s.level
 	return s.level + min(max(change, -bound), bound)
 }
 
-// forecast follows the demand of one intent.
+// forecast predicts the demand of one intent.
 type forecast struct {
-	config   ForecastConfig
-	requests series
-	prompt   series
-	read     series
-	output   series
-	last     time.Duration
-	measured bool
+	config         ForecastConfig
+	requests       smoothedRate
+	uncachedPrompt smoothedRate
+	totalPrompt    smoothedRate
+	output         smoothedRate
+	lastUpdate     time.Duration
+	initialized    bool
 }
 
 func (f *forecast) update(now time.Duration, measured work) {
-	elapsed := now - f.last
-	if f.measured && elapsed <= 0 {
+	elapsed := now - f.lastUpdate
+	if f.initialized && elapsed <= 0 {
 		return
 	}
 	f.requests.update(measured.requests, elapsed, f.config)
-	f.prompt.update(measured.prompt, elapsed, f.config)
-	f.read.update(measured.read, elapsed, f.config)
+	f.uncachedPrompt.update(measured.uncachedPrompt, elapsed, f.config)
+	f.totalPrompt.update(measured.totalPrompt, elapsed, f.config)
 	f.output.update(measured.output, elapsed, f.config)
-	f.last, f.measured = now, true
+	f.lastUpdate, f.initialized = now, true
 }
 
-// at is the work expected after a time.
-func (f *forecast) at(ahead time.Duration) work {
+// predict returns the work expected after a time.
+func (f *forecast) predict(ahead time.Duration) work {
 	return work{
-		requests: f.requests.at(ahead),
-		prompt:   f.prompt.at(ahead),
-		read:     f.read.at(ahead),
-		output:   f.output.at(ahead),
+		requests:       f.requests.predict(ahead),
+		uncachedPrompt: f.uncachedPrompt.predict(ahead),
+		totalPrompt:    f.totalPrompt.predict(ahead),
+		output:         f.output.predict(ahead),
 	}
 }
 
-// stayEstimate learns how long a mix of work lasts, from the times at which the
-// share of prompt work crosses its own slow average.
-type stayEstimate struct {
-	slow     series
-	above    bool
-	crossed  time.Duration
-	expected time.Duration
+// mixDurationEstimate estimates how long a mix of prompt and output work lasts, from
+// the times at which the prefill share crosses its own long-term average.
+type mixDurationEstimate struct {
+	average      smoothedRate
+	aboveAverage bool
+	lastCrossing time.Duration
+	expected     time.Duration
 }
 
 const (
-	// staySlowTime is the time constant of the slow average.
-	staySlowTime = 5 * time.Minute
-	// stayDeadBand is how far from the average counts as a crossing.
-	stayDeadBand = 0.04
-	// stayGain is the weight of the last stay.
-	stayGain = 0.3
+	// mixAverageTime is the time constant of the long-term average.
+	mixAverageTime = 5 * time.Minute
+	// mixDeadBand is the least distance from the average that counts as a crossing.
+	mixDeadBand = 0.04
+	// mixDurationGain is the weight of the latest duration in the estimate.
+	mixDurationGain = 0.3
 )
 
-func (s *stayEstimate) update(now, elapsed time.Duration, prefillShare float64) {
-	s.slow.update(prefillShare, elapsed, ForecastConfig{LevelTime: staySlowTime, TrendTime: time.Hour})
-	offset := prefillShare - s.slow.level
-	if offset*offset < stayDeadBand*stayDeadBand || (offset > 0) == s.above {
+func (s *mixDurationEstimate) update(now, elapsed time.Duration, prefillShare float64) {
+	s.average.update(prefillShare, elapsed, ForecastConfig{LevelTime: mixAverageTime, TrendTime: time.Hour})
+	offset := prefillShare - s.average.level
+	if offset*offset < mixDeadBand*mixDeadBand || (offset > 0) == s.aboveAverage {
 		return
 	}
-	s.above = offset > 0
-	s.expected += time.Duration(stayGain * float64(now-s.crossed-s.expected))
-	s.crossed = now
+	s.aboveAverage = offset > 0
+	s.expected += time.Duration(mixDurationGain * float64(now-s.lastCrossing-s.expected))
+	s.lastCrossing = now
 }
--- a/version/planner/group.go
+++ b/version/planner/group.go
@@ -16,9 +16,9 @@
 	demand  Demand
 }
 
-// groups cuts the input by intent. Engines that no intent selects are in no
-// group and are thus never touched.
-func groups(input Input) []group {
+// groupByIntent splits the input by intent. Engines that no intent selects are in no
+// group and therefore get no orders.
+func groupByIntent(input Input) []group {
 	list := make([]group, 0, len(input.Intents))
 	for _, intent := range input.Intents {
 		g := group{now: input.Now, intent: intent}
@@ -42,8 +42,8 @@
 	return slices.Contains(g.intent.Spec.Roles, role)
 }
 
-// usable reports whether an engine serves, or will after its open order.
-func usable(engine Engine) bool {
+// isUsable reports whether an engine serves, or will serve after its open order.
+func isUsable(engine Engine) bool {
 	if engine.Drain {
 		return false
 	}
@@ -57,22 +57,22 @@
 	}
 }
 
-// movable reports whether an order may be opened for an engine now: it has
-// none open, it is well, and nobody wants it drained.
-func movable(engine Engine) bool {
+// isMovable reports whether an order may be opened for an engine now: it has no open
+// order, it is healthy, and no drain was requested.
+func isMovable(engine Engine) bool {
 	if engine.Pending != nil || engine.Drain {
 		return false
 	}
 	return engine.Phase == api.PhaseIdle || engine.Phase == api.PhaseServing
 }
 
-// unassigned reports whether an engine holds no assignment.
-func unassigned(engine Engine) bool {
+// isUnassigned reports whether an engine has no assignment.
+func isUnassigned(engine Engine) bool {
 	return engine.Phase == api.PhaseIdle || engine.Assignment.Role == api.RoleNone
 }
 
-// roleOf is the role an engine has, or will have after its open order.
-func roleOf(engine Engine) api.EngineRole {
+// effectiveRole returns the role an engine has, or will have after its open order.
+func effectiveRole(engine Engine) api.EngineRole {
 	if engine.Pending != nil {
 		return engine.Pending.Role
 	}
@@ -82,49 +82,50 @@
 	return engine.Assignment.Role
 }
 
-// split counts the roles that the usable engines have or will have.
-func (g *group) split() Split {
+// currentSplit counts the roles that the usable engines have, or will have after their
+// open orders.
+func (g *group) currentSplit() Split {
 	var split Split
 	for _, engine := range g.engines {
-		if usable(engine) {
-			split = split.with(roleOf(engine), 1)
+		if isUsable(engine) {
+			split = split.with(effectiveRole(engine), 1)
 		}
 	}
 	return split
 }
 
-// capacity is how many engines can have a role: the usable ones and the idle
-// ones that can be assigned now.
-func (g *group) capacity() int {
+// assignableCount returns how many engines can have a role: the usable ones and the
+// idle ones that can be assigned now.
+func (g *group) assignableCount() int {
 	count := 0
 	for _, engine := range g.engines {
-		if usable(engine) || movable(engine) {
+		if isUsable(engine) || isMovable(engine) {
 			count++
 		}
 	}
 	return count
 }
 
-// budget is how many serving engines may be taken away for a change now.
-func (g *group) budget() int {
-	away := 0
+// availableBudget returns how many serving engines may be made unavailable for a change now.
+func (g *group) availableBudget() int {
+	unavailable := 0
 	for _, engine := range g.engines {
-		if engine.Pending != nil && !unassigned(engine) {
-			away++
+		if engine.Pending != nil && !isUnassigned(engine) {
+			unavailable++
 		}
 	}
 	limit := g.intent.Spec.MaxUnavailable
 	if limit <= 0 {
 		limit = DefaultMaxUnavailable
 	}
-	return max(limit-away, 0)
+	return max(limit-unavailable, 0)
 }
 
-// DefaultMaxUnavailable is the disruption budget of an intent that names none.
+// DefaultMaxUnavailable is the disruption budget of an intent that sets none.
 const DefaultMaxUnavailable = 1
 
-// assignment is what the intent wants of an engine in a role.
-func (g *group) assignment(role api.EngineRole) api.Assignment {
+// desiredAssignment returns the assignment that the intent wants for an engine in a role.
+func (g *group) desiredAssignment(role api.EngineRole) api.Assignment {
 	spec := g.intent.Spec
 	return api.Assignment{
 		Model:    spec.Model,
@@ -134,19 +135,19 @@
 	}
 }
 
-// outdated reports whether a serving engine holds another model, version or
-// adapters than wanted, or a role that the intent doesn't permit.
-func (g *group) outdated(engine Engine) bool {
+// isOutdated reports whether a serving engine has another model, version or set of
+// adapters than the intent wants, or a role that the intent doesn't permit.
+func (g *group) isOutdated(engine Engine) bool {
 	role := engine.Assignment.Role
-	return !g.allows(role) || !engine.Assignment.Equal(g.assignment(role))
+	return !g.allows(role) || !engine.Assignment.Equal(g.desiredAssignment(role))
 }
 
-// byLeastWork returns the engines that pass a test, those with the least work
-// to finish or to hand over first.
-func (g *group) byLeastWork(test func(Engine) bool) []Engine {
+// byLeastWork returns the engines that match, sorted by the work that they have to
+// finish or to hand over, least first.
+func (g *group) byLeastWork(match func(Engine) bool) []Engine {
 	var list []Engine
 	for _, engine := range g.engines {
-		if test(engine) {
+		if match(engine) {
 			list = append(list, engine)
 		}
 	}
--- a/version/planner/planner.go
+++ b/version/planner/planner.go
@@ -8,15 +8,15 @@
 
 // policy chooses how many engines of a group should have each role.
 type policy interface {
-	// target returns the wanted split and why. Its total is the group's
-	// capacity; it is called once for each plan.
+	// target returns the wanted split and the reason for it. The split's total is
+	// the group's assignableCount. It is called once for each plan.
 	target(g *group) (Split, string)
 }
 
-// policyPlanner makes orders from a policy's target. It keeps these promises
-// whatever the policy says: only engines that an intent selects, that are well
-// and that have no open order are touched, and never more serving engines of
-// an intent are away at once than its disruption budget.
+// policyPlanner derives decisions from a policy's target and enforces the package's
+// guarantees whatever the policy returns: it opens orders only for engines that an
+// intent selects, that are healthy and that have no open order, and never makes more
+// serving engines of an intent unavailable at once than its disruption budget allows.
 type policyPlanner struct {
 	policy policy
 }
@@ -24,12 +24,12 @@
 // Plan implements Planner.
 func (p *policyPlanner) Plan(input Input) []Decision {
 	var decisions []Decision
-	for _, g := range groups(input) {
+	for _, g := range groupByIntent(input) {
 		if len(g.intent.Spec.Roles) == 0 {
 			continue
 		}
 		target, reason := p.policy.target(&g)
-		plan := &groupPlan{group: &g, target: target, split: g.split(), budget: g.budget()}
+		plan := &groupPlan{group: &g, target: target, split: g.currentSplit(), budget: g.availableBudget()}
 		plan.assignIdle()
 		plan.rollOut()
 		plan.changeRoles(reason)
@@ -42,26 +42,26 @@
 type groupPlan struct {
 	group     *group
 	target    Split
-	split     Split // with the decisions so far carried out
+	split     Split // the current split with the decisions so far applied
 	budget    int
 	decisions []Decision
 }
 
-// decide opens an order; the engine leaves its old role and takes the new one.
-func (p *groupPlan) decide(engine Engine, role api.EngineRole, reason string) {
-	if !unassigned(engine) {
+// addDecision adds an order that moves the engine to the role, and updates the split.
+func (p *groupPlan) addDecision(engine Engine, role api.EngineRole, reason string) {
+	if !isUnassigned(engine) {
 		p.split = p.split.with(engine.Assignment.Role, -1)
 	}
 	p.split = p.split.with(role, 1)
 	p.decisions = append(p.decisions, Decision{
 		Engine:     engine.Name,
-		Assignment: p.group.assignment(role),
+		Assignment: p.group.desiredAssignment(role),
 		Reason:     reason,
 	})
 }
 
-// decided reports whether the plan already opens an order for an engine.
-func (p *groupPlan) decided(engine Engine) bool {
+// hasDecision reports whether the plan already opens an order for an engine.
+func (p *groupPlan) hasDecision(engine Engine) bool {
 	for _, decision := range p.decisions {
 		if decision.Engine == engine.Name {
 			return true
@@ -70,53 +70,55 @@
 	return false
 }
 
-// missing returns the permitted role that is furthest below its target.
-func (p *groupPlan) missing() (api.EngineRole, int) {
-	best, most := api.RoleNone, 0
+// mostMissingRole returns the permitted role that is furthest below its target, and by
+// how many engines; RoleNone and 0 if no role is below its target.
+func (p *groupPlan) mostMissingRole() (api.EngineRole, int) {
+	missing, largestGap := api.RoleNone, 0
 	for _, role := range splitRoles {
 		gap := p.target.Of(role) - p.split.Of(role)
-		if p.group.allows(role) && gap > most {
-			best, most = role, gap
+		if p.group.allows(role) && gap > largestGap {
+			missing, largestGap = role, gap
 		}
 	}
-	return best, most
+	return missing, largestGap
 }
 
-// assignIdle gives a role to engines without one. They serve nobody, so the
-// disruption budget does not bound it.
+// assignIdle gives a role to engines without one. They serve no requests, so the
+// disruption budget does not apply.
 func (p *groupPlan) assignIdle() {
-	idle := p.group.byLeastWork(func(engine Engine) bool { return movable(engine) && unassigned(engine) })
+	idle := p.group.byLeastWork(func(engine Engine) bool { return isMovable(engine) && isUnassigned(engine) })
 	for _, engine := range idle {
-		role, _ := p.missing()
+		role, _ := p.mostMissingRole()
 		if role == api.RoleNone {
 			role = p.group.intent.Spec.Roles[0]
 		}
-		p.decide(engine, role, "no assignment yet; selected by intent "+p.group.intent.Name)
+		p.addDecision(engine, role, "no assignment yet; selected by intent "+p.group.intent.Name)
 	}
 }
 
-// rollOut changes model, version and adapters, within the budget. An engine
-// whose role is not permitted or in excess takes a missing one on the way.
+// rollOut changes model, version and adapters within the disruption budget. An engine
+// whose role is not permitted or in excess takes a missing role in the same change.
 func (p *groupPlan) rollOut() {
 	outdated := p.group.byLeastWork(func(engine Engine) bool {
-		return movable(engine) && !unassigned(engine) && p.group.outdated(engine)
+		return isMovable(engine) && !isUnassigned(engine) && p.group.isOutdated(engine)
 	})
 	for _, engine := range outdated {
 		if p.budget == 0 {
 			return
 		}
 		p.budget--
-		p.decide(engine, p.rollOutRole(engine), p.rollOutReason(engine))
+		p.addDecision(engine, p.rollOutRole(engine), p.rollOutReason(engine))
 	}
 }
 
+// rollOutRole returns the role that an engine takes with its change.
 func (p *groupPlan) rollOutRole(engine Engine) api.EngineRole {
 	role := engine.Assignment.Role
 	excess := p.split.Of(role) > p.target.Of(role)
 	if p.group.allows(role) && !excess {
 		return role
 	}
-	if wanted, _ := p.missing(); wanted != api.RoleNone {
+	if wanted, _ := p.mostMissingRole(); wanted != api.RoleNone {
 		return wanted
 	}
 	if p.group.allows(role) {
@@ -127,35 +129,35 @@
 
 func (p *groupPlan) rollOutReason(engine Engine) string {
 	spec := p.group.intent.Spec
-	held := engine.Assignment
-	if held.Model == spec.Model && held.Version == spec.Version {
+	current := engine.Assignment
+	if current.Model == spec.Model && current.Version == spec.Version {
 		return fmt.Sprintf("intent %s changed adapters or roles", spec.Model)
 	}
-	return fmt.Sprintf("intent %s wants %s %s, has %s %s", p.group.intent.Name, spec.Model, spec.Version, held.Model, held.Version)
+	return fmt.Sprintf("intent %s wants %s %s, has %s %s", p.group.intent.Name, spec.Model, spec.Version, current.Model, current.Version)
 }
 
-// changeRoles moves engines from roles in excess to missing roles, within the
-// budget, the engine with the least work first.
+// changeRoles moves engines from roles in excess to missing roles within the
+// disruption budget, the engine with the least work first.
 func (p *groupPlan) changeRoles(reason string) {
 	for p.budget > 0 {
-		role, gap := p.missing()
+		role, gap := p.mostMissingRole()
 		if gap == 0 {
 			return
 		}
-		engine, found := p.spare()
+		engine, found := p.surplusEngine()
 		if !found {
 			return
 		}
 		p.budget--
-		p.decide(engine, role, fmt.Sprintf("%s to %s: %s", engine.Assignment.Role, role, reason))
+		p.addDecision(engine, role, fmt.Sprintf("%s to %s: %s", engine.Assignment.Role, role, reason))
 	}
 }
 
-// spare returns the engine to move: one of a role in excess that does not
-// leave the group unable to serve.
-func (p *groupPlan) spare() (Engine, bool) {
+// surplusEngine returns the engine to move: of those whose role is in excess of the
+// target, the one with the least work.
+func (p *groupPlan) surplusEngine() (Engine, bool) {
 	candidates := p.group.byLeastWork(func(engine Engine) bool {
-		if !movable(engine) || unassigned(engine) || p.decided(engine) {
+		if !isMovable(engine) || isUnassigned(engine) || p.hasDecision(engine) {
 			return false
 		}
 		role := engine.Assignment.Role
--- a/version/planner/planner_test.go
+++ b/version/planner/planner_test.go
@@ -19,42 +19,42 @@
 	}
 }
 
-func serving(name string, role api.EngineRole) Engine {
+func servingEngine(name string, role api.EngineRole) Engine {
 	return Engine{
 		Name: name, Intent: "i", Phase: api.PhaseServing, SinceChange: -1,
 		Assignment: api.Assignment{Model: "m", Version: "v1", Role: role},
 	}
 }
 
-func idle(name string) Engine {
+func idleEngine(name string) Engine {
 	return Engine{Name: name, Intent: "i", Phase: api.PhaseIdle, SinceChange: -1}
 }
 
-func fleet(prefill, decode, mixed int) []Engine {
+func testEngines(prefill, decode, mixed int) []Engine {
 	var engines []Engine
 	for i := range prefill {
-		engines = append(engines, serving(fmt.Sprintf("p%d", i), api.RolePrefill))
+		engines = append(engines, servingEngine(fmt.Sprintf("p%d", i), api.RolePrefill))
 	}
 	for i := range decode {
-		engines = append(engines, serving(fmt.Sprintf("d%d", i), api.RoleDecode))
+		engines = append(engines, servingEngine(fmt.Sprintf("d%d", i), api.RoleDecode))
 	}
 	for i := range mixed {
-		engines = append(engines, serving(fmt.Sprintf("x%d", i), api.RoleMixed))
+		engines = append(engines, servingEngine(fmt.Sprintf("x%d", i), api.RoleMixed))
 	}
 	return engines
 }
 
-// demand is offered tokens a second over a window of ten seconds, in answers
-// of twenty tokens.
-func demand(prompt, output float64) []Demand {
+// testDemand returns a demand of the given prompt and output tokens per second over a
+// window of ten seconds, with 20 output tokens per request.
+func testDemand(prompt, output float64) []Demand {
 	return []Demand{{
 		Intent: "i", Window: 10 * time.Second,
 		Requests: output / 2, PromptTokens: 10 * prompt, OutputTokens: 10 * output,
 	}}
 }
 
-// summary is "engine:role" of each decision.
-func summary(decisions []Decision) []string {
+// decisionSummary returns "engine:role" for each decision.
+func decisionSummary(decisions []Decision) []string {
 	list := []string{}
 	for _, decision := range decisions {
 		list = append(list, decision.Engine+":"+string(decision.Assignment.Role))
@@ -62,7 +62,7 @@
 	return list
 }
 
-func TestFleetRules(t *testing.T) {
+func TestPlannersRespectIntentsAndBudget(t *testing.T) {
 	change := func(engine Engine, apply func(*Engine)) Engine {
 		apply(&engine)
 		return engine
@@ -75,47 +75,47 @@
 		engines []Engine
 		want    []string
 	}{
-		{"idle engines", testIntent(api.RoleMixed), []Engine{idle("a"), idle("b")}, []string{"a:mixed", "b:mixed"}},
-		{"no roles", testIntent(), []Engine{idle("a")}, []string{}},
-		{"one role", testIntent(api.RoleDecode), []Engine{idle("a")}, []string{"a:decode"}},
+		{"idle engines", testIntent(api.RoleMixed), []Engine{idleEngine("a"), idleEngine("b")}, []string{"a:mixed", "b:mixed"}},
+		{"no roles", testIntent(), []Engine{idleEngine("a")}, []string{}},
+		{"one role", testIntent(api.RoleDecode), []Engine{idleEngine("a")}, []string{"a:decode"}},
 		{
 			"unmatched engine", testIntent(api.RoleMixed),
-			[]Engine{change(idle("a"), func(e *Engine) { e.Intent = "" })}, []string{},
+			[]Engine{change(idleEngine("a"), func(e *Engine) { e.Intent = "" })}, []string{},
 		},
 		{
 			"open order", testIntent(api.RoleMixed),
-			[]Engine{change(idle("a"), func(e *Engine) { e.Pending = pending })}, []string{},
+			[]Engine{change(idleEngine("a"), func(e *Engine) { e.Pending = pending })}, []string{},
 		},
 		{
 			"drained engine", testIntent(api.RoleMixed),
-			[]Engine{change(idle("a"), func(e *Engine) { e.Drain = true })}, []string{},
+			[]Engine{change(idleEngine("a"), func(e *Engine) { e.Drain = true })}, []string{},
 		},
 		{
-			"silent engine", testIntent(api.RoleMixed),
-			[]Engine{change(serving("a", api.RoleMixed), func(e *Engine) { e.Phase = api.PhaseUnknown; e.Assignment.Version = "v0" })}, []string{},
+			"unreachable engine", testIntent(api.RoleMixed),
+			[]Engine{change(servingEngine("a", api.RoleMixed), func(e *Engine) { e.Phase = api.PhaseUnknown; e.Assignment.Version = "v0" })}, []string{},
 		},
 		{
-			"roll-out keeps the budget, least work first", testIntent(api.RoleMixed),
+			"roll-out respects the budget, least work first", testIntent(api.RoleMixed),
 			[]Engine{
-				change(serving("a", api.RoleMixed), func(e *Engine) { old(e); e.Running = 3 }),
-				change(serving("b", api.RoleMixed), old),
-				change(serving("c", api.RoleMixed), old),
+				change(servingEngine("a", api.RoleMixed), func(e *Engine) { old(e); e.Running = 3 }),
+				change(servingEngine("b", api.RoleMixed), old),
+				change(servingEngine("c", api.RoleMixed), old),
 			}, []string{"b:mixed"},
 		},
 		{
-			"roll-out waits for the engine that is away", testIntent(api.RoleMixed),
+			"roll-out waits for the unavailable engine", testIntent(api.RoleMixed),
 			[]Engine{
-				change(serving("a", api.RoleMixed), func(e *Engine) { e.Phase = api.PhaseDraining; e.Pending = pending }),
-				change(serving("b", api.RoleMixed), old),
+				change(servingEngine("a", api.RoleMixed), func(e *Engine) { e.Phase = api.PhaseDraining; e.Pending = pending }),
+				change(servingEngine("b", api.RoleMixed), old),
 			}, []string{},
 		},
 		{
-			"idle engine joins beside a roll-out", testIntent(api.RoleMixed),
-			[]Engine{change(serving("a", api.RoleMixed), old), idle("b")}, []string{"b:mixed", "a:mixed"},
+			"idle engine is assigned during a roll-out", testIntent(api.RoleMixed),
+			[]Engine{change(servingEngine("a", api.RoleMixed), old), idleEngine("b")}, []string{"b:mixed", "a:mixed"},
 		},
 		{
 			"role no longer permitted", testIntent(api.RoleMixed),
-			[]Engine{serving("a", api.RoleDecode), serving("b", api.RoleMixed)}, []string{"a:mixed"},
+			[]Engine{servingEngine("a", api.RoleDecode), servingEngine("b", api.RoleMixed)}, []string{"a:mixed"},
 		},
 	}
 	planners := map[string]func() Planner{
@@ -126,9 +126,9 @@
 	for _, c := range cases {
 		for name, make := range planners {
 			t.Run(c.name+"/"+name, func(t *testing.T) {
-				input := Input{Intents: []*api.Intent{c.intent}, Engines: c.engines, Demand: demand(20000, 2000)}
+				input := Input{Intents: []*api.Intent{c.intent}, Engines: c.engines, Demand: testDemand(20000, 2000)}
 				decisions := make().Plan(input)
-				must.Eq(t, c.want, summary(decisions))
+				must.Eq(t, c.want, decisionSummary(decisions))
 				for _, decision := range decisions {
 					must.Eq(t, "m", decision.Assignment.Model)
 					must.Eq(t, "v1", decision.Assignment.Version)
@@ -142,7 +142,7 @@
 func TestStaticSplit(t *testing.T) {
 	engines := make([]Engine, 9)
 	for i := range engines {
-		engines[i] = idle(fmt.Sprintf("e%d", i))
+		engines[i] = idleEngine(fmt.Sprintf("e%d", i))
 	}
 	input := Input{Intents: []*api.Intent{testIntent(allRoles...)}, Engines: engines}
 	counts := map[api.EngineRole]int{}
@@ -151,27 +151,27 @@
 	}
 	must.Eq(t, map[api.EngineRole]int{api.RolePrefill: 3, api.RoleDecode: 6}, counts)
 
-	input.Engines = fleet(1, 8, 0)
+	input.Engines = testEngines(1, 8, 0)
 	must.SliceEmpty(t, NewStatic(StaticConfig{PrefillShare: 0.33}).Plan(input))
 }
 
 func TestThreshold(t *testing.T) {
 	planner := NewThreshold(ThresholdConfig{})
 	at := func(now time.Duration, prompt, output float64, engines []Engine) []string {
-		return summary(planner.Plan(Input{
-			Now: now, Intents: []*api.Intent{testIntent(allRoles...)}, Engines: engines, Demand: demand(prompt, output),
+		return decisionSummary(planner.Plan(Input{
+			Now: now, Intents: []*api.Intent{testIntent(allRoles...)}, Engines: engines, Demand: testDemand(prompt, output),
 		}))
 	}
-	// 5 of 9 engines' worth of prompts.
-	must.Eq(t, []string{}, at(0, 28000, 3460, fleet(5, 4, 0)))
-	must.Eq(t, []string{"d0:prefill"}, at(time.Second, 60000, 3460, fleet(5, 4, 0)))
-	must.Eq(t, []string{}, at(2*time.Second, 60000, 3460, fleet(6, 3, 0)))
-	must.Eq(t, []string{"p0:decode"}, at(time.Minute, 5000, 6000, fleet(6, 3, 0)))
+	// The first demand calls for 5 prefill engines of 9.
+	must.Eq(t, []string{}, at(0, 28000, 3460, testEngines(5, 4, 0)))
+	must.Eq(t, []string{"d0:prefill"}, at(time.Second, 60000, 3460, testEngines(5, 4, 0)))
+	must.Eq(t, []string{}, at(2*time.Second, 60000, 3460, testEngines(6, 3, 0)))
+	must.Eq(t, []string{"p0:decode"}, at(time.Minute, 5000, 6000, testEngines(6, 3, 0)))
 }
 
-// adaptiveRun plans once a second from a fleet that carries out each order at
-// once, and returns the split at the end and the number of changes.
-func adaptiveRun(config Config, intent *api.Intent, engines []Engine, seconds int, offered func(second int) []Demand) (Split, int) {
+// runAdaptive plans once a second for engines that execute each order immediately, and
+// returns the split at the end and the number of changes.
+func runAdaptive(config Config, intent *api.Intent, engines []Engine, seconds int, offered func(second int) []Demand) (Split, int) {
 	planner := New(config)
 	changes := 0
 	for second := range seconds {
@@ -188,24 +188,24 @@
 		}
 	}
 	g := group{intent: intent, engines: engines}
-	return g.split(), changes
+	return g.currentSplit(), changes
 }
 
 func TestAdaptive(t *testing.T) {
-	split := []api.EngineRole{api.RolePrefill, api.RoleDecode}
+	dedicatedRoles := []api.EngineRole{api.RolePrefill, api.RoleDecode}
 	steady := func(prompt, output float64) func(int) []Demand {
-		return func(int) []Demand { return demand(prompt, output) }
+		return func(int) []Demand { return testDemand(prompt, output) }
 	}
-	swings := func(period int) func(int) []Demand {
+	alternating := func(period int) func(int) []Demand {
 		return func(second int) []Demand {
 			share := 0.0
-			for ago := range 10 { // measured over a window of ten seconds
+			for ago := range 10 { // the mean over a window of ten seconds
 				share += float64((second+10*period-ago)/period%2) / 10
 			}
-			return demand(20000+50000*share, 9500-6700*share)
+			return testDemand(20000+50000*share, 9500-6700*share)
 		}
 	}
-	costly := testIntent(split...)
+	costly := testIntent(dedicatedRoles...)
 	costly.Spec.ChangeCost = 1000
 	cases := []struct {
 		name       string
@@ -217,58 +217,59 @@
 		want       Split
 		maxChanges int
 	}{
-		{"balanced", Config{}, testIntent(split...), fleet(4, 5, 0), 120, steady(30000, 4000), Split{4, 5, 0}, 0},
-		{"no demand", Config{}, testIntent(split...), fleet(4, 5, 0), 120, steady(0, 0), Split{4, 5, 0}, 0},
-		{"prompt-heavy", Config{}, testIntent(split...), fleet(3, 6, 0), 300, steady(70000, 2800), Split{7, 2, 0}, 4},
-		{"output-heavy", Config{}, testIntent(split...), fleet(6, 3, 0), 300, steady(15000, 11000), Split{2, 7, 0}, 4},
-		{"prompt-heavy at a high price", Config{}, costly, fleet(3, 6, 0), 300, steady(70000, 2800), Split{3, 6, 0}, 0},
-		{"swings faster than a change pays", Config{}, testIntent(split...), fleet(5, 4, 0), 400, swings(5), Split{5, 4, 0}, 0},
+		{"balanced", Config{}, testIntent(dedicatedRoles...), testEngines(4, 5, 0), 120, steady(30000, 4000), Split{4, 5, 0}, 0},
+		{"no demand", Config{}, testIntent(dedicatedRoles...), testEngines(4, 5, 0), 120, steady(0, 0), Split{4, 5, 0}, 0},
+		{"prompt-heavy", Config{}, testIntent(dedicatedRoles...), testEngines(3, 6, 0), 300, steady(70000, 2800), Split{7, 2, 0}, 4},
+		{"output-heavy", Config{}, testIntent(dedicatedRoles...), testEngines(6, 3, 0), 300, steady(15000, 11000), Split{2, 7, 0}, 4},
+		{"prompt-heavy at a high price", Config{}, costly, testEngines(3, 6, 0), 300, steady(70000, 2800), Split{3, 6, 0}, 0},
+		{"swings too fast for a change to pay off", Config{}, testIntent(dedicatedRoles...), testEngines(5, 4, 0), 400, alternating(5), Split{5, 4, 0}, 0},
 		{
-			"mixed engines hold each other up", Config{Rates: Rates{MixedEfficiency: 0.6}},
-			testIntent(allRoles...), fleet(0, 0, 9), 600, steady(45000, 6000), Split{4, 3, 2}, 9,
+			"inefficient mixed engines", Config{Rates: Rates{MixedEfficiency: 0.6}},
+			testIntent(allRoles...), testEngines(0, 0, 9), 600, steady(45000, 6000), Split{4, 3, 2}, 9,
 		},
-		{"mixed engines do not", Config{}, testIntent(allRoles...), fleet(0, 0, 9), 300, swings(60), Split{0, 0, 9}, 0},
+		{"efficient mixed engines", Config{}, testIntent(allRoles...), testEngines(0, 0, 9), 300, alternating(60), Split{0, 0, 9}, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			got, changes := adaptiveRun(c.config, c.intent, c.engines, c.seconds, c.demand)
+			got, changes := runAdaptive(c.config, c.intent, c.engines, c.seconds, c.demand)
 			must.Eq(t, c.want, got)
 			must.LessEq(t, c.maxChanges, changes)
 		})
 	}
 }
 
-// A change whose gain is hardly above its cost is left, since the gain is an estimate.
+// A change whose gain is only slightly above its cost is not made at the default GainRatio,
+// since the gain is an estimate.
 func TestAdaptiveGainRatio(t *testing.T) {
 	intent := testIntent(api.RolePrefill, api.RoleDecode)
 	intent.Spec.ChangeCost = 60
 	for ratio, want := range map[float64]Split{1: {6, 3, 0}, 0: {5, 4, 0}} {
-		got, _ := adaptiveRun(Config{GainRatio: ratio}, intent, fleet(4, 5, 0), 60, func(int) []Demand { return demand(60000, 2800) })
+		got, _ := runAdaptive(Config{GainRatio: ratio}, intent, testEngines(4, 5, 0), 60, func(int) []Demand { return testDemand(60000, 2800) })
 		must.Eq(t, want, got, must.Sprint(ratio))
 	}
 }
 
-// A forecast that follows every swing would move engines back and forth; the
-// cool-down bounds how often.
+// With a forecast that follows every swing of the demand, engines would move back and
+// forth. The cool-down bounds how often.
 func TestAdaptiveBoundsFlapping(t *testing.T) {
 	offered := func(second int) []Demand {
 		if second/30%2 == 0 {
-			return demand(70000, 2800)
+			return testDemand(70000, 2800)
 		}
-		return demand(20000, 9500)
+		return testDemand(20000, 9500)
 	}
-	hasty := Config{
+	reactive := Config{
 		Forecast: ForecastConfig{LevelTime: time.Second}, CoolDown: time.Second,
-		ColdTime: time.Millisecond, DrainTime: time.Millisecond, ChangeTime: time.Millisecond,
+		CacheWarmupTime: time.Millisecond, DrainTime: time.Millisecond, ChangeTime: time.Millisecond,
 	}
-	_, changes := adaptiveRun(hasty, testIntent(api.RolePrefill, api.RoleDecode), fleet(4, 5, 0), 1800, offered)
+	_, changes := runAdaptive(reactive, testIntent(api.RolePrefill, api.RoleDecode), testEngines(4, 5, 0), 1800, offered)
 	must.Between(t, 1, changes, 60) // there are 60 swings of several engines each
 }
 
 func TestAdaptiveFirstSplit(t *testing.T) {
 	var engines []Engine
 	for i := range 9 {
-		engines = append(engines, idle(fmt.Sprintf("e%d", i)))
+		engines = append(engines, idleEngine(fmt.Sprintf("e%d", i)))
 	}
 	g := group{intent: testIntent(api.RolePrefill, api.RoleDecode), engines: engines}
 	target, _ := New(Config{}).(*policyPlanner).policy.target(&g)
@@ -277,11 +278,11 @@
 	must.Positive(t, target.Decode)
 }
 
-func TestServed(t *testing.T) {
+func TestServableWork(t *testing.T) {
 	rates := Rates{Headroom: 1, MixedEfficiency: 1}.withDefaults()
-	load := work{requests: 100, prompt: 4 * rates.PrefillTokensPerSecond, read: 4 * rates.PrefillTokensPerSecond}
-	load.output = 4 * rates.decodeRate(work{requests: load.requests, read: load.read, output: 4000})
-	total := rates.engines(load)
+	load := work{requests: 100, uncachedPrompt: 4 * rates.PrefillTokensPerSecond, totalPrompt: 4 * rates.PrefillTokensPerSecond}
+	load.output = 4 * rates.decodeRate(work{requests: load.requests, totalPrompt: load.totalPrompt, output: 4000})
+	total := rates.requiredEngines(load)
 	cases := []struct {
 		name  string
 		split Split
@@ -289,13 +290,13 @@
 	}{
 		{"all mixed", Split{Mixed: 9}, total},
 		{"too few mixed", Split{Mixed: 4}, 4},
-		{"prefill alone", Split{Prefill: 9}, 0},
-		{"matched", Split{Prefill: 5, Decode: 5}, total},
-		{"prefill hands over to mixed", Split{Prefill: 4, Mixed: 5}, total},
+		{"prefill only", Split{Prefill: 9}, 0},
+		{"balanced prefill and decode", Split{Prefill: 5, Decode: 5}, total},
+		{"prefill with decode on mixed", Split{Prefill: 4, Mixed: 5}, total},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			must.InDelta(t, c.want, rates.served(c.split, load), 0.35)
+			must.InDelta(t, c.want, rates.servableWork(c.split, load), 0.35)
 		})
 	}
 }
@@ -303,9 +304,9 @@
 func TestForecastFollowsTrend(t *testing.T) {
 	f := forecast{config: Config{}.withDefaults().Forecast}
 	for second := range 60 {
-		f.update(time.Duration(second)*time.Second, work{prompt: 1000 + 100*float64(second)})
+		f.update(time.Duration(second)*time.Second, work{uncachedPrompt: 1000 + 100*float64(second)})
 	}
-	ahead := f.at(10 * time.Second).prompt
+	ahead := f.predict(10 * time.Second).uncachedPrompt
 	must.Between(t, 6900, ahead, 9000)
-	must.Zero(t, f.at(time.Minute).output)
+	must.Zero(t, f.predict(time.Minute).output)
 }
--- a/version/planner/rates.go
+++ b/version/planner/rates.go
@@ -4,23 +4,22 @@
 
 // Rates is the service-rate model of the engines. Zero fields take defaults.
 type Rates struct {
-	// PrefillTokensPerSecond is what a prefill engine reads.
+	// PrefillTokensPerSecond is the prompt throughput of a prefill engine.
 	PrefillTokensPerSecond float64
-	// StepBase is the time of a decode step without sequences; each sequence
-	// adds StepPerSequence, and a thousand tokens of KV cache StepPerThousand.
+	// StepBase is the fixed time of a decode step; each sequence adds
+	// StepPerSequence, and each thousand tokens of KV cache adds StepPerThousand.
 	StepBase        time.Duration
 	StepPerSequence time.Duration
 	StepPerThousand time.Duration
-	// MaxBatch bounds the sequences of a step, and KVTokens the sum of their lengths.
+	// MaxBatch bounds the number of sequences in a step, and KVTokens the sum of
+	// their lengths in tokens.
 	MaxBatch int
 	KVTokens int
-	// MixedEfficiency is the rate of a mixed engine as a share of what the
-	// time it gives to each kind of work would yield on an engine that does
-	// nothing else. Below 1 prompts and decode steps hold each other up; above
-	// 1 they share the fixed time of a step.
+	// MixedEfficiency is the throughput of a mixed engine relative to dedicated
+	// engines that spend the same time on each kind of work. Below 1, prompts and
+	// decode steps delay each other; above 1, they share the fixed time of a step.
 	MixedEfficiency float64
-	// Headroom is the share of its rate that an engine can be loaded with
-	// before waiting times break deadlines.
+	// Headroom is the utilization up to which queueing delays don't break deadlines.
 	Headroom float64
 }
 
@@ -64,64 +63,69 @@
 	return r
 }
 
-// work is an offered rate of model work.
+// work is an offered load.
 type work struct {
-	requests float64 // a second
-	prompt   float64 // tokens a second, not found in caches
-	read     float64 // tokens a second, cached or not
-	output   float64 // tokens a second
+	requests       float64 // per second
+	uncachedPrompt float64 // tokens per second, not found in prefix caches
+	totalPrompt    float64 // tokens per second, cached or not
+	output         float64 // tokens per second
 }
 
-// measuredWork is the offered rate over the demand's window.
+// measuredWork returns the mean load over the demand's window.
 func measuredWork(demand Demand) work {
 	window := demand.Window.Seconds()
 	if window <= 0 {
 		return work{}
 	}
 	return work{
-		requests: demand.Requests / window,
-		prompt:   max(demand.PromptTokens-demand.CachedPromptTokens, 0) / window,
-		read:     demand.PromptTokens / window,
-		output:   demand.OutputTokens / window,
+		requests:       demand.Requests / window,
+		uncachedPrompt: max(demand.PromptTokens-demand.CachedPromptTokens, 0) / window,
+		totalPrompt:    demand.PromptTokens / window,
+		output:         demand.OutputTokens / window,
 	}
 }
 
-// decodeRate is what a decode engine generates a second with the largest batch
-// of sequences of the work's mean length that fits its memory.
+// decodeRate returns the tokens per second that a decode engine generates with the
+// largest batch of sequences of the work's mean length that fits into its KV cache.
 func (r Rates) decodeRate(w work) float64 {
 	batch := float64(r.MaxBatch)
 	if w.requests > 0 {
-		length := (w.read + w.output) / w.requests
+		length := (w.totalPrompt + w.output) / w.requests
 		batch = max(min(batch, float64(r.KVTokens)/max(length, 1)), 1)
 	}
-	kv := min(batch*(w.read+w.output)/max(w.requests, 1e-9), float64(r.KVTokens))
+	kv := min(batch*(w.totalPrompt+w.output)/max(w.requests, 1e-9), float64(r.KVTokens))
 	step := r.StepBase.Seconds() + r.StepPerSequence.Seconds()*batch + r.StepPerThousand.Seconds()*kv/1000
 	return batch / step
 }
 
-// prefillEngines is the prompt work in prefill engines.
-func (r Rates) prefillEngines(w work) float64 { return w.prompt / r.PrefillTokensPerSecond }
+// requiredPrefillEngines returns how many prefill engines the prompt work occupies fully.
+func (r Rates) requiredPrefillEngines(w work) float64 {
+	return w.uncachedPrompt / r.PrefillTokensPerSecond
+}
 
-// decodeEngines is the output work in decode engines.
-func (r Rates) decodeEngines(w work) float64 { return w.output / r.decodeRate(w) }
+// requiredDecodeEngines returns how many decode engines the output work occupies fully.
+func (r Rates) requiredDecodeEngines(w work) float64 { return w.output / r.decodeRate(w) }
 
-// engines is the work in engines that do nothing but one kind.
-func (r Rates) engines(w work) float64 { return r.prefillEngines(w) + r.decodeEngines(w) }
+// requiredEngines returns how many dedicated engines the work occupies fully.
+func (r Rates) requiredEngines(w work) float64 {
+	return r.requiredPrefillEngines(w) + r.requiredDecodeEngines(w)
+}
 
-// prefillShare is the share of the work that reads prompts; a half without any work.
+// prefillShare returns the share of engine time that goes to prompts; 0.5 without work.
 func (r Rates) prefillShare(w work) float64 {
-	total := r.engines(w)
+	total := r.requiredEngines(w)
 	if total == 0 {
 		return 0.5
 	}
-	return r.prefillEngines(w) / total
+	return r.requiredPrefillEngines(w) / total
 }
 
-// served is how much of the work a split can serve, in engines' work a second.
-// Prompts read by prefill engines are decoded by decode engines first and by
-// mixed ones with what is left; mixed engines serve whole requests with the rest.
-func (r Rates) served(split Split, w work) float64 {
-	prefillNeed, decodeNeed := r.prefillEngines(w), r.decodeEngines(w)
+// servableWork returns how much of the work a split can serve, measured in dedicated
+// engines. Requests that prefill engines have processed are decoded by decode engines
+// first and then by mixed ones; mixed engines serve whole requests with the rest of
+// their capacity.
+func (r Rates) servableWork(split Split, w work) float64 {
+	prefillNeed, decodeNeed := r.requiredPrefillEngines(w), r.requiredDecodeEngines(w)
 	total := prefillNeed + decodeNeed
 	if total == 0 {
 		return 0
@@ -130,16 +134,16 @@
 	decode := float64(split.Decode) * r.Headroom
 	mixed := float64(split.Mixed) * r.Headroom * r.MixedEfficiency
 
-	paired := min(share(prefill, prefillNeed), share(decode, decodeNeed), 1)
-	prefill -= paired * prefillNeed
-	handed := min(share(prefill, prefillNeed), share(mixed, decodeNeed), 1-paired)
-	mixed -= handed * decodeNeed
-	whole := min(share(mixed, total), 1-paired-handed)
-	return (paired + handed + whole) * total
+	disaggregated := min(coverage(prefill, prefillNeed), coverage(decode, decodeNeed), 1)
+	prefill -= disaggregated * prefillNeed
+	decodedByMixed := min(coverage(prefill, prefillNeed), coverage(mixed, decodeNeed), 1-disaggregated)
+	mixed -= decodedByMixed * decodeNeed
+	servedByMixed := min(coverage(mixed, total), 1-disaggregated-decodedByMixed)
+	return (disaggregated + decodedByMixed + servedByMixed) * total
 }
 
-// share is the share of a need that a capacity covers; 1 or more covers all.
-func share(capacity, need float64) float64 {
+// coverage returns the ratio of a capacity to a need; 1 or more covers all of it.
+func coverage(capacity, need float64) float64 {
 	if need <= 0 {
 		return 1
 	}
--- a/version/planner/scheduled.go
+++ b/version/planner/scheduled.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// ScheduleStep is a split that is wanted from a time on.
+// ScheduleStep sets the wanted split from a point in time on.
 type ScheduleStep struct {
 	From  time.Duration
 	Split Split
 }
 
-// NewSchedule returns a planner that follows a time line of splits, sorted by
-// time. It is what a search with the demand known beforehand tries out.
+// NewSchedule returns a planner that follows a schedule of splits, sorted by time.
+// The search for the best schedule under known demand evaluates its candidates with it.
 func NewSchedule(steps []ScheduleStep) Planner {
 	return &policyPlanner{policy: schedule(steps)}
 }
@@ -23,20 +23,20 @@
 			wanted = step.Split
 		}
 	}
-	return fit(wanted, g.capacity()), "scheduled split"
+	return resize(wanted, g.assignableCount()), "scheduled split"
 }
 
-// fit takes engines from the most frequent roles, or adds mixed ones, until a
-// split has a total.
-func fit(split Split, total int) Split {
+// resize removes engines from the largest roles, or adds mixed ones, until the split
+// has the given total.
+func resize(split Split, total int) Split {
 	for split.Total() > total {
-		most := splitRoles[0]
+		largest := splitRoles[0]
 		for _, role := range splitRoles {
-			if split.Of(role) > split.Of(most) {
-				most = role
+			if split.Of(role) > split.Of(largest) {
+				largest = role
 			}
 		}
-		split = split.with(most, -1)
+		split = split.with(largest, -1)
 	}
 	return split.with(splitRoles[0], total-split.Total())
 }
--- a/version/planner/split.go
+++ b/version/planner/split.go
@@ -6,17 +6,17 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// Split is a number of engines for each role.
+// Split is the number of engines in each role.
 type Split struct {
 	Prefill int
 	Decode  int
 	Mixed   int
 }
 
-// splitRoles is the order in which roles are looked at.
+// splitRoles lists the roles of a split in the order of preference among equals.
 var splitRoles = []api.EngineRole{api.RoleMixed, api.RolePrefill, api.RoleDecode}
 
-// Total is the number of engines.
+// Total returns the number of engines.
 func (s Split) Total() int { return s.Prefill + s.Decode + s.Mixed }
 
 // Of returns the number of engines of a role.
@@ -33,7 +33,7 @@
 	}
 }
 
-// with returns the split with the role's number changed by delta.
+// with returns the split with delta engines more in the role.
 func (s Split) with(role api.EngineRole, delta int) Split {
 	switch role {
 	case api.RolePrefill:
@@ -46,7 +46,7 @@
 	return s
 }
 
-// Moves is the number of role changes that lead from s to a split of the same total.
+// Moves returns the number of role changes that lead from s to a split of the same total.
 func (s Split) Moves(to Split) int {
 	moves := 0
 	for _, role := range splitRoles {
@@ -60,15 +60,15 @@
 	return fmt.Sprintf("%d prefill, %d decode, %d mixed", s.Prefill, s.Decode, s.Mixed)
 }
 
-// candidates returns the splits of the current total over the allowed roles
-// that are worth a look: all of a small total, a grid of a large one, and in any
-// case those that are one, two, four and so on moves from the current one. There
-// are never more than a few hundred.
-func candidates(current Split, allowed func(api.EngineRole) bool) []Split {
+// candidateSplits returns the splits of the current total over the allowed roles to
+// evaluate: all of them for a small total; for a large one a grid, and those that are
+// one, two, four and so on moves from the current split. There are never more than a
+// few hundred.
+func candidateSplits(current Split, allowed func(api.EngineRole) bool) []Split {
 	total := current.Total()
 	var splits []Split
 	add := func(split Split) {
-		if permitted(split, allowed) {
+		if isPermitted(split, allowed) {
 			splits = append(splits, split)
 		}
 	}
@@ -78,15 +78,15 @@
 		}
 	}
 	if total > gridSteps {
-		addNear(current, add)
+		addNeighbors(current, add)
 	}
 	return splits
 }
 
-// gridSteps bounds the points of a grid along one axis, but for its end.
+// gridSteps bounds the points of a grid along one axis, not counting the end point.
 const gridSteps = 16
 
-// gridPoints returns numbers from 0 to a total, both included.
+// gridPoints returns evenly spaced numbers from 0 to a total, both included.
 func gridPoints(total int) []int {
 	step := max((total+gridSteps-1)/gridSteps, 1)
 	var points []int
@@ -96,8 +96,8 @@
 	return append(points, total)
 }
 
-// addNear adds the splits that moves between two roles lead to.
-func addNear(current Split, add func(Split)) {
+// addNeighbors adds the splits reached by moving 1, 2, 4 and so on engines between two roles.
+func addNeighbors(current Split, add func(Split)) {
 	for _, from := range splitRoles {
 		for _, to := range splitRoles {
 			for moves := 1; from != to && moves <= current.Of(from); moves *= 2 {
@@ -107,25 +107,27 @@
 	}
 }
 
-// permitted reports whether the split uses allowed roles only and can serve a
-// whole request.
-func permitted(split Split, allowed func(api.EngineRole) bool) bool {
+// isPermitted reports whether the split uses allowed roles only and can serve whole
+// requests.
+func isPermitted(split Split, allowed func(api.EngineRole) bool) bool {
 	for _, role := range splitRoles {
 		if split.Of(role) > 0 && !allowed(role) {
 			return false
 		}
 	}
-	return split.serves()
+	return split.canServe()
 }
 
-// serves reports whether some engine can generate and some engine can read prompts.
-func (s Split) serves() bool {
+// canServe reports whether the split has engines for both prompts and output; it is
+// true for an empty split.
+func (s Split) canServe() bool {
 	return s.Total() == 0 || s.Mixed > 0 || (s.Prefill > 0 && s.Decode > 0)
 }
 
-// proportional returns the split of total engines without mixed ones whose
-// prefill share is nearest to a share, with at least one of each.
-func proportional(total int, share float64) Split {
+// proportionalSplit returns the split of total engines into prefill and decode whose
+// prefill share is nearest to the given one, with at least one engine of each. A single
+// engine is mixed.
+func proportionalSplit(total int, share float64) Split {
 	if total < 2 {
 		return Split{Mixed: total}
 	}
--- a/version/planner/types.go
+++ b/version/planner/types.go
@@ -1,10 +1,11 @@
 // Package planner decides which engine should change to which role, model and
-// version. A plan is a pure function of its input: the same input gives the
-// same plan, and a plan becomes true only when its orders are committed.
+// version. A plan depends only on its input and on what the planner keeps from
+// earlier inputs, so the same inputs give the same plans. It takes effect only when
+// its orders are committed.
 //
-// Guarantees, whatever the policy: only engines that an intent selects, that are
-// well and that have no open order are touched, and never more serving engines of
-// an intent are away at once than its disruption budget allows.
+// Guarantees of every policy: a plan opens orders only for engines that an intent
+// selects, that are healthy and that have no open order, and it never makes more
+// serving engines of an intent unavailable at once than its disruption budget allows.
 package planner
 
 import (
@@ -21,34 +22,34 @@
 	Demand  []Demand      // by intent name
 }
 
-// Engine is what the planner sees of one engine.
+// Engine is the state of one engine as seen by the planner.
 type Engine struct {
 	Name       string
 	Intent     string // the intent that selects it; "" if none does
 	Zone       string
 	Phase      api.EnginePhase
-	Assignment api.Assignment // what it is now
-	// Pending is the assignment of its open order, if any.
+	Assignment api.Assignment // the current assignment
+	// Pending is the assignment of its open order, nil if there is none.
 	Pending *api.Assignment
 	Drain   bool // an operator asked for a drain
-	// Running and Waiting are the last (lagging) report.
+	// Running, Waiting, WaitingTokens and KVUsed come from the last report, which lags.
 	Running       int
 	Waiting       int
 	WaitingTokens int
 	KVUsed        float64
-	// SinceChange is how long ago its last change ended; negative if never.
+	// SinceChange is the time since its last change ended; negative if it never changed.
 	SinceChange time.Duration
 }
 
-// Demand is the measured offered work of one intent over a recent window,
+// Demand is the measured offered load of one intent over a recent window,
 // summed over all proxies.
 type Demand struct {
 	Intent string
-	// Window is how long the counts below were taken over.
+	// Window is the duration over which the counts below were taken.
 	Window             time.Duration
 	Requests           float64
 	PromptTokens       float64
-	CachedPromptTokens float64 // of PromptTokens, found in caches
+	CachedPromptTokens float64 // the part of PromptTokens found in prefix caches
 	OutputTokens       float64
 	Refused            float64 // requests refused for lack of capacity
 	Late               float64 // requests that missed their deadline
@@ -56,15 +57,16 @@
 	QueuedPromptTokens float64
 }
 
-// Decision asks for one order.
+// Decision requests one order: the engine is to change to the assignment.
 type Decision struct {
 	Engine     string
 	Assignment api.Assignment
 	Reason     string
 }
 
-// Planner turns an input into the orders that should be opened now. A planner
-// may keep a forecast between calls; everything else comes with the input.
+// Planner returns the orders to open now for an input. A planner may keep
+// forecasts and the times of its changes between calls; everything else comes
+// with the input.
 type Planner interface {
 	Plan(input Input) []Decision
 }
--- a/version/view/codec.go
+++ b/version/view/codec.go
@@ -56,7 +56,7 @@
 }
 
 // keyLess orders keys by kind and name.
-func keyLess(a, b api.Key) int {
+func compareKeys(a, b api.Key) int {
 	switch {
 	case a.Kind < b.Kind, a.Kind == b.Kind && a.Name < b.Name:
 		return -1
--- a/version/view/history.go
+++ b/version/view/history.go
@@ -59,6 +59,6 @@
 	for _, change := range h.Changes[first:] {
 		keys = append(keys, change.Key)
 	}
-	slices.SortFunc(keys, keyLess)
+	slices.SortFunc(keys, compareKeys)
 	return slices.Compact(keys)
 }
--- a/version/view/relay.go
+++ b/version/view/relay.go
@@ -8,7 +8,7 @@
 )
 
 // relayChanges bounds the changes that a Relay keeps to make deltas of.
-const relayChanges = 8192
+const relayChangesKept = 8192
 
 // Relay stands between a Tracker upstream, to which it looks like one daemon,
 // and the daemons behind it, so that the group's leader follows one relay in
@@ -27,7 +27,7 @@
 	tracker *Tracker
 	history atomic.Pointer[History]
 
-	applying sync.Mutex // one delta at a time
+	applyMu sync.Mutex // one delta at a time
 
 	mu    sync.Mutex
 	acked Version
@@ -54,12 +54,12 @@
 
 // Apply moves the view forward; the errors are those of Holder.Apply.
 func (r *Relay) Apply(d Delta) error {
-	r.applying.Lock()
-	defer r.applying.Unlock()
+	r.applyMu.Lock()
+	defer r.applyMu.Unlock()
 	if err := r.holder.Apply(d); err != nil {
 		return err
 	}
-	r.history.Store(r.history.Load().extend(r.holder.Load(), d))
+	r.history.Store(r.history.Load().withDelta(r.holder.Load(), d))
 	return nil
 }
 
@@ -75,7 +75,7 @@
 // when its daemon asked; zero: none may be.
 func (r *Relay) Limit(now time.Duration) time.Duration {
 	remaining := r.holder.Remaining(now)
-	return remaining - remaining/driftShare
+	return remaining - remaining/clockDriftDivisor
 }
 
 // Acknowledge returns the version to acknowledge upstream: the highest one that
@@ -84,7 +84,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	reached := r.holder.Load().Version
-	if lowest, some := r.tracker.lowest(now); some && lowest.Compare(reached) < 0 {
+	if lowest, some := r.tracker.lowestLeasedVersion(now); some && lowest.Compare(reached) < 0 {
 		reached = lowest
 	}
 	if reached.Compare(r.acked) <= 0 {
@@ -99,7 +99,7 @@
 // extend returns the history after a delta that led to the view. All changes
 // count as made at the delta's last revision: who stands in between is sent
 // some objects again, and misses none.
-func (h *History) extend(next *View, d Delta) *History {
+func (h *History) withDelta(next *View, d Delta) *History {
 	if d.Full {
 		return &History{View: next, Floor: d.To.Revision}
 	}
@@ -118,10 +118,10 @@
 
 // trim drops the oldest changes, a good part at a time.
 func (h *History) trim() {
-	if len(h.Changes) <= 2*relayChanges {
+	if len(h.Changes) <= 2*relayChangesKept {
 		return
 	}
-	dropped := len(h.Changes) - relayChanges
+	dropped := len(h.Changes) - relayChangesKept
 	h.Floor = h.Changes[dropped-1].Revision
 	h.Changes = slices.Clone(h.Changes[dropped:])
 }
--- a/version/view/table_test.go
+++ b/version/view/table_test.go
@@ -8,7 +8,7 @@
 )
 
 // ofKind returns an object of the kind.
-func ofKind(t *testing.T, kind api.Kind, name string) api.Object {
+func objectOfKind(t *testing.T, kind api.Kind, name string) api.Object {
 	t.Helper()
 	named := api.Metadata{Name: name}
 	objects := map[api.Kind]api.Object{
@@ -33,10 +33,10 @@
 }
 
 // A kind that a view passes over would be held by the group and known to nobody.
-func TestViewsHoldEveryKind(t *testing.T) {
+func TestViewHoldsEveryKind(t *testing.T) {
 	for _, kind := range api.Kinds {
 		t.Run(string(kind), func(t *testing.T) {
-			first, second := ofKind(t, kind, "b"), ofKind(t, kind, "a")
+			first, second := objectOfKind(t, kind, "b"), objectOfKind(t, kind, "a")
 			filled, err := New().Apply(Delta{To: Version{Term: 1, Revision: 1}, Full: true, Objects: []api.Object{first, second}})
 			must.NoError(t, err)
 			must.Eq(t, []api.Object{second, first}, filled.List(kind))
--- a/version/view/tracker.go
+++ b/version/view/tracker.go
@@ -18,9 +18,9 @@
 	trackerShards = 16
 	// driftShare is the inverse of the share by which a daemon's clock may run
 	// slower than the leader's.
-	driftShare = 100
+	clockDriftDivisor = 100
 	// forgetAfter is how long a lapsed daemon stays listed.
-	forgetAfter = 10 * time.Minute
+	lapsedRetention = 10 * time.Minute
 )
 
 // Tracker knows, on the leader, which versions the daemons hold and until when
@@ -36,10 +36,10 @@
 // lease after Reset. The caller must hold the leader lease whenever it passes a
 // grant on and must call Reset only once the earlier leader's lease has lapsed.
 type Tracker struct {
-	lease      time.Duration
-	graceUntil atomic.Int64 // nanoseconds
-	floor      atomic.Uint64
-	shards     [trackerShards]trackerShard
+	lease       time.Duration
+	graceUntil  atomic.Int64 // nanoseconds
+	minRevision atomic.Uint64
+	shards      [trackerShards]trackerShard
 }
 
 type trackerShard struct {
@@ -75,7 +75,7 @@
 // force until one lease has passed from now, since daemons that this leader has
 // not seen may hold leases of the earlier one.
 func (t *Tracker) Reset(now time.Duration) {
-	t.graceUntil.Store(int64(t.lapse(now)))
+	t.graceUntil.Store(int64(t.lapseTime(now)))
 	for i := range t.shards {
 		shard := &t.shards[i]
 		shard.mu.Lock()
@@ -90,8 +90,8 @@
 // version up to that one as in force.
 func (t *Tracker) Require(version Version) {
 	for {
-		floor := t.floor.Load()
-		if version.Revision <= floor || t.floor.CompareAndSwap(floor, version.Revision) {
+		floor := t.minRevision.Load()
+		if version.Revision <= floor || t.minRevision.CompareAndSwap(floor, version.Revision) {
 			return
 		}
 	}
@@ -102,7 +102,7 @@
 // differ between two runs of a daemon (use its incarnation), so that a late
 // heartbeat of the earlier run is not taken for the later one's.
 func (t *Tracker) Observe(daemon string, acked Version, now time.Duration) (granted bool) {
-	shard := t.shard(daemon)
+	shard := t.shardFor(daemon)
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
 	state, known := shard.daemons[daemon]
@@ -110,9 +110,9 @@
 		state.lapsesAt = now
 	}
 	state.acked = acked
-	granted = acked.Revision >= t.floor.Load()
+	granted = acked.Revision >= t.minRevision.Load()
 	if granted {
-		state.lapsesAt = max(state.lapsesAt, t.lapse(now))
+		state.lapsesAt = max(state.lapsesAt, t.lapseTime(now))
 	}
 	shard.daemons[daemon] = state
 	return granted
@@ -122,13 +122,13 @@
 // no lease any more, and otherwise the sorted names of the daemons that are
 // waited for.
 func (t *Tracker) InForce(version Version, now time.Duration) (done bool, waitingFor []string) {
-	if waitingFor = t.waiting(version, now); len(waitingFor) > 0 {
+	if waitingFor = t.pendingDaemons(version, now); len(waitingFor) > 0 {
 		return false, waitingFor
 	}
 	// A heartbeat between the scan and the new floor may have been granted a
 	// lease, so the second scan decides: after it, the floor refuses.
 	t.Require(version)
-	waitingFor = t.waiting(version, now)
+	waitingFor = t.pendingDaemons(version, now)
 	return len(waitingFor) == 0, waitingFor
 }
 
@@ -152,7 +152,7 @@
 	return list
 }
 
-func (t *Tracker) waiting(version Version, now time.Duration) []string {
+func (t *Tracker) pendingDaemons(version Version, now time.Duration) []string {
 	var names []string
 	if int64(now) < t.graceUntil.Load() {
 		names = append(names, UnseenDaemons)
@@ -167,7 +167,7 @@
 }
 
 // lowest returns the lowest version held under a lease, and false if no lease runs.
-func (t *Tracker) lowest(now time.Duration) (lowest Version, some bool) {
+func (t *Tracker) lowestLeasedVersion(now time.Duration) (lowest Version, some bool) {
 	t.scan(now, func(_ string, state daemonState) {
 		if now >= state.lapsesAt {
 			return
@@ -190,7 +190,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for name, state := range s.daemons {
-		if now-state.lapsesAt > forgetAfter {
+		if now-state.lapsesAt > lapsedRetention {
 			delete(s.daemons, name)
 			continue
 		}
@@ -199,10 +199,10 @@
 }
 
 // lapse returns when a lease granted now has surely lapsed at the daemon.
-func (t *Tracker) lapse(now time.Duration) time.Duration {
-	return now + t.lease + t.lease/driftShare
+func (t *Tracker) lapseTime(now time.Duration) time.Duration {
+	return now + t.lease + t.lease/clockDriftDivisor
 }
 
-func (t *Tracker) shard(daemon string) *trackerShard {
+func (t *Tracker) shardFor(daemon string) *trackerShard {
 	return &t.shards[xxhash.Sum64String(daemon)%trackerShards]
 }
--- a/version/view/tracker_guards_test.go
+++ b/version/view/tracker_guards_test.go
@@ -11,7 +11,7 @@
 )
 
 // Two heartbeats of a daemon may be handled in either order of their readings.
-func TestTrackedLeaseNeverGetsShorter(t *testing.T) {
+func TestTrackerNeverShortensLease(t *testing.T) {
 	old := Version{1, 1}
 	tracker := NewTracker(testLease)
 	tracker.Reset(-time.Hour)
@@ -22,7 +22,7 @@
 	must.Eq(t, []string{"a"}, waitingFor)
 }
 
-func TestResetForgetsTheDaemonsOfAnEarlierLeadership(t *testing.T) {
+func TestResetForgetsDaemons(t *testing.T) {
 	tracker := NewTracker(testLease)
 	tracker.Reset(-time.Hour)
 	must.True(t, tracker.Observe("a", Version{1, 1}, 0))
@@ -33,7 +33,7 @@
 // A heartbeat that is handled while the question is answered either gets no lease
 // for its older view, or is waited for. The rounds let the heartbeat come sooner
 // and later after the question, so that some meet in the middle.
-func TestHeartbeatBesideTheQuestionGetsNoLeaseBehindIt(t *testing.T) {
+func TestInForceRacesWithHeartbeat(t *testing.T) {
 	const rounds, spread = 20_000, 2_000
 	refused, waited := 0, 0
 	for round := range rounds {
--- a/version/view/tracker_test.go
+++ b/version/view/tracker_test.go
@@ -46,7 +46,7 @@
 }
 
 // beat is a daemon's heartbeat or the grant that answers it, on its way.
-type beat struct {
+type heartbeat struct {
 	daemon int
 	sentAt time.Duration
 	acked  Version
@@ -66,13 +66,13 @@
 		tracker := NewTracker(testLease)
 		tracker.Reset(0)
 		var daemons []*Holder
-		var beats, grants []beat
+		var beats, grants []heartbeat
 		pick := func(t *rapid.T) int { return rapid.IntRange(0, len(daemons)-1).Draw(t, "daemon") }
 		delay := func(t *rapid.T) time.Duration {
 			return time.Duration(rapid.IntRange(0, 80).Draw(t, "delay")) * time.Millisecond
 		}
-		deliver := func(list []beat, handle func(beat)) []beat {
-			var later []beat
+		deliver := func(list []heartbeat, handle func(heartbeat)) []heartbeat {
+			var later []heartbeat
 			for _, b := range list {
 				if b.arrive > now {
 					later = append(later, b)
@@ -96,7 +96,7 @@
 			"update": func(t *rapid.T) { _ = daemons[pick(t)].Apply(Delta{Full: true, To: latest}) },
 			"beat": func(t *rapid.T) {
 				i := pick(t)
-				beats = append(beats, beat{daemon: i, sentAt: now, acked: daemons[i].Load().Version, arrive: now + delay(t)})
+				beats = append(beats, heartbeat{daemon: i, sentAt: now, acked: daemons[i].Load().Version, arrive: now + delay(t)})
 			},
 			"lose": func(t *rapid.T) { beats, grants = nil, nil },
 			"time": func(t *rapid.T) { now += delay(t) },
@@ -120,13 +120,13 @@
 				}
 			},
 			"": func(t *rapid.T) {
-				beats = deliver(beats, func(b beat) {
+				beats = deliver(beats, func(b heartbeat) {
 					if tracker.Observe(fmt.Sprint(b.daemon), b.acked, now) {
 						b.term, b.arrive = latest.Term, now+delay(t)
 						grants = append(grants, b)
 					}
 				})
-				grants = deliver(grants, func(b beat) { daemons[b.daemon].Confirm(b.sentAt, testLease, b.term) })
+				grants = deliver(grants, func(b heartbeat) { daemons[b.daemon].Confirm(b.sentAt, testLease, b.term) })
 				for _, h := range daemons {
 					old := h.Load().Version.Compare(floor) < 0
 					must.False(t, old && h.Valid(now), must.Sprintf("a daemon uses %v though %v is in force", h.Load().Version, floor))
--- a/version/view/view.go
+++ b/version/view/view.go
@@ -71,12 +71,12 @@
 		next = *New()
 	}
 	next.Version = d.To
-	next.copyTouched(d)
+	next.copyChangedMaps(d)
 	for _, o := range d.Objects {
-		next.put(o)
+		next.putObject(o)
 	}
 	for _, key := range d.Removed {
-		next.remove(key)
+		next.removeObject(key)
 	}
 	return &next, nil
 }
@@ -101,7 +101,7 @@
 }
 
 // copyTouched replaces the maps that the delta writes to by copies.
-func (v *View) copyTouched(d Delta) {
+func (v *View) copyChangedMaps(d Delta) {
 	touched := map[api.Kind]bool{}
 	for _, o := range d.Objects {
 		if key, ok := o.Key(); ok {
@@ -118,14 +118,14 @@
 	}
 }
 
-func (v *View) put(o api.Object) {
+func (v *View) putObject(o api.Object) {
 	key, _ := o.Key()
 	if held := v.table(key.Kind); held != nil {
 		held.put(key.Name, o)
 	}
 }
 
-func (v *View) remove(key api.Key) {
+func (v *View) removeObject(key api.Key) {
 	if held := v.table(key.Kind); held != nil {
 		held.remove(key.Name)
 	}
--- a/version/view/view_test.go
+++ b/version/view/view_test.go
@@ -25,24 +25,24 @@
 	os.Exit(m.Run())
 }
 
-func engine(name string, fence uint64) *api.Engine {
+func testEngine(name string, fence uint64) *api.Engine {
 	o := &api.Engine{Metadata: api.Metadata{Name: name}}
 	o.Status.Fence.Index = fence
 	return o
 }
 
 // versions is a leader's sequence of views with all their changes.
-type versions struct {
+type viewSequence struct {
 	views   []*View
 	history History
 }
 
-func newVersions() *versions {
-	return &versions{views: []*View{New()}, history: History{View: New()}}
+func newViewSequence() *viewSequence {
+	return &viewSequence{views: []*View{New()}, history: History{View: New()}}
 }
 
 // step writes or removes random objects in a new version.
-func (v *versions) step(t *rapid.T) {
+func (v *viewSequence) addVersion(t *rapid.T) {
 	last := v.views[len(v.views)-1]
 	next := New()
 	next.Version = Version{
@@ -64,7 +64,7 @@
 			key.Kind = api.KindTenant
 			next.Tenants[key.Name] = &api.Tenant{Metadata: api.Metadata{Name: key.Name, Revision: next.Version.Revision}}
 		default:
-			next.Engines[key.Name] = engine(key.Name, next.Version.Revision)
+			next.Engines[key.Name] = testEngine(key.Name, next.Version.Revision)
 		}
 		v.history.Changes = append(v.history.Changes, Change{Revision: next.Version.Revision, Key: key})
 	}
@@ -78,16 +78,16 @@
 
 // TestViewsMoveForwardOnly hands a daemon deltas that were made from any
 // version by servers that lag, late, repeated and out of order.
-func TestViewsMoveForwardOnly(t *testing.T) {
+func TestHolderVersionNeverGoesBack(t *testing.T) {
 	applied, refused := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		leader, holder := newVersions(), NewHolder()
+		leader, holder := newViewSequence(), NewHolder()
 		byVersion := map[Version]*View{{}: New()}
 		var histories []History
 		var sent []Delta
 		t.Repeat(map[string]func(*rapid.T){
 			"step": func(t *rapid.T) {
-				leader.step(t)
+				leader.addVersion(t)
 				histories = append(histories, leader.history)
 				byVersion[leader.history.View.Version] = leader.history.View
 			},
@@ -167,13 +167,13 @@
 	must.NoError(t, h.Apply(Delta{From: Version{6, 1}, To: Version{Term: 6, Revision: 2}}))
 }
 
-func TestHolderConcurrently(t *testing.T) {
+func TestHolderConcurrentUse(t *testing.T) {
 	h := NewHolder()
 	var group sync.WaitGroup
 	for writer := range 4 {
 		group.Go(func() {
 			for revision := uint64(1); revision < 500; revision++ {
-				_ = h.Apply(Delta{Full: true, To: Version{Term: 1, Revision: revision}, Objects: []api.Object{{Engine: engine("e", revision)}}})
+				_ = h.Apply(Delta{Full: true, To: Version{Term: 1, Revision: revision}, Objects: []api.Object{{Engine: testEngine("e", revision)}}})
 				h.Confirm(time.Duration(revision), time.Duration(writer), 1)
 			}
 		})
@@ -197,7 +197,7 @@
 func FuzzDecodeDelta(f *testing.F) {
 	v := New()
 	v.Version = Version{3, 9}
-	v.Engines["e1"] = engine("e1", 4)
+	v.Engines["e1"] = testEngine("e1", 4)
 	v.Services["s"] = &api.Service{Metadata: api.Metadata{Name: "s", Labels: api.Labels{"a": "b", "c": "d"}}}
 	full, _ := v.Full().AppendBinary(nil)
 	f.Add(full)
