--- a/version/view/codec.go
+++ b/version/view/codec.go
@@ -5,14 +5,15 @@
 	"github.com/landingtrail/landingtrail/version/binenc"
 )
 
-// minimumObjectBytes and minimumKeyBytes bound the counts that a decoder believes.
+// minimumObjectBytes and minimumKeyBytes are the smallest encodings of an object and of a
+// key. The decoder rejects counts that the remaining bytes cannot hold.
 const (
 	minimumObjectBytes = 4
 	minimumKeyBytes    = 2
 )
 
-// AppendBinary appends the encoding of the delta to b. The objects must each
-// have a kind; the error is always nil and is there for encoding.BinaryAppender.
+// AppendBinary appends the encoding of the delta to b. Each object must have a kind.
+// The error is always nil; it is part of encoding.BinaryAppender.
 func (d Delta) AppendBinary(b []byte) ([]byte, error) {
 	b = appendVersion(b, d.From)
 	b = appendVersion(b, d.To)
@@ -28,8 +29,8 @@
 	return b, nil
 }
 
-// DecodeDelta decodes what AppendBinary made of one delta. The error is one of
-// the binenc errors; the result shares no memory with b.
+// DecodeDelta decodes a delta that AppendBinary encoded. The error is one of the binenc
+// errors; the result shares no memory with b.
 func DecodeDelta(b []byte) (Delta, error) {
 	r := binenc.NewReader(b)
 	d := Delta{From: readVersion(r), To: readVersion(r), Full: r.Bool()}
@@ -55,7 +56,7 @@
 	return Version{Term: r.Uint(), Revision: r.Uint()}
 }
 
-// keyLess orders keys by kind and name.
+// compareKeys orders keys by kind and name.
 func compareKeys(a, b api.Key) int {
 	switch {
 	case a.Kind < b.Kind, a.Kind == b.Kind && a.Name < b.Name:
--- a/version/view/example_test.go
+++ b/version/view/example_test.go
@@ -9,8 +9,8 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
-// A daemon follows the state by deltas: late and repeated ones change nothing,
-// and the view counts only within the lease.
+// A daemon follows the state by deltas. Late and repeated deltas change nothing, and
+// the view is valid only within the lease.
 func ExampleHolder() {
 	machine := state.New()
 	write := func(index uint64, class string) {
@@ -33,7 +33,7 @@
 	fmt.Println(holder.Apply(second), len(holder.Load().Classes))
 	fmt.Println(holder.Apply(first))
 
-	// The lease counts from when the heartbeat was sent, not from its answer.
+	// The lease starts when the heartbeat was sent, not when the answer arrived.
 	sentAt, lease := 10*time.Second, 3*time.Second
 	fmt.Println(holder.Confirm(sentAt, lease, 1), holder.Valid(12*time.Second), holder.Valid(13*time.Second))
 	fmt.Println(holder.Confirm(14*time.Second, lease, 0))
--- a/version/view/history.go
+++ b/version/view/history.go
@@ -6,25 +6,25 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// Change says that the object with the key was written or removed at a revision.
+// Change records that the object with the key was written or removed at a revision.
 type Change struct {
 	Revision uint64
 	Key      api.Key
 }
 
-// History is a view with the latest changes that led to it. It is immutable
+// History is a view together with the latest changes that led to it. It is immutable
 // and may be read by any number of goroutines.
 type History struct {
 	View *View
-	// Floor is the highest revision of which changes were dropped from Changes.
+	// Floor is the highest revision whose changes were dropped from Changes.
 	Floor uint64
 	// Changes are in ascending order of revisions.
 	Changes []Change
 }
 
-// DeltaSince returns the delta that leads from a version to the history's, and
-// false if there is nothing to send: the version is the history's or a later
-// one. The delta is full when the version is zero or older than the kept changes.
+// DeltaSince returns the delta from a version to the history's version. It returns
+// false if there is nothing to send because the version is not older than the
+// history's. The delta is full if the version is zero or older than the kept changes.
 func (h History) DeltaSince(from Version) (Delta, bool) {
 	to := h.View.Version
 	if from.Compare(to) >= 0 {
@@ -44,7 +44,7 @@
 	return d, true
 }
 
-// keysSince returns the keys that changed after a revision, each once, sorted.
+// keysSince returns the keys that changed after a revision, sorted and without duplicates.
 func (h History) keysSince(revision uint64) []api.Key {
 	first, _ := slices.BinarySearchFunc(h.Changes, revision+1, func(c Change, target uint64) int {
 		switch {
--- a/version/view/holder.go
+++ b/version/view/holder.go
@@ -12,14 +12,14 @@
 //
 // Guarantees: the version that Load returns never goes back, whatever deltas
 // arrive in whatever order. Valid is true only while less than the lease has
-// passed since the daemon sent a heartbeat that a leader answered; the time on
-// the way counts against the daemon, so the leader, which counts from the
-// receipt of the heartbeat, never believes a lease lapsed that the daemon still
-// uses. A leader of an older term than the newest seen cannot extend the lease.
+// passed since the daemon sent a heartbeat that a leader answered. The network delay
+// thus shortens the daemon's lease, and the leader, which counts from the receipt of
+// the heartbeat, never takes a lease as lapsed that the daemon still uses. A leader of
+// a term older than the newest one seen cannot extend the lease.
 type Holder struct {
 	view       atomic.Pointer[View]
 	validUntil atomic.Int64 // nanoseconds of the monotonic clock
-	// confirmedAt is when the last heartbeat was sent that a leader has answered.
+	// confirmedAt is the send time of the last heartbeat that a leader answered.
 	confirmedAt atomic.Int64
 
 	mu   sync.Mutex // held by writers
@@ -37,8 +37,8 @@
 // Load returns the current view.
 func (h *Holder) Load() *View { return h.view.Load() }
 
-// Apply replaces the view by the one that the delta leads to. The error is
-// ErrGap, after which a full delta is needed, or ErrStale, which needs nothing.
+// Apply applies the delta to the current view. The error is ErrGap, after which a full
+// delta is needed, or ErrStale, after which nothing needs to be done.
 func (h *Holder) Apply(d Delta) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -51,10 +51,10 @@
 	return nil
 }
 
-// Confirm extends the lease to the given duration after sentAt, when the
-// daemon sent the heartbeat that a leader of the term answered. It returns
-// false and changes nothing if a newer term is known. A lease never gets
-// shorter: the answers to two heartbeats may arrive in either order.
+// Confirm extends the lease to the given duration after sentAt, the time at which the
+// daemon sent the heartbeat that a leader of the term answered. It returns false and
+// changes nothing if a newer term is known. It never shortens a lease, since the
+// answers to two heartbeats may arrive in either order.
 func (h *Holder) Confirm(sentAt, lease time.Duration, term uint64) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -67,18 +67,18 @@
 	return true
 }
 
-// SinceConfirmed returns how long ago a leader last confirmed the view, counted from when
-// the daemon asked; before the first time, since the beginning of its clock.
+// SinceConfirmed returns the time since the daemon sent the last heartbeat that a leader
+// answered; before the first answer, the time since the start of the daemon's clock.
 func (h *Holder) SinceConfirmed(now time.Duration) time.Duration {
 	return now - time.Duration(h.confirmedAt.Load())
 }
 
-// Valid reports whether the lease covers now, a reading of the same monotonic
-// clock as Confirm's sentAt. Callers that act on the view must read the clock
-// after the work that led to the action, since a process may be paused between.
+// Valid reports whether the lease covers now, a reading of the same monotonic clock as
+// Confirm's sentAt. Callers that act on the view must read the clock after the work
+// that led to the action, since the process may be paused in the meantime.
 func (h *Holder) Valid(now time.Duration) bool { return int64(now) < h.validUntil.Load() }
 
-// Remaining returns how long the lease still covers, zero if it has lapsed.
+// Remaining returns the remaining duration of the lease, zero if it has lapsed.
 func (h *Holder) Remaining(now time.Duration) time.Duration {
 	if until := h.validUntil.Load(); int64(now) < until {
 		return time.Duration(until) - now
--- a/version/view/relay.go
+++ b/version/view/relay.go
@@ -7,37 +7,36 @@
 	"time"
 )
 
-// relayChanges bounds the changes that a Relay keeps to make deltas of.
+// relayChangesKept is the number of changes to which a Relay trims its history.
 const relayChangesKept = 8192
 
-// Relay stands between a Tracker upstream, to which it looks like one daemon,
-// and the daemons behind it, so that the group's leader follows one relay in
-// place of all of these. Any number of goroutines may use it. Times are
-// readings of one monotonic clock of this process.
+// Relay connects the daemons behind it to an upstream Tracker, which sees it as one
+// daemon, so that the leader tracks one relay in place of all its daemons. Any number
+// of goroutines may use it. Times are readings of one monotonic clock of this process.
 //
-// Guarantee: once the Tracker upstream has called a version in force, no daemon
-// behind the relay uses an older view under a lease granted through the relay.
-// Either the relay acknowledged the version, which it does only once its own
-// Tracker has called it in force, after which that one grants no lease on an
-// older view; or the relay's lease has lapsed upstream, and each lease that it
-// passed on has ended before, because Limit bounds it. A relay that starts again
-// is another daemon upstream, whose predecessor's lease has to lapse first.
+// Guarantee: once the upstream Tracker has reported a version as in force, no daemon
+// behind the relay uses an older view under a lease granted through the relay. Either
+// the relay acknowledged the version, which it does only once its own Tracker has
+// reported it as in force and thus grants no more leases on older views; or the
+// relay's lease has lapsed upstream, and each lease that it granted has ended before,
+// because Limit bounds it. A restarted relay is a new daemon upstream, where the lease
+// of the previous one has to lapse first.
 type Relay struct {
 	holder  *Holder
 	tracker *Tracker
 	history atomic.Pointer[History]
 
-	applyMu sync.Mutex // one delta at a time
+	applyMu sync.Mutex // serializes Apply
 
 	mu    sync.Mutex
 	acked Version
 }
 
-// NewRelay returns a Relay without a view that passes on leases of at most the
-// given duration. now is when it starts.
+// NewRelay returns a Relay with an empty view that grants leases of at most the given
+// duration. now is its start time.
 func NewRelay(lease, now time.Duration) *Relay {
 	r := &Relay{holder: NewHolder(), tracker: NewTracker(lease)}
-	// Nobody holds a lease of this relay yet, so nothing needs to be waited for.
+	// No daemon holds a lease from this relay yet, so the wait of Reset can be skipped.
 	r.tracker.Reset(now - 2*lease)
 	r.history.Store(&History{View: r.holder.Load()})
 	return r
@@ -52,7 +51,7 @@
 // History returns the latest view with the changes that led to it.
 func (r *Relay) History() History { return *r.history.Load() }
 
-// Apply moves the view forward; the errors are those of Holder.Apply.
+// Apply applies the delta to the current view. The errors are those of Holder.Apply.
 func (r *Relay) Apply(d Delta) error {
 	r.applyMu.Lock()
 	defer r.applyMu.Unlock()
@@ -71,33 +70,33 @@
 // Term returns the highest term known.
 func (r *Relay) Term() uint64 { return r.holder.Term() }
 
-// Limit returns how long a lease may last that is passed on now, counted from
-// when its daemon asked; zero: none may be.
+// Limit returns the longest duration of a lease that may be granted to a daemon now,
+// counted from when the daemon sent its heartbeat; zero if no lease may be granted.
 func (r *Relay) Limit(now time.Duration) time.Duration {
 	remaining := r.holder.Remaining(now)
 	return remaining - remaining/clockDriftDivisor
 }
 
-// Acknowledge returns the version to acknowledge upstream: the highest one that
-// is known to be in force behind the relay. It never goes back.
+// Acknowledge returns the version to acknowledge upstream: the highest one known to be
+// in force among the daemons behind the relay. It never goes back.
 func (r *Relay) Acknowledge(now time.Duration) Version {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	reached := r.holder.Load().Version
-	if lowest, some := r.tracker.lowestLeasedVersion(now); some && lowest.Compare(reached) < 0 {
-		reached = lowest
+	candidate := r.holder.Load().Version
+	if lowest, found := r.tracker.lowestLeasedVersion(now); found && lowest.Compare(candidate) < 0 {
+		candidate = lowest
 	}
-	if reached.Compare(r.acked) <= 0 {
+	if candidate.Compare(r.acked) <= 0 {
 		return r.acked
 	}
-	if done, _ := r.tracker.InForce(reached, now); done {
-		r.acked = reached
+	if done, _ := r.tracker.InForce(candidate, now); done {
+		r.acked = candidate
 	}
 	return r.acked
 }
 
-// extend returns the history after a delta that led to the view. All changes
-// count as made at the delta's last revision: who stands in between is sent
+// withDelta returns the history after a delta that led to the view. All changes are
+// recorded at the delta's last revision: a daemon at a revision in between receives
 // some objects again, and misses none.
 func (h *History) withDelta(next *View, d Delta) *History {
 	if d.Full {
@@ -116,7 +115,8 @@
 	return extended
 }
 
-// trim drops the oldest changes, a good part at a time.
+// trim drops the oldest changes once twice the kept number has accumulated, so that
+// dropping them is rare.
 func (h *History) trim() {
 	if len(h.Changes) <= 2*relayChangesKept {
 		return
--- a/version/view/relay_test.go
+++ b/version/view/relay_test.go
@@ -18,7 +18,7 @@
 	daemonCount = 4
 )
 
-// relayClock runs at its own rate from its own origin.
+// testClock is a process clock with its own rate and origin.
 type testClock struct {
 	rate   float64
 	origin time.Duration
@@ -28,7 +28,7 @@
 	return c.origin + time.Duration(float64(now)*c.rate)
 }
 
-// relayedDaemon follows one relay after the other.
+// simulatedDaemon is a daemon that follows one relay and may move to another.
 type simulatedDaemon struct {
 	testClock
 	name   string
@@ -36,15 +36,15 @@
 	relay  int
 }
 
-// runningRelay is one start of a relay.
+// relayInstance is one run of a relay.
 type relayInstance struct {
 	testClock
 	*Relay
 	name string
 }
 
-// relayWorld is a leader, relays and daemons with messages that arrive late, in
-// any order, twice or never. It is the oracle of the guarantee of Relay.
+// relaySimulation simulates a leader, relays and daemons whose messages arrive late,
+// out of order, twice or never. It checks the guarantee of Relay.
 type relaySimulation struct {
 	now            time.Duration
 	version        uint64
@@ -53,22 +53,22 @@
 	daemons        []*simulatedDaemon
 	starts         int
 	messages       []func()
-	inForce        uint64 // highest revision that the leader called in force
-	inForceChanges int    // how often that moved
+	inForce        uint64 // highest revision that the leader reported as in force
+	inForceChanges int    // number of times that inForce has risen
 }
 
 func newRelaySimulation(t *rapid.T) *relaySimulation {
-	w := &relaySimulation{version: 1, leader: NewTracker(testLease)}
-	w.leader.Reset(-2 * testLease)
+	s := &relaySimulation{version: 1, leader: NewTracker(testLease)}
+	s.leader.Reset(-2 * testLease)
 	for i := range relayCount {
-		w.relays = append(w.relays, w.startRelay(t, i))
+		s.relays = append(s.relays, s.startRelay(t, i))
 	}
 	for i := range daemonCount {
-		w.daemons = append(w.daemons, &simulatedDaemon{
+		s.daemons = append(s.daemons, &simulatedDaemon{
 			testClock: drawClock(t), name: fmt.Sprint("daemon-", i), holder: NewHolder(), relay: i % relayCount,
 		})
 	}
-	return w
+	return s
 }
 
 func drawClock(t *rapid.T) testClock {
@@ -78,37 +78,38 @@
 	}
 }
 
-func (w *relaySimulation) startRelay(t *rapid.T, index int) *relayInstance {
-	w.starts++
+func (s *relaySimulation) startRelay(t *rapid.T, index int) *relayInstance {
+	s.starts++
 	clock := drawClock(t)
 	return &relayInstance{
 		testClock: clock,
-		Relay:     NewRelay(relayLease, clock.localTime(w.now)),
-		name:      fmt.Sprintf("relay-%d#%d", index, w.starts),
+		Relay:     NewRelay(relayLease, clock.localTime(s.now)),
+		name:      fmt.Sprintf("relay-%d#%d", index, s.starts),
 	}
 }
 
-// delta is the full view of the leader now; each revision is one engine.
-func (w *relaySimulation) fullDelta() Delta {
-	full := Delta{Full: true, To: Version{Term: relayTerm, Revision: w.version}}
-	full.Objects = append(full.Objects, api.Object{Engine: testEngine("e0", w.version)})
+// fullDelta returns the leader's current view as a full delta. Its one engine changes
+// with each revision.
+func (s *relaySimulation) fullDelta() Delta {
+	full := Delta{Full: true, To: Version{Term: relayTerm, Revision: s.version}}
+	full.Objects = append(full.Objects, api.Object{Engine: testEngine("e0", s.version)})
 	return full
 }
 
-func (w *relaySimulation) send(message func()) { w.messages = append(w.messages, message) }
+func (s *relaySimulation) send(message func()) { s.messages = append(s.messages, message) }
 
-// beatRelay is a beat of a relay to the leader.
-func (w *relaySimulation) heartbeatRandomRelay(t *rapid.T) {
-	w.sendRelayHeartbeat(w.relays[rapid.IntRange(0, relayCount-1).Draw(t, "relay")])
+// heartbeatRandomRelay sends a heartbeat from one relay to the leader.
+func (s *relaySimulation) heartbeatRandomRelay(t *rapid.T) {
+	s.sendRelayHeartbeat(s.relays[rapid.IntRange(0, relayCount-1).Draw(t, "relay")])
 }
 
-func (w *relaySimulation) sendRelayHeartbeat(r *relayInstance) {
-	sentAt, acked := r.localTime(w.now), r.Acknowledge(r.localTime(w.now))
-	w.send(func() {
-		granted := w.leader.Observe(r.name, acked, w.now)
-		delta := w.fullDelta()
-		w.send(func() {
-			_ = r.Apply(delta) // a late one is refused
+func (s *relaySimulation) sendRelayHeartbeat(r *relayInstance) {
+	sentAt, acked := r.localTime(s.now), r.Acknowledge(r.localTime(s.now))
+	s.send(func() {
+		granted := s.leader.Observe(r.name, acked, s.now)
+		delta := s.fullDelta()
+		s.send(func() {
+			_ = r.Apply(delta) // returns ErrStale for a late delta
 			if granted {
 				r.Confirm(sentAt, testLease, relayTerm)
 			}
@@ -116,162 +117,162 @@
 	})
 }
 
-// beatDaemon is a beat of a daemon to its relay.
-func (w *relaySimulation) heartbeatRandomDaemon(t *rapid.T) {
-	w.sendDaemonHeartbeat(w.daemons[rapid.IntRange(0, daemonCount-1).Draw(t, "daemon")])
+// heartbeatRandomDaemon sends a heartbeat from one daemon to its relay.
+func (s *relaySimulation) heartbeatRandomDaemon(t *rapid.T) {
+	s.sendDaemonHeartbeat(s.daemons[rapid.IntRange(0, daemonCount-1).Draw(t, "daemon")])
 }
 
-func (w *relaySimulation) sendDaemonHeartbeat(d *simulatedDaemon) {
-	r := w.relays[d.relay]
-	sentAt, held := d.localTime(w.now), d.holder.Load().Version
-	w.send(func() {
-		now := r.localTime(w.now)
+func (s *relaySimulation) sendDaemonHeartbeat(d *simulatedDaemon) {
+	r := s.relays[d.relay]
+	sentAt, held := d.localTime(s.now), d.holder.Load().Version
+	s.send(func() {
+		now := r.localTime(s.now)
 		lease := min(relayLease, r.Limit(now))
 		granted := lease > 0 && r.Tracker().Observe(d.name, held, now)
-		delta, some := r.History().DeltaSince(held)
-		if some {
-			w.send(func() { _ = d.holder.Apply(delta) })
+		delta, found := r.History().DeltaSince(held)
+		if found {
+			s.send(func() { _ = d.holder.Apply(delta) })
 		}
 		if granted {
-			w.send(func() { d.holder.Confirm(sentAt, lease, relayTerm) })
+			s.send(func() { d.holder.Confirm(sentAt, lease, relayTerm) })
 		}
 	})
 }
 
-func (w *relaySimulation) deliverRandomly(t *rapid.T) {
+func (s *relaySimulation) deliverRandomly(t *rapid.T) {
 	for range rapid.IntRange(1, 6).Draw(t, "messages") {
-		if len(w.messages) == 0 {
+		if len(s.messages) == 0 {
 			return
 		}
-		i := rapid.IntRange(0, len(w.messages)-1).Draw(t, "message")
-		message := w.messages[i]
+		i := rapid.IntRange(0, len(s.messages)-1).Draw(t, "message")
+		message := s.messages[i]
 		switch rapid.IntRange(0, 9).Draw(t, "fate") {
 		case 0: // lost
-			w.messages = slices.Delete(w.messages, i, i+1)
+			s.messages = slices.Delete(s.messages, i, i+1)
 			continue
-		case 1: // arrives again later
+		case 1: // duplicated: delivered again later
 		default:
-			w.messages = slices.Delete(w.messages, i, i+1)
+			s.messages = slices.Delete(s.messages, i, i+1)
 		}
 		message()
 	}
 }
 
-// deliverAll delivers what is on its way, in order.
-func (w *relaySimulation) deliverAll() {
-	for len(w.messages) > 0 {
-		message := w.messages[0]
-		w.messages = w.messages[1:]
+// deliverAll delivers all pending messages in order.
+func (s *relaySimulation) deliverAll() {
+	for len(s.messages) > 0 {
+		message := s.messages[0]
+		s.messages = s.messages[1:]
 		message()
 	}
 }
 
-func (w *relaySimulation) heartbeatAllRelays(*rapid.T) {
-	for range 2 { // the second acknowledges what the first has brought
-		for _, r := range w.relays {
-			w.sendRelayHeartbeat(r)
+func (s *relaySimulation) heartbeatAllRelays(*rapid.T) {
+	for range 2 { // the second heartbeat acknowledges the delta that the first one returned
+		for _, r := range s.relays {
+			s.sendRelayHeartbeat(r)
 		}
-		w.deliverAll()
+		s.deliverAll()
 	}
 }
 
-func (w *relaySimulation) heartbeatAllDaemons(*rapid.T) {
-	for _, d := range w.daemons {
-		w.sendDaemonHeartbeat(d)
+func (s *relaySimulation) heartbeatAllDaemons(*rapid.T) {
+	for _, d := range s.daemons {
+		s.sendDaemonHeartbeat(d)
 	}
-	w.deliverAll()
+	s.deliverAll()
 }
 
-func (w *relaySimulation) advanceTime(t *rapid.T) {
-	w.now += time.Duration(rapid.IntRange(1, 12).Draw(t, "milliseconds")) * time.Millisecond
+func (s *relaySimulation) advanceTime(t *rapid.T) {
+	s.now += time.Duration(rapid.IntRange(1, 12).Draw(t, "milliseconds")) * time.Millisecond
 }
 
-func (w *relaySimulation) addRevision(*rapid.T) { w.version++ }
+func (s *relaySimulation) addRevision(*rapid.T) { s.version++ }
 
-func (w *relaySimulation) restartRelay(t *rapid.T) {
+func (s *relaySimulation) restartRelay(t *rapid.T) {
 	i := rapid.IntRange(0, relayCount-1).Draw(t, "relay")
-	w.relays[i] = w.startRelay(t, i)
+	s.relays[i] = s.startRelay(t, i)
 }
 
-func (w *relaySimulation) moveDaemon(t *rapid.T) {
-	d := w.daemons[rapid.IntRange(0, daemonCount-1).Draw(t, "daemon")]
+func (s *relaySimulation) moveDaemon(t *rapid.T) {
+	d := s.daemons[rapid.IntRange(0, daemonCount-1).Draw(t, "daemon")]
 	d.relay = (d.relay + 1) % relayCount
 }
 
-func (w *relaySimulation) checkInvariant(t *rapid.T) {
-	if done, _ := w.leader.InForce(Version{Term: relayTerm, Revision: w.version}, w.now); done && w.version > w.inForce {
-		w.inForce = w.version
-		w.inForceChanges++
+func (s *relaySimulation) checkInvariant(t *rapid.T) {
+	if done, _ := s.leader.InForce(Version{Term: relayTerm, Revision: s.version}, s.now); done && s.version > s.inForce {
+		s.inForce = s.version
+		s.inForceChanges++
 	}
-	for _, d := range w.daemons {
-		if held := d.holder.Load().Version.Revision; d.holder.Valid(d.localTime(w.now)) {
-			must.GreaterEq(t, w.inForce, held, must.Sprintf("%s uses it at %v", d.name, w.now))
+	for _, d := range s.daemons {
+		if held := d.holder.Load().Version.Revision; d.holder.Valid(d.localTime(s.now)) {
+			must.GreaterEq(t, s.inForce, held, must.Sprintf("%s uses an older view than is in force at %v", d.name, s.now))
 		}
 	}
 }
 
 func TestRelayedLeasesNeverCoverViewsOlderThanInForce(t *testing.T) {
-	leased, reached := 0, 0
+	updated, inForce := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		w := newRelaySimulation(t)
+		s := newRelaySimulation(t)
 		t.Repeat(map[string]func(*rapid.T){
-			"":         w.checkInvariant,
-			"relay":    w.heartbeatRandomRelay,
-			"daemon":   w.heartbeatRandomDaemon,
-			"deliver":  w.deliverRandomly,
-			"deliver2": w.deliverRandomly,
-			"relays":   w.heartbeatAllRelays,
-			"daemons":  w.heartbeatAllDaemons,
-			"pass":     w.advanceTime,
-			"change":   w.addRevision,
-			"restart":  w.restartRelay,
-			"move":     w.moveDaemon,
+			"":                  s.checkInvariant,
+			"relay heartbeat":   s.heartbeatRandomRelay,
+			"daemon heartbeat":  s.heartbeatRandomDaemon,
+			"deliver":           s.deliverRandomly,
+			"deliver2":          s.deliverRandomly,
+			"relay heartbeats":  s.heartbeatAllRelays,
+			"daemon heartbeats": s.heartbeatAllDaemons,
+			"pass time":         s.advanceTime,
+			"change":            s.addRevision,
+			"restart relay":     s.restartRelay,
+			"move daemon":       s.moveDaemon,
 		})
-		for _, d := range w.daemons {
+		for _, d := range s.daemons {
 			if d.holder.Load().Version.Revision > 0 {
-				leased++
+				updated++
 			}
 		}
-		reached += w.inForceChanges
+		inForce += s.inForceChanges
 	})
-	must.Positive(t, leased)
-	must.Positive(t, reached)
+	must.Positive(t, updated)
+	must.Positive(t, inForce)
 }
 
 func TestRelay(t *testing.T) {
 	r := NewRelay(relayLease, 0)
 	must.Eq(t, Version{}, r.Acknowledge(0))
-	must.Eq(t, 0, r.Limit(0), must.Sprint("it has no lease to pass on"))
+	must.Eq(t, 0, r.Limit(0), must.Sprint("without a lease of its own it grants none"))
 	first, second := Version{1, 1}, Version{1, 2}
 	must.NoError(t, r.Apply(Delta{Full: true, To: first}))
-	must.Eq(t, first, r.Acknowledge(0), must.Sprint("nobody uses an older one"))
+	must.Eq(t, first, r.Acknowledge(0), must.Sprint("no daemon uses an older view"))
 	must.True(t, r.Confirm(0, testLease, 1))
 	must.Eq(t, 99*time.Millisecond, r.Limit(0))
 	must.True(t, r.Tracker().Observe("a", first, 0))
 	must.NoError(t, r.Apply(Delta{From: first, To: second, Objects: []api.Object{{Engine: testEngine("e0", 1)}}}))
-	must.Eq(t, first, r.Acknowledge(10*time.Millisecond), must.Sprint("a uses it"))
+	must.Eq(t, first, r.Acknowledge(10*time.Millisecond), must.Sprint("daemon a uses it under a lease"))
 	must.Eq(t, second, r.Acknowledge(81*time.Millisecond), must.Sprint("the lease of a has lapsed"))
 	must.False(t, r.Tracker().Observe("a", first, 81*time.Millisecond))
 
-	delta, some := r.History().DeltaSince(first)
-	must.True(t, some)
+	delta, found := r.History().DeltaSince(first)
+	must.True(t, found)
 	must.Eq(t, 1, len(delta.Objects))
 	must.False(t, delta.Full)
-	delta, some = r.History().DeltaSince(Version{})
-	must.True(t, some)
+	delta, found = r.History().DeltaSince(Version{})
+	must.True(t, found)
 	must.True(t, delta.Full)
-	_, some = r.History().DeltaSince(second)
-	must.False(t, some)
+	_, found = r.History().DeltaSince(second)
+	must.False(t, found)
 }
 
 func TestRelayHistoryIsBounded(t *testing.T) {
 	r := NewRelay(relayLease, 0)
-	at := Version{1, 1}
-	must.NoError(t, r.Apply(Delta{Full: true, To: at}))
+	current := Version{1, 1}
+	must.NoError(t, r.Apply(Delta{Full: true, To: current}))
 	for range 2*relayChangesKept + 1 {
-		next := Version{1, at.Revision + 1}
-		must.NoError(t, r.Apply(Delta{From: at, To: next, Objects: []api.Object{{Engine: testEngine("e0", next.Revision)}}}))
-		at = next
+		next := Version{1, current.Revision + 1}
+		must.NoError(t, r.Apply(Delta{From: current, To: next, Objects: []api.Object{{Engine: testEngine("e0", next.Revision)}}}))
+		current = next
 	}
 	history := r.History()
 	must.Eq(t, relayChangesKept, len(history.Changes))
--- a/version/view/table.go
+++ b/version/view/table.go
@@ -9,14 +9,14 @@
 
 // List returns the objects of a kind, sorted by name.
 func (v *View) List(kind api.Kind) []api.Object {
-	held := v.table(kind)
-	if held == nil {
+	objects := v.table(kind)
+	if objects == nil {
 		return nil
 	}
-	return held.list()
+	return objects.list()
 }
 
-// table is the part of a view that holds one kind.
+// table gives access to the objects of one kind in a view.
 type table interface {
 	get(name string) (api.Object, bool)
 	put(name string, o api.Object)
@@ -26,8 +26,8 @@
 	copy()
 }
 
-// table returns the part that holds the kind, nil for an unknown kind. It is the
-// only place where a view's kinds are told apart.
+// table returns the table of the kind, nil for an unknown kind. It is the only place
+// that maps kinds to the fields of a view.
 func (v *View) table(kind api.Kind) table {
 	switch kind {
 	case api.KindIntent:
@@ -63,7 +63,7 @@
 // kindTable implements table for objects of type T.
 type kindTable[T any] struct {
 	items *map[string]*T
-	// field is where an Object has its T.
+	// field returns the field of an Object that holds its T.
 	field func(*api.Object) **T
 }
 
--- a/version/view/table_test.go
+++ b/version/view/table_test.go
@@ -7,32 +7,32 @@
 	"github.com/shoenig/test/must"
 )
 
-// ofKind returns an object of the kind.
+// objectOfKind returns an object of the kind.
 func objectOfKind(t *testing.T, kind api.Kind, name string) api.Object {
 	t.Helper()
-	named := api.Metadata{Name: name}
+	metadata := api.Metadata{Name: name}
 	objects := map[api.Kind]api.Object{
-		api.KindIntent:  {Intent: &api.Intent{Metadata: named}},
-		api.KindEngine:  {Engine: &api.Engine{Metadata: named}},
-		api.KindService: {Service: &api.Service{Metadata: named}},
-		api.KindClass:   {Class: &api.Class{Metadata: named}},
-		api.KindTenant:  {Tenant: &api.Tenant{Metadata: named}},
-		api.KindIngress: {Ingress: &api.Ingress{Metadata: named}},
-		api.KindReplica: {Replica: &api.Replica{Metadata: named}},
-		api.KindProxy:   {Proxy: &api.Proxy{Metadata: named}},
-		api.KindMember:  {Member: &api.Member{Metadata: named}},
+		api.KindIntent:  {Intent: &api.Intent{Metadata: metadata}},
+		api.KindEngine:  {Engine: &api.Engine{Metadata: metadata}},
+		api.KindService: {Service: &api.Service{Metadata: metadata}},
+		api.KindClass:   {Class: &api.Class{Metadata: metadata}},
+		api.KindTenant:  {Tenant: &api.Tenant{Metadata: metadata}},
+		api.KindIngress: {Ingress: &api.Ingress{Metadata: metadata}},
+		api.KindReplica: {Replica: &api.Replica{Metadata: metadata}},
+		api.KindProxy:   {Proxy: &api.Proxy{Metadata: metadata}},
+		api.KindMember:  {Member: &api.Member{Metadata: metadata}},
 
-		api.KindQuarantine:  {Quarantine: &api.Quarantine{Metadata: named}},
-		api.KindRouteTenant: {RouteTenant: &api.RouteTenant{Metadata: named}},
-		api.KindCapacity:    {Capacity: &api.Capacity{Metadata: named}},
-		api.KindSuspect:     {Suspect: &api.Suspect{Metadata: named}},
+		api.KindQuarantine:  {Quarantine: &api.Quarantine{Metadata: metadata}},
+		api.KindRouteTenant: {RouteTenant: &api.RouteTenant{Metadata: metadata}},
+		api.KindCapacity:    {Capacity: &api.Capacity{Metadata: metadata}},
+		api.KindSuspect:     {Suspect: &api.Suspect{Metadata: metadata}},
 	}
-	made, known := objects[kind]
+	object, known := objects[kind]
 	must.True(t, known, must.Sprint(kind))
-	return made
+	return object
 }
 
-// A kind that a view passes over would be held by the group and known to nobody.
+// Objects of a kind that views skip would be stored by the leader and reach no daemon.
 func TestViewHoldsEveryKind(t *testing.T) {
 	for _, kind := range api.Kinds {
 		t.Run(string(kind), func(t *testing.T) {
@@ -47,7 +47,7 @@
 			emptied, err := filled.Apply(Delta{From: filled.Version, To: Version{Term: 1, Revision: 2}, Removed: []api.Key{key}})
 			must.NoError(t, err)
 			must.Eq(t, []api.Object{second}, emptied.List(kind))
-			must.Eq(t, []api.Object{second, first}, filled.List(kind), must.Sprint("the view before is unchanged"))
+			must.Eq(t, []api.Object{second, first}, filled.List(kind), must.Sprint("the previous view is unchanged"))
 		})
 	}
 	must.Nil(t, New().List("Other"))
--- a/version/view/tracker.go
+++ b/version/view/tracker.go
@@ -10,31 +10,31 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// UnseenDaemons stands in the list of awaited daemons for those that an earlier
+// UnseenDaemons represents, in the list of daemons waited for, those that an earlier
 // leader may have granted leases to.
 const UnseenDaemons = "(daemons not seen yet)"
 
 const (
 	trackerShards = 16
-	// driftShare is the inverse of the share by which a daemon's clock may run
+	// clockDriftDivisor is the inverse of the share by which a daemon's clock may run
 	// slower than the leader's.
 	clockDriftDivisor = 100
-	// forgetAfter is how long a lapsed daemon stays listed.
+	// lapsedRetention is how long a daemon stays listed after its lease has lapsed.
 	lapsedRetention = 10 * time.Minute
 )
 
-// Tracker knows, on the leader, which versions the daemons hold and until when
-// they may use them. Any number of goroutines may use it. Times are readings of
-// one monotonic clock of this process.
+// Tracker records, on the leader, which versions the daemons hold and until when they
+// may use them. Any number of goroutines may use it. Times are readings of one
+// monotonic clock of this process.
 //
 // Guarantee: once InForce has returned true for a version, no daemon uses a
 // view older than that version under a lease granted through this Tracker, nor
 // under a lease that an earlier leader granted before Reset was called. This
-// holds because a daemon counts only when it acknowledged the version or its
-// lease has surely lapsed, because Observe afterwards grants no lease to a
-// daemon that holds an older view, and because nothing counts during the first
-// lease after Reset. The caller must hold the leader lease whenever it passes a
-// grant on and must call Reset only once the earlier leader's lease has lapsed.
+// holds because InForce waits for each daemon until it has acknowledged the version
+// or its lease has lapsed for certain, because Observe then grants no lease to a daemon
+// that holds an older view, and because InForce returns false during the first lease
+// duration after Reset. The caller must hold the leader lease whenever it sends a grant
+// to a daemon and must call Reset only once the earlier leader's lease has lapsed.
 type Tracker struct {
 	lease       time.Duration
 	graceUntil  atomic.Int64 // nanoseconds
@@ -52,7 +52,7 @@
 	lapsesAt time.Duration
 }
 
-// DaemonStatus is what a Tracker knows of one daemon.
+// DaemonStatus is the state of one daemon in a Tracker.
 type DaemonStatus struct {
 	Name     string
 	Acked    Version
@@ -60,8 +60,8 @@
 	Lapsed   bool
 }
 
-// NewTracker returns a Tracker of leases of the given duration. Nothing is in
-// force until Reset was called and one lease has passed.
+// NewTracker returns a Tracker for leases of the given duration. No version is in force
+// until Reset was called and one lease duration has passed.
 func NewTracker(lease time.Duration) *Tracker {
 	t := &Tracker{lease: lease}
 	t.graceUntil.Store(math.MaxInt64)
@@ -71,9 +71,9 @@
 	return t
 }
 
-// Reset forgets all daemons at the start of a leadership. Nothing counts as in
-// force until one lease has passed from now, since daemons that this leader has
-// not seen may hold leases of the earlier one.
+// Reset removes all daemons at the start of a leadership. No version is in force until
+// one lease duration has passed from now, since daemons that this leader has not seen
+// may hold leases of the earlier one.
 func (t *Tracker) Reset(now time.Duration) {
 	t.graceUntil.Store(int64(t.lapseTime(now)))
 	for i := range t.shards {
@@ -84,23 +84,23 @@
 	}
 }
 
-// Require makes Observe refuse leases to daemons that hold a view older than
-// the version. A new leader calls it with its own version once it has applied
-// an entry of its term, because the earlier leader may have reported any
-// version up to that one as in force.
+// Require makes Observe refuse leases to daemons that hold a view older than the
+// version. A new leader calls it with its own version once it has applied an entry of
+// its term, because the earlier leader may have reported any version up to that one as
+// in force.
 func (t *Tracker) Require(version Version) {
 	for {
-		floor := t.minRevision.Load()
-		if version.Revision <= floor || t.minRevision.CompareAndSwap(floor, version.Revision) {
+		current := t.minRevision.Load()
+		if version.Revision <= current || t.minRevision.CompareAndSwap(current, version.Revision) {
 			return
 		}
 	}
 }
 
-// Observe records a heartbeat that arrived now from a daemon holding the
-// version, and reports whether a lease may be granted in answer. The name must
-// differ between two runs of a daemon (use its incarnation), so that a late
-// heartbeat of the earlier run is not taken for the later one's.
+// Observe records a heartbeat that arrived now from a daemon that holds the version, and
+// reports whether a lease may be granted in the answer. The name must differ between two
+// runs of a daemon, for example by its incarnation, so that a late heartbeat of the
+// earlier run is not attributed to the later one.
 func (t *Tracker) Observe(daemon string, acked Version, now time.Duration) (granted bool) {
 	shard := t.shardFor(daemon)
 	shard.mu.Lock()
@@ -118,21 +118,20 @@
 	return granted
 }
 
-// InForce reports whether every daemon either acknowledged the version or has
-// no lease any more, and otherwise the sorted names of the daemons that are
-// waited for.
+// InForce reports whether every daemon has either acknowledged the version or lost its
+// lease. If not, it returns the sorted names of the daemons to wait for.
 func (t *Tracker) InForce(version Version, now time.Duration) (done bool, waitingFor []string) {
 	if waitingFor = t.pendingDaemons(version, now); len(waitingFor) > 0 {
 		return false, waitingFor
 	}
-	// A heartbeat between the scan and the new floor may have been granted a
-	// lease, so the second scan decides: after it, the floor refuses.
+	// A heartbeat between the scan and Require may have been granted a lease, so the
+	// second scan decides. Later heartbeats with an older view get no lease.
 	t.Require(version)
 	waitingFor = t.pendingDaemons(version, now)
 	return len(waitingFor) == 0, waitingFor
 }
 
-// Daemons lists the known daemons by name.
+// Daemons returns the known daemons, sorted by name.
 func (t *Tracker) Daemons(now time.Duration) []DaemonStatus {
 	var list []DaemonStatus
 	t.scan(now, func(name string, state daemonState) {
@@ -152,6 +151,8 @@
 	return list
 }
 
+// pendingDaemons returns the sorted names of the daemons that may use a view older than
+// the version under a lease.
 func (t *Tracker) pendingDaemons(version Version, now time.Duration) []string {
 	var names []string
 	if int64(now) < t.graceUntil.Load() {
@@ -166,20 +167,21 @@
 	return names
 }
 
-// lowest returns the lowest version held under a lease, and false if no lease runs.
-func (t *Tracker) lowestLeasedVersion(now time.Duration) (lowest Version, some bool) {
+// lowestLeasedVersion returns the lowest version held under a lease, and false if no
+// daemon has a lease.
+func (t *Tracker) lowestLeasedVersion(now time.Duration) (lowest Version, found bool) {
 	t.scan(now, func(_ string, state daemonState) {
 		if now >= state.lapsesAt {
 			return
 		}
-		if !some || state.acked.Compare(lowest) < 0 {
-			lowest, some = state.acked, true
+		if !found || state.acked.Compare(lowest) < 0 {
+			lowest, found = state.acked, true
 		}
 	})
-	return lowest, some
+	return lowest, found
 }
 
-// scan calls visit for each daemon and drops those that lapsed long ago.
+// scan calls visit for each daemon and removes those whose lease lapsed long ago.
 func (t *Tracker) scan(now time.Duration, visit func(name string, state daemonState)) {
 	for i := range t.shards {
 		t.shards[i].scan(now, visit)
@@ -198,7 +200,8 @@
 	}
 }
 
-// lapse returns when a lease granted now has surely lapsed at the daemon.
+// lapseTime returns the time by which a lease granted now has lapsed at the daemon for
+// certain.
 func (t *Tracker) lapseTime(now time.Duration) time.Duration {
 	return now + t.lease + t.lease/clockDriftDivisor
 }
--- a/version/view/tracker_guards_test.go
+++ b/version/view/tracker_guards_test.go
@@ -10,7 +10,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// Two heartbeats of a daemon may be handled in either order of their readings.
+// Two heartbeats of a daemon may be handled in either order of their clock readings.
 func TestTrackerNeverShortensLease(t *testing.T) {
 	old := Version{1, 1}
 	tracker := NewTracker(testLease)
@@ -30,9 +30,9 @@
 	must.SliceEmpty(t, tracker.Daemons(time.Millisecond))
 }
 
-// A heartbeat that is handled while the question is answered either gets no lease
-// for its older view, or is waited for. The rounds let the heartbeat come sooner
-// and later after the question, so that some meet in the middle.
+// A heartbeat with an older view that is handled while InForce runs either gets no lease,
+// or InForce waits for its daemon. The rounds vary the delay of the heartbeat so that
+// some of them overlap with InForce.
 func TestInForceRacesWithHeartbeat(t *testing.T) {
 	const rounds, spread = 20_000, 2_000
 	refused, waited := 0, 0
@@ -40,16 +40,16 @@
 		tracker := NewTracker(testLease)
 		tracker.Reset(-time.Hour)
 		var group sync.WaitGroup
-		var begun atomic.Bool
+		var started atomic.Bool
 		granted := false
 		group.Go(func() {
-			begun.Store(true)
+			started.Store(true)
 			for range round % spread {
-				begun.Load()
+				started.Load()
 			}
 			granted = tracker.Observe("daemon", Version{1, 1}, 0)
 		})
-		for !begun.Load() {
+		for !started.Load() {
 			runtime.Gosched()
 		}
 		done, _ := tracker.InForce(Version{1, 2}, 0)
@@ -59,7 +59,7 @@
 			continue
 		}
 		refused++
-		must.False(t, granted, must.Sprint("a lease for an older view than is in force"))
+		must.False(t, granted, must.Sprint("granted a lease for a view older than the version in force"))
 	}
 	t.Log("refused", refused, "waited", waited)
 }
--- a/version/view/tracker_test.go
+++ b/version/view/tracker_test.go
@@ -41,11 +41,11 @@
 	}, tracker.Daemons(200*time.Millisecond))
 	tracker.Reset(time.Second)
 	waiting(v2, time.Second, UnseenDaemons)
-	must.False(t, tracker.Observe("a", v1, time.Second), must.Sprint("what was in force stays required"))
+	must.False(t, tracker.Observe("a", v1, time.Second), must.Sprint("versions reported as in force stay required after Reset"))
 	must.SliceEmpty(t, tracker.Daemons(time.Hour))
 }
 
-// beat is a daemon's heartbeat or the grant that answers it, on its way.
+// heartbeat is a message in transit: a daemon's heartbeat or the grant that answers it.
 type heartbeat struct {
 	daemon int
 	sentAt time.Duration
@@ -54,33 +54,33 @@
 	arrive time.Duration
 }
 
-// TestInForceIsFinal runs daemons and two leaders after one another in virtual
-// time, with heartbeats and grants that are delayed and lost. Once a version was
-// in force, no daemon may have a valid lease on an older view, ever.
+// TestInForceIsFinal simulates daemons and successive leaders in virtual time, with
+// heartbeats and grants that are delayed and lost. Once a version was reported as in
+// force, no daemon may have a valid lease on an older view.
 func TestInForceIsFinal(t *testing.T) {
-	inForce, waited, lapsed := 0, 0, 0
+	inForce, notInForce, lapsed := 0, 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		var now time.Duration
-		var floor Version // highest version that was in force
+		var highestInForce Version // highest version that was in force
 		latest := Version{1, 1}
 		tracker := NewTracker(testLease)
 		tracker.Reset(0)
 		var daemons []*Holder
-		var beats, grants []heartbeat
+		var heartbeats, grants []heartbeat
 		pick := func(t *rapid.T) int { return rapid.IntRange(0, len(daemons)-1).Draw(t, "daemon") }
 		delay := func(t *rapid.T) time.Duration {
 			return time.Duration(rapid.IntRange(0, 80).Draw(t, "delay")) * time.Millisecond
 		}
 		deliver := func(list []heartbeat, handle func(heartbeat)) []heartbeat {
-			var later []heartbeat
+			var pending []heartbeat
 			for _, b := range list {
 				if b.arrive > now {
-					later = append(later, b)
+					pending = append(pending, b)
 					continue
 				}
 				handle(b)
 			}
-			return later
+			return pending
 		}
 		start := func(version Version) {
 			h := NewHolder()
@@ -90,18 +90,18 @@
 		start(Version{1, 1})
 		t.Repeat(map[string]func(*rapid.T){
 			"change": func(*rapid.T) { latest.Revision++ },
-			"start": func(t *rapid.T) { // from a learner that may lag
+			"start": func(t *rapid.T) { // with a view from a lagging learner
 				start(Version{1, rapid.Uint64Range(1, latest.Revision).Draw(t, "revision")})
 			},
 			"update": func(t *rapid.T) { _ = daemons[pick(t)].Apply(Delta{Full: true, To: latest}) },
 			"beat": func(t *rapid.T) {
 				i := pick(t)
-				beats = append(beats, heartbeat{daemon: i, sentAt: now, acked: daemons[i].Load().Version, arrive: now + delay(t)})
+				heartbeats = append(heartbeats, heartbeat{daemon: i, sentAt: now, acked: daemons[i].Load().Version, arrive: now + delay(t)})
 			},
-			"lose": func(t *rapid.T) { beats, grants = nil, nil },
+			"lose": func(t *rapid.T) { heartbeats, grants = nil, nil },
 			"time": func(t *rapid.T) { now += delay(t) },
 			"elect": func(t *rapid.T) {
-				// The earlier leader's lease has lapsed: it grants no more.
+				// The earlier leader's lease has lapsed, so it grants no more daemon leases.
 				latest.Term++
 				tracker = NewTracker(testLease)
 				tracker.Reset(now)
@@ -111,16 +111,16 @@
 				version := Version{latest.Term, rapid.Uint64Range(1, latest.Revision).Draw(t, "asked")}
 				done, _ := tracker.InForce(version, now)
 				if !done {
-					waited++
+					notInForce++
 					return
 				}
 				inForce++
-				if version.Compare(floor) > 0 {
-					floor = version
+				if version.Compare(highestInForce) > 0 {
+					highestInForce = version
 				}
 			},
 			"": func(t *rapid.T) {
-				beats = deliver(beats, func(b heartbeat) {
+				heartbeats = deliver(heartbeats, func(b heartbeat) {
 					if tracker.Observe(fmt.Sprint(b.daemon), b.acked, now) {
 						b.term, b.arrive = latest.Term, now+delay(t)
 						grants = append(grants, b)
@@ -128,8 +128,8 @@
 				})
 				grants = deliver(grants, func(b heartbeat) { daemons[b.daemon].Confirm(b.sentAt, testLease, b.term) })
 				for _, h := range daemons {
-					old := h.Load().Version.Compare(floor) < 0
-					must.False(t, old && h.Valid(now), must.Sprintf("a daemon uses %v though %v is in force", h.Load().Version, floor))
+					old := h.Load().Version.Compare(highestInForce) < 0
+					must.False(t, old && h.Valid(now), must.Sprintf("a daemon uses %v while %v is in force", h.Load().Version, highestInForce))
 					if old {
 						lapsed++
 					}
@@ -138,6 +138,6 @@
 		})
 	})
 	must.Positive(t, inForce)
-	must.Positive(t, waited)
+	must.Positive(t, notInForce)
 	must.Positive(t, lapsed)
 }
--- a/version/view/view.go
+++ b/version/view/view.go
@@ -6,18 +6,18 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// Errors of Apply. In each case the view stays as it is.
+// Errors of Apply. In each case the view is unchanged.
 var (
-	// ErrGap is returned when the delta starts from another version than the
-	// view's, so that changes could be missing between them.
+	// ErrGap is returned when the delta starts from a version other than the view's,
+	// so that changes between the two could be missed.
 	ErrGap = errors.New("view: delta starts from another version")
 	// ErrStale is returned when the delta does not lead to a later version.
 	ErrStale = errors.New("view: delta does not lead forward")
 )
 
 // Compare returns a negative number, zero or a positive number as v is older
-// than, equal to or newer than w. The revision decides, since committed
-// revisions are never given twice.
+// than, equal to or newer than w. Only the revision is compared, since no committed
+// revision is assigned twice.
 func (v Version) Compare(w Version) int {
 	switch {
 	case v.Revision < w.Revision:
@@ -51,14 +51,14 @@
 	}
 }
 
-// Apply returns the view that the delta leads to and leaves v unchanged. The
-// result shares with v the objects and the maps that the delta does not touch,
-// which is safe because neither is ever written to again.
+// Apply returns the view with the delta applied and leaves v unchanged. The result
+// shares with v the objects and the maps that the delta does not change, which is
+// safe because neither is written to again.
 //
-// Invariant: the result's version is later than v's, and its objects are those
-// of that version. A partial delta is taken only from exactly v's version, and
-// a full one replaces everything, so no change can be missed between them; both
-// must lead forward, so late or repeated deltas change nothing.
+// Invariant: the result's version is later than v's, and its objects are those of
+// that version. A partial delta must start exactly from v's version, and a full one
+// replaces everything, so no change can be missed. Both must lead to a later version,
+// so late or repeated deltas change nothing.
 func (v *View) Apply(d Delta) (*View, error) {
 	if d.To.Compare(v.Version) <= 0 || d.To.Term < v.Version.Term {
 		return nil, ErrStale
@@ -83,15 +83,15 @@
 
 // Object returns the object with the key.
 func (v *View) Object(key api.Key) (api.Object, bool) {
-	held := v.table(key.Kind)
-	if held == nil {
+	objects := v.table(key.Kind)
+	if objects == nil {
 		return api.Object{}, false
 	}
-	return held.get(key.Name)
+	return objects.get(key.Name)
 }
 
-// Full returns the delta that leads from nothing to v, with the objects in
-// the order of their kinds and names.
+// Full returns the full delta of v, with the objects in the order of their kinds and
+// names.
 func (v *View) Full() Delta {
 	d := Delta{To: v.Version, Full: true}
 	for _, kind := range api.Kinds {
@@ -100,33 +100,33 @@
 	return d
 }
 
-// copyTouched replaces the maps that the delta writes to by copies.
+// copyChangedMaps replaces the maps that the delta writes to by copies.
 func (v *View) copyChangedMaps(d Delta) {
-	touched := map[api.Kind]bool{}
+	changed := map[api.Kind]bool{}
 	for _, o := range d.Objects {
 		if key, ok := o.Key(); ok {
-			touched[key.Kind] = true
+			changed[key.Kind] = true
 		}
 	}
 	for _, key := range d.Removed {
-		touched[key.Kind] = true
+		changed[key.Kind] = true
 	}
-	for kind := range touched {
-		if held := v.table(kind); held != nil {
-			held.copy()
+	for kind := range changed {
+		if objects := v.table(kind); objects != nil {
+			objects.copy()
 		}
 	}
 }
 
 func (v *View) putObject(o api.Object) {
 	key, _ := o.Key()
-	if held := v.table(key.Kind); held != nil {
-		held.put(key.Name, o)
+	if objects := v.table(key.Kind); objects != nil {
+		objects.put(key.Name, o)
 	}
 }
 
 func (v *View) removeObject(key api.Key) {
-	if held := v.table(key.Kind); held != nil {
-		held.remove(key.Name)
+	if objects := v.table(key.Kind); objects != nil {
+		objects.remove(key.Name)
 	}
 }
--- a/version/view/view_test.go
+++ b/version/view/view_test.go
@@ -31,7 +31,7 @@
 	return o
 }
 
-// versions is a leader's sequence of views with all their changes.
+// viewSequence is a leader's sequence of views with the latest changes.
 type viewSequence struct {
 	views   []*View
 	history History
@@ -41,7 +41,7 @@
 	return &viewSequence{views: []*View{New()}, history: History{View: New()}}
 }
 
-// step writes or removes random objects in a new version.
+// addVersion adds a version in which random objects are written or removed.
 func (v *viewSequence) addVersion(t *rapid.T) {
 	last := v.views[len(v.views)-1]
 	next := New()
@@ -76,8 +76,8 @@
 	v.views = append(v.views, next)
 }
 
-// TestViewsMoveForwardOnly hands a daemon deltas that were made from any
-// version by servers that lag, late, repeated and out of order.
+// TestHolderVersionNeverGoesBack applies deltas to a daemon's view that lagging servers
+// computed from arbitrary versions and that arrive late, repeated and out of order.
 func TestHolderVersionNeverGoesBack(t *testing.T) {
 	applied, refused := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -117,7 +117,7 @@
 				}
 				applied++
 				must.Positive(t, holder.Load().Version.Compare(before.Version))
-				must.True(t, reflect.DeepEqual(byVersion[before.Version], before), must.Sprint("a view was written to"))
+				must.True(t, reflect.DeepEqual(byVersion[before.Version], before), must.Sprint("a view was modified"))
 				must.True(t, reflect.DeepEqual(byVersion[delta.To], holder.Load()), must.Sprint("a view differs from the leader's"))
 			},
 		})
@@ -158,9 +158,9 @@
 	must.True(t, h.Confirm(time.Second, 3*time.Second, 5))
 	must.True(t, h.Valid(4*time.Second-1))
 	must.False(t, h.Valid(4*time.Second))
-	must.True(t, h.Confirm(0, 3*time.Second, 5), must.Sprint("an answer that was overtaken"))
-	must.True(t, h.Valid(4*time.Second-1), must.Sprint("must not shorten the lease"))
-	must.False(t, h.Confirm(10*time.Second, 3*time.Second, 4), must.Sprint("the answer of an older leader"))
+	must.True(t, h.Confirm(0, 3*time.Second, 5), must.Sprint("an answer that arrives out of order"))
+	must.True(t, h.Valid(4*time.Second-1), must.Sprint("an earlier heartbeat must not shorten the lease"))
+	must.False(t, h.Confirm(10*time.Second, 3*time.Second, 4), must.Sprint("an answer from a leader of an older term"))
 	must.False(t, h.Valid(10*time.Second))
 	must.NoError(t, h.Apply(Delta{Full: true, To: Version{Term: 6, Revision: 1}}))
 	must.False(t, h.Confirm(10*time.Second, 3*time.Second, 5), must.Sprint("a newer term is known from a view"))
@@ -216,7 +216,7 @@
 	})
 }
 
-// Example shows a daemon that follows a leader's views.
+// A daemon follows a leader's views by deltas.
 func Example() {
 	leader := New()
 	leader.Version = Version{Term: 1, Revision: 7}
