--- a/version/planner/adaptive.go
+++ b/version/planner/adaptive.go
@@ -137,7 +137,7 @@
 	return current.with(best.move.from, -1).with(best.move.to, 1), best.reason
 }
 
-// defaultWork is used in place of the demand while none was measured.
+// defaultWork replaces a zero forecast when roles are assigned to unassigned engines.
 var defaultWork = work{requests: 10, uncachedPrompt: 5000, totalPrompt: 10000, output: 1000}
 
 // assignUnassigned returns the current split with roles added for the engines that
@@ -163,9 +163,9 @@
 	return current
 }
 
-// partialSplitValue rates a split that may lack a role still: the work that it can
-// serve, plus a small bonus for its coverage of the scarcer of prompt and output
-// work, so that both roles get engines.
+// partialSplitValue returns the value of a split in which some engines may not have a
+// role yet: the work that it can serve, plus a small bonus for its coverage of the
+// scarcer of prompt and output work, so that neither is left without engines.
 func (a *adaptive) partialSplitValue(split Split, w work) float64 {
 	balance := min(
 		coverage(float64(split.Prefill+split.Mixed), a.config.Rates.requiredPrefillEngines(w)),
--- a/version/view/relay.go
+++ b/version/view/relay.go
@@ -36,7 +36,7 @@
 // duration. now is its start time.
 func NewRelay(lease, now time.Duration) *Relay {
 	r := &Relay{holder: NewHolder(), tracker: NewTracker(lease)}
-	// No daemon holds a lease from this relay yet, so the wait of Reset can be skipped.
+	// No daemon holds a lease from this relay yet, so Reset is backdated to skip its wait.
 	r.tracker.Reset(now - 2*lease)
 	r.history.Store(&History{View: r.holder.Load()})
 	return r
--- a/version/view/tracker.go
+++ b/version/view/tracker.go
@@ -37,7 +37,7 @@
 // to a daemon and must call Reset only once the earlier leader's lease has lapsed.
 type Tracker struct {
 	lease       time.Duration
-	graceUntil  atomic.Int64 // nanoseconds
+	graceUntil  atomic.Int64 // nanoseconds; no version is in force before
 	minRevision atomic.Uint64
 	shards      [trackerShards]trackerShard
 }
--- a/version/view/types.go
+++ b/version/view/types.go
@@ -33,7 +33,7 @@
 	Replicas  map[string]*api.Replica
 	Proxies   map[string]*api.Proxy
 	Members   map[string]*api.Member
-	// Quarantines holds the requests that made replicas terminate, by fingerprint.
+	// Quarantines holds the requests during which replicas terminated, by fingerprint.
 	Quarantines map[string]*api.Quarantine
 	// RouteTenants holds the tenants of the Ingress by name.
 	RouteTenants map[string]*api.RouteTenant
--- a/version/view/view_test.go
+++ b/version/view/view_test.go
@@ -76,8 +76,8 @@
 	v.views = append(v.views, next)
 }
 
-// TestHolderVersionNeverGoesBack applies deltas to a daemon's view that lagging servers
-// computed from arbitrary versions and that arrive late, repeated and out of order.
+// TestHolderVersionNeverGoesBack applies deltas that lagging servers computed from
+// arbitrary versions. The deltas arrive late, repeated and out of order.
 func TestHolderVersionNeverGoesBack(t *testing.T) {
 	applied, refused := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
