--- a/version/selector/selector.go
+++ b/version/selector/selector.go
@@ -1,6 +1,6 @@
-// Package selector matches labels against selectors.
+// Package selector matches labels against label selectors.
 //
-// Guarantee: an empty selector matches nothing, so a forgotten one never takes the
+// An empty selector matches nothing, so an omitted selector never selects the
 // whole fleet.
 package selector
 
@@ -10,9 +10,9 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// Matches reports whether the labels meet all conditions of the selector. An
-// empty selector matches nothing. A selector that Validate faults may match
-// anything; such selectors are refused before they are stored.
+// Matches reports whether the labels satisfy every requirement of the selector.
+// An empty selector matches nothing. The result is unspecified for a selector
+// that Validate rejects; such selectors are rejected before they are stored.
 func Matches(s api.Selector, labels api.Labels) bool {
 	if s.All {
 		return true
@@ -33,11 +33,11 @@
 	return true
 }
 
-// Validate returns every fault of a selector; an empty one has none.
+// Validate returns all validation errors of a selector. An empty selector is valid.
 func Validate(s api.Selector) []api.FieldFault { return api.ValidateSelector("selector", s) }
 
-// meets reports whether the labels meet one requirement. NotIn is also met by
-// labels that lack the key, as DoesNotExist is.
+// satisfiesRequirement reports whether the labels satisfy one requirement. Like
+// DoesNotExist, NotIn is satisfied by labels that do not have the key.
 func meets(r *api.Requirement, labels api.Labels) bool {
 	value, ok := labels[r.Key]
 	switch r.Operator {
--- a/version/selector/selector_test.go
+++ b/version/selector/selector_test.go
@@ -20,7 +20,7 @@
 		name     string
 		selector api.Selector
 		want     bool
-		bare     bool // the result without any labels
+		bare     bool // the result for an empty label set
 	}{
 		{"empty", api.Selector{}, false, false},
 		{"empty but not nil", api.Selector{MatchLabels: api.Labels{}, MatchExpressions: []api.Requirement{}}, false, false},
--- a/version/state/bench_test.go
+++ b/version/state/bench_test.go
@@ -19,7 +19,7 @@
 	return api.Labels{"pool": fmt.Sprintf("p%02d", i%benchIntents), "zone": "hall-leuven"}
 }
 
-// fill returns a machine with engines and intents, and the last index.
+// newFilledMachine returns a machine with engines and intents, and the last applied index.
 func fill(tb testing.TB) (*Machine, uint64) {
 	tb.Helper()
 	m := New()
@@ -57,7 +57,8 @@
 	}}
 }
 
-// BenchmarkApplyClaim keeps benchClaims claims: each command adds one and expires one.
+// BenchmarkApplyClaim measures claims on a machine that holds benchClaims claims: each
+// command adds one and expires one.
 func BenchmarkApplyClaim(b *testing.B) {
 	m := New()
 	for i := uint64(1); i <= benchClaims; i++ {
@@ -142,7 +143,8 @@
 	return m
 }
 
-// BenchmarkStatusDelta reports the bytes of a delta with one engine's status.
+// BenchmarkStatusDelta measures and reports the encoded size of a delta that contains the
+// status of one engine.
 func BenchmarkStatusDelta(b *testing.B) {
 	m, index := fill(b)
 	from := m.Version()
--- a/version/state/claims.go
+++ b/version/state/claims.go
@@ -6,7 +6,7 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// claimKey names a claim: keys of different tenants do not meet.
+// claimKey identifies a claim. Keys are scoped to a tenant.
 type claimKey struct {
 	tenant string
 	key    string
@@ -18,18 +18,18 @@
 	nonce uint64
 }
 
-// claim grants the run of a request to at most one claimant at a time.
+// claim grants the right to run a request to at most one claimant at a time.
 //
 // Invariant: between the grant of a key and its expiry, another claimant is
-// granted the key only after the first one recorded that its request was surely
-// not run. A claimant must not dispatch after it has recorded that, and must
-// draw a new nonce to claim again: the same nonce is then answered with the
-// recorded outcome, so a delayed duplicate of its claim takes nothing.
+// granted the key only after the first one recorded that its request was
+// definitely not run. A claimant must not dispatch the request after recording
+// that, and must use a new nonce to claim again: a claim with the same nonce gets
+// the recorded outcome, so a delayed duplicate is not granted.
 //
 // The same claim (nonce, proxy, attempt) is granted again while no outcome is
-// recorded, because the first grant may have been lost on its way. That is safe
-// since the claimant is one request of one process, which alone knows whether
-// it has dispatched; a restarted process draws another nonce.
+// recorded, because the first response may have been lost. This is safe: a
+// claimant is one request of one process, which knows whether it has
+// dispatched the request, and a restarted process uses another nonce.
 func (m *Machine) claim(request *ClaimRequest) api.ClaimResult {
 	key := claimKey{tenant: request.Tenant, key: request.Key}
 	e := m.claims.get(key, m.clock)
@@ -74,7 +74,7 @@
 	return api.ClaimResult{Code: api.ClaimGranted, Claim: record.Claim}
 }
 
-// giveUpClaim remembers that the claim with the nonce must not be granted.
+// recordAbandonedClaim records that the claim with the nonce must not be granted.
 func (m *Machine) giveUpClaim(key claimKey, nonce uint64) {
 	record := &claimRecord{
 		Claim: api.Claim{Tenant: key.tenant, Key: key.key, Outcome: api.RunNotRun, GrantedAt: m.clock, Revision: m.index},
@@ -87,23 +87,23 @@
 	})
 }
 
-// refuseClaim answers a claim with another body. The recorded answer belongs to
-// the other request and is left out.
+// conflictResult returns the result for a claim whose body differs from that of the
+// stored claim. The stored answer belongs to the other request and is left out.
 func refuseClaim(held *claimRecord) api.ClaimResult {
 	claim := held.Claim
 	claim.Answer = nil
 	return api.ClaimResult{Code: api.ClaimConflict, Claim: claim}
 }
 
-// lateClaimRetention is how long, in milliseconds, a claim that was given up
-// before it arrived is remembered.
+// abandonedClaimRetention is the retention, in milliseconds, of the record of a claim
+// that was abandoned before it arrived.
 const lateClaimRetention = int64(time.Hour / time.Millisecond)
 
-// recordOutcome records what became of a granted run. Only the claimant may,
-// and only once: a recorded outcome is final. A claimant that never learned
-// whether it was granted may record that it will not run; if its claim is not
-// there yet, the record keeps the claim from being granted when it arrives late,
-// which would block the key until its retention ends.
+// recordOutcome records the outcome of a granted run. Only the claimant can record
+// it, and a recorded outcome is final. A claimant that does not know whether its
+// claim was granted may record RunNotRun. If its claim has not arrived yet, the
+// record prevents the claim from being granted when it arrives late, which would
+// block the key until the retention ends.
 func (m *Machine) recordOutcome(outcome *RunOutcome) {
 	key := claimKey{tenant: outcome.Tenant, key: outcome.Key}
 	e := m.claims.get(key, m.clock)
--- a/version/state/codec.go
+++ b/version/state/codec.go
@@ -7,12 +7,12 @@
 	"github.com/landingtrail/landingtrail/version/binenc"
 )
 
-// ErrUnknownKind is returned by Decode for a command of a kind that this
-// program does not know. A member that meets one must stop applying: it would
-// differ from the others if it passed over the command.
-var ErrUnknownKind = errors.New("state: unknown kind of command")
+// ErrUnknownKind is returned by Decode for a command kind that this version of the
+// program does not know. The member must then stop applying commands: its state
+// would diverge from that of the other members if it skipped the command.
+var ErrUnknownKind = errors.New("state: unknown command kind")
 
-// Encode encodes a command. It panics if the body of the command's kind is missing.
+// Encode encodes a command. It panics if the kind is unknown or its body is missing.
 func Encode(command Command) []byte {
 	b := append([]byte(nil), byte(command.Kind))
 	b = binenc.AppendInt(b, command.Time)
@@ -50,11 +50,11 @@
 	case CommandUsageReported:
 		return binenc.AppendInt(b, command.UsageReported.Window)
 	}
-	panic("state: command of unknown kind")
+	panic("state: unknown command kind")
 }
 
-// Decode decodes what Encode made of one command. The error is ErrUnknownKind or
-// one of the binenc errors, wrapped; the command shares no memory with b.
+// Decode decodes a command encoded by Encode. The error wraps ErrUnknownKind or one
+// of the errors of binenc. The command shares no memory with b.
 func Decode(b []byte) (Command, error) {
 	r := binenc.NewReader(b)
 	command := Command{Kind: CommandKind(r.Byte()), Time: r.Int()}
@@ -62,12 +62,13 @@
 		return Command{}, errors.Wrapf(ErrUnknownKind, "kind %d", command.Kind)
 	}
 	if err := r.Close(); err != nil {
-		return Command{}, errors.Wrapf(err, "state: command of kind %d", command.Kind)
+		return Command{}, errors.Wrapf(err, "state: decode command of kind %d", command.Kind)
 	}
 	return command, nil
 }
 
-// decodeBody returns false for an unknown kind.
+// decodeBody decodes the body of the command's kind. It returns false if the kind is
+// unknown.
 func decodeBody(r *binenc.Reader, command *Command) bool {
 	switch command.Kind {
 	case CommandTransaction:
@@ -141,8 +142,8 @@
 	return t
 }
 
-// appendWritten appends an object as a writer sent it, which may wrongly have
-// several kinds set or none: the machine faults it, not the codec.
+// appendWritten appends an object as the writer sent it. The codec accepts an object
+// with several kinds or none; the machine rejects it.
 func appendWritten(b []byte, o api.Object) []byte {
 	parts := splitKinds(o)
 	b = binenc.AppendUint(b, uint64(len(parts)))
@@ -211,7 +212,8 @@
 	return o
 }
 
-// mergeKind sets the part in o and returns the part's place in the order of splitKinds.
+// mergeKind sets the part in o and returns its position in the order of splitKinds,
+// starting at 1, or 0 for an empty part.
 func mergeKind(o *api.Object, part api.Object) int {
 	switch {
 	case part.Intent != nil:
--- a/version/state/codec_test.go
+++ b/version/state/codec_test.go
@@ -12,8 +12,8 @@
 	"github.com/landingtrail/landingtrail/version/binenc"
 )
 
-// fillValue sets every field below v to a value other than zero, so that a
-// field that a codec forgets is seen to be lost.
+// fillValue sets v and every nested field to a nonzero value, so that a field that the
+// codec omits is detected after decoding.
 func fillValue(v reflect.Value, seed *int) {
 	*seed++
 	switch v.Kind() {
@@ -64,7 +64,7 @@
 		field, _ := bodies.FieldByName(name)
 		fillValue(reflect.ValueOf(&command).Elem().FieldByIndex(field.Index), &seed)
 		if command.Kind == CommandObserve {
-			// An object of a command is of one kind.
+			// Each object in an Observe command must have exactly one kind.
 			command.Observe.Put = []api.Object{{Replica: command.Observe.Put[0].Replica}, {Quarantine: command.Observe.Put[1].Quarantine}, {Suspect: command.Observe.Put[0].Suspect}}
 			command.Observe.Removed = []api.Key{{Kind: api.KindProxy, Name: "p"}}
 		}
@@ -108,7 +108,7 @@
 	must.Eq(t, record.nonce, readClaimRecord(binenc.NewReader(appendClaimRecord(nil, &record))).nonce)
 }
 
-// busyMachine returns a machine with something in each part of its state.
+// newPopulatedMachine returns a machine with most parts of its state filled.
 func busyMachine() *Machine {
 	m := New()
 	pool := api.Labels{"pool": "a"}
@@ -142,7 +142,7 @@
 		must.Error(t, m.Restore(snapshot[:i]))
 	}
 	must.ErrorIs(t, m.Restore(nil), ErrFormat)
-	must.Eq(t, snapshot, m.Freeze().Encode(), must.Sprint("a refused snapshot changes nothing"))
+	must.Eq(t, snapshot, m.Freeze().Encode(), must.Sprint("an invalid snapshot must not change the state"))
 }
 
 func FuzzDecode(f *testing.F) {
--- a/version/state/command.go
+++ b/version/state/command.go
@@ -1,23 +1,26 @@
-// Package state is the replicated state machine of the control group: objects,
-// operations, engine orders, at-most-once claims and the members' addresses.
-// Apply is deterministic: it reads no clock and no random source; whatever the
-// outcome needs stands in the command.
+// Package state implements the replicated state machine of the control group: it
+// holds objects, operations, engine orders, at-most-once claims, usage counters
+// and the members' addresses. Apply is deterministic: it reads no clock and no
+// random source, so commands carry every input that the outcome depends on.
 //
-// Guarantees, within the retention that the commands give, also across snapshots:
-// an operation ID is carried out once and always gets its first answer; a claimed
-// key is granted to another claimant only after the first recorded that its
-// request was surely not run; an engine has at most one open order, its fence is
-// above all earlier ones, and only the engine's own word closes it.
+// It guarantees the following, across snapshots, for operations and claims within
+// the retention given by their commands:
+//
+//   - An operation ID is executed once, and a resend gets the first result.
+//   - A claimed key is granted to another claimant only after the first claimant
+//     recorded that its request was definitely not run.
+//   - An engine has at most one open order. The order's fence is greater than all
+//     earlier ones, and only a report of the engine itself closes the order.
 package state
 
 import (
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// CommandKind names a command.
+// CommandKind identifies the kind of a command.
 type CommandKind uint8
 
-// Kinds of commands.
+// Kinds of commands, with the type of the body and of the result of Apply.
 const (
 	CommandTransaction    CommandKind = iota + 1 // *api.Transaction -> api.TransactionResult
 	CommandOpenOrder                             // *OpenOrder -> OpenOrderResult
@@ -35,15 +38,15 @@
 	CommandUsageReported                         // *UsageReported -> nothing
 )
 
-// Command is one entry of the log. Exactly the body of its kind is set.
+// Command is the content of a log entry. Only the body that matches Kind is set.
 type Command struct {
 	Kind CommandKind
-	// Time is the proposing leader's wall clock in milliseconds. The group's
-	// clock is the highest Time applied so far; it never goes back and is used
-	// for retention only, never for fences or leases.
+	// Time is the proposing leader's wall clock in milliseconds. The group clock
+	// is the highest Time applied so far. It never goes back, and it is used only
+	// for retention and timestamps, never for fences or leases.
 	Time           int64
 	Transaction    *api.Transaction
-	Limits         TransactionLimits // with Transaction
+	Limits         TransactionLimits // set with Transaction
 	OpenOrder      *OpenOrder
 	CloseOrder     *CloseOrder
 	EngineReport   *EngineReport
@@ -59,21 +62,22 @@
 	UsageReported  *UsageReported
 }
 
-// TransactionLimits are the proposing leader's settings, carried in the
-// command so that every member decides alike.
+// TransactionLimits are settings of the proposing leader. The command carries them
+// so that every member reaches the same result.
 type TransactionLimits struct {
-	// MaxAffectedEngines bounds the engines whose wanted model or version one
-	// transaction may change, unless it allows broad changes; 0 means no bound.
+	// MaxAffectedEngines limits how many engines with a desired or current
+	// assignment one transaction may reassign, unless the transaction allows broad
+	// changes. 0 means no limit.
 	MaxAffectedEngines int
-	// OperationRetention and ClaimRetention are milliseconds of group time.
+	// OperationRetention and ClaimRetention are in milliseconds of the group clock.
 	OperationRetention int64
 	ClaimRetention     int64
 }
 
-// OpenOrder opens an order for an engine. It is refused when one is open,
-// when the engine's incarnation differs from the committed one, or when the
-// assignment is not one that the selecting intent allows. The order's fence is
-// the entry's (term, index).
+// OpenOrder opens an order for an engine. It is rejected if an order is already
+// open, if the incarnation differs from the committed one, if the intent that
+// selects the engine does not allow the assignment, or if the intent's disruption
+// budget is exhausted. The order's fence is the (term, index) of the log entry.
 type OpenOrder struct {
 	Engine      string
 	Incarnation uint64
@@ -81,7 +85,7 @@
 	Reason      string
 }
 
-// OpenOrderCode says what became of an OpenOrder.
+// OpenOrderCode is the outcome of an OpenOrder.
 type OpenOrderCode uint8
 
 // Outcomes of an OpenOrder.
@@ -91,44 +95,45 @@
 	OpenOrderUnknownEngine
 	OpenOrderOtherIncarnation
 	OpenOrderNotAllowed
-	OpenOrderBudget // the intent's disruption budget is used up
+	OpenOrderBudget // the intent's disruption budget is exhausted, or the engine has not reported yet
 )
 
-// OpenOrderResult answers an OpenOrder.
+// OpenOrderResult is the result of an OpenOrder.
 type OpenOrderResult struct {
 	Code  OpenOrderCode
-	Order api.Order // the opened one, or the one that is open
+	Order api.Order // the new order, or the one that was already open
 }
 
-// VoidOrder asks for a fence above the open order's. The engine is then asked
-// to confirm the new fence without any change; once it has, it refuses the old
-// order, which CloseVoid closes. The fence comes from the log as an order's
-// does, since no clock or leader may make one up.
+// VoidOrder requests a fence greater than that of the open order. The engine is then
+// asked to confirm the new fence without changing anything. An engine that confirmed
+// it rejects the old order, which can then be closed with CloseVoid. The fence
+// is taken from the log, like that of an order: a fence from a clock or chosen by
+// a leader might not be unique and increasing.
 type VoidOrder struct {
 	Engine string
-	Fence  api.Fence // of the order that is to be void
+	Fence  api.Fence // of the order to void
 }
 
-// VoidOrderResult answers a VoidOrder. Open is false, and Fence zero, when the
-// order with the fence is not open.
+// VoidOrderResult is the result of a VoidOrder. If no order with the given fence is
+// open, Open is false and Fence is zero.
 type VoidOrderResult struct {
 	Open  bool
-	Fence api.Fence // the entry's (term, index)
+	Fence api.Fence // (term, index) of the log entry
 }
 
-// CloseReason says why an order is closed.
+// CloseReason is the reason for closing an order.
 type CloseReason uint8
 
-// Reasons for closing an order. An order is closed only on the engine's own
-// word: that it is done, or that the engine has confirmed a higher fence or
-// has another incarnation, so that the order can change nothing any more.
+// Reasons for closing an order. A report of the engine must show that the order is
+// done or can no longer take effect, because the engine has confirmed a higher fence
+// or has another incarnation.
 const (
 	CloseDone CloseReason = iota + 1
 	CloseVoid
 	CloseOtherIncarnation
 )
 
-// CloseOrder closes the open order with the fence.
+// CloseOrder closes the open order that has the fence.
 type CloseOrder struct {
 	Engine string
 	Fence  api.Fence
@@ -136,11 +141,12 @@
 	Report EngineReport
 }
 
-// CloseOrderResult answers a CloseOrder; Closed is false when another or no order was open.
+// CloseOrderResult is the result of a CloseOrder. Closed is false if no order with the
+// fence is open, or if the report is stale or does not support the reason.
 type CloseOrderResult struct{ Closed bool }
 
-// EngineReport commits what an engine said of itself. Reports are proposed
-// only when they differ from what is committed.
+// EngineReport commits the status that an engine reported. A report is proposed only
+// if it differs from the committed status.
 type EngineReport struct {
 	Engine      string
 	Incarnation uint64
@@ -149,37 +155,37 @@
 	Fence       api.Fence
 }
 
-// Machines commits the platform's list of machines that are leaving or gone,
-// by the names of engines and back ends.
+// Machines commits the platform's lists of machines that are leaving or gone, by the
+// names of the engines and back ends that run on them.
 type Machines struct {
 	Leaving []string
 	Gone    []string
 }
 
-// ClaimRequest claims the run of a request that must run at most once.
+// ClaimRequest claims the right to run a request that must run at most once.
 type ClaimRequest struct {
 	Tenant    string
 	Key       string
 	BodyHash  uint64
-	Attempt   uint32 // chosen by the proxy; with Proxy and Nonce it names the claimant
+	Attempt   uint32 // chosen by the proxy; identifies the claimant together with Proxy and Nonce
 	Proxy     string
-	Nonce     uint64 // drawn anew for each request: a resend through the same proxy differs
-	Retention int64  // milliseconds of group time
+	Nonce     uint64 // random per request, so a resend through the same proxy has another nonce
+	Retention int64  // in milliseconds of the group clock
 }
 
-// RunOutcome records what became of a claimed run; only the claimant may.
+// RunOutcome records the outcome of a claimed run. Only the claimant may record it.
 type RunOutcome struct {
 	Tenant  string
 	Key     string
 	Nonce   uint64
 	Outcome api.RunOutcome
-	Answer  []byte // kept when not longer than MaxAnswerBytes
+	Answer  []byte // stored unless longer than MaxAnswerBytes
 }
 
-// MaxAnswerBytes bounds the answer kept with a claim.
+// MaxAnswerBytes is the maximum size of an answer that is stored with a claim.
 const MaxAnswerBytes = 64 << 10
 
-// Member is a control member's addresses.
+// Member holds the identity and the addresses of a member of the control group.
 type Member struct {
 	ID              uint64
 	Name            string
@@ -189,8 +195,8 @@
 	Removed         bool
 }
 
-// EngineName returns the engine that the command is about, or nothing if it is
-// about no single one.
+// EngineName returns the name of the engine that the command applies to, or "" if it
+// does not apply to a single engine.
 func (c Command) EngineName() string {
 	switch c.Kind {
 	case CommandOpenOrder:
--- a/version/state/commit.go
+++ b/version/state/commit.go
@@ -7,7 +7,7 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// commit carries out an accepted plan.
+// commit applies an accepted plan to the machine.
 func (p *plan) commit() {
 	for i, write := range p.transaction.Writes {
 		if write.Delete {
@@ -21,8 +21,8 @@
 	}
 }
 
-// write stores an object with the metadata and spec of a writer and the status
-// that the machine has. The writer's objects are not written to.
+// writeObject stores an object with the writer's metadata and spec and the status
+// that the machine holds. It does not modify the writer's object.
 func (m *Machine) write(o api.Object) {
 	switch {
 	case o.Intent != nil:
@@ -47,7 +47,8 @@
 	m.put(o)
 }
 
-// engineStatus returns the status of an engine that is being written.
+// engineStatus returns the status for an engine that is being written: the stored
+// status, or the initial status of a new engine.
 func (m *Machine) engineStatus(name string) api.EngineStatus {
 	if engine := m.engines.items[name]; engine != nil {
 		return engine.Status
@@ -66,9 +67,9 @@
 	}
 }
 
-// selectEngine stores which intents select an engine. An engine that no intent
-// selects any more keeps its assignment: automation moves labels in several
-// steps, and an engine between two intents must not be unloaded.
+// setEngineIntents stores which intents select an engine. An engine that is no
+// longer selected keeps its assignment: automation changes labels in several
+// steps, and an engine that is moving between two intents must not be unloaded.
 func (m *Machine) selectEngine(name string, intents []string) {
 	m.selection.set(name, intents)
 	engine := m.engines.items[name]
--- a/version/state/example_test.go
+++ b/version/state/example_test.go
@@ -7,8 +7,8 @@
 	"github.com/landingtrail/landingtrail/version/state"
 )
 
-// A claim is granted to one claimant until it has recorded that the request was
-// surely not run, also across a snapshot.
+// A claimed key is granted to another claimant only after the first one recorded that
+// the request was definitely not run, also across a snapshot.
 func Example() {
 	claim := func(nonce uint64) state.Command {
 		request := state.ClaimRequest{Tenant: "gritting", Key: "crew-7", Nonce: nonce}
@@ -33,8 +33,8 @@
 	// granted
 }
 
-// An order's fence is the place of its log entry. It is bound to the engine's
-// incarnation, and only the engine's own word closes it.
+// The fence of an order is the term and index of its log entry. The order is bound to
+// the engine's incarnation, and only a report of the engine closes it.
 func Example_orders() {
 	machine := state.New()
 	index := uint64(0)
@@ -77,7 +77,7 @@
 		body := state.CloseOrder{Engine: "engine-1", Fence: opened.Order.Fence, Reason: reason, Report: report}
 		return commit(state.Command{Kind: state.CommandCloseOrder, CloseOrder: &body}).(state.CloseOrderResult).Closed
 	}
-	// Another incarnation never had the order, so it cannot have carried it out.
+	// Another incarnation never received the order, so it cannot have executed it.
 	fmt.Println(closing(state.CloseDone, report(8, opened.Order.Fence, wanted)))
 	fmt.Println(closing(state.CloseDone, report(7, opened.Order.Fence, wanted)))
 	// Output:
--- a/version/state/guards_test.go
+++ b/version/state/guards_test.go
@@ -8,7 +8,8 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// The two outcomes that can be recorded are a whole answer and a sure "not run".
+// Only RunCompleted and RunNotRun can be recorded as outcomes. Any other outcome must
+// leave the claim running and without an answer.
 func TestOutcomeOfAnotherKindIsIgnored(t *testing.T) {
 	c := newCluster(t)
 	c.apply(Command{Kind: CommandClaim, Claim: &ClaimRequest{Tenant: "t", Key: "k", Nonce: 1}})
@@ -30,8 +31,8 @@
 	must.SliceEmpty(t, second.Members())
 }
 
-// A log that goes back or repeats an entry is broken, and going on would make the
-// members differ.
+// A log that repeats an entry or goes back in index or term is corrupt. Applying it
+// would make the members diverge.
 func TestApplyPanicsOnABrokenLog(t *testing.T) {
 	command := Command{Kind: CommandMachines, Machines: &Machines{}}
 	for name, place := range map[string][2]uint64{"repeated": {2, 5}, "earlier": {2, 4}, "older term": {1, 6}} {
--- a/version/state/ingress.go
+++ b/version/state/ingress.go
@@ -8,31 +8,31 @@
 	"github.com/landingtrail/landingtrail/version/binenc"
 )
 
-// Observe commits what the leader has seen of the fleet around the group: the
-// replicas on the platform's list, the proxies that take requests, the members
-// that daemons may follow, the requests under which replicas ended, and how many replicas it
-// wants. Put holds objects of these kinds only,
-// Removed their keys.
+// Observe commits objects that the leader derived from the state of the fleet:
+// replicas on the platform's list, proxies that accept requests, members that daemons
+// may follow, quarantines and suspects of requests during which replicas terminated, and
+// the desired number of replicas. Put holds objects of these kinds only, Removed the
+// keys of such objects.
 type Observe struct {
 	Put     []api.Object
 	Removed []api.Key
 }
 
-// ReplaceIngress replaces the Ingress with its tenants. No key stands in it but in the
-// packed document.
+// ReplaceIngress replaces the Ingress and its tenants. It contains API keys only in the
+// compressed source document.
 type ReplaceIngress struct {
-	// Spec has its document packed, and no tenants of its own.
+	// Spec has a compressed Source and no Tenants.
 	Spec    api.IngressSpec
 	Tenants []api.RouteTenant
 }
 
-// replaceIngress puts the spec in force if its generation is above the one that
-// holds.
+// replaceIngress puts the spec in force if its generation is greater than the one in
+// force.
 //
-// Invariant: the generation in force never goes down, and what holds under a
-// generation never changes. It holds because this is the only writer, and it
-// changes nothing unless the generation rises. Routes and tenants change by the same
-// entry, so no view has the ones without the others.
+// Invariant: the generation in force never decreases, and the content of a generation
+// never changes. It holds because this function is the only writer and changes
+// nothing unless the generation increases. Routes and tenants change in the same
+// log entry, so no view has new routes with old tenants or the reverse.
 func (m *Machine) replaceIngress(given *ReplaceIngress) api.ReplaceResult {
 	held := m.ingressGeneration()
 	if given.Spec.Generation <= held {
@@ -40,15 +40,15 @@
 	}
 	spec := given.Spec
 	m.ingressSource = spec.Source
-	spec.Source, spec.Tenants = nil, nil // they hold keys, and views go to every proxy
+	spec.Source, spec.Tenants = nil, nil // they contain keys, and views are sent to every proxy
 	metadata := api.Metadata{Name: api.IngressName, Revision: m.index}
 	m.put(api.Object{Ingress: &api.Ingress{Metadata: metadata, Spec: spec}})
 	m.replaceTenants(given.Tenants)
 	return api.ReplaceResult{Code: api.ReplaceApplied, Generation: given.Spec.Generation}
 }
 
-// replaceTenants stores those tenants that differ and removes those that are gone, so that
-// a change of few keys is a small one for all who follow.
+// replaceTenants stores only the tenants that differ and removes those that are no longer
+// listed, so that a change of a few keys results in a small delta.
 func (m *Machine) replaceTenants(tenants []api.RouteTenant) {
 	given := make(map[string]bool, len(tenants))
 	for i := range tenants {
@@ -86,7 +86,7 @@
 	return given
 }
 
-// ingressGeneration returns the generation that holds, 0 if none was accepted.
+// ingressGeneration returns the generation in force, or 0 if there is no Ingress.
 func (m *Machine) ingressGeneration() uint64 {
 	if held := m.ingresses.items[api.IngressName]; held != nil {
 		return held.Spec.Generation
@@ -94,8 +94,8 @@
 	return 0
 }
 
-// observe stores what the leader saw. Objects of other kinds are passed over:
-// they belong to their writers.
+// observe stores and removes objects of the observed kinds. It ignores objects of other
+// kinds, which are owned by their writers.
 func (m *Machine) observe(seen *Observe) {
 	for _, object := range seen.Put {
 		key, ok := object.Key()
--- a/version/state/ingress_test.go
+++ b/version/state/ingress_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// The generation never goes down, and what holds under a generation never
+// The generation in force never decreases, and the content of a generation never
 // changes, also across snapshots.
 func TestGenerationNeverGoesBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -73,8 +73,8 @@
 	return api.Object{Proxy: &api.Proxy{Metadata: api.Metadata{Name: name}, Spec: api.ProxySpec{Address: address}}}
 }
 
-// A removal must find objects of every observed kind; when it did not, the
-// directory named proxies for ever that had long been off.
+// A removal must find objects of every observed kind. When it did not, the directory
+// kept listing proxies that had been shut down long before.
 func TestObservedObjectsComeAndGo(t *testing.T) {
 	m := New()
 	objects := []api.Object{
--- a/version/state/machine.go
+++ b/version/state/machine.go
@@ -7,19 +7,20 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
-// changeLimit bounds the changes that are kept for deltas. A daemon whose
-// version is older than all of them gets a full delta.
+// maxChanges is the maximum number of changes that are kept for deltas. A daemon
+// whose version is older than all of them gets a full delta.
 const changeLimit = 1 << 14
 
-// Machine is the replicated state. One goroutine uses it; what View, History
-// and Freeze return never changes and may be handed to others.
+// Machine is the replicated state machine. It is not safe for concurrent use, but
+// the values returned by View, History and Freeze are immutable and may be used by
+// other goroutines.
 //
-// Invariant: two machines that applied the same commands at the same indexes,
-// or that were restored from one another's snapshots in between, have equal
-// snapshots. Nothing that is stored depends on a clock, on the order of a map's
-// iteration or on anything else outside the commands.
+// Invariant: two machines that applied the same commands at the same indexes have
+// equal snapshots, even if they were restored from each other's snapshots in
+// between. Stored state never depends on a clock, on map iteration order or on
+// anything else outside the commands.
 type Machine struct {
-	term    uint64 // of the last applied command
+	term    uint64 // of the last applied command, as index
 	index   uint64
 	clock   int64 // highest Command.Time in milliseconds
 	version view.Version
@@ -37,23 +38,24 @@
 	routeTenants  table[api.RouteTenant]
 	capacities    table[api.Capacity]
 	suspects      table[api.Suspect]
-	// ingressSource is the packed document of the Ingress. It holds keys, and so is in no view.
+	// ingressSource is the compressed source document of the Ingress. It contains API
+	// keys and is therefore not part of any view.
 	ingressSource []byte
 	usage         usageLedger
 
 	changes      []view.Change
-	changesFloor uint64 // highest revision dropped from changes
+	changesFloor uint64 // highest revision that was dropped from changes
 	current      *view.View
 
 	selection    selection       // derived from intents and engines
-	incarnations table[[]uint64] // earlier ones by engine, oldest first
+	incarnations table[[]uint64] // earlier incarnations by engine, oldest first
 	platform     platformList
 	members      map[uint64]Member
 	operations   retained[string, *operation]
 	claims       retained[claimKey, *claimRecord]
 }
 
-// New returns an empty Machine.
+// New returns an empty machine.
 func New() *Machine {
 	return &Machine{
 		intents:       newTable[api.Intent](),
@@ -76,13 +78,14 @@
 	}
 }
 
-// Apply executes the command of the log entry (term, index) and returns the
-// result that its kind names, or nil. It takes over the command's memory, which
-// must not be written to afterwards. It panics if the index does not go up or
-// the term goes down, or if the command's body is missing: the log is broken then.
+// Apply executes the command of the log entry (term, index) and returns the result
+// documented for its kind, or nil. It retains the command, which must not be
+// modified afterwards. It panics if the index does not increase, if the term
+// decreases or if the body of the command is missing, because the log is then
+// corrupt.
 func (m *Machine) Apply(term, index uint64, command Command) (result any) {
 	if index <= m.index || term < m.term {
-		panic(fmt.Sprintf("state: entry (%d, %d) applied after (%d, %d)", term, index, m.term, m.index))
+		panic(fmt.Sprintf("state: log entry (%d, %d) applied after (%d, %d)", term, index, m.term, m.index))
 	}
 	m.term = term
 	m.index = index
@@ -123,15 +126,15 @@
 	case CommandUsageReported:
 		m.usageReported(command.UsageReported)
 	default:
-		panic(fmt.Sprintf("state: command of unknown kind %d", command.Kind))
+		panic(fmt.Sprintf("state: unknown command kind %d", command.Kind))
 	}
 	return nil
 }
 
-// fence returns the fence of the entry that is being applied.
+// fence returns the fence of the log entry that is being applied.
 func (m *Machine) fence() api.Fence { return api.Fence{Term: m.term, Index: m.index} }
 
-// put stores an object, which must not be written to afterwards.
+// put stores an object, which must not be modified afterwards, and records the change.
 func (m *Machine) put(o api.Object) {
 	m.load(o)
 	key, _ := o.Key()
@@ -153,9 +156,10 @@
 	m.changed(key)
 }
 
-// changed records that the object with the key has changed by this entry. The
-// view's version moves with every change, also of a status; an object's
-// revision moves with writes only, so that statuses do not make writers conflict.
+// recordChange records that the current log entry changed the object with the key.
+// The view's version advances on every change, including status changes. An
+// object's revision advances only on writes, so status changes do not cause
+// revision conflicts for writers.
 func (m *Machine) changed(key api.Key) {
 	m.version = view.Version{Term: m.term, Revision: m.index}
 	m.current = nil
@@ -166,7 +170,7 @@
 	}
 }
 
-// updateEngine stores a copy of an engine with another status, if it differs.
+// updateEngine stores a copy of the engine with the status, unless it is unchanged.
 func (m *Machine) updateEngine(engine *api.Engine, status api.EngineStatus) {
 	if equalStatus(engine.Status, status) {
 		return
@@ -188,7 +192,7 @@
 
 func (m *Machine) putMember(member Member) {
 	if m.members[member.ID].Removed {
-		return // a removed member's identity is never used again
+		return // the ID of a removed member is never reused
 	}
 	m.members[member.ID] = member
 }
--- a/version/state/machine_test.go
+++ b/version/state/machine_test.go
@@ -9,7 +9,7 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
-// cluster applies commands to one machine through their encoding.
+// harness encodes and decodes commands and applies them to one machine.
 type cluster struct {
 	t       *testing.T
 	machine *Machine
--- a/version/state/machines.go
+++ b/version/state/machines.go
@@ -7,14 +7,15 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// platformList is the platform's last list of machines that are not to be used.
-// Both lists are sorted and free of repetitions.
+// platformList holds the platform's latest lists of machines that must not be used.
+// Both lists are sorted and have no duplicates.
 type platformList struct {
 	leaving []string
 	gone    []string
 }
 
-// phase returns the phase of an engine that reports the given one.
+// phase returns the phase that the platform lists for an engine, or else the reported
+// phase.
 func (l *platformList) phase(engine string, reported api.EnginePhase) api.EnginePhase {
 	switch {
 	case contains(l.gone, engine):
@@ -29,7 +30,7 @@
 	return contains(l.gone, name) || contains(l.leaving, name)
 }
 
-// serviceStatus returns the status of a service with the back ends.
+// serviceStatus returns the status of a service that has the back ends.
 func (l *platformList) serviceStatus(backends []api.Backend) api.ServiceStatus {
 	var status api.ServiceStatus
 	for _, backend := range backends {
@@ -45,8 +46,8 @@
 	return status
 }
 
-// listMachines replaces the platform's list. An engine that is back on the list
-// of live machines is unknown until it reports.
+// setMachines replaces the platform's lists. The phase of an engine that is no longer
+// listed as leaving or gone is unknown until it reports.
 func (m *Machine) listMachines(machines *Machines) {
 	previous := m.platform
 	m.platform = platformList{leaving: nameSet(machines.Leaving), gone: nameSet(machines.Gone)}
--- a/version/state/oracle_test.go
+++ b/version/state/oracle_test.go
@@ -10,8 +10,9 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// oracle is the state written as plainly as possible: maps of values, linear
-// scans, whole copies, and no index, no sharing and no expiry queue.
+// oracle is a simple reference implementation of Machine for comparison tests. It
+// uses maps of values, linear scans and full copies, without indexes, shared
+// maps or an expiry queue.
 type oracle struct {
 	term, index uint64
 	clock       int64
@@ -75,7 +76,7 @@
 	return nil
 }
 
-// engine returns a copy.
+// engine returns a copy of the stored engine, or nil if there is none.
 func (o *oracle) engine(name string) *api.Engine {
 	stored := o.objects[api.Key{Kind: api.KindEngine, Name: name}].Engine
 	if stored == nil {
@@ -111,7 +112,7 @@
 	return s.All || conditions > 0
 }
 
-// intentsOf returns the intents that select an engine, by name.
+// intentsOf returns the intents that select an engine, sorted by name.
 func intentsOf(objects map[api.Key]api.Object, e *api.Engine) []*api.Intent {
 	var intents []*api.Intent
 	for _, object := range objects {
@@ -257,8 +258,8 @@
 	return api.TransactionResult{Code: api.OutcomeAccepted, Revision: o.index, AffectedEngines: affected}, next
 }
 
-// moves reports whether the intent wants something else of the engine than was
-// wanted before, and whether anything was.
+// compareDesired reports whether the intent changes the desired state of the engine, and
+// whether the engine had a desired state or an assignment before.
 func (o *oracle) moves(name string, after *api.Intent) (changed, had bool) {
 	before := o.engine(name)
 	if before == nil {
@@ -380,7 +381,8 @@
 	return CloseOrderResult{Closed: proved[c.Reason] && o.report(r, true)}
 }
 
-// report commits a report unless it is an old one.
+// report commits a report and returns true, unless the engine is unknown or the report
+// is stale.
 func (o *oracle) report(r EngineReport, closes bool) bool {
 	e := o.engine(r.Engine)
 	if e == nil || r.Incarnation == 0 {
--- a/version/state/orders.go
+++ b/version/state/orders.go
@@ -7,16 +7,17 @@
 )
 
 const (
-	// defaultMaxUnavailable is the disruption budget of an intent that gives none.
+	// defaultMaxUnavailable is the disruption budget of an intent that sets none.
 	defaultMaxUnavailable = 1
-	// incarnationLimit bounds the earlier incarnations remembered of an engine.
+	// maxEarlierIncarnations is the maximum number of earlier incarnations that are
+	// stored per engine.
 	incarnationLimit = 8
 )
 
-// openOrder commits an order. An order with the zero assignment drains an engine
-// and unloads it; it is allowed on an engine whose spec asks for a drain or
-// that is leaving, and no other order is. A drain needs no order to
-// keep new work away, since the drain in the spec stands in the view itself.
+// openOrder commits an order. An order with the zero assignment drains and unloads
+// an engine. It is the only order allowed for an engine whose spec requests a
+// drain or that is leaving, and it is allowed for no other engine. A drain needs no
+// order to keep new requests away, because the view contains the drain in the spec.
 func (m *Machine) openOrder(open *OpenOrder) OpenOrderResult {
 	engine := m.engines.items[open.Engine]
 	switch {
@@ -44,7 +45,7 @@
 	return OpenOrderResult{Code: OpenOrderOpened, Order: order}
 }
 
-// allowed reports whether the engine may be given the assignment.
+// isAllowed reports whether an order may give the engine the assignment.
 func (m *Machine) allowed(engine *api.Engine, assignment api.Assignment) bool {
 	leaving := engine.Status.Phase == api.PhaseLeaving
 	if engine.Spec.Drain || leaving {
@@ -57,7 +58,7 @@
 	return intent != nil && Satisfies(intent.Spec, assignment)
 }
 
-// Satisfies reports whether an engine with the assignment is what the intent asks for.
+// Satisfies reports whether the assignment matches the spec of the intent.
 func Satisfies(spec api.IntentSpec, assignment api.Assignment) bool {
 	return spec.Model == assignment.Model &&
 		spec.Version == assignment.Version &&
@@ -65,10 +66,11 @@
 		slices.Contains(spec.Roles, assignment.Role)
 }
 
-// withinBudget reports whether one more planned change keeps the disruption
-// budget of the engine's intent. An engine that serves nothing takes nothing
-// away, so it needs no budget. One that has not been heard from may well serve:
-// it is away for the others' budget and gets no order until it has reported.
+// withinBudget reports whether the disruption budget of the engine's intent permits
+// a planned change to the engine. An engine that does not serve needs no budget,
+// since the change does not reduce capacity. An engine that has not reported may be
+// serving: it counts as unavailable for the other engines' budget and gets no
+// order until it reports.
 func (m *Machine) withinBudget(engine *api.Engine) bool {
 	if engine.Spec.Drain {
 		return true
@@ -97,7 +99,7 @@
 	return away < budget
 }
 
-// unavailable reports whether an engine counts as away.
+// isUnavailable reports whether an engine counts against the disruption budget.
 func unavailable(engine *api.Engine) bool {
 	if engine.Status.OpenOrder != nil || engine.Spec.Drain {
 		return true
@@ -106,9 +108,9 @@
 	return phase != api.PhaseServing && phase != api.PhaseIdle
 }
 
-// voidOrder gives out a fence above the open order's. Nothing is stored: the
-// fence is unique because the entry's index is, and above the order's because
-// the order's entry came before.
+// voidOrder returns a fence greater than that of the open order. It stores nothing:
+// the fence is unique because the index of the log entry is, and greater because
+// the entry of the order precedes it.
 func (m *Machine) voidOrder(void *VoidOrder) VoidOrderResult {
 	engine := m.engines.items[void.Engine]
 	if !hasOpenOrder(engine, void.Fence) {
@@ -117,8 +119,8 @@
 	return VoidOrderResult{Open: true, Fence: m.fence()}
 }
 
-// closeOrder closes the open order with the fence if the engine's report bears
-// the reason out, and commits the report.
+// closeOrder closes the open order with the fence and commits the engine's report, if
+// the report supports the reason.
 func (m *Machine) closeOrder(closing *CloseOrder) CloseOrderResult {
 	engine := m.engines.items[closing.Engine]
 	if !hasOpenOrder(engine, closing.Fence) || closing.Report.Engine != closing.Engine {
@@ -137,9 +139,9 @@
 	return engine != nil && engine.Status.OpenOrder != nil && engine.Status.OpenOrder.Fence == fence
 }
 
-// bearsOut reports whether the order can change nothing any more by the
-// engine's own word. An engine that is still draining or changing may be
-// carrying the order out, whatever fence it has confirmed.
+// supportsReason reports whether the engine's report proves the reason for closing the
+// order, so that the order can no longer take effect. An engine that is still
+// draining or changing may be executing the order, whatever fence it has confirmed.
 func bearsOut(order *api.Order, reason CloseReason, report *EngineReport) bool {
 	sameIncarnation := report.Incarnation == order.Incarnation
 	busy := report.Phase == api.PhaseDraining || report.Phase == api.PhaseChanging
@@ -155,8 +157,8 @@
 	return false
 }
 
-// reportEngine commits a report. A new incarnation does not close an open order
-// by itself: CloseOrder does, so that each order has one explicit end.
+// reportEngine commits a report. A report from a new incarnation does not close an
+// open order: only CloseOrder does, so that each order is closed explicitly.
 func (m *Machine) reportEngine(report *EngineReport) {
 	engine := m.engines.items[report.Engine]
 	if engine == nil || m.outdated(engine, report) {
@@ -165,10 +167,10 @@
 	m.updateEngine(engine, m.reported(engine, report))
 }
 
-// outdated reports whether a report is older than what is committed: it has a
-// lower fence in the same incarnation, or comes from an earlier incarnation.
-// An incarnation that was wrongly taken for an earlier one proves that it is
-// alive by confirming a fence above all that the engine was known to have.
+// isStale reports whether a report is older than the committed status: it has a lower
+// fence in the same incarnation, or comes from an earlier incarnation. An
+// incarnation that was mistaken for an earlier one proves that it is current by
+// confirming a fence greater than all known fences of the engine.
 func (m *Machine) outdated(engine *api.Engine, report *EngineReport) bool {
 	if report.Incarnation == 0 {
 		return true
@@ -188,8 +190,8 @@
 	return highest
 }
 
-// reported returns the engine's status after a report, and remembers the
-// incarnation that the report ends.
+// applyReport returns the status of the engine after a report. If the report comes from
+// another incarnation, the previous one is stored as an earlier incarnation.
 func (m *Machine) reported(engine *api.Engine, report *EngineReport) api.EngineStatus {
 	status := engine.Status
 	if status.Incarnation != report.Incarnation {
@@ -202,9 +204,9 @@
 	return status
 }
 
-// ownPhase returns the phase that an engine gives itself. Its latest word
-// counts: a machine may be kept after all, and an engine that was held for
-// leaving for ever would use up the disruption budget.
+// reportedPhase returns the phase in an engine's report. The latest report replaces an
+// earlier leaving phase: a machine may be kept after all, and an engine that
+// stayed in the leaving phase forever would use up the disruption budget.
 func ownPhase(report *EngineReport) api.EnginePhase {
 	switch report.Phase {
 	case api.PhaseIdle, api.PhaseServing, api.PhaseDraining, api.PhaseChanging, api.PhaseLeaving:
@@ -237,9 +239,9 @@
 	return slices.Clone(*earlier)
 }
 
-// ReportChanges reports whether committing the report could change the engine,
-// so that reports which say nothing new need not be proposed. What the platform
-// says of a machine stands over the engine's own word.
+// ReportChanges reports whether committing the report could change the engine's
+// status. Other reports need not be proposed. The machine phase that the
+// platform lists takes precedence over the phase that the engine reports.
 func ReportChanges(engine *api.Engine, report EngineReport) bool {
 	status := engine.Status
 	phaseChanges := status.MachinePhase == api.PhaseUnknown && status.Phase != ownPhase(&report)
--- a/version/state/plan.go
+++ b/version/state/plan.go
@@ -10,22 +10,22 @@
 	"github.com/landingtrail/landingtrail/version/selector"
 )
 
-// maxListedConflicts bounds the conflicts in one answer.
+// maxListedConflicts is the maximum number of intent conflicts in one result.
 const maxListedConflicts = 100
 
-// plan is a transaction that was checked against the machine and not yet
-// carried out. Making a plan changes nothing.
+// plan is a transaction that was checked against the machine but not yet applied.
+// Creating a plan does not change the machine.
 type plan struct {
 	machine     *Machine
 	transaction *api.Transaction
 	keys        []api.Key // of the writes, in order
 	intents     map[string]*api.Intent
-	engines     map[string]*api.Engine // nil for deleted ones, as in intents
-	selected    map[string][]string    // intents of the engines whose selection or wants change
+	engines     map[string]*api.Engine // written engines; nil if deleted, as in intents
+	selected    map[string][]string    // names of the selecting intents, by engine, after the writes
 	result      api.TransactionResult
 }
 
-// newPlan checks a transaction completely; plan.result is the answer to it.
+// newPlan checks a transaction. The result of the transaction is in plan.result.
 func (m *Machine) newPlan(transaction *api.Transaction, limits TransactionLimits) *plan {
 	p := &plan{
 		machine:     m,
@@ -63,7 +63,7 @@
 	return accepted
 }
 
-// fieldFaults returns all faults that can be seen in the transaction alone.
+// fieldFaults returns the validation errors that depend on the transaction alone.
 func (p *plan) fieldFaults() []api.FieldFault {
 	if len(p.transaction.Writes) == 0 {
 		return []api.FieldFault{{Field: "writes", Message: "must not be empty"}}
@@ -99,7 +99,8 @@
 	return faults
 }
 
-// revisionConflicts compares the revisions that the writer saw with what stands now.
+// revisionConflicts returns the objects whose stored revision differs from the one
+// that the writer saw.
 func (p *plan) revisionConflicts() []api.Conflict {
 	var conflicts []api.Conflict
 	for i, key := range p.keys {
@@ -120,10 +121,10 @@
 	return conflicts
 }
 
-// orderFaults refuses to delete engines with open orders: the order could still
-// be carried out while nothing would know of it. An engine that is gone from the
-// platform's list may be deleted, since the process that the order is bound to
-// has ended with its machine and nobody is left to give its word.
+// openOrderFaults rejects the deletion of engines with open orders: the engine could
+// still execute the order after its record was deleted. An engine whose machine the
+// platform lists as gone may be deleted: the process that the order is bound to
+// ended with its machine, and no report that closes the order can arrive.
 func (p *plan) orderFaults() []api.FieldFault {
 	var faults []api.FieldFault
 	for i, write := range p.transaction.Writes {
@@ -139,7 +140,7 @@
 	return faults
 }
 
-// stage works out which intents select which engines after the writes.
+// stage computes which intents select which engines after the writes.
 func (p *plan) stage() {
 	for i, write := range p.transaction.Writes {
 		p.stageWrite(p.keys[i].Name, write)
@@ -165,7 +166,8 @@
 	}
 }
 
-// selectingIntents evaluates all selectors for a written engine.
+// selectingIntents evaluates all selectors for a written engine and returns the names
+// of the intents that select it after the writes.
 func (p *plan) selectingIntents(engine *api.Engine) []string {
 	if engine == nil {
 		return nil
@@ -178,8 +180,8 @@
 	return names
 }
 
-// stageIntent evaluates the selector of one written intent for the engines that
-// are not written themselves.
+// stageIntent evaluates the selector of one written intent for the engines that the
+// transaction does not write.
 func (p *plan) stageIntent(intentName string, intent *api.Intent) {
 	before := p.machine.selection.engines[intentName]
 	if intent == nil {
@@ -222,7 +224,8 @@
 	return &p.machine.intents.items[name].Spec
 }
 
-// intentConflicts finds engines that are selected by intents which want different things.
+// intentConflicts returns the engines that are selected by intents with different
+// desired states.
 func (p *plan) intentConflicts() []api.Conflict {
 	var conflicts []api.Conflict
 	for _, engine := range slices.Sorted(maps.Keys(p.selected)) {
@@ -244,13 +247,13 @@
 	return conflicts
 }
 
-// affectedEngines returns the engines of which something else is wanted after
-// the writes, and how many of them have or were told to have something already.
+// affectedEngines returns the engines whose desired state changes with the writes,
+// and how many of them already had a desired state or an assignment.
 func (p *plan) affectedEngines() (names []string, moved int) {
 	for _, name := range slices.Sorted(maps.Keys(p.selected)) {
 		after := p.selected[name]
 		if len(after) == 0 {
-			continue // an engine that no intent selects keeps what it has
+			continue // an engine that no intent selects keeps its assignment
 		}
 		same, blank := p.compareWanted(name, p.intent(after[0]))
 		if same {
@@ -264,9 +267,9 @@
 	return names, moved
 }
 
-// compareWanted reports whether the engine was already wanted to be what the
-// spec says, and whether nothing was wanted of it so far. An engine that no
-// intent selected counts with what it was last ordered or reported to be.
+// compareDesired reports whether the desired state of the engine before the writes
+// already matched the spec, and whether the engine had none. For an engine that no
+// intent selected, the assignment last ordered or reported is used instead.
 func (p *plan) compareWanted(name string, after *api.IntentSpec) (same, blank bool) {
 	if before := p.machine.WantedIntent(name); before != nil {
 		return wantSame(&before.Spec, after), false
--- a/version/state/read.go
+++ b/version/state/read.go
@@ -9,17 +9,17 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
-// Version returns the version of the objects.
+// Version returns the version of the machine's view of objects.
 func (m *Machine) Version() view.Version { return m.version }
 
-// Applied returns the term and index of the last applied command, zero if none was.
+// Applied returns the term and index of the last applied command, or zeros if there is none.
 func (m *Machine) Applied() (term, index uint64) { return m.term, m.index }
 
-// Clock returns the group's clock in milliseconds.
+// Clock returns the group clock in milliseconds.
 func (m *Machine) Clock() int64 { return m.clock }
 
-// View returns the objects as an immutable view. It is cheap: the maps are
-// copied only when the next command changes an object of their kind.
+// View returns an immutable view of the objects. It is cheap: a map is copied only
+// when a later command changes an object of its kind.
 func (m *Machine) View() *view.View {
 	if m.current == nil {
 		m.current = &view.View{
@@ -43,8 +43,8 @@
 	return m.current
 }
 
-// History returns the view with the changes that are kept for deltas. Other
-// goroutines may make deltas from it while the machine goes on.
+// History returns the view and the changes that are kept for deltas. Other
+// goroutines may compute deltas from it while the machine applies commands.
 func (m *Machine) History() view.History {
 	return view.History{
 		View:    m.View(),
@@ -53,19 +53,20 @@
 	}
 }
 
-// DeltaSince returns the delta from a version to the machine's, and false if
-// the version is the machine's or a later one. See view.History.
+// DeltaSince returns the delta from a version to the machine's version. It returns
+// false if from is not older than the machine's version. See view.History.
 func (m *Machine) DeltaSince(from view.Version) (view.Delta, bool) {
 	return m.History().DeltaSince(from)
 }
 
-// Object returns the stored object with the key; it must not be written to.
+// Object returns the stored object with the key. It must not be modified.
 func (m *Machine) Object(key api.Key) (api.Object, bool) { return m.peek().Object(key) }
 
 // List returns the objects of a kind, sorted by name.
 func (m *Machine) List(kind api.Kind) []api.Object { return m.peek().List(kind) }
 
-// peek returns a view for use during the call only: its maps are not marked as shared.
+// unsharedView returns a view that is valid only until the next command, because its
+// maps are not marked as shared.
 func (m *Machine) peek() *view.View {
 	return &view.View{
 		Intents:   m.intents.items,
@@ -85,11 +86,11 @@
 	}
 }
 
-// IngressSource returns the packed document of the Ingress that holds. It is replaced
-// and never written to.
+// IngressSource returns the compressed source document of the Ingress in force. The
+// bytes must not be modified; a later Ingress has its own.
 func (m *Machine) IngressSource() []byte { return m.ingressSource }
 
-// Operation returns the answer that is kept under an operation ID.
+// Operation returns the result stored for an operation ID.
 func (m *Machine) Operation(id string) (api.TransactionResult, bool) {
 	e := m.operations.get(id, m.clock)
 	if e == nil {
@@ -98,7 +99,7 @@
 	return e.value.result, true
 }
 
-// Claim returns the claim that is kept under a tenant's key.
+// Claim returns the claim stored for a key of a tenant.
 func (m *Machine) Claim(tenant, key string) (api.Claim, bool) {
 	e := m.claims.get(claimKey{tenant: tenant, key: key}, m.clock)
 	if e == nil {
@@ -107,7 +108,7 @@
 	return e.value.Claim, true
 }
 
-// OpenOrders returns the open orders, sorted by engine.
+// OpenOrders returns the open orders, sorted by engine name.
 func (m *Machine) OpenOrders() []api.Order {
 	var orders []api.Order
 	for _, name := range slices.Sorted(maps.Keys(m.engines.items)) {
@@ -118,7 +119,7 @@
 	return orders
 }
 
-// Members returns the members that were not removed, sorted by ID.
+// Members returns the members that have not been removed, sorted by ID.
 func (m *Machine) Members() []Member {
 	var members []Member
 	for _, id := range slices.Sorted(maps.Keys(m.members)) {
@@ -129,11 +130,11 @@
 	return members
 }
 
-// IsRemovedMember tells whether the identity was a member's that was removed.
+// IsRemovedMember reports whether a member with the ID has been removed.
 func (m *Machine) IsRemovedMember(id uint64) bool { return m.members[id].Removed }
 
-// WantedIntent returns the intent that selects an engine, or nil if none does.
-// Of several, which want the same, it is the first by name.
+// WantedIntent returns the intent that selects an engine, or nil if none does. If
+// several do, which then specify the same, it returns the first by name.
 func (m *Machine) WantedIntent(engine string) *api.Intent {
 	names := m.selection.intents[engine]
 	if len(names) == 0 {
@@ -142,8 +143,8 @@
 	return m.intents.items[names[0]]
 }
 
-// WantedIntent returns the intent of a view that selects an engine, or nil; see
-// Machine.WantedIntent. It evaluates every selector.
+// WantedIntent is like Machine.WantedIntent for an engine of a view. It evaluates
+// the selector of every intent.
 func WantedIntent(v *view.View, engine *api.Engine) *api.Intent {
 	names := selectingIntents(v.Intents, engine)
 	if len(names) == 0 {
@@ -152,8 +153,8 @@
 	return v.Intents[names[0]]
 }
 
-// IntentStatus counts what a view shows of an intent's engines. It is worked out
-// when read and not stored, since it would change with every engine's report.
+// IntentStatus counts the engines of an intent in a view by their state. The status
+// is computed on read and not stored, since it would change with every engine report.
 func IntentStatus(v *view.View, intent *api.Intent) api.IntentStatus {
 	var status api.IntentStatus
 	for _, engine := range v.Engines {
--- a/version/state/retained.go
+++ b/version/state/retained.go
@@ -7,39 +7,40 @@
 )
 
 const (
-	// defaultRetention holds when a command gives none, in milliseconds: a
-	// missing setting must not make claims be forgotten at once.
+	// defaultRetention, in milliseconds, applies when a command sets no retention: a
+	// missing setting must not cause claims to expire immediately.
 	defaultRetention = 24 * 3600 * 1000
-	// expireBatch bounds the entries that one command removes. It is above the
-	// one entry that a command adds, so removal keeps pace.
+	// expireBatch is the maximum number of queue entries that one command removes. A
+	// command adds at most one entry, so removal keeps up.
 	expireBatch = 16
 
 	retainedShards = 256
 )
 
-// shardSeed spreads keys over shards; no result depends on it.
+// shardSeed seeds the hash that assigns keys to shards. It does not affect any result
+// or snapshot, so it may differ between members.
 var shardSeed = maphash.MakeSeed()
 
-// entry is a retained value. It is immutable: an update stores a new entry.
+// entry is a value with its expiry. It is immutable: an update stores a new entry.
 type entry[V any] struct {
 	revision uint64 // index of the command that added the key
-	expires  int64  // group clock in milliseconds
+	expires  int64  // milliseconds of the group clock
 	value    V
 }
 
-// queued refers to the entry that a command added. It is outdated when the
-// key's entry has another revision.
+// queuedKey refers to the entry that a command added. It is stale if the current entry
+// of the key has another revision.
 type queued[K comparable] struct {
 	key      K
 	revision uint64
 }
 
-// retained maps keys to values that expire by the group clock. From its expiry
-// on an entry is never returned; its memory is freed a few entries at a time in
-// the order of adding, so an entry behind one of longer retention is freed later.
+// expiringMap maps keys to values that expire by the group clock. An expired entry is
+// never returned. Its memory is freed a few entries at a time in the order of
+// insertion, so an entry behind one with a longer retention is freed later.
 //
-// The maps are copied on write after freeze, and the queue is only appended to
-// and cut at its head, so a frozen copy costs no copy of the entries.
+// The maps are copied on the first write after freeze. The queue is only appended
+// to and cut at its head. A frozen copy therefore does not copy any entries.
 type retained[K comparable, V any] struct {
 	shards [retainedShards]retainedShard[K, V]
 	queue  []queued[K]
@@ -58,7 +59,7 @@
 	return e
 }
 
-// add stores a new entry and replaces one that the caller found to be replaceable.
+// add stores a new entry and replaces any existing entry of the key.
 func (r *retained[K, V]) add(key K, e *entry[V]) {
 	r.put(key, e)
 	r.queue = append(r.queue, queued[K]{key: key, revision: e.revision})
@@ -70,7 +71,7 @@
 	r.put(key, &entry[V]{revision: old.revision, expires: old.expires, value: value})
 }
 
-// expire frees a bounded number of entries.
+// expire removes a bounded number of expired entries and stale references.
 func (r *retained[K, V]) expire(clock int64) {
 	for range expireBatch {
 		if len(r.queue) == 0 {
@@ -89,7 +90,8 @@
 	}
 }
 
-// live returns the entry that the reference was made for, or nil if it was replaced.
+// lookup returns the entry that the reference was created for, or nil if it was
+// replaced or removed.
 func (r *retained[K, V]) live(q queued[K]) *entry[V] {
 	e := r.shard(q.key).items[q.key]
 	if e == nil || e.revision != q.revision {
@@ -98,7 +100,7 @@
 	return e
 }
 
-// freeze returns a copy that never changes.
+// freeze returns an immutable copy.
 func (r *retained[K, V]) freeze() *retained[K, V] {
 	for i := range r.shards {
 		r.shards[i].shared = true
@@ -124,7 +126,7 @@
 	return &r.shards[maphash.Comparable(shardSeed, key)%retainedShards]
 }
 
-// own makes the map safe to write to.
+// ensureWritable allocates the map, or copies it if a frozen copy uses it.
 func (s *retainedShard[K, V]) own() {
 	switch {
 	case s.items == nil:
@@ -135,7 +137,7 @@
 	s.shared = false
 }
 
-// expiry returns the group time at which something added now expires.
+// expiry returns the time on the group clock at which an entry added now expires.
 func expiry(clock, retention int64) int64 {
 	if retention <= 0 {
 		retention = defaultRetention
--- a/version/state/rules_test.go
+++ b/version/state/rules_test.go
@@ -12,7 +12,7 @@
 
 var serving = api.Assignment{Model: "storm", Version: "v1", Role: api.RoleMixed}
 
-// newFleet returns a cluster with n serving engines of one intent.
+// newFleet returns a harness with n engines that serve one intent.
 func newFleet(t *testing.T, n, maxUnavailable int) *cluster {
 	c := newCluster(t)
 	pool := api.Labels{"pool": "a"}
@@ -42,7 +42,8 @@
 	return c.apply(Command{Kind: CommandOpenOrder, OpenOrder: &open}).(OpenOrderResult)
 }
 
-// relabel rewrites an engine with other labels.
+// relabel writes the engines with other labels in one transaction that may affect at
+// most one engine.
 func (c *cluster) relabel(id string, engines []string, labels api.Labels) api.TransactionResult {
 	c.t.Helper()
 	var writes []api.Write
@@ -88,10 +89,10 @@
 	must.Eq(t, api.OutcomeAccepted, c.transact("delete", api.Write{Object: api.Object{Engine: gone}, Delete: true}).Code)
 	c.restart()
 	again := c.transactLimited(limits, api.Transaction{OperationID: "op-2", Writes: write("e1").Writes})
-	must.Eq(t, refused, again, must.Sprint("a refusal must stay one, though the object is gone by now"))
+	must.Eq(t, refused, again, must.Sprint("a rejection must stay one after the conflicting object was deleted"))
 
 	c.clock = 1000
-	must.Eq(t, api.OutcomeAccepted, c.transactLimited(limits, write("e3")).Code, must.Sprint("past the retention the ID is new"))
+	must.Eq(t, api.OutcomeAccepted, c.transactLimited(limits, write("e3")).Code, must.Sprint("the ID can be used again after the retention"))
 }
 
 func TestInvalidTransactionNamesEveryFault(t *testing.T) {
@@ -119,7 +120,7 @@
 	must.Positive(t, c.machine.Version().Compare(version))
 	version = c.machine.Version()
 	c.report("e0", api.PhaseDraining, api.Fence{})
-	must.Eq(t, version, c.machine.Version(), must.Sprint("a report with nothing new changes nothing"))
+	must.Eq(t, version, c.machine.Version(), must.Sprint("an unchanged report must not advance the version"))
 }
 
 func TestIntentConflictThroughLabels(t *testing.T) {
@@ -163,7 +164,7 @@
 		phase  api.EnginePhase   // of e0, which gets the order
 		want   OpenOrderCode
 	}{
-		{"nobody away", 0, []api.EnginePhase{api.PhaseServing, api.PhaseIdle}, api.PhaseServing, OpenOrderOpened},
+		{"all available", 0, []api.EnginePhase{api.PhaseServing, api.PhaseIdle}, api.PhaseServing, OpenOrderOpened},
 		{"one draining", 0, []api.EnginePhase{api.PhaseDraining, api.PhaseServing}, api.PhaseServing, OpenOrderBudget},
 		{"one changing", 1, []api.EnginePhase{api.PhaseChanging, api.PhaseServing}, api.PhaseServing, OpenOrderBudget},
 		{"one leaving", 1, []api.EnginePhase{api.PhaseLeaving, api.PhaseServing}, api.PhaseServing, OpenOrderBudget},
@@ -171,8 +172,8 @@
 		{"one of two", 2, []api.EnginePhase{api.PhaseLeaving, api.PhaseServing}, api.PhaseServing, OpenOrderOpened},
 		{"two of two", 2, []api.EnginePhase{api.PhaseLeaving, api.PhaseChanging}, api.PhaseServing, OpenOrderBudget},
 		{"idle engine", 1, []api.EnginePhase{api.PhaseLeaving, api.PhaseChanging}, api.PhaseIdle, OpenOrderOpened},
-		{"engine already away", 1, []api.EnginePhase{api.PhaseLeaving, api.PhaseServing}, api.PhaseDraining, OpenOrderOpened},
-		{"engine not heard from", 1, []api.EnginePhase{api.PhaseServing, api.PhaseServing}, "", OpenOrderBudget},
+		{"engine already unavailable", 1, []api.EnginePhase{api.PhaseLeaving, api.PhaseServing}, api.PhaseDraining, OpenOrderOpened},
+		{"engine without a report", 1, []api.EnginePhase{api.PhaseServing, api.PhaseServing}, "", OpenOrderBudget},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -197,7 +198,7 @@
 	engine.Spec.Drain = true
 	must.Eq(t, api.OutcomeAccepted, c.transact("drain", put(&engine)).Code)
 	must.Eq(t, OpenOrderNotAllowed, c.open("e0").Code)
-	must.Eq(t, OpenOrderBudget, c.open("e1").Code, must.Sprint("a drained engine is away"))
+	must.Eq(t, OpenOrderBudget, c.open("e1").Code, must.Sprint("a draining engine counts as unavailable"))
 	must.Eq(t, OpenOrderOpened, c.apply(drain).(OpenOrderResult).Code)
 }
 
@@ -210,14 +211,14 @@
 		incarnation uint64
 		phase       api.EnginePhase
 		assignment  api.Assignment
-		fence       api.Fence // zero: the order's
+		fence       api.Fence // zero means the order's fence
 		closed      bool
 	}{
 		{"done", CloseDone, 7, api.PhaseServing, ordered, api.Fence{}, true},
 		{"done at a higher fence", CloseDone, 7, api.PhaseServing, ordered, above, true},
 		{"done below the fence", CloseDone, 7, api.PhaseServing, ordered, api.Fence{Term: 1, Index: 1}, false},
 		{"done by another incarnation", CloseDone, 8, api.PhaseServing, ordered, api.Fence{}, false},
-		{"done with something else", CloseDone, 7, api.PhaseServing, serving, api.Fence{}, false},
+		{"done with another assignment", CloseDone, 7, api.PhaseServing, serving, api.Fence{}, false},
 		{"done while changing", CloseDone, 7, api.PhaseChanging, ordered, api.Fence{}, false},
 		{"void", CloseVoid, 7, api.PhaseServing, serving, above, true},
 		{"void at the order's fence", CloseVoid, 7, api.PhaseServing, serving, api.Fence{}, false},
@@ -227,7 +228,7 @@
 		{"same incarnation", CloseOtherIncarnation, 7, api.PhaseIdle, api.Assignment{}, above, false},
 		{"no incarnation", CloseOtherIncarnation, 0, api.PhaseIdle, api.Assignment{}, above, false},
 		{"earlier incarnation", CloseOtherIncarnation, 6, api.PhaseIdle, api.Assignment{}, api.Fence{}, false},
-		{"earlier incarnation that confirms", CloseOtherIncarnation, 6, api.PhaseIdle, api.Assignment{}, above, true},
+		{"earlier incarnation that confirms a higher fence", CloseOtherIncarnation, 6, api.PhaseIdle, api.Assignment{}, above, true},
 		{"unknown reason", CloseReason(9), 7, api.PhaseServing, ordered, api.Fence{}, false},
 	}
 	for _, test := range cases {
@@ -264,25 +265,25 @@
 	must.Eq(t, api.PhaseLeaving, c.engine("e0").Status.Phase)
 	must.Eq(t, api.PhaseServing, c.engine("e1").Status.Phase)
 	c.report("e0", api.PhaseServing, api.Fence{})
-	must.Eq(t, api.PhaseLeaving, c.engine("e0").Status.Phase, must.Sprint("the platform's word stands"))
+	must.Eq(t, api.PhaseLeaving, c.engine("e0").Status.Phase, must.Sprint("the phase listed by the platform takes precedence"))
 	c.report("e1", api.PhaseLeaving, api.Fence{})
 	list(nil, nil)
 	must.Eq(t, api.PhaseUnknown, c.engine("e0").Status.Phase)
-	must.Eq(t, api.PhaseLeaving, c.engine("e1").Status.Phase, must.Sprint("the engine's own word stands"))
+	must.Eq(t, api.PhaseLeaving, c.engine("e1").Status.Phase, must.Sprint("the phase reported by the engine stays in force"))
 	must.True(t, ReportChanges(c.engine("e0"), EngineReport{Incarnation: 7, Phase: api.PhaseServing, Assignment: serving}))
 	must.True(t, ReportChanges(c.engine("e1"), EngineReport{Incarnation: 7, Phase: api.PhaseServing, Assignment: serving}))
 	must.False(t, ReportChanges(c.engine("e1"), EngineReport{Incarnation: 7, Phase: api.PhaseLeaving, Assignment: serving}))
 	c.report("e1", api.PhaseServing, api.Fence{})
-	must.Eq(t, api.PhaseServing, c.engine("e1").Status.Phase, must.Sprint("its latest word counts: the machine is kept"))
+	must.Eq(t, api.PhaseServing, c.engine("e1").Status.Phase, must.Sprint("the latest report replaces the leaving phase"))
 	list([]string{"e1"}, nil)
-	must.False(t, ReportChanges(c.engine("e1"), EngineReport{Incarnation: 7, Phase: api.PhaseServing, Assignment: serving}), must.Sprint("nothing to commit while the platform lists it"))
+	must.False(t, ReportChanges(c.engine("e1"), EngineReport{Incarnation: 7, Phase: api.PhaseServing, Assignment: serving}), must.Sprint("no change to commit while the platform lists the engine as leaving"))
 }
 
 func TestClaims(t *testing.T) {
 	type step struct {
 		nonce, body uint64
 		attempt     uint32
-		record      api.RunOutcome // "" claims instead
+		record      api.RunOutcome // outcome to record; "" sends a claim instead
 		clock       int64
 		want        api.ClaimCode
 	}
@@ -296,14 +297,14 @@
 		{"other body", []step{{1, 1, 1, "", 0, api.ClaimGranted}, {1, 2, 1, "", 0, api.ClaimConflict}}},
 		{"completed", []step{{1, 1, 1, "", 0, api.ClaimGranted}, {nonce: 1, record: api.RunCompleted},
 			{nonce: 1, record: api.RunNotRun}, {2, 1, 1, "", 0, api.ClaimDone}, {1, 1, 1, "", 0, api.ClaimDone}, {2, 2, 1, "", 0, api.ClaimConflict}}},
-		{"outcome of another", []step{{1, 1, 1, "", 0, api.ClaimGranted}, {nonce: 2, record: api.RunNotRun}, {2, 1, 1, "", 0, api.ClaimRunning}}},
+		{"outcome by another claimant", []step{{1, 1, 1, "", 0, api.ClaimGranted}, {nonce: 2, record: api.RunNotRun}, {2, 1, 1, "", 0, api.ClaimRunning}}},
 		{"not run", []step{{1, 1, 1, "", 0, api.ClaimGranted}, {nonce: 1, record: api.RunNotRun}, {2, 2, 1, "", 0, api.ClaimGranted},
 			{nonce: 1, record: api.RunNotRun}, {3, 2, 1, "", 0, api.ClaimRunning}}},
 		{"late duplicate claim", []step{{1, 1, 1, "", 0, api.ClaimGranted}, {nonce: 1, record: api.RunNotRun},
 			{1, 1, 1, "", 0, api.ClaimDone}, {1, 1, 2, "", 0, api.ClaimDone}, {2, 1, 1, "", 0, api.ClaimGranted}}},
-		{"claim that arrives after it was given up", []step{{nonce: 1, record: api.RunNotRun}, {1, 1, 1, "", 0, api.ClaimDone},
+		{"claim that arrives after it was abandoned", []step{{nonce: 1, record: api.RunNotRun}, {1, 1, 1, "", 0, api.ClaimDone},
 			{1, 2, 1, "", 0, api.ClaimDone}, {2, 1, 1, "", 0, api.ClaimGranted}, {1, 1, 1, "", 0, api.ClaimRunning}}},
-		{"two claims that arrive after they were given up", []step{{nonce: 1, record: api.RunNotRun}, {nonce: 2, record: api.RunNotRun},
+		{"two claims that arrive after they were abandoned", []step{{nonce: 1, record: api.RunNotRun}, {nonce: 2, record: api.RunNotRun},
 			{2, 1, 1, "", 0, api.ClaimDone}, {3, 1, 1, "", 0, api.ClaimGranted}}},
 		{"completed without a claim", []step{{nonce: 1, record: api.RunCompleted}, {2, 1, 1, "", 0, api.ClaimGranted}}},
 		{"retention", []step{{1, 1, 1, "", 0, api.ClaimGranted}, {2, 1, 1, "", 99, api.ClaimRunning}, {3, 2, 1, "", 100, api.ClaimGranted},
--- a/version/state/selection.go
+++ b/version/state/selection.go
@@ -7,12 +7,12 @@
 	"github.com/landingtrail/landingtrail/version/selector"
 )
 
-// selection is the index of which intents select which engines. It is derived
-// from the stored objects and kept up to date by transactions, so that a change
-// of one label or one intent evaluates no other selector.
+// selection is an index of which intents select which engines. It is derived from
+// the stored objects and updated by transactions, so that a change of one engine's
+// labels or of one intent does not evaluate the selectors of all intents for all engines.
 type selection struct {
-	intents map[string][]string            // by engine, sorted; never written to once stored
-	engines map[string]map[string]struct{} // by intent
+	intents map[string][]string            // sorted names by engine; slices are immutable once stored
+	engines map[string]map[string]struct{} // names by intent
 }
 
 func newSelection() selection {
@@ -37,7 +37,7 @@
 	s.intents[engine] = intents
 }
 
-// rebuild derives the index from the stored objects.
+// rebuild recomputes the index from the stored objects.
 func (s *selection) rebuild(intents map[string]*api.Intent, engines map[string]*api.Engine) {
 	*s = newSelection()
 	for name, engine := range engines {
@@ -56,8 +56,8 @@
 	return names
 }
 
-// withName returns the sorted list with or without the name; the list itself is
-// not written to.
+// withName returns the sorted list with the name added or removed. It does not modify
+// the list.
 func withName(sorted []string, name string, present bool) []string {
 	i, found := slices.BinarySearch(sorted, name)
 	switch {
@@ -69,7 +69,8 @@
 	return slices.Delete(slices.Clone(sorted), i, i+1)
 }
 
-// wantSame reports whether two intents want the same of an engine that both select.
+// sameDesired reports whether two intents specify the same desired state for an engine
+// that both select.
 func wantSame(a, b *api.IntentSpec) bool {
 	return a.Model == b.Model &&
 		a.Version == b.Version &&
--- a/version/state/snapshot.go
+++ b/version/state/snapshot.go
@@ -15,19 +15,19 @@
 
 // Errors of Restore.
 var (
-	// ErrFormat is returned for data that is no snapshot of a known format.
+	// ErrFormat is returned for data that is not a snapshot in a known format.
 	ErrFormat = errors.New("state: unknown snapshot format")
-	// ErrDamaged is returned for a snapshot whose checksum or content is wrong.
-	ErrDamaged = errors.New("state: damaged snapshot")
+	// ErrDamaged is returned for a snapshot whose checksum or content is invalid.
+	ErrDamaged = errors.New("state: corrupt snapshot")
 )
 
-// snapshotFormat begins every snapshot; its last byte is the format's version.
+// snapshotFormat is the prefix of every snapshot. Its last byte is the format version.
 const snapshotFormat = "LTS\x02"
 
 const checksumBytes = 8
 
-// Frozen is a consistent copy of a machine's state. It never changes, so that
-// it can be encoded on another goroutine while the machine goes on.
+// Frozen is a consistent, immutable copy of a machine's state. Another goroutine can
+// encode it while the machine applies commands.
 type Frozen struct {
 	term         uint64
 	index        uint64
@@ -42,8 +42,9 @@
 	claims       *retained[claimKey, *claimRecord]
 }
 
-// Freeze returns a copy of the state. Its cost does not grow with the state, but for the
-// counters of windows that are still open; later commands copy each map that they change once.
+// Freeze returns a copy of the state. Most of the state is copied on write: a later command
+// copies a map when it first changes it. Only the counters of undecided usage windows, the
+// index of decided windows and the members are copied at once.
 func (m *Machine) Freeze() Frozen {
 	return Frozen{
 		term:         m.term,
@@ -63,11 +64,11 @@
 // Applied returns the term and index of the last command in the copy.
 func (f Frozen) Applied() (term, index uint64) { return f.term, f.index }
 
-// Snapshot encodes the state. The error is always nil; it is there for the
-// interfaces of replicated state machines.
+// Snapshot encodes the state. The error is always nil; it is part of the signature
+// that interfaces of replicated state machines require.
 func (m *Machine) Snapshot() ([]byte, error) { return m.Freeze().Encode(), nil }
 
-// Encode returns the snapshot. Equal states have equal snapshots.
+// Encode returns the snapshot. Equal states have identical snapshots.
 func (f Frozen) Encode() []byte {
 	b := []byte(snapshotFormat)
 	b = binenc.AppendUint(b, f.term)
@@ -85,15 +86,16 @@
 	return binary.BigEndian.AppendUint64(b, xxhash.Sum64(b))
 }
 
-// Restore replaces the state by the one of a snapshot. On an error, which is
-// ErrFormat or ErrDamaged, the state stays as it was.
+// Restore replaces the state with that of a snapshot. If the
+// snapshot is invalid, it returns ErrFormat or an error that wraps ErrDamaged and
+// leaves the state unchanged.
 func (m *Machine) Restore(snapshot []byte) error {
 	if len(snapshot) < len(snapshotFormat)+checksumBytes || string(snapshot[:len(snapshotFormat)]) != snapshotFormat {
 		return ErrFormat
 	}
 	body := snapshot[:len(snapshot)-checksumBytes]
 	if binary.BigEndian.Uint64(snapshot[len(body):]) != xxhash.Sum64(body) {
-		return errors.Wrap(ErrDamaged, "checksum")
+		return errors.Wrap(ErrDamaged, "checksum mismatch")
 	}
 	next := New()
 	r := binenc.NewReader(body[len(snapshotFormat):])
@@ -155,7 +157,7 @@
 	}
 }
 
-// readObjects reads objects, which stand in the order of their kinds and names.
+// readObjects reads objects, which must be sorted by kind and name.
 func (m *Machine) readObjects(r *binenc.Reader) {
 	const minimumObjectBytes = 4
 	n := r.Count(minimumObjectBytes)
@@ -231,7 +233,7 @@
 	}
 }
 
-// readSorted reads a list of names that is sorted and free of repetitions.
+// readSorted reads a list of names, which must be sorted and have no duplicates.
 func readSorted(r *binenc.Reader) []string {
 	list := r.Strings()
 	for i := 1; i < len(list); i++ {
--- a/version/state/snapshot_retained.go
+++ b/version/state/snapshot_retained.go
@@ -4,9 +4,9 @@
 	"github.com/landingtrail/landingtrail/version/binenc"
 )
 
-// appendRetained appends the queue of r with the entry that each place in the
-// queue refers to. Outdated places are kept as empty ones, since expire counts
-// them: a restored machine has to free its entries at the same commands.
+// appendExpiring appends the queue of m with the entry that each queued key refers to.
+// Stale keys are encoded as empty ones because expire counts them: a restored
+// machine must remove its entries at the same commands as the others.
 func appendRetained[K comparable, V any](b []byte, r *retained[K, V], appendEntry func([]byte, K, *entry[V]) []byte) []byte {
 	b = binenc.AppendUint(b, uint64(len(r.queue)))
 	for _, place := range r.queue {
--- a/version/state/stateful_test.go
+++ b/version/state/stateful_test.go
@@ -31,7 +31,7 @@
 	pools        = []string{"a", "b", ""}
 )
 
-// comparison drives a machine and the oracle with the same commands.
+// comparison applies the same commands to a machine and to the oracle.
 type comparison struct {
 	machine     *Machine
 	oracle      *oracle
@@ -62,7 +62,7 @@
 	want := c.oracle.apply(c.term, c.index, first)
 	got := c.machine.Apply(c.term, c.index, second)
 	if result, ok := got.(api.TransactionResult); ok {
-		result.Faults = nil // the oracle knows only that there are some
+		result.Faults = nil // the oracle does not compute faults
 		got = result
 	}
 	must.Eq(t, want, got)
@@ -119,7 +119,8 @@
 	c.checkDelta(t)
 }
 
-// checkDelta brings a daemon's view up to date through the delta's encoding.
+// checkDelta updates a daemon's view with an encoded and decoded delta and compares it
+// with the machine's view.
 func (c *comparison) checkDelta(t *rapid.T) {
 	delta, ok := c.machine.DeltaSince(c.holder.Load().Version)
 	if !ok {
@@ -136,8 +137,9 @@
 	must.ErrorIs(t, c.holder.Apply(decoded), view.ErrStale)
 }
 
-// restore replaces the machine by one restored from a frozen copy, which is
-// encoded after more commands were applied to the machine it was taken from.
+// restore replaces the machine with one restored from a frozen copy. More commands
+// are applied to the original machine before the copy is encoded, because they
+// must not change the copy.
 func (c *comparison) restore(t *rapid.T) {
 	frozen := c.machine.Freeze()
 	disturb := claimCommand(1)
@@ -152,8 +154,8 @@
 	c.machine = restored
 }
 
-// replay applies the whole log to a new machine: the result is the same as that
-// of the machine that was restored from snapshots in between.
+// replay applies the whole log to a new machine. Its state must equal that of the
+// machine that was restored from snapshots in between.
 func (c *comparison) replay(t *rapid.T) {
 	replayed := New()
 	for _, e := range c.log {
@@ -312,7 +314,7 @@
 	}})
 }
 
-// populate starts with a fleet that serves one intent.
+// populate creates engines that serve one intent.
 func (c *comparison) populate(t *rapid.T) {
 	first := api.Transaction{OperationID: "populate", Writes: []api.Write{put(testIntent("i1", "m1", api.Labels{"pool": "a"}))}}
 	for _, name := range engineNames {
@@ -352,7 +354,7 @@
 		"2 1", "2 2", "2 3", "2 4", "2 5", "2 6", "3 true", "3 false", "9 true", "9 false",
 		"6 granted", "6 running", "6 done", "6 conflict",
 	} {
-		must.Positive(t, outcomes[want], must.Sprintf("outcome %q never happened in %v", want, outcomes))
+		must.Positive(t, outcomes[want], must.Sprintf("outcome %q did not occur in %v", want, outcomes))
 	}
 	t.Log(outcomes)
 }
--- a/version/state/table.go
+++ b/version/state/table.go
@@ -6,8 +6,8 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// table maps names to objects of one kind. Objects are immutable once stored,
-// and the map is copied on the first write after it was shared.
+// table maps names to objects of one kind. Stored objects are immutable, and the map
+// is copied on the first write after it was shared.
 type table[T any] struct {
 	items  map[string]*T
 	shared bool
@@ -15,7 +15,7 @@
 
 func newTable[T any]() table[T] { return table[T]{items: map[string]*T{}} }
 
-// share returns the map, which is never written to again.
+// share returns the map, which is not modified from then on.
 func (t *table[T]) share() map[string]*T {
 	t.shared = true
 	return t.items
@@ -38,13 +38,13 @@
 	}
 }
 
-// anyTable is a table whose kind is known only when it is used.
+// anyTable is a table whose kind is determined at run time.
 type anyTable interface {
 	load(name string, o api.Object)
 	remove(name string)
 }
 
-// kindTable is a table with the way from an Object to its T.
+// kindTable is a table with the function that extracts its T from an Object.
 type kindTable[T any] struct {
 	*table[T]
 	part func(api.Object) *T
@@ -52,7 +52,7 @@
 
 func (t kindTable[T]) load(name string, o api.Object) { t.put(name, t.part(o)) }
 
-// table returns the table that holds the kind, nil for an unknown kind.
+// table returns the table for objects of the kind, or nil if the kind is unknown.
 func (m *Machine) table(kind api.Kind) anyTable {
 	switch kind {
 	case api.KindIntent:
--- a/version/state/table_test.go
+++ b/version/state/table_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// ofKind returns an object of the kind.
+// objectOfKind returns an object of the kind with the name.
 func ofKind(t *testing.T, kind api.Kind, name string) api.Object {
 	t.Helper()
 	named := api.Metadata{Name: name}
@@ -33,8 +33,8 @@
 	return made
 }
 
-// Everything that the machine shows must show every kind: what one of them
-// passes over is never removed, or never reaches a daemon.
+// Object, View and DeltaSince must cover every kind. If one of them omits a kind, its
+// objects are never removed or never reach a daemon.
 func TestMachineShowsEveryKind(t *testing.T) {
 	for _, kind := range api.Kinds {
 		t.Run(string(kind), func(t *testing.T) {
@@ -54,7 +54,7 @@
 			before := m.View()
 			m.remove(key)
 			must.Eq(t, []api.Object{}, m.View().List(kind))
-			must.Eq(t, []api.Object{object}, before.List(kind), must.Sprint("a view that was shown is unchanged"))
+			must.Eq(t, []api.Object{object}, before.List(kind), must.Sprint("an earlier view must not change"))
 		})
 	}
 }
--- a/version/state/transaction.go
+++ b/version/state/transaction.go
@@ -8,23 +8,23 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// MaxOperationIDBytes bounds the length of an operation ID.
+// MaxOperationIDBytes is the maximum length of an operation ID.
 const MaxOperationIDBytes = 256
 
-// operation is what is kept under an operation ID. It is immutable.
+// operation is the record stored for an operation ID. It is immutable.
 type operation struct {
 	bodyHash uint64
 	result   api.TransactionResult
 }
 
-// transact executes a transaction at most once for its operation ID.
+// transact executes a transaction at most once per operation ID.
 //
-// The first answer is kept whether the transaction was accepted or refused, so
-// that a resend cannot get another answer than the first: a refusal that the
-// sender acted on must not turn into a later acceptance. To try again, also
-// with AllowBroad set, a writer draws a new ID. Three answers are not kept: those
-// to dry runs, which change nothing, to an unusable ID, and to an ID that was
-// used with another body, where the first body's answer stays.
+// The first result is stored whether the transaction was accepted or rejected, and
+// a resend gets the same result: a rejection that the sender has acted on must not
+// turn into a later acceptance. To try again, including with AllowBroad set, a
+// writer uses a new ID. Three results are not stored: that of a dry run, which
+// changes nothing, that for an invalid ID, and that for an ID already used with
+// another body, which keeps the result of the first body.
 func (m *Machine) transact(transaction *api.Transaction, limits TransactionLimits) api.TransactionResult {
 	if transaction.DryRun {
 		return m.newPlan(transaction, limits).result
@@ -59,8 +59,8 @@
 	return api.FieldFault{Field: "operationId", Message: message}, false
 }
 
-// hashBody hashes what a transaction asks for: its writes without the statuses,
-// which are ignored, and whether it may be broad.
+// hashBody hashes what a transaction requests: AllowBroad and the writes. Statuses
+// are left out because writes ignore them.
 func hashBody(transaction *api.Transaction) uint64 {
 	body := api.Transaction{AllowBroad: transaction.AllowBroad}
 	for _, write := range transaction.Writes {
--- a/version/state/usage.go
+++ b/version/state/usage.go
@@ -8,43 +8,43 @@
 	"github.com/landingtrail/landingtrail/version/binenc"
 )
 
-// Usage is counted by each process for itself: how many requests of a tenant began in a
-// window of time. Its counters only rise, so the highest one that was heard of each is right
-// in whatever order they come, and however often. A report is decided here before it is
-// sent, so that two different ones of a window cannot exist.
+// Each process counts the requests of each tenant that began in a time window. Counters only
+// increase, so taking the maximum of the received values of a counter is correct for any
+// order and number of deliveries. The counts of a window are decided here before its report
+// is sent, so that a window never has two different reports.
 
-// keptUsageWindows is how many decided windows are kept for operators: an hour of windows
-// of five seconds.
+// maxDecidedWindows is the number of decided windows kept for operators: one hour of
+// windows of five seconds.
 const keptUsageWindows = 720
 
-// UsageCount is one counter of one process.
+// UsageCount is the value of one counter of one process.
 type UsageCount struct {
-	Life   string // of the process; one that starts again has another
+	Life   string // identifies one run of a process; a restarted process has another
 	Window int64
 	Tenant string
 	Count  uint64
 }
 
-// CountUsage takes in counters.
+// CountUsage merges counters into the usage of undecided windows.
 type CountUsage struct{ Counts []UsageCount }
 
-// DecideUsage closes a window: what was counted of it by then is final.
+// DecideUsage closes a window: its counts are final from then on.
 type DecideUsage struct {
 	Window  int64
 	Partial bool
 }
 
-// UsageReported notes that the platform has taken a window's report.
+// UsageReported records that the platform has accepted the report of a window.
 type UsageReported struct{ Window int64 }
 
-// usageCounts holds the counters of a window that is not decided, by life and tenant.
+// usageCounts holds the counters of an undecided window, by process run and tenant.
 type usageCounts map[string]map[string]uint64
 
-// usageLedger is what is known of usage.
+// usageState holds the usage of undecided and decided windows.
 type usageLedger struct {
 	open    map[int64]usageCounts
-	decided map[int64]*api.UsageWindow // replaced, never written to
-	// last is the highest window that was decided.
+	decided map[int64]*api.UsageWindow // values are replaced, never modified
+	// lastDecided is the highest window that was decided, or 0.
 	last int64
 }
 
@@ -52,7 +52,8 @@
 	return usageLedger{open: map[int64]usageCounts{}, decided: map[int64]*api.UsageWindow{}}
 }
 
-// countUsage takes counters in. What comes of a window after its decision is too late.
+// countUsage merges counters. Counters that arrive after their window was decided are
+// dropped.
 func (m *Machine) countUsage(given *CountUsage) {
 	for _, counted := range given.Counts {
 		if counted.Window <= m.usage.last {
@@ -70,16 +71,17 @@
 	}
 }
 
-// decideUsage closes a window and returns what holds of it.
+// decideUsage closes a window and returns it.
 //
-// Invariant: what a window's decision holds never changes, and windows are decided in their
-// order. It holds because a decided window and all before it are passed over.
+// Invariant: a decided window never changes, except for Reported, and windows are decided
+// in increasing order. It holds because a window up to the last decided one is never
+// decided again.
 func (m *Machine) decideUsage(given *DecideUsage) api.UsageWindow {
 	if known := m.usage.decided[given.Window]; known != nil {
 		return *known
 	}
 	if given.Window <= m.usage.last {
-		return api.UsageWindow{Window: given.Window} // it has lapsed
+		return api.UsageWindow{Window: given.Window} // skipped, or no longer kept
 	}
 	made := &api.UsageWindow{
 		Window: given.Window, Counts: m.usage.open[given.Window].sum(), Decided: true, Partial: given.Partial,
@@ -119,10 +121,10 @@
 	m.usage.decided[given.Window] = &next
 }
 
-// UsageDecided returns the highest window that was decided, 0 for none.
+// UsageDecided returns the highest window that was decided, or 0 if there is none.
 func (m *Machine) UsageDecided() int64 { return m.usage.last }
 
-// Usage returns the windows that are known, the oldest first.
+// Usage returns the decided and then the undecided windows, each oldest first.
 func (m *Machine) Usage() []api.UsageWindow {
 	var windows []api.UsageWindow
 	for _, window := range slices.Sorted(maps.Keys(m.usage.decided)) {
@@ -134,7 +136,7 @@
 	return windows
 }
 
-// OutstandingUsage returns the decided windows that were not reported, the oldest first.
+// OutstandingUsage returns the decided windows that have not been reported, oldest first.
 func (m *Machine) OutstandingUsage() []api.UsageWindow {
 	var windows []api.UsageWindow
 	for _, window := range slices.Sorted(maps.Keys(m.usage.decided)) {
@@ -145,7 +147,7 @@
 	return windows
 }
 
-// clone copies what later commands write to.
+// clone returns a copy that later commands do not modify.
 func (l *usageLedger) clone() usageLedger {
 	next := usageLedger{open: make(map[int64]usageCounts, len(l.open)), decided: maps.Clone(l.decided), last: l.last}
 	for window, counts := range l.open {
@@ -158,7 +160,8 @@
 	return next
 }
 
-// counters returns the counters of open windows in their order.
+// counters returns the counters of undecided windows, sorted by window, process run and
+// tenant.
 func (l *usageLedger) counters() []UsageCount {
 	var all []UsageCount
 	for _, window := range slices.Sorted(maps.Keys(l.open)) {
@@ -221,7 +224,8 @@
 	return window
 }
 
-// appendUsageCounts appends counters; names stand once, in the order in which they come.
+// appendUsageCounts appends counters. A string table, in order of first use, encodes each
+// name once.
 func appendUsageCounts(b []byte, counts []UsageCount) []byte {
 	names := nameTable{places: map[string]uint64{}}
 	for _, counted := range counts {
@@ -255,7 +259,7 @@
 	return counts
 }
 
-// nameTable gives names their places in a list.
+// nameTable is a string table: it maps names to their indexes in a list.
 type nameTable struct {
 	list   []string
 	places map[string]uint64
--- a/version/state/usage_test.go
+++ b/version/state/usage_test.go
@@ -17,7 +17,8 @@
 	return Command{Kind: CommandDecideUsage, DecideUsage: &DecideUsage{Window: window}}
 }
 
-// Counters only rise: the highest one heard of each counts, in whatever order they come.
+// Counters only increase, so merging takes the maximum of each: reordered and repeated
+// deliveries must not change the counts of a window.
 func TestCountersMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var told []UsageCount
@@ -45,7 +46,7 @@
 	})
 }
 
-// again is a machine that was restored from another one's snapshot.
+// restoredCopy returns a machine restored from a snapshot of m.
 func again(t must.T, m *Machine) *Machine {
 	data, err := m.Snapshot()
 	must.NoError(t, err)
@@ -54,19 +55,19 @@
 	return next
 }
 
-// What was decided of a window never changes: not by what comes later, not by another
-// leader's decision, not across snapshots.
+// A decided window never changes: not by counters that arrive later, by a decision of
+// another leader or across snapshots.
 func TestDecisionsAreFinal(t *testing.T) {
 	m := New()
 	m.Apply(1, 1, countCommand(UsageCount{"p", 7, "a", 3}, UsageCount{"p", 8, "a", 1}))
 	first := m.Apply(1, 2, decideCommand(7)).(api.UsageWindow)
 	must.Eq(t, api.UsageWindow{Window: 7, Counts: map[string]uint64{"a": 3}, Decided: true}, first)
 	m.Apply(2, 3, countCommand(UsageCount{"p", 7, "a", 9}, UsageCount{"p", 6, "a", 9}))
-	must.MapLen(t, 1, m.usage.open, must.Sprint("what comes too late is dropped"))
+	must.MapLen(t, 1, m.usage.open, must.Sprint("counters of decided or skipped windows are dropped"))
 	m = again(t, m)
 	must.Eq(t, first, m.Apply(2, 4, decideCommand(7)).(api.UsageWindow))
 	must.Eq(t, []api.UsageWindow{first}, m.OutstandingUsage())
-	must.False(t, m.Apply(2, 5, decideCommand(6)).(api.UsageWindow).Decided, must.Sprint("a window that was passed over"))
+	must.False(t, m.Apply(2, 5, decideCommand(6)).(api.UsageWindow).Decided, must.Sprint("a skipped window"))
 	m.Apply(2, 6, Command{Kind: CommandUsageReported, UsageReported: &UsageReported{Window: 7}})
 	m = again(t, m)
 	must.SliceEmpty(t, m.OutstandingUsage())
--- a/version/subset/share_test.go
+++ b/version/subset/share_test.go
@@ -8,14 +8,15 @@
 	"github.com/shoenig/test/must"
 )
 
-// What a daemon follows does not grow with the group, and all of it is followed.
+// The number of endpoints that one daemon follows is bounded for any group size, and nearly
+// all endpoints of a group are followed by at least one of 400 daemons.
 func TestSharesOfAnySize(t *testing.T) {
 	for _, size := range []int{0, 1, 166, 255, 256, 1_000, 9_695, 50_000} {
 		share := subset.ShareOf(size, 0)
 		must.LessEq(t, 255, size>>share, must.Sprint(size))
 		must.True(t, share == 0 || size>>share >= 128, must.Sprint(size))
 		if size < 256 {
-			must.Eq(t, 0, share, must.Sprint("all of a small group"))
+			must.Eq(t, 0, share, must.Sprint("all endpoints of a small group are followed"))
 		}
 	}
 	share := subset.ShareOf(9_695, 0)
@@ -33,7 +34,7 @@
 	must.Greater(t, 9_600, len(followed))
 }
 
-// A size that moves around a border changes nothing.
+// A group size that fluctuates around a threshold does not change the share.
 func TestSharesAreKept(t *testing.T) {
 	share := subset.ShareOf(300, 0)
 	must.Eq(t, 1, share)
--- a/version/subset/subset.go
+++ b/version/subset/subset.go
@@ -1,15 +1,15 @@
-// Package subset chooses which endpoints a daemon follows when there are too
-// many to follow all: load reports of ten thousand replicas to every daemon
-// cost more than a daemon may spend.
+// Package subset selects the endpoints that a daemon follows when following all
+// of them is too expensive: sending the load reports of ten thousand replicas to
+// every daemon exceeds a daemon's traffic budget.
 //
-// The choice is rendezvous hashing within each group (the endpoints that can
-// stand in for each other), first among the daemon's own zone and then, for
-// the overlap, among the others. It guarantees:
+// Choose uses rendezvous hashing within each group of interchangeable endpoints.
+// It selects from the daemon's own zone first and then from the other zones, for
+// redundancy. It guarantees:
 //
-//   - It depends only on the daemon, the sizes and the set of endpoints, so a
-//     restarted daemon follows the same endpoints.
-//   - Adding or removing an endpoint changes a daemon's choice in at most one
-//     place for each share (local and remote), since every endpoint's score is
+//   - The result depends only on the daemon, its zone, the sizes and the set of
+//     endpoints, so a restarted daemon follows the same endpoints.
+//   - Adding or removing an endpoint changes at most one local and one remote
+//     endpoint of a daemon's subset, because the score of each endpoint is
 //     independent of all others.
 //   - Each endpoint is followed by about the same number of daemons: scores are
 //     independent and uniform, so the counts are binomial.
@@ -22,29 +22,29 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Endpoint is what the choice depends on.
+// Endpoint describes an endpoint that Choose can select.
 type Endpoint struct {
 	Name  string
 	Zone  string
-	Group string // endpoints of one group can stand in for each other
+	Group string // endpoints of one group are interchangeable
 }
 
-// Sizes bounds a choice, per group.
+// Sizes bounds the size of a subset, per group.
 type Sizes struct {
-	// Local is how many endpoints of the daemon's own zone are followed.
+	// Local is the number of endpoints followed in the daemon's own zone.
 	Local int
-	// Remote is how many endpoints of other zones are followed, so that the
-	// loss of a zone leaves every daemon with somewhere to send to.
+	// Remote is the number of endpoints followed in other zones, so that a daemon
+	// still has endpoints to send to when its zone fails.
 	Remote int
 }
 
-// DefaultSizes keeps a daemon's polling of load reports inside its traffic
+// DefaultSizes keeps the traffic of polling load reports within a daemon's
 // budget; see docs/CAPACITY.md.
 var DefaultSizes = Sizes{Local: 16, Remote: 8}
 
-// Choose returns the names of the endpoints that the daemon follows, sorted. A
-// group that is no larger than Local+Remote is followed whole. What one share
-// cannot fill, the other does.
+// Choose returns the sorted names of the endpoints that the daemon follows. It
+// returns all endpoints of a group that has at most Local+Remote of them. If one
+// of the two parts has too few endpoints, the other part makes up the difference.
 func Choose(daemon, zone string, endpoints []Endpoint, sizes Sizes) []string {
 	var chosen []string
 	for _, members := range byGroup(endpoints) {
@@ -79,14 +79,14 @@
 	return append(local.names(wanted-remoteCount), remote.names(remoteCount)...)
 }
 
-// scored is an endpoint with its score for one daemon.
+// scoredEndpoint is an endpoint with its score for one daemon.
 type scored struct {
 	name  string
 	score uint64
 }
 
-// before orders by score, highest first; equal scores are ordered by name, so
-// that the order is total.
+// ranksBefore orders by descending score and breaks ties by name, so that the
+// order is total.
 func (s scored) before(other scored) bool {
 	if s.score != other.score {
 		return s.score > other.score
@@ -94,8 +94,8 @@
 	return s.name < other.name
 }
 
-// best keeps the first of what it is offered, in order, up to its limit. Few
-// are chosen of many, so this costs less than to sort them all.
+// topRanked keeps the highest-ranked candidates in order, up to its limit. Only
+// a few of many candidates are selected, so this is cheaper than sorting all.
 type best struct {
 	limit int
 	kept  []scored
@@ -113,7 +113,7 @@
 	b.kept = slices.Insert(b.kept, at, candidate)
 }
 
-// names returns the names of the first count.
+// names returns the names of the first count candidates.
 func (b *best) names(count int) []string {
 	names := make([]string, 0, count)
 	for _, one := range b.kept[:count] {
@@ -122,7 +122,7 @@
 	return names
 }
 
-// hasher scores endpoints for one daemon.
+// hasher computes the rendezvous score of endpoints for one daemon.
 type hasher struct {
 	buffer []byte
 	prefix int
--- a/version/subset/subset_test.go
+++ b/version/subset/subset_test.go
@@ -39,7 +39,7 @@
 		{"large group", fleet(), subset.Sizes{Local: 16, Remote: 8}, 16, 8},
 		{"no endpoint in the own zone", fleet()[perZone:], subset.Sizes{Local: 16, Remote: 8}, 0, 24},
 		{"only the own zone", fleet()[:perZone], subset.Sizes{Local: 16, Remote: 8}, 24, 0},
-		{"small group is followed whole", fleet()[perZone-2 : perZone+3], subset.Sizes{Local: 16, Remote: 8}, 2, 3},
+		{"all of a small group is followed", fleet()[perZone-2 : perZone+3], subset.Sizes{Local: 16, Remote: 8}, 2, 3},
 		{"nothing to follow", nil, subset.DefaultSizes, 0, 0},
 	}
 	for _, test := range cases {
@@ -86,7 +86,7 @@
 		after[name] = true
 	}
 	for _, name := range before[1:] {
-		must.True(t, after[name], must.Sprintf("%s was dropped though only %s left", name, lost))
+		must.True(t, after[name], must.Sprintf("%s was dropped although only %s was removed", name, lost))
 	}
 }
 
