--- a/version/selector/selector.go
+++ b/version/selector/selector.go
@@ -26,7 +26,7 @@
 		}
 	}
 	for i := range s.MatchExpressions {
-		if !meets(&s.MatchExpressions[i], labels) {
+		if !satisfiesRequirement(&s.MatchExpressions[i], labels) {
 			return false
 		}
 	}
@@ -38,7 +38,7 @@
 
 // satisfiesRequirement reports whether the labels satisfy one requirement. Like
 // DoesNotExist, NotIn is satisfied by labels that do not have the key.
-func meets(r *api.Requirement, labels api.Labels) bool {
+func satisfiesRequirement(r *api.Requirement, labels api.Labels) bool {
 	value, ok := labels[r.Key]
 	switch r.Operator {
 	case api.OperatorIn:
--- a/version/selector/selector_test.go
+++ b/version/selector/selector_test.go
@@ -8,19 +8,19 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-func expression(key string, operator api.Operator, values ...string) api.Selector {
+func expressionSelector(key string, operator api.Operator, values ...string) api.Selector {
 	return api.Selector{MatchExpressions: []api.Requirement{{Key: key, Operator: operator, Values: values}}}
 }
 
 func TestMatches(t *testing.T) {
 	labels := api.Labels{"zone": "leuven", "pool": "a", "spare": ""}
-	both := expression("pool", api.OperatorIn, "a")
+	both := expressionSelector("pool", api.OperatorIn, "a")
 	both.MatchLabels = api.Labels{"zone": "wavre"}
 	cases := []struct {
-		name     string
-		selector api.Selector
-		want     bool
-		bare     bool // the result for an empty label set
+		name          string
+		selector      api.Selector
+		want          bool
+		wantUnlabeled bool // the result for an empty label set
 	}{
 		{"empty", api.Selector{}, false, false},
 		{"empty but not nil", api.Selector{MatchLabels: api.Labels{}, MatchExpressions: []api.Requirement{}}, false, false},
@@ -30,31 +30,31 @@
 		{"one label differs", api.Selector{MatchLabels: api.Labels{"pool": "a", "zone": "wavre"}}, false, false},
 		{"empty value", api.Selector{MatchLabels: api.Labels{"spare": ""}}, true, false},
 		{"empty value of a missing label", api.Selector{MatchLabels: api.Labels{"other": ""}}, false, false},
-		{"in", expression("pool", api.OperatorIn, "b", "a"), true, false},
-		{"not among", expression("pool", api.OperatorIn, "b"), false, false},
-		{"not in", expression("pool", api.OperatorNotIn, "b"), true, true},
-		{"not in but among", expression("pool", api.OperatorNotIn, "a"), false, true},
-		{"exists", expression("spare", api.OperatorExists), true, false},
-		{"does not exist", expression("spare", api.OperatorDoesNotExist), false, true},
-		{"unknown operator", expression("pool", "Like", "a"), false, false},
+		{"in", expressionSelector("pool", api.OperatorIn, "b", "a"), true, false},
+		{"not among", expressionSelector("pool", api.OperatorIn, "b"), false, false},
+		{"not in", expressionSelector("pool", api.OperatorNotIn, "b"), true, true},
+		{"not in but among", expressionSelector("pool", api.OperatorNotIn, "a"), false, true},
+		{"exists", expressionSelector("spare", api.OperatorExists), true, false},
+		{"does not exist", expressionSelector("spare", api.OperatorDoesNotExist), false, true},
+		{"unknown operator", expressionSelector("pool", "Like", "a"), false, false},
 		{"label and expression", both, false, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			must.Eq(t, test.want, Matches(test.selector, labels))
-			must.Eq(t, test.bare, Matches(test.selector, nil))
+			must.Eq(t, test.wantUnlabeled, Matches(test.selector, nil))
 		})
 	}
 }
 
 func TestValidate(t *testing.T) {
 	must.SliceEmpty(t, Validate(api.Selector{}))
-	must.SliceEmpty(t, Validate(expression("pool", api.OperatorIn, "a", "")))
-	bad := api.Selector{All: true, MatchLabels: api.Labels{"pool ": "-"}, MatchExpressions: []api.Requirement{
+	must.SliceEmpty(t, Validate(expressionSelector("pool", api.OperatorIn, "a", "")))
+	invalid := api.Selector{All: true, MatchLabels: api.Labels{"pool ": "-"}, MatchExpressions: []api.Requirement{
 		{Key: "", Operator: api.OperatorIn}, {Key: "k", Operator: api.OperatorExists, Values: []string{"é"}}, {Key: "k", Operator: "Like"},
 	}}
 	var fields []string
-	for _, fault := range Validate(bad) {
+	for _, fault := range Validate(invalid) {
 		fields = append(fields, fault.Field)
 	}
 	must.Eq(t, []string{
--- a/version/state/bench_test.go
+++ b/version/state/bench_test.go
@@ -20,7 +20,7 @@
 }
 
 // newFilledMachine returns a machine with engines and intents, and the last applied index.
-func fill(tb testing.TB) (*Machine, uint64) {
+func newFilledMachine(tb testing.TB) (*Machine, uint64) {
 	tb.Helper()
 	m := New()
 	var writes []api.Write
@@ -72,7 +72,7 @@
 }
 
 func BenchmarkApplyReportAndView(b *testing.B) {
-	m, index := fill(b)
+	m, index := newFilledMachine(b)
 	for i := 0; b.Loop(); i++ {
 		index++
 		m.Apply(1, index, Command{Kind: CommandReportEngine, EngineReport: benchReport(i, index)})
@@ -81,7 +81,7 @@
 }
 
 func BenchmarkTransactionEngineLabel(b *testing.B) {
-	m, index := fill(b)
+	m, index := newFilledMachine(b)
 	for i := 0; b.Loop(); i++ {
 		index++
 		name := fmt.Sprintf("narrator-%05d", i%benchEngines)
@@ -92,7 +92,7 @@
 }
 
 func BenchmarkTransactionIntent(b *testing.B) {
-	m, index := fill(b)
+	m, index := newFilledMachine(b)
 	for i := 0; b.Loop(); i++ {
 		index++
 		intent := testIntent("intent-00", fmt.Sprintf("model-%d", i), api.Labels{"pool": "p00"})
@@ -111,14 +111,14 @@
 }
 
 func BenchmarkFreeze(b *testing.B) {
-	m := fillAll(b)
+	m := newMachineWithClaims(b)
 	for b.Loop() {
 		m.Freeze()
 	}
 }
 
 func BenchmarkSnapshotEncode(b *testing.B) {
-	frozen := fillAll(b).Freeze()
+	frozen := newMachineWithClaims(b).Freeze()
 	size := 0
 	for b.Loop() {
 		size = len(frozen.Encode())
@@ -127,14 +127,14 @@
 }
 
 func BenchmarkRestore(b *testing.B) {
-	snapshot := fillAll(b).Freeze().Encode()
+	snapshot := newMachineWithClaims(b).Freeze().Encode()
 	for b.Loop() {
 		must.NoError(b, New().Restore(snapshot))
 	}
 }
 
-func fillAll(tb testing.TB) *Machine {
-	m, index := fill(tb)
+func newMachineWithClaims(tb testing.TB) *Machine {
+	m, index := newFilledMachine(tb)
 	for i := uint64(1); i <= benchClaims; i++ {
 		command := claimCommand(i)
 		command.Claim.Retention = 0
@@ -146,7 +146,7 @@
 // BenchmarkStatusDelta measures and reports the encoded size of a delta that contains the
 // status of one engine.
 func BenchmarkStatusDelta(b *testing.B) {
-	m, index := fill(b)
+	m, index := newFilledMachine(b)
 	from := m.Version()
 	m.Apply(1, index+1, Command{Kind: CommandReportEngine, EngineReport: benchReport(3, index+1)})
 	history := m.History()
--- a/version/state/claims.go
+++ b/version/state/claims.go
@@ -34,25 +34,25 @@
 	key := claimKey{tenant: request.Tenant, key: request.Key}
 	e := m.claims.get(key, m.clock)
 	if e == nil {
-		return m.grant(key, request)
+		return m.grantClaim(key, request)
 	}
-	held := e.value
+	stored := e.value
 	switch {
-	case held.Outcome == api.RunNotRun && held.nonce != request.Nonce:
-		return m.grant(key, request)
-	case held.Outcome == api.RunNotRun:
-		return api.ClaimResult{Code: api.ClaimDone, Claim: held.Claim}
-	case held.BodyHash != request.BodyHash:
-		return refuseClaim(held)
-	case held.Outcome != api.RunUnknown:
-		return api.ClaimResult{Code: api.ClaimDone, Claim: held.Claim}
-	case held.nonce == request.Nonce && held.Proxy == request.Proxy && held.Attempt == request.Attempt:
-		return api.ClaimResult{Code: api.ClaimGranted, Claim: held.Claim}
+	case stored.Outcome == api.RunNotRun && stored.nonce != request.Nonce:
+		return m.grantClaim(key, request)
+	case stored.Outcome == api.RunNotRun:
+		return api.ClaimResult{Code: api.ClaimDone, Claim: stored.Claim}
+	case stored.BodyHash != request.BodyHash:
+		return conflictResult(stored)
+	case stored.Outcome != api.RunUnknown:
+		return api.ClaimResult{Code: api.ClaimDone, Claim: stored.Claim}
+	case stored.nonce == request.Nonce && stored.Proxy == request.Proxy && stored.Attempt == request.Attempt:
+		return api.ClaimResult{Code: api.ClaimGranted, Claim: stored.Claim}
 	}
-	return api.ClaimResult{Code: api.ClaimRunning, Claim: held.Claim}
+	return api.ClaimResult{Code: api.ClaimRunning, Claim: stored.Claim}
 }
 
-func (m *Machine) grant(key claimKey, request *ClaimRequest) api.ClaimResult {
+func (m *Machine) grantClaim(key claimKey, request *ClaimRequest) api.ClaimResult {
 	record := &claimRecord{
 		Claim: api.Claim{
 			Tenant:    request.Tenant,
@@ -75,29 +75,29 @@
 }
 
 // recordAbandonedClaim records that the claim with the nonce must not be granted.
-func (m *Machine) giveUpClaim(key claimKey, nonce uint64) {
+func (m *Machine) recordAbandonedClaim(key claimKey, nonce uint64) {
 	record := &claimRecord{
 		Claim: api.Claim{Tenant: key.tenant, Key: key.key, Outcome: api.RunNotRun, GrantedAt: m.clock, Revision: m.index},
 		nonce: nonce,
 	}
 	m.claims.add(key, &entry[*claimRecord]{
 		revision: m.index,
-		expires:  expiry(m.clock, lateClaimRetention),
+		expires:  expiry(m.clock, abandonedClaimRetention),
 		value:    record,
 	})
 }
 
 // conflictResult returns the result for a claim whose body differs from that of the
 // stored claim. The stored answer belongs to the other request and is left out.
-func refuseClaim(held *claimRecord) api.ClaimResult {
-	claim := held.Claim
+func conflictResult(stored *claimRecord) api.ClaimResult {
+	claim := stored.Claim
 	claim.Answer = nil
 	return api.ClaimResult{Code: api.ClaimConflict, Claim: claim}
 }
 
 // abandonedClaimRetention is the retention, in milliseconds, of the record of a claim
 // that was abandoned before it arrived.
-const lateClaimRetention = int64(time.Hour / time.Millisecond)
+const abandonedClaimRetention = int64(time.Hour / time.Millisecond)
 
 // recordOutcome records the outcome of a granted run. Only the claimant can record
 // it, and a recorded outcome is final. A claimant that does not know whether its
@@ -108,7 +108,7 @@
 	key := claimKey{tenant: outcome.Tenant, key: outcome.Key}
 	e := m.claims.get(key, m.clock)
 	if outcome.Outcome == api.RunNotRun && (e == nil || e.value.Outcome == api.RunNotRun) {
-		m.giveUpClaim(key, outcome.Nonce)
+		m.recordAbandonedClaim(key, outcome.Nonce)
 		return
 	}
 	if e == nil || e.value.nonce != outcome.Nonce || e.value.Outcome != api.RunUnknown {
--- a/version/state/codec_test.go
+++ b/version/state/codec_test.go
@@ -76,7 +76,7 @@
 	return commands
 }
 
-func TestCodecKeepsEveryField(t *testing.T) {
+func TestCodecPreservesEveryField(t *testing.T) {
 	for _, command := range fullCommands() {
 		data := Encode(command)
 		decoded, err := Decode(data)
@@ -93,7 +93,7 @@
 	must.ErrorIs(t, err, ErrUnknownKind)
 }
 
-func TestRetainedRecordsKeepEveryField(t *testing.T) {
+func TestStoredRecordsPreserveEveryField(t *testing.T) {
 	seed := 0
 	var result api.TransactionResult
 	fillValue(reflect.ValueOf(&result).Elem(), &seed)
@@ -109,7 +109,7 @@
 }
 
 // newPopulatedMachine returns a machine with most parts of its state filled.
-func busyMachine() *Machine {
+func newPopulatedMachine() *Machine {
 	m := New()
 	pool := api.Labels{"pool": "a"}
 	commands := []Command{
@@ -119,7 +119,7 @@
 		{Kind: CommandTransaction, Transaction: &api.Transaction{OperationID: "refused", Writes: []api.Write{put(testEngine("e1", pool))}}},
 		{Kind: CommandReportEngine, EngineReport: &EngineReport{Engine: "e1", Incarnation: 6, Phase: api.PhaseIdle}},
 		{Kind: CommandReportEngine, EngineReport: &EngineReport{Engine: "e1", Incarnation: 7, Phase: api.PhaseIdle}},
-		{Kind: CommandOpenOrder, OpenOrder: &OpenOrder{Engine: "e1", Incarnation: 7, Assignment: serving}},
+		{Kind: CommandOpenOrder, OpenOrder: &OpenOrder{Engine: "e1", Incarnation: 7, Assignment: servingAssignment}},
 		{Kind: CommandMachines, Machines: &Machines{Leaving: []string{"e2"}, Gone: []string{"b1"}}},
 		claimCommand(1),
 		{Kind: CommandRunOutcome, RunOutcome: &RunOutcome{Tenant: "gritting", Key: "briefing-1", Nonce: 1, Outcome: api.RunNotRun}},
@@ -132,9 +132,9 @@
 	return m
 }
 
-func TestRestoreRefusesDamage(t *testing.T) {
-	snapshot := busyMachine().Freeze().Encode()
-	m := busyMachine()
+func TestRestoreRejectsCorruption(t *testing.T) {
+	snapshot := newPopulatedMachine().Freeze().Encode()
+	m := newPopulatedMachine()
 	for i := range snapshot {
 		damaged := append([]byte(nil), snapshot...)
 		damaged[i] ^= 1
@@ -155,14 +155,14 @@
 			return
 		}
 		must.Eq(t, data, Encode(command))
-		m := busyMachine()
+		m := newPopulatedMachine()
 		m.Apply(2, 100, command)
 		must.NoError(t, New().Restore(m.Freeze().Encode()))
 	})
 }
 
 func FuzzRestore(f *testing.F) {
-	snapshot := busyMachine().Freeze().Encode()
+	snapshot := newPopulatedMachine().Freeze().Encode()
 	f.Add(snapshot[len(snapshotFormat) : len(snapshot)-checksumBytes])
 	f.Fuzz(func(t *testing.T, body []byte) {
 		data := append([]byte(snapshotFormat), body...)
--- a/version/state/command.go
+++ b/version/state/command.go
@@ -95,7 +95,7 @@
 	OpenOrderUnknownEngine
 	OpenOrderOtherIncarnation
 	OpenOrderNotAllowed
-	OpenOrderBudget // the intent's disruption budget is exhausted, or the engine has not reported yet
+	OpenOrderBudgetExhausted // the intent's disruption budget is exhausted, or the engine has not reported yet
 )
 
 // OpenOrderResult is the result of an OpenOrder.
--- a/version/state/commit.go
+++ b/version/state/commit.go
@@ -11,19 +11,19 @@
 func (p *plan) commit() {
 	for i, write := range p.transaction.Writes {
 		if write.Delete {
-			p.machine.delete(p.keys[i])
+			p.machine.deleteObject(p.keys[i])
 		} else {
-			p.machine.write(write.Object)
+			p.machine.writeObject(write.Object)
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(p.selected)) {
-		p.machine.selectEngine(name, p.selected[name])
+	for _, name := range slices.Sorted(maps.Keys(p.intentsByEngine)) {
+		p.machine.setEngineIntents(name, p.intentsByEngine[name])
 	}
 }
 
 // writeObject stores an object with the writer's metadata and spec and the status
 // that the machine holds. It does not modify the writer's object.
-func (m *Machine) write(o api.Object) {
+func (m *Machine) writeObject(o api.Object) {
 	switch {
 	case o.Intent != nil:
 		intent := &api.Intent{Metadata: o.Intent.Metadata, Spec: o.Intent.Spec}
@@ -53,11 +53,11 @@
 	if engine := m.engines.items[name]; engine != nil {
 		return engine.Status
 	}
-	listed := m.platform.phase(name, api.PhaseUnknown)
-	return api.EngineStatus{Phase: listed, MachinePhase: listed}
+	phase := m.platform.phase(name, api.PhaseUnknown)
+	return api.EngineStatus{Phase: phase, MachinePhase: phase}
 }
 
-func (m *Machine) delete(key api.Key) {
+func (m *Machine) deleteObject(key api.Key) {
 	m.remove(key)
 	if key.Kind == api.KindEngine {
 		m.incarnations.remove(key.Name)
@@ -70,7 +70,7 @@
 // setEngineIntents stores which intents select an engine. An engine that is no
 // longer selected keeps its assignment: automation changes labels in several
 // steps, and an engine that is moving between two intents must not be unloaded.
-func (m *Machine) selectEngine(name string, intents []string) {
+func (m *Machine) setEngineIntents(name string, intents []string) {
 	m.selection.set(name, intents)
 	engine := m.engines.items[name]
 	if engine == nil {
--- a/version/state/example_test.go
+++ b/version/state/example_test.go
@@ -38,11 +38,11 @@
 func Example_orders() {
 	machine := state.New()
 	index := uint64(0)
-	commit := func(command state.Command) any {
+	apply := func(command state.Command) any {
 		index++
 		return machine.Apply(5, index, command)
 	}
-	commit(state.Command{Kind: state.CommandTransaction, Transaction: &api.Transaction{
+	apply(state.Command{Kind: state.CommandTransaction, Transaction: &api.Transaction{
 		OperationID: "fleet",
 		Writes: []api.Write{
 			{Object: api.Object{Engine: &api.Engine{
@@ -64,22 +64,22 @@
 		}
 	}
 	first := report(7, api.Fence{}, api.Assignment{})
-	commit(state.Command{Kind: state.CommandReportEngine, EngineReport: &first})
+	apply(state.Command{Kind: state.CommandReportEngine, EngineReport: &first})
 
 	wanted := api.Assignment{Model: "narrator-7b", Version: "v2", Role: api.RoleMixed}
 	open := state.OpenOrder{Engine: "engine-1", Incarnation: 7, Assignment: wanted}
-	opened := commit(state.Command{Kind: state.CommandOpenOrder, OpenOrder: &open}).(state.OpenOrderResult)
+	opened := apply(state.Command{Kind: state.CommandOpenOrder, OpenOrder: &open}).(state.OpenOrderResult)
 	fmt.Println(opened.Code == state.OpenOrderOpened, opened.Order.Fence)
-	again := commit(state.Command{Kind: state.CommandOpenOrder, OpenOrder: &open}).(state.OpenOrderResult)
-	fmt.Println(again.Code == state.OpenOrderAlreadyOpen)
+	second := apply(state.Command{Kind: state.CommandOpenOrder, OpenOrder: &open}).(state.OpenOrderResult)
+	fmt.Println(second.Code == state.OpenOrderAlreadyOpen)
 
-	closing := func(reason state.CloseReason, report state.EngineReport) bool {
+	closeOrder := func(reason state.CloseReason, report state.EngineReport) bool {
 		body := state.CloseOrder{Engine: "engine-1", Fence: opened.Order.Fence, Reason: reason, Report: report}
-		return commit(state.Command{Kind: state.CommandCloseOrder, CloseOrder: &body}).(state.CloseOrderResult).Closed
+		return apply(state.Command{Kind: state.CommandCloseOrder, CloseOrder: &body}).(state.CloseOrderResult).Closed
 	}
 	// Another incarnation never received the order, so it cannot have executed it.
-	fmt.Println(closing(state.CloseDone, report(8, opened.Order.Fence, wanted)))
-	fmt.Println(closing(state.CloseDone, report(7, opened.Order.Fence, wanted)))
+	fmt.Println(closeOrder(state.CloseDone, report(8, opened.Order.Fence, wanted)))
+	fmt.Println(closeOrder(state.CloseDone, report(7, opened.Order.Fence, wanted)))
 	// Output:
 	// true {5 3}
 	// true
--- a/version/state/ingress.go
+++ b/version/state/ingress.go
@@ -33,86 +33,86 @@
 // never changes. It holds because this function is the only writer and changes
 // nothing unless the generation increases. Routes and tenants change in the same
 // log entry, so no view has new routes with old tenants or the reverse.
-func (m *Machine) replaceIngress(given *ReplaceIngress) api.ReplaceResult {
-	held := m.ingressGeneration()
-	if given.Spec.Generation <= held {
-		return api.ReplaceResult{Code: api.ReplaceSuperseded, Generation: held}
+func (m *Machine) replaceIngress(replacement *ReplaceIngress) api.ReplaceResult {
+	current := m.ingressGeneration()
+	if replacement.Spec.Generation <= current {
+		return api.ReplaceResult{Code: api.ReplaceSuperseded, Generation: current}
 	}
-	spec := given.Spec
+	spec := replacement.Spec
 	m.ingressSource = spec.Source
 	spec.Source, spec.Tenants = nil, nil // they contain keys, and views are sent to every proxy
 	metadata := api.Metadata{Name: api.IngressName, Revision: m.index}
 	m.put(api.Object{Ingress: &api.Ingress{Metadata: metadata, Spec: spec}})
-	m.replaceTenants(given.Tenants)
-	return api.ReplaceResult{Code: api.ReplaceApplied, Generation: given.Spec.Generation}
+	m.replaceTenants(replacement.Tenants)
+	return api.ReplaceResult{Code: api.ReplaceApplied, Generation: replacement.Spec.Generation}
 }
 
 // replaceTenants stores only the tenants that differ and removes those that are no longer
 // listed, so that a change of a few keys results in a small delta.
 func (m *Machine) replaceTenants(tenants []api.RouteTenant) {
-	given := make(map[string]bool, len(tenants))
+	listed := make(map[string]bool, len(tenants))
 	for i := range tenants {
 		tenant := tenants[i]
-		given[tenant.Name] = true
-		if known := m.routeTenants.items[tenant.Name]; known != nil && known.Spec.Equal(&tenant.Spec) {
+		listed[tenant.Name] = true
+		if stored := m.routeTenants.items[tenant.Name]; stored != nil && stored.Spec.Equal(&tenant.Spec) {
 			continue
 		}
 		tenant.Metadata = api.Metadata{Name: tenant.Name, Revision: m.index}
 		m.put(api.Object{RouteTenant: &tenant})
 	}
 	for _, name := range slices.Sorted(maps.Keys(m.routeTenants.items)) {
-		if !given[name] {
+		if !listed[name] {
 			m.remove(api.Key{Kind: api.KindRouteTenant, Name: name})
 		}
 	}
 }
 
-func appendReplaceIngress(b []byte, given *ReplaceIngress) []byte {
-	b = binenc.AppendIngressSpec(b, &given.Spec)
-	b = binenc.AppendUint(b, uint64(len(given.Tenants)))
-	for i := range given.Tenants {
-		b = binenc.AppendRouteTenant(b, &given.Tenants[i])
+func appendReplaceIngress(b []byte, replacement *ReplaceIngress) []byte {
+	b = binenc.AppendIngressSpec(b, &replacement.Spec)
+	b = binenc.AppendUint(b, uint64(len(replacement.Tenants)))
+	for i := range replacement.Tenants {
+		b = binenc.AppendRouteTenant(b, &replacement.Tenants[i])
 	}
 	return b
 }
 
 func readReplaceIngress(r *binenc.Reader) *ReplaceIngress {
 	const minimumTenantBytes = 4
-	given := &ReplaceIngress{Spec: r.IngressSpec()}
+	replacement := &ReplaceIngress{Spec: r.IngressSpec()}
 	tenants := r.Count(minimumTenantBytes)
 	for i := 0; i < tenants && r.Err() == nil; i++ {
-		given.Tenants = append(given.Tenants, *r.RouteTenant())
+		replacement.Tenants = append(replacement.Tenants, *r.RouteTenant())
 	}
-	return given
+	return replacement
 }
 
 // ingressGeneration returns the generation in force, or 0 if there is no Ingress.
 func (m *Machine) ingressGeneration() uint64 {
-	if held := m.ingresses.items[api.IngressName]; held != nil {
-		return held.Spec.Generation
+	if current := m.ingresses.items[api.IngressName]; current != nil {
+		return current.Spec.Generation
 	}
 	return 0
 }
 
 // observe stores and removes objects of the observed kinds. It ignores objects of other
 // kinds, which are owned by their writers.
-func (m *Machine) observe(seen *Observe) {
-	for _, object := range seen.Put {
+func (m *Machine) observe(observed *Observe) {
+	for _, object := range observed.Put {
 		key, ok := object.Key()
-		if !ok || !isObserved(key.Kind) {
+		if !ok || !isObservedKind(key.Kind) {
 			continue
 		}
 		object.Metadata().Revision = m.index
 		m.put(object)
 	}
-	for _, key := range seen.Removed {
-		if _, found := m.Object(key); found && isObserved(key.Kind) {
+	for _, key := range observed.Removed {
+		if _, found := m.Object(key); found && isObservedKind(key.Kind) {
 			m.remove(key)
 		}
 	}
 }
 
-func isObserved(kind api.Kind) bool {
+func isObservedKind(kind api.Kind) bool {
 	switch kind {
 	case api.KindReplica, api.KindProxy, api.KindMember, api.KindQuarantine, api.KindCapacity, api.KindSuspect:
 		return true
@@ -120,13 +120,13 @@
 	return false
 }
 
-func appendObserve(b []byte, seen *Observe) []byte {
-	b = binenc.AppendUint(b, uint64(len(seen.Put)))
-	for _, object := range seen.Put {
+func appendObserve(b []byte, observed *Observe) []byte {
+	b = binenc.AppendUint(b, uint64(len(observed.Put)))
+	for _, object := range observed.Put {
 		b = binenc.AppendObject(b, object)
 	}
-	b = binenc.AppendUint(b, uint64(len(seen.Removed)))
-	for _, key := range seen.Removed {
+	b = binenc.AppendUint(b, uint64(len(observed.Removed)))
+	for _, key := range observed.Removed {
 		b = binenc.AppendKey(b, key)
 	}
 	return b
@@ -134,14 +134,14 @@
 
 func readObserve(r *binenc.Reader) *Observe {
 	const minimumObjectBytes, minimumKeyBytes = 4, 2
-	seen := &Observe{}
+	observed := &Observe{}
 	objects := r.Count(minimumObjectBytes)
 	for i := 0; i < objects && r.Err() == nil; i++ {
-		seen.Put = append(seen.Put, r.Object())
+		observed.Put = append(observed.Put, r.Object())
 	}
 	removed := r.Count(minimumKeyBytes)
 	for i := 0; i < removed && r.Err() == nil; i++ {
-		seen.Removed = append(seen.Removed, r.Key())
+		observed.Removed = append(observed.Removed, r.Key())
 	}
-	return seen
+	return observed
 }
--- a/version/state/ingress_test.go
+++ b/version/state/ingress_test.go
@@ -15,13 +15,13 @@
 	}}
 }
 
-func TestHighestGenerationHolds(t *testing.T) {
+func TestHighestGenerationWins(t *testing.T) {
 	m := New()
 	steps := []struct {
 		generation uint64
 		source     string
 		want       api.ReplaceResult
-		holds      string
+		wantSource string
 	}{
 		{5, "five", api.ReplaceResult{Code: api.ReplaceApplied, Generation: 5}, "five"},
 		{5, "other", api.ReplaceResult{Code: api.ReplaceSuperseded, Generation: 5}, "five"},
@@ -32,16 +32,16 @@
 	for i, step := range steps {
 		result := m.Apply(1, uint64(i+1), replaceCommand(step.generation, step.source))
 		must.Eq(t, step.want, result.(api.ReplaceResult))
-		must.Eq(t, step.holds, string(m.IngressSource()))
+		must.Eq(t, step.wantSource, string(m.IngressSource()))
 	}
 }
 
 // The generation in force never decreases, and the content of a generation never
 // changes, also across snapshots.
-func TestGenerationNeverGoesBack(t *testing.T) {
+func TestGenerationNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := New()
-		held := uint64(0)
+		highest := uint64(0)
 		content := map[uint64]string{}
 		for index := uint64(1); index <= 30; index++ {
 			generation := rapid.Uint64Range(1, 12).Draw(t, "generation")
@@ -55,12 +55,12 @@
 				m = next
 			}
 			spec := m.View().Ingresses[api.IngressName].Spec
-			must.GreaterEq(t, held, spec.Generation)
-			held = spec.Generation
-			if known, found := content[held]; found {
-				must.Eq(t, known, string(m.IngressSource()))
+			must.GreaterEq(t, highest, spec.Generation)
+			highest = spec.Generation
+			if previous, found := content[highest]; found {
+				must.Eq(t, previous, string(m.IngressSource()))
 			}
-			content[held] = string(m.IngressSource())
+			content[highest] = string(m.IngressSource())
 		}
 	})
 }
@@ -75,7 +75,7 @@
 
 // A removal must find objects of every observed kind. When it did not, the directory
 // kept listing proxies that had been shut down long before.
-func TestObservedObjectsComeAndGo(t *testing.T) {
+func TestObserveStoresAndRemovesObjects(t *testing.T) {
 	m := New()
 	objects := []api.Object{
 		proxyObject("p", "10.0.0.1:80"),
@@ -102,7 +102,7 @@
 	must.SliceLen(t, len(keys), delta.Removed)
 }
 
-func TestObservingChangesNoOperatorsObject(t *testing.T) {
+func TestObserveIgnoresOtherKinds(t *testing.T) {
 	m := New()
 	tenant := api.Object{Tenant: &api.Tenant{Metadata: api.Metadata{Name: "t"}}}
 	m.Apply(1, 1, observeCommand([]api.Object{tenant, {}}))
@@ -112,7 +112,7 @@
 	must.MapLen(t, 1, m.View().Ingresses)
 }
 
-func TestTransactionsDoNotWriteWhatIsNotTheirs(t *testing.T) {
+func TestTransactionsRejectUnwritableKinds(t *testing.T) {
 	objects := []api.Object{
 		{Ingress: &api.Ingress{Metadata: api.Metadata{Name: "ingress"}}},
 		{Replica: &api.Replica{Metadata: api.Metadata{Name: "r"}}},
--- a/version/state/machine.go
+++ b/version/state/machine.go
@@ -9,7 +9,7 @@
 
 // maxChanges is the maximum number of changes that are kept for deltas. A daemon
 // whose version is older than all of them gets a full delta.
-const changeLimit = 1 << 14
+const maxChanges = 1 << 14
 
 // Machine is the replicated state machine. It is not safe for concurrent use, but
 // the values returned by View, History and Freeze are immutable and may be used by
@@ -41,18 +41,18 @@
 	// ingressSource is the compressed source document of the Ingress. It contains API
 	// keys and is therefore not part of any view.
 	ingressSource []byte
-	usage         usageLedger
+	usage         usageState
 
 	changes      []view.Change
 	changesFloor uint64 // highest revision that was dropped from changes
-	current      *view.View
+	cachedView   *view.View
 
 	selection    selection       // derived from intents and engines
 	incarnations table[[]uint64] // earlier incarnations by engine, oldest first
 	platform     platformList
 	members      map[uint64]Member
-	operations   retained[string, *operation]
-	claims       retained[claimKey, *claimRecord]
+	operations   expiringMap[string, *operation]
+	claims       expiringMap[claimKey, *claimRecord]
 }
 
 // New returns an empty machine.
@@ -73,7 +73,7 @@
 		suspects:      newTable[api.Suspect](),
 		selection:     newSelection(),
 		incarnations:  newTable[[]uint64](),
-		usage:         newUsageLedger(),
+		usage:         newUsageState(),
 		members:       map[uint64]Member{},
 	}
 }
@@ -108,7 +108,7 @@
 	case CommandReportEngine:
 		m.reportEngine(command.EngineReport)
 	case CommandMachines:
-		m.listMachines(command.Machines)
+		m.setMachines(command.Machines)
 	case CommandClaim:
 		return m.claim(command.Claim)
 	case CommandRunOutcome:
@@ -138,33 +138,33 @@
 func (m *Machine) put(o api.Object) {
 	m.load(o)
 	key, _ := o.Key()
-	m.changed(key)
+	m.recordChange(key)
 }
 
 // load stores an object without recording a change.
 func (m *Machine) load(o api.Object) {
 	key, _ := o.Key()
-	if held := m.table(key.Kind); held != nil {
-		held.load(key.Name, o)
+	if objects := m.table(key.Kind); objects != nil {
+		objects.load(key.Name, o)
 	}
 }
 
 func (m *Machine) remove(key api.Key) {
-	if held := m.table(key.Kind); held != nil {
-		held.remove(key.Name)
+	if objects := m.table(key.Kind); objects != nil {
+		objects.remove(key.Name)
 	}
-	m.changed(key)
+	m.recordChange(key)
 }
 
 // recordChange records that the current log entry changed the object with the key.
 // The view's version advances on every change, including status changes. An
 // object's revision advances only on writes, so status changes do not cause
 // revision conflicts for writers.
-func (m *Machine) changed(key api.Key) {
+func (m *Machine) recordChange(key api.Key) {
 	m.version = view.Version{Term: m.term, Revision: m.index}
-	m.current = nil
+	m.cachedView = nil
 	m.changes = append(m.changes, view.Change{Revision: m.index, Key: key})
-	if len(m.changes) > changeLimit {
+	if len(m.changes) > maxChanges {
 		m.changesFloor = m.changes[0].Revision
 		m.changes = m.changes[1:]
 	}
--- a/version/state/machine_test.go
+++ b/version/state/machine_test.go
@@ -10,7 +10,7 @@
 )
 
 // harness encodes and decodes commands and applies them to one machine.
-type cluster struct {
+type harness struct {
 	t       *testing.T
 	machine *Machine
 	term    uint64
@@ -18,11 +18,11 @@
 	clock   int64
 }
 
-func newCluster(t *testing.T) *cluster {
-	return &cluster{t: t, machine: New(), term: 1}
+func newHarness(t *testing.T) *harness {
+	return &harness{t: t, machine: New(), term: 1}
 }
 
-func (c *cluster) apply(command Command) any {
+func (c *harness) apply(command Command) any {
 	c.t.Helper()
 	c.index++
 	command.Time = c.clock
@@ -31,18 +31,18 @@
 	return c.machine.Apply(c.term, c.index, decoded)
 }
 
-func (c *cluster) transact(id string, writes ...api.Write) api.TransactionResult {
+func (c *harness) transact(id string, writes ...api.Write) api.TransactionResult {
 	c.t.Helper()
 	return c.transactLimited(TransactionLimits{}, api.Transaction{OperationID: id, Writes: writes})
 }
 
-func (c *cluster) transactLimited(limits TransactionLimits, transaction api.Transaction) api.TransactionResult {
+func (c *harness) transactLimited(limits TransactionLimits, transaction api.Transaction) api.TransactionResult {
 	c.t.Helper()
 	command := Command{Kind: CommandTransaction, Limits: limits, Transaction: &transaction}
 	return c.apply(command).(api.TransactionResult)
 }
 
-func (c *cluster) engine(name string) *api.Engine {
+func (c *harness) engine(name string) *api.Engine {
 	c.t.Helper()
 	o, ok := c.machine.Object(api.Key{Kind: api.KindEngine, Name: name})
 	must.True(c.t, ok)
@@ -81,8 +81,8 @@
 	panic("unknown object")
 }
 
-func TestSnapshotKeepsEverything(t *testing.T) {
-	c := newCluster(t)
+func TestSnapshotPreservesState(t *testing.T) {
+	c := newHarness(t)
 	pool := api.Labels{"pool": "a"}
 	result := c.transact("op-1", put(testEngine("e1", pool)), put(testIntent("i1", "storm", pool)))
 	must.Eq(t, api.OutcomeAccepted, result.Code)
@@ -101,15 +101,15 @@
 	must.NoError(t, err)
 	restored := New()
 	must.NoError(t, restored.Restore(snapshot))
-	again, err := restored.Snapshot()
+	reencoded, err := restored.Snapshot()
 	must.NoError(t, err)
-	must.Eq(t, snapshot, again)
+	must.Eq(t, snapshot, reencoded)
 	must.Eq(t, c.machine.View(), restored.View())
 	must.Eq(t, "i1", restored.WantedIntent("e1").Name)
 }
 
 func TestDeltaFollowsMachine(t *testing.T) {
-	c := newCluster(t)
+	c := newHarness(t)
 	c.transact("op-1", put(testEngine("e1", nil)), put(testEngine("e2", nil)))
 	holder := view.NewHolder()
 	full, ok := c.machine.DeltaSince(view.Version{})
--- a/version/state/machines.go
+++ b/version/state/machines.go
@@ -18,16 +18,16 @@
 // phase.
 func (l *platformList) phase(engine string, reported api.EnginePhase) api.EnginePhase {
 	switch {
-	case contains(l.gone, engine):
+	case containsSorted(l.gone, engine):
 		return api.PhaseGone
-	case contains(l.leaving, engine):
+	case containsSorted(l.leaving, engine):
 		return api.PhaseLeaving
 	}
 	return reported
 }
 
-func (l *platformList) lists(name string) bool {
-	return contains(l.gone, name) || contains(l.leaving, name)
+func (l *platformList) contains(name string) bool {
+	return containsSorted(l.gone, name) || containsSorted(l.leaving, name)
 }
 
 // serviceStatus returns the status of a service that has the back ends.
@@ -35,9 +35,9 @@
 	var status api.ServiceStatus
 	for _, backend := range backends {
 		switch {
-		case contains(l.gone, backend.Name):
+		case containsSorted(l.gone, backend.Name):
 			status.Gone = append(status.Gone, backend.Name)
-		case contains(l.leaving, backend.Name):
+		case containsSorted(l.leaving, backend.Name):
 			status.Leaving = append(status.Leaving, backend.Name)
 		}
 	}
@@ -48,29 +48,29 @@
 
 // setMachines replaces the platform's lists. The phase of an engine that is no longer
 // listed as leaving or gone is unknown until it reports.
-func (m *Machine) listMachines(machines *Machines) {
+func (m *Machine) setMachines(machines *Machines) {
 	previous := m.platform
-	m.platform = platformList{leaving: nameSet(machines.Leaving), gone: nameSet(machines.Gone)}
+	m.platform = platformList{leaving: sortedUnique(machines.Leaving), gone: sortedUnique(machines.Gone)}
 	for _, name := range slices.Sorted(maps.Keys(m.engines.items)) {
-		m.relistEngine(m.engines.items[name], &previous)
+		m.updateMachinePhase(m.engines.items[name], &previous)
 	}
 	for _, name := range slices.Sorted(maps.Keys(m.services.items)) {
-		m.relistService(m.services.items[name])
+		m.updateServiceStatus(m.services.items[name])
 	}
 }
 
-func (m *Machine) relistEngine(engine *api.Engine, previous *platformList) {
+func (m *Machine) updateMachinePhase(engine *api.Engine, previous *platformList) {
 	status := engine.Status
-	kept := status.Phase
-	if previous.lists(engine.Name) {
-		kept = api.PhaseUnknown
+	reported := status.Phase
+	if previous.contains(engine.Name) {
+		reported = api.PhaseUnknown
 	}
 	status.MachinePhase = m.platform.phase(engine.Name, api.PhaseUnknown)
-	status.Phase = m.platform.phase(engine.Name, kept)
+	status.Phase = m.platform.phase(engine.Name, reported)
 	m.updateEngine(engine, status)
 }
 
-func (m *Machine) relistService(service *api.Service) {
+func (m *Machine) updateServiceStatus(service *api.Service) {
 	status := m.platform.serviceStatus(service.Spec.Backends)
 	if slices.Equal(status.Leaving, service.Status.Leaving) && slices.Equal(status.Gone, service.Status.Gone) {
 		return
@@ -80,11 +80,11 @@
 	m.put(api.Object{Service: &next})
 }
 
-func nameSet(names []string) []string {
+func sortedUnique(names []string) []string {
 	return slices.Compact(slices.Sorted(slices.Values(names)))
 }
 
-func contains(sorted []string, name string) bool {
+func containsSorted(sorted []string, name string) bool {
 	_, found := slices.BinarySearch(sorted, name)
 	return found
 }
--- a/version/state/oracle_test.go
+++ b/version/state/oracle_test.go
@@ -14,14 +14,14 @@
 // uses maps of values, linear scans and full copies, without indexes, shared
 // maps or an expiry queue.
 type oracle struct {
-	term, index uint64
-	clock       int64
-	objects     map[api.Key]api.Object
-	operations  map[string]oracleOperation
-	claims      map[string]oracleClaim
-	machines    Machines
-	retired     map[string][]uint64
-	members     map[uint64]Member
+	term, index         uint64
+	clock               int64
+	objects             map[api.Key]api.Object
+	operations          map[string]oracleOperation
+	claims              map[string]oracleClaim
+	machines            Machines
+	earlierIncarnations map[string][]uint64
+	members             map[uint64]Member
 }
 
 type oracleOperation struct {
@@ -38,11 +38,11 @@
 
 func newOracle() *oracle {
 	return &oracle{
-		objects:    map[api.Key]api.Object{},
-		operations: map[string]oracleOperation{},
-		claims:     map[string]oracleClaim{},
-		retired:    map[string][]uint64{},
-		members:    map[uint64]Member{},
+		objects:             map[api.Key]api.Object{},
+		operations:          map[string]oracleOperation{},
+		claims:              map[string]oracleClaim{},
+		earlierIncarnations: map[string][]uint64{},
+		members:             map[uint64]Member{},
 	}
 }
 
@@ -124,7 +124,7 @@
 	return intents
 }
 
-func wanted(i *api.Intent) string {
+func desiredState(i *api.Intent) string {
 	roles := slices.Clone(i.Spec.Roles)
 	slices.Sort(roles)
 	return fmt.Sprint(i.Spec.Model, i.Spec.Version, i.Spec.Adapters, roles)
@@ -148,18 +148,18 @@
 		return result
 	}
 	body, _ := json.Marshal(api.Transaction{Writes: t.Writes, AllowBroad: t.AllowBroad})
-	if kept, ok := o.operations[t.OperationID]; ok && o.clock < kept.expires {
-		if kept.body != string(body) {
+	if stored, ok := o.operations[t.OperationID]; ok && o.clock < stored.expires {
+		if stored.body != string(body) {
 			return api.TransactionResult{Code: api.OutcomeOperationConflict}
 		}
-		return kept.result
+		return stored.result
 	}
 	result, next := o.tryWrites(t, limits)
 	if result.Code == api.OutcomeAccepted {
 		o.objects = next
 		for _, w := range t.Writes {
 			if w.Delete && w.Object.Engine != nil {
-				delete(o.retired, w.Object.Engine.Name)
+				delete(o.earlierIncarnations, w.Object.Engine.Name)
 			}
 		}
 	}
@@ -170,7 +170,7 @@
 func (o *oracle) tryWrites(t api.Transaction, limits TransactionLimits) (api.TransactionResult, map[api.Key]api.Object) {
 	var conflicts []api.Conflict
 	next := maps.Clone(o.objects)
-	blocked := false
+	deletesOpenOrder := false
 	for _, w := range t.Writes {
 		key, _ := w.Object.Key()
 		current, exists := o.objects[key]
@@ -181,26 +181,26 @@
 			conflicts = append(conflicts, api.Conflict{Key: key, Current: &current})
 		case w.Delete:
 			e := current.Engine
-			blocked = blocked || e != nil && e.Status.OpenOrder != nil && e.Status.Phase != api.PhaseGone
+			deletesOpenOrder = deletesOpenOrder || e != nil && e.Status.OpenOrder != nil && e.Status.Phase != api.PhaseGone
 			delete(next, key)
 		default:
-			next[key] = o.written(w.Object, current)
+			next[key] = o.objectAfterWrite(w.Object, current)
 		}
 	}
 	if len(conflicts) > 0 {
 		return api.TransactionResult{Code: api.OutcomeRevisionConflict, Conflicts: conflicts}, nil
 	}
-	if blocked {
+	if deletesOpenOrder {
 		return api.TransactionResult{Code: api.OutcomeInvalid}, nil
 	}
-	return o.judge(t, limits, next)
+	return o.checkIntents(t, limits, next)
 }
 
-func (o *oracle) written(object, current api.Object) api.Object {
+func (o *oracle) objectAfterWrite(object, current api.Object) api.Object {
 	switch {
 	case object.Engine != nil:
 		e := *object.Engine
-		e.Status = api.EngineStatus{Phase: o.listed(e.Name, api.PhaseUnknown), MachinePhase: o.listed(e.Name, api.PhaseUnknown)}
+		e.Status = api.EngineStatus{Phase: o.platformPhase(e.Name, api.PhaseUnknown), MachinePhase: o.platformPhase(e.Name, api.PhaseUnknown)}
 		if current.Engine != nil {
 			e.Status = current.Engine.Status
 		}
@@ -218,14 +218,14 @@
 	return object
 }
 
-func (o *oracle) judge(t api.Transaction, limits TransactionLimits, next map[api.Key]api.Object) (api.TransactionResult, map[api.Key]api.Object) {
+func (o *oracle) checkIntents(t api.Transaction, limits TransactionLimits, next map[api.Key]api.Object) (api.TransactionResult, map[api.Key]api.Object) {
 	var conflicts []api.Conflict
 	var affected []string
-	moved := 0
+	reassigned := 0
 	for _, e := range sortedEngines(next) {
 		after := intentsOf(next, e)
 		for _, other := range after {
-			if wanted(other) != wanted(after[0]) {
+			if desiredState(other) != desiredState(after[0]) {
 				conflicts = append(conflicts, api.Conflict{
 					Key: api.Key{Kind: api.KindEngine, Name: e.Name}, Engine: e.Name, Intents: []string{after[0].Name, other.Name},
 				})
@@ -242,17 +242,17 @@
 		copied := *e
 		copied.Status.UnmatchedSince = 0
 		next[api.Key{Kind: api.KindEngine, Name: e.Name}] = api.Object{Engine: &copied}
-		if changed, had := o.moves(e.Name, after[0]); changed {
+		if changed, assigned := o.compareDesired(e.Name, after[0]); changed {
 			affected = append(affected, e.Name)
-			if had {
-				moved++
+			if assigned {
+				reassigned++
 			}
 		}
 	}
 	if len(conflicts) > 0 {
 		return api.TransactionResult{Code: api.OutcomeIntentConflict, Conflicts: conflicts}, nil
 	}
-	if limits.MaxAffectedEngines > 0 && moved > limits.MaxAffectedEngines && !t.AllowBroad {
+	if limits.MaxAffectedEngines > 0 && reassigned > limits.MaxAffectedEngines && !t.AllowBroad {
 		return api.TransactionResult{Code: api.OutcomeTooBroad, AffectedEngines: affected}, nil
 	}
 	return api.TransactionResult{Code: api.OutcomeAccepted, Revision: o.index, AffectedEngines: affected}, next
@@ -260,27 +260,27 @@
 
 // compareDesired reports whether the intent changes the desired state of the engine, and
 // whether the engine had a desired state or an assignment before.
-func (o *oracle) moves(name string, after *api.Intent) (changed, had bool) {
+func (o *oracle) compareDesired(name string, after *api.Intent) (changed, assigned bool) {
 	before := o.engine(name)
 	if before == nil {
 		return true, false
 	}
 	if intents := intentsOf(o.objects, before); len(intents) > 0 {
-		return wanted(intents[0]) != wanted(after), true
+		return desiredState(intents[0]) != desiredState(after), true
 	}
-	has := before.Status.Assignment
+	assignment := before.Status.Assignment
 	if before.Status.OpenOrder != nil {
-		has = before.Status.OpenOrder.Assignment
+		assignment = before.Status.OpenOrder.Assignment
 	}
-	return !fits(after, has), has.Model != "" || has.Role != ""
+	return !satisfiesNaively(after, assignment), assignment.Model != "" || assignment.Role != ""
 }
 
-func fits(i *api.Intent, a api.Assignment) bool {
+func satisfiesNaively(i *api.Intent, a api.Assignment) bool {
 	return a.Model == i.Spec.Model && a.Version == i.Spec.Version &&
 		slices.Equal(a.Adapters, i.Spec.Adapters) && slices.Contains(i.Spec.Roles, a.Role)
 }
 
-func (o *oracle) listed(name string, phase api.EnginePhase) api.EnginePhase {
+func (o *oracle) platformPhase(name string, phase api.EnginePhase) api.EnginePhase {
 	if slices.Contains(o.machines.Gone, name) {
 		return api.PhaseGone
 	}
@@ -293,7 +293,7 @@
 func (o *oracle) serviceStatus(s api.Service) api.ServiceStatus {
 	var status api.ServiceStatus
 	for _, b := range s.Spec.Backends {
-		switch o.listed(b.Name, "") {
+		switch o.platformPhase(b.Name, "") {
 		case api.PhaseGone:
 			status.Gone = append(status.Gone, b.Name)
 		case api.PhaseLeaving:
@@ -317,8 +317,8 @@
 			if slices.Contains(before.Gone, e.Name) || slices.Contains(before.Leaving, e.Name) {
 				e.Status.Phase = api.PhaseUnknown
 			}
-			e.Status.Phase = o.listed(e.Name, e.Status.Phase)
-			e.Status.MachinePhase = o.listed(e.Name, api.PhaseUnknown)
+			e.Status.Phase = o.platformPhase(e.Name, e.Status.Phase)
+			e.Status.MachinePhase = o.platformPhase(e.Name, api.PhaseUnknown)
 			o.store(&e)
 		}
 	}
@@ -338,22 +338,22 @@
 	intents := intentsOf(o.objects, e)
 	drains := open.Assignment.Model == ""
 	mayDrain := e.Spec.Drain || e.Status.Phase == api.PhaseLeaving
-	mayLoad := !mayDrain && e.Status.Phase != api.PhaseGone && len(intents) > 0 && fits(intents[0], open.Assignment)
+	mayLoad := !mayDrain && e.Status.Phase != api.PhaseGone && len(intents) > 0 && satisfiesNaively(intents[0], open.Assignment)
 	if drains && !mayDrain || !drains && !mayLoad {
 		return OpenOrderResult{Code: OpenOrderNotAllowed}
 	}
-	away := 0
+	unavailable := 0
 	for _, other := range sortedEngines(o.objects) {
 		in := len(intents) > 0 && matchesNaively(intents[0].Spec.Engines, other.Labels)
-		here := other.Status.Phase == api.PhaseServing || other.Status.Phase == api.PhaseIdle
-		if in && (!here || other.Spec.Drain || other.Status.OpenOrder != nil) {
-			away++
+		available := other.Status.Phase == api.PhaseServing || other.Status.Phase == api.PhaseIdle
+		if in && (!available || other.Spec.Drain || other.Status.OpenOrder != nil) {
+			unavailable++
 		}
 	}
 	serves := e.Status.Phase == api.PhaseServing && !e.Spec.Drain
-	unheard := e.Status.Phase == api.PhaseUnknown && !e.Spec.Drain
-	if unheard || serves && away >= max(intents[0].Spec.MaxUnavailable, 1) {
-		return OpenOrderResult{Code: OpenOrderBudget}
+	unreported := e.Status.Phase == api.PhaseUnknown && !e.Spec.Drain
+	if unreported || serves && unavailable >= max(intents[0].Spec.MaxUnavailable, 1) {
+		return OpenOrderResult{Code: OpenOrderBudgetExhausted}
 	}
 	order := api.Order{
 		Fence: api.Fence{Term: o.term, Index: o.index}, Engine: e.Name,
@@ -373,12 +373,12 @@
 	same := r.Incarnation == order.Incarnation
 	settled := r.Phase != api.PhaseDraining && r.Phase != api.PhaseChanging
 	later := order.Fence.Less(r.Fence)
-	proved := map[CloseReason]bool{
+	proven := map[CloseReason]bool{
 		CloseDone:             same && settled && (later || r.Fence == order.Fence) && r.Assignment.Equal(order.Assignment),
 		CloseVoid:             same && settled && later,
 		CloseOtherIncarnation: !same,
 	}
-	return CloseOrderResult{Closed: proved[c.Reason] && o.report(r, true)}
+	return CloseOrderResult{Closed: proven[c.Reason] && o.report(r, true)}
 }
 
 // report commits a report and returns true, unless the engine is unknown or the report
@@ -393,22 +393,22 @@
 		return false
 	}
 	if s.Incarnation != r.Incarnation {
-		known := s.Fence
-		if s.OpenOrder != nil && known.Less(s.OpenOrder.Fence) {
-			known = s.OpenOrder.Fence
+		highest := s.Fence
+		if s.OpenOrder != nil && highest.Less(s.OpenOrder.Fence) {
+			highest = s.OpenOrder.Fence
 		}
-		i := slices.Index(o.retired[r.Engine], r.Incarnation)
-		if i >= 0 && !known.Less(r.Fence) {
+		i := slices.Index(o.earlierIncarnations[r.Engine], r.Incarnation)
+		if i >= 0 && !highest.Less(r.Fence) {
 			return false
 		}
 		if i >= 0 {
-			o.retired[r.Engine] = slices.Delete(o.retired[r.Engine], i, i+1)
+			o.earlierIncarnations[r.Engine] = slices.Delete(o.earlierIncarnations[r.Engine], i, i+1)
 		}
 		if s.Incarnation != 0 {
-			o.retired[r.Engine] = append(o.retired[r.Engine], s.Incarnation)
+			o.earlierIncarnations[r.Engine] = append(o.earlierIncarnations[r.Engine], s.Incarnation)
 		}
 	}
-	s.Phase = o.listed(r.Engine, r.Phase)
+	s.Phase = o.platformPhase(r.Engine, r.Phase)
 	s.Incarnation, s.Assignment, s.Fence = r.Incarnation, r.Assignment, r.Fence
 	if closes {
 		s.OpenOrder = nil
@@ -419,8 +419,8 @@
 
 func (o *oracle) claim(r ClaimRequest) api.ClaimResult {
 	key := r.Tenant + "/" + r.Key
-	kept, ok := o.claims[key]
-	if !ok || kept.expires <= o.clock || kept.claim.Outcome == api.RunNotRun && kept.nonce != r.Nonce {
+	stored, ok := o.claims[key]
+	if !ok || stored.expires <= o.clock || stored.claim.Outcome == api.RunNotRun && stored.nonce != r.Nonce {
 		claim := api.Claim{
 			Tenant: r.Tenant, Key: r.Key, BodyHash: r.BodyHash, Attempt: r.Attempt, Proxy: r.Proxy,
 			Outcome: api.RunUnknown, GrantedAt: o.clock, Revision: o.index,
@@ -428,7 +428,7 @@
 		o.claims[key] = oracleClaim{claim, r.Nonce, o.clock + r.Retention}
 		return api.ClaimResult{Code: api.ClaimGranted, Claim: claim}
 	}
-	claim := kept.claim
+	claim := stored.claim
 	if claim.Outcome == api.RunNotRun {
 		return api.ClaimResult{Code: api.ClaimDone, Claim: claim}
 	}
@@ -439,7 +439,7 @@
 	if claim.Outcome != api.RunUnknown {
 		return api.ClaimResult{Code: api.ClaimDone, Claim: claim}
 	}
-	if kept.nonce == r.Nonce && claim.Attempt == r.Attempt && claim.Proxy == r.Proxy {
+	if stored.nonce == r.Nonce && claim.Attempt == r.Attempt && claim.Proxy == r.Proxy {
 		return api.ClaimResult{Code: api.ClaimGranted, Claim: claim}
 	}
 	return api.ClaimResult{Code: api.ClaimRunning, Claim: claim}
@@ -447,15 +447,15 @@
 
 func (o *oracle) outcome(r RunOutcome) {
 	key := r.Tenant + "/" + r.Key
-	kept, ok := o.claims[key]
-	ok = ok && o.clock < kept.expires
-	if r.Outcome == api.RunNotRun && (!ok || kept.claim.Outcome == api.RunNotRun) {
+	stored, ok := o.claims[key]
+	ok = ok && o.clock < stored.expires
+	if r.Outcome == api.RunNotRun && (!ok || stored.claim.Outcome == api.RunNotRun) {
 		claim := api.Claim{Tenant: r.Tenant, Key: r.Key, Outcome: api.RunNotRun, GrantedAt: o.clock, Revision: o.index}
-		o.claims[key] = oracleClaim{claim, r.Nonce, o.clock + lateClaimRetention}
+		o.claims[key] = oracleClaim{claim, r.Nonce, o.clock + abandonedClaimRetention}
 		return
 	}
-	if ok && kept.nonce == r.Nonce && kept.claim.Outcome == api.RunUnknown {
-		kept.claim.Outcome, kept.claim.Answer = r.Outcome, r.Answer
-		o.claims[key] = kept
+	if ok && stored.nonce == r.Nonce && stored.claim.Outcome == api.RunUnknown {
+		stored.claim.Outcome, stored.claim.Answer = r.Outcome, r.Answer
+		o.claims[key] = stored
 	}
 }
--- a/version/state/orders.go
+++ b/version/state/orders.go
@@ -11,7 +11,7 @@
 	defaultMaxUnavailable = 1
 	// maxEarlierIncarnations is the maximum number of earlier incarnations that are
 	// stored per engine.
-	incarnationLimit = 8
+	maxEarlierIncarnations = 8
 )
 
 // openOrder commits an order. An order with the zero assignment drains and unloads
@@ -27,10 +27,10 @@
 		return OpenOrderResult{Code: OpenOrderAlreadyOpen, Order: *engine.Status.OpenOrder}
 	case open.Incarnation == 0 || open.Incarnation != engine.Status.Incarnation:
 		return OpenOrderResult{Code: OpenOrderOtherIncarnation}
-	case !m.allowed(engine, open.Assignment):
+	case !m.isAllowed(engine, open.Assignment):
 		return OpenOrderResult{Code: OpenOrderNotAllowed}
 	case !m.withinBudget(engine):
-		return OpenOrderResult{Code: OpenOrderBudget}
+		return OpenOrderResult{Code: OpenOrderBudgetExhausted}
 	}
 	order := api.Order{
 		Fence:       m.fence(),
@@ -46,7 +46,7 @@
 }
 
 // isAllowed reports whether an order may give the engine the assignment.
-func (m *Machine) allowed(engine *api.Engine, assignment api.Assignment) bool {
+func (m *Machine) isAllowed(engine *api.Engine, assignment api.Assignment) bool {
 	leaving := engine.Status.Phase == api.PhaseLeaving
 	if engine.Spec.Drain || leaving {
 		return assignment.Equal(api.Assignment{})
@@ -90,17 +90,17 @@
 	if budget == 0 {
 		budget = defaultMaxUnavailable
 	}
-	away := 0
+	unavailable := 0
 	for name := range m.selection.engines[intent.Name] {
-		if unavailable(m.engines.items[name]) {
-			away++
+		if isUnavailable(m.engines.items[name]) {
+			unavailable++
 		}
 	}
-	return away < budget
+	return unavailable < budget
 }
 
 // isUnavailable reports whether an engine counts against the disruption budget.
-func unavailable(engine *api.Engine) bool {
+func isUnavailable(engine *api.Engine) bool {
 	if engine.Status.OpenOrder != nil || engine.Spec.Drain {
 		return true
 	}
@@ -126,10 +126,10 @@
 	if !hasOpenOrder(engine, closing.Fence) || closing.Report.Engine != closing.Engine {
 		return CloseOrderResult{}
 	}
-	if m.outdated(engine, &closing.Report) || !bearsOut(engine.Status.OpenOrder, closing.Reason, &closing.Report) {
+	if m.isStale(engine, &closing.Report) || !supportsReason(engine.Status.OpenOrder, closing.Reason, &closing.Report) {
 		return CloseOrderResult{}
 	}
-	status := m.reported(engine, &closing.Report)
+	status := m.applyReport(engine, &closing.Report)
 	status.OpenOrder = nil
 	m.updateEngine(engine, status)
 	return CloseOrderResult{Closed: true}
@@ -142,15 +142,15 @@
 // supportsReason reports whether the engine's report proves the reason for closing the
 // order, so that the order can no longer take effect. An engine that is still
 // draining or changing may be executing the order, whatever fence it has confirmed.
-func bearsOut(order *api.Order, reason CloseReason, report *EngineReport) bool {
+func supportsReason(order *api.Order, reason CloseReason, report *EngineReport) bool {
 	sameIncarnation := report.Incarnation == order.Incarnation
-	busy := report.Phase == api.PhaseDraining || report.Phase == api.PhaseChanging
+	inTransition := report.Phase == api.PhaseDraining || report.Phase == api.PhaseChanging
 	switch reason {
 	case CloseDone:
-		reached := !report.Fence.Less(order.Fence)
-		return sameIncarnation && reached && !busy && report.Assignment.Equal(order.Assignment)
+		confirmed := !report.Fence.Less(order.Fence)
+		return sameIncarnation && confirmed && !inTransition && report.Assignment.Equal(order.Assignment)
 	case CloseVoid:
-		return sameIncarnation && order.Fence.Less(report.Fence) && !busy
+		return sameIncarnation && order.Fence.Less(report.Fence) && !inTransition
 	case CloseOtherIncarnation:
 		return !sameIncarnation && report.Incarnation != 0
 	}
@@ -161,17 +161,17 @@
 // open order: only CloseOrder does, so that each order is closed explicitly.
 func (m *Machine) reportEngine(report *EngineReport) {
 	engine := m.engines.items[report.Engine]
-	if engine == nil || m.outdated(engine, report) {
+	if engine == nil || m.isStale(engine, report) {
 		return
 	}
-	m.updateEngine(engine, m.reported(engine, report))
+	m.updateEngine(engine, m.applyReport(engine, report))
 }
 
 // isStale reports whether a report is older than the committed status: it has a lower
 // fence in the same incarnation, or comes from an earlier incarnation. An
 // incarnation that was mistaken for an earlier one proves that it is current by
 // confirming a fence greater than all known fences of the engine.
-func (m *Machine) outdated(engine *api.Engine, report *EngineReport) bool {
+func (m *Machine) isStale(engine *api.Engine, report *EngineReport) bool {
 	if report.Incarnation == 0 {
 		return true
 	}
@@ -192,7 +192,7 @@
 
 // applyReport returns the status of the engine after a report. If the report comes from
 // another incarnation, the previous one is stored as an earlier incarnation.
-func (m *Machine) reported(engine *api.Engine, report *EngineReport) api.EngineStatus {
+func (m *Machine) applyReport(engine *api.Engine, report *EngineReport) api.EngineStatus {
 	status := engine.Status
 	if status.Incarnation != report.Incarnation {
 		m.retireIncarnation(engine.Name, status.Incarnation, report.Incarnation)
@@ -200,14 +200,14 @@
 	status.Incarnation = report.Incarnation
 	status.Assignment = report.Assignment
 	status.Fence = report.Fence
-	status.Phase = m.platform.phase(engine.Name, ownPhase(report))
+	status.Phase = m.platform.phase(engine.Name, reportedPhase(report))
 	return status
 }
 
 // reportedPhase returns the phase in an engine's report. The latest report replaces an
 // earlier leaving phase: a machine may be kept after all, and an engine that
 // stayed in the leaving phase forever would use up the disruption budget.
-func ownPhase(report *EngineReport) api.EnginePhase {
+func reportedPhase(report *EngineReport) api.EnginePhase {
 	switch report.Phase {
 	case api.PhaseIdle, api.PhaseServing, api.PhaseDraining, api.PhaseChanging, api.PhaseLeaving:
 		return report.Phase
@@ -220,7 +220,7 @@
 	if old != 0 {
 		earlier = append(earlier, old)
 	}
-	if len(earlier) > incarnationLimit {
+	if len(earlier) > maxEarlierIncarnations {
 		earlier = earlier[1:]
 	}
 	if len(earlier) > 0 {
@@ -244,7 +244,7 @@
 // platform lists takes precedence over the phase that the engine reports.
 func ReportChanges(engine *api.Engine, report EngineReport) bool {
 	status := engine.Status
-	phaseChanges := status.MachinePhase == api.PhaseUnknown && status.Phase != ownPhase(&report)
+	phaseChanges := status.MachinePhase == api.PhaseUnknown && status.Phase != reportedPhase(&report)
 	return phaseChanges ||
 		status.Incarnation != report.Incarnation ||
 		status.Fence != report.Fence ||
--- a/version/state/plan.go
+++ b/version/state/plan.go
@@ -16,23 +16,23 @@
 // plan is a transaction that was checked against the machine but not yet applied.
 // Creating a plan does not change the machine.
 type plan struct {
-	machine     *Machine
-	transaction *api.Transaction
-	keys        []api.Key // of the writes, in order
-	intents     map[string]*api.Intent
-	engines     map[string]*api.Engine // written engines; nil if deleted, as in intents
-	selected    map[string][]string    // names of the selecting intents, by engine, after the writes
-	result      api.TransactionResult
+	machine         *Machine
+	transaction     *api.Transaction
+	keys            []api.Key // of the writes, in order
+	intents         map[string]*api.Intent
+	engines         map[string]*api.Engine // written engines; nil if deleted, as in intents
+	intentsByEngine map[string][]string    // names of the selecting intents, by engine, after the writes
+	result          api.TransactionResult
 }
 
 // newPlan checks a transaction. The result of the transaction is in plan.result.
 func (m *Machine) newPlan(transaction *api.Transaction, limits TransactionLimits) *plan {
 	p := &plan{
-		machine:     m,
-		transaction: transaction,
-		intents:     map[string]*api.Intent{},
-		engines:     map[string]*api.Engine{},
-		selected:    map[string][]string{},
+		machine:         m,
+		transaction:     transaction,
+		intents:         map[string]*api.Intent{},
+		engines:         map[string]*api.Engine{},
+		intentsByEngine: map[string][]string{},
 	}
 	p.result = p.check(limits)
 	return p
@@ -45,15 +45,15 @@
 	if conflicts := p.revisionConflicts(); len(conflicts) > 0 {
 		return api.TransactionResult{Code: api.OutcomeRevisionConflict, Conflicts: conflicts}
 	}
-	if faults := p.orderFaults(); len(faults) > 0 {
+	if faults := p.openOrderFaults(); len(faults) > 0 {
 		return api.TransactionResult{Code: api.OutcomeInvalid, Faults: faults}
 	}
 	p.stage()
 	if conflicts := p.intentConflicts(); len(conflicts) > 0 {
 		return api.TransactionResult{Code: api.OutcomeIntentConflict, Conflicts: conflicts}
 	}
-	affected, moved := p.affectedEngines()
-	if limits.MaxAffectedEngines > 0 && moved > limits.MaxAffectedEngines && !p.transaction.AllowBroad {
+	affected, reassigned := p.affectedEngines()
+	if limits.MaxAffectedEngines > 0 && reassigned > limits.MaxAffectedEngines && !p.transaction.AllowBroad {
 		return api.TransactionResult{Code: api.OutcomeTooBroad, AffectedEngines: affected}
 	}
 	accepted := api.TransactionResult{Code: api.OutcomeAccepted, AffectedEngines: affected}
@@ -125,7 +125,7 @@
 // still execute the order after its record was deleted. An engine whose machine the
 // platform lists as gone may be deleted: the process that the order is bound to
 // ended with its machine, and no report that closes the order can arrive.
-func (p *plan) orderFaults() []api.FieldFault {
+func (p *plan) openOrderFaults() []api.FieldFault {
 	var faults []api.FieldFault
 	for i, write := range p.transaction.Writes {
 		if !write.Delete || write.Object.Engine == nil {
@@ -146,7 +146,7 @@
 		p.stageWrite(p.keys[i].Name, write)
 	}
 	for name, engine := range p.engines {
-		p.selected[name] = p.selectingIntents(engine)
+		p.intentsByEngine[name] = p.selectingIntents(engine)
 	}
 	for name, intent := range p.intents {
 		p.stageIntent(name, intent)
@@ -186,38 +186,38 @@
 	before := p.machine.selection.engines[intentName]
 	if intent == nil {
 		for name := range before {
-			p.stageSelected(name, intentName, false)
+			p.stageSelection(name, intentName, false)
 		}
 		return
 	}
 	stored := p.machine.intents.items[intentName]
 	if stored != nil && reflect.DeepEqual(stored.Spec.Engines, intent.Spec.Engines) {
 		for name := range before {
-			p.stageSelected(name, intentName, true)
+			p.stageSelection(name, intentName, true)
 		}
 		return
 	}
 	for name, engine := range p.machine.engines.items {
 		selects := selector.Matches(intent.Spec.Engines, engine.Labels)
 		if _, selected := before[name]; selects || selected {
-			p.stageSelected(name, intentName, selects)
+			p.stageSelection(name, intentName, selects)
 		}
 	}
 }
 
-func (p *plan) stageSelected(engine, intent string, selects bool) {
+func (p *plan) stageSelection(engine, intent string, selects bool) {
 	if _, written := p.engines[engine]; written {
 		return
 	}
-	names, staged := p.selected[engine]
+	names, staged := p.intentsByEngine[engine]
 	if !staged {
 		names = p.machine.selection.intents[engine]
 	}
-	p.selected[engine] = withName(names, intent, selects)
+	p.intentsByEngine[engine] = withName(names, intent, selects)
 }
 
 // intent returns the spec of an intent after the writes.
-func (p *plan) intent(name string) *api.IntentSpec {
+func (p *plan) intentSpec(name string) *api.IntentSpec {
 	if intent, written := p.intents[name]; written {
 		return &intent.Spec
 	}
@@ -228,10 +228,10 @@
 // desired states.
 func (p *plan) intentConflicts() []api.Conflict {
 	var conflicts []api.Conflict
-	for _, engine := range slices.Sorted(maps.Keys(p.selected)) {
-		names := p.selected[engine]
+	for _, engine := range slices.Sorted(maps.Keys(p.intentsByEngine)) {
+		names := p.intentsByEngine[engine]
 		for i := 1; i < len(names); i++ {
-			if wantSame(p.intent(names[0]), p.intent(names[i])) {
+			if sameDesired(p.intentSpec(names[0]), p.intentSpec(names[i])) {
 				continue
 			}
 			conflicts = append(conflicts, api.Conflict{
@@ -249,30 +249,30 @@
 
 // affectedEngines returns the engines whose desired state changes with the writes,
 // and how many of them already had a desired state or an assignment.
-func (p *plan) affectedEngines() (names []string, moved int) {
-	for _, name := range slices.Sorted(maps.Keys(p.selected)) {
-		after := p.selected[name]
+func (p *plan) affectedEngines() (names []string, reassigned int) {
+	for _, name := range slices.Sorted(maps.Keys(p.intentsByEngine)) {
+		after := p.intentsByEngine[name]
 		if len(after) == 0 {
 			continue // an engine that no intent selects keeps its assignment
 		}
-		same, blank := p.compareWanted(name, p.intent(after[0]))
+		same, unassigned := p.compareDesired(name, p.intentSpec(after[0]))
 		if same {
 			continue
 		}
 		names = append(names, name)
-		if !blank {
-			moved++
+		if !unassigned {
+			reassigned++
 		}
 	}
-	return names, moved
+	return names, reassigned
 }
 
 // compareDesired reports whether the desired state of the engine before the writes
 // already matched the spec, and whether the engine had none. For an engine that no
 // intent selected, the assignment last ordered or reported is used instead.
-func (p *plan) compareWanted(name string, after *api.IntentSpec) (same, blank bool) {
+func (p *plan) compareDesired(name string, after *api.IntentSpec) (same, unassigned bool) {
 	if before := p.machine.WantedIntent(name); before != nil {
-		return wantSame(&before.Spec, after), false
+		return sameDesired(&before.Spec, after), false
 	}
 	engine := p.machine.engines.items[name]
 	if engine == nil {
--- a/version/state/read.go
+++ b/version/state/read.go
@@ -21,8 +21,8 @@
 // View returns an immutable view of the objects. It is cheap: a map is copied only
 // when a later command changes an object of its kind.
 func (m *Machine) View() *view.View {
-	if m.current == nil {
-		m.current = &view.View{
+	if m.cachedView == nil {
+		m.cachedView = &view.View{
 			Version:   m.version,
 			Intents:   m.intents.share(),
 			Engines:   m.engines.share(),
@@ -40,7 +40,7 @@
 			Suspects:     m.suspects.share(),
 		}
 	}
-	return m.current
+	return m.cachedView
 }
 
 // History returns the view and the changes that are kept for deltas. Other
@@ -60,14 +60,14 @@
 }
 
 // Object returns the stored object with the key. It must not be modified.
-func (m *Machine) Object(key api.Key) (api.Object, bool) { return m.peek().Object(key) }
+func (m *Machine) Object(key api.Key) (api.Object, bool) { return m.unsharedView().Object(key) }
 
 // List returns the objects of a kind, sorted by name.
-func (m *Machine) List(kind api.Kind) []api.Object { return m.peek().List(kind) }
+func (m *Machine) List(kind api.Kind) []api.Object { return m.unsharedView().List(kind) }
 
 // unsharedView returns a view that is valid only until the next command, because its
 // maps are not marked as shared.
-func (m *Machine) peek() *view.View {
+func (m *Machine) unsharedView() *view.View {
 	return &view.View{
 		Intents:   m.intents.items,
 		Engines:   m.engines.items,
--- a/version/state/retained.go
+++ b/version/state/retained.go
@@ -14,7 +14,7 @@
 	// command adds at most one entry, so removal keeps up.
 	expireBatch = 16
 
-	retainedShards = 256
+	shardCount = 256
 )
 
 // shardSeed seeds the hash that assigns keys to shards. It does not affect any result
@@ -30,7 +30,7 @@
 
 // queuedKey refers to the entry that a command added. It is stale if the current entry
 // of the key has another revision.
-type queued[K comparable] struct {
+type queuedKey[K comparable] struct {
 	key      K
 	revision uint64
 }
@@ -41,17 +41,17 @@
 //
 // The maps are copied on the first write after freeze. The queue is only appended
 // to and cut at its head. A frozen copy therefore does not copy any entries.
-type retained[K comparable, V any] struct {
-	shards [retainedShards]retainedShard[K, V]
-	queue  []queued[K]
+type expiringMap[K comparable, V any] struct {
+	shards [shardCount]expiringShard[K, V]
+	queue  []queuedKey[K]
 }
 
-type retainedShard[K comparable, V any] struct {
+type expiringShard[K comparable, V any] struct {
 	items  map[K]*entry[V]
 	shared bool // a frozen copy uses items
 }
 
-func (r *retained[K, V]) get(key K, clock int64) *entry[V] {
+func (r *expiringMap[K, V]) get(key K, clock int64) *entry[V] {
 	e := r.shard(key).items[key]
 	if e == nil || e.expires <= clock {
 		return nil
@@ -60,26 +60,26 @@
 }
 
 // add stores a new entry and replaces any existing entry of the key.
-func (r *retained[K, V]) add(key K, e *entry[V]) {
+func (r *expiringMap[K, V]) add(key K, e *entry[V]) {
 	r.put(key, e)
-	r.queue = append(r.queue, queued[K]{key: key, revision: e.revision})
+	r.queue = append(r.queue, queuedKey[K]{key: key, revision: e.revision})
 }
 
 // update replaces the value of a key and keeps its revision and expiry.
-func (r *retained[K, V]) update(key K, value V) {
+func (r *expiringMap[K, V]) update(key K, value V) {
 	old := r.shard(key).items[key]
 	r.put(key, &entry[V]{revision: old.revision, expires: old.expires, value: value})
 }
 
 // expire removes a bounded number of expired entries and stale references.
-func (r *retained[K, V]) expire(clock int64) {
+func (r *expiringMap[K, V]) expire(clock int64) {
 	for range expireBatch {
 		if len(r.queue) == 0 {
 			r.queue = nil
 			return
 		}
 		head := r.queue[0]
-		e := r.live(head)
+		e := r.lookup(head)
 		if e != nil && e.expires > clock {
 			return
 		}
@@ -92,7 +92,7 @@
 
 // lookup returns the entry that the reference was created for, or nil if it was
 // replaced or removed.
-func (r *retained[K, V]) live(q queued[K]) *entry[V] {
+func (r *expiringMap[K, V]) lookup(q queuedKey[K]) *entry[V] {
 	e := r.shard(q.key).items[q.key]
 	if e == nil || e.revision != q.revision {
 		return nil
@@ -101,7 +101,7 @@
 }
 
 // freeze returns an immutable copy.
-func (r *retained[K, V]) freeze() *retained[K, V] {
+func (r *expiringMap[K, V]) freeze() *expiringMap[K, V] {
 	for i := range r.shards {
 		r.shards[i].shared = true
 	}
@@ -110,24 +110,24 @@
 	return &frozen
 }
 
-func (r *retained[K, V]) put(key K, e *entry[V]) {
+func (r *expiringMap[K, V]) put(key K, e *entry[V]) {
 	shard := r.shard(key)
-	shard.own()
+	shard.ensureWritable()
 	shard.items[key] = e
 }
 
-func (r *retained[K, V]) remove(key K) {
+func (r *expiringMap[K, V]) remove(key K) {
 	shard := r.shard(key)
-	shard.own()
+	shard.ensureWritable()
 	delete(shard.items, key)
 }
 
-func (r *retained[K, V]) shard(key K) *retainedShard[K, V] {
-	return &r.shards[maphash.Comparable(shardSeed, key)%retainedShards]
+func (r *expiringMap[K, V]) shard(key K) *expiringShard[K, V] {
+	return &r.shards[maphash.Comparable(shardSeed, key)%shardCount]
 }
 
 // ensureWritable allocates the map, or copies it if a frozen copy uses it.
-func (s *retainedShard[K, V]) own() {
+func (s *expiringShard[K, V]) ensureWritable() {
 	switch {
 	case s.items == nil:
 		s.items = map[K]*entry[V]{}
--- a/version/state/rules_test.go
+++ b/version/state/rules_test.go
@@ -10,11 +10,11 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-var serving = api.Assignment{Model: "storm", Version: "v1", Role: api.RoleMixed}
+var servingAssignment = api.Assignment{Model: "storm", Version: "v1", Role: api.RoleMixed}
 
 // newFleet returns a harness with n engines that serve one intent.
-func newFleet(t *testing.T, n, maxUnavailable int) *cluster {
-	c := newCluster(t)
+func newFleet(t *testing.T, n, maxUnavailable int) *harness {
+	c := newHarness(t)
 	pool := api.Labels{"pool": "a"}
 	intent := testIntent("i1", "storm", pool)
 	intent.Spec.MaxUnavailable = maxUnavailable
@@ -29,13 +29,13 @@
 	return c
 }
 
-func (c *cluster) report(engine string, phase api.EnginePhase, fence api.Fence) {
+func (c *harness) report(engine string, phase api.EnginePhase, fence api.Fence) {
 	c.t.Helper()
-	report := EngineReport{Engine: engine, Incarnation: 7, Phase: phase, Assignment: serving, Fence: fence}
+	report := EngineReport{Engine: engine, Incarnation: 7, Phase: phase, Assignment: servingAssignment, Fence: fence}
 	c.apply(Command{Kind: CommandReportEngine, EngineReport: &report})
 }
 
-func (c *cluster) open(engine string) OpenOrderResult {
+func (c *harness) openPrefillOrder(engine string) OpenOrderResult {
 	c.t.Helper()
 	prefill := api.Assignment{Model: "storm", Version: "v1", Role: api.RolePrefill}
 	open := OpenOrder{Engine: engine, Incarnation: 7, Assignment: prefill}
@@ -44,7 +44,7 @@
 
 // relabel writes the engines with other labels in one transaction that may affect at
 // most one engine.
-func (c *cluster) relabel(id string, engines []string, labels api.Labels) api.TransactionResult {
+func (c *harness) relabel(id string, engines []string, labels api.Labels) api.TransactionResult {
 	c.t.Helper()
 	var writes []api.Write
 	for _, name := range engines {
@@ -55,22 +55,22 @@
 	return c.transactLimited(TransactionLimits{MaxAffectedEngines: 1}, api.Transaction{OperationID: id, Writes: writes})
 }
 
-func (c *cluster) restart() {
+func (c *harness) restart() {
 	c.t.Helper()
 	restored := New()
 	must.NoError(c.t, restored.Restore(c.machine.Freeze().Encode()))
 	c.machine = restored
 }
 
-func TestOperationAnswers(t *testing.T) {
-	c := newCluster(t)
+func TestOperationResultIsStored(t *testing.T) {
+	c := newHarness(t)
 	write := func(name string) api.Transaction {
 		return api.Transaction{OperationID: "op", Writes: []api.Write{put(testEngine(name, nil))}}
 	}
 	limits := TransactionLimits{OperationRetention: 1000}
-	dry := write("e1")
-	dry.DryRun = true
-	must.Eq(t, api.TransactionResult{Code: api.OutcomeAccepted}, c.transactLimited(limits, dry))
+	dryRun := write("e1")
+	dryRun.DryRun = true
+	must.Eq(t, api.TransactionResult{Code: api.OutcomeAccepted}, c.transactLimited(limits, dryRun))
 	must.SliceEmpty(t, c.machine.List(api.KindEngine))
 	first := c.transactLimited(limits, write("e1"))
 	must.Eq(t, api.TransactionResult{Code: api.OutcomeAccepted, Revision: 2}, first)
@@ -84,22 +84,22 @@
 	refused := c.transactLimited(limits, api.Transaction{OperationID: "op-2", Writes: write("e1").Writes})
 	must.Eq(t, api.OutcomeRevisionConflict, refused.Code)
 	must.Eq(t, uint64(2), refused.Conflicts[0].Current.Engine.Revision)
-	gone := testEngine("e1", nil)
-	gone.Revision = 2
-	must.Eq(t, api.OutcomeAccepted, c.transact("delete", api.Write{Object: api.Object{Engine: gone}, Delete: true}).Code)
+	deleted := testEngine("e1", nil)
+	deleted.Revision = 2
+	must.Eq(t, api.OutcomeAccepted, c.transact("delete", api.Write{Object: api.Object{Engine: deleted}, Delete: true}).Code)
 	c.restart()
-	again := c.transactLimited(limits, api.Transaction{OperationID: "op-2", Writes: write("e1").Writes})
-	must.Eq(t, refused, again, must.Sprint("a rejection must stay one after the conflicting object was deleted"))
+	resent := c.transactLimited(limits, api.Transaction{OperationID: "op-2", Writes: write("e1").Writes})
+	must.Eq(t, refused, resent, must.Sprint("a rejection must stay one after the conflicting object was deleted"))
 
 	c.clock = 1000
 	must.Eq(t, api.OutcomeAccepted, c.transactLimited(limits, write("e3")).Code, must.Sprint("the ID can be used again after the retention"))
 }
 
-func TestInvalidTransactionNamesEveryFault(t *testing.T) {
-	c := newCluster(t)
-	bad := testEngine("E1", nil)
-	bad.Spec.Address = "localhost:80"
-	result := c.transact("op", put(bad), put(testEngine("e2", nil)), put(testEngine("e2", nil)), api.Write{},
+func TestInvalidTransactionListsAllFaults(t *testing.T) {
+	c := newHarness(t)
+	invalid := testEngine("E1", nil)
+	invalid.Spec.Address = "localhost:80"
+	result := c.transact("op", put(invalid), put(testEngine("e2", nil)), put(testEngine("e2", nil)), api.Write{},
 		api.Write{Delete: true, Object: api.Object{Engine: testEngine("e3", nil)}})
 	var fields []string
 	for _, fault := range result.Faults {
@@ -112,7 +112,7 @@
 	must.Eq(t, "writes", c.transact("none").Faults[0].Field)
 }
 
-func TestStatusMovesViewButNotRevision(t *testing.T) {
+func TestStatusAdvancesVersionButNotRevision(t *testing.T) {
 	c := newFleet(t, 1, 0)
 	revision, version := c.engine("e0").Revision, c.machine.Version()
 	c.report("e0", api.PhaseDraining, api.Fence{})
@@ -133,23 +133,23 @@
 	must.Eq(t, want, result.Conflicts)
 }
 
-func TestLabelsMovedInTwoStepsAreBounded(t *testing.T) {
+func TestRelabelingInTwoStepsIsBounded(t *testing.T) {
 	c := newFleet(t, 2, 0)
 	names := []string{"e0", "e1"}
 	must.Eq(t, api.OutcomeAccepted, c.transact("i2", put(testIntent("i2", "squall", api.Labels{"pool": "b"}))).Code)
 	must.SliceEmpty(t, c.relabel("step-1", names, nil).AffectedEngines)
 	must.Positive(t, c.engine("e0").Status.UnmatchedSince)
-	must.Eq(t, serving, c.engine("e0").Status.Assignment)
-	must.Eq(t, OpenOrderNotAllowed, c.open("e0").Code, must.Sprint("no intent selects the engine"))
-	broad := c.relabel("step-2", names, api.Labels{"pool": "b"})
-	must.Eq(t, api.TransactionResult{Code: api.OutcomeTooBroad, AffectedEngines: names}, broad)
+	must.Eq(t, servingAssignment, c.engine("e0").Status.Assignment)
+	must.Eq(t, OpenOrderNotAllowed, c.openPrefillOrder("e0").Code, must.Sprint("no intent selects the engine"))
+	tooBroad := c.relabel("step-2", names, api.Labels{"pool": "b"})
+	must.Eq(t, api.TransactionResult{Code: api.OutcomeTooBroad, AffectedEngines: names}, tooBroad)
 	must.SliceEmpty(t, c.relabel("back", names, api.Labels{"pool": "a"}).AffectedEngines)
 	must.Zero(t, c.engine("e0").Status.UnmatchedSince)
 }
 
 func TestDeleteEngineWithOpenOrder(t *testing.T) {
 	c := newFleet(t, 1, 0)
-	must.Eq(t, OpenOrderOpened, c.open("e0").Code)
+	must.Eq(t, OpenOrderOpened, c.openPrefillOrder("e0").Code)
 	remove := api.Write{Delete: true, Object: api.Object{Engine: c.engine("e0")}}
 	must.Eq(t, "writes[0].delete", c.transact("op-1", remove).Faults[0].Field)
 	c.apply(Command{Kind: CommandMachines, Machines: &Machines{Gone: []string{"e0"}}})
@@ -165,15 +165,15 @@
 		want   OpenOrderCode
 	}{
 		{"all available", 0, []api.EnginePhase{api.PhaseServing, api.PhaseIdle}, api.PhaseServing, OpenOrderOpened},
-		{"one draining", 0, []api.EnginePhase{api.PhaseDraining, api.PhaseServing}, api.PhaseServing, OpenOrderBudget},
-		{"one changing", 1, []api.EnginePhase{api.PhaseChanging, api.PhaseServing}, api.PhaseServing, OpenOrderBudget},
-		{"one leaving", 1, []api.EnginePhase{api.PhaseLeaving, api.PhaseServing}, api.PhaseServing, OpenOrderBudget},
-		{"one unknown", 1, []api.EnginePhase{"", api.PhaseServing}, api.PhaseServing, OpenOrderBudget},
+		{"one draining", 0, []api.EnginePhase{api.PhaseDraining, api.PhaseServing}, api.PhaseServing, OpenOrderBudgetExhausted},
+		{"one changing", 1, []api.EnginePhase{api.PhaseChanging, api.PhaseServing}, api.PhaseServing, OpenOrderBudgetExhausted},
+		{"one leaving", 1, []api.EnginePhase{api.PhaseLeaving, api.PhaseServing}, api.PhaseServing, OpenOrderBudgetExhausted},
+		{"one unknown", 1, []api.EnginePhase{"", api.PhaseServing}, api.PhaseServing, OpenOrderBudgetExhausted},
 		{"one of two", 2, []api.EnginePhase{api.PhaseLeaving, api.PhaseServing}, api.PhaseServing, OpenOrderOpened},
-		{"two of two", 2, []api.EnginePhase{api.PhaseLeaving, api.PhaseChanging}, api.PhaseServing, OpenOrderBudget},
+		{"two of two", 2, []api.EnginePhase{api.PhaseLeaving, api.PhaseChanging}, api.PhaseServing, OpenOrderBudgetExhausted},
 		{"idle engine", 1, []api.EnginePhase{api.PhaseLeaving, api.PhaseChanging}, api.PhaseIdle, OpenOrderOpened},
 		{"engine already unavailable", 1, []api.EnginePhase{api.PhaseLeaving, api.PhaseServing}, api.PhaseDraining, OpenOrderOpened},
-		{"engine without a report", 1, []api.EnginePhase{api.PhaseServing, api.PhaseServing}, "", OpenOrderBudget},
+		{"engine without a report", 1, []api.EnginePhase{api.PhaseServing, api.PhaseServing}, "", OpenOrderBudgetExhausted},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -181,13 +181,13 @@
 			c.report("e0", test.phase, api.Fence{})
 			c.report("e1", test.others[0], api.Fence{})
 			c.report("e2", test.others[1], api.Fence{})
-			must.Eq(t, test.want, c.open("e0").Code)
+			must.Eq(t, test.want, c.openPrefillOrder("e0").Code)
 		})
 	}
 	c := newFleet(t, 2, 0)
-	must.Eq(t, OpenOrderOpened, c.open("e0").Code)
-	must.Eq(t, OpenOrderAlreadyOpen, c.open("e0").Code)
-	must.Eq(t, OpenOrderBudget, c.open("e1").Code)
+	must.Eq(t, OpenOrderOpened, c.openPrefillOrder("e0").Code)
+	must.Eq(t, OpenOrderAlreadyOpen, c.openPrefillOrder("e0").Code)
+	must.Eq(t, OpenOrderBudgetExhausted, c.openPrefillOrder("e1").Code)
 }
 
 func TestDrainOrder(t *testing.T) {
@@ -197,8 +197,8 @@
 	engine := *c.engine("e0")
 	engine.Spec.Drain = true
 	must.Eq(t, api.OutcomeAccepted, c.transact("drain", put(&engine)).Code)
-	must.Eq(t, OpenOrderNotAllowed, c.open("e0").Code)
-	must.Eq(t, OpenOrderBudget, c.open("e1").Code, must.Sprint("a draining engine counts as unavailable"))
+	must.Eq(t, OpenOrderNotAllowed, c.openPrefillOrder("e0").Code)
+	must.Eq(t, OpenOrderBudgetExhausted, c.openPrefillOrder("e1").Code, must.Sprint("a draining engine counts as unavailable"))
 	must.Eq(t, OpenOrderOpened, c.apply(drain).(OpenOrderResult).Code)
 }
 
@@ -218,12 +218,12 @@
 		{"done at a higher fence", CloseDone, 7, api.PhaseServing, ordered, above, true},
 		{"done below the fence", CloseDone, 7, api.PhaseServing, ordered, api.Fence{Term: 1, Index: 1}, false},
 		{"done by another incarnation", CloseDone, 8, api.PhaseServing, ordered, api.Fence{}, false},
-		{"done with another assignment", CloseDone, 7, api.PhaseServing, serving, api.Fence{}, false},
+		{"done with another assignment", CloseDone, 7, api.PhaseServing, servingAssignment, api.Fence{}, false},
 		{"done while changing", CloseDone, 7, api.PhaseChanging, ordered, api.Fence{}, false},
-		{"void", CloseVoid, 7, api.PhaseServing, serving, above, true},
-		{"void at the order's fence", CloseVoid, 7, api.PhaseServing, serving, api.Fence{}, false},
-		{"void while changing", CloseVoid, 7, api.PhaseChanging, serving, above, false},
-		{"void by another incarnation", CloseVoid, 8, api.PhaseServing, serving, above, false},
+		{"void", CloseVoid, 7, api.PhaseServing, servingAssignment, above, true},
+		{"void at the order's fence", CloseVoid, 7, api.PhaseServing, servingAssignment, api.Fence{}, false},
+		{"void while changing", CloseVoid, 7, api.PhaseChanging, servingAssignment, above, false},
+		{"void by another incarnation", CloseVoid, 8, api.PhaseServing, servingAssignment, above, false},
 		{"other incarnation", CloseOtherIncarnation, 8, api.PhaseIdle, api.Assignment{}, above, true},
 		{"same incarnation", CloseOtherIncarnation, 7, api.PhaseIdle, api.Assignment{}, above, false},
 		{"no incarnation", CloseOtherIncarnation, 0, api.PhaseIdle, api.Assignment{}, above, false},
@@ -236,7 +236,7 @@
 			c := newFleet(t, 1, 0)
 			c.apply(Command{Kind: CommandReportEngine, EngineReport: &EngineReport{Engine: "e0", Incarnation: 6}})
 			c.report("e0", api.PhaseServing, api.Fence{Term: 1, Index: 3})
-			order := c.open("e0").Order
+			order := c.openPrefillOrder("e0").Order
 			must.Eq(t, api.Fence{Term: 1, Index: c.index}, order.Fence)
 			if test.fence.IsZero() {
 				test.fence = order.Fence
@@ -250,7 +250,7 @@
 	}
 }
 
-func TestMachinesList(t *testing.T) {
+func TestMachineListsSetPhases(t *testing.T) {
 	c := newFleet(t, 2, 0)
 	list := func(leaving, gone []string) {
 		c.apply(Command{Kind: CommandMachines, Machines: &Machines{Leaving: leaving, Gone: gone}})
@@ -270,13 +270,13 @@
 	list(nil, nil)
 	must.Eq(t, api.PhaseUnknown, c.engine("e0").Status.Phase)
 	must.Eq(t, api.PhaseLeaving, c.engine("e1").Status.Phase, must.Sprint("the phase reported by the engine stays in force"))
-	must.True(t, ReportChanges(c.engine("e0"), EngineReport{Incarnation: 7, Phase: api.PhaseServing, Assignment: serving}))
-	must.True(t, ReportChanges(c.engine("e1"), EngineReport{Incarnation: 7, Phase: api.PhaseServing, Assignment: serving}))
-	must.False(t, ReportChanges(c.engine("e1"), EngineReport{Incarnation: 7, Phase: api.PhaseLeaving, Assignment: serving}))
+	must.True(t, ReportChanges(c.engine("e0"), EngineReport{Incarnation: 7, Phase: api.PhaseServing, Assignment: servingAssignment}))
+	must.True(t, ReportChanges(c.engine("e1"), EngineReport{Incarnation: 7, Phase: api.PhaseServing, Assignment: servingAssignment}))
+	must.False(t, ReportChanges(c.engine("e1"), EngineReport{Incarnation: 7, Phase: api.PhaseLeaving, Assignment: servingAssignment}))
 	c.report("e1", api.PhaseServing, api.Fence{})
 	must.Eq(t, api.PhaseServing, c.engine("e1").Status.Phase, must.Sprint("the latest report replaces the leaving phase"))
 	list([]string{"e1"}, nil)
-	must.False(t, ReportChanges(c.engine("e1"), EngineReport{Incarnation: 7, Phase: api.PhaseServing, Assignment: serving}), must.Sprint("no change to commit while the platform lists the engine as leaving"))
+	must.False(t, ReportChanges(c.engine("e1"), EngineReport{Incarnation: 7, Phase: api.PhaseServing, Assignment: servingAssignment}), must.Sprint("no change to commit while the platform lists the engine as leaving"))
 }
 
 func TestClaims(t *testing.T) {
@@ -312,7 +312,7 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			c := newCluster(t)
+			c := newHarness(t)
 			for i, s := range test.steps {
 				c.clock = s.clock
 				c.restart()
@@ -332,7 +332,7 @@
 }
 
 func TestClaimMemoryIsBounded(t *testing.T) {
-	c := newCluster(t)
+	c := newHarness(t)
 	for i := range uint64(1000) {
 		c.clock = int64(i)
 		request := ClaimRequest{Key: fmt.Sprint(i), Nonce: 1, Retention: 10}
@@ -349,7 +349,7 @@
 }
 
 func TestRemovedMemberStaysRemoved(t *testing.T) {
-	c := newCluster(t)
+	c := newHarness(t)
 	member := func(m Member) { c.apply(Command{Kind: CommandMember, Member: &m}) }
 	member(Member{ID: 2, Name: "b"})
 	member(Member{ID: 1, Name: "a"})
--- a/version/state/selection.go
+++ b/version/state/selection.go
@@ -71,7 +71,7 @@
 
 // sameDesired reports whether two intents specify the same desired state for an engine
 // that both select.
-func wantSame(a, b *api.IntentSpec) bool {
+func sameDesired(a, b *api.IntentSpec) bool {
 	return a.Model == b.Model &&
 		a.Version == b.Version &&
 		equalSets(a.Adapters, b.Adapters) &&
--- a/version/state/snapshot.go
+++ b/version/state/snapshot.go
@@ -29,17 +29,17 @@
 // Frozen is a consistent, immutable copy of a machine's state. Another goroutine can
 // encode it while the machine applies commands.
 type Frozen struct {
-	term         uint64
-	index        uint64
-	clock        int64
-	history      view.History
-	source       []byte
-	usage        usageLedger
-	incarnations map[string]*[]uint64
-	platform     platformList
-	members      map[uint64]Member
-	operations   *retained[string, *operation]
-	claims       *retained[claimKey, *claimRecord]
+	term          uint64
+	index         uint64
+	clock         int64
+	history       view.History
+	ingressSource []byte
+	usage         usageState
+	incarnations  map[string]*[]uint64
+	platform      platformList
+	members       map[uint64]Member
+	operations    *expiringMap[string, *operation]
+	claims        *expiringMap[claimKey, *claimRecord]
 }
 
 // Freeze returns a copy of the state. Most of the state is copied on write: a later command
@@ -47,17 +47,17 @@
 // index of decided windows and the members are copied at once.
 func (m *Machine) Freeze() Frozen {
 	return Frozen{
-		term:         m.term,
-		index:        m.index,
-		clock:        m.clock,
-		history:      m.History(),
-		source:       m.ingressSource,
-		usage:        m.usage.clone(),
-		incarnations: m.incarnations.share(),
-		platform:     m.platform,
-		members:      maps.Clone(m.members),
-		operations:   m.operations.freeze(),
-		claims:       m.claims.freeze(),
+		term:          m.term,
+		index:         m.index,
+		clock:         m.clock,
+		history:       m.History(),
+		ingressSource: m.ingressSource,
+		usage:         m.usage.clone(),
+		incarnations:  m.incarnations.share(),
+		platform:      m.platform,
+		members:       maps.Clone(m.members),
+		operations:    m.operations.freeze(),
+		claims:        m.claims.freeze(),
 	}
 }
 
@@ -75,14 +75,14 @@
 	b = binenc.AppendUint(b, f.index)
 	b = binenc.AppendInt(b, f.clock)
 	b = appendHistory(b, f.history)
-	b = binenc.AppendBytes(b, f.source)
-	b = appendUsageLedger(b, &f.usage)
+	b = binenc.AppendBytes(b, f.ingressSource)
+	b = appendUsageState(b, &f.usage)
 	b = appendIncarnations(b, f.incarnations)
 	b = binenc.AppendStrings(b, f.platform.leaving)
 	b = binenc.AppendStrings(b, f.platform.gone)
 	b = appendMembers(b, f.members)
-	b = appendRetained(b, f.operations, appendOperation)
-	b = appendRetained(b, f.claims, appendClaim)
+	b = appendExpiring(b, f.operations, appendOperation)
+	b = appendExpiring(b, f.claims, appendClaim)
 	return binary.BigEndian.AppendUint64(b, xxhash.Sum64(b))
 }
 
@@ -99,7 +99,7 @@
 	}
 	next := New()
 	r := binenc.NewReader(body[len(snapshotFormat):])
-	next.read(r)
+	next.readSnapshot(r)
 	if err := r.Close(); err != nil {
 		return errors.Wrap(ErrDamaged, err.Error())
 	}
@@ -107,18 +107,18 @@
 	return nil
 }
 
-func (m *Machine) read(r *binenc.Reader) {
+func (m *Machine) readSnapshot(r *binenc.Reader) {
 	m.term = r.Uint()
 	m.index = r.Uint()
 	m.clock = r.Int()
 	m.readHistory(r)
 	m.ingressSource = r.Bytes()
-	m.usage = readUsageLedger(r)
+	m.usage = readUsageState(r)
 	m.readIncarnations(r)
 	m.platform = platformList{leaving: readSorted(r), gone: readSorted(r)}
 	m.readMembers(r)
-	readRetained(r, &m.operations, readOperation)
-	readRetained(r, &m.claims, readClaim)
+	readExpiring(r, &m.operations, readOperation)
+	readExpiring(r, &m.claims, readClaim)
 	m.selection.rebuild(m.intents.items, m.engines.items)
 }
 
@@ -165,7 +165,7 @@
 	for i := 0; i < n && r.Err() == nil; i++ {
 		o := r.Object()
 		key, ok := o.Key()
-		if !ok || (i > 0 && !before(previous, key)) {
+		if !ok || (i > 0 && !keyLess(previous, key)) {
 			r.Fail(binenc.ErrMalformed)
 			return
 		}
@@ -174,7 +174,7 @@
 	}
 }
 
-func before(a, b api.Key) bool {
+func keyLess(a, b api.Key) bool {
 	if a.Kind != b.Kind {
 		return slices.Index(api.Kinds, a.Kind) < slices.Index(api.Kinds, b.Kind)
 	}
--- a/version/state/snapshot_retained.go
+++ b/version/state/snapshot_retained.go
@@ -7,36 +7,36 @@
 // appendExpiring appends the queue of m with the entry that each queued key refers to.
 // Stale keys are encoded as empty ones because expire counts them: a restored
 // machine must remove its entries at the same commands as the others.
-func appendRetained[K comparable, V any](b []byte, r *retained[K, V], appendEntry func([]byte, K, *entry[V]) []byte) []byte {
-	b = binenc.AppendUint(b, uint64(len(r.queue)))
-	for _, place := range r.queue {
-		e := r.live(place)
+func appendExpiring[K comparable, V any](b []byte, m *expiringMap[K, V], appendEntry func([]byte, K, *entry[V]) []byte) []byte {
+	b = binenc.AppendUint(b, uint64(len(m.queue)))
+	for _, ref := range m.queue {
+		e := m.lookup(ref)
 		b = binenc.AppendBool(b, e != nil)
 		if e == nil {
 			continue
 		}
 		b = binenc.AppendUint(b, e.revision)
 		b = binenc.AppendInt(b, e.expires)
-		b = appendEntry(b, place.key, e)
+		b = appendEntry(b, ref.key, e)
 	}
 	return b
 }
 
-func readRetained[K comparable, V any](r *binenc.Reader, into *retained[K, V], readEntry func(*binenc.Reader) (K, V)) {
+func readExpiring[K comparable, V any](r *binenc.Reader, m *expiringMap[K, V], readEntry func(*binenc.Reader) (K, V)) {
 	n := r.Count(1)
 	for i := 0; i < n && r.Err() == nil; i++ {
 		if !r.Bool() {
-			into.queue = append(into.queue, queued[K]{})
+			m.queue = append(m.queue, queuedKey[K]{})
 			continue
 		}
 		e := &entry[V]{revision: r.Uint(), expires: r.Int()}
 		key, value := readEntry(r)
-		if e.revision == 0 || into.shard(key).items[key] != nil {
+		if e.revision == 0 || m.shard(key).items[key] != nil {
 			r.Fail(binenc.ErrMalformed)
 			return
 		}
 		e.value = value
-		into.add(key, e)
+		m.add(key, e)
 	}
 }
 
--- a/version/state/stateful_test.go
+++ b/version/state/stateful_test.go
@@ -38,13 +38,13 @@
 	holder      *view.Holder
 	term, index uint64
 	clock       int64
-	log         []logged
+	log         []logEntry
 	sent        []api.Transaction
 	fences      []api.Fence
 	outcomes    map[string]int
 }
 
-type logged struct {
+type logEntry struct {
 	term, index uint64
 	data        []byte
 }
@@ -53,7 +53,7 @@
 	c.index += rapid.Uint64Range(1, 3).Draw(t, "gap")
 	command.Time = c.clock
 	data := Encode(command)
-	c.log = append(c.log, logged{c.term, c.index, data})
+	c.log = append(c.log, logEntry{c.term, c.index, data})
 	first, err := Decode(data)
 	must.NoError(t, err)
 	must.Eq(t, data, Encode(first))
@@ -142,15 +142,15 @@
 // must not change the copy.
 func (c *comparison) restore(t *rapid.T) {
 	frozen := c.machine.Freeze()
-	disturb := claimCommand(1)
-	disturb.Time = c.clock + 1_000_000
-	c.machine.Apply(c.term, c.index+1, disturb)
+	laterClaim := claimCommand(1)
+	laterClaim.Time = c.clock + 1_000_000
+	c.machine.Apply(c.term, c.index+1, laterClaim)
 	c.machine.Apply(c.term, c.index+2, Command{Kind: CommandMachines, Machines: &Machines{Gone: engineNames}})
 	restored := New()
 	must.NoError(t, restored.Restore(frozen.Encode()))
-	again, err := restored.Snapshot()
+	reencoded, err := restored.Snapshot()
 	must.NoError(t, err)
-	must.Eq(t, frozen.Encode(), again)
+	must.Eq(t, frozen.Encode(), reencoded)
 	c.machine = restored
 }
 
@@ -328,7 +328,7 @@
 	}
 }
 
-func TestMachineEqualsOracle(t *testing.T) {
+func TestMachineMatchesOracle(t *testing.T) {
 	outcomes := map[string]int{}
 	rapid.Check(t, func(t *rapid.T) {
 		c := &comparison{machine: New(), oracle: newOracle(), holder: view.NewHolder(), term: 1, outcomes: outcomes}
--- a/version/state/table.go
+++ b/version/state/table.go
@@ -22,16 +22,16 @@
 }
 
 func (t *table[T]) put(name string, object *T) {
-	t.own()
+	t.ensureWritable()
 	t.items[name] = object
 }
 
 func (t *table[T]) remove(name string) {
-	t.own()
+	t.ensureWritable()
 	delete(t.items, name)
 }
 
-func (t *table[T]) own() {
+func (t *table[T]) ensureWritable() {
 	if t.shared {
 		t.items = maps.Clone(t.items)
 		t.shared = false
@@ -47,10 +47,10 @@
 // kindTable is a table with the function that extracts its T from an Object.
 type kindTable[T any] struct {
 	*table[T]
-	part func(api.Object) *T
+	extract func(api.Object) *T
 }
 
-func (t kindTable[T]) load(name string, o api.Object) { t.put(name, t.part(o)) }
+func (t kindTable[T]) load(name string, o api.Object) { t.put(name, t.extract(o)) }
 
 // table returns the table for objects of the kind, or nil if the kind is unknown.
 func (m *Machine) table(kind api.Kind) anyTable {
--- a/version/state/table_test.go
+++ b/version/state/table_test.go
@@ -9,38 +9,38 @@
 )
 
 // objectOfKind returns an object of the kind with the name.
-func ofKind(t *testing.T, kind api.Kind, name string) api.Object {
+func objectOfKind(t *testing.T, kind api.Kind, name string) api.Object {
 	t.Helper()
-	named := api.Metadata{Name: name}
+	metadata := api.Metadata{Name: name}
 	objects := map[api.Kind]api.Object{
-		api.KindIntent:  {Intent: &api.Intent{Metadata: named}},
-		api.KindEngine:  {Engine: &api.Engine{Metadata: named}},
-		api.KindService: {Service: &api.Service{Metadata: named}},
-		api.KindClass:   {Class: &api.Class{Metadata: named}},
-		api.KindTenant:  {Tenant: &api.Tenant{Metadata: named}},
-		api.KindIngress: {Ingress: &api.Ingress{Metadata: named}},
-		api.KindReplica: {Replica: &api.Replica{Metadata: named}},
-		api.KindProxy:   {Proxy: &api.Proxy{Metadata: named}},
-		api.KindMember:  {Member: &api.Member{Metadata: named}},
+		api.KindIntent:  {Intent: &api.Intent{Metadata: metadata}},
+		api.KindEngine:  {Engine: &api.Engine{Metadata: metadata}},
+		api.KindService: {Service: &api.Service{Metadata: metadata}},
+		api.KindClass:   {Class: &api.Class{Metadata: metadata}},
+		api.KindTenant:  {Tenant: &api.Tenant{Metadata: metadata}},
+		api.KindIngress: {Ingress: &api.Ingress{Metadata: metadata}},
+		api.KindReplica: {Replica: &api.Replica{Metadata: metadata}},
+		api.KindProxy:   {Proxy: &api.Proxy{Metadata: metadata}},
+		api.KindMember:  {Member: &api.Member{Metadata: metadata}},
 
-		api.KindQuarantine:  {Quarantine: &api.Quarantine{Metadata: named}},
-		api.KindRouteTenant: {RouteTenant: &api.RouteTenant{Metadata: named}},
-		api.KindCapacity:    {Capacity: &api.Capacity{Metadata: named}},
-		api.KindSuspect:     {Suspect: &api.Suspect{Metadata: named}},
+		api.KindQuarantine:  {Quarantine: &api.Quarantine{Metadata: metadata}},
+		api.KindRouteTenant: {RouteTenant: &api.RouteTenant{Metadata: metadata}},
+		api.KindCapacity:    {Capacity: &api.Capacity{Metadata: metadata}},
+		api.KindSuspect:     {Suspect: &api.Suspect{Metadata: metadata}},
 	}
-	made, known := objects[kind]
+	object, known := objects[kind]
 	must.True(t, known, must.Sprint(kind))
-	return made
+	return object
 }
 
 // Object, View and DeltaSince must cover every kind. If one of them omits a kind, its
 // objects are never removed or never reach a daemon.
-func TestMachineShowsEveryKind(t *testing.T) {
+func TestMachineCoversEveryKind(t *testing.T) {
 	for _, kind := range api.Kinds {
 		t.Run(string(kind), func(t *testing.T) {
 			m := New()
 			m.term, m.index = 1, 1
-			object := ofKind(t, kind, "a")
+			object := objectOfKind(t, kind, "a")
 			key, _ := object.Key()
 			m.put(object)
 			got, found := m.Object(key)
--- a/version/state/transaction.go
+++ b/version/state/transaction.go
@@ -29,7 +29,7 @@
 	if transaction.DryRun {
 		return m.newPlan(transaction, limits).result
 	}
-	if fault, ok := operationFault(transaction.OperationID); !ok {
+	if fault, ok := validateOperationID(transaction.OperationID); !ok {
 		return api.TransactionResult{Code: api.OutcomeInvalid, Faults: []api.FieldFault{fault}}
 	}
 	bodyHash := hashBody(transaction)
@@ -51,7 +51,7 @@
 	return plan.result
 }
 
-func operationFault(id string) (api.FieldFault, bool) {
+func validateOperationID(id string) (api.FieldFault, bool) {
 	if id != "" && len(id) <= MaxOperationIDBytes {
 		return api.FieldFault{}, true
 	}
--- a/version/state/usage.go
+++ b/version/state/usage.go
@@ -15,7 +15,7 @@
 
 // maxDecidedWindows is the number of decided windows kept for operators: one hour of
 // windows of five seconds.
-const keptUsageWindows = 720
+const maxDecidedWindows = 720
 
 // UsageCount is the value of one counter of one process.
 type UsageCount struct {
@@ -41,33 +41,33 @@
 type usageCounts map[string]map[string]uint64
 
 // usageState holds the usage of undecided and decided windows.
-type usageLedger struct {
+type usageState struct {
 	open    map[int64]usageCounts
 	decided map[int64]*api.UsageWindow // values are replaced, never modified
 	// lastDecided is the highest window that was decided, or 0.
-	last int64
+	lastDecided int64
 }
 
-func newUsageLedger() usageLedger {
-	return usageLedger{open: map[int64]usageCounts{}, decided: map[int64]*api.UsageWindow{}}
+func newUsageState() usageState {
+	return usageState{open: map[int64]usageCounts{}, decided: map[int64]*api.UsageWindow{}}
 }
 
 // countUsage merges counters. Counters that arrive after their window was decided are
 // dropped.
-func (m *Machine) countUsage(given *CountUsage) {
-	for _, counted := range given.Counts {
-		if counted.Window <= m.usage.last {
+func (m *Machine) countUsage(command *CountUsage) {
+	for _, counter := range command.Counts {
+		if counter.Window <= m.usage.lastDecided {
 			continue
 		}
-		counts := m.usage.open[counted.Window]
+		counts := m.usage.open[counter.Window]
 		if counts == nil {
 			counts = usageCounts{}
-			m.usage.open[counted.Window] = counts
+			m.usage.open[counter.Window] = counts
 		}
-		if counts[counted.Life] == nil {
-			counts[counted.Life] = map[string]uint64{}
+		if counts[counter.Life] == nil {
+			counts[counter.Life] = map[string]uint64{}
 		}
-		counts[counted.Life][counted.Tenant] = max(counts[counted.Life][counted.Tenant], counted.Count)
+		counts[counter.Life][counter.Tenant] = max(counts[counter.Life][counter.Tenant], counter.Count)
 	}
 }
 
@@ -76,32 +76,32 @@
 // Invariant: a decided window never changes, except for Reported, and windows are decided
 // in increasing order. It holds because a window up to the last decided one is never
 // decided again.
-func (m *Machine) decideUsage(given *DecideUsage) api.UsageWindow {
-	if known := m.usage.decided[given.Window]; known != nil {
-		return *known
+func (m *Machine) decideUsage(command *DecideUsage) api.UsageWindow {
+	if decided := m.usage.decided[command.Window]; decided != nil {
+		return *decided
 	}
-	if given.Window <= m.usage.last {
-		return api.UsageWindow{Window: given.Window} // skipped, or no longer kept
+	if command.Window <= m.usage.lastDecided {
+		return api.UsageWindow{Window: command.Window} // skipped, or no longer kept
 	}
-	made := &api.UsageWindow{
-		Window: given.Window, Counts: m.usage.open[given.Window].sum(), Decided: true, Partial: given.Partial,
+	decided := &api.UsageWindow{
+		Window: command.Window, Counts: m.usage.open[command.Window].totalByTenant(), Decided: true, Partial: command.Partial,
 	}
-	m.usage.last = given.Window
-	m.usage.decided[given.Window] = made
+	m.usage.lastDecided = command.Window
+	m.usage.decided[command.Window] = decided
 	for window := range m.usage.open {
-		if window <= given.Window {
+		if window <= command.Window {
 			delete(m.usage.open, window)
 		}
 	}
 	for window := range m.usage.decided {
-		if window <= given.Window-keptUsageWindows {
+		if window <= command.Window-maxDecidedWindows {
 			delete(m.usage.decided, window)
 		}
 	}
-	return *made
+	return *decided
 }
 
-func (c usageCounts) sum() map[string]uint64 {
+func (c usageCounts) totalByTenant() map[string]uint64 {
 	total := map[string]uint64{}
 	for _, tenants := range c {
 		for tenant, count := range tenants {
@@ -111,18 +111,18 @@
 	return total
 }
 
-func (m *Machine) usageReported(given *UsageReported) {
-	known := m.usage.decided[given.Window]
-	if known == nil || known.Reported {
+func (m *Machine) usageReported(command *UsageReported) {
+	decided := m.usage.decided[command.Window]
+	if decided == nil || decided.Reported {
 		return
 	}
-	next := *known
+	next := *decided
 	next.Reported = true
-	m.usage.decided[given.Window] = &next
+	m.usage.decided[command.Window] = &next
 }
 
 // UsageDecided returns the highest window that was decided, or 0 if there is none.
-func (m *Machine) UsageDecided() int64 { return m.usage.last }
+func (m *Machine) UsageDecided() int64 { return m.usage.lastDecided }
 
 // Usage returns the decided and then the undecided windows, each oldest first.
 func (m *Machine) Usage() []api.UsageWindow {
@@ -131,7 +131,7 @@
 		windows = append(windows, *m.usage.decided[window])
 	}
 	for _, window := range slices.Sorted(maps.Keys(m.usage.open)) {
-		windows = append(windows, api.UsageWindow{Window: window, Counts: m.usage.open[window].sum()})
+		windows = append(windows, api.UsageWindow{Window: window, Counts: m.usage.open[window].totalByTenant()})
 	}
 	return windows
 }
@@ -140,44 +140,44 @@
 func (m *Machine) OutstandingUsage() []api.UsageWindow {
 	var windows []api.UsageWindow
 	for _, window := range slices.Sorted(maps.Keys(m.usage.decided)) {
-		if known := m.usage.decided[window]; !known.Reported {
-			windows = append(windows, *known)
+		if decided := m.usage.decided[window]; !decided.Reported {
+			windows = append(windows, *decided)
 		}
 	}
 	return windows
 }
 
 // clone returns a copy that later commands do not modify.
-func (l *usageLedger) clone() usageLedger {
-	next := usageLedger{open: make(map[int64]usageCounts, len(l.open)), decided: maps.Clone(l.decided), last: l.last}
+func (l *usageState) clone() usageState {
+	next := usageState{open: make(map[int64]usageCounts, len(l.open)), decided: maps.Clone(l.decided), lastDecided: l.lastDecided}
 	for window, counts := range l.open {
-		copied := make(usageCounts, len(counts))
-		for life, tenants := range counts {
-			copied[life] = maps.Clone(tenants)
+		clonedCounts := make(usageCounts, len(counts))
+		for run, tenants := range counts {
+			clonedCounts[run] = maps.Clone(tenants)
 		}
-		next.open[window] = copied
+		next.open[window] = clonedCounts
 	}
 	return next
 }
 
 // counters returns the counters of undecided windows, sorted by window, process run and
 // tenant.
-func (l *usageLedger) counters() []UsageCount {
+func (l *usageState) counters() []UsageCount {
 	var all []UsageCount
 	for _, window := range slices.Sorted(maps.Keys(l.open)) {
-		for _, life := range slices.Sorted(maps.Keys(l.open[window])) {
-			tenants := l.open[window][life]
+		for _, run := range slices.Sorted(maps.Keys(l.open[window])) {
+			tenants := l.open[window][run]
 			for _, tenant := range slices.Sorted(maps.Keys(tenants)) {
-				all = append(all, UsageCount{Life: life, Window: window, Tenant: tenant, Count: tenants[tenant]})
+				all = append(all, UsageCount{Life: run, Window: window, Tenant: tenant, Count: tenants[tenant]})
 			}
 		}
 	}
 	return all
 }
 
-func appendUsageLedger(b []byte, l *usageLedger) []byte {
+func appendUsageState(b []byte, l *usageState) []byte {
 	b = appendUsageCounts(b, l.counters())
-	b = binenc.AppendInt(b, l.last)
+	b = binenc.AppendInt(b, l.lastDecided)
 	windows := slices.Sorted(maps.Keys(l.decided))
 	b = binenc.AppendUint(b, uint64(len(windows)))
 	for _, window := range windows {
@@ -186,13 +186,13 @@
 	return b
 }
 
-func readUsageLedger(r *binenc.Reader) usageLedger {
+func readUsageState(r *binenc.Reader) usageState {
 	const minimumWindowBytes = 5
-	l := newUsageLedger()
-	reader := &Machine{usage: l}
-	reader.countUsage(&CountUsage{Counts: readUsageCounts(r)})
-	l = reader.usage
-	l.last = r.Int()
+	l := newUsageState()
+	merger := &Machine{usage: l}
+	merger.countUsage(&CountUsage{Counts: readUsageCounts(r)})
+	l = merger.usage
+	l.lastDecided = r.Int()
 	windows := r.Count(minimumWindowBytes)
 	for i := 0; i < windows && r.Err() == nil; i++ {
 		window := readUsageWindow(r)
@@ -227,16 +227,16 @@
 // appendUsageCounts appends counters. A string table, in order of first use, encodes each
 // name once.
 func appendUsageCounts(b []byte, counts []UsageCount) []byte {
-	names := nameTable{places: map[string]uint64{}}
-	for _, counted := range counts {
-		names.add(counted.Life)
-		names.add(counted.Tenant)
+	names := nameTable{indexes: map[string]uint64{}}
+	for _, counter := range counts {
+		names.add(counter.Life)
+		names.add(counter.Tenant)
 	}
-	b = binenc.AppendStrings(b, names.list)
+	b = binenc.AppendStrings(b, names.names)
 	b = binenc.AppendUint(b, uint64(len(counts)))
 	for _, counted := range counts {
-		b = binenc.AppendUint(b, names.places[counted.Life])
-		b = binenc.AppendUint(b, names.places[counted.Tenant])
+		b = binenc.AppendUint(b, names.indexes[counted.Life])
+		b = binenc.AppendUint(b, names.indexes[counted.Tenant])
 		b = binenc.AppendInt(b, counted.Window)
 		b = binenc.AppendUint(b, counted.Count)
 	}
@@ -249,25 +249,25 @@
 	count := r.Count(minimumCountBytes)
 	var counts []UsageCount
 	for i := 0; i < count && r.Err() == nil; i++ {
-		life, tenant := r.Uint(), r.Uint()
-		if life >= uint64(len(names)) || tenant >= uint64(len(names)) {
+		run, tenant := r.Uint(), r.Uint()
+		if run >= uint64(len(names)) || tenant >= uint64(len(names)) {
 			r.Fail(binenc.ErrMalformed)
 			return nil
 		}
-		counts = append(counts, UsageCount{Life: names[life], Tenant: names[tenant], Window: r.Int(), Count: r.Uint()})
+		counts = append(counts, UsageCount{Life: names[run], Tenant: names[tenant], Window: r.Int(), Count: r.Uint()})
 	}
 	return counts
 }
 
 // nameTable is a string table: it maps names to their indexes in a list.
 type nameTable struct {
-	list   []string
-	places map[string]uint64
+	names   []string
+	indexes map[string]uint64
 }
 
 func (t *nameTable) add(name string) {
-	if _, known := t.places[name]; !known {
-		t.places[name] = uint64(len(t.list))
-		t.list = append(t.list, name)
+	if _, known := t.indexes[name]; !known {
+		t.indexes[name] = uint64(len(t.names))
+		t.names = append(t.names, name)
 	}
 }
--- a/version/subset/bench_test.go
+++ b/version/subset/bench_test.go
@@ -7,7 +7,7 @@
 )
 
 func BenchmarkChoose(b *testing.B) {
-	endpoints := fleet()
+	endpoints := testEndpoints()
 	b.ReportAllocs()
 	for b.Loop() {
 		subset.Choose("proxy-1", "zone-0", endpoints, subset.DefaultSizes)
--- a/version/subset/share.go
+++ b/version/subset/share.go
@@ -18,15 +18,15 @@
 	// A share stays in use while it yields between minRetained and maxRetained endpoints.
 	// This hysteresis avoids changing every subset when the size of a group fluctuates
 	// around a threshold.
-	keptFrom = 96
-	keptTo   = 320
+	minRetained = 96
+	maxRetained = 320
 )
 
 // ShareOf returns the share for a group of size endpoints, given the share in use so far.
 // Each daemon follows all endpoints of a small group.
-func ShareOf(size int, before Share) Share {
-	if kept := size >> before; before > 0 && kept >= keptFrom && kept <= keptTo {
-		return before
+func ShareOf(size int, current Share) Share {
+	if followed := size >> current; current > 0 && followed >= minRetained && followed <= maxRetained {
+		return current
 	}
 	share := Share(0)
 	for size>>share >= 2*minFollowed {
--- a/version/subset/share_test.go
+++ b/version/subset/share_test.go
@@ -10,7 +10,7 @@
 
 // The number of endpoints that one daemon follows is bounded for any group size, and nearly
 // all endpoints of a group are followed by at least one of 400 daemons.
-func TestSharesOfAnySize(t *testing.T) {
+func TestShareBoundsFollowedEndpoints(t *testing.T) {
 	for _, size := range []int{0, 1, 166, 255, 256, 1_000, 9_695, 50_000} {
 		share := subset.ShareOf(size, 0)
 		must.LessEq(t, 255, size>>share, must.Sprint(size))
@@ -22,20 +22,20 @@
 	share := subset.ShareOf(9_695, 0)
 	followed := map[string]int{}
 	for d := range 400 {
-		own := 0
+		followedCount := 0
 		for e := range 9_695 {
 			if name := fmt.Sprint("replica-", e); share.Includes(fmt.Sprint("proxy-", d), name) {
-				own++
+				followedCount++
 				followed[name]++
 			}
 		}
-		must.Between(t, 90, own, 220)
+		must.Between(t, 90, followedCount, 220)
 	}
 	must.Greater(t, 9_600, len(followed))
 }
 
 // A group size that fluctuates around a threshold does not change the share.
-func TestSharesAreKept(t *testing.T) {
+func TestShareIsRetainedNearThreshold(t *testing.T) {
 	share := subset.ShareOf(300, 0)
 	must.Eq(t, 1, share)
 	for _, size := range []int{250, 300, 200, 600} {
--- a/version/subset/subset.go
+++ b/version/subset/subset.go
@@ -48,7 +48,7 @@
 func Choose(daemon, zone string, endpoints []Endpoint, sizes Sizes) []string {
 	var chosen []string
 	for _, members := range byGroup(endpoints) {
-		chosen = append(chosen, chooseGroup(daemon, zone, members, sizes)...)
+		chosen = append(chosen, chooseFromGroup(daemon, zone, members, sizes)...)
 	}
 	sort.Strings(chosen)
 	return chosen
@@ -62,32 +62,32 @@
 	return groups
 }
 
-func chooseGroup(daemon, zone string, members []Endpoint, sizes Sizes) []string {
-	wanted := min(sizes.Local+sizes.Remote, len(members))
-	local, remote := best{limit: wanted}, best{limit: wanted}
-	hash := newHasher(daemon)
+func chooseFromGroup(daemon, zone string, members []Endpoint, sizes Sizes) []string {
+	total := min(sizes.Local+sizes.Remote, len(members))
+	local, remote := topRanked{limit: total}, topRanked{limit: total}
+	scorer := newHasher(daemon)
 	for _, member := range members {
-		candidate := scored{name: member.Name, score: hash.score(member.Name)}
+		candidate := scoredEndpoint{name: member.Name, score: scorer.score(member.Name)}
 		if member.Zone == zone {
-			local.offer(candidate)
+			local.add(candidate)
 		} else {
-			remote.offer(candidate)
+			remote.add(candidate)
 		}
 	}
-	localCount := min(sizes.Local, len(local.kept))
-	remoteCount := min(wanted-localCount, len(remote.kept))
-	return append(local.names(wanted-remoteCount), remote.names(remoteCount)...)
+	localCount := min(sizes.Local, len(local.candidates))
+	remoteCount := min(total-localCount, len(remote.candidates))
+	return append(local.names(total-remoteCount), remote.names(remoteCount)...)
 }
 
 // scoredEndpoint is an endpoint with its score for one daemon.
-type scored struct {
+type scoredEndpoint struct {
 	name  string
 	score uint64
 }
 
 // ranksBefore orders by descending score and breaks ties by name, so that the
 // order is total.
-func (s scored) before(other scored) bool {
+func (s scoredEndpoint) ranksBefore(other scoredEndpoint) bool {
 	if s.score != other.score {
 		return s.score > other.score
 	}
@@ -96,28 +96,28 @@
 
 // topRanked keeps the highest-ranked candidates in order, up to its limit. Only
 // a few of many candidates are selected, so this is cheaper than sorting all.
-type best struct {
-	limit int
-	kept  []scored
+type topRanked struct {
+	limit      int
+	candidates []scoredEndpoint
 }
 
-func (b *best) offer(candidate scored) {
-	full := len(b.kept) == b.limit
-	if full && (b.limit == 0 || !candidate.before(b.kept[b.limit-1])) {
+func (b *topRanked) add(candidate scoredEndpoint) {
+	full := len(b.candidates) == b.limit
+	if full && (b.limit == 0 || !candidate.ranksBefore(b.candidates[b.limit-1])) {
 		return
 	}
-	at := sort.Search(len(b.kept), func(i int) bool { return candidate.before(b.kept[i]) })
+	position := sort.Search(len(b.candidates), func(i int) bool { return candidate.ranksBefore(b.candidates[i]) })
 	if full {
-		b.kept = b.kept[:b.limit-1]
+		b.candidates = b.candidates[:b.limit-1]
 	}
-	b.kept = slices.Insert(b.kept, at, candidate)
+	b.candidates = slices.Insert(b.candidates, position, candidate)
 }
 
 // names returns the names of the first count candidates.
-func (b *best) names(count int) []string {
+func (b *topRanked) names(count int) []string {
 	names := make([]string, 0, count)
-	for _, one := range b.kept[:count] {
-		names = append(names, one.name)
+	for _, candidate := range b.candidates[:count] {
+		names = append(names, candidate.name)
 	}
 	return names
 }
--- a/version/subset/subset_test.go
+++ b/version/subset/subset_test.go
@@ -14,7 +14,7 @@
 	perZone   = 120
 )
 
-func fleet() []subset.Endpoint {
+func testEndpoints() []subset.Endpoint {
 	var endpoints []subset.Endpoint
 	for zone := range zoneCount {
 		for replica := range perZone {
@@ -28,7 +28,7 @@
 	return endpoints
 }
 
-func TestChooseFillsBothShares(t *testing.T) {
+func TestChooseFillsLocalAndRemote(t *testing.T) {
 	cases := []struct {
 		name      string
 		endpoints []subset.Endpoint
@@ -36,10 +36,10 @@
 		local     int
 		remote    int
 	}{
-		{"large group", fleet(), subset.Sizes{Local: 16, Remote: 8}, 16, 8},
-		{"no endpoint in the own zone", fleet()[perZone:], subset.Sizes{Local: 16, Remote: 8}, 0, 24},
-		{"only the own zone", fleet()[:perZone], subset.Sizes{Local: 16, Remote: 8}, 24, 0},
-		{"all of a small group is followed", fleet()[perZone-2 : perZone+3], subset.Sizes{Local: 16, Remote: 8}, 2, 3},
+		{"large group", testEndpoints(), subset.Sizes{Local: 16, Remote: 8}, 16, 8},
+		{"no endpoint in the own zone", testEndpoints()[perZone:], subset.Sizes{Local: 16, Remote: 8}, 0, 24},
+		{"only the own zone", testEndpoints()[:perZone], subset.Sizes{Local: 16, Remote: 8}, 24, 0},
+		{"all of a small group is followed", testEndpoints()[perZone-2 : perZone+3], subset.Sizes{Local: 16, Remote: 8}, 2, 3},
 		{"nothing to follow", nil, subset.DefaultSizes, 0, 0},
 	}
 	for _, test := range cases {
@@ -62,8 +62,8 @@
 	}
 }
 
-func TestChooseKeepsGroupsApart(t *testing.T) {
-	endpoints := fleet()
+func TestChooseBoundsEachGroup(t *testing.T) {
+	endpoints := testEndpoints()
 	for i := range endpoints {
 		endpoints[i].Group = fmt.Sprintf("model-%d", i%4)
 	}
@@ -71,27 +71,27 @@
 	must.Eq(t, 4*5, len(chosen))
 }
 
-func TestLosingOneEndpointMovesAtMostOne(t *testing.T) {
-	endpoints := fleet()
+func TestRemovingOneEndpointChangesAtMostOne(t *testing.T) {
+	endpoints := testEndpoints()
 	before := subset.Choose("proxy-1", "zone-0", endpoints, subset.DefaultSizes)
-	lost := before[0]
-	var left []subset.Endpoint
+	removed := before[0]
+	var remaining []subset.Endpoint
 	for _, endpoint := range endpoints {
-		if endpoint.Name != lost {
-			left = append(left, endpoint)
+		if endpoint.Name != removed {
+			remaining = append(remaining, endpoint)
 		}
 	}
 	after := map[string]bool{}
-	for _, name := range subset.Choose("proxy-1", "zone-0", left, subset.DefaultSizes) {
+	for _, name := range subset.Choose("proxy-1", "zone-0", remaining, subset.DefaultSizes) {
 		after[name] = true
 	}
 	for _, name := range before[1:] {
-		must.True(t, after[name], must.Sprintf("%s was dropped although only %s was removed", name, lost))
+		must.True(t, after[name], must.Sprintf("%s was dropped although only %s was removed", name, removed))
 	}
 }
 
-func TestFollowersAreSpread(t *testing.T) {
-	endpoints := fleet()
+func TestFollowersAreBalanced(t *testing.T) {
+	endpoints := testEndpoints()
 	followers := map[string]int{}
 	const daemonsPerZone = 124
 	for zone := range zoneCount {
