--- a/version/state/claims.go
+++ b/version/state/claims.go
@@ -28,7 +28,7 @@
 //
 // The same claim (nonce, proxy, attempt) is granted again while no outcome is
 // recorded, because the first response may have been lost. This is safe: a
-// claimant is one request of one process, which knows whether it has
+// claimant is one request of one process, only that process knows whether it has
 // dispatched the request, and a restarted process uses another nonce.
 func (m *Machine) claim(request *ClaimRequest) api.ClaimResult {
 	key := claimKey{tenant: request.Tenant, key: request.Key}
@@ -68,7 +68,7 @@
 	}
 	m.claims.add(key, &entry[*claimRecord]{
 		revision: m.index,
-		expires:  expiry(m.clock, request.Retention),
+		expires:  expiryTime(m.clock, request.Retention),
 		value:    record,
 	})
 	return api.ClaimResult{Code: api.ClaimGranted, Claim: record.Claim}
@@ -82,7 +82,7 @@
 	}
 	m.claims.add(key, &entry[*claimRecord]{
 		revision: m.index,
-		expires:  expiry(m.clock, abandonedClaimRetention),
+		expires:  expiryTime(m.clock, abandonedClaimRetention),
 		value:    record,
 	})
 }
--- a/version/state/codec.go
+++ b/version/state/codec.go
@@ -127,7 +127,7 @@
 	b = binenc.AppendUint(b, uint64(len(t.Writes)))
 	for _, write := range t.Writes {
 		b = binenc.AppendBool(b, write.Delete)
-		b = appendWritten(b, write.Object)
+		b = appendWrittenObject(b, write.Object)
 	}
 	return b
 }
@@ -137,14 +137,14 @@
 	const minimumWriteBytes = 2
 	n := r.Count(minimumWriteBytes)
 	for i := 0; i < n && r.Err() == nil; i++ {
-		t.Writes = append(t.Writes, api.Write{Delete: r.Bool(), Object: readWritten(r)})
+		t.Writes = append(t.Writes, api.Write{Delete: r.Bool(), Object: readWrittenObject(r)})
 	}
 	return t
 }
 
-// appendWritten appends an object as the writer sent it. The codec accepts an object
+// appendWrittenObject appends an object as the writer sent it. The codec accepts an object
 // with several kinds or none; the machine rejects it.
-func appendWritten(b []byte, o api.Object) []byte {
+func appendWrittenObject(b []byte, o api.Object) []byte {
 	parts := splitKinds(o)
 	b = binenc.AppendUint(b, uint64(len(parts)))
 	for _, part := range parts {
@@ -197,7 +197,7 @@
 	return parts
 }
 
-func readWritten(r *binenc.Reader) api.Object {
+func readWrittenObject(r *binenc.Reader) api.Object {
 	var o api.Object
 	rank := 0
 	n := r.Count(1)
--- a/version/state/command.go
+++ b/version/state/command.go
@@ -3,10 +3,10 @@
 // and the members' addresses. Apply is deterministic: it reads no clock and no
 // random source, so commands carry every input that the outcome depends on.
 //
-// It guarantees the following, across snapshots, for operations and claims within
-// the retention given by their commands:
+// The package makes these guarantees, which also hold across snapshots. Those on
+// operation IDs and claims hold for the retention that the commands set.
 //
-//   - An operation ID is executed once, and a resend gets the first result.
+//   - An operation ID is executed once, and a resend always gets the first result.
 //   - A claimed key is granted to another claimant only after the first claimant
 //     recorded that its request was definitely not run.
 //   - An engine has at most one open order. The order's fence is greater than all
@@ -95,7 +95,7 @@
 	OpenOrderUnknownEngine
 	OpenOrderOtherIncarnation
 	OpenOrderNotAllowed
-	OpenOrderBudgetExhausted // the intent's disruption budget is exhausted, or the engine has not reported yet
+	OpenOrderBudgetExhausted // the disruption budget is exhausted, or the engine's phase is unknown
 )
 
 // OpenOrderResult is the result of an OpenOrder.
@@ -107,8 +107,8 @@
 // VoidOrder requests a fence greater than that of the open order. The engine is then
 // asked to confirm the new fence without changing anything. An engine that confirmed
 // it rejects the old order, which can then be closed with CloseVoid. The fence
-// is taken from the log, like that of an order: a fence from a clock or chosen by
-// a leader might not be unique and increasing.
+// is the (term, index) of the log entry, like that of an order. It must not come
+// from a clock or be chosen by a leader.
 type VoidOrder struct {
 	Engine string
 	Fence  api.Fence // of the order to void
--- a/version/state/machine.go
+++ b/version/state/machine.go
@@ -124,7 +124,7 @@
 	case CommandDecideUsage:
 		return m.decideUsage(command.DecideUsage)
 	case CommandUsageReported:
-		m.usageReported(command.UsageReported)
+		m.markUsageReported(command.UsageReported)
 	default:
 		panic(fmt.Sprintf("state: unknown command kind %d", command.Kind))
 	}
--- a/version/state/oracle_test.go
+++ b/version/state/oracle_test.go
@@ -67,7 +67,7 @@
 	case CommandClaim:
 		return o.claim(*c.Claim)
 	case CommandRunOutcome:
-		o.outcome(*c.RunOutcome)
+		o.recordOutcome(*c.RunOutcome)
 	case CommandMember:
 		if !o.members[c.Member.ID].Removed {
 			o.members[c.Member.ID] = *c.Member
@@ -445,7 +445,7 @@
 	return api.ClaimResult{Code: api.ClaimRunning, Claim: claim}
 }
 
-func (o *oracle) outcome(r RunOutcome) {
+func (o *oracle) recordOutcome(r RunOutcome) {
 	key := r.Tenant + "/" + r.Key
 	stored, ok := o.claims[key]
 	ok = ok && o.clock < stored.expires
--- a/version/state/orders.go
+++ b/version/state/orders.go
@@ -27,9 +27,9 @@
 		return OpenOrderResult{Code: OpenOrderAlreadyOpen, Order: *engine.Status.OpenOrder}
 	case open.Incarnation == 0 || open.Incarnation != engine.Status.Incarnation:
 		return OpenOrderResult{Code: OpenOrderOtherIncarnation}
-	case !m.isAllowed(engine, open.Assignment):
+	case !m.isAssignmentAllowed(engine, open.Assignment):
 		return OpenOrderResult{Code: OpenOrderNotAllowed}
-	case !m.withinBudget(engine):
+	case !m.withinDisruptionBudget(engine):
 		return OpenOrderResult{Code: OpenOrderBudgetExhausted}
 	}
 	order := api.Order{
@@ -45,8 +45,8 @@
 	return OpenOrderResult{Code: OpenOrderOpened, Order: order}
 }
 
-// isAllowed reports whether an order may give the engine the assignment.
-func (m *Machine) isAllowed(engine *api.Engine, assignment api.Assignment) bool {
+// isAssignmentAllowed reports whether an order may give the engine the assignment.
+func (m *Machine) isAssignmentAllowed(engine *api.Engine, assignment api.Assignment) bool {
 	leaving := engine.Status.Phase == api.PhaseLeaving
 	if engine.Spec.Drain || leaving {
 		return assignment.Equal(api.Assignment{})
@@ -66,12 +66,12 @@
 		slices.Contains(spec.Roles, assignment.Role)
 }
 
-// withinBudget reports whether the disruption budget of the engine's intent permits
+// withinDisruptionBudget reports whether the disruption budget of the engine's intent permits
 // a planned change to the engine. An engine that does not serve needs no budget,
 // since the change does not reduce capacity. An engine that has not reported may be
 // serving: it counts as unavailable for the other engines' budget and gets no
 // order until it reports.
-func (m *Machine) withinBudget(engine *api.Engine) bool {
+func (m *Machine) withinDisruptionBudget(engine *api.Engine) bool {
 	if engine.Spec.Drain {
 		return true
 	}
@@ -129,7 +129,7 @@
 	if m.isStale(engine, &closing.Report) || !supportsReason(engine.Status.OpenOrder, closing.Reason, &closing.Report) {
 		return CloseOrderResult{}
 	}
-	status := m.applyReport(engine, &closing.Report)
+	status := m.statusAfterReport(engine, &closing.Report)
 	status.OpenOrder = nil
 	m.updateEngine(engine, status)
 	return CloseOrderResult{Closed: true}
@@ -164,7 +164,7 @@
 	if engine == nil || m.isStale(engine, report) {
 		return
 	}
-	m.updateEngine(engine, m.applyReport(engine, report))
+	m.updateEngine(engine, m.statusAfterReport(engine, report))
 }
 
 // isStale reports whether a report is older than the committed status: it has a lower
@@ -179,10 +179,10 @@
 		return report.Fence.Less(engine.Status.Fence)
 	}
 	earlier := slices.Contains(m.earlierIncarnations(engine.Name), report.Incarnation)
-	return earlier && !highestFence(engine).Less(report.Fence)
+	return earlier && !highestKnownFence(engine).Less(report.Fence)
 }
 
-func highestFence(engine *api.Engine) api.Fence {
+func highestKnownFence(engine *api.Engine) api.Fence {
 	highest := engine.Status.Fence
 	if order := engine.Status.OpenOrder; order != nil && highest.Less(order.Fence) {
 		return order.Fence
@@ -190,9 +190,10 @@
 	return highest
 }
 
-// applyReport returns the status of the engine after a report. If the report comes from
-// another incarnation, the previous one is stored as an earlier incarnation.
-func (m *Machine) applyReport(engine *api.Engine, report *EngineReport) api.EngineStatus {
+// statusAfterReport returns the status of the engine after a report. It does not store
+// the status, but if the report comes from another incarnation, it stores the
+// previous one as an earlier incarnation.
+func (m *Machine) statusAfterReport(engine *api.Engine, report *EngineReport) api.EngineStatus {
 	status := engine.Status
 	if status.Incarnation != report.Incarnation {
 		m.retireIncarnation(engine.Name, status.Incarnation, report.Incarnation)
--- a/version/state/plan.go
+++ b/version/state/plan.go
@@ -69,18 +69,18 @@
 		return []api.FieldFault{{Field: "writes", Message: "must not be empty"}}
 	}
 	var faults []api.FieldFault
-	first := map[api.Key]int{}
+	firstWrite := map[api.Key]int{}
 	for i, write := range p.transaction.Writes {
 		prefix := fmt.Sprintf("writes[%d].", i)
 		for _, fault := range writeFaults(write) {
 			faults = append(faults, api.FieldFault{Field: prefix + fault.Field, Message: fault.Message})
 		}
 		key, ok := write.Object.Key()
-		if earlier, repeated := first[key]; ok && repeated {
+		if earlier, repeated := firstWrite[key]; ok && repeated {
 			message := fmt.Sprintf("%s is also written by writes[%d]", key, earlier)
 			faults = append(faults, api.FieldFault{Field: prefix + "object", Message: message})
 		} else if ok {
-			first[key] = i
+			firstWrite[key] = i
 		}
 		p.keys = append(p.keys, key)
 	}
--- a/version/state/read.go
+++ b/version/state/read.go
@@ -134,7 +134,8 @@
 func (m *Machine) IsRemovedMember(id uint64) bool { return m.members[id].Removed }
 
 // WantedIntent returns the intent that selects an engine, or nil if none does. If
-// several do, which then specify the same, it returns the first by name.
+// several intents select the engine, their desired states are equal and it returns
+// the first by name.
 func (m *Machine) WantedIntent(engine string) *api.Intent {
 	names := m.selection.intents[engine]
 	if len(names) == 0 {
--- a/version/state/retained.go
+++ b/version/state/retained.go
@@ -10,8 +10,8 @@
 	// defaultRetention, in milliseconds, applies when a command sets no retention: a
 	// missing setting must not cause claims to expire immediately.
 	defaultRetention = 24 * 3600 * 1000
-	// expireBatch is the maximum number of queue entries that one command removes. A
-	// command adds at most one entry, so removal keeps up.
+	// expireBatch is the maximum number of queue entries that one command removes. It
+	// exceeds the one entry that a command adds, so removal keeps up.
 	expireBatch = 16
 
 	shardCount = 256
@@ -35,9 +35,10 @@
 	revision uint64
 }
 
-// expiringMap maps keys to values that expire by the group clock. An expired entry is
-// never returned. Its memory is freed a few entries at a time in the order of
-// insertion, so an entry behind one with a longer retention is freed later.
+// expiringMap maps keys to values that expire by the group clock. From its expiry on,
+// an entry is never returned. The memory of expired entries is freed a few entries
+// at a time in the order of insertion, so an entry behind one with a longer
+// retention is freed later.
 //
 // The maps are copied on the first write after freeze. The queue is only appended
 // to and cut at its head. A frozen copy therefore does not copy any entries.
@@ -51,8 +52,8 @@
 	shared bool // a frozen copy uses items
 }
 
-func (r *expiringMap[K, V]) get(key K, clock int64) *entry[V] {
-	e := r.shard(key).items[key]
+func (m *expiringMap[K, V]) get(key K, clock int64) *entry[V] {
+	e := m.shard(key).items[key]
 	if e == nil || e.expires <= clock {
 		return nil
 	}
@@ -60,40 +61,40 @@
 }
 
 // add stores a new entry and replaces any existing entry of the key.
-func (r *expiringMap[K, V]) add(key K, e *entry[V]) {
-	r.put(key, e)
-	r.queue = append(r.queue, queuedKey[K]{key: key, revision: e.revision})
+func (m *expiringMap[K, V]) add(key K, e *entry[V]) {
+	m.put(key, e)
+	m.queue = append(m.queue, queuedKey[K]{key: key, revision: e.revision})
 }
 
 // update replaces the value of a key and keeps its revision and expiry.
-func (r *expiringMap[K, V]) update(key K, value V) {
-	old := r.shard(key).items[key]
-	r.put(key, &entry[V]{revision: old.revision, expires: old.expires, value: value})
+func (m *expiringMap[K, V]) update(key K, value V) {
+	old := m.shard(key).items[key]
+	m.put(key, &entry[V]{revision: old.revision, expires: old.expires, value: value})
 }
 
 // expire removes a bounded number of expired entries and stale references.
-func (r *expiringMap[K, V]) expire(clock int64) {
+func (m *expiringMap[K, V]) expire(clock int64) {
 	for range expireBatch {
-		if len(r.queue) == 0 {
-			r.queue = nil
+		if len(m.queue) == 0 {
+			m.queue = nil
 			return
 		}
-		head := r.queue[0]
-		e := r.lookup(head)
+		head := m.queue[0]
+		e := m.lookup(head)
 		if e != nil && e.expires > clock {
 			return
 		}
-		r.queue = r.queue[1:]
+		m.queue = m.queue[1:]
 		if e != nil {
-			r.remove(head.key)
+			m.remove(head.key)
 		}
 	}
 }
 
 // lookup returns the entry that the reference was created for, or nil if it was
 // replaced or removed.
-func (r *expiringMap[K, V]) lookup(q queuedKey[K]) *entry[V] {
-	e := r.shard(q.key).items[q.key]
+func (m *expiringMap[K, V]) lookup(q queuedKey[K]) *entry[V] {
+	e := m.shard(q.key).items[q.key]
 	if e == nil || e.revision != q.revision {
 		return nil
 	}
@@ -101,29 +102,29 @@
 }
 
 // freeze returns an immutable copy.
-func (r *expiringMap[K, V]) freeze() *expiringMap[K, V] {
-	for i := range r.shards {
-		r.shards[i].shared = true
+func (m *expiringMap[K, V]) freeze() *expiringMap[K, V] {
+	for i := range m.shards {
+		m.shards[i].shared = true
 	}
-	frozen := *r
-	frozen.queue = r.queue[:len(r.queue):len(r.queue)]
+	frozen := *m
+	frozen.queue = m.queue[:len(m.queue):len(m.queue)]
 	return &frozen
 }
 
-func (r *expiringMap[K, V]) put(key K, e *entry[V]) {
-	shard := r.shard(key)
+func (m *expiringMap[K, V]) put(key K, e *entry[V]) {
+	shard := m.shard(key)
 	shard.ensureWritable()
 	shard.items[key] = e
 }
 
-func (r *expiringMap[K, V]) remove(key K) {
-	shard := r.shard(key)
+func (m *expiringMap[K, V]) remove(key K) {
+	shard := m.shard(key)
 	shard.ensureWritable()
 	delete(shard.items, key)
 }
 
-func (r *expiringMap[K, V]) shard(key K) *expiringShard[K, V] {
-	return &r.shards[maphash.Comparable(shardSeed, key)%shardCount]
+func (m *expiringMap[K, V]) shard(key K) *expiringShard[K, V] {
+	return &m.shards[maphash.Comparable(shardSeed, key)%shardCount]
 }
 
 // ensureWritable allocates the map, or copies it if a frozen copy uses it.
@@ -137,8 +138,8 @@
 	s.shared = false
 }
 
-// expiry returns the time on the group clock at which an entry added now expires.
-func expiry(clock, retention int64) int64 {
+// expiryTime returns the time on the group clock at which an entry added now expires.
+func expiryTime(clock, retention int64) int64 {
 	if retention <= 0 {
 		retention = defaultRetention
 	}
--- a/version/state/rules_test.go
+++ b/version/state/rules_test.go
@@ -42,7 +42,7 @@
 	return c.apply(Command{Kind: CommandOpenOrder, OpenOrder: &open}).(OpenOrderResult)
 }
 
-// relabel writes the engines with other labels in one transaction that may affect at
+// relabel replaces the labels of the engines in one transaction that may reassign at
 // most one engine.
 func (c *harness) relabel(id string, engines []string, labels api.Labels) api.TransactionResult {
 	c.t.Helper()
@@ -55,7 +55,7 @@
 	return c.transactLimited(TransactionLimits{MaxAffectedEngines: 1}, api.Transaction{OperationID: id, Writes: writes})
 }
 
-func (c *harness) restart() {
+func (c *harness) restoreFromSnapshot() {
 	c.t.Helper()
 	restored := New()
 	must.NoError(c.t, restored.Restore(c.machine.Freeze().Encode()))
@@ -74,7 +74,7 @@
 	must.SliceEmpty(t, c.machine.List(api.KindEngine))
 	first := c.transactLimited(limits, write("e1"))
 	must.Eq(t, api.TransactionResult{Code: api.OutcomeAccepted, Revision: 2}, first)
-	c.restart()
+	c.restoreFromSnapshot()
 	withStatus := write("e1")
 	withStatus.Writes[0].Object.Engine.Status.Phase = api.PhaseGone
 	must.Eq(t, first, c.transactLimited(limits, withStatus))
@@ -87,7 +87,7 @@
 	deleted := testEngine("e1", nil)
 	deleted.Revision = 2
 	must.Eq(t, api.OutcomeAccepted, c.transact("delete", api.Write{Object: api.Object{Engine: deleted}, Delete: true}).Code)
-	c.restart()
+	c.restoreFromSnapshot()
 	resent := c.transactLimited(limits, api.Transaction{OperationID: "op-2", Writes: write("e1").Writes})
 	must.Eq(t, refused, resent, must.Sprint("a rejection must stay one after the conflicting object was deleted"))
 
@@ -315,7 +315,7 @@
 			c := newHarness(t)
 			for i, s := range test.steps {
 				c.clock = s.clock
-				c.restart()
+				c.restoreFromSnapshot()
 				if s.record != "" {
 					c.apply(Command{Kind: CommandRunOutcome, RunOutcome: &RunOutcome{Key: "k", Nonce: s.nonce, Outcome: s.record, Answer: []byte("own")}})
 					continue
--- a/version/state/snapshot.go
+++ b/version/state/snapshot.go
@@ -86,16 +86,16 @@
 	return binary.BigEndian.AppendUint64(b, xxhash.Sum64(b))
 }
 
-// Restore replaces the state with that of a snapshot. If the
-// snapshot is invalid, it returns ErrFormat or an error that wraps ErrDamaged and
-// leaves the state unchanged.
+// Restore replaces the state with that of a snapshot. If the snapshot is invalid,
+// it returns ErrFormat or an error that wraps ErrDamaged and leaves the state
+// unchanged.
 func (m *Machine) Restore(snapshot []byte) error {
 	if len(snapshot) < len(snapshotFormat)+checksumBytes || string(snapshot[:len(snapshotFormat)]) != snapshotFormat {
 		return ErrFormat
 	}
 	body := snapshot[:len(snapshot)-checksumBytes]
 	if binary.BigEndian.Uint64(snapshot[len(body):]) != xxhash.Sum64(body) {
-		return errors.Wrap(ErrDamaged, "checksum mismatch")
+		return errors.Wrap(ErrDamaged, "checksum")
 	}
 	next := New()
 	r := binenc.NewReader(body[len(snapshotFormat):])
--- a/version/state/transaction.go
+++ b/version/state/transaction.go
@@ -45,7 +45,7 @@
 	}
 	m.operations.add(transaction.OperationID, &entry[*operation]{
 		revision: m.index,
-		expires:  expiry(m.clock, limits.OperationRetention),
+		expires:  expiryTime(m.clock, limits.OperationRetention),
 		value:    &operation{bodyHash: bodyHash, result: plan.result},
 	})
 	return plan.result
--- a/version/state/usage.go
+++ b/version/state/usage.go
@@ -42,14 +42,14 @@
 
 // usageState holds the usage of undecided and decided windows.
 type usageState struct {
-	open    map[int64]usageCounts
-	decided map[int64]*api.UsageWindow // values are replaced, never modified
+	undecided map[int64]usageCounts
+	decided   map[int64]*api.UsageWindow // values are replaced, never modified
 	// lastDecided is the highest window that was decided, or 0.
 	lastDecided int64
 }
 
 func newUsageState() usageState {
-	return usageState{open: map[int64]usageCounts{}, decided: map[int64]*api.UsageWindow{}}
+	return usageState{undecided: map[int64]usageCounts{}, decided: map[int64]*api.UsageWindow{}}
 }
 
 // countUsage merges counters. Counters that arrive after their window was decided are
@@ -59,10 +59,10 @@
 		if counter.Window <= m.usage.lastDecided {
 			continue
 		}
-		counts := m.usage.open[counter.Window]
+		counts := m.usage.undecided[counter.Window]
 		if counts == nil {
 			counts = usageCounts{}
-			m.usage.open[counter.Window] = counts
+			m.usage.undecided[counter.Window] = counts
 		}
 		if counts[counter.Life] == nil {
 			counts[counter.Life] = map[string]uint64{}
@@ -84,13 +84,13 @@
 		return api.UsageWindow{Window: command.Window} // skipped, or no longer kept
 	}
 	decided := &api.UsageWindow{
-		Window: command.Window, Counts: m.usage.open[command.Window].totalByTenant(), Decided: true, Partial: command.Partial,
+		Window: command.Window, Counts: m.usage.undecided[command.Window].totalByTenant(), Decided: true, Partial: command.Partial,
 	}
 	m.usage.lastDecided = command.Window
 	m.usage.decided[command.Window] = decided
-	for window := range m.usage.open {
+	for window := range m.usage.undecided {
 		if window <= command.Window {
-			delete(m.usage.open, window)
+			delete(m.usage.undecided, window)
 		}
 	}
 	for window := range m.usage.decided {
@@ -111,7 +111,7 @@
 	return total
 }
 
-func (m *Machine) usageReported(command *UsageReported) {
+func (m *Machine) markUsageReported(command *UsageReported) {
 	decided := m.usage.decided[command.Window]
 	if decided == nil || decided.Reported {
 		return
@@ -130,8 +130,8 @@
 	for _, window := range slices.Sorted(maps.Keys(m.usage.decided)) {
 		windows = append(windows, *m.usage.decided[window])
 	}
-	for _, window := range slices.Sorted(maps.Keys(m.usage.open)) {
-		windows = append(windows, api.UsageWindow{Window: window, Counts: m.usage.open[window].totalByTenant()})
+	for _, window := range slices.Sorted(maps.Keys(m.usage.undecided)) {
+		windows = append(windows, api.UsageWindow{Window: window, Counts: m.usage.undecided[window].totalByTenant()})
 	}
 	return windows
 }
@@ -148,25 +148,25 @@
 }
 
 // clone returns a copy that later commands do not modify.
-func (l *usageState) clone() usageState {
-	next := usageState{open: make(map[int64]usageCounts, len(l.open)), decided: maps.Clone(l.decided), lastDecided: l.lastDecided}
-	for window, counts := range l.open {
+func (s *usageState) clone() usageState {
+	next := usageState{undecided: make(map[int64]usageCounts, len(s.undecided)), decided: maps.Clone(s.decided), lastDecided: s.lastDecided}
+	for window, counts := range s.undecided {
 		clonedCounts := make(usageCounts, len(counts))
 		for run, tenants := range counts {
 			clonedCounts[run] = maps.Clone(tenants)
 		}
-		next.open[window] = clonedCounts
+		next.undecided[window] = clonedCounts
 	}
 	return next
 }
 
 // counters returns the counters of undecided windows, sorted by window, process run and
 // tenant.
-func (l *usageState) counters() []UsageCount {
+func (s *usageState) counters() []UsageCount {
 	var all []UsageCount
-	for _, window := range slices.Sorted(maps.Keys(l.open)) {
-		for _, run := range slices.Sorted(maps.Keys(l.open[window])) {
-			tenants := l.open[window][run]
+	for _, window := range slices.Sorted(maps.Keys(s.undecided)) {
+		for _, run := range slices.Sorted(maps.Keys(s.undecided[window])) {
+			tenants := s.undecided[window][run]
 			for _, tenant := range slices.Sorted(maps.Keys(tenants)) {
 				all = append(all, UsageCount{Life: run, Window: window, Tenant: tenant, Count: tenants[tenant]})
 			}
@@ -175,30 +175,30 @@
 	return all
 }
 
-func appendUsageState(b []byte, l *usageState) []byte {
-	b = appendUsageCounts(b, l.counters())
-	b = binenc.AppendInt(b, l.lastDecided)
-	windows := slices.Sorted(maps.Keys(l.decided))
+func appendUsageState(b []byte, s *usageState) []byte {
+	b = appendUsageCounts(b, s.counters())
+	b = binenc.AppendInt(b, s.lastDecided)
+	windows := slices.Sorted(maps.Keys(s.decided))
 	b = binenc.AppendUint(b, uint64(len(windows)))
 	for _, window := range windows {
-		b = appendUsageWindow(b, l.decided[window])
+		b = appendUsageWindow(b, s.decided[window])
 	}
 	return b
 }
 
 func readUsageState(r *binenc.Reader) usageState {
 	const minimumWindowBytes = 5
-	l := newUsageState()
-	merger := &Machine{usage: l}
+	s := newUsageState()
+	merger := &Machine{usage: s}
 	merger.countUsage(&CountUsage{Counts: readUsageCounts(r)})
-	l = merger.usage
-	l.lastDecided = r.Int()
+	s = merger.usage
+	s.lastDecided = r.Int()
 	windows := r.Count(minimumWindowBytes)
 	for i := 0; i < windows && r.Err() == nil; i++ {
 		window := readUsageWindow(r)
-		l.decided[window.Window] = &window
+		s.decided[window.Window] = &window
 	}
-	return l
+	return s
 }
 
 func appendUsageWindow(b []byte, window *api.UsageWindow) []byte {
--- a/version/state/usage_test.go
+++ b/version/state/usage_test.go
@@ -63,7 +63,7 @@
 	first := m.Apply(1, 2, decideCommand(7)).(api.UsageWindow)
 	must.Eq(t, api.UsageWindow{Window: 7, Counts: map[string]uint64{"a": 3}, Decided: true}, first)
 	m.Apply(2, 3, countCommand(UsageCount{"p", 7, "a", 9}, UsageCount{"p", 6, "a", 9}))
-	must.MapLen(t, 1, m.usage.open, must.Sprint("counters of decided or skipped windows are dropped"))
+	must.MapLen(t, 1, m.usage.undecided, must.Sprint("counters of decided or skipped windows are dropped"))
 	m = restoredCopy(t, m)
 	must.Eq(t, first, m.Apply(2, 4, decideCommand(7)).(api.UsageWindow))
 	must.Eq(t, []api.UsageWindow{first}, m.OutstandingUsage())
@@ -82,5 +82,5 @@
 		m.Apply(1, uint64(2*window+1), decideCommand(window))
 	}
 	must.SliceLen(t, maxDecidedWindows, m.Usage())
-	must.MapEmpty(t, m.usage.open)
+	must.MapEmpty(t, m.usage.undecided)
 }
--- a/version/subset/subset.go
+++ b/version/subset/subset.go
@@ -101,22 +101,22 @@
 	candidates []scoredEndpoint
 }
 
-func (b *topRanked) add(candidate scoredEndpoint) {
-	full := len(b.candidates) == b.limit
-	if full && (b.limit == 0 || !candidate.ranksBefore(b.candidates[b.limit-1])) {
+func (t *topRanked) add(candidate scoredEndpoint) {
+	full := len(t.candidates) == t.limit
+	if full && (t.limit == 0 || !candidate.ranksBefore(t.candidates[t.limit-1])) {
 		return
 	}
-	position := sort.Search(len(b.candidates), func(i int) bool { return candidate.ranksBefore(b.candidates[i]) })
+	position := sort.Search(len(t.candidates), func(i int) bool { return candidate.ranksBefore(t.candidates[i]) })
 	if full {
-		b.candidates = b.candidates[:b.limit-1]
+		t.candidates = t.candidates[:t.limit-1]
 	}
-	b.candidates = slices.Insert(b.candidates, position, candidate)
+	t.candidates = slices.Insert(t.candidates, position, candidate)
 }
 
 // names returns the names of the first count candidates.
-func (b *topRanked) names(count int) []string {
+func (t *topRanked) names(count int) []string {
 	names := make([]string, 0, count)
-	for _, candidate := range b.candidates[:count] {
+	for _, candidate := range t.candidates[:count] {
 		names = append(names, candidate.name)
 	}
 	return names
--- a/version/subset/subset_test.go
+++ b/version/subset/subset_test.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	zoneCount = 17
-	perZone   = 120
+	zoneCount        = 17
+	endpointsPerZone = 120
 )
 
 func testEndpoints() []subset.Endpoint {
 	var endpoints []subset.Endpoint
 	for zone := range zoneCount {
-		for replica := range perZone {
+		for replica := range endpointsPerZone {
 			endpoints = append(endpoints, subset.Endpoint{
 				Name:  fmt.Sprintf("engine-%d-%d", zone, replica),
 				Zone:  fmt.Sprintf("zone-%d", zone),
@@ -37,9 +37,9 @@
 		remote    int
 	}{
 		{"large group", testEndpoints(), subset.Sizes{Local: 16, Remote: 8}, 16, 8},
-		{"no endpoint in the own zone", testEndpoints()[perZone:], subset.Sizes{Local: 16, Remote: 8}, 0, 24},
-		{"only the own zone", testEndpoints()[:perZone], subset.Sizes{Local: 16, Remote: 8}, 24, 0},
-		{"all of a small group is followed", testEndpoints()[perZone-2 : perZone+3], subset.Sizes{Local: 16, Remote: 8}, 2, 3},
+		{"no endpoint in the own zone", testEndpoints()[endpointsPerZone:], subset.Sizes{Local: 16, Remote: 8}, 0, 24},
+		{"only the own zone", testEndpoints()[:endpointsPerZone], subset.Sizes{Local: 16, Remote: 8}, 24, 0},
+		{"all of a small group is followed", testEndpoints()[endpointsPerZone-2 : endpointsPerZone+3], subset.Sizes{Local: 16, Remote: 8}, 2, 3},
 		{"nothing to follow", nil, subset.DefaultSizes, 0, 0},
 	}
 	for _, test := range cases {
@@ -102,7 +102,7 @@
 			}
 		}
 	}
-	mean := float64(daemonsPerZone*24) / perZone
+	mean := float64(daemonsPerZone*24) / endpointsPerZone
 	for _, endpoint := range endpoints {
 		count := float64(followers[endpoint.Name])
 		must.Greater(t, mean/3, count, must.Sprintf("%s has %v followers of a mean of %v", endpoint.Name, count, mean))
