--- a/version/state/orders.go
+++ b/version/state/orders.go
@@ -66,10 +66,10 @@
 		slices.Contains(spec.Roles, assignment.Role)
 }
 
-// withinDisruptionBudget reports whether the disruption budget of the engine's intent permits
-// a planned change to the engine. An engine that does not serve needs no budget,
-// since the change does not reduce capacity. An engine that has not reported may be
-// serving: it counts as unavailable for the other engines' budget and gets no
+// withinDisruptionBudget reports whether the disruption budget of the engine's intent
+// permits a planned change to the engine. An engine that does not serve needs no
+// budget, since the change does not reduce capacity. An engine that has not reported
+// may be serving: it counts as unavailable for the other engines' budget and gets no
 // order until it reports.
 func (m *Machine) withinDisruptionBudget(engine *api.Engine) bool {
 	if engine.Spec.Drain {
--- a/version/state/rules_test.go
+++ b/version/state/rules_test.go
@@ -81,15 +81,15 @@
 	must.Eq(t, api.PhaseUnknown, c.engine("e1").Status.Phase)
 	must.Eq(t, api.OutcomeOperationConflict, c.transactLimited(limits, write("e2")).Code)
 
-	refused := c.transactLimited(limits, api.Transaction{OperationID: "op-2", Writes: write("e1").Writes})
-	must.Eq(t, api.OutcomeRevisionConflict, refused.Code)
-	must.Eq(t, uint64(2), refused.Conflicts[0].Current.Engine.Revision)
+	rejected := c.transactLimited(limits, api.Transaction{OperationID: "op-2", Writes: write("e1").Writes})
+	must.Eq(t, api.OutcomeRevisionConflict, rejected.Code)
+	must.Eq(t, uint64(2), rejected.Conflicts[0].Current.Engine.Revision)
 	deleted := testEngine("e1", nil)
 	deleted.Revision = 2
 	must.Eq(t, api.OutcomeAccepted, c.transact("delete", api.Write{Object: api.Object{Engine: deleted}, Delete: true}).Code)
 	c.restoreFromSnapshot()
 	resent := c.transactLimited(limits, api.Transaction{OperationID: "op-2", Writes: write("e1").Writes})
-	must.Eq(t, refused, resent, must.Sprint("a rejection must stay one after the conflicting object was deleted"))
+	must.Eq(t, rejected, resent, must.Sprint("a rejection must stay one after the conflicting object was deleted"))
 
 	c.clock = 1000
 	must.Eq(t, api.OutcomeAccepted, c.transactLimited(limits, write("e3")).Code, must.Sprint("the ID can be used again after the retention"))
