--- a/version/state/codec_test.go
+++ b/version/state/codec_test.go
@@ -12,8 +12,8 @@
 	"github.com/landingtrail/landingtrail/version/binenc"
 )
 
-// fillValue sets every field below v to a value other than zero, so that a
-// field that a codec forgets is seen to be lost.
+// fillValue sets v and every nested field to a nonzero value, so that a field that the
+// codec omits is detected after decoding.
 func fillValue(v reflect.Value, seed *int) {
 	*seed++
 	switch v.Kind() {
@@ -64,7 +64,7 @@
 		field, _ := bodies.FieldByName(name)
 		fillValue(reflect.ValueOf(&command).Elem().FieldByIndex(field.Index), &seed)
 		if command.Kind == CommandObserve {
-			// An object of a command is of one kind.
+			// Each object in an Observe command must have exactly one kind.
 			command.Observe.Put = []api.Object{{Replica: command.Observe.Put[0].Replica}, {Quarantine: command.Observe.Put[1].Quarantine}, {Suspect: command.Observe.Put[0].Suspect}}
 			command.Observe.Removed = []api.Key{{Kind: api.KindProxy, Name: "p"}}
 		}
@@ -76,7 +76,7 @@
 	return commands
 }
 
-func TestCodecKeepsEveryField(t *testing.T) {
+func TestCodecPreservesEveryField(t *testing.T) {
 	for _, command := range fullCommands() {
 		data := Encode(command)
 		decoded, err := Decode(data)
@@ -93,7 +93,7 @@
 	must.ErrorIs(t, err, ErrUnknownKind)
 }
 
-func TestRetainedRecordsKeepEveryField(t *testing.T) {
+func TestStoredRecordsPreserveEveryField(t *testing.T) {
 	seed := 0
 	var result api.TransactionResult
 	fillValue(reflect.ValueOf(&result).Elem(), &seed)
@@ -108,8 +108,8 @@
 	must.Eq(t, record.nonce, readClaimRecord(binenc.NewReader(appendClaimRecord(nil, &record))).nonce)
 }
 
-// busyMachine returns a machine with something in each part of its state.
-func busyMachine() *Machine {
+// newPopulatedMachine returns a machine with most parts of its state filled.
+func newPopulatedMachine() *Machine {
 	m := New()
 	pool := api.Labels{"pool": "a"}
 	commands := []Command{
@@ -119,7 +119,7 @@
 		{Kind: CommandTransaction, Transaction: &api.Transaction{OperationID: "refused", Writes: []api.Write{put(testEngine("e1", pool))}}},
 		{Kind: CommandReportEngine, EngineReport: &EngineReport{Engine: "e1", Incarnation: 6, Phase: api.PhaseIdle}},
 		{Kind: CommandReportEngine, EngineReport: &EngineReport{Engine: "e1", Incarnation: 7, Phase: api.PhaseIdle}},
-		{Kind: CommandOpenOrder, OpenOrder: &OpenOrder{Engine: "e1", Incarnation: 7, Assignment: serving}},
+		{Kind: CommandOpenOrder, OpenOrder: &OpenOrder{Engine: "e1", Incarnation: 7, Assignment: servingAssignment}},
 		{Kind: CommandMachines, Machines: &Machines{Leaving: []string{"e2"}, Gone: []string{"b1"}}},
 		claimCommand(1),
 		{Kind: CommandRunOutcome, RunOutcome: &RunOutcome{Tenant: "gritting", Key: "briefing-1", Nonce: 1, Outcome: api.RunNotRun}},
@@ -132,9 +132,9 @@
 	return m
 }
 
-func TestRestoreRefusesDamage(t *testing.T) {
-	snapshot := busyMachine().Freeze().Encode()
-	m := busyMachine()
+func TestRestoreRejectsCorruption(t *testing.T) {
+	snapshot := newPopulatedMachine().Freeze().Encode()
+	m := newPopulatedMachine()
 	for i := range snapshot {
 		damaged := append([]byte(nil), snapshot...)
 		damaged[i] ^= 1
@@ -142,7 +142,7 @@
 		must.Error(t, m.Restore(snapshot[:i]))
 	}
 	must.ErrorIs(t, m.Restore(nil), ErrFormat)
-	must.Eq(t, snapshot, m.Freeze().Encode(), must.Sprint("a refused snapshot changes nothing"))
+	must.Eq(t, snapshot, m.Freeze().Encode(), must.Sprint("an invalid snapshot must not change the state"))
 }
 
 func FuzzDecode(f *testing.F) {
@@ -155,14 +155,14 @@
 			return
 		}
 		must.Eq(t, data, Encode(command))
-		m := busyMachine()
+		m := newPopulatedMachine()
 		m.Apply(2, 100, command)
 		must.NoError(t, New().Restore(m.Freeze().Encode()))
 	})
 }
 
 func FuzzRestore(f *testing.F) {
-	snapshot := busyMachine().Freeze().Encode()
+	snapshot := newPopulatedMachine().Freeze().Encode()
 	f.Add(snapshot[len(snapshotFormat) : len(snapshot)-checksumBytes])
 	f.Fuzz(func(t *testing.T, body []byte) {
 		data := append([]byte(snapshotFormat), body...)
--- a/version/state/orders.go
+++ b/version/state/orders.go
@@ -7,16 +7,17 @@
 )
 
 const (
-	// defaultMaxUnavailable is the disruption budget of an intent that gives none.
+	// defaultMaxUnavailable is the disruption budget of an intent that sets none.
 	defaultMaxUnavailable = 1
-	// incarnationLimit bounds the earlier incarnations remembered of an engine.
-	incarnationLimit = 8
+	// maxEarlierIncarnations is the maximum number of earlier incarnations that are
+	// stored per engine.
+	maxEarlierIncarnations = 8
 )
 
-// openOrder commits an order. An order with the zero assignment drains an engine
-// and unloads it; it is allowed on an engine whose spec asks for a drain or
-// that is leaving, and no other order is. A drain needs no order to
-// keep new work away, since the drain in the spec stands in the view itself.
+// openOrder commits an order. An order with the zero assignment drains and unloads
+// an engine. It is the only order allowed for an engine whose spec requests a
+// drain or that is leaving, and it is allowed for no other engine. A drain needs no
+// order to keep new requests away, because the view contains the drain in the spec.
 func (m *Machine) openOrder(open *OpenOrder) OpenOrderResult {
 	engine := m.engines.items[open.Engine]
 	switch {
@@ -26,10 +27,10 @@
 		return OpenOrderResult{Code: OpenOrderAlreadyOpen, Order: *engine.Status.OpenOrder}
 	case open.Incarnation == 0 || open.Incarnation != engine.Status.Incarnation:
 		return OpenOrderResult{Code: OpenOrderOtherIncarnation}
-	case !m.allowed(engine, open.Assignment):
+	case !m.isAssignmentAllowed(engine, open.Assignment):
 		return OpenOrderResult{Code: OpenOrderNotAllowed}
-	case !m.withinBudget(engine):
-		return OpenOrderResult{Code: OpenOrderBudget}
+	case !m.withinDisruptionBudget(engine):
+		return OpenOrderResult{Code: OpenOrderBudgetExhausted}
 	}
 	order := api.Order{
 		Fence:       m.fence(),
@@ -44,8 +45,8 @@
 	return OpenOrderResult{Code: OpenOrderOpened, Order: order}
 }
 
-// allowed reports whether the engine may be given the assignment.
-func (m *Machine) allowed(engine *api.Engine, assignment api.Assignment) bool {
+// isAssignmentAllowed reports whether an order may give the engine the assignment.
+func (m *Machine) isAssignmentAllowed(engine *api.Engine, assignment api.Assignment) bool {
 	leaving := engine.Status.Phase == api.PhaseLeaving
 	if engine.Spec.Drain || leaving {
 		return assignment.Equal(api.Assignment{})
@@ -57,7 +58,7 @@
 	return intent != nil && Satisfies(intent.Spec, assignment)
 }
 
-// Satisfies reports whether an engine with the assignment is what the intent asks for.
+// Satisfies reports whether the assignment matches the spec of the intent.
 func Satisfies(spec api.IntentSpec, assignment api.Assignment) bool {
 	return spec.Model == assignment.Model &&
 		spec.Version == assignment.Version &&
@@ -65,11 +66,12 @@
 		slices.Contains(spec.Roles, assignment.Role)
 }
 
-// withinBudget reports whether one more planned change keeps the disruption
-// budget of the engine's intent. An engine that serves nothing takes nothing
-// away, so it needs no budget. One that has not been heard from may well serve:
-// it is away for the others' budget and gets no order until it has reported.
-func (m *Machine) withinBudget(engine *api.Engine) bool {
+// withinDisruptionBudget reports whether the disruption budget of the engine's intent
+// permits a planned change to the engine. An engine that does not serve needs no
+// budget, since the change does not reduce capacity. An engine that has not reported
+// may be serving: it counts as unavailable for the other engines' budget and gets no
+// order until it reports.
+func (m *Machine) withinDisruptionBudget(engine *api.Engine) bool {
 	if engine.Spec.Drain {
 		return true
 	}
@@ -88,17 +90,17 @@
 	if budget == 0 {
 		budget = defaultMaxUnavailable
 	}
-	away := 0
+	unavailable := 0
 	for name := range m.selection.engines[intent.Name] {
-		if unavailable(m.engines.items[name]) {
-			away++
+		if isUnavailable(m.engines.items[name]) {
+			unavailable++
 		}
 	}
-	return away < budget
+	return unavailable < budget
 }
 
-// unavailable reports whether an engine counts as away.
-func unavailable(engine *api.Engine) bool {
+// isUnavailable reports whether an engine counts against the disruption budget.
+func isUnavailable(engine *api.Engine) bool {
 	if engine.Status.OpenOrder != nil || engine.Spec.Drain {
 		return true
 	}
@@ -106,9 +108,9 @@
 	return phase != api.PhaseServing && phase != api.PhaseIdle
 }
 
-// voidOrder gives out a fence above the open order's. Nothing is stored: the
-// fence is unique because the entry's index is, and above the order's because
-// the order's entry came before.
+// voidOrder returns a fence greater than that of the open order. It stores nothing:
+// the fence is unique because the index of the log entry is, and greater because
+// the entry of the order precedes it.
 func (m *Machine) voidOrder(void *VoidOrder) VoidOrderResult {
 	engine := m.engines.items[void.Engine]
 	if !hasOpenOrder(engine, void.Fence) {
@@ -117,17 +119,17 @@
 	return VoidOrderResult{Open: true, Fence: m.fence()}
 }
 
-// closeOrder closes the open order with the fence if the engine's report bears
-// the reason out, and commits the report.
+// closeOrder closes the open order with the fence and commits the engine's report, if
+// the report supports the reason.
 func (m *Machine) closeOrder(closing *CloseOrder) CloseOrderResult {
 	engine := m.engines.items[closing.Engine]
 	if !hasOpenOrder(engine, closing.Fence) || closing.Report.Engine != closing.Engine {
 		return CloseOrderResult{}
 	}
-	if m.outdated(engine, &closing.Report) || !bearsOut(engine.Status.OpenOrder, closing.Reason, &closing.Report) {
+	if m.isStale(engine, &closing.Report) || !supportsReason(engine.Status.OpenOrder, closing.Reason, &closing.Report) {
 		return CloseOrderResult{}
 	}
-	status := m.reported(engine, &closing.Report)
+	status := m.statusAfterReport(engine, &closing.Report)
 	status.OpenOrder = nil
 	m.updateEngine(engine, status)
 	return CloseOrderResult{Closed: true}
@@ -137,39 +139,39 @@
 	return engine != nil && engine.Status.OpenOrder != nil && engine.Status.OpenOrder.Fence == fence
 }
 
-// bearsOut reports whether the order can change nothing any more by the
-// engine's own word. An engine that is still draining or changing may be
-// carrying the order out, whatever fence it has confirmed.
-func bearsOut(order *api.Order, reason CloseReason, report *EngineReport) bool {
+// supportsReason reports whether the engine's report proves the reason for closing the
+// order, so that the order can no longer take effect. An engine that is still
+// draining or changing may be executing the order, whatever fence it has confirmed.
+func supportsReason(order *api.Order, reason CloseReason, report *EngineReport) bool {
 	sameIncarnation := report.Incarnation == order.Incarnation
-	busy := report.Phase == api.PhaseDraining || report.Phase == api.PhaseChanging
+	inTransition := report.Phase == api.PhaseDraining || report.Phase == api.PhaseChanging
 	switch reason {
 	case CloseDone:
-		reached := !report.Fence.Less(order.Fence)
-		return sameIncarnation && reached && !busy && report.Assignment.Equal(order.Assignment)
+		confirmed := !report.Fence.Less(order.Fence)
+		return sameIncarnation && confirmed && !inTransition && report.Assignment.Equal(order.Assignment)
 	case CloseVoid:
-		return sameIncarnation && order.Fence.Less(report.Fence) && !busy
+		return sameIncarnation && order.Fence.Less(report.Fence) && !inTransition
 	case CloseOtherIncarnation:
 		return !sameIncarnation && report.Incarnation != 0
 	}
 	return false
 }
 
-// reportEngine commits a report. A new incarnation does not close an open order
-// by itself: CloseOrder does, so that each order has one explicit end.
+// reportEngine commits a report. A report from a new incarnation does not close an
+// open order: only CloseOrder does, so that each order is closed explicitly.
 func (m *Machine) reportEngine(report *EngineReport) {
 	engine := m.engines.items[report.Engine]
-	if engine == nil || m.outdated(engine, report) {
+	if engine == nil || m.isStale(engine, report) {
 		return
 	}
-	m.updateEngine(engine, m.reported(engine, report))
+	m.updateEngine(engine, m.statusAfterReport(engine, report))
 }
 
-// outdated reports whether a report is older than what is committed: it has a
-// lower fence in the same incarnation, or comes from an earlier incarnation.
-// An incarnation that was wrongly taken for an earlier one proves that it is
-// alive by confirming a fence above all that the engine was known to have.
-func (m *Machine) outdated(engine *api.Engine, report *EngineReport) bool {
+// isStale reports whether a report is older than the committed status: it has a lower
+// fence in the same incarnation, or comes from an earlier incarnation. An
+// incarnation that was mistaken for an earlier one proves that it is current by
+// confirming a fence greater than all known fences of the engine.
+func (m *Machine) isStale(engine *api.Engine, report *EngineReport) bool {
 	if report.Incarnation == 0 {
 		return true
 	}
@@ -177,10 +179,10 @@
 		return report.Fence.Less(engine.Status.Fence)
 	}
 	earlier := slices.Contains(m.earlierIncarnations(engine.Name), report.Incarnation)
-	return earlier && !highestFence(engine).Less(report.Fence)
+	return earlier && !highestKnownFence(engine).Less(report.Fence)
 }
 
-func highestFence(engine *api.Engine) api.Fence {
+func highestKnownFence(engine *api.Engine) api.Fence {
 	highest := engine.Status.Fence
 	if order := engine.Status.OpenOrder; order != nil && highest.Less(order.Fence) {
 		return order.Fence
@@ -188,9 +190,10 @@
 	return highest
 }
 
-// reported returns the engine's status after a report, and remembers the
-// incarnation that the report ends.
-func (m *Machine) reported(engine *api.Engine, report *EngineReport) api.EngineStatus {
+// statusAfterReport returns the status of the engine after a report. It does not store
+// the status, but if the report comes from another incarnation, it stores the
+// previous one as an earlier incarnation.
+func (m *Machine) statusAfterReport(engine *api.Engine, report *EngineReport) api.EngineStatus {
 	status := engine.Status
 	if status.Incarnation != report.Incarnation {
 		m.retireIncarnation(engine.Name, status.Incarnation, report.Incarnation)
@@ -198,14 +201,14 @@
 	status.Incarnation = report.Incarnation
 	status.Assignment = report.Assignment
 	status.Fence = report.Fence
-	status.Phase = m.platform.phase(engine.Name, ownPhase(report))
+	status.Phase = m.platform.phase(engine.Name, reportedPhase(report))
 	return status
 }
 
-// ownPhase returns the phase that an engine gives itself. Its latest word
-// counts: a machine may be kept after all, and an engine that was held for
-// leaving for ever would use up the disruption budget.
-func ownPhase(report *EngineReport) api.EnginePhase {
+// reportedPhase returns the phase in an engine's report. The latest report replaces an
+// earlier leaving phase: a machine may be kept after all, and an engine that
+// stayed in the leaving phase forever would use up the disruption budget.
+func reportedPhase(report *EngineReport) api.EnginePhase {
 	switch report.Phase {
 	case api.PhaseIdle, api.PhaseServing, api.PhaseDraining, api.PhaseChanging, api.PhaseLeaving:
 		return report.Phase
@@ -218,7 +221,7 @@
 	if old != 0 {
 		earlier = append(earlier, old)
 	}
-	if len(earlier) > incarnationLimit {
+	if len(earlier) > maxEarlierIncarnations {
 		earlier = earlier[1:]
 	}
 	if len(earlier) > 0 {
@@ -237,12 +240,12 @@
 	return slices.Clone(*earlier)
 }
 
-// ReportChanges reports whether committing the report could change the engine,
-// so that reports which say nothing new need not be proposed. What the platform
-// says of a machine stands over the engine's own word.
+// ReportChanges reports whether committing the report could change the engine's
+// status. Other reports need not be proposed. The machine phase that the
+// platform lists takes precedence over the phase that the engine reports.
 func ReportChanges(engine *api.Engine, report EngineReport) bool {
 	status := engine.Status
-	phaseChanges := status.MachinePhase == api.PhaseUnknown && status.Phase != ownPhase(&report)
+	phaseChanges := status.MachinePhase == api.PhaseUnknown && status.Phase != reportedPhase(&report)
 	return phaseChanges ||
 		status.Incarnation != report.Incarnation ||
 		status.Fence != report.Fence ||
--- a/version/state/retained.go
+++ b/version/state/retained.go
@@ -7,125 +7,128 @@
 )
 
 const (
-	// defaultRetention holds when a command gives none, in milliseconds: a
-	// missing setting must not make claims be forgotten at once.
+	// defaultRetention, in milliseconds, applies when a command sets no retention: a
+	// missing setting must not cause claims to expire immediately.
 	defaultRetention = 24 * 3600 * 1000
-	// expireBatch bounds the entries that one command removes. It is above the
-	// one entry that a command adds, so removal keeps pace.
+	// expireBatch is the maximum number of queue entries that one command removes. It
+	// exceeds the one entry that a command adds, so removal keeps up.
 	expireBatch = 16
 
-	retainedShards = 256
+	shardCount = 256
 )
 
-// shardSeed spreads keys over shards; no result depends on it.
+// shardSeed seeds the hash that assigns keys to shards. It does not affect any result
+// or snapshot, so it may differ between members.
 var shardSeed = maphash.MakeSeed()
 
-// entry is a retained value. It is immutable: an update stores a new entry.
+// entry is a value with its expiry. It is immutable: an update stores a new entry.
 type entry[V any] struct {
 	revision uint64 // index of the command that added the key
-	expires  int64  // group clock in milliseconds
+	expires  int64  // milliseconds of the group clock
 	value    V
 }
 
-// queued refers to the entry that a command added. It is outdated when the
-// key's entry has another revision.
-type queued[K comparable] struct {
+// queuedKey refers to the entry that a command added. It is stale if the current entry
+// of the key has another revision.
+type queuedKey[K comparable] struct {
 	key      K
 	revision uint64
 }
 
-// retained maps keys to values that expire by the group clock. From its expiry
-// on an entry is never returned; its memory is freed a few entries at a time in
-// the order of adding, so an entry behind one of longer retention is freed later.
+// expiringMap maps keys to values that expire by the group clock. From its expiry on,
+// an entry is never returned. The memory of expired entries is freed a few entries
+// at a time in the order of insertion, so an entry behind one with a longer
+// retention is freed later.
 //
-// The maps are copied on write after freeze, and the queue is only appended to
-// and cut at its head, so a frozen copy costs no copy of the entries.
-type retained[K comparable, V any] struct {
-	shards [retainedShards]retainedShard[K, V]
-	queue  []queued[K]
+// The maps are copied on the first write after freeze. The queue is only appended
+// to and cut at its head. A frozen copy therefore does not copy any entries.
+type expiringMap[K comparable, V any] struct {
+	shards [shardCount]expiringShard[K, V]
+	queue  []queuedKey[K]
 }
 
-type retainedShard[K comparable, V any] struct {
+type expiringShard[K comparable, V any] struct {
 	items  map[K]*entry[V]
 	shared bool // a frozen copy uses items
 }
 
-func (r *retained[K, V]) get(key K, clock int64) *entry[V] {
-	e := r.shard(key).items[key]
+func (m *expiringMap[K, V]) get(key K, clock int64) *entry[V] {
+	e := m.shard(key).items[key]
 	if e == nil || e.expires <= clock {
 		return nil
 	}
 	return e
 }
 
-// add stores a new entry and replaces one that the caller found to be replaceable.
-func (r *retained[K, V]) add(key K, e *entry[V]) {
-	r.put(key, e)
-	r.queue = append(r.queue, queued[K]{key: key, revision: e.revision})
+// add stores a new entry and replaces any existing entry of the key.
+func (m *expiringMap[K, V]) add(key K, e *entry[V]) {
+	m.put(key, e)
+	m.queue = append(m.queue, queuedKey[K]{key: key, revision: e.revision})
 }
 
 // update replaces the value of a key and keeps its revision and expiry.
-func (r *retained[K, V]) update(key K, value V) {
-	old := r.shard(key).items[key]
-	r.put(key, &entry[V]{revision: old.revision, expires: old.expires, value: value})
+func (m *expiringMap[K, V]) update(key K, value V) {
+	old := m.shard(key).items[key]
+	m.put(key, &entry[V]{revision: old.revision, expires: old.expires, value: value})
 }
 
-// expire frees a bounded number of entries.
-func (r *retained[K, V]) expire(clock int64) {
+// expire removes a bounded number of expired entries and stale references.
+func (m *expiringMap[K, V]) expire(clock int64) {
 	for range expireBatch {
-		if len(r.queue) == 0 {
-			r.queue = nil
+		if len(m.queue) == 0 {
+			m.queue = nil
 			return
 		}
-		head := r.queue[0]
-		e := r.live(head)
+		head := m.queue[0]
+		e := m.lookup(head)
 		if e != nil && e.expires > clock {
 			return
 		}
-		r.queue = r.queue[1:]
+		m.queue = m.queue[1:]
 		if e != nil {
-			r.remove(head.key)
+			m.remove(head.key)
 		}
 	}
 }
 
-// live returns the entry that the reference was made for, or nil if it was replaced.
-func (r *retained[K, V]) live(q queued[K]) *entry[V] {
-	e := r.shard(q.key).items[q.key]
+// lookup returns the entry that the reference was created for, or nil if it was
+// replaced or removed.
+func (m *expiringMap[K, V]) lookup(q queuedKey[K]) *entry[V] {
+	e := m.shard(q.key).items[q.key]
 	if e == nil || e.revision != q.revision {
 		return nil
 	}
 	return e
 }
 
-// freeze returns a copy that never changes.
-func (r *retained[K, V]) freeze() *retained[K, V] {
-	for i := range r.shards {
-		r.shards[i].shared = true
+// freeze returns an immutable copy.
+func (m *expiringMap[K, V]) freeze() *expiringMap[K, V] {
+	for i := range m.shards {
+		m.shards[i].shared = true
 	}
-	frozen := *r
-	frozen.queue = r.queue[:len(r.queue):len(r.queue)]
+	frozen := *m
+	frozen.queue = m.queue[:len(m.queue):len(m.queue)]
 	return &frozen
 }
 
-func (r *retained[K, V]) put(key K, e *entry[V]) {
-	shard := r.shard(key)
-	shard.own()
+func (m *expiringMap[K, V]) put(key K, e *entry[V]) {
+	shard := m.shard(key)
+	shard.ensureWritable()
 	shard.items[key] = e
 }
 
-func (r *retained[K, V]) remove(key K) {
-	shard := r.shard(key)
-	shard.own()
+func (m *expiringMap[K, V]) remove(key K) {
+	shard := m.shard(key)
+	shard.ensureWritable()
 	delete(shard.items, key)
 }
 
-func (r *retained[K, V]) shard(key K) *retainedShard[K, V] {
-	return &r.shards[maphash.Comparable(shardSeed, key)%retainedShards]
+func (m *expiringMap[K, V]) shard(key K) *expiringShard[K, V] {
+	return &m.shards[maphash.Comparable(shardSeed, key)%shardCount]
 }
 
-// own makes the map safe to write to.
-func (s *retainedShard[K, V]) own() {
+// ensureWritable allocates the map, or copies it if a frozen copy uses it.
+func (s *expiringShard[K, V]) ensureWritable() {
 	switch {
 	case s.items == nil:
 		s.items = map[K]*entry[V]{}
@@ -135,8 +138,8 @@
 	s.shared = false
 }
 
-// expiry returns the group time at which something added now expires.
-func expiry(clock, retention int64) int64 {
+// expiryTime returns the time on the group clock at which an entry added now expires.
+func expiryTime(clock, retention int64) int64 {
 	if retention <= 0 {
 		retention = defaultRetention
 	}
--- a/version/state/snapshot.go
+++ b/version/state/snapshot.go
@@ -15,78 +15,80 @@
 
 // Errors of Restore.
 var (
-	// ErrFormat is returned for data that is no snapshot of a known format.
+	// ErrFormat is returned for data that is not a snapshot in a known format.
 	ErrFormat = errors.New("state: unknown snapshot format")
-	// ErrDamaged is returned for a snapshot whose checksum or content is wrong.
-	ErrDamaged = errors.New("state: damaged snapshot")
+	// ErrDamaged is returned for a snapshot whose checksum or content is invalid.
+	ErrDamaged = errors.New("state: corrupt snapshot")
 )
 
-// snapshotFormat begins every snapshot; its last byte is the format's version.
+// snapshotFormat is the prefix of every snapshot. Its last byte is the format version.
 const snapshotFormat = "LTS\x02"
 
 const checksumBytes = 8
 
-// Frozen is a consistent copy of a machine's state. It never changes, so that
-// it can be encoded on another goroutine while the machine goes on.
+// Frozen is a consistent, immutable copy of a machine's state. Another goroutine can
+// encode it while the machine applies commands.
 type Frozen struct {
-	term         uint64
-	index        uint64
-	clock        int64
-	history      view.History
-	source       []byte
-	usage        usageLedger
-	incarnations map[string]*[]uint64
-	platform     platformList
-	members      map[uint64]Member
-	operations   *retained[string, *operation]
-	claims       *retained[claimKey, *claimRecord]
+	term          uint64
+	index         uint64
+	clock         int64
+	history       view.History
+	ingressSource []byte
+	usage         usageState
+	incarnations  map[string]*[]uint64
+	platform      platformList
+	members       map[uint64]Member
+	operations    *expiringMap[string, *operation]
+	claims        *expiringMap[claimKey, *claimRecord]
 }
 
-// Freeze returns a copy of the state. Its cost does not grow with the state, but for the
-// counters of windows that are still open; later commands copy each map that they change once.
+// Freeze returns a copy of the state. Most of the state is copied on write: a later command
+// copies a map when it first changes it. Only the counters of undecided usage windows, the
+// index of decided windows and the members are copied at once.
 func (m *Machine) Freeze() Frozen {
 	return Frozen{
-		term:         m.term,
-		index:        m.index,
-		clock:        m.clock,
-		history:      m.History(),
-		source:       m.ingressSource,
-		usage:        m.usage.clone(),
-		incarnations: m.incarnations.share(),
-		platform:     m.platform,
-		members:      maps.Clone(m.members),
-		operations:   m.operations.freeze(),
-		claims:       m.claims.freeze(),
+		term:          m.term,
+		index:         m.index,
+		clock:         m.clock,
+		history:       m.History(),
+		ingressSource: m.ingressSource,
+		usage:         m.usage.clone(),
+		incarnations:  m.incarnations.share(),
+		platform:      m.platform,
+		members:       maps.Clone(m.members),
+		operations:    m.operations.freeze(),
+		claims:        m.claims.freeze(),
 	}
 }
 
 // Applied returns the term and index of the last command in the copy.
 func (f Frozen) Applied() (term, index uint64) { return f.term, f.index }
 
-// Snapshot encodes the state. The error is always nil; it is there for the
-// interfaces of replicated state machines.
+// Snapshot encodes the state. The error is always nil; it is part of the signature
+// that interfaces of replicated state machines require.
 func (m *Machine) Snapshot() ([]byte, error) { return m.Freeze().Encode(), nil }
 
-// Encode returns the snapshot. Equal states have equal snapshots.
+// Encode returns the snapshot. Equal states have identical snapshots.
 func (f Frozen) Encode() []byte {
 	b := []byte(snapshotFormat)
 	b = binenc.AppendUint(b, f.term)
 	b = binenc.AppendUint(b, f.index)
 	b = binenc.AppendInt(b, f.clock)
 	b = appendHistory(b, f.history)
-	b = binenc.AppendBytes(b, f.source)
-	b = appendUsageLedger(b, &f.usage)
+	b = binenc.AppendBytes(b, f.ingressSource)
+	b = appendUsageState(b, &f.usage)
 	b = appendIncarnations(b, f.incarnations)
 	b = binenc.AppendStrings(b, f.platform.leaving)
 	b = binenc.AppendStrings(b, f.platform.gone)
 	b = appendMembers(b, f.members)
-	b = appendRetained(b, f.operations, appendOperation)
-	b = appendRetained(b, f.claims, appendClaim)
+	b = appendExpiring(b, f.operations, appendOperation)
+	b = appendExpiring(b, f.claims, appendClaim)
 	return binary.BigEndian.AppendUint64(b, xxhash.Sum64(b))
 }
 
-// Restore replaces the state by the one of a snapshot. On an error, which is
-// ErrFormat or ErrDamaged, the state stays as it was.
+// Restore replaces the state with that of a snapshot. If the snapshot is invalid,
+// it returns ErrFormat or an error that wraps ErrDamaged and leaves the state
+// unchanged.
 func (m *Machine) Restore(snapshot []byte) error {
 	if len(snapshot) < len(snapshotFormat)+checksumBytes || string(snapshot[:len(snapshotFormat)]) != snapshotFormat {
 		return ErrFormat
@@ -97,7 +99,7 @@
 	}
 	next := New()
 	r := binenc.NewReader(body[len(snapshotFormat):])
-	next.read(r)
+	next.readSnapshot(r)
 	if err := r.Close(); err != nil {
 		return errors.Wrap(ErrDamaged, err.Error())
 	}
@@ -105,18 +107,18 @@
 	return nil
 }
 
-func (m *Machine) read(r *binenc.Reader) {
+func (m *Machine) readSnapshot(r *binenc.Reader) {
 	m.term = r.Uint()
 	m.index = r.Uint()
 	m.clock = r.Int()
 	m.readHistory(r)
 	m.ingressSource = r.Bytes()
-	m.usage = readUsageLedger(r)
+	m.usage = readUsageState(r)
 	m.readIncarnations(r)
 	m.platform = platformList{leaving: readSorted(r), gone: readSorted(r)}
 	m.readMembers(r)
-	readRetained(r, &m.operations, readOperation)
-	readRetained(r, &m.claims, readClaim)
+	readExpiring(r, &m.operations, readOperation)
+	readExpiring(r, &m.claims, readClaim)
 	m.selection.rebuild(m.intents.items, m.engines.items)
 }
 
@@ -155,7 +157,7 @@
 	}
 }
 
-// readObjects reads objects, which stand in the order of their kinds and names.
+// readObjects reads objects, which must be sorted by kind and name.
 func (m *Machine) readObjects(r *binenc.Reader) {
 	const minimumObjectBytes = 4
 	n := r.Count(minimumObjectBytes)
@@ -163,7 +165,7 @@
 	for i := 0; i < n && r.Err() == nil; i++ {
 		o := r.Object()
 		key, ok := o.Key()
-		if !ok || (i > 0 && !before(previous, key)) {
+		if !ok || (i > 0 && !keyLess(previous, key)) {
 			r.Fail(binenc.ErrMalformed)
 			return
 		}
@@ -172,7 +174,7 @@
 	}
 }
 
-func before(a, b api.Key) bool {
+func keyLess(a, b api.Key) bool {
 	if a.Kind != b.Kind {
 		return slices.Index(api.Kinds, a.Kind) < slices.Index(api.Kinds, b.Kind)
 	}
@@ -231,7 +233,7 @@
 	}
 }
 
-// readSorted reads a list of names that is sorted and free of repetitions.
+// readSorted reads a list of names, which must be sorted and have no duplicates.
 func readSorted(r *binenc.Reader) []string {
 	list := r.Strings()
 	for i := 1; i < len(list); i++ {
--- a/version/subset/subset.go
+++ b/version/subset/subset.go
@@ -1,15 +1,15 @@
-// Package subset chooses which endpoints a daemon follows when there are too
-// many to follow all: load reports of ten thousand replicas to every daemon
-// cost more than a daemon may spend.
+// Package subset selects the endpoints that a daemon follows when following all
+// of them is too expensive: sending the load reports of ten thousand replicas to
+// every daemon exceeds a daemon's traffic budget.
 //
-// The choice is rendezvous hashing within each group (the endpoints that can
-// stand in for each other), first among the daemon's own zone and then, for
-// the overlap, among the others. It guarantees:
+// Choose uses rendezvous hashing within each group of interchangeable endpoints.
+// It selects from the daemon's own zone first and then from the other zones, for
+// redundancy. It guarantees:
 //
-//   - It depends only on the daemon, the sizes and the set of endpoints, so a
-//     restarted daemon follows the same endpoints.
-//   - Adding or removing an endpoint changes a daemon's choice in at most one
-//     place for each share (local and remote), since every endpoint's score is
+//   - The result depends only on the daemon, its zone, the sizes and the set of
+//     endpoints, so a restarted daemon follows the same endpoints.
+//   - Adding or removing an endpoint changes at most one local and one remote
+//     endpoint of a daemon's subset, because the score of each endpoint is
 //     independent of all others.
 //   - Each endpoint is followed by about the same number of daemons: scores are
 //     independent and uniform, so the counts are binomial.
@@ -22,33 +22,33 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Endpoint is what the choice depends on.
+// Endpoint describes an endpoint that Choose can select.
 type Endpoint struct {
 	Name  string
 	Zone  string
-	Group string // endpoints of one group can stand in for each other
+	Group string // endpoints of one group are interchangeable
 }
 
-// Sizes bounds a choice, per group.
+// Sizes bounds the size of a subset, per group.
 type Sizes struct {
-	// Local is how many endpoints of the daemon's own zone are followed.
+	// Local is the number of endpoints followed in the daemon's own zone.
 	Local int
-	// Remote is how many endpoints of other zones are followed, so that the
-	// loss of a zone leaves every daemon with somewhere to send to.
+	// Remote is the number of endpoints followed in other zones, so that a daemon
+	// still has endpoints to send to when its zone fails.
 	Remote int
 }
 
-// DefaultSizes keeps a daemon's polling of load reports inside its traffic
+// DefaultSizes keeps the traffic of polling load reports within a daemon's
 // budget; see docs/CAPACITY.md.
 var DefaultSizes = Sizes{Local: 16, Remote: 8}
 
-// Choose returns the names of the endpoints that the daemon follows, sorted. A
-// group that is no larger than Local+Remote is followed whole. What one share
-// cannot fill, the other does.
+// Choose returns the sorted names of the endpoints that the daemon follows. It
+// returns all endpoints of a group that has at most Local+Remote of them. If one
+// of the two parts has too few endpoints, the other part makes up the difference.
 func Choose(daemon, zone string, endpoints []Endpoint, sizes Sizes) []string {
 	var chosen []string
 	for _, members := range byGroup(endpoints) {
-		chosen = append(chosen, chooseGroup(daemon, zone, members, sizes)...)
+		chosen = append(chosen, chooseFromGroup(daemon, zone, members, sizes)...)
 	}
 	sort.Strings(chosen)
 	return chosen
@@ -62,67 +62,67 @@
 	return groups
 }
 
-func chooseGroup(daemon, zone string, members []Endpoint, sizes Sizes) []string {
-	wanted := min(sizes.Local+sizes.Remote, len(members))
-	local, remote := best{limit: wanted}, best{limit: wanted}
-	hash := newHasher(daemon)
+func chooseFromGroup(daemon, zone string, members []Endpoint, sizes Sizes) []string {
+	total := min(sizes.Local+sizes.Remote, len(members))
+	local, remote := topRanked{limit: total}, topRanked{limit: total}
+	scorer := newHasher(daemon)
 	for _, member := range members {
-		candidate := scored{name: member.Name, score: hash.score(member.Name)}
+		candidate := scoredEndpoint{name: member.Name, score: scorer.score(member.Name)}
 		if member.Zone == zone {
-			local.offer(candidate)
+			local.add(candidate)
 		} else {
-			remote.offer(candidate)
+			remote.add(candidate)
 		}
 	}
-	localCount := min(sizes.Local, len(local.kept))
-	remoteCount := min(wanted-localCount, len(remote.kept))
-	return append(local.names(wanted-remoteCount), remote.names(remoteCount)...)
+	localCount := min(sizes.Local, len(local.candidates))
+	remoteCount := min(total-localCount, len(remote.candidates))
+	return append(local.names(total-remoteCount), remote.names(remoteCount)...)
 }
 
-// scored is an endpoint with its score for one daemon.
-type scored struct {
+// scoredEndpoint is an endpoint with its score for one daemon.
+type scoredEndpoint struct {
 	name  string
 	score uint64
 }
 
-// before orders by score, highest first; equal scores are ordered by name, so
-// that the order is total.
-func (s scored) before(other scored) bool {
+// ranksBefore orders by descending score and breaks ties by name, so that the
+// order is total.
+func (s scoredEndpoint) ranksBefore(other scoredEndpoint) bool {
 	if s.score != other.score {
 		return s.score > other.score
 	}
 	return s.name < other.name
 }
 
-// best keeps the first of what it is offered, in order, up to its limit. Few
-// are chosen of many, so this costs less than to sort them all.
-type best struct {
-	limit int
-	kept  []scored
+// topRanked keeps the highest-ranked candidates in order, up to its limit. Only
+// a few of many candidates are selected, so this is cheaper than sorting all.
+type topRanked struct {
+	limit      int
+	candidates []scoredEndpoint
 }
 
-func (b *best) offer(candidate scored) {
-	full := len(b.kept) == b.limit
-	if full && (b.limit == 0 || !candidate.before(b.kept[b.limit-1])) {
+func (t *topRanked) add(candidate scoredEndpoint) {
+	full := len(t.candidates) == t.limit
+	if full && (t.limit == 0 || !candidate.ranksBefore(t.candidates[t.limit-1])) {
 		return
 	}
-	at := sort.Search(len(b.kept), func(i int) bool { return candidate.before(b.kept[i]) })
+	position := sort.Search(len(t.candidates), func(i int) bool { return candidate.ranksBefore(t.candidates[i]) })
 	if full {
-		b.kept = b.kept[:b.limit-1]
+		t.candidates = t.candidates[:t.limit-1]
 	}
-	b.kept = slices.Insert(b.kept, at, candidate)
+	t.candidates = slices.Insert(t.candidates, position, candidate)
 }
 
-// names returns the names of the first count.
-func (b *best) names(count int) []string {
+// names returns the names of the first count candidates.
+func (t *topRanked) names(count int) []string {
 	names := make([]string, 0, count)
-	for _, one := range b.kept[:count] {
-		names = append(names, one.name)
+	for _, candidate := range t.candidates[:count] {
+		names = append(names, candidate.name)
 	}
 	return names
 }
 
-// hasher scores endpoints for one daemon.
+// hasher computes the rendezvous score of endpoints for one daemon.
 type hasher struct {
 	buffer []byte
 	prefix int
