--- a/version/planner/adaptive.go
+++ b/version/planner/adaptive.go
@@ -7,24 +7,27 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// Config configures the adaptive planner. Zero fields take defaults.
+// Config configures the adaptive planner. Fields that are zero or negative take
+// defaults.
 type Config struct {
-	Rates    Rates
-	Forecast ForecastConfig
+	Rates    Rates          // throughput model of the engines
+	Forecast ForecastConfig // smoothing of the measured demand
 	// ChangeTime is how long a role change makes an engine unavailable, without the drain.
 	ChangeTime time.Duration
 	// DrainTime is how long an engine typically takes to finish its requests.
 	DrainTime time.Duration
-	// CacheWarmupTime is the engine time lost to a cold prefix cache after a change.
+	// CacheWarmupTime is the time of one engine that is lost to a cold prefix cache
+	// after a change.
 	CacheWarmupTime time.Duration
-	// MinMixDuration and MaxMixDuration bound the estimate of how long a mix of
-	// prompt and output work lasts; InitialMixDuration is its first value.
+	// MinMixDuration and MaxMixDuration bound the estimate of how long the ratio of
+	// prompt to output work stays above or below its average, where the estimate is
+	// used; InitialMixDuration is its first value.
 	MinMixDuration     time.Duration
 	InitialMixDuration time.Duration
 	MaxMixDuration     time.Duration
-	// GainRatio is the ratio of expected gain to cost that a change must exceed.
-	// It is above 1 because both are estimates, and choosing the best candidate
-	// favors those whose gain is overestimated.
+	// GainRatio is the ratio of expected gain to cost, both in engine-seconds, that a
+	// change must exceed. It is above 1 because both are estimates: the candidate with
+	// the highest estimated gain is often one whose gain is overestimated.
 	GainRatio float64
 	// CoolDown is the minimum time between two role changes of an intent. It
 	// doubles with each change that soon reverses the previous one, up to MaxCoolDown.
@@ -84,14 +87,15 @@
 }
 
 // intentState is what the policy keeps about one intent between plans. Losing it
-// is harmless: forecasts start again from the next measurement.
+// is harmless: forecasts start again from the next measurement, and the cool-down
+// from its initial value, which may allow a role change earlier.
 type intentState struct {
 	forecast    forecast
 	mixDuration mixDurationEstimate
 	lastMove    move
 	lastMoveAt  time.Duration
-	moved       bool
-	coolDown    time.Duration
+	moved       bool          // lastMove and lastMoveAt are set
+	coolDown    time.Duration // current value, see recordMove
 }
 
 // move is the role change of one engine.
@@ -101,7 +105,8 @@
 
 func (m move) reverses(other move) bool { return m.from == other.to && m.to == other.from }
 
-// updateState adds the measured demand to the intent's state and returns the state.
+// updateState adds the measured demand to the intent's state, which it creates if there
+// is none, and returns the state. The state of a deleted intent is not removed.
 func (a *adaptive) updateState(g *group) *intentState {
 	state := a.states[g.intent.Name]
 	if state == nil {
@@ -138,10 +143,12 @@
 }
 
 // defaultWork replaces a zero forecast when roles are assigned to unassigned engines.
+// The values are per second.
 var defaultWork = work{requests: 10, uncachedPrompt: 5000, totalPrompt: 10000, output: 1000}
 
 // assignUnassigned returns the current split with roles added for the engines that
-// have none, one engine at a time, each with the role in which it adds most.
+// have none, one engine at a time, each with the role that gives the split the highest
+// value.
 func (a *adaptive) assignUnassigned(g *group, current Split, missing int, state *intentState) Split {
 	expected := state.forecast.predict(a.config.ChangeTime)
 	if a.config.Rates.requiredEngines(expected) == 0 {
@@ -163,9 +170,11 @@
 	return current
 }
 
-// partialSplitValue returns the value of a split in which some engines may not have a
-// role yet: the work that it can serve, plus a small bonus for its coverage of the
-// scarcer of prompt and output work, so that neither is left without engines.
+// partialSplitValue returns the value, in engines, of a split in which some engines may
+// not have a role yet. It is the work that the split can serve, plus a bonus of a
+// thousandth of its lower coverage of prompt and output work. The bonus decides between
+// splits that can serve the same work, such as none at all, so that neither kind of
+// work is left without engines.
 func (a *adaptive) partialSplitValue(split Split, w work) float64 {
 	balance := min(
 		coverage(float64(split.Prefill+split.Mixed), a.config.Rates.requiredPrefillEngines(w)),
@@ -174,15 +183,17 @@
 	return a.config.Rates.servableWork(split, w) + 1e-3*balance
 }
 
-// moveChoice is a move whose expected gain exceeds its cost.
+// moveChoice is the move that bestMove chose, with the reason shown to operators.
 type moveChoice struct {
 	move   move
 	reason string
 }
 
-// bestMove finds the split whose gain over the expected duration of the mix most
-// exceeds the cost of the moves that lead to it, and returns the first of these
-// moves. It returns false where no split is worth its cost.
+// bestMove evaluates the candidate splits over the expected duration of the mix. Among
+// those whose gain exceeds GainRatio times the cost of the moves that lead to them, it
+// chooses the one with the highest gain less cost, and returns the first move toward
+// it. It returns false if there is none. The prompts that are queued now are added to
+// the expected work, spread over the duration.
 func (a *adaptive) bestMove(g *group, current Split, state *intentState) (moveChoice, bool) {
 	duration := min(max(state.mixDuration.expected, a.config.MinMixDuration), a.config.MaxMixDuration)
 	expected := state.forecast.predict(a.config.DrainTime + a.config.ChangeTime + duration/4)
@@ -208,9 +219,11 @@
 	return moveChoice{move: a.firstMoveToward(current, best, expected), reason: reason}, true
 }
 
-// moveCost returns the cost in engine-seconds of the moves that lead to a split:
-// the work not served while each engine is unavailable, its cold prefix cache, and
-// the intent's ChangeCost.
+// moveCost returns the cost in engine-seconds of the moves that lead to a split. Each
+// move costs the work not served while the engine is unavailable, its cold prefix
+// cache, and the intent's ChangeCost, which is in engine-seconds too. The work not
+// served is that of the role whose loss of one engine costs most. Half of DrainTime
+// counts as unavailable.
 func (a *adaptive) moveCost(g *group, current, candidate Split, expected work) float64 {
 	moves := float64(current.Moves(candidate))
 	unavailable := (a.config.DrainTime/2 + a.config.ChangeTime).Seconds()
@@ -224,7 +237,8 @@
 	return moves * (lostWork*unavailable + a.config.CacheWarmupTime.Seconds() + g.intent.Spec.ChangeCost)
 }
 
-// firstMoveToward returns the move toward a split after which most work can be served.
+// firstMoveToward returns the move toward a split after which partialSplitValue is
+// highest.
 func (a *adaptive) firstMoveToward(current, target Split, expected work) move {
 	best, most := move{}, -1.0
 	for _, from := range splitRoles {
@@ -241,10 +255,11 @@
 	return best
 }
 
-// recordMove records a role change and bounds flapping. A change that reverses the
-// previous one within MinMixDuration, or within twice the cool-down if that is
-// longer, doubles the cool-down; a change later than MaxMixDuration and twice the
-// cool-down resets it.
+// recordMove records a role change and adapts the cool-down, which bounds how often
+// engines change back and forth. A change that reverses the previous one within
+// MinMixDuration, or within twice the cool-down if that is longer, doubles the
+// cool-down, up to MaxCoolDown. A change that follows the previous one after both
+// MaxMixDuration and twice the cool-down have passed resets it.
 func (a *adaptive) recordMove(now time.Duration, state *intentState, next move) {
 	since := now - state.lastMoveAt
 	switch {
--- a/version/planner/balance.go
+++ b/version/planner/balance.go
@@ -7,12 +7,13 @@
 	"time"
 )
 
-// ReplicaLoad is the role and load of one replica of a routed service.
+// ReplicaLoad is the role and load of one replica of a routed service: a service of the
+// Ingress whose requests the control group places on replicas.
 type ReplicaLoad struct {
 	Name string
 	Zone string
-	// Reads is true for a replica in the prefill role, which processes prompts for
-	// others, false for one in the decode role, which generates tokens.
+	// Reads is true for a replica in the prefill role, which processes prompts for the
+	// decode replicas, false for one in the decode role, which generates tokens.
 	Reads bool
 	// Running is the number of requests in decode on the replica and Slots the
 	// number it has room for, 0 if unknown. Queued is the number of prompts that
@@ -24,17 +25,19 @@
 	Changing bool
 }
 
-// ServiceLoad is the recent load of one service, as seen by the placement of its requests.
+// ServiceLoad is the recent load of one service, as measured where its requests are
+// placed on replicas.
 type ServiceLoad struct {
 	Replicas []ReplicaLoad
-	// Requests is the weight of the recent requests. Late is the share of them that
-	// could not be placed so that their first token meets its objective.
+	// Requests is the number of recent requests with a first-token objective, as a
+	// count that decays with time. Late is the share of them, from 0 to 1, that could
+	// not be placed so that the first token was predicted to meet the objective.
 	Requests float64
 	Late     float64
-	// Starting is the time from the end of prefill and transfer to the first token,
-	// as a share of the first-token objective.
+	// Starting is the time from the end of prefill and of the transfer of the KV cache
+	// to the first token, as a share of the mean first-token objective.
 	Starting float64
-	// Settled is true once no replica was moved to prefill for ReversalPause.
+	// Settled is true if no replica was moved to prefill during the last ReversalPause.
 	Settled bool
 }
 
@@ -65,27 +68,32 @@
 }
 
 // ReversalPause is how long after the last change to prefill no prefill replica is
-// moved back for high decode occupancy: demand comes in waves, and each change costs
-// seconds of a replica.
+// moved back for high decode occupancy. The demand varies periodically, and each change
+// makes a replica unavailable for seconds. The caller of Balance applies the pause by
+// ServiceLoad.Settled.
 const ReversalPause = 20 * time.Second
 
 // Thresholds and limits of Balance.
 const (
-	// minRequests is the weight of recent requests below which the shares are too noisy.
+	// minRequests is the value of ServiceLoad.Requests below which Balance changes
+	// nothing, because the share of late requests says little about so few.
 	minRequests = 150
-	// morePrefillLateShare is the share of late requests from which replicas move to prefill.
+	// morePrefillLateShare is the minimum share of late requests at which replicas move
+	// to prefill.
 	morePrefillLateShare = 0.15
-	// sparePrefillLateShare is the share of late requests up to which a prefill replica
-	// can be spared.
+	// sparePrefillLateShare is the maximum share of late requests at which a prefill
+	// replica may move to decode because the decode slots are occupied.
 	sparePrefillLateShare = 0.02
-	// slowDecodeStart is the share of the objective from which requests wait too long for
-	// decode after their prefill. Replicas move to prefill only up to half of it.
+	// slowDecodeStart is the minimum value of ServiceLoad.Starting at which requests wait
+	// too long for decode and a replica moves to decode. Replicas move to prefill only
+	// while the value is at most half of it.
 	slowDecodeStart = 0.6
-	// minDecodeShare is the share of the replicas that stays in the decode role.
+	// minDecodeShare is the share of all replicas below which moves to prefill must not
+	// reduce the decode replicas.
 	minDecodeShare = 1.0 / 3
 	// moreDecodeOccupancy is the occupancy of the decode slots above which a replica moves
-	// to decode; after moves to prefill the remaining ones may be filled only to
-	// maxDecodeOccupancyAfterChange.
+	// to decode. Moves to prefill must not raise the occupancy of the decode replicas that
+	// remain above maxDecodeOccupancyAfterChange.
 	moreDecodeOccupancy           = 0.75
 	maxDecodeOccupancyAfterChange = 0.5
 	// maxChangingShare is the share of the replicas that may change their role at once.
@@ -93,13 +101,13 @@
 )
 
 // Balance decides which replicas change their role. A change makes a replica
-// unavailable for seconds and loses its KV cache, so it is made only where late
-// requests show that prefill is the bottleneck, or slow decode starts or occupied
-// decode slots show that decode is.
+// unavailable for seconds and loses its KV cache. A change to prefill is therefore made
+// only if late requests show that prefill is the bottleneck, and one to decode only if
+// slow decode starts or occupied decode slots show that decode is.
 //
-// Invariants: each role keeps one replica in every zone that has one, a third of all
-// replicas stay in the decode role, and at most a quarter of them, or one if that is
-// more, change at once.
+// Invariants: no change removes the last replica of a role from a zone or leaves fewer
+// than a third of all replicas in the decode role. At most a quarter of the replicas,
+// or one if that is more, change their role at once.
 func Balance(load ServiceLoad) []RoleChange {
 	if load.Requests < minRequests {
 		return nil
@@ -140,13 +148,15 @@
 	return p
 }
 
-// changeAllowance returns how many more replicas may change their role now.
+// changeAllowance returns how many more replicas may change their role now; negative if
+// more are changing than allowed.
 func (p *replicasByRole) changeAllowance() int {
 	return max(int(float64(p.total)*maxChangingShare), 1) - p.changing
 }
 
 // decodeOccupancy returns the share of the decode slots that would be occupied if the
-// given number of decode replicas were removed; 0 where no slots are known.
+// given number of decode replicas were removed; 0 if no slots are known or no decode
+// replica would remain.
 func (p *replicasByRole) decodeOccupancy(removed int) float64 {
 	running, slots := 0, 0
 	for _, replica := range p.decode {
@@ -160,7 +170,8 @@
 	return float64(running) * float64(len(p.decode)) / (float64(slots) * float64(remaining))
 }
 
-// changesToPrefill returns as many moves to prefill as the limits allow.
+// changesToPrefill returns as many moves to prefill as the limits allow, unlike
+// changeToDecode, which returns at most one.
 func (p *replicasByRole) changesToPrefill() []RoleChange {
 	minDecode := int(math.Ceil(float64(p.total) * minDecodeShare))
 	var changes []RoleChange
@@ -174,7 +185,7 @@
 	return changes
 }
 
-// changeToDecode returns one move to decode, none where the limits forbid it.
+// changeToDecode returns one move to decode, or none if the limits forbid it.
 func (p *replicasByRole) changeToDecode() []RoleChange {
 	if p.changeAllowance() < 1 {
 		return nil
@@ -187,8 +198,8 @@
 }
 
 // leastLoadedInLargestZone returns the name of the replica with the least work in the
-// zone that has most of the replicas, not counting those that already change. It is
-// empty where each zone has only one left.
+// zone with the largest number of the replicas, not counting those with a change. It
+// returns "" if no zone has more than one left.
 func leastLoadedInLargestZone(replicas []ReplicaLoad, changes []RoleChange, work func(ReplicaLoad) int) string {
 	remaining := slices.DeleteFunc(slices.Clone(replicas), func(r ReplicaLoad) bool {
 		return slices.ContainsFunc(changes, func(change RoleChange) bool { return change.Replica == r.Name })
--- a/version/planner/balance_test.go
+++ b/version/planner/balance_test.go
@@ -30,7 +30,7 @@
 	}{
 		{"late", ServiceLoad{Replicas: testReplicas(4, 8, 1), Requests: 200, Late: 0.4}, 3},
 		{"in time", ServiceLoad{Replicas: testReplicas(4, 8, 1), Requests: 200, Late: 0.05}, 0},
-		{"too few requests to tell", ServiceLoad{Replicas: testReplicas(4, 8, 1), Requests: 10, Late: 1}, 0},
+		{"too few requests", ServiceLoad{Replicas: testReplicas(4, 8, 1), Requests: 10, Late: 1}, 0},
 		{"decode starts are slow already", ServiceLoad{Replicas: testReplicas(4, 8, 1), Requests: 200, Late: 0.4, Starting: 0.4}, 0},
 		{"only a third is in decode", ServiceLoad{Replicas: testReplicas(8, 4, 1), Requests: 200, Late: 0.4}, 0},
 		{"decode is occupied", ServiceLoad{Replicas: testReplicas(4, 8, 4), Requests: 200, Late: 0.4}, 0},
@@ -55,7 +55,7 @@
 	must.SliceLen(t, 1, changes)
 	must.False(t, changes[0].Reads)
 	load.Late = 0.1
-	must.SliceEmpty(t, Balance(load), must.Sprint("prefill has no replica to spare"))
+	must.SliceEmpty(t, Balance(load), must.Sprint("too many requests are late to move a prefill replica"))
 }
 
 // Where requests wait for decode after their prefill, one prefill replica moves to decode
@@ -68,7 +68,8 @@
 }
 
 // For any load, no zone loses the last replica of a role, at most a quarter of the
-// replicas change at once, and no replica is chosen twice or while it is changing.
+// replicas change at once, and no replica is chosen twice or while it is changing. The
+// share of replicas that remain in decode is tested above only.
 func TestBalanceLeavesEnough(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var load ServiceLoad
--- a/version/planner/baseline.go
+++ b/version/planner/baseline.go
@@ -7,14 +7,17 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// StaticConfig configures the static baseline.
+// StaticConfig configures the static planner, a baseline that the adaptive one is
+// compared with.
 type StaticConfig struct {
 	// PrefillShare is the share of engines that get the prefill role; the others
-	// get the decode role. 0 makes all engines mixed.
+	// get the decode role. With 0 the split is that of defaultTarget: all engines are
+	// mixed if the intent permits it.
 	PrefillShare float64
 }
 
 // NewStatic returns a planner that assigns a fixed split once and then changes no role.
+// When engines without a role are added, it applies the fixed share to the new total.
 func NewStatic(config StaticConfig) Planner {
 	return &policyPlanner{policy: &static{config: config}}
 }
@@ -47,11 +50,12 @@
 	return proportionalSplit(total, 0.5)
 }
 
-// ThresholdConfig configures the threshold baseline. Zero fields take defaults.
+// ThresholdConfig configures the threshold planner, a baseline that the adaptive one is
+// compared with. Zero fields take defaults.
 type ThresholdConfig struct {
 	Rates Rates
-	// Band is the number of engines by which the prefill engines that the measured
-	// demand calls for must differ from the current ones before one is moved.
+	// Band is the minimum difference, in engines, between the wanted and the current
+	// number of prefill engines at which one engine is moved.
 	Band float64
 	// CoolDown is the minimum time between two role changes of an intent.
 	CoolDown time.Duration
@@ -64,8 +68,8 @@
 )
 
 // NewThreshold returns a planner that follows the measured ratio of prompt to output
-// work with hysteresis: when the split that it calls for differs from the current one
-// by more than Band, one engine is moved.
+// work with hysteresis: when the number of prefill engines for this ratio differs from
+// the current one by Band or more, one engine is moved.
 func NewThreshold(config ThresholdConfig) Planner {
 	config.Rates = config.Rates.withDefaults()
 	if config.Band == 0 {
@@ -107,7 +111,8 @@
 	return current.toward(target), fmt.Sprintf("prompt work is worth %.1f engines, has %d", wanted, current.Prefill)
 }
 
-// toward returns the split after one move toward a target.
+// toward returns the split after one move toward a target, the first in the order of
+// splitRoles.
 func (s Split) toward(target Split) Split {
 	for _, from := range splitRoles {
 		for _, to := range splitRoles {
--- a/version/planner/capacity.go
+++ b/version/planner/capacity.go
@@ -7,24 +7,30 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// Capacity plans set how many replicas of a service each zone should have, and of which
-// kind. Withdrawable replicas cost a fraction of lasting ones, but the platform may withdraw
-// all those of a zone at once. So most replicas are withdrawable, spread evenly over the
-// zones, and so many that the number found at first remains after the loss of any one zone's;
-// a base in each zone is lasting.
+// A capacity plan sets how many replicas of a service a zone should have, and of which
+// kind. A lasting replica (on-demand) runs until it is released. A withdrawable one
+// (spot, preemptible) costs a fraction of that, but the platform may withdraw all of
+// those of a zone at once. The found replicas are those that ran when the control group
+// began to plan the service's capacity; their number is taken to be enough.
+//
+// Each zone has a base of lasting replicas. The others are withdrawable and are spread
+// evenly over the zones. There are so many of them that the found number of replicas
+// remains after any one zone has lost all of its withdrawable ones.
 const (
-	// baseLastingShare is the share of a zone's found replicas that is always lasting. It is
-	// what remains where no withdrawable replicas can be had, and serves until more start.
+	// baseLastingShare is the share of a zone's found replicas that is always lasting. Only
+	// these remain if no withdrawable replicas are available, and they serve until more
+	// have started. replicaMix raises the share in steps of the same size if the zones
+	// would otherwise exceed their maximum.
 	baseLastingShare = 0.1
-	// shortageShare is the share of the found replicas below which lasting replicas are
-	// ordered in place of withdrawn ones that do not return.
+	// shortageShare is the ratio of ready to found replicas below which lasting replicas
+	// are requested to replace withdrawn ones that do not return.
 	shortageShare = 0.85
 )
 
-// ZoneCapacity is the wanted and the ready capacity of a service in one zone.
+// ZoneCapacity is the planned and the ready capacity of a service in one zone.
 type ZoneCapacity struct {
 	Zone string
-	// Wanted is the previous plan. Its Found is the number of replicas found at first.
+	// Wanted is the previous plan, with the number of replicas found in the zone.
 	Wanted api.CapacitySpec
 	// Lasting and Withdrawable count the replicas that are ready for requests.
 	Lasting      int
@@ -32,12 +38,14 @@
 }
 
 // PlanCapacity returns the capacity that each zone should have, in the order of the zones.
-// It requests fewer lasting replicas than were found only once withdrawable ones are ready
-// in their place, and keeps the found replicas where withdrawable ones would save nothing.
+// It reduces the lasting replicas below the found number only once withdrawable ones are
+// ready in their place. If withdrawable ones would not lower the cost or are not possible,
+// it requests the found number of lasting replicas and no others.
 //
-// Invariant: with the replicas that are ready at the time of the plan, either as many as
-// were found remain after the loss of any one zone's withdrawable ones, or the plan requests
-// no fewer lasting replicas than the previous one.
+// Invariant: the planned lasting replicas together with the withdrawable ones that are
+// ready now are at least as many as were found, even after any one zone has lost all of
+// its withdrawable ones, or the plan requests in total no fewer lasting replicas than the
+// previous one.
 func PlanCapacity(scaling *api.ScalingSheet, zones []ZoneCapacity) []api.CapacitySpec {
 	found := 0
 	for i := range zones {
@@ -79,8 +87,11 @@
 }
 
 // replicaMix returns the base of lasting replicas of each zone and the number of
-// withdrawable ones that each should have; saves is false where the mix would not cost
-// less than lasting replicas alone.
+// withdrawable ones that each zone should have. It raises the base until both fit into
+// the maximum of a zone. The number of withdrawable ones is rounded up so that all zones
+// but one still have the found number together with the base. saves is false if the mix
+// would not cost less than lasting replicas alone, if withdrawable ones have no price,
+// if there is only one zone, or if no mix fits.
 func replicaMix(scaling *api.ScalingSheet, zones []ZoneCapacity, found int) (base []int, withdrawable int, saves bool) {
 	if scaling.WithdrawablePrice <= 0 || len(zones) < 2 || found == 0 {
 		return nil, 0, false
@@ -104,7 +115,8 @@
 }
 
 // requiredLasting returns how many lasting replicas are needed in addition to the ready
-// withdrawable ones, so that the loss of any one zone's withdrawable ones can be absorbed.
+// withdrawable ones, so that the found number remains after any one zone has lost all of
+// its withdrawable ones.
 func requiredLasting(zones []ZoneCapacity, found int) int {
 	ready, largest := 0, 0
 	for i := range zones {
@@ -115,7 +127,7 @@
 }
 
 // proportionalShare returns a zone's share of a total, in proportion to the replicas found
-// there, rounded up.
+// there, rounded up. found must not be 0.
 func proportionalShare(total, zoneFound, found int) int { return (total*zoneFound + found - 1) / found }
 
 // planZone plans one zone: all its withdrawable replicas at once, and lasting ones beyond
@@ -132,8 +144,8 @@
 	return next
 }
 
-// IsShort reports whether so few replicas are ready that lasting ones have to replace the
-// missing withdrawable ones.
+// IsShort reports whether fewer than shortageShare of the found replicas are ready in all
+// zones together, so that lasting ones have to replace the missing withdrawable ones.
 func IsShort(zones []ZoneCapacity) bool {
 	found, ready := 0, 0
 	for i := range zones {
@@ -143,7 +155,9 @@
 	return float64(ready) < shortageShare*float64(found)
 }
 
-// StandIn returns the plans with lasting replicas in place of the missing withdrawable ones.
+// StandIn adds lasting replicas to the plans in place of the missing withdrawable ones and
+// returns them. It modifies plans, which must be in the order of the zones. At least one
+// replica must have been found.
 func StandIn(scaling *api.ScalingSheet, zones []ZoneCapacity, plans []api.CapacitySpec) []api.CapacitySpec {
 	found, ready := 0, 0
 	for i := range zones {
--- a/version/planner/capacity_test.go
+++ b/version/planner/capacity_test.go
@@ -13,7 +13,8 @@
 }
 
 // testZones returns zones in each of which the given number of replicas was found. Each
-// ready pair is a zone's ready lasting and withdrawable replicas.
+// pair in ready holds the numbers of lasting and of withdrawable replicas that are ready
+// in a zone, which are also those of the previous plan.
 func testZones(found int, ready ...[2]int) []ZoneCapacity {
 	var zones []ZoneCapacity
 	for i, counts := range ready {
@@ -35,7 +36,7 @@
 		"no price":                  {testScaling(94, 0), testZones(47, [2]int{47, 0}, [2]int{47, 0}, [2]int{47, 0})},
 		"same price":                {testScaling(94, 1), testZones(47, [2]int{47, 0}, [2]int{47, 0}, [2]int{47, 0})},
 		"one zone":                  {testScaling(94, 0.18), testZones(47, [2]int{47, 0})},
-		"no room":                   {testScaling(0, 0.18), testZones(47, [2]int{47, 0}, [2]int{47, 0})},
+		"maximum of 0":              {testScaling(0, 0.18), testZones(47, [2]int{47, 0}, [2]int{47, 0})},
 		"min is max":                {&api.ScalingSheet{Min: 47, Max: 47, WithdrawablePrice: 0.18}, testZones(47, [2]int{47, 0}, [2]int{47, 0})},
 		"two zones, price too high": {testScaling(94, 0.6), testZones(40, [2]int{40, 0}, [2]int{40, 0})},
 	}
@@ -94,7 +95,7 @@
 func TestPlanCapacityInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(2, 6).Draw(t, "zones")
-		maxReplicas := rapid.IntRange(1, 120).Draw(t, "most")
+		maxReplicas := rapid.IntRange(1, 120).Draw(t, "max replicas")
 		scaling := testScaling(maxReplicas, rapid.Float64Range(0.01, 1).Draw(t, "price"))
 		var zones []ZoneCapacity
 		found, ready, largest := 0, 0, 0
--- a/version/planner/forecast.go
+++ b/version/planner/forecast.go
@@ -2,9 +2,11 @@
 
 import "time"
 
-// ForecastConfig configures the smoothing of forecasts. Zero fields take defaults.
+// ForecastConfig configures the smoothing of forecasts by Holt's method. Fields that
+// are zero or negative take defaults.
 type ForecastConfig struct {
-	// LevelTime and TrendTime are the time constants of the level and of the trend.
+	// LevelTime and TrendTime are the time constants of the level, which is the
+	// smoothed rate, and of the trend, which is the smoothed change of the level.
 	LevelTime time.Duration
 	TrendTime time.Duration
 }
@@ -19,14 +21,16 @@
 const maxTrendShare = 0.5
 
 // smoothedRate is the level and the trend of one measured rate by Holt's method. The
-// smoothing weights follow the elapsed time, so that measurements at irregular
-// intervals are weighted correctly.
+// smoothing weights grow with the time since the last measurement, so that a given
+// time constant has the same effect for any interval between measurements.
 type smoothedRate struct {
 	level       float64
 	trend       float64 // change per second
 	initialized bool    // a first value was taken as the level
 }
 
+// update adds a value measured the given time after the last one. It ignores a value,
+// other than the first, for which no time has elapsed.
 func (s *smoothedRate) update(value float64, elapsed time.Duration, config ForecastConfig) {
 	if !s.initialized {
 		s.level, s.initialized = value, true
@@ -44,14 +48,14 @@
 	s.level = max(level, 0)
 }
 
-// predict returns the rate expected after a time.
+// predict returns the rate expected the given time after the last update.
 func (s *smoothedRate) predict(ahead time.Duration) float64 {
 	change := s.trend * ahead.Seconds()
 	bound := maxTrendShare * s.level
 	return s.level + min(max(change, -bound), bound)
 }
 
-// forecast predicts the demand of one intent.
+// forecast predicts the work of one intent from its measured demand.
 type forecast struct {
 	config         ForecastConfig
 	requests       smoothedRate
@@ -62,6 +66,8 @@
 	initialized    bool
 }
 
+// update adds the work measured now. It ignores a measurement that is not later than
+// the last one.
 func (f *forecast) update(now time.Duration, measured work) {
 	elapsed := now - f.lastUpdate
 	if f.initialized && elapsed <= 0 {
@@ -74,7 +80,7 @@
 	f.lastUpdate, f.initialized = now, true
 }
 
-// predict returns the work expected after a time.
+// predict returns the work expected the given time after the last update.
 func (f *forecast) predict(ahead time.Duration) work {
 	return work{
 		requests:       f.requests.predict(ahead),
@@ -85,7 +91,7 @@
 }
 
 // mixDurationEstimate estimates how long a mix of prompt and output work lasts, from
-// the times at which the prefill share crosses its own long-term average.
+// the times at which the prefill share crosses the long-term average of the share.
 type mixDurationEstimate struct {
 	average      smoothedRate
 	aboveAverage bool
@@ -96,12 +102,14 @@
 const (
 	// mixAverageTime is the time constant of the long-term average.
 	mixAverageTime = 5 * time.Minute
-	// mixDeadBand is the least distance from the average that counts as a crossing.
+	// mixDeadBand is the distance from the average, as a share of the engines, below
+	// which a crossing does not count, so that noise around the average has no effect.
 	mixDeadBand = 0.04
 	// mixDurationGain is the weight of the latest duration in the estimate.
 	mixDurationGain = 0.3
 )
 
+// update adds the prefill share measured now, the given time after the last one.
 func (s *mixDurationEstimate) update(now, elapsed time.Duration, prefillShare float64) {
 	s.average.update(prefillShare, elapsed, ForecastConfig{LevelTime: mixAverageTime, TrendTime: time.Hour})
 	offset := prefillShare - s.average.level
--- a/version/planner/group.go
+++ b/version/planner/group.go
@@ -16,7 +16,7 @@
 	demand  Demand
 }
 
-// groupByIntent splits the input by intent. Engines that no intent selects are in no
+// groupByIntent returns one group per intent. Engines that no intent selects are in no
 // group and therefore get no orders.
 func groupByIntent(input Input) []group {
 	list := make([]group, 0, len(input.Intents))
@@ -42,7 +42,9 @@
 	return slices.Contains(g.intent.Spec.Roles, role)
 }
 
-// isUsable reports whether an engine serves, or will serve after its open order.
+// isUsable reports whether an engine serves, or will serve after its current change. An
+// engine that is draining or changing counts as such even without an open order, and
+// an idle one counts if it has an open order, whatever its assignment.
 func isUsable(engine Engine) bool {
 	if engine.Drain {
 		return false
@@ -58,7 +60,7 @@
 }
 
 // isMovable reports whether an order may be opened for an engine now: it has no open
-// order, it is healthy, and no drain was requested.
+// order, it is idle or serving, and no drain was requested.
 func isMovable(engine Engine) bool {
 	if engine.Pending != nil || engine.Drain {
 		return false
@@ -66,7 +68,8 @@
 	return engine.Phase == api.PhaseIdle || engine.Phase == api.PhaseServing
 }
 
-// isUnassigned reports whether an engine has no assignment.
+// isUnassigned reports whether an engine has no role. An idle engine has none, whatever
+// assignment it reported.
 func isUnassigned(engine Engine) bool {
 	return engine.Phase == api.PhaseIdle || engine.Assignment.Role == api.RoleNone
 }
@@ -106,7 +109,10 @@
 	return count
 }
 
-// availableBudget returns how many serving engines may be made unavailable for a change now.
+// availableBudget returns how many serving engines may be made unavailable for a change
+// now. It counts only engines with open orders as unavailable. The state machine checks
+// the budget again when it opens an order, and also counts engines that are to be
+// drained and those that are neither serving nor idle.
 func (g *group) availableBudget() int {
 	unavailable := 0
 	for _, engine := range g.engines {
@@ -121,7 +127,8 @@
 	return max(limit-unavailable, 0)
 }
 
-// DefaultMaxUnavailable is the disruption budget of an intent that sets none.
+// DefaultMaxUnavailable is the disruption budget of an intent that sets none. It must
+// equal the default of package state.
 const DefaultMaxUnavailable = 1
 
 // desiredAssignment returns the assignment that the intent wants for an engine in a role.
@@ -142,8 +149,8 @@
 	return !g.allows(role) || !engine.Assignment.Equal(g.desiredAssignment(role))
 }
 
-// byLeastWork returns the engines that match, sorted by the work that they have to
-// finish or to hand over, least first.
+// byLeastWork returns the engines that match, sorted by the requests that they have to
+// finish or to hand over, fewest first.
 func (g *group) byLeastWork(match func(Engine) bool) []Engine {
 	var list []Engine
 	for _, engine := range g.engines {
--- a/version/planner/planner.go
+++ b/version/planner/planner.go
@@ -9,14 +9,16 @@
 // policy chooses how many engines of a group should have each role.
 type policy interface {
 	// target returns the wanted split and the reason for it. The split's total is
-	// the group's assignableCount. It is called once for each plan.
+	// the group's assignableCount. The reason is part of the orders that change roles;
+	// it may be empty if the split is the current one. target is called once per plan
+	// for each intent.
 	target(g *group) (Split, string)
 }
 
 // policyPlanner derives decisions from a policy's target and enforces the package's
 // guarantees whatever the policy returns: it opens orders only for engines that an
-// intent selects, that are healthy and that have no open order, and never makes more
-// serving engines of an intent unavailable at once than its disruption budget allows.
+// intent selects, that are idle or serving and that have no open order, and never makes
+// more serving engines of an intent unavailable at once than its disruption budget allows.
 type policyPlanner struct {
 	policy policy
 }
@@ -47,7 +49,8 @@
 	decisions []Decision
 }
 
-// addDecision adds an order that moves the engine to the role, and updates the split.
+// addDecision adds an order that gives the engine the role and the intent's model,
+// version and adapters, and updates the split.
 func (p *groupPlan) addDecision(engine Engine, role api.EngineRole, reason string) {
 	if !isUnassigned(engine) {
 		p.split = p.split.with(engine.Assignment.Role, -1)
@@ -71,7 +74,8 @@
 }
 
 // mostMissingRole returns the permitted role that is furthest below its target, and by
-// how many engines; RoleNone and 0 if no role is below its target.
+// how many engines; RoleNone and 0 if no role is below its target. A role below its
+// target is called missing, and one above it in excess.
 func (p *groupPlan) mostMissingRole() (api.EngineRole, int) {
 	missing, largestGap := api.RoleNone, 0
 	for _, role := range splitRoles {
--- a/version/planner/planner_test.go
+++ b/version/planner/planner_test.go
@@ -124,10 +124,10 @@
 		"adaptive":  func() Planner { return New(Config{}) },
 	}
 	for _, c := range cases {
-		for name, make := range planners {
+		for name, newPlanner := range planners {
 			t.Run(c.name+"/"+name, func(t *testing.T) {
 				input := Input{Intents: []*api.Intent{c.intent}, Engines: c.engines, Demand: testDemand(20000, 2000)}
-				decisions := make().Plan(input)
+				decisions := newPlanner().Plan(input)
 				must.Eq(t, c.want, decisionSummary(decisions))
 				for _, decision := range decisions {
 					must.Eq(t, "m", decision.Assignment.Model)
@@ -221,8 +221,8 @@
 		{"no demand", Config{}, testIntent(dedicatedRoles...), testEngines(4, 5, 0), 120, steady(0, 0), Split{4, 5, 0}, 0},
 		{"prompt-heavy", Config{}, testIntent(dedicatedRoles...), testEngines(3, 6, 0), 300, steady(70000, 2800), Split{7, 2, 0}, 4},
 		{"output-heavy", Config{}, testIntent(dedicatedRoles...), testEngines(6, 3, 0), 300, steady(15000, 11000), Split{2, 7, 0}, 4},
-		{"prompt-heavy at a high price", Config{}, costly, testEngines(3, 6, 0), 300, steady(70000, 2800), Split{3, 6, 0}, 0},
-		{"swings too fast for a change to pay off", Config{}, testIntent(dedicatedRoles...), testEngines(5, 4, 0), 400, alternating(5), Split{5, 4, 0}, 0},
+		{"prompt-heavy at a high change cost", Config{}, costly, testEngines(3, 6, 0), 300, steady(70000, 2800), Split{3, 6, 0}, 0},
+		{"demand varies too fast for a change to pay off", Config{}, testIntent(dedicatedRoles...), testEngines(5, 4, 0), 400, alternating(5), Split{5, 4, 0}, 0},
 		{
 			"inefficient mixed engines", Config{Rates: Rates{MixedEfficiency: 0.6}},
 			testIntent(allRoles...), testEngines(0, 0, 9), 600, steady(45000, 6000), Split{4, 3, 2}, 9,
@@ -238,8 +238,8 @@
 	}
 }
 
-// A change whose gain is only slightly above its cost is not made at the default GainRatio,
-// since the gain is an estimate.
+// A change whose gain is only slightly above its cost is not made at the default GainRatio
+// (0 below), since the gain is an estimate.
 func TestAdaptiveGainRatio(t *testing.T) {
 	intent := testIntent(api.RolePrefill, api.RoleDecode)
 	intent.Spec.ChangeCost = 60
@@ -249,7 +249,7 @@
 	}
 }
 
-// With a forecast that follows every swing of the demand, engines would move back and
+// With a forecast that follows every change of the demand, engines would move back and
 // forth. The cool-down bounds how often.
 func TestAdaptiveBoundsFlapping(t *testing.T) {
 	offered := func(second int) []Demand {
@@ -263,7 +263,7 @@
 		CacheWarmupTime: time.Millisecond, DrainTime: time.Millisecond, ChangeTime: time.Millisecond,
 	}
 	_, changes := runAdaptive(reactive, testIntent(api.RolePrefill, api.RoleDecode), testEngines(4, 5, 0), 1800, offered)
-	must.Between(t, 1, changes, 60) // there are 60 swings of several engines each
+	must.Between(t, 1, changes, 60) // the demand changes 60 times, each time by several engines
 }
 
 func TestAdaptiveFirstSplit(t *testing.T) {
--- a/version/planner/rates.go
+++ b/version/planner/rates.go
@@ -2,9 +2,10 @@
 
 import "time"
 
-// Rates is the service-rate model of the engines. Zero fields take defaults.
+// Rates is the throughput model of the engines. Fields that are zero or negative take
+// defaults.
 type Rates struct {
-	// PrefillTokensPerSecond is the prompt throughput of a prefill engine.
+	// PrefillTokensPerSecond is the prompt throughput of one prefill engine.
 	PrefillTokensPerSecond float64
 	// StepBase is the fixed time of a decode step; each sequence adds
 	// StepPerSequence, and each thousand tokens of KV cache adds StepPerThousand.
@@ -15,11 +16,13 @@
 	// their lengths in tokens.
 	MaxBatch int
 	KVTokens int
-	// MixedEfficiency is the throughput of a mixed engine relative to dedicated
-	// engines that spend the same time on each kind of work. Below 1, prompts and
-	// decode steps delay each other; above 1, they share the fixed time of a step.
+	// MixedEfficiency is the throughput of a mixed engine relative to that of a prefill
+	// and a decode engine that together spend the same time on the same work. Below 1,
+	// prompts and decode steps delay each other; above 1, they share the fixed time of
+	// a step.
 	MixedEfficiency float64
-	// Headroom is the utilization up to which queueing delays don't break deadlines.
+	// Headroom is the highest utilization at which queueing delays don't make requests
+	// miss their deadlines.
 	Headroom float64
 }
 
@@ -63,7 +66,7 @@
 	return r
 }
 
-// work is an offered load.
+// work is a load in requests and tokens per second, measured or predicted.
 type work struct {
 	requests       float64 // per second
 	uncachedPrompt float64 // tokens per second, not found in prefix caches
@@ -85,8 +88,9 @@
 	}
 }
 
-// decodeRate returns the tokens per second that a decode engine generates with the
-// largest batch of sequences of the work's mean length that fits into its KV cache.
+// decodeRate returns the tokens per second that one decode engine generates with the
+// largest batch of sequences of the work's mean length that fits into its KV cache;
+// with a batch of MaxBatch if the work has no requests.
 func (r Rates) decodeRate(w work) float64 {
 	batch := float64(r.MaxBatch)
 	if w.requests > 0 {
@@ -98,15 +102,18 @@
 	return batch / step
 }
 
-// requiredPrefillEngines returns how many prefill engines the prompt work occupies fully.
+// requiredPrefillEngines returns how many prefill engines the prompt work would keep
+// fully busy.
 func (r Rates) requiredPrefillEngines(w work) float64 {
 	return w.uncachedPrompt / r.PrefillTokensPerSecond
 }
 
-// requiredDecodeEngines returns how many decode engines the output work occupies fully.
+// requiredDecodeEngines returns how many decode engines the output work would keep
+// fully busy.
 func (r Rates) requiredDecodeEngines(w work) float64 { return w.output / r.decodeRate(w) }
 
-// requiredEngines returns how many dedicated engines the work occupies fully.
+// requiredEngines returns how many dedicated engines the work would keep fully busy. A
+// dedicated engine has the prefill or the decode role.
 func (r Rates) requiredEngines(w work) float64 {
 	return r.requiredPrefillEngines(w) + r.requiredDecodeEngines(w)
 }
@@ -120,10 +127,11 @@
 	return r.requiredPrefillEngines(w) / total
 }
 
-// servableWork returns how much of the work a split can serve, measured in dedicated
-// engines. Requests that prefill engines have processed are decoded by decode engines
-// first and then by mixed ones; mixed engines serve whole requests with the rest of
-// their capacity.
+// servableWork returns how much of the work a split can serve, measured as the number
+// of dedicated engines that this part would keep fully busy. Requests that prefill
+// engines have processed are decoded by decode engines first (disaggregated) and then
+// by mixed ones (decodedByMixed); mixed engines serve whole requests with the rest of
+// their capacity (servedByMixed).
 func (r Rates) servableWork(split Split, w work) float64 {
 	prefillNeed, decodeNeed := r.requiredPrefillEngines(w), r.requiredDecodeEngines(w)
 	total := prefillNeed + decodeNeed
@@ -142,7 +150,8 @@
 	return (disaggregated + decodedByMixed + servedByMixed) * total
 }
 
-// coverage returns the ratio of a capacity to a need; 1 or more covers all of it.
+// coverage returns the ratio of a capacity to a need; 1 or more covers all of it. It
+// returns 1 if there is no need, even without capacity.
 func coverage(capacity, need float64) float64 {
 	if need <= 0 {
 		return 1
--- a/version/planner/scheduled.go
+++ b/version/planner/scheduled.go
@@ -4,12 +4,13 @@
 
 // ScheduleStep sets the wanted split from a point in time on.
 type ScheduleStep struct {
-	From  time.Duration
+	From  time.Duration // on the clock of Input.Now
 	Split Split
 }
 
-// NewSchedule returns a planner that follows a schedule of splits, sorted by time.
-// The search for the best schedule under known demand evaluates its candidates with it.
+// NewSchedule returns a planner that follows a schedule of splits, sorted by time. The
+// first step also applies before its From. The experiment that searches for the best
+// schedule under known demand uses this planner to evaluate candidate schedules.
 func NewSchedule(steps []ScheduleStep) Planner {
 	return &policyPlanner{policy: schedule(steps)}
 }
@@ -27,7 +28,7 @@
 }
 
 // resize removes engines from the largest roles, or adds mixed ones, until the split
-// has the given total.
+// has the given total. It adds mixed ones even if the intent does not permit the role.
 func resize(split Split, total int) Split {
 	for split.Total() > total {
 		largest := splitRoles[0]
--- a/version/planner/split.go
+++ b/version/planner/split.go
@@ -13,7 +13,8 @@
 	Mixed   int
 }
 
-// splitRoles lists the roles of a split in the order of preference among equals.
+// splitRoles lists the roles of a split. Where several roles are equally good, the
+// first of them in this order is chosen.
 var splitRoles = []api.EngineRole{api.RoleMixed, api.RolePrefill, api.RoleDecode}
 
 // Total returns the number of engines.
@@ -33,7 +34,7 @@
 	}
 }
 
-// with returns the split with delta engines more in the role.
+// with returns the split with delta added to the number of engines in the role.
 func (s Split) with(role api.EngineRole, delta int) Split {
 	switch role {
 	case api.RolePrefill:
@@ -61,9 +62,9 @@
 }
 
 // candidateSplits returns the splits of the current total over the allowed roles to
-// evaluate: all of them for a small total; for a large one a grid, and those that are
-// one, two, four and so on moves from the current split. There are never more than a
-// few hundred.
+// evaluate: all of them for a total up to gridSteps; for a larger one a grid, and those
+// reached from the current split by moving 1, 2, 4 and so on engines between two roles.
+// There are never more than a few hundred.
 func candidateSplits(current Split, allowed func(api.EngineRole) bool) []Split {
 	total := current.Total()
 	var splits []Split
@@ -83,10 +84,11 @@
 	return splits
 }
 
-// gridSteps bounds the points of a grid along one axis, not counting the end point.
+// gridSteps is the maximum number of steps between the points of a grid along one axis.
 const gridSteps = 16
 
-// gridPoints returns evenly spaced numbers from 0 to a total, both included.
+// gridPoints returns numbers from 0 to a total, both included, that are evenly spaced
+// except that the last step may be smaller.
 func gridPoints(total int) []int {
 	step := max((total+gridSteps-1)/gridSteps, 1)
 	var points []int
@@ -107,8 +109,7 @@
 	}
 }
 
-// isPermitted reports whether the split uses allowed roles only and can serve whole
-// requests.
+// isPermitted reports whether the split uses allowed roles only and canServe.
 func isPermitted(split Split, allowed func(api.EngineRole) bool) bool {
 	for _, role := range splitRoles {
 		if split.Of(role) > 0 && !allowed(role) {
@@ -126,7 +127,7 @@
 
 // proportionalSplit returns the split of total engines into prefill and decode whose
 // prefill share is nearest to the given one, with at least one engine of each. A single
-// engine is mixed.
+// engine is mixed, even if the intent does not permit the role.
 func proportionalSplit(total int, share float64) Split {
 	if total < 2 {
 		return Split{Mixed: total}
--- a/version/selector/selector.go
+++ b/version/selector/selector.go
@@ -1,7 +1,6 @@
 // Package selector matches labels against label selectors.
 //
-// An empty selector matches nothing, so an omitted selector never selects the
-// whole fleet.
+// An empty selector matches nothing, so an omitted selector never selects all engines.
 package selector
 
 import (
@@ -12,7 +11,8 @@
 
 // Matches reports whether the labels satisfy every requirement of the selector.
 // An empty selector matches nothing. The result is unspecified for a selector
-// that Validate rejects; such selectors are rejected before they are stored.
+// that Validate rejects, such as one with All and other requirements. The state
+// machine rejects objects with such selectors, so they are not stored.
 func Matches(s api.Selector, labels api.Labels) bool {
 	if s.All {
 		return true
@@ -33,7 +33,8 @@
 	return true
 }
 
-// Validate returns all validation errors of a selector. An empty selector is valid.
+// Validate returns all validation errors of a selector, with fields that start with
+// "selector". An empty selector is valid.
 func Validate(s api.Selector) []api.FieldFault { return api.ValidateSelector("selector", s) }
 
 // satisfiesRequirement reports whether the labels satisfy one requirement. Like
--- a/version/state/claims.go
+++ b/version/state/claims.go
@@ -12,13 +12,13 @@
 	key    string
 }
 
-// claimRecord is a claim with the claimant's nonce. It is immutable.
+// claimRecord is a claim with the nonce of the claimant's request. It is immutable.
 type claimRecord struct {
 	api.Claim
 	nonce uint64
 }
 
-// claim grants the right to run a request to at most one claimant at a time.
+// claim grants the right to run the request of a key to at most one claimant at a time.
 //
 // Invariant: between the grant of a key and its expiry, another claimant is
 // granted the key only after the first one recorded that its request was
@@ -74,7 +74,8 @@
 	return api.ClaimResult{Code: api.ClaimGranted, Claim: record.Claim}
 }
 
-// recordAbandonedClaim records that the claim with the nonce must not be granted.
+// recordAbandonedClaim records that a claim with the nonce must not be granted, because
+// the claimant recorded RunNotRun before the claim arrived.
 func (m *Machine) recordAbandonedClaim(key claimKey, nonce uint64) {
 	record := &claimRecord{
 		Claim: api.Claim{Tenant: key.tenant, Key: key.key, Outcome: api.RunNotRun, GrantedAt: m.clock, Revision: m.index},
@@ -95,15 +96,16 @@
 	return api.ClaimResult{Code: api.ClaimConflict, Claim: claim}
 }
 
-// abandonedClaimRetention is the retention, in milliseconds, of the record of a claim
-// that was abandoned before it arrived.
+// abandonedClaimRetention is the retention, in milliseconds, of a record of
+// recordAbandonedClaim.
 const abandonedClaimRetention = int64(time.Hour / time.Millisecond)
 
 // recordOutcome records the outcome of a granted run. Only the claimant can record
 // it, and a recorded outcome is final. A claimant that does not know whether its
 // claim was granted may record RunNotRun. If its claim has not arrived yet, the
 // record prevents the claim from being granted when it arrives late, which would
-// block the key until the retention ends.
+// block the key until the retention ends. Other outcomes that cannot be recorded are
+// ignored, and the claimant is not told.
 func (m *Machine) recordOutcome(outcome *RunOutcome) {
 	key := claimKey{tenant: outcome.Tenant, key: outcome.Key}
 	e := m.claims.get(key, m.clock)
--- a/version/state/codec.go
+++ b/version/state/codec.go
@@ -153,6 +153,8 @@
 	return b
 }
 
+// splitKinds returns one object for each kind that o holds, in the order of the ranks
+// that mergeKind returns. A new kind must be added to both, in the same position.
 func splitKinds(o api.Object) []api.Object {
 	var parts []api.Object
 	if o.Intent != nil {
@@ -197,6 +199,8 @@
 	return parts
 }
 
+// readWrittenObject reads what appendWrittenObject wrote. It rejects parts in another
+// order, so that each object has only one encoding.
 func readWrittenObject(r *binenc.Reader) api.Object {
 	var o api.Object
 	rank := 0
--- a/version/state/codec_test.go
+++ b/version/state/codec_test.go
@@ -53,7 +53,8 @@
 	}
 }
 
-// fullCommands returns a command of each kind with every field set.
+// fullCommands returns a command of each kind with every field set. The names of the
+// bodies must be in the order of the CommandKind constants.
 func fullCommands() []Command {
 	var commands []Command
 	seed := 0
--- a/version/state/commit.go
+++ b/version/state/commit.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// writeObject stores an object with the writer's metadata and spec and the status
-// that the machine holds. It does not modify the writer's object.
+// writeObject stores an object with the writer's metadata and spec and, for kinds with
+// a status, the status that the machine holds. It does not modify the writer's object.
 func (m *Machine) writeObject(o api.Object) {
 	switch {
 	case o.Intent != nil:
@@ -57,6 +57,8 @@
 	return api.EngineStatus{Phase: phase, MachinePhase: phase}
 }
 
+// deleteObject removes an object and the state derived from it. The intents that select
+// a deleted engine are removed by setEngineIntents, which commit calls afterwards.
 func (m *Machine) deleteObject(key api.Key) {
 	m.remove(key)
 	if key.Kind == api.KindEngine {
@@ -67,9 +69,10 @@
 	}
 }
 
-// setEngineIntents stores which intents select an engine. An engine that is no
-// longer selected keeps its assignment: automation changes labels in several
-// steps, and an engine that is moving between two intents must not be unloaded.
+// setEngineIntents stores which intents select an engine. An engine that is no longer
+// selected keeps its assignment, and UnmatchedSince is set to the current log index.
+// Automation may change labels in several steps, and an engine that is moving between
+// two intents must not have its model unloaded.
 func (m *Machine) setEngineIntents(name string, intents []string) {
 	m.selection.set(name, intents)
 	engine := m.engines.items[name]
--- a/version/state/ingress.go
+++ b/version/state/ingress.go
@@ -8,28 +8,29 @@
 	"github.com/landingtrail/landingtrail/version/binenc"
 )
 
-// Observe commits objects that the leader derived from the state of the fleet:
-// replicas on the platform's list, proxies that accept requests, members that daemons
-// may follow, quarantines and suspects of requests during which replicas terminated, and
-// the desired number of replicas. Put holds objects of these kinds only, Removed the
-// keys of such objects.
+// Observe commits objects that the leader, and no writer, determines from what it sees
+// of the fleet: replicas on the platform's list, proxies that accept requests, members
+// of the control group that daemons may receive views from, quarantines and suspects of
+// requests during which replicas terminated, and capacities, which are the leader's plans
+// for the number of replicas. Put holds objects of these kinds only, Removed the keys of
+// such objects.
 type Observe struct {
 	Put     []api.Object
 	Removed []api.Key
 }
 
-// ReplaceIngress replaces the Ingress and its tenants. It contains API keys only in the
-// compressed source document.
+// ReplaceIngress replaces the Ingress, the configuration of the HTTP routes, and its
+// tenants. It contains API keys only in the compressed source document, from which the
+// configuration was read.
 type ReplaceIngress struct {
 	// Spec has a compressed Source and no Tenants.
 	Spec    api.IngressSpec
 	Tenants []api.RouteTenant
 }
 
-// replaceIngress puts the spec in force if its generation is greater than the one in
-// force.
+// replaceIngress stores the Ingress if its generation is greater than the stored one.
 //
-// Invariant: the generation in force never decreases, and the content of a generation
+// Invariant: the stored generation never decreases, and the content of a generation
 // never changes. It holds because this function is the only writer and changes
 // nothing unless the generation increases. Routes and tenants change in the same
 // log entry, so no view has new routes with old tenants or the reverse.
@@ -86,7 +87,7 @@
 	return replacement
 }
 
-// ingressGeneration returns the generation in force, or 0 if there is no Ingress.
+// ingressGeneration returns the stored generation, or 0 if there is no Ingress.
 func (m *Machine) ingressGeneration() uint64 {
 	if current := m.ingresses.items[api.IngressName]; current != nil {
 		return current.Spec.Generation
@@ -94,8 +95,9 @@
 	return 0
 }
 
-// observe stores and removes objects of the observed kinds. It ignores objects of other
-// kinds, which are owned by their writers.
+// observe stores and removes objects of the observed kinds, and sets the revision in the
+// objects of the command. It ignores objects of other kinds, which only transactions and
+// ReplaceIngress write.
 func (m *Machine) observe(observed *Observe) {
 	for _, object := range observed.Put {
 		key, ok := object.Key()
--- a/version/state/ingress_test.go
+++ b/version/state/ingress_test.go
@@ -73,8 +73,8 @@
 	return api.Object{Proxy: &api.Proxy{Metadata: api.Metadata{Name: name}, Spec: api.ProxySpec{Address: address}}}
 }
 
-// A removal must find objects of every observed kind. When it did not, the directory
-// kept listing proxies that had been shut down long before.
+// A removal must find objects of every observed kind. Otherwise proxies that were shut
+// down long ago remain listed.
 func TestObserveStoresAndRemovesObjects(t *testing.T) {
 	m := New()
 	objects := []api.Object{
--- a/version/state/machine.go
+++ b/version/state/machine.go
@@ -7,8 +7,8 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
-// maxChanges is the maximum number of changes that are kept for deltas. A daemon
-// whose version is older than all of them gets a full delta.
+// maxChanges is the maximum number of changes that are kept for deltas. A daemon that
+// lacks a change that was dropped gets a full delta.
 const maxChanges = 1 << 14
 
 // Machine is the replicated state machine. It is not safe for concurrent use, but
@@ -20,9 +20,9 @@
 // between. Stored state never depends on a clock, on map iteration order or on
 // anything else outside the commands.
 type Machine struct {
-	term    uint64 // of the last applied command, as index
-	index   uint64
-	clock   int64 // highest Command.Time in milliseconds
+	term    uint64 // of the last applied log entry
+	index   uint64 // of the last applied log entry
+	clock   int64  // highest Command.Time in milliseconds
 	version view.Version
 
 	intents       table[api.Intent]
@@ -43,8 +43,8 @@
 	ingressSource []byte
 	usage         usageState
 
-	changes      []view.Change
-	changesFloor uint64 // highest revision that was dropped from changes
+	changes      []view.Change // the latest, in ascending order of revisions
+	changesFloor uint64        // highest revision that was dropped from changes
 	cachedView   *view.View
 
 	selection    selection       // derived from intents and engines
@@ -79,10 +79,10 @@
 }
 
 // Apply executes the command of the log entry (term, index) and returns the result
-// documented for its kind, or nil. It retains the command, which must not be
-// modified afterwards. It panics if the index does not increase, if the term
-// decreases or if the body of the command is missing, because the log is then
-// corrupt.
+// documented at the CommandKind constants, or nil. It retains the command, which the
+// caller must not modify afterwards. It panics if the index does not increase, if the
+// term decreases, if the kind is unknown or if the body of the command is missing,
+// because the log is then corrupt.
 func (m *Machine) Apply(term, index uint64, command Command) (result any) {
 	if index <= m.index || term < m.term {
 		panic(fmt.Sprintf("state: log entry (%d, %d) applied after (%d, %d)", term, index, m.term, m.index))
@@ -141,7 +141,7 @@
 	m.recordChange(key)
 }
 
-// load stores an object without recording a change.
+// load stores an object without recording a change, as needed for Restore.
 func (m *Machine) load(o api.Object) {
 	key, _ := o.Key()
 	if objects := m.table(key.Kind); objects != nil {
@@ -149,6 +149,7 @@
 	}
 }
 
+// remove removes an object and records the change, even if there is no such object.
 func (m *Machine) remove(key api.Key) {
 	if objects := m.table(key.Kind); objects != nil {
 		objects.remove(key.Name)
@@ -156,10 +157,10 @@
 	m.recordChange(key)
 }
 
-// recordChange records that the current log entry changed the object with the key.
-// The view's version advances on every change, including status changes. An
-// object's revision advances only on writes, so status changes do not cause
-// revision conflicts for writers.
+// recordChange records that the current log entry changed the object with the key, and
+// advances the version of the view. It is called for every change, including changes of
+// a status. The Revision in an object's metadata advances only when the object is
+// written, so status changes do not cause revision conflicts for writers.
 func (m *Machine) recordChange(key api.Key) {
 	m.version = view.Version{Term: m.term, Revision: m.index}
 	m.cachedView = nil
@@ -190,9 +191,11 @@
 		a.Assignment.Equal(b.Assignment)
 }
 
+// putMember stores a member. It ignores a member whose ID was removed, since IDs of
+// removed members are never reused.
 func (m *Machine) putMember(member Member) {
 	if m.members[member.ID].Removed {
-		return // the ID of a removed member is never reused
+		return
 	}
 	m.members[member.ID] = member
 }
--- a/version/state/machines.go
+++ b/version/state/machines.go
@@ -14,8 +14,8 @@
 	gone    []string
 }
 
-// phase returns the phase that the platform lists for an engine, or else the reported
-// phase.
+// phase returns the phase that the platform lists for an engine, or the reported phase
+// if the engine is not listed.
 func (l *platformList) phase(engine string, reported api.EnginePhase) api.EnginePhase {
 	switch {
 	case containsSorted(l.gone, engine):
@@ -46,8 +46,9 @@
 	return status
 }
 
-// setMachines replaces the platform's lists. The phase of an engine that is no longer
-// listed as leaving or gone is unknown until it reports.
+// setMachines replaces the platform's lists and updates the statuses of engines and
+// services. The phase of an engine that is no longer listed as leaving or gone is
+// unknown until it reports.
 func (m *Machine) setMachines(machines *Machines) {
 	previous := m.platform
 	m.platform = platformList{leaving: sortedUnique(machines.Leaving), gone: sortedUnique(machines.Gone)}
@@ -59,6 +60,8 @@
 	}
 }
 
+// updateMachinePhase updates the phases of an engine after the lists have changed from
+// the previous ones.
 func (m *Machine) updateMachinePhase(engine *api.Engine, previous *platformList) {
 	status := engine.Status
 	reported := status.Phase
@@ -70,6 +73,7 @@
 	m.updateEngine(engine, status)
 }
 
+// updateServiceStatus stores the status of a service, unless it is unchanged.
 func (m *Machine) updateServiceStatus(service *api.Service) {
 	status := m.platform.serviceStatus(service.Spec.Backends)
 	if slices.Equal(status.Leaving, service.Status.Leaving) && slices.Equal(status.Gone, service.Status.Gone) {
--- a/version/state/oracle_test.go
+++ b/version/state/oracle_test.go
@@ -12,7 +12,8 @@
 
 // oracle is a simple reference implementation of Machine for comparison tests. It
 // uses maps of values, linear scans and full copies, without indexes, shared
-// maps or an expiry queue.
+// maps or an expiry queue. It does not implement the Ingress, observed objects and
+// usage.
 type oracle struct {
 	term, index         uint64
 	clock               int64
@@ -90,6 +91,7 @@
 	o.objects[api.Key{Kind: api.KindEngine, Name: e.Name}] = api.Object{Engine: e}
 }
 
+// matchesNaively is a reference implementation of selector.Matches.
 func matchesNaively(s api.Selector, labels api.Labels) bool {
 	conditions := 0
 	for key, value := range s.MatchLabels {
--- a/version/state/orders.go
+++ b/version/state/orders.go
@@ -7,17 +7,19 @@
 )
 
 const (
-	// defaultMaxUnavailable is the disruption budget of an intent that sets none.
+	// defaultMaxUnavailable is the disruption budget of an intent that sets none. It must
+	// equal planner.DefaultMaxUnavailable.
 	defaultMaxUnavailable = 1
 	// maxEarlierIncarnations is the maximum number of earlier incarnations that are
 	// stored per engine.
 	maxEarlierIncarnations = 8
 )
 
-// openOrder commits an order. An order with the zero assignment drains and unloads
-// an engine. It is the only order allowed for an engine whose spec requests a
-// drain or that is leaving, and it is allowed for no other engine. A drain needs no
-// order to keep new requests away, because the view contains the drain in the spec.
+// openOrder commits an order. An order with the zero assignment makes an engine finish
+// its requests and unload its model. Such an order is opened only for an engine whose
+// spec requests a drain or that is leaving, and no other order is opened for such an
+// engine. Keeping new requests away from a draining engine needs no order, because the
+// view contains the drain in the engine's spec.
 func (m *Machine) openOrder(open *OpenOrder) OpenOrderResult {
 	engine := m.engines.items[open.Engine]
 	switch {
@@ -67,7 +69,7 @@
 }
 
 // withinDisruptionBudget reports whether the disruption budget of the engine's intent
-// permits a planned change to the engine. An engine that does not serve needs no
+// permits an order for the engine. An engine that does not serve needs no
 // budget, since the change does not reduce capacity. An engine that has not reported
 // may be serving: it counts as unavailable for the other engines' budget and gets no
 // order until it reports.
@@ -99,7 +101,9 @@
 	return unavailable < budget
 }
 
-// isUnavailable reports whether an engine counts against the disruption budget.
+// isUnavailable reports whether an engine counts as unavailable in the disruption budget.
+// That includes engines whose machine is gone, until the engine is deleted or its labels
+// change.
 func isUnavailable(engine *api.Engine) bool {
 	if engine.Status.OpenOrder != nil || engine.Spec.Drain {
 		return true
@@ -120,7 +124,7 @@
 }
 
 // closeOrder closes the open order with the fence and commits the engine's report, if
-// the report supports the reason.
+// the report proves the reason.
 func (m *Machine) closeOrder(closing *CloseOrder) CloseOrderResult {
 	engine := m.engines.items[closing.Engine]
 	if !hasOpenOrder(engine, closing.Fence) || closing.Report.Engine != closing.Engine {
@@ -168,9 +172,10 @@
 }
 
 // isStale reports whether a report is older than the committed status: it has a lower
-// fence in the same incarnation, or comes from an earlier incarnation. An
-// incarnation that was mistaken for an earlier one proves that it is current by
-// confirming a fence greater than all known fences of the engine.
+// fence in the same incarnation, or comes from an earlier incarnation. A report that
+// arrives late may make the current incarnation count as an earlier one. The current
+// incarnation then proves that it is current by confirming a fence greater than all
+// known fences of the engine.
 func (m *Machine) isStale(engine *api.Engine, report *EngineReport) bool {
 	if report.Incarnation == 0 {
 		return true
@@ -205,9 +210,10 @@
 	return status
 }
 
-// reportedPhase returns the phase in an engine's report. The latest report replaces an
-// earlier leaving phase: a machine may be kept after all, and an engine that
-// stayed in the leaving phase forever would use up the disruption budget.
+// reportedPhase returns the phase in an engine's report, or PhaseUnknown for a phase
+// that engines do not report. The latest report replaces an earlier leaving phase: the
+// shutdown of a machine may be canceled, and an engine that remained in the leaving
+// phase would count as unavailable in the disruption budget forever.
 func reportedPhase(report *EngineReport) api.EnginePhase {
 	switch report.Phase {
 	case api.PhaseIdle, api.PhaseServing, api.PhaseDraining, api.PhaseChanging, api.PhaseLeaving:
@@ -216,6 +222,8 @@
 	return api.PhaseUnknown
 }
 
+// retireIncarnation moves an incarnation to the engine's earlier ones, of which it keeps
+// the latest maxEarlierIncarnations, and removes the current one from them.
 func (m *Machine) retireIncarnation(engine string, old, current uint64) {
 	earlier := slices.DeleteFunc(m.earlierIncarnations(engine), func(v uint64) bool { return v == current })
 	if old != 0 {
@@ -241,7 +249,7 @@
 }
 
 // ReportChanges reports whether committing the report could change the engine's
-// status. Other reports need not be proposed. The machine phase that the
+// status. If not, the report need not be proposed. The machine phase that the
 // platform lists takes precedence over the phase that the engine reports.
 func ReportChanges(engine *api.Engine, report EngineReport) bool {
 	status := engine.Status
--- a/version/state/plan.go
+++ b/version/state/plan.go
@@ -13,8 +13,8 @@
 // maxListedConflicts is the maximum number of intent conflicts in one result.
 const maxListedConflicts = 100
 
-// plan is a transaction that was checked against the machine but not yet applied.
-// Creating a plan does not change the machine.
+// plan is a transaction that was checked against the machine but not yet applied. It is
+// unrelated to the plans of package planner. Creating a plan does not change the machine.
 type plan struct {
 	machine         *Machine
 	transaction     *api.Transaction
@@ -38,6 +38,7 @@
 	return p
 }
 
+// check validates the transaction, stages its writes and returns the result.
 func (p *plan) check(limits TransactionLimits) api.TransactionResult {
 	if faults := p.fieldFaults(); len(faults) > 0 {
 		return api.TransactionResult{Code: api.OutcomeInvalid, Faults: faults}
@@ -87,6 +88,9 @@
 	return faults
 }
 
+// writeFaults returns the validation errors of one write. A delete needs no valid spec,
+// but a key and metadata.revision. A delete of an object that has no kind or a kind that
+// transactions must not write is validated as a whole, which rejects it.
 func writeFaults(write api.Write) []api.FieldFault {
 	key, ok := write.Object.Key()
 	if !write.Delete || !ok || !api.IsWritable(key.Kind) {
@@ -123,8 +127,9 @@
 
 // openOrderFaults rejects the deletion of engines with open orders: the engine could
 // still execute the order after its record was deleted. An engine whose machine the
-// platform lists as gone may be deleted: the process that the order is bound to
-// ended with its machine, and no report that closes the order can arrive.
+// platform lists as gone may be deleted. An order is executed only by the process that
+// it was opened for, which ended with the machine, so no report that closes the order
+// can arrive.
 func (p *plan) openOrderFaults() []api.FieldFault {
 	var faults []api.FieldFault
 	for i, write := range p.transaction.Writes {
@@ -140,7 +145,8 @@
 	return faults
 }
 
-// stage computes which intents select which engines after the writes.
+// stage computes which intents would select which engines after the writes, in
+// p.intentsByEngine.
 func (p *plan) stage() {
 	for i, write := range p.transaction.Writes {
 		p.stageWrite(p.keys[i].Name, write)
@@ -153,6 +159,7 @@
 	}
 }
 
+// stageWrite adds a write to the staged intents or engines.
 func (p *plan) stageWrite(name string, write api.Write) {
 	switch {
 	case write.Object.Intent != nil && write.Delete:
@@ -205,6 +212,8 @@
 	}
 }
 
+// stageSelection stages whether an intent selects an engine that the transaction does
+// not write. It ignores written engines, for which all selectors are evaluated.
 func (p *plan) stageSelection(engine, intent string, selects bool) {
 	if _, written := p.engines[engine]; written {
 		return
@@ -216,7 +225,8 @@
 	p.intentsByEngine[engine] = withName(names, intent, selects)
 }
 
-// intent returns the spec of an intent after the writes.
+// intentSpec returns the spec of an intent after the writes. The intent must exist after
+// the writes.
 func (p *plan) intentSpec(name string) *api.IntentSpec {
 	if intent, written := p.intents[name]; written {
 		return &intent.Spec
@@ -225,7 +235,8 @@
 }
 
 // intentConflicts returns the engines that are selected by intents with different
-// desired states.
+// desired states (model, version, adapters or roles), at most maxListedConflicts of
+// them.
 func (p *plan) intentConflicts() []api.Conflict {
 	var conflicts []api.Conflict
 	for _, engine := range slices.Sorted(maps.Keys(p.intentsByEngine)) {
@@ -267,9 +278,10 @@
 	return names, reassigned
 }
 
-// compareDesired reports whether the desired state of the engine before the writes
-// already matched the spec, and whether the engine had none. For an engine that no
-// intent selected, the assignment last ordered or reported is used instead.
+// compareDesired compares the desired state of the engine before the writes with the
+// spec. same reports whether it already matched. unassigned reports whether the engine
+// had no desired state and no assignment. For an engine that no intent selected, the
+// assignment last ordered or else reported is used as the desired state.
 func (p *plan) compareDesired(name string, after *api.IntentSpec) (same, unassigned bool) {
 	if before := p.machine.WantedIntent(name); before != nil {
 		return sameDesired(&before.Spec, after), false
--- a/version/state/read.go
+++ b/version/state/read.go
@@ -18,8 +18,8 @@
 // Clock returns the group clock in milliseconds.
 func (m *Machine) Clock() int64 { return m.clock }
 
-// View returns an immutable view of the objects. It is cheap: a map is copied only
-// when a later command changes an object of its kind.
+// View returns an immutable view of the objects. It copies no objects: a map is copied
+// only when a later command changes an object of its kind.
 func (m *Machine) View() *view.View {
 	if m.cachedView == nil {
 		m.cachedView = &view.View{
@@ -59,7 +59,7 @@
 	return m.History().DeltaSince(from)
 }
 
-// Object returns the stored object with the key. It must not be modified.
+// Object returns the stored object with the key. The caller must not modify the object.
 func (m *Machine) Object(key api.Key) (api.Object, bool) { return m.unsharedView().Object(key) }
 
 // List returns the objects of a kind, sorted by name.
@@ -86,11 +86,12 @@
 	}
 }
 
-// IngressSource returns the compressed source document of the Ingress in force. The
-// bytes must not be modified; a later Ingress has its own.
+// IngressSource returns the compressed source document of the stored Ingress. The caller
+// must not modify the bytes. They remain valid when the Ingress is replaced.
 func (m *Machine) IngressSource() []byte { return m.ingressSource }
 
-// Operation returns the result stored for an operation ID.
+// Operation returns the result stored for an operation ID, and false if there is none or
+// it has expired.
 func (m *Machine) Operation(id string) (api.TransactionResult, bool) {
 	e := m.operations.get(id, m.clock)
 	if e == nil {
@@ -99,7 +100,8 @@
 	return e.value.result, true
 }
 
-// Claim returns the claim stored for a key of a tenant.
+// Claim returns the claim stored for a key of a tenant, and false if there is none or it
+// has expired.
 func (m *Machine) Claim(tenant, key string) (api.Claim, bool) {
 	e := m.claims.get(claimKey{tenant: tenant, key: key}, m.clock)
 	if e == nil {
@@ -154,8 +156,10 @@
 	return v.Intents[names[0]]
 }
 
-// IntentStatus counts the engines of an intent in a view by their state. The status
-// is computed on read and not stored, since it would change with every engine report.
+// IntentStatus counts the engines of an intent in a view by their state. An engine whose
+// assignment satisfies the intent counts as assigned, even if its machine is gone. The
+// status is computed on read and not stored, since it would change with every engine
+// report.
 func IntentStatus(v *view.View, intent *api.Intent) api.IntentStatus {
 	var status api.IntentStatus
 	for _, engine := range v.Engines {
--- a/version/state/retained.go
+++ b/version/state/retained.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// defaultRetention, in milliseconds, applies when a command sets no retention: a
-	// missing setting must not cause claims to expire immediately.
+	// defaultRetention, in milliseconds, applies when a command sets no retention.
+	// Without it, claims and operations would expire immediately.
 	defaultRetention = 24 * 3600 * 1000
 	// expireBatch is the maximum number of queue entries that one command removes. It
 	// exceeds the one entry that a command adds, so removal keeps up.
@@ -66,7 +66,8 @@
 	m.queue = append(m.queue, queuedKey[K]{key: key, revision: e.revision})
 }
 
-// update replaces the value of a key and keeps its revision and expiry.
+// update replaces the value of a key, which must be present, and keeps its revision and
+// expiry.
 func (m *expiringMap[K, V]) update(key K, value V) {
 	old := m.shard(key).items[key]
 	m.put(key, &entry[V]{revision: old.revision, expires: old.expires, value: value})
--- a/version/state/selection.go
+++ b/version/state/selection.go
@@ -7,9 +7,10 @@
 	"github.com/landingtrail/landingtrail/version/selector"
 )
 
-// selection is an index of which intents select which engines. It is derived from
-// the stored objects and updated by transactions, so that a change of one engine's
-// labels or of one intent does not evaluate the selectors of all intents for all engines.
+// selection is an index, in both directions, of which intents select which engines. It
+// is derived from the stored objects and updated by transactions, so that a change of
+// one engine's labels or of one intent does not evaluate the selectors of all intents
+// for all engines.
 type selection struct {
 	intents map[string][]string            // sorted names by engine; slices are immutable once stored
 	engines map[string]map[string]struct{} // names by intent
@@ -19,7 +20,7 @@
 	return selection{intents: map[string][]string{}, engines: map[string]map[string]struct{}{}}
 }
 
-// set stores which intents select an engine.
+// set replaces the names of the intents that select an engine, which must be sorted.
 func (s *selection) set(engine string, intents []string) {
 	for _, intent := range s.intents[engine] {
 		delete(s.engines[intent], engine)
@@ -45,6 +46,8 @@
 	}
 }
 
+// selectingIntents returns the sorted names of the intents whose selectors match the
+// engine's labels.
 func selectingIntents(intents map[string]*api.Intent, engine *api.Engine) []string {
 	var names []string
 	for name, intent := range intents {
@@ -56,8 +59,8 @@
 	return names
 }
 
-// withName returns the sorted list with the name added or removed. It does not modify
-// the list.
+// withName returns the sorted list with the name if present is true, and without it
+// otherwise. It does not modify the list.
 func withName(sorted []string, name string, present bool) []string {
 	i, found := slices.BinarySearch(sorted, name)
 	switch {
@@ -69,8 +72,8 @@
 	return slices.Delete(slices.Clone(sorted), i, i+1)
 }
 
-// sameDesired reports whether two intents specify the same desired state for an engine
-// that both select.
+// sameDesired reports whether two intents specify the same desired state (model,
+// version, adapters and roles) for an engine that both select.
 func sameDesired(a, b *api.IntentSpec) bool {
 	return a.Model == b.Model &&
 		a.Version == b.Version &&
--- a/version/state/snapshot.go
+++ b/version/state/snapshot.go
@@ -44,7 +44,7 @@
 
 // Freeze returns a copy of the state. Most of the state is copied on write: a later command
 // copies a map when it first changes it. Only the counters of undecided usage windows, the
-// index of decided windows and the members are copied at once.
+// index of decided windows and the members are copied by Freeze itself.
 func (m *Machine) Freeze() Frozen {
 	return Frozen{
 		term:          m.term,
@@ -64,8 +64,8 @@
 // Applied returns the term and index of the last command in the copy.
 func (f Frozen) Applied() (term, index uint64) { return f.term, f.index }
 
-// Snapshot encodes the state. The error is always nil; it is part of the signature
-// that interfaces of replicated state machines require.
+// Snapshot encodes the state. The error is always nil; it is part of the signature that
+// callers expect of a replicated state machine.
 func (m *Machine) Snapshot() ([]byte, error) { return m.Freeze().Encode(), nil }
 
 // Encode returns the snapshot. Equal states have identical snapshots.
@@ -174,6 +174,7 @@
 	}
 }
 
+// keyLess orders keys by kind, in the order of api.Kinds, and by name.
 func keyLess(a, b api.Key) bool {
 	if a.Kind != b.Kind {
 		return slices.Index(api.Kinds, a.Kind) < slices.Index(api.Kinds, b.Kind)
--- a/version/state/snapshot_retained.go
+++ b/version/state/snapshot_retained.go
@@ -5,8 +5,9 @@
 )
 
 // appendExpiring appends the queue of m with the entry that each queued key refers to.
-// Stale keys are encoded as empty ones because expire counts them: a restored
-// machine must remove its entries at the same commands as the others.
+// A stale key is encoded without key and entry, but not left out: expire removes a
+// bounded number of queued keys per command, stale ones included, and a restored
+// machine must remove each entry at the same command as the other members.
 func appendExpiring[K comparable, V any](b []byte, m *expiringMap[K, V], appendEntry func([]byte, K, *entry[V]) []byte) []byte {
 	b = binenc.AppendUint(b, uint64(len(m.queue)))
 	for _, ref := range m.queue {
@@ -22,6 +23,7 @@
 	return b
 }
 
+// readExpiring reads what appendExpiring wrote into m, which must be empty.
 func readExpiring[K comparable, V any](r *binenc.Reader, m *expiringMap[K, V], readEntry func(*binenc.Reader) (K, V)) {
 	n := r.Count(1)
 	for i := 0; i < n && r.Err() == nil; i++ {
--- a/version/state/table.go
+++ b/version/state/table.go
@@ -15,7 +15,7 @@
 
 func newTable[T any]() table[T] { return table[T]{items: map[string]*T{}} }
 
-// share returns the map, which is not modified from then on.
+// share returns the map. It is not modified from then on, so the caller may keep it.
 func (t *table[T]) share() map[string]*T {
 	t.shared = true
 	return t.items
--- a/version/state/transaction.go
+++ b/version/state/transaction.go
@@ -20,11 +20,11 @@
 // transact executes a transaction at most once per operation ID.
 //
 // The first result is stored whether the transaction was accepted or rejected, and
-// a resend gets the same result: a rejection that the sender has acted on must not
-// turn into a later acceptance. To try again, including with AllowBroad set, a
-// writer uses a new ID. Three results are not stored: that of a dry run, which
-// changes nothing, that for an invalid ID, and that for an ID already used with
-// another body, which keeps the result of the first body.
+// a resend gets the same result: once the sender has acted on a rejection, a resend of
+// the same operation must not be accepted. To try again, including with AllowBroad set,
+// a writer uses a new ID. Results are not stored in three cases: a dry run, which
+// changes nothing; an invalid ID; and an ID already used with another body, which keeps
+// the result of the first body.
 func (m *Machine) transact(transaction *api.Transaction, limits TransactionLimits) api.TransactionResult {
 	if transaction.DryRun {
 		return m.newPlan(transaction, limits).result
@@ -59,8 +59,9 @@
 	return api.FieldFault{Field: "operationId", Message: message}, false
 }
 
-// hashBody hashes what a transaction requests: AllowBroad and the writes. Statuses
-// are left out because writes ignore them.
+// hashBody returns the xxHash of what a transaction requests: AllowBroad and the writes.
+// Statuses are left out because writes ignore them. Bodies with the same hash are taken
+// for equal.
 func hashBody(transaction *api.Transaction) uint64 {
 	body := api.Transaction{AllowBroad: transaction.AllowBroad}
 	for _, write := range transaction.Writes {
--- a/version/state/usage.go
+++ b/version/state/usage.go
@@ -10,17 +10,17 @@
 
 // Each process counts the requests of each tenant that began in a time window. Counters only
 // increase, so taking the maximum of the received values of a counter is correct for any
-// order and number of deliveries. The counts of a window are decided here before its report
-// is sent, so that a window never has two different reports.
+// order and number of deliveries. The state machine decides the counts of a window before
+// the window is reported to the platform, so that it never has two different reports.
 
 // maxDecidedWindows is the number of decided windows kept for operators: one hour of
 // windows of five seconds.
 const maxDecidedWindows = 720
 
-// UsageCount is the value of one counter of one process.
+// UsageCount is the value of one counter of one run of a process.
 type UsageCount struct {
-	Life   string // identifies one run of a process; a restarted process has another
-	Window int64
+	Life   string // identifies the run; a restarted process has another
+	Window int64  // number of the window, see api.UsageWindow
 	Tenant string
 	Count  uint64
 }
@@ -31,7 +31,7 @@
 // DecideUsage closes a window: its counts are final from then on.
 type DecideUsage struct {
 	Window  int64
-	Partial bool
+	Partial bool // counts of processes may be missing, see api.UsageWindow
 }
 
 // UsageReported records that the platform has accepted the report of a window.
@@ -71,7 +71,9 @@
 	}
 }
 
-// decideUsage closes a window and returns it.
+// decideUsage closes a window and returns it. If the window was decided before, it
+// returns the stored window; if a later window was decided and this one is not stored,
+// it returns a window without counts whose Decided is false.
 //
 // Invariant: a decided window never changes, except for Reported, and windows are decided
 // in increasing order. It holds because a window up to the last decided one is never
@@ -81,7 +83,7 @@
 		return *decided
 	}
 	if command.Window <= m.usage.lastDecided {
-		return api.UsageWindow{Window: command.Window} // skipped, or no longer kept
+		return api.UsageWindow{Window: command.Window} // never decided, or no longer kept
 	}
 	decided := &api.UsageWindow{
 		Window: command.Window, Counts: m.usage.undecided[command.Window].totalByTenant(), Decided: true, Partial: command.Partial,
@@ -124,7 +126,8 @@
 // UsageDecided returns the highest window that was decided, or 0 if there is none.
 func (m *Machine) UsageDecided() int64 { return m.usage.lastDecided }
 
-// Usage returns the decided and then the undecided windows, each oldest first.
+// Usage returns the decided windows, oldest first, and then the undecided ones, oldest
+// first.
 func (m *Machine) Usage() []api.UsageWindow {
 	var windows []api.UsageWindow
 	for _, window := range slices.Sorted(maps.Keys(m.usage.decided)) {
@@ -186,6 +189,8 @@
 	return b
 }
 
+// readUsageState reads what appendUsageState wrote. It merges the counters before it
+// sets lastDecided, since countUsage drops counters of decided windows.
 func readUsageState(r *binenc.Reader) usageState {
 	const minimumWindowBytes = 5
 	s := newUsageState()
--- a/version/subset/share.go
+++ b/version/subset/share.go
@@ -6,16 +6,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Share is a sampling rate: a daemon follows one in 2^Share of a group's endpoints.
-// Membership is decided per endpoint by Includes, without the list of all endpoints that
-// Choose needs. Running Choose per daemon is too expensive for a server of many daemons.
+// Share is the binary logarithm of a sampling interval: a daemon follows one in 2^Share
+// of a group's endpoints, so a higher Share means fewer endpoints. Membership is decided
+// per endpoint by Includes, without the list of all endpoints that Choose needs. Running
+// Choose per daemon is too expensive for a server of many daemons.
 type Share uint8
 
 const (
-	// minFollowed is the minimum number of endpoints that a newly chosen share yields in a
-	// large group.
+	// minFollowed is the minimum number of endpoints that a daemon follows on average in a
+	// large group with a newly computed share.
 	minFollowed = 128
-	// A share stays in use while it yields between minRetained and maxRetained endpoints.
+	// A share remains in use while a daemon follows between minRetained and maxRetained
+	// endpoints on average.
 	// This hysteresis avoids changing every subset when the size of a group fluctuates
 	// around a threshold.
 	minRetained = 96
@@ -45,13 +47,14 @@
 // once per name.
 func Hash(name string) uint64 { return xxhash.Sum64String(name) }
 
-// IncludesHash is like Includes but takes the hashes of the two names.
+// IncludesHash is like Includes but takes the hashes of the two names. One of them is
+// rotated before they are combined, so that the order of the names matters.
 func (s Share) IncludesHash(daemon, endpoint uint64) bool {
 	return s == 0 || mix(daemon^bits.RotateLeft64(endpoint, 32))>>(64-s) == 0
 }
 
 // mix is the finalizer of SplitMix64. Each input bit affects all output bits, so the samples
-// of different daemons are independent.
+// of different daemons are practically independent.
 func mix(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
--- a/version/subset/share_test.go
+++ b/version/subset/share_test.go
@@ -9,7 +9,8 @@
 )
 
 // The number of endpoints that one daemon follows is bounded for any group size, and nearly
-// all endpoints of a group are followed by at least one of 400 daemons.
+// all endpoints of a group are followed by at least one of 400 daemons. Of 9695 endpoints,
+// a daemon follows one in 64.
 func TestShareBoundsFollowedEndpoints(t *testing.T) {
 	for _, size := range []int{0, 1, 166, 255, 256, 1_000, 9_695, 50_000} {
 		share := subset.ShareOf(size, 0)
--- a/version/subset/subset.go
+++ b/version/subset/subset.go
@@ -1,6 +1,7 @@
-// Package subset selects the endpoints that a daemon follows when following all
-// of them is too expensive: sending the load reports of ten thousand replicas to
-// every daemon exceeds a daemon's traffic budget.
+// Package subset selects the endpoints that a daemon follows, which means that it
+// receives their load reports and may send them requests, when following all of them
+// is too expensive: sending the load reports of ten thousand replicas to every daemon
+// exceeds a daemon's traffic budget.
 //
 // Choose uses rendezvous hashing within each group of interchangeable endpoints.
 // It selects from the daemon's own zone first and then from the other zones, for
@@ -11,8 +12,9 @@
 //   - Adding or removing an endpoint changes at most one local and one remote
 //     endpoint of a daemon's subset, because the score of each endpoint is
 //     independent of all others.
-//   - Each endpoint is followed by about the same number of daemons: scores are
-//     independent and uniform, so the counts are binomial.
+//   - Each endpoint of a group and zone is followed by about the same number of
+//     daemons of a zone: scores are independent and uniform, so the counts are
+//     binomial.
 package subset
 
 import (
@@ -29,22 +31,24 @@
 	Group string // endpoints of one group are interchangeable
 }
 
-// Sizes bounds the size of a subset, per group.
+// Sizes sets the size of a subset, per group. Choose exceeds Local or Remote where the
+// other one cannot be reached, but not their sum.
 type Sizes struct {
 	// Local is the number of endpoints followed in the daemon's own zone.
 	Local int
 	// Remote is the number of endpoints followed in other zones, so that a daemon
-	// still has endpoints to send to when its zone fails.
+	// still has endpoints to send to when the endpoints in its own zone fail.
 	Remote int
 }
 
 // DefaultSizes keeps the traffic of polling load reports within a daemon's
-// budget; see docs/CAPACITY.md.
+// budget; docs/CAPACITY.md has the figures.
 var DefaultSizes = Sizes{Local: 16, Remote: 8}
 
 // Choose returns the sorted names of the endpoints that the daemon follows. It
-// returns all endpoints of a group that has at most Local+Remote of them. If one
-// of the two parts has too few endpoints, the other part makes up the difference.
+// returns all endpoints of a group that has at most Local+Remote of them. If there
+// are fewer local or fewer remote endpoints than wanted, more of the others are
+// returned. The names must be unique, and the sizes must not be negative.
 func Choose(daemon, zone string, endpoints []Endpoint, sizes Sizes) []string {
 	var chosen []string
 	for _, members := range byGroup(endpoints) {
@@ -74,6 +78,8 @@
 			remote.add(candidate)
 		}
 	}
+	// Each of local and remote holds up to total candidates, so total-remoteCount local
+	// ones exist: localCount if there are enough remote ones, else more.
 	localCount := min(sizes.Local, len(local.candidates))
 	remoteCount := min(total-localCount, len(remote.candidates))
 	return append(local.names(total-remoteCount), remote.names(remoteCount)...)
@@ -122,7 +128,8 @@
 	return names
 }
 
-// hasher computes the rendezvous score of endpoints for one daemon.
+// hasher computes the rendezvous score of endpoints for one daemon. It reuses its buffer
+// and is not safe for concurrent use.
 type hasher struct {
 	buffer []byte
 	prefix int
--- a/version/view/codec.go
+++ b/version/view/codec.go
@@ -13,7 +13,7 @@
 )
 
 // AppendBinary appends the encoding of the delta to b. Each object must have a kind.
-// The error is always nil; it is part of encoding.BinaryAppender.
+// The error is always nil; it is part of the interface encoding.BinaryAppender.
 func (d Delta) AppendBinary(b []byte) ([]byte, error) {
 	b = appendVersion(b, d.From)
 	b = appendVersion(b, d.To)
@@ -29,8 +29,8 @@
 	return b, nil
 }
 
-// DecodeDelta decodes a delta that AppendBinary encoded. The error is one of the binenc
-// errors; the result shares no memory with b.
+// DecodeDelta decodes a delta that AppendBinary encoded. The error is one of package
+// binenc, not wrapped; the result shares no memory with b.
 func DecodeDelta(b []byte) (Delta, error) {
 	r := binenc.NewReader(b)
 	d := Delta{From: readVersion(r), To: readVersion(r), Full: r.Bool()}
@@ -56,7 +56,7 @@
 	return Version{Term: r.Uint(), Revision: r.Uint()}
 }
 
-// compareKeys orders keys by kind and name.
+// compareKeys orders keys by kind, in alphabetical order, and by name.
 func compareKeys(a, b api.Key) int {
 	switch {
 	case a.Kind < b.Kind, a.Kind == b.Kind && a.Name < b.Name:
--- a/version/view/history.go
+++ b/version/view/history.go
@@ -23,8 +23,8 @@
 }
 
 // DeltaSince returns the delta from a version to the history's version. It returns
-// false if there is nothing to send because the version is not older than the
-// history's. The delta is full if the version is zero or older than the kept changes.
+// false if there is nothing to send because the revision of from is not lower than the
+// history's. The delta is full if from is zero or if changes after from were dropped.
 func (h History) DeltaSince(from Version) (Delta, bool) {
 	to := h.View.Version
 	if from.Compare(to) >= 0 {
--- a/version/view/holder.go
+++ b/version/view/holder.go
@@ -10,16 +10,17 @@
 // Holder holds the current view of one daemon and the lease that bounds its
 // use. Any number of goroutines may use it.
 //
-// Guarantees: the version that Load returns never goes back, whatever deltas
-// arrive in whatever order. Valid is true only while less than the lease has
-// passed since the daemon sent a heartbeat that a leader answered. The network delay
-// thus shortens the daemon's lease, and the leader, which counts from the receipt of
-// the heartbeat, never takes a lease as lapsed that the daemon still uses. A leader of
-// a term older than the newest one seen cannot extend the lease.
+// Guarantees: the version that Load returns never goes back, in whatever order deltas
+// arrive. Valid is true only while less than the lease has passed since the daemon sent
+// a heartbeat that a leader answered. The network delay thus shortens the daemon's
+// lease. The leader counts from the receipt of the heartbeat and adds a margin for clock
+// drift, so it never considers a lease lapsed while the daemon still uses it. A leader
+// of a term older than the newest one seen cannot extend the lease.
 type Holder struct {
 	view       atomic.Pointer[View]
 	validUntil atomic.Int64 // nanoseconds of the monotonic clock
-	// confirmedAt is the send time of the last heartbeat that a leader answered.
+	// confirmedAt is the send time of the last heartbeat that a leader answered, in
+	// nanoseconds of the monotonic clock.
 	confirmedAt atomic.Int64
 
 	mu   sync.Mutex // held by writers
@@ -51,10 +52,10 @@
 	return nil
 }
 
-// Confirm extends the lease to the given duration after sentAt, the time at which the
-// daemon sent the heartbeat that a leader of the term answered. It returns false and
-// changes nothing if a newer term is known. It never shortens a lease, since the
-// answers to two heartbeats may arrive in either order.
+// Confirm extends the lease to the given duration after sentAt, the time on the
+// daemon's monotonic clock at which it sent the heartbeat that a leader of the term
+// answered. It returns false and changes nothing if a newer term is known. It never
+// shortens a lease, since the answers to two heartbeats may arrive out of order.
 func (h *Holder) Confirm(sentAt, lease time.Duration, term uint64) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -68,14 +69,16 @@
 }
 
 // SinceConfirmed returns the time since the daemon sent the last heartbeat that a leader
-// answered; before the first answer, the time since the start of the daemon's clock.
+// answered; before the first answer, the time since the origin of the daemon's monotonic
+// clock, which says nothing about the lease.
 func (h *Holder) SinceConfirmed(now time.Duration) time.Duration {
 	return now - time.Duration(h.confirmedAt.Load())
 }
 
 // Valid reports whether the lease covers now, a reading of the same monotonic clock as
-// Confirm's sentAt. Callers that act on the view must read the clock after the work
-// that led to the action, since the process may be paused in the meantime.
+// Confirm's sentAt. Callers that act on the view must read the clock immediately before
+// the action, after all work that prepares it, since the process may be paused during
+// that work.
 func (h *Holder) Valid(now time.Duration) bool { return int64(now) < h.validUntil.Load() }
 
 // Remaining returns the remaining duration of the lease, zero if it has lapsed.
--- a/version/view/relay.go
+++ b/version/view/relay.go
@@ -10,17 +10,18 @@
 // relayChangesKept is the number of changes to which a Relay trims its history.
 const relayChangesKept = 8192
 
-// Relay connects the daemons behind it to an upstream Tracker, which sees it as one
-// daemon, so that the leader tracks one relay in place of all its daemons. Any number
-// of goroutines may use it. Times are readings of one monotonic clock of this process.
+// Relay distributes views to daemons in place of the leader. It has a Tracker of these
+// daemons, and is itself one daemon for the upstream Tracker, so the leader tracks one
+// relay and not all of its daemons. Any number of goroutines may use it. Times are
+// readings of one monotonic clock of this process.
 //
 // Guarantee: once the upstream Tracker has reported a version as in force, no daemon
-// behind the relay uses an older view under a lease granted through the relay. Either
-// the relay acknowledged the version, which it does only once its own Tracker has
-// reported it as in force and thus grants no more leases on older views; or the
-// relay's lease has lapsed upstream, and each lease that it granted has ended before,
-// because Limit bounds it. A restarted relay is a new daemon upstream, where the lease
-// of the previous one has to lapse first.
+// behind the relay uses an older view under a lease granted through the relay. There
+// are two cases. If the relay acknowledged the version, its own Tracker had reported it
+// as in force and grants no more leases on older views. If the relay's lease has lapsed
+// upstream, the leases that it granted have lapsed too, because Limit bounds each of
+// them to the relay's own lease. A restarted relay is another daemon upstream, where
+// the lease of the previous one has to lapse first.
 type Relay struct {
 	holder  *Holder
 	tracker *Tracker
@@ -36,7 +37,8 @@
 // duration. now is its start time.
 func NewRelay(lease, now time.Duration) *Relay {
 	r := &Relay{holder: NewHolder(), tracker: NewTracker(lease)}
-	// No daemon holds a lease from this relay yet, so Reset is backdated to skip its wait.
+	// No daemon holds a lease from this relay yet, so Reset is backdated by more than its
+	// wait of one lease duration and the margin for clock drift.
 	r.tracker.Reset(now - 2*lease)
 	r.history.Store(&History{View: r.holder.Load()})
 	return r
@@ -71,14 +73,17 @@
 func (r *Relay) Term() uint64 { return r.holder.Term() }
 
 // Limit returns the longest duration of a lease that may be granted to a daemon now,
-// counted from when the daemon sent its heartbeat; zero if no lease may be granted.
+// counted from the time at which the daemon sent its heartbeat; zero if no lease may be
+// granted. It is shorter than the relay's own lease, since the daemon's clock may be
+// slower than the relay's.
 func (r *Relay) Limit(now time.Duration) time.Duration {
 	remaining := r.holder.Remaining(now)
 	return remaining - remaining/clockDriftDivisor
 }
 
 // Acknowledge returns the version to acknowledge upstream: the highest one known to be
-// in force among the daemons behind the relay. It never goes back.
+// in force among the daemons behind the relay. It never goes back. From then on, the
+// relay's Tracker refuses leases on older views.
 func (r *Relay) Acknowledge(now time.Duration) Version {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -96,8 +101,8 @@
 }
 
 // withDelta returns the history after a delta that led to the view. All changes are
-// recorded at the delta's last revision: a daemon at a revision in between receives
-// some objects again, and misses none.
+// recorded at the delta's last revision. A daemon whose view has a revision within the
+// delta therefore receives some objects again, but misses none.
 func (h *History) withDelta(next *View, d Delta) *History {
 	if d.Full {
 		return &History{View: next, Floor: d.To.Revision}
--- a/version/view/relay_test.go
+++ b/version/view/relay_test.go
@@ -146,7 +146,7 @@
 		}
 		i := rapid.IntRange(0, len(s.messages)-1).Draw(t, "message")
 		message := s.messages[i]
-		switch rapid.IntRange(0, 9).Draw(t, "fate") {
+		switch rapid.IntRange(0, 9).Draw(t, "delivery") {
 		case 0: // lost
 			s.messages = slices.Delete(s.messages, i, i+1)
 			continue
--- a/version/view/table.go
+++ b/version/view/table.go
@@ -22,7 +22,7 @@
 	put(name string, o api.Object)
 	remove(name string)
 	list() []api.Object
-	// copy replaces the map by a copy that may be written to.
+	// copy replaces the view's map by a copy that may be written to.
 	copy()
 }
 
@@ -92,6 +92,7 @@
 	*t.items = maps.Clone(*t.items)
 }
 
+// wrap returns an Object that holds the item.
 func (t kindTable[T]) wrap(item *T) api.Object {
 	var o api.Object
 	*t.field(&o) = item
--- a/version/view/tracker.go
+++ b/version/view/tracker.go
@@ -10,14 +10,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// UnseenDaemons represents, in the list of daemons waited for, those that an earlier
-// leader may have granted leases to.
+// UnseenDaemons is the entry, in the list of daemons waited for, that represents daemons
+// to which an earlier leader may have granted leases. Operators see it in place of a
+// name.
 const UnseenDaemons = "(daemons not seen yet)"
 
 const (
 	trackerShards = 16
 	// clockDriftDivisor is the inverse of the share by which a daemon's clock may run
-	// slower than the leader's.
+	// slower than the leader's: by up to 1/100.
 	clockDriftDivisor = 100
 	// lapsedRetention is how long a daemon stays listed after its lease has lapsed.
 	lapsedRetention = 10 * time.Minute
@@ -29,16 +30,20 @@
 //
 // Guarantee: once InForce has returned true for a version, no daemon uses a
 // view older than that version under a lease granted through this Tracker, nor
-// under a lease that an earlier leader granted before Reset was called. This
-// holds because InForce waits for each daemon until it has acknowledged the version
-// or its lease has lapsed for certain, because Observe then grants no lease to a daemon
-// that holds an older view, and because InForce returns false during the first lease
-// duration after Reset. The caller must hold the leader lease whenever it sends a grant
-// to a daemon and must call Reset only once the earlier leader's lease has lapsed.
+// under a lease that an earlier leader granted before Reset was called. There are
+// three reasons:
+//
+//   - InForce returns false until each daemon has acknowledged the version or its lease
+//     has lapsed, even if its clock is slow.
+//   - From then on, Observe grants no lease to a daemon that holds an older view.
+//   - InForce returns false during the first lease duration after Reset.
+//
+// The caller must hold the leader lease whenever it sends a grant to a daemon and must
+// call Reset only once the earlier leader's lease has lapsed.
 type Tracker struct {
 	lease       time.Duration
-	graceUntil  atomic.Int64 // nanoseconds; no version is in force before
-	minRevision atomic.Uint64
+	graceUntil  atomic.Int64  // nanoseconds; InForce returns false before this time
+	minRevision atomic.Uint64 // lowest revision of a view on which a lease is granted
 	shards      [trackerShards]trackerShard
 }
 
@@ -55,8 +60,8 @@
 // DaemonStatus is the state of one daemon in a Tracker.
 type DaemonStatus struct {
 	Name     string
-	Acked    Version
-	LapsesAt time.Duration
+	Acked    Version       // held by the daemon when it sent its last heartbeat
+	LapsesAt time.Duration // on the clock of the Tracker, with the margin for clock drift
 	Lapsed   bool
 }
 
@@ -73,7 +78,7 @@
 
 // Reset removes all daemons at the start of a leadership. No version is in force until
 // one lease duration has passed from now, since daemons that this leader has not seen
-// may hold leases of the earlier one.
+// may hold leases of the earlier one. Versions that are required remain required.
 func (t *Tracker) Reset(now time.Duration) {
 	t.graceUntil.Store(int64(t.lapseTime(now)))
 	for i := range t.shards {
@@ -98,9 +103,10 @@
 }
 
 // Observe records a heartbeat that arrived now from a daemon that holds the version, and
-// reports whether a lease may be granted in the answer. The name must differ between two
-// runs of a daemon, for example by its incarnation, so that a late heartbeat of the
-// earlier run is not attributed to the later one.
+// reports whether a lease may be granted in the answer. If so, it records the lease. A
+// late heartbeat may lower the recorded version, but never shortens the recorded lease.
+// The name must differ between two runs of a daemon, for example by its incarnation, so
+// that a late heartbeat of the earlier run is not attributed to the later one.
 func (t *Tracker) Observe(daemon string, acked Version, now time.Duration) (granted bool) {
 	shard := t.shardFor(daemon)
 	shard.mu.Lock()
@@ -119,19 +125,22 @@
 }
 
 // InForce reports whether every daemon has either acknowledged the version or lost its
-// lease. If not, it returns the sorted names of the daemons to wait for.
+// lease. If not, it returns the sorted names of the daemons to wait for. Unless the
+// first scan finds such daemons, it requires the version: Observe then refuses leases
+// on older views, even if the second scan makes InForce return false.
 func (t *Tracker) InForce(version Version, now time.Duration) (done bool, waitingFor []string) {
 	if waitingFor = t.pendingDaemons(version, now); len(waitingFor) > 0 {
 		return false, waitingFor
 	}
 	// A heartbeat between the scan and Require may have been granted a lease, so the
-	// second scan decides. Later heartbeats with an older view get no lease.
+	// second scan determines the result. Later heartbeats with an older view get no lease.
 	t.Require(version)
 	waitingFor = t.pendingDaemons(version, now)
 	return len(waitingFor) == 0, waitingFor
 }
 
-// Daemons returns the known daemons, sorted by name.
+// Daemons returns the known daemons, sorted by name. Like InForce, it removes those whose
+// lease lapsed more than lapsedRetention ago.
 func (t *Tracker) Daemons(now time.Duration) []DaemonStatus {
 	var list []DaemonStatus
 	t.scan(now, func(name string, state daemonState) {
@@ -181,7 +190,8 @@
 	return lowest, found
 }
 
-// scan calls visit for each daemon and removes those whose lease lapsed long ago.
+// scan calls visit for each daemon and removes those whose lease lapsed more than
+// lapsedRetention ago.
 func (t *Tracker) scan(now time.Duration, visit func(name string, state daemonState)) {
 	for i := range t.shards {
 		t.shards[i].scan(now, visit)
@@ -200,8 +210,8 @@
 	}
 }
 
-// lapseTime returns the time by which a lease granted now has lapsed at the daemon for
-// certain.
+// lapseTime returns the time by which a lease granted now has lapsed at the daemon, even
+// if the daemon's clock is slow.
 func (t *Tracker) lapseTime(now time.Duration) time.Duration {
 	return now + t.lease + t.lease/clockDriftDivisor
 }
--- a/version/view/tracker_guards_test.go
+++ b/version/view/tracker_guards_test.go
@@ -10,7 +10,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// Two heartbeats of a daemon may be handled in either order of their clock readings.
+// Two heartbeats of a daemon may be handled concurrently, and the one with the earlier
+// clock reading last. It must not shorten the lease.
 func TestTrackerNeverShortensLease(t *testing.T) {
 	old := Version{1, 1}
 	tracker := NewTracker(testLease)
@@ -32,7 +33,8 @@
 
 // A heartbeat with an older view that is handled while InForce runs either gets no lease,
 // or InForce waits for its daemon. The rounds vary the delay of the heartbeat so that
-// some of them overlap with InForce.
+// some of them overlap with InForce. The test does not require that any does; the log
+// shows the number of both outcomes.
 func TestInForceRacesWithHeartbeat(t *testing.T) {
 	const rounds, spread = 20_000, 2_000
 	refused, waited := 0, 0
--- a/version/view/tracker_test.go
+++ b/version/view/tracker_test.go
@@ -45,7 +45,8 @@
 	must.SliceEmpty(t, tracker.Daemons(time.Hour))
 }
 
-// heartbeat is a message in transit: a daemon's heartbeat or the grant that answers it.
+// heartbeat is a message that was sent but not yet delivered: a daemon's heartbeat or
+// the grant that answers it.
 type heartbeat struct {
 	daemon int
 	sentAt time.Duration
@@ -90,7 +91,7 @@
 		start(Version{1, 1})
 		t.Repeat(map[string]func(*rapid.T){
 			"change": func(*rapid.T) { latest.Revision++ },
-			"start": func(t *rapid.T) { // with a view from a lagging learner
+			"start": func(t *rapid.T) { // with a view that may be older than the leader's
 				start(Version{1, rapid.Uint64Range(1, latest.Revision).Draw(t, "revision")})
 			},
 			"update": func(t *rapid.T) { _ = daemons[pick(t)].Apply(Delta{Full: true, To: latest}) },
--- a/version/view/types.go
+++ b/version/view/types.go
@@ -1,6 +1,11 @@
-// Package view distributes versions of the replicated state to daemons: an
-// immutable View that is replaced as a whole, deltas that only move it to later
-// versions, and a lease that bounds how long a view may be used without confirmation.
+// Package view distributes versions of the replicated state from the leader of the
+// control group to daemons, which are the processes that act on the state, such as
+// proxies. It provides an immutable View that is replaced as a whole, deltas that lead
+// only to later versions, and a lease that bounds how long a daemon may use its view
+// without an answer of the leader to a heartbeat.
+//
+// A version is in force once every daemon with a valid lease holds that version or a
+// later one.
 //
 // Guarantees: the version that a Holder returns never goes back, and no change
 // between two of its versions is missed. Once a Tracker reports a version as in
@@ -11,11 +16,10 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// Version orders views: a view with a higher revision replaces one with a lower
-// revision. The term is the highest Raft term applied; a later revision never has a
-// lower term.
+// Version identifies a version of the view. A view with a higher revision replaces one
+// with a lower revision. A later revision never has a lower term.
 type Version struct {
-	Term     uint64
+	Term     uint64 // Raft term of the entry with the log index Revision
 	Revision uint64 // log index of the last entry that changed an object
 }
 
@@ -28,7 +32,7 @@
 	Services map[string]*api.Service
 	Classes  map[string]*api.Class
 	Tenants  map[string]*api.Tenant
-	// Ingresses holds at most one Ingress.
+	// Ingresses holds at most one Ingress, the configuration of the HTTP routes.
 	Ingresses map[string]*api.Ingress
 	Replicas  map[string]*api.Replica
 	Proxies   map[string]*api.Proxy
@@ -40,7 +44,7 @@
 	// Capacities holds the wanted numbers of replicas, one object per service and zone.
 	Capacities map[string]*api.Capacity
 	// Suspects holds the requests during which one replica terminated recently, by
-	// fingerprint.
+	// fingerprint. A suspect may become a Quarantine of the same name.
 	Suspects map[string]*api.Suspect
 }
 
--- a/version/view/view.go
+++ b/version/view/view.go
@@ -11,13 +11,14 @@
 	// ErrGap is returned when the delta starts from a version other than the view's,
 	// so that changes between the two could be missed.
 	ErrGap = errors.New("view: delta starts from another version")
-	// ErrStale is returned when the delta does not lead to a later version.
+	// ErrStale is returned when the delta does not lead to a later version, or leads to
+	// one of a lower term.
 	ErrStale = errors.New("view: delta does not lead forward")
 )
 
 // Compare returns a negative number, zero or a positive number as v is older
 // than, equal to or newer than w. Only the revision is compared, since no committed
-// revision is assigned twice.
+// log index is assigned twice.
 func (v Version) Compare(w Version) int {
 	switch {
 	case v.Revision < w.Revision:
@@ -58,7 +59,8 @@
 // Invariant: the result's version is later than v's, and its objects are those of
 // that version. A partial delta must start exactly from v's version, and a full one
 // replaces everything, so no change can be missed. Both must lead to a later version,
-// so late or repeated deltas change nothing.
+// so late or repeated deltas change nothing. Objects and keys of unknown kinds are
+// ignored.
 func (v *View) Apply(d Delta) (*View, error) {
 	if d.To.Compare(v.Version) <= 0 || d.To.Term < v.Version.Term {
 		return nil, ErrStale
--- a/version/view/view_test.go
+++ b/version/view/view_test.go
@@ -47,7 +47,7 @@
 	next := New()
 	next.Version = Version{
 		Term:     last.Version.Term + rapid.Uint64Range(0, 1).Draw(t, "term"),
-		Revision: last.Version.Revision + rapid.Uint64Range(1, 3).Draw(t, "gap"),
+		Revision: last.Version.Revision + rapid.Uint64Range(1, 3).Draw(t, "revision step"),
 	}
 	for name, o := range last.Engines {
 		next.Engines[name] = o
@@ -57,7 +57,7 @@
 	}
 	for range rapid.IntRange(1, 3).Draw(t, "changes") {
 		key := api.Key{Kind: api.KindEngine, Name: rapid.SampledFrom([]string{"e1", "e2", "e3"}).Draw(t, "name")}
-		switch rapid.IntRange(0, 3).Draw(t, "what") {
+		switch rapid.IntRange(0, 3).Draw(t, "operation") {
 		case 0:
 			delete(next.Engines, key.Name)
 		case 1:
