--- a/version/planner/adaptive.go
+++ b/version/planner/adaptive.go
@@ -94,7 +94,7 @@
 	mixDuration mixDurationEstimate
 	lastMove    move
 	lastMoveAt  time.Duration
-	moved       bool          // lastMove and lastMoveAt are set
+	hasMoved    bool          // lastMove and lastMoveAt are set
 	coolDown    time.Duration // current value, see recordMove
 }
 
@@ -131,7 +131,7 @@
 	if missing := g.assignableCount() - current.Total(); missing > 0 {
 		return a.assignUnassigned(g, current, missing, state), "first assignment"
 	}
-	if g.availableBudget() == 0 || state.moved && g.now-state.lastMoveAt < state.coolDown {
+	if g.availableBudget() == 0 || state.hasMoved && g.now-state.lastMoveAt < state.coolDown {
 		return current, ""
 	}
 	best, found := a.bestMove(g, current, state)
@@ -176,11 +176,11 @@
 // splits that can serve the same work, such as none at all, so that neither kind of
 // work is left without engines.
 func (a *adaptive) partialSplitValue(split Split, w work) float64 {
-	balance := min(
+	minCoverage := min(
 		coverage(float64(split.Prefill+split.Mixed), a.config.Rates.requiredPrefillEngines(w)),
 		coverage(float64(split.Decode+split.Mixed), a.config.Rates.requiredDecodeEngines(w)),
 	)
-	return a.config.Rates.servableWork(split, w) + 1e-3*balance
+	return a.config.Rates.servableWork(split, w) + 1e-3*minCoverage
 }
 
 // moveChoice is the move that bestMove chose, with the reason shown to operators.
@@ -230,7 +230,7 @@
 	servedNow := a.config.Rates.servableWork(current, expected)
 	lostWork := 0.0
 	for _, role := range splitRoles {
-		if current.Of(role) > candidate.Of(role) {
+		if current.Count(role) > candidate.Count(role) {
 			lostWork = max(lostWork, servedNow-a.config.Rates.servableWork(current.with(role, -1), expected))
 		}
 	}
@@ -243,7 +243,7 @@
 	best, most := move{}, -1.0
 	for _, from := range splitRoles {
 		for _, to := range splitRoles {
-			if current.Of(from) <= target.Of(from) || current.Of(to) >= target.Of(to) {
+			if current.Count(from) <= target.Count(from) || current.Count(to) >= target.Count(to) {
 				continue
 			}
 			served := a.partialSplitValue(current.with(from, -1).with(to, 1), expected)
@@ -263,10 +263,10 @@
 func (a *adaptive) recordMove(now time.Duration, state *intentState, next move) {
 	since := now - state.lastMoveAt
 	switch {
-	case state.moved && next.reverses(state.lastMove) && since < max(a.config.MinMixDuration, 2*state.coolDown):
+	case state.hasMoved && next.reverses(state.lastMove) && since < max(a.config.MinMixDuration, 2*state.coolDown):
 		state.coolDown = min(2*state.coolDown, a.config.MaxCoolDown)
 	case since > max(a.config.MaxMixDuration, 2*state.coolDown):
 		state.coolDown = a.config.CoolDown
 	}
-	state.lastMove, state.lastMoveAt, state.moved = next, now, true
+	state.lastMove, state.lastMoveAt, state.hasMoved = next, now, true
 }
--- a/version/planner/balance.go
+++ b/version/planner/balance.go
@@ -200,7 +200,7 @@
 // leastLoadedInLargestZone returns the name of the replica with the least work in the
 // zone with the largest number of the replicas, not counting those with a change. It
 // returns "" if no zone has more than one left.
-func leastLoadedInLargestZone(replicas []ReplicaLoad, changes []RoleChange, work func(ReplicaLoad) int) string {
+func leastLoadedInLargestZone(replicas []ReplicaLoad, changes []RoleChange, workOf func(ReplicaLoad) int) string {
 	remaining := slices.DeleteFunc(slices.Clone(replicas), func(r ReplicaLoad) bool {
 		return slices.ContainsFunc(changes, func(change RoleChange) bool { return change.Replica == r.Name })
 	})
@@ -212,7 +212,7 @@
 		return ""
 	}
 	best := slices.MinFunc(remaining, func(a, b ReplicaLoad) int {
-		return cmp.Or(cmp.Compare(inZone[b.Zone], inZone[a.Zone]), cmp.Compare(work(a), work(b)), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(cmp.Compare(inZone[b.Zone], inZone[a.Zone]), cmp.Compare(workOf(a), workOf(b)), cmp.Compare(a.Name, b.Name))
 	})
 	if inZone[best.Zone] < 2 {
 		return ""
--- a/version/planner/baseline.go
+++ b/version/planner/baseline.go
@@ -54,26 +54,26 @@
 // compared with. Zero fields take defaults.
 type ThresholdConfig struct {
 	Rates Rates
-	// Band is the minimum difference, in engines, between the wanted and the current
+	// MinDifference is the minimum difference, in engines, between the wanted and the current
 	// number of prefill engines at which one engine is moved.
-	Band float64
+	MinDifference float64
 	// CoolDown is the minimum time between two role changes of an intent.
 	CoolDown time.Duration
 }
 
 // Defaults of ThresholdConfig.
 const (
-	DefaultThresholdBand     = 0.75
-	DefaultThresholdCoolDown = 20 * time.Second
+	DefaultThresholdMinDifference = 0.75
+	DefaultThresholdCoolDown      = 20 * time.Second
 )
 
 // NewThreshold returns a planner that follows the measured ratio of prompt to output
 // work with hysteresis: when the number of prefill engines for this ratio differs from
-// the current one by Band or more, one engine is moved.
+// the current one by MinDifference or more, one engine is moved.
 func NewThreshold(config ThresholdConfig) Planner {
 	config.Rates = config.Rates.withDefaults()
-	if config.Band == 0 {
-		config.Band = DefaultThresholdBand
+	if config.MinDifference == 0 {
+		config.MinDifference = DefaultThresholdMinDifference
 	}
 	if config.CoolDown == 0 {
 		config.CoolDown = DefaultThresholdCoolDown
@@ -91,8 +91,8 @@
 	if total < 2 || !g.allows(api.RolePrefill) || !g.allows(api.RoleDecode) {
 		return defaultTarget(g, total), "no choice of roles"
 	}
-	work := measuredWork(g.demand)
-	prefillShare := t.config.Rates.prefillShare(work)
+	measured := measuredWork(g.demand)
+	prefillShare := t.config.Rates.prefillShare(measured)
 	current := g.currentSplit()
 	if current.Total() < total || current.Mixed > 0 {
 		return proportionalSplit(total, prefillShare), "first split"
@@ -100,7 +100,7 @@
 	wanted := prefillShare * float64(total)
 	offset := wanted - float64(current.Prefill)
 	target := proportionalSplit(total, prefillShare)
-	if offset*offset < t.config.Band*t.config.Band || target == current {
+	if offset*offset < t.config.MinDifference*t.config.MinDifference || target == current {
 		return current, ""
 	}
 	last, changed := t.changed[g.intent.Name]
@@ -108,15 +108,15 @@
 		return current, ""
 	}
 	t.changed[g.intent.Name] = g.now
-	return current.toward(target), fmt.Sprintf("prompt work is worth %.1f engines, has %d", wanted, current.Prefill)
+	return current.withMoveToward(target), fmt.Sprintf("prompt work is worth %.1f engines, has %d", wanted, current.Prefill)
 }
 
-// toward returns the split after one move toward a target, the first in the order of
+// withMoveToward returns the split after one move toward a target, the first in the order of
 // splitRoles.
-func (s Split) toward(target Split) Split {
+func (s Split) withMoveToward(target Split) Split {
 	for _, from := range splitRoles {
 		for _, to := range splitRoles {
-			if s.Of(from) > target.Of(from) && s.Of(to) < target.Of(to) {
+			if s.Count(from) > target.Count(from) && s.Count(to) < target.Count(to) {
 				return s.with(from, -1).with(to, 1)
 			}
 		}
--- a/version/planner/group.go
+++ b/version/planner/group.go
@@ -59,9 +59,9 @@
 	}
 }
 
-// isMovable reports whether an order may be opened for an engine now: it has no open
+// canOpenOrder reports whether an order may be opened for an engine now: it has no open
 // order, it is idle or serving, and no drain was requested.
-func isMovable(engine Engine) bool {
+func canOpenOrder(engine Engine) bool {
 	if engine.Pending != nil || engine.Drain {
 		return false
 	}
@@ -102,7 +102,7 @@
 func (g *group) assignableCount() int {
 	count := 0
 	for _, engine := range g.engines {
-		if isUsable(engine) || isMovable(engine) {
+		if isUsable(engine) || canOpenOrder(engine) {
 			count++
 		}
 	}
@@ -149,9 +149,9 @@
 	return !g.allows(role) || !engine.Assignment.Equal(g.desiredAssignment(role))
 }
 
-// byLeastWork returns the engines that match, sorted by the requests that they have to
+// matchingByLeastWork returns the engines that match, sorted by the requests that they have to
 // finish or to hand over, fewest first.
-func (g *group) byLeastWork(match func(Engine) bool) []Engine {
+func (g *group) matchingByLeastWork(match func(Engine) bool) []Engine {
 	var list []Engine
 	for _, engine := range g.engines {
 		if match(engine) {
--- a/version/planner/planner.go
+++ b/version/planner/planner.go
@@ -79,7 +79,7 @@
 func (p *groupPlan) mostMissingRole() (api.EngineRole, int) {
 	missing, largestGap := api.RoleNone, 0
 	for _, role := range splitRoles {
-		gap := p.target.Of(role) - p.split.Of(role)
+		gap := p.target.Count(role) - p.split.Count(role)
 		if p.group.allows(role) && gap > largestGap {
 			missing, largestGap = role, gap
 		}
@@ -90,7 +90,7 @@
 // assignIdle gives a role to engines without one. They serve no requests, so the
 // disruption budget does not apply.
 func (p *groupPlan) assignIdle() {
-	idle := p.group.byLeastWork(func(engine Engine) bool { return isMovable(engine) && isUnassigned(engine) })
+	idle := p.group.matchingByLeastWork(func(engine Engine) bool { return canOpenOrder(engine) && isUnassigned(engine) })
 	for _, engine := range idle {
 		role, _ := p.mostMissingRole()
 		if role == api.RoleNone {
@@ -103,8 +103,8 @@
 // rollOut changes model, version and adapters within the disruption budget. An engine
 // whose role is not permitted or in excess takes a missing role in the same change.
 func (p *groupPlan) rollOut() {
-	outdated := p.group.byLeastWork(func(engine Engine) bool {
-		return isMovable(engine) && !isUnassigned(engine) && p.group.isOutdated(engine)
+	outdated := p.group.matchingByLeastWork(func(engine Engine) bool {
+		return canOpenOrder(engine) && !isUnassigned(engine) && p.group.isOutdated(engine)
 	})
 	for _, engine := range outdated {
 		if p.budget == 0 {
@@ -118,7 +118,7 @@
 // rollOutRole returns the role that an engine takes with its change.
 func (p *groupPlan) rollOutRole(engine Engine) api.EngineRole {
 	role := engine.Assignment.Role
-	excess := p.split.Of(role) > p.target.Of(role)
+	excess := p.split.Count(role) > p.target.Count(role)
 	if p.group.allows(role) && !excess {
 		return role
 	}
@@ -160,12 +160,12 @@
 // surplusEngine returns the engine to move: of those whose role is in excess of the
 // target, the one with the least work.
 func (p *groupPlan) surplusEngine() (Engine, bool) {
-	candidates := p.group.byLeastWork(func(engine Engine) bool {
-		if !isMovable(engine) || isUnassigned(engine) || p.hasDecision(engine) {
+	candidates := p.group.matchingByLeastWork(func(engine Engine) bool {
+		if !canOpenOrder(engine) || isUnassigned(engine) || p.hasDecision(engine) {
 			return false
 		}
 		role := engine.Assignment.Role
-		return p.split.Of(role) > p.target.Of(role)
+		return p.split.Count(role) > p.target.Count(role)
 	})
 	if len(candidates) == 0 {
 		return Engine{}, false
--- a/version/planner/planner_test.go
+++ b/version/planner/planner_test.go
@@ -279,7 +279,7 @@
 }
 
 func TestServableWork(t *testing.T) {
-	rates := Rates{Headroom: 1, MixedEfficiency: 1}.withDefaults()
+	rates := Rates{MaxUtilization: 1, MixedEfficiency: 1}.withDefaults()
 	load := work{requests: 100, uncachedPrompt: 4 * rates.PrefillTokensPerSecond, totalPrompt: 4 * rates.PrefillTokensPerSecond}
 	load.output = 4 * rates.decodeRate(work{requests: load.requests, totalPrompt: load.totalPrompt, output: 4000})
 	total := rates.requiredEngines(load)
--- a/version/planner/rates.go
+++ b/version/planner/rates.go
@@ -21,9 +21,9 @@
 	// prompts and decode steps delay each other; above 1, they share the fixed time of
 	// a step.
 	MixedEfficiency float64
-	// Headroom is the highest utilization at which queueing delays don't make requests
+	// MaxUtilization is the highest utilization at which queueing delays don't make requests
 	// miss their deadlines.
-	Headroom float64
+	MaxUtilization float64
 }
 
 // Defaults of Rates.
@@ -35,7 +35,7 @@
 	DefaultMaxBatch               = 64
 	DefaultKVTokens               = 60000
 	DefaultMixedEfficiency        = 1
-	DefaultHeadroom               = 0.9
+	DefaultMaxUtilization         = 0.9
 )
 
 func (r Rates) withDefaults() Rates {
@@ -60,8 +60,8 @@
 	if r.MixedEfficiency <= 0 {
 		r.MixedEfficiency = DefaultMixedEfficiency
 	}
-	if r.Headroom <= 0 {
-		r.Headroom = DefaultHeadroom
+	if r.MaxUtilization <= 0 {
+		r.MaxUtilization = DefaultMaxUtilization
 	}
 	return r
 }
@@ -138,9 +138,9 @@
 	if total == 0 {
 		return 0
 	}
-	prefill := float64(split.Prefill) * r.Headroom
-	decode := float64(split.Decode) * r.Headroom
-	mixed := float64(split.Mixed) * r.Headroom * r.MixedEfficiency
+	prefill := float64(split.Prefill) * r.MaxUtilization
+	decode := float64(split.Decode) * r.MaxUtilization
+	mixed := float64(split.Mixed) * r.MaxUtilization * r.MixedEfficiency
 
 	disaggregated := min(coverage(prefill, prefillNeed), coverage(decode, decodeNeed), 1)
 	prefill -= disaggregated * prefillNeed
--- a/version/planner/scheduled.go
+++ b/version/planner/scheduled.go
@@ -33,7 +33,7 @@
 	for split.Total() > total {
 		largest := splitRoles[0]
 		for _, role := range splitRoles {
-			if split.Of(role) > split.Of(largest) {
+			if split.Count(role) > split.Count(largest) {
 				largest = role
 			}
 		}
--- a/version/planner/split.go
+++ b/version/planner/split.go
@@ -21,7 +21,7 @@
 func (s Split) Total() int { return s.Prefill + s.Decode + s.Mixed }
 
 // Of returns the number of engines of a role.
-func (s Split) Of(role api.EngineRole) int {
+func (s Split) Count(role api.EngineRole) int {
 	switch role {
 	case api.RolePrefill:
 		return s.Prefill
@@ -51,7 +51,7 @@
 func (s Split) Moves(to Split) int {
 	moves := 0
 	for _, role := range splitRoles {
-		moves += max(to.Of(role)-s.Of(role), 0)
+		moves += max(to.Count(role)-s.Count(role), 0)
 	}
 	return moves
 }
@@ -102,7 +102,7 @@
 func addNeighbors(current Split, add func(Split)) {
 	for _, from := range splitRoles {
 		for _, to := range splitRoles {
-			for moves := 1; from != to && moves <= current.Of(from); moves *= 2 {
+			for moves := 1; from != to && moves <= current.Count(from); moves *= 2 {
 				add(current.with(from, -moves).with(to, moves))
 			}
 		}
@@ -112,7 +112,7 @@
 // isPermitted reports whether the split uses allowed roles only and canServe.
 func isPermitted(split Split, allowed func(api.EngineRole) bool) bool {
 	for _, role := range splitRoles {
-		if split.Of(role) > 0 && !allowed(role) {
+		if split.Count(role) > 0 && !allowed(role) {
 			return false
 		}
 	}
--- a/version/state/commit.go
+++ b/version/state/commit.go
@@ -53,7 +53,7 @@
 	if engine := m.engines.items[name]; engine != nil {
 		return engine.Status
 	}
-	phase := m.platform.phase(name, api.PhaseUnknown)
+	phase := m.platform.effectivePhase(name, api.PhaseUnknown)
 	return api.EngineStatus{Phase: phase, MachinePhase: phase}
 }
 
--- a/version/state/machine.go
+++ b/version/state/machine.go
@@ -136,16 +136,16 @@
 
 // put stores an object, which must not be modified afterwards, and records the change.
 func (m *Machine) put(o api.Object) {
-	m.load(o)
+	m.putUnrecorded(o)
 	key, _ := o.Key()
 	m.recordChange(key)
 }
 
-// load stores an object without recording a change, as needed for Restore.
-func (m *Machine) load(o api.Object) {
+// putUnrecorded stores an object without recording a change, as needed for Restore.
+func (m *Machine) putUnrecorded(o api.Object) {
 	key, _ := o.Key()
 	if objects := m.table(key.Kind); objects != nil {
-		objects.load(key.Name, o)
+		objects.putObject(key.Name, o)
 	}
 }
 
--- a/version/state/machines.go
+++ b/version/state/machines.go
@@ -14,9 +14,9 @@
 	gone    []string
 }
 
-// phase returns the phase that the platform lists for an engine, or the reported phase
+// effectivePhase returns the phase that the platform lists for an engine, or the reported phase
 // if the engine is not listed.
-func (l *platformList) phase(engine string, reported api.EnginePhase) api.EnginePhase {
+func (l *platformList) effectivePhase(engine string, reported api.EnginePhase) api.EnginePhase {
 	switch {
 	case containsSorted(l.gone, engine):
 		return api.PhaseGone
@@ -68,8 +68,8 @@
 	if previous.contains(engine.Name) {
 		reported = api.PhaseUnknown
 	}
-	status.MachinePhase = m.platform.phase(engine.Name, api.PhaseUnknown)
-	status.Phase = m.platform.phase(engine.Name, reported)
+	status.MachinePhase = m.platform.effectivePhase(engine.Name, api.PhaseUnknown)
+	status.Phase = m.platform.effectivePhase(engine.Name, reported)
 	m.updateEngine(engine, status)
 }
 
--- a/version/state/orders.go
+++ b/version/state/orders.go
@@ -201,12 +201,12 @@
 func (m *Machine) statusAfterReport(engine *api.Engine, report *EngineReport) api.EngineStatus {
 	status := engine.Status
 	if status.Incarnation != report.Incarnation {
-		m.retireIncarnation(engine.Name, status.Incarnation, report.Incarnation)
+		m.recordEarlierIncarnation(engine.Name, status.Incarnation, report.Incarnation)
 	}
 	status.Incarnation = report.Incarnation
 	status.Assignment = report.Assignment
 	status.Fence = report.Fence
-	status.Phase = m.platform.phase(engine.Name, reportedPhase(report))
+	status.Phase = m.platform.effectivePhase(engine.Name, reportedPhase(report))
 	return status
 }
 
@@ -222,9 +222,9 @@
 	return api.PhaseUnknown
 }
 
-// retireIncarnation moves an incarnation to the engine's earlier ones, of which it keeps
+// recordEarlierIncarnation moves an incarnation to the engine's earlier ones, of which it keeps
 // the latest maxEarlierIncarnations, and removes the current one from them.
-func (m *Machine) retireIncarnation(engine string, old, current uint64) {
+func (m *Machine) recordEarlierIncarnation(engine string, old, current uint64) {
 	earlier := slices.DeleteFunc(m.earlierIncarnations(engine), func(v uint64) bool { return v == current })
 	if old != 0 {
 		earlier = append(earlier, old)
--- a/version/state/plan.go
+++ b/version/state/plan.go
@@ -152,7 +152,7 @@
 		p.stageWrite(p.keys[i].Name, write)
 	}
 	for name, engine := range p.engines {
-		p.intentsByEngine[name] = p.selectingIntents(engine)
+		p.intentsByEngine[name] = p.selectingIntentsAfter(engine)
 	}
 	for name, intent := range p.intents {
 		p.stageIntent(name, intent)
@@ -173,9 +173,9 @@
 	}
 }
 
-// selectingIntents evaluates all selectors for a written engine and returns the names
+// selectingIntentsAfter evaluates all selectors for a written engine and returns the names
 // of the intents that select it after the writes.
-func (p *plan) selectingIntents(engine *api.Engine) []string {
+func (p *plan) selectingIntentsAfter(engine *api.Engine) []string {
 	if engine == nil {
 		return nil
 	}
--- a/version/state/snapshot.go
+++ b/version/state/snapshot.go
@@ -169,7 +169,7 @@
 			r.Fail(binenc.ErrMalformed)
 			return
 		}
-		m.load(o)
+		m.putUnrecorded(o)
 		previous = key
 	}
 }
--- a/version/state/table.go
+++ b/version/state/table.go
@@ -40,7 +40,7 @@
 
 // anyTable is a table whose kind is determined at run time.
 type anyTable interface {
-	load(name string, o api.Object)
+	putObject(name string, o api.Object)
 	remove(name string)
 }
 
@@ -50,7 +50,7 @@
 	extract func(api.Object) *T
 }
 
-func (t kindTable[T]) load(name string, o api.Object) { t.put(name, t.extract(o)) }
+func (t kindTable[T]) putObject(name string, o api.Object) { t.put(name, t.extract(o)) }
 
 // table returns the table for objects of the kind, or nil if the kind is unknown.
 func (m *Machine) table(kind api.Kind) anyTable {
--- a/version/view/table.go
+++ b/version/view/table.go
@@ -22,8 +22,8 @@
 	put(name string, o api.Object)
 	remove(name string)
 	list() []api.Object
-	// copy replaces the view's map by a copy that may be written to.
-	copy()
+	// cloneMap replaces the view's map by a copy that may be written to.
+	cloneMap()
 }
 
 // table returns the table of the kind, nil for an unknown kind. It is the only place
@@ -84,7 +84,7 @@
 	return objects
 }
 
-func (t kindTable[T]) copy() {
+func (t kindTable[T]) cloneMap() {
 	if *t.items == nil {
 		*t.items = map[string]*T{}
 		return
--- a/version/view/view.go
+++ b/version/view/view.go
@@ -115,7 +115,7 @@
 	}
 	for kind := range changed {
 		if objects := v.table(kind); objects != nil {
-			objects.copy()
+			objects.cloneMap()
 		}
 	}
 }
