--- a/version/planner/baseline.go
+++ b/version/planner/baseline.go
@@ -111,8 +111,8 @@
 	return current.withMoveToward(target), fmt.Sprintf("prompt work is worth %.1f engines, has %d", wanted, current.Prefill)
 }
 
-// withMoveToward returns the split after one move toward a target, the first in the order of
-// splitRoles.
+// withMoveToward returns the split after one move toward a target, the first in the
+// order of splitRoles.
 func (s Split) withMoveToward(target Split) Split {
 	for _, from := range splitRoles {
 		for _, to := range splitRoles {
--- a/version/planner/group.go
+++ b/version/planner/group.go
@@ -149,8 +149,8 @@
 	return !g.allows(role) || !engine.Assignment.Equal(g.desiredAssignment(role))
 }
 
-// matchingByLeastWork returns the engines that match, sorted by the requests that they have to
-// finish or to hand over, fewest first.
+// matchingByLeastWork returns the engines that match, sorted by the requests that they
+// have to finish or to hand over, fewest first.
 func (g *group) matchingByLeastWork(match func(Engine) bool) []Engine {
 	var list []Engine
 	for _, engine := range g.engines {
--- a/version/planner/rates.go
+++ b/version/planner/rates.go
@@ -21,8 +21,8 @@
 	// prompts and decode steps delay each other; above 1, they share the fixed time of
 	// a step.
 	MixedEfficiency float64
-	// MaxUtilization is the highest utilization at which queueing delays don't make requests
-	// miss their deadlines.
+	// MaxUtilization is the highest utilization at which queueing delays don't make
+	// requests miss their deadlines.
 	MaxUtilization float64
 }
 
--- a/version/state/codec_bodies.go
+++ b/version/state/codec_bodies.go
@@ -5,6 +5,9 @@
 	"github.com/landingtrail/landingtrail/version/binenc"
 )
 
+// The order and the types of the fields in the functions of this file are the format of
+// the log and of snapshots.
+
 func appendOpenOrder(b []byte, o *OpenOrder) []byte {
 	b = binenc.AppendString(b, o.Engine)
 	b = binenc.AppendFixed(b, o.Incarnation)
--- a/version/state/machines.go
+++ b/version/state/machines.go
@@ -14,8 +14,8 @@
 	gone    []string
 }
 
-// effectivePhase returns the phase that the platform lists for an engine, or the reported phase
-// if the engine is not listed.
+// effectivePhase returns the phase that the platform lists for an engine, or the
+// reported phase if the engine is not listed.
 func (l *platformList) effectivePhase(engine string, reported api.EnginePhase) api.EnginePhase {
 	switch {
 	case containsSorted(l.gone, engine):
--- a/version/state/orders.go
+++ b/version/state/orders.go
@@ -11,7 +11,8 @@
 	// equal planner.DefaultMaxUnavailable.
 	defaultMaxUnavailable = 1
 	// maxEarlierIncarnations is the maximum number of earlier incarnations that are
-	// stored per engine.
+	// stored per engine. A report of an incarnation that is no longer stored is taken for
+	// one of a new incarnation.
 	maxEarlierIncarnations = 8
 )
 
@@ -80,7 +81,7 @@
 	switch engine.Status.Phase {
 	case api.PhaseUnknown:
 		return false
-	case api.PhaseServing:
+	case api.PhaseServing: // needs budget
 	default:
 		return true
 	}
--- a/version/state/stateful_test.go
+++ b/version/state/stateful_test.go
@@ -349,6 +349,7 @@
 		})
 		c.replay(t)
 	})
+	// An outcome is the number of the CommandKind with the code of the result.
 	for _, want := range []string{
 		"1 accepted", "1 revision_conflict", "1 operation_conflict", "1 intent_conflict", "1 invalid", "1 too_broad",
 		"2 1", "2 2", "2 3", "2 4", "2 5", "2 6", "3 true", "3 false", "9 true", "9 false",
