--- a/connection/feed/registry.go
+++ b/connection/feed/registry.go
@@ -49,7 +49,7 @@
 		now -= 2 * lease
 	}
 	r.tracker.Reset(now)
-	r.tracker.Require(version)
+	r.tracker.RequireVersion(version)
 	return r
 }
 
--- a/connection/feed/server.go
+++ b/connection/feed/server.go
@@ -285,7 +285,7 @@
 		case <-ticker.C:
 		}
 		if current := s.leased(s.context); current != nil {
-			current.tracker.Require(previous)
+			current.tracker.RequireVersion(previous)
 		}
 		previous = s.config.Group.Version()
 	}
--- a/lab/campaign/duties.go
+++ b/lab/campaign/duties.go
@@ -78,7 +78,7 @@
 	if !d.tracking && d.ownTermApplied() {
 		d.tracking = true
 		d.tracker.Reset(m.clock())
-		d.tracker.Require(m.machine.Version())
+		d.tracker.RequireVersion(m.machine.Version())
 	}
 	d.tendMembers(status)
 	d.readPlatform()
@@ -318,7 +318,7 @@
 	}
 	planned := controller.PlannedEngine(engine, said)
 	planned.SinceChange = -1
-	if intent := d.member.machine.WantedIntent(engine.Name); intent != nil {
+	if intent := d.member.machine.SelectingIntent(engine.Name); intent != nil {
 		planned.Intent = intent.Name
 	}
 	if at, changed := d.changedAt[engine.Name]; changed {
--- a/lab/campaign/oraclefinish.go
+++ b/lab/campaign/oraclefinish.go
@@ -61,7 +61,7 @@
 
 func (o *oracle) checkEngines(leader *member) {
 	for _, h := range o.world.engines {
-		intent := leader.machine.WantedIntent(h.name)
+		intent := leader.machine.SelectingIntent(h.name)
 		engine := leader.machine.View().Engines[h.name]
 		said := h.model.State()
 		if intent == nil || engine == nil {
--- a/lab/campaign/relay.go
+++ b/lab/campaign/relay.go
@@ -81,12 +81,12 @@
 // moveFloor keeps a proxy that hangs from holding the others up.
 func (r *relayHost) moveFloor() {
 	if r.serves() {
-		r.relay.Tracker().Require(r.previous)
+		r.relay.Tracker().RequireVersion(r.previous)
 	}
 	r.previous = r.relay.Load().Version
 }
 
-func (r *relayHost) serves() bool { return r.relay.Limit(r.clock()) > 0 }
+func (r *relayHost) serves() bool { return r.relay.MaxLease(r.clock()) > 0 }
 
 // answerBeat serves a proxy as the leader does, within the relay's own lease.
 func (r *relayHost) answerBeat(asked beat) {
@@ -98,7 +98,7 @@
 	now := r.clock()
 	news := update{term: r.relay.Term()}
 	if r.relay.Tracker().Observe(asked.daemon, asked.acked, now) {
-		news.lease = min(relayViewLease, r.relay.Limit(now))
+		news.lease = min(relayViewLease, r.relay.MaxLease(now))
 	}
 	if delta, behind := r.relay.History().DeltaSince(asked.held); behind {
 		news.delta = encodeDelta(delta)
--- a/lab/experiment/hindsight.go
+++ b/lab/experiment/hindsight.go
@@ -151,7 +151,7 @@
 	var plans []plan
 	for _, price := range changePrices {
 		path := cheapestPath(values, func(from, to int) float64 {
-			moves := constants[from].steps[0].Split.Moves(constants[to].steps[0].Split)
+			moves := constants[from].steps[0].Split.MovesTo(constants[to].steps[0].Split)
 			return price * engineSecond * float64(moves)
 		})
 		steps := stepsOf(path, constants)
--- a/process/control/planning.go
+++ b/process/control/planning.go
@@ -81,7 +81,7 @@
 	intents := make(map[string]string, len(current.Engines))
 	d.group.machine.read(func(machine *state.Machine) {
 		for name := range current.Engines {
-			if intent := machine.WantedIntent(name); intent != nil {
+			if intent := machine.SelectingIntent(name); intent != nil {
 				intents[name] = intent.Name
 			}
 		}
--- a/process/control/roles.go
+++ b/process/control/roles.go
@@ -104,20 +104,20 @@
 func (d *duties) balance(term *termDuties, current *view.View, service string) {
 	now := monotonic()
 	load := d.group.desk.load(d.group.machine.history.Load(), service, now)
-	load.Settled = now-max(term.roles.readAt, term.startedAt) >= planner.ReversalPause
+	load.ReversalAllowed = now-max(term.roles.readAt, term.startedAt) >= planner.ReversalPause
 	changes := planner.Balance(load)
 	if len(changes) == 0 {
 		return
 	}
-	event.RolesPlanned.Log(d.logger, "service", service, "changes", len(changes), "late", load.Late, "requests", int(load.Requests), "starting", load.Starting,
-		"replicas", len(load.Replicas), "readers", load.Readers(), "changing", load.Changing())
+	event.RolesPlanned.Log(d.logger, "service", service, "changes", len(changes), "late", load.LateShare, "requests", int(load.Requests), "starting", load.DecodeStartShare,
+		"replicas", len(load.Replicas), "readers", load.PrefillReplicas(), "changing", load.Changing())
 	for _, wanted := range changes {
 		replica := current.Replicas[wanted.Replica]
 		if replica == nil {
 			continue
 		}
 		role := api.RoleDecode
-		if wanted.Reads {
+		if wanted.ToPrefill {
 			role = api.RolePrefill
 			term.roles.readAt = now
 		}
@@ -191,13 +191,13 @@
 	d.update(current)
 	board := d.boards[service]
 	var load planner.ServiceLoad
-	load.Late, load.Requests = board.Late(now)
-	load.Starting = board.Starting()
+	load.LateShare, load.Requests = board.Late(now)
+	load.DecodeStartShare = board.Starting()
 	for _, shown := range board.Occupancies(now) {
 		load.Replicas = append(load.Replicas, planner.ReplicaLoad{
 			Name:     shown.Name,
 			Zone:     shown.Zone,
-			Reads:    shown.Role == placement.RolePrefill,
+			Prefill:  shown.Role == placement.RolePrefill,
 			Running:  shown.Running,
 			Slots:    shown.Slots,
 			Queued:   shown.Queued,
--- a/process/control/scaling.go
+++ b/process/control/scaling.go
@@ -126,8 +126,8 @@
 		return
 	}
 	plans := planner.PlanCapacity(service.Scaling, zones)
-	if planner.IsShort(zones) {
-		plans = planner.StandIn(service.Scaling, zones, plans)
+	if planner.HasShortage(zones) {
+		plans = planner.ReplaceMissing(service.Scaling, zones, plans)
 	}
 	for i := range zones {
 		name := api.CapacityName(service.Name, zones[i].Zone)
--- a/process/control/usage.go
+++ b/process/control/usage.go
@@ -99,12 +99,12 @@
 			delete(u.pending, key)
 			continue
 		}
-		counts = append(counts, state.UsageCount{Life: key.life, Window: key.window, Tenant: key.tenant, Count: count})
+		counts = append(counts, state.UsageCount{ProcessRun: key.life, Window: key.window, Tenant: key.tenant, Count: count})
 	}
 	slices.SortFunc(counts, compareUsage)
 	counts = counts[:min(len(counts), maxUsageCommit)]
 	for _, counted := range counts {
-		delete(u.pending, usageKey{life: counted.Life, window: counted.Window, tenant: counted.Tenant})
+		delete(u.pending, usageKey{life: counted.ProcessRun, window: counted.Window, tenant: counted.Tenant})
 	}
 	return counts
 }
@@ -113,8 +113,8 @@
 	switch {
 	case a.Window != b.Window:
 		return int(a.Window - b.Window)
-	case a.Life != b.Life:
-		return compareText(a.Life, b.Life)
+	case a.ProcessRun != b.ProcessRun:
+		return compareText(a.ProcessRun, b.ProcessRun)
 	}
 	return compareText(a.Tenant, b.Tenant)
 }
@@ -131,7 +131,7 @@
 	u.lock.Lock()
 	defer u.lock.Unlock()
 	for _, counted := range counts {
-		key := usageKey{life: counted.Life, window: counted.Window, tenant: counted.Tenant}
+		key := usageKey{life: counted.ProcessRun, window: counted.Window, tenant: counted.Tenant}
 		u.pending[key] = max(u.pending[key], counted.Count)
 	}
 }
@@ -225,7 +225,7 @@
 }
 
 func (d *duties) usageDecided() (decided int64) {
-	d.group.machine.read(func(machine *state.Machine) { decided = machine.UsageDecided() })
+	d.group.machine.read(func(machine *state.Machine) { decided = machine.LastDecidedWindow() })
 	return decided
 }
 
@@ -286,7 +286,7 @@
 		return
 	}
 	var outstanding []api.UsageWindow
-	d.group.machine.read(func(machine *state.Machine) { outstanding = machine.OutstandingUsage() })
+	d.group.machine.read(func(machine *state.Machine) { outstanding = machine.UnreportedUsage() })
 	if len(outstanding) == 0 {
 		term.usage.busy.Store(false)
 		return
--- a/process/control/usage_test.go
+++ b/process/control/usage_test.go
@@ -145,7 +145,7 @@
 	before := len(sink.taken)
 	sink.lock.Unlock()
 	decided := func() (last int64) {
-		g.running[g.leader()].member.machine.read(func(m *state.Machine) { last = m.UsageDecided() })
+		g.running[g.leader()].member.machine.read(func(m *state.Machine) { last = m.LastDecidedWindow() })
 		return last
 	}
 	eventually(t, "more windows", func() bool { return decided() > window+4 })
--- a/process/relay/group.go
+++ b/process/relay/group.go
@@ -43,7 +43,7 @@
 	return feed.Leadership{Leads: g.serves(), Term: g.relay.Term()}
 }
 
-func (g *group) serves() bool { return !g.stopping.Load() && g.relay.Limit(g.clock()) > 0 }
+func (g *group) serves() bool { return !g.stopping.Load() && g.relay.MaxLease(g.clock()) > 0 }
 
 // Lease returns the term of the leader that granted the relay's lease.
 func (g *group) Lease(context.Context) (uint64, bool) { return g.relay.Term(), g.serves() }
--- a/process/relay/relay.go
+++ b/process/relay/relay.go
@@ -134,7 +134,7 @@
 		ViewLease:      r.config.Lease,
 		FloorInterval:  r.config.Lease / floorShare,
 		Tracker:        r.views.Tracker(),
-		Limit:          func() time.Duration { return r.views.Limit(r.clock()) },
+		Limit:          func() time.Duration { return r.views.MaxLease(r.clock()) },
 		Observed:       r.noteBeat,
 		MaxSubscribers: r.config.MaxDaemons,
 		Clock:          r.clock,
--- a/version/planner/adaptive.go
+++ b/version/planner/adaptive.go
@@ -225,7 +225,7 @@
 // served is that of the role whose loss of one engine costs most. Half of DrainTime
 // counts as unavailable.
 func (a *adaptive) moveCost(g *group, current, candidate Split, expected work) float64 {
-	moves := float64(current.Moves(candidate))
+	moves := float64(current.MovesTo(candidate))
 	unavailable := (a.config.DrainTime/2 + a.config.ChangeTime).Seconds()
 	servedNow := a.config.Rates.servableWork(current, expected)
 	lostWork := 0.0
--- a/version/planner/balance.go
+++ b/version/planner/balance.go
@@ -12,9 +12,9 @@
 type ReplicaLoad struct {
 	Name string
 	Zone string
-	// Reads is true for a replica in the prefill role, which processes prompts for the
+	// Prefill is true for a replica in the prefill role, which processes prompts for the
 	// decode replicas, false for one in the decode role, which generates tokens.
-	Reads bool
+	Prefill bool
 	// Running is the number of requests in decode on the replica and Slots the
 	// number it has room for, 0 if unknown. Queued is the number of prompts that
 	// wait for prefill.
@@ -30,20 +30,21 @@
 type ServiceLoad struct {
 	Replicas []ReplicaLoad
 	// Requests is the number of recent requests with a first-token objective, as a
-	// count that decays with time. Late is the share of them, from 0 to 1, that could
+	// count that decays with time. LateShare is the share of them, from 0 to 1, that could
 	// not be placed so that the first token was predicted to meet the objective.
-	Requests float64
-	Late     float64
-	// Starting is the time from the end of prefill and of the transfer of the KV cache
+	Requests  float64
+	LateShare float64
+	// DecodeStartShare is the time from the end of prefill and of the transfer of the KV cache
 	// to the first token, as a share of the mean first-token objective.
-	Starting float64
-	// Settled is true if no replica was moved to prefill during the last ReversalPause.
-	Settled bool
+	DecodeStartShare float64
+	// ReversalAllowed is true if no replica was moved to prefill during the last ReversalPause.
+	ReversalAllowed bool
 }
 
-// Readers returns the number of prefill replicas, without those that are changing their role.
-func (l *ServiceLoad) Readers() int {
-	return l.count(func(r ReplicaLoad) bool { return r.Reads && !r.Changing })
+// PrefillReplicas returns the number of prefill replicas, without those that are changing
+// their role.
+func (l *ServiceLoad) PrefillReplicas() int {
+	return l.count(func(r ReplicaLoad) bool { return r.Prefill && !r.Changing })
 }
 
 // Changing returns the number of replicas that are changing their role.
@@ -61,16 +62,16 @@
 	return total
 }
 
-// RoleChange moves one replica to the other role: prefill if Reads is true, else decode.
+// RoleChange moves one replica to the other role: prefill if ToPrefill is true, else decode.
 type RoleChange struct {
-	Replica string
-	Reads   bool
+	Replica   string
+	ToPrefill bool
 }
 
 // ReversalPause is how long after the last change to prefill no prefill replica is
 // moved back for high decode occupancy. The demand varies periodically, and each change
 // makes a replica unavailable for seconds. The caller of Balance applies the pause by
-// ServiceLoad.Settled.
+// ServiceLoad.ReversalAllowed.
 const ReversalPause = 20 * time.Second
 
 // Thresholds and limits of Balance.
@@ -84,9 +85,9 @@
 	// sparePrefillLateShare is the maximum share of late requests at which a prefill
 	// replica may move to decode because the decode slots are occupied.
 	sparePrefillLateShare = 0.02
-	// slowDecodeStart is the minimum value of ServiceLoad.Starting at which requests wait
-	// too long for decode and a replica moves to decode. Replicas move to prefill only
-	// while the value is at most half of it.
+	// slowDecodeStart is the minimum value of ServiceLoad.DecodeStartShare at which
+	// requests wait too long for decode and a replica moves to decode. Replicas move to
+	// prefill only while the value is at most half of it.
 	slowDecodeStart = 0.6
 	// minDecodeShare is the share of all replicas below which moves to prefill must not
 	// reduce the decode replicas.
@@ -114,11 +115,11 @@
 	}
 	byRole := groupByRole(load.Replicas)
 	switch {
-	case load.Starting >= slowDecodeStart:
+	case load.DecodeStartShare >= slowDecodeStart:
 		return byRole.changeToDecode()
-	case load.Late >= morePrefillLateShare && load.Starting <= slowDecodeStart/2:
+	case load.LateShare >= morePrefillLateShare && load.DecodeStartShare <= slowDecodeStart/2:
 		return byRole.changesToPrefill()
-	case load.Settled && load.Late <= sparePrefillLateShare && byRole.decodeOccupancy(0) > moreDecodeOccupancy:
+	case load.ReversalAllowed && load.LateShare <= sparePrefillLateShare && byRole.decodeOccupancy(0) > moreDecodeOccupancy:
 		return byRole.changeToDecode()
 	default:
 		return nil
@@ -139,7 +140,7 @@
 		switch {
 		case replica.Changing:
 			p.changing++
-		case replica.Reads:
+		case replica.Prefill:
 			p.prefill = append(p.prefill, replica)
 		default:
 			p.decode = append(p.decode, replica)
@@ -180,7 +181,7 @@
 		if chosen == "" {
 			break
 		}
-		changes = append(changes, RoleChange{Replica: chosen, Reads: true})
+		changes = append(changes, RoleChange{Replica: chosen, ToPrefill: true})
 	}
 	return changes
 }
@@ -194,7 +195,7 @@
 	if chosen == "" {
 		return nil
 	}
-	return []RoleChange{{Replica: chosen, Reads: false}}
+	return []RoleChange{{Replica: chosen, ToPrefill: false}}
 }
 
 // leastLoadedInLargestZone returns the name of the replica with the least work in the
--- a/version/planner/balance_test.go
+++ b/version/planner/balance_test.go
@@ -13,8 +13,8 @@
 func testReplicas(prefill, decode, running int) []ReplicaLoad {
 	var replicas []ReplicaLoad
 	for i := range prefill + decode {
-		replica := ReplicaLoad{Name: fmt.Sprintf("r-%02d", i), Zone: fmt.Sprint("zone-", i%3), Slots: 8, Reads: i < prefill}
-		if !replica.Reads {
+		replica := ReplicaLoad{Name: fmt.Sprintf("r-%02d", i), Zone: fmt.Sprint("zone-", i%3), Slots: 8, Prefill: i < prefill}
+		if !replica.Prefill {
 			replica.Running = running
 		}
 		replicas = append(replicas, replica)
@@ -28,43 +28,43 @@
 		load    ServiceLoad
 		changes int
 	}{
-		{"late", ServiceLoad{Replicas: testReplicas(4, 8, 1), Requests: 200, Late: 0.4}, 3},
-		{"in time", ServiceLoad{Replicas: testReplicas(4, 8, 1), Requests: 200, Late: 0.05}, 0},
-		{"too few requests", ServiceLoad{Replicas: testReplicas(4, 8, 1), Requests: 10, Late: 1}, 0},
-		{"decode starts are slow already", ServiceLoad{Replicas: testReplicas(4, 8, 1), Requests: 200, Late: 0.4, Starting: 0.4}, 0},
-		{"only a third is in decode", ServiceLoad{Replicas: testReplicas(8, 4, 1), Requests: 200, Late: 0.4}, 0},
-		{"decode is occupied", ServiceLoad{Replicas: testReplicas(4, 8, 4), Requests: 200, Late: 0.4}, 0},
-		{"the only decode replica", ServiceLoad{Replicas: testReplicas(0, 1, 0), Requests: 200, Late: 1}, 0},
+		{"late", ServiceLoad{Replicas: testReplicas(4, 8, 1), Requests: 200, LateShare: 0.4}, 3},
+		{"in time", ServiceLoad{Replicas: testReplicas(4, 8, 1), Requests: 200, LateShare: 0.05}, 0},
+		{"too few requests", ServiceLoad{Replicas: testReplicas(4, 8, 1), Requests: 10, LateShare: 1}, 0},
+		{"decode starts are slow already", ServiceLoad{Replicas: testReplicas(4, 8, 1), Requests: 200, LateShare: 0.4, DecodeStartShare: 0.4}, 0},
+		{"only a third is in decode", ServiceLoad{Replicas: testReplicas(8, 4, 1), Requests: 200, LateShare: 0.4}, 0},
+		{"decode is occupied", ServiceLoad{Replicas: testReplicas(4, 8, 4), Requests: 200, LateShare: 0.4}, 0},
+		{"the only decode replica", ServiceLoad{Replicas: testReplicas(0, 1, 0), Requests: 200, LateShare: 1}, 0},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			changes := Balance(test.load)
 			must.SliceLen(t, test.changes, changes)
 			for _, change := range changes {
-				must.True(t, change.Reads)
+				must.True(t, change.ToPrefill)
 			}
 		})
 	}
 }
 
 func TestBalanceReturnsReplicaToDecodeWhenOccupied(t *testing.T) {
-	load := ServiceLoad{Replicas: testReplicas(6, 6, 7), Requests: 200, Late: 0}
+	load := ServiceLoad{Replicas: testReplicas(6, 6, 7), Requests: 200, LateShare: 0}
 	must.SliceEmpty(t, Balance(load), must.Sprint("replicas were moved to prefill recently"))
-	load.Settled = true
+	load.ReversalAllowed = true
 	changes := Balance(load)
 	must.SliceLen(t, 1, changes)
-	must.False(t, changes[0].Reads)
-	load.Late = 0.1
+	must.False(t, changes[0].ToPrefill)
+	load.LateShare = 0.1
 	must.SliceEmpty(t, Balance(load), must.Sprint("too many requests are late to move a prefill replica"))
 }
 
 // Where requests wait for decode after their prefill, one prefill replica moves to decode
 // even if requests are late.
 func TestBalanceReturnsReplicaToDecodeWhenStartsAreSlow(t *testing.T) {
-	load := ServiceLoad{Replicas: testReplicas(6, 3, 1), Requests: 200, Late: 0.4, Starting: 0.7}
+	load := ServiceLoad{Replicas: testReplicas(6, 3, 1), Requests: 200, LateShare: 0.4, DecodeStartShare: 0.7}
 	changes := Balance(load)
 	must.SliceLen(t, 1, changes)
-	must.False(t, changes[0].Reads)
+	must.False(t, changes[0].ToPrefill)
 }
 
 // For any load, no zone loses the last replica of a role, at most a quarter of the
@@ -77,16 +77,16 @@
 			load.Replicas = append(load.Replicas, ReplicaLoad{
 				Name:     fmt.Sprintf("r-%02d", i),
 				Zone:     rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone"),
-				Reads:    rapid.Bool().Draw(t, "reads"),
+				Prefill:  rapid.Bool().Draw(t, "reads"),
 				Running:  rapid.IntRange(0, 10).Draw(t, "running"),
 				Slots:    rapid.IntRange(0, 8).Draw(t, "slots"),
 				Changing: rapid.IntRange(0, 9).Draw(t, "changing") == 0,
 			})
 		}
 		load.Requests = rapid.Float64Range(0, 1000).Draw(t, "requests")
-		load.Late = rapid.Float64Range(0, 1).Draw(t, "late")
-		load.Starting = rapid.Float64Range(0, 1).Draw(t, "starting")
-		load.Settled = rapid.Bool().Draw(t, "settled")
+		load.LateShare = rapid.Float64Range(0, 1).Draw(t, "late")
+		load.DecodeStartShare = rapid.Float64Range(0, 1).Draw(t, "starting")
+		load.ReversalAllowed = rapid.Bool().Draw(t, "settled")
 		changes := Balance(load)
 		changed := map[string]bool{}
 		for _, change := range changes {
@@ -99,10 +99,10 @@
 		must.LessEq(t, max(len(load.Replicas)/4, 1), load.Changing()+len(changes))
 		remaining := map[string]int{}
 		for _, replica := range load.Replicas {
-			zoneAndRole := fmt.Sprint(replica.Zone, replica.Reads)
+			zoneAndRole := fmt.Sprint(replica.Zone, replica.Prefill)
 			if changed[replica.Name] {
 				must.False(t, replica.Changing)
-				must.NotEq(t, changes[0].Reads, replica.Reads)
+				must.NotEq(t, changes[0].ToPrefill, replica.Prefill)
 				remaining[zoneAndRole] += 0
 			} else if !replica.Changing {
 				remaining[zoneAndRole]++
--- a/version/planner/capacity.go
+++ b/version/planner/capacity.go
@@ -144,9 +144,9 @@
 	return next
 }
 
-// IsShort reports whether fewer than shortageShare of the found replicas are ready in all
+// HasShortage reports whether fewer than shortageShare of the found replicas are ready in all
 // zones together, so that lasting ones have to replace the missing withdrawable ones.
-func IsShort(zones []ZoneCapacity) bool {
+func HasShortage(zones []ZoneCapacity) bool {
 	found, ready := 0, 0
 	for i := range zones {
 		found += zones[i].Wanted.Found
@@ -155,10 +155,10 @@
 	return float64(ready) < shortageShare*float64(found)
 }
 
-// StandIn adds lasting replicas to the plans in place of the missing withdrawable ones and
+// ReplaceMissing adds lasting replicas to the plans in place of the missing withdrawable ones and
 // returns them. It modifies plans, which must be in the order of the zones. At least one
 // replica must have been found.
-func StandIn(scaling *api.ScalingSheet, zones []ZoneCapacity, plans []api.CapacitySpec) []api.CapacitySpec {
+func ReplaceMissing(scaling *api.ScalingSheet, zones []ZoneCapacity, plans []api.CapacitySpec) []api.CapacitySpec {
 	found, ready := 0, 0
 	for i := range zones {
 		found += zones[i].Wanted.Found
--- a/version/planner/capacity_test.go
+++ b/version/planner/capacity_test.go
@@ -77,17 +77,17 @@
 
 // The loss of the withdrawable replicas of two zones at once leaves too few: lasting
 // replicas replace them until they return.
-func TestStandInReplacesWithdrawnReplicas(t *testing.T) {
+func TestReplaceMissingReplacesWithdrawnReplicas(t *testing.T) {
 	scaling := testScaling(94, 0.18)
 	zones := testZones(47, [2]int{5, 63}, [2]int{5, 0}, [2]int{5, 0})
-	must.True(t, IsShort(zones))
+	must.True(t, HasShortage(zones))
 	lasting := 0
-	for _, plan := range StandIn(scaling, zones, PlanCapacity(scaling, zones)) {
+	for _, plan := range ReplaceMissing(scaling, zones, PlanCapacity(scaling, zones)) {
 		lasting += plan.Lasting
 		must.LessEq(t, 94, plan.Lasting+plan.Withdrawable)
 	}
 	must.GreaterEq(t, 141-63, lasting)
-	must.False(t, IsShort(testZones(47, [2]int{5, 63}, [2]int{5, 0}, [2]int{5, 63})))
+	must.False(t, HasShortage(testZones(47, [2]int{5, 63}, [2]int{5, 0}, [2]int{5, 63})))
 }
 
 // Whatever is ready, a plan respects the bounds, leaves each zone a lasting replica, and
@@ -121,7 +121,7 @@
 			kept = kept && plan.Lasting >= zones[i].Wanted.Lasting
 		}
 		must.True(t, kept || lasting+ready-largest >= min(found, before), must.Sprint(plans))
-		for _, plan := range StandIn(scaling, zones, plans) {
+		for _, plan := range ReplaceMissing(scaling, zones, plans) {
 			must.LessEq(t, max(maxReplicas, plan.Found), plan.Lasting+plan.Withdrawable)
 		}
 	})
--- a/version/planner/split.go
+++ b/version/planner/split.go
@@ -47,8 +47,8 @@
 	return s
 }
 
-// Moves returns the number of role changes that lead from s to a split of the same total.
-func (s Split) Moves(to Split) int {
+// MovesTo returns the number of role changes that lead from s to a split of the same total.
+func (s Split) MovesTo(to Split) int {
 	moves := 0
 	for _, role := range splitRoles {
 		moves += max(to.Count(role)-s.Count(role), 0)
--- a/version/state/machine_test.go
+++ b/version/state/machine_test.go
@@ -105,7 +105,7 @@
 	must.NoError(t, err)
 	must.Eq(t, snapshot, reencoded)
 	must.Eq(t, c.machine.View(), restored.View())
-	must.Eq(t, "i1", restored.WantedIntent("e1").Name)
+	must.Eq(t, "i1", restored.SelectingIntent("e1").Name)
 }
 
 func TestDeltaFollowsMachine(t *testing.T) {
--- a/version/state/orders.go
+++ b/version/state/orders.go
@@ -57,7 +57,7 @@
 	if engine.Status.Phase == api.PhaseGone {
 		return false
 	}
-	intent := m.WantedIntent(engine.Name)
+	intent := m.SelectingIntent(engine.Name)
 	return intent != nil && Satisfies(intent.Spec, assignment)
 }
 
@@ -85,7 +85,7 @@
 	default:
 		return true
 	}
-	intent := m.WantedIntent(engine.Name)
+	intent := m.SelectingIntent(engine.Name)
 	if intent == nil {
 		return true
 	}
--- a/version/state/plan.go
+++ b/version/state/plan.go
@@ -283,7 +283,7 @@
 // had no desired state and no assignment. For an engine that no intent selected, the
 // assignment last ordered or else reported is used as the desired state.
 func (p *plan) compareDesired(name string, after *api.IntentSpec) (same, unassigned bool) {
-	if before := p.machine.WantedIntent(name); before != nil {
+	if before := p.machine.SelectingIntent(name); before != nil {
 		return sameDesired(&before.Spec, after), false
 	}
 	engine := p.machine.engines.items[name]
--- a/version/state/read.go
+++ b/version/state/read.go
@@ -135,10 +135,10 @@
 // IsRemovedMember reports whether a member with the ID has been removed.
 func (m *Machine) IsRemovedMember(id uint64) bool { return m.members[id].Removed }
 
-// WantedIntent returns the intent that selects an engine, or nil if none does. If
+// SelectingIntent returns the intent that selects an engine, or nil if none does. If
 // several intents select the engine, their desired states are equal and it returns
 // the first by name.
-func (m *Machine) WantedIntent(engine string) *api.Intent {
+func (m *Machine) SelectingIntent(engine string) *api.Intent {
 	names := m.selection.intents[engine]
 	if len(names) == 0 {
 		return nil
@@ -146,9 +146,9 @@
 	return m.intents.items[names[0]]
 }
 
-// WantedIntent is like Machine.WantedIntent for an engine of a view. It evaluates
+// SelectingIntent is like Machine.SelectingIntent for an engine of a view. It evaluates
 // the selector of every intent.
-func WantedIntent(v *view.View, engine *api.Engine) *api.Intent {
+func SelectingIntent(v *view.View, engine *api.Engine) *api.Intent {
 	names := selectingIntents(v.Intents, engine)
 	if len(names) == 0 {
 		return nil
--- a/version/state/stateful_test.go
+++ b/version/state/stateful_test.go
@@ -106,8 +106,8 @@
 		if intents := intentsOf(c.oracle.objects, e); len(intents) > 0 {
 			want = intents[0]
 		}
-		must.Eq(t, want, c.machine.WantedIntent(e.Name))
-		must.Eq(t, want, WantedIntent(v, e))
+		must.Eq(t, want, c.machine.SelectingIntent(e.Name))
+		must.Eq(t, want, SelectingIntent(v, e))
 	}
 	for _, claim := range c.oracle.claims {
 		got, ok := c.machine.Claim(claim.claim.Tenant, claim.claim.Key)
@@ -285,7 +285,7 @@
 	if e := c.oracle.engine(open.Engine); e != nil && rapid.IntRange(0, 4).Draw(t, "committed") > 0 {
 		open.Incarnation = e.Status.Incarnation
 	}
-	if intent := c.machine.WantedIntent(open.Engine); intent != nil && rapid.Bool().Draw(t, "as wanted") {
+	if intent := c.machine.SelectingIntent(open.Engine); intent != nil && rapid.Bool().Draw(t, "as wanted") {
 		open.Assignment = api.Assignment{Model: intent.Spec.Model, Version: "v1", Role: api.RoleMixed}
 	}
 	c.apply(t, Command{Kind: CommandOpenOrder, OpenOrder: &open})
--- a/version/state/usage.go
+++ b/version/state/usage.go
@@ -19,10 +19,10 @@
 
 // UsageCount is the value of one counter of one run of a process.
 type UsageCount struct {
-	Life   string // identifies the run; a restarted process has another
-	Window int64  // number of the window, see api.UsageWindow
-	Tenant string
-	Count  uint64
+	ProcessRun string // identifies the run; a restarted process has another
+	Window     int64  // number of the window, see api.UsageWindow
+	Tenant     string
+	Count      uint64
 }
 
 // CountUsage merges counters into the usage of undecided windows.
@@ -64,10 +64,10 @@
 			counts = usageCounts{}
 			m.usage.undecided[counter.Window] = counts
 		}
-		if counts[counter.Life] == nil {
-			counts[counter.Life] = map[string]uint64{}
+		if counts[counter.ProcessRun] == nil {
+			counts[counter.ProcessRun] = map[string]uint64{}
 		}
-		counts[counter.Life][counter.Tenant] = max(counts[counter.Life][counter.Tenant], counter.Count)
+		counts[counter.ProcessRun][counter.Tenant] = max(counts[counter.ProcessRun][counter.Tenant], counter.Count)
 	}
 }
 
@@ -123,8 +123,8 @@
 	m.usage.decided[command.Window] = &next
 }
 
-// UsageDecided returns the highest window that was decided, or 0 if there is none.
-func (m *Machine) UsageDecided() int64 { return m.usage.lastDecided }
+// LastDecidedWindow returns the highest window that was decided, or 0 if there is none.
+func (m *Machine) LastDecidedWindow() int64 { return m.usage.lastDecided }
 
 // Usage returns the decided windows, oldest first, and then the undecided ones, oldest
 // first.
@@ -139,8 +139,8 @@
 	return windows
 }
 
-// OutstandingUsage returns the decided windows that have not been reported, oldest first.
-func (m *Machine) OutstandingUsage() []api.UsageWindow {
+// UnreportedUsage returns the decided windows that have not been reported, oldest first.
+func (m *Machine) UnreportedUsage() []api.UsageWindow {
 	var windows []api.UsageWindow
 	for _, window := range slices.Sorted(maps.Keys(m.usage.decided)) {
 		if decided := m.usage.decided[window]; !decided.Reported {
@@ -171,7 +171,7 @@
 		for _, run := range slices.Sorted(maps.Keys(s.undecided[window])) {
 			tenants := s.undecided[window][run]
 			for _, tenant := range slices.Sorted(maps.Keys(tenants)) {
-				all = append(all, UsageCount{Life: run, Window: window, Tenant: tenant, Count: tenants[tenant]})
+				all = append(all, UsageCount{ProcessRun: run, Window: window, Tenant: tenant, Count: tenants[tenant]})
 			}
 		}
 	}
@@ -234,13 +234,13 @@
 func appendUsageCounts(b []byte, counts []UsageCount) []byte {
 	names := nameTable{indexes: map[string]uint64{}}
 	for _, counter := range counts {
-		names.add(counter.Life)
+		names.add(counter.ProcessRun)
 		names.add(counter.Tenant)
 	}
 	b = binenc.AppendStrings(b, names.names)
 	b = binenc.AppendUint(b, uint64(len(counts)))
 	for _, counted := range counts {
-		b = binenc.AppendUint(b, names.indexes[counted.Life])
+		b = binenc.AppendUint(b, names.indexes[counted.ProcessRun])
 		b = binenc.AppendUint(b, names.indexes[counted.Tenant])
 		b = binenc.AppendInt(b, counted.Window)
 		b = binenc.AppendUint(b, counted.Count)
@@ -259,7 +259,7 @@
 			r.Fail(binenc.ErrMalformed)
 			return nil
 		}
-		counts = append(counts, UsageCount{Life: names[run], Tenant: names[tenant], Window: r.Int(), Count: r.Uint()})
+		counts = append(counts, UsageCount{ProcessRun: names[run], Tenant: names[tenant], Window: r.Int(), Count: r.Uint()})
 	}
 	return counts
 }
--- a/version/state/usage_test.go
+++ b/version/state/usage_test.go
@@ -29,7 +29,7 @@
 				highest := uint64(rapid.IntRange(1, 5).Draw(t, "count"))
 				want[name] += highest
 				for count := uint64(1); count <= highest; count++ {
-					counters = append(counters, UsageCount{Life: fmt.Sprint("p-", run), Window: 7, Tenant: name, Count: count})
+					counters = append(counters, UsageCount{ProcessRun: fmt.Sprint("p-", run), Window: 7, Tenant: name, Count: count})
 				}
 			}
 		}
@@ -66,13 +66,13 @@
 	must.MapLen(t, 1, m.usage.undecided, must.Sprint("counters of decided or skipped windows are dropped"))
 	m = restoredCopy(t, m)
 	must.Eq(t, first, m.Apply(2, 4, decideCommand(7)).(api.UsageWindow))
-	must.Eq(t, []api.UsageWindow{first}, m.OutstandingUsage())
+	must.Eq(t, []api.UsageWindow{first}, m.UnreportedUsage())
 	must.False(t, m.Apply(2, 5, decideCommand(6)).(api.UsageWindow).Decided, must.Sprint("a skipped window"))
 	m.Apply(2, 6, Command{Kind: CommandUsageReported, UsageReported: &UsageReported{Window: 7}})
 	m = restoredCopy(t, m)
-	must.SliceEmpty(t, m.OutstandingUsage())
+	must.SliceEmpty(t, m.UnreportedUsage())
 	must.Eq(t, 1, m.Apply(2, 7, decideCommand(8)).(api.UsageWindow).Counts["a"])
-	must.Eq(t, 8, m.UsageDecided())
+	must.Eq(t, 8, m.LastDecidedWindow())
 }
 
 func TestUsageIsBounded(t *testing.T) {
--- a/version/view/relay.go
+++ b/version/view/relay.go
@@ -19,7 +19,7 @@
 // behind the relay uses an older view under a lease granted through the relay. There
 // are two cases. If the relay acknowledged the version, its own Tracker had reported it
 // as in force and grants no more leases on older views. If the relay's lease has lapsed
-// upstream, the leases that it granted have lapsed too, because Limit bounds each of
+// upstream, the leases that it granted have lapsed too, because MaxLease bounds each of
 // them to the relay's own lease. A restarted relay is another daemon upstream, where
 // the lease of the previous one has to lapse first.
 type Relay struct {
@@ -72,11 +72,11 @@
 // Term returns the highest term known.
 func (r *Relay) Term() uint64 { return r.holder.Term() }
 
-// Limit returns the longest duration of a lease that may be granted to a daemon now,
+// MaxLease returns the longest duration of a lease that may be granted to a daemon now,
 // counted from the time at which the daemon sent its heartbeat; zero if no lease may be
 // granted. It is shorter than the relay's own lease, since the daemon's clock may be
 // slower than the relay's.
-func (r *Relay) Limit(now time.Duration) time.Duration {
+func (r *Relay) MaxLease(now time.Duration) time.Duration {
 	remaining := r.holder.Remaining(now)
 	return remaining - remaining/clockDriftDivisor
 }
--- a/version/view/relay_test.go
+++ b/version/view/relay_test.go
@@ -127,7 +127,7 @@
 	sentAt, held := d.localTime(s.now), d.holder.Load().Version
 	s.send(func() {
 		now := r.localTime(s.now)
-		lease := min(relayLease, r.Limit(now))
+		lease := min(relayLease, r.MaxLease(now))
 		granted := lease > 0 && r.Tracker().Observe(d.name, held, now)
 		delta, found := r.History().DeltaSince(held)
 		if found {
@@ -242,12 +242,12 @@
 func TestRelay(t *testing.T) {
 	r := NewRelay(relayLease, 0)
 	must.Eq(t, Version{}, r.Acknowledge(0))
-	must.Eq(t, 0, r.Limit(0), must.Sprint("without a lease of its own it grants none"))
+	must.Eq(t, 0, r.MaxLease(0), must.Sprint("without a lease of its own it grants none"))
 	first, second := Version{1, 1}, Version{1, 2}
 	must.NoError(t, r.Apply(Delta{Full: true, To: first}))
 	must.Eq(t, first, r.Acknowledge(0), must.Sprint("no daemon uses an older view"))
 	must.True(t, r.Confirm(0, testLease, 1))
-	must.Eq(t, 99*time.Millisecond, r.Limit(0))
+	must.Eq(t, 99*time.Millisecond, r.MaxLease(0))
 	must.True(t, r.Tracker().Observe("a", first, 0))
 	must.NoError(t, r.Apply(Delta{From: first, To: second, Objects: []api.Object{{Engine: testEngine("e0", 1)}}}))
 	must.Eq(t, first, r.Acknowledge(10*time.Millisecond), must.Sprint("daemon a uses it under a lease"))
--- a/version/view/tracker.go
+++ b/version/view/tracker.go
@@ -89,11 +89,11 @@
 	}
 }
 
-// Require makes Observe refuse leases to daemons that hold a view older than the
+// RequireVersion makes Observe refuse leases to daemons that hold a view older than the
 // version. A new leader calls it with its own version once it has applied an entry of
 // its term, because the earlier leader may have reported any version up to that one as
 // in force.
-func (t *Tracker) Require(version Version) {
+func (t *Tracker) RequireVersion(version Version) {
 	for {
 		current := t.minRevision.Load()
 		if version.Revision <= current || t.minRevision.CompareAndSwap(current, version.Revision) {
@@ -132,9 +132,9 @@
 	if waitingFor = t.pendingDaemons(version, now); len(waitingFor) > 0 {
 		return false, waitingFor
 	}
-	// A heartbeat between the scan and Require may have been granted a lease, so the
+	// A heartbeat between the scan and RequireVersion may have been granted a lease, so the
 	// second scan determines the result. Later heartbeats with an older view get no lease.
-	t.Require(version)
+	t.RequireVersion(version)
 	waitingFor = t.pendingDaemons(version, now)
 	return len(waitingFor) == 0, waitingFor
 }
--- a/version/view/tracker_test.go
+++ b/version/view/tracker_test.go
@@ -106,7 +106,7 @@
 				latest.Term++
 				tracker = NewTracker(testLease)
 				tracker.Reset(now)
-				tracker.Require(latest)
+				tracker.RequireVersion(latest)
 			},
 			"ask": func(t *rapid.T) {
 				version := Version{latest.Term, rapid.Uint64Range(1, latest.Revision).Draw(t, "asked")}
