--- a/process/control/scaling.go
+++ b/process/control/scaling.go
@@ -134,8 +134,8 @@
 		return
 	}
 	plans := planner.PlanCapacity(service.Scaling, zones)
-	if planner.IsShort(zones) {
-		plans = planner.StandIn(service.Scaling, zones, plans)
+	if planner.HasShortage(zones) {
+		plans = planner.ReplaceMissing(service.Scaling, zones, plans)
 	}
 	for i := range zones {
 		name := api.CapacityName(service.Name, zones[i].Zone)
--- a/process/control/usage.go
+++ b/process/control/usage.go
@@ -103,12 +103,12 @@
 			delete(u.pending, key)
 			continue
 		}
-		counts = append(counts, state.UsageCount{Life: key.process, Window: key.window, Tenant: key.tenant, Count: count})
+		counts = append(counts, state.UsageCount{ProcessRun: key.process, Window: key.window, Tenant: key.tenant, Count: count})
 	}
 	slices.SortFunc(counts, compareUsage)
 	counts = counts[:min(len(counts), maxUsageCommit)]
 	for _, counted := range counts {
-		delete(u.pending, usageKey{process: counted.Life, window: counted.Window, tenant: counted.Tenant})
+		delete(u.pending, usageKey{process: counted.ProcessRun, window: counted.Window, tenant: counted.Tenant})
 	}
 	return counts
 }
@@ -117,8 +117,8 @@
 	switch {
 	case a.Window != b.Window:
 		return int(a.Window - b.Window)
-	case a.Life != b.Life:
-		return compareText(a.Life, b.Life)
+	case a.ProcessRun != b.ProcessRun:
+		return compareText(a.ProcessRun, b.ProcessRun)
 	}
 	return compareText(a.Tenant, b.Tenant)
 }
@@ -136,7 +136,7 @@
 	u.lock.Lock()
 	defer u.lock.Unlock()
 	for _, counted := range counts {
-		key := usageKey{process: counted.Life, window: counted.Window, tenant: counted.Tenant}
+		key := usageKey{process: counted.ProcessRun, window: counted.Window, tenant: counted.Tenant}
 		u.pending[key] = max(u.pending[key], counted.Count)
 	}
 }
@@ -233,7 +233,7 @@
 }
 
 func (d *leaderTasks) usageDecided() (decided int64) {
-	d.group.machine.read(func(machine *state.Machine) { decided = machine.UsageDecided() })
+	d.group.machine.read(func(machine *state.Machine) { decided = machine.LastDecidedWindow() })
 	return decided
 }
 
@@ -298,7 +298,7 @@
 		return
 	}
 	var outstanding []api.UsageWindow
-	d.group.machine.read(func(machine *state.Machine) { outstanding = machine.OutstandingUsage() })
+	d.group.machine.read(func(machine *state.Machine) { outstanding = machine.UnreportedUsage() })
 	if len(outstanding) == 0 {
 		term.usage.busy.Store(false)
 		return
--- a/process/control/usage_test.go
+++ b/process/control/usage_test.go
@@ -146,7 +146,7 @@
 	before := len(sink.reports)
 	sink.lock.Unlock()
 	decided := func() (last int64) {
-		g.running[g.leader()].member.machine.read(func(m *state.Machine) { last = m.UsageDecided() })
+		g.running[g.leader()].member.machine.read(func(m *state.Machine) { last = m.LastDecidedWindow() })
 		return last
 	}
 	eventually(t, "more windows are decided", func() bool { return decided() > window+4 })
--- a/version/state/bench_test.go
+++ b/version/state/bench_test.go
@@ -19,8 +19,8 @@
 	return api.Labels{"pool": fmt.Sprintf("p%02d", i%benchIntents), "zone": "hall-leuven"}
 }
 
-// fill returns a machine with engines and intents, and the last index.
-func fill(tb testing.TB) (*Machine, uint64) {
+// newFilledMachine returns a machine with engines and intents, and the last applied index.
+func newFilledMachine(tb testing.TB) (*Machine, uint64) {
 	tb.Helper()
 	m := New()
 	var writes []api.Write
@@ -57,7 +57,8 @@
 	}}
 }
 
-// BenchmarkApplyClaim keeps benchClaims claims: each command adds one and expires one.
+// BenchmarkApplyClaim measures claims on a machine that holds benchClaims claims: each
+// command adds one and expires one.
 func BenchmarkApplyClaim(b *testing.B) {
 	m := New()
 	for i := uint64(1); i <= benchClaims; i++ {
@@ -71,7 +72,7 @@
 }
 
 func BenchmarkApplyReportAndView(b *testing.B) {
-	m, index := fill(b)
+	m, index := newFilledMachine(b)
 	for i := 0; b.Loop(); i++ {
 		index++
 		m.Apply(1, index, Command{Kind: CommandReportEngine, EngineReport: benchReport(i, index)})
@@ -80,7 +81,7 @@
 }
 
 func BenchmarkTransactionEngineLabel(b *testing.B) {
-	m, index := fill(b)
+	m, index := newFilledMachine(b)
 	for i := 0; b.Loop(); i++ {
 		index++
 		name := fmt.Sprintf("narrator-%05d", i%benchEngines)
@@ -91,7 +92,7 @@
 }
 
 func BenchmarkTransactionIntent(b *testing.B) {
-	m, index := fill(b)
+	m, index := newFilledMachine(b)
 	for i := 0; b.Loop(); i++ {
 		index++
 		intent := testIntent("intent-00", fmt.Sprintf("model-%d", i), api.Labels{"pool": "p00"})
@@ -110,14 +111,14 @@
 }
 
 func BenchmarkFreeze(b *testing.B) {
-	m := fillAll(b)
+	m := newMachineWithClaims(b)
 	for b.Loop() {
 		m.Freeze()
 	}
 }
 
 func BenchmarkSnapshotEncode(b *testing.B) {
-	frozen := fillAll(b).Freeze()
+	frozen := newMachineWithClaims(b).Freeze()
 	size := 0
 	for b.Loop() {
 		size = len(frozen.Encode())
@@ -126,14 +127,14 @@
 }
 
 func BenchmarkRestore(b *testing.B) {
-	snapshot := fillAll(b).Freeze().Encode()
+	snapshot := newMachineWithClaims(b).Freeze().Encode()
 	for b.Loop() {
 		must.NoError(b, New().Restore(snapshot))
 	}
 }
 
-func fillAll(tb testing.TB) *Machine {
-	m, index := fill(tb)
+func newMachineWithClaims(tb testing.TB) *Machine {
+	m, index := newFilledMachine(tb)
 	for i := uint64(1); i <= benchClaims; i++ {
 		command := claimCommand(i)
 		command.Claim.Retention = 0
@@ -142,9 +143,10 @@
 	return m
 }
 
-// BenchmarkStatusDelta reports the bytes of a delta with one engine's status.
+// BenchmarkStatusDelta measures and reports the encoded size of a delta that contains the
+// status of one engine.
 func BenchmarkStatusDelta(b *testing.B) {
-	m, index := fill(b)
+	m, index := newFilledMachine(b)
 	from := m.Version()
 	m.Apply(1, index+1, Command{Kind: CommandReportEngine, EngineReport: benchReport(3, index+1)})
 	history := m.History()
--- a/version/state/claims.go
+++ b/version/state/claims.go
@@ -6,53 +6,53 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// claimKey names a claim: keys of different tenants do not meet.
+// claimKey identifies a claim. Keys are scoped to a tenant.
 type claimKey struct {
 	tenant string
 	key    string
 }
 
-// claimRecord is a claim with the claimant's nonce. It is immutable.
+// claimRecord is a claim with the nonce of the claimant's request. It is immutable.
 type claimRecord struct {
 	api.Claim
 	nonce uint64
 }
 
-// claim grants the run of a request to at most one claimant at a time.
+// claim grants the right to run the request of a key to at most one claimant at a time.
 //
 // Invariant: between the grant of a key and its expiry, another claimant is
-// granted the key only after the first one recorded that its request was surely
-// not run. A claimant must not dispatch after it has recorded that, and must
-// draw a new nonce to claim again: the same nonce is then answered with the
-// recorded outcome, so a delayed duplicate of its claim takes nothing.
+// granted the key only after the first one recorded that its request was
+// definitely not run. A claimant must not dispatch the request after recording
+// that, and must use a new nonce to claim again: a claim with the same nonce gets
+// the recorded outcome, so a delayed duplicate is not granted.
 //
 // The same claim (nonce, proxy, attempt) is granted again while no outcome is
-// recorded, because the first grant may have been lost on its way. That is safe
-// since the claimant is one request of one process, which alone knows whether
-// it has dispatched; a restarted process draws another nonce.
+// recorded, because the first response may have been lost. This is safe: a
+// claimant is one request of one process, only that process knows whether it has
+// dispatched the request, and a restarted process uses another nonce.
 func (m *Machine) claim(request *ClaimRequest) api.ClaimResult {
 	key := claimKey{tenant: request.Tenant, key: request.Key}
 	e := m.claims.get(key, m.clock)
 	if e == nil {
-		return m.grant(key, request)
+		return m.grantClaim(key, request)
 	}
-	held := e.value
+	stored := e.value
 	switch {
-	case held.Outcome == api.RunNotRun && held.nonce != request.Nonce:
-		return m.grant(key, request)
-	case held.Outcome == api.RunNotRun:
-		return api.ClaimResult{Code: api.ClaimDone, Claim: held.Claim}
-	case held.BodyHash != request.BodyHash:
-		return refuseClaim(held)
-	case held.Outcome != api.RunUnknown:
-		return api.ClaimResult{Code: api.ClaimDone, Claim: held.Claim}
-	case held.nonce == request.Nonce && held.Proxy == request.Proxy && held.Attempt == request.Attempt:
-		return api.ClaimResult{Code: api.ClaimGranted, Claim: held.Claim}
+	case stored.Outcome == api.RunNotRun && stored.nonce != request.Nonce:
+		return m.grantClaim(key, request)
+	case stored.Outcome == api.RunNotRun:
+		return api.ClaimResult{Code: api.ClaimDone, Claim: stored.Claim}
+	case stored.BodyHash != request.BodyHash:
+		return conflictResult(stored)
+	case stored.Outcome != api.RunUnknown:
+		return api.ClaimResult{Code: api.ClaimDone, Claim: stored.Claim}
+	case stored.nonce == request.Nonce && stored.Proxy == request.Proxy && stored.Attempt == request.Attempt:
+		return api.ClaimResult{Code: api.ClaimGranted, Claim: stored.Claim}
 	}
-	return api.ClaimResult{Code: api.ClaimRunning, Claim: held.Claim}
+	return api.ClaimResult{Code: api.ClaimRunning, Claim: stored.Claim}
 }
 
-func (m *Machine) grant(key claimKey, request *ClaimRequest) api.ClaimResult {
+func (m *Machine) grantClaim(key claimKey, request *ClaimRequest) api.ClaimResult {
 	record := &claimRecord{
 		Claim: api.Claim{
 			Tenant:    request.Tenant,
@@ -68,47 +68,49 @@
 	}
 	m.claims.add(key, &entry[*claimRecord]{
 		revision: m.index,
-		expires:  expiry(m.clock, request.Retention),
+		expires:  expiryTime(m.clock, request.Retention),
 		value:    record,
 	})
 	return api.ClaimResult{Code: api.ClaimGranted, Claim: record.Claim}
 }
 
-// giveUpClaim remembers that the claim with the nonce must not be granted.
-func (m *Machine) giveUpClaim(key claimKey, nonce uint64) {
+// recordAbandonedClaim records that a claim with the nonce must not be granted, because
+// the claimant recorded RunNotRun before the claim arrived.
+func (m *Machine) recordAbandonedClaim(key claimKey, nonce uint64) {
 	record := &claimRecord{
 		Claim: api.Claim{Tenant: key.tenant, Key: key.key, Outcome: api.RunNotRun, GrantedAt: m.clock, Revision: m.index},
 		nonce: nonce,
 	}
 	m.claims.add(key, &entry[*claimRecord]{
 		revision: m.index,
-		expires:  expiry(m.clock, lateClaimRetention),
+		expires:  expiryTime(m.clock, abandonedClaimRetention),
 		value:    record,
 	})
 }
 
-// refuseClaim answers a claim with another body. The recorded answer belongs to
-// the other request and is left out.
-func refuseClaim(held *claimRecord) api.ClaimResult {
-	claim := held.Claim
+// conflictResult returns the result for a claim whose body differs from that of the
+// stored claim. The stored answer belongs to the other request and is left out.
+func conflictResult(stored *claimRecord) api.ClaimResult {
+	claim := stored.Claim
 	claim.Answer = nil
 	return api.ClaimResult{Code: api.ClaimConflict, Claim: claim}
 }
 
-// lateClaimRetention is how long, in milliseconds, a claim that was given up
-// before it arrived is remembered.
-const lateClaimRetention = int64(time.Hour / time.Millisecond)
+// abandonedClaimRetention is the retention, in milliseconds, of a record of
+// recordAbandonedClaim.
+const abandonedClaimRetention = int64(time.Hour / time.Millisecond)
 
-// recordOutcome records what became of a granted run. Only the claimant may,
-// and only once: a recorded outcome is final. A claimant that never learned
-// whether it was granted may record that it will not run; if its claim is not
-// there yet, the record keeps the claim from being granted when it arrives late,
-// which would block the key until its retention ends.
+// recordOutcome records the outcome of a granted run. Only the claimant can record
+// it, and a recorded outcome is final. A claimant that does not know whether its
+// claim was granted may record RunNotRun. If its claim has not arrived yet, the
+// record prevents the claim from being granted when it arrives late, which would
+// block the key until the retention ends. Other outcomes that cannot be recorded are
+// ignored, and the claimant is not told.
 func (m *Machine) recordOutcome(outcome *RunOutcome) {
 	key := claimKey{tenant: outcome.Tenant, key: outcome.Key}
 	e := m.claims.get(key, m.clock)
 	if outcome.Outcome == api.RunNotRun && (e == nil || e.value.Outcome == api.RunNotRun) {
-		m.giveUpClaim(key, outcome.Nonce)
+		m.recordAbandonedClaim(key, outcome.Nonce)
 		return
 	}
 	if e == nil || e.value.nonce != outcome.Nonce || e.value.Outcome != api.RunUnknown {
--- a/version/state/plan.go
+++ b/version/state/plan.go
@@ -10,34 +10,35 @@
 	"github.com/landingtrail/landingtrail/version/selector"
 )
 
-// maxListedConflicts bounds the conflicts in one answer.
+// maxListedConflicts is the maximum number of intent conflicts in one result.
 const maxListedConflicts = 100
 
-// plan is a transaction that was checked against the machine and not yet
-// carried out. Making a plan changes nothing.
+// plan is a transaction that was checked against the machine but not yet applied. It is
+// unrelated to the plans of package planner. Creating a plan does not change the machine.
 type plan struct {
-	machine     *Machine
-	transaction *api.Transaction
-	keys        []api.Key // of the writes, in order
-	intents     map[string]*api.Intent
-	engines     map[string]*api.Engine // nil for deleted ones, as in intents
-	selected    map[string][]string    // intents of the engines whose selection or wants change
-	result      api.TransactionResult
+	machine         *Machine
+	transaction     *api.Transaction
+	keys            []api.Key // of the writes, in order
+	intents         map[string]*api.Intent
+	engines         map[string]*api.Engine // written engines; nil if deleted, as in intents
+	intentsByEngine map[string][]string    // names of the selecting intents, by engine, after the writes
+	result          api.TransactionResult
 }
 
-// newPlan checks a transaction completely; plan.result is the answer to it.
+// newPlan checks a transaction. The result of the transaction is in plan.result.
 func (m *Machine) newPlan(transaction *api.Transaction, limits TransactionLimits) *plan {
 	p := &plan{
-		machine:     m,
-		transaction: transaction,
-		intents:     map[string]*api.Intent{},
-		engines:     map[string]*api.Engine{},
-		selected:    map[string][]string{},
+		machine:         m,
+		transaction:     transaction,
+		intents:         map[string]*api.Intent{},
+		engines:         map[string]*api.Engine{},
+		intentsByEngine: map[string][]string{},
 	}
 	p.result = p.check(limits)
 	return p
 }
 
+// check validates the transaction, stages its writes and returns the result.
 func (p *plan) check(limits TransactionLimits) api.TransactionResult {
 	if faults := p.fieldFaults(); len(faults) > 0 {
 		return api.TransactionResult{Code: api.OutcomeInvalid, Faults: faults}
@@ -45,15 +46,15 @@
 	if conflicts := p.revisionConflicts(); len(conflicts) > 0 {
 		return api.TransactionResult{Code: api.OutcomeRevisionConflict, Conflicts: conflicts}
 	}
-	if faults := p.orderFaults(); len(faults) > 0 {
+	if faults := p.openOrderFaults(); len(faults) > 0 {
 		return api.TransactionResult{Code: api.OutcomeInvalid, Faults: faults}
 	}
 	p.stage()
 	if conflicts := p.intentConflicts(); len(conflicts) > 0 {
 		return api.TransactionResult{Code: api.OutcomeIntentConflict, Conflicts: conflicts}
 	}
-	affected, moved := p.affectedEngines()
-	if limits.MaxAffectedEngines > 0 && moved > limits.MaxAffectedEngines && !p.transaction.AllowBroad {
+	affected, reassigned := p.affectedEngines()
+	if limits.MaxAffectedEngines > 0 && reassigned > limits.MaxAffectedEngines && !p.transaction.AllowBroad {
 		return api.TransactionResult{Code: api.OutcomeTooBroad, AffectedEngines: affected}
 	}
 	accepted := api.TransactionResult{Code: api.OutcomeAccepted, AffectedEngines: affected}
@@ -63,30 +64,33 @@
 	return accepted
 }
 
-// fieldFaults returns all faults that can be seen in the transaction alone.
+// fieldFaults returns the validation errors that depend on the transaction alone.
 func (p *plan) fieldFaults() []api.FieldFault {
 	if len(p.transaction.Writes) == 0 {
 		return []api.FieldFault{{Field: "writes", Message: "must not be empty"}}
 	}
 	var faults []api.FieldFault
-	first := map[api.Key]int{}
+	firstWrite := map[api.Key]int{}
 	for i, write := range p.transaction.Writes {
 		prefix := fmt.Sprintf("writes[%d].", i)
 		for _, fault := range writeFaults(write) {
 			faults = append(faults, api.FieldFault{Field: prefix + fault.Field, Message: fault.Message})
 		}
 		key, ok := write.Object.Key()
-		if earlier, repeated := first[key]; ok && repeated {
+		if earlier, repeated := firstWrite[key]; ok && repeated {
 			message := fmt.Sprintf("%s is also written by writes[%d]", key, earlier)
 			faults = append(faults, api.FieldFault{Field: prefix + "object", Message: message})
 		} else if ok {
-			first[key] = i
+			firstWrite[key] = i
 		}
 		p.keys = append(p.keys, key)
 	}
 	return faults
 }
 
+// writeFaults returns the validation errors of one write. A delete needs no valid spec,
+// but a key and metadata.revision. A delete of an object that has no kind or a kind that
+// transactions must not write is validated as a whole, which rejects it.
 func writeFaults(write api.Write) []api.FieldFault {
 	key, ok := write.Object.Key()
 	if !write.Delete || !ok || !api.IsWritable(key.Kind) {
@@ -99,7 +103,8 @@
 	return faults
 }
 
-// revisionConflicts compares the revisions that the writer saw with what stands now.
+// revisionConflicts returns the objects whose stored revision differs from the one
+// that the writer saw.
 func (p *plan) revisionConflicts() []api.Conflict {
 	var conflicts []api.Conflict
 	for i, key := range p.keys {
@@ -120,11 +125,12 @@
 	return conflicts
 }
 
-// orderFaults refuses to delete engines with open orders: the order could still
-// be carried out while nothing would know of it. An engine that is gone from the
-// platform's list may be deleted, since the process that the order is bound to
-// has ended with its machine and nobody is left to give its word.
-func (p *plan) orderFaults() []api.FieldFault {
+// openOrderFaults rejects the deletion of engines with open orders: the engine could
+// still execute the order after its record was deleted. An engine whose machine the
+// platform lists as gone may be deleted. An order is executed only by the process that
+// it was opened for, which ended with the machine, so no report that closes the order
+// can arrive.
+func (p *plan) openOrderFaults() []api.FieldFault {
 	var faults []api.FieldFault
 	for i, write := range p.transaction.Writes {
 		if !write.Delete || write.Object.Engine == nil {
@@ -139,19 +145,21 @@
 	return faults
 }
 
-// stage works out which intents select which engines after the writes.
+// stage computes which intents would select which engines after the writes, in
+// p.intentsByEngine.
 func (p *plan) stage() {
 	for i, write := range p.transaction.Writes {
 		p.stageWrite(p.keys[i].Name, write)
 	}
 	for name, engine := range p.engines {
-		p.selected[name] = p.selectingIntents(engine)
+		p.intentsByEngine[name] = p.selectingIntentsAfter(engine)
 	}
 	for name, intent := range p.intents {
 		p.stageIntent(name, intent)
 	}
 }
 
+// stageWrite adds a write to the staged intents or engines.
 func (p *plan) stageWrite(name string, write api.Write) {
 	switch {
 	case write.Object.Intent != nil && write.Delete:
@@ -165,8 +173,9 @@
 	}
 }
 
-// selectingIntents evaluates all selectors for a written engine.
-func (p *plan) selectingIntents(engine *api.Engine) []string {
+// selectingIntentsAfter evaluates all selectors for a written engine and returns the names
+// of the intents that select it after the writes.
+func (p *plan) selectingIntentsAfter(engine *api.Engine) []string {
 	if engine == nil {
 		return nil
 	}
@@ -178,57 +187,62 @@
 	return names
 }
 
-// stageIntent evaluates the selector of one written intent for the engines that
-// are not written themselves.
+// stageIntent evaluates the selector of one written intent for the engines that the
+// transaction does not write.
 func (p *plan) stageIntent(intentName string, intent *api.Intent) {
 	before := p.machine.selection.engines[intentName]
 	if intent == nil {
 		for name := range before {
-			p.stageSelected(name, intentName, false)
+			p.stageSelection(name, intentName, false)
 		}
 		return
 	}
 	stored := p.machine.intents.items[intentName]
 	if stored != nil && reflect.DeepEqual(stored.Spec.Engines, intent.Spec.Engines) {
 		for name := range before {
-			p.stageSelected(name, intentName, true)
+			p.stageSelection(name, intentName, true)
 		}
 		return
 	}
 	for name, engine := range p.machine.engines.items {
 		selects := selector.Matches(intent.Spec.Engines, engine.Labels)
 		if _, selected := before[name]; selects || selected {
-			p.stageSelected(name, intentName, selects)
+			p.stageSelection(name, intentName, selects)
 		}
 	}
 }
 
-func (p *plan) stageSelected(engine, intent string, selects bool) {
+// stageSelection stages whether an intent selects an engine that the transaction does
+// not write. It ignores written engines, for which all selectors are evaluated.
+func (p *plan) stageSelection(engine, intent string, selects bool) {
 	if _, written := p.engines[engine]; written {
 		return
 	}
-	names, staged := p.selected[engine]
+	names, staged := p.intentsByEngine[engine]
 	if !staged {
 		names = p.machine.selection.intents[engine]
 	}
-	p.selected[engine] = withName(names, intent, selects)
+	p.intentsByEngine[engine] = withName(names, intent, selects)
 }
 
-// intent returns the spec of an intent after the writes.
-func (p *plan) intent(name string) *api.IntentSpec {
+// intentSpec returns the spec of an intent after the writes. The intent must exist after
+// the writes.
+func (p *plan) intentSpec(name string) *api.IntentSpec {
 	if intent, written := p.intents[name]; written {
 		return &intent.Spec
 	}
 	return &p.machine.intents.items[name].Spec
 }
 
-// intentConflicts finds engines that are selected by intents which want different things.
+// intentConflicts returns the engines that are selected by intents with different
+// desired states (model, version, adapters or roles), at most maxListedConflicts of
+// them.
 func (p *plan) intentConflicts() []api.Conflict {
 	var conflicts []api.Conflict
-	for _, engine := range slices.Sorted(maps.Keys(p.selected)) {
-		names := p.selected[engine]
+	for _, engine := range slices.Sorted(maps.Keys(p.intentsByEngine)) {
+		names := p.intentsByEngine[engine]
 		for i := 1; i < len(names); i++ {
-			if wantSame(p.intent(names[0]), p.intent(names[i])) {
+			if sameDesired(p.intentSpec(names[0]), p.intentSpec(names[i])) {
 				continue
 			}
 			conflicts = append(conflicts, api.Conflict{
@@ -244,32 +258,33 @@
 	return conflicts
 }
 
-// affectedEngines returns the engines of which something else is wanted after
-// the writes, and how many of them have or were told to have something already.
-func (p *plan) affectedEngines() (names []string, moved int) {
-	for _, name := range slices.Sorted(maps.Keys(p.selected)) {
-		after := p.selected[name]
+// affectedEngines returns the engines whose desired state changes with the writes,
+// and how many of them already had a desired state or an assignment.
+func (p *plan) affectedEngines() (names []string, reassigned int) {
+	for _, name := range slices.Sorted(maps.Keys(p.intentsByEngine)) {
+		after := p.intentsByEngine[name]
 		if len(after) == 0 {
-			continue // an engine that no intent selects keeps what it has
+			continue // an engine that no intent selects keeps its assignment
 		}
-		same, blank := p.compareWanted(name, p.intent(after[0]))
+		same, unassigned := p.compareDesired(name, p.intentSpec(after[0]))
 		if same {
 			continue
 		}
 		names = append(names, name)
-		if !blank {
-			moved++
+		if !unassigned {
+			reassigned++
 		}
 	}
-	return names, moved
+	return names, reassigned
 }
 
-// compareWanted reports whether the engine was already wanted to be what the
-// spec says, and whether nothing was wanted of it so far. An engine that no
-// intent selected counts with what it was last ordered or reported to be.
-func (p *plan) compareWanted(name string, after *api.IntentSpec) (same, blank bool) {
-	if before := p.machine.WantedIntent(name); before != nil {
-		return wantSame(&before.Spec, after), false
+// compareDesired compares the desired state of the engine before the writes with the
+// spec. same reports whether it already matched. unassigned reports whether the engine
+// had no desired state and no assignment. For an engine that no intent selected, the
+// assignment last ordered or else reported is used as the desired state.
+func (p *plan) compareDesired(name string, after *api.IntentSpec) (same, unassigned bool) {
+	if before := p.machine.SelectingIntent(name); before != nil {
+		return sameDesired(&before.Spec, after), false
 	}
 	engine := p.machine.engines.items[name]
 	if engine == nil {
--- a/version/state/usage.go
+++ b/version/state/usage.go
@@ -8,98 +8,102 @@
 	"github.com/landingtrail/landingtrail/version/binenc"
 )
 
-// Usage is counted by each process for itself: how many requests of a tenant began in a
-// window of time. Its counters only rise, so the highest one that was heard of each is right
-// in whatever order they come, and however often. A report is decided here before it is
-// sent, so that two different ones of a window cannot exist.
+// Each process counts the requests of each tenant that began in a time window. Counters only
+// increase, so taking the maximum of the received values of a counter is correct for any
+// order and number of deliveries. The state machine decides the counts of a window before
+// the window is reported to the platform, so that it never has two different reports.
 
-// keptUsageWindows is how many decided windows are kept for operators: an hour of windows
-// of five seconds.
-const keptUsageWindows = 720
+// maxDecidedWindows is the number of decided windows kept for operators: one hour of
+// windows of five seconds.
+const maxDecidedWindows = 720
 
-// UsageCount is one counter of one process.
+// UsageCount is the value of one counter of one run of a process.
 type UsageCount struct {
-	Life   string // of the process; one that starts again has another
-	Window int64
-	Tenant string
-	Count  uint64
+	ProcessRun string // identifies the run; a restarted process has another
+	Window     int64  // number of the window, see api.UsageWindow
+	Tenant     string
+	Count      uint64
 }
 
-// CountUsage takes in counters.
+// CountUsage merges counters into the usage of undecided windows.
 type CountUsage struct{ Counts []UsageCount }
 
-// DecideUsage closes a window: what was counted of it by then is final.
+// DecideUsage closes a window: its counts are final from then on.
 type DecideUsage struct {
 	Window  int64
-	Partial bool
+	Partial bool // counts of processes may be missing, see api.UsageWindow
 }
 
-// UsageReported notes that the platform has taken a window's report.
+// UsageReported records that the platform has accepted the report of a window.
 type UsageReported struct{ Window int64 }
 
-// usageCounts holds the counters of a window that is not decided, by life and tenant.
+// usageCounts holds the counters of an undecided window, by process run and tenant.
 type usageCounts map[string]map[string]uint64
 
-// usageLedger is what is known of usage.
-type usageLedger struct {
-	open    map[int64]usageCounts
-	decided map[int64]*api.UsageWindow // replaced, never written to
-	// last is the highest window that was decided.
-	last int64
+// usageState holds the usage of undecided and decided windows.
+type usageState struct {
+	undecided map[int64]usageCounts
+	decided   map[int64]*api.UsageWindow // values are replaced, never modified
+	// lastDecided is the highest window that was decided, or 0.
+	lastDecided int64
 }
 
-func newUsageLedger() usageLedger {
-	return usageLedger{open: map[int64]usageCounts{}, decided: map[int64]*api.UsageWindow{}}
+func newUsageState() usageState {
+	return usageState{undecided: map[int64]usageCounts{}, decided: map[int64]*api.UsageWindow{}}
 }
 
-// countUsage takes counters in. What comes of a window after its decision is too late.
-func (m *Machine) countUsage(given *CountUsage) {
-	for _, counted := range given.Counts {
-		if counted.Window <= m.usage.last {
+// countUsage merges counters. Counters that arrive after their window was decided are
+// dropped.
+func (m *Machine) countUsage(command *CountUsage) {
+	for _, counter := range command.Counts {
+		if counter.Window <= m.usage.lastDecided {
 			continue
 		}
-		counts := m.usage.open[counted.Window]
+		counts := m.usage.undecided[counter.Window]
 		if counts == nil {
 			counts = usageCounts{}
-			m.usage.open[counted.Window] = counts
+			m.usage.undecided[counter.Window] = counts
 		}
-		if counts[counted.Life] == nil {
-			counts[counted.Life] = map[string]uint64{}
+		if counts[counter.ProcessRun] == nil {
+			counts[counter.ProcessRun] = map[string]uint64{}
 		}
-		counts[counted.Life][counted.Tenant] = max(counts[counted.Life][counted.Tenant], counted.Count)
+		counts[counter.ProcessRun][counter.Tenant] = max(counts[counter.ProcessRun][counter.Tenant], counter.Count)
 	}
 }
 
-// decideUsage closes a window and returns what holds of it.
+// decideUsage closes a window and returns it. If the window was decided before, it
+// returns the stored window; if a later window was decided and this one is not stored,
+// it returns a window without counts whose Decided is false.
 //
-// Invariant: what a window's decision holds never changes, and windows are decided in their
-// order. It holds because a decided window and all before it are passed over.
-func (m *Machine) decideUsage(given *DecideUsage) api.UsageWindow {
-	if known := m.usage.decided[given.Window]; known != nil {
-		return *known
+// Invariant: a decided window never changes, except for Reported, and windows are decided
+// in increasing order. It holds because a window up to the last decided one is never
+// decided again.
+func (m *Machine) decideUsage(command *DecideUsage) api.UsageWindow {
+	if decided := m.usage.decided[command.Window]; decided != nil {
+		return *decided
 	}
-	if given.Window <= m.usage.last {
-		return api.UsageWindow{Window: given.Window} // it has lapsed
+	if command.Window <= m.usage.lastDecided {
+		return api.UsageWindow{Window: command.Window} // never decided, or no longer kept
 	}
-	made := &api.UsageWindow{
-		Window: given.Window, Counts: m.usage.open[given.Window].sum(), Decided: true, Partial: given.Partial,
+	decided := &api.UsageWindow{
+		Window: command.Window, Counts: m.usage.undecided[command.Window].totalByTenant(), Decided: true, Partial: command.Partial,
 	}
-	m.usage.last = given.Window
-	m.usage.decided[given.Window] = made
-	for window := range m.usage.open {
-		if window <= given.Window {
-			delete(m.usage.open, window)
+	m.usage.lastDecided = command.Window
+	m.usage.decided[command.Window] = decided
+	for window := range m.usage.undecided {
+		if window <= command.Window {
+			delete(m.usage.undecided, window)
 		}
 	}
 	for window := range m.usage.decided {
-		if window <= given.Window-keptUsageWindows {
+		if window <= command.Window-maxDecidedWindows {
 			delete(m.usage.decided, window)
 		}
 	}
-	return *made
+	return *decided
 }
 
-func (c usageCounts) sum() map[string]uint64 {
+func (c usageCounts) totalByTenant() map[string]uint64 {
 	total := map[string]uint64{}
 	for _, tenants := range c {
 		for tenant, count := range tenants {
@@ -109,93 +113,97 @@
 	return total
 }
 
-func (m *Machine) usageReported(given *UsageReported) {
-	known := m.usage.decided[given.Window]
-	if known == nil || known.Reported {
+func (m *Machine) markUsageReported(command *UsageReported) {
+	decided := m.usage.decided[command.Window]
+	if decided == nil || decided.Reported {
 		return
 	}
-	next := *known
+	next := *decided
 	next.Reported = true
-	m.usage.decided[given.Window] = &next
+	m.usage.decided[command.Window] = &next
 }
 
-// UsageDecided returns the highest window that was decided, 0 for none.
-func (m *Machine) UsageDecided() int64 { return m.usage.last }
+// LastDecidedWindow returns the highest window that was decided, or 0 if there is none.
+func (m *Machine) LastDecidedWindow() int64 { return m.usage.lastDecided }
 
-// Usage returns the windows that are known, the oldest first.
+// Usage returns the decided windows, oldest first, and then the undecided ones, oldest
+// first.
 func (m *Machine) Usage() []api.UsageWindow {
 	var windows []api.UsageWindow
 	for _, window := range slices.Sorted(maps.Keys(m.usage.decided)) {
 		windows = append(windows, *m.usage.decided[window])
 	}
-	for _, window := range slices.Sorted(maps.Keys(m.usage.open)) {
-		windows = append(windows, api.UsageWindow{Window: window, Counts: m.usage.open[window].sum()})
+	for _, window := range slices.Sorted(maps.Keys(m.usage.undecided)) {
+		windows = append(windows, api.UsageWindow{Window: window, Counts: m.usage.undecided[window].totalByTenant()})
 	}
 	return windows
 }
 
-// OutstandingUsage returns the decided windows that were not reported, the oldest first.
-func (m *Machine) OutstandingUsage() []api.UsageWindow {
+// UnreportedUsage returns the decided windows that have not been reported, oldest first.
+func (m *Machine) UnreportedUsage() []api.UsageWindow {
 	var windows []api.UsageWindow
 	for _, window := range slices.Sorted(maps.Keys(m.usage.decided)) {
-		if known := m.usage.decided[window]; !known.Reported {
-			windows = append(windows, *known)
+		if decided := m.usage.decided[window]; !decided.Reported {
+			windows = append(windows, *decided)
 		}
 	}
 	return windows
 }
 
-// clone copies what later commands write to.
-func (l *usageLedger) clone() usageLedger {
-	next := usageLedger{open: make(map[int64]usageCounts, len(l.open)), decided: maps.Clone(l.decided), last: l.last}
-	for window, counts := range l.open {
-		copied := make(usageCounts, len(counts))
-		for life, tenants := range counts {
-			copied[life] = maps.Clone(tenants)
+// clone returns a copy that later commands do not modify.
+func (s *usageState) clone() usageState {
+	next := usageState{undecided: make(map[int64]usageCounts, len(s.undecided)), decided: maps.Clone(s.decided), lastDecided: s.lastDecided}
+	for window, counts := range s.undecided {
+		clonedCounts := make(usageCounts, len(counts))
+		for run, tenants := range counts {
+			clonedCounts[run] = maps.Clone(tenants)
 		}
-		next.open[window] = copied
+		next.undecided[window] = clonedCounts
 	}
 	return next
 }
 
-// counters returns the counters of open windows in their order.
-func (l *usageLedger) counters() []UsageCount {
+// counters returns the counters of undecided windows, sorted by window, process run and
+// tenant.
+func (s *usageState) counters() []UsageCount {
 	var all []UsageCount
-	for _, window := range slices.Sorted(maps.Keys(l.open)) {
-		for _, life := range slices.Sorted(maps.Keys(l.open[window])) {
-			tenants := l.open[window][life]
+	for _, window := range slices.Sorted(maps.Keys(s.undecided)) {
+		for _, run := range slices.Sorted(maps.Keys(s.undecided[window])) {
+			tenants := s.undecided[window][run]
 			for _, tenant := range slices.Sorted(maps.Keys(tenants)) {
-				all = append(all, UsageCount{Life: life, Window: window, Tenant: tenant, Count: tenants[tenant]})
+				all = append(all, UsageCount{ProcessRun: run, Window: window, Tenant: tenant, Count: tenants[tenant]})
 			}
 		}
 	}
 	return all
 }
 
-func appendUsageLedger(b []byte, l *usageLedger) []byte {
-	b = appendUsageCounts(b, l.counters())
-	b = binenc.AppendInt(b, l.last)
-	windows := slices.Sorted(maps.Keys(l.decided))
+func appendUsageState(b []byte, s *usageState) []byte {
+	b = appendUsageCounts(b, s.counters())
+	b = binenc.AppendInt(b, s.lastDecided)
+	windows := slices.Sorted(maps.Keys(s.decided))
 	b = binenc.AppendUint(b, uint64(len(windows)))
 	for _, window := range windows {
-		b = appendUsageWindow(b, l.decided[window])
+		b = appendUsageWindow(b, s.decided[window])
 	}
 	return b
 }
 
-func readUsageLedger(r *binenc.Reader) usageLedger {
+// readUsageState reads what appendUsageState wrote. It merges the counters before it
+// sets lastDecided, since countUsage drops counters of decided windows.
+func readUsageState(r *binenc.Reader) usageState {
 	const minimumWindowBytes = 5
-	l := newUsageLedger()
-	reader := &Machine{usage: l}
-	reader.countUsage(&CountUsage{Counts: readUsageCounts(r)})
-	l = reader.usage
-	l.last = r.Int()
+	s := newUsageState()
+	merger := &Machine{usage: s}
+	merger.countUsage(&CountUsage{Counts: readUsageCounts(r)})
+	s = merger.usage
+	s.lastDecided = r.Int()
 	windows := r.Count(minimumWindowBytes)
 	for i := 0; i < windows && r.Err() == nil; i++ {
 		window := readUsageWindow(r)
-		l.decided[window.Window] = &window
+		s.decided[window.Window] = &window
 	}
-	return l
+	return s
 }
 
 func appendUsageWindow(b []byte, window *api.UsageWindow) []byte {
@@ -221,18 +229,19 @@
 	return window
 }
 
-// appendUsageCounts appends counters; names stand once, in the order in which they come.
+// appendUsageCounts appends counters. A string table, in order of first use, encodes each
+// name once.
 func appendUsageCounts(b []byte, counts []UsageCount) []byte {
-	names := nameTable{places: map[string]uint64{}}
-	for _, counted := range counts {
-		names.add(counted.Life)
-		names.add(counted.Tenant)
+	names := nameTable{indexes: map[string]uint64{}}
+	for _, counter := range counts {
+		names.add(counter.ProcessRun)
+		names.add(counter.Tenant)
 	}
-	b = binenc.AppendStrings(b, names.list)
+	b = binenc.AppendStrings(b, names.names)
 	b = binenc.AppendUint(b, uint64(len(counts)))
 	for _, counted := range counts {
-		b = binenc.AppendUint(b, names.places[counted.Life])
-		b = binenc.AppendUint(b, names.places[counted.Tenant])
+		b = binenc.AppendUint(b, names.indexes[counted.ProcessRun])
+		b = binenc.AppendUint(b, names.indexes[counted.Tenant])
 		b = binenc.AppendInt(b, counted.Window)
 		b = binenc.AppendUint(b, counted.Count)
 	}
@@ -245,25 +254,25 @@
 	count := r.Count(minimumCountBytes)
 	var counts []UsageCount
 	for i := 0; i < count && r.Err() == nil; i++ {
-		life, tenant := r.Uint(), r.Uint()
-		if life >= uint64(len(names)) || tenant >= uint64(len(names)) {
+		run, tenant := r.Uint(), r.Uint()
+		if run >= uint64(len(names)) || tenant >= uint64(len(names)) {
 			r.Fail(binenc.ErrMalformed)
 			return nil
 		}
-		counts = append(counts, UsageCount{Life: names[life], Tenant: names[tenant], Window: r.Int(), Count: r.Uint()})
+		counts = append(counts, UsageCount{ProcessRun: names[run], Tenant: names[tenant], Window: r.Int(), Count: r.Uint()})
 	}
 	return counts
 }
 
-// nameTable gives names their places in a list.
+// nameTable is a string table: it maps names to their indexes in a list.
 type nameTable struct {
-	list   []string
-	places map[string]uint64
+	names   []string
+	indexes map[string]uint64
 }
 
 func (t *nameTable) add(name string) {
-	if _, known := t.places[name]; !known {
-		t.places[name] = uint64(len(t.list))
-		t.list = append(t.list, name)
+	if _, known := t.indexes[name]; !known {
+		t.indexes[name] = uint64(len(t.names))
+		t.names = append(t.names, name)
 	}
 }
--- a/version/subset/subset_test.go
+++ b/version/subset/subset_test.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	zoneCount = 17
-	perZone   = 120
+	zoneCount        = 17
+	endpointsPerZone = 120
 )
 
-func fleet() []subset.Endpoint {
+func testEndpoints() []subset.Endpoint {
 	var endpoints []subset.Endpoint
 	for zone := range zoneCount {
-		for replica := range perZone {
+		for replica := range endpointsPerZone {
 			endpoints = append(endpoints, subset.Endpoint{
 				Name:  fmt.Sprintf("engine-%d-%d", zone, replica),
 				Zone:  fmt.Sprintf("zone-%d", zone),
@@ -28,7 +28,7 @@
 	return endpoints
 }
 
-func TestChooseFillsBothShares(t *testing.T) {
+func TestChooseFillsLocalAndRemote(t *testing.T) {
 	cases := []struct {
 		name      string
 		endpoints []subset.Endpoint
@@ -36,10 +36,10 @@
 		local     int
 		remote    int
 	}{
-		{"large group", fleet(), subset.Sizes{Local: 16, Remote: 8}, 16, 8},
-		{"no endpoint in the own zone", fleet()[perZone:], subset.Sizes{Local: 16, Remote: 8}, 0, 24},
-		{"only the own zone", fleet()[:perZone], subset.Sizes{Local: 16, Remote: 8}, 24, 0},
-		{"small group is followed whole", fleet()[perZone-2 : perZone+3], subset.Sizes{Local: 16, Remote: 8}, 2, 3},
+		{"large group", testEndpoints(), subset.Sizes{Local: 16, Remote: 8}, 16, 8},
+		{"no endpoint in the own zone", testEndpoints()[endpointsPerZone:], subset.Sizes{Local: 16, Remote: 8}, 0, 24},
+		{"only the own zone", testEndpoints()[:endpointsPerZone], subset.Sizes{Local: 16, Remote: 8}, 24, 0},
+		{"all of a small group is followed", testEndpoints()[endpointsPerZone-2 : endpointsPerZone+3], subset.Sizes{Local: 16, Remote: 8}, 2, 3},
 		{"nothing to follow", nil, subset.DefaultSizes, 0, 0},
 	}
 	for _, test := range cases {
@@ -62,8 +62,8 @@
 	}
 }
 
-func TestChooseKeepsGroupsApart(t *testing.T) {
-	endpoints := fleet()
+func TestChooseBoundsEachGroup(t *testing.T) {
+	endpoints := testEndpoints()
 	for i := range endpoints {
 		endpoints[i].Group = fmt.Sprintf("model-%d", i%4)
 	}
@@ -71,27 +71,27 @@
 	must.Eq(t, 4*5, len(chosen))
 }
 
-func TestLosingOneEndpointMovesAtMostOne(t *testing.T) {
-	endpoints := fleet()
+func TestRemovingOneEndpointChangesAtMostOne(t *testing.T) {
+	endpoints := testEndpoints()
 	before := subset.Choose("proxy-1", "zone-0", endpoints, subset.DefaultSizes)
-	lost := before[0]
-	var left []subset.Endpoint
+	removed := before[0]
+	var remaining []subset.Endpoint
 	for _, endpoint := range endpoints {
-		if endpoint.Name != lost {
-			left = append(left, endpoint)
+		if endpoint.Name != removed {
+			remaining = append(remaining, endpoint)
 		}
 	}
 	after := map[string]bool{}
-	for _, name := range subset.Choose("proxy-1", "zone-0", left, subset.DefaultSizes) {
+	for _, name := range subset.Choose("proxy-1", "zone-0", remaining, subset.DefaultSizes) {
 		after[name] = true
 	}
 	for _, name := range before[1:] {
-		must.True(t, after[name], must.Sprintf("%s was dropped though only %s left", name, lost))
+		must.True(t, after[name], must.Sprintf("%s was dropped although only %s was removed", name, removed))
 	}
 }
 
-func TestFollowersAreSpread(t *testing.T) {
-	endpoints := fleet()
+func TestFollowersAreBalanced(t *testing.T) {
+	endpoints := testEndpoints()
 	followers := map[string]int{}
 	const daemonsPerZone = 124
 	for zone := range zoneCount {
@@ -102,7 +102,7 @@
 			}
 		}
 	}
-	mean := float64(daemonsPerZone*24) / perZone
+	mean := float64(daemonsPerZone*24) / endpointsPerZone
 	for _, endpoint := range endpoints {
 		count := float64(followers[endpoint.Name])
 		must.Greater(t, mean/3, count, must.Sprintf("%s has %v followers of a mean of %v", endpoint.Name, count, mean))
--- a/version/view/table.go
+++ b/version/view/table.go
@@ -9,25 +9,25 @@
 
 // List returns the objects of a kind, sorted by name.
 func (v *View) List(kind api.Kind) []api.Object {
-	held := v.table(kind)
-	if held == nil {
+	objects := v.table(kind)
+	if objects == nil {
 		return nil
 	}
-	return held.list()
+	return objects.list()
 }
 
-// table is the part of a view that holds one kind.
+// table gives access to the objects of one kind in a view.
 type table interface {
 	get(name string) (api.Object, bool)
 	put(name string, o api.Object)
 	remove(name string)
 	list() []api.Object
-	// copy replaces the map by a copy that may be written to.
-	copy()
+	// cloneMap replaces the view's map by a copy that may be written to.
+	cloneMap()
 }
 
-// table returns the part that holds the kind, nil for an unknown kind. It is the
-// only place where a view's kinds are told apart.
+// table returns the table of the kind, nil for an unknown kind. It is the only place
+// that maps kinds to the fields of a view.
 func (v *View) table(kind api.Kind) table {
 	switch kind {
 	case api.KindIntent:
@@ -63,7 +63,7 @@
 // kindTable implements table for objects of type T.
 type kindTable[T any] struct {
 	items *map[string]*T
-	// field is where an Object has its T.
+	// field returns the field of an Object that holds its T.
 	field func(*api.Object) **T
 }
 
@@ -84,7 +84,7 @@
 	return objects
 }
 
-func (t kindTable[T]) copy() {
+func (t kindTable[T]) cloneMap() {
 	if *t.items == nil {
 		*t.items = map[string]*T{}
 		return
@@ -92,6 +92,7 @@
 	*t.items = maps.Clone(*t.items)
 }
 
+// wrap returns an Object that holds the item.
 func (t kindTable[T]) wrap(item *T) api.Object {
 	var o api.Object
 	*t.field(&o) = item
--- a/version/view/tracker.go
+++ b/version/view/tracker.go
@@ -10,36 +10,41 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// UnseenDaemons stands in the list of awaited daemons for those that an earlier
-// leader may have granted leases to.
+// UnseenDaemons is the entry, in the list of daemons waited for, that represents daemons
+// to which an earlier leader may have granted leases. Operators see it in place of a
+// name.
 const UnseenDaemons = "(daemons not seen yet)"
 
 const (
 	trackerShards = 16
-	// driftShare is the inverse of the share by which a daemon's clock may run
-	// slower than the leader's.
-	driftShare = 100
-	// forgetAfter is how long a lapsed daemon stays listed.
-	forgetAfter = 10 * time.Minute
+	// clockDriftDivisor is the inverse of the share by which a daemon's clock may run
+	// slower than the leader's: by up to 1/100.
+	clockDriftDivisor = 100
+	// lapsedRetention is how long a daemon stays listed after its lease has lapsed.
+	lapsedRetention = 10 * time.Minute
 )
 
-// Tracker knows, on the leader, which versions the daemons hold and until when
-// they may use them. Any number of goroutines may use it. Times are readings of
-// one monotonic clock of this process.
+// Tracker records, on the leader, which versions the daemons hold and until when they
+// may use them. Any number of goroutines may use it. Times are readings of one
+// monotonic clock of this process.
 //
 // Guarantee: once InForce has returned true for a version, no daemon uses a
 // view older than that version under a lease granted through this Tracker, nor
-// under a lease that an earlier leader granted before Reset was called. This
-// holds because a daemon counts only when it acknowledged the version or its
-// lease has surely lapsed, because Observe afterwards grants no lease to a
-// daemon that holds an older view, and because nothing counts during the first
-// lease after Reset. The caller must hold the leader lease whenever it passes a
-// grant on and must call Reset only once the earlier leader's lease has lapsed.
+// under a lease that an earlier leader granted before Reset was called. There are
+// three reasons:
+//
+//   - InForce returns false until each daemon has acknowledged the version or its lease
+//     has lapsed, even if its clock is slow.
+//   - From then on, Observe grants no lease to a daemon that holds an older view.
+//   - InForce returns false during the first lease duration after Reset.
+//
+// The caller must hold the leader lease whenever it sends a grant to a daemon and must
+// call Reset only once the earlier leader's lease has lapsed.
 type Tracker struct {
-	lease      time.Duration
-	graceUntil atomic.Int64 // nanoseconds
-	floor      atomic.Uint64
-	shards     [trackerShards]trackerShard
+	lease       time.Duration
+	graceUntil  atomic.Int64  // nanoseconds; InForce returns false before this time
+	minRevision atomic.Uint64 // lowest revision of a view on which a lease is granted
+	shards      [trackerShards]trackerShard
 }
 
 type trackerShard struct {
@@ -52,16 +57,16 @@
 	lapsesAt time.Duration
 }
 
-// DaemonStatus is what a Tracker knows of one daemon.
+// DaemonStatus is the state of one daemon in a Tracker.
 type DaemonStatus struct {
 	Name     string
-	Acked    Version
-	LapsesAt time.Duration
+	Acked    Version       // held by the daemon when it sent its last heartbeat
+	LapsesAt time.Duration // on the clock of the Tracker, with the margin for clock drift
 	Lapsed   bool
 }
 
-// NewTracker returns a Tracker of leases of the given duration. Nothing is in
-// force until Reset was called and one lease has passed.
+// NewTracker returns a Tracker for leases of the given duration. No version is in force
+// until Reset was called and one lease duration has passed.
 func NewTracker(lease time.Duration) *Tracker {
 	t := &Tracker{lease: lease}
 	t.graceUntil.Store(math.MaxInt64)
@@ -71,11 +76,11 @@
 	return t
 }
 
-// Reset forgets all daemons at the start of a leadership. Nothing counts as in
-// force until one lease has passed from now, since daemons that this leader has
-// not seen may hold leases of the earlier one.
+// Reset removes all daemons at the start of a leadership. No version is in force until
+// one lease duration has passed from now, since daemons that this leader has not seen
+// may hold leases of the earlier one. Versions that are required remain required.
 func (t *Tracker) Reset(now time.Duration) {
-	t.graceUntil.Store(int64(t.lapse(now)))
+	t.graceUntil.Store(int64(t.lapseTime(now)))
 	for i := range t.shards {
 		shard := &t.shards[i]
 		shard.mu.Lock()
@@ -84,25 +89,26 @@
 	}
 }
 
-// Require makes Observe refuse leases to daemons that hold a view older than
-// the version. A new leader calls it with its own version once it has applied
-// an entry of its term, because the earlier leader may have reported any
-// version up to that one as in force.
-func (t *Tracker) Require(version Version) {
+// RequireVersion makes Observe refuse leases to daemons that hold a view older than the
+// version. A new leader calls it with its own version once it has applied an entry of
+// its term, because the earlier leader may have reported any version up to that one as
+// in force.
+func (t *Tracker) RequireVersion(version Version) {
 	for {
-		floor := t.floor.Load()
-		if version.Revision <= floor || t.floor.CompareAndSwap(floor, version.Revision) {
+		current := t.minRevision.Load()
+		if version.Revision <= current || t.minRevision.CompareAndSwap(current, version.Revision) {
 			return
 		}
 	}
 }
 
-// Observe records a heartbeat that arrived now from a daemon holding the
-// version, and reports whether a lease may be granted in answer. The name must
-// differ between two runs of a daemon (use its incarnation), so that a late
-// heartbeat of the earlier run is not taken for the later one's.
+// Observe records a heartbeat that arrived now from a daemon that holds the version, and
+// reports whether a lease may be granted in the answer. If so, it records the lease. A
+// late heartbeat may lower the recorded version, but never shortens the recorded lease.
+// The name must differ between two runs of a daemon, for example by its incarnation, so
+// that a late heartbeat of the earlier run is not attributed to the later one.
 func (t *Tracker) Observe(daemon string, acked Version, now time.Duration) (granted bool) {
-	shard := t.shard(daemon)
+	shard := t.shardFor(daemon)
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
 	state, known := shard.daemons[daemon]
@@ -110,29 +116,31 @@
 		state.lapsesAt = now
 	}
 	state.acked = acked
-	granted = acked.Revision >= t.floor.Load()
+	granted = acked.Revision >= t.minRevision.Load()
 	if granted {
-		state.lapsesAt = max(state.lapsesAt, t.lapse(now))
+		state.lapsesAt = max(state.lapsesAt, t.lapseTime(now))
 	}
 	shard.daemons[daemon] = state
 	return granted
 }
 
-// InForce reports whether every daemon either acknowledged the version or has
-// no lease any more, and otherwise the sorted names of the daemons that are
-// waited for.
+// InForce reports whether every daemon has either acknowledged the version or lost its
+// lease. If not, it returns the sorted names of the daemons to wait for. Unless the
+// first scan finds such daemons, it requires the version: Observe then refuses leases
+// on older views, even if the second scan makes InForce return false.
 func (t *Tracker) InForce(version Version, now time.Duration) (done bool, waitingFor []string) {
-	if waitingFor = t.waiting(version, now); len(waitingFor) > 0 {
+	if waitingFor = t.pendingDaemons(version, now); len(waitingFor) > 0 {
 		return false, waitingFor
 	}
-	// A heartbeat between the scan and the new floor may have been granted a
-	// lease, so the second scan decides: after it, the floor refuses.
-	t.Require(version)
-	waitingFor = t.waiting(version, now)
+	// A heartbeat between the scan and RequireVersion may have been granted a lease, so the
+	// second scan determines the result. Later heartbeats with an older view get no lease.
+	t.RequireVersion(version)
+	waitingFor = t.pendingDaemons(version, now)
 	return len(waitingFor) == 0, waitingFor
 }
 
-// Daemons lists the known daemons by name.
+// Daemons returns the known daemons, sorted by name. Like InForce, it removes those whose
+// lease lapsed more than lapsedRetention ago.
 func (t *Tracker) Daemons(now time.Duration) []DaemonStatus {
 	var list []DaemonStatus
 	t.scan(now, func(name string, state daemonState) {
@@ -152,7 +160,9 @@
 	return list
 }
 
-func (t *Tracker) waiting(version Version, now time.Duration) []string {
+// pendingDaemons returns the sorted names of the daemons that may use a view older than
+// the version under a lease.
+func (t *Tracker) pendingDaemons(version Version, now time.Duration) []string {
 	var names []string
 	if int64(now) < t.graceUntil.Load() {
 		names = append(names, UnseenDaemons)
@@ -166,20 +176,22 @@
 	return names
 }
 
-// lowest returns the lowest version held under a lease, and false if no lease runs.
-func (t *Tracker) lowest(now time.Duration) (lowest Version, some bool) {
+// lowestLeasedVersion returns the lowest version held under a lease, and false if no
+// daemon has a lease.
+func (t *Tracker) lowestLeasedVersion(now time.Duration) (lowest Version, found bool) {
 	t.scan(now, func(_ string, state daemonState) {
 		if now >= state.lapsesAt {
 			return
 		}
-		if !some || state.acked.Compare(lowest) < 0 {
-			lowest, some = state.acked, true
+		if !found || state.acked.Compare(lowest) < 0 {
+			lowest, found = state.acked, true
 		}
 	})
-	return lowest, some
+	return lowest, found
 }
 
-// scan calls visit for each daemon and drops those that lapsed long ago.
+// scan calls visit for each daemon and removes those whose lease lapsed more than
+// lapsedRetention ago.
 func (t *Tracker) scan(now time.Duration, visit func(name string, state daemonState)) {
 	for i := range t.shards {
 		t.shards[i].scan(now, visit)
@@ -190,7 +202,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for name, state := range s.daemons {
-		if now-state.lapsesAt > forgetAfter {
+		if now-state.lapsesAt > lapsedRetention {
 			delete(s.daemons, name)
 			continue
 		}
@@ -198,11 +210,12 @@
 	}
 }
 
-// lapse returns when a lease granted now has surely lapsed at the daemon.
-func (t *Tracker) lapse(now time.Duration) time.Duration {
-	return now + t.lease + t.lease/driftShare
+// lapseTime returns the time by which a lease granted now has lapsed at the daemon, even
+// if the daemon's clock is slow.
+func (t *Tracker) lapseTime(now time.Duration) time.Duration {
+	return now + t.lease + t.lease/clockDriftDivisor
 }
 
-func (t *Tracker) shard(daemon string) *trackerShard {
+func (t *Tracker) shardFor(daemon string) *trackerShard {
 	return &t.shards[xxhash.Sum64String(daemon)%trackerShards]
 }
--- a/version/view/view_test.go
+++ b/version/view/view_test.go
@@ -25,29 +25,29 @@
 	os.Exit(m.Run())
 }
 
-func engine(name string, fence uint64) *api.Engine {
+func testEngine(name string, fence uint64) *api.Engine {
 	o := &api.Engine{Metadata: api.Metadata{Name: name}}
 	o.Status.Fence.Index = fence
 	return o
 }
 
-// versions is a leader's sequence of views with all their changes.
-type versions struct {
+// viewSequence is a leader's sequence of views with the latest changes.
+type viewSequence struct {
 	views   []*View
 	history History
 }
 
-func newVersions() *versions {
-	return &versions{views: []*View{New()}, history: History{View: New()}}
+func newViewSequence() *viewSequence {
+	return &viewSequence{views: []*View{New()}, history: History{View: New()}}
 }
 
-// step writes or removes random objects in a new version.
-func (v *versions) step(t *rapid.T) {
+// addVersion adds a version in which random objects are written or removed.
+func (v *viewSequence) addVersion(t *rapid.T) {
 	last := v.views[len(v.views)-1]
 	next := New()
 	next.Version = Version{
 		Term:     last.Version.Term + rapid.Uint64Range(0, 1).Draw(t, "term"),
-		Revision: last.Version.Revision + rapid.Uint64Range(1, 3).Draw(t, "gap"),
+		Revision: last.Version.Revision + rapid.Uint64Range(1, 3).Draw(t, "revision step"),
 	}
 	for name, o := range last.Engines {
 		next.Engines[name] = o
@@ -57,14 +57,14 @@
 	}
 	for range rapid.IntRange(1, 3).Draw(t, "changes") {
 		key := api.Key{Kind: api.KindEngine, Name: rapid.SampledFrom([]string{"e1", "e2", "e3"}).Draw(t, "name")}
-		switch rapid.IntRange(0, 3).Draw(t, "what") {
+		switch rapid.IntRange(0, 3).Draw(t, "operation") {
 		case 0:
 			delete(next.Engines, key.Name)
 		case 1:
 			key.Kind = api.KindTenant
 			next.Tenants[key.Name] = &api.Tenant{Metadata: api.Metadata{Name: key.Name, Revision: next.Version.Revision}}
 		default:
-			next.Engines[key.Name] = engine(key.Name, next.Version.Revision)
+			next.Engines[key.Name] = testEngine(key.Name, next.Version.Revision)
 		}
 		v.history.Changes = append(v.history.Changes, Change{Revision: next.Version.Revision, Key: key})
 	}
@@ -76,18 +76,18 @@
 	v.views = append(v.views, next)
 }
 
-// TestViewsMoveForwardOnly hands a daemon deltas that were made from any
-// version by servers that lag, late, repeated and out of order.
-func TestViewsMoveForwardOnly(t *testing.T) {
+// TestHolderVersionNeverGoesBack applies deltas that lagging servers computed from
+// arbitrary versions. The deltas arrive late, repeated and out of order.
+func TestHolderVersionNeverGoesBack(t *testing.T) {
 	applied, refused := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		leader, holder := newVersions(), NewHolder()
+		leader, holder := newViewSequence(), NewHolder()
 		byVersion := map[Version]*View{{}: New()}
 		var histories []History
 		var sent []Delta
 		t.Repeat(map[string]func(*rapid.T){
 			"step": func(t *rapid.T) {
-				leader.step(t)
+				leader.addVersion(t)
 				histories = append(histories, leader.history)
 				byVersion[leader.history.View.Version] = leader.history.View
 			},
@@ -117,7 +117,7 @@
 				}
 				applied++
 				must.Positive(t, holder.Load().Version.Compare(before.Version))
-				must.True(t, reflect.DeepEqual(byVersion[before.Version], before), must.Sprint("a view was written to"))
+				must.True(t, reflect.DeepEqual(byVersion[before.Version], before), must.Sprint("a view was modified"))
 				must.True(t, reflect.DeepEqual(byVersion[delta.To], holder.Load()), must.Sprint("a view differs from the leader's"))
 			},
 		})
@@ -158,22 +158,22 @@
 	must.True(t, h.Confirm(time.Second, 3*time.Second, 5))
 	must.True(t, h.Valid(4*time.Second-1))
 	must.False(t, h.Valid(4*time.Second))
-	must.True(t, h.Confirm(0, 3*time.Second, 5), must.Sprint("an answer that was overtaken"))
-	must.True(t, h.Valid(4*time.Second-1), must.Sprint("must not shorten the lease"))
-	must.False(t, h.Confirm(10*time.Second, 3*time.Second, 4), must.Sprint("the answer of an older leader"))
+	must.True(t, h.Confirm(0, 3*time.Second, 5), must.Sprint("an answer that arrives out of order"))
+	must.True(t, h.Valid(4*time.Second-1), must.Sprint("an earlier heartbeat must not shorten the lease"))
+	must.False(t, h.Confirm(10*time.Second, 3*time.Second, 4), must.Sprint("an answer from a leader of an older term"))
 	must.False(t, h.Valid(10*time.Second))
 	must.NoError(t, h.Apply(Delta{Full: true, To: Version{Term: 6, Revision: 1}}))
 	must.False(t, h.Confirm(10*time.Second, 3*time.Second, 5), must.Sprint("a newer term is known from a view"))
 	must.NoError(t, h.Apply(Delta{From: Version{6, 1}, To: Version{Term: 6, Revision: 2}}))
 }
 
-func TestHolderConcurrently(t *testing.T) {
+func TestHolderConcurrentUse(t *testing.T) {
 	h := NewHolder()
 	var group sync.WaitGroup
 	for writer := range 4 {
 		group.Go(func() {
 			for revision := uint64(1); revision < 500; revision++ {
-				_ = h.Apply(Delta{Full: true, To: Version{Term: 1, Revision: revision}, Objects: []api.Object{{Engine: engine("e", revision)}}})
+				_ = h.Apply(Delta{Full: true, To: Version{Term: 1, Revision: revision}, Objects: []api.Object{{Engine: testEngine("e", revision)}}})
 				h.Confirm(time.Duration(revision), time.Duration(writer), 1)
 			}
 		})
@@ -197,7 +197,7 @@
 func FuzzDecodeDelta(f *testing.F) {
 	v := New()
 	v.Version = Version{3, 9}
-	v.Engines["e1"] = engine("e1", 4)
+	v.Engines["e1"] = testEngine("e1", 4)
 	v.Services["s"] = &api.Service{Metadata: api.Metadata{Name: "s", Labels: api.Labels{"a": "b", "c": "d"}}}
 	full, _ := v.Full().AppendBinary(nil)
 	f.Add(full)
@@ -216,7 +216,7 @@
 	})
 }
 
-// Example shows a daemon that follows a leader's views.
+// A daemon follows a leader's views by deltas.
 func Example() {
 	leader := New()
 	leader.Version = Version{Term: 1, Revision: 7}
