--- a/connection/feed/bulk.go
+++ b/connection/feed/bulk.go
@@ -10,14 +10,14 @@
 
 // bulkPayload is the size in bytes from which a delta waits for one of the
 // server's places for large ones.
-const bulkPayload = 256 << 10
+const bulkThresholdBytes = 256 << 10
 
 // bulkDelta is a large delta on its way to a subscriber, which then holds one
 // of the server's places for such.
-type bulkDelta struct {
-	held bool
-	to   view.Version
-	at   time.Duration // when it was sent
+type bulkTransfer struct {
+	held    bool
+	version view.Version
+	sentAt  time.Duration // when it was sent
 }
 
 // bulkKeepAlive is the time between two frames to a subscriber that waits for
@@ -28,7 +28,7 @@
 // beginBulk waits for a place for a large delta. The place is held until the
 // subscriber has acknowledged the version: what is written may still wait in
 // buffers on the way.
-func (s *subscriber) beginBulk(ctx context.Context, writer *frame.Writer) error {
+func (s *subscriber) acquireBulkSlot(ctx context.Context, writer *frame.Writer) error {
 	s.lock.Lock()
 	held := s.bulk.held
 	s.lock.Unlock()
@@ -39,13 +39,13 @@
 	defer ticker.Stop()
 	for {
 		select {
-		case s.server.bulk <- struct{}{}:
+		case s.server.bulkSlots <- struct{}{}:
 			s.lock.Lock()
 			defer s.lock.Unlock()
 			s.bulk.held = true
 			return nil
 		case <-ticker.C:
-			if err := s.keepAlive(ctx, writer); err != nil {
+			if err := s.writeKeepAlive(ctx, writer); err != nil {
 				return err
 			}
 		case <-ctx.Done():
@@ -55,10 +55,10 @@
 }
 
 // keepAlive writes a grant for no beat, which renews nothing.
-func (s *subscriber) keepAlive(ctx context.Context, writer *frame.Writer) error {
+func (s *subscriber) writeKeepAlive(ctx context.Context, writer *frame.Writer) error {
 	leadership := s.server.config.Group.Leadership()
 	if !leadership.Leads {
-		return s.moveOn(ctx, writer, leadership.Address)
+		return s.redirect(ctx, writer, leadership.Address)
 	}
 	if err := writer.WriteFrame(kindGrant, encodeGrant(grant{term: leadership.Term})); err != nil {
 		return err
@@ -67,34 +67,34 @@
 }
 
 // sendBulk notes what the subscriber has to acknowledge to free its place.
-func (s *subscriber) sendBulk(to view.Version) {
+func (s *subscriber) recordBulkSent(to view.Version) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.bulk.to, s.bulk.at = to, s.server.config.Clock()
+	s.bulk.version, s.bulk.sentAt = to, s.server.config.Clock()
 }
 
 // checkBulk frees the place once the large delta is acknowledged. One that is
 // slow to do so goes on without the place, since others wait: to cut it off
 // would only make it ask for the same again.
-func (s *subscriber) checkBulk(acked view.Version) {
+func (s *subscriber) releaseBulkIfDone(acked view.Version) {
 	s.lock.Lock()
 	bulk := s.bulk
 	s.lock.Unlock()
-	if !bulk.held || bulk.to.IsZero() {
+	if !bulk.held || bulk.version.IsZero() {
 		return
 	}
-	slow := s.server.config.Clock()-bulk.at > s.server.config.SilenceTimeout
-	if slow || acked.Compare(bulk.to) >= 0 {
-		s.endBulk()
+	slow := s.server.config.Clock()-bulk.sentAt > s.server.config.SilenceTimeout
+	if slow || acked.Compare(bulk.version) >= 0 {
+		s.releaseBulkSlot()
 	}
 }
 
 // endBulk frees the place, if the subscriber holds one.
-func (s *subscriber) endBulk() {
+func (s *subscriber) releaseBulkSlot() {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	if s.bulk.held {
-		s.bulk = bulkDelta{}
-		<-s.server.bulk
+		s.bulk = bulkTransfer{}
+		<-s.server.bulkSlots
 	}
 }
--- a/connection/feed/bulk_test.go
+++ b/connection/feed/bulk_test.go
@@ -14,7 +14,7 @@
 )
 
 // bulkTenants make a view larger than bulkPayload also when it is packed.
-const bulkTenants = 110_000
+const bulkTenantCount = 110_000
 
 func startBulkServer(t *testing.T, config ServerConfig) (*Server, string) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -26,7 +26,7 @@
 }
 
 // subscribeAnew asks for a whole view.
-func subscribeAnew(t *testing.T, address, daemon string) *rawSubscriber {
+func subscribeFullView(t *testing.T, address, daemon string) *rawSubscriber {
 	raw := newRawSubscriber(t, address)
 	raw.send(kindSubscribe, encodeSubscribe(subscribe{daemon: daemon}))
 	return raw
@@ -34,44 +34,44 @@
 
 // readDelta returns the version that the next delta leads to.
 func (r *rawSubscriber) readDelta() view.Version {
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(testTimeout)
 	received, err := r.reader.ReadFrame()
 	for err == nil && received.Kind == kindGrant && time.Now().Before(deadline) {
 		received, err = r.reader.ReadFrame()
 	}
 	must.NoError(r.t, err)
 	must.Eq(r.t, kindDelta, received.Kind)
-	must.GreaterEq(r.t, bulkPayload, len(received.Payload))
+	must.GreaterEq(r.t, bulkThresholdBytes, len(received.Payload))
 	delta, err := decodeDelta(received.Payload)
 	must.NoError(r.t, err)
 	return delta.To
 }
 
-func TestLargeDeltasWaitTheirTurn(t *testing.T) {
+func TestLargeDeltasWaitForASlot(t *testing.T) {
 	group := newFakeGroup()
-	group.putTogether("water", bulkTenants)
-	server, address := startBulkServer(t, ServerConfig{Group: group, MaxBulkDeltas: 2, SilenceTimeout: patience})
-	first := subscribeAnew(t, address, "first")
+	group.putBatch("water", bulkTenantCount)
+	server, address := startBulkServer(t, ServerConfig{Group: group, MaxBulkDeltas: 2, SilenceTimeout: testTimeout})
+	first := subscribeFullView(t, address, "first")
 	version := first.readDelta()
-	second := subscribeAnew(t, address, "second")
+	second := subscribeFullView(t, address, "second")
 	second.readDelta()
-	third := subscribeAnew(t, address, "third")
+	third := subscribeFullView(t, address, "third")
 	received, err := third.reader.ReadFrame()
 	must.NoError(t, err)
 	must.Eq(t, kindGrant, received.Kind, must.Sprint("two large deltas are on their way already"))
 	must.Eq(t, 3, server.Subscribers())
 
-	first.send(kindBeat, encodeBeat(beat{acked: version, held: version}))
+	first.send(kindHeartbeat, encodeHeartbeat(heartbeat{acked: version, held: version}))
 	must.Eq(t, version, third.readDelta())
 	must.NoError(t, second.conn.Close())
-	subscribeAnew(t, address, "fourth").readDelta()
+	subscribeFullView(t, address, "fourth").readDelta()
 }
 
-func TestClientThatWaitsForALargeDeltaStaysConnected(t *testing.T) {
+func TestClientWaitingForALargeDeltaStaysConnected(t *testing.T) {
 	group := newFakeGroup()
-	group.putTogether("water", bulkTenants)
-	server, address := startBulkServer(t, ServerConfig{Group: group, MaxBulkDeltas: 1, SilenceTimeout: patience})
-	first := subscribeAnew(t, address, "first")
+	group.putBatch("water", bulkTenantCount)
+	server, address := startBulkServer(t, ServerConfig{Group: group, MaxBulkDeltas: 1, SilenceTimeout: testTimeout})
+	first := subscribeFullView(t, address, "first")
 	version := first.readDelta()
 	const silence = 3 * bulkKeepAlive
 	var dials atomic.Int64
@@ -87,7 +87,7 @@
 	t.Cleanup(client.Close)
 	eventually(t, "two subscriptions", func() bool { return server.Subscribers() == 2 })
 	time.Sleep(silence + bulkKeepAlive) // longer than the client bears silence
-	first.send(kindBeat, encodeBeat(beat{acked: version, held: version}))
+	first.send(kindHeartbeat, encodeHeartbeat(heartbeat{acked: version, held: version}))
 	eventually(t, "the view", func() bool { return holder.Load().Version == version })
 	must.Eq(t, 1, dials.Load())
 }
@@ -95,23 +95,23 @@
 // TestSubscriberThatNeverAcknowledgesLosesItsPlace lets the server's clock pass
 // the time to acknowledge with each beat; the time without a frame, after which
 // a subscriber would be cut off, is that of the machine.
-func TestSubscriberThatNeverAcknowledgesLosesItsPlace(t *testing.T) {
+func TestSubscriberThatNeverAcknowledgesLosesItsBulkSlot(t *testing.T) {
 	group := newFakeGroup()
-	group.putTogether("water", bulkTenants)
+	group.putBatch("water", bulkTenantCount)
 	var clock atomic.Int64
 	server, address := startBulkServer(t, ServerConfig{
-		Group: group, MaxBulkDeltas: 1, SilenceTimeout: patience,
+		Group: group, MaxBulkDeltas: 1, SilenceTimeout: testTimeout,
 		Clock: func() time.Duration { return time.Duration(clock.Load()) },
 	})
-	stuck := subscribeAnew(t, address, "stuck")
+	stuck := subscribeFullView(t, address, "stuck")
 	stuck.readDelta()
-	next := subscribeAnew(t, address, "next")
+	next := subscribeFullView(t, address, "next")
 	ctx, cancel := context.WithCancel(context.Background())
-	var beating sync.WaitGroup
-	beating.Go(func() {
+	var heartbeats sync.WaitGroup
+	heartbeats.Go(func() {
 		for sequence := uint64(1); ctx.Err() == nil; sequence++ {
-			clock.Add(int64(patience + 1))
-			_ = stuck.writer.WriteFrame(kindBeat, encodeBeat(beat{sequence: sequence}))
+			clock.Add(int64(testTimeout + 1))
+			_ = stuck.writer.WriteFrame(kindHeartbeat, encodeHeartbeat(heartbeat{sequence: sequence}))
 			_ = stuck.writer.Flush()
 			time.Sleep(testLease / 2)
 		}
@@ -119,7 +119,7 @@
 	next.readDelta()
 	must.Eq(t, 2, server.Subscribers(), must.Sprint("neither was cut off"))
 	cancel()
-	beating.Wait()
+	heartbeats.Wait()
 }
 
 func TestWholeViewIsEncodedOnceForManySubscribers(t *testing.T) {
@@ -133,11 +133,11 @@
 	must.NoError(t, err)
 	must.Eq(t, later, reached.Revision)
 	must.NotEq(t, first, partial)
-	again, same, err := cache.since(group, view.Version{}, fullReuse-1)
+	again, same, err := cache.since(group, view.Version{}, fullViewCacheTTL-1)
 	must.NoError(t, err)
 	must.True(t, &first[0] == &again[0], must.Sprint("the encoding is used again"))
 	must.Eq(t, version, same)
-	_, fresh, err := cache.since(group, view.Version{}, fullReuse)
+	_, fresh, err := cache.since(group, view.Version{}, fullViewCacheTTL)
 	must.NoError(t, err)
 	must.Eq(t, later, fresh.Revision)
 }
--- a/connection/feed/charge.go
+++ b/connection/feed/charge.go
@@ -65,36 +65,36 @@
 
 // chargingFor is the session that is asked for a charge: what is passed on for another
 // daemon goes to the leader alone.
-func (c *Client) chargingFor(request ChargeRequest) *session {
+func (c *Client) chargeSession(request ChargeRequest) *session {
 	if request.Passed {
 		return c.session.Load()
 	}
-	return c.placing()
+	return c.placementSession()
 }
 
 // Charge charges a request to its tenant's quota at the leader, or at the member that stands
 // by without one; ErrNotCharged when none answers before ctx ends. It may be charged then.
 func (c *Client) Charge(ctx context.Context, request ChargeRequest) (quota.Grant, error) {
-	current := c.chargingFor(request)
+	current := c.chargeSession(request)
 	if current == nil {
 		return quota.Grant{}, ErrNotCharged
 	}
-	answered, ok := current.ask(ctx, kindCharge, func(id uint64) []byte { return encodeCharge(id, request) })
+	answer, ok := current.ask(ctx, kindCharge, func(id uint64) []byte { return encodeCharge(id, request) })
 	if !ok {
 		return quota.Grant{}, ErrNotCharged
 	}
-	return answered.grant, nil
+	return answer.grant, nil
 }
 
 // ReturnCharge gives back what was charged for a request that no replica has run; false when
 // the word was dropped.
 func (c *Client) ReturnCharge(request ChargeRequest) bool {
-	current := c.chargingFor(request)
+	current := c.chargeSession(request)
 	if current == nil {
 		return false
 	}
 	payload := encodeChargeRequest(frame.NewEncoder(nil), request)
-	return current.enqueue(&outgoing{kind: kindReturn, payload: payload})
+	return current.enqueue(&outgoing{kind: kindRefund, payload: payload})
 }
 
 // receiveCharge answers a charge beside the reader.
@@ -119,10 +119,10 @@
 	if s.standby || s.server.config.Group.Leadership().Leads {
 		reply.grant, reply.found = s.server.config.Group.Charge(request)
 	}
-	s.answer(kindChargeReply, encodeChargeReply(reply))
+	s.enqueueResponse(kindChargeReply, encodeChargeReply(reply))
 }
 
-func (s *subscriber) receiveReturn(payload []byte) error {
+func (s *subscriber) receiveRefund(payload []byte) error {
 	request, err := decodeChargeRequest(frame.NewDecoder(payload))
 	if err != nil {
 		return err
--- a/connection/feed/charge_test.go
+++ b/connection/feed/charge_test.go
@@ -11,7 +11,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestChargesAreCoded(t *testing.T) {
+func TestChargeMessagesRoundTrip(t *testing.T) {
 	request := ChargeRequest{Tenant: "north", Cost: 17020, Passed: true}
 	decoder := frame.NewDecoder(encodeCharge(7, request))
 	must.Eq(t, 7, decoder.Uint64())
@@ -35,7 +35,7 @@
 	holder := view.NewHolder()
 	client, _ := startStandbyClient(t, holder, address)
 	eventually(t, "a subscription", client.Connected)
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	grant, err := client.Charge(ctx, ChargeRequest{Tenant: "north", Cost: 3})
 	must.NoError(t, err)
--- a/connection/feed/client.go
+++ b/connection/feed/client.go
@@ -119,21 +119,21 @@
 
 // Client follows the leader of the control group. It is safe for concurrent use.
 type Client struct {
-	config    ClientConfig
-	views     Views
-	instance  uint64
-	session   atomic.Pointer[session] // nil while no leader serves the client
-	standby   atomic.Pointer[session] // nil while no member stands by for one
-	lost      chan struct{}           // has an item once a leader serves the client no more, or is silent
-	leader    atomic.Pointer[string]  // the address of the one that served last
-	handover  *handover
-	shares    atomic.Pointer[shares] // of the replicas that views holds
-	named     named
-	requestID atomic.Uint64
-	slots     chan struct{} // one for each claim or outcome in flight
-	context   context.Context
-	cancel    context.CancelFunc
-	done      sync.WaitGroup
+	config        ClientConfig
+	views         Views
+	instance      uint64
+	session       atomic.Pointer[session] // nil while no leader serves the client
+	standby       atomic.Pointer[session] // nil while no member stands by for one
+	leaderLost    chan struct{}           // has an item once a leader serves the client no more, or is silent
+	lastLeader    atomic.Pointer[string]  // the address of the one that served last
+	handover      *handover
+	shares        atomic.Pointer[shares] // of the replicas that views holds
+	namedReplicas namedReplicas
+	requestID     atomic.Uint64
+	slots         chan struct{} // one for each claim or outcome in flight
+	context       context.Context
+	cancel        context.CancelFunc
+	done          sync.WaitGroup
 }
 
 // Dial starts a client that connects in the background, finds the leader among
@@ -150,10 +150,10 @@
 	client.handover = newHandover(client.config.HandoverWait)
 	client.slots = make(chan struct{}, client.config.MaxInFlight)
 	client.context, client.cancel = context.WithCancel(context.Background())
-	client.lost = make(chan struct{}, 1)
+	client.leaderLost = make(chan struct{}, 1)
 	client.done.Go(client.follow)
 	if client.config.Standby {
-		client.done.Go(client.standBy)
+		client.done.Go(client.runStandby)
 	}
 	return client, nil
 }
--- a/connection/feed/delta.go
+++ b/connection/feed/delta.go
@@ -11,22 +11,22 @@
 
 // packedFrom is the size in bytes from which a delta is packed. The first byte
 // of the payload says whether it is.
-const packedFrom = 1 << 10
+const compressThresholdBytes = 1 << 10
 
 const (
-	deltaPlain byte = iota
-	deltaPacked
+	deltaUncompressed byte = iota
+	deltaCompressed
 )
 
 func encodeDelta(delta view.Delta) ([]byte, error) {
-	data, err := delta.AppendBinary([]byte{deltaPlain})
+	data, err := delta.AppendBinary([]byte{deltaUncompressed})
 	if err != nil {
 		return nil, errors.Wrap(err, "feed: encode delta")
 	}
-	if len(data) < packedFrom {
+	if len(data) < compressThresholdBytes {
 		return data, nil
 	}
-	return append([]byte{deltaPacked}, compress.Pack(data[1:])...), nil
+	return append([]byte{deltaCompressed}, compress.Pack(data[1:])...), nil
 }
 
 func decodeDelta(data []byte) (view.Delta, error) {
@@ -34,12 +34,12 @@
 		return view.Delta{}, errors.Wrap(errProtocol, "empty delta")
 	}
 	body := data[1:]
-	if data[0] == deltaPacked {
-		unpacked, err := compress.Unpack(body, maxServerPayload)
+	if data[0] == deltaCompressed {
+		decompressed, err := compress.Unpack(body, maxServerPayload)
 		if err != nil {
 			return view.Delta{}, errors.Wrap(errProtocol, err.Error())
 		}
-		body = unpacked
+		body = decompressed
 	}
 	delta, err := view.DecodeDelta(body)
 	return delta, errors.Wrap(err, "feed: decode delta")
@@ -47,7 +47,7 @@
 
 // fullReuse is how long the encoding of a whole view is used again: what
 // changed since then follows as a small delta.
-const fullReuse = time.Second
+const fullViewCacheTTL = time.Second
 
 // deltaCache keeps the encodings of the latest delta, since most subscribers
 // stand at the same version, and of a whole view, which takes much longer to
@@ -56,9 +56,9 @@
 	lock    sync.Mutex
 	partial encodedDelta
 	// fullLock is held while a whole view is encoded, so that it is done once.
-	fullLock sync.Mutex
-	full     encodedDelta
-	fullAt   time.Duration
+	fullLock      sync.Mutex
+	full          encodedDelta
+	fullEncodedAt time.Duration
 }
 
 type encodedDelta struct {
@@ -70,9 +70,9 @@
 // when there is nothing to send.
 func (c *deltaCache) since(group Group, from view.Version, now time.Duration) ([]byte, view.Version, error) {
 	if from.IsZero() {
-		return c.whole(group, from, now)
+		return c.fullView(group, from, now)
 	}
-	if payload, to, found := c.find(from, group.Version()); found {
+	if payload, to, found := c.cached(from, group.Version()); found {
 		return payload, to, nil
 	}
 	delta, found := group.DeltaSince(from)
@@ -80,7 +80,7 @@
 		return nil, from, nil
 	}
 	if delta.Full {
-		return c.whole(group, from, now)
+		return c.fullView(group, from, now)
 	}
 	payload, err := encodeDelta(delta)
 	if err != nil {
@@ -92,7 +92,7 @@
 	return payload, delta.To, nil
 }
 
-func (c *deltaCache) find(from, to view.Version) ([]byte, view.Version, bool) {
+func (c *deltaCache) cached(from, to view.Version) ([]byte, view.Version, bool) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	if c.partial.payload == nil || c.partial.from != from || c.partial.to != to {
@@ -102,10 +102,10 @@
 }
 
 // whole returns the encoding of a whole view that is later than from.
-func (c *deltaCache) whole(group Group, from view.Version, now time.Duration) ([]byte, view.Version, error) {
+func (c *deltaCache) fullView(group Group, from view.Version, now time.Duration) ([]byte, view.Version, error) {
 	c.fullLock.Lock()
 	defer c.fullLock.Unlock()
-	if c.full.payload != nil && now-c.fullAt < fullReuse && c.full.to.Compare(from) > 0 {
+	if c.full.payload != nil && now-c.fullEncodedAt < fullViewCacheTTL && c.full.to.Compare(from) > 0 {
 		return c.full.payload, c.full.to, nil
 	}
 	delta, found := group.DeltaSince(view.Version{})
@@ -116,6 +116,6 @@
 	if err != nil {
 		return nil, from, err
 	}
-	c.full, c.fullAt = encodedDelta{to: delta.To, payload: payload}, now
+	c.full, c.fullEncodedAt = encodedDelta{to: delta.To, payload: payload}, now
 	return payload, delta.To, nil
 }
--- a/connection/feed/ends.go
+++ b/connection/feed/ends.go
@@ -47,20 +47,20 @@
 func EncodeEnds(report EndReport) []byte {
 	encoder := frame.NewEncoder(nil)
 	encoder.Uint32(uint32(len(report.Ended)))
-	for _, seen := range report.Ended {
-		encoder.String(string(seen.Fingerprint[:]))
-		encoder.String(seen.Replica)
-		encoder.Bool(seen.Began)
-		encoder.Bool(seen.Read)
-		encoder.Bool(seen.Alone)
-		encoder.Bool(seen.Listens)
-		encoder.Bool(seen.Once)
-		encoder.Uint64(seen.Sight)
-		encoder.Int64(int64(seen.Ran))
-		encoder.String(seen.About.Service)
-		encoder.String(seen.About.Route)
-		encoder.String(seen.About.Request)
-		encoder.Int64(int64(seen.Age))
+	for _, ended := range report.Ended {
+		encoder.String(string(ended.Fingerprint[:]))
+		encoder.String(ended.Replica)
+		encoder.Bool(ended.Began)
+		encoder.Bool(ended.Read)
+		encoder.Bool(ended.Alone)
+		encoder.Bool(ended.Listens)
+		encoder.Bool(ended.Once)
+		encoder.Uint64(ended.Sight)
+		encoder.Int64(int64(ended.Ran))
+		encoder.String(ended.About.Service)
+		encoder.String(ended.About.Route)
+		encoder.String(ended.About.Request)
+		encoder.Int64(int64(ended.Age))
 	}
 	encoder.Uint32(uint32(len(report.Alive)))
 	for _, alive := range report.Alive {
@@ -100,7 +100,7 @@
 }
 
 func decodeEnded(decoder *frame.Decoder) quarantine.Aged {
-	seen := quarantine.Aged{Evidence: quarantine.Evidence{
+	ended := quarantine.Aged{Evidence: quarantine.Evidence{
 		Fingerprint: decodeFingerprint(decoder),
 		Replica:     decoder.String(),
 		Began:       decoder.Bool(),
@@ -112,8 +112,8 @@
 		Ran:         time.Duration(decoder.Int64()),
 		About:       quarantine.About{Service: decoder.String(), Route: decoder.String(), Request: decoder.String()},
 	}}
-	seen.Age = time.Duration(decoder.Int64())
-	return seen
+	ended.Age = time.Duration(decoder.Int64())
+	return ended
 }
 
 func decodeFingerprint(decoder *frame.Decoder) quarantine.Fingerprint {
@@ -127,18 +127,18 @@
 // ReportEnds tells the leader, or the member that stands by without one, of replicas that
 // ended; false when a part of the word was dropped.
 func (c *Client) ReportEnds(report EndReport) bool {
-	return reportEnds(c.placing(), report)
+	return reportEnds(c.placementSession(), report)
 }
 
-func reportEnds(to *session, report EndReport) bool {
-	if to == nil {
+func reportEnds(target *session, report EndReport) bool {
+	if target == nil {
 		return false
 	}
-	all := true
+	queued := true
 	for _, part := range report.Split() {
-		all = to.enqueue(&outgoing{kind: kindEnds, payload: EncodeEnds(part)}) && all
+		queued = target.enqueue(&outgoing{kind: kindEnds, payload: EncodeEnds(part)}) && queued
 	}
-	return all
+	return queued
 }
 
 func (s *subscriber) receiveEnds(payload []byte) error {
@@ -155,21 +155,21 @@
 const UnrecordedPause = time.Second
 
 // unrecordedLeast is the least time between two words to a daemon: news come many at a time.
-const unrecordedLeast = 100 * time.Millisecond
+const minUnrecordedInterval = 100 * time.Millisecond
 
 // writeUnrecorded tells the daemon of ends that are not on record, if there are any that it does not
 // know or was told of a while ago.
 func (s *subscriber) writeUnrecorded(writer *frame.Writer) error {
-	report, news := s.server.config.Group.Unrecorded()
+	report, generation := s.server.config.Group.Unrecorded()
 	now := s.server.config.Clock()
-	least := unrecordedLeast
-	if news == s.toldNews {
-		least = UnrecordedPause
+	interval := minUnrecordedInterval
+	if generation == s.reportedGeneration {
+		interval = UnrecordedPause
 	}
-	if report.IsEmpty() || s.toldAt > 0 && now-s.toldAt < least {
+	if report.IsEmpty() || s.reportedAt > 0 && now-s.reportedAt < interval {
 		return nil
 	}
-	s.toldNews, s.toldAt = news, now
+	s.reportedGeneration, s.reportedAt = generation, now
 	for _, part := range report.Split() {
 		if err := writer.WriteFrame(kindEnds, EncodeEnds(part)); err != nil {
 			return err
--- a/connection/feed/ends_test.go
+++ b/connection/feed/ends_test.go
@@ -21,7 +21,7 @@
 	return report
 }
 
-func TestEndReportsKeepEveryField(t *testing.T) {
+func TestEndReportRoundTrip(t *testing.T) {
 	report := endReport(3)
 	data := EncodeEnds(report)
 	decoded, err := DecodeEnds(data)
--- a/connection/feed/feed_test.go
+++ b/connection/feed/feed_test.go
@@ -18,17 +18,17 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestClientFollowsThroughCuts(t *testing.T) {
+func TestClientReconnectsAfterConnectionLoss(t *testing.T) {
 	group := newFakeGroup()
 	server, address := startServer(t, group)
-	between := newRelay(t, address)
+	between := newTCPRelay(t, address)
 	holder := view.NewHolder()
 	client := startClient(t, holder, between.address())
 	for round := range 10 {
 		revision := putMany(group, fmt.Sprintf("round-%d", round), 5)
 		server.Wake()
 		if round%2 == 0 {
-			between.cut()
+			between.closeConnections()
 		}
 		eventually(t, "the version", func() bool { return holder.Load().Version.Revision == revision })
 	}
@@ -49,7 +49,7 @@
 	eventually(t, "the leader's version", func() bool { return holder.Load().Version.Revision == revision })
 }
 
-func TestSubscribersMoveWhenLeadershipDoes(t *testing.T) {
+func TestSubscribersReconnectToNewLeader(t *testing.T) {
 	first, second := newFakeGroup(), newFakeGroup()
 	second.set(false, false, 1, "")
 	firstServer, firstAddress := startServer(t, first)
@@ -67,15 +67,15 @@
 	})
 }
 
-func TestClaimsWaitForTheNextLeaderOnlyWhenTheLastOneSaysSo(t *testing.T) {
+func TestClaimsWaitForTheNextLeaderOnlyAfterAnnouncedHandover(t *testing.T) {
 	first, second := newFakeGroup(), newFakeGroup()
 	second.set(false, false, 1, "")
 	firstServer, firstAddress := startServer(t, first)
 	secondServer, secondAddress := startServer(t, second)
-	wire := newRelay(t, secondAddress)
+	wire := newTCPRelay(t, secondAddress)
 	client := startClient(t, view.NewHolder(), firstAddress, wire.address())
 	eventually(t, "a subscription", client.Connected)
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	request := state.ClaimRequest{Tenant: "water", Key: "crew-7", BodyHash: 9, Attempt: 1, Proxy: "proxy-a", Nonce: 1}
 	refused := make(chan struct{})
@@ -100,7 +100,7 @@
 	must.NoError(t, <-claimed)
 
 	must.NoError(t, wire.listener.Close())
-	wire.cut() // the leader is lost without a word
+	wire.closeConnections() // the leader is lost without a word
 	eventually(t, "the end of the subscription", func() bool { return !client.Connected() })
 	_, err := client.Claim(ctx, request)
 	must.ErrorIs(t, err, ErrNoQuorum)
@@ -127,7 +127,7 @@
 			if len(data) == 0 {
 				return
 			}
-			must.NoError(t, conn.SetReadDeadline(time.Now().Add(patience)))
+			must.NoError(t, conn.SetReadDeadline(time.Now().Add(testTimeout)))
 			_, err = conn.Read(make([]byte, 1))
 			must.Error(t, err)
 		})
@@ -163,7 +163,7 @@
 	t.Cleanup(func() { _ = conn.Close() })
 	raw := &rawSubscriber{t: t, conn: conn}
 	raw.writer = frame.NewWriter(conn, Protocol, time.Second)
-	raw.reader = frame.NewReader(conn, Protocol, maxServerPayload, patience)
+	raw.reader = frame.NewReader(conn, Protocol, maxServerPayload, testTimeout)
 	return raw
 }
 
@@ -172,7 +172,7 @@
 	must.NoError(r.t, r.writer.Flush())
 }
 
-func TestSlowSubscriberGetsOneLaterDelta(t *testing.T) {
+func TestSlowSubscriberGetsCoalescedDeltas(t *testing.T) {
 	group := newFakeGroup()
 	server, address := startServer(t, group)
 	raw := newRawSubscriber(t, address)
@@ -199,7 +199,7 @@
 	t.Logf("%d changes came in %d deltas", changes, frames)
 }
 
-func TestStuckSubscriberIsCutOff(t *testing.T) {
+func TestSubscriberThatStopsReadingIsDisconnected(t *testing.T) {
 	group := newFakeGroup()
 	server, address := startServer(t, group)
 	raw := newRawSubscriber(t, address)
@@ -208,18 +208,18 @@
 	eventually(t, "the subscription", func() bool { return server.Subscribers() == 1 })
 	started := time.Now()
 	for i := 0; server.Subscribers() > 0; i++ {
-		must.Less(t, patience, time.Since(started))
-		group.putTogether(fmt.Sprintf("batch-%d", i%50), 200)
+		must.Less(t, testTimeout, time.Since(started))
+		group.putBatch(fmt.Sprintf("batch-%d", i%50), 200)
 		server.Wake()
 		// It goes on sending, so that it is its reading alone that is at fault.
-		_ = raw.writer.WriteFrame(kindBeat, encodeBeat(beat{sequence: uint64(i + 1)}))
+		_ = raw.writer.WriteFrame(kindHeartbeat, encodeHeartbeat(heartbeat{sequence: uint64(i + 1)}))
 		_ = raw.writer.Flush()
 	}
 }
 
-func TestClaimErrorsSayWhatIsSure(t *testing.T) {
+func TestClaimErrorsDistinguishRefusedFromUnknown(t *testing.T) {
 	request := state.ClaimRequest{Tenant: "water", Key: "crew", Nonce: 7}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 
 	t.Run("no leader", func(t *testing.T) {
@@ -253,12 +253,12 @@
 			return api.ClaimResult{}, nil
 		}
 		_, address := startServer(t, group)
-		between := newRelay(t, address)
+		between := newTCPRelay(t, address)
 		client := startClient(t, view.NewHolder(), between.address())
 		eventually(t, "a connection", client.Connected)
 		go func() {
 			<-proposed
-			between.cut()
+			between.closeConnections()
 		}()
 		_, err := client.Claim(ctx, request)
 		must.ErrorIs(t, err, ErrOutcomeUnknown)
@@ -309,13 +309,13 @@
 }
 
 // stuckViews stops taking deltas when told to, as a paused process would.
-type stuckViews struct {
+type blockableViews struct {
 	*view.Holder
-	stuck atomic.Bool
+	blocked atomic.Bool
 }
 
-func (s *stuckViews) Apply(delta view.Delta) error {
-	if s.stuck.Load() {
+func (s *blockableViews) Apply(delta view.Delta) error {
+	if s.blocked.Load() {
 		return errors.New("stuck")
 	}
 	return s.Holder.Apply(delta)
@@ -325,7 +325,7 @@
 	group := newFakeGroup()
 	server, address := startServer(t, group)
 	group.put("water")
-	views := &stuckViews{Holder: view.NewHolder()}
+	views := &blockableViews{Holder: view.NewHolder()}
 	startClient(t, views, address)
 	eventually(t, "a lease", func() bool { return views.Valid(clock.Now()) })
 	ctx := context.Background()
@@ -333,7 +333,7 @@
 		result, valid := server.InForce(ctx, group.Version().Revision)
 		return valid && result.Done && result.Acknowledged == 1
 	})
-	views.stuck.Store(true)
+	views.blocked.Store(true)
 	revision := group.put("gritting")
 	server.Wake()
 	eventually(t, "in force by a lapsed lease", func() bool {
@@ -350,7 +350,7 @@
 		time.Sleep(5 * time.Millisecond)
 		must.False(t, views.Valid(clock.Now()))
 	}
-	views.stuck.Store(false)
+	views.blocked.Store(false)
 	eventually(t, "a lease on the new view", func() bool { return views.Valid(clock.Now()) })
 	must.Eq(t, revision, views.Load().Version.Revision)
 }
@@ -385,7 +385,7 @@
 func FuzzMessages(f *testing.F) {
 	f.Add(encodeSubscribe(subscribe{daemon: "proxy", instance: 1, zone: "zone"}))
 	f.Add(encodeSubscribe(subscribe{daemon: "proxy", standby: true}))
-	f.Add(encodeBeat(beat{sequence: 1}))
+	f.Add(encodeHeartbeat(heartbeat{sequence: 1}))
 	f.Add(encodeGrant(grant{sequence: 1, lease: time.Second, term: 2}))
 	f.Add(encodeClaim(1, state.ClaimRequest{Tenant: "t", Key: "k", Proxy: "p"}))
 	f.Add(encodeOutcome(1, state.RunOutcome{Tenant: "t", Key: "k", Outcome: api.RunNotRun}))
@@ -403,8 +403,8 @@
 		if message, err := decodeSubscribe(data); err == nil {
 			must.Eq(t, data, encodeSubscribe(message))
 		}
-		if message, err := decodeBeat(data); err == nil {
-			must.Eq(t, data, encodeBeat(message))
+		if message, err := decodeHeartbeat(data); err == nil {
+			must.Eq(t, data, encodeHeartbeat(message))
 		}
 		if message, err := decodeGrant(data); err == nil {
 			_ = encodeGrant(message)
@@ -426,8 +426,8 @@
 }
 
 // However much a daemon has in flight, its message is one that a server takes.
-func TestMessageOfWhatIsInFlightIsBounded(t *testing.T) {
-	parts := make([]placement.Part, maxParts)
+func TestInFlightMessageSizeIsBounded(t *testing.T) {
+	parts := make([]placement.Part, maxPromptParts)
 	for i := range parts {
 		parts[i] = placement.Part{ID: "a-part-with-a-long-name", Tokens: i}
 	}
--- a/connection/feed/follow.go
+++ b/connection/feed/follow.go
@@ -24,7 +24,7 @@
 			address = addresses[next%len(addresses)]
 			next++
 		}
-		served, named, err := c.connect(address)
+		served, nextHint, err := c.connect(address)
 		if c.context.Err() != nil {
 			return
 		}
@@ -32,15 +32,15 @@
 		if served {
 			backoff = c.config.BackoffMin
 		}
-		followed := hint != ""
-		hint = named
+		followedHint := hint != ""
+		hint = nextHint
 		// A first hint, or the word of a leader that it leads no more, is
 		// followed at once; a hint that led to another hint or to a failure
 		// waits, so that two members naming each other cost little.
-		if named != "" && !followed || served && errors.Is(err, errNotLeader) {
+		if nextHint != "" && !followedHint || served && errors.Is(err, errNotLeader) {
 			continue
 		}
-		pause.For(c.context, jitter(backoff))
+		pause.For(c.context, jitteredBackoff(backoff))
 		backoff = min(2*backoff, c.config.BackoffMax)
 	}
 }
@@ -61,19 +61,19 @@
 
 // connect serves one connection to its end. It reports whether a leader served
 // it, and the address that the member named.
-func (c *Client) connect(address string) (served bool, named string, err error) {
+func (c *Client) connect(address string) (served bool, hint string, err error) {
 	conn, err := c.config.Dial(c.context, "tcp", address)
 	if err != nil {
 		return false, "", errors.Wrap(err, "feed: dial")
 	}
 	current := newSession(c, conn)
 	current.address = address
-	named, err = current.run(c.context)
-	return current.ready, named, err
+	hint, err = current.run(c.context)
+	return current.ready, hint, err
 }
 
 // jitter draws a duration from the upper half of the range up to limit.
-func jitter(limit time.Duration) time.Duration {
+func jitteredBackoff(limit time.Duration) time.Duration {
 	return limit/2 + rand.N(limit/2+1)
 }
 
@@ -93,7 +93,7 @@
 		}
 		requestID := c.requestID.Add(1)
 		answer, err := current.call(ctx, requestID, &outgoing{kind: kind, payload: encode(requestID)})
-		if !errors.Is(err, ErrNoQuorum) || errors.Is(err, errQueueFull) || !current.movedOn(ctx) {
+		if !errors.Is(err, ErrNoQuorum) || errors.Is(err, errQueueFull) || !current.leaderSteppedDown(ctx) {
 			return answer, err
 		}
 	}
@@ -103,19 +103,19 @@
 var errQueueFull = errors.Wrap(ErrNoQuorum, "the queue is full")
 
 // call sends one request to this session's leader and waits for its reply.
-func (s *session) call(ctx context.Context, requestID uint64, sent *outgoing) (reply, error) {
-	waiting := s.register(requestID, sent.kind)
+func (s *session) call(ctx context.Context, requestID uint64, request *outgoing) (reply, error) {
+	waiting := s.register(requestID, request.kind)
 	defer s.unregister(requestID)
-	if !s.enqueue(sent) {
+	if !s.enqueue(request) {
 		return reply{}, errQueueFull
 	}
 	select {
 	case answer := <-waiting:
 		return checkReply(answer)
 	case <-ctx.Done():
-		return giveUp(sent, waiting, "gave up waiting")
+		return abandonCall(request, waiting, "gave up waiting")
 	case <-s.ended:
-		return giveUp(sent, waiting, "the connection ended")
+		return abandonCall(request, waiting, "the connection ended")
 	}
 }
 
@@ -131,13 +131,13 @@
 }
 
 // giveUp tells a request that surely was not sent from one that may have been.
-func giveUp(sent *outgoing, waiting chan reply, cause string) (reply, error) {
+func abandonCall(request *outgoing, waiting chan reply, cause string) (reply, error) {
 	select {
 	case answer := <-waiting:
 		return checkReply(answer)
 	default:
 	}
-	if sent.withdraw() {
+	if request.cancel() {
 		return reply{}, errors.Wrap(ErrNoQuorum, cause)
 	}
 	return reply{}, errors.Wrap(ErrOutcomeUnknown, cause)
--- a/connection/feed/foreignreply_test.go
+++ b/connection/feed/foreignreply_test.go
@@ -52,7 +52,7 @@
 // serve ends with the connection, which the client closes.
 func (m *scriptedMember) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
-	reader := frame.NewReader(conn, Protocol, maxSubscriberPayload, patience)
+	reader := frame.NewReader(conn, Protocol, maxSubscriberPayload, testTimeout)
 	writer := frame.NewWriter(conn, Protocol, time.Second)
 	send := func(sent frame.Frame) {
 		_ = writer.WriteFrame(sent.Kind, sent.Payload)
@@ -108,7 +108,7 @@
 		Addresses:      []string{address},
 		Standby:        true,
 		BeatInterval:   20 * time.Millisecond,
-		SilenceTimeout: patience,
+		SilenceTimeout: testTimeout,
 		BackoffMin:     time.Millisecond,
 		BackoffMax:     20 * time.Millisecond,
 		Logger:         log.NewLogfmtLogger(lines),
@@ -121,7 +121,7 @@
 // A reply with a question's number and of another question's kind says nothing: an
 // outcome that was never recorded would be taken for recorded, and a claim for answered.
 // The caller learns that nothing is known, and the connection ends.
-func TestReplyOfAnotherKindCountsAsNone(t *testing.T) {
+func TestReplyOfWrongKindIsRejected(t *testing.T) {
 	claimReplied := func(id uint64) frame.Frame {
 		return frame.Frame{Kind: kindClaimReply, Payload: encodeClaimReply(claimReply{requestID: id, code: replyDone})}
 	}
@@ -159,7 +159,7 @@
 			client, lines := startLoggedClient(t, view.NewHolder(), address)
 			eventually(t, "a leader", client.Connected)
 			first := client.session.Load()
-			ctx, cancel := context.WithTimeout(t.Context(), patience)
+			ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 			defer cancel()
 			must.ErrorIs(t, test.ask(ctx, client), test.want)
 			must.NoError(t, ctx.Err())
@@ -171,7 +171,7 @@
 
 // Whoever only stands by gives placements, and nothing that a leader alone may say: its
 // view would be taken for the leader's, and a lease believed that no leader granted.
-func TestMemberThatStandsByGivesPlacementsOnly(t *testing.T) {
+func TestStandbyMemberMustNotSendViewsOrLeases(t *testing.T) {
 	granted := frame.Frame{Kind: kindGrant, Payload: encodeGrant(grant{sequence: 1, lease: time.Hour, term: 9})}
 	for name, opening := range map[string]frame.Frame{"a view": firstDelta(t), "a lease": granted} {
 		t.Run(name, func(t *testing.T) {
--- a/connection/feed/group_test.go
+++ b/connection/feed/group_test.go
@@ -20,14 +20,14 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // patience bounds every wait; it measures nothing.
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(testTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("not within %v: %s", patience, what)
+			t.Fatalf("not within %v: %s", testTimeout, what)
 		}
 		time.Sleep(time.Millisecond)
 	}
@@ -72,7 +72,7 @@
 }
 
 // putTogether writes tenants in one transaction, over those of an earlier call.
-func (g *fakeGroup) putTogether(prefix string, count int) {
+func (g *fakeGroup) putBatch(prefix string, count int) {
 	transaction := &api.Transaction{OperationID: fmt.Sprint(prefix, "-", time.Now().UnixNano())}
 	for i := range count {
 		tenant := &api.Tenant{Metadata: api.Metadata{Name: fmt.Sprintf("%s-%d", prefix, i)}}
@@ -169,9 +169,9 @@
 }
 
 // fakeDay is the time of day of a fake group.
-const fakeDay = 1_700_000_000_000
+const fakeWallClock = 1_700_000_000_000
 
-func (g *fakeGroup) Day() int64 { return fakeDay }
+func (g *fakeGroup) Day() int64 { return fakeWallClock }
 
 func (g *fakeGroup) NoteKept(KeptParts) {}
 
@@ -189,22 +189,22 @@
 // smallBuffers accepts connections that hold little of what is written to them: how
 // much the machine's own buffers hold, and how long filling them takes, is no part of
 // a test.
-type smallBuffers struct{ net.Listener }
+type smallBufferListener struct{ net.Listener }
 
-const smallBuffer = 16 << 10 // bytes
+const smallBufferBytes = 16 << 10 // bytes
 
-func (l smallBuffers) Accept() (net.Conn, error) {
+func (l smallBufferListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return conn, conn.(*net.TCPConn).SetWriteBuffer(smallBuffer)
+	return conn, conn.(*net.TCPConn).SetWriteBuffer(smallBufferBytes)
 }
 
 func startServer(t *testing.T, group Group) (*Server, string) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
-	listener = smallBuffers{listener}
+	listener = smallBufferListener{listener}
 	server := NewServer(ServerConfig{Group: group, ViewLease: testLease, WriteTimeout: time.Second}, listener)
 	t.Cleanup(server.Close)
 	return server, listener.Addr().String()
@@ -213,7 +213,7 @@
 func startClient(t *testing.T, views Views, addresses ...string) *Client {
 	client, err := Dial(ClientConfig{
 		Daemon:         "proxy-a",
-		HandoverWait:   patience,
+		HandoverWait:   testTimeout,
 		Addresses:      addresses,
 		BeatInterval:   20 * time.Millisecond,
 		SilenceTimeout: time.Second,
@@ -226,7 +226,7 @@
 }
 
 // relay passes bytes on to a server until it is cut.
-type relay struct {
+type tcpRelay struct {
 	t        *testing.T
 	listener net.Listener
 	target   string
@@ -235,22 +235,22 @@
 	done     sync.WaitGroup
 }
 
-func newRelay(t *testing.T, target string) *relay {
+func newTCPRelay(t *testing.T, target string) *tcpRelay {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
-	r := &relay{t: t, listener: listener, target: target}
+	r := &tcpRelay{t: t, listener: listener, target: target}
 	r.done.Go(r.accept)
 	t.Cleanup(func() {
 		_ = listener.Close()
-		r.cut()
+		r.closeConnections()
 		r.done.Wait()
 	})
 	return r
 }
 
-func (r *relay) address() string { return r.listener.Addr().String() }
+func (r *tcpRelay) address() string { return r.listener.Addr().String() }
 
-func (r *relay) accept() {
+func (r *tcpRelay) accept() {
 	for {
 		conn, err := r.listener.Accept()
 		if err != nil {
@@ -264,12 +264,12 @@
 		r.lock.Lock()
 		r.conns = append(r.conns, conn, onward)
 		r.lock.Unlock()
-		r.done.Go(func() { pass(onward, conn) })
-		r.done.Go(func() { pass(conn, onward) })
+		r.done.Go(func() { copyUntilError(onward, conn) })
+		r.done.Go(func() { copyUntilError(conn, onward) })
 	}
 }
 
-func pass(to, from net.Conn) {
+func copyUntilError(to, from net.Conn) {
 	buffer := make([]byte, 1<<10)
 	for {
 		count, err := from.Read(buffer)
@@ -285,7 +285,7 @@
 }
 
 // cut ends every connection.
-func (r *relay) cut() {
+func (r *tcpRelay) closeConnections() {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	for _, conn := range r.conns {
@@ -301,7 +301,7 @@
 	return revision
 }
 
-func TestNewGroupWaitsForNoEarlierLeases(t *testing.T) {
+func TestNewGroupDoesNotWaitForEarlierLeases(t *testing.T) {
 	const lease = time.Second
 	first := view.Version{Term: 1, Revision: 1}
 	fresh := newRegistry(1, view.Version{}, lease, 0)
@@ -312,7 +312,7 @@
 	must.True(t, later.inForce(first, 0).Settling, must.Sprint("an earlier leader may have granted leases"))
 }
 
-func TestTermStartsBeforeTheFirstQuestion(t *testing.T) {
+func TestTermStartsBeforeTheFirstQuery(t *testing.T) {
 	group := newFakeGroup()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
--- a/connection/feed/handover.go
+++ b/connection/feed/handover.go
@@ -9,7 +9,7 @@
 // refusedShare is the part of HandoverWait that a refused request waits for its
 // leader to say that it leads no more. A leader refuses commands from the start of
 // a handover on, shortly before it sends its subscribers on.
-const refusedShare = 5
+const refusedWaitDivisor = 5
 
 // handover tells the client's callers about the change from one leader to the
 // next that a member announced.
@@ -25,7 +25,7 @@
 }
 
 // announce lets callers wait for the next session from now on.
-func (h *handover) announce() {
+func (h *handover) begin() {
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	h.until = time.Now().Add(h.wait)
@@ -40,7 +40,7 @@
 	h.changed = make(chan struct{})
 }
 
-func (h *handover) look() (changed <-chan struct{}, until time.Time) {
+func (h *handover) status() (changed <-chan struct{}, until time.Time) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	return h.changed, h.until
@@ -51,24 +51,24 @@
 // when there is none.
 func (c *Client) awaitSession(ctx context.Context) *session {
 	for {
-		changed, until := c.handover.look()
+		changed, until := c.handover.status()
 		if current := c.session.Load(); current != nil {
 			return current
 		}
 		left := time.Until(until)
-		if left <= 0 || !waitFor(ctx, changed, left) {
+		if left <= 0 || !waitClosed(ctx, changed, left) {
 			return nil
 		}
 	}
 }
 
 // movedOn reports whether the session ends shortly because its member leads no more.
-func (s *session) movedOn(ctx context.Context) bool {
-	return waitFor(ctx, s.ended, s.client.config.HandoverWait/refusedShare) && s.announced
+func (s *session) leaderSteppedDown(ctx context.Context) bool {
+	return waitClosed(ctx, s.ended, s.client.config.HandoverWait/refusedWaitDivisor) && s.steppedDown
 }
 
 // waitFor reports whether the channel was closed in time.
-func waitFor(ctx context.Context, closed <-chan struct{}, limit time.Duration) bool {
+func waitClosed(ctx context.Context, closed <-chan struct{}, limit time.Duration) bool {
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	select {
--- a/connection/feed/incarnation_test.go
+++ b/connection/feed/incarnation_test.go
@@ -7,7 +7,7 @@
 )
 
 // told returns what proxies last said of themselves, and how often they did.
-func (g *fakeGroup) told() (last Presence, count int) {
+func (g *fakeGroup) lastPresence() (last Presence, count int) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	if len(g.presences) == 0 {
@@ -17,14 +17,14 @@
 }
 
 // reports returns how many reports of demand came.
-func (g *fakeGroup) reports() int {
+func (g *fakeGroup) demandReportCount() int {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	return len(g.demand)
 }
 
 // say sends a proxy's word; the server may have ended the subscription.
-func (r *rawSubscriber) say(presence Presence) {
+func (r *rawSubscriber) sendPresence(presence Presence) {
 	_ = r.writer.WriteFrame(kindPresence, encodePresence(presence))
 	_ = r.writer.Flush()
 }
@@ -32,7 +32,7 @@
 // A proxy that was stopped and started again has said that it is ready. What its earlier
 // process said before it ended comes late, over its own connection, and is not the proxy's
 // word any more: it would take the proxy off the directory.
-func TestLateWordOfAnEarlierProcessSaysNothingOfItsProxy(t *testing.T) {
+func TestLatePresenceOfAnEarlierProcessIsIgnored(t *testing.T) {
 	group := newFakeGroup()
 	_, address := startServer(t, group)
 	subscribeAs := func(instance uint64) *rawSubscriber {
@@ -41,22 +41,22 @@
 		return raw
 	}
 	earlier := subscribeAs(1)
-	earlier.say(Presence{Proxy: "proxy-a", Ready: true})
-	eventually(t, "the first word", func() bool { _, count := group.told(); return count == 1 })
-	subscribeAs(2).say(Presence{Proxy: "proxy-a", Ready: true})
-	eventually(t, "the word of the later process", func() bool { _, count := group.told(); return count == 2 })
+	earlier.sendPresence(Presence{Proxy: "proxy-a", Ready: true})
+	eventually(t, "the first word", func() bool { _, count := group.lastPresence(); return count == 1 })
+	subscribeAs(2).sendPresence(Presence{Proxy: "proxy-a", Ready: true})
+	eventually(t, "the word of the later process", func() bool { _, count := group.lastPresence(); return count == 2 })
 
-	earlier.say(Presence{Proxy: "proxy-a", Stopping: true})
+	earlier.sendPresence(Presence{Proxy: "proxy-a", Stopping: true})
 	earlier.send(kindDemand, encodeDemand(DemandReport{}))
-	eventually(t, "what comes behind the late word is taken in", func() bool { return group.reports() == 1 })
-	last, _ := group.told()
+	eventually(t, "what comes behind the late word is taken in", func() bool { return group.demandReportCount() == 1 })
+	last, _ := group.lastPresence()
 	must.False(t, last.Stopping)
 }
 
 // Seen: a proxy was never named to callers. It comes about where a later subscription of its
 // daemon, as one that only stood by, has ended and the earlier one goes on: what the proxy
 // said was dropped for as long as that stayed open.
-func TestWordCountsAgainOnceTheLaterSubscriptionHasEnded(t *testing.T) {
+func TestPresenceCountsAgainAfterTheLaterSubscriptionEnds(t *testing.T) {
 	group := newFakeGroup()
 	server, address := startServer(t, group)
 	subscribeAs := func() *rawSubscriber {
@@ -65,23 +65,23 @@
 		return raw
 	}
 	earlier := subscribeAs()
-	earlier.say(Presence{Proxy: "proxy-a"})
-	eventually(t, "the first word", func() bool { _, count := group.told(); return count == 1 })
+	earlier.sendPresence(Presence{Proxy: "proxy-a"})
+	eventually(t, "the first word", func() bool { _, count := group.lastPresence(); return count == 1 })
 	later := subscribeAs()
-	later.say(Presence{Proxy: "proxy-a"})
-	eventually(t, "the word of the later one", func() bool { _, count := group.told(); return count == 2 })
+	later.sendPresence(Presence{Proxy: "proxy-a"})
+	eventually(t, "the word of the later one", func() bool { _, count := group.lastPresence(); return count == 2 })
 	must.NoError(t, later.conn.Close())
 	eventually(t, "the end of the later one", func() bool { return server.Subscribers() == 1 })
-	earlier.say(Presence{Proxy: "proxy-a", Ready: true})
+	earlier.sendPresence(Presence{Proxy: "proxy-a", Ready: true})
 	earlier.send(kindDemand, encodeDemand(DemandReport{}))
-	eventually(t, "what comes behind the word is taken in", func() bool { return group.reports() == 1 })
-	last, _ := group.told()
+	eventually(t, "what comes behind the word is taken in", func() bool { return group.demandReportCount() == 1 })
+	last, _ := group.lastPresence()
 	must.True(t, last.Ready)
 }
 
 // A subscription that only stands by is none of the leader's: it makes the one beside it,
 // over which the daemon speaks, no earlier one.
-func TestSubscriptionThatStandsByTakesNobodysWord(t *testing.T) {
+func TestStandbySubscriptionDoesNotSupersedePresence(t *testing.T) {
 	group := newFakeGroup()
 	group.put("tenant") // a member without a view sends those on that stand by
 	_, address := startServer(t, group)
@@ -89,10 +89,10 @@
 	speaking.send(kindSubscribe, encodeSubscribe(subscribe{daemon: "proxy-a", instance: 1}))
 	standing.send(kindSubscribe, encodeSubscribe(subscribe{daemon: "proxy-a", instance: 1, standby: true}))
 	standing.send(kindDemand, encodeDemand(DemandReport{}))
-	eventually(t, "the one that stands by is open", func() bool { return group.reports() == 1 })
-	speaking.say(Presence{Proxy: "proxy-a", Ready: true})
+	eventually(t, "the one that stands by is open", func() bool { return group.demandReportCount() == 1 })
+	speaking.sendPresence(Presence{Proxy: "proxy-a", Ready: true})
 	speaking.send(kindDemand, encodeDemand(DemandReport{}))
-	eventually(t, "what comes behind the word is taken in", func() bool { return group.reports() == 2 })
-	last, _ := group.told()
+	eventually(t, "what comes behind the word is taken in", func() bool { return group.demandReportCount() == 2 })
+	last, _ := group.lastPresence()
 	must.True(t, last.Ready)
 }
--- a/connection/feed/latest.go
+++ b/connection/feed/latest.go
@@ -39,7 +39,7 @@
 
 // ifLatest acts if the open subscription is its daemon's latest. No later one is added
 // until act, which must not block, has returned.
-func (l *latestSubscriptions) ifLatest(daemon string, number uint64, act func()) {
+func (l *latestSubscriptions) runIfLatest(daemon string, number uint64, act func()) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	if number == slices.Max(l.byDaemon[daemon]) {
--- a/connection/feed/messages.go
+++ b/connection/feed/messages.go
@@ -15,29 +15,29 @@
 
 // Kinds of frames. A subscriber sends Subscribe first and once.
 const (
-	kindSubscribe    frame.Kind = iota + 1 // subscriber: subscribe
-	kindDelta                              // server: view.Delta
-	kindBeat                               // subscriber: beat
-	kindGrant                              // server: grant
-	kindNotLeader                          // server: notLeader; the connection ends
-	kindClaim                              // subscriber: request ID, state.ClaimRequest
-	kindClaimReply                         // server: request ID, replyCode, api.ClaimResult
-	kindOutcome                            // subscriber: request ID, state.RunOutcome
-	kindOutcomeReply                       // server: request ID, replyCode
-	kindDemand                             // subscriber: DemandReport
-	kindPresence                           // subscriber: Presence
-	kindPlace                              // subscriber: request ID, PlaceRequest
-	kindPlaceReply                         // server: request ID, placement.Answer
-	kindPlaceNote                          // subscriber: PlaceNote
-	kindKept                               // subscriber: KeptParts
-	kindAlive                              // server, to a standby subscription: nothing
-	kindInFlight                           // subscriber: InFlight
-	kindEnds                               // either side: EndReport
-	kindUsage                              // subscriber: UsageReport
-	kindCharge                             // subscriber: request ID, ChargeRequest
-	kindChargeReply                        // server: request ID, quota.Grant
-	kindReturn                             // subscriber: ChargeRequest
-	kindOwnReplicas                        // server, to a partial subscription: ownReplicas
+	kindSubscribe      frame.Kind = iota + 1 // subscriber: subscribe
+	kindDelta                                // server: view.Delta
+	kindHeartbeat                            // subscriber: beat
+	kindGrant                                // server: grant
+	kindNotLeader                            // server: notLeader; the connection ends
+	kindClaim                                // subscriber: request ID, state.ClaimRequest
+	kindClaimReply                           // server: request ID, replyCode, api.ClaimResult
+	kindOutcome                              // subscriber: request ID, state.RunOutcome
+	kindOutcomeReply                         // server: request ID, replyCode
+	kindDemand                               // subscriber: DemandReport
+	kindPresence                             // subscriber: Presence
+	kindPlace                                // subscriber: request ID, PlaceRequest
+	kindPlaceReply                           // server: request ID, placement.Answer
+	kindPlaceNote                            // subscriber: PlaceNote
+	kindCachedParts                          // subscriber: KeptParts
+	kindStandbyReady                         // server, to a standby subscription: nothing
+	kindInFlight                             // subscriber: InFlight
+	kindEnds                                 // either side: EndReport
+	kindUsage                                // subscriber: UsageReport
+	kindCharge                               // subscriber: request ID, ChargeRequest
+	kindChargeReply                          // server: request ID, quota.Grant
+	kindRefund                               // subscriber: ChargeRequest
+	kindSubsetReplicas                       // server, to a partial subscription: ownReplicas
 )
 
 // Bounds of payloads in bytes. A server takes only small frames from
@@ -67,7 +67,7 @@
 
 // beat asks for the view lease to be renewed and acknowledges a version. A
 // relay holds versions that it does not acknowledge yet.
-type beat struct {
+type heartbeat struct {
 	sequence uint64
 	acked    view.Version
 	held     view.Version
@@ -77,10 +77,10 @@
 // sequence was sent, for the duration. day is the group's time of day when the
 // grant was sent, in milliseconds, 0 where none is known.
 type grant struct {
-	sequence uint64
-	lease    time.Duration
-	term     uint64
-	day      int64
+	sequence  uint64
+	lease     time.Duration
+	term      uint64
+	wallClock int64
 }
 
 // notLeader sends the subscriber to another member; the address may be empty.
@@ -191,7 +191,7 @@
 	return view.Version{Term: decoder.Uint64(), Revision: decoder.Uint64()}
 }
 
-func encodeBeat(message beat) []byte {
+func encodeHeartbeat(message heartbeat) []byte {
 	encoder := frame.NewEncoder(nil)
 	encoder.Uint64(message.sequence)
 	encodeVersion(encoder, message.acked)
@@ -199,14 +199,14 @@
 	return encoder.Data()
 }
 
-func decodeBeat(data []byte) (beat, error) {
+func decodeHeartbeat(data []byte) (heartbeat, error) {
 	decoder := frame.NewDecoder(data)
-	message := beat{sequence: decoder.Uint64(), acked: decodeVersion(decoder), held: decodeVersion(decoder)}
+	message := heartbeat{sequence: decoder.Uint64(), acked: decodeVersion(decoder), held: decodeVersion(decoder)}
 	if err := decoder.Finish(); err != nil {
-		return beat{}, err
+		return heartbeat{}, err
 	}
 	if message.acked.Compare(message.held) > 0 {
-		return beat{}, errors.Wrapf(errProtocol, "version %d is acknowledged and not held", message.acked.Revision)
+		return heartbeat{}, errors.Wrapf(errProtocol, "version %d is acknowledged and not held", message.acked.Revision)
 	}
 	return message, nil
 }
@@ -216,7 +216,7 @@
 	encoder.Uint64(message.sequence)
 	encoder.Int64(message.lease.Milliseconds())
 	encoder.Uint64(message.term)
-	encoder.Int64(message.day)
+	encoder.Int64(message.wallClock)
 	return encoder.Data()
 }
 
@@ -225,7 +225,7 @@
 	message := grant{sequence: decoder.Uint64()}
 	message.lease = time.Duration(decoder.Int64()) * time.Millisecond
 	message.term = decoder.Uint64()
-	message.day = decoder.Int64()
+	message.wallClock = decoder.Int64()
 	return message, decoder.Finish()
 }
 
--- a/connection/feed/partial.go
+++ b/connection/feed/partial.go
@@ -31,31 +31,31 @@
 }
 
 // sharesOf returns the shares of the replicas that are listed; before are those until now.
-func sharesOf(listed map[string]*api.Replica, before shares) shares {
+func computeShares(replicas map[string]*api.Replica, previous shares) shares {
 	sizes := map[string]int{}
-	for _, replica := range listed {
+	for _, replica := range replicas {
 		sizes[replica.Spec.Service]++
 	}
-	made := shares{}
+	computed := shares{}
 	for service, size := range sizes {
-		if share := subset.ShareOf(size, before[service]); share > 0 {
-			made[service] = share
+		if share := subset.ShareOf(size, previous[service]); share > 0 {
+			computed[service] = share
 		}
 	}
-	return made
+	return computed
 }
 
 // partialViews keeps what partial subscriptions to one server have in common.
-type partialViews struct {
-	lock    sync.Mutex
-	version view.Version // of which shares are
-	shares  shares
+type partialViewCache struct {
+	lock          sync.Mutex
+	sharesVersion view.Version // of which shares are
+	shares        shares
 	// full is a whole view without its replicas, which are listed beside it.
-	full   encodedDelta
-	listed []hashedReplica
-	fullAt time.Duration
+	full          encodedDelta
+	replicas      []hashedReplica
+	fullEncodedAt time.Duration
 	// wholeFrom is the highest revision of which it was seen that no delta leads on from it.
-	wholeFrom uint64
+	noDeltaThrough uint64
 	// latest is the last delta that anybody was sent, and payload its encoding, nil before it is
 	// needed.
 	latest  view.Delta
@@ -70,37 +70,37 @@
 
 // sharesNow returns the shares of the group's view. They are looked at again only where
 // replicas have changed.
-func (p *partialViews) sharesNow(group Group) shares {
+func (p *partialViewCache) currentShares(group Group) shares {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	current := group.View()
-	if p.shares != nil && current.Version.Compare(p.version) <= 0 {
+	if p.shares != nil && current.Version.Compare(p.sharesVersion) <= 0 {
 		return p.shares
 	}
-	if p.shares == nil || p.mayTouchReplicas(group) {
-		p.shares = sharesOf(current.Replicas, p.shares)
+	if p.shares == nil || p.replicasMayHaveChanged(group) {
+		p.shares = computeShares(current.Replicas, p.shares)
 	}
-	p.version = current.Version
+	p.sharesVersion = current.Version
 	return p.shares
 }
 
 // mayTouchReplicas reports whether replicas may have changed since shares were looked at.
-func (p *partialViews) mayTouchReplicas(group Group) bool {
-	delta, found := group.DeltaSince(p.version)
-	return !found || delta.Full || touchesReplicas(delta)
+func (p *partialViewCache) replicasMayHaveChanged(group Group) bool {
+	delta, found := group.DeltaSince(p.sharesVersion)
+	return !found || delta.Full || changesReplicas(delta)
 }
 
-func touchesReplicas(delta view.Delta) bool {
+func changesReplicas(delta view.Delta) bool {
 	return slices.ContainsFunc(delta.Objects, func(o api.Object) bool { return o.Replica != nil }) ||
 		slices.ContainsFunc(delta.Removed, func(key api.Key) bool { return key.Kind == api.KindReplica })
 }
 
 // since returns the delta from a version, the same for all who ask from there. To make a full
 // one takes the time of all objects, so it is only said to be one.
-func (p *partialViews) since(group Group, from view.Version) (view.Delta, bool) {
+func (p *partialViewCache) since(group Group, from view.Version) (view.Delta, bool) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	if from.IsZero() || from.Revision <= p.wholeFrom {
+	if from.IsZero() || from.Revision <= p.noDeltaThrough {
 		return view.Delta{Full: true}, from.Compare(group.Version()) < 0
 	}
 	if !p.latest.To.IsZero() && p.latest.From == from && p.latest.To == group.Version() {
@@ -108,7 +108,7 @@
 	}
 	delta, found := group.DeltaSince(from)
 	if found && delta.Full {
-		p.wholeFrom = from.Revision
+		p.noDeltaThrough = from.Revision
 	} else if found {
 		p.latest, p.payload = delta, nil
 	}
@@ -117,7 +117,7 @@
 
 // encode returns the encoding of a delta. Of the latest one it is made once, since most daemons
 // stand at the same version.
-func (p *partialViews) encode(delta view.Delta) ([]byte, error) {
+func (p *partialViewCache) encode(delta view.Delta) ([]byte, error) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	isLatest := delta.From == p.latest.From && delta.To == p.latest.To
@@ -133,11 +133,11 @@
 
 // whole returns a whole view without its replicas, and these; one that was encoded lately
 // where that is later than from.
-func (p *partialViews) whole(group Group, from view.Version, now time.Duration) (encodedDelta, []hashedReplica, error) {
+func (p *partialViewCache) fullView(group Group, from view.Version, now time.Duration) (encodedDelta, []hashedReplica, error) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	if p.full.payload != nil && now-p.fullAt < fullReuse && p.full.to.Compare(from) > 0 {
-		return p.full, p.listed, nil
+	if p.full.payload != nil && now-p.fullEncodedAt < fullViewCacheTTL && p.full.to.Compare(from) > 0 {
+		return p.full, p.replicas, nil
 	}
 	current := group.View()
 	common := *current
@@ -146,24 +146,24 @@
 	if err != nil {
 		return encodedDelta{}, nil, err
 	}
-	p.full, p.fullAt = encodedDelta{to: current.Version, payload: payload}, now
-	p.listed = make([]hashedReplica, 0, len(current.Replicas))
+	p.full, p.fullEncodedAt = encodedDelta{to: current.Version, payload: payload}, now
+	p.replicas = make([]hashedReplica, 0, len(current.Replicas))
 	for name, replica := range current.Replicas {
-		p.listed = append(p.listed, hashedReplica{replica, subset.Hash(name)})
+		p.replicas = append(p.replicas, hashedReplica{replica, subset.Hash(name)})
 	}
-	return p.full, p.listed, nil
+	return p.full, p.replicas, nil
 }
 
 // ownReplicas is what a daemon follows of the replicas of a whole view, which comes next.
-type ownReplicas struct {
-	to       view.Version
+type subsetReplicas struct {
+	version  view.Version
 	shares   shares
 	replicas []*api.Replica
 }
 
-func encodeOwnReplicas(message ownReplicas) []byte {
+func encodeSubsetReplicas(message subsetReplicas) []byte {
 	encoder := frame.NewEncoder(nil)
-	encodeVersion(encoder, message.to)
+	encodeVersion(encoder, message.version)
 	encodeShares(encoder, message.shares)
 	encoder.Uint32(uint32(len(message.replicas)))
 	for _, replica := range message.replicas {
@@ -172,9 +172,9 @@
 	return encoder.Data()
 }
 
-func decodeOwnReplicas(data []byte) (ownReplicas, error) {
+func decodeSubsetReplicas(data []byte) (subsetReplicas, error) {
 	decoder := frame.NewDecoder(data)
-	message := ownReplicas{to: decodeVersion(decoder), shares: decodeShares(decoder)}
+	message := subsetReplicas{version: decodeVersion(decoder), shares: decodeShares(decoder)}
 	count := decoder.Count(replicaSize)
 	for i := 0; i < count && decoder.Err() == nil; i++ {
 		message.replicas = append(message.replicas, decodeReplica(decoder))
@@ -188,28 +188,28 @@
 	replicaSize = 4
 )
 
-func encodeShares(encoder *frame.Encoder, given shares) {
-	encoder.Uint32(uint32(len(given)))
-	for _, service := range slices.Sorted(maps.Keys(given)) {
+func encodeShares(encoder *frame.Encoder, byService shares) {
+	encoder.Uint32(uint32(len(byService)))
+	for _, service := range slices.Sorted(maps.Keys(byService)) {
 		encoder.String(service)
-		encoder.Uint8(uint8(given[service]))
+		encoder.Uint8(uint8(byService[service]))
 	}
 }
 
 // mostShare is the highest share that a message may name.
-const mostShare = 63
+const maxShare = 63
 
 func decodeShares(decoder *frame.Decoder) shares {
 	count := decoder.Count(shareSize)
-	read := shares{}
+	byService := shares{}
 	for i := 0; i < count && decoder.Err() == nil; i++ {
 		service, share := decoder.String(), decoder.Uint8()
-		if share > mostShare {
+		if share > maxShare {
 			decoder.Fail(frame.ErrValue)
 		}
-		read[service] = subset.Share(share)
+		byService[service] = subset.Share(share)
 	}
-	return read
+	return byService
 }
 
 func encodeReplica(encoder *frame.Encoder, replica *api.Replica) {
@@ -218,34 +218,34 @@
 
 func decodeReplica(decoder *frame.Decoder) *api.Replica {
 	reader := binenc.NewReader(decoder.Bytes())
-	read := reader.Object().Replica
-	if reader.Close() != nil || read == nil {
+	replica := reader.Object().Replica
+	if reader.Close() != nil || replica == nil {
 		decoder.Fail(frame.ErrValue)
 	}
-	return read
+	return replica
 }
 
 // writePartial writes what leads from the version sent last to the one applied now. News that
 // change nothing of how the daemon serves wait for its next beat, with all that comes until
 // then: at a start of a thousand daemons each one's coming would else be told to all others.
-func (s *subscriber) writePartial(ctx context.Context, writer *frame.Writer, sent view.Version, asked bool) error {
+func (s *subscriber) writePartial(ctx context.Context, writer *frame.Writer, sent view.Version, heartbeatPending bool) error {
 	group := s.server.config.Group
-	now := s.server.partial.sharesNow(group)
+	now := s.server.partial.currentShares(group)
 	delta, found := s.server.partial.since(group, sent)
 	if !found {
 		return nil
 	}
 	if delta.Full || !maps.Equal(now, s.shares) {
-		return s.writeOwnView(ctx, writer, sent, now)
+		return s.writeSubsetView(ctx, writer, sent, now)
 	}
-	isCommon := !touchesReplicas(delta)
+	isCommon := !changesReplicas(delta)
 	if !isCommon {
-		delta = s.ownPart(delta)
+		delta = s.filterReplicas(delta)
 	}
-	if !asked && !isUrgent(delta) {
+	if !heartbeatPending && !isUrgent(delta) {
 		return nil
 	}
-	payload, err := s.encodePart(delta, isCommon)
+	payload, err := s.encodePartialDelta(delta, isCommon)
 	if err != nil {
 		return err
 	}
@@ -253,7 +253,7 @@
 }
 
 // encodePart encodes a delta, which is the same for all daemons where it is common.
-func (s *subscriber) encodePart(delta view.Delta, isCommon bool) ([]byte, error) {
+func (s *subscriber) encodePartialDelta(delta view.Delta, isCommon bool) ([]byte, error) {
 	if isCommon {
 		return s.server.partial.encode(delta)
 	}
@@ -261,7 +261,7 @@
 }
 
 // ownPart is what a delta with replicas brings to the daemon.
-func (s *subscriber) ownPart(delta view.Delta) view.Delta {
+func (s *subscriber) filterReplicas(delta view.Delta) view.Delta {
 	own := delta
 	own.Objects = slices.DeleteFunc(slices.Clone(delta.Objects), func(o api.Object) bool {
 		return o.Replica != nil && !s.shares.includes(s.key.daemon, o.Replica)
@@ -277,25 +277,25 @@
 
 // writeOwnView writes a whole view, later than the version sent, with the daemon's own
 // replicas.
-func (s *subscriber) writeOwnView(ctx context.Context, writer *frame.Writer, sent view.Version, now shares) error {
-	common, listed, err := s.server.partial.whole(s.server.config.Group, sent, s.server.config.Clock())
+func (s *subscriber) writeSubsetView(ctx context.Context, writer *frame.Writer, sent view.Version, now shares) error {
+	common, listed, err := s.server.partial.fullView(s.server.config.Group, sent, s.server.config.Clock())
 	if err != nil {
 		return err
 	}
-	own := ownReplicas{to: common.to, shares: now}
+	own := subsetReplicas{version: common.to, shares: now}
 	daemon := subset.Hash(s.key.daemon)
 	for _, entry := range listed {
 		if now[entry.replica.Spec.Service].IncludesHash(daemon, entry.hash) {
 			own.replicas = append(own.replicas, entry.replica)
 		}
 	}
-	if len(common.payload) >= bulkPayload {
-		if err := s.beginBulk(ctx, writer); err != nil {
+	if len(common.payload) >= bulkThresholdBytes {
+		if err := s.acquireBulkSlot(ctx, writer); err != nil {
 			return err
 		}
-		s.sendBulk(common.to)
+		s.recordBulkSent(common.to)
 	}
-	if err := writer.WriteFrame(kindOwnReplicas, encodeOwnReplicas(own)); err != nil {
+	if err := writer.WriteFrame(kindSubsetReplicas, encodeSubsetReplicas(own)); err != nil {
 		return err
 	}
 	s.shares = now
@@ -303,31 +303,31 @@
 }
 
 // receiveOwnReplicas keeps the replicas of the whole view that comes next.
-func (s *session) receiveOwnReplicas(payload []byte) error {
-	message, err := decodeOwnReplicas(payload)
+func (s *session) receiveSubsetReplicas(payload []byte) error {
+	message, err := decodeSubsetReplicas(payload)
 	if err != nil {
 		return err
 	}
 	if !s.client.config.Partial {
-		return errors.Wrap(errMisplaced, "replicas to a subscription of whole views")
+		return errors.Wrap(errUnexpectedFrame, "replicas to a subscription of whole views")
 	}
-	s.own = &message
+	s.pendingSubset = &message
 	return nil
 }
 
 // addOwn completes a whole view with the replicas that came before it.
-func (s *session) addOwn(delta *view.Delta) error {
+func (s *session) addSubsetReplicas(delta *view.Delta) error {
 	if !s.client.config.Partial || !delta.Full {
 		return nil
 	}
-	own := s.own
-	if own == nil || own.to != delta.To {
+	own := s.pendingSubset
+	if own == nil || own.version != delta.To {
 		return errors.Wrap(errProtocol, "a whole view without its replicas")
 	}
 	for _, replica := range own.replicas {
 		delta.Objects = append(delta.Objects, api.Object{Replica: replica})
 	}
-	s.own = nil
+	s.pendingSubset = nil
 	s.client.shares.Store(&own.shares)
 	return nil
 }
@@ -339,7 +339,7 @@
 
 // namedBeyond returns the replicas of the names that the daemon, for which a partial
 // subscription asks, does not follow.
-func (s *subscriber) namedBeyond(origin string, names ...string) []*api.Replica {
+func (s *subscriber) replicasOutsideSubset(origin string, names ...string) []*api.Replica {
 	if !s.partial {
 		return nil
 	}
@@ -348,10 +348,10 @@
 	if origin != "" {
 		daemon = daemonName(origin)
 	}
-	now := s.server.partial.sharesNow(group)
+	now := s.server.partial.currentShares(group)
 	var named []*api.Replica
 	for _, name := range names {
-		if lister, knows := group.(Lister); knows {
+		if lister, isLister := group.(Lister); isLister {
 			if known := lister.Listed(name); known != nil {
 				named = append(named, known)
 			}
@@ -366,33 +366,33 @@
 
 // named keeps the replicas that answers have named beyond the daemon's subset, the latest of
 // them: those of the last maxNamed answers at least.
-type named struct {
-	lock           sync.Mutex
-	latest, before map[string]*api.Replica
+type namedReplicas struct {
+	lock              sync.Mutex
+	current, previous map[string]*api.Replica
 }
 
 // maxNamed is how many replicas are kept before the older ones are dropped.
-const maxNamed = 1024
+const maxNamedPerGeneration = 1024
 
-func (n *named) add(replicas []*api.Replica) {
+func (n *namedReplicas) add(replicas []*api.Replica) {
 	n.lock.Lock()
 	defer n.lock.Unlock()
 	for _, replica := range replicas {
-		if n.latest == nil || len(n.latest) >= maxNamed {
-			n.before, n.latest = n.latest, map[string]*api.Replica{}
+		if n.current == nil || len(n.current) >= maxNamedPerGeneration {
+			n.previous, n.current = n.current, map[string]*api.Replica{}
 		}
-		n.latest[replica.Name] = replica
+		n.current[replica.Name] = replica
 	}
 }
 
-func (n *named) find(name string) *api.Replica {
+func (n *namedReplicas) find(name string) *api.Replica {
 	n.lock.Lock()
 	defer n.lock.Unlock()
-	if known := n.latest[name]; known != nil {
+	if known := n.current[name]; known != nil {
 		return known
 	}
-	return n.before[name]
+	return n.previous[name]
 }
 
 // Listed returns a replica that an answer has named lately beyond the daemon's subset, or nil.
-func (c *Client) Listed(name string) *api.Replica { return c.named.find(name) }
+func (c *Client) Listed(name string) *api.Replica { return c.namedReplicas.find(name) }
--- a/connection/feed/partial_test.go
+++ b/connection/feed/partial_test.go
@@ -24,7 +24,7 @@
 }
 
 // list has the group list replicas with the numbers.
-func (g *fakeGroup) list(from, to int, leaving bool) {
+func (g *fakeGroup) addReplicas(from, to int, leaving bool) {
 	seen := state.Observe{}
 	for number := from; number < to; number++ {
 		seen.Put = append(seen.Put, listedReplica(number, leaving))
@@ -33,7 +33,7 @@
 }
 
 // unlist has it list them no more.
-func (g *fakeGroup) unlist(from, to int) {
+func (g *fakeGroup) removeReplicas(from, to int) {
 	seen := state.Observe{}
 	for number := from; number < to; number++ {
 		seen.Removed = append(seen.Removed, api.Key{Kind: api.KindReplica, Name: fmt.Sprintf("r-%05d", number)})
@@ -44,12 +44,12 @@
 // countingConn counts the bytes that come in.
 type countingConn struct {
 	net.Conn
-	read *atomic.Int64
+	bytesRead *atomic.Int64
 }
 
 func (c countingConn) Read(into []byte) (int, error) {
 	n, err := c.Conn.Read(into)
-	c.read.Add(int64(n))
+	c.bytesRead.Add(int64(n))
 	return n, err
 }
 
@@ -58,7 +58,7 @@
 	read := &atomic.Int64{}
 	client, err := Dial(ClientConfig{
 		Daemon: daemon, Addresses: []string{address}, Partial: true,
-		BeatInterval: 20 * time.Millisecond, SilenceTimeout: patience, BackoffMin: time.Millisecond, BackoffMax: 20 * time.Millisecond,
+		BeatInterval: 20 * time.Millisecond, SilenceTimeout: testTimeout, BackoffMin: time.Millisecond, BackoffMax: 20 * time.Millisecond,
 		Dial: countingDial(read),
 	}, holder)
 	must.NoError(t, err)
@@ -75,7 +75,7 @@
 		group := newFakeGroup()
 		_, address := startServer(t, group)
 		group.put("water")
-		group.list(0, size, false)
+		group.addReplicas(0, size, false)
 		holder := view.NewHolder()
 		_, read := startPartial(t, "proxy-1", holder, address)
 		eventually(t, "the view", func() bool { return holder.Load().Version.Revision == 2 })
@@ -87,10 +87,10 @@
 }
 
 // A daemon is told of each change of its own replicas, and of no other's.
-func TestPartialViewsFollowTheirReplicas(t *testing.T) {
+func TestPartialViewsFollowTheReplicasOfTheirSubset(t *testing.T) {
 	group := newFakeGroup()
 	server, address := startServer(t, group)
-	group.list(0, 1000, false)
+	group.addReplicas(0, 1000, false)
 	holder := view.NewHolder()
 	startPartial(t, "proxy-1", holder, address)
 	share := subset.ShareOf(1000, 0)
@@ -105,26 +105,26 @@
 		}
 	}
 	check(1, func(number int) bool { return number < 1000 })
-	group.unlist(0, 100)
+	group.removeReplicas(0, 100)
 	check(2, func(number int) bool { return number >= 100 && number < 1000 })
-	group.list(1000, 1100, false)
+	group.addReplicas(1000, 1100, false)
 	check(3, func(number int) bool { return number >= 100 && number < 1100 })
-	group.list(100, 1100, true)
+	group.addReplicas(100, 1100, true)
 	check(4, func(number int) bool { return number >= 100 && number < 1100 })
 	for _, replica := range holder.Load().Replicas {
 		must.True(t, replica.Spec.Leaving)
 	}
 	share = 0
-	group.unlist(200, 1100)
+	group.removeReplicas(200, 1100)
 	check(5, func(number int) bool { return number >= 100 && number < 200 })
 }
 
 // A daemon that comes back with the version and the subset that it holds is sent what has
 // changed since.
-func TestPartialViewsGoOnWithWhatIsHeld(t *testing.T) {
+func TestPartialViewsResumeFromTheHeldVersion(t *testing.T) {
 	group := newFakeGroup()
 	server, address := startServer(t, group)
-	group.list(0, 1000, false)
+	group.addReplicas(0, 1000, false)
 	holder := view.NewHolder()
 	client, _ := startPartial(t, "proxy-1", holder, address)
 	eventually(t, "the view", func() bool { return holder.Load().Version.Revision == 1 })
@@ -139,20 +139,20 @@
 	_ = read
 }
 
-func TestOwnReplicasAreCoded(t *testing.T) {
-	message := ownReplicas{to: view.Version{Term: 2, Revision: 9}, shares: shares{"chat": 6}, replicas: []*api.Replica{listedReplica(3, true).Replica}}
-	got, err := decodeOwnReplicas(encodeOwnReplicas(message))
+func TestSubsetReplicasRoundTrip(t *testing.T) {
+	message := subsetReplicas{version: view.Version{Term: 2, Revision: 9}, shares: shares{"chat": 6}, replicas: []*api.Replica{listedReplica(3, true).Replica}}
+	got, err := decodeSubsetReplicas(encodeSubsetReplicas(message))
 	must.NoError(t, err)
 	must.Eq(t, message, got)
 	encoder := frame.NewEncoder(nil)
 	encodeShares(encoder, shares{"chat": 64})
 	decodeShares(frame.NewDecoder(encoder.Data()))
-	_, err = decodeOwnReplicas(append(encodeOwnReplicas(message), 0))
+	_, err = decodeSubsetReplicas(append(encodeSubsetReplicas(message), 0))
 	must.Error(t, err)
 }
 
 // What an answer names beyond the daemon's own replicas comes with it.
-func TestAnswersBringTheReplicasThatTheyName(t *testing.T) {
+func TestPlaceRepliesCarryReplicasOutsideTheSubset(t *testing.T) {
 	reply := placeReply{requestID: 4, found: true, named: []*api.Replica{listedReplica(3, false).Replica}}
 	got, err := decodePlaceReply(encodePlaceReply(reply))
 	must.NoError(t, err)
@@ -160,27 +160,27 @@
 
 	group := newFakeGroup()
 	server, _ := startServer(t, group)
-	group.list(0, 1000, false)
+	group.addReplicas(0, 1000, false)
 	s := &subscriber{server: server, partial: true, key: daemonKey{daemon: "proxy-1"}}
 	named := 0
 	for number := range 1000 {
 		name := fmt.Sprintf("r-%05d", number)
-		beyond := s.namedBeyond("", name, "", "unknown")
+		beyond := s.replicasOutsideSubset("", name, "", "unknown")
 		must.Eq(t, !subset.ShareOf(1000, 0).Includes("proxy-1", name), len(beyond) == 1, must.Sprint(name))
 		named += len(beyond)
 	}
 	must.Between(t, 500, named, 950)
-	must.SliceEmpty(t, (&subscriber{server: server}).namedBeyond("", "r-00001"))
+	must.SliceEmpty(t, (&subscriber{server: server}).replicasOutsideSubset("", "r-00001"))
 }
 
-func TestNamedReplicasAreKeptForAWhile(t *testing.T) {
-	var kept named
-	for number := range 2 * maxNamed {
+func TestNamedReplicasAreEvictedByGeneration(t *testing.T) {
+	var kept namedReplicas
+	for number := range 2 * maxNamedPerGeneration {
 		kept.add([]*api.Replica{listedReplica(number, false).Replica})
 	}
-	must.NotNil(t, kept.find(fmt.Sprintf("r-%05d", maxNamed)))
-	must.NotNil(t, kept.find(fmt.Sprintf("r-%05d", 2*maxNamed-1)))
-	for number := 2 * maxNamed; number < 3*maxNamed; number++ {
+	must.NotNil(t, kept.find(fmt.Sprintf("r-%05d", maxNamedPerGeneration)))
+	must.NotNil(t, kept.find(fmt.Sprintf("r-%05d", 2*maxNamedPerGeneration-1)))
+	for number := 2 * maxNamedPerGeneration; number < 3*maxNamedPerGeneration; number++ {
 		kept.add([]*api.Replica{listedReplica(number, false).Replica})
 	}
 	must.Nil(t, kept.find("r-00000"))
--- a/connection/feed/placement.go
+++ b/connection/feed/placement.go
@@ -33,8 +33,8 @@
 
 // Bounds of a question in a frame.
 const (
-	maxParts    = 256
-	maxReplicas = 512 // in each list of names: more than any service that pauses as a half
+	maxPromptParts  = 256
+	maxReplicaNames = 512 // in each list of names: more than any service that pauses as a half
 	// Least sizes of encoded list elements.
 	partSize = 4 + 4
 	nameSize = 4
@@ -61,7 +61,7 @@
 	encoder.Int64(int64(ask.Age))
 	encoder.Int64(int64(ask.Deadline))
 	encoder.Bool(ask.Continued)
-	encodeParts(encoder, ask.Parts[:min(len(ask.Parts), maxParts)])
+	encodeParts(encoder, ask.Parts[:min(len(ask.Parts), maxPromptParts)])
 	encodeNames(encoder, ask.Excluded)
 	encodeNames(encoder, ask.Connected)
 }
@@ -89,7 +89,7 @@
 
 // encodeNames adds the first of the replicas' names, as many as a list may hold.
 func encodeNames(encoder *frame.Encoder, names []string) {
-	names = names[:min(len(names), maxReplicas)]
+	names = names[:min(len(names), maxReplicaNames)]
 	encoder.Uint32(uint32(len(names)))
 	for _, name := range names {
 		encoder.String(name)
@@ -99,7 +99,7 @@
 func decodeNames(decoder *frame.Decoder) []string {
 	var names []string
 	count := decoder.Count(nameSize)
-	if count > maxReplicas {
+	if count > maxReplicaNames {
 		decoder.Fail(frame.ErrValue)
 	}
 	for i := 0; i < count && decoder.Err() == nil; i++ {
@@ -128,7 +128,7 @@
 	ask.Age = time.Duration(decoder.Int64())
 	ask.Deadline = time.Duration(decoder.Int64())
 	ask.Continued = decoder.Bool()
-	ask.Parts = decodeParts(decoder, maxParts)
+	ask.Parts = decodeParts(decoder, maxPromptParts)
 	ask.Excluded = decodeNames(decoder)
 	ask.Connected = decodeNames(decoder)
 	return ask
@@ -218,16 +218,16 @@
 // without one; ErrNotPlaced when none answers before ctx ends. Asking changes
 // nothing that lasts. What is asked for another daemon goes to the leader alone.
 func (c *Client) Place(ctx context.Context, request PlaceRequest) (placement.Answer, error) {
-	current := c.placingFor(request.Origin)
+	current := c.placementSessionFor(request.Origin)
 	if current == nil {
 		return placement.Answer{}, ErrNotPlaced
 	}
-	answered, ok := current.ask(ctx, kindPlace, func(id uint64) []byte { return encodePlace(id, request) })
+	answer, ok := current.ask(ctx, kindPlace, func(id uint64) []byte { return encodePlace(id, request) })
 	if !ok {
 		return placement.Answer{}, ErrNotPlaced
 	}
-	c.named.add(answered.named)
-	return answered.placed, nil
+	c.namedReplicas.add(answer.named)
+	return answer.placed, nil
 }
 
 // ask sends a question that changes nothing that lasts, and returns its answer; false where
@@ -240,10 +240,10 @@
 		return reply{}, false
 	}
 	select {
-	case answered := <-waiting:
-		return answered, answered.code == replyDone
+	case answer := <-waiting:
+		return answer, answer.code == replyDone
 	case <-ctx.Done():
-		s.missed()
+		s.recordUnanswered()
 	case <-s.ended:
 	}
 	return reply{}, false
@@ -252,7 +252,7 @@
 // NotePlaced tells the leader how far a placed request has come; false when the
 // word was dropped.
 func (c *Client) NotePlaced(note PlaceNote) bool {
-	current := c.placingFor(note.Origin)
+	current := c.placementSessionFor(note.Origin)
 	if current == nil {
 		return false
 	}
@@ -283,9 +283,9 @@
 	reply := placeReply{requestID: requestID}
 	if s.standby || s.server.config.Group.Leadership().Leads {
 		reply.answer, reply.found = s.server.config.Group.Place(s.originOf(request.Origin), request)
-		reply.named = s.namedBeyond(request.Origin, reply.answer.Generator, reply.answer.Reader, reply.answer.Fetch)
+		reply.named = s.replicasOutsideSubset(request.Origin, reply.answer.Generator, reply.answer.Reader, reply.answer.Fetch)
 	}
-	s.answer(kindPlaceReply, encodePlaceReply(reply))
+	s.enqueueResponse(kindPlaceReply, encodePlaceReply(reply))
 }
 
 // originOf returns the daemon for which something is asked or told.
--- a/connection/feed/placementrelay_test.go
+++ b/connection/feed/placementrelay_test.go
@@ -16,56 +16,56 @@
 )
 
 // askedGroup is a leader that keeps who asked it and told it.
-type askedGroup struct {
+type recordingGroup struct {
 	*fakeGroup
-	lock  sync.Mutex
-	asked map[string]int
-	told  map[string]int
+	lock       sync.Mutex
+	placements map[string]int
+	notes      map[string]int
 	// mute, if set, holds up questions that come from a daemon itself.
-	mute chan struct{}
+	blockPlacements chan struct{}
 }
 
-func newAskedGroup() *askedGroup {
-	return &askedGroup{fakeGroup: newFakeGroup(), asked: map[string]int{}, told: map[string]int{}}
+func newRecordingGroup() *recordingGroup {
+	return &recordingGroup{fakeGroup: newFakeGroup(), placements: map[string]int{}, notes: map[string]int{}}
 }
 
-func (g *askedGroup) Place(daemon string, request PlaceRequest) (placement.Answer, bool) {
-	if request.Origin == "" && g.mute != nil {
-		<-g.mute
+func (g *recordingGroup) Place(daemon string, request PlaceRequest) (placement.Answer, bool) {
+	if request.Origin == "" && g.blockPlacements != nil {
+		<-g.blockPlacements
 	}
 	g.lock.Lock()
 	defer g.lock.Unlock()
-	g.asked[daemon]++
+	g.placements[daemon]++
 	return placement.Answer{Generator: "leader"}, true
 }
 
-func (g *askedGroup) NotePlaced(daemon string, _ PlaceNote) {
+func (g *recordingGroup) NotePlaced(daemon string, _ PlaceNote) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
-	g.told[daemon]++
+	g.notes[daemon]++
 }
 
-func (g *askedGroup) count(from map[string]int, daemon string) int {
+func (g *recordingGroup) count(from map[string]int, daemon string) int {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	return from[daemon]
 }
 
 // cuttable dials until it is cut off from an address, and ends its connections then.
-type cuttable struct {
-	lock  sync.Mutex
-	cut   map[string]bool
-	conns map[string][]net.Conn
+type partitionDialer struct {
+	lock        sync.Mutex
+	partitioned map[string]bool
+	conns       map[string][]net.Conn
 }
 
-func newCuttable() *cuttable {
-	return &cuttable{cut: map[string]bool{}, conns: map[string][]net.Conn{}}
+func newPartitionDialer() *partitionDialer {
+	return &partitionDialer{partitioned: map[string]bool{}, conns: map[string][]net.Conn{}}
 }
 
-func (c *cuttable) dial(ctx context.Context, network, address string) (net.Conn, error) {
+func (c *partitionDialer) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	if c.cut[address] {
+	if c.partitioned[address] {
 		return nil, errors.New("cut off")
 	}
 	conn, err := (&net.Dialer{}).DialContext(ctx, network, address)
@@ -75,32 +75,32 @@
 	return conn, err
 }
 
-func (c *cuttable) cutOff(address string) {
+func (c *partitionDialer) partition(address string) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	c.cut[address] = true
+	c.partitioned[address] = true
 	for _, conn := range c.conns[address] {
 		_ = conn.Close()
 	}
 }
 
-func (c *cuttable) heal(address string) {
+func (c *partitionDialer) heal(address string) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	delete(c.cut, address)
+	delete(c.partitioned, address)
 }
 
-func startRelayedClient(t *testing.T, daemon, leader string, dial *cuttable, views Views, relays ...string) *Client {
+func startRelayedClient(t *testing.T, daemon, leader string, dial *partitionDialer, views Views, relays ...string) *Client {
 	return startResumedClient(t, nil, daemon, leader, dial, views, relays...)
 }
 
 // startResumedClient is startRelayedClient with what is called when a leader is heard again.
-func startResumedClient(t *testing.T, resumed func(), daemon, leader string, dial *cuttable, views Views, relays ...string) *Client {
+func startResumedClient(t *testing.T, resumed func(), daemon, leader string, dial *partitionDialer, views Views, relays ...string) *Client {
 	client, err := Dial(ClientConfig{
 		Daemon:         daemon,
 		Addresses:      []string{leader},
 		BeatInterval:   20 * time.Millisecond,
-		SilenceTimeout: patience,
+		SilenceTimeout: testTimeout,
 		BackoffMin:     time.Millisecond,
 		BackoffMax:     20 * time.Millisecond,
 		Standby:        true,
@@ -115,11 +115,11 @@
 
 // A daemon that is cut off from the members has its requests placed by the
 // leader through another daemon, under its own name, and nothing else.
-func TestPlacementsPassThroughAnotherDaemon(t *testing.T) {
-	group := newAskedGroup()
+func TestPlacementsAreRelayedByAnotherDaemon(t *testing.T) {
+	group := newRecordingGroup()
 	_, leader := startServer(t, group)
 	group.put("water")
-	between, cutOff := newCuttable(), newCuttable()
+	between, cutOff := newPartitionDialer(), newPartitionDialer()
 	holder := view.NewHolder()
 	passing := startRelayedClient(t, "proxy-b", leader, between, holder)
 	_, relay := startServer(t, NewPlacementRelay(passing, holder))
@@ -129,16 +129,16 @@
 	})
 	must.Eq(t, "leader", placedBy(asking))
 
-	cutOff.cutOff(leader)
+	cutOff.partition(leader)
 	eventually(t, "the other daemon passes on", func() bool { return !asking.Connected() && placedBy(asking) == "leader" })
 	name := daemonKey{daemon: "proxy-a", instance: asking.instance}.String()
-	must.GreaterEq(t, 2, group.count(group.asked, name), must.Sprint(group.asked))
+	must.GreaterEq(t, 2, group.count(group.placements, name), must.Sprint(group.placements))
 	must.True(t, asking.NotePlaced(PlaceNote{Service: "chat", Number: 1}))
-	eventually(t, "the note arrives", func() bool { return group.count(group.told, name) == 1 })
+	eventually(t, "the note arrives", func() bool { return group.count(group.notes, name) == 1 })
 	_, err := asking.Claim(t.Context(), state.ClaimRequest{Tenant: "water", Key: "k", Nonce: 1})
 	must.ErrorIs(t, err, ErrNoQuorum)
 
-	between.cutOff(leader)
+	between.partition(leader)
 	eventually(t, "nobody passes on for one that follows nobody", func() bool { return asking.standby.Load() == nil && placedBy(asking) == "" })
 
 	between.heal(leader)
@@ -147,14 +147,14 @@
 }
 
 // What was passed on once is not passed on again.
-func TestPlacementsGoInNoCircles(t *testing.T) {
+func TestRelayedPlacementsAreNotRelayedAgain(t *testing.T) {
 	relay := NewPlacementRelay(nil, view.NewHolder())
 	_, found := relay.Place("proxy-a", PlaceRequest{Service: "chat", Origin: "proxy-c"})
 	must.False(t, found)
 	relay.NotePlaced("proxy-a", PlaceNote{Service: "chat", Origin: "proxy-c"})
 }
 
-func TestPlacementMessagesKeepEverything(t *testing.T) {
+func TestPlacementMessagesRoundTrip(t *testing.T) {
 	request := PlaceRequest{Service: "chat", Number: 7, Origin: "proxy-a#1", Ask: placement.Ask{
 		Prompt: 9, Output: 3, Priority: 2, Zone: "a", Deadline: time.Second, Continued: true,
 		Parts: []placement.Part{{ID: "p", Tokens: 4}}, Excluded: []string{"r"},
@@ -175,19 +175,19 @@
 
 // A leader that answers no placement is passed by long before its silence ends
 // the connection, and asked again once it is heard.
-func TestSilentLeaderIsPassedBy(t *testing.T) {
-	group := newAskedGroup()
-	group.mute = make(chan struct{})
-	unmute := sync.OnceFunc(func() { close(group.mute) })
+func TestUnresponsiveLeaderIsBypassed(t *testing.T) {
+	group := newRecordingGroup()
+	group.blockPlacements = make(chan struct{})
+	unmute := sync.OnceFunc(func() { close(group.blockPlacements) })
 	_, leader := startServer(t, group)
 	t.Cleanup(unmute) // a server ends only once its questions do
 	group.put("water")
 	holder := view.NewHolder()
-	passing := startRelayedClient(t, "proxy-b", leader, newCuttable(), holder)
+	passing := startRelayedClient(t, "proxy-b", leader, newPartitionDialer(), holder)
 	_, relay := startServer(t, NewPlacementRelay(passing, holder))
 	var resumed atomic.Int64
 	count := func() { resumed.Add(1) }
-	asking := startResumedClient(t, count, "proxy-a", leader, newCuttable(), view.NewHolder(), relay)
+	asking := startResumedClient(t, count, "proxy-a", leader, newPartitionDialer(), view.NewHolder(), relay)
 	eventually(t, "both follow", func() bool {
 		return passing.Connected() && asking.Connected() && holder.Load().Version.Revision == 1
 	})
@@ -206,7 +206,7 @@
 	must.Eq(t, 0, resumed.Load())
 	unmute()
 	eventually(t, "the leader is asked again", func() bool {
-		return asking.leaderPlaces() != nil && asking.standby.Load() == nil && place() == nil
+		return asking.responsiveLeader() != nil && asking.standby.Load() == nil && place() == nil
 	})
 	eventually(t, "what the other daemon was told can be told to the leader", func() bool { return resumed.Load() == 1 })
 }
--- a/connection/feed/registry.go
+++ b/connection/feed/registry.go
@@ -77,7 +77,7 @@
 		}
 		result.Waiting = append(result.Waiting, daemonName(key))
 	}
-	for _, daemon := range currentRuns(r.tracker.Daemons(now)) {
+	for _, daemon := range withoutSupersededRuns(r.tracker.Daemons(now)) {
 		switch {
 		case daemon.Acked.Compare(version) >= 0:
 			result.Acknowledged++
@@ -92,7 +92,7 @@
 
 // currentRuns leaves out the runs of a daemon that have lapsed while a later run
 // of it was heard: what they held last says nothing of the daemon any more.
-func currentRuns(runs []view.DaemonStatus) []view.DaemonStatus {
+func withoutSupersededRuns(runs []view.DaemonStatus) []view.DaemonStatus {
 	latest := make(map[string]time.Duration, len(runs))
 	for _, one := range runs {
 		name := daemonName(one.Name)
--- a/connection/feed/registry_test.go
+++ b/connection/feed/registry_test.go
@@ -10,7 +10,7 @@
 
 // A daemon that was restarted is told of once, by its newer run, as soon as the
 // lease of the earlier run has lapsed.
-func TestRestartedDaemonIsToldOfByItsNewerRun(t *testing.T) {
+func TestRestartedDaemonIsReportedByItsNewerRun(t *testing.T) {
 	const lease = time.Second
 	first, second := view.Version{Term: 1, Revision: 1}, view.Version{Term: 1, Revision: 2}
 	registry := newRegistry(1, view.Version{}, lease, 0)
@@ -42,7 +42,7 @@
 // A daemon that is cut off when the leader changes is unknown to the later leader and
 // may hold a lease that the earlier one granted at its very end: nothing is in force
 // before that lease has lapsed. Until the daemon is heard again it is not named.
-func TestLaterLeaderWaitsOutTheLeaseOfADaemonThatItHasNotHeard(t *testing.T) {
+func TestNewLeaderWaitsForLeasesOfUnseenDaemons(t *testing.T) {
 	const lease, step = time.Second, time.Millisecond
 	first, second := view.Version{Term: 1, Revision: 1}, view.Version{Term: 2, Revision: 2}
 	cut := daemonKey{daemon: "proxy-a", instance: 1}.String()
@@ -76,7 +76,7 @@
 
 // What an earlier leader has called in force stays so: a daemon that was left behind
 // then gets no lease for its older view from the next leader, asked anything or not.
-func TestLaterLeaderGrantsNoLeaseBehindWhatMayBeInForce(t *testing.T) {
+func TestNewLeaderGrantsNoLeaseBehindItsOwnVersion(t *testing.T) {
 	const lease = time.Second
 	first, second := view.Version{Term: 1, Revision: 1}, view.Version{Term: 1, Revision: 2}
 	behind := daemonKey{daemon: "proxy-a", instance: 1}.String()
--- a/connection/feed/server.go
+++ b/connection/feed/server.go
@@ -53,13 +53,13 @@
 	Place(daemon string, request PlaceRequest) (placement.Answer, bool)
 	NotePlaced(daemon string, note PlaceNote)
 	// NoteKept takes in what a replica is believed to keep of prompts.
-	NoteKept(kept KeptParts)
+	NoteKept(cached KeptParts)
 	// NoteInFlight takes in what a daemon has in flight, in place of what was known of it.
-	NoteInFlight(daemon string, told InFlight)
+	NoteInFlight(daemon string, inFlight InFlight)
 	// NoteEnds takes in under which requests replicas ended. Unrecorded returns what daemons are to
 	// know of that while the record can't tell it, empty for nothing; news changes with it.
 	NoteEnds(report EndReport)
-	Unrecorded() (report EndReport, news uint64)
+	Unrecorded() (report EndReport, generation uint64)
 	// NoteUsage takes in what a process has counted.
 	NoteUsage(report UsageReport)
 	// Charge takes the cost of a tenant's request off its quota, and false where this member
@@ -123,7 +123,7 @@
 	c.MaxBulkDeltas = orDefault(c.MaxBulkDeltas, DefaultMaxBulkDeltas)
 	c.FloorInterval = orDefault(c.FloorInterval, c.ViewLease)
 	if c.Limit == nil {
-		c.Limit = unlimited
+		c.Limit = noLeaseLimit
 	}
 	if c.Observed == nil {
 		c.Observed = func() {}
@@ -137,7 +137,7 @@
 	return c
 }
 
-func unlimited() time.Duration { return math.MaxInt64 }
+func noLeaseLimit() time.Duration { return math.MaxInt64 }
 
 const subscriberShards = 16
 
@@ -148,35 +148,35 @@
 
 // Server serves subscriptions while its member leads.
 type Server struct {
-	config   ServerConfig
-	listener net.Listener
-	shards   [subscriberShards]subscriberShard
-	accepted uint64 // connections so far; only accept counts
-	latest   *latestSubscriptions
-	count    atomic.Int64
-	registry atomic.Pointer[registry]
-	cache    deltaCache
-	partial  partialViews
-	bulk     chan struct{} // one for each large delta on its way
-	entering chan struct{} // one for each subscription that begins
-	woken    chan struct{}
-	context  context.Context
-	cancel   context.CancelFunc
-	done     sync.WaitGroup
+	config       ServerConfig
+	listener     net.Listener
+	shards       [subscriberShards]subscriberShard
+	accepted     uint64 // connections so far; only accept counts
+	latest       *latestSubscriptions
+	count        atomic.Int64
+	registry     atomic.Pointer[registry]
+	cache        deltaCache
+	partial      partialViewCache
+	bulkSlots    chan struct{} // one for each large delta on its way
+	openingSlots chan struct{} // one for each subscription that begins
+	wakeups      chan struct{}
+	context      context.Context
+	cancel       context.CancelFunc
+	done         sync.WaitGroup
 }
 
 // NewServer starts a Server on the listener, which it owns from now on.
 func NewServer(config ServerConfig, listener net.Listener) *Server {
-	s := &Server{config: config.withDefaults(), listener: listener, woken: make(chan struct{}, 1)}
+	s := &Server{config: config.withDefaults(), listener: listener, wakeups: make(chan struct{}, 1)}
 	s.latest = newLatestSubscriptions()
-	s.bulk = make(chan struct{}, s.config.MaxBulkDeltas)
-	s.entering = make(chan struct{}, maxEntering)
+	s.bulkSlots = make(chan struct{}, s.config.MaxBulkDeltas)
+	s.openingSlots = make(chan struct{}, maxOpeningSubscriptions)
 	s.context, s.cancel = context.WithCancel(context.Background())
 	for i := range s.shards {
 		s.shards[i].subscribers = map[*subscriber]struct{}{}
 	}
 	s.done.Go(s.accept)
-	s.done.Go(s.tick)
+	s.done.Go(s.maintainTerm)
 	return s
 }
 
@@ -191,7 +191,7 @@
 // another leader. It does not block.
 func (s *Server) Wake() {
 	select {
-	case s.woken <- struct{}{}:
+	case s.wakeups <- struct{}{}:
 	default:
 	}
 	for i := range s.shards {
@@ -214,7 +214,7 @@
 // member does not lead with a valid lease. A revision that is not applied yet
 // is not in force.
 func (s *Server) InForce(ctx context.Context, revision uint64) (InForce, bool) {
-	current := s.leased(ctx)
+	current := s.leasedRegistry(ctx)
 	if current == nil {
 		return InForce{}, false
 	}
@@ -225,7 +225,7 @@
 	result := current.inForce(version, s.config.Clock())
 	// The lease is checked again: a leader that was paused may have counted
 	// the leases of a term that has ended.
-	return result, s.leased(ctx) == current
+	return result, s.leasedRegistry(ctx) == current
 }
 
 // Daemons says how many daemons follow this leader, and which are behind the revision.
@@ -239,7 +239,7 @@
 
 // leased returns the registry of the term that the member leads, or nil
 // without a valid lease.
-func (s *Server) leased(ctx context.Context) *registry {
+func (s *Server) leasedRegistry(ctx context.Context) *registry {
 	term, valid := s.config.Group.Lease(ctx)
 	if !valid {
 		return nil
@@ -252,14 +252,14 @@
 			}
 			return current
 		}
-		started := s.startTerm(term)
+		started := s.newTermRegistry(term)
 		if s.registry.CompareAndSwap(current, started) {
 			return started
 		}
 	}
 }
 
-func (s *Server) startTerm(term uint64) *registry {
+func (s *Server) newTermRegistry(term uint64) *registry {
 	if s.config.Tracker != nil {
 		return &registry{term: term, lease: s.config.ViewLease, tracker: s.config.Tracker}
 	}
@@ -269,7 +269,7 @@
 // tick moves the floor along: a daemon that has not acknowledged what was
 // applied one floor interval ago gets no lease, so that every accepted change is
 // in force within a bounded time.
-func (s *Server) tick() {
+func (s *Server) maintainTerm() {
 	ticker := time.NewTicker(s.config.FloorInterval)
 	defer ticker.Stop()
 	var previous view.Version
@@ -277,14 +277,14 @@
 		select {
 		case <-s.context.Done():
 			return
-		case <-s.woken:
+		case <-s.wakeups:
 			// A term starts with what was accepted when its leader took over, not
 			// with what the first question finds.
-			s.leased(s.context)
+			s.leasedRegistry(s.context)
 			continue
 		case <-ticker.C:
 		}
-		if current := s.leased(s.context); current != nil {
+		if current := s.leasedRegistry(s.context); current != nil {
 			current.tracker.Require(previous)
 		}
 		previous = s.config.Group.Version()
@@ -301,7 +301,7 @@
 			return
 		}
 		if err != nil {
-			s.pause()
+			s.waitAfterAcceptError()
 			continue
 		}
 		if s.count.Add(1) > int64(s.config.MaxSubscribers) {
@@ -319,7 +319,7 @@
 // acceptPause is the wait after a failed accept, as when descriptors run out.
 const acceptPause = 50 * time.Millisecond
 
-func (s *Server) pause() {
+func (s *Server) waitAfterAcceptError() {
 	timer := time.NewTimer(acceptPause)
 	defer timer.Stop()
 	select {
@@ -331,8 +331,8 @@
 func (s *Server) serve(conn net.Conn, number uint64) {
 	defer s.count.Add(-1)
 	subscribed := newSubscriber(s, conn, number)
-	subscribed.entered = s.enter()
-	defer subscribed.entered()
+	subscribed.releaseOpeningSlot = s.acquireOpeningSlot()
+	defer subscribed.releaseOpeningSlot()
 	shard := &s.shards[number%subscriberShards]
 	shard.add(subscribed)
 	err := subscribed.run(s.context)
@@ -346,21 +346,21 @@
 	// maxEntering is how many subscriptions begin at once. When a leader is elected all daemons
 	// come to it in one moment; what they ask for first, all at once, would keep it from the
 	// heartbeats of its group until it is leader no more.
-	maxEntering = 16
+	maxOpeningSubscriptions = 16
 	// enterTime is how long one that says nothing holds its place.
-	enterTime = 100 * time.Millisecond
+	openingSlotTimeout = 100 * time.Millisecond
 )
 
 // enter waits for a place among the subscriptions that begin, and returns what gives it back.
-func (s *Server) enter() (leave func()) {
+func (s *Server) acquireOpeningSlot() (release func()) {
 	select {
-	case s.entering <- struct{}{}:
+	case s.openingSlots <- struct{}{}:
 	case <-s.context.Done():
 		return func() {}
 	}
-	leave = sync.OnceFunc(func() { <-s.entering })
-	time.AfterFunc(enterTime, leave)
-	return leave
+	release = sync.OnceFunc(func() { <-s.openingSlots })
+	time.AfterFunc(openingSlotTimeout, release)
+	return release
 }
 
 func (s *subscriberShard) add(subscribed *subscriber) {
--- a/connection/feed/session.go
+++ b/connection/feed/session.go
@@ -20,7 +20,7 @@
 const (
 	frameQueued int32 = iota
 	frameWritten
-	frameWithdrawn
+	frameCancelled
 )
 
 // outgoing is one frame on its way to the connection.
@@ -31,8 +31,8 @@
 }
 
 // withdraw reports whether the frame was surely never written.
-func (o *outgoing) withdraw() bool {
-	return o.state.CompareAndSwap(frameQueued, frameWithdrawn) || o.state.Load() == frameWithdrawn
+func (o *outgoing) cancel() bool {
+	return o.state.CompareAndSwap(frameQueued, frameCancelled) || o.state.Load() == frameCancelled
 }
 
 // reply is what a waiting call gets.
@@ -45,7 +45,7 @@
 }
 
 // queueLength bounds the frames that wait for the connection.
-const queueLength = 256
+const maxQueuedFrames = 256
 
 // pendingShards is the number of shards of the waiting calls.
 const pendingShards = 16
@@ -70,7 +70,7 @@
 }
 
 // errMisplaced says that the other side sent what it was not asked for.
-var errMisplaced = errors.Wrap(errProtocol, "misplaced frame")
+var errUnexpectedFrame = errors.Wrap(errProtocol, "misplaced frame")
 
 // session is one connection to a leader.
 type session struct {
@@ -84,27 +84,27 @@
 	// standby is set for a session that is used for placements alone.
 	standby bool
 	// own are the replicas of the whole view that comes next, on a partial subscription.
-	own *ownReplicas
+	pendingSubset *subsetReplicas
 	// unanswered counts the placements that were waited for in vain since the
 	// last frame.
 	unanswered atomic.Int32
 	// announced is true when a leader that served the session said that it
 	// leads no more. It is written before ended is closed.
-	announced bool
+	steppedDown bool
 
-	beatLock sync.Mutex
-	sequence uint64
-	sentAt   map[uint64]time.Duration // beats without a grant
+	heartbeatLock sync.Mutex
+	sequence      uint64
+	sentAt        map[uint64]time.Duration // beats without a grant
 }
 
 // maxOpenBeats bounds the beats without a grant that are remembered.
-const maxOpenBeats = 64
+const maxPendingHeartbeats = 64
 
 func newSession(client *Client, conn net.Conn) *session {
 	s := &session{
 		client: client,
 		conn:   conn,
-		queue:  make(chan *outgoing, queueLength),
+		queue:  make(chan *outgoing, maxQueuedFrames),
 		ended:  make(chan struct{}),
 		sentAt: map[uint64]time.Duration{},
 	}
@@ -122,13 +122,13 @@
 	var writer sync.WaitGroup
 	writer.Go(s.write)
 	hint, err := s.read()
-	if errors.Is(err, errMisplaced) {
+	if errors.Is(err, errUnexpectedFrame) {
 		event.FeedMisplacedFrame.Log(s.client.config.Logger, "address", s.conn.RemoteAddr(), "err", err)
 	}
-	if s.announced = s.ready && errors.Is(err, errNotLeader); s.announced {
-		s.client.handover.announce()
+	if s.steppedDown = s.ready && errors.Is(err, errNotLeader); s.steppedDown {
+		s.client.handover.begin()
 	}
-	s.client.lose(s)
+	s.client.removeSession(s)
 	close(s.ended)
 	_ = s.conn.Close()
 	writer.Wait()
@@ -140,7 +140,7 @@
 	// A failed write closes the connection, which ends the reader and with it
 	// the session.
 	defer func() { _ = s.conn.Close() }()
-	if s.open(writer) != nil {
+	if s.sendSubscribe(writer) != nil {
 		return
 	}
 	ticker := time.NewTicker(s.client.config.BeatInterval)
@@ -151,7 +151,7 @@
 		case <-s.ended:
 			return
 		case <-ticker.C:
-			err = s.writeBeat(writer)
+			err = s.writeHeartbeat(writer)
 		case next := <-s.queue:
 			err = s.writeQueued(writer, next)
 		}
@@ -161,7 +161,7 @@
 	}
 }
 
-func (s *session) open(writer *frame.Writer) error {
+func (s *session) sendSubscribe(writer *frame.Writer) error {
 	config := s.client.config
 	opening := subscribe{
 		daemon:   config.Daemon,
@@ -179,22 +179,22 @@
 	if err := writer.WriteFrame(kindSubscribe, encodeSubscribe(opening)); err != nil {
 		return err
 	}
-	return s.writeBeat(writer)
+	return s.writeHeartbeat(writer)
 }
 
-func (s *session) writeBeat(writer *frame.Writer) error {
-	s.beatLock.Lock()
+func (s *session) writeHeartbeat(writer *frame.Writer) error {
+	s.heartbeatLock.Lock()
 	s.sequence++
-	next := beat{sequence: s.sequence}
-	if len(s.sentAt) >= maxOpenBeats {
+	next := heartbeat{sequence: s.sequence}
+	if len(s.sentAt) >= maxPendingHeartbeats {
 		clear(s.sentAt)
 	}
 	// The time is read before the beat is sent: the lease can only be shorter
 	// than the leader believes.
 	s.sentAt[next.sequence] = s.client.config.Clock()
-	s.beatLock.Unlock()
-	s.report(&next)
-	if err := writer.WriteFrame(kindBeat, encodeBeat(next)); err != nil {
+	s.heartbeatLock.Unlock()
+	s.setVersions(&next)
+	if err := writer.WriteFrame(kindHeartbeat, encodeHeartbeat(next)); err != nil {
 		return err
 	}
 	if presence := s.client.config.Presence; presence != nil {
@@ -229,7 +229,7 @@
 		if err != nil {
 			return "", err
 		}
-		s.heard()
+		s.recordFrameReceived()
 		if received.Kind == kindNotLeader {
 			message, err := decodeNotLeader(received.Payload)
 			if err != nil {
@@ -245,17 +245,17 @@
 
 func (s *session) receive(received frame.Frame) error {
 	if s.standby && !isForStandby(received.Kind) {
-		return errors.Wrapf(errMisplaced, "kind %d from a member that stands by", received.Kind)
+		return errors.Wrapf(errUnexpectedFrame, "kind %d from a member that stands by", received.Kind)
 	}
 	switch received.Kind {
 	case kindDelta:
 		return s.receiveDelta(received.Payload)
-	case kindOwnReplicas:
-		return s.receiveOwnReplicas(received.Payload)
+	case kindSubsetReplicas:
+		return s.receiveSubsetReplicas(received.Payload)
 	case kindGrant:
 		return s.receiveGrant(received.Payload)
-	case kindAlive:
-		return s.receiveAlive()
+	case kindStandbyReady:
+		return s.receiveStandbyReady()
 	case kindEnds:
 		return s.receiveEnds(received.Payload)
 	case kindClaimReply, kindPlaceReply, kindOutcomeReply, kindChargeReply:
@@ -268,7 +268,7 @@
 // isForStandby reports whether a member that stands by may send a frame of the kind.
 func isForStandby(kind frame.Kind) bool {
 	switch kind {
-	case kindAlive, kindPlaceReply, kindChargeReply, kindEnds:
+	case kindStandbyReady, kindPlaceReply, kindChargeReply, kindEnds:
 		return true
 	}
 	return false
@@ -312,7 +312,7 @@
 	if err != nil {
 		return err
 	}
-	if err := s.addOwn(&delta); err != nil {
+	if err := s.addSubsetReplicas(&delta); err != nil {
 		return err
 	}
 	if err := s.client.views.Apply(delta); err != nil {
@@ -326,14 +326,14 @@
 
 // acknowledge sends a bare acknowledgement, which renews no lease.
 func (s *session) acknowledge() {
-	var next beat
-	s.report(&next)
-	s.enqueue(&outgoing{kind: kindBeat, payload: encodeBeat(next)})
+	var next heartbeat
+	s.setVersions(&next)
+	s.enqueue(&outgoing{kind: kindHeartbeat, payload: encodeHeartbeat(next)})
 }
 
 // report fills in the versions that are held and acknowledged. The acknowledged
 // one is never above the held one, which is read after it.
-func (s *session) report(next *beat) {
+func (s *session) setVersions(next *heartbeat) {
 	acknowledger, separate := s.client.views.(Acknowledger)
 	if separate {
 		next.acked = acknowledger.Acknowledge(s.client.config.Clock())
@@ -351,16 +351,16 @@
 	if err != nil {
 		return err
 	}
-	s.beatLock.Lock()
+	s.heartbeatLock.Lock()
 	sentAt, known := s.sentAt[message.sequence]
 	for sequence := range s.sentAt {
 		if sequence <= message.sequence {
 			delete(s.sentAt, sequence)
 		}
 	}
-	s.beatLock.Unlock()
-	if known && message.day > 0 && s.client.config.Day != nil {
-		s.client.config.Day(sentAt, s.client.config.Clock(), message.day)
+	s.heartbeatLock.Unlock()
+	if known && message.wallClock > 0 && s.client.config.Day != nil {
+		s.client.config.Day(sentAt, s.client.config.Clock(), message.wallClock)
 	}
 	if known && s.client.views.Confirm(sentAt, message.lease, message.term) {
 		s.markReady()
@@ -372,7 +372,7 @@
 func (s *session) markReady() {
 	if !s.ready {
 		s.ready = true
-		s.client.leader.Store(&s.address)
+		s.client.lastLeader.Store(&s.address)
 		s.client.session.Store(s)
 		s.client.endStandby()
 		s.client.handover.end()
@@ -426,7 +426,7 @@
 		return nil
 	}
 	if waiting.kind != kind {
-		return errors.Wrapf(errMisplaced, "reply of kind %d for one of kind %d", kind, waiting.kind)
+		return errors.Wrapf(errUnexpectedFrame, "reply of kind %d for one of kind %d", kind, waiting.kind)
 	}
 	delete(shard.calls, requestID)
 	waiting.reply <- answer // has room for its only reply
--- a/connection/feed/standby.go
+++ b/connection/feed/standby.go
@@ -36,17 +36,17 @@
 const unansweredLimit = 2
 
 // isSilent reports whether the leader has stopped answering placements.
-func (s *session) isSilent() bool { return s.unanswered.Load() >= unansweredLimit }
+func (s *session) isUnresponsive() bool { return s.unanswered.Load() >= unansweredLimit }
 
 // missed notes a placement that was waited for in vain.
-func (s *session) missed() {
+func (s *session) recordUnanswered() {
 	if !s.standby && s.unanswered.Add(1) == unansweredLimit {
-		s.client.noteLost()
+		s.client.signalLeaderLost()
 	}
 }
 
 // heard notes a frame of the other side: it is there.
-func (s *session) heard() {
+func (s *session) recordFrameReceived() {
 	if s.unanswered.Swap(0) < unansweredLimit || s.standby {
 		return
 	}
@@ -56,17 +56,17 @@
 }
 
 // leaderPlaces returns the session with a leader that answers, or nil.
-func (c *Client) leaderPlaces() *session {
+func (c *Client) responsiveLeader() *session {
 	current := c.session.Load()
-	if current == nil || current.isSilent() {
+	if current == nil || current.isUnresponsive() {
 		return nil
 	}
 	return current
 }
 
 // placing returns the session that places requests now, or nil.
-func (c *Client) placing() *session {
-	if current := c.leaderPlaces(); current != nil {
+func (c *Client) placementSession() *session {
+	if current := c.responsiveLeader(); current != nil {
 		return current
 	}
 	if current := c.standby.Load(); current != nil {
@@ -77,25 +77,25 @@
 
 // placingFor is placing for a question of this client itself, and the leader's
 // session for one of another daemon: what is passed on goes to the leader alone.
-func (c *Client) placingFor(origin string) *session {
+func (c *Client) placementSessionFor(origin string) *session {
 	if origin != "" {
 		return c.session.Load()
 	}
-	return c.placing()
+	return c.placementSession()
 }
 
 // lose forgets a session that has ended.
-func (c *Client) lose(ended *session) {
+func (c *Client) removeSession(ended *session) {
 	c.standby.CompareAndSwap(ended, nil)
 	if c.session.CompareAndSwap(ended, nil) {
-		c.noteLost()
+		c.signalLeaderLost()
 	}
 }
 
 // noteLost has somebody else asked for placements.
-func (c *Client) noteLost() {
+func (c *Client) signalLeaderLost() {
 	select {
-	case c.lost <- struct{}{}:
+	case c.leaderLost <- struct{}{}:
 	default:
 	}
 }
@@ -111,19 +111,19 @@
 }
 
 // standBy keeps a standby session while no leader serves the client.
-func (c *Client) standBy() {
+func (c *Client) runStandby() {
 	for {
 		select {
-		case <-c.lost:
+		case <-c.leaderLost:
 		case <-c.context.Done():
 			return
 		}
 		if c.session.Load() == nil {
 			pause.For(c.context, standbyDelay)
 		}
-		for c.context.Err() == nil && c.leaderPlaces() == nil {
-			if !c.askAround() {
-				pause.For(c.context, jitter(standbyPause))
+		for c.context.Err() == nil && c.responsiveLeader() == nil {
+			if !c.serveStandby() {
+				pause.For(c.context, jitteredBackoff(standbyPause))
 			}
 		}
 	}
@@ -131,14 +131,14 @@
 
 // askAround asks one member after the other to stand by, and serves the session
 // with the first that does to its end. It returns false when none did.
-func (c *Client) askAround() bool {
+func (c *Client) serveStandby() bool {
 	for _, address := range c.standbyOrder() {
-		if c.context.Err() != nil || c.leaderPlaces() != nil {
+		if c.context.Err() != nil || c.responsiveLeader() != nil {
 			return true
 		}
-		stood, err := c.connectStandby(address)
-		event.FeedStandbyEnded.Log(c.config.Logger, "address", address, "stood_by", stood, "err", err)
-		if stood {
+		accepted, err := c.connectStandby(address)
+		event.FeedStandbyEnded.Log(c.config.Logger, "address", address, "stood_by", accepted, "err", err)
+		if accepted {
 			return true
 		}
 	}
@@ -152,7 +152,7 @@
 	members, relays := c.memberOrder(), c.standbyRelays()
 	if c.session.Load() != nil {
 		// The leader is silent; others may still be led by it.
-		members = slices.DeleteFunc(members, func(address string) bool { return address == *c.leader.Load() })
+		members = slices.DeleteFunc(members, func(address string) bool { return address == *c.lastLeader.Load() })
 		return append(relays, members...)
 	}
 	var order []string
@@ -169,7 +169,7 @@
 
 func (c *Client) memberOrder() []string {
 	order := slices.Sorted(slices.Values(c.addresses()))
-	last := c.leader.Load()
+	last := c.lastLeader.Load()
 	if last == nil {
 		return order
 	}
@@ -206,7 +206,7 @@
 }
 
 // receiveAlive takes in that the member stands by.
-func (s *session) receiveAlive() error {
+func (s *session) receiveStandbyReady() error {
 	if !s.standby {
 		return errors.Wrap(errProtocol, "a leader that only stands by")
 	}
@@ -215,7 +215,7 @@
 	}
 	s.ready = true
 	s.client.standby.Store(s)
-	if s.client.leaderPlaces() != nil {
+	if s.client.responsiveLeader() != nil {
 		s.client.endStandby() // a leader came first
 		return nil
 	}
@@ -227,9 +227,9 @@
 }
 
 // writeAlive answers a standby subscription, if the member has a view to place by.
-func (s *subscriber) writeAlive(ctx context.Context, writer *frame.Writer, leader string) error {
+func (s *subscriber) writeStandbyReady(ctx context.Context, writer *frame.Writer, leader string) error {
 	if s.server.config.Group.Version().Revision == 0 {
-		return s.moveOn(ctx, writer, leader)
+		return s.redirect(ctx, writer, leader)
 	}
-	return writer.WriteFrame(kindAlive, nil)
+	return writer.WriteFrame(kindStandbyReady, nil)
 }
--- a/connection/feed/standby_test.go
+++ b/connection/feed/standby_test.go
@@ -56,7 +56,7 @@
 
 // placedBy returns which member places now, empty for none.
 func placedBy(client *Client) string {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	answer, err := client.Place(ctx, PlaceRequest{Service: "chat", Number: 1})
 	if err != nil {
@@ -67,7 +67,7 @@
 
 // While nobody leads, the last leader goes on with placements, and with nothing
 // else; the next leader takes over.
-func TestMemberStandsByForPlacementsOnly(t *testing.T) {
+func TestStandbyMemberServesPlacementsOnly(t *testing.T) {
 	first, second := newPlacingGroup("first", true), newPlacingGroup("second", false)
 	firstServer, firstAddress := startServer(t, first)
 	_, secondAddress := startServer(t, second)
@@ -103,7 +103,7 @@
 }
 
 // A member that came back with an empty disk knows no replicas.
-func TestMemberWithoutAViewDoesNotStandBy(t *testing.T) {
+func TestMemberWithoutAViewRefusesStandby(t *testing.T) {
 	empty, filled := newPlacingGroup("empty", true), newPlacingGroup("filled", false)
 	emptyServer, emptyAddress := startServer(t, empty)
 	_, filledAddress := startServer(t, filled)
@@ -116,7 +116,7 @@
 }
 
 // A member that is gone is passed over for the next one.
-func TestNextMemberStandsByWhenOneIsGone(t *testing.T) {
+func TestNextMemberServesStandbyWhenOneIsUnreachable(t *testing.T) {
 	first, second := newPlacingGroup("first", true), newPlacingGroup("second", false)
 	firstServer, firstAddress := startServer(t, first)
 	_, secondAddress := startServer(t, second)
--- a/connection/feed/subscriber.go
+++ b/connection/feed/subscriber.go
@@ -12,7 +12,7 @@
 )
 
 // answer is one frame that replies to a request of the subscriber.
-type answer struct {
+type response struct {
 	kind    frame.Kind
 	payload []byte
 }
@@ -28,12 +28,12 @@
 	wake   chan struct{}
 	// answers has room for every claim that may be under way, so that putting
 	// one there never blocks.
-	answers chan answer
-	slots   chan struct{}
-	calls   sync.WaitGroup
+	responses chan response
+	slots     chan struct{}
+	calls     sync.WaitGroup
 
 	// entered gives back the place among the subscriptions that begin.
-	entered func()
+	releaseOpeningSlot func()
 
 	// standby is set for a subscription that gets placements alone; it is
 	// written before the subscription is open.
@@ -44,30 +44,30 @@
 	partial bool
 	shares  shares
 
-	lock   sync.Mutex
-	opened bool
-	sent   view.Version // the version that the subscriber has or is being sent
-	acked  view.Version
-	heard  bool   // a beat arrived that writeNews has not seen
-	beat   uint64 // sequence of the latest beat without a grant, 0 if none
-	bulk   bulkDelta
+	lock             sync.Mutex
+	opened           bool
+	sent             view.Version // the version that the subscriber has or is being sent
+	acked            view.Version
+	heartbeatPending bool   // a beat arrived that writeNews has not seen
+	pendingSequence  uint64 // sequence of the latest beat without a grant, 0 if none
+	bulk             bulkTransfer
 
 	// toldNews is which of the ends that are not on record were told last, at toldAt. Only the
 	// writer uses them.
-	toldNews uint64
-	toldAt   time.Duration
+	reportedGeneration uint64
+	reportedAt         time.Duration
 }
 
 func newSubscriber(server *Server, conn net.Conn, number uint64) *subscriber {
 	maxClaims := server.config.MaxClaims
 	return &subscriber{
-		server:  server,
-		conn:    conn,
-		number:  number,
-		wake:    make(chan struct{}, 1),
-		entered: func() {},
-		answers: make(chan answer, maxClaims),
-		slots:   make(chan struct{}, maxClaims),
+		server:             server,
+		conn:               conn,
+		number:             number,
+		wake:               make(chan struct{}, 1),
+		releaseOpeningSlot: func() {},
+		responses:          make(chan response, maxClaims),
+		slots:              make(chan struct{}, maxClaims),
 	}
 }
 
@@ -95,7 +95,7 @@
 	cancel()
 	writer.Wait()
 	s.calls.Wait()
-	s.endBulk()
+	s.releaseBulkSlot()
 	if writeErr != nil {
 		return writeErr
 	}
@@ -108,7 +108,7 @@
 	if err != nil {
 		return err
 	}
-	if err := s.open(first); err != nil {
+	if err := s.handleSubscribe(first); err != nil {
 		return err
 	}
 	if !s.standby {
@@ -126,7 +126,7 @@
 	}
 }
 
-func (s *subscriber) open(first frame.Frame) error {
+func (s *subscriber) handleSubscribe(first frame.Frame) error {
 	if first.Kind != kindSubscribe {
 		return errors.Wrapf(errProtocol, "kind %d before subscribe", first.Kind)
 	}
@@ -153,8 +153,8 @@
 
 func (s *subscriber) receive(ctx context.Context, received frame.Frame) error {
 	switch received.Kind {
-	case kindBeat:
-		return s.receiveBeat(received.Payload)
+	case kindHeartbeat:
+		return s.receiveHeartbeat(received.Payload)
 	case kindClaim:
 		return s.receiveClaim(ctx, received.Payload)
 	case kindOutcome:
@@ -168,8 +168,8 @@
 		return nil
 	case kindPlace:
 		return s.receivePlace(received.Payload)
-	case kindKept:
-		return s.receiveKept(received.Payload)
+	case kindCachedParts:
+		return s.receiveCachedParts(received.Payload)
 	case kindInFlight:
 		return s.receiveInFlight(received.Payload)
 	case kindPlaceNote:
@@ -180,8 +180,8 @@
 		return s.receiveUsage(received.Payload)
 	case kindCharge:
 		return s.receiveCharge(received.Payload)
-	case kindReturn:
-		return s.receiveReturn(received.Payload)
+	case kindRefund:
+		return s.receiveRefund(received.Payload)
 	case kindPresence:
 		return s.receivePresence(received.Payload)
 	default:
@@ -200,14 +200,14 @@
 	if s.standby {
 		return nil
 	}
-	s.server.latest.ifLatest(s.key.daemon, s.number, func() {
+	s.server.latest.runIfLatest(s.key.daemon, s.number, func() {
 		s.server.config.Group.ReportPresence(presence)
 	})
 	return nil
 }
 
-func (s *subscriber) receiveBeat(payload []byte) error {
-	message, err := decodeBeat(payload)
+func (s *subscriber) receiveHeartbeat(payload []byte) error {
+	message, err := decodeHeartbeat(payload)
 	if err != nil {
 		return err
 	}
@@ -216,10 +216,10 @@
 	}
 	s.lock.Lock()
 	s.acked = message.acked
-	s.heard = true
-	s.beat = max(s.beat, message.sequence)
+	s.heartbeatPending = true
+	s.pendingSequence = max(s.pendingSequence, message.sequence)
 	s.lock.Unlock()
-	s.checkBulk(message.held)
+	s.releaseBulkIfDone(message.held)
 	s.signal()
 	return nil
 }
@@ -241,13 +241,13 @@
 	if err != nil {
 		return err
 	}
-	return s.start(ctx, func() {
+	return s.startCall(ctx, func() {
 		result, err := s.server.config.Group.Claim(ctx, request)
 		reply := claimReply{requestID: requestID, code: replyCodeOf(err), result: result}
-		s.answer(kindClaimReply, encodeClaimReply(reply))
+		s.enqueueResponse(kindClaimReply, encodeClaimReply(reply))
 	}, func() {
 		refused := claimReply{requestID: requestID, code: replyRefused}
-		s.answer(kindClaimReply, encodeClaimReply(refused))
+		s.enqueueResponse(kindClaimReply, encodeClaimReply(refused))
 	})
 }
 
@@ -256,19 +256,19 @@
 	if err != nil {
 		return err
 	}
-	return s.start(ctx, func() {
+	return s.startCall(ctx, func() {
 		err := s.server.config.Group.RecordOutcome(ctx, outcome)
-		s.answer(kindOutcomeReply, encodeOutcomeReply(outcomeReply{requestID: requestID, code: replyCodeOf(err)}))
+		s.enqueueResponse(kindOutcomeReply, encodeOutcomeReply(outcomeReply{requestID: requestID, code: replyCodeOf(err)}))
 	}, func() {
 		refused := outcomeReply{requestID: requestID, code: replyRefused}
-		s.answer(kindOutcomeReply, encodeOutcomeReply(refused))
+		s.enqueueResponse(kindOutcomeReply, encodeOutcomeReply(refused))
 	})
 }
 
 // start runs serve beside the reader, or refuse here when a subscription that
 // is leaving must start nothing new. It waits for a free place, which holds up
 // only this subscriber.
-func (s *subscriber) start(ctx context.Context, serve, refuse func()) error {
+func (s *subscriber) startCall(ctx context.Context, serve, refuse func()) error {
 	select {
 	case s.slots <- struct{}{}:
 	case <-ctx.Done():
@@ -284,8 +284,8 @@
 
 // answer hands a frame to the writer. The place is freed once it was taken, so
 // answers never has more than it has room for.
-func (s *subscriber) answer(kind frame.Kind, payload []byte) {
-	s.answers <- answer{kind: kind, payload: payload}
+func (s *subscriber) enqueueResponse(kind frame.Kind, payload []byte) {
+	s.responses <- response{kind: kind, payload: payload}
 }
 
 func replyCodeOf(err error) replyCode {
@@ -307,14 +307,14 @@
 		case <-ctx.Done():
 			return nil
 		case <-s.wake:
-			err = s.writeNews(ctx, writer)
-		case next := <-s.answers:
-			err = s.writeAnswer(writer, next)
+			err = s.writeUpdates(ctx, writer)
+		case next := <-s.responses:
+			err = s.writeResponse(writer, next)
 		}
 		if err != nil {
 			return err
 		}
-		if len(s.answers) > 0 {
+		if len(s.responses) > 0 {
 			continue
 		}
 		if err := writer.Flush(); err != nil {
@@ -323,38 +323,38 @@
 	}
 }
 
-func (s *subscriber) writeAnswer(writer *frame.Writer, next answer) error {
+func (s *subscriber) writeResponse(writer *frame.Writer, next response) error {
 	<-s.slots
 	return writer.WriteFrame(next.kind, next.payload)
 }
 
 // writeNews writes the delta to the version applied now and the grant that is due.
-func (s *subscriber) writeNews(ctx context.Context, writer *frame.Writer) error {
+func (s *subscriber) writeUpdates(ctx context.Context, writer *frame.Writer) error {
 	s.lock.Lock()
-	opened, sent, acked, heard, sequence := s.opened, s.sent, s.acked, s.heard, s.beat
-	s.heard, s.beat = false, 0
+	opened, sent, acked, heartbeatPending, sequence := s.opened, s.sent, s.acked, s.heartbeatPending, s.pendingSequence
+	s.heartbeatPending, s.pendingSequence = false, 0
 	s.lock.Unlock()
 	if !opened {
 		return nil
 	}
-	defer s.entered()
+	defer s.releaseOpeningSlot()
 	leadership := s.server.config.Group.Leadership()
 	if s.standby {
-		if err := s.writeAlive(ctx, writer, leadership.Address); err != nil {
+		if err := s.writeStandbyReady(ctx, writer, leadership.Address); err != nil {
 			return err
 		}
 		return s.writeUnrecorded(writer)
 	}
 	if !leadership.Leads {
-		return s.moveOn(ctx, writer, leadership.Address)
+		return s.redirect(ctx, writer, leadership.Address)
 	}
 	if err := s.writeUnrecorded(writer); err != nil {
 		return err
 	}
-	if err := s.writeDelta(ctx, writer, sent, heard); err != nil {
+	if err := s.writeDelta(ctx, writer, sent, heartbeatPending); err != nil {
 		return err
 	}
-	if !heard {
+	if !heartbeatPending {
 		return nil
 	}
 	return s.writeGrant(ctx, writer, acked, sequence)
@@ -362,13 +362,13 @@
 
 // moveOn sends the subscriber to the leader, after the answers to its claims
 // that are under way, and ends the connection.
-func (s *subscriber) moveOn(ctx context.Context, writer *frame.Writer, address string) error {
+func (s *subscriber) redirect(ctx context.Context, writer *frame.Writer, address string) error {
 	timer := time.NewTimer(s.server.config.WriteTimeout)
 	defer timer.Stop()
 	for len(s.slots) > 0 {
 		select {
-		case next := <-s.answers:
-			if err := s.writeAnswer(writer, next); err != nil {
+		case next := <-s.responses:
+			if err := s.writeResponse(writer, next); err != nil {
 				return err
 			}
 		case <-timer.C:
@@ -388,23 +388,23 @@
 
 // writeDelta writes what leads to the version applied now; asked says that the daemon waits
 // for a grant.
-func (s *subscriber) writeDelta(ctx context.Context, writer *frame.Writer, sent view.Version, asked bool) error {
+func (s *subscriber) writeDelta(ctx context.Context, writer *frame.Writer, sent view.Version, heartbeatPending bool) error {
 	if s.partial {
-		return s.writePartial(ctx, writer, sent, asked)
+		return s.writePartial(ctx, writer, sent, heartbeatPending)
 	}
 	payload, to, err := s.deltaSince(sent)
 	if err != nil || payload == nil {
 		return err
 	}
-	if len(payload) >= bulkPayload {
-		if err := s.beginBulk(ctx, writer); err != nil {
+	if len(payload) >= bulkThresholdBytes {
+		if err := s.acquireBulkSlot(ctx, writer); err != nil {
 			return err
 		}
 		// The group may have moved on while the subscriber waited.
 		if payload, to, err = s.deltaSince(sent); err != nil {
 			return err
 		}
-		s.sendBulk(to)
+		s.recordBulkSent(to)
 	}
 	return s.writeVersion(writer, payload, to)
 }
@@ -433,7 +433,7 @@
 // when the daemon asked.
 func (s *subscriber) writeGrant(ctx context.Context, writer *frame.Writer, acked view.Version, sequence uint64) error {
 	now := s.server.config.Clock()
-	current := s.server.leased(ctx)
+	current := s.server.leasedRegistry(ctx)
 	if current == nil {
 		return nil
 	}
@@ -443,6 +443,6 @@
 	if !granted || sequence == 0 || lease <= 0 {
 		return nil
 	}
-	message := grant{sequence: sequence, lease: lease, term: current.term, day: s.server.config.Group.Day()}
+	message := grant{sequence: sequence, lease: lease, term: current.term, wallClock: s.server.config.Group.Day()}
 	return writer.WriteFrame(kindGrant, encodeGrant(message))
 }
--- a/connection/feed/takeover.go
+++ b/connection/feed/takeover.go
@@ -22,38 +22,38 @@
 }
 
 // maxKeptParts bounds the parts told of one replica.
-const maxKeptParts = 512
+const maxCachedParts = 512
 
-func encodeKept(kept KeptParts) []byte {
+func encodeCachedParts(cached KeptParts) []byte {
 	encoder := frame.NewEncoder(nil)
-	encoder.String(kept.Service)
-	encoder.String(kept.Replica)
-	encodeParts(encoder, kept.Parts[max(0, len(kept.Parts)-maxKeptParts):])
+	encoder.String(cached.Service)
+	encoder.String(cached.Replica)
+	encodeParts(encoder, cached.Parts[max(0, len(cached.Parts)-maxCachedParts):])
 	return encoder.Data()
 }
 
-func decodeKept(data []byte) (KeptParts, error) {
+func decodeCachedParts(data []byte) (KeptParts, error) {
 	decoder := frame.NewDecoder(data)
-	kept := KeptParts{Service: decoder.String(), Replica: decoder.String(), Parts: decodeParts(decoder, maxKeptParts)}
-	return kept, decoder.Finish()
+	cached := KeptParts{Service: decoder.String(), Replica: decoder.String(), Parts: decodeParts(decoder, maxCachedParts)}
+	return cached, decoder.Finish()
 }
 
 // ReportKept tells the leader what a replica is believed to keep; false when the
 // word was dropped.
-func (c *Client) ReportKept(kept KeptParts) bool {
-	current := c.placing()
+func (c *Client) ReportKept(cached KeptParts) bool {
+	current := c.placementSession()
 	if current == nil {
 		return false
 	}
-	return current.enqueue(&outgoing{kind: kindKept, payload: encodeKept(kept)})
+	return current.enqueue(&outgoing{kind: kindCachedParts, payload: encodeCachedParts(cached)})
 }
 
-func (s *subscriber) receiveKept(payload []byte) error {
-	kept, err := decodeKept(payload)
+func (s *subscriber) receiveCachedParts(payload []byte) error {
+	cached, err := decodeCachedParts(payload)
 	if err != nil {
 		return err
 	}
-	s.server.config.Group.NoteKept(kept)
+	s.server.config.Group.NoteKept(cached)
 	return nil
 }
 
@@ -121,7 +121,7 @@
 // ReportInFlight tells who places the daemon's requests now what it has in flight; false
 // when the word was dropped.
 func (c *Client) ReportInFlight(message InFlight) bool {
-	current := c.placing()
+	current := c.placementSession()
 	if current == nil {
 		return false
 	}
--- a/connection/feed/unrecorded_test.go
+++ b/connection/feed/unrecorded_test.go
@@ -11,32 +11,32 @@
 )
 
 // tellingGroup is a member that has something to tell that is not on record.
-type tellingGroup struct {
+type unrecordedGroup struct {
 	*fakeGroup
-	lock sync.Mutex
-	told EndReport
-	news uint64
+	lock       sync.Mutex
+	report     EndReport
+	generation uint64
 }
 
-func (g *tellingGroup) Unrecorded() (EndReport, uint64) {
+func (g *unrecordedGroup) Unrecorded() (EndReport, uint64) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
-	return g.told, g.news
+	return g.report, g.generation
 }
 
-func (g *tellingGroup) learn(replica string) {
+func (g *unrecordedGroup) addEnd(replica string) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
-	g.news++
-	g.told.Ended = append(g.told.Ended, quarantine.Aged{Evidence: quarantine.Evidence{Replica: replica}, Age: time.Second})
+	g.generation++
+	g.report.Ended = append(g.report.Ended, quarantine.Aged{Evidence: quarantine.Evidence{Replica: replica}, Age: time.Second})
 }
 
 // Daemons are told what is not on record by the leader that serves them and by a member that stands
 // by, when there are news and every now and then as long as they last.
-func TestDaemonsAreToldOfUnrecordedEnds(t *testing.T) {
+func TestUnrecordedEndsAreSentToDaemons(t *testing.T) {
 	for name, leads := range map[string]bool{"by the leader": true, "by a member that stands by": false} {
 		t.Run(name, func(t *testing.T) {
-			group := &tellingGroup{fakeGroup: newFakeGroup()}
+			group := &unrecordedGroup{fakeGroup: newFakeGroup()}
 			server, address := startServer(t, group)
 			group.put("water")
 			told := make(chan EndReport, 1000)
@@ -55,7 +55,7 @@
 			}
 			must.Eq(t, 0, len(told))
 			for i, replica := range []string{"r-0", "r-1"} {
-				group.learn(replica)
+				group.addEnd(replica)
 				report := <-told
 				must.SliceLen(t, i+1, report.Ended)
 				must.Eq(t, replica, report.Ended[i].Replica)
--- a/connection/feed/usage.go
+++ b/connection/feed/usage.go
@@ -33,10 +33,10 @@
 	encoder.String(report.Life)
 	encoder.Int64(report.Through)
 	encoder.Uint32(uint32(len(report.Counts)))
-	for _, counted := range report.Counts {
-		encoder.Int64(counted.Window)
-		encoder.String(counted.Tenant)
-		encoder.Uint64(counted.Count)
+	for _, counter := range report.Counts {
+		encoder.Int64(counter.Window)
+		encoder.String(counter.Tenant)
+		encoder.Uint64(counter.Count)
 	}
 	return encoder.Data()
 }
@@ -67,12 +67,12 @@
 
 // ReportUsage tells the leader; false when a part of the word was dropped.
 func (c *Client) ReportUsage(report UsageReport) bool {
-	to := c.session.Load()
-	if to == nil {
+	leader := c.session.Load()
+	if leader == nil {
 		return false
 	}
 	for _, part := range report.split() {
-		if !to.enqueue(&outgoing{kind: kindUsage, payload: encodeUsage(part)}) {
+		if !leader.enqueue(&outgoing{kind: kindUsage, payload: encodeUsage(part)}) {
 			return false
 		}
 	}
--- a/connection/feed/usage_test.go
+++ b/connection/feed/usage_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestUsageReportsAreCoded(t *testing.T) {
+func TestUsageReportRoundTrip(t *testing.T) {
 	report := UsageReport{Life: "p#1", Through: 1_700_000_000_123, Counts: []UsageCount{{Window: 7, Tenant: "north", Count: 3}, {Window: 8, Tenant: "south", Count: 1}}}
 	decoded, err := decodeUsage(encodeUsage(report))
 	must.NoError(t, err)
