--- a/connection/feed/bulk.go
+++ b/connection/feed/bulk.go
@@ -8,26 +8,26 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
-// bulkPayload is the size in bytes from which a delta waits for one of the
-// server's places for large ones.
+// bulkThresholdBytes is the payload size from which a delta has to wait for one of the server's
+// bulk slots.
 const bulkThresholdBytes = 256 << 10
 
-// bulkDelta is a large delta on its way to a subscriber, which then holds one
-// of the server's places for such.
+// bulkTransfer is a large delta in transit to a subscriber. The subscriber holds a bulk slot of
+// the server until the transfer is done.
 type bulkTransfer struct {
 	held    bool
 	version view.Version
-	sentAt  time.Duration // when it was sent
+	sentAt  time.Duration
 }
 
-// bulkKeepAlive is the time between two frames to a subscriber that waits for
-// a place, shorter than its silence timeout: one that gave up would come back
-// at the end of the queue, and the places would go to those about to give up.
+// bulkKeepAlive is the interval between keep-alive frames to a subscriber that waits for a bulk
+// slot. It is shorter than the subscriber's silence timeout: a subscriber that timed out would
+// reconnect at the end of the queue, and the slots would go to subscribers that are about to time
+// out themselves.
 const bulkKeepAlive = 500 * time.Millisecond
 
-// beginBulk waits for a place for a large delta. The place is held until the
-// subscriber has acknowledged the version: what is written may still wait in
-// buffers on the way.
+// acquireBulkSlot waits for a bulk slot. The slot is held until the subscriber has acknowledged
+// the version, since written data may still be in buffers along the path.
 func (s *subscriber) acquireBulkSlot(ctx context.Context, writer *frame.Writer) error {
 	s.lock.Lock()
 	held := s.bulk.held
@@ -54,7 +54,7 @@
 	}
 }
 
-// keepAlive writes a grant for no beat, which renews nothing.
+// writeKeepAlive writes a grant for sequence 0, which renews no lease.
 func (s *subscriber) writeKeepAlive(ctx context.Context, writer *frame.Writer) error {
 	leadership := s.server.config.Group.Leadership()
 	if !leadership.Leads {
@@ -66,16 +66,18 @@
 	return writer.Flush()
 }
 
-// sendBulk notes what the subscriber has to acknowledge to free its place.
+// recordBulkSent records the version that the subscriber has to acknowledge to release its bulk
+// slot.
 func (s *subscriber) recordBulkSent(to view.Version) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.bulk.version, s.bulk.sentAt = to, s.server.config.Clock()
 }
 
-// checkBulk frees the place once the large delta is acknowledged. One that is
-// slow to do so goes on without the place, since others wait: to cut it off
-// would only make it ask for the same again.
+// releaseBulkIfDone releases the bulk slot once the large delta is acknowledged. If the
+// acknowledgement takes longer than the silence timeout, the slot is released as well, because
+// others are waiting; the transfer continues, since a disconnected subscriber would only request
+// the same delta again.
 func (s *subscriber) releaseBulkIfDone(acked view.Version) {
 	s.lock.Lock()
 	bulk := s.bulk
@@ -89,7 +91,7 @@
 	}
 }
 
-// endBulk frees the place, if the subscriber holds one.
+// releaseBulkSlot releases the bulk slot if the subscriber holds one.
 func (s *subscriber) releaseBulkSlot() {
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/connection/feed/bulk_test.go
+++ b/connection/feed/bulk_test.go
@@ -13,7 +13,7 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
-// bulkTenants make a view larger than bulkPayload also when it is packed.
+// bulkTenantCount makes a view that exceeds bulkThresholdBytes even when compressed.
 const bulkTenantCount = 110_000
 
 func startBulkServer(t *testing.T, config ServerConfig) (*Server, string) {
@@ -25,7 +25,7 @@
 	return server, listener.Addr().String()
 }
 
-// subscribeAnew asks for a whole view.
+// subscribeFullView subscribes without a version, which requests the full view.
 func subscribeFullView(t *testing.T, address, daemon string) *rawSubscriber {
 	raw := newRawSubscriber(t, address)
 	raw.send(kindSubscribe, encodeSubscribe(subscribe{daemon: daemon}))
@@ -86,15 +86,14 @@
 	must.NoError(t, err)
 	t.Cleanup(client.Close)
 	eventually(t, "two subscriptions", func() bool { return server.Subscribers() == 2 })
-	time.Sleep(silence + bulkKeepAlive) // longer than the client bears silence
+	time.Sleep(silence + bulkKeepAlive) // longer than the client's silence timeout
 	first.send(kindHeartbeat, encodeHeartbeat(heartbeat{acked: version, held: version}))
 	eventually(t, "the view", func() bool { return holder.Load().Version == version })
 	must.Eq(t, 1, dials.Load())
 }
 
-// TestSubscriberThatNeverAcknowledgesLosesItsPlace lets the server's clock pass
-// the time to acknowledge with each beat; the time without a frame, after which
-// a subscriber would be cut off, is that of the machine.
+// The server's clock advances past the acknowledgement timeout with each heartbeat. The read
+// timeout of the connection, after which a silent subscriber is disconnected, uses the real clock.
 func TestSubscriberThatNeverAcknowledgesLosesItsBulkSlot(t *testing.T) {
 	group := newFakeGroup()
 	group.putBatch("water", bulkTenantCount)
--- a/connection/feed/charge.go
+++ b/connection/feed/charge.go
@@ -9,16 +9,16 @@
 	"github.com/pkg/errors"
 )
 
-// ChargeRequest asks for a request of a tenant to be charged to its quota.
+// ChargeRequest asks to charge a tenant's request to the tenant's quota.
 type ChargeRequest struct {
 	Tenant string
 	Cost   float64 // in the quota's unit
-	// Passed is set where a daemon asks for another one: it is passed on once.
+	// Passed marks a request that a daemon forwards for another one; it is forwarded at most once.
 	Passed bool
 }
 
-// ErrNotCharged says that nobody who keeps quotas has answered: the daemon decides by what
-// it keeps itself.
+// ErrNotCharged says that no quota-keeping member answered; the daemon then decides by its local
+// state.
 var ErrNotCharged = errors.New("feed: no member keeps quotas now")
 
 func encodeChargeRequest(encoder *frame.Encoder, request ChargeRequest) []byte {
@@ -39,7 +39,7 @@
 	return encodeChargeRequest(encoder, request)
 }
 
-// chargeReply answers a charge; found is false where this member keeps no quotas.
+// chargeReply answers a charge; found is false if this member keeps no quotas.
 type chargeReply struct {
 	requestID uint64
 	found     bool
@@ -63,8 +63,8 @@
 	return message, decoder.Finish()
 }
 
-// chargingFor is the session that is asked for a charge: what is passed on for another
-// daemon goes to the leader alone.
+// chargeSession returns the session to send a charge on. Charges forwarded for another daemon go
+// to the leader only.
 func (c *Client) chargeSession(request ChargeRequest) *session {
 	if request.Passed {
 		return c.session.Load()
@@ -72,8 +72,9 @@
 	return c.placementSession()
 }
 
-// Charge charges a request to its tenant's quota at the leader, or at the member that stands
-// by without one; ErrNotCharged when none answers before ctx ends. It may be charged then.
+// Charge charges a request to its tenant's quota at the leader, or at a standby member if no
+// leader is available. It returns ErrNotCharged if there is no answer before ctx ends; the request
+// may have been charged in that case.
 func (c *Client) Charge(ctx context.Context, request ChargeRequest) (quota.Grant, error) {
 	current := c.chargeSession(request)
 	if current == nil {
@@ -86,8 +87,8 @@
 	return answer.grant, nil
 }
 
-// ReturnCharge gives back what was charged for a request that no replica has run; false when
-// the word was dropped.
+// ReturnCharge refunds the charge of a request that no replica has run. It returns false if the
+// message was dropped.
 func (c *Client) ReturnCharge(request ChargeRequest) bool {
 	current := c.chargeSession(request)
 	if current == nil {
@@ -97,7 +98,7 @@
 	return current.enqueue(&outgoing{kind: kindRefund, payload: payload})
 }
 
-// receiveCharge answers a charge beside the reader.
+// receiveCharge answers a charge on a separate goroutine.
 func (s *subscriber) receiveCharge(payload []byte) error {
 	decoder := frame.NewDecoder(payload)
 	requestID := decoder.Uint64()
@@ -108,9 +109,9 @@
 	select {
 	case s.slots <- struct{}{}:
 	default:
-		return nil // too much is under way; the daemon decides by itself
+		return nil // too many calls in progress; the daemon decides locally
 	}
-	s.calls.Go(func() { s.answerCharge(requestID, request) }) // who passes it on waits for the leader
+	s.calls.Go(func() { s.answerCharge(requestID, request) }) // a forwarding daemon waits for the leader
 	return nil
 }
 
--- a/connection/feed/charge_test.go
+++ b/connection/feed/charge_test.go
@@ -26,7 +26,7 @@
 	must.Error(t, err)
 }
 
-// Charges go to the leader, and to nobody who passes on what was passed on to it.
+// Charges go to the leader. A forwarded charge is not forwarded again.
 func TestChargesReachTheLeader(t *testing.T) {
 	group := newFakeGroup()
 	group.grant = quota.Grant{Granted: true, Left: 5}
--- a/connection/feed/client.go
+++ b/connection/feed/client.go
@@ -15,68 +15,63 @@
 	"github.com/pkg/errors"
 )
 
-// ClientConfig holds what a Client is created with. Zero durations and bounds
-// take the defaults.
+// ClientConfig configures a Client. Zero durations and limits use the defaults.
 type ClientConfig struct {
-	// Daemon identifies the subscriber; no two running daemons share it.
+	// Daemon identifies the subscriber. It is unique among running daemons.
 	Daemon string
 	Zone   string
 	// Addresses are the feed addresses of the control members.
 	Addresses []string
-	// MoreAddresses returns further feed addresses, learned while running; nil
-	// returns none. It is asked before each round of tries.
+	// MoreAddresses returns additional feed addresses discovered at runtime; nil returns none. It
+	// is called before each round of connection attempts.
 	MoreAddresses func() []string
-	// Served is called each time a leader has begun to serve the client; it must
-	// not block. nil: nothing is called.
+	// Served, if set, is called whenever a leader or a standby member starts to serve the client.
+	// It must not block.
 	Served func()
-	// Resumed is called when a leader that was silent is heard again, and others were
-	// told of placements meanwhile; it must not block. nil: nothing is called.
+	// Resumed, if set, is called when an unresponsive leader responds again after placements were
+	// reported to another member meanwhile. It must not block.
 	Resumed func()
-	// Unrecorded is called with what a member tells of replicas that ended while the record can't
-	// tell it; it must not block. nil: nothing is called.
+	// Unrecorded, if set, is called with reports of replicas that ended which members can't read
+	// from the committed record. It must not block.
 	Unrecorded func(report EndReport)
-	// Standby has any other member place requests while no leader serves the
-	// client.
+	// Standby sends placement requests to any other member while no leader serves the client.
 	Standby bool
-	// Partial has the views hold the daemon's own subset of the replicas of large services;
-	// Listed returns others that answers have named.
+	// Partial limits the views to the daemon's own subset of the replicas of large services.
+	// Listed returns other replicas that answers have named.
 	Partial bool
-	// StandbyRelays returns the feed addresses of other daemons that pass
-	// placements on; nil returns none. It is asked before each round of tries.
+	// StandbyRelays returns the feed addresses of other daemons that relay placements; nil returns
+	// none. It is called before each round of connection attempts.
 	StandbyRelays func() []string
-	// Presence returns what the daemon says of itself with each beat; nil says
-	// nothing.
+	// Presence returns the state that the daemon reports with each heartbeat; nil reports nothing.
 	Presence func() Presence
-	// Day is called with the group's time of day that came in answer to a beat which was
-	// sent and answered then; it must not block. nil: nothing is called.
+	// Day, if set, is called with the group's wall-clock time from the answer to a heartbeat, and
+	// the local times at which that heartbeat was sent and answered. It must not block.
 	Day func(sent, answered time.Duration, day int64)
-	// BeatInterval is the time between two beats; the view lease should be
-	// several times as long.
+	// BeatInterval is the heartbeat interval. The view lease should be several times as long.
 	BeatInterval time.Duration
 	DialTimeout  time.Duration
-	// WriteTimeout bounds each write, SilenceTimeout the time without any frame
-	// from the leader after which another member is tried.
+	// WriteTimeout bounds each write. SilenceTimeout is the time without any frame from the leader
+	// after which another member is tried.
 	WriteTimeout   time.Duration
 	SilenceTimeout time.Duration
-	// BackoffMin and BackoffMax bound the pause between two tries; each pause
-	// is drawn from the upper half of its range.
+	// BackoffMin and BackoffMax bound the delay between connection attempts. Each delay is drawn
+	// from the upper half of its range.
 	BackoffMin time.Duration
 	BackoffMax time.Duration
-	// HandoverWait is how long claims and outcomes wait for the next leader
-	// after the last one said that it leads no more. Later, and when a leader
-	// was lost without a word, they are refused at once.
+	// HandoverWait is how long claims and outcomes wait for the next leader after the previous one
+	// announced that it stepped down. After that, or if the leader was lost without an
+	// announcement, they are refused immediately.
 	HandoverWait time.Duration
-	// MaxInFlight bounds the claims and outcomes that wait for a reply.
+	// MaxInFlight limits the claims and outcomes waiting for a reply.
 	MaxInFlight int
 	// Dial opens the connections; nil uses a net.Dialer with DialTimeout.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Clock reads the monotonic clock by which the views' lease counts; nil
-	// counts from the start of the process.
+	// Clock reads the monotonic clock used for the view lease; nil counts from process start.
 	Clock  func() time.Duration
 	Logger log.Logger
 }
 
-// Defaults of a ClientConfig.
+// Defaults of ClientConfig.
 const (
 	DefaultBeatInterval   = 500 * time.Millisecond
 	DefaultDialTimeout    = 2 * time.Second
@@ -109,7 +104,7 @@
 	return c
 }
 
-// orDefault returns value, or fallback when value is not positive.
+// orDefault returns value, or fallback if value is not positive.
 func orDefault[T int | time.Duration](value, fallback T) T {
 	if value <= 0 {
 		return fallback
@@ -123,22 +118,22 @@
 	views         Views
 	instance      uint64
 	session       atomic.Pointer[session] // nil while no leader serves the client
-	standby       atomic.Pointer[session] // nil while no member stands by for one
-	leaderLost    chan struct{}           // has an item once a leader serves the client no more, or is silent
-	lastLeader    atomic.Pointer[string]  // the address of the one that served last
+	standby       atomic.Pointer[session] // nil while no standby member serves the client
+	leaderLost    chan struct{}           // signaled when the leader is lost or becomes unresponsive
+	lastLeader    atomic.Pointer[string]  // address of the leader that served last
 	handover      *handover
-	shares        atomic.Pointer[shares] // of the replicas that views holds
+	shares        atomic.Pointer[shares] // of the replicas in views
 	namedReplicas namedReplicas
 	requestID     atomic.Uint64
-	slots         chan struct{} // one for each claim or outcome in flight
+	slots         chan struct{} // one per claim or outcome in flight
 	context       context.Context
 	cancel        context.CancelFunc
 	done          sync.WaitGroup
 }
 
-// Dial starts a client that connects in the background, finds the leader among
-// the addresses and keeps views up to date until Close. It returns ErrConfig
-// when the configuration lacks the daemon or the addresses.
+// Dial starts a client that connects in the background, finds the leader among the addresses and
+// keeps views up to date until Close. It returns ErrConfig if the configuration lacks the daemon
+// or the addresses.
 func Dial(config ClientConfig, views Views) (*Client, error) {
 	if config.Daemon == "" {
 		return nil, errors.Wrap(ErrConfig, "no daemon")
@@ -158,50 +153,50 @@
 	return client, nil
 }
 
-// Close ends the connection and waits for the client's goroutines. Requests
-// that wait for a reply get ErrOutcomeUnknown.
+// Close closes the connection and waits for the client's goroutines. Requests waiting for a reply
+// fail with ErrOutcomeUnknown.
 func (c *Client) Close() {
 	c.cancel()
 	c.done.Wait()
 }
 
-// Connected reports whether a leader serves the client now.
+// Connected reports whether a leader currently serves the client.
 func (c *Client) Connected() bool { return c.session.Load() != nil }
 
-// Claim commits the claim and returns the group's answer. ErrNoQuorum is sure:
-// the claim was not and will not be committed. After ErrOutcomeUnknown it may
-// have been granted; the same request (same nonce) may be sent again and gets
-// the same answer. A claim with an unknown outcome must not be dispatched.
+// Claim commits the claim and returns the group's answer. ErrNoQuorum is definite: the claim was
+// not and will not be committed. After ErrOutcomeUnknown it may have been granted; the same
+// request (same nonce) may be sent again and gets the same answer. A claim with an unknown outcome
+// must not be dispatched.
 func (c *Client) Claim(ctx context.Context, request state.ClaimRequest) (api.ClaimResult, error) {
 	reply, err := c.call(ctx, kindClaim, func(id uint64) []byte { return encodeClaim(id, request) })
 	return reply.result, err
 }
 
-// RecordOutcome commits what became of a claimed run. Errors are those of
-// Claim; recording the same outcome again changes nothing.
+// RecordOutcome commits the outcome of a claimed run. It returns the same errors as Claim and is
+// idempotent.
 func (c *Client) RecordOutcome(ctx context.Context, outcome state.RunOutcome) error {
 	_, err := c.call(ctx, kindOutcome, func(id uint64) []byte { return encodeOutcome(id, outcome) })
 	return err
 }
 
-// Acknowledge tells the leader at once which version is acknowledged now, if
-// the client is connected; the next beat tells it in any case.
+// Acknowledge immediately sends the currently acknowledged version to the leader if the client is
+// connected. The next heartbeat sends it in any case.
 func (c *Client) Acknowledge() {
 	if current := c.session.Load(); current != nil {
 		current.acknowledge()
 	}
 }
 
-// Announce tells the leader at once what Presence returns now, if the client is
-// connected; the next beat tells it in any case.
+// Announce immediately sends the current result of Presence to the leader if the client is
+// connected. The next heartbeat sends it in any case.
 func (c *Client) Announce() {
 	if c.config.Presence != nil {
 		c.ReportPresence(c.config.Presence())
 	}
 }
 
-// ReportPresence sends a proxy's word on itself if the client is connected and
-// its queue has room; it returns false when it was dropped.
+// ReportPresence sends a proxy's presence if the client is connected and its queue has room. It
+// returns false if the message was dropped.
 func (c *Client) ReportPresence(presence Presence) bool {
 	current := c.session.Load()
 	if current == nil {
@@ -210,9 +205,8 @@
 	return current.enqueue(&outgoing{kind: kindPresence, payload: encodePresence(presence)})
 }
 
-// ReportDemand sends a report if the client is connected and its queue has
-// room. It returns false when the report was dropped; the caller may add it to
-// the next window.
+// ReportDemand sends a report if the client is connected and its queue has room. It returns false
+// if the report was dropped; the caller may add it to the next window.
 func (c *Client) ReportDemand(report DemandReport) bool {
 	current := c.session.Load()
 	if current == nil {
--- a/connection/feed/delta.go
+++ b/connection/feed/delta.go
@@ -9,8 +9,8 @@
 	"github.com/pkg/errors"
 )
 
-// packedFrom is the size in bytes from which a delta is packed. The first byte
-// of the payload says whether it is.
+// compressThresholdBytes is the size from which a delta is compressed. The first byte of the
+// payload says whether it is.
 const compressThresholdBytes = 1 << 10
 
 const (
@@ -45,17 +45,17 @@
 	return delta, errors.Wrap(err, "feed: decode delta")
 }
 
-// fullReuse is how long the encoding of a whole view is used again: what
-// changed since then follows as a small delta.
+// fullViewCacheTTL is how long the encoding of a full view is reused. Later changes follow as a
+// small delta.
 const fullViewCacheTTL = time.Second
 
-// deltaCache keeps the encodings of the latest delta, since most subscribers
-// stand at the same version, and of a whole view, which takes much longer to
-// encode than it stays the latest when all daemons start at once.
+// deltaCache caches the encoding of the latest delta, since most subscribers are at the same
+// version, and the encoding of a full view. When all daemons start at once, encoding a full view
+// takes much longer than the view stays the latest one.
 type deltaCache struct {
 	lock    sync.Mutex
 	partial encodedDelta
-	// fullLock is held while a whole view is encoded, so that it is done once.
+	// fullLock is held while a full view is encoded, so that it is encoded once.
 	fullLock      sync.Mutex
 	full          encodedDelta
 	fullEncodedAt time.Duration
@@ -66,8 +66,8 @@
 	payload  []byte
 }
 
-// since returns the encoded delta from a version to one applied lately, or nil
-// when there is nothing to send.
+// since returns an encoded delta from the given version to a recently applied one, or nil if there
+// is nothing to send.
 func (c *deltaCache) since(group Group, from view.Version, now time.Duration) ([]byte, view.Version, error) {
 	if from.IsZero() {
 		return c.fullView(group, from, now)
@@ -101,7 +101,7 @@
 	return c.partial.payload, c.partial.to, true
 }
 
-// whole returns the encoding of a whole view that is later than from.
+// fullView returns the encoding of a full view that is newer than from.
 func (c *deltaCache) fullView(group Group, from view.Version, now time.Duration) ([]byte, view.Version, error) {
 	c.fullLock.Lock()
 	defer c.fullLock.Unlock()
--- a/connection/feed/ends.go
+++ b/connection/feed/ends.go
@@ -7,31 +7,32 @@
 	"github.com/landingtrail/landingtrail/request/quarantine"
 )
 
-// EndReport is what a daemon has seen of replicas that ended, so that all daemons know
-// under which requests they do.
+// EndReport is what a daemon has observed of replicas that ended while they processed requests. It
+// is shared so that all daemons know which requests preceded the failures.
 type EndReport struct {
-	// Ended are replicas that seem to have ended under requests, with the time since.
+	// Ended lists replicas that appear to have ended while they processed a request, with the time
+	// since then.
 	Ended []quarantine.Aged
-	// Alive are replicas that were reported so and have answered since.
+	// Alive lists replicas that were reported as ended and have answered since.
 	Alive []quarantine.Alive
-	// Served are requests that the group has on record and that were served whole.
+	// Served lists requests in the group's record that were served to completion.
 	Served []quarantine.Fingerprint
 }
 
-// IsEmpty reports whether nothing is told.
+// IsEmpty reports whether the report has no entries.
 func (r *EndReport) IsEmpty() bool { return len(r.Ended)+len(r.Alive)+len(r.Served) == 0 }
 
-// Bounds of one report: maxEnded replicas' ends, as many names and fingerprints.
+// Limits of one report. maxEnded applies to each of its lists.
 const (
 	maxEnded = 512
-	// endedSize is the least size of one encoded end, aliveSize of one that lives,
-	// fingerprintSize of a fingerprint.
+	// endedSize is the minimum encoded size of an entry of Ended, aliveSize of an entry of Alive,
+	// and fingerprintSize of a fingerprint.
 	endedSize       = 4 + 4 + 5 + 8 + 8 + 3*4 + 8
 	aliveSize       = 4 + 8
 	fingerprintSize = 4
 )
 
-// Split divides a report into such as one message holds.
+// Split divides a report into parts that fit into one message each.
 func (r EndReport) Split() []EndReport {
 	parts := []EndReport{{Alive: r.Alive[:min(len(r.Alive), maxEnded)], Served: r.Served[:min(len(r.Served), maxEnded)]}}
 	for first := 0; first < len(r.Ended); first += maxEnded {
@@ -43,7 +44,8 @@
 	return parts
 }
 
-// EncodeEnds encodes a report for a file or another member; it holds no more than maxEnded of each.
+// EncodeEnds encodes a report for a file or another member. Each list must hold at most maxEnded
+// entries.
 func EncodeEnds(report EndReport) []byte {
 	encoder := frame.NewEncoder(nil)
 	encoder.Uint32(uint32(len(report.Ended)))
@@ -74,7 +76,7 @@
 	return encoder.Data()
 }
 
-// DecodeEnds reads what EncodeEnds has written.
+// DecodeEnds decodes the output of EncodeEnds.
 func DecodeEnds(data []byte) (EndReport, error) {
 	decoder := frame.NewDecoder(data)
 	var report EndReport
@@ -90,7 +92,7 @@
 	return report, decoder.Finish()
 }
 
-// decodeCount reads the length of a list that a report bounds.
+// decodeCount reads the length of a list in a report and fails the decoder if it exceeds maxEnded.
 func decodeCount(decoder *frame.Decoder, size int) int {
 	count := decoder.Count(size)
 	if count > maxEnded {
@@ -124,8 +126,8 @@
 	return fingerprint
 }
 
-// ReportEnds tells the leader, or the member that stands by without one, of replicas that
-// ended; false when a part of the word was dropped.
+// ReportEnds sends a report to the leader, or to a standby member if no leader is available. It
+// returns false if any part was dropped.
 func (c *Client) ReportEnds(report EndReport) bool {
 	return reportEnds(c.placementSession(), report)
 }
@@ -150,15 +152,16 @@
 	return nil
 }
 
-// UnrecordedPause is after which time a daemon is told again of ends that the record can't tell: as
-// long as it is told, it knows that nobody else judges by them.
+// UnrecordedPause is the interval at which ends that the committed record can't tell are sent to a
+// daemon again. As long as a daemon receives them, it knows that nobody else decides by them.
 const UnrecordedPause = time.Second
 
-// unrecordedLeast is the least time between two words to a daemon: news come many at a time.
+// minUnrecordedInterval is the minimum time between two such reports to a daemon, since changes
+// come in bursts.
 const minUnrecordedInterval = 100 * time.Millisecond
 
-// writeUnrecorded tells the daemon of ends that are not on record, if there are any that it does not
-// know or was told of a while ago.
+// writeUnrecorded sends the ends that are not in the committed record, if there are any that the
+// daemon does not know or that were last sent some time ago.
 func (s *subscriber) writeUnrecorded(writer *frame.Writer) error {
 	report, generation := s.server.config.Group.Unrecorded()
 	now := s.server.config.Clock()
@@ -178,7 +181,7 @@
 	return nil
 }
 
-// receiveEnds takes in what a member tells of ends that are not on record.
+// receiveEnds handles a member's report of ends that are not in the committed record.
 func (s *session) receiveEnds(payload []byte) error {
 	report, err := DecodeEnds(payload)
 	if err != nil {
--- a/connection/feed/feed.go
+++ b/connection/feed/feed.go
@@ -1,8 +1,8 @@
-// Package feed is the protocol between the control group and the daemons that
-// follow it. One TCP connection carries the deltas of the view, the beats that
-// renew the view lease, at-most-once claims and demand reports. Only a leader
-// with a valid lease serves a subscription; any other member names the leader
-// and ends the connection, unless it is asked for placements alone (standby.go).
+// Package feed implements the protocol between the control group and the daemons that follow it.
+// One TCP connection carries view deltas, the heartbeats that renew the view lease, at-most-once
+// claims and demand reports. Only a leader with a valid lease serves a subscription. Any other
+// member sends the leader's address and closes the connection, unless it is only asked for
+// placements (standby.go).
 package feed
 
 import (
@@ -14,38 +14,38 @@
 
 // Errors of claims and outcomes.
 var (
-	// ErrNoQuorum says that the control group surely did not take the request:
-	// no byte of it was sent, or the group refused it before proposing it.
+	// ErrNoQuorum says that the control group definitely did not take the request: no byte of it
+	// was sent, or the group refused it before proposing it.
 	ErrNoQuorum = errors.New("feed: the control group did not take the request")
 	// ErrOutcomeUnknown says that the request was sent and may have been
 	// committed, now or later.
 	ErrOutcomeUnknown = errors.New("feed: the outcome is unknown")
 	// ErrClosed says that the client or server was closed.
 	ErrClosed = errors.New("feed: closed")
-	// ErrConfig says that a configuration is of no use.
+	// ErrConfig says that a configuration is invalid.
 	ErrConfig = errors.New("feed: invalid configuration")
-	// errProtocol says that the other side broke the protocol.
+	// errProtocol says that the peer violated the protocol.
 	errProtocol  = errors.New("feed: protocol fault")
 	errNotLeader = errors.New("feed: the member does not lead")
 )
 
-// Views is what a Client keeps up to date; *view.Holder is one.
+// Views is the state that a Client keeps up to date. *view.Holder implements it.
 type Views interface {
-	// Load returns the view that is in force.
+	// Load returns the current view.
 	Load() *view.View
-	// Apply moves the view forward. A delta that does not start at the version
-	// in force, or would move it back, is an error and changes nothing.
+	// Apply moves the view forward. It returns an error and changes nothing if the delta does not
+	// start at the current version or would move the view back.
 	Apply(delta view.Delta) error
-	// Confirm extends the view lease to sentAt plus lease, unless it reaches
-	// further or a newer term is known. sentAt was read from the client's clock
-	// before the beat that was granted was sent.
+	// Confirm extends the view lease to sentAt plus lease, unless the lease already extends
+	// further or a newer term is known. sentAt is the client's clock, read before the granted
+	// heartbeat was sent.
 	Confirm(sentAt, lease time.Duration, term uint64) bool
 }
 
 var _ Views = (*view.Holder)(nil)
 
-// Acknowledger is implemented by Views that acknowledge another version than
-// the one they hold, because others use it through them.
+// Acknowledger is implemented by Views that acknowledge a different version than the one they
+// hold, because other processes use the view through them.
 type Acknowledger interface {
 	Acknowledge(now time.Duration) view.Version
 }
--- a/connection/feed/feed_test.go
+++ b/connection/feed/feed_test.go
@@ -89,7 +89,7 @@
 		claimed <- err
 	}
 	go claim()
-	<-refused // by a leader on its way out
+	<-refused // by a leader that is about to step down
 	first.set(false, false, 1, "")
 	firstServer.Wake()
 	eventually(t, "the end of the subscription", func() bool { return !client.Connected() })
@@ -100,7 +100,7 @@
 	must.NoError(t, <-claimed)
 
 	must.NoError(t, wire.listener.Close())
-	wire.closeConnections() // the leader is lost without a word
+	wire.closeConnections() // the leader is lost without announcing a handover
 	eventually(t, "the end of the subscription", func() bool { return !client.Connected() })
 	_, err := client.Claim(ctx, request)
 	must.ErrorIs(t, err, ErrNoQuorum)
@@ -137,7 +137,7 @@
 	eventually(t, "the version", func() bool { return holder.Load().Version.Revision == revision })
 }
 
-// prefaceBytes returns what opens a connection of this protocol.
+// prefaceBytes returns the bytes that start a connection of this protocol.
 func prefaceBytes(t *testing.T) []byte {
 	near, far := net.Pipe()
 	defer func() { _ = near.Close() }()
@@ -149,7 +149,7 @@
 	return data[:count]
 }
 
-// rawSubscriber speaks the protocol by hand.
+// rawSubscriber is a subscriber that reads and writes single frames.
 type rawSubscriber struct {
 	t      *testing.T
 	conn   net.Conn
@@ -211,7 +211,7 @@
 		must.Less(t, testTimeout, time.Since(started))
 		group.putBatch(fmt.Sprintf("batch-%d", i%50), 200)
 		server.Wake()
-		// It goes on sending, so that it is its reading alone that is at fault.
+		// It keeps sending, so that only its failure to read can be the cause.
 		_ = raw.writer.WriteFrame(kindHeartbeat, encodeHeartbeat(heartbeat{sequence: uint64(i + 1)}))
 		_ = raw.writer.Flush()
 	}
@@ -308,7 +308,7 @@
 	must.Eq(t, report, group.demand[0])
 }
 
-// stuckViews stops taking deltas when told to, as a paused process would.
+// blockableViews rejects deltas while blocked, as a paused process would.
 type blockableViews struct {
 	*view.Holder
 	blocked atomic.Bool
@@ -345,7 +345,7 @@
 		}
 		return result.Done
 	})
-	// The old view gets no lease any more, however often it asks.
+	// The old view gets no further lease, no matter how often it is requested.
 	for range 20 {
 		time.Sleep(5 * time.Millisecond)
 		must.False(t, views.Valid(clock.Now()))
@@ -380,8 +380,8 @@
 	must.Error(t, err)
 }
 
-// FuzzMessages lets any bytes stand for each message: they are refused or read,
-// and what was read is encoded to the same bytes again.
+// FuzzMessages decodes arbitrary bytes as each message. They are rejected, or decoded and encoded
+// to the same bytes again.
 func FuzzMessages(f *testing.F) {
 	f.Add(encodeSubscribe(subscribe{daemon: "proxy", instance: 1, zone: "zone"}))
 	f.Add(encodeSubscribe(subscribe{daemon: "proxy", standby: true}))
@@ -425,7 +425,7 @@
 	})
 }
 
-// However much a daemon has in flight, its message is one that a server takes.
+// The message stays within the server's size limit no matter how much a daemon has in flight.
 func TestInFlightMessageSizeIsBounded(t *testing.T) {
 	parts := make([]placement.Part, maxPromptParts)
 	for i := range parts {
--- a/connection/feed/follow.go
+++ b/connection/feed/follow.go
@@ -12,8 +12,8 @@
 	"github.com/pkg/errors"
 )
 
-// follow connects to one member after the other, a named leader first, until
-// the client is closed.
+// follow connects to one member after the other until the client is closed. If a member named the
+// leader, that address is tried first.
 func (c *Client) follow() {
 	next, backoff := rand.IntN(len(c.config.Addresses)), c.config.BackoffMin
 	hint := ""
@@ -34,9 +34,9 @@
 		}
 		followedHint := hint != ""
 		hint = nextHint
-		// A first hint, or the word of a leader that it leads no more, is
-		// followed at once; a hint that led to another hint or to a failure
-		// waits, so that two members naming each other cost little.
+		// The first hint, or the announcement of a leader that it stepped down, is followed
+		// immediately. A hint that led to another hint or to a failure waits for the backoff, so
+		// that two members naming each other cause little load.
 		if nextHint != "" && !followedHint || served && errors.Is(err, errNotLeader) {
 			continue
 		}
@@ -45,7 +45,7 @@
 	}
 }
 
-// addresses returns where members may be: those configured, then those learned.
+// addresses returns the configured member addresses, then the discovered ones.
 func (c *Client) addresses() []string {
 	if c.config.MoreAddresses == nil {
 		return c.config.Addresses
@@ -59,8 +59,8 @@
 	return addresses
 }
 
-// connect serves one connection to its end. It reports whether a leader served
-// it, and the address that the member named.
+// connect serves one connection until it ends. It reports whether a leader served it, and the
+// leader address that the member named.
 func (c *Client) connect(address string) (served bool, hint string, err error) {
 	conn, err := c.config.Dial(c.context, "tcp", address)
 	if err != nil {
@@ -72,13 +72,13 @@
 	return current.ready, hint, err
 }
 
-// jitter draws a duration from the upper half of the range up to limit.
+// jitteredBackoff returns a random duration from the upper half of the range up to limit.
 func jitteredBackoff(limit time.Duration) time.Duration {
 	return limit/2 + rand.N(limit/2+1)
 }
 
-// call sends one request and waits for its reply. A request that was surely not
-// taken is sent to the next leader if the last one said that it leads no more.
+// call sends one request and waits for its reply. If the leader announced that it stepped down and
+// definitely did not take the request, call sends it to the next leader.
 func (c *Client) call(ctx context.Context, kind frame.Kind, encode func(id uint64) []byte) (reply, error) {
 	select {
 	case c.slots <- struct{}{}:
@@ -99,7 +99,7 @@
 	}
 }
 
-// errQueueFull refuses a request for which the session's queue has no room.
+// errQueueFull refuses a request because the session's queue is full.
 var errQueueFull = errors.Wrap(ErrNoQuorum, "the queue is full")
 
 // call sends one request to this session's leader and waits for its reply.
@@ -130,7 +130,8 @@
 	}
 }
 
-// giveUp tells a request that surely was not sent from one that may have been.
+// abandonCall returns ErrNoQuorum if the request was definitely not sent, and ErrOutcomeUnknown if
+// it may have been.
 func abandonCall(request *outgoing, waiting chan reply, cause string) (reply, error) {
 	select {
 	case answer := <-waiting:
--- a/connection/feed/foreignreply_test.go
+++ b/connection/feed/foreignreply_test.go
@@ -17,12 +17,12 @@
 	"github.com/shoenig/test/must"
 )
 
-// scriptedMember is a member that opens each connection with one frame and answers each
-// question with another, whatever it asks.
+// scriptedMember is a member that sends one frame when a connection opens and a fixed kind of
+// reply to each request.
 type scriptedMember struct {
 	listener net.Listener
 	opening  frame.Frame
-	// reply makes the answer to a question with the request ID.
+	// reply returns the reply to the request with the ID.
 	reply func(requestID uint64) frame.Frame
 	done  sync.WaitGroup
 }
@@ -49,7 +49,7 @@
 	}
 }
 
-// serve ends with the connection, which the client closes.
+// serve returns when the client closes the connection.
 func (m *scriptedMember) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	reader := frame.NewReader(conn, Protocol, maxSubscriberPayload, testTimeout)
@@ -72,7 +72,7 @@
 	}
 }
 
-// firstDelta is what a leader sends to a client that has no view.
+// firstDelta returns the frame that a leader sends to a client without a view.
 func firstDelta(t *testing.T) frame.Frame {
 	group := newFakeGroup()
 	group.put("water")
@@ -83,7 +83,7 @@
 	return frame.Frame{Kind: kindDelta, Payload: payload}
 }
 
-// lockedBuffer is a log that many goroutines write.
+// lockedBuffer is a log buffer that is safe for concurrent use.
 type lockedBuffer struct {
 	lock   sync.Mutex
 	buffer bytes.Buffer
@@ -118,9 +118,9 @@
 	return client, lines
 }
 
-// A reply with a question's number and of another question's kind says nothing: an
-// outcome that was never recorded would be taken for recorded, and a claim for answered.
-// The caller learns that nothing is known, and the connection ends.
+// A reply may carry the ID of a pending request but be of the wrong kind. If it were accepted, an
+// outcome that was never recorded would count as recorded, and a claim as answered. The caller has
+// to get an unknown outcome, and the connection is closed.
 func TestReplyOfWrongKindIsRejected(t *testing.T) {
 	claimReplied := func(id uint64) frame.Frame {
 		return frame.Frame{Kind: kindClaimReply, Payload: encodeClaimReply(claimReply{requestID: id, code: replyDone})}
@@ -169,8 +169,8 @@
 	}
 }
 
-// Whoever only stands by gives placements, and nothing that a leader alone may say: its
-// view would be taken for the leader's, and a lease believed that no leader granted.
+// A standby member may only answer placements. If its view or lease were accepted, the view would
+// be taken for the leader's, and a lease would be assumed that no leader granted.
 func TestStandbyMemberMustNotSendViewsOrLeases(t *testing.T) {
 	granted := frame.Frame{Kind: kindGrant, Payload: encodeGrant(grant{sequence: 1, lease: time.Hour, term: 9})}
 	for name, opening := range map[string]frame.Frame{"a view": firstDelta(t), "a lease": granted} {
--- a/connection/feed/group_test.go
+++ b/connection/feed/group_test.go
@@ -19,7 +19,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// patience bounds every wait; it measures nothing.
+// testTimeout bounds every wait. No assertion depends on its value.
 const testTimeout = 20 * time.Second
 
 func eventually(t *testing.T, what string, condition func() bool) {
@@ -33,7 +33,7 @@
 	}
 }
 
-// fakeGroup is a control group of one state machine.
+// fakeGroup is a control group with a single state machine.
 type fakeGroup struct {
 	lock       sync.Mutex
 	machine    *state.Machine
@@ -44,7 +44,8 @@
 	demand     []DemandReport
 	usage      []UsageReport
 	presences  []Presence
-	// grant answers charges; charged holds them, with what came back as a negative cost.
+	// grant is the answer to each charge. charged records the charges; refunds have a negative
+	// cost.
 	grant   quota.Grant
 	charged []ChargeRequest
 }
@@ -71,7 +72,7 @@
 	return g.apply(state.Command{Kind: state.CommandTransaction, Transaction: transaction}).(api.TransactionResult).Revision
 }
 
-// putTogether writes tenants in one transaction, over those of an earlier call.
+// putBatch writes tenants in one transaction. Tenants of an earlier call are overwritten.
 func (g *fakeGroup) putBatch(prefix string, count int) {
 	transaction := &api.Transaction{OperationID: fmt.Sprint(prefix, "-", time.Now().UnixNano())}
 	for i := range count {
@@ -168,7 +169,7 @@
 	g.usage = append(g.usage, report)
 }
 
-// fakeDay is the time of day of a fake group.
+// fakeWallClock is the wall-clock time of a fakeGroup in Unix milliseconds.
 const fakeWallClock = 1_700_000_000_000
 
 func (g *fakeGroup) Day() int64 { return fakeWallClock }
@@ -183,15 +184,14 @@
 	g.demand = append(g.demand, report)
 }
 
-// testLease is the view lease of the tests.
+// testLease is the view lease used by the tests.
 const testLease = 200 * time.Millisecond
 
-// smallBuffers accepts connections that hold little of what is written to them: how
-// much the machine's own buffers hold, and how long filling them takes, is no part of
-// a test.
+// smallBufferListener accepts connections with a small send buffer, so that the tests don't depend
+// on the size of the system's buffers or on how long filling them takes.
 type smallBufferListener struct{ net.Listener }
 
-const smallBufferBytes = 16 << 10 // bytes
+const smallBufferBytes = 16 << 10
 
 func (l smallBufferListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
@@ -225,7 +225,7 @@
 	return client
 }
 
-// relay passes bytes on to a server until it is cut.
+// tcpRelay forwards bytes to a server until its connections are closed.
 type tcpRelay struct {
 	t        *testing.T
 	listener net.Listener
@@ -284,7 +284,7 @@
 	}
 }
 
-// cut ends every connection.
+// closeConnections closes every open connection.
 func (r *tcpRelay) closeConnections() {
 	r.lock.Lock()
 	defer r.lock.Unlock()
--- a/connection/feed/handover.go
+++ b/connection/feed/handover.go
@@ -6,17 +6,16 @@
 	"time"
 )
 
-// refusedShare is the part of HandoverWait that a refused request waits for its
-// leader to say that it leads no more. A leader refuses commands from the start of
-// a handover on, shortly before it sends its subscribers on.
+// refusedWaitDivisor divides HandoverWait. The result is how long a refused request waits for its
+// leader to announce that it stepped down. A leader refuses commands from the start of a handover,
+// shortly before it redirects its subscribers.
 const refusedWaitDivisor = 5
 
-// handover tells the client's callers about the change from one leader to the
-// next that a member announced.
+// handover tracks an announced change of leader, so that callers can wait for the next one.
 type handover struct {
 	lock    sync.Mutex
 	wait    time.Duration
-	until   time.Time     // callers may wait for a leader until then
+	until   time.Time     // deadline for waiting for the next leader
 	changed chan struct{} // closed when a session begins
 }
 
@@ -24,7 +23,7 @@
 	return &handover{wait: wait, changed: make(chan struct{})}
 }
 
-// announce lets callers wait for the next session from now on.
+// begin allows callers to wait for the next session from now on.
 func (h *handover) begin() {
 	h.lock.Lock()
 	defer h.lock.Unlock()
@@ -46,9 +45,8 @@
 	return h.changed, h.until
 }
 
-// awaitSession returns the session that serves the client. While leadership
-// moves as announced it waits for the next one; otherwise it returns nil at once
-// when there is none.
+// awaitSession returns the session that serves the client. During an announced handover it waits
+// for the next session; otherwise it returns nil immediately if there is none.
 func (c *Client) awaitSession(ctx context.Context) *session {
 	for {
 		changed, until := c.handover.status()
@@ -62,12 +60,13 @@
 	}
 }
 
-// movedOn reports whether the session ends shortly because its member leads no more.
+// leaderSteppedDown waits briefly for the session to end and reports whether its leader announced
+// that it stepped down.
 func (s *session) leaderSteppedDown(ctx context.Context) bool {
 	return waitClosed(ctx, s.ended, s.client.config.HandoverWait/refusedWaitDivisor) && s.steppedDown
 }
 
-// waitFor reports whether the channel was closed in time.
+// waitClosed reports whether the channel was closed within the limit.
 func waitClosed(ctx context.Context, closed <-chan struct{}, limit time.Duration) bool {
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
--- a/connection/feed/incarnation_test.go
+++ b/connection/feed/incarnation_test.go
@@ -6,7 +6,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// told returns what proxies last said of themselves, and how often they did.
+// lastPresence returns the last presence report and the number of reports.
 func (g *fakeGroup) lastPresence() (last Presence, count int) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -16,22 +16,23 @@
 	return g.presences[len(g.presences)-1], len(g.presences)
 }
 
-// reports returns how many reports of demand came.
+// demandReportCount returns the number of demand reports received.
 func (g *fakeGroup) demandReportCount() int {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	return len(g.demand)
 }
 
-// say sends a proxy's word; the server may have ended the subscription.
+// sendPresence sends a presence report. Errors are ignored, since the server may have closed the
+// connection.
 func (r *rawSubscriber) sendPresence(presence Presence) {
 	_ = r.writer.WriteFrame(kindPresence, encodePresence(presence))
 	_ = r.writer.Flush()
 }
 
-// A proxy that was stopped and started again has said that it is ready. What its earlier
-// process said before it ended comes late, over its own connection, and is not the proxy's
-// word any more: it would take the proxy off the directory.
+// A restarted proxy has reported that it is ready. A report of its previous process may still
+// arrive late on the old connection. It must be ignored, or it would remove the proxy from the
+// directory.
 func TestLatePresenceOfAnEarlierProcessIsIgnored(t *testing.T) {
 	group := newFakeGroup()
 	_, address := startServer(t, group)
@@ -53,9 +54,9 @@
 	must.False(t, last.Stopping)
 }
 
-// Seen: a proxy was never named to callers. It comes about where a later subscription of its
-// daemon, as one that only stood by, has ended and the earlier one goes on: what the proxy
-// said was dropped for as long as that stayed open.
+// Guards against a proxy that was never listed for callers: after a later subscription of its
+// daemon, such as a standby one, had ended, presence reports on the earlier subscription were
+// dropped for as long as that stayed open.
 func TestPresenceCountsAgainAfterTheLaterSubscriptionEnds(t *testing.T) {
 	group := newFakeGroup()
 	server, address := startServer(t, group)
@@ -79,11 +80,11 @@
 	must.True(t, last.Ready)
 }
 
-// A subscription that only stands by is none of the leader's: it makes the one beside it,
-// over which the daemon speaks, no earlier one.
+// A standby subscription does not count as a later subscription of the daemon and must not
+// suppress presence reports on the regular one.
 func TestStandbySubscriptionDoesNotSupersedePresence(t *testing.T) {
 	group := newFakeGroup()
-	group.put("tenant") // a member without a view sends those on that stand by
+	group.put("tenant") // a member without a view redirects standby subscriptions
 	_, address := startServer(t, group)
 	speaking, standing := newRawSubscriber(t, address), newRawSubscriber(t, address)
 	speaking.send(kindSubscribe, encodeSubscribe(subscribe{daemon: "proxy-a", instance: 1}))
--- a/connection/feed/latest.go
+++ b/connection/feed/latest.go
@@ -5,14 +5,13 @@
 	"sync"
 )
 
-// latestSubscriptions knows which of a daemon's open subscriptions is the latest. An
-// earlier one is that of a process that has ended, or a connection that its process has
-// given up: what it still brings was said before. Subscriptions that only stand by are
-// none of these.
+// latestSubscriptions tracks which of a daemon's open subscriptions is the latest. An earlier
+// subscription belongs to a process that has ended, or is a connection that its process has
+// abandoned; anything that still arrives on it is outdated. Standby subscriptions are not tracked.
 type latestSubscriptions struct {
 	lock sync.Mutex
-	// byDaemon holds the numbers of the open ones, by the order in which their
-	// connections were accepted; no list is empty.
+	// byDaemon holds the numbers of the open subscriptions, in the order in which their
+	// connections were accepted. No list is empty.
 	byDaemon map[string][]uint64
 }
 
@@ -37,8 +36,8 @@
 	l.byDaemon[daemon] = left
 }
 
-// ifLatest acts if the open subscription is its daemon's latest. No later one is added
-// until act, which must not block, has returned.
+// runIfLatest calls act if the subscription, which must be open, is the latest of its daemon. No
+// later one is added until act has returned; act must not block.
 func (l *latestSubscriptions) runIfLatest(daemon string, number uint64, act func()) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
--- a/connection/feed/messages.go
+++ b/connection/feed/messages.go
@@ -10,14 +10,15 @@
 	"github.com/pkg/errors"
 )
 
-// Protocol is the preface of every feed connection.
+// Protocol identifies the feed protocol in the preface of every connection.
 var Protocol = frame.Protocol{ID: 2, Version: 11}
 
-// Kinds of frames. A subscriber sends Subscribe first and once.
+// Frame kinds, with the sender and the payload. A subscriber sends kindSubscribe first and only
+// once.
 const (
 	kindSubscribe      frame.Kind = iota + 1 // subscriber: subscribe
 	kindDelta                                // server: view.Delta
-	kindHeartbeat                            // subscriber: beat
+	kindHeartbeat                            // subscriber: heartbeat
 	kindGrant                                // server: grant
 	kindNotLeader                            // server: notLeader; the connection ends
 	kindClaim                                // subscriber: request ID, state.ClaimRequest
@@ -30,52 +31,52 @@
 	kindPlaceReply                           // server: request ID, placement.Answer
 	kindPlaceNote                            // subscriber: PlaceNote
 	kindCachedParts                          // subscriber: KeptParts
-	kindStandbyReady                         // server, to a standby subscription: nothing
+	kindStandbyReady                         // server, to a standby subscription: empty
 	kindInFlight                             // subscriber: InFlight
 	kindEnds                                 // either side: EndReport
 	kindUsage                                // subscriber: UsageReport
 	kindCharge                               // subscriber: request ID, ChargeRequest
 	kindChargeReply                          // server: request ID, quota.Grant
 	kindRefund                               // subscriber: ChargeRequest
-	kindSubsetReplicas                       // server, to a partial subscription: ownReplicas
+	kindSubsetReplicas                       // server, to a partial subscription: subsetReplicas
 )
 
-// Bounds of payloads in bytes. A server takes only small frames from
-// subscribers; a view of ten thousand engines takes some megabytes.
+// Payload limits in bytes. A server accepts only small frames from subscribers; a view of ten
+// thousand engines takes several megabytes.
 const (
 	maxSubscriberPayload = 1 << 20
 	maxServerPayload     = 256 << 20
-	// maxDemands bounds the entries of one demand report.
+	// maxDemands limits the entries of one demand report.
 	maxDemands = 4096
 )
 
-// subscribe opens a subscription from a version on.
+// subscribe starts a subscription from a version.
 type subscribe struct {
 	daemon string
-	// instance is drawn anew by each client, so that a restarted daemon is not
-	// taken for the process before it, whose lease may still run.
+	// instance is random for each client, so that a restarted daemon is not mistaken for its
+	// previous process, whose lease may still be valid.
 	instance uint64
 	zone     string
 	version  view.Version
-	// standby asks for placements alone, of any member that has a view.
+	// standby requests placements only, from any member that has a view.
 	standby bool
-	// partial asks for the daemon's own subset of the replicas; shares is which part of them
-	// the version holds.
+	// partial requests only the daemon's own subset of the replicas; shares is the subset that the
+	// held version contains.
 	partial bool
 	shares  shares
 }
 
-// beat asks for the view lease to be renewed and acknowledges a version. A
-// relay holds versions that it does not acknowledge yet.
+// heartbeat requests a renewal of the view lease and acknowledges a version. A relay may hold
+// versions that it has not acknowledged yet.
 type heartbeat struct {
 	sequence uint64
 	acked    view.Version
 	held     view.Version
 }
 
-// grant renews the view lease: from the moment at which the beat with the
-// sequence was sent, for the duration. day is the group's time of day when the
-// grant was sent, in milliseconds, 0 where none is known.
+// grant renews the view lease for the duration, counted from when the heartbeat with the sequence
+// was sent. wallClock is the group's wall-clock time in Unix milliseconds when the grant was sent,
+// 0 if unknown.
 type grant struct {
 	sequence  uint64
 	lease     time.Duration
@@ -83,21 +84,22 @@
 	wallClock int64
 }
 
-// notLeader sends the subscriber to another member; the address may be empty.
+// notLeader redirects the subscriber to another member; the address may be empty.
 type notLeader struct{ address string }
 
-// Presence is a proxy's word on whether callers are to be sent to it.
+// Presence is a proxy's report of whether callers should be directed to it.
 type Presence struct {
-	// Proxy is the proxy's name; it may reach the leader through a relay.
+	// Proxy is the proxy's name. The report may reach the leader through a relay.
 	Proxy string
-	// Address is where callers reach the proxy, IP and port.
+	// Address is where callers reach the proxy, as IP and port.
 	Address string
 	Zone    string
-	// Ready is false before the proxy can serve and from its planned stop on, Stopping
-	// true from that on.
+	// Ready is false until the proxy can serve, and again after its planned shutdown has started.
+	// Stopping is true after the start of that shutdown.
 	Ready    bool
 	Stopping bool
-	// Day is the time of day of the proxy's machine when it spoke, in milliseconds.
+	// Day is the wall-clock time of the proxy's machine at the time of the report, in Unix
+	// milliseconds.
 	Day int64
 }
 
@@ -119,13 +121,13 @@
 	return message, decoder.Finish()
 }
 
-// replyCode says what became of a claim or an outcome at the server.
+// replyCode is the result of a claim or an outcome at the server.
 type replyCode uint8
 
 const (
-	replyDone    replyCode = iota + 1 // committed; the result holds
-	replyRefused                      // surely not proposed
-	replyUnknown                      // proposed, outcome not known
+	replyDone    replyCode = iota + 1 // committed; the result is valid
+	replyRefused                      // definitely not proposed
+	replyUnknown                      // proposed, but the outcome is unknown
 )
 
 type claimReply struct {
@@ -139,22 +141,22 @@
 	code      replyCode
 }
 
-// Demand is the work that one proxy was offered for one intent and class.
+// Demand is the load offered to one proxy for one intent and class.
 type Demand struct {
 	Intent             string
 	Class              string
 	Requests           float64
 	PromptTokens       float64
-	CachedPromptTokens float64 // of PromptTokens, found in caches
+	CachedPromptTokens float64 // the part of PromptTokens found in caches
 	OutputTokens       float64
-	Refused            float64 // requests refused for lack of capacity
-	Late               float64 // requests that missed their deadline
-	QueuedRequests     int     // waiting now
+	Refused            float64 // refused for lack of capacity
+	Late               float64 // missed their deadline
+	QueuedRequests     int     // currently waiting
 	QueuedPromptTokens float64
 }
 
-// DemandReport is what one proxy was offered over the window that ends now.
-// Reports of consecutive windows add up; none is sent again.
+// DemandReport is the load offered to one proxy over the window that ends now. Reports of
+// consecutive windows add up; none is sent twice.
 type DemandReport struct {
 	Window  time.Duration
 	Demands []Demand
--- a/connection/feed/partial.go
+++ b/connection/feed/partial.go
@@ -15,22 +15,22 @@
 	"github.com/pkg/errors"
 )
 
-// A daemon that asks where its requests go needs few replicas of a large service itself: some
-// to choose from while nobody answers, and those that answers name. A partial subscription
-// brings all of the view but the replicas, of which it brings the daemon's own subset; what an
-// answer names beyond that comes with the answer. So neither the bytes to a daemon nor what it
-// holds grow with the replicas.
-
-// shares is which part of each service's replicas a daemon follows. A service without an
-// entry is followed whole.
+// A daemon that asks the leader for placements needs few replicas of a large service itself: some
+// to choose from while no member answers, and those named by answers. A partial subscription
+// delivers the full view except for the replicas, of which it delivers the daemon's own subset. An
+// answer that names a replica outside the subset carries that replica. So neither the bytes sent
+// to a daemon nor the state it holds grow with the number of replicas.
+
+// shares holds which part of each service's replicas a daemon follows. A service without an entry
+// is followed entirely.
 type shares map[string]subset.Share
 
-// includes reports whether the replica is one that the daemon follows.
+// includes reports whether the daemon follows the replica.
 func (s shares) includes(daemon string, replica *api.Replica) bool {
 	return s[replica.Spec.Service].Includes(daemon, replica.Name)
 }
 
-// sharesOf returns the shares of the replicas that are listed; before are those until now.
+// computeShares returns the shares for the replicas, given the previous shares.
 func computeShares(replicas map[string]*api.Replica, previous shares) shares {
 	sizes := map[string]int{}
 	for _, replica := range replicas {
@@ -45,31 +45,32 @@
 	return computed
 }
 
-// partialViews keeps what partial subscriptions to one server have in common.
+// partialViewCache holds the state that is common to all partial subscriptions of one server.
 type partialViewCache struct {
 	lock          sync.Mutex
-	sharesVersion view.Version // of which shares are
+	sharesVersion view.Version // version for which shares was computed
 	shares        shares
-	// full is a whole view without its replicas, which are listed beside it.
+	// full is the encoding of a full view without its replicas, which are listed separately.
 	full          encodedDelta
 	replicas      []hashedReplica
 	fullEncodedAt time.Duration
-	// wholeFrom is the highest revision of which it was seen that no delta leads on from it.
+	// noDeltaThrough is the highest revision known to be too old for an incremental delta.
 	noDeltaThrough uint64
-	// latest is the last delta that anybody was sent, and payload its encoding, nil before it is
-	// needed.
+	// latest is the most recent incremental delta that was requested. payload is its encoding, nil
+	// until needed.
 	latest  view.Delta
 	payload []byte
 }
 
-// hashedReplica is a replica with the hash of its name, which is compared with each daemon's.
+// hashedReplica is a replica with the hash of its name, which is compared with the hash of each
+// daemon's name.
 type hashedReplica struct {
 	replica *api.Replica
 	hash    uint64
 }
 
-// sharesNow returns the shares of the group's view. They are looked at again only where
-// replicas have changed.
+// currentShares returns the shares of the group's view. They are recomputed only if replicas have
+// changed.
 func (p *partialViewCache) currentShares(group Group) shares {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -84,7 +85,7 @@
 	return p.shares
 }
 
-// mayTouchReplicas reports whether replicas may have changed since shares were looked at.
+// replicasMayHaveChanged reports whether replicas may have changed since the shares were computed.
 func (p *partialViewCache) replicasMayHaveChanged(group Group) bool {
 	delta, found := group.DeltaSince(p.sharesVersion)
 	return !found || delta.Full || changesReplicas(delta)
@@ -95,8 +96,9 @@
 		slices.ContainsFunc(delta.Removed, func(key api.Key) bool { return key.Kind == api.KindReplica })
 }
 
-// since returns the delta from a version, the same for all who ask from there. To make a full
-// one takes the time of all objects, so it is only said to be one.
+// since returns the delta from the given version, which is the same for all subscriptions at that
+// version. Building a full delta takes time proportional to the number of objects, so a full one
+// is returned without contents.
 func (p *partialViewCache) since(group Group, from view.Version) (view.Delta, bool) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -115,8 +117,8 @@
 	return delta, found
 }
 
-// encode returns the encoding of a delta. Of the latest one it is made once, since most daemons
-// stand at the same version.
+// encode returns the encoding of a delta. The latest delta is encoded once, since most daemons are
+// at the same version.
 func (p *partialViewCache) encode(delta view.Delta) ([]byte, error) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -131,8 +133,8 @@
 	return payload, err
 }
 
-// whole returns a whole view without its replicas, and these; one that was encoded lately
-// where that is later than from.
+// fullView returns the encoding of a full view without its replicas, and the replicas. A recent
+// encoding is reused if it is newer than from.
 func (p *partialViewCache) fullView(group Group, from view.Version, now time.Duration) (encodedDelta, []hashedReplica, error) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -154,7 +156,7 @@
 	return p.full, p.replicas, nil
 }
 
-// ownReplicas is what a daemon follows of the replicas of a whole view, which comes next.
+// subsetReplicas holds the replicas that a daemon follows of the full view in the next delta.
 type subsetReplicas struct {
 	version  view.Version
 	shares   shares
@@ -182,7 +184,7 @@
 	return message, decoder.Finish()
 }
 
-// Least sizes of encoded list elements.
+// Minimum sizes of encoded list elements.
 const (
 	shareSize   = 4 + 1
 	replicaSize = 4
@@ -196,7 +198,7 @@
 	}
 }
 
-// mostShare is the highest share that a message may name.
+// maxShare is the highest share that a message may contain.
 const maxShare = 63
 
 func decodeShares(decoder *frame.Decoder) shares {
@@ -225,9 +227,10 @@
 	return replica
 }
 
-// writePartial writes what leads from the version sent last to the one applied now. News that
-// change nothing of how the daemon serves wait for its next beat, with all that comes until
-// then: at a start of a thousand daemons each one's coming would else be told to all others.
+// writePartial writes the delta from the version sent last to the current one. Changes that don't
+// affect how the daemon serves wait for its next heartbeat and are sent together with later ones.
+// Otherwise, when a thousand daemons start, the arrival of each would be sent to all others at
+// once.
 func (s *subscriber) writePartial(ctx context.Context, writer *frame.Writer, sent view.Version, heartbeatPending bool) error {
 	group := s.server.config.Group
 	now := s.server.partial.currentShares(group)
@@ -252,7 +255,8 @@
 	return s.writeVersion(writer, payload, delta.To)
 }
 
-// encodePart encodes a delta, which is the same for all daemons where it is common.
+// encodePartialDelta encodes a delta. The encoding of a common delta, which is the same for all
+// daemons, is shared.
 func (s *subscriber) encodePartialDelta(delta view.Delta, isCommon bool) ([]byte, error) {
 	if isCommon {
 		return s.server.partial.encode(delta)
@@ -260,7 +264,7 @@
 	return encodeDelta(delta)
 }
 
-// ownPart is what a delta with replicas brings to the daemon.
+// filterReplicas returns the delta without replicas outside the daemon's subset.
 func (s *subscriber) filterReplicas(delta view.Delta) view.Delta {
 	own := delta
 	own.Objects = slices.DeleteFunc(slices.Clone(delta.Objects), func(o api.Object) bool {
@@ -269,13 +273,13 @@
 	return own
 }
 
-// isUrgent reports whether a delta holds anything but which other daemons there are.
+// isUrgent reports whether a delta contains anything other than changes in the set of daemons.
 func isUrgent(delta view.Delta) bool {
 	return slices.ContainsFunc(delta.Objects, func(o api.Object) bool { return o.Proxy == nil }) ||
 		slices.ContainsFunc(delta.Removed, func(key api.Key) bool { return key.Kind != api.KindProxy })
 }
 
-// writeOwnView writes a whole view, later than the version sent, with the daemon's own
+// writeSubsetView writes a full view newer than the sent version, with the daemon's subset of the
 // replicas.
 func (s *subscriber) writeSubsetView(ctx context.Context, writer *frame.Writer, sent view.Version, now shares) error {
 	common, listed, err := s.server.partial.fullView(s.server.config.Group, sent, s.server.config.Clock())
@@ -302,7 +306,7 @@
 	return s.writeVersion(writer, common.payload, common.to)
 }
 
-// receiveOwnReplicas keeps the replicas of the whole view that comes next.
+// receiveSubsetReplicas stores the replicas that belong to the next full view.
 func (s *session) receiveSubsetReplicas(payload []byte) error {
 	message, err := decodeSubsetReplicas(payload)
 	if err != nil {
@@ -315,7 +319,7 @@
 	return nil
 }
 
-// addOwn completes a whole view with the replicas that came before it.
+// addSubsetReplicas adds the replicas received before a full view to it.
 func (s *session) addSubsetReplicas(delta *view.Delta) error {
 	if !s.client.config.Partial || !delta.Full {
 		return nil
@@ -332,13 +336,14 @@
 	return nil
 }
 
-// Lister is a Group that knows of replicas which its view does not list.
+// Lister is a Group that knows replicas which are not in its view.
 type Lister interface {
 	Listed(name string) *api.Replica
 }
 
-// namedBeyond returns the replicas of the names that the daemon, for which a partial
-// subscription asks, does not follow.
+// replicasOutsideSubset returns the named replicas that the daemon does not follow. It returns
+// none for a full subscription. The daemon is the origin of the request, or the subscriber itself
+// if origin is empty.
 func (s *subscriber) replicasOutsideSubset(origin string, names ...string) []*api.Replica {
 	if !s.partial {
 		return nil
@@ -364,14 +369,15 @@
 	return named
 }
 
-// named keeps the replicas that answers have named beyond the daemon's subset, the latest of
-// them: those of the last maxNamed answers at least.
+// namedReplicas caches replicas outside the daemon's subset that answers have named. It holds two
+// generations, so that at least the last maxNamedPerGeneration replicas are kept.
 type namedReplicas struct {
 	lock              sync.Mutex
 	current, previous map[string]*api.Replica
 }
 
-// maxNamed is how many replicas are kept before the older ones are dropped.
+// maxNamedPerGeneration is the number of replicas after which a new generation starts and the
+// older one is dropped.
 const maxNamedPerGeneration = 1024
 
 func (n *namedReplicas) add(replicas []*api.Replica) {
@@ -394,5 +400,5 @@
 	return n.previous[name]
 }
 
-// Listed returns a replica that an answer has named lately beyond the daemon's subset, or nil.
+// Listed returns a replica outside the daemon's subset that a recent answer has named, or nil.
 func (c *Client) Listed(name string) *api.Replica { return c.namedReplicas.find(name) }
--- a/connection/feed/partial_test.go
+++ b/connection/feed/partial_test.go
@@ -23,7 +23,7 @@
 	}}
 }
 
-// list has the group list replicas with the numbers.
+// addReplicas adds the replicas with the numbers to the group's view.
 func (g *fakeGroup) addReplicas(from, to int, leaving bool) {
 	seen := state.Observe{}
 	for number := from; number < to; number++ {
@@ -32,7 +32,7 @@
 	g.apply(state.Command{Kind: state.CommandObserve, Observe: &seen})
 }
 
-// unlist has it list them no more.
+// removeReplicas removes the replicas with the numbers from the group's view.
 func (g *fakeGroup) removeReplicas(from, to int) {
 	seen := state.Observe{}
 	for number := from; number < to; number++ {
@@ -41,7 +41,7 @@
 	g.apply(state.Command{Kind: state.CommandObserve, Observe: &seen})
 }
 
-// countingConn counts the bytes that come in.
+// countingConn counts the bytes read.
 type countingConn struct {
 	net.Conn
 	bytesRead *atomic.Int64
@@ -53,7 +53,8 @@
 	return n, err
 }
 
-// startPartial starts a client with a partial subscription, and returns the bytes it reads.
+// startPartial starts a client with a partial subscription and returns a counter of the bytes it
+// reads.
 func startPartial(t *testing.T, daemon string, holder *view.Holder, address string) (*Client, *atomic.Int64) {
 	read := &atomic.Int64{}
 	client, err := Dial(ClientConfig{
@@ -66,9 +67,9 @@
 	return client, read
 }
 
-// What a partial subscription brings of a large service does not grow with it: a whole view of
-// ten thousand replicas took a proxy's link more than a second, and the leader's the time of
-// all of them together.
+// The size of a partial view must not grow with the number of replicas. A full view of ten
+// thousand replicas kept a proxy's link busy for more than a second, and the leader's link for the
+// sum of all proxies.
 func TestPartialViewsDoNotGrowWithTheReplicas(t *testing.T) {
 	bytes := map[int]int64{}
 	for _, size := range []int{200, 10_000} {
@@ -86,7 +87,7 @@
 	must.Less(t, 2*bytes[200], bytes[10_000])
 }
 
-// A daemon is told of each change of its own replicas, and of no other's.
+// A daemon receives each change of the replicas in its subset, and none of the others.
 func TestPartialViewsFollowTheReplicasOfTheirSubset(t *testing.T) {
 	group := newFakeGroup()
 	server, address := startServer(t, group)
@@ -119,8 +120,8 @@
 	check(5, func(number int) bool { return number >= 100 && number < 200 })
 }
 
-// A daemon that comes back with the version and the subset that it holds is sent what has
-// changed since.
+// A daemon that reconnects with the version and the subset that it holds receives only later
+// changes.
 func TestPartialViewsResumeFromTheHeldVersion(t *testing.T) {
 	group := newFakeGroup()
 	server, address := startServer(t, group)
@@ -132,7 +133,7 @@
 	client.Close()
 	group.put("water")
 	again, read := startPartial(t, "proxy-1", holder, address)
-	again.shares.Store(held) // a client of the same process would still have it
+	again.shares.Store(held) // as a client of the same process would still have it
 	server.Wake()
 	eventually(t, "what was missed", func() bool { return holder.Load().Version.Revision == 2 })
 	must.Greater(t, 0, len(holder.Load().Replicas))
@@ -151,7 +152,7 @@
 	must.Error(t, err)
 }
 
-// What an answer names beyond the daemon's own replicas comes with it.
+// A reply carries the replicas that it names outside the daemon's subset.
 func TestPlaceRepliesCarryReplicasOutsideTheSubset(t *testing.T) {
 	reply := placeReply{requestID: 4, found: true, named: []*api.Replica{listedReplica(3, false).Replica}}
 	got, err := decodePlaceReply(encodePlaceReply(reply))
--- a/connection/feed/placement.go
+++ b/connection/feed/placement.go
@@ -10,32 +10,31 @@
 	"github.com/pkg/errors"
 )
 
-// PlaceRequest asks where a request of a service is to go.
+// PlaceRequest asks where to send a request of a service.
 type PlaceRequest struct {
 	Service string
-	Number  uint64 // the daemon's own; notes name it
+	Number  uint64 // the daemon's own number, used in notes
 	Ask     placement.Ask
-	// Origin is the daemon for which another one asks; empty: itself.
+	// Origin is the daemon on whose behalf another one asks; empty for the sender itself.
 	Origin string
 }
 
-// PlaceNote tells how far a placed request has come.
+// PlaceNote reports the progress of a placed request.
 type PlaceNote struct {
 	Service string
 	Number  uint64
 	Note    placement.Note
-	Origin  string // as in the PlaceRequest
+	Origin  string // as in PlaceRequest
 }
 
-// ErrNotPlaced says that no member has placed the request: the daemon decides
-// by what it knows itself.
+// ErrNotPlaced says that no member placed the request; the daemon then decides by its local state.
 var ErrNotPlaced = errors.New("feed: no member places requests now")
 
-// Bounds of a question in a frame.
+// Limits of a placement request.
 const (
 	maxPromptParts  = 256
-	maxReplicaNames = 512 // in each list of names: more than any service that pauses as a half
-	// Least sizes of encoded list elements.
+	maxReplicaNames = 512 // per list of names; more replicas than any service suspends at a time
+	// Minimum sizes of encoded list elements.
 	partSize = 4 + 4
 	nameSize = 4
 )
@@ -74,7 +73,7 @@
 	}
 }
 
-// decodeParts fails the decoder where there are more than limit.
+// decodeParts fails the decoder if there are more than limit parts.
 func decodeParts(decoder *frame.Decoder, limit int) []placement.Part {
 	var parts []placement.Part
 	count := decoder.Count(partSize)
@@ -87,7 +86,7 @@
 	return parts
 }
 
-// encodeNames adds the first of the replicas' names, as many as a list may hold.
+// encodeNames encodes the first replica names, up to the limit of a list.
 func encodeNames(encoder *frame.Encoder, names []string) {
 	names = names[:min(len(names), maxReplicaNames)]
 	encoder.Uint32(uint32(len(names)))
@@ -134,12 +133,13 @@
 	return ask
 }
 
-// placeReply answers a question; found is false when this member places nothing.
+// placeReply answers a placement request; found is false if this member places nothing.
 type placeReply struct {
 	requestID uint64
 	found     bool
 	answer    placement.Answer
-	// named are the replicas of the answer that a partial subscription does not bring.
+	// named holds the replicas in the answer that are outside the subset of a partial
+	// subscription.
 	named []*api.Replica
 }
 
@@ -214,9 +214,9 @@
 	return note, decoder.Finish()
 }
 
-// Place asks the leader where a request is to go, or the member that stands by
-// without one; ErrNotPlaced when none answers before ctx ends. Asking changes
-// nothing that lasts. What is asked for another daemon goes to the leader alone.
+// Place asks the leader where to send a request, or a standby member if no leader is available. It
+// returns ErrNotPlaced if there is no answer before ctx ends. Asking has no lasting effect.
+// Requests on behalf of another daemon go to the leader only.
 func (c *Client) Place(ctx context.Context, request PlaceRequest) (placement.Answer, error) {
 	current := c.placementSessionFor(request.Origin)
 	if current == nil {
@@ -230,8 +230,8 @@
 	return answer.placed, nil
 }
 
-// ask sends a question that changes nothing that lasts, and returns its answer; false where
-// none comes before ctx ends, or the other side does not decide.
+// ask sends a request that has no lasting effect and returns its reply. It returns false if there
+// is no reply before ctx ends, or if the peer declines to decide.
 func (s *session) ask(ctx context.Context, kind frame.Kind, encode func(id uint64) []byte) (reply, bool) {
 	requestID := s.client.requestID.Add(1)
 	waiting := s.register(requestID, kind)
@@ -249,8 +249,8 @@
 	return reply{}, false
 }
 
-// NotePlaced tells the leader how far a placed request has come; false when the
-// word was dropped.
+// NotePlaced reports the progress of a placed request to the leader. It returns false if the
+// message was dropped.
 func (c *Client) NotePlaced(note PlaceNote) bool {
 	current := c.placementSessionFor(note.Origin)
 	if current == nil {
@@ -259,8 +259,8 @@
 	return current.enqueue(&outgoing{kind: kindPlaceNote, payload: encodePlaceNote(note)})
 }
 
-// receivePlace answers a question: a member at once, and who only passes
-// placements on beside the reader, since that waits for the leader.
+// receivePlace answers a placement request. A leader answers directly; on a standby subscription
+// the answer is made on a separate goroutine, since a relaying daemon has to wait for the leader.
 func (s *subscriber) receivePlace(payload []byte) error {
 	requestID, request, err := decodePlace(payload)
 	if err != nil {
@@ -269,7 +269,7 @@
 	select {
 	case s.slots <- struct{}{}:
 	default:
-		return nil // too much is under way; the daemon decides by itself
+		return nil // too many calls in progress; the daemon decides locally
 	}
 	if s.standby {
 		s.calls.Go(func() { s.answerPlace(requestID, request) })
@@ -288,7 +288,7 @@
 	s.enqueueResponse(kindPlaceReply, encodePlaceReply(reply))
 }
 
-// originOf returns the daemon for which something is asked or told.
+// originOf returns the daemon on whose behalf a message was sent.
 func (s *subscriber) originOf(origin string) string {
 	if origin != "" {
 		return origin
--- a/connection/feed/placementrelay.go
+++ b/connection/feed/placementrelay.go
@@ -11,16 +11,16 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
-// relayTimeout is how long an answer of the leader is waited for on behalf of
-// another daemon, which waits little longer itself.
+// relayTimeout is how long a relay waits for the leader's answer on behalf of another daemon,
+// which itself waits only a little longer.
 const relayTimeout = 25 * time.Millisecond
 
-// PlacementRelay is the Group of a Server that a daemon runs for others of its
-// kind: one that is cut off from all members, but not from this daemon, has its
-// requests placed by the leader through it. Nothing else is served.
+// PlacementRelay is the Group of a Server that a daemon runs for other daemons. A daemon that can
+// reach this one but no member has its requests placed by the leader through it. Nothing else is
+// served.
 //
-// It stands by only while the leader serves its own client, and passes nothing
-// on that was passed on to it, so that no question goes in circles.
+// It serves only while a leader serves its own client, and does not relay what was already relayed
+// to it, so that no request goes in circles.
 type PlacementRelay struct {
 	client *Client
 	views  Views
@@ -28,12 +28,12 @@
 
 var _ Group = (*PlacementRelay)(nil)
 
-// NewPlacementRelay returns the Group of a daemon with the client and views.
+// NewPlacementRelay returns the Group of a daemon with the given client and views.
 func NewPlacementRelay(client *Client, views Views) *PlacementRelay {
 	return &PlacementRelay{client: client, views: views}
 }
 
-// Place passes the question on to the leader.
+// Place forwards the request to the leader.
 func (r *PlacementRelay) Place(daemon string, request PlaceRequest) (placement.Answer, bool) {
 	if request.Origin != "" {
 		return placement.Answer{}, false
@@ -45,7 +45,7 @@
 	return answer, err == nil
 }
 
-// NotePlaced passes the word on to the leader.
+// NotePlaced forwards the note to the leader.
 func (r *PlacementRelay) NotePlaced(daemon string, note PlaceNote) {
 	if note.Origin != "" {
 		return
@@ -54,17 +54,17 @@
 	r.client.NotePlaced(note)
 }
 
-// NoteEnds passes the word on to the leader: a daemon that is cut off from the members has
-// nobody else to tell.
+// NoteEnds forwards the report to the leader: a daemon that is cut off from the members has no
+// other way to send it.
 func (r *PlacementRelay) NoteEnds(report EndReport) { reportEnds(r.client.session.Load(), report) }
 
-// Unrecorded tells nothing: this daemon keeps no evidence for others.
+// Unrecorded returns nothing: this daemon keeps no evidence for others.
 func (r *PlacementRelay) Unrecorded() (EndReport, uint64) { return EndReport{}, 0 }
 
-// NoteUsage passes the word on to the leader.
+// NoteUsage forwards the report to the leader.
 func (r *PlacementRelay) NoteUsage(report UsageReport) { r.client.ReportUsage(report) }
 
-// Charge passes the charge on to the leader.
+// Charge forwards the charge to the leader.
 func (r *PlacementRelay) Charge(request ChargeRequest) (quota.Grant, bool) {
 	if request.Passed {
 		return quota.Grant{}, false
@@ -76,7 +76,7 @@
 	return grant, err == nil
 }
 
-// ReturnCharge passes the word on to the leader.
+// ReturnCharge forwards the refund to the leader.
 func (r *PlacementRelay) ReturnCharge(request ChargeRequest) {
 	if request.Passed {
 		return
@@ -85,11 +85,11 @@
 	r.client.ReturnCharge(request)
 }
 
-// Day says that this daemon tells nobody the time of day.
+// Day returns 0, since this daemon distributes no time.
 func (r *PlacementRelay) Day() int64 { return 0 }
 
-// Version is that of the views while the leader serves the client, and zero
-// otherwise: then this daemon has nobody to pass anything on to.
+// Version returns the version of the views while a leader serves the client, and zero otherwise,
+// since this daemon can't forward anything then.
 func (r *PlacementRelay) Version() view.Version {
 	if !r.client.Connected() {
 		return view.Version{}
@@ -100,7 +100,8 @@
 // View returns this daemon's own view.
 func (r *PlacementRelay) View() *view.View { return r.views.Load() }
 
-// Listed returns the replica of the name, where this daemon follows it or was told of it.
+// Listed returns the replica with the name if this daemon follows it or has received it with an
+// answer.
 func (r *PlacementRelay) Listed(name string) *api.Replica {
 	if listed := r.views.Load().Replicas[name]; listed != nil {
 		return listed
@@ -108,32 +109,32 @@
 	return r.client.Listed(name)
 }
 
-// Leadership says that this daemon does not lead.
+// Leadership reports that this daemon does not lead.
 func (r *PlacementRelay) Leadership() Leadership { return Leadership{} }
 
-// Lease says that there is no lease here.
+// Lease reports that there is no leader lease.
 func (r *PlacementRelay) Lease(context.Context) (term uint64, valid bool) { return 0, false }
 
-// DeltaSince sends nothing.
+// DeltaSince returns no delta.
 func (r *PlacementRelay) DeltaSince(view.Version) (view.Delta, bool) { return view.Delta{}, false }
 
-// Claim refuses: nothing was proposed.
+// Claim refuses the claim; nothing was proposed.
 func (r *PlacementRelay) Claim(context.Context, state.ClaimRequest) (api.ClaimResult, error) {
 	return api.ClaimResult{}, ErrNoQuorum
 }
 
-// RecordOutcome refuses: nothing was proposed.
+// RecordOutcome refuses the outcome; nothing was proposed.
 func (r *PlacementRelay) RecordOutcome(context.Context, state.RunOutcome) error { return ErrNoQuorum }
 
 // ReportDemand drops the report.
 func (r *PlacementRelay) ReportDemand(string, DemandReport) {}
 
-// ReportPresence drops the word: a daemon that members do not hear is not to be
-// named to callers.
+// ReportPresence drops the report: a daemon that the members can't reach must not be listed for
+// callers.
 func (r *PlacementRelay) ReportPresence(Presence) {}
 
-// NoteKept drops the word.
+// NoteKept drops the report.
 func (r *PlacementRelay) NoteKept(KeptParts) {}
 
-// NoteInFlight drops the word: the leader has placed what went through here.
+// NoteInFlight drops the report: the leader itself has placed the requests relayed here.
 func (r *PlacementRelay) NoteInFlight(string, InFlight) {}
--- a/connection/feed/placementrelay_test.go
+++ b/connection/feed/placementrelay_test.go
@@ -15,13 +15,13 @@
 	"github.com/shoenig/test/must"
 )
 
-// askedGroup is a leader that keeps who asked it and told it.
+// recordingGroup is a leader that counts placements and notes by daemon.
 type recordingGroup struct {
 	*fakeGroup
 	lock       sync.Mutex
 	placements map[string]int
 	notes      map[string]int
-	// mute, if set, holds up questions that come from a daemon itself.
+	// blockPlacements, if set, blocks placement requests that were not relayed.
 	blockPlacements chan struct{}
 }
 
@@ -51,7 +51,8 @@
 	return from[daemon]
 }
 
-// cuttable dials until it is cut off from an address, and ends its connections then.
+// partitionDialer dials connections and can simulate a partition from an address, which also
+// closes its connections.
 type partitionDialer struct {
 	lock        sync.Mutex
 	partitioned map[string]bool
@@ -94,7 +95,7 @@
 	return startResumedClient(t, nil, daemon, leader, dial, views, relays...)
 }
 
-// startResumedClient is startRelayedClient with what is called when a leader is heard again.
+// startResumedClient is startRelayedClient with a Resumed callback.
 func startResumedClient(t *testing.T, resumed func(), daemon, leader string, dial *partitionDialer, views Views, relays ...string) *Client {
 	client, err := Dial(ClientConfig{
 		Daemon:         daemon,
@@ -113,8 +114,8 @@
 	return client
 }
 
-// A daemon that is cut off from the members has its requests placed by the
-// leader through another daemon, under its own name, and nothing else.
+// A daemon that is cut off from the members has its requests placed by the leader through another
+// daemon, under its own name. Nothing else is relayed.
 func TestPlacementsAreRelayedByAnotherDaemon(t *testing.T) {
 	group := newRecordingGroup()
 	_, leader := startServer(t, group)
@@ -146,7 +147,7 @@
 	eventually(t, "the leader serves again", func() bool { return asking.Connected() && placedBy(asking) == "leader" })
 }
 
-// What was passed on once is not passed on again.
+// What was relayed once is not relayed again.
 func TestRelayedPlacementsAreNotRelayedAgain(t *testing.T) {
 	relay := NewPlacementRelay(nil, view.NewHolder())
 	_, found := relay.Place("proxy-a", PlaceRequest{Service: "chat", Origin: "proxy-c"})
@@ -173,14 +174,14 @@
 	must.Eq(t, note, gotNote)
 }
 
-// A leader that answers no placement is passed by long before its silence ends
-// the connection, and asked again once it is heard.
+// A leader that does not answer placements is bypassed long before the silence timeout closes the
+// connection, and used again once it responds.
 func TestUnresponsiveLeaderIsBypassed(t *testing.T) {
 	group := newRecordingGroup()
 	group.blockPlacements = make(chan struct{})
 	unmute := sync.OnceFunc(func() { close(group.blockPlacements) })
 	_, leader := startServer(t, group)
-	t.Cleanup(unmute) // a server ends only once its questions do
+	t.Cleanup(unmute) // a server closes only after its calls have returned
 	group.put("water")
 	holder := view.NewHolder()
 	passing := startRelayedClient(t, "proxy-b", leader, newPartitionDialer(), holder)
--- a/connection/feed/registry.go
+++ b/connection/feed/registry.go
@@ -10,7 +10,7 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
-// daemonKey names one process of a daemon.
+// daemonKey identifies one process of a daemon.
 type daemonKey struct {
 	daemon   string
 	instance uint64
@@ -22,7 +22,7 @@
 	return k.daemon + instanceSeparator + strconv.FormatUint(k.instance, 16)
 }
 
-// daemonName returns the daemon of a key's string.
+// daemonName returns the daemon name in the string form of a daemonKey.
 func daemonName(key string) string {
 	if end := strings.LastIndex(key, instanceSeparator); end >= 0 {
 		return key[:end]
@@ -30,19 +30,18 @@
 	return key
 }
 
-// registry keeps the acknowledgements and view leases of one leader's term.
+// registry holds the acknowledgements and view leases of one leader's term.
 type registry struct {
 	term    uint64
 	lease   time.Duration
 	tracker *view.Tracker
 }
 
-// newRegistry starts a term. version is the leader's own, which covers
-// everything that earlier leaders may have reported as in force.
+// newRegistry starts a term. version is the leader's own, which covers everything that earlier
+// leaders may have reported as in force.
 //
-// Leases of earlier leaders are waited out, except while nothing was ever
-// accepted: all that a daemon can hold then is the empty view, by which it
-// serves nothing.
+// Leases of earlier leaders are waited for, except if nothing was ever accepted: in that case a
+// daemon can only hold the empty view, by which it serves nothing.
 func newRegistry(term uint64, version view.Version, lease, now time.Duration) *registry {
 	r := &registry{term: term, lease: lease, tracker: view.NewTracker(lease)}
 	if version.IsZero() {
@@ -53,17 +52,17 @@
 	return r
 }
 
-// InForce says how far a version has reached the daemons.
+// InForce reports how far a version has reached the daemons.
 type InForce struct {
 	// Done is true when each daemon has acknowledged the version or holds no lease.
 	Done         bool
 	Acknowledged int
-	// Lapsed names the daemons that this leader has heard of in its term and that
-	// hold an older version without a lease. One that was last heard by an earlier
-	// leader is not among them: its lease has ended while the term was Settling.
+	// Lapsed names the daemons that this leader has heard from in its term and that hold an older
+	// version without a lease. A daemon that was last heard by an earlier leader is not listed:
+	// its lease expired while the term was Settling.
 	Lapsed  []string
 	Waiting []string
-	// Settling is true while leases of an earlier leader may still run.
+	// Settling is true while leases of an earlier leader may still be valid.
 	Settling bool
 }
 
@@ -90,8 +89,8 @@
 	return result
 }
 
-// currentRuns leaves out the runs of a daemon that have lapsed while a later run
-// of it was heard: what they held last says nothing of the daemon any more.
+// withoutSupersededRuns removes the processes of a daemon whose leases lapsed before a later
+// process of it was heard from. The version they held last no longer describes the daemon.
 func withoutSupersededRuns(runs []view.DaemonStatus) []view.DaemonStatus {
 	latest := make(map[string]time.Duration, len(runs))
 	for _, one := range runs {
@@ -103,7 +102,7 @@
 	})
 }
 
-// Daemons says how many daemons hold a lease, and which of them are behind a version.
+// Daemons reports how many daemons hold a lease and which of them are behind a version.
 type Daemons struct {
 	Leased int
 	Behind []string
--- a/connection/feed/registry_test.go
+++ b/connection/feed/registry_test.go
@@ -8,8 +8,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// A daemon that was restarted is told of once, by its newer run, as soon as the
-// lease of the earlier run has lapsed.
+// A restarted daemon is reported once, by its newer process, as soon as the lease of the earlier
+// process has lapsed.
 func TestRestartedDaemonIsReportedByItsNewerRun(t *testing.T) {
 	const lease = time.Second
 	first, second := view.Version{Term: 1, Revision: 1}, view.Version{Term: 1, Revision: 2}
@@ -29,19 +29,19 @@
 	must.True(t, registry.tracker.Observe(other, second, now))
 	must.Eq(t, InForce{Done: true, Acknowledged: 2}, registry.inForce(second, now))
 
-	// Both runs have the first version: one daemon has acknowledged it.
+	// Both processes have the first version, which counts as one acknowledgement.
 	must.Eq(t, InForce{Done: true, Acknowledged: 2}, registry.inForce(first, now))
 
-	// Without a newer run, the lapse is told.
+	// Without a newer process, the lapsed lease is reported.
 	late := 6 * lease
 	must.True(t, registry.tracker.Observe(other, second, late))
 	third := view.Version{Term: 1, Revision: 3}
 	must.Eq(t, InForce{Lapsed: []string{"proxy-a"}, Waiting: []string{"proxy-b"}}, registry.inForce(third, late))
 }
 
-// A daemon that is cut off when the leader changes is unknown to the later leader and
-// may hold a lease that the earlier one granted at its very end: nothing is in force
-// before that lease has lapsed. Until the daemon is heard again it is not named.
+// A daemon that is cut off when the leader changes is unknown to the new leader and may hold a
+// lease that the previous leader granted at its very end. Nothing may be in force before that
+// lease has lapsed. The daemon is not named until it is heard from again.
 func TestNewLeaderWaitsForLeasesOfUnseenDaemons(t *testing.T) {
 	const lease, step = time.Second, time.Millisecond
 	first, second := view.Version{Term: 1, Revision: 1}, view.Version{Term: 2, Revision: 2}
@@ -74,8 +74,9 @@
 	must.Eq(t, InForce{Done: true, Acknowledged: 2}, later.inForce(second, now))
 }
 
-// What an earlier leader has called in force stays so: a daemon that was left behind
-// then gets no lease for its older view from the next leader, asked anything or not.
+// What an earlier leader reported as in force must stay so: a daemon that was behind at that time
+// gets no lease for its older view from the next leader, whether or not that leader was queried
+// before.
 func TestNewLeaderGrantsNoLeaseBehindItsOwnVersion(t *testing.T) {
 	const lease = time.Second
 	first, second := view.Version{Term: 1, Revision: 1}, view.Version{Term: 1, Revision: 2}
--- a/connection/feed/server.go
+++ b/connection/feed/server.go
@@ -19,94 +19,91 @@
 	"github.com/pkg/errors"
 )
 
-// Leadership is the serving member's part in the group now.
+// Leadership is the current role of the serving member in the group.
 type Leadership struct {
-	// Leads is true for the leader once it has applied everything that earlier
-	// leaders committed.
+	// Leads is true for the leader once it has applied everything that earlier leaders committed.
 	Leads bool
 	Term  uint64
-	// Address is the leader's feed address, if it is known.
+	// Address is the leader's feed address, empty if unknown.
 	Address string
 }
 
-// Group is the control group as a Server uses it. Its methods are called by
-// many goroutines.
+// Group is the control group as used by a Server. Its methods are called concurrently.
 type Group interface {
 	Leadership() Leadership
-	// Lease returns the term that the member leads, and false unless it leads
-	// and its leader lease is valid by a clock read after the call began.
+	// Lease returns the term that the member leads. valid is false unless it leads and its leader
+	// lease is valid by a clock read after the call began.
 	Lease(ctx context.Context) (term uint64, valid bool)
-	// View returns the view last applied, and Version its version; DeltaSince what leads to it;
-	// false when there is nothing to send.
+	// View returns the view applied last and Version its version. DeltaSince returns the delta
+	// that leads to it, and false if there is nothing to send.
 	View() *view.View
 	Version() view.Version
 	DeltaSince(from view.Version) (view.Delta, bool)
-	// Claim and RecordOutcome commit. ErrNoQuorum says that nothing was
-	// proposed; after any other error the outcome is unknown.
+	// Claim and RecordOutcome commit. ErrNoQuorum says that nothing was proposed; after any other
+	// error the outcome is unknown.
 	Claim(ctx context.Context, request state.ClaimRequest) (api.ClaimResult, error)
 	RecordOutcome(ctx context.Context, outcome state.RunOutcome) error
 	ReportDemand(daemon string, report DemandReport)
-	// ReportPresence takes a proxy's word on itself; it comes again with each beat.
+	// ReportPresence takes a proxy's presence report, which is repeated with each heartbeat.
 	ReportPresence(presence Presence)
-	// Place decides where a request goes, and false where the group does not
-	// decide; NotePlaced takes in how far it has come. Neither waits.
+	// Place decides where to send a request and returns false if the group does not decide.
+	// NotePlaced records the progress of the request. Neither blocks.
 	Place(daemon string, request PlaceRequest) (placement.Answer, bool)
 	NotePlaced(daemon string, note PlaceNote)
-	// NoteKept takes in what a replica is believed to keep of prompts.
+	// NoteKept records which prompt parts a replica is believed to have cached.
 	NoteKept(cached KeptParts)
-	// NoteInFlight takes in what a daemon has in flight, in place of what was known of it.
+	// NoteInFlight replaces the recorded in-flight requests of a daemon.
 	NoteInFlight(daemon string, inFlight InFlight)
-	// NoteEnds takes in under which requests replicas ended. Unrecorded returns what daemons are to
-	// know of that while the record can't tell it, empty for nothing; news changes with it.
+	// NoteEnds records the requests during which replicas ended. Unrecorded returns the ends that
+	// daemons should know but that the committed record can't tell, empty if there are none;
+	// generation changes whenever the report does.
 	NoteEnds(report EndReport)
 	Unrecorded() (report EndReport, generation uint64)
-	// NoteUsage takes in what a process has counted.
+	// NoteUsage records the usage counters of a process.
 	NoteUsage(report UsageReport)
-	// Charge takes the cost of a tenant's request off its quota, and false where this member
-	// keeps no quotas; ReturnCharge gives back what was charged for one that did not run.
+	// Charge deducts the cost of a tenant's request from its quota and returns false if this
+	// member keeps no quotas. ReturnCharge refunds a request that did not run.
 	Charge(request ChargeRequest) (quota.Grant, bool)
 	ReturnCharge(request ChargeRequest)
-	// Day is the group's time of day in milliseconds, 0 where none is known.
+	// Day returns the group's wall-clock time in Unix milliseconds, 0 if unknown.
 	Day() int64
 }
 
-// ServerConfig holds what a Server is created with. Zero durations and bounds
-// take the defaults.
+// ServerConfig configures a Server. Zero durations and limits use the defaults.
 type ServerConfig struct {
 	Group Group
-	// ViewLease is how long a daemon may use its view after a granted beat.
+	// ViewLease is how long a daemon may use its view after a granted heartbeat.
 	ViewLease time.Duration
-	// WriteTimeout bounds each write; a subscriber that takes longer is cut off
-	// and starts again from the version it holds.
+	// WriteTimeout bounds each write. A subscriber that takes longer is disconnected and resumes
+	// from the version it holds.
 	WriteTimeout time.Duration
-	// SilenceTimeout is the time without any frame after which a subscriber is cut off.
+	// SilenceTimeout is the time without any frame after which a subscriber is disconnected.
 	SilenceTimeout time.Duration
-	// MaxSubscribers bounds the connections, MaxClaims the claims and outcomes
-	// of one connection that are under way.
+	// MaxSubscribers limits the connections, MaxClaims the claims and outcomes in progress on one
+	// connection.
 	MaxSubscribers int
 	MaxClaims      int
-	// MaxBulkDeltas bounds the subscribers that large deltas are on the way to
-	// at once; the others wait their turn. When all daemons start again
-	// together and share the network evenly, none would get a whole view before
-	// it gives up and starts anew.
+	// MaxBulkDeltas limits the subscribers that receive a large delta at the same time; the others
+	// wait. If all daemons restarted together and shared the network evenly, none would receive a
+	// full view before it times out and starts over.
 	MaxBulkDeltas int
-	// FloorInterval is how often the floor moves along: a daemon that has not
-	// acknowledged what was applied that long ago gets no lease. 0: ViewLease.
+	// FloorInterval is how often the minimum version is raised: a daemon that has not acknowledged
+	// what was applied one interval ago gets no lease. 0 uses ViewLease.
 	FloorInterval time.Duration
-	// Tracker keeps the daemons' leases over all terms; nil starts one for each
-	// term, as the leader must.
+	// Tracker holds the daemons' leases over all terms. nil creates one for each term, as the
+	// leader must.
 	Tracker *view.Tracker
-	// Limit bounds the leases that are granted now; nil: nothing does.
+	// Limit returns an upper bound for leases granted now; nil sets no bound.
 	Limit func() time.Duration
-	// Observed is called after each beat that was taken into account, by many
-	// goroutines; it must not block. nil: nothing is called.
+	// Observed, if set, is called after each heartbeat that was taken into account. It is called
+	// concurrently and must not block.
 	Observed func()
-	// Clock reads the time that has passed; nil: clock.Now.
+	// Clock reads a monotonic clock; nil uses clock.Now.
 	Clock  func() time.Duration
 	Logger log.Logger
 }
 
-// Defaults of a ServerConfig.
+// Defaults of ServerConfig.
 const (
 	DefaultViewLease      = 3 * time.Second
 	DefaultMaxSubscribers = 4096
@@ -151,21 +148,21 @@
 	config       ServerConfig
 	listener     net.Listener
 	shards       [subscriberShards]subscriberShard
-	accepted     uint64 // connections so far; only accept counts
+	accepted     uint64 // connections so far; used only by accept
 	latest       *latestSubscriptions
 	count        atomic.Int64
 	registry     atomic.Pointer[registry]
 	cache        deltaCache
 	partial      partialViewCache
-	bulkSlots    chan struct{} // one for each large delta on its way
-	openingSlots chan struct{} // one for each subscription that begins
+	bulkSlots    chan struct{} // one per large delta in transit
+	openingSlots chan struct{} // one per subscription that is opening
 	wakeups      chan struct{}
 	context      context.Context
 	cancel       context.CancelFunc
 	done         sync.WaitGroup
 }
 
-// NewServer starts a Server on the listener, which it owns from now on.
+// NewServer starts a Server on the listener and takes ownership of it.
 func NewServer(config ServerConfig, listener net.Listener) *Server {
 	s := &Server{config: config.withDefaults(), listener: listener, wakeups: make(chan struct{}, 1)}
 	s.latest = newLatestSubscriptions()
@@ -187,8 +184,8 @@
 	s.done.Wait()
 }
 
-// Wake makes every subscription look at the group again: for a new version or
-// another leader. It does not block.
+// Wake makes every subscription check the group for a new version or another leader. It does not
+// block.
 func (s *Server) Wake() {
 	select {
 	case s.wakeups <- struct{}{}:
@@ -210,9 +207,8 @@
 // Subscribers returns the number of connections.
 func (s *Server) Subscribers() int { return int(s.count.Load()) }
 
-// InForce says how far a revision has reached the daemons, and false when this
-// member does not lead with a valid lease. A revision that is not applied yet
-// is not in force.
+// InForce reports how far a revision has reached the daemons. It returns false if this member does
+// not lead with a valid lease. A revision that is not applied yet is not in force.
 func (s *Server) InForce(ctx context.Context, revision uint64) (InForce, bool) {
 	current := s.leasedRegistry(ctx)
 	if current == nil {
@@ -223,12 +219,12 @@
 		return InForce{}, true
 	}
 	result := current.inForce(version, s.config.Clock())
-	// The lease is checked again: a leader that was paused may have counted
-	// the leases of a term that has ended.
+	// The lease is checked again: a leader that was paused may have evaluated the leases of a term
+	// that has ended.
 	return result, s.leasedRegistry(ctx) == current
 }
 
-// Daemons says how many daemons follow this leader, and which are behind the revision.
+// Daemons reports how many daemons follow this leader and which are behind the revision.
 func (s *Server) Daemons(revision uint64) Daemons {
 	current := s.registry.Load()
 	if current == nil {
@@ -237,8 +233,8 @@
 	return current.daemons(view.Version{Revision: revision}, s.config.Clock())
 }
 
-// leased returns the registry of the term that the member leads, or nil
-// without a valid lease.
+// leasedRegistry returns the registry of the term that the member leads, or nil without a valid
+// lease.
 func (s *Server) leasedRegistry(ctx context.Context) *registry {
 	term, valid := s.config.Group.Lease(ctx)
 	if !valid {
@@ -266,9 +262,9 @@
 	return newRegistry(term, s.config.Group.Version(), s.config.ViewLease, s.config.Clock())
 }
 
-// tick moves the floor along: a daemon that has not acknowledged what was
-// applied one floor interval ago gets no lease, so that every accepted change is
-// in force within a bounded time.
+// maintainTerm starts the registry of a new term and periodically raises the minimum version. A
+// daemon that has not acknowledged what was applied one floor interval ago gets no lease, so that
+// every accepted change is in force within a bounded time.
 func (s *Server) maintainTerm() {
 	ticker := time.NewTicker(s.config.FloorInterval)
 	defer ticker.Stop()
@@ -278,8 +274,8 @@
 		case <-s.context.Done():
 			return
 		case <-s.wakeups:
-			// A term starts with what was accepted when its leader took over, not
-			// with what the first question finds.
+			// A term starts with what was accepted when its leader took over, not with the state
+			// at the first query.
 			s.leasedRegistry(s.context)
 			continue
 		case <-ticker.C:
@@ -316,7 +312,7 @@
 	}
 }
 
-// acceptPause is the wait after a failed accept, as when descriptors run out.
+// acceptPause is the delay after a failed accept, for example when file descriptors run out.
 const acceptPause = 50 * time.Millisecond
 
 func (s *Server) waitAfterAcceptError() {
@@ -343,15 +339,15 @@
 }
 
 const (
-	// maxEntering is how many subscriptions begin at once. When a leader is elected all daemons
-	// come to it in one moment; what they ask for first, all at once, would keep it from the
-	// heartbeats of its group until it is leader no more.
+	// maxOpeningSubscriptions limits the subscriptions that open at the same time. When a leader
+	// is elected, all daemons connect to it at once; serving all their initial requests together
+	// would delay the leader's heartbeats to its group until it loses leadership.
 	maxOpeningSubscriptions = 16
-	// enterTime is how long one that says nothing holds its place.
+	// openingSlotTimeout is how long a connection that sends nothing holds its opening slot.
 	openingSlotTimeout = 100 * time.Millisecond
 )
 
-// enter waits for a place among the subscriptions that begin, and returns what gives it back.
+// acquireOpeningSlot waits for an opening slot and returns a function that releases it.
 func (s *Server) acquireOpeningSlot() (release func()) {
 	select {
 	case s.openingSlots <- struct{}{}:
--- a/connection/feed/session.go
+++ b/connection/feed/session.go
@@ -15,27 +15,27 @@
 	"github.com/pkg/errors"
 )
 
-// States of an outgoing frame. One compare-and-swap decides between the writer
-// and a caller that gives up, so that "not sent" is sure.
+// States of an outgoing frame. A compare-and-swap decides between the writer and a caller that
+// gives up, so that "not sent" is definite.
 const (
 	frameQueued int32 = iota
 	frameWritten
 	frameCancelled
 )
 
-// outgoing is one frame on its way to the connection.
+// outgoing is a frame queued for the connection.
 type outgoing struct {
 	kind    frame.Kind
 	payload []byte
 	state   atomic.Int32
 }
 
-// withdraw reports whether the frame was surely never written.
+// cancel reports whether the frame was definitely never written.
 func (o *outgoing) cancel() bool {
 	return o.state.CompareAndSwap(frameQueued, frameCancelled) || o.state.Load() == frameCancelled
 }
 
-// reply is what a waiting call gets.
+// reply is the result of a pending call.
 type reply struct {
 	code   replyCode
 	result api.ClaimResult
@@ -44,10 +44,10 @@
 	named  []*api.Replica
 }
 
-// queueLength bounds the frames that wait for the connection.
+// maxQueuedFrames limits the frames queued for the connection.
 const maxQueuedFrames = 256
 
-// pendingShards is the number of shards of the waiting calls.
+// pendingShards is the number of shards of the pending calls.
 const pendingShards = 16
 
 type pendingShard struct {
@@ -55,13 +55,13 @@
 	calls map[uint64]pendingCall
 }
 
-// pendingCall is a question that waits for its reply.
+// pendingCall is a request that waits for its reply.
 type pendingCall struct {
-	kind  frame.Kind // of the reply
+	kind  frame.Kind // of the expected reply
 	reply chan reply
 }
 
-// replyKinds holds which kind of frame answers a question.
+// replyKinds maps the kind of a request to the kind of its reply.
 var replyKinds = map[frame.Kind]frame.Kind{
 	kindClaim:   kindClaimReply,
 	kindOutcome: kindOutcomeReply,
@@ -69,35 +69,34 @@
 	kindCharge:  kindChargeReply,
 }
 
-// errMisplaced says that the other side sent what it was not asked for.
+// errUnexpectedFrame says that the peer sent a frame that was not requested.
 var errUnexpectedFrame = errors.Wrap(errProtocol, "misplaced frame")
 
-// session is one connection to a leader.
+// session is one connection to a leader or a standby member.
 type session struct {
 	client  *Client
 	conn    net.Conn
 	queue   chan *outgoing
 	ended   chan struct{}
 	pending [pendingShards]pendingShard
-	ready   bool // the leader has served a delta or a grant
+	ready   bool // the peer has started to serve the client
 	address string
-	// standby is set for a session that is used for placements alone.
+	// standby is set for a session that is used for placements only.
 	standby bool
-	// own are the replicas of the whole view that comes next, on a partial subscription.
+	// pendingSubset holds the replicas for the next full view of a partial subscription.
 	pendingSubset *subsetReplicas
-	// unanswered counts the placements that were waited for in vain since the
-	// last frame.
+	// unanswered counts the consecutive unanswered placements since the last received frame.
 	unanswered atomic.Int32
-	// announced is true when a leader that served the session said that it
-	// leads no more. It is written before ended is closed.
+	// steppedDown is true if a leader that served the session announced that it stepped down. It
+	// is written before ended is closed.
 	steppedDown bool
 
 	heartbeatLock sync.Mutex
 	sequence      uint64
-	sentAt        map[uint64]time.Duration // beats without a grant
+	sentAt        map[uint64]time.Duration // by sequence, for heartbeats without a grant
 }
 
-// maxOpenBeats bounds the beats without a grant that are remembered.
+// maxPendingHeartbeats limits the ungranted heartbeats whose send times are stored.
 const maxPendingHeartbeats = 64
 
 func newSession(client *Client, conn net.Conn) *session {
@@ -114,8 +113,8 @@
 	return s
 }
 
-// run serves the connection until it fails, the leader steps down or ctx ends.
-// It returns the address that the server named, if any.
+// run serves the connection until it fails, the leader steps down or ctx ends. It returns the
+// leader address that the server named, if any.
 func (s *session) run(ctx context.Context) (string, error) {
 	stop := context.AfterFunc(ctx, func() { _ = s.conn.Close() })
 	defer stop()
@@ -137,8 +136,7 @@
 
 func (s *session) write() {
 	writer := frame.NewWriter(s.conn, Protocol, s.client.config.WriteTimeout)
-	// A failed write closes the connection, which ends the reader and with it
-	// the session.
+	// A failed write closes the connection, which ends the reader and with it the session.
 	defer func() { _ = s.conn.Close() }()
 	if s.sendSubscribe(writer) != nil {
 		return
@@ -189,8 +187,8 @@
 	if len(s.sentAt) >= maxPendingHeartbeats {
 		clear(s.sentAt)
 	}
-	// The time is read before the beat is sent: the lease can only be shorter
-	// than the leader believes.
+	// The time is read before the heartbeat is sent, so that the lease can only be shorter than
+	// the leader assumes.
 	s.sentAt[next.sequence] = s.client.config.Clock()
 	s.heartbeatLock.Unlock()
 	s.setVersions(&next)
@@ -205,7 +203,7 @@
 	return writer.Flush()
 }
 
-// writeQueued writes the frame and those that wait behind it, then flushes.
+// writeQueued writes the frame and those queued behind it, then flushes.
 func (s *session) writeQueued(writer *frame.Writer, next *outgoing) error {
 	for next != nil {
 		if next.state.CompareAndSwap(frameQueued, frameWritten) {
@@ -265,7 +263,7 @@
 	}
 }
 
-// isForStandby reports whether a member that stands by may send a frame of the kind.
+// isForStandby reports whether a standby member may send a frame of the kind.
 func isForStandby(kind frame.Kind) bool {
 	switch kind {
 	case kindStandbyReady, kindPlaceReply, kindChargeReply, kindEnds:
@@ -319,20 +317,20 @@
 		return err
 	}
 	s.markReady()
-	// The new version is acknowledged at once rather than with the next tick.
+	// The new version is acknowledged immediately rather than with the next tick.
 	s.acknowledge()
 	return nil
 }
 
-// acknowledge sends a bare acknowledgement, which renews no lease.
+// acknowledge sends an acknowledgement that renews no lease.
 func (s *session) acknowledge() {
 	var next heartbeat
 	s.setVersions(&next)
 	s.enqueue(&outgoing{kind: kindHeartbeat, payload: encodeHeartbeat(next)})
 }
 
-// report fills in the versions that are held and acknowledged. The acknowledged
-// one is never above the held one, which is read after it.
+// setVersions sets the held and acknowledged versions. The held version is read last, so that the
+// acknowledged one never exceeds it.
 func (s *session) setVersions(next *heartbeat) {
 	acknowledger, separate := s.client.views.(Acknowledger)
 	if separate {
@@ -344,8 +342,8 @@
 	}
 }
 
-// receiveGrant renews the view lease by the time at which the granted beat was
-// sent. A grant for an unknown beat, such as a bare acknowledgement, renews nothing.
+// receiveGrant renews the view lease from the time at which the granted heartbeat was sent. A
+// grant for an unknown sequence, such as that of a plain acknowledgement, renews nothing.
 func (s *session) receiveGrant(payload []byte) error {
 	message, err := decodeGrant(payload)
 	if err != nil {
@@ -368,7 +366,7 @@
 	return nil
 }
 
-// markReady lets calls use the session. Only the reading goroutine calls it.
+// markReady makes the session available for calls. It is called only by the reading goroutine.
 func (s *session) markReady() {
 	if !s.ready {
 		s.ready = true
@@ -383,7 +381,7 @@
 	}
 }
 
-// enqueue reports whether the queue had room.
+// enqueue returns false if the queue is full.
 func (s *session) enqueue(next *outgoing) bool {
 	select {
 	case s.queue <- next:
@@ -397,7 +395,7 @@
 	return &s.pending[requestID%pendingShards]
 }
 
-// register lets a question of the kind wait for its reply.
+// register adds a pending call for a request of the kind.
 func (s *session) register(requestID uint64, kind frame.Kind) chan reply {
 	waiting := make(chan reply, 1)
 	shard := s.shard(requestID)
@@ -414,9 +412,9 @@
 	delete(shard.calls, requestID)
 }
 
-// resolve hands the reply to the call that waits; a reply that nobody waits for
-// any more is dropped. One of another kind than the call's answers nothing, and is
-// an error: the call goes on to wait, and learns that the connection ended.
+// resolve delivers the reply to the pending call. A reply without a pending call is dropped. A
+// reply of the wrong kind is an error and is not delivered: the call keeps waiting and fails when
+// the connection ends.
 func (s *session) resolve(requestID uint64, kind frame.Kind, answer reply) error {
 	shard := s.shard(requestID)
 	shard.Lock()
@@ -429,6 +427,6 @@
 		return errors.Wrapf(errUnexpectedFrame, "reply of kind %d for one of kind %d", kind, waiting.kind)
 	}
 	delete(shard.calls, requestID)
-	waiting.reply <- answer // has room for its only reply
+	waiting.reply <- answer // buffered for the only reply
 	return nil
 }
--- a/connection/feed/standby.go
+++ b/connection/feed/standby.go
@@ -12,40 +12,40 @@
 	"github.com/pkg/errors"
 )
 
-// A placement is advice: it promises nothing and needs no quorum. So while no
-// leader serves a client, any member that has a view may place its requests. All
-// clients ask in the same order, the last leader first, so that those that reach
-// the same members share one board. Another daemon that the leader still serves
-// may pass the questions on to it (placementrelay.go). Besides, it takes in and
-// tells under which requests replicas ended, which are facts. Nothing else is served
-// to them there: no view, no lease, no claim.
+// Placements are advisory: they promise nothing and need no quorum. So while no leader serves a
+// client, any member that has a view may place its requests. All clients try the members in the
+// same order, the last leader first, so that clients that reach the same members share one
+// placement state. Another daemon that the leader still serves may relay the requests to the
+// leader (placementrelay.go). A standby member also exchanges reports of replicas that ended under
+// requests, which are facts. It serves nothing else: no view, no lease, no claim.
 
 const (
-	// standbyDelay is how long a lost leader is waited for before another
-	// member is asked; most changes of the leader are over by then.
+	// standbyDelay is how long a lost leader is waited for before another member is asked. Most
+	// leader changes complete within this time.
 	standbyDelay = 150 * time.Millisecond
-	// standbyDialTimeout bounds the wait for a member that may be gone.
+	// standbyDialTimeout bounds the dial to a member that may be down.
 	standbyDialTimeout = 300 * time.Millisecond
-	// standbyPause is the wait after no member stood by.
+	// standbyPause is the delay after a round in which no member served standby.
 	standbyPause = 300 * time.Millisecond
 )
 
-// unansweredLimit is how many placements a leader may leave unanswered in a row,
-// with no other word from it, before others are asked as well. Its silence ends
-// the connection much later.
+// unansweredLimit is how many consecutive placements a leader may leave unanswered, without
+// sending any other frame, before others are asked as well. The silence timeout closes the
+// connection much later.
 const unansweredLimit = 2
 
-// isSilent reports whether the leader has stopped answering placements.
+// isUnresponsive reports whether the peer has stopped answering placements.
 func (s *session) isUnresponsive() bool { return s.unanswered.Load() >= unansweredLimit }
 
-// missed notes a placement that was waited for in vain.
+// recordUnanswered counts a placement that was not answered in time.
 func (s *session) recordUnanswered() {
 	if !s.standby && s.unanswered.Add(1) == unansweredLimit {
 		s.client.signalLeaderLost()
 	}
 }
 
-// heard notes a frame of the other side: it is there.
+// recordFrameReceived resets the count of unanswered placements. If the leader was unresponsive,
+// it ends the standby session.
 func (s *session) recordFrameReceived() {
 	if s.unanswered.Swap(0) < unansweredLimit || s.standby {
 		return
@@ -55,7 +55,7 @@
 	}
 }
 
-// leaderPlaces returns the session with a leader that answers, or nil.
+// responsiveLeader returns the session with a leader that answers, or nil.
 func (c *Client) responsiveLeader() *session {
 	current := c.session.Load()
 	if current == nil || current.isUnresponsive() {
@@ -64,7 +64,7 @@
 	return current
 }
 
-// placing returns the session that places requests now, or nil.
+// placementSession returns the session to use for placements, or nil.
 func (c *Client) placementSession() *session {
 	if current := c.responsiveLeader(); current != nil {
 		return current
@@ -75,8 +75,8 @@
 	return c.session.Load()
 }
 
-// placingFor is placing for a question of this client itself, and the leader's
-// session for one of another daemon: what is passed on goes to the leader alone.
+// placementSessionFor returns placementSession for the client's own requests, and the leader's
+// session for those of another daemon: relayed requests go to the leader only.
 func (c *Client) placementSessionFor(origin string) *session {
 	if origin != "" {
 		return c.session.Load()
@@ -84,7 +84,7 @@
 	return c.placementSession()
 }
 
-// lose forgets a session that has ended.
+// removeSession removes a session that has ended.
 func (c *Client) removeSession(ended *session) {
 	c.standby.CompareAndSwap(ended, nil)
 	if c.session.CompareAndSwap(ended, nil) {
@@ -92,7 +92,7 @@
 	}
 }
 
-// noteLost has somebody else asked for placements.
+// signalLeaderLost wakes runStandby to look for a standby member.
 func (c *Client) signalLeaderLost() {
 	select {
 	case c.leaderLost <- struct{}{}:
@@ -100,7 +100,8 @@
 	}
 }
 
-// endStandby ends the standby session, if there is one: a leader serves the client again.
+// endStandby closes the standby session, if there is one, because a leader serves the client
+// again.
 func (c *Client) endStandby() (ended bool) {
 	current := c.standby.Swap(nil)
 	if current == nil {
@@ -110,7 +111,8 @@
 	return true
 }
 
-// standBy keeps a standby session while no leader serves the client.
+// runStandby keeps a standby session open while no leader serves the client or the leader is
+// unresponsive.
 func (c *Client) runStandby() {
 	for {
 		select {
@@ -129,8 +131,8 @@
 	}
 }
 
-// askAround asks one member after the other to stand by, and serves the session
-// with the first that does to its end. It returns false when none did.
+// serveStandby tries one member after the other and serves a standby session with the first that
+// accepts until it ends. It returns false if none accepted.
 func (c *Client) serveStandby() bool {
 	for _, address := range c.standbyOrder() {
 		if c.context.Err() != nil || c.responsiveLeader() != nil {
@@ -145,13 +147,13 @@
 	return false
 }
 
-// standbyOrder alternates between members, in an order that is the same for all
-// clients that followed the same leader, and other daemons that pass placements on:
-// whoever is cut off from one member may be from all.
+// standbyOrder alternates between members and relaying daemons, since a client that is cut off
+// from one member may be cut off from all. The order of the members is the same for all clients
+// that followed the same leader.
 func (c *Client) standbyOrder() []string {
 	members, relays := c.memberOrder(), c.standbyRelays()
 	if c.session.Load() != nil {
-		// The leader is silent; others may still be led by it.
+		// The leader is unresponsive, but other daemons may still be connected to it.
 		members = slices.DeleteFunc(members, func(address string) bool { return address == *c.lastLeader.Load() })
 		return append(relays, members...)
 	}
@@ -177,10 +179,10 @@
 	return slices.Insert(order, 0, *last)
 }
 
-// maxStandbyRelays bounds the daemons that are asked in one round.
+// maxStandbyRelays limits the relaying daemons tried in one round.
 const maxStandbyRelays = 3
 
-// standbyRelays draws daemons that may pass placements on.
+// standbyRelays returns a random selection of daemons that may relay placements.
 func (c *Client) standbyRelays() []string {
 	if c.config.StandbyRelays == nil {
 		return nil
@@ -190,8 +192,8 @@
 	return relays[:min(len(relays), maxStandbyRelays)]
 }
 
-// connectStandby serves one standby session to its end and reports whether the
-// member stood by.
+// connectStandby serves one standby session until it ends and reports whether the peer accepted
+// it.
 func (c *Client) connectStandby(address string) (bool, error) {
 	ctx, cancel := context.WithTimeout(c.context, standbyDialTimeout)
 	defer cancel()
@@ -205,7 +207,7 @@
 	return current.ready, err
 }
 
-// receiveAlive takes in that the member stands by.
+// receiveStandbyReady handles the peer's confirmation that it serves the standby session.
 func (s *session) receiveStandbyReady() error {
 	if !s.standby {
 		return errors.Wrap(errProtocol, "a leader that only stands by")
@@ -216,7 +218,7 @@
 	s.ready = true
 	s.client.standby.Store(s)
 	if s.client.responsiveLeader() != nil {
-		s.client.endStandby() // a leader came first
+		s.client.endStandby() // a leader connected first
 		return nil
 	}
 	event.FeedStandby.Log(s.client.config.Logger, "address", s.conn.RemoteAddr())
@@ -226,7 +228,8 @@
 	return nil
 }
 
-// writeAlive answers a standby subscription, if the member has a view to place by.
+// writeStandbyReady accepts a standby subscription if the member has a view to place by, and
+// redirects the subscriber otherwise.
 func (s *subscriber) writeStandbyReady(ctx context.Context, writer *frame.Writer, leader string) error {
 	if s.server.config.Group.Version().Revision == 0 {
 		return s.redirect(ctx, writer, leader)
--- a/connection/feed/standby_test.go
+++ b/connection/feed/standby_test.go
@@ -12,7 +12,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// placingGroup is a member that names itself as the replica.
+// placingGroup is a member that answers placements with its own name as the replica.
 type placingGroup struct {
 	*fakeGroup
 	name     string
@@ -54,7 +54,7 @@
 	return client, served
 }
 
-// placedBy returns which member places now, empty for none.
+// placedBy returns the member that answers placements, empty if none does.
 func placedBy(client *Client) string {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
@@ -65,8 +65,8 @@
 	return answer.Generator
 }
 
-// While nobody leads, the last leader goes on with placements, and with nothing
-// else; the next leader takes over.
+// While there is no leader, the previous leader continues to serve placements and nothing else.
+// The next leader takes over.
 func TestStandbyMemberServesPlacementsOnly(t *testing.T) {
 	first, second := newPlacingGroup("first", true), newPlacingGroup("second", false)
 	firstServer, firstAddress := startServer(t, first)
@@ -102,7 +102,7 @@
 	eventually(t, "nobody stands by any more", func() bool { return firstServer.Subscribers() == 0 })
 }
 
-// A member that came back with an empty disk knows no replicas.
+// A member that restarted with an empty disk knows no replicas.
 func TestMemberWithoutAViewRefusesStandby(t *testing.T) {
 	empty, filled := newPlacingGroup("empty", true), newPlacingGroup("filled", false)
 	emptyServer, emptyAddress := startServer(t, empty)
@@ -115,7 +115,7 @@
 	eventually(t, "the other member stands by", func() bool { return placedBy(client) == "filled" })
 }
 
-// A member that is gone is passed over for the next one.
+// An unreachable member is skipped.
 func TestNextMemberServesStandbyWhenOneIsUnreachable(t *testing.T) {
 	first, second := newPlacingGroup("first", true), newPlacingGroup("second", false)
 	firstServer, firstAddress := startServer(t, first)
--- a/connection/feed/subscriber.go
+++ b/connection/feed/subscriber.go
@@ -11,36 +11,36 @@
 	"github.com/pkg/errors"
 )
 
-// answer is one frame that replies to a request of the subscriber.
+// response is a frame that replies to a request of the subscriber.
 type response struct {
 	kind    frame.Kind
 	payload []byte
 }
 
-// subscriber is one connection at the server. What waits for it is bounded: the
-// version sent last instead of deltas, the latest beat instead of all, and one
-// place for each claim under way.
+// subscriber is one connection at the server. The pending state per subscriber is bounded: the
+// version sent last instead of queued deltas, the latest heartbeat instead of all, and one slot
+// for each call in progress.
 type subscriber struct {
 	server *Server
 	conn   net.Conn
-	number uint64 // of the connection, in the order in which they were accepted
+	number uint64 // of the connection, in order of acceptance
 	key    daemonKey
 	wake   chan struct{}
-	// answers has room for every claim that may be under way, so that putting
-	// one there never blocks.
+	// responses has capacity for every call that may be in progress, so that sending to it never
+	// blocks.
 	responses chan response
 	slots     chan struct{}
 	calls     sync.WaitGroup
 
-	// entered gives back the place among the subscriptions that begin.
+	// releaseOpeningSlot releases the slot of a subscription that is opening.
 	releaseOpeningSlot func()
 
-	// standby is set for a subscription that gets placements alone; it is
-	// written before the subscription is open.
+	// standby is set for a subscription that gets placements only. It is written before the
+	// subscription is open.
 	standby bool
-	// partial is set for a subscription that brings the daemon's own subset of the replicas;
-	// shares is which part of them it has been sent. Written before the subscription is open,
-	// then by the writer alone.
+	// partial is set for a subscription to the daemon's own subset of the replicas; shares is the
+	// subset that it has been sent. Both are written before the subscription is open, and later
+	// only by the writer.
 	partial bool
 	shares  shares
 
@@ -48,12 +48,12 @@
 	opened           bool
 	sent             view.Version // the version that the subscriber has or is being sent
 	acked            view.Version
-	heartbeatPending bool   // a beat arrived that writeNews has not seen
-	pendingSequence  uint64 // sequence of the latest beat without a grant, 0 if none
+	heartbeatPending bool   // a heartbeat arrived that writeUpdates has not processed
+	pendingSequence  uint64 // sequence of the latest heartbeat without a grant, 0 if none
 	bulk             bulkTransfer
 
-	// toldNews is which of the ends that are not on record were told last, at toldAt. Only the
-	// writer uses them.
+	// reportedGeneration is the generation of the unrecorded ends sent last, at reportedAt. Only
+	// the writer uses them.
 	reportedGeneration uint64
 	reportedAt         time.Duration
 }
@@ -71,7 +71,7 @@
 	}
 }
 
-// signal makes the writer look again; signals coalesce.
+// signal wakes the writer. Signals coalesce.
 func (s *subscriber) signal() {
 	select {
 	case s.wake <- struct{}{}:
@@ -79,7 +79,7 @@
 	}
 }
 
-// run serves the connection to its end.
+// run serves the connection until it ends.
 func (s *subscriber) run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -189,9 +189,9 @@
 	}
 }
 
-// receivePresence takes in what a daemon says of a proxy, unless a later subscription of
-// the daemon is open: its word came after this one, whenever this one arrives. A
-// subscription that stands by is asked for placements alone.
+// receivePresence passes on a presence report, unless a later subscription of the daemon is open:
+// its reports supersede this one, whenever this one arrives. Standby subscriptions serve
+// placements only, so their reports are ignored.
 func (s *subscriber) receivePresence(payload []byte) error {
 	presence, err := decodePresence(payload)
 	if err != nil {
@@ -224,10 +224,9 @@
 	return nil
 }
 
-// checkVersion refuses a version that the group has never had: such a daemon
-// followed another group, or one whose disks were all lost, and its view must
-// not be taken for an acknowledgement. A leader has applied every version that
-// any daemon can have been sent.
+// checkVersion rejects a version that the group has never had. Such a daemon followed another
+// group, or one that lost all its disks, and its view must not count as an acknowledgement. A
+// leader has applied every version that any daemon can have been sent.
 func (s *subscriber) checkVersion(version view.Version) error {
 	leads := s.server.config.Group.Leadership().Leads
 	if leads && version.Compare(s.server.config.Group.Version()) > 0 {
@@ -265,9 +264,8 @@
 	})
 }
 
-// start runs serve beside the reader, or refuse here when a subscription that
-// is leaving must start nothing new. It waits for a free place, which holds up
-// only this subscriber.
+// startCall runs serve on a separate goroutine, or calls refuse if the member no longer leads and
+// must not start anything new. It waits for a free slot, which blocks only this subscriber.
 func (s *subscriber) startCall(ctx context.Context, serve, refuse func()) error {
 	select {
 	case s.slots <- struct{}{}:
@@ -282,8 +280,8 @@
 	return nil
 }
 
-// answer hands a frame to the writer. The place is freed once it was taken, so
-// answers never has more than it has room for.
+// enqueueResponse hands a frame to the writer. A slot is freed only when its response was taken,
+// so responses never exceeds its capacity.
 func (s *subscriber) enqueueResponse(kind frame.Kind, payload []byte) {
 	s.responses <- response{kind: kind, payload: payload}
 }
@@ -328,7 +326,7 @@
 	return writer.WriteFrame(next.kind, next.payload)
 }
 
-// writeNews writes the delta to the version applied now and the grant that is due.
+// writeUpdates writes the delta to the current version and the grant that is due.
 func (s *subscriber) writeUpdates(ctx context.Context, writer *frame.Writer) error {
 	s.lock.Lock()
 	opened, sent, acked, heartbeatPending, sequence := s.opened, s.sent, s.acked, s.heartbeatPending, s.pendingSequence
@@ -360,8 +358,8 @@
 	return s.writeGrant(ctx, writer, acked, sequence)
 }
 
-// moveOn sends the subscriber to the leader, after the answers to its claims
-// that are under way, and ends the connection.
+// redirect waits for the responses to the calls in progress, sends the leader's address and ends
+// the connection.
 func (s *subscriber) redirect(ctx context.Context, writer *frame.Writer, address string) error {
 	timer := time.NewTimer(s.server.config.WriteTimeout)
 	defer timer.Stop()
@@ -386,7 +384,7 @@
 	return errNotLeader
 }
 
-// writeDelta writes what leads to the version applied now; asked says that the daemon waits
+// writeDelta writes the delta to the current version. heartbeatPending says that the daemon waits
 // for a grant.
 func (s *subscriber) writeDelta(ctx context.Context, writer *frame.Writer, sent view.Version, heartbeatPending bool) error {
 	if s.partial {
@@ -400,7 +398,7 @@
 		if err := s.acquireBulkSlot(ctx, writer); err != nil {
 			return err
 		}
-		// The group may have moved on while the subscriber waited.
+		// The group may have applied further versions while the subscriber waited.
 		if payload, to, err = s.deltaSince(sent); err != nil {
 			return err
 		}
@@ -409,7 +407,7 @@
 	return s.writeVersion(writer, payload, to)
 }
 
-// writeVersion writes a delta and notes to which version it leads.
+// writeVersion writes a delta and records the version that it leads to.
 func (s *subscriber) writeVersion(writer *frame.Writer, payload []byte, to view.Version) error {
 	if err := writer.WriteFrame(kindDelta, payload); err != nil {
 		return err
@@ -418,7 +416,7 @@
 	defer s.lock.Unlock()
 	s.sent = to
 	if to != s.server.config.Group.Version() {
-		s.signal() // what came after a whole view that was encoded before
+		s.signal() // for changes after a cached full view
 	}
 	return nil
 }
@@ -427,10 +425,9 @@
 	return s.server.cache.since(s.server.config.Group, sent, s.server.config.Clock())
 }
 
-// writeGrant records the acknowledgement and renews the view lease, if a beat
-// asks for it. The leader lease is checked here, after everything that may have
-// taken time; a pause after the check does no harm, since the lease runs from
-// when the daemon asked.
+// writeGrant records the acknowledgement and renews the view lease if a heartbeat asks for it. The
+// leader lease is checked here, after everything that may have taken time. A pause after the check
+// does no harm, since the view lease counts from when the daemon asked.
 func (s *subscriber) writeGrant(ctx context.Context, writer *frame.Writer, acked view.Version, sequence uint64) error {
 	now := s.server.config.Clock()
 	current := s.server.leasedRegistry(ctx)
--- a/connection/feed/takeover.go
+++ b/connection/feed/takeover.go
@@ -9,19 +9,19 @@
 	"github.com/landingtrail/landingtrail/request/placement"
 )
 
-// What a daemon tells whoever has just begun to place its requests: the board of the last
-// one is lost with it, and the daemons know most of what was on it.
+// The messages in this file restore the placement state of a new leader or standby member. That
+// state is lost with the previous one, and the daemons know most of it.
 
-// KeptParts is what a daemon believes a replica to keep of prompts, the part
-// used last at the end. Daemons send it to a leader that has just begun to serve
-// them, so that it need not learn anew what their requests have left where.
+// KeptParts lists the prompt parts that a daemon believes a replica to have cached, the most
+// recently used one last. Daemons send it to a leader or standby member that has just started to
+// serve them, so that it need not relearn where their requests have left cached parts.
 type KeptParts struct {
 	Service string
 	Replica string
 	Parts   []placement.Part
 }
 
-// maxKeptParts bounds the parts told of one replica.
+// maxCachedParts limits the parts sent for one replica.
 const maxCachedParts = 512
 
 func encodeCachedParts(cached KeptParts) []byte {
@@ -38,8 +38,8 @@
 	return cached, decoder.Finish()
 }
 
-// ReportKept tells the leader what a replica is believed to keep; false when the
-// word was dropped.
+// ReportKept sends the parts that a replica is believed to have cached to the session that places
+// requests. It returns false if the message was dropped.
 func (c *Client) ReportKept(cached KeptParts) bool {
 	current := c.placementSession()
 	if current == nil {
@@ -57,22 +57,22 @@
 	return nil
 }
 
-// InFlight is what a daemon has in flight to the replicas of one service, by its own
-// numbers. Daemons send it to who has just begun to place their requests, so that the new
-// board need not learn from its mistakes what the old one knew.
+// InFlight lists a daemon's requests in flight to the replicas of one service, by the daemon's own
+// numbers. Daemons send it to a leader or standby member that has just started to place their
+// requests, so that it need not rediscover what its predecessor knew through bad placements.
 type InFlight struct {
 	Service  string
 	Requests map[uint64]placement.Placed
 }
 
-// Bounds of one message. A daemon with more in flight leaves the oldest out, which then
-// show as load that replicas tell.
+// Limits of one message. A daemon with more requests in flight omits the oldest, which then only
+// appear in the load that replicas report.
 const (
 	maxInFlight      = 512
 	maxInFlightBytes = maxSubscriberPayload / 2
 )
 
-// inFlightSize is the least size of an encoded request in flight.
+// inFlightSize is the minimum size of an encoded request in flight.
 const inFlightSize = 8 + 8 + 1
 
 func encodeInFlight(message InFlight) []byte {
@@ -91,7 +91,7 @@
 	return append(encoder.Data(), requests.Data()...)
 }
 
-// encodePlaced leaves out the replicas that mattered for the choice alone.
+// encodePlaced omits the replica lists that only mattered for choosing the replica.
 func encodePlaced(encoder *frame.Encoder, number uint64, request placement.Placed) {
 	request.Ask.Excluded, request.Ask.Connected = nil, nil
 	encoder.Uint64(number)
@@ -118,8 +118,8 @@
 	return message, decoder.Finish()
 }
 
-// ReportInFlight tells who places the daemon's requests now what it has in flight; false
-// when the word was dropped.
+// ReportInFlight sends the daemon's requests in flight to the session that places its requests. It
+// returns false if the message was dropped.
 func (c *Client) ReportInFlight(message InFlight) bool {
 	current := c.placementSession()
 	if current == nil {
--- a/connection/feed/unrecorded_test.go
+++ b/connection/feed/unrecorded_test.go
@@ -10,7 +10,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// tellingGroup is a member that has something to tell that is not on record.
+// unrecordedGroup is a member with ends that are not in the committed record.
 type unrecordedGroup struct {
 	*fakeGroup
 	lock       sync.Mutex
@@ -31,8 +31,8 @@
 	g.report.Ended = append(g.report.Ended, quarantine.Aged{Evidence: quarantine.Evidence{Replica: replica}, Age: time.Second})
 }
 
-// Daemons are told what is not on record by the leader that serves them and by a member that stands
-// by, when there are news and every now and then as long as they last.
+// Unrecorded ends are sent to daemons by the leader that serves them and by a standby member,
+// immediately when they change and periodically as long as there are any.
 func TestUnrecordedEndsAreSentToDaemons(t *testing.T) {
 	for name, leads := range map[string]bool{"by the leader": true, "by a member that stands by": false} {
 		t.Run(name, func(t *testing.T) {
--- a/connection/feed/usage.go
+++ b/connection/feed/usage.go
@@ -4,13 +4,13 @@
 	"github.com/landingtrail/landingtrail/connection/frame"
 )
 
-// UsageReport is what one process has counted of requests that began, by tenant and window
-// of time. Counters only rise: a report that comes twice, or late, takes nothing back.
+// UsageReport holds the requests that one process has counted at their start, by tenant and time
+// window. Counters only increase, so that a duplicate or late report lowers nothing.
 type UsageReport struct {
-	// Life names the process; one that starts again has another name.
+	// Life identifies the process. A restarted process has a different value.
 	Life string
-	// Through is up to when everything is told that this process has counted, in
-	// milliseconds of the group's time of day.
+	// Through is the time up to which the process has reported all its counts, in Unix
+	// milliseconds of the group's wall-clock time.
 	Through int64
 	Counts  []UsageCount
 }
@@ -22,10 +22,10 @@
 	Count  uint64
 }
 
-// maxUsageCounts bounds the counters of one message.
+// maxUsageCounts limits the counters in one message.
 const maxUsageCounts = 8192
 
-// usageCountSize is the least size of one encoded counter.
+// usageCountSize is the minimum size of an encoded counter.
 const usageCountSize = 8 + 4 + 8
 
 func encodeUsage(report UsageReport) []byte {
@@ -54,8 +54,8 @@
 	return report, decoder.Finish()
 }
 
-// split divides a report into such as one message holds. Only the last part says through
-// when all is told.
+// split divides a report into parts that fit into one message each. Only the last part has Through
+// set, since the report is incomplete before it.
 func (r UsageReport) split() []UsageReport {
 	var parts []UsageReport
 	for len(r.Counts) > maxUsageCounts {
@@ -65,7 +65,7 @@
 	return append(parts, r)
 }
 
-// ReportUsage tells the leader; false when a part of the word was dropped.
+// ReportUsage sends a report to the leader. It returns false if any part was dropped.
 func (c *Client) ReportUsage(report UsageReport) bool {
 	leader := c.session.Load()
 	if leader == nil {
--- a/connection/feed/usage_test.go
+++ b/connection/feed/usage_test.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// A report that is too long for a message goes in several, of which only the last says
-// through when all is told.
+// A report that exceeds the size of a message is split into several. Only the last one sets
+// Through, when the report is complete.
 func TestLongUsageReportsAreSplit(t *testing.T) {
 	report := UsageReport{Life: "p", Through: 9}
 	for i := range 2*maxUsageCounts + 5 {
