--- a/connection/feed/bulk.go
+++ b/connection/feed/bulk.go
@@ -15,7 +15,7 @@
 // bulkTransfer is a large delta in transit to a subscriber. The subscriber holds a bulk slot of
 // the server until the transfer is done.
 type bulkTransfer struct {
-	held    bool
+	active  bool
 	version view.Version
 	sentAt  time.Duration
 }
@@ -30,7 +30,7 @@
 // the version, since written data may still be in buffers along the path.
 func (s *subscriber) acquireBulkSlot(ctx context.Context, writer *frame.Writer) error {
 	s.lock.Lock()
-	held := s.bulk.held
+	held := s.bulk.active
 	s.lock.Unlock()
 	if held {
 		return nil
@@ -42,7 +42,7 @@
 		case s.server.bulkSlots <- struct{}{}:
 			s.lock.Lock()
 			defer s.lock.Unlock()
-			s.bulk.held = true
+			s.bulk.active = true
 			return nil
 		case <-ticker.C:
 			if err := s.writeKeepAlive(ctx, writer); err != nil {
@@ -82,7 +82,7 @@
 	s.lock.Lock()
 	bulk := s.bulk
 	s.lock.Unlock()
-	if !bulk.held || bulk.version.IsZero() {
+	if !bulk.active || bulk.version.IsZero() {
 		return
 	}
 	slow := s.server.config.Clock()-bulk.sentAt > s.server.config.SilenceTimeout
@@ -95,7 +95,7 @@
 func (s *subscriber) releaseBulkSlot() {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if s.bulk.held {
+	if s.bulk.active {
 		s.bulk = bulkTransfer{}
 		<-s.server.bulkSlots
 	}
--- a/connection/feed/bulk_test.go
+++ b/connection/feed/bulk_test.go
@@ -58,7 +58,7 @@
 	third := subscribeFullView(t, address, "third")
 	received, err := third.reader.ReadFrame()
 	must.NoError(t, err)
-	must.Eq(t, kindGrant, received.Kind, must.Sprint("two large deltas are on their way already"))
+	must.Eq(t, kindGrant, received.Kind, must.Sprint("two large deltas are already in transit"))
 	must.Eq(t, 3, server.Subscribers())
 
 	first.send(kindHeartbeat, encodeHeartbeat(heartbeat{acked: version, held: version}))
@@ -88,7 +88,7 @@
 	eventually(t, "two subscriptions", func() bool { return server.Subscribers() == 2 })
 	time.Sleep(silence + bulkKeepAlive) // longer than the client's silence timeout
 	first.send(kindHeartbeat, encodeHeartbeat(heartbeat{acked: version, held: version}))
-	eventually(t, "the view", func() bool { return holder.Load().Version == version })
+	eventually(t, "the view to arrive", func() bool { return holder.Load().Version == version })
 	must.Eq(t, 1, dials.Load())
 }
 
@@ -102,41 +102,41 @@
 		Group: group, MaxBulkDeltas: 1, SilenceTimeout: testTimeout,
 		Clock: func() time.Duration { return time.Duration(clock.Load()) },
 	})
-	stuck := subscribeFullView(t, address, "stuck")
-	stuck.readDelta()
+	unacknowledging := subscribeFullView(t, address, "stuck")
+	unacknowledging.readDelta()
 	next := subscribeFullView(t, address, "next")
 	ctx, cancel := context.WithCancel(context.Background())
 	var heartbeats sync.WaitGroup
 	heartbeats.Go(func() {
 		for sequence := uint64(1); ctx.Err() == nil; sequence++ {
 			clock.Add(int64(testTimeout + 1))
-			_ = stuck.writer.WriteFrame(kindHeartbeat, encodeHeartbeat(heartbeat{sequence: sequence}))
-			_ = stuck.writer.Flush()
+			_ = unacknowledging.writer.WriteFrame(kindHeartbeat, encodeHeartbeat(heartbeat{sequence: sequence}))
+			_ = unacknowledging.writer.Flush()
 			time.Sleep(testLease / 2)
 		}
 	})
 	next.readDelta()
-	must.Eq(t, 2, server.Subscribers(), must.Sprint("neither was cut off"))
+	must.Eq(t, 2, server.Subscribers(), must.Sprint("neither subscriber was disconnected"))
 	cancel()
 	heartbeats.Wait()
 }
 
-func TestWholeViewIsEncodedOnceForManySubscribers(t *testing.T) {
+func TestFullViewEncodingIsReused(t *testing.T) {
 	group := newFakeGroup()
 	group.put("water")
 	cache := &deltaCache{}
 	first, version, err := cache.since(group, view.Version{}, 0)
 	must.NoError(t, err)
-	later := group.put("gritting")
+	laterRevision := group.put("gritting")
 	partial, reached, err := cache.since(group, version, 0)
 	must.NoError(t, err)
-	must.Eq(t, later, reached.Revision)
+	must.Eq(t, laterRevision, reached.Revision)
 	must.NotEq(t, first, partial)
 	again, same, err := cache.since(group, view.Version{}, fullViewCacheTTL-1)
 	must.NoError(t, err)
-	must.True(t, &first[0] == &again[0], must.Sprint("the encoding is used again"))
+	must.True(t, &first[0] == &again[0], must.Sprint("the cached encoding is reused"))
 	must.Eq(t, version, same)
 	_, fresh, err := cache.since(group, view.Version{}, fullViewCacheTTL)
 	must.NoError(t, err)
-	must.Eq(t, later, fresh.Revision)
+	must.Eq(t, laterRevision, fresh.Revision)
 }
--- a/connection/feed/charge.go
+++ b/connection/feed/charge.go
@@ -19,7 +19,7 @@
 
 // ErrNotCharged says that no quota-keeping member answered; the daemon then decides by its local
 // state.
-var ErrNotCharged = errors.New("feed: no member keeps quotas now")
+var ErrNotCharged = errors.New("feed: no member with quotas answered")
 
 func encodeChargeRequest(encoder *frame.Encoder, request ChargeRequest) []byte {
 	encoder.String(request.Tenant)
--- a/connection/feed/charge_test.go
+++ b/connection/feed/charge_test.go
@@ -44,7 +44,7 @@
 	relay.ReturnCharge(ChargeRequest{Tenant: "north", Cost: 3})
 	_, passed := relay.Charge(ChargeRequest{Tenant: "north", Cost: 1, Passed: true})
 	must.False(t, passed)
-	eventually(t, "the charge that came back", func() bool {
+	eventually(t, "the refund", func() bool {
 		group.lock.Lock()
 		defer group.lock.Unlock()
 		return len(group.charged) == 2 && group.charged[1] == ChargeRequest{Tenant: "north", Cost: -3, Passed: true}
--- a/connection/feed/client.go
+++ b/connection/feed/client.go
@@ -136,10 +136,10 @@
 // or the addresses.
 func Dial(config ClientConfig, views Views) (*Client, error) {
 	if config.Daemon == "" {
-		return nil, errors.Wrap(ErrConfig, "no daemon")
+		return nil, errors.Wrap(ErrConfig, "daemon name is empty")
 	}
 	if len(config.Addresses) == 0 {
-		return nil, errors.Wrap(ErrConfig, "no addresses")
+		return nil, errors.Wrap(ErrConfig, "no member addresses")
 	}
 	client := &Client{config: config.withDefaults(), views: views, instance: rand.Uint64()}
 	client.handover = newHandover(client.config.HandoverWait)
--- a/connection/feed/delta.go
+++ b/connection/feed/delta.go
@@ -31,7 +31,7 @@
 
 func decodeDelta(data []byte) (view.Delta, error) {
 	if len(data) == 0 {
-		return view.Delta{}, errors.Wrap(errProtocol, "empty delta")
+		return view.Delta{}, errors.Wrap(errProtocol, "delta payload is empty")
 	}
 	body := data[1:]
 	if data[0] == deltaCompressed {
@@ -53,8 +53,8 @@
 // version, and the encoding of a full view. When all daemons start at once, encoding a full view
 // takes much longer than the view stays the latest one.
 type deltaCache struct {
-	lock    sync.Mutex
-	partial encodedDelta
+	lock   sync.Mutex
+	latest encodedDelta
 	// fullLock is held while a full view is encoded, so that it is encoded once.
 	fullLock      sync.Mutex
 	full          encodedDelta
@@ -88,17 +88,17 @@
 	}
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	c.partial = encodedDelta{from: from, to: delta.To, payload: payload}
+	c.latest = encodedDelta{from: from, to: delta.To, payload: payload}
 	return payload, delta.To, nil
 }
 
 func (c *deltaCache) cached(from, to view.Version) ([]byte, view.Version, bool) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	if c.partial.payload == nil || c.partial.from != from || c.partial.to != to {
+	if c.latest.payload == nil || c.latest.from != from || c.latest.to != to {
 		return nil, view.Version{}, false
 	}
-	return c.partial.payload, c.partial.to, true
+	return c.latest.payload, c.latest.to, true
 }
 
 // fullView returns the encoding of a full view that is newer than from.
--- a/connection/feed/ends.go
+++ b/connection/feed/ends.go
@@ -152,7 +152,7 @@
 	return nil
 }
 
-// UnrecordedPause is the interval at which ends that the committed record can't tell are sent to a
+// UnrecordedPause is the interval at which ends that can't be read from the committed record are sent to a
 // daemon again. As long as a daemon receives them, it knows that nobody else decides by them.
 const UnrecordedPause = time.Second
 
--- a/connection/feed/feed.go
+++ b/connection/feed/feed.go
@@ -25,8 +25,8 @@
 	// ErrConfig says that a configuration is invalid.
 	ErrConfig = errors.New("feed: invalid configuration")
 	// errProtocol says that the peer violated the protocol.
-	errProtocol  = errors.New("feed: protocol fault")
-	errNotLeader = errors.New("feed: the member does not lead")
+	errProtocol  = errors.New("feed: protocol violation")
+	errNotLeader = errors.New("feed: the member is not the leader")
 )
 
 // Views is the state that a Client keeps up to date. *view.Holder implements it.
--- a/connection/feed/feed_test.go
+++ b/connection/feed/feed_test.go
@@ -62,7 +62,7 @@
 	second.set(true, true, 2, "")
 	first.set(false, false, 2, secondAddress)
 	firstServer.Wake()
-	eventually(t, "the subscription has moved", func() bool {
+	eventually(t, "the subscription to move to the new leader", func() bool {
 		return firstServer.Subscribers() == 0 && secondServer.Subscribers() == 1 && client.Connected()
 	})
 }
@@ -81,7 +81,7 @@
 	refused := make(chan struct{})
 	first.claim = func(state.ClaimRequest) (api.ClaimResult, error) {
 		close(refused)
-		return api.ClaimResult{}, errors.Wrap(ErrNoQuorum, "leadership moves")
+		return api.ClaimResult{}, errors.Wrap(ErrNoQuorum, "leader is stepping down")
 	}
 	claimed := make(chan error, 2)
 	claim := func() {
@@ -107,7 +107,7 @@
 	must.NoError(t, ctx.Err())
 }
 
-func TestForeignBytesEndOnlyTheirConnection(t *testing.T) {
+func TestInvalidBytesCloseOnlyTheirConnection(t *testing.T) {
 	group := newFakeGroup()
 	server, address := startServer(t, group)
 	holder := view.NewHolder()
@@ -196,7 +196,7 @@
 		frames++
 	}
 	must.Eq(t, changes, len(holder.Load().Tenants))
-	t.Logf("%d changes came in %d deltas", changes, frames)
+	t.Logf("%d changes arrived in %d deltas", changes, frames)
 }
 
 func TestSubscriberThatStopsReadingIsDisconnected(t *testing.T) {
@@ -244,7 +244,7 @@
 			must.ErrorIs(t, err, test.want)
 		})
 	}
-	t.Run("cut while proposed", func(t *testing.T) {
+	t.Run("connection lost after proposal", func(t *testing.T) {
 		group := newFakeGroup()
 		proposed, finish := make(chan struct{}), make(chan struct{})
 		group.claim = func(state.ClaimRequest) (api.ClaimResult, error) {
@@ -264,7 +264,7 @@
 		must.ErrorIs(t, err, ErrOutcomeUnknown)
 		close(finish)
 	})
-	t.Run("given up while proposed", func(t *testing.T) {
+	t.Run("context canceled after proposal", func(t *testing.T) {
 		group := newFakeGroup()
 		giveUp, cancel := context.WithCancel(ctx)
 		defer cancel()
@@ -316,12 +316,12 @@
 
 func (s *blockableViews) Apply(delta view.Delta) error {
 	if s.blocked.Load() {
-		return errors.New("stuck")
+		return errors.New("blocked")
 	}
 	return s.Holder.Apply(delta)
 }
 
-func TestInForceOnlyWhenNoOldViewHoldsALease(t *testing.T) {
+func TestInForceOnlyWithoutLeasesOnOlderViews(t *testing.T) {
 	group := newFakeGroup()
 	server, address := startServer(t, group)
 	group.put("water")
@@ -329,14 +329,14 @@
 	startClient(t, views, address)
 	eventually(t, "a lease", func() bool { return views.Valid(clock.Now()) })
 	ctx := context.Background()
-	eventually(t, "in force at first", func() bool {
+	eventually(t, "the first version to be in force", func() bool {
 		result, valid := server.InForce(ctx, group.Version().Revision)
 		return valid && result.Done && result.Acknowledged == 1
 	})
 	views.blocked.Store(true)
 	revision := group.put("gritting")
 	server.Wake()
-	eventually(t, "in force by a lapsed lease", func() bool {
+	eventually(t, "the version to be in force after the old lease lapsed", func() bool {
 		result, valid := server.InForce(ctx, revision)
 		must.True(t, valid)
 		if result.Done {
@@ -431,15 +431,15 @@
 	for i := range parts {
 		parts[i] = placement.Part{ID: "a-part-with-a-long-name", Tokens: i}
 	}
-	many := InFlight{Service: "s", Requests: map[uint64]placement.Placed{}}
+	message := InFlight{Service: "s", Requests: map[uint64]placement.Placed{}}
 	for number := range uint64(2 * maxInFlight) {
-		many.Requests[number] = placement.Placed{Ask: placement.Ask{Parts: parts, Connected: []string{"r"}}}
+		message.Requests[number] = placement.Placed{Ask: placement.Ask{Parts: parts, Connected: []string{"r"}}}
 	}
-	encoded := encodeInFlight(many)
+	encoded := encodeInFlight(message)
 	must.Less(t, maxSubscriberPayload, len(encoded))
-	told, err := decodeInFlight(encoded)
+	decoded, err := decodeInFlight(encoded)
 	must.NoError(t, err)
-	must.MapContainsKey(t, told.Requests, 2*maxInFlight-1, must.Sprint("the newest are told"))
-	must.MapNotContainsKey(t, told.Requests, 0)
-	must.SliceEmpty(t, told.Requests[2*maxInFlight-1].Ask.Connected)
+	must.MapContainsKey(t, decoded.Requests, 2*maxInFlight-1, must.Sprint("the newest requests are included"))
+	must.MapNotContainsKey(t, decoded.Requests, 0)
+	must.SliceEmpty(t, decoded.Requests[2*maxInFlight-1].Ask.Connected)
 }
--- a/connection/feed/follow.go
+++ b/connection/feed/follow.go
@@ -89,7 +89,7 @@
 	for {
 		current := c.awaitSession(ctx)
 		if current == nil {
-			return reply{}, errors.Wrap(ErrNoQuorum, "no leader is connected")
+			return reply{}, errors.Wrap(ErrNoQuorum, "not connected to a leader")
 		}
 		requestID := c.requestID.Add(1)
 		answer, err := current.call(ctx, requestID, &outgoing{kind: kind, payload: encode(requestID)})
@@ -100,7 +100,7 @@
 }
 
 // errQueueFull refuses a request because the session's queue is full.
-var errQueueFull = errors.Wrap(ErrNoQuorum, "the queue is full")
+var errQueueFull = errors.Wrap(ErrNoQuorum, "send queue is full")
 
 // call sends one request to this session's leader and waits for its reply.
 func (s *session) call(ctx context.Context, requestID uint64, request *outgoing) (reply, error) {
@@ -113,9 +113,9 @@
 	case answer := <-waiting:
 		return checkReply(answer)
 	case <-ctx.Done():
-		return abandonCall(request, waiting, "gave up waiting")
+		return abandonCall(request, waiting, "context ended while waiting for the reply")
 	case <-s.ended:
-		return abandonCall(request, waiting, "the connection ended")
+		return abandonCall(request, waiting, "connection ended before the reply")
 	}
 }
 
@@ -124,9 +124,9 @@
 	case replyDone:
 		return answer, nil
 	case replyRefused:
-		return reply{}, errors.Wrap(ErrNoQuorum, "refused")
+		return reply{}, errors.Wrap(ErrNoQuorum, "refused by the leader")
 	default:
-		return reply{}, errors.Wrap(ErrOutcomeUnknown, "proposed")
+		return reply{}, errors.Wrap(ErrOutcomeUnknown, "proposed without a known outcome")
 	}
 }
 
--- a/connection/feed/foreignreply_test.go
+++ b/connection/feed/foreignreply_test.go
@@ -147,12 +147,12 @@
 		ask   func(context.Context, *Client) error
 		want  error
 	}{
-		"a claim, the reply to an outcome":     {outcomeReplied, claim, ErrOutcomeUnknown},
-		"a claim, the reply to a placement":    {placeReplied, claim, ErrOutcomeUnknown},
-		"an outcome, the reply to a claim":     {claimReplied, record, ErrOutcomeUnknown},
-		"an outcome, the reply to a placement": {placeReplied, record, ErrOutcomeUnknown},
-		"a placement, the reply to a claim":    {claimReplied, place, ErrNotPlaced},
-		"a placement, the reply to an outcome": {outcomeReplied, place, ErrNotPlaced},
+		"claim answered with an outcome reply":     {outcomeReplied, claim, ErrOutcomeUnknown},
+		"claim answered with a placement reply":    {placeReplied, claim, ErrOutcomeUnknown},
+		"outcome answered with a claim reply":      {claimReplied, record, ErrOutcomeUnknown},
+		"outcome answered with a placement reply":  {placeReplied, record, ErrOutcomeUnknown},
+		"placement answered with a claim reply":    {claimReplied, place, ErrNotPlaced},
+		"placement answered with an outcome reply": {outcomeReplied, place, ErrNotPlaced},
 	} {
 		t.Run(name, func(t *testing.T) {
 			address := startScriptedMember(t, firstDelta(t), test.reply)
@@ -178,8 +178,8 @@
 			address := startScriptedMember(t, opening, nil)
 			holder := view.NewHolder()
 			client, lines := startLoggedClient(t, holder, "127.0.0.1:1")
-			stood, err := client.connectStandby(address)
-			must.False(t, stood)
+			accepted, err := client.connectStandby(address)
+			must.False(t, accepted)
 			must.ErrorIs(t, err, errProtocol)
 			must.False(t, client.Connected())
 			must.False(t, holder.Valid(clock.Now()))
--- a/connection/feed/group_test.go
+++ b/connection/feed/group_test.go
@@ -27,7 +27,7 @@
 	deadline := time.Now().Add(testTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("not within %v: %s", testTimeout, what)
+			t.Fatalf("timed out after %v waiting for %s", testTimeout, what)
 		}
 		time.Sleep(time.Millisecond)
 	}
@@ -305,9 +305,9 @@
 	const lease = time.Second
 	first := view.Version{Term: 1, Revision: 1}
 	fresh := newRegistry(1, view.Version{}, lease, 0)
-	must.True(t, fresh.inForce(first, 0).Done, must.Sprint("nobody holds a view"))
+	must.True(t, fresh.inForce(first, 0).Done, must.Sprint("no daemon holds a view"))
 	must.True(t, fresh.tracker.Observe("proxy#1", first, 0))
-	must.False(t, fresh.inForce(view.Version{Term: 1, Revision: 2}, 0).Done, must.Sprint("the proxy is waited for"))
+	must.False(t, fresh.inForce(view.Version{Term: 1, Revision: 2}, 0).Done, must.Sprint("the proxy has not acknowledged"))
 	later := newRegistry(2, first, lease, 0)
 	must.True(t, later.inForce(first, 0).Settling, must.Sprint("an earlier leader may have granted leases"))
 }
@@ -319,9 +319,9 @@
 	server := NewServer(ServerConfig{Group: group, ViewLease: time.Hour}, listener)
 	t.Cleanup(server.Close)
 	server.Wake()
-	eventually(t, "the term's registry", func() bool { return server.registry.Load() != nil })
+	eventually(t, "the registry of the term", func() bool { return server.registry.Load() != nil })
 	revision := group.put("first")
 	state, leads := server.InForce(t.Context(), revision)
 	must.True(t, leads)
-	must.True(t, state.Done, must.Sprint("nothing of an earlier leader is waited for"))
+	must.True(t, state.Done, must.Sprint("no lease of an earlier leader is waited for"))
 }
--- a/connection/feed/handover.go
+++ b/connection/feed/handover.go
@@ -13,48 +13,48 @@
 
 // handover tracks an announced change of leader, so that callers can wait for the next one.
 type handover struct {
-	lock    sync.Mutex
-	wait    time.Duration
-	until   time.Time     // deadline for waiting for the next leader
-	changed chan struct{} // closed when a session begins
+	lock           sync.Mutex
+	wait           time.Duration
+	deadline       time.Time     // deadline for waiting for the next leader
+	sessionStarted chan struct{} // closed when a session begins
 }
 
 func newHandover(wait time.Duration) *handover {
-	return &handover{wait: wait, changed: make(chan struct{})}
+	return &handover{wait: wait, sessionStarted: make(chan struct{})}
 }
 
 // begin allows callers to wait for the next session from now on.
 func (h *handover) begin() {
 	h.lock.Lock()
 	defer h.lock.Unlock()
-	h.until = time.Now().Add(h.wait)
+	h.deadline = time.Now().Add(h.wait)
 }
 
 // end wakes the callers that wait for a session.
 func (h *handover) end() {
 	h.lock.Lock()
 	defer h.lock.Unlock()
-	h.until = time.Time{}
-	close(h.changed)
-	h.changed = make(chan struct{})
+	h.deadline = time.Time{}
+	close(h.sessionStarted)
+	h.sessionStarted = make(chan struct{})
 }
 
-func (h *handover) status() (changed <-chan struct{}, until time.Time) {
+func (h *handover) status() (sessionStarted <-chan struct{}, deadline time.Time) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
-	return h.changed, h.until
+	return h.sessionStarted, h.deadline
 }
 
 // awaitSession returns the session that serves the client. During an announced handover it waits
 // for the next session; otherwise it returns nil immediately if there is none.
 func (c *Client) awaitSession(ctx context.Context) *session {
 	for {
-		changed, until := c.handover.status()
+		sessionStarted, deadline := c.handover.status()
 		if current := c.session.Load(); current != nil {
 			return current
 		}
-		left := time.Until(until)
-		if left <= 0 || !waitClosed(ctx, changed, left) {
+		remaining := time.Until(deadline)
+		if remaining <= 0 || !waitClosed(ctx, sessionStarted, remaining) {
 			return nil
 		}
 	}
--- a/connection/feed/latest.go
+++ b/connection/feed/latest.go
@@ -28,12 +28,12 @@
 func (l *latestSubscriptions) remove(daemon string, number uint64) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	left := slices.DeleteFunc(l.byDaemon[daemon], func(open uint64) bool { return open == number })
-	if len(left) == 0 {
+	remaining := slices.DeleteFunc(l.byDaemon[daemon], func(open uint64) bool { return open == number })
+	if len(remaining) == 0 {
 		delete(l.byDaemon, daemon)
 		return
 	}
-	l.byDaemon[daemon] = left
+	l.byDaemon[daemon] = remaining
 }
 
 // runIfLatest calls act if the subscription, which must be open, is the latest of its daemon. No
--- a/connection/feed/messages.go
+++ b/connection/feed/messages.go
@@ -208,7 +208,7 @@
 		return heartbeat{}, err
 	}
 	if message.acked.Compare(message.held) > 0 {
-		return heartbeat{}, errors.Wrapf(errProtocol, "version %d is acknowledged and not held", message.acked.Revision)
+		return heartbeat{}, errors.Wrapf(errProtocol, "acknowledged version %d exceeds the held version", message.acked.Revision)
 	}
 	return message, nil
 }
--- a/connection/feed/partial.go
+++ b/connection/feed/partial.go
@@ -233,22 +233,22 @@
 // once.
 func (s *subscriber) writePartial(ctx context.Context, writer *frame.Writer, sent view.Version, heartbeatPending bool) error {
 	group := s.server.config.Group
-	now := s.server.partial.currentShares(group)
+	current := s.server.partial.currentShares(group)
 	delta, found := s.server.partial.since(group, sent)
 	if !found {
 		return nil
 	}
-	if delta.Full || !maps.Equal(now, s.shares) {
-		return s.writeSubsetView(ctx, writer, sent, now)
+	if delta.Full || !maps.Equal(current, s.shares) {
+		return s.writeSubsetView(ctx, writer, sent, current)
 	}
-	isCommon := !changesReplicas(delta)
-	if !isCommon {
+	shared := !changesReplicas(delta)
+	if !shared {
 		delta = s.filterReplicas(delta)
 	}
 	if !heartbeatPending && !isUrgent(delta) {
 		return nil
 	}
-	payload, err := s.encodePartialDelta(delta, isCommon)
+	payload, err := s.encodePartialDelta(delta, shared)
 	if err != nil {
 		return err
 	}
@@ -257,8 +257,8 @@
 
 // encodePartialDelta encodes a delta. The encoding of a common delta, which is the same for all
 // daemons, is shared.
-func (s *subscriber) encodePartialDelta(delta view.Delta, isCommon bool) ([]byte, error) {
-	if isCommon {
+func (s *subscriber) encodePartialDelta(delta view.Delta, shared bool) ([]byte, error) {
+	if shared {
 		return s.server.partial.encode(delta)
 	}
 	return encodeDelta(delta)
@@ -281,15 +281,15 @@
 
 // writeSubsetView writes a full view newer than the sent version, with the daemon's subset of the
 // replicas.
-func (s *subscriber) writeSubsetView(ctx context.Context, writer *frame.Writer, sent view.Version, now shares) error {
+func (s *subscriber) writeSubsetView(ctx context.Context, writer *frame.Writer, sent view.Version, current shares) error {
 	common, listed, err := s.server.partial.fullView(s.server.config.Group, sent, s.server.config.Clock())
 	if err != nil {
 		return err
 	}
-	own := subsetReplicas{version: common.to, shares: now}
+	own := subsetReplicas{version: common.to, shares: current}
 	daemon := subset.Hash(s.key.daemon)
 	for _, entry := range listed {
-		if now[entry.replica.Spec.Service].IncludesHash(daemon, entry.hash) {
+		if current[entry.replica.Spec.Service].IncludesHash(daemon, entry.hash) {
 			own.replicas = append(own.replicas, entry.replica)
 		}
 	}
@@ -302,7 +302,7 @@
 	if err := writer.WriteFrame(kindSubsetReplicas, encodeSubsetReplicas(own)); err != nil {
 		return err
 	}
-	s.shares = now
+	s.shares = current
 	return s.writeVersion(writer, common.payload, common.to)
 }
 
@@ -313,7 +313,7 @@
 		return err
 	}
 	if !s.client.config.Partial {
-		return errors.Wrap(errUnexpectedFrame, "replicas to a subscription of whole views")
+		return errors.Wrap(errUnexpectedFrame, "subset replicas on a full subscription")
 	}
 	s.pendingSubset = &message
 	return nil
@@ -326,7 +326,7 @@
 	}
 	own := s.pendingSubset
 	if own == nil || own.version != delta.To {
-		return errors.Wrap(errProtocol, "a whole view without its replicas")
+		return errors.Wrap(errProtocol, "full view without its subset replicas")
 	}
 	for _, replica := range own.replicas {
 		delta.Objects = append(delta.Objects, api.Object{Replica: replica})
@@ -353,20 +353,20 @@
 	if origin != "" {
 		daemon = daemonName(origin)
 	}
-	now := s.server.partial.currentShares(group)
-	var named []*api.Replica
+	current := s.server.partial.currentShares(group)
+	var outside []*api.Replica
 	for _, name := range names {
 		if lister, isLister := group.(Lister); isLister {
 			if known := lister.Listed(name); known != nil {
-				named = append(named, known)
+				outside = append(outside, known)
 			}
 			continue
 		}
-		if listed := group.View().Replicas[name]; listed != nil && !now.includes(daemon, listed) {
-			named = append(named, listed)
+		if listed := group.View().Replicas[name]; listed != nil && !current.includes(daemon, listed) {
+			outside = append(outside, listed)
 		}
 	}
-	return named
+	return outside
 }
 
 // namedReplicas caches replicas outside the daemon's subset that answers have named. It holds two
--- a/connection/feed/partial_test.go
+++ b/connection/feed/partial_test.go
@@ -25,20 +25,20 @@
 
 // addReplicas adds the replicas with the numbers to the group's view.
 func (g *fakeGroup) addReplicas(from, to int, leaving bool) {
-	seen := state.Observe{}
+	observed := state.Observe{}
 	for number := from; number < to; number++ {
-		seen.Put = append(seen.Put, listedReplica(number, leaving))
+		observed.Put = append(observed.Put, listedReplica(number, leaving))
 	}
-	g.apply(state.Command{Kind: state.CommandObserve, Observe: &seen})
+	g.apply(state.Command{Kind: state.CommandObserve, Observe: &observed})
 }
 
 // removeReplicas removes the replicas with the numbers from the group's view.
 func (g *fakeGroup) removeReplicas(from, to int) {
-	seen := state.Observe{}
+	observed := state.Observe{}
 	for number := from; number < to; number++ {
-		seen.Removed = append(seen.Removed, api.Key{Kind: api.KindReplica, Name: fmt.Sprintf("r-%05d", number)})
+		observed.Removed = append(observed.Removed, api.Key{Kind: api.KindReplica, Name: fmt.Sprintf("r-%05d", number)})
 	}
-	g.apply(state.Command{Kind: state.CommandObserve, Observe: &seen})
+	g.apply(state.Command{Kind: state.CommandObserve, Observe: &observed})
 }
 
 // countingConn counts the bytes read.
@@ -70,7 +70,7 @@
 // The size of a partial view must not grow with the number of replicas. A full view of ten
 // thousand replicas kept a proxy's link busy for more than a second, and the leader's link for the
 // sum of all proxies.
-func TestPartialViewsDoNotGrowWithTheReplicas(t *testing.T) {
+func TestPartialViewSizeIsIndependentOfReplicaCount(t *testing.T) {
 	bytes := map[int]int64{}
 	for _, size := range []int{200, 10_000} {
 		group := newFakeGroup()
@@ -95,14 +95,14 @@
 	holder := view.NewHolder()
 	startPartial(t, "proxy-1", holder, address)
 	share := subset.ShareOf(1000, 0)
-	check := func(revision uint64, lists func(number int) bool) {
+	check := func(revision uint64, inView func(number int) bool) {
 		t.Helper()
 		server.Wake()
 		eventually(t, "the version", func() bool { return holder.Load().Version.Revision == revision })
 		for number := range 1200 {
 			name := fmt.Sprintf("r-%05d", number)
 			_, listed := holder.Load().Replicas[name]
-			must.Eq(t, lists(number) && share.Includes("proxy-1", name), listed, must.Sprint(name))
+			must.Eq(t, inView(number) && share.Includes("proxy-1", name), listed, must.Sprint(name))
 		}
 	}
 	check(1, func(number int) bool { return number < 1000 })
@@ -135,7 +135,7 @@
 	again, read := startPartial(t, "proxy-1", holder, address)
 	again.shares.Store(held) // as a client of the same process would still have it
 	server.Wake()
-	eventually(t, "what was missed", func() bool { return holder.Load().Version.Revision == 2 })
+	eventually(t, "the missed changes", func() bool { return holder.Load().Version.Revision == 2 })
 	must.Greater(t, 0, len(holder.Load().Replicas))
 	_ = read
 }
@@ -154,7 +154,7 @@
 
 // A reply carries the replicas that it names outside the daemon's subset.
 func TestPlaceRepliesCarryReplicasOutsideTheSubset(t *testing.T) {
-	reply := placeReply{requestID: 4, found: true, named: []*api.Replica{listedReplica(3, false).Replica}}
+	reply := placeReply{requestID: 4, found: true, replicas: []*api.Replica{listedReplica(3, false).Replica}}
 	got, err := decodePlaceReply(encodePlaceReply(reply))
 	must.NoError(t, err)
 	must.Eq(t, reply, got)
@@ -163,28 +163,28 @@
 	server, _ := startServer(t, group)
 	group.addReplicas(0, 1000, false)
 	s := &subscriber{server: server, partial: true, key: daemonKey{daemon: "proxy-1"}}
-	named := 0
+	outsideCount := 0
 	for number := range 1000 {
 		name := fmt.Sprintf("r-%05d", number)
-		beyond := s.replicasOutsideSubset("", name, "", "unknown")
-		must.Eq(t, !subset.ShareOf(1000, 0).Includes("proxy-1", name), len(beyond) == 1, must.Sprint(name))
-		named += len(beyond)
+		outside := s.replicasOutsideSubset("", name, "", "unknown")
+		must.Eq(t, !subset.ShareOf(1000, 0).Includes("proxy-1", name), len(outside) == 1, must.Sprint(name))
+		outsideCount += len(outside)
 	}
-	must.Between(t, 500, named, 950)
+	must.Between(t, 500, outsideCount, 950)
 	must.SliceEmpty(t, (&subscriber{server: server}).replicasOutsideSubset("", "r-00001"))
 }
 
 func TestNamedReplicasAreEvictedByGeneration(t *testing.T) {
-	var kept namedReplicas
+	var cache namedReplicas
 	for number := range 2 * maxNamedPerGeneration {
-		kept.add([]*api.Replica{listedReplica(number, false).Replica})
+		cache.add([]*api.Replica{listedReplica(number, false).Replica})
 	}
-	must.NotNil(t, kept.find(fmt.Sprintf("r-%05d", maxNamedPerGeneration)))
-	must.NotNil(t, kept.find(fmt.Sprintf("r-%05d", 2*maxNamedPerGeneration-1)))
+	must.NotNil(t, cache.find(fmt.Sprintf("r-%05d", maxNamedPerGeneration)))
+	must.NotNil(t, cache.find(fmt.Sprintf("r-%05d", 2*maxNamedPerGeneration-1)))
 	for number := 2 * maxNamedPerGeneration; number < 3*maxNamedPerGeneration; number++ {
-		kept.add([]*api.Replica{listedReplica(number, false).Replica})
+		cache.add([]*api.Replica{listedReplica(number, false).Replica})
 	}
-	must.Nil(t, kept.find("r-00000"))
+	must.Nil(t, cache.find("r-00000"))
 }
 
 func countingDial(read *atomic.Int64) func(ctx context.Context, network, address string) (net.Conn, error) {
--- a/connection/feed/placement.go
+++ b/connection/feed/placement.go
@@ -28,12 +28,12 @@
 }
 
 // ErrNotPlaced says that no member placed the request; the daemon then decides by its local state.
-var ErrNotPlaced = errors.New("feed: no member places requests now")
+var ErrNotPlaced = errors.New("feed: no member placed the request")
 
 // Limits of a placement request.
 const (
 	maxPromptParts  = 256
-	maxReplicaNames = 512 // per list of names; more replicas than any service suspends at a time
+	maxReplicaNames = 512 // per list of names; no service has this many paused replicas, even when half of them pause
 	// Minimum sizes of encoded list elements.
 	partSize = 4 + 4
 	nameSize = 4
@@ -140,7 +140,7 @@
 	answer    placement.Answer
 	// named holds the replicas in the answer that are outside the subset of a partial
 	// subscription.
-	named []*api.Replica
+	replicas []*api.Replica
 }
 
 func encodePlaceReply(message placeReply) []byte {
@@ -148,8 +148,8 @@
 	encoder.Uint64(message.requestID)
 	encoder.Bool(message.found)
 	encodeAnswer(encoder, &message.answer)
-	encoder.Uint32(uint32(len(message.named)))
-	for _, replica := range message.named {
+	encoder.Uint32(uint32(len(message.replicas)))
+	for _, replica := range message.replicas {
 		encodeReplica(encoder, replica)
 	}
 	return encoder.Data()
@@ -174,7 +174,7 @@
 	message := placeReply{requestID: decoder.Uint64(), found: decoder.Bool(), answer: decodeAnswer(decoder)}
 	count := decoder.Count(replicaSize)
 	for i := 0; i < count && decoder.Err() == nil; i++ {
-		message.named = append(message.named, decodeReplica(decoder))
+		message.replicas = append(message.replicas, decodeReplica(decoder))
 	}
 	return message, decoder.Finish()
 }
@@ -226,7 +226,7 @@
 	if !ok {
 		return placement.Answer{}, ErrNotPlaced
 	}
-	c.namedReplicas.add(answer.named)
+	c.namedReplicas.add(answer.replicas)
 	return answer.placed, nil
 }
 
@@ -249,7 +249,7 @@
 	return reply{}, false
 }
 
-// NotePlaced reports the progress of a placed request to the leader. It returns false if the
+// NotePlaced reports the progress of a placed request to the session that places requests. It returns false if the
 // message was dropped.
 func (c *Client) NotePlaced(note PlaceNote) bool {
 	current := c.placementSessionFor(note.Origin)
@@ -283,7 +283,7 @@
 	reply := placeReply{requestID: requestID}
 	if s.standby || s.server.config.Group.Leadership().Leads {
 		reply.answer, reply.found = s.server.config.Group.Place(s.originOf(request.Origin), request)
-		reply.named = s.replicasOutsideSubset(request.Origin, reply.answer.Generator, reply.answer.Reader, reply.answer.Fetch)
+		reply.replicas = s.replicasOutsideSubset(request.Origin, reply.answer.Generator, reply.answer.Reader, reply.answer.Fetch)
 	}
 	s.enqueueResponse(kindPlaceReply, encodePlaceReply(reply))
 }
--- a/connection/feed/placementrelay_test.go
+++ b/connection/feed/placementrelay_test.go
@@ -67,7 +67,7 @@
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	if c.partitioned[address] {
-		return nil, errors.New("cut off")
+		return nil, errors.New("simulated network partition")
 	}
 	conn, err := (&net.Dialer{}).DialContext(ctx, network, address)
 	if err == nil {
@@ -85,7 +85,7 @@
 	}
 }
 
-func (c *partitionDialer) heal(address string) {
+func (c *partitionDialer) reconnect(address string) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	delete(c.partitioned, address)
@@ -120,31 +120,31 @@
 	group := newRecordingGroup()
 	_, leader := startServer(t, group)
 	group.put("water")
-	between, cutOff := newPartitionDialer(), newPartitionDialer()
+	relayDialer, clientDialer := newPartitionDialer(), newPartitionDialer()
 	holder := view.NewHolder()
-	passing := startRelayedClient(t, "proxy-b", leader, between, holder)
-	_, relay := startServer(t, NewPlacementRelay(passing, holder))
-	asking := startRelayedClient(t, "proxy-a", leader, cutOff, view.NewHolder(), relay)
-	eventually(t, "both follow", func() bool {
-		return passing.Connected() && asking.Connected() && holder.Load().Version.Revision == 1
+	relaying := startRelayedClient(t, "proxy-b", leader, relayDialer, holder)
+	_, relay := startServer(t, NewPlacementRelay(relaying, holder))
+	client := startRelayedClient(t, "proxy-a", leader, clientDialer, view.NewHolder(), relay)
+	eventually(t, "both clients to follow the leader", func() bool {
+		return relaying.Connected() && client.Connected() && holder.Load().Version.Revision == 1
 	})
-	must.Eq(t, "leader", placedBy(asking))
+	must.Eq(t, "leader", placedBy(client))
 
-	cutOff.partition(leader)
-	eventually(t, "the other daemon passes on", func() bool { return !asking.Connected() && placedBy(asking) == "leader" })
-	name := daemonKey{daemon: "proxy-a", instance: asking.instance}.String()
+	clientDialer.partition(leader)
+	eventually(t, "placement through the other daemon", func() bool { return !client.Connected() && placedBy(client) == "leader" })
+	name := daemonKey{daemon: "proxy-a", instance: client.instance}.String()
 	must.GreaterEq(t, 2, group.count(group.placements, name), must.Sprint(group.placements))
-	must.True(t, asking.NotePlaced(PlaceNote{Service: "chat", Number: 1}))
-	eventually(t, "the note arrives", func() bool { return group.count(group.notes, name) == 1 })
-	_, err := asking.Claim(t.Context(), state.ClaimRequest{Tenant: "water", Key: "k", Nonce: 1})
+	must.True(t, client.NotePlaced(PlaceNote{Service: "chat", Number: 1}))
+	eventually(t, "the note", func() bool { return group.count(group.notes, name) == 1 })
+	_, err := client.Claim(t.Context(), state.ClaimRequest{Tenant: "water", Key: "k", Nonce: 1})
 	must.ErrorIs(t, err, ErrNoQuorum)
 
-	between.partition(leader)
-	eventually(t, "nobody passes on for one that follows nobody", func() bool { return asking.standby.Load() == nil && placedBy(asking) == "" })
+	relayDialer.partition(leader)
+	eventually(t, "no relaying by a daemon without a leader", func() bool { return client.standby.Load() == nil && placedBy(client) == "" })
 
-	between.heal(leader)
-	cutOff.heal(leader)
-	eventually(t, "the leader serves again", func() bool { return asking.Connected() && placedBy(asking) == "leader" })
+	relayDialer.reconnect(leader)
+	clientDialer.reconnect(leader)
+	eventually(t, "the leader to serve again", func() bool { return client.Connected() && placedBy(client) == "leader" })
 }
 
 // What was relayed once is not relayed again.
@@ -179,35 +179,35 @@
 func TestUnresponsiveLeaderIsBypassed(t *testing.T) {
 	group := newRecordingGroup()
 	group.blockPlacements = make(chan struct{})
-	unmute := sync.OnceFunc(func() { close(group.blockPlacements) })
+	unblock := sync.OnceFunc(func() { close(group.blockPlacements) })
 	_, leader := startServer(t, group)
-	t.Cleanup(unmute) // a server closes only after its calls have returned
+	t.Cleanup(unblock) // a server closes only after its calls have returned
 	group.put("water")
 	holder := view.NewHolder()
-	passing := startRelayedClient(t, "proxy-b", leader, newPartitionDialer(), holder)
-	_, relay := startServer(t, NewPlacementRelay(passing, holder))
+	relaying := startRelayedClient(t, "proxy-b", leader, newPartitionDialer(), holder)
+	_, relay := startServer(t, NewPlacementRelay(relaying, holder))
 	var resumed atomic.Int64
 	count := func() { resumed.Add(1) }
-	asking := startResumedClient(t, count, "proxy-a", leader, newPartitionDialer(), view.NewHolder(), relay)
-	eventually(t, "both follow", func() bool {
-		return passing.Connected() && asking.Connected() && holder.Load().Version.Revision == 1
+	client := startResumedClient(t, count, "proxy-a", leader, newPartitionDialer(), view.NewHolder(), relay)
+	eventually(t, "both clients to follow the leader", func() bool {
+		return relaying.Connected() && client.Connected() && holder.Load().Version.Revision == 1
 	})
-	first := asking.session.Load()
+	first := client.session.Load()
 	place := func() error {
 		ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 		defer cancel()
-		_, err := asking.Place(ctx, PlaceRequest{Service: "chat", Number: 1})
+		_, err := client.Place(ctx, PlaceRequest{Service: "chat", Number: 1})
 		return err
 	}
 	for range unansweredLimit {
 		must.ErrorIs(t, place(), ErrNotPlaced)
 	}
-	eventually(t, "another daemon passes on", func() bool { return place() == nil })
-	must.True(t, asking.session.Load() == first, must.Sprint("the leader's connection stands"))
+	eventually(t, "placement through another daemon", func() bool { return place() == nil })
+	must.True(t, client.session.Load() == first, must.Sprint("the leader's connection is still open"))
 	must.Eq(t, 0, resumed.Load())
-	unmute()
-	eventually(t, "the leader is asked again", func() bool {
-		return asking.responsiveLeader() != nil && asking.standby.Load() == nil && place() == nil
+	unblock()
+	eventually(t, "the leader to be asked again", func() bool {
+		return client.responsiveLeader() != nil && client.standby.Load() == nil && place() == nil
 	})
-	eventually(t, "what the other daemon was told can be told to the leader", func() bool { return resumed.Load() == 1 })
+	eventually(t, "the Resumed callback", func() bool { return resumed.Load() == 1 })
 }
--- a/connection/feed/registry_test.go
+++ b/connection/feed/registry_test.go
@@ -66,9 +66,9 @@
 		}
 		must.Eq(t, InForce{Acknowledged: 1, Settling: true}, state)
 	}
-	must.False(t, held.Valid(now), must.Sprint("in force while the older view may be used"))
+	must.False(t, held.Valid(now), must.Sprint("in force while the older view is still leased"))
 
-	must.False(t, later.tracker.Observe(cut, first, now), must.Sprint("no lease for the older view any more"))
+	must.False(t, later.tracker.Observe(cut, first, now), must.Sprint("no further lease for the older view"))
 	must.Eq(t, InForce{Done: true, Acknowledged: 1, Lapsed: []string{"proxy-a"}}, later.inForce(second, now))
 	must.True(t, later.tracker.Observe(cut, second, now))
 	must.Eq(t, InForce{Done: true, Acknowledged: 2}, later.inForce(second, now))
--- a/connection/feed/server.go
+++ b/connection/feed/server.go
@@ -55,7 +55,7 @@
 	// NoteInFlight replaces the recorded in-flight requests of a daemon.
 	NoteInFlight(daemon string, inFlight InFlight)
 	// NoteEnds records the requests during which replicas ended. Unrecorded returns the ends that
-	// daemons should know but that the committed record can't tell, empty if there are none;
+	// daemons should know but can't read from the committed record, empty if there are none;
 	// generation changes whenever the report does.
 	NoteEnds(report EndReport)
 	Unrecorded() (report EndReport, generation uint64)
@@ -199,8 +199,8 @@
 func (s *subscriberShard) wake() {
 	s.Lock()
 	defer s.Unlock()
-	for subscribed := range s.subscribers {
-		subscribed.signal()
+	for sub := range s.subscribers {
+		sub.signal()
 	}
 }
 
@@ -248,9 +248,9 @@
 			}
 			return current
 		}
-		started := s.newTermRegistry(term)
-		if s.registry.CompareAndSwap(current, started) {
-			return started
+		created := s.newTermRegistry(term)
+		if s.registry.CompareAndSwap(current, created) {
+			return created
 		}
 	}
 }
@@ -326,15 +326,15 @@
 
 func (s *Server) serve(conn net.Conn, number uint64) {
 	defer s.count.Add(-1)
-	subscribed := newSubscriber(s, conn, number)
-	subscribed.releaseOpeningSlot = s.acquireOpeningSlot()
-	defer subscribed.releaseOpeningSlot()
+	sub := newSubscriber(s, conn, number)
+	sub.releaseOpeningSlot = s.acquireOpeningSlot()
+	defer sub.releaseOpeningSlot()
 	shard := &s.shards[number%subscriberShards]
-	shard.add(subscribed)
-	err := subscribed.run(s.context)
-	shard.remove(subscribed)
+	shard.add(sub)
+	err := sub.run(s.context)
+	shard.remove(sub)
 	if s.context.Err() == nil && !errors.Is(err, errNotLeader) {
-		event.FeedEnded.Log(s.config.Logger, "address", conn.RemoteAddr(), "daemon", subscribed.key.daemon, "err", err)
+		event.FeedEnded.Log(s.config.Logger, "address", conn.RemoteAddr(), "daemon", sub.key.daemon, "err", err)
 	}
 }
 
@@ -359,14 +359,14 @@
 	return release
 }
 
-func (s *subscriberShard) add(subscribed *subscriber) {
+func (s *subscriberShard) add(sub *subscriber) {
 	s.Lock()
 	defer s.Unlock()
-	s.subscribers[subscribed] = struct{}{}
+	s.subscribers[sub] = struct{}{}
 }
 
-func (s *subscriberShard) remove(subscribed *subscriber) {
+func (s *subscriberShard) remove(sub *subscriber) {
 	s.Lock()
 	defer s.Unlock()
-	delete(s.subscribers, subscribed)
+	delete(s.subscribers, sub)
 }
--- a/connection/feed/session.go
+++ b/connection/feed/session.go
@@ -37,11 +37,11 @@
 
 // reply is the result of a pending call.
 type reply struct {
-	code   replyCode
-	result api.ClaimResult
-	placed placement.Answer
-	grant  quota.Grant
-	named  []*api.Replica
+	code     replyCode
+	result   api.ClaimResult
+	placed   placement.Answer
+	grant    quota.Grant
+	replicas []*api.Replica
 }
 
 // maxQueuedFrames limits the frames queued for the connection.
@@ -70,7 +70,7 @@
 }
 
 // errUnexpectedFrame says that the peer sent a frame that was not requested.
-var errUnexpectedFrame = errors.Wrap(errProtocol, "misplaced frame")
+var errUnexpectedFrame = errors.Wrap(errProtocol, "unexpected frame")
 
 // session is one connection to a leader or a standby member.
 type session struct {
@@ -85,7 +85,7 @@
 	standby bool
 	// pendingSubset holds the replicas for the next full view of a partial subscription.
 	pendingSubset *subsetReplicas
-	// unanswered counts the consecutive unanswered placements since the last received frame.
+	// unanswered counts the placement and charge requests not answered in time since the last received frame.
 	unanswered atomic.Int32
 	// steppedDown is true if a leader that served the session announced that it stepped down. It
 	// is written before ended is closed.
@@ -243,7 +243,7 @@
 
 func (s *session) receive(received frame.Frame) error {
 	if s.standby && !isForStandby(received.Kind) {
-		return errors.Wrapf(errUnexpectedFrame, "kind %d from a member that stands by", received.Kind)
+		return errors.Wrapf(errUnexpectedFrame, "frame kind %d from a standby member", received.Kind)
 	}
 	switch received.Kind {
 	case kindDelta:
@@ -259,7 +259,7 @@
 	case kindClaimReply, kindPlaceReply, kindOutcomeReply, kindChargeReply:
 		return s.receiveReply(received)
 	default:
-		return errors.Wrapf(errProtocol, "kind %d", received.Kind)
+		return errors.Wrapf(errProtocol, "unknown frame kind %d", received.Kind)
 	}
 }
 
@@ -291,7 +291,7 @@
 		if message.found {
 			code = replyDone
 		}
-		return message.requestID, reply{code: code, placed: message.answer, named: message.named}, err
+		return message.requestID, reply{code: code, placed: message.answer, replicas: message.replicas}, err
 	case kindChargeReply:
 		message, err := decodeChargeReply(received.Payload)
 		code := replyRefused
@@ -424,7 +424,7 @@
 		return nil
 	}
 	if waiting.kind != kind {
-		return errors.Wrapf(errUnexpectedFrame, "reply of kind %d for one of kind %d", kind, waiting.kind)
+		return errors.Wrapf(errUnexpectedFrame, "reply of kind %d instead of kind %d", kind, waiting.kind)
 	}
 	delete(shard.calls, requestID)
 	waiting.reply <- answer // buffered for the only reply
--- a/connection/feed/standby.go
+++ b/connection/feed/standby.go
@@ -37,7 +37,7 @@
 // isUnresponsive reports whether the peer has stopped answering placements.
 func (s *session) isUnresponsive() bool { return s.unanswered.Load() >= unansweredLimit }
 
-// recordUnanswered counts a placement that was not answered in time.
+// recordUnanswered counts a placement or charge request that was not answered in time.
 func (s *session) recordUnanswered() {
 	if !s.standby && s.unanswered.Add(1) == unansweredLimit {
 		s.client.signalLeaderLost()
@@ -210,7 +210,7 @@
 // receiveStandbyReady handles the peer's confirmation that it serves the standby session.
 func (s *session) receiveStandbyReady() error {
 	if !s.standby {
-		return errors.Wrap(errProtocol, "a leader that only stands by")
+		return errors.Wrap(errProtocol, "standby frame on a leader session")
 	}
 	if s.ready {
 		return nil
--- a/connection/feed/standby_test.go
+++ b/connection/feed/standby_test.go
@@ -75,31 +75,31 @@
 	second.put("water")
 	holder := view.NewHolder()
 	client, served := startStandbyClient(t, holder, firstAddress, secondAddress)
-	eventually(t, "the leader places", func() bool { return placedBy(client) == "first" })
+	eventually(t, "placement by the leader", func() bool { return placedBy(client) == "first" })
 	eventually(t, "the view", func() bool { return holder.Load().Version.Revision == 1 })
 
 	first.set(false, false, 1, "")
 	firstServer.Wake()
-	eventually(t, "nobody leads", func() bool { return !client.Connected() })
-	eventually(t, "the last leader stands by", func() bool { return client.standby.Load() != nil && placedBy(client) == "first" })
+	eventually(t, "the loss of the leader", func() bool { return !client.Connected() })
+	eventually(t, "placement by the previous leader on standby", func() bool { return client.standby.Load() != nil && placedBy(client) == "first" })
 	must.False(t, client.Connected())
 	must.True(t, client.NotePlaced(PlaceNote{Service: "chat", Number: 1}))
 	must.True(t, client.ReportKept(KeptParts{Service: "chat", Replica: "r"}))
 	must.True(t, client.ReportInFlight(InFlight{Service: "chat"}))
-	eventually(t, "notes arrive", func() bool {
+	eventually(t, "the notes", func() bool {
 		return first.notes.Load() == 1 && first.kept.Load() == 1 && first.inFlight.Load() == 1
 	})
-	must.Eq(t, 2, served.Load(), must.Sprint("what replicas keep is told to each member that places"))
+	must.Eq(t, 2, served.Load(), must.Sprint("Served is called for each member that serves placements"))
 	first.put("later")
 	firstServer.Wake()
 	_, err := client.Claim(t.Context(), state.ClaimRequest{Tenant: "water", Key: "k", Nonce: 1})
 	must.ErrorIs(t, err, ErrNoQuorum)
-	must.Eq(t, 1, holder.Load().Version.Revision, must.Sprint("no view comes from a member that does not lead"))
+	must.Eq(t, 1, holder.Load().Version.Revision, must.Sprint("a member that does not lead sends no view"))
 
 	second.set(true, true, 2, "")
-	eventually(t, "the next leader places", func() bool { return client.Connected() && placedBy(client) == "second" })
+	eventually(t, "placement by the next leader", func() bool { return client.Connected() && placedBy(client) == "second" })
 	must.Nil(t, client.standby.Load())
-	eventually(t, "nobody stands by any more", func() bool { return firstServer.Subscribers() == 0 })
+	eventually(t, "the end of the standby session", func() bool { return firstServer.Subscribers() == 0 })
 }
 
 // A member that restarted with an empty disk knows no replicas.
@@ -112,7 +112,7 @@
 	eventually(t, "a leader", client.Connected)
 	empty.set(false, false, 1, "")
 	emptyServer.Wake()
-	eventually(t, "the other member stands by", func() bool { return placedBy(client) == "filled" })
+	eventually(t, "placement by the other member", func() bool { return placedBy(client) == "filled" })
 }
 
 // An unreachable member is skipped.
@@ -125,5 +125,5 @@
 	client, _ := startStandbyClient(t, view.NewHolder(), firstAddress, secondAddress)
 	eventually(t, "a leader", client.Connected)
 	firstServer.Close()
-	eventually(t, "the other member stands by", func() bool { return placedBy(client) == "second" })
+	eventually(t, "placement by the other member", func() bool { return placedBy(client) == "second" })
 }
--- a/connection/feed/subscriber.go
+++ b/connection/feed/subscriber.go
@@ -128,14 +128,14 @@
 
 func (s *subscriber) handleSubscribe(first frame.Frame) error {
 	if first.Kind != kindSubscribe {
-		return errors.Wrapf(errProtocol, "kind %d before subscribe", first.Kind)
+		return errors.Wrapf(errProtocol, "frame kind %d before subscribe", first.Kind)
 	}
 	opening, err := decodeSubscribe(first.Payload)
 	if err != nil {
 		return err
 	}
 	if opening.daemon == "" {
-		return errors.Wrap(errProtocol, "no daemon")
+		return errors.Wrap(errProtocol, "daemon name is empty")
 	}
 	if err := s.checkVersion(opening.version); err != nil {
 		return err
@@ -185,7 +185,7 @@
 	case kindPresence:
 		return s.receivePresence(received.Payload)
 	default:
-		return errors.Wrapf(errProtocol, "kind %d", received.Kind)
+		return errors.Wrapf(errProtocol, "unknown frame kind %d", received.Kind)
 	}
 }
 
--- a/connection/feed/unrecorded_test.go
+++ b/connection/feed/unrecorded_test.go
@@ -34,36 +34,36 @@
 // Unrecorded ends are sent to daemons by the leader that serves them and by a standby member,
 // immediately when they change and periodically as long as there are any.
 func TestUnrecordedEndsAreSentToDaemons(t *testing.T) {
-	for name, leads := range map[string]bool{"by the leader": true, "by a member that stands by": false} {
+	for name, leads := range map[string]bool{"by the leader": true, "by a standby member": false} {
 		t.Run(name, func(t *testing.T) {
 			group := &unrecordedGroup{fakeGroup: newFakeGroup()}
 			server, address := startServer(t, group)
 			group.put("water")
-			told := make(chan EndReport, 1000)
+			reports := make(chan EndReport, 1000)
 			client, err := Dial(ClientConfig{
 				Daemon: "proxy-a", Addresses: []string{address}, BeatInterval: 20 * time.Millisecond, SilenceTimeout: time.Second,
 				BackoffMin: time.Millisecond, BackoffMax: 20 * time.Millisecond, Standby: true,
-				Unrecorded: func(report EndReport) { told <- report },
+				Unrecorded: func(report EndReport) { reports <- report },
 			}, view.NewHolder())
 			must.NoError(t, err)
 			t.Cleanup(client.Close)
-			eventually(t, "the leader serves", client.Connected)
+			eventually(t, "the leader to serve", client.Connected)
 			if !leads {
 				group.set(false, false, 1, "")
 				server.Wake()
-				eventually(t, "it stands by", func() bool { return client.standby.Load() != nil })
+				eventually(t, "the standby session", func() bool { return client.standby.Load() != nil })
 			}
-			must.Eq(t, 0, len(told))
+			must.Eq(t, 0, len(reports))
 			for i, replica := range []string{"r-0", "r-1"} {
 				group.addEnd(replica)
-				report := <-told
+				report := <-reports
 				must.SliceLen(t, i+1, report.Ended)
 				must.Eq(t, replica, report.Ended[i].Replica)
 				must.Eq(t, time.Second, report.Ended[i].Age)
 			}
 			began := time.Now()
-			must.SliceLen(t, 2, (<-told).Ended)
-			must.GreaterEq(t, UnrecordedPause/2, time.Since(began), must.Sprint("nothing was new"))
+			must.SliceLen(t, 2, (<-reports).Ended)
+			must.GreaterEq(t, UnrecordedPause/2, time.Since(began), must.Sprint("unchanged ends are sent again only periodically"))
 		})
 	}
 }
