--- a/connection/feed/bulk.go
+++ b/connection/feed/bulk.go
@@ -74,11 +74,11 @@
 	s.bulk.version, s.bulk.sentAt = to, s.server.config.Clock()
 }
 
-// releaseBulkIfDone releases the bulk slot once the large delta is acknowledged. If the
-// acknowledgement takes longer than the silence timeout, the slot is released as well, because
-// others are waiting; the transfer continues, since a disconnected subscriber would only request
-// the same delta again.
-func (s *subscriber) releaseBulkIfDone(acked view.Version) {
+// releaseBulkIfDone releases the bulk slot once the subscriber holds the version. If the
+// subscriber takes longer than the silence timeout, the slot is released as well, because others
+// are waiting; the transfer continues, since a disconnected subscriber would only request the same
+// delta again.
+func (s *subscriber) releaseBulkIfDone(held view.Version) {
 	s.lock.Lock()
 	bulk := s.bulk
 	s.lock.Unlock()
@@ -86,7 +86,7 @@
 		return
 	}
 	slow := s.server.config.Clock()-bulk.sentAt > s.server.config.SilenceTimeout
-	if slow || acked.Compare(bulk.version) >= 0 {
+	if slow || held.Compare(bulk.version) >= 0 {
 		s.releaseBulkSlot()
 	}
 }
--- a/connection/feed/ends.go
+++ b/connection/feed/ends.go
@@ -8,7 +8,7 @@
 )
 
 // EndReport is what a daemon has observed of replicas that ended while they processed requests. It
-// is shared so that all daemons know which requests preceded the failures.
+// is shared so that all daemons know during which requests replicas ended.
 type EndReport struct {
 	// Ended lists replicas that appear to have ended while they processed a request, with the time
 	// since then.
@@ -152,8 +152,9 @@
 	return nil
 }
 
-// UnrecordedPause is the interval at which ends that can't be read from the committed record are sent to a
-// daemon again. As long as a daemon receives them, it knows that nobody else decides by them.
+// UnrecordedPause is the interval at which ends that can't be read from the committed record are
+// sent to a daemon again. As long as a daemon receives them, it knows that nobody else decides by
+// them.
 const UnrecordedPause = time.Second
 
 // minUnrecordedInterval is the minimum time between two such reports to a daemon, since changes
--- a/connection/feed/foreignreply_test.go
+++ b/connection/feed/foreignreply_test.go
@@ -169,8 +169,8 @@
 	}
 }
 
-// A standby member may only answer placements. If its view or lease were accepted, the view would
-// be taken for the leader's, and a lease would be assumed that no leader granted.
+// A standby member may answer placements but not send views or leases. If they were accepted, the
+// view would be taken for the leader's, and a lease would be assumed that no leader granted.
 func TestStandbyMemberMustNotSendViewsOrLeases(t *testing.T) {
 	granted := frame.Frame{Kind: kindGrant, Payload: encodeGrant(grant{sequence: 1, lease: time.Hour, term: 9})}
 	for name, opening := range map[string]frame.Frame{"a view": firstDelta(t), "a lease": granted} {
--- a/connection/feed/handover.go
+++ b/connection/feed/handover.go
@@ -15,7 +15,7 @@
 type handover struct {
 	lock           sync.Mutex
 	wait           time.Duration
-	deadline       time.Time     // deadline for waiting for the next leader
+	deadline       time.Time     // callers wait for the next leader until then
 	sessionStarted chan struct{} // closed when a session begins
 }
 
--- a/connection/feed/placement.go
+++ b/connection/feed/placement.go
@@ -249,8 +249,8 @@
 	return reply{}, false
 }
 
-// NotePlaced reports the progress of a placed request to the session that places requests. It returns false if the
-// message was dropped.
+// NotePlaced reports the progress of a placed request to the session that places requests. It
+// returns false if the message was dropped.
 func (c *Client) NotePlaced(note PlaceNote) bool {
 	current := c.placementSessionFor(note.Origin)
 	if current == nil {
--- a/connection/feed/session.go
+++ b/connection/feed/session.go
@@ -30,7 +30,8 @@
 	state   atomic.Int32
 }
 
-// cancel reports whether the frame was definitely never written.
+// cancel prevents a queued frame from being written, and reports whether the frame was definitely
+// never written.
 func (o *outgoing) cancel() bool {
 	return o.state.CompareAndSwap(frameQueued, frameCancelled) || o.state.Load() == frameCancelled
 }
@@ -79,13 +80,14 @@
 	queue   chan *outgoing
 	ended   chan struct{}
 	pending [pendingShards]pendingShard
-	ready   bool // the peer has started to serve the client
+	ready   bool // a delta, a grant or a standby confirmation was received
 	address string
 	// standby is set for a session that is used for placements only.
 	standby bool
 	// pendingSubset holds the replicas for the next full view of a partial subscription.
 	pendingSubset *subsetReplicas
-	// unanswered counts the placement and charge requests not answered in time since the last received frame.
+	// unanswered counts the placement and charge requests not answered in time since the last
+	// received frame.
 	unanswered atomic.Int32
 	// steppedDown is true if a leader that served the session announced that it stepped down. It
 	// is written before ended is closed.
--- a/connection/feed/standby.go
+++ b/connection/feed/standby.go
@@ -17,7 +17,8 @@
 // same order, the last leader first, so that clients that reach the same members share one
 // placement state. Another daemon that the leader still serves may relay the requests to the
 // leader (placementrelay.go). A standby member also exchanges reports of replicas that ended under
-// requests, which are facts. It serves nothing else: no view, no lease, no claim.
+// requests, which are facts, and answers quota charges. It serves nothing else: no view, no lease,
+// no claim.
 
 const (
 	// standbyDelay is how long a lost leader is waited for before another member is asked. Most
