--- a/connection/feed/bulk.go
+++ b/connection/feed/bulk.go
@@ -60,7 +60,7 @@
 	if !leadership.Leads {
 		return s.redirect(ctx, writer, leadership.Address)
 	}
-	if err := writer.WriteFrame(kindGrant, encodeGrant(grant{term: leadership.Term})); err != nil {
+	if err := writer.WriteFrame(kindLeaseGrant, encodeLeaseGrant(leaseGrant{term: leadership.Term})); err != nil {
 		return err
 	}
 	return writer.Flush()
--- a/connection/feed/bulk_test.go
+++ b/connection/feed/bulk_test.go
@@ -36,7 +36,7 @@
 func (r *rawSubscriber) readDelta() view.Version {
 	deadline := time.Now().Add(testTimeout)
 	received, err := r.reader.ReadFrame()
-	for err == nil && received.Kind == kindGrant && time.Now().Before(deadline) {
+	for err == nil && received.Kind == kindLeaseGrant && time.Now().Before(deadline) {
 		received, err = r.reader.ReadFrame()
 	}
 	must.NoError(r.t, err)
@@ -58,7 +58,7 @@
 	third := subscribeFullView(t, address, "third")
 	received, err := third.reader.ReadFrame()
 	must.NoError(t, err)
-	must.Eq(t, kindGrant, received.Kind, must.Sprint("two large deltas are already in transit"))
+	must.Eq(t, kindLeaseGrant, received.Kind, must.Sprint("two large deltas are already in transit"))
 	must.Eq(t, 3, server.Subscribers())
 
 	first.send(kindHeartbeat, encodeHeartbeat(heartbeat{acked: version, held: version}))
@@ -125,18 +125,18 @@
 	group := newFakeGroup()
 	group.put("water")
 	cache := &deltaCache{}
-	first, version, err := cache.since(group, view.Version{}, 0)
+	first, version, err := cache.deltaSince(group, view.Version{}, 0)
 	must.NoError(t, err)
 	laterRevision := group.put("gritting")
-	partial, reached, err := cache.since(group, version, 0)
+	partial, reached, err := cache.deltaSince(group, version, 0)
 	must.NoError(t, err)
 	must.Eq(t, laterRevision, reached.Revision)
 	must.NotEq(t, first, partial)
-	again, same, err := cache.since(group, view.Version{}, fullViewCacheTTL-1)
+	again, same, err := cache.deltaSince(group, view.Version{}, fullViewCacheTTL-1)
 	must.NoError(t, err)
 	must.True(t, &first[0] == &again[0], must.Sprint("the cached encoding is reused"))
 	must.Eq(t, version, same)
-	_, fresh, err := cache.since(group, view.Version{}, fullViewCacheTTL)
+	_, fresh, err := cache.deltaSince(group, view.Version{}, fullViewCacheTTL)
 	must.NoError(t, err)
 	must.Eq(t, laterRevision, fresh.Revision)
 }
--- a/connection/feed/charge.go
+++ b/connection/feed/charge.go
@@ -42,14 +42,14 @@
 // chargeReply answers a charge; found is false if this member keeps no quotas.
 type chargeReply struct {
 	requestID uint64
-	found     bool
+	decided   bool
 	grant     quota.Grant
 }
 
 func encodeChargeReply(message chargeReply) []byte {
 	encoder := frame.NewEncoder(nil)
 	encoder.Uint64(message.requestID)
-	encoder.Bool(message.found)
+	encoder.Bool(message.decided)
 	encoder.Bool(message.grant.Granted)
 	encoder.Int64(int64(message.grant.Wait))
 	encoder.Float64(message.grant.Left)
@@ -58,7 +58,7 @@
 
 func decodeChargeReply(data []byte) (chargeReply, error) {
 	decoder := frame.NewDecoder(data)
-	message := chargeReply{requestID: decoder.Uint64(), found: decoder.Bool()}
+	message := chargeReply{requestID: decoder.Uint64(), decided: decoder.Bool()}
 	message.grant = quota.Grant{Granted: decoder.Bool(), Wait: time.Duration(decoder.Int64()), Left: decoder.Float64()}
 	return message, decoder.Finish()
 }
@@ -107,7 +107,7 @@
 		return err
 	}
 	select {
-	case s.slots <- struct{}{}:
+	case s.callSlots <- struct{}{}:
 	default:
 		return nil // too many calls in progress; the daemon decides locally
 	}
@@ -118,7 +118,7 @@
 func (s *subscriber) answerCharge(requestID uint64, request ChargeRequest) {
 	reply := chargeReply{requestID: requestID}
 	if s.standby || s.server.config.Group.Leadership().Leads {
-		reply.grant, reply.found = s.server.config.Group.Charge(request)
+		reply.grant, reply.decided = s.server.config.Group.Charge(request)
 	}
 	s.enqueueResponse(kindChargeReply, encodeChargeReply(reply))
 }
--- a/connection/feed/charge_test.go
+++ b/connection/feed/charge_test.go
@@ -18,7 +18,7 @@
 	got, err := decodeChargeRequest(decoder)
 	must.NoError(t, err)
 	must.Eq(t, request, got)
-	reply := chargeReply{requestID: 8, found: true, grant: quota.Grant{Granted: true, Wait: time.Second, Left: 1.5}}
+	reply := chargeReply{requestID: 8, decided: true, grant: quota.Grant{Granted: true, Wait: time.Second, Left: 1.5}}
 	decoded, err := decodeChargeReply(encodeChargeReply(reply))
 	must.NoError(t, err)
 	must.Eq(t, reply, decoded)
--- a/connection/feed/client.go
+++ b/connection/feed/client.go
@@ -125,7 +125,7 @@
 	shares        atomic.Pointer[shares] // of the replicas in views
 	namedReplicas namedReplicas
 	requestID     atomic.Uint64
-	slots         chan struct{} // one per claim or outcome in flight
+	callSlots     chan struct{} // one per claim or outcome in flight
 	context       context.Context
 	cancel        context.CancelFunc
 	done          sync.WaitGroup
@@ -143,10 +143,10 @@
 	}
 	client := &Client{config: config.withDefaults(), views: views, instance: rand.Uint64()}
 	client.handover = newHandover(client.config.HandoverWait)
-	client.slots = make(chan struct{}, client.config.MaxInFlight)
+	client.callSlots = make(chan struct{}, client.config.MaxInFlight)
 	client.context, client.cancel = context.WithCancel(context.Background())
 	client.leaderLost = make(chan struct{}, 1)
-	client.done.Go(client.follow)
+	client.done.Go(client.runConnections)
 	if client.config.Standby {
 		client.done.Go(client.runStandby)
 	}
@@ -168,14 +168,14 @@
 // request (same nonce) may be sent again and gets the same answer. A claim with an unknown outcome
 // must not be dispatched.
 func (c *Client) Claim(ctx context.Context, request state.ClaimRequest) (api.ClaimResult, error) {
-	reply, err := c.call(ctx, kindClaim, func(id uint64) []byte { return encodeClaim(id, request) })
+	reply, err := c.callLeader(ctx, kindClaim, func(id uint64) []byte { return encodeClaim(id, request) })
 	return reply.result, err
 }
 
 // RecordOutcome commits the outcome of a claimed run. It returns the same errors as Claim and is
 // idempotent.
 func (c *Client) RecordOutcome(ctx context.Context, outcome state.RunOutcome) error {
-	_, err := c.call(ctx, kindOutcome, func(id uint64) []byte { return encodeOutcome(id, outcome) })
+	_, err := c.callLeader(ctx, kindOutcome, func(id uint64) []byte { return encodeOutcome(id, outcome) })
 	return err
 }
 
--- a/connection/feed/delta.go
+++ b/connection/feed/delta.go
@@ -68,11 +68,11 @@
 
 // since returns an encoded delta from the given version to a recently applied one, or nil if there
 // is nothing to send.
-func (c *deltaCache) since(group Group, from view.Version, now time.Duration) ([]byte, view.Version, error) {
+func (c *deltaCache) deltaSince(group Group, from view.Version, now time.Duration) ([]byte, view.Version, error) {
 	if from.IsZero() {
 		return c.fullView(group, from, now)
 	}
-	if payload, to, found := c.cached(from, group.Version()); found {
+	if payload, to, found := c.lookup(from, group.Version()); found {
 		return payload, to, nil
 	}
 	delta, found := group.DeltaSince(from)
@@ -92,7 +92,7 @@
 	return payload, delta.To, nil
 }
 
-func (c *deltaCache) cached(from, to view.Version) ([]byte, view.Version, bool) {
+func (c *deltaCache) lookup(from, to view.Version) ([]byte, view.Version, bool) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	if c.latest.payload == nil || c.latest.from != from || c.latest.to != to {
--- a/connection/feed/ends.go
+++ b/connection/feed/ends.go
@@ -24,19 +24,19 @@
 
 // Limits of one report. maxEnded applies to each of its lists.
 const (
-	maxEnded = 512
+	maxReportEntries = 512
 	// endedSize is the minimum encoded size of an entry of Ended, aliveSize of an entry of Alive,
 	// and fingerprintSize of a fingerprint.
-	endedSize       = 4 + 4 + 5 + 8 + 8 + 3*4 + 8
+	crashSize       = 4 + 4 + 5 + 8 + 8 + 3*4 + 8
 	aliveSize       = 4 + 8
 	fingerprintSize = 4
 )
 
 // Split divides a report into parts that fit into one message each.
 func (r EndReport) Split() []EndReport {
-	parts := []EndReport{{Alive: r.Alive[:min(len(r.Alive), maxEnded)], Served: r.Served[:min(len(r.Served), maxEnded)]}}
-	for first := 0; first < len(r.Ended); first += maxEnded {
-		parts = append(parts, EndReport{Ended: r.Ended[first:min(first+maxEnded, len(r.Ended))]})
+	parts := []EndReport{{Alive: r.Alive[:min(len(r.Alive), maxReportEntries)], Served: r.Served[:min(len(r.Served), maxReportEntries)]}}
+	for first := 0; first < len(r.Ended); first += maxReportEntries {
+		parts = append(parts, EndReport{Ended: r.Ended[first:min(first+maxReportEntries, len(r.Ended))]})
 	}
 	if parts[0].IsEmpty() {
 		return parts[1:]
@@ -49,20 +49,20 @@
 func EncodeEnds(report EndReport) []byte {
 	encoder := frame.NewEncoder(nil)
 	encoder.Uint32(uint32(len(report.Ended)))
-	for _, ended := range report.Ended {
-		encoder.String(string(ended.Fingerprint[:]))
-		encoder.String(ended.Replica)
-		encoder.Bool(ended.Began)
-		encoder.Bool(ended.Read)
-		encoder.Bool(ended.Alone)
-		encoder.Bool(ended.Listens)
-		encoder.Bool(ended.Once)
-		encoder.Uint64(ended.Sight)
-		encoder.Int64(int64(ended.Ran))
-		encoder.String(ended.About.Service)
-		encoder.String(ended.About.Route)
-		encoder.String(ended.About.Request)
-		encoder.Int64(int64(ended.Age))
+	for _, crash := range report.Ended {
+		encoder.String(string(crash.Fingerprint[:]))
+		encoder.String(crash.Replica)
+		encoder.Bool(crash.Began)
+		encoder.Bool(crash.Read)
+		encoder.Bool(crash.Alone)
+		encoder.Bool(crash.Listens)
+		encoder.Bool(crash.Once)
+		encoder.Uint64(crash.Sight)
+		encoder.Int64(int64(crash.Ran))
+		encoder.String(crash.About.Service)
+		encoder.String(crash.About.Route)
+		encoder.String(crash.About.Request)
+		encoder.Int64(int64(crash.Age))
 	}
 	encoder.Uint32(uint32(len(report.Alive)))
 	for _, alive := range report.Alive {
@@ -80,29 +80,29 @@
 func DecodeEnds(data []byte) (EndReport, error) {
 	decoder := frame.NewDecoder(data)
 	var report EndReport
-	for i, count := 0, decodeCount(decoder, endedSize); i < count && decoder.Err() == nil; i++ {
-		report.Ended = append(report.Ended, decodeEnded(decoder))
+	for i, count := 0, decodeEntryCount(decoder, crashSize); i < count && decoder.Err() == nil; i++ {
+		report.Ended = append(report.Ended, decodeCrash(decoder))
 	}
-	for i, count := 0, decodeCount(decoder, aliveSize); i < count && decoder.Err() == nil; i++ {
+	for i, count := 0, decodeEntryCount(decoder, aliveSize); i < count && decoder.Err() == nil; i++ {
 		report.Alive = append(report.Alive, quarantine.Alive{Replica: decoder.String(), For: time.Duration(decoder.Int64())})
 	}
-	for i, count := 0, decodeCount(decoder, fingerprintSize); i < count && decoder.Err() == nil; i++ {
+	for i, count := 0, decodeEntryCount(decoder, fingerprintSize); i < count && decoder.Err() == nil; i++ {
 		report.Served = append(report.Served, decodeFingerprint(decoder))
 	}
 	return report, decoder.Finish()
 }
 
 // decodeCount reads the length of a list in a report and fails the decoder if it exceeds maxEnded.
-func decodeCount(decoder *frame.Decoder, size int) int {
+func decodeEntryCount(decoder *frame.Decoder, size int) int {
 	count := decoder.Count(size)
-	if count > maxEnded {
+	if count > maxReportEntries {
 		decoder.Fail(frame.ErrValue)
 	}
 	return count
 }
 
-func decodeEnded(decoder *frame.Decoder) quarantine.Aged {
-	ended := quarantine.Aged{Evidence: quarantine.Evidence{
+func decodeCrash(decoder *frame.Decoder) quarantine.Aged {
+	crash := quarantine.Aged{Evidence: quarantine.Evidence{
 		Fingerprint: decodeFingerprint(decoder),
 		Replica:     decoder.String(),
 		Began:       decoder.Bool(),
@@ -114,8 +114,8 @@
 		Ran:         time.Duration(decoder.Int64()),
 		About:       quarantine.About{Service: decoder.String(), Route: decoder.String(), Request: decoder.String()},
 	}}
-	ended.Age = time.Duration(decoder.Int64())
-	return ended
+	crash.Age = time.Duration(decoder.Int64())
+	return crash
 }
 
 func decodeFingerprint(decoder *frame.Decoder) quarantine.Fingerprint {
@@ -129,21 +129,21 @@
 // ReportEnds sends a report to the leader, or to a standby member if no leader is available. It
 // returns false if any part was dropped.
 func (c *Client) ReportEnds(report EndReport) bool {
-	return reportEnds(c.placementSession(), report)
+	return sendCrashReport(c.placementSession(), report)
 }
 
-func reportEnds(target *session, report EndReport) bool {
+func sendCrashReport(target *session, report EndReport) bool {
 	if target == nil {
 		return false
 	}
 	queued := true
 	for _, part := range report.Split() {
-		queued = target.enqueue(&outgoing{kind: kindEnds, payload: EncodeEnds(part)}) && queued
+		queued = target.enqueue(&outgoing{kind: kindCrashes, payload: EncodeEnds(part)}) && queued
 	}
 	return queued
 }
 
-func (s *subscriber) receiveEnds(payload []byte) error {
+func (s *subscriber) receiveCrashReport(payload []byte) error {
 	report, err := DecodeEnds(payload)
 	if err != nil {
 		return err
@@ -163,19 +163,19 @@
 
 // writeUnrecorded sends the ends that are not in the committed record, if there are any that the
 // daemon does not know or that were last sent some time ago.
-func (s *subscriber) writeUnrecorded(writer *frame.Writer) error {
+func (s *subscriber) writeUnrecordedCrashes(writer *frame.Writer) error {
 	report, generation := s.server.config.Group.Unrecorded()
 	now := s.server.config.Clock()
 	interval := minUnrecordedInterval
-	if generation == s.reportedGeneration {
+	if generation == s.unrecordedGeneration {
 		interval = UnrecordedPause
 	}
-	if report.IsEmpty() || s.reportedAt > 0 && now-s.reportedAt < interval {
+	if report.IsEmpty() || s.unrecordedSentAt > 0 && now-s.unrecordedSentAt < interval {
 		return nil
 	}
-	s.reportedGeneration, s.reportedAt = generation, now
+	s.unrecordedGeneration, s.unrecordedSentAt = generation, now
 	for _, part := range report.Split() {
-		if err := writer.WriteFrame(kindEnds, EncodeEnds(part)); err != nil {
+		if err := writer.WriteFrame(kindCrashes, EncodeEnds(part)); err != nil {
 			return err
 		}
 	}
@@ -183,7 +183,7 @@
 }
 
 // receiveEnds handles a member's report of ends that are not in the committed record.
-func (s *session) receiveEnds(payload []byte) error {
+func (s *session) receiveUnrecordedCrashes(payload []byte) error {
 	report, err := DecodeEnds(payload)
 	if err != nil {
 		return err
--- a/connection/feed/feed_test.go
+++ b/connection/feed/feed_test.go
@@ -36,11 +36,11 @@
 	eventually(t, "a lease", func() bool { return holder.Valid(clock.Now()) && client.Connected() })
 }
 
-func TestClientFollowsHintToLeader(t *testing.T) {
+func TestClientFollowsRedirectToLeader(t *testing.T) {
 	leading := newFakeGroup()
 	server, leaderAddress := startServer(t, leading)
 	following := newFakeGroup()
-	following.set(false, false, 1, leaderAddress)
+	following.setLeadership(false, false, 1, leaderAddress)
 	_, address := startServer(t, following)
 	revision := leading.put("water")
 	server.Wake()
@@ -51,7 +51,7 @@
 
 func TestSubscribersReconnectToNewLeader(t *testing.T) {
 	first, second := newFakeGroup(), newFakeGroup()
-	second.set(false, false, 1, "")
+	second.setLeadership(false, false, 1, "")
 	firstServer, firstAddress := startServer(t, first)
 	secondServer, secondAddress := startServer(t, second)
 	first.put("water")
@@ -59,8 +59,8 @@
 	holder := view.NewHolder()
 	client := startClient(t, holder, firstAddress, secondAddress)
 	eventually(t, "a subscription", func() bool { return client.Connected() && firstServer.Subscribers() == 1 })
-	second.set(true, true, 2, "")
-	first.set(false, false, 2, secondAddress)
+	second.setLeadership(true, true, 2, "")
+	first.setLeadership(false, false, 2, secondAddress)
 	firstServer.Wake()
 	eventually(t, "the subscription to move to the new leader", func() bool {
 		return firstServer.Subscribers() == 0 && secondServer.Subscribers() == 1 && client.Connected()
@@ -69,11 +69,11 @@
 
 func TestClaimsWaitForTheNextLeaderOnlyAfterAnnouncedHandover(t *testing.T) {
 	first, second := newFakeGroup(), newFakeGroup()
-	second.set(false, false, 1, "")
+	second.setLeadership(false, false, 1, "")
 	firstServer, firstAddress := startServer(t, first)
 	secondServer, secondAddress := startServer(t, second)
-	wire := newTCPRelay(t, secondAddress)
-	client := startClient(t, view.NewHolder(), firstAddress, wire.address())
+	secondRelay := newTCPRelay(t, secondAddress)
+	client := startClient(t, view.NewHolder(), firstAddress, secondRelay.address())
 	eventually(t, "a subscription", client.Connected)
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
@@ -90,17 +90,17 @@
 	}
 	go claim()
 	<-refused // by a leader that is about to step down
-	first.set(false, false, 1, "")
+	first.setLeadership(false, false, 1, "")
 	firstServer.Wake()
 	eventually(t, "the end of the subscription", func() bool { return !client.Connected() })
 	go claim() // while nobody leads
-	second.set(true, true, 2, "")
+	second.setLeadership(true, true, 2, "")
 	secondServer.Wake()
 	must.NoError(t, <-claimed)
 	must.NoError(t, <-claimed)
 
-	must.NoError(t, wire.listener.Close())
-	wire.closeConnections() // the leader is lost without announcing a handover
+	must.NoError(t, secondRelay.listener.Close())
+	secondRelay.closeConnections() // the leader is lost without announcing a handover
 	eventually(t, "the end of the subscription", func() bool { return !client.Connected() })
 	_, err := client.Claim(ctx, request)
 	must.ErrorIs(t, err, ErrNoQuorum)
@@ -358,7 +358,7 @@
 func TestNoGrantWithoutLeaderLease(t *testing.T) {
 	group := newFakeGroup()
 	group.put("water")
-	group.set(true, false, 1, "")
+	group.setLeadership(true, false, 1, "")
 	_, address := startServer(t, group)
 	holder := view.NewHolder()
 	startClient(t, holder, address)
@@ -367,7 +367,7 @@
 		time.Sleep(5 * time.Millisecond)
 		must.False(t, holder.Valid(clock.Now()))
 	}
-	group.set(true, true, 1, "")
+	group.setLeadership(true, true, 1, "")
 	eventually(t, "a lease", func() bool { return holder.Valid(clock.Now()) })
 }
 
@@ -386,7 +386,7 @@
 	f.Add(encodeSubscribe(subscribe{daemon: "proxy", instance: 1, zone: "zone"}))
 	f.Add(encodeSubscribe(subscribe{daemon: "proxy", standby: true}))
 	f.Add(encodeHeartbeat(heartbeat{sequence: 1}))
-	f.Add(encodeGrant(grant{sequence: 1, lease: time.Second, term: 2}))
+	f.Add(encodeLeaseGrant(leaseGrant{sequence: 1, lease: time.Second, term: 2}))
 	f.Add(encodeClaim(1, state.ClaimRequest{Tenant: "t", Key: "k", Proxy: "p"}))
 	f.Add(encodeOutcome(1, state.RunOutcome{Tenant: "t", Key: "k", Outcome: api.RunNotRun}))
 	f.Add(encodeDemand(DemandReport{Window: time.Second, Demands: []Demand{{Intent: "i", Class: "c", Requests: 1}}}))
@@ -406,8 +406,8 @@
 		if message, err := decodeHeartbeat(data); err == nil {
 			must.Eq(t, data, encodeHeartbeat(message))
 		}
-		if message, err := decodeGrant(data); err == nil {
-			_ = encodeGrant(message)
+		if message, err := decodeLeaseGrant(data); err == nil {
+			_ = encodeLeaseGrant(message)
 		}
 		if id, request, err := decodeClaim(data); err == nil {
 			must.Eq(t, data, encodeClaim(id, request))
--- a/connection/feed/follow.go
+++ b/connection/feed/follow.go
@@ -14,17 +14,17 @@
 
 // follow connects to one member after the other until the client is closed. If a member named the
 // leader, that address is tried first.
-func (c *Client) follow() {
+func (c *Client) runConnections() {
 	next, backoff := rand.IntN(len(c.config.Addresses)), c.config.BackoffMin
-	hint := ""
+	leaderAddress := ""
 	for c.context.Err() == nil {
-		address := hint
+		address := leaderAddress
 		if address == "" {
 			addresses := c.addresses()
 			address = addresses[next%len(addresses)]
 			next++
 		}
-		served, nextHint, err := c.connect(address)
+		served, nextLeaderAddress, err := c.serveConnection(address)
 		if c.context.Err() != nil {
 			return
 		}
@@ -32,12 +32,12 @@
 		if served {
 			backoff = c.config.BackoffMin
 		}
-		followedHint := hint != ""
-		hint = nextHint
+		followedRedirect := leaderAddress != ""
+		leaderAddress = nextLeaderAddress
 		// The first hint, or the announcement of a leader that it stepped down, is followed
 		// immediately. A hint that led to another hint or to a failure waits for the backoff, so
 		// that two members naming each other cause little load.
-		if nextHint != "" && !followedHint || served && errors.Is(err, errNotLeader) {
+		if nextLeaderAddress != "" && !followedRedirect || served && errors.Is(err, errNotLeader) {
 			continue
 		}
 		pause.For(c.context, jitteredBackoff(backoff))
@@ -51,9 +51,9 @@
 		return c.config.Addresses
 	}
 	addresses := slices.Clone(c.config.Addresses)
-	for _, learned := range c.config.MoreAddresses() {
-		if !slices.Contains(addresses, learned) {
-			addresses = append(addresses, learned)
+	for _, discovered := range c.config.MoreAddresses() {
+		if !slices.Contains(addresses, discovered) {
+			addresses = append(addresses, discovered)
 		}
 	}
 	return addresses
@@ -61,15 +61,15 @@
 
 // connect serves one connection until it ends. It reports whether a leader served it, and the
 // leader address that the member named.
-func (c *Client) connect(address string) (served bool, hint string, err error) {
+func (c *Client) serveConnection(address string) (served bool, leaderAddress string, err error) {
 	conn, err := c.config.Dial(c.context, "tcp", address)
 	if err != nil {
 		return false, "", errors.Wrap(err, "feed: dial")
 	}
 	current := newSession(c, conn)
 	current.address = address
-	hint, err = current.run(c.context)
-	return current.ready, hint, err
+	leaderAddress, err = current.run(c.context)
+	return current.ready, leaderAddress, err
 }
 
 // jitteredBackoff returns a random duration from the upper half of the range up to limit.
@@ -79,10 +79,10 @@
 
 // call sends one request and waits for its reply. If the leader announced that it stepped down and
 // definitely did not take the request, call sends it to the next leader.
-func (c *Client) call(ctx context.Context, kind frame.Kind, encode func(id uint64) []byte) (reply, error) {
+func (c *Client) callLeader(ctx context.Context, kind frame.Kind, encode func(id uint64) []byte) (reply, error) {
 	select {
-	case c.slots <- struct{}{}:
-		defer func() { <-c.slots }()
+	case c.callSlots <- struct{}{}:
+		defer func() { <-c.callSlots }()
 	default:
 		return reply{}, errors.Wrap(ErrNoQuorum, "too many requests in flight")
 	}
@@ -93,7 +93,7 @@
 		}
 		requestID := c.requestID.Add(1)
 		answer, err := current.call(ctx, requestID, &outgoing{kind: kind, payload: encode(requestID)})
-		if !errors.Is(err, ErrNoQuorum) || errors.Is(err, errQueueFull) || !current.leaderSteppedDown(ctx) {
+		if !errors.Is(err, ErrNoQuorum) || errors.Is(err, errQueueFull) || !current.awaitStepDown(ctx) {
 			return answer, err
 		}
 	}
--- a/connection/feed/foreignreply_test.go
+++ b/connection/feed/foreignreply_test.go
@@ -129,7 +129,7 @@
 		return frame.Frame{Kind: kindOutcomeReply, Payload: encodeOutcomeReply(outcomeReply{requestID: id, code: replyDone})}
 	}
 	placeReplied := func(id uint64) frame.Frame {
-		return frame.Frame{Kind: kindPlaceReply, Payload: encodePlaceReply(placeReply{requestID: id, found: true})}
+		return frame.Frame{Kind: kindPlaceReply, Payload: encodePlaceReply(placeReply{requestID: id, decided: true})}
 	}
 	claim := func(ctx context.Context, client *Client) error {
 		_, err := client.Claim(ctx, state.ClaimRequest{Tenant: "water", Key: "crew", Nonce: 1})
@@ -172,13 +172,13 @@
 // A standby member may answer placements but not send views or leases. If they were accepted, the
 // view would be taken for the leader's, and a lease would be assumed that no leader granted.
 func TestStandbyMemberMustNotSendViewsOrLeases(t *testing.T) {
-	granted := frame.Frame{Kind: kindGrant, Payload: encodeGrant(grant{sequence: 1, lease: time.Hour, term: 9})}
+	granted := frame.Frame{Kind: kindLeaseGrant, Payload: encodeLeaseGrant(leaseGrant{sequence: 1, lease: time.Hour, term: 9})}
 	for name, opening := range map[string]frame.Frame{"a view": firstDelta(t), "a lease": granted} {
 		t.Run(name, func(t *testing.T) {
 			address := startScriptedMember(t, opening, nil)
 			holder := view.NewHolder()
 			client, lines := startLoggedClient(t, holder, "127.0.0.1:1")
-			accepted, err := client.connectStandby(address)
+			accepted, err := client.serveStandbyConnection(address)
 			must.False(t, accepted)
 			must.ErrorIs(t, err, errProtocol)
 			must.False(t, client.Connected())
--- a/connection/feed/group_test.go
+++ b/connection/feed/group_test.go
@@ -87,7 +87,7 @@
 	g.apply(state.Command{Kind: state.CommandTransaction, Transaction: transaction})
 }
 
-func (g *fakeGroup) set(leads, leased bool, term uint64, address string) {
+func (g *fakeGroup) setLeadership(leads, leased bool, term uint64, address string) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	g.leadership = Leadership{Leads: leads, Term: term, Address: address}
@@ -304,11 +304,11 @@
 func TestNewGroupDoesNotWaitForEarlierLeases(t *testing.T) {
 	const lease = time.Second
 	first := view.Version{Term: 1, Revision: 1}
-	fresh := newRegistry(1, view.Version{}, lease, 0)
+	fresh := newTermLeases(1, view.Version{}, lease, 0)
 	must.True(t, fresh.inForce(first, 0).Done, must.Sprint("no daemon holds a view"))
 	must.True(t, fresh.tracker.Observe("proxy#1", first, 0))
 	must.False(t, fresh.inForce(view.Version{Term: 1, Revision: 2}, 0).Done, must.Sprint("the proxy has not acknowledged"))
-	later := newRegistry(2, first, lease, 0)
+	later := newTermLeases(2, first, lease, 0)
 	must.True(t, later.inForce(first, 0).Settling, must.Sprint("an earlier leader may have granted leases"))
 }
 
@@ -319,7 +319,7 @@
 	server := NewServer(ServerConfig{Group: group, ViewLease: time.Hour}, listener)
 	t.Cleanup(server.Close)
 	server.Wake()
-	eventually(t, "the registry of the term", func() bool { return server.registry.Load() != nil })
+	eventually(t, "the registry of the term", func() bool { return server.termLeases.Load() != nil })
 	revision := group.put("first")
 	state, leads := server.InForce(t.Context(), revision)
 	must.True(t, leads)
--- a/connection/feed/handover.go
+++ b/connection/feed/handover.go
@@ -24,14 +24,14 @@
 }
 
 // begin allows callers to wait for the next session from now on.
-func (h *handover) begin() {
+func (h *handover) expectLeader() {
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	h.deadline = time.Now().Add(h.wait)
 }
 
 // end wakes the callers that wait for a session.
-func (h *handover) end() {
+func (h *handover) leaderReady() {
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	h.deadline = time.Time{}
@@ -62,7 +62,7 @@
 
 // leaderSteppedDown waits briefly for the session to end and reports whether its leader announced
 // that it stepped down.
-func (s *session) leaderSteppedDown(ctx context.Context) bool {
+func (s *session) awaitStepDown(ctx context.Context) bool {
 	return waitClosed(ctx, s.ended, s.client.config.HandoverWait/refusedWaitDivisor) && s.steppedDown
 }
 
--- a/connection/feed/messages.go
+++ b/connection/feed/messages.go
@@ -19,7 +19,7 @@
 	kindSubscribe      frame.Kind = iota + 1 // subscriber: subscribe
 	kindDelta                                // server: view.Delta
 	kindHeartbeat                            // subscriber: heartbeat
-	kindGrant                                // server: grant
+	kindLeaseGrant                           // server: grant
 	kindNotLeader                            // server: notLeader; the connection ends
 	kindClaim                                // subscriber: request ID, state.ClaimRequest
 	kindClaimReply                           // server: request ID, replyCode, api.ClaimResult
@@ -33,7 +33,7 @@
 	kindCachedParts                          // subscriber: KeptParts
 	kindStandbyReady                         // server, to a standby subscription: empty
 	kindInFlight                             // subscriber: InFlight
-	kindEnds                                 // either side: EndReport
+	kindCrashes                              // either side: EndReport
 	kindUsage                                // subscriber: UsageReport
 	kindCharge                               // subscriber: request ID, ChargeRequest
 	kindChargeReply                          // server: request ID, quota.Grant
@@ -77,7 +77,7 @@
 // grant renews the view lease for the duration, counted from when the heartbeat with the sequence
 // was sent. wallClock is the group's wall-clock time in Unix milliseconds when the grant was sent,
 // 0 if unknown.
-type grant struct {
+type leaseGrant struct {
 	sequence  uint64
 	lease     time.Duration
 	term      uint64
@@ -213,7 +213,7 @@
 	return message, nil
 }
 
-func encodeGrant(message grant) []byte {
+func encodeLeaseGrant(message leaseGrant) []byte {
 	encoder := frame.NewEncoder(nil)
 	encoder.Uint64(message.sequence)
 	encoder.Int64(message.lease.Milliseconds())
@@ -222,9 +222,9 @@
 	return encoder.Data()
 }
 
-func decodeGrant(data []byte) (grant, error) {
+func decodeLeaseGrant(data []byte) (leaseGrant, error) {
 	decoder := frame.NewDecoder(data)
-	message := grant{sequence: decoder.Uint64()}
+	message := leaseGrant{sequence: decoder.Uint64()}
 	message.lease = time.Duration(decoder.Int64()) * time.Millisecond
 	message.term = decoder.Uint64()
 	message.wallClock = decoder.Int64()
--- a/connection/feed/partial.go
+++ b/connection/feed/partial.go
@@ -55,7 +55,7 @@
 	replicas      []hashedReplica
 	fullEncodedAt time.Duration
 	// noDeltaThrough is the highest revision known to be too old for an incremental delta.
-	noDeltaThrough uint64
+	fullOnlyThrough uint64
 	// latest is the most recent incremental delta that was requested. payload is its encoding, nil
 	// until needed.
 	latest  view.Delta
@@ -99,10 +99,10 @@
 // since returns the delta from the given version, which is the same for all subscriptions at that
 // version. Building a full delta takes time proportional to the number of objects, so a full one
 // is returned without contents.
-func (p *partialViewCache) since(group Group, from view.Version) (view.Delta, bool) {
+func (p *partialViewCache) deltaSince(group Group, from view.Version) (view.Delta, bool) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	if from.IsZero() || from.Revision <= p.noDeltaThrough {
+	if from.IsZero() || from.Revision <= p.fullOnlyThrough {
 		return view.Delta{Full: true}, from.Compare(group.Version()) < 0
 	}
 	if !p.latest.To.IsZero() && p.latest.From == from && p.latest.To == group.Version() {
@@ -110,7 +110,7 @@
 	}
 	delta, found := group.DeltaSince(from)
 	if found && delta.Full {
-		p.noDeltaThrough = from.Revision
+		p.fullOnlyThrough = from.Revision
 	} else if found {
 		p.latest, p.payload = delta, nil
 	}
@@ -234,7 +234,7 @@
 func (s *subscriber) writePartial(ctx context.Context, writer *frame.Writer, sent view.Version, heartbeatPending bool) error {
 	group := s.server.config.Group
 	current := s.server.partial.currentShares(group)
-	delta, found := s.server.partial.since(group, sent)
+	delta, found := s.server.partial.deltaSince(group, sent)
 	if !found {
 		return nil
 	}
@@ -245,14 +245,14 @@
 	if !shared {
 		delta = s.filterReplicas(delta)
 	}
-	if !heartbeatPending && !isUrgent(delta) {
+	if !heartbeatPending && !changesMoreThanProxies(delta) {
 		return nil
 	}
 	payload, err := s.encodePartialDelta(delta, shared)
 	if err != nil {
 		return err
 	}
-	return s.writeVersion(writer, payload, delta.To)
+	return s.writeDeltaFrame(writer, payload, delta.To)
 }
 
 // encodePartialDelta encodes a delta. The encoding of a common delta, which is the same for all
@@ -274,7 +274,7 @@
 }
 
 // isUrgent reports whether a delta contains anything other than changes in the set of daemons.
-func isUrgent(delta view.Delta) bool {
+func changesMoreThanProxies(delta view.Delta) bool {
 	return slices.ContainsFunc(delta.Objects, func(o api.Object) bool { return o.Proxy == nil }) ||
 		slices.ContainsFunc(delta.Removed, func(key api.Key) bool { return key.Kind != api.KindProxy })
 }
@@ -303,7 +303,7 @@
 		return err
 	}
 	s.shares = current
-	return s.writeVersion(writer, common.payload, common.to)
+	return s.writeDeltaFrame(writer, common.payload, common.to)
 }
 
 // receiveSubsetReplicas stores the replicas that belong to the next full view.
--- a/connection/feed/partial_test.go
+++ b/connection/feed/partial_test.go
@@ -71,7 +71,7 @@
 // thousand replicas kept a proxy's link busy for more than a second, and the leader's link for the
 // sum of all proxies.
 func TestPartialViewSizeIsIndependentOfReplicaCount(t *testing.T) {
-	bytes := map[int]int64{}
+	viewBytes := map[int]int64{}
 	for _, size := range []int{200, 10_000} {
 		group := newFakeGroup()
 		_, address := startServer(t, group)
@@ -82,9 +82,9 @@
 		eventually(t, "the view", func() bool { return holder.Load().Version.Revision == 2 })
 		must.MapContainsKey(t, holder.Load().Tenants, "water")
 		must.Between(t, 90, len(holder.Load().Replicas), 255, must.Sprint(size))
-		bytes[size] = read.Load()
+		viewBytes[size] = read.Load()
 	}
-	must.Less(t, 2*bytes[200], bytes[10_000])
+	must.Less(t, 2*viewBytes[200], viewBytes[10_000])
 }
 
 // A daemon receives each change of the replicas in its subset, and none of the others.
@@ -154,7 +154,7 @@
 
 // A reply carries the replicas that it names outside the daemon's subset.
 func TestPlaceRepliesCarryReplicasOutsideTheSubset(t *testing.T) {
-	reply := placeReply{requestID: 4, found: true, replicas: []*api.Replica{listedReplica(3, false).Replica}}
+	reply := placeReply{requestID: 4, decided: true, replicas: []*api.Replica{listedReplica(3, false).Replica}}
 	got, err := decodePlaceReply(encodePlaceReply(reply))
 	must.NoError(t, err)
 	must.Eq(t, reply, got)
--- a/connection/feed/placement.go
+++ b/connection/feed/placement.go
@@ -136,7 +136,7 @@
 // placeReply answers a placement request; found is false if this member places nothing.
 type placeReply struct {
 	requestID uint64
-	found     bool
+	decided   bool
 	answer    placement.Answer
 	// named holds the replicas in the answer that are outside the subset of a partial
 	// subscription.
@@ -146,7 +146,7 @@
 func encodePlaceReply(message placeReply) []byte {
 	encoder := frame.NewEncoder(nil)
 	encoder.Uint64(message.requestID)
-	encoder.Bool(message.found)
+	encoder.Bool(message.decided)
 	encodeAnswer(encoder, &message.answer)
 	encoder.Uint32(uint32(len(message.replicas)))
 	for _, replica := range message.replicas {
@@ -171,7 +171,7 @@
 
 func decodePlaceReply(data []byte) (placeReply, error) {
 	decoder := frame.NewDecoder(data)
-	message := placeReply{requestID: decoder.Uint64(), found: decoder.Bool(), answer: decodeAnswer(decoder)}
+	message := placeReply{requestID: decoder.Uint64(), decided: decoder.Bool(), answer: decodeAnswer(decoder)}
 	count := decoder.Count(replicaSize)
 	for i := 0; i < count && decoder.Err() == nil; i++ {
 		message.replicas = append(message.replicas, decodeReplica(decoder))
@@ -267,7 +267,7 @@
 		return err
 	}
 	select {
-	case s.slots <- struct{}{}:
+	case s.callSlots <- struct{}{}:
 	default:
 		return nil // too many calls in progress; the daemon decides locally
 	}
@@ -282,14 +282,14 @@
 func (s *subscriber) answerPlace(requestID uint64, request PlaceRequest) {
 	reply := placeReply{requestID: requestID}
 	if s.standby || s.server.config.Group.Leadership().Leads {
-		reply.answer, reply.found = s.server.config.Group.Place(s.originOf(request.Origin), request)
+		reply.answer, reply.decided = s.server.config.Group.Place(s.originKey(request.Origin), request)
 		reply.replicas = s.replicasOutsideSubset(request.Origin, reply.answer.Generator, reply.answer.Reader, reply.answer.Fetch)
 	}
 	s.enqueueResponse(kindPlaceReply, encodePlaceReply(reply))
 }
 
 // originOf returns the daemon on whose behalf a message was sent.
-func (s *subscriber) originOf(origin string) string {
+func (s *subscriber) originKey(origin string) string {
 	if origin != "" {
 		return origin
 	}
@@ -301,6 +301,6 @@
 	if err != nil {
 		return err
 	}
-	s.server.config.Group.NotePlaced(s.originOf(note.Origin), note)
+	s.server.config.Group.NotePlaced(s.originKey(note.Origin), note)
 	return nil
 }
--- a/connection/feed/placementrelay.go
+++ b/connection/feed/placementrelay.go
@@ -34,11 +34,11 @@
 }
 
 // Place forwards the request to the leader.
-func (r *PlacementRelay) Place(daemon string, request PlaceRequest) (placement.Answer, bool) {
+func (r *PlacementRelay) Place(key string, request PlaceRequest) (placement.Answer, bool) {
 	if request.Origin != "" {
 		return placement.Answer{}, false
 	}
-	request.Origin = daemon
+	request.Origin = key
 	ctx, cancel := context.WithTimeout(context.Background(), relayTimeout)
 	defer cancel()
 	answer, err := r.client.Place(ctx, request)
@@ -46,17 +46,17 @@
 }
 
 // NotePlaced forwards the note to the leader.
-func (r *PlacementRelay) NotePlaced(daemon string, note PlaceNote) {
+func (r *PlacementRelay) NotePlaced(key string, note PlaceNote) {
 	if note.Origin != "" {
 		return
 	}
-	note.Origin = daemon
+	note.Origin = key
 	r.client.NotePlaced(note)
 }
 
 // NoteEnds forwards the report to the leader: a daemon that is cut off from the members has no
 // other way to send it.
-func (r *PlacementRelay) NoteEnds(report EndReport) { reportEnds(r.client.session.Load(), report) }
+func (r *PlacementRelay) NoteEnds(report EndReport) { sendCrashReport(r.client.session.Load(), report) }
 
 // Unrecorded returns nothing: this daemon keeps no evidence for others.
 func (r *PlacementRelay) Unrecorded() (EndReport, uint64) { return EndReport{}, 0 }
--- a/connection/feed/placementrelay_test.go
+++ b/connection/feed/placementrelay_test.go
@@ -164,7 +164,7 @@
 	must.NoError(t, err)
 	must.Eq(t, 5, number)
 	must.Eq(t, request, decoded)
-	reply := placeReply{requestID: 5, found: true, answer: placement.Answer{Generator: "g", Reader: "r", Fetch: "f", Unread: 4, Estimate: time.Second, Wait: time.Minute}}
+	reply := placeReply{requestID: 5, decided: true, answer: placement.Answer{Generator: "g", Reader: "r", Fetch: "f", Unread: 4, Estimate: time.Second, Wait: time.Minute}}
 	gotReply, err := decodePlaceReply(encodePlaceReply(reply))
 	must.NoError(t, err)
 	must.Eq(t, reply, gotReply)
--- a/connection/feed/registry.go
+++ b/connection/feed/registry.go
@@ -31,7 +31,7 @@
 }
 
 // registry holds the acknowledgements and view leases of one leader's term.
-type registry struct {
+type termLeases struct {
 	term    uint64
 	lease   time.Duration
 	tracker *view.Tracker
@@ -42,14 +42,14 @@
 //
 // Leases of earlier leaders are waited for, except if nothing was ever accepted: in that case a
 // daemon can only hold the empty view, by which it serves nothing.
-func newRegistry(term uint64, version view.Version, lease, now time.Duration) *registry {
-	r := &registry{term: term, lease: lease, tracker: view.NewTracker(lease)}
+func newTermLeases(term uint64, version view.Version, lease, now time.Duration) *termLeases {
+	l := &termLeases{term: term, lease: lease, tracker: view.NewTracker(lease)}
 	if version.IsZero() {
 		now -= 2 * lease
 	}
-	r.tracker.Reset(now)
-	r.tracker.Require(version)
-	return r
+	l.tracker.Reset(now)
+	l.tracker.Require(version)
+	return l
 }
 
 // InForce reports how far a version has reached the daemons.
@@ -66,8 +66,8 @@
 	Settling bool
 }
 
-func (r *registry) inForce(version view.Version, now time.Duration) InForce {
-	done, waiting := r.tracker.InForce(version, now)
+func (l *termLeases) inForce(version view.Version, now time.Duration) InForce {
+	done, waiting := l.tracker.InForce(version, now)
 	result := InForce{Done: done}
 	for _, key := range waiting {
 		if key == view.UnseenDaemons {
@@ -76,7 +76,7 @@
 		}
 		result.Waiting = append(result.Waiting, daemonName(key))
 	}
-	for _, daemon := range withoutSupersededRuns(r.tracker.Daemons(now)) {
+	for _, daemon := range removeSupersededInstances(l.tracker.Daemons(now)) {
 		switch {
 		case daemon.Acked.Compare(version) >= 0:
 			result.Acknowledged++
@@ -91,13 +91,13 @@
 
 // withoutSupersededRuns removes the processes of a daemon whose leases lapsed before a later
 // process of it was heard from. The version they held last no longer describes the daemon.
-func withoutSupersededRuns(runs []view.DaemonStatus) []view.DaemonStatus {
-	latest := make(map[string]time.Duration, len(runs))
-	for _, one := range runs {
+func removeSupersededInstances(instances []view.DaemonStatus) []view.DaemonStatus {
+	latest := make(map[string]time.Duration, len(instances))
+	for _, one := range instances {
 		name := daemonName(one.Name)
 		latest[name] = max(latest[name], one.LapsesAt)
 	}
-	return slices.DeleteFunc(runs, func(one view.DaemonStatus) bool {
+	return slices.DeleteFunc(instances, func(one view.DaemonStatus) bool {
 		return one.Lapsed && one.LapsesAt < latest[daemonName(one.Name)]
 	})
 }
@@ -108,9 +108,9 @@
 	Behind []string
 }
 
-func (r *registry) daemons(version view.Version, now time.Duration) Daemons {
+func (l *termLeases) daemons(version view.Version, now time.Duration) Daemons {
 	var result Daemons
-	for _, daemon := range r.tracker.Daemons(now) {
+	for _, daemon := range l.tracker.Daemons(now) {
 		if daemon.Lapsed {
 			continue
 		}
--- a/connection/feed/registry_test.go
+++ b/connection/feed/registry_test.go
@@ -10,33 +10,33 @@
 
 // A restarted daemon is reported once, by its newer process, as soon as the lease of the earlier
 // process has lapsed.
-func TestRestartedDaemonIsReportedByItsNewerRun(t *testing.T) {
+func TestRestartedDaemonIsReportedByItsNewerInstance(t *testing.T) {
 	const lease = time.Second
 	first, second := view.Version{Term: 1, Revision: 1}, view.Version{Term: 1, Revision: 2}
-	registry := newRegistry(1, view.Version{}, lease, 0)
+	leases := newTermLeases(1, view.Version{}, lease, 0)
 	earlier := daemonKey{daemon: "proxy-a", instance: 1}.String()
 	newer := daemonKey{daemon: "proxy-a", instance: 2}.String()
 	other := daemonKey{daemon: "proxy-b", instance: 9}.String()
-	must.True(t, registry.tracker.Observe(earlier, first, lease))
-	must.True(t, registry.tracker.Observe(other, second, lease))
-	must.True(t, registry.tracker.Observe(newer, second, lease))
+	must.True(t, leases.tracker.Observe(earlier, first, lease))
+	must.True(t, leases.tracker.Observe(other, second, lease))
+	must.True(t, leases.tracker.Observe(newer, second, lease))
 
-	waiting := registry.inForce(second, lease)
+	waiting := leases.inForce(second, lease)
 	must.Eq(t, InForce{Acknowledged: 2, Waiting: []string{"proxy-a"}}, waiting)
 
 	now := 3 * lease
-	must.True(t, registry.tracker.Observe(newer, second, now))
-	must.True(t, registry.tracker.Observe(other, second, now))
-	must.Eq(t, InForce{Done: true, Acknowledged: 2}, registry.inForce(second, now))
+	must.True(t, leases.tracker.Observe(newer, second, now))
+	must.True(t, leases.tracker.Observe(other, second, now))
+	must.Eq(t, InForce{Done: true, Acknowledged: 2}, leases.inForce(second, now))
 
 	// Both processes have the first version, which counts as one acknowledgement.
-	must.Eq(t, InForce{Done: true, Acknowledged: 2}, registry.inForce(first, now))
+	must.Eq(t, InForce{Done: true, Acknowledged: 2}, leases.inForce(first, now))
 
 	// Without a newer process, the lapsed lease is reported.
 	late := 6 * lease
-	must.True(t, registry.tracker.Observe(other, second, late))
+	must.True(t, leases.tracker.Observe(other, second, late))
 	third := view.Version{Term: 1, Revision: 3}
-	must.Eq(t, InForce{Lapsed: []string{"proxy-a"}, Waiting: []string{"proxy-b"}}, registry.inForce(third, late))
+	must.Eq(t, InForce{Lapsed: []string{"proxy-a"}, Waiting: []string{"proxy-b"}}, leases.inForce(third, late))
 }
 
 // A daemon that is cut off when the leader changes is unknown to the new leader and may hold a
@@ -49,12 +49,12 @@
 	other := daemonKey{daemon: "proxy-b", instance: 9}.String()
 	held := view.NewHolder()
 	must.NoError(t, held.Apply(view.Delta{Full: true, To: first}))
-	earlier := newRegistry(1, view.Version{}, lease, 0)
+	earlier := newTermLeases(1, view.Version{}, lease, 0)
 	began := 5 * lease
 	must.True(t, earlier.tracker.Observe(cut, first, began))
 	must.True(t, held.Confirm(began, lease, 1))
 
-	later := newRegistry(2, first, lease, began)
+	later := newTermLeases(2, first, lease, began)
 	now := began
 	for ; ; now += step {
 		must.Less(t, began+2*lease, now)
@@ -81,12 +81,12 @@
 	const lease = time.Second
 	first, second := view.Version{Term: 1, Revision: 1}, view.Version{Term: 1, Revision: 2}
 	behind := daemonKey{daemon: "proxy-a", instance: 1}.String()
-	earlier := newRegistry(1, view.Version{}, lease, 0)
+	earlier := newTermLeases(1, view.Version{}, lease, 0)
 	must.True(t, earlier.tracker.Observe(behind, first, 0))
 	now := 2 * lease
 	must.Eq(t, InForce{Done: true, Lapsed: []string{"proxy-a"}}, earlier.inForce(second, now))
 
-	later := newRegistry(2, second, lease, now)
+	later := newTermLeases(2, second, lease, now)
 	must.False(t, later.tracker.Observe(behind, first, now))
 	must.True(t, later.tracker.Observe(behind, second, now))
 }
--- a/connection/feed/server.go
+++ b/connection/feed/server.go
@@ -48,12 +48,12 @@
 	ReportPresence(presence Presence)
 	// Place decides where to send a request and returns false if the group does not decide.
 	// NotePlaced records the progress of the request. Neither blocks.
-	Place(daemon string, request PlaceRequest) (placement.Answer, bool)
-	NotePlaced(daemon string, note PlaceNote)
+	Place(key string, request PlaceRequest) (placement.Answer, bool)
+	NotePlaced(key string, note PlaceNote)
 	// NoteKept records which prompt parts a replica is believed to have cached.
 	NoteKept(cached KeptParts)
 	// NoteInFlight replaces the recorded in-flight requests of a daemon.
-	NoteInFlight(daemon string, inFlight InFlight)
+	NoteInFlight(key string, inFlight InFlight)
 	// NoteEnds records the requests during which replicas ended. Unrecorded returns the ends that
 	// daemons should know but can't read from the committed record, empty if there are none;
 	// generation changes whenever the report does.
@@ -150,8 +150,8 @@
 	shards       [subscriberShards]subscriberShard
 	accepted     uint64 // connections so far; used only by accept
 	latest       *latestSubscriptions
-	count        atomic.Int64
-	registry     atomic.Pointer[registry]
+	connections  atomic.Int64
+	termLeases   atomic.Pointer[termLeases]
 	cache        deltaCache
 	partial      partialViewCache
 	bulkSlots    chan struct{} // one per large delta in transit
@@ -173,7 +173,7 @@
 		s.shards[i].subscribers = map[*subscriber]struct{}{}
 	}
 	s.done.Go(s.accept)
-	s.done.Go(s.maintainTerm)
+	s.done.Go(s.maintainTermLeases)
 	return s
 }
 
@@ -205,12 +205,12 @@
 }
 
 // Subscribers returns the number of connections.
-func (s *Server) Subscribers() int { return int(s.count.Load()) }
+func (s *Server) Subscribers() int { return int(s.connections.Load()) }
 
 // InForce reports how far a revision has reached the daemons. It returns false if this member does
 // not lead with a valid lease. A revision that is not applied yet is not in force.
 func (s *Server) InForce(ctx context.Context, revision uint64) (InForce, bool) {
-	current := s.leasedRegistry(ctx)
+	current := s.ensureTermLeases(ctx)
 	if current == nil {
 		return InForce{}, false
 	}
@@ -221,12 +221,12 @@
 	result := current.inForce(version, s.config.Clock())
 	// The lease is checked again: a leader that was paused may have evaluated the leases of a term
 	// that has ended.
-	return result, s.leasedRegistry(ctx) == current
+	return result, s.ensureTermLeases(ctx) == current
 }
 
 // Daemons reports how many daemons follow this leader and which are behind the revision.
 func (s *Server) Daemons(revision uint64) Daemons {
-	current := s.registry.Load()
+	current := s.termLeases.Load()
 	if current == nil {
 		return Daemons{}
 	}
@@ -235,37 +235,37 @@
 
 // leasedRegistry returns the registry of the term that the member leads, or nil without a valid
 // lease.
-func (s *Server) leasedRegistry(ctx context.Context) *registry {
+func (s *Server) ensureTermLeases(ctx context.Context) *termLeases {
 	term, valid := s.config.Group.Lease(ctx)
 	if !valid {
 		return nil
 	}
 	for {
-		current := s.registry.Load()
+		current := s.termLeases.Load()
 		if current != nil && current.term >= term {
 			if current.term > term {
 				return nil
 			}
 			return current
 		}
-		created := s.newTermRegistry(term)
-		if s.registry.CompareAndSwap(current, created) {
+		created := s.createTermLeases(term)
+		if s.termLeases.CompareAndSwap(current, created) {
 			return created
 		}
 	}
 }
 
-func (s *Server) newTermRegistry(term uint64) *registry {
+func (s *Server) createTermLeases(term uint64) *termLeases {
 	if s.config.Tracker != nil {
-		return &registry{term: term, lease: s.config.ViewLease, tracker: s.config.Tracker}
+		return &termLeases{term: term, lease: s.config.ViewLease, tracker: s.config.Tracker}
 	}
-	return newRegistry(term, s.config.Group.Version(), s.config.ViewLease, s.config.Clock())
+	return newTermLeases(term, s.config.Group.Version(), s.config.ViewLease, s.config.Clock())
 }
 
 // maintainTerm starts the registry of a new term and periodically raises the minimum version. A
 // daemon that has not acknowledged what was applied one floor interval ago gets no lease, so that
 // every accepted change is in force within a bounded time.
-func (s *Server) maintainTerm() {
+func (s *Server) maintainTermLeases() {
 	ticker := time.NewTicker(s.config.FloorInterval)
 	defer ticker.Stop()
 	var previous view.Version
@@ -276,11 +276,11 @@
 		case <-s.wakeups:
 			// A term starts with what was accepted when its leader took over, not with the state
 			// at the first query.
-			s.leasedRegistry(s.context)
+			s.ensureTermLeases(s.context)
 			continue
 		case <-ticker.C:
 		}
-		if current := s.leasedRegistry(s.context); current != nil {
+		if current := s.ensureTermLeases(s.context); current != nil {
 			current.tracker.Require(previous)
 		}
 		previous = s.config.Group.Version()
@@ -300,8 +300,8 @@
 			s.waitAfterAcceptError()
 			continue
 		}
-		if s.count.Add(1) > int64(s.config.MaxSubscribers) {
-			s.count.Add(-1)
+		if s.connections.Add(1) > int64(s.config.MaxSubscribers) {
+			s.connections.Add(-1)
 			_ = conn.Close()
 			event.FeedRefused.Log(s.config.Logger, "address", conn.RemoteAddr(), "err", "too many subscribers")
 			continue
@@ -325,7 +325,7 @@
 }
 
 func (s *Server) serve(conn net.Conn, number uint64) {
-	defer s.count.Add(-1)
+	defer s.connections.Add(-1)
 	sub := newSubscriber(s, conn, number)
 	sub.releaseOpeningSlot = s.acquireOpeningSlot()
 	defer sub.releaseOpeningSlot()
--- a/connection/feed/session.go
+++ b/connection/feed/session.go
@@ -75,13 +75,13 @@
 
 // session is one connection to a leader or a standby member.
 type session struct {
-	client  *Client
-	conn    net.Conn
-	queue   chan *outgoing
-	ended   chan struct{}
-	pending [pendingShards]pendingShard
-	ready   bool // a delta, a grant or a standby confirmation was received
-	address string
+	client    *Client
+	conn      net.Conn
+	sendQueue chan *outgoing
+	ended     chan struct{}
+	pending   [pendingShards]pendingShard
+	ready     bool // a delta, a grant or a standby confirmation was received
+	address   string
 	// standby is set for a session that is used for placements only.
 	standby bool
 	// pendingSubset holds the replicas for the next full view of a partial subscription.
@@ -103,11 +103,11 @@
 
 func newSession(client *Client, conn net.Conn) *session {
 	s := &session{
-		client: client,
-		conn:   conn,
-		queue:  make(chan *outgoing, maxQueuedFrames),
-		ended:  make(chan struct{}),
-		sentAt: map[uint64]time.Duration{},
+		client:    client,
+		conn:      conn,
+		sendQueue: make(chan *outgoing, maxQueuedFrames),
+		ended:     make(chan struct{}),
+		sentAt:    map[uint64]time.Duration{},
 	}
 	for i := range s.pending {
 		s.pending[i].calls = map[uint64]pendingCall{}
@@ -121,22 +121,22 @@
 	stop := context.AfterFunc(ctx, func() { _ = s.conn.Close() })
 	defer stop()
 	var writer sync.WaitGroup
-	writer.Go(s.write)
-	hint, err := s.read()
+	writer.Go(s.writeLoop)
+	leaderAddress, err := s.readLoop()
 	if errors.Is(err, errUnexpectedFrame) {
 		event.FeedMisplacedFrame.Log(s.client.config.Logger, "address", s.conn.RemoteAddr(), "err", err)
 	}
 	if s.steppedDown = s.ready && errors.Is(err, errNotLeader); s.steppedDown {
-		s.client.handover.begin()
+		s.client.handover.expectLeader()
 	}
 	s.client.removeSession(s)
 	close(s.ended)
 	_ = s.conn.Close()
 	writer.Wait()
-	return hint, err
+	return leaderAddress, err
 }
 
-func (s *session) write() {
+func (s *session) writeLoop() {
 	writer := frame.NewWriter(s.conn, Protocol, s.client.config.WriteTimeout)
 	// A failed write closes the connection, which ends the reader and with it the session.
 	defer func() { _ = s.conn.Close() }()
@@ -152,7 +152,7 @@
 			return
 		case <-ticker.C:
 			err = s.writeHeartbeat(writer)
-		case next := <-s.queue:
+		case next := <-s.sendQueue:
 			err = s.writeQueued(writer, next)
 		}
 		if err != nil {
@@ -214,7 +214,7 @@
 			}
 		}
 		select {
-		case next = <-s.queue:
+		case next = <-s.sendQueue:
 		default:
 			next = nil
 		}
@@ -222,7 +222,7 @@
 	return writer.Flush()
 }
 
-func (s *session) read() (string, error) {
+func (s *session) readLoop() (string, error) {
 	reader := frame.NewReader(s.conn, Protocol, maxServerPayload, s.client.config.SilenceTimeout)
 	for {
 		received, err := reader.ReadFrame()
@@ -252,12 +252,12 @@
 		return s.receiveDelta(received.Payload)
 	case kindSubsetReplicas:
 		return s.receiveSubsetReplicas(received.Payload)
-	case kindGrant:
-		return s.receiveGrant(received.Payload)
+	case kindLeaseGrant:
+		return s.receiveLeaseGrant(received.Payload)
 	case kindStandbyReady:
 		return s.receiveStandbyReady()
-	case kindEnds:
-		return s.receiveEnds(received.Payload)
+	case kindCrashes:
+		return s.receiveUnrecordedCrashes(received.Payload)
 	case kindClaimReply, kindPlaceReply, kindOutcomeReply, kindChargeReply:
 		return s.receiveReply(received)
 	default:
@@ -268,7 +268,7 @@
 // isForStandby reports whether a standby member may send a frame of the kind.
 func isForStandby(kind frame.Kind) bool {
 	switch kind {
-	case kindStandbyReady, kindPlaceReply, kindChargeReply, kindEnds:
+	case kindStandbyReady, kindPlaceReply, kindChargeReply, kindCrashes:
 		return true
 	}
 	return false
@@ -290,14 +290,14 @@
 	case kindPlaceReply:
 		message, err := decodePlaceReply(received.Payload)
 		code := replyRefused
-		if message.found {
+		if message.decided {
 			code = replyDone
 		}
 		return message.requestID, reply{code: code, placed: message.answer, replicas: message.replicas}, err
 	case kindChargeReply:
 		message, err := decodeChargeReply(received.Payload)
 		code := replyRefused
-		if message.found {
+		if message.decided {
 			code = replyDone
 		}
 		return message.requestID, reply{code: code, grant: message.grant}, err
@@ -346,8 +346,8 @@
 
 // receiveGrant renews the view lease from the time at which the granted heartbeat was sent. A
 // grant for an unknown sequence, such as that of a plain acknowledgement, renews nothing.
-func (s *session) receiveGrant(payload []byte) error {
-	message, err := decodeGrant(payload)
+func (s *session) receiveLeaseGrant(payload []byte) error {
+	message, err := decodeLeaseGrant(payload)
 	if err != nil {
 		return err
 	}
@@ -375,7 +375,7 @@
 		s.client.lastLeader.Store(&s.address)
 		s.client.session.Store(s)
 		s.client.endStandby()
-		s.client.handover.end()
+		s.client.handover.leaderReady()
 		event.FeedServed.Log(s.client.config.Logger, "address", s.conn.RemoteAddr(), "revision", s.client.views.Load().Version.Revision)
 		if s.client.config.Served != nil {
 			s.client.config.Served()
@@ -386,7 +386,7 @@
 // enqueue returns false if the queue is full.
 func (s *session) enqueue(next *outgoing) bool {
 	select {
-	case s.queue <- next:
+	case s.sendQueue <- next:
 		return true
 	default:
 		return false
--- a/connection/feed/standby.go
+++ b/connection/feed/standby.go
@@ -103,7 +103,7 @@
 
 // endStandby closes the standby session, if there is one, because a leader serves the client
 // again.
-func (c *Client) endStandby() (ended bool) {
+func (c *Client) endStandby() (closed bool) {
 	current := c.standby.Swap(nil)
 	if current == nil {
 		return false
@@ -139,7 +139,7 @@
 		if c.context.Err() != nil || c.responsiveLeader() != nil {
 			return true
 		}
-		accepted, err := c.connectStandby(address)
+		accepted, err := c.serveStandbyConnection(address)
 		event.FeedStandbyEnded.Log(c.config.Logger, "address", address, "stood_by", accepted, "err", err)
 		if accepted {
 			return true
@@ -195,7 +195,7 @@
 
 // connectStandby serves one standby session until it ends and reports whether the peer accepted
 // it.
-func (c *Client) connectStandby(address string) (bool, error) {
+func (c *Client) serveStandbyConnection(address string) (bool, error) {
 	ctx, cancel := context.WithTimeout(c.context, standbyDialTimeout)
 	defer cancel()
 	conn, err := c.config.Dial(ctx, "tcp", address)
--- a/connection/feed/standby_test.go
+++ b/connection/feed/standby_test.go
@@ -23,7 +23,7 @@
 
 func newPlacingGroup(name string, leads bool) *placingGroup {
 	g := &placingGroup{fakeGroup: newFakeGroup(), name: name}
-	g.set(leads, leads, 1, "")
+	g.setLeadership(leads, leads, 1, "")
 	return g
 }
 
@@ -78,7 +78,7 @@
 	eventually(t, "placement by the leader", func() bool { return placedBy(client) == "first" })
 	eventually(t, "the view", func() bool { return holder.Load().Version.Revision == 1 })
 
-	first.set(false, false, 1, "")
+	first.setLeadership(false, false, 1, "")
 	firstServer.Wake()
 	eventually(t, "the loss of the leader", func() bool { return !client.Connected() })
 	eventually(t, "placement by the previous leader on standby", func() bool { return client.standby.Load() != nil && placedBy(client) == "first" })
@@ -96,7 +96,7 @@
 	must.ErrorIs(t, err, ErrNoQuorum)
 	must.Eq(t, 1, holder.Load().Version.Revision, must.Sprint("a member that does not lead sends no view"))
 
-	second.set(true, true, 2, "")
+	second.setLeadership(true, true, 2, "")
 	eventually(t, "placement by the next leader", func() bool { return client.Connected() && placedBy(client) == "second" })
 	must.Nil(t, client.standby.Load())
 	eventually(t, "the end of the standby session", func() bool { return firstServer.Subscribers() == 0 })
@@ -110,7 +110,7 @@
 	filled.put("water")
 	client, _ := startStandbyClient(t, view.NewHolder(), emptyAddress, filledAddress)
 	eventually(t, "a leader", client.Connected)
-	empty.set(false, false, 1, "")
+	empty.setLeadership(false, false, 1, "")
 	emptyServer.Wake()
 	eventually(t, "placement by the other member", func() bool { return placedBy(client) == "filled" })
 }
--- a/connection/feed/subscriber.go
+++ b/connection/feed/subscriber.go
@@ -29,7 +29,7 @@
 	// responses has capacity for every call that may be in progress, so that sending to it never
 	// blocks.
 	responses chan response
-	slots     chan struct{}
+	callSlots chan struct{}
 	calls     sync.WaitGroup
 
 	// releaseOpeningSlot releases the slot of a subscription that is opening.
@@ -54,8 +54,8 @@
 
 	// reportedGeneration is the generation of the unrecorded ends sent last, at reportedAt. Only
 	// the writer uses them.
-	reportedGeneration uint64
-	reportedAt         time.Duration
+	unrecordedGeneration uint64
+	unrecordedSentAt     time.Duration
 }
 
 func newSubscriber(server *Server, conn net.Conn, number uint64) *subscriber {
@@ -67,7 +67,7 @@
 		wake:               make(chan struct{}, 1),
 		releaseOpeningSlot: func() {},
 		responses:          make(chan response, maxClaims),
-		slots:              make(chan struct{}, maxClaims),
+		callSlots:          make(chan struct{}, maxClaims),
 	}
 }
 
@@ -88,10 +88,10 @@
 	var writer sync.WaitGroup
 	var writeErr error
 	writer.Go(func() {
-		writeErr = s.write(ctx)
+		writeErr = s.writeLoop(ctx)
 		cancel()
 	})
-	readErr := s.read(ctx)
+	readErr := s.readLoop(ctx)
 	cancel()
 	writer.Wait()
 	s.calls.Wait()
@@ -102,7 +102,7 @@
 	return readErr
 }
 
-func (s *subscriber) read(ctx context.Context) error {
+func (s *subscriber) readLoop(ctx context.Context) error {
 	reader := frame.NewReader(s.conn, Protocol, maxSubscriberPayload, s.server.config.SilenceTimeout)
 	first, err := reader.ReadFrame()
 	if err != nil {
@@ -174,8 +174,8 @@
 		return s.receiveInFlight(received.Payload)
 	case kindPlaceNote:
 		return s.receivePlaceNote(received.Payload)
-	case kindEnds:
-		return s.receiveEnds(received.Payload)
+	case kindCrashes:
+		return s.receiveCrashReport(received.Payload)
 	case kindUsage:
 		return s.receiveUsage(received.Payload)
 	case kindCharge:
@@ -268,7 +268,7 @@
 // must not start anything new. It waits for a free slot, which blocks only this subscriber.
 func (s *subscriber) startCall(ctx context.Context, serve, refuse func()) error {
 	select {
-	case s.slots <- struct{}{}:
+	case s.callSlots <- struct{}{}:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -297,7 +297,7 @@
 	}
 }
 
-func (s *subscriber) write(ctx context.Context) error {
+func (s *subscriber) writeLoop(ctx context.Context) error {
 	writer := frame.NewWriter(s.conn, Protocol, s.server.config.WriteTimeout)
 	for {
 		var err error
@@ -322,7 +322,7 @@
 }
 
 func (s *subscriber) writeResponse(writer *frame.Writer, next response) error {
-	<-s.slots
+	<-s.callSlots
 	return writer.WriteFrame(next.kind, next.payload)
 }
 
@@ -341,12 +341,12 @@
 		if err := s.writeStandbyReady(ctx, writer, leadership.Address); err != nil {
 			return err
 		}
-		return s.writeUnrecorded(writer)
+		return s.writeUnrecordedCrashes(writer)
 	}
 	if !leadership.Leads {
 		return s.redirect(ctx, writer, leadership.Address)
 	}
-	if err := s.writeUnrecorded(writer); err != nil {
+	if err := s.writeUnrecordedCrashes(writer); err != nil {
 		return err
 	}
 	if err := s.writeDelta(ctx, writer, sent, heartbeatPending); err != nil {
@@ -355,7 +355,7 @@
 	if !heartbeatPending {
 		return nil
 	}
-	return s.writeGrant(ctx, writer, acked, sequence)
+	return s.writeLeaseGrant(ctx, writer, acked, sequence)
 }
 
 // redirect waits for the responses to the calls in progress, sends the leader's address and ends
@@ -363,7 +363,7 @@
 func (s *subscriber) redirect(ctx context.Context, writer *frame.Writer, address string) error {
 	timer := time.NewTimer(s.server.config.WriteTimeout)
 	defer timer.Stop()
-	for len(s.slots) > 0 {
+	for len(s.callSlots) > 0 {
 		select {
 		case next := <-s.responses:
 			if err := s.writeResponse(writer, next); err != nil {
@@ -404,11 +404,11 @@
 		}
 		s.recordBulkSent(to)
 	}
-	return s.writeVersion(writer, payload, to)
+	return s.writeDeltaFrame(writer, payload, to)
 }
 
 // writeVersion writes a delta and records the version that it leads to.
-func (s *subscriber) writeVersion(writer *frame.Writer, payload []byte, to view.Version) error {
+func (s *subscriber) writeDeltaFrame(writer *frame.Writer, payload []byte, to view.Version) error {
 	if err := writer.WriteFrame(kindDelta, payload); err != nil {
 		return err
 	}
@@ -422,15 +422,15 @@
 }
 
 func (s *subscriber) deltaSince(sent view.Version) ([]byte, view.Version, error) {
-	return s.server.cache.since(s.server.config.Group, sent, s.server.config.Clock())
+	return s.server.cache.deltaSince(s.server.config.Group, sent, s.server.config.Clock())
 }
 
 // writeGrant records the acknowledgement and renews the view lease if a heartbeat asks for it. The
 // leader lease is checked here, after everything that may have taken time. A pause after the check
 // does no harm, since the view lease counts from when the daemon asked.
-func (s *subscriber) writeGrant(ctx context.Context, writer *frame.Writer, acked view.Version, sequence uint64) error {
+func (s *subscriber) writeLeaseGrant(ctx context.Context, writer *frame.Writer, acked view.Version, sequence uint64) error {
 	now := s.server.config.Clock()
-	current := s.server.leasedRegistry(ctx)
+	current := s.server.ensureTermLeases(ctx)
 	if current == nil {
 		return nil
 	}
@@ -440,6 +440,6 @@
 	if !granted || sequence == 0 || lease <= 0 {
 		return nil
 	}
-	message := grant{sequence: sequence, lease: lease, term: current.term, wallClock: s.server.config.Group.Day()}
-	return writer.WriteFrame(kindGrant, encodeGrant(message))
+	message := leaseGrant{sequence: sequence, lease: lease, term: current.term, wallClock: s.server.config.Group.Day()}
+	return writer.WriteFrame(kindLeaseGrant, encodeLeaseGrant(message))
 }
--- a/connection/feed/unrecorded_test.go
+++ b/connection/feed/unrecorded_test.go
@@ -24,7 +24,7 @@
 	return g.report, g.generation
 }
 
-func (g *unrecordedGroup) addEnd(replica string) {
+func (g *unrecordedGroup) addCrash(replica string) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	g.generation++
@@ -33,7 +33,7 @@
 
 // Unrecorded ends are sent to daemons by the leader that serves them and by a standby member,
 // immediately when they change and periodically as long as there are any.
-func TestUnrecordedEndsAreSentToDaemons(t *testing.T) {
+func TestUnrecordedCrashesAreSentToDaemons(t *testing.T) {
 	for name, leads := range map[string]bool{"by the leader": true, "by a standby member": false} {
 		t.Run(name, func(t *testing.T) {
 			group := &unrecordedGroup{fakeGroup: newFakeGroup()}
@@ -49,13 +49,13 @@
 			t.Cleanup(client.Close)
 			eventually(t, "the leader to serve", client.Connected)
 			if !leads {
-				group.set(false, false, 1, "")
+				group.setLeadership(false, false, 1, "")
 				server.Wake()
 				eventually(t, "the standby session", func() bool { return client.standby.Load() != nil })
 			}
 			must.Eq(t, 0, len(reports))
 			for i, replica := range []string{"r-0", "r-1"} {
-				group.addEnd(replica)
+				group.addCrash(replica)
 				report := <-reports
 				must.SliceLen(t, i+1, report.Ended)
 				must.Eq(t, replica, report.Ended[i].Replica)
