--- a/connection/feed/bulk.go
+++ b/connection/feed/bulk.go
@@ -21,13 +21,14 @@
 }
 
 // bulkKeepAlive is the interval between keep-alive frames to a subscriber that waits for a bulk
-// slot. It is shorter than the subscriber's silence timeout: a subscriber that timed out would
-// reconnect at the end of the queue, and the slots would go to subscribers that are about to time
-// out themselves.
+// slot. It must be shorter than the silence timeout of each client (DefaultSilenceTimeout), which
+// the server does not know. A client that timed out would reconnect at the end of the queue, and
+// the slots would go to clients that are about to time out themselves.
 const bulkKeepAlive = 500 * time.Millisecond
 
-// acquireBulkSlot waits for a bulk slot. The slot is held until the subscriber has acknowledged
-// the version, since written data may still be in buffers along the path.
+// acquireBulkSlot waits for a bulk slot, writing keep-alive frames meanwhile, and fails with a
+// redirect if the member stops leading. The slot is held until the subscriber holds the version,
+// since written data may still be in buffers along the path.
 func (s *subscriber) acquireBulkSlot(ctx context.Context, writer *frame.Writer) error {
 	s.lock.Lock()
 	held := s.bulk.active
@@ -54,7 +55,8 @@
 	}
 }
 
-// writeKeepAlive writes a grant for sequence 0, which renews no lease.
+// writeKeepAlive writes a grant for sequence 0, which renews no lease. It redirects the subscriber
+// if the member does not lead.
 func (s *subscriber) writeKeepAlive(ctx context.Context, writer *frame.Writer) error {
 	leadership := s.server.config.Group.Leadership()
 	if !leadership.Leads {
@@ -66,18 +68,16 @@
 	return writer.Flush()
 }
 
-// recordBulkSent records the version that the subscriber has to acknowledge to release its bulk
-// slot.
+// recordBulkSent records the version that the subscriber has to hold to release its bulk slot.
 func (s *subscriber) recordBulkSent(to view.Version) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.bulk.version, s.bulk.sentAt = to, s.server.config.Clock()
 }
 
-// releaseBulkIfDone releases the bulk slot once the subscriber holds the version. If the
-// subscriber takes longer than the silence timeout, the slot is released as well, because others
-// are waiting; the transfer continues, since a disconnected subscriber would only request the same
-// delta again.
+// releaseBulkIfDone releases the bulk slot once the subscriber holds the version, or when it has
+// taken longer than the silence timeout, because others are waiting. In the latter case the
+// transfer continues, since a disconnected subscriber would request the same delta again.
 func (s *subscriber) releaseBulkIfDone(held view.Version) {
 	s.lock.Lock()
 	bulk := s.bulk
--- a/connection/feed/charge.go
+++ b/connection/feed/charge.go
@@ -12,13 +12,13 @@
 // ChargeRequest asks to charge a tenant's request to the tenant's quota.
 type ChargeRequest struct {
 	Tenant string
-	Cost   float64 // in the quota's unit
+	Cost   float64 // in the unit of the tenant's quota
 	// Passed marks a request that a daemon forwards for another one; it is forwarded at most once.
 	Passed bool
 }
 
-// ErrNotCharged says that no quota-keeping member answered; the daemon then decides by its local
-// state.
+// ErrNotCharged says that no quota-keeping member answered, although the charge may have been made.
+// The daemon then decides by its local state.
 var ErrNotCharged = errors.New("feed: no member with quotas answered")
 
 func encodeChargeRequest(encoder *frame.Encoder, request ChargeRequest) []byte {
@@ -39,7 +39,7 @@
 	return encodeChargeRequest(encoder, request)
 }
 
-// chargeReply answers a charge; found is false if this member keeps no quotas.
+// chargeReply answers a charge; decided is false if this member keeps no quotas.
 type chargeReply struct {
 	requestID uint64
 	decided   bool
@@ -73,8 +73,9 @@
 }
 
 // Charge charges a request to its tenant's quota at the leader, or at a standby member if no
-// leader is available. It returns ErrNotCharged if there is no answer before ctx ends; the request
-// may have been charged in that case.
+// leader is available. It returns ErrNotCharged if there is no session, the send queue is full, the
+// member keeps no quotas, or the connection or ctx ends before the answer. In the last case the
+// request may have been charged.
 func (c *Client) Charge(ctx context.Context, request ChargeRequest) (quota.Grant, error) {
 	current := c.chargeSession(request)
 	if current == nil {
--- a/connection/feed/client.go
+++ b/connection/feed/client.go
@@ -15,9 +15,9 @@
 	"github.com/pkg/errors"
 )
 
-// ClientConfig configures a Client. Zero durations and limits use the defaults.
+// ClientConfig configures a Client. Durations and limits that are not positive use the defaults.
 type ClientConfig struct {
-	// Daemon identifies the subscriber. It is unique among running daemons.
+	// Daemon is the daemon's name. It is unique among running daemons.
 	Daemon string
 	Zone   string
 	// Addresses are the feed addresses of the control members.
@@ -25,27 +25,30 @@
 	// MoreAddresses returns additional feed addresses discovered at runtime; nil returns none. It
 	// is called before each round of connection attempts.
 	MoreAddresses func() []string
-	// Served, if set, is called whenever a leader or a standby member starts to serve the client.
-	// It must not block.
+	// Served, if set, is called whenever a session with a leader or a standby member starts to
+	// serve the client. It must not block.
 	Served func()
-	// Resumed, if set, is called when an unresponsive leader responds again after placements were
-	// reported to another member meanwhile. It must not block.
+	// Resumed, if set, is called when an unresponsive leader responds again and a standby session
+	// was open meanwhile, to which placements may have been reported. It must not block.
 	Resumed func()
-	// Unrecorded, if set, is called with reports of replicas that ended which members can't read
-	// from the committed record. It must not block.
+	// Unrecorded, if set, is called with the crashes that the group could not commit, either
+	// because it has no leader or because its leader can't commit. It must not block.
 	Unrecorded func(report EndReport)
-	// Standby sends placement requests to any other member while no leader serves the client.
+	// Standby sends placement requests and charges to any member, the last leader first, or to a
+	// relaying daemon while no leader serves the client or the leader is unresponsive.
 	Standby bool
-	// Partial limits the views to the daemon's own subset of the replicas of large services.
-	// Listed returns other replicas that answers have named.
+	// Partial limits the views to the daemon's own subset of the replicas of large services. The
+	// method Listed of the Client returns other replicas that answers have named.
 	Partial bool
 	// StandbyRelays returns the feed addresses of other daemons that relay placements; nil returns
 	// none. It is called before each round of connection attempts.
 	StandbyRelays func() []string
 	// Presence returns the state that the daemon reports with each heartbeat; nil reports nothing.
+	// Heartbeats wait for it, so it should return quickly.
 	Presence func() Presence
-	// Day, if set, is called with the group's wall-clock time from the answer to a heartbeat, and
-	// the local times at which that heartbeat was sent and answered. It must not block.
+	// Day, if set, is called with the group's wall-clock time from the answer to a heartbeat, in
+	// Unix milliseconds, and the local times at which that heartbeat was sent and answered. It must
+	// not block.
 	Day func(sent, answered time.Duration, day int64)
 	// BeatInterval is the heartbeat interval. The view lease should be several times as long.
 	BeatInterval time.Duration
@@ -54,15 +57,16 @@
 	// after which another member is tried.
 	WriteTimeout   time.Duration
 	SilenceTimeout time.Duration
-	// BackoffMin and BackoffMax bound the delay between connection attempts. Each delay is drawn
-	// from the upper half of its range.
+	// BackoffMin and BackoffMax bound the backoff between connection attempts. Each delay is
+	// random, between half of the current backoff and all of it.
 	BackoffMin time.Duration
 	BackoffMax time.Duration
 	// HandoverWait is how long claims and outcomes wait for the next leader after the previous one
 	// announced that it stepped down. After that, or if the leader was lost without an
 	// announcement, they are refused immediately.
 	HandoverWait time.Duration
-	// MaxInFlight limits the claims and outcomes waiting for a reply.
+	// MaxInFlight limits the claims and outcomes waiting for a reply. Further ones fail with
+	// ErrNoQuorum.
 	MaxInFlight int
 	// Dial opens the connections; nil uses a net.Dialer with DialTimeout.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
@@ -122,18 +126,18 @@
 	leaderLost    chan struct{}           // signaled when the leader is lost or becomes unresponsive
 	lastLeader    atomic.Pointer[string]  // address of the leader that served last
 	handover      *handover
-	shares        atomic.Pointer[shares] // of the replicas in views
+	shares        atomic.Pointer[shares] // shares of the replicas that the views contain
 	namedReplicas namedReplicas
 	requestID     atomic.Uint64
-	callSlots     chan struct{} // one per claim or outcome in flight
+	callSlots     chan struct{} // holds an element per claim or outcome in flight
 	context       context.Context
 	cancel        context.CancelFunc
 	done          sync.WaitGroup
 }
 
 // Dial starts a client that connects in the background, finds the leader among the addresses and
-// keeps views up to date until Close. It returns ErrConfig if the configuration lacks the daemon
-// or the addresses.
+// keeps views up to date until Close. It does not wait for a connection. It returns ErrConfig if
+// the configuration lacks the daemon or the addresses.
 func Dial(config ClientConfig, views Views) (*Client, error) {
 	if config.Daemon == "" {
 		return nil, errors.Wrap(ErrConfig, "daemon name is empty")
@@ -153,8 +157,9 @@
 	return client, nil
 }
 
-// Close closes the connection and waits for the client's goroutines. Requests waiting for a reply
-// fail with ErrOutcomeUnknown.
+// Close closes the connection and waits for the client's goroutines. Claims and outcomes waiting
+// for a reply fail with ErrOutcomeUnknown, or with ErrNoQuorum if they were not sent yet;
+// placements fail with ErrNotPlaced and charges with ErrNotCharged.
 func (c *Client) Close() {
 	c.cancel()
 	c.done.Wait()
@@ -163,10 +168,10 @@
 // Connected reports whether a leader currently serves the client.
 func (c *Client) Connected() bool { return c.session.Load() != nil }
 
-// Claim commits the claim and returns the group's answer. ErrNoQuorum is definite: the claim was
-// not and will not be committed. After ErrOutcomeUnknown it may have been granted; the same
-// request (same nonce) may be sent again and gets the same answer. A claim with an unknown outcome
-// must not be dispatched.
+// Claim commits a claim to run a request and returns the group's answer. After ErrNoQuorum the
+// claim was not committed and never will be. After ErrOutcomeUnknown it may have been granted; the
+// same claim (same nonce) may be sent again and gets the same answer. A request whose claim has an
+// unknown outcome must not be run.
 func (c *Client) Claim(ctx context.Context, request state.ClaimRequest) (api.ClaimResult, error) {
 	reply, err := c.callLeader(ctx, kindClaim, func(id uint64) []byte { return encodeClaim(id, request) })
 	return reply.result, err
@@ -180,7 +185,7 @@
 }
 
 // Acknowledge immediately sends the currently acknowledged version to the leader if the client is
-// connected. The next heartbeat sends it in any case.
+// connected and its send queue has room. The next heartbeat sends it in any case.
 func (c *Client) Acknowledge() {
 	if current := c.session.Load(); current != nil {
 		current.acknowledge()
@@ -188,15 +193,15 @@
 }
 
 // Announce immediately sends the current result of Presence to the leader if the client is
-// connected. The next heartbeat sends it in any case.
+// connected and its send queue has room. The next heartbeat sends it in any case.
 func (c *Client) Announce() {
 	if c.config.Presence != nil {
 		c.ReportPresence(c.config.Presence())
 	}
 }
 
-// ReportPresence sends a proxy's presence if the client is connected and its queue has room. It
-// returns false if the message was dropped.
+// ReportPresence sends a proxy's presence if the client is connected and its send queue has room.
+// It returns false if the message was dropped.
 func (c *Client) ReportPresence(presence Presence) bool {
 	current := c.session.Load()
 	if current == nil {
@@ -205,8 +210,9 @@
 	return current.enqueue(&outgoing{kind: kindPresence, payload: encodePresence(presence)})
 }
 
-// ReportDemand sends a report if the client is connected and its queue has room. It returns false
-// if the report was dropped; the caller may add it to the next window.
+// ReportDemand sends a report if the client is connected and its send queue has room. It returns
+// false if the report was dropped; the caller may add it to the next window. A report with more
+// than maxDemands demands ends the connection.
 func (c *Client) ReportDemand(report DemandReport) bool {
 	current := c.session.Load()
 	if current == nil {
--- a/connection/feed/delta.go
+++ b/connection/feed/delta.go
@@ -10,7 +10,7 @@
 )
 
 // compressThresholdBytes is the size from which a delta is compressed. The first byte of the
-// payload says whether it is.
+// payload is deltaCompressed if it is; any other value means that it is not.
 const compressThresholdBytes = 1 << 10
 
 const (
@@ -50,8 +50,9 @@
 const fullViewCacheTTL = time.Second
 
 // deltaCache caches the encoding of the latest delta, since most subscribers are at the same
-// version, and the encoding of a full view. When all daemons start at once, encoding a full view
-// takes much longer than the view stays the latest one.
+// version, and the encoding of a full view. The latter may be a little out of date, since encoding
+// the current view again for each daemon would take too long when all of them start at once: the
+// view changes faster than it is encoded.
 type deltaCache struct {
 	lock   sync.Mutex
 	latest encodedDelta
@@ -62,12 +63,12 @@
 }
 
 type encodedDelta struct {
-	from, to view.Version
+	from, to view.Version // from is zero for a full view
 	payload  []byte
 }
 
-// since returns an encoded delta from the given version to a recently applied one, or nil if there
-// is nothing to send.
+// deltaSince returns an encoded delta from the given version to a recently applied one, and that
+// version. It returns nil and from if there is nothing to send.
 func (c *deltaCache) deltaSince(group Group, from view.Version, now time.Duration) ([]byte, view.Version, error) {
 	if from.IsZero() {
 		return c.fullView(group, from, now)
@@ -92,6 +93,7 @@
 	return payload, delta.To, nil
 }
 
+// lookup returns the latest delta if it is the one between the two versions.
 func (c *deltaCache) lookup(from, to view.Version) ([]byte, view.Version, bool) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -101,7 +103,8 @@
 	return c.latest.payload, c.latest.to, true
 }
 
-// fullView returns the encoding of a full view that is newer than from.
+// fullView returns the encoding of a full view that is newer than from, and its version. It returns
+// nil and from if there is none.
 func (c *deltaCache) fullView(group Group, from view.Version, now time.Duration) ([]byte, view.Version, error) {
 	c.fullLock.Lock()
 	defer c.fullLock.Unlock()
--- a/connection/feed/ends.go
+++ b/connection/feed/ends.go
@@ -7,32 +7,35 @@
 	"github.com/landingtrail/landingtrail/request/quarantine"
 )
 
-// EndReport is what a daemon has observed of replicas that ended while they processed requests. It
-// is shared so that all daemons know during which requests replicas ended.
+// EndReport is what a daemon has observed of replicas that crashed while they processed requests.
+// It is shared so that all daemons know during which requests replicas crashed.
 type EndReport struct {
-	// Ended lists replicas that appear to have ended while they processed a request, with the time
-	// since then.
+	// Ended lists replicas that appear to have crashed while they processed a request, with the
+	// time since then.
 	Ended []quarantine.Aged
-	// Alive lists replicas that were reported as ended and have answered since.
+	// Alive lists replicas that were reported as crashed and have answered since.
 	Alive []quarantine.Alive
-	// Served lists requests in the group's record that were served to completion.
+	// Served lists requests in the group's quarantine record that have since been served to
+	// completion.
 	Served []quarantine.Fingerprint
 }
 
 // IsEmpty reports whether the report has no entries.
 func (r *EndReport) IsEmpty() bool { return len(r.Ended)+len(r.Alive)+len(r.Served) == 0 }
 
-// Limits of one report. maxEnded applies to each of its lists.
+// Limits of one report. maxReportEntries applies to each of its lists.
 const (
 	maxReportEntries = 512
-	// endedSize is the minimum encoded size of an entry of Ended, aliveSize of an entry of Alive,
-	// and fingerprintSize of a fingerprint.
+	// crashSize is the minimum encoded size of an entry of Ended: fingerprint and replica, five
+	// booleans, Sight, Ran, the three strings of About, and Age. aliveSize is that of an entry of
+	// Alive, and fingerprintSize that of a fingerprint.
 	crashSize       = 4 + 4 + 5 + 8 + 8 + 3*4 + 8
 	aliveSize       = 4 + 8
 	fingerprintSize = 4
 )
 
-// Split divides a report into parts that fit into one message each.
+// Split divides a report into parts that fit into one message each. Entries of Alive and Served
+// beyond maxReportEntries are dropped. An empty report has no parts.
 func (r EndReport) Split() []EndReport {
 	parts := []EndReport{{Alive: r.Alive[:min(len(r.Alive), maxReportEntries)], Served: r.Served[:min(len(r.Served), maxReportEntries)]}}
 	for first := 0; first < len(r.Ended); first += maxReportEntries {
@@ -44,8 +47,9 @@
 	return parts
 }
 
-// EncodeEnds encodes a report for a file or another member. Each list must hold at most maxEnded
-// entries.
+// EncodeEnds encodes a report for a frame. Members also use it for messages among themselves and
+// for the file in which they store crashes. Each list must hold at most maxReportEntries entries.
+// See quarantine.Evidence for the fields of an entry.
 func EncodeEnds(report EndReport) []byte {
 	encoder := frame.NewEncoder(nil)
 	encoder.Uint32(uint32(len(report.Ended)))
@@ -76,7 +80,8 @@
 	return encoder.Data()
 }
 
-// DecodeEnds decodes the output of EncodeEnds.
+// DecodeEnds decodes the output of EncodeEnds. It returns an error of package frame if the data is
+// malformed or a list exceeds maxReportEntries.
 func DecodeEnds(data []byte) (EndReport, error) {
 	decoder := frame.NewDecoder(data)
 	var report EndReport
@@ -92,7 +97,8 @@
 	return report, decoder.Finish()
 }
 
-// decodeCount reads the length of a list in a report and fails the decoder if it exceeds maxEnded.
+// decodeEntryCount reads the length of a list in a report and fails the decoder if it exceeds
+// maxReportEntries.
 func decodeEntryCount(decoder *frame.Decoder, size int) int {
 	count := decoder.Count(size)
 	if count > maxReportEntries {
@@ -127,7 +133,7 @@
 }
 
 // ReportEnds sends a report to the leader, or to a standby member if no leader is available. It
-// returns false if any part was dropped.
+// returns false if there is no session or any part was dropped; the other parts were sent.
 func (c *Client) ReportEnds(report EndReport) bool {
 	return sendCrashReport(c.placementSession(), report)
 }
@@ -152,17 +158,18 @@
 	return nil
 }
 
-// UnrecordedPause is the interval at which ends that can't be read from the committed record are
-// sent to a daemon again. As long as a daemon receives them, it knows that nobody else decides by
+// UnrecordedPause is the interval at which crashes that are not in the committed quarantine record
+// are sent to a daemon again. They are sent while the group has no leader or can't commit, and
+// therefore does not quarantine requests by them; a daemon decides by itself as long as it receives
 // them.
 const UnrecordedPause = time.Second
 
-// minUnrecordedInterval is the minimum time between two such reports to a daemon, since changes
-// come in bursts.
+// minUnrecordedInterval is the minimum time between two such reports to a daemon, so that several
+// crashes in a short time are sent together.
 const minUnrecordedInterval = 100 * time.Millisecond
 
-// writeUnrecorded sends the ends that are not in the committed record, if there are any that the
-// daemon does not know or that were last sent some time ago.
+// writeUnrecordedCrashes sends the crashes that are not in the committed record, if there are any
+// that the daemon does not know or that were last sent some time ago.
 func (s *subscriber) writeUnrecordedCrashes(writer *frame.Writer) error {
 	report, generation := s.server.config.Group.Unrecorded()
 	now := s.server.config.Clock()
@@ -182,7 +189,8 @@
 	return nil
 }
 
-// receiveEnds handles a member's report of ends that are not in the committed record.
+// receiveUnrecordedCrashes handles a member's report of crashes that are not in the committed
+// record.
 func (s *session) receiveUnrecordedCrashes(payload []byte) error {
 	report, err := DecodeEnds(payload)
 	if err != nil {
--- a/connection/feed/feed_test.go
+++ b/connection/feed/feed_test.go
@@ -89,11 +89,11 @@
 		claimed <- err
 	}
 	go claim()
-	<-refused // by a leader that is about to step down
+	<-refused // the leader, which is about to step down, has refused the first claim
 	first.setLeadership(false, false, 1, "")
 	firstServer.Wake()
 	eventually(t, "the end of the subscription", func() bool { return !client.Connected() })
-	go claim() // while nobody leads
+	go claim() // a second claim while there is no leader
 	second.setLeadership(true, true, 2, "")
 	secondServer.Wake()
 	must.NoError(t, <-claimed)
@@ -172,6 +172,8 @@
 	must.NoError(r.t, r.writer.Flush())
 }
 
+// A subscriber that reads slowly receives all changes, usually in fewer deltas than there were
+// changes; their number is only logged.
 func TestSlowSubscriberGetsCoalescedDeltas(t *testing.T) {
 	group := newFakeGroup()
 	server, address := startServer(t, group)
@@ -380,8 +382,9 @@
 	must.Error(t, err)
 }
 
-// FuzzMessages decodes arbitrary bytes as each message. They are rejected, or decoded and encoded
-// to the same bytes again.
+// FuzzMessages decodes arbitrary bytes as messages, which must not panic. Subscriptions,
+// heartbeats, claims and outcomes that are accepted must be encoded to the same bytes again, and
+// requests in flight to the same message.
 func FuzzMessages(f *testing.F) {
 	f.Add(encodeSubscribe(subscribe{daemon: "proxy", instance: 1, zone: "zone"}))
 	f.Add(encodeSubscribe(subscribe{daemon: "proxy", standby: true}))
--- a/connection/feed/follow.go
+++ b/connection/feed/follow.go
@@ -12,8 +12,8 @@
 	"github.com/pkg/errors"
 )
 
-// follow connects to one member after the other until the client is closed. If a member named the
-// leader, that address is tried first.
+// runConnections connects to one member after the other until the client is closed. If a member
+// named the leader, that address is tried first.
 func (c *Client) runConnections() {
 	next, backoff := rand.IntN(len(c.config.Addresses)), c.config.BackoffMin
 	leaderAddress := ""
@@ -34,9 +34,10 @@
 		}
 		followedRedirect := leaderAddress != ""
 		leaderAddress = nextLeaderAddress
-		// The first hint, or the announcement of a leader that it stepped down, is followed
-		// immediately. A hint that led to another hint or to a failure waits for the backoff, so
-		// that two members naming each other cause little load.
+		// The first redirect is followed immediately, and so is the end of a session whose leader
+		// announced that it stepped down. After a redirect that led to another redirect, or after a
+		// failure, the client waits for the backoff, so that two members that redirect to each
+		// other cause little load.
 		if nextLeaderAddress != "" && !followedRedirect || served && errors.Is(err, errNotLeader) {
 			continue
 		}
@@ -59,8 +60,8 @@
 	return addresses
 }
 
-// connect serves one connection until it ends. It reports whether a leader served it, and the
-// leader address that the member named.
+// serveConnection serves one connection until it ends. It reports whether a leader served it, and
+// the leader address that the member named, if any.
 func (c *Client) serveConnection(address string) (served bool, leaderAddress string, err error) {
 	conn, err := c.config.Dial(c.context, "tcp", address)
 	if err != nil {
@@ -72,13 +73,13 @@
 	return current.ready, leaderAddress, err
 }
 
-// jitteredBackoff returns a random duration from the upper half of the range up to limit.
+// jitteredBackoff returns a random duration between half of limit and limit.
 func jitteredBackoff(limit time.Duration) time.Duration {
 	return limit/2 + rand.N(limit/2+1)
 }
 
-// call sends one request and waits for its reply. If the leader announced that it stepped down and
-// definitely did not take the request, call sends it to the next leader.
+// callLeader sends one request and waits for its reply. If the leader announced that it stepped
+// down and definitely did not accept the request, callLeader sends it to the next leader.
 func (c *Client) callLeader(ctx context.Context, kind frame.Kind, encode func(id uint64) []byte) (reply, error) {
 	select {
 	case c.callSlots <- struct{}{}:
@@ -130,8 +131,8 @@
 	}
 }
 
-// abandonCall returns ErrNoQuorum if the request was definitely not sent, and ErrOutcomeUnknown if
-// it may have been.
+// abandonCall stops waiting for a reply. It returns the reply if it has just arrived, ErrNoQuorum
+// if the request was definitely not sent, and ErrOutcomeUnknown if it may have been.
 func abandonCall(request *outgoing, waiting chan reply, cause string) (reply, error) {
 	select {
 	case answer := <-waiting:
--- a/connection/feed/group_test.go
+++ b/connection/feed/group_test.go
@@ -87,6 +87,7 @@
 	g.apply(state.Command{Kind: state.CommandTransaction, Transaction: transaction})
 }
 
+// setLeadership sets the member's role; leased says whether a leader has a valid leader lease.
 func (g *fakeGroup) setLeadership(leads, leased bool, term uint64, address string) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -294,6 +295,7 @@
 	r.conns = nil
 }
 
+// putMany writes tenants one by one and returns the last revision.
 func putMany(g *fakeGroup, prefix string, count int) (revision uint64) {
 	for i := range count {
 		revision = g.put(fmt.Sprintf("%s-%d", prefix, i))
--- a/connection/feed/handover.go
+++ b/connection/feed/handover.go
@@ -8,7 +8,7 @@
 
 // refusedWaitDivisor divides HandoverWait. The result is how long a refused request waits for its
 // leader to announce that it stepped down. A leader refuses commands from the start of a handover,
-// shortly before it redirects its subscribers.
+// shortly before it redirects its subscribers, so a small part of HandoverWait suffices.
 const refusedWaitDivisor = 5
 
 // handover tracks an announced change of leader, so that callers can wait for the next one.
@@ -16,21 +16,21 @@
 	lock           sync.Mutex
 	wait           time.Duration
 	deadline       time.Time     // callers wait for the next leader until then
-	sessionStarted chan struct{} // closed when a session begins
+	sessionStarted chan struct{} // closed and replaced when a leader starts to serve the client
 }
 
 func newHandover(wait time.Duration) *handover {
 	return &handover{wait: wait, sessionStarted: make(chan struct{})}
 }
 
-// begin allows callers to wait for the next session from now on.
+// expectLeader lets callers wait for the next leader's session from now on.
 func (h *handover) expectLeader() {
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	h.deadline = time.Now().Add(h.wait)
 }
 
-// end wakes the callers that wait for a session.
+// leaderReady wakes the callers that wait for a leader's session.
 func (h *handover) leaderReady() {
 	h.lock.Lock()
 	defer h.lock.Unlock()
@@ -39,6 +39,8 @@
 	h.sessionStarted = make(chan struct{})
 }
 
+// status returns the channel that is closed when a leader starts to serve the client, and the time
+// until which callers may wait for that, zero if no handover was announced.
 func (h *handover) status() (sessionStarted <-chan struct{}, deadline time.Time) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
@@ -60,8 +62,8 @@
 	}
 }
 
-// leaderSteppedDown waits briefly for the session to end and reports whether its leader announced
-// that it stepped down.
+// awaitStepDown waits up to a fraction of HandoverWait (refusedWaitDivisor) for the session to end
+// and reports whether its leader announced that it stepped down.
 func (s *session) awaitStepDown(ctx context.Context) bool {
 	return waitClosed(ctx, s.ended, s.client.config.HandoverWait/refusedWaitDivisor) && s.steppedDown
 }
--- a/connection/feed/incarnation_test.go
+++ b/connection/feed/incarnation_test.go
@@ -31,8 +31,8 @@
 }
 
 // A restarted proxy has reported that it is ready. A report of its previous process may still
-// arrive late on the old connection. It must be ignored, or it would remove the proxy from the
-// directory.
+// arrive late on the old connection. It must be ignored, or the proxy would no longer be listed for
+// callers.
 func TestLatePresenceOfAnEarlierProcessIsIgnored(t *testing.T) {
 	group := newFakeGroup()
 	_, address := startServer(t, group)
@@ -54,9 +54,9 @@
 	must.False(t, last.Stopping)
 }
 
-// Guards against a proxy that was never listed for callers: after a later subscription of its
-// daemon, such as a standby one, had ended, presence reports on the earlier subscription were
-// dropped for as long as that stayed open.
+// When a later subscription of a daemon has ended, presence reports on an earlier one that is still
+// open count again. If they were dropped, the proxy would not be listed for callers as long as the
+// earlier subscription stays open.
 func TestPresenceCountsAgainAfterTheLaterSubscriptionEnds(t *testing.T) {
 	group := newFakeGroup()
 	server, address := startServer(t, group)
--- a/connection/feed/latest.go
+++ b/connection/feed/latest.go
@@ -6,7 +6,7 @@
 )
 
 // latestSubscriptions tracks which of a daemon's open subscriptions is the latest. An earlier
-// subscription belongs to a process that has ended, or is a connection that its process has
+// subscription belongs to an instance that has exited, or is a connection that its instance has
 // abandoned; anything that still arrives on it is outdated. Standby subscriptions are not tracked.
 type latestSubscriptions struct {
 	lock sync.Mutex
@@ -36,8 +36,9 @@
 	l.byDaemon[daemon] = remaining
 }
 
-// runIfLatest calls act if the subscription, which must be open, is the latest of its daemon. No
-// later one is added until act has returned; act must not block.
+// runIfLatest calls act if the subscription is the latest of its daemon. No later one is added
+// until act has returned; act must not block. runIfLatest panics if the daemon has no open
+// subscription.
 func (l *latestSubscriptions) runIfLatest(daemon string, number uint64, act func()) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
--- a/connection/feed/messages.go
+++ b/connection/feed/messages.go
@@ -10,7 +10,8 @@
 	"github.com/pkg/errors"
 )
 
-// Protocol identifies the feed protocol in the preface of every connection.
+// Protocol identifies the feed protocol in the preface of every connection. Peers with a different
+// version don't communicate, so any change to an encoding in this package raises the version.
 var Protocol = frame.Protocol{ID: 2, Version: 11}
 
 // Frame kinds, with the sender and the payload. A subscriber sends kindSubscribe first and only
@@ -19,7 +20,7 @@
 	kindSubscribe      frame.Kind = iota + 1 // subscriber: subscribe
 	kindDelta                                // server: view.Delta
 	kindHeartbeat                            // subscriber: heartbeat
-	kindLeaseGrant                           // server: grant
+	kindLeaseGrant                           // server: leaseGrant
 	kindNotLeader                            // server: notLeader; the connection ends
 	kindClaim                                // subscriber: request ID, state.ClaimRequest
 	kindClaimReply                           // server: request ID, replyCode, api.ClaimResult
@@ -28,7 +29,7 @@
 	kindDemand                               // subscriber: DemandReport
 	kindPresence                             // subscriber: Presence
 	kindPlace                                // subscriber: request ID, PlaceRequest
-	kindPlaceReply                           // server: request ID, placement.Answer
+	kindPlaceReply                           // server: request ID, decided, placement.Answer, replicas
 	kindPlaceNote                            // subscriber: PlaceNote
 	kindCachedParts                          // subscriber: KeptParts
 	kindStandbyReady                         // server, to a standby subscription: empty
@@ -36,17 +37,18 @@
 	kindCrashes                              // either side: EndReport
 	kindUsage                                // subscriber: UsageReport
 	kindCharge                               // subscriber: request ID, ChargeRequest
-	kindChargeReply                          // server: request ID, quota.Grant
+	kindChargeReply                          // server: request ID, decided, quota.Grant
 	kindRefund                               // subscriber: ChargeRequest
 	kindSubsetReplicas                       // server, to a partial subscription: subsetReplicas
 )
 
-// Payload limits in bytes. A server accepts only small frames from subscribers; a view of ten
-// thousand engines takes several megabytes.
 const (
+	// maxSubscriberPayload and maxServerPayload limit payloads in bytes by their sender.
+	// Subscribers send only small frames; a view of ten thousand replicas takes several megabytes.
 	maxSubscriberPayload = 1 << 20
 	maxServerPayload     = 256 << 20
-	// maxDemands limits the entries of one demand report.
+	// maxDemands limits the entries of one demand report. The server ends a connection that sends
+	// a longer one.
 	maxDemands = 4096
 )
 
@@ -58,7 +60,7 @@
 	instance uint64
 	zone     string
 	version  view.Version
-	// standby requests placements only, from any member that has a view.
+	// standby requests a standby subscription, which any member with a view accepts.
 	standby bool
 	// partial requests only the daemon's own subset of the replicas; shares is the subset that the
 	// held version contains.
@@ -66,17 +68,19 @@
 	shares  shares
 }
 
-// heartbeat requests a renewal of the view lease and acknowledges a version. A relay may hold
-// versions that it has not acknowledged yet.
+// heartbeat requests a renewal of the view lease and acknowledges a version. With sequence 0 it
+// only acknowledges. A daemon whose views are an Acknowledger, such as a relay, may hold versions
+// that it has not acknowledged yet.
 type heartbeat struct {
 	sequence uint64
 	acked    view.Version
 	held     view.Version
 }
 
-// grant renews the view lease for the duration, counted from when the heartbeat with the sequence
-// was sent. wallClock is the group's wall-clock time in Unix milliseconds when the grant was sent,
-// 0 if unknown.
+// leaseGrant renews the view lease for the duration, counted from when the heartbeat with the
+// sequence was sent; with sequence 0 it renews nothing. term is the leader's term. wallClock is the
+// group's wall-clock time in Unix milliseconds when the grant was sent, 0 if unknown. The lease is
+// sent in whole milliseconds, other durations of the protocol in nanoseconds.
 type leaseGrant struct {
 	sequence  uint64
 	lease     time.Duration
@@ -89,7 +93,8 @@
 
 // Presence is a proxy's report of whether callers should be directed to it.
 type Presence struct {
-	// Proxy is the proxy's name. The report may reach the leader through a relay.
+	// Proxy is the proxy's name. A relay with a feed of its own forwards the report to the leader;
+	// a PlacementRelay does not.
 	Proxy string
 	// Address is where callers reach the proxy, as IP and port.
 	Address string
@@ -121,11 +126,11 @@
 	return message, decoder.Finish()
 }
 
-// replyCode is the result of a claim or an outcome at the server.
+// replyCode is the result of a request at the server.
 type replyCode uint8
 
 const (
-	replyDone    replyCode = iota + 1 // committed; the result is valid
+	replyDone    replyCode = iota + 1 // committed, or decided for placements and charges; the result is valid
 	replyRefused                      // definitely not proposed
 	replyUnknown                      // proposed, but the outcome is unknown
 )
@@ -141,7 +146,8 @@
 	code      replyCode
 }
 
-// Demand is the load offered to one proxy for one intent and class.
+// Demand is the load offered to one proxy for one intent and class, which are named as the objects
+// of these kinds in the view.
 type Demand struct {
 	Intent             string
 	Class              string
@@ -156,7 +162,7 @@
 }
 
 // DemandReport is the load offered to one proxy over the window that ends now. Reports of
-// consecutive windows add up; none is sent twice.
+// consecutive windows add up; none is sent twice. It may hold at most maxDemands demands.
 type DemandReport struct {
 	Window  time.Duration
 	Demands []Demand
@@ -208,7 +214,7 @@
 		return heartbeat{}, err
 	}
 	if message.acked.Compare(message.held) > 0 {
-		return heartbeat{}, errors.Wrapf(errProtocol, "acknowledged version %d exceeds the held version", message.acked.Revision)
+		return heartbeat{}, errors.Wrapf(errProtocol, "acknowledged revision %d exceeds the held one", message.acked.Revision)
 	}
 	return message, nil
 }
--- a/connection/feed/partial.go
+++ b/connection/feed/partial.go
@@ -15,17 +15,17 @@
 	"github.com/pkg/errors"
 )
 
-// A daemon that asks the leader for placements needs few replicas of a large service itself: some
-// to choose from while no member answers, and those named by answers. A partial subscription
-// delivers the full view except for the replicas, of which it delivers the daemon's own subset. An
-// answer that names a replica outside the subset carries that replica. So neither the bytes sent
-// to a daemon nor the state it holds grow with the number of replicas.
-
-// shares holds which part of each service's replicas a daemon follows. A service without an entry
-// is followed entirely.
+// A partial subscription delivers the full view except for the replicas, of which it delivers the
+// daemon's own subset. The daemon chooses among these while no member answers its placements. A
+// placement reply that names a replica outside the subset includes that replica. So neither the
+// bytes sent to a daemon nor the state it holds grow with the number of replicas.
+
+// shares holds the size of a daemon's subset for each service: with a share of k, the subset
+// contains about one in 2^k of the service's replicas. A service without an entry has share 0,
+// which is all replicas.
 type shares map[string]subset.Share
 
-// includes reports whether the daemon follows the replica.
+// includes reports whether the replica is in the daemon's subset.
 func (s shares) includes(daemon string, replica *api.Replica) bool {
 	return s[replica.Spec.Service].Includes(daemon, replica.Name)
 }
@@ -54,7 +54,7 @@
 	full          encodedDelta
 	replicas      []hashedReplica
 	fullEncodedAt time.Duration
-	// noDeltaThrough is the highest revision known to be too old for an incremental delta.
+	// fullOnlyThrough is the highest revision known to be too old for an incremental delta.
 	fullOnlyThrough uint64
 	// latest is the most recent incremental delta that was requested. payload is its encoding, nil
 	// until needed.
@@ -69,8 +69,8 @@
 	hash    uint64
 }
 
-// currentShares returns the shares of the group's view. They are recomputed only if replicas have
-// changed.
+// currentShares returns the shares for the group's current view. It recomputes and stores them if
+// replicas may have changed.
 func (p *partialViewCache) currentShares(group Group) shares {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -96,9 +96,9 @@
 		slices.ContainsFunc(delta.Removed, func(key api.Key) bool { return key.Kind == api.KindReplica })
 }
 
-// since returns the delta from the given version, which is the same for all subscriptions at that
-// version. Building a full delta takes time proportional to the number of objects, so a full one
-// is returned without contents.
+// deltaSince returns the delta from the given version, which is the same for all subscriptions at
+// that version, and false if there is nothing to send. Building a full delta takes time
+// proportional to the number of objects, so if one is needed the result has only Full set.
 func (p *partialViewCache) deltaSince(group Group, from view.Version) (view.Delta, bool) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -156,7 +156,7 @@
 	return p.full, p.replicas, nil
 }
 
-// subsetReplicas holds the replicas that a daemon follows of the full view in the next delta.
+// subsetReplicas holds the daemon's replicas for the full view in the next delta frame.
 type subsetReplicas struct {
 	version  view.Version
 	shares   shares
@@ -198,7 +198,8 @@
 	}
 }
 
-// maxShare is the highest share that a message may contain.
+// maxShare is the highest share that a message may contain. A share is a number of bits of a 64-bit
+// hash.
 const maxShare = 63
 
 func decodeShares(decoder *frame.Decoder) shares {
@@ -227,10 +228,10 @@
 	return replica
 }
 
-// writePartial writes the delta from the version sent last to the current one. Changes that don't
-// affect how the daemon serves wait for its next heartbeat and are sent together with later ones.
-// Otherwise, when a thousand daemons start, the arrival of each would be sent to all others at
-// once.
+// writePartial writes the delta from the version sent last to the current one. Changes in the set
+// of daemons don't affect how the daemon serves; they wait for its next heartbeat and are sent
+// together with later ones. Otherwise, when a thousand daemons start, each arrival would be sent
+// separately to all others.
 func (s *subscriber) writePartial(ctx context.Context, writer *frame.Writer, sent view.Version, heartbeatPending bool) error {
 	group := s.server.config.Group
 	current := s.server.partial.currentShares(group)
@@ -273,7 +274,8 @@
 	return own
 }
 
-// isUrgent reports whether a delta contains anything other than changes in the set of daemons.
+// changesMoreThanProxies reports whether a delta contains anything other than changes in the set of
+// proxies.
 func changesMoreThanProxies(delta view.Delta) bool {
 	return slices.ContainsFunc(delta.Objects, func(o api.Object) bool { return o.Proxy == nil }) ||
 		slices.ContainsFunc(delta.Removed, func(key api.Key) bool { return key.Kind != api.KindProxy })
@@ -336,14 +338,16 @@
 	return nil
 }
 
-// Lister is a Group that knows replicas which are not in its view.
+// Lister is implemented by a Group that knows replicas which are not in its view.
 type Lister interface {
+	// Listed returns the named replica, whether it is in the view or not, or nil if it is unknown.
 	Listed(name string) *api.Replica
 }
 
-// replicasOutsideSubset returns the named replicas that the daemon does not follow. It returns
-// none for a full subscription. The daemon is the origin of the request, or the subscriber itself
-// if origin is empty.
+// replicasOutsideSubset returns the named replicas that are outside the daemon's subset; if the
+// group is a Lister, whose view is itself a subset, it returns all of them that are known. It
+// returns none for a full subscription. The daemon is the origin of the request, or the subscriber
+// itself if origin is empty.
 func (s *subscriber) replicasOutsideSubset(origin string, names ...string) []*api.Replica {
 	if !s.partial {
 		return nil
@@ -369,8 +373,8 @@
 	return outside
 }
 
-// namedReplicas caches replicas outside the daemon's subset that answers have named. It holds two
-// generations, so that at least the last maxNamedPerGeneration replicas are kept.
+// namedReplicas caches replicas outside the daemon's subset that placement replies have included.
+// It holds two generations, so that at least the last maxNamedPerGeneration replicas are kept.
 type namedReplicas struct {
 	lock              sync.Mutex
 	current, previous map[string]*api.Replica
@@ -400,5 +404,6 @@
 	return n.previous[name]
 }
 
-// Listed returns a replica outside the daemon's subset that a recent answer has named, or nil.
+// Listed returns a replica outside the daemon's subset that a recent placement reply has included,
+// or nil.
 func (c *Client) Listed(name string) *api.Replica { return c.namedReplicas.find(name) }
--- a/connection/feed/partial_test.go
+++ b/connection/feed/partial_test.go
@@ -67,9 +67,9 @@
 	return client, read
 }
 
-// The size of a partial view must not grow with the number of replicas. A full view of ten
-// thousand replicas kept a proxy's link busy for more than a second, and the leader's link for the
-// sum of all proxies.
+// The size of a partial view must not grow with the number of replicas. Otherwise the view of a
+// service with ten thousand replicas takes a proxy's link more than a second, and the leader's link
+// the time of all proxies together.
 func TestPartialViewSizeIsIndependentOfReplicaCount(t *testing.T) {
 	viewBytes := map[int]int64{}
 	for _, size := range []int{200, 10_000} {
@@ -81,6 +81,7 @@
 		_, read := startPartial(t, "proxy-1", holder, address)
 		eventually(t, "the view", func() bool { return holder.Load().Version.Revision == 2 })
 		must.MapContainsKey(t, holder.Load().Tenants, "water")
+		// A subset has between 128 and 255 replicas on average; all 200 are included.
 		must.Between(t, 90, len(holder.Load().Replicas), 255, must.Sprint(size))
 		viewBytes[size] = read.Load()
 	}
@@ -120,8 +121,8 @@
 	check(5, func(number int) bool { return number >= 100 && number < 200 })
 }
 
-// A daemon that reconnects with the version and the subset that it holds receives only later
-// changes.
+// A daemon that reconnects with the version and the subset that it holds receives the later changes
+// and keeps its replicas.
 func TestPartialViewsResumeFromTheHeldVersion(t *testing.T) {
 	group := newFakeGroup()
 	server, address := startServer(t, group)
@@ -170,6 +171,7 @@
 		must.Eq(t, !subset.ShareOf(1000, 0).Includes("proxy-1", name), len(outside) == 1, must.Sprint(name))
 		outsideCount += len(outside)
 	}
+	// The share of 1000 replicas is 2, so about 750 are outside the subset.
 	must.Between(t, 500, outsideCount, 950)
 	must.SliceEmpty(t, (&subscriber{server: server}).replicasOutsideSubset("", "r-00001"))
 }
--- a/connection/feed/placement.go
+++ b/connection/feed/placement.go
@@ -13,9 +13,10 @@
 // PlaceRequest asks where to send a request of a service.
 type PlaceRequest struct {
 	Service string
-	Number  uint64 // the daemon's own number, used in notes
+	Number  uint64 // the daemon's own number for the request, used in notes
 	Ask     placement.Ask
-	// Origin is the daemon on whose behalf another one asks; empty for the sender itself.
+	// Origin is the daemon on whose behalf another one asks, as the string form "name#instance" of
+	// its daemonKey; empty for the sender itself.
 	Origin string
 }
 
@@ -27,13 +28,15 @@
 	Origin  string // as in PlaceRequest
 }
 
-// ErrNotPlaced says that no member placed the request; the daemon then decides by its local state.
+// ErrNotPlaced says that no member placed the request, for example because there is no session, the
+// send queue is full, the member declined or the answer took too long. The daemon then decides by
+// its local state.
 var ErrNotPlaced = errors.New("feed: no member placed the request")
 
 // Limits of a placement request.
 const (
 	maxPromptParts  = 256
-	maxReplicaNames = 512 // per list of names; no service has this many paused replicas, even when half of them pause
+	maxReplicaNames = 512 // per list; enough for half of a large service to be excluded; longer lists are cut
 	// Minimum sizes of encoded list elements.
 	partSize = 4 + 4
 	nameSize = 4
@@ -49,6 +52,7 @@
 	return encoder.Data()
 }
 
+// encodeAsk encodes what the member needs to place the request; see placement.Ask for the fields.
 func encodeAsk(encoder *frame.Encoder, ask *placement.Ask) {
 	encoder.Uint32(uint32(ask.Prompt))
 	encoder.Uint32(uint32(ask.Output))
@@ -133,12 +137,12 @@
 	return ask
 }
 
-// placeReply answers a placement request; found is false if this member places nothing.
+// placeReply answers a placement request; decided is false if this member does not decide.
 type placeReply struct {
 	requestID uint64
 	decided   bool
 	answer    placement.Answer
-	// named holds the replicas in the answer that are outside the subset of a partial
+	// replicas holds the replicas in the answer that are outside the subset of a partial
 	// subscription.
 	replicas []*api.Replica
 }
@@ -155,6 +159,7 @@
 	return encoder.Data()
 }
 
+// encodeAnswer encodes a decision; see placement.Answer for the fields.
 func encodeAnswer(encoder *frame.Encoder, answer *placement.Answer) {
 	encoder.String(answer.Generator)
 	encoder.String(answer.Reader)
@@ -195,6 +200,7 @@
 	}
 }
 
+// encodePlaceNote encodes a note; see placement.Note for the fields.
 func encodePlaceNote(note PlaceNote) []byte {
 	encoder := frame.NewEncoder(nil)
 	encoder.String(note.Service)
@@ -215,8 +221,9 @@
 }
 
 // Place asks the leader where to send a request, or a standby member if no leader is available. It
-// returns ErrNotPlaced if there is no answer before ctx ends. Asking has no lasting effect.
-// Requests on behalf of another daemon go to the leader only.
+// returns ErrNotPlaced if there is no session, the send queue is full, the member declines or ctx
+// ends before the answer. Asking has no lasting effect. Requests on behalf of another daemon go to
+// the leader only.
 func (c *Client) Place(ctx context.Context, request PlaceRequest) (placement.Answer, error) {
 	current := c.placementSessionFor(request.Origin)
 	if current == nil {
@@ -230,8 +237,9 @@
 	return answer.placed, nil
 }
 
-// ask sends a request that has no lasting effect and returns its reply. It returns false if there
-// is no reply before ctx ends, or if the peer declines to decide.
+// ask sends a placement or charge request and returns its reply. It returns false if the send queue
+// is full, the connection or ctx ends before the reply, or the peer declines to decide. It does not
+// say whether the request arrived, which only matters for a charge.
 func (s *session) ask(ctx context.Context, kind frame.Kind, encode func(id uint64) []byte) (reply, bool) {
 	requestID := s.client.requestID.Add(1)
 	waiting := s.register(requestID, kind)
@@ -260,7 +268,7 @@
 }
 
 // receivePlace answers a placement request. A leader answers directly; on a standby subscription
-// the answer is made on a separate goroutine, since a relaying daemon has to wait for the leader.
+// the answer is made on a separate goroutine, since a relaying daemon waits for the leader.
 func (s *subscriber) receivePlace(payload []byte) error {
 	requestID, request, err := decodePlace(payload)
 	if err != nil {
@@ -288,7 +296,7 @@
 	s.enqueueResponse(kindPlaceReply, encodePlaceReply(reply))
 }
 
-// originOf returns the daemon on whose behalf a message was sent.
+// originKey returns the key of the daemon on whose behalf a message was sent.
 func (s *subscriber) originKey(origin string) string {
 	if origin != "" {
 		return origin
--- a/connection/feed/placementrelay.go
+++ b/connection/feed/placementrelay.go
@@ -11,16 +11,17 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
-// relayTimeout is how long a relay waits for the leader's answer on behalf of another daemon,
-// which itself waits only a little longer.
+// relayTimeout is how long a relay waits for the leader's answer on behalf of another daemon. It
+// must be shorter than the 30 ms for which a proxy itself waits for a placement or charge.
 const relayTimeout = 25 * time.Millisecond
 
-// PlacementRelay is the Group of a Server that a daemon runs for other daemons. A daemon that can
-// reach this one but no member has its requests placed by the leader through it. Nothing else is
-// served.
+// PlacementRelay is the Group of a Server that a daemon runs for other daemons that can't reach a
+// member. It forwards their placements, notes, charges, refunds, crash reports and usage reports to
+// the leader, and serves or forwards nothing else.
 //
-// It serves only while a leader serves its own client, and does not relay what was already relayed
-// to it, so that no request goes in circles.
+// It serves only while a leader serves its own client. To avoid forwarding loops, it refuses
+// placements, notes, charges and refunds that were already relayed. Crash and usage reports need no
+// such check, since they are sent to the leader only.
 type PlacementRelay struct {
 	client *Client
 	views  Views
@@ -33,7 +34,8 @@
 	return &PlacementRelay{client: client, views: views}
 }
 
-// Place forwards the request to the leader.
+// Place forwards the request to the leader. It returns false if the request was already relayed, or
+// if the leader does not answer within relayTimeout.
 func (r *PlacementRelay) Place(key string, request PlaceRequest) (placement.Answer, bool) {
 	if request.Origin != "" {
 		return placement.Answer{}, false
@@ -58,13 +60,14 @@
 // other way to send it.
 func (r *PlacementRelay) NoteEnds(report EndReport) { sendCrashReport(r.client.session.Load(), report) }
 
-// Unrecorded returns nothing: this daemon keeps no evidence for others.
+// Unrecorded returns nothing: only members collect crashes for other daemons.
 func (r *PlacementRelay) Unrecorded() (EndReport, uint64) { return EndReport{}, 0 }
 
 // NoteUsage forwards the report to the leader.
 func (r *PlacementRelay) NoteUsage(report UsageReport) { r.client.ReportUsage(report) }
 
-// Charge forwards the charge to the leader.
+// Charge forwards the charge to the leader. It returns false if the charge was already relayed, or
+// if the leader does not answer within relayTimeout.
 func (r *PlacementRelay) Charge(request ChargeRequest) (quota.Grant, bool) {
 	if request.Passed {
 		return quota.Grant{}, false
@@ -85,7 +88,7 @@
 	r.client.ReturnCharge(request)
 }
 
-// Day returns 0, since this daemon distributes no time.
+// Day returns 0, since a relay does not distribute the group's wall-clock time.
 func (r *PlacementRelay) Day() int64 { return 0 }
 
 // Version returns the version of the views while a leader serves the client, and zero otherwise,
--- a/connection/feed/placementrelay_test.go
+++ b/connection/feed/placementrelay_test.go
@@ -115,7 +115,7 @@
 }
 
 // A daemon that is cut off from the members has its requests placed by the leader through another
-// daemon, under its own name. Nothing else is relayed.
+// daemon, with its own daemon key as the origin. The relay serves no view and no claim.
 func TestPlacementsAreRelayedByAnotherDaemon(t *testing.T) {
 	group := newRecordingGroup()
 	_, leader := startServer(t, group)
--- a/connection/feed/registry.go
+++ b/connection/feed/registry.go
@@ -10,7 +10,7 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
-// daemonKey identifies one process of a daemon.
+// daemonKey identifies one instance of a daemon. Its string form is "name#instance".
 type daemonKey struct {
 	daemon   string
 	instance uint64
@@ -30,21 +30,22 @@
 	return key
 }
 
-// registry holds the acknowledgements and view leases of one leader's term.
+// termLeases holds the acknowledgements and view leases of one leader's term.
 type termLeases struct {
 	term    uint64
 	lease   time.Duration
 	tracker *view.Tracker
 }
 
-// newRegistry starts a term. version is the leader's own, which covers everything that earlier
+// newTermLeases starts a term. version is the leader's own, which covers everything that earlier
 // leaders may have reported as in force.
 //
-// Leases of earlier leaders are waited for, except if nothing was ever accepted: in that case a
-// daemon can only hold the empty view, by which it serves nothing.
+// The term waits for the leases of earlier leaders to expire, unless the group is empty: then a
+// daemon can only hold the empty view, with which it serves nothing.
 func newTermLeases(term uint64, version view.Version, lease, now time.Duration) *termLeases {
 	l := &termLeases{term: term, lease: lease, tracker: view.NewTracker(lease)}
 	if version.IsZero() {
+		// Two leases exceed the tracker's grace period, which is one lease plus clock drift.
 		now -= 2 * lease
 	}
 	l.tracker.Reset(now)
@@ -52,15 +53,18 @@
 	return l
 }
 
-// InForce reports how far a version has reached the daemons.
+// InForce reports whether a version is in force, that is, whether no daemon may still use an older
+// view, and which daemons it has reached.
 type InForce struct {
 	// Done is true when each daemon has acknowledged the version or holds no lease.
-	Done         bool
+	Done bool
+	// Acknowledged counts the daemons that have acknowledged the version.
 	Acknowledged int
-	// Lapsed names the daemons that this leader has heard from in its term and that hold an older
-	// version without a lease. A daemon that was last heard by an earlier leader is not listed:
-	// its lease expired while the term was Settling.
-	Lapsed  []string
+	// Lapsed names the daemons that have sent this leader a heartbeat in its term and hold an older
+	// version without a lease. Daemons known only to earlier leaders are not listed: their leases
+	// expired while Settling was true.
+	Lapsed []string
+	// Waiting names the daemons that hold a lease on an older version.
 	Waiting []string
 	// Settling is true while leases of an earlier leader may still be valid.
 	Settling bool
@@ -89,8 +93,9 @@
 	return result
 }
 
-// withoutSupersededRuns removes the processes of a daemon whose leases lapsed before a later
-// process of it was heard from. The version they held last no longer describes the daemon.
+// removeSupersededInstances removes the instances of a daemon whose leases lapsed before the lease
+// of a later instance does. The version they held last no longer describes the daemon. It modifies
+// its argument.
 func removeSupersededInstances(instances []view.DaemonStatus) []view.DaemonStatus {
 	latest := make(map[string]time.Duration, len(instances))
 	for _, one := range instances {
@@ -104,8 +109,8 @@
 
 // Daemons reports how many daemons hold a lease and which of them are behind a version.
 type Daemons struct {
-	Leased int
-	Behind []string
+	Leased int      // daemons with a valid lease
+	Behind []string // names of those that have not acknowledged the version
 }
 
 func (l *termLeases) daemons(version view.Version, now time.Duration) Daemons {
--- a/connection/feed/registry_test.go
+++ b/connection/feed/registry_test.go
@@ -40,8 +40,8 @@
 }
 
 // A daemon that is cut off when the leader changes is unknown to the new leader and may hold a
-// lease that the previous leader granted at its very end. Nothing may be in force before that
-// lease has lapsed. The daemon is not named until it is heard from again.
+// lease that the previous leader granted just before it stopped leading. Nothing may be in force
+// before that lease has lapsed. The daemon is not named until it is heard from again.
 func TestNewLeaderWaitsForLeasesOfUnseenDaemons(t *testing.T) {
 	const lease, step = time.Second, time.Millisecond
 	first, second := view.Version{Term: 1, Revision: 1}, view.Version{Term: 2, Revision: 2}
--- a/connection/feed/server.go
+++ b/connection/feed/server.go
@@ -19,7 +19,7 @@
 	"github.com/pkg/errors"
 )
 
-// Leadership is the current role of the serving member in the group.
+// Leadership is the current role of the Server's own member in the group.
 type Leadership struct {
 	// Leads is true for the leader once it has applied everything that earlier leaders committed.
 	Leads bool
@@ -31,11 +31,12 @@
 // Group is the control group as used by a Server. Its methods are called concurrently.
 type Group interface {
 	Leadership() Leadership
-	// Lease returns the term that the member leads. valid is false unless it leads and its leader
-	// lease is valid by a clock read after the call began.
+	// Lease returns the term that the member leads. valid is false unless the member leads and its
+	// leader lease is valid at a time read after the call began.
 	Lease(ctx context.Context) (term uint64, valid bool)
 	// View returns the view applied last and Version its version. DeltaSince returns the delta
-	// that leads to it, and false if there is nothing to send.
+	// that leads to it, and false if there is nothing to send. The delta is a full view if the
+	// group no longer has the changes since from.
 	View() *view.View
 	Version() view.Version
 	DeltaSince(from view.Version) (view.Delta, bool)
@@ -43,23 +44,26 @@
 	// error the outcome is unknown.
 	Claim(ctx context.Context, request state.ClaimRequest) (api.ClaimResult, error)
 	RecordOutcome(ctx context.Context, outcome state.RunOutcome) error
+	// ReportDemand receives the demand reported by the named daemon.
 	ReportDemand(daemon string, report DemandReport)
 	// ReportPresence takes a proxy's presence report, which is repeated with each heartbeat.
 	ReportPresence(presence Presence)
 	// Place decides where to send a request and returns false if the group does not decide.
-	// NotePlaced records the progress of the request. Neither blocks.
+	// NotePlaced records the progress of the request. key is the string form of the daemonKey of
+	// the daemon that asked. Neither blocks, except that a PlacementRelay's Place waits up to
+	// relayTimeout for the leader.
 	Place(key string, request PlaceRequest) (placement.Answer, bool)
 	NotePlaced(key string, note PlaceNote)
 	// NoteKept records which prompt parts a replica is believed to have cached.
 	NoteKept(cached KeptParts)
-	// NoteInFlight replaces the recorded in-flight requests of a daemon.
+	// NoteInFlight replaces the recorded in-flight requests of a daemon; key is as in Place.
 	NoteInFlight(key string, inFlight InFlight)
-	// NoteEnds records the requests during which replicas ended. Unrecorded returns the ends that
-	// daemons should know but can't read from the committed record, empty if there are none;
-	// generation changes whenever the report does.
+	// NoteEnds records the requests during which replicas crashed. Unrecorded returns the crashes
+	// that daemons should know but can't read from the group's committed quarantine record, empty
+	// if there are none; generation changes whenever the report does.
 	NoteEnds(report EndReport)
 	Unrecorded() (report EndReport, generation uint64)
-	// NoteUsage records the usage counters of a process.
+	// NoteUsage records the usage counters of an instance.
 	NoteUsage(report UsageReport)
 	// Charge deducts the cost of a tenant's request from its quota and returns false if this
 	// member keeps no quotas. ReturnCharge refunds a request that did not run.
@@ -69,34 +73,36 @@
 	Day() int64
 }
 
-// ServerConfig configures a Server. Zero durations and limits use the defaults.
+// ServerConfig configures a Server. Durations and limits that are not positive use the defaults.
 type ServerConfig struct {
 	Group Group
 	// ViewLease is how long a daemon may use its view after a granted heartbeat.
 	ViewLease time.Duration
 	// WriteTimeout bounds each write. A subscriber that takes longer is disconnected and resumes
-	// from the version it holds.
+	// from the version it holds. The default is DefaultWriteTimeout.
 	WriteTimeout time.Duration
-	// SilenceTimeout is the time without any frame after which a subscriber is disconnected.
+	// SilenceTimeout is the time without any frame after which a subscriber is disconnected. The
+	// default is twice DefaultSilenceTimeout.
 	SilenceTimeout time.Duration
-	// MaxSubscribers limits the connections, MaxClaims the claims and outcomes in progress on one
-	// connection.
+	// MaxSubscribers limits the connections, MaxClaims the calls in progress on one connection:
+	// claims, outcomes, placements and charges.
 	MaxSubscribers int
 	MaxClaims      int
 	// MaxBulkDeltas limits the subscribers that receive a large delta at the same time; the others
-	// wait. If all daemons restarted together and shared the network evenly, none would receive a
-	// full view before it times out and starts over.
+	// wait. Without the limit, daemons that all restart together would share the network so evenly
+	// that none receives a full view before it times out and starts over.
 	MaxBulkDeltas int
-	// FloorInterval is how often the minimum version is raised: a daemon that has not acknowledged
-	// what was applied one interval ago gets no lease. 0 uses ViewLease.
+	// FloorInterval is how often the minimum version for leases is raised: a daemon that has not
+	// acknowledged what was applied one interval ago gets no lease. The default is ViewLease.
 	FloorInterval time.Duration
-	// Tracker holds the daemons' leases over all terms. nil creates one for each term, as the
-	// leader must.
+	// Tracker holds the daemons' leases over all terms; a relay sets it. nil creates a tracker for
+	// each term. The leader requires that, because a term starts by waiting for the leases of
+	// earlier leaders.
 	Tracker *view.Tracker
 	// Limit returns an upper bound for leases granted now; nil sets no bound.
 	Limit func() time.Duration
-	// Observed, if set, is called after each heartbeat that was taken into account. It is called
-	// concurrently and must not block.
+	// Observed, if set, is called after each heartbeat or acknowledgement that the Tracker has
+	// processed. It is called concurrently and must not block.
 	Observed func()
 	// Clock reads a monotonic clock; nil uses clock.Now.
 	Clock  func() time.Duration
@@ -136,6 +142,8 @@
 
 func noLeaseLimit() time.Duration { return math.MaxInt64 }
 
+// subscriberShards is the number of shards of the subscribers, which limit lock contention between
+// connections that open and close.
 const subscriberShards = 16
 
 type subscriberShard struct {
@@ -156,7 +164,7 @@
 	partial      partialViewCache
 	bulkSlots    chan struct{} // one per large delta in transit
 	openingSlots chan struct{} // one per subscription that is opening
-	wakeups      chan struct{}
+	wakeups      chan struct{} // wakes maintainTermLeases; capacity 1, so that signals coalesce
 	context      context.Context
 	cancel       context.CancelFunc
 	done         sync.WaitGroup
@@ -207,8 +215,9 @@
 // Subscribers returns the number of connections.
 func (s *Server) Subscribers() int { return int(s.connections.Load()) }
 
-// InForce reports how far a revision has reached the daemons. It returns false if this member does
-// not lead with a valid lease. A revision that is not applied yet is not in force.
+// InForce reports whether a revision is in force and which daemons it has reached. It returns false
+// if this member does not lead with a valid lease. For a revision that is not applied yet it
+// returns a zero result and true.
 func (s *Server) InForce(ctx context.Context, revision uint64) (InForce, bool) {
 	current := s.ensureTermLeases(ctx)
 	if current == nil {
@@ -224,7 +233,9 @@
 	return result, s.ensureTermLeases(ctx) == current
 }
 
-// Daemons reports how many daemons follow this leader and which are behind the revision.
+// Daemons reports how many daemons hold a view lease from this member and which of them are behind
+// the revision, whatever its term. Unlike InForce it does not check the leader lease. The result is
+// zero if this member has not led yet.
 func (s *Server) Daemons(revision uint64) Daemons {
 	current := s.termLeases.Load()
 	if current == nil {
@@ -233,8 +244,8 @@
 	return current.daemons(view.Version{Revision: revision}, s.config.Clock())
 }
 
-// leasedRegistry returns the registry of the term that the member leads, or nil without a valid
-// lease.
+// ensureTermLeases returns the leases of the term that the member leads and creates them if the
+// term is new. It returns nil without a valid leader lease or if a newer term is known.
 func (s *Server) ensureTermLeases(ctx context.Context) *termLeases {
 	term, valid := s.config.Group.Lease(ctx)
 	if !valid {
@@ -262,9 +273,9 @@
 	return newTermLeases(term, s.config.Group.Version(), s.config.ViewLease, s.config.Clock())
 }
 
-// maintainTerm starts the registry of a new term and periodically raises the minimum version. A
-// daemon that has not acknowledged what was applied one floor interval ago gets no lease, so that
-// every accepted change is in force within a bounded time.
+// maintainTermLeases creates the leases of a new term and periodically raises the minimum version
+// for leases. A daemon that has not acknowledged what was applied one FloorInterval ago gets no
+// lease, so that every accepted change is in force within a bounded time.
 func (s *Server) maintainTermLeases() {
 	ticker := time.NewTicker(s.config.FloorInterval)
 	defer ticker.Stop()
@@ -274,8 +285,8 @@
 		case <-s.context.Done():
 			return
 		case <-s.wakeups:
-			// A term starts with what was accepted when its leader took over, not with the state
-			// at the first query.
+			// The term's leases are created now rather than at the first query, so that their
+			// minimum version is the one at takeover.
 			s.ensureTermLeases(s.context)
 			continue
 		case <-ticker.C:
@@ -339,11 +350,12 @@
 }
 
 const (
-	// maxOpeningSubscriptions limits the subscriptions that open at the same time. When a leader
-	// is elected, all daemons connect to it at once; serving all their initial requests together
-	// would delay the leader's heartbeats to its group until it loses leadership.
+	// maxOpeningSubscriptions limits the subscriptions that open at the same time. All daemons
+	// connect to a new leader at once; serving all their initial requests together would delay the
+	// leader's heartbeats to its group until it loses leadership.
 	maxOpeningSubscriptions = 16
-	// openingSlotTimeout is how long a connection that sends nothing holds its opening slot.
+	// openingSlotTimeout limits how long a connection holds its opening slot, so that one that
+	// sends nothing does not block the others.
 	openingSlotTimeout = 100 * time.Millisecond
 )
 
--- a/connection/feed/session.go
+++ b/connection/feed/session.go
@@ -15,8 +15,8 @@
 	"github.com/pkg/errors"
 )
 
-// States of an outgoing frame. A compare-and-swap decides between the writer and a caller that
-// gives up, so that "not sent" is definite.
+// States of an outgoing frame. The writer and a caller that gives up change the state with a
+// compare-and-swap, so that a cancelled frame is never written.
 const (
 	frameQueued int32 = iota
 	frameWritten
@@ -48,7 +48,8 @@
 // maxQueuedFrames limits the frames queued for the connection.
 const maxQueuedFrames = 256
 
-// pendingShards is the number of shards of the pending calls.
+// pendingShards is the number of shards of the pending calls, which limit lock contention between
+// concurrent calls.
 const pendingShards = 16
 
 type pendingShard struct {
@@ -70,7 +71,8 @@
 	kindCharge:  kindChargeReply,
 }
 
-// errUnexpectedFrame says that the peer sent a frame that was not requested.
+// errUnexpectedFrame says that the peer sent a frame that was not requested or that must not be
+// sent on this kind of subscription. It is logged as event.FeedMisplacedFrame.
 var errUnexpectedFrame = errors.Wrap(errProtocol, "unexpected frame")
 
 // session is one connection to a leader or a standby member.
@@ -78,11 +80,11 @@
 	client    *Client
 	conn      net.Conn
 	sendQueue chan *outgoing
-	ended     chan struct{}
+	ended     chan struct{} // closed when the connection has ended
 	pending   [pendingShards]pendingShard
-	ready     bool // a delta, a grant or a standby confirmation was received
-	address   string
-	// standby is set for a session that is used for placements only.
+	ready     bool   // a delta, a grant or a standby confirmation was received
+	address   string // of the peer; empty on a standby session
+	// standby is set for a session that serves only while there is no responsive leader.
 	standby bool
 	// pendingSubset holds the replicas for the next full view of a partial subscription.
 	pendingSubset *subsetReplicas
@@ -98,7 +100,8 @@
 	sentAt        map[uint64]time.Duration // by sequence, for heartbeats without a grant
 }
 
-// maxPendingHeartbeats limits the ungranted heartbeats whose send times are stored.
+// maxPendingHeartbeats limits the ungranted heartbeats whose send times are stored. At the limit
+// all of them are discarded, and later grants for them renew nothing.
 const maxPendingHeartbeats = 64
 
 func newSession(client *Client, conn net.Conn) *session {
@@ -136,6 +139,7 @@
 	return leaderAddress, err
 }
 
+// writeLoop sends the subscription, the heartbeats and the queued frames until the session ends.
 func (s *session) writeLoop() {
 	writer := frame.NewWriter(s.conn, Protocol, s.client.config.WriteTimeout)
 	// A failed write closes the connection, which ends the reader and with it the session.
@@ -161,6 +165,7 @@
 	}
 }
 
+// sendSubscribe sends the subscription and the first heartbeat.
 func (s *session) sendSubscribe(writer *frame.Writer) error {
 	config := s.client.config
 	opening := subscribe{
@@ -182,6 +187,7 @@
 	return s.writeHeartbeat(writer)
 }
 
+// writeHeartbeat sends a heartbeat and, if configured, the daemon's presence.
 func (s *session) writeHeartbeat(writer *frame.Writer) error {
 	s.heartbeatLock.Lock()
 	s.sequence++
@@ -222,6 +228,8 @@
 	return writer.Flush()
 }
 
+// readLoop handles the received frames until the connection ends. It returns the leader address
+// that the peer named, if any.
 func (s *session) readLoop() (string, error) {
 	reader := frame.NewReader(s.conn, Protocol, maxServerPayload, s.client.config.SilenceTimeout)
 	for {
@@ -344,7 +352,7 @@
 	}
 }
 
-// receiveGrant renews the view lease from the time at which the granted heartbeat was sent. A
+// receiveLeaseGrant renews the view lease from the time at which the granted heartbeat was sent. A
 // grant for an unknown sequence, such as that of a plain acknowledgement, renews nothing.
 func (s *session) receiveLeaseGrant(payload []byte) error {
 	message, err := decodeLeaseGrant(payload)
@@ -368,7 +376,8 @@
 	return nil
 }
 
-// markReady makes the session available for calls. It is called only by the reading goroutine.
+// markReady makes the session available for calls. The first call also ends the standby session
+// and the wait for the next leader, and calls Served. It is called only by the reading goroutine.
 func (s *session) markReady() {
 	if !s.ready {
 		s.ready = true
@@ -429,6 +438,6 @@
 		return errors.Wrapf(errUnexpectedFrame, "reply of kind %d instead of kind %d", kind, waiting.kind)
 	}
 	delete(shard.calls, requestID)
-	waiting.reply <- answer // buffered for the only reply
+	waiting.reply <- answer // never blocks: capacity 1 and at most one reply
 	return nil
 }
--- a/connection/feed/standby.go
+++ b/connection/feed/standby.go
@@ -12,30 +12,30 @@
 	"github.com/pkg/errors"
 )
 
-// Placements are advisory: they promise nothing and need no quorum. So while no leader serves a
-// client, any member that has a view may place its requests. All clients try the members in the
-// same order, the last leader first, so that clients that reach the same members share one
-// placement state. Another daemon that the leader still serves may relay the requests to the
-// leader (placementrelay.go). A standby member also exchanges reports of replicas that ended under
-// requests, which are facts, and answers quota charges. It serves nothing else: no view, no lease,
-// no claim.
+// Placements are advisory and need no quorum. So while no leader serves a client, any member that
+// has a view may place its requests. All clients try the members in the same order, the last leader
+// first, so that clients that reach the same members share one placement state. Another daemon that
+// the leader still serves may relay the requests to the leader (placementrelay.go). A standby
+// member also exchanges reports of replica crashes, which are valid without a quorum because they
+// are observations. It answers quota charges and accepts what daemons report: usage, demand, cached
+// parts and requests in flight. It sends no view and no lease and commits no claim.
 
 const (
-	// standbyDelay is how long a lost leader is waited for before another member is asked. Most
+	// standbyDelay is how long the client waits for a leader before it asks for standby. Most
 	// leader changes complete within this time.
 	standbyDelay = 150 * time.Millisecond
-	// standbyDialTimeout bounds the dial to a member that may be down.
+	// standbyDialTimeout bounds the dial to a member or relay that may be down.
 	standbyDialTimeout = 300 * time.Millisecond
 	// standbyPause is the delay after a round in which no member served standby.
 	standbyPause = 300 * time.Millisecond
 )
 
-// unansweredLimit is how many consecutive placements a leader may leave unanswered, without
-// sending any other frame, before others are asked as well. The silence timeout closes the
-// connection much later.
+// unansweredLimit is how many consecutive placements and charges a leader may leave unanswered,
+// without sending any other frame, before a standby session is used instead. The silence timeout
+// closes the connection much later.
 const unansweredLimit = 2
 
-// isUnresponsive reports whether the peer has stopped answering placements.
+// isUnresponsive reports whether the peer has stopped answering placements and charges.
 func (s *session) isUnresponsive() bool { return s.unanswered.Load() >= unansweredLimit }
 
 // recordUnanswered counts a placement or charge request that was not answered in time.
@@ -45,8 +45,8 @@
 	}
 }
 
-// recordFrameReceived resets the count of unanswered placements. If the leader was unresponsive,
-// it ends the standby session.
+// recordFrameReceived resets the count of unanswered placements and charges. If the leader was
+// unresponsive, it ends the standby session.
 func (s *session) recordFrameReceived() {
 	if s.unanswered.Swap(0) < unansweredLimit || s.standby {
 		return
@@ -65,7 +65,8 @@
 	return current
 }
 
-// placementSession returns the session to use for placements, or nil.
+// placementSession returns the session to use for placements, or nil: that of a responsive leader,
+// else the standby session, else that of the unresponsive leader.
 func (c *Client) placementSession() *session {
 	if current := c.responsiveLeader(); current != nil {
 		return current
@@ -101,8 +102,8 @@
 	}
 }
 
-// endStandby closes the standby session, if there is one, because a leader serves the client
-// again.
+// endStandby closes the standby session because a leader serves the client again. It returns false
+// if there is none.
 func (c *Client) endStandby() (closed bool) {
 	current := c.standby.Swap(nil)
 	if current == nil {
@@ -133,7 +134,7 @@
 }
 
 // serveStandby tries one member after the other and serves a standby session with the first that
-// accepts until it ends. It returns false if none accepted.
+// accepts until it ends. It returns false if none accepted and a standby session is still needed.
 func (c *Client) serveStandby() bool {
 	for _, address := range c.standbyOrder() {
 		if c.context.Err() != nil || c.responsiveLeader() != nil {
@@ -170,6 +171,7 @@
 	return order
 }
 
+// memberOrder returns the last leader's address, then the other member addresses sorted.
 func (c *Client) memberOrder() []string {
 	order := slices.Sorted(slices.Values(c.addresses()))
 	last := c.lastLeader.Load()
@@ -193,8 +195,8 @@
 	return relays[:min(len(relays), maxStandbyRelays)]
 }
 
-// connectStandby serves one standby session until it ends and reports whether the peer accepted
-// it.
+// serveStandbyConnection serves one standby session until it ends and reports whether the peer
+// accepted it.
 func (c *Client) serveStandbyConnection(address string) (bool, error) {
 	ctx, cancel := context.WithTimeout(c.context, standbyDialTimeout)
 	defer cancel()
@@ -219,7 +221,7 @@
 	s.ready = true
 	s.client.standby.Store(s)
 	if s.client.responsiveLeader() != nil {
-		s.client.endStandby() // a leader connected first
+		s.client.endStandby() // a leader's session was ready first
 		return nil
 	}
 	event.FeedStandby.Log(s.client.config.Logger, "address", s.conn.RemoteAddr())
--- a/connection/feed/standby_test.go
+++ b/connection/feed/standby_test.go
@@ -102,7 +102,8 @@
 	eventually(t, "the end of the standby session", func() bool { return firstServer.Subscribers() == 0 })
 }
 
-// A member that restarted with an empty disk knows no replicas.
+// A member without a view, for example after a restart with an empty disk, refuses standby, and
+// placements go to the next member.
 func TestMemberWithoutAViewRefusesStandby(t *testing.T) {
 	empty, filled := newPlacingGroup("empty", true), newPlacingGroup("filled", false)
 	emptyServer, emptyAddress := startServer(t, empty)
@@ -115,7 +116,7 @@
 	eventually(t, "placement by the other member", func() bool { return placedBy(client) == "filled" })
 }
 
-// An unreachable member is skipped.
+// If the first member is unreachable, the next one serves standby.
 func TestNextMemberServesStandbyWhenOneIsUnreachable(t *testing.T) {
 	first, second := newPlacingGroup("first", true), newPlacingGroup("second", false)
 	firstServer, firstAddress := startServer(t, first)
--- a/connection/feed/subscriber.go
+++ b/connection/feed/subscriber.go
@@ -17,29 +17,28 @@
 	payload []byte
 }
 
-// subscriber is one connection at the server. The pending state per subscriber is bounded: the
-// version sent last instead of queued deltas, the latest heartbeat instead of all, and one slot
-// for each call in progress.
+// subscriber is one connection at the server. Its pending state is bounded: it stores only the
+// version sent last, the latest heartbeat, and the calls in progress, each of which holds a slot.
 type subscriber struct {
 	server *Server
 	conn   net.Conn
-	number uint64 // of the connection, in order of acceptance
-	key    daemonKey
-	wake   chan struct{}
+	number uint64        // of the connection, in order of acceptance
+	key    daemonKey     // set before the subscription is open
+	wake   chan struct{} // wakes the writer; capacity 1, so that signals coalesce
 	// responses has capacity for every call that may be in progress, so that sending to it never
 	// blocks.
 	responses chan response
-	callSlots chan struct{}
+	callSlots chan struct{} // holds an element per call in progress
 	calls     sync.WaitGroup
 
 	// releaseOpeningSlot releases the slot of a subscription that is opening.
 	releaseOpeningSlot func()
 
-	// standby is set for a subscription that gets placements only. It is written before the
-	// subscription is open.
+	// standby is set for a standby subscription (standby.go). It is written before the subscription
+	// is open.
 	standby bool
-	// partial is set for a subscription to the daemon's own subset of the replicas; shares is the
-	// subset that it has been sent. Both are written before the subscription is open, and later
+	// partial is set for a subscription to the daemon's own subset of the replicas; shares defines
+	// the subset that it has been sent. Both are written before the subscription is open, and later
 	// only by the writer.
 	partial bool
 	shares  shares
@@ -52,8 +51,8 @@
 	pendingSequence  uint64 // sequence of the latest heartbeat without a grant, 0 if none
 	bulk             bulkTransfer
 
-	// reportedGeneration is the generation of the unrecorded ends sent last, at reportedAt. Only
-	// the writer uses them.
+	// unrecordedGeneration is the generation of the unrecorded crashes sent last, at
+	// unrecordedSentAt, which is 0 before the first time. Only the writer uses them.
 	unrecordedGeneration uint64
 	unrecordedSentAt     time.Duration
 }
@@ -102,6 +101,8 @@
 	return readErr
 }
 
+// readLoop handles the received frames until the connection ends. The first one must be a
+// subscribe.
 func (s *subscriber) readLoop(ctx context.Context) error {
 	reader := frame.NewReader(s.conn, Protocol, maxSubscriberPayload, s.server.config.SilenceTimeout)
 	first, err := reader.ReadFrame()
@@ -190,8 +191,8 @@
 }
 
 // receivePresence passes on a presence report, unless a later subscription of the daemon is open:
-// its reports supersede this one, whenever this one arrives. Standby subscriptions serve
-// placements only, so their reports are ignored.
+// its reports supersede this one, even if this one arrives after them. Standby
+// subscriptions are for placements, so their presence reports are ignored.
 func (s *subscriber) receivePresence(payload []byte) error {
 	presence, err := decodePresence(payload)
 	if err != nil {
@@ -224,13 +225,14 @@
 	return nil
 }
 
-// checkVersion rejects a version that the group has never had. Such a daemon followed another
-// group, or one that lost all its disks, and its view must not count as an acknowledgement. A
-// leader has applied every version that any daemon can have been sent.
+// checkVersion rejects a version that the group has never had. A daemon with such a version
+// followed another group, or followed this group before it lost all its disks, and must not count
+// as having acknowledged a version of this group. The check is exact, because a leader has applied
+// every version that any daemon can have been sent.
 func (s *subscriber) checkVersion(version view.Version) error {
 	leads := s.server.config.Group.Leadership().Leads
 	if leads && version.Compare(s.server.config.Group.Version()) > 0 {
-		return errors.Wrapf(errProtocol, "version %d is ahead of the group", version.Revision)
+		return errors.Wrapf(errProtocol, "revision %d is ahead of the group", version.Revision)
 	}
 	return nil
 }
@@ -297,6 +299,7 @@
 	}
 }
 
+// writeLoop writes updates and responses until the connection ends.
 func (s *subscriber) writeLoop(ctx context.Context) error {
 	writer := frame.NewWriter(s.conn, Protocol, s.server.config.WriteTimeout)
 	for {
@@ -321,12 +324,15 @@
 	}
 }
 
+// writeResponse writes the response to a call and frees the call's slot.
 func (s *subscriber) writeResponse(writer *frame.Writer, next response) error {
 	<-s.callSlots
 	return writer.WriteFrame(next.kind, next.payload)
 }
 
-// writeUpdates writes the delta to the current version and the grant that is due.
+// writeUpdates writes everything that is due: unrecorded crashes, the delta to the current version
+// and the lease grant; on a standby subscription the confirmation instead of delta and grant. It
+// redirects the subscriber if the member does not lead.
 func (s *subscriber) writeUpdates(ctx context.Context, writer *frame.Writer) error {
 	s.lock.Lock()
 	opened, sent, acked, heartbeatPending, sequence := s.opened, s.sent, s.acked, s.heartbeatPending, s.pendingSequence
@@ -358,8 +364,9 @@
 	return s.writeLeaseGrant(ctx, writer, acked, sequence)
 }
 
-// redirect waits for the responses to the calls in progress, sends the leader's address and ends
-// the connection.
+// redirect waits for the responses to the calls in progress and sends the leader's address. The
+// error that it returns ends the connection; if the responses take longer than WriteTimeout, the
+// connection ends without the address.
 func (s *subscriber) redirect(ctx context.Context, writer *frame.Writer, address string) error {
 	timer := time.NewTimer(s.server.config.WriteTimeout)
 	defer timer.Stop()
@@ -384,8 +391,8 @@
 	return errNotLeader
 }
 
-// writeDelta writes the delta to the current version. heartbeatPending says that the daemon waits
-// for a grant.
+// writeDelta writes the delta to the current version. heartbeatPending says that a heartbeat or an
+// acknowledgement has arrived since the last delta.
 func (s *subscriber) writeDelta(ctx context.Context, writer *frame.Writer, sent view.Version, heartbeatPending bool) error {
 	if s.partial {
 		return s.writePartial(ctx, writer, sent, heartbeatPending)
@@ -407,7 +414,7 @@
 	return s.writeDeltaFrame(writer, payload, to)
 }
 
-// writeVersion writes a delta and records the version that it leads to.
+// writeDeltaFrame writes a delta and records the version that it leads to.
 func (s *subscriber) writeDeltaFrame(writer *frame.Writer, payload []byte, to view.Version) error {
 	if err := writer.WriteFrame(kindDelta, payload); err != nil {
 		return err
@@ -416,7 +423,7 @@
 	defer s.lock.Unlock()
 	s.sent = to
 	if to != s.server.config.Group.Version() {
-		s.signal() // for changes after a cached full view
+		s.signal() // a cached full view may be older than the current version
 	}
 	return nil
 }
@@ -425,9 +432,10 @@
 	return s.server.cache.deltaSince(s.server.config.Group, sent, s.server.config.Clock())
 }
 
-// writeGrant records the acknowledgement and renews the view lease if a heartbeat asks for it. The
-// leader lease is checked here, after everything that may have taken time. A pause after the check
-// does no harm, since the view lease counts from when the daemon asked.
+// writeLeaseGrant records the acknowledgement and renews the view lease if a heartbeat asks for it.
+// The leader lease is checked here, after everything that may have taken time. A pause after the
+// check does no harm: the view lease counts from when the daemon sent its heartbeat, so a grant
+// that is sent late does not end later.
 func (s *subscriber) writeLeaseGrant(ctx context.Context, writer *frame.Writer, acked view.Version, sequence uint64) error {
 	now := s.server.config.Clock()
 	current := s.server.ensureTermLeases(ctx)
--- a/connection/feed/takeover.go
+++ b/connection/feed/takeover.go
@@ -14,7 +14,7 @@
 
 // KeptParts lists the prompt parts that a daemon believes a replica to have cached, the most
 // recently used one last. Daemons send it to a leader or standby member that has just started to
-// serve them, so that it need not relearn where their requests have left cached parts.
+// serve them, which otherwise would learn only from new requests which parts are cached where.
 type KeptParts struct {
 	Service string
 	Replica string
@@ -59,7 +59,8 @@
 
 // InFlight lists a daemon's requests in flight to the replicas of one service, by the daemon's own
 // numbers. Daemons send it to a leader or standby member that has just started to place their
-// requests, so that it need not rediscover what its predecessor knew through bad placements.
+// requests. Without it, the member would make bad placements until it has learned what its
+// predecessor knew.
 type InFlight struct {
 	Service  string
 	Requests map[uint64]placement.Placed
@@ -68,7 +69,9 @@
 // Limits of one message. A daemon with more requests in flight omits the oldest, which then only
 // appear in the load that replicas report.
 const (
-	maxInFlight      = 512
+	maxInFlight = 512
+	// The requests may exceed maxInFlightBytes by one, so the limit is well below that of a
+	// payload.
 	maxInFlightBytes = maxSubscriberPayload / 2
 )
 
--- a/connection/feed/unrecorded_test.go
+++ b/connection/feed/unrecorded_test.go
@@ -10,7 +10,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// unrecordedGroup is a member with ends that are not in the committed record.
+// unrecordedGroup is a member with crashes that are not in the committed record.
 type unrecordedGroup struct {
 	*fakeGroup
 	lock       sync.Mutex
@@ -31,7 +31,7 @@
 	g.report.Ended = append(g.report.Ended, quarantine.Aged{Evidence: quarantine.Evidence{Replica: replica}, Age: time.Second})
 }
 
-// Unrecorded ends are sent to daemons by the leader that serves them and by a standby member,
+// Unrecorded crashes are sent to daemons by the leader that serves them and by a standby member,
 // immediately when they change and periodically as long as there are any.
 func TestUnrecordedCrashesAreSentToDaemons(t *testing.T) {
 	for name, leads := range map[string]bool{"by the leader": true, "by a standby member": false} {
@@ -63,7 +63,7 @@
 			}
 			began := time.Now()
 			must.SliceLen(t, 2, (<-reports).Ended)
-			must.GreaterEq(t, UnrecordedPause/2, time.Since(began), must.Sprint("unchanged ends are sent again only periodically"))
+			must.GreaterEq(t, UnrecordedPause/2, time.Since(began), must.Sprint("unchanged crashes are sent again only periodically"))
 		})
 	}
 }
--- a/connection/feed/usage.go
+++ b/connection/feed/usage.go
@@ -4,22 +4,22 @@
 	"github.com/landingtrail/landingtrail/connection/frame"
 )
 
-// UsageReport holds the requests that one process has counted at their start, by tenant and time
-// window. Counters only increase, so that a duplicate or late report lowers nothing.
+// UsageReport holds the number of requests that one instance counted when they started, by tenant
+// and time window. Counters only increase, so a duplicate or late report can't lower one.
 type UsageReport struct {
-	// Life identifies the process. A restarted process has a different value.
+	// Life identifies the instance. A restarted process has a different value.
 	Life string
-	// Through is the time up to which the process has reported all its counts, in Unix
+	// Through is the time up to which the instance has reported all its counts, in Unix
 	// milliseconds of the group's wall-clock time.
 	Through int64
 	Counts  []UsageCount
 }
 
-// UsageCount is one counter.
+// UsageCount is the number of requests of a tenant that started in a time window.
 type UsageCount struct {
-	Window int64
+	Window int64 // number of the window, counted from the start of 1970
 	Tenant string
-	Count  uint64
+	Count  uint64 // all so far in this window
 }
 
 // maxUsageCounts limits the counters in one message.
@@ -65,7 +65,8 @@
 	return append(parts, r)
 }
 
-// ReportUsage sends a report to the leader. It returns false if any part was dropped.
+// ReportUsage sends a report to the leader. It returns false if there is no leader or a part was
+// dropped; earlier parts were sent then.
 func (c *Client) ReportUsage(report UsageReport) bool {
 	leader := c.session.Load()
 	if leader == nil {
