--- a/connection/feed/bulk.go
+++ b/connection/feed/bulk.go
@@ -8,29 +8,30 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
-// bulkPayload is the size in bytes from which a delta waits for one of the
-// server's places for large ones.
-const bulkPayload = 256 << 10
+// bulkThresholdBytes is the payload size from which a delta has to wait for one of the server's
+// bulk slots.
+const bulkThresholdBytes = 256 << 10
 
-// bulkDelta is a large delta on its way to a subscriber, which then holds one
-// of the server's places for such.
-type bulkDelta struct {
-	held bool
-	to   view.Version
-	at   time.Duration // when it was sent
+// bulkTransfer is a large delta in transit to a subscriber. The subscriber holds a bulk slot of
+// the server until the transfer is done.
+type bulkTransfer struct {
+	active  bool
+	version view.Version
+	sentAt  time.Duration
 }
 
-// bulkKeepAlive is the time between two frames to a subscriber that waits for
-// a place, shorter than its silence timeout: one that gave up would come back
-// at the end of the queue, and the places would go to those about to give up.
+// bulkKeepAlive is the interval between keep-alive frames to a subscriber that waits for a bulk
+// slot. It must be shorter than the silence timeout of each client (DefaultSilenceTimeout), which
+// the server does not know. A client that timed out would reconnect at the end of the queue, and
+// the slots would go to clients that are about to time out themselves.
 const bulkKeepAlive = 500 * time.Millisecond
 
-// beginBulk waits for a place for a large delta. The place is held until the
-// subscriber has acknowledged the version: what is written may still wait in
-// buffers on the way.
-func (s *subscriber) beginBulk(ctx context.Context, writer *frame.Writer) error {
+// acquireBulkSlot waits for a bulk slot, writing keep-alive frames meanwhile, and fails with a
+// redirect if the member stops leading. The slot is held until the subscriber holds the version,
+// since written data may still be in buffers along the path.
+func (s *subscriber) acquireBulkSlot(ctx context.Context, writer *frame.Writer) error {
 	s.lock.Lock()
-	held := s.bulk.held
+	held := s.bulk.active
 	s.lock.Unlock()
 	if held {
 		return nil
@@ -39,13 +40,13 @@
 	defer ticker.Stop()
 	for {
 		select {
-		case s.server.bulk <- struct{}{}:
+		case s.server.bulkSlots <- struct{}{}:
 			s.lock.Lock()
 			defer s.lock.Unlock()
-			s.bulk.held = true
+			s.bulk.active = true
 			return nil
 		case <-ticker.C:
-			if err := s.keepAlive(ctx, writer); err != nil {
+			if err := s.writeKeepAlive(ctx, writer); err != nil {
 				return err
 			}
 		case <-ctx.Done():
@@ -54,47 +55,48 @@
 	}
 }
 
-// keepAlive writes a grant for no beat, which renews nothing.
-func (s *subscriber) keepAlive(ctx context.Context, writer *frame.Writer) error {
+// writeKeepAlive writes a grant for sequence 0, which renews no lease. It redirects the subscriber
+// if the member does not lead.
+func (s *subscriber) writeKeepAlive(ctx context.Context, writer *frame.Writer) error {
 	leadership := s.server.config.Group.Leadership()
 	if !leadership.Leads {
-		return s.moveOn(ctx, writer, leadership.Address)
+		return s.redirect(ctx, writer, leadership.Address)
 	}
-	if err := writer.WriteFrame(kindGrant, encodeGrant(grant{term: leadership.Term})); err != nil {
+	if err := writer.WriteFrame(kindLeaseGrant, encodeLeaseGrant(leaseGrant{term: leadership.Term})); err != nil {
 		return err
 	}
 	return writer.Flush()
 }
 
-// sendBulk notes what the subscriber has to acknowledge to free its place.
-func (s *subscriber) sendBulk(to view.Version) {
+// recordBulkSent records the version that the subscriber has to hold to release its bulk slot.
+func (s *subscriber) recordBulkSent(to view.Version) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.bulk.to, s.bulk.at = to, s.server.config.Clock()
+	s.bulk.version, s.bulk.sentAt = to, s.server.config.Clock()
 }
 
-// checkBulk frees the place once the large delta is acknowledged. One that is
-// slow to do so goes on without the place, since others wait: to cut it off
-// would only make it ask for the same again.
-func (s *subscriber) checkBulk(acked view.Version) {
+// releaseBulkIfDone releases the bulk slot once the subscriber holds the version, or when it has
+// taken longer than the silence timeout, because others are waiting. In the latter case the
+// transfer continues, since a disconnected subscriber would request the same delta again.
+func (s *subscriber) releaseBulkIfDone(held view.Version) {
 	s.lock.Lock()
 	bulk := s.bulk
 	s.lock.Unlock()
-	if !bulk.held || bulk.to.IsZero() {
+	if !bulk.active || bulk.version.IsZero() {
 		return
 	}
-	slow := s.server.config.Clock()-bulk.at > s.server.config.SilenceTimeout
-	if slow || acked.Compare(bulk.to) >= 0 {
-		s.endBulk()
+	slow := s.server.config.Clock()-bulk.sentAt > s.server.config.SilenceTimeout
+	if slow || held.Compare(bulk.version) >= 0 {
+		s.releaseBulkSlot()
 	}
 }
 
-// endBulk frees the place, if the subscriber holds one.
-func (s *subscriber) endBulk() {
+// releaseBulkSlot releases the bulk slot if the subscriber holds one.
+func (s *subscriber) releaseBulkSlot() {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if s.bulk.held {
-		s.bulk = bulkDelta{}
-		<-s.server.bulk
+	if s.bulk.active {
+		s.bulk = bulkTransfer{}
+		<-s.server.bulkSlots
 	}
 }
--- a/connection/feed/charge.go
+++ b/connection/feed/charge.go
@@ -9,17 +9,17 @@
 	"github.com/pkg/errors"
 )
 
-// ChargeRequest asks for a request of a tenant to be charged to its quota.
+// ChargeRequest asks to charge a tenant's request to the tenant's quota.
 type ChargeRequest struct {
 	Tenant string
-	Cost   float64 // in the quota's unit
-	// Passed is set where a daemon asks for another one: it is passed on once.
+	Cost   float64 // in the unit of the tenant's quota
+	// Passed marks a request that a daemon forwards for another one; it is forwarded at most once.
 	Passed bool
 }
 
-// ErrNotCharged says that nobody who keeps quotas has answered: the daemon decides by what
-// it keeps itself.
-var ErrNotCharged = errors.New("feed: no member keeps quotas now")
+// ErrNotCharged says that no quota-keeping member answered, although the charge may have been made.
+// The daemon then decides by its local state.
+var ErrNotCharged = errors.New("feed: no member with quotas answered")
 
 func encodeChargeRequest(encoder *frame.Encoder, request ChargeRequest) []byte {
 	encoder.String(request.Tenant)
@@ -39,17 +39,17 @@
 	return encodeChargeRequest(encoder, request)
 }
 
-// chargeReply answers a charge; found is false where this member keeps no quotas.
+// chargeReply answers a charge; decided is false if this member keeps no quotas.
 type chargeReply struct {
 	requestID uint64
-	found     bool
+	decided   bool
 	grant     quota.Grant
 }
 
 func encodeChargeReply(message chargeReply) []byte {
 	encoder := frame.NewEncoder(nil)
 	encoder.Uint64(message.requestID)
-	encoder.Bool(message.found)
+	encoder.Bool(message.decided)
 	encoder.Bool(message.grant.Granted)
 	encoder.Int64(int64(message.grant.Wait))
 	encoder.Float64(message.grant.Left)
@@ -58,46 +58,48 @@
 
 func decodeChargeReply(data []byte) (chargeReply, error) {
 	decoder := frame.NewDecoder(data)
-	message := chargeReply{requestID: decoder.Uint64(), found: decoder.Bool()}
+	message := chargeReply{requestID: decoder.Uint64(), decided: decoder.Bool()}
 	message.grant = quota.Grant{Granted: decoder.Bool(), Wait: time.Duration(decoder.Int64()), Left: decoder.Float64()}
 	return message, decoder.Finish()
 }
 
-// chargingFor is the session that is asked for a charge: what is passed on for another
-// daemon goes to the leader alone.
-func (c *Client) chargingFor(request ChargeRequest) *session {
+// chargeSession returns the session to send a charge on. Charges forwarded for another daemon go
+// to the leader only.
+func (c *Client) chargeSession(request ChargeRequest) *session {
 	if request.Passed {
 		return c.session.Load()
 	}
-	return c.placing()
+	return c.placementSession()
 }
 
-// Charge charges a request to its tenant's quota at the leader, or at the member that stands
-// by without one; ErrNotCharged when none answers before ctx ends. It may be charged then.
+// Charge charges a request to its tenant's quota at the leader, or at a standby member if no
+// leader is available. It returns ErrNotCharged if there is no session, the send queue is full, the
+// member keeps no quotas, or the connection or ctx ends before the answer. In the last case the
+// request may have been charged.
 func (c *Client) Charge(ctx context.Context, request ChargeRequest) (quota.Grant, error) {
-	current := c.chargingFor(request)
+	current := c.chargeSession(request)
 	if current == nil {
 		return quota.Grant{}, ErrNotCharged
 	}
-	answered, ok := current.ask(ctx, kindCharge, func(id uint64) []byte { return encodeCharge(id, request) })
+	answer, ok := current.ask(ctx, kindCharge, func(id uint64) []byte { return encodeCharge(id, request) })
 	if !ok {
 		return quota.Grant{}, ErrNotCharged
 	}
-	return answered.grant, nil
+	return answer.grant, nil
 }
 
-// ReturnCharge gives back what was charged for a request that no replica has run; false when
-// the word was dropped.
+// ReturnCharge refunds the charge of a request that no replica has run. It returns false if the
+// message was dropped.
 func (c *Client) ReturnCharge(request ChargeRequest) bool {
-	current := c.chargingFor(request)
+	current := c.chargeSession(request)
 	if current == nil {
 		return false
 	}
 	payload := encodeChargeRequest(frame.NewEncoder(nil), request)
-	return current.enqueue(&outgoing{kind: kindReturn, payload: payload})
+	return current.enqueue(&outgoing{kind: kindRefund, payload: payload})
 }
 
-// receiveCharge answers a charge beside the reader.
+// receiveCharge answers a charge on a separate goroutine.
 func (s *subscriber) receiveCharge(payload []byte) error {
 	decoder := frame.NewDecoder(payload)
 	requestID := decoder.Uint64()
@@ -106,23 +108,23 @@
 		return err
 	}
 	select {
-	case s.slots <- struct{}{}:
+	case s.callSlots <- struct{}{}:
 	default:
-		return nil // too much is under way; the daemon decides by itself
+		return nil // too many calls in progress; the daemon decides locally
 	}
-	s.calls.Go(func() { s.answerCharge(requestID, request) }) // who passes it on waits for the leader
+	s.calls.Go(func() { s.answerCharge(requestID, request) }) // a forwarding daemon waits for the leader
 	return nil
 }
 
 func (s *subscriber) answerCharge(requestID uint64, request ChargeRequest) {
 	reply := chargeReply{requestID: requestID}
 	if s.standby || s.server.config.Group.Leadership().Leads {
-		reply.grant, reply.found = s.server.config.Group.Charge(request)
+		reply.grant, reply.decided = s.server.config.Group.Charge(request)
 	}
-	s.answer(kindChargeReply, encodeChargeReply(reply))
+	s.enqueueResponse(kindChargeReply, encodeChargeReply(reply))
 }
 
-func (s *subscriber) receiveReturn(payload []byte) error {
+func (s *subscriber) receiveRefund(payload []byte) error {
 	request, err := decodeChargeRequest(frame.NewDecoder(payload))
 	if err != nil {
 		return err
--- a/connection/feed/charge_test.go
+++ b/connection/feed/charge_test.go
@@ -11,14 +11,14 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestChargesAreCoded(t *testing.T) {
+func TestChargeMessagesRoundTrip(t *testing.T) {
 	request := ChargeRequest{Tenant: "north", Cost: 17020, Passed: true}
 	decoder := frame.NewDecoder(encodeCharge(7, request))
 	must.Eq(t, 7, decoder.Uint64())
 	got, err := decodeChargeRequest(decoder)
 	must.NoError(t, err)
 	must.Eq(t, request, got)
-	reply := chargeReply{requestID: 8, found: true, grant: quota.Grant{Granted: true, Wait: time.Second, Left: 1.5}}
+	reply := chargeReply{requestID: 8, decided: true, grant: quota.Grant{Granted: true, Wait: time.Second, Left: 1.5}}
 	decoded, err := decodeChargeReply(encodeChargeReply(reply))
 	must.NoError(t, err)
 	must.Eq(t, reply, decoded)
@@ -26,7 +26,7 @@
 	must.Error(t, err)
 }
 
-// Charges go to the leader, and to nobody who passes on what was passed on to it.
+// Charges go to the leader. A forwarded charge is not forwarded again.
 func TestChargesReachTheLeader(t *testing.T) {
 	group := newFakeGroup()
 	group.grant = quota.Grant{Granted: true, Left: 5}
@@ -35,7 +35,7 @@
 	holder := view.NewHolder()
 	client, _ := startStandbyClient(t, holder, address)
 	eventually(t, "a subscription", client.Connected)
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	grant, err := client.Charge(ctx, ChargeRequest{Tenant: "north", Cost: 3})
 	must.NoError(t, err)
@@ -44,7 +44,7 @@
 	relay.ReturnCharge(ChargeRequest{Tenant: "north", Cost: 3})
 	_, passed := relay.Charge(ChargeRequest{Tenant: "north", Cost: 1, Passed: true})
 	must.False(t, passed)
-	eventually(t, "the charge that came back", func() bool {
+	eventually(t, "the refund", func() bool {
 		group.lock.Lock()
 		defer group.lock.Unlock()
 		return len(group.charged) == 2 && group.charged[1] == ChargeRequest{Tenant: "north", Cost: -3, Passed: true}
--- a/connection/feed/delta.go
+++ b/connection/feed/delta.go
@@ -9,70 +9,71 @@
 	"github.com/pkg/errors"
 )
 
-// packedFrom is the size in bytes from which a delta is packed. The first byte
-// of the payload says whether it is.
-const packedFrom = 1 << 10
+// compressThresholdBytes is the size from which a delta is compressed. The first byte of the
+// payload is deltaCompressed if it is; any other value means that it is not.
+const compressThresholdBytes = 1 << 10
 
 const (
-	deltaPlain byte = iota
-	deltaPacked
+	deltaUncompressed byte = iota
+	deltaCompressed
 )
 
 func encodeDelta(delta view.Delta) ([]byte, error) {
-	data, err := delta.AppendBinary([]byte{deltaPlain})
+	data, err := delta.AppendBinary([]byte{deltaUncompressed})
 	if err != nil {
 		return nil, errors.Wrap(err, "feed: encode delta")
 	}
-	if len(data) < packedFrom {
+	if len(data) < compressThresholdBytes {
 		return data, nil
 	}
-	return append([]byte{deltaPacked}, compress.Pack(data[1:])...), nil
+	return append([]byte{deltaCompressed}, compress.Pack(data[1:])...), nil
 }
 
 func decodeDelta(data []byte) (view.Delta, error) {
 	if len(data) == 0 {
-		return view.Delta{}, errors.Wrap(errProtocol, "empty delta")
+		return view.Delta{}, errors.Wrap(errProtocol, "delta payload is empty")
 	}
 	body := data[1:]
-	if data[0] == deltaPacked {
-		unpacked, err := compress.Unpack(body, maxServerPayload)
+	if data[0] == deltaCompressed {
+		decompressed, err := compress.Unpack(body, maxServerPayload)
 		if err != nil {
 			return view.Delta{}, errors.Wrap(errProtocol, err.Error())
 		}
-		body = unpacked
+		body = decompressed
 	}
 	delta, err := view.DecodeDelta(body)
 	return delta, errors.Wrap(err, "feed: decode delta")
 }
 
-// fullReuse is how long the encoding of a whole view is used again: what
-// changed since then follows as a small delta.
-const fullReuse = time.Second
+// fullViewCacheTTL is how long the encoding of a full view is reused. Later changes follow as a
+// small delta.
+const fullViewCacheTTL = time.Second
 
-// deltaCache keeps the encodings of the latest delta, since most subscribers
-// stand at the same version, and of a whole view, which takes much longer to
-// encode than it stays the latest when all daemons start at once.
+// deltaCache caches the encoding of the latest delta, since most subscribers are at the same
+// version, and the encoding of a full view. The latter may be a little out of date, since encoding
+// the current view again for each daemon would take too long when all of them start at once: the
+// view changes faster than it is encoded.
 type deltaCache struct {
-	lock    sync.Mutex
-	partial encodedDelta
-	// fullLock is held while a whole view is encoded, so that it is done once.
-	fullLock sync.Mutex
-	full     encodedDelta
-	fullAt   time.Duration
+	lock   sync.Mutex
+	latest encodedDelta
+	// fullLock is held while a full view is encoded, so that it is encoded once.
+	fullLock      sync.Mutex
+	full          encodedDelta
+	fullEncodedAt time.Duration
 }
 
 type encodedDelta struct {
-	from, to view.Version
+	from, to view.Version // from is zero for a full view
 	payload  []byte
 }
 
-// since returns the encoded delta from a version to one applied lately, or nil
-// when there is nothing to send.
-func (c *deltaCache) since(group Group, from view.Version, now time.Duration) ([]byte, view.Version, error) {
+// deltaSince returns an encoded delta from the given version to a recently applied one, and that
+// version. It returns nil and from if there is nothing to send.
+func (c *deltaCache) deltaSince(group Group, from view.Version, now time.Duration) ([]byte, view.Version, error) {
 	if from.IsZero() {
-		return c.whole(group, from, now)
+		return c.fullView(group, from, now)
 	}
-	if payload, to, found := c.find(from, group.Version()); found {
+	if payload, to, found := c.lookup(from, group.Version()); found {
 		return payload, to, nil
 	}
 	delta, found := group.DeltaSince(from)
@@ -80,7 +81,7 @@
 		return nil, from, nil
 	}
 	if delta.Full {
-		return c.whole(group, from, now)
+		return c.fullView(group, from, now)
 	}
 	payload, err := encodeDelta(delta)
 	if err != nil {
@@ -88,24 +89,26 @@
 	}
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	c.partial = encodedDelta{from: from, to: delta.To, payload: payload}
+	c.latest = encodedDelta{from: from, to: delta.To, payload: payload}
 	return payload, delta.To, nil
 }
 
-func (c *deltaCache) find(from, to view.Version) ([]byte, view.Version, bool) {
+// lookup returns the latest delta if it is the one between the two versions.
+func (c *deltaCache) lookup(from, to view.Version) ([]byte, view.Version, bool) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	if c.partial.payload == nil || c.partial.from != from || c.partial.to != to {
+	if c.latest.payload == nil || c.latest.from != from || c.latest.to != to {
 		return nil, view.Version{}, false
 	}
-	return c.partial.payload, c.partial.to, true
+	return c.latest.payload, c.latest.to, true
 }
 
-// whole returns the encoding of a whole view that is later than from.
-func (c *deltaCache) whole(group Group, from view.Version, now time.Duration) ([]byte, view.Version, error) {
+// fullView returns the encoding of a full view that is newer than from, and its version. It returns
+// nil and from if there is none.
+func (c *deltaCache) fullView(group Group, from view.Version, now time.Duration) ([]byte, view.Version, error) {
 	c.fullLock.Lock()
 	defer c.fullLock.Unlock()
-	if c.full.payload != nil && now-c.fullAt < fullReuse && c.full.to.Compare(from) > 0 {
+	if c.full.payload != nil && now-c.fullEncodedAt < fullViewCacheTTL && c.full.to.Compare(from) > 0 {
 		return c.full.payload, c.full.to, nil
 	}
 	delta, found := group.DeltaSince(view.Version{})
@@ -116,6 +119,6 @@
 	if err != nil {
 		return nil, from, err
 	}
-	c.full, c.fullAt = encodedDelta{to: delta.To, payload: payload}, now
+	c.full, c.fullEncodedAt = encodedDelta{to: delta.To, payload: payload}, now
 	return payload, delta.To, nil
 }
--- a/connection/feed/ends.go
+++ b/connection/feed/ends.go
@@ -7,35 +7,39 @@
 	"github.com/landingtrail/landingtrail/request/quarantine"
 )
 
-// EndReport is what a daemon has seen of replicas that ended, so that all daemons know
-// under which requests they do.
+// EndReport is what a daemon has observed of replicas that crashed while they processed requests.
+// It is shared so that all daemons know during which requests replicas crashed.
 type EndReport struct {
-	// Ended are replicas that seem to have ended under requests, with the time since.
+	// Ended lists replicas that appear to have crashed while they processed a request, with the
+	// time since then.
 	Ended []quarantine.Aged
-	// Alive are replicas that were reported so and have answered since.
+	// Alive lists replicas that were reported as crashed and have answered since.
 	Alive []quarantine.Alive
-	// Served are requests that the group has on record and that were served whole.
+	// Served lists requests in the group's quarantine record that have since been served to
+	// completion.
 	Served []quarantine.Fingerprint
 }
 
-// IsEmpty reports whether nothing is told.
+// IsEmpty reports whether the report has no entries.
 func (r *EndReport) IsEmpty() bool { return len(r.Ended)+len(r.Alive)+len(r.Served) == 0 }
 
-// Bounds of one report: maxEnded replicas' ends, as many names and fingerprints.
+// Limits of one report. maxReportEntries applies to each of its lists.
 const (
-	maxEnded = 512
-	// endedSize is the least size of one encoded end, aliveSize of one that lives,
-	// fingerprintSize of a fingerprint.
-	endedSize       = 4 + 4 + 5 + 8 + 8 + 3*4 + 8
+	maxReportEntries = 512
+	// crashSize is the minimum encoded size of an entry of Ended: fingerprint and replica, five
+	// booleans, Sight, Ran, the three strings of About, and Age. aliveSize is that of an entry of
+	// Alive, and fingerprintSize that of a fingerprint.
+	crashSize       = 4 + 4 + 5 + 8 + 8 + 3*4 + 8
 	aliveSize       = 4 + 8
 	fingerprintSize = 4
 )
 
-// Split divides a report into such as one message holds.
+// Split divides a report into parts that fit into one message each. Entries of Alive and Served
+// beyond maxReportEntries are dropped. An empty report has no parts.
 func (r EndReport) Split() []EndReport {
-	parts := []EndReport{{Alive: r.Alive[:min(len(r.Alive), maxEnded)], Served: r.Served[:min(len(r.Served), maxEnded)]}}
-	for first := 0; first < len(r.Ended); first += maxEnded {
-		parts = append(parts, EndReport{Ended: r.Ended[first:min(first+maxEnded, len(r.Ended))]})
+	parts := []EndReport{{Alive: r.Alive[:min(len(r.Alive), maxReportEntries)], Served: r.Served[:min(len(r.Served), maxReportEntries)]}}
+	for first := 0; first < len(r.Ended); first += maxReportEntries {
+		parts = append(parts, EndReport{Ended: r.Ended[first:min(first+maxReportEntries, len(r.Ended))]})
 	}
 	if parts[0].IsEmpty() {
 		return parts[1:]
@@ -43,24 +47,26 @@
 	return parts
 }
 
-// EncodeEnds encodes a report for a file or another member; it holds no more than maxEnded of each.
+// EncodeEnds encodes a report for a frame. Members also use it for messages among themselves and
+// for the file in which they store crashes. Each list must hold at most maxReportEntries entries.
+// See quarantine.Evidence for the fields of an entry.
 func EncodeEnds(report EndReport) []byte {
 	encoder := frame.NewEncoder(nil)
 	encoder.Uint32(uint32(len(report.Ended)))
-	for _, seen := range report.Ended {
-		encoder.String(string(seen.Fingerprint[:]))
-		encoder.String(seen.Replica)
-		encoder.Bool(seen.Began)
-		encoder.Bool(seen.Read)
-		encoder.Bool(seen.Alone)
-		encoder.Bool(seen.Listens)
-		encoder.Bool(seen.Once)
-		encoder.Uint64(seen.Sight)
-		encoder.Int64(int64(seen.Ran))
-		encoder.String(seen.About.Service)
-		encoder.String(seen.About.Route)
-		encoder.String(seen.About.Request)
-		encoder.Int64(int64(seen.Age))
+	for _, crash := range report.Ended {
+		encoder.String(string(crash.Fingerprint[:]))
+		encoder.String(crash.Replica)
+		encoder.Bool(crash.Began)
+		encoder.Bool(crash.Read)
+		encoder.Bool(crash.Alone)
+		encoder.Bool(crash.Listens)
+		encoder.Bool(crash.Once)
+		encoder.Uint64(crash.Sight)
+		encoder.Int64(int64(crash.Ran))
+		encoder.String(crash.About.Service)
+		encoder.String(crash.About.Route)
+		encoder.String(crash.About.Request)
+		encoder.Int64(int64(crash.Age))
 	}
 	encoder.Uint32(uint32(len(report.Alive)))
 	for _, alive := range report.Alive {
@@ -74,33 +80,35 @@
 	return encoder.Data()
 }
 
-// DecodeEnds reads what EncodeEnds has written.
+// DecodeEnds decodes the output of EncodeEnds. It returns an error of package frame if the data is
+// malformed or a list exceeds maxReportEntries.
 func DecodeEnds(data []byte) (EndReport, error) {
 	decoder := frame.NewDecoder(data)
 	var report EndReport
-	for i, count := 0, decodeCount(decoder, endedSize); i < count && decoder.Err() == nil; i++ {
-		report.Ended = append(report.Ended, decodeEnded(decoder))
+	for i, count := 0, decodeEntryCount(decoder, crashSize); i < count && decoder.Err() == nil; i++ {
+		report.Ended = append(report.Ended, decodeCrash(decoder))
 	}
-	for i, count := 0, decodeCount(decoder, aliveSize); i < count && decoder.Err() == nil; i++ {
+	for i, count := 0, decodeEntryCount(decoder, aliveSize); i < count && decoder.Err() == nil; i++ {
 		report.Alive = append(report.Alive, quarantine.Alive{Replica: decoder.String(), For: time.Duration(decoder.Int64())})
 	}
-	for i, count := 0, decodeCount(decoder, fingerprintSize); i < count && decoder.Err() == nil; i++ {
+	for i, count := 0, decodeEntryCount(decoder, fingerprintSize); i < count && decoder.Err() == nil; i++ {
 		report.Served = append(report.Served, decodeFingerprint(decoder))
 	}
 	return report, decoder.Finish()
 }
 
-// decodeCount reads the length of a list that a report bounds.
-func decodeCount(decoder *frame.Decoder, size int) int {
+// decodeEntryCount reads the length of a list in a report and fails the decoder if it exceeds
+// maxReportEntries.
+func decodeEntryCount(decoder *frame.Decoder, size int) int {
 	count := decoder.Count(size)
-	if count > maxEnded {
+	if count > maxReportEntries {
 		decoder.Fail(frame.ErrValue)
 	}
 	return count
 }
 
-func decodeEnded(decoder *frame.Decoder) quarantine.Aged {
-	seen := quarantine.Aged{Evidence: quarantine.Evidence{
+func decodeCrash(decoder *frame.Decoder) quarantine.Aged {
+	crash := quarantine.Aged{Evidence: quarantine.Evidence{
 		Fingerprint: decodeFingerprint(decoder),
 		Replica:     decoder.String(),
 		Began:       decoder.Bool(),
@@ -112,8 +120,8 @@
 		Ran:         time.Duration(decoder.Int64()),
 		About:       quarantine.About{Service: decoder.String(), Route: decoder.String(), Request: decoder.String()},
 	}}
-	seen.Age = time.Duration(decoder.Int64())
-	return seen
+	crash.Age = time.Duration(decoder.Int64())
+	return crash
 }
 
 func decodeFingerprint(decoder *frame.Decoder) quarantine.Fingerprint {
@@ -124,24 +132,24 @@
 	return fingerprint
 }
 
-// ReportEnds tells the leader, or the member that stands by without one, of replicas that
-// ended; false when a part of the word was dropped.
+// ReportEnds sends a report to the leader, or to a standby member if no leader is available. It
+// returns false if there is no session or any part was dropped; the other parts were sent.
 func (c *Client) ReportEnds(report EndReport) bool {
-	return reportEnds(c.placing(), report)
+	return sendCrashReport(c.placementSession(), report)
 }
 
-func reportEnds(to *session, report EndReport) bool {
-	if to == nil {
+func sendCrashReport(target *session, report EndReport) bool {
+	if target == nil {
 		return false
 	}
-	all := true
+	queued := true
 	for _, part := range report.Split() {
-		all = to.enqueue(&outgoing{kind: kindEnds, payload: EncodeEnds(part)}) && all
+		queued = target.enqueue(&outgoing{kind: kindCrashes, payload: EncodeEnds(part)}) && queued
 	}
-	return all
+	return queued
 }
 
-func (s *subscriber) receiveEnds(payload []byte) error {
+func (s *subscriber) receiveCrashReport(payload []byte) error {
 	report, err := DecodeEnds(payload)
 	if err != nil {
 		return err
@@ -150,36 +158,40 @@
 	return nil
 }
 
-// UnrecordedPause is after which time a daemon is told again of ends that the record can't tell: as
-// long as it is told, it knows that nobody else judges by them.
+// UnrecordedPause is the interval at which crashes that are not in the committed quarantine record
+// are sent to a daemon again. They are sent while the group has no leader or can't commit, and
+// therefore does not quarantine requests by them; a daemon decides by itself as long as it receives
+// them.
 const UnrecordedPause = time.Second
 
-// unrecordedLeast is the least time between two words to a daemon: news come many at a time.
-const unrecordedLeast = 100 * time.Millisecond
+// minUnrecordedInterval is the minimum time between two such reports to a daemon, so that several
+// crashes in a short time are sent together.
+const minUnrecordedInterval = 100 * time.Millisecond
 
-// writeUnrecorded tells the daemon of ends that are not on record, if there are any that it does not
-// know or was told of a while ago.
-func (s *subscriber) writeUnrecorded(writer *frame.Writer) error {
-	report, news := s.server.config.Group.Unrecorded()
+// writeUnrecordedCrashes sends the crashes that are not in the committed record, if there are any
+// that the daemon does not know or that were last sent some time ago.
+func (s *subscriber) writeUnrecordedCrashes(writer *frame.Writer) error {
+	report, generation := s.server.config.Group.Unrecorded()
 	now := s.server.config.Clock()
-	least := unrecordedLeast
-	if news == s.toldNews {
-		least = UnrecordedPause
+	interval := minUnrecordedInterval
+	if generation == s.unrecordedGeneration {
+		interval = UnrecordedPause
 	}
-	if report.IsEmpty() || s.toldAt > 0 && now-s.toldAt < least {
+	if report.IsEmpty() || s.unrecordedSentAt > 0 && now-s.unrecordedSentAt < interval {
 		return nil
 	}
-	s.toldNews, s.toldAt = news, now
+	s.unrecordedGeneration, s.unrecordedSentAt = generation, now
 	for _, part := range report.Split() {
-		if err := writer.WriteFrame(kindEnds, EncodeEnds(part)); err != nil {
+		if err := writer.WriteFrame(kindCrashes, EncodeEnds(part)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// receiveEnds takes in what a member tells of ends that are not on record.
-func (s *session) receiveEnds(payload []byte) error {
+// receiveUnrecordedCrashes handles a member's report of crashes that are not in the committed
+// record.
+func (s *session) receiveUnrecordedCrashes(payload []byte) error {
 	report, err := DecodeEnds(payload)
 	if err != nil {
 		return err
--- a/connection/feed/feed_test.go
+++ b/connection/feed/feed_test.go
@@ -18,17 +18,17 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestClientFollowsThroughCuts(t *testing.T) {
+func TestClientReconnectsAfterConnectionLoss(t *testing.T) {
 	group := newFakeGroup()
 	server, address := startServer(t, group)
-	between := newRelay(t, address)
+	between := newTCPRelay(t, address)
 	holder := view.NewHolder()
 	client := startClient(t, holder, between.address())
 	for round := range 10 {
 		revision := putMany(group, fmt.Sprintf("round-%d", round), 5)
 		server.Wake()
 		if round%2 == 0 {
-			between.cut()
+			between.closeConnections()
 		}
 		eventually(t, "the version", func() bool { return holder.Load().Version.Revision == revision })
 	}
@@ -36,11 +36,11 @@
 	eventually(t, "a lease", func() bool { return holder.Valid(clock.Now()) && client.Connected() })
 }
 
-func TestClientFollowsHintToLeader(t *testing.T) {
+func TestClientFollowsRedirectToLeader(t *testing.T) {
 	leading := newFakeGroup()
 	server, leaderAddress := startServer(t, leading)
 	following := newFakeGroup()
-	following.set(false, false, 1, leaderAddress)
+	following.setLeadership(false, false, 1, leaderAddress)
 	_, address := startServer(t, following)
 	revision := leading.put("water")
 	server.Wake()
@@ -49,9 +49,9 @@
 	eventually(t, "the leader's version", func() bool { return holder.Load().Version.Revision == revision })
 }
 
-func TestSubscribersMoveWhenLeadershipDoes(t *testing.T) {
+func TestSubscribersReconnectToNewLeader(t *testing.T) {
 	first, second := newFakeGroup(), newFakeGroup()
-	second.set(false, false, 1, "")
+	second.setLeadership(false, false, 1, "")
 	firstServer, firstAddress := startServer(t, first)
 	secondServer, secondAddress := startServer(t, second)
 	first.put("water")
@@ -59,29 +59,29 @@
 	holder := view.NewHolder()
 	client := startClient(t, holder, firstAddress, secondAddress)
 	eventually(t, "a subscription", func() bool { return client.Connected() && firstServer.Subscribers() == 1 })
-	second.set(true, true, 2, "")
-	first.set(false, false, 2, secondAddress)
+	second.setLeadership(true, true, 2, "")
+	first.setLeadership(false, false, 2, secondAddress)
 	firstServer.Wake()
-	eventually(t, "the subscription has moved", func() bool {
+	eventually(t, "the subscription to move to the new leader", func() bool {
 		return firstServer.Subscribers() == 0 && secondServer.Subscribers() == 1 && client.Connected()
 	})
 }
 
-func TestClaimsWaitForTheNextLeaderOnlyWhenTheLastOneSaysSo(t *testing.T) {
+func TestClaimsWaitForTheNextLeaderOnlyAfterAnnouncedHandover(t *testing.T) {
 	first, second := newFakeGroup(), newFakeGroup()
-	second.set(false, false, 1, "")
+	second.setLeadership(false, false, 1, "")
 	firstServer, firstAddress := startServer(t, first)
 	secondServer, secondAddress := startServer(t, second)
-	wire := newRelay(t, secondAddress)
-	client := startClient(t, view.NewHolder(), firstAddress, wire.address())
+	secondRelay := newTCPRelay(t, secondAddress)
+	client := startClient(t, view.NewHolder(), firstAddress, secondRelay.address())
 	eventually(t, "a subscription", client.Connected)
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	request := state.ClaimRequest{Tenant: "water", Key: "crew-7", BodyHash: 9, Attempt: 1, Proxy: "proxy-a", Nonce: 1}
 	refused := make(chan struct{})
 	first.claim = func(state.ClaimRequest) (api.ClaimResult, error) {
 		close(refused)
-		return api.ClaimResult{}, errors.Wrap(ErrNoQuorum, "leadership moves")
+		return api.ClaimResult{}, errors.Wrap(ErrNoQuorum, "leader is stepping down")
 	}
 	claimed := make(chan error, 2)
 	claim := func() {
@@ -89,25 +89,25 @@
 		claimed <- err
 	}
 	go claim()
-	<-refused // by a leader on its way out
-	first.set(false, false, 1, "")
+	<-refused // the leader, which is about to step down, has refused the first claim
+	first.setLeadership(false, false, 1, "")
 	firstServer.Wake()
 	eventually(t, "the end of the subscription", func() bool { return !client.Connected() })
-	go claim() // while nobody leads
-	second.set(true, true, 2, "")
+	go claim() // a second claim while there is no leader
+	second.setLeadership(true, true, 2, "")
 	secondServer.Wake()
 	must.NoError(t, <-claimed)
 	must.NoError(t, <-claimed)
 
-	must.NoError(t, wire.listener.Close())
-	wire.cut() // the leader is lost without a word
+	must.NoError(t, secondRelay.listener.Close())
+	secondRelay.closeConnections() // the leader is lost without announcing a handover
 	eventually(t, "the end of the subscription", func() bool { return !client.Connected() })
 	_, err := client.Claim(ctx, request)
 	must.ErrorIs(t, err, ErrNoQuorum)
 	must.NoError(t, ctx.Err())
 }
 
-func TestForeignBytesEndOnlyTheirConnection(t *testing.T) {
+func TestInvalidBytesCloseOnlyTheirConnection(t *testing.T) {
 	group := newFakeGroup()
 	server, address := startServer(t, group)
 	holder := view.NewHolder()
@@ -127,7 +127,7 @@
 			if len(data) == 0 {
 				return
 			}
-			must.NoError(t, conn.SetReadDeadline(time.Now().Add(patience)))
+			must.NoError(t, conn.SetReadDeadline(time.Now().Add(testTimeout)))
 			_, err = conn.Read(make([]byte, 1))
 			must.Error(t, err)
 		})
@@ -137,7 +137,7 @@
 	eventually(t, "the version", func() bool { return holder.Load().Version.Revision == revision })
 }
 
-// prefaceBytes returns what opens a connection of this protocol.
+// prefaceBytes returns the bytes that start a connection of this protocol.
 func prefaceBytes(t *testing.T) []byte {
 	near, far := net.Pipe()
 	defer func() { _ = near.Close() }()
@@ -149,7 +149,7 @@
 	return data[:count]
 }
 
-// rawSubscriber speaks the protocol by hand.
+// rawSubscriber is a subscriber that reads and writes single frames.
 type rawSubscriber struct {
 	t      *testing.T
 	conn   net.Conn
@@ -163,7 +163,7 @@
 	t.Cleanup(func() { _ = conn.Close() })
 	raw := &rawSubscriber{t: t, conn: conn}
 	raw.writer = frame.NewWriter(conn, Protocol, time.Second)
-	raw.reader = frame.NewReader(conn, Protocol, maxServerPayload, patience)
+	raw.reader = frame.NewReader(conn, Protocol, maxServerPayload, testTimeout)
 	return raw
 }
 
@@ -172,7 +172,9 @@
 	must.NoError(r.t, r.writer.Flush())
 }
 
-func TestSlowSubscriberGetsOneLaterDelta(t *testing.T) {
+// A subscriber that reads slowly receives all changes, usually in fewer deltas than there were
+// changes; their number is only logged.
+func TestSlowSubscriberGetsCoalescedDeltas(t *testing.T) {
 	group := newFakeGroup()
 	server, address := startServer(t, group)
 	raw := newRawSubscriber(t, address)
@@ -196,10 +198,10 @@
 		frames++
 	}
 	must.Eq(t, changes, len(holder.Load().Tenants))
-	t.Logf("%d changes came in %d deltas", changes, frames)
+	t.Logf("%d changes arrived in %d deltas", changes, frames)
 }
 
-func TestStuckSubscriberIsCutOff(t *testing.T) {
+func TestSubscriberThatStopsReadingIsDisconnected(t *testing.T) {
 	group := newFakeGroup()
 	server, address := startServer(t, group)
 	raw := newRawSubscriber(t, address)
@@ -208,18 +210,18 @@
 	eventually(t, "the subscription", func() bool { return server.Subscribers() == 1 })
 	started := time.Now()
 	for i := 0; server.Subscribers() > 0; i++ {
-		must.Less(t, patience, time.Since(started))
-		group.putTogether(fmt.Sprintf("batch-%d", i%50), 200)
+		must.Less(t, testTimeout, time.Since(started))
+		group.putBatch(fmt.Sprintf("batch-%d", i%50), 200)
 		server.Wake()
-		// It goes on sending, so that it is its reading alone that is at fault.
-		_ = raw.writer.WriteFrame(kindBeat, encodeBeat(beat{sequence: uint64(i + 1)}))
+		// It keeps sending, so that only its failure to read can be the cause.
+		_ = raw.writer.WriteFrame(kindHeartbeat, encodeHeartbeat(heartbeat{sequence: uint64(i + 1)}))
 		_ = raw.writer.Flush()
 	}
 }
 
-func TestClaimErrorsSayWhatIsSure(t *testing.T) {
+func TestClaimErrorsDistinguishRefusedFromUnknown(t *testing.T) {
 	request := state.ClaimRequest{Tenant: "water", Key: "crew", Nonce: 7}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 
 	t.Run("no leader", func(t *testing.T) {
@@ -244,7 +246,7 @@
 			must.ErrorIs(t, err, test.want)
 		})
 	}
-	t.Run("cut while proposed", func(t *testing.T) {
+	t.Run("connection lost after proposal", func(t *testing.T) {
 		group := newFakeGroup()
 		proposed, finish := make(chan struct{}), make(chan struct{})
 		group.claim = func(state.ClaimRequest) (api.ClaimResult, error) {
@@ -253,18 +255,18 @@
 			return api.ClaimResult{}, nil
 		}
 		_, address := startServer(t, group)
-		between := newRelay(t, address)
+		between := newTCPRelay(t, address)
 		client := startClient(t, view.NewHolder(), between.address())
 		eventually(t, "a connection", client.Connected)
 		go func() {
 			<-proposed
-			between.cut()
+			between.closeConnections()
 		}()
 		_, err := client.Claim(ctx, request)
 		must.ErrorIs(t, err, ErrOutcomeUnknown)
 		close(finish)
 	})
-	t.Run("given up while proposed", func(t *testing.T) {
+	t.Run("context canceled after proposal", func(t *testing.T) {
 		group := newFakeGroup()
 		giveUp, cancel := context.WithCancel(ctx)
 		defer cancel()
@@ -308,35 +310,35 @@
 	must.Eq(t, report, group.demand[0])
 }
 
-// stuckViews stops taking deltas when told to, as a paused process would.
-type stuckViews struct {
+// blockableViews rejects deltas while blocked, as a paused process would.
+type blockableViews struct {
 	*view.Holder
-	stuck atomic.Bool
+	blocked atomic.Bool
 }
 
-func (s *stuckViews) Apply(delta view.Delta) error {
-	if s.stuck.Load() {
-		return errors.New("stuck")
+func (s *blockableViews) Apply(delta view.Delta) error {
+	if s.blocked.Load() {
+		return errors.New("blocked")
 	}
 	return s.Holder.Apply(delta)
 }
 
-func TestInForceOnlyWhenNoOldViewHoldsALease(t *testing.T) {
+func TestInForceOnlyWithoutLeasesOnOlderViews(t *testing.T) {
 	group := newFakeGroup()
 	server, address := startServer(t, group)
 	group.put("water")
-	views := &stuckViews{Holder: view.NewHolder()}
+	views := &blockableViews{Holder: view.NewHolder()}
 	startClient(t, views, address)
 	eventually(t, "a lease", func() bool { return views.Valid(clock.Now()) })
 	ctx := context.Background()
-	eventually(t, "in force at first", func() bool {
+	eventually(t, "the first version to be in force", func() bool {
 		result, valid := server.InForce(ctx, group.Version().Revision)
 		return valid && result.Done && result.Acknowledged == 1
 	})
-	views.stuck.Store(true)
+	views.blocked.Store(true)
 	revision := group.put("gritting")
 	server.Wake()
-	eventually(t, "in force by a lapsed lease", func() bool {
+	eventually(t, "the version to be in force after the old lease lapsed", func() bool {
 		result, valid := server.InForce(ctx, revision)
 		must.True(t, valid)
 		if result.Done {
@@ -345,12 +347,12 @@
 		}
 		return result.Done
 	})
-	// The old view gets no lease any more, however often it asks.
+	// The old view gets no further lease, no matter how often it is requested.
 	for range 20 {
 		time.Sleep(5 * time.Millisecond)
 		must.False(t, views.Valid(clock.Now()))
 	}
-	views.stuck.Store(false)
+	views.blocked.Store(false)
 	eventually(t, "a lease on the new view", func() bool { return views.Valid(clock.Now()) })
 	must.Eq(t, revision, views.Load().Version.Revision)
 }
@@ -358,7 +360,7 @@
 func TestNoGrantWithoutLeaderLease(t *testing.T) {
 	group := newFakeGroup()
 	group.put("water")
-	group.set(true, false, 1, "")
+	group.setLeadership(true, false, 1, "")
 	_, address := startServer(t, group)
 	holder := view.NewHolder()
 	startClient(t, holder, address)
@@ -367,7 +369,7 @@
 		time.Sleep(5 * time.Millisecond)
 		must.False(t, holder.Valid(clock.Now()))
 	}
-	group.set(true, true, 1, "")
+	group.setLeadership(true, true, 1, "")
 	eventually(t, "a lease", func() bool { return holder.Valid(clock.Now()) })
 }
 
@@ -380,13 +382,14 @@
 	must.Error(t, err)
 }
 
-// FuzzMessages lets any bytes stand for each message: they are refused or read,
-// and what was read is encoded to the same bytes again.
+// FuzzMessages decodes arbitrary bytes as messages, which must not panic. Subscriptions,
+// heartbeats, claims and outcomes that are accepted must be encoded to the same bytes again, and
+// requests in flight to the same message.
 func FuzzMessages(f *testing.F) {
 	f.Add(encodeSubscribe(subscribe{daemon: "proxy", instance: 1, zone: "zone"}))
 	f.Add(encodeSubscribe(subscribe{daemon: "proxy", standby: true}))
-	f.Add(encodeBeat(beat{sequence: 1}))
-	f.Add(encodeGrant(grant{sequence: 1, lease: time.Second, term: 2}))
+	f.Add(encodeHeartbeat(heartbeat{sequence: 1}))
+	f.Add(encodeLeaseGrant(leaseGrant{sequence: 1, lease: time.Second, term: 2}))
 	f.Add(encodeClaim(1, state.ClaimRequest{Tenant: "t", Key: "k", Proxy: "p"}))
 	f.Add(encodeOutcome(1, state.RunOutcome{Tenant: "t", Key: "k", Outcome: api.RunNotRun}))
 	f.Add(encodeDemand(DemandReport{Window: time.Second, Demands: []Demand{{Intent: "i", Class: "c", Requests: 1}}}))
@@ -403,11 +406,11 @@
 		if message, err := decodeSubscribe(data); err == nil {
 			must.Eq(t, data, encodeSubscribe(message))
 		}
-		if message, err := decodeBeat(data); err == nil {
-			must.Eq(t, data, encodeBeat(message))
+		if message, err := decodeHeartbeat(data); err == nil {
+			must.Eq(t, data, encodeHeartbeat(message))
 		}
-		if message, err := decodeGrant(data); err == nil {
-			_ = encodeGrant(message)
+		if message, err := decodeLeaseGrant(data); err == nil {
+			_ = encodeLeaseGrant(message)
 		}
 		if id, request, err := decodeClaim(data); err == nil {
 			must.Eq(t, data, encodeClaim(id, request))
@@ -425,21 +428,21 @@
 	})
 }
 
-// However much a daemon has in flight, its message is one that a server takes.
-func TestMessageOfWhatIsInFlightIsBounded(t *testing.T) {
-	parts := make([]placement.Part, maxParts)
+// The message stays within the server's size limit no matter how much a daemon has in flight.
+func TestInFlightMessageSizeIsBounded(t *testing.T) {
+	parts := make([]placement.Part, maxPromptParts)
 	for i := range parts {
 		parts[i] = placement.Part{ID: "a-part-with-a-long-name", Tokens: i}
 	}
-	many := InFlight{Service: "s", Requests: map[uint64]placement.Placed{}}
+	message := InFlight{Service: "s", Requests: map[uint64]placement.Placed{}}
 	for number := range uint64(2 * maxInFlight) {
-		many.Requests[number] = placement.Placed{Ask: placement.Ask{Parts: parts, Connected: []string{"r"}}}
+		message.Requests[number] = placement.Placed{Ask: placement.Ask{Parts: parts, Connected: []string{"r"}}}
 	}
-	encoded := encodeInFlight(many)
+	encoded := encodeInFlight(message)
 	must.Less(t, maxSubscriberPayload, len(encoded))
-	told, err := decodeInFlight(encoded)
+	decoded, err := decodeInFlight(encoded)
 	must.NoError(t, err)
-	must.MapContainsKey(t, told.Requests, 2*maxInFlight-1, must.Sprint("the newest are told"))
-	must.MapNotContainsKey(t, told.Requests, 0)
-	must.SliceEmpty(t, told.Requests[2*maxInFlight-1].Ask.Connected)
+	must.MapContainsKey(t, decoded.Requests, 2*maxInFlight-1, must.Sprint("the newest requests are included"))
+	must.MapNotContainsKey(t, decoded.Requests, 0)
+	must.SliceEmpty(t, decoded.Requests[2*maxInFlight-1].Ask.Connected)
 }
--- a/connection/feed/follow.go
+++ b/connection/feed/follow.go
@@ -12,19 +12,19 @@
 	"github.com/pkg/errors"
 )
 
-// follow connects to one member after the other, a named leader first, until
-// the client is closed.
-func (c *Client) follow() {
+// runConnections connects to one member after the other until the client is closed. If a member
+// named the leader, that address is tried first.
+func (c *Client) runConnections() {
 	next, backoff := rand.IntN(len(c.config.Addresses)), c.config.BackoffMin
-	hint := ""
+	leaderAddress := ""
 	for c.context.Err() == nil {
-		address := hint
+		address := leaderAddress
 		if address == "" {
 			addresses := c.addresses()
 			address = addresses[next%len(addresses)]
 			next++
 		}
-		served, named, err := c.connect(address)
+		served, nextLeaderAddress, err := c.serveConnection(address)
 		if c.context.Err() != nil {
 			return
 		}
@@ -32,90 +32,91 @@
 		if served {
 			backoff = c.config.BackoffMin
 		}
-		followed := hint != ""
-		hint = named
-		// A first hint, or the word of a leader that it leads no more, is
-		// followed at once; a hint that led to another hint or to a failure
-		// waits, so that two members naming each other cost little.
-		if named != "" && !followed || served && errors.Is(err, errNotLeader) {
+		followedRedirect := leaderAddress != ""
+		leaderAddress = nextLeaderAddress
+		// The first redirect is followed immediately, and so is the end of a session whose leader
+		// announced that it stepped down. After a redirect that led to another redirect, or after a
+		// failure, the client waits for the backoff, so that two members that redirect to each
+		// other cause little load.
+		if nextLeaderAddress != "" && !followedRedirect || served && errors.Is(err, errNotLeader) {
 			continue
 		}
-		pause.Sleep(c.context, jitter(backoff))
+		pause.Sleep(c.context, jitteredBackoff(backoff))
 		backoff = min(2*backoff, c.config.BackoffMax)
 	}
 }
 
-// addresses returns where members may be: those configured, then those learned.
+// addresses returns the configured member addresses, then the discovered ones.
 func (c *Client) addresses() []string {
 	if c.config.MoreAddresses == nil {
 		return c.config.Addresses
 	}
 	addresses := slices.Clone(c.config.Addresses)
-	for _, learned := range c.config.MoreAddresses() {
-		if !slices.Contains(addresses, learned) {
-			addresses = append(addresses, learned)
+	for _, discovered := range c.config.MoreAddresses() {
+		if !slices.Contains(addresses, discovered) {
+			addresses = append(addresses, discovered)
 		}
 	}
 	return addresses
 }
 
-// connect serves one connection to its end. It reports whether a leader served
-// it, and the address that the member named.
-func (c *Client) connect(address string) (served bool, named string, err error) {
+// serveConnection serves one connection until it ends. It reports whether a leader served it, and
+// the leader address that the member named, if any.
+func (c *Client) serveConnection(address string) (served bool, leaderAddress string, err error) {
 	conn, err := c.config.Dial(c.context, "tcp", address)
 	if err != nil {
 		return false, "", errors.Wrap(err, "feed: dial")
 	}
 	current := newSession(c, conn)
 	current.address = address
-	named, err = current.run(c.context)
-	return current.ready, named, err
+	leaderAddress, err = current.run(c.context)
+	return current.ready, leaderAddress, err
 }
 
-// jitter draws a duration from the upper half of the range up to limit.
-func jitter(limit time.Duration) time.Duration {
+// jitteredBackoff returns a random duration between half of limit and limit.
+func jitteredBackoff(limit time.Duration) time.Duration {
 	return limit/2 + rand.N(limit/2+1)
 }
 
-// call sends one request and waits for its reply. A request that was surely not
-// taken is sent to the next leader if the last one said that it leads no more.
-func (c *Client) call(ctx context.Context, kind frame.Kind, encode func(id uint64) []byte) (reply, error) {
+// callLeader sends one request and waits for its reply. If the leader announced that it stepped
+// down and definitely did not accept the request, callLeader sends it to the next leader.
+func (c *Client) callLeader(ctx context.Context, kind frame.Kind, encode func(id uint64) []byte) (reply, error) {
 	select {
-	case c.slots <- struct{}{}:
-		defer func() { <-c.slots }()
+	case c.callSlots <- struct{}{}:
+		defer func() { <-c.callSlots }()
 	default:
 		return reply{}, errors.Wrap(ErrNoQuorum, "too many requests in flight")
 	}
 	for {
 		current := c.awaitSession(ctx)
 		if current == nil {
-			return reply{}, errors.Wrap(ErrNoQuorum, "no leader is connected")
+			return reply{}, errors.Wrap(ErrNoQuorum, "not connected to a leader")
 		}
 		requestID := c.requestID.Add(1)
 		answer, err := current.call(ctx, requestID, &outgoing{kind: kind, payload: encode(requestID)})
-		if !errors.Is(err, ErrNoQuorum) || errors.Is(err, errQueueFull) || !current.movedOn(ctx) {
+		if !errors.Is(err, ErrNoQuorum) || errors.Is(err, errQueueFull) || !current.awaitStepDown(ctx) {
 			return answer, err
 		}
 	}
 }
 
-// errQueueFull refuses a request for which the session's queue has no room.
-var errQueueFull = errors.Wrap(ErrNoQuorum, "the queue is full")
+// errQueueFull refuses a request because the session's queue is full.
+var errQueueFull = errors.Wrap(ErrNoQuorum, "send queue is full")
 
 // call sends one request to this session's leader and waits for its reply.
-func (s *session) call(ctx context.Context, requestID uint64, sent *outgoing) (reply, error) {
-	waiting := s.register(requestID, sent.kind)
+func (s *session) call(ctx context.Context, requestID uint64, request *outgoing) (reply, error) {
+	waiting := s.register(requestID, request.kind)
 	defer s.unregister(requestID)
-	if !s.enqueue(sent) {
+	if !s.enqueue(request) {
 		return reply{}, errQueueFull
 	}
 	select {
 	case answer := <-waiting:
 		return checkReply(answer)
 	case <-ctx.Done():
-		return giveUp(sent, waiting, "gave up waiting")
+		return abandonCall(request, waiting, "context ended while waiting for the reply")
 	case <-s.ended:
-		return giveUp(sent, waiting, "the connection ended")
+		return abandonCall(request, waiting, "connection ended before the reply")
 	}
 }
 
@@ -124,20 +125,21 @@
 	case replyDone:
 		return answer, nil
 	case replyRefused:
-		return reply{}, errors.Wrap(ErrNoQuorum, "refused")
+		return reply{}, errors.Wrap(ErrNoQuorum, "refused by the leader")
 	default:
-		return reply{}, errors.Wrap(ErrOutcomeUnknown, "proposed")
+		return reply{}, errors.Wrap(ErrOutcomeUnknown, "proposed without a known outcome")
 	}
 }
 
-// giveUp tells a request that surely was not sent from one that may have been.
-func giveUp(sent *outgoing, waiting chan reply, cause string) (reply, error) {
+// abandonCall stops waiting for a reply. It returns the reply if it has just arrived, ErrNoQuorum
+// if the request was definitely not sent, and ErrOutcomeUnknown if it may have been.
+func abandonCall(request *outgoing, waiting chan reply, cause string) (reply, error) {
 	select {
 	case answer := <-waiting:
 		return checkReply(answer)
 	default:
 	}
-	if sent.withdraw() {
+	if request.cancel() {
 		return reply{}, errors.Wrap(ErrNoQuorum, cause)
 	}
 	return reply{}, errors.Wrap(ErrOutcomeUnknown, cause)
--- a/connection/feed/foreignreply_test.go
+++ b/connection/feed/foreignreply_test.go
@@ -17,12 +17,12 @@
 	"github.com/shoenig/test/must"
 )
 
-// scriptedMember is a member that opens each connection with one frame and answers each
-// question with another, whatever it asks.
+// scriptedMember is a member that sends one frame when a connection opens and a fixed kind of
+// reply to each request.
 type scriptedMember struct {
 	listener net.Listener
 	opening  frame.Frame
-	// reply makes the answer to a question with the request ID.
+	// reply returns the reply to the request with the ID.
 	reply func(requestID uint64) frame.Frame
 	done  sync.WaitGroup
 }
@@ -49,10 +49,10 @@
 	}
 }
 
-// serve ends with the connection, which the client closes.
+// serve returns when the client closes the connection.
 func (m *scriptedMember) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
-	reader := frame.NewReader(conn, Protocol, maxSubscriberPayload, patience)
+	reader := frame.NewReader(conn, Protocol, maxSubscriberPayload, testTimeout)
 	writer := frame.NewWriter(conn, Protocol, time.Second)
 	send := func(sent frame.Frame) {
 		_ = writer.WriteFrame(sent.Kind, sent.Payload)
@@ -72,7 +72,7 @@
 	}
 }
 
-// firstDelta is what a leader sends to a client that has no view.
+// firstDelta returns the frame that a leader sends to a client without a view.
 func firstDelta(t *testing.T) frame.Frame {
 	group := newFakeGroup()
 	group.put("water")
@@ -83,7 +83,7 @@
 	return frame.Frame{Kind: kindDelta, Payload: payload}
 }
 
-// lockedBuffer is a log that many goroutines write.
+// lockedBuffer is a log buffer that is safe for concurrent use.
 type lockedBuffer struct {
 	lock   sync.Mutex
 	buffer bytes.Buffer
@@ -108,7 +108,7 @@
 		Addresses:      []string{address},
 		Standby:        true,
 		BeatInterval:   20 * time.Millisecond,
-		SilenceTimeout: patience,
+		SilenceTimeout: testTimeout,
 		BackoffMin:     time.Millisecond,
 		BackoffMax:     20 * time.Millisecond,
 		Logger:         log.NewLogfmtLogger(lines),
@@ -118,10 +118,10 @@
 	return client, lines
 }
 
-// A reply with a question's number and of another question's kind says nothing: an
-// outcome that was never recorded would be taken for recorded, and a claim for answered.
-// The caller learns that nothing is known, and the connection ends.
-func TestReplyOfAnotherKindCountsAsNone(t *testing.T) {
+// A reply may carry the ID of a pending request but be of the wrong kind. If it were accepted, an
+// outcome that was never recorded would count as recorded, and a claim as answered. The caller has
+// to get an unknown outcome, and the connection is closed.
+func TestReplyOfWrongKindIsRejected(t *testing.T) {
 	claimReplied := func(id uint64) frame.Frame {
 		return frame.Frame{Kind: kindClaimReply, Payload: encodeClaimReply(claimReply{requestID: id, code: replyDone})}
 	}
@@ -129,7 +129,7 @@
 		return frame.Frame{Kind: kindOutcomeReply, Payload: encodeOutcomeReply(outcomeReply{requestID: id, code: replyDone})}
 	}
 	placeReplied := func(id uint64) frame.Frame {
-		return frame.Frame{Kind: kindPlaceReply, Payload: encodePlaceReply(placeReply{requestID: id, found: true})}
+		return frame.Frame{Kind: kindPlaceReply, Payload: encodePlaceReply(placeReply{requestID: id, decided: true})}
 	}
 	claim := func(ctx context.Context, client *Client) error {
 		_, err := client.Claim(ctx, state.ClaimRequest{Tenant: "water", Key: "crew", Nonce: 1})
@@ -147,19 +147,19 @@
 		ask   func(context.Context, *Client) error
 		want  error
 	}{
-		"a claim, the reply to an outcome":     {outcomeReplied, claim, ErrOutcomeUnknown},
-		"a claim, the reply to a placement":    {placeReplied, claim, ErrOutcomeUnknown},
-		"an outcome, the reply to a claim":     {claimReplied, record, ErrOutcomeUnknown},
-		"an outcome, the reply to a placement": {placeReplied, record, ErrOutcomeUnknown},
-		"a placement, the reply to a claim":    {claimReplied, place, ErrNotPlaced},
-		"a placement, the reply to an outcome": {outcomeReplied, place, ErrNotPlaced},
+		"claim answered with an outcome reply":     {outcomeReplied, claim, ErrOutcomeUnknown},
+		"claim answered with a placement reply":    {placeReplied, claim, ErrOutcomeUnknown},
+		"outcome answered with a claim reply":      {claimReplied, record, ErrOutcomeUnknown},
+		"outcome answered with a placement reply":  {placeReplied, record, ErrOutcomeUnknown},
+		"placement answered with a claim reply":    {claimReplied, place, ErrNotPlaced},
+		"placement answered with an outcome reply": {outcomeReplied, place, ErrNotPlaced},
 	} {
 		t.Run(name, func(t *testing.T) {
 			address := startScriptedMember(t, firstDelta(t), test.reply)
 			client, lines := startLoggedClient(t, view.NewHolder(), address)
 			eventually(t, "a leader", client.Connected)
 			first := client.session.Load()
-			ctx, cancel := context.WithTimeout(t.Context(), patience)
+			ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 			defer cancel()
 			must.ErrorIs(t, test.ask(ctx, client), test.want)
 			must.NoError(t, ctx.Err())
@@ -169,17 +169,17 @@
 	}
 }
 
-// Whoever only stands by gives placements, and nothing that a leader alone may say: its
-// view would be taken for the leader's, and a lease believed that no leader granted.
-func TestMemberThatStandsByGivesPlacementsOnly(t *testing.T) {
-	granted := frame.Frame{Kind: kindGrant, Payload: encodeGrant(grant{sequence: 1, lease: time.Hour, term: 9})}
+// A standby member may answer placements but not send views or leases. If they were accepted, the
+// view would be taken for the leader's, and a lease would be assumed that no leader granted.
+func TestStandbyMemberMustNotSendViewsOrLeases(t *testing.T) {
+	granted := frame.Frame{Kind: kindLeaseGrant, Payload: encodeLeaseGrant(leaseGrant{sequence: 1, lease: time.Hour, term: 9})}
 	for name, opening := range map[string]frame.Frame{"a view": firstDelta(t), "a lease": granted} {
 		t.Run(name, func(t *testing.T) {
 			address := startScriptedMember(t, opening, nil)
 			holder := view.NewHolder()
 			client, lines := startLoggedClient(t, holder, "127.0.0.1:1")
-			stood, err := client.connectStandby(address)
-			must.False(t, stood)
+			accepted, err := client.serveStandbyConnection(address)
+			must.False(t, accepted)
 			must.ErrorIs(t, err, errProtocol)
 			must.False(t, client.Connected())
 			must.False(t, holder.Valid(clock.Now()))
--- a/connection/feed/group_test.go
+++ b/connection/feed/group_test.go
@@ -19,21 +19,21 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// patience bounds every wait; it measures nothing.
-const patience = 20 * time.Second
+// testTimeout bounds every wait. No assertion depends on its value.
+const testTimeout = 20 * time.Second
 
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(testTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("not within %v: %s", patience, what)
+			t.Fatalf("timed out after %v waiting for %s", testTimeout, what)
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// fakeGroup is a control group of one state machine.
+// fakeGroup is a control group with a single state machine.
 type fakeGroup struct {
 	lock       sync.Mutex
 	machine    *state.Machine
@@ -44,7 +44,8 @@
 	demand     []DemandReport
 	usage      []UsageReport
 	presences  []Presence
-	// grant answers charges; charged holds them, with what came back as a negative cost.
+	// grant is the answer to each charge. charged records the charges; refunds have a negative
+	// cost.
 	grant   quota.Grant
 	charged []ChargeRequest
 }
@@ -71,8 +72,8 @@
 	return g.apply(state.Command{Kind: state.CommandTransaction, Transaction: transaction}).(api.TransactionResult).Revision
 }
 
-// putTogether writes tenants in one transaction, over those of an earlier call.
-func (g *fakeGroup) putTogether(prefix string, count int) {
+// putBatch writes tenants in one transaction. Tenants of an earlier call are overwritten.
+func (g *fakeGroup) putBatch(prefix string, count int) {
 	transaction := &api.Transaction{OperationID: fmt.Sprint(prefix, "-", time.Now().UnixNano())}
 	for i := range count {
 		tenant := &api.Tenant{Metadata: api.Metadata{Name: fmt.Sprintf("%s-%d", prefix, i)}}
@@ -86,7 +87,8 @@
 	g.apply(state.Command{Kind: state.CommandTransaction, Transaction: transaction})
 }
 
-func (g *fakeGroup) set(leads, leased bool, term uint64, address string) {
+// setLeadership sets the member's role; leased says whether a leader has a valid leader lease.
+func (g *fakeGroup) setLeadership(leads, leased bool, term uint64, address string) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	g.leadership = Leadership{Leads: leads, Term: term, Address: address}
@@ -168,10 +170,10 @@
 	g.usage = append(g.usage, report)
 }
 
-// fakeDay is the time of day of a fake group.
-const fakeDay = 1_700_000_000_000
+// fakeWallClock is the wall-clock time of a fakeGroup in Unix milliseconds.
+const fakeWallClock = 1_700_000_000_000
 
-func (g *fakeGroup) Day() int64 { return fakeDay }
+func (g *fakeGroup) Day() int64 { return fakeWallClock }
 
 func (g *fakeGroup) NoteKept(KeptParts) {}
 
@@ -183,28 +185,27 @@
 	g.demand = append(g.demand, report)
 }
 
-// testLease is the view lease of the tests.
+// testLease is the view lease used by the tests.
 const testLease = 200 * time.Millisecond
 
-// smallBuffers accepts connections that hold little of what is written to them: how
-// much the machine's own buffers hold, and how long filling them takes, is no part of
-// a test.
-type smallBuffers struct{ net.Listener }
+// smallBufferListener accepts connections with a small send buffer, so that the tests don't depend
+// on the size of the system's buffers or on how long filling them takes.
+type smallBufferListener struct{ net.Listener }
 
-const smallBuffer = 16 << 10 // bytes
+const smallBufferBytes = 16 << 10
 
-func (l smallBuffers) Accept() (net.Conn, error) {
+func (l smallBufferListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return conn, conn.(*net.TCPConn).SetWriteBuffer(smallBuffer)
+	return conn, conn.(*net.TCPConn).SetWriteBuffer(smallBufferBytes)
 }
 
 func startServer(t *testing.T, group Group) (*Server, string) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
-	listener = smallBuffers{listener}
+	listener = smallBufferListener{listener}
 	server := NewServer(ServerConfig{Group: group, ViewLease: testLease, WriteTimeout: time.Second}, listener)
 	t.Cleanup(server.Close)
 	return server, listener.Addr().String()
@@ -213,7 +214,7 @@
 func startClient(t *testing.T, views Views, addresses ...string) *Client {
 	client, err := Dial(ClientConfig{
 		Daemon:         "proxy-a",
-		HandoverWait:   patience,
+		HandoverWait:   testTimeout,
 		Addresses:      addresses,
 		BeatInterval:   20 * time.Millisecond,
 		SilenceTimeout: time.Second,
@@ -225,8 +226,8 @@
 	return client
 }
 
-// relay passes bytes on to a server until it is cut.
-type relay struct {
+// tcpRelay forwards bytes to a server until its connections are closed.
+type tcpRelay struct {
 	t        *testing.T
 	listener net.Listener
 	target   string
@@ -235,22 +236,22 @@
 	done     sync.WaitGroup
 }
 
-func newRelay(t *testing.T, target string) *relay {
+func newTCPRelay(t *testing.T, target string) *tcpRelay {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
-	r := &relay{t: t, listener: listener, target: target}
+	r := &tcpRelay{t: t, listener: listener, target: target}
 	r.done.Go(r.accept)
 	t.Cleanup(func() {
 		_ = listener.Close()
-		r.cut()
+		r.closeConnections()
 		r.done.Wait()
 	})
 	return r
 }
 
-func (r *relay) address() string { return r.listener.Addr().String() }
+func (r *tcpRelay) address() string { return r.listener.Addr().String() }
 
-func (r *relay) accept() {
+func (r *tcpRelay) accept() {
 	for {
 		conn, err := r.listener.Accept()
 		if err != nil {
@@ -264,12 +265,12 @@
 		r.lock.Lock()
 		r.conns = append(r.conns, conn, onward)
 		r.lock.Unlock()
-		r.done.Go(func() { pass(onward, conn) })
-		r.done.Go(func() { pass(conn, onward) })
+		r.done.Go(func() { copyUntilError(onward, conn) })
+		r.done.Go(func() { copyUntilError(conn, onward) })
 	}
 }
 
-func pass(to, from net.Conn) {
+func copyUntilError(to, from net.Conn) {
 	buffer := make([]byte, 1<<10)
 	for {
 		count, err := from.Read(buffer)
@@ -284,8 +285,8 @@
 	}
 }
 
-// cut ends every connection.
-func (r *relay) cut() {
+// closeConnections closes every open connection.
+func (r *tcpRelay) closeConnections() {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	for _, conn := range r.conns {
@@ -294,6 +295,7 @@
 	r.conns = nil
 }
 
+// putMany writes tenants one by one and returns the last revision.
 func putMany(g *fakeGroup, prefix string, count int) (revision uint64) {
 	for i := range count {
 		revision = g.put(fmt.Sprintf("%s-%d", prefix, i))
@@ -301,27 +303,27 @@
 	return revision
 }
 
-func TestNewGroupWaitsForNoEarlierLeases(t *testing.T) {
+func TestNewGroupDoesNotWaitForEarlierLeases(t *testing.T) {
 	const lease = time.Second
 	first := view.Version{Term: 1, Revision: 1}
-	fresh := newRegistry(1, view.Version{}, lease, 0)
-	must.True(t, fresh.inForce(first, 0).Done, must.Sprint("nobody holds a view"))
+	fresh := newTermLeases(1, view.Version{}, lease, 0)
+	must.True(t, fresh.inForce(first, 0).Done, must.Sprint("no daemon holds a view"))
 	must.True(t, fresh.tracker.Observe("proxy#1", first, 0))
-	must.False(t, fresh.inForce(view.Version{Term: 1, Revision: 2}, 0).Done, must.Sprint("the proxy is waited for"))
-	later := newRegistry(2, first, lease, 0)
+	must.False(t, fresh.inForce(view.Version{Term: 1, Revision: 2}, 0).Done, must.Sprint("the proxy has not acknowledged"))
+	later := newTermLeases(2, first, lease, 0)
 	must.True(t, later.inForce(first, 0).Settling, must.Sprint("an earlier leader may have granted leases"))
 }
 
-func TestTermStartsBeforeTheFirstQuestion(t *testing.T) {
+func TestTermStartsBeforeTheFirstQuery(t *testing.T) {
 	group := newFakeGroup()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	server := NewServer(ServerConfig{Group: group, ViewLease: time.Hour}, listener)
 	t.Cleanup(server.Close)
 	server.Wake()
-	eventually(t, "the term's registry", func() bool { return server.registry.Load() != nil })
+	eventually(t, "the registry of the term", func() bool { return server.termLeases.Load() != nil })
 	revision := group.put("first")
 	state, leads := server.InForce(t.Context(), revision)
 	must.True(t, leads)
-	must.True(t, state.Done, must.Sprint("nothing of an earlier leader is waited for"))
+	must.True(t, state.Done, must.Sprint("no lease of an earlier leader is waited for"))
 }
--- a/connection/feed/handover.go
+++ b/connection/feed/handover.go
@@ -6,69 +6,70 @@
 	"time"
 )
 
-// refusedShare is the part of HandoverWait that a refused request waits for its
-// leader to say that it leads no more. A leader refuses commands from the start of
-// a handover on, shortly before it sends its subscribers on.
-const refusedShare = 5
+// refusedWaitDivisor divides HandoverWait. The result is how long a refused request waits for its
+// leader to announce that it stepped down. A leader refuses commands from the start of a handover,
+// shortly before it redirects its subscribers, so a small part of HandoverWait suffices.
+const refusedWaitDivisor = 5
 
-// handover tells the client's callers about the change from one leader to the
-// next that a member announced.
+// handover tracks an announced change of leader, so that callers can wait for the next one.
 type handover struct {
-	lock    sync.Mutex
-	wait    time.Duration
-	until   time.Time     // callers may wait for a leader until then
-	changed chan struct{} // closed when a session begins
+	lock           sync.Mutex
+	wait           time.Duration
+	deadline       time.Time     // callers wait for the next leader until then
+	sessionStarted chan struct{} // closed and replaced when a leader starts to serve the client
 }
 
 func newHandover(wait time.Duration) *handover {
-	return &handover{wait: wait, changed: make(chan struct{})}
+	return &handover{wait: wait, sessionStarted: make(chan struct{})}
 }
 
-// announce lets callers wait for the next session from now on.
-func (h *handover) announce() {
+// expectLeader lets callers wait for the next leader's session from now on.
+func (h *handover) expectLeader() {
 	h.lock.Lock()
 	defer h.lock.Unlock()
-	h.until = time.Now().Add(h.wait)
+	h.deadline = time.Now().Add(h.wait)
 }
 
-// end wakes the callers that wait for a session.
-func (h *handover) end() {
+// leaderReady wakes the callers that wait for a leader's session.
+func (h *handover) leaderReady() {
 	h.lock.Lock()
 	defer h.lock.Unlock()
-	h.until = time.Time{}
-	close(h.changed)
-	h.changed = make(chan struct{})
+	h.deadline = time.Time{}
+	close(h.sessionStarted)
+	h.sessionStarted = make(chan struct{})
 }
 
-func (h *handover) look() (changed <-chan struct{}, until time.Time) {
+// status returns the channel that is closed when a leader starts to serve the client, and the time
+// until which callers may wait for that, zero if no handover was announced.
+func (h *handover) status() (sessionStarted <-chan struct{}, deadline time.Time) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
-	return h.changed, h.until
+	return h.sessionStarted, h.deadline
 }
 
-// awaitSession returns the session that serves the client. While leadership
-// moves as announced it waits for the next one; otherwise it returns nil at once
-// when there is none.
+// awaitSession returns the session that serves the client. During an announced handover it waits
+// for the next session; otherwise it returns nil immediately if there is none.
 func (c *Client) awaitSession(ctx context.Context) *session {
 	for {
-		changed, until := c.handover.look()
+		sessionStarted, deadline := c.handover.status()
 		if current := c.session.Load(); current != nil {
 			return current
 		}
-		left := time.Until(until)
-		if left <= 0 || !waitFor(ctx, changed, left) {
+		remaining := time.Until(deadline)
+		if remaining <= 0 || !waitClosed(ctx, sessionStarted, remaining) {
 			return nil
 		}
 	}
 }
 
-// movedOn reports whether the session ends shortly because its member leads no more.
-func (s *session) movedOn(ctx context.Context) bool {
-	return waitFor(ctx, s.ended, s.client.config.HandoverWait/refusedShare) && s.announced
+// awaitStepDown waits up to a fraction of HandoverWait (refusedWaitDivisor) for the session to end
+// and reports whether its leader announced that it stepped down.
+func (s *session) awaitStepDown(ctx context.Context) bool {
+	return waitClosed(ctx, s.ended, s.client.config.HandoverWait/refusedWaitDivisor) && s.steppedDown
 }
 
-// waitFor reports whether the channel was closed in time.
-func waitFor(ctx context.Context, closed <-chan struct{}, limit time.Duration) bool {
+// waitClosed reports whether the channel was closed within the limit.
+func waitClosed(ctx context.Context, closed <-chan struct{}, limit time.Duration) bool {
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	select {
--- a/connection/feed/latest.go
+++ b/connection/feed/latest.go
@@ -5,14 +5,13 @@
 	"sync"
 )
 
-// latestSubscriptions knows which of a daemon's open subscriptions is the latest. An
-// earlier one is that of a process that has ended, or a connection that its process has
-// given up: what it still brings was said before. Subscriptions that only stand by are
-// none of these.
+// latestSubscriptions tracks which of a daemon's open subscriptions is the latest. An earlier
+// subscription belongs to an instance that has exited, or is a connection that its instance has
+// abandoned; anything that still arrives on it is outdated. Standby subscriptions are not tracked.
 type latestSubscriptions struct {
 	lock sync.Mutex
-	// byDaemon holds the numbers of the open ones, by the order in which their
-	// connections were accepted; no list is empty.
+	// byDaemon holds the numbers of the open subscriptions, in the order in which their
+	// connections were accepted. No list is empty.
 	byDaemon map[string][]uint64
 }
 
@@ -29,17 +28,18 @@
 func (l *latestSubscriptions) remove(daemon string, number uint64) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	left := slices.DeleteFunc(l.byDaemon[daemon], func(open uint64) bool { return open == number })
-	if len(left) == 0 {
+	remaining := slices.DeleteFunc(l.byDaemon[daemon], func(open uint64) bool { return open == number })
+	if len(remaining) == 0 {
 		delete(l.byDaemon, daemon)
 		return
 	}
-	l.byDaemon[daemon] = left
+	l.byDaemon[daemon] = remaining
 }
 
-// ifLatest acts if the open subscription is its daemon's latest. No later one is added
-// until act, which must not block, has returned.
-func (l *latestSubscriptions) ifLatest(daemon string, number uint64, act func()) {
+// runIfLatest calls act if the subscription is the latest of its daemon. No later one is added
+// until act has returned; act must not block. runIfLatest panics if the daemon has no open
+// subscription.
+func (l *latestSubscriptions) runIfLatest(daemon string, number uint64, act func()) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	if number == slices.Max(l.byDaemon[daemon]) {
--- a/connection/feed/messages.go
+++ b/connection/feed/messages.go
@@ -10,94 +10,101 @@
 	"github.com/pkg/errors"
 )
 
-// Protocol is the preface of every feed connection.
+// Protocol identifies the feed protocol in the preface of every connection. Peers with a different
+// version don't communicate, so any change to an encoding in this package raises the version.
 var Protocol = frame.Protocol{ID: 2, Version: 11}
 
-// Kinds of frames. A subscriber sends Subscribe first and once.
+// Frame kinds, with the sender and the payload. A subscriber sends kindSubscribe first and only
+// once.
 const (
-	kindSubscribe    frame.Kind = iota + 1 // subscriber: subscribe
-	kindDelta                              // server: view.Delta
-	kindBeat                               // subscriber: beat
-	kindGrant                              // server: grant
-	kindNotLeader                          // server: notLeader; the connection ends
-	kindClaim                              // subscriber: request ID, state.ClaimRequest
-	kindClaimReply                         // server: request ID, replyCode, api.ClaimResult
-	kindOutcome                            // subscriber: request ID, state.RunOutcome
-	kindOutcomeReply                       // server: request ID, replyCode
-	kindDemand                             // subscriber: DemandReport
-	kindPresence                           // subscriber: Presence
-	kindPlace                              // subscriber: request ID, PlaceRequest
-	kindPlaceReply                         // server: request ID, placement.Answer
-	kindPlaceNote                          // subscriber: PlaceNote
-	kindKept                               // subscriber: KeptParts
-	kindAlive                              // server, to a standby subscription: nothing
-	kindInFlight                           // subscriber: InFlight
-	kindEnds                               // either side: EndReport
-	kindUsage                              // subscriber: UsageReport
-	kindCharge                             // subscriber: request ID, ChargeRequest
-	kindChargeReply                        // server: request ID, quota.Grant
-	kindReturn                             // subscriber: ChargeRequest
-	kindOwnReplicas                        // server, to a partial subscription: ownReplicas
+	kindSubscribe      frame.Kind = iota + 1 // subscriber: subscribe
+	kindDelta                                // server: view.Delta
+	kindHeartbeat                            // subscriber: heartbeat
+	kindLeaseGrant                           // server: leaseGrant
+	kindNotLeader                            // server: notLeader; the connection ends
+	kindClaim                                // subscriber: request ID, state.ClaimRequest
+	kindClaimReply                           // server: request ID, replyCode, api.ClaimResult
+	kindOutcome                              // subscriber: request ID, state.RunOutcome
+	kindOutcomeReply                         // server: request ID, replyCode
+	kindDemand                               // subscriber: DemandReport
+	kindPresence                             // subscriber: Presence
+	kindPlace                                // subscriber: request ID, PlaceRequest
+	kindPlaceReply                           // server: request ID, decided, placement.Answer, replicas
+	kindPlaceNote                            // subscriber: PlaceNote
+	kindCachedParts                          // subscriber: KeptParts
+	kindStandbyReady                         // server, to a standby subscription: empty
+	kindInFlight                             // subscriber: InFlight
+	kindCrashes                              // either side: EndReport
+	kindUsage                                // subscriber: UsageReport
+	kindCharge                               // subscriber: request ID, ChargeRequest
+	kindChargeReply                          // server: request ID, decided, quota.Grant
+	kindRefund                               // subscriber: ChargeRequest
+	kindSubsetReplicas                       // server, to a partial subscription: subsetReplicas
 )
 
-// Bounds of payloads in bytes. A server takes only small frames from
-// subscribers; a view of ten thousand engines takes some megabytes.
 const (
+	// maxSubscriberPayload and maxServerPayload limit payloads in bytes by their sender.
+	// Subscribers send only small frames; a view of ten thousand replicas takes several megabytes.
 	maxSubscriberPayload = 1 << 20
 	maxServerPayload     = 256 << 20
-	// maxDemands bounds the entries of one demand report.
+	// maxDemands limits the entries of one demand report. The server ends a connection that sends
+	// a longer one.
 	maxDemands = 4096
 )
 
-// subscribe opens a subscription from a version on.
+// subscribe starts a subscription from a version.
 type subscribe struct {
 	daemon string
-	// instance is drawn anew by each client, so that a restarted daemon is not
-	// taken for the process before it, whose lease may still run.
+	// instance is random for each client, so that a restarted daemon is not mistaken for its
+	// previous process, whose lease may still be valid.
 	instance uint64
 	zone     string
 	version  view.Version
-	// standby asks for placements alone, of any member that has a view.
+	// standby requests a standby subscription, which any member with a view accepts.
 	standby bool
-	// partial asks for the daemon's own subset of the replicas; shares is which part of them
-	// the version holds.
+	// partial requests only the daemon's own subset of the replicas; shares is the subset that the
+	// held version contains.
 	partial bool
 	shares  shares
 }
 
-// beat asks for the view lease to be renewed and acknowledges a version. A
-// relay holds versions that it does not acknowledge yet.
-type beat struct {
+// heartbeat requests a renewal of the view lease and acknowledges a version. With sequence 0 it
+// only acknowledges. A daemon whose views are an Acknowledger, such as a relay, may hold versions
+// that it has not acknowledged yet.
+type heartbeat struct {
 	sequence uint64
 	acked    view.Version
 	held     view.Version
 }
 
-// grant renews the view lease: from the moment at which the beat with the
-// sequence was sent, for the duration. day is the group's time of day when the
-// grant was sent, in milliseconds, 0 where none is known.
-type grant struct {
-	sequence uint64
-	lease    time.Duration
-	term     uint64
-	day      int64
+// leaseGrant renews the view lease for the duration, counted from when the heartbeat with the
+// sequence was sent; with sequence 0 it renews nothing. term is the leader's term. wallClock is the
+// group's wall-clock time in Unix milliseconds when the grant was sent, 0 if unknown. The lease is
+// sent in whole milliseconds, other durations of the protocol in nanoseconds.
+type leaseGrant struct {
+	sequence  uint64
+	lease     time.Duration
+	term      uint64
+	wallClock int64
 }
 
-// notLeader sends the subscriber to another member; the address may be empty.
+// notLeader redirects the subscriber to another member; the address may be empty.
 type notLeader struct{ address string }
 
-// Presence is a proxy's word on whether callers are to be sent to it.
+// Presence is a proxy's report of whether callers should be directed to it.
 type Presence struct {
-	// Proxy is the proxy's name; it may reach the leader through a relay.
+	// Proxy is the proxy's name. A relay with a feed of its own forwards the report to the leader;
+	// a PlacementRelay does not.
 	Proxy string
-	// Address is where callers reach the proxy, IP and port.
+	// Address is where callers reach the proxy, as IP and port.
 	Address string
 	Zone    string
-	// Ready is false before the proxy can serve and from its planned stop on, Stopping
-	// true from that on.
+	// Ready is false until the proxy can serve, and again after its planned shutdown has started.
+	// Stopping is true after the start of that shutdown.
 	Ready    bool
 	Stopping bool
-	// Day is the time of day of the proxy's machine when it spoke, in milliseconds.
+	// Day is the wall-clock time of the proxy's machine at the time of the report, in Unix
+	// milliseconds.
 	Day int64
 }
 
@@ -119,13 +126,13 @@
 	return message, decoder.Finish()
 }
 
-// replyCode says what became of a claim or an outcome at the server.
+// replyCode is the result of a request at the server.
 type replyCode uint8
 
 const (
-	replyDone    replyCode = iota + 1 // committed; the result holds
-	replyRefused                      // surely not proposed
-	replyUnknown                      // proposed, outcome not known
+	replyDone    replyCode = iota + 1 // committed, or decided for placements and charges; the result is valid
+	replyRefused                      // definitely not proposed
+	replyUnknown                      // proposed, but the outcome is unknown
 )
 
 type claimReply struct {
@@ -139,22 +146,23 @@
 	code      replyCode
 }
 
-// Demand is the work that one proxy was offered for one intent and class.
+// Demand is the load offered to one proxy for one intent and class, which are named as the objects
+// of these kinds in the view.
 type Demand struct {
 	Intent             string
 	Class              string
 	Requests           float64
 	PromptTokens       float64
-	CachedPromptTokens float64 // of PromptTokens, found in caches
+	CachedPromptTokens float64 // the part of PromptTokens found in caches
 	OutputTokens       float64
-	Refused            float64 // requests refused for lack of capacity
-	Late               float64 // requests that missed their deadline
-	QueuedRequests     int     // waiting now
+	Refused            float64 // refused for lack of capacity
+	Late               float64 // missed their deadline
+	QueuedRequests     int     // currently waiting
 	QueuedPromptTokens float64
 }
 
-// DemandReport is what one proxy was offered over the window that ends now.
-// Reports of consecutive windows add up; none is sent again.
+// DemandReport is the load offered to one proxy over the window that ends now. Reports of
+// consecutive windows add up; none is sent twice. It may hold at most maxDemands demands.
 type DemandReport struct {
 	Window  time.Duration
 	Demands []Demand
@@ -191,7 +199,7 @@
 	return view.Version{Term: decoder.Uint64(), Revision: decoder.Uint64()}
 }
 
-func encodeBeat(message beat) []byte {
+func encodeHeartbeat(message heartbeat) []byte {
 	encoder := frame.NewEncoder(nil)
 	encoder.Uint64(message.sequence)
 	encodeVersion(encoder, message.acked)
@@ -199,33 +207,33 @@
 	return encoder.Data()
 }
 
-func decodeBeat(data []byte) (beat, error) {
+func decodeHeartbeat(data []byte) (heartbeat, error) {
 	decoder := frame.NewDecoder(data)
-	message := beat{sequence: decoder.Uint64(), acked: decodeVersion(decoder), held: decodeVersion(decoder)}
+	message := heartbeat{sequence: decoder.Uint64(), acked: decodeVersion(decoder), held: decodeVersion(decoder)}
 	if err := decoder.Finish(); err != nil {
-		return beat{}, err
+		return heartbeat{}, err
 	}
 	if message.acked.Compare(message.held) > 0 {
-		return beat{}, errors.Wrapf(errProtocol, "version %d is acknowledged and not held", message.acked.Revision)
+		return heartbeat{}, errors.Wrapf(errProtocol, "acknowledged revision %d exceeds the held one", message.acked.Revision)
 	}
 	return message, nil
 }
 
-func encodeGrant(message grant) []byte {
+func encodeLeaseGrant(message leaseGrant) []byte {
 	encoder := frame.NewEncoder(nil)
 	encoder.Uint64(message.sequence)
 	encoder.Int64(message.lease.Milliseconds())
 	encoder.Uint64(message.term)
-	encoder.Int64(message.day)
+	encoder.Int64(message.wallClock)
 	return encoder.Data()
 }
 
-func decodeGrant(data []byte) (grant, error) {
+func decodeLeaseGrant(data []byte) (leaseGrant, error) {
 	decoder := frame.NewDecoder(data)
-	message := grant{sequence: decoder.Uint64()}
+	message := leaseGrant{sequence: decoder.Uint64()}
 	message.lease = time.Duration(decoder.Int64()) * time.Millisecond
 	message.term = decoder.Uint64()
-	message.day = decoder.Int64()
+	message.wallClock = decoder.Int64()
 	return message, decoder.Finish()
 }
 
--- a/connection/feed/partial.go
+++ b/connection/feed/partial.go
@@ -15,92 +15,94 @@
 	"github.com/pkg/errors"
 )
 
-// A daemon that asks where its requests go needs few replicas of a large service itself: some
-// to choose from while nobody answers, and those that answers name. A partial subscription
-// brings all of the view but the replicas, of which it brings the daemon's own subset; what an
-// answer names beyond that comes with the answer. So neither the bytes to a daemon nor what it
-// holds grow with the replicas.
-
-// shares is which part of each service's replicas a daemon follows. A service without an
-// entry is followed whole.
+// A partial subscription delivers the full view except for the replicas, of which it delivers the
+// daemon's own subset. The daemon chooses among these while no member answers its placements. A
+// placement reply that names a replica outside the subset includes that replica. So neither the
+// bytes sent to a daemon nor the state it holds grow with the number of replicas.
+
+// shares holds the size of a daemon's subset for each service: with a share of k, the subset
+// contains about one in 2^k of the service's replicas. A service without an entry has share 0,
+// which is all replicas.
 type shares map[string]subset.Share
 
-// includes reports whether the replica is one that the daemon follows.
+// includes reports whether the replica is in the daemon's subset.
 func (s shares) includes(daemon string, replica *api.Replica) bool {
 	return s[replica.Spec.Service].Includes(daemon, replica.Name)
 }
 
-// sharesOf returns the shares of the replicas that are listed; before are those until now.
-func sharesOf(listed map[string]*api.Replica, before shares) shares {
+// computeShares returns the shares for the replicas, given the previous shares.
+func computeShares(replicas map[string]*api.Replica, previous shares) shares {
 	sizes := map[string]int{}
-	for _, replica := range listed {
+	for _, replica := range replicas {
 		sizes[replica.Spec.Service]++
 	}
-	made := shares{}
+	computed := shares{}
 	for service, size := range sizes {
-		if share := subset.ShareOf(size, before[service]); share > 0 {
-			made[service] = share
+		if share := subset.ShareOf(size, previous[service]); share > 0 {
+			computed[service] = share
 		}
 	}
-	return made
+	return computed
 }
 
-// partialViews keeps what partial subscriptions to one server have in common.
-type partialViews struct {
-	lock    sync.Mutex
-	version view.Version // of which shares are
-	shares  shares
-	// full is a whole view without its replicas, which are listed beside it.
-	full   encodedDelta
-	listed []hashedReplica
-	fullAt time.Duration
-	// wholeFrom is the highest revision of which it was seen that no delta leads on from it.
-	wholeFrom uint64
-	// latest is the last delta that anybody was sent, and payload its encoding, nil before it is
-	// needed.
+// partialViewCache holds the state that is common to all partial subscriptions of one server.
+type partialViewCache struct {
+	lock          sync.Mutex
+	sharesVersion view.Version // version for which shares was computed
+	shares        shares
+	// full is the encoding of a full view without its replicas, which are listed separately.
+	full          encodedDelta
+	replicas      []hashedReplica
+	fullEncodedAt time.Duration
+	// fullOnlyThrough is the highest revision known to be too old for an incremental delta.
+	fullOnlyThrough uint64
+	// latest is the most recent incremental delta that was requested. payload is its encoding, nil
+	// until needed.
 	latest  view.Delta
 	payload []byte
 }
 
-// hashedReplica is a replica with the hash of its name, which is compared with each daemon's.
+// hashedReplica is a replica with the hash of its name, which is compared with the hash of each
+// daemon's name.
 type hashedReplica struct {
 	replica *api.Replica
 	hash    uint64
 }
 
-// sharesNow returns the shares of the group's view. They are looked at again only where
-// replicas have changed.
-func (p *partialViews) sharesNow(group Group) shares {
+// currentShares returns the shares for the group's current view. It recomputes and stores them if
+// replicas may have changed.
+func (p *partialViewCache) currentShares(group Group) shares {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	current := group.View()
-	if p.shares != nil && current.Version.Compare(p.version) <= 0 {
+	if p.shares != nil && current.Version.Compare(p.sharesVersion) <= 0 {
 		return p.shares
 	}
-	if p.shares == nil || p.mayTouchReplicas(group) {
-		p.shares = sharesOf(current.Replicas, p.shares)
+	if p.shares == nil || p.replicasMayHaveChanged(group) {
+		p.shares = computeShares(current.Replicas, p.shares)
 	}
-	p.version = current.Version
+	p.sharesVersion = current.Version
 	return p.shares
 }
 
-// mayTouchReplicas reports whether replicas may have changed since shares were looked at.
-func (p *partialViews) mayTouchReplicas(group Group) bool {
-	delta, found := group.DeltaSince(p.version)
-	return !found || delta.Full || touchesReplicas(delta)
+// replicasMayHaveChanged reports whether replicas may have changed since the shares were computed.
+func (p *partialViewCache) replicasMayHaveChanged(group Group) bool {
+	delta, found := group.DeltaSince(p.sharesVersion)
+	return !found || delta.Full || changesReplicas(delta)
 }
 
-func touchesReplicas(delta view.Delta) bool {
+func changesReplicas(delta view.Delta) bool {
 	return slices.ContainsFunc(delta.Objects, func(o api.Object) bool { return o.Replica != nil }) ||
 		slices.ContainsFunc(delta.Removed, func(key api.Key) bool { return key.Kind == api.KindReplica })
 }
 
-// since returns the delta from a version, the same for all who ask from there. To make a full
-// one takes the time of all objects, so it is only said to be one.
-func (p *partialViews) since(group Group, from view.Version) (view.Delta, bool) {
+// deltaSince returns the delta from the given version, which is the same for all subscriptions at
+// that version, and false if there is nothing to send. Building a full delta takes time
+// proportional to the number of objects, so if one is needed the result has only Full set.
+func (p *partialViewCache) deltaSince(group Group, from view.Version) (view.Delta, bool) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	if from.IsZero() || from.Revision <= p.wholeFrom {
+	if from.IsZero() || from.Revision <= p.fullOnlyThrough {
 		return view.Delta{Full: true}, from.Compare(group.Version()) < 0
 	}
 	if !p.latest.To.IsZero() && p.latest.From == from && p.latest.To == group.Version() {
@@ -108,16 +110,16 @@
 	}
 	delta, found := group.DeltaSince(from)
 	if found && delta.Full {
-		p.wholeFrom = from.Revision
+		p.fullOnlyThrough = from.Revision
 	} else if found {
 		p.latest, p.payload = delta, nil
 	}
 	return delta, found
 }
 
-// encode returns the encoding of a delta. Of the latest one it is made once, since most daemons
-// stand at the same version.
-func (p *partialViews) encode(delta view.Delta) ([]byte, error) {
+// encode returns the encoding of a delta. The latest delta is encoded once, since most daemons are
+// at the same version.
+func (p *partialViewCache) encode(delta view.Delta) ([]byte, error) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	isLatest := delta.From == p.latest.From && delta.To == p.latest.To
@@ -131,13 +133,13 @@
 	return payload, err
 }
 
-// whole returns a whole view without its replicas, and these; one that was encoded lately
-// where that is later than from.
-func (p *partialViews) whole(group Group, from view.Version, now time.Duration) (encodedDelta, []hashedReplica, error) {
+// fullView returns the encoding of a full view without its replicas, and the replicas. A recent
+// encoding is reused if it is newer than from.
+func (p *partialViewCache) fullView(group Group, from view.Version, now time.Duration) (encodedDelta, []hashedReplica, error) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	if p.full.payload != nil && now-p.fullAt < fullReuse && p.full.to.Compare(from) > 0 {
-		return p.full, p.listed, nil
+	if p.full.payload != nil && now-p.fullEncodedAt < fullViewCacheTTL && p.full.to.Compare(from) > 0 {
+		return p.full, p.replicas, nil
 	}
 	current := group.View()
 	common := *current
@@ -146,24 +148,24 @@
 	if err != nil {
 		return encodedDelta{}, nil, err
 	}
-	p.full, p.fullAt = encodedDelta{to: current.Version, payload: payload}, now
-	p.listed = make([]hashedReplica, 0, len(current.Replicas))
+	p.full, p.fullEncodedAt = encodedDelta{to: current.Version, payload: payload}, now
+	p.replicas = make([]hashedReplica, 0, len(current.Replicas))
 	for name, replica := range current.Replicas {
-		p.listed = append(p.listed, hashedReplica{replica, subset.Hash(name)})
+		p.replicas = append(p.replicas, hashedReplica{replica, subset.Hash(name)})
 	}
-	return p.full, p.listed, nil
+	return p.full, p.replicas, nil
 }
 
-// ownReplicas is what a daemon follows of the replicas of a whole view, which comes next.
-type ownReplicas struct {
-	to       view.Version
+// subsetReplicas holds the daemon's replicas for the full view in the next delta frame.
+type subsetReplicas struct {
+	version  view.Version
 	shares   shares
 	replicas []*api.Replica
 }
 
-func encodeOwnReplicas(message ownReplicas) []byte {
+func encodeSubsetReplicas(message subsetReplicas) []byte {
 	encoder := frame.NewEncoder(nil)
-	encodeVersion(encoder, message.to)
+	encodeVersion(encoder, message.version)
 	encodeShares(encoder, message.shares)
 	encoder.Uint32(uint32(len(message.replicas)))
 	for _, replica := range message.replicas {
@@ -172,9 +174,9 @@
 	return encoder.Data()
 }
 
-func decodeOwnReplicas(data []byte) (ownReplicas, error) {
+func decodeSubsetReplicas(data []byte) (subsetReplicas, error) {
 	decoder := frame.NewDecoder(data)
-	message := ownReplicas{to: decodeVersion(decoder), shares: decodeShares(decoder)}
+	message := subsetReplicas{version: decodeVersion(decoder), shares: decodeShares(decoder)}
 	count := decoder.Count(replicaSize)
 	for i := 0; i < count && decoder.Err() == nil; i++ {
 		message.replicas = append(message.replicas, decodeReplica(decoder))
@@ -182,34 +184,35 @@
 	return message, decoder.Finish()
 }
 
-// Least sizes of encoded list elements.
+// Minimum sizes of encoded list elements.
 const (
 	shareSize   = 4 + 1
 	replicaSize = 4
 )
 
-func encodeShares(encoder *frame.Encoder, given shares) {
-	encoder.Uint32(uint32(len(given)))
-	for _, service := range slices.Sorted(maps.Keys(given)) {
+func encodeShares(encoder *frame.Encoder, byService shares) {
+	encoder.Uint32(uint32(len(byService)))
+	for _, service := range slices.Sorted(maps.Keys(byService)) {
 		encoder.String(service)
-		encoder.Uint8(uint8(given[service]))
+		encoder.Uint8(uint8(byService[service]))
 	}
 }
 
-// mostShare is the highest share that a message may name.
-const mostShare = 63
+// maxShare is the highest share that a message may contain. A share is a number of bits of a 64-bit
+// hash.
+const maxShare = 63
 
 func decodeShares(decoder *frame.Decoder) shares {
 	count := decoder.Count(shareSize)
-	read := shares{}
+	byService := shares{}
 	for i := 0; i < count && decoder.Err() == nil; i++ {
 		service, share := decoder.String(), decoder.Uint8()
-		if share > mostShare {
+		if share > maxShare {
 			decoder.Fail(frame.ErrValue)
 		}
-		read[service] = subset.Share(share)
+		byService[service] = subset.Share(share)
 	}
-	return read
+	return byService
 }
 
 func encodeReplica(encoder *frame.Encoder, replica *api.Replica) {
@@ -218,50 +221,52 @@
 
 func decodeReplica(decoder *frame.Decoder) *api.Replica {
 	reader := binenc.NewReader(decoder.Bytes())
-	read := reader.Object().Replica
-	if reader.Close() != nil || read == nil {
+	replica := reader.Object().Replica
+	if reader.Close() != nil || replica == nil {
 		decoder.Fail(frame.ErrValue)
 	}
-	return read
+	return replica
 }
 
-// writePartial writes what leads from the version sent last to the one applied now. News that
-// change nothing of how the daemon serves wait for its next beat, with all that comes until
-// then: at a start of a thousand daemons each one's coming would else be told to all others.
-func (s *subscriber) writePartial(ctx context.Context, writer *frame.Writer, sent view.Version, asked bool) error {
+// writePartial writes the delta from the version sent last to the current one. Changes in the set
+// of daemons don't affect how the daemon serves; they wait for its next heartbeat and are sent
+// together with later ones. Otherwise, when a thousand daemons start, each arrival would be sent
+// separately to all others.
+func (s *subscriber) writePartial(ctx context.Context, writer *frame.Writer, sent view.Version, heartbeatPending bool) error {
 	group := s.server.config.Group
-	now := s.server.partial.sharesNow(group)
-	delta, found := s.server.partial.since(group, sent)
+	current := s.server.partial.currentShares(group)
+	delta, found := s.server.partial.deltaSince(group, sent)
 	if !found {
 		return nil
 	}
-	if delta.Full || !maps.Equal(now, s.shares) {
-		return s.writeOwnView(ctx, writer, sent, now)
+	if delta.Full || !maps.Equal(current, s.shares) {
+		return s.writeSubsetView(ctx, writer, sent, current)
 	}
-	isCommon := !touchesReplicas(delta)
-	if !isCommon {
-		delta = s.ownPart(delta)
+	shared := !changesReplicas(delta)
+	if !shared {
+		delta = s.filterReplicas(delta)
 	}
-	if !asked && !isUrgent(delta) {
+	if !heartbeatPending && !changesMoreThanProxies(delta) {
 		return nil
 	}
-	payload, err := s.encodePart(delta, isCommon)
+	payload, err := s.encodePartialDelta(delta, shared)
 	if err != nil {
 		return err
 	}
-	return s.writeVersion(writer, payload, delta.To)
+	return s.writeDeltaFrame(writer, payload, delta.To)
 }
 
-// encodePart encodes a delta, which is the same for all daemons where it is common.
-func (s *subscriber) encodePart(delta view.Delta, isCommon bool) ([]byte, error) {
-	if isCommon {
+// encodePartialDelta encodes a delta. The encoding of a common delta, which is the same for all
+// daemons, is shared.
+func (s *subscriber) encodePartialDelta(delta view.Delta, shared bool) ([]byte, error) {
+	if shared {
 		return s.server.partial.encode(delta)
 	}
 	return encodeDelta(delta)
 }
 
-// ownPart is what a delta with replicas brings to the daemon.
-func (s *subscriber) ownPart(delta view.Delta) view.Delta {
+// filterReplicas returns the delta without replicas outside the daemon's subset.
+func (s *subscriber) filterReplicas(delta view.Delta) view.Delta {
 	own := delta
 	own.Objects = slices.DeleteFunc(slices.Clone(delta.Objects), func(o api.Object) bool {
 		return o.Replica != nil && !s.shares.includes(s.key.daemon, o.Replica)
@@ -269,77 +274,81 @@
 	return own
 }
 
-// isUrgent reports whether a delta holds anything but which other daemons there are.
-func isUrgent(delta view.Delta) bool {
+// changesMoreThanProxies reports whether a delta contains anything other than changes in the set of
+// proxies.
+func changesMoreThanProxies(delta view.Delta) bool {
 	return slices.ContainsFunc(delta.Objects, func(o api.Object) bool { return o.Proxy == nil }) ||
 		slices.ContainsFunc(delta.Removed, func(key api.Key) bool { return key.Kind != api.KindProxy })
 }
 
-// writeOwnView writes a whole view, later than the version sent, with the daemon's own
+// writeSubsetView writes a full view newer than the sent version, with the daemon's subset of the
 // replicas.
-func (s *subscriber) writeOwnView(ctx context.Context, writer *frame.Writer, sent view.Version, now shares) error {
-	common, listed, err := s.server.partial.whole(s.server.config.Group, sent, s.server.config.Clock())
+func (s *subscriber) writeSubsetView(ctx context.Context, writer *frame.Writer, sent view.Version, current shares) error {
+	common, listed, err := s.server.partial.fullView(s.server.config.Group, sent, s.server.config.Clock())
 	if err != nil {
 		return err
 	}
-	own := ownReplicas{to: common.to, shares: now}
+	own := subsetReplicas{version: common.to, shares: current}
 	daemon := subset.Hash(s.key.daemon)
 	for _, entry := range listed {
-		if now[entry.replica.Spec.Service].IncludesHash(daemon, entry.hash) {
+		if current[entry.replica.Spec.Service].IncludesHash(daemon, entry.hash) {
 			own.replicas = append(own.replicas, entry.replica)
 		}
 	}
-	if len(common.payload) >= bulkPayload {
-		if err := s.beginBulk(ctx, writer); err != nil {
+	if len(common.payload) >= bulkThresholdBytes {
+		if err := s.acquireBulkSlot(ctx, writer); err != nil {
 			return err
 		}
-		s.sendBulk(common.to)
+		s.recordBulkSent(common.to)
 	}
-	if err := writer.WriteFrame(kindOwnReplicas, encodeOwnReplicas(own)); err != nil {
+	if err := writer.WriteFrame(kindSubsetReplicas, encodeSubsetReplicas(own)); err != nil {
 		return err
 	}
-	s.shares = now
-	return s.writeVersion(writer, common.payload, common.to)
+	s.shares = current
+	return s.writeDeltaFrame(writer, common.payload, common.to)
 }
 
-// receiveOwnReplicas keeps the replicas of the whole view that comes next.
-func (s *session) receiveOwnReplicas(payload []byte) error {
-	message, err := decodeOwnReplicas(payload)
+// receiveSubsetReplicas stores the replicas that belong to the next full view.
+func (s *session) receiveSubsetReplicas(payload []byte) error {
+	message, err := decodeSubsetReplicas(payload)
 	if err != nil {
 		return err
 	}
 	if !s.client.config.Partial {
-		return errors.Wrap(errMisplaced, "replicas to a subscription of whole views")
+		return errors.Wrap(errUnexpectedFrame, "subset replicas on a full subscription")
 	}
-	s.own = &message
+	s.pendingSubset = &message
 	return nil
 }
 
-// addOwn completes a whole view with the replicas that came before it.
-func (s *session) addOwn(delta *view.Delta) error {
+// addSubsetReplicas adds the replicas received before a full view to it.
+func (s *session) addSubsetReplicas(delta *view.Delta) error {
 	if !s.client.config.Partial || !delta.Full {
 		return nil
 	}
-	own := s.own
-	if own == nil || own.to != delta.To {
-		return errors.Wrap(errProtocol, "a whole view without its replicas")
+	own := s.pendingSubset
+	if own == nil || own.version != delta.To {
+		return errors.Wrap(errProtocol, "full view without its subset replicas")
 	}
 	for _, replica := range own.replicas {
 		delta.Objects = append(delta.Objects, api.Object{Replica: replica})
 	}
-	s.own = nil
+	s.pendingSubset = nil
 	s.client.shares.Store(&own.shares)
 	return nil
 }
 
-// Lister is a Group that knows of replicas which its view does not list.
+// Lister is implemented by a Group that knows replicas which are not in its view.
 type Lister interface {
+	// Listed returns the named replica, whether it is in the view or not, or nil if it is unknown.
 	Listed(name string) *api.Replica
 }
 
-// namedBeyond returns the replicas of the names that the daemon, for which a partial
-// subscription asks, does not follow.
-func (s *subscriber) namedBeyond(origin string, names ...string) []*api.Replica {
+// replicasOutsideSubset returns the named replicas that are outside the daemon's subset; if the
+// group is a Lister, whose view is itself a subset, it returns all of them that are known. It
+// returns none for a full subscription. The daemon is the origin of the request, or the subscriber
+// itself if origin is empty.
+func (s *subscriber) replicasOutsideSubset(origin string, names ...string) []*api.Replica {
 	if !s.partial {
 		return nil
 	}
@@ -348,51 +357,53 @@
 	if origin != "" {
 		daemon = daemonName(origin)
 	}
-	now := s.server.partial.sharesNow(group)
-	var named []*api.Replica
+	current := s.server.partial.currentShares(group)
+	var outside []*api.Replica
 	for _, name := range names {
-		if lister, knows := group.(Lister); knows {
+		if lister, isLister := group.(Lister); isLister {
 			if known := lister.Listed(name); known != nil {
-				named = append(named, known)
+				outside = append(outside, known)
 			}
 			continue
 		}
-		if listed := group.View().Replicas[name]; listed != nil && !now.includes(daemon, listed) {
-			named = append(named, listed)
+		if listed := group.View().Replicas[name]; listed != nil && !current.includes(daemon, listed) {
+			outside = append(outside, listed)
 		}
 	}
-	return named
+	return outside
 }
 
-// named keeps the replicas that answers have named beyond the daemon's subset, the latest of
-// them: those of the last maxNamed answers at least.
-type named struct {
-	lock           sync.Mutex
-	latest, before map[string]*api.Replica
+// namedReplicas caches replicas outside the daemon's subset that placement replies have included.
+// It holds two generations, so that at least the last maxNamedPerGeneration replicas are kept.
+type namedReplicas struct {
+	lock              sync.Mutex
+	current, previous map[string]*api.Replica
 }
 
-// maxNamed is how many replicas are kept before the older ones are dropped.
-const maxNamed = 1024
+// maxNamedPerGeneration is the number of replicas after which a new generation starts and the
+// older one is dropped.
+const maxNamedPerGeneration = 1024
 
-func (n *named) add(replicas []*api.Replica) {
+func (n *namedReplicas) add(replicas []*api.Replica) {
 	n.lock.Lock()
 	defer n.lock.Unlock()
 	for _, replica := range replicas {
-		if n.latest == nil || len(n.latest) >= maxNamed {
-			n.before, n.latest = n.latest, map[string]*api.Replica{}
+		if n.current == nil || len(n.current) >= maxNamedPerGeneration {
+			n.previous, n.current = n.current, map[string]*api.Replica{}
 		}
-		n.latest[replica.Name] = replica
+		n.current[replica.Name] = replica
 	}
 }
 
-func (n *named) find(name string) *api.Replica {
+func (n *namedReplicas) find(name string) *api.Replica {
 	n.lock.Lock()
 	defer n.lock.Unlock()
-	if known := n.latest[name]; known != nil {
+	if known := n.current[name]; known != nil {
 		return known
 	}
-	return n.before[name]
+	return n.previous[name]
 }
 
-// Listed returns a replica that an answer has named lately beyond the daemon's subset, or nil.
-func (c *Client) Listed(name string) *api.Replica { return c.named.find(name) }
+// Listed returns a replica outside the daemon's subset that a recent placement reply has included,
+// or nil.
+func (c *Client) Listed(name string) *api.Replica { return c.namedReplicas.find(name) }
--- a/connection/feed/partial_test.go
+++ b/connection/feed/partial_test.go
@@ -23,42 +23,43 @@
 	}}
 }
 
-// list has the group list replicas with the numbers.
-func (g *fakeGroup) list(from, to int, leaving bool) {
-	seen := state.Observe{}
+// addReplicas adds the replicas with the numbers to the group's view.
+func (g *fakeGroup) addReplicas(from, to int, leaving bool) {
+	observed := state.Observe{}
 	for number := from; number < to; number++ {
-		seen.Put = append(seen.Put, listedReplica(number, leaving))
+		observed.Put = append(observed.Put, listedReplica(number, leaving))
 	}
-	g.apply(state.Command{Kind: state.CommandObserve, Observe: &seen})
+	g.apply(state.Command{Kind: state.CommandObserve, Observe: &observed})
 }
 
-// unlist has it list them no more.
-func (g *fakeGroup) unlist(from, to int) {
-	seen := state.Observe{}
+// removeReplicas removes the replicas with the numbers from the group's view.
+func (g *fakeGroup) removeReplicas(from, to int) {
+	observed := state.Observe{}
 	for number := from; number < to; number++ {
-		seen.Removed = append(seen.Removed, api.Key{Kind: api.KindReplica, Name: fmt.Sprintf("r-%05d", number)})
+		observed.Removed = append(observed.Removed, api.Key{Kind: api.KindReplica, Name: fmt.Sprintf("r-%05d", number)})
 	}
-	g.apply(state.Command{Kind: state.CommandObserve, Observe: &seen})
+	g.apply(state.Command{Kind: state.CommandObserve, Observe: &observed})
 }
 
-// countingConn counts the bytes that come in.
+// countingConn counts the bytes read.
 type countingConn struct {
 	net.Conn
-	read *atomic.Int64
+	bytesRead *atomic.Int64
 }
 
 func (c countingConn) Read(into []byte) (int, error) {
 	n, err := c.Conn.Read(into)
-	c.read.Add(int64(n))
+	c.bytesRead.Add(int64(n))
 	return n, err
 }
 
-// startPartial starts a client with a partial subscription, and returns the bytes it reads.
+// startPartial starts a client with a partial subscription and returns a counter of the bytes it
+// reads.
 func startPartial(t *testing.T, daemon string, holder *view.Holder, address string) (*Client, *atomic.Int64) {
 	read := &atomic.Int64{}
 	client, err := Dial(ClientConfig{
 		Daemon: daemon, Addresses: []string{address}, Partial: true,
-		BeatInterval: 20 * time.Millisecond, SilenceTimeout: patience, BackoffMin: time.Millisecond, BackoffMax: 20 * time.Millisecond,
+		BeatInterval: 20 * time.Millisecond, SilenceTimeout: testTimeout, BackoffMin: time.Millisecond, BackoffMax: 20 * time.Millisecond,
 		Dial: countingDial(read),
 	}, holder)
 	must.NoError(t, err)
@@ -66,65 +67,66 @@
 	return client, read
 }
 
-// What a partial subscription brings of a large service does not grow with it: a whole view of
-// ten thousand replicas took a proxy's link more than a second, and the leader's the time of
-// all of them together.
-func TestPartialViewsDoNotGrowWithTheReplicas(t *testing.T) {
-	bytes := map[int]int64{}
+// The size of a partial view must not grow with the number of replicas. Otherwise the view of a
+// service with ten thousand replicas takes a proxy's link more than a second, and the leader's link
+// the time of all proxies together.
+func TestPartialViewSizeIsIndependentOfReplicaCount(t *testing.T) {
+	viewBytes := map[int]int64{}
 	for _, size := range []int{200, 10_000} {
 		group := newFakeGroup()
 		_, address := startServer(t, group)
 		group.put("water")
-		group.list(0, size, false)
+		group.addReplicas(0, size, false)
 		holder := view.NewHolder()
 		_, read := startPartial(t, "proxy-1", holder, address)
 		eventually(t, "the view", func() bool { return holder.Load().Version.Revision == 2 })
 		must.MapContainsKey(t, holder.Load().Tenants, "water")
+		// A subset has between 128 and 255 replicas on average; all 200 are included.
 		must.Between(t, 90, len(holder.Load().Replicas), 255, must.Sprint(size))
-		bytes[size] = read.Load()
+		viewBytes[size] = read.Load()
 	}
-	must.Less(t, 2*bytes[200], bytes[10_000])
+	must.Less(t, 2*viewBytes[200], viewBytes[10_000])
 }
 
-// A daemon is told of each change of its own replicas, and of no other's.
-func TestPartialViewsFollowTheirReplicas(t *testing.T) {
+// A daemon receives each change of the replicas in its subset, and none of the others.
+func TestPartialViewsFollowTheReplicasOfTheirSubset(t *testing.T) {
 	group := newFakeGroup()
 	server, address := startServer(t, group)
-	group.list(0, 1000, false)
+	group.addReplicas(0, 1000, false)
 	holder := view.NewHolder()
 	startPartial(t, "proxy-1", holder, address)
 	share := subset.ShareOf(1000, 0)
-	check := func(revision uint64, lists func(number int) bool) {
+	check := func(revision uint64, inView func(number int) bool) {
 		t.Helper()
 		server.Wake()
 		eventually(t, "the version", func() bool { return holder.Load().Version.Revision == revision })
 		for number := range 1200 {
 			name := fmt.Sprintf("r-%05d", number)
 			_, listed := holder.Load().Replicas[name]
-			must.Eq(t, lists(number) && share.Includes("proxy-1", name), listed, must.Sprint(name))
+			must.Eq(t, inView(number) && share.Includes("proxy-1", name), listed, must.Sprint(name))
 		}
 	}
 	check(1, func(number int) bool { return number < 1000 })
-	group.unlist(0, 100)
+	group.removeReplicas(0, 100)
 	check(2, func(number int) bool { return number >= 100 && number < 1000 })
-	group.list(1000, 1100, false)
+	group.addReplicas(1000, 1100, false)
 	check(3, func(number int) bool { return number >= 100 && number < 1100 })
-	group.list(100, 1100, true)
+	group.addReplicas(100, 1100, true)
 	check(4, func(number int) bool { return number >= 100 && number < 1100 })
 	for _, replica := range holder.Load().Replicas {
 		must.True(t, replica.Spec.Leaving)
 	}
 	share = 0
-	group.unlist(200, 1100)
+	group.removeReplicas(200, 1100)
 	check(5, func(number int) bool { return number >= 100 && number < 200 })
 }
 
-// A daemon that comes back with the version and the subset that it holds is sent what has
-// changed since.
-func TestPartialViewsGoOnWithWhatIsHeld(t *testing.T) {
+// A daemon that reconnects with the version and the subset that it holds receives the later changes
+// and keeps its replicas.
+func TestPartialViewsResumeFromTheHeldVersion(t *testing.T) {
 	group := newFakeGroup()
 	server, address := startServer(t, group)
-	group.list(0, 1000, false)
+	group.addReplicas(0, 1000, false)
 	holder := view.NewHolder()
 	client, _ := startPartial(t, "proxy-1", holder, address)
 	eventually(t, "the view", func() bool { return holder.Load().Version.Revision == 1 })
@@ -132,58 +134,59 @@
 	client.Close()
 	group.put("water")
 	again, read := startPartial(t, "proxy-1", holder, address)
-	again.shares.Store(held) // a client of the same process would still have it
+	again.shares.Store(held) // as a client of the same process would still have it
 	server.Wake()
-	eventually(t, "what was missed", func() bool { return holder.Load().Version.Revision == 2 })
+	eventually(t, "the missed changes", func() bool { return holder.Load().Version.Revision == 2 })
 	must.Greater(t, 0, len(holder.Load().Replicas))
 	_ = read
 }
 
-func TestOwnReplicasAreCoded(t *testing.T) {
-	message := ownReplicas{to: view.Version{Term: 2, Revision: 9}, shares: shares{"chat": 6}, replicas: []*api.Replica{listedReplica(3, true).Replica}}
-	got, err := decodeOwnReplicas(encodeOwnReplicas(message))
+func TestSubsetReplicasRoundTrip(t *testing.T) {
+	message := subsetReplicas{version: view.Version{Term: 2, Revision: 9}, shares: shares{"chat": 6}, replicas: []*api.Replica{listedReplica(3, true).Replica}}
+	got, err := decodeSubsetReplicas(encodeSubsetReplicas(message))
 	must.NoError(t, err)
 	must.Eq(t, message, got)
 	encoder := frame.NewEncoder(nil)
 	encodeShares(encoder, shares{"chat": 64})
 	decodeShares(frame.NewDecoder(encoder.Data()))
-	_, err = decodeOwnReplicas(append(encodeOwnReplicas(message), 0))
+	_, err = decodeSubsetReplicas(append(encodeSubsetReplicas(message), 0))
 	must.Error(t, err)
 }
 
-// What an answer names beyond the daemon's own replicas comes with it.
-func TestAnswersBringTheReplicasThatTheyName(t *testing.T) {
-	reply := placeReply{requestID: 4, found: true, named: []*api.Replica{listedReplica(3, false).Replica}}
+// A reply carries the replicas that it names outside the daemon's subset.
+func TestPlaceRepliesCarryReplicasOutsideTheSubset(t *testing.T) {
+	reply := placeReply{requestID: 4, decided: true, replicas: []*api.Replica{listedReplica(3, false).Replica}}
 	got, err := decodePlaceReply(encodePlaceReply(reply))
 	must.NoError(t, err)
 	must.Eq(t, reply, got)
 
 	group := newFakeGroup()
 	server, _ := startServer(t, group)
-	group.list(0, 1000, false)
+	group.addReplicas(0, 1000, false)
 	s := &subscriber{server: server, partial: true, key: daemonKey{daemon: "proxy-1"}}
-	named := 0
+	outsideCount := 0
 	for number := range 1000 {
 		name := fmt.Sprintf("r-%05d", number)
-		beyond := s.namedBeyond("", name, "", "unknown")
-		must.Eq(t, !subset.ShareOf(1000, 0).Includes("proxy-1", name), len(beyond) == 1, must.Sprint(name))
-		named += len(beyond)
+		outside := s.replicasOutsideSubset("", name, "", "unknown")
+		must.Eq(t, !subset.ShareOf(1000, 0).Includes("proxy-1", name), len(outside) == 1, must.Sprint(name))
+		outsideCount += len(outside)
 	}
-	must.Between(t, 500, named, 950)
-	must.SliceEmpty(t, (&subscriber{server: server}).namedBeyond("", "r-00001"))
+	// The share of 1000 replicas is 2, so about 750 are outside the subset.
+	must.Between(t, 500, outsideCount, 950)
+	must.SliceEmpty(t, (&subscriber{server: server}).replicasOutsideSubset("", "r-00001"))
 }
 
-func TestNamedReplicasAreKeptForAWhile(t *testing.T) {
-	var kept named
-	for number := range 2 * maxNamed {
-		kept.add([]*api.Replica{listedReplica(number, false).Replica})
+func TestNamedReplicasAreEvictedByGeneration(t *testing.T) {
+	var cache namedReplicas
+	for number := range 2 * maxNamedPerGeneration {
+		cache.add([]*api.Replica{listedReplica(number, false).Replica})
 	}
-	must.NotNil(t, kept.find(fmt.Sprintf("r-%05d", maxNamed)))
-	must.NotNil(t, kept.find(fmt.Sprintf("r-%05d", 2*maxNamed-1)))
-	for number := 2 * maxNamed; number < 3*maxNamed; number++ {
-		kept.add([]*api.Replica{listedReplica(number, false).Replica})
+	must.NotNil(t, cache.find(fmt.Sprintf("r-%05d", maxNamedPerGeneration)))
+	must.NotNil(t, cache.find(fmt.Sprintf("r-%05d", 2*maxNamedPerGeneration-1)))
+	for number := 2 * maxNamedPerGeneration; number < 3*maxNamedPerGeneration; number++ {
+		cache.add([]*api.Replica{listedReplica(number, false).Replica})
 	}
-	must.Nil(t, kept.find("r-00000"))
+	must.Nil(t, cache.find("r-00000"))
 }
 
 func countingDial(read *atomic.Int64) func(ctx context.Context, network, address string) (net.Conn, error) {
--- a/connection/feed/placement.go
+++ b/connection/feed/placement.go
@@ -10,32 +10,34 @@
 	"github.com/pkg/errors"
 )
 
-// PlaceRequest asks where a request of a service is to go.
+// PlaceRequest asks where to send a request of a service.
 type PlaceRequest struct {
 	Service string
-	Number  uint64 // the daemon's own; notes name it
+	Number  uint64 // the daemon's own number for the request, used in notes
 	Ask     placement.Ask
-	// Origin is the daemon for which another one asks; empty: itself.
+	// Origin is the daemon on whose behalf another one asks, as the string form "name#instance" of
+	// its daemonKey; empty for the sender itself.
 	Origin string
 }
 
-// PlaceNote tells how far a placed request has come.
+// PlaceNote reports the progress of a placed request.
 type PlaceNote struct {
 	Service string
 	Number  uint64
 	Note    placement.Note
-	Origin  string // as in the PlaceRequest
+	Origin  string // as in PlaceRequest
 }
 
-// ErrNotPlaced says that no member has placed the request: the daemon decides
-// by what it knows itself.
-var ErrNotPlaced = errors.New("feed: no member places requests now")
+// ErrNotPlaced says that no member placed the request, for example because there is no session, the
+// send queue is full, the member declined or the answer took too long. The daemon then decides by
+// its local state.
+var ErrNotPlaced = errors.New("feed: no member placed the request")
 
-// Bounds of a question in a frame.
+// Limits of a placement request.
 const (
-	maxParts    = 256
-	maxReplicas = 512 // in each list of names: more than any service that pauses as a half
-	// Least sizes of encoded list elements.
+	maxPromptParts  = 256
+	maxReplicaNames = 512 // per list; enough for half of a large service to be excluded; longer lists are cut
+	// Minimum sizes of encoded list elements.
 	partSize = 4 + 4
 	nameSize = 4
 )
@@ -50,6 +52,7 @@
 	return encoder.Data()
 }
 
+// encodeAsk encodes what the member needs to place the request; see placement.Ask for the fields.
 func encodeAsk(encoder *frame.Encoder, ask *placement.Ask) {
 	encoder.Uint32(uint32(ask.Prompt))
 	encoder.Uint32(uint32(ask.Output))
@@ -61,7 +64,7 @@
 	encoder.Int64(int64(ask.Age))
 	encoder.Int64(int64(ask.Deadline))
 	encoder.Bool(ask.Continued)
-	encodeParts(encoder, ask.Parts[:min(len(ask.Parts), maxParts)])
+	encodeParts(encoder, ask.Parts[:min(len(ask.Parts), maxPromptParts)])
 	encodeNames(encoder, ask.Excluded)
 	encodeNames(encoder, ask.Connected)
 }
@@ -74,7 +77,7 @@
 	}
 }
 
-// decodeParts fails the decoder where there are more than limit.
+// decodeParts fails the decoder if there are more than limit parts.
 func decodeParts(decoder *frame.Decoder, limit int) []placement.Part {
 	var parts []placement.Part
 	count := decoder.Count(partSize)
@@ -87,9 +90,9 @@
 	return parts
 }
 
-// encodeNames adds the first of the replicas' names, as many as a list may hold.
+// encodeNames encodes the first replica names, up to the limit of a list.
 func encodeNames(encoder *frame.Encoder, names []string) {
-	names = names[:min(len(names), maxReplicas)]
+	names = names[:min(len(names), maxReplicaNames)]
 	encoder.Uint32(uint32(len(names)))
 	for _, name := range names {
 		encoder.String(name)
@@ -99,7 +102,7 @@
 func decodeNames(decoder *frame.Decoder) []string {
 	var names []string
 	count := decoder.Count(nameSize)
-	if count > maxReplicas {
+	if count > maxReplicaNames {
 		decoder.Fail(frame.ErrValue)
 	}
 	for i := 0; i < count && decoder.Err() == nil; i++ {
@@ -128,33 +131,35 @@
 	ask.Age = time.Duration(decoder.Int64())
 	ask.Deadline = time.Duration(decoder.Int64())
 	ask.Continued = decoder.Bool()
-	ask.Parts = decodeParts(decoder, maxParts)
+	ask.Parts = decodeParts(decoder, maxPromptParts)
 	ask.Excluded = decodeNames(decoder)
 	ask.Connected = decodeNames(decoder)
 	return ask
 }
 
-// placeReply answers a question; found is false when this member places nothing.
+// placeReply answers a placement request; decided is false if this member does not decide.
 type placeReply struct {
 	requestID uint64
-	found     bool
+	decided   bool
 	answer    placement.Answer
-	// named are the replicas of the answer that a partial subscription does not bring.
-	named []*api.Replica
+	// replicas holds the replicas in the answer that are outside the subset of a partial
+	// subscription.
+	replicas []*api.Replica
 }
 
 func encodePlaceReply(message placeReply) []byte {
 	encoder := frame.NewEncoder(nil)
 	encoder.Uint64(message.requestID)
-	encoder.Bool(message.found)
+	encoder.Bool(message.decided)
 	encodeAnswer(encoder, &message.answer)
-	encoder.Uint32(uint32(len(message.named)))
-	for _, replica := range message.named {
+	encoder.Uint32(uint32(len(message.replicas)))
+	for _, replica := range message.replicas {
 		encodeReplica(encoder, replica)
 	}
 	return encoder.Data()
 }
 
+// encodeAnswer encodes a decision; see placement.Answer for the fields.
 func encodeAnswer(encoder *frame.Encoder, answer *placement.Answer) {
 	encoder.String(answer.Generator)
 	encoder.String(answer.Reader)
@@ -171,10 +176,10 @@
 
 func decodePlaceReply(data []byte) (placeReply, error) {
 	decoder := frame.NewDecoder(data)
-	message := placeReply{requestID: decoder.Uint64(), found: decoder.Bool(), answer: decodeAnswer(decoder)}
+	message := placeReply{requestID: decoder.Uint64(), decided: decoder.Bool(), answer: decodeAnswer(decoder)}
 	count := decoder.Count(replicaSize)
 	for i := 0; i < count && decoder.Err() == nil; i++ {
-		message.named = append(message.named, decodeReplica(decoder))
+		message.replicas = append(message.replicas, decodeReplica(decoder))
 	}
 	return message, decoder.Finish()
 }
@@ -195,6 +200,7 @@
 	}
 }
 
+// encodePlaceNote encodes a note; see placement.Note for the fields.
 func encodePlaceNote(note PlaceNote) []byte {
 	encoder := frame.NewEncoder(nil)
 	encoder.String(note.Service)
@@ -214,24 +220,26 @@
 	return note, decoder.Finish()
 }
 
-// Place asks the leader where a request is to go, or the member that stands by
-// without one; ErrNotPlaced when none answers before ctx ends. Asking changes
-// nothing that lasts. What is asked for another daemon goes to the leader alone.
+// Place asks the leader where to send a request, or a standby member if no leader is available. It
+// returns ErrNotPlaced if there is no session, the send queue is full, the member declines or ctx
+// ends before the answer. Asking has no lasting effect. Requests on behalf of another daemon go to
+// the leader only.
 func (c *Client) Place(ctx context.Context, request PlaceRequest) (placement.Answer, error) {
-	current := c.placingFor(request.Origin)
+	current := c.placementSessionFor(request.Origin)
 	if current == nil {
 		return placement.Answer{}, ErrNotPlaced
 	}
-	answered, ok := current.ask(ctx, kindPlace, func(id uint64) []byte { return encodePlace(id, request) })
+	answer, ok := current.ask(ctx, kindPlace, func(id uint64) []byte { return encodePlace(id, request) })
 	if !ok {
 		return placement.Answer{}, ErrNotPlaced
 	}
-	c.named.add(answered.named)
-	return answered.placed, nil
+	c.namedReplicas.add(answer.replicas)
+	return answer.placed, nil
 }
 
-// ask sends a question that changes nothing that lasts, and returns its answer; false where
-// none comes before ctx ends, or the other side does not decide.
+// ask sends a placement or charge request and returns its reply. It returns false if the send queue
+// is full, the connection or ctx ends before the reply, or the peer declines to decide. It does not
+// say whether the request arrived, which only matters for a charge.
 func (s *session) ask(ctx context.Context, kind frame.Kind, encode func(id uint64) []byte) (reply, bool) {
 	requestID := s.client.requestID.Add(1)
 	waiting := s.register(requestID, kind)
@@ -240,36 +248,36 @@
 		return reply{}, false
 	}
 	select {
-	case answered := <-waiting:
-		return answered, answered.code == replyDone
+	case answer := <-waiting:
+		return answer, answer.code == replyDone
 	case <-ctx.Done():
-		s.missed()
+		s.recordUnanswered()
 	case <-s.ended:
 	}
 	return reply{}, false
 }
 
-// NotePlaced tells the leader how far a placed request has come; false when the
-// word was dropped.
+// NotePlaced reports the progress of a placed request to the session that places requests. It
+// returns false if the message was dropped.
 func (c *Client) NotePlaced(note PlaceNote) bool {
-	current := c.placingFor(note.Origin)
+	current := c.placementSessionFor(note.Origin)
 	if current == nil {
 		return false
 	}
 	return current.enqueue(&outgoing{kind: kindPlaceNote, payload: encodePlaceNote(note)})
 }
 
-// receivePlace answers a question: a member at once, and who only passes
-// placements on beside the reader, since that waits for the leader.
+// receivePlace answers a placement request. A leader answers directly; on a standby subscription
+// the answer is made on a separate goroutine, since a relaying daemon waits for the leader.
 func (s *subscriber) receivePlace(payload []byte) error {
 	requestID, request, err := decodePlace(payload)
 	if err != nil {
 		return err
 	}
 	select {
-	case s.slots <- struct{}{}:
+	case s.callSlots <- struct{}{}:
 	default:
-		return nil // too much is under way; the daemon decides by itself
+		return nil // too many calls in progress; the daemon decides locally
 	}
 	if s.standby {
 		s.calls.Go(func() { s.answerPlace(requestID, request) })
@@ -282,14 +290,14 @@
 func (s *subscriber) answerPlace(requestID uint64, request PlaceRequest) {
 	reply := placeReply{requestID: requestID}
 	if s.standby || s.server.config.Group.Leadership().Leads {
-		reply.answer, reply.found = s.server.config.Group.Place(s.originOf(request.Origin), request)
-		reply.named = s.namedBeyond(request.Origin, reply.answer.Generator, reply.answer.Reader, reply.answer.Fetch)
+		reply.answer, reply.decided = s.server.config.Group.Place(s.originKey(request.Origin), request)
+		reply.replicas = s.replicasOutsideSubset(request.Origin, reply.answer.Generator, reply.answer.Reader, reply.answer.Fetch)
 	}
-	s.answer(kindPlaceReply, encodePlaceReply(reply))
+	s.enqueueResponse(kindPlaceReply, encodePlaceReply(reply))
 }
 
-// originOf returns the daemon for which something is asked or told.
-func (s *subscriber) originOf(origin string) string {
+// originKey returns the key of the daemon on whose behalf a message was sent.
+func (s *subscriber) originKey(origin string) string {
 	if origin != "" {
 		return origin
 	}
@@ -301,6 +309,6 @@
 	if err != nil {
 		return err
 	}
-	s.server.config.Group.NotePlaced(s.originOf(note.Origin), note)
+	s.server.config.Group.NotePlaced(s.originKey(note.Origin), note)
 	return nil
 }
--- a/connection/feed/server.go
+++ b/connection/feed/server.go
@@ -19,94 +19,97 @@
 	"github.com/pkg/errors"
 )
 
-// Leadership is the serving member's part in the group now.
+// Leadership is the current role of the Server's own member in the group.
 type Leadership struct {
-	// Leads is true for the leader once it has applied everything that earlier
-	// leaders committed.
+	// Leads is true for the leader once it has applied everything that earlier leaders committed.
 	Leads bool
 	Term  uint64
-	// Address is the leader's feed address, if it is known.
+	// Address is the leader's feed address, empty if unknown.
 	Address string
 }
 
-// Group is the control group as a Server uses it. Its methods are called by
-// many goroutines.
+// Group is the control group as used by a Server. Its methods are called concurrently.
 type Group interface {
 	Leadership() Leadership
-	// Lease returns the term that the member leads, and false unless it leads
-	// and its leader lease is valid by a clock read after the call began.
+	// Lease returns the term that the member leads. valid is false unless the member leads and its
+	// leader lease is valid at a time read after the call began.
 	Lease(ctx context.Context) (term uint64, valid bool)
-	// View returns the view last applied, and Version its version; DeltaSince what leads to it;
-	// false when there is nothing to send.
+	// View returns the view applied last and Version its version. DeltaSince returns the delta
+	// that leads to it, and false if there is nothing to send. The delta is a full view if the
+	// group no longer has the changes since from.
 	View() *view.View
 	Version() view.Version
 	DeltaSince(from view.Version) (view.Delta, bool)
-	// Claim and RecordOutcome commit. ErrNoQuorum says that nothing was
-	// proposed; after any other error the outcome is unknown.
+	// Claim and RecordOutcome commit. ErrNoQuorum says that nothing was proposed; after any other
+	// error the outcome is unknown.
 	Claim(ctx context.Context, request state.ClaimRequest) (api.ClaimResult, error)
 	RecordOutcome(ctx context.Context, outcome state.RunOutcome) error
+	// ReportDemand receives the demand reported by the named daemon.
 	ReportDemand(daemon string, report DemandReport)
-	// ReportPresence takes a proxy's word on itself; it comes again with each beat.
+	// ReportPresence takes a proxy's presence report, which is repeated with each heartbeat.
 	ReportPresence(presence Presence)
-	// Place decides where a request goes, and false where the group does not
-	// decide; NotePlaced takes in how far it has come. Neither waits.
-	Place(daemon string, request PlaceRequest) (placement.Answer, bool)
-	NotePlaced(daemon string, note PlaceNote)
-	// NoteKept takes in what a replica is believed to keep of prompts.
-	NoteKept(kept KeptParts)
-	// NoteInFlight takes in what a daemon has in flight, in place of what was known of it.
-	NoteInFlight(daemon string, told InFlight)
-	// NoteEnds takes in under which requests replicas ended. Unrecorded returns what daemons are to
-	// know of that while the record can't tell it, empty for nothing; news changes with it.
+	// Place decides where to send a request and returns false if the group does not decide.
+	// NotePlaced records the progress of the request. key is the string form of the daemonKey of
+	// the daemon that asked. Neither blocks, except that a PlacementRelay's Place waits up to
+	// relayTimeout for the leader.
+	Place(key string, request PlaceRequest) (placement.Answer, bool)
+	NotePlaced(key string, note PlaceNote)
+	// NoteKept records which prompt parts a replica is believed to have cached.
+	NoteKept(cached KeptParts)
+	// NoteInFlight replaces the recorded in-flight requests of a daemon; key is as in Place.
+	NoteInFlight(key string, inFlight InFlight)
+	// NoteEnds records the requests during which replicas crashed. Unrecorded returns the crashes
+	// that daemons should know but can't read from the group's committed quarantine record, empty
+	// if there are none; generation changes whenever the report does.
 	NoteEnds(report EndReport)
-	Unrecorded() (report EndReport, news uint64)
-	// NoteUsage takes in what a process has counted.
+	Unrecorded() (report EndReport, generation uint64)
+	// NoteUsage records the usage counters of an instance.
 	NoteUsage(report UsageReport)
-	// Charge takes the cost of a tenant's request off its quota, and false where this member
-	// keeps no quotas; ReturnCharge gives back what was charged for one that did not run.
+	// Charge deducts the cost of a tenant's request from its quota and returns false if this
+	// member keeps no quotas. ReturnCharge refunds a request that did not run.
 	Charge(request ChargeRequest) (quota.Grant, bool)
 	ReturnCharge(request ChargeRequest)
-	// Day is the group's time of day in milliseconds, 0 where none is known.
+	// Day returns the group's wall-clock time in Unix milliseconds, 0 if unknown.
 	Day() int64
 }
 
-// ServerConfig holds what a Server is created with. Zero durations and bounds
-// take the defaults.
+// ServerConfig configures a Server. Durations and limits that are not positive use the defaults.
 type ServerConfig struct {
 	Group Group
-	// ViewLease is how long a daemon may use its view after a granted beat.
+	// ViewLease is how long a daemon may use its view after a granted heartbeat.
 	ViewLease time.Duration
-	// WriteTimeout bounds each write; a subscriber that takes longer is cut off
-	// and starts again from the version it holds.
+	// WriteTimeout bounds each write. A subscriber that takes longer is disconnected and resumes
+	// from the version it holds. The default is DefaultWriteTimeout.
 	WriteTimeout time.Duration
-	// SilenceTimeout is the time without any frame after which a subscriber is cut off.
+	// SilenceTimeout is the time without any frame after which a subscriber is disconnected. The
+	// default is twice DefaultSilenceTimeout.
 	SilenceTimeout time.Duration
-	// MaxSubscribers bounds the connections, MaxClaims the claims and outcomes
-	// of one connection that are under way.
+	// MaxSubscribers limits the connections, MaxClaims the calls in progress on one connection:
+	// claims, outcomes, placements and charges.
 	MaxSubscribers int
 	MaxClaims      int
-	// MaxBulkDeltas bounds the subscribers that large deltas are on the way to
-	// at once; the others wait their turn. When all daemons start again
-	// together and share the network evenly, none would get a whole view before
-	// it gives up and starts anew.
+	// MaxBulkDeltas limits the subscribers that receive a large delta at the same time; the others
+	// wait. Without the limit, daemons that all restart together would share the network so evenly
+	// that none receives a full view before it times out and starts over.
 	MaxBulkDeltas int
-	// FloorInterval is how often the floor moves along: a daemon that has not
-	// acknowledged what was applied that long ago gets no lease. 0: ViewLease.
+	// FloorInterval is how often the minimum version for leases is raised: a daemon that has not
+	// acknowledged what was applied one interval ago gets no lease. The default is ViewLease.
 	FloorInterval time.Duration
-	// Tracker keeps the daemons' leases over all terms; nil starts one for each
-	// term, as the leader must.
+	// Tracker holds the daemons' leases over all terms; a relay sets it. nil creates a tracker for
+	// each term. The leader requires that, because a term starts by waiting for the leases of
+	// earlier leaders.
 	Tracker *view.Tracker
-	// Limit bounds the leases that are granted now; nil: nothing does.
+	// Limit returns an upper bound for leases granted now; nil sets no bound.
 	Limit func() time.Duration
-	// Observed is called after each beat that was taken into account, by many
-	// goroutines; it must not block. nil: nothing is called.
+	// Observed, if set, is called after each heartbeat or acknowledgement that the Tracker has
+	// processed. It is called concurrently and must not block.
 	Observed func()
-	// Clock reads the time that has passed; nil: clock.Now.
+	// Clock reads a monotonic clock; nil uses clock.Now.
 	Clock  func() time.Duration
 	Logger log.Logger
 }
 
-// Defaults of a ServerConfig.
+// Defaults of ServerConfig.
 const (
 	DefaultViewLease      = 3 * time.Second
 	DefaultMaxSubscribers = 4096
@@ -123,7 +126,7 @@
 	c.MaxBulkDeltas = orDefault(c.MaxBulkDeltas, DefaultMaxBulkDeltas)
 	c.FloorInterval = orDefault(c.FloorInterval, c.ViewLease)
 	if c.Limit == nil {
-		c.Limit = unlimited
+		c.Limit = noLeaseLimit
 	}
 	if c.Observed == nil {
 		c.Observed = func() {}
@@ -137,8 +140,10 @@
 	return c
 }
 
-func unlimited() time.Duration { return math.MaxInt64 }
+func noLeaseLimit() time.Duration { return math.MaxInt64 }
 
+// subscriberShards is the number of shards of the subscribers, which limit lock contention between
+// connections that open and close.
 const subscriberShards = 16
 
 type subscriberShard struct {
@@ -148,35 +153,35 @@
 
 // Server serves subscriptions while its member leads.
 type Server struct {
-	config   ServerConfig
-	listener net.Listener
-	shards   [subscriberShards]subscriberShard
-	accepted uint64 // connections so far; only accept counts
-	latest   *latestSubscriptions
-	count    atomic.Int64
-	registry atomic.Pointer[registry]
-	cache    deltaCache
-	partial  partialViews
-	bulk     chan struct{} // one for each large delta on its way
-	entering chan struct{} // one for each subscription that begins
-	woken    chan struct{}
-	context  context.Context
-	cancel   context.CancelFunc
-	done     sync.WaitGroup
+	config       ServerConfig
+	listener     net.Listener
+	shards       [subscriberShards]subscriberShard
+	accepted     uint64 // connections so far; used only by accept
+	latest       *latestSubscriptions
+	connections  atomic.Int64
+	termLeases   atomic.Pointer[termLeases]
+	cache        deltaCache
+	partial      partialViewCache
+	bulkSlots    chan struct{} // one per large delta in transit
+	openingSlots chan struct{} // one per subscription that is opening
+	wakeups      chan struct{} // wakes maintainTermLeases; capacity 1, so that signals coalesce
+	context      context.Context
+	cancel       context.CancelFunc
+	done         sync.WaitGroup
 }
 
-// NewServer starts a Server on the listener, which it owns from now on.
+// NewServer starts a Server on the listener and takes ownership of it.
 func NewServer(config ServerConfig, listener net.Listener) *Server {
-	s := &Server{config: config.withDefaults(), listener: listener, woken: make(chan struct{}, 1)}
+	s := &Server{config: config.withDefaults(), listener: listener, wakeups: make(chan struct{}, 1)}
 	s.latest = newLatestSubscriptions()
-	s.bulk = make(chan struct{}, s.config.MaxBulkDeltas)
-	s.entering = make(chan struct{}, maxEntering)
+	s.bulkSlots = make(chan struct{}, s.config.MaxBulkDeltas)
+	s.openingSlots = make(chan struct{}, maxOpeningSubscriptions)
 	s.context, s.cancel = context.WithCancel(context.Background())
 	for i := range s.shards {
 		s.shards[i].subscribers = map[*subscriber]struct{}{}
 	}
 	s.done.Go(s.accept)
-	s.done.Go(s.tick)
+	s.done.Go(s.maintainTermLeases)
 	return s
 }
 
@@ -187,11 +192,11 @@
 	s.done.Wait()
 }
 
-// Wake makes every subscription look at the group again: for a new version or
-// another leader. It does not block.
+// Wake makes every subscription check the group for a new version or another leader. It does not
+// block.
 func (s *Server) Wake() {
 	select {
-	case s.woken <- struct{}{}:
+	case s.wakeups <- struct{}{}:
 	default:
 	}
 	for i := range s.shards {
@@ -202,19 +207,19 @@
 func (s *subscriberShard) wake() {
 	s.Lock()
 	defer s.Unlock()
-	for subscribed := range s.subscribers {
-		subscribed.signal()
+	for sub := range s.subscribers {
+		sub.signal()
 	}
 }
 
 // Subscribers returns the number of connections.
-func (s *Server) Subscribers() int { return int(s.count.Load()) }
+func (s *Server) Subscribers() int { return int(s.connections.Load()) }
 
-// InForce says how far a revision has reached the daemons, and false when this
-// member does not lead with a valid lease. A revision that is not applied yet
-// is not in force.
+// InForce reports whether a revision is in force and which daemons it has reached. It returns false
+// if this member does not lead with a valid lease. For a revision that is not applied yet it
+// returns a zero result and true.
 func (s *Server) InForce(ctx context.Context, revision uint64) (InForce, bool) {
-	current := s.leased(ctx)
+	current := s.ensureTermLeases(ctx)
 	if current == nil {
 		return InForce{}, false
 	}
@@ -223,53 +228,55 @@
 		return InForce{}, true
 	}
 	result := current.inForce(version, s.config.Clock())
-	// The lease is checked again: a leader that was paused may have counted
-	// the leases of a term that has ended.
-	return result, s.leased(ctx) == current
+	// The lease is checked again: a leader that was paused may have evaluated the leases of a term
+	// that has ended.
+	return result, s.ensureTermLeases(ctx) == current
 }
 
-// Daemons says how many daemons follow this leader, and which are behind the revision.
+// Daemons reports how many daemons hold a view lease from this member and which of them are behind
+// the revision, whatever its term. Unlike InForce it does not check the leader lease. The result is
+// zero if this member has not led yet.
 func (s *Server) Daemons(revision uint64) Daemons {
-	current := s.registry.Load()
+	current := s.termLeases.Load()
 	if current == nil {
 		return Daemons{}
 	}
 	return current.daemons(view.Version{Revision: revision}, s.config.Clock())
 }
 
-// leased returns the registry of the term that the member leads, or nil
-// without a valid lease.
-func (s *Server) leased(ctx context.Context) *registry {
+// ensureTermLeases returns the leases of the term that the member leads and creates them if the
+// term is new. It returns nil without a valid leader lease or if a newer term is known.
+func (s *Server) ensureTermLeases(ctx context.Context) *termLeases {
 	term, valid := s.config.Group.Lease(ctx)
 	if !valid {
 		return nil
 	}
 	for {
-		current := s.registry.Load()
+		current := s.termLeases.Load()
 		if current != nil && current.term >= term {
 			if current.term > term {
 				return nil
 			}
 			return current
 		}
-		started := s.startTerm(term)
-		if s.registry.CompareAndSwap(current, started) {
-			return started
+		created := s.createTermLeases(term)
+		if s.termLeases.CompareAndSwap(current, created) {
+			return created
 		}
 	}
 }
 
-func (s *Server) startTerm(term uint64) *registry {
+func (s *Server) createTermLeases(term uint64) *termLeases {
 	if s.config.Tracker != nil {
-		return &registry{term: term, lease: s.config.ViewLease, tracker: s.config.Tracker}
+		return &termLeases{term: term, lease: s.config.ViewLease, tracker: s.config.Tracker}
 	}
-	return newRegistry(term, s.config.Group.Version(), s.config.ViewLease, s.config.Clock())
+	return newTermLeases(term, s.config.Group.Version(), s.config.ViewLease, s.config.Clock())
 }
 
-// tick moves the floor along: a daemon that has not acknowledged what was
-// applied one floor interval ago gets no lease, so that every accepted change is
-// in force within a bounded time.
-func (s *Server) tick() {
+// maintainTermLeases creates the leases of a new term and periodically raises the minimum version
+// for leases. A daemon that has not acknowledged what was applied one FloorInterval ago gets no
+// lease, so that every accepted change is in force within a bounded time.
+func (s *Server) maintainTermLeases() {
 	ticker := time.NewTicker(s.config.FloorInterval)
 	defer ticker.Stop()
 	var previous view.Version
@@ -277,14 +284,14 @@
 		select {
 		case <-s.context.Done():
 			return
-		case <-s.woken:
-			// A term starts with what was accepted when its leader took over, not
-			// with what the first question finds.
-			s.leased(s.context)
+		case <-s.wakeups:
+			// The term's leases are created now rather than at the first query, so that their
+			// minimum version is the one at takeover.
+			s.ensureTermLeases(s.context)
 			continue
 		case <-ticker.C:
 		}
-		if current := s.leased(s.context); current != nil {
+		if current := s.ensureTermLeases(s.context); current != nil {
 			current.tracker.RequireVersion(previous)
 		}
 		previous = s.config.Group.Version()
@@ -301,11 +308,11 @@
 			return
 		}
 		if err != nil {
-			s.pause()
+			s.waitAfterAcceptError()
 			continue
 		}
-		if s.count.Add(1) > int64(s.config.MaxSubscribers) {
-			s.count.Add(-1)
+		if s.connections.Add(1) > int64(s.config.MaxSubscribers) {
+			s.connections.Add(-1)
 			_ = conn.Close()
 			event.FeedRefused.Log(s.config.Logger, "address", conn.RemoteAddr(), "err", "too many subscribers")
 			continue
@@ -316,10 +323,10 @@
 	}
 }
 
-// acceptPause is the wait after a failed accept, as when descriptors run out.
+// acceptPause is the delay after a failed accept, for example when file descriptors run out.
 const acceptPause = 50 * time.Millisecond
 
-func (s *Server) pause() {
+func (s *Server) waitAfterAcceptError() {
 	timer := time.NewTimer(acceptPause)
 	defer timer.Stop()
 	select {
@@ -329,48 +336,49 @@
 }
 
 func (s *Server) serve(conn net.Conn, number uint64) {
-	defer s.count.Add(-1)
-	subscribed := newSubscriber(s, conn, number)
-	subscribed.entered = s.enter()
-	defer subscribed.entered()
+	defer s.connections.Add(-1)
+	sub := newSubscriber(s, conn, number)
+	sub.releaseOpeningSlot = s.acquireOpeningSlot()
+	defer sub.releaseOpeningSlot()
 	shard := &s.shards[number%subscriberShards]
-	shard.add(subscribed)
-	err := subscribed.run(s.context)
-	shard.remove(subscribed)
+	shard.add(sub)
+	err := sub.run(s.context)
+	shard.remove(sub)
 	if s.context.Err() == nil && !errors.Is(err, errNotLeader) {
-		event.FeedEnded.Log(s.config.Logger, "address", conn.RemoteAddr(), "daemon", subscribed.key.daemon, "err", err)
+		event.FeedEnded.Log(s.config.Logger, "address", conn.RemoteAddr(), "daemon", sub.key.daemon, "err", err)
 	}
 }
 
 const (
-	// maxEntering is how many subscriptions begin at once. When a leader is elected all daemons
-	// come to it in one moment; what they ask for first, all at once, would keep it from the
-	// heartbeats of its group until it is leader no more.
-	maxEntering = 16
-	// enterTime is how long one that says nothing holds its place.
-	enterTime = 100 * time.Millisecond
+	// maxOpeningSubscriptions limits the subscriptions that open at the same time. All daemons
+	// connect to a new leader at once; serving all their initial requests together would delay the
+	// leader's heartbeats to its group until it loses leadership.
+	maxOpeningSubscriptions = 16
+	// openingSlotTimeout limits how long a connection holds its opening slot, so that one that
+	// sends nothing does not block the others.
+	openingSlotTimeout = 100 * time.Millisecond
 )
 
-// enter waits for a place among the subscriptions that begin, and returns what gives it back.
-func (s *Server) enter() (leave func()) {
+// acquireOpeningSlot waits for an opening slot and returns a function that releases it.
+func (s *Server) acquireOpeningSlot() (release func()) {
 	select {
-	case s.entering <- struct{}{}:
+	case s.openingSlots <- struct{}{}:
 	case <-s.context.Done():
 		return func() {}
 	}
-	leave = sync.OnceFunc(func() { <-s.entering })
-	time.AfterFunc(enterTime, leave)
-	return leave
+	release = sync.OnceFunc(func() { <-s.openingSlots })
+	time.AfterFunc(openingSlotTimeout, release)
+	return release
 }
 
-func (s *subscriberShard) add(subscribed *subscriber) {
+func (s *subscriberShard) add(sub *subscriber) {
 	s.Lock()
 	defer s.Unlock()
-	s.subscribers[subscribed] = struct{}{}
+	s.subscribers[sub] = struct{}{}
 }
 
-func (s *subscriberShard) remove(subscribed *subscriber) {
+func (s *subscriberShard) remove(sub *subscriber) {
 	s.Lock()
 	defer s.Unlock()
-	delete(s.subscribers, subscribed)
+	delete(s.subscribers, sub)
 }
--- a/connection/feed/session.go
+++ b/connection/feed/session.go
@@ -15,39 +15,41 @@
 	"github.com/pkg/errors"
 )
 
-// States of an outgoing frame. One compare-and-swap decides between the writer
-// and a caller that gives up, so that "not sent" is sure.
+// States of an outgoing frame. The writer and a caller that gives up change the state with a
+// compare-and-swap, so that a cancelled frame is never written.
 const (
 	frameQueued int32 = iota
 	frameWritten
-	frameWithdrawn
+	frameCancelled
 )
 
-// outgoing is one frame on its way to the connection.
+// outgoing is a frame queued for the connection.
 type outgoing struct {
 	kind    frame.Kind
 	payload []byte
 	state   atomic.Int32
 }
 
-// withdraw reports whether the frame was surely never written.
-func (o *outgoing) withdraw() bool {
-	return o.state.CompareAndSwap(frameQueued, frameWithdrawn) || o.state.Load() == frameWithdrawn
+// cancel prevents a queued frame from being written, and reports whether the frame was definitely
+// never written.
+func (o *outgoing) cancel() bool {
+	return o.state.CompareAndSwap(frameQueued, frameCancelled) || o.state.Load() == frameCancelled
 }
 
-// reply is what a waiting call gets.
+// reply is the result of a pending call.
 type reply struct {
-	code   replyCode
-	result api.ClaimResult
-	placed placement.Answer
-	grant  quota.Grant
-	named  []*api.Replica
+	code     replyCode
+	result   api.ClaimResult
+	placed   placement.Answer
+	grant    quota.Grant
+	replicas []*api.Replica
 }
 
-// queueLength bounds the frames that wait for the connection.
-const queueLength = 256
+// maxQueuedFrames limits the frames queued for the connection.
+const maxQueuedFrames = 256
 
-// pendingShards is the number of shards of the waiting calls.
+// pendingShards is the number of shards of the pending calls, which limit lock contention between
+// concurrent calls.
 const pendingShards = 16
 
 type pendingShard struct {
@@ -55,13 +57,13 @@
 	calls map[uint64]pendingCall
 }
 
-// pendingCall is a question that waits for its reply.
+// pendingCall is a request that waits for its reply.
 type pendingCall struct {
-	kind  frame.Kind // of the reply
+	kind  frame.Kind // of the expected reply
 	reply chan reply
 }
 
-// replyKinds holds which kind of frame answers a question.
+// replyKinds maps the kind of a request to the kind of its reply.
 var replyKinds = map[frame.Kind]frame.Kind{
 	kindClaim:   kindClaimReply,
 	kindOutcome: kindOutcomeReply,
@@ -69,44 +71,46 @@
 	kindCharge:  kindChargeReply,
 }
 
-// errMisplaced says that the other side sent what it was not asked for.
-var errMisplaced = errors.Wrap(errProtocol, "misplaced frame")
+// errUnexpectedFrame says that the peer sent a frame that was not requested or that must not be
+// sent on this kind of subscription. It is logged as event.FeedMisplacedFrame.
+var errUnexpectedFrame = errors.Wrap(errProtocol, "unexpected frame")
 
-// session is one connection to a leader.
+// session is one connection to a leader or a standby member.
 type session struct {
-	client  *Client
-	conn    net.Conn
-	queue   chan *outgoing
-	ended   chan struct{}
-	pending [pendingShards]pendingShard
-	ready   bool // the leader has served a delta or a grant
-	address string
-	// standby is set for a session that is used for placements alone.
+	client    *Client
+	conn      net.Conn
+	sendQueue chan *outgoing
+	ended     chan struct{} // closed when the connection has ended
+	pending   [pendingShards]pendingShard
+	ready     bool   // a delta, a grant or a standby confirmation was received
+	address   string // of the peer; empty on a standby session
+	// standby is set for a session that serves only while there is no responsive leader.
 	standby bool
-	// own are the replicas of the whole view that comes next, on a partial subscription.
-	own *ownReplicas
-	// unanswered counts the placements that were waited for in vain since the
-	// last frame.
+	// pendingSubset holds the replicas for the next full view of a partial subscription.
+	pendingSubset *subsetReplicas
+	// unanswered counts the placement and charge requests not answered in time since the last
+	// received frame.
 	unanswered atomic.Int32
-	// announced is true when a leader that served the session said that it
-	// leads no more. It is written before ended is closed.
-	announced bool
+	// steppedDown is true if a leader that served the session announced that it stepped down. It
+	// is written before ended is closed.
+	steppedDown bool
 
-	beatLock sync.Mutex
-	sequence uint64
-	sentAt   map[uint64]time.Duration // beats without a grant
+	heartbeatLock sync.Mutex
+	sequence      uint64
+	sentAt        map[uint64]time.Duration // by sequence, for heartbeats without a grant
 }
 
-// maxOpenBeats bounds the beats without a grant that are remembered.
-const maxOpenBeats = 64
+// maxPendingHeartbeats limits the ungranted heartbeats whose send times are stored. At the limit
+// all of them are discarded, and later grants for them renew nothing.
+const maxPendingHeartbeats = 64
 
 func newSession(client *Client, conn net.Conn) *session {
 	s := &session{
-		client: client,
-		conn:   conn,
-		queue:  make(chan *outgoing, queueLength),
-		ended:  make(chan struct{}),
-		sentAt: map[uint64]time.Duration{},
+		client:    client,
+		conn:      conn,
+		sendQueue: make(chan *outgoing, maxQueuedFrames),
+		ended:     make(chan struct{}),
+		sentAt:    map[uint64]time.Duration{},
 	}
 	for i := range s.pending {
 		s.pending[i].calls = map[uint64]pendingCall{}
@@ -114,33 +118,33 @@
 	return s
 }
 
-// run serves the connection until it fails, the leader steps down or ctx ends.
-// It returns the address that the server named, if any.
+// run serves the connection until it fails, the leader steps down or ctx ends. It returns the
+// leader address that the server named, if any.
 func (s *session) run(ctx context.Context) (string, error) {
 	stop := context.AfterFunc(ctx, func() { _ = s.conn.Close() })
 	defer stop()
 	var writer sync.WaitGroup
-	writer.Go(s.write)
-	hint, err := s.read()
-	if errors.Is(err, errMisplaced) {
+	writer.Go(s.writeLoop)
+	leaderAddress, err := s.readLoop()
+	if errors.Is(err, errUnexpectedFrame) {
 		event.FeedMisplacedFrame.Log(s.client.config.Logger, "address", s.conn.RemoteAddr(), "err", err)
 	}
-	if s.announced = s.ready && errors.Is(err, errNotLeader); s.announced {
-		s.client.handover.announce()
+	if s.steppedDown = s.ready && errors.Is(err, errNotLeader); s.steppedDown {
+		s.client.handover.expectLeader()
 	}
-	s.client.lose(s)
+	s.client.removeSession(s)
 	close(s.ended)
 	_ = s.conn.Close()
 	writer.Wait()
-	return hint, err
+	return leaderAddress, err
 }
 
-func (s *session) write() {
+// writeLoop sends the subscription, the heartbeats and the queued frames until the session ends.
+func (s *session) writeLoop() {
 	writer := frame.NewWriter(s.conn, Protocol, s.client.config.WriteTimeout)
-	// A failed write closes the connection, which ends the reader and with it
-	// the session.
+	// A failed write closes the connection, which ends the reader and with it the session.
 	defer func() { _ = s.conn.Close() }()
-	if s.open(writer) != nil {
+	if s.sendSubscribe(writer) != nil {
 		return
 	}
 	ticker := time.NewTicker(s.client.config.BeatInterval)
@@ -151,8 +155,8 @@
 		case <-s.ended:
 			return
 		case <-ticker.C:
-			err = s.writeBeat(writer)
-		case next := <-s.queue:
+			err = s.writeHeartbeat(writer)
+		case next := <-s.sendQueue:
 			err = s.writeQueued(writer, next)
 		}
 		if err != nil {
@@ -161,7 +165,8 @@
 	}
 }
 
-func (s *session) open(writer *frame.Writer) error {
+// sendSubscribe sends the subscription and the first heartbeat.
+func (s *session) sendSubscribe(writer *frame.Writer) error {
 	config := s.client.config
 	opening := subscribe{
 		daemon:   config.Daemon,
@@ -179,22 +184,23 @@
 	if err := writer.WriteFrame(kindSubscribe, encodeSubscribe(opening)); err != nil {
 		return err
 	}
-	return s.writeBeat(writer)
+	return s.writeHeartbeat(writer)
 }
 
-func (s *session) writeBeat(writer *frame.Writer) error {
-	s.beatLock.Lock()
+// writeHeartbeat sends a heartbeat and, if configured, the daemon's presence.
+func (s *session) writeHeartbeat(writer *frame.Writer) error {
+	s.heartbeatLock.Lock()
 	s.sequence++
-	next := beat{sequence: s.sequence}
-	if len(s.sentAt) >= maxOpenBeats {
+	next := heartbeat{sequence: s.sequence}
+	if len(s.sentAt) >= maxPendingHeartbeats {
 		clear(s.sentAt)
 	}
-	// The time is read before the beat is sent: the lease can only be shorter
-	// than the leader believes.
+	// The time is read before the heartbeat is sent, so that the lease can only be shorter than
+	// the leader assumes.
 	s.sentAt[next.sequence] = s.client.config.Clock()
-	s.beatLock.Unlock()
-	s.report(&next)
-	if err := writer.WriteFrame(kindBeat, encodeBeat(next)); err != nil {
+	s.heartbeatLock.Unlock()
+	s.setVersions(&next)
+	if err := writer.WriteFrame(kindHeartbeat, encodeHeartbeat(next)); err != nil {
 		return err
 	}
 	if presence := s.client.config.Presence; presence != nil {
@@ -205,7 +211,7 @@
 	return writer.Flush()
 }
 
-// writeQueued writes the frame and those that wait behind it, then flushes.
+// writeQueued writes the frame and those queued behind it, then flushes.
 func (s *session) writeQueued(writer *frame.Writer, next *outgoing) error {
 	for next != nil {
 		if next.state.CompareAndSwap(frameQueued, frameWritten) {
@@ -214,7 +220,7 @@
 			}
 		}
 		select {
-		case next = <-s.queue:
+		case next = <-s.sendQueue:
 		default:
 			next = nil
 		}
@@ -222,14 +228,16 @@
 	return writer.Flush()
 }
 
-func (s *session) read() (string, error) {
+// readLoop handles the received frames until the connection ends. It returns the leader address
+// that the peer named, if any.
+func (s *session) readLoop() (string, error) {
 	reader := frame.NewReader(s.conn, Protocol, maxServerPayload, s.client.config.SilenceTimeout)
 	for {
 		received, err := reader.ReadFrame()
 		if err != nil {
 			return "", err
 		}
-		s.heard()
+		s.recordFrameReceived()
 		if received.Kind == kindNotLeader {
 			message, err := decodeNotLeader(received.Payload)
 			if err != nil {
@@ -245,30 +253,30 @@
 
 func (s *session) receive(received frame.Frame) error {
 	if s.standby && !isForStandby(received.Kind) {
-		return errors.Wrapf(errMisplaced, "kind %d from a member that stands by", received.Kind)
+		return errors.Wrapf(errUnexpectedFrame, "frame kind %d from a standby member", received.Kind)
 	}
 	switch received.Kind {
 	case kindDelta:
 		return s.receiveDelta(received.Payload)
-	case kindOwnReplicas:
-		return s.receiveOwnReplicas(received.Payload)
-	case kindGrant:
-		return s.receiveGrant(received.Payload)
-	case kindAlive:
-		return s.receiveAlive()
-	case kindEnds:
-		return s.receiveEnds(received.Payload)
+	case kindSubsetReplicas:
+		return s.receiveSubsetReplicas(received.Payload)
+	case kindLeaseGrant:
+		return s.receiveLeaseGrant(received.Payload)
+	case kindStandbyReady:
+		return s.receiveStandbyReady()
+	case kindCrashes:
+		return s.receiveUnrecordedCrashes(received.Payload)
 	case kindClaimReply, kindPlaceReply, kindOutcomeReply, kindChargeReply:
 		return s.receiveReply(received)
 	default:
-		return errors.Wrapf(errProtocol, "kind %d", received.Kind)
+		return errors.Wrapf(errProtocol, "unknown frame kind %d", received.Kind)
 	}
 }
 
-// isForStandby reports whether a member that stands by may send a frame of the kind.
+// isForStandby reports whether a standby member may send a frame of the kind.
 func isForStandby(kind frame.Kind) bool {
 	switch kind {
-	case kindAlive, kindPlaceReply, kindChargeReply, kindEnds:
+	case kindStandbyReady, kindPlaceReply, kindChargeReply, kindCrashes:
 		return true
 	}
 	return false
@@ -290,14 +298,14 @@
 	case kindPlaceReply:
 		message, err := decodePlaceReply(received.Payload)
 		code := replyRefused
-		if message.found {
+		if message.decided {
 			code = replyDone
 		}
-		return message.requestID, reply{code: code, placed: message.answer, named: message.named}, err
+		return message.requestID, reply{code: code, placed: message.answer, replicas: message.replicas}, err
 	case kindChargeReply:
 		message, err := decodeChargeReply(received.Payload)
 		code := replyRefused
-		if message.found {
+		if message.decided {
 			code = replyDone
 		}
 		return message.requestID, reply{code: code, grant: message.grant}, err
@@ -312,28 +320,28 @@
 	if err != nil {
 		return err
 	}
-	if err := s.addOwn(&delta); err != nil {
+	if err := s.addSubsetReplicas(&delta); err != nil {
 		return err
 	}
 	if err := s.client.views.Apply(delta); err != nil {
 		return err
 	}
 	s.markReady()
-	// The new version is acknowledged at once rather than with the next tick.
+	// The new version is acknowledged immediately rather than with the next tick.
 	s.acknowledge()
 	return nil
 }
 
-// acknowledge sends a bare acknowledgement, which renews no lease.
+// acknowledge sends an acknowledgement that renews no lease.
 func (s *session) acknowledge() {
-	var next beat
-	s.report(&next)
-	s.enqueue(&outgoing{kind: kindBeat, payload: encodeBeat(next)})
+	var next heartbeat
+	s.setVersions(&next)
+	s.enqueue(&outgoing{kind: kindHeartbeat, payload: encodeHeartbeat(next)})
 }
 
-// report fills in the versions that are held and acknowledged. The acknowledged
-// one is never above the held one, which is read after it.
-func (s *session) report(next *beat) {
+// setVersions sets the held and acknowledged versions. The held version is read last, so that the
+// acknowledged one never exceeds it.
+func (s *session) setVersions(next *heartbeat) {
 	acknowledger, separate := s.client.views.(Acknowledger)
 	if separate {
 		next.acked = acknowledger.Acknowledge(s.client.config.Clock())
@@ -344,23 +352,23 @@
 	}
 }
 
-// receiveGrant renews the view lease by the time at which the granted beat was
-// sent. A grant for an unknown beat, such as a bare acknowledgement, renews nothing.
-func (s *session) receiveGrant(payload []byte) error {
-	message, err := decodeGrant(payload)
+// receiveLeaseGrant renews the view lease from the time at which the granted heartbeat was sent. A
+// grant for an unknown sequence, such as that of a plain acknowledgement, renews nothing.
+func (s *session) receiveLeaseGrant(payload []byte) error {
+	message, err := decodeLeaseGrant(payload)
 	if err != nil {
 		return err
 	}
-	s.beatLock.Lock()
+	s.heartbeatLock.Lock()
 	sentAt, known := s.sentAt[message.sequence]
 	for sequence := range s.sentAt {
 		if sequence <= message.sequence {
 			delete(s.sentAt, sequence)
 		}
 	}
-	s.beatLock.Unlock()
-	if known && message.day > 0 && s.client.config.Day != nil {
-		s.client.config.Day(sentAt, s.client.config.Clock(), message.day)
+	s.heartbeatLock.Unlock()
+	if known && message.wallClock > 0 && s.client.config.Day != nil {
+		s.client.config.Day(sentAt, s.client.config.Clock(), message.wallClock)
 	}
 	if known && s.client.views.Confirm(sentAt, message.lease, message.term) {
 		s.markReady()
@@ -368,14 +376,15 @@
 	return nil
 }
 
-// markReady lets calls use the session. Only the reading goroutine calls it.
+// markReady makes the session available for calls. The first call also ends the standby session
+// and the wait for the next leader, and calls Served. It is called only by the reading goroutine.
 func (s *session) markReady() {
 	if !s.ready {
 		s.ready = true
-		s.client.leader.Store(&s.address)
+		s.client.lastLeader.Store(&s.address)
 		s.client.session.Store(s)
 		s.client.endStandby()
-		s.client.handover.end()
+		s.client.handover.leaderReady()
 		event.FeedServed.Log(s.client.config.Logger, "address", s.conn.RemoteAddr(), "revision", s.client.views.Load().Version.Revision)
 		if s.client.config.Served != nil {
 			s.client.config.Served()
@@ -383,10 +392,10 @@
 	}
 }
 
-// enqueue reports whether the queue had room.
+// enqueue returns false if the queue is full.
 func (s *session) enqueue(next *outgoing) bool {
 	select {
-	case s.queue <- next:
+	case s.sendQueue <- next:
 		return true
 	default:
 		return false
@@ -397,7 +406,7 @@
 	return &s.pending[requestID%pendingShards]
 }
 
-// register lets a question of the kind wait for its reply.
+// register adds a pending call for a request of the kind.
 func (s *session) register(requestID uint64, kind frame.Kind) chan reply {
 	waiting := make(chan reply, 1)
 	shard := s.shard(requestID)
@@ -414,9 +423,9 @@
 	delete(shard.calls, requestID)
 }
 
-// resolve hands the reply to the call that waits; a reply that nobody waits for
-// any more is dropped. One of another kind than the call's answers nothing, and is
-// an error: the call goes on to wait, and learns that the connection ended.
+// resolve delivers the reply to the pending call. A reply without a pending call is dropped. A
+// reply of the wrong kind is an error and is not delivered: the call keeps waiting and fails when
+// the connection ends.
 func (s *session) resolve(requestID uint64, kind frame.Kind, answer reply) error {
 	shard := s.shard(requestID)
 	shard.Lock()
@@ -426,9 +435,9 @@
 		return nil
 	}
 	if waiting.kind != kind {
-		return errors.Wrapf(errMisplaced, "reply of kind %d for one of kind %d", kind, waiting.kind)
+		return errors.Wrapf(errUnexpectedFrame, "reply of kind %d instead of kind %d", kind, waiting.kind)
 	}
 	delete(shard.calls, requestID)
-	waiting.reply <- answer // has room for its only reply
+	waiting.reply <- answer // never blocks: capacity 1 and at most one reply
 	return nil
 }
--- a/connection/feed/standby.go
+++ b/connection/feed/standby.go
@@ -12,41 +12,42 @@
 	"github.com/pkg/errors"
 )
 
-// A placement is advice: it promises nothing and needs no quorum. So while no
-// leader serves a client, any member that has a view may place its requests. All
-// clients ask in the same order, the last leader first, so that those that reach
-// the same members share one board. Another daemon that the leader still serves
-// may pass the questions on to it (placementrelay.go). Besides, it takes in and
-// tells under which requests replicas ended, which are facts. Nothing else is served
-// to them there: no view, no lease, no claim.
+// Placements are advisory and need no quorum. So while no leader serves a client, any member that
+// has a view may place its requests. All clients try the members in the same order, the last leader
+// first, so that clients that reach the same members share one placement state. Another daemon that
+// the leader still serves may relay the requests to the leader (placementrelay.go). A standby
+// member also exchanges reports of replica crashes, which are valid without a quorum because they
+// are observations. It answers quota charges and accepts what daemons report: usage, demand, cached
+// parts and requests in flight. It sends no view and no lease and commits no claim.
 
 const (
-	// standbyDelay is how long a lost leader is waited for before another
-	// member is asked; most changes of the leader are over by then.
+	// standbyDelay is how long the client waits for a leader before it asks for standby. Most
+	// leader changes complete within this time.
 	standbyDelay = 150 * time.Millisecond
-	// standbyDialTimeout bounds the wait for a member that may be gone.
+	// standbyDialTimeout bounds the dial to a member or relay that may be down.
 	standbyDialTimeout = 300 * time.Millisecond
-	// standbyPause is the wait after no member stood by.
+	// standbyPause is the delay after a round in which no member served standby.
 	standbyPause = 300 * time.Millisecond
 )
 
-// unansweredLimit is how many placements a leader may leave unanswered in a row,
-// with no other word from it, before others are asked as well. Its silence ends
-// the connection much later.
+// unansweredLimit is how many consecutive placements and charges a leader may leave unanswered,
+// without sending any other frame, before a standby session is used instead. The silence timeout
+// closes the connection much later.
 const unansweredLimit = 2
 
-// isSilent reports whether the leader has stopped answering placements.
-func (s *session) isSilent() bool { return s.unanswered.Load() >= unansweredLimit }
+// isUnresponsive reports whether the peer has stopped answering placements and charges.
+func (s *session) isUnresponsive() bool { return s.unanswered.Load() >= unansweredLimit }
 
-// missed notes a placement that was waited for in vain.
-func (s *session) missed() {
+// recordUnanswered counts a placement or charge request that was not answered in time.
+func (s *session) recordUnanswered() {
 	if !s.standby && s.unanswered.Add(1) == unansweredLimit {
-		s.client.noteLost()
+		s.client.signalLeaderLost()
 	}
 }
 
-// heard notes a frame of the other side: it is there.
-func (s *session) heard() {
+// recordFrameReceived resets the count of unanswered placements and charges. If the leader was
+// unresponsive, it ends the standby session.
+func (s *session) recordFrameReceived() {
 	if s.unanswered.Swap(0) < unansweredLimit || s.standby {
 		return
 	}
@@ -55,18 +56,19 @@
 	}
 }
 
-// leaderPlaces returns the session with a leader that answers, or nil.
-func (c *Client) leaderPlaces() *session {
+// responsiveLeader returns the session with a leader that answers, or nil.
+func (c *Client) responsiveLeader() *session {
 	current := c.session.Load()
-	if current == nil || current.isSilent() {
+	if current == nil || current.isUnresponsive() {
 		return nil
 	}
 	return current
 }
 
-// placing returns the session that places requests now, or nil.
-func (c *Client) placing() *session {
-	if current := c.leaderPlaces(); current != nil {
+// placementSession returns the session to use for placements, or nil: that of a responsive leader,
+// else the standby session, else that of the unresponsive leader.
+func (c *Client) placementSession() *session {
+	if current := c.responsiveLeader(); current != nil {
 		return current
 	}
 	if current := c.standby.Load(); current != nil {
@@ -75,33 +77,34 @@
 	return c.session.Load()
 }
 
-// placingFor is placing for a question of this client itself, and the leader's
-// session for one of another daemon: what is passed on goes to the leader alone.
-func (c *Client) placingFor(origin string) *session {
+// placementSessionFor returns placementSession for the client's own requests, and the leader's
+// session for those of another daemon: relayed requests go to the leader only.
+func (c *Client) placementSessionFor(origin string) *session {
 	if origin != "" {
 		return c.session.Load()
 	}
-	return c.placing()
+	return c.placementSession()
 }
 
-// lose forgets a session that has ended.
-func (c *Client) lose(ended *session) {
+// removeSession removes a session that has ended.
+func (c *Client) removeSession(ended *session) {
 	c.standby.CompareAndSwap(ended, nil)
 	if c.session.CompareAndSwap(ended, nil) {
-		c.noteLost()
+		c.signalLeaderLost()
 	}
 }
 
-// noteLost has somebody else asked for placements.
-func (c *Client) noteLost() {
+// signalLeaderLost wakes runStandby to look for a standby member.
+func (c *Client) signalLeaderLost() {
 	select {
-	case c.lost <- struct{}{}:
+	case c.leaderLost <- struct{}{}:
 	default:
 	}
 }
 
-// endStandby ends the standby session, if there is one: a leader serves the client again.
-func (c *Client) endStandby() (ended bool) {
+// endStandby closes the standby session because a leader serves the client again. It returns false
+// if there is none.
+func (c *Client) endStandby() (closed bool) {
 	current := c.standby.Swap(nil)
 	if current == nil {
 		return false
@@ -110,49 +113,50 @@
 	return true
 }
 
-// standBy keeps a standby session while no leader serves the client.
-func (c *Client) standBy() {
+// runStandby keeps a standby session open while no leader serves the client or the leader is
+// unresponsive.
+func (c *Client) runStandby() {
 	for {
 		select {
-		case <-c.lost:
+		case <-c.leaderLost:
 		case <-c.context.Done():
 			return
 		}
 		if c.session.Load() == nil {
 			pause.Sleep(c.context, standbyDelay)
 		}
-		for c.context.Err() == nil && c.leaderPlaces() == nil {
-			if !c.askAround() {
-				pause.Sleep(c.context, jitter(standbyPause))
+		for c.context.Err() == nil && c.responsiveLeader() == nil {
+			if !c.serveStandby() {
+				pause.Sleep(c.context, jitteredBackoff(standbyPause))
 			}
 		}
 	}
 }
 
-// askAround asks one member after the other to stand by, and serves the session
-// with the first that does to its end. It returns false when none did.
-func (c *Client) askAround() bool {
+// serveStandby tries one member after the other and serves a standby session with the first that
+// accepts until it ends. It returns false if none accepted and a standby session is still needed.
+func (c *Client) serveStandby() bool {
 	for _, address := range c.standbyOrder() {
-		if c.context.Err() != nil || c.leaderPlaces() != nil {
+		if c.context.Err() != nil || c.responsiveLeader() != nil {
 			return true
 		}
-		stood, err := c.connectStandby(address)
-		event.FeedStandbyEnded.Log(c.config.Logger, "address", address, "stood_by", stood, "err", err)
-		if stood {
+		accepted, err := c.serveStandbyConnection(address)
+		event.FeedStandbyEnded.Log(c.config.Logger, "address", address, "stood_by", accepted, "err", err)
+		if accepted {
 			return true
 		}
 	}
 	return false
 }
 
-// standbyOrder alternates between members, in an order that is the same for all
-// clients that followed the same leader, and other daemons that pass placements on:
-// whoever is cut off from one member may be from all.
+// standbyOrder alternates between members and relaying daemons, since a client that is cut off
+// from one member may be cut off from all. The order of the members is the same for all clients
+// that followed the same leader.
 func (c *Client) standbyOrder() []string {
 	members, relays := c.memberOrder(), c.standbyRelays()
 	if c.session.Load() != nil {
-		// The leader is silent; others may still be led by it.
-		members = slices.DeleteFunc(members, func(address string) bool { return address == *c.leader.Load() })
+		// The leader is unresponsive, but other daemons may still be connected to it.
+		members = slices.DeleteFunc(members, func(address string) bool { return address == *c.lastLeader.Load() })
 		return append(relays, members...)
 	}
 	var order []string
@@ -167,9 +171,10 @@
 	return order
 }
 
+// memberOrder returns the last leader's address, then the other member addresses sorted.
 func (c *Client) memberOrder() []string {
 	order := slices.Sorted(slices.Values(c.addresses()))
-	last := c.leader.Load()
+	last := c.lastLeader.Load()
 	if last == nil {
 		return order
 	}
@@ -177,10 +182,10 @@
 	return slices.Insert(order, 0, *last)
 }
 
-// maxStandbyRelays bounds the daemons that are asked in one round.
+// maxStandbyRelays limits the relaying daemons tried in one round.
 const maxStandbyRelays = 3
 
-// standbyRelays draws daemons that may pass placements on.
+// standbyRelays returns a random selection of daemons that may relay placements.
 func (c *Client) standbyRelays() []string {
 	if c.config.StandbyRelays == nil {
 		return nil
@@ -190,9 +195,9 @@
 	return relays[:min(len(relays), maxStandbyRelays)]
 }
 
-// connectStandby serves one standby session to its end and reports whether the
-// member stood by.
-func (c *Client) connectStandby(address string) (bool, error) {
+// serveStandbyConnection serves one standby session until it ends and reports whether the peer
+// accepted it.
+func (c *Client) serveStandbyConnection(address string) (bool, error) {
 	ctx, cancel := context.WithTimeout(c.context, standbyDialTimeout)
 	defer cancel()
 	conn, err := c.config.Dial(ctx, "tcp", address)
@@ -205,18 +210,18 @@
 	return current.ready, err
 }
 
-// receiveAlive takes in that the member stands by.
-func (s *session) receiveAlive() error {
+// receiveStandbyReady handles the peer's confirmation that it serves the standby session.
+func (s *session) receiveStandbyReady() error {
 	if !s.standby {
-		return errors.Wrap(errProtocol, "a leader that only stands by")
+		return errors.Wrap(errProtocol, "standby frame on a leader session")
 	}
 	if s.ready {
 		return nil
 	}
 	s.ready = true
 	s.client.standby.Store(s)
-	if s.client.leaderPlaces() != nil {
-		s.client.endStandby() // a leader came first
+	if s.client.responsiveLeader() != nil {
+		s.client.endStandby() // a leader's session was ready first
 		return nil
 	}
 	event.FeedStandby.Log(s.client.config.Logger, "address", s.conn.RemoteAddr())
@@ -226,10 +231,11 @@
 	return nil
 }
 
-// writeAlive answers a standby subscription, if the member has a view to place by.
-func (s *subscriber) writeAlive(ctx context.Context, writer *frame.Writer, leader string) error {
+// writeStandbyReady accepts a standby subscription if the member has a view to place by, and
+// redirects the subscriber otherwise.
+func (s *subscriber) writeStandbyReady(ctx context.Context, writer *frame.Writer, leader string) error {
 	if s.server.config.Group.Version().Revision == 0 {
-		return s.moveOn(ctx, writer, leader)
+		return s.redirect(ctx, writer, leader)
 	}
-	return writer.WriteFrame(kindAlive, nil)
+	return writer.WriteFrame(kindStandbyReady, nil)
 }
--- a/connection/feed/standby_test.go
+++ b/connection/feed/standby_test.go
@@ -12,7 +12,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// placingGroup is a member that names itself as the replica.
+// placingGroup is a member that answers placements with its own name as the replica.
 type placingGroup struct {
 	*fakeGroup
 	name     string
@@ -23,7 +23,7 @@
 
 func newPlacingGroup(name string, leads bool) *placingGroup {
 	g := &placingGroup{fakeGroup: newFakeGroup(), name: name}
-	g.set(leads, leads, 1, "")
+	g.setLeadership(leads, leads, 1, "")
 	return g
 }
 
@@ -54,9 +54,9 @@
 	return client, served
 }
 
-// placedBy returns which member places now, empty for none.
+// placedBy returns the member that answers placements, empty if none does.
 func placedBy(client *Client) string {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	answer, err := client.Place(ctx, PlaceRequest{Service: "chat", Number: 1})
 	if err != nil {
@@ -65,9 +65,9 @@
 	return answer.Generator
 }
 
-// While nobody leads, the last leader goes on with placements, and with nothing
-// else; the next leader takes over.
-func TestMemberStandsByForPlacementsOnly(t *testing.T) {
+// While there is no leader, the previous leader continues to serve placements and nothing else.
+// The next leader takes over.
+func TestStandbyMemberServesPlacementsOnly(t *testing.T) {
 	first, second := newPlacingGroup("first", true), newPlacingGroup("second", false)
 	firstServer, firstAddress := startServer(t, first)
 	_, secondAddress := startServer(t, second)
@@ -75,48 +75,49 @@
 	second.put("water")
 	holder := view.NewHolder()
 	client, served := startStandbyClient(t, holder, firstAddress, secondAddress)
-	eventually(t, "the leader places", func() bool { return placedBy(client) == "first" })
+	eventually(t, "placement by the leader", func() bool { return placedBy(client) == "first" })
 	eventually(t, "the view", func() bool { return holder.Load().Version.Revision == 1 })
 
-	first.set(false, false, 1, "")
+	first.setLeadership(false, false, 1, "")
 	firstServer.Wake()
-	eventually(t, "nobody leads", func() bool { return !client.Connected() })
-	eventually(t, "the last leader stands by", func() bool { return client.standby.Load() != nil && placedBy(client) == "first" })
+	eventually(t, "the loss of the leader", func() bool { return !client.Connected() })
+	eventually(t, "placement by the previous leader on standby", func() bool { return client.standby.Load() != nil && placedBy(client) == "first" })
 	must.False(t, client.Connected())
 	must.True(t, client.NotePlaced(PlaceNote{Service: "chat", Number: 1}))
 	must.True(t, client.ReportKept(KeptParts{Service: "chat", Replica: "r"}))
 	must.True(t, client.ReportInFlight(InFlight{Service: "chat"}))
-	eventually(t, "notes arrive", func() bool {
+	eventually(t, "the notes", func() bool {
 		return first.notes.Load() == 1 && first.kept.Load() == 1 && first.inFlight.Load() == 1
 	})
-	must.Eq(t, 2, served.Load(), must.Sprint("what replicas keep is told to each member that places"))
+	must.Eq(t, 2, served.Load(), must.Sprint("Served is called for each member that serves placements"))
 	first.put("later")
 	firstServer.Wake()
 	_, err := client.Claim(t.Context(), state.ClaimRequest{Tenant: "water", Key: "k", Nonce: 1})
 	must.ErrorIs(t, err, ErrNoQuorum)
-	must.Eq(t, 1, holder.Load().Version.Revision, must.Sprint("no view comes from a member that does not lead"))
+	must.Eq(t, 1, holder.Load().Version.Revision, must.Sprint("a member that does not lead sends no view"))
 
-	second.set(true, true, 2, "")
-	eventually(t, "the next leader places", func() bool { return client.Connected() && placedBy(client) == "second" })
+	second.setLeadership(true, true, 2, "")
+	eventually(t, "placement by the next leader", func() bool { return client.Connected() && placedBy(client) == "second" })
 	must.Nil(t, client.standby.Load())
-	eventually(t, "nobody stands by any more", func() bool { return firstServer.Subscribers() == 0 })
+	eventually(t, "the end of the standby session", func() bool { return firstServer.Subscribers() == 0 })
 }
 
-// A member that came back with an empty disk knows no replicas.
-func TestMemberWithoutAViewDoesNotStandBy(t *testing.T) {
+// A member without a view, for example after a restart with an empty disk, refuses standby, and
+// placements go to the next member.
+func TestMemberWithoutAViewRefusesStandby(t *testing.T) {
 	empty, filled := newPlacingGroup("empty", true), newPlacingGroup("filled", false)
 	emptyServer, emptyAddress := startServer(t, empty)
 	_, filledAddress := startServer(t, filled)
 	filled.put("water")
 	client, _ := startStandbyClient(t, view.NewHolder(), emptyAddress, filledAddress)
 	eventually(t, "a leader", client.Connected)
-	empty.set(false, false, 1, "")
+	empty.setLeadership(false, false, 1, "")
 	emptyServer.Wake()
-	eventually(t, "the other member stands by", func() bool { return placedBy(client) == "filled" })
+	eventually(t, "placement by the other member", func() bool { return placedBy(client) == "filled" })
 }
 
-// A member that is gone is passed over for the next one.
-func TestNextMemberStandsByWhenOneIsGone(t *testing.T) {
+// If the first member is unreachable, the next one serves standby.
+func TestNextMemberServesStandbyWhenOneIsUnreachable(t *testing.T) {
 	first, second := newPlacingGroup("first", true), newPlacingGroup("second", false)
 	firstServer, firstAddress := startServer(t, first)
 	_, secondAddress := startServer(t, second)
@@ -125,5 +126,5 @@
 	client, _ := startStandbyClient(t, view.NewHolder(), firstAddress, secondAddress)
 	eventually(t, "a leader", client.Connected)
 	firstServer.Close()
-	eventually(t, "the other member stands by", func() bool { return placedBy(client) == "second" })
+	eventually(t, "placement by the other member", func() bool { return placedBy(client) == "second" })
 }
