--- a/connection/feed/subscriber.go
+++ b/connection/feed/subscriber.go
@@ -11,67 +11,66 @@
 	"github.com/pkg/errors"
 )
 
-// answer is one frame that replies to a request of the subscriber.
-type answer struct {
+// response is a frame that replies to a request of the subscriber.
+type response struct {
 	kind    frame.Kind
 	payload []byte
 }
 
-// subscriber is one connection at the server. What waits for it is bounded: the
-// version sent last instead of deltas, the latest beat instead of all, and one
-// place for each claim under way.
+// subscriber is one connection at the server. Its pending state is bounded: it stores only the
+// version sent last, the latest heartbeat, and the calls in progress, each of which holds a slot.
 type subscriber struct {
 	server *Server
 	conn   net.Conn
-	number uint64 // of the connection, in the order in which they were accepted
-	key    daemonKey
-	wake   chan struct{}
-	// answers has room for every claim that may be under way, so that putting
-	// one there never blocks.
-	answers chan answer
-	slots   chan struct{}
-	calls   sync.WaitGroup
+	number uint64        // of the connection, in order of acceptance
+	key    daemonKey     // set before the subscription is open
+	wake   chan struct{} // wakes the writer; capacity 1, so that signals coalesce
+	// responses has capacity for every call that may be in progress, so that sending to it never
+	// blocks.
+	responses chan response
+	callSlots chan struct{} // holds an element per call in progress
+	calls     sync.WaitGroup
 
-	// entered gives back the place among the subscriptions that begin.
-	entered func()
+	// releaseOpeningSlot releases the slot of a subscription that is opening.
+	releaseOpeningSlot func()
 
-	// standby is set for a subscription that gets placements alone; it is
-	// written before the subscription is open.
+	// standby is set for a standby subscription (standby.go). It is written before the subscription
+	// is open.
 	standby bool
-	// partial is set for a subscription that brings the daemon's own subset of the replicas;
-	// shares is which part of them it has been sent. Written before the subscription is open,
-	// then by the writer alone.
+	// partial is set for a subscription to the daemon's own subset of the replicas; shares defines
+	// the subset that it has been sent. Both are written before the subscription is open, and later
+	// only by the writer.
 	partial bool
 	shares  shares
 
-	lock   sync.Mutex
-	opened bool
-	sent   view.Version // the version that the subscriber has or is being sent
-	acked  view.Version
-	heard  bool   // a beat arrived that writeNews has not seen
-	beat   uint64 // sequence of the latest beat without a grant, 0 if none
-	bulk   bulkDelta
+	lock             sync.Mutex
+	opened           bool
+	sent             view.Version // the version that the subscriber has or is being sent
+	acked            view.Version
+	heartbeatPending bool   // a heartbeat arrived that writeUpdates has not processed
+	pendingSequence  uint64 // sequence of the latest heartbeat without a grant, 0 if none
+	bulk             bulkTransfer
 
-	// toldNews is which of the ends that are not on record were told last, at toldAt. Only the
-	// writer uses them.
-	toldNews uint64
-	toldAt   time.Duration
+	// unrecordedGeneration is the generation of the unrecorded crashes sent last, at
+	// unrecordedSentAt, which is 0 before the first time. Only the writer uses them.
+	unrecordedGeneration uint64
+	unrecordedSentAt     time.Duration
 }
 
 func newSubscriber(server *Server, conn net.Conn, number uint64) *subscriber {
 	maxClaims := server.config.MaxClaims
 	return &subscriber{
-		server:  server,
-		conn:    conn,
-		number:  number,
-		wake:    make(chan struct{}, 1),
-		entered: func() {},
-		answers: make(chan answer, maxClaims),
-		slots:   make(chan struct{}, maxClaims),
+		server:             server,
+		conn:               conn,
+		number:             number,
+		wake:               make(chan struct{}, 1),
+		releaseOpeningSlot: func() {},
+		responses:          make(chan response, maxClaims),
+		callSlots:          make(chan struct{}, maxClaims),
 	}
 }
 
-// signal makes the writer look again; signals coalesce.
+// signal wakes the writer. Signals coalesce.
 func (s *subscriber) signal() {
 	select {
 	case s.wake <- struct{}{}:
@@ -79,7 +78,7 @@
 	}
 }
 
-// run serves the connection to its end.
+// run serves the connection until it ends.
 func (s *subscriber) run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -88,27 +87,29 @@
 	var writer sync.WaitGroup
 	var writeErr error
 	writer.Go(func() {
-		writeErr = s.write(ctx)
+		writeErr = s.writeLoop(ctx)
 		cancel()
 	})
-	readErr := s.read(ctx)
+	readErr := s.readLoop(ctx)
 	cancel()
 	writer.Wait()
 	s.calls.Wait()
-	s.endBulk()
+	s.releaseBulkSlot()
 	if writeErr != nil {
 		return writeErr
 	}
 	return readErr
 }
 
-func (s *subscriber) read(ctx context.Context) error {
+// readLoop handles the received frames until the connection ends. The first one must be a
+// subscribe.
+func (s *subscriber) readLoop(ctx context.Context) error {
 	reader := frame.NewReader(s.conn, Protocol, maxSubscriberPayload, s.server.config.SilenceTimeout)
 	first, err := reader.ReadFrame()
 	if err != nil {
 		return err
 	}
-	if err := s.open(first); err != nil {
+	if err := s.handleSubscribe(first); err != nil {
 		return err
 	}
 	if !s.standby {
@@ -126,16 +127,16 @@
 	}
 }
 
-func (s *subscriber) open(first frame.Frame) error {
+func (s *subscriber) handleSubscribe(first frame.Frame) error {
 	if first.Kind != kindSubscribe {
-		return errors.Wrapf(errProtocol, "kind %d before subscribe", first.Kind)
+		return errors.Wrapf(errProtocol, "frame kind %d before subscribe", first.Kind)
 	}
 	opening, err := decodeSubscribe(first.Payload)
 	if err != nil {
 		return err
 	}
 	if opening.daemon == "" {
-		return errors.Wrap(errProtocol, "no daemon")
+		return errors.Wrap(errProtocol, "daemon name is empty")
 	}
 	if err := s.checkVersion(opening.version); err != nil {
 		return err
@@ -153,8 +154,8 @@
 
 func (s *subscriber) receive(ctx context.Context, received frame.Frame) error {
 	switch received.Kind {
-	case kindBeat:
-		return s.receiveBeat(received.Payload)
+	case kindHeartbeat:
+		return s.receiveHeartbeat(received.Payload)
 	case kindClaim:
 		return s.receiveClaim(ctx, received.Payload)
 	case kindOutcome:
@@ -168,30 +169,30 @@
 		return nil
 	case kindPlace:
 		return s.receivePlace(received.Payload)
-	case kindKept:
-		return s.receiveKept(received.Payload)
+	case kindCachedParts:
+		return s.receiveCachedParts(received.Payload)
 	case kindInFlight:
 		return s.receiveInFlight(received.Payload)
 	case kindPlaceNote:
 		return s.receivePlaceNote(received.Payload)
-	case kindEnds:
-		return s.receiveEnds(received.Payload)
+	case kindCrashes:
+		return s.receiveCrashReport(received.Payload)
 	case kindUsage:
 		return s.receiveUsage(received.Payload)
 	case kindCharge:
 		return s.receiveCharge(received.Payload)
-	case kindReturn:
-		return s.receiveReturn(received.Payload)
+	case kindRefund:
+		return s.receiveRefund(received.Payload)
 	case kindPresence:
 		return s.receivePresence(received.Payload)
 	default:
-		return errors.Wrapf(errProtocol, "kind %d", received.Kind)
+		return errors.Wrapf(errProtocol, "unknown frame kind %d", received.Kind)
 	}
 }
 
-// receivePresence takes in what a daemon says of a proxy, unless a later subscription of
-// the daemon is open: its word came after this one, whenever this one arrives. A
-// subscription that stands by is asked for placements alone.
+// receivePresence passes on a presence report, unless a later subscription of the daemon is open:
+// its reports supersede this one, even if this one arrives after them. Standby
+// subscriptions are for placements, so their presence reports are ignored.
 func (s *subscriber) receivePresence(payload []byte) error {
 	presence, err := decodePresence(payload)
 	if err != nil {
@@ -200,14 +201,14 @@
 	if s.standby {
 		return nil
 	}
-	s.server.latest.ifLatest(s.key.daemon, s.number, func() {
+	s.server.latest.runIfLatest(s.key.daemon, s.number, func() {
 		s.server.config.Group.ReportPresence(presence)
 	})
 	return nil
 }
 
-func (s *subscriber) receiveBeat(payload []byte) error {
-	message, err := decodeBeat(payload)
+func (s *subscriber) receiveHeartbeat(payload []byte) error {
+	message, err := decodeHeartbeat(payload)
 	if err != nil {
 		return err
 	}
@@ -216,22 +217,22 @@
 	}
 	s.lock.Lock()
 	s.acked = message.acked
-	s.heard = true
-	s.beat = max(s.beat, message.sequence)
+	s.heartbeatPending = true
+	s.pendingSequence = max(s.pendingSequence, message.sequence)
 	s.lock.Unlock()
-	s.checkBulk(message.held)
+	s.releaseBulkIfDone(message.held)
 	s.signal()
 	return nil
 }
 
-// checkVersion refuses a version that the group has never had: such a daemon
-// followed another group, or one whose disks were all lost, and its view must
-// not be taken for an acknowledgement. A leader has applied every version that
-// any daemon can have been sent.
+// checkVersion rejects a version that the group has never had. A daemon with such a version
+// followed another group, or followed this group before it lost all its disks, and must not count
+// as having acknowledged a version of this group. The check is exact, because a leader has applied
+// every version that any daemon can have been sent.
 func (s *subscriber) checkVersion(version view.Version) error {
 	leads := s.server.config.Group.Leadership().Leads
 	if leads && version.Compare(s.server.config.Group.Version()) > 0 {
-		return errors.Wrapf(errProtocol, "version %d is ahead of the group", version.Revision)
+		return errors.Wrapf(errProtocol, "revision %d is ahead of the group", version.Revision)
 	}
 	return nil
 }
@@ -241,13 +242,13 @@
 	if err != nil {
 		return err
 	}
-	return s.start(ctx, func() {
+	return s.startCall(ctx, func() {
 		result, err := s.server.config.Group.Claim(ctx, request)
 		reply := claimReply{requestID: requestID, code: replyCodeOf(err), result: result}
-		s.answer(kindClaimReply, encodeClaimReply(reply))
+		s.enqueueResponse(kindClaimReply, encodeClaimReply(reply))
 	}, func() {
 		refused := claimReply{requestID: requestID, code: replyRefused}
-		s.answer(kindClaimReply, encodeClaimReply(refused))
+		s.enqueueResponse(kindClaimReply, encodeClaimReply(refused))
 	})
 }
 
@@ -256,21 +257,20 @@
 	if err != nil {
 		return err
 	}
-	return s.start(ctx, func() {
+	return s.startCall(ctx, func() {
 		err := s.server.config.Group.RecordOutcome(ctx, outcome)
-		s.answer(kindOutcomeReply, encodeOutcomeReply(outcomeReply{requestID: requestID, code: replyCodeOf(err)}))
+		s.enqueueResponse(kindOutcomeReply, encodeOutcomeReply(outcomeReply{requestID: requestID, code: replyCodeOf(err)}))
 	}, func() {
 		refused := outcomeReply{requestID: requestID, code: replyRefused}
-		s.answer(kindOutcomeReply, encodeOutcomeReply(refused))
+		s.enqueueResponse(kindOutcomeReply, encodeOutcomeReply(refused))
 	})
 }
 
-// start runs serve beside the reader, or refuse here when a subscription that
-// is leaving must start nothing new. It waits for a free place, which holds up
-// only this subscriber.
-func (s *subscriber) start(ctx context.Context, serve, refuse func()) error {
+// startCall runs serve on a separate goroutine, or calls refuse if the member no longer leads and
+// must not start anything new. It waits for a free slot, which blocks only this subscriber.
+func (s *subscriber) startCall(ctx context.Context, serve, refuse func()) error {
 	select {
-	case s.slots <- struct{}{}:
+	case s.callSlots <- struct{}{}:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -282,10 +282,10 @@
 	return nil
 }
 
-// answer hands a frame to the writer. The place is freed once it was taken, so
-// answers never has more than it has room for.
-func (s *subscriber) answer(kind frame.Kind, payload []byte) {
-	s.answers <- answer{kind: kind, payload: payload}
+// enqueueResponse hands a frame to the writer. A slot is freed only when its response was taken,
+// so responses never exceeds its capacity.
+func (s *subscriber) enqueueResponse(kind frame.Kind, payload []byte) {
+	s.responses <- response{kind: kind, payload: payload}
 }
 
 func replyCodeOf(err error) replyCode {
@@ -299,7 +299,8 @@
 	}
 }
 
-func (s *subscriber) write(ctx context.Context) error {
+// writeLoop writes updates and responses until the connection ends.
+func (s *subscriber) writeLoop(ctx context.Context) error {
 	writer := frame.NewWriter(s.conn, Protocol, s.server.config.WriteTimeout)
 	for {
 		var err error
@@ -307,14 +308,14 @@
 		case <-ctx.Done():
 			return nil
 		case <-s.wake:
-			err = s.writeNews(ctx, writer)
-		case next := <-s.answers:
-			err = s.writeAnswer(writer, next)
+			err = s.writeUpdates(ctx, writer)
+		case next := <-s.responses:
+			err = s.writeResponse(writer, next)
 		}
 		if err != nil {
 			return err
 		}
-		if len(s.answers) > 0 {
+		if len(s.responses) > 0 {
 			continue
 		}
 		if err := writer.Flush(); err != nil {
@@ -323,52 +324,56 @@
 	}
 }
 
-func (s *subscriber) writeAnswer(writer *frame.Writer, next answer) error {
-	<-s.slots
+// writeResponse writes the response to a call and frees the call's slot.
+func (s *subscriber) writeResponse(writer *frame.Writer, next response) error {
+	<-s.callSlots
 	return writer.WriteFrame(next.kind, next.payload)
 }
 
-// writeNews writes the delta to the version applied now and the grant that is due.
-func (s *subscriber) writeNews(ctx context.Context, writer *frame.Writer) error {
+// writeUpdates writes everything that is due: unrecorded crashes, the delta to the current version
+// and the lease grant; on a standby subscription the confirmation instead of delta and grant. It
+// redirects the subscriber if the member does not lead.
+func (s *subscriber) writeUpdates(ctx context.Context, writer *frame.Writer) error {
 	s.lock.Lock()
-	opened, sent, acked, heard, sequence := s.opened, s.sent, s.acked, s.heard, s.beat
-	s.heard, s.beat = false, 0
+	opened, sent, acked, heartbeatPending, sequence := s.opened, s.sent, s.acked, s.heartbeatPending, s.pendingSequence
+	s.heartbeatPending, s.pendingSequence = false, 0
 	s.lock.Unlock()
 	if !opened {
 		return nil
 	}
-	defer s.entered()
+	defer s.releaseOpeningSlot()
 	leadership := s.server.config.Group.Leadership()
 	if s.standby {
-		if err := s.writeAlive(ctx, writer, leadership.Address); err != nil {
+		if err := s.writeStandbyReady(ctx, writer, leadership.Address); err != nil {
 			return err
 		}
-		return s.writeUnrecorded(writer)
+		return s.writeUnrecordedCrashes(writer)
 	}
 	if !leadership.Leads {
-		return s.moveOn(ctx, writer, leadership.Address)
+		return s.redirect(ctx, writer, leadership.Address)
 	}
-	if err := s.writeUnrecorded(writer); err != nil {
+	if err := s.writeUnrecordedCrashes(writer); err != nil {
 		return err
 	}
-	if err := s.writeDelta(ctx, writer, sent, heard); err != nil {
+	if err := s.writeDelta(ctx, writer, sent, heartbeatPending); err != nil {
 		return err
 	}
-	if !heard {
+	if !heartbeatPending {
 		return nil
 	}
-	return s.writeGrant(ctx, writer, acked, sequence)
+	return s.writeLeaseGrant(ctx, writer, acked, sequence)
 }
 
-// moveOn sends the subscriber to the leader, after the answers to its claims
-// that are under way, and ends the connection.
-func (s *subscriber) moveOn(ctx context.Context, writer *frame.Writer, address string) error {
+// redirect waits for the responses to the calls in progress and sends the leader's address. The
+// error that it returns ends the connection; if the responses take longer than WriteTimeout, the
+// connection ends without the address.
+func (s *subscriber) redirect(ctx context.Context, writer *frame.Writer, address string) error {
 	timer := time.NewTimer(s.server.config.WriteTimeout)
 	defer timer.Stop()
-	for len(s.slots) > 0 {
+	for len(s.callSlots) > 0 {
 		select {
-		case next := <-s.answers:
-			if err := s.writeAnswer(writer, next); err != nil {
+		case next := <-s.responses:
+			if err := s.writeResponse(writer, next); err != nil {
 				return err
 			}
 		case <-timer.C:
@@ -386,31 +391,31 @@
 	return errNotLeader
 }
 
-// writeDelta writes what leads to the version applied now; asked says that the daemon waits
-// for a grant.
-func (s *subscriber) writeDelta(ctx context.Context, writer *frame.Writer, sent view.Version, asked bool) error {
+// writeDelta writes the delta to the current version. heartbeatPending says that a heartbeat or an
+// acknowledgement has arrived since the last delta.
+func (s *subscriber) writeDelta(ctx context.Context, writer *frame.Writer, sent view.Version, heartbeatPending bool) error {
 	if s.partial {
-		return s.writePartial(ctx, writer, sent, asked)
+		return s.writePartial(ctx, writer, sent, heartbeatPending)
 	}
 	payload, to, err := s.deltaSince(sent)
 	if err != nil || payload == nil {
 		return err
 	}
-	if len(payload) >= bulkPayload {
-		if err := s.beginBulk(ctx, writer); err != nil {
+	if len(payload) >= bulkThresholdBytes {
+		if err := s.acquireBulkSlot(ctx, writer); err != nil {
 			return err
 		}
-		// The group may have moved on while the subscriber waited.
+		// The group may have applied further versions while the subscriber waited.
 		if payload, to, err = s.deltaSince(sent); err != nil {
 			return err
 		}
-		s.sendBulk(to)
+		s.recordBulkSent(to)
 	}
-	return s.writeVersion(writer, payload, to)
+	return s.writeDeltaFrame(writer, payload, to)
 }
 
-// writeVersion writes a delta and notes to which version it leads.
-func (s *subscriber) writeVersion(writer *frame.Writer, payload []byte, to view.Version) error {
+// writeDeltaFrame writes a delta and records the version that it leads to.
+func (s *subscriber) writeDeltaFrame(writer *frame.Writer, payload []byte, to view.Version) error {
 	if err := writer.WriteFrame(kindDelta, payload); err != nil {
 		return err
 	}
@@ -418,22 +423,22 @@
 	defer s.lock.Unlock()
 	s.sent = to
 	if to != s.server.config.Group.Version() {
-		s.signal() // what came after a whole view that was encoded before
+		s.signal() // a cached full view may be older than the current version
 	}
 	return nil
 }
 
 func (s *subscriber) deltaSince(sent view.Version) ([]byte, view.Version, error) {
-	return s.server.cache.since(s.server.config.Group, sent, s.server.config.Clock())
+	return s.server.cache.deltaSince(s.server.config.Group, sent, s.server.config.Clock())
 }
 
-// writeGrant records the acknowledgement and renews the view lease, if a beat
-// asks for it. The leader lease is checked here, after everything that may have
-// taken time; a pause after the check does no harm, since the lease runs from
-// when the daemon asked.
-func (s *subscriber) writeGrant(ctx context.Context, writer *frame.Writer, acked view.Version, sequence uint64) error {
+// writeLeaseGrant records the acknowledgement and renews the view lease if a heartbeat asks for it.
+// The leader lease is checked here, after everything that may have taken time. A pause after the
+// check does no harm: the view lease counts from when the daemon sent its heartbeat, so a grant
+// that is sent late does not end later.
+func (s *subscriber) writeLeaseGrant(ctx context.Context, writer *frame.Writer, acked view.Version, sequence uint64) error {
 	now := s.server.config.Clock()
-	current := s.server.leased(ctx)
+	current := s.server.ensureTermLeases(ctx)
 	if current == nil {
 		return nil
 	}
@@ -443,6 +448,6 @@
 	if !granted || sequence == 0 || lease <= 0 {
 		return nil
 	}
-	message := grant{sequence: sequence, lease: lease, term: current.term, day: s.server.config.Group.Day()}
-	return writer.WriteFrame(kindGrant, encodeGrant(message))
+	message := leaseGrant{sequence: sequence, lease: lease, term: current.term, wallClock: s.server.config.Group.Day()}
+	return writer.WriteFrame(kindLeaseGrant, encodeLeaseGrant(message))
 }
--- a/connection/feed/usage.go
+++ b/connection/feed/usage.go
@@ -4,28 +4,28 @@
 	"github.com/landingtrail/landingtrail/connection/frame"
 )
 
-// UsageReport is what one process has counted of requests that began, by tenant and window
-// of time. Counters only rise: a report that comes twice, or late, takes nothing back.
+// UsageReport holds the number of requests that one instance counted when they started, by tenant
+// and time window. Counters only increase, so a duplicate or late report can't lower one.
 type UsageReport struct {
-	// Life names the process; one that starts again has another name.
+	// Life identifies the instance. A restarted process has a different value.
 	Life string
-	// Through is up to when everything is told that this process has counted, in
-	// milliseconds of the group's time of day.
+	// Through is the time up to which the instance has reported all its counts, in Unix
+	// milliseconds of the group's wall-clock time.
 	Through int64
 	Counts  []UsageCount
 }
 
-// UsageCount is one counter.
+// UsageCount is the number of requests of a tenant that started in a time window.
 type UsageCount struct {
-	Window int64
+	Window int64 // number of the window, counted from the start of 1970
 	Tenant string
-	Count  uint64
+	Count  uint64 // all so far in this window
 }
 
-// maxUsageCounts bounds the counters of one message.
+// maxUsageCounts limits the counters in one message.
 const maxUsageCounts = 8192
 
-// usageCountSize is the least size of one encoded counter.
+// usageCountSize is the minimum size of an encoded counter.
 const usageCountSize = 8 + 4 + 8
 
 func encodeUsage(report UsageReport) []byte {
@@ -33,10 +33,10 @@
 	encoder.String(report.Life)
 	encoder.Int64(report.Through)
 	encoder.Uint32(uint32(len(report.Counts)))
-	for _, counted := range report.Counts {
-		encoder.Int64(counted.Window)
-		encoder.String(counted.Tenant)
-		encoder.Uint64(counted.Count)
+	for _, counter := range report.Counts {
+		encoder.Int64(counter.Window)
+		encoder.String(counter.Tenant)
+		encoder.Uint64(counter.Count)
 	}
 	return encoder.Data()
 }
@@ -54,8 +54,8 @@
 	return report, decoder.Finish()
 }
 
-// split divides a report into such as one message holds. Only the last part says through
-// when all is told.
+// split divides a report into parts that fit into one message each. Only the last part has Through
+// set, since the report is incomplete before it.
 func (r UsageReport) split() []UsageReport {
 	var parts []UsageReport
 	for len(r.Counts) > maxUsageCounts {
@@ -65,14 +65,15 @@
 	return append(parts, r)
 }
 
-// ReportUsage tells the leader; false when a part of the word was dropped.
+// ReportUsage sends a report to the leader. It returns false if there is no leader or a part was
+// dropped; earlier parts were sent then.
 func (c *Client) ReportUsage(report UsageReport) bool {
-	to := c.session.Load()
-	if to == nil {
+	leader := c.session.Load()
+	if leader == nil {
 		return false
 	}
 	for _, part := range report.split() {
-		if !to.enqueue(&outgoing{kind: kindUsage, payload: encodeUsage(part)}) {
+		if !leader.enqueue(&outgoing{kind: kindUsage, payload: encodeUsage(part)}) {
 			return false
 		}
 	}
--- a/connection/feed/usage_test.go
+++ b/connection/feed/usage_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestUsageReportsAreCoded(t *testing.T) {
+func TestUsageReportRoundTrip(t *testing.T) {
 	report := UsageReport{Life: "p#1", Through: 1_700_000_000_123, Counts: []UsageCount{{Window: 7, Tenant: "north", Count: 3}, {Window: 8, Tenant: "south", Count: 1}}}
 	decoded, err := decodeUsage(encodeUsage(report))
 	must.NoError(t, err)
@@ -18,8 +18,8 @@
 	}
 }
 
-// A report that is too long for a message goes in several, of which only the last says
-// through when all is told.
+// A report that exceeds the size of a message is split into several. Only the last one sets
+// Through, when the report is complete.
 func TestLongUsageReportsAreSplit(t *testing.T) {
 	report := UsageReport{Life: "p", Through: 9}
 	for i := range 2*maxUsageCounts + 5 {
