--- a/connection/engineapi/engineapi.go
+++ b/connection/engineapi/engineapi.go
@@ -1,6 +1,6 @@
-// Package engineapi is the HTTP protocol of the model engines: paths, headers
-// and bodies. It is the published protocol that the product speaks to engines
-// and that the lab's stand-in serves.
+// Package engineapi defines the HTTP protocol of the model engines: paths, headers
+// and bodies. It is the published protocol used to talk to engines; the emulated
+// engine in lab serves it as well.
 package engineapi
 
 import "github.com/landingtrail/landingtrail/version/api"
@@ -22,33 +22,35 @@
 	PathKVBlocks        = "/kv/blocks"           // GET ?handle=H; engine to engine
 )
 
-// Headers on requests to an engine or a plain back end and on its answers.
+// Headers on requests to an engine or a plain backend and on its responses.
 //
-// HeaderRequestID and HeaderAttempt name the call. Whoever gets them echoes
-// them on the answer, whatever the path and the status, so that an answer can
-// be told from that to another call on the same connection. A client closes the
-// connection after an answer without them. A completion's name is also that of
-// its run, and stands in every stream event; where a body names a run, the
-// headers still name the call.
+// HeaderRequestID and HeaderAttempt identify the HTTP call. The receiver echoes them
+// in its response, whatever the path and the status, so that the response can be
+// told apart from those to other calls on the same connection. A client closes the
+// connection after a response without them. For a completion they also identify its
+// run and appear in every stream event; where a body identifies a run, the headers
+// still identify the call.
 const (
 	HeaderRequestID   = "Engine-Request-Id"
-	HeaderAttempt     = "Engine-Attempt"     // not sent with calls that have no attempts
+	HeaderAttempt     = "Engine-Attempt"     // omitted on calls that have no attempts
 	HeaderPriority    = "Engine-Priority"    // integer; higher first
 	HeaderDeadline    = "Engine-Deadline-Ms" // milliseconds left
-	HeaderKVHandle    = "Engine-KV-Handle"   // decode from an imported prompt
-	HeaderIncarnation = "Engine-Incarnation" // on every answer, decimal
-	// HeaderAdmitted is "no" on an explicit refusal before admission: the
-	// request was surely not run. It is "yes" once the request was admitted.
+	HeaderKVHandle    = "Engine-KV-Handle"   // decode from imported KV cache
+	HeaderIncarnation = "Engine-Incarnation" // on every response, decimal
+	// HeaderAdmitted is "no" on an explicit refusal before admission, which
+	// guarantees that the request did not run. It is "yes" once the request was
+	// admitted.
 	HeaderAdmitted = "Engine-Admitted"
 	// HeaderPhase is the engine's own phase (api.EnginePhase) at the time of
-	// the answer; it reaches proxies before the platform's list does.
+	// the response; it reaches proxies before the platform's engine list does.
 	HeaderPhase = "Engine-Phase"
-	// HeaderBackendState is "leaving" on answers of a plain back end whose machine leaves.
+	// HeaderBackendState is "leaving" on responses of a plain backend whose
+	// machine is being withdrawn.
 	HeaderBackendState = "Backend-State"
 )
 
 // StreamEvent is the data of one server-sent event. The stream's terminal
-// event is "data: [DONE]"; a stream that ends without it was cut short.
+// event is "data: [DONE]"; a stream that ends without it is incomplete.
 type StreamEvent struct {
 	ID          string   `json:"id"` // the request ID
 	Object      string   `json:"object"`
@@ -60,7 +62,7 @@
 	Usage       *Usage   `json:"usage,omitempty"`
 }
 
-// Choice carries text of a completion (Text) or a chat (Delta or Message).
+// Choice carries the text of a completion (Text) or a chat (Delta or Message).
 type Choice struct {
 	Index        int      `json:"index"`
 	Text         string   `json:"text,omitempty"`
@@ -82,8 +84,8 @@
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// CompletionRequest is the part of an OpenAI request that routing needs. One
-// word is one token for the stand-in.
+// CompletionRequest is the part of an OpenAI request that routing needs. The
+// emulated engine counts each word as one token.
 type CompletionRequest struct {
 	Model     string    `json:"model"`
 	Prompt    string    `json:"prompt,omitempty"`
@@ -93,8 +95,8 @@
 	User      string    `json:"user,omitempty"`
 }
 
-// ResumeRequest asks the engine that ran a request to stream it again from
-// Offset on; it is refused when the incarnation differs.
+// ResumeRequest asks the engine that ran a request to stream its output again from
+// Offset on; the engine refuses it if the incarnation differs.
 type ResumeRequest struct {
 	RequestID   string `json:"requestId"`
 	Attempt     uint32 `json:"attempt"`
@@ -102,80 +104,82 @@
 	Incarnation uint64 `json:"incarnation,string"`
 }
 
-// CancelRequest ends a request's run.
+// CancelRequest cancels the run of a request.
 type CancelRequest struct {
 	RequestID string `json:"requestId"`
 	Attempt   uint32 `json:"attempt"`
 }
 
-// State is an engine's own account of itself, never lagging.
+// State is an engine's current state as the engine itself reports it, without delay.
 type State struct {
 	Engine      string          `json:"engine"`
 	Incarnation uint64          `json:"incarnation,string"`
 	Fence       api.Fence       `json:"fence"`
 	Phase       api.EnginePhase `json:"phase"`
 	Assignment  api.Assignment  `json:"assignment"`
-	// Order is the order being carried out, if any.
+	// Order is the order being executed, if any.
 	Order   *api.Order `json:"order,omitempty"`
 	Running int        `json:"running"`
 	Waiting int        `json:"waiting"`
 }
 
-// OrderCode is an engine's answer to an order.
+// OrderCode is the result code of an engine's reply to an order.
 type OrderCode string
 
-// Answers to an order.
+// Result codes of an order.
 const (
 	OrderAccepted         OrderCode = "accepted"
-	OrderDone             OrderCode = "done" // a resend of an order that is done
+	OrderDone             OrderCode = "done" // the order was resent and is already complete
 	OrderStaleFence       OrderCode = "stale_fence"
 	OrderOtherIncarnation OrderCode = "other_incarnation"
-	OrderBusy             OrderCode = "busy" // another order is being carried out
+	OrderBusy             OrderCode = "busy" // another order is being executed
 	OrderVoid             OrderCode = "void" // voided at this or a higher fence
 	OrderInvalid          OrderCode = "invalid"
 )
 
-// VoidRequest raises the engine's fence so that every order below it is void.
-// The engine confirms with its state.
+// VoidRequest raises the engine's fence, which voids every order below it. The
+// engine confirms by returning its state.
 type VoidRequest struct {
 	Fence       api.Fence `json:"fence"`
 	Incarnation uint64    `json:"incarnation,string"`
 }
 
-// OrderReply answers an order or a void request.
+// OrderReply is the reply to an order or a void request.
 type OrderReply struct {
 	Code  OrderCode `json:"code"`
 	State State     `json:"state"`
 }
 
-// Load is a lagging report of an engine's load.
+// Load is a report of an engine's load. It lags behind the actual load.
 type Load struct {
 	Engine        string          `json:"engine"`
 	Incarnation   uint64          `json:"incarnation,string"`
 	Phase         api.EnginePhase `json:"phase"`
 	Running       int             `json:"running"`
 	Waiting       int             `json:"waiting"`
-	WaitingTokens int             `json:"waitingTokens"` // prompt tokens not read yet
-	KVUsed        float64         `json:"kvUsed"`        // share of KV memory
-	// AgeMilliseconds is how old the report is, by the engine's own clock.
+	WaitingTokens int             `json:"waitingTokens"` // prompt tokens not processed yet
+	KVUsed        float64         `json:"kvUsed"`        // fraction of KV memory in use
+	// AgeMilliseconds is the age of the report by the engine's own clock.
 	AgeMilliseconds int64 `json:"ageMilliseconds"`
 	// Totals since the incarnation started.
 	PromptTokens int64 `json:"promptTokens"`
 	OutputTokens int64 `json:"outputTokens"`
 }
 
-// CacheEvent says that a prefix block entered or left the prompt cache.
+// CacheEvent reports that a prefix block was added to or removed from the prompt cache.
 type CacheEvent struct {
 	Sequence uint64 `json:"sequence"`
-	Block    uint64 `json:"block,string"` // hash chain of the prompt up to the block's end
+	Block    uint64 `json:"block,string"` // chained hash of the prompt up to the end of the block
 	Removed  bool   `json:"removed,omitempty"`
 }
 
-// CacheEvents is a page of events; Next may skip numbers (a gap).
+// CacheEvents is a page of events. Next is the sequence number to request the next page
+// with. It may skip numbers, which means that events were lost.
 type CacheEvents struct {
 	Incarnation uint64       `json:"incarnation,string"`
 	Events      []CacheEvent `json:"events"`
-	// Snapshot is set when the reader asked with after=0: Blocks is the whole cache.
+	// Snapshot is set when the client requested after=0; Blocks then lists the
+	// whole cache.
 	Snapshot bool     `json:"snapshot,omitempty"`
 	Blocks   []uint64 `json:"blocks,omitempty"`
 	Next     uint64   `json:"next"`
@@ -188,7 +192,7 @@
 	Request   CompletionRequest `json:"request"`
 }
 
-// KVHandle names exported KV cache.
+// KVHandle identifies exported KV cache.
 type KVHandle struct {
 	Handle      string `json:"handle"`
 	Engine      string `json:"engine"`
@@ -202,16 +206,16 @@
 	Handle KVHandle `json:"handle"`
 }
 
-// ErrorBody is the OpenAI error object with what is known of the run.
+// ErrorBody is the OpenAI error object, extended by whether the request ran.
 type ErrorBody struct {
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail is the inside of an ErrorBody.
+// ErrorDetail is the content of an ErrorBody.
 type ErrorDetail struct {
 	Message string `json:"message"`
 	Type    string `json:"type"`
 	Code    string `json:"code"`
-	// Ran is "no", "unknown" or "yes".
+	// Ran tells whether the request ran: "no", "unknown" or "yes".
 	Ran string `json:"ran,omitempty"`
 }
--- a/connection/exchange/conn.go
+++ b/connection/exchange/conn.go
@@ -11,22 +11,22 @@
 	"golang.org/x/sys/unix"
 )
 
-// readBufferBytes holds a head and most answers of plain services.
+// readBufferBytes fits a response header and most complete responses of plain services.
 const readBufferBytes = 4 << 10
 
-// conn is one connection to a replica. One request at a time uses it.
+// conn is one connection to a replica. It carries one request at a time.
 type conn struct {
 	net.Conn
-	list        *idleList // where it is kept while it is idle
+	list        *idleList // holds the connection while it is idle
 	reader      *bufio.Reader
 	openedAt    time.Duration // by the pool's clock
 	usableUntil time.Duration
-	// maxHead bounds the heads before one answer, in bytes; headLeft is what is left of
-	// it while inHead.
+	// maxHead limits the total size of the headers of one response, informational
+	// responses included; headLeft is the remainder of it while inHead.
 	maxHead  int64
 	headLeft int64
 	inHead   bool
-	answered atomic.Bool // the head of the present answer was read
+	answered atomic.Bool // the header of the current response was read
 }
 
 func newConn(raw net.Conn, list *idleList, maxHead int64) *conn {
@@ -35,10 +35,10 @@
 	return created
 }
 
-// errHeadTooLong says that the head of an answer is longer than the bound.
-var errHeadTooLong = errors.New("exchange: head of an answer is too long")
+// errHeadTooLong reports a response header larger than the limit.
+var errHeadTooLong = errors.New("exchange: response header too large")
 
-// Read reads from the connection, within the bound while a head is read.
+// Read reads from the connection. While a header is read it enforces the size limit.
 func (c *conn) Read(buffer []byte) (int, error) {
 	if !c.inHead {
 		return c.Conn.Read(buffer)
@@ -55,8 +55,8 @@
 
 func (c *conn) endHead() { c.inHead = false }
 
-// errNoDescriptor says that a connection has no descriptor of the system's.
-var errNoDescriptor = errors.New("exchange: connection without a descriptor")
+// errNoDescriptor reports a connection that has no file descriptor.
+var errNoDescriptor = errors.New("exchange: connection has no file descriptor")
 
 func (c *conn) raw() (syscall.RawConn, error) {
 	system, ok := c.Conn.(syscall.Conn)
@@ -66,15 +66,16 @@
 	return system.SyscallConn()
 }
 
-// quiet reports whether the idle connection is open and nothing has come on it:
-// bytes that nobody asked for belong to no request.
+// quiet reports whether the idle connection is still open and no data has arrived
+// on it. Unsolicited bytes belong to no request, so a connection that has them
+// must not be reused.
 func (c *conn) quiet() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
 	raw, err := c.raw()
 	if err != nil {
-		return true // nothing can be looked at
+		return true // the socket cannot be inspected
 	}
 	quiet := false
 	err = raw.Read(func(descriptor uintptr) bool {
--- a/connection/exchange/dial_test.go
+++ b/connection/exchange/dial_test.go
@@ -10,8 +10,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// lateContext says that it has ended some time after its deadline, as one may whose timer
-// fires late.
+// lateContext ends some time after its deadline, as a context does whose timer fires
+// late.
 type lateContext struct {
 	context.Context
 	deadline time.Time
@@ -19,10 +19,10 @@
 
 func (c lateContext) Deadline() (time.Time, bool) { return c.deadline, true }
 
-// A request's time ran out while a connection to a replica was opened, and the replica
-// was made suspect for it: the dial sets the context's deadline on its socket, which ended
-// it a moment before the context, and who asked the context found it running. On the code
-// before, this test gets its failure at the deadline.
+// When a request timed out while connecting, the replica was marked as suspect: the dialer
+// set the context's deadline on the socket and failed shortly before the context ended, so
+// the caller found the context still active and blamed the replica. With that fault, Do
+// fails here at the deadline, while the context is still active.
 func TestDialEndsNoEarlierThanItsContext(t *testing.T) {
 	hanging, err := backlog.NewFull()
 	must.NoError(t, err)
--- a/connection/exchange/exchange.go
+++ b/connection/exchange/exchange.go
@@ -13,76 +13,77 @@
 	"github.com/pkg/errors"
 )
 
-// Request is what is sent. Nothing is added to it but the framing of its body.
+// Request is sent exactly as given; only the framing of its body is added.
 type Request struct {
 	Method string
-	Target string // as it stands in the request line
+	Target string // request target as written in the request line
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Chunked sends the body in chunks instead of with its length.
+	// Chunked sends the body with chunked transfer encoding instead of Content-Length.
 	Chunked bool
-	// Permit, if not nil, is asked last before the request is written, when it has its
-	// connection: opening one can take longer than the reason to send lasts. An error ends
-	// the exchange, and no byte is sent.
+	// Permit, if not nil, is called once a connection is available, immediately before
+	// the request is written: opening a connection can take so long that the request
+	// must no longer be sent. An error ends the exchange before any byte is sent.
 	Permit func() error
-	// Overheard, if not nil, is told of the heads that come behind an answer to another
-	// request, after which the exchange has failed: none can be told to be the request's own,
-	// but all are the other side's word. So are those that come just after ctx has ended. It may
-	// be called once the exchange is over.
+	// Overheard, if not nil, is called with the response headers that arrive after the
+	// exchange has failed with a response to another request, or shortly after ctx has
+	// ended. They cannot be matched to the request reliably, but they do come from the
+	// server, which may for example ask for a pause. It may be called after Do has
+	// returned.
 	Overheard func(status int, header http.Header)
-	// Identity ties the answer to the request. A request without one, and a HEAD, goes
-	// over a connection of its own, which serves nothing before or after it.
+	// Identity matches the response to the request. A request without one and a HEAD
+	// request use a dedicated connection that carries no other request.
 	Identity Identity
 }
 
-// Failure is a request that brought no answer.
+// Failure is the error of a request that got no response.
 type Failure struct {
-	// Sent is false when surely no byte was written.
+	// Sent is false only if it is certain that no byte was written.
 	Sent bool
-	// Connecting is true when no connection was had.
+	// Connecting is true if no connection could be obtained.
 	Connecting bool
-	// Reused is true when the connection had served other requests before.
+	// Reused is true if the connection had carried other requests before.
 	Reused bool
 	Cause  error
-	// Foreign are the answers to other requests that came instead.
+	// Foreign holds the responses to other requests that arrived instead.
 	Foreign []*ForeignAnswer
 }
 
-// Error returns the cause's text.
+// Error returns the text of the cause.
 func (f *Failure) Error() string { return f.Cause.Error() }
 
 // Unwrap returns the cause.
 func (f *Failure) Unwrap() error { return f.Cause }
 
-// Answer is the head of an answer; its body is read by Read and ended by Close.
+// Answer is a response whose header was received. Read reads its body, Close ends it.
 type Answer struct {
 	Status int
 	Header http.Header
-	// Length is that of the body, -1 if it is not known beforehand.
+	// Length is the length of the body, -1 if unknown.
 	Length int64
 	Reused bool
-	// Opened is when its connection was opened, by the pool's clock: the process that
-	// answers has lived since then.
+	// Opened is when the connection was opened, by the pool's clock: the responding
+	// process has been running at least since then.
 	Opened time.Duration
-	// Foreign are answers to other requests that came before it and were passed over.
+	// Foreign holds the responses to other requests that arrived first and were skipped.
 	Foreign []*ForeignAnswer
 
 	pool     *Pool
 	conn     *conn
 	body     io.ReadCloser
-	ended    bool // the body was read to its end
-	lasting  bool // the connection may serve another request
+	ended    bool // the body was read completely
+	lasting  bool // the connection may carry another request
 	written  *atomic.Bool
 	detach   func() bool
 	released atomic.Bool
 }
 
-// Do writes the request once and returns the head of the answer that its identity
-// proves to be its own. Informational answers are passed over, redirects are answers
-// like any other. A failure is always a *Failure; its cause is a *ForeignAnswer where
-// another request's answer came instead. When ctx ends, the connection is closed. The
-// caller closes the answer.
+// Do writes the request once and returns the response that matches its identity,
+// after reading the response header. Informational responses are skipped and
+// redirects are not followed. The error is always a *Failure; its cause is a
+// *ForeignAnswer if a response to another request arrived instead. When ctx ends,
+// the connection is closed. The caller must close the returned Answer.
 func (p *Pool) Do(ctx context.Context, address string, request *Request) (*Answer, error) {
 	used, reused, err := p.get(ctx, address, request)
 	if err != nil {
@@ -125,6 +126,7 @@
 	}, nil
 }
 
+// permitted calls Permit, if set.
 func (r *Request) permitted() error {
 	if r.Permit == nil {
 		return nil
@@ -132,14 +134,14 @@
 	return r.Permit()
 }
 
-// directBytes is up to which size a request is written before its answer is
-// read. Larger ones are written beside the reading, since the other side may
-// answer before it has read them.
+// directBytes is the largest request that is written before its response is read.
+// Larger requests are written concurrently with reading, since the server may
+// respond before it has read them.
 const directBytes = 4 << 10
 
-// write sends the request and returns what becomes true once all of it was
-// written. An error says that no byte was; any other failed write shows when the
-// answer is read.
+// write sends the request. The returned flag becomes true once the request is
+// completely written. An error means that no byte was written; any other write
+// failure surfaces when the response is read.
 func (p *Pool) write(to *conn, request *Request) (*atomic.Bool, error) {
 	data := appendRequest(nil, request)
 	written := &atomic.Bool{}
@@ -158,8 +160,8 @@
 	return written, nil
 }
 
-// appendRequest appends the bytes of the request. Fields are in the order of
-// their names, so that equal requests have equal bytes.
+// appendRequest appends the encoded request. Header fields are sorted by name, so
+// that equal requests have equal encodings.
 func appendRequest(b []byte, request *Request) []byte {
 	b = append(b, request.Method...)
 	b = append(b, ' ')
@@ -183,6 +185,7 @@
 	return appendBody(b, request)
 }
 
+// appendBody appends the framing headers, the end of the header and the body.
 func appendBody(b []byte, request *Request) []byte {
 	switch {
 	case request.Chunked:
@@ -204,10 +207,13 @@
 	}
 }
 
+// mayHaveBody reports whether requests of the method state their length even without a
+// body.
 func mayHaveBody(method string) bool {
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
 
+// readHead reads the next response header other than informational ones.
 func readHead(from *conn, method string) (*http.Response, error) {
 	asked := &http.Request{Method: method}
 	from.beginHead()
@@ -223,8 +229,8 @@
 	}
 }
 
-// Read reads the body. io.EOF comes only after a whole body; a body that ends
-// with its connection is whole unless the connection was reset.
+// Read reads the body. It returns io.EOF only after a complete body; a body that is
+// delimited by the end of its connection is complete unless the connection was reset.
 func (a *Answer) Read(buffer []byte) (int, error) {
 	count, err := a.body.Read(buffer)
 	if err == io.EOF {
@@ -233,8 +239,9 @@
 	return count, err
 }
 
-// Close ends the exchange. The connection is kept only if the answer was read
-// to its end, the whole request was written, and nothing came after the answer.
+// Close ends the exchange. The connection returns to the pool only if the response
+// was read completely, the request was written completely, and no data follows the
+// response.
 func (a *Answer) Close() {
 	if !a.released.CompareAndSwap(false, true) {
 		return
@@ -245,7 +252,7 @@
 		a.drainEmpty()
 	}
 	if !undisturbed || !a.ended || !a.lasting || !a.written.Load() || used.reader.Buffered() > 0 {
-		_ = used.Conn.Close() // what else comes belongs to no request
+		_ = used.Conn.Close() // further data would belong to no request
 		return
 	}
 	limit := a.pool.config.IdleTimeout
@@ -253,21 +260,21 @@
 		limit = min(limit, named-a.pool.config.IdleMargin)
 	}
 	if limit <= 0 {
-		_ = used.Conn.Close() // the other side closes it first
+		_ = used.Conn.Close() // the server would close it first
 		return
 	}
 	used.usableUntil = a.pool.config.Clock() + limit
 	a.pool.put(used)
 }
 
-// drainEmpty notes the end of a body that has no bytes.
+// drainEmpty marks a body of length zero as read completely.
 func (a *Answer) drainEmpty() {
 	if a.Length == 0 {
 		a.ended = true
 	}
 }
 
-// keepAlive returns the time for which the other side keeps idle connections.
+// keepAlive returns the idle timeout that the server announced in a Keep-Alive header.
 func keepAlive(header http.Header) (time.Duration, bool) {
 	for _, value := range header["Keep-Alive"] {
 		for part := range strings.SplitSeq(value, ",") {
--- a/connection/exchange/exchange_test.go
+++ b/connection/exchange/exchange_test.go
@@ -21,8 +21,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// replica is a server that answers by scripts, one for each request it reads,
-// and keeps the bytes of the requests.
+// replica is a server that runs one script for each request it reads and records the
+// bytes of the requests.
 type replica struct {
 	t        *testing.T
 	listener net.Listener
@@ -78,13 +78,13 @@
 	}
 }
 
-// echoing puts the ID of the request in the place of echoed.
+// echoing is a connection that replaces the placeholder echoed by the request ID.
 type echoing struct {
 	net.Conn
 	id string
 }
 
-// echoed stands for the ID of the request in the answers of scripts.
+// echoed is the placeholder for the request ID in the responses of scripts.
 const echoed = "{id}"
 
 func (e *echoing) Write(data []byte) (int, error) {
@@ -120,12 +120,12 @@
 	r.done.Wait()
 }
 
-// say writes the bytes.
+// say returns a script that writes the text.
 func say(text string) func(net.Conn) {
 	return func(conn net.Conn) { _, _ = conn.Write([]byte(text)) }
 }
 
-// sayAndClose writes the bytes and ends the connection well.
+// sayAndClose returns a script that writes the text and closes the connection.
 func sayAndClose(text string) func(net.Conn) {
 	return func(conn net.Conn) {
 		_, _ = conn.Write([]byte(text))
@@ -133,7 +133,7 @@
 	}
 }
 
-// sayAndReset writes the bytes and resets the connection.
+// sayAndReset returns a script that writes the text and resets the connection.
 func sayAndReset(text string) func(net.Conn) {
 	return func(conn net.Conn) {
 		_, _ = conn.Write([]byte(text))
@@ -153,7 +153,7 @@
 	return pool
 }
 
-// get is a request of its own ID.
+// get returns a GET request with a new ID.
 func get(target string) *Request {
 	return getAs(strconv.FormatUint(lastID.Add(1), 10), target)
 }
@@ -165,7 +165,7 @@
 		Header: http.Header{idField: {id}}, Identity: Identity{Field: idField, ID: id}}
 }
 
-// whole sends the request and reads the answer to its end.
+// whole sends the request and returns the complete response body.
 func whole(t *testing.T, pool *Pool, address string, request *Request) (string, error) {
 	t.Helper()
 	answer, err := pool.Do(t.Context(), address, request)
@@ -212,8 +212,8 @@
 	must.SliceLen(t, 1, server.conns)
 }
 
-// What comes after an answer belongs to no request: the connection must not be
-// used again, whether the bytes are there at once or later.
+// Bytes that follow a response belong to no request. The connection must not be reused,
+// whether they arrive together with the response or later.
 func TestSurplusAnswersReachNobody(t *testing.T) {
 	const surplus = "HTTP/1.1 200 OK\r\nId: {id}\r\nContent-Length: 5\r\n\r\nother"
 	arrived := make(chan struct{})
@@ -243,7 +243,7 @@
 	}
 }
 
-// idleConns returns what the pool keeps; its lock is held.
+// idleConns returns the idle connections to the address; the caller holds the pool's lock.
 func idleConns(pool *Pool, address string) []*conn {
 	if list := pool.idle[address]; list != nil {
 		return list.conns
@@ -251,7 +251,7 @@
 	return nil
 }
 
-// waitReadable waits until something has come on the idle connection.
+// waitReadable waits until data has arrived on the idle connection.
 func waitReadable(t *testing.T, pool *Pool, address string) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
@@ -263,7 +263,7 @@
 			return
 		}
 	}
-	t.Fatal("nothing came")
+	t.Fatal("no data arrived on the idle connection")
 }
 
 func TestBrokenAnswersAreNotWhole(t *testing.T) {
@@ -272,18 +272,18 @@
 		script func(net.Conn)
 	}{
 		{"short", sayAndClose("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort")},
-		{"chunks cut", sayAndClose("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n")},
+		{"truncated chunks", sayAndClose("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n")},
 		{"no length, reset", sayAndReset("HTTP/1.1 200 OK\r\n\r\nhello")},
 		{"no HTTP", sayAndClose("hello there\r\n\r\n")},
-		{"nothing", sayAndClose("")},
-		{"head cut", sayAndClose("HTTP/1.1 200 OK\r\nContent-Le")},
+		{"empty", sayAndClose("")},
+		{"truncated header", sayAndClose("HTTP/1.1 200 OK\r\nContent-Le")},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			server := newReplica(t, test.script)
 			_, err := whole(t, newPool(t), server.address(), get("/"))
 			must.Error(t, err)
-			must.SliceLen(t, 1, server.received(), must.Sprint("a request is written once"))
+			must.SliceLen(t, 1, server.received(), must.Sprint("the request was written more than once"))
 		})
 	}
 }
@@ -419,9 +419,8 @@
 	pool.lock.Unlock()
 }
 
-// FuzzAnswer holds the reading of answers to a simple oracle: an answer that is
-// reported as whole has the length that it names, and never two answers are
-// taken from one request.
+// FuzzAnswer checks that a response reported as complete has the length that its header
+// announces, and that no response is accepted without the end of its header.
 func FuzzAnswer(f *testing.F) {
 	f.Add([]byte(ok))
 	f.Add([]byte(ok + ok))
@@ -442,10 +441,10 @@
 		}
 		body, err := io.ReadAll(response.Body)
 		if err == nil && response.ContentLength >= 0 && int64(len(body)) != response.ContentLength {
-			t.Fatalf("whole with %d of %d bytes", len(body), response.ContentLength)
+			t.Fatalf("response accepted as complete with %d of %d bytes", len(body), response.ContentLength)
 		}
 		if err == nil && !strings.Contains(string(data), "\r\n\r\n") && !strings.Contains(string(data), "\n\n") {
-			t.Fatal("an answer without the end of its head")
+			t.Fatal("response accepted without the end of its header")
 		}
 	})
 }
--- a/connection/exchange/foreign.go
+++ b/connection/exchange/foreign.go
@@ -9,15 +9,15 @@
 	"github.com/pkg/errors"
 )
 
-// ForeignAnswer is an answer to another request, or to none that it names, which came
-// where a request's own was due.
+// ForeignAnswer is the error for a response that names another request, or none, and
+// arrived in place of a request's own response.
 type ForeignAnswer struct {
-	Answered string // the ID that it names, empty for none
+	Answered string // the request ID that it names, empty for none
 	Status   int
 	Header   http.Header
 }
 
-// maxNamedBytes bounds what is kept of an ID that the other side names.
+// maxNamedBytes limits how much of a request ID sent by the server is kept.
 const maxNamedBytes = 64
 
 func newForeignAnswer(response *http.Response, identity Identity) *ForeignAnswer {
@@ -25,21 +25,21 @@
 	return &ForeignAnswer{Answered: answered[:min(len(answered), maxNamedBytes)], Status: response.StatusCode, Header: response.Header}
 }
 
-// Error says which request was answered.
+// Error returns a text that names the request that the response belongs to.
 func (f *ForeignAnswer) Error() string {
-	return fmt.Sprintf("exchange: answer of status %d to request %q", f.Status, f.Answered)
+	return fmt.Sprintf("exchange: response with status %d belongs to request %q", f.Status, f.Answered)
 }
 
-// Bounds of the foreign answers that are passed over on one connection.
+// Limits of the responses to other requests that are skipped on one connection.
 const (
 	maxForeign      = 4
 	maxForeignBytes = 1 << 20
 )
 
-// readOwn reads heads until the one of the request's answer. An answer to a request that
-// the connection carried before is one too many, and the request's own comes behind it.
-// The foreign answers are returned in any case; the error is the last of them where no
-// own one follows, and the response is then that one, with what is unread of it.
+// readOwn reads response headers until one matches the request. A response to an earlier
+// request of the connection is a surplus one, and the request's own response follows it. The skipped responses are always returned. If no matching
+// response can follow, the error is the last skipped one, and the returned response is
+// the same one, if its body is still unread.
 func readOwn(from *conn, request *Request, reused bool) (own *http.Response, foreign []*ForeignAnswer, err error) {
 	for {
 		response, err := readHead(from, request.Method)
@@ -65,24 +65,25 @@
 	}
 }
 
-// mayBePassedOver reports whether an answer can come behind this one, by its head.
+// mayBePassedOver reports whether, by its header, another response can follow this one.
 func mayBePassedOver(response *http.Response) bool {
 	return !response.Close && response.ContentLength <= maxForeignBytes
 }
 
-// passOver reads a body and reports whether it has ended within the bound.
+// passOver discards a body and reports whether it ended within the limit.
 func passOver(response *http.Response) (ended bool, err error) {
 	count, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxForeignBytes+1))
 	return count <= maxForeignBytes, errors.WithStack(err)
 }
 
-// overhearTime bounds for how long what comes behind a foreign answer is listened to: a
-// replica that refuses a request answers within some milliseconds. It is also how much later
-// a replica hears that it may stop working.
+// overhearTime limits how long a connection is still read after its exchange has failed
+// or was canceled: a replica that refuses a request responds within a few milliseconds.
+// The replica also learns by this much later that it may stop working on the request.
 const overhearTime = 50 * time.Millisecond
 
-// abandon ends an exchange for which nobody waits any more. While its head is still to come,
-// whoever reads it is only stopped: what the other side says then is listened to for a moment.
+// abandon ends an exchange whose context has ended. If the response header has not been
+// read yet and the caller wants late responses, it only interrupts the reader;
+// endAbandoned then reads the connection for a short time and closes it.
 func (c *conn) abandon(request *Request) {
 	if request.Overheard == nil || c.answered.Load() {
 		_ = c.Conn.Close()
@@ -91,14 +92,15 @@
 	_ = c.Conn.SetReadDeadline(time.Now())
 }
 
-// endAbandoned closes the connection of an exchange that was abandoned before its head came.
+// endAbandoned closes the connection of an exchange that was abandoned before its response
+// header arrived, after passing a header that arrives within overhearTime to Overheard.
 func (c *conn) endAbandoned(request *Request) {
 	if request.Overheard == nil {
 		_ = c.Conn.Close()
 		return
 	}
 	go func() {
-		defer func() { _ = c.Conn.Close() }() // nothing more is expected of it
+		defer func() { _ = c.Conn.Close() }() // the connection is not reused
 		_ = c.Conn.SetReadDeadline(time.Now().Add(overhearTime))
 		if next, err := readHead(c, request.Method); err == nil {
 			request.Overheard(next.StatusCode, next.Header)
@@ -106,15 +108,16 @@
 	}()
 }
 
-// endAfter closes a connection on which an exchange has failed. Behind an answer to another
-// request, the one to this request may come at once; who asked is told of it.
+// endAfter closes a connection on which an exchange has failed. The request's own response
+// may immediately follow one to another request, so the headers of the responses that
+// arrive within overhearTime are passed to Overheard.
 func (c *conn) endAfter(request *Request, last *http.Response) {
 	if last == nil || request.Overheard == nil || !mayBePassedOver(last) {
-		_ = c.Conn.Close() // the first error says what is wrong
+		_ = c.Conn.Close() // the error of the exchange is already reported
 		return
 	}
 	go func() {
-		defer func() { _ = c.Conn.Close() }() // nothing more is expected of it
+		defer func() { _ = c.Conn.Close() }() // the connection is not reused
 		_ = c.Conn.SetReadDeadline(time.Now().Add(overhearTime))
 		for range maxForeign {
 			if ended, err := passOver(last); err != nil || !ended {
--- a/connection/exchange/identity.go
+++ b/connection/exchange/identity.go
@@ -2,19 +2,19 @@
 
 import "net/http"
 
-// Identity ties an answer to its request: the other side repeats the request's ID in a
-// field of its answer. Where an answer stands on its connection proves nothing, since
-// the other side may have sent one too many before it.
+// Identity matches a response to its request: the server echoes the request ID in a header
+// field of its response. The order of responses on a connection is not sufficient, since
+// the server may have sent a surplus one before.
 type Identity struct {
-	Field string // in canonical form
-	ID    string // of the request, sent with it by the caller of Do
-	// Repeated says that the ID was sent to the address before: it does not tell the
-	// answers to the two sends apart, so this one goes over a new connection.
+	Field string // header field in canonical form
+	ID    string // request ID, which the caller of Do sends in the request header
+	// Repeated means that the ID was sent to the address before. The responses to the
+	// two sends cannot be told apart by the ID, so this one uses a new connection.
 	Repeated bool
 }
 
-// owns reports whether an answer is the request's. One that names no request can only be
-// its own where the connection has carried no other.
+// owns reports whether a response belongs to the request. A response without an ID
+// does only if the connection has carried no other request.
 func (i Identity) owns(header http.Header, reused bool) bool {
 	answered := header.Get(i.Field)
 	if i.ID == "" || answered == "" {
@@ -23,9 +23,9 @@
 	return answered == i.ID
 }
 
-// sharesConnections reports whether the request may follow others on a connection, and
-// others it. Only then can the answers be told apart: by an ID, and by heads that say
-// where bodies end, which they do not in answers to HEAD.
+// sharesConnections reports whether the request may use a connection that carries other
+// requests before or after it. That requires an ID to match the responses, and headers
+// that determine where bodies end, which those of responses to HEAD do not.
 func (r *Request) sharesConnections() bool {
 	return r.Identity.ID != "" && r.Method != http.MethodHead
 }
--- a/connection/exchange/identity_test.go
+++ b/connection/exchange/identity_test.go
@@ -14,10 +14,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// What the other side sends in these tests when a connection's second request has
-// arrived: bytes that the look at an idle connection cannot have seen.
+// In these tests the server sends unsolicited bytes only after the second request of a
+// connection has arrived, so that the check of an idle connection cannot detect them.
 
-// answerTo is a whole answer that names the request; empty for one that names none.
+// answerTo returns a complete response that names the request ID; none if it is empty.
 func answerTo(id, body string) string {
 	named := ""
 	if id != "" {
@@ -31,17 +31,17 @@
 	cases := []struct {
 		name   string
 		second func(net.Conn)
-		body   string // empty where there is no answer
+		body   string // empty if the request fails
 	}{
 		{"surplus before its own", say(answerTo("first", "old") + ok), "ok"},
-		{"surplus in chunks", say(long + ok), "ok"},
+		{"chunked surplus", say(long + ok), "ok"},
 		{"surplus without a body", say("HTTP/1.1 503 Busy\r\nId: first\r\nContent-Length: 0\r\n\r\n" + ok), "ok"},
 		{"several", say(strings.Repeat(answerTo("first", "old"), maxForeign) + ok), "ok"},
 		{"too many", say(strings.Repeat(answerTo("first", "old"), maxForeign+1) + ok), ""},
 		{"surplus alone", sayAndClose(answerTo("first", "old")), ""},
 		{"surplus that ends its connection", sayAndClose("HTTP/1.1 200 OK\r\nId: first\r\n\r\nold"), ""},
-		{"surplus that names nobody", say(answerTo("", "old") + ok), ""},
-		{"cut surplus", sayAndClose("HTTP/1.1 200 OK\r\nId: first\r\nContent-Length: 9\r\n\r\nold"), ""},
+		{"surplus that names no request", say(answerTo("", "old") + ok), ""},
+		{"truncated surplus", sayAndClose("HTTP/1.1 200 OK\r\nId: first\r\nContent-Length: 9\r\n\r\nold"), ""},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -52,7 +52,7 @@
 			body, err := whole(t, pool, server.address(), getAs("second", "/2"))
 			must.Eq(t, test.body, body)
 			must.Eq(t, test.body == "", err != nil)
-			must.False(t, pool.Idle(server.address()), must.Sprint("a connection that was out of step is not used again"))
+			must.False(t, pool.Idle(server.address()), must.Sprint("a connection that carried a surplus response was kept"))
 			body, err = whole(t, pool, server.address(), get("/3"))
 			must.NoError(t, err)
 			must.Eq(t, "ok", body)
@@ -71,7 +71,8 @@
 	must.Eq(t, []*ForeignAnswer{{Answered: "first", Status: http.StatusOK, Header: head}}, answer.Foreign)
 	answer.Close()
 
-	// On a connection that has carried no other request nothing else is to follow.
+	// On a connection that has carried no other request, no matching response is expected
+	// to follow.
 	_, err = pool.Do(t.Context(), server.address(), getAs("third", "/3"))
 	var failure *Failure
 	must.True(t, errors.As(err, &failure))
@@ -83,8 +84,8 @@
 	must.Eq(t, "other", foreign.Answered)
 }
 
-// A request that is sent again has the ID that it had: an answer to its earlier send
-// must not come where the one to this send is due, however many came between.
+// A retried request has the same ID as before. The response to its first send must not
+// be taken for that to the retry, however many requests were sent in between.
 func TestARepeatedRequestGoesOverANewConnection(t *testing.T) {
 	server := newReplica(t, say(ok), say(ok), say(ok), say(ok))
 	pool := newPool(t)
@@ -99,8 +100,8 @@
 	must.SliceLen(t, 2, server.conns)
 }
 
-// Nothing tells the answer to a request without an ID from a surplus one, nor where the
-// body of an answer ends whose request, a HEAD, is not known any more.
+// The response to a request without an ID cannot be told from a surplus one. Nor can the
+// end of a surplus response be found if it may belong to an earlier HEAD request.
 func TestSomeRequestsShareNoConnection(t *testing.T) {
 	unnamed := &Request{Method: http.MethodDelete, Target: "/", Host: "h", Header: http.Header{}}
 	head := getAs("head", "/")
@@ -123,7 +124,8 @@
 	}
 }
 
-// An own answer that cannot come any more is not waited for.
+// Do must not wait for its own response if the surplus response ends the connection or
+// is too long to skip.
 func TestNothingIsAwaitedBehindASurplusAnswerThatEndsItsConnection(t *testing.T) {
 	long := strings.Repeat("10000\r\n"+strings.Repeat("x", 1<<16)+"\r\n", maxForeignBytes>>16+1)
 	for name, head := range map[string]string{
@@ -150,8 +152,8 @@
 	}
 }
 
-// A side that falls silent within a surplus answer is silent: what it named is told, and
-// is not the cause.
+// If the server stalls in the middle of a surplus response, the cause of the failure is
+// the stall and not the surplus response.
 func TestSilenceWithinASurplusAnswerIsSilence(t *testing.T) {
 	release := make(chan struct{})
 	begun := make(chan struct{})
@@ -167,7 +169,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
 		<-begun
-		time.Sleep(50 * time.Millisecond) // lets the surplus head be read; before that the outcome is the same
+		time.Sleep(50 * time.Millisecond) // lets the surplus header be read first; the outcome is the same without
 		cancel()
 	}()
 	_, err = pool.Do(ctx, server.address(), getAs("second", "/"))
@@ -193,8 +195,8 @@
 	}
 }
 
-// A connection that is in use when its address is given up belongs to the owner that is
-// gone: whoever has the address next is not asked over it.
+// A connection that is in use when its address is dropped belongs to the former owner of
+// the address and must not be used for the next owner.
 func TestConnectionInUseWhenItsAddressIsGivenUpIsNotKept(t *testing.T) {
 	server := newReplica(t, say(ok))
 	pool := newPool(t)
@@ -207,8 +209,8 @@
 	must.False(t, pool.Idle(server.address()))
 }
 
-// What comes behind an answer that ends an exchange is nobody's answer, but its heads are the
-// other side's word, which is passed on.
+// Responses that follow one to another request, which ends the exchange, cannot be matched
+// to any request, but their headers come from the server and are passed to Overheard.
 func TestHeadsBehindAForeignAnswerAreOverheard(t *testing.T) {
 	const refusal = "HTTP/1.1 503 Service Unavailable\r\nId: second\r\nRetry-After: 3\r\nContent-Length: 0\r\n\r\n"
 	server := newReplica(t, say(ok), say("HTTP/1.1 400 Bad Request\r\nContent-Length: 4\r\n\r\nnone"+refusal))
@@ -227,12 +229,10 @@
 	must.False(t, pool.Idle(server.address()))
 }
 
-// Seen: a replica asked a proxy to stay away for 1.4 s, and got three requests more in that time.
-// How: a refusal with a time comes to a request whose caller has just hung up, or whose time is
-// over. Its connection was closed with the refusal on its way, and nobody heard it.
-// Cause: a word of the replica belongs to no request, and was listened to only for one.
-// Proof: the exchange below, one way to it; that it was so in the run is inferred, its logs were
-// not kept.
+// A replica asked a proxy to send nothing for 1.4 s and still got three more requests in that
+// time. A refusal with Retry-After was lost if it arrived just after the caller had hung up
+// or the request had timed out, because the connection was closed immediately. That this
+// was the path in the observed run is inferred, since its logs were not kept.
 func TestAnswerIsOverheardThoughNobodyWaitsForIt(t *testing.T) {
 	hungUp := make(chan struct{})
 	server := newReplica(t, func(conn net.Conn) {
@@ -256,13 +256,13 @@
 		time.Sleep(time.Millisecond)
 	}
 	cancel()
-	must.Error(t, <-ended, must.Sprint("who has left waits for nothing"))
+	must.Error(t, <-ended, must.Sprint("a canceled exchange succeeded"))
 	close(hungUp)
 	select {
 	case word := <-heard:
 		must.Eq(t, "503 3", word)
 	case <-time.After(10 * time.Second):
-		t.Fatal("nobody heard the word")
+		t.Fatal("the late response was not passed on")
 	}
 	must.False(t, pool.Idle(server.address()))
 }
--- a/connection/exchange/pool.go
+++ b/connection/exchange/pool.go
@@ -1,11 +1,11 @@
-// Package exchange sends HTTP/1.1 requests whose bytes matter: method, target
-// and body reach the other side exactly as given, each request is written at
-// most once, an answer counts as whole only if its framing says so, and one is taken
-// only where it names its request.
+// Package exchange sends HTTP/1.1 requests with exact control over the bytes: method,
+// target and body reach the server exactly as given, each request is written at most
+// once, a response counts as complete only if its framing says so, and a response is
+// accepted only if it names its request.
 //
-// It stands on net/http's reader of answers but not on its Transport, which
-// sends a request again by itself, adds fields of its own, and may take bytes
-// that came after one answer for the beginning of the next.
+// It uses http.ReadResponse but not http.Transport, which retries requests by itself,
+// adds header fields, and may take bytes that follow one response for the beginning
+// of the next.
 package exchange
 
 import (
@@ -19,25 +19,26 @@
 	"golang.org/x/sys/unix"
 )
 
-// Config holds what a Pool is created with. Zero values take the defaults.
+// Config configures a Pool. Zero values select the defaults.
 type Config struct {
 	DialTimeout time.Duration
-	// Unacknowledged is after which time without a word from the other machine
-	// a connection is given up, while anything is on its way.
+	// Unacknowledged is how long sent data may remain unacknowledged by the remote
+	// host before the connection is closed (TCP_USER_TIMEOUT).
 	Unacknowledged time.Duration
-	// IdleTimeout bounds how long a connection is kept where the other side
-	// names no time; IdleMargin is kept off a time that it names.
+	// IdleTimeout limits how long an idle connection is kept. If the server announces
+	// a keep-alive timeout, that timeout less IdleMargin is a limit as well.
 	IdleTimeout time.Duration
 	IdleMargin  time.Duration
-	// MaxIdle bounds the idle connections to one address.
+	// MaxIdle limits the number of idle connections per address.
 	MaxIdle int
-	// MaxHeaderBytes bounds the head of an answer, informational ones before it included.
+	// MaxHeaderBytes limits the header size of a response, including the informational
+	// responses before it.
 	MaxHeaderBytes int64
-	// Clock reads the time that has passed, also while the machine was suspended.
+	// Clock is a monotonic clock that also advances while the machine is suspended.
 	Clock func() time.Duration
 }
 
-// Defaults of a Config.
+// Default values of Config.
 const (
 	DefaultDialTimeout    = 500 * time.Millisecond
 	DefaultUnacknowledged = 1500 * time.Millisecond
@@ -81,7 +82,7 @@
 	return defaults
 }
 
-// Pool keeps idle connections by address. Pools share nothing.
+// Pool keeps idle connections by address. Pools share no state.
 type Pool struct {
 	config Config
 	dialer net.Dialer
@@ -91,10 +92,11 @@
 	idle   map[string]*idleList // by address
 }
 
-// idleList is the idle connections to an address for as long as its owner has it. One in
-// use belongs to the list of its time, and never comes to that of the address's next owner.
+// idleList holds the idle connections to an address while one replica owns it. A connection
+// in use returns to the list it was taken from, so that it is never used for the
+// next owner of the address.
 type idleList struct {
-	conns   []*conn // the one used last is the last
+	conns   []*conn // most recently used last
 	dropped bool
 }
 
@@ -106,15 +108,15 @@
 		idle:   map[string]*idleList{},
 		dialer: net.Dialer{
 			Timeout: config.DialTimeout,
-			// A machine that has lost its power says nothing: keep-alive probes
-			// find that out while an answer is awaited.
+			// A host that has lost power sends nothing; keep-alive probes detect
+			// that while a response is pending.
 			KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2},
 			Control:         nil,
 		},
 	}
 }
 
-// Close closes the idle connections and keeps none from now on.
+// Close closes the idle connections; connections in use are closed after their exchange.
 func (p *Pool) Close() {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -124,7 +126,8 @@
 	}
 }
 
-// Drop closes the idle connections to an address, whose owner is gone.
+// Drop closes the idle connections to an address whose owner is gone. Connections in use
+// are closed after their exchange.
 func (p *Pool) Drop(address string) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -137,13 +140,13 @@
 		return
 	}
 	for _, kept := range list.conns {
-		_ = kept.Conn.Close() // nothing is under way on it
+		_ = kept.Conn.Close() // no request is in flight on it
 	}
 	list.conns, list.dropped = nil, true
 	delete(p.idle, address)
 }
 
-// list returns the idle connections to an address.
+// list returns the idle list of an address and creates it if necessary.
 func (p *Pool) list(address string) *idleList {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -155,7 +158,7 @@
 	return list
 }
 
-// Idle reports whether a connection to the address is kept that may be used now.
+// Idle reports whether an idle connection to the address is available.
 func (p *Pool) Idle(address string) bool {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -163,7 +166,7 @@
 	return list != nil && len(list.conns) > 0 && p.config.Clock() < list.conns[len(list.conns)-1].usableUntil
 }
 
-// take returns an idle connection that is still good, or nil.
+// take removes and returns an idle connection that is still usable, or nil.
 func (p *Pool) take(list *idleList) *conn {
 	for {
 		kept := p.pop(list)
@@ -173,10 +176,11 @@
 		if p.config.Clock() < kept.usableUntil && kept.quiet() {
 			return kept
 		}
-		_ = kept.Conn.Close() // it is of no use any more
+		_ = kept.Conn.Close() // expired, closed by the server, or holding unsolicited data
 	}
 }
 
+// pop removes and returns the most recently used idle connection, or nil.
 func (p *Pool) pop(list *idleList) *conn {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -188,21 +192,21 @@
 	return last
 }
 
-// put keeps a connection whose last answer was read to its end.
+// put returns a connection whose last response was read completely to its idle list.
 func (p *Pool) put(kept *conn) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	list := kept.list
 	if p.closed || list.dropped || len(list.conns) >= p.config.MaxIdle {
-		_ = kept.Conn.Close() // there are enough, or its other side is gone
+		_ = kept.Conn.Close() // the pool is closed or full, or the owner of the address is gone
 		return
 	}
 	kept.answered.Store(false)
 	list.conns = append(list.conns, kept)
 }
 
-// get returns a connection to the address on which the answer can be told from others,
-// and whether it was used before.
+// get returns a connection on which the response can be matched to the request, and
+// whether it was used before.
 func (p *Pool) get(ctx context.Context, address string, request *Request) (*conn, bool, error) {
 	list := p.list(address)
 	if request.sharesConnections() && !request.Identity.Repeated {
@@ -220,9 +224,9 @@
 	return opened, false, nil
 }
 
-// dial opens a connection. The dialer gets ctx without its deadline: it would set that on
-// the socket, and a connect that ends by it may be over before ctx is. Who then asked ctx
-// whose end it was would blame the other side.
+// dial opens a connection. The dialer gets ctx without its deadline, because it would set
+// the deadline on the socket and could fail shortly before ctx itself ends. The caller,
+// finding ctx still active, would then blame the server for the failure.
 func (p *Pool) dial(ctx context.Context, address string) (net.Conn, error) {
 	dialing, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
@@ -230,15 +234,15 @@
 	return p.dialer.DialContext(dialing, "tcp", address)
 }
 
-// limitSilence makes the kernel give up a connection on which written bytes
-// stay unacknowledged.
+// limitSilence makes the kernel close a connection on which written bytes stay
+// unacknowledged for the given time.
 func (c *conn) limitSilence(limit time.Duration) {
 	raw, err := c.raw()
 	if err != nil {
 		return
 	}
 	_ = raw.Control(func(descriptor uintptr) {
-		// Without the option the connection merely hangs longer.
+		// Best effort: without the option a dead connection is only detected later.
 		_ = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(limit.Milliseconds()))
 	})
 }
--- a/connection/exchange/suspension_test.go
+++ b/connection/exchange/suspension_test.go
@@ -12,9 +12,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// An idle connection is closed by its other side after a while, also while this machine is
-// suspended: what is sent on it then may be lost, and must not be sent again where it may
-// run only once.
+// The server closes an idle connection after a while, also while this machine is
+// suspended. A request sent on it afterwards may be lost, and must not be retried if it
+// may run only once. Idle connections must therefore expire by a clock that includes
+// the suspension.
 func TestIdleConnectionsLapseInASuspension(t *testing.T) {
 	var connections atomic.Int32
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/connection/frame/field.go
+++ b/connection/frame/field.go
@@ -7,11 +7,11 @@
 	"github.com/pkg/errors"
 )
 
-// Errors of decoding fields, besides ErrTruncated.
+// Errors returned when decoding fields, in addition to ErrTruncated.
 var (
-	// ErrTrailing says that bytes are left after the last field.
+	// ErrTrailing reports bytes left after the last field.
 	ErrTrailing = errors.New("frame: trailing bytes")
-	// ErrValue says that a field holds a value that its type does not have.
+	// ErrValue reports a field value that is not valid for its type.
 	ErrValue = errors.New("frame: invalid value")
 )
 
@@ -67,8 +67,9 @@
 // Raw appends bytes without a length.
 func (e *Encoder) Raw(value []byte) { e.buffer = append(e.buffer, value...) }
 
-// Decoder reads the fields that an Encoder appended. After a fault every method
-// returns a zero value and Err returns the first fault, so callers check once.
+// Decoder reads the fields that an Encoder appended. After an error every method
+// returns a zero value and Err returns the first error, so callers need to check
+// only once.
 type Decoder struct {
 	rest []byte
 	err  error
@@ -77,13 +78,13 @@
 // NewDecoder returns a Decoder over data, which it does not copy or change.
 func NewDecoder(data []byte) *Decoder { return &Decoder{rest: data} }
 
-// Err returns the first fault: ErrTruncated or ErrValue.
+// Err returns the first error, such as ErrTruncated or ErrValue.
 func (d *Decoder) Err() error { return d.err }
 
-// Remaining returns how many bytes are not read yet.
+// Remaining returns the number of unread bytes.
 func (d *Decoder) Remaining() int { return len(d.rest) }
 
-// Finish returns the first fault, or ErrTrailing when bytes are left.
+// Finish returns the first error, or ErrTrailing if unread bytes are left.
 func (d *Decoder) Finish() error {
 	if d.err == nil && len(d.rest) > 0 {
 		d.fail(errors.Wrapf(ErrTrailing, "%d bytes", len(d.rest)))
@@ -91,7 +92,7 @@
 	return d.err
 }
 
-// Fail records a fault found by the caller, unless there is one already.
+// Fail records an error found by the caller, unless one is already recorded.
 func (d *Decoder) Fail(err error) { d.fail(err) }
 
 func (d *Decoder) fail(err error) {
@@ -101,7 +102,7 @@
 	d.rest = nil
 }
 
-// take returns the next count bytes, or nil after a fault.
+// take consumes and returns the next count bytes, or nil after an error.
 func (d *Decoder) take(count int) []byte {
 	if d.err != nil {
 		return nil
@@ -177,9 +178,9 @@
 // String reads a length and a string.
 func (d *Decoder) String() string { return string(d.Bytes()) }
 
-// Count reads the uint32 number of elements of a list whose elements take at
-// least elementSize bytes each. A number that the remaining bytes cannot hold is
-// ErrTruncated, so the result is safe to reserve memory by.
+// Count reads the uint32 length of a list whose elements take at least elementSize
+// bytes each. A length that the remaining bytes cannot hold is ErrTruncated, so the
+// result is safe to use for allocating memory.
 func (d *Decoder) Count(elementSize int) int {
 	count := d.Uint32()
 	if uint64(count)*uint64(elementSize) > uint64(len(d.rest)) {
@@ -189,6 +190,6 @@
 	return int(count)
 }
 
-// Raw reads count bytes that have no length before them. The result shares
+// Raw reads count bytes that have no length prefix. The result shares
 // memory with the decoder's input.
 func (d *Decoder) Raw(count int) []byte { return d.take(count) }
--- a/connection/frame/frame.go
+++ b/connection/frame/frame.go
@@ -1,10 +1,10 @@
-// Package frame is the framing of all internal protocols over TCP: a preface
-// that names the protocol and its version, then frames of a kind and a payload,
-// each under a checksum. It also has the encoder and decoder of fixed-width
-// fields that the payloads are built from.
+// Package frame implements the framing of all internal protocols over TCP: a preface
+// that identifies the protocol and its version, followed by frames that each carry a
+// kind, a payload and a checksum. It also provides the encoder and decoder for the
+// fixed-width fields that payloads are built from.
 //
-// A reader never reserves more memory than the sender has delivered bytes for
-// (within a constant factor), so a hostile length costs nothing.
+// A reader allocates at most a constant factor more memory than the bytes received,
+// so a forged length cannot exhaust memory.
 package frame
 
 import (
@@ -14,27 +14,27 @@
 	"github.com/pkg/errors"
 )
 
-// Errors of the framing. After any of them the connection is of no further use.
+// Framing errors. The connection is unusable after any of them.
 var (
-	// ErrForeignProtocol says that the first bytes are not this protocol's preface.
+	// ErrForeignProtocol reports that the first bytes are not this protocol's preface.
 	ErrForeignProtocol = errors.New("frame: foreign protocol")
-	// ErrVersion says that the other side speaks another version of the protocol.
+	// ErrVersion reports that the remote end speaks another version of the protocol.
 	ErrVersion = errors.New("frame: unsupported protocol version")
-	// ErrTooLarge says that a frame is larger than the reader or writer allows.
+	// ErrTooLarge reports a frame larger than the reader or writer allows.
 	ErrTooLarge = errors.New("frame: frame too large")
-	// ErrChecksum says that a frame's bytes do not match its checksum.
+	// ErrChecksum reports a frame whose bytes do not match its checksum.
 	ErrChecksum = errors.New("frame: checksum mismatch")
-	// ErrTruncated says that the stream ended inside a preface, a frame or a field.
+	// ErrTruncated reports a stream that ended inside a preface, a frame or a field.
 	ErrTruncated = errors.New("frame: truncated")
 )
 
-// Protocol names one internal protocol and its version.
+// Protocol identifies an internal protocol and its version.
 type Protocol struct {
 	ID      uint16
 	Version uint16
 }
 
-// Kind tells what a frame's payload holds. Its meaning belongs to the protocol.
+// Kind identifies the type of a frame's payload. Each protocol defines its own kinds.
 type Kind uint16
 
 // Frame is one message of a stream.
@@ -48,12 +48,12 @@
 	PrefaceSize = 8
 	// HeaderSize is the length of a frame's header in bytes: length, kind, checksum.
 	HeaderSize = 10
-	// growStep is how many bytes of a payload are reserved before any arrived.
+	// growStep is the number of bytes allocated for a payload before any have arrived.
 	growStep = 4 << 10
 )
 
-// magic opens every preface. Its first byte is not ASCII, so text protocols
-// differ from it at once.
+// magic starts every preface. Its first byte is not ASCII, so a text protocol is
+// detected at its first byte.
 var magic = [4]byte{0xf7, 'L', 'T', 0x0a}
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -65,14 +65,14 @@
 	return binary.BigEndian.AppendUint16(buffer, protocol.Version)
 }
 
-// header is the fixed part in front of each payload.
+// header is the fixed-size header of a frame.
 type header struct {
 	length   uint32
 	kind     Kind
 	checksum uint32
 }
 
-// checksum covers the length, the kind and the payload.
+// checksum computes the CRC-32C of the length, the kind and the payload.
 func checksum(length uint32, kind Kind, payload []byte) uint32 {
 	var fixed [6]byte
 	binary.BigEndian.PutUint32(fixed[0:], length)
--- a/connection/frame/frame_test.go
+++ b/connection/frame/frame_test.go
@@ -20,7 +20,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// stream is a net.Conn over a reader and a buffer.
+// stream is a net.Conn that reads from a reader and writes to a buffer.
 type stream struct {
 	net.Conn
 	io.Reader
@@ -32,7 +32,7 @@
 func (s *stream) SetReadDeadline(time.Time) error  { return nil }
 func (s *stream) SetWriteDeadline(time.Time) error { return nil }
 
-// encode returns the bytes that a Writer makes of the frames.
+// encode returns the bytes that a Writer produces for the frames.
 func encode(t testing.TB, frames ...Frame) []byte {
 	t.Helper()
 	out := &stream{}
@@ -48,7 +48,7 @@
 	return NewReader(&stream{Reader: bytes.NewReader(data)}, testProtocol, maxPayload, 0)
 }
 
-// readAll returns the frames up to the first error, and that error.
+// readAll reads frames until the first error and returns both.
 func readAll(reader *Reader) ([]Frame, error) {
 	var frames []Frame
 	for {
@@ -87,22 +87,22 @@
 		data []byte
 		want error
 	}{
-		"HTTP request":        {[]byte("GET / HTTP/1.1\r\n\r\n"), ErrForeignProtocol},
-		"TLS hello":           {[]byte{0x16, 0x03, 0x01, 0x02, 0x00, 0x01, 0x00}, ErrForeignProtocol},
-		"one foreign byte":    {[]byte("G"), ErrForeignProtocol},
-		"other protocol":      {changed(5), ErrForeignProtocol},
-		"other version":       {changed(7), ErrVersion},
-		"preface cut short":   {good[:3], ErrTruncated},
-		"header cut short":    {good[:PrefaceSize+4], ErrTruncated},
-		"payload cut short":   {good[:len(good)-1], ErrTruncated},
-		"changed length":      {changed(PrefaceSize + 3), ErrChecksum},
-		"longer length":       {changed(PrefaceSize + 2), ErrTruncated},
-		"enormous length":     {append(bytes.Clone(good[:PrefaceSize]), bytes.Repeat([]byte{255}, 20)...), ErrTooLarge},
-		"changed kind":        {changed(PrefaceSize + 5), ErrChecksum},
-		"changed checksum":    {changed(PrefaceSize + 9), ErrChecksum},
-		"changed payload":     {changed(len(good) - 1), ErrChecksum},
-		"nothing":             {nil, io.EOF},
-		"preface and no more": {good[:PrefaceSize], io.EOF},
+		"HTTP request":      {[]byte("GET / HTTP/1.1\r\n\r\n"), ErrForeignProtocol},
+		"TLS ClientHello":   {[]byte{0x16, 0x03, 0x01, 0x02, 0x00, 0x01, 0x00}, ErrForeignProtocol},
+		"one wrong byte":    {[]byte("G"), ErrForeignProtocol},
+		"other protocol":    {changed(5), ErrForeignProtocol},
+		"other version":     {changed(7), ErrVersion},
+		"truncated preface": {good[:3], ErrTruncated},
+		"truncated header":  {good[:PrefaceSize+4], ErrTruncated},
+		"truncated payload": {good[:len(good)-1], ErrTruncated},
+		"changed length":    {changed(PrefaceSize + 3), ErrChecksum},
+		"longer length":     {changed(PrefaceSize + 2), ErrTruncated},
+		"enormous length":   {append(bytes.Clone(good[:PrefaceSize]), bytes.Repeat([]byte{255}, 20)...), ErrTooLarge},
+		"changed kind":      {changed(PrefaceSize + 5), ErrChecksum},
+		"changed checksum":  {changed(PrefaceSize + 9), ErrChecksum},
+		"changed payload":   {changed(len(good) - 1), ErrChecksum},
+		"empty":             {nil, io.EOF},
+		"preface only":      {good[:PrefaceSize], io.EOF},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := readAll(readerOf(test.data, 1<<16))
@@ -111,7 +111,8 @@
 	}
 }
 
-// A foreign client that sends one byte and waits must not hold the connection.
+// A client of another protocol that sends one byte and waits must not keep the
+// connection occupied.
 func TestForeignByteIsRefusedWithoutWaitingForMore(t *testing.T) {
 	ours, theirs := net.Pipe()
 	defer ours.Close()
@@ -196,8 +197,8 @@
 	}
 }
 
-// FuzzReader feeds a Reader arbitrary bytes: it must not panic, and the frames
-// that it accepts must encode to the bytes that it read.
+// FuzzReader feeds arbitrary bytes to a Reader: it must not panic, and the accepted
+// frames must encode to the bytes that were read.
 func FuzzReader(f *testing.F) {
 	f.Add(encode(f, Frame{Kind: 1, Payload: []byte("payload")}, Frame{Kind: 2}))
 	f.Add([]byte("GET / HTTP/1.1\r\n"))
@@ -210,8 +211,8 @@
 	})
 }
 
-// FuzzDecoder decodes arbitrary bytes by an arbitrary list of fields: it must not
-// panic, and never hand out more bytes than there are.
+// FuzzDecoder decodes arbitrary bytes as an arbitrary list of fields: it must not
+// panic, and must never return more bytes than the input has.
 func FuzzDecoder(f *testing.F) {
 	f.Add([]byte{0, 0, 0, 2, 1, 2}, []byte{7})
 	f.Add([]byte{0, 0, 0, 2, 1, 2}, []byte{9, 0, 0})
--- a/connection/frame/reader.go
+++ b/connection/frame/reader.go
@@ -10,8 +10,8 @@
 	"github.com/pkg/errors"
 )
 
-// Reader reads a preface and then frames from a connection. A Reader is for one
-// goroutine at a time.
+// Reader reads a preface and then frames from a connection. It is not safe for
+// concurrent use.
 type Reader struct {
 	conn       net.Conn
 	buffered   *bufio.Reader
@@ -21,8 +21,8 @@
 	opened     bool
 }
 
-// NewReader returns a Reader that refuses payloads above maxPayload bytes and
-// gives each frame the given time to arrive whole; zero sets no deadline.
+// NewReader returns a Reader that rejects payloads larger than maxPayload bytes.
+// Each frame must arrive completely within timeout; zero sets no deadline.
 func NewReader(conn net.Conn, protocol Protocol, maxPayload uint32, timeout time.Duration) *Reader {
 	return &Reader{
 		conn:       conn,
@@ -33,16 +33,16 @@
 	}
 }
 
-// SetTimeout changes the time that each following frame is given to arrive.
+// SetTimeout changes the time within which each subsequent frame must arrive.
 func (r *Reader) SetTimeout(timeout time.Duration) { r.timeout = timeout }
 
-// SetMaxPayload changes the largest payload that is accepted, in bytes.
+// SetMaxPayload changes the largest accepted payload size in bytes.
 func (r *Reader) SetMaxPayload(maxPayload uint32) { r.maxPayload = maxPayload }
 
 // ReadFrame returns the next frame; its payload belongs to the caller. It
 // returns io.EOF when the stream ends between frames, ErrTruncated when it ends
 // inside one, and ErrForeignProtocol, ErrVersion, ErrTooLarge or ErrChecksum as
-// soon as the bytes at hand prove the fault.
+// soon as the received bytes show the error.
 func (r *Reader) ReadFrame() (Frame, error) {
 	if err := r.setDeadline(); err != nil {
 		return Frame{}, err
@@ -76,8 +76,9 @@
 	return errors.Wrap(r.conn.SetReadDeadline(deadline), "frame: set deadline")
 }
 
-// open checks the preface byte by byte, so that a foreign protocol is refused at
-// its first differing byte and not only when a whole preface has arrived.
+// open reads and checks the preface. It compares the magic byte by byte, so that
+// another protocol is rejected at its first differing byte instead of after a
+// whole preface has arrived.
 func (r *Reader) open() error {
 	if r.opened {
 		return nil
@@ -106,7 +107,7 @@
 	return nil
 }
 
-// prefaceError turns an end of the stream inside the preface into ErrTruncated.
+// prefaceError converts an end of the stream inside the preface to ErrTruncated.
 func prefaceError(err error, position int) error {
 	if position == 0 && errors.Is(err, io.EOF) {
 		return io.EOF
@@ -125,8 +126,8 @@
 	return truncated(err, "header")
 }
 
-// readPayload reserves memory as bytes arrive: at most twice what was received,
-// or one growStep.
+// readPayload grows its buffer as bytes arrive: to at most twice the size received
+// so far, starting from growStep.
 func (r *Reader) readPayload(length int) ([]byte, error) {
 	payload := make([]byte, 0, min(length, growStep))
 	for len(payload) < length {
--- a/connection/frame/writer.go
+++ b/connection/frame/writer.go
@@ -10,7 +10,7 @@
 )
 
 // Writer writes a preface and then frames to a connection. Frames are buffered
-// until Flush. A Writer is for one goroutine at a time.
+// until Flush. It is not safe for concurrent use.
 type Writer struct {
 	conn     net.Conn
 	buffered *bufio.Writer
@@ -19,16 +19,16 @@
 	opened   bool
 }
 
-// NewWriter returns a Writer that allows each write to the connection the given
-// time; zero sets no deadline.
+// NewWriter returns a Writer that limits each write to the connection to timeout;
+// zero sets no deadline.
 func NewWriter(conn net.Conn, protocol Protocol, timeout time.Duration) *Writer {
 	w := &Writer{conn: conn, protocol: protocol, timeout: timeout}
 	w.buffered = bufio.NewWriterSize(deadlineWriter{w}, 32<<10)
 	return w
 }
 
-// WriteFrame adds a frame to the buffer. The
-// preface goes ahead of the first frame.
+// WriteFrame adds a frame to the buffer. The preface is written before the first
+// frame.
 func (w *Writer) WriteFrame(kind Kind, payload []byte) error {
 	if uint64(len(payload)) > math.MaxUint32 {
 		return errors.Wrapf(ErrTooLarge, "payload of %d bytes", len(payload))
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// Flush sends what is buffered, and the preface if nothing was sent yet.
+// Flush writes the buffered data, preceded by the preface if it was not written yet.
 func (w *Writer) Flush() error {
 	if err := w.open(); err != nil {
 		return err
@@ -66,7 +66,7 @@
 	return errors.Wrap(err, "frame: write preface")
 }
 
-// deadlineWriter sets the write deadline anew for each write to the connection.
+// deadlineWriter resets the write deadline before each write to the connection.
 type deadlineWriter struct{ w *Writer }
 
 func (d deadlineWriter) Write(data []byte) (int, error) {
--- a/connection/operator/calls.go
+++ b/connection/operator/calls.go
@@ -14,10 +14,10 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// inForcePause is the time between two questions for what is in force.
+// inForcePause is the polling interval of WaitInForce.
 const inForcePause = 20 * time.Millisecond
 
-// outcomes lists the codes of a transaction's own answers, whatever their HTTP status.
+// outcomes lists the codes of transaction results, which may come with any HTTP status.
 var outcomes = map[api.OutcomeCode]bool{
 	api.OutcomeAccepted:          true,
 	api.OutcomeRevisionConflict:  true,
@@ -27,8 +27,9 @@
 	api.OutcomeTooBroad:          true,
 }
 
-// Transact sends a transaction until its answer is known. A transaction with
-// an operation ID is resent after a lost answer and then brings the first one.
+// Transact sends a transaction and returns its result. A transaction with an
+// operation ID is resent if the response was lost; the resend returns the result of
+// the first one. A dry run is resent as well.
 func (c *Client) Transact(ctx context.Context, transaction api.Transaction) (api.TransactionResult, error) {
 	body, err := json.Marshal(transaction)
 	if err != nil {
@@ -51,7 +52,7 @@
 	return api.TransactionResult{}, refusal(received)
 }
 
-// Objects reads the objects of a kind, or the one with the name.
+// Objects reads all objects of a kind, or only the named one if name is not empty.
 func (c *Client) Objects(ctx context.Context, kind api.Kind, name string) (operatorapi.ObjectList, error) {
 	path := operatorapi.PathObjects + "/" + url.PathEscape(string(kind))
 	if name != "" {
@@ -61,7 +62,7 @@
 	return list, c.read(ctx, path, &list)
 }
 
-// Object reads one object; the pointer is nil when it does not exist.
+// Object reads one object. It returns nil without an error if the object does not exist.
 func (c *Client) Object(ctx context.Context, key api.Key) (*api.Object, error) {
 	list, err := c.Objects(ctx, key.Kind, key.Name)
 	var refused *RefusedError
@@ -77,14 +78,14 @@
 	return &list.Objects[0], nil
 }
 
-// InForce reads how far a revision has reached the daemons.
+// InForce reads which daemons have applied a revision.
 func (c *Client) InForce(ctx context.Context, revision uint64) (operatorapi.InForce, error) {
 	var state operatorapi.InForce
 	return state, c.read(ctx, fmt.Sprintf("%s?revision=%d", operatorapi.PathInForce, revision), &state)
 }
 
-// WaitInForce asks until the revision is in force everywhere or ctx ends; the
-// last state that was read comes with the error.
+// WaitInForce polls until the revision is in force on all daemons or ctx ends. With an
+// error it returns the last state that was read.
 func (c *Client) WaitInForce(ctx context.Context, revision uint64) (operatorapi.InForce, error) {
 	ticker := time.NewTicker(inForcePause)
 	defer ticker.Stop()
@@ -118,28 +119,29 @@
 	return orders, c.read(ctx, operatorapi.PathOrders, &orders)
 }
 
-// Ledger reads the claim that a tenant's key has, as everything acknowledged
-// before the call left it.
+// Ledger reads the claim on a tenant's key. The result reflects every write acknowledged
+// before the call.
 func (c *Client) Ledger(ctx context.Context, tenant, key string) (operatorapi.Ledger, error) {
 	query := url.Values{"tenant": {tenant}, "key": {key}}
 	var ledger operatorapi.Ledger
 	return ledger, c.read(ctx, operatorapi.PathLedger+"?"+query.Encode(), &ledger)
 }
 
-// Quotas reads how the tenants stand with their quotas.
+// Quotas reads the quota balances of the tenants.
 func (c *Client) Quotas(ctx context.Context) (operatorapi.QuotaList, error) {
 	var list operatorapi.QuotaList
 	return list, c.read(ctx, operatorapi.PathQuotas, &list)
 }
 
-// Usage reads what was counted of each window and tenant.
+// Usage reads the usage of each tenant in each window.
 func (c *Client) Usage(ctx context.Context) (operatorapi.UsageList, error) {
 	var list operatorapi.UsageList
 	return list, c.read(ctx, operatorapi.PathUsage, &list)
 }
 
-// Release lets a request run again that is held. It is not resent after a lost answer: by
-// then the request may be held anew. Read the record again instead.
+// Release releases a quarantined request, so that it may run again. It is not resent if
+// the response was lost, since the request may have been quarantined again in the
+// meantime; read the quarantine record instead.
 func (c *Client) Release(ctx context.Context, fingerprint string) (operatorapi.Released, error) {
 	received, err := c.do(ctx, request{
 		method: http.MethodDelete,
@@ -152,9 +154,9 @@
 	return released, decodeAnswer(received, &released)
 }
 
-// ChangeMembers asks for one step of a membership change. Only an addition is
-// resent after a lost answer, since repeating it is harmless; after any other
-// step read the status first.
+// ChangeMembers requests one step of a membership change. Only an addition is resent if
+// the response was lost, since it is idempotent; after any other step, read the status
+// first.
 func (c *Client) ChangeMembers(ctx context.Context, change operatorapi.MemberRequest) (operatorapi.MemberReply, error) {
 	body, err := json.Marshal(change)
 	if err != nil {
@@ -176,7 +178,7 @@
 func (c *Client) read(ctx context.Context, path string, target any) error {
 	received, err := c.do(ctx, request{method: http.MethodGet, path: path, resend: true})
 	if errors.Is(err, ErrOutcomeUnknown) {
-		// A read that brought no answer changed nothing.
+		// A read without a response changed nothing.
 		return errors.Wrap(ErrNotAccepted, err.Error())
 	}
 	if err != nil {
--- a/connection/operator/client.go
+++ b/connection/operator/client.go
@@ -1,8 +1,7 @@
-// Package operator is the client of the control group's operator API. It tries
-// every member, follows the leader's hint and resends under the same operation
-// ID when an answer was lost, so that a caller learns one of four things: the
-// answer, that the change was surely not accepted, that its outcome is unknown,
-// or that the request itself is at fault.
+// Package operator is the client of the control group's operator API. It tries every
+// member, follows leader hints, and resends with the same operation ID if a response was
+// lost. A call has one of four outcomes: a response, a change that was definitely not
+// accepted, an unknown outcome, or a request that was refused.
 package operator
 
 import (
@@ -25,60 +24,60 @@
 
 // Errors of a Client.
 var (
-	// ErrNotAccepted says that no member accepted the request: nothing has changed.
+	// ErrNotAccepted reports that no member accepted the request: nothing has changed.
 	ErrNotAccepted = errors.New("no member took the request; nothing was changed")
-	// ErrOutcomeUnknown says that the request may have been accepted: resend it
+	// ErrOutcomeUnknown reports that the request may have been accepted: resend it
 	// with the same operation ID.
 	ErrOutcomeUnknown = errors.New("outcome unknown; resend with the same operation ID")
-	// ErrNoMembers says that the client was given no address.
+	// ErrNoMembers reports a configuration without member addresses.
 	ErrNoMembers = errors.New("operator: no member addresses")
 )
 
-// RefusedError is a member's own word that the request is at fault or cannot be
-// carried out now; nothing has changed.
+// RefusedError is a member's response that the request is invalid or cannot be executed
+// now; nothing has changed.
 type RefusedError struct {
 	Status int
 	Body   operatorapi.Error
 }
 
-// Error words the refusal.
+// Error returns the code and the message of the refusal.
 func (e *RefusedError) Error() string {
 	return "operator: " + string(e.Body.Code) + ": " + e.Body.Message
 }
 
-// Defaults of a Config.
+// Default values of Config.
 const (
 	DefaultAttemptTimeout = 5 * time.Second
 	DefaultTimeout        = 20 * time.Second
 )
 
-// Bounds of the client itself.
+// Limits of the client.
 const (
 	maxAnswerBytes = 64 << 20
 	firstBackoff   = 50 * time.Millisecond
 	maxBackoff     = time.Second
 )
 
-// Config is what a Client is made with.
+// Config configures a Client.
 type Config struct {
 	// Members holds the operator addresses (IP and port) of the group.
 	Members []string
-	// AttemptTimeout bounds one request to one member, Timeout the whole call
-	// with its resends. Zero takes the default.
+	// AttemptTimeout limits one request to one member, Timeout the whole call
+	// including its resends. Zero selects the default.
 	AttemptTimeout time.Duration
 	Timeout        time.Duration
 }
 
-// Client asks the control group. It is safe for use by several goroutines.
+// Client sends requests to the control group. It is safe for concurrent use.
 type Client struct {
 	config   Config
 	order    *memberOrder
 	services map[string]httpc.Service
-	// http sends nothing again by itself, which a membership change would not survive.
+	// http never retries by itself, since a membership change must not be sent twice.
 	http *http.Client
 }
 
-// New returns a client of the members in config.
+// New returns a client for the members in config.
 func New(config Config) (*Client, error) {
 	if len(config.Members) == 0 {
 		return nil, ErrNoMembers
@@ -101,13 +100,13 @@
 	return client, nil
 }
 
-// dialShare is the part of an attempt's time that its connection may take to
-// stand. It ends before the attempt does: then nothing was sent, for sure, and
-// another member can be asked.
+// dialShare divides the attempt timeout to get the dial timeout. The dial times out
+// before the attempt does, so that it is certain that nothing was sent and another
+// member can be tried.
 const dialShare = 2
 
-// service returns the client of one member. A leader's hint may name an
-// address that is not in the configuration; it gets no breaker of its own.
+// service returns the client for one member. A leader hint may name an address that is
+// not in the configuration; a new service is created for each request to it.
 func (c *Client) service(address string) httpc.Service {
 	if known, ok := c.services[address]; ok {
 		return known
@@ -115,35 +114,35 @@
 	return httpc.NewServiceWithClient(address, c.http)
 }
 
-// request is one call on its way through attempts.
+// request is one call, which may take several attempts.
 type request struct {
 	method string
 	path   string
 	body   []byte
-	// resend allows another attempt after a lost answer. Reads, writes with an
-	// operation ID and the addition of a member may be sent again, other membership
-	// changes may not.
+	// resend allows another attempt after a lost response. Reads, transactions with
+	// an operation ID, dry runs and the addition of a member may be resent; other
+	// membership changes may not.
 	resend bool
 }
 
-// answer is what one attempt brought.
+// answer is the response to one attempt.
 type answer struct {
 	status int
 	body   []byte
-	// retryAfter is the pause that the member asked for.
+	// retryAfter is the delay that the member requested.
 	retryAfter time.Duration
 }
 
-// fate is what is known of a request after one attempt.
+// fate classifies the effect of a request after one attempt.
 type fate uint8
 
 const (
-	answered    fate = iota + 1 // an answer that settles the request
-	notAccepted                 // surely without effect
-	unknown                     // it may have had its effect
+	answered    fate = iota + 1 // the response is final
+	notAccepted                 // certainly without effect
+	unknown                     // it may have had an effect
 )
 
-// roundTrip makes one attempt at one member.
+// roundTrip sends the request once to one member.
 func (c *Client) roundTrip(ctx context.Context, address string, call request) (answer, fate, error) {
 	attempt, cancel := context.WithTimeout(ctx, c.config.AttemptTimeout)
 	defer cancel()
@@ -168,7 +167,7 @@
 	return c.judge(address, received)
 }
 
-// judge tells an answer that settles the request from one that asks for another attempt.
+// judge classifies a response as final or as a failed attempt.
 func (c *Client) judge(address string, received answer) (answer, fate, error) {
 	if received.status < http.StatusInternalServerError {
 		if !json.Valid(received.body) {
@@ -185,15 +184,15 @@
 	return received, unknown, failure
 }
 
-// tellConnected returns the request, of which connected is true once it has a connection
-// to be written on.
+// tellConnected returns a copy of the request that sets connected as soon as a connection
+// is available to write it to.
 func tellConnected(request *http.Request, connected *atomic.Bool) *http.Request {
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
 	return request.WithContext(httptrace.WithClientTrace(request.Context(), trace))
 }
 
-// fateOfFailure tells whether a request that brought no answer can have had an effect:
-// only without a connection it surely had none, whatever ended the attempt.
+// fateOfFailure classifies a request that got no response. It certainly had no effect
+// only if it never had a connection, whatever ended the attempt.
 func fateOfFailure(connected bool) fate {
 	if connected {
 		return unknown
@@ -201,9 +200,9 @@
 	return notAccepted
 }
 
-// do makes attempts until one settles the request or the time is up. Once an
-// attempt's outcome is unknown, only an answer settles the request: that a
-// later attempt was not accepted says nothing of the earlier one.
+// do makes attempts until one gets a final response or the time is up. Once the outcome
+// of an attempt is unknown, the request as a whole is unknown until a final response:
+// that a later attempt was not accepted does not tell whether the earlier one was.
 func (c *Client) do(ctx context.Context, call request) (answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.config.Timeout)
 	defer cancel()
@@ -235,6 +234,7 @@
 	}
 }
 
+// giveUp returns the error of a call that got no final response.
 func giveUp(worst fate, failed *failures) error {
 	if worst == unknown {
 		return errors.Wrap(ErrOutcomeUnknown, failed.String())
@@ -242,7 +242,8 @@
 	return errors.Wrap(ErrNotAccepted, failed.String())
 }
 
-// decodeError reads the error body of an answer, as far as there is one.
+// decodeError decodes the error body of a response. Without one, it returns an internal
+// error with the text of the HTTP status.
 func decodeError(received answer) operatorapi.Error {
 	var body operatorapi.Error
 	if err := json.Unmarshal(received.body, &body); err != nil || body.Code == "" {
--- a/connection/operator/client_test.go
+++ b/connection/operator/client_test.go
@@ -27,8 +27,8 @@
 	m.Run()
 }
 
-// member is a scripted control member: each request takes the next step, and
-// the last step stays.
+// member is a scripted control member: each request is served by the next step, and the
+// last step repeats.
 type member struct {
 	server *httptest.Server
 	mutex  sync.Mutex
@@ -70,10 +70,10 @@
 	}
 }
 
-// loseAnswer takes the request and drops the connection.
+// loseAnswer drops the connection after the request was received.
 func loseAnswer(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-// cutAnswer sends the first half of an answer only.
+// cutAnswer sends only the first part of a response.
 func cutAnswer(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Length", "100")
 	_, _ = io.WriteString(w, `{"code":"accepted"`)
@@ -83,7 +83,7 @@
 	return answer(status, operatorapi.Error{Code: code, Message: "no", Leader: leader})
 }
 
-// askPause asks for a second before the next request, as members without a quorum do.
+// askPause adds a Retry-After of one second, as members without a quorum do.
 func askPause(step http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Retry-After", "1")
@@ -99,16 +99,16 @@
 	return newClientTrying(t, timeout, time.Second, addresses...)
 }
 
-// newClientTrying returns a client that waits so long for each member's answer.
+// newClientTrying returns a client with the given attempt timeout.
 func newClientTrying(t *testing.T, timeout, attempt time.Duration, addresses ...string) *operator.Client {
 	client, err := operator.New(operator.Config{Members: addresses, Timeout: timeout, AttemptTimeout: attempt})
 	must.NoError(t, err)
 	return client
 }
 
-// deadAddress returns an address at which nobody listens and that no other test
-// asks: all clients of a process share an address's breaker, which may then
-// refuse every attempt.
+// deadAddress returns an address without a listener that no other test uses. All clients
+// of a process share the circuit breaker of an address, which could otherwise refuse
+// every attempt.
 func deadAddress() string {
 	number := deadAddresses.Add(1)
 	return fmt.Sprintf("127.1.%d.%d:1", number>>8&255, number&255)
@@ -119,8 +119,8 @@
 const (
 	patient   = 20 * time.Second
 	impatient = 300 * time.Millisecond
-	// brief ends in the pause that askPause asks for, never in a request, whose
-	// outcome would rightly be unknown.
+	// brief ends during the delay that askPause requests and never during a request,
+	// whose outcome would then be unknown.
 	brief = 900 * time.Millisecond
 )
 
@@ -137,14 +137,14 @@
 		code    api.OutcomeCode
 	}{
 		{"accepted", patient, []http.HandlerFunc{accepted(7)}, nil, api.OutcomeAccepted},
-		{"answer lost, then the first answer", patient, []http.HandlerFunc{loseAnswer, accepted(7)}, nil, api.OutcomeAccepted},
-		{"answer cut short, then the first answer", patient, []http.HandlerFunc{cutAnswer, accepted(7)}, nil, api.OutcomeAccepted},
-		{"unknown, then the first answer", patient, []http.HandlerFunc{unknown, accepted(7)}, nil, api.OutcomeAccepted},
-		{"no quorum for a while", patient, []http.HandlerFunc{noQuorum, noQuorum, accepted(7)}, nil, api.OutcomeAccepted},
-		{"no quorum to the end", brief, []http.HandlerFunc{askPause(noQuorum)}, operator.ErrNotAccepted, ""},
-		{"answer lost to the end", impatient, []http.HandlerFunc{loseAnswer}, operator.ErrOutcomeUnknown, ""},
-		{"answer lost, then no quorum: the first may have had its effect", impatient, []http.HandlerFunc{loseAnswer, noQuorum}, operator.ErrOutcomeUnknown, ""},
-		{"no JSON to the end", impatient, []http.HandlerFunc{func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "hello") }}, operator.ErrOutcomeUnknown, ""},
+		{"response lost, then the first result", patient, []http.HandlerFunc{loseAnswer, accepted(7)}, nil, api.OutcomeAccepted},
+		{"response truncated, then the first result", patient, []http.HandlerFunc{cutAnswer, accepted(7)}, nil, api.OutcomeAccepted},
+		{"unknown, then the first result", patient, []http.HandlerFunc{unknown, accepted(7)}, nil, api.OutcomeAccepted},
+		{"no quorum at first", patient, []http.HandlerFunc{noQuorum, noQuorum, accepted(7)}, nil, api.OutcomeAccepted},
+		{"no quorum until the timeout", brief, []http.HandlerFunc{askPause(noQuorum)}, operator.ErrNotAccepted, ""},
+		{"responses lost until the timeout", impatient, []http.HandlerFunc{loseAnswer}, operator.ErrOutcomeUnknown, ""},
+		{"response lost, then no quorum: the first attempt may have had an effect", impatient, []http.HandlerFunc{loseAnswer, noQuorum}, operator.ErrOutcomeUnknown, ""},
+		{"no JSON until the timeout", impatient, []http.HandlerFunc{func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "hello") }}, operator.ErrOutcomeUnknown, ""},
 		{
 			"conflict with status 409", patient,
 			[]http.HandlerFunc{answer(http.StatusConflict, api.TransactionResult{Code: api.OutcomeRevisionConflict})}, nil, api.OutcomeRevisionConflict,
@@ -162,7 +162,7 @@
 			}
 			must.Eq(t, test.code, result.Code)
 			for _, body := range scripted.received() {
-				must.Eq(t, scripted.received()[0], body, must.Sprint("a resend has the same body"))
+				must.Eq(t, scripted.received()[0], body, must.Sprint("the resend has another body"))
 			}
 		})
 	}
@@ -174,9 +174,9 @@
 	must.ErrorIs(t, err, operator.ErrNotAccepted)
 }
 
-// Seen: a change that had reached nobody was told of as one whose outcome is unknown. It
-// comes about where the call's time ends while a connection is opened: the attempt then
-// fails as a whole, not its dial.
+// A change that had reached no member was reported with an unknown outcome if the call
+// timed out while connecting, because the error is then that of the whole attempt and
+// not that of the dial.
 func TestCallThatEndsWhileItConnectsIsSurelyNotAccepted(t *testing.T) {
 	hanging, err := backlog.NewFull()
 	must.NoError(t, err)
@@ -204,8 +204,8 @@
 func TestLeaderHintIsFollowed(t *testing.T) {
 	leader := newMember(t, accepted(9))
 	follower := newMember(t, refuse(operatorapi.ErrorNoQuorum, http.StatusServiceUnavailable, leader.address()))
-	// A leader that answers later than an attempt's time is asked again, and so is the follower
-	// before it: here only the answer decides.
+	// The attempt timeout is long, so that a slow response of the leader causes no second
+	// round over the members.
 	client := newClientTrying(t, patient, patient, follower.address())
 	result, err := client.Transact(context.Background(), change)
 	must.NoError(t, err)
--- a/connection/operator/failures.go
+++ b/connection/operator/failures.go
@@ -8,16 +8,17 @@
 	"github.com/zeromicro/go-zero/core/breaker"
 )
 
-// failures keeps the last failure of each member, so that the end of a call in
-// vain names all of them: one that cannot be reached must not hide another's
-// word that there is no quorum.
+// failures records the last failure of each member, so that the error of a failed call
+// names all of them: an unreachable member must not hide another one's response that
+// there is no quorum.
 type failures struct {
-	order []string // addresses, as they first failed
+	order []string // addresses in the order of their first failure
 	texts map[string]string
 }
 
-// add keeps the failure of one attempt. One that was cut by the end of the call,
-// or refused by the breaker, says less than an earlier one of the member.
+// add records the failure of one attempt. A failure caused by the end of the call (cut)
+// or by the circuit breaker does not replace an earlier one of the same member, which
+// is more specific.
 func (f *failures) add(address string, err error, cut bool) {
 	if f.texts == nil {
 		f.texts = map[string]string{}
@@ -32,8 +33,8 @@
 	f.texts[address] = failureText(address, err)
 }
 
-// failureText words an attempt's failure without the request's URL, which is
-// the member's address again.
+// failureText returns the text of a failure, with the member's address in place of the
+// request URL.
 func failureText(address string, err error) string {
 	var failed *url.Error
 	if errors.As(err, &failed) {
@@ -42,7 +43,7 @@
 	return err.Error()
 }
 
-// String names every member with its last failure.
+// String lists every member with its last failure.
 func (f *failures) String() string {
 	var texts []string
 	for _, address := range f.order {
--- a/connection/operator/order.go
+++ b/connection/operator/order.go
@@ -11,8 +11,8 @@
 	"github.com/landingtrail/landingtrail/process/pause"
 )
 
-// memberOrder is the order in which members are tried: the one that answered
-// last, or that a member named as the leader, goes first.
+// memberOrder is the order in which members are tried. The member that responded last,
+// or that was named as the leader, comes first.
 type memberOrder struct {
 	mutex     sync.Mutex
 	addresses []string
@@ -23,7 +23,7 @@
 	return &memberOrder{addresses: append([]string(nil), addresses...)}
 }
 
-// prefer puts address first from now on; an empty one changes nothing.
+// prefer moves the address to the front; an empty address has no effect.
 func (o *memberOrder) prefer(address string) {
 	if address == "" {
 		return
@@ -49,7 +49,7 @@
 	return ordered
 }
 
-// backoff is the growing pause between two rounds over the members.
+// backoff is the exponential delay between two rounds over the members.
 type backoff struct {
 	next  time.Duration
 	asked time.Duration
@@ -57,12 +57,12 @@
 
 func newBackoff() *backoff { return &backoff{next: firstBackoff} }
 
-// ask keeps a member's Retry-After, at most maxBackoff of it.
+// ask applies a member's Retry-After to the next delay, limited to maxBackoff.
 func (b *backoff) ask(pause time.Duration) {
 	b.asked = min(max(b.asked, pause), maxBackoff)
 }
 
-// sleep pauses and reports false when the context ended first.
+// sleep waits for the next delay and returns false if the context ends first.
 func (b *backoff) sleep(ctx context.Context) bool {
 	jittered := b.next/2 + rand.N(b.next/2+1)
 	due := max(jittered, b.asked)
@@ -71,6 +71,7 @@
 	return pause.For(ctx, due)
 }
 
+// retryAfter returns the Retry-After of a response, 0 if it has none in seconds.
 func retryAfter(response *http.Response) time.Duration {
 	seconds, err := strconv.Atoi(response.Header.Get("Retry-After"))
 	if err != nil || seconds < 0 {
--- a/connection/operator/silent_test.go
+++ b/connection/operator/silent_test.go
@@ -15,8 +15,8 @@
 	"github.com/landingtrail/landingtrail/connection/operatorapi"
 )
 
-// silentAddress returns the address of a machine that takes no connection and
-// refuses none: its queue of new connections is full.
+// silentAddress returns an address that neither accepts nor refuses connections, because
+// its accept backlog is full.
 func silentAddress(t *testing.T) string {
 	socket, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	must.NoError(t, err)
@@ -35,8 +35,8 @@
 	}
 }
 
-// A step of a membership change passes by a machine that takes no connection:
-// nothing was sent there, so nothing can have happened.
+// If a member accepts no connection, nothing was sent to it, so the membership change is
+// safely sent to the next one.
 func TestMembershipChangePassesByASilentMachine(t *testing.T) {
 	serving := newMember(t, answer(http.StatusOK, operatorapi.MemberReply{}))
 	client, err := operator.New(operator.Config{
@@ -49,8 +49,8 @@
 	must.SliceLen(t, 1, serving.received())
 }
 
-// To be added twice is to be added once, so a lost answer is no reason to stop;
-// every other step of a membership change is sent once.
+// Adding a member is idempotent and is resent after a lost response. Every other step of
+// a membership change is sent only once.
 func TestOnlyAnAdditionIsSentAgain(t *testing.T) {
 	for _, c := range []struct {
 		action operatorapi.MemberAction
--- a/connection/operatorapi/operatorapi.go
+++ b/connection/operatorapi/operatorapi.go
@@ -1,6 +1,6 @@
-// Package operatorapi is the HTTP protocol between operators and the control
-// group: paths, bodies and error codes. Any member takes any request; a member
-// that does not lead hands requests that need the leader on to it, once.
+// Package operatorapi defines the HTTP protocol between operators and the control
+// group: paths, bodies and error codes. Any member accepts any request; a follower
+// forwards requests that need the leader to it, once.
 package operatorapi
 
 import (
@@ -28,56 +28,57 @@
 	PathMetrics      = "/metrics"
 )
 
-// HeaderForwarded marks a request that another member handed on; it is not
-// handed on a second time.
+// HeaderForwarded marks a request forwarded by another member, which is not
+// forwarded again.
 const HeaderForwarded = "Landingtrail-Forwarded"
 
-// ErrorCode names why a request was not served.
+// ErrorCode is the reason why a request was not served.
 type ErrorCode string
 
-// Codes of errors.
+// Error codes.
 const (
 	ErrorInvalidBody    ErrorCode = "invalid_body"    // 400: not JSON, unknown field or wrong type
 	ErrorBodyTooLarge   ErrorCode = "body_too_large"  // 413
 	ErrorNotFound       ErrorCode = "not_found"       // 404
 	ErrorWrongMethod    ErrorCode = "wrong_method"    // 405
-	ErrorNoQuorum       ErrorCode = "no_quorum"       // 503: surely not accepted; ask again after Retry-After
+	ErrorNoQuorum       ErrorCode = "no_quorum"       // 503: guaranteed not accepted; retry after Retry-After
 	ErrorOutcomeUnknown ErrorCode = "outcome_unknown" // 504: resend with the same operation ID
 	ErrorRefused        ErrorCode = "refused"         // 409: the change cannot be made now
-	ErrorRemoved        ErrorCode = "removed"         // 409: the group has removed the member's identity for good
+	ErrorRemoved        ErrorCode = "removed"         // 409: the member's ID was removed from the group permanently
 	ErrorInternal       ErrorCode = "internal"        // 500
 )
 
-// Error is the body of every answer that is neither a result nor a table.
+// Error is the body of every response that carries neither a result nor a list.
 type Error struct {
 	Code    ErrorCode        `json:"code"`
 	Message string           `json:"message"`
 	Faults  []api.FieldFault `json:"faults,omitempty"`
-	// Leader is the operator address of the leader, if it is known.
+	// Leader is the operator address of the leader, if known.
 	Leader string `json:"leader,omitempty"`
 }
 
-// ObjectList answers a read of objects.
+// ObjectList is the response to a read of objects.
 type ObjectList struct {
 	Term     uint64       `json:"term"`
 	Revision uint64       `json:"revision"`
 	Objects  []api.Object `json:"objects"`
 }
 
-// UsageList answers a read of usage, the oldest window first.
+// UsageList is the response to a read of usage, oldest window first.
 type UsageList struct {
 	// WindowMilliseconds is the length of a window.
 	WindowMilliseconds int64             `json:"windowMilliseconds"`
 	Windows            []api.UsageWindow `json:"windows"`
 }
 
-// QuotaList answers a read of how the tenants stand with their quotas.
+// QuotaList is the response to a read of the tenants' quota balances.
 type QuotaList struct {
 	Tenants []TenantQuota `json:"tenants"`
 }
 
-// TenantQuota is how one tenant stands: what it may spend at once, and what was granted and
-// refused since the present leader began. Left and Granted are in the quota's unit.
+// TenantQuota is the quota balance of one tenant: Left is what it may spend immediately,
+// Granted and Refused count since the current leader was elected. Left and Granted are
+// in the quota's unit.
 type TenantQuota struct {
 	Tenant  string    `json:"tenant"`
 	Quota   api.Quota `json:"quota"`
@@ -86,29 +87,29 @@
 	Refused int64     `json:"refused"`
 }
 
-// Released answers the release of a request that was held.
+// Released is the response to the release of a quarantined request.
 type Released struct {
 	Fingerprint string `json:"fingerprint"`
 }
 
-// InForce says how far a revision has reached the daemons.
+// InForce reports which daemons have applied a revision.
 type InForce struct {
 	Revision uint64 `json:"revision"`
-	// Done is true when every daemon has acknowledged the revision or its view
-	// lease has lapsed.
+	// Done is true when every daemon has either acknowledged the revision or lost
+	// its view lease.
 	Done         bool `json:"done"`
 	Acknowledged int  `json:"acknowledged"`
-	// Lapsed names the daemons without a lease that this leader has heard of. One
-	// that was cut off before it began to lead is missing here, though its lease
-	// was waited for as well.
+	// Lapsed lists the daemons known to this leader that have no lease. A daemon
+	// that was disconnected before the leader was elected is missing here, although
+	// the leader waited for its lease to expire as well.
 	Lapsed  []string `json:"lapsed,omitempty"`
 	Waiting []string `json:"waiting,omitempty"`
-	// Settling is true while a new leader cannot know yet which daemons hold a
-	// lease that an earlier leader granted.
+	// Settling is true while a new leader does not know yet which daemons hold a
+	// lease granted by an earlier leader.
 	Settling bool `json:"settling,omitempty"`
 }
 
-// MemberRole is a member's part in the group.
+// MemberRole is a member's Raft role in the group.
 type MemberRole string
 
 // Roles of members.
@@ -126,39 +127,39 @@
 	PeerAddress     string     `json:"peerAddress"`
 	FeedAddress     string     `json:"feedAddress"`
 	OperatorAddress string     `json:"operatorAddress"`
-	// Match is the highest log index known to be synced there, Lag how many
-	// entries it is behind the leader's commit index.
+	// Match is the highest log index known to be synced on the member, Lag the
+	// number of entries it is behind the leader's commit index.
 	Match  uint64 `json:"match"`
 	Lag    uint64 `json:"lag"`
-	Active bool   `json:"active"` // it answered within an election timeout
+	Active bool   `json:"active"` // it responded within an election timeout
 }
 
-// EngineSummary is one engine's line in the status.
+// EngineSummary is the status of one engine.
 type EngineSummary struct {
 	Name       string          `json:"name"`
 	Intent     string          `json:"intent,omitempty"`
 	Phase      api.EnginePhase `json:"phase"`
 	Assignment api.Assignment  `json:"assignment"`
-	// Target and Reason are those of the open order.
+	// Target and Reason are taken from the open order.
 	Target *api.Assignment `json:"target,omitempty"`
 	Reason string          `json:"reason,omitempty"`
-	// Silent is true when the leader has not heard from the engine lately.
+	// Silent is true when the leader has received no recent state from the engine.
 	Silent bool `json:"silent,omitempty"`
 	Drain  bool `json:"drain,omitempty"`
 }
 
-// Status answers a read of the group's status.
+// Status is the response to a read of the group's status.
 type Status struct {
 	Leader   string   `json:"leader"`
 	Term     uint64   `json:"term"`
 	Revision uint64   `json:"revision"`
 	Commit   uint64   `json:"commit"`
 	Members  []Member `json:"members"`
-	// FurtherLosses is how many voters can be lost for good from now on without
-	// losing the quorum. Only voters that are active and have the whole
-	// committed log count as held.
+	// FurtherLosses is the number of voters that can be lost permanently from now on
+	// without losing the quorum. Voters that are inactive or lack part of the
+	// committed log count as lost already.
 	FurtherLosses int `json:"furtherLosses"`
-	// Repairing lists the members that are not yet voters with the whole log.
+	// Repairing lists the members that are not yet voters with the complete log.
 	Repairing []string        `json:"repairing,omitempty"`
 	Engines   []EngineSummary `json:"engines"`
 	// DaemonsBehind lists the daemons that hold a lease on an older revision.
@@ -166,7 +167,7 @@
 	Daemons       int      `json:"daemons"`
 }
 
-// MemberSelf is what a member says of itself, leader or not.
+// MemberSelf is a member's own status, whether or not it is the leader.
 type MemberSelf struct {
 	ID      uint64     `json:"id,string"`
 	Name    string     `json:"name"`
@@ -175,35 +176,35 @@
 	Leader  uint64     `json:"leader,string"`
 	Applied uint64     `json:"applied"`
 	Commit  uint64     `json:"commit"`
-	// Voters and Learners are those of the member's latest configuration.
+	// Voters and Learners are taken from the member's latest configuration.
 	Voters   []MemberID `json:"voters"`
 	Learners []MemberID `json:"learners,omitempty"`
 }
 
-// MemberID is a member's identity as a decimal string, since JSON numbers of
-// many programs hold no 64 bits.
+// MemberID is a member ID that is encoded as a decimal string, since many JSON
+// implementations cannot represent 64-bit numbers.
 type MemberID uint64
 
-// MarshalText writes the decimal form.
+// MarshalText implements encoding.TextMarshaler.
 func (m MemberID) MarshalText() ([]byte, error) { return strconv.AppendUint(nil, uint64(m), 10), nil }
 
-// UnmarshalText reads the decimal form.
+// UnmarshalText implements encoding.TextUnmarshaler.
 func (m *MemberID) UnmarshalText(text []byte) error {
 	value, err := strconv.ParseUint(string(text), 10, 64)
 	if err != nil {
-		return errors.Wrap(err, "operatorapi: member ID")
+		return errors.Wrap(err, "operatorapi: parse member ID")
 	}
 	*m = MemberID(value)
 	return nil
 }
 
-// OrderList answers a read of the open orders.
+// OrderList is the response to a read of the open orders.
 type OrderList struct {
 	Revision uint64      `json:"revision"`
 	Orders   []OpenOrder `json:"orders"`
 }
 
-// OpenOrder is one open order and what its engine last said.
+// OpenOrder is an open order with the last known state of its engine.
 type OpenOrder struct {
 	Order api.Order       `json:"order"`
 	Phase api.EnginePhase `json:"phase"`
@@ -212,7 +213,8 @@
 	Silent    bool      `json:"silent,omitempty"`
 }
 
-// Ledger answers with the claim of one key, or with no claim if none is kept.
+// Ledger is the response to a ledger lookup: the claim of the key, or no claims if
+// none is stored.
 type Ledger struct {
 	Revision uint64      `json:"revision"`
 	Claims   []api.Claim `json:"claims"`
@@ -223,9 +225,8 @@
 
 // Steps of a membership change.
 const (
-	// MemberAdd adds a learner under its ID and addresses. It is promoted by
-	// the leader once it has caught up, and then replaces an older member of
-	// the same name.
+	// MemberAdd adds a learner with its ID and addresses. The leader promotes it
+	// once it has caught up; it then replaces an older member of the same name.
 	MemberAdd     MemberAction = "add"
 	MemberPromote MemberAction = "promote"
 	MemberRemove  MemberAction = "remove"
--- a/connection/orders/client.go
+++ b/connection/orders/client.go
@@ -1,5 +1,5 @@
-// Package orders speaks the control side of the engine protocol: state, orders,
-// voids and load reports, and keeps observing a set of engines.
+// Package orders is the client of the engine control protocol: it reads state and load
+// reports, sends and voids orders, and polls a set of engines.
 package orders
 
 import (
@@ -20,14 +20,14 @@
 
 // Errors of a Client.
 var (
-	// ErrUnreachable says that no whole answer came; what was sent may have
+	// ErrUnreachable reports that no complete response arrived. The request may have
 	// reached the engine.
-	ErrUnreachable = errors.New("orders: no answer from the engine")
-	// ErrAnswer says that the answer is none of the protocol's.
-	ErrAnswer = errors.New("orders: unusable answer from the engine")
+	ErrUnreachable = errors.New("orders: no complete response from the engine")
+	// ErrAnswer reports a response that does not conform to the protocol.
+	ErrAnswer = errors.New("orders: invalid response from the engine")
 )
 
-// Bounds of a Client.
+// Limits of a Client.
 const (
 	maxAnswerBytes      = 1 << 20
 	maxHeaderBytes      = 64 << 10
@@ -35,19 +35,19 @@
 	keepAlivePerAddress = 1
 )
 
-// Client asks and orders engines. It is safe for concurrent use.
+// Client reads the state of engines and sends them orders. It is safe for concurrent use.
 //
-// It uses connection/upstream and not go-zero's httpc: the circuit breaker of
-// httpc counts the failures of all engines together, so that some silent engines
-// would keep orders from the others; and a reply to another order must not be
-// taken for that to this one. Redirects are answers like any other, so that no
-// order is carried to another address.
+// It uses connection/upstream instead of go-zero's httpc for two reasons. The circuit
+// breaker of httpc counts the failures of all engines together, so that some
+// unresponsive engines would block orders to the others. And the reply to one order must
+// not be taken for the reply to another. Redirects are not followed, so that no order
+// reaches another address.
 type Client struct {
 	pool    *upstream.Pool
 	timeout time.Duration
 }
 
-// NewClient returns a Client that bounds each request by timeout.
+// NewClient returns a Client that limits each request to timeout.
 func NewClient(timeout time.Duration) *Client {
 	return &Client{
 		pool: upstream.NewPool(upstream.Config{
@@ -60,29 +60,29 @@
 	}
 }
 
-// Close drops the idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() { c.pool.Close() }
 
-// State asks the engine for its own account of itself.
+// State reads the engine's current state.
 func (c *Client) State(ctx context.Context, address string) (engineapi.State, error) {
 	var answer engineapi.State
 	err := c.do(ctx, http.MethodGet, address, engineapi.PathState, nil, &answer)
 	return answer, err
 }
 
-// Load asks the engine for its lagging load report.
+// Load reads the engine's load report, which lags behind the actual load.
 func (c *Client) Load(ctx context.Context, address string) (engineapi.Load, error) {
 	var answer engineapi.Load
 	err := c.do(ctx, http.MethodGet, address, engineapi.PathLoad, nil, &answer)
 	return answer, err
 }
 
-// Send gives the engine an order. A refusal is an answer, not an error.
+// Send sends an order to the engine. A refusal is a reply, not an error.
 func (c *Client) Send(ctx context.Context, address string, order api.Order) (engineapi.OrderReply, error) {
 	return c.reply(ctx, address, engineapi.PathOrders, order)
 }
 
-// Void asks the engine to raise its fence.
+// Void requests the engine to raise its fence.
 func (c *Client) Void(ctx context.Context, address string, request engineapi.VoidRequest) (engineapi.OrderReply, error) {
 	return c.reply(ctx, address, engineapi.PathVoid, request)
 }
@@ -93,7 +93,7 @@
 		return engineapi.OrderReply{}, err
 	}
 	if answer.Code == "" {
-		return engineapi.OrderReply{}, errors.Wrap(ErrAnswer, "no code")
+		return engineapi.OrderReply{}, errors.Wrap(ErrAnswer, "reply has no code")
 	}
 	return answer, nil
 }
@@ -115,7 +115,7 @@
 		return errors.Wrapf(ErrUnreachable, "%v", err)
 	}
 	if len(data) > maxAnswerBytes {
-		return errors.Wrap(ErrAnswer, "too long")
+		return errors.Wrap(ErrAnswer, "body too large")
 	}
 	if !carriesAnswer(response.StatusCode) {
 		return errors.Wrapf(ErrAnswer, "status %d", response.StatusCode)
@@ -123,11 +123,11 @@
 	return errors.Wrapf(decodeAnswer(data, answer), "status %d", response.StatusCode)
 }
 
-// newCallID names one call so that no other call to the engine has its name.
+// newCallID returns a random ID that identifies one call to an engine.
 func newCallID() string { return strconv.FormatUint(rand.Uint64(), 36) }
 
-// carriesAnswer reports whether a body of the protocol comes with the status:
-// refused orders come as conflicts.
+// carriesAnswer reports whether responses with the status have a body of the protocol.
+// Refused orders, for example, have status 409.
 func carriesAnswer(status int) bool {
 	switch status {
 	case http.StatusOK, http.StatusAccepted, http.StatusBadRequest, http.StatusConflict, http.StatusUnprocessableEntity:
@@ -149,13 +149,13 @@
 	if body != nil {
 		data, err := json.Marshal(body)
 		if err != nil {
-			return nil, errors.Wrap(err, "orders: encode")
+			return nil, errors.Wrap(err, "orders: encode request body")
 		}
 		content = bytes.NewReader(data)
 	}
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, content)
 	if err != nil {
-		return nil, errors.Wrap(err, "orders: request")
+		return nil, errors.Wrap(err, "orders: create request")
 	}
 	if body != nil {
 		request.Header.Set("Content-Type", "application/json")
--- a/connection/orders/orders_test.go
+++ b/connection/orders/orders_test.go
@@ -44,7 +44,7 @@
 			fmt.Fprint(w, `{"code"`)
 		}, ErrUnreachable},
 		"no answer": {func(_ http.ResponseWriter, r *http.Request) {
-			_, _ = io.Copy(io.Discard, r.Body) // only then is the caller's end noticed
+			_, _ = io.Copy(io.Discard, r.Body) // the server detects a canceled request only after reading the body
 			<-r.Context().Done()
 		}, ErrUnreachable},
 	}
@@ -76,10 +76,10 @@
 	must.Eq(t, "stale", string(reply.Code))
 }
 
-var errSilent = errors.New("no answer")
+var errSilent = errors.New("engine did not respond")
 
-// fleet is an Asker whose engines' addresses are their names. Names that begin
-// with "silent" answer nothing until the question is given up.
+// fleet is a fake Asker in which the address of an engine is its name. Engines whose names
+// begin with "silent" fail after 2 s without a response.
 type fleet struct {
 	lock        sync.Mutex
 	incarnation uint64
@@ -126,7 +126,7 @@
 		poller := startPoller(asker, nil)
 		defer poller.Close()
 		targets := map[string]string{}
-		const engines = 300 // the silent ones alone fill every shard's workers
+		const engines = 300 // the unresponsive engines alone occupy all workers of every shard
 		for i := range engines {
 			for _, name := range []string{fmt.Sprintf("silent-%d", i), fmt.Sprintf("engine-%d", i)} {
 				targets[name] = name
@@ -142,8 +142,8 @@
 	})
 }
 
-// TestSilentEnginesTakeTurns: there are more engines than workers, and none
-// answers before its question is given up.
+// With more unresponsive engines than workers, each engine must still be polled equally
+// often.
 func TestSilentEnginesTakeTurns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		asker := &fleet{asked: map[string]int{}}
@@ -175,7 +175,7 @@
 		poller.SetTargets(map[string]string{"engine-1": "engine-1"})
 		time.Sleep(10 * time.Second)
 		must.Between(t, 18, asker.count("engine-1"), 21)
-		must.Eq(t, 1, len(changes)) // heard once, and the same since
+		must.Eq(t, 1, len(changes)) // unchanged since the first poll
 		asker.lock.Lock()
 		asker.incarnation = 2
 		asker.lock.Unlock()
@@ -203,8 +203,8 @@
 	})
 }
 
-// restarted is an Asker whose engine has restarted: its load report lags, and is still
-// of the life before.
+// restarted is a fake Asker whose engine has restarted. While lagging is set, its load
+// report is still that of the previous incarnation.
 type restarted struct{ lagging atomic.Bool }
 
 func (*restarted) State(context.Context, string) (engineapi.State, error) {
@@ -218,10 +218,9 @@
 	return engineapi.Load{Engine: "engine-1", Incarnation: 2, Running: 1}, nil
 }
 
-// Seen: an engine that has just restarted shows the load of its life before. It comes
-// about because load reports lag and are kept by the engine's name alone.
-// Proof: no load is shown until a report is of the incarnation that the state names, and
-// none is kept for the next incarnation.
+// An engine that had just restarted was shown with the load of its previous incarnation,
+// because load reports lag and were stored by engine name alone. A load must only be
+// returned together with the state of the same incarnation.
 func TestLoadIsOfTheIncarnationThatTheStateNames(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engine := &restarted{}
@@ -240,8 +239,8 @@
 	})
 }
 
-// Two questions for an engine's load can be under way where its entry was replaced by one
-// with the same address. The answer to the earlier one says less than what is known.
+// Two load requests to an engine can be in flight if its entry was replaced by one with the
+// same address. The response to the earlier request must not replace a later one.
 func TestLateLoadReportReplacesNoLaterOne(t *testing.T) {
 	known := &target{heard: true, seen: Seen{State: engineapi.State{Incarnation: 3}}}
 	known.recordLoad(engineapi.Load{Incarnation: 3, Running: 7}, 2*time.Second)
@@ -250,8 +249,8 @@
 	must.Eq(t, 2*time.Second, known.seen.LoadAt)
 }
 
-// slowReport is an Asker whose first load report comes when it is let go, and whose
-// reports are numbered as they were asked for.
+// slowReport is a fake Asker that numbers its load reports by request and returns the first
+// one only after first is closed.
 type slowReport struct {
 	asked atomic.Int64
 	first chan struct{}
@@ -269,9 +268,9 @@
 	return engineapi.Load{Engine: "engine-1", Incarnation: 1, Running: int(number)}, nil
 }
 
-// An engine that leaves the list and comes back, while a question to it is under way, is
-// asked anew: the earlier question's answer takes nothing back, and leaves the engine to
-// the questions of now.
+// An engine that is removed and added again while a poll of it is in flight is polled anew.
+// The response to the earlier poll must not overwrite the later one, nor affect the polling
+// of the new entry.
 func TestReportOfAnEarlierQuestionTakesNothingBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engine := &slowReport{first: make(chan struct{})}
@@ -279,7 +278,7 @@
 		defer poller.Close()
 		targets := map[string]string{"engine-1": "engine-1"}
 		poller.SetTargets(targets)
-		time.Sleep(100 * time.Millisecond) // the first report is under way
+		time.Sleep(100 * time.Millisecond) // the first load request is in flight
 		must.Eq(t, 1, engine.asked.Load())
 		poller.SetTargets(nil)
 		poller.SetTargets(targets)
--- a/connection/orders/outofstep_test.go
+++ b/connection/orders/outofstep_test.go
@@ -14,24 +14,25 @@
 	"github.com/shoenig/test/must"
 )
 
-// Seen: the answer to an earlier question or order is taken for that to the present
-// one. It comes about where the engine sends an answer too many on a kept connection
-// after the next request was written on it: then it is the next thing that comes.
-// Proof: no call returns the answer to another, and surplus ones were sent; a call that
-// meets one may fail. Without echoes no connection is kept, and each call succeeds.
+// These tests guard against taking the response to an earlier request or order for that to
+// the current one. This happens if the engine sends a surplus response on a persistent
+// connection after the next request was written. No call may return the response to
+// another one; a call that receives a surplus response may fail. To an engine that does
+// not echo request IDs, no connection is reused and every call succeeds.
 
-// outOfStepCalls is how many calls a test makes: enough that connections are kept.
+// outOfStepCalls is the number of calls per test, enough for connections to be reused.
 const outOfStepCalls = 12
 
-// outOfStep is an engine that sends its last answer again, and a client of it.
+// outOfStep is an engine that repeats its previous response before each further one on a
+// connection, and a client of it.
 type outOfStep struct {
 	server *surplus.Server
 	client *Client
 	echoes bool
 }
 
-// forOutOfStep runs a test with an engine that echoes its calls and with one that
-// does not. engine makes the handler of each.
+// forOutOfStep runs a test with an engine that echoes request IDs and with one that does
+// not. engine creates the handler of each.
 func forOutOfStep(t *testing.T, engine func() http.Handler, test func(t *testing.T, engine *outOfStep)) {
 	for name, echoes := range map[string]bool{"echoes": true, "does not echo": false} {
 		t.Run(name, func(t *testing.T) {
@@ -41,7 +42,7 @@
 			client := NewClient(5 * time.Second)
 			t.Cleanup(client.Close)
 			test(t, &outOfStep{server: server, client: client, echoes: echoes})
-			must.Eq(t, echoes, server.Sent() > 0, must.Sprint("surplus answers come on kept connections"))
+			must.Eq(t, echoes, server.Sent() > 0, must.Sprint("surplus responses are expected on reused connections only"))
 		})
 	}
 }
@@ -55,8 +56,8 @@
 	})
 }
 
-// succeeded reports whether a call brought an answer. It may fail only if a surplus
-// answer was sent during it.
+// succeeded reports whether a call succeeded. It may fail only if a surplus response was
+// sent during it.
 func (o *outOfStep) succeeded(t *testing.T, sentBefore int, err error) bool {
 	t.Helper()
 	if err == nil {
@@ -67,7 +68,7 @@
 	return false
 }
 
-// restartingEngine is in another incarnation at each question.
+// restartingEngine returns an engine that is in another incarnation at each request.
 func restartingEngine() http.Handler {
 	var incarnation atomic.Uint64
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -75,8 +76,8 @@
 	})
 }
 
-// checkIncarnations asks a restarting engine again and again: the engine answers one
-// question at a time, so the number of the question is that of its answer.
+// checkIncarnations calls a restarting engine repeatedly. The engine serves one request at a
+// time, so the incarnation in each response must be the number of its request.
 func checkIncarnations(t *testing.T, ask func(ctx context.Context, engine *outOfStep) (uint64, error)) {
 	forOutOfStep(t, restartingEngine, func(t *testing.T, engine *outOfStep) {
 		for number := range uint64(outOfStepCalls) {
@@ -103,7 +104,7 @@
 	})
 }
 
-// loadAndState answers the two questions.
+// loadAndState returns an engine that serves load and state requests.
 func loadAndState() http.Handler {
 	engine := http.NewServeMux()
 	engine.HandleFunc("GET "+engineapi.PathLoad, func(w http.ResponseWriter, _ *http.Request) {
@@ -115,8 +116,8 @@
 	return engine
 }
 
-// A load report has an engine's name, incarnation and phase as a state has, but no
-// fence and no assignment: taken for a state it is an engine that was told nothing.
+// A load report has the engine name, incarnation and phase of a state, but no fence and no
+// assignment. Taken for a state, it would describe an engine that got no orders.
 func TestLoadIsNotTakenForAState(t *testing.T) {
 	forOutOfStep(t, loadAndState, func(t *testing.T, engine *outOfStep) {
 		for range outOfStepCalls {
@@ -134,7 +135,7 @@
 	})
 }
 
-// orderAndVoid accepts orders and refuses voids.
+// orderAndVoid returns an engine that accepts orders and refuses voids.
 func orderAndVoid() http.Handler {
 	engine := http.NewServeMux()
 	engine.HandleFunc("POST "+engineapi.PathOrders, func(w http.ResponseWriter, _ *http.Request) {
--- a/connection/orders/poller.go
+++ b/connection/orders/poller.go
@@ -11,54 +11,54 @@
 	"github.com/landingtrail/landingtrail/connection/engineapi"
 )
 
-// Seen is the latest word of one engine.
+// Seen is the last known state and load of an engine.
 type Seen struct {
 	State engineapi.State
-	// AskedAt is when the question was sent, by the poller's clock.
+	// AskedAt is when the state was requested, by the poller's clock.
 	AskedAt time.Duration
-	// Load is the last load report of the incarnation that State names; LoadAt is
-	// when it was asked for, 0 if there is none.
+	// Load is the last load report of the incarnation in State. LoadAt is when it was
+	// requested, 0 if there is none.
 	Load   engineapi.Load
 	LoadAt time.Duration
 }
 
-// Asker asks engines; *Client is one.
+// Asker reads the state and load of engines. *Client implements it.
 type Asker interface {
 	State(ctx context.Context, address string) (engineapi.State, error)
 	Load(ctx context.Context, address string) (engineapi.Load, error)
 }
 
-// PollerConfig holds what a Poller is created with.
+// PollerConfig configures a Poller.
 type PollerConfig struct {
 	Asker Asker
-	// Interval is the time between two questions to one engine; it is
-	// stretched when there are more engines than MaxPerSecond allows.
+	// Interval is the time between two polls of one engine. It is increased if there
+	// are more engines than MaxPerSecond allows.
 	Interval     time.Duration
 	MaxPerSecond int
-	// Clock reads the monotonic time.
+	// Clock is a monotonic clock.
 	Clock func() time.Duration
-	// Changed is called after an engine's state was seen to differ, without
-	// any lock held; it may be nil.
+	// Changed is called without any lock held after the state of an engine has changed.
+	// It may be nil.
 	Changed func()
 }
 
 const (
 	pollerShards = 8
-	// shardWorkers bounds the questions of one shard that are under way, so
-	// that silent engines hold up at most their own shard's turn.
+	// shardWorkers limits the concurrent polls of one shard, so that unresponsive
+	// engines delay at most the engines of their own shard.
 	shardWorkers = 32
-	// pollTick is how often a shard looks for engines that are due.
+	// pollTick is the interval at which a shard checks for engines that are due.
 	pollTick = 20 * time.Millisecond
-	// defaultMaxPerSecond bounds all questions of one poller.
+	// defaultMaxPerSecond limits the poll rate of a poller over all engines.
 	defaultMaxPerSecond = 2000
 )
 
-// target is one observed engine.
+// target is one polled engine.
 type target struct {
 	name    string
 	address string
 	dueAt   time.Duration
-	turn    uint64 // of its last question; 0 before the first
+	turn    uint64 // of its last poll; 0 before the first
 	asking  bool
 	seen    Seen
 	heard   bool
@@ -68,10 +68,10 @@
 	sync.Mutex
 	targets map[string]*target
 	workers chan struct{}
-	turn    uint64 // counts the questions
+	turn    uint64 // number of polls started
 }
 
-// Poller observes engines until it is closed.
+// Poller polls a set of engines until it is closed.
 type Poller struct {
 	config  PollerConfig
 	shards  [pollerShards]pollerShard
@@ -81,7 +81,7 @@
 	done    sync.WaitGroup
 }
 
-// NewPoller starts a Poller without engines.
+// NewPoller starts a Poller with no engines.
 func NewPoller(config PollerConfig) *Poller {
 	if config.MaxPerSecond <= 0 {
 		config.MaxPerSecond = defaultMaxPerSecond
@@ -97,7 +97,7 @@
 	return p
 }
 
-// Close ends all questions and waits for them.
+// Close cancels all polls and waits for them to end.
 func (p *Poller) Close() {
 	p.cancel()
 	p.done.Wait()
@@ -107,8 +107,8 @@
 	return &p.shards[maphash.String(p.seed, name)%pollerShards]
 }
 
-// SetTargets replaces the observed engines, names to addresses. An engine with
-// a new address has not been heard from.
+// SetTargets replaces the set of polled engines, given as addresses by name. The state of
+// an engine whose address changes is discarded.
 func (p *Poller) SetTargets(addresses map[string]string) {
 	for i := range p.shards {
 		p.shards[i].removeOthers(addresses)
@@ -118,6 +118,8 @@
 	}
 }
 
+// removeOthers removes the engines that are not in addresses or have another address
+// there.
 func (s *pollerShard) removeOthers(addresses map[string]string) {
 	s.Lock()
 	defer s.Unlock()
@@ -136,7 +138,7 @@
 	}
 }
 
-// Poke makes the engine due now.
+// Poke makes the engine due immediately.
 func (p *Poller) Poke(name string) {
 	shard := p.shard(name)
 	shard.Lock()
@@ -146,8 +148,8 @@
 	}
 }
 
-// Record keeps a state that came with an answer to an order, as if it had been
-// asked for at askedAt.
+// Record records a state that was part of the reply to an order, as if it had been
+// requested at askedAt.
 func (p *Poller) Record(name, address string, state engineapi.State, askedAt time.Duration) {
 	shard := p.shard(name)
 	shard.Lock()
@@ -157,8 +159,8 @@
 	p.notify(changed)
 }
 
-// record keeps the state unless a later question was answered already, and
-// reports whether it differs from the one before.
+// record records the state, unless that of a later request is already known, and reports
+// whether it differs from the previous one.
 func (t *target) record(state engineapi.State, askedAt time.Duration) bool {
 	if t.heard && askedAt < t.seen.AskedAt {
 		return false
@@ -176,13 +178,14 @@
 		left.Assignment.Equal(right.Assignment) && (left.Order == nil) == (right.Order == nil)
 }
 
+// notify calls the Changed callback if the state has changed.
 func (p *Poller) notify(changed bool) {
 	if changed && p.config.Changed != nil {
 		p.config.Changed()
 	}
 }
 
-// Seen returns the latest word of every engine that was heard from.
+// Seen returns the last known state of every engine that has responded.
 func (p *Poller) Seen() map[string]Seen {
 	all := map[string]Seen{}
 	for i := range p.shards {
@@ -216,8 +219,8 @@
 	}
 }
 
-// startDue starts a question to each engine that is due, as long as workers are
-// free: those first that have been due for longest, so that each gets its turn.
+// startDue starts a poll of each engine that is due, as long as workers are free. Engines
+// that have been due for longest come first, so that none is starved.
 func (p *Poller) startDue(shard *pollerShard, asking *sync.WaitGroup) {
 	now := p.config.Clock()
 	shard.Lock()
@@ -242,8 +245,8 @@
 	}
 }
 
-// due returns the engines to ask, in the order in which they became due and, of
-// those that did so at once, were last asked.
+// due returns the engines to poll, ordered by the time at which they became due, and at
+// equal times by their last poll.
 func (s *pollerShard) due(now time.Duration) []*target {
 	var due []*target
 	for _, known := range s.targets {
@@ -257,8 +260,8 @@
 	return due
 }
 
-// interval is the configured one, or as long as the shard's part of the
-// allowed rate makes it.
+// interval returns the configured interval, or a longer one if the shard's share of the
+// maximum rate requires it.
 func (p *Poller) interval(targets int) time.Duration {
 	perShard := max(1, p.config.MaxPerSecond/pollerShards)
 	return stretched(p.config.Interval, targets, perShard)
@@ -268,13 +271,13 @@
 	return max(interval, time.Duration(targets)*time.Second/time.Duration(perSecond))
 }
 
-// RoundTime returns how long a Poller of the given interval and the default
-// rate takes to ask so many engines once each.
+// RoundTime returns how long a Poller with the given interval and the default maximum rate
+// takes to poll the given number of engines once.
 func RoundTime(interval time.Duration, engines int) time.Duration {
 	return stretched(interval, engines, defaultMaxPerSecond)
 }
 
-// ask asks one engine; its target may have been replaced by the time of the answer.
+// ask polls one engine. Its target may have been replaced by the time it responds.
 func (p *Poller) ask(shard *pollerShard, name string, asked *target) {
 	askedAt := p.config.Clock()
 	state, err := p.config.Asker.State(p.context, asked.address)
@@ -298,8 +301,8 @@
 	asked.recordLoad(load, askedAt)
 }
 
-// recordLoad keeps the report unless it is of an earlier life of the engine, since reports
-// lag, or a later question was answered already.
+// recordLoad records the report, unless it belongs to an earlier incarnation of the engine,
+// since reports lag, or that of a later request is already known.
 func (t *target) recordLoad(load engineapi.Load, askedAt time.Duration) {
 	if load.Incarnation == t.seen.State.Incarnation && askedAt >= t.seen.LoadAt {
 		t.seen.Load, t.seen.LoadAt = load, askedAt
--- a/connection/orders/surplus_test.go
+++ b/connection/orders/surplus_test.go
@@ -14,11 +14,11 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// foreignCode is the code of an answer to an order that was not sent.
+// foreignCode is the result code of a surplus response.
 const foreignCode = "foreign"
 
-// surplusEngine echoes the name of each call and accepts it. On a connection that
-// has carried another call it first sends an answer that belongs to none.
+// surplusEngine starts an engine that echoes the request ID of each call and accepts it. On a
+// reused connection it first sends a surplus response with wrongHeader.
 func surplusEngine(t *testing.T, wrongHeader string) *surplus.Server {
 	t.Helper()
 	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -40,10 +40,9 @@
 	return fmt.Appendf(nil, "HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s", header, len(body), body)
 }
 
-// TestSurplusReplyIsNoAnswer: the reply to one order or void was taken for that
-// to the next one to the same engine, as nothing tied a reply to its call: a
-// fence then counted as confirmed that the engine had not seen. Proof: an answer
-// that names another call, or none, is an error.
+// The reply to one order or void was taken for that to the next one to the same engine, since
+// replies did not identify their call, and a fence counted as confirmed that the engine had
+// not received. A response that names another call, or none, must be an error.
 func TestSurplusReplyIsNoAnswer(t *testing.T) {
 	cases := map[string]string{
 		"of another call": engineapi.HeaderRequestID + ": another\r\n",
--- a/connection/peer/connect_test.go
+++ b/connection/peer/connect_test.go
@@ -9,8 +9,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// The first packet to a machine without power is lost. A member must not wait long for
-// an answer to it, since the machine may be back at once.
+// The first packet to a machine without power is lost. The attempt to connect must time out
+// soon, since the machine may be back shortly after.
 func TestEachTryToConnectIsShort(t *testing.T) {
 	var config Config
 	var left time.Duration
@@ -24,5 +24,5 @@
 	_, err := connect(context.Background(), config, "192.0.2.1:1")
 	must.ErrorIs(t, err, net.ErrClosed)
 	must.LessEq(t, DefaultConnectTimeout, left)
-	must.LessEq(t, DefaultConnectTimeout, DefaultMaxBackoff, must.Sprint("nor between two tries"))
+	must.LessEq(t, DefaultConnectTimeout, DefaultMaxBackoff, must.Sprint("the delay between two attempts is too long"))
 }
--- a/connection/peer/fuzz_test.go
+++ b/connection/peer/fuzz_test.go
@@ -12,7 +12,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// wire is a connection whose other side has sent what the reader holds.
+// wire is a net.Conn that reads from a reader and writes to a buffer.
 type wire struct {
 	net.Conn
 	io.Reader
@@ -24,8 +24,8 @@
 func (w *wire) SetReadDeadline(time.Time) error  { return nil }
 func (w *wire) SetWriteDeadline(time.Time) error { return nil }
 
-// framed makes frames of what the fuzzer draws: a kind, two bytes of length and
-// the payload, so that it need not find checksums.
+// framed converts fuzzer input to valid frames. The input holds a kind, two bytes of length
+// and the payload of each, so that the fuzzer need not find valid checksums.
 func framed(t testing.TB, drawn []byte) []byte {
 	t.Helper()
 	w := &wire{}
@@ -39,12 +39,13 @@
 	return w.written.Bytes()
 }
 
+// draw returns the fuzzer input for one frame.
 func draw(kind frame.Kind, payload []byte) []byte {
 	return append([]byte{byte(kind), byte(len(payload) >> 8), byte(len(payload))}, payload...)
 }
 
-// FuzzInbound greets a transport and then sends arbitrary frames. What it hands on
-// comes from the member that greeted and is meant for this one.
+// FuzzInbound sends arbitrary frames to a transport. Every message that it delivers must come
+// from the member in the hello and be addressed to this one.
 func FuzzInbound(f *testing.F) {
 	greeting := hello{group: testGroup, sender: 2, receiver: 1, lane: laneMessages}
 	message := raft.Message{Kind: raft.MessageHeartbeat, From: 2, To: 1, Term: 3, Sequence: 4}
@@ -67,7 +68,7 @@
 		reader := frame.NewReader(w, Protocol, handshakeBytes, 0)
 		accepted, err := transport.welcome(writer, reader)
 		if err != nil || accepted.lane == laneProbe {
-			return // a probe ends here
+			return // the connection ends after a probe
 		}
 		sender = accepted.sender
 		must.NotEq(t, raft.MemberID(1), sender)
@@ -75,8 +76,8 @@
 	})
 }
 
-// FuzzHandshake decodes arbitrary bytes as the two frames of a handshake; what is
-// accepted must encode to the same bytes.
+// FuzzHandshake decodes arbitrary bytes as the two handshake frames. Accepted frames must
+// encode to the same bytes.
 func FuzzHandshake(f *testing.F) {
 	f.Add(hello{group: 1, sender: 2, receiver: 3, lane: laneProbe}.encode())
 	f.Add(welcome{verdict: verdictAccepted, group: 1, member: 2, initialized: true}.encode())
--- a/connection/peer/inbound.go
+++ b/connection/peer/inbound.go
@@ -10,22 +10,22 @@
 	"github.com/pkg/errors"
 )
 
-// acceptPause is the wait after a failed accept, for example without free file
-// descriptors.
+// acceptPause is the delay after a failed accept, for example when no file descriptors
+// are free.
 const acceptPause = 50 * time.Millisecond
 
-// inboundKey names an incoming connection; a later one of the same key replaces
-// the earlier, whose other end is gone.
+// inboundKey identifies an incoming connection. A later connection with the same key
+// replaces the earlier one, which its sender has abandoned.
 type inboundKey struct {
 	sender raft.MemberID
 	lane   lane
 }
 
-// inbound is what is known of an incoming connection.
+// inbound describes an incoming connection.
 type inbound struct {
-	// number counts the connections in the order in which they were accepted.
+	// number is the position of the connection in the order of acceptance.
 	number uint64
-	key    inboundKey // zero until it is admitted
+	key    inboundKey // zero until the connection is admitted
 }
 
 func (t *Transport) accept() {
@@ -49,7 +49,8 @@
 	}
 }
 
-// register counts the connection and returns false when there are too many.
+// register adds the connection and returns false if there are too many or the transport is
+// closed.
 func (t *Transport) register(conn net.Conn) bool {
 	t.inboundMutex.Lock()
 	defer t.inboundMutex.Unlock()
@@ -61,9 +62,9 @@
 	return true
 }
 
-// admit gives the connection its key and closes the one that had it. It returns false
-// when that is the later one: goroutines come here in any order, and the sender has
-// given up the earlier of its connections.
+// admit assigns the key to the connection and closes an earlier one with the same key. It
+// returns false if the other connection is the later one: the goroutines of connections
+// reach this point in any order, and the sender has abandoned the earlier connection.
 func (t *Transport) admit(conn net.Conn, key inboundKey) bool {
 	t.inboundMutex.Lock()
 	defer t.inboundMutex.Unlock()
@@ -113,12 +114,12 @@
 	if !t.admit(conn, inboundKey{sender: greeting.sender, lane: greeting.lane}) {
 		return
 	}
-	// What ends the connection is the sender's to notice and report.
+	// The sender reports why the connection ended.
 	_ = t.readMessages(greeting, writer, reader)
 }
 
-// welcome reads the hello and answers it; the answer names this member also when
-// it refuses.
+// welcome reads the hello and replies to it. The reply identifies this member even if it
+// is a refusal.
 func (t *Transport) welcome(writer *frame.Writer, reader *frame.Reader) (hello, error) {
 	first, err := reader.ReadFrame()
 	if err != nil {
@@ -179,8 +180,8 @@
 	}
 }
 
-// acknowledgeChunk answers each piece of a snapshot, so that the sender sees it
-// move on a slow network, where a ping would have to wait behind all of it.
+// acknowledgeChunk replies to each chunk of a snapshot, so that the sender sees progress on
+// a slow network, where a ping would have to wait behind the whole snapshot.
 func (t *Transport) acknowledgeChunk(writer *frame.Writer, size int) error {
 	if size > t.config.MaxSnapshotBytes {
 		return errors.Wrapf(frame.ErrTooLarge, "snapshot of more than %d bytes", t.config.MaxSnapshotBytes)
@@ -195,8 +196,8 @@
 	return writer.Flush()
 }
 
-// deliver hands on a message that comes from the member that the connection was
-// opened by and is meant for this one.
+// deliver passes on a message, provided that it comes from the member that opened the
+// connection and is addressed to this one.
 func (t *Transport) deliver(greeting hello, data []byte) error {
 	message, err := raft.DecodeMessage(data)
 	if err != nil {
@@ -210,16 +211,16 @@
 	return nil
 }
 
-// Identity is what a probe learns of the member at an address.
+// Identity is the result of a probe: the member at an address.
 type Identity struct {
 	Group  uint64
 	Member raft.MemberID
-	// Initialized tells whether the member holds a group's log already.
+	// Initialized tells whether the member already has a group's log.
 	Initialized bool
 }
 
-// Probe asks who is at the address. It returns ErrWrongGroup with the identity
-// found when that is of another group.
+// Probe returns the identity of the member at the address. If it belongs to another
+// group, the error is ErrWrongGroup and the identity is returned as well.
 func Probe(ctx context.Context, address string, group uint64) (Identity, error) {
 	config := Config{Group: group}
 	config.setDefaults()
--- a/connection/peer/link.go
+++ b/connection/peer/link.go
@@ -11,10 +11,10 @@
 	"github.com/pkg/errors"
 )
 
-// chunkBytes is the size of the pieces that a snapshot is sent in.
+// chunkBytes is the chunk size of snapshots.
 const chunkBytes = 64 << 10
 
-// link is the sending side towards one peer.
+// link holds the two senders for one peer.
 type link struct {
 	address   string
 	stop      context.CancelFunc
@@ -43,7 +43,7 @@
 	l.messages.put(message)
 }
 
-// sender keeps one outgoing connection for one lane.
+// sender maintains the outgoing connection of one lane.
 type sender struct {
 	transport *Transport
 	member    raft.MemberID
@@ -55,7 +55,7 @@
 func newSender(t *Transport, member raft.MemberID, address string, l lane) *sender {
 	maxMessages, maxBytes := t.config.QueueMessages, t.config.QueueBytes
 	if l == laneSnapshots {
-		maxMessages, maxBytes = 1, 1 // only the newest snapshot waits
+		maxMessages, maxBytes = 1, 1 // only the newest snapshot is queued
 	}
 	return &sender{transport: t, member: member, address: address, lane: l, queue: newQueue(maxMessages, maxBytes)}
 }
@@ -72,7 +72,7 @@
 	}
 }
 
-// run connects when there is something to send, and again after each failure.
+// run connects when there is something to send, and reconnects after each failure.
 func (s *sender) run(ctx context.Context) {
 	retry := backoff{min: s.transport.config.MinBackoff, max: s.transport.config.MaxBackoff}
 	for {
@@ -96,6 +96,7 @@
 	}
 }
 
+// report reports the end of a connection, or a failed attempt to connect, as an event.
 func (s *sender) report(err error) {
 	kind := EventDisconnected
 	if errors.Is(err, ErrWrongGroup) || errors.Is(err, ErrWrongMember) || errors.Is(err, ErrHandshake) {
@@ -104,8 +105,8 @@
 	s.transport.config.OnEvent(Event{Kind: kind, Member: s.member, Address: s.address, Err: err})
 }
 
-// serve connects and sends until the connection fails or ctx ends. It returns how
-// long the connection was up.
+// serve connects and sends until the connection fails or ctx ends. It returns how long
+// the connection was established.
 func (s *sender) serve(ctx context.Context) (time.Duration, error) {
 	config := s.transport.config
 	conn, err := connect(ctx, config, s.address)
@@ -143,8 +144,8 @@
 	return conn, errors.WithStack(err)
 }
 
-// greet sends the hello and returns the other side's welcome, or its refusal as
-// an error.
+// greet sends the hello and returns the remote end's welcome. A refusal is returned as an
+// error along with the welcome.
 func greet(writer *frame.Writer, reader *frame.Reader, greeting hello) (welcome, error) {
 	if err := writer.WriteFrame(frameHello, greeting.encode()); err != nil {
 		return welcome{}, err
@@ -166,14 +167,15 @@
 	return w, w.err()
 }
 
-// readPongs returns when the other side stops answering: a connection whose other
-// end is gone in silence would else hold messages for many minutes.
+// readPongs reads pongs and returns an error when the remote end stops sending them.
+// Otherwise a connection whose remote end has disappeared would hold up messages for
+// many minutes.
 func (s *sender) readPongs(reader *frame.Reader) error {
 	reader.SetTimeout(s.transport.config.AnswerTimeout + s.transport.config.PingInterval)
 	for {
 		answer, err := reader.ReadFrame()
 		if err != nil {
-			return errors.Wrap(err, "peer: no answer")
+			return errors.Wrap(err, "peer: read pong")
 		}
 		if answer.Kind != framePong {
 			return errors.Wrapf(ErrHandshake, "frame of kind %d", answer.Kind)
@@ -181,6 +183,7 @@
 	}
 }
 
+// sendLoop sends queued messages and periodic pings until the connection fails or ctx ends.
 func (s *sender) sendLoop(ctx context.Context, writer *frame.Writer, broken <-chan error) error {
 	ticker := time.NewTicker(s.transport.config.PingInterval)
 	defer ticker.Stop()
@@ -242,8 +245,8 @@
 	return writer.WriteFrame(frameFinalChunk, encoded)
 }
 
-// backoff waits between attempts: each wait is drawn between half the current
-// step and the whole, and the step doubles up to max.
+// backoff is an exponential backoff with jitter: each delay is random between half the
+// current step and the full step, and the step doubles up to max.
 type backoff struct {
 	min, max time.Duration
 	step     time.Duration
@@ -251,7 +254,7 @@
 
 func (b *backoff) reset() { b.step = 0 }
 
-// wait returns false when ctx ended.
+// wait waits for the next delay and returns false if ctx ends first.
 func (b *backoff) wait(ctx context.Context) bool {
 	b.step = min(max(2*b.step, b.min), b.max)
 	timer := time.NewTimer(b.step/2 + rand.N(b.step/2+1))
--- a/connection/peer/peer_test.go
+++ b/connection/peer/peer_test.go
@@ -20,16 +20,16 @@
 const testGroup = 42
 
 func TestMain(m *testing.M) {
-	// A link of the fault-injecting proxy has no way to give its sends up. Once a
-	// stage of it has ended, by a toxic or a stop, what was on its way stays in a
-	// send that nobody receives: the stage before it, and the reader behind that.
+	// Toxiproxy cannot cancel the channel sends of a link. After a stage of the link has
+	// ended because of a toxic or a stop, the preceding stages stay blocked in a send that
+	// nobody receives, and their goroutines leak.
 	goleak.VerifyTestMain(m,
 		goleak.IgnoreAnyFunction("github.com/Shopify/toxiproxy/v2/toxics.(*ToxicStub).Run"),
 		goleak.IgnoreTopFunction("github.com/Shopify/toxiproxy/v2/stream.(*ChanWriter).Write"),
 	)
 }
 
-// end is one member's transport with what it received and what happened to it.
+// end is the transport of one member with its received messages and events.
 type end struct {
 	*Transport
 	received chan raft.Message
@@ -59,7 +59,7 @@
 	return e
 }
 
-// next waits for an event of the kind.
+// next waits for the next event of the given kind.
 func (e *end) next(t *testing.T, kind EventKind) Event {
 	t.Helper()
 	deadline := time.After(10 * time.Second)
@@ -70,7 +70,7 @@
 				return event
 			}
 		case <-deadline:
-			t.Fatalf("no event of kind %d", kind)
+			t.Fatalf("timed out waiting for an event of kind %d", kind)
 		}
 	}
 }
@@ -84,7 +84,7 @@
 		for len(e.events) > 0 {
 			t.Logf("%+v", <-e.events)
 		}
-		t.Fatal("no message")
+		t.Fatal("timed out waiting for a message")
 		return raft.Message{}
 	}
 }
@@ -93,7 +93,7 @@
 	return raft.Message{Kind: raft.MessageHeartbeat, From: from, To: to, Term: 1, Sequence: sequence}
 }
 
-// newProxy puts a fault-injecting proxy in front of an address.
+// newProxy starts a fault-injecting proxy in front of an address.
 func newProxy(t *testing.T, upstream string) *toxiproxy.Proxy {
 	t.Helper()
 	server := toxiproxy.NewServer(toxiproxy.NewMetricsContainer(prometheus.NewRegistry()), zerolog.Nop())
@@ -125,8 +125,8 @@
 }
 
 func TestHeartbeatsPassASnapshot(t *testing.T) {
-	// Nobody sends a lost snapshot again here, so a stall of the machine must not
-	// end the connection.
+	// A lost snapshot is not resent here, so a stall of the machine must not end the
+	// connection.
 	patient := func(c *Config) { c.AnswerTimeout = 5 * time.Second }
 	a, b := newEnd(t, 1, patient), newEnd(t, 2, patient)
 	proxy := newProxy(t, b.Address().String())
@@ -163,11 +163,11 @@
 	must.Eq(t, 0, b.Stats().Received)
 }
 
-// A connection whose other end fell silent is given up, although the kernel would
-// go on taking bytes for it, and a new one carries on after the cut.
+// A connection whose remote end stops responding must be closed, although the kernel still
+// accepts data for it, and must be replaced once the network is back.
 func TestSilentCutIsNoticed(t *testing.T) {
 	a := newEnd(t, 1, nil)
-	// The receiver must not be the one that notices: nothing of it would get through.
+	// The receiver must not close the connection, since that would not reach the sender.
 	b := newEnd(t, 2, func(c *Config) { c.AnswerTimeout = time.Hour })
 	proxy := newProxy(t, b.Address().String())
 	a.SetPeers(map[raft.MemberID]string{2: proxy.Listen})
@@ -180,7 +180,7 @@
 	waitForSequence(t, a, b, 3)
 }
 
-// waitForSequence sends the heartbeat until it arrives.
+// waitForSequence sends the heartbeat repeatedly until it arrives.
 func waitForSequence(t *testing.T, a, b *end, sequence uint64) {
 	t.Helper()
 	for range 500 {
@@ -193,7 +193,7 @@
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
-	t.Fatal("the connection did not come back")
+	t.Fatal("the connection was not re-established")
 }
 
 func TestResetConnectionsComeBack(t *testing.T) {
@@ -218,7 +218,7 @@
 	_, err = conn.Write([]byte("GET / HTTP/1.1\r\nHost: a\r\n\r\n"))
 	must.NoError(t, err)
 	must.ErrorIs(t, a.next(t, EventRejected).Err, frame.ErrForeignProtocol)
-	_, err = io.ReadAll(conn) // ends, by a reset or cleanly
+	_, err = io.ReadAll(conn) // ends with a reset or cleanly
 	if err != nil {
 		must.StrContains(t, err.Error(), "reset")
 	}
@@ -247,7 +247,7 @@
 	must.Eq(t, 0, b.Stats().Received)
 }
 
-// connectAs opens a connection by hand and shakes hands.
+// connectAs opens a connection without a Transport and performs the handshake.
 func connectAs(t *testing.T, to *end, h hello) (net.Conn, *frame.Writer, *frame.Reader) {
 	t.Helper()
 	conn, err := net.Dial("tcp", to.Address().String())
@@ -284,8 +284,8 @@
 	must.Eq(t, 5, b.receive(t).Sequence)
 }
 
-// slowGreeter is a listener whose first connection stays in the write of its welcome
-// until it is released; the other side has the welcome by then.
+// slowGreeter is a listener whose first connection blocks in the write of its welcome until
+// released is closed. The remote end receives the welcome before that.
 type slowGreeter struct {
 	net.Listener
 	accepted int
@@ -311,10 +311,10 @@
 	return count, err
 }
 
-// A sender gave a connection up and opened another. The goroutine of the first came to
-// register it after that of the second, took the second for the one to be replaced and
-// closed it: the order in which goroutines run was taken for that of the connections.
-// TestNewConnectionReplacesTheOld met it by chance; here the first is held up in between.
+// A sender abandoned a connection and opened another. The goroutine of the first connection
+// was admitted after that of the second and closed the second, because the order in which
+// goroutines ran was taken for that of the connections. TestNewConnectionReplacesTheOld
+// failed sporadically for this reason; here the first connection is delayed to force it.
 func TestOldConnectionThatIsAdmittedLateDoesNotReplaceTheNew(t *testing.T) {
 	released := make(chan struct{})
 	b := newEnd(t, 2, func(c *Config) {
@@ -327,7 +327,7 @@
 	message := heartbeat(1, 2, 5)
 	must.NoError(t, writer.WriteFrame(frameMessage, message.AppendBinary(nil)))
 	must.NoError(t, writer.Flush())
-	must.Eq(t, 5, b.receive(t).Sequence) // the new one is admitted
+	must.Eq(t, 5, b.receive(t).Sequence) // the new connection is admitted
 	close(released)
 	old.SetTimeout(time.Second)
 	_, err := old.ReadFrame()
@@ -394,7 +394,7 @@
 	must.ErrorIs(t, err, io.EOF)
 }
 
-// Notices reach the peers that they are meant for, beside the messages and in order; of too many the
+// Notices must reach their peers in order and alongside messages. If there are too many, the
 // oldest are dropped.
 func TestNoticesReachThePeers(t *testing.T) {
 	type notice struct {
--- a/connection/peer/protocol.go
+++ b/connection/peer/protocol.go
@@ -1,10 +1,9 @@
-// Package peer carries the agreement messages between the members of a control
-// group over TCP. Each member keeps one outgoing connection to each peer for
-// messages and a second one for snapshots, so that heartbeats never wait behind
-// a snapshot. Delivery is best effort: queues are bounded and drop their oldest
-// messages, since the agreement protocol sends again what was lost. Notices, which
-// need no agreement, go the way of the messages; who sends them tells all anew
-// when a connection comes up.
+// Package peer transports Raft messages between the members of a control group over
+// TCP. Each member keeps one outgoing connection to each peer for messages and a second
+// one for snapshots, so that heartbeats never wait behind a snapshot. Delivery is best
+// effort: queues are bounded and drop their oldest messages, since Raft resends what was
+// lost. Notices, which need no consensus, share the connection of the messages; their
+// sender must resend its full state when a connection is established.
 package peer
 
 import (
@@ -13,42 +12,42 @@
 	"github.com/pkg/errors"
 )
 
-// Protocol is the preface of the connections between members.
+// Protocol identifies the protocol between members in the connection preface.
 var Protocol = frame.Protocol{ID: 1, Version: 2}
 
-// Errors of a handshake.
+// Handshake errors.
 var (
-	// ErrWrongGroup says that the other side belongs to another group.
-	ErrWrongGroup = errors.New("peer: other side belongs to another group")
-	// ErrWrongMember says that the address belongs to another member by now, for
-	// example because that machine lost its disk.
+	// ErrWrongGroup reports that the remote end belongs to another group.
+	ErrWrongGroup = errors.New("peer: remote end belongs to another group")
+	// ErrWrongMember reports that the address now belongs to another member, for
+	// example because the machine lost its disk.
 	ErrWrongMember = errors.New("peer: address belongs to another member")
-	// ErrHandshake says that the other side broke the protocol.
+	// ErrHandshake reports that the remote end violated the protocol.
 	ErrHandshake = errors.New("peer: invalid handshake")
 )
 
 // Kinds of frames.
 const (
-	frameHello      frame.Kind = iota + 1 // first frame of the connecting side
-	frameWelcome                          // its answer
+	frameHello      frame.Kind = iota + 1 // first frame from the connecting side
+	frameWelcome                          // reply to the hello
 	frameMessage                          // one encoded raft.Message
-	frameChunk                            // a piece of a message
-	frameFinalChunk                       // the last piece of a message
+	frameChunk                            // part of a message
+	frameFinalChunk                       // last part of a message
 	framePing
 	framePong
-	frameNotice // what members tell each other beside the agreement
+	frameNotice // data exchanged between members outside of Raft
 )
 
-// lane tells what a connection is for.
+// lane identifies the purpose of a connection.
 type lane uint8
 
 const (
 	laneMessages lane = iota + 1
 	laneSnapshots
-	laneProbe // asks who is there, and ends
+	laneProbe // only exchanges the handshake, to identify the remote member
 )
 
-// verdict is the answer to a hello.
+// verdict is the result of checking a hello.
 type verdict uint8
 
 const (
@@ -57,9 +56,11 @@
 	verdictWrongMember
 )
 
+// handshakeBytes is the maximum payload size of a handshake frame.
 const handshakeBytes = 64
 
-// hello names the group, the sender and the member that the sender means to reach.
+// hello identifies the group, the sender and the member that the sender expects at the
+// address.
 type hello struct {
 	group    uint64
 	sender   raft.MemberID
@@ -88,12 +89,13 @@
 		return hello{}, errors.Wrap(ErrHandshake, err.Error())
 	}
 	if h.lane < laneMessages || h.lane > laneProbe {
-		return hello{}, errors.Wrapf(ErrHandshake, "lane %d", h.lane)
+		return hello{}, errors.Wrapf(ErrHandshake, "unknown lane %d", h.lane)
 	}
 	return h, nil
 }
 
-// welcome answers a hello; it names the answering side also when it refuses.
+// welcome is the reply to a hello. It identifies the replying member even if it is a
+// refusal.
 type welcome struct {
 	verdict     verdict
 	group       uint64
@@ -124,7 +126,7 @@
 	return w, nil
 }
 
-// err returns the refusal as an error.
+// err returns the error for a refusal, or nil.
 func (w welcome) err() error {
 	switch w.verdict {
 	case verdictAccepted:
@@ -134,10 +136,10 @@
 	case verdictWrongMember:
 		return errors.Wrapf(ErrWrongMember, "member %x", w.member)
 	}
-	return errors.Wrapf(ErrHandshake, "verdict %d", w.verdict)
+	return errors.Wrapf(ErrHandshake, "unknown verdict %d", w.verdict)
 }
 
-// judge decides on a hello.
+// judge checks a hello.
 func (t *Transport) judge(h hello) verdict {
 	if h.group != t.config.Group {
 		return verdictWrongGroup
--- a/connection/peer/queue.go
+++ b/connection/peer/queue.go
@@ -6,18 +6,19 @@
 	"github.com/landingtrail/landingtrail/process/raft"
 )
 
-// maxNotices bounds the notices that wait for one connection.
+// maxNotices is the maximum number of queued notices per connection.
 const maxNotices = 64
 
-// messageOverhead is about what a message takes besides its entries, in bytes.
+// messageOverhead is the approximate size of a message without its entries, in bytes.
 const messageOverhead = 128
 
-// queue holds what waits for one connection: messages, bounded by number and bytes. When it
-// is full the oldest make room: the newest say most about the sender's state.
+// queue holds the outgoing messages and notices of one connection. Messages are limited by
+// number and bytes. When the queue is full, the oldest are dropped, since the newest
+// describe the sender's state best.
 type queue struct {
 	maxMessages int
 	maxBytes    int
-	wake        chan struct{} // has room for one signal
+	wake        chan struct{} // buffered channel of capacity 1
 
 	mutex    sync.Mutex
 	messages []raft.Message
@@ -29,7 +30,7 @@
 	return &queue{maxMessages: maxMessages, maxBytes: maxBytes, wake: make(chan struct{}, 1)}
 }
 
-// put adds the message and returns how many others were dropped for it.
+// put adds the message and returns the number of messages dropped to make room for it.
 func (q *queue) put(message raft.Message) int {
 	q.mutex.Lock()
 	q.messages = append(q.messages, message)
@@ -46,7 +47,8 @@
 	return dropped
 }
 
-// notify adds a notice; the oldest makes room.
+// notify adds a notice and drops the oldest one if there are too many. It returns the
+// number of notices dropped.
 func (q *queue) notify(payload []byte) (dropped int) {
 	q.mutex.Lock()
 	q.notices = append(q.notices, payload)
@@ -68,7 +70,7 @@
 	return notices
 }
 
-// rouse wakes the sender; calls coalesce.
+// rouse wakes the sender. Multiple calls coalesce.
 func (q *queue) rouse() {
 	select {
 	case q.wake <- struct{}{}:
@@ -85,6 +87,7 @@
 	return messages
 }
 
+// messageSize returns the approximate size of a message in bytes.
 func messageSize(message raft.Message) int {
 	size := messageOverhead
 	for _, entry := range message.Entries {
@@ -96,7 +99,7 @@
 	return size
 }
 
-// signal wakes the sender if anything is waiting.
+// signal wakes the sender if anything is queued.
 func (q *queue) signal() {
 	q.mutex.Lock()
 	waiting := len(q.messages) > 0 || len(q.notices) > 0
--- a/connection/peer/transport.go
+++ b/connection/peer/transport.go
@@ -12,7 +12,7 @@
 	"github.com/pkg/errors"
 )
 
-// Defaults of Config.
+// Default values of Config.
 const (
 	DefaultQueueMessages    = 1024
 	DefaultQueueBytes       = 16 << 20
@@ -25,23 +25,23 @@
 	DefaultPingInterval     = 500 * time.Millisecond
 	DefaultAnswerTimeout    = 2 * time.Second
 	DefaultMinBackoff       = 20 * time.Millisecond
-	// DefaultMaxBackoff is how late a member may notice another one that is back: a quarter
-	// of the default election timeout.
+	// DefaultMaxBackoff limits how long it takes to reconnect to a member that is back: a
+	// quarter of the default election timeout.
 	DefaultMaxBackoff = 250 * time.Millisecond
 )
 
-// EventKind tells what happened to a connection.
+// EventKind is the type of a connection event.
 type EventKind uint8
 
-// Kinds of events.
+// Types of connection events.
 const (
-	EventConnected    EventKind = iota + 1 // an outgoing connection is up
-	EventDisconnected                      // an outgoing connection ended
-	EventRefused                           // the other side refused the handshake
+	EventConnected    EventKind = iota + 1 // an outgoing connection was established
+	EventDisconnected                      // an outgoing connection ended or could not be established
+	EventRefused                           // the remote end refused the handshake or violated the protocol
 	EventRejected                          // an incoming connection was refused; Member may be None
 )
 
-// Event tells of a change that an operator may want to see in the log.
+// Event is a connection event that operators may want to see in the log.
 type Event struct {
 	Kind    EventKind
 	Member  raft.MemberID
@@ -49,38 +49,39 @@
 	Err     error
 }
 
-// Config holds what a Transport is created with. Zero limits and durations stand
-// for the defaults.
+// Config configures a Transport. Zero limits and durations select the defaults.
 type Config struct {
 	Group    uint64
 	ID       raft.MemberID
 	Listener net.Listener // owned by the Transport from New on
 
-	QueueMessages    int    // messages waiting for one peer
-	QueueBytes       int    // encoded bytes waiting for one peer
-	MaxMessageBytes  uint32 // larger messages are refused by the receiver
-	MaxSnapshotBytes int    // larger snapshots are refused by the receiver
-	MaxConnections   int    // incoming connections at a time
+	QueueMessages    int    // maximum number of messages queued per connection
+	QueueBytes       int    // maximum approximate size of the messages queued per connection
+	MaxMessageBytes  uint32 // the receiver rejects larger messages
+	MaxSnapshotBytes int    // the receiver rejects larger snapshots
+	MaxConnections   int    // maximum number of concurrent incoming connections
 
-	// ConnectTimeout bounds one try to connect. A machine without power says nothing, and
-	// the first packet to one that comes up meanwhile is lost: what a member is to answer
-	// to it waits until the next try. It must be longer than a round trip.
+	// ConnectTimeout limits one attempt to connect. A machine without power does not
+	// respond, and if it comes up during an attempt, the first packet is already lost:
+	// the member is reached only with the next attempt. The timeout must be longer than
+	// a round trip.
 	ConnectTimeout   time.Duration
 	HandshakeTimeout time.Duration
 	WriteTimeout     time.Duration
 	PingInterval     time.Duration
-	AnswerTimeout    time.Duration // without an answer for so long the connection is closed
+	AnswerTimeout    time.Duration // with PingInterval, the time without a pong or ping after which a connection is closed
 	MinBackoff       time.Duration
 	MaxBackoff       time.Duration
 
-	// Initialized tells probes whether this member holds a group's log; nil
-	// stands for no.
+	// Initialized tells probes whether this member has a group's log; nil means that
+	// it has none.
 	Initialized func() bool
-	// OnEvent is called with connection events; it must not block. May be nil.
+	// OnEvent is called with connection events. It must not block and may be nil.
 	OnEvent func(Event)
-	// OnNotice is called with each notice of another member; it must not block. May be nil.
+	// OnNotice is called with each notice from another member. It must not block and may
+	// be nil.
 	OnNotice func(from raft.MemberID, payload []byte)
-	// Dial opens a connection; a plain TCP dial when nil.
+	// Dial opens a connection. Nil selects a plain TCP dial.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 }
 
@@ -116,16 +117,16 @@
 	return dialer.DialContext(ctx, "tcp", address)
 }
 
-// Stats counts messages since New.
+// Stats counts messages and notices since New.
 type Stats struct {
 	Sent     uint64 // written to a connection
-	Dropped  uint64 // lost by a full queue, a broken connection or an unknown receiver
+	Dropped  uint64 // dropped because of a full queue, a broken connection or an unknown receiver
 	Received uint64
 }
 
 type counters struct{ sent, dropped, received atomic.Uint64 }
 
-// Transport sends to and receives from the peers of one member.
+// Transport sends messages to and receives messages from the peers of one member.
 type Transport struct {
 	config  Config
 	receive func(raft.Message)
@@ -140,16 +141,15 @@
 
 	inboundMutex sync.Mutex
 	inbound      map[net.Conn]inbound
-	accepted     uint64 // connections so far
+	accepted     uint64 // number of connections accepted so far
 }
 
-// New starts a Transport that accepts connections on the listener and hands each
-// received message to receive, which is called by several goroutines and must
-// not block.
+// New starts a Transport that accepts connections on the listener and passes each
+// received message to receive, which is called concurrently and must not block.
 func New(config Config, receive func(raft.Message)) (*Transport, error) {
 	config.setDefaults()
 	if config.ID == raft.None || config.Listener == nil {
-		return nil, errors.New("peer: config needs an ID and a listener")
+		return nil, errors.New("peer: Config requires ID and Listener")
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	t := &Transport{
@@ -167,7 +167,7 @@
 // Address returns the address that the Transport accepts connections on.
 func (t *Transport) Address() net.Addr { return t.config.Listener.Addr() }
 
-// Stats returns the counts so far.
+// Stats returns the current message counts.
 func (t *Transport) Stats() Stats {
 	return Stats{
 		Sent:     t.count.sent.Load(),
@@ -176,8 +176,8 @@
 	}
 }
 
-// SetPeers replaces the addresses of the peers. Messages to others are dropped.
-// An entry for the member itself is ignored.
+// SetPeers replaces the addresses of the peers. Messages to other members are dropped. An
+// entry for the member itself is ignored.
 func (t *Transport) SetPeers(peers map[raft.MemberID]string) {
 	t.linkMutex.Lock()
 	defer t.linkMutex.Unlock()
@@ -198,8 +198,8 @@
 	}
 }
 
-// Send queues the messages for their receivers and returns at once. Entries and
-// snapshots of the messages must not be written to afterwards.
+// Send queues the messages for their receivers without blocking. The entries and snapshots
+// of the messages must not be modified afterwards.
 func (t *Transport) Send(messages []raft.Message) {
 	t.linkMutex.RLock()
 	defer t.linkMutex.RUnlock()
@@ -213,7 +213,7 @@
 	}
 }
 
-// Notify queues a notice for each peer and returns at once. The payload must not be written to
+// Notify queues a notice for each peer without blocking. The payload must not be modified
 // afterwards.
 func (t *Transport) Notify(payload []byte) {
 	t.linkMutex.RLock()
@@ -223,7 +223,7 @@
 	}
 }
 
-// NotifyOne is Notify for one peer alone.
+// NotifyOne is like Notify for a single peer.
 func (t *Transport) NotifyOne(payload []byte, member raft.MemberID) {
 	t.linkMutex.RLock()
 	defer t.linkMutex.RUnlock()
@@ -232,8 +232,8 @@
 	}
 }
 
-// Close ends all connections and waits for the Transport's goroutines. Receive is
-// not called after Close has returned.
+// Close closes all connections and waits for the Transport's goroutines. The receive
+// function is not called after Close has returned.
 func (t *Transport) Close() error {
 	t.cancel()
 	t.linkMutex.Lock()
--- a/connection/singleuse/client.go
+++ b/connection/singleuse/client.go
@@ -1,10 +1,11 @@
-// Package singleuse makes HTTP clients that open a connection for each call.
+// Package singleuse provides HTTP clients that open a new connection for each request.
 //
-// On a kept connection an answer is known as a call's own only by its place: the
-// next that comes. One answer too many of the other side, once the next call was
-// written, is then taken for the answer to it, and each later one stands a place
-// behind. The first answer on a new connection can belong to no other call. So
-// these clients are for protocols whose answers do not name what they answer.
+// On a persistent connection a response is matched to its request only by order. If
+// the server sends one response too many after the next request was written, that
+// response is taken for the next request's, and every later response is off by one.
+// The first response on a new connection can belong to no other request. These
+// clients are therefore meant for protocols whose responses do not identify their
+// request.
 package singleuse
 
 import (
@@ -15,21 +16,22 @@
 )
 
 const (
-	// maxHeaderBytes bounds the head of an answer.
+	// maxHeaderBytes limits the size of a response header.
 	maxHeaderBytes = 64 << 10
-	// dialTimeout bounds the opening of a connection where the caller does not.
+	// dialTimeout limits connecting when the caller passes no Dial function.
 	dialTimeout = 5 * time.Second
 )
 
-// Dial opens the connection of one call.
+// Dial opens the connection for one request.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// NewClient returns a client whose connections dial opens; nil uses a net.Dialer.
-// A dial must end by itself: it goes on when its call is given up.
-// Each call says that its connection ends with it. A server that answers before it has
-// read a long body may reset the connection then, so long bodies are not for these clients.
-// The client sends no call again by itself, follows no redirect, since a call is
-// meant for the address that it was given, and uses no proxy.
+// NewClient returns a client that opens its connections with dial; nil uses a net.Dialer.
+// dial must have its own timeout, since it continues after its request is abandoned.
+//
+// Each request carries "Connection: close". A server that responds before it has read
+// a long body may then reset the connection, so these clients are unsuitable for long
+// bodies. The client never retries a request, uses no proxy, and follows no redirects,
+// since a request is meant only for the address it was sent to.
 func NewClient(dial Dial) *http.Client {
 	if dial == nil {
 		dialer := net.Dialer{Timeout: dialTimeout}
--- a/connection/singleuse/client_test.go
+++ b/connection/singleuse/client_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// get returns the status and body of one answer.
+// get sends a GET request and returns the status and body of the response.
 func get(t *testing.T, client *http.Client, address string) (int, string) {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+address+"/", nil)
@@ -28,9 +28,9 @@
 	return response.StatusCode, string(body)
 }
 
-// Seen: a call returns the answer to another one. It comes about on a kept connection
-// on which the other side sends an answer too many once the next call was written.
-// Proof: each call is answered with its own number, and must return that.
+// A request must not return the response to another one. This happens on a persistent
+// connection when the server sends a surplus response after the next request was
+// written. The server numbers its responses, and each request must get its own number.
 func TestEachCallGetsItsOwnAnswer(t *testing.T) {
 	var calls atomic.Int32
 	server, err := surplus.Start(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/connection/upstream/conn.go
+++ b/connection/upstream/conn.go
@@ -10,19 +10,19 @@
 // ErrSealed is returned by writes to a sealed connection.
 var ErrSealed = errors.New("connection sealed")
 
-// trackedConn knows whether any byte was handed to the operating system since
-// the last mark. It is exact where httptrace is not: the transport buffers
-// headers, so WroteHeaders can come before or after the first byte.
+// trackedConn records whether any byte was passed to the operating system since the last
+// call of mark. httptrace cannot tell this exactly: the transport buffers headers, so
+// WroteHeaders may be called before or after the first byte is written.
 type trackedConn struct {
 	net.Conn
 	lock      sync.Mutex
-	exchanges int // that were given the connection
+	exchanges int // number of exchanges that used the connection
 	wrote     bool
 	sealed    bool
 }
 
-// Write marks the connection as written before it writes, so that a write that
-// races with seal is either seen or never happens.
+// Write records the write before it happens, so that a write that races with seal is either
+// reported by seal or never happens.
 func (c *trackedConn) Write(data []byte) (int, error) {
 	c.lock.Lock()
 	if c.sealed {
@@ -34,7 +34,7 @@
 	return c.Conn.Write(data)
 }
 
-// mark starts a new request on the connection and returns its number.
+// mark starts a new exchange on the connection and returns its number.
 func (c *trackedConn) mark() int {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -43,9 +43,9 @@
 	return c.exchanges
 }
 
-// retire seals the connection unless it was given to a later request than the
-// number-th: Transport offers it to others before the caller sees the end of
-// the body, and that request's own answer decides what the connection is worth.
+// retire closes the connection, unless a later exchange than the given one uses it already:
+// Transport makes it available to others before the caller sees the end of the body. In
+// that case the response to the later exchange decides whether it stays open.
 func (c *trackedConn) retire(number int) {
 	c.lock.Lock()
 	current := c.exchanges == number
@@ -54,17 +54,17 @@
 	}
 	c.lock.Unlock()
 	if current {
-		_ = c.Conn.Close() // the connection is of no use any more
+		_ = c.Conn.Close() // the connection is not used any more
 	}
 }
 
-// seal forbids any further write, closes the connection and reports whether a
-// byte was written since the mark.
+// seal prevents further writes, closes the connection and reports whether a byte was written
+// since the last call of mark.
 func (c *trackedConn) seal() bool {
 	c.lock.Lock()
 	c.sealed = true
 	wrote := c.wrote
 	c.lock.Unlock()
-	_ = c.Conn.Close() // the connection is of no use any more
+	_ = c.Conn.Close() // the connection is not used any more
 	return wrote
 }
--- a/connection/upstream/event.go
+++ b/connection/upstream/event.go
@@ -10,23 +10,23 @@
 
 // Errors of an EventReader.
 var (
-	// ErrCut means that the stream ended without its terminal event.
+	// ErrCut reports that the stream ended without its terminal event.
 	ErrCut = errors.New("stream ended without its terminal event")
-	// ErrEventTooLarge means that an event is longer than the bound.
+	// ErrEventTooLarge reports an event larger than the limit.
 	ErrEventTooLarge = errors.New("stream event too large")
-	// ErrAfterTerminal means that bytes came after the terminal event.
+	// ErrAfterTerminal reports data after the terminal event.
 	ErrAfterTerminal = errors.New("bytes after the terminal event")
 )
 
-// terminal is the data of the event that ends a whole stream.
+// terminal is the data of the event that ends a complete stream.
 var terminal = []byte("[DONE]")
 
-// DefaultMaxEvent is the default bound of one event in bytes.
+// DefaultMaxEvent is the default size limit of an event in bytes.
 const DefaultMaxEvent = 256 << 10
 
 // Event is one server-sent event.
 type Event struct {
-	Name string // empty for a plain message
+	Name string // empty if the event has no name
 	Data []byte // valid until the next call of Next
 }
 
@@ -39,7 +39,8 @@
 	line   []byte
 }
 
-// NewEventReader reads events of at most limit bytes; 0 means DefaultMaxEvent.
+// NewEventReader returns a reader of events of at most limit bytes; 0 selects
+// DefaultMaxEvent.
 func NewEventReader(source io.Reader, limit int) *EventReader {
 	if limit <= 0 {
 		limit = DefaultMaxEvent
@@ -47,8 +48,8 @@
 	return &EventReader{reader: bufio.NewReaderSize(source, defaultBufferSize), limit: limit}
 }
 
-// Next returns the next event, io.EOF after the terminal event, ErrCut when
-// the stream ends before it, or the error of the source.
+// Next returns the next event. It returns io.EOF after the terminal event, ErrCut if the
+// stream ends before it, or the error of the source.
 func (r *EventReader) Next() (Event, error) {
 	var event Event
 	r.data = r.data[:0]
@@ -65,7 +66,7 @@
 			continue
 		}
 		if len(r.data) == 0 {
-			event = Event{} // a comment, or a lone separator
+			event = Event{} // a comment, or an empty event
 			continue
 		}
 		event.Data = r.data
@@ -76,7 +77,7 @@
 	}
 }
 
-// finish reads to the end of the stream, so that the connection can be used again.
+// finish reads to the end of the stream, so that the connection can be reused.
 func (r *EventReader) finish() error {
 	for {
 		next, err := r.reader.ReadByte()
@@ -92,6 +93,7 @@
 	}
 }
 
+// field adds the field in line to the current event.
 func (r *EventReader) field(line []byte, event *Event) {
 	name, value, _ := bytes.Cut(line, []byte(":"))
 	value = bytes.TrimPrefix(value, []byte(" "))
@@ -106,7 +108,8 @@
 	}
 }
 
-// readLine returns the next line without its end; it is valid until the next call.
+// readLine returns the next line without its line terminator. It is valid until the next
+// call.
 func (r *EventReader) readLine() ([]byte, error) {
 	r.line = r.line[:0]
 	for {
--- a/connection/upstream/identity.go
+++ b/connection/upstream/identity.go
@@ -10,22 +10,22 @@
 	"github.com/landingtrail/landingtrail/connection/engineapi"
 )
 
-// ErrForeign means that an answer or a stream event belongs to another request,
-// attempt or incarnation than the one that was asked for, or that an answer on
-// a kept connection does not say to which it belongs.
-var ErrForeign = errors.New("answer of another run")
+// ErrForeign reports a response or stream event that belongs to another request, attempt
+// or incarnation than the expected one, or a response on a reused connection that does
+// not identify its request.
+var ErrForeign = errors.New("response or event belongs to another request")
 
-// Identity names one exchange: what is sent carries it and the answer echoes it.
+// Identity identifies one exchange. It is sent with the request and echoed in the response.
 type Identity struct {
-	RequestID string // never used for another exchange, unless Attempt differs
-	Attempt   uint32 // 0 for a call that has no attempts: none is sent
-	// Incarnation is that of a stream's events; 0 takes that of the first one.
-	// Heads are not held against it: an engine that started anew refuses by
-	// an answer that names its new incarnation.
+	RequestID string // unique to the exchange together with Attempt
+	Attempt   uint32 // 0 for a call without attempts; no attempt header is sent then
+	// Incarnation is the expected incarnation of stream events; 0 accepts that of the
+	// first event. Response headers are not checked against it, since an engine that
+	// has restarted refuses requests with its new incarnation in the response.
 	Incarnation uint64
 }
 
-// put names the identity in the header of a request.
+// put sets the identity in a request header.
 func (i *Identity) put(header http.Header) {
 	header.Set(engineapi.HeaderRequestID, i.RequestID)
 	header.Del(engineapi.HeaderAttempt)
@@ -34,7 +34,7 @@
 	}
 }
 
-// attempt is the attempt as headers name it.
+// attempt returns the attempt as it appears in headers, empty if there is none.
 func (i *Identity) attempt() string {
 	if i.Attempt == 0 {
 		return ""
@@ -42,16 +42,16 @@
 	return strconv.FormatUint(uint64(i.Attempt), 10)
 }
 
-// echo is what an answer says of the exchange that it belongs to.
+// echo classifies the identity in a response header.
 type echo uint8
 
 const (
-	echoWhole   echo = iota + 1 // names this exchange
-	echoMissing                 // names none, or its request without the attempt
-	echoOther                   // names another one
+	echoWhole   echo = iota + 1 // identifies this exchange
+	echoMissing                 // identifies no exchange, or only the request or the attempt
+	echoOther                   // identifies another exchange
 )
 
-// echoed compares the answer's header with the identity.
+// echoed compares a response header with the identity.
 func (i *Identity) echoed(header http.Header) echo {
 	id, attempt := header.Get(engineapi.HeaderRequestID), header.Get(engineapi.HeaderAttempt)
 	switch {
@@ -63,11 +63,11 @@
 	return echoMissing
 }
 
-// maxEchoingHosts bounds what a hostSet holds.
+// maxEchoingHosts is the maximum size of a hostSet.
 const maxEchoingHosts = 1 << 14
 
-// hostSet is the hosts whose last answer echoed its request's identity. To
-// forget one is always safe: it costs a connection.
+// hostSet holds the hosts whose last response echoed the identity of its request. Removing
+// a host is always safe and only costs an extra connection.
 type hostSet struct {
 	lock  sync.RWMutex
 	hosts map[string]struct{}
--- a/connection/upstream/identity_test.go
+++ b/connection/upstream/identity_test.go
@@ -20,15 +20,15 @@
 	"github.com/landingtrail/landingtrail/lab/surplus"
 )
 
-// surplusServer echoes the identity and the body of requests. On a connection that has
-// served another request it first sends wrong, an answer that belongs to none.
+// surplusServer echoes the identity and the body of requests. On a reused connection it first
+// sends wrong, a response that belongs to no request.
 type surplusServer struct{ *surplus.Server }
 
 func newSurplusServer(t *testing.T, wrong string) *surplusServer {
 	t.Helper()
 	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		engineapi.EchoCall(w.Header(), r.Header)
-		_, _ = io.Copy(w, r.Body) // a cut request ends its connection
+		_, _ = io.Copy(w, r.Body) // a truncated request ends its connection
 	})
 	server, err := surplus.Start(handler, func([]byte) []byte { return []byte(wrong) })
 	must.NoError(t, err)
@@ -36,7 +36,7 @@
 	return &surplusServer{server}
 }
 
-// ask sends the number-th request and returns the answer's body.
+// ask sends a request with the given number and returns the response body.
 func (s *surplusServer) ask(t *testing.T, pool *Pool, number int) (string, error) {
 	t.Helper()
 	body := strconv.Itoa(number)
@@ -52,10 +52,10 @@
 	return string(read), nil
 }
 
-// TestSurplusAnswerIsForeign: the answer to another request was returned as that
-// to the next one on its connection, since Transport takes what comes next for
-// it. Proof: each answer that Do returns is the request's own, each wrong one
-// ends as a failure after writing, and its connection is never used again.
+// Transport takes the next response on a connection for that to the current request, so the
+// response to another request was returned. Each response that Do returns must be the
+// request's own. A wrong one must be a failure with Wrote set, and its connection must not
+// be reused.
 func TestSurplusAnswerIsForeign(t *testing.T) {
 	name := func(id, attempt string) http.Header {
 		header := http.Header{}
@@ -101,8 +101,8 @@
 	}
 }
 
-// TestKeptConnectionsOfAnEchoingHost: after the first answer one connection
-// carries all requests.
+// After the first response of a host that echoes identities, one connection must carry all
+// further requests.
 func TestKeptConnectionsOfAnEchoingHost(t *testing.T) {
 	server := newSurplusServer(t, "")
 	pool := NewPool(Config{})
@@ -115,8 +115,8 @@
 	must.Eq(t, 2, server.Accepted())
 }
 
-// TestHostWithoutEchoIsServed: a host that names no identity is asked over a
-// connection for each request; its refusals prove nothing.
+// A host that does not echo identities gets a new connection for each request, and its
+// refusals must not count as certain.
 func TestHostWithoutEchoIsServed(t *testing.T) {
 	var conns atomic.Int32
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -182,8 +182,8 @@
 	must.False(t, set.has(strconv.Itoa(maxEchoingHosts)))
 }
 
-// forgetfulServer echoes the identity of all requests but one. It returns its
-// URL and, for each connection, the numbers of the requests that came on it.
+// forgetfulServer starts a server that echoes the identity of all requests but one. It returns
+// its URL and a function that returns the request numbers by connection.
 func forgetfulServer(t *testing.T, forgets int32, status int) (url string, perConn func() map[string][]int32) {
 	t.Helper()
 	var served atomic.Int32
@@ -210,10 +210,10 @@
 	}
 }
 
-// TestFirstAnswerOnANewConnectionIsOwn: a host that stopped echoing failed also
-// requests whose connection had carried nothing else, so that no other answer
-// could come on it. Proof: the second request, the first on a kept connection,
-// gets its answer without an echo, and no other request goes over its connection.
+// When a host stopped echoing identities, requests failed even on connections that had carried
+// no other request, where no other response can arrive. The second request, which is the
+// first on a persistent connection, must get its response without an echo, and its connection
+// must not be reused.
 func TestFirstAnswerOnANewConnectionIsOwn(t *testing.T) {
 	const forgotten = 2
 	for _, status := range []int{http.StatusOK, http.StatusNoContent} {
@@ -235,15 +235,15 @@
 				alone = alone || slices.Equal(numbers, []int32{forgotten})
 				last = max(last, len(numbers))
 			}
-			must.True(t, alone, must.Sprint("the connection without an echo was used again"))
-			must.Eq(t, requests-forgotten-1, last, must.Sprint("the connections with an echo are kept"))
+			must.True(t, alone, must.Sprint("the connection without an echo was reused"))
+			must.Eq(t, requests-forgotten-1, last, must.Sprint("connections with an echo were not reused"))
 		})
 	}
 }
 
-// TestHostIsForgottenAfterAMissingEcho: a host that stopped echoing went on being
-// asked over kept connections, where each answer without a name is a failure.
-// Proof: one request fails, and the host is then no longer one that echoes.
+// A host that had stopped echoing identities was still sent requests on reused connections,
+// where each response without an identity is a failure. Only one request may fail; after it
+// the host must no longer count as echoing.
 func TestHostIsForgottenAfterAMissingEcho(t *testing.T) {
 	const echoed, requests = 4, 10
 	var served atomic.Int32
@@ -267,6 +267,6 @@
 		}
 		drain(t, response)
 	}
-	must.Eq(t, 1, failed, must.Sprint("only the answer on the kept connection"))
+	must.Eq(t, 1, failed, must.Sprint("only the response on the reused connection may fail"))
 	must.False(t, pool.echoing.has(strings.TrimPrefix(server.URL, "http://")))
 }
--- a/connection/upstream/stream.go
+++ b/connection/upstream/stream.go
@@ -12,35 +12,36 @@
 
 // Errors of a Stream.
 var (
-	// ErrMalformed means that an event is no StreamEvent.
+	// ErrMalformed reports an event that is not a valid StreamEvent.
 	ErrMalformed = errors.New("malformed stream event")
-	// ErrEngine means that the engine ended the stream with an error event.
+	// ErrEngine reports that the engine ended the stream with an error event.
 	ErrEngine = errors.New("engine ended the stream with an error")
 )
 
-// eventNameError is the name of an error event in a stream.
+// eventNameError is the name of error events.
 const eventNameError = "error"
 
 // Frame is one verified event of a run.
 type Frame struct {
 	Data   []byte // the event as the engine sent it; valid until the next call of Next
 	Event  engineapi.StreamEvent
-	Tokens int // tokens in the event: one word is one token
+	Tokens int // number of tokens in the event, where each word counts as one token
 }
 
-// Stream reads the events of one run and verifies that each belongs to it.
+// Stream reads the events of one run and verifies that each belongs to the run.
 type Stream struct {
 	events   *EventReader
 	identity Identity
 }
 
-// NewStream reads the run's events from source.
+// NewStream returns a Stream that reads the events of the run from source. Events are at
+// most limit bytes long; 0 selects DefaultMaxEvent.
 func NewStream(source io.Reader, identity Identity, limit int) *Stream {
 	return &Stream{events: NewEventReader(source, limit), identity: identity}
 }
 
-// Next returns the next frame; io.EOF after a whole stream. Any other error
-// means that the stream is of no further use.
+// Next returns the next frame, or io.EOF after a complete stream. The stream is unusable
+// after any other error.
 func (s *Stream) Next() (Frame, error) {
 	event, err := s.events.Next()
 	if err != nil {
@@ -60,9 +61,10 @@
 	return frame, nil
 }
 
-// Buffered reports whether more of the stream has arrived and is not read yet.
+// Buffered reports whether unread data of the stream has already arrived.
 func (s *Stream) Buffered() bool { return s.events.reader.Buffered() > 0 }
 
+// verify checks that the event belongs to the run.
 func (s *Stream) verify(event *engineapi.StreamEvent) error {
 	if s.identity.Incarnation == 0 {
 		s.identity.Incarnation = event.Incarnation
@@ -97,9 +99,10 @@
 	return count
 }
 
-// maxErrorMessage bounds what is kept of an engine's error.
+// maxErrorMessage limits the length of an engine's error message in bytes.
 const maxErrorMessage = 512
 
+// engineMessage returns the message of an error event, or its data if it has none.
 func engineMessage(data []byte) string {
 	var body engineapi.ErrorBody
 	if err := json.Unmarshal(data, &body); err == nil && body.Error.Message != "" {
