--- a/connection/upstream/upstream.go
+++ b/connection/upstream/upstream.go
@@ -1,14 +1,14 @@
-// Package upstream speaks HTTP to engines and back ends. It stands on
-// net/http's Transport rather than on go-zero's httpc, because the data path
-// must own what httpc decides by itself: which connections are pooled
-// together, when an answer body is read, and above all that no request is ever
-// sent twice. Transport resends a request by itself on a reused connection
-// that died if it counts as replayable; nothing here does: see guard.
+// Package upstream is the HTTP client for engines and backends. It uses http.Transport
+// instead of go-zero's httpc, because the data path must control what httpc decides by
+// itself: which connections are pooled together, when a response body is read, and above
+// all that no request is ever sent twice. Transport retries a request on a reused
+// connection that broke, if the request counts as replayable. Requests sent here never
+// do; see guard.
 //
-// Transport also takes whatever comes next on a connection for the answer to
-// the request written last. Pool.Do therefore returns an answer only with a
-// proof that it belongs to the request: the answer echoes the request's
-// identity, or its connection has carried nothing else and never will.
+// Transport also takes the next bytes on a connection for the response to the request
+// written last. Pool.Do therefore returns a response only if it provably belongs to the
+// request: either it echoes the identity of the request, or its connection has carried no
+// other request and never will.
 package upstream
 
 import (
@@ -25,7 +25,7 @@
 	"github.com/landingtrail/landingtrail/connection/engineapi"
 )
 
-// Config holds what a Pool is created with. Zero values take the defaults.
+// Config configures a Pool. Zero values select the defaults.
 type Config struct {
 	DialTimeout     time.Duration
 	IdleTimeout     time.Duration // of pooled connections
@@ -33,12 +33,12 @@
 	MaxHeaderBytes  int64
 	ReadBufferSize  int
 	WriteBufferSize int
-	// Foreign is told of each answer that is not proven to be its request's, with the
-	// address that it came from; nil for nobody.
+	// Foreign, if not nil, is called with each response that does not provably belong to
+	// its request, and the address of the server that sent it.
 	Foreign func(address string, cause error)
 }
 
-// Defaults of a Config.
+// Default values of Config.
 const (
 	DefaultDialTimeout    = time.Second
 	DefaultIdleTimeout    = 30 * time.Second
@@ -46,7 +46,7 @@
 	DefaultMaxHeaderBytes = 64 << 10
 	defaultBufferSize     = 4 << 10
 	keepAliveInterval     = 5 * time.Second
-	noIdle                = -1 // Transport closes each connection after its answer
+	noIdle                = -1 // makes Transport close each connection after its response
 )
 
 func (c Config) withDefaults() Config {
@@ -74,11 +74,11 @@
 	return c
 }
 
-// Pool is the connections of one service's lane. Pools share nothing.
+// Pool holds the connections of one lane of a service. Pools share no state.
 type Pool struct {
-	kept   *http.Transport // its connections carry one request after another
-	single *http.Transport // its connections carry one request each
-	// echoing is the hosts that the kept connections are used for.
+	kept   *http.Transport // reuses its connections
+	single *http.Transport // uses each connection for one request only
+	// echoing holds the hosts for which kept is used.
 	echoing hostSet
 	foreign func(address string, cause error)
 }
@@ -87,8 +87,9 @@
 func NewPool(config Config) *Pool {
 	config = config.withDefaults()
 	kept, single := newTransport(config), newTransport(config)
-	// Not by DisableKeepAlives: its "Connection: close" makes servers close at
-	// once, and a request body that they have not read then resets the answer.
+	// DisableKeepAlives is not used because its "Connection: close" makes servers
+	// close immediately, and a request body that they have not read then causes a
+	// connection reset before the response is read.
 	single.MaxIdleConnsPerHost = noIdle
 	return &Pool{kept: kept, single: single, foreign: config.Foreign}
 }
@@ -109,7 +110,7 @@
 		MaxResponseHeaderBytes: config.MaxHeaderBytes,
 		ReadBufferSize:         config.ReadBufferSize,
 		WriteBufferSize:        config.WriteBufferSize,
-		// The answer is passed on as the back end coded it.
+		// Responses are passed on with the content encoding chosen by the backend.
 		DisableCompression: true,
 	}
 }
@@ -120,30 +121,30 @@
 	p.single.CloseIdleConnections()
 }
 
-// strippedHeaders are never passed on. The first two would make the transport
-// take a request for replayable; the others concern one connection only.
+// strippedHeaders are never passed on. The first two would make Transport treat a request
+// as replayable; the others are hop-by-hop headers.
 var strippedHeaders = []string{
 	"Idempotency-Key", "X-Idempotency-Key",
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
 
-// StripHeaders removes the headers that must not be passed on.
+// StripHeaders removes the headers that must not be passed on to the next hop.
 func StripHeaders(header http.Header) {
 	for _, name := range strippedHeaders {
 		header.Del(name)
 	}
 }
 
-// opaqueBody hides the type of a body from net/http, so that it sets no GetBody.
+// opaqueBody hides the type of a body from net/http, so that it does not set GetBody.
 type opaqueBody struct{ io.Reader }
 
 func (opaqueBody) Close() error { return nil }
 
-// guard makes the request one that Transport does not replay: its body is not
-// nil, it has no GetBody and no idempotency header. A bodyless request gets an
-// empty body of unknown length, which Transport probes and, for the methods
-// that usually have none, sends as no body.
+// guard modifies the request so that Transport does not replay it: its body is not nil,
+// and it has no GetBody and no idempotency header. A request without a body gets an empty
+// body of unknown length, which Transport probes and, for methods that usually have
+// no body, sends as no body.
 func guard(request *http.Request) {
 	StripHeaders(request.Header)
 	request.GetBody = nil
@@ -162,19 +163,20 @@
 // guardedBody hides the methods of the caller's body.
 type guardedBody struct{ io.ReadCloser }
 
-// Exchange is one request on its way and what is known of it.
+// Exchange tracks the connections used by one request.
 type Exchange struct {
 	lock   sync.Mutex
 	conns  []heldConn
-	reused bool // the connection has carried another request before
+	reused bool // the connection had carried another request before
 }
 
-// heldConn is a connection that an exchange was given.
+// heldConn is a connection used by an exchange.
 type heldConn struct {
 	*trackedConn
-	number int // of the exchange on the connection
+	number int // number of the exchange on the connection
 }
 
+// gotConn records a connection that Transport assigned to the request.
 func (e *Exchange) gotConn(info httptrace.GotConnInfo) {
 	conn, tracked := info.Conn.(*trackedConn)
 	if !tracked {
@@ -187,15 +189,15 @@
 	e.reused = e.reused || info.Reused
 }
 
-// onReused reports whether the request went over a connection that has carried
-// another one, whose answer can therefore still come.
+// onReused reports whether the request used a connection that had carried another request,
+// a response to which may therefore still arrive.
 func (e *Exchange) onReused() bool {
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	return e.reused
 }
 
-// retire closes the exchange's connections after its answer.
+// retire closes the connections of the exchange after its response.
 func (e *Exchange) retire() {
 	e.lock.Lock()
 	defer e.lock.Unlock()
@@ -204,8 +206,8 @@
 	}
 }
 
-// abort seals every connection that the request was given and reports whether
-// a byte was written on any of them.
+// abort seals every connection that the request used and reports whether a byte was written
+// on any of them.
 func (e *Exchange) abort() bool {
 	e.lock.Lock()
 	defer e.lock.Unlock()
@@ -218,24 +220,23 @@
 	return wrote
 }
 
-// Failure is an exchange that brought no answer.
+// Failure is the error of an exchange without a response.
 type Failure struct {
-	// Wrote is false when surely no byte was written.
+	// Wrote is false only if it is certain that no byte was written.
 	Wrote bool
 	Cause error
 }
 
-// Error returns the cause's text.
+// Error returns the text of the cause.
 func (f *Failure) Error() string { return f.Cause.Error() }
 
 // Unwrap returns the cause.
 func (f *Failure) Unwrap() error { return f.Cause }
 
-// Do sends the request once, under the identity, and returns the head of its
-// answer. Redirects are answers like any other. A failure is always a *Failure;
-// its cause is ErrForeign when an answer came that is not proven to be the
-// request's. The caller closes the answer's body; a body closed before its end
-// closes the connection.
+// Do sends the request once with the identity and returns the response after reading its
+// header. Redirects are not followed. The error is always a *Failure; its cause is
+// ErrForeign if the response does not provably belong to the request. The caller must
+// close the response body. If it is closed before its end, the connection is closed.
 func (p *Pool) Do(request *http.Request, identity Identity) (*http.Response, error) {
 	exchange := &Exchange{}
 	trace := &httptrace.ClientTrace{GotConn: exchange.gotConn}
@@ -252,7 +253,7 @@
 	got := identity.echoed(response.Header)
 	p.noteEcho(host, got)
 	if err := verify(got, exchange.onReused(), &identity, response.Header); err != nil {
-		exchange.abort() // nothing on this connection can be trusted any more
+		exchange.abort() // further responses on this connection cannot be matched either
 		_ = response.Body.Close()
 		p.foreign(host, err)
 		return nil, &Failure{Wrote: true, Cause: err}
@@ -270,9 +271,9 @@
 	return p.single
 }
 
-// noteEcho notes whether the host's connections can be kept. A host that does
-// not echo pays with a connection for each request; every host pays that once,
-// since only an answer tells whether it echoes.
+// noteEcho records whether connections to the host can be reused. A host that does not echo
+// identities costs a connection for each request. Every host costs that for its first
+// request, since only a response shows whether it echoes.
 func (p *Pool) noteEcho(host string, got echo) {
 	switch got {
 	case echoWhole:
@@ -282,8 +283,8 @@
 	}
 }
 
-// verify returns ErrForeign unless the answer provably belongs to the exchange:
-// an answer without a name does on a connection that has carried nothing else.
+// verify returns ErrForeign unless the response provably belongs to the exchange. A response
+// without an identity does if its connection has carried no other request.
 func verify(got echo, reused bool, identity *Identity, header http.Header) error {
 	if got == echoWhole || got == echoMissing && !reused {
 		return nil
@@ -292,18 +293,18 @@
 		header.Get(engineapi.HeaderRequestID), header.Get(engineapi.HeaderAttempt), identity.RequestID, identity.Attempt)
 }
 
-// answerBody closes the connection at once when it is closed before its end.
-// Transport might otherwise read on to save the connection, and a cancelled
-// engine would not notice.
+// answerBody closes the connection immediately if it is closed before its end. Transport
+// might otherwise read the rest to keep the connection, and the engine would not notice
+// the cancellation.
 type answerBody struct {
 	io.ReadCloser
 	exchange *Exchange
 	ended    bool
-	retiring bool // the connection carries nothing after this body
+	retiring bool // the connection is closed after this body
 }
 
-// retireAfter keeps the connection from carrying another request; empty says
-// that the body has no bytes to be read first.
+// retireAfter closes the connection after the body, or immediately if the body is empty, so
+// that it carries no other request.
 func (b *answerBody) retireAfter(empty bool) {
 	b.retiring = true
 	if empty {
@@ -311,7 +312,7 @@
 	}
 }
 
-// Read notes the end of the body.
+// Read reads the body and records its end.
 func (b *answerBody) Read(buffer []byte) (int, error) {
 	count, err := b.ReadCloser.Read(buffer)
 	if errors.Is(err, io.EOF) {
@@ -323,7 +324,7 @@
 	return count, err
 }
 
-// Close closes the body, and its connection unless the body was read to its end.
+// Close closes the body, and also its connection unless the body was read completely.
 func (b *answerBody) Close() error {
 	switch {
 	case !b.ended:
@@ -334,10 +335,10 @@
 	return b.ReadCloser.Close()
 }
 
-// SurelyRefused reports whether the answer is an engine's explicit refusal
-// before admission. Do has compared the identity, but lets an answer without
-// one pass on a connection of its own: that is no proof of a refusal, since a
-// server may speak before it has read the request.
+// SurelyRefused reports whether the response is an engine's explicit refusal before
+// admission. It requires the identity in the response: Do has compared it, but accepts a
+// response without one on a dedicated connection. Such a response does not prove a
+// refusal, since a server may respond before it has read the request.
 func SurelyRefused(response *http.Response) bool {
 	header := response.Header
 	named := header.Get(engineapi.HeaderRequestID) != "" && header.Get(engineapi.HeaderAttempt) != ""
--- a/connection/upstream/upstream_test.go
+++ b/connection/upstream/upstream_test.go
@@ -22,10 +22,10 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testIdentity names the exchanges of the tests that need no other name.
+// testIdentity is the identity used by tests that need no specific one.
 var testIdentity = Identity{RequestID: "r1", Attempt: 1}
 
-// rawAnswer is an answer that echoes the request's identity.
+// rawAnswer returns an encoded response that echoes the request's identity.
 func rawAnswer(status string, request http.Header, body string) string {
 	head := &strings.Builder{}
 	header := http.Header{}
@@ -34,8 +34,8 @@
 	return "HTTP/1.1 " + status + "\r\n" + head.String() + "Content-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
 }
 
-// prime makes the pool keep connections to a host that echoes: the first answer
-// of each host tells whether it does.
+// prime sends a first request to the host, whose response shows the pool that the host echoes
+// identities and its connections can be reused.
 func prime(t *testing.T, pool *Pool, request *http.Request) {
 	t.Helper()
 	response, err := pool.Do(request, testIdentity)
@@ -43,11 +43,11 @@
 	drain(t, response)
 }
 
-// rudeServer answers the first request of each connection and closes the
-// connection on every later one after it has read it.
+// rudeServer serves the first request of each connection and closes the connection after
+// reading the second.
 type rudeServer struct {
 	listener net.Listener
-	later    atomic.Int32 // requests read and not answered
+	later    atomic.Int32 // requests read but not served
 	done     sync.WaitGroup
 }
 
@@ -137,8 +137,8 @@
 	}
 }
 
-// TestPlainTransportResends shows that the server above does provoke a resend:
-// with a plain transport the same exchange succeeds by being sent twice.
+// This verifies that rudeServer provokes a retry: with a plain Transport, the same exchange
+// succeeds because the request is sent twice.
 func TestPlainTransportResends(t *testing.T) {
 	server := newRudeServer(t)
 	transport := &http.Transport{}
@@ -186,7 +186,7 @@
 	var conns atomic.Int32
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		engineapi.EchoCall(w.Header(), r.Header)
-		_, _ = io.WriteString(w, "an answer that is not read whole")
+		_, _ = io.WriteString(w, "a response that is not read completely")
 	}))
 	server.Config.ConnState = func(_ net.Conn, state http.ConnState) {
 		if state == http.StateNew {
@@ -205,7 +205,7 @@
 		return response
 	}
 	drain(t, get())
-	must.Eq(t, 1, conns.Load()) // carried one request: the host was not known
+	must.Eq(t, 1, conns.Load()) // used for one request only, since the host was not known to echo
 	unread := get()
 	_, err := unread.Body.Read(make([]byte, 2))
 	must.NoError(t, err)
@@ -235,10 +235,10 @@
 	must.Eq(t, 1, requests.Load())
 }
 
-// TestUnreadBodyDoesNotResetTheAnswer: a server that answers without reading the
-// request's body closes a connection at once that is said to be of one use only,
-// and the body still on its way then resets the answer. Proof: the first POST to
-// a host, which goes over a connection of its own, gets its whole answer.
+// A server that responds without reading the request body closes the connection immediately if
+// the request has "Connection: close". The rest of the body then causes a connection reset
+// and the response is lost. The first POST to a host, which uses a dedicated connection, must
+// get its complete response.
 func TestUnreadBodyDoesNotResetTheAnswer(t *testing.T) {
 	var closing atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -262,5 +262,5 @@
 		must.Eq(t, "refused", string(body))
 		must.NoError(t, response.Body.Close())
 	}
-	must.Eq(t, 0, closing.Load(), must.Sprint("requests that ask for the end of their connection"))
+	must.Eq(t, 0, closing.Load(), must.Sprint("requests were sent with Connection: close"))
 }
