--- a/connection/exchange/conn.go
+++ b/connection/exchange/conn.go
@@ -21,59 +21,59 @@
 	reader      *bufio.Reader
 	openedAt    time.Duration // by the pool's clock
 	usableUntil time.Duration
-	// maxHead limits the total size of the headers of one response, informational
-	// responses included; headLeft is the remainder of it while inHead.
-	maxHead  int64
-	headLeft int64
-	inHead   bool
-	answered atomic.Bool // the header of the current response was read
+	// maxHeaderBytes limits the total size of the headers of one response, informational
+	// responses included; headerBytesLeft is the remainder of it while readingHeader.
+	maxHeaderBytes  int64
+	headerBytesLeft int64
+	readingHeader   bool
+	headerRead      atomic.Bool // the header of the current response was read
 }
 
 func newConn(raw net.Conn, list *idleList, maxHead int64) *conn {
-	created := &conn{Conn: raw, list: list, maxHead: maxHead}
+	created := &conn{Conn: raw, list: list, maxHeaderBytes: maxHead}
 	created.reader = bufio.NewReaderSize(created, readBufferBytes)
 	return created
 }
 
-// errHeadTooLong reports a response header larger than the limit.
-var errHeadTooLong = errors.New("exchange: response header too large")
+// errHeaderTooLarge reports a response header larger than the limit.
+var errHeaderTooLarge = errors.New("exchange: response header too large")
 
 // Read reads from the connection. While a header is read it enforces the size limit.
 func (c *conn) Read(buffer []byte) (int, error) {
-	if !c.inHead {
+	if !c.readingHeader {
 		return c.Conn.Read(buffer)
 	}
-	if c.headLeft <= 0 {
-		return 0, errHeadTooLong
+	if c.headerBytesLeft <= 0 {
+		return 0, errHeaderTooLarge
 	}
-	count, err := c.Conn.Read(buffer[:min(int64(len(buffer)), c.headLeft)])
-	c.headLeft -= int64(count)
+	count, err := c.Conn.Read(buffer[:min(int64(len(buffer)), c.headerBytesLeft)])
+	c.headerBytesLeft -= int64(count)
 	return count, err
 }
 
-func (c *conn) beginHead() { c.inHead, c.headLeft = true, c.maxHead }
+func (c *conn) beginHeader() { c.readingHeader, c.headerBytesLeft = true, c.maxHeaderBytes }
 
-func (c *conn) endHead() { c.inHead = false }
+func (c *conn) endHeader() { c.readingHeader = false }
 
-// errNoDescriptor reports a connection that has no file descriptor.
-var errNoDescriptor = errors.New("exchange: connection has no file descriptor")
+// errNoFileDescriptor reports a connection that has no file descriptor.
+var errNoFileDescriptor = errors.New("exchange: connection has no file descriptor")
 
-func (c *conn) raw() (syscall.RawConn, error) {
+func (c *conn) rawConn() (syscall.RawConn, error) {
 	system, ok := c.Conn.(syscall.Conn)
 	if !ok {
-		return nil, errNoDescriptor
+		return nil, errNoFileDescriptor
 	}
 	return system.SyscallConn()
 }
 
-// quiet reports whether the idle connection is still open and no data has arrived
+// usable reports whether the idle connection is still open and no data has arrived
 // on it. Unsolicited bytes belong to no request, so a connection that has them
 // must not be reused.
-func (c *conn) quiet() bool {
+func (c *conn) usable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
-	raw, err := c.raw()
+	raw, err := c.rawConn()
 	if err != nil {
 		return true // the socket cannot be inspected
 	}
--- a/connection/exchange/dial_test.go
+++ b/connection/exchange/dial_test.go
@@ -23,7 +23,7 @@
 // set the context's deadline on the socket and failed shortly before the context ended, so
 // the caller found the context still active and blamed the replica. With that fault, Do
 // fails here at the deadline, while the context is still active.
-func TestDialEndsNoEarlierThanItsContext(t *testing.T) {
+func TestDialFailsNoEarlierThanContextEnds(t *testing.T) {
 	hanging, err := backlog.NewFull()
 	must.NoError(t, err)
 	defer hanging.Close()
@@ -31,7 +31,7 @@
 	running, cancel := context.WithCancel(t.Context())
 	defer time.AfterFunc(100*time.Millisecond, cancel).Stop()
 	ctx := lateContext{Context: running, deadline: time.Now().Add(10 * time.Millisecond)}
-	_, err = pool.Do(ctx, hanging.Address(), get("/"))
+	_, err = pool.Do(ctx, hanging.Address(), newGet("/"))
 	var failure *Failure
 	must.True(t, errors.As(err, &failure))
 	must.True(t, failure.Connecting)
--- a/connection/exchange/exchange.go
+++ b/connection/exchange/exchange.go
@@ -69,14 +69,14 @@
 	// Foreign holds the responses to other requests that arrived first and were skipped.
 	Foreign []*ForeignAnswer
 
-	pool     *Pool
-	conn     *conn
-	body     io.ReadCloser
-	ended    bool // the body was read completely
-	lasting  bool // the connection may carry another request
-	written  *atomic.Bool
-	detach   func() bool
-	released atomic.Bool
+	pool           *Pool
+	conn           *conn
+	body           io.ReadCloser
+	bodyRead       bool // the body was read completely
+	reusable       bool // the connection may carry another request
+	requestWritten *atomic.Bool
+	stopCancel     func() bool
+	closed         atomic.Bool
 }
 
 // Do writes the request once and returns the response that matches its identity,
@@ -85,59 +85,59 @@
 // *ForeignAnswer if a response to another request arrived instead. When ctx ends,
 // the connection is closed. The caller must close the returned Answer.
 func (p *Pool) Do(ctx context.Context, address string, request *Request) (*Answer, error) {
-	used, reused, err := p.get(ctx, address, request)
+	used, reused, err := p.acquire(ctx, address, request)
 	if err != nil {
 		return nil, &Failure{Connecting: true, Cause: err}
 	}
-	if err := request.permitted(); err != nil {
+	if err := request.checkPermit(); err != nil {
 		_ = used.Conn.Close() // nothing was written on it
 		return nil, &Failure{Reused: reused, Cause: err}
 	}
-	detach := context.AfterFunc(ctx, func() { used.abandon(request) })
+	detach := context.AfterFunc(ctx, func() { used.cancel(request) })
 	written, err := p.write(used, request)
 	if err != nil {
 		detach()
 		_ = used.Conn.Close() // nothing was written on it
 		return nil, &Failure{Reused: reused, Cause: errors.WithStack(err)}
 	}
-	response, foreign, err := readOwn(used, request, reused)
+	response, foreign, err := readMatching(used, request, reused)
 	if err != nil {
 		if detach() {
-			used.endAfter(request, response)
+			used.closeAfterFailure(request, response)
 		} else {
-			used.endAbandoned(request)
+			used.closeAfterCancel(request)
 		}
 		return nil, &Failure{Sent: true, Reused: reused, Cause: errors.WithStack(err), Foreign: foreign}
 	}
-	used.answered.Store(true)
+	used.headerRead.Store(true)
 	return &Answer{
-		Status:  response.StatusCode,
-		Header:  response.Header,
-		Length:  response.ContentLength,
-		Reused:  reused,
-		Opened:  used.openedAt,
-		Foreign: foreign,
-		pool:    p,
-		conn:    used,
-		body:    response.Body,
-		lasting: !response.Close && request.sharesConnections() && len(foreign) == 0,
-		written: written,
-		detach:  detach,
+		Status:         response.StatusCode,
+		Header:         response.Header,
+		Length:         response.ContentLength,
+		Reused:         reused,
+		Opened:         used.openedAt,
+		Foreign:        foreign,
+		pool:           p,
+		conn:           used,
+		body:           response.Body,
+		reusable:       !response.Close && request.sharesConnections() && len(foreign) == 0,
+		requestWritten: written,
+		stopCancel:     detach,
 	}, nil
 }
 
-// permitted calls Permit, if set.
-func (r *Request) permitted() error {
+// checkPermit calls Permit, if set.
+func (r *Request) checkPermit() error {
 	if r.Permit == nil {
 		return nil
 	}
 	return r.Permit()
 }
 
-// directBytes is the largest request that is written before its response is read.
+// maxSyncWriteBytes is the largest request that is written before its response is read.
 // Larger requests are written concurrently with reading, since the server may
 // respond before it has read them.
-const directBytes = 4 << 10
+const maxSyncWriteBytes = 4 << 10
 
 // write sends the request. The returned flag becomes true once the request is
 // completely written. An error means that no byte was written; any other write
@@ -145,7 +145,7 @@
 func (p *Pool) write(to *conn, request *Request) (*atomic.Bool, error) {
 	data := appendRequest(nil, request)
 	written := &atomic.Bool{}
-	if len(data) <= directBytes {
+	if len(data) <= maxSyncWriteBytes {
 		count, err := to.Conn.Write(data)
 		written.Store(err == nil)
 		if count == 0 {
@@ -213,11 +213,11 @@
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
 
-// readHead reads the next response header other than informational ones.
-func readHead(from *conn, method string) (*http.Response, error) {
+// readHeader reads the next response header other than informational ones.
+func readHeader(from *conn, method string) (*http.Response, error) {
 	asked := &http.Request{Method: method}
-	from.beginHead()
-	defer from.endHead()
+	from.beginHeader()
+	defer from.endHeader()
 	for {
 		response, err := http.ReadResponse(from.reader, asked)
 		if err != nil {
@@ -234,7 +234,7 @@
 func (a *Answer) Read(buffer []byte) (int, error) {
 	count, err := a.body.Read(buffer)
 	if err == io.EOF {
-		a.ended = true
+		a.bodyRead = true
 	}
 	return count, err
 }
@@ -243,20 +243,20 @@
 // was read completely, the request was written completely, and no data follows the
 // response.
 func (a *Answer) Close() {
-	if !a.released.CompareAndSwap(false, true) {
+	if !a.closed.CompareAndSwap(false, true) {
 		return
 	}
-	undisturbed := a.detach()
+	undisturbed := a.stopCancel()
 	used := a.conn
-	if !a.ended {
-		a.drainEmpty()
+	if !a.bodyRead {
+		a.markEmptyBodyRead()
 	}
-	if !undisturbed || !a.ended || !a.lasting || !a.written.Load() || used.reader.Buffered() > 0 {
+	if !undisturbed || !a.bodyRead || !a.reusable || !a.requestWritten.Load() || used.reader.Buffered() > 0 {
 		_ = used.Conn.Close() // further data would belong to no request
 		return
 	}
 	limit := a.pool.config.IdleTimeout
-	if named, ok := keepAlive(a.Header); ok {
+	if named, ok := keepAliveTimeout(a.Header); ok {
 		limit = min(limit, named-a.pool.config.IdleMargin)
 	}
 	if limit <= 0 {
@@ -264,18 +264,18 @@
 		return
 	}
 	used.usableUntil = a.pool.config.Clock() + limit
-	a.pool.put(used)
+	a.pool.release(used)
 }
 
-// drainEmpty marks a body of length zero as read completely.
-func (a *Answer) drainEmpty() {
+// markEmptyBodyRead marks a body of length zero as read completely.
+func (a *Answer) markEmptyBodyRead() {
 	if a.Length == 0 {
-		a.ended = true
+		a.bodyRead = true
 	}
 }
 
-// keepAlive returns the idle timeout that the server announced in a Keep-Alive header.
-func keepAlive(header http.Header) (time.Duration, bool) {
+// keepAliveTimeout returns the idle timeout that the server announced in a Keep-Alive header.
+func keepAliveTimeout(header http.Header) (time.Duration, bool) {
 	for _, value := range header["Keep-Alive"] {
 		for part := range strings.SplitSeq(value, ",") {
 			name, number, _ := strings.Cut(strings.TrimSpace(part), "=")
--- a/connection/exchange/exchange_test.go
+++ b/connection/exchange/exchange_test.go
@@ -21,9 +21,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// replica is a server that runs one script for each request it reads and records the
+// scriptedServer is a server that runs one script for each request it reads and records the
 // bytes of the requests.
-type replica struct {
+type scriptedServer struct {
 	t        *testing.T
 	listener net.Listener
 	done     sync.WaitGroup
@@ -34,19 +34,19 @@
 	conns    []net.Conn
 }
 
-func newReplica(t *testing.T, scripts ...func(net.Conn)) *replica {
+func newScriptedServer(t *testing.T, scripts ...func(net.Conn)) *scriptedServer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
-	r := &replica{t: t, listener: listener, scripts: scripts}
+	r := &scriptedServer{t: t, listener: listener, scripts: scripts}
 	r.done.Go(r.accept)
 	t.Cleanup(r.close)
 	return r
 }
 
-func (r *replica) address() string { return r.listener.Addr().String() }
+func (r *scriptedServer) address() string { return r.listener.Addr().String() }
 
-func (r *replica) accept() {
+func (r *scriptedServer) accept() {
 	for {
 		conn, err := r.listener.Accept()
 		if err != nil {
@@ -59,7 +59,7 @@
 	}
 }
 
-func (r *replica) serve(conn net.Conn) {
+func (r *scriptedServer) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	var raw bytes.Buffer
 	reader := bufio.NewReader(io.TeeReader(conn, &raw))
@@ -74,25 +74,25 @@
 		if script == nil {
 			return
 		}
-		script(&echoing{Conn: conn, id: request.Header.Get(idField)})
+		script(&echoConn{Conn: conn, id: request.Header.Get(idField)})
 	}
 }
 
-// echoing is a connection that replaces the placeholder echoed by the request ID.
-type echoing struct {
+// echoConn is a connection that replaces idPlaceholder by the request ID.
+type echoConn struct {
 	net.Conn
 	id string
 }
 
-// echoed is the placeholder for the request ID in the responses of scripts.
-const echoed = "{id}"
+// idPlaceholder is the placeholder for the request ID in the responses of scripts.
+const idPlaceholder = "{id}"
 
-func (e *echoing) Write(data []byte) (int, error) {
-	_, err := e.Conn.Write(bytes.ReplaceAll(data, []byte(echoed), []byte(e.id)))
+func (e *echoConn) Write(data []byte) (int, error) {
+	_, err := e.Conn.Write(bytes.ReplaceAll(data, []byte(idPlaceholder), []byte(e.id)))
 	return len(data), err
 }
 
-func (r *replica) next(request string) func(net.Conn) {
+func (r *scriptedServer) next(request string) func(net.Conn) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.requests = append(r.requests, request)
@@ -104,13 +104,13 @@
 	return script
 }
 
-func (r *replica) received() []string {
+func (r *scriptedServer) received() []string {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	return append([]string(nil), r.requests...)
 }
 
-func (r *replica) close() {
+func (r *scriptedServer) close() {
 	_ = r.listener.Close()
 	r.lock.Lock()
 	for _, conn := range r.conns {
@@ -120,31 +120,31 @@
 	r.done.Wait()
 }
 
-// say returns a script that writes the text.
-func say(text string) func(net.Conn) {
+// respond returns a script that writes the text.
+func respond(text string) func(net.Conn) {
 	return func(conn net.Conn) { _, _ = conn.Write([]byte(text)) }
 }
 
-// sayAndClose returns a script that writes the text and closes the connection.
-func sayAndClose(text string) func(net.Conn) {
+// respondAndClose returns a script that writes the text and closes the connection.
+func respondAndClose(text string) func(net.Conn) {
 	return func(conn net.Conn) {
 		_, _ = conn.Write([]byte(text))
 		_ = conn.Close()
 	}
 }
 
-// sayAndReset returns a script that writes the text and resets the connection.
-func sayAndReset(text string) func(net.Conn) {
+// respondAndReset returns a script that writes the text and resets the connection.
+func respondAndReset(text string) func(net.Conn) {
 	return func(conn net.Conn) {
 		_, _ = conn.Write([]byte(text))
-		_ = conn.(*echoing).Conn.(*net.TCPConn).SetLinger(0)
+		_ = conn.(*echoConn).Conn.(*net.TCPConn).SetLinger(0)
 		_ = conn.Close()
 	}
 }
 
 const (
-	idField = "Id"
-	ok      = "HTTP/1.1 200 OK\r\nId: {id}\r\nContent-Length: 2\r\n\r\nok"
+	idField    = "Id"
+	okResponse = "HTTP/1.1 200 OK\r\nId: {id}\r\nContent-Length: 2\r\n\r\nok"
 )
 
 func newPool(t *testing.T) *Pool {
@@ -153,32 +153,32 @@
 	return pool
 }
 
-// get returns a GET request with a new ID.
-func get(target string) *Request {
-	return getAs(strconv.FormatUint(lastID.Add(1), 10), target)
+// newGet returns a GET request with a new ID.
+func newGet(target string) *Request {
+	return newGetWithID(strconv.FormatUint(lastID.Add(1), 10), target)
 }
 
 var lastID atomic.Uint64
 
-func getAs(id, target string) *Request {
+func newGetWithID(id, target string) *Request {
 	return &Request{Method: http.MethodGet, Target: target, Host: "a.example",
 		Header: http.Header{idField: {id}}, Identity: Identity{Field: idField, ID: id}}
 }
 
-// whole sends the request and returns the complete response body.
-func whole(t *testing.T, pool *Pool, address string, request *Request) (string, error) {
+// fetch sends the request and returns the complete response body.
+func fetch(t *testing.T, pool *Pool, address string, request *Request) (string, error) {
 	t.Helper()
-	answer, err := pool.Do(t.Context(), address, request)
+	response, err := pool.Do(t.Context(), address, request)
 	if err != nil {
 		return "", err
 	}
-	defer answer.Close()
-	body, err := io.ReadAll(answer)
+	defer response.Close()
+	body, err := io.ReadAll(response)
 	return string(body), err
 }
 
-func TestBytesArriveAsGiven(t *testing.T) {
-	server := newReplica(t, say(ok), say(ok), say(ok))
+func TestRequestIsSentAsGiven(t *testing.T) {
+	server := newScriptedServer(t, respond(okResponse), respond(okResponse), respond(okResponse))
 	pool := newPool(t)
 	cases := []struct {
 		name    string
@@ -193,17 +193,17 @@
 			"POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"},
 	}
 	for i, test := range cases {
-		_, err := whole(t, pool, server.address(), test.request)
+		_, err := fetch(t, pool, server.address(), test.request)
 		must.NoError(t, err)
 		must.Eq(t, test.want, server.received()[i], must.Sprint(test.name))
 	}
 }
 
-func TestConnectionsAreUsedAgain(t *testing.T) {
-	server := newReplica(t, say(ok), say(ok))
+func TestConnectionsAreReused(t *testing.T) {
+	server := newScriptedServer(t, respond(okResponse), respond(okResponse))
 	pool := newPool(t)
 	for range 2 {
-		body, err := whole(t, pool, server.address(), get("/"))
+		body, err := fetch(t, pool, server.address(), newGet("/"))
 		must.NoError(t, err)
 		must.Eq(t, "ok", body)
 	}
@@ -214,26 +214,26 @@
 
 // Bytes that follow a response belong to no request. The connection must not be reused,
 // whether they arrive together with the response or later.
-func TestSurplusAnswersReachNobody(t *testing.T) {
+func TestSurplusResponsesAreNotReturned(t *testing.T) {
 	const surplus = "HTTP/1.1 200 OK\r\nId: {id}\r\nContent-Length: 5\r\n\r\nother"
 	arrived := make(chan struct{})
 	late := func(conn net.Conn) {
-		_, _ = conn.Write([]byte(ok))
+		_, _ = conn.Write([]byte(okResponse))
 		<-arrived
 		_, _ = conn.Write([]byte(surplus))
 	}
-	for name, script := range map[string]func(net.Conn){"at once": say(ok + surplus), "later": late} {
+	for name, script := range map[string]func(net.Conn){"at once": respond(okResponse + surplus), "later": late} {
 		t.Run(name, func(t *testing.T) {
-			server := newReplica(t, script, say(ok))
+			server := newScriptedServer(t, script, respond(okResponse))
 			pool := newPool(t)
-			body, err := whole(t, pool, server.address(), get("/1"))
+			body, err := fetch(t, pool, server.address(), newGet("/1"))
 			must.NoError(t, err)
 			must.Eq(t, "ok", body)
 			if name == "later" {
 				close(arrived)
 				waitReadable(t, pool, server.address())
 			}
-			body, err = whole(t, pool, server.address(), get("/2"))
+			body, err = fetch(t, pool, server.address(), newGet("/2"))
 			must.NoError(t, err)
 			must.Eq(t, "ok", body)
 			server.lock.Lock()
@@ -257,7 +257,7 @@
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		pool.lock.Lock()
 		idle := idleConns(pool, address)
-		quiet := len(idle) == 1 && idle[0].quiet()
+		quiet := len(idle) == 1 && idle[0].usable()
 		pool.lock.Unlock()
 		if !quiet {
 			return
@@ -266,43 +266,43 @@
 	t.Fatal("no data arrived on the idle connection")
 }
 
-func TestBrokenAnswersAreNotWhole(t *testing.T) {
+func TestIncompleteResponsesFail(t *testing.T) {
 	cases := []struct {
 		name   string
 		script func(net.Conn)
 	}{
-		{"short", sayAndClose("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort")},
-		{"truncated chunks", sayAndClose("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n")},
-		{"no length, reset", sayAndReset("HTTP/1.1 200 OK\r\n\r\nhello")},
-		{"no HTTP", sayAndClose("hello there\r\n\r\n")},
-		{"empty", sayAndClose("")},
-		{"truncated header", sayAndClose("HTTP/1.1 200 OK\r\nContent-Le")},
+		{"short", respondAndClose("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort")},
+		{"truncated chunks", respondAndClose("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n")},
+		{"no length, reset", respondAndReset("HTTP/1.1 200 OK\r\n\r\nhello")},
+		{"no HTTP", respondAndClose("hello there\r\n\r\n")},
+		{"empty", respondAndClose("")},
+		{"truncated header", respondAndClose("HTTP/1.1 200 OK\r\nContent-Le")},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			server := newReplica(t, test.script)
-			_, err := whole(t, newPool(t), server.address(), get("/"))
+			server := newScriptedServer(t, test.script)
+			_, err := fetch(t, newPool(t), server.address(), newGet("/"))
 			must.Error(t, err)
 			must.SliceLen(t, 1, server.received(), must.Sprint("the request was written more than once"))
 		})
 	}
 }
 
-func TestAnswersWithoutALengthEndWithTheirConnection(t *testing.T) {
-	server := newReplica(t, sayAndClose("HTTP/1.1 200 OK\r\n\r\nhello"))
-	body, err := whole(t, newPool(t), server.address(), get("/"))
+func TestResponseWithoutLengthEndsWithConnection(t *testing.T) {
+	server := newScriptedServer(t, respondAndClose("HTTP/1.1 200 OK\r\n\r\nhello"))
+	body, err := fetch(t, newPool(t), server.address(), newGet("/"))
 	must.NoError(t, err)
 	must.Eq(t, "hello", body)
 }
 
-func TestInformationalAnswersArePassedOver(t *testing.T) {
-	server := newReplica(t, say("HTTP/1.1 103 Early Hints\r\n\r\n"+ok))
-	body, err := whole(t, newPool(t), server.address(), get("/"))
+func TestInformationalResponsesAreSkipped(t *testing.T) {
+	server := newScriptedServer(t, respond("HTTP/1.1 103 Early Hints\r\n\r\n"+okResponse))
+	body, err := fetch(t, newPool(t), server.address(), newGet("/"))
 	must.NoError(t, err)
 	must.Eq(t, "ok", body)
 }
 
-func TestEarlyAnswerToALongBodyIsReadAndItsConnectionNotKept(t *testing.T) {
+func TestEarlyResponseToLongBodyIsReadAndConnectionClosed(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	defer func() { _ = listener.Close() }()
@@ -316,41 +316,41 @@
 	}()
 	pool := newPool(t)
 	request := &Request{Method: "POST", Target: "/", Host: "h", Header: http.Header{}, Body: bytes.Repeat([]byte("x"), 64<<20)}
-	answer, err := pool.Do(t.Context(), listener.Addr().String(), request)
+	response, err := pool.Do(t.Context(), listener.Addr().String(), request)
 	must.NoError(t, err)
-	must.Eq(t, http.StatusRequestEntityTooLarge, answer.Status)
-	answer.Close()
+	must.Eq(t, http.StatusRequestEntityTooLarge, response.Status)
+	response.Close()
 	pool.lock.Lock()
 	must.SliceEmpty(t, idleConns(pool, listener.Addr().String()))
 	pool.lock.Unlock()
 	_ = (<-held).Close()
 }
 
-func TestFailuresSayWhetherAnythingWasSent(t *testing.T) {
+func TestFailureReportsWhetherRequestWasSent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	address := listener.Addr().String()
 	must.NoError(t, listener.Close())
-	_, err = whole(t, newPool(t), address, get("/"))
+	_, err = fetch(t, newPool(t), address, newGet("/"))
 	var failure *Failure
 	must.True(t, errors.As(err, &failure))
 	must.True(t, failure.Connecting)
 	must.False(t, failure.Sent)
 
-	server := newReplica(t, sayAndClose(""))
-	_, err = whole(t, newPool(t), server.address(), get("/"))
+	server := newScriptedServer(t, respondAndClose(""))
+	_, err = fetch(t, newPool(t), server.address(), newGet("/"))
 	must.True(t, errors.As(err, &failure))
 	must.True(t, failure.Sent)
 }
 
-func TestTheEndOfTheContextEndsTheExchange(t *testing.T) {
+func TestContextEndCancelsExchange(t *testing.T) {
 	release := make(chan struct{})
-	server := newReplica(t, func(net.Conn) { <-release })
+	server := newScriptedServer(t, func(net.Conn) { <-release })
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	pool := newPool(t)
 	go func() {
-		_, err := pool.Do(ctx, server.address(), get("/"))
+		_, err := pool.Do(ctx, server.address(), newGet("/"))
 		ended <- err
 	}()
 	for len(server.received()) == 0 {
@@ -361,19 +361,19 @@
 	close(release)
 }
 
-func TestUnreadAnswersCloseTheirConnection(t *testing.T) {
-	server := newReplica(t, say("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nbegun"))
+func TestUnreadResponseClosesConnection(t *testing.T) {
+	server := newScriptedServer(t, respond("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nbegun"))
 	pool := newPool(t)
-	answer, err := pool.Do(t.Context(), server.address(), get("/"))
+	response, err := pool.Do(t.Context(), server.address(), newGet("/"))
 	must.NoError(t, err)
-	answer.Close()
-	answer.Close()
+	response.Close()
+	response.Close()
 	pool.lock.Lock()
 	defer pool.lock.Unlock()
 	must.SliceEmpty(t, idleConns(pool, server.address()))
 }
 
-func TestConnectionsEndBeforeTheOtherSideEndsThem(t *testing.T) {
+func TestKeepAliveTimeoutLimitsReuse(t *testing.T) {
 	cases := []struct {
 		fields string
 		kept   int
@@ -385,9 +385,9 @@
 		{"", 1},
 	}
 	for _, test := range cases {
-		server := newReplica(t, say("HTTP/1.1 200 OK\r\n"+test.fields+"Content-Length: 2\r\n\r\nok"))
+		server := newScriptedServer(t, respond("HTTP/1.1 200 OK\r\n"+test.fields+"Content-Length: 2\r\n\r\nok"))
 		pool := newPool(t)
-		_, err := whole(t, pool, server.address(), get("/"))
+		_, err := fetch(t, pool, server.address(), newGet("/"))
 		must.NoError(t, err)
 		pool.lock.Lock()
 		must.SliceLen(t, test.kept, idleConns(pool, server.address()), must.Sprint(test.fields))
@@ -395,20 +395,20 @@
 	}
 }
 
-func TestIdleConnectionsAreBoundedAndDropped(t *testing.T) {
-	server := newReplica(t, say(ok), say(ok), say(ok))
+func TestIdleConnectionsAreLimitedAndDropped(t *testing.T) {
+	server := newScriptedServer(t, respond(okResponse), respond(okResponse), respond(okResponse))
 	pool := NewPool(Config{MaxIdle: 2})
 	defer pool.Close()
-	var answers []*Answer
+	var responses []*Answer
 	for range 3 {
-		answer, err := pool.Do(t.Context(), server.address(), get("/"))
+		response, err := pool.Do(t.Context(), server.address(), newGet("/"))
 		must.NoError(t, err)
-		_, err = io.ReadAll(answer)
+		_, err = io.ReadAll(response)
 		must.NoError(t, err)
-		answers = append(answers, answer)
+		responses = append(responses, response)
 	}
-	for _, answer := range answers {
-		answer.Close()
+	for _, response := range responses {
+		response.Close()
 	}
 	pool.lock.Lock()
 	must.SliceLen(t, 2, idleConns(pool, server.address()))
@@ -419,11 +419,11 @@
 	pool.lock.Unlock()
 }
 
-// FuzzAnswer checks that a response reported as complete has the length that its header
+// FuzzResponse checks that a response reported as complete has the length that its header
 // announces, and that no response is accepted without the end of its header.
-func FuzzAnswer(f *testing.F) {
-	f.Add([]byte(ok))
-	f.Add([]byte(ok + ok))
+func FuzzResponse(f *testing.F) {
+	f.Add([]byte(okResponse))
+	f.Add([]byte(okResponse + okResponse))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort"))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"))
 	f.Add([]byte("HTTP/1.1 204 No Content\r\n\r\nHTTP/1.1"))
@@ -435,7 +435,7 @@
 		}()
 		defer func() { _ = near.Close() }()
 		used := newConn(near, &idleList{}, DefaultMaxHeaderBytes)
-		response, err := readHead(used, http.MethodGet)
+		response, err := readHeader(used, http.MethodGet)
 		if err != nil {
 			return
 		}
--- a/connection/exchange/foreign.go
+++ b/connection/exchange/foreign.go
@@ -17,12 +17,12 @@
 	Header   http.Header
 }
 
-// maxNamedBytes limits how much of a request ID sent by the server is kept.
-const maxNamedBytes = 64
+// maxRecordedIDBytes limits the recorded length of a request ID sent by the server.
+const maxRecordedIDBytes = 64
 
-func newForeignAnswer(response *http.Response, identity Identity) *ForeignAnswer {
+func newUnmatchedResponse(response *http.Response, identity Identity) *ForeignAnswer {
 	answered := response.Header.Get(identity.Field)
-	return &ForeignAnswer{Answered: answered[:min(len(answered), maxNamedBytes)], Status: response.StatusCode, Header: response.Header}
+	return &ForeignAnswer{Answered: answered[:min(len(answered), maxRecordedIDBytes)], Status: response.StatusCode, Header: response.Header}
 }
 
 // Error returns a text that names the request that the response belongs to.
@@ -32,30 +32,30 @@
 
 // Limits of the responses to other requests that are skipped on one connection.
 const (
-	maxForeign      = 4
-	maxForeignBytes = 1 << 20
+	maxSkipped      = 4
+	maxSkippedBytes = 1 << 20
 )
 
-// readOwn reads response headers until one matches the request. A response to an earlier
+// readMatching reads response headers until one matches the request. A response to an earlier
 // request of the connection is a surplus one, and the request's own response follows it. The skipped responses are always returned. If no matching
 // response can follow, the error is the last skipped one, and the returned response is
 // the same one, if its body is still unread.
-func readOwn(from *conn, request *Request, reused bool) (own *http.Response, foreign []*ForeignAnswer, err error) {
+func readMatching(from *conn, request *Request, reused bool) (own *http.Response, foreign []*ForeignAnswer, err error) {
 	for {
-		response, err := readHead(from, request.Method)
+		response, err := readHeader(from, request.Method)
 		if err != nil {
 			return nil, foreign, err
 		}
-		if request.Identity.owns(response.Header, reused) {
+		if request.Identity.matches(response.Header, reused) {
 			return response, foreign, nil
 		}
-		last := newForeignAnswer(response, request.Identity)
+		last := newUnmatchedResponse(response, request.Identity)
 		foreign = append(foreign, last)
-		surplus := reused && last.Answered != "" && len(foreign) <= maxForeign
-		if !surplus || !mayBePassedOver(response) {
+		surplus := reused && last.Answered != "" && len(foreign) <= maxSkipped
+		if !surplus || !mayBeFollowed(response) {
 			return response, foreign, last
 		}
-		ended, err := passOver(response)
+		ended, err := discardBody(response)
 		if err != nil {
 			return nil, foreign, err
 		}
@@ -65,70 +65,70 @@
 	}
 }
 
-// mayBePassedOver reports whether, by its header, another response can follow this one.
-func mayBePassedOver(response *http.Response) bool {
-	return !response.Close && response.ContentLength <= maxForeignBytes
+// mayBeFollowed reports whether, by its header, another response can follow this one.
+func mayBeFollowed(response *http.Response) bool {
+	return !response.Close && response.ContentLength <= maxSkippedBytes
 }
 
-// passOver discards a body and reports whether it ended within the limit.
-func passOver(response *http.Response) (ended bool, err error) {
-	count, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxForeignBytes+1))
-	return count <= maxForeignBytes, errors.WithStack(err)
+// discardBody discards a body and reports whether it ended within the limit.
+func discardBody(response *http.Response) (ended bool, err error) {
+	count, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxSkippedBytes+1))
+	return count <= maxSkippedBytes, errors.WithStack(err)
 }
 
-// overhearTime limits how long a connection is still read after its exchange has failed
+// lateResponseTimeout limits how long a connection is still read after its exchange has failed
 // or was canceled: a replica that refuses a request responds within a few milliseconds.
 // The replica also learns by this much later that it may stop working on the request.
-const overhearTime = 50 * time.Millisecond
+const lateResponseTimeout = 50 * time.Millisecond
 
-// abandon ends an exchange whose context has ended. If the response header has not been
+// cancel ends an exchange whose context has ended. If the response header has not been
 // read yet and the caller wants late responses, it only interrupts the reader;
-// endAbandoned then reads the connection for a short time and closes it.
-func (c *conn) abandon(request *Request) {
-	if request.Overheard == nil || c.answered.Load() {
+// closeAfterCancel then reads the connection for a short time and closes it.
+func (c *conn) cancel(request *Request) {
+	if request.Overheard == nil || c.headerRead.Load() {
 		_ = c.Conn.Close()
 		return
 	}
 	_ = c.Conn.SetReadDeadline(time.Now())
 }
 
-// endAbandoned closes the connection of an exchange that was abandoned before its response
-// header arrived, after passing a header that arrives within overhearTime to Overheard.
-func (c *conn) endAbandoned(request *Request) {
+// closeAfterCancel closes the connection of an exchange that was canceled before its response
+// header arrived, after passing a header that arrives within lateResponseTimeout to Overheard.
+func (c *conn) closeAfterCancel(request *Request) {
 	if request.Overheard == nil {
 		_ = c.Conn.Close()
 		return
 	}
 	go func() {
 		defer func() { _ = c.Conn.Close() }() // the connection is not reused
-		_ = c.Conn.SetReadDeadline(time.Now().Add(overhearTime))
-		if next, err := readHead(c, request.Method); err == nil {
+		_ = c.Conn.SetReadDeadline(time.Now().Add(lateResponseTimeout))
+		if next, err := readHeader(c, request.Method); err == nil {
 			request.Overheard(next.StatusCode, next.Header)
 		}
 	}()
 }
 
-// endAfter closes a connection on which an exchange has failed. The request's own response
+// closeAfterFailure closes a connection on which an exchange has failed. The request's own response
 // may immediately follow one to another request, so the headers of the responses that
-// arrive within overhearTime are passed to Overheard.
-func (c *conn) endAfter(request *Request, last *http.Response) {
-	if last == nil || request.Overheard == nil || !mayBePassedOver(last) {
+// arrive within lateResponseTimeout are passed to Overheard.
+func (c *conn) closeAfterFailure(request *Request, last *http.Response) {
+	if last == nil || request.Overheard == nil || !mayBeFollowed(last) {
 		_ = c.Conn.Close() // the error of the exchange is already reported
 		return
 	}
 	go func() {
 		defer func() { _ = c.Conn.Close() }() // the connection is not reused
-		_ = c.Conn.SetReadDeadline(time.Now().Add(overhearTime))
-		for range maxForeign {
-			if ended, err := passOver(last); err != nil || !ended {
+		_ = c.Conn.SetReadDeadline(time.Now().Add(lateResponseTimeout))
+		for range maxSkipped {
+			if ended, err := discardBody(last); err != nil || !ended {
 				return
 			}
-			next, err := readHead(c, request.Method)
+			next, err := readHeader(c, request.Method)
 			if err != nil {
 				return
 			}
 			request.Overheard(next.StatusCode, next.Header)
-			if last = next; !mayBePassedOver(last) {
+			if last = next; !mayBeFollowed(last) {
 				return
 			}
 		}
--- a/connection/exchange/identity.go
+++ b/connection/exchange/identity.go
@@ -13,9 +13,9 @@
 	Repeated bool
 }
 
-// owns reports whether a response belongs to the request. A response without an ID
+// matches reports whether a response belongs to the request. A response without an ID
 // does only if the connection has carried no other request.
-func (i Identity) owns(header http.Header, reused bool) bool {
+func (i Identity) matches(header http.Header, reused bool) bool {
 	answered := header.Get(i.Field)
 	if i.ID == "" || answered == "" {
 		return !reused
--- a/connection/exchange/identity_test.go
+++ b/connection/exchange/identity_test.go
@@ -17,8 +17,8 @@
 // In these tests the server sends unsolicited bytes only after the second request of a
 // connection has arrived, so that the check of an idle connection cannot detect them.
 
-// answerTo returns a complete response that names the request ID; none if it is empty.
-func answerTo(id, body string) string {
+// responseTo returns a complete response that names the request ID; none if it is empty.
+func responseTo(id, body string) string {
 	named := ""
 	if id != "" {
 		named = idField + ": " + id + "\r\n"
@@ -26,54 +26,54 @@
 	return "HTTP/1.1 200 OK\r\n" + named + "Content-Length: " + string(rune('0'+len(body))) + "\r\n\r\n" + body
 }
 
-func TestOnlyItsOwnAnswerIsARequests(t *testing.T) {
+func TestOnlyMatchingResponseIsReturned(t *testing.T) {
 	long := "HTTP/1.1 200 OK\r\nId: first\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nold\r\n0\r\n\r\n"
 	cases := []struct {
 		name   string
 		second func(net.Conn)
 		body   string // empty if the request fails
 	}{
-		{"surplus before its own", say(answerTo("first", "old") + ok), "ok"},
-		{"chunked surplus", say(long + ok), "ok"},
-		{"surplus without a body", say("HTTP/1.1 503 Busy\r\nId: first\r\nContent-Length: 0\r\n\r\n" + ok), "ok"},
-		{"several", say(strings.Repeat(answerTo("first", "old"), maxForeign) + ok), "ok"},
-		{"too many", say(strings.Repeat(answerTo("first", "old"), maxForeign+1) + ok), ""},
-		{"surplus alone", sayAndClose(answerTo("first", "old")), ""},
-		{"surplus that ends its connection", sayAndClose("HTTP/1.1 200 OK\r\nId: first\r\n\r\nold"), ""},
-		{"surplus that names no request", say(answerTo("", "old") + ok), ""},
-		{"truncated surplus", sayAndClose("HTTP/1.1 200 OK\r\nId: first\r\nContent-Length: 9\r\n\r\nold"), ""},
+		{"surplus before its own", respond(responseTo("first", "old") + okResponse), "ok"},
+		{"chunked surplus", respond(long + okResponse), "ok"},
+		{"surplus without a body", respond("HTTP/1.1 503 Busy\r\nId: first\r\nContent-Length: 0\r\n\r\n" + okResponse), "ok"},
+		{"several", respond(strings.Repeat(responseTo("first", "old"), maxSkipped) + okResponse), "ok"},
+		{"too many", respond(strings.Repeat(responseTo("first", "old"), maxSkipped+1) + okResponse), ""},
+		{"surplus alone", respondAndClose(responseTo("first", "old")), ""},
+		{"surplus that ends its connection", respondAndClose("HTTP/1.1 200 OK\r\nId: first\r\n\r\nold"), ""},
+		{"surplus that names no request", respond(responseTo("", "old") + okResponse), ""},
+		{"truncated surplus", respondAndClose("HTTP/1.1 200 OK\r\nId: first\r\nContent-Length: 9\r\n\r\nold"), ""},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			server := newReplica(t, say(ok), test.second, say(ok))
+			server := newScriptedServer(t, respond(okResponse), test.second, respond(okResponse))
 			pool := newPool(t)
-			_, err := whole(t, pool, server.address(), getAs("first", "/1"))
+			_, err := fetch(t, pool, server.address(), newGetWithID("first", "/1"))
 			must.NoError(t, err)
-			body, err := whole(t, pool, server.address(), getAs("second", "/2"))
+			body, err := fetch(t, pool, server.address(), newGetWithID("second", "/2"))
 			must.Eq(t, test.body, body)
 			must.Eq(t, test.body == "", err != nil)
 			must.False(t, pool.Idle(server.address()), must.Sprint("a connection that carried a surplus response was kept"))
-			body, err = whole(t, pool, server.address(), get("/3"))
+			body, err = fetch(t, pool, server.address(), newGet("/3"))
 			must.NoError(t, err)
 			must.Eq(t, "ok", body)
 		})
 	}
 }
 
-func TestForeignAnswersAreTold(t *testing.T) {
-	server := newReplica(t, say(ok), say(answerTo("first", "old")+ok), say(answerTo("other", "x")))
+func TestUnmatchedResponsesAreReported(t *testing.T) {
+	server := newScriptedServer(t, respond(okResponse), respond(responseTo("first", "old")+okResponse), respond(responseTo("other", "x")))
 	pool := newPool(t)
-	_, err := whole(t, pool, server.address(), getAs("first", "/1"))
+	_, err := fetch(t, pool, server.address(), newGetWithID("first", "/1"))
 	must.NoError(t, err)
-	answer, err := pool.Do(t.Context(), server.address(), getAs("second", "/2"))
+	response, err := pool.Do(t.Context(), server.address(), newGetWithID("second", "/2"))
 	must.NoError(t, err)
 	head := http.Header{"Content-Length": {"3"}, "Id": {"first"}}
-	must.Eq(t, []*ForeignAnswer{{Answered: "first", Status: http.StatusOK, Header: head}}, answer.Foreign)
-	answer.Close()
+	must.Eq(t, []*ForeignAnswer{{Answered: "first", Status: http.StatusOK, Header: head}}, response.Foreign)
+	response.Close()
 
 	// On a connection that has carried no other request, no matching response is expected
 	// to follow.
-	_, err = pool.Do(t.Context(), server.address(), getAs("third", "/3"))
+	_, err = pool.Do(t.Context(), server.address(), newGetWithID("third", "/3"))
 	var failure *Failure
 	must.True(t, errors.As(err, &failure))
 	must.True(t, failure.Sent)
@@ -86,13 +86,13 @@
 
 // A retried request has the same ID as before. The response to its first send must not
 // be taken for that to the retry, however many requests were sent in between.
-func TestARepeatedRequestGoesOverANewConnection(t *testing.T) {
-	server := newReplica(t, say(ok), say(ok), say(ok), say(ok))
+func TestRepeatedRequestUsesNewConnection(t *testing.T) {
+	server := newScriptedServer(t, respond(okResponse), respond(okResponse), respond(okResponse), respond(okResponse))
 	pool := newPool(t)
-	again := getAs("a", "/")
+	again := newGetWithID("a", "/")
 	again.Identity.Repeated = true
-	for _, request := range []*Request{getAs("a", "/"), getAs("b", "/"), again, getAs("c", "/")} {
-		_, err := whole(t, pool, server.address(), request)
+	for _, request := range []*Request{newGetWithID("a", "/"), newGetWithID("b", "/"), again, newGetWithID("c", "/")} {
+		_, err := fetch(t, pool, server.address(), request)
 		must.NoError(t, err)
 	}
 	server.lock.Lock()
@@ -102,22 +102,22 @@
 
 // The response to a request without an ID cannot be told from a surplus one. Nor can the
 // end of a surplus response be found if it may belong to an earlier HEAD request.
-func TestSomeRequestsShareNoConnection(t *testing.T) {
+func TestRequestsThatShareNoConnection(t *testing.T) {
 	unnamed := &Request{Method: http.MethodDelete, Target: "/", Host: "h", Header: http.Header{}}
-	head := getAs("head", "/")
+	head := newGetWithID("head", "/")
 	head.Method = http.MethodHead
 	for name, alone := range map[string]*Request{"without an ID": unnamed, "HEAD": head} {
 		t.Run(name, func(t *testing.T) {
-			headOnly := say("HTTP/1.1 200 OK\r\nId: {id}\r\nContent-Length: 0\r\n\r\n")
-			server := newReplica(t, headOnly, say(ok), headOnly, say(ok))
+			headOnly := respond("HTTP/1.1 200 OK\r\nId: {id}\r\nContent-Length: 0\r\n\r\n")
+			server := newScriptedServer(t, headOnly, respond(okResponse), headOnly, respond(okResponse))
 			pool := newPool(t)
-			for i, request := range []*Request{alone, get("/"), alone, get("/")} {
-				answer, err := pool.Do(t.Context(), server.address(), request)
+			for i, request := range []*Request{alone, newGet("/"), alone, newGet("/")} {
+				response, err := pool.Do(t.Context(), server.address(), request)
 				must.NoError(t, err)
-				must.Eq(t, i == 3, answer.Reused)
-				_, err = io.Copy(io.Discard, answer)
+				must.Eq(t, i == 3, response.Reused)
+				_, err = io.Copy(io.Discard, response)
 				must.NoError(t, err)
-				answer.Close()
+				response.Close()
 				must.Eq(t, i != 0, pool.Idle(server.address()))
 			}
 		})
@@ -126,8 +126,8 @@
 
 // Do must not wait for its own response if the surplus response ends the connection or
 // is too long to skip.
-func TestNothingIsAwaitedBehindASurplusAnswerThatEndsItsConnection(t *testing.T) {
-	long := strings.Repeat("10000\r\n"+strings.Repeat("x", 1<<16)+"\r\n", maxForeignBytes>>16+1)
+func TestNoWaitAfterSurplusResponseThatEndsConnection(t *testing.T) {
+	long := strings.Repeat("10000\r\n"+strings.Repeat("x", 1<<16)+"\r\n", maxSkippedBytes>>16+1)
 	for name, head := range map[string]string{
 		"no length":      "\r\nold",
 		"closing":        "Connection: close\r\nContent-Length: 100\r\n\r\nold",
@@ -140,11 +140,11 @@
 				_, _ = conn.Write([]byte("HTTP/1.1 200 OK\r\nId: first\r\n" + head))
 				<-release
 			}
-			server := newReplica(t, say(ok), second)
+			server := newScriptedServer(t, respond(okResponse), second)
 			pool := newPool(t)
-			_, err := whole(t, pool, server.address(), getAs("first", "/"))
+			_, err := fetch(t, pool, server.address(), newGetWithID("first", "/"))
 			must.NoError(t, err)
-			_, err = whole(t, pool, server.address(), getAs("second", "/"))
+			_, err = fetch(t, pool, server.address(), newGetWithID("second", "/"))
 			close(release)
 			var foreign *ForeignAnswer
 			must.True(t, errors.As(err, &foreign))
@@ -154,17 +154,17 @@
 
 // If the server stalls in the middle of a surplus response, the cause of the failure is
 // the stall and not the surplus response.
-func TestSilenceWithinASurplusAnswerIsSilence(t *testing.T) {
+func TestStallDuringSurplusResponse(t *testing.T) {
 	release := make(chan struct{})
 	begun := make(chan struct{})
-	server := newReplica(t, say(ok), func(conn net.Conn) {
+	server := newScriptedServer(t, respond(okResponse), func(conn net.Conn) {
 		_, _ = conn.Write([]byte("HTTP/1.1 200 OK\r\nId: first\r\nContent-Length: 100\r\n\r\nold"))
 		close(begun)
 		<-release
 	})
 	defer close(release)
 	pool := newPool(t)
-	_, err := whole(t, pool, server.address(), getAs("first", "/"))
+	_, err := fetch(t, pool, server.address(), newGetWithID("first", "/"))
 	must.NoError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
@@ -172,53 +172,53 @@
 		time.Sleep(50 * time.Millisecond) // lets the surplus header be read first; the outcome is the same without
 		cancel()
 	}()
-	_, err = pool.Do(ctx, server.address(), getAs("second", "/"))
+	_, err = pool.Do(ctx, server.address(), newGetWithID("second", "/"))
 	var foreign *ForeignAnswer
 	must.Error(t, err)
 	must.False(t, errors.As(err, &foreign))
 }
 
-func TestHeadsAreBounded(t *testing.T) {
+func TestResponseHeaderSizeIsLimited(t *testing.T) {
 	padded := func(size int) string {
 		return "HTTP/1.1 200 OK\r\nId: {id}\r\nPadding: " + strings.Repeat("x", size) + "\r\nContent-Length: 2\r\n\r\nok"
 	}
-	for name, answer := range map[string]string{
+	for name, response := range map[string]string{
 		"one head":      padded(DefaultMaxHeaderBytes + readBufferBytes),
-		"informational": strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", DefaultMaxHeaderBytes/20) + ok,
+		"informational": strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", DefaultMaxHeaderBytes/20) + okResponse,
 		"within bounds": padded(DefaultMaxHeaderBytes / 2),
 	} {
 		t.Run(name, func(t *testing.T) {
-			server := newReplica(t, say(answer))
-			_, err := whole(t, newPool(t), server.address(), get("/"))
-			must.Eq(t, name != "within bounds", errors.Is(err, errHeadTooLong))
+			server := newScriptedServer(t, respond(response))
+			_, err := fetch(t, newPool(t), server.address(), newGet("/"))
+			must.Eq(t, name != "within bounds", errors.Is(err, errHeaderTooLarge))
 		})
 	}
 }
 
 // A connection that is in use when its address is dropped belongs to the former owner of
 // the address and must not be used for the next owner.
-func TestConnectionInUseWhenItsAddressIsGivenUpIsNotKept(t *testing.T) {
-	server := newReplica(t, say(ok))
+func TestConnectionInUseIsClosedAfterDrop(t *testing.T) {
+	server := newScriptedServer(t, respond(okResponse))
 	pool := newPool(t)
-	answer, err := pool.Do(t.Context(), server.address(), get("/"))
+	response, err := pool.Do(t.Context(), server.address(), newGet("/"))
 	must.NoError(t, err)
 	pool.Drop(server.address())
-	_, err = io.ReadAll(answer)
+	_, err = io.ReadAll(response)
 	must.NoError(t, err)
-	answer.Close()
+	response.Close()
 	must.False(t, pool.Idle(server.address()))
 }
 
 // Responses that follow one to another request, which ends the exchange, cannot be matched
 // to any request, but their headers come from the server and are passed to Overheard.
-func TestHeadsBehindAForeignAnswerAreOverheard(t *testing.T) {
+func TestHeadersAfterUnmatchedResponseAreReported(t *testing.T) {
 	const refusal = "HTTP/1.1 503 Service Unavailable\r\nId: second\r\nRetry-After: 3\r\nContent-Length: 0\r\n\r\n"
-	server := newReplica(t, say(ok), say("HTTP/1.1 400 Bad Request\r\nContent-Length: 4\r\n\r\nnone"+refusal))
+	server := newScriptedServer(t, respond(okResponse), respond("HTTP/1.1 400 Bad Request\r\nContent-Length: 4\r\n\r\nnone"+refusal))
 	pool := newPool(t)
-	_, err := whole(t, pool, server.address(), getAs("first", "/1"))
+	_, err := fetch(t, pool, server.address(), newGetWithID("first", "/1"))
 	must.NoError(t, err)
 	heard := make(chan string, 1)
-	asking := getAs("second", "/2")
+	asking := newGetWithID("second", "/2")
 	asking.Overheard = func(status int, header http.Header) {
 		heard <- fmt.Sprintf("%d %s", status, header.Get("Retry-After"))
 	}
@@ -233,15 +233,15 @@
 // time. A refusal with Retry-After was lost if it arrived just after the caller had hung up
 // or the request had timed out, because the connection was closed immediately. That this
 // was the path in the observed run is inferred, since its logs were not kept.
-func TestAnswerIsOverheardThoughNobodyWaitsForIt(t *testing.T) {
+func TestLateResponseIsReportedAfterCancellation(t *testing.T) {
 	hungUp := make(chan struct{})
-	server := newReplica(t, func(conn net.Conn) {
+	server := newScriptedServer(t, func(conn net.Conn) {
 		<-hungUp
-		time.Sleep(overhearTime / 5)
+		time.Sleep(lateResponseTimeout / 5)
 		_, _ = conn.Write([]byte("HTTP/1.1 503 Service Unavailable\r\nId: first\r\nRetry-After: 3\r\nContent-Length: 0\r\n\r\n"))
 	})
 	heard := make(chan string, 1)
-	asking := getAs("first", "/1")
+	asking := newGetWithID("first", "/1")
 	asking.Overheard = func(status int, header http.Header) {
 		heard <- fmt.Sprintf("%d %s", status, header.Get("Retry-After"))
 	}
--- a/connection/exchange/pool.go
+++ b/connection/exchange/pool.go
@@ -146,8 +146,8 @@
 	delete(p.idle, address)
 }
 
-// list returns the idle list of an address and creates it if necessary.
-func (p *Pool) list(address string) *idleList {
+// idleListFor returns the idle list of an address and creates it if necessary.
+func (p *Pool) idleListFor(address string) *idleList {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	list := p.idle[address]
@@ -166,22 +166,22 @@
 	return list != nil && len(list.conns) > 0 && p.config.Clock() < list.conns[len(list.conns)-1].usableUntil
 }
 
-// take removes and returns an idle connection that is still usable, or nil.
-func (p *Pool) take(list *idleList) *conn {
+// takeIdle removes and returns an idle connection that is still usable, or nil.
+func (p *Pool) takeIdle(list *idleList) *conn {
 	for {
-		kept := p.pop(list)
+		kept := p.popIdle(list)
 		if kept == nil {
 			return nil
 		}
-		if p.config.Clock() < kept.usableUntil && kept.quiet() {
+		if p.config.Clock() < kept.usableUntil && kept.usable() {
 			return kept
 		}
 		_ = kept.Conn.Close() // expired, closed by the server, or holding unsolicited data
 	}
 }
 
-// pop removes and returns the most recently used idle connection, or nil.
-func (p *Pool) pop(list *idleList) *conn {
+// popIdle removes and returns the most recently used idle connection, or nil.
+func (p *Pool) popIdle(list *idleList) *conn {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	if len(list.conns) == 0 {
@@ -192,8 +192,8 @@
 	return last
 }
 
-// put returns a connection whose last response was read completely to its idle list.
-func (p *Pool) put(kept *conn) {
+// release returns a connection whose last response was read completely to its idle list.
+func (p *Pool) release(kept *conn) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	list := kept.list
@@ -201,16 +201,16 @@
 		_ = kept.Conn.Close() // the pool is closed or full, or the owner of the address is gone
 		return
 	}
-	kept.answered.Store(false)
+	kept.headerRead.Store(false)
 	list.conns = append(list.conns, kept)
 }
 
-// get returns a connection on which the response can be matched to the request, and
+// acquire returns a connection on which the response can be matched to the request, and
 // whether it was used before.
-func (p *Pool) get(ctx context.Context, address string, request *Request) (*conn, bool, error) {
-	list := p.list(address)
+func (p *Pool) acquire(ctx context.Context, address string, request *Request) (*conn, bool, error) {
+	list := p.idleListFor(address)
 	if request.sharesConnections() && !request.Identity.Repeated {
-		if kept := p.take(list); kept != nil {
+		if kept := p.takeIdle(list); kept != nil {
 			return kept, true, nil
 		}
 	}
@@ -220,7 +220,7 @@
 	}
 	opened := newConn(raw, list, p.config.MaxHeaderBytes)
 	opened.openedAt = p.config.Clock()
-	opened.limitSilence(p.config.Unacknowledged)
+	opened.setUserTimeout(p.config.Unacknowledged)
 	return opened, false, nil
 }
 
@@ -234,10 +234,10 @@
 	return p.dialer.DialContext(dialing, "tcp", address)
 }
 
-// limitSilence makes the kernel close a connection on which written bytes stay
+// setUserTimeout makes the kernel close a connection on which written bytes stay
 // unacknowledged for the given time.
-func (c *conn) limitSilence(limit time.Duration) {
-	raw, err := c.raw()
+func (c *conn) setUserTimeout(limit time.Duration) {
+	raw, err := c.rawConn()
 	if err != nil {
 		return
 	}
--- a/connection/exchange/suspension_test.go
+++ b/connection/exchange/suspension_test.go
@@ -16,7 +16,7 @@
 // suspended. A request sent on it afterwards may be lost, and must not be retried if it
 // may run only once. Idle connections must therefore expire by a clock that includes
 // the suspension.
-func TestIdleConnectionsLapseInASuspension(t *testing.T) {
+func TestIdleConnectionsExpireDuringSuspension(t *testing.T) {
 	var connections atomic.Int32
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Test-Id", r.Header.Get("Test-Id"))
@@ -33,12 +33,12 @@
 	pool := NewPool(Config{Clock: func() time.Duration { return time.Since(start) + time.Duration(suspended.Load()) }})
 	defer pool.Close()
 	ask := func() {
-		answer, err := pool.Do(t.Context(), server.Listener.Addr().String(), &Request{Method: "GET", Target: "/", Host: "h",
+		response, err := pool.Do(t.Context(), server.Listener.Addr().String(), &Request{Method: "GET", Target: "/", Host: "h",
 			Header: http.Header{"Test-Id": {"1"}}, Identity: Identity{Field: "Test-Id", ID: "1"}})
 		must.NoError(t, err)
-		_, err = io.Copy(io.Discard, answer)
+		_, err = io.Copy(io.Discard, response)
 		must.NoError(t, err)
-		answer.Close()
+		response.Close()
 	}
 	ask()
 	ask()
--- a/connection/frame/field.go
+++ b/connection/frame/field.go
@@ -102,8 +102,8 @@
 	d.rest = nil
 }
 
-// take consumes and returns the next count bytes, or nil after an error.
-func (d *Decoder) take(count int) []byte {
+// next consumes and returns the next count bytes, or nil after an error.
+func (d *Decoder) next(count int) []byte {
 	if d.err != nil {
 		return nil
 	}
@@ -118,7 +118,7 @@
 
 // Uint8 reads one byte.
 func (d *Decoder) Uint8() uint8 {
-	if data := d.take(1); data != nil {
+	if data := d.next(1); data != nil {
 		return data[0]
 	}
 	return 0
@@ -126,7 +126,7 @@
 
 // Uint16 reads two bytes.
 func (d *Decoder) Uint16() uint16 {
-	if data := d.take(2); data != nil {
+	if data := d.next(2); data != nil {
 		return binary.BigEndian.Uint16(data)
 	}
 	return 0
@@ -134,7 +134,7 @@
 
 // Uint32 reads four bytes.
 func (d *Decoder) Uint32() uint32 {
-	if data := d.take(4); data != nil {
+	if data := d.next(4); data != nil {
 		return binary.BigEndian.Uint32(data)
 	}
 	return 0
@@ -142,7 +142,7 @@
 
 // Uint64 reads eight bytes.
 func (d *Decoder) Uint64() uint64 {
-	if data := d.take(8); data != nil {
+	if data := d.next(8); data != nil {
 		return binary.BigEndian.Uint64(data)
 	}
 	return 0
@@ -172,7 +172,7 @@
 		d.fail(errors.Wrapf(ErrTruncated, "field of %d bytes, %d left", length, len(d.rest)))
 		return nil
 	}
-	return d.take(int(length))
+	return d.next(int(length))
 }
 
 // String reads a length and a string.
@@ -192,4 +192,4 @@
 
 // Raw reads count bytes that have no length prefix. The result shares
 // memory with the decoder's input.
-func (d *Decoder) Raw(count int) []byte { return d.take(count) }
+func (d *Decoder) Raw(count int) []byte { return d.next(count) }
--- a/connection/frame/frame.go
+++ b/connection/frame/frame.go
@@ -48,15 +48,15 @@
 	PrefaceSize = 8
 	// HeaderSize is the length of a frame's header in bytes: length, kind, checksum.
 	HeaderSize = 10
-	// growStep is the number of bytes allocated for a payload before any have arrived.
-	growStep = 4 << 10
+	// initialPayloadBytes is the number of bytes allocated for a payload before any have arrived.
+	initialPayloadBytes = 4 << 10
 )
 
 // magic starts every preface. Its first byte is not ASCII, so a text protocol is
 // detected at its first byte.
 var magic = [4]byte{0xf7, 'L', 'T', 0x0a}
 
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+var castagnoliTable = crc32.MakeTable(crc32.Castagnoli)
 
 // appendPreface appends the protocol's preface to buffer.
 func appendPreface(buffer []byte, protocol Protocol) []byte {
@@ -77,8 +77,8 @@
 	var fixed [6]byte
 	binary.BigEndian.PutUint32(fixed[0:], length)
 	binary.BigEndian.PutUint16(fixed[4:], uint16(kind))
-	sum := crc32.Update(0, castagnoli, fixed[:])
-	return crc32.Update(sum, castagnoli, payload)
+	sum := crc32.Update(0, castagnoliTable, fixed[:])
+	return crc32.Update(sum, castagnoliTable, payload)
 }
 
 func putHeader(buffer []byte, h header) {
--- a/connection/frame/frame_test.go
+++ b/connection/frame/frame_test.go
@@ -20,22 +20,22 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// stream is a net.Conn that reads from a reader and writes to a buffer.
-type stream struct {
+// fakeConn is a net.Conn that reads from a reader and writes to a buffer.
+type fakeConn struct {
 	net.Conn
 	io.Reader
 	written bytes.Buffer
 }
 
-func (s *stream) Read(data []byte) (int, error)    { return s.Reader.Read(data) }
-func (s *stream) Write(data []byte) (int, error)   { return s.written.Write(data) }
-func (s *stream) SetReadDeadline(time.Time) error  { return nil }
-func (s *stream) SetWriteDeadline(time.Time) error { return nil }
+func (s *fakeConn) Read(data []byte) (int, error)    { return s.Reader.Read(data) }
+func (s *fakeConn) Write(data []byte) (int, error)   { return s.written.Write(data) }
+func (s *fakeConn) SetReadDeadline(time.Time) error  { return nil }
+func (s *fakeConn) SetWriteDeadline(time.Time) error { return nil }
 
-// encode returns the bytes that a Writer produces for the frames.
-func encode(t testing.TB, frames ...Frame) []byte {
+// encodeFrames returns the bytes that a Writer produces for the frames.
+func encodeFrames(t testing.TB, frames ...Frame) []byte {
 	t.Helper()
-	out := &stream{}
+	out := &fakeConn{}
 	writer := NewWriter(out, testProtocol, time.Second)
 	for _, f := range frames {
 		must.NoError(t, writer.WriteFrame(f.Kind, f.Payload))
@@ -44,8 +44,8 @@
 	return out.written.Bytes()
 }
 
-func readerOf(data []byte, maxPayload uint32) *Reader {
-	return NewReader(&stream{Reader: bytes.NewReader(data)}, testProtocol, maxPayload, 0)
+func newTestReader(data []byte, maxPayload uint32) *Reader {
+	return NewReader(&fakeConn{Reader: bytes.NewReader(data)}, testProtocol, maxPayload, 0)
 }
 
 // readAll reads frames until the first error and returns both.
@@ -60,24 +60,24 @@
 	}
 }
 
-func TestFramesArriveAsWritten(t *testing.T) {
+func TestFramesRoundTrip(t *testing.T) {
 	sent := []Frame{
 		{Kind: 1, Payload: []byte("first")},
 		{Kind: 2, Payload: []byte{}},
 		{Kind: math.MaxUint16, Payload: bytes.Repeat([]byte("x"), 100_000)},
 	}
-	data := encode(t, sent...)
-	got, err := readAll(readerOf(data, 1<<20))
+	data := encodeFrames(t, sent...)
+	got, err := readAll(newTestReader(data, 1<<20))
 	must.Eq(t, io.EOF, err)
 	must.Eq(t, sent, got)
-	slow := NewReader(&stream{Reader: iotest.OneByteReader(bytes.NewReader(data))}, testProtocol, 1<<20, 0)
+	slow := NewReader(&fakeConn{Reader: iotest.OneByteReader(bytes.NewReader(data))}, testProtocol, 1<<20, 0)
 	got, err = readAll(slow)
 	must.Eq(t, io.EOF, err)
 	must.Eq(t, sent, got)
 }
 
-func TestFaultyStreamsAreRefused(t *testing.T) {
-	good := encode(t, Frame{Kind: 1, Payload: []byte("payload")})
+func TestReaderRejectsInvalidStreams(t *testing.T) {
+	good := encodeFrames(t, Frame{Kind: 1, Payload: []byte("payload")})
 	changed := func(offset int) []byte {
 		data := bytes.Clone(good)
 		data[offset] ^= 1
@@ -105,7 +105,7 @@
 		"preface only":      {good[:PrefaceSize], io.EOF},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := readAll(readerOf(test.data, 1<<16))
+			_, err := readAll(newTestReader(test.data, 1<<16))
 			must.ErrorIs(t, err, test.want)
 		})
 	}
@@ -113,7 +113,7 @@
 
 // A client of another protocol that sends one byte and waits must not keep the
 // connection occupied.
-func TestForeignByteIsRefusedWithoutWaitingForMore(t *testing.T) {
+func TestReaderRejectsOtherProtocolAtFirstByte(t *testing.T) {
 	ours, theirs := net.Pipe()
 	defer ours.Close()
 	defer theirs.Close()
@@ -122,14 +122,14 @@
 	must.ErrorIs(t, err, ErrForeignProtocol)
 }
 
-func TestHostileLengthReservesLittle(t *testing.T) {
-	data := encode(t)
+func TestForgedLengthAllocatesLittle(t *testing.T) {
+	data := encodeFrames(t)
 	data = binary.BigEndian.AppendUint32(data, 1<<30)
 	data = append(data, make([]byte, 6)...)
 	data = append(data, make([]byte, 1000)...)
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	_, err := readAll(readerOf(data, 1<<31))
+	_, err := readAll(newTestReader(data, 1<<31))
 	runtime.ReadMemStats(&after)
 	must.ErrorIs(t, err, ErrTruncated)
 	must.Less(t, 1<<20, after.TotalAlloc-before.TotalAlloc)
@@ -147,7 +147,7 @@
 	must.True(t, errors.As(writer.Flush(), &timeout) && timeout.Timeout())
 }
 
-func TestFieldsArriveAsEncoded(t *testing.T) {
+func TestFieldsRoundTrip(t *testing.T) {
 	encoder := NewEncoder(nil)
 	encoder.Uint8(1)
 	encoder.Uint16(2)
@@ -173,7 +173,7 @@
 	must.NoError(t, decoder.Finish())
 }
 
-func TestFaultyFieldsAreRefused(t *testing.T) {
+func TestDecoderRejectsInvalidFields(t *testing.T) {
 	for name, test := range map[string]struct {
 		data   []byte
 		decode func(*Decoder)
@@ -200,13 +200,13 @@
 // FuzzReader feeds arbitrary bytes to a Reader: it must not panic, and the accepted
 // frames must encode to the bytes that were read.
 func FuzzReader(f *testing.F) {
-	f.Add(encode(f, Frame{Kind: 1, Payload: []byte("payload")}, Frame{Kind: 2}))
+	f.Add(encodeFrames(f, Frame{Kind: 1, Payload: []byte("payload")}, Frame{Kind: 2}))
 	f.Add([]byte("GET / HTTP/1.1\r\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		frames, err := readAll(readerOf(data, 1<<16))
+		frames, err := readAll(newTestReader(data, 1<<16))
 		must.Error(t, err)
 		if len(frames) > 0 {
-			must.True(t, bytes.HasPrefix(data, encode(t, frames...)))
+			must.True(t, bytes.HasPrefix(data, encodeFrames(t, frames...)))
 		}
 	})
 }
--- a/connection/frame/reader.go
+++ b/connection/frame/reader.go
@@ -13,12 +13,12 @@
 // Reader reads a preface and then frames from a connection. It is not safe for
 // concurrent use.
 type Reader struct {
-	conn       net.Conn
-	buffered   *bufio.Reader
-	protocol   Protocol
-	maxPayload uint32
-	timeout    time.Duration
-	opened     bool
+	conn        net.Conn
+	buffered    *bufio.Reader
+	protocol    Protocol
+	maxPayload  uint32
+	timeout     time.Duration
+	prefaceRead bool
 }
 
 // NewReader returns a Reader that rejects payloads larger than maxPayload bytes.
@@ -47,7 +47,7 @@
 	if err := r.setDeadline(); err != nil {
 		return Frame{}, err
 	}
-	if err := r.open(); err != nil {
+	if err := r.readPreface(); err != nil {
 		return Frame{}, err
 	}
 	var fixed [HeaderSize]byte
@@ -76,11 +76,11 @@
 	return errors.Wrap(r.conn.SetReadDeadline(deadline), "frame: set deadline")
 }
 
-// open reads and checks the preface. It compares the magic byte by byte, so that
+// readPreface reads and checks the preface. It compares the magic byte by byte, so that
 // another protocol is rejected at its first differing byte instead of after a
 // whole preface has arrived.
-func (r *Reader) open() error {
-	if r.opened {
+func (r *Reader) readPreface() error {
+	if r.prefaceRead {
 		return nil
 	}
 	for position, want := range magic {
@@ -103,7 +103,7 @@
 	if got.Version != r.protocol.Version {
 		return errors.Wrapf(ErrVersion, "version %d, expected %d", got.Version, r.protocol.Version)
 	}
-	r.opened = true
+	r.prefaceRead = true
 	return nil
 }
 
@@ -127,9 +127,9 @@
 }
 
 // readPayload grows its buffer as bytes arrive: to at most twice the size received
-// so far, starting from growStep.
+// so far, starting from initialPayloadBytes.
 func (r *Reader) readPayload(length int) ([]byte, error) {
-	payload := make([]byte, 0, min(length, growStep))
+	payload := make([]byte, 0, min(length, initialPayloadBytes))
 	for len(payload) < length {
 		if len(payload) == cap(payload) {
 			grown := make([]byte, len(payload), min(length, 2*cap(payload)))
--- a/connection/frame/writer.go
+++ b/connection/frame/writer.go
@@ -12,11 +12,11 @@
 // Writer writes a preface and then frames to a connection. Frames are buffered
 // until Flush. It is not safe for concurrent use.
 type Writer struct {
-	conn     net.Conn
-	buffered *bufio.Writer
-	protocol Protocol
-	timeout  time.Duration
-	opened   bool
+	conn           net.Conn
+	buffered       *bufio.Writer
+	protocol       Protocol
+	timeout        time.Duration
+	prefaceWritten bool
 }
 
 // NewWriter returns a Writer that limits each write to the connection to timeout;
@@ -33,7 +33,7 @@
 	if uint64(len(payload)) > math.MaxUint32 {
 		return errors.Wrapf(ErrTooLarge, "payload of %d bytes", len(payload))
 	}
-	if err := w.open(); err != nil {
+	if err := w.writePreface(); err != nil {
 		return err
 	}
 	length := uint32(len(payload))
@@ -50,17 +50,17 @@
 
 // Flush writes the buffered data, preceded by the preface if it was not written yet.
 func (w *Writer) Flush() error {
-	if err := w.open(); err != nil {
+	if err := w.writePreface(); err != nil {
 		return err
 	}
 	return errors.Wrap(w.buffered.Flush(), "frame: flush")
 }
 
-func (w *Writer) open() error {
-	if w.opened {
+func (w *Writer) writePreface() error {
+	if w.prefaceWritten {
 		return nil
 	}
-	w.opened = true
+	w.prefaceWritten = true
 	preface := appendPreface(make([]byte, 0, PrefaceSize), w.protocol)
 	_, err := w.buffered.Write(preface)
 	return errors.Wrap(err, "frame: write preface")
--- a/connection/operator/calls.go
+++ b/connection/operator/calls.go
@@ -14,11 +14,11 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// inForcePause is the polling interval of WaitInForce.
-const inForcePause = 20 * time.Millisecond
+// inForcePollInterval is the polling interval of WaitInForce.
+const inForcePollInterval = 20 * time.Millisecond
 
-// outcomes lists the codes of transaction results, which may come with any HTTP status.
-var outcomes = map[api.OutcomeCode]bool{
+// transactionCodes lists the codes of transaction results, which may come with any HTTP status.
+var transactionCodes = map[api.OutcomeCode]bool{
 	api.OutcomeAccepted:          true,
 	api.OutcomeRevisionConflict:  true,
 	api.OutcomeOperationConflict: true,
@@ -37,19 +37,19 @@
 	}
 	repeatable := transaction.OperationID != "" || transaction.DryRun
 	received, err := c.do(ctx, request{
-		method: http.MethodPost,
-		path:   operatorapi.PathTransactions,
-		body:   body,
-		resend: repeatable,
+		method:     http.MethodPost,
+		path:       operatorapi.PathTransactions,
+		body:       body,
+		resendable: repeatable,
 	})
 	if err != nil {
 		return api.TransactionResult{}, err
 	}
 	var result api.TransactionResult
-	if err := json.Unmarshal(received.body, &result); err == nil && outcomes[result.Code] {
+	if err := json.Unmarshal(received.body, &result); err == nil && transactionCodes[result.Code] {
 		return result, nil
 	}
-	return api.TransactionResult{}, refusal(received)
+	return api.TransactionResult{}, newRefusedError(received)
 }
 
 // Objects reads all objects of a kind, or only the named one if name is not empty.
@@ -87,7 +87,7 @@
 // WaitInForce polls until the revision is in force on all daemons or ctx ends. With an
 // error it returns the last state that was read.
 func (c *Client) WaitInForce(ctx context.Context, revision uint64) (operatorapi.InForce, error) {
-	ticker := time.NewTicker(inForcePause)
+	ticker := time.NewTicker(inForcePollInterval)
 	defer ticker.Stop()
 	var last operatorapi.InForce
 	for {
@@ -151,7 +151,7 @@
 		return operatorapi.Released{}, err
 	}
 	var released operatorapi.Released
-	return released, decodeAnswer(received, &released)
+	return released, decodeResponse(received, &released)
 }
 
 // ChangeMembers requests one step of a membership change. Only an addition is resent if
@@ -163,20 +163,20 @@
 		return operatorapi.MemberReply{}, errors.Wrap(err, "operator: encode membership change")
 	}
 	received, err := c.do(ctx, request{
-		method: http.MethodPost,
-		path:   operatorapi.PathMembers,
-		body:   body,
-		resend: change.Action == operatorapi.MemberAdd,
+		method:     http.MethodPost,
+		path:       operatorapi.PathMembers,
+		body:       body,
+		resendable: change.Action == operatorapi.MemberAdd,
 	})
 	if err != nil {
 		return operatorapi.MemberReply{}, err
 	}
 	var reply operatorapi.MemberReply
-	return reply, decodeAnswer(received, &reply)
+	return reply, decodeResponse(received, &reply)
 }
 
 func (c *Client) read(ctx context.Context, path string, target any) error {
-	received, err := c.do(ctx, request{method: http.MethodGet, path: path, resend: true})
+	received, err := c.do(ctx, request{method: http.MethodGet, path: path, resendable: true})
 	if errors.Is(err, ErrOutcomeUnknown) {
 		// A read without a response changed nothing.
 		return errors.Wrap(ErrNotAccepted, err.Error())
@@ -184,12 +184,12 @@
 	if err != nil {
 		return err
 	}
-	return decodeAnswer(received, target)
+	return decodeResponse(received, target)
 }
 
-func decodeAnswer(received answer, target any) error {
+func decodeResponse(received memberResponse, target any) error {
 	if received.status != http.StatusOK {
-		return refusal(received)
+		return newRefusedError(received)
 	}
 	if err := json.Unmarshal(received.body, target); err != nil {
 		return errors.Wrap(err, "operator: decode answer")
@@ -197,6 +197,6 @@
 	return nil
 }
 
-func refusal(received answer) error {
+func newRefusedError(received memberResponse) error {
 	return &RefusedError{Status: received.status, Body: decodeError(received)}
 }
--- a/connection/operator/client.go
+++ b/connection/operator/client.go
@@ -53,9 +53,9 @@
 
 // Limits of the client.
 const (
-	maxAnswerBytes = 64 << 20
-	firstBackoff   = 50 * time.Millisecond
-	maxBackoff     = time.Second
+	maxResponseBytes = 64 << 20
+	minBackoff       = 50 * time.Millisecond
+	maxBackoff       = time.Second
 )
 
 // Config configures a Client.
@@ -92,7 +92,7 @@
 		config:   config,
 		order:    newMemberOrder(config.Members),
 		services: map[string]httpc.Service{},
-		http:     singleuse.NewClient((&net.Dialer{Timeout: config.AttemptTimeout / dialShare}).DialContext),
+		http:     singleuse.NewClient((&net.Dialer{Timeout: config.AttemptTimeout / dialTimeoutDivisor}).DialContext),
 	}
 	for _, address := range config.Members {
 		client.services[address] = httpc.NewServiceWithClient(address, client.http)
@@ -100,10 +100,10 @@
 	return client, nil
 }
 
-// dialShare divides the attempt timeout to get the dial timeout. The dial times out
+// dialTimeoutDivisor divides the attempt timeout to get the dial timeout. The dial times out
 // before the attempt does, so that it is certain that nothing was sent and another
 // member can be tried.
-const dialShare = 2
+const dialTimeoutDivisor = 2
 
 // service returns the client for one member. A leader hint may name an address that is
 // not in the configuration; a new service is created for each request to it.
@@ -119,124 +119,124 @@
 	method string
 	path   string
 	body   []byte
-	// resend allows another attempt after a lost response. Reads, transactions with
+	// resendable allows another attempt after a lost response. Reads, transactions with
 	// an operation ID, dry runs and the addition of a member may be resent; other
 	// membership changes may not.
-	resend bool
+	resendable bool
 }
 
-// answer is the response to one attempt.
-type answer struct {
+// memberResponse is the response to one attempt.
+type memberResponse struct {
 	status int
 	body   []byte
 	// retryAfter is the delay that the member requested.
 	retryAfter time.Duration
 }
 
-// fate classifies the effect of a request after one attempt.
-type fate uint8
+// attemptOutcome classifies the effect of a request after one attempt.
+type attemptOutcome uint8
 
 const (
-	answered    fate = iota + 1 // the response is final
-	notAccepted                 // certainly without effect
-	unknown                     // it may have had an effect
+	outcomeFinal       attemptOutcome = iota + 1 // the response is final
+	outcomeNotAccepted                           // certainly without effect
+	outcomeUnknown                               // it may have had an effect
 )
 
 // roundTrip sends the request once to one member.
-func (c *Client) roundTrip(ctx context.Context, address string, call request) (answer, fate, error) {
+func (c *Client) roundTrip(ctx context.Context, address string, call request) (memberResponse, attemptOutcome, error) {
 	attempt, cancel := context.WithTimeout(ctx, c.config.AttemptTimeout)
 	defer cancel()
 	httpRequest, err := http.NewRequestWithContext(attempt, call.method, "http://"+address+call.path, bytes.NewReader(call.body))
 	if err != nil {
-		return answer{}, notAccepted, errors.Wrap(err, "operator: build request")
+		return memberResponse{}, outcomeNotAccepted, errors.Wrap(err, "operator: build request")
 	}
 	if call.body != nil {
 		httpRequest.Header.Set("Content-Type", "application/json")
 	}
 	var connected atomic.Bool
-	response, err := c.service(address).DoRequest(tellConnected(httpRequest, &connected))
+	response, err := c.service(address).DoRequest(traceConnection(httpRequest, &connected))
 	if err != nil {
-		return answer{}, fateOfFailure(connected.Load()), errors.Wrap(err, address)
+		return memberResponse{}, failureOutcome(connected.Load()), errors.Wrap(err, address)
 	}
 	defer func() { _ = response.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		return answer{}, unknown, errors.Wrap(err, address+": answer cut short")
+		return memberResponse{}, outcomeUnknown, errors.Wrap(err, address+": answer cut short")
 	}
-	received := answer{status: response.StatusCode, body: body, retryAfter: retryAfter(response)}
-	return c.judge(address, received)
+	received := memberResponse{status: response.StatusCode, body: body, retryAfter: retryAfter(response)}
+	return c.classify(address, received)
 }
 
-// judge classifies a response as final or as a failed attempt.
-func (c *Client) judge(address string, received answer) (answer, fate, error) {
+// classify classifies a response as final or as a failed attempt.
+func (c *Client) classify(address string, received memberResponse) (memberResponse, attemptOutcome, error) {
 	if received.status < http.StatusInternalServerError {
 		if !json.Valid(received.body) {
-			return received, unknown, errors.Errorf("%s: the answer is not JSON", address)
+			return received, outcomeUnknown, errors.Errorf("%s: the answer is not JSON", address)
 		}
-		return received, answered, nil
+		return received, outcomeFinal, nil
 	}
 	body := decodeError(received)
 	c.order.prefer(body.Leader)
 	failure := errors.Errorf("%s: %s: %s", address, body.Code, body.Message)
 	if received.status == http.StatusServiceUnavailable && body.Code == operatorapi.ErrorNoQuorum {
-		return received, notAccepted, failure
+		return received, outcomeNotAccepted, failure
 	}
-	return received, unknown, failure
+	return received, outcomeUnknown, failure
 }
 
-// tellConnected returns a copy of the request that sets connected as soon as a connection
+// traceConnection returns a copy of the request that sets connected as soon as a connection
 // is available to write it to.
-func tellConnected(request *http.Request, connected *atomic.Bool) *http.Request {
+func traceConnection(request *http.Request, connected *atomic.Bool) *http.Request {
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
 	return request.WithContext(httptrace.WithClientTrace(request.Context(), trace))
 }
 
-// fateOfFailure classifies a request that got no response. It certainly had no effect
+// failureOutcome classifies a request that got no response. It certainly had no effect
 // only if it never had a connection, whatever ended the attempt.
-func fateOfFailure(connected bool) fate {
+func failureOutcome(connected bool) attemptOutcome {
 	if connected {
-		return unknown
+		return outcomeUnknown
 	}
-	return notAccepted
+	return outcomeNotAccepted
 }
 
 // do makes attempts until one gets a final response or the time is up. Once the outcome
 // of an attempt is unknown, the request as a whole is unknown until a final response:
 // that a later attempt was not accepted does not tell whether the earlier one was.
-func (c *Client) do(ctx context.Context, call request) (answer, error) {
+func (c *Client) do(ctx context.Context, call request) (memberResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.config.Timeout)
 	defer cancel()
-	worst := notAccepted
+	worst := outcomeNotAccepted
 	var failed failures
 	wait := newBackoff()
 	for {
 		for _, address := range c.order.list() {
 			received, known, err := c.roundTrip(ctx, address, call)
-			if known == answered {
+			if known == outcomeFinal {
 				c.order.prefer(address)
 				return received, nil
 			}
 			failed.add(address, err, ctx.Err() != nil)
-			if known == unknown {
-				worst = unknown
+			if known == outcomeUnknown {
+				worst = outcomeUnknown
 			}
-			if worst == unknown && !call.resend {
-				return answer{}, giveUp(worst, &failed)
+			if worst == outcomeUnknown && !call.resendable {
+				return memberResponse{}, callError(worst, &failed)
 			}
-			wait.ask(received.retryAfter)
+			wait.request(received.retryAfter)
 			if ctx.Err() != nil {
-				return answer{}, giveUp(worst, &failed)
+				return memberResponse{}, callError(worst, &failed)
 			}
 		}
 		if !wait.sleep(ctx) {
-			return answer{}, giveUp(worst, &failed)
+			return memberResponse{}, callError(worst, &failed)
 		}
 	}
 }
 
-// giveUp returns the error of a call that got no final response.
-func giveUp(worst fate, failed *failures) error {
-	if worst == unknown {
+// callError returns the error of a call that got no final response.
+func callError(worst attemptOutcome, failed *failures) error {
+	if worst == outcomeUnknown {
 		return errors.Wrap(ErrOutcomeUnknown, failed.String())
 	}
 	return errors.Wrap(ErrNotAccepted, failed.String())
@@ -244,7 +244,7 @@
 
 // decodeError decodes the error body of a response. Without one, it returns an internal
 // error with the text of the HTTP status.
-func decodeError(received answer) operatorapi.Error {
+func decodeError(received memberResponse) operatorapi.Error {
 	var body operatorapi.Error
 	if err := json.Unmarshal(received.body, &body); err != nil || body.Code == "" {
 		body.Code = operatorapi.ErrorInternal
--- a/connection/operator/failures.go
+++ b/connection/operator/failures.go
@@ -12,25 +12,25 @@
 // names all of them: an unreachable member must not hide another one's response that
 // there is no quorum.
 type failures struct {
-	order []string // addresses in the order of their first failure
-	texts map[string]string
+	addresses  []string // addresses in the order of their first failure
+	lastErrors map[string]string
 }
 
 // add records the failure of one attempt. A failure caused by the end of the call (cut)
 // or by the circuit breaker does not replace an earlier one of the same member, which
 // is more specific.
 func (f *failures) add(address string, err error, cut bool) {
-	if f.texts == nil {
-		f.texts = map[string]string{}
+	if f.lastErrors == nil {
+		f.lastErrors = map[string]string{}
 	}
-	_, known := f.texts[address]
+	_, known := f.lastErrors[address]
 	if known && (cut || errors.Is(err, breaker.ErrServiceUnavailable)) {
 		return
 	}
 	if !known {
-		f.order = append(f.order, address)
+		f.addresses = append(f.addresses, address)
 	}
-	f.texts[address] = failureText(address, err)
+	f.lastErrors[address] = failureText(address, err)
 }
 
 // failureText returns the text of a failure, with the member's address in place of the
@@ -46,8 +46,8 @@
 // String lists every member with its last failure.
 func (f *failures) String() string {
 	var texts []string
-	for _, address := range f.order {
-		texts = append(texts, f.texts[address])
+	for _, address := range f.addresses {
+		texts = append(texts, f.lastErrors[address])
 	}
 	return strings.Join(texts, "; ")
 }
--- a/connection/operator/order.go
+++ b/connection/operator/order.go
@@ -51,23 +51,23 @@
 
 // backoff is the exponential delay between two rounds over the members.
 type backoff struct {
-	next  time.Duration
-	asked time.Duration
+	next      time.Duration
+	requested time.Duration
 }
 
-func newBackoff() *backoff { return &backoff{next: firstBackoff} }
+func newBackoff() *backoff { return &backoff{next: minBackoff} }
 
-// ask applies a member's Retry-After to the next delay, limited to maxBackoff.
-func (b *backoff) ask(pause time.Duration) {
-	b.asked = min(max(b.asked, pause), maxBackoff)
+// request applies a member's Retry-After to the next delay, limited to maxBackoff.
+func (b *backoff) request(pause time.Duration) {
+	b.requested = min(max(b.requested, pause), maxBackoff)
 }
 
 // sleep waits for the next delay and returns false if the context ends first.
 func (b *backoff) sleep(ctx context.Context) bool {
 	jittered := b.next/2 + rand.N(b.next/2+1)
-	due := max(jittered, b.asked)
+	due := max(jittered, b.requested)
 	b.next = min(2*b.next, maxBackoff)
-	b.asked = 0
+	b.requested = 0
 	return pause.For(ctx, due)
 }
 
--- a/connection/operator/silent_test.go
+++ b/connection/operator/silent_test.go
@@ -15,9 +15,9 @@
 	"github.com/landingtrail/landingtrail/connection/operatorapi"
 )
 
-// silentAddress returns an address that neither accepts nor refuses connections, because
+// unresponsiveAddress returns an address that neither accepts nor refuses connections, because
 // its accept backlog is full.
-func silentAddress(t *testing.T) string {
+func unresponsiveAddress(t *testing.T) string {
 	socket, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	must.NoError(t, err)
 	t.Cleanup(func() { _ = syscall.Close(socket) })
@@ -37,10 +37,10 @@
 
 // If a member accepts no connection, nothing was sent to it, so the membership change is
 // safely sent to the next one.
-func TestMembershipChangePassesByASilentMachine(t *testing.T) {
-	serving := newMember(t, answer(http.StatusOK, operatorapi.MemberReply{}))
+func TestMembershipChangeSkipsUnresponsiveMember(t *testing.T) {
+	serving := newScriptedMember(t, memberResponse(http.StatusOK, operatorapi.MemberReply{}))
 	client, err := operator.New(operator.Config{
-		Members:        []string{silentAddress(t), serving.address()},
+		Members:        []string{unresponsiveAddress(t), serving.address()},
 		AttemptTimeout: 400 * time.Millisecond,
 	})
 	must.NoError(t, err)
@@ -51,7 +51,7 @@
 
 // Adding a member is idempotent and is resent after a lost response. Every other step of
 // a membership change is sent only once.
-func TestOnlyAnAdditionIsSentAgain(t *testing.T) {
+func TestOnlyMemberAdditionIsResent(t *testing.T) {
 	for _, c := range []struct {
 		action operatorapi.MemberAction
 		want   error
@@ -62,7 +62,7 @@
 		{operatorapi.MemberRemove, operator.ErrOutcomeUnknown, 0},
 	} {
 		t.Run(string(c.action), func(t *testing.T) {
-			losing, serving := newMember(t, loseAnswer), newMember(t, answer(http.StatusOK, operatorapi.MemberReply{}))
+			losing, serving := newScriptedMember(t, dropConnection), newScriptedMember(t, memberResponse(http.StatusOK, operatorapi.MemberReply{}))
 			client, err := operator.New(operator.Config{Members: []string{losing.address(), serving.address()}})
 			must.NoError(t, err)
 			_, err = client.ChangeMembers(context.Background(), operatorapi.MemberRequest{Action: c.action, ID: 7})
--- a/connection/orders/client.go
+++ b/connection/orders/client.go
@@ -20,19 +20,19 @@
 
 // Errors of a Client.
 var (
-	// ErrUnreachable reports that no complete response arrived. The request may have
+	// ErrNoResponse reports that no complete response arrived. The request may have
 	// reached the engine.
-	ErrUnreachable = errors.New("orders: no complete response from the engine")
-	// ErrAnswer reports a response that does not conform to the protocol.
-	ErrAnswer = errors.New("orders: invalid response from the engine")
+	ErrNoResponse = errors.New("orders: no complete response from the engine")
+	// ErrInvalidResponse reports a response that does not conform to the protocol.
+	ErrInvalidResponse = errors.New("orders: invalid response from the engine")
 )
 
 // Limits of a Client.
 const (
-	maxAnswerBytes      = 1 << 20
-	maxHeaderBytes      = 64 << 10
-	idleTimeout         = 30 * time.Second
-	keepAlivePerAddress = 1
+	maxResponseBytes  = 1 << 20
+	maxHeaderBytes    = 64 << 10
+	idleTimeout       = 30 * time.Second
+	maxIdlePerAddress = 1
 )
 
 // Client reads the state of engines and sends them orders. It is safe for concurrent use.
@@ -53,7 +53,7 @@
 		pool: upstream.NewPool(upstream.Config{
 			DialTimeout:    timeout,
 			IdleTimeout:    idleTimeout,
-			MaxIdlePerHost: keepAlivePerAddress,
+			MaxIdlePerHost: maxIdlePerAddress,
 			MaxHeaderBytes: maxHeaderBytes,
 		}),
 		timeout: timeout,
@@ -65,40 +65,40 @@
 
 // State reads the engine's current state.
 func (c *Client) State(ctx context.Context, address string) (engineapi.State, error) {
-	var answer engineapi.State
-	err := c.do(ctx, http.MethodGet, address, engineapi.PathState, nil, &answer)
-	return answer, err
+	var state engineapi.State
+	err := c.do(ctx, http.MethodGet, address, engineapi.PathState, nil, &state)
+	return state, err
 }
 
 // Load reads the engine's load report, which lags behind the actual load.
 func (c *Client) Load(ctx context.Context, address string) (engineapi.Load, error) {
-	var answer engineapi.Load
-	err := c.do(ctx, http.MethodGet, address, engineapi.PathLoad, nil, &answer)
-	return answer, err
+	var load engineapi.Load
+	err := c.do(ctx, http.MethodGet, address, engineapi.PathLoad, nil, &load)
+	return load, err
 }
 
 // Send sends an order to the engine. A refusal is a reply, not an error.
 func (c *Client) Send(ctx context.Context, address string, order api.Order) (engineapi.OrderReply, error) {
-	return c.reply(ctx, address, engineapi.PathOrders, order)
+	return c.post(ctx, address, engineapi.PathOrders, order)
 }
 
 // Void requests the engine to raise its fence.
 func (c *Client) Void(ctx context.Context, address string, request engineapi.VoidRequest) (engineapi.OrderReply, error) {
-	return c.reply(ctx, address, engineapi.PathVoid, request)
+	return c.post(ctx, address, engineapi.PathVoid, request)
 }
 
-func (c *Client) reply(ctx context.Context, address, path string, body any) (engineapi.OrderReply, error) {
-	var answer engineapi.OrderReply
-	if err := c.do(ctx, http.MethodPost, address, path, body, &answer); err != nil {
+func (c *Client) post(ctx context.Context, address, path string, body any) (engineapi.OrderReply, error) {
+	var reply engineapi.OrderReply
+	if err := c.do(ctx, http.MethodPost, address, path, body, &reply); err != nil {
 		return engineapi.OrderReply{}, err
 	}
-	if answer.Code == "" {
-		return engineapi.OrderReply{}, errors.Wrap(ErrAnswer, "reply has no code")
+	if reply.Code == "" {
+		return engineapi.OrderReply{}, errors.Wrap(ErrInvalidResponse, "reply has no code")
 	}
-	return answer, nil
+	return reply, nil
 }
 
-func (c *Client) do(ctx context.Context, method, address, path string, body, answer any) error {
+func (c *Client) do(ctx context.Context, method, address, path string, body, target any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	request, err := newRequest(ctx, method, address, path, body)
@@ -107,28 +107,28 @@
 	}
 	response, err := c.pool.Do(request, upstream.Identity{RequestID: newCallID()})
 	if err != nil {
-		return errors.Wrapf(ErrUnreachable, "%v", err)
+		return errors.Wrapf(ErrNoResponse, "%v", err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes+1))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes+1))
 	if err != nil {
-		return errors.Wrapf(ErrUnreachable, "%v", err)
+		return errors.Wrapf(ErrNoResponse, "%v", err)
 	}
-	if len(data) > maxAnswerBytes {
-		return errors.Wrap(ErrAnswer, "body too large")
+	if len(data) > maxResponseBytes {
+		return errors.Wrap(ErrInvalidResponse, "body too large")
 	}
-	if !carriesAnswer(response.StatusCode) {
-		return errors.Wrapf(ErrAnswer, "status %d", response.StatusCode)
+	if !hasProtocolBody(response.StatusCode) {
+		return errors.Wrapf(ErrInvalidResponse, "status %d", response.StatusCode)
 	}
-	return errors.Wrapf(decodeAnswer(data, answer), "status %d", response.StatusCode)
+	return errors.Wrapf(decodeResponse(data, target), "status %d", response.StatusCode)
 }
 
 // newCallID returns a random ID that identifies one call to an engine.
 func newCallID() string { return strconv.FormatUint(rand.Uint64(), 36) }
 
-// carriesAnswer reports whether responses with the status have a body of the protocol.
+// hasProtocolBody reports whether responses with the status have a body of the protocol.
 // Refused orders, for example, have status 409.
-func carriesAnswer(status int) bool {
+func hasProtocolBody(status int) bool {
 	switch status {
 	case http.StatusOK, http.StatusAccepted, http.StatusBadRequest, http.StatusConflict, http.StatusUnprocessableEntity:
 		return true
@@ -137,9 +137,9 @@
 	}
 }
 
-func decodeAnswer(data []byte, answer any) error {
-	if err := json.Unmarshal(data, answer); err != nil {
-		return errors.Wrapf(ErrAnswer, "%v", err)
+func decodeResponse(data []byte, target any) error {
+	if err := json.Unmarshal(data, target); err != nil {
+		return errors.Wrapf(ErrInvalidResponse, "%v", err)
 	}
 	return nil
 }
--- a/connection/orders/orders_test.go
+++ b/connection/orders/orders_test.go
@@ -23,30 +23,30 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func TestUnusableAnswersAreErrors(t *testing.T) {
+func TestInvalidResponsesAreErrors(t *testing.T) {
 	const timeout = 300 * time.Millisecond
 	cases := map[string]struct {
 		serve http.HandlerFunc
 		want  error
 	}{
-		"not JSON":     {func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "<html>") }, ErrAnswer},
-		"wrong type":   {func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, `{"code":7}`) }, ErrAnswer},
-		"no code":      {func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, `{}`) }, ErrAnswer},
-		"server error": {func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusBadGateway) }, ErrAnswer},
-		"other address": {func(w http.ResponseWriter, r *http.Request) {
+		"not JSON":     {func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "<html>") }, ErrInvalidResponse},
+		"wrong type":   {func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, `{"code":7}`) }, ErrInvalidResponse},
+		"no code":      {func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, `{}`) }, ErrInvalidResponse},
+		"server error": {func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusBadGateway) }, ErrInvalidResponse},
+		"redirect": {func(w http.ResponseWriter, r *http.Request) {
 			http.Redirect(w, r, "/elsewhere", http.StatusTemporaryRedirect)
-		}, ErrAnswer},
+		}, ErrInvalidResponse},
 		"too long": {func(w http.ResponseWriter, _ *http.Request) {
-			fmt.Fprintf(w, `{"code":%q}`, strings.Repeat("x", maxAnswerBytes))
-		}, ErrAnswer},
-		"cut short": {func(w http.ResponseWriter, _ *http.Request) {
+			fmt.Fprintf(w, `{"code":%q}`, strings.Repeat("x", maxResponseBytes))
+		}, ErrInvalidResponse},
+		"truncated": {func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "100")
 			fmt.Fprint(w, `{"code"`)
-		}, ErrUnreachable},
-		"no answer": {func(_ http.ResponseWriter, r *http.Request) {
+		}, ErrNoResponse},
+		"no response": {func(_ http.ResponseWriter, r *http.Request) {
 			_, _ = io.Copy(io.Discard, r.Body) // the server detects a canceled request only after reading the body
 			<-r.Context().Done()
-		}, ErrUnreachable},
+		}, ErrNoResponse},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestRefusedOrderIsAnAnswer(t *testing.T) {
+func TestRefusedOrderIsNoError(t *testing.T) {
 	engine := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusConflict)
 		fmt.Fprint(w, `{"code":"stale"}`)
@@ -76,17 +76,17 @@
 	must.Eq(t, "stale", string(reply.Code))
 }
 
-var errSilent = errors.New("engine did not respond")
+var errUnresponsive = errors.New("engine did not respond")
 
-// fleet is a fake Asker in which the address of an engine is its name. Engines whose names
+// fakeEngines is a fake EngineClient in which the address of an engine is its name. Engines whose names
 // begin with "silent" fail after 2 s without a response.
-type fleet struct {
+type fakeEngines struct {
 	lock        sync.Mutex
 	incarnation uint64
 	asked       map[string]int
 }
 
-func (f *fleet) State(ctx context.Context, address string) (engineapi.State, error) {
+func (f *fakeEngines) State(ctx context.Context, address string) (engineapi.State, error) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	f.asked[address]++
@@ -97,22 +97,22 @@
 		case <-time.After(2 * time.Second):
 		case <-ctx.Done():
 		}
-		return engineapi.State{}, errSilent
+		return engineapi.State{}, errUnresponsive
 	}
 	return engineapi.State{Engine: address, Incarnation: f.incarnation}, nil
 }
 
-func (f *fleet) Load(_ context.Context, address string) (engineapi.Load, error) {
+func (f *fakeEngines) Load(_ context.Context, address string) (engineapi.Load, error) {
 	return engineapi.Load{Engine: address}, nil
 }
 
-func (f *fleet) count(address string) int {
+func (f *fakeEngines) count(address string) int {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	return f.asked[address]
 }
 
-func startPoller(asker Asker, changed func()) *Poller {
+func startPoller(asker EngineClient, changed func()) *Poller {
 	start := time.Now()
 	return NewPoller(PollerConfig{
 		Asker: asker, Interval: 500 * time.Millisecond, Changed: changed,
@@ -120,9 +120,9 @@
 	})
 }
 
-func TestPollerHearsTheOthersBesideSilentEngines(t *testing.T) {
+func TestUnresponsiveEnginesDoNotBlockOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		asker := &fleet{asked: map[string]int{}}
+		asker := &fakeEngines{asked: map[string]int{}}
 		poller := startPoller(asker, nil)
 		defer poller.Close()
 		targets := map[string]string{}
@@ -144,9 +144,9 @@
 
 // With more unresponsive engines than workers, each engine must still be polled equally
 // often.
-func TestSilentEnginesTakeTurns(t *testing.T) {
+func TestUnresponsiveEnginesArePolledFairly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		asker := &fleet{asked: map[string]int{}}
+		asker := &fakeEngines{asked: map[string]int{}}
 		poller := startPoller(asker, nil)
 		defer poller.Close()
 		targets := map[string]string{}
@@ -166,9 +166,9 @@
 	})
 }
 
-func TestPollerAsksEachEngineOnceAnInterval(t *testing.T) {
+func TestPollerPollsOncePerInterval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		asker := &fleet{asked: map[string]int{}}
+		asker := &fakeEngines{asked: map[string]int{}}
 		changes := make(chan struct{}, 100)
 		poller := startPoller(asker, func() { changes <- struct{}{} })
 		defer poller.Close()
@@ -188,9 +188,9 @@
 	})
 }
 
-func TestLaterQuestionWins(t *testing.T) {
+func TestLaterRequestWins(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		poller := startPoller(&fleet{asked: map[string]int{}}, nil)
+		poller := startPoller(&fakeEngines{asked: map[string]int{}}, nil)
 		defer poller.Close()
 		poller.SetTargets(map[string]string{"silent": "silent"})
 		state := func(incarnation uint64) engineapi.State {
@@ -203,15 +203,15 @@
 	})
 }
 
-// restarted is a fake Asker whose engine has restarted. While lagging is set, its load
+// restartedEngine is a fake EngineClient whose engine has restarted. While lagging is set, its load
 // report is still that of the previous incarnation.
-type restarted struct{ lagging atomic.Bool }
+type restartedEngine struct{ lagging atomic.Bool }
 
-func (*restarted) State(context.Context, string) (engineapi.State, error) {
+func (*restartedEngine) State(context.Context, string) (engineapi.State, error) {
 	return engineapi.State{Engine: "engine-1", Incarnation: 2}, nil
 }
 
-func (r *restarted) Load(context.Context, string) (engineapi.Load, error) {
+func (r *restartedEngine) Load(context.Context, string) (engineapi.Load, error) {
 	if r.lagging.Load() {
 		return engineapi.Load{Engine: "engine-1", Incarnation: 1, Running: 7}, nil
 	}
@@ -221,9 +221,9 @@
 // An engine that had just restarted was shown with the load of its previous incarnation,
 // because load reports lag and were stored by engine name alone. A load must only be
 // returned together with the state of the same incarnation.
-func TestLoadIsOfTheIncarnationThatTheStateNames(t *testing.T) {
+func TestLoadMatchesIncarnationOfState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		engine := &restarted{}
+		engine := &restartedEngine{}
 		engine.lagging.Store(true)
 		poller := startPoller(engine, nil)
 		defer poller.Close()
@@ -241,26 +241,26 @@
 
 // Two load requests to an engine can be in flight if its entry was replaced by one with the
 // same address. The response to the earlier request must not replace a later one.
-func TestLateLoadReportReplacesNoLaterOne(t *testing.T) {
-	known := &target{heard: true, seen: Seen{State: engineapi.State{Incarnation: 3}}}
+func TestStaleLoadReportIsDiscarded(t *testing.T) {
+	known := &target{known: true, seen: Seen{State: engineapi.State{Incarnation: 3}}}
 	known.recordLoad(engineapi.Load{Incarnation: 3, Running: 7}, 2*time.Second)
 	known.recordLoad(engineapi.Load{Incarnation: 3, Running: 1}, time.Second)
 	must.Eq(t, 7, known.seen.Load.Running)
 	must.Eq(t, 2*time.Second, known.seen.LoadAt)
 }
 
-// slowReport is a fake Asker that numbers its load reports by request and returns the first
+// slowLoadEngine is a fake EngineClient that numbers its load reports by request and returns the first
 // one only after first is closed.
-type slowReport struct {
+type slowLoadEngine struct {
 	asked atomic.Int64
 	first chan struct{}
 }
 
-func (*slowReport) State(context.Context, string) (engineapi.State, error) {
+func (*slowLoadEngine) State(context.Context, string) (engineapi.State, error) {
 	return engineapi.State{Engine: "engine-1", Incarnation: 1}, nil
 }
 
-func (s *slowReport) Load(context.Context, string) (engineapi.Load, error) {
+func (s *slowLoadEngine) Load(context.Context, string) (engineapi.Load, error) {
 	number := s.asked.Add(1)
 	if number == 1 {
 		<-s.first
@@ -271,9 +271,9 @@
 // An engine that is removed and added again while a poll of it is in flight is polled anew.
 // The response to the earlier poll must not overwrite the later one, nor affect the polling
 // of the new entry.
-func TestReportOfAnEarlierQuestionTakesNothingBack(t *testing.T) {
+func TestResponseToReplacedTargetIsDiscarded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		engine := &slowReport{first: make(chan struct{})}
+		engine := &slowLoadEngine{first: make(chan struct{})}
 		poller := startPoller(engine, nil)
 		defer poller.Close()
 		targets := map[string]string{"engine-1": "engine-1"}
--- a/connection/orders/outofstep_test.go
+++ b/connection/orders/outofstep_test.go
@@ -20,20 +20,20 @@
 // another one; a call that receives a surplus response may fail. To an engine that does
 // not echo request IDs, no connection is reused and every call succeeds.
 
-// outOfStepCalls is the number of calls per test, enough for connections to be reused.
-const outOfStepCalls = 12
+// callsPerTest is the number of calls per test, enough for connections to be reused.
+const callsPerTest = 12
 
-// outOfStep is an engine that repeats its previous response before each further one on a
+// duplicatingEngine is an engine that repeats its previous response before each further one on a
 // connection, and a client of it.
-type outOfStep struct {
+type duplicatingEngine struct {
 	server *surplus.Server
 	client *Client
 	echoes bool
 }
 
-// forOutOfStep runs a test with an engine that echoes request IDs and with one that does
+// runWithDuplicatingEngine runs a test with an engine that echoes request IDs and with one that does
 // not. engine creates the handler of each.
-func forOutOfStep(t *testing.T, engine func() http.Handler, test func(t *testing.T, engine *outOfStep)) {
+func runWithDuplicatingEngine(t *testing.T, engine func() http.Handler, test func(t *testing.T, engine *duplicatingEngine)) {
 	for name, echoes := range map[string]bool{"echoes": true, "does not echo": false} {
 		t.Run(name, func(t *testing.T) {
 			server, err := surplus.Start(maybeEchoing(engine(), echoes), surplus.Again)
@@ -41,7 +41,7 @@
 			t.Cleanup(server.Close)
 			client := NewClient(5 * time.Second)
 			t.Cleanup(client.Close)
-			test(t, &outOfStep{server: server, client: client, echoes: echoes})
+			test(t, &duplicatingEngine{server: server, client: client, echoes: echoes})
 			must.Eq(t, echoes, server.Sent() > 0, must.Sprint("surplus responses are expected on reused connections only"))
 		})
 	}
@@ -58,12 +58,12 @@
 
 // succeeded reports whether a call succeeded. It may fail only if a surplus response was
 // sent during it.
-func (o *outOfStep) succeeded(t *testing.T, sentBefore int, err error) bool {
+func (o *duplicatingEngine) succeeded(t *testing.T, sentBefore int, err error) bool {
 	t.Helper()
 	if err == nil {
 		return true
 	}
-	must.ErrorIs(t, err, ErrUnreachable)
+	must.ErrorIs(t, err, ErrNoResponse)
 	must.Greater(t, sentBefore, o.server.Sent())
 	return false
 }
@@ -78,9 +78,9 @@
 
 // checkIncarnations calls a restarting engine repeatedly. The engine serves one request at a
 // time, so the incarnation in each response must be the number of its request.
-func checkIncarnations(t *testing.T, ask func(ctx context.Context, engine *outOfStep) (uint64, error)) {
-	forOutOfStep(t, restartingEngine, func(t *testing.T, engine *outOfStep) {
-		for number := range uint64(outOfStepCalls) {
+func checkIncarnations(t *testing.T, ask func(ctx context.Context, engine *duplicatingEngine) (uint64, error)) {
+	runWithDuplicatingEngine(t, restartingEngine, func(t *testing.T, engine *duplicatingEngine) {
+		for number := range uint64(callsPerTest) {
 			sent := engine.server.Sent()
 			incarnation, err := ask(t.Context(), engine)
 			if engine.succeeded(t, sent, err) {
@@ -90,15 +90,15 @@
 	})
 }
 
-func TestStateIsTheAnswerToItsOwnQuestion(t *testing.T) {
-	checkIncarnations(t, func(ctx context.Context, engine *outOfStep) (uint64, error) {
+func TestStateMatchesRequest(t *testing.T) {
+	checkIncarnations(t, func(ctx context.Context, engine *duplicatingEngine) (uint64, error) {
 		state, err := engine.client.State(ctx, engine.server.Address())
 		return state.Incarnation, err
 	})
 }
 
-func TestLoadIsTheAnswerToItsOwnQuestion(t *testing.T) {
-	checkIncarnations(t, func(ctx context.Context, engine *outOfStep) (uint64, error) {
+func TestLoadMatchesRequest(t *testing.T) {
+	checkIncarnations(t, func(ctx context.Context, engine *duplicatingEngine) (uint64, error) {
 		load, err := engine.client.Load(ctx, engine.server.Address())
 		return load.Incarnation, err
 	})
@@ -119,8 +119,8 @@
 // A load report has the engine name, incarnation and phase of a state, but no fence and no
 // assignment. Taken for a state, it would describe an engine that got no orders.
 func TestLoadIsNotTakenForAState(t *testing.T) {
-	forOutOfStep(t, loadAndState, func(t *testing.T, engine *outOfStep) {
-		for range outOfStepCalls {
+	runWithDuplicatingEngine(t, loadAndState, func(t *testing.T, engine *duplicatingEngine) {
+		for range callsPerTest {
 			sent := engine.server.Sent()
 			load, err := engine.client.Load(t.Context(), engine.server.Address())
 			if engine.succeeded(t, sent, err) {
@@ -148,9 +148,9 @@
 	return engine
 }
 
-func TestOrderAndVoidGetTheirOwnAnswers(t *testing.T) {
-	forOutOfStep(t, orderAndVoid, func(t *testing.T, engine *outOfStep) {
-		for range outOfStepCalls {
+func TestOrderAndVoidGetOwnReplies(t *testing.T) {
+	runWithDuplicatingEngine(t, orderAndVoid, func(t *testing.T, engine *duplicatingEngine) {
+		for range callsPerTest {
 			sent := engine.server.Sent()
 			ordered, err := engine.client.Send(t.Context(), engine.server.Address(), api.Order{Engine: "narrator-1"})
 			if engine.succeeded(t, sent, err) {
--- a/connection/orders/poller.go
+++ b/connection/orders/poller.go
@@ -22,15 +22,15 @@
 	LoadAt time.Duration
 }
 
-// Asker reads the state and load of engines. *Client implements it.
-type Asker interface {
+// EngineClient reads the state and load of engines. *Client implements it.
+type EngineClient interface {
 	State(ctx context.Context, address string) (engineapi.State, error)
 	Load(ctx context.Context, address string) (engineapi.Load, error)
 }
 
 // PollerConfig configures a Poller.
 type PollerConfig struct {
-	Asker Asker
+	Asker EngineClient
 	// Interval is the time between two polls of one engine. It is increased if there
 	// are more engines than MaxPerSecond allows.
 	Interval     time.Duration
@@ -55,20 +55,20 @@
 
 // target is one polled engine.
 type target struct {
-	name    string
-	address string
-	dueAt   time.Duration
-	turn    uint64 // of its last poll; 0 before the first
-	asking  bool
-	seen    Seen
-	heard   bool
+	name     string
+	address  string
+	dueAt    time.Duration
+	lastPoll uint64 // of its last poll; 0 before the first
+	polling  bool
+	seen     Seen
+	known    bool
 }
 
 type pollerShard struct {
 	sync.Mutex
 	targets map[string]*target
 	workers chan struct{}
-	turn    uint64 // number of polls started
+	polls   uint64 // number of polls started
 }
 
 // Poller polls a set of engines until it is closed.
@@ -111,16 +111,15 @@
 // an engine whose address changes is discarded.
 func (p *Poller) SetTargets(addresses map[string]string) {
 	for i := range p.shards {
-		p.shards[i].removeOthers(addresses)
+		p.shards[i].retain(addresses)
 	}
 	for name, address := range addresses {
 		p.shard(name).add(name, address)
 	}
 }
 
-// removeOthers removes the engines that are not in addresses or have another address
-// there.
-func (s *pollerShard) removeOthers(addresses map[string]string) {
+// retain removes all engines except those in addresses with the same address.
+func (s *pollerShard) retain(addresses map[string]string) {
 	s.Lock()
 	defer s.Unlock()
 	for name, known := range s.targets {
@@ -162,14 +161,14 @@
 // record records the state, unless that of a later request is already known, and reports
 // whether it differs from the previous one.
 func (t *target) record(state engineapi.State, askedAt time.Duration) bool {
-	if t.heard && askedAt < t.seen.AskedAt {
+	if t.known && askedAt < t.seen.AskedAt {
 		return false
 	}
-	changed := !t.heard || !sameState(t.seen.State, state)
+	changed := !t.known || !sameState(t.seen.State, state)
 	if t.seen.State.Incarnation != state.Incarnation {
 		t.seen.Load, t.seen.LoadAt = engineapi.Load{}, 0
 	}
-	t.seen.State, t.seen.AskedAt, t.heard = state, askedAt, true
+	t.seen.State, t.seen.AskedAt, t.known = state, askedAt, true
 	return changed
 }
 
@@ -198,7 +197,7 @@
 	s.Lock()
 	defer s.Unlock()
 	for name, known := range s.targets {
-		if known.heard {
+		if known.known {
 			all[name] = known.seen
 		}
 	}
@@ -228,19 +227,19 @@
 	if len(shard.workers) == cap(shard.workers) {
 		return
 	}
-	interval := p.interval(len(shard.targets))
+	interval := p.shardInterval(len(shard.targets))
 	for _, next := range shard.due(now) {
 		select {
 		case shard.workers <- struct{}{}:
 		default:
 			return
 		}
-		shard.turn++
-		next.turn, next.asking = shard.turn, true
+		shard.polls++
+		next.lastPoll, next.polling = shard.polls, true
 		next.dueAt = now + interval
 		asking.Go(func() {
 			defer func() { <-shard.workers }()
-			p.ask(shard, next.name, next)
+			p.poll(shard, next.name, next)
 		})
 	}
 }
@@ -250,47 +249,47 @@
 func (s *pollerShard) due(now time.Duration) []*target {
 	var due []*target
 	for _, known := range s.targets {
-		if !known.asking && known.dueAt <= now {
+		if !known.polling && known.dueAt <= now {
 			due = append(due, known)
 		}
 	}
 	slices.SortFunc(due, func(left, right *target) int {
-		return cmp.Or(cmp.Compare(left.dueAt, right.dueAt), cmp.Compare(left.turn, right.turn))
+		return cmp.Or(cmp.Compare(left.dueAt, right.dueAt), cmp.Compare(left.lastPoll, right.lastPoll))
 	})
 	return due
 }
 
-// interval returns the configured interval, or a longer one if the shard's share of the
+// shardInterval returns the configured interval, or a longer one if the shard's share of the
 // maximum rate requires it.
-func (p *Poller) interval(targets int) time.Duration {
+func (p *Poller) shardInterval(targets int) time.Duration {
 	perShard := max(1, p.config.MaxPerSecond/pollerShards)
-	return stretched(p.config.Interval, targets, perShard)
+	return limitedInterval(p.config.Interval, targets, perShard)
 }
 
-func stretched(interval time.Duration, targets, perSecond int) time.Duration {
+func limitedInterval(interval time.Duration, targets, perSecond int) time.Duration {
 	return max(interval, time.Duration(targets)*time.Second/time.Duration(perSecond))
 }
 
 // RoundTime returns how long a Poller with the given interval and the default maximum rate
 // takes to poll the given number of engines once.
 func RoundTime(interval time.Duration, engines int) time.Duration {
-	return stretched(interval, engines, defaultMaxPerSecond)
+	return limitedInterval(interval, engines, defaultMaxPerSecond)
 }
 
-// ask polls one engine. Its target may have been replaced by the time it responds.
-func (p *Poller) ask(shard *pollerShard, name string, asked *target) {
+// poll polls one engine. Its target may have been replaced by the time it responds.
+func (p *Poller) poll(shard *pollerShard, name string, asked *target) {
 	askedAt := p.config.Clock()
 	state, err := p.config.Asker.State(p.context, asked.address)
 	if err == nil {
 		p.Record(name, asked.address, state, askedAt)
-		p.askLoad(shard, name, asked)
+		p.pollLoad(shard, name, asked)
 	}
 	shard.Lock()
 	defer shard.Unlock()
-	asked.asking = false
+	asked.polling = false
 }
 
-func (p *Poller) askLoad(shard *pollerShard, name string, asked *target) {
+func (p *Poller) pollLoad(shard *pollerShard, name string, asked *target) {
 	askedAt := p.config.Clock()
 	load, err := p.config.Asker.Load(p.context, asked.address)
 	if err != nil || load.Engine != name {
--- a/connection/orders/surplus_test.go
+++ b/connection/orders/surplus_test.go
@@ -43,7 +43,7 @@
 // The reply to one order or void was taken for that to the next one to the same engine, since
 // replies did not identify their call, and a fence counted as confirmed that the engine had
 // not received. A response that names another call, or none, must be an error.
-func TestSurplusReplyIsNoAnswer(t *testing.T) {
+func TestSurplusReplyIsRejected(t *testing.T) {
 	cases := map[string]string{
 		"of another call": engineapi.HeaderRequestID + ": another\r\n",
 		"of no call":      "",
@@ -54,15 +54,15 @@
 			client := NewClient(time.Second)
 			defer client.Close()
 			for range 6 {
-				answer, err := client.Send(t.Context(), engine.Address(), api.Order{Engine: "narrator-1"})
-				must.NotEq(t, foreignCode, string(answer.Code))
+				got, err := client.Send(t.Context(), engine.Address(), api.Order{Engine: "narrator-1"})
+				must.NotEq(t, foreignCode, string(got.Code))
 				if err != nil {
-					must.ErrorIs(t, err, ErrUnreachable)
+					must.ErrorIs(t, err, ErrNoResponse)
 				}
-				answer, err = client.Void(t.Context(), engine.Address(), engineapi.VoidRequest{})
-				must.NotEq(t, foreignCode, string(answer.Code))
+				got, err = client.Void(t.Context(), engine.Address(), engineapi.VoidRequest{})
+				must.NotEq(t, foreignCode, string(got.Code))
 				if err != nil {
-					must.ErrorIs(t, err, ErrUnreachable)
+					must.ErrorIs(t, err, ErrNoResponse)
 				}
 			}
 			must.Positive(t, engine.Sent())
--- a/connection/peer/connect_test.go
+++ b/connection/peer/connect_test.go
@@ -11,7 +11,7 @@
 
 // The first packet to a machine without power is lost. The attempt to connect must time out
 // soon, since the machine may be back shortly after.
-func TestEachTryToConnectIsShort(t *testing.T) {
+func TestConnectTimeoutIsShort(t *testing.T) {
 	var config Config
 	var left time.Duration
 	config.setDefaults()
--- a/connection/peer/fuzz_test.go
+++ b/connection/peer/fuzz_test.go
@@ -12,49 +12,49 @@
 	"github.com/shoenig/test/must"
 )
 
-// wire is a net.Conn that reads from a reader and writes to a buffer.
-type wire struct {
+// fakeConn is a net.Conn that reads from a reader and writes to a buffer.
+type fakeConn struct {
 	net.Conn
 	io.Reader
 	written bytes.Buffer
 }
 
-func (w *wire) Read(data []byte) (int, error)    { return w.Reader.Read(data) }
-func (w *wire) Write(data []byte) (int, error)   { return w.written.Write(data) }
-func (w *wire) SetReadDeadline(time.Time) error  { return nil }
-func (w *wire) SetWriteDeadline(time.Time) error { return nil }
+func (w *fakeConn) Read(data []byte) (int, error)    { return w.Reader.Read(data) }
+func (w *fakeConn) Write(data []byte) (int, error)   { return w.written.Write(data) }
+func (w *fakeConn) SetReadDeadline(time.Time) error  { return nil }
+func (w *fakeConn) SetWriteDeadline(time.Time) error { return nil }
 
-// framed converts fuzzer input to valid frames. The input holds a kind, two bytes of length
+// encodeFrames converts fuzzer input to valid frames. The input holds a kind, two bytes of length
 // and the payload of each, so that the fuzzer need not find valid checksums.
-func framed(t testing.TB, drawn []byte) []byte {
+func encodeFrames(t testing.TB, input []byte) []byte {
 	t.Helper()
-	w := &wire{}
+	w := &fakeConn{}
 	writer := frame.NewWriter(w, Protocol, 0)
-	for len(drawn) >= 3 {
-		length := min(int(drawn[1])<<8|int(drawn[2]), len(drawn)-3)
-		must.NoError(t, writer.WriteFrame(frame.Kind(drawn[0]), drawn[3:3+length]))
-		drawn = drawn[3+length:]
+	for len(input) >= 3 {
+		length := min(int(input[1])<<8|int(input[2]), len(input)-3)
+		must.NoError(t, writer.WriteFrame(frame.Kind(input[0]), input[3:3+length]))
+		input = input[3+length:]
 	}
 	must.NoError(t, writer.Flush())
 	return w.written.Bytes()
 }
 
-// draw returns the fuzzer input for one frame.
-func draw(kind frame.Kind, payload []byte) []byte {
+// frameInput returns the fuzzer input for one frame.
+func frameInput(kind frame.Kind, payload []byte) []byte {
 	return append([]byte{byte(kind), byte(len(payload) >> 8), byte(len(payload))}, payload...)
 }
 
 // FuzzInbound sends arbitrary frames to a transport. Every message that it delivers must come
 // from the member in the hello and be addressed to this one.
 func FuzzInbound(f *testing.F) {
-	greeting := hello{group: testGroup, sender: 2, receiver: 1, lane: laneMessages}
+	greeting := hello{group: testGroup, sender: 2, receiver: 1, channel: channelMessages}
 	message := raft.Message{Kind: raft.MessageHeartbeat, From: 2, To: 1, Term: 3, Sequence: 4}
 	encoded := message.AppendBinary(nil)
 	message.From = 3
-	f.Add(draw(frameHello, greeting.encode()), draw(frameMessage, encoded))
-	f.Add(draw(frameHello, greeting.encode()), draw(frameMessage, message.AppendBinary(nil)))
-	f.Add(draw(frameHello, greeting.encode()), append(draw(frameChunk, encoded[:9]), draw(frameFinalChunk, encoded[9:])...))
-	f.Add(draw(frameHello, greeting.encode()), append(draw(framePing, nil), draw(frameWelcome, nil)...))
+	f.Add(frameInput(frameHello, greeting.encode()), frameInput(frameMessage, encoded))
+	f.Add(frameInput(frameHello, greeting.encode()), frameInput(frameMessage, message.AppendBinary(nil)))
+	f.Add(frameInput(frameHello, greeting.encode()), append(frameInput(frameChunk, encoded[:9]), frameInput(frameFinalChunk, encoded[9:])...))
+	f.Add(frameInput(frameHello, greeting.encode()), append(frameInput(framePing, nil), frameInput(frameWelcome, nil)...))
 	f.Fuzz(func(t *testing.T, first, rest []byte) {
 		sender := raft.None
 		transport := &Transport{config: Config{Group: testGroup, ID: 1, MaxSnapshotBytes: 100}}
@@ -63,11 +63,11 @@
 			must.Eq(t, sender, message.From)
 			must.Eq(t, raft.MemberID(1), message.To)
 		}
-		w := &wire{Reader: bytes.NewReader(framed(t, append(first, rest...)))}
+		w := &fakeConn{Reader: bytes.NewReader(encodeFrames(t, append(first, rest...)))}
 		writer := frame.NewWriter(w, Protocol, 0)
 		reader := frame.NewReader(w, Protocol, handshakeBytes, 0)
-		accepted, err := transport.welcome(writer, reader)
-		if err != nil || accepted.lane == laneProbe {
+		accepted, err := transport.handleHello(writer, reader)
+		if err != nil || accepted.channel == channelProbe {
 			return // the connection ends after a probe
 		}
 		sender = accepted.sender
@@ -79,8 +79,8 @@
 // FuzzHandshake decodes arbitrary bytes as the two handshake frames. Accepted frames must
 // encode to the same bytes.
 func FuzzHandshake(f *testing.F) {
-	f.Add(hello{group: 1, sender: 2, receiver: 3, lane: laneProbe}.encode())
-	f.Add(welcome{verdict: verdictAccepted, group: 1, member: 2, initialized: true}.encode())
+	f.Add(hello{group: 1, sender: 2, receiver: 3, channel: channelProbe}.encode())
+	f.Add(welcome{result: helloAccepted, group: 1, member: 2, initialized: true}.encode())
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if h, err := decodeHello(data); err == nil {
 			must.Eq(t, data, h.encode())
--- a/connection/peer/inbound.go
+++ b/connection/peer/inbound.go
@@ -17,8 +17,8 @@
 // inboundKey identifies an incoming connection. A later connection with the same key
 // replaces the earlier one, which its sender has abandoned.
 type inboundKey struct {
-	sender raft.MemberID
-	lane   lane
+	sender  raft.MemberID
+	channel channel
 }
 
 // inbound describes an incoming connection.
@@ -45,7 +45,7 @@
 			conn.Close()
 			continue
 		}
-		t.group.Go(func() { t.serveInbound(conn) })
+		t.goroutines.Go(func() { t.serveInbound(conn) })
 	}
 }
 
@@ -102,25 +102,25 @@
 	defer t.unregister(conn)
 	writer := frame.NewWriter(conn, Protocol, t.config.WriteTimeout)
 	reader := frame.NewReader(conn, Protocol, handshakeBytes, t.config.HandshakeTimeout)
-	greeting, err := t.welcome(writer, reader)
+	greeting, err := t.handleHello(writer, reader)
 	if err != nil {
 		address := conn.RemoteAddr().String()
 		t.config.OnEvent(Event{Kind: EventRejected, Member: greeting.sender, Address: address, Err: err})
 		return
 	}
-	if greeting.lane == laneProbe {
+	if greeting.channel == channelProbe {
 		return
 	}
-	if !t.admit(conn, inboundKey{sender: greeting.sender, lane: greeting.lane}) {
+	if !t.admit(conn, inboundKey{sender: greeting.sender, channel: greeting.channel}) {
 		return
 	}
 	// The sender reports why the connection ended.
 	_ = t.readMessages(greeting, writer, reader)
 }
 
-// welcome reads the hello and replies to it. The reply identifies this member even if it
+// handleHello reads the hello and replies to it. The reply identifies this member even if it
 // is a refusal.
-func (t *Transport) welcome(writer *frame.Writer, reader *frame.Reader) (hello, error) {
+func (t *Transport) handleHello(writer *frame.Writer, reader *frame.Reader) (hello, error) {
 	first, err := reader.ReadFrame()
 	if err != nil {
 		return hello{}, err
@@ -132,25 +132,25 @@
 	if err != nil {
 		return hello{}, err
 	}
-	answer := welcome{
-		verdict:     t.judge(greeting),
+	reply := welcome{
+		result:      t.checkHello(greeting),
 		group:       t.config.Group,
 		member:      t.config.ID,
 		initialized: t.config.Initialized(),
 	}
-	if err := writer.WriteFrame(frameWelcome, answer.encode()); err != nil {
+	if err := writer.WriteFrame(frameWelcome, reply.encode()); err != nil {
 		return greeting, err
 	}
 	if err := writer.Flush(); err != nil {
 		return greeting, err
 	}
-	return greeting, answer.err()
+	return greeting, reply.err()
 }
 
 func (t *Transport) readMessages(greeting hello, writer *frame.Writer, reader *frame.Reader) error {
 	reader.SetTimeout(t.config.PingInterval + t.config.AnswerTimeout)
 	reader.SetMaxPayload(t.config.MaxMessageBytes)
-	var pieces []byte
+	var chunks []byte
 	for {
 		next, err := reader.ReadFrame()
 		if err != nil {
@@ -158,19 +158,19 @@
 		}
 		switch next.Kind {
 		case framePing:
-			err = answerPing(writer)
+			err = sendPong(writer)
 		case frameMessage:
 			err = t.deliver(greeting, next.Payload)
 		case frameNotice:
 			t.count.received.Add(1)
 			t.config.OnNotice(greeting.sender, next.Payload)
 		case frameChunk:
-			pieces = append(pieces, next.Payload...)
-			err = t.acknowledgeChunk(writer, len(pieces))
+			chunks = append(chunks, next.Payload...)
+			err = t.acknowledgeChunk(writer, len(chunks))
 		case frameFinalChunk:
-			pieces = append(pieces, next.Payload...)
-			err = t.deliver(greeting, pieces)
-			pieces = nil
+			chunks = append(chunks, next.Payload...)
+			err = t.deliver(greeting, chunks)
+			chunks = nil
 		default:
 			err = errors.Wrapf(ErrHandshake, "frame of kind %d", next.Kind)
 		}
@@ -186,10 +186,10 @@
 	if size > t.config.MaxSnapshotBytes {
 		return errors.Wrapf(frame.ErrTooLarge, "snapshot of more than %d bytes", t.config.MaxSnapshotBytes)
 	}
-	return answerPing(writer)
+	return sendPong(writer)
 }
 
-func answerPing(writer *frame.Writer) error {
+func sendPong(writer *frame.Writer) error {
 	if err := writer.WriteFrame(framePong, nil); err != nil {
 		return err
 	}
@@ -232,6 +232,6 @@
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
 	writer := frame.NewWriter(conn, Protocol, config.WriteTimeout)
 	reader := frame.NewReader(conn, Protocol, handshakeBytes, config.HandshakeTimeout)
-	answer, err := greet(writer, reader, hello{group: group, lane: laneProbe})
-	return Identity{Group: answer.group, Member: answer.member, Initialized: answer.initialized}, err
+	reply, err := handshake(writer, reader, hello{group: group, channel: channelProbe})
+	return Identity{Group: reply.group, Member: reply.member, Initialized: reply.initialized}, err
 }
--- a/connection/peer/link.go
+++ b/connection/peer/link.go
@@ -27,11 +27,11 @@
 	l := &link{
 		address:   address,
 		stop:      cancel,
-		messages:  newSender(t, member, address, laneMessages),
-		snapshots: newSender(t, member, address, laneSnapshots),
+		messages:  newSender(t, member, address, channelMessages),
+		snapshots: newSender(t, member, address, channelSnapshots),
 	}
-	t.group.Go(func() { l.messages.run(ctx) })
-	t.group.Go(func() { l.snapshots.run(ctx) })
+	t.goroutines.Go(func() { l.messages.run(ctx) })
+	t.goroutines.Go(func() { l.snapshots.run(ctx) })
 	return l
 }
 
@@ -43,21 +43,21 @@
 	l.messages.put(message)
 }
 
-// sender maintains the outgoing connection of one lane.
+// sender maintains the outgoing connection of one channel.
 type sender struct {
 	transport *Transport
 	member    raft.MemberID
 	address   string
-	lane      lane
+	channel   channel
 	queue     *queue
 }
 
-func newSender(t *Transport, member raft.MemberID, address string, l lane) *sender {
+func newSender(t *Transport, member raft.MemberID, address string, l channel) *sender {
 	maxMessages, maxBytes := t.config.QueueMessages, t.config.QueueBytes
-	if l == laneSnapshots {
+	if l == channelSnapshots {
 		maxMessages, maxBytes = 1, 1 // only the newest snapshot is queued
 	}
-	return &sender{transport: t, member: member, address: address, lane: l, queue: newQueue(maxMessages, maxBytes)}
+	return &sender{transport: t, member: member, address: address, channel: l, queue: newQueue(maxMessages, maxBytes)}
 }
 
 func (s *sender) notify(payload []byte) {
@@ -92,7 +92,7 @@
 		if !retry.wait(ctx) {
 			return
 		}
-		s.queue.signal()
+		s.queue.wakeIfPending()
 	}
 }
 
@@ -118,8 +118,8 @@
 	defer unregister()
 	writer := frame.NewWriter(conn, Protocol, config.WriteTimeout)
 	reader := frame.NewReader(conn, Protocol, handshakeBytes, config.HandshakeTimeout)
-	greeting := hello{group: config.Group, sender: config.ID, receiver: s.member, lane: s.lane}
-	if _, err := greet(writer, reader, greeting); err != nil {
+	greeting := hello{group: config.Group, sender: config.ID, receiver: s.member, channel: s.channel}
+	if _, err := handshake(writer, reader, greeting); err != nil {
 		return 0, err
 	}
 	config.OnEvent(Event{Kind: EventConnected, Member: s.member, Address: s.address})
@@ -144,23 +144,23 @@
 	return conn, errors.WithStack(err)
 }
 
-// greet sends the hello and returns the remote end's welcome. A refusal is returned as an
+// handshake sends the hello and returns the remote end's welcome. A refusal is returned as an
 // error along with the welcome.
-func greet(writer *frame.Writer, reader *frame.Reader, greeting hello) (welcome, error) {
+func handshake(writer *frame.Writer, reader *frame.Reader, greeting hello) (welcome, error) {
 	if err := writer.WriteFrame(frameHello, greeting.encode()); err != nil {
 		return welcome{}, err
 	}
 	if err := writer.Flush(); err != nil {
 		return welcome{}, err
 	}
-	answer, err := reader.ReadFrame()
+	reply, err := reader.ReadFrame()
 	if err != nil {
 		return welcome{}, err
 	}
-	if answer.Kind != frameWelcome {
-		return welcome{}, errors.Wrapf(ErrHandshake, "frame of kind %d", answer.Kind)
+	if reply.Kind != frameWelcome {
+		return welcome{}, errors.Wrapf(ErrHandshake, "frame of kind %d", reply.Kind)
 	}
-	w, err := decodeWelcome(answer.Payload)
+	w, err := decodeWelcome(reply.Payload)
 	if err != nil {
 		return welcome{}, err
 	}
@@ -173,12 +173,12 @@
 func (s *sender) readPongs(reader *frame.Reader) error {
 	reader.SetTimeout(s.transport.config.AnswerTimeout + s.transport.config.PingInterval)
 	for {
-		answer, err := reader.ReadFrame()
+		reply, err := reader.ReadFrame()
 		if err != nil {
 			return errors.Wrap(err, "peer: read pong")
 		}
-		if answer.Kind != framePong {
-			return errors.Wrapf(ErrHandshake, "frame of kind %d", answer.Kind)
+		if reply.Kind != framePong {
+			return errors.Wrapf(ErrHandshake, "frame of kind %d", reply.Kind)
 		}
 	}
 }
@@ -209,7 +209,7 @@
 }
 
 func (s *sender) sendQueued(writer *frame.Writer) error {
-	messages, notices := s.queue.takeAll(), s.queue.takeNotices()
+	messages, notices := s.queue.takeMessages(), s.queue.takeNotices()
 	for i, message := range messages {
 		if err := s.write(writer, message); err != nil {
 			s.transport.count.dropped.Add(uint64(len(messages) - i))
@@ -233,7 +233,7 @@
 
 func (s *sender) write(writer *frame.Writer, message raft.Message) error {
 	encoded := message.AppendBinary(nil)
-	if s.lane == laneMessages {
+	if s.channel == channelMessages {
 		return writer.WriteFrame(frameMessage, encoded)
 	}
 	for len(encoded) > chunkBytes {
--- a/connection/peer/peer_test.go
+++ b/connection/peer/peer_test.go
@@ -29,18 +29,18 @@
 	)
 }
 
-// end is the transport of one member with its received messages and events.
-type end struct {
+// testMember is the transport of one member with its received messages and events.
+type testMember struct {
 	*Transport
 	received chan raft.Message
 	events   chan Event
 }
 
-func newEnd(t *testing.T, id raft.MemberID, adjust func(*Config)) *end {
+func newTestMember(t *testing.T, id raft.MemberID, adjust func(*Config)) *testMember {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
-	e := &end{received: make(chan raft.Message, 10_000), events: make(chan Event, 10_000)}
+	e := &testMember{received: make(chan raft.Message, 10_000), events: make(chan Event, 10_000)}
 	config := Config{
 		Group:         testGroup,
 		ID:            id,
@@ -59,8 +59,8 @@
 	return e
 }
 
-// next waits for the next event of the given kind.
-func (e *end) next(t *testing.T, kind EventKind) Event {
+// waitEvent waits for the next event of the given kind.
+func (e *testMember) waitEvent(t *testing.T, kind EventKind) Event {
 	t.Helper()
 	deadline := time.After(10 * time.Second)
 	for {
@@ -75,7 +75,7 @@
 	}
 }
 
-func (e *end) receive(t *testing.T) raft.Message {
+func (e *testMember) receive(t *testing.T) raft.Message {
 	t.Helper()
 	select {
 	case message := <-e.received:
@@ -110,7 +110,7 @@
 }
 
 func TestMessagesArriveInOrder(t *testing.T) {
-	a, b := newEnd(t, 1, nil), newEnd(t, 2, nil)
+	a, b := newTestMember(t, 1, nil), newTestMember(t, 2, nil)
 	a.SetPeers(map[raft.MemberID]string{1: "ignored", 2: b.Address().String()})
 	b.SetPeers(map[raft.MemberID]string{1: a.Address().String()})
 	for sequence := range uint64(500) {
@@ -124,11 +124,11 @@
 	must.Eq(t, 1, b.Stats().Dropped)
 }
 
-func TestHeartbeatsPassASnapshot(t *testing.T) {
+func TestHeartbeatsOvertakeSnapshot(t *testing.T) {
 	// A lost snapshot is not resent here, so a stall of the machine must not end the
 	// connection.
 	patient := func(c *Config) { c.AnswerTimeout = 5 * time.Second }
-	a, b := newEnd(t, 1, patient), newEnd(t, 2, patient)
+	a, b := newTestMember(t, 1, patient), newTestMember(t, 2, patient)
 	proxy := newProxy(t, b.Address().String())
 	addToxic(t, proxy, `{"name":"slow","type":"bandwidth","stream":"upstream","attributes":{"rate":1000}}`)
 	a.SetPeers(map[raft.MemberID]string{2: proxy.Listen})
@@ -141,47 +141,47 @@
 	must.Eq(t, len(snapshot.Data), len(arrived.Snapshot.Data))
 }
 
-func TestEachPieceOfASnapshotIsAnswered(t *testing.T) {
-	b := newEnd(t, 2, nil)
-	_, writer, reader := connectAs(t, b, hello{group: testGroup, sender: 1, receiver: 2, lane: laneSnapshots})
+func TestSnapshotChunksAreAcknowledged(t *testing.T) {
+	b := newTestMember(t, 2, nil)
+	_, writer, reader := connectAs(t, b, hello{group: testGroup, sender: 1, receiver: 2, channel: channelSnapshots})
 	for range 3 {
 		must.NoError(t, writer.WriteFrame(frameChunk, []byte("piece")))
 		must.NoError(t, writer.Flush())
-		answer, err := reader.ReadFrame()
+		reply, err := reader.ReadFrame()
 		must.NoError(t, err)
-		must.Eq(t, framePong, answer.Kind)
+		must.Eq(t, framePong, reply.Kind)
 	}
 }
 
-func TestTooLargeSnapshotIsRefused(t *testing.T) {
-	a := newEnd(t, 1, nil)
-	b := newEnd(t, 2, func(c *Config) { c.MaxSnapshotBytes = 1 << 20 })
+func TestOversizedSnapshotIsRejected(t *testing.T) {
+	a := newTestMember(t, 1, nil)
+	b := newTestMember(t, 2, func(c *Config) { c.MaxSnapshotBytes = 1 << 20 })
 	a.SetPeers(map[raft.MemberID]string{2: b.Address().String()})
 	snapshot := &raft.Snapshot{Term: 1, Index: 9, Data: make([]byte, 4<<20)}
 	a.Send([]raft.Message{{Kind: raft.MessageSnapshot, From: 1, To: 2, Term: 1, Snapshot: snapshot}})
-	a.next(t, EventDisconnected)
+	a.waitEvent(t, EventDisconnected)
 	must.Eq(t, 0, b.Stats().Received)
 }
 
 // A connection whose remote end stops responding must be closed, although the kernel still
 // accepts data for it, and must be replaced once the network is back.
-func TestSilentCutIsNoticed(t *testing.T) {
-	a := newEnd(t, 1, nil)
+func TestUnresponsiveConnectionIsReplaced(t *testing.T) {
+	a := newTestMember(t, 1, nil)
 	// The receiver must not close the connection, since that would not reach the sender.
-	b := newEnd(t, 2, func(c *Config) { c.AnswerTimeout = time.Hour })
+	b := newTestMember(t, 2, func(c *Config) { c.AnswerTimeout = time.Hour })
 	proxy := newProxy(t, b.Address().String())
 	a.SetPeers(map[raft.MemberID]string{2: proxy.Listen})
 	a.Send([]raft.Message{heartbeat(1, 2, 1)})
 	must.Eq(t, 1, b.receive(t).Sequence)
 	addToxic(t, proxy, `{"name":"cut","type":"timeout","stream":"upstream","attributes":{"timeout":0}}`)
 	a.Send([]raft.Message{heartbeat(1, 2, 2)})
-	a.next(t, EventDisconnected)
+	a.waitEvent(t, EventDisconnected)
 	must.NoError(t, proxy.Toxics.RemoveToxic(context.Background(), "cut"))
 	waitForSequence(t, a, b, 3)
 }
 
 // waitForSequence sends the heartbeat repeatedly until it arrives.
-func waitForSequence(t *testing.T, a, b *end, sequence uint64) {
+func waitForSequence(t *testing.T, a, b *testMember, sequence uint64) {
 	t.Helper()
 	for range 500 {
 		a.Send([]raft.Message{heartbeat(1, 2, sequence)})
@@ -196,73 +196,73 @@
 	t.Fatal("the connection was not re-established")
 }
 
-func TestResetConnectionsComeBack(t *testing.T) {
-	a, b := newEnd(t, 1, nil), newEnd(t, 2, nil)
+func TestReconnectAfterReset(t *testing.T) {
+	a, b := newTestMember(t, 1, nil), newTestMember(t, 2, nil)
 	proxy := newProxy(t, b.Address().String())
 	a.SetPeers(map[raft.MemberID]string{2: proxy.Listen})
 	for round := range uint64(3) {
 		waitForSequence(t, a, b, 10+round)
 		addToxic(t, proxy, `{"name":"reset","type":"reset_peer","stream":"upstream","attributes":{"timeout":0}}`)
 		a.Send([]raft.Message{heartbeat(1, 2, 1)})
-		a.next(t, EventDisconnected)
+		a.waitEvent(t, EventDisconnected)
 		must.NoError(t, proxy.Toxics.RemoveToxic(context.Background(), "reset"))
 	}
 	waitForSequence(t, a, b, 20)
 }
 
-func TestForeignBytesAreRefused(t *testing.T) {
-	a := newEnd(t, 1, nil)
+func TestOtherProtocolIsRejected(t *testing.T) {
+	a := newTestMember(t, 1, nil)
 	conn, err := net.Dial("tcp", a.Address().String())
 	must.NoError(t, err)
 	defer conn.Close()
 	_, err = conn.Write([]byte("GET / HTTP/1.1\r\nHost: a\r\n\r\n"))
 	must.NoError(t, err)
-	must.ErrorIs(t, a.next(t, EventRejected).Err, frame.ErrForeignProtocol)
+	must.ErrorIs(t, a.waitEvent(t, EventRejected).Err, frame.ErrForeignProtocol)
 	_, err = io.ReadAll(conn) // ends with a reset or cleanly
 	if err != nil {
 		must.StrContains(t, err.Error(), "reset")
 	}
 }
 
-func TestHandshakeRefusesStrangers(t *testing.T) {
-	b := newEnd(t, 2, nil)
+func TestHandshakeRefusesWrongMembers(t *testing.T) {
+	b := newTestMember(t, 2, nil)
 	for name, test := range map[string]struct {
 		group    uint64
 		id       raft.MemberID
 		receiver raft.MemberID
 		want     error
 	}{
-		"other group":          {testGroup + 1, 1, 2, ErrWrongGroup},
-		"former member":        {testGroup, 1, 3, ErrWrongMember},
-		"member of our own ID": {testGroup, 2, 3, ErrWrongMember},
+		"other group":             {testGroup + 1, 1, 2, ErrWrongGroup},
+		"former member":           {testGroup, 1, 3, ErrWrongMember},
+		"member with the same ID": {testGroup, 2, 3, ErrWrongMember},
 	} {
 		t.Run(name, func(t *testing.T) {
-			a := newEnd(t, test.id, func(c *Config) { c.Group = test.group })
+			a := newTestMember(t, test.id, func(c *Config) { c.Group = test.group })
 			a.SetPeers(map[raft.MemberID]string{test.receiver: b.Address().String()})
 			a.Send([]raft.Message{heartbeat(test.id, test.receiver, 1)})
-			must.ErrorIs(t, a.next(t, EventRefused).Err, test.want)
-			must.ErrorIs(t, b.next(t, EventRejected).Err, test.want)
+			must.ErrorIs(t, a.waitEvent(t, EventRefused).Err, test.want)
+			must.ErrorIs(t, b.waitEvent(t, EventRejected).Err, test.want)
 		})
 	}
 	must.Eq(t, 0, b.Stats().Received)
 }
 
 // connectAs opens a connection without a Transport and performs the handshake.
-func connectAs(t *testing.T, to *end, h hello) (net.Conn, *frame.Writer, *frame.Reader) {
+func connectAs(t *testing.T, to *testMember, h hello) (net.Conn, *frame.Writer, *frame.Reader) {
 	t.Helper()
 	conn, err := net.Dial("tcp", to.Address().String())
 	must.NoError(t, err)
 	t.Cleanup(func() { conn.Close() })
 	writer := frame.NewWriter(conn, Protocol, time.Second)
 	reader := frame.NewReader(conn, Protocol, 1<<10, 10*time.Second)
-	_, err = greet(writer, reader, h)
+	_, err = handshake(writer, reader, h)
 	must.NoError(t, err)
 	return conn, writer, reader
 }
 
-func TestMessageInAnothersNameEndsTheConnection(t *testing.T) {
-	b := newEnd(t, 2, nil)
-	_, writer, reader := connectAs(t, b, hello{group: testGroup, sender: 1, receiver: 2, lane: laneMessages})
+func TestForgedSenderEndsConnection(t *testing.T) {
+	b := newTestMember(t, 2, nil)
+	_, writer, reader := connectAs(t, b, hello{group: testGroup, sender: 1, receiver: 2, channel: channelMessages})
 	forged := heartbeat(3, 2, 1)
 	must.NoError(t, writer.WriteFrame(frameMessage, forged.AppendBinary(nil)))
 	must.NoError(t, writer.Flush())
@@ -271,9 +271,9 @@
 	must.Eq(t, 0, b.Stats().Received)
 }
 
-func TestNewConnectionReplacesTheOld(t *testing.T) {
-	b := newEnd(t, 2, func(c *Config) { c.AnswerTimeout = time.Hour })
-	greeting := hello{group: testGroup, sender: 1, receiver: 2, lane: laneMessages}
+func TestNewConnectionReplacesOld(t *testing.T) {
+	b := newTestMember(t, 2, func(c *Config) { c.AnswerTimeout = time.Hour })
+	greeting := hello{group: testGroup, sender: 1, receiver: 2, channel: channelMessages}
 	_, _, old := connectAs(t, b, greeting)
 	_, writer, _ := connectAs(t, b, greeting)
 	_, err := old.ReadFrame()
@@ -284,28 +284,28 @@
 	must.Eq(t, 5, b.receive(t).Sequence)
 }
 
-// slowGreeter is a listener whose first connection blocks in the write of its welcome until
+// delayedListener is a listener whose first connection blocks in the write of its welcome until
 // released is closed. The remote end receives the welcome before that.
-type slowGreeter struct {
+type delayedListener struct {
 	net.Listener
 	accepted int
 	released chan struct{}
 }
 
-func (l *slowGreeter) Accept() (net.Conn, error) {
+func (l *delayedListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if l.accepted++; err != nil || l.accepted > 1 {
 		return conn, err
 	}
-	return &slowGreeting{Conn: conn, released: l.released}, nil
+	return &delayedConn{Conn: conn, released: l.released}, nil
 }
 
-type slowGreeting struct {
+type delayedConn struct {
 	net.Conn
 	released chan struct{}
 }
 
-func (c *slowGreeting) Write(data []byte) (int, error) {
+func (c *delayedConn) Write(data []byte) (int, error) {
 	count, err := c.Conn.Write(data)
 	<-c.released
 	return count, err
@@ -313,15 +313,15 @@
 
 // A sender abandoned a connection and opened another. The goroutine of the first connection
 // was admitted after that of the second and closed the second, because the order in which
-// goroutines ran was taken for that of the connections. TestNewConnectionReplacesTheOld
+// goroutines ran was taken for that of the connections. TestNewConnectionReplacesOld
 // failed sporadically for this reason; here the first connection is delayed to force it.
-func TestOldConnectionThatIsAdmittedLateDoesNotReplaceTheNew(t *testing.T) {
+func TestLateAdmissionDoesNotReplaceNewerConnection(t *testing.T) {
 	released := make(chan struct{})
-	b := newEnd(t, 2, func(c *Config) {
+	b := newTestMember(t, 2, func(c *Config) {
 		c.AnswerTimeout = time.Hour
-		c.Listener = &slowGreeter{Listener: c.Listener, released: released}
+		c.Listener = &delayedListener{Listener: c.Listener, released: released}
 	})
-	greeting := hello{group: testGroup, sender: 1, receiver: 2, lane: laneMessages}
+	greeting := hello{group: testGroup, sender: 1, receiver: 2, channel: channelMessages}
 	_, _, old := connectAs(t, b, greeting)
 	_, writer, _ := connectAs(t, b, greeting)
 	message := heartbeat(1, 2, 5)
@@ -337,9 +337,9 @@
 	must.Eq(t, 5, b.receive(t).Sequence)
 }
 
-func TestConnectionsAreBounded(t *testing.T) {
-	b := newEnd(t, 2, func(c *Config) { c.MaxConnections = 1; c.AnswerTimeout = time.Hour })
-	connectAs(t, b, hello{group: testGroup, sender: 1, receiver: 2, lane: laneMessages})
+func TestInboundConnectionLimit(t *testing.T) {
+	b := newTestMember(t, 2, func(c *Config) { c.MaxConnections = 1; c.AnswerTimeout = time.Hour })
+	connectAs(t, b, hello{group: testGroup, sender: 1, receiver: 2, channel: channelMessages})
 	conn, err := net.Dial("tcp", b.Address().String())
 	must.NoError(t, err)
 	defer conn.Close()
@@ -347,8 +347,8 @@
 	must.Error(t, err)
 }
 
-func TestProbeTellsWhoIsThere(t *testing.T) {
-	b := newEnd(t, 2, func(c *Config) { c.Initialized = func() bool { return true } })
+func TestProbeReturnsIdentity(t *testing.T) {
+	b := newTestMember(t, 2, func(c *Config) { c.Initialized = func() bool { return true } })
 	found, err := Probe(t.Context(), b.Address().String(), testGroup)
 	must.NoError(t, err)
 	must.Eq(t, Identity{Group: testGroup, Member: 2, Initialized: true}, found)
@@ -357,8 +357,8 @@
 	must.Eq(t, testGroup, found.Group)
 }
 
-func TestPeerMovesToAnotherAddress(t *testing.T) {
-	a, b, moved := newEnd(t, 1, nil), newEnd(t, 2, nil), newEnd(t, 2, nil)
+func TestPeerAddressChange(t *testing.T) {
+	a, b, moved := newTestMember(t, 1, nil), newTestMember(t, 2, nil), newTestMember(t, 2, nil)
 	a.SetPeers(map[raft.MemberID]string{2: b.Address().String()})
 	waitForSequence(t, a, b, 1)
 	a.SetPeers(map[raft.MemberID]string{2: moved.Address().String()})
@@ -368,12 +368,12 @@
 	must.Positive(t, a.Stats().Dropped)
 }
 
-func TestQueueDropsTheOldest(t *testing.T) {
+func TestQueueDropsOldest(t *testing.T) {
 	q := newQueue(3, 1<<20)
 	for sequence := range uint64(5) {
 		q.put(heartbeat(1, 2, sequence))
 	}
-	left := q.takeAll()
+	left := q.takeMessages()
 	must.Eq(t, 3, len(left))
 	must.Eq(t, 2, left[0].Sequence)
 
@@ -383,20 +383,20 @@
 		dropped += q.put(raft.Message{Entries: []raft.Entry{{Data: make([]byte, 4000)}}})
 	}
 	must.Eq(t, 8, dropped)
-	must.Eq(t, 2, len(q.takeAll()))
+	must.Eq(t, 2, len(q.takeMessages()))
 	must.Eq(t, 0, q.put(raft.Message{Entries: []raft.Entry{{Data: make([]byte, 40_000)}}}))
 }
 
-func TestSilentSenderIsDropped(t *testing.T) {
-	b := newEnd(t, 2, nil)
-	_, _, reader := connectAs(t, b, hello{group: testGroup, sender: 1, receiver: 2, lane: laneMessages})
+func TestUnresponsiveSenderIsDisconnected(t *testing.T) {
+	b := newTestMember(t, 2, nil)
+	_, _, reader := connectAs(t, b, hello{group: testGroup, sender: 1, receiver: 2, channel: channelMessages})
 	_, err := reader.ReadFrame()
 	must.ErrorIs(t, err, io.EOF)
 }
 
 // Notices must reach their peers in order and alongside messages. If there are too many, the
 // oldest are dropped.
-func TestNoticesReachThePeers(t *testing.T) {
+func TestNoticesReachPeers(t *testing.T) {
 	type notice struct {
 		from raft.MemberID
 		text string
@@ -405,7 +405,7 @@
 	listening := func(config *Config) {
 		config.OnNotice = func(from raft.MemberID, payload []byte) { heard <- notice{from, string(payload)} }
 	}
-	a, b, c := newEnd(t, 1, nil), newEnd(t, 2, listening), newEnd(t, 3, listening)
+	a, b, c := newTestMember(t, 1, nil), newTestMember(t, 2, listening), newTestMember(t, 3, listening)
 	a.SetPeers(map[raft.MemberID]string{2: b.Address().String(), 3: c.Address().String()})
 	a.NotifyOne([]byte("to two"), 2)
 	must.Eq(t, notice{1, "to two"}, <-heard)
--- a/connection/peer/protocol.go
+++ b/connection/peer/protocol.go
@@ -38,22 +38,22 @@
 	frameNotice // data exchanged between members outside of Raft
 )
 
-// lane identifies the purpose of a connection.
-type lane uint8
+// channel identifies the purpose of a connection.
+type channel uint8
 
 const (
-	laneMessages lane = iota + 1
-	laneSnapshots
-	laneProbe // only exchanges the handshake, to identify the remote member
+	channelMessages channel = iota + 1
+	channelSnapshots
+	channelProbe // only exchanges the handshake, to identify the remote member
 )
 
-// verdict is the result of checking a hello.
-type verdict uint8
+// helloResult is the result of checking a hello.
+type helloResult uint8
 
 const (
-	verdictAccepted verdict = iota + 1
-	verdictWrongGroup
-	verdictWrongMember
+	helloAccepted helloResult = iota + 1
+	helloWrongGroup
+	helloWrongMember
 )
 
 // handshakeBytes is the maximum payload size of a handshake frame.
@@ -65,7 +65,7 @@
 	group    uint64
 	sender   raft.MemberID
 	receiver raft.MemberID
-	lane     lane
+	channel  channel
 }
 
 func (h hello) encode() []byte {
@@ -73,7 +73,7 @@
 	encoder.Uint64(h.group)
 	encoder.Uint64(uint64(h.sender))
 	encoder.Uint64(uint64(h.receiver))
-	encoder.Uint8(uint8(h.lane))
+	encoder.Uint8(uint8(h.channel))
 	return encoder.Data()
 }
 
@@ -83,13 +83,13 @@
 		group:    decoder.Uint64(),
 		sender:   raft.MemberID(decoder.Uint64()),
 		receiver: raft.MemberID(decoder.Uint64()),
-		lane:     lane(decoder.Uint8()),
+		channel:  channel(decoder.Uint8()),
 	}
 	if err := decoder.Finish(); err != nil {
 		return hello{}, errors.Wrap(ErrHandshake, err.Error())
 	}
-	if h.lane < laneMessages || h.lane > laneProbe {
-		return hello{}, errors.Wrapf(ErrHandshake, "unknown lane %d", h.lane)
+	if h.channel < channelMessages || h.channel > channelProbe {
+		return hello{}, errors.Wrapf(ErrHandshake, "unknown channel %d", h.channel)
 	}
 	return h, nil
 }
@@ -97,7 +97,7 @@
 // welcome is the reply to a hello. It identifies the replying member even if it is a
 // refusal.
 type welcome struct {
-	verdict     verdict
+	result      helloResult
 	group       uint64
 	member      raft.MemberID
 	initialized bool
@@ -105,7 +105,7 @@
 
 func (w welcome) encode() []byte {
 	encoder := frame.NewEncoder(nil)
-	encoder.Uint8(uint8(w.verdict))
+	encoder.Uint8(uint8(w.result))
 	encoder.Uint64(w.group)
 	encoder.Uint64(uint64(w.member))
 	encoder.Bool(w.initialized)
@@ -115,7 +115,7 @@
 func decodeWelcome(data []byte) (welcome, error) {
 	decoder := frame.NewDecoder(data)
 	w := welcome{
-		verdict:     verdict(decoder.Uint8()),
+		result:      helloResult(decoder.Uint8()),
 		group:       decoder.Uint64(),
 		member:      raft.MemberID(decoder.Uint64()),
 		initialized: decoder.Bool(),
@@ -128,27 +128,27 @@
 
 // err returns the error for a refusal, or nil.
 func (w welcome) err() error {
-	switch w.verdict {
-	case verdictAccepted:
+	switch w.result {
+	case helloAccepted:
 		return nil
-	case verdictWrongGroup:
+	case helloWrongGroup:
 		return errors.Wrapf(ErrWrongGroup, "group %x", w.group)
-	case verdictWrongMember:
+	case helloWrongMember:
 		return errors.Wrapf(ErrWrongMember, "member %x", w.member)
 	}
-	return errors.Wrapf(ErrHandshake, "unknown verdict %d", w.verdict)
+	return errors.Wrapf(ErrHandshake, "unknown hello result %d", w.result)
 }
 
-// judge checks a hello.
-func (t *Transport) judge(h hello) verdict {
+// checkHello checks a hello.
+func (t *Transport) checkHello(h hello) helloResult {
 	if h.group != t.config.Group {
-		return verdictWrongGroup
+		return helloWrongGroup
 	}
-	if h.lane == laneProbe {
-		return verdictAccepted
+	if h.channel == channelProbe {
+		return helloAccepted
 	}
 	if h.receiver != t.config.ID || h.sender == t.config.ID || h.sender == raft.None {
-		return verdictWrongMember
+		return helloWrongMember
 	}
-	return verdictAccepted
+	return helloAccepted
 }
--- a/connection/peer/queue.go
+++ b/connection/peer/queue.go
@@ -43,7 +43,7 @@
 		dropped++
 	}
 	q.mutex.Unlock()
-	q.rouse()
+	q.wakeSender()
 	return dropped
 }
 
@@ -57,7 +57,7 @@
 		dropped = 1
 	}
 	q.mutex.Unlock()
-	q.rouse()
+	q.wakeSender()
 	return dropped
 }
 
@@ -70,16 +70,16 @@
 	return notices
 }
 
-// rouse wakes the sender. Multiple calls coalesce.
-func (q *queue) rouse() {
+// wakeSender wakes the sender. Multiple calls coalesce.
+func (q *queue) wakeSender() {
 	select {
 	case q.wake <- struct{}{}:
 	default:
 	}
 }
 
-// takeAll returns and removes all messages, oldest first.
-func (q *queue) takeAll() []raft.Message {
+// takeMessages returns and removes all messages, oldest first.
+func (q *queue) takeMessages() []raft.Message {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	messages := q.messages
@@ -99,12 +99,12 @@
 	return size
 }
 
-// signal wakes the sender if anything is queued.
-func (q *queue) signal() {
+// wakeIfPending wakes the sender if anything is queued.
+func (q *queue) wakeIfPending() {
 	q.mutex.Lock()
 	waiting := len(q.messages) > 0 || len(q.notices) > 0
 	q.mutex.Unlock()
 	if waiting {
-		q.rouse()
+		q.wakeSender()
 	}
 }
--- a/connection/peer/transport.go
+++ b/connection/peer/transport.go
@@ -128,12 +128,12 @@
 
 // Transport sends messages to and receives messages from the peers of one member.
 type Transport struct {
-	config  Config
-	receive func(raft.Message)
-	context context.Context
-	cancel  context.CancelFunc
-	group   sync.WaitGroup
-	count   counters
+	config     Config
+	receive    func(raft.Message)
+	context    context.Context
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
+	count      counters
 
 	linkMutex sync.RWMutex
 	links     map[raft.MemberID]*link
@@ -160,7 +160,7 @@
 		links:   make(map[raft.MemberID]*link),
 		inbound: make(map[net.Conn]inbound),
 	}
-	t.group.Go(t.accept)
+	t.goroutines.Go(t.accept)
 	return t, nil
 }
 
@@ -245,6 +245,6 @@
 	t.linkMutex.Unlock()
 	err := t.config.Listener.Close()
 	t.closeInbound()
-	t.group.Wait()
+	t.goroutines.Wait()
 	return errors.WithStack(err)
 }
--- a/connection/singleuse/client.go
+++ b/connection/singleuse/client.go
@@ -44,8 +44,8 @@
 			DisableCompression:     true,
 			MaxResponseHeaderBytes: maxHeaderBytes,
 		},
-		CheckRedirect: refuseRedirect,
+		CheckRedirect: returnRedirect,
 	}
 }
 
-func refuseRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+func returnRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
--- a/connection/singleuse/client_test.go
+++ b/connection/singleuse/client_test.go
@@ -31,7 +31,7 @@
 // A request must not return the response to another one. This happens on a persistent
 // connection when the server sends a surplus response after the next request was
 // written. The server numbers its responses, and each request must get its own number.
-func TestEachCallGetsItsOwnAnswer(t *testing.T) {
+func TestEachRequestGetsOwnResponse(t *testing.T) {
 	var calls atomic.Int32
 	server, err := surplus.Start(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprint(w, calls.Add(1))
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestRedirectIsAnAnswer(t *testing.T) {
+func TestRedirectIsNotFollowed(t *testing.T) {
 	server := httptest.NewServer(http.RedirectHandler("/elsewhere", http.StatusTemporaryRedirect))
 	t.Cleanup(server.Close)
 	status, _ := get(t, NewClient(nil), server.Listener.Addr().String())
--- a/connection/upstream/conn.go
+++ b/connection/upstream/conn.go
@@ -10,8 +10,8 @@
 // ErrSealed is returned by writes to a sealed connection.
 var ErrSealed = errors.New("connection sealed")
 
-// trackedConn records whether any byte was passed to the operating system since the last
-// call of mark. httptrace cannot tell this exactly: the transport buffers headers, so
+// trackedConn records whether any byte was passed to the operating system since the start
+// of the current exchange. httptrace cannot tell this exactly: the transport buffers headers, so
 // WroteHeaders may be called before or after the first byte is written.
 type trackedConn struct {
 	net.Conn
@@ -34,8 +34,8 @@
 	return c.Conn.Write(data)
 }
 
-// mark starts a new exchange on the connection and returns its number.
-func (c *trackedConn) mark() int {
+// beginExchange starts a new exchange on the connection and returns its number.
+func (c *trackedConn) beginExchange() int {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	c.wrote = false
@@ -43,10 +43,10 @@
 	return c.exchanges
 }
 
-// retire closes the connection, unless a later exchange than the given one uses it already:
+// closeUnlessReused closes the connection, unless a later exchange than the given one uses it already:
 // Transport makes it available to others before the caller sees the end of the body. In
 // that case the response to the later exchange decides whether it stays open.
-func (c *trackedConn) retire(number int) {
+func (c *trackedConn) closeUnlessReused(number int) {
 	c.lock.Lock()
 	current := c.exchanges == number
 	if current {
@@ -59,7 +59,7 @@
 }
 
 // seal prevents further writes, closes the connection and reports whether a byte was written
-// since the last call of mark.
+// during the current exchange.
 func (c *trackedConn) seal() bool {
 	c.lock.Lock()
 	c.sealed = true
--- a/connection/upstream/event.go
+++ b/connection/upstream/event.go
@@ -18,8 +18,8 @@
 	ErrAfterTerminal = errors.New("bytes after the terminal event")
 )
 
-// terminal is the data of the event that ends a complete stream.
-var terminal = []byte("[DONE]")
+// terminalData is the data of the event that ends a complete stream.
+var terminalData = []byte("[DONE]")
 
 // DefaultMaxEvent is the default size limit of an event in bytes.
 const DefaultMaxEvent = 256 << 10
@@ -59,7 +59,7 @@
 			return Event{}, err
 		}
 		if len(line) > 0 {
-			r.field(line, &event)
+			r.addField(line, &event)
 			if len(r.data) > r.limit {
 				return Event{}, ErrEventTooLarge
 			}
@@ -70,15 +70,15 @@
 			continue
 		}
 		event.Data = r.data
-		if event.Name == "" && bytes.Equal(event.Data, terminal) {
-			return Event{}, r.finish()
+		if event.Name == "" && bytes.Equal(event.Data, terminalData) {
+			return Event{}, r.readToEnd()
 		}
 		return event, nil
 	}
 }
 
-// finish reads to the end of the stream, so that the connection can be reused.
-func (r *EventReader) finish() error {
+// readToEnd reads to the end of the stream, so that the connection can be reused.
+func (r *EventReader) readToEnd() error {
 	for {
 		next, err := r.reader.ReadByte()
 		if err == io.EOF {
@@ -93,8 +93,8 @@
 	}
 }
 
-// field adds the field in line to the current event.
-func (r *EventReader) field(line []byte, event *Event) {
+// addField adds the field in line to the current event.
+func (r *EventReader) addField(line []byte, event *Event) {
 	name, value, _ := bytes.Cut(line, []byte(":"))
 	value = bytes.TrimPrefix(value, []byte(" "))
 	switch string(name) {
--- a/connection/upstream/identity.go
+++ b/connection/upstream/identity.go
@@ -25,40 +25,40 @@
 	Incarnation uint64
 }
 
-// put sets the identity in a request header.
-func (i *Identity) put(header http.Header) {
+// setHeaders sets the identity in a request header.
+func (i *Identity) setHeaders(header http.Header) {
 	header.Set(engineapi.HeaderRequestID, i.RequestID)
 	header.Del(engineapi.HeaderAttempt)
-	if attempt := i.attempt(); attempt != "" {
+	if attempt := i.attemptHeader(); attempt != "" {
 		header.Set(engineapi.HeaderAttempt, attempt)
 	}
 }
 
-// attempt returns the attempt as it appears in headers, empty if there is none.
-func (i *Identity) attempt() string {
+// attemptHeader returns the attempt as it appears in headers, empty if there is none.
+func (i *Identity) attemptHeader() string {
 	if i.Attempt == 0 {
 		return ""
 	}
 	return strconv.FormatUint(uint64(i.Attempt), 10)
 }
 
-// echo classifies the identity in a response header.
-type echo uint8
+// echoResult classifies the identity in a response header.
+type echoResult uint8
 
 const (
-	echoWhole   echo = iota + 1 // identifies this exchange
-	echoMissing                 // identifies no exchange, or only the request or the attempt
-	echoOther                   // identifies another exchange
+	echoMatch    echoResult = iota + 1 // identifies this exchange
+	echoMissing                        // identifies no exchange, or only the request or the attempt
+	echoMismatch                       // identifies another exchange
 )
 
-// echoed compares a response header with the identity.
-func (i *Identity) echoed(header http.Header) echo {
+// compareEcho compares a response header with the identity.
+func (i *Identity) compareEcho(header http.Header) echoResult {
 	id, attempt := header.Get(engineapi.HeaderRequestID), header.Get(engineapi.HeaderAttempt)
 	switch {
-	case id == i.RequestID && attempt == i.attempt():
-		return echoWhole
-	case id != "" && id != i.RequestID, attempt != "" && attempt != i.attempt():
-		return echoOther
+	case id == i.RequestID && attempt == i.attemptHeader():
+		return echoMatch
+	case id != "" && id != i.RequestID, attempt != "" && attempt != i.attemptHeader():
+		return echoMismatch
 	}
 	return echoMissing
 }
--- a/connection/upstream/identity_test.go
+++ b/connection/upstream/identity_test.go
@@ -36,8 +36,8 @@
 	return &surplusServer{server}
 }
 
-// ask sends a request with the given number and returns the response body.
-func (s *surplusServer) ask(t *testing.T, pool *Pool, number int) (string, error) {
+// post sends a request with the given number and returns the response body.
+func (s *surplusServer) post(t *testing.T, pool *Pool, number int) (string, error) {
 	t.Helper()
 	body := strconv.Itoa(number)
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+s.Address()+"/", strings.NewReader(body))
@@ -56,7 +56,7 @@
 // response to another request was returned. Each response that Do returns must be the
 // request's own. A wrong one must be a failure with Wrote set, and its connection must not
 // be reused.
-func TestSurplusAnswerIsForeign(t *testing.T) {
+func TestSurplusResponseIsRejected(t *testing.T) {
 	name := func(id, attempt string) http.Header {
 		header := http.Header{}
 		if id != "" {
@@ -68,13 +68,13 @@
 		return header
 	}
 	cases := map[string]string{
-		"another request":          rawAnswer("200 OK", name("other", "2"), "wrong"),
-		"another attempt":          rawAnswer("200 OK", name("r2", "1"), "wrong"),
-		"no attempt":               rawAnswer("200 OK", name("r2", ""), "wrong"),
-		"no request":               rawAnswer("200 OK", nil, "wrong"),
-		"no request, no body":      rawAnswer("200 OK", nil, ""),
-		"refusal of another":       rawAnswer("503 Busy", name("other", "2"), "wrong"),
-		"an earlier request, late": rawAnswer("200 OK", name("r1", "2"), "1"),
+		"another request":          rawResponse("200 OK", name("other", "2"), "wrong"),
+		"another attempt":          rawResponse("200 OK", name("r2", "1"), "wrong"),
+		"no attempt":               rawResponse("200 OK", name("r2", ""), "wrong"),
+		"no request":               rawResponse("200 OK", nil, "wrong"),
+		"no request, no body":      rawResponse("200 OK", nil, ""),
+		"refusal of another":       rawResponse("503 Busy", name("other", "2"), "wrong"),
+		"an earlier request, late": rawResponse("200 OK", name("r1", "2"), "1"),
 	}
 	for title, wrong := range cases {
 		t.Run(title, func(t *testing.T) {
@@ -84,7 +84,7 @@
 			const requests = 12
 			failed := 0
 			for number := range requests {
-				body, err := server.ask(t, pool, number)
+				body, err := server.post(t, pool, number)
 				if err == nil {
 					must.Eq(t, strconv.Itoa(number), body)
 					continue
@@ -103,12 +103,12 @@
 
 // After the first response of a host that echoes identities, one connection must carry all
 // further requests.
-func TestKeptConnectionsOfAnEchoingHost(t *testing.T) {
+func TestConnectionsToEchoingHostAreReused(t *testing.T) {
 	server := newSurplusServer(t, "")
 	pool := NewPool(Config{})
 	defer pool.Close()
 	for number := range 10 {
-		body, err := server.ask(t, pool, number)
+		body, err := server.post(t, pool, number)
 		must.NoError(t, err)
 		must.Eq(t, strconv.Itoa(number), body)
 	}
@@ -117,7 +117,7 @@
 
 // A host that does not echo identities gets a new connection for each request, and its
 // refusals must not count as certain.
-func TestHostWithoutEchoIsServed(t *testing.T) {
+func TestHostWithoutEcho(t *testing.T) {
 	var conns atomic.Int32
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(engineapi.HeaderAdmitted, "no")
@@ -144,19 +144,19 @@
 	must.Eq(t, requests, conns.Load())
 }
 
-func TestEchoed(t *testing.T) {
+func TestCompareEcho(t *testing.T) {
 	cases := []struct {
 		name        string
 		identity    Identity
 		id, attempt string
-		want        echo
+		want        echoResult
 	}{
-		{"own", Identity{RequestID: "r", Attempt: 2}, "r", "2", echoWhole},
-		{"own without attempts", Identity{RequestID: "r"}, "r", "", echoWhole},
-		{"other request", Identity{RequestID: "r", Attempt: 2}, "s", "2", echoOther},
-		{"other attempt", Identity{RequestID: "r", Attempt: 2}, "r", "1", echoOther},
-		{"other attempt, no request", Identity{RequestID: "r", Attempt: 2}, "", "1", echoOther},
-		{"an attempt of a call without", Identity{RequestID: "r"}, "r", "1", echoOther},
+		{"own", Identity{RequestID: "r", Attempt: 2}, "r", "2", echoMatch},
+		{"own without attempts", Identity{RequestID: "r"}, "r", "", echoMatch},
+		{"other request", Identity{RequestID: "r", Attempt: 2}, "s", "2", echoMismatch},
+		{"other attempt", Identity{RequestID: "r", Attempt: 2}, "r", "1", echoMismatch},
+		{"other attempt, no request", Identity{RequestID: "r", Attempt: 2}, "", "1", echoMismatch},
+		{"an attempt of a call without", Identity{RequestID: "r"}, "r", "1", echoMismatch},
 		{"no attempt", Identity{RequestID: "r", Attempt: 2}, "r", "", echoMissing},
 		{"no request", Identity{RequestID: "r", Attempt: 2}, "", "2", echoMissing},
 		{"nothing", Identity{RequestID: "r", Attempt: 2}, "", "", echoMissing},
@@ -166,7 +166,7 @@
 			header := http.Header{}
 			header.Set(engineapi.HeaderRequestID, test.id)
 			header.Set(engineapi.HeaderAttempt, test.attempt)
-			must.Eq(t, test.want, test.identity.echoed(header))
+			must.Eq(t, test.want, test.identity.compareEcho(header))
 		})
 	}
 }
@@ -182,9 +182,9 @@
 	must.False(t, set.has(strconv.Itoa(maxEchoingHosts)))
 }
 
-// forgetfulServer starts a server that echoes the identity of all requests but one. It returns
+// newPartlyEchoingServer starts a server that echoes the identity of all requests but one. It returns
 // its URL and a function that returns the request numbers by connection.
-func forgetfulServer(t *testing.T, forgets int32, status int) (url string, perConn func() map[string][]int32) {
+func newPartlyEchoingServer(t *testing.T, forgets int32, status int) (url string, perConn func() map[string][]int32) {
 	t.Helper()
 	var served atomic.Int32
 	var lock sync.Mutex
@@ -199,7 +199,7 @@
 		}
 		w.WriteHeader(status)
 		if status == http.StatusOK {
-			_, _ = io.WriteString(w, "answer")
+			_, _ = io.WriteString(w, "response")
 		}
 	}))
 	t.Cleanup(server.Close)
@@ -214,11 +214,11 @@
 // no other request, where no other response can arrive. The second request, which is the
 // first on a persistent connection, must get its response without an echo, and its connection
 // must not be reused.
-func TestFirstAnswerOnANewConnectionIsOwn(t *testing.T) {
+func TestFirstResponseOnNewConnectionIsAccepted(t *testing.T) {
 	const forgotten = 2
 	for _, status := range []int{http.StatusOK, http.StatusNoContent} {
 		t.Run(http.StatusText(status), func(t *testing.T) {
-			url, perConn := forgetfulServer(t, forgotten, status)
+			url, perConn := newPartlyEchoingServer(t, forgotten, status)
 			pool := NewPool(Config{})
 			defer pool.Close()
 			const requests = 6
@@ -244,7 +244,7 @@
 // A host that had stopped echoing identities was still sent requests on reused connections,
 // where each response without an identity is a failure. Only one request may fail; after it
 // the host must no longer count as echoing.
-func TestHostIsForgottenAfterAMissingEcho(t *testing.T) {
+func TestHostIsRemovedAfterMissingEcho(t *testing.T) {
 	const echoed, requests = 4, 10
 	var served atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -268,5 +268,5 @@
 		drain(t, response)
 	}
 	must.Eq(t, 1, failed, must.Sprint("only the response on the reused connection may fail"))
-	must.False(t, pool.echoing.has(strings.TrimPrefix(server.URL, "http://")))
+	must.False(t, pool.echoingHosts.has(strings.TrimPrefix(server.URL, "http://")))
 }
--- a/connection/upstream/stream.go
+++ b/connection/upstream/stream.go
@@ -48,7 +48,7 @@
 		return Frame{}, err
 	}
 	if event.Name == eventNameError {
-		return Frame{}, errors.Wrap(ErrEngine, engineMessage(event.Data))
+		return Frame{}, errors.Wrap(ErrEngine, engineErrorMessage(event.Data))
 	}
 	frame := Frame{Data: event.Data}
 	if err := json.Unmarshal(event.Data, &frame.Event); err != nil {
@@ -102,8 +102,8 @@
 // maxErrorMessage limits the length of an engine's error message in bytes.
 const maxErrorMessage = 512
 
-// engineMessage returns the message of an error event, or its data if it has none.
-func engineMessage(data []byte) string {
+// engineErrorMessage returns the message of an error event, or its data if it has none.
+func engineErrorMessage(data []byte) string {
 	var body engineapi.ErrorBody
 	if err := json.Unmarshal(data, &body); err == nil && body.Error.Message != "" {
 		data = []byte(body.Error.Message)
--- a/connection/upstream/stream_test.go
+++ b/connection/upstream/stream_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestStreamHoldsToTheFirstIncarnation(t *testing.T) {
+func TestStreamKeepsFirstIncarnation(t *testing.T) {
 	input := goodEvent + strings.Replace(goodEvent, `"7"`, `"8"`, 1)
 	stream := NewStream(strings.NewReader(input), Identity{RequestID: "r1", Attempt: 2}, 0)
 	_, err := stream.Next()
--- a/connection/upstream/upstream.go
+++ b/connection/upstream/upstream.go
@@ -3,7 +3,7 @@
 // itself: which connections are pooled together, when a response body is read, and above
 // all that no request is ever sent twice. Transport retries a request on a reused
 // connection that broke, if the request counts as replayable. Requests sent here never
-// do; see guard.
+// do; see preventReplay.
 //
 // Transport also takes the next bytes on a connection for the response to the request
 // written last. Pool.Do therefore returns a response only if it provably belongs to the
@@ -46,7 +46,7 @@
 	DefaultMaxHeaderBytes = 64 << 10
 	defaultBufferSize     = 4 << 10
 	keepAliveInterval     = 5 * time.Second
-	noIdle                = -1 // makes Transport close each connection after its response
+	noIdleConns           = -1 // makes Transport close each connection after its response
 )
 
 func (c Config) withDefaults() Config {
@@ -76,11 +76,11 @@
 
 // Pool holds the connections of one lane of a service. Pools share no state.
 type Pool struct {
-	kept   *http.Transport // reuses its connections
-	single *http.Transport // uses each connection for one request only
-	// echoing holds the hosts for which kept is used.
-	echoing hostSet
-	foreign func(address string, cause error)
+	persistent *http.Transport // reuses its connections
+	singleUse  *http.Transport // uses each connection for one request only
+	// echoingHosts holds the hosts for which persistent is used.
+	echoingHosts hostSet
+	onForeign    func(address string, cause error)
 }
 
 // NewPool returns an empty pool.
@@ -90,8 +90,8 @@
 	// DisableKeepAlives is not used because its "Connection: close" makes servers
 	// close immediately, and a request body that they have not read then causes a
 	// connection reset before the response is read.
-	single.MaxIdleConnsPerHost = noIdle
-	return &Pool{kept: kept, single: single, foreign: config.Foreign}
+	single.MaxIdleConnsPerHost = noIdleConns
+	return &Pool{persistent: kept, singleUse: single, onForeign: config.Foreign}
 }
 
 func newTransport(config Config) *http.Transport {
@@ -117,8 +117,8 @@
 
 // Close closes the idle connections.
 func (p *Pool) Close() {
-	p.kept.CloseIdleConnections()
-	p.single.CloseIdleConnections()
+	p.persistent.CloseIdleConnections()
+	p.singleUse.CloseIdleConnections()
 }
 
 // strippedHeaders are never passed on. The first two would make Transport treat a request
@@ -141,11 +141,11 @@
 
 func (opaqueBody) Close() error { return nil }
 
-// guard modifies the request so that Transport does not replay it: its body is not nil,
+// preventReplay modifies the request so that Transport does not replay it: its body is not nil,
 // and it has no GetBody and no idempotency header. A request without a body gets an empty
 // body of unknown length, which Transport probes and, for methods that usually have
 // no body, sends as no body.
-func guard(request *http.Request) {
+func preventReplay(request *http.Request) {
 	StripHeaders(request.Header)
 	request.GetBody = nil
 	if request.Body == nil || request.Body == http.NoBody {
@@ -153,7 +153,7 @@
 		request.ContentLength = 0
 		return
 	}
-	request.Body = guardedBody{request.Body}
+	request.Body = plainBody{request.Body}
 }
 
 type eofReader struct{}
@@ -161,17 +161,17 @@
 func (eofReader) Read([]byte) (int, error) { return 0, io.EOF }
 
 // guardedBody hides the methods of the caller's body.
-type guardedBody struct{ io.ReadCloser }
+type plainBody struct{ io.ReadCloser }
 
 // Exchange tracks the connections used by one request.
 type Exchange struct {
 	lock   sync.Mutex
-	conns  []heldConn
+	conns  []exchangeConn
 	reused bool // the connection had carried another request before
 }
 
-// heldConn is a connection used by an exchange.
-type heldConn struct {
+// exchangeConn is a connection used by an exchange.
+type exchangeConn struct {
 	*trackedConn
 	number int // number of the exchange on the connection
 }
@@ -182,27 +182,27 @@
 	if !tracked {
 		return
 	}
-	held := heldConn{trackedConn: conn, number: conn.mark()}
+	held := exchangeConn{trackedConn: conn, number: conn.beginExchange()}
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	e.conns = append(e.conns, held)
 	e.reused = e.reused || info.Reused
 }
 
-// onReused reports whether the request used a connection that had carried another request,
+// usedReusedConn reports whether the request used a connection that had carried another request,
 // a response to which may therefore still arrive.
-func (e *Exchange) onReused() bool {
+func (e *Exchange) usedReusedConn() bool {
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	return e.reused
 }
 
-// retire closes the connections of the exchange after its response.
-func (e *Exchange) retire() {
+// closeConns closes the connections of the exchange after its response.
+func (e *Exchange) closeConns() {
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	for _, conn := range e.conns {
-		conn.retire(conn.number)
+		conn.closeUnlessReused(conn.number)
 	}
 }
 
@@ -241,96 +241,96 @@
 	exchange := &Exchange{}
 	trace := &httptrace.ClientTrace{GotConn: exchange.gotConn}
 	request = request.WithContext(httptrace.WithClientTrace(request.Context(), trace))
-	guard(request)
-	identity.put(request.Header)
+	preventReplay(request)
+	identity.setHeaders(request.Header)
 	host := request.URL.Host
-	response, err := p.transport(p.echoing.has(host)).RoundTrip(request)
+	response, err := p.transport(p.echoingHosts.has(host)).RoundTrip(request)
 	if err != nil {
 		return nil, &Failure{Wrote: exchange.abort(), Cause: errors.WithStack(err)}
 	}
-	body := &answerBody{ReadCloser: response.Body, exchange: exchange}
+	body := &responseBody{ReadCloser: response.Body, exchange: exchange}
 	response.Body = body
-	got := identity.echoed(response.Header)
-	p.noteEcho(host, got)
-	if err := verify(got, exchange.onReused(), &identity, response.Header); err != nil {
+	got := identity.compareEcho(response.Header)
+	p.recordEcho(host, got)
+	if err := verify(got, exchange.usedReusedConn(), &identity, response.Header); err != nil {
 		exchange.abort() // further responses on this connection cannot be matched either
 		_ = response.Body.Close()
-		p.foreign(host, err)
+		p.onForeign(host, err)
 		return nil, &Failure{Wrote: true, Cause: err}
 	}
-	if got != echoWhole {
-		body.retireAfter(response.ContentLength == 0)
+	if got != echoMatch {
+		body.closeConnAtEnd(response.ContentLength == 0)
 	}
 	return response, nil
 }
 
 func (p *Pool) transport(keep bool) *http.Transport {
 	if keep {
-		return p.kept
+		return p.persistent
 	}
-	return p.single
+	return p.singleUse
 }
 
-// noteEcho records whether connections to the host can be reused. A host that does not echo
+// recordEcho records whether connections to the host can be reused. A host that does not echo
 // identities costs a connection for each request. Every host costs that for its first
 // request, since only a response shows whether it echoes.
-func (p *Pool) noteEcho(host string, got echo) {
+func (p *Pool) recordEcho(host string, got echoResult) {
 	switch got {
-	case echoWhole:
-		p.echoing.add(host)
+	case echoMatch:
+		p.echoingHosts.add(host)
 	case echoMissing:
-		p.echoing.remove(host)
+		p.echoingHosts.remove(host)
 	}
 }
 
 // verify returns ErrForeign unless the response provably belongs to the exchange. A response
 // without an identity does if its connection has carried no other request.
-func verify(got echo, reused bool, identity *Identity, header http.Header) error {
-	if got == echoWhole || got == echoMissing && !reused {
+func verify(got echoResult, reused bool, identity *Identity, header http.Header) error {
+	if got == echoMatch || got == echoMissing && !reused {
 		return nil
 	}
 	return errors.Wrapf(ErrForeign, "got %q/%q, want %q/%d",
 		header.Get(engineapi.HeaderRequestID), header.Get(engineapi.HeaderAttempt), identity.RequestID, identity.Attempt)
 }
 
-// answerBody closes the connection immediately if it is closed before its end. Transport
+// responseBody closes the connection immediately if it is closed before its end. Transport
 // might otherwise read the rest to keep the connection, and the engine would not notice
 // the cancellation.
-type answerBody struct {
+type responseBody struct {
 	io.ReadCloser
-	exchange *Exchange
-	ended    bool
-	retiring bool // the connection is closed after this body
+	exchange   *Exchange
+	ended      bool
+	closeAtEnd bool // the connection is closed after this body
 }
 
-// retireAfter closes the connection after the body, or immediately if the body is empty, so
+// closeConnAtEnd closes the connection after the body, or immediately if the body is empty, so
 // that it carries no other request.
-func (b *answerBody) retireAfter(empty bool) {
-	b.retiring = true
+func (b *responseBody) closeConnAtEnd(empty bool) {
+	b.closeAtEnd = true
 	if empty {
-		b.exchange.retire()
+		b.exchange.closeConns()
 	}
 }
 
 // Read reads the body and records its end.
-func (b *answerBody) Read(buffer []byte) (int, error) {
+func (b *responseBody) Read(buffer []byte) (int, error) {
 	count, err := b.ReadCloser.Read(buffer)
 	if errors.Is(err, io.EOF) {
 		b.ended = true
-		if b.retiring {
-			b.exchange.retire()
+		if b.closeAtEnd {
+			b.exchange.closeConns()
 		}
 	}
 	return count, err
 }
 
 // Close closes the body, and also its connection unless the body was read completely.
-func (b *answerBody) Close() error {
+func (b *responseBody) Close() error {
 	switch {
 	case !b.ended:
 		b.exchange.abort()
-	case b.retiring:
-		b.exchange.retire()
+	case b.closeAtEnd:
+		b.exchange.closeConns()
 	}
 	return b.ReadCloser.Close()
 }
--- a/connection/upstream/upstream_test.go
+++ b/connection/upstream/upstream_test.go
@@ -25,8 +25,8 @@
 // testIdentity is the identity used by tests that need no specific one.
 var testIdentity = Identity{RequestID: "r1", Attempt: 1}
 
-// rawAnswer returns an encoded response that echoes the request's identity.
-func rawAnswer(status string, request http.Header, body string) string {
+// rawResponse returns an encoded response that echoes the request's identity.
+func rawResponse(status string, request http.Header, body string) string {
 	head := &strings.Builder{}
 	header := http.Header{}
 	engineapi.EchoCall(header, request)
@@ -43,19 +43,19 @@
 	drain(t, response)
 }
 
-// rudeServer serves the first request of each connection and closes the connection after
+// closingServer serves the first request of each connection and closes the connection after
 // reading the second.
-type rudeServer struct {
+type closingServer struct {
 	listener net.Listener
-	later    atomic.Int32 // requests read but not served
+	unserved atomic.Int32 // requests read but not served
 	done     sync.WaitGroup
 }
 
-func newRudeServer(t *testing.T) *rudeServer {
+func newClosingServer(t *testing.T) *closingServer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
-	server := &rudeServer{listener: listener}
+	server := &closingServer{listener: listener}
 	server.done.Go(server.accept)
 	t.Cleanup(func() {
 		_ = listener.Close()
@@ -64,7 +64,7 @@
 	return server
 }
 
-func (s *rudeServer) accept() {
+func (s *closingServer) accept() {
 	for {
 		conn, err := s.listener.Accept()
 		if err != nil {
@@ -74,7 +74,7 @@
 	}
 }
 
-func (s *rudeServer) serve(conn net.Conn) {
+func (s *closingServer) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	reader := bufio.NewReader(conn)
 	for served := 0; ; served++ {
@@ -84,14 +84,14 @@
 		}
 		_, _ = io.Copy(io.Discard, request.Body)
 		if served > 0 {
-			s.later.Add(1)
+			s.unserved.Add(1)
 			return
 		}
-		_, _ = io.WriteString(conn, rawAnswer("200 OK", request.Header, "ok"))
+		_, _ = io.WriteString(conn, rawResponse("200 OK", request.Header, "ok"))
 	}
 }
 
-func (s *rudeServer) request(t *testing.T, method, body string) *http.Request {
+func (s *closingServer) request(t *testing.T, method, body string) *http.Request {
 	t.Helper()
 	var source io.Reader
 	if body != "" {
@@ -121,7 +121,7 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			server := newRudeServer(t)
+			server := newClosingServer(t)
 			pool := NewPool(Config{})
 			defer pool.Close()
 			prime(t, pool, server.request(t, test.method, test.body))
@@ -132,15 +132,15 @@
 			var failure *Failure
 			must.True(t, errors.As(err, &failure))
 			must.True(t, failure.Wrote)
-			must.Eq(t, 1, server.later.Load())
+			must.Eq(t, 1, server.unserved.Load())
 		})
 	}
 }
 
-// This verifies that rudeServer provokes a retry: with a plain Transport, the same exchange
+// This verifies that closingServer provokes a retry: with a plain Transport, the same exchange
 // succeeds because the request is sent twice.
 func TestPlainTransportResends(t *testing.T) {
-	server := newRudeServer(t)
+	server := newClosingServer(t)
 	transport := &http.Transport{}
 	defer transport.CloseIdleConnections()
 	for range 2 {
@@ -148,10 +148,10 @@
 		must.NoError(t, err)
 		drain(t, response)
 	}
-	must.Eq(t, 1, server.later.Load())
+	must.Eq(t, 1, server.unserved.Load())
 }
 
-func TestFailureSaysWhetherWritten(t *testing.T) {
+func TestFailureReportsWhetherWritten(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	address := listener.Addr().String()
@@ -166,7 +166,7 @@
 	must.False(t, failure.Wrote)
 }
 
-func TestSealDecidesAgainstWrite(t *testing.T) {
+func TestSealRacesWithWrite(t *testing.T) {
 	for range 200 {
 		near, far := net.Pipe()
 		go func() { _, _ = io.Copy(io.Discard, far) }()
@@ -182,7 +182,7 @@
 	}
 }
 
-func TestUnreadAnswerIsNeverReused(t *testing.T) {
+func TestUnreadResponseClosesConnection(t *testing.T) {
 	var conns atomic.Int32
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		engineapi.EchoCall(w.Header(), r.Header)
@@ -239,7 +239,7 @@
 // the request has "Connection: close". The rest of the body then causes a connection reset
 // and the response is lost. The first POST to a host, which uses a dedicated connection, must
 // get its complete response.
-func TestUnreadBodyDoesNotResetTheAnswer(t *testing.T) {
+func TestUnreadBodyDoesNotResetConnection(t *testing.T) {
 	var closing atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Close {
