--- a/connection/exchange/conn.go
+++ b/connection/exchange/conn.go
@@ -29,8 +29,8 @@
 	headerRead      atomic.Bool // the header of the current response was read
 }
 
-func newConn(raw net.Conn, list *idleList, maxHead int64) *conn {
-	created := &conn{Conn: raw, list: list, maxHeaderBytes: maxHead}
+func newConn(raw net.Conn, list *idleList, maxHeaderBytes int64) *conn {
+	created := &conn{Conn: raw, list: list, maxHeaderBytes: maxHeaderBytes}
 	created.reader = bufio.NewReaderSize(created, readBufferBytes)
 	return created
 }
@@ -77,12 +77,12 @@
 	if err != nil {
 		return true // the socket cannot be inspected
 	}
-	quiet := false
+	empty := false
 	err = raw.Read(func(descriptor uintptr) bool {
 		var peeked [1]byte
 		_, _, err := unix.Recvfrom(int(descriptor), peeked[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = errors.Is(err, unix.EAGAIN)
+		empty = errors.Is(err, unix.EAGAIN)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && empty
 }
--- a/connection/exchange/exchange.go
+++ b/connection/exchange/exchange.go
@@ -93,21 +93,21 @@
 		_ = used.Conn.Close() // nothing was written on it
 		return nil, &Failure{Reused: reused, Cause: err}
 	}
-	detach := context.AfterFunc(ctx, func() { used.cancel(request) })
+	stopCancel := context.AfterFunc(ctx, func() { used.cancel(request) })
 	written, err := p.write(used, request)
 	if err != nil {
-		detach()
+		stopCancel()
 		_ = used.Conn.Close() // nothing was written on it
 		return nil, &Failure{Reused: reused, Cause: errors.WithStack(err)}
 	}
-	response, foreign, err := readMatching(used, request, reused)
+	response, unmatched, err := readMatching(used, request, reused)
 	if err != nil {
-		if detach() {
+		if stopCancel() {
 			used.closeAfterFailure(request, response)
 		} else {
 			used.closeAfterCancel(request)
 		}
-		return nil, &Failure{Sent: true, Reused: reused, Cause: errors.WithStack(err), Foreign: foreign}
+		return nil, &Failure{Sent: true, Reused: reused, Cause: errors.WithStack(err), Foreign: unmatched}
 	}
 	used.headerRead.Store(true)
 	return &Answer{
@@ -116,13 +116,13 @@
 		Length:         response.ContentLength,
 		Reused:         reused,
 		Opened:         used.openedAt,
-		Foreign:        foreign,
+		Foreign:        unmatched,
 		pool:           p,
 		conn:           used,
 		body:           response.Body,
-		reusable:       !response.Close && request.sharesConnections() && len(foreign) == 0,
+		reusable:       !response.Close && request.sharesConnections() && len(unmatched) == 0,
 		requestWritten: written,
-		stopCancel:     detach,
+		stopCancel:     stopCancel,
 	}, nil
 }
 
@@ -215,11 +215,11 @@
 
 // readHeader reads the next response header other than informational ones.
 func readHeader(from *conn, method string) (*http.Response, error) {
-	asked := &http.Request{Method: method}
+	request := &http.Request{Method: method}
 	from.beginHeader()
 	defer from.endHeader()
 	for {
-		response, err := http.ReadResponse(from.reader, asked)
+		response, err := http.ReadResponse(from.reader, request)
 		if err != nil {
 			return nil, err
 		}
@@ -246,18 +246,18 @@
 	if !a.closed.CompareAndSwap(false, true) {
 		return
 	}
-	undisturbed := a.stopCancel()
+	notCanceled := a.stopCancel()
 	used := a.conn
 	if !a.bodyRead {
 		a.markEmptyBodyRead()
 	}
-	if !undisturbed || !a.bodyRead || !a.reusable || !a.requestWritten.Load() || used.reader.Buffered() > 0 {
+	if !notCanceled || !a.bodyRead || !a.reusable || !a.requestWritten.Load() || used.reader.Buffered() > 0 {
 		_ = used.Conn.Close() // further data would belong to no request
 		return
 	}
 	limit := a.pool.config.IdleTimeout
-	if named, ok := keepAliveTimeout(a.Header); ok {
-		limit = min(limit, named-a.pool.config.IdleMargin)
+	if announced, ok := keepAliveTimeout(a.Header); ok {
+		limit = min(limit, announced-a.pool.config.IdleMargin)
 	}
 	if limit <= 0 {
 		_ = used.Conn.Close() // the server would close it first
--- a/connection/exchange/foreign.go
+++ b/connection/exchange/foreign.go
@@ -21,8 +21,8 @@
 const maxRecordedIDBytes = 64
 
 func newUnmatchedResponse(response *http.Response, identity Identity) *ForeignAnswer {
-	answered := response.Header.Get(identity.Field)
-	return &ForeignAnswer{Answered: answered[:min(len(answered), maxRecordedIDBytes)], Status: response.StatusCode, Header: response.Header}
+	id := response.Header.Get(identity.Field)
+	return &ForeignAnswer{Answered: id[:min(len(id), maxRecordedIDBytes)], Status: response.StatusCode, Header: response.Header}
 }
 
 // Error returns a text that names the request that the response belongs to.
@@ -37,30 +37,31 @@
 )
 
 // readMatching reads response headers until one matches the request. A response to an earlier
-// request of the connection is a surplus one, and the request's own response follows it. The skipped responses are always returned. If no matching
-// response can follow, the error is the last skipped one, and the returned response is
-// the same one, if its body is still unread.
-func readMatching(from *conn, request *Request, reused bool) (own *http.Response, foreign []*ForeignAnswer, err error) {
+// request of the connection is a surplus one, and the request's own response follows it.
+// Responses that do not match are always returned. If no matching response can follow,
+// the error is the last of them. That response is then returned as well if its body has
+// not been read, otherwise nil.
+func readMatching(from *conn, request *Request, reused bool) (matched *http.Response, unmatched []*ForeignAnswer, err error) {
 	for {
 		response, err := readHeader(from, request.Method)
 		if err != nil {
-			return nil, foreign, err
+			return nil, unmatched, err
 		}
 		if request.Identity.matches(response.Header, reused) {
-			return response, foreign, nil
+			return response, unmatched, nil
 		}
 		last := newUnmatchedResponse(response, request.Identity)
-		foreign = append(foreign, last)
-		surplus := reused && last.Answered != "" && len(foreign) <= maxSkipped
+		unmatched = append(unmatched, last)
+		surplus := reused && last.Answered != "" && len(unmatched) <= maxSkipped
 		if !surplus || !mayBeFollowed(response) {
-			return response, foreign, last
+			return response, unmatched, last
 		}
-		ended, err := discardBody(response)
+		complete, err := discardBody(response)
 		if err != nil {
-			return nil, foreign, err
+			return nil, unmatched, err
 		}
-		if !ended {
-			return nil, foreign, last
+		if !complete {
+			return nil, unmatched, last
 		}
 	}
 }
@@ -71,7 +72,7 @@
 }
 
 // discardBody discards a body and reports whether it ended within the limit.
-func discardBody(response *http.Response) (ended bool, err error) {
+func discardBody(response *http.Response) (complete bool, err error) {
 	count, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxSkippedBytes+1))
 	return count <= maxSkippedBytes, errors.WithStack(err)
 }
@@ -92,8 +93,9 @@
 	_ = c.Conn.SetReadDeadline(time.Now())
 }
 
-// closeAfterCancel closes the connection of an exchange that was canceled before its response
-// header arrived, after passing a header that arrives within lateResponseTimeout to Overheard.
+// closeAfterCancel closes the connection of an exchange that was canceled before its
+// response header arrived. A header that arrives within lateResponseTimeout is passed to
+// Overheard first.
 func (c *conn) closeAfterCancel(request *Request) {
 	if request.Overheard == nil {
 		_ = c.Conn.Close()
@@ -108,9 +110,9 @@
 	}()
 }
 
-// closeAfterFailure closes a connection on which an exchange has failed. The request's own response
-// may immediately follow one to another request, so the headers of the responses that
-// arrive within lateResponseTimeout are passed to Overheard.
+// closeAfterFailure closes a connection on which an exchange has failed. The request's own
+// response may immediately follow one to another request, so the headers of the responses
+// that arrive within lateResponseTimeout are passed to Overheard.
 func (c *conn) closeAfterFailure(request *Request, last *http.Response) {
 	if last == nil || request.Overheard == nil || !mayBeFollowed(last) {
 		_ = c.Conn.Close() // the error of the exchange is already reported
@@ -120,7 +122,7 @@
 		defer func() { _ = c.Conn.Close() }() // the connection is not reused
 		_ = c.Conn.SetReadDeadline(time.Now().Add(lateResponseTimeout))
 		for range maxSkipped {
-			if ended, err := discardBody(last); err != nil || !ended {
+			if complete, err := discardBody(last); err != nil || !complete {
 				return
 			}
 			next, err := readHeader(c, request.Method)
--- a/connection/exchange/identity.go
+++ b/connection/exchange/identity.go
@@ -16,11 +16,11 @@
 // matches reports whether a response belongs to the request. A response without an ID
 // does only if the connection has carried no other request.
 func (i Identity) matches(header http.Header, reused bool) bool {
-	answered := header.Get(i.Field)
-	if i.ID == "" || answered == "" {
+	id := header.Get(i.Field)
+	if i.ID == "" || id == "" {
 		return !reused
 	}
-	return answered == i.ID
+	return id == i.ID
 }
 
 // sharesConnections reports whether the request may use a connection that carries other
--- a/connection/exchange/identity_test.go
+++ b/connection/exchange/identity_test.go
@@ -79,9 +79,9 @@
 	must.True(t, failure.Sent)
 	head = http.Header{"Content-Length": {"1"}, "Id": {"other"}}
 	must.Eq(t, []*ForeignAnswer{{Answered: "other", Status: http.StatusOK, Header: head}}, failure.Foreign)
-	var foreign *ForeignAnswer
-	must.True(t, errors.As(err, &foreign))
-	must.Eq(t, "other", foreign.Answered)
+	var unmatched *ForeignAnswer
+	must.True(t, errors.As(err, &unmatched))
+	must.Eq(t, "other", unmatched.Answered)
 }
 
 // A retried request has the same ID as before. The response to its first send must not
@@ -89,9 +89,9 @@
 func TestRepeatedRequestUsesNewConnection(t *testing.T) {
 	server := newScriptedServer(t, respond(okResponse), respond(okResponse), respond(okResponse), respond(okResponse))
 	pool := newPool(t)
-	again := newGetWithID("a", "/")
-	again.Identity.Repeated = true
-	for _, request := range []*Request{newGetWithID("a", "/"), newGetWithID("b", "/"), again, newGetWithID("c", "/")} {
+	repeated := newGetWithID("a", "/")
+	repeated.Identity.Repeated = true
+	for _, request := range []*Request{newGetWithID("a", "/"), newGetWithID("b", "/"), repeated, newGetWithID("c", "/")} {
 		_, err := fetch(t, pool, server.address(), request)
 		must.NoError(t, err)
 	}
@@ -106,12 +106,12 @@
 	unnamed := &Request{Method: http.MethodDelete, Target: "/", Host: "h", Header: http.Header{}}
 	head := newGetWithID("head", "/")
 	head.Method = http.MethodHead
-	for name, alone := range map[string]*Request{"without an ID": unnamed, "HEAD": head} {
+	for name, dedicated := range map[string]*Request{"without an ID": unnamed, "HEAD": head} {
 		t.Run(name, func(t *testing.T) {
 			headOnly := respond("HTTP/1.1 200 OK\r\nId: {id}\r\nContent-Length: 0\r\n\r\n")
 			server := newScriptedServer(t, headOnly, respond(okResponse), headOnly, respond(okResponse))
 			pool := newPool(t)
-			for i, request := range []*Request{alone, newGet("/"), alone, newGet("/")} {
+			for i, request := range []*Request{dedicated, newGet("/"), dedicated, newGet("/")} {
 				response, err := pool.Do(t.Context(), server.address(), request)
 				must.NoError(t, err)
 				must.Eq(t, i == 3, response.Reused)
@@ -146,8 +146,8 @@
 			must.NoError(t, err)
 			_, err = fetch(t, pool, server.address(), newGetWithID("second", "/"))
 			close(release)
-			var foreign *ForeignAnswer
-			must.True(t, errors.As(err, &foreign))
+			var unmatched *ForeignAnswer
+			must.True(t, errors.As(err, &unmatched))
 		})
 	}
 }
@@ -173,9 +173,9 @@
 		cancel()
 	}()
 	_, err = pool.Do(ctx, server.address(), newGetWithID("second", "/"))
-	var foreign *ForeignAnswer
+	var unmatched *ForeignAnswer
 	must.Error(t, err)
-	must.False(t, errors.As(err, &foreign))
+	must.False(t, errors.As(err, &unmatched))
 }
 
 func TestResponseHeaderSizeIsLimited(t *testing.T) {
@@ -217,15 +217,15 @@
 	pool := newPool(t)
 	_, err := fetch(t, pool, server.address(), newGetWithID("first", "/1"))
 	must.NoError(t, err)
-	heard := make(chan string, 1)
-	asking := newGetWithID("second", "/2")
-	asking.Overheard = func(status int, header http.Header) {
-		heard <- fmt.Sprintf("%d %s", status, header.Get("Retry-After"))
+	reported := make(chan string, 1)
+	request := newGetWithID("second", "/2")
+	request.Overheard = func(status int, header http.Header) {
+		reported <- fmt.Sprintf("%d %s", status, header.Get("Retry-After"))
 	}
-	_, err = pool.Do(t.Context(), server.address(), asking)
-	var foreign *ForeignAnswer
-	must.True(t, errors.As(err, &foreign))
-	must.Eq(t, "503 3", <-heard)
+	_, err = pool.Do(t.Context(), server.address(), request)
+	var unmatched *ForeignAnswer
+	must.True(t, errors.As(err, &unmatched))
+	must.Eq(t, "503 3", <-reported)
 	must.False(t, pool.Idle(server.address()))
 }
 
@@ -234,22 +234,22 @@
 // or the request had timed out, because the connection was closed immediately. That this
 // was the path in the observed run is inferred, since its logs were not kept.
 func TestLateResponseIsReportedAfterCancellation(t *testing.T) {
-	hungUp := make(chan struct{})
+	canceled := make(chan struct{})
 	server := newScriptedServer(t, func(conn net.Conn) {
-		<-hungUp
+		<-canceled
 		time.Sleep(lateResponseTimeout / 5)
 		_, _ = conn.Write([]byte("HTTP/1.1 503 Service Unavailable\r\nId: first\r\nRetry-After: 3\r\nContent-Length: 0\r\n\r\n"))
 	})
-	heard := make(chan string, 1)
-	asking := newGetWithID("first", "/1")
-	asking.Overheard = func(status int, header http.Header) {
-		heard <- fmt.Sprintf("%d %s", status, header.Get("Retry-After"))
+	reported := make(chan string, 1)
+	request := newGetWithID("first", "/1")
+	request.Overheard = func(status int, header http.Header) {
+		reported <- fmt.Sprintf("%d %s", status, header.Get("Retry-After"))
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	pool := newPool(t)
 	go func() {
-		_, err := pool.Do(ctx, server.address(), asking)
+		_, err := pool.Do(ctx, server.address(), request)
 		ended <- err
 	}()
 	for len(server.received()) == 0 {
@@ -257,10 +257,10 @@
 	}
 	cancel()
 	must.Error(t, <-ended, must.Sprint("a canceled exchange succeeded"))
-	close(hungUp)
+	close(canceled)
 	select {
-	case word := <-heard:
-		must.Eq(t, "503 3", word)
+	case got := <-reported:
+		must.Eq(t, "503 3", got)
 	case <-time.After(10 * time.Second):
 		t.Fatal("the late response was not passed on")
 	}
--- a/connection/exchange/pool.go
+++ b/connection/exchange/pool.go
@@ -139,8 +139,8 @@
 	if list == nil {
 		return
 	}
-	for _, kept := range list.conns {
-		_ = kept.Conn.Close() // no request is in flight on it
+	for _, cached := range list.conns {
+		_ = cached.Conn.Close() // no request is in flight on it
 	}
 	list.conns, list.dropped = nil, true
 	delete(p.idle, address)
@@ -169,14 +169,14 @@
 // takeIdle removes and returns an idle connection that is still usable, or nil.
 func (p *Pool) takeIdle(list *idleList) *conn {
 	for {
-		kept := p.popIdle(list)
-		if kept == nil {
+		cached := p.popIdle(list)
+		if cached == nil {
 			return nil
 		}
-		if p.config.Clock() < kept.usableUntil && kept.usable() {
-			return kept
+		if p.config.Clock() < cached.usableUntil && cached.usable() {
+			return cached
 		}
-		_ = kept.Conn.Close() // expired, closed by the server, or holding unsolicited data
+		_ = cached.Conn.Close() // expired, closed by the server, or holding unsolicited data
 	}
 }
 
@@ -193,16 +193,16 @@
 }
 
 // release returns a connection whose last response was read completely to its idle list.
-func (p *Pool) release(kept *conn) {
+func (p *Pool) release(cached *conn) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	list := kept.list
+	list := cached.list
 	if p.closed || list.dropped || len(list.conns) >= p.config.MaxIdle {
-		_ = kept.Conn.Close() // the pool is closed or full, or the owner of the address is gone
+		_ = cached.Conn.Close() // the pool is closed or full, or the owner of the address is gone
 		return
 	}
-	kept.headerRead.Store(false)
-	list.conns = append(list.conns, kept)
+	cached.headerRead.Store(false)
+	list.conns = append(list.conns, cached)
 }
 
 // acquire returns a connection on which the response can be matched to the request, and
@@ -210,8 +210,8 @@
 func (p *Pool) acquire(ctx context.Context, address string, request *Request) (*conn, bool, error) {
 	list := p.idleListFor(address)
 	if request.sharesConnections() && !request.Identity.Repeated {
-		if kept := p.takeIdle(list); kept != nil {
-			return kept, true, nil
+		if cached := p.takeIdle(list); cached != nil {
+			return cached, true, nil
 		}
 	}
 	raw, err := p.dial(ctx, address)
--- a/connection/operator/client.go
+++ b/connection/operator/client.go
@@ -208,27 +208,27 @@
 	defer cancel()
 	worst := outcomeNotAccepted
 	var failed failures
-	wait := newBackoff()
+	delay := newBackoff()
 	for {
 		for _, address := range c.order.list() {
-			received, known, err := c.roundTrip(ctx, address, call)
-			if known == outcomeFinal {
+			received, outcome, err := c.roundTrip(ctx, address, call)
+			if outcome == outcomeFinal {
 				c.order.prefer(address)
 				return received, nil
 			}
 			failed.add(address, err, ctx.Err() != nil)
-			if known == outcomeUnknown {
+			if outcome == outcomeUnknown {
 				worst = outcomeUnknown
 			}
 			if worst == outcomeUnknown && !call.resendable {
 				return memberResponse{}, callError(worst, &failed)
 			}
-			wait.request(received.retryAfter)
+			delay.request(received.retryAfter)
 			if ctx.Err() != nil {
 				return memberResponse{}, callError(worst, &failed)
 			}
 		}
-		if !wait.sleep(ctx) {
+		if !delay.sleep(ctx) {
 			return memberResponse{}, callError(worst, &failed)
 		}
 	}
--- a/connection/operator/client_test.go
+++ b/connection/operator/client_test.go
@@ -63,7 +63,7 @@
 	return append([]string(nil), m.bodies...)
 }
 
-func memberResponse(status int, value any) http.HandlerFunc {
+func respond(status int, value any) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(status)
 		_ = json.NewEncoder(w).Encode(value)
@@ -80,7 +80,7 @@
 }
 
 func respondError(code operatorapi.ErrorCode, status int, leader string) http.HandlerFunc {
-	return memberResponse(status, operatorapi.Error{Code: code, Message: "no", Leader: leader})
+	return respond(status, operatorapi.Error{Code: code, Message: "no", Leader: leader})
 }
 
 // withRetryAfter adds a Retry-After of one second, as members without a quorum do.
@@ -92,7 +92,7 @@
 }
 
 func respondAccepted(revision uint64) http.HandlerFunc {
-	return memberResponse(http.StatusOK, api.TransactionResult{Code: api.OutcomeAccepted, Revision: revision})
+	return respond(http.StatusOK, api.TransactionResult{Code: api.OutcomeAccepted, Revision: revision})
 }
 
 func newClient(t *testing.T, timeout time.Duration, addresses ...string) *operator.Client {
@@ -119,8 +119,8 @@
 const (
 	longTimeout  = 20 * time.Second
 	shortTimeout = 300 * time.Millisecond
-	// delayTimeout ends during the delay that withRetryAfter requests and never during a request,
-	// whose outcome would then be unknown.
+	// delayTimeout ends during the delay that withRetryAfter requests and never during
+	// a request, whose outcome would then be unknown.
 	delayTimeout = 900 * time.Millisecond
 )
 
@@ -147,7 +147,7 @@
 		{"no JSON until the timeout", shortTimeout, []http.HandlerFunc{func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "hello") }}, operator.ErrOutcomeUnknown, ""},
 		{
 			"conflict with status 409", longTimeout,
-			[]http.HandlerFunc{memberResponse(http.StatusConflict, api.TransactionResult{Code: api.OutcomeRevisionConflict})}, nil, api.OutcomeRevisionConflict,
+			[]http.HandlerFunc{respond(http.StatusConflict, api.TransactionResult{Code: api.OutcomeRevisionConflict})}, nil, api.OutcomeRevisionConflict,
 		},
 	}
 	for _, test := range cases {
@@ -215,7 +215,7 @@
 
 func TestRefusedErrorHasFaults(t *testing.T) {
 	faults := []api.FieldFault{{Field: "writes[0]", Message: "no"}}
-	scripted := newScriptedMember(t, memberResponse(http.StatusBadRequest, operatorapi.Error{Code: operatorapi.ErrorInvalidBody, Faults: faults}))
+	scripted := newScriptedMember(t, respond(http.StatusBadRequest, operatorapi.Error{Code: operatorapi.ErrorInvalidBody, Faults: faults}))
 	_, err := newClient(t, longTimeout, scripted.address()).Transact(context.Background(), change)
 	var refused *operator.RefusedError
 	must.True(t, asRefused(err, &refused))
@@ -229,7 +229,7 @@
 }
 
 func TestMembershipChangeIsNotSentTwice(t *testing.T) {
-	scripted := newScriptedMember(t, dropConnection, memberResponse(http.StatusOK, operatorapi.MemberReply{}))
+	scripted := newScriptedMember(t, dropConnection, respond(http.StatusOK, operatorapi.MemberReply{}))
 	client := newClient(t, longTimeout, scripted.address())
 	_, err := client.ChangeMembers(context.Background(), operatorapi.MemberRequest{Action: operatorapi.MemberRemove, ID: 1})
 	must.ErrorIs(t, err, operator.ErrOutcomeUnknown)
@@ -237,7 +237,7 @@
 }
 
 func TestReadIsResent(t *testing.T) {
-	scripted := newScriptedMember(t, dropConnection, memberResponse(http.StatusOK, operatorapi.Status{Term: 4}))
+	scripted := newScriptedMember(t, dropConnection, respond(http.StatusOK, operatorapi.Status{Term: 4}))
 	status, err := newClient(t, longTimeout, scripted.address()).Status(context.Background())
 	must.NoError(t, err)
 	must.Eq(t, 4, status.Term)
@@ -256,13 +256,13 @@
 
 func TestWaitInForce(t *testing.T) {
 	scripted := newScriptedMember(t,
-		memberResponse(http.StatusOK, operatorapi.InForce{Waiting: []string{"p"}}),
-		memberResponse(http.StatusOK, operatorapi.InForce{Done: true, Acknowledged: 1}))
+		respond(http.StatusOK, operatorapi.InForce{Waiting: []string{"p"}}),
+		respond(http.StatusOK, operatorapi.InForce{Done: true, Acknowledged: 1}))
 	state, err := newClient(t, longTimeout, scripted.address()).WaitInForce(context.Background(), 5)
 	must.NoError(t, err)
 	must.Eq(t, 1, state.Acknowledged)
 
-	waiting := newScriptedMember(t, memberResponse(http.StatusOK, operatorapi.InForce{Waiting: []string{"p"}}))
+	waiting := newScriptedMember(t, respond(http.StatusOK, operatorapi.InForce{Waiting: []string{"p"}}))
 	ctx, cancel := context.WithTimeout(context.Background(), shortTimeout)
 	defer cancel()
 	state, err = newClient(t, longTimeout, waiting.address()).WaitInForce(ctx, 5)
--- a/connection/operator/failures.go
+++ b/connection/operator/failures.go
@@ -16,15 +16,15 @@
 	lastErrors map[string]string
 }
 
-// add records the failure of one attempt. A failure caused by the end of the call (cut)
+// add records the failure of one attempt. A failure caused by the end of the call (aborted)
 // or by the circuit breaker does not replace an earlier one of the same member, which
 // is more specific.
-func (f *failures) add(address string, err error, cut bool) {
+func (f *failures) add(address string, err error, aborted bool) {
 	if f.lastErrors == nil {
 		f.lastErrors = map[string]string{}
 	}
 	_, known := f.lastErrors[address]
-	if known && (cut || errors.Is(err, breaker.ErrServiceUnavailable)) {
+	if known && (aborted || errors.Is(err, breaker.ErrServiceUnavailable)) {
 		return
 	}
 	if !known {
--- a/connection/operator/order.go
+++ b/connection/operator/order.go
@@ -16,7 +16,7 @@
 type memberOrder struct {
 	mutex     sync.Mutex
 	addresses []string
-	first     string
+	preferred string
 }
 
 func newMemberOrder(addresses []string) *memberOrder {
@@ -30,7 +30,7 @@
 	}
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.first = address
+	o.preferred = address
 }
 
 // list returns every address once, the preferred one first.
@@ -38,11 +38,11 @@
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	var ordered []string
-	if o.first != "" {
-		ordered = append(ordered, o.first)
+	if o.preferred != "" {
+		ordered = append(ordered, o.preferred)
 	}
 	for _, address := range o.addresses {
-		if address != o.first {
+		if address != o.preferred {
 			ordered = append(ordered, address)
 		}
 	}
--- a/connection/operator/silent_test.go
+++ b/connection/operator/silent_test.go
@@ -38,7 +38,7 @@
 // If a member accepts no connection, nothing was sent to it, so the membership change is
 // safely sent to the next one.
 func TestMembershipChangeSkipsUnresponsiveMember(t *testing.T) {
-	serving := newScriptedMember(t, memberResponse(http.StatusOK, operatorapi.MemberReply{}))
+	serving := newScriptedMember(t, respond(http.StatusOK, operatorapi.MemberReply{}))
 	client, err := operator.New(operator.Config{
 		Members:        []string{unresponsiveAddress(t), serving.address()},
 		AttemptTimeout: 400 * time.Millisecond,
@@ -62,7 +62,7 @@
 		{operatorapi.MemberRemove, operator.ErrOutcomeUnknown, 0},
 	} {
 		t.Run(string(c.action), func(t *testing.T) {
-			losing, serving := newScriptedMember(t, dropConnection), newScriptedMember(t, memberResponse(http.StatusOK, operatorapi.MemberReply{}))
+			losing, serving := newScriptedMember(t, dropConnection), newScriptedMember(t, respond(http.StatusOK, operatorapi.MemberReply{}))
 			client, err := operator.New(operator.Config{Members: []string{losing.address(), serving.address()}})
 			must.NoError(t, err)
 			_, err = client.ChangeMembers(context.Background(), operatorapi.MemberRequest{Action: c.action, ID: 7})
--- a/connection/orders/orders_test.go
+++ b/connection/orders/orders_test.go
@@ -78,18 +78,18 @@
 
 var errUnresponsive = errors.New("engine did not respond")
 
-// fakeEngines is a fake EngineClient in which the address of an engine is its name. Engines whose names
-// begin with "silent" fail after 2 s without a response.
+// fakeEngines is a fake EngineClient in which the address of an engine is its name. Engines
+// whose names begin with "silent" fail after 2 s without a response.
 type fakeEngines struct {
 	lock        sync.Mutex
 	incarnation uint64
-	asked       map[string]int
+	requests    map[string]int
 }
 
 func (f *fakeEngines) State(ctx context.Context, address string) (engineapi.State, error) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	f.asked[address]++
+	f.requests[address]++
 	if strings.HasPrefix(address, "silent") {
 		f.lock.Unlock()
 		defer f.lock.Lock()
@@ -109,21 +109,21 @@
 func (f *fakeEngines) count(address string) int {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	return f.asked[address]
+	return f.requests[address]
 }
 
-func startPoller(asker EngineClient, changed func()) *Poller {
+func startPoller(client EngineClient, changed func()) *Poller {
 	start := time.Now()
 	return NewPoller(PollerConfig{
-		Asker: asker, Interval: 500 * time.Millisecond, Changed: changed,
+		Asker: client, Interval: 500 * time.Millisecond, Changed: changed,
 		Clock: func() time.Duration { return time.Since(start) },
 	})
 }
 
 func TestUnresponsiveEnginesDoNotBlockOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		asker := &fakeEngines{asked: map[string]int{}}
-		poller := startPoller(asker, nil)
+		client := &fakeEngines{requests: map[string]int{}}
+		poller := startPoller(client, nil)
 		defer poller.Close()
 		targets := map[string]string{}
 		const engines = 300 // the unresponsive engines alone occupy all workers of every shard
@@ -137,7 +137,7 @@
 		seen := poller.Seen()
 		must.MapLen(t, engines, seen)
 		for name := range seen {
-			must.Greater(t, 2, asker.count(name))
+			must.Greater(t, 2, client.count(name))
 		}
 	})
 }
@@ -146,8 +146,8 @@
 // often.
 func TestUnresponsiveEnginesArePolledFairly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		asker := &fakeEngines{asked: map[string]int{}}
-		poller := startPoller(asker, nil)
+		client := &fakeEngines{requests: map[string]int{}}
+		poller := startPoller(client, nil)
 		defer poller.Close()
 		targets := map[string]string{}
 		for i := range 4 * pollerShards * shardWorkers {
@@ -159,7 +159,7 @@
 		for i := range poller.shards {
 			least, most := math.MaxInt, 0
 			for name := range poller.shards[i].targets {
-				least, most = min(least, asker.count(name)), max(most, asker.count(name))
+				least, most = min(least, client.count(name)), max(most, client.count(name))
 			}
 			must.Between(t, most-1, least, most)
 		}
@@ -168,17 +168,17 @@
 
 func TestPollerPollsOncePerInterval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		asker := &fakeEngines{asked: map[string]int{}}
+		client := &fakeEngines{requests: map[string]int{}}
 		changes := make(chan struct{}, 100)
-		poller := startPoller(asker, func() { changes <- struct{}{} })
+		poller := startPoller(client, func() { changes <- struct{}{} })
 		defer poller.Close()
 		poller.SetTargets(map[string]string{"engine-1": "engine-1"})
 		time.Sleep(10 * time.Second)
-		must.Between(t, 18, asker.count("engine-1"), 21)
+		must.Between(t, 18, client.count("engine-1"), 21)
 		must.Eq(t, 1, len(changes)) // unchanged since the first poll
-		asker.lock.Lock()
-		asker.incarnation = 2
-		asker.lock.Unlock()
+		client.lock.Lock()
+		client.incarnation = 2
+		client.lock.Unlock()
 		time.Sleep(time.Second)
 		must.Eq(t, 2, len(changes))
 		poller.SetTargets(map[string]string{"engine-1": "moved"})
@@ -190,7 +190,7 @@
 
 func TestLaterRequestWins(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		poller := startPoller(&fakeEngines{asked: map[string]int{}}, nil)
+		poller := startPoller(&fakeEngines{requests: map[string]int{}}, nil)
 		defer poller.Close()
 		poller.SetTargets(map[string]string{"silent": "silent"})
 		state := func(incarnation uint64) engineapi.State {
@@ -242,7 +242,7 @@
 // Two load requests to an engine can be in flight if its entry was replaced by one with the
 // same address. The response to the earlier request must not replace a later one.
 func TestStaleLoadReportIsDiscarded(t *testing.T) {
-	known := &target{known: true, seen: Seen{State: engineapi.State{Incarnation: 3}}}
+	known := &target{hasState: true, seen: Seen{State: engineapi.State{Incarnation: 3}}}
 	known.recordLoad(engineapi.Load{Incarnation: 3, Running: 7}, 2*time.Second)
 	known.recordLoad(engineapi.Load{Incarnation: 3, Running: 1}, time.Second)
 	must.Eq(t, 7, known.seen.Load.Running)
@@ -252,8 +252,8 @@
 // slowLoadEngine is a fake EngineClient that numbers its load reports by request and returns the first
 // one only after first is closed.
 type slowLoadEngine struct {
-	asked atomic.Int64
-	first chan struct{}
+	requests atomic.Int64
+	first    chan struct{}
 }
 
 func (*slowLoadEngine) State(context.Context, string) (engineapi.State, error) {
@@ -261,7 +261,7 @@
 }
 
 func (s *slowLoadEngine) Load(context.Context, string) (engineapi.Load, error) {
-	number := s.asked.Add(1)
+	number := s.requests.Add(1)
 	if number == 1 {
 		<-s.first
 	}
@@ -279,7 +279,7 @@
 		targets := map[string]string{"engine-1": "engine-1"}
 		poller.SetTargets(targets)
 		time.Sleep(100 * time.Millisecond) // the first load request is in flight
-		must.Eq(t, 1, engine.asked.Load())
+		must.Eq(t, 1, engine.requests.Load())
 		poller.SetTargets(nil)
 		poller.SetTargets(targets)
 		time.Sleep(100 * time.Millisecond)
--- a/connection/orders/outofstep_test.go
+++ b/connection/orders/outofstep_test.go
@@ -23,16 +23,16 @@
 // callsPerTest is the number of calls per test, enough for connections to be reused.
 const callsPerTest = 12
 
-// duplicatingEngine is an engine that repeats its previous response before each further one on a
-// connection, and a client of it.
+// duplicatingEngine is an engine that repeats its previous response before each further one
+// on a connection, and a client of it.
 type duplicatingEngine struct {
 	server *surplus.Server
 	client *Client
 	echoes bool
 }
 
-// runWithDuplicatingEngine runs a test with an engine that echoes request IDs and with one that does
-// not. engine creates the handler of each.
+// runWithDuplicatingEngine runs a test with an engine that echoes request IDs and with one
+// that does not. engine creates the handler of each.
 func runWithDuplicatingEngine(t *testing.T, engine func() http.Handler, test func(t *testing.T, engine *duplicatingEngine)) {
 	for name, echoes := range map[string]bool{"echoes": true, "does not echo": false} {
 		t.Run(name, func(t *testing.T) {
--- a/connection/orders/poller.go
+++ b/connection/orders/poller.go
@@ -58,10 +58,10 @@
 	name     string
 	address  string
 	dueAt    time.Duration
-	lastPoll uint64 // of its last poll; 0 before the first
+	lastPoll uint64 // number of the last poll; 0 before the first
 	polling  bool
 	seen     Seen
-	known    bool
+	hasState bool
 }
 
 type pollerShard struct {
@@ -148,27 +148,27 @@
 }
 
 // Record records a state that was part of the reply to an order, as if it had been
-// requested at askedAt.
-func (p *Poller) Record(name, address string, state engineapi.State, askedAt time.Duration) {
+// requested at requestedAt.
+func (p *Poller) Record(name, address string, state engineapi.State, requestedAt time.Duration) {
 	shard := p.shard(name)
 	shard.Lock()
 	known := shard.targets[name]
-	changed := known != nil && known.address == address && known.record(state, askedAt)
+	changed := known != nil && known.address == address && known.record(state, requestedAt)
 	shard.Unlock()
 	p.notify(changed)
 }
 
 // record records the state, unless that of a later request is already known, and reports
 // whether it differs from the previous one.
-func (t *target) record(state engineapi.State, askedAt time.Duration) bool {
-	if t.known && askedAt < t.seen.AskedAt {
+func (t *target) record(state engineapi.State, requestedAt time.Duration) bool {
+	if t.hasState && requestedAt < t.seen.AskedAt {
 		return false
 	}
-	changed := !t.known || !sameState(t.seen.State, state)
+	changed := !t.hasState || !sameState(t.seen.State, state)
 	if t.seen.State.Incarnation != state.Incarnation {
 		t.seen.Load, t.seen.LoadAt = engineapi.Load{}, 0
 	}
-	t.seen.State, t.seen.AskedAt, t.known = state, askedAt, true
+	t.seen.State, t.seen.AskedAt, t.hasState = state, requestedAt, true
 	return changed
 }
 
@@ -197,7 +197,7 @@
 	s.Lock()
 	defer s.Unlock()
 	for name, known := range s.targets {
-		if known.known {
+		if known.hasState {
 			all[name] = known.seen
 		}
 	}
@@ -206,21 +206,21 @@
 func (p *Poller) run(shard *pollerShard) {
 	ticker := time.NewTicker(pollTick)
 	defer ticker.Stop()
-	var asking sync.WaitGroup
-	defer asking.Wait()
+	var inFlight sync.WaitGroup
+	defer inFlight.Wait()
 	for {
 		select {
 		case <-p.context.Done():
 			return
 		case <-ticker.C:
-			p.startDue(shard, &asking)
+			p.startDue(shard, &inFlight)
 		}
 	}
 }
 
 // startDue starts a poll of each engine that is due, as long as workers are free. Engines
 // that have been due for longest come first, so that none is starved.
-func (p *Poller) startDue(shard *pollerShard, asking *sync.WaitGroup) {
+func (p *Poller) startDue(shard *pollerShard, inFlight *sync.WaitGroup) {
 	now := p.config.Clock()
 	shard.Lock()
 	defer shard.Unlock()
@@ -237,7 +237,7 @@
 		shard.polls++
 		next.lastPoll, next.polling = shard.polls, true
 		next.dueAt = now + interval
-		asking.Go(func() {
+		inFlight.Go(func() {
 			defer func() { <-shard.workers }()
 			p.poll(shard, next.name, next)
 		})
@@ -277,33 +277,33 @@
 }
 
 // poll polls one engine. Its target may have been replaced by the time it responds.
-func (p *Poller) poll(shard *pollerShard, name string, asked *target) {
-	askedAt := p.config.Clock()
-	state, err := p.config.Asker.State(p.context, asked.address)
+func (p *Poller) poll(shard *pollerShard, name string, polled *target) {
+	requestedAt := p.config.Clock()
+	state, err := p.config.Asker.State(p.context, polled.address)
 	if err == nil {
-		p.Record(name, asked.address, state, askedAt)
-		p.pollLoad(shard, name, asked)
+		p.Record(name, polled.address, state, requestedAt)
+		p.pollLoad(shard, name, polled)
 	}
 	shard.Lock()
 	defer shard.Unlock()
-	asked.polling = false
+	polled.polling = false
 }
 
-func (p *Poller) pollLoad(shard *pollerShard, name string, asked *target) {
-	askedAt := p.config.Clock()
-	load, err := p.config.Asker.Load(p.context, asked.address)
+func (p *Poller) pollLoad(shard *pollerShard, name string, polled *target) {
+	requestedAt := p.config.Clock()
+	load, err := p.config.Asker.Load(p.context, polled.address)
 	if err != nil || load.Engine != name {
 		return
 	}
 	shard.Lock()
 	defer shard.Unlock()
-	asked.recordLoad(load, askedAt)
+	polled.recordLoad(load, requestedAt)
 }
 
 // recordLoad records the report, unless it belongs to an earlier incarnation of the engine,
 // since reports lag, or that of a later request is already known.
-func (t *target) recordLoad(load engineapi.Load, askedAt time.Duration) {
-	if load.Incarnation == t.seen.State.Incarnation && askedAt >= t.seen.LoadAt {
-		t.seen.Load, t.seen.LoadAt = load, askedAt
+func (t *target) recordLoad(load engineapi.Load, requestedAt time.Duration) {
+	if load.Incarnation == t.seen.State.Incarnation && requestedAt >= t.seen.LoadAt {
+		t.seen.Load, t.seen.LoadAt = load, requestedAt
 	}
 }
--- a/connection/peer/link.go
+++ b/connection/peer/link.go
@@ -52,12 +52,12 @@
 	queue     *queue
 }
 
-func newSender(t *Transport, member raft.MemberID, address string, l channel) *sender {
+func newSender(t *Transport, member raft.MemberID, address string, purpose channel) *sender {
 	maxMessages, maxBytes := t.config.QueueMessages, t.config.QueueBytes
-	if l == channelSnapshots {
+	if purpose == channelSnapshots {
 		maxMessages, maxBytes = 1, 1 // only the newest snapshot is queued
 	}
-	return &sender{transport: t, member: member, address: address, channel: l, queue: newQueue(maxMessages, maxBytes)}
+	return &sender{transport: t, member: member, address: address, channel: purpose, queue: newQueue(maxMessages, maxBytes)}
 }
 
 func (s *sender) notify(payload []byte) {
@@ -125,15 +125,15 @@
 	config.OnEvent(Event{Kind: EventConnected, Member: s.member, Address: s.address})
 	connected := time.Now()
 	broken := make(chan error, 1)
-	reading := make(chan struct{})
+	readerDone := make(chan struct{})
 	go func() {
-		defer close(reading)
+		defer close(readerDone)
 		broken <- s.readPongs(reader)
 		conn.Close()
 	}()
 	err = s.sendLoop(ctx, writer, broken)
 	conn.Close()
-	<-reading
+	<-readerDone
 	return time.Since(connected), err
 }
 
--- a/connection/upstream/conn.go
+++ b/connection/upstream/conn.go
@@ -11,8 +11,8 @@
 var ErrSealed = errors.New("connection sealed")
 
 // trackedConn records whether any byte was passed to the operating system since the start
-// of the current exchange. httptrace cannot tell this exactly: the transport buffers headers, so
-// WroteHeaders may be called before or after the first byte is written.
+// of the current exchange. httptrace cannot tell this exactly: the transport buffers
+// headers, so WroteHeaders may be called before or after the first byte is written.
 type trackedConn struct {
 	net.Conn
 	lock      sync.Mutex
@@ -43,9 +43,10 @@
 	return c.exchanges
 }
 
-// closeUnlessReused closes the connection, unless a later exchange than the given one uses it already:
-// Transport makes it available to others before the caller sees the end of the body. In
-// that case the response to the later exchange decides whether it stays open.
+// closeUnlessReused closes the connection, unless a later exchange than the given one
+// already uses it: Transport makes it available to others before the caller sees the end
+// of the body. In that case the response to the later exchange decides whether it stays
+// open.
 func (c *trackedConn) closeUnlessReused(number int) {
 	c.lock.Lock()
 	current := c.exchanges == number
--- a/connection/upstream/upstream.go
+++ b/connection/upstream/upstream.go
@@ -74,7 +74,7 @@
 	return c
 }
 
-// Pool holds the connections of one lane of a service. Pools share no state.
+// Pool is the connection pool for the endpoints of one service. Pools share no state.
 type Pool struct {
 	persistent *http.Transport // reuses its connections
 	singleUse  *http.Transport // uses each connection for one request only
@@ -86,12 +86,12 @@
 // NewPool returns an empty pool.
 func NewPool(config Config) *Pool {
 	config = config.withDefaults()
-	kept, single := newTransport(config), newTransport(config)
+	persistent, singleUse := newTransport(config), newTransport(config)
 	// DisableKeepAlives is not used because its "Connection: close" makes servers
 	// close immediately, and a request body that they have not read then causes a
 	// connection reset before the response is read.
-	single.MaxIdleConnsPerHost = noIdleConns
-	return &Pool{persistent: kept, singleUse: single, onForeign: config.Foreign}
+	singleUse.MaxIdleConnsPerHost = noIdleConns
+	return &Pool{persistent: persistent, singleUse: singleUse, onForeign: config.Foreign}
 }
 
 func newTransport(config Config) *http.Transport {
@@ -160,7 +160,7 @@
 
 func (eofReader) Read([]byte) (int, error) { return 0, io.EOF }
 
-// guardedBody hides the methods of the caller's body.
+// plainBody hides all methods of the caller's body but Read and Close.
 type plainBody struct{ io.ReadCloser }
 
 // Exchange tracks the connections used by one request.
@@ -182,15 +182,15 @@
 	if !tracked {
 		return
 	}
-	held := exchangeConn{trackedConn: conn, number: conn.beginExchange()}
+	used := exchangeConn{trackedConn: conn, number: conn.beginExchange()}
 	e.lock.Lock()
 	defer e.lock.Unlock()
-	e.conns = append(e.conns, held)
+	e.conns = append(e.conns, used)
 	e.reused = e.reused || info.Reused
 }
 
-// usedReusedConn reports whether the request used a connection that had carried another request,
-// a response to which may therefore still arrive.
+// usedReusedConn reports whether the request used a connection that had carried another
+// request, a response to which may therefore still arrive.
 func (e *Exchange) usedReusedConn() bool {
 	e.lock.Lock()
 	defer e.lock.Unlock()
@@ -264,8 +264,8 @@
 	return response, nil
 }
 
-func (p *Pool) transport(keep bool) *http.Transport {
-	if keep {
+func (p *Pool) transport(reuse bool) *http.Transport {
+	if reuse {
 		return p.persistent
 	}
 	return p.singleUse
