--- a/connection/exchange/identity_test.go
+++ b/connection/exchange/identity_test.go
@@ -33,12 +33,12 @@
 		second func(net.Conn)
 		body   string // empty if the request fails
 	}{
-		{"surplus before its own", respond(responseTo("first", "old") + okResponse), "ok"},
+		{"surplus before own response", respond(responseTo("first", "old") + okResponse), "ok"},
 		{"chunked surplus", respond(long + okResponse), "ok"},
 		{"surplus without a body", respond("HTTP/1.1 503 Busy\r\nId: first\r\nContent-Length: 0\r\n\r\n" + okResponse), "ok"},
 		{"several", respond(strings.Repeat(responseTo("first", "old"), maxSkipped) + okResponse), "ok"},
 		{"too many", respond(strings.Repeat(responseTo("first", "old"), maxSkipped+1) + okResponse), ""},
-		{"surplus alone", respondAndClose(responseTo("first", "old")), ""},
+		{"only a surplus response", respondAndClose(responseTo("first", "old")), ""},
 		{"surplus that ends its connection", respondAndClose("HTTP/1.1 200 OK\r\nId: first\r\n\r\nold"), ""},
 		{"surplus that names no request", respond(responseTo("", "old") + okResponse), ""},
 		{"truncated surplus", respondAndClose("HTTP/1.1 200 OK\r\nId: first\r\nContent-Length: 9\r\n\r\nold"), ""},
@@ -153,7 +153,7 @@
 }
 
 // If the server stalls in the middle of a surplus response, the cause of the failure is
-// the stall and not the surplus response.
+// the stall and not the surplus response, which is only reported in Failure.Foreign.
 func TestStallDuringSurplusResponse(t *testing.T) {
 	release := make(chan struct{})
 	begun := make(chan struct{})
--- a/connection/operator/calls.go
+++ b/connection/operator/calls.go
@@ -78,13 +78,13 @@
 	return &list.Objects[0], nil
 }
 
-// InForce reads which daemons have applied a revision.
+// InForce reads how far the daemons have applied a revision.
 func (c *Client) InForce(ctx context.Context, revision uint64) (operatorapi.InForce, error) {
 	var state operatorapi.InForce
 	return state, c.read(ctx, fmt.Sprintf("%s?revision=%d", operatorapi.PathInForce, revision), &state)
 }
 
-// WaitInForce polls until the revision is in force on all daemons or ctx ends. With an
+// WaitInForce polls until the revision is in force (InForce.Done) or ctx ends. With an
 // error it returns the last state that was read.
 func (c *Client) WaitInForce(ctx context.Context, revision uint64) (operatorapi.InForce, error) {
 	ticker := time.NewTicker(inForcePollInterval)
--- a/connection/operatorapi/operatorapi.go
+++ b/connection/operatorapi/operatorapi.go
@@ -1,6 +1,6 @@
 // Package operatorapi defines the HTTP protocol between operators and the control
-// group: paths, bodies and error codes. Any member accepts any request; a follower
-// forwards requests that need the leader to it, once.
+// group: paths, bodies and error codes. Any member accepts any request; a member that is
+// not the leader forwards requests that need the leader to it, once.
 package operatorapi
 
 import (
@@ -92,7 +92,7 @@
 	Fingerprint string `json:"fingerprint"`
 }
 
-// InForce reports which daemons have applied a revision.
+// InForce reports how far the daemons have applied a revision.
 type InForce struct {
 	Revision uint64 `json:"revision"`
 	// Done is true when every daemon has either acknowledged the revision or lost
@@ -232,7 +232,7 @@
 	MemberRemove  MemberAction = "remove"
 )
 
-// MemberRequest asks for one step of a membership change.
+// MemberRequest requests one step of a membership change.
 type MemberRequest struct {
 	Action          MemberAction `json:"action"`
 	ID              MemberID     `json:"id"`
--- a/connection/peer/peer_test.go
+++ b/connection/peer/peer_test.go
@@ -401,19 +401,19 @@
 		from raft.MemberID
 		text string
 	}
-	heard := make(chan notice, 1000)
+	notices := make(chan notice, 1000)
 	listening := func(config *Config) {
-		config.OnNotice = func(from raft.MemberID, payload []byte) { heard <- notice{from, string(payload)} }
+		config.OnNotice = func(from raft.MemberID, payload []byte) { notices <- notice{from, string(payload)} }
 	}
 	a, b, c := newTestMember(t, 1, nil), newTestMember(t, 2, listening), newTestMember(t, 3, listening)
 	a.SetPeers(map[raft.MemberID]string{2: b.Address().String(), 3: c.Address().String()})
 	a.NotifyOne([]byte("to two"), 2)
-	must.Eq(t, notice{1, "to two"}, <-heard)
+	must.Eq(t, notice{1, "to two"}, <-notices)
 	a.NotifyOne([]byte("to three"), 3)
-	must.Eq(t, notice{1, "to three"}, <-heard)
+	must.Eq(t, notice{1, "to three"}, <-notices)
 	a.Send([]raft.Message{heartbeat(1, 2, 7)})
 	a.Notify([]byte("to both"))
-	must.Eq(t, []notice{{1, "to both"}, {1, "to both"}}, []notice{<-heard, <-heard})
+	must.Eq(t, []notice{{1, "to both"}, {1, "to both"}}, []notice{<-notices, <-notices})
 	must.Eq(t, 7, b.receive(t).Sequence)
 	a.NotifyOne([]byte("to nobody"), 9)
 
--- a/connection/upstream/identity_test.go
+++ b/connection/upstream/identity_test.go
@@ -230,12 +230,12 @@
 				must.Eq(t, status, response.StatusCode)
 				drain(t, response)
 			}
-			alone, last := false, 0
+			unshared, last := false, 0
 			for _, numbers := range perConn() {
-				alone = alone || slices.Equal(numbers, []int32{forgotten})
+				unshared = unshared || slices.Equal(numbers, []int32{forgotten})
 				last = max(last, len(numbers))
 			}
-			must.True(t, alone, must.Sprint("the connection without an echo was reused"))
+			must.True(t, unshared, must.Sprint("the connection without an echo was reused"))
 			must.Eq(t, requests-forgotten-1, last, must.Sprint("connections with an echo were not reused"))
 		})
 	}
--- a/connection/upstream/stream_test.go
+++ b/connection/upstream/stream_test.go
@@ -18,8 +18,8 @@
 		frames int
 		want   error
 	}{
-		{"whole", goodEvent + "data: [DONE]\n\n", 1, io.EOF},
-		{"whole with carriage returns", strings.ReplaceAll(goodEvent, "\n", "\r\n") + "data: [DONE]\r\n\r\n", 1, io.EOF},
+		{"complete", goodEvent + "data: [DONE]\n\n", 1, io.EOF},
+		{"complete with carriage returns", strings.ReplaceAll(goodEvent, "\n", "\r\n") + "data: [DONE]\r\n\r\n", 1, io.EOF},
 		{"comments", ": hello\n\n" + goodEvent + ": bye\n\ndata: [DONE]\n\n", 1, io.EOF},
 		{"empty", "", 0, ErrCut},
 		{"ends after an event", goodEvent, 1, ErrCut},
