--- a/connection/exchange/pool.go
+++ b/connection/exchange/pool.go
@@ -22,9 +22,9 @@
 // Config configures a Pool. Zero values select the defaults.
 type Config struct {
 	DialTimeout time.Duration
-	// Unacknowledged is how long sent data may remain unacknowledged by the remote
+	// UserTimeout is how long sent data may remain unacknowledged by the remote
 	// host before the connection is closed (TCP_USER_TIMEOUT).
-	Unacknowledged time.Duration
+	UserTimeout time.Duration
 	// IdleTimeout limits how long an idle connection is kept. If the server announces
 	// a keep-alive timeout, that timeout less IdleMargin is a limit as well.
 	IdleTimeout time.Duration
@@ -41,7 +41,7 @@
 // Default values of Config.
 const (
 	DefaultDialTimeout    = 500 * time.Millisecond
-	DefaultUnacknowledged = 1500 * time.Millisecond
+	DefaultUserTimeout    = 1500 * time.Millisecond
 	DefaultIdleTimeout    = 10 * time.Second
 	DefaultIdleMargin     = 700 * time.Millisecond
 	DefaultMaxIdle        = 16
@@ -51,7 +51,7 @@
 func (c Config) withDefaults() Config {
 	defaults := Config{
 		DialTimeout:    DefaultDialTimeout,
-		Unacknowledged: DefaultUnacknowledged,
+		UserTimeout:    DefaultUserTimeout,
 		IdleTimeout:    DefaultIdleTimeout,
 		IdleMargin:     DefaultIdleMargin,
 		MaxIdle:        DefaultMaxIdle,
@@ -61,8 +61,8 @@
 	if c.DialTimeout > 0 {
 		defaults.DialTimeout = c.DialTimeout
 	}
-	if c.Unacknowledged > 0 {
-		defaults.Unacknowledged = c.Unacknowledged
+	if c.UserTimeout > 0 {
+		defaults.UserTimeout = c.UserTimeout
 	}
 	if c.IdleTimeout > 0 {
 		defaults.IdleTimeout = c.IdleTimeout
@@ -220,7 +220,7 @@
 	}
 	opened := newConn(raw, list, p.config.MaxHeaderBytes)
 	opened.openedAt = p.config.Clock()
-	opened.setUserTimeout(p.config.Unacknowledged)
+	opened.setUserTimeout(p.config.UserTimeout)
 	return opened, false, nil
 }
 
--- a/connection/frame/frame.go
+++ b/connection/frame/frame.go
@@ -16,8 +16,8 @@
 
 // Framing errors. The connection is unusable after any of them.
 var (
-	// ErrForeignProtocol reports that the first bytes are not this protocol's preface.
-	ErrForeignProtocol = errors.New("frame: foreign protocol")
+	// ErrWrongProtocol reports that the first bytes are not this protocol's preface.
+	ErrWrongProtocol = errors.New("frame: unexpected protocol")
 	// ErrVersion reports that the remote end speaks another version of the protocol.
 	ErrVersion = errors.New("frame: unsupported protocol version")
 	// ErrTooLarge reports a frame larger than the reader or writer allows.
--- a/connection/frame/frame_test.go
+++ b/connection/frame/frame_test.go
@@ -87,10 +87,10 @@
 		data []byte
 		want error
 	}{
-		"HTTP request":      {[]byte("GET / HTTP/1.1\r\n\r\n"), ErrForeignProtocol},
-		"TLS ClientHello":   {[]byte{0x16, 0x03, 0x01, 0x02, 0x00, 0x01, 0x00}, ErrForeignProtocol},
-		"one wrong byte":    {[]byte("G"), ErrForeignProtocol},
-		"other protocol":    {changed(5), ErrForeignProtocol},
+		"HTTP request":      {[]byte("GET / HTTP/1.1\r\n\r\n"), ErrWrongProtocol},
+		"TLS ClientHello":   {[]byte{0x16, 0x03, 0x01, 0x02, 0x00, 0x01, 0x00}, ErrWrongProtocol},
+		"one wrong byte":    {[]byte("G"), ErrWrongProtocol},
+		"other protocol":    {changed(5), ErrWrongProtocol},
 		"other version":     {changed(7), ErrVersion},
 		"truncated preface": {good[:3], ErrTruncated},
 		"truncated header":  {good[:PrefaceSize+4], ErrTruncated},
@@ -119,7 +119,7 @@
 	defer theirs.Close()
 	go theirs.Write([]byte("P"))
 	_, err := NewReader(ours, testProtocol, 1<<16, 0).ReadFrame()
-	must.ErrorIs(t, err, ErrForeignProtocol)
+	must.ErrorIs(t, err, ErrWrongProtocol)
 }
 
 func TestForgedLengthAllocatesLittle(t *testing.T) {
--- a/connection/frame/reader.go
+++ b/connection/frame/reader.go
@@ -41,7 +41,7 @@
 
 // ReadFrame returns the next frame; its payload belongs to the caller. It
 // returns io.EOF when the stream ends between frames, ErrTruncated when it ends
-// inside one, and ErrForeignProtocol, ErrVersion, ErrTooLarge or ErrChecksum as
+// inside one, and ErrWrongProtocol, ErrVersion, ErrTooLarge or ErrChecksum as
 // soon as the received bytes show the error.
 func (r *Reader) ReadFrame() (Frame, error) {
 	if err := r.setDeadline(); err != nil {
@@ -89,7 +89,7 @@
 			return prefaceError(err, position)
 		}
 		if got != want {
-			return errors.Wrapf(ErrForeignProtocol, "byte %d is %#02x", position, got)
+			return errors.Wrapf(ErrWrongProtocol, "byte %d is %#02x", position, got)
 		}
 	}
 	var fixed [PrefaceSize - len(magic)]byte
@@ -98,7 +98,7 @@
 	}
 	got := Protocol{ID: binary.BigEndian.Uint16(fixed[0:]), Version: binary.BigEndian.Uint16(fixed[2:])}
 	if got.ID != r.protocol.ID {
-		return errors.Wrapf(ErrForeignProtocol, "protocol %d, expected %d", got.ID, r.protocol.ID)
+		return errors.Wrapf(ErrWrongProtocol, "protocol %d, expected %d", got.ID, r.protocol.ID)
 	}
 	if got.Version != r.protocol.Version {
 		return errors.Wrapf(ErrVersion, "version %d, expected %d", got.Version, r.protocol.Version)
--- a/connection/orders/orders_test.go
+++ b/connection/orders/orders_test.go
@@ -246,7 +246,7 @@
 	known.recordLoad(engineapi.Load{Incarnation: 3, Running: 7}, 2*time.Second)
 	known.recordLoad(engineapi.Load{Incarnation: 3, Running: 1}, time.Second)
 	must.Eq(t, 7, known.seen.Load.Running)
-	must.Eq(t, 2*time.Second, known.seen.LoadAt)
+	must.Eq(t, 2*time.Second, known.seen.LoadRequestedAt)
 }
 
 // slowLoadEngine is a fake EngineClient that numbers its load reports by request and returns the first
@@ -284,10 +284,10 @@
 		poller.SetTargets(targets)
 		time.Sleep(100 * time.Millisecond)
 		must.Eq(t, 2, poller.Seen()["engine-1"].Load.Running)
-		latest := poller.Seen()["engine-1"].LoadAt
+		latest := poller.Seen()["engine-1"].LoadRequestedAt
 		close(engine.first)
 		synctest.Wait()
 		must.Eq(t, 2, poller.Seen()["engine-1"].Load.Running)
-		must.Eq(t, latest, poller.Seen()["engine-1"].LoadAt)
+		must.Eq(t, latest, poller.Seen()["engine-1"].LoadRequestedAt)
 	})
 }
--- a/connection/orders/poller.go
+++ b/connection/orders/poller.go
@@ -16,10 +16,10 @@
 	State engineapi.State
 	// AskedAt is when the state was requested, by the poller's clock.
 	AskedAt time.Duration
-	// Load is the last load report of the incarnation in State. LoadAt is when it was
+	// Load is the last load report of the incarnation in State. LoadRequestedAt is when it was
 	// requested, 0 if there is none.
-	Load   engineapi.Load
-	LoadAt time.Duration
+	Load            engineapi.Load
+	LoadRequestedAt time.Duration
 }
 
 // EngineClient reads the state and load of engines. *Client implements it.
@@ -166,7 +166,7 @@
 	}
 	changed := !t.hasState || !sameState(t.seen.State, state)
 	if t.seen.State.Incarnation != state.Incarnation {
-		t.seen.Load, t.seen.LoadAt = engineapi.Load{}, 0
+		t.seen.Load, t.seen.LoadRequestedAt = engineapi.Load{}, 0
 	}
 	t.seen.State, t.seen.AskedAt, t.hasState = state, requestedAt, true
 	return changed
@@ -303,7 +303,7 @@
 // recordLoad records the report, unless it belongs to an earlier incarnation of the engine,
 // since reports lag, or that of a later request is already known.
 func (t *target) recordLoad(load engineapi.Load, requestedAt time.Duration) {
-	if load.Incarnation == t.seen.State.Incarnation && requestedAt >= t.seen.LoadAt {
-		t.seen.Load, t.seen.LoadAt = load, requestedAt
+	if load.Incarnation == t.seen.State.Incarnation && requestedAt >= t.seen.LoadRequestedAt {
+		t.seen.Load, t.seen.LoadRequestedAt = load, requestedAt
 	}
 }
--- a/connection/peer/inbound.go
+++ b/connection/peer/inbound.go
@@ -148,7 +148,7 @@
 }
 
 func (t *Transport) readMessages(greeting hello, writer *frame.Writer, reader *frame.Reader) error {
-	reader.SetTimeout(t.config.PingInterval + t.config.AnswerTimeout)
+	reader.SetTimeout(t.config.PingInterval + t.config.PongTimeout)
 	reader.SetMaxPayload(t.config.MaxMessageBytes)
 	var chunks []byte
 	for {
--- a/connection/peer/link.go
+++ b/connection/peer/link.go
@@ -171,7 +171,7 @@
 // Otherwise a connection whose remote end has disappeared would hold up messages for
 // many minutes.
 func (s *sender) readPongs(reader *frame.Reader) error {
-	reader.SetTimeout(s.transport.config.AnswerTimeout + s.transport.config.PingInterval)
+	reader.SetTimeout(s.transport.config.PongTimeout + s.transport.config.PingInterval)
 	for {
 		reply, err := reader.ReadFrame()
 		if err != nil {
--- a/connection/peer/peer_test.go
+++ b/connection/peer/peer_test.go
@@ -42,13 +42,13 @@
 	must.NoError(t, err)
 	e := &testMember{received: make(chan raft.Message, 10_000), events: make(chan Event, 10_000)}
 	config := Config{
-		Group:         testGroup,
-		ID:            id,
-		Listener:      listener,
-		PingInterval:  20 * time.Millisecond,
-		AnswerTimeout: 200 * time.Millisecond,
-		MaxBackoff:    50 * time.Millisecond,
-		OnEvent:       func(event Event) { e.events <- event },
+		Group:        testGroup,
+		ID:           id,
+		Listener:     listener,
+		PingInterval: 20 * time.Millisecond,
+		PongTimeout:  200 * time.Millisecond,
+		MaxBackoff:   50 * time.Millisecond,
+		OnEvent:      func(event Event) { e.events <- event },
 	}
 	if adjust != nil {
 		adjust(&config)
@@ -127,7 +127,7 @@
 func TestHeartbeatsOvertakeSnapshot(t *testing.T) {
 	// A lost snapshot is not resent here, so a stall of the machine must not end the
 	// connection.
-	patient := func(c *Config) { c.AnswerTimeout = 5 * time.Second }
+	patient := func(c *Config) { c.PongTimeout = 5 * time.Second }
 	a, b := newTestMember(t, 1, patient), newTestMember(t, 2, patient)
 	proxy := newProxy(t, b.Address().String())
 	addToxic(t, proxy, `{"name":"slow","type":"bandwidth","stream":"upstream","attributes":{"rate":1000}}`)
@@ -168,7 +168,7 @@
 func TestUnresponsiveConnectionIsReplaced(t *testing.T) {
 	a := newTestMember(t, 1, nil)
 	// The receiver must not close the connection, since that would not reach the sender.
-	b := newTestMember(t, 2, func(c *Config) { c.AnswerTimeout = time.Hour })
+	b := newTestMember(t, 2, func(c *Config) { c.PongTimeout = time.Hour })
 	proxy := newProxy(t, b.Address().String())
 	a.SetPeers(map[raft.MemberID]string{2: proxy.Listen})
 	a.Send([]raft.Message{heartbeat(1, 2, 1)})
@@ -217,7 +217,7 @@
 	defer conn.Close()
 	_, err = conn.Write([]byte("GET / HTTP/1.1\r\nHost: a\r\n\r\n"))
 	must.NoError(t, err)
-	must.ErrorIs(t, a.waitEvent(t, EventRejected).Err, frame.ErrForeignProtocol)
+	must.ErrorIs(t, a.waitEvent(t, EventRejected).Err, frame.ErrWrongProtocol)
 	_, err = io.ReadAll(conn) // ends with a reset or cleanly
 	if err != nil {
 		must.StrContains(t, err.Error(), "reset")
@@ -272,7 +272,7 @@
 }
 
 func TestNewConnectionReplacesOld(t *testing.T) {
-	b := newTestMember(t, 2, func(c *Config) { c.AnswerTimeout = time.Hour })
+	b := newTestMember(t, 2, func(c *Config) { c.PongTimeout = time.Hour })
 	greeting := hello{group: testGroup, sender: 1, receiver: 2, channel: channelMessages}
 	_, _, old := connectAs(t, b, greeting)
 	_, writer, _ := connectAs(t, b, greeting)
@@ -318,7 +318,7 @@
 func TestLateAdmissionDoesNotReplaceNewerConnection(t *testing.T) {
 	released := make(chan struct{})
 	b := newTestMember(t, 2, func(c *Config) {
-		c.AnswerTimeout = time.Hour
+		c.PongTimeout = time.Hour
 		c.Listener = &delayedListener{Listener: c.Listener, released: released}
 	})
 	greeting := hello{group: testGroup, sender: 1, receiver: 2, channel: channelMessages}
@@ -338,7 +338,7 @@
 }
 
 func TestInboundConnectionLimit(t *testing.T) {
-	b := newTestMember(t, 2, func(c *Config) { c.MaxConnections = 1; c.AnswerTimeout = time.Hour })
+	b := newTestMember(t, 2, func(c *Config) { c.MaxConnections = 1; c.PongTimeout = time.Hour })
 	connectAs(t, b, hello{group: testGroup, sender: 1, receiver: 2, channel: channelMessages})
 	conn, err := net.Dial("tcp", b.Address().String())
 	must.NoError(t, err)
--- a/connection/peer/transport.go
+++ b/connection/peer/transport.go
@@ -23,7 +23,7 @@
 	DefaultHandshakeTimeout = time.Second
 	DefaultWriteTimeout     = 2 * time.Second
 	DefaultPingInterval     = 500 * time.Millisecond
-	DefaultAnswerTimeout    = 2 * time.Second
+	DefaultPongTimeout      = 2 * time.Second
 	DefaultMinBackoff       = 20 * time.Millisecond
 	// DefaultMaxBackoff limits how long it takes to reconnect to a member that is back: a
 	// quarter of the default election timeout.
@@ -69,7 +69,7 @@
 	HandshakeTimeout time.Duration
 	WriteTimeout     time.Duration
 	PingInterval     time.Duration
-	AnswerTimeout    time.Duration // with PingInterval, the time without a pong or ping after which a connection is closed
+	PongTimeout      time.Duration // with PingInterval, the time without a pong or ping after which a connection is closed
 	MinBackoff       time.Duration
 	MaxBackoff       time.Duration
 
@@ -95,7 +95,7 @@
 	c.HandshakeTimeout = cmp.Or(c.HandshakeTimeout, DefaultHandshakeTimeout)
 	c.WriteTimeout = cmp.Or(c.WriteTimeout, DefaultWriteTimeout)
 	c.PingInterval = cmp.Or(c.PingInterval, DefaultPingInterval)
-	c.AnswerTimeout = cmp.Or(c.AnswerTimeout, DefaultAnswerTimeout)
+	c.PongTimeout = cmp.Or(c.PongTimeout, DefaultPongTimeout)
 	c.MinBackoff = cmp.Or(c.MinBackoff, DefaultMinBackoff)
 	c.MaxBackoff = cmp.Or(c.MaxBackoff, DefaultMaxBackoff)
 	if c.Dial == nil {
