--- a/connection/engineapi/engineapi.go
+++ b/connection/engineapi/engineapi.go
@@ -22,27 +22,29 @@
 	PathKVBlocks        = "/kv/blocks"           // GET ?handle=H; engine to engine
 )
 
-// Headers on requests to an engine or a plain backend and on its responses.
+// Headers on requests to an engine or a plain backend (one without the engine protocol) and
+// on its responses.
 //
-// HeaderRequestID and HeaderAttempt identify the HTTP call. The receiver echoes them
+// HeaderRequestID and HeaderAttempt identify the HTTP call, which is one HTTP request and its
+// response. The receiver echoes them
 // in its response, whatever the path and the status, so that the response can be
 // told apart from those to other calls on the same connection. A client closes the
 // connection after a response without them. For a completion they also identify its
-// run and appear in every stream event; where a body identifies a run, the headers
+// run, which is one attempt to execute it, and appear in every stream event; where a body identifies a run, the headers
 // still identify the call.
 const (
 	HeaderRequestID   = "Engine-Request-Id"
 	HeaderAttempt     = "Engine-Attempt"     // omitted on calls that have no attempts
 	HeaderPriority    = "Engine-Priority"    // integer; higher first
-	HeaderDeadline    = "Engine-Deadline-Ms" // milliseconds left
+	HeaderDeadline    = "Engine-Deadline-Ms" // milliseconds left until the request's deadline
 	HeaderKVHandle    = "Engine-KV-Handle"   // decode from imported KV cache
-	HeaderIncarnation = "Engine-Incarnation" // on every response, decimal
+	HeaderIncarnation = "Engine-Incarnation" // on every response, decimal; new at every engine start
 	// HeaderAdmitted is "no" on an explicit refusal before admission, which
 	// guarantees that the request did not run. It is "yes" once the request was
 	// admitted.
 	HeaderAdmitted = "Engine-Admitted"
 	// HeaderPhase is the engine's own phase (api.EnginePhase) at the time of
-	// the response; it reaches proxies before the platform's engine list does.
+	// the response; it reaches proxies before the platform's list of engines does.
 	HeaderPhase = "Engine-Phase"
 	// HeaderBackendState is "leaving" on responses of a plain backend whose
 	// machine is being withdrawn.
@@ -119,8 +121,8 @@
 	Assignment  api.Assignment  `json:"assignment"`
 	// Order is the order being executed, if any.
 	Order   *api.Order `json:"order,omitempty"`
-	Running int        `json:"running"`
-	Waiting int        `json:"waiting"`
+	Running int        `json:"running"` // requests
+	Waiting int        `json:"waiting"` // requests
 }
 
 // OrderCode is the result code of an engine's reply to an order.
@@ -129,16 +131,16 @@
 // Result codes of an order.
 const (
 	OrderAccepted         OrderCode = "accepted"
-	OrderDone             OrderCode = "done" // the order was resent and is already complete
-	OrderStaleFence       OrderCode = "stale_fence"
+	OrderDone             OrderCode = "done"        // the order was resent and is already complete
+	OrderStaleFence       OrderCode = "stale_fence" // the order's fence is not above the engine's
 	OrderOtherIncarnation OrderCode = "other_incarnation"
 	OrderBusy             OrderCode = "busy" // another order is being executed
-	OrderVoid             OrderCode = "void" // voided at this or a higher fence
+	OrderVoid             OrderCode = "void" // voided at the order's fence or a higher one
 	OrderInvalid          OrderCode = "invalid"
 )
 
-// VoidRequest raises the engine's fence, which voids every order below it. The
-// engine confirms by returning its state.
+// VoidRequest raises the engine's fence. The engine then refuses every order whose
+// fence is not above it, and confirms by returning its state.
 type VoidRequest struct {
 	Fence       api.Fence `json:"fence"`
 	Incarnation uint64    `json:"incarnation,string"`
@@ -173,8 +175,9 @@
 	Removed  bool   `json:"removed,omitempty"`
 }
 
-// CacheEvents is a page of events. Next is the sequence number to request the next page
-// with. It may skip numbers, which means that events were lost.
+// CacheEvents is a page of events. Next is the value of after for the next page. The page
+// without a snapshot has the sequence numbers from after+1 to Next; a missing one means that
+// events were lost, and the client must request a snapshot.
 type CacheEvents struct {
 	Incarnation uint64       `json:"incarnation,string"`
 	Events      []CacheEvent `json:"events"`
@@ -185,7 +188,8 @@
 	Next     uint64   `json:"next"`
 }
 
-// KVExportRequest runs a prompt on a prefill engine.
+// KVExportRequest runs a prompt on a prefill engine, which exports the KV cache and returns
+// a KVHandle.
 type KVExportRequest struct {
 	RequestID string            `json:"requestId"`
 	Attempt   uint32            `json:"attempt"`
--- a/connection/exchange/conn.go
+++ b/connection/exchange/conn.go
@@ -11,16 +11,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// readBufferBytes fits a response header and most complete responses of plain services.
+// readBufferBytes fits a response header and most complete short responses.
 const readBufferBytes = 4 << 10
 
-// conn is one connection to a replica. It carries one request at a time.
+// conn is one connection to a server. It carries one request at a time.
 type conn struct {
 	net.Conn
 	list        *idleList // holds the connection while it is idle
 	reader      *bufio.Reader
 	openedAt    time.Duration // by the pool's clock
-	usableUntil time.Duration
+	usableUntil time.Duration // by the pool's clock; set when the connection becomes idle
 	// maxHeaderBytes limits the total size of the headers of one response, informational
 	// responses included; headerBytesLeft is the remainder of it while readingHeader.
 	maxHeaderBytes  int64
@@ -66,10 +66,10 @@
 	return system.SyscallConn()
 }
 
-// usable reports whether the idle connection is still open and no data has arrived
+// isOpenAndQuiet reports whether the idle connection is still open and no data has arrived
 // on it. Unsolicited bytes belong to no request, so a connection that has them
-// must not be reused.
-func (c *conn) usable() bool {
+// must not be reused. It peeks at the socket without blocking.
+func (c *conn) isOpenAndQuiet() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
--- a/connection/exchange/dial_test.go
+++ b/connection/exchange/dial_test.go
@@ -19,10 +19,10 @@
 
 func (c lateContext) Deadline() (time.Time, bool) { return c.deadline, true }
 
-// When a request timed out while connecting, the replica was marked as suspect: the dialer
-// set the context's deadline on the socket and failed shortly before the context ended, so
-// the caller found the context still active and blamed the replica. With that fault, Do
-// fails here at the deadline, while the context is still active.
+// Do must not fail before ctx ends. A dialer that sets the context's deadline on the socket
+// fails shortly before, and a caller that finds the context still active then marks the
+// replica as suspect. Here such a dialer fails at the deadline, 90 ms before the context
+// ends.
 func TestDialFailsNoEarlierThanContextEnds(t *testing.T) {
 	hanging, err := backlog.NewFull()
 	must.NoError(t, err)
--- a/connection/exchange/exchange.go
+++ b/connection/exchange/exchange.go
@@ -23,14 +23,14 @@
 	// Chunked sends the body with chunked transfer encoding instead of Content-Length.
 	Chunked bool
 	// Permit, if not nil, is called once a connection is available, immediately before
-	// the request is written: opening a connection can take so long that the request
-	// must no longer be sent. An error ends the exchange before any byte is sent.
+	// the request is written, because the request may have become unsendable while the
+	// connection was opened. An error ends the exchange before any byte is sent.
 	Permit func() error
-	// Overheard, if not nil, is called with the response headers that arrive after the
-	// exchange has failed with a response to another request, or shortly after ctx has
-	// ended. They cannot be matched to the request reliably, but they do come from the
-	// server, which may for example ask for a pause. It may be called after Do has
-	// returned.
+	// Overheard, if not nil, is called with each late response header: one that arrives
+	// after the exchange has failed with a response to another request, or shortly after
+	// ctx has ended. Such a header cannot be matched to the request reliably, but it comes
+	// from the server and may, for example, contain Retry-After. It may be called after Do
+	// has returned.
 	Overheard func(status int, header http.Header)
 	// Identity matches the response to the request. A request without one and a HEAD
 	// request use a dedicated connection that carries no other request.
@@ -43,10 +43,11 @@
 	Sent bool
 	// Connecting is true if no connection could be obtained.
 	Connecting bool
-	// Reused is true if the connection had carried other requests before.
+	// Reused is true if the connection had carried other requests before; always false
+	// with Connecting.
 	Reused bool
 	Cause  error
-	// Foreign holds the responses to other requests that arrived instead.
+	// Foreign holds the unmatched responses, those to other requests, that arrived instead.
 	Foreign []*ForeignAnswer
 }
 
@@ -62,11 +63,12 @@
 	Header http.Header
 	// Length is the length of the body, -1 if unknown.
 	Length int64
+	// Reused is true if the connection had carried other requests before.
 	Reused bool
-	// Opened is when the connection was opened, by the pool's clock: the responding
-	// process has been running at least since then.
+	// Opened is when the connection was opened, by the pool's clock: the process at the
+	// remote end of the connection has been running at least since then.
 	Opened time.Duration
-	// Foreign holds the responses to other requests that arrived first and were skipped.
+	// Foreign holds the unmatched responses that arrived first and were skipped.
 	Foreign []*ForeignAnswer
 
 	pool           *Pool
@@ -81,9 +83,10 @@
 
 // Do writes the request once and returns the response that matches its identity,
 // after reading the response header. Informational responses are skipped and
-// redirects are not followed. The error is always a *Failure; its cause is a
-// *ForeignAnswer if a response to another request arrived instead. When ctx ends,
-// the connection is closed. The caller must close the returned Answer.
+// redirects are not followed. The error is always a *Failure. Its cause is a
+// *ForeignAnswer if a response to another request arrived instead; otherwise it is the
+// error of Permit, of the connection, or of reading the header. When ctx ends, the
+// connection is closed. The caller must close the returned Answer.
 func (p *Pool) Do(ctx context.Context, address string, request *Request) (*Answer, error) {
 	used, reused, err := p.acquire(ctx, address, request)
 	if err != nil {
@@ -93,7 +96,7 @@
 		_ = used.Conn.Close() // nothing was written on it
 		return nil, &Failure{Reused: reused, Cause: err}
 	}
-	stopCancel := context.AfterFunc(ctx, func() { used.cancel(request) })
+	stopCancel := context.AfterFunc(ctx, func() { used.interruptOrClose(request) })
 	written, err := p.write(used, request)
 	if err != nil {
 		stopCancel()
@@ -197,7 +200,7 @@
 			b = append(b, "\r\n"...)
 		}
 		return append(b, "0\r\n\r\n"...)
-	case len(request.Body) > 0 || mayHaveBody(request.Method):
+	case len(request.Body) > 0 || alwaysSendsLength(request.Method):
 		b = append(b, "Content-Length: "...)
 		b = strconv.AppendInt(b, int64(len(request.Body)), 10)
 		b = append(b, "\r\n\r\n"...)
@@ -207,13 +210,14 @@
 	}
 }
 
-// mayHaveBody reports whether requests of the method state their length even without a
+// alwaysSendsLength reports whether requests of the method state their length even without a
 // body.
-func mayHaveBody(method string) bool {
+func alwaysSendsLength(method string) bool {
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
 
-// readHeader reads the next response header other than informational ones.
+// readHeader reads the next response header. Informational ones are skipped, except for
+// 101 (Switching Protocols).
 func readHeader(from *conn, method string) (*http.Response, error) {
 	request := &http.Request{Method: method}
 	from.beginHeader()
@@ -239,9 +243,9 @@
 	return count, err
 }
 
-// Close ends the exchange. The connection returns to the pool only if the response
-// was read completely, the request was written completely, and no data follows the
-// response.
+// Close ends the exchange. It must not run concurrently with Read. The connection returns to
+// the pool only if the response was read completely, the request was written completely,
+// and no data follows the response.
 func (a *Answer) Close() {
 	if !a.closed.CompareAndSwap(false, true) {
 		return
--- a/connection/exchange/exchange_test.go
+++ b/connection/exchange/exchange_test.go
@@ -38,28 +38,28 @@
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
-	r := &scriptedServer{t: t, listener: listener, scripts: scripts}
-	r.done.Go(r.accept)
-	t.Cleanup(r.close)
-	return r
+	s := &scriptedServer{t: t, listener: listener, scripts: scripts}
+	s.done.Go(s.accept)
+	t.Cleanup(s.close)
+	return s
 }
 
-func (r *scriptedServer) address() string { return r.listener.Addr().String() }
+func (s *scriptedServer) address() string { return s.listener.Addr().String() }
 
-func (r *scriptedServer) accept() {
+func (s *scriptedServer) accept() {
 	for {
-		conn, err := r.listener.Accept()
+		conn, err := s.listener.Accept()
 		if err != nil {
 			return
 		}
-		r.lock.Lock()
-		r.conns = append(r.conns, conn)
-		r.lock.Unlock()
-		r.done.Go(func() { r.serve(conn) })
+		s.lock.Lock()
+		s.conns = append(s.conns, conn)
+		s.lock.Unlock()
+		s.done.Go(func() { s.serve(conn) })
 	}
 }
 
-func (r *scriptedServer) serve(conn net.Conn) {
+func (s *scriptedServer) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	var raw bytes.Buffer
 	reader := bufio.NewReader(io.TeeReader(conn, &raw))
@@ -69,7 +69,7 @@
 			return
 		}
 		_, _ = io.Copy(io.Discard, request.Body)
-		script := r.next(raw.String())
+		script := s.next(raw.String())
 		raw.Reset()
 		if script == nil {
 			return
@@ -92,32 +92,32 @@
 	return len(data), err
 }
 
-func (r *scriptedServer) next(request string) func(net.Conn) {
-	r.lock.Lock()
-	defer r.lock.Unlock()
-	r.requests = append(r.requests, request)
-	if len(r.scripts) == 0 {
+func (s *scriptedServer) next(request string) func(net.Conn) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	s.requests = append(s.requests, request)
+	if len(s.scripts) == 0 {
 		return nil
 	}
-	script := r.scripts[0]
-	r.scripts = r.scripts[1:]
+	script := s.scripts[0]
+	s.scripts = s.scripts[1:]
 	return script
 }
 
-func (r *scriptedServer) received() []string {
-	r.lock.Lock()
-	defer r.lock.Unlock()
-	return append([]string(nil), r.requests...)
+func (s *scriptedServer) received() []string {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	return append([]string(nil), s.requests...)
 }
 
-func (r *scriptedServer) close() {
-	_ = r.listener.Close()
-	r.lock.Lock()
-	for _, conn := range r.conns {
+func (s *scriptedServer) close() {
+	_ = s.listener.Close()
+	s.lock.Lock()
+	for _, conn := range s.conns {
 		_ = conn.Close()
 	}
-	r.lock.Unlock()
-	r.done.Wait()
+	s.lock.Unlock()
+	s.done.Wait()
 }
 
 // respond returns a script that writes the text.
@@ -257,7 +257,7 @@
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		pool.lock.Lock()
 		idle := idleConns(pool, address)
-		quiet := len(idle) == 1 && idle[0].usable()
+		quiet := len(idle) == 1 && idle[0].isOpenAndQuiet()
 		pool.lock.Unlock()
 		if !quiet {
 			return
@@ -428,13 +428,13 @@
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"))
 	f.Add([]byte("HTTP/1.1 204 No Content\r\n\r\nHTTP/1.1"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		near, far := net.Pipe()
+		client, server := net.Pipe()
 		go func() {
-			_, _ = far.Write(data)
-			_ = far.Close()
+			_, _ = server.Write(data)
+			_ = server.Close()
 		}()
-		defer func() { _ = near.Close() }()
-		used := newConn(near, &idleList{}, DefaultMaxHeaderBytes)
+		defer func() { _ = client.Close() }()
+		used := newConn(client, &idleList{}, DefaultMaxHeaderBytes)
 		response, err := readHeader(used, http.MethodGet)
 		if err != nil {
 			return
--- a/connection/exchange/foreign.go
+++ b/connection/exchange/foreign.go
@@ -9,10 +9,10 @@
 	"github.com/pkg/errors"
 )
 
-// ForeignAnswer is the error for a response that names another request, or none, and
-// arrived in place of a request's own response.
+// ForeignAnswer is the error for an unmatched response: one that carries the ID of another
+// request, or none, and arrived in place of a request's own response.
 type ForeignAnswer struct {
-	Answered string // the request ID that it names, empty for none
+	Answered string // request ID that the response carries, empty for none
 	Status   int
 	Header   http.Header
 }
@@ -25,9 +25,9 @@
 	return &ForeignAnswer{Answered: id[:min(len(id), maxRecordedIDBytes)], Status: response.StatusCode, Header: response.Header}
 }
 
-// Error returns a text that names the request that the response belongs to.
+// Error returns a text with the status and the request ID of the response.
 func (f *ForeignAnswer) Error() string {
-	return fmt.Sprintf("exchange: response with status %d belongs to request %q", f.Status, f.Answered)
+	return fmt.Sprintf("exchange: response with status %d has request ID %q", f.Status, f.Answered)
 }
 
 // Limits of the responses to other requests that are skipped on one connection.
@@ -37,7 +37,8 @@
 )
 
 // readMatching reads response headers until one matches the request. A response to an earlier
-// request of the connection is a surplus one, and the request's own response follows it.
+// request of the connection is surplus: a second response to a request that already got one.
+// The request's own response follows it.
 // Responses that do not match are always returned. If no matching response can follow,
 // the error is the last of them. That response is then returned as well if its body has
 // not been read, otherwise nil.
@@ -53,7 +54,7 @@
 		last := newUnmatchedResponse(response, request.Identity)
 		unmatched = append(unmatched, last)
 		surplus := reused && last.Answered != "" && len(unmatched) <= maxSkipped
-		if !surplus || !mayBeFollowed(response) {
+		if !surplus || !canHaveSuccessor(response) {
 			return response, unmatched, last
 		}
 		complete, err := discardBody(response)
@@ -66,8 +67,8 @@
 	}
 }
 
-// mayBeFollowed reports whether, by its header, another response can follow this one.
-func mayBeFollowed(response *http.Response) bool {
+// canHaveSuccessor reports whether, by its header, another response can follow this one.
+func canHaveSuccessor(response *http.Response) bool {
 	return !response.Close && response.ContentLength <= maxSkippedBytes
 }
 
@@ -78,14 +79,14 @@
 }
 
 // lateResponseTimeout limits how long a connection is still read after its exchange has failed
-// or was canceled: a replica that refuses a request responds within a few milliseconds.
-// The replica also learns by this much later that it may stop working on the request.
+// or was canceled. A refusal arrives within a few milliseconds. The timeout also delays the
+// server's notice of the cancellation.
 const lateResponseTimeout = 50 * time.Millisecond
 
-// cancel ends an exchange whose context has ended. If the response header has not been
+// interruptOrClose ends an exchange whose context has ended. If the response header has not been
 // read yet and the caller wants late responses, it only interrupts the reader;
 // closeAfterCancel then reads the connection for a short time and closes it.
-func (c *conn) cancel(request *Request) {
+func (c *conn) interruptOrClose(request *Request) {
 	if request.Overheard == nil || c.headerRead.Load() {
 		_ = c.Conn.Close()
 		return
@@ -111,10 +112,10 @@
 }
 
 // closeAfterFailure closes a connection on which an exchange has failed. The request's own
-// response may immediately follow one to another request, so the headers of the responses
-// that arrive within lateResponseTimeout are passed to Overheard.
+// response may still follow the unmatched one, so the headers of the responses that arrive
+// within lateResponseTimeout are passed to Overheard.
 func (c *conn) closeAfterFailure(request *Request, last *http.Response) {
-	if last == nil || request.Overheard == nil || !mayBeFollowed(last) {
+	if last == nil || request.Overheard == nil || !canHaveSuccessor(last) {
 		_ = c.Conn.Close() // the error of the exchange is already reported
 		return
 	}
@@ -130,7 +131,7 @@
 				return
 			}
 			request.Overheard(next.StatusCode, next.Header)
-			if last = next; !mayBeFollowed(last) {
+			if last = next; !canHaveSuccessor(last) {
 				return
 			}
 		}
--- a/connection/exchange/identity_test.go
+++ b/connection/exchange/identity_test.go
@@ -169,7 +169,9 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
 		<-begun
-		time.Sleep(50 * time.Millisecond) // lets the surplus header be read first; the outcome is the same without
+		// The surplus header is usually read first; cancellation before that must give the
+		// same result.
+		time.Sleep(50 * time.Millisecond)
 		cancel()
 	}()
 	_, err = pool.Do(ctx, server.address(), newGetWithID("second", "/"))
@@ -195,8 +197,8 @@
 	}
 }
 
-// A connection that is in use when its address is dropped belongs to the former owner of
-// the address and must not be used for the next owner.
+// A connection that is in use when its address is dropped leads to the replica that ran
+// there before and must not be used for the next one.
 func TestConnectionInUseIsClosedAfterDrop(t *testing.T) {
 	server := newScriptedServer(t, respond(okResponse))
 	pool := newPool(t)
@@ -229,10 +231,10 @@
 	must.False(t, pool.Idle(server.address()))
 }
 
-// A replica asked a proxy to send nothing for 1.4 s and still got three more requests in that
-// time. A refusal with Retry-After was lost if it arrived just after the caller had hung up
-// or the request had timed out, because the connection was closed immediately. That this
-// was the path in the observed run is inferred, since its logs were not kept.
+// A refusal with Retry-After that arrives just after the request was canceled or timed out
+// must reach Overheard. If the connection were closed immediately, the refusal would be lost
+// and the replica would get further requests during the pause it asked for: 3 requests in
+// 1.4 s in one run, for which this cause is an inference.
 func TestLateResponseIsReportedAfterCancellation(t *testing.T) {
 	canceled := make(chan struct{})
 	server := newScriptedServer(t, func(conn net.Conn) {
--- a/connection/exchange/pool.go
+++ b/connection/exchange/pool.go
@@ -1,7 +1,7 @@
 // Package exchange sends HTTP/1.1 requests with exact control over the bytes: method,
 // target and body reach the server exactly as given, each request is written at most
 // once, a response counts as complete only if its framing says so, and a response is
-// accepted only if it names its request.
+// accepted only if it carries the ID of its request.
 //
 // It uses http.ReadResponse but not http.Transport, which retries requests by itself,
 // adds header fields, and may take bytes that follow one response for the beginning
@@ -21,14 +21,18 @@
 
 // Config configures a Pool. Zero values select the defaults.
 type Config struct {
+	// DialTimeout limits opening a connection.
 	DialTimeout time.Duration
 	// UserTimeout is how long sent data may remain unacknowledged by the remote
 	// host before the connection is closed (TCP_USER_TIMEOUT).
 	UserTimeout time.Duration
 	// IdleTimeout limits how long an idle connection is kept. If the server announces
-	// a keep-alive timeout, that timeout less IdleMargin is a limit as well.
+	// a keep-alive timeout, that timeout less IdleMargin is a limit as well; the smaller
+	// one applies.
 	IdleTimeout time.Duration
-	IdleMargin  time.Duration
+	// IdleMargin covers the time that a request takes to reach the server, so that it does
+	// not arrive after the server has closed the idle connection.
+	IdleMargin time.Duration
 	// MaxIdle limits the number of idle connections per address.
 	MaxIdle int
 	// MaxHeaderBytes limits the header size of a response, including the informational
@@ -92,9 +96,9 @@
 	idle   map[string]*idleList // by address
 }
 
-// idleList holds the idle connections to an address while one replica owns it. A connection
-// in use returns to the list it was taken from, so that it is never used for the
-// next owner of the address.
+// idleList holds the idle connections to one replica at an address. A connection in use
+// returns to the list it was taken from, so that it is never used for a replica that runs
+// at the same address later.
 type idleList struct {
 	conns   []*conn // most recently used last
 	dropped bool
@@ -109,7 +113,7 @@
 		dialer: net.Dialer{
 			Timeout: config.DialTimeout,
 			// A host that has lost power sends nothing; keep-alive probes detect
-			// that while a response is pending.
+			// that after about 3 s while a response is pending.
 			KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2},
 			Control:         nil,
 		},
@@ -126,7 +130,7 @@
 	}
 }
 
-// Drop closes the idle connections to an address whose owner is gone. Connections in use
+// Drop closes the idle connections to an address whose replica is gone. Connections in use
 // are closed after their exchange.
 func (p *Pool) Drop(address string) {
 	p.lock.Lock()
@@ -139,8 +143,8 @@
 	if list == nil {
 		return
 	}
-	for _, cached := range list.conns {
-		_ = cached.Conn.Close() // no request is in flight on it
+	for _, idle := range list.conns {
+		_ = idle.Conn.Close() // no request is in flight on it
 	}
 	list.conns, list.dropped = nil, true
 	delete(p.idle, address)
@@ -169,14 +173,14 @@
 // takeIdle removes and returns an idle connection that is still usable, or nil.
 func (p *Pool) takeIdle(list *idleList) *conn {
 	for {
-		cached := p.popIdle(list)
-		if cached == nil {
+		idle := p.popIdle(list)
+		if idle == nil {
 			return nil
 		}
-		if p.config.Clock() < cached.usableUntil && cached.usable() {
-			return cached
+		if p.config.Clock() < idle.usableUntil && idle.isOpenAndQuiet() {
+			return idle
 		}
-		_ = cached.Conn.Close() // expired, closed by the server, or holding unsolicited data
+		_ = idle.Conn.Close() // expired, closed by the server, or holding unsolicited data
 	}
 }
 
@@ -193,16 +197,16 @@
 }
 
 // release returns a connection whose last response was read completely to its idle list.
-func (p *Pool) release(cached *conn) {
+func (p *Pool) release(idle *conn) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	list := cached.list
+	list := idle.list
 	if p.closed || list.dropped || len(list.conns) >= p.config.MaxIdle {
-		_ = cached.Conn.Close() // the pool is closed or full, or the owner of the address is gone
+		_ = idle.Conn.Close() // the pool is closed or full, or the replica at the address is gone
 		return
 	}
-	cached.headerRead.Store(false)
-	list.conns = append(list.conns, cached)
+	idle.headerRead.Store(false)
+	list.conns = append(list.conns, idle)
 }
 
 // acquire returns a connection on which the response can be matched to the request, and
@@ -225,8 +229,8 @@
 }
 
 // dial opens a connection. The dialer gets ctx without its deadline, because it would set
-// the deadline on the socket and could fail shortly before ctx itself ends. The caller,
-// finding ctx still active, would then blame the server for the failure.
+// the deadline on the socket and could fail shortly before ctx itself ends. The caller
+// would then count the timeout as a failure of the server.
 func (p *Pool) dial(ctx context.Context, address string) (net.Conn, error) {
 	dialing, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
--- a/connection/exchange/suspension_test.go
+++ b/connection/exchange/suspension_test.go
@@ -32,7 +32,7 @@
 	start := time.Now()
 	pool := NewPool(Config{Clock: func() time.Duration { return time.Since(start) + time.Duration(suspended.Load()) }})
 	defer pool.Close()
-	ask := func() {
+	sendRequest := func() {
 		response, err := pool.Do(t.Context(), server.Listener.Addr().String(), &Request{Method: "GET", Target: "/", Host: "h",
 			Header: http.Header{"Test-Id": {"1"}}, Identity: Identity{Field: "Test-Id", ID: "1"}})
 		must.NoError(t, err)
@@ -40,11 +40,11 @@
 		must.NoError(t, err)
 		response.Close()
 	}
-	ask()
-	ask()
+	sendRequest()
+	sendRequest()
 	must.Eq(t, 1, connections.Load())
 	suspended.Store(int64(DefaultIdleTimeout))
 	must.False(t, pool.Idle(server.Listener.Addr().String()))
-	ask()
+	sendRequest()
 	must.Eq(t, 2, connections.Load())
 }
--- a/connection/frame/field.go
+++ b/connection/frame/field.go
@@ -22,7 +22,8 @@
 // NewEncoder returns an Encoder that appends to buffer, which may be nil.
 func NewEncoder(buffer []byte) *Encoder { return &Encoder{buffer: buffer} }
 
-// Data returns the buffer with all fields appended so far.
+// Data returns the buffer with all fields appended so far. It is shared with the Encoder
+// and valid until the next field is appended.
 func (e *Encoder) Data() []byte { return e.buffer }
 
 // Uint8 appends one byte.
@@ -52,13 +53,14 @@
 	e.Uint8(0)
 }
 
-// Bytes appends a length and the bytes.
+// Bytes appends a uint32 length and the bytes, of which there must be less than 4 GiB; a
+// larger length would wrap around.
 func (e *Encoder) Bytes(value []byte) {
 	e.Uint32(uint32(len(value)))
 	e.buffer = append(e.buffer, value...)
 }
 
-// String appends a length and the string's bytes.
+// String appends a uint32 length and the string's bytes, limited like those of Bytes.
 func (e *Encoder) String(value string) {
 	e.Uint32(uint32(len(value)))
 	e.buffer = append(e.buffer, value...)
@@ -179,8 +181,8 @@
 func (d *Decoder) String() string { return string(d.Bytes()) }
 
 // Count reads the uint32 length of a list whose elements take at least elementSize
-// bytes each. A length that the remaining bytes cannot hold is ErrTruncated, so the
-// result is safe to use for allocating memory.
+// bytes each; elementSize must be positive. A length that the remaining bytes cannot hold
+// is ErrTruncated, so the result is safe to use for allocating memory.
 func (d *Decoder) Count(elementSize int) int {
 	count := d.Uint32()
 	if uint64(count)*uint64(elementSize) > uint64(len(d.rest)) {
--- a/connection/frame/frame.go
+++ b/connection/frame/frame.go
@@ -20,7 +20,8 @@
 	ErrWrongProtocol = errors.New("frame: unexpected protocol")
 	// ErrVersion reports that the remote end speaks another version of the protocol.
 	ErrVersion = errors.New("frame: unsupported protocol version")
-	// ErrTooLarge reports a frame larger than the reader or writer allows.
+	// ErrTooLarge reports a payload larger than the reader's limit, or one whose length does
+	// not fit into the header.
 	ErrTooLarge = errors.New("frame: frame too large")
 	// ErrChecksum reports a frame whose bytes do not match its checksum.
 	ErrChecksum = errors.New("frame: checksum mismatch")
--- a/connection/frame/frame_test.go
+++ b/connection/frame/frame_test.go
@@ -27,10 +27,10 @@
 	written bytes.Buffer
 }
 
-func (s *fakeConn) Read(data []byte) (int, error)    { return s.Reader.Read(data) }
-func (s *fakeConn) Write(data []byte) (int, error)   { return s.written.Write(data) }
-func (s *fakeConn) SetReadDeadline(time.Time) error  { return nil }
-func (s *fakeConn) SetWriteDeadline(time.Time) error { return nil }
+func (c *fakeConn) Read(data []byte) (int, error)    { return c.Reader.Read(data) }
+func (c *fakeConn) Write(data []byte) (int, error)   { return c.written.Write(data) }
+func (c *fakeConn) SetReadDeadline(time.Time) error  { return nil }
+func (c *fakeConn) SetWriteDeadline(time.Time) error { return nil }
 
 // encodeFrames returns the bytes that a Writer produces for the frames.
 func encodeFrames(t testing.TB, frames ...Frame) []byte {
--- a/connection/frame/reader.go
+++ b/connection/frame/reader.go
@@ -33,7 +33,8 @@
 	}
 }
 
-// SetTimeout changes the time within which each subsequent frame must arrive.
+// SetTimeout changes the time within which each subsequent frame must arrive; zero sets no
+// deadline.
 func (r *Reader) SetTimeout(timeout time.Duration) { r.timeout = timeout }
 
 // SetMaxPayload changes the largest accepted payload size in bytes.
@@ -42,7 +43,8 @@
 // ReadFrame returns the next frame; its payload belongs to the caller. It
 // returns io.EOF when the stream ends between frames, ErrTruncated when it ends
 // inside one, and ErrWrongProtocol, ErrVersion, ErrTooLarge or ErrChecksum as
-// soon as the received bytes show the error.
+// soon as the received bytes show the error. Other errors, such as a timeout, are those
+// of the connection.
 func (r *Reader) ReadFrame() (Frame, error) {
 	if err := r.setDeadline(); err != nil {
 		return Frame{}, err
@@ -50,11 +52,11 @@
 	if err := r.readPreface(); err != nil {
 		return Frame{}, err
 	}
-	var fixed [HeaderSize]byte
-	if err := r.readHeader(fixed[:]); err != nil {
+	var headerBytes [HeaderSize]byte
+	if err := r.readHeader(headerBytes[:]); err != nil {
 		return Frame{}, err
 	}
-	h := parseHeader(fixed[:])
+	h := parseHeader(headerBytes[:])
 	if h.length > r.maxPayload {
 		return Frame{}, errors.Wrapf(ErrTooLarge, "payload of %d bytes, at most %d", h.length, r.maxPayload)
 	}
@@ -73,7 +75,7 @@
 	if r.timeout > 0 {
 		deadline = time.Now().Add(r.timeout)
 	}
-	return errors.Wrap(r.conn.SetReadDeadline(deadline), "frame: set deadline")
+	return errors.Wrap(r.conn.SetReadDeadline(deadline), "frame: set read deadline")
 }
 
 // readPreface reads and checks the preface. It compares the magic byte by byte, so that
@@ -89,14 +91,14 @@
 			return prefaceError(err, position)
 		}
 		if got != want {
-			return errors.Wrapf(ErrWrongProtocol, "byte %d is %#02x", position, got)
+			return errors.Wrapf(ErrWrongProtocol, "preface byte %d is %#02x", position, got)
 		}
 	}
-	var fixed [PrefaceSize - len(magic)]byte
-	if _, err := io.ReadFull(r.buffered, fixed[:]); err != nil {
+	var rest [PrefaceSize - len(magic)]byte
+	if _, err := io.ReadFull(r.buffered, rest[:]); err != nil {
 		return prefaceError(err, len(magic))
 	}
-	got := Protocol{ID: binary.BigEndian.Uint16(fixed[0:]), Version: binary.BigEndian.Uint16(fixed[2:])}
+	got := Protocol{ID: binary.BigEndian.Uint16(rest[0:]), Version: binary.BigEndian.Uint16(rest[2:])}
 	if got.ID != r.protocol.ID {
 		return errors.Wrapf(ErrWrongProtocol, "protocol %d, expected %d", got.ID, r.protocol.ID)
 	}
@@ -115,8 +117,8 @@
 	return truncated(err, "preface")
 }
 
-func (r *Reader) readHeader(fixed []byte) error {
-	count, err := io.ReadFull(r.buffered, fixed)
+func (r *Reader) readHeader(buffer []byte) error {
+	count, err := io.ReadFull(r.buffered, buffer)
 	if err == nil {
 		return nil
 	}
--- a/connection/frame/writer.go
+++ b/connection/frame/writer.go
@@ -28,7 +28,8 @@
 }
 
 // WriteFrame adds a frame to the buffer. The preface is written before the first
-// frame.
+// frame. A payload of 4 GiB or more is ErrTooLarge; other errors are those of the
+// connection, after which the Writer is unusable.
 func (w *Writer) WriteFrame(kind Kind, payload []byte) error {
 	if uint64(len(payload)) > math.MaxUint32 {
 		return errors.Wrapf(ErrTooLarge, "payload of %d bytes", len(payload))
@@ -37,9 +38,9 @@
 		return err
 	}
 	length := uint32(len(payload))
-	var fixed [HeaderSize]byte
-	putHeader(fixed[:], header{length: length, kind: kind, checksum: checksum(length, kind, payload)})
-	if _, err := w.buffered.Write(fixed[:]); err != nil {
+	var headerBytes [HeaderSize]byte
+	putHeader(headerBytes[:], header{length: length, kind: kind, checksum: checksum(length, kind, payload)})
+	if _, err := w.buffered.Write(headerBytes[:]); err != nil {
 		return errors.Wrap(err, "frame: write header")
 	}
 	if _, err := w.buffered.Write(payload); err != nil {
--- a/connection/operator/calls.go
+++ b/connection/operator/calls.go
@@ -36,7 +36,7 @@
 		return api.TransactionResult{}, errors.Wrap(err, "operator: encode transaction")
 	}
 	repeatable := transaction.OperationID != "" || transaction.DryRun
-	received, err := c.do(ctx, request{
+	received, err := c.callWithRetries(ctx, request{
 		method:     http.MethodPost,
 		path:       operatorapi.PathTransactions,
 		body:       body,
@@ -52,14 +52,15 @@
 	return api.TransactionResult{}, newRefusedError(received)
 }
 
-// Objects reads all objects of a kind, or only the named one if name is not empty.
+// Objects reads all objects of a kind, or only the named one if name is not empty. An
+// unknown kind or name is a RefusedError with status 404.
 func (c *Client) Objects(ctx context.Context, kind api.Kind, name string) (operatorapi.ObjectList, error) {
 	path := operatorapi.PathObjects + "/" + url.PathEscape(string(kind))
 	if name != "" {
 		path += "/" + url.PathEscape(name)
 	}
 	var list operatorapi.ObjectList
-	return list, c.read(ctx, path, &list)
+	return list, c.readJSON(ctx, path, &list)
 }
 
 // Object reads one object. It returns nil without an error if the object does not exist.
@@ -81,10 +82,10 @@
 // InForce reads how far the daemons have applied a revision.
 func (c *Client) InForce(ctx context.Context, revision uint64) (operatorapi.InForce, error) {
 	var state operatorapi.InForce
-	return state, c.read(ctx, fmt.Sprintf("%s?revision=%d", operatorapi.PathInForce, revision), &state)
+	return state, c.readJSON(ctx, fmt.Sprintf("%s?revision=%d", operatorapi.PathInForce, revision), &state)
 }
 
-// WaitInForce polls until the revision is in force (InForce.Done) or ctx ends. With an
+// WaitInForce polls every 20 ms until the revision is in force (InForce.Done) or ctx ends. With an
 // error it returns the last state that was read.
 func (c *Client) WaitInForce(ctx context.Context, revision uint64) (operatorapi.InForce, error) {
 	ticker := time.NewTicker(inForcePollInterval)
@@ -110,13 +111,13 @@
 // Status reads the group's status.
 func (c *Client) Status(ctx context.Context) (operatorapi.Status, error) {
 	var status operatorapi.Status
-	return status, c.read(ctx, operatorapi.PathStatus, &status)
+	return status, c.readJSON(ctx, operatorapi.PathStatus, &status)
 }
 
 // Orders reads the open orders.
 func (c *Client) Orders(ctx context.Context) (operatorapi.OrderList, error) {
 	var orders operatorapi.OrderList
-	return orders, c.read(ctx, operatorapi.PathOrders, &orders)
+	return orders, c.readJSON(ctx, operatorapi.PathOrders, &orders)
 }
 
 // Ledger reads the claim on a tenant's key. The result reflects every write acknowledged
@@ -124,26 +125,26 @@
 func (c *Client) Ledger(ctx context.Context, tenant, key string) (operatorapi.Ledger, error) {
 	query := url.Values{"tenant": {tenant}, "key": {key}}
 	var ledger operatorapi.Ledger
-	return ledger, c.read(ctx, operatorapi.PathLedger+"?"+query.Encode(), &ledger)
+	return ledger, c.readJSON(ctx, operatorapi.PathLedger+"?"+query.Encode(), &ledger)
 }
 
 // Quotas reads the quota balances of the tenants.
 func (c *Client) Quotas(ctx context.Context) (operatorapi.QuotaList, error) {
 	var list operatorapi.QuotaList
-	return list, c.read(ctx, operatorapi.PathQuotas, &list)
+	return list, c.readJSON(ctx, operatorapi.PathQuotas, &list)
 }
 
 // Usage reads the usage of each tenant in each window.
 func (c *Client) Usage(ctx context.Context) (operatorapi.UsageList, error) {
 	var list operatorapi.UsageList
-	return list, c.read(ctx, operatorapi.PathUsage, &list)
+	return list, c.readJSON(ctx, operatorapi.PathUsage, &list)
 }
 
 // Release releases a quarantined request, so that it may run again. It is not resent if
 // the response was lost, since the request may have been quarantined again in the
-// meantime; read the quarantine record instead.
+// meantime.
 func (c *Client) Release(ctx context.Context, fingerprint string) (operatorapi.Released, error) {
-	received, err := c.do(ctx, request{
+	received, err := c.callWithRetries(ctx, request{
 		method: http.MethodDelete,
 		path:   operatorapi.PathQuarantine + "/" + url.PathEscape(fingerprint),
 	})
@@ -162,7 +163,7 @@
 	if err != nil {
 		return operatorapi.MemberReply{}, errors.Wrap(err, "operator: encode membership change")
 	}
-	received, err := c.do(ctx, request{
+	received, err := c.callWithRetries(ctx, request{
 		method:     http.MethodPost,
 		path:       operatorapi.PathMembers,
 		body:       body,
@@ -175,8 +176,9 @@
 	return reply, decodeResponse(received, &reply)
 }
 
-func (c *Client) read(ctx context.Context, path string, target any) error {
-	received, err := c.do(ctx, request{method: http.MethodGet, path: path, resendable: true})
+// readJSON reads a JSON body with GET. An unknown outcome becomes ErrNotAccepted.
+func (c *Client) readJSON(ctx context.Context, path string, target any) error {
+	received, err := c.callWithRetries(ctx, request{method: http.MethodGet, path: path, resendable: true})
 	if errors.Is(err, ErrOutcomeUnknown) {
 		// A read without a response changed nothing.
 		return errors.Wrap(ErrNotAccepted, err.Error())
--- a/connection/operator/client.go
+++ b/connection/operator/client.go
@@ -63,7 +63,7 @@
 	// Members holds the operator addresses (IP and port) of the group.
 	Members []string
 	// AttemptTimeout limits one request to one member, Timeout the whole call
-	// including its resends. Zero selects the default.
+	// including its resends. Zero selects the default; negative values are not supported.
 	AttemptTimeout time.Duration
 	Timeout        time.Duration
 }
@@ -101,7 +101,7 @@
 }
 
 // dialTimeoutDivisor divides the attempt timeout to get the dial timeout. The dial times out
-// before the attempt does, so that it is certain that nothing was sent and another
+// before the attempt does: a dial that failed is certain to have sent nothing, so another
 // member can be tried.
 const dialTimeoutDivisor = 2
 
@@ -167,7 +167,8 @@
 	return c.classify(address, received)
 }
 
-// classify classifies a response as final or as a failed attempt.
+// classify classifies a response as final or as a failed attempt. In the second case it
+// prefers the leader named in the response for the next attempt.
 func (c *Client) classify(address string, received memberResponse) (memberResponse, attemptOutcome, error) {
 	if received.status < http.StatusInternalServerError {
 		if !json.Valid(received.body) {
@@ -200,17 +201,17 @@
 	return outcomeNotAccepted
 }
 
-// do makes attempts until one gets a final response or the time is up. Once the outcome
-// of an attempt is unknown, the request as a whole is unknown until a final response:
-// that a later attempt was not accepted does not tell whether the earlier one was.
-func (c *Client) do(ctx context.Context, call request) (memberResponse, error) {
+// callWithRetries makes attempts until one gets a final response or the time is up. Once the outcome
+// of an attempt is unknown, the request as a whole is unknown until a final response,
+// since a later refusal says nothing about an earlier attempt.
+func (c *Client) callWithRetries(ctx context.Context, call request) (memberResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.config.Timeout)
 	defer cancel()
-	worst := outcomeNotAccepted
+	overall := outcomeNotAccepted
 	var failed failures
 	delay := newBackoff()
 	for {
-		for _, address := range c.order.list() {
+		for _, address := range c.order.ordered() {
 			received, outcome, err := c.roundTrip(ctx, address, call)
 			if outcome == outcomeFinal {
 				c.order.prefer(address)
@@ -218,25 +219,25 @@
 			}
 			failed.add(address, err, ctx.Err() != nil)
 			if outcome == outcomeUnknown {
-				worst = outcomeUnknown
+				overall = outcomeUnknown
 			}
-			if worst == outcomeUnknown && !call.resendable {
-				return memberResponse{}, callError(worst, &failed)
+			if overall == outcomeUnknown && !call.resendable {
+				return memberResponse{}, callError(overall, &failed)
 			}
-			delay.request(received.retryAfter)
+			delay.applyRetryAfter(received.retryAfter)
 			if ctx.Err() != nil {
-				return memberResponse{}, callError(worst, &failed)
+				return memberResponse{}, callError(overall, &failed)
 			}
 		}
 		if !delay.sleep(ctx) {
-			return memberResponse{}, callError(worst, &failed)
+			return memberResponse{}, callError(overall, &failed)
 		}
 	}
 }
 
 // callError returns the error of a call that got no final response.
-func callError(worst attemptOutcome, failed *failures) error {
-	if worst == outcomeUnknown {
+func callError(overall attemptOutcome, failed *failures) error {
+	if overall == outcomeUnknown {
 		return errors.Wrap(ErrOutcomeUnknown, failed.String())
 	}
 	return errors.Wrap(ErrNotAccepted, failed.String())
--- a/connection/operator/client_test.go
+++ b/connection/operator/client_test.go
@@ -174,9 +174,9 @@
 	must.ErrorIs(t, err, operator.ErrNotAccepted)
 }
 
-// A change that had reached no member was reported with an unknown outcome if the call
-// timed out while connecting, because the error is then that of the whole attempt and
-// not that of the dial.
+// A change that reached no member is certainly not accepted, even if the call times out
+// while connecting. The error is then that of the whole attempt and not that of the dial,
+// and must not be reported as an unknown outcome.
 func TestTimeoutWhileConnectingIsNotAccepted(t *testing.T) {
 	hanging, err := backlog.NewFull()
 	must.NoError(t, err)
--- a/connection/operator/failures.go
+++ b/connection/operator/failures.go
@@ -9,8 +9,8 @@
 )
 
 // failures records the last failure of each member, so that the error of a failed call
-// names all of them: an unreachable member must not hide another one's response that
-// there is no quorum.
+// names all of them. With the last failure alone, an unreachable member would hide that
+// another member reported no quorum.
 type failures struct {
 	addresses  []string // addresses in the order of their first failure
 	lastErrors map[string]string
--- a/connection/operator/order.go
+++ b/connection/operator/order.go
@@ -11,8 +11,8 @@
 	"github.com/landingtrail/landingtrail/process/pause"
 )
 
-// memberOrder is the order in which members are tried. The member that responded last,
-// or that was named as the leader, comes first.
+// memberOrder is the order in which members are tried. The member that gave the last final
+// response, or that was named as the leader since, comes first.
 type memberOrder struct {
 	mutex     sync.Mutex
 	addresses []string
@@ -33,8 +33,8 @@
 	o.preferred = address
 }
 
-// list returns every address once, the preferred one first.
-func (o *memberOrder) list() []string {
+// ordered returns every address once, the preferred one first.
+func (o *memberOrder) ordered() []string {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	var ordered []string
@@ -57,8 +57,8 @@
 
 func newBackoff() *backoff { return &backoff{next: minBackoff} }
 
-// request applies a member's Retry-After to the next delay, limited to maxBackoff.
-func (b *backoff) request(pause time.Duration) {
+// applyRetryAfter applies a member's Retry-After to the next delay, limited to maxBackoff.
+func (b *backoff) applyRetryAfter(pause time.Duration) {
 	b.requested = min(max(b.requested, pause), maxBackoff)
 }
 
@@ -71,7 +71,8 @@
 	return pause.For(ctx, due)
 }
 
-// retryAfter returns the Retry-After of a response, 0 if it has none in seconds.
+// retryAfter returns the Retry-After of a response, 0 if it has none. The date form is
+// ignored.
 func retryAfter(response *http.Response) time.Duration {
 	seconds, err := strconv.Atoi(response.Header.Get("Retry-After"))
 	if err != nil || seconds < 0 {
--- a/connection/operatorapi/operatorapi.go
+++ b/connection/operatorapi/operatorapi.go
@@ -18,7 +18,7 @@
 	PathStatus       = "/apis/v1/status"         // GET -> Status
 	PathOrders       = "/apis/v1/orders"         // GET -> OrderList
 	PathLedger       = "/apis/v1/ledger"         // GET ?tenant=T&key=K -> Ledger
-	PathIngress      = "/apis/v1/ingress"        // POST api.IngressSpec -> api.ReplaceResult; GET -> ObjectList, with the document
+	PathIngress      = "/apis/v1/ingress"        // POST api.IngressSpec -> api.ReplaceResult; GET -> ObjectList, with the ingress document
 	PathUsage        = "/apis/v1/usage"          // GET -> UsageList
 	PathQuotas       = "/apis/v1/quotas"         // GET -> QuotaList
 	PathQuarantine   = "/apis/v1/quarantine"     // DELETE /{fingerprint} -> Released
@@ -41,14 +41,14 @@
 	ErrorBodyTooLarge   ErrorCode = "body_too_large"  // 413
 	ErrorNotFound       ErrorCode = "not_found"       // 404
 	ErrorWrongMethod    ErrorCode = "wrong_method"    // 405
-	ErrorNoQuorum       ErrorCode = "no_quorum"       // 503: guaranteed not accepted; retry after Retry-After
+	ErrorNoQuorum       ErrorCode = "no_quorum"       // 503: guaranteed not accepted; retry after the seconds in Retry-After
 	ErrorOutcomeUnknown ErrorCode = "outcome_unknown" // 504: resend with the same operation ID
 	ErrorRefused        ErrorCode = "refused"         // 409: the change cannot be made now
 	ErrorRemoved        ErrorCode = "removed"         // 409: the member's ID was removed from the group permanently
 	ErrorInternal       ErrorCode = "internal"        // 500
 )
 
-// Error is the body of every response that carries neither a result nor a list.
+// Error is the body of every error response.
 type Error struct {
 	Code    ErrorCode        `json:"code"`
 	Message string           `json:"message"`
@@ -76,7 +76,7 @@
 	Tenants []TenantQuota `json:"tenants"`
 }
 
-// TenantQuota is the quota balance of one tenant: Left is what it may spend immediately,
+// TenantQuota is the quota balance of one tenant. Left is what remains to be spent now.
 // Granted and Refused count since the current leader was elected. Left and Granted are
 // in the quota's unit.
 type TenantQuota struct {
@@ -99,10 +99,11 @@
 	// its view lease.
 	Done         bool `json:"done"`
 	Acknowledged int  `json:"acknowledged"`
-	// Lapsed lists the daemons known to this leader that have no lease. A daemon
-	// that was disconnected before the leader was elected is missing here, although
-	// the leader waited for its lease to expire as well.
-	Lapsed  []string `json:"lapsed,omitempty"`
+	// Lapsed lists the daemons known to this leader that have no lease. It lacks the
+	// daemons that were disconnected before the leader was elected; the leader has
+	// waited for their leases to expire as well.
+	Lapsed []string `json:"lapsed,omitempty"`
+	// Waiting lists the daemons whose acknowledgement is awaited.
 	Waiting []string `json:"waiting,omitempty"`
 	// Settling is true while a new leader does not know yet which daemons hold a
 	// lease granted by an earlier leader.
@@ -125,7 +126,7 @@
 	Name            string     `json:"name"`
 	Role            MemberRole `json:"role"`
 	PeerAddress     string     `json:"peerAddress"`
-	FeedAddress     string     `json:"feedAddress"`
+	FeedAddress     string     `json:"feedAddress"` // where daemons follow the group; see connection/feed
 	OperatorAddress string     `json:"operatorAddress"`
 	// Match is the highest log index known to be synced on the member, Lag the
 	// number of entries it is behind the leader's commit index.
@@ -143,17 +144,19 @@
 	// Target and Reason are taken from the open order.
 	Target *api.Assignment `json:"target,omitempty"`
 	Reason string          `json:"reason,omitempty"`
-	// Silent is true when the leader has received no recent state from the engine.
+	// Silent is true when the leader has received no state from the engine, or none within
+	// control.engineSilence, or three polling rounds if these take longer.
 	Silent bool `json:"silent,omitempty"`
-	Drain  bool `json:"drain,omitempty"`
+	// Drain is the value in the engine's spec.
+	Drain bool `json:"drain,omitempty"`
 }
 
 // Status is the response to a read of the group's status.
 type Status struct {
-	Leader   string   `json:"leader"`
+	Leader   string   `json:"leader"` // name of the leader
 	Term     uint64   `json:"term"`
 	Revision uint64   `json:"revision"`
-	Commit   uint64   `json:"commit"`
+	Commit   uint64   `json:"commit"` // log index
 	Members  []Member `json:"members"`
 	// FurtherLosses is the number of voters that can be lost permanently from now on
 	// without losing the quorum. Voters that are inactive or lack part of the
@@ -192,7 +195,7 @@
 func (m *MemberID) UnmarshalText(text []byte) error {
 	value, err := strconv.ParseUint(string(text), 10, 64)
 	if err != nil {
-		return errors.Wrap(err, "operatorapi: parse member ID")
+		return errors.Wrap(err, "operatorapi: member ID")
 	}
 	*m = MemberID(value)
 	return nil
@@ -227,7 +230,8 @@
 const (
 	// MemberAdd adds a learner with its ID and addresses. The leader promotes it
 	// once it has caught up; it then replaces an older member of the same name.
-	MemberAdd     MemberAction = "add"
+	MemberAdd MemberAction = "add"
+	// MemberPromote makes a learner a voter.
 	MemberPromote MemberAction = "promote"
 	MemberRemove  MemberAction = "remove"
 )
--- a/connection/orders/client.go
+++ b/connection/orders/client.go
@@ -1,5 +1,6 @@
 // Package orders is the client of the engine control protocol: it reads state and load
-// reports, sends and voids orders, and polls a set of engines.
+// reports, sends orders, voids them by raising the engine's fence, and polls a set of
+// engines.
 package orders
 
 import (
@@ -39,15 +40,16 @@
 //
 // It uses connection/upstream instead of go-zero's httpc for two reasons. The circuit
 // breaker of httpc counts the failures of all engines together, so that some
-// unresponsive engines would block orders to the others. And the reply to one order must
-// not be taken for the reply to another. Redirects are not followed, so that no order
-// reaches another address.
+// unresponsive engines would block orders to the others. And httpc does not prevent that
+// the reply to one order is taken for the reply to another. Redirects are not followed, so
+// that no order reaches another address.
 type Client struct {
 	pool    *upstream.Pool
 	timeout time.Duration
 }
 
-// NewClient returns a Client that limits each request to timeout.
+// NewClient returns a Client that limits each request, including the dial, to timeout,
+// which must be positive.
 func NewClient(timeout time.Duration) *Client {
 	return &Client{
 		pool: upstream.NewPool(upstream.Config{
@@ -66,30 +68,32 @@
 // State reads the engine's current state.
 func (c *Client) State(ctx context.Context, address string) (engineapi.State, error) {
 	var state engineapi.State
-	err := c.do(ctx, http.MethodGet, address, engineapi.PathState, nil, &state)
+	err := c.roundTrip(ctx, http.MethodGet, address, engineapi.PathState, nil, &state)
 	return state, err
 }
 
 // Load reads the engine's load report, which lags behind the actual load.
 func (c *Client) Load(ctx context.Context, address string) (engineapi.Load, error) {
 	var load engineapi.Load
-	err := c.do(ctx, http.MethodGet, address, engineapi.PathLoad, nil, &load)
+	err := c.roundTrip(ctx, http.MethodGet, address, engineapi.PathLoad, nil, &load)
 	return load, err
 }
 
-// Send sends an order to the engine. A refusal is a reply, not an error.
+// Send sends an order to the engine. A refused order returns a reply with its code and no
+// error; errors are ErrNoResponse and ErrInvalidResponse.
 func (c *Client) Send(ctx context.Context, address string, order api.Order) (engineapi.OrderReply, error) {
 	return c.post(ctx, address, engineapi.PathOrders, order)
 }
 
-// Void requests the engine to raise its fence.
+// Void makes the engine raise its fence and so refuse every order whose fence is not above
+// it. The reply has the engine's state; errors are those of Send.
 func (c *Client) Void(ctx context.Context, address string, request engineapi.VoidRequest) (engineapi.OrderReply, error) {
 	return c.post(ctx, address, engineapi.PathVoid, request)
 }
 
 func (c *Client) post(ctx context.Context, address, path string, body any) (engineapi.OrderReply, error) {
 	var reply engineapi.OrderReply
-	if err := c.do(ctx, http.MethodPost, address, path, body, &reply); err != nil {
+	if err := c.roundTrip(ctx, http.MethodPost, address, path, body, &reply); err != nil {
 		return engineapi.OrderReply{}, err
 	}
 	if reply.Code == "" {
@@ -98,7 +102,8 @@
 	return reply, nil
 }
 
-func (c *Client) do(ctx context.Context, method, address, path string, body, target any) error {
+// roundTrip sends a request with a new call ID and decodes the response body into target.
+func (c *Client) roundTrip(ctx context.Context, method, address, path string, body, target any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	request, err := newRequest(ctx, method, address, path, body)
@@ -115,7 +120,7 @@
 		return errors.Wrapf(ErrNoResponse, "%v", err)
 	}
 	if len(data) > maxResponseBytes {
-		return errors.Wrap(ErrInvalidResponse, "body too large")
+		return errors.Wrap(ErrInvalidResponse, "response body too large")
 	}
 	if !hasProtocolBody(response.StatusCode) {
 		return errors.Wrapf(ErrInvalidResponse, "status %d", response.StatusCode)
--- a/connection/orders/orders_test.go
+++ b/connection/orders/orders_test.go
@@ -218,9 +218,9 @@
 	return engineapi.Load{Engine: "engine-1", Incarnation: 2, Running: 1}, nil
 }
 
-// An engine that had just restarted was shown with the load of its previous incarnation,
-// because load reports lag and were stored by engine name alone. A load must only be
-// returned together with the state of the same incarnation.
+// A load must only be returned together with the state of the same incarnation. Load reports
+// lag, so those stored by engine name alone would show an engine that has just restarted
+// with the load of its previous incarnation.
 func TestLoadMatchesIncarnationOfState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engine := &restartedEngine{}
--- a/connection/orders/outofstep_test.go
+++ b/connection/orders/outofstep_test.go
@@ -17,8 +17,8 @@
 // These tests guard against taking the response to an earlier request or order for that to
 // the current one. This happens if the engine sends a surplus response on a persistent
 // connection after the next request was written. No call may return the response to
-// another one; a call that receives a surplus response may fail. To an engine that does
-// not echo request IDs, no connection is reused and every call succeeds.
+// another one; a call that receives a surplus response may fail. If an engine does not echo
+// request IDs, its connections are not reused and every call succeeds.
 
 // callsPerTest is the number of calls per test, enough for connections to be reused.
 const callsPerTest = 12
@@ -58,13 +58,13 @@
 
 // succeeded reports whether a call succeeded. It may fail only if a surplus response was
 // sent during it.
-func (o *duplicatingEngine) succeeded(t *testing.T, sentBefore int, err error) bool {
+func (e *duplicatingEngine) succeeded(t *testing.T, sentBefore int, err error) bool {
 	t.Helper()
 	if err == nil {
 		return true
 	}
 	must.ErrorIs(t, err, ErrNoResponse)
-	must.Greater(t, sentBefore, o.server.Sent())
+	must.Greater(t, sentBefore, e.server.Sent())
 	return false
 }
 
--- a/connection/orders/poller.go
+++ b/connection/orders/poller.go
@@ -32,13 +32,14 @@
 type PollerConfig struct {
 	Asker EngineClient
 	// Interval is the time between two polls of one engine. It is increased if there
-	// are more engines than MaxPerSecond allows.
+	// are more engines than MaxPerSecond allows. With 0, only MaxPerSecond and pollTick
+	// limit the polls.
 	Interval     time.Duration
 	MaxPerSecond int
-	// Clock is a monotonic clock.
+	// Clock is a monotonic clock. It must be set, as must Asker.
 	Clock func() time.Duration
-	// Changed is called without any lock held after the state of an engine has changed.
-	// It may be nil.
+	// Changed is called without any lock held after the state of an engine has changed in
+	// a field that sameState compares. It may be nil.
 	Changed func()
 }
 
@@ -92,7 +93,7 @@
 		shard := &p.shards[i]
 		shard.targets = map[string]*target{}
 		shard.workers = make(chan struct{}, shardWorkers)
-		p.done.Go(func() { p.run(shard) })
+		p.done.Go(func() { p.runShard(shard) })
 	}
 	return p
 }
@@ -111,15 +112,15 @@
 // an engine whose address changes is discarded.
 func (p *Poller) SetTargets(addresses map[string]string) {
 	for i := range p.shards {
-		p.shards[i].retain(addresses)
+		p.shards[i].retainTargets(addresses)
 	}
 	for name, address := range addresses {
-		p.shard(name).add(name, address)
+		p.shard(name).addTarget(name, address)
 	}
 }
 
-// retain removes all engines except those in addresses with the same address.
-func (s *pollerShard) retain(addresses map[string]string) {
+// retainTargets removes all engines except those in addresses with the same address.
+func (s *pollerShard) retainTargets(addresses map[string]string) {
 	s.Lock()
 	defer s.Unlock()
 	for name, known := range s.targets {
@@ -129,7 +130,8 @@
 	}
 }
 
-func (s *pollerShard) add(name, address string) {
+// addTarget adds an engine unless it is known.
+func (s *pollerShard) addTarget(name, address string) {
 	s.Lock()
 	defer s.Unlock()
 	if s.targets[name] == nil {
@@ -153,14 +155,14 @@
 	shard := p.shard(name)
 	shard.Lock()
 	known := shard.targets[name]
-	changed := known != nil && known.address == address && known.record(state, requestedAt)
+	changed := known != nil && known.address == address && known.recordState(state, requestedAt)
 	shard.Unlock()
 	p.notify(changed)
 }
 
-// record records the state, unless that of a later request is already known, and reports
+// recordState records the state, unless that of a later request is already known, and reports
 // whether it differs from the previous one.
-func (t *target) record(state engineapi.State, requestedAt time.Duration) bool {
+func (t *target) recordState(state engineapi.State, requestedAt time.Duration) bool {
 	if t.hasState && requestedAt < t.seen.AskedAt {
 		return false
 	}
@@ -172,6 +174,8 @@
 	return changed
 }
 
+// sameState compares the incarnation, fence, phase and assignment, and whether an order is
+// open. It ignores which order that is and the numbers of requests.
 func sameState(left, right engineapi.State) bool {
 	return left.Incarnation == right.Incarnation && left.Fence == right.Fence && left.Phase == right.Phase &&
 		left.Assignment.Equal(right.Assignment) && (left.Order == nil) == (right.Order == nil)
@@ -184,16 +188,17 @@
 	}
 }
 
-// Seen returns the last known state of every engine that has responded.
+// Seen returns a copy of the last known state of every engine that has responded.
 func (p *Poller) Seen() map[string]Seen {
 	all := map[string]Seen{}
 	for i := range p.shards {
-		p.shards[i].collect(all)
+		p.shards[i].collectSeen(all)
 	}
 	return all
 }
 
-func (s *pollerShard) collect(all map[string]Seen) {
+// collectSeen adds the last known states of the shard's engines to all.
+func (s *pollerShard) collectSeen(all map[string]Seen) {
 	s.Lock()
 	defer s.Unlock()
 	for name, known := range s.targets {
@@ -203,7 +208,8 @@
 	}
 }
 
-func (p *Poller) run(shard *pollerShard) {
+// runShard polls the engines of one shard until the poller is closed.
+func (p *Poller) runShard(shard *pollerShard) {
 	ticker := time.NewTicker(pollTick)
 	defer ticker.Stop()
 	var inFlight sync.WaitGroup
@@ -270,8 +276,9 @@
 	return max(interval, time.Duration(targets)*time.Second/time.Duration(perSecond))
 }
 
-// RoundTime returns how long a Poller with the given interval and the default maximum rate
-// takes to poll the given number of engines once.
+// RoundTime returns the least time that a Poller with the given interval and the default
+// maximum rate takes to poll the given number of engines once: that of engines which are
+// spread evenly over the shards and respond quickly.
 func RoundTime(interval time.Duration, engines int) time.Duration {
 	return limitedInterval(interval, engines, defaultMaxPerSecond)
 }
@@ -289,6 +296,8 @@
 	polled.polling = false
 }
 
+// pollLoad polls the load report of one engine. It ignores errors and reports that carry
+// another engine's name; the load is then polled again with the next state.
 func (p *Poller) pollLoad(shard *pollerShard, name string, polled *target) {
 	requestedAt := p.config.Clock()
 	load, err := p.config.Asker.Load(p.context, polled.address)
--- a/connection/orders/surplus_test.go
+++ b/connection/orders/surplus_test.go
@@ -40,9 +40,9 @@
 	return fmt.Appendf(nil, "HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s", header, len(body), body)
 }
 
-// The reply to one order or void was taken for that to the next one to the same engine, since
-// replies did not identify their call, and a fence counted as confirmed that the engine had
-// not received. A response that names another call, or none, must be an error.
+// A response that carries the ID of another call, or none, must be an error. If the reply to
+// one order or void is taken for that to the next one to the same engine, a fence that the
+// engine has not received counts as confirmed.
 func TestSurplusReplyIsRejected(t *testing.T) {
 	cases := map[string]string{
 		"of another call": engineapi.HeaderRequestID + ": another\r\n",
--- a/connection/peer/connect_test.go
+++ b/connection/peer/connect_test.go
@@ -9,8 +9,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// The first packet to a machine without power is lost. The attempt to connect must time out
-// soon, since the machine may be back shortly after.
+// An attempt to connect must time out soon: the SYN to a machine without power is lost, and
+// the machine may be back shortly after.
 func TestConnectTimeoutIsShort(t *testing.T) {
 	var config Config
 	var left time.Duration
--- a/connection/peer/fuzz_test.go
+++ b/connection/peer/fuzz_test.go
@@ -19,10 +19,10 @@
 	written bytes.Buffer
 }
 
-func (w *fakeConn) Read(data []byte) (int, error)    { return w.Reader.Read(data) }
-func (w *fakeConn) Write(data []byte) (int, error)   { return w.written.Write(data) }
-func (w *fakeConn) SetReadDeadline(time.Time) error  { return nil }
-func (w *fakeConn) SetWriteDeadline(time.Time) error { return nil }
+func (c *fakeConn) Read(data []byte) (int, error)    { return c.Reader.Read(data) }
+func (c *fakeConn) Write(data []byte) (int, error)   { return c.written.Write(data) }
+func (c *fakeConn) SetReadDeadline(time.Time) error  { return nil }
+func (c *fakeConn) SetWriteDeadline(time.Time) error { return nil }
 
 // encodeFrames converts fuzzer input to valid frames. The input holds a kind, two bytes of length
 // and the payload of each, so that the fuzzer need not find valid checksums.
--- a/connection/peer/inbound.go
+++ b/connection/peer/inbound.go
@@ -114,7 +114,7 @@
 	if !t.admit(conn, inboundKey{sender: greeting.sender, channel: greeting.channel}) {
 		return
 	}
-	// The sender reports why the connection ended.
+	// The error is ignored, since the sender reports why the connection ended.
 	_ = t.readMessages(greeting, writer, reader)
 }
 
@@ -126,7 +126,7 @@
 		return hello{}, err
 	}
 	if first.Kind != frameHello {
-		return hello{}, errors.Wrapf(ErrHandshake, "frame of kind %d", first.Kind)
+		return hello{}, errors.Wrapf(ErrHandshake, "expected hello, got frame of kind %d", first.Kind)
 	}
 	greeting, err := decodeHello(first.Payload)
 	if err != nil {
@@ -172,7 +172,7 @@
 			err = t.deliver(greeting, chunks)
 			chunks = nil
 		default:
-			err = errors.Wrapf(ErrHandshake, "frame of kind %d", next.Kind)
+			err = errors.Wrapf(ErrHandshake, "unexpected frame of kind %d after the handshake", next.Kind)
 		}
 		if err != nil {
 			return err
@@ -181,7 +181,8 @@
 }
 
 // acknowledgeChunk replies to each chunk of a snapshot, so that the sender sees progress on
-// a slow network, where a ping would have to wait behind the whole snapshot.
+// a slow network, where a ping would have to wait behind the whole snapshot. It also enforces
+// MaxSnapshotBytes, except on the final chunk.
 func (t *Transport) acknowledgeChunk(writer *frame.Writer, size int) error {
 	if size > t.config.MaxSnapshotBytes {
 		return errors.Wrapf(frame.ErrTooLarge, "snapshot of more than %d bytes", t.config.MaxSnapshotBytes)
@@ -196,7 +197,7 @@
 	return writer.Flush()
 }
 
-// deliver passes on a message, provided that it comes from the member that opened the
+// deliver passes on a message after verifying that it comes from the member that opened the
 // connection and is addressed to this one.
 func (t *Transport) deliver(greeting hello, data []byte) error {
 	message, err := raft.DecodeMessage(data)
@@ -220,7 +221,8 @@
 }
 
 // Probe returns the identity of the member at the address. If it belongs to another
-// group, the error is ErrWrongGroup and the identity is returned as well.
+// group, the error is ErrWrongGroup and the identity is returned as well. Connecting, writing
+// and the handshake are limited by the default timeouts of Config.
 func Probe(ctx context.Context, address string, group uint64) (Identity, error) {
 	config := Config{Group: group}
 	config.setDefaults()
--- a/connection/peer/link.go
+++ b/connection/peer/link.go
@@ -14,7 +14,8 @@
 // chunkBytes is the chunk size of snapshots.
 const chunkBytes = 64 << 10
 
-// link holds the two senders for one peer.
+// link holds the outgoing connections to one peer: one sender for messages and one for
+// snapshots.
 type link struct {
 	address   string
 	stop      context.CancelFunc
@@ -60,8 +61,8 @@
 	return &sender{transport: t, member: member, address: address, channel: purpose, queue: newQueue(maxMessages, maxBytes)}
 }
 
-func (s *sender) notify(payload []byte) {
-	if dropped := s.queue.notify(payload); dropped > 0 {
+func (s *sender) putNotice(payload []byte) {
+	if dropped := s.queue.putNotice(payload); dropped > 0 {
 		s.transport.count.dropped.Add(uint64(dropped))
 	}
 }
@@ -81,7 +82,7 @@
 			return
 		case <-s.queue.wake:
 		}
-		connected, err := s.serve(ctx)
+		connected, err := s.connectAndSend(ctx)
 		if ctx.Err() != nil {
 			return
 		}
@@ -105,9 +106,9 @@
 	s.transport.config.OnEvent(Event{Kind: kind, Member: s.member, Address: s.address, Err: err})
 }
 
-// serve connects and sends until the connection fails or ctx ends. It returns how long
+// connectAndSend connects and sends until the connection fails or ctx ends. It returns how long
 // the connection was established.
-func (s *sender) serve(ctx context.Context) (time.Duration, error) {
+func (s *sender) connectAndSend(ctx context.Context) (time.Duration, error) {
 	config := s.transport.config
 	conn, err := connect(ctx, config, s.address)
 	if err != nil {
@@ -158,7 +159,7 @@
 		return welcome{}, err
 	}
 	if reply.Kind != frameWelcome {
-		return welcome{}, errors.Wrapf(ErrHandshake, "frame of kind %d", reply.Kind)
+		return welcome{}, errors.Wrapf(ErrHandshake, "expected welcome, got frame of kind %d", reply.Kind)
 	}
 	w, err := decodeWelcome(reply.Payload)
 	if err != nil {
@@ -168,8 +169,8 @@
 }
 
 // readPongs reads pongs and returns an error when the remote end stops sending them.
-// Otherwise a connection whose remote end has disappeared would hold up messages for
-// many minutes.
+// Without this timeout, a connection whose remote end has disappeared would hold up messages
+// for many minutes.
 func (s *sender) readPongs(reader *frame.Reader) error {
 	reader.SetTimeout(s.transport.config.PongTimeout + s.transport.config.PingInterval)
 	for {
@@ -178,7 +179,7 @@
 			return errors.Wrap(err, "peer: read pong")
 		}
 		if reply.Kind != framePong {
-			return errors.Wrapf(ErrHandshake, "frame of kind %d", reply.Kind)
+			return errors.Wrapf(ErrHandshake, "expected pong, got frame of kind %d", reply.Kind)
 		}
 	}
 }
--- a/connection/peer/peer_test.go
+++ b/connection/peer/peer_test.go
@@ -40,7 +40,7 @@
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
-	e := &testMember{received: make(chan raft.Message, 10_000), events: make(chan Event, 10_000)}
+	m := &testMember{received: make(chan raft.Message, 10_000), events: make(chan Event, 10_000)}
 	config := Config{
 		Group:        testGroup,
 		ID:           id,
@@ -48,24 +48,24 @@
 		PingInterval: 20 * time.Millisecond,
 		PongTimeout:  200 * time.Millisecond,
 		MaxBackoff:   50 * time.Millisecond,
-		OnEvent:      func(event Event) { e.events <- event },
+		OnEvent:      func(event Event) { m.events <- event },
 	}
 	if adjust != nil {
 		adjust(&config)
 	}
-	e.Transport, err = New(config, func(message raft.Message) { e.received <- message })
+	m.Transport, err = New(config, func(message raft.Message) { m.received <- message })
 	must.NoError(t, err)
-	t.Cleanup(func() { must.NoError(t, e.Close()) })
-	return e
+	t.Cleanup(func() { must.NoError(t, m.Close()) })
+	return m
 }
 
 // waitEvent waits for the next event of the given kind.
-func (e *testMember) waitEvent(t *testing.T, kind EventKind) Event {
+func (m *testMember) waitEvent(t *testing.T, kind EventKind) Event {
 	t.Helper()
 	deadline := time.After(10 * time.Second)
 	for {
 		select {
-		case event := <-e.events:
+		case event := <-m.events:
 			if event.Kind == kind {
 				return event
 			}
@@ -75,14 +75,14 @@
 	}
 }
 
-func (e *testMember) receive(t *testing.T) raft.Message {
+func (m *testMember) receive(t *testing.T) raft.Message {
 	t.Helper()
 	select {
-	case message := <-e.received:
+	case message := <-m.received:
 		return message
 	case <-time.After(10 * time.Second):
-		for len(e.events) > 0 {
-			t.Logf("%+v", <-e.events)
+		for len(m.events) > 0 {
+			t.Logf("%+v", <-m.events)
 		}
 		t.Fatal("timed out waiting for a message")
 		return raft.Message{}
@@ -127,8 +127,8 @@
 func TestHeartbeatsOvertakeSnapshot(t *testing.T) {
 	// A lost snapshot is not resent here, so a stall of the machine must not end the
 	// connection.
-	patient := func(c *Config) { c.PongTimeout = 5 * time.Second }
-	a, b := newTestMember(t, 1, patient), newTestMember(t, 2, patient)
+	longPongTimeout := func(c *Config) { c.PongTimeout = 5 * time.Second }
+	a, b := newTestMember(t, 1, longPongTimeout), newTestMember(t, 2, longPongTimeout)
 	proxy := newProxy(t, b.Address().String())
 	addToxic(t, proxy, `{"name":"slow","type":"bandwidth","stream":"upstream","attributes":{"rate":1000}}`)
 	a.SetPeers(map[raft.MemberID]string{2: proxy.Listen})
@@ -311,10 +311,10 @@
 	return count, err
 }
 
-// A sender abandoned a connection and opened another. The goroutine of the first connection
-// was admitted after that of the second and closed the second, because the order in which
-// goroutines ran was taken for that of the connections. TestNewConnectionReplacesOld
-// failed sporadically for this reason; here the first connection is delayed to force it.
+// A connection that the sender has abandoned must not replace a newer one when it is admitted
+// late: goroutines of connections run in any order, which is not that of the connections.
+// The race also makes TestNewConnectionReplacesOld fail sporadically; here the first
+// connection is delayed to force it.
 func TestLateAdmissionDoesNotReplaceNewerConnection(t *testing.T) {
 	released := make(chan struct{})
 	b := newTestMember(t, 2, func(c *Config) {
@@ -419,7 +419,7 @@
 
 	q := newQueue(1, 1)
 	for i := range maxNotices + 1 {
-		must.Eq(t, i/maxNotices, q.notify([]byte{byte(i)}))
+		must.Eq(t, i/maxNotices, q.putNotice([]byte{byte(i)}))
 	}
 	must.Eq(t, byte(1), q.takeNotices()[0][0])
 	must.SliceEmpty(t, q.takeNotices())
--- a/connection/peer/protocol.go
+++ b/connection/peer/protocol.go
@@ -2,8 +2,9 @@
 // TCP. Each member keeps one outgoing connection to each peer for messages and a second
 // one for snapshots, so that heartbeats never wait behind a snapshot. Delivery is best
 // effort: queues are bounded and drop their oldest messages, since Raft resends what was
-// lost. Notices, which need no consensus, share the connection of the messages; their
-// sender must resend its full state when a connection is established.
+// lost. Notices carry data outside of Raft and share the connection of the messages. Since
+// they may be lost too, their sender must resend the full state that they convey when a
+// connection is established (EventConnected).
 package peer
 
 import (
@@ -20,10 +21,11 @@
 	// ErrWrongGroup reports that the remote end belongs to another group.
 	ErrWrongGroup = errors.New("peer: remote end belongs to another group")
 	// ErrWrongMember reports that the address now belongs to another member, for
-	// example because the machine lost its disk.
+	// example after the machine lost its disk and was given a new ID.
 	ErrWrongMember = errors.New("peer: address belongs to another member")
-	// ErrHandshake reports that the remote end violated the protocol.
-	ErrHandshake = errors.New("peer: invalid handshake")
+	// ErrHandshake reports that the remote end violated the protocol, in the handshake or
+	// later.
+	ErrHandshake = errors.New("peer: protocol violation")
 )
 
 // Kinds of frames.
@@ -89,7 +91,7 @@
 		return hello{}, errors.Wrap(ErrHandshake, err.Error())
 	}
 	if h.channel < channelMessages || h.channel > channelProbe {
-		return hello{}, errors.Wrapf(ErrHandshake, "unknown channel %d", h.channel)
+		return hello{}, errors.Wrapf(ErrHandshake, "hello with unknown channel %d", h.channel)
 	}
 	return h, nil
 }
@@ -136,10 +138,11 @@
 	case helloWrongMember:
 		return errors.Wrapf(ErrWrongMember, "member %x", w.member)
 	}
-	return errors.Wrapf(ErrHandshake, "unknown hello result %d", w.result)
+	return errors.Wrapf(ErrHandshake, "welcome with unknown result %d", w.result)
 }
 
-// checkHello checks a hello.
+// checkHello checks the group, the receiver and the sender of a hello. A probe is accepted
+// for any receiver of the group.
 func (t *Transport) checkHello(h hello) helloResult {
 	if h.group != t.config.Group {
 		return helloWrongGroup
--- a/connection/peer/queue.go
+++ b/connection/peer/queue.go
@@ -9,12 +9,14 @@
 // maxNotices is the maximum number of queued notices per connection.
 const maxNotices = 64
 
-// messageOverhead is the approximate size of a message without its entries, in bytes.
+// messageOverhead is the approximate size of a message without its entries, in bytes. An
+// entry without its data counts as a quarter of it.
 const messageOverhead = 128
 
 // queue holds the outgoing messages and notices of one connection. Messages are limited by
 // number and bytes. When the queue is full, the oldest are dropped, since the newest
-// describe the sender's state best.
+// describe the sender's state best and Raft resends lost ones. The newest message is kept
+// even if it is larger than maxBytes.
 type queue struct {
 	maxMessages int
 	maxBytes    int
@@ -47,9 +49,9 @@
 	return dropped
 }
 
-// notify adds a notice and drops the oldest one if there are too many. It returns the
+// putNotice adds a notice and drops the oldest one if there are too many. It returns the
 // number of notices dropped.
-func (q *queue) notify(payload []byte) (dropped int) {
+func (q *queue) putNotice(payload []byte) (dropped int) {
 	q.mutex.Lock()
 	q.notices = append(q.notices, payload)
 	if len(q.notices) > maxNotices {
--- a/connection/peer/transport.go
+++ b/connection/peer/transport.go
@@ -41,7 +41,7 @@
 	EventRejected                          // an incoming connection was refused; Member may be None
 )
 
-// Event is a connection event that operators may want to see in the log.
+// Event is a connection event, meant to be logged. Err is nil for EventConnected.
 type Event struct {
 	Kind    EventKind
 	Member  raft.MemberID
@@ -53,25 +53,24 @@
 type Config struct {
 	Group    uint64
 	ID       raft.MemberID
-	Listener net.Listener // owned by the Transport from New on
+	Listener net.Listener // closed by Transport.Close
 
 	QueueMessages    int    // maximum number of messages queued per connection
 	QueueBytes       int    // maximum approximate size of the messages queued per connection
 	MaxMessageBytes  uint32 // the receiver rejects larger messages
-	MaxSnapshotBytes int    // the receiver rejects larger snapshots
+	MaxSnapshotBytes int    // the receiver rejects larger snapshots; the final chunk is not counted
 	MaxConnections   int    // maximum number of concurrent incoming connections
 
-	// ConnectTimeout limits one attempt to connect. A machine without power does not
-	// respond, and if it comes up during an attempt, the first packet is already lost:
-	// the member is reached only with the next attempt. The timeout must be longer than
-	// a round trip.
+	// ConnectTimeout limits one attempt to connect. It is short, because a machine without
+	// power does not respond, and if it comes up during an attempt, whose first packet (SYN)
+	// is lost, only the next attempt reaches it. It must be longer than a round trip.
 	ConnectTimeout   time.Duration
-	HandshakeTimeout time.Duration
-	WriteTimeout     time.Duration
+	HandshakeTimeout time.Duration // limits reading each handshake frame
+	WriteTimeout     time.Duration // limits each write to a connection
 	PingInterval     time.Duration
-	PongTimeout      time.Duration // with PingInterval, the time without a pong or ping after which a connection is closed
-	MinBackoff       time.Duration
-	MaxBackoff       time.Duration
+	PongTimeout      time.Duration // a connection is closed after PingInterval + PongTimeout without a pong or ping
+	MinBackoff       time.Duration // first step of the delay before a reconnection; it doubles
+	MaxBackoff       time.Duration // largest step of that delay
 
 	// Initialized tells probes whether this member has a group's log; nil means that
 	// it has none.
@@ -119,8 +118,11 @@
 
 // Stats counts messages and notices since New.
 type Stats struct {
-	Sent     uint64 // written to a connection
-	Dropped  uint64 // dropped because of a full queue, a broken connection or an unknown receiver
+	Sent uint64 // written to a connection
+	// Dropped counts what a full queue dropped, messages to an unknown receiver, and messages
+	// left when a write failed. It does not count notices to an unknown receiver, notices
+	// lost with a connection, or messages lost in a failed flush.
+	Dropped  uint64
 	Received uint64
 }
 
@@ -219,16 +221,16 @@
 	t.linkMutex.RLock()
 	defer t.linkMutex.RUnlock()
 	for _, current := range t.links {
-		current.messages.notify(payload)
+		current.messages.putNotice(payload)
 	}
 }
 
-// NotifyOne is like Notify for a single peer.
+// NotifyOne is like Notify for a single peer. A notice to an unknown member is dropped.
 func (t *Transport) NotifyOne(payload []byte, member raft.MemberID) {
 	t.linkMutex.RLock()
 	defer t.linkMutex.RUnlock()
 	if current := t.links[member]; current != nil {
-		current.messages.notify(payload)
+		current.messages.putNotice(payload)
 	}
 }
 
--- a/connection/singleuse/client.go
+++ b/connection/singleuse/client.go
@@ -1,8 +1,8 @@
 // Package singleuse provides HTTP clients that open a new connection for each request.
 //
 // On a persistent connection a response is matched to its request only by order. If
-// the server sends one response too many after the next request was written, that
-// response is taken for the next request's, and every later response is off by one.
+// the server sends a second response to one request, it is taken for the response to the
+// next request, and every later response is off by one.
 // The first response on a new connection can belong to no other request. These
 // clients are therefore meant for protocols whose responses do not identify their
 // request.
@@ -18,11 +18,11 @@
 const (
 	// maxHeaderBytes limits the size of a response header.
 	maxHeaderBytes = 64 << 10
-	// dialTimeout limits connecting when the caller passes no Dial function.
+	// dialTimeout limits connecting when the caller of NewClient passes no Dial.
 	dialTimeout = 5 * time.Second
 )
 
-// Dial opens the connection for one request.
+// Dial opens the connection for one request. It must have its own timeout; see NewClient.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
 // NewClient returns a client that opens its connections with dial; nil uses a net.Dialer.
@@ -31,7 +31,8 @@
 // Each request carries "Connection: close". A server that responds before it has read
 // a long body may then reset the connection, so these clients are unsuitable for long
 // bodies. The client never retries a request, uses no proxy, and follows no redirects,
-// since a request is meant only for the address it was sent to.
+// since a request is meant only for the address it was sent to. It sets no total timeout;
+// the request's context must limit it.
 func NewClient(dial Dial) *http.Client {
 	if dial == nil {
 		dialer := net.Dialer{Timeout: dialTimeout}
@@ -44,8 +45,8 @@
 			DisableCompression:     true,
 			MaxResponseHeaderBytes: maxHeaderBytes,
 		},
-		CheckRedirect: returnRedirect,
+		CheckRedirect: doNotFollow,
 	}
 }
 
-func returnRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+func doNotFollow(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
--- a/connection/upstream/conn.go
+++ b/connection/upstream/conn.go
@@ -7,27 +7,27 @@
 	"github.com/pkg/errors"
 )
 
-// ErrSealed is returned by writes to a sealed connection.
-var ErrSealed = errors.New("connection sealed")
+// errClosedForWrites is returned by writes after closeAndReportWritten or closeUnlessReused.
+var errClosedForWrites = errors.New("upstream: connection closed for writes")
 
 // trackedConn records whether any byte was passed to the operating system since the start
 // of the current exchange. httptrace cannot tell this exactly: the transport buffers
 // headers, so WroteHeaders may be called before or after the first byte is written.
 type trackedConn struct {
 	net.Conn
-	lock      sync.Mutex
-	exchanges int // number of exchanges that used the connection
-	wrote     bool
-	sealed    bool
+	lock            sync.Mutex
+	exchanges       int // number of exchanges that used the connection
+	wrote           bool
+	closedForWrites bool
 }
 
-// Write records the write before it happens, so that a write that races with seal is either
-// reported by seal or never happens.
+// Write records the write before it happens, so that a write that races with
+// closeAndReportWritten is either reported by it or never happens.
 func (c *trackedConn) Write(data []byte) (int, error) {
 	c.lock.Lock()
-	if c.sealed {
+	if c.closedForWrites {
 		c.lock.Unlock()
-		return 0, ErrSealed
+		return 0, errClosedForWrites
 	}
 	c.wrote = true
 	c.lock.Unlock()
@@ -45,13 +45,12 @@
 
 // closeUnlessReused closes the connection, unless a later exchange than the given one
 // already uses it: Transport makes it available to others before the caller sees the end
-// of the body. In that case the response to the later exchange decides whether it stays
-// open.
+// of the body. The response to the later exchange then decides whether it stays open.
 func (c *trackedConn) closeUnlessReused(number int) {
 	c.lock.Lock()
 	current := c.exchanges == number
 	if current {
-		c.sealed = true
+		c.closedForWrites = true
 	}
 	c.lock.Unlock()
 	if current {
@@ -59,11 +58,11 @@
 	}
 }
 
-// seal prevents further writes, closes the connection and reports whether a byte was written
+// closeAndReportWritten prevents further writes, closes the connection and reports whether a byte was written
 // during the current exchange.
-func (c *trackedConn) seal() bool {
+func (c *trackedConn) closeAndReportWritten() bool {
 	c.lock.Lock()
-	c.sealed = true
+	c.closedForWrites = true
 	wrote := c.wrote
 	c.lock.Unlock()
 	_ = c.Conn.Close() // the connection is not used any more
--- a/connection/upstream/event.go
+++ b/connection/upstream/event.go
@@ -10,12 +10,12 @@
 
 // Errors of an EventReader.
 var (
-	// ErrCut reports that the stream ended without its terminal event.
-	ErrCut = errors.New("stream ended without its terminal event")
-	// ErrEventTooLarge reports an event larger than the limit.
-	ErrEventTooLarge = errors.New("stream event too large")
+	// ErrIncompleteStream reports that the stream ended without its terminal event.
+	ErrIncompleteStream = errors.New("upstream: stream ended without its terminal event")
+	// ErrEventTooLarge reports an event, or a line of one, larger than the limit.
+	ErrEventTooLarge = errors.New("upstream: stream event too large")
 	// ErrAfterTerminal reports data after the terminal event.
-	ErrAfterTerminal = errors.New("bytes after the terminal event")
+	ErrAfterTerminal = errors.New("upstream: bytes after the terminal event")
 )
 
 // terminalData is the data of the event that ends a complete stream.
@@ -39,8 +39,8 @@
 	line   []byte
 }
 
-// NewEventReader returns a reader of events of at most limit bytes; 0 selects
-// DefaultMaxEvent.
+// NewEventReader returns a reader of events of at most limit bytes, which also limits each
+// line; 0 selects DefaultMaxEvent.
 func NewEventReader(source io.Reader, limit int) *EventReader {
 	if limit <= 0 {
 		limit = DefaultMaxEvent
@@ -48,8 +48,9 @@
 	return &EventReader{reader: bufio.NewReaderSize(source, defaultBufferSize), limit: limit}
 }
 
-// Next returns the next event. It returns io.EOF after the terminal event, ErrCut if the
-// stream ends before it, or the error of the source.
+// Next returns the next event. It returns io.EOF after the terminal event,
+// ErrIncompleteStream if the stream ends before it, ErrAfterTerminal, ErrEventTooLarge, or
+// the error of the source.
 func (r *EventReader) Next() (Event, error) {
 	var event Event
 	r.data = r.data[:0]
@@ -77,7 +78,8 @@
 	}
 }
 
-// readToEnd reads to the end of the stream, so that the connection can be reused.
+// readToEnd reads to the end of the stream, so that the connection can be reused. It returns
+// io.EOF if only line terminators follow.
 func (r *EventReader) readToEnd() error {
 	for {
 		next, err := r.reader.ReadByte()
@@ -126,7 +128,7 @@
 			return trimLine(r.line), nil
 		case errors.Is(err, bufio.ErrBufferFull):
 		case errors.Is(err, io.EOF):
-			return nil, ErrCut
+			return nil, ErrIncompleteStream
 		default:
 			return nil, errors.WithStack(err)
 		}
--- a/connection/upstream/identity.go
+++ b/connection/upstream/identity.go
@@ -13,9 +13,10 @@
 // ErrForeign reports a response or stream event that belongs to another request, attempt
 // or incarnation than the expected one, or a response on a reused connection that does
 // not identify its request.
-var ErrForeign = errors.New("response or event does not match the request")
+var ErrForeign = errors.New("upstream: response or event does not match the request")
 
-// Identity identifies one exchange. It is sent with the request and echoed in the response.
+// Identity identifies one exchange. RequestID and Attempt are sent with the request and
+// echoed in the response.
 type Identity struct {
 	RequestID string // unique to the exchange together with Attempt
 	Attempt   uint32 // 0 for a call without attempts; no attempt header is sent then
@@ -47,7 +48,7 @@
 
 const (
 	echoMatch    echoResult = iota + 1 // identifies this exchange
-	echoMissing                        // identifies no exchange, or only the request or the attempt
+	echoMissing                        // lacks the request ID or the attempt, and contradicts neither
 	echoMismatch                       // identifies another exchange
 )
 
@@ -63,10 +64,10 @@
 	return echoMissing
 }
 
-// maxEchoingHosts is the maximum size of a hostSet.
+// maxEchoingHosts is the maximum size of a hostSet. A further host empties the set first.
 const maxEchoingHosts = 1 << 14
 
-// hostSet holds the hosts whose last response echoed the identity of its request. Removing
+// hostSet holds hosts whose last response echoed the identity of its request. Removing
 // a host is always safe and only costs an extra connection.
 type hostSet struct {
 	lock  sync.RWMutex
--- a/connection/upstream/identity_test.go
+++ b/connection/upstream/identity_test.go
@@ -52,10 +52,9 @@
 	return string(read), nil
 }
 
-// Transport takes the next response on a connection for that to the current request, so the
-// response to another request was returned. Each response that Do returns must be the
-// request's own. A wrong one must be a failure with Wrote set, and its connection must not
-// be reused.
+// Each response that Do returns must be the request's own, although Transport takes the next
+// response on a connection for that to the current request. A wrong one must be a failure
+// with Wrote set, and its connection must not be reused.
 func TestSurplusResponseIsRejected(t *testing.T) {
 	name := func(id, attempt string) http.Header {
 		header := http.Header{}
@@ -210,7 +209,7 @@
 	}
 }
 
-// When a host stopped echoing identities, requests failed even on connections that had carried
+// A host that stops echoing identities must not fail requests on connections that have carried
 // no other request, where no other response can arrive. The second request, which is the
 // first on a persistent connection, must get its response without an echo, and its connection
 // must not be reused.
@@ -241,9 +240,9 @@
 	}
 }
 
-// A host that had stopped echoing identities was still sent requests on reused connections,
-// where each response without an identity is a failure. Only one request may fail; after it
-// the host must no longer count as echoing.
+// When a host stops echoing identities, only one request may fail; after it the host must no
+// longer count as echoing. Otherwise requests would still be sent on reused connections,
+// where each response without an identity is a failure.
 func TestHostIsRemovedAfterMissingEcho(t *testing.T) {
 	const echoed, requests = 4, 10
 	var served atomic.Int32
--- a/connection/upstream/stream.go
+++ b/connection/upstream/stream.go
@@ -13,19 +13,19 @@
 // Errors of a Stream.
 var (
 	// ErrMalformed reports an event that is not a valid StreamEvent.
-	ErrMalformed = errors.New("malformed stream event")
+	ErrMalformed = errors.New("upstream: malformed stream event")
 	// ErrEngine reports that the engine ended the stream with an error event.
-	ErrEngine = errors.New("engine ended the stream with an error")
+	ErrEngine = errors.New("upstream: engine ended the stream with an error")
 )
 
 // eventNameError is the name of error events.
 const eventNameError = "error"
 
-// Frame is one verified event of a run.
+// Frame is one verified event of a run, which is one attempt of a request on an engine.
 type Frame struct {
 	Data   []byte // the event as the engine sent it; valid until the next call of Next
 	Event  engineapi.StreamEvent
-	Tokens int // number of tokens in the event, where each word counts as one token
+	Tokens int // number of tokens in the event; each word counts as one, as on the emulated engine
 }
 
 // Stream reads the events of one run and verifies that each belongs to the run.
@@ -40,8 +40,9 @@
 	return &Stream{events: NewEventReader(source, limit), identity: identity}
 }
 
-// Next returns the next frame, or io.EOF after a complete stream. The stream is unusable
-// after any other error.
+// Next returns the next frame, or io.EOF after a complete stream. Other errors are
+// ErrEngine, ErrMalformed, ErrForeign and those of EventReader.Next; the stream is unusable
+// after them.
 func (s *Stream) Next() (Frame, error) {
 	event, err := s.events.Next()
 	if err != nil {
@@ -54,7 +55,7 @@
 	if err := json.Unmarshal(event.Data, &frame.Event); err != nil {
 		return Frame{}, errors.Wrap(ErrMalformed, err.Error())
 	}
-	if err := s.verify(&frame.Event); err != nil {
+	if err := s.verifyEvent(&frame.Event); err != nil {
 		return Frame{}, err
 	}
 	frame.Tokens = countTokens(frame.Event.Choices)
@@ -64,8 +65,9 @@
 // Buffered reports whether unread data of the stream has already arrived.
 func (s *Stream) Buffered() bool { return s.events.reader.Buffered() > 0 }
 
-// verify checks that the event belongs to the run.
-func (s *Stream) verify(event *engineapi.StreamEvent) error {
+// verifyEvent checks that the event belongs to the run. If no incarnation is expected yet,
+// that of the event becomes the expected one.
+func (s *Stream) verifyEvent(event *engineapi.StreamEvent) error {
 	if s.identity.Incarnation == 0 {
 		s.identity.Incarnation = event.Incarnation
 	}
--- a/connection/upstream/upstream.go
+++ b/connection/upstream/upstream.go
@@ -1,14 +1,14 @@
 // Package upstream is the HTTP client for engines and backends. It uses http.Transport
-// instead of go-zero's httpc, because the data path must control what httpc decides by
-// itself: which connections are pooled together, when a response body is read, and above
-// all that no request is ever sent twice. Transport retries a request on a reused
+// instead of go-zero's httpc, because the path of tenants' requests must control what httpc
+// decides by itself: which connections are pooled together, when a response body is read,
+// and above all that no request is ever sent twice. Transport retries a request on a reused
 // connection that broke, if the request counts as replayable. Requests sent here never
-// do; see preventReplay.
+// count as replayable; see preventReplay.
 //
 // Transport also takes the next bytes on a connection for the response to the request
 // written last. Pool.Do therefore returns a response only if it provably belongs to the
-// request: either it echoes the identity of the request, or its connection has carried no
-// other request and never will.
+// request: either it echoes the identity of the request, or its connection is used for this
+// request only.
 package upstream
 
 import (
@@ -29,10 +29,10 @@
 type Config struct {
 	DialTimeout     time.Duration
 	IdleTimeout     time.Duration // of pooled connections
-	MaxIdlePerHost  int
-	MaxHeaderBytes  int64
-	ReadBufferSize  int
-	WriteBufferSize int
+	MaxIdlePerHost  int           // idle connections
+	MaxHeaderBytes  int64         // per response
+	ReadBufferSize  int           // bytes per connection
+	WriteBufferSize int           // bytes per connection
 	// Foreign, if not nil, is called with each response that does not provably belong to
 	// its request, and the address of the server that sent it.
 	Foreign func(address string, cause error)
@@ -80,7 +80,7 @@
 	singleUse  *http.Transport // uses each connection for one request only
 	// echoingHosts holds the hosts for which persistent is used.
 	echoingHosts hostSet
-	onForeign    func(address string, cause error)
+	onUnmatched  func(address string, cause error)
 }
 
 // NewPool returns an empty pool.
@@ -91,7 +91,7 @@
 	// close immediately, and a request body that they have not read then causes a
 	// connection reset before the response is read.
 	singleUse.MaxIdleConnsPerHost = noIdleConns
-	return &Pool{persistent: persistent, singleUse: singleUse, onForeign: config.Foreign}
+	return &Pool{persistent: persistent, singleUse: singleUse, onUnmatched: config.Foreign}
 }
 
 func newTransport(config Config) *http.Transport {
@@ -143,8 +143,8 @@
 
 // preventReplay modifies the request so that Transport does not replay it: its body is not nil,
 // and it has no GetBody and no idempotency header. A request without a body gets an empty
-// body of unknown length, which Transport probes and, for methods that usually have
-// no body, sends as no body.
+// body of unknown length. Transport probes it and, for methods that usually have no body,
+// sends none.
 func preventReplay(request *http.Request) {
 	StripHeaders(request.Header)
 	request.GetBody = nil
@@ -163,57 +163,57 @@
 // plainBody hides all methods of the caller's body but Read and Close.
 type plainBody struct{ io.ReadCloser }
 
-// Exchange tracks the connections used by one request.
-type Exchange struct {
+// requestConns tracks the connections used by one request.
+type requestConns struct {
 	lock   sync.Mutex
-	conns  []exchangeConn
+	conns  []requestConn
 	reused bool // the connection had carried another request before
 }
 
-// exchangeConn is a connection used by an exchange.
-type exchangeConn struct {
+// requestConn is a connection used by a request.
+type requestConn struct {
 	*trackedConn
 	number int // number of the exchange on the connection
 }
 
 // gotConn records a connection that Transport assigned to the request.
-func (e *Exchange) gotConn(info httptrace.GotConnInfo) {
+func (r *requestConns) gotConn(info httptrace.GotConnInfo) {
 	conn, tracked := info.Conn.(*trackedConn)
 	if !tracked {
 		return
 	}
-	used := exchangeConn{trackedConn: conn, number: conn.beginExchange()}
-	e.lock.Lock()
-	defer e.lock.Unlock()
-	e.conns = append(e.conns, used)
-	e.reused = e.reused || info.Reused
+	used := requestConn{trackedConn: conn, number: conn.beginExchange()}
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	r.conns = append(r.conns, used)
+	r.reused = r.reused || info.Reused
 }
 
 // usedReusedConn reports whether the request used a connection that had carried another
 // request, a response to which may therefore still arrive.
-func (e *Exchange) usedReusedConn() bool {
-	e.lock.Lock()
-	defer e.lock.Unlock()
-	return e.reused
+func (r *requestConns) usedReusedConn() bool {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	return r.reused
 }
 
 // closeConns closes the connections of the exchange after its response.
-func (e *Exchange) closeConns() {
-	e.lock.Lock()
-	defer e.lock.Unlock()
-	for _, conn := range e.conns {
+func (r *requestConns) closeConns() {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	for _, conn := range r.conns {
 		conn.closeUnlessReused(conn.number)
 	}
 }
 
-// abort seals every connection that the request used and reports whether a byte was written
-// on any of them.
-func (e *Exchange) abort() bool {
-	e.lock.Lock()
-	defer e.lock.Unlock()
+// abort closes every connection that the request used, so that no further write succeeds,
+// and reports whether a byte was written on any of them.
+func (r *requestConns) abort() bool {
+	r.lock.Lock()
+	defer r.lock.Unlock()
 	wrote := false
-	for _, conn := range e.conns {
-		if conn.seal() {
+	for _, conn := range r.conns {
+		if conn.closeAndReportWritten() {
 			wrote = true
 		}
 	}
@@ -236,15 +236,16 @@
 // Do sends the request once with the identity and returns the response after reading its
 // header. Redirects are not followed. The error is always a *Failure; its cause is
 // ErrForeign if the response does not provably belong to the request. The caller must
-// close the response body. If it is closed before its end, the connection is closed.
+// close the response body. If it is closed before its end, the connection is closed. Do
+// modifies the request's header; see StripHeaders.
 func (p *Pool) Do(request *http.Request, identity Identity) (*http.Response, error) {
-	exchange := &Exchange{}
+	exchange := &requestConns{}
 	trace := &httptrace.ClientTrace{GotConn: exchange.gotConn}
 	request = request.WithContext(httptrace.WithClientTrace(request.Context(), trace))
 	preventReplay(request)
 	identity.setHeaders(request.Header)
 	host := request.URL.Host
-	response, err := p.transport(p.echoingHosts.has(host)).RoundTrip(request)
+	response, err := p.transportFor(p.echoingHosts.has(host)).RoundTrip(request)
 	if err != nil {
 		return nil, &Failure{Wrote: exchange.abort(), Cause: errors.WithStack(err)}
 	}
@@ -252,10 +253,10 @@
 	response.Body = body
 	got := identity.compareEcho(response.Header)
 	p.recordEcho(host, got)
-	if err := verify(got, exchange.usedReusedConn(), &identity, response.Header); err != nil {
+	if err := verifyEcho(got, exchange.usedReusedConn(), &identity, response.Header); err != nil {
 		exchange.abort() // further responses on this connection cannot be matched either
 		_ = response.Body.Close()
-		p.onForeign(host, err)
+		p.onUnmatched(host, err)
 		return nil, &Failure{Wrote: true, Cause: err}
 	}
 	if got != echoMatch {
@@ -264,7 +265,7 @@
 	return response, nil
 }
 
-func (p *Pool) transport(reuse bool) *http.Transport {
+func (p *Pool) transportFor(reuse bool) *http.Transport {
 	if reuse {
 		return p.persistent
 	}
@@ -272,8 +273,8 @@
 }
 
 // recordEcho records whether connections to the host can be reused. A host that does not echo
-// identities costs a connection for each request. Every host costs that for its first
-// request, since only a response shows whether it echoes.
+// identities needs a new connection for each request. So does the first request to any host,
+// since only a response shows whether it echoes.
 func (p *Pool) recordEcho(host string, got echoResult) {
 	switch got {
 	case echoMatch:
@@ -283,9 +284,9 @@
 	}
 }
 
-// verify returns ErrForeign unless the response provably belongs to the exchange. A response
-// without an identity does if its connection has carried no other request.
-func verify(got echoResult, reused bool, identity *Identity, header http.Header) error {
+// verifyEcho returns ErrForeign unless the response provably belongs to the exchange. A response
+// without an identity belongs to it if the connection has carried no other request.
+func verifyEcho(got echoResult, reused bool, identity *Identity, header http.Header) error {
 	if got == echoMatch || got == echoMissing && !reused {
 		return nil
 	}
@@ -293,12 +294,12 @@
 		header.Get(engineapi.HeaderRequestID), header.Get(engineapi.HeaderAttempt), identity.RequestID, identity.Attempt)
 }
 
-// responseBody closes the connection immediately if it is closed before its end. Transport
-// might otherwise read the rest to keep the connection, and the engine would not notice
-// the cancellation.
+// responseBody closes its connection immediately when the caller closes the body before the
+// end. Transport might otherwise read the rest to keep the connection, and the engine would
+// not notice the cancellation.
 type responseBody struct {
 	io.ReadCloser
-	exchange   *Exchange
+	exchange   *requestConns
 	ended      bool
 	closeAtEnd bool // the connection is closed after this body
 }
@@ -336,9 +337,10 @@
 }
 
 // SurelyRefused reports whether the response is an engine's explicit refusal before
-// admission. It requires the identity in the response: Do has compared it, but accepts a
-// response without one on a dedicated connection. Such a response does not prove a
-// refusal, since a server may respond before it has read the request.
+// admission. It requires the identity in the response, with an attempt: Do has compared it,
+// but accepts a response without one on a dedicated connection. Such a response does not
+// prove a refusal, since a server may respond before it has read the request. For calls
+// without attempts the result is always false.
 func SurelyRefused(response *http.Response) bool {
 	header := response.Header
 	named := header.Get(engineapi.HeaderRequestID) != "" && header.Get(engineapi.HeaderAttempt) != ""
--- a/connection/upstream/upstream_test.go
+++ b/connection/upstream/upstream_test.go
@@ -34,9 +34,9 @@
 	return "HTTP/1.1 " + status + "\r\n" + head.String() + "Content-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
 }
 
-// prime sends a first request to the host, whose response shows the pool that the host echoes
+// markHostAsEchoing sends a first request to the host, whose response shows the pool that the host echoes
 // identities and its connections can be reused.
-func prime(t *testing.T, pool *Pool, request *http.Request) {
+func markHostAsEchoing(t *testing.T, pool *Pool, request *http.Request) {
 	t.Helper()
 	response, err := pool.Do(request, testIdentity)
 	must.NoError(t, err)
@@ -124,7 +124,7 @@
 			server := newClosingServer(t)
 			pool := NewPool(Config{})
 			defer pool.Close()
-			prime(t, pool, server.request(t, test.method, test.body))
+			markHostAsEchoing(t, pool, server.request(t, test.method, test.body))
 			first, err := pool.Do(server.request(t, test.method, test.body), testIdentity)
 			must.NoError(t, err)
 			drain(t, first)
@@ -166,19 +166,19 @@
 	must.False(t, failure.Wrote)
 }
 
-func TestSealRacesWithWrite(t *testing.T) {
+func TestCloseRacesWithWrite(t *testing.T) {
 	for range 200 {
-		near, far := net.Pipe()
-		go func() { _, _ = io.Copy(io.Discard, far) }()
-		conn := &trackedConn{Conn: near}
+		client, server := net.Pipe()
+		go func() { _, _ = io.Copy(io.Discard, server) }()
+		conn := &trackedConn{Conn: client}
 		var wrote bool
 		var count int
 		var both sync.WaitGroup
 		both.Go(func() { count, _ = conn.Write([]byte("x")) })
-		both.Go(func() { wrote = conn.seal() })
+		both.Go(func() { wrote = conn.closeAndReportWritten() })
 		both.Wait()
 		must.False(t, count > 0 && !wrote)
-		_ = far.Close()
+		_ = server.Close()
 	}
 }
 
