--- a/connection/operator/calls.go
+++ b/connection/operator/calls.go
@@ -142,7 +142,7 @@
 
 // Release releases a quarantined request, so that it may run again. It is not resent if
 // the response was lost, since the request may have been quarantined again in the
-// meantime.
+// meantime; check its quarantine record instead, which this client cannot read.
 func (c *Client) Release(ctx context.Context, fingerprint string) (operatorapi.Released, error) {
 	received, err := c.callWithRetries(ctx, request{
 		method: http.MethodDelete,
