--- a/connection/exchange/conn.go
+++ b/connection/exchange/conn.go
@@ -11,77 +11,78 @@
 	"golang.org/x/sys/unix"
 )
 
-// readBufferBytes holds a head and most answers of plain services.
+// readBufferBytes fits a response header and most complete short responses.
 const readBufferBytes = 4 << 10
 
-// conn is one connection to a replica. One request at a time uses it.
+// conn is one connection to a server. It carries one request at a time.
 type conn struct {
 	net.Conn
-	list        *idleList // where it is kept while it is idle
+	list        *idleList // holds the connection while it is idle
 	reader      *bufio.Reader
 	openedAt    time.Duration // by the pool's clock
-	usableUntil time.Duration
-	// maxHead bounds the heads before one answer, in bytes; headLeft is what is left of
-	// it while inHead.
-	maxHead  int64
-	headLeft int64
-	inHead   bool
-	answered atomic.Bool // the head of the present answer was read
+	usableUntil time.Duration // by the pool's clock; set when the connection becomes idle
+	// maxHeaderBytes limits the total size of the headers of one response, informational
+	// responses included; headerBytesLeft is the remainder of it while readingHeader.
+	maxHeaderBytes  int64
+	headerBytesLeft int64
+	readingHeader   bool
+	headerRead      atomic.Bool // the header of the current response was read
 }
 
-func newConn(raw net.Conn, list *idleList, maxHead int64) *conn {
-	created := &conn{Conn: raw, list: list, maxHead: maxHead}
+func newConn(raw net.Conn, list *idleList, maxHeaderBytes int64) *conn {
+	created := &conn{Conn: raw, list: list, maxHeaderBytes: maxHeaderBytes}
 	created.reader = bufio.NewReaderSize(created, readBufferBytes)
 	return created
 }
 
-// errHeadTooLong says that the head of an answer is longer than the bound.
-var errHeadTooLong = errors.New("exchange: head of an answer is too long")
+// errHeaderTooLarge reports a response header larger than the limit.
+var errHeaderTooLarge = errors.New("exchange: response header too large")
 
-// Read reads from the connection, within the bound while a head is read.
+// Read reads from the connection. While a header is read it enforces the size limit.
 func (c *conn) Read(buffer []byte) (int, error) {
-	if !c.inHead {
+	if !c.readingHeader {
 		return c.Conn.Read(buffer)
 	}
-	if c.headLeft <= 0 {
-		return 0, errHeadTooLong
+	if c.headerBytesLeft <= 0 {
+		return 0, errHeaderTooLarge
 	}
-	count, err := c.Conn.Read(buffer[:min(int64(len(buffer)), c.headLeft)])
-	c.headLeft -= int64(count)
+	count, err := c.Conn.Read(buffer[:min(int64(len(buffer)), c.headerBytesLeft)])
+	c.headerBytesLeft -= int64(count)
 	return count, err
 }
 
-func (c *conn) beginHead() { c.inHead, c.headLeft = true, c.maxHead }
+func (c *conn) beginHeader() { c.readingHeader, c.headerBytesLeft = true, c.maxHeaderBytes }
 
-func (c *conn) endHead() { c.inHead = false }
+func (c *conn) endHeader() { c.readingHeader = false }
 
-// errNoDescriptor says that a connection has no descriptor of the system's.
-var errNoDescriptor = errors.New("exchange: connection without a descriptor")
+// errNoFileDescriptor reports a connection that has no file descriptor.
+var errNoFileDescriptor = errors.New("exchange: connection has no file descriptor")
 
-func (c *conn) raw() (syscall.RawConn, error) {
+func (c *conn) rawConn() (syscall.RawConn, error) {
 	system, ok := c.Conn.(syscall.Conn)
 	if !ok {
-		return nil, errNoDescriptor
+		return nil, errNoFileDescriptor
 	}
 	return system.SyscallConn()
 }
 
-// quiet reports whether the idle connection is open and nothing has come on it:
-// bytes that nobody asked for belong to no request.
-func (c *conn) quiet() bool {
+// isOpenAndQuiet reports whether the idle connection is still open and no data has arrived
+// on it. Unsolicited bytes belong to no request, so a connection that has them
+// must not be reused. It peeks at the socket without blocking.
+func (c *conn) isOpenAndQuiet() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
-	raw, err := c.raw()
+	raw, err := c.rawConn()
 	if err != nil {
-		return true // nothing can be looked at
+		return true // the socket cannot be inspected
 	}
-	quiet := false
+	empty := false
 	err = raw.Read(func(descriptor uintptr) bool {
 		var peeked [1]byte
 		_, _, err := unix.Recvfrom(int(descriptor), peeked[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = errors.Is(err, unix.EAGAIN)
+		empty = errors.Is(err, unix.EAGAIN)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && empty
 }
--- a/connection/exchange/dial_test.go
+++ b/connection/exchange/dial_test.go
@@ -10,8 +10,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// lateContext says that it has ended some time after its deadline, as one may whose timer
-// fires late.
+// lateContext ends some time after its deadline, as a context does whose timer fires
+// late.
 type lateContext struct {
 	context.Context
 	deadline time.Time
@@ -19,11 +19,11 @@
 
 func (c lateContext) Deadline() (time.Time, bool) { return c.deadline, true }
 
-// A request's time ran out while a connection to a replica was opened, and the replica
-// was made suspect for it: the dial sets the context's deadline on its socket, which ended
-// it a moment before the context, and who asked the context found it running. On the code
-// before, this test gets its failure at the deadline.
-func TestDialEndsNoEarlierThanItsContext(t *testing.T) {
+// Do must not fail before ctx ends. A dialer that sets the context's deadline on the socket
+// fails shortly before, and a caller that finds the context still active then marks the
+// replica as suspect. Here such a dialer fails at the deadline, 90 ms before the context
+// ends.
+func TestDialFailsNoEarlierThanContextEnds(t *testing.T) {
 	hanging, err := backlog.NewFull()
 	must.NoError(t, err)
 	defer hanging.Close()
@@ -31,7 +31,7 @@
 	running, cancel := context.WithCancel(t.Context())
 	defer time.AfterFunc(100*time.Millisecond, cancel).Stop()
 	ctx := lateContext{Context: running, deadline: time.Now().Add(10 * time.Millisecond)}
-	_, err = pool.Do(ctx, hanging.Address(), get("/"))
+	_, err = pool.Do(ctx, hanging.Address(), newGet("/"))
 	var failure *Failure
 	must.True(t, errors.As(err, &failure))
 	must.True(t, failure.Connecting)
--- a/connection/exchange/exchange.go
+++ b/connection/exchange/exchange.go
@@ -13,137 +13,142 @@
 	"github.com/pkg/errors"
 )
 
-// Request is what is sent. Nothing is added to it but the framing of its body.
+// Request is sent exactly as given; only the framing of its body is added.
 type Request struct {
 	Method string
-	Target string // as it stands in the request line
+	Target string // request target as written in the request line
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Chunked sends the body in chunks instead of with its length.
+	// Chunked sends the body with chunked transfer encoding instead of Content-Length.
 	Chunked bool
-	// Permit, if not nil, is asked last before the request is written, when it has its
-	// connection: opening one can take longer than the reason to send lasts. An error ends
-	// the exchange, and no byte is sent.
+	// Permit, if not nil, is called once a connection is available, immediately before
+	// the request is written, because the request may have become unsendable while the
+	// connection was opened. An error ends the exchange before any byte is sent.
 	Permit func() error
-	// Overheard, if not nil, is told of the heads that come behind an answer to another
-	// request, after which the exchange has failed: none can be told to be the request's own,
-	// but all are the other side's word. So are those that come just after ctx has ended. It may
-	// be called once the exchange is over.
+	// Overheard, if not nil, is called with each late response header: one that arrives
+	// after the exchange has failed with a response to another request, or shortly after
+	// ctx has ended. Such a header cannot be matched to the request reliably, but it comes
+	// from the server and may, for example, contain Retry-After. It may be called after Do
+	// has returned.
 	Overheard func(status int, header http.Header)
-	// Identity ties the answer to the request. A request without one, and a HEAD, goes
-	// over a connection of its own, which serves nothing before or after it.
+	// Identity matches the response to the request. A request without one and a HEAD
+	// request use a dedicated connection that carries no other request.
 	Identity Identity
 }
 
-// Failure is a request that brought no answer.
+// Failure is the error of a request that got no response.
 type Failure struct {
-	// Sent is false when surely no byte was written.
+	// Sent is false only if it is certain that no byte was written.
 	Sent bool
-	// Connecting is true when no connection was had.
+	// Connecting is true if no connection could be obtained.
 	Connecting bool
-	// Reused is true when the connection had served other requests before.
+	// Reused is true if the connection had carried other requests before; always false
+	// with Connecting.
 	Reused bool
 	Cause  error
-	// Foreign are the answers to other requests that came instead.
+	// Foreign holds the unmatched responses, those to other requests, that arrived instead.
 	Foreign []*ForeignAnswer
 }
 
-// Error returns the cause's text.
+// Error returns the text of the cause.
 func (f *Failure) Error() string { return f.Cause.Error() }
 
 // Unwrap returns the cause.
 func (f *Failure) Unwrap() error { return f.Cause }
 
-// Answer is the head of an answer; its body is read by Read and ended by Close.
+// Answer is a response whose header was received. Read reads its body, Close ends it.
 type Answer struct {
 	Status int
 	Header http.Header
-	// Length is that of the body, -1 if it is not known beforehand.
+	// Length is the length of the body, -1 if unknown.
 	Length int64
+	// Reused is true if the connection had carried other requests before.
 	Reused bool
-	// Opened is when its connection was opened, by the pool's clock: the process that
-	// answers has lived since then.
+	// Opened is when the connection was opened, by the pool's clock: the process at the
+	// remote end of the connection has been running at least since then.
 	Opened time.Duration
-	// Foreign are answers to other requests that came before it and were passed over.
+	// Foreign holds the unmatched responses that arrived first and were skipped.
 	Foreign []*ForeignAnswer
 
-	pool     *Pool
-	conn     *conn
-	body     io.ReadCloser
-	ended    bool // the body was read to its end
-	lasting  bool // the connection may serve another request
-	written  *atomic.Bool
-	detach   func() bool
-	released atomic.Bool
+	pool           *Pool
+	conn           *conn
+	body           io.ReadCloser
+	bodyRead       bool // the body was read completely
+	reusable       bool // the connection may carry another request
+	requestWritten *atomic.Bool
+	stopCancel     func() bool
+	closed         atomic.Bool
 }
 
-// Do writes the request once and returns the head of the answer that its identity
-// proves to be its own. Informational answers are passed over, redirects are answers
-// like any other. A failure is always a *Failure; its cause is a *ForeignAnswer where
-// another request's answer came instead. When ctx ends, the connection is closed. The
-// caller closes the answer.
+// Do writes the request once and returns the response that matches its identity,
+// after reading the response header. Informational responses are skipped and
+// redirects are not followed. The error is always a *Failure. Its cause is a
+// *ForeignAnswer if a response to another request arrived instead; otherwise it is the
+// error of Permit, of the connection, or of reading the header. When ctx ends, the
+// connection is closed. The caller must close the returned Answer.
 func (p *Pool) Do(ctx context.Context, address string, request *Request) (*Answer, error) {
-	used, reused, err := p.get(ctx, address, request)
+	used, reused, err := p.acquire(ctx, address, request)
 	if err != nil {
 		return nil, &Failure{Connecting: true, Cause: err}
 	}
-	if err := request.permitted(); err != nil {
+	if err := request.checkPermit(); err != nil {
 		_ = used.Conn.Close() // nothing was written on it
 		return nil, &Failure{Reused: reused, Cause: err}
 	}
-	detach := context.AfterFunc(ctx, func() { used.abandon(request) })
+	stopCancel := context.AfterFunc(ctx, func() { used.interruptOrClose(request) })
 	written, err := p.write(used, request)
 	if err != nil {
-		detach()
+		stopCancel()
 		_ = used.Conn.Close() // nothing was written on it
 		return nil, &Failure{Reused: reused, Cause: errors.WithStack(err)}
 	}
-	response, foreign, err := readOwn(used, request, reused)
+	response, unmatched, err := readMatching(used, request, reused)
 	if err != nil {
-		if detach() {
-			used.endAfter(request, response)
+		if stopCancel() {
+			used.closeAfterFailure(request, response)
 		} else {
-			used.endAbandoned(request)
+			used.closeAfterCancel(request)
 		}
-		return nil, &Failure{Sent: true, Reused: reused, Cause: errors.WithStack(err), Foreign: foreign}
+		return nil, &Failure{Sent: true, Reused: reused, Cause: errors.WithStack(err), Foreign: unmatched}
 	}
-	used.answered.Store(true)
+	used.headerRead.Store(true)
 	return &Answer{
-		Status:  response.StatusCode,
-		Header:  response.Header,
-		Length:  response.ContentLength,
-		Reused:  reused,
-		Opened:  used.openedAt,
-		Foreign: foreign,
-		pool:    p,
-		conn:    used,
-		body:    response.Body,
-		lasting: !response.Close && request.sharesConnections() && len(foreign) == 0,
-		written: written,
-		detach:  detach,
+		Status:         response.StatusCode,
+		Header:         response.Header,
+		Length:         response.ContentLength,
+		Reused:         reused,
+		Opened:         used.openedAt,
+		Foreign:        unmatched,
+		pool:           p,
+		conn:           used,
+		body:           response.Body,
+		reusable:       !response.Close && request.sharesConnections() && len(unmatched) == 0,
+		requestWritten: written,
+		stopCancel:     stopCancel,
 	}, nil
 }
 
-func (r *Request) permitted() error {
+// checkPermit calls Permit, if set.
+func (r *Request) checkPermit() error {
 	if r.Permit == nil {
 		return nil
 	}
 	return r.Permit()
 }
 
-// directBytes is up to which size a request is written before its answer is
-// read. Larger ones are written beside the reading, since the other side may
-// answer before it has read them.
-const directBytes = 4 << 10
+// maxSyncWriteBytes is the largest request that is written before its response is read.
+// Larger requests are written concurrently with reading, since the server may
+// respond before it has read them.
+const maxSyncWriteBytes = 4 << 10
 
-// write sends the request and returns what becomes true once all of it was
-// written. An error says that no byte was; any other failed write shows when the
-// answer is read.
+// write sends the request. The returned flag becomes true once the request is
+// completely written. An error means that no byte was written; any other write
+// failure surfaces when the response is read.
 func (p *Pool) write(to *conn, request *Request) (*atomic.Bool, error) {
 	data := appendRequest(nil, request)
 	written := &atomic.Bool{}
-	if len(data) <= directBytes {
+	if len(data) <= maxSyncWriteBytes {
 		count, err := to.Conn.Write(data)
 		written.Store(err == nil)
 		if count == 0 {
@@ -158,8 +163,8 @@
 	return written, nil
 }
 
-// appendRequest appends the bytes of the request. Fields are in the order of
-// their names, so that equal requests have equal bytes.
+// appendRequest appends the encoded request. Header fields are sorted by name, so
+// that equal requests have equal encodings.
 func appendRequest(b []byte, request *Request) []byte {
 	b = append(b, request.Method...)
 	b = append(b, ' ')
@@ -183,6 +188,7 @@
 	return appendBody(b, request)
 }
 
+// appendBody appends the framing headers, the end of the header and the body.
 func appendBody(b []byte, request *Request) []byte {
 	switch {
 	case request.Chunked:
@@ -194,7 +200,7 @@
 			b = append(b, "\r\n"...)
 		}
 		return append(b, "0\r\n\r\n"...)
-	case len(request.Body) > 0 || mayHaveBody(request.Method):
+	case len(request.Body) > 0 || alwaysSendsLength(request.Method):
 		b = append(b, "Content-Length: "...)
 		b = strconv.AppendInt(b, int64(len(request.Body)), 10)
 		b = append(b, "\r\n\r\n"...)
@@ -204,16 +210,20 @@
 	}
 }
 
-func mayHaveBody(method string) bool {
+// alwaysSendsLength reports whether requests of the method state their length even without a
+// body.
+func alwaysSendsLength(method string) bool {
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
 
-func readHead(from *conn, method string) (*http.Response, error) {
-	asked := &http.Request{Method: method}
-	from.beginHead()
-	defer from.endHead()
+// readHeader reads the next response header. Informational ones are skipped, except for
+// 101 (Switching Protocols).
+func readHeader(from *conn, method string) (*http.Response, error) {
+	request := &http.Request{Method: method}
+	from.beginHeader()
+	defer from.endHeader()
 	for {
-		response, err := http.ReadResponse(from.reader, asked)
+		response, err := http.ReadResponse(from.reader, request)
 		if err != nil {
 			return nil, err
 		}
@@ -223,52 +233,53 @@
 	}
 }
 
-// Read reads the body. io.EOF comes only after a whole body; a body that ends
-// with its connection is whole unless the connection was reset.
+// Read reads the body. It returns io.EOF only after a complete body; a body that is
+// delimited by the end of its connection is complete unless the connection was reset.
 func (a *Answer) Read(buffer []byte) (int, error) {
 	count, err := a.body.Read(buffer)
 	if err == io.EOF {
-		a.ended = true
+		a.bodyRead = true
 	}
 	return count, err
 }
 
-// Close ends the exchange. The connection is kept only if the answer was read
-// to its end, the whole request was written, and nothing came after the answer.
+// Close ends the exchange. It must not run concurrently with Read. The connection returns to
+// the pool only if the response was read completely, the request was written completely,
+// and no data follows the response.
 func (a *Answer) Close() {
-	if !a.released.CompareAndSwap(false, true) {
+	if !a.closed.CompareAndSwap(false, true) {
 		return
 	}
-	undisturbed := a.detach()
+	notCanceled := a.stopCancel()
 	used := a.conn
-	if !a.ended {
-		a.drainEmpty()
+	if !a.bodyRead {
+		a.markEmptyBodyRead()
 	}
-	if !undisturbed || !a.ended || !a.lasting || !a.written.Load() || used.reader.Buffered() > 0 {
-		_ = used.Conn.Close() // what else comes belongs to no request
+	if !notCanceled || !a.bodyRead || !a.reusable || !a.requestWritten.Load() || used.reader.Buffered() > 0 {
+		_ = used.Conn.Close() // further data would belong to no request
 		return
 	}
 	limit := a.pool.config.IdleTimeout
-	if named, ok := keepAlive(a.Header); ok {
-		limit = min(limit, named-a.pool.config.IdleMargin)
+	if announced, ok := keepAliveTimeout(a.Header); ok {
+		limit = min(limit, announced-a.pool.config.IdleMargin)
 	}
 	if limit <= 0 {
-		_ = used.Conn.Close() // the other side closes it first
+		_ = used.Conn.Close() // the server would close it first
 		return
 	}
 	used.usableUntil = a.pool.config.Clock() + limit
-	a.pool.put(used)
+	a.pool.release(used)
 }
 
-// drainEmpty notes the end of a body that has no bytes.
-func (a *Answer) drainEmpty() {
+// markEmptyBodyRead marks a body of length zero as read completely.
+func (a *Answer) markEmptyBodyRead() {
 	if a.Length == 0 {
-		a.ended = true
+		a.bodyRead = true
 	}
 }
 
-// keepAlive returns the time for which the other side keeps idle connections.
-func keepAlive(header http.Header) (time.Duration, bool) {
+// keepAliveTimeout returns the idle timeout that the server announced in a Keep-Alive header.
+func keepAliveTimeout(header http.Header) (time.Duration, bool) {
 	for _, value := range header["Keep-Alive"] {
 		for part := range strings.SplitSeq(value, ",") {
 			name, number, _ := strings.Cut(strings.TrimSpace(part), "=")
--- a/connection/exchange/foreign.go
+++ b/connection/exchange/foreign.go
@@ -9,123 +9,129 @@
 	"github.com/pkg/errors"
 )
 
-// ForeignAnswer is an answer to another request, or to none that it names, which came
-// where a request's own was due.
+// ForeignAnswer is the error for an unmatched response: one that carries the ID of another
+// request, or none, and arrived in place of a request's own response.
 type ForeignAnswer struct {
-	Answered string // the ID that it names, empty for none
+	Answered string // request ID that the response carries, empty for none
 	Status   int
 	Header   http.Header
 }
 
-// maxNamedBytes bounds what is kept of an ID that the other side names.
-const maxNamedBytes = 64
+// maxRecordedIDBytes limits the recorded length of a request ID sent by the server.
+const maxRecordedIDBytes = 64
 
-func newForeignAnswer(response *http.Response, identity Identity) *ForeignAnswer {
-	answered := response.Header.Get(identity.Field)
-	return &ForeignAnswer{Answered: answered[:min(len(answered), maxNamedBytes)], Status: response.StatusCode, Header: response.Header}
+func newUnmatchedResponse(response *http.Response, identity Identity) *ForeignAnswer {
+	id := response.Header.Get(identity.Field)
+	return &ForeignAnswer{Answered: id[:min(len(id), maxRecordedIDBytes)], Status: response.StatusCode, Header: response.Header}
 }
 
-// Error says which request was answered.
+// Error returns a text with the status and the request ID of the response.
 func (f *ForeignAnswer) Error() string {
-	return fmt.Sprintf("exchange: answer of status %d to request %q", f.Status, f.Answered)
+	return fmt.Sprintf("exchange: response with status %d has request ID %q", f.Status, f.Answered)
 }
 
-// Bounds of the foreign answers that are passed over on one connection.
+// Limits of the responses to other requests that are skipped on one connection.
 const (
-	maxForeign      = 4
-	maxForeignBytes = 1 << 20
+	maxSkipped      = 4
+	maxSkippedBytes = 1 << 20
 )
 
-// readOwn reads heads until the one of the request's answer. An answer to a request that
-// the connection carried before is one too many, and the request's own comes behind it.
-// The foreign answers are returned in any case; the error is the last of them where no
-// own one follows, and the response is then that one, with what is unread of it.
-func readOwn(from *conn, request *Request, reused bool) (own *http.Response, foreign []*ForeignAnswer, err error) {
+// readMatching reads response headers until one matches the request. A response to an earlier
+// request of the connection is surplus: a second response to a request that already got one.
+// The request's own response follows it.
+// Responses that do not match are always returned. If no matching response can follow,
+// the error is the last of them. That response is then returned as well if its body has
+// not been read, otherwise nil.
+func readMatching(from *conn, request *Request, reused bool) (matched *http.Response, unmatched []*ForeignAnswer, err error) {
 	for {
-		response, err := readHead(from, request.Method)
+		response, err := readHeader(from, request.Method)
 		if err != nil {
-			return nil, foreign, err
+			return nil, unmatched, err
 		}
-		if request.Identity.owns(response.Header, reused) {
-			return response, foreign, nil
+		if request.Identity.matches(response.Header, reused) {
+			return response, unmatched, nil
 		}
-		last := newForeignAnswer(response, request.Identity)
-		foreign = append(foreign, last)
-		surplus := reused && last.Answered != "" && len(foreign) <= maxForeign
-		if !surplus || !mayBePassedOver(response) {
-			return response, foreign, last
+		last := newUnmatchedResponse(response, request.Identity)
+		unmatched = append(unmatched, last)
+		surplus := reused && last.Answered != "" && len(unmatched) <= maxSkipped
+		if !surplus || !canHaveSuccessor(response) {
+			return response, unmatched, last
 		}
-		ended, err := passOver(response)
+		complete, err := discardBody(response)
 		if err != nil {
-			return nil, foreign, err
+			return nil, unmatched, err
 		}
-		if !ended {
-			return nil, foreign, last
+		if !complete {
+			return nil, unmatched, last
 		}
 	}
 }
 
-// mayBePassedOver reports whether an answer can come behind this one, by its head.
-func mayBePassedOver(response *http.Response) bool {
-	return !response.Close && response.ContentLength <= maxForeignBytes
+// canHaveSuccessor reports whether, by its header, another response can follow this one.
+func canHaveSuccessor(response *http.Response) bool {
+	return !response.Close && response.ContentLength <= maxSkippedBytes
 }
 
-// passOver reads a body and reports whether it has ended within the bound.
-func passOver(response *http.Response) (ended bool, err error) {
-	count, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxForeignBytes+1))
-	return count <= maxForeignBytes, errors.WithStack(err)
+// discardBody discards a body and reports whether it ended within the limit.
+func discardBody(response *http.Response) (complete bool, err error) {
+	count, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxSkippedBytes+1))
+	return count <= maxSkippedBytes, errors.WithStack(err)
 }
 
-// overhearTime bounds for how long what comes behind a foreign answer is listened to: a
-// replica that refuses a request answers within some milliseconds. It is also how much later
-// a replica hears that it may stop working.
-const overhearTime = 50 * time.Millisecond
+// lateResponseTimeout limits how long a connection is still read after its exchange has failed
+// or was canceled. A refusal arrives within a few milliseconds. The timeout also delays the
+// server's notice of the cancellation.
+const lateResponseTimeout = 50 * time.Millisecond
 
-// abandon ends an exchange for which nobody waits any more. While its head is still to come,
-// whoever reads it is only stopped: what the other side says then is listened to for a moment.
-func (c *conn) abandon(request *Request) {
-	if request.Overheard == nil || c.answered.Load() {
+// interruptOrClose ends an exchange whose context has ended. If the response header has not been
+// read yet and the caller wants late responses, it only interrupts the reader;
+// closeAfterCancel then reads the connection for a short time and closes it.
+func (c *conn) interruptOrClose(request *Request) {
+	if request.Overheard == nil || c.headerRead.Load() {
 		_ = c.Conn.Close()
 		return
 	}
 	_ = c.Conn.SetReadDeadline(time.Now())
 }
 
-// endAbandoned closes the connection of an exchange that was abandoned before its head came.
-func (c *conn) endAbandoned(request *Request) {
+// closeAfterCancel closes the connection of an exchange that was canceled before its
+// response header arrived. A header that arrives within lateResponseTimeout is passed to
+// Overheard first.
+func (c *conn) closeAfterCancel(request *Request) {
 	if request.Overheard == nil {
 		_ = c.Conn.Close()
 		return
 	}
 	go func() {
-		defer func() { _ = c.Conn.Close() }() // nothing more is expected of it
-		_ = c.Conn.SetReadDeadline(time.Now().Add(overhearTime))
-		if next, err := readHead(c, request.Method); err == nil {
+		defer func() { _ = c.Conn.Close() }() // the connection is not reused
+		_ = c.Conn.SetReadDeadline(time.Now().Add(lateResponseTimeout))
+		if next, err := readHeader(c, request.Method); err == nil {
 			request.Overheard(next.StatusCode, next.Header)
 		}
 	}()
 }
 
-// endAfter closes a connection on which an exchange has failed. Behind an answer to another
-// request, the one to this request may come at once; who asked is told of it.
-func (c *conn) endAfter(request *Request, last *http.Response) {
-	if last == nil || request.Overheard == nil || !mayBePassedOver(last) {
-		_ = c.Conn.Close() // the first error says what is wrong
+// closeAfterFailure closes a connection on which an exchange has failed. The request's own
+// response may still follow the unmatched one, so the headers of the responses that arrive
+// within lateResponseTimeout are passed to Overheard.
+func (c *conn) closeAfterFailure(request *Request, last *http.Response) {
+	if last == nil || request.Overheard == nil || !canHaveSuccessor(last) {
+		_ = c.Conn.Close() // the error of the exchange is already reported
 		return
 	}
 	go func() {
-		defer func() { _ = c.Conn.Close() }() // nothing more is expected of it
-		_ = c.Conn.SetReadDeadline(time.Now().Add(overhearTime))
-		for range maxForeign {
-			if ended, err := passOver(last); err != nil || !ended {
+		defer func() { _ = c.Conn.Close() }() // the connection is not reused
+		_ = c.Conn.SetReadDeadline(time.Now().Add(lateResponseTimeout))
+		for range maxSkipped {
+			if complete, err := discardBody(last); err != nil || !complete {
 				return
 			}
-			next, err := readHead(c, request.Method)
+			next, err := readHeader(c, request.Method)
 			if err != nil {
 				return
 			}
 			request.Overheard(next.StatusCode, next.Header)
-			if last = next; !mayBePassedOver(last) {
+			if last = next; !canHaveSuccessor(last) {
 				return
 			}
 		}
--- a/connection/exchange/identity_test.go
+++ b/connection/exchange/identity_test.go
@@ -14,11 +14,11 @@
 	"github.com/shoenig/test/must"
 )
 
-// What the other side sends in these tests when a connection's second request has
-// arrived: bytes that the look at an idle connection cannot have seen.
+// In these tests the server sends unsolicited bytes only after the second request of a
+// connection has arrived, so that the check of an idle connection cannot detect them.
 
-// answerTo is a whole answer that names the request; empty for one that names none.
-func answerTo(id, body string) string {
+// responseTo returns a complete response that names the request ID; none if it is empty.
+func responseTo(id, body string) string {
 	named := ""
 	if id != "" {
 		named = idField + ": " + id + "\r\n"
@@ -26,72 +26,73 @@
 	return "HTTP/1.1 200 OK\r\n" + named + "Content-Length: " + string(rune('0'+len(body))) + "\r\n\r\n" + body
 }
 
-func TestOnlyItsOwnAnswerIsARequests(t *testing.T) {
+func TestOnlyMatchingResponseIsReturned(t *testing.T) {
 	long := "HTTP/1.1 200 OK\r\nId: first\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nold\r\n0\r\n\r\n"
 	cases := []struct {
 		name   string
 		second func(net.Conn)
-		body   string // empty where there is no answer
+		body   string // empty if the request fails
 	}{
-		{"surplus before its own", say(answerTo("first", "old") + ok), "ok"},
-		{"surplus in chunks", say(long + ok), "ok"},
-		{"surplus without a body", say("HTTP/1.1 503 Busy\r\nId: first\r\nContent-Length: 0\r\n\r\n" + ok), "ok"},
-		{"several", say(strings.Repeat(answerTo("first", "old"), maxForeign) + ok), "ok"},
-		{"too many", say(strings.Repeat(answerTo("first", "old"), maxForeign+1) + ok), ""},
-		{"surplus alone", sayAndClose(answerTo("first", "old")), ""},
-		{"surplus that ends its connection", sayAndClose("HTTP/1.1 200 OK\r\nId: first\r\n\r\nold"), ""},
-		{"surplus that names nobody", say(answerTo("", "old") + ok), ""},
-		{"cut surplus", sayAndClose("HTTP/1.1 200 OK\r\nId: first\r\nContent-Length: 9\r\n\r\nold"), ""},
+		{"surplus before own response", respond(responseTo("first", "old") + okResponse), "ok"},
+		{"chunked surplus", respond(long + okResponse), "ok"},
+		{"surplus without a body", respond("HTTP/1.1 503 Busy\r\nId: first\r\nContent-Length: 0\r\n\r\n" + okResponse), "ok"},
+		{"several", respond(strings.Repeat(responseTo("first", "old"), maxSkipped) + okResponse), "ok"},
+		{"too many", respond(strings.Repeat(responseTo("first", "old"), maxSkipped+1) + okResponse), ""},
+		{"only a surplus response", respondAndClose(responseTo("first", "old")), ""},
+		{"surplus that ends its connection", respondAndClose("HTTP/1.1 200 OK\r\nId: first\r\n\r\nold"), ""},
+		{"surplus that names no request", respond(responseTo("", "old") + okResponse), ""},
+		{"truncated surplus", respondAndClose("HTTP/1.1 200 OK\r\nId: first\r\nContent-Length: 9\r\n\r\nold"), ""},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			server := newReplica(t, say(ok), test.second, say(ok))
+			server := newScriptedServer(t, respond(okResponse), test.second, respond(okResponse))
 			pool := newPool(t)
-			_, err := whole(t, pool, server.address(), getAs("first", "/1"))
+			_, err := fetch(t, pool, server.address(), newGetWithID("first", "/1"))
 			must.NoError(t, err)
-			body, err := whole(t, pool, server.address(), getAs("second", "/2"))
+			body, err := fetch(t, pool, server.address(), newGetWithID("second", "/2"))
 			must.Eq(t, test.body, body)
 			must.Eq(t, test.body == "", err != nil)
-			must.False(t, pool.Idle(server.address()), must.Sprint("a connection that was out of step is not used again"))
-			body, err = whole(t, pool, server.address(), get("/3"))
+			must.False(t, pool.Idle(server.address()), must.Sprint("a connection that carried a surplus response was kept"))
+			body, err = fetch(t, pool, server.address(), newGet("/3"))
 			must.NoError(t, err)
 			must.Eq(t, "ok", body)
 		})
 	}
 }
 
-func TestForeignAnswersAreTold(t *testing.T) {
-	server := newReplica(t, say(ok), say(answerTo("first", "old")+ok), say(answerTo("other", "x")))
+func TestUnmatchedResponsesAreReported(t *testing.T) {
+	server := newScriptedServer(t, respond(okResponse), respond(responseTo("first", "old")+okResponse), respond(responseTo("other", "x")))
 	pool := newPool(t)
-	_, err := whole(t, pool, server.address(), getAs("first", "/1"))
+	_, err := fetch(t, pool, server.address(), newGetWithID("first", "/1"))
 	must.NoError(t, err)
-	answer, err := pool.Do(t.Context(), server.address(), getAs("second", "/2"))
+	response, err := pool.Do(t.Context(), server.address(), newGetWithID("second", "/2"))
 	must.NoError(t, err)
 	head := http.Header{"Content-Length": {"3"}, "Id": {"first"}}
-	must.Eq(t, []*ForeignAnswer{{Answered: "first", Status: http.StatusOK, Header: head}}, answer.Foreign)
-	answer.Close()
+	must.Eq(t, []*ForeignAnswer{{Answered: "first", Status: http.StatusOK, Header: head}}, response.Foreign)
+	response.Close()
 
-	// On a connection that has carried no other request nothing else is to follow.
-	_, err = pool.Do(t.Context(), server.address(), getAs("third", "/3"))
+	// On a connection that has carried no other request, no matching response is expected
+	// to follow.
+	_, err = pool.Do(t.Context(), server.address(), newGetWithID("third", "/3"))
 	var failure *Failure
 	must.True(t, errors.As(err, &failure))
 	must.True(t, failure.Sent)
 	head = http.Header{"Content-Length": {"1"}, "Id": {"other"}}
 	must.Eq(t, []*ForeignAnswer{{Answered: "other", Status: http.StatusOK, Header: head}}, failure.Foreign)
-	var foreign *ForeignAnswer
-	must.True(t, errors.As(err, &foreign))
-	must.Eq(t, "other", foreign.Answered)
+	var unmatched *ForeignAnswer
+	must.True(t, errors.As(err, &unmatched))
+	must.Eq(t, "other", unmatched.Answered)
 }
 
-// A request that is sent again has the ID that it had: an answer to its earlier send
-// must not come where the one to this send is due, however many came between.
-func TestARepeatedRequestGoesOverANewConnection(t *testing.T) {
-	server := newReplica(t, say(ok), say(ok), say(ok), say(ok))
+// A retried request has the same ID as before. The response to its first send must not
+// be taken for that to the retry, however many requests were sent in between.
+func TestRepeatedRequestUsesNewConnection(t *testing.T) {
+	server := newScriptedServer(t, respond(okResponse), respond(okResponse), respond(okResponse), respond(okResponse))
 	pool := newPool(t)
-	again := getAs("a", "/")
-	again.Identity.Repeated = true
-	for _, request := range []*Request{getAs("a", "/"), getAs("b", "/"), again, getAs("c", "/")} {
-		_, err := whole(t, pool, server.address(), request)
+	repeated := newGetWithID("a", "/")
+	repeated.Identity.Repeated = true
+	for _, request := range []*Request{newGetWithID("a", "/"), newGetWithID("b", "/"), repeated, newGetWithID("c", "/")} {
+		_, err := fetch(t, pool, server.address(), request)
 		must.NoError(t, err)
 	}
 	server.lock.Lock()
@@ -99,33 +100,34 @@
 	must.SliceLen(t, 2, server.conns)
 }
 
-// Nothing tells the answer to a request without an ID from a surplus one, nor where the
-// body of an answer ends whose request, a HEAD, is not known any more.
-func TestSomeRequestsShareNoConnection(t *testing.T) {
+// The response to a request without an ID cannot be told from a surplus one. Nor can the
+// end of a surplus response be found if it may belong to an earlier HEAD request.
+func TestRequestsThatShareNoConnection(t *testing.T) {
 	unnamed := &Request{Method: http.MethodDelete, Target: "/", Host: "h", Header: http.Header{}}
-	head := getAs("head", "/")
+	head := newGetWithID("head", "/")
 	head.Method = http.MethodHead
-	for name, alone := range map[string]*Request{"without an ID": unnamed, "HEAD": head} {
+	for name, dedicated := range map[string]*Request{"without an ID": unnamed, "HEAD": head} {
 		t.Run(name, func(t *testing.T) {
-			headOnly := say("HTTP/1.1 200 OK\r\nId: {id}\r\nContent-Length: 0\r\n\r\n")
-			server := newReplica(t, headOnly, say(ok), headOnly, say(ok))
+			headOnly := respond("HTTP/1.1 200 OK\r\nId: {id}\r\nContent-Length: 0\r\n\r\n")
+			server := newScriptedServer(t, headOnly, respond(okResponse), headOnly, respond(okResponse))
 			pool := newPool(t)
-			for i, request := range []*Request{alone, get("/"), alone, get("/")} {
-				answer, err := pool.Do(t.Context(), server.address(), request)
+			for i, request := range []*Request{dedicated, newGet("/"), dedicated, newGet("/")} {
+				response, err := pool.Do(t.Context(), server.address(), request)
 				must.NoError(t, err)
-				must.Eq(t, i == 3, answer.Reused)
-				_, err = io.Copy(io.Discard, answer)
+				must.Eq(t, i == 3, response.Reused)
+				_, err = io.Copy(io.Discard, response)
 				must.NoError(t, err)
-				answer.Close()
+				response.Close()
 				must.Eq(t, i != 0, pool.Idle(server.address()))
 			}
 		})
 	}
 }
 
-// An own answer that cannot come any more is not waited for.
-func TestNothingIsAwaitedBehindASurplusAnswerThatEndsItsConnection(t *testing.T) {
-	long := strings.Repeat("10000\r\n"+strings.Repeat("x", 1<<16)+"\r\n", maxForeignBytes>>16+1)
+// Do must not wait for its own response if the surplus response ends the connection or
+// is too long to skip.
+func TestNoWaitAfterSurplusResponseThatEndsConnection(t *testing.T) {
+	long := strings.Repeat("10000\r\n"+strings.Repeat("x", 1<<16)+"\r\n", maxSkippedBytes>>16+1)
 	for name, head := range map[string]string{
 		"no length":      "\r\nold",
 		"closing":        "Connection: close\r\nContent-Length: 100\r\n\r\nold",
@@ -138,131 +140,131 @@
 				_, _ = conn.Write([]byte("HTTP/1.1 200 OK\r\nId: first\r\n" + head))
 				<-release
 			}
-			server := newReplica(t, say(ok), second)
+			server := newScriptedServer(t, respond(okResponse), second)
 			pool := newPool(t)
-			_, err := whole(t, pool, server.address(), getAs("first", "/"))
+			_, err := fetch(t, pool, server.address(), newGetWithID("first", "/"))
 			must.NoError(t, err)
-			_, err = whole(t, pool, server.address(), getAs("second", "/"))
+			_, err = fetch(t, pool, server.address(), newGetWithID("second", "/"))
 			close(release)
-			var foreign *ForeignAnswer
-			must.True(t, errors.As(err, &foreign))
+			var unmatched *ForeignAnswer
+			must.True(t, errors.As(err, &unmatched))
 		})
 	}
 }
 
-// A side that falls silent within a surplus answer is silent: what it named is told, and
-// is not the cause.
-func TestSilenceWithinASurplusAnswerIsSilence(t *testing.T) {
+// If the server stalls in the middle of a surplus response, the cause of the failure is
+// the stall and not the surplus response, which is only reported in Failure.Foreign.
+func TestStallDuringSurplusResponse(t *testing.T) {
 	release := make(chan struct{})
 	begun := make(chan struct{})
-	server := newReplica(t, say(ok), func(conn net.Conn) {
+	server := newScriptedServer(t, respond(okResponse), func(conn net.Conn) {
 		_, _ = conn.Write([]byte("HTTP/1.1 200 OK\r\nId: first\r\nContent-Length: 100\r\n\r\nold"))
 		close(begun)
 		<-release
 	})
 	defer close(release)
 	pool := newPool(t)
-	_, err := whole(t, pool, server.address(), getAs("first", "/"))
+	_, err := fetch(t, pool, server.address(), newGetWithID("first", "/"))
 	must.NoError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
 		<-begun
-		time.Sleep(50 * time.Millisecond) // lets the surplus head be read; before that the outcome is the same
+		// The surplus header is usually read first; cancellation before that must give the
+		// same result.
+		time.Sleep(50 * time.Millisecond)
 		cancel()
 	}()
-	_, err = pool.Do(ctx, server.address(), getAs("second", "/"))
-	var foreign *ForeignAnswer
+	_, err = pool.Do(ctx, server.address(), newGetWithID("second", "/"))
+	var unmatched *ForeignAnswer
 	must.Error(t, err)
-	must.False(t, errors.As(err, &foreign))
+	must.False(t, errors.As(err, &unmatched))
 }
 
-func TestHeadsAreBounded(t *testing.T) {
+func TestResponseHeaderSizeIsLimited(t *testing.T) {
 	padded := func(size int) string {
 		return "HTTP/1.1 200 OK\r\nId: {id}\r\nPadding: " + strings.Repeat("x", size) + "\r\nContent-Length: 2\r\n\r\nok"
 	}
-	for name, answer := range map[string]string{
+	for name, response := range map[string]string{
 		"one head":      padded(DefaultMaxHeaderBytes + readBufferBytes),
-		"informational": strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", DefaultMaxHeaderBytes/20) + ok,
+		"informational": strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", DefaultMaxHeaderBytes/20) + okResponse,
 		"within bounds": padded(DefaultMaxHeaderBytes / 2),
 	} {
 		t.Run(name, func(t *testing.T) {
-			server := newReplica(t, say(answer))
-			_, err := whole(t, newPool(t), server.address(), get("/"))
-			must.Eq(t, name != "within bounds", errors.Is(err, errHeadTooLong))
+			server := newScriptedServer(t, respond(response))
+			_, err := fetch(t, newPool(t), server.address(), newGet("/"))
+			must.Eq(t, name != "within bounds", errors.Is(err, errHeaderTooLarge))
 		})
 	}
 }
 
-// A connection that is in use when its address is given up belongs to the owner that is
-// gone: whoever has the address next is not asked over it.
-func TestConnectionInUseWhenItsAddressIsGivenUpIsNotKept(t *testing.T) {
-	server := newReplica(t, say(ok))
+// A connection that is in use when its address is dropped leads to the replica that ran
+// there before and must not be used for the next one.
+func TestConnectionInUseIsClosedAfterDrop(t *testing.T) {
+	server := newScriptedServer(t, respond(okResponse))
 	pool := newPool(t)
-	answer, err := pool.Do(t.Context(), server.address(), get("/"))
+	response, err := pool.Do(t.Context(), server.address(), newGet("/"))
 	must.NoError(t, err)
 	pool.Drop(server.address())
-	_, err = io.ReadAll(answer)
+	_, err = io.ReadAll(response)
 	must.NoError(t, err)
-	answer.Close()
+	response.Close()
 	must.False(t, pool.Idle(server.address()))
 }
 
-// What comes behind an answer that ends an exchange is nobody's answer, but its heads are the
-// other side's word, which is passed on.
-func TestHeadsBehindAForeignAnswerAreOverheard(t *testing.T) {
+// Responses that follow one to another request, which ends the exchange, cannot be matched
+// to any request, but their headers come from the server and are passed to Overheard.
+func TestHeadersAfterUnmatchedResponseAreReported(t *testing.T) {
 	const refusal = "HTTP/1.1 503 Service Unavailable\r\nId: second\r\nRetry-After: 3\r\nContent-Length: 0\r\n\r\n"
-	server := newReplica(t, say(ok), say("HTTP/1.1 400 Bad Request\r\nContent-Length: 4\r\n\r\nnone"+refusal))
+	server := newScriptedServer(t, respond(okResponse), respond("HTTP/1.1 400 Bad Request\r\nContent-Length: 4\r\n\r\nnone"+refusal))
 	pool := newPool(t)
-	_, err := whole(t, pool, server.address(), getAs("first", "/1"))
+	_, err := fetch(t, pool, server.address(), newGetWithID("first", "/1"))
 	must.NoError(t, err)
-	heard := make(chan string, 1)
-	asking := getAs("second", "/2")
-	asking.Overheard = func(status int, header http.Header) {
-		heard <- fmt.Sprintf("%d %s", status, header.Get("Retry-After"))
+	reported := make(chan string, 1)
+	request := newGetWithID("second", "/2")
+	request.Overheard = func(status int, header http.Header) {
+		reported <- fmt.Sprintf("%d %s", status, header.Get("Retry-After"))
 	}
-	_, err = pool.Do(t.Context(), server.address(), asking)
-	var foreign *ForeignAnswer
-	must.True(t, errors.As(err, &foreign))
-	must.Eq(t, "503 3", <-heard)
+	_, err = pool.Do(t.Context(), server.address(), request)
+	var unmatched *ForeignAnswer
+	must.True(t, errors.As(err, &unmatched))
+	must.Eq(t, "503 3", <-reported)
 	must.False(t, pool.Idle(server.address()))
 }
 
-// Seen: a replica asked a proxy to stay away for 1.4 s, and got three requests more in that time.
-// How: a refusal with a time comes to a request whose caller has just hung up, or whose time is
-// over. Its connection was closed with the refusal on its way, and nobody heard it.
-// Cause: a word of the replica belongs to no request, and was listened to only for one.
-// Proof: the exchange below, one way to it; that it was so in the run is inferred, its logs were
-// not kept.
-func TestAnswerIsOverheardThoughNobodyWaitsForIt(t *testing.T) {
-	hungUp := make(chan struct{})
-	server := newReplica(t, func(conn net.Conn) {
-		<-hungUp
-		time.Sleep(overhearTime / 5)
+// A refusal with Retry-After that arrives just after the request was canceled or timed out
+// must reach Overheard. If the connection were closed immediately, the refusal would be lost
+// and the replica would get further requests during the pause it asked for: 3 requests in
+// 1.4 s in one run, for which this cause is an inference.
+func TestLateResponseIsReportedAfterCancellation(t *testing.T) {
+	canceled := make(chan struct{})
+	server := newScriptedServer(t, func(conn net.Conn) {
+		<-canceled
+		time.Sleep(lateResponseTimeout / 5)
 		_, _ = conn.Write([]byte("HTTP/1.1 503 Service Unavailable\r\nId: first\r\nRetry-After: 3\r\nContent-Length: 0\r\n\r\n"))
 	})
-	heard := make(chan string, 1)
-	asking := getAs("first", "/1")
-	asking.Overheard = func(status int, header http.Header) {
-		heard <- fmt.Sprintf("%d %s", status, header.Get("Retry-After"))
+	reported := make(chan string, 1)
+	request := newGetWithID("first", "/1")
+	request.Overheard = func(status int, header http.Header) {
+		reported <- fmt.Sprintf("%d %s", status, header.Get("Retry-After"))
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	pool := newPool(t)
 	go func() {
-		_, err := pool.Do(ctx, server.address(), asking)
+		_, err := pool.Do(ctx, server.address(), request)
 		ended <- err
 	}()
 	for len(server.received()) == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	cancel()
-	must.Error(t, <-ended, must.Sprint("who has left waits for nothing"))
-	close(hungUp)
+	must.Error(t, <-ended, must.Sprint("a canceled exchange succeeded"))
+	close(canceled)
 	select {
-	case word := <-heard:
-		must.Eq(t, "503 3", word)
+	case got := <-reported:
+		must.Eq(t, "503 3", got)
 	case <-time.After(10 * time.Second):
-		t.Fatal("nobody heard the word")
+		t.Fatal("the late response was not passed on")
 	}
 	must.False(t, pool.Idle(server.address()))
 }
--- a/connection/exchange/pool.go
+++ b/connection/exchange/pool.go
@@ -1,11 +1,11 @@
-// Package exchange sends HTTP/1.1 requests whose bytes matter: method, target
-// and body reach the other side exactly as given, each request is written at
-// most once, an answer counts as whole only if its framing says so, and one is taken
-// only where it names its request.
+// Package exchange sends HTTP/1.1 requests with exact control over the bytes: method,
+// target and body reach the server exactly as given, each request is written at most
+// once, a response counts as complete only if its framing says so, and a response is
+// accepted only if it carries the ID of its request.
 //
-// It stands on net/http's reader of answers but not on its Transport, which
-// sends a request again by itself, adds fields of its own, and may take bytes
-// that came after one answer for the beginning of the next.
+// It uses http.ReadResponse but not http.Transport, which retries requests by itself,
+// adds header fields, and may take bytes that follow one response for the beginning
+// of the next.
 package exchange
 
 import (
@@ -19,28 +19,33 @@
 	"golang.org/x/sys/unix"
 )
 
-// Config holds what a Pool is created with. Zero values take the defaults.
+// Config configures a Pool. Zero values select the defaults.
 type Config struct {
+	// DialTimeout limits opening a connection.
 	DialTimeout time.Duration
-	// Unacknowledged is after which time without a word from the other machine
-	// a connection is given up, while anything is on its way.
-	Unacknowledged time.Duration
-	// IdleTimeout bounds how long a connection is kept where the other side
-	// names no time; IdleMargin is kept off a time that it names.
+	// UserTimeout is how long sent data may remain unacknowledged by the remote
+	// host before the connection is closed (TCP_USER_TIMEOUT).
+	UserTimeout time.Duration
+	// IdleTimeout limits how long an idle connection is kept. If the server announces
+	// a keep-alive timeout, that timeout less IdleMargin is a limit as well; the smaller
+	// one applies.
 	IdleTimeout time.Duration
-	IdleMargin  time.Duration
-	// MaxIdle bounds the idle connections to one address.
+	// IdleMargin covers the time that a request takes to reach the server, so that it does
+	// not arrive after the server has closed the idle connection.
+	IdleMargin time.Duration
+	// MaxIdle limits the number of idle connections per address.
 	MaxIdle int
-	// MaxHeaderBytes bounds the head of an answer, informational ones before it included.
+	// MaxHeaderBytes limits the header size of a response, including the informational
+	// responses before it.
 	MaxHeaderBytes int64
-	// Clock reads the time that has passed, also while the machine was suspended.
+	// Clock is a monotonic clock that also advances while the machine is suspended.
 	Clock func() time.Duration
 }
 
-// Defaults of a Config.
+// Default values of Config.
 const (
 	DefaultDialTimeout    = 500 * time.Millisecond
-	DefaultUnacknowledged = 1500 * time.Millisecond
+	DefaultUserTimeout    = 1500 * time.Millisecond
 	DefaultIdleTimeout    = 10 * time.Second
 	DefaultIdleMargin     = 700 * time.Millisecond
 	DefaultMaxIdle        = 16
@@ -50,7 +55,7 @@
 func (c Config) withDefaults() Config {
 	defaults := Config{
 		DialTimeout:    DefaultDialTimeout,
-		Unacknowledged: DefaultUnacknowledged,
+		UserTimeout:    DefaultUserTimeout,
 		IdleTimeout:    DefaultIdleTimeout,
 		IdleMargin:     DefaultIdleMargin,
 		MaxIdle:        DefaultMaxIdle,
@@ -60,8 +65,8 @@
 	if c.DialTimeout > 0 {
 		defaults.DialTimeout = c.DialTimeout
 	}
-	if c.Unacknowledged > 0 {
-		defaults.Unacknowledged = c.Unacknowledged
+	if c.UserTimeout > 0 {
+		defaults.UserTimeout = c.UserTimeout
 	}
 	if c.IdleTimeout > 0 {
 		defaults.IdleTimeout = c.IdleTimeout
@@ -81,7 +86,7 @@
 	return defaults
 }
 
-// Pool keeps idle connections by address. Pools share nothing.
+// Pool keeps idle connections by address. Pools share no state.
 type Pool struct {
 	config Config
 	dialer net.Dialer
@@ -91,10 +96,11 @@
 	idle   map[string]*idleList // by address
 }
 
-// idleList is the idle connections to an address for as long as its owner has it. One in
-// use belongs to the list of its time, and never comes to that of the address's next owner.
+// idleList holds the idle connections to one replica at an address. A connection in use
+// returns to the list it was taken from, so that it is never used for a replica that runs
+// at the same address later.
 type idleList struct {
-	conns   []*conn // the one used last is the last
+	conns   []*conn // most recently used last
 	dropped bool
 }
 
@@ -106,15 +112,15 @@
 		idle:   map[string]*idleList{},
 		dialer: net.Dialer{
 			Timeout: config.DialTimeout,
-			// A machine that has lost its power says nothing: keep-alive probes
-			// find that out while an answer is awaited.
+			// A host that has lost power sends nothing; keep-alive probes detect
+			// that after about 3 s while a response is pending.
 			KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2},
 			Control:         nil,
 		},
 	}
 }
 
-// Close closes the idle connections and keeps none from now on.
+// Close closes the idle connections; connections in use are closed after their exchange.
 func (p *Pool) Close() {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -124,7 +130,8 @@
 	}
 }
 
-// Drop closes the idle connections to an address, whose owner is gone.
+// Drop closes the idle connections to an address whose replica is gone. Connections in use
+// are closed after their exchange.
 func (p *Pool) Drop(address string) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -136,15 +143,15 @@
 	if list == nil {
 		return
 	}
-	for _, kept := range list.conns {
-		_ = kept.Conn.Close() // nothing is under way on it
+	for _, idle := range list.conns {
+		_ = idle.Conn.Close() // no request is in flight on it
 	}
 	list.conns, list.dropped = nil, true
 	delete(p.idle, address)
 }
 
-// list returns the idle connections to an address.
-func (p *Pool) list(address string) *idleList {
+// idleListFor returns the idle list of an address and creates it if necessary.
+func (p *Pool) idleListFor(address string) *idleList {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	list := p.idle[address]
@@ -155,7 +162,7 @@
 	return list
 }
 
-// Idle reports whether a connection to the address is kept that may be used now.
+// Idle reports whether an idle connection to the address is available.
 func (p *Pool) Idle(address string) bool {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -163,21 +170,22 @@
 	return list != nil && len(list.conns) > 0 && p.config.Clock() < list.conns[len(list.conns)-1].usableUntil
 }
 
-// take returns an idle connection that is still good, or nil.
-func (p *Pool) take(list *idleList) *conn {
+// takeIdle removes and returns an idle connection that is still usable, or nil.
+func (p *Pool) takeIdle(list *idleList) *conn {
 	for {
-		kept := p.pop(list)
-		if kept == nil {
+		idle := p.popIdle(list)
+		if idle == nil {
 			return nil
 		}
-		if p.config.Clock() < kept.usableUntil && kept.quiet() {
-			return kept
+		if p.config.Clock() < idle.usableUntil && idle.isOpenAndQuiet() {
+			return idle
 		}
-		_ = kept.Conn.Close() // it is of no use any more
+		_ = idle.Conn.Close() // expired, closed by the server, or holding unsolicited data
 	}
 }
 
-func (p *Pool) pop(list *idleList) *conn {
+// popIdle removes and returns the most recently used idle connection, or nil.
+func (p *Pool) popIdle(list *idleList) *conn {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	if len(list.conns) == 0 {
@@ -188,26 +196,26 @@
 	return last
 }
 
-// put keeps a connection whose last answer was read to its end.
-func (p *Pool) put(kept *conn) {
+// release returns a connection whose last response was read completely to its idle list.
+func (p *Pool) release(idle *conn) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	list := kept.list
+	list := idle.list
 	if p.closed || list.dropped || len(list.conns) >= p.config.MaxIdle {
-		_ = kept.Conn.Close() // there are enough, or its other side is gone
+		_ = idle.Conn.Close() // the pool is closed or full, or the replica at the address is gone
 		return
 	}
-	kept.answered.Store(false)
-	list.conns = append(list.conns, kept)
+	idle.headerRead.Store(false)
+	list.conns = append(list.conns, idle)
 }
 
-// get returns a connection to the address on which the answer can be told from others,
-// and whether it was used before.
-func (p *Pool) get(ctx context.Context, address string, request *Request) (*conn, bool, error) {
-	list := p.list(address)
+// acquire returns a connection on which the response can be matched to the request, and
+// whether it was used before.
+func (p *Pool) acquire(ctx context.Context, address string, request *Request) (*conn, bool, error) {
+	list := p.idleListFor(address)
 	if request.sharesConnections() && !request.Identity.Repeated {
-		if kept := p.take(list); kept != nil {
-			return kept, true, nil
+		if cached := p.takeIdle(list); cached != nil {
+			return cached, true, nil
 		}
 	}
 	raw, err := p.dial(ctx, address)
@@ -216,13 +224,13 @@
 	}
 	opened := newConn(raw, list, p.config.MaxHeaderBytes)
 	opened.openedAt = p.config.Clock()
-	opened.limitSilence(p.config.Unacknowledged)
+	opened.setUserTimeout(p.config.UserTimeout)
 	return opened, false, nil
 }
 
-// dial opens a connection. The dialer gets ctx without its deadline: it would set that on
-// the socket, and a connect that ends by it may be over before ctx is. Who then asked ctx
-// whose end it was would blame the other side.
+// dial opens a connection. The dialer gets ctx without its deadline, because it would set
+// the deadline on the socket and could fail shortly before ctx itself ends. The caller
+// would then count the timeout as a failure of the server.
 func (p *Pool) dial(ctx context.Context, address string) (net.Conn, error) {
 	dialing, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
@@ -230,15 +238,15 @@
 	return p.dialer.DialContext(dialing, "tcp", address)
 }
 
-// limitSilence makes the kernel give up a connection on which written bytes
-// stay unacknowledged.
-func (c *conn) limitSilence(limit time.Duration) {
-	raw, err := c.raw()
+// setUserTimeout makes the kernel close a connection on which written bytes stay
+// unacknowledged for the given time.
+func (c *conn) setUserTimeout(limit time.Duration) {
+	raw, err := c.rawConn()
 	if err != nil {
 		return
 	}
 	_ = raw.Control(func(descriptor uintptr) {
-		// Without the option the connection merely hangs longer.
+		// Best effort: without the option a dead connection is only detected later.
 		_ = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(limit.Milliseconds()))
 	})
 }
--- a/connection/exchange/suspension_test.go
+++ b/connection/exchange/suspension_test.go
@@ -12,10 +12,11 @@
 	"github.com/shoenig/test/must"
 )
 
-// An idle connection is closed by its other side after a while, also while this machine is
-// suspended: what is sent on it then may be lost, and must not be sent again where it may
-// run only once.
-func TestIdleConnectionsLapseInASuspension(t *testing.T) {
+// The server closes an idle connection after a while, also while this machine is
+// suspended. A request sent on it afterwards may be lost, and must not be retried if it
+// may run only once. Idle connections must therefore expire by a clock that includes
+// the suspension.
+func TestIdleConnectionsExpireDuringSuspension(t *testing.T) {
 	var connections atomic.Int32
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Test-Id", r.Header.Get("Test-Id"))
@@ -31,19 +32,19 @@
 	start := time.Now()
 	pool := NewPool(Config{Clock: func() time.Duration { return time.Since(start) + time.Duration(suspended.Load()) }})
 	defer pool.Close()
-	ask := func() {
-		answer, err := pool.Do(t.Context(), server.Listener.Addr().String(), &Request{Method: "GET", Target: "/", Host: "h",
+	sendRequest := func() {
+		response, err := pool.Do(t.Context(), server.Listener.Addr().String(), &Request{Method: "GET", Target: "/", Host: "h",
 			Header: http.Header{"Test-Id": {"1"}}, Identity: Identity{Field: "Test-Id", ID: "1"}})
 		must.NoError(t, err)
-		_, err = io.Copy(io.Discard, answer)
+		_, err = io.Copy(io.Discard, response)
 		must.NoError(t, err)
-		answer.Close()
+		response.Close()
 	}
-	ask()
-	ask()
+	sendRequest()
+	sendRequest()
 	must.Eq(t, 1, connections.Load())
 	suspended.Store(int64(DefaultIdleTimeout))
 	must.False(t, pool.Idle(server.Listener.Addr().String()))
-	ask()
+	sendRequest()
 	must.Eq(t, 2, connections.Load())
 }
--- a/connection/frame/reader.go
+++ b/connection/frame/reader.go
@@ -10,19 +10,19 @@
 	"github.com/pkg/errors"
 )
 
-// Reader reads a preface and then frames from a connection. A Reader is for one
-// goroutine at a time.
+// Reader reads a preface and then frames from a connection. It is not safe for
+// concurrent use.
 type Reader struct {
-	conn       net.Conn
-	buffered   *bufio.Reader
-	protocol   Protocol
-	maxPayload uint32
-	timeout    time.Duration
-	opened     bool
+	conn        net.Conn
+	buffered    *bufio.Reader
+	protocol    Protocol
+	maxPayload  uint32
+	timeout     time.Duration
+	prefaceRead bool
 }
 
-// NewReader returns a Reader that refuses payloads above maxPayload bytes and
-// gives each frame the given time to arrive whole; zero sets no deadline.
+// NewReader returns a Reader that rejects payloads larger than maxPayload bytes.
+// Each frame must arrive completely within timeout; zero sets no deadline.
 func NewReader(conn net.Conn, protocol Protocol, maxPayload uint32, timeout time.Duration) *Reader {
 	return &Reader{
 		conn:       conn,
@@ -33,28 +33,30 @@
 	}
 }
 
-// SetTimeout changes the time that each following frame is given to arrive.
+// SetTimeout changes the time within which each subsequent frame must arrive; zero sets no
+// deadline.
 func (r *Reader) SetTimeout(timeout time.Duration) { r.timeout = timeout }
 
-// SetMaxPayload changes the largest payload that is accepted, in bytes.
+// SetMaxPayload changes the largest accepted payload size in bytes.
 func (r *Reader) SetMaxPayload(maxPayload uint32) { r.maxPayload = maxPayload }
 
 // ReadFrame returns the next frame; its payload belongs to the caller. It
 // returns io.EOF when the stream ends between frames, ErrTruncated when it ends
-// inside one, and ErrForeignProtocol, ErrVersion, ErrTooLarge or ErrChecksum as
-// soon as the bytes at hand prove the fault.
+// inside one, and ErrWrongProtocol, ErrVersion, ErrTooLarge or ErrChecksum as
+// soon as the received bytes show the error. Other errors, such as a timeout, are those
+// of the connection.
 func (r *Reader) ReadFrame() (Frame, error) {
 	if err := r.setDeadline(); err != nil {
 		return Frame{}, err
 	}
-	if err := r.open(); err != nil {
+	if err := r.readPreface(); err != nil {
 		return Frame{}, err
 	}
-	var fixed [HeaderSize]byte
-	if err := r.readHeader(fixed[:]); err != nil {
+	var headerBytes [HeaderSize]byte
+	if err := r.readHeader(headerBytes[:]); err != nil {
 		return Frame{}, err
 	}
-	h := parseHeader(fixed[:])
+	h := parseHeader(headerBytes[:])
 	if h.length > r.maxPayload {
 		return Frame{}, errors.Wrapf(ErrTooLarge, "payload of %d bytes, at most %d", h.length, r.maxPayload)
 	}
@@ -73,13 +75,14 @@
 	if r.timeout > 0 {
 		deadline = time.Now().Add(r.timeout)
 	}
-	return errors.Wrap(r.conn.SetReadDeadline(deadline), "frame: set deadline")
+	return errors.Wrap(r.conn.SetReadDeadline(deadline), "frame: set read deadline")
 }
 
-// open checks the preface byte by byte, so that a foreign protocol is refused at
-// its first differing byte and not only when a whole preface has arrived.
-func (r *Reader) open() error {
-	if r.opened {
+// readPreface reads and checks the preface. It compares the magic byte by byte, so that
+// another protocol is rejected at its first differing byte instead of after a
+// whole preface has arrived.
+func (r *Reader) readPreface() error {
+	if r.prefaceRead {
 		return nil
 	}
 	for position, want := range magic {
@@ -88,25 +91,25 @@
 			return prefaceError(err, position)
 		}
 		if got != want {
-			return errors.Wrapf(ErrForeignProtocol, "byte %d is %#02x", position, got)
+			return errors.Wrapf(ErrWrongProtocol, "preface byte %d is %#02x", position, got)
 		}
 	}
-	var fixed [PrefaceSize - len(magic)]byte
-	if _, err := io.ReadFull(r.buffered, fixed[:]); err != nil {
+	var rest [PrefaceSize - len(magic)]byte
+	if _, err := io.ReadFull(r.buffered, rest[:]); err != nil {
 		return prefaceError(err, len(magic))
 	}
-	got := Protocol{ID: binary.BigEndian.Uint16(fixed[0:]), Version: binary.BigEndian.Uint16(fixed[2:])}
+	got := Protocol{ID: binary.BigEndian.Uint16(rest[0:]), Version: binary.BigEndian.Uint16(rest[2:])}
 	if got.ID != r.protocol.ID {
-		return errors.Wrapf(ErrForeignProtocol, "protocol %d, expected %d", got.ID, r.protocol.ID)
+		return errors.Wrapf(ErrWrongProtocol, "protocol %d, expected %d", got.ID, r.protocol.ID)
 	}
 	if got.Version != r.protocol.Version {
 		return errors.Wrapf(ErrVersion, "version %d, expected %d", got.Version, r.protocol.Version)
 	}
-	r.opened = true
+	r.prefaceRead = true
 	return nil
 }
 
-// prefaceError turns an end of the stream inside the preface into ErrTruncated.
+// prefaceError converts an end of the stream inside the preface to ErrTruncated.
 func prefaceError(err error, position int) error {
 	if position == 0 && errors.Is(err, io.EOF) {
 		return io.EOF
@@ -114,8 +117,8 @@
 	return truncated(err, "preface")
 }
 
-func (r *Reader) readHeader(fixed []byte) error {
-	count, err := io.ReadFull(r.buffered, fixed)
+func (r *Reader) readHeader(buffer []byte) error {
+	count, err := io.ReadFull(r.buffered, buffer)
 	if err == nil {
 		return nil
 	}
@@ -125,10 +128,10 @@
 	return truncated(err, "header")
 }
 
-// readPayload reserves memory as bytes arrive: at most twice what was received,
-// or one growStep.
+// readPayload grows its buffer as bytes arrive: to at most twice the size received
+// so far, starting from initialPayloadBytes.
 func (r *Reader) readPayload(length int) ([]byte, error) {
-	payload := make([]byte, 0, min(length, growStep))
+	payload := make([]byte, 0, min(length, initialPayloadBytes))
 	for len(payload) < length {
 		if len(payload) == cap(payload) {
 			grown := make([]byte, len(payload), min(length, 2*cap(payload)))
--- a/connection/operator/calls.go
+++ b/connection/operator/calls.go
@@ -14,11 +14,11 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// inForcePause is the time between two questions for what is in force.
-const inForcePause = 20 * time.Millisecond
+// inForcePollInterval is the polling interval of WaitInForce.
+const inForcePollInterval = 20 * time.Millisecond
 
-// outcomes lists the codes of a transaction's own answers, whatever their HTTP status.
-var outcomes = map[api.OutcomeCode]bool{
+// transactionCodes lists the codes of transaction results, which may come with any HTTP status.
+var transactionCodes = map[api.OutcomeCode]bool{
 	api.OutcomeAccepted:          true,
 	api.OutcomeRevisionConflict:  true,
 	api.OutcomeOperationConflict: true,
@@ -27,41 +27,43 @@
 	api.OutcomeTooBroad:          true,
 }
 
-// Transact sends a transaction until its answer is known. A transaction with
-// an operation ID is resent after a lost answer and then brings the first one.
+// Transact sends a transaction and returns its result. A transaction with an
+// operation ID is resent if the response was lost; the resend returns the result of
+// the first one. A dry run is resent as well.
 func (c *Client) Transact(ctx context.Context, transaction api.Transaction) (api.TransactionResult, error) {
 	body, err := json.Marshal(transaction)
 	if err != nil {
 		return api.TransactionResult{}, errors.Wrap(err, "operator: encode transaction")
 	}
 	repeatable := transaction.OperationID != "" || transaction.DryRun
-	received, err := c.do(ctx, request{
-		method: http.MethodPost,
-		path:   operatorapi.PathTransactions,
-		body:   body,
-		resend: repeatable,
+	received, err := c.callWithRetries(ctx, request{
+		method:     http.MethodPost,
+		path:       operatorapi.PathTransactions,
+		body:       body,
+		resendable: repeatable,
 	})
 	if err != nil {
 		return api.TransactionResult{}, err
 	}
 	var result api.TransactionResult
-	if err := json.Unmarshal(received.body, &result); err == nil && outcomes[result.Code] {
+	if err := json.Unmarshal(received.body, &result); err == nil && transactionCodes[result.Code] {
 		return result, nil
 	}
-	return api.TransactionResult{}, refusal(received)
+	return api.TransactionResult{}, newRefusedError(received)
 }
 
-// Objects reads the objects of a kind, or the one with the name.
+// Objects reads all objects of a kind, or only the named one if name is not empty. An
+// unknown kind or name is a RefusedError with status 404.
 func (c *Client) Objects(ctx context.Context, kind api.Kind, name string) (operatorapi.ObjectList, error) {
 	path := operatorapi.PathObjects + "/" + url.PathEscape(string(kind))
 	if name != "" {
 		path += "/" + url.PathEscape(name)
 	}
 	var list operatorapi.ObjectList
-	return list, c.read(ctx, path, &list)
+	return list, c.readJSON(ctx, path, &list)
 }
 
-// Object reads one object; the pointer is nil when it does not exist.
+// Object reads one object. It returns nil without an error if the object does not exist.
 func (c *Client) Object(ctx context.Context, key api.Key) (*api.Object, error) {
 	list, err := c.Objects(ctx, key.Kind, key.Name)
 	var refused *RefusedError
@@ -77,16 +79,16 @@
 	return &list.Objects[0], nil
 }
 
-// InForce reads how far a revision has reached the daemons.
+// InForce reads how far the daemons have applied a revision.
 func (c *Client) InForce(ctx context.Context, revision uint64) (operatorapi.InForce, error) {
 	var state operatorapi.InForce
-	return state, c.read(ctx, fmt.Sprintf("%s?revision=%d", operatorapi.PathInForce, revision), &state)
+	return state, c.readJSON(ctx, fmt.Sprintf("%s?revision=%d", operatorapi.PathInForce, revision), &state)
 }
 
-// WaitInForce asks until the revision is in force everywhere or ctx ends; the
-// last state that was read comes with the error.
+// WaitInForce polls every 20 ms until the revision is in force (InForce.Done) or ctx ends. With an
+// error it returns the last state that was read.
 func (c *Client) WaitInForce(ctx context.Context, revision uint64) (operatorapi.InForce, error) {
-	ticker := time.NewTicker(inForcePause)
+	ticker := time.NewTicker(inForcePollInterval)
 	defer ticker.Stop()
 	var last operatorapi.InForce
 	for {
@@ -109,39 +111,40 @@
 // Status reads the group's status.
 func (c *Client) Status(ctx context.Context) (operatorapi.Status, error) {
 	var status operatorapi.Status
-	return status, c.read(ctx, operatorapi.PathStatus, &status)
+	return status, c.readJSON(ctx, operatorapi.PathStatus, &status)
 }
 
 // Orders reads the open orders.
 func (c *Client) Orders(ctx context.Context) (operatorapi.OrderList, error) {
 	var orders operatorapi.OrderList
-	return orders, c.read(ctx, operatorapi.PathOrders, &orders)
+	return orders, c.readJSON(ctx, operatorapi.PathOrders, &orders)
 }
 
-// Ledger reads the claim that a tenant's key has, as everything acknowledged
-// before the call left it.
+// Ledger reads the claim on a tenant's key. The result reflects every write acknowledged
+// before the call.
 func (c *Client) Ledger(ctx context.Context, tenant, key string) (operatorapi.Ledger, error) {
 	query := url.Values{"tenant": {tenant}, "key": {key}}
 	var ledger operatorapi.Ledger
-	return ledger, c.read(ctx, operatorapi.PathLedger+"?"+query.Encode(), &ledger)
+	return ledger, c.readJSON(ctx, operatorapi.PathLedger+"?"+query.Encode(), &ledger)
 }
 
-// Quotas reads how the tenants stand with their quotas.
+// Quotas reads the quota balances of the tenants.
 func (c *Client) Quotas(ctx context.Context) (operatorapi.QuotaList, error) {
 	var list operatorapi.QuotaList
-	return list, c.read(ctx, operatorapi.PathQuotas, &list)
+	return list, c.readJSON(ctx, operatorapi.PathQuotas, &list)
 }
 
-// Usage reads what was counted of each window and tenant.
+// Usage reads the usage of each tenant in each window.
 func (c *Client) Usage(ctx context.Context) (operatorapi.UsageList, error) {
 	var list operatorapi.UsageList
-	return list, c.read(ctx, operatorapi.PathUsage, &list)
+	return list, c.readJSON(ctx, operatorapi.PathUsage, &list)
 }
 
-// Release lets a request run again that is held. It is not resent after a lost answer: by
-// then the request may be held anew. Read the record again instead.
+// Release releases a quarantined request, so that it may run again. It is not resent if
+// the response was lost, since the request may have been quarantined again in the
+// meantime; check its quarantine record instead, which this client cannot read.
 func (c *Client) Release(ctx context.Context, fingerprint string) (operatorapi.Released, error) {
-	received, err := c.do(ctx, request{
+	received, err := c.callWithRetries(ctx, request{
 		method: http.MethodDelete,
 		path:   operatorapi.PathQuarantine + "/" + url.PathEscape(fingerprint),
 	})
@@ -149,45 +152,46 @@
 		return operatorapi.Released{}, err
 	}
 	var released operatorapi.Released
-	return released, decodeAnswer(received, &released)
+	return released, decodeResponse(received, &released)
 }
 
-// ChangeMembers asks for one step of a membership change. Only an addition is
-// resent after a lost answer, since repeating it is harmless; after any other
-// step read the status first.
+// ChangeMembers requests one step of a membership change. Only an addition is resent if
+// the response was lost, since it is idempotent; after any other step, read the status
+// first.
 func (c *Client) ChangeMembers(ctx context.Context, change operatorapi.MemberRequest) (operatorapi.MemberReply, error) {
 	body, err := json.Marshal(change)
 	if err != nil {
 		return operatorapi.MemberReply{}, errors.Wrap(err, "operator: encode membership change")
 	}
-	received, err := c.do(ctx, request{
-		method: http.MethodPost,
-		path:   operatorapi.PathMembers,
-		body:   body,
-		resend: change.Action == operatorapi.MemberAdd,
+	received, err := c.callWithRetries(ctx, request{
+		method:     http.MethodPost,
+		path:       operatorapi.PathMembers,
+		body:       body,
+		resendable: change.Action == operatorapi.MemberAdd,
 	})
 	if err != nil {
 		return operatorapi.MemberReply{}, err
 	}
 	var reply operatorapi.MemberReply
-	return reply, decodeAnswer(received, &reply)
+	return reply, decodeResponse(received, &reply)
 }
 
-func (c *Client) read(ctx context.Context, path string, target any) error {
-	received, err := c.do(ctx, request{method: http.MethodGet, path: path, resend: true})
+// readJSON reads a JSON body with GET. An unknown outcome becomes ErrNotAccepted.
+func (c *Client) readJSON(ctx context.Context, path string, target any) error {
+	received, err := c.callWithRetries(ctx, request{method: http.MethodGet, path: path, resendable: true})
 	if errors.Is(err, ErrOutcomeUnknown) {
-		// A read that brought no answer changed nothing.
+		// A read without a response changed nothing.
 		return errors.Wrap(ErrNotAccepted, err.Error())
 	}
 	if err != nil {
 		return err
 	}
-	return decodeAnswer(received, target)
+	return decodeResponse(received, target)
 }
 
-func decodeAnswer(received answer, target any) error {
+func decodeResponse(received memberResponse, target any) error {
 	if received.status != http.StatusOK {
-		return refusal(received)
+		return newRefusedError(received)
 	}
 	if err := json.Unmarshal(received.body, target); err != nil {
 		return errors.Wrap(err, "operator: decode answer")
@@ -195,6 +199,6 @@
 	return nil
 }
 
-func refusal(received answer) error {
+func newRefusedError(received memberResponse) error {
 	return &RefusedError{Status: received.status, Body: decodeError(received)}
 }
--- a/connection/operator/client.go
+++ b/connection/operator/client.go
@@ -1,8 +1,7 @@
-// Package operator is the client of the control group's operator API. It tries
-// every member, follows the leader's hint and resends under the same operation
-// ID when an answer was lost, so that a caller learns one of four things: the
-// answer, that the change was surely not accepted, that its outcome is unknown,
-// or that the request itself is at fault.
+// Package operator is the client of the control group's operator API. It tries every
+// member, follows leader hints, and resends with the same operation ID if a response was
+// lost. A call has one of four outcomes: a response, a change that was definitely not
+// accepted, an unknown outcome, or a request that was refused.
 package operator
 
 import (
@@ -25,60 +24,60 @@
 
 // Errors of a Client.
 var (
-	// ErrNotAccepted says that no member accepted the request: nothing has changed.
+	// ErrNotAccepted reports that no member accepted the request: nothing has changed.
 	ErrNotAccepted = errors.New("no member took the request; nothing was changed")
-	// ErrOutcomeUnknown says that the request may have been accepted: resend it
+	// ErrOutcomeUnknown reports that the request may have been accepted: resend it
 	// with the same operation ID.
 	ErrOutcomeUnknown = errors.New("outcome unknown; resend with the same operation ID")
-	// ErrNoMembers says that the client was given no address.
+	// ErrNoMembers reports a configuration without member addresses.
 	ErrNoMembers = errors.New("operator: no member addresses")
 )
 
-// RefusedError is a member's own word that the request is at fault or cannot be
-// carried out now; nothing has changed.
+// RefusedError is a member's response that the request is invalid or cannot be executed
+// now; nothing has changed.
 type RefusedError struct {
 	Status int
 	Body   operatorapi.Error
 }
 
-// Error words the refusal.
+// Error returns the code and the message of the refusal.
 func (e *RefusedError) Error() string {
 	return "operator: " + string(e.Body.Code) + ": " + e.Body.Message
 }
 
-// Defaults of a Config.
+// Default values of Config.
 const (
 	DefaultAttemptTimeout = 5 * time.Second
 	DefaultTimeout        = 20 * time.Second
 )
 
-// Bounds of the client itself.
+// Limits of the client.
 const (
-	maxAnswerBytes = 64 << 20
-	firstBackoff   = 50 * time.Millisecond
-	maxBackoff     = time.Second
+	maxResponseBytes = 64 << 20
+	minBackoff       = 50 * time.Millisecond
+	maxBackoff       = time.Second
 )
 
-// Config is what a Client is made with.
+// Config configures a Client.
 type Config struct {
 	// Members holds the operator addresses (IP and port) of the group.
 	Members []string
-	// AttemptTimeout bounds one request to one member, Timeout the whole call
-	// with its resends. Zero takes the default.
+	// AttemptTimeout limits one request to one member, Timeout the whole call
+	// including its resends. Zero selects the default; negative values are not supported.
 	AttemptTimeout time.Duration
 	Timeout        time.Duration
 }
 
-// Client asks the control group. It is safe for use by several goroutines.
+// Client sends requests to the control group. It is safe for concurrent use.
 type Client struct {
 	config   Config
 	order    *memberOrder
 	services map[string]httpc.Service
-	// http sends nothing again by itself, which a membership change would not survive.
+	// http never retries by itself, since a membership change must not be sent twice.
 	http *http.Client
 }
 
-// New returns a client of the members in config.
+// New returns a client for the members in config.
 func New(config Config) (*Client, error) {
 	if len(config.Members) == 0 {
 		return nil, ErrNoMembers
@@ -93,7 +92,7 @@
 		config:   config,
 		order:    newMemberOrder(config.Members),
 		services: map[string]httpc.Service{},
-		http:     singleuse.NewClient((&net.Dialer{Timeout: config.AttemptTimeout / dialShare}).DialContext),
+		http:     singleuse.NewClient((&net.Dialer{Timeout: config.AttemptTimeout / dialTimeoutDivisor}).DialContext),
 	}
 	for _, address := range config.Members {
 		client.services[address] = httpc.NewServiceWithClient(address, client.http)
@@ -101,13 +100,13 @@
 	return client, nil
 }
 
-// dialShare is the part of an attempt's time that its connection may take to
-// stand. It ends before the attempt does: then nothing was sent, for sure, and
-// another member can be asked.
-const dialShare = 2
+// dialTimeoutDivisor divides the attempt timeout to get the dial timeout. The dial times out
+// before the attempt does: a dial that failed is certain to have sent nothing, so another
+// member can be tried.
+const dialTimeoutDivisor = 2
 
-// service returns the client of one member. A leader's hint may name an
-// address that is not in the configuration; it gets no breaker of its own.
+// service returns the client for one member. A leader hint may name an address that is
+// not in the configuration; a new service is created for each request to it.
 func (c *Client) service(address string) httpc.Service {
 	if known, ok := c.services[address]; ok {
 		return known
@@ -115,135 +114,138 @@
 	return httpc.NewServiceWithClient(address, c.http)
 }
 
-// request is one call on its way through attempts.
+// request is one call, which may take several attempts.
 type request struct {
 	method string
 	path   string
 	body   []byte
-	// resend allows another attempt after a lost answer. Reads, writes with an
-	// operation ID and the addition of a member may be sent again, other membership
-	// changes may not.
-	resend bool
+	// resendable allows another attempt after a lost response. Reads, transactions with
+	// an operation ID, dry runs and the addition of a member may be resent; other
+	// membership changes may not.
+	resendable bool
 }
 
-// answer is what one attempt brought.
-type answer struct {
+// memberResponse is the response to one attempt.
+type memberResponse struct {
 	status int
 	body   []byte
-	// retryAfter is the pause that the member asked for.
+	// retryAfter is the delay that the member requested.
 	retryAfter time.Duration
 }
 
-// fate is what is known of a request after one attempt.
-type fate uint8
+// attemptOutcome classifies the effect of a request after one attempt.
+type attemptOutcome uint8
 
 const (
-	answered    fate = iota + 1 // an answer that settles the request
-	notAccepted                 // surely without effect
-	unknown                     // it may have had its effect
+	outcomeFinal       attemptOutcome = iota + 1 // the response is final
+	outcomeNotAccepted                           // certainly without effect
+	outcomeUnknown                               // it may have had an effect
 )
 
-// roundTrip makes one attempt at one member.
-func (c *Client) roundTrip(ctx context.Context, address string, call request) (answer, fate, error) {
+// roundTrip sends the request once to one member.
+func (c *Client) roundTrip(ctx context.Context, address string, call request) (memberResponse, attemptOutcome, error) {
 	attempt, cancel := context.WithTimeout(ctx, c.config.AttemptTimeout)
 	defer cancel()
 	httpRequest, err := http.NewRequestWithContext(attempt, call.method, "http://"+address+call.path, bytes.NewReader(call.body))
 	if err != nil {
-		return answer{}, notAccepted, errors.Wrap(err, "operator: build request")
+		return memberResponse{}, outcomeNotAccepted, errors.Wrap(err, "operator: build request")
 	}
 	if call.body != nil {
 		httpRequest.Header.Set("Content-Type", "application/json")
 	}
 	var connected atomic.Bool
-	response, err := c.service(address).DoRequest(tellConnected(httpRequest, &connected))
+	response, err := c.service(address).DoRequest(traceConnection(httpRequest, &connected))
 	if err != nil {
-		return answer{}, fateOfFailure(connected.Load()), errors.Wrap(err, address)
+		return memberResponse{}, failureOutcome(connected.Load()), errors.Wrap(err, address)
 	}
 	defer func() { _ = response.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		return answer{}, unknown, errors.Wrap(err, address+": answer cut short")
+		return memberResponse{}, outcomeUnknown, errors.Wrap(err, address+": answer cut short")
 	}
-	received := answer{status: response.StatusCode, body: body, retryAfter: retryAfter(response)}
-	return c.judge(address, received)
+	received := memberResponse{status: response.StatusCode, body: body, retryAfter: retryAfter(response)}
+	return c.classify(address, received)
 }
 
-// judge tells an answer that settles the request from one that asks for another attempt.
-func (c *Client) judge(address string, received answer) (answer, fate, error) {
+// classify classifies a response as final or as a failed attempt. In the second case it
+// prefers the leader named in the response for the next attempt.
+func (c *Client) classify(address string, received memberResponse) (memberResponse, attemptOutcome, error) {
 	if received.status < http.StatusInternalServerError {
 		if !json.Valid(received.body) {
-			return received, unknown, errors.Errorf("%s: the answer is not JSON", address)
+			return received, outcomeUnknown, errors.Errorf("%s: the answer is not JSON", address)
 		}
-		return received, answered, nil
+		return received, outcomeFinal, nil
 	}
 	body := decodeError(received)
 	c.order.prefer(body.Leader)
 	failure := errors.Errorf("%s: %s: %s", address, body.Code, body.Message)
 	if received.status == http.StatusServiceUnavailable && body.Code == operatorapi.ErrorNoQuorum {
-		return received, notAccepted, failure
+		return received, outcomeNotAccepted, failure
 	}
-	return received, unknown, failure
+	return received, outcomeUnknown, failure
 }
 
-// tellConnected returns the request, of which connected is true once it has a connection
-// to be written on.
-func tellConnected(request *http.Request, connected *atomic.Bool) *http.Request {
+// traceConnection returns a copy of the request that sets connected as soon as a connection
+// is available to write it to.
+func traceConnection(request *http.Request, connected *atomic.Bool) *http.Request {
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
 	return request.WithContext(httptrace.WithClientTrace(request.Context(), trace))
 }
 
-// fateOfFailure tells whether a request that brought no answer can have had an effect:
-// only without a connection it surely had none, whatever ended the attempt.
-func fateOfFailure(connected bool) fate {
+// failureOutcome classifies a request that got no response. It certainly had no effect
+// only if it never had a connection, whatever ended the attempt.
+func failureOutcome(connected bool) attemptOutcome {
 	if connected {
-		return unknown
+		return outcomeUnknown
 	}
-	return notAccepted
+	return outcomeNotAccepted
 }
 
-// do makes attempts until one settles the request or the time is up. Once an
-// attempt's outcome is unknown, only an answer settles the request: that a
-// later attempt was not accepted says nothing of the earlier one.
-func (c *Client) do(ctx context.Context, call request) (answer, error) {
+// callWithRetries makes attempts until one gets a final response or the time is up. Once the outcome
+// of an attempt is unknown, the request as a whole is unknown until a final response,
+// since a later refusal says nothing about an earlier attempt.
+func (c *Client) callWithRetries(ctx context.Context, call request) (memberResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.config.Timeout)
 	defer cancel()
-	worst := notAccepted
+	overall := outcomeNotAccepted
 	var failed failures
-	wait := newBackoff()
+	delay := newBackoff()
 	for {
-		for _, address := range c.order.list() {
-			received, known, err := c.roundTrip(ctx, address, call)
-			if known == answered {
+		for _, address := range c.order.ordered() {
+			received, outcome, err := c.roundTrip(ctx, address, call)
+			if outcome == outcomeFinal {
 				c.order.prefer(address)
 				return received, nil
 			}
 			failed.add(address, err, ctx.Err() != nil)
-			if known == unknown {
-				worst = unknown
+			if outcome == outcomeUnknown {
+				overall = outcomeUnknown
 			}
-			if worst == unknown && !call.resend {
-				return answer{}, giveUp(worst, &failed)
+			if overall == outcomeUnknown && !call.resendable {
+				return memberResponse{}, callError(overall, &failed)
 			}
-			wait.ask(received.retryAfter)
+			delay.applyRetryAfter(received.retryAfter)
 			if ctx.Err() != nil {
-				return answer{}, giveUp(worst, &failed)
+				return memberResponse{}, callError(overall, &failed)
 			}
 		}
-		if !wait.sleep(ctx) {
-			return answer{}, giveUp(worst, &failed)
+		if !delay.sleep(ctx) {
+			return memberResponse{}, callError(overall, &failed)
 		}
 	}
 }
 
-func giveUp(worst fate, failed *failures) error {
-	if worst == unknown {
+// callError returns the error of a call that got no final response.
+func callError(overall attemptOutcome, failed *failures) error {
+	if overall == outcomeUnknown {
 		return errors.Wrap(ErrOutcomeUnknown, failed.String())
 	}
 	return errors.Wrap(ErrNotAccepted, failed.String())
 }
 
-// decodeError reads the error body of an answer, as far as there is one.
-func decodeError(received answer) operatorapi.Error {
+// decodeError decodes the error body of a response. Without one, it returns an internal
+// error with the text of the HTTP status.
+func decodeError(received memberResponse) operatorapi.Error {
 	var body operatorapi.Error
 	if err := json.Unmarshal(received.body, &body); err != nil || body.Code == "" {
 		body.Code = operatorapi.ErrorInternal
--- a/connection/operator/failures.go
+++ b/connection/operator/failures.go
@@ -8,32 +8,33 @@
 	"github.com/zeromicro/go-zero/core/breaker"
 )
 
-// failures keeps the last failure of each member, so that the end of a call in
-// vain names all of them: one that cannot be reached must not hide another's
-// word that there is no quorum.
+// failures records the last failure of each member, so that the error of a failed call
+// names all of them. With the last failure alone, an unreachable member would hide that
+// another member reported no quorum.
 type failures struct {
-	order []string // addresses, as they first failed
-	texts map[string]string
+	addresses  []string // addresses in the order of their first failure
+	lastErrors map[string]string
 }
 
-// add keeps the failure of one attempt. One that was cut by the end of the call,
-// or refused by the breaker, says less than an earlier one of the member.
-func (f *failures) add(address string, err error, cut bool) {
-	if f.texts == nil {
-		f.texts = map[string]string{}
+// add records the failure of one attempt. A failure caused by the end of the call (aborted)
+// or by the circuit breaker does not replace an earlier one of the same member, which
+// is more specific.
+func (f *failures) add(address string, err error, aborted bool) {
+	if f.lastErrors == nil {
+		f.lastErrors = map[string]string{}
 	}
-	_, known := f.texts[address]
-	if known && (cut || errors.Is(err, breaker.ErrServiceUnavailable)) {
+	_, known := f.lastErrors[address]
+	if known && (aborted || errors.Is(err, breaker.ErrServiceUnavailable)) {
 		return
 	}
 	if !known {
-		f.order = append(f.order, address)
+		f.addresses = append(f.addresses, address)
 	}
-	f.texts[address] = failureText(address, err)
+	f.lastErrors[address] = failureText(address, err)
 }
 
-// failureText words an attempt's failure without the request's URL, which is
-// the member's address again.
+// failureText returns the text of a failure, with the member's address in place of the
+// request URL.
 func failureText(address string, err error) string {
 	var failed *url.Error
 	if errors.As(err, &failed) {
@@ -42,11 +43,11 @@
 	return err.Error()
 }
 
-// String names every member with its last failure.
+// String lists every member with its last failure.
 func (f *failures) String() string {
 	var texts []string
-	for _, address := range f.order {
-		texts = append(texts, f.texts[address])
+	for _, address := range f.addresses {
+		texts = append(texts, f.lastErrors[address])
 	}
 	return strings.Join(texts, "; ")
 }
--- a/connection/orders/client.go
+++ b/connection/orders/client.go
@@ -1,5 +1,6 @@
-// Package orders speaks the control side of the engine protocol: state, orders,
-// voids and load reports, and keeps observing a set of engines.
+// Package orders is the client of the engine control protocol: it reads state and load
+// reports, sends orders, voids them by raising the engine's fence, and polls a set of
+// engines.
 package orders
 
 import (
@@ -20,85 +21,89 @@
 
 // Errors of a Client.
 var (
-	// ErrUnreachable says that no whole answer came; what was sent may have
+	// ErrNoResponse reports that no complete response arrived. The request may have
 	// reached the engine.
-	ErrUnreachable = errors.New("orders: no answer from the engine")
-	// ErrAnswer says that the answer is none of the protocol's.
-	ErrAnswer = errors.New("orders: unusable answer from the engine")
+	ErrNoResponse = errors.New("orders: no complete response from the engine")
+	// ErrInvalidResponse reports a response that does not conform to the protocol.
+	ErrInvalidResponse = errors.New("orders: invalid response from the engine")
 )
 
-// Bounds of a Client.
+// Limits of a Client.
 const (
-	maxAnswerBytes      = 1 << 20
-	maxHeaderBytes      = 64 << 10
-	idleTimeout         = 30 * time.Second
-	keepAlivePerAddress = 1
+	maxResponseBytes  = 1 << 20
+	maxHeaderBytes    = 64 << 10
+	idleTimeout       = 30 * time.Second
+	maxIdlePerAddress = 1
 )
 
-// Client asks and orders engines. It is safe for concurrent use.
+// Client reads the state of engines and sends them orders. It is safe for concurrent use.
 //
-// It uses connection/upstream and not go-zero's httpc: the circuit breaker of
-// httpc counts the failures of all engines together, so that some silent engines
-// would keep orders from the others; and a reply to another order must not be
-// taken for that to this one. Redirects are answers like any other, so that no
-// order is carried to another address.
+// It uses connection/upstream instead of go-zero's httpc for two reasons. The circuit
+// breaker of httpc counts the failures of all engines together, so that some
+// unresponsive engines would block orders to the others. And httpc does not prevent that
+// the reply to one order is taken for the reply to another. Redirects are not followed, so
+// that no order reaches another address.
 type Client struct {
 	pool    *upstream.Pool
 	timeout time.Duration
 }
 
-// NewClient returns a Client that bounds each request by timeout.
+// NewClient returns a Client that limits each request, including the dial, to timeout,
+// which must be positive.
 func NewClient(timeout time.Duration) *Client {
 	return &Client{
 		pool: upstream.NewPool(upstream.Config{
 			DialTimeout:    timeout,
 			IdleTimeout:    idleTimeout,
-			MaxIdlePerHost: keepAlivePerAddress,
+			MaxIdlePerHost: maxIdlePerAddress,
 			MaxHeaderBytes: maxHeaderBytes,
 		}),
 		timeout: timeout,
 	}
 }
 
-// Close drops the idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() { c.pool.Close() }
 
-// State asks the engine for its own account of itself.
+// State reads the engine's current state.
 func (c *Client) State(ctx context.Context, address string) (engineapi.State, error) {
-	var answer engineapi.State
-	err := c.do(ctx, http.MethodGet, address, engineapi.PathState, nil, &answer)
-	return answer, err
+	var state engineapi.State
+	err := c.roundTrip(ctx, http.MethodGet, address, engineapi.PathState, nil, &state)
+	return state, err
 }
 
-// Load asks the engine for its lagging load report.
+// Load reads the engine's load report, which lags behind the actual load.
 func (c *Client) Load(ctx context.Context, address string) (engineapi.Load, error) {
-	var answer engineapi.Load
-	err := c.do(ctx, http.MethodGet, address, engineapi.PathLoad, nil, &answer)
-	return answer, err
+	var load engineapi.Load
+	err := c.roundTrip(ctx, http.MethodGet, address, engineapi.PathLoad, nil, &load)
+	return load, err
 }
 
-// Send gives the engine an order. A refusal is an answer, not an error.
+// Send sends an order to the engine. A refused order returns a reply with its code and no
+// error; errors are ErrNoResponse and ErrInvalidResponse.
 func (c *Client) Send(ctx context.Context, address string, order api.Order) (engineapi.OrderReply, error) {
-	return c.reply(ctx, address, engineapi.PathOrders, order)
+	return c.post(ctx, address, engineapi.PathOrders, order)
 }
 
-// Void asks the engine to raise its fence.
+// Void makes the engine raise its fence and so refuse every order whose fence is not above
+// it. The reply has the engine's state; errors are those of Send.
 func (c *Client) Void(ctx context.Context, address string, request engineapi.VoidRequest) (engineapi.OrderReply, error) {
-	return c.reply(ctx, address, engineapi.PathVoid, request)
+	return c.post(ctx, address, engineapi.PathVoid, request)
 }
 
-func (c *Client) reply(ctx context.Context, address, path string, body any) (engineapi.OrderReply, error) {
-	var answer engineapi.OrderReply
-	if err := c.do(ctx, http.MethodPost, address, path, body, &answer); err != nil {
+func (c *Client) post(ctx context.Context, address, path string, body any) (engineapi.OrderReply, error) {
+	var reply engineapi.OrderReply
+	if err := c.roundTrip(ctx, http.MethodPost, address, path, body, &reply); err != nil {
 		return engineapi.OrderReply{}, err
 	}
-	if answer.Code == "" {
-		return engineapi.OrderReply{}, errors.Wrap(ErrAnswer, "no code")
+	if reply.Code == "" {
+		return engineapi.OrderReply{}, errors.Wrap(ErrInvalidResponse, "reply has no code")
 	}
-	return answer, nil
+	return reply, nil
 }
 
-func (c *Client) do(ctx context.Context, method, address, path string, body, answer any) error {
+// roundTrip sends a request with a new call ID and decodes the response body into target.
+func (c *Client) roundTrip(ctx context.Context, method, address, path string, body, target any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	request, err := newRequest(ctx, method, address, path, body)
@@ -107,28 +112,28 @@
 	}
 	response, err := c.pool.Do(request, upstream.Identity{RequestID: newCallID()})
 	if err != nil {
-		return errors.Wrapf(ErrUnreachable, "%v", err)
+		return errors.Wrapf(ErrNoResponse, "%v", err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes+1))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes+1))
 	if err != nil {
-		return errors.Wrapf(ErrUnreachable, "%v", err)
+		return errors.Wrapf(ErrNoResponse, "%v", err)
 	}
-	if len(data) > maxAnswerBytes {
-		return errors.Wrap(ErrAnswer, "too long")
+	if len(data) > maxResponseBytes {
+		return errors.Wrap(ErrInvalidResponse, "response body too large")
 	}
-	if !carriesAnswer(response.StatusCode) {
-		return errors.Wrapf(ErrAnswer, "status %d", response.StatusCode)
+	if !hasProtocolBody(response.StatusCode) {
+		return errors.Wrapf(ErrInvalidResponse, "status %d", response.StatusCode)
 	}
-	return errors.Wrapf(decodeAnswer(data, answer), "status %d", response.StatusCode)
+	return errors.Wrapf(decodeResponse(data, target), "status %d", response.StatusCode)
 }
 
-// newCallID names one call so that no other call to the engine has its name.
+// newCallID returns a random ID that identifies one call to an engine.
 func newCallID() string { return strconv.FormatUint(rand.Uint64(), 36) }
 
-// carriesAnswer reports whether a body of the protocol comes with the status:
-// refused orders come as conflicts.
-func carriesAnswer(status int) bool {
+// hasProtocolBody reports whether responses with the status have a body of the protocol.
+// Refused orders, for example, have status 409.
+func hasProtocolBody(status int) bool {
 	switch status {
 	case http.StatusOK, http.StatusAccepted, http.StatusBadRequest, http.StatusConflict, http.StatusUnprocessableEntity:
 		return true
@@ -137,9 +142,9 @@
 	}
 }
 
-func decodeAnswer(data []byte, answer any) error {
-	if err := json.Unmarshal(data, answer); err != nil {
-		return errors.Wrapf(ErrAnswer, "%v", err)
+func decodeResponse(data []byte, target any) error {
+	if err := json.Unmarshal(data, target); err != nil {
+		return errors.Wrapf(ErrInvalidResponse, "%v", err)
 	}
 	return nil
 }
@@ -149,13 +154,13 @@
 	if body != nil {
 		data, err := json.Marshal(body)
 		if err != nil {
-			return nil, errors.Wrap(err, "orders: encode")
+			return nil, errors.Wrap(err, "orders: encode request body")
 		}
 		content = bytes.NewReader(data)
 	}
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, content)
 	if err != nil {
-		return nil, errors.Wrap(err, "orders: request")
+		return nil, errors.Wrap(err, "orders: create request")
 	}
 	if body != nil {
 		request.Header.Set("Content-Type", "application/json")
--- a/connection/orders/orders_test.go
+++ b/connection/orders/orders_test.go
@@ -23,30 +23,30 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func TestUnusableAnswersAreErrors(t *testing.T) {
+func TestInvalidResponsesAreErrors(t *testing.T) {
 	const timeout = 300 * time.Millisecond
 	cases := map[string]struct {
 		serve http.HandlerFunc
 		want  error
 	}{
-		"not JSON":     {func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "<html>") }, ErrAnswer},
-		"wrong type":   {func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, `{"code":7}`) }, ErrAnswer},
-		"no code":      {func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, `{}`) }, ErrAnswer},
-		"server error": {func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusBadGateway) }, ErrAnswer},
-		"other address": {func(w http.ResponseWriter, r *http.Request) {
+		"not JSON":     {func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "<html>") }, ErrInvalidResponse},
+		"wrong type":   {func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, `{"code":7}`) }, ErrInvalidResponse},
+		"no code":      {func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, `{}`) }, ErrInvalidResponse},
+		"server error": {func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusBadGateway) }, ErrInvalidResponse},
+		"redirect": {func(w http.ResponseWriter, r *http.Request) {
 			http.Redirect(w, r, "/elsewhere", http.StatusTemporaryRedirect)
-		}, ErrAnswer},
+		}, ErrInvalidResponse},
 		"too long": {func(w http.ResponseWriter, _ *http.Request) {
-			fmt.Fprintf(w, `{"code":%q}`, strings.Repeat("x", maxAnswerBytes))
-		}, ErrAnswer},
-		"cut short": {func(w http.ResponseWriter, _ *http.Request) {
+			fmt.Fprintf(w, `{"code":%q}`, strings.Repeat("x", maxResponseBytes))
+		}, ErrInvalidResponse},
+		"truncated": {func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "100")
 			fmt.Fprint(w, `{"code"`)
-		}, ErrUnreachable},
-		"no answer": {func(_ http.ResponseWriter, r *http.Request) {
-			_, _ = io.Copy(io.Discard, r.Body) // only then is the caller's end noticed
+		}, ErrNoResponse},
+		"no response": {func(_ http.ResponseWriter, r *http.Request) {
+			_, _ = io.Copy(io.Discard, r.Body) // the server detects a canceled request only after reading the body
 			<-r.Context().Done()
-		}, ErrUnreachable},
+		}, ErrNoResponse},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestRefusedOrderIsAnAnswer(t *testing.T) {
+func TestRefusedOrderIsNoError(t *testing.T) {
 	engine := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusConflict)
 		fmt.Fprint(w, `{"code":"stale"}`)
@@ -76,20 +76,20 @@
 	must.Eq(t, "stale", string(reply.Code))
 }
 
-var errSilent = errors.New("no answer")
+var errUnresponsive = errors.New("engine did not respond")
 
-// fleet is an Asker whose engines' addresses are their names. Names that begin
-// with "silent" answer nothing until the question is given up.
-type fleet struct {
+// fakeEngines is a fake EngineClient in which the address of an engine is its name. Engines
+// whose names begin with "silent" fail after 2 s without a response.
+type fakeEngines struct {
 	lock        sync.Mutex
 	incarnation uint64
-	asked       map[string]int
+	requests    map[string]int
 }
 
-func (f *fleet) State(ctx context.Context, address string) (engineapi.State, error) {
+func (f *fakeEngines) State(ctx context.Context, address string) (engineapi.State, error) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	f.asked[address]++
+	f.requests[address]++
 	if strings.HasPrefix(address, "silent") {
 		f.lock.Unlock()
 		defer f.lock.Lock()
@@ -97,36 +97,36 @@
 		case <-time.After(2 * time.Second):
 		case <-ctx.Done():
 		}
-		return engineapi.State{}, errSilent
+		return engineapi.State{}, errUnresponsive
 	}
 	return engineapi.State{Engine: address, Incarnation: f.incarnation}, nil
 }
 
-func (f *fleet) Load(_ context.Context, address string) (engineapi.Load, error) {
+func (f *fakeEngines) Load(_ context.Context, address string) (engineapi.Load, error) {
 	return engineapi.Load{Engine: address}, nil
 }
 
-func (f *fleet) count(address string) int {
+func (f *fakeEngines) count(address string) int {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	return f.asked[address]
+	return f.requests[address]
 }
 
-func startPoller(asker Asker, changed func()) *Poller {
+func startPoller(client EngineClient, changed func()) *Poller {
 	start := time.Now()
 	return NewPoller(PollerConfig{
-		Asker: asker, Interval: 500 * time.Millisecond, Changed: changed,
+		Asker: client, Interval: 500 * time.Millisecond, Changed: changed,
 		Clock: func() time.Duration { return time.Since(start) },
 	})
 }
 
-func TestPollerHearsTheOthersBesideSilentEngines(t *testing.T) {
+func TestUnresponsiveEnginesDoNotBlockOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		asker := &fleet{asked: map[string]int{}}
-		poller := startPoller(asker, nil)
+		client := &fakeEngines{requests: map[string]int{}}
+		poller := startPoller(client, nil)
 		defer poller.Close()
 		targets := map[string]string{}
-		const engines = 300 // the silent ones alone fill every shard's workers
+		const engines = 300 // the unresponsive engines alone occupy all workers of every shard
 		for i := range engines {
 			for _, name := range []string{fmt.Sprintf("silent-%d", i), fmt.Sprintf("engine-%d", i)} {
 				targets[name] = name
@@ -137,17 +137,17 @@
 		seen := poller.Seen()
 		must.MapLen(t, engines, seen)
 		for name := range seen {
-			must.Greater(t, 2, asker.count(name))
+			must.Greater(t, 2, client.count(name))
 		}
 	})
 }
 
-// TestSilentEnginesTakeTurns: there are more engines than workers, and none
-// answers before its question is given up.
-func TestSilentEnginesTakeTurns(t *testing.T) {
+// With more unresponsive engines than workers, each engine must still be polled equally
+// often.
+func TestUnresponsiveEnginesArePolledFairly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		asker := &fleet{asked: map[string]int{}}
-		poller := startPoller(asker, nil)
+		client := &fakeEngines{requests: map[string]int{}}
+		poller := startPoller(client, nil)
 		defer poller.Close()
 		targets := map[string]string{}
 		for i := range 4 * pollerShards * shardWorkers {
@@ -159,26 +159,26 @@
 		for i := range poller.shards {
 			least, most := math.MaxInt, 0
 			for name := range poller.shards[i].targets {
-				least, most = min(least, asker.count(name)), max(most, asker.count(name))
+				least, most = min(least, client.count(name)), max(most, client.count(name))
 			}
 			must.Between(t, most-1, least, most)
 		}
 	})
 }
 
-func TestPollerAsksEachEngineOnceAnInterval(t *testing.T) {
+func TestPollerPollsOncePerInterval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		asker := &fleet{asked: map[string]int{}}
+		client := &fakeEngines{requests: map[string]int{}}
 		changes := make(chan struct{}, 100)
-		poller := startPoller(asker, func() { changes <- struct{}{} })
+		poller := startPoller(client, func() { changes <- struct{}{} })
 		defer poller.Close()
 		poller.SetTargets(map[string]string{"engine-1": "engine-1"})
 		time.Sleep(10 * time.Second)
-		must.Between(t, 18, asker.count("engine-1"), 21)
-		must.Eq(t, 1, len(changes)) // heard once, and the same since
-		asker.lock.Lock()
-		asker.incarnation = 2
-		asker.lock.Unlock()
+		must.Between(t, 18, client.count("engine-1"), 21)
+		must.Eq(t, 1, len(changes)) // unchanged since the first poll
+		client.lock.Lock()
+		client.incarnation = 2
+		client.lock.Unlock()
 		time.Sleep(time.Second)
 		must.Eq(t, 2, len(changes))
 		poller.SetTargets(map[string]string{"engine-1": "moved"})
@@ -188,9 +188,9 @@
 	})
 }
 
-func TestLaterQuestionWins(t *testing.T) {
+func TestLaterRequestWins(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		poller := startPoller(&fleet{asked: map[string]int{}}, nil)
+		poller := startPoller(&fakeEngines{requests: map[string]int{}}, nil)
 		defer poller.Close()
 		poller.SetTargets(map[string]string{"silent": "silent"})
 		state := func(incarnation uint64) engineapi.State {
@@ -203,28 +203,27 @@
 	})
 }
 
-// restarted is an Asker whose engine has restarted: its load report lags, and is still
-// of the life before.
-type restarted struct{ lagging atomic.Bool }
+// restartedEngine is a fake EngineClient whose engine has restarted. While lagging is set, its load
+// report is still that of the previous incarnation.
+type restartedEngine struct{ lagging atomic.Bool }
 
-func (*restarted) State(context.Context, string) (engineapi.State, error) {
+func (*restartedEngine) State(context.Context, string) (engineapi.State, error) {
 	return engineapi.State{Engine: "engine-1", Incarnation: 2}, nil
 }
 
-func (r *restarted) Load(context.Context, string) (engineapi.Load, error) {
+func (r *restartedEngine) Load(context.Context, string) (engineapi.Load, error) {
 	if r.lagging.Load() {
 		return engineapi.Load{Engine: "engine-1", Incarnation: 1, Running: 7}, nil
 	}
 	return engineapi.Load{Engine: "engine-1", Incarnation: 2, Running: 1}, nil
 }
 
-// Seen: an engine that has just restarted shows the load of its life before. It comes
-// about because load reports lag and are kept by the engine's name alone.
-// Proof: no load is shown until a report is of the incarnation that the state names, and
-// none is kept for the next incarnation.
-func TestLoadIsOfTheIncarnationThatTheStateNames(t *testing.T) {
+// A load must only be returned together with the state of the same incarnation. Load reports
+// lag, so those stored by engine name alone would show an engine that has just restarted
+// with the load of its previous incarnation.
+func TestLoadMatchesIncarnationOfState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		engine := &restarted{}
+		engine := &restartedEngine{}
 		engine.lagging.Store(true)
 		poller := startPoller(engine, nil)
 		defer poller.Close()
@@ -240,55 +239,55 @@
 	})
 }
 
-// Two questions for an engine's load can be under way where its entry was replaced by one
-// with the same address. The answer to the earlier one says less than what is known.
-func TestLateLoadReportReplacesNoLaterOne(t *testing.T) {
-	known := &target{heard: true, seen: Seen{State: engineapi.State{Incarnation: 3}}}
+// Two load requests to an engine can be in flight if its entry was replaced by one with the
+// same address. The response to the earlier request must not replace a later one.
+func TestStaleLoadReportIsDiscarded(t *testing.T) {
+	known := &target{hasState: true, seen: Seen{State: engineapi.State{Incarnation: 3}}}
 	known.recordLoad(engineapi.Load{Incarnation: 3, Running: 7}, 2*time.Second)
 	known.recordLoad(engineapi.Load{Incarnation: 3, Running: 1}, time.Second)
 	must.Eq(t, 7, known.seen.Load.Running)
-	must.Eq(t, 2*time.Second, known.seen.LoadAt)
+	must.Eq(t, 2*time.Second, known.seen.LoadRequestedAt)
 }
 
-// slowReport is an Asker whose first load report comes when it is let go, and whose
-// reports are numbered as they were asked for.
-type slowReport struct {
-	asked atomic.Int64
-	first chan struct{}
+// slowLoadEngine is a fake EngineClient that numbers its load reports by request and returns the first
+// one only after first is closed.
+type slowLoadEngine struct {
+	requests atomic.Int64
+	first    chan struct{}
 }
 
-func (*slowReport) State(context.Context, string) (engineapi.State, error) {
+func (*slowLoadEngine) State(context.Context, string) (engineapi.State, error) {
 	return engineapi.State{Engine: "engine-1", Incarnation: 1}, nil
 }
 
-func (s *slowReport) Load(context.Context, string) (engineapi.Load, error) {
-	number := s.asked.Add(1)
+func (s *slowLoadEngine) Load(context.Context, string) (engineapi.Load, error) {
+	number := s.requests.Add(1)
 	if number == 1 {
 		<-s.first
 	}
 	return engineapi.Load{Engine: "engine-1", Incarnation: 1, Running: int(number)}, nil
 }
 
-// An engine that leaves the list and comes back, while a question to it is under way, is
-// asked anew: the earlier question's answer takes nothing back, and leaves the engine to
-// the questions of now.
-func TestReportOfAnEarlierQuestionTakesNothingBack(t *testing.T) {
+// An engine that is removed and added again while a poll of it is in flight is polled anew.
+// The response to the earlier poll must not overwrite the later one, nor affect the polling
+// of the new entry.
+func TestResponseToReplacedTargetIsDiscarded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		engine := &slowReport{first: make(chan struct{})}
+		engine := &slowLoadEngine{first: make(chan struct{})}
 		poller := startPoller(engine, nil)
 		defer poller.Close()
 		targets := map[string]string{"engine-1": "engine-1"}
 		poller.SetTargets(targets)
-		time.Sleep(100 * time.Millisecond) // the first report is under way
-		must.Eq(t, 1, engine.asked.Load())
+		time.Sleep(100 * time.Millisecond) // the first load request is in flight
+		must.Eq(t, 1, engine.requests.Load())
 		poller.SetTargets(nil)
 		poller.SetTargets(targets)
 		time.Sleep(100 * time.Millisecond)
 		must.Eq(t, 2, poller.Seen()["engine-1"].Load.Running)
-		latest := poller.Seen()["engine-1"].LoadAt
+		latest := poller.Seen()["engine-1"].LoadRequestedAt
 		close(engine.first)
 		synctest.Wait()
 		must.Eq(t, 2, poller.Seen()["engine-1"].Load.Running)
-		must.Eq(t, latest, poller.Seen()["engine-1"].LoadAt)
+		must.Eq(t, latest, poller.Seen()["engine-1"].LoadRequestedAt)
 	})
 }
--- a/connection/orders/outofstep_test.go
+++ b/connection/orders/outofstep_test.go
@@ -14,25 +14,26 @@
 	"github.com/shoenig/test/must"
 )
 
-// Seen: the answer to an earlier question or order is taken for that to the present
-// one. It comes about where the engine sends an answer too many on a kept connection
-// after the next request was written on it: then it is the next thing that comes.
-// Proof: no call returns the answer to another, and surplus ones were sent; a call that
-// meets one may fail. Without echoes no connection is kept, and each call succeeds.
-
-// outOfStepCalls is how many calls a test makes: enough that connections are kept.
-const outOfStepCalls = 12
-
-// outOfStep is an engine that sends its last answer again, and a client of it.
-type outOfStep struct {
+// These tests guard against taking the response to an earlier request or order for that to
+// the current one. This happens if the engine sends a surplus response on a persistent
+// connection after the next request was written. No call may return the response to
+// another one; a call that receives a surplus response may fail. If an engine does not echo
+// request IDs, its connections are not reused and every call succeeds.
+
+// callsPerTest is the number of calls per test, enough for connections to be reused.
+const callsPerTest = 12
+
+// duplicatingEngine is an engine that repeats its previous response before each further one
+// on a connection, and a client of it.
+type duplicatingEngine struct {
 	server *surplus.Server
 	client *Client
 	echoes bool
 }
 
-// forOutOfStep runs a test with an engine that echoes its calls and with one that
-// does not. engine makes the handler of each.
-func forOutOfStep(t *testing.T, engine func() http.Handler, test func(t *testing.T, engine *outOfStep)) {
+// runWithDuplicatingEngine runs a test with an engine that echoes request IDs and with one
+// that does not. engine creates the handler of each.
+func runWithDuplicatingEngine(t *testing.T, engine func() http.Handler, test func(t *testing.T, engine *duplicatingEngine)) {
 	for name, echoes := range map[string]bool{"echoes": true, "does not echo": false} {
 		t.Run(name, func(t *testing.T) {
 			server, err := surplus.Start(maybeEchoing(engine(), echoes), surplus.Again)
@@ -40,8 +41,8 @@
 			t.Cleanup(server.Close)
 			client := NewClient(5 * time.Second)
 			t.Cleanup(client.Close)
-			test(t, &outOfStep{server: server, client: client, echoes: echoes})
-			must.Eq(t, echoes, server.Sent() > 0, must.Sprint("surplus answers come on kept connections"))
+			test(t, &duplicatingEngine{server: server, client: client, echoes: echoes})
+			must.Eq(t, echoes, server.Sent() > 0, must.Sprint("surplus responses are expected on reused connections only"))
 		})
 	}
 }
@@ -55,19 +56,19 @@
 	})
 }
 
-// succeeded reports whether a call brought an answer. It may fail only if a surplus
-// answer was sent during it.
-func (o *outOfStep) succeeded(t *testing.T, sentBefore int, err error) bool {
+// succeeded reports whether a call succeeded. It may fail only if a surplus response was
+// sent during it.
+func (e *duplicatingEngine) succeeded(t *testing.T, sentBefore int, err error) bool {
 	t.Helper()
 	if err == nil {
 		return true
 	}
-	must.ErrorIs(t, err, ErrUnreachable)
-	must.Greater(t, sentBefore, o.server.Sent())
+	must.ErrorIs(t, err, ErrNoResponse)
+	must.Greater(t, sentBefore, e.server.Sent())
 	return false
 }
 
-// restartingEngine is in another incarnation at each question.
+// restartingEngine returns an engine that is in another incarnation at each request.
 func restartingEngine() http.Handler {
 	var incarnation atomic.Uint64
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -75,11 +76,11 @@
 	})
 }
 
-// checkIncarnations asks a restarting engine again and again: the engine answers one
-// question at a time, so the number of the question is that of its answer.
-func checkIncarnations(t *testing.T, ask func(ctx context.Context, engine *outOfStep) (uint64, error)) {
-	forOutOfStep(t, restartingEngine, func(t *testing.T, engine *outOfStep) {
-		for number := range uint64(outOfStepCalls) {
+// checkIncarnations calls a restarting engine repeatedly. The engine serves one request at a
+// time, so the incarnation in each response must be the number of its request.
+func checkIncarnations(t *testing.T, ask func(ctx context.Context, engine *duplicatingEngine) (uint64, error)) {
+	runWithDuplicatingEngine(t, restartingEngine, func(t *testing.T, engine *duplicatingEngine) {
+		for number := range uint64(callsPerTest) {
 			sent := engine.server.Sent()
 			incarnation, err := ask(t.Context(), engine)
 			if engine.succeeded(t, sent, err) {
@@ -89,21 +90,21 @@
 	})
 }
 
-func TestStateIsTheAnswerToItsOwnQuestion(t *testing.T) {
-	checkIncarnations(t, func(ctx context.Context, engine *outOfStep) (uint64, error) {
+func TestStateMatchesRequest(t *testing.T) {
+	checkIncarnations(t, func(ctx context.Context, engine *duplicatingEngine) (uint64, error) {
 		state, err := engine.client.State(ctx, engine.server.Address())
 		return state.Incarnation, err
 	})
 }
 
-func TestLoadIsTheAnswerToItsOwnQuestion(t *testing.T) {
-	checkIncarnations(t, func(ctx context.Context, engine *outOfStep) (uint64, error) {
+func TestLoadMatchesRequest(t *testing.T) {
+	checkIncarnations(t, func(ctx context.Context, engine *duplicatingEngine) (uint64, error) {
 		load, err := engine.client.Load(ctx, engine.server.Address())
 		return load.Incarnation, err
 	})
 }
 
-// loadAndState answers the two questions.
+// loadAndState returns an engine that serves load and state requests.
 func loadAndState() http.Handler {
 	engine := http.NewServeMux()
 	engine.HandleFunc("GET "+engineapi.PathLoad, func(w http.ResponseWriter, _ *http.Request) {
@@ -115,11 +116,11 @@
 	return engine
 }
 
-// A load report has an engine's name, incarnation and phase as a state has, but no
-// fence and no assignment: taken for a state it is an engine that was told nothing.
+// A load report has the engine name, incarnation and phase of a state, but no fence and no
+// assignment. Taken for a state, it would describe an engine that got no orders.
 func TestLoadIsNotTakenForAState(t *testing.T) {
-	forOutOfStep(t, loadAndState, func(t *testing.T, engine *outOfStep) {
-		for range outOfStepCalls {
+	runWithDuplicatingEngine(t, loadAndState, func(t *testing.T, engine *duplicatingEngine) {
+		for range callsPerTest {
 			sent := engine.server.Sent()
 			load, err := engine.client.Load(t.Context(), engine.server.Address())
 			if engine.succeeded(t, sent, err) {
@@ -134,7 +135,7 @@
 	})
 }
 
-// orderAndVoid accepts orders and refuses voids.
+// orderAndVoid returns an engine that accepts orders and refuses voids.
 func orderAndVoid() http.Handler {
 	engine := http.NewServeMux()
 	engine.HandleFunc("POST "+engineapi.PathOrders, func(w http.ResponseWriter, _ *http.Request) {
@@ -147,9 +148,9 @@
 	return engine
 }
 
-func TestOrderAndVoidGetTheirOwnAnswers(t *testing.T) {
-	forOutOfStep(t, orderAndVoid, func(t *testing.T, engine *outOfStep) {
-		for range outOfStepCalls {
+func TestOrderAndVoidGetOwnReplies(t *testing.T) {
+	runWithDuplicatingEngine(t, orderAndVoid, func(t *testing.T, engine *duplicatingEngine) {
+		for range callsPerTest {
 			sent := engine.server.Sent()
 			ordered, err := engine.client.Send(t.Context(), engine.server.Address(), api.Order{Engine: "narrator-1"})
 			if engine.succeeded(t, sent, err) {
--- a/connection/orders/poller.go
+++ b/connection/orders/poller.go
@@ -11,67 +11,68 @@
 	"github.com/landingtrail/landingtrail/connection/engineapi"
 )
 
-// Seen is the latest word of one engine.
+// Seen is the last known state and load of an engine.
 type Seen struct {
 	State engineapi.State
-	// AskedAt is when the question was sent, by the poller's clock.
+	// AskedAt is when the state was requested, by the poller's clock.
 	AskedAt time.Duration
-	// Load is the last load report of the incarnation that State names; LoadAt is
-	// when it was asked for, 0 if there is none.
-	Load   engineapi.Load
-	LoadAt time.Duration
+	// Load is the last load report of the incarnation in State. LoadRequestedAt is when it was
+	// requested, 0 if there is none.
+	Load            engineapi.Load
+	LoadRequestedAt time.Duration
 }
 
-// Asker asks engines; *Client is one.
-type Asker interface {
+// EngineClient reads the state and load of engines. *Client implements it.
+type EngineClient interface {
 	State(ctx context.Context, address string) (engineapi.State, error)
 	Load(ctx context.Context, address string) (engineapi.Load, error)
 }
 
-// PollerConfig holds what a Poller is created with.
+// PollerConfig configures a Poller.
 type PollerConfig struct {
-	Asker Asker
-	// Interval is the time between two questions to one engine; it is
-	// stretched when there are more engines than MaxPerSecond allows.
+	Asker EngineClient
+	// Interval is the time between two polls of one engine. It is increased if there
+	// are more engines than MaxPerSecond allows. With 0, only MaxPerSecond and pollTick
+	// limit the polls.
 	Interval     time.Duration
 	MaxPerSecond int
-	// Clock reads the monotonic time.
+	// Clock is a monotonic clock. It must be set, as must Asker.
 	Clock func() time.Duration
-	// Changed is called after an engine's state was seen to differ, without
-	// any lock held; it may be nil.
+	// Changed is called without any lock held after the state of an engine has changed in
+	// a field that sameState compares. It may be nil.
 	Changed func()
 }
 
 const (
 	pollerShards = 8
-	// shardWorkers bounds the questions of one shard that are under way, so
-	// that silent engines hold up at most their own shard's turn.
+	// shardWorkers limits the concurrent polls of one shard, so that unresponsive
+	// engines delay at most the engines of their own shard.
 	shardWorkers = 32
-	// pollTick is how often a shard looks for engines that are due.
+	// pollTick is the interval at which a shard checks for engines that are due.
 	pollTick = 20 * time.Millisecond
-	// defaultMaxPerSecond bounds all questions of one poller.
+	// defaultMaxPerSecond limits the poll rate of a poller over all engines.
 	defaultMaxPerSecond = 2000
 )
 
-// target is one observed engine.
+// target is one polled engine.
 type target struct {
-	name    string
-	address string
-	dueAt   time.Duration
-	turn    uint64 // of its last question; 0 before the first
-	asking  bool
-	seen    Seen
-	heard   bool
+	name     string
+	address  string
+	dueAt    time.Duration
+	lastPoll uint64 // number of the last poll; 0 before the first
+	polling  bool
+	seen     Seen
+	hasState bool
 }
 
 type pollerShard struct {
 	sync.Mutex
 	targets map[string]*target
 	workers chan struct{}
-	turn    uint64 // counts the questions
+	polls   uint64 // number of polls started
 }
 
-// Poller observes engines until it is closed.
+// Poller polls a set of engines until it is closed.
 type Poller struct {
 	config  PollerConfig
 	shards  [pollerShards]pollerShard
@@ -81,7 +82,7 @@
 	done    sync.WaitGroup
 }
 
-// NewPoller starts a Poller without engines.
+// NewPoller starts a Poller with no engines.
 func NewPoller(config PollerConfig) *Poller {
 	if config.MaxPerSecond <= 0 {
 		config.MaxPerSecond = defaultMaxPerSecond
@@ -92,12 +93,12 @@
 		shard := &p.shards[i]
 		shard.targets = map[string]*target{}
 		shard.workers = make(chan struct{}, shardWorkers)
-		p.done.Go(func() { p.run(shard) })
+		p.done.Go(func() { p.runShard(shard) })
 	}
 	return p
 }
 
-// Close ends all questions and waits for them.
+// Close cancels all polls and waits for them to end.
 func (p *Poller) Close() {
 	p.cancel()
 	p.done.Wait()
@@ -107,18 +108,19 @@
 	return &p.shards[maphash.String(p.seed, name)%pollerShards]
 }
 
-// SetTargets replaces the observed engines, names to addresses. An engine with
-// a new address has not been heard from.
+// SetTargets replaces the set of polled engines, given as addresses by name. The state of
+// an engine whose address changes is discarded.
 func (p *Poller) SetTargets(addresses map[string]string) {
 	for i := range p.shards {
-		p.shards[i].removeOthers(addresses)
+		p.shards[i].retainTargets(addresses)
 	}
 	for name, address := range addresses {
-		p.shard(name).add(name, address)
+		p.shard(name).addTarget(name, address)
 	}
 }
 
-func (s *pollerShard) removeOthers(addresses map[string]string) {
+// retainTargets removes all engines except those in addresses with the same address.
+func (s *pollerShard) retainTargets(addresses map[string]string) {
 	s.Lock()
 	defer s.Unlock()
 	for name, known := range s.targets {
@@ -128,7 +130,8 @@
 	}
 }
 
-func (s *pollerShard) add(name, address string) {
+// addTarget adds an engine unless it is known.
+func (s *pollerShard) addTarget(name, address string) {
 	s.Lock()
 	defer s.Unlock()
 	if s.targets[name] == nil {
@@ -136,7 +139,7 @@
 	}
 }
 
-// Poke makes the engine due now.
+// Poke makes the engine due immediately.
 func (p *Poller) Poke(name string) {
 	shard := p.shard(name)
 	shard.Lock()
@@ -146,162 +149,170 @@
 	}
 }
 
-// Record keeps a state that came with an answer to an order, as if it had been
-// asked for at askedAt.
-func (p *Poller) Record(name, address string, state engineapi.State, askedAt time.Duration) {
+// Record records a state that was part of the reply to an order, as if it had been
+// requested at requestedAt.
+func (p *Poller) Record(name, address string, state engineapi.State, requestedAt time.Duration) {
 	shard := p.shard(name)
 	shard.Lock()
 	known := shard.targets[name]
-	changed := known != nil && known.address == address && known.record(state, askedAt)
+	changed := known != nil && known.address == address && known.recordState(state, requestedAt)
 	shard.Unlock()
 	p.notify(changed)
 }
 
-// record keeps the state unless a later question was answered already, and
-// reports whether it differs from the one before.
-func (t *target) record(state engineapi.State, askedAt time.Duration) bool {
-	if t.heard && askedAt < t.seen.AskedAt {
+// recordState records the state, unless that of a later request is already known, and reports
+// whether it differs from the previous one.
+func (t *target) recordState(state engineapi.State, requestedAt time.Duration) bool {
+	if t.hasState && requestedAt < t.seen.AskedAt {
 		return false
 	}
-	changed := !t.heard || !sameState(t.seen.State, state)
+	changed := !t.hasState || !sameState(t.seen.State, state)
 	if t.seen.State.Incarnation != state.Incarnation {
-		t.seen.Load, t.seen.LoadAt = engineapi.Load{}, 0
+		t.seen.Load, t.seen.LoadRequestedAt = engineapi.Load{}, 0
 	}
-	t.seen.State, t.seen.AskedAt, t.heard = state, askedAt, true
+	t.seen.State, t.seen.AskedAt, t.hasState = state, requestedAt, true
 	return changed
 }
 
+// sameState compares the incarnation, fence, phase and assignment, and whether an order is
+// open. It ignores which order that is and the numbers of requests.
 func sameState(left, right engineapi.State) bool {
 	return left.Incarnation == right.Incarnation && left.Fence == right.Fence && left.Phase == right.Phase &&
 		left.Assignment.Equal(right.Assignment) && (left.Order == nil) == (right.Order == nil)
 }
 
+// notify calls the Changed callback if the state has changed.
 func (p *Poller) notify(changed bool) {
 	if changed && p.config.Changed != nil {
 		p.config.Changed()
 	}
 }
 
-// Seen returns the latest word of every engine that was heard from.
+// Seen returns a copy of the last known state of every engine that has responded.
 func (p *Poller) Seen() map[string]Seen {
 	all := map[string]Seen{}
 	for i := range p.shards {
-		p.shards[i].collect(all)
+		p.shards[i].collectSeen(all)
 	}
 	return all
 }
 
-func (s *pollerShard) collect(all map[string]Seen) {
+// collectSeen adds the last known states of the shard's engines to all.
+func (s *pollerShard) collectSeen(all map[string]Seen) {
 	s.Lock()
 	defer s.Unlock()
 	for name, known := range s.targets {
-		if known.heard {
+		if known.hasState {
 			all[name] = known.seen
 		}
 	}
 }
 
-func (p *Poller) run(shard *pollerShard) {
+// runShard polls the engines of one shard until the poller is closed.
+func (p *Poller) runShard(shard *pollerShard) {
 	ticker := time.NewTicker(pollTick)
 	defer ticker.Stop()
-	var asking sync.WaitGroup
-	defer asking.Wait()
+	var inFlight sync.WaitGroup
+	defer inFlight.Wait()
 	for {
 		select {
 		case <-p.context.Done():
 			return
 		case <-ticker.C:
-			p.startDue(shard, &asking)
+			p.startDue(shard, &inFlight)
 		}
 	}
 }
 
-// startDue starts a question to each engine that is due, as long as workers are
-// free: those first that have been due for longest, so that each gets its turn.
-func (p *Poller) startDue(shard *pollerShard, asking *sync.WaitGroup) {
+// startDue starts a poll of each engine that is due, as long as workers are free. Engines
+// that have been due for longest come first, so that none is starved.
+func (p *Poller) startDue(shard *pollerShard, inFlight *sync.WaitGroup) {
 	now := p.config.Clock()
 	shard.Lock()
 	defer shard.Unlock()
 	if len(shard.workers) == cap(shard.workers) {
 		return
 	}
-	interval := p.interval(len(shard.targets))
+	interval := p.shardInterval(len(shard.targets))
 	for _, next := range shard.due(now) {
 		select {
 		case shard.workers <- struct{}{}:
 		default:
 			return
 		}
-		shard.turn++
-		next.turn, next.asking = shard.turn, true
+		shard.polls++
+		next.lastPoll, next.polling = shard.polls, true
 		next.dueAt = now + interval
-		asking.Go(func() {
+		inFlight.Go(func() {
 			defer func() { <-shard.workers }()
-			p.ask(shard, next.name, next)
+			p.poll(shard, next.name, next)
 		})
 	}
 }
 
-// due returns the engines to ask, in the order in which they became due and, of
-// those that did so at once, were last asked.
+// due returns the engines to poll, ordered by the time at which they became due, and at
+// equal times by their last poll.
 func (s *pollerShard) due(now time.Duration) []*target {
 	var due []*target
 	for _, known := range s.targets {
-		if !known.asking && known.dueAt <= now {
+		if !known.polling && known.dueAt <= now {
 			due = append(due, known)
 		}
 	}
 	slices.SortFunc(due, func(left, right *target) int {
-		return cmp.Or(cmp.Compare(left.dueAt, right.dueAt), cmp.Compare(left.turn, right.turn))
+		return cmp.Or(cmp.Compare(left.dueAt, right.dueAt), cmp.Compare(left.lastPoll, right.lastPoll))
 	})
 	return due
 }
 
-// interval is the configured one, or as long as the shard's part of the
-// allowed rate makes it.
-func (p *Poller) interval(targets int) time.Duration {
+// shardInterval returns the configured interval, or a longer one if the shard's share of the
+// maximum rate requires it.
+func (p *Poller) shardInterval(targets int) time.Duration {
 	perShard := max(1, p.config.MaxPerSecond/pollerShards)
-	return stretched(p.config.Interval, targets, perShard)
+	return limitedInterval(p.config.Interval, targets, perShard)
 }
 
-func stretched(interval time.Duration, targets, perSecond int) time.Duration {
+func limitedInterval(interval time.Duration, targets, perSecond int) time.Duration {
 	return max(interval, time.Duration(targets)*time.Second/time.Duration(perSecond))
 }
 
-// RoundTime returns how long a Poller of the given interval and the default
-// rate takes to ask so many engines once each.
+// RoundTime returns the least time that a Poller with the given interval and the default
+// maximum rate takes to poll the given number of engines once: that of engines which are
+// spread evenly over the shards and respond quickly.
 func RoundTime(interval time.Duration, engines int) time.Duration {
-	return stretched(interval, engines, defaultMaxPerSecond)
+	return limitedInterval(interval, engines, defaultMaxPerSecond)
 }
 
-// ask asks one engine; its target may have been replaced by the time of the answer.
-func (p *Poller) ask(shard *pollerShard, name string, asked *target) {
-	askedAt := p.config.Clock()
-	state, err := p.config.Asker.State(p.context, asked.address)
+// poll polls one engine. Its target may have been replaced by the time it responds.
+func (p *Poller) poll(shard *pollerShard, name string, polled *target) {
+	requestedAt := p.config.Clock()
+	state, err := p.config.Asker.State(p.context, polled.address)
 	if err == nil {
-		p.Record(name, asked.address, state, askedAt)
-		p.askLoad(shard, name, asked)
+		p.Record(name, polled.address, state, requestedAt)
+		p.pollLoad(shard, name, polled)
 	}
 	shard.Lock()
 	defer shard.Unlock()
-	asked.asking = false
+	polled.polling = false
 }
 
-func (p *Poller) askLoad(shard *pollerShard, name string, asked *target) {
-	askedAt := p.config.Clock()
-	load, err := p.config.Asker.Load(p.context, asked.address)
+// pollLoad polls the load report of one engine. It ignores errors and reports that carry
+// another engine's name; the load is then polled again with the next state.
+func (p *Poller) pollLoad(shard *pollerShard, name string, polled *target) {
+	requestedAt := p.config.Clock()
+	load, err := p.config.Asker.Load(p.context, polled.address)
 	if err != nil || load.Engine != name {
 		return
 	}
 	shard.Lock()
 	defer shard.Unlock()
-	asked.recordLoad(load, askedAt)
+	polled.recordLoad(load, requestedAt)
 }
 
-// recordLoad keeps the report unless it is of an earlier life of the engine, since reports
-// lag, or a later question was answered already.
-func (t *target) recordLoad(load engineapi.Load, askedAt time.Duration) {
-	if load.Incarnation == t.seen.State.Incarnation && askedAt >= t.seen.LoadAt {
-		t.seen.Load, t.seen.LoadAt = load, askedAt
+// recordLoad records the report, unless it belongs to an earlier incarnation of the engine,
+// since reports lag, or that of a later request is already known.
+func (t *target) recordLoad(load engineapi.Load, requestedAt time.Duration) {
+	if load.Incarnation == t.seen.State.Incarnation && requestedAt >= t.seen.LoadRequestedAt {
+		t.seen.Load, t.seen.LoadRequestedAt = load, requestedAt
 	}
 }
--- a/connection/orders/surplus_test.go
+++ b/connection/orders/surplus_test.go
@@ -14,11 +14,11 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// foreignCode is the code of an answer to an order that was not sent.
+// foreignCode is the result code of a surplus response.
 const foreignCode = "foreign"
 
-// surplusEngine echoes the name of each call and accepts it. On a connection that
-// has carried another call it first sends an answer that belongs to none.
+// surplusEngine starts an engine that echoes the request ID of each call and accepts it. On a
+// reused connection it first sends a surplus response with wrongHeader.
 func surplusEngine(t *testing.T, wrongHeader string) *surplus.Server {
 	t.Helper()
 	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -40,11 +40,10 @@
 	return fmt.Appendf(nil, "HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s", header, len(body), body)
 }
 
-// TestSurplusReplyIsNoAnswer: the reply to one order or void was taken for that
-// to the next one to the same engine, as nothing tied a reply to its call: a
-// fence then counted as confirmed that the engine had not seen. Proof: an answer
-// that names another call, or none, is an error.
-func TestSurplusReplyIsNoAnswer(t *testing.T) {
+// A response that carries the ID of another call, or none, must be an error. If the reply to
+// one order or void is taken for that to the next one to the same engine, a fence that the
+// engine has not received counts as confirmed.
+func TestSurplusReplyIsRejected(t *testing.T) {
 	cases := map[string]string{
 		"of another call": engineapi.HeaderRequestID + ": another\r\n",
 		"of no call":      "",
@@ -55,15 +54,15 @@
 			client := NewClient(time.Second)
 			defer client.Close()
 			for range 6 {
-				answer, err := client.Send(t.Context(), engine.Address(), api.Order{Engine: "narrator-1"})
-				must.NotEq(t, foreignCode, string(answer.Code))
+				got, err := client.Send(t.Context(), engine.Address(), api.Order{Engine: "narrator-1"})
+				must.NotEq(t, foreignCode, string(got.Code))
 				if err != nil {
-					must.ErrorIs(t, err, ErrUnreachable)
+					must.ErrorIs(t, err, ErrNoResponse)
 				}
-				answer, err = client.Void(t.Context(), engine.Address(), engineapi.VoidRequest{})
-				must.NotEq(t, foreignCode, string(answer.Code))
+				got, err = client.Void(t.Context(), engine.Address(), engineapi.VoidRequest{})
+				must.NotEq(t, foreignCode, string(got.Code))
 				if err != nil {
-					must.ErrorIs(t, err, ErrUnreachable)
+					must.ErrorIs(t, err, ErrNoResponse)
 				}
 			}
 			must.Positive(t, engine.Sent())
--- a/connection/peer/connect_test.go
+++ b/connection/peer/connect_test.go
@@ -9,9 +9,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// The first packet to a machine without power is lost. A member must not wait long for
-// an answer to it, since the machine may be back at once.
-func TestEachTryToConnectIsShort(t *testing.T) {
+// An attempt to connect must time out soon: the SYN to a machine without power is lost, and
+// the machine may be back shortly after.
+func TestConnectTimeoutIsShort(t *testing.T) {
 	var config Config
 	var left time.Duration
 	config.setDefaults()
@@ -24,5 +24,5 @@
 	_, err := connect(context.Background(), config, "192.0.2.1:1")
 	must.ErrorIs(t, err, net.ErrClosed)
 	must.LessEq(t, DefaultConnectTimeout, left)
-	must.LessEq(t, DefaultConnectTimeout, DefaultMaxBackoff, must.Sprint("nor between two tries"))
+	must.LessEq(t, DefaultConnectTimeout, DefaultMaxBackoff, must.Sprint("the delay between two attempts is too long"))
 }
--- a/connection/peer/inbound.go
+++ b/connection/peer/inbound.go
@@ -10,22 +10,22 @@
 	"github.com/pkg/errors"
 )
 
-// acceptPause is the wait after a failed accept, for example without free file
-// descriptors.
+// acceptPause is the delay after a failed accept, for example when no file descriptors
+// are free.
 const acceptPause = 50 * time.Millisecond
 
-// inboundKey names an incoming connection; a later one of the same key replaces
-// the earlier, whose other end is gone.
+// inboundKey identifies an incoming connection. A later connection with the same key
+// replaces the earlier one, which its sender has abandoned.
 type inboundKey struct {
-	sender raft.MemberID
-	lane   lane
+	sender  raft.MemberID
+	channel channel
 }
 
-// inbound is what is known of an incoming connection.
+// inbound describes an incoming connection.
 type inbound struct {
-	// number counts the connections in the order in which they were accepted.
+	// number is the position of the connection in the order of acceptance.
 	number uint64
-	key    inboundKey // zero until it is admitted
+	key    inboundKey // zero until the connection is admitted
 }
 
 func (t *Transport) accept() {
@@ -45,11 +45,12 @@
 			conn.Close()
 			continue
 		}
-		t.group.Go(func() { t.serveInbound(conn) })
+		t.goroutines.Go(func() { t.serveInbound(conn) })
 	}
 }
 
-// register counts the connection and returns false when there are too many.
+// register adds the connection and returns false if there are too many or the transport is
+// closed.
 func (t *Transport) register(conn net.Conn) bool {
 	t.inboundMutex.Lock()
 	defer t.inboundMutex.Unlock()
@@ -61,9 +62,9 @@
 	return true
 }
 
-// admit gives the connection its key and closes the one that had it. It returns false
-// when that is the later one: goroutines come here in any order, and the sender has
-// given up the earlier of its connections.
+// admit assigns the key to the connection and closes an earlier one with the same key. It
+// returns false if the other connection is the later one: the goroutines of connections
+// reach this point in any order, and the sender has abandoned the earlier connection.
 func (t *Transport) admit(conn net.Conn, key inboundKey) bool {
 	t.inboundMutex.Lock()
 	defer t.inboundMutex.Unlock()
@@ -101,55 +102,55 @@
 	defer t.unregister(conn)
 	writer := frame.NewWriter(conn, Protocol, t.config.WriteTimeout)
 	reader := frame.NewReader(conn, Protocol, handshakeBytes, t.config.HandshakeTimeout)
-	greeting, err := t.welcome(writer, reader)
+	greeting, err := t.handleHello(writer, reader)
 	if err != nil {
 		address := conn.RemoteAddr().String()
 		t.config.OnEvent(Event{Kind: EventRejected, Member: greeting.sender, Address: address, Err: err})
 		return
 	}
-	if greeting.lane == laneProbe {
+	if greeting.channel == channelProbe {
 		return
 	}
-	if !t.admit(conn, inboundKey{sender: greeting.sender, lane: greeting.lane}) {
+	if !t.admit(conn, inboundKey{sender: greeting.sender, channel: greeting.channel}) {
 		return
 	}
-	// What ends the connection is the sender's to notice and report.
+	// The error is ignored, since the sender reports why the connection ended.
 	_ = t.readMessages(greeting, writer, reader)
 }
 
-// welcome reads the hello and answers it; the answer names this member also when
-// it refuses.
-func (t *Transport) welcome(writer *frame.Writer, reader *frame.Reader) (hello, error) {
+// handleHello reads the hello and replies to it. The reply identifies this member even if it
+// is a refusal.
+func (t *Transport) handleHello(writer *frame.Writer, reader *frame.Reader) (hello, error) {
 	first, err := reader.ReadFrame()
 	if err != nil {
 		return hello{}, err
 	}
 	if first.Kind != frameHello {
-		return hello{}, errors.Wrapf(ErrHandshake, "frame of kind %d", first.Kind)
+		return hello{}, errors.Wrapf(ErrHandshake, "expected hello, got frame of kind %d", first.Kind)
 	}
 	greeting, err := decodeHello(first.Payload)
 	if err != nil {
 		return hello{}, err
 	}
-	answer := welcome{
-		verdict:     t.judge(greeting),
+	reply := welcome{
+		result:      t.checkHello(greeting),
 		group:       t.config.Group,
 		member:      t.config.ID,
 		initialized: t.config.Initialized(),
 	}
-	if err := writer.WriteFrame(frameWelcome, answer.encode()); err != nil {
+	if err := writer.WriteFrame(frameWelcome, reply.encode()); err != nil {
 		return greeting, err
 	}
 	if err := writer.Flush(); err != nil {
 		return greeting, err
 	}
-	return greeting, answer.err()
+	return greeting, reply.err()
 }
 
 func (t *Transport) readMessages(greeting hello, writer *frame.Writer, reader *frame.Reader) error {
-	reader.SetTimeout(t.config.PingInterval + t.config.AnswerTimeout)
+	reader.SetTimeout(t.config.PingInterval + t.config.PongTimeout)
 	reader.SetMaxPayload(t.config.MaxMessageBytes)
-	var pieces []byte
+	var chunks []byte
 	for {
 		next, err := reader.ReadFrame()
 		if err != nil {
@@ -157,21 +158,21 @@
 		}
 		switch next.Kind {
 		case framePing:
-			err = answerPing(writer)
+			err = sendPong(writer)
 		case frameMessage:
 			err = t.deliver(greeting, next.Payload)
 		case frameNotice:
 			t.count.received.Add(1)
 			t.config.OnNotice(greeting.sender, next.Payload)
 		case frameChunk:
-			pieces = append(pieces, next.Payload...)
-			err = t.acknowledgeChunk(writer, len(pieces))
+			chunks = append(chunks, next.Payload...)
+			err = t.acknowledgeChunk(writer, len(chunks))
 		case frameFinalChunk:
-			pieces = append(pieces, next.Payload...)
-			err = t.deliver(greeting, pieces)
-			pieces = nil
+			chunks = append(chunks, next.Payload...)
+			err = t.deliver(greeting, chunks)
+			chunks = nil
 		default:
-			err = errors.Wrapf(ErrHandshake, "frame of kind %d", next.Kind)
+			err = errors.Wrapf(ErrHandshake, "unexpected frame of kind %d after the handshake", next.Kind)
 		}
 		if err != nil {
 			return err
@@ -179,24 +180,25 @@
 	}
 }
 
-// acknowledgeChunk answers each piece of a snapshot, so that the sender sees it
-// move on a slow network, where a ping would have to wait behind all of it.
+// acknowledgeChunk replies to each chunk of a snapshot, so that the sender sees progress on
+// a slow network, where a ping would have to wait behind the whole snapshot. It also enforces
+// MaxSnapshotBytes, except on the final chunk.
 func (t *Transport) acknowledgeChunk(writer *frame.Writer, size int) error {
 	if size > t.config.MaxSnapshotBytes {
 		return errors.Wrapf(frame.ErrTooLarge, "snapshot of more than %d bytes", t.config.MaxSnapshotBytes)
 	}
-	return answerPing(writer)
+	return sendPong(writer)
 }
 
-func answerPing(writer *frame.Writer) error {
+func sendPong(writer *frame.Writer) error {
 	if err := writer.WriteFrame(framePong, nil); err != nil {
 		return err
 	}
 	return writer.Flush()
 }
 
-// deliver hands on a message that comes from the member that the connection was
-// opened by and is meant for this one.
+// deliver passes on a message after verifying that it comes from the member that opened the
+// connection and is addressed to this one.
 func (t *Transport) deliver(greeting hello, data []byte) error {
 	message, err := raft.DecodeMessage(data)
 	if err != nil {
@@ -210,16 +212,17 @@
 	return nil
 }
 
-// Identity is what a probe learns of the member at an address.
+// Identity is the result of a probe: the member at an address.
 type Identity struct {
 	Group  uint64
 	Member raft.MemberID
-	// Initialized tells whether the member holds a group's log already.
+	// Initialized tells whether the member already has a group's log.
 	Initialized bool
 }
 
-// Probe asks who is at the address. It returns ErrWrongGroup with the identity
-// found when that is of another group.
+// Probe returns the identity of the member at the address. If it belongs to another
+// group, the error is ErrWrongGroup and the identity is returned as well. Connecting, writing
+// and the handshake are limited by the default timeouts of Config.
 func Probe(ctx context.Context, address string, group uint64) (Identity, error) {
 	config := Config{Group: group}
 	config.setDefaults()
@@ -231,6 +234,6 @@
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
 	writer := frame.NewWriter(conn, Protocol, config.WriteTimeout)
 	reader := frame.NewReader(conn, Protocol, handshakeBytes, config.HandshakeTimeout)
-	answer, err := greet(writer, reader, hello{group: group, lane: laneProbe})
-	return Identity{Group: answer.group, Member: answer.member, Initialized: answer.initialized}, err
+	reply, err := handshake(writer, reader, hello{group: group, channel: channelProbe})
+	return Identity{Group: reply.group, Member: reply.member, Initialized: reply.initialized}, err
 }
--- a/connection/peer/link.go
+++ b/connection/peer/link.go
@@ -11,10 +11,11 @@
 	"github.com/pkg/errors"
 )
 
-// chunkBytes is the size of the pieces that a snapshot is sent in.
+// chunkBytes is the chunk size of snapshots.
 const chunkBytes = 64 << 10
 
-// link is the sending side towards one peer.
+// link holds the outgoing connections to one peer: one sender for messages and one for
+// snapshots.
 type link struct {
 	address   string
 	stop      context.CancelFunc
@@ -27,11 +28,11 @@
 	l := &link{
 		address:   address,
 		stop:      cancel,
-		messages:  newSender(t, member, address, laneMessages),
-		snapshots: newSender(t, member, address, laneSnapshots),
+		messages:  newSender(t, member, address, channelMessages),
+		snapshots: newSender(t, member, address, channelSnapshots),
 	}
-	t.group.Go(func() { l.messages.run(ctx) })
-	t.group.Go(func() { l.snapshots.run(ctx) })
+	t.goroutines.Go(func() { l.messages.run(ctx) })
+	t.goroutines.Go(func() { l.snapshots.run(ctx) })
 	return l
 }
 
@@ -43,25 +44,25 @@
 	l.messages.put(message)
 }
 
-// sender keeps one outgoing connection for one lane.
+// sender maintains the outgoing connection of one channel.
 type sender struct {
 	transport *Transport
 	member    raft.MemberID
 	address   string
-	lane      lane
+	channel   channel
 	queue     *queue
 }
 
-func newSender(t *Transport, member raft.MemberID, address string, l lane) *sender {
+func newSender(t *Transport, member raft.MemberID, address string, purpose channel) *sender {
 	maxMessages, maxBytes := t.config.QueueMessages, t.config.QueueBytes
-	if l == laneSnapshots {
-		maxMessages, maxBytes = 1, 1 // only the newest snapshot waits
+	if purpose == channelSnapshots {
+		maxMessages, maxBytes = 1, 1 // only the newest snapshot is queued
 	}
-	return &sender{transport: t, member: member, address: address, lane: l, queue: newQueue(maxMessages, maxBytes)}
+	return &sender{transport: t, member: member, address: address, channel: purpose, queue: newQueue(maxMessages, maxBytes)}
 }
 
-func (s *sender) notify(payload []byte) {
-	if dropped := s.queue.notify(payload); dropped > 0 {
+func (s *sender) putNotice(payload []byte) {
+	if dropped := s.queue.putNotice(payload); dropped > 0 {
 		s.transport.count.dropped.Add(uint64(dropped))
 	}
 }
@@ -72,7 +73,7 @@
 	}
 }
 
-// run connects when there is something to send, and again after each failure.
+// run connects when there is something to send, and reconnects after each failure.
 func (s *sender) run(ctx context.Context) {
 	retry := backoff{min: s.transport.config.MinBackoff, max: s.transport.config.MaxBackoff}
 	for {
@@ -81,7 +82,7 @@
 			return
 		case <-s.queue.wake:
 		}
-		connected, err := s.serve(ctx)
+		connected, err := s.connectAndSend(ctx)
 		if ctx.Err() != nil {
 			return
 		}
@@ -92,10 +93,11 @@
 		if !retry.wait(ctx) {
 			return
 		}
-		s.queue.signal()
+		s.queue.wakeIfPending()
 	}
 }
 
+// report reports the end of a connection, or a failed attempt to connect, as an event.
 func (s *sender) report(err error) {
 	kind := EventDisconnected
 	if errors.Is(err, ErrWrongGroup) || errors.Is(err, ErrWrongMember) || errors.Is(err, ErrHandshake) {
@@ -104,9 +106,9 @@
 	s.transport.config.OnEvent(Event{Kind: kind, Member: s.member, Address: s.address, Err: err})
 }
 
-// serve connects and sends until the connection fails or ctx ends. It returns how
-// long the connection was up.
-func (s *sender) serve(ctx context.Context) (time.Duration, error) {
+// connectAndSend connects and sends until the connection fails or ctx ends. It returns how long
+// the connection was established.
+func (s *sender) connectAndSend(ctx context.Context) (time.Duration, error) {
 	config := s.transport.config
 	conn, err := connect(ctx, config, s.address)
 	if err != nil {
@@ -117,22 +119,22 @@
 	defer unregister()
 	writer := frame.NewWriter(conn, Protocol, config.WriteTimeout)
 	reader := frame.NewReader(conn, Protocol, handshakeBytes, config.HandshakeTimeout)
-	greeting := hello{group: config.Group, sender: config.ID, receiver: s.member, lane: s.lane}
-	if _, err := greet(writer, reader, greeting); err != nil {
+	greeting := hello{group: config.Group, sender: config.ID, receiver: s.member, channel: s.channel}
+	if _, err := handshake(writer, reader, greeting); err != nil {
 		return 0, err
 	}
 	config.OnEvent(Event{Kind: EventConnected, Member: s.member, Address: s.address})
 	connected := time.Now()
 	broken := make(chan error, 1)
-	reading := make(chan struct{})
+	readerDone := make(chan struct{})
 	go func() {
-		defer close(reading)
+		defer close(readerDone)
 		broken <- s.readPongs(reader)
 		conn.Close()
 	}()
 	err = s.sendLoop(ctx, writer, broken)
 	conn.Close()
-	<-reading
+	<-readerDone
 	return time.Since(connected), err
 }
 
@@ -143,44 +145,46 @@
 	return conn, errors.WithStack(err)
 }
 
-// greet sends the hello and returns the other side's welcome, or its refusal as
-// an error.
-func greet(writer *frame.Writer, reader *frame.Reader, greeting hello) (welcome, error) {
+// handshake sends the hello and returns the remote end's welcome. A refusal is returned as an
+// error along with the welcome.
+func handshake(writer *frame.Writer, reader *frame.Reader, greeting hello) (welcome, error) {
 	if err := writer.WriteFrame(frameHello, greeting.encode()); err != nil {
 		return welcome{}, err
 	}
 	if err := writer.Flush(); err != nil {
 		return welcome{}, err
 	}
-	answer, err := reader.ReadFrame()
+	reply, err := reader.ReadFrame()
 	if err != nil {
 		return welcome{}, err
 	}
-	if answer.Kind != frameWelcome {
-		return welcome{}, errors.Wrapf(ErrHandshake, "frame of kind %d", answer.Kind)
+	if reply.Kind != frameWelcome {
+		return welcome{}, errors.Wrapf(ErrHandshake, "expected welcome, got frame of kind %d", reply.Kind)
 	}
-	w, err := decodeWelcome(answer.Payload)
+	w, err := decodeWelcome(reply.Payload)
 	if err != nil {
 		return welcome{}, err
 	}
 	return w, w.err()
 }
 
-// readPongs returns when the other side stops answering: a connection whose other
-// end is gone in silence would else hold messages for many minutes.
+// readPongs reads pongs and returns an error when the remote end stops sending them.
+// Without this timeout, a connection whose remote end has disappeared would hold up messages
+// for many minutes.
 func (s *sender) readPongs(reader *frame.Reader) error {
-	reader.SetTimeout(s.transport.config.AnswerTimeout + s.transport.config.PingInterval)
+	reader.SetTimeout(s.transport.config.PongTimeout + s.transport.config.PingInterval)
 	for {
-		answer, err := reader.ReadFrame()
+		reply, err := reader.ReadFrame()
 		if err != nil {
-			return errors.Wrap(err, "peer: no answer")
+			return errors.Wrap(err, "peer: read pong")
 		}
-		if answer.Kind != framePong {
-			return errors.Wrapf(ErrHandshake, "frame of kind %d", answer.Kind)
+		if reply.Kind != framePong {
+			return errors.Wrapf(ErrHandshake, "expected pong, got frame of kind %d", reply.Kind)
 		}
 	}
 }
 
+// sendLoop sends queued messages and periodic pings until the connection fails or ctx ends.
 func (s *sender) sendLoop(ctx context.Context, writer *frame.Writer, broken <-chan error) error {
 	ticker := time.NewTicker(s.transport.config.PingInterval)
 	defer ticker.Stop()
@@ -206,7 +210,7 @@
 }
 
 func (s *sender) sendQueued(writer *frame.Writer) error {
-	messages, notices := s.queue.takeAll(), s.queue.takeNotices()
+	messages, notices := s.queue.takeMessages(), s.queue.takeNotices()
 	for i, message := range messages {
 		if err := s.write(writer, message); err != nil {
 			s.transport.count.dropped.Add(uint64(len(messages) - i))
@@ -230,7 +234,7 @@
 
 func (s *sender) write(writer *frame.Writer, message raft.Message) error {
 	encoded := message.AppendBinary(nil)
-	if s.lane == laneMessages {
+	if s.channel == channelMessages {
 		return writer.WriteFrame(frameMessage, encoded)
 	}
 	for len(encoded) > chunkBytes {
@@ -242,8 +246,8 @@
 	return writer.WriteFrame(frameFinalChunk, encoded)
 }
 
-// backoff waits between attempts: each wait is drawn between half the current
-// step and the whole, and the step doubles up to max.
+// backoff is an exponential backoff with jitter: each delay is random between half the
+// current step and the full step, and the step doubles up to max.
 type backoff struct {
 	min, max time.Duration
 	step     time.Duration
@@ -251,7 +255,7 @@
 
 func (b *backoff) reset() { b.step = 0 }
 
-// wait returns false when ctx ended.
+// wait waits for the next delay and returns false if ctx ends first.
 func (b *backoff) wait(ctx context.Context) bool {
 	b.step = min(max(2*b.step, b.min), b.max)
 	timer := time.NewTimer(b.step/2 + rand.N(b.step/2+1))
--- a/connection/peer/protocol.go
+++ b/connection/peer/protocol.go
@@ -1,10 +1,10 @@
-// Package peer carries the agreement messages between the members of a control
-// group over TCP. Each member keeps one outgoing connection to each peer for
-// messages and a second one for snapshots, so that heartbeats never wait behind
-// a snapshot. Delivery is best effort: queues are bounded and drop their oldest
-// messages, since the agreement protocol sends again what was lost. Notices, which
-// need no agreement, go the way of the messages; who sends them tells all anew
-// when a connection comes up.
+// Package peer transports Raft messages between the members of a control group over
+// TCP. Each member keeps one outgoing connection to each peer for messages and a second
+// one for snapshots, so that heartbeats never wait behind a snapshot. Delivery is best
+// effort: queues are bounded and drop their oldest messages, since Raft resends what was
+// lost. Notices carry data outside of Raft and share the connection of the messages. Since
+// they may be lost too, their sender must resend the full state that they convey when a
+// connection is established (EventConnected).
 package peer
 
 import (
@@ -13,58 +13,61 @@
 	"github.com/pkg/errors"
 )
 
-// Protocol is the preface of the connections between members.
+// Protocol identifies the protocol between members in the connection preface.
 var Protocol = frame.Protocol{ID: 1, Version: 2}
 
-// Errors of a handshake.
+// Handshake errors.
 var (
-	// ErrWrongGroup says that the other side belongs to another group.
-	ErrWrongGroup = errors.New("peer: other side belongs to another group")
-	// ErrWrongMember says that the address belongs to another member by now, for
-	// example because that machine lost its disk.
+	// ErrWrongGroup reports that the remote end belongs to another group.
+	ErrWrongGroup = errors.New("peer: remote end belongs to another group")
+	// ErrWrongMember reports that the address now belongs to another member, for
+	// example after the machine lost its disk and was given a new ID.
 	ErrWrongMember = errors.New("peer: address belongs to another member")
-	// ErrHandshake says that the other side broke the protocol.
-	ErrHandshake = errors.New("peer: invalid handshake")
+	// ErrHandshake reports that the remote end violated the protocol, in the handshake or
+	// later.
+	ErrHandshake = errors.New("peer: protocol violation")
 )
 
 // Kinds of frames.
 const (
-	frameHello      frame.Kind = iota + 1 // first frame of the connecting side
-	frameWelcome                          // its answer
+	frameHello      frame.Kind = iota + 1 // first frame from the connecting side
+	frameWelcome                          // reply to the hello
 	frameMessage                          // one encoded raft.Message
-	frameChunk                            // a piece of a message
-	frameFinalChunk                       // the last piece of a message
+	frameChunk                            // part of a message
+	frameFinalChunk                       // last part of a message
 	framePing
 	framePong
-	frameNotice // what members tell each other beside the agreement
+	frameNotice // data exchanged between members outside of Raft
 )
 
-// lane tells what a connection is for.
-type lane uint8
+// channel identifies the purpose of a connection.
+type channel uint8
 
 const (
-	laneMessages lane = iota + 1
-	laneSnapshots
-	laneProbe // asks who is there, and ends
+	channelMessages channel = iota + 1
+	channelSnapshots
+	channelProbe // only exchanges the handshake, to identify the remote member
 )
 
-// verdict is the answer to a hello.
-type verdict uint8
+// helloResult is the result of checking a hello.
+type helloResult uint8
 
 const (
-	verdictAccepted verdict = iota + 1
-	verdictWrongGroup
-	verdictWrongMember
+	helloAccepted helloResult = iota + 1
+	helloWrongGroup
+	helloWrongMember
 )
 
+// handshakeBytes is the maximum payload size of a handshake frame.
 const handshakeBytes = 64
 
-// hello names the group, the sender and the member that the sender means to reach.
+// hello identifies the group, the sender and the member that the sender expects at the
+// address.
 type hello struct {
 	group    uint64
 	sender   raft.MemberID
 	receiver raft.MemberID
-	lane     lane
+	channel  channel
 }
 
 func (h hello) encode() []byte {
@@ -72,7 +75,7 @@
 	encoder.Uint64(h.group)
 	encoder.Uint64(uint64(h.sender))
 	encoder.Uint64(uint64(h.receiver))
-	encoder.Uint8(uint8(h.lane))
+	encoder.Uint8(uint8(h.channel))
 	return encoder.Data()
 }
 
@@ -82,20 +85,21 @@
 		group:    decoder.Uint64(),
 		sender:   raft.MemberID(decoder.Uint64()),
 		receiver: raft.MemberID(decoder.Uint64()),
-		lane:     lane(decoder.Uint8()),
+		channel:  channel(decoder.Uint8()),
 	}
 	if err := decoder.Finish(); err != nil {
 		return hello{}, errors.Wrap(ErrHandshake, err.Error())
 	}
-	if h.lane < laneMessages || h.lane > laneProbe {
-		return hello{}, errors.Wrapf(ErrHandshake, "lane %d", h.lane)
+	if h.channel < channelMessages || h.channel > channelProbe {
+		return hello{}, errors.Wrapf(ErrHandshake, "hello with unknown channel %d", h.channel)
 	}
 	return h, nil
 }
 
-// welcome answers a hello; it names the answering side also when it refuses.
+// welcome is the reply to a hello. It identifies the replying member even if it is a
+// refusal.
 type welcome struct {
-	verdict     verdict
+	result      helloResult
 	group       uint64
 	member      raft.MemberID
 	initialized bool
@@ -103,7 +107,7 @@
 
 func (w welcome) encode() []byte {
 	encoder := frame.NewEncoder(nil)
-	encoder.Uint8(uint8(w.verdict))
+	encoder.Uint8(uint8(w.result))
 	encoder.Uint64(w.group)
 	encoder.Uint64(uint64(w.member))
 	encoder.Bool(w.initialized)
@@ -113,7 +117,7 @@
 func decodeWelcome(data []byte) (welcome, error) {
 	decoder := frame.NewDecoder(data)
 	w := welcome{
-		verdict:     verdict(decoder.Uint8()),
+		result:      helloResult(decoder.Uint8()),
 		group:       decoder.Uint64(),
 		member:      raft.MemberID(decoder.Uint64()),
 		initialized: decoder.Bool(),
@@ -124,29 +128,30 @@
 	return w, nil
 }
 
-// err returns the refusal as an error.
+// err returns the error for a refusal, or nil.
 func (w welcome) err() error {
-	switch w.verdict {
-	case verdictAccepted:
+	switch w.result {
+	case helloAccepted:
 		return nil
-	case verdictWrongGroup:
+	case helloWrongGroup:
 		return errors.Wrapf(ErrWrongGroup, "group %x", w.group)
-	case verdictWrongMember:
+	case helloWrongMember:
 		return errors.Wrapf(ErrWrongMember, "member %x", w.member)
 	}
-	return errors.Wrapf(ErrHandshake, "verdict %d", w.verdict)
+	return errors.Wrapf(ErrHandshake, "welcome with unknown result %d", w.result)
 }
 
-// judge decides on a hello.
-func (t *Transport) judge(h hello) verdict {
+// checkHello checks the group, the receiver and the sender of a hello. A probe is accepted
+// for any receiver of the group.
+func (t *Transport) checkHello(h hello) helloResult {
 	if h.group != t.config.Group {
-		return verdictWrongGroup
+		return helloWrongGroup
 	}
-	if h.lane == laneProbe {
-		return verdictAccepted
+	if h.channel == channelProbe {
+		return helloAccepted
 	}
 	if h.receiver != t.config.ID || h.sender == t.config.ID || h.sender == raft.None {
-		return verdictWrongMember
+		return helloWrongMember
 	}
-	return verdictAccepted
+	return helloAccepted
 }
--- a/connection/peer/queue.go
+++ b/connection/peer/queue.go
@@ -6,18 +6,21 @@
 	"github.com/landingtrail/landingtrail/process/raft"
 )
 
-// maxNotices bounds the notices that wait for one connection.
+// maxNotices is the maximum number of queued notices per connection.
 const maxNotices = 64
 
-// messageOverhead is about what a message takes besides its entries, in bytes.
+// messageOverhead is the approximate size of a message without its entries, in bytes. An
+// entry without its data counts as a quarter of it.
 const messageOverhead = 128
 
-// queue holds what waits for one connection: messages, bounded by number and bytes. When it
-// is full the oldest make room: the newest say most about the sender's state.
+// queue holds the outgoing messages and notices of one connection. Messages are limited by
+// number and bytes. When the queue is full, the oldest are dropped, since the newest
+// describe the sender's state best and Raft resends lost ones. The newest message is kept
+// even if it is larger than maxBytes.
 type queue struct {
 	maxMessages int
 	maxBytes    int
-	wake        chan struct{} // has room for one signal
+	wake        chan struct{} // buffered channel of capacity 1
 
 	mutex    sync.Mutex
 	messages []raft.Message
@@ -29,7 +32,7 @@
 	return &queue{maxMessages: maxMessages, maxBytes: maxBytes, wake: make(chan struct{}, 1)}
 }
 
-// put adds the message and returns how many others were dropped for it.
+// put adds the message and returns the number of messages dropped to make room for it.
 func (q *queue) put(message raft.Message) int {
 	q.mutex.Lock()
 	q.messages = append(q.messages, message)
@@ -42,12 +45,13 @@
 		dropped++
 	}
 	q.mutex.Unlock()
-	q.rouse()
+	q.wakeSender()
 	return dropped
 }
 
-// notify adds a notice; the oldest makes room.
-func (q *queue) notify(payload []byte) (dropped int) {
+// putNotice adds a notice and drops the oldest one if there are too many. It returns the
+// number of notices dropped.
+func (q *queue) putNotice(payload []byte) (dropped int) {
 	q.mutex.Lock()
 	q.notices = append(q.notices, payload)
 	if len(q.notices) > maxNotices {
@@ -55,7 +59,7 @@
 		dropped = 1
 	}
 	q.mutex.Unlock()
-	q.rouse()
+	q.wakeSender()
 	return dropped
 }
 
@@ -68,16 +72,16 @@
 	return notices
 }
 
-// rouse wakes the sender; calls coalesce.
-func (q *queue) rouse() {
+// wakeSender wakes the sender. Multiple calls coalesce.
+func (q *queue) wakeSender() {
 	select {
 	case q.wake <- struct{}{}:
 	default:
 	}
 }
 
-// takeAll returns and removes all messages, oldest first.
-func (q *queue) takeAll() []raft.Message {
+// takeMessages returns and removes all messages, oldest first.
+func (q *queue) takeMessages() []raft.Message {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	messages := q.messages
@@ -85,6 +89,7 @@
 	return messages
 }
 
+// messageSize returns the approximate size of a message in bytes.
 func messageSize(message raft.Message) int {
 	size := messageOverhead
 	for _, entry := range message.Entries {
@@ -96,12 +101,12 @@
 	return size
 }
 
-// signal wakes the sender if anything is waiting.
-func (q *queue) signal() {
+// wakeIfPending wakes the sender if anything is queued.
+func (q *queue) wakeIfPending() {
 	q.mutex.Lock()
 	waiting := len(q.messages) > 0 || len(q.notices) > 0
 	q.mutex.Unlock()
 	if waiting {
-		q.rouse()
+		q.wakeSender()
 	}
 }
--- a/connection/peer/transport.go
+++ b/connection/peer/transport.go
@@ -12,7 +12,7 @@
 	"github.com/pkg/errors"
 )
 
-// Defaults of Config.
+// Default values of Config.
 const (
 	DefaultQueueMessages    = 1024
 	DefaultQueueBytes       = 16 << 20
@@ -23,25 +23,25 @@
 	DefaultHandshakeTimeout = time.Second
 	DefaultWriteTimeout     = 2 * time.Second
 	DefaultPingInterval     = 500 * time.Millisecond
-	DefaultAnswerTimeout    = 2 * time.Second
+	DefaultPongTimeout      = 2 * time.Second
 	DefaultMinBackoff       = 20 * time.Millisecond
-	// DefaultMaxBackoff is how late a member may notice another one that is back: a quarter
-	// of the default election timeout.
+	// DefaultMaxBackoff limits how long it takes to reconnect to a member that is back: a
+	// quarter of the default election timeout.
 	DefaultMaxBackoff = 250 * time.Millisecond
 )
 
-// EventKind tells what happened to a connection.
+// EventKind is the type of a connection event.
 type EventKind uint8
 
-// Kinds of events.
+// Types of connection events.
 const (
-	EventConnected    EventKind = iota + 1 // an outgoing connection is up
-	EventDisconnected                      // an outgoing connection ended
-	EventRefused                           // the other side refused the handshake
+	EventConnected    EventKind = iota + 1 // an outgoing connection was established
+	EventDisconnected                      // an outgoing connection ended or could not be established
+	EventRefused                           // the remote end refused the handshake or violated the protocol
 	EventRejected                          // an incoming connection was refused; Member may be None
 )
 
-// Event tells of a change that an operator may want to see in the log.
+// Event is a connection event, meant to be logged. Err is nil for EventConnected.
 type Event struct {
 	Kind    EventKind
 	Member  raft.MemberID
@@ -49,38 +49,38 @@
 	Err     error
 }
 
-// Config holds what a Transport is created with. Zero limits and durations stand
-// for the defaults.
+// Config configures a Transport. Zero limits and durations select the defaults.
 type Config struct {
 	Group    uint64
 	ID       raft.MemberID
-	Listener net.Listener // owned by the Transport from New on
+	Listener net.Listener // closed by Transport.Close
 
-	QueueMessages    int    // messages waiting for one peer
-	QueueBytes       int    // encoded bytes waiting for one peer
-	MaxMessageBytes  uint32 // larger messages are refused by the receiver
-	MaxSnapshotBytes int    // larger snapshots are refused by the receiver
-	MaxConnections   int    // incoming connections at a time
+	QueueMessages    int    // maximum number of messages queued per connection
+	QueueBytes       int    // maximum approximate size of the messages queued per connection
+	MaxMessageBytes  uint32 // the receiver rejects larger messages
+	MaxSnapshotBytes int    // the receiver rejects larger snapshots; the final chunk is not counted
+	MaxConnections   int    // maximum number of concurrent incoming connections
 
-	// ConnectTimeout bounds one try to connect. A machine without power says nothing, and
-	// the first packet to one that comes up meanwhile is lost: what a member is to answer
-	// to it waits until the next try. It must be longer than a round trip.
+	// ConnectTimeout limits one attempt to connect. It is short, because a machine without
+	// power does not respond, and if it comes up during an attempt, whose first packet (SYN)
+	// is lost, only the next attempt reaches it. It must be longer than a round trip.
 	ConnectTimeout   time.Duration
-	HandshakeTimeout time.Duration
-	WriteTimeout     time.Duration
+	HandshakeTimeout time.Duration // limits reading each handshake frame
+	WriteTimeout     time.Duration // limits each write to a connection
 	PingInterval     time.Duration
-	AnswerTimeout    time.Duration // without an answer for so long the connection is closed
-	MinBackoff       time.Duration
-	MaxBackoff       time.Duration
+	PongTimeout      time.Duration // a connection is closed after PingInterval + PongTimeout without a pong or ping
+	MinBackoff       time.Duration // first step of the delay before a reconnection; it doubles
+	MaxBackoff       time.Duration // largest step of that delay
 
-	// Initialized tells probes whether this member holds a group's log; nil
-	// stands for no.
+	// Initialized tells probes whether this member has a group's log; nil means that
+	// it has none.
 	Initialized func() bool
-	// OnEvent is called with connection events; it must not block. May be nil.
+	// OnEvent is called with connection events. It must not block and may be nil.
 	OnEvent func(Event)
-	// OnNotice is called with each notice of another member; it must not block. May be nil.
+	// OnNotice is called with each notice from another member. It must not block and may
+	// be nil.
 	OnNotice func(from raft.MemberID, payload []byte)
-	// Dial opens a connection; a plain TCP dial when nil.
+	// Dial opens a connection. Nil selects a plain TCP dial.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 }
 
@@ -94,7 +94,7 @@
 	c.HandshakeTimeout = cmp.Or(c.HandshakeTimeout, DefaultHandshakeTimeout)
 	c.WriteTimeout = cmp.Or(c.WriteTimeout, DefaultWriteTimeout)
 	c.PingInterval = cmp.Or(c.PingInterval, DefaultPingInterval)
-	c.AnswerTimeout = cmp.Or(c.AnswerTimeout, DefaultAnswerTimeout)
+	c.PongTimeout = cmp.Or(c.PongTimeout, DefaultPongTimeout)
 	c.MinBackoff = cmp.Or(c.MinBackoff, DefaultMinBackoff)
 	c.MaxBackoff = cmp.Or(c.MaxBackoff, DefaultMaxBackoff)
 	if c.Dial == nil {
@@ -116,23 +116,26 @@
 	return dialer.DialContext(ctx, "tcp", address)
 }
 
-// Stats counts messages since New.
+// Stats counts messages and notices since New.
 type Stats struct {
-	Sent     uint64 // written to a connection
-	Dropped  uint64 // lost by a full queue, a broken connection or an unknown receiver
+	Sent uint64 // written to a connection
+	// Dropped counts what a full queue dropped, messages to an unknown receiver, and messages
+	// left when a write failed. It does not count notices to an unknown receiver, notices
+	// lost with a connection, or messages lost in a failed flush.
+	Dropped  uint64
 	Received uint64
 }
 
 type counters struct{ sent, dropped, received atomic.Uint64 }
 
-// Transport sends to and receives from the peers of one member.
+// Transport sends messages to and receives messages from the peers of one member.
 type Transport struct {
-	config  Config
-	receive func(raft.Message)
-	context context.Context
-	cancel  context.CancelFunc
-	group   sync.WaitGroup
-	count   counters
+	config     Config
+	receive    func(raft.Message)
+	context    context.Context
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
+	count      counters
 
 	linkMutex sync.RWMutex
 	links     map[raft.MemberID]*link
@@ -140,16 +143,15 @@
 
 	inboundMutex sync.Mutex
 	inbound      map[net.Conn]inbound
-	accepted     uint64 // connections so far
+	accepted     uint64 // number of connections accepted so far
 }
 
-// New starts a Transport that accepts connections on the listener and hands each
-// received message to receive, which is called by several goroutines and must
-// not block.
+// New starts a Transport that accepts connections on the listener and passes each
+// received message to receive, which is called concurrently and must not block.
 func New(config Config, receive func(raft.Message)) (*Transport, error) {
 	config.setDefaults()
 	if config.ID == raft.None || config.Listener == nil {
-		return nil, errors.New("peer: config needs an ID and a listener")
+		return nil, errors.New("peer: Config requires ID and Listener")
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	t := &Transport{
@@ -160,14 +162,14 @@
 		links:   make(map[raft.MemberID]*link),
 		inbound: make(map[net.Conn]inbound),
 	}
-	t.group.Go(t.accept)
+	t.goroutines.Go(t.accept)
 	return t, nil
 }
 
 // Address returns the address that the Transport accepts connections on.
 func (t *Transport) Address() net.Addr { return t.config.Listener.Addr() }
 
-// Stats returns the counts so far.
+// Stats returns the current message counts.
 func (t *Transport) Stats() Stats {
 	return Stats{
 		Sent:     t.count.sent.Load(),
@@ -176,8 +178,8 @@
 	}
 }
 
-// SetPeers replaces the addresses of the peers. Messages to others are dropped.
-// An entry for the member itself is ignored.
+// SetPeers replaces the addresses of the peers. Messages to other members are dropped. An
+// entry for the member itself is ignored.
 func (t *Transport) SetPeers(peers map[raft.MemberID]string) {
 	t.linkMutex.Lock()
 	defer t.linkMutex.Unlock()
@@ -198,8 +200,8 @@
 	}
 }
 
-// Send queues the messages for their receivers and returns at once. Entries and
-// snapshots of the messages must not be written to afterwards.
+// Send queues the messages for their receivers without blocking. The entries and snapshots
+// of the messages must not be modified afterwards.
 func (t *Transport) Send(messages []raft.Message) {
 	t.linkMutex.RLock()
 	defer t.linkMutex.RUnlock()
@@ -213,27 +215,27 @@
 	}
 }
 
-// Notify queues a notice for each peer and returns at once. The payload must not be written to
+// Notify queues a notice for each peer without blocking. The payload must not be modified
 // afterwards.
 func (t *Transport) Notify(payload []byte) {
 	t.linkMutex.RLock()
 	defer t.linkMutex.RUnlock()
 	for _, current := range t.links {
-		current.messages.notify(payload)
+		current.messages.putNotice(payload)
 	}
 }
 
-// NotifyOne is Notify for one peer alone.
+// NotifyOne is like Notify for a single peer. A notice to an unknown member is dropped.
 func (t *Transport) NotifyOne(payload []byte, member raft.MemberID) {
 	t.linkMutex.RLock()
 	defer t.linkMutex.RUnlock()
 	if current := t.links[member]; current != nil {
-		current.messages.notify(payload)
+		current.messages.putNotice(payload)
 	}
 }
 
-// Close ends all connections and waits for the Transport's goroutines. Receive is
-// not called after Close has returned.
+// Close closes all connections and waits for the Transport's goroutines. The receive
+// function is not called after Close has returned.
 func (t *Transport) Close() error {
 	t.cancel()
 	t.linkMutex.Lock()
@@ -245,6 +247,6 @@
 	t.linkMutex.Unlock()
 	err := t.config.Listener.Close()
 	t.closeInbound()
-	t.group.Wait()
+	t.goroutines.Wait()
 	return errors.WithStack(err)
 }
--- a/connection/upstream/conn.go
+++ b/connection/upstream/conn.go
@@ -7,35 +7,35 @@
 	"github.com/pkg/errors"
 )
 
-// ErrSealed is returned by writes to a sealed connection.
-var ErrSealed = errors.New("connection sealed")
+// errClosedForWrites is returned by writes after closeAndReportWritten or closeUnlessReused.
+var errClosedForWrites = errors.New("upstream: connection closed for writes")
 
-// trackedConn knows whether any byte was handed to the operating system since
-// the last mark. It is exact where httptrace is not: the transport buffers
-// headers, so WroteHeaders can come before or after the first byte.
+// trackedConn records whether any byte was passed to the operating system since the start
+// of the current exchange. httptrace cannot tell this exactly: the transport buffers
+// headers, so WroteHeaders may be called before or after the first byte is written.
 type trackedConn struct {
 	net.Conn
-	lock      sync.Mutex
-	exchanges int // that were given the connection
-	wrote     bool
-	sealed    bool
+	lock            sync.Mutex
+	exchanges       int // number of exchanges that used the connection
+	wrote           bool
+	closedForWrites bool
 }
 
-// Write marks the connection as written before it writes, so that a write that
-// races with seal is either seen or never happens.
+// Write records the write before it happens, so that a write that races with
+// closeAndReportWritten is either reported by it or never happens.
 func (c *trackedConn) Write(data []byte) (int, error) {
 	c.lock.Lock()
-	if c.sealed {
+	if c.closedForWrites {
 		c.lock.Unlock()
-		return 0, ErrSealed
+		return 0, errClosedForWrites
 	}
 	c.wrote = true
 	c.lock.Unlock()
 	return c.Conn.Write(data)
 }
 
-// mark starts a new request on the connection and returns its number.
-func (c *trackedConn) mark() int {
+// beginExchange starts a new exchange on the connection and returns its number.
+func (c *trackedConn) beginExchange() int {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	c.wrote = false
@@ -43,28 +43,28 @@
 	return c.exchanges
 }
 
-// retire seals the connection unless it was given to a later request than the
-// number-th: Transport offers it to others before the caller sees the end of
-// the body, and that request's own answer decides what the connection is worth.
-func (c *trackedConn) retire(number int) {
+// closeUnlessReused closes the connection, unless a later exchange than the given one
+// already uses it: Transport makes it available to others before the caller sees the end
+// of the body. The response to the later exchange then decides whether it stays open.
+func (c *trackedConn) closeUnlessReused(number int) {
 	c.lock.Lock()
 	current := c.exchanges == number
 	if current {
-		c.sealed = true
+		c.closedForWrites = true
 	}
 	c.lock.Unlock()
 	if current {
-		_ = c.Conn.Close() // the connection is of no use any more
+		_ = c.Conn.Close() // the connection is not used any more
 	}
 }
 
-// seal forbids any further write, closes the connection and reports whether a
-// byte was written since the mark.
-func (c *trackedConn) seal() bool {
+// closeAndReportWritten prevents further writes, closes the connection and reports whether a byte was written
+// during the current exchange.
+func (c *trackedConn) closeAndReportWritten() bool {
 	c.lock.Lock()
-	c.sealed = true
+	c.closedForWrites = true
 	wrote := c.wrote
 	c.lock.Unlock()
-	_ = c.Conn.Close() // the connection is of no use any more
+	_ = c.Conn.Close() // the connection is not used any more
 	return wrote
 }
--- a/connection/upstream/event.go
+++ b/connection/upstream/event.go
@@ -10,23 +10,23 @@
 
 // Errors of an EventReader.
 var (
-	// ErrCut means that the stream ended without its terminal event.
-	ErrCut = errors.New("stream ended without its terminal event")
-	// ErrEventTooLarge means that an event is longer than the bound.
-	ErrEventTooLarge = errors.New("stream event too large")
-	// ErrAfterTerminal means that bytes came after the terminal event.
-	ErrAfterTerminal = errors.New("bytes after the terminal event")
+	// ErrIncompleteStream reports that the stream ended without its terminal event.
+	ErrIncompleteStream = errors.New("upstream: stream ended without its terminal event")
+	// ErrEventTooLarge reports an event, or a line of one, larger than the limit.
+	ErrEventTooLarge = errors.New("upstream: stream event too large")
+	// ErrAfterTerminal reports data after the terminal event.
+	ErrAfterTerminal = errors.New("upstream: bytes after the terminal event")
 )
 
-// terminal is the data of the event that ends a whole stream.
-var terminal = []byte("[DONE]")
+// terminalData is the data of the event that ends a complete stream.
+var terminalData = []byte("[DONE]")
 
-// DefaultMaxEvent is the default bound of one event in bytes.
+// DefaultMaxEvent is the default size limit of an event in bytes.
 const DefaultMaxEvent = 256 << 10
 
 // Event is one server-sent event.
 type Event struct {
-	Name string // empty for a plain message
+	Name string // empty if the event has no name
 	Data []byte // valid until the next call of Next
 }
 
@@ -39,7 +39,8 @@
 	line   []byte
 }
 
-// NewEventReader reads events of at most limit bytes; 0 means DefaultMaxEvent.
+// NewEventReader returns a reader of events of at most limit bytes, which also limits each
+// line; 0 selects DefaultMaxEvent.
 func NewEventReader(source io.Reader, limit int) *EventReader {
 	if limit <= 0 {
 		limit = DefaultMaxEvent
@@ -47,8 +48,9 @@
 	return &EventReader{reader: bufio.NewReaderSize(source, defaultBufferSize), limit: limit}
 }
 
-// Next returns the next event, io.EOF after the terminal event, ErrCut when
-// the stream ends before it, or the error of the source.
+// Next returns the next event. It returns io.EOF after the terminal event,
+// ErrIncompleteStream if the stream ends before it, ErrAfterTerminal, ErrEventTooLarge, or
+// the error of the source.
 func (r *EventReader) Next() (Event, error) {
 	var event Event
 	r.data = r.data[:0]
@@ -58,26 +60,27 @@
 			return Event{}, err
 		}
 		if len(line) > 0 {
-			r.field(line, &event)
+			r.addField(line, &event)
 			if len(r.data) > r.limit {
 				return Event{}, ErrEventTooLarge
 			}
 			continue
 		}
 		if len(r.data) == 0 {
-			event = Event{} // a comment, or a lone separator
+			event = Event{} // a comment, or an empty event
 			continue
 		}
 		event.Data = r.data
-		if event.Name == "" && bytes.Equal(event.Data, terminal) {
-			return Event{}, r.finish()
+		if event.Name == "" && bytes.Equal(event.Data, terminalData) {
+			return Event{}, r.readToEnd()
 		}
 		return event, nil
 	}
 }
 
-// finish reads to the end of the stream, so that the connection can be used again.
-func (r *EventReader) finish() error {
+// readToEnd reads to the end of the stream, so that the connection can be reused. It returns
+// io.EOF if only line terminators follow.
+func (r *EventReader) readToEnd() error {
 	for {
 		next, err := r.reader.ReadByte()
 		if err == io.EOF {
@@ -92,7 +95,8 @@
 	}
 }
 
-func (r *EventReader) field(line []byte, event *Event) {
+// addField adds the field in line to the current event.
+func (r *EventReader) addField(line []byte, event *Event) {
 	name, value, _ := bytes.Cut(line, []byte(":"))
 	value = bytes.TrimPrefix(value, []byte(" "))
 	switch string(name) {
@@ -106,7 +110,8 @@
 	}
 }
 
-// readLine returns the next line without its end; it is valid until the next call.
+// readLine returns the next line without its line terminator. It is valid until the next
+// call.
 func (r *EventReader) readLine() ([]byte, error) {
 	r.line = r.line[:0]
 	for {
@@ -123,7 +128,7 @@
 			return trimLine(r.line), nil
 		case errors.Is(err, bufio.ErrBufferFull):
 		case errors.Is(err, io.EOF):
-			return nil, ErrCut
+			return nil, ErrIncompleteStream
 		default:
 			return nil, errors.WithStack(err)
 		}
--- a/connection/upstream/identity.go
+++ b/connection/upstream/identity.go
@@ -10,64 +10,65 @@
 	"github.com/landingtrail/landingtrail/connection/engineapi"
 )
 
-// ErrForeign means that an answer or a stream event belongs to another request,
-// attempt or incarnation than the one that was asked for, or that an answer on
-// a kept connection does not say to which it belongs.
-var ErrForeign = errors.New("answer of another run")
+// ErrForeign reports a response or stream event that belongs to another request, attempt
+// or incarnation than the expected one, or a response on a reused connection that does
+// not identify its request.
+var ErrForeign = errors.New("upstream: response or event does not match the request")
 
-// Identity names one exchange: what is sent carries it and the answer echoes it.
+// Identity identifies one exchange. RequestID and Attempt are sent with the request and
+// echoed in the response.
 type Identity struct {
-	RequestID string // never used for another exchange, unless Attempt differs
-	Attempt   uint32 // 0 for a call that has no attempts: none is sent
-	// Incarnation is that of a stream's events; 0 takes that of the first one.
-	// Heads are not held against it: an engine that started anew refuses by
-	// an answer that names its new incarnation.
+	RequestID string // unique to the exchange together with Attempt
+	Attempt   uint32 // 0 for a call without attempts; no attempt header is sent then
+	// Incarnation is the expected incarnation of stream events; 0 accepts that of the
+	// first event. Response headers are not checked against it, since an engine that
+	// has restarted refuses requests with its new incarnation in the response.
 	Incarnation uint64
 }
 
-// put names the identity in the header of a request.
-func (i *Identity) put(header http.Header) {
+// setHeaders sets the identity in a request header.
+func (i *Identity) setHeaders(header http.Header) {
 	header.Set(engineapi.HeaderRequestID, i.RequestID)
 	header.Del(engineapi.HeaderAttempt)
-	if attempt := i.attempt(); attempt != "" {
+	if attempt := i.attemptHeader(); attempt != "" {
 		header.Set(engineapi.HeaderAttempt, attempt)
 	}
 }
 
-// attempt is the attempt as headers name it.
-func (i *Identity) attempt() string {
+// attemptHeader returns the attempt as it appears in headers, empty if there is none.
+func (i *Identity) attemptHeader() string {
 	if i.Attempt == 0 {
 		return ""
 	}
 	return strconv.FormatUint(uint64(i.Attempt), 10)
 }
 
-// echo is what an answer says of the exchange that it belongs to.
-type echo uint8
+// echoResult classifies the identity in a response header.
+type echoResult uint8
 
 const (
-	echoWhole   echo = iota + 1 // names this exchange
-	echoMissing                 // names none, or its request without the attempt
-	echoOther                   // names another one
+	echoMatch    echoResult = iota + 1 // identifies this exchange
+	echoMissing                        // lacks the request ID or the attempt, and contradicts neither
+	echoMismatch                       // identifies another exchange
 )
 
-// echoed compares the answer's header with the identity.
-func (i *Identity) echoed(header http.Header) echo {
+// compareEcho compares a response header with the identity.
+func (i *Identity) compareEcho(header http.Header) echoResult {
 	id, attempt := header.Get(engineapi.HeaderRequestID), header.Get(engineapi.HeaderAttempt)
 	switch {
-	case id == i.RequestID && attempt == i.attempt():
-		return echoWhole
-	case id != "" && id != i.RequestID, attempt != "" && attempt != i.attempt():
-		return echoOther
+	case id == i.RequestID && attempt == i.attemptHeader():
+		return echoMatch
+	case id != "" && id != i.RequestID, attempt != "" && attempt != i.attemptHeader():
+		return echoMismatch
 	}
 	return echoMissing
 }
 
-// maxEchoingHosts bounds what a hostSet holds.
+// maxEchoingHosts is the maximum size of a hostSet. A further host empties the set first.
 const maxEchoingHosts = 1 << 14
 
-// hostSet is the hosts whose last answer echoed its request's identity. To
-// forget one is always safe: it costs a connection.
+// hostSet holds hosts whose last response echoed the identity of its request. Removing
+// a host is always safe and only costs an extra connection.
 type hostSet struct {
 	lock  sync.RWMutex
 	hosts map[string]struct{}
--- a/connection/upstream/stream_test.go
+++ b/connection/upstream/stream_test.go
@@ -18,14 +18,14 @@
 		frames int
 		want   error
 	}{
-		{"whole", goodEvent + "data: [DONE]\n\n", 1, io.EOF},
-		{"whole with carriage returns", strings.ReplaceAll(goodEvent, "\n", "\r\n") + "data: [DONE]\r\n\r\n", 1, io.EOF},
+		{"complete", goodEvent + "data: [DONE]\n\n", 1, io.EOF},
+		{"complete with carriage returns", strings.ReplaceAll(goodEvent, "\n", "\r\n") + "data: [DONE]\r\n\r\n", 1, io.EOF},
 		{"comments", ": hello\n\n" + goodEvent + ": bye\n\ndata: [DONE]\n\n", 1, io.EOF},
-		{"empty", "", 0, ErrCut},
-		{"cut after an event", goodEvent, 1, ErrCut},
-		{"cut inside an event", goodEvent + "data: {", 1, ErrCut},
-		{"cut inside the terminal event", goodEvent + "data: [DONE]", 1, ErrCut},
-		{"terminal event unfinished", goodEvent + "data: [DONE]\n", 1, ErrCut},
+		{"empty", "", 0, ErrIncompleteStream},
+		{"ends after an event", goodEvent, 1, ErrIncompleteStream},
+		{"ends inside an event", goodEvent + "data: {", 1, ErrIncompleteStream},
+		{"ends inside the terminal event", goodEvent + "data: [DONE]", 1, ErrIncompleteStream},
+		{"terminal event unfinished", goodEvent + "data: [DONE]\n", 1, ErrIncompleteStream},
 		{"bytes after the terminal event", "data: [DONE]\n\ndata: more\n\n", 0, ErrAfterTerminal},
 		{"no JSON", "data: hello\n\n", 0, ErrMalformed},
 		{"negative offset", strings.Replace(goodEvent, `"offset":0`, `"offset":-1`, 1), 0, ErrMalformed},
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestStreamHoldsToTheFirstIncarnation(t *testing.T) {
+func TestStreamKeepsFirstIncarnation(t *testing.T) {
 	input := goodEvent + strings.Replace(goodEvent, `"7"`, `"8"`, 1)
 	stream := NewStream(strings.NewReader(input), Identity{RequestID: "r1", Attempt: 2}, 0)
 	_, err := stream.Next()
