--- a/connection/upstream/upstream_test.go
+++ b/connection/upstream/upstream_test.go
@@ -22,11 +22,11 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testIdentity names the exchanges of the tests that need no other name.
+// testIdentity is the identity used by tests that need no specific one.
 var testIdentity = Identity{RequestID: "r1", Attempt: 1}
 
-// rawAnswer is an answer that echoes the request's identity.
-func rawAnswer(status string, request http.Header, body string) string {
+// rawResponse returns an encoded response that echoes the request's identity.
+func rawResponse(status string, request http.Header, body string) string {
 	head := &strings.Builder{}
 	header := http.Header{}
 	engineapi.EchoCall(header, request)
@@ -34,28 +34,28 @@
 	return "HTTP/1.1 " + status + "\r\n" + head.String() + "Content-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
 }
 
-// prime makes the pool keep connections to a host that echoes: the first answer
-// of each host tells whether it does.
-func prime(t *testing.T, pool *Pool, request *http.Request) {
+// markHostAsEchoing sends a first request to the host, whose response shows the pool that the host echoes
+// identities and its connections can be reused.
+func markHostAsEchoing(t *testing.T, pool *Pool, request *http.Request) {
 	t.Helper()
 	response, err := pool.Do(request, testIdentity)
 	must.NoError(t, err)
 	drain(t, response)
 }
 
-// rudeServer answers the first request of each connection and closes the
-// connection on every later one after it has read it.
-type rudeServer struct {
+// closingServer serves the first request of each connection and closes the connection after
+// reading the second.
+type closingServer struct {
 	listener net.Listener
-	later    atomic.Int32 // requests read and not answered
+	unserved atomic.Int32 // requests read but not served
 	done     sync.WaitGroup
 }
 
-func newRudeServer(t *testing.T) *rudeServer {
+func newClosingServer(t *testing.T) *closingServer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
-	server := &rudeServer{listener: listener}
+	server := &closingServer{listener: listener}
 	server.done.Go(server.accept)
 	t.Cleanup(func() {
 		_ = listener.Close()
@@ -64,7 +64,7 @@
 	return server
 }
 
-func (s *rudeServer) accept() {
+func (s *closingServer) accept() {
 	for {
 		conn, err := s.listener.Accept()
 		if err != nil {
@@ -74,7 +74,7 @@
 	}
 }
 
-func (s *rudeServer) serve(conn net.Conn) {
+func (s *closingServer) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	reader := bufio.NewReader(conn)
 	for served := 0; ; served++ {
@@ -84,14 +84,14 @@
 		}
 		_, _ = io.Copy(io.Discard, request.Body)
 		if served > 0 {
-			s.later.Add(1)
+			s.unserved.Add(1)
 			return
 		}
-		_, _ = io.WriteString(conn, rawAnswer("200 OK", request.Header, "ok"))
+		_, _ = io.WriteString(conn, rawResponse("200 OK", request.Header, "ok"))
 	}
 }
 
-func (s *rudeServer) request(t *testing.T, method, body string) *http.Request {
+func (s *closingServer) request(t *testing.T, method, body string) *http.Request {
 	t.Helper()
 	var source io.Reader
 	if body != "" {
@@ -121,10 +121,10 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			server := newRudeServer(t)
+			server := newClosingServer(t)
 			pool := NewPool(Config{})
 			defer pool.Close()
-			prime(t, pool, server.request(t, test.method, test.body))
+			markHostAsEchoing(t, pool, server.request(t, test.method, test.body))
 			first, err := pool.Do(server.request(t, test.method, test.body), testIdentity)
 			must.NoError(t, err)
 			drain(t, first)
@@ -132,15 +132,15 @@
 			var failure *Failure
 			must.True(t, errors.As(err, &failure))
 			must.True(t, failure.Wrote)
-			must.Eq(t, 1, server.later.Load())
+			must.Eq(t, 1, server.unserved.Load())
 		})
 	}
 }
 
-// TestPlainTransportResends shows that the server above does provoke a resend:
-// with a plain transport the same exchange succeeds by being sent twice.
+// This verifies that closingServer provokes a retry: with a plain Transport, the same exchange
+// succeeds because the request is sent twice.
 func TestPlainTransportResends(t *testing.T) {
-	server := newRudeServer(t)
+	server := newClosingServer(t)
 	transport := &http.Transport{}
 	defer transport.CloseIdleConnections()
 	for range 2 {
@@ -148,10 +148,10 @@
 		must.NoError(t, err)
 		drain(t, response)
 	}
-	must.Eq(t, 1, server.later.Load())
+	must.Eq(t, 1, server.unserved.Load())
 }
 
-func TestFailureSaysWhetherWritten(t *testing.T) {
+func TestFailureReportsWhetherWritten(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	address := listener.Addr().String()
@@ -166,27 +166,27 @@
 	must.False(t, failure.Wrote)
 }
 
-func TestSealDecidesAgainstWrite(t *testing.T) {
+func TestCloseRacesWithWrite(t *testing.T) {
 	for range 200 {
-		near, far := net.Pipe()
-		go func() { _, _ = io.Copy(io.Discard, far) }()
-		conn := &trackedConn{Conn: near}
+		client, server := net.Pipe()
+		go func() { _, _ = io.Copy(io.Discard, server) }()
+		conn := &trackedConn{Conn: client}
 		var wrote bool
 		var count int
 		var both sync.WaitGroup
 		both.Go(func() { count, _ = conn.Write([]byte("x")) })
-		both.Go(func() { wrote = conn.seal() })
+		both.Go(func() { wrote = conn.closeAndReportWritten() })
 		both.Wait()
 		must.False(t, count > 0 && !wrote)
-		_ = far.Close()
+		_ = server.Close()
 	}
 }
 
-func TestUnreadAnswerIsNeverReused(t *testing.T) {
+func TestUnreadResponseClosesConnection(t *testing.T) {
 	var conns atomic.Int32
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		engineapi.EchoCall(w.Header(), r.Header)
-		_, _ = io.WriteString(w, "an answer that is not read whole")
+		_, _ = io.WriteString(w, "a response that is not read completely")
 	}))
 	server.Config.ConnState = func(_ net.Conn, state http.ConnState) {
 		if state == http.StateNew {
@@ -205,7 +205,7 @@
 		return response
 	}
 	drain(t, get())
-	must.Eq(t, 1, conns.Load()) // carried one request: the host was not known
+	must.Eq(t, 1, conns.Load()) // used for one request only, since the host was not known to echo
 	unread := get()
 	_, err := unread.Body.Read(make([]byte, 2))
 	must.NoError(t, err)
@@ -235,11 +235,11 @@
 	must.Eq(t, 1, requests.Load())
 }
 
-// TestUnreadBodyDoesNotResetTheAnswer: a server that answers without reading the
-// request's body closes a connection at once that is said to be of one use only,
-// and the body still on its way then resets the answer. Proof: the first POST to
-// a host, which goes over a connection of its own, gets its whole answer.
-func TestUnreadBodyDoesNotResetTheAnswer(t *testing.T) {
+// A server that responds without reading the request body closes the connection immediately if
+// the request has "Connection: close". The rest of the body then causes a connection reset
+// and the response is lost. The first POST to a host, which uses a dedicated connection, must
+// get its complete response.
+func TestUnreadBodyDoesNotResetConnection(t *testing.T) {
 	var closing atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Close {
@@ -262,5 +262,5 @@
 		must.Eq(t, "refused", string(body))
 		must.NoError(t, response.Body.Close())
 	}
-	must.Eq(t, 0, closing.Load(), must.Sprint("requests that ask for the end of their connection"))
+	must.Eq(t, 0, closing.Load(), must.Sprint("requests were sent with Connection: close"))
 }
