--- a/process/metering/counter.go
+++ b/process/metering/counter.go
@@ -19,43 +19,43 @@
 // keptWindows is how many windows are kept to be told again to another leader: a report
 // falls due within two of them on most platforms, and a group that is stopped as a whole
 // is back within a few.
-const keptWindows = 8
+const retainedWindows = 8
 
 // Counter counts for one process. It is safe for concurrent use.
 type Counter struct {
-	life   string
-	length time.Duration
-	now    func() time.Time // the group's time of day
+	instanceID   string
+	windowLength time.Duration
+	now          func() time.Time // the group's time of day
 
-	lock    sync.Mutex
-	windows map[int64]map[string]uint64
-	changed map[int64]map[string]struct{} // since they were last told
-	told    int64                         // the window in which was last told
+	lock             sync.Mutex
+	counts           map[int64]map[string]uint64
+	unreported       map[int64]map[string]struct{} // since they were last told
+	lastReportWindow int64                         // the window in which was last told
 }
 
 // NewCounter returns a counter for the process of a name, of windows of a length, by a
 // time of day.
 func NewCounter(process string, length time.Duration, now func() time.Time) *Counter {
 	return &Counter{
-		life: process + "#" + strconv.FormatUint(rand.Uint64(), 36), length: length, now: now,
-		windows: map[int64]map[string]uint64{}, changed: map[int64]map[string]struct{}{},
+		instanceID: process + "#" + strconv.FormatUint(rand.Uint64(), 36), windowLength: length, now: now,
+		counts: map[int64]map[string]uint64{}, unreported: map[int64]map[string]struct{}{},
 	}
 }
 
 // Begin counts a request of the tenant that a replica began so long ago.
 func (c *Counter) Begin(tenant string, ago time.Duration) {
-	if tenant == "" || c.length <= 0 {
+	if tenant == "" || c.windowLength <= 0 {
 		return
 	}
-	window := windowOf(c.now().Add(-ago), c.length)
+	window := windowOf(c.now().Add(-ago), c.windowLength)
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	if c.windows[window] == nil {
-		c.windows[window] = map[string]uint64{}
-		c.forget(window - keptWindows)
+	if c.counts[window] == nil {
+		c.counts[window] = map[string]uint64{}
+		c.dropThrough(window - retainedWindows)
 	}
-	c.windows[window][tenant]++
-	c.mark(window, tenant)
+	c.counts[window][tenant]++
+	c.markUnreported(window, tenant)
 }
 
 func windowOf(at time.Time, length time.Duration) int64 {
@@ -63,19 +63,19 @@
 }
 
 // mark notes that a counter is to be told; the lock is held.
-func (c *Counter) mark(window int64, tenant string) {
-	if c.changed[window] == nil {
-		c.changed[window] = map[string]struct{}{}
+func (c *Counter) markUnreported(window int64, tenant string) {
+	if c.unreported[window] == nil {
+		c.unreported[window] = map[string]struct{}{}
 	}
-	c.changed[window][tenant] = struct{}{}
+	c.unreported[window][tenant] = struct{}{}
 }
 
 // forget drops the windows up to one; the lock is held.
-func (c *Counter) forget(upTo int64) {
-	for window := range c.windows {
-		if window <= upTo {
-			delete(c.windows, window)
-			delete(c.changed, window)
+func (c *Counter) dropThrough(last int64) {
+	for window := range c.counts {
+		if window <= last {
+			delete(c.counts, window)
+			delete(c.unreported, window)
 		}
 	}
 }
@@ -87,16 +87,16 @@
 	defer c.lock.Unlock()
 	// Read under the lock: what is counted later is of later.
 	now := c.now()
-	window := windowOf(now, max(c.length, time.Millisecond))
-	report = feed.UsageReport{Life: c.life, Through: now.UnixMilli()}
-	for _, changed := range slices.Sorted(maps.Keys(c.changed)) {
-		for _, tenant := range slices.Sorted(maps.Keys(c.changed[changed])) {
-			report.Counts = append(report.Counts, feed.UsageCount{Window: changed, Tenant: tenant, Count: c.windows[changed][tenant]})
+	window := windowOf(now, max(c.windowLength, time.Millisecond))
+	report = feed.UsageReport{Life: c.instanceID, Through: now.UnixMilli()}
+	for _, changed := range slices.Sorted(maps.Keys(c.unreported)) {
+		for _, tenant := range slices.Sorted(maps.Keys(c.unreported[changed])) {
+			report.Counts = append(report.Counts, feed.UsageCount{Window: changed, Tenant: tenant, Count: c.counts[changed][tenant]})
 		}
 	}
-	due = len(report.Counts) > 0 || window != c.told
-	clear(c.changed)
-	c.told = window
+	due = len(report.Counts) > 0 || window != c.lastReportWindow
+	clear(c.unreported)
+	c.lastReportWindow = window
 	return report, due
 }
 
@@ -108,10 +108,10 @@
 	}
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	c.told = 0
-	for window, tenants := range c.windows {
+	c.lastReportWindow = 0
+	for window, tenants := range c.counts {
 		for tenant := range tenants {
-			c.mark(window, tenant)
+			c.markUnreported(window, tenant)
 		}
 	}
 }
--- a/process/metering/metering_test.go
+++ b/process/metering/metering_test.go
@@ -38,23 +38,23 @@
 	c.Again()
 	report, _ = c.Next()
 	must.SliceLen(t, 2, report.Counts)
-	must.NotEq(t, report.Life, NewCounter("p", window, time.Now).life)
+	must.NotEq(t, report.Life, NewCounter("p", window, time.Now).instanceID)
 }
 
 func TestCounterIsBounded(t *testing.T) {
 	now := start
 	c := NewCounter("p", window, func() time.Time { return now })
-	for range 10 * keptWindows {
+	for range 10 * retainedWindows {
 		c.Begin("north", 0)
 		now = now.Add(window)
 	}
-	must.LessEq(t, keptWindows, len(c.windows))
-	must.LessEq(t, keptWindows, len(c.changed))
+	must.LessEq(t, retainedWindows, len(c.counts))
+	must.LessEq(t, retainedWindows, len(c.unreported))
 }
 
 // The time of day of a minority of machines moves nobody's, whatever they say; what a
 // process learns is off by half of a round trip at most.
-func TestClocksThatJumpMoveNothing(t *testing.T) {
+func TestJumpingMinorityDoesNotMoveGroupTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		monotonic, day := time.Duration(0), start
 		advance := func(by time.Duration) { monotonic += by; day = day.Add(by) }
@@ -73,7 +73,7 @@
 				}
 				agreed.Note(fmt.Sprint(machine), day.Add(jump).UnixMilli())
 			}
-			advance(medianPause)
+			advance(medianInterval)
 			must.Between(t, -2*time.Millisecond, agreed.Now().Sub(day), 2*time.Millisecond)
 			there, back := 3*time.Millisecond, time.Duration(rapid.IntRange(3, 40).Draw(t, "way back"))*time.Millisecond
 			sent := monotonic + proxyClock
@@ -86,7 +86,7 @@
 	})
 }
 
-func TestOwnTimeUntilAnythingIsKnown(t *testing.T) {
+func TestLocalTimeIsUsedUntilSynchronized(t *testing.T) {
 	must.Eq(t, start, NewDay(func() time.Duration { return 0 }, func() time.Time { return start }).Now())
 	must.Eq(t, start, NewAgreement(func() time.Duration { return time.Minute }, func() time.Time { return start }).Now())
 }
--- a/process/relay/config.go
+++ b/process/relay/config.go
@@ -51,7 +51,7 @@
 // acknowledged a version gets no lease any more. Its last lease ends one lease
 // later, so the group waits for a hanging daemon a lease and a half at most,
 // less than the relay's own lease lasts.
-const floorShare = 4
+const floorIntervalDivisor = 4
 
 func (c Config) withDefaults() Config {
 	c.Lease = cmp.Or(c.Lease, DefaultLease)
@@ -63,7 +63,7 @@
 	return c
 }
 
-func (c Config) check() error {
+func (c Config) validate() error {
 	switch {
 	case c.Name == "":
 		return errors.Wrap(ErrConfig, "no name")
--- a/process/relay/demand.go
+++ b/process/relay/demand.go
@@ -12,13 +12,13 @@
 const maxDemandWindow = 10 * time.Second
 
 // queueMemory is how long a daemon's last word on its queues counts.
-const queueMemory = 3 * time.Second
+const queueReportTTL = 3 * time.Second
 
 type demandKey struct{ intent, class string }
 
 // demandSum adds up what the daemons behind the relay were offered, so that
 // the group gets one report in place of many.
-type demandSum struct {
+type demandAggregator struct {
 	lock   sync.Mutex
 	since  time.Duration
 	counts map[demandKey]*feed.Demand
@@ -31,12 +31,12 @@
 	demands []feed.Demand
 }
 
-func newDemandSum(now time.Duration) *demandSum {
-	return &demandSum{since: now, counts: map[demandKey]*feed.Demand{}, queues: map[string]queueReport{}}
+func newDemandAggregator(now time.Duration) *demandAggregator {
+	return &demandAggregator{since: now, counts: map[demandKey]*feed.Demand{}, queues: map[string]queueReport{}}
 }
 
 // add takes a daemon's report in that arrived now.
-func (s *demandSum) add(daemon string, report feed.DemandReport, now time.Duration) {
+func (s *demandAggregator) add(daemon string, report feed.DemandReport, now time.Duration) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	for i := range report.Demands {
@@ -45,8 +45,8 @@
 	s.queues[daemon] = queueReport{at: now, demands: report.Demands}
 }
 
-func (s *demandSum) count(offered *feed.Demand) {
-	sum := sumOf(s.counts, offered)
+func (s *demandAggregator) count(offered *feed.Demand) {
+	sum := aggregateFor(s.counts, offered)
 	sum.Requests += offered.Requests
 	sum.PromptTokens += offered.PromptTokens
 	sum.CachedPromptTokens += offered.CachedPromptTokens
@@ -56,7 +56,7 @@
 }
 
 // sumOf returns the sum that the offered demand belongs to.
-func sumOf(counts map[demandKey]*feed.Demand, offered *feed.Demand) *feed.Demand {
+func aggregateFor(counts map[demandKey]*feed.Demand, offered *feed.Demand) *feed.Demand {
 	key := demandKey{intent: offered.Intent, class: offered.Class}
 	sum := counts[key]
 	if sum == nil {
@@ -68,7 +68,7 @@
 
 // report returns the sums since the last report that was sent. Queues are
 // gauges: each daemon's latest counts, for as long as it is fresh.
-func (s *demandSum) report(now time.Duration) feed.DemandReport {
+func (s *demandAggregator) report(now time.Duration) feed.DemandReport {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	sums := make(map[demandKey]*feed.Demand, len(s.counts))
@@ -77,12 +77,12 @@
 		sums[key] = &copied
 	}
 	for daemon, queue := range s.queues {
-		if now-queue.at > queueMemory {
+		if now-queue.at > queueReportTTL {
 			delete(s.queues, daemon)
 			continue
 		}
 		for i := range queue.demands {
-			sum := sumOf(sums, &queue.demands[i])
+			sum := aggregateFor(sums, &queue.demands[i])
 			sum.QueuedRequests += queue.demands[i].QueuedRequests
 			sum.QueuedPromptTokens += queue.demands[i].QueuedPromptTokens
 		}
@@ -96,7 +96,7 @@
 
 // sent starts a new window at the time of the report, if it was sent or is too
 // old to be sent again.
-func (s *demandSum) sent(report feed.DemandReport, accepted bool, now time.Duration) {
+func (s *demandAggregator) finishReport(report feed.DemandReport, accepted bool, now time.Duration) {
 	if !accepted && report.Window < maxDemandWindow {
 		return
 	}
@@ -109,7 +109,7 @@
 }
 
 // subtract takes out what was reported; what came meanwhile stays.
-func (s *demandSum) subtract(reported *feed.Demand) {
+func (s *demandAggregator) subtract(reported *feed.Demand) {
 	key := demandKey{intent: reported.Intent, class: reported.Class}
 	sum := s.counts[key]
 	if sum == nil {
--- a/process/relay/group.go
+++ b/process/relay/group.go
@@ -29,7 +29,7 @@
 type group struct {
 	relay        *view.Relay
 	upstream     upstream
-	demand       *demandSum
+	demand       *demandAggregator
 	clock        func() time.Duration
 	claimTimeout time.Duration
 	stopping     atomic.Bool
@@ -40,13 +40,13 @@
 // Leadership tells daemons to go on to another address when the relay has no
 // lease to pass on or stops.
 func (g *group) Leadership() feed.Leadership {
-	return feed.Leadership{Leads: g.serves(), Term: g.relay.Term()}
+	return feed.Leadership{Leads: g.canServe(), Term: g.relay.Term()}
 }
 
-func (g *group) serves() bool { return !g.stopping.Load() && g.relay.Limit(g.clock()) > 0 }
+func (g *group) canServe() bool { return !g.stopping.Load() && g.relay.Limit(g.clock()) > 0 }
 
 // Lease returns the term of the leader that granted the relay's lease.
-func (g *group) Lease(context.Context) (uint64, bool) { return g.relay.Term(), g.serves() }
+func (g *group) Lease(context.Context) (uint64, bool) { return g.relay.Term(), g.canServe() }
 
 // Version returns the version held.
 func (g *group) Version() view.Version { return g.relay.History().View.Version }
--- a/process/relay/group_test.go
+++ b/process/relay/group_test.go
@@ -24,15 +24,15 @@
 	relayLease = 800 * time.Millisecond
 	testBeat   = 100 * time.Millisecond
 	// patience bounds every wait; it measures nothing.
-	patience = 20 * time.Second
+	waitTimeout = 20 * time.Second
 )
 
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("not within %v: %s", patience, what)
+			t.Fatalf("not within %v: %s", waitTimeout, what)
 		}
 		time.Sleep(time.Millisecond)
 	}
@@ -40,10 +40,10 @@
 
 // leaderGroup is a control group of one state machine that always leads.
 type leaderGroup struct {
-	lock    sync.Mutex
-	machine *state.Machine
-	index   uint64
-	demand  []feed.DemandReport
+	lock          sync.Mutex
+	machine       *state.Machine
+	index         uint64
+	demandReports []feed.DemandReport
 }
 
 func (g *leaderGroup) apply(command state.Command) any {
@@ -111,14 +111,14 @@
 func (g *leaderGroup) ReportDemand(_ string, report feed.DemandReport) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
-	g.demand = append(g.demand, report)
+	g.demandReports = append(g.demandReports, report)
 }
 
-func (g *leaderGroup) demanded() float64 {
+func (g *leaderGroup) requestedTotal() float64 {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	sum := 0.0
-	for _, report := range g.demand {
+	for _, report := range g.demandReports {
 		for _, demand := range report.Demands {
 			sum += demand.Requests
 		}
@@ -127,7 +127,7 @@
 }
 
 // tree is a leader, a relay and daemons behind it.
-type tree struct {
+type testTopology struct {
 	t       *testing.T
 	group   *leaderGroup
 	leader  *feed.Server
@@ -137,40 +137,40 @@
 	stopped chan error
 }
 
-func newTree(t *testing.T) *tree {
-	made := &tree{t: t, group: &leaderGroup{machine: state.New()}}
-	made.put()
-	made.serveLeader("127.0.0.1:0")
-	t.Cleanup(func() { made.leader.Close() })
-	made.config = Config{
+func newTestTopology(t *testing.T) *testTopology {
+	topology := &testTopology{t: t, group: &leaderGroup{machine: state.New()}}
+	topology.createTenant()
+	topology.serveLeader("127.0.0.1:0")
+	t.Cleanup(func() { topology.leader.Close() })
+	topology.config = Config{
 		Name:         "relay-1",
 		FeedAddress:  freeAddress(t),
 		AdminAddress: freeAddress(t),
-		Control:      []string{made.address},
+		Control:      []string{topology.address},
 		Lease:        relayLease,
 		Beat:         testBeat,
 		Demand:       testBeat,
 	}
-	made.start()
-	t.Cleanup(made.end)
-	return made
+	topology.startRelay()
+	t.Cleanup(topology.stopRelay)
+	return topology
 }
 
-func (f *tree) serveLeader(address string) {
+func (f *testTopology) serveLeader(address string) {
 	listener, err := net.Listen("tcp", address)
 	must.NoError(f.t, err)
 	f.address = listener.Addr().String()
 	f.leader = feed.NewServer(feed.ServerConfig{Group: f.group, ViewLease: groupLease}, listener)
 }
 
-func (f *tree) start() {
+func (f *testTopology) startRelay() {
 	ctx, stop := context.WithCancel(context.Background())
 	f.stop, f.stopped = stop, make(chan error, 1)
 	go func() { f.stopped <- Run(ctx, f.config, log.NewNopLogger()) }()
 }
 
 // end stops the relay as planned, once.
-func (f *tree) end() {
+func (f *testTopology) stopRelay() {
 	if f.stop != nil {
 		f.stop()
 		f.stop = nil
@@ -186,7 +186,7 @@
 }
 
 // put changes the state and returns the version after it.
-func (f *tree) put() view.Version {
+func (f *testTopology) createTenant() view.Version {
 	f.group.lock.Lock()
 	name := fmt.Sprint("tenant-", f.group.index)
 	f.group.lock.Unlock()
@@ -200,7 +200,7 @@
 }
 
 // follow starts a daemon; a stuck one takes deltas only while it is not held.
-func (f *tree) follow(name string, views feed.Views, addresses ...string) *feed.Client {
+func (f *testTopology) follow(name string, views feed.Views, addresses ...string) *feed.Client {
 	if len(addresses) == 0 {
 		addresses = []string{f.config.FeedAddress}
 	}
@@ -216,18 +216,18 @@
 
 func testClock() time.Duration { return time.Since(testStart) }
 
-func (f *tree) inForce(version view.Version) bool {
+func (f *testTopology) inForce(version view.Version) bool {
 	result, leads := f.leader.InForce(f.t.Context(), version.Revision)
 	return leads && result.Done
 }
 
 // slowViews holds deltas up while it is locked.
-type slowViews struct {
+type blockableViews struct {
 	*view.Holder
 	lock sync.Mutex
 }
 
-func (s *slowViews) Apply(delta view.Delta) error {
+func (s *blockableViews) Apply(delta view.Delta) error {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.Holder.Apply(delta)
--- a/process/relay/metrics.go
+++ b/process/relay/metrics.go
@@ -18,7 +18,7 @@
 			return float64(r.views.Acknowledge(r.clock()).Revision)
 		}),
 		gauge("view_confirmed", "1 while the relay's own view lease holds, else 0.", func() float64 {
-			if r.group.serves() {
+			if r.group.canServe() {
 				return 1
 			}
 			return 0
@@ -36,7 +36,7 @@
 	switch {
 	case r.group.stopping.Load():
 		return admin.Readiness{Reason: "stopping"}
-	case !r.group.serves():
+	case !r.group.canServe():
 		return admin.Readiness{Reason: "the view lease has lapsed or is not there yet"}
 	}
 	return admin.Readiness{Ready: true}
--- a/process/relay/relay.go
+++ b/process/relay/relay.go
@@ -26,13 +26,13 @@
 )
 
 // followed is the relay's view as the feed's client keeps it.
-type followed struct {
+type relayedViews struct {
 	*view.Relay
 	server atomic.Pointer[feed.Server]
 }
 
 // Apply moves the view forward and wakes the daemons' subscriptions.
-func (f *followed) Apply(delta view.Delta) error {
+func (f *relayedViews) Apply(delta view.Delta) error {
 	err := f.Relay.Apply(delta)
 	if server := f.server.Load(); err == nil && server != nil {
 		server.Wake()
@@ -42,16 +42,16 @@
 
 // Relay is one running relay.
 type Relay struct {
-	config   Config
-	logger   log.Logger
-	clock    func() time.Duration
-	views    *followed
-	group    *group
-	client   *feed.Client
-	server   *feed.Server
-	observed chan struct{} // a daemon's beat arrived
-	admin    *admin.Server
-	work     sync.WaitGroup
+	config       Config
+	logger       log.Logger
+	clock        func() time.Duration
+	views        *relayedViews
+	group        *group
+	client       *feed.Client
+	server       *feed.Server
+	beatReceived chan struct{} // a daemon's beat arrived
+	admin        *admin.Server
+	background   sync.WaitGroup
 }
 
 // Run runs a relay until ctx ends.
@@ -61,8 +61,8 @@
 		return err
 	}
 	work, end := context.WithCancel(context.Background())
-	r.work.Go(func() { r.acknowledge(work) })
-	r.work.Go(func() { r.reportDemand(work) })
+	r.background.Go(func() { r.acknowledge(work) })
+	r.background.Go(func() { r.reportDemand(work) })
 	event.RelayStarted.Log(logger, "feed", config.FeedAddress, "admin", r.admin.Addr(), "zone", config.Zone)
 	<-ctx.Done()
 	r.drain()
@@ -75,15 +75,15 @@
 // open takes the ports and starts to follow the group.
 func open(config Config, logger log.Logger) (*Relay, error) {
 	config = config.withDefaults()
-	if err := config.check(); err != nil {
+	if err := config.validate(); err != nil {
 		return nil, err
 	}
 	r := &Relay{
-		config:   config,
-		logger:   logger,
-		clock:    clock.Now,
-		views:    &followed{Relay: view.NewRelay(config.Lease, clock.Now())},
-		observed: make(chan struct{}, 1),
+		config:       config,
+		logger:       logger,
+		clock:        clock.Now,
+		views:        &relayedViews{Relay: view.NewRelay(config.Lease, clock.Now())},
+		beatReceived: make(chan struct{}, 1),
 	}
 	listener, err := net.Listen("tcp", config.FeedAddress)
 	if err != nil {
@@ -120,7 +120,7 @@
 	r.group = &group{
 		relay:        r.views.Relay,
 		upstream:     client,
-		demand:       newDemandSum(r.clock()),
+		demand:       newDemandAggregator(r.clock()),
 		clock:        r.clock,
 		claimTimeout: r.config.ClaimTimeout,
 	}
@@ -132,10 +132,10 @@
 	r.server = feed.NewServer(feed.ServerConfig{
 		Group:          r.group,
 		ViewLease:      r.config.Lease,
-		FloorInterval:  r.config.Lease / floorShare,
+		FloorInterval:  r.config.Lease / floorIntervalDivisor,
 		Tracker:        r.views.Tracker(),
 		Limit:          func() time.Duration { return r.views.Limit(r.clock()) },
-		Observed:       r.noteBeat,
+		Observed:       r.notifyBeat,
 		MaxSubscribers: r.config.MaxDaemons,
 		Clock:          r.clock,
 		Logger:         r.logger,
@@ -144,9 +144,9 @@
 }
 
 // noteBeat makes acknowledge look again; calls coalesce.
-func (r *Relay) noteBeat() {
+func (r *Relay) notifyBeat() {
 	select {
-	case r.observed <- struct{}{}:
+	case r.beatReceived <- struct{}{}:
 	default:
 	}
 }
@@ -154,14 +154,14 @@
 // acknowledge tells the group at once when a version has come into force behind
 // the relay, rather than with the next beat.
 func (r *Relay) acknowledge(ctx context.Context) {
-	ticker := time.NewTicker(r.config.Lease / floorShare)
+	ticker := time.NewTicker(r.config.Lease / floorIntervalDivisor)
 	defer ticker.Stop()
 	var told view.Version
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.observed:
+		case <-r.beatReceived:
 		case <-ticker.C:
 		}
 		if reached := r.views.Acknowledge(r.clock()); reached != told {
@@ -183,12 +183,12 @@
 		}
 		now := r.clock()
 		report := r.group.demand.report(now)
-		r.group.demand.sent(report, r.client.ReportDemand(report), now)
+		r.group.demand.finishReport(report, r.client.ReportDemand(report), now)
 	}
 }
 
 // drainPoll is how often a stopping relay looks whether its daemons have left.
-const drainPoll = 10 * time.Millisecond
+const drainPollInterval = 10 * time.Millisecond
 
 // drain is the planned stop: each daemon is sent on once its claims that are
 // under way have their answers.
@@ -198,7 +198,7 @@
 	r.server.Wake()
 	limit := time.NewTimer(r.config.StopTimeout)
 	defer limit.Stop()
-	ticker := time.NewTicker(drainPoll)
+	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
 	for r.server.Subscribers() > 0 {
 		select {
@@ -213,5 +213,5 @@
 	r.server.Close()
 	r.client.Close()
 	r.admin.Close()
-	r.work.Wait()
+	r.background.Wait()
 }
--- a/process/relay/relay_test.go
+++ b/process/relay/relay_test.go
@@ -19,19 +19,19 @@
 )
 
 func TestChangeIsInForceOnceEveryDaemonBehindTheRelayHasIt(t *testing.T) {
-	f := newTree(t)
-	quick, slow := view.NewHolder(), &slowViews{Holder: view.NewHolder()}
+	f := newTestTopology(t)
+	quick, slow := view.NewHolder(), &blockableViews{Holder: view.NewHolder()}
 	f.follow("quick", quick)
 	f.follow("slow", slow)
 	eventually(t, "both hold a lease", func() bool { return quick.Valid(testClock()) && slow.Valid(testClock()) })
 	must.Eq(t, 1, f.leader.Subscribers(), must.Sprint("the leader serves the relay alone"))
-	first := f.put()
+	first := f.createTenant()
 	eventually(t, "the change is in force", func() bool { return f.inForce(first) })
 	must.Eq(t, first, quick.Load().Version)
 	must.Eq(t, first, slow.Load().Version)
 
 	slow.lock.Lock()
-	second := f.put()
+	second := f.createTenant()
 	eventually(t, "the quick one has it", func() bool { return quick.Load().Version == second })
 	eventually(t, "the change is in force without the slow one", func() bool {
 		done := f.inForce(second)
@@ -44,7 +44,7 @@
 }
 
 func TestClaimsAndDemandPassThroughTheRelay(t *testing.T) {
-	f := newTree(t)
+	f := newTestTopology(t)
 	client := f.follow("proxy", view.NewHolder())
 	eventually(t, "the proxy is served", client.Connected)
 	request := state.ClaimRequest{Tenant: "t", Key: "k", BodyHash: 1, Nonce: 1}
@@ -61,12 +61,12 @@
 	for range 3 {
 		must.True(t, client.ReportDemand(feed.DemandReport{Window: time.Second, Demands: []feed.Demand{{Intent: "i", Class: "c", Requests: 5}}}))
 	}
-	eventually(t, "the demand has come up once", func() bool { return f.group.demanded() >= 15 })
-	must.Eq(t, 15.0, f.group.demanded())
+	eventually(t, "the demand has come up once", func() bool { return f.group.requestedTotal() >= 15 })
+	must.Eq(t, 15.0, f.group.requestedTotal())
 }
 
-func TestRelayWithoutTheGroupServesNobody(t *testing.T) {
-	f := newTree(t)
+func TestRelayStopsServingWithoutTheControlGroup(t *testing.T) {
+	f := newTestTopology(t)
 	holder := view.NewHolder()
 	client := f.follow("proxy", holder)
 	eventually(t, "a lease", func() bool { return holder.Valid(testClock()) })
@@ -82,19 +82,19 @@
 	eventually(t, "the lease is renewed", func() bool { return holder.Valid(testClock()) })
 }
 
-func TestDaemonsMoveOnWhenTheRelayStops(t *testing.T) {
-	f := newTree(t)
+func TestDaemonsReconnectElsewhereWhenTheRelayStops(t *testing.T) {
+	f := newTestTopology(t)
 	holder := view.NewHolder()
 	f.follow("proxy", holder, f.config.FeedAddress, f.address)
 	eventually(t, "a lease", func() bool { return holder.Valid(testClock()) })
-	f.end()
+	f.stopRelay()
 	eventually(t, "the leader serves the daemon itself", func() bool { return f.leader.Subscribers() == 1 })
-	version := f.put()
+	version := f.createTenant()
 	eventually(t, "a change reaches it", func() bool { return holder.Load().Version == version && holder.Valid(testClock()) })
 }
 
 // ready asks the relay's admin server.
-func (f *tree) ready() bool {
+func (f *testTopology) ready() bool {
 	response, err := http.Get("http://" + f.config.AdminAddress + admin.PathReady)
 	if err != nil {
 		return false
@@ -128,7 +128,7 @@
 }
 
 func TestDemandIsSummedAndQueuesAreGauges(t *testing.T) {
-	sum := newDemandSum(0)
+	sum := newDemandAggregator(0)
 	report := func(requests float64, queued int) feed.DemandReport {
 		return feed.DemandReport{Demands: []feed.Demand{{Intent: "i", Class: "c", Requests: requests, QueuedRequests: queued}}}
 	}
@@ -137,13 +137,13 @@
 	sum.add("b", report(5, 3), 2*time.Second)
 	first := sum.report(2 * time.Second)
 	must.Eq(t, []feed.Demand{{Intent: "i", Class: "c", Requests: 12, QueuedRequests: 5}}, first.Demands)
-	sum.sent(first, false, 2*time.Second)
+	sum.finishReport(first, false, 2*time.Second)
 	must.Eq(t, 12, sum.report(3 * time.Second).Demands[0].Requests, must.Sprint("what was not sent stays"))
 	sum.add("b", report(6, 3), 3*time.Second)
-	sum.sent(first, true, 3*time.Second)
+	sum.finishReport(first, true, 3*time.Second)
 	next := sum.report(3 * time.Second)
 	must.Eq(t, 6, next.Demands[0].Requests, must.Sprint("what came meanwhile stays"))
 	must.Eq(t, 5, next.Demands[0].QueuedRequests)
-	sum.sent(next, true, 3*time.Second)
+	sum.finishReport(next, true, 3*time.Second)
 	must.SliceEmpty(t, sum.report(10*time.Second).Demands, must.Sprint("queues are forgotten"))
 }
--- a/process/replica/bench_test.go
+++ b/process/replica/bench_test.go
@@ -17,7 +17,7 @@
 )
 
 // process is a member as a daemon would run it: with a disk, over TCP.
-type process struct {
+type testProcess struct {
 	id        raft.MemberID
 	dir       string
 	address   string
@@ -30,7 +30,7 @@
 }
 
 // Send counts what it sends, as it is encoded.
-func (p *process) Send(messages []raft.Message) {
+func (p *testProcess) Send(messages []raft.Message) {
 	for _, message := range messages {
 		p.sentBytes.Add(int64(encodedBytes(message)))
 	}
@@ -48,7 +48,7 @@
 // processGroup is a group of members on one machine with real disks and sockets.
 type processGroup struct {
 	t         testing.TB
-	processes []*process
+	processes []*testProcess
 	bootstrap raft.Configuration
 	adjust    func(*Config)
 }
@@ -67,8 +67,8 @@
 }
 
 // newProcess makes a member with an empty folder that listens and is not started.
-func (g *processGroup) newProcess() *process {
-	p := &process{dir: g.t.TempDir()}
+func (g *processGroup) newProcess() *testProcess {
+	p := &testProcess{dir: g.t.TempDir()}
 	disk, err := OpenDisk(DiskOptions{Dir: p.dir, Group: testGroup})
 	must.NoError(g.t, err)
 	p.id = disk.Identity().Member
@@ -96,7 +96,7 @@
 }
 
 // listen opens the member's transport on the address that it had before, if any.
-func (g *processGroup) listen(p *process) {
+func (g *processGroup) listen(p *testProcess) {
 	address := p.address
 	if address == "" {
 		address = "127.0.0.1:0"
@@ -108,7 +108,7 @@
 	p.address = p.transport.Address().String()
 }
 
-func (p *process) receive(message raft.Message) {
+func (p *testProcess) receive(message raft.Message) {
 	if running := p.running.Load(); running != nil {
 		running.Receive(message)
 	}
@@ -122,7 +122,7 @@
 	return addresses
 }
 
-func (g *processGroup) start(p *process) {
+func (g *processGroup) start(p *testProcess) {
 	disk, err := OpenDisk(DiskOptions{Dir: p.dir, Group: testGroup})
 	must.NoError(g.t, err)
 	p.machine = &history{}
@@ -145,14 +145,14 @@
 }
 
 // kill ends the member without a handover and closes its sockets.
-func (g *processGroup) kill(p *process) {
+func (g *processGroup) kill(p *testProcess) {
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
 	p.replica.Stop(ended)
 	must.NoError(g.t, p.transport.Close())
 }
 
-func (g *processGroup) restart(p *process) {
+func (g *processGroup) restart(p *testProcess) {
 	g.listen(p)
 	g.start(p)
 }
@@ -167,7 +167,7 @@
 	}
 }
 
-func (g *processGroup) leader(excluded *process) *process {
+func (g *processGroup) leader(excluded *testProcess) *testProcess {
 	deadline := time.Now().Add(30 * time.Second)
 	for time.Now().Before(deadline) {
 		for _, p := range g.processes {
@@ -293,7 +293,7 @@
 	}
 }
 
-func proposeUntilCommitted(b *testing.B, g *processGroup, excluded *process) {
+func proposeUntilCommitted(b *testing.B, g *processGroup, excluded *testProcess) {
 	for {
 		if _, err := g.leader(excluded).replica.Propose(context.Background(), []byte("next")); err == nil {
 			return
--- a/process/replica/capacity_bench_test.go
+++ b/process/replica/capacity_bench_test.go
@@ -20,7 +20,7 @@
 	network   int64         // bytes that the leader has sent
 }
 
-func (g *processGroup) usage(leader *process) usage {
+func (g *processGroup) usage(leader *testProcess) usage {
 	var resources syscall.Rusage
 	must.NoError(g.t, syscall.Getrusage(syscall.RUSAGE_SELF, &resources))
 	return usage{
--- a/process/replica/disk.go
+++ b/process/replica/disk.go
@@ -24,7 +24,7 @@
 	empty     bool
 	loaded    bool
 	// pending holds a hard state whose loss is harmless until the next Save.
-	pending *raft.HardState
+	unsavedHardState *raft.HardState
 }
 
 // Recovery tells what opening a Disk found.
@@ -77,15 +77,15 @@
 		return err
 	}
 	d.snapshots = store
-	loaded, err := store.Load(func(index uint64) bool { return reachesBack(recovered, index) })
+	loaded, err := store.Load(func(index uint64) bool { return holdsEntriesAfter(recovered, index) })
 	if err != nil {
 		return err
 	}
 	snapshot := loaded.Snapshot
-	if err := d.settleInstall(&recovered, snapshot); err != nil {
+	if err := d.resolvePendingInstall(&recovered, snapshot); err != nil {
 		return err
 	}
-	if err := checkComplete(recovered, snapshot); err != nil {
+	if err := checkCompleteness(recovered, snapshot); err != nil {
 		return err
 	}
 	d.initial = raft.InitialState{HardState: recovered.HardState, Entries: entriesAfter(recovered.Entries, snapshot.Index)}
@@ -94,7 +94,7 @@
 	} else {
 		d.initial.Configuration = snapshot.Configuration
 	}
-	d.empty = blank(d.initial)
+	d.empty = isEmptyState(d.initial)
 	d.recovery = Recovery{
 		Identity:         recovered.Identity,
 		Entries:          len(d.initial.Entries),
@@ -105,7 +105,7 @@
 }
 
 // reachesBack tells whether the log holds every entry after index.
-func reachesBack(recovered wal.Recovered, index uint64) bool {
+func holdsEntriesAfter(recovered wal.Recovered, index uint64) bool {
 	if len(recovered.Entries) == 0 {
 		return recovered.LastIndex <= index
 	}
@@ -114,7 +114,7 @@
 
 // settleInstall ends an installation that a crash cut short: the log restarts
 // after the snapshot if that was written, and stays as it is if not.
-func (d *Disk) settleInstall(recovered *wal.Recovered, snapshot raft.Snapshot) error {
+func (d *Disk) resolvePendingInstall(recovered *wal.Recovered, snapshot raft.Snapshot) error {
 	if recovered.InstallIndex == 0 {
 		return nil
 	}
@@ -127,13 +127,13 @@
 }
 
 // checkComplete finds logs that lost their end or their beginning.
-func checkComplete(recovered wal.Recovered, snapshot raft.Snapshot) error {
+func checkCompleteness(recovered wal.Recovered, snapshot raft.Snapshot) error {
 	switch {
 	case snapshot.Index > recovered.LastIndex:
 		return errors.Wrapf(wal.ErrLostLog, "log ends at %d, before snapshot %d", recovered.LastIndex, snapshot.Index)
 	case recovered.HardState.Commit > recovered.LastIndex:
 		return errors.Wrapf(wal.ErrLostLog, "log ends at %d, before commit index %d", recovered.LastIndex, recovered.HardState.Commit)
-	case !reachesBack(recovered, snapshot.Index):
+	case !holdsEntriesAfter(recovered, snapshot.Index):
 		return errors.Wrapf(wal.ErrLostLog, "log does not reach back to snapshot %d", snapshot.Index)
 	}
 	return nil
@@ -175,7 +175,7 @@
 // Save implements Storage.
 func (d *Disk) Save(update Update) error {
 	if update.HardState != nil {
-		d.pending = update.HardState
+		d.unsavedHardState = update.HardState
 	}
 	if !update.MustSync {
 		return nil
@@ -185,8 +185,8 @@
 			return err
 		}
 	}
-	hardState := d.pending
-	d.pending = nil
+	hardState := d.unsavedHardState
+	d.unsavedHardState = nil
 	return d.log.Save(hardState, update.Entries)
 }
 
@@ -194,10 +194,10 @@
 // a snapshot is never of a later term than its member. The note before the
 // snapshot tells a crash in between from a lost log.
 func (d *Disk) install(snapshot raft.Snapshot) error {
-	if d.pending != nil {
-		early := *d.pending
-		early.Commit = min(early.Commit, d.log.LastIndex())
-		if err := d.log.Save(&early, nil); err != nil {
+	if d.unsavedHardState != nil {
+		hardState := *d.unsavedHardState
+		hardState.Commit = min(hardState.Commit, d.log.LastIndex())
+		if err := d.log.Save(&hardState, nil); err != nil {
 			return err
 		}
 	}
@@ -226,8 +226,8 @@
 // so that a planned restart knows how far the log is committed.
 func (d *Disk) Close() error {
 	err := error(nil)
-	if d.pending != nil {
-		err = d.log.Save(d.pending, nil)
+	if d.unsavedHardState != nil {
+		err = d.log.Save(d.unsavedHardState, nil)
 	}
 	if closeErr := d.log.Close(); err == nil {
 		err = closeErr
--- a/process/replica/disk_test.go
+++ b/process/replica/disk_test.go
@@ -251,7 +251,7 @@
 	must.Eq(t, 10, len(initial.Entries))
 }
 
-func TestDiskRefusesWorkAfterAFailure(t *testing.T) {
+func TestDiskIsUnusableAfterAFailedSync(t *testing.T) {
 	fileSystem := faultfs.New(1)
 	disk, _ := mustOpen(t, fileSystem)
 	save(t, disk, 1, 3)
--- a/process/replica/group_test.go
+++ b/process/replica/group_test.go
@@ -84,7 +84,7 @@
 type network struct {
 	mutex   sync.Mutex
 	members map[raft.MemberID]*Replica
-	cut     func(from, to raft.MemberID) bool
+	blocked func(from, to raft.MemberID) bool
 }
 
 func (n *network) Send(messages []raft.Message) {
@@ -92,22 +92,22 @@
 	defer n.mutex.Unlock()
 	for _, message := range messages {
 		receiver := n.members[message.To]
-		if receiver == nil || n.cut != nil && n.cut(message.From, message.To) {
+		if receiver == nil || n.blocked != nil && n.blocked(message.From, message.To) {
 			continue
 		}
 		receiver.Receive(message)
 	}
 }
 
-func (n *network) setCut(cut func(from, to raft.MemberID) bool) {
+func (n *network) setBlocked(cut func(from, to raft.MemberID) bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.cut = cut
+	n.blocked = cut
 }
 
 // isolate cuts the member off in both directions.
 func (n *network) isolate(member raft.MemberID) {
-	n.setCut(func(from, to raft.MemberID) bool { return from == member || to == member })
+	n.setBlocked(func(from, to raft.MemberID) bool { return from == member || to == member })
 }
 
 // member is one replica of a group with what survives its stop: a file system.
@@ -284,7 +284,7 @@
 		must.ErrorIs(t, err, ErrOutcomeUnknown)
 		must.Error(t, old.replica.LeaseRead(t.Context()))
 		g.leader(old)
-		g.network.setCut(nil)
+		g.network.setBlocked(nil)
 		_, err = g.leader().replica.Propose(t.Context(), []byte("kept"))
 		must.NoError(t, err)
 		g.waitEqual(g.members...)
--- a/process/replica/handover.go
+++ b/process/replica/handover.go
@@ -8,26 +8,26 @@
 )
 
 // handoverTimeouts is how many election timeouts a handover may take.
-const handoverTimeouts = 3
+const handoverElectionTimeouts = 3
 
 // handover is a leadership that is being handed over. While it lasts proposals
 // are refused, and those already in the log are finished first, so that a planned
 // handover leaves no proposal with an unknown outcome.
 type handover struct {
-	request  *request
-	to       raft.MemberID
-	deadline time.Duration
-	asked    bool
+	request   *request
+	to        raft.MemberID
+	deadline  time.Duration
+	requested bool
 }
 
 func (l *loop) beginHandover(now time.Duration, q *request) {
 	status := l.node.Status()
 	if status.Role != raft.Leader {
-		q.finish(Result{}, &NotLeaderError{Leader: status.Leader})
+		q.complete(Result{}, &NotLeaderError{Leader: status.Leader})
 		return
 	}
 	if l.handover != nil {
-		q.finish(Result{}, errors.Wrap(ErrTransferFailed, "another handover is in progress"))
+		q.complete(Result{}, errors.Wrap(ErrTransferFailed, "another handover is in progress"))
 		return
 	}
 	to := q.to
@@ -35,10 +35,10 @@
 		to = successor(status)
 	}
 	if to == raft.None || to == status.ID {
-		q.finish(Result{}, ErrNoSuccessor)
+		q.complete(Result{}, ErrNoSuccessor)
 		return
 	}
-	l.handover = &handover{request: q, to: to, deadline: now + handoverTimeouts*l.config.Raft.ElectionTimeout}
+	l.handover = &handover{request: q, to: to, deadline: now + handoverElectionTimeouts*l.config.Raft.ElectionTimeout}
 }
 
 // successor returns the other voter with the most entries of those that answer.
@@ -66,15 +66,15 @@
 		l.endHandover(ErrTransferFailed)
 		return nil
 	}
-	if l.handover.asked || len(l.waiting) > 0 {
+	if l.handover.requested || len(l.proposals) > 0 {
 		return nil
 	}
-	l.handover.asked = true
+	l.handover.requested = true
 	if err := l.node.TransferLeadership(now, l.handover.to); err != nil {
 		l.endHandover(errors.Wrap(ErrTransferFailed, err.Error()))
 		return nil
 	}
-	return l.carryOut()
+	return l.processReady()
 }
 
 // endHandover answers the handover's caller: losing leadership is its success.
@@ -87,5 +87,5 @@
 	if errors.Is(err, ErrNotLeader) {
 		err = nil
 	}
-	q.finish(Result{}, err)
+	q.complete(Result{}, err)
 }
--- a/process/replica/loop.go
+++ b/process/replica/loop.go
@@ -9,22 +9,22 @@
 
 // loop is the goroutine that owns the node. Its fields are used by no other.
 type loop struct {
-	replica   *Replica
-	config    Config
-	node      *raft.Node
-	waiting   map[uint64]waiter   // proposals in the log, by index
-	reads     map[uint64]*request // ReadIndex requests, by request ID
-	confirmed []confirmedRead     // reads that wait for an index to be applied
-	leases    []*request          // lease reads that wait for the end of this step
-	lastRead  uint64
-	applied   uint64
-	ledTerm   uint64 // the term this member leads, 0 when it doesn't
-	handover  *handover
-	snapshots snapshotter
+	replica        *Replica
+	config         Config
+	node           *raft.Node
+	proposals      map[uint64]pendingProposal // proposals in the log, by index
+	reads          map[uint64]*request        // ReadIndex requests, by request ID
+	confirmedReads []confirmedRead            // reads that wait for an index to be applied
+	leaseReads     []*request                 // lease reads that wait for the end of this step
+	lastReadID     uint64
+	applied        uint64
+	leaderTerm     uint64 // the term this member leads, 0 when it doesn't
+	handover       *handover
+	snapshots      snapshotter
 }
 
 // waiter is a proposal that the leader of term has appended.
-type waiter struct {
+type pendingProposal struct {
 	term    uint64
 	request *request
 }
@@ -39,7 +39,7 @@
 		replica:   r,
 		config:    r.config,
 		node:      node,
-		waiting:   make(map[uint64]waiter),
+		proposals: make(map[uint64]pendingProposal),
 		reads:     make(map[uint64]*request),
 		applied:   applied,
 		snapshots: newSnapshotter(r.config, applied),
@@ -62,15 +62,15 @@
 			err = l.finishSnapshot(result)
 		}
 	}
-	l.end(err)
+	l.shutDown(err)
 }
 
 // end refuses what waits, closes the storage and then tells that it is over.
-func (l *loop) end(err error) {
+func (l *loop) shutDown(err error) {
 	for _, q := range l.replica.mailbox.close() {
-		q.finish(Result{}, ErrStopped)
+		q.complete(Result{}, ErrStopped)
 	}
-	l.abandon(ErrStopped)
+	l.failPending(ErrStopped)
 	l.snapshots.wait()
 	if closeErr := l.config.Storage.Close(); err == nil {
 		err = closeErr
@@ -92,38 +92,38 @@
 		}
 	}
 	for _, q := range requests {
-		if q.take() {
-			l.begin(now, q)
+		if q.claim() {
+			l.handleRequest(now, q)
 		}
 	}
-	if err := l.carryOut(); err != nil {
+	if err := l.processReady(); err != nil {
 		return err
 	}
-	l.observeLeadership()
+	l.checkLeadershipLost()
 	if err := l.continueHandover(); err != nil {
 		return err
 	}
 	l.answerLeaseReads()
-	l.replica.publish(l.node.Status())
+	l.replica.publishStatus(l.node.Status())
 	return l.startSnapshot()
 }
 
 // begin hands the request to the node.
-func (l *loop) begin(now time.Duration, q *request) {
+func (l *loop) handleRequest(now time.Duration, q *request) {
 	switch q.kind {
 	case requestPropose:
 		l.propose(q, func() (uint64, uint64, error) { return l.node.Propose(now, q.data) })
 	case requestChange:
 		l.propose(q, func() (uint64, uint64, error) { return l.node.ProposeChange(now, q.change) })
 	case requestLeaseRead:
-		l.leases = append(l.leases, q)
+		l.leaseReads = append(l.leaseReads, q)
 	case requestReadIndex:
-		l.lastRead++
-		if err := l.node.ReadIndex(now, l.lastRead); err != nil {
-			q.finish(Result{}, l.refusal(err))
+		l.lastReadID++
+		if err := l.node.ReadIndex(now, l.lastReadID); err != nil {
+			q.complete(Result{}, l.callerError(err))
 			return
 		}
-		l.reads[l.lastRead] = q
+		l.reads[l.lastReadID] = q
 	case requestTransfer:
 		l.beginHandover(now, q)
 	}
@@ -131,22 +131,22 @@
 
 func (l *loop) propose(q *request, propose func() (term, index uint64, err error)) {
 	if l.handover != nil {
-		q.finish(Result{}, &NotLeaderError{Leader: raft.None})
+		q.complete(Result{}, &NotLeaderError{Leader: raft.None})
 		return
 	}
 	term, index, err := propose()
 	if err != nil {
-		q.finish(Result{}, l.refusal(err))
+		q.complete(Result{}, l.callerError(err))
 		return
 	}
-	l.waiting[index] = waiter{term: term, request: q}
+	l.proposals[index] = pendingProposal{term: term, request: q}
 }
 
 // refusal turns the node's error into the one that callers are told.
-func (l *loop) refusal(err error) error {
+func (l *loop) callerError(err error) error {
 	switch {
 	case errors.Is(err, raft.ErrNotLeader):
-		return l.notLeader()
+		return l.notLeaderError()
 	case errors.Is(err, raft.ErrTransferPending):
 		return &NotLeaderError{Leader: raft.None}
 	case errors.Is(err, raft.ErrOverloaded):
@@ -155,10 +155,10 @@
 	return err
 }
 
-func (l *loop) notLeader() error { return &NotLeaderError{Leader: l.node.Status().Leader} }
+func (l *loop) notLeaderError() error { return &NotLeaderError{Leader: l.node.Status().Leader} }
 
 // carryOut does the protocol's work in the order that its safety rests on.
-func (l *loop) carryOut() error {
+func (l *loop) processReady() error {
 	for l.node.HasReady() {
 		ready := l.node.Ready()
 		if err := l.persist(ready); err != nil {
@@ -170,7 +170,7 @@
 		for _, entry := range ready.Committed {
 			l.apply(entry)
 		}
-		l.collectReads(ready)
+		l.completeReads(ready)
 		l.node.Advance(ready)
 	}
 	return nil
@@ -193,7 +193,7 @@
 		return errors.Wrap(err, "replica: restore")
 	}
 	l.applied = ready.Snapshot.Index
-	l.snapshots.installed(ready.Snapshot.Index)
+	l.snapshots.reset(ready.Snapshot.Index)
 	return nil
 }
 
@@ -204,96 +204,96 @@
 		value = l.config.StateMachine.Apply(entry)
 	}
 	l.applied = entry.Index
-	l.snapshots.applied(entry)
-	waiting, found := l.waiting[entry.Index]
+	l.snapshots.countEntry(entry)
+	proposal, found := l.proposals[entry.Index]
 	if !found {
 		return
 	}
-	delete(l.waiting, entry.Index)
-	if waiting.term != entry.Term {
-		waiting.request.finish(Result{}, ErrOutcomeUnknown)
+	delete(l.proposals, entry.Index)
+	if proposal.term != entry.Term {
+		proposal.request.complete(Result{}, ErrOutcomeUnknown)
 		return
 	}
-	waiting.request.finish(Result{Term: entry.Term, Index: entry.Index, Value: value}, nil)
+	proposal.request.complete(Result{Term: entry.Term, Index: entry.Index, Value: value}, nil)
 }
 
 // collectReads answers the reads whose index is applied.
-func (l *loop) collectReads(ready raft.Ready) {
+func (l *loop) completeReads(ready raft.Ready) {
 	for _, state := range ready.ReadStates {
 		if q, found := l.reads[state.RequestID]; found {
 			delete(l.reads, state.RequestID)
-			l.confirmed = append(l.confirmed, confirmedRead{index: state.Index, request: q})
+			l.confirmedReads = append(l.confirmedReads, confirmedRead{index: state.Index, request: q})
 		}
 	}
 	for _, requestID := range ready.AbortedReads {
 		if q, found := l.reads[requestID]; found {
 			delete(l.reads, requestID)
-			q.finish(Result{}, l.notLeader())
+			q.complete(Result{}, l.notLeaderError())
 		}
 	}
-	pending := l.confirmed[:0]
-	for _, read := range l.confirmed {
+	pending := l.confirmedReads[:0]
+	for _, read := range l.confirmedReads {
 		if read.index > l.applied {
 			pending = append(pending, read)
 			continue
 		}
-		read.request.finish(Result{Index: read.index}, nil)
+		read.request.complete(Result{Index: read.index}, nil)
 	}
-	l.confirmed = pending
+	l.confirmedReads = pending
 }
 
 // answerLeaseReads runs after all disk work of the step and reads the clock
 // again, since the lease may have run out during that work.
 func (l *loop) answerLeaseReads() {
-	if len(l.leases) == 0 {
+	if len(l.leaseReads) == 0 {
 		return
 	}
 	status := l.node.Status()
 	valid := l.node.LeaseValid(l.config.Clock.Now())
-	for _, q := range l.leases {
+	for _, q := range l.leaseReads {
 		switch {
 		case status.Role != raft.Leader:
-			q.finish(Result{}, &NotLeaderError{Leader: status.Leader})
+			q.complete(Result{}, &NotLeaderError{Leader: status.Leader})
 		case !valid:
-			q.finish(Result{}, ErrLeaseExpired)
+			q.complete(Result{}, ErrLeaseExpired)
 		default:
-			q.finish(Result{Term: status.Term, Index: l.applied}, nil)
+			q.complete(Result{Term: status.Term, Index: l.applied}, nil)
 		}
 	}
-	l.leases = nil
+	l.leaseReads = nil
 }
 
 // observeLeadership answers the proposals of a term that this member led and no
 // longer leads: whether they get committed is another leader's affair.
-func (l *loop) observeLeadership() {
+func (l *loop) checkLeadershipLost() {
 	status := l.node.Status()
 	led := uint64(0)
 	if status.Role == raft.Leader {
 		led = status.Term
 	}
-	if l.ledTerm != 0 && l.ledTerm != led {
-		l.abandon(&NotLeaderError{Leader: status.Leader})
+	if l.leaderTerm != 0 && l.leaderTerm != led {
+		l.failPending(&NotLeaderError{Leader: status.Leader})
 	}
-	l.ledTerm = led
+	l.leaderTerm = led
 }
 
 // abandon answers everything that waits for this leadership. Proposals may be in
 // other members' logs, so their outcome is unknown; the rest gets err.
-func (l *loop) abandon(err error) {
-	for index, waiting := range l.waiting {
-		delete(l.waiting, index)
-		waiting.request.finish(Result{}, ErrOutcomeUnknown)
+func (l *loop) failPending(err error) {
+	for index, proposal := range l.proposals {
+		delete(l.proposals, index)
+		proposal.request.complete(Result{}, ErrOutcomeUnknown)
 	}
 	for requestID, q := range l.reads {
 		delete(l.reads, requestID)
-		q.finish(Result{}, err)
+		q.complete(Result{}, err)
 	}
-	for _, read := range l.confirmed {
-		read.request.finish(Result{}, err)
+	for _, read := range l.confirmedReads {
+		read.request.complete(Result{}, err)
 	}
-	for _, q := range l.leases {
-		q.finish(Result{}, err)
+	for _, q := range l.leaseReads {
+		q.complete(Result{}, err)
 	}
-	l.confirmed, l.leases = nil, nil
+	l.confirmedReads, l.leaseReads = nil, nil
 	l.endHandover(err)
 }
--- a/process/replica/loop_test.go
+++ b/process/replica/loop_test.go
@@ -14,14 +14,14 @@
 
 // A handover waits for the proposals that are in the log and takes no further
 // ones, so that it leaves nothing with an unknown outcome.
-func TestHandoverFinishesWhatIsInTheLog(t *testing.T) {
+func TestHandoverWaitsForProposalsInTheLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(t, 5, nil)
 		defer g.stopAll()
 		old := g.leader()
 		target := g.others(old)[0]
 		// The target gets the proposal and could win, but no quorum has it yet.
-		g.network.setCut(func(from, to raft.MemberID) bool { return from == old.id && to != target.id })
+		g.network.setBlocked(func(from, to raft.MemberID) bool { return from == old.id && to != target.id })
 		proposed := make(chan error, 1)
 		go func() {
 			_, err := old.replica.Propose(t.Context(), []byte("in the log"))
@@ -34,7 +34,7 @@
 		_, err := old.replica.Propose(t.Context(), []byte("too late"))
 		must.ErrorIs(t, err, ErrNotLeader)
 		time.Sleep(200 * time.Millisecond)
-		g.network.setCut(nil)
+		g.network.setBlocked(nil)
 		must.NoError(t, <-proposed)
 		must.NoError(t, <-handedOver)
 		must.Eq(t, target, g.leader(old))
@@ -43,7 +43,7 @@
 	})
 }
 
-func TestHandoverToAMemberThatDoesNotAnswerEnds(t *testing.T) {
+func TestHandoverToUnresponsiveMemberTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(t, 3, nil)
 		defer g.stopAll()
@@ -166,7 +166,7 @@
 
 // A leader whose disk hangs for longer than its lease must not answer by the lease
 // that it had when it was asked.
-func TestLeaseReadCountsTheTimeOfTheDisk(t *testing.T) {
+func TestLeaseReadChecksTheLeaseAfterDiskWrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(t, 3, nil)
 		defer g.stopAll()
@@ -186,10 +186,10 @@
 	})
 }
 
-func TestProposalWhosePlaceAnotherTermTookIsUnknown(t *testing.T) {
+func TestProposalOverwrittenByAnotherTermHasUnknownOutcome(t *testing.T) {
 	q := &request{outcome: make(chan outcome, 1)}
 	l := newLoop(&Replica{config: Config{StateMachine: &history{}}}, nil, 4)
-	l.waiting[5] = waiter{term: 1, request: q}
+	l.proposals[5] = pendingProposal{term: 1, request: q}
 	l.apply(raft.Entry{Term: 2, Index: 5})
 	must.ErrorIs(t, (<-q.outcome).err, ErrOutcomeUnknown)
 }
@@ -198,9 +198,9 @@
 	q := &request{outcome: make(chan outcome, 1)}
 	l := newLoop(&Replica{}, nil, 4)
 	l.reads[1] = q
-	l.collectReads(raft.Ready{ReadStates: []raft.ReadState{{RequestID: 1, Index: 5}}})
+	l.completeReads(raft.Ready{ReadStates: []raft.ReadState{{RequestID: 1, Index: 5}}})
 	must.Eq(t, 0, len(q.outcome))
 	l.applied = 5
-	l.collectReads(raft.Ready{})
+	l.completeReads(raft.Ready{})
 	must.NoError(t, (<-q.outcome).err)
 }
--- a/process/replica/oracle_test.go
+++ b/process/replica/oracle_test.go
@@ -17,34 +17,34 @@
 
 // world runs a group through proposals and faults. It keeps what each proposer
 // was told, which the group's final state must agree with.
-type world struct {
+type simulation struct {
 	*group
-	proposals sync.WaitGroup
-	mutex     sync.Mutex
-	told      map[string]answer
-	stale     []string // reads that missed what was acknowledged before them
-	reads     int
-	count     int
+	proposals  sync.WaitGroup
+	mutex      sync.Mutex
+	answers    map[string]answer
+	staleReads []string // reads that missed what was acknowledged before them
+	reads      int
+	count      int
 }
 
 // answer is what a proposer was told: the place in the history, or an error.
 type answer struct {
-	place int
-	err   error
+	position int
+	err      error
 }
 
-func (w *world) pick(t *rapid.T) *member {
+func (w *simulation) drawMember(t *rapid.T) *member {
 	return w.members[rapid.IntRange(0, len(w.members)-1).Draw(t, "member")]
 }
 
-func (w *world) propose(t *rapid.T) {
-	m := w.pick(t)
-	patience := time.Duration(rapid.IntRange(0, 3000).Draw(t, "patience")) * time.Millisecond
+func (w *simulation) propose(t *rapid.T) {
+	m := w.drawMember(t)
+	timeout := time.Duration(rapid.IntRange(0, 3000).Draw(t, "patience")) * time.Millisecond
 	for range rapid.IntRange(1, 10).Draw(t, "commands") {
 		command := w.nextCommand()
 		replica := m.replica
 		w.proposals.Go(func() {
-			ctx, cancel := context.WithTimeout(context.Background(), patience)
+			ctx, cancel := context.WithTimeout(context.Background(), timeout)
 			defer cancel()
 			result, err := replica.Propose(ctx, []byte(command))
 			w.record(command, result, err)
@@ -52,20 +52,20 @@
 	}
 }
 
-func (w *world) nextCommand() string {
+func (w *simulation) nextCommand() string {
 	w.count++
 	return fmt.Sprint("command ", w.count)
 }
 
-func (w *world) record(command string, result Result, err error) {
-	place, _ := result.Value.(int)
+func (w *simulation) record(command string, result Result, err error) {
+	position, _ := result.Value.(int)
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.told[command] = answer{place: place, err: err}
+	w.answers[command] = answer{position: position, err: err}
 }
 
 // proposeToLeader has no deadline: a leader that is cut off must answer as well.
-func (w *world) proposeToLeader(t *rapid.T) {
+func (w *simulation) proposeToLeader(t *rapid.T) {
 	for _, m := range w.members {
 		if m.replica.Status().Role != raft.Leader {
 			continue
@@ -81,7 +81,7 @@
 
 // read asks all members that believe to lead, by their lease and by a quorum.
 // What was acknowledged before must be in the state that they answer from.
-func (w *world) read(t *rapid.T) {
+func (w *simulation) read(t *rapid.T) {
 	byLease := rapid.Bool().Draw(t, "by lease")
 	for _, m := range w.members {
 		if m.replica.Status().Role != raft.Leader {
@@ -103,11 +103,11 @@
 	}
 }
 
-func (w *world) acknowledged() []string {
+func (w *simulation) acknowledged() []string {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	var commands []string
-	for command, answer := range w.told {
+	for command, answer := range w.answers {
 		if answer.err == nil {
 			commands = append(commands, command)
 		}
@@ -115,23 +115,23 @@
 	return commands
 }
 
-func (w *world) checkRead(acknowledged []string, machine *history) {
+func (w *simulation) checkRead(acknowledged []string, machine *history) {
 	missing := slices.DeleteFunc(acknowledged, machine.contains)
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.reads++
-	w.stale = append(w.stale, missing...)
+	w.staleReads = append(w.staleReads, missing...)
 }
 
 // stall lets a member's disk hang at its next write.
-func (w *world) stall(t *rapid.T) {
-	w.pick(t).stall.Store(int64(rapid.IntRange(1, 5000).Draw(t, "stall")) * int64(time.Millisecond))
+func (w *simulation) stallDisk(t *rapid.T) {
+	w.drawMember(t).stall.Store(int64(rapid.IntRange(1, 5000).Draw(t, "stall")) * int64(time.Millisecond))
 }
 
 // crashMachine loses what the member had not synced; it restarts at once or
 // after a while, in which other actions may come.
-func (w *world) crashMachine(t *rapid.T) {
-	m := w.pick(t)
+func (w *simulation) crashMachine(t *rapid.T) {
+	m := w.drawMember(t)
 	m.fileSystem.StopAfter(rapid.IntRange(0, 8).Draw(t, "operations"))
 	time.Sleep(time.Duration(rapid.IntRange(0, 500).Draw(t, "until crash")) * time.Millisecond)
 	w.crash(m)
@@ -140,10 +140,10 @@
 	w.restart(m)
 }
 
-func (w *world) failSync(t *rapid.T) { w.pick(t).fileSystem.FailSyncs(1) }
+func (w *simulation) failSync(t *rapid.T) { w.drawMember(t).fileSystem.FailSyncs(1) }
 
 // revive restarts members that their disks have stopped.
-func (w *world) revive(*rapid.T) {
+func (w *simulation) restartStopped(*rapid.T) {
 	for _, m := range w.members {
 		select {
 		case <-m.replica.Done():
@@ -156,34 +156,34 @@
 	}
 }
 
-func (w *world) cutOff(t *rapid.T) { w.network.isolate(w.pick(t).id) }
+func (w *simulation) isolateMember(t *rapid.T) { w.network.isolate(w.drawMember(t).id) }
 
-func (w *world) cutOneWay(t *rapid.T) {
-	from, to := w.pick(t).id, w.pick(t).id
-	w.network.setCut(func(f, o raft.MemberID) bool { return f == from && o == to })
+func (w *simulation) blockOneWay(t *rapid.T) {
+	from, to := w.drawMember(t).id, w.drawMember(t).id
+	w.network.setBlocked(func(f, o raft.MemberID) bool { return f == from && o == to })
 }
 
-func (w *world) heal(*rapid.T) { w.network.setCut(nil) }
+func (w *simulation) healNetwork(*rapid.T) { w.network.setBlocked(nil) }
 
-func (w *world) pass(t *rapid.T) {
+func (w *simulation) advanceTime(t *rapid.T) {
 	time.Sleep(time.Duration(rapid.IntRange(1, 5000).Draw(t, "milliseconds")) * time.Millisecond)
 }
 
-func (w *world) transfer(t *rapid.T) {
+func (w *simulation) transfer(t *rapid.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	_ = w.pick(t).replica.TransferLeadership(ctx, raft.None)
+	_ = w.drawMember(t).replica.TransferLeadership(ctx, raft.None)
 }
 
 // settle ends all faults and lets the group come to one state.
-func (w *world) settle(t *rapid.T) {
-	w.network.setCut(nil)
+func (w *simulation) converge(t *rapid.T) {
+	w.network.setBlocked(nil)
 	for _, m := range w.members {
 		m.fileSystem.FailSyncs(0)
 	}
 	w.proposals.Wait()
 	synctest.Wait() // a member that a disk is about to stop has stopped then
-	w.revive(t)
+	w.restartStopped(t)
 	w.group.propose("last")
 	w.waitEqual(w.members...)
 }
@@ -191,16 +191,16 @@
 // verify compares the final state with what proposers were told: what was
 // acknowledged is there at the place that was named, what was refused is not, and
 // nothing is there twice.
-func (w *world) verify(t *rapid.T) {
-	must.SliceEmpty(t, w.stale, must.Sprint("a read missed what was acknowledged before"))
+func (w *simulation) verify(t *rapid.T) {
+	must.SliceEmpty(t, w.staleReads, must.Sprint("a read missed what was acknowledged before"))
 	places := make(map[string][]int)
 	for i, command := range w.members[0].machine.copy() {
 		places[string(command)] = append(places[string(command)], i+1)
 	}
-	for command, answer := range w.told {
+	for command, answer := range w.answers {
 		switch {
 		case answer.err == nil:
-			must.Eq(t, []int{answer.place}, places[command], must.Sprint(command, " was acknowledged"))
+			must.Eq(t, []int{answer.position}, places[command], must.Sprint(command, " was acknowledged"))
 		case errors.Is(answer.err, ErrOutcomeUnknown):
 			must.LessEq(t, 1, len(places[command]), must.Sprint(command, " had an unknown outcome"))
 		default:
@@ -214,7 +214,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		// Without its deadline, which a test in virtual time does not have.
 		rapid.Check(struct{ testing.TB }{t}, func(t *rapid.T) {
-			w := &world{group: newGroup(t, 3, smallSnapshots), told: make(map[string]answer)}
+			w := &simulation{group: newGroup(t, 3, smallSnapshots), answers: make(map[string]answer)}
 			defer w.stopAll()
 			w.leader()
 			t.Repeat(map[string]func(*rapid.T){
@@ -222,18 +222,18 @@
 				"propose to leader": w.proposeToLeader,
 				"crash":             w.crashMachine,
 				"fail sync":         w.failSync,
-				"stall":             w.stall,
+				"stall":             w.stallDisk,
 				"read":              w.read,
-				"revive":            w.revive,
-				"cut off":           w.cutOff,
-				"cut one way":       w.cutOneWay,
-				"heal":              w.heal,
+				"revive":            w.restartStopped,
+				"cut off":           w.isolateMember,
+				"cut one way":       w.blockOneWay,
+				"heal":              w.healNetwork,
 				"transfer":          w.transfer,
-				"pass":              w.pass,
+				"pass":              w.advanceTime,
 			})
-			w.settle(t)
+			w.converge(t)
 			w.verify(t)
-			w.tally(outcomes)
+			w.countOutcomes(outcomes)
 		})
 	})
 	t.Log(outcomes)
@@ -243,8 +243,8 @@
 }
 
 // tally counts the outcomes, so that a run that never met one is found out.
-func (w *world) tally(outcomes map[string]int) {
-	for _, answer := range w.told {
+func (w *simulation) countOutcomes(outcomes map[string]int) {
+	for _, answer := range w.answers {
 		switch {
 		case answer.err == nil:
 			outcomes["acknowledged"]++
--- a/process/replica/recovery_test.go
+++ b/process/replica/recovery_test.go
@@ -95,7 +95,7 @@
 		lagging := g.others(g.leader())[0]
 		g.network.isolate(lagging.id)
 		g.proposeMany("missed", 100, lagging)
-		g.network.setCut(nil)
+		g.network.setBlocked(nil)
 		g.waitEqual(g.members...)
 		// One of the bootstrap and one that was received.
 		must.Eq(t, 2, len(g.fileNames(lagging, ".snap")))
--- a/process/replica/replica.go
+++ b/process/replica/replica.go
@@ -177,7 +177,7 @@
 	if err != nil {
 		return raft.InitialState{}, err
 	}
-	if !blank(initial) || len(config.Bootstrap.Voters) == 0 {
+	if !isEmptyState(initial) || len(config.Bootstrap.Voters) == 0 {
 		return initial, nil
 	}
 	if err := config.Storage.Bootstrap(config.Bootstrap); err != nil {
@@ -188,7 +188,7 @@
 }
 
 // blank tells whether the storage has never held anything of a group.
-func blank(initial raft.InitialState) bool {
+func isEmptyState(initial raft.InitialState) bool {
 	return initial.HardState == raft.HardState{} && initial.Snapshot.Index == 0 &&
 		len(initial.Entries) == 0 && len(initial.Configuration.Voters) == 0
 }
@@ -217,9 +217,9 @@
 }
 
 // publish makes the status visible and wakes those who wait for a change.
-func (r *Replica) publish(status raft.Status) {
+func (r *Replica) publishStatus(status raft.Status) {
 	previous := r.status.Swap(&status)
-	if !visiblyChanged(*previous, status) {
+	if !statusChanged(*previous, status) {
 		return
 	}
 	r.changedMutex.Lock()
@@ -228,7 +228,7 @@
 	r.changed = make(chan struct{})
 }
 
-func visiblyChanged(before, after raft.Status) bool {
+func statusChanged(before, after raft.Status) bool {
 	return before.Role != after.Role || before.Term != after.Term || before.Leader != after.Leader ||
 		len(before.Configuration.Voters) != len(after.Configuration.Voters) ||
 		len(before.Configuration.Learners) != len(after.Configuration.Learners)
@@ -253,7 +253,7 @@
 // and then stops the member and closes its storage. It returns the storage's
 // error, or that of the handover; the member is stopped in any case.
 func (r *Replica) Stop(ctx context.Context) error {
-	handover := r.handOverForStop(ctx)
+	handover := r.handOverBeforeStop(ctx)
 	r.stopOnce.Do(func() { close(r.stopping) })
 	<-r.done
 	if r.err != nil {
@@ -262,7 +262,7 @@
 	return handover
 }
 
-func (r *Replica) handOverForStop(ctx context.Context) error {
+func (r *Replica) handOverBeforeStop(ctx context.Context) error {
 	if r.Status().Role != raft.Leader {
 		return nil
 	}
--- a/process/replica/request.go
+++ b/process/replica/request.go
@@ -57,7 +57,7 @@
 // by the same compare-and-swap, so exactly one of them has its way.
 const (
 	requestQueued int32 = iota
-	requestTaken
+	requestClaimed
 	requestWithdrawn
 )
 
@@ -88,9 +88,9 @@
 }
 
 // take returns false when the caller has given up.
-func (q *request) take() bool { return q.state.CompareAndSwap(requestQueued, requestTaken) }
+func (q *request) claim() bool { return q.state.CompareAndSwap(requestQueued, requestClaimed) }
 
-func (q *request) finish(result Result, err error) {
+func (q *request) complete(result Result, err error) {
 	select {
 	case q.outcome <- outcome{result: result, err: err}:
 	default: // has its outcome already
@@ -107,14 +107,14 @@
 // not been and will never be applied; after ErrOutcomeUnknown it may be, also
 // later.
 func (r *Replica) Propose(ctx context.Context, data []byte) (Result, error) {
-	return r.do(ctx, &request{kind: requestPropose, data: data})
+	return r.submit(ctx, &request{kind: requestPropose, data: data})
 }
 
 // ChangeMembership makes one step of a membership change and returns when it is
 // committed. Errors: those of Propose, and the ones of raft's ProposeChange, after
 // which nothing has changed.
 func (r *Replica) ChangeMembership(ctx context.Context, change raft.ConfigurationChange) (Result, error) {
-	return r.do(ctx, &request{kind: requestChange, change: change})
+	return r.submit(ctx, &request{kind: requestChange, change: change})
 }
 
 // LeaseRead returns nil when this member is the leader and holds its lease, and
@@ -122,7 +122,7 @@
 // The lease is checked by a reading of the clock after all pending disk work.
 // Errors: ErrNotLeader, ErrLeaseExpired, ErrStopped, ErrWithdrawn.
 func (r *Replica) LeaseRead(ctx context.Context) error {
-	_, err := r.do(ctx, &request{kind: requestLeaseRead})
+	_, err := r.submit(ctx, &request{kind: requestLeaseRead})
 	return err
 }
 
@@ -131,7 +131,7 @@
 // before the call. It needs no clocks. Errors: ErrNotLeader, ErrStopped,
 // ErrWithdrawn.
 func (r *Replica) ReadIndex(ctx context.Context) error {
-	_, err := r.do(ctx, &request{kind: requestReadIndex})
+	_, err := r.submit(ctx, &request{kind: requestReadIndex})
 	return err
 }
 
@@ -140,12 +140,12 @@
 // those already in the log are waited for first. Errors: ErrNotLeader,
 // ErrNoSuccessor, ErrTransferFailed, ErrStopped, ErrWithdrawn.
 func (r *Replica) TransferLeadership(ctx context.Context, to raft.MemberID) error {
-	_, err := r.do(ctx, &request{kind: requestTransfer, to: to})
+	_, err := r.submit(ctx, &request{kind: requestTransfer, to: to})
 	return err
 }
 
 // do queues the request and waits for its outcome or the end of ctx.
-func (r *Replica) do(ctx context.Context, q *request) (Result, error) {
+func (r *Replica) submit(ctx context.Context, q *request) (Result, error) {
 	q.outcome = make(chan outcome, 1)
 	if err := ctx.Err(); err != nil {
 		return Result{}, errors.Wrap(ErrWithdrawn, err.Error())
@@ -157,12 +157,12 @@
 	case o := <-q.outcome:
 		return o.result, o.err
 	case <-ctx.Done():
-		return q.giveUp(ctx.Err())
+		return q.withdraw(ctx.Err())
 	}
 }
 
 // giveUp decides what a caller is told whose context has ended.
-func (q *request) giveUp(reason error) (Result, error) {
+func (q *request) withdraw(reason error) (Result, error) {
 	if q.state.CompareAndSwap(requestQueued, requestWithdrawn) {
 		return Result{}, errors.Wrap(ErrWithdrawn, reason.Error())
 	}
--- a/process/replica/snapshotter.go
+++ b/process/replica/snapshotter.go
@@ -17,7 +17,7 @@
 	bytes      int    // applied since
 	running    bool
 	done       chan snapshotResult // has room for the one result
-	group      *sync.WaitGroup
+	background *sync.WaitGroup
 }
 
 type snapshotResult struct {
@@ -31,29 +31,29 @@
 		maxBytes:   config.SnapshotBytes,
 		lastIndex:  lastIndex,
 		done:       make(chan snapshotResult, 1),
-		group:      &sync.WaitGroup{},
+		background: &sync.WaitGroup{},
 	}
 }
 
-func (s *snapshotter) applied(entry raft.Entry) {
+func (s *snapshotter) countEntry(entry raft.Entry) {
 	s.entries++
 	s.bytes += len(entry.Data)
 }
 
 // installed notes a snapshot that was received.
-func (s *snapshotter) installed(index uint64) {
+func (s *snapshotter) reset(index uint64) {
 	s.lastIndex, s.entries, s.bytes = index, 0, 0
 }
 
-func (s *snapshotter) due() bool {
+func (s *snapshotter) isDue() bool {
 	return !s.running && (s.entries >= s.maxEntries || s.bytes >= s.maxBytes)
 }
 
-func (s *snapshotter) wait() { s.group.Wait() }
+func (s *snapshotter) wait() { s.background.Wait() }
 
 // startSnapshot captures the state machine at the applied index if it is time.
 func (l *loop) startSnapshot() error {
-	if !l.snapshots.due() {
+	if !l.snapshots.isDue() {
 		return nil
 	}
 	snapshot, err := l.node.SnapshotAt(l.applied, nil)
@@ -61,9 +61,9 @@
 		return errors.Wrap(err, "replica: snapshot")
 	}
 	encode := l.capture()
-	l.snapshots.installed(l.applied)
+	l.snapshots.reset(l.applied)
 	l.snapshots.running = true
-	l.snapshots.group.Go(func() {
+	l.snapshots.background.Go(func() {
 		data, err := encode()
 		if err == nil {
 			snapshot.Data = data
--- a/process/snap/snap.go
+++ b/process/snap/snap.go
@@ -1,8 +1,8 @@
-// Package snap keeps the snapshot files of one member. A snapshot is written
-// under a temporary name, synced, renamed and its folder synced, so a file that
-// bears a snapshot's name is whole unless the disk damaged it. The last two are
-// kept, so that damage to the newest can be borne while the log still reaches
-// back to the one before it.
+// Package snap stores the snapshot files of one Raft member. A snapshot is written
+// to a temporary file, synced and renamed, and the directory is synced, so a file
+// with a snapshot's name is complete unless the disk corrupted it. The last two
+// snapshots are kept: if the newest is corrupt, the member can recover from the one
+// before it as long as the log holds every entry after that one.
 package snap
 
 import (
@@ -19,8 +19,8 @@
 	"github.com/pkg/errors"
 )
 
-// ErrDamaged says that no snapshot file that the log reaches back to is good.
-var ErrDamaged = errors.New("snap: damaged")
+// ErrDamaged means that no intact snapshot is left from which the log can continue.
+var ErrDamaged = errors.New("snap: corrupt")
 
 const (
 	snapshotMagic   = 0x4c54_534e_0000_0001
@@ -33,33 +33,35 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// place names a snapshot file: its index and term.
-type place struct{ index, term uint64 }
+// snapshotID identifies a snapshot by the index and term in its file name.
+type snapshotID struct{ index, term uint64 }
 
-func (p place) name() string { return fmt.Sprintf("%016x-%016x%s", p.index, p.term, snapshotSuffix) }
+func (p snapshotID) fileName() string {
+	return fmt.Sprintf("%016x-%016x%s", p.index, p.term, snapshotSuffix)
+}
 
-// parseName returns false for files that are no snapshots.
-func parseName(name string) (place, bool) {
+// parseFileName returns the snapshot that a file name identifies, or false for any
+// other file.
+func parseFileName(name string) (snapshotID, bool) {
 	stem, found := strings.CutSuffix(name, snapshotSuffix)
 	if !found || len(stem) != 33 || stem[16] != '-' {
-		return place{}, false
+		return snapshotID{}, false
 	}
 	index, indexErr := strconv.ParseUint(stem[:16], 16, 64)
 	term, termErr := strconv.ParseUint(stem[17:], 16, 64)
-	return place{index: index, term: term}, indexErr == nil && termErr == nil
+	return snapshotID{index: index, term: term}, indexErr == nil && termErr == nil
 }
 
-// Store keeps the snapshots in one folder. Its methods may be called by several
-// goroutines.
+// Store manages the snapshots in one directory. It is safe for concurrent use.
 type Store struct {
 	fileSystem wal.FileSystem
 	dir        string
 	mutex      sync.Mutex
-	places     []place // oldest first
+	snapshots  []snapshotID // oldest first
 }
 
-// Open lists the snapshots in the folder, which must exist. It removes files that
-// a crash left half written.
+// Open lists the snapshots in the directory, which must exist. It removes temporary
+// files left by a crash.
 func Open(fileSystem wal.FileSystem, dir string) (*Store, error) {
 	store := &Store{fileSystem: fileSystem, dir: dir}
 	names, err := fileSystem.List(dir)
@@ -73,125 +75,126 @@
 			}
 			continue
 		}
-		if p, ok := parseName(name); ok {
-			store.places = append(store.places, p)
+		if p, ok := parseFileName(name); ok {
+			store.snapshots = append(store.snapshots, p)
 		}
 	}
 	return store, nil
 }
 
-// Loaded is the outcome of Load.
-type Loaded struct {
+// LoadResult is the result of Load.
+type LoadResult struct {
 	Snapshot raft.Snapshot
 	Found    bool
-	// Damaged counts newer snapshots that were passed over.
+	// Damaged is the number of newer snapshots that were skipped as corrupt.
 	Damaged int
 }
 
-// Load returns the newest good snapshot. When the newest is damaged it falls back
-// to an older one only if logReaches says that the log still holds every entry
-// after that one's index; otherwise it returns ErrDamaged. A damaged file is
-// renamed, so that it never counts as one of the snapshots kept.
-func (s *Store) Load(logReaches func(index uint64) bool) (Loaded, error) {
+// Load returns the newest intact snapshot. If the newest is corrupt, it falls back
+// to an older one only if logHoldsEntriesAfter reports that the log still holds
+// every entry after that one's index; otherwise it returns ErrDamaged. Load renames
+// corrupt files, so that they never count as one of the snapshots kept.
+func (s *Store) Load(logHoldsEntriesAfter func(index uint64) bool) (LoadResult, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	loaded := Loaded{}
-	for position := len(s.places) - 1; position >= 0; position-- {
-		p := s.places[position]
-		if loaded.Damaged > 0 && !logReaches(p.index) {
-			return Loaded{}, errors.Wrapf(ErrDamaged, "the log does not reach back to snapshot %d", p.index)
+	loaded := LoadResult{}
+	for position := len(s.snapshots) - 1; position >= 0; position-- {
+		p := s.snapshots[position]
+		if loaded.Damaged > 0 && !logHoldsEntriesAfter(p.index) {
+			return LoadResult{}, errors.Wrapf(ErrDamaged, "the log does not hold every entry after snapshot %d", p.index)
 		}
 		snapshot, err := s.read(p)
 		if err == nil {
 			loaded.Snapshot, loaded.Found = snapshot, true
-			return loaded, s.setAside(position + 1)
+			return loaded, s.quarantineFrom(position + 1)
 		}
 		if !errors.Is(err, ErrDamaged) {
-			return Loaded{}, err
+			return LoadResult{}, err
 		}
 		loaded.Damaged++
 	}
 	if loaded.Damaged > 0 {
-		return Loaded{}, errors.Wrap(ErrDamaged, "no good snapshot is left")
+		return LoadResult{}, errors.Wrap(ErrDamaged, "all snapshots are corrupt")
 	}
 	return loaded, nil
 }
 
-// setAside renames the snapshots from position on, which are damaged.
-func (s *Store) setAside(position int) error {
-	if position == len(s.places) {
+// quarantineFrom renames the corrupt snapshots from position on and removes them
+// from the list.
+func (s *Store) quarantineFrom(position int) error {
+	if position == len(s.snapshots) {
 		return nil
 	}
-	for _, p := range s.places[position:] {
-		name := filepath.Join(s.dir, p.name())
+	for _, p := range s.snapshots[position:] {
+		name := filepath.Join(s.dir, p.fileName())
 		if err := s.fileSystem.Rename(name, name+damagedSuffix); err != nil {
 			return err
 		}
 	}
-	s.places = s.places[:position]
+	s.snapshots = s.snapshots[:position]
 	return s.fileSystem.SyncDir(s.dir)
 }
 
-func (s *Store) read(p place) (raft.Snapshot, error) {
-	data, err := s.fileSystem.ReadFile(filepath.Join(s.dir, p.name()))
+func (s *Store) read(p snapshotID) (raft.Snapshot, error) {
+	data, err := s.fileSystem.ReadFile(filepath.Join(s.dir, p.fileName()))
 	if err != nil {
 		return raft.Snapshot{}, err
 	}
 	snapshot, err := decode(data)
 	if err != nil {
-		return raft.Snapshot{}, errors.Wrapf(ErrDamaged, "%s: %v", p.name(), err)
+		return raft.Snapshot{}, errors.Wrapf(ErrDamaged, "%s: %v", p.fileName(), err)
 	}
 	if snapshot.Index != p.index || snapshot.Term != p.term {
-		return raft.Snapshot{}, errors.Wrapf(ErrDamaged, "%s holds snapshot %d", p.name(), snapshot.Index)
+		return raft.Snapshot{}, errors.Wrapf(ErrDamaged, "%s contains snapshot %d", p.fileName(), snapshot.Index)
 	}
 	return snapshot, nil
 }
 
-// Save makes the snapshot durable and removes all but the last two. A snapshot
-// that is not newer than the newest is ignored.
+// Save makes the snapshot durable and removes all but the last two. It ignores a
+// snapshot that is not newer than the newest one stored.
 func (s *Store) Save(snapshot raft.Snapshot) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if count := len(s.places); count > 0 && s.places[count-1].index >= snapshot.Index {
+	if count := len(s.snapshots); count > 0 && s.snapshots[count-1].index >= snapshot.Index {
 		return nil
 	}
-	p := place{index: snapshot.Index, term: snapshot.Term}
-	if err := wal.WriteFile(s.fileSystem, filepath.Join(s.dir, p.name()), encode(snapshot)); err != nil {
+	p := snapshotID{index: snapshot.Index, term: snapshot.Term}
+	if err := wal.WriteFile(s.fileSystem, filepath.Join(s.dir, p.fileName()), encode(snapshot)); err != nil {
 		return err
 	}
-	s.places = append(s.places, p)
+	s.snapshots = append(s.snapshots, p)
 	return s.removeOld()
 }
 
 func (s *Store) removeOld() error {
-	for len(s.places) > retainedCount {
-		if err := s.fileSystem.Remove(filepath.Join(s.dir, s.places[0].name())); err != nil {
+	for len(s.snapshots) > retainedCount {
+		if err := s.fileSystem.Remove(filepath.Join(s.dir, s.snapshots[0].fileName())); err != nil {
 			return err
 		}
-		s.places = s.places[1:]
+		s.snapshots = s.snapshots[1:]
 	}
 	return nil
 }
 
-// OldestIndex returns the index of the oldest snapshot kept; the log must reach
-// back to it. It returns false when there is none.
+// OldestIndex returns the index of the oldest snapshot kept; the log must hold every
+// entry after it. It returns false if there is no snapshot.
 func (s *Store) OldestIndex() (uint64, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if len(s.places) == 0 {
+	if len(s.snapshots) == 0 {
 		return 0, false
 	}
-	return s.places[0].index, true
+	return s.snapshots[0].index, true
 }
 
-// Discard removes all snapshots from the folder.
+// Discard removes all snapshots, including corrupt ones, from the directory.
 func Discard(fileSystem wal.FileSystem, dir string) error {
 	names, err := fileSystem.List(dir)
 	if err != nil {
 		return err
 	}
 	for _, name := range names {
-		_, isSnapshot := parseName(name)
+		_, isSnapshot := parseFileName(name)
 		if !isSnapshot && !strings.HasSuffix(name, snapshotSuffix+damagedSuffix) {
 			continue
 		}
@@ -213,7 +216,7 @@
 
 func decode(data []byte) (raft.Snapshot, error) {
 	if len(data) < checksumSize {
-		return raft.Snapshot{}, errors.New("too short")
+		return raft.Snapshot{}, errors.New("file is shorter than its checksum")
 	}
 	content := data[:len(data)-checksumSize]
 	trailer := frame.NewDecoder(data[len(content):])
@@ -222,7 +225,7 @@
 	}
 	decoder := frame.NewDecoder(content)
 	if decoder.Uint64() != snapshotMagic {
-		return raft.Snapshot{}, errors.New("bad magic")
+		return raft.Snapshot{}, errors.New("invalid magic number")
 	}
 	return raft.DecodeSnapshot(decoder.Raw(decoder.Remaining()))
 }
--- a/process/snap/snap_test.go
+++ b/process/snap/snap_test.go
@@ -30,7 +30,7 @@
 	return filepath.Join(testDir, fmt.Sprintf("%016x-%016x.snap", index, 2))
 }
 
-// storeWith returns a file system with the snapshots.
+// storeWith returns a file system and a store with snapshots at the indexes.
 func storeWith(t must.T, indexes ...uint64) (*faultfs.FileSystem, *snap.Store) {
 	t.Helper()
 	fileSystem := faultfs.New(1)
@@ -42,7 +42,7 @@
 	return fileSystem, store
 }
 
-func load(t must.T, fileSystem *faultfs.FileSystem) (snap.Loaded, error) {
+func load(t must.T, fileSystem *faultfs.FileSystem) (snap.LoadResult, error) {
 	t.Helper()
 	store, err := snap.Open(fileSystem, testDir)
 	must.NoError(t, err)
@@ -62,7 +62,8 @@
 	must.Eq(t, snapshotAt(30), loaded.Snapshot)
 }
 
-// The member's own snapshot may be ready after a received one that is newer.
+// A snapshot that the member took itself may be finished after a newer one was
+// received.
 func TestOlderSnapshotIsIgnored(t *testing.T) {
 	fileSystem, store := storeWith(t, 10, 20)
 	must.NoError(t, store.Save(snapshotAt(15)))
@@ -81,7 +82,7 @@
 	must.ErrorIs(t, err, snap.ErrDamaged)
 }
 
-func TestDamageAnywhereIsFound(t *testing.T) {
+func TestDamageAtAnyOffsetIsDetected(t *testing.T) {
 	fileSystem, _ := storeWith(t, 10)
 	content, err := fileSystem.ReadFile(path(10))
 	must.NoError(t, err)
@@ -97,8 +98,8 @@
 	}
 }
 
-// A crash at any point of saving leaves the snapshot before, or the new one; and
-// nothing half written stays.
+// A crash at any point during Save must leave either the previous or the new
+// snapshot, and no temporary files after reopening.
 func TestSaveSurvivesCrashes(t *testing.T) {
 	kept, saved := 0, 0
 	for operations := range 8 {
@@ -130,8 +131,8 @@
 	must.Positive(t, saved)
 }
 
-// FuzzLoad reads arbitrary content, under a right checksum and without: it is
-// either refused as damaged or encoded to the same bytes again.
+// FuzzLoad loads a file of arbitrary content, with and without a valid checksum.
+// Either it is rejected as corrupt, or it is encoded to the same bytes again.
 func FuzzLoad(f *testing.F) {
 	fileSystem, _ := storeWith(f, 10)
 	content, err := fileSystem.ReadFile(path(10))
--- a/process/wal/faultfs/faultfs.go
+++ b/process/wal/faultfs/faultfs.go
@@ -1,8 +1,8 @@
-// Package faultfs is a wal.FileSystem in memory for tests. It tells what is
-// written from what is durable: a crash loses unsynced bytes, tears writes by
-// sectors and forgets unsynced folder entries. It can fail writes, fill up, and
-// fail syncs in the way operating systems do, where the pages of a failed sync
-// count as clean afterwards and are never written.
+// Package faultfs implements an in-memory wal.FileSystem with fault injection for
+// tests. It distinguishes written from durable data: a crash loses unsynced bytes,
+// tears writes at sector boundaries and loses unsynced directory entries. It can
+// fail writes, run out of space, and fail syncs the way operating systems do: the
+// pages of a failed sync are marked clean and never written.
 package faultfs
 
 import (
@@ -19,127 +19,130 @@
 
 // Errors that the file system injects.
 var (
-	// ErrPower says that the machine is off: see StopAfter.
+	// ErrPower is returned after a simulated power failure: see StopAfter.
 	ErrPower = errors.New("faultfs: power is off")
-	// ErrSync is an injected failure of a sync.
+	// ErrSync is returned by a sync that was made to fail: see FailSyncs.
 	ErrSync = errors.New("faultfs: sync failed")
-	// ErrFull says that the capacity is used up.
+	// ErrFull is returned when the capacity is exhausted: see SetCapacity.
 	ErrFull = errors.New("faultfs: no space left")
 )
 
-// sectorBytes is the unit that a disk writes wholly or not at all.
+// sectorBytes is the size of a sector, which a disk writes atomically.
 const sectorBytes = 512
 
-// pendingWrite is a write that is not durable yet.
+// pendingWrite is a write that has not been synced.
 type pendingWrite struct {
 	offset int
 	data   []byte
 }
 
-// inode is a file's content: as programs see it, and as the disk holds it.
+// inode holds a file's content as programs read it and as it is stored on disk.
 type inode struct {
 	visible []byte
 	durable []byte
 	pending []pendingWrite
 }
 
-// folderChange is a change of the name table that is not durable yet.
-type folderChange struct {
+// directoryChange is a change of directory entries that has not been synced.
+type directoryChange struct {
 	removed string
 	added   string
 	node    *inode
 }
 
-// FileSystem is a file system in memory with faults.
+// FileSystem is an in-memory file system with fault injection.
 type FileSystem struct {
-	mutex      sync.Mutex
-	random     *rand.Rand
-	visible    map[string]*inode
-	durable    map[string]*inode
-	changes    []folderChange
-	boot       int // counts crashes; open files of an earlier boot are dead
-	locked     map[string]bool
-	operations int
-	remaining  int // operations until the power goes, negative for never
-	syncFaults int // syncs that will fail
-	capacity   int // bytes, negative for endless
+	mutex          sync.Mutex
+	random         *rand.Rand
+	visible        map[string]*inode
+	durable        map[string]*inode
+	pendingChanges []directoryChange
+	bootCount      int // crashes and restarts so far; files opened before the last one are invalid
+	locked         map[string]bool
+	operations     int
+	operationsLeft int // operations until the power failure; negative for none
+	failingSyncs   int // how many of the next syncs fail
+	capacity       int // bytes; negative for unlimited
 }
 
 var _ wal.FileSystem = (*FileSystem)(nil)
 
-// New returns an empty file system whose faults are drawn from seed.
+// New returns an empty file system; seed determines what a crash loses.
 func New(seed uint64) *FileSystem {
 	return &FileSystem{
-		random:    rand.New(rand.NewPCG(seed, seed)),
-		visible:   make(map[string]*inode),
-		durable:   make(map[string]*inode),
-		locked:    make(map[string]bool),
-		remaining: -1,
-		capacity:  -1,
+		random:         rand.New(rand.NewPCG(seed, seed)),
+		visible:        make(map[string]*inode),
+		durable:        make(map[string]*inode),
+		locked:         make(map[string]bool),
+		operationsLeft: -1,
+		capacity:       -1,
 	}
 }
 
-// StopAfter lets the power go after this many more changing operations; each
-// later one fails with ErrPower. A negative number takes that back.
+// StopAfter simulates a power failure after this many further modifying operations:
+// all later ones fail with ErrPower. A negative number cancels it.
 func (f *FileSystem) StopAfter(operations int) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.remaining = operations
+	f.operationsLeft = operations
 }
 
-// FailSyncs makes the next count syncs of files fail.
+// FailSyncs makes the next count file syncs fail.
 func (f *FileSystem) FailSyncs(count int) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.syncFaults = count
+	f.failingSyncs = count
 }
 
-// SetCapacity limits the bytes in all files; a negative number takes that back.
+// SetCapacity limits the total size of all files; a negative number removes the
+// limit.
 func (f *FileSystem) SetCapacity(bytes int) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.capacity = bytes
 }
 
-// Operations returns how many changing operations were carried out.
+// Operations returns the number of modifying operations carried out.
 func (f *FileSystem) Operations() int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.operations
 }
 
-// Crash loses what is not durable, some of it only in part, and turns the power
-// on again.
+// Crash simulates a crash and reboot of the machine: a random part of the data and
+// directory changes that were not durable is lost, and locks are released.
 func (f *FileSystem) Crash() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.boot++
-	f.remaining = -1
+	f.bootCount++
+	f.operationsLeft = -1
 	f.locked = make(map[string]bool)
-	for _, change := range f.changes {
+	for _, change := range f.pendingChanges {
 		if f.random.IntN(2) == 0 {
 			change.apply(f.durable)
 		}
 	}
-	f.changes = nil
+	f.pendingChanges = nil
 	f.visible = make(map[string]*inode, len(f.durable))
 	for name, node := range f.durable {
-		f.tear(node)
+		f.tearPendingWrites(node)
 		f.visible[name] = node
 	}
 }
 
-// Restart ends the process without a crash of the machine: locks and open files
-// go, what was written stays visible and is as durable as before.
+// Restart simulates a restart of the process without a crash of the machine: locks
+// are released and open files become invalid; written data stays readable and is
+// exactly as durable as before.
 func (f *FileSystem) Restart() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.boot++
+	f.bootCount++
 	f.locked = make(map[string]bool)
 }
 
-// tear makes some sectors of the pending writes durable and drops the rest.
-func (f *FileSystem) tear(node *inode) {
+// tearPendingWrites makes a random subset of the sectors of pending writes durable
+// and drops the rest.
+func (f *FileSystem) tearPendingWrites(node *inode) {
 	for _, write := range node.pending {
 		for start := 0; start < len(write.data); start += sectorBytes {
 			if f.random.IntN(2) == 0 {
@@ -153,7 +156,7 @@
 	node.visible = slices.Clone(node.durable)
 }
 
-func (c folderChange) apply(names map[string]*inode) {
+func (c directoryChange) apply(names map[string]*inode) {
 	if c.removed != "" {
 		delete(names, c.removed)
 	}
@@ -162,7 +165,7 @@
 	}
 }
 
-// writeAt writes into content; a gap before offset is filled with zeros.
+// writeAt writes data into content at offset and fills a gap before it with zeros.
 func writeAt(content []byte, offset int, data []byte) []byte {
 	if missing := offset + len(data) - len(content); missing > 0 {
 		content = append(content, make([]byte, missing)...)
@@ -171,7 +174,7 @@
 	return content
 }
 
-// Edit changes a file's content in place and durably, as damage would.
+// Edit changes a file's durable content in place, to simulate corruption.
 func (f *FileSystem) Edit(name string, change func(content []byte) []byte) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -181,7 +184,7 @@
 	node.pending = nil
 }
 
-// Destroy removes a file durably.
+// Destroy removes a file durably, to simulate its loss.
 func (f *FileSystem) Destroy(name string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -189,37 +192,38 @@
 	delete(f.durable, name)
 }
 
-// begin counts a changing operation. The mutex is held.
-func (f *FileSystem) begin() error {
-	if f.remaining == 0 {
+// beginOperation counts a modifying operation and fails after a power failure. The
+// caller must hold the mutex.
+func (f *FileSystem) beginOperation() error {
+	if f.operationsLeft == 0 {
 		return ErrPower
 	}
-	if f.remaining > 0 {
-		f.remaining--
+	if f.operationsLeft > 0 {
+		f.operationsLeft--
 	}
 	f.operations++
 	return nil
 }
 
-func (f *FileSystem) change(c folderChange) {
+func (f *FileSystem) applyChange(c directoryChange) {
 	c.apply(f.visible)
-	f.changes = append(f.changes, c)
+	f.pendingChanges = append(f.pendingChanges, c)
 }
 
-// MakeDir implements wal.FileSystem; all folders exist.
+// MakeDir implements wal.FileSystem; all directories exist.
 func (f *FileSystem) MakeDir(string) error { return nil }
 
 // SyncDir implements wal.FileSystem.
 func (f *FileSystem) SyncDir(string) error {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if err := f.begin(); err != nil {
+	if err := f.beginOperation(); err != nil {
 		return err
 	}
-	for _, change := range f.changes {
+	for _, change := range f.pendingChanges {
 		change.apply(f.durable)
 	}
-	f.changes = nil
+	f.pendingChanges = nil
 	return nil
 }
 
@@ -252,12 +256,12 @@
 func (f *FileSystem) Create(name string) (wal.File, error) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if err := f.begin(); err != nil {
+	if err := f.beginOperation(); err != nil {
 		return nil, err
 	}
 	node := &inode{}
-	f.change(folderChange{added: name, node: node})
-	return &file{system: f, node: node, boot: f.boot}, nil
+	f.applyChange(directoryChange{added: name, node: node})
+	return &file{system: f, node: node, bootCount: f.bootCount}, nil
 }
 
 // Append implements wal.FileSystem.
@@ -268,21 +272,21 @@
 	if node == nil {
 		return nil, errors.Wrap(fs.ErrNotExist, name)
 	}
-	return &file{system: f, node: node, boot: f.boot}, nil
+	return &file{system: f, node: node, bootCount: f.bootCount}, nil
 }
 
 // Rename implements wal.FileSystem.
 func (f *FileSystem) Rename(from, to string) error {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if err := f.begin(); err != nil {
+	if err := f.beginOperation(); err != nil {
 		return err
 	}
 	node := f.visible[from]
 	if node == nil {
 		return errors.Wrap(fs.ErrNotExist, from)
 	}
-	f.change(folderChange{removed: from, added: to, node: node})
+	f.applyChange(directoryChange{removed: from, added: to, node: node})
 	return nil
 }
 
@@ -290,13 +294,13 @@
 func (f *FileSystem) Remove(name string) error {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if err := f.begin(); err != nil {
+	if err := f.beginOperation(); err != nil {
 		return err
 	}
 	if f.visible[name] == nil {
 		return errors.Wrap(fs.ErrNotExist, name)
 	}
-	f.change(folderChange{removed: name})
+	f.applyChange(directoryChange{removed: name})
 	return nil
 }
 
@@ -308,19 +312,19 @@
 		return nil, errors.Wrap(wal.ErrLocked, dir)
 	}
 	f.locked[dir] = true
-	return &lock{system: f, dir: dir, boot: f.boot}, nil
+	return &lock{system: f, dir: dir, bootCount: f.bootCount}, nil
 }
 
 type lock struct {
-	system *FileSystem
-	dir    string
-	boot   int
+	system    *FileSystem
+	dir       string
+	bootCount int
 }
 
 func (l *lock) Close() error {
 	l.system.mutex.Lock()
 	defer l.system.mutex.Unlock()
-	if l.boot == l.system.boot {
+	if l.bootCount == l.system.bootCount {
 		delete(l.system.locked, l.dir)
 	}
 	return nil
@@ -328,26 +332,27 @@
 
 // file is an open file.
 type file struct {
-	system *FileSystem
-	node   *inode
-	boot   int
+	system    *FileSystem
+	node      *inode
+	bootCount int
 }
 
-func (o *file) begin() error {
-	if o.boot != o.system.boot {
+func (o *file) beginOperation() error {
+	if o.bootCount != o.system.bootCount {
 		return ErrPower
 	}
-	return o.system.begin()
+	return o.system.beginOperation()
 }
 
-// Write appends; on a full disk only the part that fits is written.
+// Write appends data; if it exceeds the capacity, only the part that fits is
+// written.
 func (o *file) Write(data []byte) (int, error) {
 	o.system.mutex.Lock()
 	defer o.system.mutex.Unlock()
-	if err := o.begin(); err != nil {
+	if err := o.beginOperation(); err != nil {
 		return 0, err
 	}
-	fitting := o.system.room(len(data))
+	fitting := o.system.writableBytes(len(data))
 	written := slices.Clone(data[:fitting])
 	o.node.pending = append(o.node.pending, pendingWrite{offset: len(o.node.visible), data: written})
 	o.node.visible = append(o.node.visible, written...)
@@ -357,8 +362,8 @@
 	return fitting, nil
 }
 
-// room returns how many of the wanted bytes fit.
-func (f *FileSystem) room(wanted int) int {
+// writableBytes returns how many of the wanted bytes fit into the capacity.
+func (f *FileSystem) writableBytes(wanted int) int {
 	if f.capacity < 0 {
 		return wanted
 	}
@@ -369,18 +374,18 @@
 	return max(0, min(wanted, f.capacity-used))
 }
 
-// Sync makes the pending writes durable. When it fails they stay visible but are
-// never written, by no later sync either.
+// Sync makes the pending writes durable. If it fails, they stay readable but are
+// never made durable, not even by a later sync.
 func (o *file) Sync() error {
 	o.system.mutex.Lock()
 	defer o.system.mutex.Unlock()
-	if err := o.begin(); err != nil {
+	if err := o.beginOperation(); err != nil {
 		return err
 	}
 	pending := o.node.pending
 	o.node.pending = nil
-	if o.system.syncFaults > 0 {
-		o.system.syncFaults--
+	if o.system.failingSyncs > 0 {
+		o.system.failingSyncs--
 		return ErrSync
 	}
 	for _, write := range pending {
--- a/process/wal/filesystem.go
+++ b/process/wal/filesystem.go
@@ -11,47 +11,47 @@
 	"github.com/pkg/errors"
 )
 
-// FileSystem is the part of the operating system's file system that durable
-// state is kept on. Tests put one in its place that crashes, tears writes and
-// fails.
+// FileSystem is the subset of file system operations that durable state needs.
+// Tests replace it with an implementation that injects crashes, torn writes and
+// errors.
 type FileSystem interface {
-	// MakeDir creates the folder and its parents and syncs the parents it
-	// created entries in.
+	// MakeDir creates the directory and its missing parents, and syncs every
+	// parent in which it created an entry.
 	MakeDir(name string) error
-	// SyncDir makes creations, renames and removals in the folder durable.
+	// SyncDir makes creations, renames and removals in the directory durable.
 	SyncDir(name string) error
-	// List returns the sorted names of the files in the folder.
+	// List returns the sorted names of the files in the directory.
 	List(dir string) ([]string, error)
-	// ReadFile returns the whole file; a missing one gives fs.ErrNotExist.
+	// ReadFile returns the content of the file, or fs.ErrNotExist if it is missing.
 	ReadFile(name string) ([]byte, error)
-	// Create makes an empty file, cutting an existing one to nothing.
+	// Create creates an empty file or truncates an existing one.
 	Create(name string) (File, error)
-	// Append opens an existing file for writing at its end.
+	// Append opens an existing file for appending.
 	Append(name string) (File, error)
 	Rename(from, to string) error
 	Remove(name string) error
-	// Lock takes the folder for this process alone, or returns ErrLocked.
+	// Lock locks the directory exclusively for this process, or returns ErrLocked.
 	Lock(dir string) (io.Closer, error)
 }
 
 // File is a file opened for writing.
 type File interface {
 	io.WriteCloser
-	// Sync returns when everything written is durable.
+	// Sync makes everything written so far durable.
 	Sync() error
 }
 
-// ErrLocked says that another process holds the folder.
-var ErrLocked = errors.New("wal: folder is in use by another process")
+// ErrLocked means that another process holds the lock on the directory.
+var ErrLocked = errors.New("wal: directory is in use by another process")
 
 const (
-	lockName        = "lock"
+	lockFileName    = "lock"
 	filePermission  = 0o600
 	dirPermission   = 0o700
 	temporarySuffix = ".tmp"
 )
 
-// OS is the file system of the operating system.
+// OS implements FileSystem with the operating system's file system.
 type OS struct{}
 
 var _ FileSystem = OS{}
@@ -129,10 +129,10 @@
 // Remove implements FileSystem.
 func (OS) Remove(name string) error { return errors.WithStack(os.Remove(name)) }
 
-// Lock implements FileSystem by an advisory lock that the kernel drops when the
-// process ends, however it ends.
+// Lock implements FileSystem with an advisory lock, which the kernel releases when
+// the process exits for any reason.
 func (OS) Lock(dir string) (io.Closer, error) {
-	file, err := os.OpenFile(filepath.Join(dir, lockName), os.O_RDWR|os.O_CREATE, filePermission)
+	file, err := os.OpenFile(filepath.Join(dir, lockFileName), os.O_RDWR|os.O_CREATE, filePermission)
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
@@ -147,8 +147,8 @@
 	return nil, errors.WithStack(err)
 }
 
-// WriteFile replaces the file in one step: after a crash it holds either the old
-// content or the new. When it returns nil the new content is durable.
+// WriteFile replaces the file atomically: after a crash it holds either the old or
+// the new content. When WriteFile returns nil, the new content is durable.
 func WriteFile(fileSystem FileSystem, name string, data []byte) error {
 	temporary := name + temporarySuffix
 	file, err := fileSystem.Create(temporary)
--- a/process/wal/fuzz_test.go
+++ b/process/wal/fuzz_test.go
@@ -11,7 +11,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// Sizes of what stands in front of the first record's payload.
+// Sizes in bytes of a segment's preamble and of a record header.
 const (
 	preamble     = 16
 	recordHeader = 9
@@ -28,9 +28,9 @@
 	return all
 }
 
-// FuzzOpen opens a log that ends in a record of arbitrary content under a right
-// checksum and arbitrary bytes after it. It is refused, or what was read is read
-// again after a restart, and the log can be written to.
+// FuzzOpen opens a log that ends in a record with arbitrary content and a valid
+// checksum, followed by arbitrary bytes. Either the log is rejected, or it recovers
+// the same state after another restart and accepts writes.
 func FuzzOpen(f *testing.F) {
 	fileSystem := faultfs.New(1)
 	log, _ := open(f, fileSystem)
@@ -64,15 +64,15 @@
 		recovered.TornBytes = 0
 		must.Eq(t, recovered, again)
 		if recovered.LastIndex+1 == 0 {
-			return // no entry can follow
+			return // the index is exhausted; no entry can follow
 		}
 		next := raft.Entry{Term: again.LastTerm, Index: again.LastIndex + 1}
 		must.NoError(t, log.Save(nil, []raft.Entry{next}))
 	})
 }
 
-// FuzzIdentity opens a folder with an arbitrary identity file, and a segment file
-// of arbitrary content.
+// FuzzIdentity opens a directory whose identity file and segment file have
+// arbitrary content.
 func FuzzIdentity(f *testing.F) {
 	fileSystem := faultfs.New(1)
 	log, _ := open(f, fileSystem)
--- a/process/wal/identity.go
+++ b/process/wal/identity.go
@@ -12,21 +12,21 @@
 	"github.com/pkg/errors"
 )
 
-// Identity binds a data folder to one member of one group. The MemberID is drawn
-// at random when the folder is first used and never changes, so a folder that
-// was lost and made anew is another member.
+// Identity binds a data directory to one member of one group. The MemberID is
+// generated at random when the directory is first used and never changes, so a
+// directory that was lost and recreated is a different member.
 type Identity struct {
 	Group  uint64
 	Member raft.MemberID
 }
 
 const (
-	identityName  = "identity"
-	identityMagic = 0x4c54_4944_0000_0001 // "LTID", version 1
+	identityFileName = "identity"
+	identityMagic    = 0x4c54_4944_0000_0001 // "LTID", version 1
 )
 
-// identityFile is the content of the identity file. Used is set once the log has
-// held something: from then on an empty log is a lost log.
+// identityFile is the content of the identity file. used is set when the first
+// record has been written: from then on an empty log is a lost log.
 type identityFile struct {
 	identity Identity
 	used     bool
@@ -59,9 +59,9 @@
 	return content, nil
 }
 
-// readIdentity returns false when the folder has no identity yet.
+// readIdentity returns false if the directory has no identity yet.
 func readIdentity(fileSystem FileSystem, dir string) (identityFile, bool, error) {
-	data, err := fileSystem.ReadFile(filepath.Join(dir, identityName))
+	data, err := fileSystem.ReadFile(filepath.Join(dir, identityFileName))
 	if errors.Is(err, fs.ErrNotExist) {
 		return identityFile{}, false, nil
 	}
@@ -73,14 +73,15 @@
 }
 
 func writeIdentity(fileSystem FileSystem, dir string, content identityFile) error {
-	return WriteFile(fileSystem, filepath.Join(dir, identityName), encodeIdentity(content))
+	return WriteFile(fileSystem, filepath.Join(dir, identityFileName), encodeIdentity(content))
 }
 
-// newMember draws a MemberID. Two draws collide with probability 2^-64.
-func newMember() raft.MemberID {
+// newMemberID generates a random MemberID. Two of them collide with a probability
+// of 2^-64.
+func newMemberID() raft.MemberID {
 	for {
 		var data [8]byte
-		rand.Read(data[:]) // never fails: crypto/rand ends the process instead
+		rand.Read(data[:]) // never returns an error: crypto/rand crashes the process instead
 		if member := raft.MemberID(binary.BigEndian.Uint64(data[:])); member != raft.None {
 			return member
 		}
--- a/process/wal/oracle_test.go
+++ b/process/wal/oracle_test.go
@@ -12,10 +12,10 @@
 	"pgregory.net/rapid"
 )
 
-// content is what a log should hold.
+// content is the expected content of a log.
 type content struct {
 	hardState raft.HardState
-	entries   []raft.Entry // from index first on
+	entries   []raft.Entry // the first has index first
 	first     uint64
 }
 
@@ -32,14 +32,14 @@
 	return c
 }
 
-// oracle runs a log through saves, compactions, crashes and failing syncs beside
-// a plain list of what it has to hold.
+// oracle drives a log through saves, compactions, crashes and failing syncs, and
+// compares it with an in-memory model of its expected content.
 type oracle struct {
 	fileSystem *faultfs.FileSystem
 	log        *wal.Log
 	identity   wal.Identity
-	saved      content  // by Saves that returned
-	attempted  *content // by the one that failed since, which may be there or not
+	saved      content  // after the last operation that succeeded
+	attempted  *content // after the operation that failed since, which may have taken effect
 	compacted  uint64
 	failed     bool
 }
@@ -66,7 +66,8 @@
 	}
 }
 
-// attempt runs an operation that leads to wanted when it succeeds.
+// attempt runs an operation after which the log holds wanted if it succeeds. Once
+// an operation has failed, all others must fail with ErrUnusable.
 func (o *oracle) attempt(t *rapid.T, wanted content, operation func() error) {
 	if o.failed {
 		must.ErrorIs(t, operation(), wal.ErrUnusable)
@@ -119,7 +120,7 @@
 	o.reopen(t)
 }
 
-// reopen opens the log, also through crashes during the opening.
+// reopen opens the log again, optionally after a crash while opening it.
 func (o *oracle) reopen(t *rapid.T) {
 	o.fileSystem.FailSyncs(0)
 	if rapid.Bool().Draw(t, "crash while opening") {
@@ -138,8 +139,8 @@
 	o.verify(t, recovered)
 }
 
-// verify finds either the saved content or that of the attempt, from the first
-// entry that compaction left on.
+// verify checks that the log recovered either the saved content or that of the
+// failed operation, starting at the first entry that was not compacted.
 func (o *oracle) verify(t *rapid.T, recovered wal.Recovered) {
 	must.Eq(t, o.identity, recovered.Identity)
 	err := o.saved.matches(recovered, o.compacted)
@@ -170,12 +171,12 @@
 		}
 		want := c.entries[got.Index-c.first]
 		if got.Index != next || got.Term != want.Term || !slices.Equal(got.Data, want.Data) {
-			return errors.Errorf("entry %d of term %d at %d", got.Index, got.Term, next)
+			return errors.Errorf("unexpected entry %d of term %d where entry %d was expected", got.Index, got.Term, next)
 		}
 		next++
 	}
 	if next != c.lastIndex()+1 && next <= c.lastIndex() {
-		return errors.Errorf("entries end before %d", next)
+		return errors.Errorf("entry %d is missing", next)
 	}
 	return nil
 }
@@ -197,7 +198,8 @@
 	})
 }
 
-// A crash at any point of the first opening leaves a folder that opens.
+// A crash at any point of the first opening must leave a directory that can still
+// be opened.
 func TestFirstOpeningSurvivesCrashes(t *testing.T) {
 	for operations := range 20 {
 		for seed := range uint64(20) {
--- a/process/wal/record.go
+++ b/process/wal/record.go
@@ -9,20 +9,20 @@
 	"github.com/pkg/errors"
 )
 
-// recordKind tells what a record's payload holds.
+// recordKind identifies the payload of a record.
 type recordKind uint8
 
 const (
-	recordStart   recordKind = iota + 1 // first record of a segment: identity and carried state
-	recordBatch                         // one Save: hard state and entries, whole or not at all
+	recordStart   recordKind = iota + 1 // first record of a segment: identity and state carried over
+	recordBatch                         // hard state and entries of a Save
 	recordInstall                       // a received snapshot is about to be written
-	recordReset                         // the received snapshot is written; the log restarts after it
+	recordReset                         // the received snapshot is durable; the log restarts after it
 	recordSeal                          // last record of a segment: the next segment exists
 )
 
 const (
 	recordHeaderSize = 9  // length, kind, checksum
-	preambleSize     = 16 // magic and salt in front of a segment's records
+	preambleSize     = 16 // magic number and salt at the start of a segment
 	segmentMagic     = 0x4c54_574c_0000_0001
 	sealSize         = recordHeaderSize + 8
 	hardStateSize    = 24
@@ -31,15 +31,15 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// record is one framed piece of a segment.
+// record is one framed unit of a segment.
 type record struct {
 	kind    recordKind
 	payload []byte
 }
 
-// recordChecksum covers the segment's random salt and the record's position, so
-// that bytes which happen to be a record of another segment or place, such as
-// entry data that is itself a log, never count as a valid record here.
+// recordChecksum includes the segment's random salt and the record's position, so
+// that a record copied from another segment or position, for example in entry data
+// that is itself a log, is not accepted as a valid record here.
 func recordChecksum(salt uint64, position int64, kind recordKind, payload []byte) uint32 {
 	var fixed [21]byte
 	binary.BigEndian.PutUint64(fixed[0:], salt)
@@ -49,7 +49,8 @@
 	return crc32.Update(crc32.Update(0, castagnoli, fixed[:]), castagnoli, payload)
 }
 
-// appendRecord appends a record that will stand at position in its segment.
+// appendRecord encodes a record for the given position in its segment and appends
+// it to the buffer.
 func appendRecord(buffer []byte, salt uint64, position int64, r record) []byte {
 	buffer = binary.BigEndian.AppendUint32(buffer, uint32(len(r.payload)))
 	buffer = append(buffer, byte(r.kind))
@@ -57,8 +58,8 @@
 	return append(buffer, r.payload...)
 }
 
-// parseRecord returns the record at position in data and false when there is no
-// whole and undamaged one.
+// parseRecord returns the record at position in data, or false if there is no
+// complete record with a valid checksum.
 func parseRecord(data []byte, salt uint64, position int64) (record, bool) {
 	rest := data[position:]
 	if len(rest) < recordHeaderSize {
@@ -79,17 +80,17 @@
 	return record{kind: kind, payload: payload}, true
 }
 
-// start is the payload of a segment's first record. It carries what a reader
-// needs when the segments before it are gone.
+// start is the payload of a segment's first record. It carries over the state that
+// recovery needs after earlier segments were removed by compaction.
 type start struct {
-	identity  Identity
-	sequence  uint64
-	last      position
-	hardState raft.HardState
-	install   position
+	identity       Identity
+	sequence       uint64
+	last           position
+	hardState      raft.HardState
+	pendingInstall position
 }
 
-// position is the place of an entry in the log.
+// position identifies an entry in the log.
 type position struct{ term, index uint64 }
 
 func encodePosition(encoder *frame.Encoder, p position) {
@@ -122,23 +123,23 @@
 	encoder.Uint64(s.sequence)
 	encodePosition(encoder, s.last)
 	encodeHardState(encoder, s.hardState)
-	encodePosition(encoder, s.install)
+	encodePosition(encoder, s.pendingInstall)
 	return encoder.Data()
 }
 
 func decodeStart(payload []byte) (start, error) {
 	decoder := frame.NewDecoder(payload)
 	s := start{
-		identity:  Identity{Group: decoder.Uint64(), Member: raft.MemberID(decoder.Uint64())},
-		sequence:  decoder.Uint64(),
-		last:      decodePosition(decoder),
-		hardState: decodeHardState(decoder),
-		install:   decodePosition(decoder),
+		identity:       Identity{Group: decoder.Uint64(), Member: raft.MemberID(decoder.Uint64())},
+		sequence:       decoder.Uint64(),
+		last:           decodePosition(decoder),
+		hardState:      decodeHardState(decoder),
+		pendingInstall: decodePosition(decoder),
 	}
 	return s, decoder.Finish()
 }
 
-// batch is the payload of one Save.
+// batch is the payload of a batch record: all or part of one Save.
 type batch struct {
 	hardState raft.HardState
 	entries   []raft.Entry
@@ -161,8 +162,8 @@
 	return encoder.Data()
 }
 
-// decodeBatch copies the entries' data, so that entries kept for long do not
-// hold on to the whole segment's memory.
+// decodeBatch copies the entries' data, so that long-lived entries do not keep the
+// memory of the whole segment alive.
 func decodeBatch(payload []byte) (batch, error) {
 	decoder := frame.NewDecoder(payload)
 	b := batch{hardState: decodeHardState(decoder)}
@@ -191,7 +192,7 @@
 	return p, decoder.Finish()
 }
 
-// encodeSeal holds the sequence number of the segment that follows.
+// encodeSeal encodes the sequence number of the next segment.
 func encodeSeal(next uint64) []byte { return binary.BigEndian.AppendUint64(nil, next) }
 
 func decodeSeal(payload []byte) (uint64, error) {
--- a/process/wal/recovery.go
+++ b/process/wal/recovery.go
@@ -8,43 +8,44 @@
 	"github.com/pkg/errors"
 )
 
-// Recovered is what a log held when it was opened.
+// Recovered is the content of a log when it was opened.
 type Recovered struct {
 	Identity  Identity
 	HardState raft.HardState
-	// Entries are consecutive; the first need not have index 1.
+	// Entries have consecutive indexes; the first index need not be 1.
 	Entries []raft.Entry
-	// LastTerm and LastIndex are the place of the last entry, or of the snapshot
-	// that the log was restarted after.
+	// LastTerm and LastIndex are the position of the last entry or, if there is
+	// none since a Reset, of the installed snapshot.
 	LastTerm  uint64
 	LastIndex uint64
-	// InstallTerm and InstallIndex name the received snapshot whose installation
-	// was begun and not ended, zero when there is none. A snapshot newer than the
-	// log is in order only if it is this one.
+	// InstallTerm and InstallIndex identify the received snapshot whose
+	// installation began but did not finish; they are zero if there is none. A
+	// snapshot newer than the log is valid only if it is this one.
 	InstallTerm  uint64
 	InstallIndex uint64
-	// TornBytes is the length of the torn tail that was cut.
+	// TornBytes is the length of the torn tail that was truncated.
 	TornBytes int64
 }
 
-// recovery rebuilds the log's state from its segments in order.
+// recovery rebuilds the log's state by replaying its segments in order.
 type recovery struct {
-	identity  Identity
-	hardState raft.HardState
-	last      position
-	install   position
-	entries   []raft.Entry
-	spans     []span
-	records   int
+	identity       Identity
+	hardState      raft.HardState
+	last           position
+	pendingInstall position
+	entries        []raft.Entry
+	segments       []segmentInfo
+	records        int
 }
 
-// span is what compaction needs to know of a segment.
-type span struct {
+// segmentInfo is what compaction needs to know about a segment.
+type segmentInfo struct {
 	sequence uint64
 	maxIndex uint64
 }
 
-// listSegments returns the sequence numbers in order and removes temporary files.
+// listSegments returns the segments' sequence numbers in order and removes
+// temporary files. It returns ErrLostLog if the sequence has a gap.
 func listSegments(fileSystem FileSystem, dir string) ([]uint64, error) {
 	names, err := fileSystem.List(dir)
 	if err != nil {
@@ -82,14 +83,14 @@
 	return contents, nil
 }
 
-// checkTails tells torn tails from damage. Only two tails may be torn: that of
-// the last segment, by a Save that never returned, and the seal of the segment
-// before it when the last segment was never used, by a crash during rotation.
+// checkTails distinguishes torn tails from corruption. Only two tails may be torn:
+// that of the last segment, by a Save that never returned, and the seal of the
+// segment before it if the last segment has no records, by a crash during rotation.
 func checkTails(contents []segmentContent) error {
 	last := len(contents) - 1
 	for i, content := range contents {
-		if content.later {
-			return errors.Wrapf(ErrCorrupt, "segment %s: bad record at %d before good ones", content.name, content.valid)
+		if content.hasLaterRecord {
+			return errors.Wrapf(ErrCorrupt, "segment %s: invalid record at offset %d before valid ones", content.name, content.valid)
 		}
 		if i == last {
 			continue
@@ -99,7 +100,7 @@
 		}
 		unsealed := i == last-1 && len(contents[last].records) == 0 && content.size-content.valid <= sealSize
 		if !unsealed {
-			return errors.Wrapf(ErrCorrupt, "segment %s: bad record at %d", content.name, content.valid)
+			return errors.Wrapf(ErrCorrupt, "segment %s: invalid record at offset %d", content.name, content.valid)
 		}
 	}
 	if contents[last].sealed() {
@@ -108,15 +109,15 @@
 	return nil
 }
 
-// replay applies the segment's records.
+// replay applies the segment's records to the recovered state.
 func (r *recovery) replay(content segmentContent) error {
 	if content.start.identity != r.identity {
 		return errors.Wrapf(ErrCorrupt, "segment %s belongs to member %x", content.name, content.start.identity.Member)
 	}
-	if len(r.spans) == 0 {
-		r.hardState, r.last, r.install = content.start.hardState, content.start.last, content.start.install
+	if len(r.segments) == 0 {
+		r.hardState, r.last, r.pendingInstall = content.start.hardState, content.start.last, content.start.pendingInstall
 	}
-	r.spans = append(r.spans, span{sequence: content.sequence})
+	r.segments = append(r.segments, segmentInfo{sequence: content.sequence})
 	for _, next := range content.records {
 		if err := r.replayRecord(next); err != nil {
 			return errors.Wrapf(ErrCorrupt, "segment %s: %v", content.name, err)
@@ -137,37 +138,37 @@
 		return r.appendEntries(decoded.entries)
 	case recordInstall:
 		p, err := decodePositionPayload(next.payload)
-		r.install = p
+		r.pendingInstall = p
 		return err
 	case recordReset:
 		p, err := decodePositionPayload(next.payload)
-		r.last, r.install, r.entries = p, position{}, nil
+		r.last, r.pendingInstall, r.entries = p, position{}, nil
 		return err
 	case recordSeal:
 		_, err := decodeSeal(next.payload)
 		return err
 	case recordStart:
-		return errors.New("start record inside a segment")
+		return errors.New("unexpected start record inside a segment")
 	}
-	return errors.Errorf("record of kind %d", next.kind)
+	return errors.Errorf("unknown record kind %d", next.kind)
 }
 
-// appendEntries adds entries; one at an index that is already there replaces it
-// and everything after it.
+// appendEntries adds entries. An entry whose index is already present replaces that
+// entry and all later ones.
 func (r *recovery) appendEntries(entries []raft.Entry) error {
 	for _, entry := range entries {
 		if entry.Index > r.last.index+1 {
-			return errors.Errorf("entry %d follows entry %d", entry.Index, r.last.index)
+			return errors.Errorf("entry %d cannot follow entry %d", entry.Index, r.last.index)
 		}
 		r.entries = append(truncateFrom(r.entries, entry.Index), entry)
 		r.last = position{term: entry.Term, index: entry.Index}
-		current := &r.spans[len(r.spans)-1]
+		current := &r.segments[len(r.segments)-1]
 		current.maxIndex = max(current.maxIndex, entry.Index)
 	}
 	return nil
 }
 
-// truncateFrom drops the entries from index on.
+// truncateFrom returns the entries before index.
 func truncateFrom(entries []raft.Entry, index uint64) []raft.Entry {
 	if len(entries) == 0 || index > entries[len(entries)-1].Index {
 		return entries
--- a/process/wal/save.go
+++ b/process/wal/save.go
@@ -8,9 +8,10 @@
 )
 
 // Save appends the entries and the hard state; a nil hard state keeps the last
-// one. An entry at an index that is already there replaces it and all after it.
-// When Save returns nil everything is durable. After an error the log is
-// unusable.
+// one. An entry whose index is already in the log replaces that entry and all
+// later ones. When Save returns nil, everything is durable. After a write error
+// the log is unusable; entries that would leave a gap are rejected and change
+// nothing.
 func (l *Log) Save(hardState *raft.HardState, entries []raft.Entry) error {
 	if l.err != nil {
 		return l.err
@@ -19,18 +20,18 @@
 	if hardState != nil {
 		next = *hardState
 	}
-	if err := l.checkOrder(entries); err != nil {
+	if err := l.checkContiguous(entries); err != nil {
 		return err
 	}
 	for {
 		count := batchLength(entries)
 		part := batch{hardState: next, entries: entries[:count]}
 		if count < len(entries) {
-			// The commit index never runs ahead of the entries in the log.
+			// The commit index must not exceed the last entry in the log.
 			part.hardState.Commit = l.hardState.Commit
 		}
 		if err := l.saveBatch(part); err != nil {
-			return l.fail(err)
+			return l.markUnusable(err)
 		}
 		entries = entries[count:]
 		if len(entries) == 0 {
@@ -39,19 +40,20 @@
 	}
 }
 
-// checkOrder refuses entries that leave a gap. Nothing is written then.
-func (l *Log) checkOrder(entries []raft.Entry) error {
+// checkContiguous returns an error if the entries would leave a gap in the log.
+func (l *Log) checkContiguous(entries []raft.Entry) error {
 	last := l.last.index
 	for _, entry := range entries {
 		if entry.Index == 0 || entry.Index > last+1 {
-			return errors.Errorf("wal: entry %d follows entry %d", entry.Index, last)
+			return errors.Errorf("wal: entry %d cannot follow entry %d", entry.Index, last)
 		}
 		last = entry.Index
 	}
 	return nil
 }
 
-// batchLength returns how many entries fit into one record, at least one.
+// batchLength returns how many of the entries fit into one record: at least one,
+// or zero if there are none.
 func batchLength(entries []raft.Entry) int {
 	size := 0
 	for i, entry := range entries {
@@ -68,7 +70,7 @@
 		return err
 	}
 	l.hardState = b.hardState
-	current := &l.spans[len(l.spans)-1]
+	current := &l.segments[len(l.segments)-1]
 	for _, entry := range b.entries {
 		l.last = position{term: entry.Term, index: entry.Index}
 		current.maxIndex = max(current.maxIndex, entry.Index)
@@ -76,7 +78,8 @@
 	return nil
 }
 
-// append writes one record, into a new segment when the current one is full.
+// append writes one record, first rotating to a new segment if the current one is
+// full.
 func (l *Log) append(r record) error {
 	if l.current.size >= l.segmentBytes {
 		if err := l.rotate(); err != nil {
@@ -89,8 +92,8 @@
 	return l.markUsed()
 }
 
-// markUsed notes in the identity that the log has held something. The record is
-// durable by now, so the note is never ahead of the log.
+// markUsed sets the used flag in the identity file after the first record. The
+// record is already durable, so the flag is never ahead of the log.
 func (l *Log) markUsed() error {
 	if l.used {
 		return nil
@@ -102,17 +105,17 @@
 	return nil
 }
 
-// rotate makes the next segment and then seals the current one. The new segment
-// is used only after the seal is durable, so a sealed last segment proves that a
-// segment was lost.
+// rotate creates the next segment and then seals the current one. Since the next
+// segment exists before the seal is written, a last segment that is sealed proves
+// that a segment was lost.
 func (l *Log) rotate() error {
 	next := l.current.sequence + 1
 	created, err := createSegment(l.fileSystem, l.dir, start{
-		identity:  l.identity,
-		sequence:  next,
-		last:      l.last,
-		hardState: l.hardState,
-		install:   l.install,
+		identity:       l.identity,
+		sequence:       next,
+		last:           l.last,
+		hardState:      l.hardState,
+		pendingInstall: l.pendingInstall,
 	})
 	if err != nil {
 		return err
@@ -126,62 +129,62 @@
 		return errors.WithStack(err)
 	}
 	l.current = created
-	l.spans = append(l.spans, span{sequence: next})
+	l.segments = append(l.segments, segmentInfo{sequence: next})
 	return nil
 }
 
-// BeginInstall notes that a received snapshot is about to be written. Without the
-// note a snapshot newer than the log would look like a log that lost its end. The
-// note stands until Reset or CancelInstall.
+// BeginInstall records that a received snapshot is about to be written. Without
+// this record, a snapshot newer than the log would look like a log that lost its
+// tail. The installation stays pending until Reset or CancelInstall.
 func (l *Log) BeginInstall(term, index uint64) error {
 	if l.err != nil {
 		return l.err
 	}
 	install := position{term: term, index: index}
 	if err := l.append(record{kind: recordInstall, payload: encodePositionPayload(install)}); err != nil {
-		return l.fail(err)
+		return l.markUnusable(err)
 	}
-	l.install = install
+	l.pendingInstall = install
 	return nil
 }
 
-// CancelInstall takes back BeginInstall after the snapshot was not written.
+// CancelInstall reverts BeginInstall when the snapshot was not written.
 func (l *Log) CancelInstall() error { return l.BeginInstall(0, 0) }
 
-// Reset drops all entries: the log restarts after the installed snapshot, which
-// must be durable by now.
+// Reset drops all entries and restarts the log after the installed snapshot, which
+// must already be durable.
 func (l *Log) Reset(term, index uint64) error {
 	if l.err != nil {
 		return l.err
 	}
 	last := position{term: term, index: index}
 	if err := l.append(record{kind: recordReset, payload: encodePositionPayload(last)}); err != nil {
-		return l.fail(err)
+		return l.markUnusable(err)
 	}
-	l.last, l.install = last, position{}
+	l.last, l.pendingInstall = last, position{}
 	return nil
 }
 
-// Compact removes the oldest segments while all their entries are at or below
-// index. The caller keeps a durable snapshot at index or later.
+// Compact removes the oldest segments whose entries are all at or below index. The
+// caller must have a durable snapshot at index or later.
 func (l *Log) Compact(index uint64) error {
 	if l.err != nil {
 		return l.err
 	}
-	for len(l.spans) > 1 && l.spans[0].maxIndex <= index {
-		name := filepath.Join(l.dir, segmentName(l.spans[0].sequence))
+	for len(l.segments) > 1 && l.segments[0].maxIndex <= index {
+		name := filepath.Join(l.dir, segmentName(l.segments[0].sequence))
 		if err := l.fileSystem.Remove(name); err != nil {
-			return l.fail(err)
+			return l.markUnusable(err)
 		}
-		// Synced one by one: a crash must not leave a gap in the sequence.
+		// Sync after each removal, so that a crash leaves no gap in the sequence.
 		if err := l.fileSystem.SyncDir(l.dir); err != nil {
-			return l.fail(err)
+			return l.markUnusable(err)
 		}
-		l.spans = l.spans[1:]
+		l.segments = l.segments[1:]
 	}
 	return nil
 }
 
-// LastIndex returns the index of the last entry, or of the snapshot that the log
-// was restarted after.
+// LastIndex returns the index of the last entry or, if there is none since Reset,
+// that of the installed snapshot.
 func (l *Log) LastIndex() uint64 { return l.last.index }
--- a/process/wal/segment.go
+++ b/process/wal/segment.go
@@ -13,7 +13,7 @@
 
 const segmentSuffix = ".wal"
 
-// segment is the segment that records are appended to.
+// segment is the open segment that records are appended to.
 type segment struct {
 	file     File
 	sequence uint64
@@ -23,7 +23,8 @@
 
 func segmentName(sequence uint64) string { return fmt.Sprintf("%016x%s", sequence, segmentSuffix) }
 
-// parseSegmentName returns false for files that are no segments.
+// parseSegmentName returns the sequence number in a segment's file name, or false
+// for any other file.
 func parseSegmentName(name string) (uint64, bool) {
 	digits, found := strings.CutSuffix(name, segmentSuffix)
 	if !found || len(digits) != 16 {
@@ -33,9 +34,9 @@
 	return sequence, err == nil
 }
 
-// createSegment writes a segment with its start record under a temporary name,
-// syncs and renames it. A file that bears a segment's name therefore always has
-// a whole start record, and a shorter one is damage.
+// createSegment writes a segment with its start record to a temporary file, syncs
+// it and renames it. A file with a segment's name therefore always has a complete
+// start record, and a shorter file is corrupt or was truncated.
 func createSegment(fileSystem FileSystem, dir string, s start) (*segment, error) {
 	salt := newSalt()
 	buffer := binary.BigEndian.AppendUint64(nil, segmentMagic)
@@ -54,7 +55,7 @@
 
 func newSalt() uint64 {
 	var data [8]byte
-	rand.Read(data[:]) // never fails: crypto/rand ends the process instead
+	rand.Read(data[:]) // never returns an error: crypto/rand crashes the process instead
 	return binary.BigEndian.Uint64(data[:])
 }
 
@@ -69,28 +70,28 @@
 	return nil
 }
 
-// segmentContent is a segment as read back.
+// segmentContent is the content of a segment read from disk.
 type segmentContent struct {
-	name     string
-	sequence uint64
-	salt     uint64
-	start    start
-	records  []record // after the start record
-	valid    int64    // bytes up to the end of the last good record
-	data     []byte
-	size     int64
-	later    bool // a good record stands after the first bad one
+	name           string
+	sequence       uint64
+	salt           uint64
+	start          start
+	records        []record // after the start record
+	valid          int64    // bytes up to the end of the last valid record
+	data           []byte
+	size           int64
+	hasLaterRecord bool // a valid record follows the first invalid one
 }
 
-// torn tells whether bytes that are no record follow the last good record.
+// torn reports whether bytes other than a valid record follow the last valid one.
 func (c segmentContent) torn() bool { return c.valid < c.size }
 
-// sealed tells whether the last record names a following segment.
+// sealed reports whether the last record is a seal, which names the next segment.
 func (c segmentContent) sealed() bool {
 	return len(c.records) > 0 && c.records[len(c.records)-1].kind == recordSeal
 }
 
-// readSegment reads the segment's good records up to the first bad one.
+// readSegment reads the segment's valid records up to the first invalid one.
 func readSegment(fileSystem FileSystem, dir, name string, sequence uint64) (segmentContent, error) {
 	data, err := fileSystem.ReadFile(filepath.Join(dir, name))
 	if err != nil {
@@ -98,21 +99,21 @@
 	}
 	content := segmentContent{name: name, sequence: sequence, data: data, size: int64(len(data))}
 	if len(data) < preambleSize {
-		return segmentContent{}, errors.Wrapf(ErrLostLog, "segment %s has %d bytes", name, len(data))
+		return segmentContent{}, errors.Wrapf(ErrLostLog, "segment %s is only %d bytes long", name, len(data))
 	}
 	if binary.BigEndian.Uint64(data) != segmentMagic {
-		return segmentContent{}, errors.Wrapf(ErrCorrupt, "segment %s: bad magic", name)
+		return segmentContent{}, errors.Wrapf(ErrCorrupt, "segment %s: invalid magic number", name)
 	}
 	content.salt = binary.BigEndian.Uint64(data[8:])
 	first, ok := parseRecord(data, content.salt, preambleSize)
 	if !ok || first.kind != recordStart {
-		return segmentContent{}, errors.Wrapf(ErrCorrupt, "segment %s: bad start record", name)
+		return segmentContent{}, errors.Wrapf(ErrCorrupt, "segment %s: invalid start record", name)
 	}
 	if content.start, err = decodeStart(first.payload); err != nil {
 		return segmentContent{}, errors.Wrapf(ErrCorrupt, "segment %s: start record: %v", name, err)
 	}
 	if content.start.sequence != sequence {
-		return segmentContent{}, errors.Wrapf(ErrCorrupt, "segment %s holds segment %d", name, content.start.sequence)
+		return segmentContent{}, errors.Wrapf(ErrCorrupt, "segment %s: start record has sequence number %d", name, content.start.sequence)
 	}
 	content.readRecords(data, preambleSize+recordHeaderSize+int64(len(first.payload)))
 	return content, nil
@@ -122,7 +123,7 @@
 	for offset < int64(len(data)) {
 		next, ok := parseRecord(data, c.salt, offset)
 		if !ok {
-			c.later = recordAfter(data, c.salt, offset+1)
+			c.hasLaterRecord = hasRecordFrom(data, c.salt, offset+1)
 			break
 		}
 		c.records = append(c.records, next)
@@ -131,10 +132,11 @@
 	c.valid = offset
 }
 
-// recordAfter tells whether a good record stands anywhere from offset on. Each
-// record is synced before the next is written, so a good record after a bad one
-// proves that the bad one was whole once: damage, not a torn write.
-func recordAfter(data []byte, salt uint64, offset int64) bool {
+// hasRecordFrom reports whether there is a valid record at or after offset. Each
+// record is synced before the next one is written, so a valid record after an
+// invalid one proves that the invalid one was once complete: it is corrupt, not a
+// torn write.
+func hasRecordFrom(data []byte, salt uint64, offset int64) bool {
 	for ; offset+recordHeaderSize <= int64(len(data)); offset++ {
 		if _, ok := parseRecord(data, salt, offset); ok {
 			return true
--- a/process/wal/wal.go
+++ b/process/wal/wal.go
@@ -1,12 +1,13 @@
-// Package wal is the durable log of one member: its hard state and its entries,
-// in segment files of checksummed records. Every Save is one record, written and
-// synced before Save returns, so after a crash the log holds each Save that
-// returned, and of the one that did not either all or nothing.
+// Package wal implements the write-ahead log of one Raft member. It stores the
+// member's hard state and entries in segment files of checksummed records. Every
+// Save appends a record and syncs it before it returns, so after a crash the log
+// holds every Save that returned and either all or nothing of an interrupted one.
+// Only a Save larger than maxBatchBytes spans several records.
 //
-// A record that fails its checksum is a torn tail only where a crash can have
-// left one; anywhere else it is damage and the log does not open. A log that
-// held something and is empty or missing does not open either, because a member
-// that forgot its vote must not vote again.
+// A record with a bad checksum is treated as a torn tail only where a crash can
+// leave one. Anywhere else it is corruption, and the log refuses to open. A log
+// that once held records and is now empty or missing also refuses to open, because
+// a member that has lost its vote must not vote again.
 package wal
 
 import (
@@ -17,28 +18,30 @@
 	"github.com/pkg/errors"
 )
 
-// Errors of opening and using a Log.
+// Errors returned when opening and using a Log.
 var (
-	// ErrCorrupt says that durable state is damaged. The member must not run.
-	ErrCorrupt = errors.New("wal: damaged")
-	// ErrLostLog says that the folder has an identity but its log is gone, wholly
-	// or in part. The member must come back under a new identity: see Discard.
-	ErrLostLog = errors.New("wal: log was lost")
-	// ErrWrongGroup says that the folder belongs to another group.
-	ErrWrongGroup = errors.New("wal: folder belongs to another group")
-	// ErrUnusable says that an earlier write or sync failed. What is on the disk
-	// is unknown until the log is opened again.
+	// ErrCorrupt means that durable state is corrupt. The member must not run.
+	ErrCorrupt = errors.New("wal: corrupt")
+	// ErrLostLog means that the directory has an identity but that all or part of
+	// its log is missing, or that it has a log without an identity. The member must
+	// rejoin under a new identity: see Discard.
+	ErrLostLog = errors.New("wal: log is missing or incomplete")
+	// ErrWrongGroup means that the directory belongs to another group.
+	ErrWrongGroup = errors.New("wal: directory belongs to another group")
+	// ErrUnusable means that an earlier write or sync failed or that the log is
+	// closed. After a failure the content on disk is unknown until the log is
+	// reopened.
 	ErrUnusable = errors.New("wal: unusable after a failure")
 )
 
-// DefaultSegmentBytes is the size at which a segment is followed by a new one.
+// DefaultSegmentBytes is the size at which the log rotates to a new segment.
 const DefaultSegmentBytes = 8 << 20
 
-// maxBatchBytes is where a Save is split into several records. It bounds the
-// search for good records after a bad one.
+// maxBatchBytes is the size above which a Save is split into several records. It
+// bounds the search for valid records after an invalid one.
 const maxBatchBytes = 4 << 20
 
-// Options says where a Log is kept.
+// Options configures where a Log is stored.
 type Options struct {
 	FileSystem   FileSystem // OS{} when nil
 	Dir          string
@@ -46,24 +49,24 @@
 	SegmentBytes int64 // DefaultSegmentBytes when 0
 }
 
-// Log is an open log. It is for one goroutine at a time.
+// Log is an open log. It is not safe for concurrent use.
 type Log struct {
-	fileSystem   FileSystem
-	dir          string
-	segmentBytes int64
-	lock         io.Closer
-	identity     Identity
-	used         bool
-	current      *segment
-	spans        []span
-	hardState    raft.HardState
-	last         position
-	install      position
-	err          error
+	fileSystem     FileSystem
+	dir            string
+	segmentBytes   int64
+	lock           io.Closer
+	identity       Identity
+	used           bool
+	current        *segment
+	segments       []segmentInfo
+	hardState      raft.HardState
+	last           position
+	pendingInstall position
+	err            error
 }
 
-// Open opens the log in the folder, or makes a new one with a new identity in an
-// empty folder.
+// Open opens the log in the directory. In an empty directory it creates a new log
+// with a new identity.
 func Open(options Options) (*Log, Recovered, error) {
 	log := newLog(options)
 	if err := log.fileSystem.MakeDir(log.dir); err != nil {
@@ -119,13 +122,13 @@
 	return l.recover(sequences)
 }
 
-// create makes the first segment and then the identity, so that an identity
+// create writes the first segment and then the identity, so that an identity
 // without a segment always means a lost log.
 func (l *Log) create(group uint64, sequences []uint64) (Recovered, error) {
-	if err := l.checkUnused(sequences); err != nil {
+	if err := l.checkNoRecords(sequences); err != nil {
 		return Recovered{}, err
 	}
-	l.identity = Identity{Group: group, Member: newMember()}
+	l.identity = Identity{Group: group, Member: newMemberID()}
 	current, err := createSegment(l.fileSystem, l.dir, start{identity: l.identity, sequence: 1})
 	if err != nil {
 		return Recovered{}, err
@@ -135,13 +138,14 @@
 		return Recovered{}, err
 	}
 	l.current = current
-	l.spans = []span{{sequence: 1}}
+	l.segments = []segmentInfo{{sequence: 1}}
 	return Recovered{Identity: l.identity}, nil
 }
 
-// checkUnused allows a folder without identity only what a crash during create
-// leaves: the first segment without records.
-func (l *Log) checkUnused(sequences []uint64) error {
+// checkNoRecords returns ErrLostLog unless a directory without an identity holds
+// at most what a crash during create leaves behind: the first segment, without
+// records after its start record.
+func (l *Log) checkNoRecords(sequences []uint64) error {
 	if len(sequences) == 0 {
 		return nil
 	}
@@ -150,7 +154,7 @@
 		return err
 	}
 	if len(contents) > 1 || sequences[0] != 1 || len(contents[0].records) > 0 {
-		return errors.Wrap(ErrLostLog, "segments without an identity")
+		return errors.Wrap(ErrLostLog, "segments exist but the identity file is missing")
 	}
 	return nil
 }
@@ -172,7 +176,7 @@
 	if l.used && sequences[0] == 1 && state.records == 0 {
 		return Recovered{}, errors.Wrap(ErrLostLog, "log is empty")
 	}
-	l.hardState, l.last, l.install, l.spans = state.hardState, state.last, state.install, state.spans
+	l.hardState, l.last, l.pendingInstall, l.segments = state.hardState, state.last, state.pendingInstall, state.segments
 	torn, err := l.repairTails(contents)
 	if err != nil {
 		return Recovered{}, err
@@ -183,17 +187,17 @@
 		Entries:      state.entries,
 		LastTerm:     state.last.term,
 		LastIndex:    state.last.index,
-		InstallTerm:  state.install.term,
-		InstallIndex: state.install.index,
+		InstallTerm:  state.pendingInstall.term,
+		InstallIndex: state.pendingInstall.index,
 		TornBytes:    torn,
 	}, nil
 }
 
-// repairTails rewrites the segments whose end a crash can have left in doubt: the
-// last one, without its torn tail, and the one before it when the last was never
-// used, with its seal. They are written anew and not only synced, because after a
-// failed sync the operating system may hold pages as clean that never reached
-// the disk.
+// repairTails rewrites the segments whose tail may be incomplete after a crash:
+// the last segment without its torn tail and, if the last segment has no records
+// yet, the one before it with its seal. Syncing them would not be enough: after a
+// failed sync the operating system may mark pages as clean that never reached the
+// disk. It returns the length of the torn tail.
 func (l *Log) repairTails(contents []segmentContent) (int64, error) {
 	last := contents[len(contents)-1]
 	if len(contents) > 1 && len(last.records) == 0 {
@@ -213,7 +217,7 @@
 	return last.size - last.valid, nil
 }
 
-// rewriteSealed writes the segment with its seal, which may be missing or torn.
+// rewriteSealed rewrites the segment and adds its seal if that is missing or torn.
 func (l *Log) rewriteSealed(content segmentContent) error {
 	data := content.data[:content.valid:content.valid]
 	if !content.sealed() {
@@ -223,11 +227,11 @@
 	return WriteFile(l.fileSystem, filepath.Join(l.dir, content.name), data)
 }
 
-// Identity returns the folder's identity.
+// Identity returns the identity of the directory.
 func (l *Log) Identity() Identity { return l.identity }
 
-// Close releases the folder. Nothing is written: every Save that returned is
-// durable already.
+// Close releases the directory. It writes nothing: every Save that returned is
+// already durable.
 func (l *Log) Close() error {
 	if l.current == nil {
 		return nil
@@ -237,21 +241,22 @@
 	if lockErr := l.lock.Close(); err == nil {
 		err = lockErr
 	}
-	l.fail(errors.New("closed"))
+	l.markUnusable(errors.New("closed"))
 	return errors.WithStack(err)
 }
 
-// fail makes the log refuse all further use.
-func (l *Log) fail(err error) error {
+// markUnusable makes all later operations fail with ErrUnusable. It returns err
+// unchanged.
+func (l *Log) markUnusable(err error) error {
 	if l.err == nil {
 		l.err = errors.Wrap(ErrUnusable, err.Error())
 	}
 	return err
 }
 
-// Discard removes the identity and the log from the folder, so that the next
-// Open makes a new member. It is for a folder whose log was lost or damaged; the
-// group must have the lost member replaced by the new one.
+// Discard removes the identity and the log from the directory, so that the next
+// Open creates a new member. Use it for a directory whose log was lost or is
+// corrupt; the group must replace the lost member with the new one.
 func Discard(fileSystem FileSystem, dir string) error {
 	lock, err := fileSystem.Lock(dir)
 	if err != nil {
@@ -264,7 +269,7 @@
 	}
 	for _, name := range names {
 		_, isSegment := parseSegmentName(name)
-		if !isSegment && name != identityName {
+		if !isSegment && name != identityFileName {
 			continue
 		}
 		if err := fileSystem.Remove(filepath.Join(dir, name)); err != nil {
--- a/process/wal/wal_test.go
+++ b/process/wal/wal_test.go
@@ -47,7 +47,7 @@
 	return raft.Entry{Term: term, Index: index, Data: data}
 }
 
-// fill saves entries 1 to last, one by one, of 100 bytes each.
+// fill saves entries 1 to last of 100 bytes each, one per Save.
 func fill(t must.T, log *wal.Log, last uint64) {
 	t.Helper()
 	for index := uint64(1); index <= last; index++ {
@@ -83,14 +83,14 @@
 	must.Eq(t, 12, recovered.LastIndex)
 }
 
-func TestLogRefusesGaps(t *testing.T) {
+func TestSaveRejectsIndexGaps(t *testing.T) {
 	log, _ := open(t, faultfs.New(1))
 	fill(t, log, 2)
 	must.Error(t, log.Save(nil, []raft.Entry{entry(1, 4, 10)}))
 	must.NoError(t, log.Save(nil, []raft.Entry{entry(1, 3, 10)}))
 }
 
-func TestTornTailIsCut(t *testing.T) {
+func TestTornTailIsTruncated(t *testing.T) {
 	for name, tail := range map[string][]byte{
 		"half a header":         {0, 0, 1},
 		"header without data":   {0, 0, 1, 0, 2, 9, 9, 9, 9, 1, 2, 3},
@@ -114,9 +114,10 @@
 	}
 }
 
-// An entry may hold bytes that are a valid record of some log. In the torn Save
-// that carried it, they must not pass for a record that was saved later.
-func TestRecordInsideATornEntryIsNoLaterRecord(t *testing.T) {
+// An entry's data may contain the bytes of a valid record. If the Save that carries
+// the entry is torn, those bytes must not be taken for a record written after it,
+// which would make the torn tail look like corruption.
+func TestRecordBytesInsideATornEntryAreNotALaterRecord(t *testing.T) {
 	fileSystem := faultfs.New(1)
 	log, _ := open(t, fileSystem)
 	fill(t, log, 3)
@@ -156,7 +157,7 @@
 	must.ErrorIs(t, err, wal.ErrCorrupt)
 }
 
-func TestLostLogIsFound(t *testing.T) {
+func TestLostLogIsDetected(t *testing.T) {
 	for name, lose := range map[string]func(fileSystem *faultfs.FileSystem, segments int){
 		"all segments": func(f *faultfs.FileSystem, segments int) {
 			for sequence := range segments {
@@ -187,7 +188,7 @@
 	}
 }
 
-// A segment that stands in the folder of another member is no part of its log.
+// A segment from another member's directory must be rejected.
 func TestSegmentOfAnotherMemberIsAnError(t *testing.T) {
 	own, other := faultfs.New(1), faultfs.New(2)
 	for _, fileSystem := range []*faultfs.FileSystem{own, other} {
@@ -219,8 +220,8 @@
 	open(t, fileSystem)
 }
 
-// A Save of many bytes is several records. After a crash between two of them the
-// commit index must not name an entry that is not there.
+// A large Save is split into several records. After a crash between two of them,
+// the commit index must not exceed the last entry.
 func TestSplitSaveKeepsTheCommitIndexBehindTheEntries(t *testing.T) {
 	partial := 0
 	for operations := range 6 {
@@ -239,8 +240,9 @@
 	must.Positive(t, partial)
 }
 
-// The note of an installation outlives the segment that it was written into.
-func TestBegunInstallationSurvivesCompaction(t *testing.T) {
+// A pending installation must survive the removal of the segment that it was
+// recorded in.
+func TestPendingInstallSurvivesCompaction(t *testing.T) {
 	fileSystem := faultfs.New(1)
 	log, _ := open(t, fileSystem)
 	must.NoError(t, log.BeginInstall(1, 500))
@@ -252,7 +254,7 @@
 	must.Eq(t, 500, recovered.InstallIndex)
 }
 
-func TestLogCutBackToItsStartIsLost(t *testing.T) {
+func TestLogTruncatedToItsStartRecordIsLost(t *testing.T) {
 	fileSystem := faultfs.New(1)
 	log, _ := open(t, fileSystem)
 	empty, err := fileSystem.ReadFile(segmentPath(1))
@@ -274,9 +276,10 @@
 	must.ErrorIs(t, log.Compact(1), wal.ErrUnusable)
 }
 
-// After a failed sync the operating system holds the pages as clean: they can be
-// read but are on no disk. What a restart reads and acts on must be made durable.
-func TestWhatIsReadAfterAFailedSyncIsDurable(t *testing.T) {
+// After a failed sync the operating system may mark the pages as clean: they can be
+// read but were never written to disk. Whatever a restart recovers from them must
+// be made durable.
+func TestEntriesReadAfterAFailedSyncAreDurable(t *testing.T) {
 	fileSystem := faultfs.New(1)
 	log, _ := open(t, fileSystem)
 	fill(t, log, 3)
@@ -317,7 +320,7 @@
 	must.NoError(t, log.Save(nil, []raft.Entry{entry(1, 101, 10)}))
 }
 
-func TestFolderIsForOneProcessAndOneGroup(t *testing.T) {
+func TestDirectoryIsExclusiveToOneProcessAndGroup(t *testing.T) {
 	fileSystem := faultfs.New(1)
 	log, _ := open(t, fileSystem)
 	_, _, err := tryOpen(fileSystem)
@@ -327,7 +330,7 @@
 	must.ErrorIs(t, err, wal.ErrWrongGroup)
 }
 
-func TestOperatingSystemsFileSystem(t *testing.T) {
+func TestOSFileSystem(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "a", "b")
 	options := wal.Options{Dir: dir, Group: testGroup, SegmentBytes: 1024}
 	log, first, err := wal.Open(options)
