--- a/process/metering/counter.go
+++ b/process/metering/counter.go
@@ -1,8 +1,8 @@
-// Package metering counts, in one proxy, the requests of each tenant that replicas began,
-// by windows of the group's time of day.
+// Package metering counts, in one proxy, the requests of each tenant that replicas
+// started, per time window. Windows follow the wall-clock time of the control group.
 //
-// Guarantees: a counter only rises, so that it may be told again, late and in any order; a
-// request is counted once, whatever is tried for it; what is kept is bounded.
+// Guarantees: counters only increase, so reports can be repeated, delayed and reordered; a
+// request is counted once regardless of retries; memory use is bounded.
 package metering
 
 import (
@@ -16,25 +16,25 @@
 	"github.com/landingtrail/landingtrail/connection/feed"
 )
 
-// keptWindows is how many windows are kept to be told again to another leader: a report
-// falls due within two of them on most platforms, and a group that is stopped as a whole
-// is back within a few.
+// retainedWindows is how many windows are kept so that they can be reported again to a new
+// leader. A report is due within two windows on most platforms, and a group that is stopped
+// as a whole is back within a few.
 const retainedWindows = 8
 
-// Counter counts for one process. It is safe for concurrent use.
+// Counter counts the requests of one process. It is safe for concurrent use.
 type Counter struct {
 	instanceID   string
 	windowLength time.Duration
-	now          func() time.Time // the group's time of day
+	now          func() time.Time // the control group's wall-clock time
 
 	lock             sync.Mutex
 	counts           map[int64]map[string]uint64
-	unreported       map[int64]map[string]struct{} // since they were last told
-	lastReportWindow int64                         // the window in which was last told
+	unreported       map[int64]map[string]struct{} // counters that increased since they were last reported
+	lastReportWindow int64                         // the window during which the last report was made
 }
 
-// NewCounter returns a counter for the process of a name, of windows of a length, by a
-// time of day.
+// NewCounter returns a Counter for the named process that counts in windows of the given
+// length; now returns the control group's wall-clock time.
 func NewCounter(process string, length time.Duration, now func() time.Time) *Counter {
 	return &Counter{
 		instanceID: process + "#" + strconv.FormatUint(rand.Uint64(), 36), windowLength: length, now: now,
@@ -42,7 +42,7 @@
 	}
 }
 
-// Begin counts a request of the tenant that a replica began so long ago.
+// Begin counts a request of the tenant that a replica started the given time ago.
 func (c *Counter) Begin(tenant string, ago time.Duration) {
 	if tenant == "" || c.windowLength <= 0 {
 		return
@@ -62,7 +62,7 @@
 	return at.UnixMilli() / length.Milliseconds()
 }
 
-// mark notes that a counter is to be told; the lock is held.
+// markUnreported adds a counter to the next report. The caller must hold the lock.
 func (c *Counter) markUnreported(window int64, tenant string) {
 	if c.unreported[window] == nil {
 		c.unreported[window] = map[string]struct{}{}
@@ -70,7 +70,7 @@
 	c.unreported[window][tenant] = struct{}{}
 }
 
-// forget drops the windows up to one; the lock is held.
+// dropThrough removes all windows up to and including last. The caller must hold the lock.
 func (c *Counter) dropThrough(last int64) {
 	for window := range c.counts {
 		if window <= last {
@@ -80,12 +80,12 @@
 	}
 }
 
-// Next returns what is to be told now: the counters that have risen since they were told;
-// false where that is nothing and no window has ended since.
+// Next returns the next report: the counters that increased since they were last reported.
+// due is false if there are none and no window has ended since the last report.
 func (c *Counter) Next() (report feed.UsageReport, due bool) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	// Read under the lock: what is counted later is of later.
+	// Read the time under the lock, so that anything counted later has a later time.
 	now := c.now()
 	window := windowOf(now, max(c.windowLength, time.Millisecond))
 	report = feed.UsageReport{Life: c.instanceID, Through: now.UnixMilli()}
@@ -100,8 +100,8 @@
 	return report, due
 }
 
-// Again marks all counters as not told: the word was lost, or another leader has begun. A
-// nil Counter has none.
+// Again marks all counters as unreported, because a report was lost or there is a new
+// leader. It does nothing on a nil Counter.
 func (c *Counter) Again() {
 	if c == nil {
 		return
--- a/process/metering/day.go
+++ b/process/metering/day.go
@@ -6,34 +6,37 @@
 	"time"
 )
 
-// Windows of usage go by true time, and a machine's own time of day may jump by seconds. So
-// all go by the group's: its leader takes the median of what the machines that it hears of
-// say, which no minority of clocks moves, and tells it in answer to beats.
+// Usage windows need accurate wall-clock time, but the clock of a single machine may jump by
+// seconds. All processes therefore use the group's time: the leader takes the median of the
+// times that machines report, which no minority of clocks can move, and sends it in replies
+// to beats.
 
-// Day is the group's time of day as one process knows it. It is safe for concurrent use.
+// Day is one process's estimate of the group's wall-clock time. It is safe for concurrent
+// use.
 type Day struct {
-	monotonic func() time.Duration // monotonic
-	wall      func() time.Time     // until anything else is known
+	monotonic func() time.Duration
+	wall      func() time.Time // used until the first call of Learn
 
 	lock           sync.Mutex
 	synchronized   bool
-	offset         time.Duration // from the monotonic clock to the time of day since 1970
-	maxError       time.Duration // at most, when it was learnt
+	offset         time.Duration // from the monotonic clock to the time since the Unix epoch
+	maxError       time.Duration // bound on the error of offset at synchronizedAt
 	synchronizedAt time.Duration
 }
 
-// driftShare is the inverse of the share by which clocks may run apart: an old reading of a
-// small error gives way to a newer one in time.
+// driftDivisor is the inverse of the assumed clock drift rate. The error bound grows at this
+// rate, so that a newer reading eventually replaces an old one with a smaller initial error.
 const driftDivisor = 2000
 
-// NewDay returns a Day that goes by the machine's own time until it has learnt better.
+// NewDay returns a Day that uses the machine's own time until the first call of Learn.
 func NewDay(clock func() time.Duration, wall func() time.Time) *Day {
 	return &Day{monotonic: clock, wall: wall}
 }
 
-// Learn takes in the group's time of day, in milliseconds, that came in answer to a
-// question which was sent and answered then by the monotonic clock. It may have been read
-// at any moment between the two.
+// Learn updates the estimate from a reply that carries the group's time in milliseconds
+// since the Unix epoch. sent and answered are the monotonic times of the request and of its
+// reply; the group's time was read at some moment between them. A reading with a larger
+// possible error than the current estimate is ignored.
 func (d *Day) Learn(sent, answered time.Duration, day int64) {
 	roundTrip := answered - sent
 	if roundTrip < 0 {
@@ -49,7 +52,7 @@
 	d.synchronized, d.maxError, d.synchronizedAt = true, roundTrip/2, answered
 }
 
-// Now returns the group's time of day.
+// Now returns the group's estimated wall-clock time.
 func (d *Day) Now() time.Time {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -59,8 +62,8 @@
 	return time.UnixMilli(0).Add(d.monotonic() + d.offset)
 }
 
-// Agreement is the leader's part: the time of day of which most machines are near. It is
-// safe for concurrent use.
+// Agreement computes the group's wall-clock time at the leader, as the median of the
+// machines' clocks. It is safe for concurrent use.
 type Agreement struct {
 	monotonic func() time.Duration
 	wall      func() time.Time
@@ -68,29 +71,30 @@
 	lock         sync.Mutex
 	readings     map[string]reading
 	median       time.Duration // offset from the monotonic clock
-	nextMedianAt time.Duration // when it is worked out anew
+	nextMedianAt time.Duration // when the median is next recomputed
 }
 
-// reading is one machine's time of day, as an offset from this one's monotonic clock.
+// reading is one machine's wall-clock time, as an offset from the local monotonic clock.
 type reading struct {
 	offset time.Duration
 	at     time.Duration
 }
 
-// Times of an Agreement.
+// Durations used by Agreement.
 const (
-	// readingMemory is how long a machine's word counts.
+	// readingTTL is how long a machine's reading stays valid.
 	readingTTL = 5 * time.Second
-	// medianPause is between two medians.
+	// medianInterval is the interval between computations of the median.
 	medianInterval = 500 * time.Millisecond
 )
 
-// NewAgreement returns an Agreement of which this machine's own time of day is a part.
+// NewAgreement returns an Agreement that includes the local machine's clock.
 func NewAgreement(clock func() time.Duration, wall func() time.Time) *Agreement {
 	return &Agreement{monotonic: clock, wall: wall, readings: map[string]reading{}}
 }
 
-// Note takes in the time of day, in milliseconds, that a machine has just told.
+// Note records the time, in milliseconds since the Unix epoch, that a machine has just
+// reported.
 func (a *Agreement) Note(machine string, day int64) {
 	if day <= 0 {
 		return
@@ -101,7 +105,7 @@
 	a.readings[machine] = reading{offset: time.Duration(day)*time.Millisecond - now, at: now}
 }
 
-// Now returns the agreed time of day.
+// Now returns the agreed wall-clock time.
 func (a *Agreement) Now() time.Time {
 	now := a.monotonic()
 	a.lock.Lock()
@@ -113,15 +117,16 @@
 	return time.UnixMilli(0).Add(now + a.median)
 }
 
-// medianAt is the median of the offsets that count now; the lock is held.
+// medianAt returns the median of the offsets that are valid at now, and removes expired
+// readings. The caller must hold the lock.
 func (a *Agreement) medianAt(now time.Duration) time.Duration {
 	offsets := []time.Duration{a.wall().Sub(time.UnixMilli(0)) - now}
-	for machine, known := range a.readings {
-		if now-known.at > readingTTL {
+	for machine, reading := range a.readings {
+		if now-reading.at > readingTTL {
 			delete(a.readings, machine)
 			continue
 		}
-		offsets = append(offsets, known.offset)
+		offsets = append(offsets, reading.offset)
 	}
 	slices.Sort(offsets)
 	return offsets[len(offsets)/2]
--- a/process/metering/metering_test.go
+++ b/process/metering/metering_test.go
@@ -11,7 +11,7 @@
 
 const window = 5 * time.Second
 
-// start is the beginning of window 358409336.
+// start is the start of window 358409336.
 var start = time.UnixMilli(358409336 * window.Milliseconds())
 
 func TestRequestsAreCountedByWindow(t *testing.T) {
@@ -20,7 +20,7 @@
 	c.Begin("north", 0)
 	c.Begin("", 0)
 	now = now.Add(window + 10*time.Millisecond)
-	c.Begin("north", 20*time.Millisecond) // began before the window's end
+	c.Begin("north", 20*time.Millisecond) // started before the first window ended
 	c.Begin("south", 0)
 	report, due := c.Next()
 	must.True(t, due)
@@ -30,10 +30,10 @@
 	must.Eq(t, 2, report.Counts[0].Count)
 	must.Eq(t, 358409337, report.Counts[1].Window)
 	_, due = c.Next()
-	must.False(t, due, must.Sprint("nothing is new"))
+	must.False(t, due, must.Sprint("nothing has changed since the last report"))
 	now = now.Add(window)
 	report, due = c.Next()
-	must.True(t, due, must.Sprint("a window has ended: it is told that all of it is told"))
+	must.True(t, due, must.Sprint("a window has ended: an empty report must confirm that it is complete"))
 	must.SliceEmpty(t, report.Counts)
 	c.Again()
 	report, _ = c.Next()
@@ -52,18 +52,18 @@
 	must.LessEq(t, retainedWindows, len(c.unreported))
 }
 
-// The time of day of a minority of machines moves nobody's, whatever they say; what a
-// process learns is off by half of a round trip at most.
+// Clocks of a minority of machines must not move the group's time, whatever they report.
+// The estimate of a process must be off by at most half a round trip.
 func TestJumpingMinorityDoesNotMoveGroupTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		monotonic, day := time.Duration(0), start
 		advance := func(by time.Duration) { monotonic += by; day = day.Add(by) }
 		ownJump := time.Duration(0)
-		agreed := NewAgreement(func() time.Duration { return monotonic }, func() time.Time { return day.Add(ownJump) })
+		agreement := NewAgreement(func() time.Duration { return monotonic }, func() time.Time { return day.Add(ownJump) })
 		machines := 2 * rapid.IntRange(2, 10).Draw(t, "half of the machines")
 		jumping := rapid.IntRange(0, machines/2-1).Draw(t, "those that jump")
 		proxyClock := 77 * time.Second
-		known := NewDay(func() time.Duration { return monotonic + proxyClock }, func() time.Time { return day.Add(time.Hour) })
+		estimate := NewDay(func() time.Duration { return monotonic + proxyClock }, func() time.Time { return day.Add(time.Hour) })
 		for range 20 {
 			ownJump = time.Duration(rapid.IntRange(-5000, 5000).Draw(t, "own jump")) * time.Millisecond
 			for machine := range machines {
@@ -71,17 +71,17 @@
 				if machine < jumping {
 					jump = time.Duration(rapid.IntRange(-5000, 5000).Draw(t, "jump")) * time.Millisecond
 				}
-				agreed.Note(fmt.Sprint(machine), day.Add(jump).UnixMilli())
+				agreement.Note(fmt.Sprint(machine), day.Add(jump).UnixMilli())
 			}
 			advance(medianInterval)
-			must.Between(t, -2*time.Millisecond, agreed.Now().Sub(day), 2*time.Millisecond)
-			there, back := 3*time.Millisecond, time.Duration(rapid.IntRange(3, 40).Draw(t, "way back"))*time.Millisecond
+			must.Between(t, -2*time.Millisecond, agreement.Now().Sub(day), 2*time.Millisecond)
+			toLeader, fromLeader := 3*time.Millisecond, time.Duration(rapid.IntRange(3, 40).Draw(t, "way back"))*time.Millisecond
 			sent := monotonic + proxyClock
-			advance(there)
-			told := agreed.Now().UnixMilli()
-			advance(back)
-			known.Learn(sent, monotonic+proxyClock, told)
-			must.Between(t, -25*time.Millisecond, known.Now().Sub(day), 25*time.Millisecond)
+			advance(toLeader)
+			groupMillis := agreement.Now().UnixMilli()
+			advance(fromLeader)
+			estimate.Learn(sent, monotonic+proxyClock, groupMillis)
+			must.Between(t, -25*time.Millisecond, estimate.Now().Sub(day), 25*time.Millisecond)
 		}
 	})
 }
--- a/process/relay/config.go
+++ b/process/relay/config.go
@@ -7,33 +7,35 @@
 	"github.com/pkg/errors"
 )
 
-// ErrConfig says that a configuration is of no use.
+// ErrConfig means that a required setting is missing from a Config.
 var ErrConfig = errors.New("relay: invalid configuration")
 
-// Config holds what a relay runs with. Zero durations and bounds take the
+// Config configures a relay. Zero durations and limits are replaced by the
 // defaults.
 type Config struct {
-	// Name identifies the relay among all daemons that follow the feed.
+	// Name identifies the relay among all daemons that subscribe to the feed.
 	Name string
 	Zone string
-	// FeedAddress is where daemons follow it, AdminAddress where health and
-	// metrics are served. Both are an IP and a port.
+	// FeedAddress serves the feed to daemons, AdminAddress serves health and
+	// metrics. Both are an IP address and a port.
 	FeedAddress  string
 	AdminAddress string
-	// Control are the feed addresses of the control members.
+	// Control lists the feed addresses of the control group's members.
 	Control []string
-	// Lease is the longest view lease that is passed on; half of the group's
-	// view lease or less, so that a daemon that hangs holds up only itself.
+	// Lease is the maximum view lease granted to daemons. It must be at most half
+	// of the control group's view lease, so that a hanging daemon delays no other
+	// daemon.
 	Lease time.Duration
-	// Beat is the time between two confirmations of the relay's own lease.
+	// Beat is the interval between renewals of the relay's own lease.
 	Beat time.Duration
-	// Demand is the time between two reports of the daemons' summed demand.
+	// Demand is the interval between reports of the daemons' aggregated demand.
 	Demand time.Duration
-	// ClaimTimeout bounds the wait for the group's answer to a claim.
+	// ClaimTimeout bounds the wait for the control group's reply to a claim or an
+	// outcome.
 	ClaimTimeout time.Duration
-	// StopTimeout bounds a planned stop: answering claims that are under way.
+	// StopTimeout bounds the draining of daemons with pending claims on shutdown.
 	StopTimeout time.Duration
-	// MaxDaemons bounds the daemons that follow the relay.
+	// MaxDaemons is the maximum number of subscribed daemons.
 	MaxDaemons int
 }
 
@@ -47,10 +49,10 @@
 	DefaultMaxDaemons   = 1024
 )
 
-// floorShare is the part of the lease after which a daemon that has not
-// acknowledged a version gets no lease any more. Its last lease ends one lease
-// later, so the group waits for a hanging daemon a lease and a half at most,
-// less than the relay's own lease lasts.
+// floorIntervalDivisor divides the lease to give the time after which a daemon that
+// has not acknowledged a version is granted no further lease. Its last lease ends
+// one lease later, so the control group waits at most a lease and a half for a
+// hanging daemon, less than the relay's own lease lasts.
 const floorIntervalDivisor = 4
 
 func (c Config) withDefaults() Config {
--- a/process/relay/demand.go
+++ b/process/relay/demand.go
@@ -7,17 +7,17 @@
 	"github.com/landingtrail/landingtrail/connection/feed"
 )
 
-// maxDemandWindow bounds how long demand is kept that could not be reported:
-// older demand would only mislead the planner.
+// maxDemandWindow bounds how long unreported demand is kept. Older demand would
+// mislead the planner.
 const maxDemandWindow = 10 * time.Second
 
-// queueMemory is how long a daemon's last word on its queues counts.
+// queueReportTTL is how long a daemon's last queue report stays valid.
 const queueReportTTL = 3 * time.Second
 
 type demandKey struct{ intent, class string }
 
-// demandSum adds up what the daemons behind the relay were offered, so that
-// the group gets one report in place of many.
+// demandAggregator sums the demand that daemons report to the relay, so that the
+// control group gets one report instead of one per daemon.
 type demandAggregator struct {
 	lock   sync.Mutex
 	since  time.Duration
@@ -25,7 +25,7 @@
 	queues map[string]queueReport // by daemon
 }
 
-// queueReport is what waited at a daemon when it last reported.
+// queueReport is a daemon's last demand report, used for its queue lengths.
 type queueReport struct {
 	at      time.Duration
 	demands []feed.Demand
@@ -35,7 +35,7 @@
 	return &demandAggregator{since: now, counts: map[demandKey]*feed.Demand{}, queues: map[string]queueReport{}}
 }
 
-// add takes a daemon's report in that arrived now.
+// add adds a report that arrived from a daemon at time now.
 func (s *demandAggregator) add(daemon string, report feed.DemandReport, now time.Duration) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -55,7 +55,8 @@
 	sum.Late += offered.Late
 }
 
-// sumOf returns the sum that the offered demand belongs to.
+// aggregateFor returns the sum for the intent and class of the offered demand, and
+// creates it if necessary.
 func aggregateFor(counts map[demandKey]*feed.Demand, offered *feed.Demand) *feed.Demand {
 	key := demandKey{intent: offered.Intent, class: offered.Class}
 	sum := counts[key]
@@ -66,8 +67,8 @@
 	return sum
 }
 
-// report returns the sums since the last report that was sent. Queues are
-// gauges: each daemon's latest counts, for as long as it is fresh.
+// report returns the sums since the last report that was sent. Queue lengths are
+// gauges: each daemon contributes its latest values until they expire.
 func (s *demandAggregator) report(now time.Duration) feed.DemandReport {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -94,8 +95,8 @@
 	return report
 }
 
-// sent starts a new window at the time of the report, if it was sent or is too
-// old to be sent again.
+// finishReport subtracts the report and starts a new window at now if the report was
+// accepted or its window is too long to be kept for another attempt.
 func (s *demandAggregator) finishReport(report feed.DemandReport, accepted bool, now time.Duration) {
 	if !accepted && report.Window < maxDemandWindow {
 		return
@@ -108,7 +109,8 @@
 	s.since = now
 }
 
-// subtract takes out what was reported; what came meanwhile stays.
+// subtract removes the reported demand; demand that arrived since the report was
+// made is kept.
 func (s *demandAggregator) subtract(reported *feed.Demand) {
 	key := demandKey{intent: reported.Intent, class: reported.Class}
 	sum := s.counts[key]
--- a/process/relay/group.go
+++ b/process/relay/group.go
@@ -13,7 +13,8 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
-// upstream is the control group as the relay uses it; *feed.Client is one.
+// upstream is the relay's connection to the control group. *feed.Client implements
+// it.
 type upstream interface {
 	Claim(ctx context.Context, request state.ClaimRequest) (api.ClaimResult, error)
 	RecordOutcome(ctx context.Context, outcome state.RunOutcome) error
@@ -24,8 +25,8 @@
 	ReturnCharge(request feed.ChargeRequest) bool
 }
 
-// group is what stands for the control group toward the daemons behind the
-// relay. It serves them while the relay's own view lease holds.
+// group represents the control group to the daemons that subscribe to the relay. It
+// serves them while the relay's own view lease is valid.
 type group struct {
 	relay        *view.Relay
 	upstream     upstream
@@ -37,48 +38,51 @@
 
 var _ feed.Group = (*group)(nil)
 
-// Leadership tells daemons to go on to another address when the relay has no
-// lease to pass on or stops.
+// Leadership reports that the relay does not lead when it has no valid lease or is
+// stopping, so that daemons try another address.
 func (g *group) Leadership() feed.Leadership {
 	return feed.Leadership{Leads: g.canServe(), Term: g.relay.Term()}
 }
 
 func (g *group) canServe() bool { return !g.stopping.Load() && g.relay.Limit(g.clock()) > 0 }
 
-// Lease returns the term of the leader that granted the relay's lease.
+// Lease returns the term of the leader that granted the relay's lease, and whether
+// the relay can serve daemons.
 func (g *group) Lease(context.Context) (uint64, bool) { return g.relay.Term(), g.canServe() }
 
-// Version returns the version held.
+// Version returns the version of the relay's current view.
 func (g *group) Version() view.Version { return g.relay.History().View.Version }
 
-// View returns the view held.
+// View returns the relay's current view.
 func (g *group) View() *view.View { return g.relay.History().View }
 
-// DeltaSince returns what leads from a version to the one held.
+// DeltaSince returns the delta from the given version to the relay's current one, or
+// false if there is none.
 func (g *group) DeltaSince(from view.Version) (view.Delta, bool) {
 	return g.relay.History().DeltaSince(from)
 }
 
-// Claim passes the claim on; its nonce makes a repeat harmless.
+// Claim forwards the claim; its nonce makes it safe to retry.
 func (g *group) Claim(ctx context.Context, request state.ClaimRequest) (api.ClaimResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, g.claimTimeout)
 	defer cancel()
 	return g.upstream.Claim(ctx, request)
 }
 
-// RecordOutcome passes the outcome on.
+// RecordOutcome forwards the outcome to the control group.
 func (g *group) RecordOutcome(ctx context.Context, outcome state.RunOutcome) error {
 	ctx, cancel := context.WithTimeout(ctx, g.claimTimeout)
 	defer cancel()
 	return g.upstream.RecordOutcome(ctx, outcome)
 }
 
-// ReportDemand adds the report to the relay's own next one.
+// ReportDemand adds the daemon's report to the relay's next aggregated one.
 func (g *group) ReportDemand(daemon string, report feed.DemandReport) {
 	g.demand.add(daemon, report, g.clock())
 }
 
-// Place leaves the decision to the daemon: a relay passes no questions on.
+// Place returns false, so that the daemon decides itself: a relay does not forward
+// placement requests.
 func (g *group) Place(string, feed.PlaceRequest) (placement.Answer, bool) {
 	return placement.Answer{}, false
 }
@@ -92,16 +96,17 @@
 // NoteInFlight implements feed.Group.
 func (g *group) NoteInFlight(string, feed.InFlight) {}
 
-// NoteEnds passes the word on.
+// NoteEnds forwards the report to the control group.
 func (g *group) NoteEnds(report feed.EndReport) { g.upstream.ReportEnds(report) }
 
-// Unrecorded tells nothing: a relay follows leaders alone, and has the record.
+// Unrecorded returns an empty report: a relay subscribes only to leaders and so has
+// the record.
 func (g *group) Unrecorded() (feed.EndReport, uint64) { return feed.EndReport{}, 0 }
 
-// NoteUsage passes the word on.
+// NoteUsage forwards the report to the control group.
 func (g *group) NoteUsage(report feed.UsageReport) { g.upstream.ReportUsage(report) }
 
-// Charge passes the charge on: a relay keeps no quotas.
+// Charge forwards the charge: a relay keeps no quotas itself.
 func (g *group) Charge(request feed.ChargeRequest) (quota.Grant, bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), chargeTimeout)
 	defer cancel()
@@ -109,14 +114,14 @@
 	return grant, err == nil
 }
 
-// chargeTimeout is little less than a daemon waits for the answer to a charge.
+// chargeTimeout is slightly less than a daemon waits for the reply to a charge.
 const chargeTimeout = 25 * time.Millisecond
 
-// ReturnCharge passes the word on.
+// ReturnCharge forwards the returned charge to the control group.
 func (g *group) ReturnCharge(request feed.ChargeRequest) { g.upstream.ReturnCharge(request) }
 
-// Day says that a relay knows no time of day of its own.
+// Day returns 0: a relay does not provide the group's wall-clock time.
 func (g *group) Day() int64 { return 0 }
 
-// ReportPresence passes the word on; one that is lost comes again with a beat.
+// ReportPresence forwards the presence. A lost one is repeated with a later beat.
 func (g *group) ReportPresence(presence feed.Presence) { g.upstream.ReportPresence(presence) }
--- a/process/relay/group_test.go
+++ b/process/relay/group_test.go
@@ -23,7 +23,7 @@
 	groupLease = 2 * time.Second
 	relayLease = 800 * time.Millisecond
 	testBeat   = 100 * time.Millisecond
-	// patience bounds every wait; it measures nothing.
+	// waitTimeout bounds every wait; no test depends on its length.
 	waitTimeout = 20 * time.Second
 )
 
@@ -32,13 +32,13 @@
 	deadline := time.Now().Add(waitTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("not within %v: %s", waitTimeout, what)
+			t.Fatalf("condition not met within %v: %s", waitTimeout, what)
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// leaderGroup is a control group of one state machine that always leads.
+// leaderGroup is a control group with a single state machine that always leads.
 type leaderGroup struct {
 	lock          sync.Mutex
 	machine       *state.Machine
@@ -126,7 +126,7 @@
 	return sum
 }
 
-// tree is a leader, a relay and daemons behind it.
+// testTopology consists of a leader, a relay and daemons that subscribe to the relay.
 type testTopology struct {
 	t       *testing.T
 	group   *leaderGroup
@@ -169,7 +169,7 @@
 	go func() { f.stopped <- Run(ctx, f.config, log.NewNopLogger()) }()
 }
 
-// end stops the relay as planned, once.
+// stopRelay shuts the relay down gracefully. Further calls do nothing.
 func (f *testTopology) stopRelay() {
 	if f.stop != nil {
 		f.stop()
@@ -185,7 +185,7 @@
 	return listener.Addr().String()
 }
 
-// put changes the state and returns the version after it.
+// createTenant creates a tenant and returns the version of the view that has it.
 func (f *testTopology) createTenant() view.Version {
 	f.group.lock.Lock()
 	name := fmt.Sprint("tenant-", f.group.index)
@@ -199,7 +199,7 @@
 	return f.group.Version()
 }
 
-// follow starts a daemon; a stuck one takes deltas only while it is not held.
+// follow starts a daemon that subscribes to the addresses, by default to the relay.
 func (f *testTopology) follow(name string, views feed.Views, addresses ...string) *feed.Client {
 	if len(addresses) == 0 {
 		addresses = []string{f.config.FeedAddress}
@@ -221,7 +221,7 @@
 	return leads && result.Done
 }
 
-// slowViews holds deltas up while it is locked.
+// blockableViews blocks Apply while lock is held.
 type blockableViews struct {
 	*view.Holder
 	lock sync.Mutex
--- a/process/relay/metrics.go
+++ b/process/relay/metrics.go
@@ -8,7 +8,8 @@
 
 const metricsNamespace = "landingtrail_relay"
 
-// metrics registers the relay's gauges, which are read when they are asked for.
+// metrics returns a registry of the relay's gauges, whose values are read on each
+// scrape.
 func (r *Relay) metrics() *prometheus.Registry {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(
@@ -31,7 +32,7 @@
 	return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: metricsNamespace, Name: name, Help: help}, read)
 }
 
-// readiness tells whether daemons should follow the relay.
+// readiness reports whether daemons should subscribe to the relay.
 func (r *Relay) readiness() admin.Readiness {
 	switch {
 	case r.group.stopping.Load():
--- a/process/relay/relay.go
+++ b/process/relay/relay.go
@@ -1,11 +1,11 @@
-// Package relay runs the daemon that passes the control group's feed on, so
-// that the leader serves one relay in place of the daemons behind it.
+// Package relay implements a daemon that forwards the control group's feed, so that
+// the leader serves one relay instead of every daemon behind it.
 //
-// Toward the group it is one daemon that follows the feed; toward the daemons it
-// serves the feed as a leader does. Its guarantee is view.Relay's: what the
-// group calls in force is in force at each daemon behind it, and no daemon uses
-// its view for longer than the relay's own lease. Claims are passed on one by
-// one, demand is summed. A relay keeps nothing on disk.
+// To the control group a relay is one more daemon that subscribes to the feed; to
+// daemons it serves the feed as a leader does. It gives the guarantee of view.Relay:
+// a version that the group considers in force is in force at every daemon behind the
+// relay, and no daemon uses its view beyond the relay's own lease. Claims are
+// forwarded individually, demand is aggregated. A relay stores nothing on disk.
 package relay
 
 import (
@@ -25,13 +25,14 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
-// followed is the relay's view as the feed's client keeps it.
+// relayedViews is the relay's view. The feed client updates it, and every update
+// wakes the feed server.
 type relayedViews struct {
 	*view.Relay
 	server atomic.Pointer[feed.Server]
 }
 
-// Apply moves the view forward and wakes the daemons' subscriptions.
+// Apply applies the delta to the view and wakes the daemons' subscriptions.
 func (f *relayedViews) Apply(delta view.Delta) error {
 	err := f.Relay.Apply(delta)
 	if server := f.server.Load(); err == nil && server != nil {
@@ -49,7 +50,7 @@
 	group        *group
 	client       *feed.Client
 	server       *feed.Server
-	beatReceived chan struct{} // a daemon's beat arrived
+	beatReceived chan struct{} // signals that a daemon's beat arrived
 	admin        *admin.Server
 	background   sync.WaitGroup
 }
@@ -72,7 +73,8 @@
 	return nil
 }
 
-// open takes the ports and starts to follow the group.
+// open listens on the configured addresses, subscribes to the control group and
+// starts serving daemons.
 func open(config Config, logger log.Logger) (*Relay, error) {
 	config = config.withDefaults()
 	if err := config.validate(); err != nil {
@@ -87,7 +89,7 @@
 	}
 	listener, err := net.Listen("tcp", config.FeedAddress)
 	if err != nil {
-		return nil, errors.Wrap(err, "relay: listen for daemons")
+		return nil, errors.Wrap(err, "relay: listen on the feed address")
 	}
 	if err := r.follow(); err != nil {
 		_ = listener.Close()
@@ -102,7 +104,7 @@
 	return r, nil
 }
 
-// follow starts the subscription to the group.
+// follow subscribes to the control group's feed.
 func (r *Relay) follow() error {
 	client, err := feed.Dial(feed.ClientConfig{
 		Daemon:       r.config.Name,
@@ -114,7 +116,7 @@
 		Logger:       r.logger,
 	}, r.views)
 	if err != nil {
-		return errors.Wrap(err, "relay: follow the control group")
+		return errors.Wrap(err, "relay: subscribe to the control group")
 	}
 	r.client = client
 	r.group = &group{
@@ -127,7 +129,7 @@
 	return nil
 }
 
-// serve starts to serve the daemons.
+// serve starts serving the feed to daemons.
 func (r *Relay) serve(listener net.Listener) {
 	r.server = feed.NewServer(feed.ServerConfig{
 		Group:          r.group,
@@ -143,7 +145,7 @@
 	r.views.server.Store(r.server)
 }
 
-// noteBeat makes acknowledge look again; calls coalesce.
+// notifyBeat makes acknowledge check again without blocking; calls coalesce.
 func (r *Relay) notifyBeat() {
 	select {
 	case r.beatReceived <- struct{}{}:
@@ -151,12 +153,12 @@
 	}
 }
 
-// acknowledge tells the group at once when a version has come into force behind
-// the relay, rather than with the next beat.
+// acknowledge notifies the control group as soon as a version is in force at all
+// daemons behind the relay, instead of with the next beat.
 func (r *Relay) acknowledge(ctx context.Context) {
 	ticker := time.NewTicker(r.config.Lease / floorIntervalDivisor)
 	defer ticker.Stop()
-	var told view.Version
+	var acknowledged view.Version
 	for {
 		select {
 		case <-ctx.Done():
@@ -164,14 +166,14 @@
 		case <-r.beatReceived:
 		case <-ticker.C:
 		}
-		if reached := r.views.Acknowledge(r.clock()); reached != told {
-			told = reached
+		if reached := r.views.Acknowledge(r.clock()); reached != acknowledged {
+			acknowledged = reached
 			r.client.Acknowledge()
 		}
 	}
 }
 
-// reportDemand sends the daemons' summed demand in each interval.
+// reportDemand sends the daemons' aggregated demand once per interval.
 func (r *Relay) reportDemand(ctx context.Context) {
 	ticker := time.NewTicker(r.config.Demand)
 	defer ticker.Stop()
@@ -187,11 +189,12 @@
 	}
 }
 
-// drainPoll is how often a stopping relay looks whether its daemons have left.
+// drainPollInterval is how often a stopping relay checks whether its daemons have
+// disconnected.
 const drainPollInterval = 10 * time.Millisecond
 
-// drain is the planned stop: each daemon is sent on once its claims that are
-// under way have their answers.
+// drain redirects each daemon to another address once its pending claims are
+// answered, and waits until all have disconnected or StopTimeout has passed.
 func (r *Relay) drain() {
 	event.RelayDraining.Log(r.logger, "daemons", r.server.Subscribers())
 	r.group.stopping.Store(true)
--- a/process/relay/relay_test.go
+++ b/process/relay/relay_test.go
@@ -23,8 +23,8 @@
 	quick, slow := view.NewHolder(), &blockableViews{Holder: view.NewHolder()}
 	f.follow("quick", quick)
 	f.follow("slow", slow)
-	eventually(t, "both hold a lease", func() bool { return quick.Valid(testClock()) && slow.Valid(testClock()) })
-	must.Eq(t, 1, f.leader.Subscribers(), must.Sprint("the leader serves the relay alone"))
+	eventually(t, "both daemons hold a lease", func() bool { return quick.Valid(testClock()) && slow.Valid(testClock()) })
+	must.Eq(t, 1, f.leader.Subscribers(), must.Sprint("the leader must have the relay as its only subscriber"))
 	first := f.createTenant()
 	eventually(t, "the change is in force", func() bool { return f.inForce(first) })
 	must.Eq(t, first, quick.Load().Version)
@@ -32,15 +32,15 @@
 
 	slow.lock.Lock()
 	second := f.createTenant()
-	eventually(t, "the quick one has it", func() bool { return quick.Load().Version == second })
-	eventually(t, "the change is in force without the slow one", func() bool {
+	eventually(t, "the quick daemon has the change", func() bool { return quick.Load().Version == second })
+	eventually(t, "the change is in force without the slow daemon", func() bool {
 		done := f.inForce(second)
 		must.False(t, done && slow.Valid(testClock()), must.Sprint("the slow daemon still uses its view"))
 		return done
 	})
-	must.True(t, quick.Valid(testClock()), must.Sprint("a slow daemon holds up itself alone"))
+	must.True(t, quick.Valid(testClock()), must.Sprint("a slow daemon must not delay another"))
 	slow.lock.Unlock()
-	eventually(t, "the slow one comes back", func() bool { return slow.Load().Version == second && slow.Valid(testClock()) })
+	eventually(t, "the slow daemon catches up", func() bool { return slow.Load().Version == second && slow.Valid(testClock()) })
 }
 
 func TestClaimsAndDemandPassThroughTheRelay(t *testing.T) {
@@ -61,7 +61,7 @@
 	for range 3 {
 		must.True(t, client.ReportDemand(feed.DemandReport{Window: time.Second, Demands: []feed.Demand{{Intent: "i", Class: "c", Requests: 5}}}))
 	}
-	eventually(t, "the demand has come up once", func() bool { return f.group.requestedTotal() >= 15 })
+	eventually(t, "the demand has reached the leader", func() bool { return f.group.requestedTotal() >= 15 })
 	must.Eq(t, 15.0, f.group.requestedTotal())
 }
 
@@ -88,12 +88,12 @@
 	f.follow("proxy", holder, f.config.FeedAddress, f.address)
 	eventually(t, "a lease", func() bool { return holder.Valid(testClock()) })
 	f.stopRelay()
-	eventually(t, "the leader serves the daemon itself", func() bool { return f.leader.Subscribers() == 1 })
+	eventually(t, "the daemon subscribes to the leader", func() bool { return f.leader.Subscribers() == 1 })
 	version := f.createTenant()
-	eventually(t, "a change reaches it", func() bool { return holder.Load().Version == version && holder.Valid(testClock()) })
+	eventually(t, "a change reaches the daemon", func() bool { return holder.Load().Version == version && holder.Valid(testClock()) })
 }
 
-// ready asks the relay's admin server.
+// ready queries the readiness endpoint of the relay's admin server.
 func (f *testTopology) ready() bool {
 	response, err := http.Get("http://" + f.config.AdminAddress + admin.PathReady)
 	if err != nil {
@@ -107,24 +107,24 @@
 }
 
 func TestConfig(t *testing.T) {
-	whole := Config{Name: "r", FeedAddress: "127.0.0.1:0", AdminAddress: "127.0.0.1:0", Control: []string{"127.0.0.1:1"}}
+	valid := Config{Name: "r", FeedAddress: "127.0.0.1:0", AdminAddress: "127.0.0.1:0", Control: []string{"127.0.0.1:1"}}
 	cases := map[string]func(*Config){
 		"name":    func(c *Config) { c.Name = "" },
 		"feed":    func(c *Config) { c.FeedAddress = "" },
 		"admin":   func(c *Config) { c.AdminAddress = "" },
 		"control": func(c *Config) { c.Control = nil },
 	}
-	for name, spoil := range cases {
+	for name, invalidate := range cases {
 		t.Run(name, func(t *testing.T) {
-			config := whole
-			spoil(&config)
+			config := valid
+			invalidate(&config)
 			must.ErrorIs(t, Run(context.Background(), config, log.NewNopLogger()), ErrConfig)
 		})
 	}
-	taken := whole
-	taken.AdminAddress = freeAddress(t)
-	taken.FeedAddress = taken.AdminAddress
-	must.ErrorIs(t, Run(context.Background(), taken, log.NewNopLogger()), admin.ErrListen)
+	conflicting := valid
+	conflicting.AdminAddress = freeAddress(t)
+	conflicting.FeedAddress = conflicting.AdminAddress
+	must.ErrorIs(t, Run(context.Background(), conflicting, log.NewNopLogger()), admin.ErrListen)
 }
 
 func TestDemandIsSummedAndQueuesAreGauges(t *testing.T) {
@@ -138,12 +138,12 @@
 	first := sum.report(2 * time.Second)
 	must.Eq(t, []feed.Demand{{Intent: "i", Class: "c", Requests: 12, QueuedRequests: 5}}, first.Demands)
 	sum.finishReport(first, false, 2*time.Second)
-	must.Eq(t, 12, sum.report(3 * time.Second).Demands[0].Requests, must.Sprint("what was not sent stays"))
+	must.Eq(t, 12, sum.report(3 * time.Second).Demands[0].Requests, must.Sprint("a report that was not sent must be kept"))
 	sum.add("b", report(6, 3), 3*time.Second)
 	sum.finishReport(first, true, 3*time.Second)
 	next := sum.report(3 * time.Second)
-	must.Eq(t, 6, next.Demands[0].Requests, must.Sprint("what came meanwhile stays"))
+	must.Eq(t, 6, next.Demands[0].Requests, must.Sprint("demand that arrived since the report must be kept"))
 	must.Eq(t, 5, next.Demands[0].QueuedRequests)
 	sum.finishReport(next, true, 3*time.Second)
-	must.SliceEmpty(t, sum.report(10*time.Second).Demands, must.Sprint("queues are forgotten"))
+	must.SliceEmpty(t, sum.report(10*time.Second).Demands, must.Sprint("queue reports must expire"))
 }
--- a/process/replica/loop.go
+++ b/process/replica/loop.go
@@ -231,15 +231,15 @@
 			q.complete(Result{}, l.notLeaderError())
 		}
 	}
-	pending := l.confirmedReads[:0]
+	remaining := l.confirmedReads[:0]
 	for _, read := range l.confirmedReads {
 		if read.index > l.applied {
-			pending = append(pending, read)
+			remaining = append(remaining, read)
 			continue
 		}
 		read.request.complete(Result{Index: read.index}, nil)
 	}
-	l.confirmedReads = pending
+	l.confirmedReads = remaining
 }
 
 // answerLeaseReads runs after all disk work of the step and reads the clock
