--- a/process/replica/bench_test.go
+++ b/process/replica/bench_test.go
@@ -16,7 +16,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// process is a member as a daemon would run it: with a disk, over TCP.
+// testProcess is a member that runs as in a daemon: on a disk and over TCP.
 type testProcess struct {
 	id        raft.MemberID
 	dir       string
@@ -25,11 +25,11 @@
 	machine   *history
 	replica   *Replica
 	running   atomic.Pointer[Replica]
-	joins     bool // is added to a group that exists
+	joins     bool // joins an existing group
 	sentBytes atomic.Int64
 }
 
-// Send counts what it sends, as it is encoded.
+// Send sends the messages and counts their encoded size.
 func (p *testProcess) Send(messages []raft.Message) {
 	for _, message := range messages {
 		p.sentBytes.Add(int64(encodedBytes(message)))
@@ -45,7 +45,7 @@
 	return size
 }
 
-// processGroup is a group of members on one machine with real disks and sockets.
+// processGroup is a group of members on one machine that use real disks and sockets.
 type processGroup struct {
 	t         testing.TB
 	processes []*testProcess
@@ -66,7 +66,8 @@
 	return g
 }
 
-// newProcess makes a member with an empty folder that listens and is not started.
+// newProcess creates a member with an empty directory. Its transport listens, but the
+// member is not started.
 func (g *processGroup) newProcess() *testProcess {
 	p := &testProcess{dir: g.t.TempDir()}
 	disk, err := OpenDisk(DiskOptions{Dir: p.dir, Group: testGroup})
@@ -78,7 +79,7 @@
 	return p
 }
 
-// addLearner starts a further member and waits until the group has it.
+// addLearner starts another member and waits until the group has added it as a learner.
 func (g *processGroup) addLearner() {
 	p := g.newProcess()
 	p.joins = true
@@ -95,7 +96,7 @@
 	}
 }
 
-// listen opens the member's transport on the address that it had before, if any.
+// listen opens the member's transport, on its previous address if it had one.
 func (g *processGroup) listen(p *testProcess) {
 	address := p.address
 	if address == "" {
@@ -144,7 +145,7 @@
 	p.running.Store(p.replica)
 }
 
-// kill ends the member without a handover and closes its sockets.
+// kill stops the member without a handover and closes its transport.
 func (g *processGroup) kill(p *testProcess) {
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -181,15 +182,15 @@
 	return nil
 }
 
-// counter is a state machine that keeps only how many commands it applied.
+// counter is a state machine that only counts the commands it applied.
 type counter struct{ count uint64 }
 
 func (c *counter) Apply(raft.Entry) any      { c.count++; return c.count }
 func (c *counter) Snapshot() ([]byte, error) { return make([]byte, 64<<10), nil }
 func (c *counter) Restore([]byte) error      { return nil }
 
-// BenchmarkCommit measures commits of 256 bytes in a group of three with synced
-// disks over loopback.
+// BenchmarkCommit measures commits of 256 bytes in a group of three members with
+// synced disks, connected over loopback.
 func BenchmarkCommit(b *testing.B) {
 	for _, proposers := range []int{1, 16, 64} {
 		b.Run(fmt.Sprintf("proposers=%d", proposers), func(b *testing.B) {
@@ -208,8 +209,8 @@
 	}
 }
 
-// proposeAll makes count proposals by so many proposers and returns their
-// latencies in microseconds.
+// proposeAll makes count proposals from the given number of concurrent proposers and
+// returns their latencies in microseconds.
 func proposeAll(b *testing.B, r *Replica, proposers, count int) *hdrhistogram.Histogram {
 	var mutex sync.Mutex
 	var group sync.WaitGroup
@@ -235,8 +236,8 @@
 	return latencies
 }
 
-// BenchmarkRecovery measures opening a disk with a log of that many entries of
-// 256 bytes and no snapshot.
+// BenchmarkRecovery measures opening a disk with a log of 256-byte entries and no
+// snapshot.
 func BenchmarkRecovery(b *testing.B) {
 	for _, count := range []uint64{1_000, 10_000, 100_000} {
 		b.Run(fmt.Sprintf("entries=%d", count), func(b *testing.B) {
@@ -268,8 +269,8 @@
 	must.NoError(b, disk.Close())
 }
 
-// BenchmarkFailover measures from the kill of the leader to the first commit of
-// the next one.
+// BenchmarkFailover measures the time from the kill of the leader to the first commit
+// of its successor.
 func BenchmarkFailover(b *testing.B) {
 	for _, timeout := range []time.Duration{500 * time.Millisecond, time.Second} {
 		b.Run(fmt.Sprintf("election=%v", timeout), func(b *testing.B) {
--- a/process/replica/capacity_bench_test.go
+++ b/process/replica/capacity_bench_test.go
@@ -13,25 +13,25 @@
 	"github.com/shoenig/test/must"
 )
 
-// usage is what a group's work has cost so far.
+// usage is the resources that a group has used so far.
 type usage struct {
-	processor time.Duration // of the whole process: all members and proposers
-	disk      int64         // bytes in the leader's log
-	network   int64         // bytes that the leader has sent
+	cpuTime time.Duration // CPU time of the whole process: all members and proposers
+	disk    int64         // bytes in the leader's log
+	network int64         // bytes that the leader has sent
 }
 
 func (g *processGroup) usage(leader *testProcess) usage {
 	var resources syscall.Rusage
 	must.NoError(g.t, syscall.Getrusage(syscall.RUSAGE_SELF, &resources))
 	return usage{
-		processor: time.Duration(resources.Utime.Nano() + resources.Stime.Nano()),
-		disk:      logBytes(g.t, leader.dir),
-		network:   leader.sentBytes.Load(),
+		cpuTime: time.Duration(resources.Utime.Nano() + resources.Stime.Nano()),
+		disk:    logBytes(g.t, leader.dir),
+		network: leader.sentBytes.Load(),
 	}
 }
 
-// logBytes returns the size of the log. It doesn't shrink during a benchmark that
-// makes no snapshot.
+// logBytes returns the total size of the log's segments. The log doesn't shrink during
+// a benchmark without snapshots.
 func logBytes(t testing.TB, dir string) int64 {
 	total := int64(0)
 	must.NoError(t, filepath.WalkDir(dir, func(path string, entry fs.DirEntry, err error) error {
@@ -48,25 +48,26 @@
 }
 
 func (u usage) since(before usage) usage {
-	return usage{u.processor - before.processor, u.disk - before.disk, u.network - before.network}
+	return usage{u.cpuTime - before.cpuTime, u.disk - before.disk, u.network - before.network}
 }
 
-// report gives the costs of one commit.
+// report reports the average cost per commit as benchmark metrics.
 func (u usage) report(b *testing.B) {
-	b.ReportMetric(float64(u.processor.Microseconds())/float64(b.N), "cpu-µs/commit")
+	b.ReportMetric(float64(u.cpuTime.Microseconds())/float64(b.N), "cpu-µs/commit")
 	b.ReportMetric(float64(u.disk)/float64(b.N), "disk-B/commit")
 	b.ReportMetric(float64(u.network)/float64(b.N), "net-B/commit")
 }
 
-// noSnapshots keeps the log whole, so that its growth can be measured.
+// noSnapshots disables snapshots, so that the log is not compacted and its growth can
+// be measured.
 func noSnapshots(c *Config) {
 	c.StateMachine = &counter{}
 	c.SnapshotEntries = 1 << 40
 	c.SnapshotBytes = 1 << 40
 }
 
-// BenchmarkLearners measures commits of 256 bytes by 64 proposers in a group of
-// three with learners; the slope is what one learner costs.
+// BenchmarkLearners measures commits of 256 bytes by 64 proposers in a group of three
+// voters and several learners; the slope is the cost of one learner.
 func BenchmarkLearners(b *testing.B) {
 	for _, learners := range []int{0, 2, 4} {
 		b.Run(fmt.Sprintf("learners=%d", learners), func(b *testing.B) {
@@ -86,8 +87,8 @@
 	}
 }
 
-// BenchmarkRecoveryFromSnapshot measures opening a disk with a snapshot of that
-// many MiB and 10,000 entries of 256 bytes after it.
+// BenchmarkRecoveryFromSnapshot measures opening a disk with a snapshot of the given
+// size and 10,000 entries of 256 bytes after it.
 func BenchmarkRecoveryFromSnapshot(b *testing.B) {
 	const tail = 10_000
 	for _, mebibytes := range []int{1, 16, 64} {
--- a/process/replica/disk.go
+++ b/process/replica/disk.go
@@ -7,7 +7,7 @@
 	"github.com/pkg/errors"
 )
 
-// DiskOptions says where a Disk keeps its files.
+// DiskOptions configures where a Disk stores its files.
 type DiskOptions struct {
 	FileSystem   wal.FileSystem // wal.OS{} when nil
 	Dir          string
@@ -15,7 +15,7 @@
 	SegmentBytes int64 // wal.DefaultSegmentBytes when 0
 }
 
-// Disk is the Storage of a member with a data folder: a log and snapshots.
+// Disk is a Storage that keeps a log and snapshots in a data directory.
 type Disk struct {
 	log       *wal.Log
 	snapshots *snap.Store
@@ -23,24 +23,25 @@
 	initial   raft.InitialState
 	empty     bool
 	loaded    bool
-	// pending holds a hard state whose loss is harmless until the next Save.
+	// unsavedHardState is a hard state that is written with the next synced update,
+	// because losing it in a crash is harmless.
 	unsavedHardState *raft.HardState
 }
 
-// Recovery tells what opening a Disk found.
+// Recovery describes what was recovered when a Disk was opened.
 type Recovery struct {
 	Identity         wal.Identity
 	Entries          int   // entries after the snapshot
-	TornBytes        int64 // of a Save that a crash cut short
-	DamagedSnapshots int   // newer ones that were passed over
+	TornBytes        int64 // of a Save interrupted by a crash
+	DamagedSnapshots int   // newer snapshots that were skipped as corrupt
 }
 
 var _ Storage = (*Disk)(nil)
 
-// OpenDisk opens the folder, or makes it with a new identity. It returns
-// wal.ErrLostLog when the folder lost state that it held once, wal.ErrCorrupt and
-// snap.ErrDamaged when state is damaged: the member must not run then, and can
-// come back as a new one after DiscardDisk.
+// OpenDisk opens the directory, or creates it with a new identity. It returns
+// wal.ErrLostLog if the directory has lost state, and wal.ErrCorrupt or
+// snap.ErrDamaged if its state is corrupt. After these errors the member must not
+// run; it can rejoin as a new member after DiscardDisk.
 func OpenDisk(options DiskOptions) (*Disk, error) {
 	if options.FileSystem == nil {
 		options.FileSystem = wal.OS{}
@@ -62,8 +63,8 @@
 	return disk, nil
 }
 
-// DiscardDisk removes the state and the identity from the folder. The next
-// OpenDisk makes a new member, which has to join the group as a learner.
+// DiscardDisk removes the state and the identity from the directory. The next
+// OpenDisk creates a new member, which must join the group as a learner.
 func DiscardDisk(fileSystem wal.FileSystem, dir string) error {
 	if err := wal.Discard(fileSystem, dir); err != nil {
 		return err
@@ -104,7 +105,7 @@
 	return nil
 }
 
-// reachesBack tells whether the log holds every entry after index.
+// holdsEntriesAfter reports whether the log holds every entry after index.
 func holdsEntriesAfter(recovered wal.Recovered, index uint64) bool {
 	if len(recovered.Entries) == 0 {
 		return recovered.LastIndex <= index
@@ -112,8 +113,8 @@
 	return recovered.Entries[0].Index <= index+1
 }
 
-// settleInstall ends an installation that a crash cut short: the log restarts
-// after the snapshot if that was written, and stays as it is if not.
+// resolvePendingInstall completes an installation that a crash interrupted: the log
+// restarts after the snapshot if that was written, and is left unchanged otherwise.
 func (d *Disk) resolvePendingInstall(recovered *wal.Recovered, snapshot raft.Snapshot) error {
 	if recovered.InstallIndex == 0 {
 		return nil
@@ -126,7 +127,7 @@
 	return d.log.Reset(snapshot.Term, snapshot.Index)
 }
 
-// checkComplete finds logs that lost their end or their beginning.
+// checkCompleteness returns wal.ErrLostLog if the log has lost its head or tail.
 func checkCompleteness(recovered wal.Recovered, snapshot raft.Snapshot) error {
 	switch {
 	case snapshot.Index > recovered.LastIndex:
@@ -134,7 +135,7 @@
 	case recovered.HardState.Commit > recovered.LastIndex:
 		return errors.Wrapf(wal.ErrLostLog, "log ends at %d, before commit index %d", recovered.LastIndex, recovered.HardState.Commit)
 	case !holdsEntriesAfter(recovered, snapshot.Index):
-		return errors.Wrapf(wal.ErrLostLog, "log does not reach back to snapshot %d", snapshot.Index)
+		return errors.Wrapf(wal.ErrLostLog, "log does not hold every entry after snapshot %d", snapshot.Index)
 	}
 	return nil
 }
@@ -146,20 +147,20 @@
 	return entries
 }
 
-// Identity returns the identity of the folder.
+// Identity returns the identity of the directory.
 func (d *Disk) Identity() wal.Identity { return d.recovery.Identity }
 
-// Recovery tells what opening found.
+// Recovery returns what was recovered when the Disk was opened.
 func (d *Disk) Recovery() Recovery { return d.recovery }
 
-// Empty tells whether the folder held nothing of a group when it was opened.
+// Empty reports whether the directory held no group state when it was opened.
 func (d *Disk) Empty() bool { return d.empty }
 
-// Load implements Storage. It may be called once: the recovered entries are not
-// kept.
+// Load implements Storage. It can be called only once, because the recovered entries
+// are not kept.
 func (d *Disk) Load() (raft.InitialState, error) {
 	if d.loaded {
-		return raft.InitialState{}, errors.New("replica: disk was loaded already")
+		return raft.InitialState{}, errors.New("replica: disk has already been loaded")
 	}
 	d.loaded = true
 	initial := d.initial
@@ -167,7 +168,8 @@
 	return initial, nil
 }
 
-// Bootstrap implements Storage by a snapshot at index zero.
+// Bootstrap implements Storage. It stores the configuration as a snapshot at index
+// zero.
 func (d *Disk) Bootstrap(configuration raft.Configuration) error {
 	return d.snapshots.Save(raft.Snapshot{Configuration: configuration})
 }
@@ -190,9 +192,9 @@
 	return d.log.Save(hardState, update.Entries)
 }
 
-// install replaces the log by a received snapshot. The term goes first, because
-// a snapshot is never of a later term than its member. The note before the
-// snapshot tells a crash in between from a lost log.
+// install replaces the log with a received snapshot. It saves the term first, because
+// a snapshot must not have a later term than the member that stores it. The install
+// record before the snapshot lets recovery tell a crash in between from a lost log.
 func (d *Disk) install(snapshot raft.Snapshot) error {
 	if d.unsavedHardState != nil {
 		hardState := *d.unsavedHardState
@@ -222,8 +224,8 @@
 	return d.log.Compact(oldest)
 }
 
-// Close implements Storage. A hard state whose loss is harmless is saved first,
-// so that a planned restart knows how far the log is committed.
+// Close implements Storage. It first saves a hard state that is not yet written, so
+// that the commit index is known after a planned restart.
 func (d *Disk) Close() error {
 	err := error(nil)
 	if d.unsavedHardState != nil {
--- a/process/replica/disk_test.go
+++ b/process/replica/disk_test.go
@@ -32,7 +32,7 @@
 	return disk, initial
 }
 
-// save stores entries one by one, up to and including last.
+// save stores the entries from first to last, one per Save.
 func save(t *testing.T, disk *Disk, first, last uint64) {
 	t.Helper()
 	for index := first; index <= last; index++ {
@@ -53,7 +53,7 @@
 	}
 }
 
-// snapshotAndCompact stores a local snapshot as the replica does.
+// snapshotAndCompact saves a local snapshot and compacts the log, as a replica does.
 func snapshotAndCompact(t *testing.T, disk *Disk, index uint64) {
 	t.Helper()
 	must.NoError(t, disk.SaveSnapshot(snapshotAt(2, index)))
@@ -105,7 +105,7 @@
 	save(t, disk, 61, 70)
 	snapshotAndCompact(t, disk, 70)
 	must.NoError(t, disk.Close())
-	// The damaged file must not count as one of the two that are kept.
+	// The corrupt file must not count as one of the two snapshots kept.
 	fileSystem.Edit(snapshotPath(2, 70), flip)
 	_, initial = mustOpen(t, fileSystem)
 	must.Eq(t, 40, initial.Snapshot.Index)
@@ -156,7 +156,7 @@
 	must.True(t, disk.Empty())
 }
 
-// Entries between the snapshot and what is left of the log are lost.
+// If the entries right after the snapshot are missing, the log must not open.
 func TestLogThatDoesNotReachBackToItsSnapshotIsLost(t *testing.T) {
 	fileSystem := faultfs.New(1)
 	disk, _ := mustOpen(t, fileSystem)
@@ -183,7 +183,7 @@
 	must.ErrorIs(t, err, wal.ErrLostLog)
 }
 
-// A vote comes without entries, and must not be forgotten.
+// A vote is saved without entries and must still survive a crash.
 func TestVoteIsDurableWhenSaveReturns(t *testing.T) {
 	fileSystem := faultfs.New(1)
 	disk, _ := mustOpen(t, fileSystem)
@@ -195,8 +195,9 @@
 	must.Eq(t, vote, initial.HardState)
 }
 
-// A crash at any point of installing a received snapshot leaves either the old
-// log whole or the new snapshot with an empty log, and the term is not lost.
+// A crash at any point of installing a received snapshot must leave either the old log
+// intact or the new snapshot with an empty log. With the new snapshot, its term must
+// not be lost.
 func TestInstallationSurvivesCrashes(t *testing.T) {
 	installed, kept := 0, 0
 	for operations := range 25 {
@@ -234,8 +235,8 @@
 	must.Positive(t, kept)
 }
 
-// An installation that was cut short and whose snapshot the member later reaches
-// by its own log must not drop the entries after it.
+// After an interrupted installation the member may reach the snapshot's index through
+// its own log. Recovery must then not drop the log entries after that index.
 func TestAbandonedInstallationIsForgotten(t *testing.T) {
 	fileSystem := faultfs.New(1)
 	disk, _ := mustOpen(t, fileSystem)
--- a/process/replica/example_test.go
+++ b/process/replica/example_test.go
@@ -14,8 +14,8 @@
 	"github.com/pkg/errors"
 )
 
-// words is a replicated set. A command that is applied twice changes nothing, so
-// a proposer may repeat one whose outcome it was not told.
+// words is a replicated set of strings. Commands are idempotent, so a proposer may
+// retry one whose outcome is unknown.
 type words struct {
 	mutex sync.Mutex
 	items map[string]bool
@@ -46,13 +46,13 @@
 	return slices.Sorted(maps.Keys(w.items))
 }
 
-// switchboard is the network between the members.
-type switchboard struct {
+// memoryTransport connects the members in memory.
+type memoryTransport struct {
 	mutex   sync.Mutex
 	members map[raft.MemberID]*replica.Replica
 }
 
-func (s *switchboard) Send(messages []raft.Message) {
+func (s *memoryTransport) Send(messages []raft.Message) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for _, message := range messages {
@@ -62,9 +62,9 @@
 	}
 }
 
-// propose asks one member after the other until one has committed the word, and
-// returns that member.
-func (s *switchboard) propose(word string) raft.MemberID {
+// propose tries the members in turn until one has committed the word, and returns that
+// member.
+func (s *memoryTransport) propose(word string) raft.MemberID {
 	for {
 		for _, id := range s.running() {
 			_, err := s.members[id].Propose(context.Background(), []byte(word))
@@ -79,14 +79,14 @@
 	}
 }
 
-func (s *switchboard) running() []raft.MemberID {
+func (s *memoryTransport) running() []raft.MemberID {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return slices.Sorted(maps.Keys(s.members))
 }
 
-// crash stops a member without handing its leadership over.
-func (s *switchboard) crash(id raft.MemberID) {
+// crash stops a member without a leadership handover.
+func (s *memoryTransport) crash(id raft.MemberID) {
 	s.mutex.Lock()
 	crashed := s.members[id]
 	delete(s.members, id)
@@ -96,10 +96,10 @@
 	_ = crashed.Stop(ended)
 }
 
-// Three members in memory elect a leader and commit a word; the leader is lost,
-// and the other two go on.
+// Three in-memory members elect a leader and commit a word. The leader crashes, and the
+// other two elect a new leader and commit another word.
 func Example() {
-	network := &switchboard{members: make(map[raft.MemberID]*replica.Replica)}
+	network := &memoryTransport{members: make(map[raft.MemberID]*replica.Replica)}
 	configuration := raft.Configuration{Voters: []raft.MemberID{1, 2, 3}}
 	sets := make(map[raft.MemberID]*words)
 	for _, id := range configuration.Voters {
--- a/process/replica/group_test.go
+++ b/process/replica/group_test.go
@@ -31,7 +31,7 @@
 	goleak.VerifyTestMain(m)
 }
 
-// history is a state machine that keeps the commands it applied.
+// history is a state machine that records the commands it applied.
 type history struct {
 	mutex    sync.Mutex
 	commands [][]byte
@@ -80,7 +80,8 @@
 	return slices.ContainsFunc(h.copy(), func(c []byte) bool { return string(c) == command })
 }
 
-// network connects replicas in memory. A message can be cut off by a filter.
+// network connects replicas in memory. Messages for which blocked returns true are
+// dropped.
 type network struct {
 	mutex   sync.Mutex
 	members map[raft.MemberID]*Replica
@@ -105,21 +106,21 @@
 	n.blocked = cut
 }
 
-// isolate cuts the member off in both directions.
+// isolate drops all messages from and to the member.
 func (n *network) isolate(member raft.MemberID) {
 	n.setBlocked(func(from, to raft.MemberID) bool { return from == member || to == member })
 }
 
-// member is one replica of a group with what survives its stop: a file system.
+// member is one replica of a group, with the file system that survives its restarts.
 type member struct {
 	id         raft.MemberID
 	fileSystem *faultfs.FileSystem
-	stall      atomic.Int64 // how long the next Save hangs
+	stall      atomic.Int64 // nanoseconds that the next Save hangs
 	machine    *history
 	replica    *Replica
 }
 
-// stallingStorage hangs in Save when its member is told to, as a disk may.
+// stallingStorage delays Save by the member's stall, to simulate a hanging disk.
 type stallingStorage struct {
 	Storage
 	member *member
@@ -130,7 +131,7 @@
 	return s.Storage.Save(update)
 }
 
-// group is a replicated group on disks and a network in memory.
+// group is a replicated group with in-memory disks and an in-memory network.
 type group struct {
 	t         must.T
 	network   *network
@@ -152,7 +153,7 @@
 	return g
 }
 
-// newMember makes a member with an empty disk. It is not started.
+// newMember creates a member with an empty disk without starting it.
 func (g *group) newMember(seed uint64) *member {
 	m := &member{fileSystem: faultfs.New(seed)}
 	disk, err := openDisk(m.fileSystem)
@@ -184,8 +185,8 @@
 	g.network.mutex.Unlock()
 }
 
-// restart starts a member that was stopped. A bootstrap configuration changes
-// nothing on a disk that holds state already.
+// restart starts a stopped member. The bootstrap configuration has no effect on a disk
+// that already holds state.
 func (g *group) restart(m *member) { g.start(m, g.bootstrap) }
 
 // crash stops the member without a handover.
@@ -204,7 +205,8 @@
 	}
 }
 
-// leader waits until a member other than the ones excluded leads with a lease.
+// leader waits until a member that is not excluded leads with a valid lease, and
+// returns it.
 func (g *group) leader(excluded ...*member) *member {
 	for range 1000 {
 		for _, m := range g.members {
--- a/process/replica/handover.go
+++ b/process/replica/handover.go
@@ -7,12 +7,12 @@
 	"github.com/pkg/errors"
 )
 
-// handoverTimeouts is how many election timeouts a handover may take.
+// handoverElectionTimeouts is the time limit of a handover in election timeouts.
 const handoverElectionTimeouts = 3
 
-// handover is a leadership that is being handed over. While it lasts proposals
-// are refused, and those already in the log are finished first, so that a planned
-// handover leaves no proposal with an unknown outcome.
+// handover is a leadership transfer in progress. New proposals are rejected meanwhile,
+// and those already in the log complete first, so that a planned handover leaves no
+// proposal with an unknown outcome.
 type handover struct {
 	request   *request
 	to        raft.MemberID
@@ -41,7 +41,8 @@
 	l.handover = &handover{request: q, to: to, deadline: now + handoverElectionTimeouts*l.config.Raft.ElectionTimeout}
 }
 
-// successor returns the other voter with the most entries of those that answer.
+// successor returns the voter with the most entries among the other voters that were
+// recently active, or raft.None.
 func successor(status raft.Status) raft.MemberID {
 	best := raft.None
 	for _, voter := range status.Configuration.Voters {
@@ -55,8 +56,8 @@
 	return best
 }
 
-// continueHandover asks the node once no proposal waits any more, and gives up
-// at the deadline.
+// continueHandover asks the node to transfer leadership once no proposal is pending,
+// and fails the handover at its deadline.
 func (l *loop) continueHandover() error {
 	if l.handover == nil {
 		return nil
@@ -77,7 +78,8 @@
 	return l.processReady()
 }
 
-// endHandover answers the handover's caller: losing leadership is its success.
+// endHandover completes the handover's request. ErrNotLeader counts as success, because
+// it means that leadership was transferred.
 func (l *loop) endHandover(err error) {
 	if l.handover == nil {
 		return
--- a/process/replica/loop.go
+++ b/process/replica/loop.go
@@ -7,23 +7,24 @@
 	"github.com/pkg/errors"
 )
 
-// loop is the goroutine that owns the node. Its fields are used by no other.
+// loop is the state of the goroutine that owns the Raft node. No other goroutine
+// accesses its fields.
 type loop struct {
 	replica        *Replica
 	config         Config
 	node           *raft.Node
-	proposals      map[uint64]pendingProposal // proposals in the log, by index
+	proposals      map[uint64]pendingProposal // appended proposals, by log index
 	reads          map[uint64]*request        // ReadIndex requests, by request ID
-	confirmedReads []confirmedRead            // reads that wait for an index to be applied
-	leaseReads     []*request                 // lease reads that wait for the end of this step
+	confirmedReads []confirmedRead            // reads waiting for their index to be applied
+	leaseReads     []*request                 // lease reads to be answered at the end of this step
 	lastReadID     uint64
 	applied        uint64
-	leaderTerm     uint64 // the term this member leads, 0 when it doesn't
+	leaderTerm     uint64 // the term in which this member leads, or 0
 	handover       *handover
 	snapshots      snapshotter
 }
 
-// waiter is a proposal that the leader of term has appended.
+// pendingProposal is a proposal that this member appended as leader of term.
 type pendingProposal struct {
 	term    uint64
 	request *request
@@ -65,7 +66,7 @@
 	l.shutDown(err)
 }
 
-// end refuses what waits, closes the storage and then tells that it is over.
+// shutDown fails all pending requests, closes the storage and then closes done.
 func (l *loop) shutDown(err error) {
 	for _, q := range l.replica.mailbox.close() {
 		q.complete(Result{}, ErrStopped)
@@ -79,11 +80,12 @@
 	close(l.replica.done)
 }
 
-// step takes all that waits, lets the protocol work on it and carries out what
-// comes of it.
+// step processes all queued messages and requests as one batch and carries out the
+// resulting work.
 func (l *loop) step() error {
 	messages, requests := l.replica.mailbox.take()
-	// Read after taking: a message must not be dated before its arrival.
+	// Read the clock after emptying the mailbox, so that no message gets a time before
+	// its arrival.
 	now := l.config.Clock.Now()
 	l.node.Tick(now)
 	for _, message := range messages {
@@ -108,7 +110,8 @@
 	return l.startSnapshot()
 }
 
-// begin hands the request to the node.
+// handleRequest passes the request to the node, or queues a lease read for the end of
+// the step.
 func (l *loop) handleRequest(now time.Duration, q *request) {
 	switch q.kind {
 	case requestPropose:
@@ -142,7 +145,7 @@
 	l.proposals[index] = pendingProposal{term: term, request: q}
 }
 
-// refusal turns the node's error into the one that callers are told.
+// callerError converts an error of the node into the error returned to callers.
 func (l *loop) callerError(err error) error {
 	switch {
 	case errors.Is(err, raft.ErrNotLeader):
@@ -157,7 +160,8 @@
 
 func (l *loop) notLeaderError() error { return &NotLeaderError{Leader: l.node.Status().Leader} }
 
-// carryOut does the protocol's work in the order that its safety rests on.
+// processReady persists updates, sends messages and applies committed entries. The
+// safety of the protocol depends on this order.
 func (l *loop) processReady() error {
 	for l.node.HasReady() {
 		ready := l.node.Ready()
@@ -190,14 +194,14 @@
 		return nil
 	}
 	if err := l.config.StateMachine.Restore(ready.Snapshot.Data); err != nil {
-		return errors.Wrap(err, "replica: restore")
+		return errors.Wrap(err, "replica: restore state machine from received snapshot")
 	}
 	l.applied = ready.Snapshot.Index
 	l.snapshots.reset(ready.Snapshot.Index)
 	return nil
 }
 
-// apply carries out one committed entry and answers its proposal.
+// apply applies one committed entry and completes its proposal.
 func (l *loop) apply(entry raft.Entry) {
 	var value any
 	if entry.Kind == raft.EntryCommand {
@@ -217,7 +221,8 @@
 	proposal.request.complete(Result{Term: entry.Term, Index: entry.Index, Value: value}, nil)
 }
 
-// collectReads answers the reads whose index is applied.
+// completeReads completes the reads whose index has been applied and fails the
+// aborted ones.
 func (l *loop) completeReads(ready raft.Ready) {
 	for _, state := range ready.ReadStates {
 		if q, found := l.reads[state.RequestID]; found {
@@ -242,8 +247,8 @@
 	l.confirmedReads = remaining
 }
 
-// answerLeaseReads runs after all disk work of the step and reads the clock
-// again, since the lease may have run out during that work.
+// answerLeaseReads completes the queued lease reads. It runs after all disk writes of
+// the step and reads the clock again, since the lease may have expired during them.
 func (l *loop) answerLeaseReads() {
 	if len(l.leaseReads) == 0 {
 		return
@@ -263,8 +268,8 @@
 	l.leaseReads = nil
 }
 
-// observeLeadership answers the proposals of a term that this member led and no
-// longer leads: whether they get committed is another leader's affair.
+// checkLeadershipLost fails all pending requests if this member no longer leads the
+// term that it led before: another leader decides whether its proposals are committed.
 func (l *loop) checkLeadershipLost() {
 	status := l.node.Status()
 	led := uint64(0)
@@ -277,8 +282,8 @@
 	l.leaderTerm = led
 }
 
-// abandon answers everything that waits for this leadership. Proposals may be in
-// other members' logs, so their outcome is unknown; the rest gets err.
+// failPending fails all pending requests. Proposals may be in the logs of other
+// members, so they get ErrOutcomeUnknown; all other requests get err.
 func (l *loop) failPending(err error) {
 	for index, proposal := range l.proposals {
 		delete(l.proposals, index)
--- a/process/replica/loop_test.go
+++ b/process/replica/loop_test.go
@@ -12,15 +12,16 @@
 	"github.com/shoenig/test/must"
 )
 
-// A handover waits for the proposals that are in the log and takes no further
-// ones, so that it leaves nothing with an unknown outcome.
+// A handover must wait for the proposals in the log and reject new ones, so that no
+// proposal ends with an unknown outcome.
 func TestHandoverWaitsForProposalsInTheLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(t, 5, nil)
 		defer g.stopAll()
 		old := g.leader()
 		target := g.others(old)[0]
-		// The target gets the proposal and could win, but no quorum has it yet.
+		// The target receives the proposal and could win an election, but no quorum has
+		// the proposal yet.
 		g.network.setBlocked(func(from, to raft.MemberID) bool { return from == old.id && to != target.id })
 		proposed := make(chan error, 1)
 		go func() {
@@ -50,7 +51,7 @@
 		leader := g.leader()
 		target := g.others(leader)[0]
 		g.network.isolate(target.id)
-		// The target lacks this entry, so it is never told to campaign.
+		// The target lacks this entry, so the leader never tells it to campaign.
 		_, err := leader.replica.Propose(t.Context(), []byte("missed"))
 		must.NoError(t, err)
 		err = leader.replica.TransferLeadership(context.Background(), target.id)
@@ -60,7 +61,8 @@
 	})
 }
 
-// A message that contradicts committed entries proves that some disk lied.
+// A message that conflicts with committed entries proves that some member's disk lost
+// writes that it had reported as durable.
 func TestMemberStopsWhenItsGroupHasDiverged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(t, 3, nil)
@@ -78,7 +80,7 @@
 	})
 }
 
-// newTestLoop returns the loop of member 1 of three, which nobody runs.
+// newTestLoop returns the loop of member 1 of three without running it.
 func newTestLoop(t *testing.T, storage Storage, transport Transport) *loop {
 	t.Helper()
 	config := Config{Raft: raft.Config{ID: 1}, Storage: storage, Transport: transport, StateMachine: &history{}}
@@ -91,32 +93,34 @@
 	return newLoop(r, node, 0)
 }
 
-// A member that answered a heartbeat has promised not to vote for an election
-// timeout from its arrival. Dated by an earlier reading the promise would end early.
+// A member that answers a heartbeat promises not to vote for one election timeout after
+// the heartbeat's arrival. If the loop read the clock before taking the message, the
+// promise would end too early.
 func TestClockIsReadAfterTheMessagesAreTaken(t *testing.T) {
 	l := newTestLoop(t, NewMemory(), &network{})
-	waiting := []int{}
+	queuedAtReading := []int{}
 	l.config.Clock = clockFunc(func() time.Duration {
-		waiting = append(waiting, len(l.replica.mailbox.messages))
+		queuedAtReading = append(queuedAtReading, len(l.replica.mailbox.messages))
 		return 0
 	})
 	l.replica.Receive(raft.Message{Kind: raft.MessageHeartbeat, From: 2, To: 1, Term: 1})
 	must.NoError(t, l.step())
-	must.Eq(t, 0, waiting[0])
+	must.Eq(t, 0, queuedAtReading[0])
 	must.Eq(t, raft.MemberID(2), l.replica.Status().Leader)
 }
 
-// fullDisk refuses every Save.
+// fullDisk fails every Save.
 type fullDisk struct{ *Memory }
 
 func (fullDisk) Save(Update) error { return faultfs.ErrFull }
 
-// outbox keeps what is sent.
+// outbox is a Transport that records the messages sent.
 type outbox struct{ sent []raft.Message }
 
 func (o *outbox) Send(messages []raft.Message) { o.sent = append(o.sent, messages...) }
 
-// votes returns what was sent but for the member's own pre-votes, which promise nothing.
+// votes returns the messages sent except the member's own pre-votes, which are not
+// binding.
 func (o *outbox) votes() []raft.Message {
 	return slices.DeleteFunc(slices.Clone(o.sent), func(m raft.Message) bool { return m.Kind == raft.MessagePreVote })
 }
@@ -129,7 +133,7 @@
 			now := time.Duration(0)
 			l.config.Clock = clockFunc(func() time.Duration { return now })
 			must.NoError(t, l.step())
-			now = DefaultElectionTimeout // the lease that the start stands for is over
+			now = DefaultElectionTimeout // the lease assumed at startup has expired
 			l.replica.Receive(raft.Message{Kind: raft.MessageVote, From: 2, To: 1, Term: 1})
 			if name == "durable" {
 				must.NoError(t, l.step())
@@ -164,8 +168,8 @@
 	must.False(t, m.putMessage(raft.Message{}))
 }
 
-// A leader whose disk hangs for longer than its lease must not answer by the lease
-// that it had when it was asked.
+// A leader whose disk hangs for longer than its lease must not answer a lease read on
+// the basis of the lease that was valid when the read arrived.
 func TestLeaseReadChecksTheLeaseAfterDiskWrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(t, 3, nil)
@@ -175,7 +179,7 @@
 		leader.stall.Store(int64(100 * time.Millisecond))
 		go propose()
 		time.Sleep(50 * time.Millisecond)
-		// Both wait for the first write to end, and are taken together.
+		// Both requests wait for the first write and are then processed in one batch.
 		go propose()
 		read := make(chan error, 1)
 		go func() { read <- leader.replica.LeaseRead(context.Background()) }()
--- a/process/replica/mailbox.go
+++ b/process/replica/mailbox.go
@@ -6,16 +6,17 @@
 	"github.com/landingtrail/landingtrail/process/raft"
 )
 
-// messageOverhead is about what a message or an entry takes besides its data.
+// messageOverhead is the approximate size in bytes of a message or an entry without its
+// data.
 const messageOverhead = 64
 
-// mailbox holds what waits for the loop. It is bounded: requests beyond the bound
-// are refused, messages are dropped.
+// mailbox is the bounded queue of requests and messages for the loop. If it is full,
+// requests are rejected and messages are dropped.
 type mailbox struct {
 	maxRequests int
 	maxMessages int
 	maxBytes    int
-	wake        chan struct{} // has room for one signal
+	wake        chan struct{} // buffered for one signal
 
 	mutex    sync.Mutex
 	closed   bool
@@ -33,7 +34,7 @@
 	}
 }
 
-// putRequest returns ErrOverloaded or ErrStopped when the request is not queued.
+// putRequest queues the request, or returns ErrOverloaded or ErrStopped.
 func (m *mailbox) putRequest(q *request) error {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -48,8 +49,8 @@
 	return nil
 }
 
-// putMessage returns false when there is no room. A message larger than all the
-// room is let in when nothing else waits.
+// putMessage queues the message, or returns false if the mailbox is full or closed. A
+// message larger than maxBytes is accepted if no other message is queued.
 func (m *mailbox) putMessage(message raft.Message) bool {
 	size := messageSize(message)
 	m.mutex.Lock()
@@ -71,7 +72,7 @@
 	}
 }
 
-// take returns and removes all that waits, in order of arrival.
+// take removes and returns everything queued, in order of arrival.
 func (m *mailbox) take() ([]raft.Message, []*request) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -80,7 +81,8 @@
 	return messages, requests
 }
 
-// close refuses everything from now on and returns the requests that still wait.
+// close makes the mailbox reject everything from now on and returns the requests that
+// are still queued.
 func (m *mailbox) close() []*request {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/process/replica/oracle_test.go
+++ b/process/replica/oracle_test.go
@@ -15,19 +15,19 @@
 	"pgregory.net/rapid"
 )
 
-// world runs a group through proposals and faults. It keeps what each proposer
-// was told, which the group's final state must agree with.
+// simulation runs a group through proposals and faults. It records the result of each
+// proposal, with which the group's final state must agree.
 type simulation struct {
 	*group
 	proposals  sync.WaitGroup
 	mutex      sync.Mutex
 	answers    map[string]answer
-	staleReads []string // reads that missed what was acknowledged before them
+	staleReads []string // acknowledged commands that a later read missed
 	reads      int
 	count      int
 }
 
-// answer is what a proposer was told: the place in the history, or an error.
+// answer is the result of a proposal: its position in the history, or an error.
 type answer struct {
 	position int
 	err      error
@@ -64,7 +64,7 @@
 	w.answers[command] = answer{position: position, err: err}
 }
 
-// proposeToLeader has no deadline: a leader that is cut off must answer as well.
+// proposeToLeader proposes without a deadline: even an isolated leader must answer.
 func (w *simulation) proposeToLeader(t *rapid.T) {
 	for _, m := range w.members {
 		if m.replica.Status().Role != raft.Leader {
@@ -79,8 +79,8 @@
 	}
 }
 
-// read asks all members that believe to lead, by their lease and by a quorum.
-// What was acknowledged before must be in the state that they answer from.
+// read reads from all members that consider themselves leader, by lease or through a
+// quorum. A successful read must see everything acknowledged before it.
 func (w *simulation) read(t *rapid.T) {
 	byLease := rapid.Bool().Draw(t, "by lease")
 	for _, m := range w.members {
@@ -123,13 +123,13 @@
 	w.staleReads = append(w.staleReads, missing...)
 }
 
-// stall lets a member's disk hang at its next write.
+// stallDisk makes a member's disk hang at its next write.
 func (w *simulation) stallDisk(t *rapid.T) {
 	w.drawMember(t).stall.Store(int64(rapid.IntRange(1, 5000).Draw(t, "stall")) * int64(time.Millisecond))
 }
 
-// crashMachine loses what the member had not synced; it restarts at once or
-// after a while, in which other actions may come.
+// crashMachine crashes a member's machine, which loses unsynced data, and restarts the
+// member. The power may fail up to half a second before the crash.
 func (w *simulation) crashMachine(t *rapid.T) {
 	m := w.drawMember(t)
 	m.fileSystem.StopAfter(rapid.IntRange(0, 8).Draw(t, "operations"))
@@ -142,7 +142,7 @@
 
 func (w *simulation) failSync(t *rapid.T) { w.drawMember(t).fileSystem.FailSyncs(1) }
 
-// revive restarts members that their disks have stopped.
+// restartStopped restarts the members that stopped because of a disk failure.
 func (w *simulation) restartStopped(*rapid.T) {
 	for _, m := range w.members {
 		select {
@@ -175,24 +175,24 @@
 	_ = w.drawMember(t).replica.TransferLeadership(ctx, raft.None)
 }
 
-// settle ends all faults and lets the group come to one state.
+// converge removes all faults and waits until all members have the same state.
 func (w *simulation) converge(t *rapid.T) {
 	w.network.setBlocked(nil)
 	for _, m := range w.members {
 		m.fileSystem.FailSyncs(0)
 	}
 	w.proposals.Wait()
-	synctest.Wait() // a member that a disk is about to stop has stopped then
+	synctest.Wait() // until members with a failing disk have stopped
 	w.restartStopped(t)
 	w.group.propose("last")
 	w.waitEqual(w.members...)
 }
 
-// verify compares the final state with what proposers were told: what was
-// acknowledged is there at the place that was named, what was refused is not, and
-// nothing is there twice.
+// verify compares the final state with the results of the proposals: an acknowledged
+// command must be at the returned position, a rejected one must be absent, and none may
+// be applied twice.
 func (w *simulation) verify(t *rapid.T) {
-	must.SliceEmpty(t, w.staleReads, must.Sprint("a read missed what was acknowledged before"))
+	must.SliceEmpty(t, w.staleReads, must.Sprint("a read missed commands acknowledged before it"))
 	places := make(map[string][]int)
 	for i, command := range w.members[0].machine.copy() {
 		places[string(command)] = append(places[string(command)], i+1)
@@ -212,7 +212,7 @@
 func TestGroupAgainstOracle(t *testing.T) {
 	outcomes := make(map[string]int)
 	synctest.Test(t, func(t *testing.T) {
-		// Without its deadline, which a test in virtual time does not have.
+		// Hides the Deadline method, because a test in virtual time has no deadline.
 		rapid.Check(struct{ testing.TB }{t}, func(t *rapid.T) {
 			w := &simulation{group: newGroup(t, 3, smallSnapshots), answers: make(map[string]answer)}
 			defer w.stopAll()
@@ -238,11 +238,11 @@
 	})
 	t.Log(outcomes)
 	for _, outcome := range []string{"acknowledged", ErrOutcomeUnknown.Error(), ErrNotLeader.Error(), ErrStopped.Error(), "snapshots", "reads"} {
-		must.Positive(t, outcomes[outcome], must.Sprint("never: ", outcome))
+		must.Positive(t, outcomes[outcome], must.Sprint("outcome never occurred: ", outcome))
 	}
 }
 
-// tally counts the outcomes, so that a run that never met one is found out.
+// countOutcomes adds up the outcomes, so that the test can fail if one never occurred.
 func (w *simulation) countOutcomes(outcomes map[string]int) {
 	for _, answer := range w.answers {
 		switch {
@@ -256,7 +256,7 @@
 	}
 	outcomes["reads"] += w.reads
 	for _, m := range w.members {
-		if len(w.fileNames(m, ".snap")) > 1 { // the first is the bootstrap's
+		if len(w.fileNames(m, ".snap")) > 1 { // the first one is from Bootstrap
 			outcomes["snapshots"]++
 		}
 	}
--- a/process/replica/recovery_test.go
+++ b/process/replica/recovery_test.go
@@ -17,7 +17,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// proposeMany commits count commands through whoever leads.
+// proposeMany commits count commands through the current leader.
 func (g *group) proposeMany(prefix string, count int, excluded ...*member) {
 	for i := range count {
 		g.propose(fmt.Sprintf("%s %d", prefix, i), excluded...)
@@ -31,13 +31,13 @@
 			return
 		}
 		must.True(g.t, errors.Is(err, ErrNotLeader) || errors.Is(err, ErrOutcomeUnknown))
-		// A leader that is handing over refuses at once, and virtual time would
-		// stand still while it is asked again and again.
+		// A leader in a handover rejects proposals at once. Without the sleep, virtual
+		// time would not advance while the proposal is retried.
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// others returns the members but the given one.
+// others returns all members except the given one.
 func (g *group) others(m *member) []*member {
 	var rest []*member
 	for _, other := range g.members {
@@ -97,7 +97,7 @@
 		g.proposeMany("missed", 100, lagging)
 		g.network.setBlocked(nil)
 		g.waitEqual(g.members...)
-		// One of the bootstrap and one that was received.
+		// One from Bootstrap and one that was received.
 		must.Eq(t, 2, len(g.fileNames(lagging, ".snap")))
 		g.crash(lagging)
 		lagging.fileSystem.Crash()
@@ -107,8 +107,8 @@
 	})
 }
 
-// A member whose log is gone comes back as another member: first a learner that
-// has no vote, then, caught up, a voter; the lost identity is removed.
+// A member that has lost its log rejoins as a new member: first as a learner without a
+// vote, then, once it has caught up, as a voter. The lost member is removed.
 func TestMemberWithALostDiskReturnsUnderANewIdentity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(t, 3, smallSnapshots)
@@ -131,7 +131,7 @@
 		g.change(raft.ConfigurationChange{Kind: raft.ChangePromote, Member: returned.id})
 		g.change(raft.ConfigurationChange{Kind: raft.ChangeRemove, Member: lost.id})
 
-		// The repaired group bears the loss of another member.
+		// The repaired group tolerates the loss of another member.
 		second := g.others(returned)[0]
 		g.crash(second)
 		g.propose("after", second)
@@ -140,7 +140,7 @@
 	})
 }
 
-// destroyLog removes every segment of the member's log.
+// destroyLog durably removes every segment of the member's log.
 func (g *group) destroyLog(m *member) {
 	names := g.fileNames(m, ".wal")
 	must.Positive(g.t, len(names))
@@ -156,7 +156,7 @@
 	return slices.DeleteFunc(names, func(name string) bool { return !strings.HasSuffix(name, suffix) })
 }
 
-// change makes one step of a membership change, and waits where the group says so.
+// change performs one step of a membership change, and retries until it succeeds.
 func (g *group) change(change raft.ConfigurationChange) {
 	for {
 		_, err := g.leader().replica.ChangeMembership(context.Background(), change)
--- a/process/replica/replica.go
+++ b/process/replica/replica.go
@@ -1,15 +1,15 @@
-// Package replica runs one member of a replicated group: a single goroutine owns
-// the agreement protocol, persists what it must before it sends, and applies what
-// is committed to a state machine.
+// Package replica runs one member of a Raft group. A single goroutine owns the
+// protocol state, persists updates before it sends the messages that depend on them,
+// and applies committed entries to a state machine.
 //
-// Proposals and messages that arrive while the disk syncs are taken together
+// Proposals and messages that arrive during a disk sync are processed as one batch
 // afterwards, so any number of them costs one append and one sync.
 //
-// Guarantees: a proposal that is answered without an error is synced by a quorum
-// and applied here, once; one that is refused (ErrNotLeader, ErrOverloaded,
-// ErrStopped, ErrWithdrawn) is never applied; any other is answered with
-// ErrOutcomeUnknown and is applied at most once. A leader that is cut off answers
-// all that waits within about an election timeout, also without a deadline.
+// Guarantees: a proposal that returns no error has been synced by a quorum and
+// applied here exactly once; a rejected one (ErrNotLeader, ErrOverloaded, ErrStopped,
+// ErrWithdrawn) is never applied; any other returns ErrOutcomeUnknown and is applied
+// at most once. An isolated leader completes all pending requests within about one
+// election timeout, even those without a deadline.
 package replica
 
 import (
@@ -24,10 +24,10 @@
 	"github.com/pkg/errors"
 )
 
-// Defaults of Config. A heartbeat each 100 ms lets a member miss several before
-// it stands for election after one to two seconds, which is longer than the
-// pauses that a busy disk or scheduler brings; the lease leaves a fifth of the
-// election timeout for clocks that run at different rates.
+// Defaults of Config. With a heartbeat every 100 ms, a follower can miss several
+// before it starts an election after one to two seconds, which is longer than the
+// pauses caused by a busy disk or scheduler. The lease is a fifth shorter than the
+// election timeout to allow for clocks that run at different rates.
 const (
 	DefaultHeartbeatInterval = 100 * time.Millisecond
 	DefaultElectionTimeout   = time.Second
@@ -38,37 +38,37 @@
 	DefaultQueuedProposals   = 4096
 	DefaultQueuedMessages    = 4096
 	DefaultQueuedBytes       = 64 << 20
-	// ticksPerHeartbeat is how often the protocol's clock advances.
+	// ticksPerHeartbeat is the number of protocol ticks per heartbeat interval.
 	ticksPerHeartbeat = 5
 )
 
 // StateMachine is the deterministic state that the group replicates. Apply,
-// Snapshot and Restore are called by one goroutine at a time; whoever reads the
-// state beside them needs a lock of the state machine's own.
+// Snapshot and Restore are never called concurrently; the state machine must do its
+// own locking for other readers of its state.
 type StateMachine interface {
-	// Apply carries out a committed command and returns its outcome.
+	// Apply executes a committed command and returns its result.
 	Apply(entry raft.Entry) any
 	// Snapshot returns the encoded state.
 	Snapshot() ([]byte, error)
-	// Restore replaces the state by an encoded one.
+	// Restore replaces the state with an encoded one.
 	Restore(data []byte) error
 }
 
-// Capturer is a StateMachine that can hand out an immutable copy of its state
-// quickly. The returned function encodes the copy and is called by another
-// goroutine, so that encoding doesn't delay the group.
+// Capturer is implemented by a StateMachine that can make an immutable copy of its
+// state quickly. The function that Capture returns encodes the copy; it is called on
+// another goroutine, so that encoding doesn't delay the group.
 type Capturer interface {
 	Capture() func() ([]byte, error)
 }
 
-// Transport sends messages to other members. Send must not block; messages may
-// be lost.
+// Transport sends messages to other members. Send must not block and may lose
+// messages.
 type Transport interface {
 	Send(messages []raft.Message)
 }
 
-// Clock reads a clock that never goes back. It must go on while the process is paused and
-// while the machine is suspended: leases rest on it.
+// Clock is a monotonic clock. It must keep running while the process is paused and while
+// the machine is suspended, because leases depend on it.
 type Clock interface {
 	Now() time.Duration
 }
@@ -77,28 +77,28 @@
 
 func (systemClock) Now() time.Duration { return clock.Now() }
 
-// SystemClock returns a Clock on the operating system's clocks.
+// SystemClock returns a Clock that reads the operating system's clock.
 func SystemClock() Clock { return systemClock{} }
 
-// Config holds what a Replica is started with. Zero limits and durations stand
-// for the defaults.
+// Config configures a Replica. Zero limits and durations are replaced by the
+// defaults.
 type Config struct {
-	// Raft needs an ID; it is the one of the storage.
+	// Raft.ID is required and must be the member ID of the storage.
 	Raft         raft.Config
 	Storage      Storage // owned by the Replica from Start on
 	Transport    Transport
 	StateMachine StateMachine
 	Clock        Clock // SystemClock when nil
-	// Bootstrap is the configuration that a new group starts with; all its
-	// members must be started with the same one. It is ignored when the storage
-	// holds a group's state already, and empty for a member that joins a group.
+	// Bootstrap is the initial configuration of a new group; all its members must
+	// be started with the same one. It is ignored if the storage already holds a
+	// group's state, and must be empty for a member that joins an existing group.
 	Bootstrap raft.Configuration
 
 	SnapshotEntries uint64 // entries applied between snapshots
 	SnapshotBytes   int    // bytes of entries applied between snapshots
 	QueuedProposals int
 	QueuedMessages  int
-	QueuedBytes     int // of messages
+	QueuedBytes     int // of queued messages
 }
 
 func (c *Config) setDefaults() {
@@ -132,13 +132,13 @@
 	err      error // written before done is closed
 }
 
-// Start loads the storage, restores the state machine and starts the member. When
-// it fails the storage is closed.
+// Start loads the storage, restores the state machine and starts the member. If
+// Start fails, it closes the storage.
 func Start(config Config) (*Replica, error) {
 	config.setDefaults()
 	r, err := start(config)
 	if err != nil {
-		config.Storage.Close() // the first error says what is wrong
+		config.Storage.Close() // the error from start is the one to report
 		return nil, err
 	}
 	return r, nil
@@ -155,7 +155,7 @@
 	}
 	if initial.Snapshot.Index > 0 {
 		if err := config.StateMachine.Restore(initial.Snapshot.Data); err != nil {
-			return nil, errors.Wrap(err, "replica: restore")
+			return nil, errors.Wrap(err, "replica: restore state machine")
 		}
 	}
 	r := &Replica{
@@ -187,36 +187,38 @@
 	return initial, nil
 }
 
-// blank tells whether the storage has never held anything of a group.
+// isEmptyState reports whether the storage has never held any group state.
 func isEmptyState(initial raft.InitialState) bool {
 	return initial.HardState == raft.HardState{} && initial.Snapshot.Index == 0 &&
 		len(initial.Entries) == 0 && len(initial.Configuration.Voters) == 0
 }
 
-// Receive hands a message from another member to the replica. It doesn't block;
-// when too many wait, the message is dropped.
+// Receive queues a message from another member. It doesn't block; if the queue is
+// full, the message is dropped.
 func (r *Replica) Receive(message raft.Message) {
 	if !r.mailbox.putMessage(message) {
 		r.dropped.Add(1)
 	}
 }
 
-// DroppedMessages returns how many received messages found no room.
+// DroppedMessages returns the number of received messages that were dropped because
+// the queue was full or the replica had stopped.
 func (r *Replica) DroppedMessages() uint64 { return r.dropped.Load() }
 
-// Status returns a recent copy of the member's state.
+// Status returns a recent snapshot of the member's status.
 func (r *Replica) Status() raft.Status { return *r.status.Load() }
 
-// Changed returns a channel that is closed when the role, the term, the leader or
-// the configuration next changes. Take it before Status, so that no change is
-// missed.
+// Changed returns a channel that is closed at the next change of the role, the term,
+// the leader or the number of voters or learners. Call it before Status, so that no
+// change is missed.
 func (r *Replica) Changed() <-chan struct{} {
 	r.changedMutex.Lock()
 	defer r.changedMutex.Unlock()
 	return r.changed
 }
 
-// publish makes the status visible and wakes those who wait for a change.
+// publishStatus stores the status and, if it changed, closes the channel that Changed
+// returned.
 func (r *Replica) publishStatus(status raft.Status) {
 	previous := r.status.Swap(&status)
 	if !statusChanged(*previous, status) {
@@ -234,12 +236,13 @@
 		len(before.Configuration.Learners) != len(after.Configuration.Learners)
 }
 
-// Done is closed when the replica has stopped, by Stop or by an error.
+// Done returns a channel that is closed when the replica has stopped, through Stop or
+// an error.
 func (r *Replica) Done() <-chan struct{} { return r.done }
 
-// Err returns why the replica stopped: nil while it runs and after Stop. After a
-// storage error the member must not go on with this storage until it is opened
-// again.
+// Err returns the error that stopped the replica. It returns nil while the replica
+// runs and after a successful Stop. After a storage error the storage must be
+// reopened before it is used again.
 func (r *Replica) Err() error {
 	select {
 	case <-r.done:
@@ -249,9 +252,10 @@
 	}
 }
 
-// Stop hands leadership over if this member has it, until ctx ends at the latest,
-// and then stops the member and closes its storage. It returns the storage's
-// error, or that of the handover; the member is stopped in any case.
+// Stop transfers leadership if this member is the leader, waiting until ctx ends at
+// most, and then stops the member and closes its storage. It returns the error that
+// stopped the member or occurred on closing, otherwise that of the handover. The
+// member is stopped in any case.
 func (r *Replica) Stop(ctx context.Context) error {
 	handover := r.handOverBeforeStop(ctx)
 	r.stopOnce.Do(func() { close(r.stopping) })
--- a/process/replica/request.go
+++ b/process/replica/request.go
@@ -9,59 +9,60 @@
 	"github.com/pkg/errors"
 )
 
-// Errors of requests to a Replica.
+// Errors returned by requests to a Replica.
 var (
-	// ErrNotLeader says that another member has to be asked and that the request
-	// was not carried out: see NotLeaderError for which.
+	// ErrNotLeader means that the request was not executed because another member
+	// leads: see NotLeaderError for which.
 	ErrNotLeader = errors.New("replica: not the leader")
-	// ErrOutcomeUnknown says that the request was appended to the log and that it
-	// may or may not be committed.
+	// ErrOutcomeUnknown means that the request was appended to the log and may or
+	// may not be committed.
 	ErrOutcomeUnknown = errors.New("replica: outcome unknown")
-	// ErrWithdrawn says that the context ended before the request was appended
-	// to the log. It never will be.
-	ErrWithdrawn = errors.New("replica: given up before it was proposed")
-	// ErrOverloaded says that too many requests wait. This one was not carried out.
+	// ErrWithdrawn means that the context ended before the request was appended to
+	// the log. It will never be appended.
+	ErrWithdrawn = errors.New("replica: withdrawn before it was proposed")
+	// ErrOverloaded means that the request was rejected because too many requests are
+	// pending.
 	ErrOverloaded = errors.New("replica: overloaded")
-	// ErrStopped says that the replica stopped before the request was appended to
-	// the log. It never will be.
+	// ErrStopped means that the replica stopped before the request was appended to
+	// the log. It will never be appended.
 	ErrStopped = errors.New("replica: stopped")
-	// ErrLeaseExpired says that this member leads but holds no lease at present.
+	// ErrLeaseExpired means that this member leads but holds no valid lease.
 	ErrLeaseExpired = errors.New("replica: leader lease expired")
-	// ErrNoSuccessor says that no other voter can take over leadership.
+	// ErrNoSuccessor means that no other voter can take over leadership.
 	ErrNoSuccessor = errors.New("replica: no other voter is available")
-	// ErrTransferFailed says that leadership was not handed over in time.
+	// ErrTransferFailed means that leadership was not handed over in time.
 	ErrTransferFailed = errors.New("replica: leadership was not handed over")
 )
 
-// NotLeaderError is an ErrNotLeader that names the member to ask instead.
+// NotLeaderError is an ErrNotLeader that names the current leader.
 type NotLeaderError struct {
-	Leader raft.MemberID // raft.None when not known
+	Leader raft.MemberID // raft.None if unknown
 }
 
 // Error implements error.
 func (e *NotLeaderError) Error() string {
-	return fmt.Sprintf("replica: not the leader, which is %x", uint64(e.Leader))
+	return fmt.Sprintf("replica: not the leader; the leader is %x", uint64(e.Leader))
 }
 
-// Is makes the error an ErrNotLeader.
+// Is makes errors.Is(err, ErrNotLeader) true.
 func (e *NotLeaderError) Is(target error) bool { return target == ErrNotLeader }
 
-// Result tells where a request stands in the log and what came of it.
+// Result is the log position of a request and the value it returned.
 type Result struct {
 	Term  uint64
 	Index uint64
 	Value any // what StateMachine.Apply returned
 }
 
-// States of a request. The loop takes a request over and the caller gives it up
-// by the same compare-and-swap, so exactly one of them has its way.
+// States of a request. The loop claims a queued request and the caller withdraws it
+// with a compare-and-swap on the same field, so exactly one of them succeeds.
 const (
 	requestQueued int32 = iota
 	requestClaimed
 	requestWithdrawn
 )
 
-// requestKind tells what is asked for.
+// requestKind identifies the operation that a request asks for.
 type requestKind uint8
 
 const (
@@ -72,14 +73,14 @@
 	requestTransfer
 )
 
-// request waits in the mailbox and then in the loop for its outcome.
+// request is a caller's pending operation: first in the mailbox, then in the loop.
 type request struct {
 	kind    requestKind
 	data    []byte
 	change  raft.ConfigurationChange
 	to      raft.MemberID
 	state   atomic.Int32
-	outcome chan outcome // has room for the one outcome
+	outcome chan outcome // buffered for one outcome
 }
 
 type outcome struct {
@@ -87,64 +88,66 @@
 	err    error
 }
 
-// take returns false when the caller has given up.
+// claim marks the request as processed by the loop. It returns false if the caller has
+// withdrawn it.
 func (q *request) claim() bool { return q.state.CompareAndSwap(requestQueued, requestClaimed) }
 
 func (q *request) complete(result Result, err error) {
 	select {
 	case q.outcome <- outcome{result: result, err: err}:
-	default: // has its outcome already
+	default: // already completed
 	}
 }
 
-// changesLog tells whether giving up leaves something in the log.
+// changesLog reports whether the request appends an entry to the log.
 func (q *request) changesLog() bool { return q.kind == requestPropose || q.kind == requestChange }
 
-// Propose appends the command to the log and returns when this member has applied
-// it, with what Apply returned. The data must not be written to afterwards.
+// Propose appends the command to the log and waits until this member has applied it.
+// The result holds the value that Apply returned. The caller must not modify data
+// afterwards.
 //
-// After ErrNotLeader, ErrOverloaded, ErrStopped and ErrWithdrawn the command has
-// not been and will never be applied; after ErrOutcomeUnknown it may be, also
-// later.
+// After ErrNotLeader, ErrOverloaded, ErrStopped and ErrWithdrawn the command has not
+// been applied and never will be. After ErrOutcomeUnknown it may have been applied or
+// may still be applied later.
 func (r *Replica) Propose(ctx context.Context, data []byte) (Result, error) {
 	return r.submit(ctx, &request{kind: requestPropose, data: data})
 }
 
-// ChangeMembership makes one step of a membership change and returns when it is
-// committed. Errors: those of Propose, and the ones of raft's ProposeChange, after
-// which nothing has changed.
+// ChangeMembership performs one step of a membership change and waits until it is
+// committed. It returns the errors of Propose and of raft.Node.ProposeChange; after
+// the latter nothing has changed.
 func (r *Replica) ChangeMembership(ctx context.Context, change raft.ConfigurationChange) (Result, error) {
 	return r.submit(ctx, &request{kind: requestChange, change: change})
 }
 
-// LeaseRead returns nil when this member is the leader and holds its lease, and
-// the state machine contains everything that was acknowledged before the call.
-// The lease is checked by a reading of the clock after all pending disk work.
-// Errors: ErrNotLeader, ErrLeaseExpired, ErrStopped, ErrWithdrawn.
+// LeaseRead returns nil if this member is the leader with a valid lease and the state
+// machine contains everything that was acknowledged before the call. The lease is
+// checked against the clock after all pending disk writes. Errors: ErrNotLeader,
+// ErrLeaseExpired, ErrStopped, ErrOverloaded, ErrWithdrawn.
 func (r *Replica) LeaseRead(ctx context.Context) error {
 	_, err := r.submit(ctx, &request{kind: requestLeaseRead})
 	return err
 }
 
-// ReadIndex returns nil when a quorum has confirmed after the call that this
-// member leads, and the state machine contains everything that was acknowledged
-// before the call. It needs no clocks. Errors: ErrNotLeader, ErrStopped,
+// ReadIndex returns nil once a quorum has confirmed after the call that this member
+// leads and the state machine contains everything that was acknowledged before the
+// call. It does not depend on clocks. Errors: ErrNotLeader, ErrStopped, ErrOverloaded,
 // ErrWithdrawn.
 func (r *Replica) ReadIndex(ctx context.Context) error {
 	_, err := r.submit(ctx, &request{kind: requestReadIndex})
 	return err
 }
 
-// TransferLeadership hands leadership to the voter, or to the one with the most
-// entries when to is raft.None. Proposals are refused with ErrNotLeader meanwhile;
-// those already in the log are waited for first. Errors: ErrNotLeader,
-// ErrNoSuccessor, ErrTransferFailed, ErrStopped, ErrWithdrawn.
+// TransferLeadership transfers leadership to the given voter, or to the active voter
+// with the most entries if to is raft.None. It first waits for the proposals already
+// in the log; new ones are rejected with ErrNotLeader meanwhile. Errors: ErrNotLeader,
+// ErrNoSuccessor, ErrTransferFailed, ErrStopped, ErrOverloaded, ErrWithdrawn.
 func (r *Replica) TransferLeadership(ctx context.Context, to raft.MemberID) error {
 	_, err := r.submit(ctx, &request{kind: requestTransfer, to: to})
 	return err
 }
 
-// do queues the request and waits for its outcome or the end of ctx.
+// submit queues the request and waits until it completes or ctx ends.
 func (r *Replica) submit(ctx context.Context, q *request) (Result, error) {
 	q.outcome = make(chan outcome, 1)
 	if err := ctx.Err(); err != nil {
@@ -161,7 +164,9 @@
 	}
 }
 
-// giveUp decides what a caller is told whose context has ended.
+// withdraw withdraws a request whose context has ended and returns the result for the
+// caller: the outcome if there already is one, else an error that tells whether the
+// request may still take effect.
 func (q *request) withdraw(reason error) (Result, error) {
 	if q.state.CompareAndSwap(requestQueued, requestWithdrawn) {
 		return Result{}, errors.Wrap(ErrWithdrawn, reason.Error())
--- a/process/replica/snapshotter.go
+++ b/process/replica/snapshotter.go
@@ -7,16 +7,16 @@
 	"github.com/pkg/errors"
 )
 
-// snapshotter decides when a snapshot is due and runs its encoding and writing
-// beside the loop. All fields but group are used by the loop only.
+// snapshotter decides when a snapshot is due and tracks the goroutine that encodes and
+// writes it. Only the loop accesses its fields, apart from done and background.
 type snapshotter struct {
 	maxEntries uint64
 	maxBytes   int
 	lastIndex  uint64 // of the last snapshot
-	entries    uint64 // applied since
-	bytes      int    // applied since
+	entries    uint64 // applied since the last snapshot
+	bytes      int    // applied since the last snapshot
 	running    bool
-	done       chan snapshotResult // has room for the one result
+	done       chan snapshotResult // buffered for one result
 	background *sync.WaitGroup
 }
 
@@ -40,7 +40,7 @@
 	s.bytes += len(entry.Data)
 }
 
-// installed notes a snapshot that was received.
+// reset restarts the counts after a snapshot at index was received or started.
 func (s *snapshotter) reset(index uint64) {
 	s.lastIndex, s.entries, s.bytes = index, 0, 0
 }
@@ -51,14 +51,15 @@
 
 func (s *snapshotter) wait() { s.background.Wait() }
 
-// startSnapshot captures the state machine at the applied index if it is time.
+// startSnapshot starts a snapshot of the state machine at the applied index if one is
+// due.
 func (l *loop) startSnapshot() error {
 	if !l.snapshots.isDue() {
 		return nil
 	}
 	snapshot, err := l.node.SnapshotAt(l.applied, nil)
 	if err != nil {
-		return errors.Wrap(err, "replica: snapshot")
+		return errors.Wrap(err, "replica: start snapshot")
 	}
 	encode := l.capture()
 	l.snapshots.reset(l.applied)
@@ -74,7 +75,7 @@
 	return nil
 }
 
-// capture returns a function that encodes the present state and may be called by
+// capture returns a function that encodes the current state and can be called on
 // another goroutine.
 func (l *loop) capture() func() ([]byte, error) {
 	if capturer, ok := l.config.StateMachine.(Capturer); ok {
@@ -84,8 +85,8 @@
 	return func() ([]byte, error) { return data, err }
 }
 
-// finishSnapshot lets the node and the storage drop what the snapshot covers. A
-// snapshot that was overtaken by a received one is no longer needed.
+// finishSnapshot lets the node and the storage drop the entries that the snapshot
+// covers. It ignores a snapshot that is older than one received in the meantime.
 func (l *loop) finishSnapshot(result snapshotResult) error {
 	l.snapshots.running = false
 	if result.err != nil {
@@ -96,7 +97,7 @@
 		return nil
 	}
 	if err != nil {
-		return errors.Wrap(err, "replica: compact")
+		return errors.Wrap(err, "replica: compact node")
 	}
-	return errors.Wrap(l.config.Storage.Compact(), "replica: compact")
+	return errors.Wrap(l.config.Storage.Compact(), "replica: compact storage")
 }
--- a/process/replica/stability_bench_test.go
+++ b/process/replica/stability_bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkStability counts the elections of a group that nothing happens to but
-// load by 64 proposers, on the machine as it is.
+// BenchmarkStability counts the elections of a group under the load of 64 proposers and
+// without injected faults. The result depends on the machine's other load.
 func BenchmarkStability(b *testing.B) {
 	for _, timeout := range []time.Duration{300 * time.Millisecond, 500 * time.Millisecond, time.Second} {
 		b.Run(fmt.Sprintf("election=%v", timeout), func(b *testing.B) {
--- a/process/replica/storage.go
+++ b/process/replica/storage.go
@@ -8,37 +8,36 @@
 	"github.com/pkg/errors"
 )
 
-// Update is what one Ready wants stored.
+// Update is the state of one raft.Ready that has to be stored.
 type Update struct {
-	HardState *raft.HardState // nil when unchanged
-	// Snapshot is a received one that replaces the whole log; nil when there is
-	// none.
+	HardState *raft.HardState // nil if unchanged
+	// Snapshot is a received snapshot that replaces the whole log, or nil.
 	Snapshot *raft.Snapshot
 	Entries  []raft.Entry
-	// MustSync is false when losing the update in a crash is harmless.
+	// MustSync is false if losing the update in a crash is harmless.
 	MustSync bool
 }
 
-// Storage keeps a member's durable state. SaveSnapshot may be called beside the
-// other methods, which are called by one goroutine at a time.
+// Storage stores a member's durable state. SaveSnapshot may be called concurrently
+// with the other methods, which are never called concurrently with each other.
 type Storage interface {
-	// Load returns what is stored.
+	// Load returns the stored state.
 	Load() (raft.InitialState, error)
-	// Bootstrap stores the configuration that a new group starts with.
+	// Bootstrap stores the initial configuration of a new group.
 	Bootstrap(configuration raft.Configuration) error
-	// Save returns when the update is durable. After an error the storage must
-	// not be used any more.
+	// Save makes the update durable before it returns, unless MustSync is false.
+	// After an error the storage must no longer be used.
 	Save(update Update) error
 	// SaveSnapshot makes a snapshot of applied entries durable.
 	SaveSnapshot(snapshot raft.Snapshot) error
-	// Compact reclaims the space of entries that no kept snapshot needs.
+	// Compact reclaims the space of entries that no retained snapshot needs.
 	Compact() error
-	// Close ends the use of the storage.
+	// Close releases the storage.
 	Close() error
 }
 
-// Memory is a Storage that lasts as long as the value does. Closing it changes
-// nothing, so a member can be started on it again. It is for tests and emulation.
+// Memory is a Storage in memory, for tests and emulation. Close has no effect, so a
+// member can be restarted with the same Memory.
 type Memory struct {
 	mutex sync.Mutex
 	state raft.InitialState
@@ -89,7 +88,7 @@
 		first = m.state.Entries[0].Index
 	}
 	if entries[0].Index < first || entries[0].Index > first+uint64(len(m.state.Entries)) {
-		return errors.Errorf("replica: entry %d does not follow the stored ones", entries[0].Index)
+		return errors.Errorf("replica: entry %d does not follow the stored entries", entries[0].Index)
 	}
 	kept := m.state.Entries[:entries[0].Index-first]
 	m.state.Entries = append(slices.Clip(kept), entries...)
