--- a/process/relay/group_test.go
+++ b/process/relay/group_test.go
@@ -23,7 +23,7 @@
 	groupLease = 2 * time.Second
 	relayLease = 800 * time.Millisecond
 	testBeat   = 100 * time.Millisecond
-	// waitTimeout bounds every wait; no test depends on its length.
+	// waitTimeout bounds every wait; no test measures it.
 	waitTimeout = 20 * time.Second
 )
 
@@ -114,7 +114,7 @@
 	g.demandReports = append(g.demandReports, report)
 }
 
-func (g *leaderGroup) requestedTotal() float64 {
+func (g *leaderGroup) totalRequests() float64 {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	sum := 0.0
--- a/process/relay/relay_test.go
+++ b/process/relay/relay_test.go
@@ -61,8 +61,8 @@
 	for range 3 {
 		must.True(t, client.ReportDemand(feed.DemandReport{Window: time.Second, Demands: []feed.Demand{{Intent: "i", Class: "c", Requests: 5}}}))
 	}
-	eventually(t, "the demand has reached the leader", func() bool { return f.group.requestedTotal() >= 15 })
-	must.Eq(t, 15.0, f.group.requestedTotal())
+	eventually(t, "the demand has reached the leader", func() bool { return f.group.totalRequests() >= 15 })
+	must.Eq(t, 15.0, f.group.totalRequests())
 }
 
 func TestRelayStopsServingWithoutTheControlGroup(t *testing.T) {
--- a/process/replica/bench_test.go
+++ b/process/replica/bench_test.go
@@ -18,15 +18,15 @@
 
 // testProcess is a member that runs as in a daemon: on a disk and over TCP.
 type testProcess struct {
-	id        raft.MemberID
-	dir       string
-	address   string
-	transport *peer.Transport
-	machine   *history
-	replica   *Replica
-	running   atomic.Pointer[Replica]
-	joins     bool // joins an existing group
-	sentBytes atomic.Int64
+	id           raft.MemberID
+	dir          string
+	address      string
+	transport    *peer.Transport
+	stateMachine *history
+	replica      *Replica
+	running      atomic.Pointer[Replica]
+	joins        bool // joins an existing group
+	sentBytes    atomic.Int64
 }
 
 // Send sends the messages and counts their encoded size.
@@ -50,11 +50,11 @@
 	t         testing.TB
 	processes []*testProcess
 	bootstrap raft.Configuration
-	adjust    func(*Config)
+	configure func(*Config)
 }
 
-func newProcessGroup(t testing.TB, size int, adjust func(*Config)) *processGroup {
-	g := &processGroup{t: t, adjust: adjust}
+func newProcessGroup(t testing.TB, size int, configure func(*Config)) *processGroup {
+	g := &processGroup{t: t, configure: configure}
 	for range size {
 		p := g.newProcess()
 		g.bootstrap.Voters = append(g.bootstrap.Voters, p.id)
@@ -126,18 +126,18 @@
 func (g *processGroup) start(p *testProcess) {
 	disk, err := OpenDisk(DiskOptions{Dir: p.dir, Group: testGroup})
 	must.NoError(g.t, err)
-	p.machine = &history{}
+	p.stateMachine = &history{}
 	config := Config{
 		Raft:         raft.Config{ID: p.id, Seed: uint64(p.id)},
 		Storage:      disk,
 		Transport:    p,
-		StateMachine: p.machine,
+		StateMachine: p.stateMachine,
 	}
 	if !p.joins {
 		config.Bootstrap = g.bootstrap
 	}
-	if g.adjust != nil {
-		g.adjust(&config)
+	if g.configure != nil {
+		g.configure(&config)
 	}
 	p.transport.SetPeers(g.addresses())
 	p.replica, err = Start(config)
--- a/process/replica/disk_test.go
+++ b/process/replica/disk_test.go
@@ -64,7 +64,7 @@
 	return filepath.Join(testDir, fmt.Sprintf("%016x-%016x.snap", index, term))
 }
 
-func flip(content []byte) []byte {
+func flipBit(content []byte) []byte {
 	content[len(content)/2] ^= 1
 	return content
 }
@@ -97,7 +97,7 @@
 		snapshotAndCompact(t, disk, index)
 	}
 	must.NoError(t, disk.Close())
-	fileSystem.Edit(snapshotPath(2, 60), flip)
+	fileSystem.Edit(snapshotPath(2, 60), flipBit)
 	disk, initial := mustOpen(t, fileSystem)
 	must.Eq(t, 1, disk.Recovery().DamagedSnapshots)
 	must.Eq(t, 40, initial.Snapshot.Index)
@@ -106,7 +106,7 @@
 	snapshotAndCompact(t, disk, 70)
 	must.NoError(t, disk.Close())
 	// The corrupt file must not count as one of the two snapshots kept.
-	fileSystem.Edit(snapshotPath(2, 70), flip)
+	fileSystem.Edit(snapshotPath(2, 70), flipBit)
 	_, initial = mustOpen(t, fileSystem)
 	must.Eq(t, 40, initial.Snapshot.Index)
 	must.Eq(t, 70, initial.Entries[len(initial.Entries)-1].Index)
@@ -117,14 +117,14 @@
 		"both damaged": func(t *testing.T, disk *Disk, fileSystem *faultfs.FileSystem) {
 			snapshotAndCompact(t, disk, 20)
 			snapshotAndCompact(t, disk, 40)
-			fileSystem.Edit(snapshotPath(2, 20), flip)
-			fileSystem.Edit(snapshotPath(2, 40), flip)
+			fileSystem.Edit(snapshotPath(2, 20), flipBit)
+			fileSystem.Edit(snapshotPath(2, 40), flipBit)
 		},
 		"log restarted after the newest": func(t *testing.T, disk *Disk, fileSystem *faultfs.FileSystem) {
 			snapshotAndCompact(t, disk, 20)
 			received := snapshotAt(2, 100)
 			must.NoError(t, disk.Save(Update{Snapshot: &received, MustSync: true}))
-			fileSystem.Edit(snapshotPath(2, 100), flip)
+			fileSystem.Edit(snapshotPath(2, 100), flipBit)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -143,12 +143,12 @@
 	fileSystem := faultfs.New(1)
 	disk, _ := mustOpen(t, fileSystem)
 	save(t, disk, 1, 5)
-	early, err := fileSystem.ReadFile(filepath.Join(testDir, fmt.Sprintf("%016x.wal", 1)))
+	earlierLog, err := fileSystem.ReadFile(filepath.Join(testDir, fmt.Sprintf("%016x.wal", 1)))
 	must.NoError(t, err)
 	save(t, disk, 6, 8)
 	must.NoError(t, disk.SaveSnapshot(snapshotAt(2, 8)))
 	must.NoError(t, disk.Close())
-	fileSystem.Edit(filepath.Join(testDir, fmt.Sprintf("%016x.wal", 1)), func([]byte) []byte { return early })
+	fileSystem.Edit(filepath.Join(testDir, fmt.Sprintf("%016x.wal", 1)), func([]byte) []byte { return earlierLog })
 	_, err = openDisk(fileSystem)
 	must.ErrorIs(t, err, wal.ErrLostLog)
 	must.NoError(t, DiscardDisk(fileSystem, testDir))
--- a/process/replica/group_test.go
+++ b/process/replica/group_test.go
@@ -113,11 +113,11 @@
 
 // member is one replica of a group, with the file system that survives its restarts.
 type member struct {
-	id         raft.MemberID
-	fileSystem *faultfs.FileSystem
-	stall      atomic.Int64 // nanoseconds that the next Save hangs
-	machine    *history
-	replica    *Replica
+	id           raft.MemberID
+	fileSystem   *faultfs.FileSystem
+	stall        atomic.Int64 // nanoseconds that the next Save hangs
+	stateMachine *history
+	replica      *Replica
 }
 
 // stallingStorage delays Save by the member's stall, to simulate a hanging disk.
@@ -137,11 +137,11 @@
 	network   *network
 	members   []*member
 	bootstrap raft.Configuration
-	adjust    func(*Config)
+	configure func(*Config)
 }
 
-func newGroup(t must.T, size int, adjust func(*Config)) *group {
-	g := &group{t: t, network: &network{members: make(map[raft.MemberID]*Replica)}, adjust: adjust}
+func newGroup(t must.T, size int, configure func(*Config)) *group {
+	g := &group{t: t, network: &network{members: make(map[raft.MemberID]*Replica)}, configure: configure}
 	for seed := range uint64(size) {
 		m := g.newMember(seed)
 		g.members = append(g.members, m)
@@ -166,16 +166,16 @@
 func (g *group) start(m *member, bootstrap raft.Configuration) {
 	disk, err := openDisk(m.fileSystem)
 	must.NoError(g.t, err)
-	m.machine = &history{}
+	m.stateMachine = &history{}
 	config := Config{
 		Raft:         raft.Config{ID: m.id, Seed: 7},
 		Storage:      stallingStorage{Storage: disk, member: m},
 		Transport:    g.network,
-		StateMachine: m.machine,
+		StateMachine: m.stateMachine,
 		Bootstrap:    bootstrap,
 	}
-	if g.adjust != nil {
-		g.adjust(&config)
+	if g.configure != nil {
+		g.configure(&config)
 	}
 	started, err := Start(config)
 	must.NoError(g.t, err)
@@ -226,9 +226,9 @@
 // waitEqual waits until all members have applied the same commands.
 func (g *group) waitEqual(members ...*member) {
 	for range 1000 {
-		first := members[0].machine.copy()
+		first := members[0].stateMachine.copy()
 		same := !slices.ContainsFunc(members[1:], func(m *member) bool {
-			return !slices.EqualFunc(first, m.machine.copy(), bytes.Equal)
+			return !slices.EqualFunc(first, m.stateMachine.copy(), bytes.Equal)
 		})
 		if same {
 			return
@@ -290,7 +290,7 @@
 		_, err = g.leader().replica.Propose(t.Context(), []byte("kept"))
 		must.NoError(t, err)
 		g.waitEqual(g.members...)
-		must.False(t, old.machine.contains("lost"))
+		must.False(t, old.stateMachine.contains("lost"))
 	})
 }
 
--- a/process/replica/loop.go
+++ b/process/replica/loop.go
@@ -272,14 +272,14 @@
 // term that it led before: another leader decides whether its proposals are committed.
 func (l *loop) checkLeadershipLost() {
 	status := l.node.Status()
-	led := uint64(0)
+	leaderTerm := uint64(0)
 	if status.Role == raft.Leader {
-		led = status.Term
+		leaderTerm = status.Term
 	}
-	if l.leaderTerm != 0 && l.leaderTerm != led {
+	if l.leaderTerm != 0 && l.leaderTerm != leaderTerm {
 		l.failPending(&NotLeaderError{Leader: status.Leader})
 	}
-	l.leaderTerm = led
+	l.leaderTerm = leaderTerm
 }
 
 // failPending fails all pending requests. Proposals may be in the logs of other
--- a/process/replica/loop_test.go
+++ b/process/replica/loop_test.go
@@ -40,7 +40,7 @@
 		must.NoError(t, <-handedOver)
 		must.Eq(t, target, g.leader(old))
 		g.waitEqual(g.members...)
-		must.False(t, old.machine.contains("too late"))
+		must.False(t, old.stateMachine.contains("too late"))
 	})
 }
 
@@ -119,9 +119,9 @@
 
 func (o *outbox) Send(messages []raft.Message) { o.sent = append(o.sent, messages...) }
 
-// votes returns the messages sent except the member's own pre-votes, which are not
+// withoutPreVotes returns the messages sent except the member's own pre-votes, which are not
 // binding.
-func (o *outbox) votes() []raft.Message {
+func (o *outbox) withoutPreVotes() []raft.Message {
 	return slices.DeleteFunc(slices.Clone(o.sent), func(m raft.Message) bool { return m.Kind == raft.MessagePreVote })
 }
 
@@ -137,11 +137,11 @@
 			l.replica.Receive(raft.Message{Kind: raft.MessageVote, From: 2, To: 1, Term: 1})
 			if name == "durable" {
 				must.NoError(t, l.step())
-				must.Eq(t, []raft.Message{{Kind: raft.MessageVoteReply, From: 1, To: 2, Term: 1}}, sent.votes())
+				must.Eq(t, []raft.Message{{Kind: raft.MessageVoteReply, From: 1, To: 2, Term: 1}}, sent.withoutPreVotes())
 				return
 			}
 			must.ErrorIs(t, l.step(), faultfs.ErrFull)
-			must.SliceEmpty(t, sent.votes())
+			must.SliceEmpty(t, sent.withoutPreVotes())
 		})
 	}
 }
--- a/process/replica/oracle_test.go
+++ b/process/replica/oracle_test.go
@@ -19,12 +19,12 @@
 // proposal, with which the group's final state must agree.
 type simulation struct {
 	*group
-	proposals  sync.WaitGroup
-	mutex      sync.Mutex
-	answers    map[string]answer
-	staleReads []string // acknowledged commands that a later read missed
-	reads      int
-	count      int
+	proposals    sync.WaitGroup
+	mutex        sync.Mutex
+	answers      map[string]answer
+	staleReads   []string // acknowledged commands that a later read missed
+	readCount    int
+	commandCount int
 }
 
 // answer is the result of a proposal: its position in the history, or an error.
@@ -53,8 +53,8 @@
 }
 
 func (w *simulation) nextCommand() string {
-	w.count++
-	return fmt.Sprint("command ", w.count)
+	w.commandCount++
+	return fmt.Sprint("command ", w.commandCount)
 }
 
 func (w *simulation) record(command string, result Result, err error) {
@@ -87,11 +87,11 @@
 		if m.replica.Status().Role != raft.Leader {
 			continue
 		}
-		replica, machine := m.replica, m.machine
+		replica, machine := m.replica, m.stateMachine
 		w.proposals.Go(func() {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 			defer cancel()
-			before := w.acknowledged()
+			before := w.acknowledgedCommands()
 			ask := replica.ReadIndex
 			if byLease {
 				ask = replica.LeaseRead
@@ -103,7 +103,7 @@
 	}
 }
 
-func (w *simulation) acknowledged() []string {
+func (w *simulation) acknowledgedCommands() []string {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	var commands []string
@@ -119,7 +119,7 @@
 	missing := slices.DeleteFunc(acknowledged, machine.contains)
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.reads++
+	w.readCount++
 	w.staleReads = append(w.staleReads, missing...)
 }
 
@@ -194,7 +194,7 @@
 func (w *simulation) verify(t *rapid.T) {
 	must.SliceEmpty(t, w.staleReads, must.Sprint("a read missed commands acknowledged before it"))
 	places := make(map[string][]int)
-	for i, command := range w.members[0].machine.copy() {
+	for i, command := range w.members[0].stateMachine.copy() {
 		places[string(command)] = append(places[string(command)], i+1)
 	}
 	for command, answer := range w.answers {
@@ -204,7 +204,7 @@
 		case errors.Is(answer.err, ErrOutcomeUnknown):
 			must.LessEq(t, 1, len(places[command]), must.Sprint(command, " had an unknown outcome"))
 		default:
-			must.Eq(t, 0, len(places[command]), must.Sprint(command, " was refused: ", answer.err))
+			must.Eq(t, 0, len(places[command]), must.Sprint(command, " was rejected: ", answer.err))
 		}
 	}
 }
@@ -214,7 +214,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		// Hides the Deadline method, because a test in virtual time has no deadline.
 		rapid.Check(struct{ testing.TB }{t}, func(t *rapid.T) {
-			w := &simulation{group: newGroup(t, 3, smallSnapshots), answers: make(map[string]answer)}
+			w := &simulation{group: newGroup(t, 3, frequentSnapshots), answers: make(map[string]answer)}
 			defer w.stopAll()
 			w.leader()
 			t.Repeat(map[string]func(*rapid.T){
@@ -254,7 +254,7 @@
 			outcomes[errors.Cause(answer.err).Error()]++
 		}
 	}
-	outcomes["reads"] += w.reads
+	outcomes["reads"] += w.readCount
 	for _, m := range w.members {
 		if len(w.fileNames(m, ".snap")) > 1 { // the first one is from Bootstrap
 			outcomes["snapshots"]++
--- a/process/replica/recovery_test.go
+++ b/process/replica/recovery_test.go
@@ -48,14 +48,14 @@
 	return rest
 }
 
-func smallSnapshots(config *Config) {
+func frequentSnapshots(config *Config) {
 	config.SnapshotEntries = 20
 	config.Raft.RetainedEntries = 5
 }
 
 func TestGroupSurvivesTheCrashOfEachMember(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newGroup(t, 3, smallSnapshots)
+		g := newGroup(t, 3, frequentSnapshots)
 		defer g.stopAll()
 		for round := range 3 {
 			leader := g.leader()
@@ -66,13 +66,13 @@
 			g.restart(leader)
 			g.waitEqual(g.members...)
 		}
-		must.Eq(t, 90, len(g.members[0].machine.copy()))
+		must.Eq(t, 90, len(g.members[0].stateMachine.copy()))
 	})
 }
 
 func TestWholeGroupRestarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newGroup(t, 3, smallSnapshots)
+		g := newGroup(t, 3, frequentSnapshots)
 		defer g.stopAll()
 		g.proposeMany("first", 70)
 		for _, m := range g.members {
@@ -84,13 +84,13 @@
 		}
 		g.propose("after")
 		g.waitEqual(g.members...)
-		must.Eq(t, 71, len(g.members[0].machine.copy()))
+		must.Eq(t, 71, len(g.members[0].stateMachine.copy()))
 	})
 }
 
 func TestLaggingMemberGetsASnapshot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newGroup(t, 3, smallSnapshots)
+		g := newGroup(t, 3, frequentSnapshots)
 		defer g.stopAll()
 		lagging := g.others(g.leader())[0]
 		g.network.isolate(lagging.id)
@@ -111,7 +111,7 @@
 // vote, then, once it has caught up, as a voter. The lost member is removed.
 func TestMemberWithALostDiskReturnsUnderANewIdentity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newGroup(t, 3, smallSnapshots)
+		g := newGroup(t, 3, frequentSnapshots)
 		defer g.stopAll()
 		g.proposeMany("before", 50)
 		lost := g.others(g.leader())[0]
--- a/process/replica/request.go
+++ b/process/replica/request.go
@@ -19,7 +19,7 @@
 	ErrOutcomeUnknown = errors.New("replica: outcome unknown")
 	// ErrWithdrawn means that the context ended before the request was appended to
 	// the log. It will never be appended.
-	ErrWithdrawn = errors.New("replica: withdrawn before it was proposed")
+	ErrWithdrawn = errors.New("replica: given up before it was proposed")
 	// ErrOverloaded means that the request was rejected because too many requests are
 	// pending.
 	ErrOverloaded = errors.New("replica: overloaded")
@@ -41,7 +41,7 @@
 
 // Error implements error.
 func (e *NotLeaderError) Error() string {
-	return fmt.Sprintf("replica: not the leader; the leader is %x", uint64(e.Leader))
+	return fmt.Sprintf("replica: not the leader, which is %x", uint64(e.Leader))
 }
 
 // Is makes errors.Is(err, ErrNotLeader) true.
--- a/process/snap/snap_test.go
+++ b/process/snap/snap_test.go
@@ -15,7 +15,7 @@
 
 const testDir = "member"
 
-func reachesAll(uint64) bool { return true }
+func holdsAllEntries(uint64) bool { return true }
 
 func snapshotAt(index uint64) raft.Snapshot {
 	return raft.Snapshot{
@@ -46,7 +46,7 @@
 	t.Helper()
 	store, err := snap.Open(fileSystem, testDir)
 	must.NoError(t, err)
-	return store.Load(reachesAll)
+	return store.Load(holdsAllEntries)
 }
 
 func TestLastTwoSnapshotsAreKept(t *testing.T) {
--- a/process/wal/faultfs/faultfs.go
+++ b/process/wal/faultfs/faultfs.go
@@ -261,7 +261,7 @@
 	}
 	node := &inode{}
 	f.applyChange(directoryChange{added: name, node: node})
-	return &file{system: f, node: node, bootCount: f.bootCount}, nil
+	return &file{fileSystem: f, node: node, bootCount: f.bootCount}, nil
 }
 
 // Append implements wal.FileSystem.
@@ -272,7 +272,7 @@
 	if node == nil {
 		return nil, errors.Wrap(fs.ErrNotExist, name)
 	}
-	return &file{system: f, node: node, bootCount: f.bootCount}, nil
+	return &file{fileSystem: f, node: node, bootCount: f.bootCount}, nil
 }
 
 // Rename implements wal.FileSystem.
@@ -312,47 +312,47 @@
 		return nil, errors.Wrap(wal.ErrLocked, dir)
 	}
 	f.locked[dir] = true
-	return &lock{system: f, dir: dir, bootCount: f.bootCount}, nil
+	return &lock{fileSystem: f, dir: dir, bootCount: f.bootCount}, nil
 }
 
 type lock struct {
-	system    *FileSystem
-	dir       string
-	bootCount int
+	fileSystem *FileSystem
+	dir        string
+	bootCount  int
 }
 
 func (l *lock) Close() error {
-	l.system.mutex.Lock()
-	defer l.system.mutex.Unlock()
-	if l.bootCount == l.system.bootCount {
-		delete(l.system.locked, l.dir)
+	l.fileSystem.mutex.Lock()
+	defer l.fileSystem.mutex.Unlock()
+	if l.bootCount == l.fileSystem.bootCount {
+		delete(l.fileSystem.locked, l.dir)
 	}
 	return nil
 }
 
 // file is an open file.
 type file struct {
-	system    *FileSystem
-	node      *inode
-	bootCount int
+	fileSystem *FileSystem
+	node       *inode
+	bootCount  int
 }
 
 func (o *file) beginOperation() error {
-	if o.bootCount != o.system.bootCount {
+	if o.bootCount != o.fileSystem.bootCount {
 		return ErrPower
 	}
-	return o.system.beginOperation()
+	return o.fileSystem.beginOperation()
 }
 
 // Write appends data; if it exceeds the capacity, only the part that fits is
 // written.
 func (o *file) Write(data []byte) (int, error) {
-	o.system.mutex.Lock()
-	defer o.system.mutex.Unlock()
+	o.fileSystem.mutex.Lock()
+	defer o.fileSystem.mutex.Unlock()
 	if err := o.beginOperation(); err != nil {
 		return 0, err
 	}
-	fitting := o.system.writableBytes(len(data))
+	fitting := o.fileSystem.writableBytes(len(data))
 	written := slices.Clone(data[:fitting])
 	o.node.pending = append(o.node.pending, pendingWrite{offset: len(o.node.visible), data: written})
 	o.node.visible = append(o.node.visible, written...)
@@ -377,15 +377,15 @@
 // Sync makes the pending writes durable. If it fails, they stay readable but are
 // never made durable, not even by a later sync.
 func (o *file) Sync() error {
-	o.system.mutex.Lock()
-	defer o.system.mutex.Unlock()
+	o.fileSystem.mutex.Lock()
+	defer o.fileSystem.mutex.Unlock()
 	if err := o.beginOperation(); err != nil {
 		return err
 	}
 	pending := o.node.pending
 	o.node.pending = nil
-	if o.system.failingSyncs > 0 {
-		o.system.failingSyncs--
+	if o.fileSystem.failingSyncs > 0 {
+		o.fileSystem.failingSyncs--
 		return ErrSync
 	}
 	for _, write := range pending {
--- a/process/wal/fuzz_test.go
+++ b/process/wal/fuzz_test.go
@@ -13,17 +13,17 @@
 
 // Sizes in bytes of a segment's preamble and of a record header.
 const (
-	preamble     = 16
-	recordHeader = 9
+	preambleSize     = 16
+	recordHeaderSize = 9
 )
 
-// payloads returns the payloads of a segment's records.
-func payloads(content []byte) [][]byte {
+// recordPayloads returns the payloads of a segment's records.
+func recordPayloads(content []byte) [][]byte {
 	var all [][]byte
-	for rest := content[preamble:]; len(rest) > 0; {
+	for rest := content[preambleSize:]; len(rest) > 0; {
 		length := int(rest[2])<<8 | int(rest[3])
-		all = append(all, rest[recordHeader:recordHeader+length])
-		rest = rest[recordHeader+length:]
+		all = append(all, rest[recordHeaderSize:recordHeaderSize+length])
+		rest = rest[recordHeaderSize+length:]
 	}
 	return all
 }
@@ -34,13 +34,13 @@
 func FuzzOpen(f *testing.F) {
 	fileSystem := faultfs.New(1)
 	log, _ := open(f, fileSystem)
-	fill(f, log, 2)
+	saveEntries(f, log, 2)
 	must.NoError(f, log.BeginInstall(1, 9))
 	must.NoError(f, log.Reset(1, 9))
 	must.NoError(f, log.Close())
 	whole, err := fileSystem.ReadFile(segmentPath(1))
 	must.NoError(f, err)
-	for _, payload := range payloads(whole) {
+	for _, payload := range recordPayloads(whole) {
 		for kind := range uint8(7) {
 			f.Add(kind, payload, []byte{})
 		}
@@ -49,7 +49,7 @@
 	f.Fuzz(func(t *testing.T, kind uint8, payload, tail []byte) {
 		fileSystem := faultfs.New(1)
 		log, _ := open(t, fileSystem)
-		fill(t, log, 3)
+		saveEntries(t, log, 3)
 		must.NoError(t, log.Close())
 		fileSystem.Edit(segmentPath(1), func(content []byte) []byte {
 			return append(wal.AppendRecord(content, kind, payload), tail...)
@@ -76,19 +76,19 @@
 func FuzzIdentity(f *testing.F) {
 	fileSystem := faultfs.New(1)
 	log, _ := open(f, fileSystem)
-	fill(f, log, 1)
+	saveEntries(f, log, 1)
 	must.NoError(f, log.Close())
 	identity, err := fileSystem.ReadFile(filepath.Join(testDir, "identity"))
 	must.NoError(f, err)
 	segment, err := fileSystem.ReadFile(segmentPath(1))
 	must.NoError(f, err)
 	f.Add(identity, segment)
-	f.Add(identity, segment[:preamble])
+	f.Add(identity, segment[:preambleSize])
 	f.Add([]byte{}, []byte{})
 	f.Fuzz(func(t *testing.T, identity, segment []byte) {
 		fileSystem := faultfs.New(1)
 		log, _ := open(t, fileSystem)
-		fill(t, log, 1)
+		saveEntries(t, log, 1)
 		must.NoError(t, log.Close())
 		fileSystem.Edit(filepath.Join(testDir, "identity"), func([]byte) []byte { return identity })
 		fileSystem.Edit(segmentPath(1), func([]byte) []byte { return segment })
--- a/process/wal/recovery.go
+++ b/process/wal/recovery.go
@@ -98,8 +98,8 @@
 		if content.sealed() && !content.torn() {
 			continue
 		}
-		unsealed := i == last-1 && len(contents[last].records) == 0 && content.size-content.valid <= sealSize
-		if !unsealed {
+		tornSeal := i == last-1 && len(contents[last].records) == 0 && content.size-content.valid <= sealSize
+		if !tornSeal {
 			return errors.Wrapf(ErrCorrupt, "segment %s: invalid record at offset %d", content.name, content.valid)
 		}
 	}
--- a/process/wal/save.go
+++ b/process/wal/save.go
@@ -105,12 +105,13 @@
 	return nil
 }
 
-// rotate creates the next segment and then seals the current one. Since the next
-// segment exists before the seal is written, a last segment that is sealed proves
-// that a segment was lost.
+// rotate creates the next segment and then seals the current one. The next segment
+// exists before the seal is written, so a last segment that is sealed proves that a
+// segment was lost. It gets records only after the seal is durable, so an unsealed
+// segment before one with records is corrupt.
 func (l *Log) rotate() error {
 	next := l.current.sequence + 1
-	created, err := createSegment(l.fileSystem, l.dir, start{
+	newSegment, err := createSegment(l.fileSystem, l.dir, start{
 		identity:       l.identity,
 		sequence:       next,
 		last:           l.last,
@@ -121,14 +122,14 @@
 		return err
 	}
 	if err := l.current.append(record{kind: recordSeal, payload: encodeSeal(next)}); err != nil {
-		created.file.Close()
+		newSegment.file.Close()
 		return err
 	}
 	if err := l.current.file.Close(); err != nil {
-		created.file.Close()
+		newSegment.file.Close()
 		return errors.WithStack(err)
 	}
-	l.current = created
+	l.current = newSegment
 	l.segments = append(l.segments, segmentInfo{sequence: next})
 	return nil
 }
--- a/process/wal/wal_test.go
+++ b/process/wal/wal_test.go
@@ -47,8 +47,8 @@
 	return raft.Entry{Term: term, Index: index, Data: data}
 }
 
-// fill saves entries 1 to last of 100 bytes each, one per Save.
-func fill(t must.T, log *wal.Log, last uint64) {
+// saveEntries saves entries 1 to last of 100 bytes each, one per Save.
+func saveEntries(t must.T, log *wal.Log, last uint64) {
 	t.Helper()
 	for index := uint64(1); index <= last; index++ {
 		must.NoError(t, log.Save(&raft.HardState{Term: 1, Vote: 3, Commit: index - 1}, []raft.Entry{entry(1, index, 100)}))
@@ -62,7 +62,7 @@
 func TestLogKeepsWhatWasSaved(t *testing.T) {
 	fileSystem := faultfs.New(1)
 	log, first := open(t, fileSystem)
-	fill(t, log, 50)
+	saveEntries(t, log, 50)
 	must.NoError(t, log.Close())
 	_, second := open(t, fileSystem)
 	must.Eq(t, first.Identity, second.Identity)
@@ -74,7 +74,7 @@
 func TestLogReplacesDivergingEntries(t *testing.T) {
 	fileSystem := faultfs.New(1)
 	log, _ := open(t, fileSystem)
-	fill(t, log, 30)
+	saveEntries(t, log, 30)
 	must.NoError(t, log.Save(nil, []raft.Entry{entry(2, 11, 10), entry(2, 12, 10)}))
 	must.NoError(t, log.Close())
 	_, recovered := open(t, fileSystem)
@@ -85,7 +85,7 @@
 
 func TestSaveRejectsIndexGaps(t *testing.T) {
 	log, _ := open(t, faultfs.New(1))
-	fill(t, log, 2)
+	saveEntries(t, log, 2)
 	must.Error(t, log.Save(nil, []raft.Entry{entry(1, 4, 10)}))
 	must.NoError(t, log.Save(nil, []raft.Entry{entry(1, 3, 10)}))
 }
@@ -100,7 +100,7 @@
 		t.Run(name, func(t *testing.T) {
 			fileSystem := faultfs.New(1)
 			log, _ := open(t, fileSystem)
-			fill(t, log, 5)
+			saveEntries(t, log, 5)
 			must.NoError(t, log.Close())
 			fileSystem.Edit(segmentPath(1), func(content []byte) []byte { return append(content, tail...) })
 			log, recovered := open(t, fileSystem)
@@ -120,7 +120,7 @@
 func TestRecordBytesInsideATornEntryAreNotALaterRecord(t *testing.T) {
 	fileSystem := faultfs.New(1)
 	log, _ := open(t, fileSystem)
-	fill(t, log, 3)
+	saveEntries(t, log, 3)
 	content, err := fileSystem.ReadFile(segmentPath(1))
 	must.NoError(t, err)
 	must.NoError(t, log.Save(nil, []raft.Entry{{Term: 1, Index: 4, Data: content}}))
@@ -133,7 +133,7 @@
 func TestDamageInTheMiddleIsAnError(t *testing.T) {
 	pristine := faultfs.New(1)
 	log, _ := open(t, pristine)
-	fill(t, log, 60)
+	saveEntries(t, log, 60)
 	must.NoError(t, log.Close())
 	content, err := pristine.ReadFile(segmentPath(2))
 	must.NoError(t, err)
@@ -150,7 +150,7 @@
 func TestDamageBeforeGoodRecordsOfTheLastSegmentIsAnError(t *testing.T) {
 	fileSystem := faultfs.New(1)
 	log, _ := open(t, fileSystem)
-	fill(t, log, 5)
+	saveEntries(t, log, 5)
 	must.NoError(t, log.Close())
 	fileSystem.Edit(segmentPath(1), func(c []byte) []byte { c[len(c)/2] ^= 1; return c })
 	_, _, err := tryOpen(fileSystem)
@@ -174,7 +174,7 @@
 		t.Run(name, func(t *testing.T) {
 			fileSystem := faultfs.New(1)
 			log, before := open(t, fileSystem)
-			fill(t, log, 60)
+			saveEntries(t, log, 60)
 			must.NoError(t, log.Close())
 			names, err := fileSystem.List(testDir)
 			must.NoError(t, err)
@@ -193,7 +193,7 @@
 	own, other := faultfs.New(1), faultfs.New(2)
 	for _, fileSystem := range []*faultfs.FileSystem{own, other} {
 		log, _ := open(t, fileSystem)
-		fill(t, log, 5)
+		saveEntries(t, log, 5)
 		must.NoError(t, log.Close())
 	}
 	foreign, err := other.ReadFile(segmentPath(1))
@@ -206,7 +206,7 @@
 func TestDamagedIdentityIsAnError(t *testing.T) {
 	fileSystem := faultfs.New(1)
 	log, _ := open(t, fileSystem)
-	fill(t, log, 1)
+	saveEntries(t, log, 1)
 	must.NoError(t, log.Close())
 	name := filepath.Join(testDir, "identity")
 	content, err := fileSystem.ReadFile(name)
@@ -246,7 +246,7 @@
 	fileSystem := faultfs.New(1)
 	log, _ := open(t, fileSystem)
 	must.NoError(t, log.BeginInstall(1, 500))
-	fill(t, log, 60)
+	saveEntries(t, log, 60)
 	must.NoError(t, log.Compact(50))
 	must.NoError(t, log.Close())
 	_, recovered := open(t, fileSystem)
@@ -259,7 +259,7 @@
 	log, _ := open(t, fileSystem)
 	empty, err := fileSystem.ReadFile(segmentPath(1))
 	must.NoError(t, err)
-	fill(t, log, 2)
+	saveEntries(t, log, 2)
 	must.NoError(t, log.Close())
 	fileSystem.Edit(segmentPath(1), func(c []byte) []byte { return c[:len(empty)] })
 	_, _, err = tryOpen(fileSystem)
@@ -269,7 +269,7 @@
 func TestFailedSyncMakesTheLogUnusable(t *testing.T) {
 	fileSystem := faultfs.New(1)
 	log, _ := open(t, fileSystem)
-	fill(t, log, 3)
+	saveEntries(t, log, 3)
 	fileSystem.FailSyncs(1)
 	must.ErrorIs(t, log.Save(nil, []raft.Entry{entry(1, 4, 10)}), faultfs.ErrSync)
 	must.ErrorIs(t, log.Save(nil, []raft.Entry{entry(1, 4, 10)}), wal.ErrUnusable)
@@ -282,7 +282,7 @@
 func TestEntriesReadAfterAFailedSyncAreDurable(t *testing.T) {
 	fileSystem := faultfs.New(1)
 	log, _ := open(t, fileSystem)
-	fill(t, log, 3)
+	saveEntries(t, log, 3)
 	fileSystem.FailSyncs(1)
 	must.ErrorIs(t, log.Save(nil, []raft.Entry{entry(1, 4, 10)}), faultfs.ErrSync)
 	fileSystem.Restart()
@@ -296,7 +296,7 @@
 func TestFullDiskMakesTheLogUnusable(t *testing.T) {
 	fileSystem := faultfs.New(1)
 	log, _ := open(t, fileSystem)
-	fill(t, log, 3)
+	saveEntries(t, log, 3)
 	content, err := fileSystem.ReadFile(segmentPath(1))
 	must.NoError(t, err)
 	fileSystem.SetCapacity(len(content) + 100)
@@ -311,7 +311,7 @@
 func TestCompactionRemovesWholeSegments(t *testing.T) {
 	fileSystem := faultfs.New(1)
 	log, _ := open(t, fileSystem)
-	fill(t, log, 100)
+	saveEntries(t, log, 100)
 	must.NoError(t, log.Compact(90))
 	must.NoError(t, log.Close())
 	log, recovered := open(t, fileSystem)
@@ -337,7 +337,7 @@
 	must.NoError(t, err)
 	_, _, err = wal.Open(options)
 	must.ErrorIs(t, err, wal.ErrLocked)
-	fill(t, log, 30)
+	saveEntries(t, log, 30)
 	must.NoError(t, log.Compact(10))
 	must.NoError(t, log.Close())
 	log, second, err := wal.Open(options)
