--- a/process/replica/group_test.go
+++ b/process/replica/group_test.go
@@ -100,10 +100,10 @@
 	}
 }
 
-func (n *network) setBlocked(cut func(from, to raft.MemberID) bool) {
+func (n *network) setBlocked(blocked func(from, to raft.MemberID) bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.blocked = cut
+	n.blocked = blocked
 }
 
 // isolate drops all messages from and to the member.
