--- a/process/metering/day.go
+++ b/process/metering/day.go
@@ -37,7 +37,7 @@
 // since the Unix epoch. sent and answered are the monotonic times of the request and of its
 // reply; the group's time was read at some moment between them. A reading with a larger
 // possible error than the current estimate is ignored.
-func (d *Day) Learn(sent, answered time.Duration, day int64) {
+func (d *Day) Learn(sent, answered time.Duration, unixMillis int64) {
 	roundTrip := answered - sent
 	if roundTrip < 0 {
 		return
@@ -48,7 +48,7 @@
 	if d.synchronized && roundTrip/2 > currentError {
 		return
 	}
-	d.offset = time.Duration(day)*time.Millisecond + roundTrip/2 - answered
+	d.offset = time.Duration(unixMillis)*time.Millisecond + roundTrip/2 - answered
 	d.synchronized, d.maxError, d.synchronizedAt = true, roundTrip/2, answered
 }
 
@@ -95,14 +95,14 @@
 
 // Note records the time, in milliseconds since the Unix epoch, that a machine has just
 // reported.
-func (a *Agreement) Note(machine string, day int64) {
-	if day <= 0 {
+func (a *Agreement) Note(machine string, unixMillis int64) {
+	if unixMillis <= 0 {
 		return
 	}
 	now := a.monotonic()
 	a.lock.Lock()
 	defer a.lock.Unlock()
-	a.readings[machine] = reading{offset: time.Duration(day)*time.Millisecond - now, at: now}
+	a.readings[machine] = reading{offset: time.Duration(unixMillis)*time.Millisecond - now, at: now}
 }
 
 // Now returns the agreed wall-clock time.
--- a/process/metering/metering_test.go
+++ b/process/metering/metering_test.go
@@ -56,14 +56,14 @@
 // The estimate of a process must be off by at most half a round trip.
 func TestJumpingMinorityDoesNotMoveGroupTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		monotonic, day := time.Duration(0), start
-		advance := func(by time.Duration) { monotonic += by; day = day.Add(by) }
+		monotonic, groupTime := time.Duration(0), start
+		advance := func(by time.Duration) { monotonic += by; groupTime = groupTime.Add(by) }
 		ownJump := time.Duration(0)
-		agreement := NewAgreement(func() time.Duration { return monotonic }, func() time.Time { return day.Add(ownJump) })
+		agreement := NewAgreement(func() time.Duration { return monotonic }, func() time.Time { return groupTime.Add(ownJump) })
 		machines := 2 * rapid.IntRange(2, 10).Draw(t, "half of the machines")
 		jumping := rapid.IntRange(0, machines/2-1).Draw(t, "those that jump")
 		proxyClock := 77 * time.Second
-		estimate := NewDay(func() time.Duration { return monotonic + proxyClock }, func() time.Time { return day.Add(time.Hour) })
+		estimate := NewDay(func() time.Duration { return monotonic + proxyClock }, func() time.Time { return groupTime.Add(time.Hour) })
 		for range 20 {
 			ownJump = time.Duration(rapid.IntRange(-5000, 5000).Draw(t, "own jump")) * time.Millisecond
 			for machine := range machines {
@@ -71,17 +71,17 @@
 				if machine < jumping {
 					jump = time.Duration(rapid.IntRange(-5000, 5000).Draw(t, "jump")) * time.Millisecond
 				}
-				agreement.Note(fmt.Sprint(machine), day.Add(jump).UnixMilli())
+				agreement.Note(fmt.Sprint(machine), groupTime.Add(jump).UnixMilli())
 			}
 			advance(medianInterval)
-			must.Between(t, -2*time.Millisecond, agreement.Now().Sub(day), 2*time.Millisecond)
+			must.Between(t, -2*time.Millisecond, agreement.Now().Sub(groupTime), 2*time.Millisecond)
 			toLeader, fromLeader := 3*time.Millisecond, time.Duration(rapid.IntRange(3, 40).Draw(t, "way back"))*time.Millisecond
 			sent := monotonic + proxyClock
 			advance(toLeader)
 			groupMillis := agreement.Now().UnixMilli()
 			advance(fromLeader)
 			estimate.Learn(sent, monotonic+proxyClock, groupMillis)
-			must.Between(t, -25*time.Millisecond, estimate.Now().Sub(day), 25*time.Millisecond)
+			must.Between(t, -25*time.Millisecond, estimate.Now().Sub(groupTime), 25*time.Millisecond)
 		}
 	})
 }
--- a/process/relay/config.go
+++ b/process/relay/config.go
@@ -53,7 +53,7 @@
 // has not acknowledged a version is granted no further lease. Its last lease ends
 // one lease later, so the control group waits at most a lease and a half for a
 // hanging daemon, less than the relay's own lease lasts.
-const floorIntervalDivisor = 4
+const ackTimeoutDivisor = 4
 
 func (c Config) withDefaults() Config {
 	c.Lease = cmp.Or(c.Lease, DefaultLease)
--- a/process/relay/demand.go
+++ b/process/relay/demand.go
@@ -36,17 +36,17 @@
 }
 
 // add adds a report that arrived from a daemon at time now.
-func (s *demandAggregator) add(daemon string, report feed.DemandReport, now time.Duration) {
-	s.lock.Lock()
-	defer s.lock.Unlock()
+func (a *demandAggregator) add(daemon string, report feed.DemandReport, now time.Duration) {
+	a.lock.Lock()
+	defer a.lock.Unlock()
 	for i := range report.Demands {
-		s.count(&report.Demands[i])
+		a.count(&report.Demands[i])
 	}
-	s.queues[daemon] = queueReport{at: now, demands: report.Demands}
+	a.queues[daemon] = queueReport{at: now, demands: report.Demands}
 }
 
-func (s *demandAggregator) count(offered *feed.Demand) {
-	sum := aggregateFor(s.counts, offered)
+func (a *demandAggregator) count(offered *feed.Demand) {
+	sum := aggregateFor(a.counts, offered)
 	sum.Requests += offered.Requests
 	sum.PromptTokens += offered.PromptTokens
 	sum.CachedPromptTokens += offered.CachedPromptTokens
@@ -69,17 +69,17 @@
 
 // report returns the sums since the last report that was sent. Queue lengths are
 // gauges: each daemon contributes its latest values until they expire.
-func (s *demandAggregator) report(now time.Duration) feed.DemandReport {
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	sums := make(map[demandKey]*feed.Demand, len(s.counts))
-	for key, counted := range s.counts {
+func (a *demandAggregator) report(now time.Duration) feed.DemandReport {
+	a.lock.Lock()
+	defer a.lock.Unlock()
+	sums := make(map[demandKey]*feed.Demand, len(a.counts))
+	for key, counted := range a.counts {
 		copied := *counted
 		sums[key] = &copied
 	}
-	for daemon, queue := range s.queues {
+	for daemon, queue := range a.queues {
 		if now-queue.at > queueReportTTL {
-			delete(s.queues, daemon)
+			delete(a.queues, daemon)
 			continue
 		}
 		for i := range queue.demands {
@@ -88,7 +88,7 @@
 			sum.QueuedPromptTokens += queue.demands[i].QueuedPromptTokens
 		}
 	}
-	report := feed.DemandReport{Window: now - s.since}
+	report := feed.DemandReport{Window: now - a.since}
 	for _, sum := range sums {
 		report.Demands = append(report.Demands, *sum)
 	}
@@ -97,28 +97,28 @@
 
 // finishReport subtracts the report and starts a new window at now if the report was
 // accepted or its window is too long to be kept for another attempt.
-func (s *demandAggregator) finishReport(report feed.DemandReport, accepted bool, now time.Duration) {
+func (a *demandAggregator) finishReport(report feed.DemandReport, accepted bool, now time.Duration) {
 	if !accepted && report.Window < maxDemandWindow {
 		return
 	}
-	s.lock.Lock()
-	defer s.lock.Unlock()
+	a.lock.Lock()
+	defer a.lock.Unlock()
 	for i := range report.Demands {
-		s.subtract(&report.Demands[i])
+		a.subtract(&report.Demands[i])
 	}
-	s.since = now
+	a.since = now
 }
 
 // subtract removes the reported demand; demand that arrived since the report was
 // made is kept.
-func (s *demandAggregator) subtract(reported *feed.Demand) {
+func (a *demandAggregator) subtract(reported *feed.Demand) {
 	key := demandKey{intent: reported.Intent, class: reported.Class}
-	sum := s.counts[key]
+	sum := a.counts[key]
 	if sum == nil {
 		return
 	}
 	if sum.Requests <= reported.Requests && sum.Refused <= reported.Refused && sum.Late <= reported.Late {
-		delete(s.counts, key)
+		delete(a.counts, key)
 		return
 	}
 	sum.Requests -= reported.Requests
--- a/process/relay/group_test.go
+++ b/process/relay/group_test.go
@@ -156,25 +156,25 @@
 	return topology
 }
 
-func (f *testTopology) serveLeader(address string) {
+func (topology *testTopology) serveLeader(address string) {
 	listener, err := net.Listen("tcp", address)
-	must.NoError(f.t, err)
-	f.address = listener.Addr().String()
-	f.leader = feed.NewServer(feed.ServerConfig{Group: f.group, ViewLease: groupLease}, listener)
+	must.NoError(topology.t, err)
+	topology.address = listener.Addr().String()
+	topology.leader = feed.NewServer(feed.ServerConfig{Group: topology.group, ViewLease: groupLease}, listener)
 }
 
-func (f *testTopology) startRelay() {
+func (topology *testTopology) startRelay() {
 	ctx, stop := context.WithCancel(context.Background())
-	f.stop, f.stopped = stop, make(chan error, 1)
-	go func() { f.stopped <- Run(ctx, f.config, log.NewNopLogger()) }()
+	topology.stop, topology.stopped = stop, make(chan error, 1)
+	go func() { topology.stopped <- Run(ctx, topology.config, log.NewNopLogger()) }()
 }
 
 // stopRelay shuts the relay down gracefully. Further calls do nothing.
-func (f *testTopology) stopRelay() {
-	if f.stop != nil {
-		f.stop()
-		f.stop = nil
-		must.NoError(f.t, <-f.stopped)
+func (topology *testTopology) stopRelay() {
+	if topology.stop != nil {
+		topology.stop()
+		topology.stop = nil
+		must.NoError(topology.t, <-topology.stopped)
 	}
 }
 
@@ -186,29 +186,29 @@
 }
 
 // createTenant creates a tenant and returns the version of the view that has it.
-func (f *testTopology) createTenant() view.Version {
-	f.group.lock.Lock()
-	name := fmt.Sprint("tenant-", f.group.index)
-	f.group.lock.Unlock()
+func (topology *testTopology) createTenant() view.Version {
+	topology.group.lock.Lock()
+	name := fmt.Sprint("tenant-", topology.group.index)
+	topology.group.lock.Unlock()
 	tenant := &api.Tenant{Metadata: api.Metadata{Name: name}}
 	transaction := &api.Transaction{OperationID: name, Writes: []api.Write{{Object: api.Object{Tenant: tenant}}}}
-	f.group.apply(state.Command{Kind: state.CommandTransaction, Transaction: transaction})
-	if f.leader != nil {
-		f.leader.Wake()
+	topology.group.apply(state.Command{Kind: state.CommandTransaction, Transaction: transaction})
+	if topology.leader != nil {
+		topology.leader.Wake()
 	}
-	return f.group.Version()
+	return topology.group.Version()
 }
 
 // follow starts a daemon that subscribes to the addresses, by default to the relay.
-func (f *testTopology) follow(name string, views feed.Views, addresses ...string) *feed.Client {
+func (topology *testTopology) follow(name string, views feed.Views, addresses ...string) *feed.Client {
 	if len(addresses) == 0 {
-		addresses = []string{f.config.FeedAddress}
+		addresses = []string{topology.config.FeedAddress}
 	}
 	client, err := feed.Dial(feed.ClientConfig{
 		Daemon: name, Addresses: addresses, BeatInterval: testBeat, BackoffMax: testBeat, Clock: testClock,
 	}, views)
-	must.NoError(f.t, err)
-	f.t.Cleanup(client.Close)
+	must.NoError(topology.t, err)
+	topology.t.Cleanup(client.Close)
 	return client
 }
 
@@ -216,8 +216,8 @@
 
 func testClock() time.Duration { return time.Since(testStart) }
 
-func (f *testTopology) inForce(version view.Version) bool {
-	result, leads := f.leader.InForce(f.t.Context(), version.Revision)
+func (topology *testTopology) inForce(version view.Version) bool {
+	result, leads := topology.leader.InForce(topology.t.Context(), version.Revision)
 	return leads && result.Done
 }
 
--- a/process/relay/relay.go
+++ b/process/relay/relay.go
@@ -33,9 +33,9 @@
 }
 
 // Apply applies the delta to the view and wakes the daemons' subscriptions.
-func (f *relayedViews) Apply(delta view.Delta) error {
-	err := f.Relay.Apply(delta)
-	if server := f.server.Load(); err == nil && server != nil {
+func (v *relayedViews) Apply(delta view.Delta) error {
+	err := v.Relay.Apply(delta)
+	if server := v.server.Load(); err == nil && server != nil {
 		server.Wake()
 	}
 	return err
@@ -134,7 +134,7 @@
 	r.server = feed.NewServer(feed.ServerConfig{
 		Group:          r.group,
 		ViewLease:      r.config.Lease,
-		FloorInterval:  r.config.Lease / floorIntervalDivisor,
+		FloorInterval:  r.config.Lease / ackTimeoutDivisor,
 		Tracker:        r.views.Tracker(),
 		Limit:          func() time.Duration { return r.views.Limit(r.clock()) },
 		Observed:       r.notifyBeat,
@@ -156,7 +156,7 @@
 // acknowledge notifies the control group as soon as a version is in force at all
 // daemons behind the relay, instead of with the next beat.
 func (r *Relay) acknowledge(ctx context.Context) {
-	ticker := time.NewTicker(r.config.Lease / floorIntervalDivisor)
+	ticker := time.NewTicker(r.config.Lease / ackTimeoutDivisor)
 	defer ticker.Stop()
 	var acknowledged view.Version
 	for {
--- a/process/relay/relay_test.go
+++ b/process/relay/relay_test.go
@@ -19,22 +19,22 @@
 )
 
 func TestChangeIsInForceOnceEveryDaemonBehindTheRelayHasIt(t *testing.T) {
-	f := newTestTopology(t)
+	topology := newTestTopology(t)
 	quick, slow := view.NewHolder(), &blockableViews{Holder: view.NewHolder()}
-	f.follow("quick", quick)
-	f.follow("slow", slow)
+	topology.follow("quick", quick)
+	topology.follow("slow", slow)
 	eventually(t, "both daemons hold a lease", func() bool { return quick.Valid(testClock()) && slow.Valid(testClock()) })
-	must.Eq(t, 1, f.leader.Subscribers(), must.Sprint("the leader must have the relay as its only subscriber"))
-	first := f.createTenant()
-	eventually(t, "the change is in force", func() bool { return f.inForce(first) })
+	must.Eq(t, 1, topology.leader.Subscribers(), must.Sprint("the leader must have the relay as its only subscriber"))
+	first := topology.createTenant()
+	eventually(t, "the change is in force", func() bool { return topology.inForce(first) })
 	must.Eq(t, first, quick.Load().Version)
 	must.Eq(t, first, slow.Load().Version)
 
 	slow.lock.Lock()
-	second := f.createTenant()
+	second := topology.createTenant()
 	eventually(t, "the quick daemon has the change", func() bool { return quick.Load().Version == second })
 	eventually(t, "the change is in force without the slow daemon", func() bool {
-		done := f.inForce(second)
+		done := topology.inForce(second)
 		must.False(t, done && slow.Valid(testClock()), must.Sprint("the slow daemon still uses its view"))
 		return done
 	})
@@ -44,8 +44,8 @@
 }
 
 func TestClaimsAndDemandPassThroughTheRelay(t *testing.T) {
-	f := newTestTopology(t)
-	client := f.follow("proxy", view.NewHolder())
+	topology := newTestTopology(t)
+	client := topology.follow("proxy", view.NewHolder())
 	eventually(t, "the proxy is served", client.Connected)
 	request := state.ClaimRequest{Tenant: "t", Key: "k", BodyHash: 1, Nonce: 1}
 	result, err := client.Claim(t.Context(), request)
@@ -61,48 +61,48 @@
 	for range 3 {
 		must.True(t, client.ReportDemand(feed.DemandReport{Window: time.Second, Demands: []feed.Demand{{Intent: "i", Class: "c", Requests: 5}}}))
 	}
-	eventually(t, "the demand has reached the leader", func() bool { return f.group.totalRequests() >= 15 })
-	must.Eq(t, 15.0, f.group.totalRequests())
+	eventually(t, "the demand has reached the leader", func() bool { return topology.group.totalRequests() >= 15 })
+	must.Eq(t, 15.0, topology.group.totalRequests())
 }
 
 func TestRelayStopsServingWithoutTheControlGroup(t *testing.T) {
-	f := newTestTopology(t)
+	topology := newTestTopology(t)
 	holder := view.NewHolder()
-	client := f.follow("proxy", holder)
+	client := topology.follow("proxy", holder)
 	eventually(t, "a lease", func() bool { return holder.Valid(testClock()) })
-	address := f.address
-	f.leader.Close()
+	address := topology.address
+	topology.leader.Close()
 	eventually(t, "the lease lapses", func() bool { return !holder.Valid(testClock()) })
-	eventually(t, "the relay is not ready", func() bool { return !f.ready() })
+	eventually(t, "the relay is not ready", func() bool { return !topology.ready() })
 	eventually(t, "claims are refused", func() bool {
 		_, err := client.Claim(t.Context(), state.ClaimRequest{Tenant: "t", Key: "k"})
 		return errors.Is(err, feed.ErrNoQuorum)
 	})
-	f.serveLeader(address)
+	topology.serveLeader(address)
 	eventually(t, "the lease is renewed", func() bool { return holder.Valid(testClock()) })
 }
 
 func TestDaemonsReconnectElsewhereWhenTheRelayStops(t *testing.T) {
-	f := newTestTopology(t)
+	topology := newTestTopology(t)
 	holder := view.NewHolder()
-	f.follow("proxy", holder, f.config.FeedAddress, f.address)
+	topology.follow("proxy", holder, topology.config.FeedAddress, topology.address)
 	eventually(t, "a lease", func() bool { return holder.Valid(testClock()) })
-	f.stopRelay()
-	eventually(t, "the daemon subscribes to the leader", func() bool { return f.leader.Subscribers() == 1 })
-	version := f.createTenant()
+	topology.stopRelay()
+	eventually(t, "the daemon subscribes to the leader", func() bool { return topology.leader.Subscribers() == 1 })
+	version := topology.createTenant()
 	eventually(t, "a change reaches the daemon", func() bool { return holder.Load().Version == version && holder.Valid(testClock()) })
 }
 
 // ready queries the readiness endpoint of the relay's admin server.
-func (f *testTopology) ready() bool {
-	response, err := http.Get("http://" + f.config.AdminAddress + admin.PathReady)
+func (topology *testTopology) ready() bool {
+	response, err := http.Get("http://" + topology.config.AdminAddress + admin.PathReady)
 	if err != nil {
 		return false
 	}
 	defer func() { _ = response.Body.Close() }()
 	var state admin.Readiness
-	must.NoError(f.t, json.NewDecoder(response.Body).Decode(&state))
-	must.Eq(f.t, response.StatusCode == http.StatusOK, state.Ready)
+	must.NoError(topology.t, json.NewDecoder(response.Body).Decode(&state))
+	must.Eq(topology.t, response.StatusCode == http.StatusOK, state.Ready)
 	return state.Ready
 }
 
--- a/process/replica/bench_test.go
+++ b/process/replica/bench_test.go
@@ -183,11 +183,11 @@
 }
 
 // counter is a state machine that only counts the commands it applied.
-type counter struct{ count uint64 }
+type commandCounter struct{ count uint64 }
 
-func (c *counter) Apply(raft.Entry) any      { c.count++; return c.count }
-func (c *counter) Snapshot() ([]byte, error) { return make([]byte, 64<<10), nil }
-func (c *counter) Restore([]byte) error      { return nil }
+func (c *commandCounter) Apply(raft.Entry) any      { c.count++; return c.count }
+func (c *commandCounter) Snapshot() ([]byte, error) { return make([]byte, 64<<10), nil }
+func (c *commandCounter) Restore([]byte) error      { return nil }
 
 // BenchmarkCommit measures commits of 256 bytes in a group of three members with
 // synced disks, connected over loopback.
--- a/process/replica/capacity_bench_test.go
+++ b/process/replica/capacity_bench_test.go
@@ -61,7 +61,7 @@
 // noSnapshots disables snapshots, so that the log is not compacted and its growth can
 // be measured.
 func noSnapshots(c *Config) {
-	c.StateMachine = &counter{}
+	c.StateMachine = &commandCounter{}
 	c.SnapshotEntries = 1 << 40
 	c.SnapshotBytes = 1 << 40
 }
--- a/process/replica/handover.go
+++ b/process/replica/handover.go
@@ -14,31 +14,31 @@
 // and those already in the log complete first, so that a planned handover leaves no
 // proposal with an unknown outcome.
 type handover struct {
-	request   *request
-	to        raft.MemberID
-	deadline  time.Duration
-	requested bool
+	request         *request
+	to              raft.MemberID
+	deadline        time.Duration
+	transferStarted bool
 }
 
-func (l *loop) beginHandover(now time.Duration, q *request) {
+func (l *loop) beginHandover(now time.Duration, req *request) {
 	status := l.node.Status()
 	if status.Role != raft.Leader {
-		q.complete(Result{}, &NotLeaderError{Leader: status.Leader})
+		req.complete(Result{}, &NotLeaderError{Leader: status.Leader})
 		return
 	}
 	if l.handover != nil {
-		q.complete(Result{}, errors.Wrap(ErrTransferFailed, "another handover is in progress"))
+		req.complete(Result{}, errors.Wrap(ErrTransferFailed, "another handover is in progress"))
 		return
 	}
-	to := q.to
+	to := req.to
 	if to == raft.None {
 		to = successor(status)
 	}
 	if to == raft.None || to == status.ID {
-		q.complete(Result{}, ErrNoSuccessor)
+		req.complete(Result{}, ErrNoSuccessor)
 		return
 	}
-	l.handover = &handover{request: q, to: to, deadline: now + handoverElectionTimeouts*l.config.Raft.ElectionTimeout}
+	l.handover = &handover{request: req, to: to, deadline: now + handoverElectionTimeouts*l.config.Raft.ElectionTimeout}
 }
 
 // successor returns the voter with the most entries among the other voters that were
@@ -67,10 +67,10 @@
 		l.endHandover(ErrTransferFailed)
 		return nil
 	}
-	if l.handover.requested || len(l.proposals) > 0 {
+	if l.handover.transferStarted || len(l.proposals) > 0 {
 		return nil
 	}
-	l.handover.requested = true
+	l.handover.transferStarted = true
 	if err := l.node.TransferLeadership(now, l.handover.to); err != nil {
 		l.endHandover(errors.Wrap(ErrTransferFailed, err.Error()))
 		return nil
@@ -84,10 +84,10 @@
 	if l.handover == nil {
 		return
 	}
-	q := l.handover.request
+	req := l.handover.request
 	l.handover = nil
 	if errors.Is(err, ErrNotLeader) {
 		err = nil
 	}
-	q.complete(Result{}, err)
+	req.complete(Result{}, err)
 }
--- a/process/replica/loop.go
+++ b/process/replica/loop.go
@@ -68,8 +68,8 @@
 
 // shutDown fails all pending requests, closes the storage and then closes done.
 func (l *loop) shutDown(err error) {
-	for _, q := range l.replica.mailbox.close() {
-		q.complete(Result{}, ErrStopped)
+	for _, req := range l.replica.mailbox.close() {
+		req.complete(Result{}, ErrStopped)
 	}
 	l.failPending(ErrStopped)
 	l.snapshots.wait()
@@ -93,9 +93,9 @@
 			return err
 		}
 	}
-	for _, q := range requests {
-		if q.claim() {
-			l.handleRequest(now, q)
+	for _, req := range requests {
+		if req.claim() {
+			l.handleRequest(now, req)
 		}
 	}
 	if err := l.processReady(); err != nil {
@@ -112,37 +112,37 @@
 
 // handleRequest passes the request to the node, or queues a lease read for the end of
 // the step.
-func (l *loop) handleRequest(now time.Duration, q *request) {
-	switch q.kind {
+func (l *loop) handleRequest(now time.Duration, req *request) {
+	switch req.kind {
 	case requestPropose:
-		l.propose(q, func() (uint64, uint64, error) { return l.node.Propose(now, q.data) })
+		l.propose(req, func() (uint64, uint64, error) { return l.node.Propose(now, req.data) })
 	case requestChange:
-		l.propose(q, func() (uint64, uint64, error) { return l.node.ProposeChange(now, q.change) })
+		l.propose(req, func() (uint64, uint64, error) { return l.node.ProposeChange(now, req.change) })
 	case requestLeaseRead:
-		l.leaseReads = append(l.leaseReads, q)
+		l.leaseReads = append(l.leaseReads, req)
 	case requestReadIndex:
 		l.lastReadID++
 		if err := l.node.ReadIndex(now, l.lastReadID); err != nil {
-			q.complete(Result{}, l.callerError(err))
+			req.complete(Result{}, l.callerError(err))
 			return
 		}
-		l.reads[l.lastReadID] = q
+		l.reads[l.lastReadID] = req
 	case requestTransfer:
-		l.beginHandover(now, q)
+		l.beginHandover(now, req)
 	}
 }
 
-func (l *loop) propose(q *request, propose func() (term, index uint64, err error)) {
+func (l *loop) propose(req *request, propose func() (term, index uint64, err error)) {
 	if l.handover != nil {
-		q.complete(Result{}, &NotLeaderError{Leader: raft.None})
+		req.complete(Result{}, &NotLeaderError{Leader: raft.None})
 		return
 	}
 	term, index, err := propose()
 	if err != nil {
-		q.complete(Result{}, l.callerError(err))
+		req.complete(Result{}, l.callerError(err))
 		return
 	}
-	l.proposals[index] = pendingProposal{term: term, request: q}
+	l.proposals[index] = pendingProposal{term: term, request: req}
 }
 
 // callerError converts an error of the node into the error returned to callers.
@@ -225,15 +225,15 @@
 // aborted ones.
 func (l *loop) completeReads(ready raft.Ready) {
 	for _, state := range ready.ReadStates {
-		if q, found := l.reads[state.RequestID]; found {
+		if req, found := l.reads[state.RequestID]; found {
 			delete(l.reads, state.RequestID)
-			l.confirmedReads = append(l.confirmedReads, confirmedRead{index: state.Index, request: q})
+			l.confirmedReads = append(l.confirmedReads, confirmedRead{index: state.Index, request: req})
 		}
 	}
 	for _, requestID := range ready.AbortedReads {
-		if q, found := l.reads[requestID]; found {
+		if req, found := l.reads[requestID]; found {
 			delete(l.reads, requestID)
-			q.complete(Result{}, l.notLeaderError())
+			req.complete(Result{}, l.notLeaderError())
 		}
 	}
 	remaining := l.confirmedReads[:0]
@@ -255,14 +255,14 @@
 	}
 	status := l.node.Status()
 	valid := l.node.LeaseValid(l.config.Clock.Now())
-	for _, q := range l.leaseReads {
+	for _, req := range l.leaseReads {
 		switch {
 		case status.Role != raft.Leader:
-			q.complete(Result{}, &NotLeaderError{Leader: status.Leader})
+			req.complete(Result{}, &NotLeaderError{Leader: status.Leader})
 		case !valid:
-			q.complete(Result{}, ErrLeaseExpired)
+			req.complete(Result{}, ErrLeaseExpired)
 		default:
-			q.complete(Result{Term: status.Term, Index: l.applied}, nil)
+			req.complete(Result{Term: status.Term, Index: l.applied}, nil)
 		}
 	}
 	l.leaseReads = nil
@@ -289,15 +289,15 @@
 		delete(l.proposals, index)
 		proposal.request.complete(Result{}, ErrOutcomeUnknown)
 	}
-	for requestID, q := range l.reads {
+	for requestID, req := range l.reads {
 		delete(l.reads, requestID)
-		q.complete(Result{}, err)
+		req.complete(Result{}, err)
 	}
 	for _, read := range l.confirmedReads {
 		read.request.complete(Result{}, err)
 	}
-	for _, q := range l.leaseReads {
-		q.complete(Result{}, err)
+	for _, req := range l.leaseReads {
+		req.complete(Result{}, err)
 	}
 	l.confirmedReads, l.leaseReads = nil, nil
 	l.endHandover(err)
--- a/process/replica/loop_test.go
+++ b/process/replica/loop_test.go
@@ -151,7 +151,7 @@
 func (f clockFunc) Now() time.Duration { return f() }
 
 func TestMailboxIsBounded(t *testing.T) {
-	m := newMailbox(Config{QueuedProposals: 2, QueuedMessages: 2, QueuedBytes: 1000})
+	m := newMailbox(Config{QueuedRequests: 2, QueuedMessages: 2, QueuedBytes: 1000})
 	large := raft.Message{Entries: []raft.Entry{{Data: make([]byte, 2000)}}}
 	must.True(t, m.putMessage(large), must.Sprint("alone"))
 	must.False(t, m.putMessage(raft.Message{}), must.Sprint("too many bytes"))
--- a/process/replica/mailbox.go
+++ b/process/replica/mailbox.go
@@ -27,7 +27,7 @@
 
 func newMailbox(config Config) *mailbox {
 	return &mailbox{
-		maxRequests: config.QueuedProposals,
+		maxRequests: config.QueuedRequests,
 		maxMessages: config.QueuedMessages,
 		maxBytes:    config.QueuedBytes,
 		wake:        make(chan struct{}, 1),
@@ -35,7 +35,7 @@
 }
 
 // putRequest queues the request, or returns ErrOverloaded or ErrStopped.
-func (m *mailbox) putRequest(q *request) error {
+func (m *mailbox) putRequest(req *request) error {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.closed {
@@ -44,7 +44,7 @@
 	if len(m.requests) >= m.maxRequests {
 		return ErrOverloaded
 	}
-	m.requests = append(m.requests, q)
+	m.requests = append(m.requests, req)
 	m.signal()
 	return nil
 }
--- a/process/replica/oracle_test.go
+++ b/process/replica/oracle_test.go
@@ -33,47 +33,47 @@
 	err      error
 }
 
-func (w *simulation) drawMember(t *rapid.T) *member {
-	return w.members[rapid.IntRange(0, len(w.members)-1).Draw(t, "member")]
+func (s *simulation) drawMember(t *rapid.T) *member {
+	return s.members[rapid.IntRange(0, len(s.members)-1).Draw(t, "member")]
 }
 
-func (w *simulation) propose(t *rapid.T) {
-	m := w.drawMember(t)
+func (s *simulation) propose(t *rapid.T) {
+	m := s.drawMember(t)
 	timeout := time.Duration(rapid.IntRange(0, 3000).Draw(t, "patience")) * time.Millisecond
 	for range rapid.IntRange(1, 10).Draw(t, "commands") {
-		command := w.nextCommand()
+		command := s.nextCommand()
 		replica := m.replica
-		w.proposals.Go(func() {
+		s.proposals.Go(func() {
 			ctx, cancel := context.WithTimeout(context.Background(), timeout)
 			defer cancel()
 			result, err := replica.Propose(ctx, []byte(command))
-			w.record(command, result, err)
+			s.record(command, result, err)
 		})
 	}
 }
 
-func (w *simulation) nextCommand() string {
-	w.commandCount++
-	return fmt.Sprint("command ", w.commandCount)
+func (s *simulation) nextCommand() string {
+	s.commandCount++
+	return fmt.Sprint("command ", s.commandCount)
 }
 
-func (w *simulation) record(command string, result Result, err error) {
+func (s *simulation) record(command string, result Result, err error) {
 	position, _ := result.Value.(int)
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.answers[command] = answer{position: position, err: err}
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.answers[command] = answer{position: position, err: err}
 }
 
 // proposeToLeader proposes without a deadline: even an isolated leader must answer.
-func (w *simulation) proposeToLeader(t *rapid.T) {
-	for _, m := range w.members {
+func (s *simulation) proposeToLeader(t *rapid.T) {
+	for _, m := range s.members {
 		if m.replica.Status().Role != raft.Leader {
 			continue
 		}
 		for range rapid.IntRange(1, 15).Draw(t, "commands") {
-			command := w.nextCommand()
+			command := s.nextCommand()
 			result, err := m.replica.Propose(context.Background(), []byte(command))
-			w.record(command, result, err)
+			s.record(command, result, err)
 		}
 		return
 	}
@@ -81,33 +81,33 @@
 
 // read reads from all members that consider themselves leader, by lease or through a
 // quorum. A successful read must see everything acknowledged before it.
-func (w *simulation) read(t *rapid.T) {
+func (s *simulation) read(t *rapid.T) {
 	byLease := rapid.Bool().Draw(t, "by lease")
-	for _, m := range w.members {
+	for _, m := range s.members {
 		if m.replica.Status().Role != raft.Leader {
 			continue
 		}
 		replica, machine := m.replica, m.stateMachine
-		w.proposals.Go(func() {
+		s.proposals.Go(func() {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 			defer cancel()
-			before := w.acknowledgedCommands()
+			before := s.acknowledgedCommands()
 			ask := replica.ReadIndex
 			if byLease {
 				ask = replica.LeaseRead
 			}
 			if ask(ctx) == nil {
-				w.checkRead(before, machine)
+				s.checkRead(before, machine)
 			}
 		})
 	}
 }
 
-func (w *simulation) acknowledgedCommands() []string {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
+func (s *simulation) acknowledgedCommands() []string {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	var commands []string
-	for command, answer := range w.answers {
+	for command, answer := range s.answers {
 		if answer.err == nil {
 			commands = append(commands, command)
 		}
@@ -115,89 +115,89 @@
 	return commands
 }
 
-func (w *simulation) checkRead(acknowledged []string, machine *history) {
+func (s *simulation) checkRead(acknowledged []string, machine *history) {
 	missing := slices.DeleteFunc(acknowledged, machine.contains)
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.readCount++
-	w.staleReads = append(w.staleReads, missing...)
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.readCount++
+	s.staleReads = append(s.staleReads, missing...)
 }
 
 // stallDisk makes a member's disk hang at its next write.
-func (w *simulation) stallDisk(t *rapid.T) {
-	w.drawMember(t).stall.Store(int64(rapid.IntRange(1, 5000).Draw(t, "stall")) * int64(time.Millisecond))
+func (s *simulation) stallDisk(t *rapid.T) {
+	s.drawMember(t).stall.Store(int64(rapid.IntRange(1, 5000).Draw(t, "stall")) * int64(time.Millisecond))
 }
 
 // crashMachine crashes a member's machine, which loses unsynced data, and restarts the
 // member. The power may fail up to half a second before the crash.
-func (w *simulation) crashMachine(t *rapid.T) {
-	m := w.drawMember(t)
+func (s *simulation) crashMachine(t *rapid.T) {
+	m := s.drawMember(t)
 	m.fileSystem.StopAfter(rapid.IntRange(0, 8).Draw(t, "operations"))
 	time.Sleep(time.Duration(rapid.IntRange(0, 500).Draw(t, "until crash")) * time.Millisecond)
-	w.crash(m)
+	s.crash(m)
 	m.fileSystem.FailSyncs(0)
 	m.fileSystem.Crash()
-	w.restart(m)
+	s.restart(m)
 }
 
-func (w *simulation) failSync(t *rapid.T) { w.drawMember(t).fileSystem.FailSyncs(1) }
+func (s *simulation) failSync(t *rapid.T) { s.drawMember(t).fileSystem.FailSyncs(1) }
 
 // restartStopped restarts the members that stopped because of a disk failure.
-func (w *simulation) restartStopped(*rapid.T) {
-	for _, m := range w.members {
+func (s *simulation) restartStopped(*rapid.T) {
+	for _, m := range s.members {
 		select {
 		case <-m.replica.Done():
 			m.fileSystem.StopAfter(-1)
 			m.fileSystem.FailSyncs(0)
 			m.fileSystem.Restart()
-			w.restart(m)
+			s.restart(m)
 		default:
 		}
 	}
 }
 
-func (w *simulation) isolateMember(t *rapid.T) { w.network.isolate(w.drawMember(t).id) }
+func (s *simulation) isolateMember(t *rapid.T) { s.network.isolate(s.drawMember(t).id) }
 
-func (w *simulation) blockOneWay(t *rapid.T) {
-	from, to := w.drawMember(t).id, w.drawMember(t).id
-	w.network.setBlocked(func(f, o raft.MemberID) bool { return f == from && o == to })
+func (s *simulation) blockOneWay(t *rapid.T) {
+	from, to := s.drawMember(t).id, s.drawMember(t).id
+	s.network.setBlocked(func(f, o raft.MemberID) bool { return f == from && o == to })
 }
 
-func (w *simulation) healNetwork(*rapid.T) { w.network.setBlocked(nil) }
+func (s *simulation) healNetwork(*rapid.T) { s.network.setBlocked(nil) }
 
-func (w *simulation) advanceTime(t *rapid.T) {
+func (s *simulation) advanceTime(t *rapid.T) {
 	time.Sleep(time.Duration(rapid.IntRange(1, 5000).Draw(t, "milliseconds")) * time.Millisecond)
 }
 
-func (w *simulation) transfer(t *rapid.T) {
+func (s *simulation) transfer(t *rapid.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	_ = w.drawMember(t).replica.TransferLeadership(ctx, raft.None)
+	_ = s.drawMember(t).replica.TransferLeadership(ctx, raft.None)
 }
 
 // converge removes all faults and waits until all members have the same state.
-func (w *simulation) converge(t *rapid.T) {
-	w.network.setBlocked(nil)
-	for _, m := range w.members {
+func (s *simulation) converge(t *rapid.T) {
+	s.network.setBlocked(nil)
+	for _, m := range s.members {
 		m.fileSystem.FailSyncs(0)
 	}
-	w.proposals.Wait()
+	s.proposals.Wait()
 	synctest.Wait() // until members with a failing disk have stopped
-	w.restartStopped(t)
-	w.group.propose("last")
-	w.waitEqual(w.members...)
+	s.restartStopped(t)
+	s.group.propose("last")
+	s.waitEqual(s.members...)
 }
 
 // verify compares the final state with the results of the proposals: an acknowledged
 // command must be at the returned position, a rejected one must be absent, and none may
 // be applied twice.
-func (w *simulation) verify(t *rapid.T) {
-	must.SliceEmpty(t, w.staleReads, must.Sprint("a read missed commands acknowledged before it"))
+func (s *simulation) verify(t *rapid.T) {
+	must.SliceEmpty(t, s.staleReads, must.Sprint("a read missed commands acknowledged before it"))
 	places := make(map[string][]int)
-	for i, command := range w.members[0].stateMachine.copy() {
+	for i, command := range s.members[0].stateMachine.copy() {
 		places[string(command)] = append(places[string(command)], i+1)
 	}
-	for command, answer := range w.answers {
+	for command, answer := range s.answers {
 		switch {
 		case answer.err == nil:
 			must.Eq(t, []int{answer.position}, places[command], must.Sprint(command, " was acknowledged"))
@@ -214,26 +214,26 @@
 	synctest.Test(t, func(t *testing.T) {
 		// Hides the Deadline method, because a test in virtual time has no deadline.
 		rapid.Check(struct{ testing.TB }{t}, func(t *rapid.T) {
-			w := &simulation{group: newGroup(t, 3, frequentSnapshots), answers: make(map[string]answer)}
-			defer w.stopAll()
-			w.leader()
+			s := &simulation{group: newGroup(t, 3, frequentSnapshots), answers: make(map[string]answer)}
+			defer s.stopAll()
+			s.leader()
 			t.Repeat(map[string]func(*rapid.T){
-				"propose":           w.propose,
-				"propose to leader": w.proposeToLeader,
-				"crash":             w.crashMachine,
-				"fail sync":         w.failSync,
-				"stall":             w.stallDisk,
-				"read":              w.read,
-				"revive":            w.restartStopped,
-				"cut off":           w.isolateMember,
-				"cut one way":       w.blockOneWay,
-				"heal":              w.healNetwork,
-				"transfer":          w.transfer,
-				"pass":              w.advanceTime,
+				"propose":           s.propose,
+				"propose to leader": s.proposeToLeader,
+				"crash":             s.crashMachine,
+				"fail sync":         s.failSync,
+				"stall":             s.stallDisk,
+				"read":              s.read,
+				"revive":            s.restartStopped,
+				"cut off":           s.isolateMember,
+				"cut one way":       s.blockOneWay,
+				"heal":              s.healNetwork,
+				"transfer":          s.transfer,
+				"pass":              s.advanceTime,
 			})
-			w.converge(t)
-			w.verify(t)
-			w.countOutcomes(outcomes)
+			s.converge(t)
+			s.verify(t)
+			s.countOutcomes(outcomes)
 		})
 	})
 	t.Log(outcomes)
@@ -243,8 +243,8 @@
 }
 
 // countOutcomes adds up the outcomes, so that the test can fail if one never occurred.
-func (w *simulation) countOutcomes(outcomes map[string]int) {
-	for _, answer := range w.answers {
+func (s *simulation) countOutcomes(outcomes map[string]int) {
+	for _, answer := range s.answers {
 		switch {
 		case answer.err == nil:
 			outcomes["acknowledged"]++
@@ -254,9 +254,9 @@
 			outcomes[errors.Cause(answer.err).Error()]++
 		}
 	}
-	outcomes["reads"] += w.readCount
-	for _, m := range w.members {
-		if len(w.fileNames(m, ".snap")) > 1 { // the first one is from Bootstrap
+	outcomes["reads"] += s.readCount
+	for _, m := range s.members {
+		if len(s.fileNames(m, ".snap")) > 1 { // the first one is from Bootstrap
 			outcomes["snapshots"]++
 		}
 	}
--- a/process/replica/replica.go
+++ b/process/replica/replica.go
@@ -35,7 +35,7 @@
 	DefaultSnapshotEntries   = 10_000
 	DefaultSnapshotBytes     = 16 << 20
 	DefaultRetainedEntries   = 5_000
-	DefaultQueuedProposals   = 4096
+	DefaultQueuedRequests    = 4096
 	DefaultQueuedMessages    = 4096
 	DefaultQueuedBytes       = 64 << 20
 	// ticksPerHeartbeat is the number of protocol ticks per heartbeat interval.
@@ -96,7 +96,7 @@
 
 	SnapshotEntries uint64 // entries applied between snapshots
 	SnapshotBytes   int    // bytes of entries applied between snapshots
-	QueuedProposals int
+	QueuedRequests  int
 	QueuedMessages  int
 	QueuedBytes     int // of queued messages
 }
@@ -108,7 +108,7 @@
 	c.Raft.RetainedEntries = cmp.Or(c.Raft.RetainedEntries, DefaultRetainedEntries)
 	c.SnapshotEntries = cmp.Or(c.SnapshotEntries, DefaultSnapshotEntries)
 	c.SnapshotBytes = cmp.Or(c.SnapshotBytes, DefaultSnapshotBytes)
-	c.QueuedProposals = cmp.Or(c.QueuedProposals, DefaultQueuedProposals)
+	c.QueuedRequests = cmp.Or(c.QueuedRequests, DefaultQueuedRequests)
 	c.QueuedMessages = cmp.Or(c.QueuedMessages, DefaultQueuedMessages)
 	c.QueuedBytes = cmp.Or(c.QueuedBytes, DefaultQueuedBytes)
 	if c.Clock == nil {
--- a/process/replica/request.go
+++ b/process/replica/request.go
@@ -90,17 +90,17 @@
 
 // claim marks the request as processed by the loop. It returns false if the caller has
 // withdrawn it.
-func (q *request) claim() bool { return q.state.CompareAndSwap(requestQueued, requestClaimed) }
+func (r *request) claim() bool { return r.state.CompareAndSwap(requestQueued, requestClaimed) }
 
-func (q *request) complete(result Result, err error) {
+func (r *request) complete(result Result, err error) {
 	select {
-	case q.outcome <- outcome{result: result, err: err}:
+	case r.outcome <- outcome{result: result, err: err}:
 	default: // already completed
 	}
 }
 
 // changesLog reports whether the request appends an entry to the log.
-func (q *request) changesLog() bool { return q.kind == requestPropose || q.kind == requestChange }
+func (r *request) changesLog() bool { return r.kind == requestPropose || r.kind == requestChange }
 
 // Propose appends the command to the log and waits until this member has applied it.
 // The result holds the value that Apply returned. The caller must not modify data
@@ -148,35 +148,35 @@
 }
 
 // submit queues the request and waits until it completes or ctx ends.
-func (r *Replica) submit(ctx context.Context, q *request) (Result, error) {
-	q.outcome = make(chan outcome, 1)
+func (r *Replica) submit(ctx context.Context, req *request) (Result, error) {
+	req.outcome = make(chan outcome, 1)
 	if err := ctx.Err(); err != nil {
 		return Result{}, errors.Wrap(ErrWithdrawn, err.Error())
 	}
-	if err := r.mailbox.putRequest(q); err != nil {
+	if err := r.mailbox.putRequest(req); err != nil {
 		return Result{}, err
 	}
 	select {
-	case o := <-q.outcome:
+	case o := <-req.outcome:
 		return o.result, o.err
 	case <-ctx.Done():
-		return q.withdraw(ctx.Err())
+		return req.withdraw(ctx.Err())
 	}
 }
 
 // withdraw withdraws a request whose context has ended and returns the result for the
 // caller: the outcome if there already is one, else an error that tells whether the
 // request may still take effect.
-func (q *request) withdraw(reason error) (Result, error) {
-	if q.state.CompareAndSwap(requestQueued, requestWithdrawn) {
+func (r *request) withdraw(reason error) (Result, error) {
+	if r.state.CompareAndSwap(requestQueued, requestWithdrawn) {
 		return Result{}, errors.Wrap(ErrWithdrawn, reason.Error())
 	}
 	select {
-	case o := <-q.outcome:
+	case o := <-r.outcome:
 		return o.result, o.err
 	default:
 	}
-	if q.changesLog() {
+	if r.changesLog() {
 		return Result{}, errors.Wrap(ErrOutcomeUnknown, reason.Error())
 	}
 	return Result{}, errors.Wrap(ErrWithdrawn, reason.Error())
--- a/process/replica/stability_bench_test.go
+++ b/process/replica/stability_bench_test.go
@@ -12,7 +12,7 @@
 	for _, timeout := range []time.Duration{300 * time.Millisecond, 500 * time.Millisecond, time.Second} {
 		b.Run(fmt.Sprintf("election=%v", timeout), func(b *testing.B) {
 			g := newProcessGroup(b, 3, func(c *Config) {
-				c.StateMachine = &counter{}
+				c.StateMachine = &commandCounter{}
 				c.Raft.ElectionTimeout = timeout
 				c.Raft.LeaseDuration = timeout * 4 / 5
 			})
--- a/process/snap/snap.go
+++ b/process/snap/snap.go
@@ -26,7 +26,7 @@
 	snapshotMagic   = 0x4c54_534e_0000_0001
 	snapshotSuffix  = ".snap"
 	temporarySuffix = ".tmp"
-	damagedSuffix   = ".damaged"
+	corruptSuffix   = ".damaged"
 	checksumSize    = 4
 	retainedCount   = 2
 )
@@ -36,8 +36,8 @@
 // snapshotID identifies a snapshot by the index and term in its file name.
 type snapshotID struct{ index, term uint64 }
 
-func (p snapshotID) fileName() string {
-	return fmt.Sprintf("%016x-%016x%s", p.index, p.term, snapshotSuffix)
+func (id snapshotID) fileName() string {
+	return fmt.Sprintf("%016x-%016x%s", id.index, id.term, snapshotSuffix)
 }
 
 // parseFileName returns the snapshot that a file name identifies, or false for any
@@ -75,8 +75,8 @@
 			}
 			continue
 		}
-		if p, ok := parseFileName(name); ok {
-			store.snapshots = append(store.snapshots, p)
+		if id, ok := parseFileName(name); ok {
+			store.snapshots = append(store.snapshots, id)
 		}
 	}
 	return store, nil
@@ -99,14 +99,14 @@
 	defer s.mutex.Unlock()
 	loaded := LoadResult{}
 	for position := len(s.snapshots) - 1; position >= 0; position-- {
-		p := s.snapshots[position]
-		if loaded.Damaged > 0 && !logHoldsEntriesAfter(p.index) {
-			return LoadResult{}, errors.Wrapf(ErrDamaged, "the log does not hold every entry after snapshot %d", p.index)
+		id := s.snapshots[position]
+		if loaded.Damaged > 0 && !logHoldsEntriesAfter(id.index) {
+			return LoadResult{}, errors.Wrapf(ErrDamaged, "the log does not hold every entry after snapshot %d", id.index)
 		}
-		snapshot, err := s.read(p)
+		snapshot, err := s.read(id)
 		if err == nil {
 			loaded.Snapshot, loaded.Found = snapshot, true
-			return loaded, s.quarantineFrom(position + 1)
+			return loaded, s.renameCorruptFrom(position + 1)
 		}
 		if !errors.Is(err, ErrDamaged) {
 			return LoadResult{}, err
@@ -121,13 +121,13 @@
 
 // quarantineFrom renames the corrupt snapshots from position on and removes them
 // from the list.
-func (s *Store) quarantineFrom(position int) error {
+func (s *Store) renameCorruptFrom(position int) error {
 	if position == len(s.snapshots) {
 		return nil
 	}
-	for _, p := range s.snapshots[position:] {
-		name := filepath.Join(s.dir, p.fileName())
-		if err := s.fileSystem.Rename(name, name+damagedSuffix); err != nil {
+	for _, id := range s.snapshots[position:] {
+		name := filepath.Join(s.dir, id.fileName())
+		if err := s.fileSystem.Rename(name, name+corruptSuffix); err != nil {
 			return err
 		}
 	}
@@ -135,17 +135,17 @@
 	return s.fileSystem.SyncDir(s.dir)
 }
 
-func (s *Store) read(p snapshotID) (raft.Snapshot, error) {
-	data, err := s.fileSystem.ReadFile(filepath.Join(s.dir, p.fileName()))
+func (s *Store) read(id snapshotID) (raft.Snapshot, error) {
+	data, err := s.fileSystem.ReadFile(filepath.Join(s.dir, id.fileName()))
 	if err != nil {
 		return raft.Snapshot{}, err
 	}
 	snapshot, err := decode(data)
 	if err != nil {
-		return raft.Snapshot{}, errors.Wrapf(ErrDamaged, "%s: %v", p.fileName(), err)
+		return raft.Snapshot{}, errors.Wrapf(ErrDamaged, "%s: %v", id.fileName(), err)
 	}
-	if snapshot.Index != p.index || snapshot.Term != p.term {
-		return raft.Snapshot{}, errors.Wrapf(ErrDamaged, "%s contains snapshot %d", p.fileName(), snapshot.Index)
+	if snapshot.Index != id.index || snapshot.Term != id.term {
+		return raft.Snapshot{}, errors.Wrapf(ErrDamaged, "%s contains snapshot %d", id.fileName(), snapshot.Index)
 	}
 	return snapshot, nil
 }
@@ -158,11 +158,11 @@
 	if count := len(s.snapshots); count > 0 && s.snapshots[count-1].index >= snapshot.Index {
 		return nil
 	}
-	p := snapshotID{index: snapshot.Index, term: snapshot.Term}
-	if err := wal.WriteFile(s.fileSystem, filepath.Join(s.dir, p.fileName()), encode(snapshot)); err != nil {
+	id := snapshotID{index: snapshot.Index, term: snapshot.Term}
+	if err := wal.WriteFile(s.fileSystem, filepath.Join(s.dir, id.fileName()), encode(snapshot)); err != nil {
 		return err
 	}
-	s.snapshots = append(s.snapshots, p)
+	s.snapshots = append(s.snapshots, id)
 	return s.removeOld()
 }
 
@@ -195,7 +195,7 @@
 	}
 	for _, name := range names {
 		_, isSnapshot := parseFileName(name)
-		if !isSnapshot && !strings.HasSuffix(name, snapshotSuffix+damagedSuffix) {
+		if !isSnapshot && !strings.HasSuffix(name, snapshotSuffix+corruptSuffix) {
 			continue
 		}
 		if err := fileSystem.Remove(filepath.Join(dir, name)); err != nil {
--- a/process/snap/snap_test.go
+++ b/process/snap/snap_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-func path(index uint64) string {
+func snapshotPath(index uint64) string {
 	return filepath.Join(testDir, fmt.Sprintf("%016x-%016x.snap", index, 2))
 }
 
@@ -77,22 +77,22 @@
 
 func TestSnapshotUnderAnotherNameIsDamaged(t *testing.T) {
 	fileSystem, _ := storeWith(t, 10)
-	must.NoError(t, fileSystem.Rename(path(10), path(12)))
+	must.NoError(t, fileSystem.Rename(snapshotPath(10), snapshotPath(12)))
 	_, err := load(t, fileSystem)
 	must.ErrorIs(t, err, snap.ErrDamaged)
 }
 
 func TestDamageAtAnyOffsetIsDetected(t *testing.T) {
 	fileSystem, _ := storeWith(t, 10)
-	content, err := fileSystem.ReadFile(path(10))
+	content, err := fileSystem.ReadFile(snapshotPath(10))
 	must.NoError(t, err)
 	for offset := range content {
 		damaged, _ := storeWith(t, 10)
-		damaged.Edit(path(10), func(c []byte) []byte { c[offset] ^= 0x10; return c })
+		damaged.Edit(snapshotPath(10), func(c []byte) []byte { c[offset] ^= 0x10; return c })
 		_, err := load(t, damaged)
 		must.ErrorIs(t, err, snap.ErrDamaged)
 		shortened, _ := storeWith(t, 10)
-		shortened.Edit(path(10), func(c []byte) []byte { return c[:offset] })
+		shortened.Edit(snapshotPath(10), func(c []byte) []byte { return c[:offset] })
 		_, err = load(t, shortened)
 		must.ErrorIs(t, err, snap.ErrDamaged)
 	}
@@ -135,7 +135,7 @@
 // Either it is rejected as corrupt, or it is encoded to the same bytes again.
 func FuzzLoad(f *testing.F) {
 	fileSystem, _ := storeWith(f, 10)
-	content, err := fileSystem.ReadFile(path(10))
+	content, err := fileSystem.ReadFile(snapshotPath(10))
 	must.NoError(f, err)
 	f.Add(content, false)
 	f.Add(content[:len(content)-4], true)
@@ -146,7 +146,7 @@
 			content = encoder.Data()
 		}
 		fileSystem, _ := storeWith(t, 10)
-		fileSystem.Edit(path(10), func([]byte) []byte { return content })
+		fileSystem.Edit(snapshotPath(10), func([]byte) []byte { return content })
 		loaded, err := load(t, fileSystem)
 		if err != nil {
 			must.ErrorIs(t, err, snap.ErrDamaged)
@@ -154,7 +154,7 @@
 		}
 		copied, store := storeWith(t)
 		must.NoError(t, store.Save(loaded.Snapshot))
-		again, err := copied.ReadFile(path(10))
+		again, err := copied.ReadFile(snapshotPath(10))
 		must.NoError(t, err)
 		must.Eq(t, content, again)
 	})
--- a/process/wal/identity.go
+++ b/process/wal/identity.go
@@ -28,8 +28,8 @@
 // identityFile is the content of the identity file. used is set when the first
 // record has been written: from then on an empty log is a lost log.
 type identityFile struct {
-	identity Identity
-	used     bool
+	identity   Identity
+	hasRecords bool
 }
 
 func encodeIdentity(content identityFile) []byte {
@@ -37,7 +37,7 @@
 	encoder.Uint64(identityMagic)
 	encoder.Uint64(content.identity.Group)
 	encoder.Uint64(uint64(content.identity.Member))
-	encoder.Bool(content.used)
+	encoder.Bool(content.hasRecords)
 	encoder.Uint32(crc32.Checksum(encoder.Data(), castagnoli))
 	return encoder.Data()
 }
@@ -46,8 +46,8 @@
 	decoder := frame.NewDecoder(data)
 	magic := decoder.Uint64()
 	content := identityFile{
-		identity: Identity{Group: decoder.Uint64(), Member: raft.MemberID(decoder.Uint64())},
-		used:     decoder.Bool(),
+		identity:   Identity{Group: decoder.Uint64(), Member: raft.MemberID(decoder.Uint64())},
+		hasRecords: decoder.Bool(),
 	}
 	sum := decoder.Uint32()
 	if err := decoder.Finish(); err != nil {
--- a/process/wal/oracle_test.go
+++ b/process/wal/oracle_test.go
@@ -34,7 +34,7 @@
 
 // oracle drives a log through saves, compactions, crashes and failing syncs, and
 // compares it with an in-memory model of its expected content.
-type oracle struct {
+type modelTest struct {
 	fileSystem *faultfs.FileSystem
 	log        *wal.Log
 	identity   wal.Identity
@@ -44,114 +44,114 @@
 	failed     bool
 }
 
-func (o *oracle) save(t *rapid.T) {
-	hardState := o.drawHardState(t)
+func (m *modelTest) save(t *rapid.T) {
+	hardState := m.drawHardState(t)
 	var entries []raft.Entry
-	first := rapid.Uint64Range(max(o.compacted+1, o.saved.first), o.saved.lastIndex()+1).Draw(t, "first")
+	first := rapid.Uint64Range(max(m.compacted+1, m.saved.first), m.saved.lastIndex()+1).Draw(t, "first")
 	for offset := range rapid.IntRange(0, 5).Draw(t, "entries") {
 		size := rapid.IntRange(0, 1500).Draw(t, "size")
-		entries = append(entries, entry(o.saved.hardState.Term+1, first+uint64(offset), size))
+		entries = append(entries, entry(m.saved.hardState.Term+1, first+uint64(offset), size))
 	}
-	o.attempt(t, o.saved.with(hardState, entries), func() error { return o.log.Save(hardState, entries) })
+	m.attempt(t, m.saved.with(hardState, entries), func() error { return m.log.Save(hardState, entries) })
 }
 
-func (o *oracle) drawHardState(t *rapid.T) *raft.HardState {
+func (m *modelTest) drawHardState(t *rapid.T) *raft.HardState {
 	if !rapid.Bool().Draw(t, "hard state") {
 		return nil
 	}
 	return &raft.HardState{
-		Term:   o.saved.hardState.Term + rapid.Uint64Range(0, 2).Draw(t, "term"),
+		Term:   m.saved.hardState.Term + rapid.Uint64Range(0, 2).Draw(t, "term"),
 		Vote:   raft.MemberID(rapid.Uint64Range(0, 3).Draw(t, "vote")),
-		Commit: o.saved.hardState.Commit,
+		Commit: m.saved.hardState.Commit,
 	}
 }
 
 // attempt runs an operation after which the log holds wanted if it succeeds. Once
 // an operation has failed, all others must fail with ErrUnusable.
-func (o *oracle) attempt(t *rapid.T, wanted content, operation func() error) {
-	if o.failed {
+func (m *modelTest) attempt(t *rapid.T, wanted content, operation func() error) {
+	if m.failed {
 		must.ErrorIs(t, operation(), wal.ErrUnusable)
 		return
 	}
 	if err := operation(); err != nil {
-		o.failed = true
-		o.attempted = &wanted
+		m.failed = true
+		m.attempted = &wanted
 		return
 	}
-	o.saved = wanted
+	m.saved = wanted
 }
 
-func (o *oracle) compact(t *rapid.T) {
-	index := rapid.Uint64Range(0, o.saved.lastIndex()).Draw(t, "index")
-	o.attempt(t, o.saved, func() error { return o.log.Compact(index) })
-	o.compacted = max(o.compacted, index)
+func (m *modelTest) compact(t *rapid.T) {
+	index := rapid.Uint64Range(0, m.saved.lastIndex()).Draw(t, "index")
+	m.attempt(t, m.saved, func() error { return m.log.Compact(index) })
+	m.compacted = max(m.compacted, index)
 }
 
-func (o *oracle) reset(t *rapid.T) {
-	if o.failed {
+func (m *modelTest) reset(t *rapid.T) {
+	if m.failed {
 		return
 	}
-	index := o.saved.lastIndex() + rapid.Uint64Range(1, 20).Draw(t, "skipped")
-	o.attempt(t, o.saved, func() error { return o.log.BeginInstall(9, index) })
-	wanted := o.saved
+	index := m.saved.lastIndex() + rapid.Uint64Range(1, 20).Draw(t, "skipped")
+	m.attempt(t, m.saved, func() error { return m.log.BeginInstall(9, index) })
+	wanted := m.saved
 	wanted.entries, wanted.first = nil, index+1
-	if o.failed {
+	if m.failed {
 		return
 	}
-	o.attempt(t, wanted, func() error { return o.log.Reset(9, index) })
-	if !o.failed {
-		o.compacted = index
+	m.attempt(t, wanted, func() error { return m.log.Reset(9, index) })
+	if !m.failed {
+		m.compacted = index
 	}
 }
 
-func (o *oracle) stopSoon(t *rapid.T) {
-	o.fileSystem.StopAfter(rapid.IntRange(0, 12).Draw(t, "operations"))
+func (m *modelTest) cutPowerSoon(t *rapid.T) {
+	m.fileSystem.StopAfter(rapid.IntRange(0, 12).Draw(t, "operations"))
 }
 
-func (o *oracle) failSync(t *rapid.T) { o.fileSystem.FailSyncs(1) }
+func (m *modelTest) failSync(t *rapid.T) { m.fileSystem.FailSyncs(1) }
 
-func (o *oracle) crash(t *rapid.T) {
+func (m *modelTest) crash(t *rapid.T) {
 	if rapid.Bool().Draw(t, "machine") {
-		o.fileSystem.Crash()
+		m.fileSystem.Crash()
 	} else {
-		o.fileSystem.StopAfter(-1)
-		o.fileSystem.Restart()
+		m.fileSystem.StopAfter(-1)
+		m.fileSystem.Restart()
 	}
-	o.reopen(t)
+	m.reopen(t)
 }
 
 // reopen opens the log again, optionally after a crash while opening it.
-func (o *oracle) reopen(t *rapid.T) {
-	o.fileSystem.FailSyncs(0)
+func (m *modelTest) reopen(t *rapid.T) {
+	m.fileSystem.FailSyncs(0)
 	if rapid.Bool().Draw(t, "crash while opening") {
-		o.fileSystem.StopAfter(rapid.IntRange(0, 6).Draw(t, "operations"))
-		log, _, err := tryOpen(o.fileSystem)
+		m.fileSystem.StopAfter(rapid.IntRange(0, 6).Draw(t, "operations"))
+		log, _, err := tryOpen(m.fileSystem)
 		if err == nil {
 			must.NoError(t, log.Close())
 		} else {
 			must.ErrorIs(t, err, faultfs.ErrPower)
 		}
-		o.fileSystem.Crash()
+		m.fileSystem.Crash()
 	}
-	log, recovered, err := tryOpen(o.fileSystem)
+	log, recovered, err := tryOpen(m.fileSystem)
 	must.NoError(t, err)
-	o.log = log
-	o.verify(t, recovered)
+	m.log = log
+	m.verify(t, recovered)
 }
 
 // verify checks that the log recovered either the saved content or that of the
 // failed operation, starting at the first entry that was not compacted.
-func (o *oracle) verify(t *rapid.T, recovered wal.Recovered) {
-	must.Eq(t, o.identity, recovered.Identity)
-	err := o.saved.matches(recovered, o.compacted)
-	if err != nil && o.attempted != nil {
-		if o.attempted.matches(recovered, o.compacted) == nil {
-			o.saved, err = *o.attempted, nil
-			o.compacted = max(o.compacted, o.saved.first-1)
+func (m *modelTest) verify(t *rapid.T, recovered wal.Recovered) {
+	must.Eq(t, m.identity, recovered.Identity)
+	err := m.saved.matches(recovered, m.compacted)
+	if err != nil && m.attempted != nil {
+		if m.attempted.matches(recovered, m.compacted) == nil {
+			m.saved, err = *m.attempted, nil
+			m.compacted = max(m.compacted, m.saved.first-1)
 		}
 	}
 	must.NoError(t, err)
-	o.attempted, o.failed = nil, false
+	m.attempted, m.failed = nil, false
 }
 
 func (c content) matches(recovered wal.Recovered, compacted uint64) error {
@@ -183,17 +183,17 @@
 
 func TestLogAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := &oracle{fileSystem: faultfs.New(rapid.Uint64().Draw(t, "seed")), saved: content{first: 1}}
-		log, recovered := open(t, o.fileSystem)
-		o.log, o.identity = log, recovered.Identity
+		m := &modelTest{fileSystem: faultfs.New(rapid.Uint64().Draw(t, "seed")), saved: content{first: 1}}
+		log, recovered := open(t, m.fileSystem)
+		m.log, m.identity = log, recovered.Identity
 		t.Repeat(map[string]func(*rapid.T){
-			"save":      o.save,
-			"save more": o.save,
-			"compact":   o.compact,
-			"reset":     o.reset,
-			"stop soon": o.stopSoon,
-			"fail sync": o.failSync,
-			"crash":     o.crash,
+			"save":      m.save,
+			"save more": m.save,
+			"compact":   m.compact,
+			"reset":     m.reset,
+			"stop soon": m.cutPowerSoon,
+			"fail sync": m.failSync,
+			"crash":     m.crash,
 		})
 	})
 }
--- a/process/wal/record.go
+++ b/process/wal/record.go
@@ -82,7 +82,7 @@
 
 // start is the payload of a segment's first record. It carries over the state that
 // recovery needs after earlier segments were removed by compaction.
-type start struct {
+type startRecord struct {
 	identity       Identity
 	sequence       uint64
 	last           position
@@ -116,7 +116,7 @@
 	}
 }
 
-func encodeStart(s start) []byte {
+func encodeStart(s startRecord) []byte {
 	encoder := frame.NewEncoder(nil)
 	encoder.Uint64(s.identity.Group)
 	encoder.Uint64(uint64(s.identity.Member))
@@ -127,9 +127,9 @@
 	return encoder.Data()
 }
 
-func decodeStart(payload []byte) (start, error) {
+func decodeStart(payload []byte) (startRecord, error) {
 	decoder := frame.NewDecoder(payload)
-	s := start{
+	s := startRecord{
 		identity:       Identity{Group: decoder.Uint64(), Member: raft.MemberID(decoder.Uint64())},
 		sequence:       decoder.Uint64(),
 		last:           decodePosition(decoder),
--- a/process/wal/save.go
+++ b/process/wal/save.go
@@ -16,16 +16,16 @@
 	if l.err != nil {
 		return l.err
 	}
-	next := l.hardState
+	newHardState := l.hardState
 	if hardState != nil {
-		next = *hardState
+		newHardState = *hardState
 	}
 	if err := l.checkContiguous(entries); err != nil {
 		return err
 	}
 	for {
 		count := batchLength(entries)
-		part := batch{hardState: next, entries: entries[:count]}
+		part := batch{hardState: newHardState, entries: entries[:count]}
 		if count < len(entries) {
 			// The commit index must not exceed the last entry in the log.
 			part.hardState.Commit = l.hardState.Commit
@@ -89,19 +89,19 @@
 	if err := l.current.append(r); err != nil {
 		return err
 	}
-	return l.markUsed()
+	return l.setHasRecords()
 }
 
 // markUsed sets the used flag in the identity file after the first record. The
 // record is already durable, so the flag is never ahead of the log.
-func (l *Log) markUsed() error {
-	if l.used {
+func (l *Log) setHasRecords() error {
+	if l.hasRecords {
 		return nil
 	}
-	if err := writeIdentity(l.fileSystem, l.dir, identityFile{identity: l.identity, used: true}); err != nil {
+	if err := writeIdentity(l.fileSystem, l.dir, identityFile{identity: l.identity, hasRecords: true}); err != nil {
 		return err
 	}
-	l.used = true
+	l.hasRecords = true
 	return nil
 }
 
@@ -110,10 +110,10 @@
 // segment was lost. It gets records only after the seal is durable, so an unsealed
 // segment before one with records is corrupt.
 func (l *Log) rotate() error {
-	next := l.current.sequence + 1
-	newSegment, err := createSegment(l.fileSystem, l.dir, start{
+	nextSequence := l.current.sequence + 1
+	newSegment, err := createSegment(l.fileSystem, l.dir, startRecord{
 		identity:       l.identity,
-		sequence:       next,
+		sequence:       nextSequence,
 		last:           l.last,
 		hardState:      l.hardState,
 		pendingInstall: l.pendingInstall,
@@ -121,7 +121,7 @@
 	if err != nil {
 		return err
 	}
-	if err := l.current.append(record{kind: recordSeal, payload: encodeSeal(next)}); err != nil {
+	if err := l.current.append(record{kind: recordSeal, payload: encodeSeal(nextSequence)}); err != nil {
 		newSegment.file.Close()
 		return err
 	}
@@ -130,7 +130,7 @@
 		return errors.WithStack(err)
 	}
 	l.current = newSegment
-	l.segments = append(l.segments, segmentInfo{sequence: next})
+	l.segments = append(l.segments, segmentInfo{sequence: nextSequence})
 	return nil
 }
 
--- a/process/wal/segment.go
+++ b/process/wal/segment.go
@@ -37,7 +37,7 @@
 // createSegment writes a segment with its start record to a temporary file, syncs
 // it and renames it. A file with a segment's name therefore always has a complete
 // start record, and a shorter file is corrupt or was truncated.
-func createSegment(fileSystem FileSystem, dir string, s start) (*segment, error) {
+func createSegment(fileSystem FileSystem, dir string, s startRecord) (*segment, error) {
 	salt := newSalt()
 	buffer := binary.BigEndian.AppendUint64(nil, segmentMagic)
 	buffer = binary.BigEndian.AppendUint64(buffer, salt)
@@ -75,7 +75,7 @@
 	name           string
 	sequence       uint64
 	salt           uint64
-	start          start
+	start          startRecord
 	records        []record // after the start record
 	valid          int64    // bytes up to the end of the last valid record
 	data           []byte
--- a/process/wal/wal.go
+++ b/process/wal/wal.go
@@ -56,7 +56,7 @@
 	segmentBytes   int64
 	lock           io.Closer
 	identity       Identity
-	used           bool
+	hasRecords     bool
 	current        *segment
 	segments       []segmentInfo
 	hardState      raft.HardState
@@ -112,7 +112,7 @@
 	if !found {
 		return l.create(group, sequences)
 	}
-	l.identity, l.used = content.identity, content.used
+	l.identity, l.hasRecords = content.identity, content.hasRecords
 	if l.identity.Group != group {
 		return Recovered{}, errors.Wrapf(ErrWrongGroup, "group %x, expected %x", l.identity.Group, group)
 	}
@@ -129,7 +129,7 @@
 		return Recovered{}, err
 	}
 	l.identity = Identity{Group: group, Member: newMemberID()}
-	current, err := createSegment(l.fileSystem, l.dir, start{identity: l.identity, sequence: 1})
+	current, err := createSegment(l.fileSystem, l.dir, startRecord{identity: l.identity, sequence: 1})
 	if err != nil {
 		return Recovered{}, err
 	}
@@ -173,7 +173,7 @@
 			return Recovered{}, err
 		}
 	}
-	if l.used && sequences[0] == 1 && state.records == 0 {
+	if l.hasRecords && sequences[0] == 1 && state.records == 0 {
 		return Recovered{}, errors.Wrap(ErrLostLog, "log is empty")
 	}
 	l.hardState, l.last, l.pendingInstall, l.segments = state.hardState, state.last, state.pendingInstall, state.segments
