--- a/process/metering/counter.go
+++ b/process/metering/counter.go
@@ -1,5 +1,5 @@
-// Package metering counts, in one proxy, the requests of each tenant that replicas
-// started, per time window. Windows follow the wall-clock time of the control group.
+// Package metering counts, in one proxy, the requests of each tenant that replicas (model
+// servers) started, per time window. Windows follow the wall-clock time of the control group.
 //
 // Guarantees: counters only increase, so reports can be repeated, delayed and reordered; a
 // request is counted once regardless of retries; memory use is bounded.
@@ -17,8 +17,8 @@
 )
 
 // retainedWindows is how many windows are kept so that they can be reported again to a new
-// leader. A report is due within two windows on most platforms, and a group that is stopped
-// as a whole is back within a few.
+// leader. 8 windows cover the two within which most platforms require a report, and the few
+// that pass while the whole group is stopped.
 const retainedWindows = 8
 
 // Counter counts the requests of one process. It is safe for concurrent use.
@@ -28,7 +28,7 @@
 	now          func() time.Time // the control group's wall-clock time
 
 	lock             sync.Mutex
-	counts           map[int64]map[string]uint64
+	counts           map[int64]map[string]uint64   // by window, then tenant
 	unreported       map[int64]map[string]struct{} // counters that increased since they were last reported
 	lastReportWindow int64                         // the window during which the last report was made
 }
@@ -58,6 +58,8 @@
 	c.markUnreported(window, tenant)
 }
 
+// windowOf returns the number of the window that contains the time: windows of the given
+// length since the Unix epoch.
 func windowOf(at time.Time, length time.Duration) int64 {
 	return at.UnixMilli() / length.Milliseconds()
 }
@@ -80,8 +82,9 @@
 	}
 }
 
-// Next returns the next report: the counters that increased since they were last reported.
-// due is false if there are none and no window has ended since the last report.
+// Next returns the next report, the counters that increased since they were last reported,
+// and marks them as reported. due is false if there are none and no window has ended since
+// the last report.
 func (c *Counter) Next() (report feed.UsageReport, due bool) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
--- a/process/metering/day.go
+++ b/process/metering/day.go
@@ -24,8 +24,9 @@
 	synchronizedAt time.Duration
 }
 
-// driftDivisor is the inverse of the assumed clock drift rate. The error bound grows at this
-// rate, so that a newer reading eventually replaces an old one with a smaller initial error.
+// driftDivisor is the inverse of the assumed clock drift rate: 1/2000 = 500 ppm. The error
+// bound grows at this rate, so that a newer reading eventually replaces an old one with a
+// smaller initial error.
 const driftDivisor = 2000
 
 // NewDay returns a Day that uses the machine's own time until the first call of Learn.
@@ -52,7 +53,9 @@
 	d.synchronized, d.maxError, d.synchronizedAt = true, roundTrip/2, answered
 }
 
-// Now returns the group's estimated wall-clock time.
+// Now returns the group's estimated wall-clock time. Right after an update, its error is at
+// most half of that round trip; later it grows with the clock drift. Before the first update
+// it is the machine's own time, whose error is unknown.
 func (d *Day) Now() time.Time {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -105,7 +108,8 @@
 	a.readings[machine] = reading{offset: time.Duration(unixMillis)*time.Millisecond - now, at: now}
 }
 
-// Now returns the agreed wall-clock time.
+// Now returns the group's wall-clock time. The median is recomputed at most once per
+// medianInterval; in between, the time advances with the monotonic clock.
 func (a *Agreement) Now() time.Time {
 	now := a.monotonic()
 	a.lock.Lock()
--- a/process/metering/metering_test.go
+++ b/process/metering/metering_test.go
@@ -11,7 +11,7 @@
 
 const window = 5 * time.Second
 
-// start is the start of window 358409336.
+// start is the start of an arbitrary window, number 358409336.
 var start = time.UnixMilli(358409336 * window.Milliseconds())
 
 func TestRequestsAreCountedByWindow(t *testing.T) {
@@ -53,7 +53,8 @@
 }
 
 // Clocks of a minority of machines must not move the group's time, whatever they report.
-// The estimate of a process must be off by at most half a round trip.
+// The estimate of a process must be off by at most half a round trip, 21.5 ms, plus the
+// error of the group's time.
 func TestJumpingMinorityDoesNotMoveGroupTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		monotonic, groupTime := time.Duration(0), start
@@ -75,7 +76,7 @@
 			}
 			advance(medianInterval)
 			must.Between(t, -2*time.Millisecond, agreement.Now().Sub(groupTime), 2*time.Millisecond)
-			toLeader, fromLeader := 3*time.Millisecond, time.Duration(rapid.IntRange(3, 40).Draw(t, "way back"))*time.Millisecond
+			toLeader, fromLeader := 3*time.Millisecond, time.Duration(rapid.IntRange(3, 40).Draw(t, "reply delay"))*time.Millisecond
 			sent := monotonic + proxyClock
 			advance(toLeader)
 			groupMillis := agreement.Now().UnixMilli()
--- a/process/relay/config.go
+++ b/process/relay/config.go
@@ -10,11 +10,11 @@
 // ErrConfig means that a required setting is missing from a Config.
 var ErrConfig = errors.New("relay: invalid configuration")
 
-// Config configures a relay. Zero durations and limits are replaced by the
-// defaults.
+// Config configures a relay. Zero durations and limits are replaced by the defaults.
 type Config struct {
 	// Name identifies the relay among all daemons that subscribe to the feed.
 	Name string
+	// Zone is the relay's zone, as sent to the control group.
 	Zone string
 	// FeedAddress serves the feed to daemons, AdminAddress serves health and
 	// metrics. Both are an IP address and a port.
@@ -23,8 +23,9 @@
 	// Control lists the feed addresses of the control group's members.
 	Control []string
 	// Lease is the maximum view lease granted to daemons. It must be at most half
-	// of the control group's view lease, so that a hanging daemon delays no other
-	// daemon.
+	// of the control group's view lease, which is not checked here. The relay's own
+	// lease then outlasts the wait for a hanging daemon (see ackTimeoutDivisor), so
+	// that a hanging daemon delays no other daemon behind the relay.
 	Lease time.Duration
 	// Beat is the interval between renewals of the relay's own lease.
 	Beat time.Duration
@@ -49,10 +50,12 @@
 	DefaultMaxDaemons   = 1024
 )
 
-// floorIntervalDivisor divides the lease to give the time after which a daemon that
-// has not acknowledged a version is granted no further lease. Its last lease ends
-// one lease later, so the control group waits at most a lease and a half for a
-// hanging daemon, less than the relay's own lease lasts.
+// ackTimeoutDivisor divides the lease to give the interval at which the feed server
+// updates the version that a daemon must have acknowledged to be granted a further
+// lease. A version is required one to two intervals, at most half a lease, after it
+// was applied. The last lease on an older version ends one lease later, so the control
+// group waits at most a lease and a half for a hanging daemon. This is less than the
+// relay's own lease lasts if Config limits the daemons' lease as required.
 const ackTimeoutDivisor = 4
 
 func (c Config) withDefaults() Config {
--- a/process/relay/demand.go
+++ b/process/relay/demand.go
@@ -8,12 +8,13 @@
 )
 
 // maxDemandWindow bounds how long unreported demand is kept. Older demand would
-// mislead the planner.
+// mislead the control group's planner.
 const maxDemandWindow = 10 * time.Second
 
 // queueReportTTL is how long a daemon's last queue report stays valid.
 const queueReportTTL = 3 * time.Second
 
+// demandKey identifies demand by the intent it was offered for and its request class.
 type demandKey struct{ intent, class string }
 
 // demandAggregator sums the demand that daemons report to the relay, so that the
--- a/process/relay/group.go
+++ b/process/relay/group.go
@@ -62,7 +62,8 @@
 	return g.relay.History().DeltaSince(from)
 }
 
-// Claim forwards the claim; its nonce makes it safe to retry.
+// Claim forwards the claim. It is safe to retry, because the control group recognizes
+// a repeated claim by its nonce.
 func (g *group) Claim(ctx context.Context, request state.ClaimRequest) (api.ClaimResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, g.claimTimeout)
 	defer cancel()
@@ -87,20 +88,23 @@
 	return placement.Answer{}, false
 }
 
-// NotePlaced implements feed.Group.
+// NotePlaced drops the note: a relay places no requests.
 func (g *group) NotePlaced(string, feed.PlaceNote) {}
 
-// NoteKept implements feed.Group.
+// NoteKept drops what a daemon reports about prompts cached by a replica: a relay
+// places no requests.
 func (g *group) NoteKept(feed.KeptParts) {}
 
-// NoteInFlight implements feed.Group.
+// NoteInFlight drops what a daemon reports about its requests in flight: a relay places
+// no requests.
 func (g *group) NoteInFlight(string, feed.InFlight) {}
 
 // NoteEnds forwards the report to the control group.
 func (g *group) NoteEnds(report feed.EndReport) { g.upstream.ReportEnds(report) }
 
-// Unrecorded returns an empty report: a relay subscribes only to leaders and so has
-// the record.
+// Unrecorded returns an empty report. It is for ends of replicas that the group's
+// replicated record cannot show; a relay subscribes only to leaders, so its view
+// contains the record.
 func (g *group) Unrecorded() (feed.EndReport, uint64) { return feed.EndReport{}, 0 }
 
 // NoteUsage forwards the report to the control group.
@@ -114,14 +118,17 @@
 	return grant, err == nil
 }
 
-// chargeTimeout is slightly less than a daemon waits for the reply to a charge.
+// chargeTimeout is slightly less than a daemon waits for the reply to a charge:
+// chargeTimeout in process/ingress.
 const chargeTimeout = 25 * time.Millisecond
 
 // ReturnCharge forwards the returned charge to the control group.
 func (g *group) ReturnCharge(request feed.ChargeRequest) { g.upstream.ReturnCharge(request) }
 
-// Day returns 0: a relay does not provide the group's wall-clock time.
+// Day returns 0 instead of the group's wall-clock time in milliseconds since the Unix
+// epoch: a relay does not know it.
 func (g *group) Day() int64 { return 0 }
 
-// ReportPresence forwards the presence. A lost one is repeated with a later beat.
+// ReportPresence forwards the presence. It may be lost: daemons report it again with
+// every beat.
 func (g *group) ReportPresence(presence feed.Presence) { g.upstream.ReportPresence(presence) }
--- a/process/relay/group_test.go
+++ b/process/relay/group_test.go
@@ -23,7 +23,8 @@
 	groupLease = 2 * time.Second
 	relayLease = 800 * time.Millisecond
 	testBeat   = 100 * time.Millisecond
-	// waitTimeout bounds every wait; no test measures it.
+	// waitTimeout is the limit for every condition that a test waits for, not an
+	// expected duration.
 	waitTimeout = 20 * time.Second
 )
 
@@ -38,7 +39,7 @@
 	}
 }
 
-// leaderGroup is a control group with a single state machine that always leads.
+// leaderGroup is a control group of one member that always leads.
 type leaderGroup struct {
 	lock          sync.Mutex
 	machine       *state.Machine
@@ -221,7 +222,7 @@
 	return leads && result.Done
 }
 
-// blockableViews blocks Apply while lock is held.
+// blockableViews blocks Apply while a test holds lock, like a daemon that hangs.
 type blockableViews struct {
 	*view.Holder
 	lock sync.Mutex
--- a/process/relay/metrics.go
+++ b/process/relay/metrics.go
@@ -9,7 +9,8 @@
 const metricsNamespace = "landingtrail_relay"
 
 // metrics returns a registry of the relay's gauges, whose values are read on each
-// scrape.
+// scrape. acknowledged_revision is the highest one that is in force at all daemons behind
+// the relay; view_confirmed is also 0 while the relay is stopping.
 func (r *Relay) metrics() *prometheus.Registry {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(
--- a/process/relay/relay.go
+++ b/process/relay/relay.go
@@ -1,6 +1,11 @@
 // Package relay implements a daemon that forwards the control group's feed, so that
 // the leader serves one relay instead of every daemon behind it.
 //
+// The feed sends daemons the view, the control group's replicated configuration, as
+// deltas, and grants leases on it. Daemons renew their lease with periodic messages,
+// the beats. A version of the view is in force once no daemon uses an older one under
+// a valid lease.
+//
 // To the control group a relay is one more daemon that subscribes to the feed; to
 // daemons it serves the feed as a leader does. It gives the guarantee of view.Relay:
 // a version that the group considers in force is in force at every daemon behind the
@@ -55,7 +60,8 @@
 	background   sync.WaitGroup
 }
 
-// Run runs a relay until ctx ends.
+// Run runs a relay until ctx ends. It returns ErrConfig for an invalid configuration,
+// the error if the relay cannot listen or subscribe, and nil after ctx has ended.
 func Run(ctx context.Context, config Config, logger log.Logger) error {
 	r, err := open(config, logger)
 	if err != nil {
--- a/process/replica/capacity_bench_test.go
+++ b/process/replica/capacity_bench_test.go
@@ -67,7 +67,7 @@
 }
 
 // BenchmarkLearners measures commits of 256 bytes by 64 proposers in a group of three
-// voters and several learners; the slope is the cost of one learner.
+// voters and several learners; the increase per learner is the cost of one learner.
 func BenchmarkLearners(b *testing.B) {
 	for _, learners := range []int{0, 2, 4} {
 		b.Run(fmt.Sprintf("learners=%d", learners), func(b *testing.B) {
--- a/process/replica/disk.go
+++ b/process/replica/disk.go
@@ -32,7 +32,7 @@
 type Recovery struct {
 	Identity         wal.Identity
 	Entries          int   // entries after the snapshot
-	TornBytes        int64 // of a Save interrupted by a crash
+	TornBytes        int64 // of a record that was being appended during a crash
 	DamagedSnapshots int   // newer snapshots that were skipped as corrupt
 }
 
@@ -41,7 +41,8 @@
 // OpenDisk opens the directory, or creates it with a new identity. It returns
 // wal.ErrLostLog if the directory has lost state, and wal.ErrCorrupt or
 // snap.ErrDamaged if its state is corrupt. After these errors the member must not
-// run; it can rejoin as a new member after DiscardDisk.
+// run; it can rejoin as a new member after DiscardDisk. wal.ErrLocked and
+// wal.ErrWrongGroup mean that another process or group uses the directory.
 func OpenDisk(options DiskOptions) (*Disk, error) {
 	if options.FileSystem == nil {
 		options.FileSystem = wal.OS{}
--- a/process/replica/handover.go
+++ b/process/replica/handover.go
@@ -10,9 +10,9 @@
 // handoverElectionTimeouts is the time limit of a handover in election timeouts.
 const handoverElectionTimeouts = 3
 
-// handover is a leadership transfer in progress. New proposals are rejected meanwhile,
-// and those already in the log complete first, so that a planned handover leaves no
-// proposal with an unknown outcome.
+// handover is a TransferLeadership request in progress. New proposals are rejected
+// meanwhile, and those already in the log complete first, so that a planned handover
+// leaves no proposal with an unknown outcome.
 type handover struct {
 	request         *request
 	to              raft.MemberID
--- a/process/replica/loop.go
+++ b/process/replica/loop.go
@@ -16,7 +16,7 @@
 	proposals      map[uint64]pendingProposal // appended proposals, by log index
 	reads          map[uint64]*request        // ReadIndex requests, by request ID
 	confirmedReads []confirmedRead            // reads waiting for their index to be applied
-	leaseReads     []*request                 // lease reads to be answered at the end of this step
+	leaseReads     []*request                 // LeaseRead requests to be answered at the end of this step
 	lastReadID     uint64
 	applied        uint64
 	leaderTerm     uint64 // the term in which this member leads, or 0
@@ -132,6 +132,8 @@
 	}
 }
 
+// propose calls propose to append an entry and keeps the request until the entry is
+// applied. It rejects the request during a handover.
 func (l *loop) propose(req *request, propose func() (term, index uint64, err error)) {
 	if l.handover != nil {
 		req.complete(Result{}, &NotLeaderError{Leader: raft.None})
@@ -180,6 +182,8 @@
 	return nil
 }
 
+// persist saves the update. If it contains a received snapshot, persist also restores
+// the state machine from it.
 func (l *loop) persist(ready raft.Ready) error {
 	update := Update{
 		HardState: ready.HardState,
@@ -188,7 +192,7 @@
 		MustSync:  ready.MustSync,
 	}
 	if err := l.config.Storage.Save(update); err != nil {
-		return errors.Wrap(err, "replica: persist")
+		return errors.Wrap(err, "replica: save update")
 	}
 	if ready.Snapshot == nil {
 		return nil
--- a/process/replica/mailbox.go
+++ b/process/replica/mailbox.go
@@ -16,7 +16,7 @@
 	maxRequests int
 	maxMessages int
 	maxBytes    int
-	wake        chan struct{} // buffered for one signal
+	wake        chan struct{} // signals the loop that something was queued; buffered for one signal
 
 	mutex    sync.Mutex
 	closed   bool
--- a/process/replica/replica.go
+++ b/process/replica/replica.go
@@ -24,10 +24,11 @@
 	"github.com/pkg/errors"
 )
 
-// Defaults of Config. With a heartbeat every 100 ms, a follower can miss several
-// before it starts an election after one to two seconds, which is longer than the
-// pauses caused by a busy disk or scheduler. The lease is a fifth shorter than the
-// election timeout to allow for clocks that run at different rates.
+// Defaults of Config. A follower starts an election one to two election timeouts (1 to
+// 2 s) after the last heartbeat. This must be longer than several heartbeat intervals
+// of 100 ms and than the pauses caused by a busy disk or scheduler. The lease is a
+// fifth shorter than the election timeout to allow for clocks that run at different
+// rates.
 const (
 	DefaultHeartbeatInterval = 100 * time.Millisecond
 	DefaultElectionTimeout   = time.Second
@@ -55,9 +56,11 @@
 }
 
 // Capturer is implemented by a StateMachine that can make an immutable copy of its
-// state quickly. The function that Capture returns encodes the copy; it is called on
-// another goroutine, so that encoding doesn't delay the group.
+// state quickly.
 type Capturer interface {
+	// Capture copies the state before it returns. The returned function encodes the
+	// copy; it is called on another goroutine, so that encoding doesn't delay the
+	// group.
 	Capture() func() ([]byte, error)
 }
 
@@ -96,9 +99,9 @@
 
 	SnapshotEntries uint64 // entries applied between snapshots
 	SnapshotBytes   int    // bytes of entries applied between snapshots
-	QueuedRequests  int
-	QueuedMessages  int
-	QueuedBytes     int // of queued messages
+	QueuedRequests  int    // proposals, reads and transfers not yet processed
+	QueuedMessages  int    // received messages not yet processed
+	QueuedBytes     int    // of queued messages
 }
 
 func (c *Config) setDefaults() {
@@ -132,8 +135,9 @@
 	err      error // written before done is closed
 }
 
-// Start loads the storage, restores the state machine and starts the member. If
-// Start fails, it closes the storage.
+// Start loads the storage, restores the state machine and starts the member. It
+// returns the errors of the storage, of raft.New and of StateMachine.Restore. If Start
+// fails, it closes the storage.
 func Start(config Config) (*Replica, error) {
 	config.setDefaults()
 	r, err := start(config)
@@ -254,8 +258,8 @@
 
 // Stop transfers leadership if this member is the leader, waiting until ctx ends at
 // most, and then stops the member and closes its storage. It returns the error that
-// stopped the member or occurred on closing, otherwise that of the handover. The
-// member is stopped in any case.
+// stopped the member or occurred on closing; if there is none, it returns the error
+// of the leadership transfer, if any. The member is stopped in any case.
 func (r *Replica) Stop(ctx context.Context) error {
 	handover := r.handOverBeforeStop(ctx)
 	r.stopOnce.Do(func() { close(r.stopping) })
--- a/process/replica/request.go
+++ b/process/replica/request.go
@@ -14,17 +14,18 @@
 	// ErrNotLeader means that the request was not executed because another member
 	// leads: see NotLeaderError for which.
 	ErrNotLeader = errors.New("replica: not the leader")
-	// ErrOutcomeUnknown means that the request was appended to the log and may or
-	// may not be committed.
+	// ErrOutcomeUnknown means that the proposal may have been appended to the log and
+	// may or may not be committed.
 	ErrOutcomeUnknown = errors.New("replica: outcome unknown")
-	// ErrWithdrawn means that the context ended before the request was appended to
-	// the log. It will never be appended.
+	// ErrWithdrawn means that the context ended before the request was completed. A
+	// proposal was not appended to the log and never will be. A leadership transfer
+	// may still happen: see TransferLeadership.
 	ErrWithdrawn = errors.New("replica: given up before it was proposed")
 	// ErrOverloaded means that the request was rejected because too many requests are
 	// pending.
 	ErrOverloaded = errors.New("replica: overloaded")
-	// ErrStopped means that the replica stopped before the request was appended to
-	// the log. It will never be appended.
+	// ErrStopped means that the replica stopped before the request was completed. A
+	// proposal was not appended to the log and never will be.
 	ErrStopped = errors.New("replica: stopped")
 	// ErrLeaseExpired means that this member leads but holds no valid lease.
 	ErrLeaseExpired = errors.New("replica: leader lease expired")
@@ -113,9 +114,9 @@
 	return r.submit(ctx, &request{kind: requestPropose, data: data})
 }
 
-// ChangeMembership performs one step of a membership change and waits until it is
-// committed. It returns the errors of Propose and of raft.Node.ProposeChange; after
-// the latter nothing has changed.
+// ChangeMembership performs one step of a membership change, which is one
+// raft.ConfigurationChange, and waits until it is committed. It returns the errors of
+// Propose and of raft.Node.ProposeChange; after the latter nothing has changed.
 func (r *Replica) ChangeMembership(ctx context.Context, change raft.ConfigurationChange) (Result, error) {
 	return r.submit(ctx, &request{kind: requestChange, change: change})
 }
@@ -141,7 +142,8 @@
 // TransferLeadership transfers leadership to the given voter, or to the active voter
 // with the most entries if to is raft.None. It first waits for the proposals already
 // in the log; new ones are rejected with ErrNotLeader meanwhile. Errors: ErrNotLeader,
-// ErrNoSuccessor, ErrTransferFailed, ErrStopped, ErrOverloaded, ErrWithdrawn.
+// ErrNoSuccessor, ErrTransferFailed, ErrStopped, ErrOverloaded, ErrWithdrawn. After
+// ErrWithdrawn and ErrStopped leadership may still be transferred.
 func (r *Replica) TransferLeadership(ctx context.Context, to raft.MemberID) error {
 	_, err := r.submit(ctx, &request{kind: requestTransfer, to: to})
 	return err
@@ -165,8 +167,8 @@
 }
 
 // withdraw withdraws a request whose context has ended and returns the result for the
-// caller: the outcome if there already is one, else an error that tells whether the
-// request may still take effect.
+// caller: the outcome if there already is one, else ErrOutcomeUnknown for a proposal
+// that the loop has claimed and ErrWithdrawn for any other request.
 func (r *request) withdraw(reason error) (Result, error) {
 	if r.state.CompareAndSwap(requestQueued, requestWithdrawn) {
 		return Result{}, errors.Wrap(ErrWithdrawn, reason.Error())
--- a/process/replica/snapshotter.go
+++ b/process/replica/snapshotter.go
@@ -35,6 +35,7 @@
 	}
 }
 
+// countEntry counts an applied entry toward the next snapshot.
 func (s *snapshotter) countEntry(entry raft.Entry) {
 	s.entries++
 	s.bytes += len(entry.Data)
@@ -49,6 +50,7 @@
 	return !s.running && (s.entries >= s.maxEntries || s.bytes >= s.maxBytes)
 }
 
+// wait waits until no snapshot is being encoded or written.
 func (s *snapshotter) wait() { s.background.Wait() }
 
 // startSnapshot starts a snapshot of the state machine at the applied index if one is
@@ -97,7 +99,7 @@
 		return nil
 	}
 	if err != nil {
-		return errors.Wrap(err, "replica: compact node")
+		return errors.Wrap(err, "replica: compact Raft log")
 	}
 	return errors.Wrap(l.config.Storage.Compact(), "replica: compact storage")
 }
--- a/process/replica/stability_bench_test.go
+++ b/process/replica/stability_bench_test.go
@@ -7,7 +7,7 @@
 )
 
 // BenchmarkStability counts the elections of a group under the load of 64 proposers and
-// without injected faults. The result depends on the machine's other load.
+// without injected faults. The result depends on what else the machine runs.
 func BenchmarkStability(b *testing.B) {
 	for _, timeout := range []time.Duration{300 * time.Millisecond, 500 * time.Millisecond, time.Second} {
 		b.Run(fmt.Sprintf("election=%v", timeout), func(b *testing.B) {
--- a/process/replica/storage.go
+++ b/process/replica/storage.go
@@ -8,7 +8,8 @@
 	"github.com/pkg/errors"
 )
 
-// Update is the state of one raft.Ready that has to be stored.
+// Update is the state of one raft.Ready that has to be stored. Snapshot and Entries
+// must be empty if MustSync is false.
 type Update struct {
 	HardState *raft.HardState // nil if unchanged
 	// Snapshot is a received snapshot that replaces the whole log, or nil.
@@ -21,7 +22,7 @@
 // Storage stores a member's durable state. SaveSnapshot may be called concurrently
 // with the other methods, which are never called concurrently with each other.
 type Storage interface {
-	// Load returns the stored state.
+	// Load returns the stored state. It is the zero value if nothing is stored.
 	Load() (raft.InitialState, error)
 	// Bootstrap stores the initial configuration of a new group.
 	Bootstrap(configuration raft.Configuration) error
@@ -30,9 +31,10 @@
 	Save(update Update) error
 	// SaveSnapshot makes a snapshot of applied entries durable.
 	SaveSnapshot(snapshot raft.Snapshot) error
-	// Compact reclaims the space of entries that no retained snapshot needs.
+	// Compact reclaims the space of entries that no retained snapshot needs. After an
+	// error the storage must no longer be used.
 	Compact() error
-	// Close releases the storage.
+	// Close releases the storage, also if it returns an error.
 	Close() error
 }
 
--- a/process/snap/snap.go
+++ b/process/snap/snap.go
@@ -19,8 +19,9 @@
 	"github.com/pkg/errors"
 )
 
-// ErrDamaged means that no intact snapshot is left from which the log can continue.
-var ErrDamaged = errors.New("snap: corrupt")
+// ErrDamaged means that a snapshot file is corrupt. Load returns it if no intact
+// snapshot is left from which the log can continue.
+var ErrDamaged = errors.New("snap: corrupt snapshot")
 
 const (
 	snapshotMagic   = 0x4c54_534e_0000_0001
@@ -92,8 +93,9 @@
 
 // Load returns the newest intact snapshot. If the newest is corrupt, it falls back
 // to an older one only if logHoldsEntriesAfter reports that the log still holds
-// every entry after that one's index; otherwise it returns ErrDamaged. Load renames
-// corrupt files, so that they never count as one of the snapshots kept.
+// every entry after that one's index; otherwise it returns ErrDamaged. If it finds an
+// intact snapshot, it renames the newer, corrupt files, so that they never count as
+// one of the snapshots kept.
 func (s *Store) Load(logHoldsEntriesAfter func(index uint64) bool) (LoadResult, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -119,7 +121,7 @@
 	return loaded, nil
 }
 
-// quarantineFrom renames the corrupt snapshots from position on and removes them
+// renameCorruptFrom renames the corrupt snapshots from position on and removes them
 // from the list.
 func (s *Store) renameCorruptFrom(position int) error {
 	if position == len(s.snapshots) {
--- a/process/snap/snap_test.go
+++ b/process/snap/snap_test.go
@@ -15,6 +15,7 @@
 
 const testDir = "member"
 
+// holdsAllEntries is the argument of Load for a complete log.
 func holdsAllEntries(uint64) bool { return true }
 
 func snapshotAt(index uint64) raft.Snapshot {
--- a/process/wal/faultfs/faultfs.go
+++ b/process/wal/faultfs/faultfs.go
@@ -19,7 +19,8 @@
 
 // Errors that the file system injects.
 var (
-	// ErrPower is returned after a simulated power failure: see StopAfter.
+	// ErrPower is returned after a simulated power failure, see StopAfter, and for a
+	// file that was opened before the last Crash or Restart.
 	ErrPower = errors.New("faultfs: power is off")
 	// ErrSync is returned by a sync that was made to fail: see FailSyncs.
 	ErrSync = errors.New("faultfs: sync failed")
@@ -67,7 +68,8 @@
 
 var _ wal.FileSystem = (*FileSystem)(nil)
 
-// New returns an empty file system; seed determines what a crash loses.
+// New returns an empty file system. seed initializes the random generator that selects
+// what a crash loses.
 func New(seed uint64) *FileSystem {
 	return &FileSystem{
 		random:         rand.New(rand.NewPCG(seed, seed)),
@@ -87,7 +89,7 @@
 	f.operationsLeft = operations
 }
 
-// FailSyncs makes the next count file syncs fail.
+// FailSyncs makes the next count file syncs fail. SyncDir is not affected.
 func (f *FileSystem) FailSyncs(count int) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -174,7 +176,8 @@
 	return content
 }
 
-// Edit changes a file's durable content in place, to simulate corruption.
+// Edit changes a file's durable content in place, to simulate corruption. It panics if
+// the file is missing.
 func (f *FileSystem) Edit(name string, change func(content []byte) []byte) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -184,7 +187,7 @@
 	node.pending = nil
 }
 
-// Destroy removes a file durably, to simulate its loss.
+// Destroy removes a file durably, to simulate its loss. A missing file is ignored.
 func (f *FileSystem) Destroy(name string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/process/wal/filesystem.go
+++ b/process/wal/filesystem.go
@@ -24,11 +24,16 @@
 	List(dir string) ([]string, error)
 	// ReadFile returns the content of the file, or fs.ErrNotExist if it is missing.
 	ReadFile(name string) ([]byte, error)
-	// Create creates an empty file or truncates an existing one.
+	// Create creates an empty file or truncates an existing one. The file's name is
+	// durable only after SyncDir.
 	Create(name string) (File, error)
-	// Append opens an existing file for appending.
+	// Append opens an existing file for appending, or returns fs.ErrNotExist.
 	Append(name string) (File, error)
+	// Rename renames a file and replaces the target if it exists, or returns
+	// fs.ErrNotExist. It is durable only after SyncDir.
 	Rename(from, to string) error
+	// Remove removes a file, or returns fs.ErrNotExist. It is durable only after
+	// SyncDir.
 	Remove(name string) error
 	// Lock locks the directory exclusively for this process, or returns ErrLocked.
 	Lock(dir string) (io.Closer, error)
@@ -148,7 +153,8 @@
 }
 
 // WriteFile replaces the file atomically: after a crash it holds either the old or
-// the new content. When WriteFile returns nil, the new content is durable.
+// the new content. When WriteFile returns nil, the new content is durable. After an
+// error a file with the suffix .tmp may remain.
 func WriteFile(fileSystem FileSystem, name string, data []byte) error {
 	temporary := name + temporarySuffix
 	file, err := fileSystem.Create(temporary)
--- a/process/wal/identity.go
+++ b/process/wal/identity.go
@@ -25,7 +25,7 @@
 	identityMagic    = 0x4c54_4944_0000_0001 // "LTID", version 1
 )
 
-// identityFile is the content of the identity file. used is set when the first
+// identityFile is the content of the identity file. hasRecords is set when the first
 // record has been written: from then on an empty log is a lost log.
 type identityFile struct {
 	identity   Identity
@@ -54,7 +54,7 @@
 		return identityFile{}, errors.Wrapf(ErrCorrupt, "identity file: %v", err)
 	}
 	if magic != identityMagic || sum != crc32.Checksum(data[:len(data)-4], castagnoli) {
-		return identityFile{}, errors.Wrap(ErrCorrupt, "identity file: checksum mismatch")
+		return identityFile{}, errors.Wrap(ErrCorrupt, "identity file: wrong magic number, version or checksum")
 	}
 	return content, nil
 }
--- a/process/wal/oracle_test.go
+++ b/process/wal/oracle_test.go
@@ -32,7 +32,7 @@
 	return c
 }
 
-// oracle drives a log through saves, compactions, crashes and failing syncs, and
+// modelTest drives a log through saves, compactions, crashes and failing syncs, and
 // compares it with an in-memory model of its expected content.
 type modelTest struct {
 	fileSystem *faultfs.FileSystem
--- a/process/wal/record.go
+++ b/process/wal/record.go
@@ -14,19 +14,20 @@
 
 const (
 	recordStart   recordKind = iota + 1 // first record of a segment: identity and state carried over
-	recordBatch                         // hard state and entries of a Save
-	recordInstall                       // a received snapshot is about to be written
+	recordBatch                         // hard state and entries of a Save; recovered whole or not at all
+	recordInstall                       // a received snapshot is about to be written and to replace the log
 	recordReset                         // the received snapshot is durable; the log restarts after it
 	recordSeal                          // last record of a segment: the next segment exists
 )
 
+// Sizes are in bytes.
 const (
 	recordHeaderSize = 9  // length, kind, checksum
 	preambleSize     = 16 // magic number and salt at the start of a segment
 	segmentMagic     = 0x4c54_574c_0000_0001
-	sealSize         = recordHeaderSize + 8
-	hardStateSize    = 24
-	entryHeaderSize  = 21
+	sealSize         = recordHeaderSize + 8 // sequence number of the next segment
+	hardStateSize    = 24                   // term, vote, commit index
+	entryHeaderSize  = 21                   // term, index, kind, length of the data
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -80,8 +81,8 @@
 	return record{kind: kind, payload: payload}, true
 }
 
-// start is the payload of a segment's first record. It carries over the state that
-// recovery needs after earlier segments were removed by compaction.
+// startRecord is the payload of a segment's first record. It carries over the state
+// that recovery needs after earlier segments were removed by compaction.
 type startRecord struct {
 	identity       Identity
 	sequence       uint64
--- a/process/wal/recovery.go
+++ b/process/wal/recovery.go
@@ -19,8 +19,9 @@
 	LastTerm  uint64
 	LastIndex uint64
 	// InstallTerm and InstallIndex identify the received snapshot whose
-	// installation began but did not finish; they are zero if there is none. A
-	// snapshot newer than the log is valid only if it is this one.
+	// installation began but did not finish (see Log.BeginInstall); they are zero
+	// if there is none. A snapshot newer than the log is valid only if it is this
+	// one.
 	InstallTerm  uint64
 	InstallIndex uint64
 	// TornBytes is the length of the torn tail that was truncated.
@@ -83,9 +84,10 @@
 	return contents, nil
 }
 
-// checkTails distinguishes torn tails from corruption. Only two tails may be torn:
-// that of the last segment, by a Save that never returned, and the seal of the
-// segment before it if the last segment has no records, by a crash during rotation.
+// checkTails distinguishes torn tails, the incomplete last records of a segment, from
+// corruption. Only two tails may be torn: that of the last segment, by an append that
+// never returned, and the seal of the segment before it if the last segment has no
+// records, by a crash during rotation.
 func checkTails(contents []segmentContent) error {
 	last := len(contents) - 1
 	for i, content := range contents {
@@ -112,7 +114,7 @@
 // replay applies the segment's records to the recovered state.
 func (r *recovery) replay(content segmentContent) error {
 	if content.start.identity != r.identity {
-		return errors.Wrapf(ErrCorrupt, "segment %s belongs to member %x", content.name, content.start.identity.Member)
+		return errors.Wrapf(ErrCorrupt, "segment %s: start record is of another group or member (member %x)", content.name, content.start.identity.Member)
 	}
 	if len(r.segments) == 0 {
 		r.hardState, r.last, r.pendingInstall = content.start.hardState, content.start.last, content.start.pendingInstall
--- a/process/wal/save.go
+++ b/process/wal/save.go
@@ -92,8 +92,8 @@
 	return l.setHasRecords()
 }
 
-// markUsed sets the used flag in the identity file after the first record. The
-// record is already durable, so the flag is never ahead of the log.
+// setHasRecords sets the hasRecords flag in the identity file after the first record.
+// The record is already durable, so the flag is set only if the log holds a record.
 func (l *Log) setHasRecords() error {
 	if l.hasRecords {
 		return nil
@@ -134,9 +134,10 @@
 	return nil
 }
 
-// BeginInstall records that a received snapshot is about to be written. Without
-// this record, a snapshot newer than the log would look like a log that lost its
-// tail. The installation stays pending until Reset or CancelInstall.
+// BeginInstall records that a received snapshot is about to be written and to replace
+// the log. Without this record, a snapshot newer than the log would look like a log
+// that lost its last entries. The installation stays pending until Reset or
+// CancelInstall.
 func (l *Log) BeginInstall(term, index uint64) error {
 	if l.err != nil {
 		return l.err
--- a/process/wal/segment.go
+++ b/process/wal/segment.go
@@ -17,7 +17,7 @@
 type segment struct {
 	file     File
 	sequence uint64
-	salt     uint64
+	salt     uint64 // random; part of every checksum: see recordChecksum
 	size     int64
 }
 
@@ -91,7 +91,9 @@
 	return len(c.records) > 0 && c.records[len(c.records)-1].kind == recordSeal
 }
 
-// readSegment reads the segment's valid records up to the first invalid one.
+// readSegment reads the segment's valid records up to the first invalid one. A file
+// that is too short for the preamble was truncated, so its log is lost; any other
+// invalid preamble or start record is corruption: see createSegment.
 func readSegment(fileSystem FileSystem, dir, name string, sequence uint64) (segmentContent, error) {
 	data, err := fileSystem.ReadFile(filepath.Join(dir, name))
 	if err != nil {
@@ -107,7 +109,7 @@
 	content.salt = binary.BigEndian.Uint64(data[8:])
 	first, ok := parseRecord(data, content.salt, preambleSize)
 	if !ok || first.kind != recordStart {
-		return segmentContent{}, errors.Wrapf(ErrCorrupt, "segment %s: invalid start record", name)
+		return segmentContent{}, errors.Wrapf(ErrCorrupt, "segment %s: missing or invalid start record", name)
 	}
 	if content.start, err = decodeStart(first.payload); err != nil {
 		return segmentContent{}, errors.Wrapf(ErrCorrupt, "segment %s: start record: %v", name, err)
--- a/process/wal/wal.go
+++ b/process/wal/wal.go
@@ -7,7 +7,7 @@
 // A record with a bad checksum is treated as a torn tail only where a crash can
 // leave one. Anywhere else it is corruption, and the log refuses to open. A log
 // that once held records and is now empty or missing also refuses to open, because
-// a member that has lost its vote must not vote again.
+// a member that has lost the record of the votes it cast could vote twice in a term.
 package wal
 
 import (
@@ -31,10 +31,11 @@
 	// ErrUnusable means that an earlier write or sync failed or that the log is
 	// closed. After a failure the content on disk is unknown until the log is
 	// reopened.
-	ErrUnusable = errors.New("wal: unusable after a failure")
+	ErrUnusable = errors.New("wal: unusable: closed or failed earlier")
 )
 
-// DefaultSegmentBytes is the size at which the log rotates to a new segment.
+// DefaultSegmentBytes is the size from which the log rotates to a new segment before
+// the next record. The last record of a segment may exceed it.
 const DefaultSegmentBytes = 8 << 20
 
 // maxBatchBytes is the size above which a Save is split into several records. It
@@ -66,7 +67,8 @@
 }
 
 // Open opens the log in the directory. In an empty directory it creates a new log
-// with a new identity.
+// with a new identity. Errors: ErrLocked, ErrWrongGroup, ErrLostLog, ErrCorrupt and
+// those of the file system.
 func Open(options Options) (*Log, Recovered, error) {
 	log := newLog(options)
 	if err := log.fileSystem.MakeDir(log.dir); err != nil {
@@ -117,7 +119,7 @@
 		return Recovered{}, errors.Wrapf(ErrWrongGroup, "group %x, expected %x", l.identity.Group, group)
 	}
 	if len(sequences) == 0 {
-		return Recovered{}, errors.Wrap(ErrLostLog, "no segments")
+		return Recovered{}, errors.Wrap(ErrLostLog, "identity file exists but there are no segments")
 	}
 	return l.recover(sequences)
 }
@@ -174,7 +176,7 @@
 		}
 	}
 	if l.hasRecords && sequences[0] == 1 && state.records == 0 {
-		return Recovered{}, errors.Wrap(ErrLostLog, "log is empty")
+		return Recovered{}, errors.Wrap(ErrLostLog, "records were written but the log is empty")
 	}
 	l.hardState, l.last, l.pendingInstall, l.segments = state.hardState, state.last, state.pendingInstall, state.segments
 	torn, err := l.repairTails(contents)
@@ -193,11 +195,11 @@
 	}, nil
 }
 
-// repairTails rewrites the segments whose tail may be incomplete after a crash:
-// the last segment without its torn tail and, if the last segment has no records
-// yet, the one before it with its seal. Syncing them would not be enough: after a
-// failed sync the operating system may mark pages as clean that never reached the
-// disk. It returns the length of the torn tail.
+// repairTails rewrites the segments whose end may be incomplete after a crash: the
+// last segment without its torn tail, that is the bytes after its last valid record,
+// and, if the last segment has no records yet, the one before it with its seal.
+// Syncing them would not be enough: after a failed sync the operating system may mark
+// pages as clean that never reached the disk. It returns the length of the torn tail.
 func (l *Log) repairTails(contents []segmentContent) (int64, error) {
 	last := contents[len(contents)-1]
 	if len(contents) > 1 && len(last.records) == 0 {
--- a/process/wal/wal_test.go
+++ b/process/wal/wal_test.go
@@ -276,9 +276,9 @@
 	must.ErrorIs(t, log.Compact(1), wal.ErrUnusable)
 }
 
-// After a failed sync the operating system may mark the pages as clean: they can be
-// read but were never written to disk. Whatever a restart recovers from them must
-// be made durable.
+// Entries whose sync failed can still be read after a restart, though they may never
+// have reached the disk (see repairTails). Whatever a restart recovers must be made
+// durable.
 func TestEntriesReadAfterAFailedSyncAreDurable(t *testing.T) {
 	fileSystem := faultfs.New(1)
 	log, _ := open(t, fileSystem)
