--- a/cmd/landingtrail/relay.go
+++ b/cmd/landingtrail/relay.go
@@ -23,16 +23,16 @@
 // relayConfig turns settings into what the daemon runs with.
 func relayConfig(given *settings.Relay) relay.Config {
 	return relay.Config{
-		Name:         given.Name,
-		Zone:         given.Zone,
-		FeedAddress:  given.FeedAddress,
-		AdminAddress: given.AdminAddress,
-		Control:      given.Control,
-		Lease:        given.Lease,
-		Beat:         given.BeatInterval,
-		Demand:       given.DemandInterval,
-		ClaimTimeout: given.ClaimTimeout,
-		StopTimeout:  given.StopTimeout,
-		MaxDaemons:   given.MaxDaemons,
+		Name:           given.Name,
+		Zone:           given.Zone,
+		FeedAddress:    given.FeedAddress,
+		AdminAddress:   given.AdminAddress,
+		Control:        given.Control,
+		MaxLease:       given.Lease,
+		BeatInterval:   given.BeatInterval,
+		DemandInterval: given.DemandInterval,
+		ClaimTimeout:   given.ClaimTimeout,
+		StopTimeout:    given.StopTimeout,
+		MaxDaemons:     given.MaxDaemons,
 	}
 }
--- a/process/control/group.go
+++ b/process/control/group.go
@@ -30,7 +30,7 @@
 	// usage holds the counts reported by proxies.
 	usage *usageCollector
 	// agreedTime is the wall-clock time that a majority of the proxies' clocks agrees on.
-	agreedTime *metering.Agreement
+	agreedTime *metering.MedianClock
 	// boards places the requests of model services.
 	boards *placementBoards
 	// quotas charges requests to the quotas of their tenants.
@@ -195,7 +195,7 @@
 // ReportPresence records a proxy's presence report.
 func (g *group) ReportPresence(presence feed.Presence) {
 	g.presence.record(presence, monotonic())
-	g.agreedTime.Note(presence.Proxy, presence.Day)
+	g.agreedTime.Record(presence.Proxy, presence.Day)
 }
 
 // Place chooses the replica for a request, with all requests of all proxies taken into account. It
--- a/process/control/recovery.go
+++ b/process/control/recovery.go
@@ -38,7 +38,7 @@
 }
 
 func isDataLoss(err error) bool {
-	return errors.Is(err, wal.ErrLostLog) || errors.Is(err, wal.ErrCorrupt) || errors.Is(err, snap.ErrDamaged)
+	return errors.Is(err, wal.ErrLostLog) || errors.Is(err, wal.ErrCorrupt) || errors.Is(err, snap.ErrCorrupt)
 }
 
 // othersHaveLeader reports whether any other configured member leads or follows a leader. The
--- a/process/control/run.go
+++ b/process/control/run.go
@@ -217,7 +217,7 @@
 		demand:     newDemandTable(time.Now()),
 		presence:   newPresenceTable(),
 		usage:      newUsageCollector(),
-		agreedTime: metering.NewAgreement(monotonic, time.Now),
+		agreedTime: metering.NewMedianClock(monotonic, time.Now),
 		boards:     newPlacementBoards(),
 		quotas:     newQuotaCharger(m.config.Quotas),
 
--- a/process/ingress/run.go
+++ b/process/ingress/run.go
@@ -42,7 +42,7 @@
 	views := view.NewHolder()
 	ingress := New(config, views, clock.Now, logger)
 	defer ingress.Close()
-	day := metering.NewDay(clock.Now, time.Now)
+	day := metering.NewGroupClock(clock.Now, time.Now)
 	// Corrected by the control group; the machine's own wall clock may jump by seconds.
 	ingress.wallClock = day.Now
 	if config.UsageWindow > 0 {
@@ -55,7 +55,7 @@
 		Addresses:      config.FeedAddresses,
 		MoreAddresses:  func() []string { return append(memberAddresses(views.Load()), ingress.seeds()...) },
 		Presence:       ingress.presence,
-		Day:            day.Learn,
+		Day:            day.Update,
 		Served:         func() { pause.Signal(served) },
 		Unrecorded:     ingress.noteUnrecorded,
 		Resumed:        func() { pause.Signal(resumed) },
@@ -115,7 +115,7 @@
 			i.reportCachedParts(to)
 			i.reportAllLeaving()
 			i.guard.ReportAll(i.now())
-			i.usage.Again() // does nothing if usage is not reported
+			i.usage.MarkAllUnreported() // does nothing if usage is not reported
 		case <-resumed:
 			i.reportInFlight(to)
 		case <-ctx.Done():
@@ -152,9 +152,9 @@
 }
 
 func (i *Ingress) sendUsage(to usageReporter) {
-	report, due := i.usage.Next()
+	report, due := i.usage.NextReport()
 	if due && !to.ReportUsage(report) {
-		i.usage.Again() // retried with the next report
+		i.usage.MarkAllUnreported() // retried with the next report
 	}
 }
 
--- a/process/ingress/session.go
+++ b/process/ingress/session.go
@@ -292,5 +292,5 @@
 		return
 	}
 	s.usageCounted = true
-	s.ingress.usage.Begin(s.call.Tenant, ago)
+	s.ingress.usage.CountRequest(s.call.Tenant, ago)
 }
--- a/process/ingress/usage_test.go
+++ b/process/ingress/usage_test.go
@@ -41,7 +41,7 @@
 			env.requireKeys(tenantKeys("north", 0, "key-n"))
 			env.ingress.usage = metering.NewCounter("p", 5*time.Second, time.Now)
 			env.do(withKey("q", test.target, "key-n"))
-			report, _ := env.ingress.usage.Next()
+			report, _ := env.ingress.usage.NextReport()
 			count := uint64(0)
 			for _, counted := range report.Counts {
 				must.Eq(t, "north", counted.Tenant)
@@ -68,12 +68,12 @@
 	})
 	anonymous := modelRequest
 	must.Eq(t, http.StatusOK, env.do(anonymous).status)
-	report, _ := env.ingress.usage.Next()
+	report, _ := env.ingress.usage.NextReport()
 	must.SliceEmpty(t, report.Counts)
 	named := modelRequest
 	named.fields = map[string]string{testTokens: "9000", testKey: "key-n"}
 	must.Eq(t, http.StatusOK, env.do(named).status)
-	report, _ = env.ingress.usage.Next()
+	report, _ = env.ingress.usage.NextReport()
 	must.SliceLen(t, 1, report.Counts)
 	must.Eq(t, 1, report.Counts[0].Count)
 }
@@ -97,6 +97,6 @@
 	env.requireKeys()
 	close(end)
 	must.Eq(t, http.StatusOK, (<-done).status)
-	report, _ := env.ingress.usage.Next()
+	report, _ := env.ingress.usage.NextReport()
 	must.SliceLen(t, 1, report.Counts)
 }
--- a/process/metering/counter.go
+++ b/process/metering/counter.go
@@ -1,8 +1,8 @@
-// Package metering counts, in one proxy, the requests of each tenant that replicas began,
-// by windows of the group's time of day.
+// Package metering counts, in one proxy, the requests of each tenant that replicas (model
+// servers) started, per time window. Windows follow the wall-clock time of the control group.
 //
-// Guarantees: a counter only rises, so that it may be told again, late and in any order; a
-// request is counted once, whatever is tried for it; what is kept is bounded.
+// Guarantees: counters only increase, so reports can be repeated, delayed and reordered; a
+// request is counted once regardless of retries; memory use is bounded.
 package metering
 
 import (
@@ -16,102 +16,105 @@
 	"github.com/landingtrail/landingtrail/connection/feed"
 )
 
-// keptWindows is how many windows are kept to be told again to another leader: a report
-// falls due within two of them on most platforms, and a group that is stopped as a whole
-// is back within a few.
-const keptWindows = 8
+// retainedWindows is how many windows are kept so that they can be reported again to a new
+// leader. 8 windows cover the two within which most platforms require a report, and the few
+// that pass while the whole group is stopped.
+const retainedWindows = 8
 
-// Counter counts for one process. It is safe for concurrent use.
+// Counter counts the requests of one process. It is safe for concurrent use.
 type Counter struct {
-	life   string
-	length time.Duration
-	now    func() time.Time // the group's time of day
+	instanceID   string
+	windowLength time.Duration
+	now          func() time.Time // the control group's wall-clock time
 
-	lock    sync.Mutex
-	windows map[int64]map[string]uint64
-	changed map[int64]map[string]struct{} // since they were last told
-	told    int64                         // the window in which was last told
+	lock             sync.Mutex
+	counts           map[int64]map[string]uint64   // by window, then tenant
+	unreported       map[int64]map[string]struct{} // counters that increased since they were last reported
+	lastReportWindow int64                         // the window during which the last report was made
 }
 
-// NewCounter returns a counter for the process of a name, of windows of a length, by a
-// time of day.
+// NewCounter returns a Counter for the named process that counts in windows of the given
+// length; now returns the control group's wall-clock time.
 func NewCounter(process string, length time.Duration, now func() time.Time) *Counter {
 	return &Counter{
-		life: process + "#" + strconv.FormatUint(rand.Uint64(), 36), length: length, now: now,
-		windows: map[int64]map[string]uint64{}, changed: map[int64]map[string]struct{}{},
+		instanceID: process + "#" + strconv.FormatUint(rand.Uint64(), 36), windowLength: length, now: now,
+		counts: map[int64]map[string]uint64{}, unreported: map[int64]map[string]struct{}{},
 	}
 }
 
-// Begin counts a request of the tenant that a replica began so long ago.
-func (c *Counter) Begin(tenant string, ago time.Duration) {
-	if tenant == "" || c.length <= 0 {
+// CountRequest counts a request of the tenant that a replica started the given time ago.
+func (c *Counter) CountRequest(tenant string, ago time.Duration) {
+	if tenant == "" || c.windowLength <= 0 {
 		return
 	}
-	window := windowOf(c.now().Add(-ago), c.length)
+	window := windowOf(c.now().Add(-ago), c.windowLength)
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	if c.windows[window] == nil {
-		c.windows[window] = map[string]uint64{}
-		c.forget(window - keptWindows)
+	if c.counts[window] == nil {
+		c.counts[window] = map[string]uint64{}
+		c.dropThrough(window - retainedWindows)
 	}
-	c.windows[window][tenant]++
-	c.mark(window, tenant)
+	c.counts[window][tenant]++
+	c.markUnreported(window, tenant)
 }
 
+// windowOf returns the number of the window that contains the time: windows of the given
+// length since the Unix epoch.
 func windowOf(at time.Time, length time.Duration) int64 {
 	return at.UnixMilli() / length.Milliseconds()
 }
 
-// mark notes that a counter is to be told; the lock is held.
-func (c *Counter) mark(window int64, tenant string) {
-	if c.changed[window] == nil {
-		c.changed[window] = map[string]struct{}{}
+// markUnreported adds a counter to the next report. The caller must hold the lock.
+func (c *Counter) markUnreported(window int64, tenant string) {
+	if c.unreported[window] == nil {
+		c.unreported[window] = map[string]struct{}{}
 	}
-	c.changed[window][tenant] = struct{}{}
+	c.unreported[window][tenant] = struct{}{}
 }
 
-// forget drops the windows up to one; the lock is held.
-func (c *Counter) forget(upTo int64) {
-	for window := range c.windows {
-		if window <= upTo {
-			delete(c.windows, window)
-			delete(c.changed, window)
+// dropThrough removes all windows up to and including last. The caller must hold the lock.
+func (c *Counter) dropThrough(last int64) {
+	for window := range c.counts {
+		if window <= last {
+			delete(c.counts, window)
+			delete(c.unreported, window)
 		}
 	}
 }
 
-// Next returns what is to be told now: the counters that have risen since they were told;
-// false where that is nothing and no window has ended since.
-func (c *Counter) Next() (report feed.UsageReport, due bool) {
+// NextReport returns the next report, the counters that increased since they were last reported,
+// and marks them as reported. due is false if there are none and no window has ended since
+// the last report.
+func (c *Counter) NextReport() (report feed.UsageReport, due bool) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	// Read under the lock: what is counted later is of later.
+	// Read the time under the lock, so that anything counted later has a later time.
 	now := c.now()
-	window := windowOf(now, max(c.length, time.Millisecond))
-	report = feed.UsageReport{Life: c.life, Through: now.UnixMilli()}
-	for _, changed := range slices.Sorted(maps.Keys(c.changed)) {
-		for _, tenant := range slices.Sorted(maps.Keys(c.changed[changed])) {
-			report.Counts = append(report.Counts, feed.UsageCount{Window: changed, Tenant: tenant, Count: c.windows[changed][tenant]})
+	window := windowOf(now, max(c.windowLength, time.Millisecond))
+	report = feed.UsageReport{Life: c.instanceID, Through: now.UnixMilli()}
+	for _, changed := range slices.Sorted(maps.Keys(c.unreported)) {
+		for _, tenant := range slices.Sorted(maps.Keys(c.unreported[changed])) {
+			report.Counts = append(report.Counts, feed.UsageCount{Window: changed, Tenant: tenant, Count: c.counts[changed][tenant]})
 		}
 	}
-	due = len(report.Counts) > 0 || window != c.told
-	clear(c.changed)
-	c.told = window
+	due = len(report.Counts) > 0 || window != c.lastReportWindow
+	clear(c.unreported)
+	c.lastReportWindow = window
 	return report, due
 }
 
-// Again marks all counters as not told: the word was lost, or another leader has begun. A
-// nil Counter has none.
-func (c *Counter) Again() {
+// MarkAllUnreported marks all counters as unreported, because a report was lost or there is a new
+// leader. It does nothing on a nil Counter.
+func (c *Counter) MarkAllUnreported() {
 	if c == nil {
 		return
 	}
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	c.told = 0
-	for window, tenants := range c.windows {
+	c.lastReportWindow = 0
+	for window, tenants := range c.counts {
 		for tenant := range tenants {
-			c.mark(window, tenant)
+			c.markUnreported(window, tenant)
 		}
 	}
 }
--- a/process/metering/day.go
+++ b/process/metering/day.go
@@ -6,122 +6,132 @@
 	"time"
 )
 
-// Windows of usage go by true time, and a machine's own time of day may jump by seconds. So
-// all go by the group's: its leader takes the median of what the machines that it hears of
-// say, which no minority of clocks moves, and tells it in answer to beats.
-
-// Day is the group's time of day as one process knows it. It is safe for concurrent use.
-type Day struct {
-	clock func() time.Duration // monotonic
-	wall  func() time.Time     // until anything else is known
-
-	lock   sync.Mutex
-	known  bool
-	offset time.Duration // from the monotonic clock to the time of day since 1970
-	error  time.Duration // at most, when it was learnt
-	learnt time.Duration
+// Usage windows need accurate wall-clock time, but the clock of a single machine may jump by
+// seconds. All processes therefore use the group's time: the leader takes the median of the
+// times that machines report, which no minority of clocks can move, and sends it in replies
+// to beats.
+
+// GroupClock is one process's estimate of the group's wall-clock time. It is safe for
+// concurrent use.
+type GroupClock struct {
+	monotonic func() time.Duration
+	wall      func() time.Time // used until the first call of Update
+
+	lock           sync.Mutex
+	synchronized   bool
+	offset         time.Duration // from the monotonic clock to the time since the Unix epoch
+	maxError       time.Duration // bound on the error of offset at synchronizedAt
+	synchronizedAt time.Duration
 }
 
-// driftShare is the inverse of the share by which clocks may run apart: an old reading of a
-// small error gives way to a newer one in time.
-const driftShare = 2000
+// driftDivisor is the inverse of the assumed clock drift rate: 1/2000 = 500 ppm. The error
+// bound grows at this rate, so that a newer reading eventually replaces an old one with a
+// smaller initial error.
+const driftDivisor = 2000
 
-// NewDay returns a Day that goes by the machine's own time until it has learnt better.
-func NewDay(clock func() time.Duration, wall func() time.Time) *Day {
-	return &Day{clock: clock, wall: wall}
+// NewGroupClock returns a GroupClock that uses the machine's own time until the first call
+// of Update.
+func NewGroupClock(clock func() time.Duration, wall func() time.Time) *GroupClock {
+	return &GroupClock{monotonic: clock, wall: wall}
 }
 
-// Learn takes in the group's time of day, in milliseconds, that came in answer to a
-// question which was sent and answered then by the monotonic clock. It may have been read
-// at any moment between the two.
-func (d *Day) Learn(sent, answered time.Duration, day int64) {
-	between := answered - sent
-	if between < 0 {
+// Update updates the estimate from a reply that carries the group's time in milliseconds
+// since the Unix epoch. sent and answered are the monotonic times of the request and of its
+// reply; the group's time was read at some moment between them. A reading with a larger
+// possible error than the current estimate is ignored.
+func (c *GroupClock) Update(sent, answered time.Duration, unixMillis int64) {
+	roundTrip := answered - sent
+	if roundTrip < 0 {
 		return
 	}
-	d.lock.Lock()
-	defer d.lock.Unlock()
-	worst := d.error + (answered-d.learnt)/driftShare
-	if d.known && between/2 > worst {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	currentError := c.maxError + (answered-c.synchronizedAt)/driftDivisor
+	if c.synchronized && roundTrip/2 > currentError {
 		return
 	}
-	d.offset = time.Duration(day)*time.Millisecond + between/2 - answered
-	d.known, d.error, d.learnt = true, between/2, answered
+	c.offset = time.Duration(unixMillis)*time.Millisecond + roundTrip/2 - answered
+	c.synchronized, c.maxError, c.synchronizedAt = true, roundTrip/2, answered
 }
 
-// Now returns the group's time of day.
-func (d *Day) Now() time.Time {
-	d.lock.Lock()
-	defer d.lock.Unlock()
-	if !d.known {
-		return d.wall()
+// Now returns the group's estimated wall-clock time. Right after an update, its error is at
+// most half of that round trip; later it grows with the clock drift. Before the first update
+// it is the machine's own time, whose error is unknown.
+func (c *GroupClock) Now() time.Time {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	if !c.synchronized {
+		return c.wall()
 	}
-	return time.UnixMilli(0).Add(d.clock() + d.offset)
+	return time.UnixMilli(0).Add(c.monotonic() + c.offset)
 }
 
-// Agreement is the leader's part: the time of day of which most machines are near. It is
-// safe for concurrent use.
-type Agreement struct {
-	clock func() time.Duration
-	wall  func() time.Time
+// MedianClock computes the group's wall-clock time at the leader, as the median of the
+// machines' clocks. It is safe for concurrent use.
+type MedianClock struct {
+	monotonic func() time.Duration
+	wall      func() time.Time
 
-	lock   sync.Mutex
-	heard  map[string]reading
-	median time.Duration // offset from the monotonic clock
-	until  time.Duration // when it is worked out anew
+	lock         sync.Mutex
+	readings     map[string]reading
+	median       time.Duration // offset from the monotonic clock
+	nextMedianAt time.Duration // when the median is next recomputed
 }
 
-// reading is one machine's time of day, as an offset from this one's monotonic clock.
+// reading is one machine's wall-clock time, as an offset from the local monotonic clock.
 type reading struct {
 	offset time.Duration
 	at     time.Duration
 }
 
-// Times of an Agreement.
+// Durations used by MedianClock.
 const (
-	// readingMemory is how long a machine's word counts.
-	readingMemory = 5 * time.Second
-	// medianPause is between two medians.
-	medianPause = 500 * time.Millisecond
+	// readingTTL is how long a machine's reading stays valid.
+	readingTTL = 5 * time.Second
+	// medianInterval is the interval between computations of the median.
+	medianInterval = 500 * time.Millisecond
 )
 
-// NewAgreement returns an Agreement of which this machine's own time of day is a part.
-func NewAgreement(clock func() time.Duration, wall func() time.Time) *Agreement {
-	return &Agreement{clock: clock, wall: wall, heard: map[string]reading{}}
+// NewMedianClock returns a MedianClock that includes the local machine's clock.
+func NewMedianClock(clock func() time.Duration, wall func() time.Time) *MedianClock {
+	return &MedianClock{monotonic: clock, wall: wall, readings: map[string]reading{}}
 }
 
-// Note takes in the time of day, in milliseconds, that a machine has just told.
-func (a *Agreement) Note(machine string, day int64) {
-	if day <= 0 {
+// Record records the time, in milliseconds since the Unix epoch, that a machine has just
+// reported.
+func (m *MedianClock) Record(machine string, unixMillis int64) {
+	if unixMillis <= 0 {
 		return
 	}
-	now := a.clock()
-	a.lock.Lock()
-	defer a.lock.Unlock()
-	a.heard[machine] = reading{offset: time.Duration(day)*time.Millisecond - now, at: now}
+	now := m.monotonic()
+	m.lock.Lock()
+	defer m.lock.Unlock()
+	m.readings[machine] = reading{offset: time.Duration(unixMillis)*time.Millisecond - now, at: now}
 }
 
-// Now returns the agreed time of day.
-func (a *Agreement) Now() time.Time {
-	now := a.clock()
-	a.lock.Lock()
-	defer a.lock.Unlock()
-	if now >= a.until {
-		a.median = a.medianAt(now)
-		a.until = now + medianPause
+// Now returns the group's wall-clock time. The median is recomputed at most once per
+// medianInterval; in between, the time advances with the monotonic clock.
+func (m *MedianClock) Now() time.Time {
+	now := m.monotonic()
+	m.lock.Lock()
+	defer m.lock.Unlock()
+	if now >= m.nextMedianAt {
+		m.median = m.medianAt(now)
+		m.nextMedianAt = now + medianInterval
 	}
-	return time.UnixMilli(0).Add(now + a.median)
+	return time.UnixMilli(0).Add(now + m.median)
 }
 
-// medianAt is the median of the offsets that count now; the lock is held.
-func (a *Agreement) medianAt(now time.Duration) time.Duration {
-	offsets := []time.Duration{a.wall().Sub(time.UnixMilli(0)) - now}
-	for machine, known := range a.heard {
-		if now-known.at > readingMemory {
-			delete(a.heard, machine)
+// medianAt returns the median of the offsets that are valid at now, and removes expired
+// readings. The caller must hold the lock.
+func (m *MedianClock) medianAt(now time.Duration) time.Duration {
+	offsets := []time.Duration{m.wall().Sub(time.UnixMilli(0)) - now}
+	for machine, reading := range m.readings {
+		if now-reading.at > readingTTL {
+			delete(m.readings, machine)
 			continue
 		}
-		offsets = append(offsets, known.offset)
+		offsets = append(offsets, reading.offset)
 	}
 	slices.Sort(offsets)
 	return offsets[len(offsets)/2]
--- a/process/relay/config.go
+++ b/process/relay/config.go
@@ -7,63 +7,68 @@
 	"github.com/pkg/errors"
 )
 
-// ErrConfig says that a configuration is of no use.
+// ErrConfig means that a required setting is missing from a Config.
 var ErrConfig = errors.New("relay: invalid configuration")
 
-// Config holds what a relay runs with. Zero durations and bounds take the
-// defaults.
+// Config configures a relay. Zero durations and limits are replaced by the defaults.
 type Config struct {
-	// Name identifies the relay among all daemons that follow the feed.
+	// Name identifies the relay among all daemons that subscribe to the feed.
 	Name string
+	// Zone is the relay's zone, as sent to the control group.
 	Zone string
-	// FeedAddress is where daemons follow it, AdminAddress where health and
-	// metrics are served. Both are an IP and a port.
+	// FeedAddress serves the feed to daemons, AdminAddress serves health and
+	// metrics. Both are an IP address and a port.
 	FeedAddress  string
 	AdminAddress string
-	// Control are the feed addresses of the control members.
+	// Control lists the feed addresses of the control group's members.
 	Control []string
-	// Lease is the longest view lease that is passed on; half of the group's
-	// view lease or less, so that a daemon that hangs holds up only itself.
-	Lease time.Duration
-	// Beat is the time between two confirmations of the relay's own lease.
-	Beat time.Duration
-	// Demand is the time between two reports of the daemons' summed demand.
-	Demand time.Duration
-	// ClaimTimeout bounds the wait for the group's answer to a claim.
+	// MaxLease is the maximum view lease granted to daemons. It must be at most half
+	// of the control group's view lease, which is not checked here. The relay's own
+	// lease then outlasts the wait for a hanging daemon (see ackTimeoutDivisor), so
+	// that a hanging daemon delays no other daemon behind the relay.
+	MaxLease time.Duration
+	// BeatInterval is the interval between renewals of the relay's own lease.
+	BeatInterval time.Duration
+	// DemandInterval is the interval between reports of the daemons' aggregated demand.
+	DemandInterval time.Duration
+	// ClaimTimeout bounds the wait for the control group's reply to a claim or an
+	// outcome.
 	ClaimTimeout time.Duration
-	// StopTimeout bounds a planned stop: answering claims that are under way.
+	// StopTimeout bounds the draining of daemons with pending claims on shutdown.
 	StopTimeout time.Duration
-	// MaxDaemons bounds the daemons that follow the relay.
+	// MaxDaemons is the maximum number of subscribed daemons.
 	MaxDaemons int
 }
 
 // Defaults of a Config.
 const (
-	DefaultLease        = 1500 * time.Millisecond
-	DefaultBeat         = 500 * time.Millisecond
-	DefaultDemand       = time.Second
-	DefaultClaimTimeout = 5 * time.Second
-	DefaultStopTimeout  = 10 * time.Second
-	DefaultMaxDaemons   = 1024
+	DefaultMaxLease       = 1500 * time.Millisecond
+	DefaultBeatInterval   = 500 * time.Millisecond
+	DefaultDemandInterval = time.Second
+	DefaultClaimTimeout   = 5 * time.Second
+	DefaultStopTimeout    = 10 * time.Second
+	DefaultMaxDaemons     = 1024
 )
 
-// floorShare is the part of the lease after which a daemon that has not
-// acknowledged a version gets no lease any more. Its last lease ends one lease
-// later, so the group waits for a hanging daemon a lease and a half at most,
-// less than the relay's own lease lasts.
-const floorShare = 4
+// ackTimeoutDivisor divides the lease to give the interval at which the feed server
+// updates the version that a daemon must have acknowledged to be granted a further
+// lease. A version is required one to two intervals, at most half a lease, after it
+// was applied. The last lease on an older version ends one lease later, so the control
+// group waits at most a lease and a half for a hanging daemon. This is less than the
+// relay's own lease lasts if Config limits the daemons' lease as required.
+const ackTimeoutDivisor = 4
 
 func (c Config) withDefaults() Config {
-	c.Lease = cmp.Or(c.Lease, DefaultLease)
-	c.Beat = cmp.Or(c.Beat, DefaultBeat)
-	c.Demand = cmp.Or(c.Demand, DefaultDemand)
+	c.MaxLease = cmp.Or(c.MaxLease, DefaultMaxLease)
+	c.BeatInterval = cmp.Or(c.BeatInterval, DefaultBeatInterval)
+	c.DemandInterval = cmp.Or(c.DemandInterval, DefaultDemandInterval)
 	c.ClaimTimeout = cmp.Or(c.ClaimTimeout, DefaultClaimTimeout)
 	c.StopTimeout = cmp.Or(c.StopTimeout, DefaultStopTimeout)
 	c.MaxDaemons = cmp.Or(c.MaxDaemons, DefaultMaxDaemons)
 	return c
 }
 
-func (c Config) check() error {
+func (c Config) validate() error {
 	switch {
 	case c.Name == "":
 		return errors.Wrap(ErrConfig, "no name")
--- a/process/relay/demand.go
+++ b/process/relay/demand.go
@@ -7,46 +7,47 @@
 	"github.com/landingtrail/landingtrail/connection/feed"
 )
 
-// maxDemandWindow bounds how long demand is kept that could not be reported:
-// older demand would only mislead the planner.
+// maxDemandWindow bounds how long unreported demand is kept. Older demand would
+// mislead the control group's planner.
 const maxDemandWindow = 10 * time.Second
 
-// queueMemory is how long a daemon's last word on its queues counts.
-const queueMemory = 3 * time.Second
+// queueReportTTL is how long a daemon's last queue report stays valid.
+const queueReportTTL = 3 * time.Second
 
+// demandKey identifies demand by the intent it was offered for and its request class.
 type demandKey struct{ intent, class string }
 
-// demandSum adds up what the daemons behind the relay were offered, so that
-// the group gets one report in place of many.
-type demandSum struct {
+// demandAggregator sums the demand that daemons report to the relay, so that the
+// control group gets one report instead of one per daemon.
+type demandAggregator struct {
 	lock   sync.Mutex
 	since  time.Duration
 	counts map[demandKey]*feed.Demand
 	queues map[string]queueReport // by daemon
 }
 
-// queueReport is what waited at a daemon when it last reported.
+// queueReport is a daemon's last demand report, used for its queue lengths.
 type queueReport struct {
 	at      time.Duration
 	demands []feed.Demand
 }
 
-func newDemandSum(now time.Duration) *demandSum {
-	return &demandSum{since: now, counts: map[demandKey]*feed.Demand{}, queues: map[string]queueReport{}}
+func newDemandAggregator(now time.Duration) *demandAggregator {
+	return &demandAggregator{since: now, counts: map[demandKey]*feed.Demand{}, queues: map[string]queueReport{}}
 }
 
-// add takes a daemon's report in that arrived now.
-func (s *demandSum) add(daemon string, report feed.DemandReport, now time.Duration) {
-	s.lock.Lock()
-	defer s.lock.Unlock()
+// add adds a report that arrived from a daemon at time now.
+func (a *demandAggregator) add(daemon string, report feed.DemandReport, now time.Duration) {
+	a.lock.Lock()
+	defer a.lock.Unlock()
 	for i := range report.Demands {
-		s.count(&report.Demands[i])
+		a.count(&report.Demands[i])
 	}
-	s.queues[daemon] = queueReport{at: now, demands: report.Demands}
+	a.queues[daemon] = queueReport{at: now, demands: report.Demands}
 }
 
-func (s *demandSum) count(offered *feed.Demand) {
-	sum := sumOf(s.counts, offered)
+func (a *demandAggregator) count(offered *feed.Demand) {
+	sum := aggregateFor(a.counts, offered)
 	sum.Requests += offered.Requests
 	sum.PromptTokens += offered.PromptTokens
 	sum.CachedPromptTokens += offered.CachedPromptTokens
@@ -55,8 +56,9 @@
 	sum.Late += offered.Late
 }
 
-// sumOf returns the sum that the offered demand belongs to.
-func sumOf(counts map[demandKey]*feed.Demand, offered *feed.Demand) *feed.Demand {
+// aggregateFor returns the sum for the intent and class of the offered demand, and
+// creates it if necessary.
+func aggregateFor(counts map[demandKey]*feed.Demand, offered *feed.Demand) *feed.Demand {
 	key := demandKey{intent: offered.Intent, class: offered.Class}
 	sum := counts[key]
 	if sum == nil {
@@ -66,57 +68,58 @@
 	return sum
 }
 
-// report returns the sums since the last report that was sent. Queues are
-// gauges: each daemon's latest counts, for as long as it is fresh.
-func (s *demandSum) report(now time.Duration) feed.DemandReport {
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	sums := make(map[demandKey]*feed.Demand, len(s.counts))
-	for key, counted := range s.counts {
+// report returns the sums since the last report that was sent. Queue lengths are
+// gauges: each daemon contributes its latest values until they expire.
+func (a *demandAggregator) report(now time.Duration) feed.DemandReport {
+	a.lock.Lock()
+	defer a.lock.Unlock()
+	sums := make(map[demandKey]*feed.Demand, len(a.counts))
+	for key, counted := range a.counts {
 		copied := *counted
 		sums[key] = &copied
 	}
-	for daemon, queue := range s.queues {
-		if now-queue.at > queueMemory {
-			delete(s.queues, daemon)
+	for daemon, queue := range a.queues {
+		if now-queue.at > queueReportTTL {
+			delete(a.queues, daemon)
 			continue
 		}
 		for i := range queue.demands {
-			sum := sumOf(sums, &queue.demands[i])
+			sum := aggregateFor(sums, &queue.demands[i])
 			sum.QueuedRequests += queue.demands[i].QueuedRequests
 			sum.QueuedPromptTokens += queue.demands[i].QueuedPromptTokens
 		}
 	}
-	report := feed.DemandReport{Window: now - s.since}
+	report := feed.DemandReport{Window: now - a.since}
 	for _, sum := range sums {
 		report.Demands = append(report.Demands, *sum)
 	}
 	return report
 }
 
-// sent starts a new window at the time of the report, if it was sent or is too
-// old to be sent again.
-func (s *demandSum) sent(report feed.DemandReport, accepted bool, now time.Duration) {
+// finishReport subtracts the report and starts a new window at now if the report was
+// accepted or its window is too long to be kept for another attempt.
+func (a *demandAggregator) finishReport(report feed.DemandReport, accepted bool, now time.Duration) {
 	if !accepted && report.Window < maxDemandWindow {
 		return
 	}
-	s.lock.Lock()
-	defer s.lock.Unlock()
+	a.lock.Lock()
+	defer a.lock.Unlock()
 	for i := range report.Demands {
-		s.subtract(&report.Demands[i])
+		a.subtract(&report.Demands[i])
 	}
-	s.since = now
+	a.since = now
 }
 
-// subtract takes out what was reported; what came meanwhile stays.
-func (s *demandSum) subtract(reported *feed.Demand) {
+// subtract removes the reported demand; demand that arrived since the report was
+// made is kept.
+func (a *demandAggregator) subtract(reported *feed.Demand) {
 	key := demandKey{intent: reported.Intent, class: reported.Class}
-	sum := s.counts[key]
+	sum := a.counts[key]
 	if sum == nil {
 		return
 	}
 	if sum.Requests <= reported.Requests && sum.Refused <= reported.Refused && sum.Late <= reported.Late {
-		delete(s.counts, key)
+		delete(a.counts, key)
 		return
 	}
 	sum.Requests -= reported.Requests
--- a/process/relay/group_test.go
+++ b/process/relay/group_test.go
@@ -23,27 +23,28 @@
 	groupLease = 2 * time.Second
 	relayLease = 800 * time.Millisecond
 	testBeat   = 100 * time.Millisecond
-	// patience bounds every wait; it measures nothing.
-	patience = 20 * time.Second
+	// waitTimeout is the limit for every condition that a test waits for, not an
+	// expected duration.
+	waitTimeout = 20 * time.Second
 )
 
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("not within %v: %s", patience, what)
+			t.Fatalf("condition not met within %v: %s", waitTimeout, what)
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// leaderGroup is a control group of one state machine that always leads.
+// leaderGroup is a control group of one member that always leads.
 type leaderGroup struct {
-	lock    sync.Mutex
-	machine *state.Machine
-	index   uint64
-	demand  []feed.DemandReport
+	lock          sync.Mutex
+	machine       *state.Machine
+	index         uint64
+	demandReports []feed.DemandReport
 }
 
 func (g *leaderGroup) apply(command state.Command) any {
@@ -111,14 +112,14 @@
 func (g *leaderGroup) ReportDemand(_ string, report feed.DemandReport) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
-	g.demand = append(g.demand, report)
+	g.demandReports = append(g.demandReports, report)
 }
 
-func (g *leaderGroup) demanded() float64 {
+func (g *leaderGroup) totalRequests() float64 {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	sum := 0.0
-	for _, report := range g.demand {
+	for _, report := range g.demandReports {
 		for _, demand := range report.Demands {
 			sum += demand.Requests
 		}
@@ -126,8 +127,8 @@
 	return sum
 }
 
-// tree is a leader, a relay and daemons behind it.
-type tree struct {
+// testTopology consists of a leader, a relay and daemons that subscribe to the relay.
+type testTopology struct {
 	t       *testing.T
 	group   *leaderGroup
 	leader  *feed.Server
@@ -137,44 +138,44 @@
 	stopped chan error
 }
 
-func newTree(t *testing.T) *tree {
-	made := &tree{t: t, group: &leaderGroup{machine: state.New()}}
-	made.put()
-	made.serveLeader("127.0.0.1:0")
-	t.Cleanup(func() { made.leader.Close() })
-	made.config = Config{
-		Name:         "relay-1",
-		FeedAddress:  freeAddress(t),
-		AdminAddress: freeAddress(t),
-		Control:      []string{made.address},
-		Lease:        relayLease,
-		Beat:         testBeat,
-		Demand:       testBeat,
+func newTestTopology(t *testing.T) *testTopology {
+	topology := &testTopology{t: t, group: &leaderGroup{machine: state.New()}}
+	topology.createTenant()
+	topology.serveLeader("127.0.0.1:0")
+	t.Cleanup(func() { topology.leader.Close() })
+	topology.config = Config{
+		Name:           "relay-1",
+		FeedAddress:    freeAddress(t),
+		AdminAddress:   freeAddress(t),
+		Control:        []string{topology.address},
+		MaxLease:       relayLease,
+		BeatInterval:   testBeat,
+		DemandInterval: testBeat,
 	}
-	made.start()
-	t.Cleanup(made.end)
-	return made
+	topology.startRelay()
+	t.Cleanup(topology.stopRelay)
+	return topology
 }
 
-func (f *tree) serveLeader(address string) {
+func (topology *testTopology) serveLeader(address string) {
 	listener, err := net.Listen("tcp", address)
-	must.NoError(f.t, err)
-	f.address = listener.Addr().String()
-	f.leader = feed.NewServer(feed.ServerConfig{Group: f.group, ViewLease: groupLease}, listener)
+	must.NoError(topology.t, err)
+	topology.address = listener.Addr().String()
+	topology.leader = feed.NewServer(feed.ServerConfig{Group: topology.group, ViewLease: groupLease}, listener)
 }
 
-func (f *tree) start() {
+func (topology *testTopology) startRelay() {
 	ctx, stop := context.WithCancel(context.Background())
-	f.stop, f.stopped = stop, make(chan error, 1)
-	go func() { f.stopped <- Run(ctx, f.config, log.NewNopLogger()) }()
+	topology.stop, topology.stopped = stop, make(chan error, 1)
+	go func() { topology.stopped <- Run(ctx, topology.config, log.NewNopLogger()) }()
 }
 
-// end stops the relay as planned, once.
-func (f *tree) end() {
-	if f.stop != nil {
-		f.stop()
-		f.stop = nil
-		must.NoError(f.t, <-f.stopped)
+// stopRelay shuts the relay down gracefully. Further calls do nothing.
+func (topology *testTopology) stopRelay() {
+	if topology.stop != nil {
+		topology.stop()
+		topology.stop = nil
+		must.NoError(topology.t, <-topology.stopped)
 	}
 }
 
@@ -185,30 +186,30 @@
 	return listener.Addr().String()
 }
 
-// put changes the state and returns the version after it.
-func (f *tree) put() view.Version {
-	f.group.lock.Lock()
-	name := fmt.Sprint("tenant-", f.group.index)
-	f.group.lock.Unlock()
+// createTenant creates a tenant and returns the version of the view that has it.
+func (topology *testTopology) createTenant() view.Version {
+	topology.group.lock.Lock()
+	name := fmt.Sprint("tenant-", topology.group.index)
+	topology.group.lock.Unlock()
 	tenant := &api.Tenant{Metadata: api.Metadata{Name: name}}
 	transaction := &api.Transaction{OperationID: name, Writes: []api.Write{{Object: api.Object{Tenant: tenant}}}}
-	f.group.apply(state.Command{Kind: state.CommandTransaction, Transaction: transaction})
-	if f.leader != nil {
-		f.leader.Wake()
+	topology.group.apply(state.Command{Kind: state.CommandTransaction, Transaction: transaction})
+	if topology.leader != nil {
+		topology.leader.Wake()
 	}
-	return f.group.Version()
+	return topology.group.Version()
 }
 
-// follow starts a daemon; a stuck one takes deltas only while it is not held.
-func (f *tree) follow(name string, views feed.Views, addresses ...string) *feed.Client {
+// follow starts a daemon that subscribes to the addresses, by default to the relay.
+func (topology *testTopology) follow(name string, views feed.Views, addresses ...string) *feed.Client {
 	if len(addresses) == 0 {
-		addresses = []string{f.config.FeedAddress}
+		addresses = []string{topology.config.FeedAddress}
 	}
 	client, err := feed.Dial(feed.ClientConfig{
 		Daemon: name, Addresses: addresses, BeatInterval: testBeat, BackoffMax: testBeat, Clock: testClock,
 	}, views)
-	must.NoError(f.t, err)
-	f.t.Cleanup(client.Close)
+	must.NoError(topology.t, err)
+	topology.t.Cleanup(client.Close)
 	return client
 }
 
@@ -216,18 +217,18 @@
 
 func testClock() time.Duration { return time.Since(testStart) }
 
-func (f *tree) inForce(version view.Version) bool {
-	result, leads := f.leader.InForce(f.t.Context(), version.Revision)
+func (topology *testTopology) inForce(version view.Version) bool {
+	result, leads := topology.leader.InForce(topology.t.Context(), version.Revision)
 	return leads && result.Done
 }
 
-// slowViews holds deltas up while it is locked.
-type slowViews struct {
+// blockableViews blocks Apply while a test holds lock, like a daemon that hangs.
+type blockableViews struct {
 	*view.Holder
 	lock sync.Mutex
 }
 
-func (s *slowViews) Apply(delta view.Delta) error {
+func (s *blockableViews) Apply(delta view.Delta) error {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.Holder.Apply(delta)
--- a/process/relay/metrics.go
+++ b/process/relay/metrics.go
@@ -8,7 +8,9 @@
 
 const metricsNamespace = "landingtrail_relay"
 
-// metrics registers the relay's gauges, which are read when they are asked for.
+// metrics returns a registry of the relay's gauges, whose values are read on each
+// scrape. acknowledged_revision is the highest one that is in force at all daemons behind
+// the relay; view_confirmed is also 0 while the relay is stopping.
 func (r *Relay) metrics() *prometheus.Registry {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(
@@ -18,7 +20,7 @@
 			return float64(r.views.Acknowledge(r.clock()).Revision)
 		}),
 		gauge("view_confirmed", "1 while the relay's own view lease holds, else 0.", func() float64 {
-			if r.group.serves() {
+			if r.group.canServe() {
 				return 1
 			}
 			return 0
@@ -31,12 +33,12 @@
 	return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: metricsNamespace, Name: name, Help: help}, read)
 }
 
-// readiness tells whether daemons should follow the relay.
+// readiness reports whether daemons should subscribe to the relay.
 func (r *Relay) readiness() admin.Readiness {
 	switch {
 	case r.group.stopping.Load():
 		return admin.Readiness{Reason: "stopping"}
-	case !r.group.serves():
+	case !r.group.canServe():
 		return admin.Readiness{Reason: "the view lease has lapsed or is not there yet"}
 	}
 	return admin.Readiness{Ready: true}
--- a/process/relay/relay.go
+++ b/process/relay/relay.go
@@ -1,11 +1,16 @@
-// Package relay runs the daemon that passes the control group's feed on, so
-// that the leader serves one relay in place of the daemons behind it.
+// Package relay implements a daemon that forwards the control group's feed, so that
+// the leader serves one relay instead of every daemon behind it.
 //
-// Toward the group it is one daemon that follows the feed; toward the daemons it
-// serves the feed as a leader does. Its guarantee is view.Relay's: what the
-// group calls in force is in force at each daemon behind it, and no daemon uses
-// its view for longer than the relay's own lease. Claims are passed on one by
-// one, demand is summed. A relay keeps nothing on disk.
+// The feed sends daemons the view, the control group's replicated configuration, as
+// deltas, and grants leases on it. Daemons renew their lease with periodic messages,
+// the beats. A version of the view is in force once no daemon uses an older one under
+// a valid lease.
+//
+// To the control group a relay is one more daemon that subscribes to the feed; to
+// daemons it serves the feed as a leader does. It gives the guarantee of view.Relay:
+// a version that the group considers in force is in force at every daemon behind the
+// relay, and no daemon uses its view beyond the relay's own lease. Claims are
+// forwarded individually, demand is aggregated. A relay stores nothing on disk.
 package relay
 
 import (
@@ -25,16 +30,17 @@
 	"github.com/landingtrail/landingtrail/version/view"
 )
 
-// followed is the relay's view as the feed's client keeps it.
-type followed struct {
+// relayedViews is the relay's view. The feed client updates it, and every update
+// wakes the feed server.
+type relayedViews struct {
 	*view.Relay
 	server atomic.Pointer[feed.Server]
 }
 
-// Apply moves the view forward and wakes the daemons' subscriptions.
-func (f *followed) Apply(delta view.Delta) error {
-	err := f.Relay.Apply(delta)
-	if server := f.server.Load(); err == nil && server != nil {
+// Apply applies the delta to the view and wakes the daemons' subscriptions.
+func (v *relayedViews) Apply(delta view.Delta) error {
+	err := v.Relay.Apply(delta)
+	if server := v.server.Load(); err == nil && server != nil {
 		server.Wake()
 	}
 	return err
@@ -42,27 +48,28 @@
 
 // Relay is one running relay.
 type Relay struct {
-	config   Config
-	logger   log.Logger
-	clock    func() time.Duration
-	views    *followed
-	group    *group
-	client   *feed.Client
-	server   *feed.Server
-	observed chan struct{} // a daemon's beat arrived
-	admin    *admin.Server
-	work     sync.WaitGroup
+	config       Config
+	logger       log.Logger
+	clock        func() time.Duration
+	views        *relayedViews
+	group        *group
+	client       *feed.Client
+	server       *feed.Server
+	beatReceived chan struct{} // signals that a daemon's beat arrived
+	admin        *admin.Server
+	background   sync.WaitGroup
 }
 
-// Run runs a relay until ctx ends.
+// Run runs a relay until ctx ends. It returns ErrConfig for an invalid configuration,
+// the error if the relay cannot listen or subscribe, and nil after ctx has ended.
 func Run(ctx context.Context, config Config, logger log.Logger) error {
 	r, err := open(config, logger)
 	if err != nil {
 		return err
 	}
 	work, end := context.WithCancel(context.Background())
-	r.work.Go(func() { r.acknowledge(work) })
-	r.work.Go(func() { r.reportDemand(work) })
+	r.background.Go(func() { r.acknowledge(work) })
+	r.background.Go(func() { r.reportDemand(work) })
 	event.RelayStarted.Log(logger, "feed", config.FeedAddress, "admin", r.admin.Addr(), "zone", config.Zone)
 	<-ctx.Done()
 	r.drain()
@@ -72,22 +79,23 @@
 	return nil
 }
 
-// open takes the ports and starts to follow the group.
+// open listens on the configured addresses, subscribes to the control group and
+// starts serving daemons.
 func open(config Config, logger log.Logger) (*Relay, error) {
 	config = config.withDefaults()
-	if err := config.check(); err != nil {
+	if err := config.validate(); err != nil {
 		return nil, err
 	}
 	r := &Relay{
-		config:   config,
-		logger:   logger,
-		clock:    clock.Now,
-		views:    &followed{Relay: view.NewRelay(config.Lease, clock.Now())},
-		observed: make(chan struct{}, 1),
+		config:       config,
+		logger:       logger,
+		clock:        clock.Now,
+		views:        &relayedViews{Relay: view.NewRelay(config.MaxLease, clock.Now())},
+		beatReceived: make(chan struct{}, 1),
 	}
 	listener, err := net.Listen("tcp", config.FeedAddress)
 	if err != nil {
-		return nil, errors.Wrap(err, "relay: listen for daemons")
+		return nil, errors.Wrap(err, "relay: listen on the feed address")
 	}
 	if err := r.follow(); err != nil {
 		_ = listener.Close()
@@ -102,40 +110,40 @@
 	return r, nil
 }
 
-// follow starts the subscription to the group.
+// follow subscribes to the control group's feed.
 func (r *Relay) follow() error {
 	client, err := feed.Dial(feed.ClientConfig{
 		Daemon:       r.config.Name,
 		Zone:         r.config.Zone,
 		Addresses:    r.config.Control,
-		BeatInterval: r.config.Beat,
+		BeatInterval: r.config.BeatInterval,
 		MaxInFlight:  r.config.MaxDaemons * feed.DefaultMaxClaims,
 		Clock:        r.clock,
 		Logger:       r.logger,
 	}, r.views)
 	if err != nil {
-		return errors.Wrap(err, "relay: follow the control group")
+		return errors.Wrap(err, "relay: subscribe to the control group")
 	}
 	r.client = client
 	r.group = &group{
 		relay:        r.views.Relay,
 		upstream:     client,
-		demand:       newDemandSum(r.clock()),
+		demand:       newDemandAggregator(r.clock()),
 		clock:        r.clock,
 		claimTimeout: r.config.ClaimTimeout,
 	}
 	return nil
 }
 
-// serve starts to serve the daemons.
+// serve starts serving the feed to daemons.
 func (r *Relay) serve(listener net.Listener) {
 	r.server = feed.NewServer(feed.ServerConfig{
 		Group:          r.group,
-		ViewLease:      r.config.Lease,
-		FloorInterval:  r.config.Lease / floorShare,
+		ViewLease:      r.config.MaxLease,
+		FloorInterval:  r.config.MaxLease / ackTimeoutDivisor,
 		Tracker:        r.views.Tracker(),
 		Limit:          func() time.Duration { return r.views.MaxLease(r.clock()) },
-		Observed:       r.noteBeat,
+		Observed:       r.notifyBeat,
 		MaxSubscribers: r.config.MaxDaemons,
 		Clock:          r.clock,
 		Logger:         r.logger,
@@ -143,37 +151,37 @@
 	r.views.server.Store(r.server)
 }
 
-// noteBeat makes acknowledge look again; calls coalesce.
-func (r *Relay) noteBeat() {
+// notifyBeat makes acknowledge check again without blocking; calls coalesce.
+func (r *Relay) notifyBeat() {
 	select {
-	case r.observed <- struct{}{}:
+	case r.beatReceived <- struct{}{}:
 	default:
 	}
 }
 
-// acknowledge tells the group at once when a version has come into force behind
-// the relay, rather than with the next beat.
+// acknowledge notifies the control group as soon as a version is in force at all
+// daemons behind the relay, instead of with the next beat.
 func (r *Relay) acknowledge(ctx context.Context) {
-	ticker := time.NewTicker(r.config.Lease / floorShare)
+	ticker := time.NewTicker(r.config.MaxLease / ackTimeoutDivisor)
 	defer ticker.Stop()
-	var told view.Version
+	var acknowledged view.Version
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.observed:
+		case <-r.beatReceived:
 		case <-ticker.C:
 		}
-		if reached := r.views.Acknowledge(r.clock()); reached != told {
-			told = reached
+		if reached := r.views.Acknowledge(r.clock()); reached != acknowledged {
+			acknowledged = reached
 			r.client.Acknowledge()
 		}
 	}
 }
 
-// reportDemand sends the daemons' summed demand in each interval.
+// reportDemand sends the daemons' aggregated demand once per interval.
 func (r *Relay) reportDemand(ctx context.Context) {
-	ticker := time.NewTicker(r.config.Demand)
+	ticker := time.NewTicker(r.config.DemandInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -183,22 +191,23 @@
 		}
 		now := r.clock()
 		report := r.group.demand.report(now)
-		r.group.demand.sent(report, r.client.ReportDemand(report), now)
+		r.group.demand.finishReport(report, r.client.ReportDemand(report), now)
 	}
 }
 
-// drainPoll is how often a stopping relay looks whether its daemons have left.
-const drainPoll = 10 * time.Millisecond
+// drainPollInterval is how often a stopping relay checks whether its daemons have
+// disconnected.
+const drainPollInterval = 10 * time.Millisecond
 
-// drain is the planned stop: each daemon is sent on once its claims that are
-// under way have their answers.
+// drain redirects each daemon to another address once its pending claims are
+// answered, and waits until all have disconnected or StopTimeout has passed.
 func (r *Relay) drain() {
 	event.RelayDraining.Log(r.logger, "daemons", r.server.Subscribers())
 	r.group.stopping.Store(true)
 	r.server.Wake()
 	limit := time.NewTimer(r.config.StopTimeout)
 	defer limit.Stop()
-	ticker := time.NewTicker(drainPoll)
+	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
 	for r.server.Subscribers() > 0 {
 		select {
@@ -213,5 +222,5 @@
 	r.server.Close()
 	r.client.Close()
 	r.admin.Close()
-	r.work.Wait()
+	r.background.Wait()
 }
--- a/process/replica/bench_test.go
+++ b/process/replica/bench_test.go
@@ -16,21 +16,21 @@
 	"github.com/shoenig/test/must"
 )
 
-// process is a member as a daemon would run it: with a disk, over TCP.
-type process struct {
-	id        raft.MemberID
-	dir       string
-	address   string
-	transport *peer.Transport
-	machine   *history
-	replica   *Replica
-	running   atomic.Pointer[Replica]
-	joins     bool // is added to a group that exists
-	sentBytes atomic.Int64
+// testProcess is a member that runs as in a daemon: on a disk and over TCP.
+type testProcess struct {
+	id           raft.MemberID
+	dir          string
+	address      string
+	transport    *peer.Transport
+	stateMachine *history
+	replica      *Replica
+	running      atomic.Pointer[Replica]
+	joins        bool // joins an existing group
+	sentBytes    atomic.Int64
 }
 
-// Send counts what it sends, as it is encoded.
-func (p *process) Send(messages []raft.Message) {
+// Send sends the messages and counts their encoded size.
+func (p *testProcess) Send(messages []raft.Message) {
 	for _, message := range messages {
 		p.sentBytes.Add(int64(encodedBytes(message)))
 	}
@@ -45,16 +45,16 @@
 	return size
 }
 
-// processGroup is a group of members on one machine with real disks and sockets.
+// processGroup is a group of members on one machine that use real disks and sockets.
 type processGroup struct {
 	t         testing.TB
-	processes []*process
+	processes []*testProcess
 	bootstrap raft.Configuration
-	adjust    func(*Config)
+	configure func(*Config)
 }
 
-func newProcessGroup(t testing.TB, size int, adjust func(*Config)) *processGroup {
-	g := &processGroup{t: t, adjust: adjust}
+func newProcessGroup(t testing.TB, size int, configure func(*Config)) *processGroup {
+	g := &processGroup{t: t, configure: configure}
 	for range size {
 		p := g.newProcess()
 		g.bootstrap.Voters = append(g.bootstrap.Voters, p.id)
@@ -66,9 +66,10 @@
 	return g
 }
 
-// newProcess makes a member with an empty folder that listens and is not started.
-func (g *processGroup) newProcess() *process {
-	p := &process{dir: g.t.TempDir()}
+// newProcess creates a member with an empty directory. Its transport listens, but the
+// member is not started.
+func (g *processGroup) newProcess() *testProcess {
+	p := &testProcess{dir: g.t.TempDir()}
 	disk, err := OpenDisk(DiskOptions{Dir: p.dir, Group: testGroup})
 	must.NoError(g.t, err)
 	p.id = disk.Identity().Member
@@ -78,7 +79,7 @@
 	return p
 }
 
-// addLearner starts a further member and waits until the group has it.
+// addLearner starts another member and waits until the group has added it as a learner.
 func (g *processGroup) addLearner() {
 	p := g.newProcess()
 	p.joins = true
@@ -95,8 +96,8 @@
 	}
 }
 
-// listen opens the member's transport on the address that it had before, if any.
-func (g *processGroup) listen(p *process) {
+// listen opens the member's transport, on its previous address if it had one.
+func (g *processGroup) listen(p *testProcess) {
 	address := p.address
 	if address == "" {
 		address = "127.0.0.1:0"
@@ -108,7 +109,7 @@
 	p.address = p.transport.Address().String()
 }
 
-func (p *process) receive(message raft.Message) {
+func (p *testProcess) receive(message raft.Message) {
 	if running := p.running.Load(); running != nil {
 		running.Receive(message)
 	}
@@ -122,21 +123,21 @@
 	return addresses
 }
 
-func (g *processGroup) start(p *process) {
+func (g *processGroup) start(p *testProcess) {
 	disk, err := OpenDisk(DiskOptions{Dir: p.dir, Group: testGroup})
 	must.NoError(g.t, err)
-	p.machine = &history{}
+	p.stateMachine = &history{}
 	config := Config{
 		Raft:         raft.Config{ID: p.id, Seed: uint64(p.id)},
 		Storage:      disk,
 		Transport:    p,
-		StateMachine: p.machine,
+		StateMachine: p.stateMachine,
 	}
 	if !p.joins {
 		config.Bootstrap = g.bootstrap
 	}
-	if g.adjust != nil {
-		g.adjust(&config)
+	if g.configure != nil {
+		g.configure(&config)
 	}
 	p.transport.SetPeers(g.addresses())
 	p.replica, err = Start(config)
@@ -144,15 +145,15 @@
 	p.running.Store(p.replica)
 }
 
-// kill ends the member without a handover and closes its sockets.
-func (g *processGroup) kill(p *process) {
+// kill stops the member without a handover and closes its transport.
+func (g *processGroup) kill(p *testProcess) {
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
 	p.replica.Stop(ended)
 	must.NoError(g.t, p.transport.Close())
 }
 
-func (g *processGroup) restart(p *process) {
+func (g *processGroup) restart(p *testProcess) {
 	g.listen(p)
 	g.start(p)
 }
@@ -167,7 +168,7 @@
 	}
 }
 
-func (g *processGroup) leader(excluded *process) *process {
+func (g *processGroup) leader(excluded *testProcess) *testProcess {
 	deadline := time.Now().Add(30 * time.Second)
 	for time.Now().Before(deadline) {
 		for _, p := range g.processes {
@@ -181,15 +182,15 @@
 	return nil
 }
 
-// counter is a state machine that keeps only how many commands it applied.
-type counter struct{ count uint64 }
+// counter is a state machine that only counts the commands it applied.
+type commandCounter struct{ count uint64 }
 
-func (c *counter) Apply(raft.Entry) any      { c.count++; return c.count }
-func (c *counter) Snapshot() ([]byte, error) { return make([]byte, 64<<10), nil }
-func (c *counter) Restore([]byte) error      { return nil }
+func (c *commandCounter) Apply(raft.Entry) any      { c.count++; return c.count }
+func (c *commandCounter) Snapshot() ([]byte, error) { return make([]byte, 64<<10), nil }
+func (c *commandCounter) Restore([]byte) error      { return nil }
 
-// BenchmarkCommit measures commits of 256 bytes in a group of three with synced
-// disks over loopback.
+// BenchmarkCommit measures commits of 256 bytes in a group of three members with
+// synced disks, connected over loopback.
 func BenchmarkCommit(b *testing.B) {
 	for _, proposers := range []int{1, 16, 64} {
 		b.Run(fmt.Sprintf("proposers=%d", proposers), func(b *testing.B) {
@@ -208,8 +209,8 @@
 	}
 }
 
-// proposeAll makes count proposals by so many proposers and returns their
-// latencies in microseconds.
+// proposeAll makes count proposals from the given number of concurrent proposers and
+// returns their latencies in microseconds.
 func proposeAll(b *testing.B, r *Replica, proposers, count int) *hdrhistogram.Histogram {
 	var mutex sync.Mutex
 	var group sync.WaitGroup
@@ -235,8 +236,8 @@
 	return latencies
 }
 
-// BenchmarkRecovery measures opening a disk with a log of that many entries of
-// 256 bytes and no snapshot.
+// BenchmarkRecovery measures opening a disk with a log of 256-byte entries and no
+// snapshot.
 func BenchmarkRecovery(b *testing.B) {
 	for _, count := range []uint64{1_000, 10_000, 100_000} {
 		b.Run(fmt.Sprintf("entries=%d", count), func(b *testing.B) {
@@ -268,8 +269,8 @@
 	must.NoError(b, disk.Close())
 }
 
-// BenchmarkFailover measures from the kill of the leader to the first commit of
-// the next one.
+// BenchmarkFailover measures the time from the kill of the leader to the first commit
+// of its successor.
 func BenchmarkFailover(b *testing.B) {
 	for _, timeout := range []time.Duration{500 * time.Millisecond, time.Second} {
 		b.Run(fmt.Sprintf("election=%v", timeout), func(b *testing.B) {
@@ -293,7 +294,7 @@
 	}
 }
 
-func proposeUntilCommitted(b *testing.B, g *processGroup, excluded *process) {
+func proposeUntilCommitted(b *testing.B, g *processGroup, excluded *testProcess) {
 	for {
 		if _, err := g.leader(excluded).replica.Propose(context.Background(), []byte("next")); err == nil {
 			return
--- a/process/replica/disk.go
+++ b/process/replica/disk.go
@@ -7,7 +7,7 @@
 	"github.com/pkg/errors"
 )
 
-// DiskOptions says where a Disk keeps its files.
+// DiskOptions configures where a Disk stores its files.
 type DiskOptions struct {
 	FileSystem   wal.FileSystem // wal.OS{} when nil
 	Dir          string
@@ -15,7 +15,7 @@
 	SegmentBytes int64 // wal.DefaultSegmentBytes when 0
 }
 
-// Disk is the Storage of a member with a data folder: a log and snapshots.
+// Disk is a Storage that keeps a log and snapshots in a data directory.
 type Disk struct {
 	log       *wal.Log
 	snapshots *snap.Store
@@ -23,24 +23,26 @@
 	initial   raft.InitialState
 	empty     bool
 	loaded    bool
-	// pending holds a hard state whose loss is harmless until the next Save.
-	pending *raft.HardState
+	// unsavedHardState is a hard state that is written with the next synced update,
+	// because losing it in a crash is harmless.
+	unsavedHardState *raft.HardState
 }
 
-// Recovery tells what opening a Disk found.
+// Recovery describes what was recovered when a Disk was opened.
 type Recovery struct {
 	Identity         wal.Identity
 	Entries          int   // entries after the snapshot
-	TornBytes        int64 // of a Save that a crash cut short
-	DamagedSnapshots int   // newer ones that were passed over
+	TornBytes        int64 // of a record that was being appended during a crash
+	DamagedSnapshots int   // newer snapshots that were skipped as corrupt
 }
 
 var _ Storage = (*Disk)(nil)
 
-// OpenDisk opens the folder, or makes it with a new identity. It returns
-// wal.ErrLostLog when the folder lost state that it held once, wal.ErrCorrupt and
-// snap.ErrDamaged when state is damaged: the member must not run then, and can
-// come back as a new one after DiscardDisk.
+// OpenDisk opens the directory, or creates it with a new identity. It returns
+// wal.ErrLostLog if the directory has lost state, and wal.ErrCorrupt or
+// snap.ErrCorrupt if its state is corrupt. After these errors the member must not
+// run; it can rejoin as a new member after DiscardDisk. wal.ErrLocked and
+// wal.ErrWrongGroup mean that another process or group uses the directory.
 func OpenDisk(options DiskOptions) (*Disk, error) {
 	if options.FileSystem == nil {
 		options.FileSystem = wal.OS{}
@@ -62,8 +64,8 @@
 	return disk, nil
 }
 
-// DiscardDisk removes the state and the identity from the folder. The next
-// OpenDisk makes a new member, which has to join the group as a learner.
+// DiscardDisk removes the state and the identity from the directory. The next
+// OpenDisk creates a new member, which must join the group as a learner.
 func DiscardDisk(fileSystem wal.FileSystem, dir string) error {
 	if err := wal.Discard(fileSystem, dir); err != nil {
 		return err
@@ -77,15 +79,15 @@
 		return err
 	}
 	d.snapshots = store
-	loaded, err := store.Load(func(index uint64) bool { return reachesBack(recovered, index) })
+	loaded, err := store.Load(func(index uint64) bool { return holdsEntriesAfter(recovered, index) })
 	if err != nil {
 		return err
 	}
 	snapshot := loaded.Snapshot
-	if err := d.settleInstall(&recovered, snapshot); err != nil {
+	if err := d.resolvePendingInstall(&recovered, snapshot); err != nil {
 		return err
 	}
-	if err := checkComplete(recovered, snapshot); err != nil {
+	if err := checkCompleteness(recovered, snapshot); err != nil {
 		return err
 	}
 	d.initial = raft.InitialState{HardState: recovered.HardState, Entries: entriesAfter(recovered.Entries, snapshot.Index)}
@@ -94,7 +96,7 @@
 	} else {
 		d.initial.Configuration = snapshot.Configuration
 	}
-	d.empty = blank(d.initial)
+	d.empty = isEmptyState(d.initial)
 	d.recovery = Recovery{
 		Identity:         recovered.Identity,
 		Entries:          len(d.initial.Entries),
@@ -104,17 +106,17 @@
 	return nil
 }
 
-// reachesBack tells whether the log holds every entry after index.
-func reachesBack(recovered wal.Recovered, index uint64) bool {
+// holdsEntriesAfter reports whether the log holds every entry after index.
+func holdsEntriesAfter(recovered wal.Recovered, index uint64) bool {
 	if len(recovered.Entries) == 0 {
 		return recovered.LastIndex <= index
 	}
 	return recovered.Entries[0].Index <= index+1
 }
 
-// settleInstall ends an installation that a crash cut short: the log restarts
-// after the snapshot if that was written, and stays as it is if not.
-func (d *Disk) settleInstall(recovered *wal.Recovered, snapshot raft.Snapshot) error {
+// resolvePendingInstall completes an installation that a crash interrupted: the log
+// restarts after the snapshot if that was written, and is left unchanged otherwise.
+func (d *Disk) resolvePendingInstall(recovered *wal.Recovered, snapshot raft.Snapshot) error {
 	if recovered.InstallIndex == 0 {
 		return nil
 	}
@@ -126,15 +128,15 @@
 	return d.log.Reset(snapshot.Term, snapshot.Index)
 }
 
-// checkComplete finds logs that lost their end or their beginning.
-func checkComplete(recovered wal.Recovered, snapshot raft.Snapshot) error {
+// checkCompleteness returns wal.ErrLostLog if the log has lost its head or tail.
+func checkCompleteness(recovered wal.Recovered, snapshot raft.Snapshot) error {
 	switch {
 	case snapshot.Index > recovered.LastIndex:
 		return errors.Wrapf(wal.ErrLostLog, "log ends at %d, before snapshot %d", recovered.LastIndex, snapshot.Index)
 	case recovered.HardState.Commit > recovered.LastIndex:
 		return errors.Wrapf(wal.ErrLostLog, "log ends at %d, before commit index %d", recovered.LastIndex, recovered.HardState.Commit)
-	case !reachesBack(recovered, snapshot.Index):
-		return errors.Wrapf(wal.ErrLostLog, "log does not reach back to snapshot %d", snapshot.Index)
+	case !holdsEntriesAfter(recovered, snapshot.Index):
+		return errors.Wrapf(wal.ErrLostLog, "log does not hold every entry after snapshot %d", snapshot.Index)
 	}
 	return nil
 }
@@ -146,20 +148,20 @@
 	return entries
 }
 
-// Identity returns the identity of the folder.
+// Identity returns the identity of the directory.
 func (d *Disk) Identity() wal.Identity { return d.recovery.Identity }
 
-// Recovery tells what opening found.
+// Recovery returns what was recovered when the Disk was opened.
 func (d *Disk) Recovery() Recovery { return d.recovery }
 
-// Empty tells whether the folder held nothing of a group when it was opened.
+// Empty reports whether the directory held no group state when it was opened.
 func (d *Disk) Empty() bool { return d.empty }
 
-// Load implements Storage. It may be called once: the recovered entries are not
-// kept.
+// Load implements Storage. It can be called only once, because the recovered entries
+// are not kept.
 func (d *Disk) Load() (raft.InitialState, error) {
 	if d.loaded {
-		return raft.InitialState{}, errors.New("replica: disk was loaded already")
+		return raft.InitialState{}, errors.New("replica: disk has already been loaded")
 	}
 	d.loaded = true
 	initial := d.initial
@@ -167,7 +169,8 @@
 	return initial, nil
 }
 
-// Bootstrap implements Storage by a snapshot at index zero.
+// Bootstrap implements Storage. It stores the configuration as a snapshot at index
+// zero.
 func (d *Disk) Bootstrap(configuration raft.Configuration) error {
 	return d.snapshots.Save(raft.Snapshot{Configuration: configuration})
 }
@@ -175,7 +178,7 @@
 // Save implements Storage.
 func (d *Disk) Save(update Update) error {
 	if update.HardState != nil {
-		d.pending = update.HardState
+		d.unsavedHardState = update.HardState
 	}
 	if !update.MustSync {
 		return nil
@@ -185,19 +188,19 @@
 			return err
 		}
 	}
-	hardState := d.pending
-	d.pending = nil
+	hardState := d.unsavedHardState
+	d.unsavedHardState = nil
 	return d.log.Save(hardState, update.Entries)
 }
 
-// install replaces the log by a received snapshot. The term goes first, because
-// a snapshot is never of a later term than its member. The note before the
-// snapshot tells a crash in between from a lost log.
+// install replaces the log with a received snapshot. It saves the term first, because
+// a snapshot must not have a later term than the member that stores it. The install
+// record before the snapshot lets recovery tell a crash in between from a lost log.
 func (d *Disk) install(snapshot raft.Snapshot) error {
-	if d.pending != nil {
-		early := *d.pending
-		early.Commit = min(early.Commit, d.log.LastIndex())
-		if err := d.log.Save(&early, nil); err != nil {
+	if d.unsavedHardState != nil {
+		hardState := *d.unsavedHardState
+		hardState.Commit = min(hardState.Commit, d.log.LastIndex())
+		if err := d.log.Save(&hardState, nil); err != nil {
 			return err
 		}
 	}
@@ -222,12 +225,12 @@
 	return d.log.Compact(oldest)
 }
 
-// Close implements Storage. A hard state whose loss is harmless is saved first,
-// so that a planned restart knows how far the log is committed.
+// Close implements Storage. It first saves a hard state that is not yet written, so
+// that the commit index is known after a planned restart.
 func (d *Disk) Close() error {
 	err := error(nil)
-	if d.pending != nil {
-		err = d.log.Save(d.pending, nil)
+	if d.unsavedHardState != nil {
+		err = d.log.Save(d.unsavedHardState, nil)
 	}
 	if closeErr := d.log.Close(); err == nil {
 		err = closeErr
--- a/process/replica/disk_test.go
+++ b/process/replica/disk_test.go
@@ -32,7 +32,7 @@
 	return disk, initial
 }
 
-// save stores entries one by one, up to and including last.
+// save stores the entries from first to last, one per Save.
 func save(t *testing.T, disk *Disk, first, last uint64) {
 	t.Helper()
 	for index := first; index <= last; index++ {
@@ -53,7 +53,7 @@
 	}
 }
 
-// snapshotAndCompact stores a local snapshot as the replica does.
+// snapshotAndCompact saves a local snapshot and compacts the log, as a replica does.
 func snapshotAndCompact(t *testing.T, disk *Disk, index uint64) {
 	t.Helper()
 	must.NoError(t, disk.SaveSnapshot(snapshotAt(2, index)))
@@ -64,7 +64,7 @@
 	return filepath.Join(testDir, fmt.Sprintf("%016x-%016x.snap", index, term))
 }
 
-func flip(content []byte) []byte {
+func flipBit(content []byte) []byte {
 	content[len(content)/2] ^= 1
 	return content
 }
@@ -97,7 +97,7 @@
 		snapshotAndCompact(t, disk, index)
 	}
 	must.NoError(t, disk.Close())
-	fileSystem.Edit(snapshotPath(2, 60), flip)
+	fileSystem.Edit(snapshotPath(2, 60), flipBit)
 	disk, initial := mustOpen(t, fileSystem)
 	must.Eq(t, 1, disk.Recovery().DamagedSnapshots)
 	must.Eq(t, 40, initial.Snapshot.Index)
@@ -105,8 +105,8 @@
 	save(t, disk, 61, 70)
 	snapshotAndCompact(t, disk, 70)
 	must.NoError(t, disk.Close())
-	// The damaged file must not count as one of the two that are kept.
-	fileSystem.Edit(snapshotPath(2, 70), flip)
+	// The corrupt file must not count as one of the two snapshots kept.
+	fileSystem.Edit(snapshotPath(2, 70), flipBit)
 	_, initial = mustOpen(t, fileSystem)
 	must.Eq(t, 40, initial.Snapshot.Index)
 	must.Eq(t, 70, initial.Entries[len(initial.Entries)-1].Index)
@@ -117,14 +117,14 @@
 		"both damaged": func(t *testing.T, disk *Disk, fileSystem *faultfs.FileSystem) {
 			snapshotAndCompact(t, disk, 20)
 			snapshotAndCompact(t, disk, 40)
-			fileSystem.Edit(snapshotPath(2, 20), flip)
-			fileSystem.Edit(snapshotPath(2, 40), flip)
+			fileSystem.Edit(snapshotPath(2, 20), flipBit)
+			fileSystem.Edit(snapshotPath(2, 40), flipBit)
 		},
 		"log restarted after the newest": func(t *testing.T, disk *Disk, fileSystem *faultfs.FileSystem) {
 			snapshotAndCompact(t, disk, 20)
 			received := snapshotAt(2, 100)
 			must.NoError(t, disk.Save(Update{Snapshot: &received, MustSync: true}))
-			fileSystem.Edit(snapshotPath(2, 100), flip)
+			fileSystem.Edit(snapshotPath(2, 100), flipBit)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -134,7 +134,7 @@
 			prepare(t, disk, fileSystem)
 			must.NoError(t, disk.Close())
 			_, err := openDisk(fileSystem)
-			must.ErrorIs(t, err, snap.ErrDamaged)
+			must.ErrorIs(t, err, snap.ErrCorrupt)
 		})
 	}
 }
@@ -143,12 +143,12 @@
 	fileSystem := faultfs.New(1)
 	disk, _ := mustOpen(t, fileSystem)
 	save(t, disk, 1, 5)
-	early, err := fileSystem.ReadFile(filepath.Join(testDir, fmt.Sprintf("%016x.wal", 1)))
+	earlierLog, err := fileSystem.ReadFile(filepath.Join(testDir, fmt.Sprintf("%016x.wal", 1)))
 	must.NoError(t, err)
 	save(t, disk, 6, 8)
 	must.NoError(t, disk.SaveSnapshot(snapshotAt(2, 8)))
 	must.NoError(t, disk.Close())
-	fileSystem.Edit(filepath.Join(testDir, fmt.Sprintf("%016x.wal", 1)), func([]byte) []byte { return early })
+	fileSystem.Edit(filepath.Join(testDir, fmt.Sprintf("%016x.wal", 1)), func([]byte) []byte { return earlierLog })
 	_, err = openDisk(fileSystem)
 	must.ErrorIs(t, err, wal.ErrLostLog)
 	must.NoError(t, DiscardDisk(fileSystem, testDir))
@@ -156,7 +156,7 @@
 	must.True(t, disk.Empty())
 }
 
-// Entries between the snapshot and what is left of the log are lost.
+// If the entries right after the snapshot are missing, the log must not open.
 func TestLogThatDoesNotReachBackToItsSnapshotIsLost(t *testing.T) {
 	fileSystem := faultfs.New(1)
 	disk, _ := mustOpen(t, fileSystem)
@@ -183,7 +183,7 @@
 	must.ErrorIs(t, err, wal.ErrLostLog)
 }
 
-// A vote comes without entries, and must not be forgotten.
+// A vote is saved without entries and must still survive a crash.
 func TestVoteIsDurableWhenSaveReturns(t *testing.T) {
 	fileSystem := faultfs.New(1)
 	disk, _ := mustOpen(t, fileSystem)
@@ -195,8 +195,9 @@
 	must.Eq(t, vote, initial.HardState)
 }
 
-// A crash at any point of installing a received snapshot leaves either the old
-// log whole or the new snapshot with an empty log, and the term is not lost.
+// A crash at any point of installing a received snapshot must leave either the old log
+// intact or the new snapshot with an empty log. With the new snapshot, its term must
+// not be lost.
 func TestInstallationSurvivesCrashes(t *testing.T) {
 	installed, kept := 0, 0
 	for operations := range 25 {
@@ -234,8 +235,8 @@
 	must.Positive(t, kept)
 }
 
-// An installation that was cut short and whose snapshot the member later reaches
-// by its own log must not drop the entries after it.
+// After an interrupted installation the member may reach the snapshot's index through
+// its own log. Recovery must then not drop the log entries after that index.
 func TestAbandonedInstallationIsForgotten(t *testing.T) {
 	fileSystem := faultfs.New(1)
 	disk, _ := mustOpen(t, fileSystem)
@@ -251,7 +252,7 @@
 	must.Eq(t, 10, len(initial.Entries))
 }
 
-func TestDiskRefusesWorkAfterAFailure(t *testing.T) {
+func TestDiskIsUnusableAfterAFailedSync(t *testing.T) {
 	fileSystem := faultfs.New(1)
 	disk, _ := mustOpen(t, fileSystem)
 	save(t, disk, 1, 3)
--- a/process/replica/group_test.go
+++ b/process/replica/group_test.go
@@ -31,7 +31,7 @@
 	goleak.VerifyTestMain(m)
 }
 
-// history is a state machine that keeps the commands it applied.
+// history is a state machine that records the commands it applied.
 type history struct {
 	mutex    sync.Mutex
 	commands [][]byte
@@ -80,11 +80,12 @@
 	return slices.ContainsFunc(h.copy(), func(c []byte) bool { return string(c) == command })
 }
 
-// network connects replicas in memory. A message can be cut off by a filter.
+// network connects replicas in memory. Messages for which blocked returns true are
+// dropped.
 type network struct {
 	mutex   sync.Mutex
 	members map[raft.MemberID]*Replica
-	cut     func(from, to raft.MemberID) bool
+	blocked func(from, to raft.MemberID) bool
 }
 
 func (n *network) Send(messages []raft.Message) {
@@ -92,34 +93,34 @@
 	defer n.mutex.Unlock()
 	for _, message := range messages {
 		receiver := n.members[message.To]
-		if receiver == nil || n.cut != nil && n.cut(message.From, message.To) {
+		if receiver == nil || n.blocked != nil && n.blocked(message.From, message.To) {
 			continue
 		}
 		receiver.Receive(message)
 	}
 }
 
-func (n *network) setCut(cut func(from, to raft.MemberID) bool) {
+func (n *network) setBlocked(blocked func(from, to raft.MemberID) bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.cut = cut
+	n.blocked = blocked
 }
 
-// isolate cuts the member off in both directions.
+// isolate drops all messages from and to the member.
 func (n *network) isolate(member raft.MemberID) {
-	n.setCut(func(from, to raft.MemberID) bool { return from == member || to == member })
+	n.setBlocked(func(from, to raft.MemberID) bool { return from == member || to == member })
 }
 
-// member is one replica of a group with what survives its stop: a file system.
+// member is one replica of a group, with the file system that survives its restarts.
 type member struct {
-	id         raft.MemberID
-	fileSystem *faultfs.FileSystem
-	stall      atomic.Int64 // how long the next Save hangs
-	machine    *history
-	replica    *Replica
+	id           raft.MemberID
+	fileSystem   *faultfs.FileSystem
+	stall        atomic.Int64 // nanoseconds that the next Save hangs
+	stateMachine *history
+	replica      *Replica
 }
 
-// stallingStorage hangs in Save when its member is told to, as a disk may.
+// stallingStorage delays Save by the member's stall, to simulate a hanging disk.
 type stallingStorage struct {
 	Storage
 	member *member
@@ -130,17 +131,17 @@
 	return s.Storage.Save(update)
 }
 
-// group is a replicated group on disks and a network in memory.
+// group is a replicated group with in-memory disks and an in-memory network.
 type group struct {
 	t         must.T
 	network   *network
 	members   []*member
 	bootstrap raft.Configuration
-	adjust    func(*Config)
+	configure func(*Config)
 }
 
-func newGroup(t must.T, size int, adjust func(*Config)) *group {
-	g := &group{t: t, network: &network{members: make(map[raft.MemberID]*Replica)}, adjust: adjust}
+func newGroup(t must.T, size int, configure func(*Config)) *group {
+	g := &group{t: t, network: &network{members: make(map[raft.MemberID]*Replica)}, configure: configure}
 	for seed := range uint64(size) {
 		m := g.newMember(seed)
 		g.members = append(g.members, m)
@@ -152,7 +153,7 @@
 	return g
 }
 
-// newMember makes a member with an empty disk. It is not started.
+// newMember creates a member with an empty disk without starting it.
 func (g *group) newMember(seed uint64) *member {
 	m := &member{fileSystem: faultfs.New(seed)}
 	disk, err := openDisk(m.fileSystem)
@@ -165,16 +166,16 @@
 func (g *group) start(m *member, bootstrap raft.Configuration) {
 	disk, err := openDisk(m.fileSystem)
 	must.NoError(g.t, err)
-	m.machine = &history{}
+	m.stateMachine = &history{}
 	config := Config{
 		Raft:         raft.Config{ID: m.id, Seed: 7},
 		Storage:      stallingStorage{Storage: disk, member: m},
 		Transport:    g.network,
-		StateMachine: m.machine,
+		StateMachine: m.stateMachine,
 		Bootstrap:    bootstrap,
 	}
-	if g.adjust != nil {
-		g.adjust(&config)
+	if g.configure != nil {
+		g.configure(&config)
 	}
 	started, err := Start(config)
 	must.NoError(g.t, err)
@@ -184,8 +185,8 @@
 	g.network.mutex.Unlock()
 }
 
-// restart starts a member that was stopped. A bootstrap configuration changes
-// nothing on a disk that holds state already.
+// restart starts a stopped member. The bootstrap configuration has no effect on a disk
+// that already holds state.
 func (g *group) restart(m *member) { g.start(m, g.bootstrap) }
 
 // crash stops the member without a handover.
@@ -204,7 +205,8 @@
 	}
 }
 
-// leader waits until a member other than the ones excluded leads with a lease.
+// leader waits until a member that is not excluded leads with a valid lease, and
+// returns it.
 func (g *group) leader(excluded ...*member) *member {
 	for range 1000 {
 		for _, m := range g.members {
@@ -224,9 +226,9 @@
 // waitEqual waits until all members have applied the same commands.
 func (g *group) waitEqual(members ...*member) {
 	for range 1000 {
-		first := members[0].machine.copy()
+		first := members[0].stateMachine.copy()
 		same := !slices.ContainsFunc(members[1:], func(m *member) bool {
-			return !slices.EqualFunc(first, m.machine.copy(), bytes.Equal)
+			return !slices.EqualFunc(first, m.stateMachine.copy(), bytes.Equal)
 		})
 		if same {
 			return
@@ -284,11 +286,11 @@
 		must.ErrorIs(t, err, ErrOutcomeUnknown)
 		must.Error(t, old.replica.LeaseRead(t.Context()))
 		g.leader(old)
-		g.network.setCut(nil)
+		g.network.setBlocked(nil)
 		_, err = g.leader().replica.Propose(t.Context(), []byte("kept"))
 		must.NoError(t, err)
 		g.waitEqual(g.members...)
-		must.False(t, old.machine.contains("lost"))
+		must.False(t, old.stateMachine.contains("lost"))
 	})
 }
 
--- a/process/replica/handover.go
+++ b/process/replica/handover.go
@@ -7,41 +7,42 @@
 	"github.com/pkg/errors"
 )
 
-// handoverTimeouts is how many election timeouts a handover may take.
-const handoverTimeouts = 3
+// handoverElectionTimeouts is the time limit of a handover in election timeouts.
+const handoverElectionTimeouts = 3
 
-// handover is a leadership that is being handed over. While it lasts proposals
-// are refused, and those already in the log are finished first, so that a planned
-// handover leaves no proposal with an unknown outcome.
+// handover is a TransferLeadership request in progress. New proposals are rejected
+// meanwhile, and those already in the log complete first, so that a planned handover
+// leaves no proposal with an unknown outcome.
 type handover struct {
-	request  *request
-	to       raft.MemberID
-	deadline time.Duration
-	asked    bool
+	request         *request
+	to              raft.MemberID
+	deadline        time.Duration
+	transferStarted bool
 }
 
-func (l *loop) beginHandover(now time.Duration, q *request) {
+func (l *loop) beginHandover(now time.Duration, req *request) {
 	status := l.node.Status()
 	if status.Role != raft.Leader {
-		q.finish(Result{}, &NotLeaderError{Leader: status.Leader})
+		req.complete(Result{}, &NotLeaderError{Leader: status.Leader})
 		return
 	}
 	if l.handover != nil {
-		q.finish(Result{}, errors.Wrap(ErrTransferFailed, "another handover is in progress"))
+		req.complete(Result{}, errors.Wrap(ErrTransferFailed, "another handover is in progress"))
 		return
 	}
-	to := q.to
+	to := req.to
 	if to == raft.None {
 		to = successor(status)
 	}
 	if to == raft.None || to == status.ID {
-		q.finish(Result{}, ErrNoSuccessor)
+		req.complete(Result{}, ErrNoSuccessor)
 		return
 	}
-	l.handover = &handover{request: q, to: to, deadline: now + handoverTimeouts*l.config.Raft.ElectionTimeout}
+	l.handover = &handover{request: req, to: to, deadline: now + handoverElectionTimeouts*l.config.Raft.ElectionTimeout}
 }
 
-// successor returns the other voter with the most entries of those that answer.
+// successor returns the voter with the most entries among the other voters that were
+// recently active, or raft.None.
 func successor(status raft.Status) raft.MemberID {
 	best := raft.None
 	for _, voter := range status.Configuration.Voters {
@@ -55,8 +56,8 @@
 	return best
 }
 
-// continueHandover asks the node once no proposal waits any more, and gives up
-// at the deadline.
+// continueHandover asks the node to transfer leadership once no proposal is pending,
+// and fails the handover at its deadline.
 func (l *loop) continueHandover() error {
 	if l.handover == nil {
 		return nil
@@ -66,26 +67,27 @@
 		l.endHandover(ErrTransferFailed)
 		return nil
 	}
-	if l.handover.asked || len(l.waiting) > 0 {
+	if l.handover.transferStarted || len(l.proposals) > 0 {
 		return nil
 	}
-	l.handover.asked = true
+	l.handover.transferStarted = true
 	if err := l.node.TransferLeadership(now, l.handover.to); err != nil {
 		l.endHandover(errors.Wrap(ErrTransferFailed, err.Error()))
 		return nil
 	}
-	return l.carryOut()
+	return l.processReady()
 }
 
-// endHandover answers the handover's caller: losing leadership is its success.
+// endHandover completes the handover's request. ErrNotLeader counts as success, because
+// it means that leadership was transferred.
 func (l *loop) endHandover(err error) {
 	if l.handover == nil {
 		return
 	}
-	q := l.handover.request
+	req := l.handover.request
 	l.handover = nil
 	if errors.Is(err, ErrNotLeader) {
 		err = nil
 	}
-	q.finish(Result{}, err)
+	req.complete(Result{}, err)
 }
--- a/process/replica/loop.go
+++ b/process/replica/loop.go
@@ -7,24 +7,25 @@
 	"github.com/pkg/errors"
 )
 
-// loop is the goroutine that owns the node. Its fields are used by no other.
+// loop is the state of the goroutine that owns the Raft node. No other goroutine
+// accesses its fields.
 type loop struct {
-	replica   *Replica
-	config    Config
-	node      *raft.Node
-	waiting   map[uint64]waiter   // proposals in the log, by index
-	reads     map[uint64]*request // ReadIndex requests, by request ID
-	confirmed []confirmedRead     // reads that wait for an index to be applied
-	leases    []*request          // lease reads that wait for the end of this step
-	lastRead  uint64
-	applied   uint64
-	ledTerm   uint64 // the term this member leads, 0 when it doesn't
-	handover  *handover
-	snapshots snapshotter
+	replica        *Replica
+	config         Config
+	node           *raft.Node
+	proposals      map[uint64]pendingProposal // appended proposals, by log index
+	reads          map[uint64]*request        // ReadIndex requests, by request ID
+	confirmedReads []confirmedRead            // reads waiting for their index to be applied
+	leaseReads     []*request                 // LeaseRead requests to be answered at the end of this step
+	lastReadID     uint64
+	applied        uint64
+	leaderTerm     uint64 // the term in which this member leads, or 0
+	handover       *handover
+	snapshots      snapshotter
 }
 
-// waiter is a proposal that the leader of term has appended.
-type waiter struct {
+// pendingProposal is a proposal that this member appended as leader of term.
+type pendingProposal struct {
 	term    uint64
 	request *request
 }
@@ -39,7 +40,7 @@
 		replica:   r,
 		config:    r.config,
 		node:      node,
-		waiting:   make(map[uint64]waiter),
+		proposals: make(map[uint64]pendingProposal),
 		reads:     make(map[uint64]*request),
 		applied:   applied,
 		snapshots: newSnapshotter(r.config, applied),
@@ -62,15 +63,15 @@
 			err = l.finishSnapshot(result)
 		}
 	}
-	l.end(err)
+	l.shutDown(err)
 }
 
-// end refuses what waits, closes the storage and then tells that it is over.
-func (l *loop) end(err error) {
-	for _, q := range l.replica.mailbox.close() {
-		q.finish(Result{}, ErrStopped)
+// shutDown fails all pending requests, closes the storage and then closes done.
+func (l *loop) shutDown(err error) {
+	for _, req := range l.replica.mailbox.close() {
+		req.complete(Result{}, ErrStopped)
 	}
-	l.abandon(ErrStopped)
+	l.failPending(ErrStopped)
 	l.snapshots.wait()
 	if closeErr := l.config.Storage.Close(); err == nil {
 		err = closeErr
@@ -79,11 +80,12 @@
 	close(l.replica.done)
 }
 
-// step takes all that waits, lets the protocol work on it and carries out what
-// comes of it.
+// step processes all queued messages and requests as one batch and carries out the
+// resulting work.
 func (l *loop) step() error {
 	messages, requests := l.replica.mailbox.take()
-	// Read after taking: a message must not be dated before its arrival.
+	// Read the clock after emptying the mailbox, so that no message gets a time before
+	// its arrival.
 	now := l.config.Clock.Now()
 	l.node.Tick(now)
 	for _, message := range messages {
@@ -91,62 +93,65 @@
 			return err
 		}
 	}
-	for _, q := range requests {
-		if q.take() {
-			l.begin(now, q)
+	for _, req := range requests {
+		if req.claim() {
+			l.handleRequest(now, req)
 		}
 	}
-	if err := l.carryOut(); err != nil {
+	if err := l.processReady(); err != nil {
 		return err
 	}
-	l.observeLeadership()
+	l.checkLeadershipLost()
 	if err := l.continueHandover(); err != nil {
 		return err
 	}
 	l.answerLeaseReads()
-	l.replica.publish(l.node.Status())
+	l.replica.publishStatus(l.node.Status())
 	return l.startSnapshot()
 }
 
-// begin hands the request to the node.
-func (l *loop) begin(now time.Duration, q *request) {
-	switch q.kind {
+// handleRequest passes the request to the node, or queues a lease read for the end of
+// the step.
+func (l *loop) handleRequest(now time.Duration, req *request) {
+	switch req.kind {
 	case requestPropose:
-		l.propose(q, func() (uint64, uint64, error) { return l.node.Propose(now, q.data) })
+		l.propose(req, func() (uint64, uint64, error) { return l.node.Propose(now, req.data) })
 	case requestChange:
-		l.propose(q, func() (uint64, uint64, error) { return l.node.ProposeChange(now, q.change) })
+		l.propose(req, func() (uint64, uint64, error) { return l.node.ProposeChange(now, req.change) })
 	case requestLeaseRead:
-		l.leases = append(l.leases, q)
+		l.leaseReads = append(l.leaseReads, req)
 	case requestReadIndex:
-		l.lastRead++
-		if err := l.node.ReadIndex(now, l.lastRead); err != nil {
-			q.finish(Result{}, l.refusal(err))
+		l.lastReadID++
+		if err := l.node.ReadIndex(now, l.lastReadID); err != nil {
+			req.complete(Result{}, l.callerError(err))
 			return
 		}
-		l.reads[l.lastRead] = q
+		l.reads[l.lastReadID] = req
 	case requestTransfer:
-		l.beginHandover(now, q)
+		l.beginHandover(now, req)
 	}
 }
 
-func (l *loop) propose(q *request, propose func() (term, index uint64, err error)) {
+// propose calls propose to append an entry and keeps the request until the entry is
+// applied. It rejects the request during a handover.
+func (l *loop) propose(req *request, propose func() (term, index uint64, err error)) {
 	if l.handover != nil {
-		q.finish(Result{}, &NotLeaderError{Leader: raft.None})
+		req.complete(Result{}, &NotLeaderError{Leader: raft.None})
 		return
 	}
 	term, index, err := propose()
 	if err != nil {
-		q.finish(Result{}, l.refusal(err))
+		req.complete(Result{}, l.callerError(err))
 		return
 	}
-	l.waiting[index] = waiter{term: term, request: q}
+	l.proposals[index] = pendingProposal{term: term, request: req}
 }
 
-// refusal turns the node's error into the one that callers are told.
-func (l *loop) refusal(err error) error {
+// callerError converts an error of the node into the error returned to callers.
+func (l *loop) callerError(err error) error {
 	switch {
 	case errors.Is(err, raft.ErrNotLeader):
-		return l.notLeader()
+		return l.notLeaderError()
 	case errors.Is(err, raft.ErrTransferPending):
 		return &NotLeaderError{Leader: raft.None}
 	case errors.Is(err, raft.ErrOverloaded):
@@ -155,10 +160,11 @@
 	return err
 }
 
-func (l *loop) notLeader() error { return &NotLeaderError{Leader: l.node.Status().Leader} }
+func (l *loop) notLeaderError() error { return &NotLeaderError{Leader: l.node.Status().Leader} }
 
-// carryOut does the protocol's work in the order that its safety rests on.
-func (l *loop) carryOut() error {
+// processReady persists updates, sends messages and applies committed entries. The
+// safety of the protocol depends on this order.
+func (l *loop) processReady() error {
 	for l.node.HasReady() {
 		ready := l.node.Ready()
 		if err := l.persist(ready); err != nil {
@@ -170,12 +176,14 @@
 		for _, entry := range ready.Committed {
 			l.apply(entry)
 		}
-		l.collectReads(ready)
+		l.completeReads(ready)
 		l.node.Advance(ready)
 	}
 	return nil
 }
 
+// persist saves the update. If it contains a received snapshot, persist also restores
+// the state machine from it.
 func (l *loop) persist(ready raft.Ready) error {
 	update := Update{
 		HardState: ready.HardState,
@@ -184,116 +192,117 @@
 		MustSync:  ready.MustSync,
 	}
 	if err := l.config.Storage.Save(update); err != nil {
-		return errors.Wrap(err, "replica: persist")
+		return errors.Wrap(err, "replica: save update")
 	}
 	if ready.Snapshot == nil {
 		return nil
 	}
 	if err := l.config.StateMachine.Restore(ready.Snapshot.Data); err != nil {
-		return errors.Wrap(err, "replica: restore")
+		return errors.Wrap(err, "replica: restore state machine from received snapshot")
 	}
 	l.applied = ready.Snapshot.Index
-	l.snapshots.installed(ready.Snapshot.Index)
+	l.snapshots.reset(ready.Snapshot.Index)
 	return nil
 }
 
-// apply carries out one committed entry and answers its proposal.
+// apply applies one committed entry and completes its proposal.
 func (l *loop) apply(entry raft.Entry) {
 	var value any
 	if entry.Kind == raft.EntryCommand {
 		value = l.config.StateMachine.Apply(entry)
 	}
 	l.applied = entry.Index
-	l.snapshots.applied(entry)
-	waiting, found := l.waiting[entry.Index]
+	l.snapshots.countEntry(entry)
+	proposal, found := l.proposals[entry.Index]
 	if !found {
 		return
 	}
-	delete(l.waiting, entry.Index)
-	if waiting.term != entry.Term {
-		waiting.request.finish(Result{}, ErrOutcomeUnknown)
+	delete(l.proposals, entry.Index)
+	if proposal.term != entry.Term {
+		proposal.request.complete(Result{}, ErrOutcomeUnknown)
 		return
 	}
-	waiting.request.finish(Result{Term: entry.Term, Index: entry.Index, Value: value}, nil)
+	proposal.request.complete(Result{Term: entry.Term, Index: entry.Index, Value: value}, nil)
 }
 
-// collectReads answers the reads whose index is applied.
-func (l *loop) collectReads(ready raft.Ready) {
+// completeReads completes the reads whose index has been applied and fails the
+// aborted ones.
+func (l *loop) completeReads(ready raft.Ready) {
 	for _, state := range ready.ReadStates {
-		if q, found := l.reads[state.RequestID]; found {
+		if req, found := l.reads[state.RequestID]; found {
 			delete(l.reads, state.RequestID)
-			l.confirmed = append(l.confirmed, confirmedRead{index: state.Index, request: q})
+			l.confirmedReads = append(l.confirmedReads, confirmedRead{index: state.Index, request: req})
 		}
 	}
 	for _, requestID := range ready.AbortedReads {
-		if q, found := l.reads[requestID]; found {
+		if req, found := l.reads[requestID]; found {
 			delete(l.reads, requestID)
-			q.finish(Result{}, l.notLeader())
+			req.complete(Result{}, l.notLeaderError())
 		}
 	}
-	pending := l.confirmed[:0]
-	for _, read := range l.confirmed {
+	remaining := l.confirmedReads[:0]
+	for _, read := range l.confirmedReads {
 		if read.index > l.applied {
-			pending = append(pending, read)
+			remaining = append(remaining, read)
 			continue
 		}
-		read.request.finish(Result{Index: read.index}, nil)
+		read.request.complete(Result{Index: read.index}, nil)
 	}
-	l.confirmed = pending
+	l.confirmedReads = remaining
 }
 
-// answerLeaseReads runs after all disk work of the step and reads the clock
-// again, since the lease may have run out during that work.
+// answerLeaseReads completes the queued lease reads. It runs after all disk writes of
+// the step and reads the clock again, since the lease may have expired during them.
 func (l *loop) answerLeaseReads() {
-	if len(l.leases) == 0 {
+	if len(l.leaseReads) == 0 {
 		return
 	}
 	status := l.node.Status()
 	valid := l.node.LeaseValid(l.config.Clock.Now())
-	for _, q := range l.leases {
+	for _, req := range l.leaseReads {
 		switch {
 		case status.Role != raft.Leader:
-			q.finish(Result{}, &NotLeaderError{Leader: status.Leader})
+			req.complete(Result{}, &NotLeaderError{Leader: status.Leader})
 		case !valid:
-			q.finish(Result{}, ErrLeaseExpired)
+			req.complete(Result{}, ErrLeaseExpired)
 		default:
-			q.finish(Result{Term: status.Term, Index: l.applied}, nil)
+			req.complete(Result{Term: status.Term, Index: l.applied}, nil)
 		}
 	}
-	l.leases = nil
+	l.leaseReads = nil
 }
 
-// observeLeadership answers the proposals of a term that this member led and no
-// longer leads: whether they get committed is another leader's affair.
-func (l *loop) observeLeadership() {
+// checkLeadershipLost fails all pending requests if this member no longer leads the
+// term that it led before: another leader decides whether its proposals are committed.
+func (l *loop) checkLeadershipLost() {
 	status := l.node.Status()
-	led := uint64(0)
+	leaderTerm := uint64(0)
 	if status.Role == raft.Leader {
-		led = status.Term
+		leaderTerm = status.Term
 	}
-	if l.ledTerm != 0 && l.ledTerm != led {
-		l.abandon(&NotLeaderError{Leader: status.Leader})
+	if l.leaderTerm != 0 && l.leaderTerm != leaderTerm {
+		l.failPending(&NotLeaderError{Leader: status.Leader})
 	}
-	l.ledTerm = led
+	l.leaderTerm = leaderTerm
 }
 
-// abandon answers everything that waits for this leadership. Proposals may be in
-// other members' logs, so their outcome is unknown; the rest gets err.
-func (l *loop) abandon(err error) {
-	for index, waiting := range l.waiting {
-		delete(l.waiting, index)
-		waiting.request.finish(Result{}, ErrOutcomeUnknown)
+// failPending fails all pending requests. Proposals may be in the logs of other
+// members, so they get ErrOutcomeUnknown; all other requests get err.
+func (l *loop) failPending(err error) {
+	for index, proposal := range l.proposals {
+		delete(l.proposals, index)
+		proposal.request.complete(Result{}, ErrOutcomeUnknown)
 	}
-	for requestID, q := range l.reads {
+	for requestID, req := range l.reads {
 		delete(l.reads, requestID)
-		q.finish(Result{}, err)
+		req.complete(Result{}, err)
 	}
-	for _, read := range l.confirmed {
-		read.request.finish(Result{}, err)
+	for _, read := range l.confirmedReads {
+		read.request.complete(Result{}, err)
 	}
-	for _, q := range l.leases {
-		q.finish(Result{}, err)
+	for _, req := range l.leaseReads {
+		req.complete(Result{}, err)
 	}
-	l.confirmed, l.leases = nil, nil
+	l.confirmedReads, l.leaseReads = nil, nil
 	l.endHandover(err)
 }
--- a/process/replica/loop_test.go
+++ b/process/replica/loop_test.go
@@ -12,16 +12,17 @@
 	"github.com/shoenig/test/must"
 )
 
-// A handover waits for the proposals that are in the log and takes no further
-// ones, so that it leaves nothing with an unknown outcome.
-func TestHandoverFinishesWhatIsInTheLog(t *testing.T) {
+// A handover must wait for the proposals in the log and reject new ones, so that no
+// proposal ends with an unknown outcome.
+func TestHandoverWaitsForProposalsInTheLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(t, 5, nil)
 		defer g.stopAll()
 		old := g.leader()
 		target := g.others(old)[0]
-		// The target gets the proposal and could win, but no quorum has it yet.
-		g.network.setCut(func(from, to raft.MemberID) bool { return from == old.id && to != target.id })
+		// The target receives the proposal and could win an election, but no quorum has
+		// the proposal yet.
+		g.network.setBlocked(func(from, to raft.MemberID) bool { return from == old.id && to != target.id })
 		proposed := make(chan error, 1)
 		go func() {
 			_, err := old.replica.Propose(t.Context(), []byte("in the log"))
@@ -34,23 +35,23 @@
 		_, err := old.replica.Propose(t.Context(), []byte("too late"))
 		must.ErrorIs(t, err, ErrNotLeader)
 		time.Sleep(200 * time.Millisecond)
-		g.network.setCut(nil)
+		g.network.setBlocked(nil)
 		must.NoError(t, <-proposed)
 		must.NoError(t, <-handedOver)
 		must.Eq(t, target, g.leader(old))
 		g.waitEqual(g.members...)
-		must.False(t, old.machine.contains("too late"))
+		must.False(t, old.stateMachine.contains("too late"))
 	})
 }
 
-func TestHandoverToAMemberThatDoesNotAnswerEnds(t *testing.T) {
+func TestHandoverToUnresponsiveMemberTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(t, 3, nil)
 		defer g.stopAll()
 		leader := g.leader()
 		target := g.others(leader)[0]
 		g.network.isolate(target.id)
-		// The target lacks this entry, so it is never told to campaign.
+		// The target lacks this entry, so the leader never tells it to campaign.
 		_, err := leader.replica.Propose(t.Context(), []byte("missed"))
 		must.NoError(t, err)
 		err = leader.replica.TransferLeadership(context.Background(), target.id)
@@ -60,7 +61,8 @@
 	})
 }
 
-// A message that contradicts committed entries proves that some disk lied.
+// A message that conflicts with committed entries proves that some member's disk lost
+// writes that it had reported as durable.
 func TestMemberStopsWhenItsGroupHasDiverged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(t, 3, nil)
@@ -78,7 +80,7 @@
 	})
 }
 
-// newTestLoop returns the loop of member 1 of three, which nobody runs.
+// newTestLoop returns the loop of member 1 of three without running it.
 func newTestLoop(t *testing.T, storage Storage, transport Transport) *loop {
 	t.Helper()
 	config := Config{Raft: raft.Config{ID: 1}, Storage: storage, Transport: transport, StateMachine: &history{}}
@@ -91,33 +93,35 @@
 	return newLoop(r, node, 0)
 }
 
-// A member that answered a heartbeat has promised not to vote for an election
-// timeout from its arrival. Dated by an earlier reading the promise would end early.
+// A member that answers a heartbeat promises not to vote for one election timeout after
+// the heartbeat's arrival. If the loop read the clock before taking the message, the
+// promise would end too early.
 func TestClockIsReadAfterTheMessagesAreTaken(t *testing.T) {
 	l := newTestLoop(t, NewMemory(), &network{})
-	waiting := []int{}
+	queuedAtReading := []int{}
 	l.config.Clock = clockFunc(func() time.Duration {
-		waiting = append(waiting, len(l.replica.mailbox.messages))
+		queuedAtReading = append(queuedAtReading, len(l.replica.mailbox.messages))
 		return 0
 	})
 	l.replica.Receive(raft.Message{Kind: raft.MessageHeartbeat, From: 2, To: 1, Term: 1})
 	must.NoError(t, l.step())
-	must.Eq(t, 0, waiting[0])
+	must.Eq(t, 0, queuedAtReading[0])
 	must.Eq(t, raft.MemberID(2), l.replica.Status().Leader)
 }
 
-// fullDisk refuses every Save.
+// fullDisk fails every Save.
 type fullDisk struct{ *Memory }
 
 func (fullDisk) Save(Update) error { return faultfs.ErrFull }
 
-// outbox keeps what is sent.
+// outbox is a Transport that records the messages sent.
 type outbox struct{ sent []raft.Message }
 
 func (o *outbox) Send(messages []raft.Message) { o.sent = append(o.sent, messages...) }
 
-// votes returns what was sent but for the member's own pre-votes, which promise nothing.
-func (o *outbox) votes() []raft.Message {
+// withoutPreVotes returns the messages sent except the member's own pre-votes, which are not
+// binding.
+func (o *outbox) withoutPreVotes() []raft.Message {
 	return slices.DeleteFunc(slices.Clone(o.sent), func(m raft.Message) bool { return m.Kind == raft.MessagePreVote })
 }
 
@@ -129,15 +133,15 @@
 			now := time.Duration(0)
 			l.config.Clock = clockFunc(func() time.Duration { return now })
 			must.NoError(t, l.step())
-			now = DefaultElectionTimeout // the lease that the start stands for is over
+			now = DefaultElectionTimeout // the lease assumed at startup has expired
 			l.replica.Receive(raft.Message{Kind: raft.MessageVote, From: 2, To: 1, Term: 1})
 			if name == "durable" {
 				must.NoError(t, l.step())
-				must.Eq(t, []raft.Message{{Kind: raft.MessageVoteReply, From: 1, To: 2, Term: 1}}, sent.votes())
+				must.Eq(t, []raft.Message{{Kind: raft.MessageVoteReply, From: 1, To: 2, Term: 1}}, sent.withoutPreVotes())
 				return
 			}
 			must.ErrorIs(t, l.step(), faultfs.ErrFull)
-			must.SliceEmpty(t, sent.votes())
+			must.SliceEmpty(t, sent.withoutPreVotes())
 		})
 	}
 }
@@ -147,7 +151,7 @@
 func (f clockFunc) Now() time.Duration { return f() }
 
 func TestMailboxIsBounded(t *testing.T) {
-	m := newMailbox(Config{QueuedProposals: 2, QueuedMessages: 2, QueuedBytes: 1000})
+	m := newMailbox(Config{QueuedRequests: 2, QueuedMessages: 2, QueuedBytes: 1000})
 	large := raft.Message{Entries: []raft.Entry{{Data: make([]byte, 2000)}}}
 	must.True(t, m.putMessage(large), must.Sprint("alone"))
 	must.False(t, m.putMessage(raft.Message{}), must.Sprint("too many bytes"))
@@ -164,9 +168,9 @@
 	must.False(t, m.putMessage(raft.Message{}))
 }
 
-// A leader whose disk hangs for longer than its lease must not answer by the lease
-// that it had when it was asked.
-func TestLeaseReadCountsTheTimeOfTheDisk(t *testing.T) {
+// A leader whose disk hangs for longer than its lease must not answer a lease read on
+// the basis of the lease that was valid when the read arrived.
+func TestLeaseReadChecksTheLeaseAfterDiskWrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(t, 3, nil)
 		defer g.stopAll()
@@ -175,7 +179,7 @@
 		leader.stall.Store(int64(100 * time.Millisecond))
 		go propose()
 		time.Sleep(50 * time.Millisecond)
-		// Both wait for the first write to end, and are taken together.
+		// Both requests wait for the first write and are then processed in one batch.
 		go propose()
 		read := make(chan error, 1)
 		go func() { read <- leader.replica.LeaseRead(context.Background()) }()
@@ -186,10 +190,10 @@
 	})
 }
 
-func TestProposalWhosePlaceAnotherTermTookIsUnknown(t *testing.T) {
+func TestProposalOverwrittenByAnotherTermHasUnknownOutcome(t *testing.T) {
 	q := &request{outcome: make(chan outcome, 1)}
 	l := newLoop(&Replica{config: Config{StateMachine: &history{}}}, nil, 4)
-	l.waiting[5] = waiter{term: 1, request: q}
+	l.proposals[5] = pendingProposal{term: 1, request: q}
 	l.apply(raft.Entry{Term: 2, Index: 5})
 	must.ErrorIs(t, (<-q.outcome).err, ErrOutcomeUnknown)
 }
@@ -198,9 +202,9 @@
 	q := &request{outcome: make(chan outcome, 1)}
 	l := newLoop(&Replica{}, nil, 4)
 	l.reads[1] = q
-	l.collectReads(raft.Ready{ReadStates: []raft.ReadState{{RequestID: 1, Index: 5}}})
+	l.completeReads(raft.Ready{ReadStates: []raft.ReadState{{RequestID: 1, Index: 5}}})
 	must.Eq(t, 0, len(q.outcome))
 	l.applied = 5
-	l.collectReads(raft.Ready{})
+	l.completeReads(raft.Ready{})
 	must.NoError(t, (<-q.outcome).err)
 }
--- a/process/replica/oracle_test.go
+++ b/process/replica/oracle_test.go
@@ -15,99 +15,99 @@
 	"pgregory.net/rapid"
 )
 
-// world runs a group through proposals and faults. It keeps what each proposer
-// was told, which the group's final state must agree with.
-type world struct {
+// simulation runs a group through proposals and faults. It records the result of each
+// proposal, with which the group's final state must agree.
+type simulation struct {
 	*group
-	proposals sync.WaitGroup
-	mutex     sync.Mutex
-	told      map[string]answer
-	stale     []string // reads that missed what was acknowledged before them
-	reads     int
-	count     int
+	proposals    sync.WaitGroup
+	mutex        sync.Mutex
+	answers      map[string]answer
+	staleReads   []string // acknowledged commands that a later read missed
+	readCount    int
+	commandCount int
 }
 
-// answer is what a proposer was told: the place in the history, or an error.
+// answer is the result of a proposal: its position in the history, or an error.
 type answer struct {
-	place int
-	err   error
+	position int
+	err      error
 }
 
-func (w *world) pick(t *rapid.T) *member {
-	return w.members[rapid.IntRange(0, len(w.members)-1).Draw(t, "member")]
+func (s *simulation) drawMember(t *rapid.T) *member {
+	return s.members[rapid.IntRange(0, len(s.members)-1).Draw(t, "member")]
 }
 
-func (w *world) propose(t *rapid.T) {
-	m := w.pick(t)
-	patience := time.Duration(rapid.IntRange(0, 3000).Draw(t, "patience")) * time.Millisecond
+func (s *simulation) propose(t *rapid.T) {
+	m := s.drawMember(t)
+	timeout := time.Duration(rapid.IntRange(0, 3000).Draw(t, "patience")) * time.Millisecond
 	for range rapid.IntRange(1, 10).Draw(t, "commands") {
-		command := w.nextCommand()
+		command := s.nextCommand()
 		replica := m.replica
-		w.proposals.Go(func() {
-			ctx, cancel := context.WithTimeout(context.Background(), patience)
+		s.proposals.Go(func() {
+			ctx, cancel := context.WithTimeout(context.Background(), timeout)
 			defer cancel()
 			result, err := replica.Propose(ctx, []byte(command))
-			w.record(command, result, err)
+			s.record(command, result, err)
 		})
 	}
 }
 
-func (w *world) nextCommand() string {
-	w.count++
-	return fmt.Sprint("command ", w.count)
+func (s *simulation) nextCommand() string {
+	s.commandCount++
+	return fmt.Sprint("command ", s.commandCount)
 }
 
-func (w *world) record(command string, result Result, err error) {
-	place, _ := result.Value.(int)
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.told[command] = answer{place: place, err: err}
+func (s *simulation) record(command string, result Result, err error) {
+	position, _ := result.Value.(int)
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.answers[command] = answer{position: position, err: err}
 }
 
-// proposeToLeader has no deadline: a leader that is cut off must answer as well.
-func (w *world) proposeToLeader(t *rapid.T) {
-	for _, m := range w.members {
+// proposeToLeader proposes without a deadline: even an isolated leader must answer.
+func (s *simulation) proposeToLeader(t *rapid.T) {
+	for _, m := range s.members {
 		if m.replica.Status().Role != raft.Leader {
 			continue
 		}
 		for range rapid.IntRange(1, 15).Draw(t, "commands") {
-			command := w.nextCommand()
+			command := s.nextCommand()
 			result, err := m.replica.Propose(context.Background(), []byte(command))
-			w.record(command, result, err)
+			s.record(command, result, err)
 		}
 		return
 	}
 }
 
-// read asks all members that believe to lead, by their lease and by a quorum.
-// What was acknowledged before must be in the state that they answer from.
-func (w *world) read(t *rapid.T) {
+// read reads from all members that consider themselves leader, by lease or through a
+// quorum. A successful read must see everything acknowledged before it.
+func (s *simulation) read(t *rapid.T) {
 	byLease := rapid.Bool().Draw(t, "by lease")
-	for _, m := range w.members {
+	for _, m := range s.members {
 		if m.replica.Status().Role != raft.Leader {
 			continue
 		}
-		replica, machine := m.replica, m.machine
-		w.proposals.Go(func() {
+		replica, machine := m.replica, m.stateMachine
+		s.proposals.Go(func() {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 			defer cancel()
-			before := w.acknowledged()
+			before := s.acknowledgedCommands()
 			ask := replica.ReadIndex
 			if byLease {
 				ask = replica.LeaseRead
 			}
 			if ask(ctx) == nil {
-				w.checkRead(before, machine)
+				s.checkRead(before, machine)
 			}
 		})
 	}
 }
 
-func (w *world) acknowledged() []string {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
+func (s *simulation) acknowledgedCommands() []string {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	var commands []string
-	for command, answer := range w.told {
+	for command, answer := range s.answers {
 		if answer.err == nil {
 			commands = append(commands, command)
 		}
@@ -115,96 +115,96 @@
 	return commands
 }
 
-func (w *world) checkRead(acknowledged []string, machine *history) {
+func (s *simulation) checkRead(acknowledged []string, machine *history) {
 	missing := slices.DeleteFunc(acknowledged, machine.contains)
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.reads++
-	w.stale = append(w.stale, missing...)
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.readCount++
+	s.staleReads = append(s.staleReads, missing...)
 }
 
-// stall lets a member's disk hang at its next write.
-func (w *world) stall(t *rapid.T) {
-	w.pick(t).stall.Store(int64(rapid.IntRange(1, 5000).Draw(t, "stall")) * int64(time.Millisecond))
+// stallDisk makes a member's disk hang at its next write.
+func (s *simulation) stallDisk(t *rapid.T) {
+	s.drawMember(t).stall.Store(int64(rapid.IntRange(1, 5000).Draw(t, "stall")) * int64(time.Millisecond))
 }
 
-// crashMachine loses what the member had not synced; it restarts at once or
-// after a while, in which other actions may come.
-func (w *world) crashMachine(t *rapid.T) {
-	m := w.pick(t)
+// crashMachine crashes a member's machine, which loses unsynced data, and restarts the
+// member. The power may fail up to half a second before the crash.
+func (s *simulation) crashMachine(t *rapid.T) {
+	m := s.drawMember(t)
 	m.fileSystem.StopAfter(rapid.IntRange(0, 8).Draw(t, "operations"))
 	time.Sleep(time.Duration(rapid.IntRange(0, 500).Draw(t, "until crash")) * time.Millisecond)
-	w.crash(m)
+	s.crash(m)
 	m.fileSystem.FailSyncs(0)
 	m.fileSystem.Crash()
-	w.restart(m)
+	s.restart(m)
 }
 
-func (w *world) failSync(t *rapid.T) { w.pick(t).fileSystem.FailSyncs(1) }
+func (s *simulation) failSync(t *rapid.T) { s.drawMember(t).fileSystem.FailSyncs(1) }
 
-// revive restarts members that their disks have stopped.
-func (w *world) revive(*rapid.T) {
-	for _, m := range w.members {
+// restartStopped restarts the members that stopped because of a disk failure.
+func (s *simulation) restartStopped(*rapid.T) {
+	for _, m := range s.members {
 		select {
 		case <-m.replica.Done():
 			m.fileSystem.StopAfter(-1)
 			m.fileSystem.FailSyncs(0)
 			m.fileSystem.Restart()
-			w.restart(m)
+			s.restart(m)
 		default:
 		}
 	}
 }
 
-func (w *world) cutOff(t *rapid.T) { w.network.isolate(w.pick(t).id) }
+func (s *simulation) isolateMember(t *rapid.T) { s.network.isolate(s.drawMember(t).id) }
 
-func (w *world) cutOneWay(t *rapid.T) {
-	from, to := w.pick(t).id, w.pick(t).id
-	w.network.setCut(func(f, o raft.MemberID) bool { return f == from && o == to })
+func (s *simulation) blockOneWay(t *rapid.T) {
+	from, to := s.drawMember(t).id, s.drawMember(t).id
+	s.network.setBlocked(func(f, o raft.MemberID) bool { return f == from && o == to })
 }
 
-func (w *world) heal(*rapid.T) { w.network.setCut(nil) }
+func (s *simulation) healNetwork(*rapid.T) { s.network.setBlocked(nil) }
 
-func (w *world) pass(t *rapid.T) {
+func (s *simulation) advanceTime(t *rapid.T) {
 	time.Sleep(time.Duration(rapid.IntRange(1, 5000).Draw(t, "milliseconds")) * time.Millisecond)
 }
 
-func (w *world) transfer(t *rapid.T) {
+func (s *simulation) transfer(t *rapid.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	_ = w.pick(t).replica.TransferLeadership(ctx, raft.None)
+	_ = s.drawMember(t).replica.TransferLeadership(ctx, raft.None)
 }
 
-// settle ends all faults and lets the group come to one state.
-func (w *world) settle(t *rapid.T) {
-	w.network.setCut(nil)
-	for _, m := range w.members {
+// converge removes all faults and waits until all members have the same state.
+func (s *simulation) converge(t *rapid.T) {
+	s.network.setBlocked(nil)
+	for _, m := range s.members {
 		m.fileSystem.FailSyncs(0)
 	}
-	w.proposals.Wait()
-	synctest.Wait() // a member that a disk is about to stop has stopped then
-	w.revive(t)
-	w.group.propose("last")
-	w.waitEqual(w.members...)
+	s.proposals.Wait()
+	synctest.Wait() // until members with a failing disk have stopped
+	s.restartStopped(t)
+	s.group.propose("last")
+	s.waitEqual(s.members...)
 }
 
-// verify compares the final state with what proposers were told: what was
-// acknowledged is there at the place that was named, what was refused is not, and
-// nothing is there twice.
-func (w *world) verify(t *rapid.T) {
-	must.SliceEmpty(t, w.stale, must.Sprint("a read missed what was acknowledged before"))
+// verify compares the final state with the results of the proposals: an acknowledged
+// command must be at the returned position, a rejected one must be absent, and none may
+// be applied twice.
+func (s *simulation) verify(t *rapid.T) {
+	must.SliceEmpty(t, s.staleReads, must.Sprint("a read missed commands acknowledged before it"))
 	places := make(map[string][]int)
-	for i, command := range w.members[0].machine.copy() {
+	for i, command := range s.members[0].stateMachine.copy() {
 		places[string(command)] = append(places[string(command)], i+1)
 	}
-	for command, answer := range w.told {
+	for command, answer := range s.answers {
 		switch {
 		case answer.err == nil:
-			must.Eq(t, []int{answer.place}, places[command], must.Sprint(command, " was acknowledged"))
+			must.Eq(t, []int{answer.position}, places[command], must.Sprint(command, " was acknowledged"))
 		case errors.Is(answer.err, ErrOutcomeUnknown):
 			must.LessEq(t, 1, len(places[command]), must.Sprint(command, " had an unknown outcome"))
 		default:
-			must.Eq(t, 0, len(places[command]), must.Sprint(command, " was refused: ", answer.err))
+			must.Eq(t, 0, len(places[command]), must.Sprint(command, " was rejected: ", answer.err))
 		}
 	}
 }
@@ -212,39 +212,39 @@
 func TestGroupAgainstOracle(t *testing.T) {
 	outcomes := make(map[string]int)
 	synctest.Test(t, func(t *testing.T) {
-		// Without its deadline, which a test in virtual time does not have.
+		// Hides the Deadline method, because a test in virtual time has no deadline.
 		rapid.Check(struct{ testing.TB }{t}, func(t *rapid.T) {
-			w := &world{group: newGroup(t, 3, smallSnapshots), told: make(map[string]answer)}
-			defer w.stopAll()
-			w.leader()
+			s := &simulation{group: newGroup(t, 3, frequentSnapshots), answers: make(map[string]answer)}
+			defer s.stopAll()
+			s.leader()
 			t.Repeat(map[string]func(*rapid.T){
-				"propose":           w.propose,
-				"propose to leader": w.proposeToLeader,
-				"crash":             w.crashMachine,
-				"fail sync":         w.failSync,
-				"stall":             w.stall,
-				"read":              w.read,
-				"revive":            w.revive,
-				"cut off":           w.cutOff,
-				"cut one way":       w.cutOneWay,
-				"heal":              w.heal,
-				"transfer":          w.transfer,
-				"pass":              w.pass,
+				"propose":           s.propose,
+				"propose to leader": s.proposeToLeader,
+				"crash":             s.crashMachine,
+				"fail sync":         s.failSync,
+				"stall":             s.stallDisk,
+				"read":              s.read,
+				"revive":            s.restartStopped,
+				"cut off":           s.isolateMember,
+				"cut one way":       s.blockOneWay,
+				"heal":              s.healNetwork,
+				"transfer":          s.transfer,
+				"pass":              s.advanceTime,
 			})
-			w.settle(t)
-			w.verify(t)
-			w.tally(outcomes)
+			s.converge(t)
+			s.verify(t)
+			s.countOutcomes(outcomes)
 		})
 	})
 	t.Log(outcomes)
 	for _, outcome := range []string{"acknowledged", ErrOutcomeUnknown.Error(), ErrNotLeader.Error(), ErrStopped.Error(), "snapshots", "reads"} {
-		must.Positive(t, outcomes[outcome], must.Sprint("never: ", outcome))
+		must.Positive(t, outcomes[outcome], must.Sprint("outcome never occurred: ", outcome))
 	}
 }
 
-// tally counts the outcomes, so that a run that never met one is found out.
-func (w *world) tally(outcomes map[string]int) {
-	for _, answer := range w.told {
+// countOutcomes adds up the outcomes, so that the test can fail if one never occurred.
+func (s *simulation) countOutcomes(outcomes map[string]int) {
+	for _, answer := range s.answers {
 		switch {
 		case answer.err == nil:
 			outcomes["acknowledged"]++
@@ -254,9 +254,9 @@
 			outcomes[errors.Cause(answer.err).Error()]++
 		}
 	}
-	outcomes["reads"] += w.reads
-	for _, m := range w.members {
-		if len(w.fileNames(m, ".snap")) > 1 { // the first is the bootstrap's
+	outcomes["reads"] += s.readCount
+	for _, m := range s.members {
+		if len(s.fileNames(m, ".snap")) > 1 { // the first one is from Bootstrap
 			outcomes["snapshots"]++
 		}
 	}
--- a/process/replica/snapshotter.go
+++ b/process/replica/snapshotter.go
@@ -7,17 +7,17 @@
 	"github.com/pkg/errors"
 )
 
-// snapshotter decides when a snapshot is due and runs its encoding and writing
-// beside the loop. All fields but group are used by the loop only.
+// snapshotter decides when a snapshot is due and tracks the goroutine that encodes and
+// writes it. Only the loop accesses its fields, apart from done and background.
 type snapshotter struct {
 	maxEntries uint64
 	maxBytes   int
 	lastIndex  uint64 // of the last snapshot
-	entries    uint64 // applied since
-	bytes      int    // applied since
+	entries    uint64 // applied since the last snapshot
+	bytes      int    // applied since the last snapshot
 	running    bool
-	done       chan snapshotResult // has room for the one result
-	group      *sync.WaitGroup
+	done       chan snapshotResult // buffered for one result
+	background *sync.WaitGroup
 }
 
 type snapshotResult struct {
@@ -31,39 +31,42 @@
 		maxBytes:   config.SnapshotBytes,
 		lastIndex:  lastIndex,
 		done:       make(chan snapshotResult, 1),
-		group:      &sync.WaitGroup{},
+		background: &sync.WaitGroup{},
 	}
 }
 
-func (s *snapshotter) applied(entry raft.Entry) {
+// countEntry counts an applied entry toward the next snapshot.
+func (s *snapshotter) countEntry(entry raft.Entry) {
 	s.entries++
 	s.bytes += len(entry.Data)
 }
 
-// installed notes a snapshot that was received.
-func (s *snapshotter) installed(index uint64) {
+// reset restarts the counts after a snapshot at index was received or started.
+func (s *snapshotter) reset(index uint64) {
 	s.lastIndex, s.entries, s.bytes = index, 0, 0
 }
 
-func (s *snapshotter) due() bool {
+func (s *snapshotter) isDue() bool {
 	return !s.running && (s.entries >= s.maxEntries || s.bytes >= s.maxBytes)
 }
 
-func (s *snapshotter) wait() { s.group.Wait() }
+// wait waits until no snapshot is being encoded or written.
+func (s *snapshotter) wait() { s.background.Wait() }
 
-// startSnapshot captures the state machine at the applied index if it is time.
+// startSnapshot starts a snapshot of the state machine at the applied index if one is
+// due.
 func (l *loop) startSnapshot() error {
-	if !l.snapshots.due() {
+	if !l.snapshots.isDue() {
 		return nil
 	}
 	snapshot, err := l.node.SnapshotAt(l.applied, nil)
 	if err != nil {
-		return errors.Wrap(err, "replica: snapshot")
+		return errors.Wrap(err, "replica: start snapshot")
 	}
 	encode := l.capture()
-	l.snapshots.installed(l.applied)
+	l.snapshots.reset(l.applied)
 	l.snapshots.running = true
-	l.snapshots.group.Go(func() {
+	l.snapshots.background.Go(func() {
 		data, err := encode()
 		if err == nil {
 			snapshot.Data = data
@@ -74,7 +77,7 @@
 	return nil
 }
 
-// capture returns a function that encodes the present state and may be called by
+// capture returns a function that encodes the current state and can be called on
 // another goroutine.
 func (l *loop) capture() func() ([]byte, error) {
 	if capturer, ok := l.config.StateMachine.(Capturer); ok {
@@ -84,8 +87,8 @@
 	return func() ([]byte, error) { return data, err }
 }
 
-// finishSnapshot lets the node and the storage drop what the snapshot covers. A
-// snapshot that was overtaken by a received one is no longer needed.
+// finishSnapshot lets the node and the storage drop the entries that the snapshot
+// covers. It ignores a snapshot that is older than one received in the meantime.
 func (l *loop) finishSnapshot(result snapshotResult) error {
 	l.snapshots.running = false
 	if result.err != nil {
@@ -96,7 +99,7 @@
 		return nil
 	}
 	if err != nil {
-		return errors.Wrap(err, "replica: compact")
+		return errors.Wrap(err, "replica: compact Raft log")
 	}
-	return errors.Wrap(l.config.Storage.Compact(), "replica: compact")
+	return errors.Wrap(l.config.Storage.Compact(), "replica: compact storage")
 }
--- a/process/snap/snap_test.go
+++ b/process/snap/snap_test.go
@@ -15,7 +15,8 @@
 
 const testDir = "member"
 
-func reachesAll(uint64) bool { return true }
+// holdsAllEntries is the argument of Load for a complete log.
+func holdsAllEntries(uint64) bool { return true }
 
 func snapshotAt(index uint64) raft.Snapshot {
 	return raft.Snapshot{
@@ -26,11 +27,11 @@
 	}
 }
 
-func path(index uint64) string {
+func snapshotPath(index uint64) string {
 	return filepath.Join(testDir, fmt.Sprintf("%016x-%016x.snap", index, 2))
 }
 
-// storeWith returns a file system with the snapshots.
+// storeWith returns a file system and a store with snapshots at the indexes.
 func storeWith(t must.T, indexes ...uint64) (*faultfs.FileSystem, *snap.Store) {
 	t.Helper()
 	fileSystem := faultfs.New(1)
@@ -42,11 +43,11 @@
 	return fileSystem, store
 }
 
-func load(t must.T, fileSystem *faultfs.FileSystem) (snap.Loaded, error) {
+func load(t must.T, fileSystem *faultfs.FileSystem) (snap.LoadResult, error) {
 	t.Helper()
 	store, err := snap.Open(fileSystem, testDir)
 	must.NoError(t, err)
-	return store.Load(reachesAll)
+	return store.Load(holdsAllEntries)
 }
 
 func TestLastTwoSnapshotsAreKept(t *testing.T) {
@@ -62,7 +63,8 @@
 	must.Eq(t, snapshotAt(30), loaded.Snapshot)
 }
 
-// The member's own snapshot may be ready after a received one that is newer.
+// A snapshot that the member took itself may be finished after a newer one was
+// received.
 func TestOlderSnapshotIsIgnored(t *testing.T) {
 	fileSystem, store := storeWith(t, 10, 20)
 	must.NoError(t, store.Save(snapshotAt(15)))
@@ -76,29 +78,29 @@
 
 func TestSnapshotUnderAnotherNameIsDamaged(t *testing.T) {
 	fileSystem, _ := storeWith(t, 10)
-	must.NoError(t, fileSystem.Rename(path(10), path(12)))
+	must.NoError(t, fileSystem.Rename(snapshotPath(10), snapshotPath(12)))
 	_, err := load(t, fileSystem)
-	must.ErrorIs(t, err, snap.ErrDamaged)
+	must.ErrorIs(t, err, snap.ErrCorrupt)
 }
 
-func TestDamageAnywhereIsFound(t *testing.T) {
+func TestDamageAtAnyOffsetIsDetected(t *testing.T) {
 	fileSystem, _ := storeWith(t, 10)
-	content, err := fileSystem.ReadFile(path(10))
+	content, err := fileSystem.ReadFile(snapshotPath(10))
 	must.NoError(t, err)
 	for offset := range content {
 		damaged, _ := storeWith(t, 10)
-		damaged.Edit(path(10), func(c []byte) []byte { c[offset] ^= 0x10; return c })
+		damaged.Edit(snapshotPath(10), func(c []byte) []byte { c[offset] ^= 0x10; return c })
 		_, err := load(t, damaged)
-		must.ErrorIs(t, err, snap.ErrDamaged)
+		must.ErrorIs(t, err, snap.ErrCorrupt)
 		shortened, _ := storeWith(t, 10)
-		shortened.Edit(path(10), func(c []byte) []byte { return c[:offset] })
+		shortened.Edit(snapshotPath(10), func(c []byte) []byte { return c[:offset] })
 		_, err = load(t, shortened)
-		must.ErrorIs(t, err, snap.ErrDamaged)
+		must.ErrorIs(t, err, snap.ErrCorrupt)
 	}
 }
 
-// A crash at any point of saving leaves the snapshot before, or the new one; and
-// nothing half written stays.
+// A crash at any point during Save must leave either the previous or the new
+// snapshot, and no temporary files after reopening.
 func TestSaveSurvivesCrashes(t *testing.T) {
 	kept, saved := 0, 0
 	for operations := range 8 {
@@ -130,11 +132,11 @@
 	must.Positive(t, saved)
 }
 
-// FuzzLoad reads arbitrary content, under a right checksum and without: it is
-// either refused as damaged or encoded to the same bytes again.
+// FuzzLoad loads a file of arbitrary content, with and without a valid checksum.
+// Either it is rejected as corrupt, or it is encoded to the same bytes again.
 func FuzzLoad(f *testing.F) {
 	fileSystem, _ := storeWith(f, 10)
-	content, err := fileSystem.ReadFile(path(10))
+	content, err := fileSystem.ReadFile(snapshotPath(10))
 	must.NoError(f, err)
 	f.Add(content, false)
 	f.Add(content[:len(content)-4], true)
@@ -145,15 +147,15 @@
 			content = encoder.Data()
 		}
 		fileSystem, _ := storeWith(t, 10)
-		fileSystem.Edit(path(10), func([]byte) []byte { return content })
+		fileSystem.Edit(snapshotPath(10), func([]byte) []byte { return content })
 		loaded, err := load(t, fileSystem)
 		if err != nil {
-			must.ErrorIs(t, err, snap.ErrDamaged)
+			must.ErrorIs(t, err, snap.ErrCorrupt)
 			return
 		}
 		copied, store := storeWith(t)
 		must.NoError(t, store.Save(loaded.Snapshot))
-		again, err := copied.ReadFile(path(10))
+		again, err := copied.ReadFile(snapshotPath(10))
 		must.NoError(t, err)
 		must.Eq(t, content, again)
 	})
--- a/process/wal/wal_test.go
+++ b/process/wal/wal_test.go
@@ -47,8 +47,8 @@
 	return raft.Entry{Term: term, Index: index, Data: data}
 }
 
-// fill saves entries 1 to last, one by one, of 100 bytes each.
-func fill(t must.T, log *wal.Log, last uint64) {
+// saveEntries saves entries 1 to last of 100 bytes each, one per Save.
+func saveEntries(t must.T, log *wal.Log, last uint64) {
 	t.Helper()
 	for index := uint64(1); index <= last; index++ {
 		must.NoError(t, log.Save(&raft.HardState{Term: 1, Vote: 3, Commit: index - 1}, []raft.Entry{entry(1, index, 100)}))
@@ -62,7 +62,7 @@
 func TestLogKeepsWhatWasSaved(t *testing.T) {
 	fileSystem := faultfs.New(1)
 	log, first := open(t, fileSystem)
-	fill(t, log, 50)
+	saveEntries(t, log, 50)
 	must.NoError(t, log.Close())
 	_, second := open(t, fileSystem)
 	must.Eq(t, first.Identity, second.Identity)
@@ -74,7 +74,7 @@
 func TestLogReplacesDivergingEntries(t *testing.T) {
 	fileSystem := faultfs.New(1)
 	log, _ := open(t, fileSystem)
-	fill(t, log, 30)
+	saveEntries(t, log, 30)
 	must.NoError(t, log.Save(nil, []raft.Entry{entry(2, 11, 10), entry(2, 12, 10)}))
 	must.NoError(t, log.Close())
 	_, recovered := open(t, fileSystem)
@@ -83,14 +83,14 @@
 	must.Eq(t, 12, recovered.LastIndex)
 }
 
-func TestLogRefusesGaps(t *testing.T) {
+func TestSaveRejectsIndexGaps(t *testing.T) {
 	log, _ := open(t, faultfs.New(1))
-	fill(t, log, 2)
+	saveEntries(t, log, 2)
 	must.Error(t, log.Save(nil, []raft.Entry{entry(1, 4, 10)}))
 	must.NoError(t, log.Save(nil, []raft.Entry{entry(1, 3, 10)}))
 }
 
-func TestTornTailIsCut(t *testing.T) {
+func TestTornTailIsTruncated(t *testing.T) {
 	for name, tail := range map[string][]byte{
 		"half a header":         {0, 0, 1},
 		"header without data":   {0, 0, 1, 0, 2, 9, 9, 9, 9, 1, 2, 3},
@@ -100,7 +100,7 @@
 		t.Run(name, func(t *testing.T) {
 			fileSystem := faultfs.New(1)
 			log, _ := open(t, fileSystem)
-			fill(t, log, 5)
+			saveEntries(t, log, 5)
 			must.NoError(t, log.Close())
 			fileSystem.Edit(segmentPath(1), func(content []byte) []byte { return append(content, tail...) })
 			log, recovered := open(t, fileSystem)
@@ -114,12 +114,13 @@
 	}
 }
 
-// An entry may hold bytes that are a valid record of some log. In the torn Save
-// that carried it, they must not pass for a record that was saved later.
-func TestRecordInsideATornEntryIsNoLaterRecord(t *testing.T) {
+// An entry's data may contain the bytes of a valid record. If the Save that carries
+// the entry is torn, those bytes must not be taken for a record written after it,
+// which would make the torn tail look like corruption.
+func TestRecordBytesInsideATornEntryAreNotALaterRecord(t *testing.T) {
 	fileSystem := faultfs.New(1)
 	log, _ := open(t, fileSystem)
-	fill(t, log, 3)
+	saveEntries(t, log, 3)
 	content, err := fileSystem.ReadFile(segmentPath(1))
 	must.NoError(t, err)
 	must.NoError(t, log.Save(nil, []raft.Entry{{Term: 1, Index: 4, Data: content}}))
@@ -132,7 +133,7 @@
 func TestDamageInTheMiddleIsAnError(t *testing.T) {
 	pristine := faultfs.New(1)
 	log, _ := open(t, pristine)
-	fill(t, log, 60)
+	saveEntries(t, log, 60)
 	must.NoError(t, log.Close())
 	content, err := pristine.ReadFile(segmentPath(2))
 	must.NoError(t, err)
@@ -149,14 +150,14 @@
 func TestDamageBeforeGoodRecordsOfTheLastSegmentIsAnError(t *testing.T) {
 	fileSystem := faultfs.New(1)
 	log, _ := open(t, fileSystem)
-	fill(t, log, 5)
+	saveEntries(t, log, 5)
 	must.NoError(t, log.Close())
 	fileSystem.Edit(segmentPath(1), func(c []byte) []byte { c[len(c)/2] ^= 1; return c })
 	_, _, err := tryOpen(fileSystem)
 	must.ErrorIs(t, err, wal.ErrCorrupt)
 }
 
-func TestLostLogIsFound(t *testing.T) {
+func TestLostLogIsDetected(t *testing.T) {
 	for name, lose := range map[string]func(fileSystem *faultfs.FileSystem, segments int){
 		"all segments": func(f *faultfs.FileSystem, segments int) {
 			for sequence := range segments {
@@ -173,7 +174,7 @@
 		t.Run(name, func(t *testing.T) {
 			fileSystem := faultfs.New(1)
 			log, before := open(t, fileSystem)
-			fill(t, log, 60)
+			saveEntries(t, log, 60)
 			must.NoError(t, log.Close())
 			names, err := fileSystem.List(testDir)
 			must.NoError(t, err)
@@ -187,12 +188,12 @@
 	}
 }
 
-// A segment that stands in the folder of another member is no part of its log.
+// A segment from another member's directory must be rejected.
 func TestSegmentOfAnotherMemberIsAnError(t *testing.T) {
 	own, other := faultfs.New(1), faultfs.New(2)
 	for _, fileSystem := range []*faultfs.FileSystem{own, other} {
 		log, _ := open(t, fileSystem)
-		fill(t, log, 5)
+		saveEntries(t, log, 5)
 		must.NoError(t, log.Close())
 	}
 	foreign, err := other.ReadFile(segmentPath(1))
@@ -205,7 +206,7 @@
 func TestDamagedIdentityIsAnError(t *testing.T) {
 	fileSystem := faultfs.New(1)
 	log, _ := open(t, fileSystem)
-	fill(t, log, 1)
+	saveEntries(t, log, 1)
 	must.NoError(t, log.Close())
 	name := filepath.Join(testDir, "identity")
 	content, err := fileSystem.ReadFile(name)
@@ -219,8 +220,8 @@
 	open(t, fileSystem)
 }
 
-// A Save of many bytes is several records. After a crash between two of them the
-// commit index must not name an entry that is not there.
+// A large Save is split into several records. After a crash between two of them,
+// the commit index must not exceed the last entry.
 func TestSplitSaveKeepsTheCommitIndexBehindTheEntries(t *testing.T) {
 	partial := 0
 	for operations := range 6 {
@@ -239,12 +240,13 @@
 	must.Positive(t, partial)
 }
 
-// The note of an installation outlives the segment that it was written into.
-func TestBegunInstallationSurvivesCompaction(t *testing.T) {
+// A pending installation must survive the removal of the segment that it was
+// recorded in.
+func TestPendingInstallSurvivesCompaction(t *testing.T) {
 	fileSystem := faultfs.New(1)
 	log, _ := open(t, fileSystem)
 	must.NoError(t, log.BeginInstall(1, 500))
-	fill(t, log, 60)
+	saveEntries(t, log, 60)
 	must.NoError(t, log.Compact(50))
 	must.NoError(t, log.Close())
 	_, recovered := open(t, fileSystem)
@@ -252,12 +254,12 @@
 	must.Eq(t, 500, recovered.InstallIndex)
 }
 
-func TestLogCutBackToItsStartIsLost(t *testing.T) {
+func TestLogTruncatedToItsStartRecordIsLost(t *testing.T) {
 	fileSystem := faultfs.New(1)
 	log, _ := open(t, fileSystem)
 	empty, err := fileSystem.ReadFile(segmentPath(1))
 	must.NoError(t, err)
-	fill(t, log, 2)
+	saveEntries(t, log, 2)
 	must.NoError(t, log.Close())
 	fileSystem.Edit(segmentPath(1), func(c []byte) []byte { return c[:len(empty)] })
 	_, _, err = tryOpen(fileSystem)
@@ -267,19 +269,20 @@
 func TestFailedSyncMakesTheLogUnusable(t *testing.T) {
 	fileSystem := faultfs.New(1)
 	log, _ := open(t, fileSystem)
-	fill(t, log, 3)
+	saveEntries(t, log, 3)
 	fileSystem.FailSyncs(1)
 	must.ErrorIs(t, log.Save(nil, []raft.Entry{entry(1, 4, 10)}), faultfs.ErrSync)
 	must.ErrorIs(t, log.Save(nil, []raft.Entry{entry(1, 4, 10)}), wal.ErrUnusable)
 	must.ErrorIs(t, log.Compact(1), wal.ErrUnusable)
 }
 
-// After a failed sync the operating system holds the pages as clean: they can be
-// read but are on no disk. What a restart reads and acts on must be made durable.
-func TestWhatIsReadAfterAFailedSyncIsDurable(t *testing.T) {
+// Entries whose sync failed can still be read after a restart, though they may never
+// have reached the disk (see repairTails). Whatever a restart recovers must be made
+// durable.
+func TestEntriesReadAfterAFailedSyncAreDurable(t *testing.T) {
 	fileSystem := faultfs.New(1)
 	log, _ := open(t, fileSystem)
-	fill(t, log, 3)
+	saveEntries(t, log, 3)
 	fileSystem.FailSyncs(1)
 	must.ErrorIs(t, log.Save(nil, []raft.Entry{entry(1, 4, 10)}), faultfs.ErrSync)
 	fileSystem.Restart()
@@ -293,7 +296,7 @@
 func TestFullDiskMakesTheLogUnusable(t *testing.T) {
 	fileSystem := faultfs.New(1)
 	log, _ := open(t, fileSystem)
-	fill(t, log, 3)
+	saveEntries(t, log, 3)
 	content, err := fileSystem.ReadFile(segmentPath(1))
 	must.NoError(t, err)
 	fileSystem.SetCapacity(len(content) + 100)
@@ -308,7 +311,7 @@
 func TestCompactionRemovesWholeSegments(t *testing.T) {
 	fileSystem := faultfs.New(1)
 	log, _ := open(t, fileSystem)
-	fill(t, log, 100)
+	saveEntries(t, log, 100)
 	must.NoError(t, log.Compact(90))
 	must.NoError(t, log.Close())
 	log, recovered := open(t, fileSystem)
@@ -317,7 +320,7 @@
 	must.NoError(t, log.Save(nil, []raft.Entry{entry(1, 101, 10)}))
 }
 
-func TestFolderIsForOneProcessAndOneGroup(t *testing.T) {
+func TestDirectoryIsExclusiveToOneProcessAndGroup(t *testing.T) {
 	fileSystem := faultfs.New(1)
 	log, _ := open(t, fileSystem)
 	_, _, err := tryOpen(fileSystem)
@@ -327,14 +330,14 @@
 	must.ErrorIs(t, err, wal.ErrWrongGroup)
 }
 
-func TestOperatingSystemsFileSystem(t *testing.T) {
+func TestOSFileSystem(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "a", "b")
 	options := wal.Options{Dir: dir, Group: testGroup, SegmentBytes: 1024}
 	log, first, err := wal.Open(options)
 	must.NoError(t, err)
 	_, _, err = wal.Open(options)
 	must.ErrorIs(t, err, wal.ErrLocked)
-	fill(t, log, 30)
+	saveEntries(t, log, 30)
 	must.NoError(t, log.Compact(10))
 	must.NoError(t, log.Close())
 	log, second, err := wal.Open(options)
