--- a/process/admin/admin.go
+++ b/process/admin/admin.go
@@ -32,7 +32,7 @@
 // never is longer than any process lives. go-zero ends the process a few
 // seconds after SIGTERM; a daemon ends when its planned stop is done, so that
 // timer is put out of reach.
-const never = 10 * 365 * 24 * time.Hour
+const neverElapses = 10 * 365 * 24 * time.Hour
 
 const (
 	requestTimeout = 5 * time.Second
@@ -49,7 +49,7 @@
 		ServiceConf: service.ServiceConf{
 			Name:     name,
 			Mode:     service.ProMode,
-			Shutdown: proc.ShutdownConf{WrapUpTime: never, WaitTime: 2 * never},
+			Shutdown: proc.ShutdownConf{WrapUpTime: neverElapses, WaitTime: 2 * neverElapses},
 		},
 	}
 }
@@ -64,7 +64,7 @@
 type Server struct {
 	http     *http.Server
 	listener net.Listener
-	done     chan struct{}
+	stopped  chan struct{}
 }
 
 // Listen serves the registry's metrics and the readiness on the address, an IP
@@ -76,8 +76,8 @@
 		return nil, errors.Wrap(err, "admin: server")
 	}
 	routes.AddRoutes([]rest.Route{
-		{Method: http.MethodGet, Path: PathHealth, Handler: answer(ready, false)},
-		{Method: http.MethodGet, Path: PathReady, Handler: answer(ready, true)},
+		{Method: http.MethodGet, Path: PathHealth, Handler: readinessHandler(ready, false)},
+		{Method: http.MethodGet, Path: PathReady, Handler: readinessHandler(ready, true)},
 		{Method: http.MethodGet, Path: PathMetrics, Handler: promhttp.HandlerFor(registry, promhttp.HandlerOpts{}).ServeHTTP},
 	})
 	built, err := rest.NewServerless(routes)
@@ -88,7 +88,7 @@
 	if err != nil {
 		return nil, errors.Wrap(ErrListen, err.Error())
 	}
-	s := &Server{listener: listener, done: make(chan struct{}), http: &http.Server{
+	s := &Server{listener: listener, stopped: make(chan struct{}), http: &http.Server{
 		Handler:           http.HandlerFunc(built.Serve),
 		ReadHeaderTimeout: requestTimeout,
 		ReadTimeout:       requestTimeout,
@@ -102,12 +102,12 @@
 }
 
 func (s *Server) serve() {
-	defer close(s.done)
+	defer close(s.stopped)
 	_ = s.http.Serve(s.listener) // until Close
 }
 
 // answer writes the readiness; judged, an unready daemon answers 503.
-func answer(ready func() Readiness, judged bool) http.HandlerFunc {
+func readinessHandler(ready func() Readiness, judged bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		state := ready()
 		w.Header().Set("Content-Type", "application/json")
@@ -124,5 +124,5 @@
 // Close stops the server at once. Nothing of a caller's goes by it.
 func (s *Server) Close() {
 	_ = s.http.Close()
-	<-s.done
+	<-s.stopped
 }
--- a/process/admin/admin_test.go
+++ b/process/admin/admin_test.go
@@ -46,7 +46,7 @@
 	must.Eq(t, http.StatusNotFound, status)
 }
 
-func TestForeignBytesEndOnlyTheirConnection(t *testing.T) {
+func TestInvalidHTTPClosesOnlyItsConnection(t *testing.T) {
 	server, err := Listen("test", "127.0.0.1:0", prometheus.NewRegistry(), func() Readiness { return Readiness{Ready: true} }, log.NewNopLogger())
 	must.NoError(t, err)
 	t.Cleanup(server.Close)
@@ -61,7 +61,7 @@
 	must.NoError(t, response.Body.Close())
 }
 
-func TestTakenAddress(t *testing.T) {
+func TestAddressInUse(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	defer func() { _ = taken.Close() }()
--- a/process/clock/clock.go
+++ b/process/clock/clock.go
@@ -1,15 +1,13 @@
-// Package clock reads the time that has really passed, also while the machine was
-// suspended: the system's monotonic clock stands still then, so that by it a leader that
-// wakes would believe in a lease that has long lapsed, and a proxy in a deadline that has
-// long passed.
+// Package clock measures elapsed time including time spent in system suspend. The monotonic
+// clock behind time.Now stops during suspend, so after a resume a leader would still trust an
+// expired lease and a proxy would miss an expired deadline.
 //
-// Guarantee: a reading is never earlier than an earlier one, and a suspension before a
-// reading is in it, wherever the system's boot clock or its time of day counts it. Steps
-// of the time of day are not.
+// Readings never decrease. A reading includes every earlier suspend that the system's boot
+// clock or wall clock accounts for, and is unaffected by wall clock steps.
 //
-// Silence of others is another matter: what was sent to a suspended machine may still be
-// on its way to it. Waits for a peer's next word count by the connection's own time-outs,
-// which stand still with the machine.
+// Don't use this clock for timeouts on peers: data sent to a suspended machine may still be
+// in transit when it resumes. Such waits use the connection's own timeouts, which also stop
+// during suspend.
 package clock
 
 import (
@@ -20,77 +18,80 @@
 	"golang.org/x/sys/unix"
 )
 
-// Bounds of how long a boot clock's offset is relied upon.
+// Limits on how long a cached boot clock offset is used.
 const (
-	// shiftTolerance is by how much the time of day may move against the monotonic clock
-	// between two readings before the boot clock is read anew. Adjustments of the time of
-	// day by the system move it by less: half a millisecond a second at most.
-	shiftTolerance = 500 * time.Microsecond
-	// refreshAfter is after how much running time it is read anew in any case: on some
-	// machines the time of day is set right only some time after a suspension.
-	refreshAfter = 50 * time.Millisecond
-	// leastSuspension is what is told of: a shorter one makes no timer late that matters.
-	leastSuspension = 100 * time.Millisecond
+	// maxClockDrift is how far the wall clock may move against the monotonic clock between two
+	// readings before the boot clock is read again. Clock slewing by the system stays below it:
+	// at most 0.5 ms per second.
+	maxClockDrift = 500 * time.Microsecond
+	// maxOffsetAge is the age on the monotonic clock at which the offset is read again in any
+	// case: some machines correct the wall clock only some time after a resume.
+	maxOffsetAge = 50 * time.Millisecond
+	// minReportedSuspension is the shortest suspend that watchers are notified of. Shorter ones
+	// don't delay timers enough to matter.
+	minReportedSuspension = 100 * time.Millisecond
 )
 
-// source is what the system tells of the time.
+// source provides the system clocks.
 type source struct {
-	// read returns the monotonic clock and the time of day, from any origins. It is cheap.
+	// read returns the monotonic clock and the wall clock, each with an arbitrary origin. It is cheap.
 	read func() (running, day time.Duration)
-	// boot returns the clock that counts suspensions; it costs a system call.
+	// boot returns the clock that includes suspend. It costs a system call.
 	boot func() time.Duration
 }
 
-// Clock is one clock. It is safe for concurrent use.
+// Clock measures elapsed time including suspend. It is safe for concurrent use.
 type Clock struct {
-	source source
-	origin time.Duration
-	known  atomic.Pointer[offsets]
+	source      source
+	origin      time.Duration
+	lastOffsets atomic.Pointer[offsets]
 
-	lock    sync.Mutex
-	watches map[int]func()
-	number  int
+	lock        sync.Mutex
+	watchers    map[int]func()
+	lastWatchID int
 }
 
-// offsets are the differences to the monotonic clock when the boot clock was read last.
+// offsets holds the offsets from the monotonic clock at the last boot clock reading.
 type offsets struct {
-	readAt time.Duration // by the monotonic clock
+	readAt time.Duration // monotonic
 	day    time.Duration
 	boot   time.Duration
 }
 
 func newClock(from source) *Clock {
-	made := &Clock{source: from, watches: map[int]func(){}}
-	made.origin = made.read()
-	return made
+	clock := &Clock{source: from, watchers: map[int]func(){}}
+	clock.origin = clock.read()
+	return clock
 }
 
-// Now returns the time since the clock was made, with suspensions.
+// Now returns the time since the clock was created, including suspend.
 func (c *Clock) Now() time.Duration { return c.read() - c.origin }
 
 func (c *Clock) read() time.Duration {
 	running, day := c.source.read()
-	known := c.known.Load()
-	if known == nil || known.isDoubtful(running, day) {
+	known := c.lastOffsets.Load()
+	if known == nil || known.isStale(running, day) {
 		known = c.refresh()
 	}
 	return running + known.boot
 }
 
-// isDoubtful reports whether the machine may have been suspended since the boot clock was
-// read: then the time of day has moved against the monotonic clock.
-func (o *offsets) isDoubtful(running, day time.Duration) bool {
+// isStale reports whether the machine may have been suspended since the boot clock was read,
+// which shows as a shift of the wall clock against the monotonic clock, or whether the offsets
+// are too old.
+func (o *offsets) isStale(running, day time.Duration) bool {
 	shift := day - running - o.day
-	return shift > shiftTolerance || shift < -shiftTolerance || running-o.readAt > refreshAfter
+	return shift > maxClockDrift || shift < -maxClockDrift || running-o.readAt > maxOffsetAge
 }
 
-// refresh reads the boot clock. A thread that is held up between the readings must not take
-// that for a suspension: the monotonic clock is read again after the boot clock, so that an
-// offset is never too large. The time of day is the one before, so that a suspension in
-// between shows at the next reading. The offset never goes back, since others read as well.
+// refresh reads the boot clock and stores new offsets. The monotonic clock is read again after
+// the boot clock so that a goroutine descheduled between the readings never overestimates the
+// offset and takes the delay for a suspend. The wall clock is read before the boot clock, so a
+// suspend between the two is detected at the next reading. The boot offset never decreases,
+// because other goroutines may already have used it.
 func (c *Clock) refresh() *offsets {
 	for {
-		before := c.known.Load()
+		before := c.lastOffsets.Load()
 		running, day := c.source.read()
 		boot := c.source.boot()
 		after, _ := c.source.read()
@@ -98,40 +99,41 @@
 		if before != nil {
 			next.boot = max(next.boot, before.boot)
 		}
-		if !c.known.CompareAndSwap(before, next) {
+		if !c.lastOffsets.CompareAndSwap(before, next) {
 			continue
 		}
-		if before != nil && next.boot-before.boot >= leastSuspension {
-			c.tell()
+		if before != nil && next.boot-before.boot >= minReportedSuspension {
+			c.notifyWatchers()
 		}
 		return next
 	}
 }
 
-// Watch has told called, beside everything else, after each suspension, at the first reading
-// that shows it. Timers do not count a suspension: who waits by one has it looked after.
-func (c *Clock) Watch(told func()) (stop func()) {
+// Watch calls callback in its own goroutine after each suspend of at least minReportedSuspension,
+// at the first reading that detects it. Timers don't count suspend, so code that waits on a
+// timer uses Watch to check its deadline again.
+func (c *Clock) Watch(callback func()) (stop func()) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	c.number++
-	number := c.number
-	c.watches[number] = told
+	c.lastWatchID++
+	number := c.lastWatchID
+	c.watchers[number] = callback
 	return func() {
 		c.lock.Lock()
 		defer c.lock.Unlock()
-		delete(c.watches, number)
+		delete(c.watchers, number)
 	}
 }
 
-func (c *Clock) tell() {
+func (c *Clock) notifyWatchers() {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	for _, told := range c.watches {
-		go told()
+	for _, callback := range c.watchers {
+		go callback()
 	}
 }
 
-// processStart is the origin of the process's readings of the monotonic clock.
+// processStart is the origin of the monotonic readings.
 var processStart = time.Now()
 
 func readSystem() (running, day time.Duration) {
@@ -139,7 +141,7 @@
 	return now.Sub(processStart), time.Duration(now.UnixNano())
 }
 
-// readBoot returns the boot clock, and the monotonic one on a system without it.
+// readBoot returns the boot clock, or the monotonic clock on a system without one.
 func readBoot() time.Duration {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
@@ -148,11 +150,10 @@
 	return time.Duration(now.Nano())
 }
 
-var process = newClock(source{read: readSystem, boot: readBoot})
+var processClock = newClock(source{read: readSystem, boot: readBoot})
 
-// Watch has told called after each suspension; see Clock.Watch.
-func Watch(told func()) (stop func()) { return process.Watch(told) }
+// Watch calls callback after each suspend; see Clock.Watch.
+func Watch(callback func()) (stop func()) { return processClock.Watch(callback) }
 
-// Now returns the time since the process started, with the time for which the machine was
-// suspended.
-func Now() time.Duration { return process.Now() }
+// Now returns the time since the process started, including suspend.
+func Now() time.Duration { return processClock.Now() }
--- a/process/clock/clock_test.go
+++ b/process/clock/clock_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// fakeSystem is a machine's clocks.
+// fakeSystem simulates the clocks of a machine.
 type fakeSystem struct {
 	running, day, boot time.Duration
 	bootReads          int
@@ -25,7 +25,7 @@
 	})
 }
 
-// run lets the machine run, suspend stand still.
+// run advances all clocks; suspend advances all but the monotonic clock.
 func (f *fakeSystem) run(took time.Duration) {
 	f.running += took
 	f.day += took
@@ -37,7 +37,7 @@
 	f.boot += took
 }
 
-// The first reading after a suspension has all of it: a lease that is checked then has lapsed.
+// The first reading after a suspend includes all of it, so that a lease checked then has expired.
 func TestSuspensionsCount(t *testing.T) {
 	system := newFakeSystem()
 	clock := system.clock()
@@ -55,17 +55,17 @@
 func TestShortSuspensionsCount(t *testing.T) {
 	system := newFakeSystem()
 	clock := system.clock()
-	system.suspend(2 * shiftTolerance)
-	must.Eq(t, 2*shiftTolerance, clock.Now())
+	system.suspend(2 * maxClockDrift)
+	must.Eq(t, 2*maxClockDrift, clock.Now())
 }
 
-// A machine whose time of day is not set right at once is found out by its boot clock.
+// If the wall clock is not corrected right after a resume, the boot clock still shows the suspend.
 func TestSuspensionShowsWithoutTheTimeOfDay(t *testing.T) {
 	system := newFakeSystem()
 	clock := system.clock()
 	system.boot += time.Second
-	system.run(refreshAfter + time.Millisecond)
-	must.Eq(t, time.Second+refreshAfter+time.Millisecond, clock.Now())
+	system.run(maxOffsetAge + time.Millisecond)
+	must.Eq(t, time.Second+maxOffsetAge+time.Millisecond, clock.Now())
 }
 
 func TestStepsOfTheTimeOfDayDoNotCount(t *testing.T) {
@@ -79,28 +79,28 @@
 	}
 }
 
-// Whoever waits by a timer is told of a suspension, and of nothing else.
-func TestSuspensionsAreToldOf(t *testing.T) {
+// Watchers are notified of a suspend, but not of a wall clock step.
+func TestWatchersAreNotifiedOfSuspensions(t *testing.T) {
 	system := newFakeSystem()
 	clock := system.clock()
-	told := make(chan struct{}, 10)
-	stop := clock.Watch(func() { told <- struct{}{} })
+	notified := make(chan struct{}, 10)
+	stop := clock.Watch(func() { notified <- struct{}{} })
 	for range 100 {
-		system.run(refreshAfter)
-		system.day += time.Second // a step of the time of day
+		system.run(maxOffsetAge)
+		system.day += time.Second // a wall clock step
 		clock.Now()
 	}
-	must.Eq(t, 0, len(told))
-	system.suspend(leastSuspension)
+	must.Eq(t, 0, len(notified))
+	system.suspend(minReportedSuspension)
 	clock.Now()
-	<-told
+	<-notified
 	stop()
 	system.suspend(time.Second)
 	clock.Now()
-	must.Eq(t, 0, len(told))
+	must.Eq(t, 0, len(notified))
 }
 
-// On calm days the boot clock is hardly read.
+// Without suspends, the system call for the boot clock is rare.
 func TestBootClockIsReadRarely(t *testing.T) {
 	system := newFakeSystem()
 	clock := system.clock()
--- a/process/logline/logline.go
+++ b/process/logline/logline.go
@@ -49,7 +49,7 @@
 	for {
 		raw, err := readLine(reader)
 		if len(raw) > 0 {
-			c.take(raw, source, take)
+			c.parseLine(raw, source, take)
 		}
 		switch {
 		case err == io.EOF:
@@ -60,7 +60,7 @@
 	}
 }
 
-func (c *Counts) take(raw []byte, source string, take func(Line)) {
+func (c *Counts) parseLine(raw []byte, source string, take func(Line)) {
 	c.Lines++
 	line, ok := parse(raw, source)
 	if !ok {
--- a/process/logsink/logsink.go
+++ b/process/logsink/logsink.go
@@ -1,8 +1,7 @@
-// Package logsink writes log lines without ever holding up who logs: lines wait
-// in a bounded queue for one writing goroutine, and a reader that stops reading
-// costs lines, not requests. Lines of routine events are thinned out first, so
-// that those of failures are kept as long as there is room at all; how many were
-// dropped is counted and logged.
+// Package logsink writes log lines without blocking the caller. Lines wait in a bounded queue
+// for a single writer goroutine; when the output stalls, lines are dropped rather than requests
+// delayed. Routine lines are rate limited and dropped first, so that failure lines are kept as
+// long as there is room. Dropped lines are counted and reported in the log.
 package logsink
 
 import (
@@ -16,18 +15,18 @@
 	"golang.org/x/time/rate"
 )
 
-// Config bounds a Sink. Zero values take the defaults.
+// Config configures a Sink. Zero values select the defaults.
 type Config struct {
-	// Queue is how many lines may wait; routine ones only as long as less than
-	// half of it is in use.
+	// Queue is the capacity of the queue in lines. Routine lines are accepted only while less
+	// than half of it is in use.
 	Queue int
-	// RoutinePerSecond bounds the routine lines, in bursts of twice as many.
+	// RoutinePerSecond limits the rate of routine lines, with a burst of twice as many.
 	RoutinePerSecond float64
-	// Routine tells whether a line is routine, by its keys and values.
+	// Routine reports whether a line is routine, given its keys and values.
 	Routine func(keyvals []any) bool
-	// Dropped makes the keys and values of the line that tells of dropped ones.
+	// Dropped returns the keys and values of the line that reports dropped lines.
 	Dropped func(routine, other uint64) []any
-	// Report is the pause between two lines that tell of dropped ones.
+	// Report is the interval between reports of dropped lines.
 	Report time.Duration
 }
 
@@ -57,29 +56,29 @@
 	return c
 }
 
-// Sink is a log.Logger that never blocks. Any number of goroutines may use it.
+// Sink is a log.Logger that never blocks. It is safe for concurrent use.
 type Sink struct {
 	config  Config
-	to      io.Writer
+	output  io.Writer
 	queue   chan []byte
 	limiter *rate.Limiter
 
 	droppedRoutine atomic.Uint64
 	droppedOther   atomic.Uint64
 
-	closing chan struct{}
-	closed  chan struct{}
-	once    sync.Once
+	closing   chan struct{}
+	closed    chan struct{}
+	closeOnce sync.Once
 }
 
 var _ log.Logger = (*Sink)(nil)
 
-// New starts a sink that writes logfmt lines.
-func New(to io.Writer, config Config) *Sink {
+// New starts a Sink that writes logfmt lines to output.
+func New(output io.Writer, config Config) *Sink {
 	config = config.withDefaults()
 	s := &Sink{
 		config:  config,
-		to:      to,
+		output:  output,
 		queue:   make(chan []byte, config.Queue),
 		limiter: rate.NewLimiter(rate.Limit(config.RoutinePerSecond), int(2*config.RoutinePerSecond)),
 		closing: make(chan struct{}),
@@ -89,8 +88,8 @@
 	return s
 }
 
-// Log queues the line, or drops and counts it. It never blocks; the error is
-// that of the encoding.
+// Log queues the line, or drops and counts it. It never blocks. The returned error is an
+// encoding error.
 func (s *Sink) Log(keyvals ...any) error {
 	routine := s.config.Routine(keyvals)
 	if routine && (len(s.queue) >= s.config.Queue/2 || !s.limiter.Allow()) {
@@ -115,7 +114,7 @@
 	return line.Bytes(), err
 }
 
-// Dropped returns how many lines were dropped so far.
+// Dropped returns the number of lines dropped so far.
 func (s *Sink) Dropped() (routine, other uint64) {
 	return s.droppedRoutine.Load(), s.droppedOther.Load()
 }
@@ -144,13 +143,13 @@
 	}
 }
 
-// maxBatch bounds the bytes of one write.
-const maxBatch = 64 << 10
+// maxBatchBytes is the size from which a write takes no further lines.
+const maxBatchBytes = 64 << 10
 
-// write writes the line together with those that wait behind it.
+// write writes the line together with queued lines.
 func (s *Sink) write(line []byte) {
 	batch := line
-	for len(batch) < maxBatch {
+	for len(batch) < maxBatchBytes {
 		select {
 		case next := <-s.queue:
 			batch = append(batch, next...)
@@ -159,10 +158,10 @@
 		}
 		break
 	}
-	_, _ = s.to.Write(batch) // there is nowhere to tell of it
+	_, _ = s.output.Write(batch) // a failure of the log output cannot be logged
 }
 
-// drain writes what waits.
+// drain writes all queued lines.
 func (s *Sink) drain() {
 	for {
 		select {
@@ -174,10 +173,10 @@
 	}
 }
 
-// Close writes what waits, but not for longer than the given time.
-func (s *Sink) Close(patience time.Duration) {
-	s.once.Do(func() { close(s.closing) })
-	timer := time.NewTimer(patience)
+// Close writes the queued lines, waiting at most timeout.
+func (s *Sink) Close(timeout time.Duration) {
+	s.closeOnce.Do(func() { close(s.closing) })
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-s.closed:
--- a/process/logsink/logsink_test.go
+++ b/process/logsink/logsink_test.go
@@ -14,58 +14,59 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// buffer is a writer that tests read while it is written to.
-type buffer struct {
+// lockedBuffer is a buffer that can be read while it is written to.
+type lockedBuffer struct {
 	lock sync.Mutex
 	text bytes.Buffer
 }
 
-func (b *buffer) Write(data []byte) (int, error) {
+func (b *lockedBuffer) Write(data []byte) (int, error) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	return b.text.Write(data)
 }
 
-func (b *buffer) String() string {
+func (b *lockedBuffer) String() string {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	return b.text.String()
 }
 
-// stuck is a writer whose reader has stopped reading, until it is released.
-type stuck struct {
+// blockedWriter blocks each write until release is closed.
+type blockedWriter struct {
 	release chan struct{}
 	begun   chan struct{}
 	once    sync.Once
 }
 
-func (s *stuck) Write(data []byte) (int, error) {
+func (s *blockedWriter) Write(data []byte) (int, error) {
 	s.once.Do(func() { close(s.begun) })
 	<-s.release
 	return len(data), nil
 }
 
-func newStuck() *stuck { return &stuck{release: make(chan struct{}), begun: make(chan struct{})} }
+func newBlockedWriter() *blockedWriter {
+	return &blockedWriter{release: make(chan struct{}), begun: make(chan struct{})}
+}
 
 func isRoutine(keyvals []any) bool { return keyvals[1] == "routine" }
 
 func TestLinesAreWrittenInOrder(t *testing.T) {
-	var to buffer
-	sink := New(&to, Config{})
+	var output lockedBuffer
+	sink := New(&output, Config{})
 	for _, name := range []string{"a", "b", "c"} {
 		must.NoError(t, sink.Log("name", name, "text", "two words"))
 	}
 	sink.Close(time.Minute)
-	must.Eq(t, "name=a text=\"two words\"\nname=b text=\"two words\"\nname=c text=\"two words\"\n", to.String())
+	must.Eq(t, "name=a text=\"two words\"\nname=b text=\"two words\"\nname=c text=\"two words\"\n", output.String())
 }
 
-// A reader that stops reading costs no one who logs anything, and costs routine
-// lines before others.
-func TestStuckReaderCostsRoutineLinesFirst(t *testing.T) {
-	to := newStuck()
-	sink := New(to, Config{Queue: 8, RoutinePerSecond: 1e9, Routine: isRoutine})
+// A blocked output must not block logging, and routine lines are dropped before others.
+func TestBlockedWriterDropsRoutineLinesFirst(t *testing.T) {
+	writer := newBlockedWriter()
+	sink := New(writer, Config{Queue: 8, RoutinePerSecond: 1e9, Routine: isRoutine})
 	must.NoError(t, sink.Log("kind", "first"))
-	<-to.begun
+	<-writer.begun
 	for range 100 {
 		must.NoError(t, sink.Log("kind", "routine"))
 	}
@@ -80,8 +81,8 @@
 	}
 	_, other = sink.Dropped()
 	must.Eq(t, 10, other)
-	sink.Close(time.Millisecond) // gives up on the reader
-	close(to.release)
+	sink.Close(time.Millisecond) // times out on the blocked writer
+	close(writer.release)
 	<-sink.closed
 }
 
@@ -97,15 +98,15 @@
 	must.Eq(t, 0, other)
 }
 
-func TestDroppedLinesAreTold(t *testing.T) {
-	var to buffer
-	sink := New(&to, Config{RoutinePerSecond: 1, Report: time.Millisecond, Routine: isRoutine})
+func TestDroppedLinesAreReported(t *testing.T) {
+	var output lockedBuffer
+	sink := New(&output, Config{RoutinePerSecond: 1, Report: time.Millisecond, Routine: isRoutine})
 	for range 10 {
 		must.NoError(t, sink.Log("kind", "routine"))
 	}
 	deadline := time.Now().Add(20 * time.Second)
-	for !strings.Contains(to.String(), "dropped_routine=8 dropped=0") {
-		must.True(t, time.Now().Before(deadline), must.Sprint(to.String()))
+	for !strings.Contains(output.String(), "dropped_routine=8 dropped=0") {
+		must.True(t, time.Now().Before(deadline), must.Sprint(output.String()))
 		time.Sleep(time.Millisecond)
 	}
 	sink.Close(time.Minute)
--- a/process/story/story.go
+++ b/process/story/story.go
@@ -14,7 +14,7 @@
 )
 
 // keyRequest is the field of a line that names its request.
-const keyRequest = "request"
+const requestKey = "request"
 
 // Entry is a line of the request with what its process believed when it wrote it.
 type Entry struct {
@@ -36,7 +36,7 @@
 }
 
 // beliefs are the events by which a process changes what it believes.
-var beliefs = []event.Event{
+var stateEvents = []event.Event{
 	event.IngressStarted, event.IngressInForce, event.IngressDraining, event.FeedDisconnected, event.FeedServed,
 	event.ControlLeads, event.ControlRole, event.FleetChanged, event.FleetUnusable, event.FleetReadable, event.IngressReplaced,
 	event.FeedStandby, event.FeedStandbyEnded, event.LinesDropped,
@@ -57,18 +57,18 @@
 // Read takes in a log; source names it where its lines do not name a process.
 // The error is that of the reader.
 func (t *Teller) Read(log io.Reader, source string) error {
-	return t.story.Each(log, source, t.take)
+	return t.story.Each(log, source, t.collect)
 }
 
 // take keeps a line if it names the request or changes a belief.
-func (t *Teller) take(line logline.Line) {
-	if line.Value(keyRequest) == t.request || isBelief(line.Event) {
+func (t *Teller) collect(line logline.Line) {
+	if line.Value(requestKey) == t.request || isStateEvent(line.Event) {
 		t.lines = append(t.lines, line)
 	}
 }
 
-func isBelief(number event.Number) bool {
-	return slices.ContainsFunc(beliefs, func(e event.Event) bool { return e.Number == number })
+func isStateEvent(number event.Number) bool {
+	return slices.ContainsFunc(stateEvents, func(e event.Event) bool { return e.Number == number })
 }
 
 // Tell returns the story, its entries in the order of their times.
@@ -77,8 +77,8 @@
 	told := t.story
 	latest := map[string]map[event.Number]logline.Line{}
 	for _, line := range t.lines {
-		if line.Value(keyRequest) == t.request {
-			told.Entries = append(told.Entries, Entry{Line: line, Beliefs: beliefsAt(latest[line.Process], line.Time)})
+		if line.Value(requestKey) == t.request {
+			told.Entries = append(told.Entries, Entry{Line: line, Beliefs: statesAt(latest[line.Process], line.Time)})
 			continue
 		}
 		if latest[line.Process] == nil {
@@ -90,7 +90,7 @@
 }
 
 // beliefsAt lists the last line of each kind, the latest first.
-func beliefsAt(latest map[event.Number]logline.Line, now time.Time) []Belief {
+func statesAt(latest map[event.Number]logline.Line, now time.Time) []Belief {
 	held := make([]Belief, 0, len(latest))
 	for _, line := range latest {
 		held = append(held, Belief{Line: line, Age: now.Sub(line.Time)})
--- a/process/story/story_test.go
+++ b/process/story/story_test.go
@@ -22,7 +22,7 @@
 level=info time=2026-01-01T00:00:02Z node="torn event=1003
 `
 
-func TestStoryOverAllProcesses(t *testing.T) {
+func TestEntriesFromAllProcesses(t *testing.T) {
 	teller := New("q-1")
 	must.NoError(t, teller.Read(strings.NewReader(edgeLog), "a"))
 	must.NoError(t, teller.Read(strings.NewReader(coreLog), "b"))
@@ -43,7 +43,7 @@
 	must.Eq(t, 2*time.Second, second.Beliefs[0].Age)
 }
 
-func TestNothingIsToldOfAnUnknownRequest(t *testing.T) {
+func TestUnknownRequestHasNoEntries(t *testing.T) {
 	teller := New("q-9")
 	must.NoError(t, teller.Read(strings.NewReader(edgeLog), "a"))
 	must.SliceEmpty(t, teller.Tell().Entries)
--- a/process/timeline/timeline.go
+++ b/process/timeline/timeline.go
@@ -16,11 +16,11 @@
 
 // startWindow is how long before a leadership a start still belongs to the same outage:
 // longer than any election takes.
-const startWindow = 10 * time.Second
+const startWindowBeforeElection = 10 * time.Second
 
 // calmFactor is how many times its median over the leadership the backlog of reads may be
 // where the backlog of an outage counts as gone.
-const calmFactor = 2
+const normalBacklogFactor = 2
 
 // Phase is what happened to several processes or replicas: the first, the middle and the
 // last one.
@@ -65,17 +65,17 @@
 
 // Reader gathers lines from any number of logs.
 type Reader struct {
-	told  Timeline
-	lines []logline.Line
+	timeline Timeline
+	lines    []logline.Line
 }
 
 // Read takes in a log; source names it where its lines do not name a process.
 // The error is that of the reader.
 func (r *Reader) Read(log io.Reader, source string) error {
-	return r.told.Each(log, source, r.take)
+	return r.timeline.Each(log, source, r.collect)
 }
 
-func (r *Reader) take(line logline.Line) {
+func (r *Reader) collect(line logline.Line) {
 	wanted := line.Event == event.ControlLeads.Number || line.Event == event.BoardShows.Number
 	for _, phase := range phases {
 		wanted = wanted || line.Event == phase.event.Number
@@ -88,8 +88,8 @@
 // Tell returns the timeline.
 func (r *Reader) Tell() Timeline {
 	slices.SortStableFunc(r.lines, func(a, b logline.Line) int { return a.Time.Compare(b.Time) })
-	told := r.told
-	leads := r.of(event.ControlLeads)
+	told := r.timeline
+	leads := r.eventLines(event.ControlLeads)
 	for i, line := range leads {
 		end := time.Time{}
 		if i+1 < len(leads) {
@@ -100,7 +100,7 @@
 	return told
 }
 
-func (r *Reader) of(kind event.Event) []logline.Line {
+func (r *Reader) eventLines(kind event.Event) []logline.Line {
 	var lines []logline.Line
 	for _, line := range r.lines {
 		if line.Event == kind.Number {
@@ -116,13 +116,13 @@
 	for _, phase := range phases {
 		from, until := leads.Time, end
 		if phase.before {
-			from, until = leads.Time.Add(-startWindow), leads.Time.Add(startWindow)
+			from, until = leads.Time.Add(-startWindowBeforeElection), leads.Time.Add(startWindowBeforeElection)
 		}
-		if found := phaseOf(phase.name, r.of(phase.event), from, until); found.Count > 0 {
+		if found := phaseOf(phase.name, r.eventLines(phase.event), from, until); found.Count > 0 {
 			made.Phases = append(made.Phases, found)
 		}
 	}
-	made.calm(r.of(event.BoardShows), end)
+	made.findBacklogRecovery(r.eventLines(event.BoardShows), end)
 	return made
 }
 
@@ -147,7 +147,7 @@
 
 // calm looks for the first line of the leader's board with a backlog no longer than
 // usual, and for the longest before it.
-func (l *Leadership) calm(lines []logline.Line, end time.Time) {
+func (l *Leadership) findBacklogRecovery(lines []logline.Line, end time.Time) {
 	var shown []logline.Line
 	var backlogs []time.Duration
 	for _, line := range lines {
@@ -163,7 +163,7 @@
 	usual := slices.Clone(backlogs)
 	slices.Sort(usual)
 	for i, backlog := range backlogs {
-		if backlog <= calmFactor*usual[len(usual)/2] {
+		if backlog <= normalBacklogFactor*usual[len(usual)/2] {
 			l.Calm = shown[i].Time
 			return
 		}
--- a/process/timeline/timeline_test.go
+++ b/process/timeline/timeline_test.go
@@ -13,26 +13,26 @@
 var noon = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 
 // at writes a line as a daemon does, so many milliseconds after noon.
-func at(milliseconds int, node string, kind event.Event, rest string) string {
+func logLine(milliseconds int, node string, kind event.Event, rest string) string {
 	when := noon.Add(time.Duration(milliseconds) * time.Millisecond)
 	return fmt.Sprintf("level=info time=%s node=%s event=%d name=%s %s\n", when.Format(time.RFC3339Nano), node, kind.Number, kind.Name, rest)
 }
 
 func TestPhasesOfAnOutage(t *testing.T) {
-	log := at(0, "core-1", event.ControlStarted, "") +
-		at(400, "core-2", event.ControlStarted, "") +
-		at(100, "edge-1", event.IngressStarted, "") +
-		at(500, "core-2", event.ControlLeads, "term=7") +
-		at(700, "edge-2", event.FeedServed, "") +
-		at(600, "edge-1", event.FeedServed, "") +
-		at(900, "edge-1", event.FeedServed, "") +
-		at(800, "core-2", event.KeptAsked, "replica=r-1") +
-		at(850, "core-2", event.KeptAsked, "replica=r-2") +
-		at(1000, "core-2", event.BoardShows, "read_ms=900") +
-		at(2000, "core-2", event.BoardShows, "read_ms=250") +
-		at(3000, "core-2", event.BoardShows, "read_ms=200") +
-		at(4000, "core-2", event.BoardShows, "read_ms=190") +
-		at(4000, "core-1", event.BoardShows, "read_ms=5000") +
+	log := logLine(0, "core-1", event.ControlStarted, "") +
+		logLine(400, "core-2", event.ControlStarted, "") +
+		logLine(100, "edge-1", event.IngressStarted, "") +
+		logLine(500, "core-2", event.ControlLeads, "term=7") +
+		logLine(700, "edge-2", event.FeedServed, "") +
+		logLine(600, "edge-1", event.FeedServed, "") +
+		logLine(900, "edge-1", event.FeedServed, "") +
+		logLine(800, "core-2", event.KeptAsked, "replica=r-1") +
+		logLine(850, "core-2", event.KeptAsked, "replica=r-2") +
+		logLine(1000, "core-2", event.BoardShows, "read_ms=900") +
+		logLine(2000, "core-2", event.BoardShows, "read_ms=250") +
+		logLine(3000, "core-2", event.BoardShows, "read_ms=200") +
+		logLine(4000, "core-2", event.BoardShows, "read_ms=190") +
+		logLine(4000, "core-1", event.BoardShows, "read_ms=5000") +
 		"torn\n"
 	var reader Reader
 	must.NoError(t, reader.Read(strings.NewReader(log), "log"))
@@ -54,11 +54,11 @@
 }
 
 // What a leader did belongs to its own time.
-func TestLeadershipsAreToldApart(t *testing.T) {
-	log := at(0, "core-1", event.ControlLeads, "term=1") +
-		at(100, "edge-1", event.FeedServed, "") +
-		at(30_000, "core-2", event.ControlLeads, "term=2") +
-		at(30_200, "edge-1", event.FeedServed, "")
+func TestEventsAreAssignedToTheirLeadership(t *testing.T) {
+	log := logLine(0, "core-1", event.ControlLeads, "term=1") +
+		logLine(100, "edge-1", event.FeedServed, "") +
+		logLine(30_000, "core-2", event.ControlLeads, "term=2") +
+		logLine(30_200, "edge-1", event.FeedServed, "")
 	var reader Reader
 	must.NoError(t, reader.Read(strings.NewReader(log), "log"))
 	told := reader.Tell()
