--- a/process/admin/admin.go
+++ b/process/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin serves a daemon's health and metrics over HTTP by go-zero's
-// rest, with everything that rest adds of its own taken off.
+// Package admin serves a daemon's health and metrics over HTTP. It uses go-zero's rest package
+// with its built-in middleware disabled.
 package admin
 
 import (
@@ -19,31 +19,30 @@
 	"github.com/zeromicro/go-zero/rest"
 )
 
-// Paths that are served.
+// Paths served by a Server.
 const (
-	PathHealth  = "/healthz" // 200 while the process serves at all
-	PathReady   = "/readyz"  // 200 while it can do its work
+	PathHealth  = "/healthz" // 200 while the process responds
+	PathReady   = "/readyz"  // 200 while the daemon is ready
 	PathMetrics = "/metrics"
 )
 
-// ErrListen is returned when the address cannot be listened on.
+// ErrListen is returned when the server cannot listen on the address.
 var ErrListen = errors.New("admin: listen")
 
-// never is longer than any process lives. go-zero ends the process a few
-// seconds after SIGTERM; a daemon ends when its planned stop is done, so that
-// timer is put out of reach.
+// neverElapses exceeds the lifetime of any process. go-zero ends the process a few seconds
+// after SIGTERM, while a daemon exits only after its planned stop, so this disables that timer.
 const neverElapses = 10 * 365 * 24 * time.Hour
 
 const (
 	requestTimeout = 5 * time.Second
 	idleTimeout    = time.Minute
-	// maxHeaderBytes bounds what a request may make the daemon hold.
+	// maxHeaderBytes limits the memory that request headers may use.
 	maxHeaderBytes = 16 << 10
 )
 
-// RestConf returns settings of go-zero's rest without its timeout, breaker,
-// shedding, body cap, logs, traces and metrics, and with its end of the process
-// after a signal out of reach. A server that wants one of them turns it on.
+// RestConf returns go-zero rest settings without timeout, circuit breaker, load shedding, body
+// limit, logs, traces and metrics, and without the exit after a signal. A server that needs one
+// of them enables it.
 func RestConf(name string) rest.RestConf {
 	return rest.RestConf{
 		ServiceConf: service.ServiceConf{
@@ -54,23 +53,23 @@
 	}
 }
 
-// Readiness is the body of PathHealth and PathReady.
+// Readiness is the response body of PathHealth and PathReady.
 type Readiness struct {
 	Ready  bool   `json:"ready"`
 	Reason string `json:"reason,omitempty"`
 }
 
-// Server is one listener.
+// Server is an HTTP server for health and metrics.
 type Server struct {
 	http     *http.Server
 	listener net.Listener
 	stopped  chan struct{}
 }
 
-// Listen serves the registry's metrics and the readiness on the address, an IP
-// and a port, until Close.
+// Listen serves the registry's metrics and the readiness state on address, an IP and port,
+// until Close.
 func Listen(name, address string, registry *prometheus.Registry, ready func() Readiness, logger log.Logger) (*Server, error) {
-	logx.Disable() // go-zero's logger would write lines of its own form
+	logx.Disable() // go-zero's logger uses a different line format
 	routes, err := rest.NewServer(RestConf(name))
 	if err != nil {
 		return nil, errors.Wrap(err, "admin: server")
@@ -106,22 +105,23 @@
 	_ = s.http.Serve(s.listener) // until Close
 }
 
-// answer writes the readiness; judged, an unready daemon answers 503.
-func readinessHandler(ready func() Readiness, judged bool) http.HandlerFunc {
+// readinessHandler writes the readiness state as JSON. With statusFromReadiness, it responds
+// 503 if the daemon is not ready.
+func readinessHandler(ready func() Readiness, statusFromReadiness bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		state := ready()
 		w.Header().Set("Content-Type", "application/json")
-		if judged && !state.Ready {
+		if statusFromReadiness && !state.Ready {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
-		_ = json.NewEncoder(w).Encode(state) // the caller may have gone
+		_ = json.NewEncoder(w).Encode(state) // the client may have disconnected
 	}
 }
 
-// Addr returns where the server listens.
+// Addr returns the listening address.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// Close stops the server at once. Nothing of a caller's goes by it.
+// Close stops the server and its open connections immediately; no client traffic uses it.
 func (s *Server) Close() {
 	_ = s.http.Close()
 	<-s.stopped
--- a/process/admin/admin_test.go
+++ b/process/admin/admin_test.go
@@ -30,7 +30,7 @@
 		return response.StatusCode, string(body)
 	}
 	status, body := get(PathHealth)
-	must.Eq(t, http.StatusOK, status, must.Sprint("it serves though it is not ready"))
+	must.Eq(t, http.StatusOK, status, must.Sprint("health must be 200 while not ready"))
 	var read Readiness
 	must.NoError(t, json.Unmarshal([]byte(body), &read))
 	must.Eq(t, state, read)
@@ -55,16 +55,16 @@
 	_, err = conn.Write([]byte("\x00\x01 no HTTP at all\r\n\r\n"))
 	must.NoError(t, err)
 	_, err = io.ReadAll(conn)
-	must.NoError(t, err, must.Sprint("the server ends it"))
+	must.NoError(t, err, must.Sprint("the server closes the connection"))
 	response, err := http.Get("http://" + server.Addr().String() + PathReady)
 	must.NoError(t, err)
 	must.NoError(t, response.Body.Close())
 }
 
 func TestAddressInUse(t *testing.T) {
-	taken, err := net.Listen("tcp", "127.0.0.1:0")
+	occupied, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
-	defer func() { _ = taken.Close() }()
-	_, err = Listen("test", taken.Addr().String(), prometheus.NewRegistry(), nil, log.NewNopLogger())
+	defer func() { _ = occupied.Close() }()
+	_, err = Listen("test", occupied.Addr().String(), prometheus.NewRegistry(), nil, log.NewNopLogger())
 	must.ErrorIs(t, err, ErrListen)
 }
--- a/process/logline/logline.go
+++ b/process/logline/logline.go
@@ -1,5 +1,5 @@
-// Package logline reads the log lines that the daemons write. Lines that are torn or
-// foreign are passed over and counted.
+// Package logline parses the log lines that the daemons write. Lines that are truncated or in
+// another format are skipped and counted.
 package logline
 
 import (
@@ -17,16 +17,16 @@
 // Line is one log line.
 type Line struct {
 	Time    time.Time
-	Process string // who wrote it
+	Process string // the process that wrote the line
 	Event   event.Number
 	Name    string
-	Fields  []Field // all others, in order
+	Fields  []Field // remaining keys, in order
 }
 
-// Field is one key with its value.
+// Field is a key with its value.
 type Field struct{ Key, Value string }
 
-// Value returns the value of a key, empty if it is not there.
+// Value returns the value of a key, or an empty string if the line does not have it.
 func (l *Line) Value(key string) string {
 	for _, field := range l.Fields {
 		if field.Key == key {
@@ -36,20 +36,21 @@
 	return ""
 }
 
-// maxLineBytes bounds a line; longer ones are passed over.
+// maxLineBytes limits the bytes kept of a line; the rest of a longer line is dropped in whole
+// read buffers.
 const maxLineBytes = 1 << 20
 
-// Counts says how many lines were read, and how many of them were no lines of ours.
+// Counts holds the number of lines read and of those skipped as not parseable.
 type Counts struct{ Lines, Passed int }
 
-// Each calls take for each line of the log; source names it where its lines do not name a
-// process. The error is that of the reader.
-func (c *Counts) Each(log io.Reader, source string, take func(Line)) error {
+// Each calls handle for each parsed line of the log; source is the process name for lines that
+// do not contain one. The returned error is a read error.
+func (c *Counts) Each(log io.Reader, source string, handle func(Line)) error {
 	reader := bufio.NewReaderSize(log, 64<<10)
 	for {
 		raw, err := readLine(reader)
 		if len(raw) > 0 {
-			c.parseLine(raw, source, take)
+			c.parseLine(raw, source, handle)
 		}
 		switch {
 		case err == io.EOF:
@@ -60,17 +61,17 @@
 	}
 }
 
-func (c *Counts) parseLine(raw []byte, source string, take func(Line)) {
+func (c *Counts) parseLine(raw []byte, source string, handle func(Line)) {
 	c.Lines++
 	line, ok := parse(raw, source)
 	if !ok {
 		c.Passed++
 		return
 	}
-	take(line)
+	handle(line)
 }
 
-// readLine returns the next line without its end, cut at the bound.
+// readLine returns the next line without its line ending, limited to maxLineBytes.
 func readLine(reader *bufio.Reader) ([]byte, error) {
 	var line []byte
 	for {
@@ -92,11 +93,11 @@
 	keyName  = "name"
 )
 
-// processKeys name the process, in the order in which they are asked for.
+// processKeys are the keys that may hold the process name, in order of precedence.
 var processKeys = []string{"node", "member", "proxy", "relay"}
 
-// parse reads a line. What stands before its first key, as collectors of logs put
-// it there, is passed over.
+// parse parses a line. It ignores anything before the level key, such as a prefix that a log
+// collector added.
 func parse(raw []byte, source string) (Line, bool) {
 	start := bytes.Index(raw, []byte(keyLevel+"="))
 	if start < 0 {
--- a/process/story/story.go
+++ b/process/story/story.go
@@ -1,7 +1,7 @@
-// Package story puts together, from the logs of many processes, what became of
-// one request: the lines that name it, and beside each of them what its process
-// believed then and how old that belief was. Lines that are torn or foreign are
-// passed over and counted.
+// Package story reconstructs the history of one request from the logs of many processes. It
+// lists the lines that contain the request ID, each with the latest state that its process had
+// logged by then and the age of that state. Lines that are truncated or in another format are
+// skipped and counted.
 package story
 
 import (
@@ -13,54 +13,54 @@
 	"github.com/landingtrail/landingtrail/process/logline"
 )
 
-// keyRequest is the field of a line that names its request.
+// requestKey is the log key of the request ID.
 const requestKey = "request"
 
-// Entry is a line of the request with what its process believed when it wrote it.
+// Entry is a log line of the request with the state of its process at that time.
 type Entry struct {
 	Line    logline.Line
 	Beliefs []Belief
 }
 
-// Belief is the last line of one kind that the process wrote before.
+// Belief is the latest line of one state event that the process had logged by then.
 type Belief struct {
 	Line logline.Line
 	Age  time.Duration
 }
 
-// Story is what the logs say of a request.
+// Story is the logged history of a request.
 type Story struct {
 	Request string
 	Entries []Entry
 	logline.Counts
 }
 
-// beliefs are the events by which a process changes what it believes.
+// stateEvents are the events that report a change in the state that a process acts on.
 var stateEvents = []event.Event{
 	event.IngressStarted, event.IngressInForce, event.IngressDraining, event.FeedDisconnected, event.FeedServed,
 	event.ControlLeads, event.ControlRole, event.FleetChanged, event.FleetUnusable, event.FleetReadable, event.IngressReplaced,
 	event.FeedStandby, event.FeedStandbyEnded, event.LinesDropped,
 }
 
-// Teller gathers lines from any number of logs.
+// Teller collects lines from any number of logs.
 type Teller struct {
 	request string
 	lines   []logline.Line
 	story   Story
 }
 
-// New returns a Teller of the request with the ID.
+// New returns a Teller for the request ID.
 func New(request string) *Teller {
 	return &Teller{request: request, story: Story{Request: request}}
 }
 
-// Read takes in a log; source names it where its lines do not name a process.
-// The error is that of the reader.
+// Read adds a log; source is the process name for lines that do not contain one. The returned
+// error is a read error.
 func (t *Teller) Read(log io.Reader, source string) error {
 	return t.story.Each(log, source, t.collect)
 }
 
-// take keeps a line if it names the request or changes a belief.
+// collect keeps a line that contains the request ID or reports a state change.
 func (t *Teller) collect(line logline.Line) {
 	if line.Value(requestKey) == t.request || isStateEvent(line.Event) {
 		t.lines = append(t.lines, line)
@@ -71,14 +71,14 @@
 	return slices.ContainsFunc(stateEvents, func(e event.Event) bool { return e.Number == number })
 }
 
-// Tell returns the story, its entries in the order of their times.
+// Tell returns the story with its entries sorted by time.
 func (t *Teller) Tell() Story {
 	slices.SortStableFunc(t.lines, func(a, b logline.Line) int { return a.Time.Compare(b.Time) })
-	told := t.story
+	story := t.story
 	latest := map[string]map[event.Number]logline.Line{}
 	for _, line := range t.lines {
 		if line.Value(requestKey) == t.request {
-			told.Entries = append(told.Entries, Entry{Line: line, Beliefs: statesAt(latest[line.Process], line.Time)})
+			story.Entries = append(story.Entries, Entry{Line: line, Beliefs: statesAt(latest[line.Process], line.Time)})
 			continue
 		}
 		if latest[line.Process] == nil {
@@ -86,20 +86,20 @@
 		}
 		latest[line.Process][line.Event] = line
 	}
-	return told
+	return story
 }
 
-// beliefsAt lists the last line of each kind, the latest first.
+// statesAt returns the latest line of each state event, most recent first.
 func statesAt(latest map[event.Number]logline.Line, now time.Time) []Belief {
-	held := make([]Belief, 0, len(latest))
+	states := make([]Belief, 0, len(latest))
 	for _, line := range latest {
-		held = append(held, Belief{Line: line, Age: now.Sub(line.Time)})
+		states = append(states, Belief{Line: line, Age: now.Sub(line.Time)})
 	}
-	slices.SortFunc(held, func(a, b Belief) int {
+	slices.SortFunc(states, func(a, b Belief) int {
 		if a.Age != b.Age {
 			return int(a.Age - b.Age)
 		}
 		return int(a.Line.Event - b.Line.Event)
 	})
-	return held
+	return states
 }
--- a/process/story/story_test.go
+++ b/process/story/story_test.go
@@ -26,12 +26,12 @@
 	teller := New("q-1")
 	must.NoError(t, teller.Read(strings.NewReader(edgeLog), "a"))
 	must.NoError(t, teller.Read(strings.NewReader(coreLog), "b"))
-	told := teller.Tell()
-	must.Eq(t, 10, told.Lines)
-	must.Eq(t, 3, told.Passed)
-	must.SliceLen(t, 2, told.Entries)
+	story := teller.Tell()
+	must.Eq(t, 10, story.Lines)
+	must.Eq(t, 3, story.Passed)
+	must.SliceLen(t, 2, story.Entries)
 
-	first, second := told.Entries[0], told.Entries[1]
+	first, second := story.Entries[0], story.Entries[1]
 	must.Eq(t, "core-1", first.Line.Process)
 	must.Eq(t, []Belief{{Line: first.Beliefs[0].Line, Age: 400 * time.Millisecond}}, first.Beliefs)
 	must.Eq(t, event.ControlLeads.Number, first.Beliefs[0].Line.Event)
@@ -39,7 +39,7 @@
 	must.Eq(t, "edge-1", second.Line.Process)
 	must.Eq(t, "r-1:broken (r-1: reset)", second.Line.Value("tried"))
 	must.SliceLen(t, 1, second.Beliefs)
-	must.Eq(t, "7", second.Beliefs[0].Line.Value("generation"), must.Sprint("what came later was not known"))
+	must.Eq(t, "7", second.Beliefs[0].Line.Value("generation"), must.Sprint("state logged after the entry must not be used"))
 	must.Eq(t, 2*time.Second, second.Beliefs[0].Age)
 }
 
@@ -55,7 +55,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		teller := New("q-1")
 		must.NoError(t, teller.Read(strings.NewReader(text), "a"))
-		told := teller.Tell()
-		must.LessEq(t, told.Lines, told.Passed)
+		story := teller.Tell()
+		must.LessEq(t, story.Lines, story.Passed)
 	})
 }
--- a/process/timeline/timeline.go
+++ b/process/timeline/timeline.go
@@ -1,7 +1,7 @@
-// Package timeline tells from the logs of all processes where the time went after an
-// outage of the control group: for each leadership, when its members and proxies came up,
-// when the leader served each proxy, when it knew what replicas keep, and when what it had
-// to place was done again as fast as usual.
+// Package timeline analyzes from the logs of all processes how the system recovered after an
+// outage of the control group. For each leadership it shows when members and proxies started,
+// when the leader served each proxy, when it learned what the replicas keep, and when the
+// backlog of reads was back to normal.
 package timeline
 
 import (
@@ -14,43 +14,43 @@
 	"github.com/landingtrail/landingtrail/process/logline"
 )
 
-// startWindow is how long before a leadership a start still belongs to the same outage:
-// longer than any election takes.
-const startWindowBeforeElection = 10 * time.Second
+// startWindow is how far a process start may be from the beginning of a leadership
+// to count for the same outage. It is longer than any election.
+const startWindow = 10 * time.Second
 
-// calmFactor is how many times its median over the leadership the backlog of reads may be
-// where the backlog of an outage counts as gone.
+// normalBacklogFactor is the multiple of the leadership's median read backlog up to which the
+// backlog counts as back to normal.
 const normalBacklogFactor = 2
 
-// Phase is what happened to several processes or replicas: the first, the middle and the
-// last one.
+// Phase is a recovery step of several processes or replicas, with the first, median and last
+// time at which one of them reached it.
 type Phase struct {
 	Name                string
 	Count               int
 	First, Median, Last time.Time
 }
 
-// Leadership is one leader's time, and what led to it.
+// Leadership describes the period of one leader and the starts around it.
 type Leadership struct {
 	Leader string
 	Term   string
 	Began  time.Time
-	// Phases come in the order of an outage; those in which nothing happened are left out.
+	// Phases are in recovery order, without those that have no events.
 	Phases []Phase
-	// Calm is when the backlog of reads was no more than usual, zero if it never was.
+	// Calm is when the read backlog was back to normal, or zero if it never was.
 	Calm time.Time
-	// Worst is the longest mean backlog of reads that a line of the board shows before.
+	// Worst is the longest mean read backlog logged before Calm.
 	Worst time.Duration
 }
 
-// Timeline is what the logs tell.
+// Timeline is the result for all leaderships in the logs.
 type Timeline struct {
 	logline.Counts
 	Leaderships []Leadership
 }
 
-// phases are the events that make a phase, in order; before says that they are looked
-// for before the leadership, else during it.
+// phases lists the event of each phase, in order. With before set, events are searched around
+// the beginning of the leadership, otherwise during it.
 var phases = []struct {
 	name   string
 	event  event.Event
@@ -63,14 +63,14 @@
 	{"kept parts are known", event.KeptAsked, false},
 }
 
-// Reader gathers lines from any number of logs.
+// Reader collects lines from any number of logs.
 type Reader struct {
 	timeline Timeline
 	lines    []logline.Line
 }
 
-// Read takes in a log; source names it where its lines do not name a process.
-// The error is that of the reader.
+// Read adds a log; source is the process name for lines that do not contain one. The returned
+// error is a read error.
 func (r *Reader) Read(log io.Reader, source string) error {
 	return r.timeline.Each(log, source, r.collect)
 }
@@ -85,19 +85,19 @@
 	}
 }
 
-// Tell returns the timeline.
+// Tell returns the timeline of all logs read.
 func (r *Reader) Tell() Timeline {
 	slices.SortStableFunc(r.lines, func(a, b logline.Line) int { return a.Time.Compare(b.Time) })
-	told := r.timeline
+	result := r.timeline
 	leads := r.eventLines(event.ControlLeads)
 	for i, line := range leads {
 		end := time.Time{}
 		if i+1 < len(leads) {
 			end = leads[i+1].Time
 		}
-		told.Leaderships = append(told.Leaderships, r.leadership(line, end))
+		result.Leaderships = append(result.Leaderships, r.leadership(line, end))
 	}
-	return told
+	return result
 }
 
 func (r *Reader) eventLines(kind event.Event) []logline.Line {
@@ -110,13 +110,14 @@
 	return lines
 }
 
-// leadership tells of the leader of the line, until end, zero for the end of the logs.
+// leadership describes the leadership that the leads line begins, until end or, if end is
+// zero, until the end of the logs.
 func (r *Reader) leadership(leads logline.Line, end time.Time) Leadership {
 	made := Leadership{Leader: leads.Process, Term: leads.Value("term"), Began: leads.Time}
 	for _, phase := range phases {
 		from, until := leads.Time, end
 		if phase.before {
-			from, until = leads.Time.Add(-startWindowBeforeElection), leads.Time.Add(startWindowBeforeElection)
+			from, until = leads.Time.Add(-startWindow), leads.Time.Add(startWindow)
 		}
 		if found := phaseOf(phase.name, r.eventLines(phase.event), from, until); found.Count > 0 {
 			made.Phases = append(made.Phases, found)
@@ -126,7 +127,7 @@
 	return made
 }
 
-// phaseOf gathers the first line of each process, or replica, between two times.
+// phaseOf builds a phase from the first line of each process and replica in [from, until).
 func phaseOf(name string, lines []logline.Line, from, until time.Time) Phase {
 	made := Phase{Name: name}
 	seen := map[string]bool{}
@@ -145,8 +146,8 @@
 	return made
 }
 
-// calm looks for the first line of the leader's board with a backlog no longer than
-// usual, and for the longest before it.
+// findBacklogRecovery sets Calm to the time of the leader's first line with a normal read
+// backlog, and Worst to the longest backlog before it.
 func (l *Leadership) findBacklogRecovery(lines []logline.Line, end time.Time) {
 	var shown []logline.Line
 	var backlogs []time.Duration
@@ -160,10 +161,10 @@
 	if len(shown) == 0 {
 		return
 	}
-	usual := slices.Clone(backlogs)
-	slices.Sort(usual)
+	sorted := slices.Clone(backlogs)
+	slices.Sort(sorted)
 	for i, backlog := range backlogs {
-		if backlog <= normalBacklogFactor*usual[len(usual)/2] {
+		if backlog <= normalBacklogFactor*sorted[len(sorted)/2] {
 			l.Calm = shown[i].Time
 			return
 		}
--- a/process/timeline/timeline_test.go
+++ b/process/timeline/timeline_test.go
@@ -12,7 +12,7 @@
 
 var noon = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 
-// at writes a line as a daemon does, so many milliseconds after noon.
+// logLine formats a daemon log line with a time in milliseconds after noon.
 func logLine(milliseconds int, node string, kind event.Event, rest string) string {
 	when := noon.Add(time.Duration(milliseconds) * time.Millisecond)
 	return fmt.Sprintf("level=info time=%s node=%s event=%d name=%s %s\n", when.Format(time.RFC3339Nano), node, kind.Number, kind.Name, rest)
@@ -36,24 +36,24 @@
 		"torn\n"
 	var reader Reader
 	must.NoError(t, reader.Read(strings.NewReader(log), "log"))
-	told := reader.Tell()
-	must.Eq(t, 1, told.Passed)
-	must.SliceLen(t, 1, told.Leaderships)
-	led := told.Leaderships[0]
-	must.Eq(t, "core-2", led.Leader)
-	must.Eq(t, "7", led.Term)
+	timeline := reader.Tell()
+	must.Eq(t, 1, timeline.Passed)
+	must.SliceLen(t, 1, timeline.Leaderships)
+	leadership := timeline.Leaderships[0]
+	must.Eq(t, "core-2", leadership.Leader)
+	must.Eq(t, "7", leadership.Term)
 	after := func(milliseconds int) time.Time { return noon.Add(time.Duration(milliseconds) * time.Millisecond) }
 	must.Eq(t, []Phase{
 		{"members start", 2, after(0), after(400), after(400)},
 		{"proxies start", 1, after(100), after(100), after(100)},
 		{"leader serves proxies", 2, after(600), after(700), after(700)},
 		{"kept parts are known", 2, after(800), after(850), after(850)},
-	}, led.Phases)
-	must.Eq(t, after(2000), led.Calm)
-	must.Eq(t, 900*time.Millisecond, led.Worst)
+	}, leadership.Phases)
+	must.Eq(t, after(2000), leadership.Calm)
+	must.Eq(t, 900*time.Millisecond, leadership.Worst)
 }
 
-// What a leader did belongs to its own time.
+// Events during a leadership must not count for another one.
 func TestEventsAreAssignedToTheirLeadership(t *testing.T) {
 	log := logLine(0, "core-1", event.ControlLeads, "term=1") +
 		logLine(100, "edge-1", event.FeedServed, "") +
@@ -61,10 +61,10 @@
 		logLine(30_200, "edge-1", event.FeedServed, "")
 	var reader Reader
 	must.NoError(t, reader.Read(strings.NewReader(log), "log"))
-	told := reader.Tell()
-	must.SliceLen(t, 2, told.Leaderships)
-	for _, led := range told.Leaderships {
-		must.SliceLen(t, 1, led.Phases)
-		must.Eq(t, 1, led.Phases[0].Count)
+	timeline := reader.Tell()
+	must.SliceLen(t, 2, timeline.Leaderships)
+	for _, leadership := range timeline.Leaderships {
+		must.SliceLen(t, 1, leadership.Phases)
+		must.Eq(t, 1, leadership.Phases[0].Count)
 	}
 }
