--- a/process/clock/clock.go
+++ b/process/clock/clock.go
@@ -20,7 +20,7 @@
 
 // Limits on how long a cached boot clock offset is used.
 const (
-	// maxClockDrift is how far the wall clock may move against the monotonic clock between two
+	// maxClockDrift is the most that the wall clock may move against the monotonic clock between two
 	// readings before the boot clock is read again. Clock slewing by the system stays below it:
 	// at most 0.5 ms per second.
 	maxClockDrift = 500 * time.Microsecond
@@ -58,8 +58,8 @@
 	boot   time.Duration
 }
 
-func newClock(from source) *Clock {
-	clock := &Clock{source: from, watchers: map[int]func(){}}
+func newClock(sources source) *Clock {
+	clock := &Clock{source: sources, watchers: map[int]func(){}}
 	clock.origin = clock.read()
 	return clock
 }
@@ -85,8 +85,8 @@
 }
 
 // refresh reads the boot clock and stores new offsets. The monotonic clock is read again after
-// the boot clock so that a goroutine descheduled between the readings never overestimates the
-// offset and takes the delay for a suspend. The wall clock is read before the boot clock, so a
+// the boot clock, so that the offset is never too large and a thread descheduled between the
+// readings does not mistake the delay for a suspend. The wall clock is read before the boot clock, so a
 // suspend between the two is detected at the next reading. The boot offset never decreases,
 // because other goroutines may already have used it.
 func (c *Clock) refresh() *offsets {
@@ -109,19 +109,19 @@
 	}
 }
 
-// Watch calls callback in its own goroutine after each suspend of at least minReportedSuspension,
-// at the first reading that detects it. Timers don't count suspend, so code that waits on a
-// timer uses Watch to check its deadline again.
+// Watch calls callback in its own goroutine after each suspend of at least
+// minReportedSuspension, at the first reading that detects it. Timers don't count suspend, so
+// code that waits on a timer uses Watch to check its deadline again.
 func (c *Clock) Watch(callback func()) (stop func()) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	c.lastWatchID++
-	number := c.lastWatchID
-	c.watchers[number] = callback
+	id := c.lastWatchID
+	c.watchers[id] = callback
 	return func() {
 		c.lock.Lock()
 		defer c.lock.Unlock()
-		delete(c.watchers, number)
+		delete(c.watchers, id)
 	}
 }
 
--- a/process/logline/logline.go
+++ b/process/logline/logline.go
@@ -36,8 +36,7 @@
 	return ""
 }
 
-// maxLineBytes limits the bytes kept of a line; the rest of a longer line is dropped in whole
-// read buffers.
+// maxLineBytes limits the bytes kept of a line.
 const maxLineBytes = 1 << 20
 
 // Counts holds the number of lines read and of those skipped as not parseable.
--- a/process/timeline/timeline.go
+++ b/process/timeline/timeline.go
@@ -76,11 +76,11 @@
 }
 
 func (r *Reader) collect(line logline.Line) {
-	wanted := line.Event == event.ControlLeads.Number || line.Event == event.BoardShows.Number
+	relevant := line.Event == event.ControlLeads.Number || line.Event == event.BoardShows.Number
 	for _, phase := range phases {
-		wanted = wanted || line.Event == phase.event.Number
+		relevant = relevant || line.Event == phase.event.Number
 	}
-	if wanted {
+	if relevant {
 		r.lines = append(r.lines, line)
 	}
 }
@@ -110,62 +110,62 @@
 	return lines
 }
 
-// leadership describes the leadership that the leads line begins, until end or, if end is
-// zero, until the end of the logs.
-func (r *Reader) leadership(leads logline.Line, end time.Time) Leadership {
-	made := Leadership{Leader: leads.Process, Term: leads.Value("term"), Began: leads.Time}
+// leadership returns the leadership that begins with the line start and lasts until end. A
+// zero end stands for the end of the logs.
+func (r *Reader) leadership(start logline.Line, end time.Time) Leadership {
+	leadership := Leadership{Leader: start.Process, Term: start.Value("term"), Began: start.Time}
 	for _, phase := range phases {
-		from, until := leads.Time, end
+		from, until := start.Time, end
 		if phase.before {
-			from, until = leads.Time.Add(-startWindow), leads.Time.Add(startWindow)
+			from, until = start.Time.Add(-startWindow), start.Time.Add(startWindow)
 		}
 		if found := phaseOf(phase.name, r.eventLines(phase.event), from, until); found.Count > 0 {
-			made.Phases = append(made.Phases, found)
+			leadership.Phases = append(leadership.Phases, found)
 		}
 	}
-	made.findBacklogRecovery(r.eventLines(event.BoardShows), end)
-	return made
+	leadership.findBacklogRecovery(r.eventLines(event.BoardShows), end)
+	return leadership
 }
 
 // phaseOf builds a phase from the first line of each process and replica in [from, until).
 func phaseOf(name string, lines []logline.Line, from, until time.Time) Phase {
-	made := Phase{Name: name}
+	phase := Phase{Name: name}
 	seen := map[string]bool{}
 	var times []time.Time
 	for _, line := range lines {
-		who := line.Process + " " + line.Value("replica")
-		if line.Time.Before(from) || !until.IsZero() && !line.Time.Before(until) || seen[who] {
+		origin := line.Process + " " + line.Value("replica")
+		if line.Time.Before(from) || !until.IsZero() && !line.Time.Before(until) || seen[origin] {
 			continue
 		}
-		seen[who] = true
+		seen[origin] = true
 		times = append(times, line.Time)
 	}
-	if made.Count = len(times); made.Count > 0 {
-		made.First, made.Median, made.Last = times[0], times[made.Count/2], times[made.Count-1]
+	if phase.Count = len(times); phase.Count > 0 {
+		phase.First, phase.Median, phase.Last = times[0], times[phase.Count/2], times[phase.Count-1]
 	}
-	return made
+	return phase
 }
 
 // findBacklogRecovery sets Calm to the time of the leader's first line with a normal read
 // backlog, and Worst to the longest backlog before it.
 func (l *Leadership) findBacklogRecovery(lines []logline.Line, end time.Time) {
-	var shown []logline.Line
+	var boardLines []logline.Line
 	var backlogs []time.Duration
 	for _, line := range lines {
-		inside := line.Process == l.Leader && !line.Time.Before(l.Began) && (end.IsZero() || line.Time.Before(end))
-		if backlog, known := backlogOf(line); inside && known {
-			shown = append(shown, line)
+		inLeadership := line.Process == l.Leader && !line.Time.Before(l.Began) && (end.IsZero() || line.Time.Before(end))
+		if backlog, known := backlogOf(line); inLeadership && known {
+			boardLines = append(boardLines, line)
 			backlogs = append(backlogs, backlog)
 		}
 	}
-	if len(shown) == 0 {
+	if len(boardLines) == 0 {
 		return
 	}
 	sorted := slices.Clone(backlogs)
 	slices.Sort(sorted)
 	for i, backlog := range backlogs {
 		if backlog <= normalBacklogFactor*sorted[len(sorted)/2] {
-			l.Calm = shown[i].Time
+			l.Calm = boardLines[i].Time
 			return
 		}
 		l.Worst = max(l.Worst, backlog)
