--- a/cmd/landingtrail/story.go
+++ b/cmd/landingtrail/story.go
@@ -35,11 +35,11 @@
 }
 
 func tellStory(to cli.Streams, request string, paths []string) error {
-	teller := story.New(request)
-	if err := readLogs(teller, paths); err != nil {
+	builder := story.New(request)
+	if err := readLogs(builder, paths); err != nil {
 		return err
 	}
-	told := teller.Tell()
+	told := builder.Build()
 	printStory(to.Out, told)
 	if len(told.Entries) == 0 {
 		return cli.UsageError{Field: "request", Message: request + " stands in none of the lines read"}
@@ -51,11 +51,11 @@
 	for _, entry := range told.Entries {
 		fmt.Fprintf(out, "%s  %s\n", entry.Line.Time.Format(time.RFC3339Nano), entry.Line.Process)
 		fmt.Fprintf(out, "    %s\n", describe(&entry.Line))
-		for _, held := range entry.Beliefs {
-			fmt.Fprintf(out, "    knew since %s: %s\n", held.Age, describe(&held.Line))
+		for _, state := range entry.States {
+			fmt.Fprintf(out, "    knew since %s: %s\n", state.Age, describe(&state.Line))
 		}
 	}
-	fmt.Fprintf(out, "%d lines read, %d passed over\n", told.Lines, told.Passed)
+	fmt.Fprintf(out, "%d lines read, %d passed over\n", told.Lines, told.Skipped)
 }
 
 // describe writes a line's event with its fields, without those of every line.
--- a/cmd/landingtrail/timeline.go
+++ b/cmd/landingtrail/timeline.go
@@ -26,7 +26,7 @@
 			if err := readLogs(&reader, args); err != nil {
 				return err
 			}
-			printTimeline(to.Out, reader.Tell())
+			printTimeline(to.Out, reader.Timeline())
 			return nil
 		},
 	}
@@ -40,9 +40,9 @@
 			fmt.Fprintf(out, "    %-28s %4d   first %+8.3f   median %+8.3f   last %+8.3f\n", phase.Name, phase.Count,
 				phase.First.Sub(led.Began).Seconds(), phase.Median.Sub(led.Began).Seconds(), phase.Last.Sub(led.Began).Seconds())
 		}
-		if !led.Calm.IsZero() {
-			fmt.Fprintf(out, "    %-28s        %+8.3f, %s at most before\n", "backlog of reads as usual", led.Calm.Sub(led.Began).Seconds(), led.Worst)
+		if !led.BacklogNormalAt.IsZero() {
+			fmt.Fprintf(out, "    %-28s        %+8.3f, %s at most before\n", "backlog of reads as usual", led.BacklogNormalAt.Sub(led.Began).Seconds(), led.MaxBacklog)
 		}
 	}
-	fmt.Fprintf(out, "%d lines read, %d passed over\n", told.Lines, told.Passed)
+	fmt.Fprintf(out, "%d lines read, %d passed over\n", told.Lines, told.Skipped)
 }
--- a/process/event/sink.go
+++ b/process/event/sink.go
@@ -6,8 +6,8 @@
 // them are routine, and how lines that were dropped are told of.
 func SinkConfig() logsink.Config {
 	return logsink.Config{
-		Routine: IsRoutine,
-		Dropped: func(routine, other uint64) []any {
+		IsRoutine: IsRoutine,
+		DroppedLine: func(routine, other uint64) []any {
 			return []any{"level", "warn", "event", int(LinesDropped.Number), "name", LinesDropped.Name, "routine", routine, "other", other}
 		},
 	}
--- a/process/logline/logline.go
+++ b/process/logline/logline.go
@@ -40,11 +40,11 @@
 const maxLineBytes = 1 << 20
 
 // Counts holds the number of lines read and of those skipped as not parseable.
-type Counts struct{ Lines, Passed int }
+type Counts struct{ Lines, Skipped int }
 
-// Each calls handle for each parsed line of the log and adds to the counts; source is the process
+// ForEachLine calls handle for each parsed line of the log and adds to the counts; source is the process
 // name for lines that do not contain one. The returned error is a read error.
-func (c *Counts) Each(log io.Reader, source string, handle func(Line)) error {
+func (c *Counts) ForEachLine(log io.Reader, source string, handle func(Line)) error {
 	reader := bufio.NewReaderSize(log, 64<<10)
 	for {
 		raw, err := readLine(reader)
@@ -64,7 +64,7 @@
 	c.Lines++
 	line, ok := parse(raw, source)
 	if !ok {
-		c.Passed++
+		c.Skipped++
 		return
 	}
 	handle(line)
--- a/process/logsink/logsink.go
+++ b/process/logsink/logsink.go
@@ -19,42 +19,42 @@
 // Config configures a Sink. Zero values select the defaults: no line is routine, and drops are
 // reported with the keys dropped_routine and dropped.
 type Config struct {
-	// Queue is the capacity of the queue in lines. Routine lines are accepted only while less than
+	// QueueSize is the capacity of the queue in lines. Routine lines are accepted only while less than
 	// half of it is in use.
-	Queue int
+	QueueSize int
 	// RoutinePerSecond limits the rate of routine lines, with a burst of twice as many.
 	RoutinePerSecond float64
-	// Routine reports whether a line is routine, given its keys and values.
-	Routine func(keyvals []any) bool
-	// Dropped returns the keys and values of the line that reports the lines dropped since the last
+	// IsRoutine reports whether a line is routine, given its keys and values.
+	IsRoutine func(keyvals []any) bool
+	// DroppedLine returns the keys and values of the line that reports the lines dropped since the last
 	// report.
-	Dropped func(routine, other uint64) []any
-	// Report is the interval between reports of dropped lines.
-	Report time.Duration
+	DroppedLine func(routine, other uint64) []any
+	// ReportInterval is the interval between reports of dropped lines.
+	ReportInterval time.Duration
 }
 
 // Defaults of a Config.
 const (
-	DefaultQueue            = 4096
+	DefaultQueueSize        = 4096
 	DefaultRoutinePerSecond = 200
-	DefaultReport           = time.Second
+	DefaultReportInterval   = time.Second
 )
 
 func (c Config) withDefaults() Config {
-	if c.Queue <= 0 {
-		c.Queue = DefaultQueue
+	if c.QueueSize <= 0 {
+		c.QueueSize = DefaultQueueSize
 	}
 	if c.RoutinePerSecond <= 0 {
 		c.RoutinePerSecond = DefaultRoutinePerSecond
 	}
-	if c.Report <= 0 {
-		c.Report = DefaultReport
+	if c.ReportInterval <= 0 {
+		c.ReportInterval = DefaultReportInterval
 	}
-	if c.Routine == nil {
-		c.Routine = func([]any) bool { return false }
+	if c.IsRoutine == nil {
+		c.IsRoutine = func([]any) bool { return false }
 	}
-	if c.Dropped == nil {
-		c.Dropped = func(routine, other uint64) []any { return []any{"dropped_routine", routine, "dropped", other} }
+	if c.DroppedLine == nil {
+		c.DroppedLine = func(routine, other uint64) []any { return []any{"dropped_routine", routine, "dropped", other} }
 	}
 	return c
 }
@@ -82,7 +82,7 @@
 	s := &Sink{
 		config:  config,
 		output:  output,
-		queue:   make(chan []byte, config.Queue),
+		queue:   make(chan []byte, config.QueueSize),
 		limiter: rate.NewLimiter(rate.Limit(config.RoutinePerSecond), int(2*config.RoutinePerSecond)),
 		closing: make(chan struct{}),
 		closed:  make(chan struct{}),
@@ -94,8 +94,8 @@
 // Log queues the line, or drops and counts it. It never blocks. The returned error is an encoding
 // error; such a line is not counted. Lines logged after Close are not written.
 func (s *Sink) Log(keyvals ...any) error {
-	routine := s.config.Routine(keyvals)
-	if routine && (len(s.queue) >= s.config.Queue/2 || !s.limiter.Allow()) {
+	routine := s.config.IsRoutine(keyvals)
+	if routine && (len(s.queue) >= s.config.QueueSize/2 || !s.limiter.Allow()) {
 		s.droppedRoutine.Add(1)
 		return nil
 	}
@@ -126,7 +126,7 @@
 // not reported again.
 func (s *Sink) run() {
 	defer close(s.closed)
-	ticker := time.NewTicker(s.config.Report)
+	ticker := time.NewTicker(s.config.ReportInterval)
 	defer ticker.Stop()
 	var reportedRoutine, reportedOther uint64
 	for {
@@ -136,7 +136,7 @@
 		case <-ticker.C:
 			routine, other := s.Dropped()
 			if routine != reportedRoutine || other != reportedOther {
-				if line, err := encode(s.config.Dropped(routine-reportedRoutine, other-reportedOther)); err == nil {
+				if line, err := encode(s.config.DroppedLine(routine-reportedRoutine, other-reportedOther)); err == nil {
 					s.writeBatch(line)
 				}
 				reportedRoutine, reportedOther = routine, other
--- a/process/logsink/logsink_test.go
+++ b/process/logsink/logsink_test.go
@@ -64,7 +64,7 @@
 // A blocked output must not block logging, and routine lines are dropped before others.
 func TestBlockedWriterDropsRoutineLinesFirst(t *testing.T) {
 	writer := newBlockedWriter()
-	sink := New(writer, Config{Queue: 8, RoutinePerSecond: 1e9, Routine: isRoutine})
+	sink := New(writer, Config{QueueSize: 8, RoutinePerSecond: 1e9, IsRoutine: isRoutine})
 	must.NoError(t, sink.Log("kind", "first"))
 	<-writer.started
 	for range 100 {
@@ -87,7 +87,7 @@
 }
 
 func TestRoutineLinesAreRateLimited(t *testing.T) {
-	sink := New(io.Discard, Config{RoutinePerSecond: 5, Routine: isRoutine})
+	sink := New(io.Discard, Config{RoutinePerSecond: 5, IsRoutine: isRoutine})
 	defer sink.Close(time.Minute)
 	for range 1000 {
 		must.NoError(t, sink.Log("kind", "routine"))
@@ -100,7 +100,7 @@
 
 func TestDroppedLinesAreReported(t *testing.T) {
 	var output lockedBuffer
-	sink := New(&output, Config{RoutinePerSecond: 1, Report: time.Millisecond, Routine: isRoutine})
+	sink := New(&output, Config{RoutinePerSecond: 1, ReportInterval: time.Millisecond, IsRoutine: isRoutine})
 	for range 10 { // the burst is 2, so 8 are dropped
 		must.NoError(t, sink.Log("kind", "routine"))
 	}
--- a/process/story/story.go
+++ b/process/story/story.go
@@ -19,12 +19,12 @@
 // Entry is a log line of the request with the state of its process at that time, as the latest line
 // of each state event, most recent first.
 type Entry struct {
-	Line    logline.Line
-	Beliefs []Belief
+	Line   logline.Line
+	States []State
 }
 
-// Belief is the latest line of one state event that the process had logged by then.
-type Belief struct {
+// State is the latest line of one state event that the process had logged by then.
+type State struct {
 	Line logline.Line
 	Age  time.Duration // from Line to the entry's line, both by the clock of the process
 }
@@ -44,28 +44,28 @@
 	event.FeedStandby, event.FeedStandbyEnded, event.LinesDropped,
 }
 
-// Teller collects lines from any number of logs.
-type Teller struct {
+// Builder collects lines from any number of logs.
+type Builder struct {
 	request string
 	lines   []logline.Line
 	story   Story
 }
 
-// New returns a Teller for the request ID.
-func New(request string) *Teller {
-	return &Teller{request: request, story: Story{Request: request}}
+// New returns a Builder for the request ID.
+func New(request string) *Builder {
+	return &Builder{request: request, story: Story{Request: request}}
 }
 
 // Read adds a log to those read before; source is the process name for lines that do not contain
 // one. The returned error is a read error. Read is not safe for concurrent use.
-func (t *Teller) Read(log io.Reader, source string) error {
-	return t.story.Each(log, source, t.collect)
+func (b *Builder) Read(log io.Reader, source string) error {
+	return b.story.ForEachLine(log, source, b.collect)
 }
 
 // collect keeps a line that contains the request ID or reports a state change.
-func (t *Teller) collect(line logline.Line) {
-	if line.Value(requestKey) == t.request || isStateEvent(line.Event) {
-		t.lines = append(t.lines, line)
+func (b *Builder) collect(line logline.Line) {
+	if line.Value(requestKey) == b.request || isStateEvent(line.Event) {
+		b.lines = append(b.lines, line)
 	}
 }
 
@@ -73,15 +73,15 @@
 	return slices.ContainsFunc(stateEvents, func(e event.Event) bool { return e.Number == number })
 }
 
-// Tell returns the story with its entries sorted by time, which compares the clocks of different
+// Build returns the story with its entries sorted by time, which compares the clocks of different
 // processes. A line with the request ID is an entry and never counts as state.
-func (t *Teller) Tell() Story {
-	slices.SortStableFunc(t.lines, func(a, b logline.Line) int { return a.Time.Compare(b.Time) })
-	story := t.story
+func (b *Builder) Build() Story {
+	slices.SortStableFunc(b.lines, func(x, y logline.Line) int { return x.Time.Compare(y.Time) })
+	story := b.story
 	latest := map[string]map[event.Number]logline.Line{}
-	for _, line := range t.lines {
-		if line.Value(requestKey) == t.request {
-			story.Entries = append(story.Entries, Entry{Line: line, Beliefs: statesAt(latest[line.Process], line.Time)})
+	for _, line := range b.lines {
+		if line.Value(requestKey) == b.request {
+			story.Entries = append(story.Entries, Entry{Line: line, States: statesAt(latest[line.Process], line.Time)})
 			continue
 		}
 		if latest[line.Process] == nil {
@@ -93,12 +93,12 @@
 }
 
 // statesAt returns the latest line of each state event, most recent first.
-func statesAt(latest map[event.Number]logline.Line, at time.Time) []Belief {
-	states := make([]Belief, 0, len(latest))
+func statesAt(latest map[event.Number]logline.Line, at time.Time) []State {
+	states := make([]State, 0, len(latest))
 	for _, line := range latest {
-		states = append(states, Belief{Line: line, Age: at.Sub(line.Time)})
+		states = append(states, State{Line: line, Age: at.Sub(line.Time)})
 	}
-	slices.SortFunc(states, func(a, b Belief) int {
+	slices.SortFunc(states, func(a, b State) int {
 		if a.Age != b.Age {
 			return int(a.Age - b.Age)
 		}
--- a/process/story/story_test.go
+++ b/process/story/story_test.go
@@ -27,39 +27,39 @@
 `
 
 func TestEntriesFromAllProcesses(t *testing.T) {
-	teller := New("q-1")
-	must.NoError(t, teller.Read(strings.NewReader(edgeLog), "a"))
-	must.NoError(t, teller.Read(strings.NewReader(coreLog), "b"))
-	story := teller.Tell()
+	builder := New("q-1")
+	must.NoError(t, builder.Read(strings.NewReader(edgeLog), "a"))
+	must.NoError(t, builder.Read(strings.NewReader(coreLog), "b"))
+	story := builder.Build()
 	must.Eq(t, 10, story.Lines)
-	must.Eq(t, 3, story.Passed)
+	must.Eq(t, 3, story.Skipped)
 	must.SliceLen(t, 2, story.Entries)
 
 	first, second := story.Entries[0], story.Entries[1]
 	must.Eq(t, "core-1", first.Line.Process)
-	must.Eq(t, []Belief{{Line: first.Beliefs[0].Line, Age: 400 * time.Millisecond}}, first.Beliefs)
-	must.Eq(t, event.ControlLeads.Number, first.Beliefs[0].Line.Event)
+	must.Eq(t, []State{{Line: first.States[0].Line, Age: 400 * time.Millisecond}}, first.States)
+	must.Eq(t, event.ControlLeads.Number, first.States[0].Line.Event)
 
 	must.Eq(t, "edge-1", second.Line.Process)
 	must.Eq(t, "r-1:broken (r-1: reset)", second.Line.Value("tried"))
-	must.SliceLen(t, 1, second.Beliefs)
-	must.Eq(t, "7", second.Beliefs[0].Line.Value("generation"), must.Sprint("state logged after the entry must not be used"))
-	must.Eq(t, 2*time.Second, second.Beliefs[0].Age)
+	must.SliceLen(t, 1, second.States)
+	must.Eq(t, "7", second.States[0].Line.Value("generation"), must.Sprint("state logged after the entry must not be used"))
+	must.Eq(t, 2*time.Second, second.States[0].Age)
 }
 
 func TestUnknownRequestHasNoEntries(t *testing.T) {
-	teller := New("q-9")
-	must.NoError(t, teller.Read(strings.NewReader(edgeLog), "a"))
-	must.SliceEmpty(t, teller.Tell().Entries)
+	builder := New("q-9")
+	must.NoError(t, builder.Read(strings.NewReader(edgeLog), "a"))
+	must.SliceEmpty(t, builder.Build().Entries)
 }
 
 func FuzzRead(f *testing.F) {
 	f.Add(edgeLog)
 	f.Add(coreLog)
 	f.Fuzz(func(t *testing.T, text string) {
-		teller := New("q-1")
-		must.NoError(t, teller.Read(strings.NewReader(text), "a"))
-		story := teller.Tell()
-		must.LessEq(t, story.Lines, story.Passed)
+		builder := New("q-1")
+		must.NoError(t, builder.Read(strings.NewReader(text), "a"))
+		story := builder.Build()
+		must.LessEq(t, story.Lines, story.Skipped)
 	})
 }
--- a/process/timeline/timeline.go
+++ b/process/timeline/timeline.go
@@ -38,11 +38,11 @@
 	Began  time.Time
 	// Phases are in recovery order, without those that have no events.
 	Phases []Phase
-	// Calm is when the read backlog was back to normal, or zero if none was logged.
-	Calm time.Time
-	// Worst is the longest mean read backlog over the replicas that the leader logged before
-	// Calm, zero if there was none.
-	Worst time.Duration
+	// BacklogNormalAt is when the read backlog was back to normal, or zero if none was logged.
+	BacklogNormalAt time.Time
+	// MaxBacklog is the longest mean read backlog over the replicas that the leader logged before
+	// BacklogNormalAt, zero if there was none.
+	MaxBacklog time.Duration
 }
 
 // Timeline is the result for all leaderships in the logs.
@@ -74,7 +74,7 @@
 // Read adds a log; source is the process name for lines that do not contain one. The returned error
 // is a read error.
 func (r *Reader) Read(log io.Reader, source string) error {
-	return r.timeline.Each(log, source, r.collect)
+	return r.timeline.ForEachLine(log, source, r.collect)
 }
 
 // collect keeps a line that the timeline uses.
@@ -88,8 +88,8 @@
 	}
 }
 
-// Tell returns the timeline of all logs read.
-func (r *Reader) Tell() Timeline {
+// Timeline returns the timeline of all logs read.
+func (r *Reader) Timeline() Timeline {
 	slices.SortStableFunc(r.lines, func(a, b logline.Line) int { return a.Time.Compare(b.Time) })
 	result := r.timeline
 	leaderLines := r.eventLines(event.ControlLeads)
@@ -150,8 +150,8 @@
 	return phase
 }
 
-// findBacklogRecovery sets Calm to the time of the leader's first line with a normal read backlog
-// (see normalBacklogFactor), and Worst to the longest backlog before it.
+// findBacklogRecovery sets BacklogNormalAt to the time of the leader's first line with a normal read
+// backlog (see normalBacklogFactor), and MaxBacklog to the longest backlog before it.
 func (l *Leadership) findBacklogRecovery(lines []logline.Line, end time.Time) {
 	var backlogLines []logline.Line
 	var backlogs []time.Duration
@@ -169,10 +169,10 @@
 	slices.Sort(sorted)
 	for i, backlog := range backlogs {
 		if backlog <= normalBacklogFactor*sorted[len(sorted)/2] {
-			l.Calm = backlogLines[i].Time
+			l.BacklogNormalAt = backlogLines[i].Time
 			return
 		}
-		l.Worst = max(l.Worst, backlog)
+		l.MaxBacklog = max(l.MaxBacklog, backlog)
 	}
 }
 
--- a/process/timeline/timeline_test.go
+++ b/process/timeline/timeline_test.go
@@ -36,8 +36,8 @@
 		"truncated\n"
 	var reader Reader
 	must.NoError(t, reader.Read(strings.NewReader(log), "log"))
-	timeline := reader.Tell()
-	must.Eq(t, 1, timeline.Passed)
+	timeline := reader.Timeline()
+	must.Eq(t, 1, timeline.Skipped)
 	must.SliceLen(t, 1, timeline.Leaderships)
 	leadership := timeline.Leaderships[0]
 	must.Eq(t, "core-2", leadership.Leader)
@@ -50,8 +50,8 @@
 		{"kept parts are known", 2, atMillisecond(800), atMillisecond(850), atMillisecond(850)},
 	}, leadership.Phases)
 	// The median of the leader's backlogs is 250 ms, so up to 500 ms is normal.
-	must.Eq(t, atMillisecond(2000), leadership.Calm)
-	must.Eq(t, 900*time.Millisecond, leadership.Worst)
+	must.Eq(t, atMillisecond(2000), leadership.BacklogNormalAt)
+	must.Eq(t, 900*time.Millisecond, leadership.MaxBacklog)
 }
 
 // Events during a leadership must not count for another one.
@@ -62,7 +62,7 @@
 		logLine(30_200, "edge-1", event.FeedServed, "")
 	var reader Reader
 	must.NoError(t, reader.Read(strings.NewReader(log), "log"))
-	timeline := reader.Tell()
+	timeline := reader.Timeline()
 	must.SliceLen(t, 2, timeline.Leaderships)
 	for _, leadership := range timeline.Leaderships {
 		must.SliceLen(t, 1, leadership.Phases)
