--- a/process/admin/admin_test.go
+++ b/process/admin/admin_test.go
@@ -30,7 +30,7 @@
 		return response.StatusCode, string(body)
 	}
 	status, body := get(PathHealth)
-	must.Eq(t, http.StatusOK, status, must.Sprint("it serves though it is not ready"))
+	must.Eq(t, http.StatusOK, status, must.Sprint("health must be 200 while not ready"))
 	var read Readiness
 	must.NoError(t, json.Unmarshal([]byte(body), &read))
 	must.Eq(t, state, read)
@@ -46,7 +46,7 @@
 	must.Eq(t, http.StatusNotFound, status)
 }
 
-func TestForeignBytesEndOnlyTheirConnection(t *testing.T) {
+func TestInvalidRequestLeavesServerRunning(t *testing.T) {
 	server, err := Listen("test", "127.0.0.1:0", prometheus.NewRegistry(), func() Readiness { return Readiness{Ready: true} }, log.NewNopLogger())
 	must.NoError(t, err)
 	t.Cleanup(server.Close)
@@ -55,16 +55,16 @@
 	_, err = conn.Write([]byte("\x00\x01 no HTTP at all\r\n\r\n"))
 	must.NoError(t, err)
 	_, err = io.ReadAll(conn)
-	must.NoError(t, err, must.Sprint("the server ends it"))
+	must.NoError(t, err, must.Sprint("the server must close the connection"))
 	response, err := http.Get("http://" + server.Addr().String() + PathReady)
 	must.NoError(t, err)
 	must.NoError(t, response.Body.Close())
 }
 
-func TestTakenAddress(t *testing.T) {
-	taken, err := net.Listen("tcp", "127.0.0.1:0")
+func TestAddressInUse(t *testing.T) {
+	occupied, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
-	defer func() { _ = taken.Close() }()
-	_, err = Listen("test", taken.Addr().String(), prometheus.NewRegistry(), nil, log.NewNopLogger())
+	defer func() { _ = occupied.Close() }()
+	_, err = Listen("test", occupied.Addr().String(), prometheus.NewRegistry(), nil, log.NewNopLogger())
 	must.ErrorIs(t, err, ErrListen)
 }
--- a/process/clock/clock_test.go
+++ b/process/clock/clock_test.go
@@ -8,37 +8,38 @@
 	"github.com/shoenig/test/must"
 )
 
-// fakeSystem is a machine's clocks.
+// fakeSystem simulates the clocks of a machine.
 type fakeSystem struct {
-	running, day, boot time.Duration
-	bootReads          int
+	monotonic, wall, boot time.Duration
+	bootReads             int
 }
 
 func newFakeSystem() *fakeSystem {
-	return &fakeSystem{running: time.Hour, day: 400_000 * time.Hour, boot: 3 * time.Hour}
+	return &fakeSystem{monotonic: time.Hour, wall: 400_000 * time.Hour, boot: 3 * time.Hour}
 }
 
 func (f *fakeSystem) clock() *Clock {
 	return newClock(source{
-		read: func() (time.Duration, time.Duration) { return f.running, f.day },
+		read: func() (time.Duration, time.Duration) { return f.monotonic, f.wall },
 		boot: func() time.Duration { f.bootReads++; return f.boot },
 	})
 }
 
-// run lets the machine run, suspend stand still.
-func (f *fakeSystem) run(took time.Duration) {
-	f.running += took
-	f.day += took
-	f.boot += took
+// run advances all clocks.
+func (f *fakeSystem) run(duration time.Duration) {
+	f.monotonic += duration
+	f.wall += duration
+	f.boot += duration
 }
 
-func (f *fakeSystem) suspend(took time.Duration) {
-	f.day += took
-	f.boot += took
+// suspend advances all clocks but the monotonic one.
+func (f *fakeSystem) suspend(duration time.Duration) {
+	f.wall += duration
+	f.boot += duration
 }
 
-// The first reading after a suspension has all of it: a lease that is checked then has lapsed.
-func TestSuspensionsCount(t *testing.T) {
+// The first reading after a suspend includes all of it, so that a lease checked then has expired.
+func TestReadingIncludesSuspend(t *testing.T) {
 	system := newFakeSystem()
 	clock := system.clock()
 	want := time.Duration(0)
@@ -52,55 +53,55 @@
 	}
 }
 
-func TestShortSuspensionsCount(t *testing.T) {
+func TestReadingIncludesShortSuspend(t *testing.T) {
 	system := newFakeSystem()
 	clock := system.clock()
-	system.suspend(2 * shiftTolerance)
-	must.Eq(t, 2*shiftTolerance, clock.Now())
+	system.suspend(2 * maxClockDrift)
+	must.Eq(t, 2*maxClockDrift, clock.Now())
 }
 
-// A machine whose time of day is not set right at once is found out by its boot clock.
-func TestSuspensionShowsWithoutTheTimeOfDay(t *testing.T) {
+// If the wall clock is not corrected right after a resume, the boot clock still shows the suspend.
+func TestReadingIncludesSuspendWithoutWallClockCorrection(t *testing.T) {
 	system := newFakeSystem()
 	clock := system.clock()
 	system.boot += time.Second
-	system.run(refreshAfter + time.Millisecond)
-	must.Eq(t, time.Second+refreshAfter+time.Millisecond, clock.Now())
+	system.run(maxOffsetAge + time.Millisecond)
+	must.Eq(t, time.Second+maxOffsetAge+time.Millisecond, clock.Now())
 }
 
-func TestStepsOfTheTimeOfDayDoNotCount(t *testing.T) {
+func TestWallClockStepsDoNotChangeReadings(t *testing.T) {
 	system := newFakeSystem()
 	clock := system.clock()
 	for _, step := range []time.Duration{2 * time.Second, -4 * time.Second, time.Hour} {
-		system.day += step
+		system.wall += step
 		before := clock.Now()
 		system.run(time.Millisecond)
 		must.Eq(t, before+time.Millisecond, clock.Now())
 	}
 }
 
-// Whoever waits by a timer is told of a suspension, and of nothing else.
-func TestSuspensionsAreToldOf(t *testing.T) {
+// Watchers are notified of a suspend, but not of a wall clock step.
+func TestWatchersAreNotifiedOfSuspend(t *testing.T) {
 	system := newFakeSystem()
 	clock := system.clock()
-	told := make(chan struct{}, 10)
-	stop := clock.Watch(func() { told <- struct{}{} })
+	notified := make(chan struct{}, 10)
+	stop := clock.Watch(func() { notified <- struct{}{} })
 	for range 100 {
-		system.run(refreshAfter)
-		system.day += time.Second // a step of the time of day
+		system.run(maxOffsetAge)
+		system.wall += time.Second // a wall clock step
 		clock.Now()
 	}
-	must.Eq(t, 0, len(told))
-	system.suspend(leastSuspension)
+	must.Eq(t, 0, len(notified))
+	system.suspend(minReportedSuspend)
 	clock.Now()
-	<-told
+	<-notified
 	stop()
 	system.suspend(time.Second)
 	clock.Now()
-	must.Eq(t, 0, len(told))
+	must.Eq(t, 0, len(notified))
 }
 
-// On calm days the boot clock is hardly read.
+// Without suspends, the boot clock is read at most 5 times in 100 ms.
 func TestBootClockIsReadRarely(t *testing.T) {
 	system := newFakeSystem()
 	clock := system.clock()
--- a/process/logsink/logsink.go
+++ b/process/logsink/logsink.go
@@ -1,8 +1,8 @@
-// Package logsink writes log lines without ever holding up who logs: lines wait
-// in a bounded queue for one writing goroutine, and a reader that stops reading
-// costs lines, not requests. Lines of routine events are thinned out first, so
-// that those of failures are kept as long as there is room at all; how many were
-// dropped is counted and logged.
+// Package logsink writes log lines without blocking the caller. Lines wait in a bounded queue for a
+// single writer goroutine; when the output stalls, lines are dropped, so that requests are not
+// delayed. Routine lines, as classified by the Config, are rate limited and dropped first, so that
+// other lines, such as failures, are kept as long as there is room. Dropped lines are counted and
+// reported in the log.
 package logsink
 
 import (
@@ -16,71 +16,73 @@
 	"golang.org/x/time/rate"
 )
 
-// Config bounds a Sink. Zero values take the defaults.
+// Config configures a Sink. Zero values select the defaults: no line is routine, and drops are
+// reported with the keys dropped_routine and dropped.
 type Config struct {
-	// Queue is how many lines may wait; routine ones only as long as less than
+	// QueueSize is the capacity of the queue in lines. Routine lines are accepted only while less than
 	// half of it is in use.
-	Queue int
-	// RoutinePerSecond bounds the routine lines, in bursts of twice as many.
+	QueueSize int
+	// RoutinePerSecond limits the rate of routine lines, with a burst of twice as many.
 	RoutinePerSecond float64
-	// Routine tells whether a line is routine, by its keys and values.
-	Routine func(keyvals []any) bool
-	// Dropped makes the keys and values of the line that tells of dropped ones.
-	Dropped func(routine, other uint64) []any
-	// Report is the pause between two lines that tell of dropped ones.
-	Report time.Duration
+	// IsRoutine reports whether a line is routine, given its keys and values.
+	IsRoutine func(keyvals []any) bool
+	// DroppedLine returns the keys and values of the line that reports the lines dropped since the last
+	// report.
+	DroppedLine func(routine, other uint64) []any
+	// ReportInterval is the interval between reports of dropped lines.
+	ReportInterval time.Duration
 }
 
 // Defaults of a Config.
 const (
-	DefaultQueue            = 4096
+	DefaultQueueSize        = 4096
 	DefaultRoutinePerSecond = 200
-	DefaultReport           = time.Second
+	DefaultReportInterval   = time.Second
 )
 
 func (c Config) withDefaults() Config {
-	if c.Queue <= 0 {
-		c.Queue = DefaultQueue
+	if c.QueueSize <= 0 {
+		c.QueueSize = DefaultQueueSize
 	}
 	if c.RoutinePerSecond <= 0 {
 		c.RoutinePerSecond = DefaultRoutinePerSecond
 	}
-	if c.Report <= 0 {
-		c.Report = DefaultReport
+	if c.ReportInterval <= 0 {
+		c.ReportInterval = DefaultReportInterval
 	}
-	if c.Routine == nil {
-		c.Routine = func([]any) bool { return false }
+	if c.IsRoutine == nil {
+		c.IsRoutine = func([]any) bool { return false }
 	}
-	if c.Dropped == nil {
-		c.Dropped = func(routine, other uint64) []any { return []any{"dropped_routine", routine, "dropped", other} }
+	if c.DroppedLine == nil {
+		c.DroppedLine = func(routine, other uint64) []any { return []any{"dropped_routine", routine, "dropped", other} }
 	}
 	return c
 }
 
-// Sink is a log.Logger that never blocks. Any number of goroutines may use it.
+// Sink is a log.Logger that never blocks. It is safe for concurrent use.
 type Sink struct {
 	config  Config
-	to      io.Writer
+	output  io.Writer
 	queue   chan []byte
 	limiter *rate.Limiter
 
 	droppedRoutine atomic.Uint64
 	droppedOther   atomic.Uint64
 
-	closing chan struct{}
-	closed  chan struct{}
-	once    sync.Once
+	closing   chan struct{}
+	closed    chan struct{}
+	closeOnce sync.Once
 }
 
 var _ log.Logger = (*Sink)(nil)
 
-// New starts a sink that writes logfmt lines.
-func New(to io.Writer, config Config) *Sink {
+// New starts a Sink that writes logfmt lines to output.
+func New(output io.Writer, config Config) *Sink {
 	config = config.withDefaults()
 	s := &Sink{
 		config:  config,
-		to:      to,
-		queue:   make(chan []byte, config.Queue),
+		output:  output,
+		queue:   make(chan []byte, config.QueueSize),
 		limiter: rate.NewLimiter(rate.Limit(config.RoutinePerSecond), int(2*config.RoutinePerSecond)),
 		closing: make(chan struct{}),
 		closed:  make(chan struct{}),
@@ -89,11 +91,11 @@
 	return s
 }
 
-// Log queues the line, or drops and counts it. It never blocks; the error is
-// that of the encoding.
+// Log queues the line, or drops and counts it. It never blocks. The returned error is an encoding
+// error; such a line is not counted. Lines logged after Close are not written.
 func (s *Sink) Log(keyvals ...any) error {
-	routine := s.config.Routine(keyvals)
-	if routine && (len(s.queue) >= s.config.Queue/2 || !s.limiter.Allow()) {
+	routine := s.config.IsRoutine(keyvals)
+	if routine && (len(s.queue) >= s.config.QueueSize/2 || !s.limiter.Allow()) {
 		s.droppedRoutine.Add(1)
 		return nil
 	}
@@ -115,25 +117,27 @@
 	return line.Bytes(), err
 }
 
-// Dropped returns how many lines were dropped so far.
+// Dropped returns the numbers of routine and of other lines dropped so far.
 func (s *Sink) Dropped() (routine, other uint64) {
 	return s.droppedRoutine.Load(), s.droppedOther.Load()
 }
 
+// run writes queued lines and reports drops until Close. Drops whose report cannot be encoded are
+// not reported again.
 func (s *Sink) run() {
 	defer close(s.closed)
-	ticker := time.NewTicker(s.config.Report)
+	ticker := time.NewTicker(s.config.ReportInterval)
 	defer ticker.Stop()
 	var reportedRoutine, reportedOther uint64
 	for {
 		select {
 		case line := <-s.queue:
-			s.write(line)
+			s.writeBatch(line)
 		case <-ticker.C:
 			routine, other := s.Dropped()
 			if routine != reportedRoutine || other != reportedOther {
-				if line, err := encode(s.config.Dropped(routine-reportedRoutine, other-reportedOther)); err == nil {
-					s.write(line)
+				if line, err := encode(s.config.DroppedLine(routine-reportedRoutine, other-reportedOther)); err == nil {
+					s.writeBatch(line)
 				}
 				reportedRoutine, reportedOther = routine, other
 			}
@@ -144,13 +148,13 @@
 	}
 }
 
-// maxBatch bounds the bytes of one write.
-const maxBatch = 64 << 10
+// maxBatchBytes is the batch size at which no more lines are added.
+const maxBatchBytes = 64 << 10
 
-// write writes the line together with those that wait behind it.
-func (s *Sink) write(line []byte) {
+// writeBatch writes the line together with lines that it takes from the queue.
+func (s *Sink) writeBatch(line []byte) {
 	batch := line
-	for len(batch) < maxBatch {
+	for len(batch) < maxBatchBytes {
 		select {
 		case next := <-s.queue:
 			batch = append(batch, next...)
@@ -159,25 +163,26 @@
 		}
 		break
 	}
-	_, _ = s.to.Write(batch) // there is nowhere to tell of it
+	_, _ = s.output.Write(batch) // a failure of the log output cannot be logged
 }
 
-// drain writes what waits.
+// drain writes all queued lines.
 func (s *Sink) drain() {
 	for {
 		select {
 		case line := <-s.queue:
-			s.write(line)
+			s.writeBatch(line)
 		default:
 			return
 		}
 	}
 }
 
-// Close writes what waits, but not for longer than the given time.
-func (s *Sink) Close(patience time.Duration) {
-	s.once.Do(func() { close(s.closing) })
-	timer := time.NewTimer(patience)
+// Close writes the queued lines, waiting at most timeout; after that, writing continues in the
+// background. It does not report drops since the last report and does not close the output.
+func (s *Sink) Close(timeout time.Duration) {
+	s.closeOnce.Do(func() { close(s.closing) })
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-s.closed:
--- a/process/story/story.go
+++ b/process/story/story.go
@@ -1,7 +1,7 @@
-// Package story puts together, from the logs of many processes, what became of
-// one request: the lines that name it, and beside each of them what its process
-// believed then and how old that belief was. Lines that are torn or foreign are
-// passed over and counted.
+// Package story reconstructs the history of one request from the logs of many processes. It lists
+// the lines that contain the request ID, each with the latest state that its process had logged by
+// then and the age of that state. Lines that are truncated or in another format are skipped and
+// counted.
 package story
 
 import (
@@ -13,72 +13,75 @@
 	"github.com/landingtrail/landingtrail/process/logline"
 )
 
-// keyRequest is the field of a line that names its request.
-const keyRequest = "request"
+// requestKey is the log key of the request ID.
+const requestKey = "request"
 
-// Entry is a line of the request with what its process believed when it wrote it.
+// Entry is a log line of the request with the state of its process at that time, as the latest line
+// of each state event, most recent first.
 type Entry struct {
-	Line    logline.Line
-	Beliefs []Belief
+	Line   logline.Line
+	States []State
 }
 
-// Belief is the last line of one kind that the process wrote before.
-type Belief struct {
+// State is the latest line of one state event that the process had logged by then.
+type State struct {
 	Line logline.Line
-	Age  time.Duration
+	Age  time.Duration // from Line to the entry's line, both by the clock of the process
 }
 
-// Story is what the logs say of a request.
+// Story is the logged history of a request.
 type Story struct {
 	Request string
 	Entries []Entry
 	logline.Counts
 }
 
-// beliefs are the events by which a process changes what it believes.
-var beliefs = []event.Event{
+// stateEvents are the events whose latest line describes the state of a process, such as its
+// configuration, role and connections.
+var stateEvents = []event.Event{
 	event.IngressStarted, event.IngressInForce, event.IngressDraining, event.FeedDisconnected, event.FeedServed,
 	event.ControlLeads, event.ControlRole, event.FleetChanged, event.FleetUnusable, event.FleetReadable, event.IngressReplaced,
 	event.FeedStandby, event.FeedStandbyEnded, event.LinesDropped,
 }
 
-// Teller gathers lines from any number of logs.
-type Teller struct {
+// Builder collects lines from any number of logs.
+type Builder struct {
 	request string
 	lines   []logline.Line
 	story   Story
 }
 
-// New returns a Teller of the request with the ID.
-func New(request string) *Teller {
-	return &Teller{request: request, story: Story{Request: request}}
+// New returns a Builder for the request ID.
+func New(request string) *Builder {
+	return &Builder{request: request, story: Story{Request: request}}
 }
 
-// Read takes in a log; source names it where its lines do not name a process.
-// The error is that of the reader.
-func (t *Teller) Read(log io.Reader, source string) error {
-	return t.story.Each(log, source, t.take)
+// Read adds a log to those read before; source is the process name for lines that do not contain
+// one. The returned error is a read error. Read is not safe for concurrent use.
+func (b *Builder) Read(log io.Reader, source string) error {
+	return b.story.ForEachLine(log, source, b.collect)
 }
 
-// take keeps a line if it names the request or changes a belief.
-func (t *Teller) take(line logline.Line) {
-	if line.Value(keyRequest) == t.request || isBelief(line.Event) {
-		t.lines = append(t.lines, line)
+// collect keeps a line that contains the request ID or reports a state change.
+func (b *Builder) collect(line logline.Line) {
+	if line.Value(requestKey) == b.request || isStateEvent(line.Event) {
+		b.lines = append(b.lines, line)
 	}
 }
 
-func isBelief(number event.Number) bool {
-	return slices.ContainsFunc(beliefs, func(e event.Event) bool { return e.Number == number })
+func isStateEvent(number event.Number) bool {
+	return slices.ContainsFunc(stateEvents, func(e event.Event) bool { return e.Number == number })
 }
 
-// Tell returns the story, its entries in the order of their times.
-func (t *Teller) Tell() Story {
-	slices.SortStableFunc(t.lines, func(a, b logline.Line) int { return a.Time.Compare(b.Time) })
-	told := t.story
+// Build returns the story with its entries sorted by time, which compares the clocks of different
+// processes. A line with the request ID is an entry and never counts as state.
+func (b *Builder) Build() Story {
+	slices.SortStableFunc(b.lines, func(x, y logline.Line) int { return x.Time.Compare(y.Time) })
+	story := b.story
 	latest := map[string]map[event.Number]logline.Line{}
-	for _, line := range t.lines {
-		if line.Value(keyRequest) == t.request {
-			told.Entries = append(told.Entries, Entry{Line: line, Beliefs: beliefsAt(latest[line.Process], line.Time)})
+	for _, line := range b.lines {
+		if line.Value(requestKey) == b.request {
+			story.Entries = append(story.Entries, Entry{Line: line, States: statesAt(latest[line.Process], line.Time)})
 			continue
 		}
 		if latest[line.Process] == nil {
@@ -86,20 +89,20 @@
 		}
 		latest[line.Process][line.Event] = line
 	}
-	return told
+	return story
 }
 
-// beliefsAt lists the last line of each kind, the latest first.
-func beliefsAt(latest map[event.Number]logline.Line, now time.Time) []Belief {
-	held := make([]Belief, 0, len(latest))
+// statesAt returns the latest line of each state event, most recent first.
+func statesAt(latest map[event.Number]logline.Line, at time.Time) []State {
+	states := make([]State, 0, len(latest))
 	for _, line := range latest {
-		held = append(held, Belief{Line: line, Age: now.Sub(line.Time)})
+		states = append(states, State{Line: line, Age: at.Sub(line.Time)})
 	}
-	slices.SortFunc(held, func(a, b Belief) int {
+	slices.SortFunc(states, func(a, b State) int {
 		if a.Age != b.Age {
 			return int(a.Age - b.Age)
 		}
 		return int(a.Line.Event - b.Line.Event)
 	})
-	return held
+	return states
 }
--- a/process/timeline/timeline.go
+++ b/process/timeline/timeline.go
@@ -1,7 +1,8 @@
-// Package timeline tells from the logs of all processes where the time went after an
-// outage of the control group: for each leadership, when its members and proxies came up,
-// when the leader served each proxy, when it knew what replicas keep, and when what it had
-// to place was done again as fast as usual.
+// Package timeline reconstructs, from the logs of all processes, how the system recovered after an
+// outage of the control group. For each leadership, the period of one leader of the group, it shows
+// when members and proxies started, when the leader began to serve each proxy, when it learned
+// which parts of prompts the replicas keep, and when the mean time to read the queued prompts was
+// back to normal.
 package timeline
 
 import (
@@ -14,47 +15,48 @@
 	"github.com/landingtrail/landingtrail/process/logline"
 )
 
-// startWindow is how long before a leadership a start still belongs to the same outage:
-// longer than any election takes.
+// startWindow is the longest time between a process start and the beginning of a leadership for the
+// start to count for the same outage. It is longer than any election.
 const startWindow = 10 * time.Second
 
-// calmFactor is how many times its median over the leadership the backlog of reads may be
-// where the backlog of an outage counts as gone.
-const calmFactor = 2
+// normalBacklogFactor times the leadership's median read backlog is the highest backlog that counts
+// as back to normal.
+const normalBacklogFactor = 2
 
-// Phase is what happened to several processes or replicas: the first, the middle and the
-// last one.
+// Phase is a recovery step of several processes or replicas, with the first, median and last time
+// at which one of them reached it. For an even Count, Median is the later middle time.
 type Phase struct {
 	Name                string
 	Count               int
 	First, Median, Last time.Time
 }
 
-// Leadership is one leader's time, and what led to it.
+// Leadership describes the period of one leader and the process starts around it.
 type Leadership struct {
-	Leader string
+	Leader string // process name
 	Term   string
 	Began  time.Time
-	// Phases come in the order of an outage; those in which nothing happened are left out.
+	// Phases are in recovery order, without those that have no events.
 	Phases []Phase
-	// Calm is when the backlog of reads was no more than usual, zero if it never was.
-	Calm time.Time
-	// Worst is the longest mean backlog of reads that a line of the board shows before.
-	Worst time.Duration
+	// BacklogNormalAt is when the read backlog was back to normal, or zero if none was logged.
+	BacklogNormalAt time.Time
+	// MaxBacklog is the longest mean read backlog over the replicas that the leader logged before
+	// BacklogNormalAt, zero if there was none.
+	MaxBacklog time.Duration
 }
 
-// Timeline is what the logs tell.
+// Timeline is the result for all leaderships in the logs.
 type Timeline struct {
 	logline.Counts
 	Leaderships []Leadership
 }
 
-// phases are the events that make a phase, in order; before says that they are looked
-// for before the leadership, else during it.
+// phases lists the event of each phase, in order. With aroundStart set, events are searched around
+// the beginning of the leadership, otherwise during it.
 var phases = []struct {
-	name   string
-	event  event.Event
-	before bool
+	name        string
+	event       event.Event
+	aroundStart bool
 }{
 	{"members start", event.ControlStarted, true},
 	{"proxies start", event.IngressStarted, true},
@@ -63,44 +65,46 @@
 	{"kept parts are known", event.KeptAsked, false},
 }
 
-// Reader gathers lines from any number of logs.
+// Reader collects lines from any number of logs.
 type Reader struct {
-	told  Timeline
-	lines []logline.Line
+	timeline Timeline
+	lines    []logline.Line
 }
 
-// Read takes in a log; source names it where its lines do not name a process.
-// The error is that of the reader.
+// Read adds a log; source is the process name for lines that do not contain one. The returned error
+// is a read error.
 func (r *Reader) Read(log io.Reader, source string) error {
-	return r.told.Each(log, source, r.take)
+	return r.timeline.ForEachLine(log, source, r.collect)
 }
 
-func (r *Reader) take(line logline.Line) {
-	wanted := line.Event == event.ControlLeads.Number || line.Event == event.BoardShows.Number
+// collect keeps a line that the timeline uses.
+func (r *Reader) collect(line logline.Line) {
+	relevant := line.Event == event.ControlLeads.Number || line.Event == event.BoardShows.Number
 	for _, phase := range phases {
-		wanted = wanted || line.Event == phase.event.Number
+		relevant = relevant || line.Event == phase.event.Number
 	}
-	if wanted {
+	if relevant {
 		r.lines = append(r.lines, line)
 	}
 }
 
-// Tell returns the timeline.
-func (r *Reader) Tell() Timeline {
+// Timeline returns the timeline of all logs read.
+func (r *Reader) Timeline() Timeline {
 	slices.SortStableFunc(r.lines, func(a, b logline.Line) int { return a.Time.Compare(b.Time) })
-	told := r.told
-	leads := r.of(event.ControlLeads)
-	for i, line := range leads {
+	result := r.timeline
+	leaderLines := r.eventLines(event.ControlLeads)
+	for i, line := range leaderLines {
 		end := time.Time{}
-		if i+1 < len(leads) {
-			end = leads[i+1].Time
+		if i+1 < len(leaderLines) {
+			end = leaderLines[i+1].Time
 		}
-		told.Leaderships = append(told.Leaderships, r.leadership(line, end))
+		result.Leaderships = append(result.Leaderships, r.leadership(line, end))
 	}
-	return told
+	return result
 }
 
-func (r *Reader) of(kind event.Event) []logline.Line {
+// eventLines returns the collected lines of an event.
+func (r *Reader) eventLines(kind event.Event) []logline.Line {
 	var lines []logline.Line
 	for _, line := range r.lines {
 		if line.Event == kind.Number {
@@ -110,67 +114,69 @@
 	return lines
 }
 
-// leadership tells of the leader of the line, until end, zero for the end of the logs.
-func (r *Reader) leadership(leads logline.Line, end time.Time) Leadership {
-	made := Leadership{Leader: leads.Process, Term: leads.Value("term"), Began: leads.Time}
+// leadership returns the leadership that begins with the line start and lasts until end. A zero end
+// stands for the end of the logs.
+func (r *Reader) leadership(start logline.Line, end time.Time) Leadership {
+	leadership := Leadership{Leader: start.Process, Term: start.Value("term"), Began: start.Time}
 	for _, phase := range phases {
-		from, until := leads.Time, end
-		if phase.before {
-			from, until = leads.Time.Add(-startWindow), leads.Time.Add(startWindow)
+		from, until := start.Time, end
+		if phase.aroundStart {
+			from, until = start.Time.Add(-startWindow), start.Time.Add(startWindow)
 		}
-		if found := phaseOf(phase.name, r.of(phase.event), from, until); found.Count > 0 {
-			made.Phases = append(made.Phases, found)
+		if found := newPhase(phase.name, r.eventLines(phase.event), from, until); found.Count > 0 {
+			leadership.Phases = append(leadership.Phases, found)
 		}
 	}
-	made.calm(r.of(event.BoardShows), end)
-	return made
+	leadership.findBacklogRecovery(r.eventLines(event.BoardShows), end)
+	return leadership
 }
 
-// phaseOf gathers the first line of each process, or replica, between two times.
-func phaseOf(name string, lines []logline.Line, from, until time.Time) Phase {
-	made := Phase{Name: name}
+// newPhase builds a phase from the first line of each pair of process and replica in [from, until).
+func newPhase(name string, lines []logline.Line, from, until time.Time) Phase {
+	phase := Phase{Name: name}
 	seen := map[string]bool{}
 	var times []time.Time
 	for _, line := range lines {
-		who := line.Process + " " + line.Value("replica")
-		if line.Time.Before(from) || !until.IsZero() && !line.Time.Before(until) || seen[who] {
+		origin := line.Process + " " + line.Value("replica")
+		if line.Time.Before(from) || !until.IsZero() && !line.Time.Before(until) || seen[origin] {
 			continue
 		}
-		seen[who] = true
+		seen[origin] = true
 		times = append(times, line.Time)
 	}
-	if made.Count = len(times); made.Count > 0 {
-		made.First, made.Median, made.Last = times[0], times[made.Count/2], times[made.Count-1]
+	if phase.Count = len(times); phase.Count > 0 {
+		phase.First, phase.Median, phase.Last = times[0], times[phase.Count/2], times[phase.Count-1]
 	}
-	return made
+	return phase
 }
 
-// calm looks for the first line of the leader's board with a backlog no longer than
-// usual, and for the longest before it.
-func (l *Leadership) calm(lines []logline.Line, end time.Time) {
-	var shown []logline.Line
+// findBacklogRecovery sets BacklogNormalAt to the time of the leader's first line with a normal read
+// backlog (see normalBacklogFactor), and MaxBacklog to the longest backlog before it.
+func (l *Leadership) findBacklogRecovery(lines []logline.Line, end time.Time) {
+	var backlogLines []logline.Line
 	var backlogs []time.Duration
 	for _, line := range lines {
-		inside := line.Process == l.Leader && !line.Time.Before(l.Began) && (end.IsZero() || line.Time.Before(end))
-		if backlog, known := backlogOf(line); inside && known {
-			shown = append(shown, line)
+		inLeadership := line.Process == l.Leader && !line.Time.Before(l.Began) && (end.IsZero() || line.Time.Before(end))
+		if backlog, known := backlogOf(line); inLeadership && known {
+			backlogLines = append(backlogLines, line)
 			backlogs = append(backlogs, backlog)
 		}
 	}
-	if len(shown) == 0 {
+	if len(backlogLines) == 0 {
 		return
 	}
-	usual := slices.Clone(backlogs)
-	slices.Sort(usual)
+	sorted := slices.Clone(backlogs)
+	slices.Sort(sorted)
 	for i, backlog := range backlogs {
-		if backlog <= calmFactor*usual[len(usual)/2] {
-			l.Calm = shown[i].Time
+		if backlog <= normalBacklogFactor*sorted[len(sorted)/2] {
+			l.BacklogNormalAt = backlogLines[i].Time
 			return
 		}
-		l.Worst = max(l.Worst, backlog)
+		l.MaxBacklog = max(l.MaxBacklog, backlog)
 	}
 }
 
+// backlogOf returns the mean read backlog of a line, logged in milliseconds as read_ms.
 func backlogOf(line logline.Line) (time.Duration, bool) {
 	milliseconds, err := strconv.ParseInt(line.Value("read_ms"), 10, 64)
 	return time.Duration(milliseconds) * time.Millisecond, err == nil
