--- a/process/controller/controller.go
+++ b/process/controller/controller.go
@@ -108,7 +108,7 @@
 	actions := reconcileMachines(input)
 	decisions := decisionsByEngine(input.Decisions)
 	for _, name := range slices.Sorted(maps.Keys(input.Engines)) {
-		round := engineRound{input: &input, engine: input.Engines[name], decision: decisions[name]}
+		round := engineReconciler{input: &input, engine: input.Engines[name], decision: decisions[name]}
 		actions = append(actions, round.actions()...)
 	}
 	return actions
--- a/process/controller/controller_test.go
+++ b/process/controller/controller_test.go
@@ -34,7 +34,7 @@
 	engine.Status.OpenOrder = &api.Order{Fence: fence, Engine: "e", Incarnation: 7, Assignment: second}
 }
 
-func asCommitted(*api.Engine) {}
+func unchangedEngine(*api.Engine) {}
 
 // stateWith returns what the engine "e" says, which is what is committed.
 func stateWith(change func(*engineapi.State)) Observation {
@@ -43,7 +43,7 @@
 	return Observation{State: seen, AskedAt: time.Minute}
 }
 
-func same(*engineapi.State) {}
+func unchangedState(*engineapi.State) {}
 
 func TestOneEngine(t *testing.T) {
 	decision := []planner.Decision{{Engine: "e", Assignment: second, Reason: "load"}}
@@ -56,15 +56,15 @@
 	}{
 		"silent": {engine: engineWith(openOrder), want: "query"},
 		"stale observation": {
-			engine: engineWith(openOrder), seen: stateWith(same),
+			engine: engineWith(openOrder), seen: stateWith(unchangedState),
 			adjust: func(input *Input) { input.Now += time.Hour }, want: "query",
 		},
 		"another engine at the address": {
 			engine: engineWith(openOrder),
 			seen:   stateWith(func(s *engineapi.State) { s.Engine = "other"; s.Fence = higher }), want: "query",
 		},
-		"order not received":     {engine: engineWith(openOrder), seen: stateWith(same), want: "send"},
-		"order resent unchanged": {engine: engineWith(openOrder), seen: stateWith(same), decisions: decision, want: "send"},
+		"order not received":     {engine: engineWith(openOrder), seen: stateWith(unchangedState), want: "send"},
+		"order resent unchanged": {engine: engineWith(openOrder), seen: stateWith(unchangedState), decisions: decision, want: "send"},
 		"order being carried out": {
 			engine: engineWith(openOrder),
 			seen: stateWith(func(s *engineapi.State) {
@@ -99,7 +99,7 @@
 		"called invalid": {
 			engine: engineWith(openOrder),
 			seen: func() Observation {
-				seen := stateWith(same)
+				seen := stateWith(unchangedState)
 				seen.Refused = fence
 				return seen
 			}(),
@@ -108,7 +108,7 @@
 		"an earlier order was called invalid": {
 			engine: engineWith(openOrder),
 			seen: func() Observation {
-				seen := stateWith(same)
+				seen := stateWith(unchangedState)
 				seen.Refused = lower
 				return seen
 			}(),
@@ -129,20 +129,20 @@
 			engine: engineWith(openOrder),
 			seen:   stateWith(func(s *engineapi.State) { s.Incarnation = 0 }), want: "query",
 		},
-		"nothing to do":         {engine: engineWith(asCommitted), seen: stateWith(same), want: ""},
-		"decision":              {engine: engineWith(asCommitted), seen: stateWith(same), decisions: decision, want: "open 2"},
-		"decision already held": {engine: engineWith(asCommitted), seen: stateWith(same), decisions: []planner.Decision{{Engine: "e", Assignment: first}}, want: ""},
+		"nothing to do":         {engine: engineWith(unchangedEngine), seen: stateWith(unchangedState), want: ""},
+		"decision":              {engine: engineWith(unchangedEngine), seen: stateWith(unchangedState), decisions: decision, want: "open 2"},
+		"decision already held": {engine: engineWith(unchangedEngine), seen: stateWith(unchangedState), decisions: []planner.Decision{{Engine: "e", Assignment: first}}, want: ""},
 		"report before order": {
-			engine: engineWith(asCommitted), decisions: decision,
+			engine: engineWith(unchangedEngine), decisions: decision,
 			seen: stateWith(func(s *engineapi.State) { s.Incarnation = 8 }), want: "report",
 		},
 		"no intent matches": {
 			engine: engineWith(func(e *api.Engine) { e.Status.UnmatchedSince = 5 }),
-			seen:   stateWith(same), decisions: decision, want: "",
+			seen:   stateWith(unchangedState), decisions: decision, want: "",
 		},
 		"drain": {
 			engine: engineWith(func(e *api.Engine) { e.Spec.Drain = true }),
-			seen:   stateWith(same), decisions: decision, want: "open ",
+			seen:   stateWith(unchangedState), decisions: decision, want: "open ",
 		},
 		"drained": {
 			engine: engineWith(func(e *api.Engine) {
@@ -154,15 +154,15 @@
 		},
 		"machine leaves": {
 			engine: engineWith(func(e *api.Engine) { e.Status.Phase, e.Status.MachinePhase = api.PhaseLeaving, api.PhaseLeaving }),
-			seen:   stateWith(same), decisions: decision, want: "",
+			seen:   stateWith(unchangedState), decisions: decision, want: "",
 		},
 		"failed lately": {
-			engine: engineWith(asCommitted), seen: stateWith(same), decisions: decision,
+			engine: engineWith(unchangedEngine), seen: stateWith(unchangedState), decisions: decision,
 			adjust: func(input *Input) { input.Failures = map[string]Failure{"e": {Assignment: second, At: input.Now}} },
 			want:   "",
 		},
 		"failed long ago": {
-			engine: engineWith(asCommitted), seen: stateWith(same), decisions: decision,
+			engine: engineWith(unchangedEngine), seen: stateWith(unchangedState), decisions: decision,
 			adjust: func(input *Input) { input.Failures = map[string]Failure{"e": {Assignment: second}} },
 			want:   "open 2",
 		},
--- a/process/controller/engine.go
+++ b/process/controller/engine.go
@@ -8,30 +8,30 @@
 )
 
 // engineRound decides about one engine in one round.
-type engineRound struct {
+type engineReconciler struct {
 	input    *Input
 	engine   *api.Engine
 	decision *planner.Decision
 }
 
-func (r engineRound) actions() []Action {
-	seen := r.observed()
+func (r engineReconciler) actions() []Action {
+	seen := r.recentObservation()
 	if seen == nil {
 		return r.query()
 	}
 	if order := r.engine.Status.OpenOrder; order != nil {
-		return r.carryOut(*order, *seen)
+		return r.continueOrder(*order, *seen)
 	}
 	if report := reportOf(seen.State); state.ReportChanges(r.engine, report) {
 		return []Action{Propose{state.Command{Kind: state.CommandReportEngine, EngineReport: &report}}}
 	}
-	return r.open(seen.State)
+	return r.openOrder(seen.State)
 }
 
 // observed returns the engine's own recent word, or nil. An answer under
 // another name comes from another engine at the same address and counts for
 // nothing.
-func (r engineRound) observed() *Observation {
+func (r engineReconciler) recentObservation() *Observation {
 	seen, found := r.input.Observations[r.engine.Name]
 	if !found || seen.State.Engine != r.engine.Name || seen.State.Incarnation == 0 {
 		return nil
@@ -42,43 +42,43 @@
 	return &seen
 }
 
-func (r engineRound) query() []Action {
+func (r engineReconciler) query() []Action {
 	return []Action{Query{Engine: r.engine.Name, Address: r.engine.Spec.Address}}
 }
 
 // carryOut continues the open order from what the engine said.
-func (r engineRound) carryOut(order api.Order, seen Observation) []Action {
+func (r engineReconciler) continueOrder(order api.Order, seen Observation) []Action {
 	current := seen.State
 	switch {
 	case current.Incarnation != order.Incarnation:
 		// The incarnation that the order is bound to has ended, and with it
 		// everything that it was told; the new one refuses the order.
-		return r.close(order, state.CloseOtherIncarnation, current)
+		return r.closeOrder(order, state.CloseOtherIncarnation, current)
 	case current.Order != nil:
 		return r.query()
 	case current.Fence.Less(order.Fence):
-		return r.give(order, seen)
+		return r.sendOrder(order, seen)
 	case order.Fence.Less(current.Fence):
-		return r.close(order, state.CloseVoid, current)
+		return r.closeOrder(order, state.CloseVoid, current)
 	case isDone(order, current):
-		return r.close(order, state.CloseDone, current)
+		return r.closeOrder(order, state.CloseDone, current)
 	case isSettled(current):
 		// The engine ended the order without becoming what it asks for.
-		return r.void(order, current)
+		return r.voidOrder(order, current)
 	default:
 		return r.query()
 	}
 }
 
 // give sends the order, unless the engine has called it invalid.
-func (r engineRound) give(order api.Order, seen Observation) []Action {
+func (r engineReconciler) sendOrder(order api.Order, seen Observation) []Action {
 	if seen.Refused == order.Fence {
-		return r.void(order, seen.State)
+		return r.voidOrder(order, seen.State)
 	}
 	return []Action{Send{Engine: r.engine.Name, Address: r.engine.Spec.Address, Order: order}}
 }
 
-func (r engineRound) void(order api.Order, current engineapi.State) []Action {
+func (r engineReconciler) voidOrder(order api.Order, current engineapi.State) []Action {
 	return []Action{Void{
 		Engine:      r.engine.Name,
 		Address:     r.engine.Spec.Address,
@@ -87,7 +87,7 @@
 	}}
 }
 
-func (r engineRound) close(order api.Order, reason state.CloseReason, current engineapi.State) []Action {
+func (r engineReconciler) closeOrder(order api.Order, reason state.CloseReason, current engineapi.State) []Action {
 	closing := state.CloseOrder{
 		Engine: r.engine.Name,
 		Fence:  order.Fence,
@@ -128,12 +128,12 @@
 }
 
 // open proposes the engine's next order, if there is one to give.
-func (r engineRound) open(current engineapi.State) []Action {
+func (r engineReconciler) openOrder(current engineapi.State) []Action {
 	if !isSettled(current) || isLeaving(r.engine.Status.Phase) || isLeaving(current.Phase) {
 		return nil
 	}
-	assignment, reason, wanted := r.wanted()
-	if !wanted || assignment.Equal(current.Assignment) || r.failedLately(assignment) {
+	assignment, reason, wanted := r.desiredAssignment()
+	if !wanted || assignment.Equal(current.Assignment) || r.failedRecently(assignment) {
 		return nil
 	}
 	opening := state.OpenOrder{
@@ -151,7 +151,7 @@
 // wanted returns what the engine should become. A drained engine becomes
 // nothing. An engine that no intent selects keeps what it has: labels move in
 // several steps, and the planner names no change for it.
-func (r engineRound) wanted() (assignment api.Assignment, reason string, wanted bool) {
+func (r engineReconciler) desiredAssignment() (assignment api.Assignment, reason string, wanted bool) {
 	if r.engine.Spec.Drain {
 		return api.Assignment{}, ReasonDrain, true
 	}
@@ -161,7 +161,7 @@
 	return r.decision.Assignment, r.decision.Reason, true
 }
 
-func (r engineRound) failedLately(assignment api.Assignment) bool {
+func (r engineReconciler) failedRecently(assignment api.Assignment) bool {
 	failure, found := r.input.Failures[r.engine.Name]
 	return found && failure.Assignment.Equal(assignment) && r.input.Now-failure.At < r.input.FailurePause
 }
--- a/process/controller/oracle_test.go
+++ b/process/controller/oracle_test.go
@@ -29,7 +29,7 @@
 func TestControllerAgainstEngineOracle(t *testing.T) {
 	total := map[string]int{}
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld()
+		w := newSimulation()
 		engineNames := rapid.SampledFrom([]string{"engine-0", "engine-1", "engine-2"})
 		steps := map[string]func(*rapid.T){
 			"round": func(t *rapid.T) { w.round(w.current(), w.plan()) },
@@ -37,7 +37,7 @@
 				l := rapid.SampledFrom(w.leaders).Draw(t, "leader")
 				w.round(l, w.plan())
 			},
-			"query":   func(t *rapid.T) { w.post(message{leader: w.current(), engine: engineNames.Draw(t, "engine")}) },
+			"query":   func(t *rapid.T) { w.enqueue(message{leader: w.current(), engine: engineNames.Draw(t, "engine")}) },
 			"advance": func(t *rapid.T) { w.advance(time.Duration(rapid.IntRange(1, 6000).Draw(t, "ms")) * time.Millisecond) },
 			"elect":   func(t *rapid.T) { w.elect() },
 			"crash":   func(t *rapid.T) { w.crash(engineNames.Draw(t, "engine")) },
@@ -60,7 +60,7 @@
 		steps["deliver"], steps["deliver more"], steps["deliver most"] = deliver, deliver, deliver
 		steps["round more"] = steps["round"]
 		t.Repeat(steps)
-		w.settle(t)
+		w.runUntilConverged(t)
 		for kind, count := range w.counts {
 			total[kind] += count
 		}
@@ -75,7 +75,7 @@
 }
 
 // deliverDrawn delivers any message on its way, in any order; it may arrive again.
-func (w *world) deliverDrawn(t *rapid.T) {
+func (w *simulation) deliverDrawn(t *rapid.T) {
 	if len(w.messages) == 0 {
 		return
 	}
--- a/process/controller/world_test.go
+++ b/process/controller/world_test.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	engineCount   = 3
-	badVersion    = "bad" // a version that no engine can take
-	roundInterval = 200 * time.Millisecond
-	testSilence   = 5 * time.Second
+	engineCount           = 3
+	badVersion            = "bad" // a version that no engine can take
+	roundInterval         = 200 * time.Millisecond
+	testObservationMaxAge = 5 * time.Second
 )
 
 // message is a request on its way to an engine, for a leader that may have lost
@@ -39,7 +39,7 @@
 }
 
 // world is a group, its engines and a network that loses, delays and repeats.
-type world struct {
+type simulation struct {
 	machine     *state.Machine
 	term, index uint64
 	now         time.Duration
@@ -53,8 +53,8 @@
 	counts   map[string]int
 }
 
-func newWorld() *world {
-	w := &world{
+func newSimulation() *simulation {
+	w := &simulation{
 		machine:  state.New(),
 		engines:  map[string]*enginemodel.Engine{},
 		accepted: map[uint64]api.Fence{},
@@ -86,7 +86,7 @@
 }
 
 // elect starts a new leadership; the old leaders go on with what they knew.
-func (w *world) elect() {
+func (w *simulation) elect() {
 	w.term++
 	if len(w.leaders) > 0 {
 		w.current().view = w.machine.View().Engines
@@ -98,15 +98,15 @@
 	})
 }
 
-func (w *world) current() *leader { return w.leaders[len(w.leaders)-1] }
+func (w *simulation) current() *leader { return w.leaders[len(w.leaders)-1] }
 
-func (w *world) commit(command state.Command) any {
+func (w *simulation) commit(command state.Command) any {
 	w.index++
 	return w.machine.Apply(w.term, w.index, command)
 }
 
 // round runs one round of the leader, which may be an old one.
-func (w *world) round(l *leader, decisions []planner.Decision) {
+func (w *simulation) round(l *leader, decisions []planner.Decision) {
 	engines := l.view
 	if l == w.current() {
 		engines = w.machine.View().Engines
@@ -114,21 +114,21 @@
 	actions := Reconcile(Input{
 		Now: w.now, Engines: engines, Observations: l.observations, Failures: l.failures,
 		Platform: &w.platform, Machines: l.machines, Decisions: decisions,
-		Silence: testSilence, FailurePause: time.Minute,
+		Silence: testObservationMaxAge, FailurePause: time.Minute,
 	})
 	for _, action := range actions {
-		w.carryOut(l, action)
+		w.execute(l, action)
 	}
 }
 
-func (w *world) carryOut(l *leader, action Action) {
+func (w *simulation) execute(l *leader, action Action) {
 	switch action := action.(type) {
 	case Propose:
 		if l == w.current() {
 			w.propose(l, action.Command)
 		}
 	case Send:
-		w.post(message{leader: l, engine: action.Engine, order: &action.Order})
+		w.enqueue(message{leader: l, engine: action.Engine, order: &action.Order})
 	case Void:
 		l.failures[action.Engine] = Failure{Assignment: action.Order.Assignment, At: w.now}
 		if l != w.current() {
@@ -136,14 +136,14 @@
 		}
 		if result := w.commit(action.Command()).(state.VoidOrderResult); result.Open {
 			request := action.Request(result.Fence)
-			w.post(message{leader: l, engine: action.Engine, void: &request})
+			w.enqueue(message{leader: l, engine: action.Engine, void: &request})
 		}
 	case Query:
-		w.post(message{leader: l, engine: action.Engine})
+		w.enqueue(message{leader: l, engine: action.Engine})
 	}
 }
 
-func (w *world) propose(l *leader, command state.Command) {
+func (w *simulation) propose(l *leader, command state.Command) {
 	result := w.commit(command)
 	switch command.Kind {
 	case state.CommandMachines:
@@ -162,7 +162,7 @@
 // maxMessages bounds the messages on their way; older ones are lost.
 const maxMessages = 64
 
-func (w *world) post(m message) {
+func (w *simulation) enqueue(m message) {
 	m.askedAt = w.now
 	w.messages = append(w.messages, m)
 	if len(w.messages) > maxMessages {
@@ -173,7 +173,7 @@
 // deliver hands a message to its engine; the answer reaches the leader unless
 // it is lost. Rule: an engine never accepts an order but the one that is open
 // for it, whoever sent it and however late it arrives.
-func (w *world) deliver(t failer, m message, loseAnswer bool) {
+func (w *simulation) deliver(t testFailer, m message, loseAnswer bool) {
 	engine := w.engines[m.engine]
 	engine.Step(w.now)
 	if m.leader != w.current() && m.order != nil {
@@ -204,11 +204,11 @@
 }
 
 // failer is the part of a test that reports a broken rule.
-type failer interface {
+type testFailer interface {
 	Fatalf(format string, arguments ...any)
 }
 
-func (w *world) checkAccepted(t failer, order api.Order, reply engineapi.OrderReply, before api.Fence) {
+func (w *simulation) checkAccepted(t testFailer, order api.Order, reply engineapi.OrderReply, before api.Fence) {
 	if reply.Code != engineapi.OrderAccepted || !before.Less(reply.State.Fence) {
 		return
 	}
@@ -224,7 +224,7 @@
 
 // checkOrders holds the committed orders against the engines: an engine that
 // carries an order out carries out the one that is open for it.
-func (w *world) checkOrders(t failer) {
+func (w *simulation) checkOrders(t testFailer) {
 	for name, engine := range w.engines {
 		carried := engine.State().Order
 		committed := w.machine.View().Engines[name].Status.OpenOrder
@@ -234,13 +234,13 @@
 	}
 }
 
-func (w *world) crash(name string) {
+func (w *simulation) crash(name string) {
 	w.incarnation++
 	w.engines[name].Crash(w.now, w.incarnation)
 	w.counts["crashed"]++
 }
 
-func (w *world) advance(by time.Duration) {
+func (w *simulation) advance(by time.Duration) {
 	w.now += by
 	for _, engine := range w.engines {
 		engine.Step(w.now)
@@ -248,19 +248,19 @@
 }
 
 // rewriteIntent changes the wanted version.
-func (w *world) rewriteIntent(version string) {
+func (w *simulation) rewriteIntent(version string) {
 	intent := *w.machine.View().Intents["narrate"]
 	intent.Spec.Version = version
 	w.write(api.Object{Intent: &intent})
 }
 
-func (w *world) rewriteEngine(name string, change func(*api.Engine)) {
+func (w *simulation) rewriteEngine(name string, change func(*api.Engine)) {
 	engine := *w.machine.View().Engines[name]
 	change(&engine)
 	w.write(api.Object{Engine: &engine})
 }
 
-func (w *world) write(object api.Object) {
+func (w *simulation) write(object api.Object) {
 	transaction := &api.Transaction{
 		OperationID: fmt.Sprintf("write-%d", w.index),
 		Writes:      []api.Write{{Object: object}},
@@ -270,7 +270,7 @@
 }
 
 // plan asks for the wanted version in the engine's fixed role.
-func (w *world) plan() []planner.Decision {
+func (w *simulation) plan() []planner.Decision {
 	var decisions []planner.Decision
 	intent := w.machine.View().Intents["narrate"]
 	roles := []api.EngineRole{api.RolePrefill, api.RoleDecode}
@@ -285,7 +285,7 @@
 }
 
 // settle runs without faults until every engine is what the plan asks for.
-func (w *world) settle(t *rapid.T) {
+func (w *simulation) runUntilConverged(t *rapid.T) {
 	w.messages = nil
 	w.rewriteIntent("final")
 	for i := range engineCount {
@@ -299,7 +299,7 @@
 	for range rounds {
 		w.advance(roundInterval)
 		for name := range w.engines {
-			w.post(message{leader: w.current(), engine: name})
+			w.enqueue(message{leader: w.current(), engine: name})
 		}
 		w.round(w.current(), w.plan())
 		for _, m := range w.messages {
@@ -307,14 +307,14 @@
 		}
 		w.messages = nil
 		w.checkOrders(t)
-		if w.settled() {
+		if w.converged() {
 			return
 		}
 	}
 	t.Fatalf("not settled: %+v", w.machine.View().Engines)
 }
 
-func (w *world) settled() bool {
+func (w *simulation) converged() bool {
 	for _, decision := range w.plan() {
 		status := w.machine.View().Engines[decision.Engine].Status
 		actual := w.engines[decision.Engine].State()
--- a/process/raft/cluster_test.go
+++ b/process/raft/cluster_test.go
@@ -22,12 +22,12 @@
 
 // event is something that happens at a virtual time; ties go by number.
 type event struct {
-	at     time.Duration
-	number uint64
-	member *simMember // deferred while this member is paused; nil for the cluster's own
-	life   int        // dropped when the member has crashed since
-	config bool       // carries a configuration entry
-	run    func()
+	at          time.Duration
+	number      uint64
+	member      *simMember // deferred while this member is paused; nil for the cluster's own
+	incarnation int        // dropped when the member has crashed since
+	config      bool       // carries a configuration entry
+	run         func()
 }
 
 type eventQueue []event
@@ -129,7 +129,7 @@
 	return c
 }
 
-func (c *cluster) note(format string, args ...any) {
+func (c *cluster) tracef(format string, args ...any) {
 	line := fmt.Sprintf("%v ", c.now) + fmt.Sprintf(format, args...)
 	c.trace = append(c.trace, line)
 	c.trace = c.trace[max(0, len(c.trace)-60):]
@@ -137,7 +137,7 @@
 
 func (c *cluster) count(kind string, id MemberID) {
 	c.counts[kind]++
-	c.note("%s %d", kind, id)
+	c.tracef("%s %d", kind, id)
 }
 
 func (c *cluster) traceText() string { return strings.Join(c.trace, "\n") }
@@ -200,7 +200,7 @@
 	c.number++
 	e.number = c.number
 	if e.member != nil {
-		e.life = e.member.life
+		e.incarnation = e.member.life
 	}
 	heap.Push(&c.queue, e)
 }
@@ -211,7 +211,7 @@
 		e := heap.Pop(&c.queue).(event)
 		c.now = e.at
 		if m := e.member; m != nil {
-			if !m.up || m.life != e.life {
+			if !m.up || m.life != e.incarnation {
 				continue
 			}
 			if m.pausedUntil > c.now {
@@ -228,13 +228,13 @@
 
 func (c *cluster) tick(m *simMember) {
 	m.node.Tick(c.clock(m))
-	c.pump(m)
+	c.startReady(m)
 	c.schedule(m, simTickInterval, func() { c.tick(m) })
 }
 
 // pump starts on the next Ready: its write takes a while, in which messages are
 // stepped, and the process may die at any point of the work.
-func (c *cluster) pump(m *simMember) {
+func (c *cluster) startReady(m *simMember) {
 	if !m.up || !m.node.HasReady() {
 		return
 	}
@@ -281,7 +281,7 @@
 	}
 	m.node.Advance(ready)
 	c.maybeCompact(m)
-	c.pump(m)
+	c.startReady(m)
 }
 
 func (c *cluster) maybeCompact(m *simMember) {
@@ -348,7 +348,7 @@
 		if err := m.node.Step(c.clock(m), message); err != nil {
 			c.oracle.violation("step", "member %d: %+v: %v", m.id, message, err)
 		}
-		c.pump(m)
+		c.startReady(m)
 	})
 }
 
@@ -371,7 +371,7 @@
 			if _, _, err := m.node.Propose(c.clock(m), fmt.Appendf(nil, "value %d", c.nextValue)); err == nil {
 				c.counts["proposal"]++
 			}
-			c.pump(m)
+			c.startReady(m)
 		}
 	}
 }
--- a/process/raft/codec.go
+++ b/process/raft/codec.go
@@ -24,8 +24,8 @@
 	flagReject uint8 = 1 << iota
 	flagTransfer
 	flagSnapshot
-	flagUnled
-	flagsKnown = flagReject | flagTransfer | flagSnapshot | flagUnled
+	flagUnanimous
+	flagsKnown = flagReject | flagTransfer | flagSnapshot | flagUnanimous
 )
 
 // messageHeader is the fixed part of an encoded Message.
@@ -115,8 +115,8 @@
 	if m.Transfer {
 		header.Flags |= flagTransfer
 	}
-	if m.Unled {
-		header.Flags |= flagUnled
+	if m.Unanimous {
+		header.Flags |= flagUnanimous
 	}
 	if m.Snapshot != nil {
 		header.Flags |= flagSnapshot
@@ -300,7 +300,7 @@
 		Reject:     header.Flags&flagReject != 0,
 		RejectHint: header.RejectHint,
 		Transfer:   header.Flags&flagTransfer != 0,
-		Unled:      header.Flags&flagUnled != 0,
+		Unanimous:  header.Flags&flagUnanimous != 0,
 		Sequence:   header.Sequence,
 	}
 	if count := d.count(header.EntryCount, entryHeaderSize); count > 0 {
--- a/process/raft/codec_test.go
+++ b/process/raft/codec_test.go
@@ -11,7 +11,7 @@
 	return []Message{
 		{Kind: MessagePreVote, From: 1, To: 2, Term: 3, Index: 4, LogTerm: 2},
 		{Kind: MessageVote, From: 1, To: 2, Term: 3, Transfer: true},
-		{Kind: MessagePreVoteReply, From: 1, To: 2, Term: 3, Unled: true},
+		{Kind: MessagePreVoteReply, From: 1, To: 2, Term: 3, Unanimous: true},
 		{Kind: MessageAppend, From: 1, To: 2, Term: 3, Index: 1, LogTerm: 1, Commit: 1, Entries: []Entry{
 			{Term: 2, Index: 2, Kind: EntryCommand, Data: []byte("command")},
 			{Term: 3, Index: 3, Kind: EntryEmpty},
@@ -24,7 +24,7 @@
 	}
 }
 
-func TestMessagesSurviveTheCodec(t *testing.T) {
+func TestMessageEncodingRoundTrip(t *testing.T) {
 	for _, message := range sampleMessages() {
 		encoded := message.AppendBinary([]byte("prefix"))[len("prefix"):]
 		decoded, err := DecodeMessage(encoded)
@@ -44,7 +44,7 @@
 }
 
 // TestHugeCountsAllocateNothing states counts that the bytes can't hold.
-func TestHugeCountsAllocateNothing(t *testing.T) {
+func TestOversizedCountsDoNotAllocate(t *testing.T) {
 	configuration := []byte{0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff}
 	entry := Entry{}.AppendBinary(nil)
 	copy(entry[entryHeaderSize-4:], configuration[:4])
--- a/process/raft/configuration.go
+++ b/process/raft/configuration.go
@@ -17,7 +17,7 @@
 }
 
 // blank tells whether c names no voter: nobody has told the member of a group yet.
-func (c Configuration) blank() bool {
+func (c Configuration) isEmpty() bool {
 	return len(c.Voters) == 0
 }
 
@@ -44,7 +44,7 @@
 
 // with returns c after change. It checks that the change fits c, not that the
 // moment is right for it.
-func (c Configuration) with(change ConfigurationChange) (Configuration, error) {
+func (c Configuration) withChange(change ConfigurationChange) (Configuration, error) {
 	next := c.clone()
 	switch change.Kind {
 	case ChangeAddLearner:
@@ -59,15 +59,15 @@
 		if c.isVoter(change.Member) {
 			return c, errors.Wrapf(ErrInvalidChange, "member %d votes already", change.Member)
 		}
-		next.Learners = without(next.Learners, change.Member)
+		next.Learners = withoutMember(next.Learners, change.Member)
 		next.Voters = append(next.Voters, change.Member)
 	case ChangeRemove:
 		if !c.contains(change.Member) {
 			return c, errors.Wrapf(ErrUnknownMember, "%d", change.Member)
 		}
-		next.Learners = without(next.Learners, change.Member)
-		next.Voters = without(next.Voters, change.Member)
-		if next.blank() {
+		next.Learners = withoutMember(next.Learners, change.Member)
+		next.Voters = withoutMember(next.Voters, change.Member)
+		if next.isEmpty() {
 			return c, ErrLastVoter
 		}
 	default:
@@ -78,7 +78,7 @@
 	return next, nil
 }
 
-func without(members []MemberID, member MemberID) []MemberID {
+func withoutMember(members []MemberID, member MemberID) []MemberID {
 	return slices.DeleteFunc(members, func(other MemberID) bool { return other == member })
 }
 
--- a/process/raft/election.go
+++ b/process/raft/election.go
@@ -18,14 +18,14 @@
 
 // refreshRole adapts the role to a configuration that was appended, replaced or
 // committed.
-func (n *Node) refreshRole() {
+func (n *Node) updateRole() {
 	promotable := n.promotable()
 	switch {
 	case n.role == Leader:
 		return
 	case !promotable:
 		n.role = Learner
-		n.ballots = nil
+		n.voteReplies = nil
 	case n.role == Learner:
 		n.role = Follower
 		n.resetElectionDeadline()
@@ -34,20 +34,22 @@
 
 // leaseGuarded tells whether a vote could break a lease: the member leads, or
 // has within an election timeout heard from a leader or started.
-func (n *Node) leaseGuarded() bool {
+func (n *Node) leaseMayBeHeld() bool {
 	return n.role == Leader || n.now < n.leaderContact+n.config.ElectionTimeout
 }
 
 // isUnled tells whether the member is guarded by its start alone: it may have promised a
 // lease just before, to whom it does not know, and has heard of no leader since.
-func (n *Node) isUnled() bool { return n.leaseGuarded() && n.role != Leader && !n.heardLeader }
+func (n *Node) leaseMayPredateStart() bool {
+	return n.leaseMayBeHeld() && n.role != Leader && !n.heardLeader
+}
 
 // Parts of an election timeout after which a member that is unled asks for votes: at
 // least one in unledLeast, and up to one in unledSpread more: some 200 ms of spread, where
 // an election takes 10, keep two from asking at once four times in five.
 const (
-	unledLeast  = 16
-	unledSpread = 2
+	restartMinDelayDivisor    = 16
+	restartDelaySpreadDivisor = 2
 )
 
 // resetElectionDeadline waits for between one and two election timeouts from now, and
@@ -55,8 +57,8 @@
 func (n *Node) resetElectionDeadline() {
 	timeout := n.config.ElectionTimeout
 	least, spread := timeout, timeout
-	if n.isUnled() {
-		least, spread = timeout/unledLeast, timeout/unledSpread
+	if n.leaseMayPredateStart() {
+		least, spread = timeout/restartMinDelayDivisor, timeout/restartDelaySpreadDivisor
 	}
 	n.electionDeadline = n.now + least + time.Duration(n.random.Int64N(int64(max(spread, 1))))
 }
@@ -69,14 +71,14 @@
 		n.vote = None
 	}
 	wasActive := n.role == Leader || n.role == PreCandidate || n.role == Candidate
-	n.dropLeadership()
-	n.ballots = nil
+	n.endLeadership()
+	n.voteReplies = nil
 	n.leaderID = leader
 	n.role = Follower
 	if wasActive {
 		n.resetElectionDeadline()
 	}
-	n.refreshRole()
+	n.updateRole()
 }
 
 // followLeader records that the term's leader was heard.
@@ -95,9 +97,9 @@
 	n.role = PreCandidate
 	n.leaderID = None
 	n.resetElectionDeadline()
-	n.ballots = map[MemberID]bool{n.config.ID: true}
-	n.unledVoters = map[MemberID]bool{}
-	if n.electionWon() {
+	n.voteReplies = map[MemberID]bool{n.config.ID: true}
+	n.unanimousGrants = map[MemberID]bool{}
+	if n.electionIsWon() {
 		n.startElection(electionByQuorum)
 		return
 	}
@@ -119,7 +121,7 @@
 	// Invariant: no lease is broken by it. Whoever holds a lease is a voter of the
 	// latest configuration or of the committed one, so it has voted as well, and a
 	// leader that votes in a later term leads no more.
-	electionByAll
+	electionUnanimous
 )
 
 // startElection raises the term and asks for votes in it. The member's own vote
@@ -131,8 +133,8 @@
 	n.vote = n.config.ID
 	n.leaderID = None
 	n.resetElectionDeadline()
-	n.ballots = map[MemberID]bool{n.config.ID: true}
-	if n.electionWon() {
+	n.voteReplies = map[MemberID]bool{n.config.ID: true}
+	if n.electionIsWon() {
 		n.becomeLeader()
 		return
 	}
@@ -143,11 +145,11 @@
 // that it heard last. Answers to further rounds of the same question add up, so that one
 // can be won where an answer takes longer than a round; once a leader was heard, what
 // others said before is out of date.
-func (n *Node) preVoteQuestion() uint64 { return uint64(n.leaderContact) }
+func (n *Node) preVoteID() uint64 { return uint64(n.leaderContact) }
 
 func (n *Node) requestVotes(kind MessageKind, term uint64, election electionKind) {
 	voters := n.configurations.latest().configuration.Voters
-	if kind == MessagePreVote || election == electionByAll {
+	if kind == MessagePreVote || election == electionUnanimous {
 		voters = n.allVoters()
 	}
 	for _, voter := range voters {
@@ -155,16 +157,16 @@
 			continue
 		}
 		request := Message{
-			Kind:     kind,
-			To:       voter,
-			Term:     term,
-			Index:    n.log.lastIndex(),
-			LogTerm:  n.log.lastTerm(),
-			Transfer: election == electionByTransfer,
-			Unled:    election == electionByAll,
+			Kind:      kind,
+			To:        voter,
+			Term:      term,
+			Index:     n.log.lastIndex(),
+			LogTerm:   n.log.lastTerm(),
+			Transfer:  election == electionByTransfer,
+			Unanimous: election == electionUnanimous,
 		}
 		if kind == MessagePreVote {
-			request.Sequence = n.preVoteQuestion()
+			request.Sequence = n.preVoteID()
 		}
 		n.send(request)
 	}
@@ -183,9 +185,9 @@
 }
 
 // countBallots counts the answers of the latest configuration's voters.
-func (n *Node) countBallots() (granted, refused int) {
+func (n *Node) countVotes() (granted, refused int) {
 	for _, voter := range n.configurations.latest().configuration.Voters {
-		answer, answered := n.ballots[voter]
+		answer, answered := n.voteReplies[voter]
 		switch {
 		case answered && answer:
 			granted++
@@ -200,16 +202,16 @@
 	return len(n.configurations.latest().configuration.Voters)/2 + 1
 }
 
-func (n *Node) electionWon() bool {
-	if n.role == Candidate && n.election == electionByAll {
-		return n.allGrant(n.ballots)
+func (n *Node) electionIsWon() bool {
+	if n.role == Candidate && n.election == electionUnanimous {
+		return n.grantedByAll(n.voteReplies)
 	}
-	granted, _ := n.countBallots()
+	granted, _ := n.countVotes()
 	return granted >= n.quorum()
 }
 
 // allGrant tells whether each voter has granted its vote, in one of the counts.
-func (n *Node) allGrant(counts ...map[MemberID]bool) bool {
+func (n *Node) grantedByAll(counts ...map[MemberID]bool) bool {
 	for _, voter := range n.allVoters() {
 		if !slices.ContainsFunc(counts, func(count map[MemberID]bool) bool { return count[voter] }) {
 			return false
@@ -219,8 +221,8 @@
 }
 
 // electionLost tells whether the voters that are left can't make a quorum.
-func (n *Node) electionLost() bool {
-	_, refused := n.countBallots()
+func (n *Node) electionIsLost() bool {
+	_, refused := n.countVotes()
 	return len(n.configurations.latest().configuration.Voters)-refused < n.quorum()
 }
 
@@ -229,16 +231,16 @@
 // when asked, because a candidate counts it only where its promotion is already
 // in the candidate's log, and then its vote may be the one that is needed.
 func (n *Node) mayVote() bool {
-	return !n.configurations.latest().configuration.blank()
+	return !n.configurations.latest().configuration.isEmpty()
 }
 
 func (n *Node) handlePreVote(m Message) {
 	if !n.mayVote() {
 		return
 	}
-	granted := m.Term > n.term && (!n.leaseGuarded() || n.isUnled()) && n.log.upToDate(m.LogTerm, m.Index)
+	granted := m.Term > n.term && (!n.leaseMayBeHeld() || n.leaseMayPredateStart()) && n.log.upToDate(m.LogTerm, m.Index)
 	if granted {
-		n.send(Message{Kind: MessagePreVoteReply, To: m.From, Term: m.Term, Sequence: m.Sequence, Unled: n.isUnled()})
+		n.send(Message{Kind: MessagePreVoteReply, To: m.From, Term: m.Term, Sequence: m.Sequence, Unanimous: n.leaseMayPredateStart()})
 		return
 	}
 	n.send(Message{Kind: MessagePreVoteReply, To: m.From, Sequence: m.Sequence, Reject: true})
@@ -252,30 +254,30 @@
 		return
 	}
 	// Members of an earlier version do not repeat the question.
-	if m.Sequence != 0 && m.Sequence != n.preVoteQuestion() {
+	if m.Sequence != 0 && m.Sequence != n.preVoteID() {
 		return
 	}
-	if m.Unled {
-		n.unledVoters[m.From] = true
+	if m.Unanimous {
+		n.unanimousGrants[m.From] = true
 	} else {
-		n.ballots[m.From] = !m.Reject
+		n.voteReplies[m.From] = !m.Reject
 	}
 	switch {
-	case n.electionWon():
+	case n.electionIsWon():
 		n.startElection(electionByQuorum)
-	case n.allGrant(n.ballots, n.unledVoters):
-		n.startElection(electionByAll)
-	case n.electionLost():
+	case n.grantedByAll(n.voteReplies, n.unanimousGrants):
+		n.startElection(electionUnanimous)
+	case n.electionIsLost():
 		n.becomeFollower(n.term, None)
 	}
 }
 
 // guardedFrom tells whether a vote for the candidate could break a lease.
-func (n *Node) guardedFrom(m Message) bool {
-	if m.Transfer || m.Unled && n.isUnled() {
+func (n *Node) voteMayBreakLease(m Message) bool {
+	if m.Transfer || m.Unanimous && n.leaseMayPredateStart() {
 		return false
 	}
-	return n.leaseGuarded()
+	return n.leaseMayBeHeld()
 }
 
 // handleVote grants at most one vote a term. The vote is part of the HardState
@@ -285,7 +287,7 @@
 		return
 	}
 	free := n.vote == m.From || (n.vote == None && n.leaderID == None)
-	granted := free && !n.guardedFrom(m) && n.log.upToDate(m.LogTerm, m.Index)
+	granted := free && !n.voteMayBreakLease(m) && n.log.upToDate(m.LogTerm, m.Index)
 	if granted {
 		n.vote = m.From
 		n.resetElectionDeadline()
@@ -297,11 +299,11 @@
 	if n.role != Candidate {
 		return
 	}
-	n.ballots[m.From] = !m.Reject
+	n.voteReplies[m.From] = !m.Reject
 	switch {
-	case n.electionWon():
+	case n.electionIsWon():
 		n.becomeLeader()
-	case n.electionLost(), n.election == electionByAll && m.Reject:
+	case n.electionIsLost(), n.election == electionUnanimous && m.Reject:
 		n.becomeFollower(n.term, None)
 	}
 }
--- a/process/raft/election_test.go
+++ b/process/raft/election_test.go
@@ -77,7 +77,7 @@
 
 // A member may learn of a higher term by other messages than a vote request. The
 // lease that it promised to the leader before still binds it in that term.
-func TestLeaseBindsAlsoAfterTheTermHasRisen(t *testing.T) {
+func TestLeaseHoldsAfterTermIncrease(t *testing.T) {
 	node, err := New(testConfig(1), InitialState{Configuration: voters(1, 2, 3)})
 	must.NoError(t, err)
 	contact := 3 * simElectionTimeout
@@ -101,7 +101,7 @@
 		must.NoError(t, node.Step(now, request))
 		replies, _ := drain(node)
 		must.False(t, replies[0].Reject)
-		must.Eq(t, now < simElectionTimeout, replies[0].Unled, must.Sprint("its start binds it against all but a vote of all voters"))
+		must.Eq(t, now < simElectionTimeout, replies[0].Unanimous, must.Sprint("its start binds it against all but a vote of all voters"))
 		must.Eq(t, HardState{}, node.hardState())
 	}
 	must.NoError(t, node.Step(simElectionTimeout, Message{Kind: MessageHeartbeat, From: 3, To: 1, Term: 1}))
@@ -110,13 +110,13 @@
 	must.NoError(t, node.Step(2*simElectionTimeout-1, request))
 	replies, _ := drain(node)
 	must.True(t, replies[0].Reject, must.Sprint("a leader that was heard binds it against any"))
-	must.False(t, replies[0].Unled)
+	must.False(t, replies[0].Unanimous)
 }
 
 // Asked before a leader was heard, a voter may have said that it would vote. It has heard
 // that leader by now, perhaps, and its answer raises no term against it. Members of an
 // earlier version do not say to which question they answer; theirs count as before.
-func TestPreVoteFromBeforeALeaderWasHeardDoesNotCount(t *testing.T) {
+func TestPreVoteReplyFromBeforeLeaderContactIsIgnored(t *testing.T) {
 	for name, test := range map[string]struct {
 		answers func(asked Message) uint64
 		want    Role
@@ -155,7 +155,7 @@
 }
 
 // A voter repeats which question it answers, however it answers.
-func TestPreVoteReplyNamesItsQuestion(t *testing.T) {
+func TestPreVoteReplyEchoesSequence(t *testing.T) {
 	node, err := New(testConfig(1), InitialState{HardState: HardState{Term: 2}, Configuration: voters(1, 2, 3)})
 	must.NoError(t, err)
 	node.Tick(0)
@@ -185,20 +185,20 @@
 	}
 }
 
-func TestRefusedPreVoteOfTermZeroIsTaken(t *testing.T) {
+func TestRejectedPreVoteOfTermZeroIsAccepted(t *testing.T) {
 	node, err := New(testConfig(1), InitialState{Configuration: voters(1, 2, 3)})
 	must.NoError(t, err)
 	must.NoError(t, node.Step(0, Message{Kind: MessagePreVoteReply, From: 2, To: 1, Reject: true}))
 }
 
-func TestMemberThatWasCutOffDisturbsNobody(t *testing.T) {
+func TestReconnectedMemberDoesNotDisruptLeader(t *testing.T) {
 	g := newGroup(t, 3)
 	g.isolate(3)
-	g.pass(10 * simElectionTimeout)
+	g.advanceTime(10 * simElectionTimeout)
 	must.Eq(t, PreCandidate, g.nodes[3].role)
 	must.Eq(t, 1, g.nodes[3].term)
-	g.keep = nil
-	g.pass(3 * simElectionTimeout)
+	g.filter = nil
+	g.advanceTime(3 * simElectionTimeout)
 	must.Eq(t, Status{ID: 3, Term: 1, Leader: 1, Commit: 1, Applied: 1, LastIndex: 1, Configuration: voters(1, 2, 3)}, g.nodes[3].Status())
 }
 
@@ -206,14 +206,14 @@
 // is told by who was active within an election timeout. A leader that was held up itself,
 // for its disk or by the machine, must not keep the old one active for longer: the new one
 // would pass for the one that was replaced, and be removed.
-func TestStallOfALeaderKeepsNobodyActive(t *testing.T) {
+func TestLeaderStallDoesNotExtendMemberActivity(t *testing.T) {
 	g := newGroup(t, 3)
-	g.pass(simHeartbeatInterval)
+	g.advanceTime(simHeartbeatInterval)
 	g.isolate(3)
 	g.now += simElectionTimeout - 2*simHeartbeatInterval
 	g.nodes[1].Tick(g.now)
-	g.settle()
-	g.pass(3 * simHeartbeatInterval)
+	g.deliverAll()
+	g.advanceTime(3 * simHeartbeatInterval)
 	must.Eq(t, Leader, g.nodes[1].role)
 	active := g.nodes[1].Status().RecentlyActive
 	must.True(t, active[2])
@@ -229,7 +229,7 @@
 	must.Eq(t, Follower, g.nodes[1].role)
 }
 
-func TestOutdatedLeaderIsTold(t *testing.T) {
+func TestOutdatedLeaderLearnsNewTerm(t *testing.T) {
 	g := newGroup(t, 3)
 	node := g.nodes[1]
 	must.NoError(t, node.Step(g.now, Message{Kind: MessageHeartbeatReply, From: 2, To: 1, Term: 5, Reject: true}))
@@ -243,14 +243,14 @@
 	g := newGroup(t, 3)
 	must.ErrorIs(t, g.nodes[2].TransferLeadership(g.now, 1), ErrNotLeader)
 	must.ErrorIs(t, g.nodes[1].TransferLeadership(g.now, 9), ErrUnknownMember)
-	g.pass(simHeartbeatInterval)
+	g.advanceTime(simHeartbeatInterval)
 	must.True(t, g.nodes[1].LeaseValid(g.now))
 	must.NoError(t, g.nodes[1].TransferLeadership(g.now, 2))
 	must.False(t, g.nodes[1].LeaseValid(g.now))
 	must.ErrorIs(t, g.nodes[1].TransferLeadership(g.now, 3), ErrTransferPending)
 	_, _, err := g.nodes[1].Propose(g.now, nil)
 	must.ErrorIs(t, err, ErrTransferPending)
-	g.settle()
+	g.deliverAll()
 	must.Eq(t, Leader, g.nodes[2].role)
 	must.Eq(t, 2, g.nodes[1].leaderID)
 }
@@ -274,7 +274,7 @@
 			for range 5 {
 				g.now += simHeartbeatInterval
 				g.nodes[1].Tick(g.now)
-				g.settle()
+				g.deliverAll()
 			}
 			must.Eq(t, c.role, g.nodes[1].role)
 			must.Eq(t, c.role == Leader, g.nodes[1].LeaseValid(g.now))
@@ -300,7 +300,7 @@
 		for _, id := range g.ids {
 			g.nodes[id].Tick(g.now)
 		}
-		g.settle()
+		g.deliverAll()
 		for _, id := range g.ids {
 			if g.nodes[id].role == Leader {
 				return id, g.now - start
@@ -312,10 +312,10 @@
 
 // After a stop of the whole group nobody can hold a lease, and all say so: the
 // election timeout that each would wait by itself is not waited for.
-func TestGroupThatWasStoppedIsLedAgainAtOnce(t *testing.T) {
+func TestRestartedGroupElectsLeaderWithoutElectionTimeout(t *testing.T) {
 	g := newGroup(t, 5)
 	g.propose("before the stop")
-	g.settle()
+	g.deliverAll()
 	for _, id := range g.ids {
 		g.restart(id, voters(1, 2, 3, 4, 5))
 	}
@@ -325,7 +325,7 @@
 }
 
 // One voter that says nothing may hold a lease: then the others wait it out.
-func TestSilentVoterIsWaitedFor(t *testing.T) {
+func TestElectionWaitsForLeaseOfSilentVoter(t *testing.T) {
 	g := newGroup(t, 5)
 	g.isolate(1)
 	for _, id := range []MemberID{2, 3, 4, 5} {
@@ -337,7 +337,7 @@
 		for _, id := range []MemberID{2, 3, 4, 5} {
 			g.nodes[id].Tick(g.now)
 		}
-		g.settle()
+		g.deliverAll()
 		for _, id := range []MemberID{2, 3, 4, 5} {
 			must.NotEq(t, Leader, g.nodes[id].role)
 		}
@@ -349,7 +349,7 @@
 			for _, other := range []MemberID{2, 3, 4, 5} {
 				g.nodes[other].Tick(g.now)
 			}
-			g.settle()
+			g.deliverAll()
 			must.NotEq(t, Leader, g.nodes[id].role, must.Sprint("not before an election timeout has passed"))
 		}
 	}
@@ -357,7 +357,7 @@
 
 // A leader that is there keeps its lease, however many of the others have restarted:
 // it gives no vote, and an election of all needs it.
-func TestElectionOfAllBreaksNoLease(t *testing.T) {
+func TestUnanimousElectionPreservesLease(t *testing.T) {
 	g := newGroup(t, 5)
 	for _, id := range []MemberID{2, 3, 4, 5} {
 		g.restart(id, voters(1, 2, 3, 4, 5))
@@ -367,7 +367,7 @@
 		g.nodes[id].electionDeadline = g.now
 		g.nodes[id].Tick(g.now)
 	}
-	g.settle()
+	g.deliverAll()
 	must.Eq(t, Leader, g.nodes[1].role)
 	must.Eq(t, 1, g.nodes[1].term)
 	for _, id := range []MemberID{2, 3, 4, 5} {
@@ -377,7 +377,7 @@
 
 // A quorum's votes are not enough where the voters' starts alone would have kept them
 // from voting: one of the others may hold a lease that it was asked too late to give up.
-func TestElectionOfAllWantsAllVotes(t *testing.T) {
+func TestUnanimousElectionNeedsAllVotes(t *testing.T) {
 	node, err := New(testConfig(1), InitialState{Configuration: voters(1, 2, 3)})
 	must.NoError(t, err)
 	node.Tick(0)
@@ -385,7 +385,7 @@
 	node.Tick(0)
 	for _, from := range []MemberID{2, 3} {
 		must.Eq(t, PreCandidate, node.role)
-		must.NoError(t, node.Step(0, Message{Kind: MessagePreVoteReply, From: from, To: 1, Term: 1, Unled: true}))
+		must.NoError(t, node.Step(0, Message{Kind: MessagePreVoteReply, From: from, To: 1, Term: 1, Unanimous: true}))
 	}
 	must.Eq(t, Candidate, node.role)
 	must.NoError(t, node.Step(0, Message{Kind: MessageVoteReply, From: 2, To: 1, Term: 1}))
--- a/process/raft/harness_test.go
+++ b/process/raft/harness_test.go
@@ -22,13 +22,13 @@
 // group is members whose messages are delivered at once, in order, unless keep
 // says otherwise; its clock moves only by hand.
 type group struct {
-	t     testing.TB
-	now   time.Duration
-	nodes map[MemberID]*Node
-	ids   []MemberID
-	keep  func(Message) bool // nil delivers everything
-	seen  []Message
-	reads []ReadState
+	t      testing.TB
+	now    time.Duration
+	nodes  map[MemberID]*Node
+	ids    []MemberID
+	filter func(Message) bool // nil delivers everything
+	seen   []Message
+	reads  []ReadState
 }
 
 // newGroup starts count voters, of which member 1 leads, and one blank member.
@@ -55,7 +55,7 @@
 	}
 	g.now = 2 * simElectionTimeout
 	g.nodes[1].Tick(g.now)
-	g.settle()
+	g.deliverAll()
 	must.Eq(t, Leader, g.nodes[1].role)
 	must.True(t, g.nodes[1].committedInTerm())
 	return g
@@ -73,7 +73,7 @@
 }
 
 // settle delivers messages until nobody has anything to say.
-func (g *group) settle() {
+func (g *group) deliverAll() {
 	for busy := true; busy; {
 		busy = false
 		for _, id := range g.ids {
@@ -82,7 +82,7 @@
 			for _, message := range messages {
 				busy = true
 				g.seen = append(g.seen, message)
-				if g.keep == nil || g.keep(message) {
+				if g.filter == nil || g.filter(message) {
 					must.NoError(g.t, g.nodes[message.To].Step(g.now, message))
 				}
 			}
@@ -91,13 +91,13 @@
 }
 
 // pass lets time go by in heartbeats that all members notice.
-func (g *group) pass(length time.Duration) {
+func (g *group) advanceTime(length time.Duration) {
 	for end := g.now + length; g.now < end; {
 		g.now += simHeartbeatInterval
 		for _, id := range g.ids {
 			g.nodes[id].Tick(g.now)
 		}
-		g.settle()
+		g.deliverAll()
 	}
 }
 
@@ -113,7 +113,7 @@
 
 // isolate loses all messages from and to the members.
 func (g *group) isolate(ids ...MemberID) {
-	g.keep = func(m Message) bool { return !slices.Contains(ids, m.From) && !slices.Contains(ids, m.To) }
+	g.filter = func(m Message) bool { return !slices.Contains(ids, m.From) && !slices.Contains(ids, m.To) }
 }
 
 // sent counts the messages of a kind since the last call.
--- a/process/raft/leadership.go
+++ b/process/raft/leadership.go
@@ -30,7 +30,7 @@
 	n.role = Leader
 	n.heardLeader = true
 	n.leaderID = n.config.ID
-	n.ballots = nil
+	n.voteReplies = nil
 	n.leadership = &leadership{
 		progress:     make(map[MemberID]*progress),
 		heartbeatDue: true,
@@ -39,12 +39,12 @@
 	for _, entry := range n.log.slice(n.log.committed, n.log.lastIndex()) {
 		n.leadership.uncommittedBytes += entry.size()
 	}
-	n.refreshMembers()
-	n.leadership.firstIndex = n.appendOwn(EntryEmpty, nil)
+	n.updateTrackedMembers()
+	n.leadership.firstIndex = n.appendAsLeader(EntryEmpty, nil)
 }
 
 // dropLeadership ends the member's own leadership, if there is one.
-func (n *Node) dropLeadership() {
+func (n *Node) endLeadership() {
 	if n.leadership == nil {
 		return
 	}
@@ -57,7 +57,7 @@
 // refreshMembers makes progress track the members of the latest configuration
 // and, until that is committed, of the one before: a removed member is still
 // sent its removal.
-func (n *Node) refreshMembers() {
+func (n *Node) updateTrackedMembers() {
 	lead := n.leadership
 	wanted := n.configurations.latest().configuration.members()
 	for _, member := range n.configurations.at(n.log.committed).members() {
@@ -65,7 +65,7 @@
 			wanted = append(wanted, member)
 		}
 	}
-	wanted = without(wanted, n.config.ID)
+	wanted = withoutMember(wanted, n.config.ID)
 	slices.Sort(wanted)
 	for _, member := range lead.members {
 		if !slices.Contains(wanted, member) {
@@ -117,7 +117,7 @@
 
 // reachedByQuorum returns the highest value that a quorum of voters has reached;
 // own is the leader's, which counts only while it votes.
-func reachedByQuorum[T uint64 | time.Duration](n *Node, own T, of func(*progress) T) T {
+func quorumValue[T uint64 | time.Duration](n *Node, own T, of func(*progress) T) T {
 	voters := n.configurations.latest().configuration.Voters
 	values := make([]T, 0, len(voters))
 	for _, voter := range voters {
--- a/process/raft/lease.go
+++ b/process/raft/lease.go
@@ -22,7 +22,7 @@
 	lead.heartbeatDue = false
 	lead.nextHeartbeat = n.now + n.config.HeartbeatInterval
 	lead.sequence++
-	n.forgetOldRounds()
+	n.dropExpiredRounds()
 	lead.rounds = append(lead.rounds, heartbeatRound{lead.sequence, n.now, n.log.committed})
 	for _, member := range lead.members {
 		n.send(Message{
@@ -32,11 +32,11 @@
 			Sequence: lead.sequence,
 		})
 	}
-	n.releaseReads()
+	n.completeReads()
 }
 
 // forgetOldRounds drops rounds whose answers can't extend the lease any more.
-func (n *Node) forgetOldRounds() {
+func (n *Node) dropExpiredRounds() {
 	rounds := n.leadership.rounds
 	for len(rounds) > 0 && rounds[0].sentAt+n.config.ElectionTimeout <= n.now {
 		rounds = rounds[1:]
@@ -55,18 +55,18 @@
 	if p == nil || m.Sequence > n.leadership.sequence {
 		return
 	}
-	p.heartbeatAnswered(n.log.lastIndex(), n.config.MaxInflight)
+	p.recordHeartbeatReply(n.log.lastIndex(), n.config.MaxInflight)
 	n.leadership.appendsDue = true
 	if m.Sequence > p.ackedSequence {
 		p.ackedSequence = m.Sequence
-		n.dateAnswer(p)
-		n.releaseReads()
+		n.recordAckedRound(p)
+		n.completeReads()
 	}
 	n.continueTransfer(m.From)
 }
 
 // dateAnswer looks up when the round was sent that p answered last.
-func (n *Node) dateAnswer(p *progress) {
+func (n *Node) recordAckedRound(p *progress) {
 	for _, round := range n.leadership.rounds {
 		if round.sequence == p.ackedSequence {
 			p.ackedSentAt = round.sentAt
@@ -85,7 +85,7 @@
 		return false
 	}
 	now = max(now, n.now)
-	sentAt := reachedByQuorum(n, now, func(p *progress) time.Duration {
+	sentAt := quorumValue(n, now, func(p *progress) time.Duration {
 		if p.ackedSequence == 0 {
 			return -n.config.LeaseDuration
 		}
@@ -99,7 +99,7 @@
 // this call. When leadership is lost before, the requestID comes back in
 // Ready.AbortedReads. The error is ErrNotLeader.
 func (n *Node) ReadIndex(now time.Duration, requestID uint64) error {
-	n.observe(now)
+	n.advanceClock(now)
 	if n.role != Leader {
 		return ErrNotLeader
 	}
@@ -114,12 +114,12 @@
 
 // releaseReads answers the reads whose round a quorum has answered, once the
 // leader knows what earlier terms have committed.
-func (n *Node) releaseReads() {
+func (n *Node) completeReads() {
 	lead := n.leadership
 	if len(lead.reads) == 0 || !n.committedInTerm() {
 		return
 	}
-	answered := reachedByQuorum(n, lead.sequence, func(p *progress) uint64 { return p.ackedSequence })
+	answered := quorumValue(n, lead.sequence, func(p *progress) uint64 { return p.ackedSequence })
 	for len(lead.reads) > 0 && lead.reads[0].sequence <= answered {
 		n.readStates = append(n.readStates, ReadState{RequestID: lead.reads[0].requestID, Index: n.log.committed})
 		lead.reads = lead.reads[1:]
--- a/process/raft/lease_test.go
+++ b/process/raft/lease_test.go
@@ -30,7 +30,7 @@
 		must.True(t, leader.LeaseValid(g.now))
 		g.now += simHeartbeatInterval
 		leader.Tick(g.now)
-		g.settle()
+		g.deliverAll()
 	}
 	must.False(t, leader.LeaseValid(g.now), must.Sprint("two of five"))
 
@@ -73,10 +73,10 @@
 
 // TestLeaseOutlivesRestartOfFollower restarts the follower that made the lease's
 // quorum; the other one, which never heard of the lease, must not win with it.
-func TestLeaseOutlivesRestartOfFollower(t *testing.T) {
+func TestLeaseSurvivesFollowerRestart(t *testing.T) {
 	g := newGroup(t, 3)
 	g.isolate(3)
-	g.pass(2 * simElectionTimeout)
+	g.advanceTime(2 * simElectionTimeout)
 	must.True(t, g.nodes[1].LeaseValid(g.now))
 	restarted, err := New(testConfig(2), InitialState{
 		HardState: g.nodes[2].hardState(), Entries: g.nodes[2].log.entries, Configuration: voters(1, 2, 3),
@@ -88,7 +88,7 @@
 	g.nodes[2].Tick(g.now)
 	g.nodes[3].electionDeadline = g.now
 	g.nodes[3].Tick(g.now)
-	g.settle()
+	g.deliverAll()
 	must.True(t, g.nodes[1].LeaseValid(g.now))
 	must.NotEq(t, Leader, g.nodes[3].role)
 }
@@ -96,10 +96,10 @@
 // A leader whose machine was suspended wakes with nothing but its clock to tell it so: at
 // the first reading it has no lease, before any other work, and it leads no more once it
 // has looked. A voter that wakes still owes its promise to whoever it hears from then on.
-func TestSuspendedLeaderWakesWithoutALease(t *testing.T) {
+func TestResumedLeaderHasNoLease(t *testing.T) {
 	g := newGroup(t, 3)
 	leader := g.nodes[1]
-	g.pass(2 * simHeartbeatInterval)
+	g.advanceTime(2 * simHeartbeatInterval)
 	must.True(t, leader.LeaseValid(g.now))
 	woken := g.now + 10*simElectionTimeout
 	must.False(t, leader.LeaseValid(woken))
--- a/process/raft/log.go
+++ b/process/raft/log.go
@@ -26,7 +26,7 @@
 	committed uint64
 	applied   uint64 // applied by the caller, as told by Advance
 	persisted uint64 // synced by the caller, as told by Advance
-	handed    uint64 // handed to the caller for persisting
+	emitted   uint64 // handed to the caller for persisting
 }
 
 // newEntryLog returns a log as read from disk, all of it persisted.
@@ -40,7 +40,7 @@
 		applied:   snapshot.Index,
 	}
 	log.persisted = log.lastIndex()
-	log.handed = log.lastIndex()
+	log.emitted = log.lastIndex()
 	return log
 }
 
@@ -120,7 +120,7 @@
 	}
 	l.entries = append(l.entries, entries...)
 	l.persisted = min(l.persisted, kept)
-	l.handed = min(l.handed, kept)
+	l.emitted = min(l.emitted, kept)
 }
 
 // firstConflict returns the position in entries of the first one that the log
@@ -157,13 +157,13 @@
 }
 
 // unhanded returns the entries that the caller was not asked to persist yet.
-func (l *entryLog) unhanded() []Entry {
-	return l.slice(l.handed, l.lastIndex())
+func (l *entryLog) entriesToPersist() []Entry {
+	return l.slice(l.emitted, l.lastIndex())
 }
 
 // unapplied returns the committed entries that the caller has not applied;
 // none while a snapshot is being installed.
-func (l *entryLog) unapplied() []Entry {
+func (l *entryLog) entriesToApply() []Entry {
 	if l.applied < l.baseIndex || l.applied >= l.committed {
 		return nil
 	}
@@ -190,7 +190,7 @@
 	l.pendingSnapshot = &snapshot
 	l.committed = snapshot.Index
 	l.persisted = 0
-	l.handed = snapshot.Index
+	l.emitted = snapshot.Index
 }
 
 // compact adopts the snapshot and drops the entries that are more than retained
--- a/process/raft/membership.go
+++ b/process/raft/membership.go
@@ -15,25 +15,25 @@
 // ErrTermNotCommitted, ErrUnknownMember, ErrInvalidChange, ErrNotCaughtUp,
 // ErrLastVoter.
 func (n *Node) ProposeChange(now time.Duration, change ConfigurationChange) (term, index uint64, err error) {
-	n.observe(now)
-	if err := n.mayChange(); err != nil {
+	n.advanceClock(now)
+	if err := n.checkChangeAllowed(); err != nil {
 		return 0, 0, err
 	}
-	next, err := n.configurations.latest().configuration.with(change)
+	next, err := n.configurations.latest().configuration.withChange(change)
 	if err != nil {
 		return 0, 0, err
 	}
 	if change.Kind == ChangePromote && !n.caughtUp(change.Member) {
 		return 0, 0, errors.Wrapf(ErrNotCaughtUp, "%d", change.Member)
 	}
-	index = n.appendOwn(EntryConfig, next.AppendBinary(nil))
+	index = n.appendAsLeader(EntryConfig, next.AppendBinary(nil))
 	n.configurations.add(index, next)
-	n.refreshMembers()
+	n.updateTrackedMembers()
 	n.maybeCommit()
 	return n.term, index, nil
 }
 
-func (n *Node) mayChange() error {
+func (n *Node) checkChangeAllowed() error {
 	switch {
 	case n.role != Leader:
 		return ErrNotLeader
@@ -67,11 +67,11 @@
 // configurationCommitted drops members that were removed, after telling them of
 // the commit. A leader that was removed itself hands over and steps down.
 func (n *Node) configurationCommitted() {
-	n.tellRemovedMembers()
-	n.refreshMembers()
+	n.notifyRemovedMembers()
+	n.updateTrackedMembers()
 	if !n.configurations.latest().configuration.isVoter(n.config.ID) {
-		n.flush()
-		n.handOverOnRemoval()
+		n.queueLeaderMessages()
+		n.transferOnRemoval()
 		n.becomeFollower(n.term, None)
 	}
 }
@@ -79,7 +79,7 @@
 // tellRemovedMembers sends the rest of the log with the commit index once to
 // members that leave, so that they stop campaigning. A lost message is harmless:
 // voters that hear from a leader refuse them.
-func (n *Node) tellRemovedMembers() {
+func (n *Node) notifyRemovedMembers() {
 	latest := n.configurations.latest().configuration
 	for _, member := range n.leadership.members {
 		if latest.contains(member) {
--- a/process/raft/membership_test.go
+++ b/process/raft/membership_test.go
@@ -28,22 +28,22 @@
 		{"learner never heard of", 3, func(g *group) {
 			g.isolate(4)
 			g.change(ChangeAddLearner, 4)
-			g.pass(simHeartbeatInterval)
+			g.advanceTime(simHeartbeatInterval)
 		}, 1, ConfigurationChange{ChangePromote, 4}, ErrNotCaughtUp},
 		{"learner answers but lacks entries", 3, func(g *group) {
-			g.keep = func(m Message) bool { return m.Kind != MessageAppend || m.To != 4 }
+			g.filter = func(m Message) bool { return m.Kind != MessageAppend || m.To != 4 }
 			g.change(ChangeAddLearner, 4)
-			g.pass(3 * simHeartbeatInterval)
+			g.advanceTime(3 * simHeartbeatInterval)
 		}, 1, ConfigurationChange{ChangePromote, 4}, ErrNotCaughtUp},
 		{"learner has gone silent", 3, func(g *group) {
 			g.change(ChangeAddLearner, 4)
-			g.pass(3 * simHeartbeatInterval)
+			g.advanceTime(3 * simHeartbeatInterval)
 			g.isolate(4)
-			g.pass(2 * simElectionTimeout)
+			g.advanceTime(2 * simElectionTimeout)
 		}, 1, ConfigurationChange{ChangePromote, 4}, ErrNotCaughtUp},
 		{"learner has caught up", 3, func(g *group) {
 			g.change(ChangeAddLearner, 4)
-			g.pass(3 * simHeartbeatInterval)
+			g.advanceTime(3 * simHeartbeatInterval)
 		}, 1, ConfigurationChange{ChangePromote, 4}, nil},
 	}
 	for _, c := range cases {
@@ -64,9 +64,9 @@
 
 func TestChangeWaitsForOwnTerm(t *testing.T) {
 	g := newGroup(t, 3)
-	g.keep = func(m Message) bool { return m.Kind != MessageAppend }
+	g.filter = func(m Message) bool { return m.Kind != MessageAppend }
 	must.NoError(t, g.nodes[1].TransferLeadership(g.now, 2))
-	g.settle()
+	g.deliverAll()
 	must.Eq(t, Leader, g.nodes[2].role)
 	_, _, err := g.nodes[2].ProposeChange(g.now, ConfigurationChange{ChangeRemove, 3})
 	must.ErrorIs(t, err, ErrTermNotCommitted)
@@ -74,15 +74,15 @@
 
 func TestLearnerBecomesVoter(t *testing.T) {
 	g := newGroup(t, 3)
-	g.pass(5 * simElectionTimeout)
+	g.advanceTime(5 * simElectionTimeout)
 	must.Eq(t, Learner, g.nodes[4].role)
 	must.Eq(t, 0, g.nodes[4].term, must.Sprint("a member without a configuration never campaigns"))
 	g.change(ChangeAddLearner, 4)
-	g.pass(3 * simHeartbeatInterval)
+	g.advanceTime(3 * simHeartbeatInterval)
 	must.Eq(t, Learner, g.nodes[4].role)
 	must.Eq(t, g.nodes[1].log.applied, g.nodes[4].log.applied)
 	g.change(ChangePromote, 4)
-	g.settle()
+	g.deliverAll()
 	must.Eq(t, Follower, g.nodes[4].role)
 	must.Eq(t, voters(1, 2, 3, 4), g.nodes[4].Status().Configuration)
 }
@@ -90,10 +90,10 @@
 func TestRemovedMembers(t *testing.T) {
 	g := newGroup(t, 3)
 	g.change(ChangeRemove, 3)
-	g.settle()
+	g.deliverAll()
 	must.Eq(t, Learner, g.nodes[3].role, must.Sprint("it was told of its removal"))
 	g.change(ChangeRemove, 1)
-	g.settle()
+	g.deliverAll()
 	must.Eq(t, Learner, g.nodes[1].role)
 	must.Eq(t, Leader, g.nodes[2].role, must.Sprint("it was told to campaign at once"))
 	must.Eq(t, voters(2), g.nodes[2].Status().Configuration)
@@ -101,30 +101,30 @@
 
 // TestUncommittedRemovalLeavesNobodyStuck restarts a leader that alone holds the
 // entry of its own removal from a group of two: only it can win.
-func TestUncommittedRemovalLeavesNobodyStuck(t *testing.T) {
+func TestUncommittedRemovalAllowsElection(t *testing.T) {
 	g := newGroup(t, 2)
 	g.isolate(1)
 	g.change(ChangeRemove, 1)
-	g.pass(4 * simElectionTimeout)
-	g.keep = nil
-	g.pass(6 * simElectionTimeout)
+	g.advanceTime(4 * simElectionTimeout)
+	g.filter = nil
+	g.advanceTime(6 * simElectionTimeout)
 	must.Eq(t, Leader, g.nodes[2].role)
 	must.Eq(t, voters(2), g.nodes[2].Status().Configuration)
 }
 
 // TestUncommittedPromotionLeavesNobodyStuck cuts a promoted learner off from the
 // entry that makes it a voter; the old leader of one needs its vote.
-func TestUncommittedPromotionLeavesNobodyStuck(t *testing.T) {
+func TestUncommittedPromotionAllowsElection(t *testing.T) {
 	g := newGroup(t, 1)
 	g.change(ChangeAddLearner, 2)
-	g.pass(3 * simHeartbeatInterval)
+	g.advanceTime(3 * simHeartbeatInterval)
 	g.isolate(2)
 	g.change(ChangePromote, 2)
-	g.pass(3 * simElectionTimeout)
+	g.advanceTime(3 * simElectionTimeout)
 	must.Eq(t, Learner, g.nodes[2].role)
 	must.NotEq(t, Leader, g.nodes[1].role)
-	g.keep = nil
-	g.pass(4 * simElectionTimeout)
+	g.filter = nil
+	g.advanceTime(4 * simElectionTimeout)
 	must.Eq(t, Leader, g.nodes[1].role)
 	must.Eq(t, Follower, g.nodes[2].role)
 }
@@ -133,21 +133,21 @@
 	g := newGroup(t, 3)
 	g.isolate(1)
 	g.change(ChangeRemove, 3)
-	g.settle()
+	g.deliverAll()
 	must.Eq(t, voters(1, 2), g.nodes[1].Status().Configuration)
-	g.pass(5 * simElectionTimeout)
-	g.keep = nil
-	g.pass(2 * simElectionTimeout)
+	g.advanceTime(5 * simElectionTimeout)
+	g.filter = nil
+	g.advanceTime(2 * simElectionTimeout)
 	must.Eq(t, voters(1, 2, 3), g.nodes[1].Status().Configuration)
 	must.Eq(t, g.nodes[2].log.committed, g.nodes[1].log.committed)
 }
 
-func TestStatusTellsWhetherTheConfigurationIsCommitted(t *testing.T) {
+func TestStatusReportsPendingConfiguration(t *testing.T) {
 	g := newGroup(t, 3)
 	must.False(t, g.nodes[1].Status().ConfigurationPending)
 	_, _, err := g.nodes[1].ProposeChange(g.now, ConfigurationChange{ChangeRemove, 3})
 	must.NoError(t, err)
 	must.True(t, g.nodes[1].Status().ConfigurationPending)
-	g.settle()
+	g.deliverAll()
 	must.False(t, g.nodes[1].Status().ConfigurationPending)
 }
--- a/process/raft/message.go
+++ b/process/raft/message.go
@@ -29,7 +29,7 @@
 	Reject     bool
 	RejectHint uint64 // highest index at which the follower's log may match
 	Transfer   bool   // on MessageVote: the leader of the term before asked for this election
-	Unled      bool   // on MessageVote: only the votes of all voters count; on MessagePreVoteReply: granted for such a vote alone
+	Unanimous  bool   // on MessageVote: only the votes of all voters count; on MessagePreVoteReply: granted for such a vote alone
 	Sequence   uint64 // heartbeat round; on pre-votes and their replies: the question, 0 if not told
 	Entries    []Entry
 	Snapshot   *Snapshot
--- a/process/raft/node.go
+++ b/process/raft/node.go
@@ -41,16 +41,16 @@
 	leaderContact    time.Duration
 	heardLeader      bool // since the start, or was it
 	electionDeadline time.Duration
-	ballots          map[MemberID]bool // answers in the running election or pre-election
-	unledVoters      map[MemberID]bool // who would vote if all others do, in a pre-election
+	voteReplies      map[MemberID]bool // answers in the running election or pre-election
+	unanimousGrants  map[MemberID]bool // who would vote if all others do, in a pre-election
 	election         electionKind      // the running one, of a Candidate
 	leadership       *leadership       // nil unless role is Leader
 
-	messages        []Message
-	readStates      []ReadState
-	abortedReads    []uint64
-	handedHardState HardState
-	outstanding     bool // a Ready waits for its Advance
+	messages         []Message
+	readStates       []ReadState
+	abortedReads     []uint64
+	emittedHardState HardState
+	awaitingAdvance  bool // a Ready waits for its Advance
 }
 
 // New returns a Node that goes on where initial was left. It fails with
@@ -65,12 +65,12 @@
 		return nil, err
 	}
 	node := &Node{
-		config:          config,
-		random:          rand.New(rand.NewPCG(config.Seed, uint64(config.ID))),
-		term:            initial.HardState.Term,
-		vote:            initial.HardState.Vote,
-		log:             newEntryLog(initial.Snapshot, entries, initial.HardState.Commit),
-		handedHardState: initial.HardState,
+		config:           config,
+		random:           rand.New(rand.NewPCG(config.Seed, uint64(config.ID))),
+		term:             initial.HardState.Term,
+		vote:             initial.HardState.Vote,
+		log:              newEntryLog(initial.Snapshot, entries, initial.HardState.Commit),
+		emittedHardState: initial.HardState,
 	}
 	node.configurations = newConfigurationHistory(0, initial.Configuration.clone())
 	if initial.Snapshot.Index > 0 {
@@ -79,7 +79,7 @@
 	if err := node.configurations.addEntries(entries); err != nil {
 		return nil, errors.Wrap(ErrInvalidState, err.Error())
 	}
-	node.refreshRole()
+	node.updateRole()
 	return node, nil
 }
 
@@ -157,7 +157,7 @@
 }
 
 // observe moves the node's clock forward. The first reading starts it.
-func (n *Node) observe(now time.Duration) {
+func (n *Node) advanceClock(now time.Duration) {
 	if !n.started {
 		n.started = true
 		n.now = now
@@ -171,7 +171,7 @@
 // Tick lets time pass: elections, heartbeats, check-quorum and retries are due
 // by durations, so it may be called as often or as seldom as the caller likes.
 func (n *Node) Tick(now time.Duration) {
-	n.observe(now)
+	n.advanceClock(now)
 	if n.role == Leader {
 		n.tickLeader()
 		return
@@ -184,12 +184,12 @@
 // Step takes in one message. Errors: ErrWrongMember, ErrInvalidMessage and
 // ErrDiverged; each leaves the node unchanged but for its clock.
 func (n *Node) Step(now time.Duration, m Message) error {
-	n.observe(now)
-	if err := n.check(m); err != nil {
+	n.advanceClock(now)
+	if err := n.validateMessage(m); err != nil {
 		return err
 	}
 	if m.Term < n.term {
-		n.answerOldTerm(m)
+		n.replyToOldTerm(m)
 		return nil
 	}
 	if m.Term > n.term && !n.enterTerm(m) {
@@ -199,7 +199,7 @@
 }
 
 // check refuses what no member sends, before anything is changed by it.
-func (n *Node) check(m Message) error {
+func (n *Node) validateMessage(m Message) error {
 	if m.To != n.config.ID {
 		return errors.Wrapf(ErrWrongMember, "%d", m.To)
 	}
@@ -223,7 +223,7 @@
 
 // answerOldTerm tells the sender of the newer term where that helps: an outdated
 // leader then steps down, an outdated candidate catches up.
-func (n *Node) answerOldTerm(m Message) {
+func (n *Node) replyToOldTerm(m Message) {
 	switch m.Kind {
 	case MessagePreVote:
 		n.send(Message{Kind: MessagePreVoteReply, To: m.From, Sequence: m.Sequence, Reject: true})
@@ -247,7 +247,7 @@
 			return true // its term is the one asked for
 		}
 	case MessageVote:
-		if n.guardedFrom(m) {
+		if n.voteMayBreakLease(m) {
 			return false
 		}
 	}
--- a/process/raft/oracle_test.go
+++ b/process/raft/oracle_test.go
@@ -74,7 +74,7 @@
 	o.leaders[n.term] = m.id
 	if m.role != Leader {
 		o.cluster.count("new leader", m.id)
-		o.leaderComplete(m)
+		o.checkLeaderCompleteness(m)
 	}
 }
 
@@ -92,7 +92,7 @@
 }
 
 // leaderComplete checks that a new leader has all that earlier terms committed.
-func (o *oracle) leaderComplete(m *simMember) {
+func (o *oracle) checkLeaderCompleteness(m *simMember) {
 	for i, entry := range o.committed {
 		if o.committer[i] >= m.node.term || entry.index < m.node.log.baseIndex {
 			continue
@@ -193,13 +193,13 @@
 			o.reads[m.id] = make(map[uint64]uint64)
 		}
 		o.reads[m.id][o.nextRead] = uint64(len(o.committed))
-		c.pump(m)
+		c.startReady(m)
 	}
 }
 
 // agreed tells whether every member of the leader's configuration has applied
 // all that was committed, and an entry of the leader's term is among it.
-func (o *oracle) agreed(after time.Duration) error {
+func (o *oracle) checkConverged(after time.Duration) error {
 	c := o.cluster
 	leader := c.leader()
 	if leader == nil {
--- a/process/raft/progress.go
+++ b/process/raft/progress.go
@@ -23,7 +23,7 @@
 
 	awaitingReply bool     // probe: a message is out
 	inflight      []uint64 // replicate: last index of each unanswered message, rising
-	inquire       bool     // send a message even without entries, to learn what was lost
+	forceAppend   bool     // send a message even without entries, to learn what was lost
 
 	snapshotIndex  uint64        // snapshot: its index
 	snapshotSentAt time.Duration // snapshot: when it was last sent
@@ -49,16 +49,16 @@
 }
 
 // wants tells whether an append message would tell the member anything new.
-func (p *progress) wants(lastIndex, committed uint64) bool {
-	if p.state == progressProbe || p.inquire {
+func (p *progress) needsAppend(lastIndex, committed uint64) bool {
+	if p.state == progressProbe || p.forceAppend {
 		return true
 	}
 	return p.next <= lastIndex || p.commitSent < committed
 }
 
 // sent records an append message with entries through lastSent.
-func (p *progress) sent(lastSent, committed uint64) {
-	p.inquire = false
+func (p *progress) recordAppendSent(lastSent, committed uint64) {
+	p.forceAppend = false
 	p.commitSent = committed
 	if p.state == progressProbe {
 		p.awaitingReply = true
@@ -84,7 +84,7 @@
 }
 
 // settle leaves probing or the snapshot once the member's log is known to match.
-func (p *progress) settle() {
+func (p *progress) finishProbeOrSnapshot() {
 	switch p.state {
 	case progressProbe:
 		p.state = progressReplicate
@@ -107,7 +107,7 @@
 }
 
 // startSnapshot records that a snapshot was sent.
-func (p *progress) startSnapshot(index uint64, now time.Duration) {
+func (p *progress) recordSnapshotSent(index uint64, now time.Duration) {
 	p.state = progressSnapshot
 	p.snapshotIndex = index
 	p.snapshotSentAt = now
@@ -115,18 +115,18 @@
 }
 
 // reply records any reply of the member.
-func (p *progress) reply(now time.Duration) {
+func (p *progress) recordReply(now time.Duration) {
 	p.lastActive = now
 	p.everActive = true
 }
 
 // heartbeatAnswered lets messages flow again that wait for a lost answer.
-func (p *progress) heartbeatAnswered(lastIndex uint64, maxInflight int) {
+func (p *progress) recordHeartbeatReply(lastIndex uint64, maxInflight int) {
 	p.awaitingReply = false
 	if p.state == progressReplicate && len(p.inflight) >= maxInflight {
 		p.inflight = slices.Delete(p.inflight, 0, 1)
 	}
 	if p.match < lastIndex {
-		p.inquire = true
+		p.forceAppend = true
 	}
 }
--- a/process/raft/ready.go
+++ b/process/raft/ready.go
@@ -3,13 +3,13 @@
 // HasReady tells whether Ready would return anything; never while a Ready waits
 // for its Advance.
 func (n *Node) HasReady() bool {
-	if n.outstanding {
+	if n.awaitingAdvance {
 		return false
 	}
-	n.flush()
+	n.queueLeaderMessages()
 	return len(n.messages) > 0 || len(n.readStates) > 0 || len(n.abortedReads) > 0 ||
-		n.log.pendingSnapshot != nil || len(n.log.unhanded()) > 0 || len(n.log.unapplied()) > 0 ||
-		n.hardState() != n.handedHardState
+		n.log.pendingSnapshot != nil || len(n.log.entriesToPersist()) > 0 || len(n.log.entriesToApply()) > 0 ||
+		n.hardState() != n.emittedHardState
 }
 
 // Ready returns the work that came up since the last one. Nothing else may be
@@ -21,35 +21,35 @@
 	}
 	ready := Ready{
 		Snapshot:     n.log.pendingSnapshot,
-		Entries:      n.log.unhanded(),
+		Entries:      n.log.entriesToPersist(),
 		Messages:     n.messages,
 		ReadStates:   n.readStates,
 		AbortedReads: n.abortedReads,
-		Committed:    n.log.unapplied(),
+		Committed:    n.log.entriesToApply(),
 	}
 	ready.MustSync = ready.Snapshot != nil || len(ready.Entries) > 0
-	if state := n.hardState(); state != n.handedHardState {
+	if state := n.hardState(); state != n.emittedHardState {
 		ready.HardState = &state
-		if state.Term != n.handedHardState.Term || state.Vote != n.handedHardState.Vote {
+		if state.Term != n.emittedHardState.Term || state.Vote != n.emittedHardState.Vote {
 			ready.MustSync = true
 		}
-		n.handedHardState = state
+		n.emittedHardState = state
 	}
 	n.log.pendingSnapshot = nil
-	n.log.handed = n.log.lastIndex()
+	n.log.emitted = n.log.lastIndex()
 	n.messages = nil
 	n.readStates = nil
 	n.abortedReads = nil
-	n.outstanding = true
+	n.awaitingAdvance = true
 	return ready
 }
 
 // Advance tells that everything in ready is done: persisted, sent and applied.
 func (n *Node) Advance(ready Ready) {
-	if !n.outstanding {
+	if !n.awaitingAdvance {
 		return
 	}
-	n.outstanding = false
+	n.awaitingAdvance = false
 	if snapshot := ready.Snapshot; snapshot != nil {
 		n.log.persisted = max(n.log.persisted, snapshot.Index)
 		n.log.applied = max(n.log.applied, snapshot.Index)
--- a/process/raft/replication.go
+++ b/process/raft/replication.go
@@ -11,7 +11,7 @@
 // also be lost. Errors: ErrNotLeader, ErrTransferPending and ErrOverloaded.
 // data must not be written to afterwards.
 func (n *Node) Propose(now time.Duration, data []byte) (term, index uint64, err error) {
-	n.observe(now)
+	n.advanceClock(now)
 	if n.role != Leader {
 		return 0, 0, ErrNotLeader
 	}
@@ -23,12 +23,12 @@
 	if pending > 0 && pending+size > n.config.MaxUncommittedBytes {
 		return 0, 0, ErrOverloaded
 	}
-	return n.term, n.appendOwn(EntryCommand, data), nil
+	return n.term, n.appendAsLeader(EntryCommand, data), nil
 }
 
 // appendOwn appends one entry of the leader's term. It counts towards the quorum
 // only when Advance has told that it is synced.
-func (n *Node) appendOwn(kind EntryKind, data []byte) uint64 {
+func (n *Node) appendAsLeader(kind EntryKind, data []byte) uint64 {
 	entry := Entry{Term: n.term, Index: n.log.lastIndex() + 1, Kind: kind, Data: data}
 	n.log.append(entry)
 	n.leadership.uncommittedBytes += entry.size()
@@ -38,7 +38,7 @@
 
 // flush sends what the leader owes its followers. It runs when the caller asks
 // for a Ready, so that proposals made since the last one travel together.
-func (n *Node) flush() {
+func (n *Node) queueLeaderMessages() {
 	if n.leadership == nil {
 		return
 	}
@@ -57,14 +57,14 @@
 // sendAppends sends messages until the member has all entries or flow control
 // says stop.
 func (n *Node) sendAppends(member MemberID, p *progress) {
-	for !p.blocked(n.config.MaxInflight) && p.wants(n.log.lastIndex(), n.log.committed) {
+	for !p.blocked(n.config.MaxInflight) && p.needsAppend(n.log.lastIndex(), n.log.committed) {
 		previousTerm, kept := n.log.term(p.next - 1)
 		if !kept {
 			n.sendSnapshot(member, p)
 			return
 		}
 		lastSent := n.sendEntries(member, p.next-1, previousTerm)
-		p.sent(lastSent, n.log.committed)
+		p.recordAppendSent(lastSent, n.log.committed)
 	}
 }
 
@@ -94,7 +94,7 @@
 			continue
 		}
 		configuration, err := DecodeConfiguration(entry.Data)
-		if err != nil || configuration.blank() || !configuration.consistent() {
+		if err != nil || configuration.isEmpty() || !configuration.consistent() {
 			return errors.Wrapf(ErrInvalidMessage, "configuration at index %d", entry.Index)
 		}
 	}
@@ -159,7 +159,7 @@
 	if err := n.configurations.addEntries(fresh); err != nil {
 		panic(errors.Wrap(err, "raft: a checked configuration doesn't decode"))
 	}
-	n.refreshRole()
+	n.updateRole()
 }
 
 func (n *Node) handleAppendReply(m Message) {
@@ -175,7 +175,7 @@
 		return // no message of this term can have led to that
 	}
 	raised := p.acknowledge(m.Index)
-	p.settle()
+	p.finishProbeOrSnapshot()
 	n.leadership.appendsDue = true
 	if raised {
 		n.maybeCommit()
@@ -191,7 +191,7 @@
 	}
 	p := n.leadership.progress[member]
 	if p != nil {
-		p.reply(n.now)
+		p.recordReply(n.now)
 	}
 	return p
 }
@@ -221,7 +221,7 @@
 	if n.leadership == nil {
 		return
 	}
-	reached := reachedByQuorum(n, n.log.persisted, func(p *progress) uint64 { return p.match })
+	reached := quorumValue(n, n.log.persisted, func(p *progress) uint64 { return p.match })
 	if term, ok := n.log.term(reached); !ok || term != n.term {
 		return
 	}
@@ -235,14 +235,14 @@
 		return
 	}
 	if n.leadership == nil {
-		n.refreshRole()
+		n.updateRole()
 		return
 	}
 	for _, entry := range n.log.slice(before, n.log.committed) {
 		n.leadership.uncommittedBytes -= entry.size()
 	}
 	n.leadership.appendsDue = true
-	n.releaseReads()
+	n.completeReads()
 	if latest := n.configurations.latest(); latest.index > before && latest.index <= n.log.committed {
 		n.configurationCommitted()
 	}
--- a/process/raft/replication_test.go
+++ b/process/raft/replication_test.go
@@ -50,7 +50,7 @@
 	for i := range 10 {
 		g.propose(fmt.Sprint(i))
 	}
-	g.settle()
+	g.deliverAll()
 	toSecond := 0
 	for _, message := range g.seen {
 		if message.Kind == MessageAppend && message.To == 2 {
@@ -59,25 +59,25 @@
 		}
 	}
 	must.Eq(t, 3, toSecond)
-	g.keep = nil
-	g.pass(4 * simHeartbeatInterval)
+	g.filter = nil
+	g.advanceTime(4 * simHeartbeatInterval)
 	must.Eq(t, 11, g.nodes[2].log.committed)
 }
 
 // TestLostMessageIsNoticedWithoutTraffic loses the last append before silence.
-func TestLostMessageIsNoticedWithoutTraffic(t *testing.T) {
+func TestLostAppendIsResentWithoutNewEntries(t *testing.T) {
 	g := newGroup(t, 3)
 	g.isolate(2)
 	g.propose("lost")
-	g.settle()
-	g.keep = nil
-	g.pass(2 * simHeartbeatInterval)
+	g.deliverAll()
+	g.filter = nil
+	g.advanceTime(2 * simHeartbeatInterval)
 	must.Eq(t, 2, g.nodes[2].log.committed)
 }
 
 // TestCommitStopsAtTheMessage has a follower keep a tail that the message says
 // nothing about, though the leader's commit index is beyond it.
-func TestCommitStopsAtTheMessage(t *testing.T) {
+func TestCommitIsBoundedByMessageEntries(t *testing.T) {
 	node, err := New(testConfig(1), InitialState{
 		HardState:     HardState{Term: 1},
 		Entries:       []Entry{{Term: 1, Index: 1}, {Term: 1, Index: 2}},
@@ -94,11 +94,11 @@
 	log := newEntryLog(Snapshot{}, nil, 0)
 	written := []Entry{{Term: 1, Index: 1}, {Term: 1, Index: 2}}
 	log.append(written...)
-	log.handed = 2
+	log.emitted = 2
 	log.replaceFrom([]Entry{{Term: 2, Index: 2}})
 	log.markPersisted(written)
 	must.Eq(t, 1, log.persisted)
-	must.Eq(t, []Entry{{Term: 2, Index: 2}}, log.unhanded())
+	must.Eq(t, []Entry{{Term: 2, Index: 2}}, log.entriesToPersist())
 }
 
 // TestBacktrackSkipsTerms gives a follower a long divergent tail of old terms.
@@ -109,18 +109,18 @@
 		tail = append(tail, Entry{Term: 1, Index: index, Kind: EntryCommand})
 	}
 	g.nodes[3].log.append(tail...)
-	g.keep = func(m Message) bool { return m.To != 3 }
+	g.filter = func(m Message) bool { return m.To != 3 }
 	must.NoError(t, g.nodes[1].TransferLeadership(g.now, 2))
-	g.settle()
+	g.deliverAll()
 	must.Eq(t, Leader, g.nodes[2].role)
 	for i := range 400 {
 		_, _, err := g.nodes[2].Propose(g.now, fmt.Append(nil, i))
 		must.NoError(t, err)
 	}
-	g.settle()
+	g.deliverAll()
 	g.sent(MessageAppend)
-	g.keep = nil
-	g.pass(3 * simHeartbeatInterval)
+	g.filter = nil
+	g.advanceTime(3 * simHeartbeatInterval)
 	must.Eq(t, g.nodes[2].log.entries, g.nodes[3].log.entries)
 	must.Less(t, 10, g.sent(MessageAppendReply))
 }
@@ -132,7 +132,7 @@
 	}
 	_, _, err := g.nodes[1].Propose(g.now, nil)
 	must.ErrorIs(t, err, ErrOverloaded)
-	g.settle()
+	g.deliverAll()
 	must.Eq(t, 0, g.nodes[1].leadership.uncommittedBytes)
 	g.propose("more than the bound, but alone")
 }
@@ -143,7 +143,7 @@
 	g := newGroup(t, 3)
 	g.isolate(3)
 	g.propose("a")
-	g.settle()
+	g.deliverAll()
 	snapshot, err := g.nodes[1].SnapshotAt(2, []byte("state"))
 	must.NoError(t, err)
 	must.NoError(t, g.nodes[1].Compact(snapshot))
@@ -152,11 +152,11 @@
 	must.ErrorIs(t, err, ErrNotApplied)
 	g.propose("b")
 	g.sent(MessageSnapshot)
-	g.keep = func(m Message) bool { return m.Kind != MessageSnapshot }
-	g.pass(3 * simElectionTimeout)
+	g.filter = func(m Message) bool { return m.Kind != MessageSnapshot }
+	g.advanceTime(3 * simElectionTimeout)
 	must.Eq(t, 1, g.sent(MessageSnapshot))
-	g.keep = nil
-	g.pass(2 * simElectionTimeout)
+	g.filter = nil
+	g.advanceTime(2 * simElectionTimeout)
 	must.Eq(t, 1, g.sent(MessageSnapshot))
 	must.Eq(t, snapshot, g.nodes[3].log.snapshot)
 	must.Eq(t, 3, g.nodes[3].log.applied)
@@ -240,7 +240,7 @@
 					_, _, err := g.nodes[1].Propose(g.now, data)
 					must.NoError(b, err)
 				}
-				g.settle()
+				g.deliverAll()
 				g.seen = g.seen[:0]
 				if leader := g.nodes[1]; leader.log.committed%1000 < uint64(batch) {
 					for _, id := range g.ids[:3] {
--- a/process/raft/simulation_test.go
+++ b/process/raft/simulation_test.go
@@ -21,12 +21,12 @@
 // fault is one kind of mischief; it reports whether it could strike.
 type fault struct {
 	name   string
-	strike func(*cluster, *simMember) bool
+	inject func(*cluster, *simMember) bool
 }
 
 var faults = []fault{
 	{"cut one way", func(c *cluster, m *simMember) bool {
-		c.cut(m, c.anyMember(), false)
+		c.cut(m, c.randomMember(), false)
 		return true
 	}},
 	{"cut both ways", func(c *cluster, m *simMember) bool {
@@ -79,7 +79,7 @@
 		}
 		return c.change(ChangeAddLearner, c.addMember(Configuration{}).id)
 	}},
-	{"promote", func(c *cluster, _ *simMember) bool { return c.promoteAny() }},
+	{"promote", func(c *cluster, _ *simMember) bool { return c.promoteLearner() }},
 	{"remove voter", func(c *cluster, m *simMember) bool {
 		leader := c.leader()
 		if leader == nil {
@@ -100,7 +100,7 @@
 	}},
 }
 
-func (c *cluster) anyMember() *simMember { return c.members[c.random.IntN(len(c.members))] }
+func (c *cluster) randomMember() *simMember { return c.members[c.random.IntN(len(c.members))] }
 
 // cut stops messages for a while.
 func (c *cluster) cut(from, to *simMember, both bool) {
@@ -131,11 +131,11 @@
 func (c *cluster) change(kind ChangeKind, member MemberID) bool {
 	leader := c.leader()
 	_, _, err := leader.node.ProposeChange(c.clock(leader), ConfigurationChange{kind, member})
-	c.pump(leader)
+	c.startReady(leader)
 	return err == nil
 }
 
-func (c *cluster) promoteAny() bool {
+func (c *cluster) promoteLearner() bool {
 	leader := c.leader()
 	if leader == nil {
 		return false
@@ -202,33 +202,33 @@
 			c.count("replacement", MemberID(len(c.members)))
 		}
 	default:
-		c.promoteAny()
+		c.promoteLearner()
 	}
 }
 
 // every runs an action at random intervals around mean until the given time.
-func (c *cluster) every(mean, until time.Duration, action func()) {
+func (c *cluster) scheduleRepeatedly(mean, until time.Duration, action func()) {
 	delay := time.Duration(c.random.Int64N(int64(2 * mean)))
 	if c.now+delay > until {
 		return
 	}
 	c.push(event{at: c.now + delay, run: func() {
 		action()
-		c.every(mean, until, action)
+		c.scheduleRepeatedly(mean, until, action)
 	}})
 }
 
 // misbehave runs the cluster under all faults, then heals everything and gives
 // it time to agree.
-func (c *cluster) misbehave(duration time.Duration) {
+func (c *cluster) runWithFaults(duration time.Duration) {
 	c.faulty = true
-	c.every(c.proposalInterval, duration+simHealing-simElectionTimeout, c.propose)
-	c.every(15*time.Millisecond, duration, c.oracle.read)
-	c.every(50*time.Millisecond, duration+simHealing/2, c.repair)
-	c.every(c.faultInterval, duration, func() {
+	c.scheduleRepeatedly(c.proposalInterval, duration+simHealing-simElectionTimeout, c.propose)
+	c.scheduleRepeatedly(15*time.Millisecond, duration, c.oracle.read)
+	c.scheduleRepeatedly(50*time.Millisecond, duration+simHealing/2, c.repair)
+	c.scheduleRepeatedly(c.faultInterval, duration, func() {
 		f := faults[c.random.IntN(len(faults))]
-		m := c.anyMember()
-		if m.up && f.strike(c, m) {
+		m := c.randomMember()
+		if m.up && f.inject(c, m) {
 			c.count(f.name, m.id)
 		}
 	})
@@ -257,11 +257,11 @@
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
 				c := newCluster(seed, simMinVoters+2*int(seed%2))
-				c.misbehave(simDuration)
+				c.runWithFaults(simDuration)
 				if failure := c.oracle.failure; failure != nil {
 					t.Fatalf("seed %d: %s: %s\n%s", seed, failure.rule, failure.detail, c.traceText())
 				}
-				if err := c.oracle.agreed(simHealing); err != nil {
+				if err := c.oracle.checkConverged(simHealing); err != nil {
 					t.Fatalf("seed %d: liveness: %v\n%s", seed, err, c.traceText())
 				}
 				mutex.Lock()
@@ -284,8 +284,8 @@
 // happened.
 func TestSimulationIsDeterministic(t *testing.T) {
 	first, second := newCluster(3, 3), newCluster(3, 3)
-	first.misbehave(simDuration)
-	second.misbehave(simDuration)
+	first.runWithFaults(simDuration)
+	second.runWithFaults(simDuration)
 	must.Eq(t, first.counts, second.counts)
 	must.Eq(t, first.traceText(), second.traceText())
 	must.Eq(t, first.oracle.states, second.oracle.states)
--- a/process/raft/snapshot.go
+++ b/process/raft/snapshot.go
@@ -61,7 +61,7 @@
 		LogTerm:  snapshot.Term,
 		Snapshot: &snapshot,
 	})
-	p.startSnapshot(snapshot.Index, n.now)
+	p.recordSnapshotSent(snapshot.Index, n.now)
 }
 
 // retrySnapshots gives up on snapshots that got no answer in time; the next
@@ -81,7 +81,7 @@
 	if snapshot == nil || snapshot.Index == 0 || snapshot.Term > m.Term {
 		return errors.Wrap(ErrInvalidMessage, "snapshot")
 	}
-	if snapshot.Configuration.blank() || !snapshot.Configuration.consistent() {
+	if snapshot.Configuration.isEmpty() || !snapshot.Configuration.consistent() {
 		return errors.Wrap(ErrInvalidMessage, "snapshot's configuration")
 	}
 	if m.Term >= n.term && n.contradictsCommitted(snapshot.Term, snapshot.Index) {
@@ -102,7 +102,7 @@
 	default:
 		n.log.restore(snapshot)
 		n.configurations = newConfigurationHistory(snapshot.Index, snapshot.Configuration.clone())
-		n.refreshRole()
+		n.updateRole()
 	}
 	n.send(Message{Kind: MessageAppendReply, To: m.From, Index: n.log.committed})
 }
--- a/process/raft/snapshot_test.go
+++ b/process/raft/snapshot_test.go
@@ -39,7 +39,7 @@
 	must.Eq(t, 10, node.Status().Commit)
 }
 
-func TestSnapshotBringsItsConfiguration(t *testing.T) {
+func TestSnapshotInstallsItsConfiguration(t *testing.T) {
 	node := compacted(t)
 	must.NoError(t, node.Step(0, received(20, voters(1, 2, 4))))
 	must.Eq(t, voters(1, 2, 4), node.Status().Configuration)
@@ -51,7 +51,7 @@
 	must.Eq(t, Follower, blank.Status().Role)
 }
 
-func TestCompactRefusesWhatIsNotApplied(t *testing.T) {
+func TestCompactRejectsUnappliedIndex(t *testing.T) {
 	node := compacted(t)
 	must.NoError(t, node.Step(0, Message{
 		Kind: MessageAppend, From: 1, To: 2, Term: 1, Index: 10, LogTerm: 1, Commit: 11,
--- a/process/raft/transfer.go
+++ b/process/raft/transfer.go
@@ -8,9 +8,9 @@
 
 // transfer is a leadership that is being handed over.
 type transfer struct {
-	to       MemberID
-	deadline time.Duration
-	told     bool // the target was told to campaign
+	to             MemberID
+	deadline       time.Duration
+	timeoutNowSent bool // the target was told to campaign
 }
 
 // TransferLeadership makes the voter to campaign at once, as soon as it has all
@@ -18,7 +18,7 @@
 // timeout. Errors: ErrNotLeader, ErrUnknownMember when to is not a voter,
 // ErrTransferPending during a transfer to another member.
 func (n *Node) TransferLeadership(now time.Duration, to MemberID) error {
-	n.observe(now)
+	n.advanceClock(now)
 	if n.role != Leader {
 		return ErrNotLeader
 	}
@@ -47,7 +47,7 @@
 	if pending.to != member || n.leadership.progress[member].match < n.log.lastIndex() {
 		return
 	}
-	pending.told = true
+	pending.timeoutNowSent = true
 	n.sendTimeoutNow(member)
 }
 
@@ -67,14 +67,14 @@
 		return
 	}
 	n.leadership.transfer = nil
-	if pending.told {
+	if pending.timeoutNowSent {
 		n.becomeFollower(n.term, None)
 	}
 }
 
 // handOverOnRemoval lets the voter with the most entries campaign at once, so
 // that the group need not wait for a timeout.
-func (n *Node) handOverOnRemoval() {
+func (n *Node) transferOnRemoval() {
 	best := None
 	for _, voter := range n.configurations.latest().configuration.Voters {
 		if best == None || n.leadership.progress[voter].match > n.leadership.progress[best].match {
