--- a/process/raft/codec.go
+++ b/process/raft/codec.go
@@ -7,8 +7,9 @@
 	"github.com/pkg/errors"
 )
 
-// Encodings are big-endian fixed-size headers, each followed by the data whose
-// length it states. Every accepted input is the encoding of exactly one value.
+// Each value is encoded as a fixed-size big-endian header followed by
+// variable-length data whose length the header states. The encoding is canonical:
+// every accepted input is the encoding of exactly one value.
 
 const (
 	entryHeaderSize         = 8 + 8 + 1 + 4
@@ -19,7 +20,7 @@
 	messageHeaderSize       = 1 + 1 + 8*8 + 4
 )
 
-// Flags of a message's header.
+// Bits of messageHeader.Flags.
 const (
 	flagReject uint8 = 1 << iota
 	flagTransfer
@@ -124,56 +125,57 @@
 	return header
 }
 
-// DecodeEntry decodes what Entry.AppendBinary wrote. The result shares no memory
-// with b. The error is ErrMalformed with its cause, here and in all decoders.
+// DecodeEntry decodes the output of Entry.AppendBinary. The result shares no
+// memory with b. Like the other decoders, it wraps ErrMalformed on failure.
 func DecodeEntry(b []byte) (Entry, error) {
 	d := decoder{rest: b}
 	entry := d.entry()
 	return entry, d.finish("entry")
 }
 
-// DecodeHardState decodes what HardState.AppendBinary wrote.
+// DecodeHardState decodes the output of HardState.AppendBinary.
 func DecodeHardState(b []byte) (HardState, error) {
 	d := decoder{rest: b}
 	state := HardState{Term: d.uint64(), Vote: MemberID(d.uint64()), Commit: d.uint64()}
 	return state, d.finish("hard state")
 }
 
-// DecodeConfiguration decodes what Configuration.AppendBinary wrote.
+// DecodeConfiguration decodes the output of Configuration.AppendBinary.
 func DecodeConfiguration(b []byte) (Configuration, error) {
 	d := decoder{rest: b}
 	configuration := d.configuration()
 	return configuration, d.finish("configuration")
 }
 
-// DecodeSnapshot decodes what Snapshot.AppendBinary wrote.
+// DecodeSnapshot decodes the output of Snapshot.AppendBinary.
 func DecodeSnapshot(b []byte) (Snapshot, error) {
 	d := decoder{rest: b}
 	snapshot := d.snapshot()
 	return snapshot, d.finish("snapshot")
 }
 
-// DecodeMessage decodes what Message.AppendBinary wrote.
+// DecodeMessage decodes the output of Message.AppendBinary.
 func DecodeMessage(b []byte) (Message, error) {
 	d := decoder{rest: b}
 	message := d.message()
 	return message, d.finish("message")
 }
 
-// decoder reads values off the front of rest. After the first failure it reads
-// zeros, so callers check once, by finish. A count or length is compared with
-// the bytes that are left before anything is allocated for it.
+// decoder reads values from the front of rest. After the first failure every
+// read returns zero, so callers check for errors once, with finish. Counts and
+// lengths are checked against the remaining input before memory is allocated.
 type decoder struct {
 	rest   []byte
 	failed bool
 }
 
+// finish returns an error if decoding failed or input is left over.
 func (d *decoder) finish(what string) error {
 	if d.failed {
 		return errors.Wrap(ErrMalformed, what)
 	}
 	if len(d.rest) > 0 {
-		return errors.Wrapf(ErrMalformed, "%s: %d bytes too many", what, len(d.rest))
+		return errors.Wrapf(ErrMalformed, "%s: %d trailing bytes", what, len(d.rest))
 	}
 	return nil
 }
@@ -213,7 +215,8 @@
 	return b[0]
 }
 
-// count checks that the announced number of elements can be there at all.
+// count returns announced, or fails if the remaining input is too short to hold
+// that many elements of at least elementSize bytes.
 func (d *decoder) count(announced uint32, elementSize int) int {
 	if uint64(announced)*uint64(elementSize) > uint64(len(d.rest)) {
 		d.failed = true
@@ -222,7 +225,7 @@
 	return int(announced)
 }
 
-// data reads a length and a copy of that many bytes; empty data is nil.
+// data reads a length-prefixed byte string and returns a copy, nil if it is empty.
 func (d *decoder) data() []byte {
 	length := d.count(d.uint32(), 1)
 	taken := d.take(length)
--- a/process/raft/configuration.go
+++ b/process/raft/configuration.go
@@ -6,17 +6,18 @@
 	"github.com/pkg/errors"
 )
 
-// isVoter tells whether member votes.
+// isVoter reports whether member is a voter.
 func (c Configuration) isVoter(member MemberID) bool {
 	return slices.Contains(c.Voters, member)
 }
 
-// contains tells whether member votes or learns.
+// contains reports whether member is a voter or a learner.
 func (c Configuration) contains(member MemberID) bool {
 	return c.isVoter(member) || slices.Contains(c.Learners, member)
 }
 
-// blank tells whether c names no voter: nobody has told the member of a group yet.
+// isEmpty reports whether c has no voters, as on a member that has not received
+// a configuration yet.
 func (c Configuration) isEmpty() bool {
 	return len(c.Voters) == 0
 }
@@ -26,14 +27,14 @@
 	return Configuration{Voters: slices.Clone(c.Voters), Learners: slices.Clone(c.Learners)}
 }
 
-// members returns voters and learners in rising order.
+// members returns voters and learners in ascending order.
 func (c Configuration) members() []MemberID {
 	members := slices.Concat(c.Voters, c.Learners)
 	slices.Sort(members)
 	return members
 }
 
-// consistent tells whether each member is named once and none is None.
+// consistent reports whether no member is listed twice and none is None.
 func (c Configuration) consistent() bool {
 	members := c.members()
 	if slices.Contains(members, None) {
@@ -42,8 +43,8 @@
 	return len(slices.Compact(members)) == len(c.Voters)+len(c.Learners)
 }
 
-// with returns c after change. It checks that the change fits c, not that the
-// moment is right for it.
+// withChange returns a copy of c with change applied. It checks that the change is
+// valid for c; checkChangeAllowed checks whether a change may be made now.
 func (c Configuration) withChange(change ConfigurationChange) (Configuration, error) {
 	next := c.clone()
 	switch change.Kind {
@@ -57,7 +58,7 @@
 			return c, errors.Wrapf(ErrUnknownMember, "%d", change.Member)
 		}
 		if c.isVoter(change.Member) {
-			return c, errors.Wrapf(ErrInvalidChange, "member %d votes already", change.Member)
+			return c, errors.Wrapf(ErrInvalidChange, "member %d is already a voter", change.Member)
 		}
 		next.Learners = withoutMember(next.Learners, change.Member)
 		next.Voters = append(next.Voters, change.Member)
@@ -88,10 +89,10 @@
 	configuration Configuration
 }
 
-// configurationHistory holds the configurations along the log in rising order of
-// index; the first is the one in force at the log's oldest snapshot. A
-// configuration is in force from the moment it is appended, committed or not,
-// and no longer when its entry is replaced.
+// configurationHistory holds the configurations in the log in ascending order of
+// index, starting with the one in effect at the latest snapshot. A configuration
+// takes effect when it is appended, committed or not, and is dropped when its
+// entry is replaced.
 type configurationHistory struct {
 	records []configurationRecord
 }
@@ -100,12 +101,12 @@
 	return configurationHistory{records: []configurationRecord{{index, configuration}}}
 }
 
-// latest returns the configuration in force.
+// latest returns the configuration currently in effect.
 func (h *configurationHistory) latest() configurationRecord {
 	return h.records[len(h.records)-1]
 }
 
-// at returns the configuration that the log through index has set.
+// at returns the configuration in effect after the entry at index.
 func (h *configurationHistory) at(index uint64) Configuration {
 	found := h.records[0]
 	for _, record := range h.records {
@@ -120,21 +121,22 @@
 	h.records = append(h.records, configurationRecord{index, configuration})
 }
 
-// truncateFrom drops the configurations of replaced entries.
+// truncateFrom drops the configurations of entries at or after index, which are
+// being replaced.
 func (h *configurationHistory) truncateFrom(index uint64) {
 	for len(h.records) > 1 && h.latest().index >= index {
 		h.records = h.records[:len(h.records)-1]
 	}
 }
 
-// compact drops those that were followed by another one at or below index.
+// compact drops configurations superseded by another one at or before index.
 func (h *configurationHistory) compact(index uint64) {
 	for len(h.records) > 1 && h.records[1].index <= index {
 		h.records = h.records[1:]
 	}
 }
 
-// addEntries adds the configurations among entries, which were checked before.
+// addEntries adds the configurations found in entries.
 func (h *configurationHistory) addEntries(entries []Entry) error {
 	for _, entry := range entries {
 		if entry.Kind != EntryConfig {
--- a/process/raft/election.go
+++ b/process/raft/election.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// promotable tells whether the member may campaign: it votes in the latest
-// configuration or in the committed one. The second matters for a member whose
-// removal is not committed: it may hold the only copy of that entry, and then
-// nobody else can win.
+// promotable reports whether the member may campaign, that is, whether it is a
+// voter in the latest or in the committed configuration. The committed one counts
+// because a member whose removal is not committed may hold the only copy of that
+// entry, and then no other member can win an election.
 func (n *Node) promotable() bool {
 	if n.configurations.latest().configuration.isVoter(n.config.ID) {
 		return true
@@ -16,8 +16,8 @@
 	return n.configurations.at(n.log.committed).isVoter(n.config.ID)
 }
 
-// refreshRole adapts the role to a configuration that was appended, replaced or
-// committed.
+// updateRole switches between Learner and Follower after a configuration was
+// appended, replaced or committed.
 func (n *Node) updateRole() {
 	promotable := n.promotable()
 	switch {
@@ -32,28 +32,31 @@
 	}
 }
 
-// leaseGuarded tells whether a vote could break a lease: the member leads, or
-// has within an election timeout heard from a leader or started.
+// leaseMayBeHeld reports whether granting a vote could break a leader's lease: the
+// member is the leader, or heard from a leader or started less than an election
+// timeout ago.
 func (n *Node) leaseMayBeHeld() bool {
 	return n.role == Leader || n.now < n.leaderContact+n.config.ElectionTimeout
 }
 
-// isUnled tells whether the member is guarded by its start alone: it may have promised a
-// lease just before, to whom it does not know, and has heard of no leader since.
+// leaseMayPredateStart reports whether leaseMayBeHeld holds only because the member
+// started recently: it may have acknowledged a lease of an unknown leader just before
+// the restart, and has not heard from any leader since.
 func (n *Node) leaseMayPredateStart() bool {
 	return n.leaseMayBeHeld() && n.role != Leader && !n.heardLeader
 }
 
-// Parts of an election timeout after which a member that is unled asks for votes: at
-// least one in unledLeast, and up to one in unledSpread more: some 200 ms of spread, where
-// an election takes 10, keep two from asking at once four times in five.
+// After a restart, while leaseMayPredateStart, the election delay is at least
+// ElectionTimeout/restartMinDelayDivisor plus a random part of up to
+// ElectionTimeout/restartDelaySpreadDivisor. A spread of about 200 ms, with elections
+// taking about 10 ms, prevents simultaneous candidacies in four of five cases.
 const (
 	restartMinDelayDivisor    = 16
 	restartDelaySpreadDivisor = 2
 )
 
-// resetElectionDeadline waits for between one and two election timeouts from now, and
-// for much less while the member is unled.
+// resetElectionDeadline sets the next election between one and two election timeouts
+// from now, or much sooner while leaseMayPredateStart.
 func (n *Node) resetElectionDeadline() {
 	timeout := n.config.ElectionTimeout
 	least, spread := timeout, timeout
@@ -63,8 +66,8 @@
 	n.electionDeadline = n.now + least + time.Duration(n.random.Int64N(int64(max(spread, 1))))
 }
 
-// becomeFollower enters term, where it is newer, and follows leader, None when
-// it is not known.
+// becomeFollower enters term if it is newer and follows leader, which is None if
+// unknown.
 func (n *Node) becomeFollower(term uint64, leader MemberID) {
 	if term > n.term {
 		n.term = term
@@ -81,7 +84,7 @@
 	n.updateRole()
 }
 
-// followLeader records that the term's leader was heard.
+// followLeader records a message from the leader of the current term.
 func (n *Node) followLeader(leader MemberID) {
 	if n.role == PreCandidate || n.role == Candidate || n.leaderID != leader {
 		n.becomeFollower(n.term, leader)
@@ -91,8 +94,9 @@
 	n.resetElectionDeadline()
 }
 
-// startPreElection asks whether an election could be won, before the term is
-// raised for it, so that a member that was cut off disturbs nobody.
+// startPreElection sends pre-votes to find out whether an election could be won. The
+// term is raised only afterwards, so that a partitioned member does not disrupt the
+// group when it reconnects.
 func (n *Node) startPreElection() {
 	n.role = PreCandidate
 	n.leaderID = None
@@ -106,26 +110,28 @@
 	n.requestVotes(MessagePreVote, n.term+1, electionByQuorum)
 }
 
-// electionKind tells what a candidate may count on.
+// electionKind determines which votes a candidate needs, and why it may ask for them.
 type electionKind uint8
 
 const (
-	// electionByQuorum is won by a quorum of voters who have promised no lease.
+	// electionByQuorum needs a quorum of voters that cannot be bound by another
+	// leader's lease.
 	electionByQuorum electionKind = iota
-	// electionByTransfer is won by a quorum as well: the leader that holds the lease
-	// asked for it.
+	// electionByTransfer needs a quorum too; leases do not prevent votes because the
+	// leader that holds the lease requested the election.
 	electionByTransfer
-	// electionByAll is won by the votes of all voters, and is held where only their
-	// start keeps some of them from voting, as after a stop of the whole group.
+	// electionUnanimous needs the votes of all voters. It is used if some voters could
+	// not vote otherwise because they started recently, as after a restart of the whole
+	// group.
 	//
-	// Invariant: no lease is broken by it. Whoever holds a lease is a voter of the
-	// latest configuration or of the committed one, so it has voted as well, and a
-	// leader that votes in a later term leads no more.
+	// Invariant: it breaks no lease. A lease holder is a voter of the latest or of the
+	// committed configuration, so it has voted too, and a leader that votes in a later
+	// term steps down.
 	electionUnanimous
 )
 
-// startElection raises the term and asks for votes in it. The member's own vote
-// is synced with the Ready that lets the requests go.
+// startElection raises the term and requests votes in it. The member's own vote is
+// synced as part of the Ready that carries the requests.
 func (n *Node) startElection(kind electionKind) {
 	n.role = Candidate
 	n.election = kind
@@ -141,10 +147,10 @@
 	n.requestVotes(MessageVote, n.term, kind)
 }
 
-// preVoteQuestion names what the member's pre-votes ask for: a successor of the leader
-// that it heard last. Answers to further rounds of the same question add up, so that one
-// can be won where an answer takes longer than a round; once a leader was heard, what
-// others said before is out of date.
+// preVoteID identifies the member's current series of pre-vote rounds. It is derived
+// from the last leader contact, so it changes once a leader is heard and older replies
+// become invalid. Replies to all rounds of a series count together, so that a
+// pre-election can be won even if replies take longer than one round.
 func (n *Node) preVoteID() uint64 { return uint64(n.leaderContact) }
 
 func (n *Node) requestVotes(kind MessageKind, term uint64, election electionKind) {
@@ -172,8 +178,8 @@
 	}
 }
 
-// allVoters returns the voters of the latest configuration, and those of the committed
-// one that it lacks.
+// allVoters returns the union of the voters of the latest and the committed
+// configuration.
 func (n *Node) allVoters() []MemberID {
 	voters := slices.Clone(n.configurations.latest().configuration.Voters)
 	for _, voter := range n.configurations.at(n.log.committed).Voters {
@@ -184,7 +190,7 @@
 	return voters
 }
 
-// countBallots counts the answers of the latest configuration's voters.
+// countVotes counts the replies of the voters in the latest configuration.
 func (n *Node) countVotes() (granted, refused int) {
 	for _, voter := range n.configurations.latest().configuration.Voters {
 		answer, answered := n.voteReplies[voter]
@@ -210,7 +216,7 @@
 	return granted >= n.quorum()
 }
 
-// allGrant tells whether each voter has granted its vote, in one of the counts.
+// grantedByAll reports whether each voter has granted its vote in at least one of counts.
 func (n *Node) grantedByAll(counts ...map[MemberID]bool) bool {
 	for _, voter := range n.allVoters() {
 		if !slices.ContainsFunc(counts, func(count map[MemberID]bool) bool { return count[voter] }) {
@@ -220,16 +226,16 @@
 	return true
 }
 
-// electionLost tells whether the voters that are left can't make a quorum.
+// electionIsLost reports whether the voters that have not refused cannot form a quorum.
 func (n *Node) electionIsLost() bool {
 	_, refused := n.countVotes()
 	return len(n.configurations.latest().configuration.Voters)-refused < n.quorum()
 }
 
-// mayVote tells whether the member takes part in votes at all. One that was
-// never sent a configuration doesn't: its disk may be a lost one. A learner does
-// when asked, because a candidate counts it only where its promotion is already
-// in the candidate's log, and then its vote may be the one that is needed.
+// mayVote reports whether the member takes part in elections at all. A member that
+// never received a configuration doesn't, because it may have lost its disk. A
+// learner votes when asked: a candidate counts its vote only if the learner's
+// promotion is already in the candidate's log, and then the vote may be needed.
 func (n *Node) mayVote() bool {
 	return !n.configurations.latest().configuration.isEmpty()
 }
@@ -253,7 +259,7 @@
 	if !m.Reject && m.Term != n.term+1 {
 		return
 	}
-	// Members of an earlier version do not repeat the question.
+	// Members of an earlier version reply with a zero Sequence.
 	if m.Sequence != 0 && m.Sequence != n.preVoteID() {
 		return
 	}
@@ -272,7 +278,7 @@
 	}
 }
 
-// guardedFrom tells whether a vote for the candidate could break a lease.
+// voteMayBreakLease reports whether granting the vote request m could break a lease.
 func (n *Node) voteMayBreakLease(m Message) bool {
 	if m.Transfer || m.Unanimous && n.leaseMayPredateStart() {
 		return false
@@ -280,7 +286,7 @@
 	return n.leaseMayBeHeld()
 }
 
-// handleVote grants at most one vote a term. The vote is part of the HardState
+// handleVote grants at most one vote per term. The vote is part of the HardState
 // that is synced before the reply is sent.
 func (n *Node) handleVote(m Message) {
 	if !n.mayVote() {
--- a/process/raft/leadership.go
+++ b/process/raft/leadership.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// leadership is what a member knows only while it leads a term.
+// leadership is the state that a member keeps only while it is the leader.
 type leadership struct {
 	progress map[MemberID]*progress // every other member
-	members  []MemberID             // the keys of progress in rising order
+	members  []MemberID             // the keys of progress in ascending order
 
-	firstIndex       uint64 // the empty entry that opened the term
+	firstIndex       uint64 // index of the empty entry that started the term
 	uncommittedBytes int
-	appendsDue       bool // some member may be due an append message
+	appendsDue       bool // some member may need an append message
 
 	heartbeatDue  bool
 	nextHeartbeat time.Duration
-	rounds        []heartbeatRound // young enough for the lease, rising
+	rounds        []heartbeatRound // recent enough to extend the lease, oldest first
 	sequence      uint64           // of the last round sent
 
 	reads    []readRequest
-	transfer *transfer // nil unless leadership is being handed over
+	transfer *transfer // nil unless leadership is being transferred
 	// leaseForfeited is set for the rest of the term once another member was told
-	// to campaign: voters then don't wait for the lease to end.
+	// to campaign, because voters then don't wait for the lease to expire.
 	leaseForfeited bool
 }
 
@@ -43,7 +43,7 @@
 	n.leadership.firstIndex = n.appendAsLeader(EntryEmpty, nil)
 }
 
-// dropLeadership ends the member's own leadership, if there is one.
+// endLeadership discards the leadership state, if any, and aborts pending reads.
 func (n *Node) endLeadership() {
 	if n.leadership == nil {
 		return
@@ -54,9 +54,9 @@
 	n.leadership = nil
 }
 
-// refreshMembers makes progress track the members of the latest configuration
-// and, until that is committed, of the one before: a removed member is still
-// sent its removal.
+// updateTrackedMembers makes progress track the members of the latest configuration
+// and, until that is committed, of the previous one, so that a removed member still
+// receives the entry of its removal.
 func (n *Node) updateTrackedMembers() {
 	lead := n.leadership
 	wanted := n.configurations.latest().configuration.members()
@@ -81,7 +81,7 @@
 	lead.appendsDue = true
 }
 
-// tickLeader does what is due by the clock.
+// tickLeader runs the leader's time-based work.
 func (n *Node) tickLeader() {
 	if !n.quorumActive() {
 		n.becomeFollower(n.term, None)
@@ -97,14 +97,14 @@
 	}
 }
 
-// recentlyActive tells whether the member answered within an election timeout;
-// all count as having answered when the term began.
+// recentlyActive reports whether the member replied within the last election timeout.
+// A member counts as active from the time the leader starts to track it.
 func (n *Node) recentlyActive(p *progress) bool {
 	return n.now < p.lastActive+n.config.ElectionTimeout
 }
 
-// quorumActive is the check-quorum rule: a leader that doesn't hear from a
-// quorum steps down, so that its clients turn elsewhere.
+// quorumActive implements check-quorum: a leader that doesn't hear from a quorum
+// steps down, so that its clients turn to another member.
 func (n *Node) quorumActive() bool {
 	active := 0
 	for _, voter := range n.configurations.latest().configuration.Voters {
@@ -115,8 +115,8 @@
 	return active >= n.quorum()
 }
 
-// reachedByQuorum returns the highest value that a quorum of voters has reached;
-// own is the leader's, which counts only while it votes.
+// quorumValue returns the highest value that a quorum of voters has reached. own is
+// the leader's value, which counts only if the leader is a voter.
 func quorumValue[T uint64 | time.Duration](n *Node, own T, of func(*progress) T) T {
 	voters := n.configurations.latest().configuration.Voters
 	values := make([]T, 0, len(voters))
--- a/process/raft/lease.go
+++ b/process/raft/lease.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// heartbeatRound is one heartbeat to all members.
+// heartbeatRound is one heartbeat sent to all members.
 type heartbeatRound struct {
 	sequence uint64
 	sentAt   time.Duration
 	commit   uint64
 }
 
-// readRequest waits for a quorum's answer to the round sequence or a later one.
+// readRequest is a read that waits until a quorum has replied to the heartbeat round
+// sequence or a later one.
 type readRequest struct {
 	requestID uint64
 	sequence  uint64
 }
 
-// startHeartbeatRound sends a heartbeat to all members. Its time is the caller's
-// last reading of the clock, which is before the messages leave.
+// startHeartbeatRound sends a heartbeat to all members. The round's send time is the
+// caller's last clock reading, which is earlier than the actual sending.
 func (n *Node) startHeartbeatRound() {
 	lead := n.leadership
 	lead.heartbeatDue = false
@@ -35,7 +36,7 @@
 	n.completeReads()
 }
 
-// forgetOldRounds drops rounds whose answers can't extend the lease any more.
+// dropExpiredRounds drops rounds whose replies can no longer extend the lease.
 func (n *Node) dropExpiredRounds() {
 	rounds := n.leadership.rounds
 	for len(rounds) > 0 && rounds[0].sentAt+n.config.ElectionTimeout <= n.now {
@@ -65,7 +66,8 @@
 	n.continueTransfer(m.From)
 }
 
-// dateAnswer looks up when the round was sent that p answered last.
+// recordAckedRound sets p's acknowledged send time and commit index from the last
+// round that p replied to.
 func (n *Node) recordAckedRound(p *progress) {
 	for _, round := range n.leadership.rounds {
 		if round.sequence == p.ackedSequence {
@@ -75,11 +77,12 @@
 	}
 }
 
-// LeaseValid tells whether the member is at now the only one that can act as
-// leader. It counts from when a heartbeat was sent that a quorum has answered:
-// each of these voters refuses other candidates for an election timeout from
-// when it got that heartbeat, which is later, and the lease is shorter. Callers
-// read the clock again after the work that the lease is to cover, and ask then.
+// LeaseValid reports whether, at now, the member is the only one that can act as
+// leader. The lease starts when a heartbeat that a quorum has answered was sent. Each
+// of these voters refuses other candidates for an election timeout from when it
+// received that heartbeat, which is later, and the lease is shorter than the election
+// timeout. Callers must read the clock after the work that the lease is to cover, and
+// call LeaseValid with that reading.
 func (n *Node) LeaseValid(now time.Duration) bool {
 	if n.role != Leader || n.leadership.leaseForfeited || !n.committedInTerm() {
 		return false
@@ -94,9 +97,9 @@
 	return now < sentAt+n.config.LeaseDuration
 }
 
-// ReadIndex asks for a ReadState under requestID. Under a valid lease it comes
-// with the next Ready; otherwise when a quorum has answered a heartbeat sent after
-// this call. When leadership is lost before, the requestID comes back in
+// ReadIndex requests a ReadState for requestID. With a valid lease it is part of the
+// next Ready; otherwise it follows once a quorum has answered a heartbeat sent after
+// this call. If leadership is lost first, requestID is returned in
 // Ready.AbortedReads. The error is ErrNotLeader.
 func (n *Node) ReadIndex(now time.Duration, requestID uint64) error {
 	n.advanceClock(now)
@@ -112,8 +115,9 @@
 	return nil
 }
 
-// releaseReads answers the reads whose round a quorum has answered, once the
-// leader knows what earlier terms have committed.
+// completeReads emits ReadStates for the reads whose round a quorum has answered. It
+// waits until the leader has committed in its own term, because only then does it
+// know everything that earlier terms committed.
 func (n *Node) completeReads() {
 	lead := n.leadership
 	if len(lead.reads) == 0 || !n.committedInTerm() {
--- a/process/raft/log.go
+++ b/process/raft/log.go
@@ -1,35 +1,35 @@
 package raft
 
-// entryOverhead is counted for each entry beside its data, so that entries
-// without data are bounded as well.
+// entryOverhead is added to each entry's data size, in bytes, so that byte limits
+// bound entries without data too.
 const entryOverhead = entryHeaderSize
 
-// size is what e counts against byte limits.
+// size returns the number of bytes that e counts towards byte limits.
 func (e Entry) size() int {
 	return len(e.Data) + entryOverhead
 }
 
-// entryLog is the log in memory: the entries after a base position, and how far
-// they are persisted, committed and applied.
+// entryLog is the in-memory log: the entries after a base position, and how far they
+// are persisted, committed and applied.
 //
 // Invariants: baseIndex <= applied <= committed <= last index, except that after
-// restore applied trails until the caller has installed the snapshot. Entries at
-// or below committed are never replaced.
+// restore applied is lower until the caller has installed the snapshot. Entries at
+// or before committed are never replaced.
 type entryLog struct {
 	baseIndex uint64 // entries[0].Index - 1
 	baseTerm  uint64
 	entries   []Entry
 
-	snapshot        Snapshot  // the latest; its Index may be above baseIndex
-	pendingSnapshot *Snapshot // received and not handed to the caller yet
+	snapshot        Snapshot  // the latest; its Index may be greater than baseIndex
+	pendingSnapshot *Snapshot // received but not yet returned by Ready
 
 	committed uint64
-	applied   uint64 // applied by the caller, as told by Advance
-	persisted uint64 // synced by the caller, as told by Advance
-	emitted   uint64 // handed to the caller for persisting
+	applied   uint64 // applied by the caller, as reported to Advance
+	persisted uint64 // synced by the caller, as reported to Advance
+	emitted   uint64 // returned by Ready to be persisted
 }
 
-// newEntryLog returns a log as read from disk, all of it persisted.
+// newEntryLog returns a log with state read from disk, all of it persisted.
 func newEntryLog(snapshot Snapshot, entries []Entry, committed uint64) *entryLog {
 	log := &entryLog{
 		baseIndex: snapshot.Index,
@@ -55,8 +55,8 @@
 	return l.entries[len(l.entries)-1].Term
 }
 
-// term returns the term of the entry at index, false when it is compacted or
-// beyond the end.
+// term returns the term of the entry at index, and false if the entry is compacted or
+// beyond the end of the log.
 func (l *entryLog) term(index uint64) (uint64, bool) {
 	if index == l.baseIndex {
 		return l.baseTerm, true
@@ -67,14 +67,14 @@
 	return l.entries[index-l.baseIndex-1].Term, true
 }
 
-// matches tells whether the log has the entry (term, index).
+// matches reports whether the log has the entry (term, index).
 func (l *entryLog) matches(term, index uint64) bool {
 	own, ok := l.term(index)
 	return ok && own == term
 }
 
-// upToDate tells whether a log that ends in (term, index) holds at least every
-// entry that this log may have helped to commit.
+// upToDate reports whether a log that ends in (term, index) is at least as up to date
+// as this one, so that it has every entry that this log may have helped to commit.
 func (l *entryLog) upToDate(term, index uint64) bool {
 	if term != l.lastTerm() {
 		return term > l.lastTerm()
@@ -82,8 +82,8 @@
 	return index >= l.lastIndex()
 }
 
-// slice returns the entries in (after, through]. Its capacity ends there, so
-// that nobody appends into the log.
+// slice returns the entries in (after, through]. Its capacity equals its length, so
+// that appending to it cannot overwrite the log.
 func (l *entryLog) slice(after, through uint64) []Entry {
 	if after >= through {
 		return nil
@@ -91,8 +91,8 @@
 	return l.entries[after-l.baseIndex : through-l.baseIndex : through-l.baseIndex]
 }
 
-// batch returns the entries from index on, as many as fit into maxBytes and at
-// least one.
+// batch returns the entries from index on that fit into maxBytes, and at least one if
+// there is any.
 func (l *entryLog) batch(index uint64, maxBytes int) []Entry {
 	rest := l.slice(index-1, l.lastIndex())
 	total := 0
@@ -105,13 +105,13 @@
 	return rest
 }
 
-// append adds entries at the end.
+// append adds entries to the end of the log.
 func (l *entryLog) append(entries ...Entry) {
 	l.entries = append(l.entries, entries...)
 }
 
-// replaceFrom drops the entries from entries[0].Index on and adds entries. It
-// copies instead of overwriting, since messages and Readys share the old array.
+// replaceFrom replaces the entries from entries[0].Index on with entries. It copies
+// instead of overwriting, because messages and Readys share the old array.
 func (l *entryLog) replaceFrom(entries []Entry) {
 	kept := entries[0].Index - 1
 	if kept < l.lastIndex() {
@@ -123,8 +123,8 @@
 	l.emitted = min(l.emitted, kept)
 }
 
-// firstConflict returns the position in entries of the first one that the log
-// doesn't have; len(entries) when it has them all.
+// firstConflict returns the position in entries of the first one that is missing from
+// the log, or len(entries) if there is none.
 func (l *entryLog) firstConflict(entries []Entry) int {
 	for i, entry := range entries {
 		if !l.matches(entry.Term, entry.Index) {
@@ -134,8 +134,8 @@
 	return len(entries)
 }
 
-// lastAtOrBelow returns the highest position not above index whose term is not
-// above maxTerm, or the base position.
+// lastAtOrBelow returns the index and term of the last entry with an index of at most
+// index and a term of at most maxTerm, or the base position if there is none.
 func (l *entryLog) lastAtOrBelow(index, maxTerm uint64) (foundIndex, foundTerm uint64) {
 	for index = min(index, l.lastIndex()); index > l.baseIndex; index-- {
 		term, _ := l.term(index)
@@ -146,7 +146,8 @@
 	return l.baseIndex, l.baseTerm
 }
 
-// commitTo raises committed; it reports whether that changed anything.
+// commitTo raises committed to at most the last index. It reports whether committed
+// changed.
 func (l *entryLog) commitTo(index uint64) bool {
 	index = min(index, l.lastIndex())
 	if index <= l.committed {
@@ -156,12 +157,12 @@
 	return true
 }
 
-// unhanded returns the entries that the caller was not asked to persist yet.
+// entriesToPersist returns the entries that no Ready has returned yet.
 func (l *entryLog) entriesToPersist() []Entry {
 	return l.slice(l.emitted, l.lastIndex())
 }
 
-// unapplied returns the committed entries that the caller has not applied;
+// entriesToApply returns the committed entries that the caller has not applied, or
 // none while a snapshot is being installed.
 func (l *entryLog) entriesToApply() []Entry {
 	if l.applied < l.baseIndex || l.applied >= l.committed {
@@ -170,8 +171,8 @@
 	return l.slice(l.applied, l.committed)
 }
 
-// markPersisted records that the caller synced entries. Those that were replaced
-// in the meantime don't count.
+// markPersisted records that the caller has synced entries. Entries that were
+// replaced in the meantime are ignored.
 func (l *entryLog) markPersisted(entries []Entry) {
 	for i := len(entries) - 1; i >= 0; i-- {
 		if l.matches(entries[i].Term, entries[i].Index) {
@@ -181,7 +182,7 @@
 	}
 }
 
-// restore replaces the whole log by a received snapshot.
+// restore replaces the whole log with a received snapshot.
 func (l *entryLog) restore(snapshot Snapshot) {
 	l.baseIndex = snapshot.Index
 	l.baseTerm = snapshot.Term
@@ -193,8 +194,8 @@
 	l.emitted = snapshot.Index
 }
 
-// compact adopts the snapshot and drops the entries that are more than retained
-// behind it.
+// compact sets the latest snapshot and drops all entries that it covers except the
+// last retained ones.
 func (l *entryLog) compact(snapshot Snapshot, retained uint64) {
 	l.snapshot = snapshot
 	if snapshot.Index < retained || snapshot.Index-retained <= l.baseIndex {
--- a/process/raft/membership.go
+++ b/process/raft/membership.go
@@ -6,10 +6,11 @@
 	"github.com/pkg/errors"
 )
 
-// ProposeChange appends the configuration after change. It is in force at once
-// and done when it is committed. Changes go one by one, and only after the leader
-// has committed in its own term: then the quorums of any two configurations that
-// can be in force at the same time have a member in common.
+// ProposeChange appends a configuration entry with change applied. The configuration
+// takes effect at once, and the change is complete when the entry is committed. Only
+// one change may be pending, and the leader must have committed an entry of its own
+// term first: then the quorums of any two configurations that can be in effect at the
+// same time overlap.
 //
 // Errors: ErrNotLeader, ErrTransferPending, ErrChangePending,
 // ErrTermNotCommitted, ErrUnknownMember, ErrInvalidChange, ErrNotCaughtUp,
@@ -33,6 +34,7 @@
 	return n.term, index, nil
 }
 
+// checkChangeAllowed returns an error if no membership change may be proposed now.
 func (n *Node) checkChangeAllowed() error {
 	switch {
 	case n.role != Leader:
@@ -48,14 +50,15 @@
 	}
 }
 
-// committedInTerm tells whether the leader has committed an entry of its term;
-// only then it knows everything that earlier terms committed.
+// committedInTerm reports whether the leader has committed an entry of its own term.
+// Only then does it know everything that earlier terms committed.
 func (n *Node) committedInTerm() bool {
 	return n.leadership != nil && n.log.committed >= n.leadership.firstIndex
 }
 
-// caughtUp tells whether the learner has persisted all that was committed when
-// the heartbeat was sent that it answered last, less than an election timeout ago.
+// caughtUp reports whether the learner has persisted everything that was committed
+// when the last heartbeat it answered was sent, and that heartbeat was sent less than
+// an election timeout ago.
 func (n *Node) caughtUp(member MemberID) bool {
 	p := n.leadership.progress[member]
 	if p == nil || p.ackedSequence == 0 || n.now >= p.ackedSentAt+n.config.ElectionTimeout {
@@ -64,8 +67,8 @@
 	return p.match >= p.ackedCommit
 }
 
-// configurationCommitted drops members that were removed, after telling them of
-// the commit. A leader that was removed itself hands over and steps down.
+// configurationCommitted notifies removed members of the commit and stops tracking
+// them. A leader that was removed itself transfers leadership and steps down.
 func (n *Node) configurationCommitted() {
 	n.notifyRemovedMembers()
 	n.updateTrackedMembers()
@@ -76,9 +79,9 @@
 	}
 }
 
-// tellRemovedMembers sends the rest of the log with the commit index once to
-// members that leave, so that they stop campaigning. A lost message is harmless:
-// voters that hear from a leader refuse them.
+// notifyRemovedMembers sends removed members an append message with the log's next
+// entries and the commit index, once, so that they stop campaigning. Losing the
+// message is harmless, because voters that hear from a leader reject their requests.
 func (n *Node) notifyRemovedMembers() {
 	latest := n.configurations.latest().configuration
 	for _, member := range n.leadership.members {
--- a/process/raft/message.go
+++ b/process/raft/message.go
@@ -1,41 +1,41 @@
 package raft
 
-// MessageKind tells what a Message asks or answers.
+// MessageKind is the type of a Message.
 type MessageKind uint8
 
 // Kinds of messages.
 const (
-	MessagePreVote        MessageKind = iota + 1 // would you vote for me in Term?
-	MessagePreVoteReply                          // granted: Term is the one asked for; refused: the voter's
-	MessageVote                                  // vote for me in Term
+	MessagePreVote        MessageKind = iota + 1 // asks whether the receiver would grant a vote in Term
+	MessagePreVoteReply                          // Term is the requested one if granted, the voter's current one if rejected
+	MessageVote                                  // requests a vote in Term
 	MessageVoteReply                             //
 	MessageAppend                                // Entries follow the entry (LogTerm, Index)
-	MessageAppendReply                           // Index: persisted up to here; on Reject: the Index that did not match
-	MessageHeartbeat                             // round Sequence; Commit is safe for the receiver
-	MessageHeartbeatReply                        // answers round Sequence
-	MessageSnapshot                              // the receiver is behind the leader's compaction
-	MessageTimeoutNow                            // campaign at once, leadership is handed over
+	MessageAppendReply                           // Index is the last persisted one or, on Reject, the one that did not match
+	MessageHeartbeat                             // starts round Sequence; the receiver may commit up to Commit
+	MessageHeartbeatReply                        // replies to round Sequence
+	MessageSnapshot                              // replaces entries that the leader has compacted
+	MessageTimeoutNow                            // tells the receiver to campaign at once, for a leadership transfer
 )
 
-// Message is what members send each other. Fields that a kind doesn't use are zero.
+// Message is a message between members. Fields that its kind doesn't use are zero.
 type Message struct {
 	Kind       MessageKind
 	From       MemberID
 	To         MemberID
 	Term       uint64
 	Index      uint64
-	LogTerm    uint64 // term of the entry at Index, on a rejection at RejectHint
+	LogTerm    uint64 // term of the entry at Index or, on a rejection, at RejectHint
 	Commit     uint64
 	Reject     bool
-	RejectHint uint64 // highest index at which the follower's log may match
-	Transfer   bool   // on MessageVote: the leader of the term before asked for this election
-	Unanimous  bool   // on MessageVote: only the votes of all voters count; on MessagePreVoteReply: granted for such a vote alone
-	Sequence   uint64 // heartbeat round; on pre-votes and their replies: the question, 0 if not told
+	RejectHint uint64 // highest index at which the follower's log may match the leader's
+	Transfer   bool   // on MessageVote: the previous leader requested this election
+	Unanimous  bool   // on MessageVote: the election needs all votes; on MessagePreVoteReply: granted only for such an election
+	Sequence   uint64 // heartbeat round; on pre-votes and their replies: the preVoteID, 0 if unknown
 	Entries    []Entry
 	Snapshot   *Snapshot
 }
 
-// fromLeader tells whether only a term's leader sends this kind.
+// fromLeader reports whether only the leader of a term sends this kind.
 func (k MessageKind) fromLeader() bool {
 	switch k {
 	case MessageAppend, MessageHeartbeat, MessageSnapshot, MessageTimeoutNow:
@@ -45,7 +45,7 @@
 	}
 }
 
-// valid tells whether k is one of the kinds above.
+// valid reports whether k is a known kind.
 func (k MessageKind) valid() bool {
 	return k >= MessagePreVote && k <= MessageTimeoutNow
 }
--- a/process/raft/node.go
+++ b/process/raft/node.go
@@ -7,26 +7,27 @@
 	"github.com/pkg/errors"
 )
 
-// Defaults of limits that a Config leaves at zero.
+// Defaults for Config limits that are zero.
 const (
 	defaultMaxEntriesBytes     = 1 << 20
 	defaultMaxInflight         = 64
 	defaultMaxUncommittedBytes = 64 << 20
-	// snapshotRetryTimeouts is the default SnapshotRetry in election timeouts.
+	// snapshotRetryTimeouts is the default SnapshotRetry, in election timeouts.
 	snapshotRetryTimeouts = 4
 )
 
-// Node is one member's protocol state. It is not safe for concurrent use: the
-// caller owns it, and calls its methods from one goroutine at a time.
+// Node is the protocol state of one member. It is not safe for concurrent use: its
+// methods must be called from one goroutine at a time.
 //
-// Every method that takes now wants a reading of the same monotonic clock, taken
-// after the caller received what it passes in. An earlier reading would date a
-// heartbeat back, and the member would break the lease it promised by answering.
+// Methods that take now need a reading of the same monotonic clock, taken after the
+// caller received what it passes in. With an earlier reading the member would record
+// a heartbeat as older than it is, and could vote before the lease that it
+// acknowledged has expired.
 type Node struct {
 	config  Config
 	random  *rand.Rand
 	now     time.Duration
-	started bool // now has been set by a call
+	started bool // now has been set
 
 	term     uint64
 	vote     MemberID
@@ -36,25 +37,25 @@
 	log            *entryLog
 	configurations configurationHistory
 
-	// leaderContact is when the member last heard from a leader; a start counts
-	// as well, since the member may have answered a heartbeat just before it.
+	// leaderContact is when the member last heard from a leader. Its start counts
+	// too, because it may have answered a heartbeat just before a restart.
 	leaderContact    time.Duration
-	heardLeader      bool // since the start, or was it
+	heardLeader      bool // has heard from a leader, or been one, since the start
 	electionDeadline time.Duration
-	voteReplies      map[MemberID]bool // answers in the running election or pre-election
-	unanimousGrants  map[MemberID]bool // who would vote if all others do, in a pre-election
-	election         electionKind      // the running one, of a Candidate
+	voteReplies      map[MemberID]bool // replies in the current election or pre-election
+	unanimousGrants  map[MemberID]bool // voters that granted a pre-vote only for a unanimous election
+	election         electionKind      // of the current election, while Candidate
 	leadership       *leadership       // nil unless role is Leader
 
 	messages         []Message
 	readStates       []ReadState
 	abortedReads     []uint64
 	emittedHardState HardState
-	awaitingAdvance  bool // a Ready waits for its Advance
+	awaitingAdvance  bool // a Ready was returned and its Advance is due
 }
 
-// New returns a Node that goes on where initial was left. It fails with
-// ErrInvalidConfig, or with ErrInvalidState where initial contradicts itself.
+// New returns a Node that resumes from initial. It fails with ErrInvalidConfig, or
+// with ErrInvalidState if initial is inconsistent.
 func New(config Config, initial InitialState) (*Node, error) {
 	config = config.withDefaults()
 	if err := config.validate(); err != nil {
@@ -99,8 +100,9 @@
 	return c
 }
 
-// validate checks what safety and liveness rest on: the lease must run out
-// before a follower that promised it votes again, and must outlast a heartbeat.
+// validate checks the conditions for safety and liveness: the lease must expire before
+// a follower that acknowledged it may vote again, and must be longer than the
+// heartbeat interval.
 func (c Config) validate() error {
 	switch {
 	case c.ID == None:
@@ -118,6 +120,7 @@
 	}
 }
 
+// entriesAfter returns the entries with an index greater than index.
 func entriesAfter(entries []Entry, index uint64) []Entry {
 	for len(entries) > 0 && entries[0].Index <= index {
 		entries = entries[1:]
@@ -125,7 +128,7 @@
 	return entries
 }
 
-// validate checks initial with the entries after its snapshot.
+// validate checks s, of which entries are those after the snapshot.
 func (s InitialState) validate(entries []Entry) error {
 	if !consecutive(entries, s.Snapshot.Index, s.Snapshot.Term, s.HardState.Term) {
 		return errors.Wrap(ErrInvalidState, "entries are not consecutive")
@@ -135,16 +138,16 @@
 		return errors.Wrapf(ErrInvalidState, "commit index %d is beyond the last entry %d", s.HardState.Commit, last)
 	}
 	if s.Snapshot.Term > s.HardState.Term {
-		return errors.Wrap(ErrInvalidState, "snapshot is of a later term than the member")
+		return errors.Wrap(ErrInvalidState, "snapshot has a higher term than the hard state")
 	}
 	if !s.Configuration.consistent() || !s.Snapshot.Configuration.consistent() {
-		return errors.Wrap(ErrInvalidState, "configuration names a member twice or None")
+		return errors.Wrap(ErrInvalidState, "configuration lists a member twice, or None")
 	}
 	return nil
 }
 
-// consecutive tells whether entries follow the position (term, index) one by
-// one with terms that rise from its term to at most maxTerm.
+// consecutive reports whether entries directly follow the position (term, index),
+// with consecutive indexes and non-decreasing terms of at most maxTerm.
 func consecutive(entries []Entry, index, term, maxTerm uint64) bool {
 	for _, entry := range entries {
 		index++
@@ -156,7 +159,7 @@
 	return true
 }
 
-// observe moves the node's clock forward. The first reading starts it.
+// advanceClock moves the node's clock forward to now. The first reading starts it.
 func (n *Node) advanceClock(now time.Duration) {
 	if !n.started {
 		n.started = true
@@ -168,8 +171,8 @@
 	n.now = max(n.now, now)
 }
 
-// Tick lets time pass: elections, heartbeats, check-quorum and retries are due
-// by durations, so it may be called as often or as seldom as the caller likes.
+// Tick runs time-based work: elections, heartbeats, check-quorum and retries. All of
+// it is scheduled by durations, so Tick may be called at any rate.
 func (n *Node) Tick(now time.Duration) {
 	n.advanceClock(now)
 	if n.role == Leader {
@@ -181,8 +184,8 @@
 	}
 }
 
-// Step takes in one message. Errors: ErrWrongMember, ErrInvalidMessage and
-// ErrDiverged; each leaves the node unchanged but for its clock.
+// Step processes one received message. Errors: ErrWrongMember, ErrInvalidMessage and
+// ErrDiverged; each leaves the node unchanged except for its clock.
 func (n *Node) Step(now time.Duration, m Message) error {
 	n.advanceClock(now)
 	if err := n.validateMessage(m); err != nil {
@@ -198,18 +201,19 @@
 	return n.dispatch(m)
 }
 
-// check refuses what no member sends, before anything is changed by it.
+// validateMessage rejects messages that no correct member sends, before they change
+// any state.
 func (n *Node) validateMessage(m Message) error {
 	if m.To != n.config.ID {
 		return errors.Wrapf(ErrWrongMember, "%d", m.To)
 	}
-	// Only a refused pre-vote may come from a member that never saw an election.
+	// A member that never saw an election has term 0 and sends only rejected pre-votes.
 	noTerm := m.Term == 0 && m.Kind != MessagePreVoteReply
 	if m.From == None || m.From == n.config.ID || !m.Kind.valid() || noTerm {
 		return errors.Wrapf(ErrInvalidMessage, "kind %d from %d in term %d", m.Kind, m.From, m.Term)
 	}
 	if m.Kind.fromLeader() && m.Term == n.term && n.role == Leader {
-		return errors.Wrapf(ErrDiverged, "member %d leads term %d as well", m.From, m.Term)
+		return errors.Wrapf(ErrDiverged, "member %d claims to lead term %d too", m.From, m.Term)
 	}
 	switch m.Kind {
 	case MessageAppend:
@@ -221,8 +225,8 @@
 	}
 }
 
-// answerOldTerm tells the sender of the newer term where that helps: an outdated
-// leader then steps down, an outdated candidate catches up.
+// replyToOldTerm replies to messages of an older term so that their sender learns the
+// current one: an outdated leader then steps down, an outdated candidate catches up.
 func (n *Node) replyToOldTerm(m Message) {
 	switch m.Kind {
 	case MessagePreVote:
@@ -236,15 +240,15 @@
 	}
 }
 
-// enterTerm follows m into its higher term, unless its kind or the lease forbids
-// that. It reports whether m is to be looked at further.
+// enterTerm enters the higher term of m, unless the kind of m or a lease prevents it.
+// It reports whether m should be processed.
 func (n *Node) enterTerm(m Message) bool {
 	switch m.Kind {
 	case MessagePreVote:
-		return true // asks about a term that nobody has entered
+		return true // asks about a term that no member has entered
 	case MessagePreVoteReply:
 		if !m.Reject {
-			return true // its term is the one asked for
+			return true // its term is the requested one
 		}
 	case MessageVote:
 		if n.voteMayBreakLease(m) {
@@ -285,7 +289,7 @@
 	return nil
 }
 
-// send queues m for the next Ready. Term zero stands for the current term.
+// send queues m for the next Ready. A zero Term is replaced by the current term.
 func (n *Node) send(m Message) {
 	m.From = n.config.ID
 	if m.Term == 0 {
@@ -294,7 +298,7 @@
 	n.messages = append(n.messages, m)
 }
 
-// Status returns a copy of the public state.
+// Status returns a copy of the node's public state.
 func (n *Node) Status() Status {
 	status := Status{
 		ID:            n.config.ID,
--- a/process/raft/progress.go
+++ b/process/raft/progress.go
@@ -5,38 +5,38 @@
 	"time"
 )
 
-// progressState is how a leader sends entries to one follower.
+// progressState determines how the leader sends entries to one member.
 type progressState uint8
 
 const (
-	progressProbe     progressState = iota // one message at a time, looking for the matching index
-	progressReplicate                      // pipelined, next moves on at sending
-	progressSnapshot                       // a snapshot is on its way
+	progressProbe     progressState = iota // one message at a time, until the matching index is found
+	progressReplicate                      // pipelined: next advances when entries are sent
+	progressSnapshot                       // a snapshot was sent and is not acknowledged
 )
 
-// progress is a leader's view of one other member. match only rises within a
+// progress is a leader's view of one other member. match never decreases within a
 // term, and match < next always holds.
 type progress struct {
-	match uint64 // persisted by the member
-	next  uint64 // next entry to send
+	match uint64 // last index persisted by the member
+	next  uint64 // index of the next entry to send
 	state progressState
 
-	awaitingReply bool     // probe: a message is out
-	inflight      []uint64 // replicate: last index of each unanswered message, rising
-	forceAppend   bool     // send a message even without entries, to learn what was lost
+	awaitingReply bool     // probe: a message is unanswered
+	inflight      []uint64 // replicate: last index of each unanswered message, ascending
+	forceAppend   bool     // send a message even without new entries, to detect lost ones
 
 	snapshotIndex  uint64        // snapshot: its index
 	snapshotSentAt time.Duration // snapshot: when it was last sent
 
 	commitSent    uint64        // commit index last sent with entries
-	lastActive    time.Duration // last reply in this term
-	everActive    bool          // has replied in this term at all
+	lastActive    time.Duration // time of the last reply in this term
+	everActive    bool          // has replied in this term
 	ackedSequence uint64        // highest heartbeat round answered
 	ackedSentAt   time.Duration // when that round was sent
 	ackedCommit   uint64        // commit index when that round was sent
 }
 
-// blocked tells whether flow control forbids another append message.
+// blocked reports whether flow control prevents another append message.
 func (p *progress) blocked(maxInflight int) bool {
 	switch p.state {
 	case progressProbe:
@@ -48,7 +48,7 @@
 	}
 }
 
-// wants tells whether an append message would tell the member anything new.
+// needsAppend reports whether an append message is useful for the member.
 func (p *progress) needsAppend(lastIndex, committed uint64) bool {
 	if p.state == progressProbe || p.forceAppend {
 		return true
@@ -56,7 +56,7 @@
 	return p.next <= lastIndex || p.commitSent < committed
 }
 
-// sent records an append message with entries through lastSent.
+// recordAppendSent records that an append message with entries up to lastSent was sent.
 func (p *progress) recordAppendSent(lastSent, committed uint64) {
 	p.forceAppend = false
 	p.commitSent = committed
@@ -70,7 +70,8 @@
 	}
 }
 
-// acknowledge raises match; it reports whether the message was news.
+// acknowledge records that the member has persisted the log up to index. It reports
+// whether match increased.
 func (p *progress) acknowledge(index uint64) bool {
 	p.awaitingReply = false
 	answered, _ := slices.BinarySearch(p.inflight, index+1)
@@ -83,7 +84,8 @@
 	return true
 }
 
-// settle leaves probing or the snapshot once the member's log is known to match.
+// finishProbeOrSnapshot leaves the probe or snapshot state once the member's log is
+// known to match.
 func (p *progress) finishProbeOrSnapshot() {
 	switch p.state {
 	case progressProbe:
@@ -97,7 +99,7 @@
 	}
 }
 
-// probeFrom goes back to one message at a time.
+// probeFrom enters the probe state with the given next index.
 func (p *progress) probeFrom(next uint64) {
 	p.state = progressProbe
 	p.next = max(next, p.match+1)
@@ -106,7 +108,7 @@
 	p.commitSent = 0
 }
 
-// startSnapshot records that a snapshot was sent.
+// recordSnapshotSent enters the snapshot state.
 func (p *progress) recordSnapshotSent(index uint64, now time.Duration) {
 	p.state = progressSnapshot
 	p.snapshotIndex = index
@@ -114,13 +116,13 @@
 	p.inflight = p.inflight[:0]
 }
 
-// reply records any reply of the member.
+// recordReply records that the member replied at now.
 func (p *progress) recordReply(now time.Duration) {
 	p.lastActive = now
 	p.everActive = true
 }
 
-// heartbeatAnswered lets messages flow again that wait for a lost answer.
+// recordHeartbeatReply unblocks append messages that wait for a lost reply.
 func (p *progress) recordHeartbeatReply(lastIndex uint64, maxInflight int) {
 	p.awaitingReply = false
 	if p.state == progressReplicate && len(p.inflight) >= maxInflight {
--- a/process/raft/ready.go
+++ b/process/raft/ready.go
@@ -1,7 +1,7 @@
 package raft
 
-// HasReady tells whether Ready would return anything; never while a Ready waits
-// for its Advance.
+// HasReady reports whether Ready would return any work. It is false between Ready and
+// the matching Advance.
 func (n *Node) HasReady() bool {
 	if n.awaitingAdvance {
 		return false
@@ -12,9 +12,9 @@
 		n.hardState() != n.emittedHardState
 }
 
-// Ready returns the work that came up since the last one. Nothing else may be
-// asked for until Advance has told that it is done; Step, Tick and proposals may
-// come in between, and go into the next Ready.
+// Ready returns the work that has accumulated since the last Ready. Until Advance
+// reports that this work is done, further calls return an empty Ready. Step, Tick and
+// proposals may be called in between; their work goes into the next Ready.
 func (n *Node) Ready() Ready {
 	if !n.HasReady() {
 		return Ready{}
@@ -44,7 +44,7 @@
 	return ready
 }
 
-// Advance tells that everything in ready is done: persisted, sent and applied.
+// Advance reports that everything in ready has been persisted, sent and applied.
 func (n *Node) Advance(ready Ready) {
 	if !n.awaitingAdvance {
 		return
--- a/process/raft/replication.go
+++ b/process/raft/replication.go
@@ -6,10 +6,9 @@
 	"github.com/pkg/errors"
 )
 
-// Propose appends a command of the leader. The entry (term, index) is the
-// proposal's as soon as it is committed under just this term and index; it may
-// also be lost. Errors: ErrNotLeader, ErrTransferPending and ErrOverloaded.
-// data must not be written to afterwards.
+// Propose appends a command to the leader's log. The proposal succeeded if the entry
+// committed at index has this term; otherwise it was lost. data must not be modified
+// afterwards. Errors: ErrNotLeader, ErrTransferPending and ErrOverloaded.
 func (n *Node) Propose(now time.Duration, data []byte) (term, index uint64, err error) {
 	n.advanceClock(now)
 	if n.role != Leader {
@@ -26,8 +25,9 @@
 	return n.term, n.appendAsLeader(EntryCommand, data), nil
 }
 
-// appendOwn appends one entry of the leader's term. It counts towards the quorum
-// only when Advance has told that it is synced.
+// appendAsLeader appends one entry in the leader's term and returns its index. The
+// leader counts itself towards the entry's quorum only after Advance has reported the
+// entry as synced.
 func (n *Node) appendAsLeader(kind EntryKind, data []byte) uint64 {
 	entry := Entry{Term: n.term, Index: n.log.lastIndex() + 1, Kind: kind, Data: data}
 	n.log.append(entry)
@@ -36,8 +36,9 @@
 	return entry.Index
 }
 
-// flush sends what the leader owes its followers. It runs when the caller asks
-// for a Ready, so that proposals made since the last one travel together.
+// queueLeaderMessages queues the heartbeats and append messages that are due. It runs
+// when the caller requests a Ready, so that proposals made since the last one are
+// batched.
 func (n *Node) queueLeaderMessages() {
 	if n.leadership == nil {
 		return
@@ -54,8 +55,8 @@
 	}
 }
 
-// sendAppends sends messages until the member has all entries or flow control
-// says stop.
+// sendAppends sends append messages until the member has been sent all entries or flow
+// control blocks.
 func (n *Node) sendAppends(member MemberID, p *progress) {
 	for !p.blocked(n.config.MaxInflight) && p.needsAppend(n.log.lastIndex(), n.log.committed) {
 		previousTerm, kept := n.log.term(p.next - 1)
@@ -68,8 +69,8 @@
 	}
 }
 
-// sendEntries sends the entries that follow the position (term, index), as far
-// as one message holds them. It returns the index of the last one.
+// sendEntries sends one message with the entries that follow the position (term,
+// index), up to the message size limit. It returns the index of the last one.
 func (n *Node) sendEntries(member MemberID, index, term uint64) uint64 {
 	entries := n.log.batch(index+1, n.config.MaxEntriesBytes)
 	n.send(Message{
@@ -83,8 +84,8 @@
 	return index + uint64(len(entries))
 }
 
-// checkAppend refuses entries that don't follow each other, can't be decoded or
-// contradict committed ones.
+// checkAppend rejects entries that are not consecutive, that have an invalid
+// configuration or that contradict committed entries.
 func (n *Node) checkAppend(m Message) error {
 	if m.LogTerm > m.Term || !consecutive(m.Entries, m.Index, m.LogTerm, m.Term) {
 		return errors.Wrap(ErrInvalidMessage, "entries are not consecutive")
@@ -104,7 +105,8 @@
 	return n.checkCommitted(m)
 }
 
-// checkCommitted compares m with the committed entries that are kept.
+// checkCommitted returns ErrDiverged if m contradicts committed entries that are still
+// in memory.
 func (n *Node) checkCommitted(m Message) error {
 	if n.contradictsCommitted(m.LogTerm, m.Index) {
 		return errors.Wrapf(ErrDiverged, "index %d from member %d", m.Index, m.From)
@@ -131,7 +133,7 @@
 	lastSent := m.Index + uint64(len(m.Entries))
 	switch {
 	case lastSent <= n.log.committed:
-		// An old message. All through the commit index matches anyway.
+		// An old message; the log matches up to the commit index in any case.
 		reply.Index = n.log.committed
 	case m.Index >= n.log.committed && !n.log.matches(m.LogTerm, m.Index):
 		reply.Reject = true
@@ -146,9 +148,9 @@
 	return nil
 }
 
-// acceptEntries takes over the entries from the first one on that the log
-// doesn't have. Later ones of the log stay when there is no conflict: the
-// message may be older than they are.
+// acceptEntries stores the entries from the first one that is missing from the log. If
+// there is none, later entries in the log are kept, because the message may be older
+// than they are.
 func (n *Node) acceptEntries(entries []Entry) {
 	fresh := entries[n.log.firstConflict(entries):]
 	if len(fresh) == 0 {
@@ -157,7 +159,7 @@
 	n.configurations.truncateFrom(fresh[0].Index)
 	n.log.replaceFrom(fresh)
 	if err := n.configurations.addEntries(fresh); err != nil {
-		panic(errors.Wrap(err, "raft: a checked configuration doesn't decode"))
+		panic(errors.Wrap(err, "raft: validated configuration cannot be decoded"))
 	}
 	n.updateRole()
 }
@@ -172,7 +174,7 @@
 		return
 	}
 	if m.Index > n.log.lastIndex() {
-		return // no message of this term can have led to that
+		return // no message of this term can cause such a reply
 	}
 	raised := p.acknowledge(m.Index)
 	p.finishProbeOrSnapshot()
@@ -183,8 +185,8 @@
 	n.continueTransfer(m.From)
 }
 
-// activeProgress records that member answered. It returns nil when the node
-// doesn't lead or doesn't know the member.
+// activeProgress records that member replied and returns its progress. It returns nil
+// if the node isn't the leader or doesn't track the member.
 func (n *Node) activeProgress(member MemberID) *progress {
 	if n.leadership == nil {
 		return nil
@@ -196,15 +198,15 @@
 	return p
 }
 
-// backtrack looks for the matching index further down. Both sides skip whole
-// terms: the hint is the highest index at which the follower's term is not above
-// the one that was offered, and the leader does the same with the hint.
+// backtrack continues the search for the matching index at a lower one. Both sides skip
+// whole terms: the follower's hint is its highest index whose term is not greater than
+// the one in the rejected message, and the leader does the same with the hint's term.
 func (n *Node) backtrack(p *progress, m Message) {
 	if p.state == progressSnapshot || m.Index <= p.match {
 		return
 	}
 	if p.state == progressProbe && m.Index != p.next-1 {
-		return // an answer to an earlier probe
+		return // a reply to an earlier probe
 	}
 	candidate, _ := n.log.lastAtOrBelow(m.RejectHint, m.LogTerm)
 	if m.RejectHint < n.log.baseIndex {
@@ -214,9 +216,10 @@
 	n.leadership.appendsDue = true
 }
 
-// maybeCommit commits what a quorum has persisted. Only entries of the leader's
-// own term are committed by counting: an older one may still be replaced by a
-// later leader though a quorum holds it. Those before commit with them.
+// maybeCommit commits the entries that a quorum has persisted. Only entries of the
+// leader's own term are committed by counting replicas, because a later leader may
+// still replace an older entry even though a quorum holds it. Entries before them are
+// committed along with them.
 func (n *Node) maybeCommit() {
 	if n.leadership == nil {
 		return
@@ -228,7 +231,7 @@
 	n.commitTo(reached)
 }
 
-// commitTo raises the commit index and draws the consequences.
+// commitTo raises the commit index and updates the state that depends on it.
 func (n *Node) commitTo(index uint64) {
 	before := n.log.committed
 	if !n.log.commitTo(index) {
--- a/process/raft/snapshot.go
+++ b/process/raft/snapshot.go
@@ -4,10 +4,11 @@
 	"github.com/pkg/errors"
 )
 
-// SnapshotAt returns data, the state machine's state after applying index, as a
-// Snapshot with the right term and configuration, to be stored and then handed to
-// Compact. Errors: ErrNotApplied above Status().Applied, ErrCompacted where a later
-// snapshot has made it needless; that may be a received one of the next Ready.
+// SnapshotAt returns a Snapshot of data, the state machine's state after applying
+// index, with the term and configuration at index. The caller stores it and then
+// passes it to Compact. Errors: ErrNotApplied if index is greater than
+// Status().Applied, ErrCompacted if a later snapshot exists, which may have been
+// received and be part of the next Ready.
 func (n *Node) SnapshotAt(index uint64, data []byte) (Snapshot, error) {
 	if index > n.log.applied {
 		return Snapshot{}, errors.Wrapf(ErrNotApplied, "index %d", index)
@@ -24,10 +25,10 @@
 	}, nil
 }
 
-// Compact adopts a snapshot that the caller has stored and drops the entries
-// that it covers, but for Config.RetainedEntries of them. Errors: ErrNotApplied,
-// ErrCompacted when there is a later snapshot, ErrInvalidState when it doesn't
-// have the term of its index.
+// Compact records a snapshot that the caller has stored and drops the entries that it
+// covers, except for the last Config.RetainedEntries. Errors: ErrNotApplied,
+// ErrCompacted if the latest snapshot is not older, ErrInvalidState if the snapshot's
+// term is not the term of its index.
 func (n *Node) Compact(snapshot Snapshot) error {
 	if snapshot.Index > n.log.applied {
 		return errors.Wrapf(ErrNotApplied, "index %d", snapshot.Index)
@@ -44,9 +45,8 @@
 	return nil
 }
 
-// sendSnapshot sends the latest snapshot to a member that needs compacted
-// entries. One that doesn't answer is not sent any: its next heartbeat reply
-// asks again.
+// sendSnapshot sends the latest snapshot to a member that needs compacted entries. An
+// unresponsive member is sent none; its next heartbeat reply triggers another attempt.
 func (n *Node) sendSnapshot(member MemberID, p *progress) {
 	if !p.everActive || !n.recentlyActive(p) {
 		p.awaitingReply = true
@@ -64,8 +64,9 @@
 	p.recordSnapshotSent(snapshot.Index, n.now)
 }
 
-// retrySnapshots gives up on snapshots that got no answer in time; the next
-// append message finds out what the member has, or sends a snapshot again.
+// retrySnapshots returns members whose snapshot was not acknowledged in time to the
+// probe state. The next append message then finds the member's matching index, or the
+// snapshot is sent again.
 func (n *Node) retrySnapshots() {
 	for _, member := range n.leadership.members {
 		p := n.leadership.progress[member]
@@ -90,8 +91,8 @@
 	return nil
 }
 
-// handleSnapshot installs the snapshot unless the log has its last entry. The
-// reply goes out with the Ready that has the snapshot stored.
+// handleSnapshot installs the snapshot unless the log already has its last entry. The
+// reply is part of the Ready that has the snapshot stored.
 func (n *Node) handleSnapshot(m Message) {
 	n.followLeader(m.From)
 	snapshot := *m.Snapshot
--- a/process/raft/transfer.go
+++ b/process/raft/transfer.go
@@ -6,17 +6,17 @@
 	"github.com/pkg/errors"
 )
 
-// transfer is a leadership that is being handed over.
+// transfer is a leadership transfer in progress.
 type transfer struct {
 	to             MemberID
 	deadline       time.Duration
 	timeoutNowSent bool // the target was told to campaign
 }
 
-// TransferLeadership makes the voter to campaign at once, as soon as it has all
-// entries. Proposals are refused meanwhile. It is given up after an election
-// timeout. Errors: ErrNotLeader, ErrUnknownMember when to is not a voter,
-// ErrTransferPending during a transfer to another member.
+// TransferLeadership makes voter `to` campaign as soon as it has all entries. Proposals
+// are rejected in the meantime. The transfer is abandoned after an election timeout.
+// Errors: ErrNotLeader, ErrUnknownMember if `to` is not a voter, ErrTransferPending
+// during a transfer to another member.
 func (n *Node) TransferLeadership(now time.Duration, to MemberID) error {
 	n.advanceClock(now)
 	if n.role != Leader {
@@ -37,8 +37,8 @@
 	return nil
 }
 
-// continueTransfer tells the target to campaign once it has every entry, and
-// again on each of its replies, since the message may have been lost.
+// continueTransfer tells the target to campaign once it has every entry. It repeats
+// this on each reply of the target, because the message may have been lost.
 func (n *Node) continueTransfer(member MemberID) {
 	if n.leadership == nil || n.leadership.transfer == nil {
 		return
@@ -51,16 +51,16 @@
 	n.sendTimeoutNow(member)
 }
 
-// sendTimeoutNow gives up the lease for the rest of the term: voters grant their
-// vote to a member that was told to campaign without waiting for the lease's end,
-// and nobody knows when the message arrives.
+// sendTimeoutNow tells member to campaign at once. It forfeits the lease for the rest
+// of the term, because voters grant votes to such a candidate without waiting for the
+// lease to expire, and the message may arrive at any time.
 func (n *Node) sendTimeoutNow(member MemberID) {
 	n.leadership.leaseForfeited = true
 	n.send(Message{Kind: MessageTimeoutNow, To: member})
 }
 
-// tickTransfer ends a transfer that took too long. Where the target was told to
-// campaign, the leader steps down: it could not hold a lease in this term again.
+// tickTransfer ends a transfer that has timed out. If the target was told to campaign,
+// the leader steps down, because it cannot hold a lease in this term again.
 func (n *Node) tickTransfer() {
 	pending := n.leadership.transfer
 	if pending == nil || n.now < pending.deadline {
@@ -72,8 +72,8 @@
 	}
 }
 
-// handOverOnRemoval lets the voter with the most entries campaign at once, so
-// that the group need not wait for a timeout.
+// transferOnRemoval tells the voter with the most entries to campaign at once, so that
+// the group doesn't wait for an election timeout after its leader was removed.
 func (n *Node) transferOnRemoval() {
 	best := None
 	for _, voter := range n.configurations.latest().configuration.Voters {
--- a/process/raft/types.go
+++ b/process/raft/types.go
@@ -1,14 +1,14 @@
-// Package raft is the agreement protocol of the control group as a pure state
-// machine: ticks, proposals and messages go in; entries to persist, messages to
-// send and committed entries come out. It opens no file, no socket and reads no
-// clock, so the daemon and the emulator run the same code.
+// Package raft implements the Raft consensus protocol of the control group as a pure
+// state machine. Its inputs are ticks, proposals and messages; its outputs are entries
+// to persist, messages to send and committed entries to apply. It opens no files or
+// sockets and reads no clock, so the daemon and the emulator run the same code.
 //
-// Guarantees, while fewer than half of the voters lose what they synced and each
-// caller carries out its Readys in order: a term has at most one leader; an entry
-// that one member was told is committed is never replaced or lost, and every
-// member is handed the same entries in the same order; at any moment LeaseValid
-// is true on at most one member, if no clock gains more on another during an
-// election timeout than the lease is shorter than that.
+// It guarantees the following while fewer than half of the voters lose synced data and
+// each caller processes its Readys in order. A term has at most one leader. An entry
+// that was reported as committed on any member is never replaced or lost, and all
+// members receive the same entries in the same order. At any moment LeaseValid is true
+// on at most one member, provided that no two clocks drift apart during an election
+// timeout by more than the difference between the election timeout and the lease.
 package raft
 
 import (
@@ -17,25 +17,25 @@
 	"github.com/pkg/errors"
 )
 
-// MemberID is the identity of one member's disk. A member that lost its disk
-// comes back under a new MemberID, because under the old one it could vote
-// twice in a term.
+// MemberID identifies a member together with its disk. A member that lost its disk
+// must return under a new MemberID, because under the old one it could vote twice in a
+// term.
 type MemberID uint64
 
-// None is the zero MemberID; no member has it.
+// None is the zero MemberID, which no member has.
 const None MemberID = 0
 
-// EntryKind tells what an entry's data means.
+// EntryKind determines the meaning of an entry's data.
 type EntryKind uint8
 
 // Kinds of entries.
 const (
-	EntryCommand EntryKind = iota // data belongs to the replicated state machine
+	EntryCommand EntryKind = iota // data is a command for the replicated state machine
 	EntryConfig                   // data is an encoded Configuration
 	EntryEmpty                    // a new leader's first entry of its term
 )
 
-// Entry is one record of the replicated log. (Term, Index) is unique for all time.
+// Entry is one record of the replicated log. (Term, Index) identifies it uniquely.
 type Entry struct {
 	Term  uint64
 	Index uint64
@@ -43,14 +43,15 @@
 	Data  []byte
 }
 
-// HardState is what must be synced before any message of the same Ready is sent.
+// HardState is the state that must be synced before any message of the same Ready is
+// sent.
 type HardState struct {
 	Term   uint64
 	Vote   MemberID
 	Commit uint64
 }
 
-// Configuration is the membership of the group. It changes by one member at a time.
+// Configuration is the membership of the group. It changes one member at a time.
 type Configuration struct {
 	Voters   []MemberID
 	Learners []MemberID
@@ -74,13 +75,13 @@
 	ChangeRemove
 )
 
-// ConfigurationChange asks for one step of a membership change.
+// ConfigurationChange describes one step of a membership change.
 type ConfigurationChange struct {
 	Kind   ChangeKind
 	Member MemberID
 }
 
-// Role is a member's part in the current term.
+// Role is the role of a member in the current term.
 type Role uint8
 
 // Roles of a member.
@@ -92,60 +93,60 @@
 	Learner
 )
 
-// Config holds what a Node is created with. Durations are on the monotonic
-// clock whose readings are handed to Tick.
+// Config holds the parameters of a Node. Durations refer to the monotonic clock whose
+// readings are passed to Tick.
 type Config struct {
 	ID                  MemberID
-	ElectionTimeout     time.Duration // base; each election waits between one and two of these
+	ElectionTimeout     time.Duration // elections are delayed by between one and two of these
 	HeartbeatInterval   time.Duration
 	LeaseDuration       time.Duration // leader lease; shorter than ElectionTimeout by the clock-drift margin
-	MaxEntriesBytes     int           // bytes of entries in one append message
-	MaxInflight         int           // append messages in flight to one follower
-	MaxUncommittedBytes int           // proposals beyond this are refused with ErrOverloaded
-	Seed                uint64        // randomness of election timeouts
-	// SnapshotRetry is how long a sent snapshot may stay unanswered before it is
+	MaxEntriesBytes     int           // maximum size of the entries in one append message
+	MaxInflight         int           // maximum of unanswered append messages to one follower
+	MaxUncommittedBytes int           // proposals beyond this are rejected with ErrOverloaded
+	Seed                uint64        // random seed for election timeouts
+	// SnapshotRetry is how long a snapshot may remain unacknowledged before it is
 	// sent again; zero means four election timeouts.
 	SnapshotRetry time.Duration
-	// RetainedEntries is how many entries Compact keeps in memory behind the
-	// snapshot, so that a slightly lagging follower needs no snapshot.
+	// RetainedEntries is how many of the entries covered by the snapshot Compact
+	// keeps in memory, so that a slightly lagging follower needs no snapshot.
 	RetainedEntries uint64
 }
 
-// InitialState is what a Node starts from: what its disk holds, or the
-// bootstrap configuration of a new group. All of it empty is a new member, that
+// InitialState is the state that a Node starts from: the contents of its disk, or the
+// bootstrap configuration of a new group. If it is empty, the Node is a new member that
 // neither votes nor campaigns until a leader has sent it a configuration.
 type InitialState struct {
 	HardState HardState
-	Snapshot  Snapshot // zero when there is none
-	Entries   []Entry  // consecutive; those at or below Snapshot.Index are skipped
-	// Configuration is the bootstrap configuration at index zero. It has to be
-	// given again on each start until there is a snapshot; a snapshot's overrides it.
+	Snapshot  Snapshot // zero if there is none
+	Entries   []Entry  // consecutive; those up to Snapshot.Index are skipped
+	// Configuration is the bootstrap configuration at index zero. It must be passed
+	// on every start until there is a snapshot, whose configuration overrides it.
 	Configuration Configuration
 }
 
-// Ready is what the caller must carry out, in this order: persist Snapshot,
-// Entries and HardState and sync; restore the state machine from Snapshot; send
-// Messages; apply Committed; call Advance. The slices share memory with the node
-// and must not be written to.
+// Ready is work that the caller must do in this order: persist Snapshot, Entries and
+// HardState, and sync; restore the state machine from Snapshot; send Messages; apply
+// Committed; call Advance. The slices share memory with the node and must not be
+// modified.
 type Ready struct {
-	HardState *HardState // nil when unchanged
+	HardState *HardState // nil if unchanged
 	// Snapshot is nil unless one was received. It replaces the whole stored log:
-	// every stored entry, also those above Snapshot.Index, must be discarded with it.
+	// all stored entries must be discarded, including those after Snapshot.Index.
 	Snapshot *Snapshot
-	// Entries are to be stored; a stored entry at or above Entries[0].Index is
-	// replaced together with all that follow it.
+	// Entries must be stored. They replace all stored entries from
+	// Entries[0].Index on.
 	Entries    []Entry
 	Messages   []Message
-	Committed  []Entry // empty in a Ready with a Snapshot
+	Committed  []Entry // empty if Snapshot is set
 	ReadStates []ReadState
-	// AbortedReads are the request IDs whose reads will never get a ReadState,
+	// AbortedReads are the request IDs of reads that will not get a ReadState,
 	// because leadership was lost.
 	AbortedReads []uint64
-	MustSync     bool // false when only HardState.Commit changed or nothing is to be stored
+	MustSync     bool // false if nothing is to be stored, or only a changed HardState.Commit
 }
 
-// ReadState says that a read asked for under RequestID may be answered once the
-// state machine has applied Index.
+// ReadState states that the read RequestID may be answered once the state machine has
+// applied Index.
 type ReadState struct {
 	RequestID uint64
 	Index     uint64
@@ -161,16 +162,16 @@
 	Applied       uint64
 	LastIndex     uint64
 	Configuration Configuration
-	// ConfigurationPending tells that Configuration is appended and not known to
-	// be committed: if this member is lost now, the one before may come back.
+	// ConfigurationPending is set if Configuration is appended but not known to be
+	// committed: if this member is lost, the previous one may take effect again.
 	ConfigurationPending bool
 	// Match is the highest index known to be persisted by each member; leader only.
 	Match map[MemberID]uint64
-	// RecentlyActive tells which members answered within an election timeout; leader only.
+	// RecentlyActive lists the members that replied within an election timeout; leader only.
 	RecentlyActive map[MemberID]bool
 }
 
-// Errors returned by a Node. All leave the node unchanged.
+// Errors returned by a Node. All leave the node unchanged except for its clock.
 var (
 	ErrNotLeader       = errors.New("raft: not the leader")
 	ErrOverloaded      = errors.New("raft: too many uncommitted bytes")
@@ -181,24 +182,26 @@
 	ErrTransferPending = errors.New("raft: leadership is being transferred")
 	ErrLastVoter       = errors.New("raft: the last voter cannot be removed")
 
-	// ErrTermNotCommitted refuses a membership change to a leader that has not
-	// committed an entry of its own term yet; asking again soon helps.
+	// ErrTermNotCommitted rejects a membership change because the leader has not yet
+	// committed an entry of its own term; the caller should retry soon.
 	ErrTermNotCommitted = errors.New("raft: no entry of the leader's term is committed yet")
-	// ErrInvalidChange refuses a change that does not fit the member's present state.
+	// ErrInvalidChange rejects a change that is not possible in the member's current state.
 	ErrInvalidChange = errors.New("raft: membership change does not fit the configuration")
-	// ErrInvalidConfig refuses a Config whose durations or limits contradict each other.
+	// ErrInvalidConfig rejects a Config with invalid or contradictory values.
 	ErrInvalidConfig = errors.New("raft: invalid config")
-	// ErrInvalidState refuses an InitialState that no run of the protocol leaves behind.
+	// ErrInvalidState rejects an InitialState, or a snapshot, that the protocol cannot
+	// produce.
 	ErrInvalidState = errors.New("raft: invalid initial state")
-	// ErrInvalidMessage refuses a message that no member sends.
+	// ErrInvalidMessage rejects a message that no correct member sends.
 	ErrInvalidMessage = errors.New("raft: invalid message")
-	// ErrWrongMember refuses a message addressed to another MemberID.
+	// ErrWrongMember rejects a message addressed to another MemberID.
 	ErrWrongMember = errors.New("raft: message for another member")
-	// ErrDiverged reports a message that contradicts committed entries: some
-	// member's storage broke its promise. The caller should stop the member.
+	// ErrDiverged reports a message that contradicts committed entries, or a second
+	// leader in the same term: some member has lost synced data. The caller should
+	// stop the member.
 	ErrDiverged = errors.New("raft: message contradicts committed entries")
-	// ErrNotApplied refuses a snapshot of entries that were not applied yet.
+	// ErrNotApplied rejects a snapshot that covers entries not applied yet.
 	ErrNotApplied = errors.New("raft: entries were not applied yet")
-	// ErrMalformed reports bytes that are not an encoding of the wanted type.
+	// ErrMalformed reports bytes that are not a valid encoding of the expected type.
 	ErrMalformed = errors.New("raft: malformed encoding")
 )
