--- a/process/controller/controller_test.go
+++ b/process/controller/controller_test.go
@@ -45,7 +45,7 @@
 
 func unchangedState(*engineapi.State) {}
 
-func TestOneEngine(t *testing.T) {
+func TestReconcileOneEngine(t *testing.T) {
 	decision := []planner.Decision{{Engine: "e", Assignment: second, Reason: "load"}}
 	cases := map[string]struct {
 		engine    *api.Engine
@@ -225,7 +225,7 @@
 	}
 }
 
-func TestMachinesAreProposedWhenTheyDiffer(t *testing.T) {
+func TestChangedMachineListIsProposed(t *testing.T) {
 	listed := state.Machines{Leaving: []string{"b", "a", "b"}, Gone: []string{"c"}}
 	cases := map[string]struct {
 		platform, committed *state.Machines
--- a/process/controller/engine.go
+++ b/process/controller/engine.go
@@ -15,31 +15,31 @@
 }
 
 func (r engineReconciler) actions() []Action {
-	seen := r.recentObservation()
-	if seen == nil {
+	observation := r.recentObservation()
+	if observation == nil {
 		return r.query()
 	}
 	if order := r.engine.Status.OpenOrder; order != nil {
-		return r.continueOrder(*order, *seen)
+		return r.continueOrder(*order, *observation)
 	}
-	if report := reportOf(seen.State); state.ReportChanges(r.engine, report) {
+	if report := reportOf(observation.State); state.ReportChanges(r.engine, report) {
 		return []Action{Propose{state.Command{Kind: state.CommandReportEngine, EngineReport: &report}}}
 	}
-	return r.openOrder(seen.State)
+	return r.proposeOpenOrder(observation.State)
 }
 
 // observed returns the engine's own recent word, or nil. An answer under
 // another name comes from another engine at the same address and counts for
 // nothing.
 func (r engineReconciler) recentObservation() *Observation {
-	seen, found := r.input.Observations[r.engine.Name]
-	if !found || seen.State.Engine != r.engine.Name || seen.State.Incarnation == 0 {
+	observation, found := r.input.Observations[r.engine.Name]
+	if !found || observation.State.Engine != r.engine.Name || observation.State.Incarnation == 0 {
 		return nil
 	}
-	if r.input.Now-seen.AskedAt > r.input.Silence {
+	if r.input.Now-observation.AskedAt > r.input.Silence {
 		return nil
 	}
-	return &seen
+	return &observation
 }
 
 func (r engineReconciler) query() []Action {
@@ -47,21 +47,21 @@
 }
 
 // carryOut continues the open order from what the engine said.
-func (r engineReconciler) continueOrder(order api.Order, seen Observation) []Action {
-	current := seen.State
+func (r engineReconciler) continueOrder(order api.Order, observation Observation) []Action {
+	current := observation.State
 	switch {
 	case current.Incarnation != order.Incarnation:
 		// The incarnation that the order is bound to has ended, and with it
 		// everything that it was told; the new one refuses the order.
-		return r.closeOrder(order, state.CloseOtherIncarnation, current)
+		return r.proposeCloseOrder(order, state.CloseOtherIncarnation, current)
 	case current.Order != nil:
 		return r.query()
 	case current.Fence.Less(order.Fence):
-		return r.sendOrder(order, seen)
+		return r.sendOrder(order, observation)
 	case order.Fence.Less(current.Fence):
-		return r.closeOrder(order, state.CloseVoid, current)
+		return r.proposeCloseOrder(order, state.CloseVoid, current)
 	case isDone(order, current):
-		return r.closeOrder(order, state.CloseDone, current)
+		return r.proposeCloseOrder(order, state.CloseDone, current)
 	case isSettled(current):
 		// The engine ended the order without becoming what it asks for.
 		return r.voidOrder(order, current)
@@ -71,9 +71,9 @@
 }
 
 // give sends the order, unless the engine has called it invalid.
-func (r engineReconciler) sendOrder(order api.Order, seen Observation) []Action {
-	if seen.Refused == order.Fence {
-		return r.voidOrder(order, seen.State)
+func (r engineReconciler) sendOrder(order api.Order, observation Observation) []Action {
+	if observation.Refused == order.Fence {
+		return r.voidOrder(order, observation.State)
 	}
 	return []Action{Send{Engine: r.engine.Name, Address: r.engine.Spec.Address, Order: order}}
 }
@@ -87,7 +87,7 @@
 	}}
 }
 
-func (r engineReconciler) closeOrder(order api.Order, reason state.CloseReason, current engineapi.State) []Action {
+func (r engineReconciler) proposeCloseOrder(order api.Order, reason state.CloseReason, current engineapi.State) []Action {
 	closing := state.CloseOrder{
 		Engine: r.engine.Name,
 		Fence:  order.Fence,
@@ -128,12 +128,12 @@
 }
 
 // open proposes the engine's next order, if there is one to give.
-func (r engineReconciler) openOrder(current engineapi.State) []Action {
+func (r engineReconciler) proposeOpenOrder(current engineapi.State) []Action {
 	if !isSettled(current) || isLeaving(r.engine.Status.Phase) || isLeaving(current.Phase) {
 		return nil
 	}
-	assignment, reason, wanted := r.desiredAssignment()
-	if !wanted || assignment.Equal(current.Assignment) || r.failedRecently(assignment) {
+	assignment, reason, found := r.desiredAssignment()
+	if !found || assignment.Equal(current.Assignment) || r.failedRecently(assignment) {
 		return nil
 	}
 	opening := state.OpenOrder{
@@ -151,7 +151,7 @@
 // wanted returns what the engine should become. A drained engine becomes
 // nothing. An engine that no intent selects keeps what it has: labels move in
 // several steps, and the planner names no change for it.
-func (r engineReconciler) desiredAssignment() (assignment api.Assignment, reason string, wanted bool) {
+func (r engineReconciler) desiredAssignment() (assignment api.Assignment, reason string, found bool) {
 	if r.engine.Spec.Drain {
 		return api.Assignment{}, ReasonDrain, true
 	}
--- a/process/controller/oracle_test.go
+++ b/process/controller/oracle_test.go
@@ -37,7 +37,7 @@
 				l := rapid.SampledFrom(w.leaders).Draw(t, "leader")
 				w.round(l, w.plan())
 			},
-			"query":   func(t *rapid.T) { w.enqueue(message{leader: w.current(), engine: engineNames.Draw(t, "engine")}) },
+			"query":   func(t *rapid.T) { w.enqueue(request{leader: w.current(), engine: engineNames.Draw(t, "engine")}) },
 			"advance": func(t *rapid.T) { w.advance(time.Duration(rapid.IntRange(1, 6000).Draw(t, "ms")) * time.Millisecond) },
 			"elect":   func(t *rapid.T) { w.elect() },
 			"crash":   func(t *rapid.T) { w.crash(engineNames.Draw(t, "engine")) },
@@ -76,15 +76,15 @@
 
 // deliverDrawn delivers any message on its way, in any order; it may arrive again.
 func (w *simulation) deliverDrawn(t *rapid.T) {
-	if len(w.messages) == 0 {
+	if len(w.requests) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(w.messages)-1).Draw(t, "message")
-	m := w.messages[i]
+	i := rapid.IntRange(0, len(w.requests)-1).Draw(t, "message")
+	m := w.requests[i]
 	if rapid.IntRange(0, 3).Draw(t, "repeat") == 0 {
 		w.counts["repeated"]++
 	} else {
-		w.messages = append(w.messages[:i:i], w.messages[i+1:]...)
+		w.requests = append(w.requests[:i:i], w.requests[i+1:]...)
 	}
 	w.deliver(t, m, rapid.IntRange(0, 2).Draw(t, "lose") == 0)
 }
--- a/process/controller/planned.go
+++ b/process/controller/planned.go
@@ -9,7 +9,7 @@
 // PlannedEngine shows the planner an engine as it is committed and as it says
 // itself; said is nil when it was not heard from lately, and its phase is then
 // unknown. The platform's word on its machine stands over the engine's.
-func PlannedEngine(committed *api.Engine, said *engineapi.State) planner.Engine {
+func PlannedEngine(committed *api.Engine, reported *engineapi.State) planner.Engine {
 	engine := planner.Engine{
 		Name:       committed.Name,
 		Zone:       committed.Spec.Zone,
@@ -20,9 +20,9 @@
 	if order := committed.Status.OpenOrder; order != nil {
 		engine.Pending = &order.Assignment
 	}
-	if said != nil {
-		engine.Phase = said.Phase
-		engine.Assignment = said.Assignment
+	if reported != nil {
+		engine.Phase = reported.Phase
+		engine.Assignment = reported.Assignment
 	}
 	if phase := committed.Status.Phase; phase == api.PhaseLeaving || phase == api.PhaseGone {
 		engine.Phase = phase
--- a/process/controller/world_test.go
+++ b/process/controller/world_test.go
@@ -21,7 +21,7 @@
 
 // message is a request on its way to an engine, for a leader that may have lost
 // its authority since.
-type message struct {
+type request struct {
 	leader  *leader
 	askedAt time.Duration
 	engine  string
@@ -32,7 +32,7 @@
 // leader is one leadership: what it sees and what it keeps.
 type leader struct {
 	term         uint64
-	view         map[string]*api.Engine // what an old leader goes on believing
+	staleEngines map[string]*api.Engine // what an old leader goes on believing
 	observations map[string]Observation
 	failures     map[string]Failure
 	machines     *state.Machines
@@ -46,7 +46,7 @@
 	engines     map[string]*enginemodel.Engine
 	incarnation uint64
 	leaders     []*leader
-	messages    []message
+	requests    []request
 	platform    state.Machines
 	// done holds the fences that an engine has accepted, by incarnation.
 	accepted map[uint64]api.Fence
@@ -81,7 +81,7 @@
 	transaction.Writes = append(transaction.Writes,
 		api.Write{Object: api.Object{Service: service}}, api.Write{Object: api.Object{Intent: intent}})
 	w.elect()
-	w.commit(state.Command{Kind: state.CommandTransaction, Transaction: transaction})
+	w.apply(state.Command{Kind: state.CommandTransaction, Transaction: transaction})
 	return w
 }
 
@@ -89,7 +89,7 @@
 func (w *simulation) elect() {
 	w.term++
 	if len(w.leaders) > 0 {
-		w.current().view = w.machine.View().Engines
+		w.current().staleEngines = w.machine.View().Engines
 	}
 	w.leaders = append(w.leaders, &leader{
 		term:         w.term,
@@ -100,14 +100,14 @@
 
 func (w *simulation) current() *leader { return w.leaders[len(w.leaders)-1] }
 
-func (w *simulation) commit(command state.Command) any {
+func (w *simulation) apply(command state.Command) any {
 	w.index++
 	return w.machine.Apply(w.term, w.index, command)
 }
 
 // round runs one round of the leader, which may be an old one.
 func (w *simulation) round(l *leader, decisions []planner.Decision) {
-	engines := l.view
+	engines := l.staleEngines
 	if l == w.current() {
 		engines = w.machine.View().Engines
 	}
@@ -128,23 +128,23 @@
 			w.propose(l, action.Command)
 		}
 	case Send:
-		w.enqueue(message{leader: l, engine: action.Engine, order: &action.Order})
+		w.enqueue(request{leader: l, engine: action.Engine, order: &action.Order})
 	case Void:
 		l.failures[action.Engine] = Failure{Assignment: action.Order.Assignment, At: w.now}
 		if l != w.current() {
 			return
 		}
-		if result := w.commit(action.Command()).(state.VoidOrderResult); result.Open {
+		if result := w.apply(action.Command()).(state.VoidOrderResult); result.Open {
 			request := action.Request(result.Fence)
-			w.enqueue(message{leader: l, engine: action.Engine, void: &request})
+			w.enqueue(request{leader: l, engine: action.Engine, void: &request})
 		}
 	case Query:
-		w.enqueue(message{leader: l, engine: action.Engine})
+		w.enqueue(request{leader: l, engine: action.Engine})
 	}
 }
 
 func (w *simulation) propose(l *leader, command state.Command) {
-	result := w.commit(command)
+	result := w.apply(command)
 	switch command.Kind {
 	case state.CommandMachines:
 		l.machines = command.Machines
@@ -160,20 +160,20 @@
 }
 
 // maxMessages bounds the messages on their way; older ones are lost.
-const maxMessages = 64
+const maxRequests = 64
 
-func (w *simulation) enqueue(m message) {
+func (w *simulation) enqueue(m request) {
 	m.askedAt = w.now
-	w.messages = append(w.messages, m)
-	if len(w.messages) > maxMessages {
-		w.messages = w.messages[1:]
+	w.requests = append(w.requests, m)
+	if len(w.requests) > maxRequests {
+		w.requests = w.requests[1:]
 	}
 }
 
 // deliver hands a message to its engine; the answer reaches the leader unless
 // it is lost. Rule: an engine never accepts an order but the one that is open
 // for it, whoever sent it and however late it arrives.
-func (w *simulation) deliver(t testFailer, m message, loseAnswer bool) {
+func (w *simulation) deliver(t testFailer, m request, loseAnswer bool) {
 	engine := w.engines[m.engine]
 	engine.Step(w.now)
 	if m.leader != w.current() && m.order != nil {
@@ -266,7 +266,7 @@
 		Writes:      []api.Write{{Object: object}},
 		AllowBroad:  true,
 	}
-	w.commit(state.Command{Kind: state.CommandTransaction, Transaction: transaction})
+	w.apply(state.Command{Kind: state.CommandTransaction, Transaction: transaction})
 }
 
 // plan asks for the wanted version in the engine's fixed role.
@@ -286,7 +286,7 @@
 
 // settle runs without faults until every engine is what the plan asks for.
 func (w *simulation) runUntilConverged(t *rapid.T) {
-	w.messages = nil
+	w.requests = nil
 	w.rewriteIntent("final")
 	for i := range engineCount {
 		w.rewriteEngine(fmt.Sprintf("engine-%d", i), func(engine *api.Engine) {
@@ -299,13 +299,13 @@
 	for range rounds {
 		w.advance(roundInterval)
 		for name := range w.engines {
-			w.enqueue(message{leader: w.current(), engine: name})
+			w.enqueue(request{leader: w.current(), engine: name})
 		}
 		w.round(w.current(), w.plan())
-		for _, m := range w.messages {
+		for _, m := range w.requests {
 			w.deliver(t, m, false)
 		}
-		w.messages = nil
+		w.requests = nil
 		w.checkOrders(t)
 		if w.converged() {
 			return
--- a/process/raft/cluster_test.go
+++ b/process/raft/cluster_test.go
@@ -23,7 +23,7 @@
 // event is something that happens at a virtual time; ties go by number.
 type event struct {
 	at          time.Duration
-	number      uint64
+	sequence    uint64
 	member      *simMember // deferred while this member is paused; nil for the cluster's own
 	incarnation int        // dropped when the member has crashed since
 	config      bool       // carries a configuration entry
@@ -44,7 +44,7 @@
 	if q[i].at != q[j].at {
 		return q[i].at < q[j].at
 	}
-	return q[i].number < q[j].number
+	return q[i].sequence < q[j].sequence
 }
 
 // simDisk is what a member has stored.
@@ -75,7 +75,7 @@
 	node        *Node
 	synced      simDisk // survives a crash
 	written     simDisk // lost back to synced by a crash
-	life        int
+	incarnation int
 	up          bool
 	lost        bool // the disk is gone, the identity must not return
 	pausedUntil time.Duration
@@ -87,15 +87,15 @@
 
 // cluster runs members in virtual time over a faulty network.
 type cluster struct {
-	random  *rand.Rand
-	seed    uint64
-	now     time.Duration
-	queue   eventQueue
-	number  uint64
-	members []*simMember // in order of their identities, which are 1, 2, ...
-	cuts    map[[2]MemberID]bool
-	oracle  *oracle
-	counts  map[string]int
+	random       *rand.Rand
+	seed         uint64
+	now          time.Duration
+	queue        eventQueue
+	lastSequence uint64
+	members      []*simMember // in order of their identities, which are 1, 2, ...
+	cuts         map[[2]MemberID]bool
+	oracle       *oracle
+	counts       map[string]int
 
 	// The pace differs from seed to seed: only an idle group elects a member that
 	// was cut off, and only a busy one has entries to lose.
@@ -140,7 +140,7 @@
 	c.tracef("%s %d", kind, id)
 }
 
-func (c *cluster) traceText() string { return strings.Join(c.trace, "\n") }
+func (c *cluster) formatTrace() string { return strings.Join(c.trace, "\n") }
 
 // addMember starts a member with an empty disk under a new identity.
 func (c *cluster) addMember(bootstrap Configuration) *simMember {
@@ -177,14 +177,14 @@
 	m.role = Follower
 	m.applied, m.stateHash = 0, 0
 	if m.synced.snapshot.Index > 0 {
-		c.oracle.installed(m, m.synced.snapshot)
+		c.oracle.checkInstalled(m, m.synced.snapshot)
 	}
 	c.schedule(m, simTickInterval, func() { c.tick(m) })
 }
 
 func (c *cluster) crash(m *simMember) {
 	m.up = false
-	m.life++
+	m.incarnation++
 	m.written = m.synced
 }
 
@@ -197,10 +197,10 @@
 }
 
 func (c *cluster) push(e event) {
-	c.number++
-	e.number = c.number
+	c.lastSequence++
+	e.sequence = c.lastSequence
 	if e.member != nil {
-		e.incarnation = e.member.life
+		e.incarnation = e.member.incarnation
 	}
 	heap.Push(&c.queue, e)
 }
@@ -211,7 +211,7 @@
 		e := heap.Pop(&c.queue).(event)
 		c.now = e.at
 		if m := e.member; m != nil {
-			if !m.up || m.life != e.incarnation {
+			if !m.up || m.incarnation != e.incarnation {
 				continue
 			}
 			if m.pausedUntil > c.now {
@@ -221,7 +221,7 @@
 			}
 		}
 		e.run()
-		c.oracle.observe()
+		c.oracle.checkMembers()
 	}
 	c.now = max(c.now, until)
 }
@@ -243,17 +243,17 @@
 	if c.faulty && c.random.IntN(50) == 0 {
 		delay = time.Duration(c.random.IntN(20)) * time.Millisecond
 	}
-	c.schedule(m, delay, func() { c.carryOut(m, ready) })
+	c.schedule(m, delay, func() { c.processReady(m, ready) })
 }
 
-func (c *cluster) carryOut(m *simMember, ready Ready) {
-	dies := -1
+func (c *cluster) processReady(m *simMember, ready Ready) {
+	crashPhase := -1
 	if c.faulty && c.random.IntN(3000) == 0 {
-		dies = c.random.IntN(4)
-		c.count(fmt.Sprintf("crash in phase %d", dies), m.id)
+		crashPhase = c.random.IntN(4)
+		c.count(fmt.Sprintf("crash in phase %d", crashPhase), m.id)
 		defer c.scheduleRestart(m)
 	}
-	if dies == 0 {
+	if crashPhase == 0 {
 		c.crash(m)
 		return
 	}
@@ -261,21 +261,21 @@
 	if ready.MustSync {
 		m.synced = m.written
 	}
-	c.oracle.stored(m, ready)
+	c.oracle.checkStored(m, ready)
 	for i, message := range ready.Messages {
-		if dies == 1 && i >= len(ready.Messages)/2 {
+		if crashPhase == 1 && i >= len(ready.Messages)/2 {
 			c.crash(m)
 			return
 		}
-		c.oracle.sent(m, message)
+		c.oracle.checkSent(m, message)
 		c.transmit(message)
 	}
-	if dies == 2 {
+	if crashPhase == 2 {
 		c.crash(m)
 		return
 	}
-	c.oracle.applied(m, ready)
-	if dies == 3 {
+	c.oracle.checkApplied(m, ready)
+	if crashPhase == 3 {
 		c.crash(m)
 		return
 	}
--- a/process/raft/election_test.go
+++ b/process/raft/election_test.go
@@ -11,15 +11,15 @@
 func TestVotes(t *testing.T) {
 	late := 3 * simElectionTimeout
 	cases := []struct {
-		name     string
-		message  Message
-		vote     MemberID
-		now      time.Duration
-		contact  time.Duration // a heartbeat of member 3 in term 2 at this time, if not zero
-		blank    bool
-		learner  bool
-		granted  bool
-		answered bool
+		name         string
+		message      Message
+		vote         MemberID
+		now          time.Duration
+		contact      time.Duration // a heartbeat of member 3 in term 2 at this time, if not zero
+		unconfigured bool
+		learner      bool
+		granted      bool
+		answered     bool
 	}{
 		{name: "longer log, same term", message: Message{Term: 2, LogTerm: 2, Index: 3}, now: late, granted: true, answered: true},
 		{name: "longer log", message: Message{Term: 3, LogTerm: 2, Index: 3}, now: late, granted: true, answered: true},
@@ -36,8 +36,8 @@
 		{name: "heard a leader a timeout ago", message: Message{Term: 3, LogTerm: 2, Index: 9}, now: late, contact: late - simElectionTimeout, granted: true, answered: true},
 		{name: "heard a leader, transfer", message: Message{Term: 3, LogTerm: 2, Index: 9, Transfer: true}, now: late, contact: late - 1, granted: true, answered: true},
 		{name: "heard a leader of the same term a timeout ago", message: Message{Term: 2, LogTerm: 2, Index: 9}, now: late, contact: late - simElectionTimeout, answered: true},
-		{name: "no configuration yet", message: Message{Term: 3, LogTerm: 2, Index: 9}, now: late, blank: true},
-		{name: "no configuration yet, same term", message: Message{Term: 2, LogTerm: 2, Index: 9}, now: late, blank: true},
+		{name: "no configuration yet", message: Message{Term: 3, LogTerm: 2, Index: 9}, now: late, unconfigured: true},
+		{name: "no configuration yet, same term", message: Message{Term: 2, LogTerm: 2, Index: 9}, now: late, unconfigured: true},
 		{name: "learner by its own log", message: Message{Term: 3, LogTerm: 2, Index: 9}, now: late, learner: true, granted: true, answered: true},
 	}
 	for _, c := range cases {
@@ -50,7 +50,7 @@
 			if c.learner {
 				initial.Configuration = Configuration{Voters: []MemberID{2}, Learners: []MemberID{1}}
 			}
-			if c.blank {
+			if c.unconfigured {
 				initial.Configuration = Configuration{}
 			}
 			node, err := New(testConfig(1), initial)
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestPreVoteChangesNothing(t *testing.T) {
+func TestPreVoteDoesNotChangeState(t *testing.T) {
 	node, err := New(testConfig(1), InitialState{Configuration: voters(1, 2, 3)})
 	must.NoError(t, err)
 	node.Tick(0)
@@ -257,7 +257,7 @@
 
 // TestTransferThatFails ends in a new election where the target may still be
 // about to campaign, and otherwise leaves the leader in place.
-func TestTransferThatFails(t *testing.T) {
+func TestFailedTransfer(t *testing.T) {
 	cases := []struct {
 		name   string
 		behind bool
--- a/process/raft/harness_test.go
+++ b/process/raft/harness_test.go
@@ -117,7 +117,7 @@
 }
 
 // sent counts the messages of a kind since the last call.
-func (g *group) sent(kind MessageKind) int {
+func (g *group) countSent(kind MessageKind) int {
 	count := 0
 	for _, message := range g.seen {
 		if message.Kind == kind {
--- a/process/raft/membership_test.go
+++ b/process/raft/membership_test.go
@@ -129,7 +129,7 @@
 	must.Eq(t, Follower, g.nodes[2].role)
 }
 
-func TestReplacedConfigurationIsNotInForce(t *testing.T) {
+func TestReplacedConfigurationIsNotInEffect(t *testing.T) {
 	g := newGroup(t, 3)
 	g.isolate(1)
 	g.change(ChangeRemove, 3)
--- a/process/raft/oracle_test.go
+++ b/process/raft/oracle_test.go
@@ -13,26 +13,26 @@
 	cluster *cluster
 	failure *violation
 
-	leaders   map[uint64]MemberID              // leader of each term
-	positions map[position]uint64              // hash of the entry and of the term before it
-	ballots   map[uint64]map[MemberID]MemberID // granted votes by term and voter
-	committed []position                       // by index-1, as leaders commit
-	committer []uint64                         // term of the leader that committed it
-	states    []uint64                         // state hash after each index, by index-1
-	reads     map[MemberID]map[uint64]uint64   // by member and request: what was committed when it was asked
-	nextRead  uint64
-	answered  int
+	leaders     map[uint64]MemberID              // leader of each term
+	entryHashes map[position]uint64              // hash of the entry and of the term before it
+	votes       map[uint64]map[MemberID]MemberID // granted votes by term and voter
+	committed   []position                       // by index-1, as leaders commit
+	commitTerms []uint64                         // term of the leader that committed it
+	stateHashes []uint64                         // state hash after each index, by index-1
+	reads       map[MemberID]map[uint64]uint64   // by member and request: what was committed when it was asked
+	nextRead    uint64
+	answered    int
 }
 
 type violation struct{ rule, detail string }
 
 func newOracle(c *cluster) *oracle {
 	return &oracle{
-		cluster:   c,
-		leaders:   make(map[uint64]MemberID),
-		positions: make(map[position]uint64),
-		ballots:   make(map[uint64]map[MemberID]MemberID),
-		reads:     make(map[MemberID]map[uint64]uint64),
+		cluster:     c,
+		leaders:     make(map[uint64]MemberID),
+		entryHashes: make(map[position]uint64),
+		votes:       make(map[uint64]map[MemberID]MemberID),
+		reads:       make(map[MemberID]map[uint64]uint64),
 	}
 }
 
@@ -43,17 +43,17 @@
 }
 
 // observe checks what concerns all members at one moment.
-func (o *oracle) observe() {
+func (o *oracle) checkMembers() {
 	var holder MemberID
 	for _, m := range o.cluster.members {
 		if !m.up {
 			continue
 		}
 		if m.node.role == Leader {
-			o.observeLeader(m)
+			o.checkLeader(m)
 		}
 		if m.node.role == Leader || m.role == Leader {
-			o.observeCommit(m.node)
+			o.recordCommits(m.node)
 		}
 		m.role = m.node.role
 		if !m.node.LeaseValid(o.cluster.clock(m)) {
@@ -66,7 +66,7 @@
 	}
 }
 
-func (o *oracle) observeLeader(m *simMember) {
+func (o *oracle) checkLeader(m *simMember) {
 	n := m.node
 	if leader, known := o.leaders[n.term]; known && leader != m.id {
 		o.violation("election safety", "members %d and %d lead term %d", leader, m.id, n.term)
@@ -80,21 +80,21 @@
 
 // observeCommit records what a leader has committed, also where that commit has
 // ended its leadership.
-func (o *oracle) observeCommit(n *Node) {
+func (o *oracle) recordCommits(n *Node) {
 	for index := uint64(len(o.committed)) + 1; index <= n.log.committed; index++ {
 		term, kept := n.log.term(index)
 		if !kept {
 			o.violation("commit", "index %d was committed by no leader", index)
 		}
 		o.committed = append(o.committed, position{term, index})
-		o.committer = append(o.committer, n.term)
+		o.commitTerms = append(o.commitTerms, n.term)
 	}
 }
 
 // leaderComplete checks that a new leader has all that earlier terms committed.
 func (o *oracle) checkLeaderCompleteness(m *simMember) {
 	for i, entry := range o.committed {
-		if o.committer[i] >= m.node.term || entry.index < m.node.log.baseIndex {
+		if o.commitTerms[i] >= m.node.term || entry.index < m.node.log.baseIndex {
 			continue
 		}
 		if !m.node.log.matches(entry.term, entry.index) {
@@ -106,7 +106,7 @@
 
 // stored checks log matching: an entry's term and index determine its content
 // and, by the term before it, the whole log up to it.
-func (o *oracle) stored(m *simMember, ready Ready) {
+func (o *oracle) checkStored(m *simMember, ready Ready) {
 	for _, entry := range ready.Entries {
 		previous := m.written.snapshot.Term
 		if at := entry.Index - m.written.snapshot.Index - 1; at > 0 {
@@ -114,22 +114,22 @@
 		}
 		hash := hashOf(previous, entry)
 		key := position{entry.Term, entry.Index}
-		if known, seen := o.positions[key]; seen && known != hash {
+		if known, seen := o.entryHashes[key]; seen && known != hash {
 			o.violation("log matching", "member %d stores another entry at %+v", m.id, key)
 		}
-		o.positions[key] = hash
+		o.entryHashes[key] = hash
 	}
 }
 
 // sent checks that no identity votes twice in a term.
-func (o *oracle) sent(m *simMember, message Message) {
+func (o *oracle) checkSent(m *simMember, message Message) {
 	if message.Kind != MessageVoteReply || message.Reject {
 		return
 	}
-	votes := o.ballots[message.Term]
+	votes := o.votes[message.Term]
 	if votes == nil {
 		votes = make(map[MemberID]MemberID)
-		o.ballots[message.Term] = votes
+		o.votes[message.Term] = votes
 	}
 	if earlier, voted := votes[m.id]; voted && earlier != message.To {
 		o.violation("one vote", "member %d in term %d for %d and %d", m.id, message.Term, earlier, message.To)
@@ -138,10 +138,10 @@
 }
 
 // applied checks state machine safety and the reads.
-func (o *oracle) applied(m *simMember, ready Ready) {
+func (o *oracle) checkApplied(m *simMember, ready Ready) {
 	if ready.Snapshot != nil {
 		o.cluster.count("snapshot installed", m.id)
-		o.installed(m, *ready.Snapshot)
+		o.checkInstalled(m, *ready.Snapshot)
 	}
 	for _, entry := range ready.Committed {
 		if entry.Index != m.applied+1 {
@@ -159,7 +159,7 @@
 	}
 }
 
-func (o *oracle) installed(m *simMember, snapshot Snapshot) {
+func (o *oracle) checkInstalled(m *simMember, snapshot Snapshot) {
 	m.applied = snapshot.Index
 	if _, err := fmt.Sscan(string(snapshot.Data), &m.stateHash); err != nil {
 		o.violation("state machine", "member %d: snapshot data %q", m.id, snapshot.Data)
@@ -168,18 +168,18 @@
 }
 
 func (o *oracle) checkState(m *simMember) {
-	switch known := uint64(len(o.states)); {
+	switch known := uint64(len(o.stateHashes)); {
 	case m.applied == known+1:
-		o.states = append(o.states, m.stateHash)
+		o.stateHashes = append(o.stateHashes, m.stateHash)
 	case m.applied > known+1:
 		o.violation("state machine", "member %d is at %d, nobody was at %d", m.id, m.applied, known+1)
-	case o.states[m.applied-1] != m.stateHash:
+	case o.stateHashes[m.applied-1] != m.stateHash:
 		o.violation("state machine", "member %d has another state at %d", m.id, m.applied)
 	}
 }
 
 // read asks every member that believes to lead for a read.
-func (o *oracle) read() {
+func (o *oracle) requestReads() {
 	c := o.cluster
 	for _, m := range c.members {
 		if !m.up || m.pausedUntil > c.now {
--- a/process/raft/replication_test.go
+++ b/process/raft/replication_test.go
@@ -9,7 +9,7 @@
 
 // TestOlderTermIsNotCommittedByCounting has a quorum hold an entry of term 1,
 // which the leader of term 3 may only commit along with one of its own.
-func TestOlderTermIsNotCommittedByCounting(t *testing.T) {
+func TestOlderTermIsNotCommittedByCountingReplicas(t *testing.T) {
 	node, err := New(testConfig(1), InitialState{
 		HardState:     HardState{Term: 2},
 		Entries:       []Entry{{Term: 1, Index: 1}},
@@ -46,7 +46,7 @@
 func TestFlowControlAndRecoveryOfLostMessages(t *testing.T) {
 	g := newGroup(t, 3, func(c *Config) { c.MaxInflight, c.MaxEntriesBytes = 3, 1 })
 	g.isolate(2)
-	g.sent(MessageAppend)
+	g.countSent(MessageAppend)
 	for i := range 10 {
 		g.propose(fmt.Sprint(i))
 	}
@@ -118,11 +118,11 @@
 		must.NoError(t, err)
 	}
 	g.deliverAll()
-	g.sent(MessageAppend)
+	g.countSent(MessageAppend)
 	g.filter = nil
 	g.advanceTime(3 * simHeartbeatInterval)
 	must.Eq(t, g.nodes[2].log.entries, g.nodes[3].log.entries)
-	must.Less(t, 10, g.sent(MessageAppendReply))
+	must.Less(t, 10, g.countSent(MessageAppendReply))
 }
 
 func TestUncommittedBytesAreBounded(t *testing.T) {
@@ -151,13 +151,13 @@
 	_, err = g.nodes[1].SnapshotAt(9, nil)
 	must.ErrorIs(t, err, ErrNotApplied)
 	g.propose("b")
-	g.sent(MessageSnapshot)
+	g.countSent(MessageSnapshot)
 	g.filter = func(m Message) bool { return m.Kind != MessageSnapshot }
 	g.advanceTime(3 * simElectionTimeout)
-	must.Eq(t, 1, g.sent(MessageSnapshot))
+	must.Eq(t, 1, g.countSent(MessageSnapshot))
 	g.filter = nil
 	g.advanceTime(2 * simElectionTimeout)
-	must.Eq(t, 1, g.sent(MessageSnapshot))
+	must.Eq(t, 1, g.countSent(MessageSnapshot))
 	must.Eq(t, snapshot, g.nodes[3].log.snapshot)
 	must.Eq(t, 3, g.nodes[3].log.applied)
 }
--- a/process/raft/simulation_test.go
+++ b/process/raft/simulation_test.go
@@ -116,13 +116,13 @@
 }
 
 func (c *cluster) scheduleRestart(m *simMember) {
-	life := m.life
+	incarnation := m.incarnation
 	delay := time.Duration(c.random.IntN(400)) * time.Millisecond
 	if c.random.IntN(2) == 0 {
 		delay = time.Duration(c.random.IntN(5)) * time.Millisecond // before any lease has ended
 	}
 	c.push(event{at: c.now + delay, run: func() {
-		if !m.up && m.life == life && !m.lost {
+		if !m.up && m.incarnation == incarnation && !m.lost {
 			c.start(m)
 		}
 	}})
@@ -223,7 +223,7 @@
 func (c *cluster) runWithFaults(duration time.Duration) {
 	c.faulty = true
 	c.scheduleRepeatedly(c.proposalInterval, duration+simHealing-simElectionTimeout, c.propose)
-	c.scheduleRepeatedly(15*time.Millisecond, duration, c.oracle.read)
+	c.scheduleRepeatedly(15*time.Millisecond, duration, c.oracle.requestReads)
 	c.scheduleRepeatedly(50*time.Millisecond, duration+simHealing/2, c.repair)
 	c.scheduleRepeatedly(c.faultInterval, duration, func() {
 		f := faults[c.random.IntN(len(faults))]
@@ -259,10 +259,10 @@
 				c := newCluster(seed, simMinVoters+2*int(seed%2))
 				c.runWithFaults(simDuration)
 				if failure := c.oracle.failure; failure != nil {
-					t.Fatalf("seed %d: %s: %s\n%s", seed, failure.rule, failure.detail, c.traceText())
+					t.Fatalf("seed %d: %s: %s\n%s", seed, failure.rule, failure.detail, c.formatTrace())
 				}
 				if err := c.oracle.checkConverged(simHealing); err != nil {
-					t.Fatalf("seed %d: liveness: %v\n%s", seed, err, c.traceText())
+					t.Fatalf("seed %d: liveness: %v\n%s", seed, err, c.formatTrace())
 				}
 				mutex.Lock()
 				defer mutex.Unlock()
@@ -287,6 +287,6 @@
 	first.runWithFaults(simDuration)
 	second.runWithFaults(simDuration)
 	must.Eq(t, first.counts, second.counts)
-	must.Eq(t, first.traceText(), second.traceText())
-	must.Eq(t, first.oracle.states, second.oracle.states)
+	must.Eq(t, first.formatTrace(), second.formatTrace())
+	must.Eq(t, first.oracle.stateHashes, second.oracle.stateHashes)
 }
--- a/process/raft/snapshot_test.go
+++ b/process/raft/snapshot_test.go
@@ -8,7 +8,7 @@
 
 // compacted returns member 2 after a leader sent it ten entries of term 1, which
 // it has applied and compacted away.
-func compacted(t *testing.T) *Node {
+func newCompactedNode(t *testing.T) *Node {
 	t.Helper()
 	node, err := New(testConfig(2), InitialState{Configuration: voters(1, 2, 3)})
 	must.NoError(t, err)
@@ -24,15 +24,15 @@
 	return node
 }
 
-func received(index uint64, configuration Configuration) Message {
+func snapshotMessage(index uint64, configuration Configuration) Message {
 	snapshot := Snapshot{Term: 1, Index: index, Configuration: configuration, Data: []byte("received")}
 	return Message{Kind: MessageSnapshot, From: 1, To: 2, Term: 1, Index: index, LogTerm: 1, Snapshot: &snapshot}
 }
 
 // A snapshot that arrives late must not take the state machine back.
 func TestOldSnapshotIsNotInstalled(t *testing.T) {
-	node := compacted(t)
-	must.NoError(t, node.Step(0, received(5, voters(1, 2, 3))))
+	node := newCompactedNode(t)
+	must.NoError(t, node.Step(0, snapshotMessage(5, voters(1, 2, 3))))
 	ready := node.Ready()
 	must.Nil(t, ready.Snapshot)
 	must.Eq(t, []Message{{Kind: MessageAppendReply, From: 2, To: 1, Term: 1, Index: 10}}, ready.Messages)
@@ -40,19 +40,19 @@
 }
 
 func TestSnapshotInstallsItsConfiguration(t *testing.T) {
-	node := compacted(t)
-	must.NoError(t, node.Step(0, received(20, voters(1, 2, 4))))
+	node := newCompactedNode(t)
+	must.NoError(t, node.Step(0, snapshotMessage(20, voters(1, 2, 4))))
 	must.Eq(t, voters(1, 2, 4), node.Status().Configuration)
 	must.Eq(t, 20, node.Ready().Snapshot.Index)
-	blank, err := New(testConfig(2), InitialState{})
+	unconfigured, err := New(testConfig(2), InitialState{})
 	must.NoError(t, err)
-	must.NoError(t, blank.Step(0, received(20, voters(1, 2, 4))))
-	must.Eq(t, voters(1, 2, 4), blank.Status().Configuration)
-	must.Eq(t, Follower, blank.Status().Role)
+	must.NoError(t, unconfigured.Step(0, snapshotMessage(20, voters(1, 2, 4))))
+	must.Eq(t, voters(1, 2, 4), unconfigured.Status().Configuration)
+	must.Eq(t, Follower, unconfigured.Status().Role)
 }
 
 func TestCompactRejectsUnappliedIndex(t *testing.T) {
-	node := compacted(t)
+	node := newCompactedNode(t)
 	must.NoError(t, node.Step(0, Message{
 		Kind: MessageAppend, From: 1, To: 2, Term: 1, Index: 10, LogTerm: 1, Commit: 11,
 		Entries: []Entry{{Term: 1, Index: 11}, {Term: 1, Index: 12}},
