--- a/process/controller/controller.go
+++ b/process/controller/controller.go
@@ -1,12 +1,12 @@
-// Package controller carries the committed orders out on the engines. It is
-// level-triggered: each round looks at the committed state and at what the
-// engines last said of themselves, and yields the actions that bring the two
-// together. It does no I/O and keeps no memory, so a leader that starts anew,
-// or that lost any answer, continues from what it sees.
+// Package controller reconciles the engines with the committed orders. It is
+// level-triggered: each round compares the committed state with the state that the
+// engines last reported, and returns the actions that make the two converge. It does no
+// I/O and keeps no state between rounds, so a new leader, or one that missed a reply,
+// continues from what it observes.
 //
-// An engine has at most one open order. An order is closed only on the
-// engine's own word, and resending an order is harmless, because the engine
-// carries out each fence at most once.
+// An engine has at most one open order. An order is closed only according to what the
+// engine itself reports. Resending an order is harmless, because the engine executes
+// the order of each fence at most once.
 package controller
 
 import (
@@ -20,60 +20,60 @@
 	"github.com/landingtrail/landingtrail/version/state"
 )
 
-// Observation is what an engine last said of itself.
+// Observation is the last state that an engine reported.
 type Observation struct {
 	State engineapi.State
-	// AskedAt is when the question was sent, on the monotonic clock of
-	// Input.Now; the engine was in State at that time or later. Whoever keeps
-	// observations replaces one only by one that was asked for later, so that
-	// a late answer never brings an old incarnation back.
+	// AskedAt is when the query was sent, on the monotonic clock of Input.Now; the
+	// engine was in State at that time or later. An observation must be replaced only
+	// by one with a later AskedAt, so that a delayed reply never brings back an old
+	// incarnation.
 	AskedAt time.Duration
-	// Refused is the fence of the last order that the engine called invalid.
+	// Refused is the fence of the last order that the engine rejected as invalid.
 	Refused api.Fence
 }
 
-// Failure is an assignment that an engine could not take on.
+// Failure is an assignment that an engine failed to apply.
 type Failure struct {
 	Assignment api.Assignment
 	At         time.Duration
 }
 
-// Input is everything that one round depends on.
+// Input is the complete input of one reconciliation round.
 type Input struct {
 	Now time.Duration // monotonic
-	// Engines holds the committed engines.
+	// Engines holds the committed engines by name.
 	Engines map[string]*api.Engine
-	// Observations holds what was heard, by engine name.
+	// Observations holds the last observation of each engine by name.
 	Observations map[string]Observation
-	// Failures holds the last failed assignment of engines, by name.
+	// Failures holds the last failed assignment of each engine by name.
 	Failures map[string]Failure
-	// Platform is the platform's list, nil while it was never read; Machines
-	// is the list that this leader committed last, nil if none.
+	// Platform is the machine list read from the platform, nil if it has not been read
+	// yet. Machines is the list that this leader last committed, nil if none.
 	Platform *state.Machines
 	Machines *state.Machines
-	// Decisions are the planner's.
+	// Decisions are the planner's current decisions.
 	Decisions []planner.Decision
-	// Silence is the age from which an observation counts for nothing.
+	// Silence is the maximum age of an observation; older ones are ignored.
 	Silence time.Duration
-	// FailurePause is the time during which a failed assignment is not tried again.
+	// FailurePause is the time before a failed assignment is retried.
 	FailurePause time.Duration
 }
 
-// Action is something to do: Propose, Send, Void or Query.
+// Action is one of Propose, Send, Void and Query.
 type Action interface{ action() }
 
-// Propose asks for a command to be committed.
+// Propose proposes a command to the replicated log.
 type Propose struct{ Command state.Command }
 
-// Send gives the engine its open order, for the first or any further time.
+// Send sends the engine its open order, possibly again.
 type Send struct {
 	Engine  string
 	Address string
 	Order   api.Order
 }
 
-// Void makes an order void that the engine cannot carry out: a state.VoidOrder
-// is committed, and the fence that it gives out is sent to the engine.
+// Void voids an order that the engine cannot execute: a state.VoidOrder is committed,
+// and the fence that it allocates is sent to the engine.
 type Void struct {
 	Engine      string
 	Address     string
@@ -87,12 +87,13 @@
 	return state.Command{Kind: state.CommandVoidOrder, VoidOrder: &body}
 }
 
-// Request returns what to send to the engine, with the fence of the committed command.
+// Request returns the request to send to the engine, given the fence that the
+// committed command allocated.
 func (v Void) Request(fence api.Fence) engineapi.VoidRequest {
 	return engineapi.VoidRequest{Fence: fence, Incarnation: v.Incarnation}
 }
 
-// Query asks the engine for its state.
+// Query requests the state of the engine.
 type Query struct {
 	Engine  string
 	Address string
@@ -103,7 +104,7 @@
 func (Void) action()    {}
 func (Query) action()   {}
 
-// Reconcile returns the actions of one round, engines in the order of their names.
+// Reconcile returns the actions of one round. Engines are processed in name order.
 func Reconcile(input Input) []Action {
 	actions := reconcileMachines(input)
 	decisions := decisionsByEngine(input.Decisions)
@@ -122,6 +123,8 @@
 	return byEngine
 }
 
+// reconcileMachines proposes the platform's machine list if it differs from the list
+// that was last committed.
 func reconcileMachines(input Input) []Action {
 	if input.Platform == nil {
 		return nil
@@ -141,7 +144,7 @@
 	return slices.Equal(left.Leaving, right.Leaving) && slices.Equal(left.Gone, right.Gone)
 }
 
-// normalized returns the names sorted and without duplicates.
+// normalized returns names sorted and without duplicates.
 func normalized(names []string) []string {
 	return slices.Compact(slices.Sorted(slices.Values(names)))
 }
--- a/process/controller/controller_test.go
+++ b/process/controller/controller_test.go
@@ -19,7 +19,8 @@
 	lower  = api.Fence{Term: 1, Index: 99}
 )
 
-// engineWith returns the committed engine "e" of incarnation 7 that serves first.
+// engineWith returns the committed engine "e" of incarnation 7, assigned first, after
+// applying change.
 func engineWith(change func(*api.Engine)) *api.Engine {
 	engine := &api.Engine{
 		Metadata: api.Metadata{Name: "e"},
@@ -36,7 +37,8 @@
 
 func unchangedEngine(*api.Engine) {}
 
-// stateWith returns what the engine "e" says, which is what is committed.
+// stateWith returns an observation of engine "e" that equals the committed state, after
+// applying change.
 func stateWith(change func(*engineapi.State)) Observation {
 	seen := engineapi.State{Engine: "e", Incarnation: 7, Phase: api.PhaseServing, Assignment: first, Fence: lower}
 	change(&seen)
@@ -54,7 +56,7 @@
 		adjust    func(*Input)
 		want      string
 	}{
-		"silent": {engine: engineWith(openOrder), want: "query"},
+		"not observed": {engine: engineWith(openOrder), want: "query"},
 		"stale observation": {
 			engine: engineWith(openOrder), seen: stateWith(unchangedState),
 			adjust: func(input *Input) { input.Now += time.Hour }, want: "query",
@@ -79,7 +81,7 @@
 			}),
 			want: "query",
 		},
-		"busy without an order of ours": {
+		"busy without an open order": {
 			engine:    engineWith(func(e *api.Engine) { e.Status.Phase = api.PhaseChanging }),
 			seen:      stateWith(func(s *engineapi.State) { s.Phase = api.PhaseChanging }),
 			decisions: decision, want: "",
@@ -92,11 +94,11 @@
 			engine: engineWith(openOrder),
 			seen:   stateWith(func(s *engineapi.State) { s.Fence, s.Assignment = fence, second }), want: "close done",
 		},
-		"ended without becoming it": {
+		"ended without the assignment": {
 			engine: engineWith(openOrder),
 			seen:   stateWith(func(s *engineapi.State) { s.Fence = fence }), want: "void",
 		},
-		"called invalid": {
+		"rejected as invalid": {
 			engine: engineWith(openOrder),
 			seen: func() Observation {
 				seen := stateWith(unchangedState)
@@ -105,7 +107,7 @@
 			}(),
 			want: "void",
 		},
-		"an earlier order was called invalid": {
+		"an earlier order was rejected as invalid": {
 			engine: engineWith(openOrder),
 			seen: func() Observation {
 				seen := stateWith(unchangedState)
@@ -152,11 +154,11 @@
 			seen:      stateWith(func(s *engineapi.State) { s.Assignment, s.Phase = api.Assignment{}, api.PhaseIdle }),
 			decisions: decision, want: "",
 		},
-		"machine leaves": {
+		"machine is leaving": {
 			engine: engineWith(func(e *api.Engine) { e.Status.Phase, e.Status.MachinePhase = api.PhaseLeaving, api.PhaseLeaving }),
 			seen:   stateWith(unchangedState), decisions: decision, want: "",
 		},
-		"failed lately": {
+		"failed recently": {
 			engine: engineWith(unchangedEngine), seen: stateWith(unchangedState), decisions: decision,
 			adjust: func(input *Input) { input.Failures = map[string]Failure{"e": {Assignment: second, At: input.Now}} },
 			want:   "",
@@ -188,7 +190,7 @@
 	}
 }
 
-// describe names the only action, or returns "" for none.
+// describe returns a short description of the only action, or "" if there is none.
 func describe(t *testing.T, actions []Action) string {
 	if len(actions) == 0 {
 		return ""
@@ -234,7 +236,7 @@
 		"never read":        {nil, nil, false},
 		"first list":        {&listed, nil, true},
 		"same in any order": {&listed, &state.Machines{Leaving: []string{"a", "b"}, Gone: []string{"c"}}, false},
-		"one is back":       {&state.Machines{Gone: []string{"c"}}, &listed, true},
+		"one has returned":  {&state.Machines{Gone: []string{"c"}}, &listed, true},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/process/controller/engine.go
+++ b/process/controller/engine.go
@@ -7,7 +7,7 @@
 	"github.com/landingtrail/landingtrail/version/state"
 )
 
-// engineRound decides about one engine in one round.
+// engineReconciler determines the actions for one engine in one round.
 type engineReconciler struct {
 	input    *Input
 	engine   *api.Engine
@@ -28,9 +28,9 @@
 	return r.proposeOpenOrder(observation.State)
 }
 
-// observed returns the engine's own recent word, or nil. An answer under
-// another name comes from another engine at the same address and counts for
-// nothing.
+// recentObservation returns the engine's observation, or nil if there is none or it is
+// too old. A reply under another name comes from another engine at the same address and
+// is ignored.
 func (r engineReconciler) recentObservation() *Observation {
 	observation, found := r.input.Observations[r.engine.Name]
 	if !found || observation.State.Engine != r.engine.Name || observation.State.Incarnation == 0 {
@@ -46,13 +46,13 @@
 	return []Action{Query{Engine: r.engine.Name, Address: r.engine.Spec.Address}}
 }
 
-// carryOut continues the open order from what the engine said.
+// continueOrder returns the next actions for the open order, given the engine's state.
 func (r engineReconciler) continueOrder(order api.Order, observation Observation) []Action {
 	current := observation.State
 	switch {
 	case current.Incarnation != order.Incarnation:
-		// The incarnation that the order is bound to has ended, and with it
-		// everything that it was told; the new one refuses the order.
+		// The incarnation that the order is bound to has ended, along with all
+		// orders sent to it; the new incarnation rejects the order.
 		return r.proposeCloseOrder(order, state.CloseOtherIncarnation, current)
 	case current.Order != nil:
 		return r.query()
@@ -63,14 +63,14 @@
 	case isDone(order, current):
 		return r.proposeCloseOrder(order, state.CloseDone, current)
 	case isSettled(current):
-		// The engine ended the order without becoming what it asks for.
+		// The engine finished the order without reaching the assignment.
 		return r.voidOrder(order, current)
 	default:
 		return r.query()
 	}
 }
 
-// give sends the order, unless the engine has called it invalid.
+// sendOrder sends the order, or voids it if the engine rejected it as invalid.
 func (r engineReconciler) sendOrder(order api.Order, observation Observation) []Action {
 	if observation.Refused == order.Fence {
 		return r.voidOrder(order, observation.State)
@@ -97,12 +97,13 @@
 	return []Action{Propose{state.Command{Kind: state.CommandCloseOrder, CloseOrder: &closing}}}
 }
 
-// isDone reports whether the engine is what the order asks for.
+// isDone reports whether the engine has the assignment and the fence of the order.
 func isDone(order api.Order, current engineapi.State) bool {
 	return isSettled(current) && current.Fence == order.Fence && current.Assignment.Equal(order.Assignment)
 }
 
-// isSettled reports whether the engine is neither draining nor changing.
+// isSettled reports whether the engine is neither draining nor changing and executes
+// no order.
 func isSettled(current engineapi.State) bool {
 	switch current.Phase {
 	case api.PhaseDraining, api.PhaseChanging:
@@ -112,7 +113,7 @@
 	}
 }
 
-// isLeaving reports whether an engine in the phase is about to end.
+// isLeaving reports whether the machine of an engine in phase is leaving or gone.
 func isLeaving(phase api.EnginePhase) bool {
 	return phase == api.PhaseLeaving || phase == api.PhaseGone
 }
@@ -127,7 +128,7 @@
 	}
 }
 
-// open proposes the engine's next order, if there is one to give.
+// proposeOpenOrder proposes the engine's next order, if its assignment must change.
 func (r engineReconciler) proposeOpenOrder(current engineapi.State) []Action {
 	if !isSettled(current) || isLeaving(r.engine.Status.Phase) || isLeaving(current.Phase) {
 		return nil
@@ -145,12 +146,14 @@
 	return []Action{Propose{state.Command{Kind: state.CommandOpenOrder, OpenOrder: &opening}}}
 }
 
-// ReasonDrain is the reason of the order that empties a drained engine.
+// ReasonDrain is the reason of an order that removes the assignment of an engine being
+// drained.
 const ReasonDrain = "drain"
 
-// wanted returns what the engine should become. A drained engine becomes
-// nothing. An engine that no intent selects keeps what it has: labels move in
-// several steps, and the planner names no change for it.
+// desiredAssignment returns the assignment that the engine should have, which is empty
+// for an engine being drained. It returns false for an engine that no intent selects,
+// which keeps its assignment: labels are changed in several steps, and the planner
+// decides nothing for such an engine.
 func (r engineReconciler) desiredAssignment() (assignment api.Assignment, reason string, found bool) {
 	if r.engine.Spec.Drain {
 		return api.Assignment{}, ReasonDrain, true
--- a/process/controller/example_test.go
+++ b/process/controller/example_test.go
@@ -9,9 +9,9 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// The leader looks at an engine with an open order. While the engine has not
-// taken the order it is sent, as often as need be; once the engine says that it
-// is done the close is proposed; an engine that is silent is asked.
+// The leader reconciles an engine with an open order. An engine without a recent
+// observation is queried. The order is sent until the engine accepts it, and once the
+// engine reports completion, closing the order is proposed.
 func ExampleReconcile() {
 	wanted := api.Assignment{Model: "narrator-7b", Version: "v2", Role: api.RoleMixed}
 	order := api.Order{Fence: api.Fence{Term: 3, Index: 40}, Engine: "engine-1", Incarnation: 7, Assignment: wanted}
--- a/process/controller/oracle_test.go
+++ b/process/controller/oracle_test.go
@@ -23,8 +23,8 @@
 	os.Exit(m.Run())
 }
 
-// TestControllerAgainstEngineOracle runs leaders, old leaders and engines with
-// lost, late and repeated messages, crashes and changing intents against the
+// TestControllerAgainstEngineOracle runs current leaders, outdated leaders and engines
+// with lost, delayed and duplicated requests, crashes and changing intents against the
 // engine model and the real state machine.
 func TestControllerAgainstEngineOracle(t *testing.T) {
 	total := map[string]int{}
@@ -74,7 +74,8 @@
 	}
 }
 
-// deliverDrawn delivers any message on its way, in any order; it may arrive again.
+// deliverDrawn delivers a random pending request, which may stay pending to be
+// delivered again.
 func (w *simulation) deliverDrawn(t *rapid.T) {
 	if len(w.requests) == 0 {
 		return
--- a/process/controller/planned.go
+++ b/process/controller/planned.go
@@ -6,9 +6,10 @@
 	"github.com/landingtrail/landingtrail/version/planner"
 )
 
-// PlannedEngine shows the planner an engine as it is committed and as it says
-// itself; said is nil when it was not heard from lately, and its phase is then
-// unknown. The platform's word on its machine stands over the engine's.
+// PlannedEngine returns the planner's view of an engine, which combines the committed
+// state with the reported one. reported is nil if the engine has no recent observation;
+// its phase is then unknown. A committed phase of leaving or gone, which comes from the
+// platform, takes precedence over the reported phase.
 func PlannedEngine(committed *api.Engine, reported *engineapi.State) planner.Engine {
 	engine := planner.Engine{
 		Name:       committed.Name,
--- a/process/controller/world_test.go
+++ b/process/controller/world_test.go
@@ -14,13 +14,13 @@
 
 const (
 	engineCount           = 3
-	badVersion            = "bad" // a version that no engine can take
+	badVersion            = "bad" // a version that engines reject as invalid
 	roundInterval         = 200 * time.Millisecond
 	testObservationMaxAge = 5 * time.Second
 )
 
-// message is a request on its way to an engine, for a leader that may have lost
-// its authority since.
+// request is a pending request to an engine, sent by a leader that may have been
+// replaced since.
 type request struct {
 	leader  *leader
 	askedAt time.Duration
@@ -29,16 +29,17 @@
 	void    *engineapi.VoidRequest
 }
 
-// leader is one leadership: what it sees and what it keeps.
+// leader is the state of a leader in one term.
 type leader struct {
 	term         uint64
-	staleEngines map[string]*api.Engine // what an old leader goes on believing
+	staleEngines map[string]*api.Engine // committed engines as last seen by an outdated leader
 	observations map[string]Observation
 	failures     map[string]Failure
 	machines     *state.Machines
 }
 
-// world is a group, its engines and a network that loses, delays and repeats.
+// simulation is a control group, its engines and a network that loses, delays and
+// duplicates requests.
 type simulation struct {
 	machine     *state.Machine
 	term, index uint64
@@ -48,7 +49,7 @@
 	leaders     []*leader
 	requests    []request
 	platform    state.Machines
-	// done holds the fences that an engine has accepted, by incarnation.
+	// accepted holds the highest fence that an engine has accepted, by incarnation.
 	accepted map[uint64]api.Fence
 	counts   map[string]int
 }
@@ -85,7 +86,8 @@
 	return w
 }
 
-// elect starts a new leadership; the old leaders go on with what they knew.
+// elect starts a new term. The previous leader continues with the engines committed at
+// this point.
 func (w *simulation) elect() {
 	w.term++
 	if len(w.leaders) > 0 {
@@ -105,7 +107,7 @@
 	return w.machine.Apply(w.term, w.index, command)
 }
 
-// round runs one round of the leader, which may be an old one.
+// round runs one reconciliation round of l, which may be an outdated leader.
 func (w *simulation) round(l *leader, decisions []planner.Decision) {
 	engines := l.staleEngines
 	if l == w.current() {
@@ -135,8 +137,8 @@
 			return
 		}
 		if result := w.apply(action.Command()).(state.VoidOrderResult); result.Open {
-			request := action.Request(result.Fence)
-			w.enqueue(request{leader: l, engine: action.Engine, void: &request})
+			voidRequest := action.Request(result.Fence)
+			w.enqueue(request{leader: l, engine: action.Engine, void: &voidRequest})
 		}
 	case Query:
 		w.enqueue(request{leader: l, engine: action.Engine})
@@ -159,7 +161,7 @@
 	}
 }
 
-// maxMessages bounds the messages on their way; older ones are lost.
+// maxRequests bounds the pending requests; the oldest are dropped.
 const maxRequests = 64
 
 func (w *simulation) enqueue(m request) {
@@ -170,9 +172,9 @@
 	}
 }
 
-// deliver hands a message to its engine; the answer reaches the leader unless
-// it is lost. Rule: an engine never accepts an order but the one that is open
-// for it, whoever sent it and however late it arrives.
+// deliver delivers a request to its engine and, unless loseAnswer, the reply to the
+// leader. It checks that an engine accepts only its open order, whichever leader sent
+// the order and however late it arrives.
 func (w *simulation) deliver(t testFailer, m request, loseAnswer bool) {
 	engine := w.engines[m.engine]
 	engine.Step(w.now)
@@ -203,7 +205,7 @@
 	m.leader.observations[m.engine] = Observation{State: engine.State(), AskedAt: m.askedAt, Refused: refused}
 }
 
-// failer is the part of a test that reports a broken rule.
+// testFailer is the part of testing.T that reports a failed check.
 type testFailer interface {
 	Fatalf(format string, arguments ...any)
 }
@@ -222,14 +224,14 @@
 	}
 }
 
-// checkOrders holds the committed orders against the engines: an engine that
-// carries an order out carries out the one that is open for it.
+// checkOrders checks that an engine that executes an order executes the one that is
+// open for it.
 func (w *simulation) checkOrders(t testFailer) {
 	for name, engine := range w.engines {
 		carried := engine.State().Order
 		committed := w.machine.View().Engines[name].Status.OpenOrder
 		if carried != nil && (committed == nil || committed.Fence != carried.Fence) {
-			t.Fatalf("%s carries out %v while %v is open", name, carried.Fence, committed)
+			t.Fatalf("%s executes %v while %v is open", name, carried.Fence, committed)
 		}
 	}
 }
@@ -247,7 +249,7 @@
 	}
 }
 
-// rewriteIntent changes the wanted version.
+// rewriteIntent changes the version that the intent requests.
 func (w *simulation) rewriteIntent(version string) {
 	intent := *w.machine.View().Intents["narrate"]
 	intent.Spec.Version = version
@@ -269,7 +271,8 @@
 	w.apply(state.Command{Kind: state.CommandTransaction, Transaction: transaction})
 }
 
-// plan asks for the wanted version in the engine's fixed role.
+// plan returns decisions that assign the requested version to each engine in its fixed
+// role.
 func (w *simulation) plan() []planner.Decision {
 	var decisions []planner.Decision
 	intent := w.machine.View().Intents["narrate"]
@@ -284,7 +287,7 @@
 	return decisions
 }
 
-// settle runs without faults until every engine is what the plan asks for.
+// runUntilConverged runs without faults until every engine has its planned assignment.
 func (w *simulation) runUntilConverged(t *rapid.T) {
 	w.requests = nil
 	w.rewriteIntent("final")
@@ -311,7 +314,7 @@
 			return
 		}
 	}
-	t.Fatalf("not settled: %+v", w.machine.View().Engines)
+	t.Fatalf("not converged: %+v", w.machine.View().Engines)
 }
 
 func (w *simulation) converged() bool {
--- a/process/raft/cluster_test.go
+++ b/process/raft/cluster_test.go
@@ -17,16 +17,16 @@
 	simHeartbeatInterval = 20 * time.Millisecond
 	simLeaseDuration     = 80 * time.Millisecond
 	simTickInterval      = 5 * time.Millisecond
-	simSnapshotEvery     = 40 // applied entries between two compactions
+	simSnapshotEvery     = 40 // applied entries between compactions
 )
 
-// event is something that happens at a virtual time; ties go by number.
+// event is a function scheduled at a virtual time. Ties are broken by sequence.
 type event struct {
 	at          time.Duration
 	sequence    uint64
-	member      *simMember // deferred while this member is paused; nil for the cluster's own
-	incarnation int        // dropped when the member has crashed since
-	config      bool       // carries a configuration entry
+	member      *simMember // deferred while this member is paused; nil for cluster events
+	incarnation int        // the event is dropped if the member has crashed since
+	config      bool       // delivers a configuration entry
 	run         func()
 }
 
@@ -47,7 +47,7 @@
 	return q[i].sequence < q[j].sequence
 }
 
-// simDisk is what a member has stored.
+// simDisk is the stored state of a member.
 type simDisk struct {
 	hardState HardState
 	snapshot  Snapshot
@@ -69,15 +69,15 @@
 	}
 }
 
-// simMember is one process with its disk and its own drifting clock.
+// simMember is one member process with its disk and its drifting clock.
 type simMember struct {
 	id          MemberID
 	node        *Node
 	synced      simDisk // survives a crash
-	written     simDisk // lost back to synced by a crash
+	written     simDisk // reset to synced by a crash
 	incarnation int
 	up          bool
-	lost        bool // the disk is gone, the identity must not return
+	lost        bool // the disk is lost; the identity must not be reused
 	pausedUntil time.Duration
 	clockRate   float64
 	applied     uint64
@@ -85,25 +85,25 @@
 	role        Role
 }
 
-// cluster runs members in virtual time over a faulty network.
+// cluster simulates members in virtual time, connected by a faulty network.
 type cluster struct {
 	random       *rand.Rand
 	seed         uint64
 	now          time.Duration
 	queue        eventQueue
 	lastSequence uint64
-	members      []*simMember // in order of their identities, which are 1, 2, ...
+	members      []*simMember // ordered by ID, which are 1, 2, ...
 	cuts         map[[2]MemberID]bool
 	oracle       *oracle
 	counts       map[string]int
 
-	// The pace differs from seed to seed: only an idle group elects a member that
-	// was cut off, and only a busy one has entries to lose.
+	// The intervals vary by seed: only an idle group elects a member that was
+	// partitioned, and only a busy one has entries to lose.
 	proposalInterval time.Duration
 	faultInterval    time.Duration
-	minVoters        int // removals stop here
+	minVoters        int // voters are not removed below this number
 
-	faulty    bool // loss, duplication, delays and crashes in the middle of work
+	faulty    bool // enables message faults, slow writes and crashes during a Ready
 	nextValue uint64
 	trace     []string
 }
@@ -142,7 +142,7 @@
 
 func (c *cluster) formatTrace() string { return strings.Join(c.trace, "\n") }
 
-// addMember starts a member with an empty disk under a new identity.
+// addMember starts a member with an empty disk and a new ID.
 func (c *cluster) addMember(bootstrap Configuration) *simMember {
 	m := &simMember{id: MemberID(len(c.members) + 1), clockRate: 0.95 + 0.1*c.random.Float64()}
 	m.synced.bootstrap = bootstrap
@@ -205,7 +205,7 @@
 	heap.Push(&c.queue, e)
 }
 
-// run lets the cluster live until the given time, or a violation.
+// run processes events until the given time or the first violation.
 func (c *cluster) run(until time.Duration) {
 	for len(c.queue) > 0 && c.queue[0].at <= until && c.oracle.failure == nil {
 		e := heap.Pop(&c.queue).(event)
@@ -232,8 +232,8 @@
 	c.schedule(m, simTickInterval, func() { c.tick(m) })
 }
 
-// pump starts on the next Ready: its write takes a while, in which messages are
-// stepped, and the process may die at any point of the work.
+// startReady takes the next Ready and schedules its processing after a write delay.
+// Messages are stepped meanwhile, and the process may crash at any point.
 func (c *cluster) startReady(m *simMember) {
 	if !m.up || !m.node.HasReady() {
 		return
@@ -290,7 +290,7 @@
 	}
 	snapshot, err := m.node.SnapshotAt(m.applied, []byte(fmt.Sprint(m.stateHash)))
 	if errors.Is(err, ErrCompacted) && m.node.log.snapshot.Index > m.applied {
-		return // a later snapshot has just been received, the next Ready brings it
+		return // the next Ready contains a later snapshot that was received
 	}
 	if err != nil {
 		c.oracle.violation("compaction", "member %d: %v", m.id, err)
@@ -304,7 +304,7 @@
 	}
 }
 
-// transmit carries one message through the network as bytes.
+// transmit sends one encoded message through the faulty network.
 func (c *cluster) transmit(message Message) {
 	copies := 1
 	if c.faulty {
@@ -329,7 +329,7 @@
 	}
 }
 
-// arrive queues a message at its receiver, who takes it in when not paused.
+// arrive schedules a message at its receiver, which processes it when not paused.
 func (c *cluster) arrive(from, to MemberID, encoded []byte) {
 	if c.cuts[[2]MemberID{from, to}] {
 		c.counts["message into a cut"]++
@@ -352,7 +352,7 @@
 	})
 }
 
-// leader returns the running leader of the highest term, nil when there is none.
+// leader returns the running leader with the highest term, or nil if there is none.
 func (c *cluster) leader() *simMember {
 	var found *simMember
 	for _, m := range c.members {
@@ -363,7 +363,7 @@
 	return found
 }
 
-// propose hands one unique value to every member that believes to lead.
+// propose proposes a unique value on every running member in the leader role.
 func (c *cluster) propose() {
 	for _, m := range c.members {
 		if m.up && m.pausedUntil <= c.now && m.node.role == Leader {
--- a/process/raft/codec_test.go
+++ b/process/raft/codec_test.go
@@ -32,7 +32,7 @@
 		must.Eq(t, message, decoded)
 		for length := range encoded {
 			_, err := DecodeMessage(encoded[:length])
-			must.ErrorIs(t, err, ErrMalformed, must.Sprintf("cut to %d bytes", length))
+			must.ErrorIs(t, err, ErrMalformed, must.Sprintf("truncated to %d bytes", length))
 		}
 		_, err = DecodeMessage(append(encoded, 0))
 		must.ErrorIs(t, err, ErrMalformed)
@@ -43,7 +43,7 @@
 	must.Eq(t, state, decoded)
 }
 
-// TestHugeCountsAllocateNothing states counts that the bytes can't hold.
+// Element counts that exceed the input must not cause large allocations.
 func TestOversizedCountsDoNotAllocate(t *testing.T) {
 	configuration := []byte{0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff}
 	entry := Entry{}.AppendBinary(nil)
@@ -61,8 +61,8 @@
 	must.LessEq(t, 4, allocations, must.Sprint("only the header's reflection allocates"))
 }
 
-// FuzzDecodeMessage checks that what is accepted is encoded to the same bytes,
-// and that a node survives it.
+// FuzzDecodeMessage checks that accepted input encodes to the same bytes again, and that
+// a node processes the message without a panic.
 func FuzzDecodeMessage(f *testing.F) {
 	for _, message := range sampleMessages() {
 		f.Add(message.AppendBinary(nil))
@@ -85,7 +85,8 @@
 	})
 }
 
-// FuzzDecodeState does the same for what is stored.
+// FuzzDecodeState checks that accepted encodings of stored values encode to the same
+// bytes again.
 func FuzzDecodeState(f *testing.F) {
 	for _, message := range sampleMessages() {
 		for _, entry := range message.Entries {
--- a/process/raft/election_test.go
+++ b/process/raft/election_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestVotes asks one member, whose log ends in (term 2, index 2), for its vote.
+// TestVotes requests a vote from a member whose log ends in (term 2, index 2).
 func TestVotes(t *testing.T) {
 	late := 3 * simElectionTimeout
 	cases := []struct {
@@ -15,7 +15,7 @@
 		message      Message
 		vote         MemberID
 		now          time.Duration
-		contact      time.Duration // a heartbeat of member 3 in term 2 at this time, if not zero
+		contact      time.Duration // time of a heartbeat from member 3 in term 2, if not zero
 		unconfigured bool
 		learner      bool
 		granted      bool
@@ -75,8 +75,8 @@
 	}
 }
 
-// A member may learn of a higher term by other messages than a vote request. The
-// lease that it promised to the leader before still binds it in that term.
+// A member may learn of a higher term from messages other than vote requests. The lease
+// that it acknowledged before must still prevent it from voting in that term.
 func TestLeaseHoldsAfterTermIncrease(t *testing.T) {
 	node, err := New(testConfig(1), InitialState{Configuration: voters(1, 2, 3)})
 	must.NoError(t, err)
@@ -101,7 +101,7 @@
 		must.NoError(t, node.Step(now, request))
 		replies, _ := drain(node)
 		must.False(t, replies[0].Reject)
-		must.Eq(t, now < simElectionTimeout, replies[0].Unanimous, must.Sprint("its start binds it against all but a vote of all voters"))
+		must.Eq(t, now < simElectionTimeout, replies[0].Unanimous, must.Sprint("after a start only a unanimous election is granted"))
 		must.Eq(t, HardState{}, node.hardState())
 	}
 	must.NoError(t, node.Step(simElectionTimeout, Message{Kind: MessageHeartbeat, From: 3, To: 1, Term: 1}))
@@ -109,19 +109,19 @@
 	request.Term = 2
 	must.NoError(t, node.Step(2*simElectionTimeout-1, request))
 	replies, _ := drain(node)
-	must.True(t, replies[0].Reject, must.Sprint("a leader that was heard binds it against any"))
+	must.True(t, replies[0].Reject, must.Sprint("after a heartbeat no pre-vote is granted"))
 	must.False(t, replies[0].Unanimous)
 }
 
-// Asked before a leader was heard, a voter may have said that it would vote. It has heard
-// that leader by now, perhaps, and its answer raises no term against it. Members of an
-// earlier version do not say to which question they answer; theirs count as before.
+// A voter may grant a pre-vote before a leader is heard, and acknowledge that leader's
+// lease before its reply arrives. Such a late reply must not start an election. Replies
+// of members of an earlier version carry no sequence and are always counted.
 func TestPreVoteReplyFromBeforeLeaderContactIsIgnored(t *testing.T) {
 	for name, test := range map[string]struct {
 		answers func(asked Message) uint64
 		want    Role
 	}{
-		"asked before":                   {func(asked Message) uint64 { return asked.Sequence }, PreCandidate},
+		"earlier request":                {func(asked Message) uint64 { return asked.Sequence }, PreCandidate},
 		"a member of an earlier version": {func(Message) uint64 { return 0 }, Candidate},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -154,7 +154,7 @@
 	}
 }
 
-// A voter repeats which question it answers, however it answers.
+// A voter echoes the request's sequence in its reply, granted or not.
 func TestPreVoteReplyEchoesSequence(t *testing.T) {
 	node, err := New(testConfig(1), InitialState{HardState: HardState{Term: 2}, Configuration: voters(1, 2, 3)})
 	must.NoError(t, err)
@@ -202,10 +202,10 @@
 	must.Eq(t, Status{ID: 3, Term: 1, Leader: 1, Commit: 1, Applied: 1, LastIndex: 1, Configuration: voters(1, 2, 3)}, g.nodes[3].Status())
 }
 
-// A member that lost its disk comes back under a new identity, and which of the two is gone
-// is told by who was active within an election timeout. A leader that was held up itself,
-// for its disk or by the machine, must not keep the old one active for longer: the new one
-// would pass for the one that was replaced, and be removed.
+// A member that lost its disk returns under a new ID, and RecentlyActive determines which
+// of the two IDs is gone. A leader that stalls itself, because of its disk or machine, must
+// not count the old ID as active for longer. Otherwise the new one would be taken for the
+// replaced one and removed.
 func TestLeaderStallDoesNotExtendMemberActivity(t *testing.T) {
 	g := newGroup(t, 3)
 	g.advanceTime(simHeartbeatInterval)
@@ -255,8 +255,8 @@
 	must.Eq(t, 2, g.nodes[1].leaderID)
 }
 
-// TestTransferThatFails ends in a new election where the target may still be
-// about to campaign, and otherwise leaves the leader in place.
+// A transfer that times out ends the leader's term if the target was told to campaign and
+// may still do so. Otherwise the leader stays in place.
 func TestFailedTransfer(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -282,7 +282,7 @@
 	}
 }
 
-// restart makes a member anew from what it has persisted.
+// restart replaces a member by a new node with the same persisted state.
 func (g *group) restart(id MemberID, configuration Configuration) {
 	old := g.nodes[id]
 	restarted, err := New(testConfig(id), InitialState{
@@ -292,7 +292,8 @@
 	g.nodes[id] = restarted
 }
 
-// timeToLeader passes time until one of the members leads.
+// timeToLeader advances time until there is a leader. It returns the leader and the
+// elapsed time.
 func (g *group) timeToLeader(limit time.Duration) (MemberID, time.Duration) {
 	start := g.now
 	for g.now < start+limit {
@@ -310,8 +311,8 @@
 	return None, limit
 }
 
-// After a stop of the whole group nobody can hold a lease, and all say so: the
-// election timeout that each would wait by itself is not waited for.
+// After a restart of the whole group no member holds a lease, and all voters confirm it,
+// so that an election need not wait for the election timeout.
 func TestRestartedGroupElectsLeaderWithoutElectionTimeout(t *testing.T) {
 	g := newGroup(t, 5)
 	g.propose("before the stop")
@@ -324,7 +325,8 @@
 	must.Less(t, simElectionTimeout, took)
 }
 
-// One voter that says nothing may hold a lease: then the others wait it out.
+// A voter that does not respond may hold a lease, so the others must wait until it has
+// expired.
 func TestElectionWaitsForLeaseOfSilentVoter(t *testing.T) {
 	g := newGroup(t, 5)
 	g.isolate(1)
@@ -350,13 +352,13 @@
 				g.nodes[other].Tick(g.now)
 			}
 			g.deliverAll()
-			must.NotEq(t, Leader, g.nodes[id].role, must.Sprint("not before an election timeout has passed"))
+			must.NotEq(t, Leader, g.nodes[id].role, must.Sprint("no leader before an election timeout has passed"))
 		}
 	}
 }
 
-// A leader that is there keeps its lease, however many of the others have restarted:
-// it gives no vote, and an election of all needs it.
+// A running leader keeps its lease even if all other members have restarted: it grants no
+// vote, and a unanimous election needs its vote.
 func TestUnanimousElectionPreservesLease(t *testing.T) {
 	g := newGroup(t, 5)
 	for _, id := range []MemberID{2, 3, 4, 5} {
@@ -375,8 +377,8 @@
 	}
 }
 
-// A quorum's votes are not enough where the voters' starts alone would have kept them
-// from voting: one of the others may hold a lease that it was asked too late to give up.
+// A quorum is not enough if voters could not vote otherwise because of their recent start:
+// one of the remaining voters may still hold a lease.
 func TestUnanimousElectionNeedsAllVotes(t *testing.T) {
 	node, err := New(testConfig(1), InitialState{Configuration: voters(1, 2, 3)})
 	must.NoError(t, err)
--- a/process/raft/example_test.go
+++ b/process/raft/example_test.go
@@ -7,8 +7,8 @@
 	"github.com/landingtrail/landingtrail/process/raft"
 )
 
-// Example embeds a group of one member. A daemon does the same with a real disk,
-// network and clock: persist, send, apply, advance.
+// Example runs a group of one member. A daemon does the same with a real disk, network
+// and clock: persist, send, apply, advance.
 func Example() {
 	node, err := raft.New(raft.Config{
 		ID:                1,
@@ -53,8 +53,8 @@
 	// entries on disk: 2 lease: true
 }
 
-// A leader that is cut off loses its lease before any other member can win an
-// election: whoever checks LeaseValid after its work acts as the only leader.
+// A partitioned leader loses its lease before any other member can win an election, so
+// a member that checks LeaseValid after its work is the only one that acts as leader.
 func ExampleNode_LeaseValid() {
 	const tick = 10 * time.Millisecond
 	nodes := make(map[raft.MemberID]*raft.Node)
@@ -69,7 +69,8 @@
 	}
 	now := time.Duration(0)
 	cutOff := raft.None
-	// step lets one tick pass and carries all messages of members not cut off.
+	// step advances time by one tick and delivers all messages except those from and
+	// to the partitioned member.
 	step := func() {
 		now += tick
 		for _, id := range configuration.Voters {
--- a/process/raft/harness_test.go
+++ b/process/raft/harness_test.go
@@ -19,8 +19,8 @@
 
 func voters(ids ...MemberID) Configuration { return Configuration{Voters: ids} }
 
-// group is members whose messages are delivered at once, in order, unless keep
-// says otherwise; its clock moves only by hand.
+// group is a set of members whose messages are delivered immediately and in order if
+// they pass filter. Its clock advances only explicitly.
 type group struct {
 	t      testing.TB
 	now    time.Duration
@@ -31,7 +31,8 @@
 	reads  []ReadState
 }
 
-// newGroup starts count voters, of which member 1 leads, and one blank member.
+// newGroup starts count voters with member 1 as leader, and one member without a
+// configuration.
 func newGroup(t testing.TB, count int, adjust ...func(*Config)) *group {
 	g := &group{t: t, nodes: make(map[MemberID]*Node)}
 	configuration := Configuration{}
@@ -61,7 +62,7 @@
 	return g
 }
 
-// drain carries out all Readys of a node and returns their messages.
+// drain processes all Readys of a node and returns their messages and reads.
 func drain(n *Node) (messages []Message, reads []ReadState) {
 	for n.HasReady() {
 		ready := n.Ready()
@@ -72,7 +73,7 @@
 	return messages, reads
 }
 
-// settle delivers messages until nobody has anything to say.
+// deliverAll delivers messages until there are none left.
 func (g *group) deliverAll() {
 	for busy := true; busy; {
 		busy = false
@@ -90,7 +91,7 @@
 	}
 }
 
-// pass lets time go by in heartbeats that all members notice.
+// advanceTime advances the clock by heartbeat intervals and ticks all members.
 func (g *group) advanceTime(length time.Duration) {
 	for end := g.now + length; g.now < end; {
 		g.now += simHeartbeatInterval
@@ -111,12 +112,13 @@
 	must.NoError(g.t, err)
 }
 
-// isolate loses all messages from and to the members.
+// isolate drops all messages from and to the given members, instead of the previous
+// filter.
 func (g *group) isolate(ids ...MemberID) {
 	g.filter = func(m Message) bool { return !slices.Contains(ids, m.From) && !slices.Contains(ids, m.To) }
 }
 
-// sent counts the messages of a kind since the last call.
+// countSent returns the number of messages of a kind sent since the last call.
 func (g *group) countSent(kind MessageKind) int {
 	count := 0
 	for _, message := range g.seen {
--- a/process/raft/lease_test.go
+++ b/process/raft/lease_test.go
@@ -17,7 +17,7 @@
 	answer := Message{Kind: MessageHeartbeatReply, From: 2, To: 1, Term: 1, Sequence: messages[0].Sequence}
 	must.NoError(t, leader.Step(sentAt+simLeaseDuration/2, answer))
 	must.True(t, leader.LeaseValid(sentAt+simLeaseDuration-1))
-	must.False(t, leader.LeaseValid(sentAt+simLeaseDuration), must.Sprint("one answer makes a quorum of three, until the lease ends"))
+	must.False(t, leader.LeaseValid(sentAt+simLeaseDuration), must.Sprint("one reply completes a quorum of three, until the lease expires"))
 	must.False(t, g.nodes[2].LeaseValid(sentAt))
 }
 
@@ -32,14 +32,14 @@
 		leader.Tick(g.now)
 		g.deliverAll()
 	}
-	must.False(t, leader.LeaseValid(g.now), must.Sprint("two of five"))
+	must.False(t, leader.LeaseValid(g.now), must.Sprint("quorum of five needs more than two"))
 
 	alone, err := New(testConfig(1), InitialState{Configuration: voters(1)})
 	must.NoError(t, err)
 	alone.Tick(0)
 	alone.Tick(2 * simElectionTimeout)
 	must.Eq(t, Leader, alone.role)
-	must.False(t, alone.LeaseValid(2*simElectionTimeout), must.Sprint("nothing of the term is committed"))
+	must.False(t, alone.LeaseValid(2*simElectionTimeout), must.Sprint("no entry of the term is committed"))
 	drain(alone)
 	must.True(t, alone.LeaseValid(9*simElectionTimeout))
 }
@@ -50,7 +50,7 @@
 	must.ErrorIs(t, g.nodes[2].ReadIndex(g.now, 1), ErrNotLeader)
 	must.NoError(t, leader.ReadIndex(g.now, 1))
 	_, reads := drain(leader)
-	must.Eq(t, []ReadState{{1, 1}}, reads, must.Sprint("under the lease at once"))
+	must.Eq(t, []ReadState{{1, 1}}, reads, must.Sprint("immediately under a valid lease"))
 
 	g.now += simLeaseDuration
 	must.NoError(t, leader.ReadIndex(g.now, 2))
@@ -59,7 +59,7 @@
 	answer := Message{Kind: MessageHeartbeatReply, From: 2, To: 1, Term: 1, Sequence: messages[0].Sequence - 1}
 	must.NoError(t, leader.Step(g.now, answer))
 	_, reads = drain(leader)
-	must.SliceEmpty(t, reads, must.Sprint("the answer is to a round from before the read"))
+	must.SliceEmpty(t, reads, must.Sprint("the reply is to a round before the read"))
 	answer.Sequence++
 	must.NoError(t, leader.Step(g.now, answer))
 	_, reads = drain(leader)
@@ -71,8 +71,8 @@
 	must.Eq(t, []uint64{3}, leader.Ready().AbortedReads)
 }
 
-// TestLeaseOutlivesRestartOfFollower restarts the follower that made the lease's
-// quorum; the other one, which never heard of the lease, must not win with it.
+// A follower that completed the lease's quorum restarts. The other follower, which never
+// received a heartbeat of the lease, must not win an election with its vote.
 func TestLeaseSurvivesFollowerRestart(t *testing.T) {
 	g := newGroup(t, 3)
 	g.isolate(3)
@@ -93,9 +93,9 @@
 	must.NotEq(t, Leader, g.nodes[3].role)
 }
 
-// A leader whose machine was suspended wakes with nothing but its clock to tell it so: at
-// the first reading it has no lease, before any other work, and it leads no more once it
-// has looked. A voter that wakes still owes its promise to whoever it hears from then on.
+// A leader whose machine was suspended can detect this only by its clock after the resume:
+// with the first clock reading it has no lease, and it steps down at the next tick. A voter
+// that resumes still honors the lease of any leader that it hears from then on.
 func TestResumedLeaderHasNoLease(t *testing.T) {
 	g := newGroup(t, 3)
 	leader := g.nodes[1]
--- a/process/raft/membership_test.go
+++ b/process/raft/membership_test.go
@@ -17,15 +17,15 @@
 	}{
 		{"follower", 3, nil, 2, ConfigurationChange{ChangeAddLearner, 4}, ErrNotLeader},
 		{"add a voter again", 3, nil, 1, ConfigurationChange{ChangeAddLearner, 2}, ErrInvalidChange},
-		{"add nobody", 3, nil, 1, ConfigurationChange{ChangeAddLearner, None}, ErrInvalidChange},
-		{"promote a stranger", 3, nil, 1, ConfigurationChange{ChangePromote, 4}, ErrUnknownMember},
+		{"add None", 3, nil, 1, ConfigurationChange{ChangeAddLearner, None}, ErrInvalidChange},
+		{"promote a non-member", 3, nil, 1, ConfigurationChange{ChangePromote, 4}, ErrUnknownMember},
 		{"promote a voter", 3, nil, 1, ConfigurationChange{ChangePromote, 2}, ErrInvalidChange},
-		{"remove a stranger", 3, nil, 1, ConfigurationChange{ChangeRemove, 4}, ErrUnknownMember},
+		{"remove a non-member", 3, nil, 1, ConfigurationChange{ChangeRemove, 4}, ErrUnknownMember},
 		{"remove the last voter", 1, nil, 1, ConfigurationChange{ChangeRemove, 1}, ErrLastVoter},
 		{"unknown kind", 3, nil, 1, ConfigurationChange{99, 2}, ErrInvalidChange},
 		{"another is pending", 3, func(g *group) { g.change(ChangeAddLearner, 4) }, 1, ConfigurationChange{ChangeRemove, 2}, ErrChangePending},
 		{"during a transfer", 3, func(g *group) { must.NoError(g.t, g.nodes[1].TransferLeadership(g.now, 2)) }, 1, ConfigurationChange{ChangeRemove, 3}, ErrTransferPending},
-		{"learner never heard of", 3, func(g *group) {
+		{"learner never replied", 3, func(g *group) {
 			g.isolate(4)
 			g.change(ChangeAddLearner, 4)
 			g.advanceTime(simHeartbeatInterval)
@@ -35,7 +35,7 @@
 			g.change(ChangeAddLearner, 4)
 			g.advanceTime(3 * simHeartbeatInterval)
 		}, 1, ConfigurationChange{ChangePromote, 4}, ErrNotCaughtUp},
-		{"learner has gone silent", 3, func(g *group) {
+		{"learner no longer replies", 3, func(g *group) {
 			g.change(ChangeAddLearner, 4)
 			g.advanceTime(3 * simHeartbeatInterval)
 			g.isolate(4)
@@ -91,7 +91,7 @@
 	g := newGroup(t, 3)
 	g.change(ChangeRemove, 3)
 	g.deliverAll()
-	must.Eq(t, Learner, g.nodes[3].role, must.Sprint("it was told of its removal"))
+	must.Eq(t, Learner, g.nodes[3].role, must.Sprint("it was notified of its removal"))
 	g.change(ChangeRemove, 1)
 	g.deliverAll()
 	must.Eq(t, Learner, g.nodes[1].role)
@@ -99,8 +99,8 @@
 	must.Eq(t, voters(2), g.nodes[2].Status().Configuration)
 }
 
-// TestUncommittedRemovalLeavesNobodyStuck restarts a leader that alone holds the
-// entry of its own removal from a group of two: only it can win.
+// An isolated leader alone holds the uncommitted entry of its own removal from a group of
+// two. Only it can win the next election, so it must still campaign.
 func TestUncommittedRemovalAllowsElection(t *testing.T) {
 	g := newGroup(t, 2)
 	g.isolate(1)
@@ -112,8 +112,8 @@
 	must.Eq(t, voters(2), g.nodes[2].Status().Configuration)
 }
 
-// TestUncommittedPromotionLeavesNobodyStuck cuts a promoted learner off from the
-// entry that makes it a voter; the old leader of one needs its vote.
+// A learner is promoted but does not receive the entry that makes it a voter. The leader,
+// until then the only voter, needs its vote, so a learner must vote when asked.
 func TestUncommittedPromotionAllowsElection(t *testing.T) {
 	g := newGroup(t, 1)
 	g.change(ChangeAddLearner, 2)
--- a/process/raft/oracle_test.go
+++ b/process/raft/oracle_test.go
@@ -7,19 +7,19 @@
 
 type position struct{ term, index uint64 }
 
-// oracle knows everything that happened in a cluster and checks the protocol's
-// promises against it after every event.
+// oracle records the history of a cluster and checks the protocol's guarantees after
+// every event.
 type oracle struct {
 	cluster *cluster
 	failure *violation
 
 	leaders     map[uint64]MemberID              // leader of each term
-	entryHashes map[position]uint64              // hash of the entry and of the term before it
+	entryHashes map[position]uint64              // hash of the entry and the term of its predecessor
 	votes       map[uint64]map[MemberID]MemberID // granted votes by term and voter
-	committed   []position                       // by index-1, as leaders commit
-	commitTerms []uint64                         // term of the leader that committed it
-	stateHashes []uint64                         // state hash after each index, by index-1
-	reads       map[MemberID]map[uint64]uint64   // by member and request: what was committed when it was asked
+	committed   []position                       // by index-1, in the order of commit by leaders
+	commitTerms []uint64                         // by index-1: term of the leader that committed the entry
+	stateHashes []uint64                         // by index-1: state hash after applying the entry
+	reads       map[MemberID]map[uint64]uint64   // by member and request ID: commit index at the time of the request
 	nextRead    uint64
 	answered    int
 }
@@ -42,7 +42,7 @@
 	}
 }
 
-// observe checks what concerns all members at one moment.
+// checkMembers checks the invariants on all running members at the current time.
 func (o *oracle) checkMembers() {
 	var holder MemberID
 	for _, m := range o.cluster.members {
@@ -78,7 +78,7 @@
 	}
 }
 
-// observeCommit records what a leader has committed, also where that commit has
+// recordCommits records the entries that a leader has committed, even if the commit
 // ended its leadership.
 func (o *oracle) recordCommits(n *Node) {
 	for index := uint64(len(o.committed)) + 1; index <= n.log.committed; index++ {
@@ -91,7 +91,8 @@
 	}
 }
 
-// leaderComplete checks that a new leader has all that earlier terms committed.
+// checkLeaderCompleteness checks that a new leader has every entry that earlier terms
+// committed.
 func (o *oracle) checkLeaderCompleteness(m *simMember) {
 	for i, entry := range o.committed {
 		if o.commitTerms[i] >= m.node.term || entry.index < m.node.log.baseIndex {
@@ -104,8 +105,8 @@
 	}
 }
 
-// stored checks log matching: an entry's term and index determine its content
-// and, by the term before it, the whole log up to it.
+// checkStored checks log matching: an entry's term and index determine its content and
+// the term of its predecessor, and thereby the whole log up to it.
 func (o *oracle) checkStored(m *simMember, ready Ready) {
 	for _, entry := range ready.Entries {
 		previous := m.written.snapshot.Term
@@ -121,7 +122,7 @@
 	}
 }
 
-// sent checks that no identity votes twice in a term.
+// checkSent checks that no member ID grants two votes in a term.
 func (o *oracle) checkSent(m *simMember, message Message) {
 	if message.Kind != MessageVoteReply || message.Reject {
 		return
@@ -137,7 +138,7 @@
 	votes[m.id] = message.To
 }
 
-// applied checks state machine safety and the reads.
+// checkApplied checks state machine safety and read indexes.
 func (o *oracle) checkApplied(m *simMember, ready Ready) {
 	if ready.Snapshot != nil {
 		o.cluster.count("snapshot installed", m.id)
@@ -172,13 +173,13 @@
 	case m.applied == known+1:
 		o.stateHashes = append(o.stateHashes, m.stateHash)
 	case m.applied > known+1:
-		o.violation("state machine", "member %d is at %d, nobody was at %d", m.id, m.applied, known+1)
+		o.violation("state machine", "member %d is at %d, no member was at %d", m.id, m.applied, known+1)
 	case o.stateHashes[m.applied-1] != m.stateHash:
 		o.violation("state machine", "member %d has another state at %d", m.id, m.applied)
 	}
 }
 
-// read asks every member that believes to lead for a read.
+// requestReads requests a read on every running member in the leader role.
 func (o *oracle) requestReads() {
 	c := o.cluster
 	for _, m := range c.members {
@@ -197,8 +198,9 @@
 	}
 }
 
-// agreed tells whether every member of the leader's configuration has applied
-// all that was committed, and an entry of the leader's term is among it.
+// checkConverged returns an error unless there is a leader with a valid lease that has
+// committed in its term, and every member of its configuration whose disk is not lost
+// has applied all committed entries.
 func (o *oracle) checkConverged(after time.Duration) error {
 	c := o.cluster
 	leader := c.leader()
--- a/process/raft/replication_test.go
+++ b/process/raft/replication_test.go
@@ -7,8 +7,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestOlderTermIsNotCommittedByCounting has a quorum hold an entry of term 1,
-// which the leader of term 3 may only commit along with one of its own.
+// A quorum holds an entry of term 1. The leader of term 3 may commit it only together
+// with an entry of its own term.
 func TestOlderTermIsNotCommittedByCountingReplicas(t *testing.T) {
 	node, err := New(testConfig(1), InitialState{
 		HardState:     HardState{Term: 2},
@@ -40,7 +40,7 @@
 	must.Eq(t, 2, g.nodes[1].log.committed)
 	ready = g.nodes[1].Ready()
 	must.Eq(t, &HardState{Term: 1, Vote: 1, Commit: 2}, ready.HardState)
-	must.False(t, ready.MustSync, must.Sprint("a commit index needs no sync"))
+	must.False(t, ready.MustSync, must.Sprint("a changed commit index needs no sync"))
 }
 
 func TestFlowControlAndRecoveryOfLostMessages(t *testing.T) {
@@ -64,7 +64,7 @@
 	must.Eq(t, 11, g.nodes[2].log.committed)
 }
 
-// TestLostMessageIsNoticedWithoutTraffic loses the last append before silence.
+// The last append message before an idle period is lost.
 func TestLostAppendIsResentWithoutNewEntries(t *testing.T) {
 	g := newGroup(t, 3)
 	g.isolate(2)
@@ -75,8 +75,8 @@
 	must.Eq(t, 2, g.nodes[2].log.committed)
 }
 
-// TestCommitStopsAtTheMessage has a follower keep a tail that the message says
-// nothing about, though the leader's commit index is beyond it.
+// A follower must not commit entries after those in the message, even if the leader's
+// commit index covers them, because they may differ from the leader's entries.
 func TestCommitIsBoundedByMessageEntries(t *testing.T) {
 	node, err := New(testConfig(1), InitialState{
 		HardState:     HardState{Term: 1},
@@ -89,7 +89,7 @@
 	must.Eq(t, 2, node.log.lastIndex())
 }
 
-// TestReplacedEntriesAreNotPersisted replaces an entry while its write is on.
+// An entry is replaced while it is being written.
 func TestReplacedEntriesAreNotPersisted(t *testing.T) {
 	log := newEntryLog(Snapshot{}, nil, 0)
 	written := []Entry{{Term: 1, Index: 1}, {Term: 1, Index: 2}}
@@ -101,7 +101,7 @@
 	must.Eq(t, []Entry{{Term: 2, Index: 2}}, log.entriesToPersist())
 }
 
-// TestBacktrackSkipsTerms gives a follower a long divergent tail of old terms.
+// A follower with a long divergent tail of an old term must be repaired with few messages.
 func TestBacktrackSkipsTerms(t *testing.T) {
 	g := newGroup(t, 3)
 	var tail []Entry
@@ -137,8 +137,8 @@
 	g.propose("more than the bound, but alone")
 }
 
-// TestSnapshotIsSentAndRetried brings back a member that is behind compaction
-// and loses the first snapshot.
+// A member needs compacted entries when it reconnects, and the first snapshot sent to it
+// is lost.
 func TestSnapshotIsSentAndRetried(t *testing.T) {
 	g := newGroup(t, 3)
 	g.isolate(3)
@@ -162,7 +162,7 @@
 	must.Eq(t, 3, g.nodes[3].log.applied)
 }
 
-// TestStepErrors checks that refused messages leave the node as it was.
+// TestStepErrors checks that rejected messages leave the node unchanged.
 func TestStepErrors(t *testing.T) {
 	entry := func(term, index uint64) Entry { return Entry{Term: term, Index: index} }
 	cases := []struct {
@@ -171,12 +171,12 @@
 		want    error
 	}{
 		{"other member", Message{Kind: MessageAppend, From: 1, To: 3, Term: 1}, ErrWrongMember},
-		{"from nobody", Message{Kind: MessageAppend, To: 2, Term: 1}, ErrInvalidMessage},
+		{"from None", Message{Kind: MessageAppend, To: 2, Term: 1}, ErrInvalidMessage},
 		{"from itself", Message{Kind: MessageAppend, From: 2, To: 2, Term: 1}, ErrInvalidMessage},
 		{"unknown kind", Message{Kind: 99, From: 1, To: 2, Term: 1}, ErrInvalidMessage},
 		{"no term", Message{Kind: MessageAppend, From: 1, To: 2}, ErrInvalidMessage},
 		{"gap", Message{Kind: MessageAppend, From: 1, To: 2, Term: 1, Entries: []Entry{entry(1, 2)}}, ErrInvalidMessage},
-		{"falling term", Message{Kind: MessageAppend, From: 1, To: 2, Term: 3, Index: 1, LogTerm: 2, Entries: []Entry{entry(1, 2)}}, ErrInvalidMessage},
+		{"decreasing term", Message{Kind: MessageAppend, From: 1, To: 2, Term: 3, Index: 1, LogTerm: 2, Entries: []Entry{entry(1, 2)}}, ErrInvalidMessage},
 		{"future term", Message{Kind: MessageAppend, From: 1, To: 2, Term: 1, Entries: []Entry{entry(2, 1)}}, ErrInvalidMessage},
 		{"bad configuration", Message{Kind: MessageAppend, From: 1, To: 2, Term: 1, Index: 1, LogTerm: 1, Entries: []Entry{{Term: 1, Index: 2, Kind: EntryConfig}}}, ErrInvalidMessage},
 		{"no snapshot", Message{Kind: MessageSnapshot, From: 1, To: 2, Term: 1}, ErrInvalidMessage},
@@ -213,7 +213,7 @@
 		{"commit beyond the log", nil, InitialState{HardState: HardState{Commit: 1}}, ErrInvalidState},
 		{"entry of a future term", nil, InitialState{Entries: []Entry{{Term: 1, Index: 1}}}, ErrInvalidState},
 		{"gap", nil, InitialState{HardState: HardState{Term: 1}, Entries: []Entry{{Term: 1, Index: 2}}}, ErrInvalidState},
-		{"member named twice", nil, InitialState{Configuration: voters(1, 1)}, ErrInvalidState},
+		{"member listed twice", nil, InitialState{Configuration: voters(1, 1)}, ErrInvalidState},
 		{"damaged configuration", nil, InitialState{HardState: HardState{Term: 1}, Entries: []Entry{{Term: 1, Index: 1, Kind: EntryConfig}}}, ErrInvalidState},
 	}
 	for _, c := range cases {
@@ -228,8 +228,8 @@
 	}
 }
 
-// BenchmarkProposeToCommit commits entries of 128 bytes in a group of three in
-// memory, in batches as a busy driver would, without codec, disk and network.
+// BenchmarkProposeToCommit commits entries of 128 bytes in an in-memory group of three,
+// in batches like a loaded driver, without codec, disk and network.
 func BenchmarkProposeToCommit(b *testing.B) {
 	for _, batch := range []int{1, 64} {
 		b.Run(fmt.Sprintf("batch=%d", batch), func(b *testing.B) {
--- a/process/raft/simulation_test.go
+++ b/process/raft/simulation_test.go
@@ -18,7 +18,7 @@
 	simMaxGroup  = 6
 )
 
-// fault is one kind of mischief; it reports whether it could strike.
+// fault is a kind of fault to inject. inject reports whether the fault took place.
 type fault struct {
 	name   string
 	inject func(*cluster, *simMember) bool
@@ -35,7 +35,7 @@
 		}
 		return true
 	}},
-	{"deaf member", func(c *cluster, m *simMember) bool {
+	{"cut inbound links", func(c *cluster, m *simMember) bool {
 		for _, other := range c.members {
 			c.cut(other, m, false)
 		}
@@ -102,7 +102,7 @@
 
 func (c *cluster) randomMember() *simMember { return c.members[c.random.IntN(len(c.members))] }
 
-// cut stops messages for a while.
+// cut drops messages between two members for a random time.
 func (c *cluster) cut(from, to *simMember, both bool) {
 	length := time.Duration(50+c.random.IntN(700)) * time.Millisecond
 	links := [][2]MemberID{{from.id, to.id}}
@@ -119,7 +119,7 @@
 	incarnation := m.incarnation
 	delay := time.Duration(c.random.IntN(400)) * time.Millisecond
 	if c.random.IntN(2) == 0 {
-		delay = time.Duration(c.random.IntN(5)) * time.Millisecond // before any lease has ended
+		delay = time.Duration(c.random.IntN(5)) * time.Millisecond // before any lease has expired
 	}
 	c.push(event{at: c.now + delay, run: func() {
 		if !m.up && m.incarnation == incarnation && !m.lost {
@@ -152,8 +152,8 @@
 	return slices.ContainsFunc(configuration.members(), func(id MemberID) bool { return c.members[id-1].lost })
 }
 
-// loseDisk ends an identity for good. It strikes only where the group can bear
-// it: no other loss unrepaired, no membership change on its way.
+// loseDisk removes a member ID permanently. It does so only if the group tolerates the
+// loss: no other lost disk is unrepaired and no membership change is in progress.
 func (c *cluster) loseDisk(m *simMember) bool {
 	leader := c.leader()
 	if c.minVoters < simMinVoters || leader == nil || m.lost || !leader.node.Status().Configuration.isVoter(m.id) {
@@ -185,7 +185,7 @@
 	return true
 }
 
-// repair replaces a lost voter by a new member step by step, as an operator would.
+// repair replaces a lost voter with a new member step by step, as an operator would.
 func (c *cluster) repair() {
 	leader := c.leader()
 	if leader == nil {
@@ -206,7 +206,8 @@
 	}
 }
 
-// every runs an action at random intervals around mean until the given time.
+// scheduleRepeatedly runs action at random intervals with the given mean until the
+// given time.
 func (c *cluster) scheduleRepeatedly(mean, until time.Duration, action func()) {
 	delay := time.Duration(c.random.Int64N(int64(2 * mean)))
 	if c.now+delay > until {
@@ -218,8 +219,8 @@
 	}})
 }
 
-// misbehave runs the cluster under all faults, then heals everything and gives
-// it time to agree.
+// runWithFaults runs the cluster while injecting random faults, then heals it and runs
+// it for simHealing so that it can converge.
 func (c *cluster) runWithFaults(duration time.Duration) {
 	c.faulty = true
 	c.scheduleRepeatedly(c.proposalInterval, duration+simHealing-simElectionTimeout, c.propose)
@@ -248,7 +249,8 @@
 	}
 }
 
-// TestSimulation runs groups of three and five under faults, one seed each.
+// TestSimulation runs groups of three and five members with injected faults, one seed per
+// subtest.
 func TestSimulation(t *testing.T) {
 	var mutex sync.Mutex
 	totals := make(map[string]int)
@@ -276,12 +278,12 @@
 	})
 	t.Log(totals)
 	for _, f := range faults {
-		must.Positive(t, totals[f.name], must.Sprintf("%s never struck", f.name))
+		must.Positive(t, totals[f.name], must.Sprintf("%s was never injected", f.name))
 	}
 }
 
-// TestSimulationIsDeterministic runs one seed twice and compares all that
-// happened.
+// TestSimulationIsDeterministic runs the same seed twice and compares the events and
+// states.
 func TestSimulationIsDeterministic(t *testing.T) {
 	first, second := newCluster(3, 3), newCluster(3, 3)
 	first.runWithFaults(simDuration)
--- a/process/raft/snapshot_test.go
+++ b/process/raft/snapshot_test.go
@@ -6,8 +6,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// compacted returns member 2 after a leader sent it ten entries of term 1, which
-// it has applied and compacted away.
+// newCompactedNode returns member 2 after it has received, applied and compacted ten
+// entries of term 1.
 func newCompactedNode(t *testing.T) *Node {
 	t.Helper()
 	node, err := New(testConfig(2), InitialState{Configuration: voters(1, 2, 3)})
@@ -24,12 +24,13 @@
 	return node
 }
 
+// snapshotMessage returns a snapshot message from member 1 to member 2 in term 1.
 func snapshotMessage(index uint64, configuration Configuration) Message {
 	snapshot := Snapshot{Term: 1, Index: index, Configuration: configuration, Data: []byte("received")}
 	return Message{Kind: MessageSnapshot, From: 1, To: 2, Term: 1, Index: index, LogTerm: 1, Snapshot: &snapshot}
 }
 
-// A snapshot that arrives late must not take the state machine back.
+// A delayed snapshot must not reset the state machine to an older state.
 func TestOldSnapshotIsNotInstalled(t *testing.T) {
 	node := newCompactedNode(t)
 	must.NoError(t, node.Step(0, snapshotMessage(5, voters(1, 2, 3))))
