--- a/process/raft/configuration.go
+++ b/process/raft/configuration.go
@@ -58,7 +58,7 @@
 			return c, errors.Wrapf(ErrUnknownMember, "%d", change.Member)
 		}
 		if c.isVoter(change.Member) {
-			return c, errors.Wrapf(ErrInvalidChange, "member %d is already a voter", change.Member)
+			return c, errors.Wrapf(ErrInvalidChange, "member %d votes already", change.Member)
 		}
 		next.Learners = withoutMember(next.Learners, change.Member)
 		next.Voters = append(next.Voters, change.Member)
@@ -136,7 +136,8 @@
 	}
 }
 
-// addEntries adds the configurations found in entries.
+// addEntries adds the configurations found in entries. It fails if one cannot be
+// decoded.
 func (h *configurationHistory) addEntries(entries []Entry) error {
 	for _, entry := range entries {
 		if entry.Kind != EntryConfig {
--- a/process/raft/election_test.go
+++ b/process/raft/election_test.go
@@ -377,8 +377,9 @@
 	}
 }
 
-// A quorum is not enough if voters could not vote otherwise because of their recent start:
-// one of the remaining voters may still hold a lease.
+// A quorum is not enough if the voters could not vote otherwise because of their recent
+// start: one of the remaining voters may hold a lease that it gives up only when it
+// receives the vote request.
 func TestUnanimousElectionNeedsAllVotes(t *testing.T) {
 	node, err := New(testConfig(1), InitialState{Configuration: voters(1, 2, 3)})
 	must.NoError(t, err)
--- a/process/raft/transfer.go
+++ b/process/raft/transfer.go
@@ -13,10 +13,10 @@
 	timeoutNowSent bool // the target was told to campaign
 }
 
-// TransferLeadership makes voter `to` campaign as soon as it has all entries. Proposals
-// are rejected in the meantime. The transfer is abandoned after an election timeout.
-// Errors: ErrNotLeader, ErrUnknownMember if `to` is not a voter, ErrTransferPending
-// during a transfer to another member.
+// TransferLeadership transfers leadership to the given voter, which campaigns as soon as
+// it has all entries. Proposals are rejected in the meantime. The transfer is abandoned
+// after an election timeout. Errors: ErrNotLeader, ErrUnknownMember if the target is not
+// a voter, ErrTransferPending during a transfer to another member.
 func (n *Node) TransferLeadership(now time.Duration, to MemberID) error {
 	n.advanceClock(now)
 	if n.role != Leader {
