--- a/process/controller/controller_test.go
+++ b/process/controller/controller_test.go
@@ -12,27 +12,27 @@
 )
 
 var (
-	first  = api.Assignment{Model: "storm", Version: "1", Role: api.RoleMixed}
-	second = api.Assignment{Model: "storm", Version: "2", Role: api.RoleMixed}
-	fence  = api.Fence{Term: 2, Index: 10}
-	higher = api.Fence{Term: 2, Index: 11}
-	lower  = api.Fence{Term: 1, Index: 99}
+	initialAssignment = api.Assignment{Model: "storm", Version: "1", Role: api.RoleMixed}
+	newAssignment     = api.Assignment{Model: "storm", Version: "2", Role: api.RoleMixed}
+	orderFence        = api.Fence{Term: 2, Index: 10}
+	higherFence       = api.Fence{Term: 2, Index: 11}
+	lowerFence        = api.Fence{Term: 1, Index: 99}
 )
 
-// engineWith returns the committed engine "e" of incarnation 7, assigned first, after
+// engineWith returns the committed engine "e" of incarnation 7, with initialAssignment, after
 // applying change.
 func engineWith(change func(*api.Engine)) *api.Engine {
 	engine := &api.Engine{
 		Metadata: api.Metadata{Name: "e"},
 		Spec:     api.EngineSpec{Address: "10.0.0.1:1"},
-		Status:   api.EngineStatus{Phase: api.PhaseServing, Incarnation: 7, Assignment: first, Fence: lower},
+		Status:   api.EngineStatus{Phase: api.PhaseServing, Incarnation: 7, Assignment: initialAssignment, Fence: lowerFence},
 	}
 	change(engine)
 	return engine
 }
 
 func openOrder(engine *api.Engine) {
-	engine.Status.OpenOrder = &api.Order{Fence: fence, Engine: "e", Incarnation: 7, Assignment: second}
+	engine.Status.OpenOrder = &api.Order{Fence: orderFence, Engine: "e", Incarnation: 7, Assignment: newAssignment}
 }
 
 func unchangedEngine(*api.Engine) {}
@@ -40,7 +40,7 @@
 // stateWith returns an observation of engine "e" that equals the committed state, after
 // applying change.
 func stateWith(change func(*engineapi.State)) Observation {
-	seen := engineapi.State{Engine: "e", Incarnation: 7, Phase: api.PhaseServing, Assignment: first, Fence: lower}
+	seen := engineapi.State{Engine: "e", Incarnation: 7, Phase: api.PhaseServing, Assignment: initialAssignment, Fence: lowerFence}
 	change(&seen)
 	return Observation{State: seen, AskedAt: time.Minute}
 }
@@ -48,7 +48,7 @@
 func unchangedState(*engineapi.State) {}
 
 func TestReconcileOneEngine(t *testing.T) {
-	decision := []planner.Decision{{Engine: "e", Assignment: second, Reason: "load"}}
+	decision := []planner.Decision{{Engine: "e", Assignment: newAssignment, Reason: "load"}}
 	cases := map[string]struct {
 		engine    *api.Engine
 		seen      Observation
@@ -63,21 +63,21 @@
 		},
 		"another engine at the address": {
 			engine: engineWith(openOrder),
-			seen:   stateWith(func(s *engineapi.State) { s.Engine = "other"; s.Fence = higher }), want: "query",
+			seen:   stateWith(func(s *engineapi.State) { s.Engine = "other"; s.Fence = higherFence }), want: "query",
 		},
 		"order not received":     {engine: engineWith(openOrder), seen: stateWith(unchangedState), want: "send"},
 		"order resent unchanged": {engine: engineWith(openOrder), seen: stateWith(unchangedState), decisions: decision, want: "send"},
 		"order being carried out": {
 			engine: engineWith(openOrder),
 			seen: stateWith(func(s *engineapi.State) {
-				s.Fence, s.Phase, s.Order = fence, api.PhaseDraining, &api.Order{Fence: fence}
+				s.Fence, s.Phase, s.Order = orderFence, api.PhaseDraining, &api.Order{Fence: orderFence}
 			}),
 			want: "query",
 		},
 		"another order being carried out": {
 			engine: engineWith(openOrder),
 			seen: stateWith(func(s *engineapi.State) {
-				s.Fence, s.Phase, s.Order = higher, api.PhaseDraining, &api.Order{Fence: higher}
+				s.Fence, s.Phase, s.Order = higherFence, api.PhaseDraining, &api.Order{Fence: higherFence}
 			}),
 			want: "query",
 		},
@@ -88,21 +88,21 @@
 		},
 		"still changing": {
 			engine: engineWith(openOrder),
-			seen:   stateWith(func(s *engineapi.State) { s.Fence, s.Phase = fence, api.PhaseChanging }), want: "query",
+			seen:   stateWith(func(s *engineapi.State) { s.Fence, s.Phase = orderFence, api.PhaseChanging }), want: "query",
 		},
 		"done": {
 			engine: engineWith(openOrder),
-			seen:   stateWith(func(s *engineapi.State) { s.Fence, s.Assignment = fence, second }), want: "close done",
+			seen:   stateWith(func(s *engineapi.State) { s.Fence, s.Assignment = orderFence, newAssignment }), want: "close done",
 		},
 		"ended without the assignment": {
 			engine: engineWith(openOrder),
-			seen:   stateWith(func(s *engineapi.State) { s.Fence = fence }), want: "void",
+			seen:   stateWith(func(s *engineapi.State) { s.Fence = orderFence }), want: "void",
 		},
 		"rejected as invalid": {
 			engine: engineWith(openOrder),
 			seen: func() Observation {
 				seen := stateWith(unchangedState)
-				seen.Refused = fence
+				seen.Refused = orderFence
 				return seen
 			}(),
 			want: "void",
@@ -111,14 +111,14 @@
 			engine: engineWith(openOrder),
 			seen: func() Observation {
 				seen := stateWith(unchangedState)
-				seen.Refused = lower
+				seen.Refused = lowerFence
 				return seen
 			}(),
 			want: "send",
 		},
 		"confirmed at a higher fence": {
 			engine: engineWith(openOrder),
-			seen:   stateWith(func(s *engineapi.State) { s.Fence = higher }), want: "close void",
+			seen:   stateWith(func(s *engineapi.State) { s.Fence = higherFence }), want: "close void",
 		},
 		"new incarnation without its fence": {
 			engine: engineWith(openOrder),
@@ -133,7 +133,7 @@
 		},
 		"nothing to do":         {engine: engineWith(unchangedEngine), seen: stateWith(unchangedState), want: ""},
 		"decision":              {engine: engineWith(unchangedEngine), seen: stateWith(unchangedState), decisions: decision, want: "open 2"},
-		"decision already held": {engine: engineWith(unchangedEngine), seen: stateWith(unchangedState), decisions: []planner.Decision{{Engine: "e", Assignment: first}}, want: ""},
+		"decision already held": {engine: engineWith(unchangedEngine), seen: stateWith(unchangedState), decisions: []planner.Decision{{Engine: "e", Assignment: initialAssignment}}, want: ""},
 		"report before order": {
 			engine: engineWith(unchangedEngine), decisions: decision,
 			seen: stateWith(func(s *engineapi.State) { s.Incarnation = 8 }), want: "report",
@@ -160,12 +160,14 @@
 		},
 		"failed recently": {
 			engine: engineWith(unchangedEngine), seen: stateWith(unchangedState), decisions: decision,
-			adjust: func(input *Input) { input.Failures = map[string]Failure{"e": {Assignment: second, At: input.Now}} },
-			want:   "",
+			adjust: func(input *Input) {
+				input.Failures = map[string]Failure{"e": {Assignment: newAssignment, At: input.Now}}
+			},
+			want: "",
 		},
 		"failed long ago": {
 			engine: engineWith(unchangedEngine), seen: stateWith(unchangedState), decisions: decision,
-			adjust: func(input *Input) { input.Failures = map[string]Failure{"e": {Assignment: second}} },
+			adjust: func(input *Input) { input.Failures = map[string]Failure{"e": {Assignment: newAssignment}} },
 			want:   "open 2",
 		},
 	}
@@ -185,23 +187,23 @@
 			if test.adjust != nil {
 				test.adjust(&input)
 			}
-			must.Eq(t, test.want, describe(t, Reconcile(input)))
+			must.Eq(t, test.want, describeAction(t, Reconcile(input)))
 		})
 	}
 }
 
-// describe returns a short description of the only action, or "" if there is none.
-func describe(t *testing.T, actions []Action) string {
+// describeAction returns a short description of the only action, or "" if there is none.
+func describeAction(t *testing.T, actions []Action) string {
 	if len(actions) == 0 {
 		return ""
 	}
 	must.Len(t, 1, actions)
 	switch action := actions[0].(type) {
 	case Send:
-		must.Eq(t, fence, action.Order.Fence)
+		must.Eq(t, orderFence, action.Order.Fence)
 		return "send"
 	case Void:
-		must.Eq(t, fence, action.Command().VoidOrder.Fence)
+		must.Eq(t, orderFence, action.Command().VoidOrder.Fence)
 		return "void"
 	case Query:
 		return "query"
--- a/process/controller/oracle_test.go
+++ b/process/controller/oracle_test.go
@@ -29,39 +29,39 @@
 func TestControllerAgainstEngineOracle(t *testing.T) {
 	total := map[string]int{}
 	rapid.Check(t, func(t *rapid.T) {
-		w := newSimulation()
+		s := newSimulation()
 		engineNames := rapid.SampledFrom([]string{"engine-0", "engine-1", "engine-2"})
 		steps := map[string]func(*rapid.T){
-			"round": func(t *rapid.T) { w.round(w.current(), w.plan()) },
+			"round": func(t *rapid.T) { s.round(s.current(), s.plan()) },
 			"old leader": func(t *rapid.T) {
-				l := rapid.SampledFrom(w.leaders).Draw(t, "leader")
-				w.round(l, w.plan())
+				l := rapid.SampledFrom(s.leaders).Draw(t, "leader")
+				s.round(l, s.plan())
 			},
-			"query":   func(t *rapid.T) { w.enqueue(request{leader: w.current(), engine: engineNames.Draw(t, "engine")}) },
-			"advance": func(t *rapid.T) { w.advance(time.Duration(rapid.IntRange(1, 6000).Draw(t, "ms")) * time.Millisecond) },
-			"elect":   func(t *rapid.T) { w.elect() },
-			"crash":   func(t *rapid.T) { w.crash(engineNames.Draw(t, "engine")) },
+			"query":   func(t *rapid.T) { s.enqueue(request{leader: s.current(), engine: engineNames.Draw(t, "engine")}) },
+			"advance": func(t *rapid.T) { s.advance(time.Duration(rapid.IntRange(1, 6000).Draw(t, "ms")) * time.Millisecond) },
+			"elect":   func(t *rapid.T) { s.elect() },
+			"crash":   func(t *rapid.T) { s.crash(engineNames.Draw(t, "engine")) },
 			"intent": func(t *rapid.T) {
-				w.rewriteIntent(rapid.SampledFrom([]string{"1", "2", badVersion}).Draw(t, "version"))
+				s.rewriteIntent(rapid.SampledFrom([]string{"1", "2", badVersion}).Draw(t, "version"))
 			},
 			"drain": func(t *rapid.T) {
-				w.rewriteEngine(engineNames.Draw(t, "engine"), func(engine *api.Engine) { engine.Spec.Drain = !engine.Spec.Drain })
+				s.rewriteEngine(engineNames.Draw(t, "engine"), func(engine *api.Engine) { engine.Spec.Drain = !engine.Spec.Drain })
 			},
 			"label": func(t *rapid.T) {
-				w.rewriteEngine(engineNames.Draw(t, "engine"), func(engine *api.Engine) {
+				s.rewriteEngine(engineNames.Draw(t, "engine"), func(engine *api.Engine) {
 					engine.Labels = api.Labels{"pool": rapid.SampledFrom([]string{"a", "b"}).Draw(t, "pool")}
 				})
 			},
-			"machine leaves": func(t *rapid.T) { w.platform = state.Machines{Leaving: []string{engineNames.Draw(t, "engine")}} },
-			"machines back":  func(t *rapid.T) { w.platform = state.Machines{} },
-			"":               func(t *rapid.T) { w.checkOrders(t) },
+			"machine leaves": func(t *rapid.T) { s.platform = state.Machines{Leaving: []string{engineNames.Draw(t, "engine")}} },
+			"machines back":  func(t *rapid.T) { s.platform = state.Machines{} },
+			"":               func(t *rapid.T) { s.checkOrders(t) },
 		}
-		deliver := func(t *rapid.T) { w.deliverDrawn(t) }
+		deliver := func(t *rapid.T) { s.deliverDrawn(t) }
 		steps["deliver"], steps["deliver more"], steps["deliver most"] = deliver, deliver, deliver
 		steps["round more"] = steps["round"]
 		t.Repeat(steps)
-		w.runUntilConverged(t)
-		for kind, count := range w.counts {
+		s.runUntilConverged(t)
+		for kind, count := range s.counts {
 			total[kind] += count
 		}
 	})
@@ -76,16 +76,16 @@
 
 // deliverDrawn delivers a random pending request, which may stay pending to be
 // delivered again.
-func (w *simulation) deliverDrawn(t *rapid.T) {
-	if len(w.requests) == 0 {
+func (s *simulation) deliverDrawn(t *rapid.T) {
+	if len(s.requests) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(w.requests)-1).Draw(t, "message")
-	m := w.requests[i]
+	i := rapid.IntRange(0, len(s.requests)-1).Draw(t, "message")
+	m := s.requests[i]
 	if rapid.IntRange(0, 3).Draw(t, "repeat") == 0 {
-		w.counts["repeated"]++
+		s.counts["repeated"]++
 	} else {
-		w.requests = append(w.requests[:i:i], w.requests[i+1:]...)
+		s.requests = append(s.requests[:i:i], s.requests[i+1:]...)
 	}
-	w.deliver(t, m, rapid.IntRange(0, 2).Draw(t, "lose") == 0)
+	s.deliver(t, m, rapid.IntRange(0, 2).Draw(t, "lose") == 0)
 }
--- a/process/controller/world_test.go
+++ b/process/controller/world_test.go
@@ -55,7 +55,7 @@
 }
 
 func newSimulation() *simulation {
-	w := &simulation{
+	s := &simulation{
 		machine:  state.New(),
 		engines:  map[string]*enginemodel.Engine{},
 		accepted: map[uint64]api.Fence{},
@@ -64,8 +64,8 @@
 	transaction := &api.Transaction{OperationID: "fleet", AllowBroad: true}
 	for i := range engineCount {
 		name := fmt.Sprintf("engine-%d", i)
-		w.incarnation++
-		w.engines[name] = enginemodel.New(enginemodel.DefaultConfig(name, w.incarnation))
+		s.incarnation++
+		s.engines[name] = enginemodel.New(enginemodel.DefaultConfig(name, s.incarnation))
 		transaction.Writes = append(transaction.Writes, api.Write{Object: api.Object{Engine: &api.Engine{
 			Metadata: api.Metadata{Name: name, Labels: api.Labels{"pool": "a"}},
 			Spec:     api.EngineSpec{Address: "10.0.0.1:1", Zone: "a", Service: "narrator"},
@@ -81,82 +81,82 @@
 	}
 	transaction.Writes = append(transaction.Writes,
 		api.Write{Object: api.Object{Service: service}}, api.Write{Object: api.Object{Intent: intent}})
-	w.elect()
-	w.apply(state.Command{Kind: state.CommandTransaction, Transaction: transaction})
-	return w
+	s.elect()
+	s.apply(state.Command{Kind: state.CommandTransaction, Transaction: transaction})
+	return s
 }
 
 // elect starts a new term. The previous leader continues with the engines committed at
 // this point.
-func (w *simulation) elect() {
-	w.term++
-	if len(w.leaders) > 0 {
-		w.current().staleEngines = w.machine.View().Engines
+func (s *simulation) elect() {
+	s.term++
+	if len(s.leaders) > 0 {
+		s.current().staleEngines = s.machine.View().Engines
 	}
-	w.leaders = append(w.leaders, &leader{
-		term:         w.term,
+	s.leaders = append(s.leaders, &leader{
+		term:         s.term,
 		observations: map[string]Observation{},
 		failures:     map[string]Failure{},
 	})
 }
 
-func (w *simulation) current() *leader { return w.leaders[len(w.leaders)-1] }
+func (s *simulation) current() *leader { return s.leaders[len(s.leaders)-1] }
 
-func (w *simulation) apply(command state.Command) any {
-	w.index++
-	return w.machine.Apply(w.term, w.index, command)
+func (s *simulation) apply(command state.Command) any {
+	s.index++
+	return s.machine.Apply(s.term, s.index, command)
 }
 
 // round runs one reconciliation round of l, which may be an outdated leader.
-func (w *simulation) round(l *leader, decisions []planner.Decision) {
+func (s *simulation) round(l *leader, decisions []planner.Decision) {
 	engines := l.staleEngines
-	if l == w.current() {
-		engines = w.machine.View().Engines
+	if l == s.current() {
+		engines = s.machine.View().Engines
 	}
 	actions := Reconcile(Input{
-		Now: w.now, Engines: engines, Observations: l.observations, Failures: l.failures,
-		Platform: &w.platform, Machines: l.machines, Decisions: decisions,
+		Now: s.now, Engines: engines, Observations: l.observations, Failures: l.failures,
+		Platform: &s.platform, Machines: l.machines, Decisions: decisions,
 		Silence: testObservationMaxAge, FailurePause: time.Minute,
 	})
 	for _, action := range actions {
-		w.execute(l, action)
+		s.execute(l, action)
 	}
 }
 
-func (w *simulation) execute(l *leader, action Action) {
+func (s *simulation) execute(l *leader, action Action) {
 	switch action := action.(type) {
 	case Propose:
-		if l == w.current() {
-			w.propose(l, action.Command)
+		if l == s.current() {
+			s.propose(l, action.Command)
 		}
 	case Send:
-		w.enqueue(request{leader: l, engine: action.Engine, order: &action.Order})
+		s.enqueue(request{leader: l, engine: action.Engine, order: &action.Order})
 	case Void:
-		l.failures[action.Engine] = Failure{Assignment: action.Order.Assignment, At: w.now}
-		if l != w.current() {
+		l.failures[action.Engine] = Failure{Assignment: action.Order.Assignment, At: s.now}
+		if l != s.current() {
 			return
 		}
-		if result := w.apply(action.Command()).(state.VoidOrderResult); result.Open {
+		if result := s.apply(action.Command()).(state.VoidOrderResult); result.Open {
 			voidRequest := action.Request(result.Fence)
-			w.enqueue(request{leader: l, engine: action.Engine, void: &voidRequest})
+			s.enqueue(request{leader: l, engine: action.Engine, void: &voidRequest})
 		}
 	case Query:
-		w.enqueue(request{leader: l, engine: action.Engine})
+		s.enqueue(request{leader: l, engine: action.Engine})
 	}
 }
 
-func (w *simulation) propose(l *leader, command state.Command) {
-	result := w.apply(command)
+func (s *simulation) propose(l *leader, command state.Command) {
+	result := s.apply(command)
 	switch command.Kind {
 	case state.CommandMachines:
 		l.machines = command.Machines
 	case state.CommandOpenOrder:
 		if result.(state.OpenOrderResult).Code == state.OpenOrderOpened {
-			w.counts["opened"]++
+			s.counts["opened"]++
 		}
 	case state.CommandCloseOrder:
 		if result.(state.CloseOrderResult).Closed {
-			w.counts[fmt.Sprint("closed-", command.CloseOrder.Reason)]++
+			s.counts[fmt.Sprint("closed-", command.CloseOrder.Reason)]++
 		}
 	}
 }
@@ -164,22 +164,22 @@
 // maxRequests bounds the pending requests; the oldest are dropped.
 const maxRequests = 64
 
-func (w *simulation) enqueue(m request) {
-	m.askedAt = w.now
-	w.requests = append(w.requests, m)
-	if len(w.requests) > maxRequests {
-		w.requests = w.requests[1:]
+func (s *simulation) enqueue(m request) {
+	m.askedAt = s.now
+	s.requests = append(s.requests, m)
+	if len(s.requests) > maxRequests {
+		s.requests = s.requests[1:]
 	}
 }
 
 // deliver delivers a request to its engine and, unless loseAnswer, the reply to the
 // leader. It checks that an engine accepts only its open order, whichever leader sent
 // the order and however late it arrives.
-func (w *simulation) deliver(t testFailer, m request, loseAnswer bool) {
-	engine := w.engines[m.engine]
-	engine.Step(w.now)
-	if m.leader != w.current() && m.order != nil {
-		w.counts["from-old-leader"]++
+func (s *simulation) deliver(t testFailer, m request, loseAnswer bool) {
+	engine := s.engines[m.engine]
+	engine.Step(s.now)
+	if m.leader != s.current() && m.order != nil {
+		s.counts["from-old-leader"]++
 	}
 	current := engine.State()
 	refused := api.Fence{}
@@ -187,12 +187,12 @@
 	case m.order != nil && m.order.Assignment.Version == badVersion:
 		refused = m.order.Fence
 	case m.order != nil:
-		w.checkAccepted(t, *m.order, engine.Order(w.now, *m.order), current.Fence)
+		s.checkAccepted(t, *m.order, engine.Order(s.now, *m.order), current.Fence)
 	case m.void != nil:
-		engine.Void(w.now, *m.void)
+		engine.Void(s.now, *m.void)
 	}
 	if loseAnswer {
-		w.counts["answer-lost"]++
+		s.counts["answer-lost"]++
 		return
 	}
 	seen := m.leader.observations[m.engine]
@@ -210,15 +210,15 @@
 	Fatalf(format string, arguments ...any)
 }
 
-func (w *simulation) checkAccepted(t testFailer, order api.Order, reply engineapi.OrderReply, before api.Fence) {
+func (s *simulation) checkAccepted(t testFailer, order api.Order, reply engineapi.OrderReply, before api.Fence) {
 	if reply.Code != engineapi.OrderAccepted || !before.Less(reply.State.Fence) {
 		return
 	}
-	if !w.accepted[reply.State.Incarnation].Less(order.Fence) {
-		t.Fatalf("%s accepted %v after %v in one incarnation", order.Engine, order.Fence, w.accepted[reply.State.Incarnation])
+	if !s.accepted[reply.State.Incarnation].Less(order.Fence) {
+		t.Fatalf("%s accepted %v after %v in one incarnation", order.Engine, order.Fence, s.accepted[reply.State.Incarnation])
 	}
-	w.accepted[reply.State.Incarnation] = order.Fence
-	committed := w.machine.View().Engines[order.Engine].Status.OpenOrder
+	s.accepted[reply.State.Incarnation] = order.Fence
+	committed := s.machine.View().Engines[order.Engine].Status.OpenOrder
 	if committed == nil || committed.Fence != order.Fence {
 		t.Fatalf("%s accepted %v while %v is open", order.Engine, order, committed)
 	}
@@ -226,56 +226,56 @@
 
 // checkOrders checks that an engine that executes an order executes the one that is
 // open for it.
-func (w *simulation) checkOrders(t testFailer) {
-	for name, engine := range w.engines {
+func (s *simulation) checkOrders(t testFailer) {
+	for name, engine := range s.engines {
 		carried := engine.State().Order
-		committed := w.machine.View().Engines[name].Status.OpenOrder
+		committed := s.machine.View().Engines[name].Status.OpenOrder
 		if carried != nil && (committed == nil || committed.Fence != carried.Fence) {
 			t.Fatalf("%s executes %v while %v is open", name, carried.Fence, committed)
 		}
 	}
 }
 
-func (w *simulation) crash(name string) {
-	w.incarnation++
-	w.engines[name].Crash(w.now, w.incarnation)
-	w.counts["crashed"]++
+func (s *simulation) crash(name string) {
+	s.incarnation++
+	s.engines[name].Crash(s.now, s.incarnation)
+	s.counts["crashed"]++
 }
 
-func (w *simulation) advance(by time.Duration) {
-	w.now += by
-	for _, engine := range w.engines {
-		engine.Step(w.now)
+func (s *simulation) advance(by time.Duration) {
+	s.now += by
+	for _, engine := range s.engines {
+		engine.Step(s.now)
 	}
 }
 
 // rewriteIntent changes the version that the intent requests.
-func (w *simulation) rewriteIntent(version string) {
-	intent := *w.machine.View().Intents["narrate"]
+func (s *simulation) rewriteIntent(version string) {
+	intent := *s.machine.View().Intents["narrate"]
 	intent.Spec.Version = version
-	w.write(api.Object{Intent: &intent})
+	s.write(api.Object{Intent: &intent})
 }
 
-func (w *simulation) rewriteEngine(name string, change func(*api.Engine)) {
-	engine := *w.machine.View().Engines[name]
+func (s *simulation) rewriteEngine(name string, change func(*api.Engine)) {
+	engine := *s.machine.View().Engines[name]
 	change(&engine)
-	w.write(api.Object{Engine: &engine})
+	s.write(api.Object{Engine: &engine})
 }
 
-func (w *simulation) write(object api.Object) {
+func (s *simulation) write(object api.Object) {
 	transaction := &api.Transaction{
-		OperationID: fmt.Sprintf("write-%d", w.index),
+		OperationID: fmt.Sprintf("write-%d", s.index),
 		Writes:      []api.Write{{Object: object}},
 		AllowBroad:  true,
 	}
-	w.apply(state.Command{Kind: state.CommandTransaction, Transaction: transaction})
+	s.apply(state.Command{Kind: state.CommandTransaction, Transaction: transaction})
 }
 
 // plan returns decisions that assign the requested version to each engine in its fixed
 // role.
-func (w *simulation) plan() []planner.Decision {
+func (s *simulation) plan() []planner.Decision {
 	var decisions []planner.Decision
-	intent := w.machine.View().Intents["narrate"]
+	intent := s.machine.View().Intents["narrate"]
 	roles := []api.EngineRole{api.RolePrefill, api.RoleDecode}
 	for i := range engineCount {
 		decisions = append(decisions, planner.Decision{
@@ -288,39 +288,39 @@
 }
 
 // runUntilConverged runs without faults until every engine has its planned assignment.
-func (w *simulation) runUntilConverged(t *rapid.T) {
-	w.requests = nil
-	w.rewriteIntent("final")
+func (s *simulation) runUntilConverged(t *rapid.T) {
+	s.requests = nil
+	s.rewriteIntent("final")
 	for i := range engineCount {
-		w.rewriteEngine(fmt.Sprintf("engine-%d", i), func(engine *api.Engine) {
+		s.rewriteEngine(fmt.Sprintf("engine-%d", i), func(engine *api.Engine) {
 			engine.Spec.Drain = false
 			engine.Labels = api.Labels{"pool": "a"}
 		})
 	}
-	w.platform = state.Machines{}
+	s.platform = state.Machines{}
 	const rounds = 1000
 	for range rounds {
-		w.advance(roundInterval)
-		for name := range w.engines {
-			w.enqueue(request{leader: w.current(), engine: name})
+		s.advance(roundInterval)
+		for name := range s.engines {
+			s.enqueue(request{leader: s.current(), engine: name})
 		}
-		w.round(w.current(), w.plan())
-		for _, m := range w.requests {
-			w.deliver(t, m, false)
+		s.round(s.current(), s.plan())
+		for _, m := range s.requests {
+			s.deliver(t, m, false)
 		}
-		w.requests = nil
-		w.checkOrders(t)
-		if w.converged() {
+		s.requests = nil
+		s.checkOrders(t)
+		if s.converged() {
 			return
 		}
 	}
-	t.Fatalf("not converged: %+v", w.machine.View().Engines)
+	t.Fatalf("not converged: %+v", s.machine.View().Engines)
 }
 
-func (w *simulation) converged() bool {
-	for _, decision := range w.plan() {
-		status := w.machine.View().Engines[decision.Engine].Status
-		actual := w.engines[decision.Engine].State()
+func (s *simulation) converged() bool {
+	for _, decision := range s.plan() {
+		status := s.machine.View().Engines[decision.Engine].Status
+		actual := s.engines[decision.Engine].State()
 		if status.OpenOrder != nil || !status.Assignment.Equal(decision.Assignment) || !actual.Assignment.Equal(decision.Assignment) {
 			return false
 		}
--- a/process/raft/example_test.go
+++ b/process/raft/example_test.go
@@ -68,7 +68,7 @@
 		}, raft.InitialState{Configuration: configuration})
 	}
 	now := time.Duration(0)
-	cutOff := raft.None
+	partitioned := raft.None
 	// step advances time by one tick and delivers all messages except those from and
 	// to the partitioned member.
 	step := func() {
@@ -82,7 +82,7 @@
 				for nodes[id].HasReady() {
 					ready := nodes[id].Ready() // persist, then send
 					for _, message := range ready.Messages {
-						if message.From != cutOff && message.To != cutOff {
+						if message.From != partitioned && message.To != partitioned {
 							_ = nodes[message.To].Step(now, message)
 						}
 					}
@@ -104,15 +104,15 @@
 	for len(holders()) == 0 {
 		step()
 	}
-	cutOff = holders()[0]
-	for len(holders()) > 0 && holders()[0] == cutOff {
+	partitioned = holders()[0]
+	for len(holders()) > 0 && holders()[0] == partitioned {
 		step()
 	}
 	fmt.Println("holders after the old lease:", len(holders()))
 	for len(holders()) == 0 {
 		step()
 	}
-	fmt.Println("holders after the election:", len(holders()), "the old one:", holders()[0] == cutOff)
+	fmt.Println("holders after the election:", len(holders()), "the old one:", holders()[0] == partitioned)
 	// Output:
 	// holders after the old lease: 0
 	// holders after the election: 1 the old one: false
