--- a/process/raft/cluster_test.go
+++ b/process/raft/cluster_test.go
@@ -92,7 +92,7 @@
 	now          time.Duration
 	queue        eventQueue
 	lastSequence uint64
-	members      []*simMember // ordered by ID, which are 1, 2, ...
+	members      []*simMember // ordered by ID; IDs are 1, 2, ...
 	cuts         map[[2]MemberID]bool
 	oracle       *oracle
 	counts       map[string]int
--- a/process/raft/election.go
+++ b/process/raft/election.go
@@ -110,7 +110,7 @@
 	n.requestVotes(MessagePreVote, n.term+1, electionByQuorum)
 }
 
-// electionKind determines which votes a candidate needs, and why it may ask for them.
+// electionKind determines which votes a candidate needs and how leases are respected.
 type electionKind uint8
 
 const (
--- a/process/raft/types.go
+++ b/process/raft/types.go
@@ -167,7 +167,8 @@
 	ConfigurationPending bool
 	// Match is the highest index known to be persisted by each member; leader only.
 	Match map[MemberID]uint64
-	// RecentlyActive lists the members that replied within an election timeout; leader only.
+	// RecentlyActive reports for each member whether it replied within an election
+	// timeout; leader only.
 	RecentlyActive map[MemberID]bool
 }
 
