--- a/process/controller/controller_test.go
+++ b/process/controller/controller_test.go
@@ -56,7 +56,7 @@
 		adjust    func(*Input)
 		want      string
 	}{
-		"not observed": {engine: engineWith(openOrder), want: "query"},
+		"silent": {engine: engineWith(openOrder), want: "query"},
 		"stale observation": {
 			engine: engineWith(openOrder), seen: stateWith(unchangedState),
 			adjust: func(input *Input) { input.Now += time.Hour }, want: "query",
--- a/process/controller/engine.go
+++ b/process/controller/engine.go
@@ -22,7 +22,7 @@
 	if order := r.engine.Status.OpenOrder; order != nil {
 		return r.continueOrder(*order, *observation)
 	}
-	if report := reportOf(observation.State); state.ReportChanges(r.engine, report) {
+	if report := engineReport(observation.State); state.ReportChanges(r.engine, report) {
 		return []Action{Propose{state.Command{Kind: state.CommandReportEngine, EngineReport: &report}}}
 	}
 	return r.proposeOpenOrder(observation.State)
@@ -92,7 +92,7 @@
 		Engine: r.engine.Name,
 		Fence:  order.Fence,
 		Reason: reason,
-		Report: reportOf(current),
+		Report: engineReport(current),
 	}
 	return []Action{Propose{state.Command{Kind: state.CommandCloseOrder, CloseOrder: &closing}}}
 }
@@ -118,7 +118,7 @@
 	return phase == api.PhaseLeaving || phase == api.PhaseGone
 }
 
-func reportOf(current engineapi.State) state.EngineReport {
+func engineReport(current engineapi.State) state.EngineReport {
 	return state.EngineReport{
 		Engine:      current.Engine,
 		Incarnation: current.Incarnation,
--- a/process/controller/oracle_test.go
+++ b/process/controller/oracle_test.go
@@ -81,11 +81,11 @@
 		return
 	}
 	i := rapid.IntRange(0, len(s.requests)-1).Draw(t, "message")
-	m := s.requests[i]
+	r := s.requests[i]
 	if rapid.IntRange(0, 3).Draw(t, "repeat") == 0 {
 		s.counts["repeated"]++
 	} else {
 		s.requests = append(s.requests[:i:i], s.requests[i+1:]...)
 	}
-	s.deliver(t, m, rapid.IntRange(0, 2).Draw(t, "lose") == 0)
+	s.deliver(t, r, rapid.IntRange(0, 2).Draw(t, "lose") == 0)
 }
--- a/process/controller/world_test.go
+++ b/process/controller/world_test.go
@@ -164,9 +164,9 @@
 // maxRequests bounds the pending requests; the oldest are dropped.
 const maxRequests = 64
 
-func (s *simulation) enqueue(m request) {
-	m.askedAt = s.now
-	s.requests = append(s.requests, m)
+func (s *simulation) enqueue(r request) {
+	r.askedAt = s.now
+	s.requests = append(s.requests, r)
 	if len(s.requests) > maxRequests {
 		s.requests = s.requests[1:]
 	}
@@ -175,34 +175,34 @@
 // deliver delivers a request to its engine and, unless loseAnswer, the reply to the
 // leader. It checks that an engine accepts only its open order, whichever leader sent
 // the order and however late it arrives.
-func (s *simulation) deliver(t testFailer, m request, loseAnswer bool) {
-	engine := s.engines[m.engine]
+func (s *simulation) deliver(t testFailer, r request, loseAnswer bool) {
+	engine := s.engines[r.engine]
 	engine.Step(s.now)
-	if m.leader != s.current() && m.order != nil {
+	if r.leader != s.current() && r.order != nil {
 		s.counts["from-old-leader"]++
 	}
 	current := engine.State()
 	refused := api.Fence{}
 	switch {
-	case m.order != nil && m.order.Assignment.Version == badVersion:
-		refused = m.order.Fence
-	case m.order != nil:
-		s.checkAccepted(t, *m.order, engine.Order(s.now, *m.order), current.Fence)
-	case m.void != nil:
-		engine.Void(s.now, *m.void)
+	case r.order != nil && r.order.Assignment.Version == badVersion:
+		refused = r.order.Fence
+	case r.order != nil:
+		s.checkAccepted(t, *r.order, engine.Order(s.now, *r.order), current.Fence)
+	case r.void != nil:
+		engine.Void(s.now, *r.void)
 	}
 	if loseAnswer {
 		s.counts["answer-lost"]++
 		return
 	}
-	seen := m.leader.observations[m.engine]
-	if seen.State.Engine != "" && m.askedAt < seen.AskedAt {
+	previous := r.leader.observations[r.engine]
+	if previous.State.Engine != "" && r.askedAt < previous.AskedAt {
 		return
 	}
 	if refused.IsZero() {
-		refused = seen.Refused
+		refused = previous.Refused
 	}
-	m.leader.observations[m.engine] = Observation{State: engine.State(), AskedAt: m.askedAt, Refused: refused}
+	r.leader.observations[r.engine] = Observation{State: engine.State(), AskedAt: r.askedAt, Refused: refused}
 }
 
 // testFailer is the part of testing.T that reports a failed check.
@@ -228,10 +228,10 @@
 // open for it.
 func (s *simulation) checkOrders(t testFailer) {
 	for name, engine := range s.engines {
-		carried := engine.State().Order
+		executing := engine.State().Order
 		committed := s.machine.View().Engines[name].Status.OpenOrder
-		if carried != nil && (committed == nil || committed.Fence != carried.Fence) {
-			t.Fatalf("%s executes %v while %v is open", name, carried.Fence, committed)
+		if executing != nil && (committed == nil || committed.Fence != executing.Fence) {
+			t.Fatalf("%s executes %v while %v is open", name, executing.Fence, committed)
 		}
 	}
 }
@@ -305,8 +305,8 @@
 			s.enqueue(request{leader: s.current(), engine: name})
 		}
 		s.round(s.current(), s.plan())
-		for _, m := range s.requests {
-			s.deliver(t, m, false)
+		for _, r := range s.requests {
+			s.deliver(t, r, false)
 		}
 		s.requests = nil
 		s.checkOrders(t)
--- a/process/raft/harness_test.go
+++ b/process/raft/harness_test.go
@@ -22,13 +22,13 @@
 // group is a set of members whose messages are delivered immediately and in order if
 // they pass filter. Its clock advances only explicitly.
 type group struct {
-	t      testing.TB
-	now    time.Duration
-	nodes  map[MemberID]*Node
-	ids    []MemberID
-	filter func(Message) bool // nil delivers everything
-	seen   []Message
-	reads  []ReadState
+	t            testing.TB
+	now          time.Duration
+	nodes        map[MemberID]*Node
+	ids          []MemberID
+	filter       func(Message) bool // nil delivers everything
+	sentMessages []Message
+	reads        []ReadState
 }
 
 // newGroup starts count voters with member 1 as leader, and one member without a
@@ -82,7 +82,7 @@
 			g.reads = append(g.reads, reads...)
 			for _, message := range messages {
 				busy = true
-				g.seen = append(g.seen, message)
+				g.sentMessages = append(g.sentMessages, message)
 				if g.filter == nil || g.filter(message) {
 					must.NoError(g.t, g.nodes[message.To].Step(g.now, message))
 				}
@@ -121,11 +121,11 @@
 // countSent returns the number of messages of a kind sent since the last call.
 func (g *group) countSent(kind MessageKind) int {
 	count := 0
-	for _, message := range g.seen {
+	for _, message := range g.sentMessages {
 		if message.Kind == kind {
 			count++
 		}
 	}
-	g.seen = nil
+	g.sentMessages = nil
 	return count
 }
--- a/process/raft/lease_test.go
+++ b/process/raft/lease_test.go
@@ -101,11 +101,11 @@
 	leader := g.nodes[1]
 	g.advanceTime(2 * simHeartbeatInterval)
 	must.True(t, leader.LeaseValid(g.now))
-	woken := g.now + 10*simElectionTimeout
-	must.False(t, leader.LeaseValid(woken))
-	must.NoError(t, leader.ReadIndex(woken, 7))
-	leader.Tick(woken)
+	resumedAt := g.now + 10*simElectionTimeout
+	must.False(t, leader.LeaseValid(resumedAt))
+	must.NoError(t, leader.ReadIndex(resumedAt, 7))
+	leader.Tick(resumedAt)
 	must.Eq(t, Follower, leader.role)
-	_, _, err := leader.Propose(woken, []byte("late"))
+	_, _, err := leader.Propose(resumedAt, []byte("late"))
 	must.ErrorIs(t, err, ErrNotLeader)
 }
--- a/process/raft/oracle_test.go
+++ b/process/raft/oracle_test.go
@@ -13,15 +13,15 @@
 	cluster *cluster
 	failure *violation
 
-	leaders     map[uint64]MemberID              // leader of each term
-	entryHashes map[position]uint64              // hash of the entry and the term of its predecessor
-	votes       map[uint64]map[MemberID]MemberID // granted votes by term and voter
-	committed   []position                       // by index-1, in the order of commit by leaders
-	commitTerms []uint64                         // by index-1: term of the leader that committed the entry
-	stateHashes []uint64                         // by index-1: state hash after applying the entry
-	reads       map[MemberID]map[uint64]uint64   // by member and request ID: commit index at the time of the request
-	nextRead    uint64
-	answered    int
+	leaders       map[uint64]MemberID              // leader of each term
+	entryHashes   map[position]uint64              // hash of the entry and the term of its predecessor
+	votes         map[uint64]map[MemberID]MemberID // granted votes by term and voter
+	committed     []position                       // by index-1, in the order of commit by leaders
+	commitTerms   []uint64                         // by index-1: term of the leader that committed the entry
+	stateHashes   []uint64                         // by index-1: state hash after applying the entry
+	reads         map[MemberID]map[uint64]uint64   // by member and request ID: commit index at the time of the request
+	nextRead      uint64
+	answeredReads int
 }
 
 type violation struct{ rule, detail string }
@@ -153,7 +153,7 @@
 		o.checkState(m)
 	}
 	for _, read := range ready.ReadStates {
-		o.answered++
+		o.answeredReads++
 		if asked := o.reads[m.id][read.RequestID]; read.Index < asked {
 			o.violation("read index", "member %d answers at %d what was asked at %d", m.id, read.Index, asked)
 		}
--- a/process/raft/replication_test.go
+++ b/process/raft/replication_test.go
@@ -52,7 +52,7 @@
 	}
 	g.deliverAll()
 	toSecond := 0
-	for _, message := range g.seen {
+	for _, message := range g.sentMessages {
 		if message.Kind == MessageAppend && message.To == 2 {
 			must.Len(t, 1, message.Entries)
 			toSecond++
@@ -241,7 +241,7 @@
 					must.NoError(b, err)
 				}
 				g.deliverAll()
-				g.seen = g.seen[:0]
+				g.sentMessages = g.sentMessages[:0]
 				if leader := g.nodes[1]; leader.log.committed%1000 < uint64(batch) {
 					for _, id := range g.ids[:3] {
 						node := g.nodes[id]
--- a/process/raft/simulation_test.go
+++ b/process/raft/simulation_test.go
@@ -272,7 +272,7 @@
 					totals[kind] += count
 				}
 				totals["committed entry"] += len(c.oracle.committed)
-				totals["answered read"] += c.oracle.answered
+				totals["answered read"] += c.oracle.answeredReads
 			})
 		}
 	})
