--- a/process/raft/election.go
+++ b/process/raft/election.go
@@ -114,8 +114,8 @@
 type electionKind uint8
 
 const (
-	// electionByQuorum needs a quorum of voters that cannot be bound by another
-	// leader's lease.
+	// electionByQuorum needs a quorum of voters, each of which grants its vote only when
+	// it can no longer be bound by a leader's lease.
 	electionByQuorum electionKind = iota
 	// electionByTransfer needs a quorum too; leases do not prevent votes because the
 	// leader that holds the lease requested the election.
