--- a/process/controller/controller.go
+++ b/process/controller/controller.go
@@ -4,8 +4,8 @@
 // I/O and keeps no state between rounds, so a new leader, or one that missed a reply,
 // continues from what it observes.
 //
-// An engine has at most one open order. An order is closed only according to what the
-// engine itself reports. Resending an order is harmless, because the engine executes
+// An engine has at most one open order. An order is closed only on a report of its
+// engine. Resending an order is harmless, because the engine executes
 // the order of each fence at most once.
 package controller
 
@@ -25,17 +25,18 @@
 	State engineapi.State
 	// AskedAt is when the query was sent, on the monotonic clock of Input.Now; the
 	// engine was in State at that time or later. An observation must be replaced only
-	// by one with a later AskedAt, so that a delayed reply never brings back an old
-	// incarnation.
+	// by one with a later AskedAt, so that a delayed reply about an old incarnation
+	// cannot replace a newer one.
 	AskedAt time.Duration
-	// Refused is the fence of the last order that the engine rejected as invalid.
+	// Refused is the fence of the last order that the engine rejected as invalid,
+	// zero if none.
 	Refused api.Fence
 }
 
 // Failure is an assignment that an engine failed to apply.
 type Failure struct {
 	Assignment api.Assignment
-	At         time.Duration
+	At         time.Duration // on the clock of Input.Now
 }
 
 // Input is the complete input of one reconciliation round.
@@ -72,8 +73,9 @@
 	Order   api.Order
 }
 
-// Void voids an order that the engine cannot execute: a state.VoidOrder is committed,
-// and the fence that it allocates is sent to the engine.
+// Void voids an order that the engine cannot execute or has ended without reaching the
+// assignment: a state.VoidOrder is committed, and the fence that the committed command
+// allocates is sent to the engine. Incarnation is the engine's current one.
 type Void struct {
 	Engine      string
 	Address     string
@@ -104,13 +106,14 @@
 func (Void) action()    {}
 func (Query) action()   {}
 
-// Reconcile returns the actions of one round. Engines are processed in name order.
+// Reconcile returns the actions of one round: first a change of the machine list, then
+// at most one action per engine, in name order.
 func Reconcile(input Input) []Action {
 	actions := reconcileMachines(input)
 	decisions := decisionsByEngine(input.Decisions)
 	for _, name := range slices.Sorted(maps.Keys(input.Engines)) {
-		round := engineReconciler{input: &input, engine: input.Engines[name], decision: decisions[name]}
-		actions = append(actions, round.actions()...)
+		reconciler := engineReconciler{input: &input, engine: input.Engines[name], decision: decisions[name]}
+		actions = append(actions, reconciler.actions()...)
 	}
 	return actions
 }
--- a/process/controller/engine.go
+++ b/process/controller/engine.go
@@ -17,7 +17,7 @@
 func (r engineReconciler) actions() []Action {
 	observation := r.recentObservation()
 	if observation == nil {
-		return r.query()
+		return r.queryActions()
 	}
 	if order := r.engine.Status.OpenOrder; order != nil {
 		return r.continueOrder(*order, *observation)
@@ -25,7 +25,7 @@
 	if report := engineReport(observation.State); state.ReportChanges(r.engine, report) {
 		return []Action{Propose{state.Command{Kind: state.CommandReportEngine, EngineReport: &report}}}
 	}
-	return r.proposeOpenOrder(observation.State)
+	return r.openOrderActions(observation.State)
 }
 
 // recentObservation returns the engine's observation, or nil if there is none or it is
@@ -42,7 +42,7 @@
 	return &observation
 }
 
-func (r engineReconciler) query() []Action {
+func (r engineReconciler) queryActions() []Action {
 	return []Action{Query{Engine: r.engine.Name, Address: r.engine.Spec.Address}}
 }
 
@@ -53,32 +53,32 @@
 	case current.Incarnation != order.Incarnation:
 		// The incarnation that the order is bound to has ended, along with all
 		// orders sent to it; the new incarnation rejects the order.
-		return r.proposeCloseOrder(order, state.CloseOtherIncarnation, current)
+		return r.closeOrderActions(order, state.CloseOtherIncarnation, current)
 	case current.Order != nil:
-		return r.query()
+		return r.queryActions()
 	case current.Fence.Less(order.Fence):
-		return r.sendOrder(order, observation)
+		return r.sendOrderActions(order, observation)
 	case order.Fence.Less(current.Fence):
-		return r.proposeCloseOrder(order, state.CloseVoid, current)
+		return r.closeOrderActions(order, state.CloseVoid, current)
 	case isDone(order, current):
-		return r.proposeCloseOrder(order, state.CloseDone, current)
+		return r.closeOrderActions(order, state.CloseDone, current)
 	case isSettled(current):
 		// The engine finished the order without reaching the assignment.
-		return r.voidOrder(order, current)
+		return r.voidActions(order, current)
 	default:
-		return r.query()
+		return r.queryActions()
 	}
 }
 
-// sendOrder sends the order, or voids it if the engine rejected it as invalid.
-func (r engineReconciler) sendOrder(order api.Order, observation Observation) []Action {
+// sendOrderActions sends the order, or voids it if the engine rejected it as invalid.
+func (r engineReconciler) sendOrderActions(order api.Order, observation Observation) []Action {
 	if observation.Refused == order.Fence {
-		return r.voidOrder(order, observation.State)
+		return r.voidActions(order, observation.State)
 	}
 	return []Action{Send{Engine: r.engine.Name, Address: r.engine.Spec.Address, Order: order}}
 }
 
-func (r engineReconciler) voidOrder(order api.Order, current engineapi.State) []Action {
+func (r engineReconciler) voidActions(order api.Order, current engineapi.State) []Action {
 	return []Action{Void{
 		Engine:      r.engine.Name,
 		Address:     r.engine.Spec.Address,
@@ -87,7 +87,7 @@
 	}}
 }
 
-func (r engineReconciler) proposeCloseOrder(order api.Order, reason state.CloseReason, current engineapi.State) []Action {
+func (r engineReconciler) closeOrderActions(order api.Order, reason state.CloseReason, current engineapi.State) []Action {
 	closing := state.CloseOrder{
 		Engine: r.engine.Name,
 		Fence:  order.Fence,
@@ -103,7 +103,7 @@
 }
 
 // isSettled reports whether the engine is neither draining nor changing and executes
-// no order.
+// no order. Leaving and gone engines can be settled.
 func isSettled(current engineapi.State) bool {
 	switch current.Phase {
 	case api.PhaseDraining, api.PhaseChanging:
@@ -113,8 +113,8 @@
 	}
 }
 
-// isLeaving reports whether the machine of an engine in phase is leaving or gone.
-func isLeaving(phase api.EnginePhase) bool {
+// isLeavingOrGone reports whether the machine of an engine in phase is leaving or gone.
+func isLeavingOrGone(phase api.EnginePhase) bool {
 	return phase == api.PhaseLeaving || phase == api.PhaseGone
 }
 
@@ -128,9 +128,9 @@
 	}
 }
 
-// proposeOpenOrder proposes the engine's next order, if its assignment must change.
-func (r engineReconciler) proposeOpenOrder(current engineapi.State) []Action {
-	if !isSettled(current) || isLeaving(r.engine.Status.Phase) || isLeaving(current.Phase) {
+// openOrderActions proposes the engine's next order, if its assignment must change.
+func (r engineReconciler) openOrderActions(current engineapi.State) []Action {
+	if !isSettled(current) || isLeavingOrGone(r.engine.Status.Phase) || isLeavingOrGone(current.Phase) {
 		return nil
 	}
 	assignment, reason, found := r.desiredAssignment()
@@ -151,9 +151,9 @@
 const ReasonDrain = "drain"
 
 // desiredAssignment returns the assignment that the engine should have, which is empty
-// for an engine being drained. It returns false for an engine that no intent selects,
-// which keeps its assignment: labels are changed in several steps, and the planner
-// decides nothing for such an engine.
+// for an engine being drained. It returns false for an engine that no intent selects.
+// Such an engine keeps its assignment, because its labels may be in the middle of a change
+// that takes several steps, and the planner makes no decision for it.
 func (r engineReconciler) desiredAssignment() (assignment api.Assignment, reason string, found bool) {
 	if r.engine.Spec.Drain {
 		return api.Assignment{}, ReasonDrain, true
--- a/process/controller/oracle_test.go
+++ b/process/controller/oracle_test.go
@@ -54,8 +54,11 @@
 			},
 			"machine leaves": func(t *rapid.T) { s.platform = state.Machines{Leaving: []string{engineNames.Draw(t, "engine")}} },
 			"machines back":  func(t *rapid.T) { s.platform = state.Machines{} },
-			"":               func(t *rapid.T) { s.checkOrders(t) },
+			// rapid runs the action with the empty name after every other one.
+			"": func(t *rapid.T) { s.checkOrders(t) },
 		}
+		// rapid draws actions uniformly, so an action under several names is drawn more
+		// often.
 		deliver := func(t *rapid.T) { s.deliverDrawn(t) }
 		steps["deliver"], steps["deliver more"], steps["deliver most"] = deliver, deliver, deliver
 		steps["round more"] = steps["round"]
--- a/process/raft/cluster_test.go
+++ b/process/raft/cluster_test.go
@@ -97,8 +97,9 @@
 	oracle       *oracle
 	counts       map[string]int
 
-	// The intervals vary by seed: only an idle group elects a member that was
-	// partitioned, and only a busy one has entries to lose.
+	// The intervals vary by seed. With long ones the group is idle, so that a member
+	// that was partitioned has an up-to-date log and can be elected. With short ones
+	// the group is busy, so that there are uncommitted entries that can be lost.
 	proposalInterval time.Duration
 	faultInterval    time.Duration
 	minVoters        int // voters are not removed below this number
@@ -144,6 +145,8 @@
 
 // addMember starts a member with an empty disk and a new ID.
 func (c *cluster) addMember(bootstrap Configuration) *simMember {
+	// Clocks drift by up to 5 %, which the difference between the election timeout and the
+	// lease must cover.
 	m := &simMember{id: MemberID(len(c.members) + 1), clockRate: 0.95 + 0.1*c.random.Float64()}
 	m.synced.bootstrap = bootstrap
 	c.members = append(c.members, m)
@@ -247,6 +250,8 @@
 }
 
 func (c *cluster) processReady(m *simMember, ready Ready) {
+	// Phases: 0 before the Ready is stored, 1 when half of its messages are sent, 2
+	// after all messages are sent, 3 after Committed is applied but before Advance.
 	crashPhase := -1
 	if c.faulty && c.random.IntN(3000) == 0 {
 		crashPhase = c.random.IntN(4)
--- a/process/raft/codec.go
+++ b/process/raft/codec.go
@@ -133,28 +133,29 @@
 	return entry, d.finish("entry")
 }
 
-// DecodeHardState decodes the output of HardState.AppendBinary.
+// DecodeHardState decodes the output of HardState.AppendBinary. Errors: ErrMalformed.
 func DecodeHardState(b []byte) (HardState, error) {
 	d := decoder{rest: b}
 	state := HardState{Term: d.uint64(), Vote: MemberID(d.uint64()), Commit: d.uint64()}
 	return state, d.finish("hard state")
 }
 
-// DecodeConfiguration decodes the output of Configuration.AppendBinary.
+// DecodeConfiguration decodes the output of Configuration.AppendBinary. Errors:
+// ErrMalformed.
 func DecodeConfiguration(b []byte) (Configuration, error) {
 	d := decoder{rest: b}
 	configuration := d.configuration()
 	return configuration, d.finish("configuration")
 }
 
-// DecodeSnapshot decodes the output of Snapshot.AppendBinary.
+// DecodeSnapshot decodes the output of Snapshot.AppendBinary. Errors: ErrMalformed.
 func DecodeSnapshot(b []byte) (Snapshot, error) {
 	d := decoder{rest: b}
 	snapshot := d.snapshot()
 	return snapshot, d.finish("snapshot")
 }
 
-// DecodeMessage decodes the output of Message.AppendBinary.
+// DecodeMessage decodes the output of Message.AppendBinary. Errors: ErrMalformed.
 func DecodeMessage(b []byte) (Message, error) {
 	d := decoder{rest: b}
 	message := d.message()
@@ -215,19 +216,19 @@
 	return b[0]
 }
 
-// count returns announced, or fails if the remaining input is too short to hold
+// checkedCount returns declared, or fails if the remaining input is too short to hold
 // that many elements of at least elementSize bytes.
-func (d *decoder) count(announced uint32, elementSize int) int {
-	if uint64(announced)*uint64(elementSize) > uint64(len(d.rest)) {
+func (d *decoder) checkedCount(declared uint32, elementSize int) int {
+	if uint64(declared)*uint64(elementSize) > uint64(len(d.rest)) {
 		d.failed = true
 		return 0
 	}
-	return int(announced)
+	return int(declared)
 }
 
 // data reads a length-prefixed byte string and returns a copy, nil if it is empty.
 func (d *decoder) data() []byte {
-	length := d.count(d.uint32(), 1)
+	length := d.checkedCount(d.uint32(), 1)
 	taken := d.take(length)
 	if len(taken) == 0 {
 		return nil
@@ -258,9 +259,9 @@
 func (d *decoder) configuration() Configuration {
 	voters := d.uint32()
 	learners := d.uint32()
-	voterCount := d.count(voters, memberIDSize)
+	voterCount := d.checkedCount(voters, memberIDSize)
 	configuration := Configuration{Voters: d.members(voterCount)}
-	learnerCount := d.count(learners, memberIDSize)
+	learnerCount := d.checkedCount(learners, memberIDSize)
 	configuration.Learners = d.members(learnerCount)
 	return configuration
 }
@@ -306,7 +307,7 @@
 		Unanimous:  header.Flags&flagUnanimous != 0,
 		Sequence:   header.Sequence,
 	}
-	if count := d.count(header.EntryCount, entryHeaderSize); count > 0 {
+	if count := d.checkedCount(header.EntryCount, entryHeaderSize); count > 0 {
 		message.Entries = make([]Entry, count)
 		for i := range message.Entries {
 			message.Entries[i] = d.entry()
--- a/process/raft/configuration.go
+++ b/process/raft/configuration.go
@@ -60,14 +60,14 @@
 		if c.isVoter(change.Member) {
 			return c, errors.Wrapf(ErrInvalidChange, "member %d votes already", change.Member)
 		}
-		next.Learners = withoutMember(next.Learners, change.Member)
+		next.Learners = deleteMember(next.Learners, change.Member)
 		next.Voters = append(next.Voters, change.Member)
 	case ChangeRemove:
 		if !c.contains(change.Member) {
 			return c, errors.Wrapf(ErrUnknownMember, "%d", change.Member)
 		}
-		next.Learners = withoutMember(next.Learners, change.Member)
-		next.Voters = withoutMember(next.Voters, change.Member)
+		next.Learners = deleteMember(next.Learners, change.Member)
+		next.Voters = deleteMember(next.Voters, change.Member)
 		if next.isEmpty() {
 			return c, ErrLastVoter
 		}
@@ -79,7 +79,7 @@
 	return next, nil
 }
 
-func withoutMember(members []MemberID, member MemberID) []MemberID {
+func deleteMember(members []MemberID, member MemberID) []MemberID {
 	return slices.DeleteFunc(members, func(other MemberID) bool { return other == member })
 }
 
--- a/process/raft/election.go
+++ b/process/raft/election.go
@@ -39,46 +39,47 @@
 	return n.role == Leader || n.now < n.leaderContact+n.config.ElectionTimeout
 }
 
-// leaseMayPredateStart reports whether leaseMayBeHeld holds only because the member
+// onlyRecentStartBlocksVote reports whether leaseMayBeHeld holds only because the member
 // started recently: it may have acknowledged a lease of an unknown leader just before
 // the restart, and has not heard from any leader since.
-func (n *Node) leaseMayPredateStart() bool {
+func (n *Node) onlyRecentStartBlocksVote() bool {
 	return n.leaseMayBeHeld() && n.role != Leader && !n.heardLeader
 }
 
-// After a restart, while leaseMayPredateStart, the election delay is at least
+// After a restart, while onlyRecentStartBlocksVote, the election delay is at least
 // ElectionTimeout/restartMinDelayDivisor plus a random part of up to
-// ElectionTimeout/restartDelaySpreadDivisor. A spread of about 200 ms, with elections
-// taking about 10 ms, prevents simultaneous candidacies in four of five cases.
+// ElectionTimeout/restartDelaySpreadDivisor. The random part makes simultaneous
+// candidacies unlikely: with a spread of 200 ms and elections that take 10 ms they are
+// avoided in about four of five cases.
 const (
 	restartMinDelayDivisor    = 16
 	restartDelaySpreadDivisor = 2
 )
 
 // resetElectionDeadline sets the next election between one and two election timeouts
-// from now, or much sooner while leaseMayPredateStart.
+// from now, or much sooner while onlyRecentStartBlocksVote.
 func (n *Node) resetElectionDeadline() {
 	timeout := n.config.ElectionTimeout
 	least, spread := timeout, timeout
-	if n.leaseMayPredateStart() {
+	if n.onlyRecentStartBlocksVote() {
 		least, spread = timeout/restartMinDelayDivisor, timeout/restartDelaySpreadDivisor
 	}
 	n.electionDeadline = n.now + least + time.Duration(n.random.Int64N(int64(max(spread, 1))))
 }
 
 // becomeFollower enters term if it is newer and follows leader, which is None if
-// unknown.
+// unknown. The role becomes Learner if the member may not campaign.
 func (n *Node) becomeFollower(term uint64, leader MemberID) {
 	if term > n.term {
 		n.term = term
 		n.vote = None
 	}
-	wasActive := n.role == Leader || n.role == PreCandidate || n.role == Candidate
+	ledOrCampaigned := n.role == Leader || n.role == PreCandidate || n.role == Candidate
 	n.endLeadership()
 	n.voteReplies = nil
 	n.leaderID = leader
 	n.role = Follower
-	if wasActive {
+	if ledOrCampaigned {
 		n.resetElectionDeadline()
 	}
 	n.updateRole()
@@ -94,9 +95,10 @@
 	n.resetElectionDeadline()
 }
 
-// startPreElection sends pre-votes to find out whether an election could be won. The
-// term is raised only afterwards, so that a partitioned member does not disrupt the
-// group when it reconnects.
+// startPreElection sends pre-votes to find out whether an election could be won. If the
+// member's own vote suffices, it starts the election at once. The term is raised only
+// afterwards, so that a partitioned member does not disrupt the group when it
+// reconnects.
 func (n *Node) startPreElection() {
 	n.role = PreCandidate
 	n.leaderID = None
@@ -110,7 +112,8 @@
 	n.requestVotes(MessagePreVote, n.term+1, electionByQuorum)
 }
 
-// electionKind determines which votes a candidate needs and how leases are respected.
+// electionKind determines which votes a candidate needs and whether voters wait for a
+// lease to expire.
 type electionKind uint8
 
 const (
@@ -120,9 +123,9 @@
 	// electionByTransfer needs a quorum too; leases do not prevent votes because the
 	// leader that holds the lease requested the election.
 	electionByTransfer
-	// electionUnanimous needs the votes of all voters. It is used if some voters could
-	// not vote otherwise because they started recently, as after a restart of the whole
-	// group.
+	// electionUnanimous needs the votes of all voters. It is used if some voters
+	// refuse other elections only because they started less than an election timeout
+	// ago, as after a restart of the whole group.
 	//
 	// Invariant: it breaks no lease. A lease holder is a voter of the latest or of the
 	// committed configuration, so it has voted too, and a leader that votes in a later
@@ -130,8 +133,9 @@
 	electionUnanimous
 )
 
-// startElection raises the term and requests votes in it. The member's own vote is
-// synced as part of the Ready that carries the requests.
+// startElection raises the term and requests votes in it. If the member's own vote
+// suffices, it becomes the leader at once. The member's own vote is synced as part of
+// the Ready that carries the requests.
 func (n *Node) startElection(kind electionKind) {
 	n.role = Candidate
 	n.election = kind
@@ -147,10 +151,10 @@
 	n.requestVotes(MessageVote, n.term, kind)
 }
 
-// preVoteID identifies the member's current series of pre-vote rounds. It is derived
-// from the last leader contact, so it changes once a leader is heard and older replies
-// become invalid. Replies to all rounds of a series count together, so that a
-// pre-election can be won even if replies take longer than one round.
+// preVoteID identifies the member's pre-votes since its last leader contact. It is the
+// time of that contact, so it changes with the next one and older replies become invalid.
+// Replies to all pre-votes with the same ID count together, so that a pre-election can be
+// won even if replies take longer than its election delay.
 func (n *Node) preVoteID() uint64 { return uint64(n.leaderContact) }
 
 func (n *Node) requestVotes(kind MessageKind, term uint64, election electionKind) {
@@ -235,7 +239,7 @@
 // mayVote reports whether the member takes part in elections at all. A member that
 // never received a configuration doesn't, because it may have lost its disk. A
 // learner votes when asked: a candidate counts its vote only if the learner's
-// promotion is already in the candidate's log, and then the vote may be needed.
+// promotion is already in the candidate's log. In that case the vote may be needed.
 func (n *Node) mayVote() bool {
 	return !n.configurations.latest().configuration.isEmpty()
 }
@@ -244,9 +248,9 @@
 	if !n.mayVote() {
 		return
 	}
-	granted := m.Term > n.term && (!n.leaseMayBeHeld() || n.leaseMayPredateStart()) && n.log.upToDate(m.LogTerm, m.Index)
+	granted := m.Term > n.term && (!n.leaseMayBeHeld() || n.onlyRecentStartBlocksVote()) && n.log.upToDate(m.LogTerm, m.Index)
 	if granted {
-		n.send(Message{Kind: MessagePreVoteReply, To: m.From, Term: m.Term, Sequence: m.Sequence, Unanimous: n.leaseMayPredateStart()})
+		n.send(Message{Kind: MessagePreVoteReply, To: m.From, Term: m.Term, Sequence: m.Sequence, Unanimous: n.onlyRecentStartBlocksVote()})
 		return
 	}
 	n.send(Message{Kind: MessagePreVoteReply, To: m.From, Sequence: m.Sequence, Reject: true})
@@ -259,7 +263,7 @@
 	if !m.Reject && m.Term != n.term+1 {
 		return
 	}
-	// Members of an earlier version reply with a zero Sequence.
+	// Members of a version without pre-vote IDs reply with a zero Sequence.
 	if m.Sequence != 0 && m.Sequence != n.preVoteID() {
 		return
 	}
@@ -280,7 +284,7 @@
 
 // voteMayBreakLease reports whether granting the vote request m could break a lease.
 func (n *Node) voteMayBreakLease(m Message) bool {
-	if m.Transfer || m.Unanimous && n.leaseMayPredateStart() {
+	if m.Transfer || m.Unanimous && n.onlyRecentStartBlocksVote() {
 		return false
 	}
 	return n.leaseMayBeHeld()
@@ -292,8 +296,8 @@
 	if !n.mayVote() {
 		return
 	}
-	free := n.vote == m.From || (n.vote == None && n.leaderID == None)
-	granted := free && !n.voteMayBreakLease(m) && n.log.upToDate(m.LogTerm, m.Index)
+	mayGrant := n.vote == m.From || (n.vote == None && n.leaderID == None)
+	granted := mayGrant && !n.voteMayBreakLease(m) && n.log.upToDate(m.LogTerm, m.Index)
 	if granted {
 		n.vote = m.From
 		n.resetElectionDeadline()
--- a/process/raft/election_test.go
+++ b/process/raft/election_test.go
@@ -202,10 +202,10 @@
 	must.Eq(t, Status{ID: 3, Term: 1, Leader: 1, Commit: 1, Applied: 1, LastIndex: 1, Configuration: voters(1, 2, 3)}, g.nodes[3].Status())
 }
 
-// A member that lost its disk returns under a new ID, and RecentlyActive determines which
-// of the two IDs is gone. A leader that stalls itself, because of its disk or machine, must
-// not count the old ID as active for longer. Otherwise the new one would be taken for the
-// replaced one and removed.
+// A member that lost its disk returns under a new ID, and callers use RecentlyActive to
+// tell that the old ID is the one to remove. If the leader stalls, because of its disk or
+// machine, the stall must not make the old ID count as active for longer. Otherwise the
+// new ID would be taken for the one that is gone and be removed.
 func TestLeaderStallDoesNotExtendMemberActivity(t *testing.T) {
 	g := newGroup(t, 3)
 	g.advanceTime(simHeartbeatInterval)
@@ -311,8 +311,8 @@
 	return None, limit
 }
 
-// After a restart of the whole group no member holds a lease, and all voters confirm it,
-// so that an election need not wait for the election timeout.
+// After a restart of the whole group no member holds a lease. All voters confirm this by
+// their votes, so that an election need not wait for the election timeout.
 func TestRestartedGroupElectsLeaderWithoutElectionTimeout(t *testing.T) {
 	g := newGroup(t, 5)
 	g.propose("before the stop")
--- a/process/raft/harness_test.go
+++ b/process/raft/harness_test.go
@@ -31,8 +31,8 @@
 	reads        []ReadState
 }
 
-// newGroup starts count voters with member 1 as leader, and one member without a
-// configuration.
+// newGroup starts count voters with member 1 as leader, and one more member, number
+// count+1, without a configuration.
 func newGroup(t testing.TB, count int, adjust ...func(*Config)) *group {
 	g := &group{t: t, nodes: make(map[MemberID]*Node)}
 	configuration := Configuration{}
@@ -102,11 +102,13 @@
 	}
 }
 
+// propose proposes a command on member 1.
 func (g *group) propose(data string) {
 	_, _, err := g.nodes[1].Propose(g.now, []byte(data))
 	must.NoError(g.t, err)
 }
 
+// change proposes a configuration change on member 1.
 func (g *group) change(kind ChangeKind, member MemberID) {
 	_, _, err := g.nodes[1].ProposeChange(g.now, ConfigurationChange{kind, member})
 	must.NoError(g.t, err)
--- a/process/raft/leadership.go
+++ b/process/raft/leadership.go
@@ -12,7 +12,7 @@
 
 	firstIndex       uint64 // index of the empty entry that started the term
 	uncommittedBytes int
-	appendsDue       bool // some member may need an append message
+	appendsDue       bool // append messages may have to be sent to some member
 
 	heartbeatDue  bool
 	nextHeartbeat time.Duration
@@ -21,9 +21,9 @@
 
 	reads    []readRequest
 	transfer *transfer // nil unless leadership is being transferred
-	// leaseForfeited is set for the rest of the term once another member was told
-	// to campaign, because voters then don't wait for the lease to expire.
-	leaseForfeited bool
+	// leaseDisabled is set for the rest of the term once MessageTimeoutNow was sent
+	// to another member, because voters then don't wait for the lease to expire.
+	leaseDisabled bool
 }
 
 func (n *Node) becomeLeader() {
@@ -65,7 +65,7 @@
 			wanted = append(wanted, member)
 		}
 	}
-	wanted = withoutMember(wanted, n.config.ID)
+	wanted = deleteMember(wanted, n.config.ID)
 	slices.Sort(wanted)
 	for _, member := range lead.members {
 		if !slices.Contains(wanted, member) {
@@ -103,8 +103,8 @@
 	return n.now < p.lastActive+n.config.ElectionTimeout
 }
 
-// quorumActive implements check-quorum: a leader that doesn't hear from a quorum
-// steps down, so that its clients turn to another member.
+// quorumActive implements check-quorum: a leader that doesn't hear from a quorum steps
+// down, so that callers of the control group turn to another member.
 func (n *Node) quorumActive() bool {
 	active := 0
 	for _, voter := range n.configurations.latest().configuration.Voters {
@@ -116,15 +116,16 @@
 }
 
 // quorumValue returns the highest value that a quorum of voters has reached. own is
-// the leader's value, which counts only if the leader is a voter.
-func quorumValue[T uint64 | time.Duration](n *Node, own T, of func(*progress) T) T {
+// the leader's value, which counts only if the leader is a voter. of returns the value
+// of another member.
+func quorumValue[T uint64 | time.Duration](n *Node, own T, valueOf func(*progress) T) T {
 	voters := n.configurations.latest().configuration.Voters
 	values := make([]T, 0, len(voters))
 	for _, voter := range voters {
 		if voter == n.config.ID {
 			values = append(values, own)
 		} else {
-			values = append(values, of(n.leadership.progress[voter]))
+			values = append(values, valueOf(n.leadership.progress[voter]))
 		}
 	}
 	slices.Sort(values)
--- a/process/raft/lease.go
+++ b/process/raft/lease.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// heartbeatRound is one heartbeat sent to all members.
+// heartbeatRound is one heartbeat sent to all members with the same sequence.
 type heartbeatRound struct {
 	sequence uint64
 	sentAt   time.Duration
@@ -17,7 +17,8 @@
 }
 
 // startHeartbeatRound sends a heartbeat to all members. The round's send time is the
-// caller's last clock reading, which is earlier than the actual sending.
+// caller's last clock reading, which is earlier than the actual sending, so
+// the lease ends earlier rather than later.
 func (n *Node) startHeartbeatRound() {
 	lead := n.leadership
 	lead.heartbeatDue = false
@@ -52,7 +53,7 @@
 }
 
 func (n *Node) handleHeartbeatReply(m Message) {
-	p := n.activeProgress(m.From)
+	p := n.recordReplyFrom(m.From)
 	if p == nil || m.Sequence > n.leadership.sequence {
 		return
 	}
@@ -81,10 +82,10 @@
 // leader. The lease starts when a heartbeat that a quorum has answered was sent. Each
 // of these voters refuses other candidates for an election timeout from when it
 // received that heartbeat, which is later, and the lease is shorter than the election
-// timeout. Callers must read the clock after the work that the lease is to cover, and
+// timeout. Callers do the work that needs the lease, then read the clock, then
 // call LeaseValid with that reading.
 func (n *Node) LeaseValid(now time.Duration) bool {
-	if n.role != Leader || n.leadership.leaseForfeited || !n.committedInTerm() {
+	if n.role != Leader || n.leadership.leaseDisabled || !n.committedInTerm() {
 		return false
 	}
 	now = max(now, n.now)
@@ -99,8 +100,9 @@
 
 // ReadIndex requests a ReadState for requestID. With a valid lease it is part of the
 // next Ready; otherwise it follows once a quorum has answered a heartbeat sent after
-// this call. If leadership is lost first, requestID is returned in
-// Ready.AbortedReads. The error is ErrNotLeader.
+// this call. The caller chooses requestID, which should be unique among its pending
+// reads. If leadership is lost first, requestID is returned in Ready.AbortedReads. The
+// error is ErrNotLeader.
 func (n *Node) ReadIndex(now time.Duration, requestID uint64) error {
 	n.advanceClock(now)
 	if n.role != Leader {
--- a/process/raft/lease_test.go
+++ b/process/raft/lease_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestLeaseCountsFromSending(t *testing.T) {
+func TestLeaseStartsWhenHeartbeatIsSent(t *testing.T) {
 	g := newGroup(t, 3)
 	leader := g.nodes[1]
 	sentAt := g.now + simHeartbeatInterval
@@ -93,9 +93,9 @@
 	must.NotEq(t, Leader, g.nodes[3].role)
 }
 
-// A leader whose machine was suspended can detect this only by its clock after the resume:
-// with the first clock reading it has no lease, and it steps down at the next tick. A voter
-// that resumes still honors the lease of any leader that it hears from then on.
+// A leader whose machine was suspended notices it only once it reads its clock after the
+// resume. With that first reading it has no lease, and it steps down at the next tick. A
+// voter that resumes still honors the lease of any leader that it hears from then on.
 func TestResumedLeaderHasNoLease(t *testing.T) {
 	g := newGroup(t, 3)
 	leader := g.nodes[1]
--- a/process/raft/log.go
+++ b/process/raft/log.go
@@ -9,12 +9,13 @@
 	return len(e.Data) + entryOverhead
 }
 
-// entryLog is the in-memory log: the entries after a base position, and how far they
-// are persisted, committed and applied.
+// entryLog is the in-memory log: the entries after the base position (baseIndex,
+// baseTerm), which is that of the entry before entries[0], and how far they are
+// persisted, committed and applied.
 //
-// Invariants: baseIndex <= applied <= committed <= last index, except that after
-// restore applied is lower until the caller has installed the snapshot. Entries at
-// or before committed are never replaced.
+// Invariants: baseIndex <= applied <= committed <= last index, except that after a call
+// of restore, applied is less than baseIndex until the caller has installed the
+// snapshot. Entries at or before committed are never replaced.
 type entryLog struct {
 	baseIndex uint64 // entries[0].Index - 1
 	baseTerm  uint64
@@ -69,12 +70,13 @@
 
 // matches reports whether the log has the entry (term, index).
 func (l *entryLog) matches(term, index uint64) bool {
-	own, ok := l.term(index)
-	return ok && own == term
+	ownTerm, ok := l.term(index)
+	return ok && ownTerm == term
 }
 
 // upToDate reports whether a log that ends in (term, index) is at least as up to date
-// as this one, so that it has every entry that this log may have helped to commit.
+// as this one, so that it has every entry that this log may have been counted for
+// when it was committed.
 func (l *entryLog) upToDate(term, index uint64) bool {
 	if term != l.lastTerm() {
 		return term > l.lastTerm()
@@ -134,9 +136,9 @@
 	return len(entries)
 }
 
-// lastAtOrBelow returns the index and term of the last entry with an index of at most
-// index and a term of at most maxTerm, or the base position if there is none.
-func (l *entryLog) lastAtOrBelow(index, maxTerm uint64) (foundIndex, foundTerm uint64) {
+// lastWithIndexAndTermAtMost returns the index and term of the last entry with an index
+// of at most index and a term of at most maxTerm, or the base position if there is none.
+func (l *entryLog) lastWithIndexAndTermAtMost(index, maxTerm uint64) (foundIndex, foundTerm uint64) {
 	for index = min(index, l.lastIndex()); index > l.baseIndex; index-- {
 		term, _ := l.term(index)
 		if term <= maxTerm {
--- a/process/raft/membership.go
+++ b/process/raft/membership.go
@@ -6,11 +6,11 @@
 	"github.com/pkg/errors"
 )
 
-// ProposeChange appends a configuration entry with change applied. The configuration
-// takes effect at once, and the change is complete when the entry is committed. Only
-// one change may be pending, and the leader must have committed an entry of its own
-// term first: then the quorums of any two configurations that can be in effect at the
-// same time overlap.
+// ProposeChange appends an entry with the latest configuration after change. The
+// configuration takes effect at once, and the change is complete when the entry is
+// committed. Only one change may be pending, and the leader must have committed an entry
+// of its own term first. This ensures that the quorums of any two configurations that
+// can be in effect at the same time overlap. It returns the term and index of the entry.
 //
 // Errors: ErrNotLeader, ErrTransferPending, ErrChangePending,
 // ErrTermNotCommitted, ErrUnknownMember, ErrInvalidChange, ErrNotCaughtUp,
@@ -67,21 +67,22 @@
 	return p.match >= p.ackedCommit
 }
 
-// configurationCommitted notifies removed members of the commit and stops tracking
+// onConfigurationCommitted notifies removed members of the commit and stops tracking
 // them. A leader that was removed itself transfers leadership and steps down.
-func (n *Node) configurationCommitted() {
+func (n *Node) onConfigurationCommitted() {
 	n.notifyRemovedMembers()
 	n.updateTrackedMembers()
 	if !n.configurations.latest().configuration.isVoter(n.config.ID) {
 		n.queueLeaderMessages()
-		n.transferOnRemoval()
+		n.sendTimeoutNowToBestVoter()
 		n.becomeFollower(n.term, None)
 	}
 }
 
 // notifyRemovedMembers sends removed members an append message with the log's next
-// entries and the commit index, once, so that they stop campaigning. Losing the
-// message is harmless, because voters that hear from a leader reject their requests.
+// entries and the commit index, once, so that they stop campaigning. If the
+// message is lost, voters that hear from a leader still reject requests of the removed
+// members.
 func (n *Node) notifyRemovedMembers() {
 	latest := n.configurations.latest().configuration
 	for _, member := range n.leadership.members {
--- a/process/raft/message.go
+++ b/process/raft/message.go
@@ -8,13 +8,13 @@
 	MessagePreVote        MessageKind = iota + 1 // asks whether the receiver would grant a vote in Term
 	MessagePreVoteReply                          // Term is the requested one if granted, the voter's current one if rejected
 	MessageVote                                  // requests a vote in Term
-	MessageVoteReply                             //
+	MessageVoteReply                             // grants the vote unless Reject is set
 	MessageAppend                                // Entries follow the entry (LogTerm, Index)
-	MessageAppendReply                           // Index is the last persisted one or, on Reject, the one that did not match
+	MessageAppendReply                           // Index is the last persisted one or, on Reject, the Index of the rejected message
 	MessageHeartbeat                             // starts round Sequence; the receiver may commit up to Commit
 	MessageHeartbeatReply                        // replies to round Sequence
 	MessageSnapshot                              // replaces entries that the leader has compacted
-	MessageTimeoutNow                            // tells the receiver to campaign at once, for a leadership transfer
+	MessageTimeoutNow                            // asks the receiver to campaign at once, for a leadership transfer
 )
 
 // Message is a message between members. Fields that its kind doesn't use are zero.
@@ -30,7 +30,7 @@
 	RejectHint uint64 // highest index at which the follower's log may match the leader's
 	Transfer   bool   // on MessageVote: the previous leader requested this election
 	Unanimous  bool   // on MessageVote: the election needs all votes; on MessagePreVoteReply: granted only for such an election
-	Sequence   uint64 // heartbeat round; on pre-votes and their replies: the preVoteID, 0 if unknown
+	Sequence   uint64 // heartbeat round; on pre-votes and their replies: the preVoteID; a reply with 0 is accepted without comparison
 	Entries    []Entry
 	Snapshot   *Snapshot
 }
--- a/process/raft/node.go
+++ b/process/raft/node.go
@@ -19,10 +19,10 @@
 // Node is the protocol state of one member. It is not safe for concurrent use: its
 // methods must be called from one goroutine at a time.
 //
-// Methods that take now need a reading of the same monotonic clock, taken after the
-// caller received what it passes in. With an earlier reading the member would record
-// a heartbeat as older than it is, and could vote before the lease that it
-// acknowledged has expired.
+// Methods that take now need a reading of the same monotonic clock, as the time since
+// any fixed origin. The clock must be read after the message that is passed in was
+// received. With an earlier reading the member would record a heartbeat as older than it
+// is, and could vote before the lease that it acknowledged has expired.
 type Node struct {
 	config  Config
 	random  *rand.Rand
@@ -55,7 +55,8 @@
 }
 
 // New returns a Node that resumes from initial. It fails with ErrInvalidConfig, or
-// with ErrInvalidState if initial is inconsistent.
+// with ErrInvalidState if initial is inconsistent. initial must not be modified
+// afterwards, because the node shares its memory.
 func New(config Config, initial InitialState) (*Node, error) {
 	config = config.withDefaults()
 	if err := config.validate(); err != nil {
@@ -146,7 +147,7 @@
 	return nil
 }
 
-// consecutive reports whether entries directly follow the position (term, index),
+// consecutive reports whether entries directly follow the position (index, term),
 // with consecutive indexes and non-decreasing terms of at most maxTerm.
 func consecutive(entries []Entry, index, term, maxTerm uint64) bool {
 	for _, entry := range entries {
@@ -172,7 +173,8 @@
 }
 
 // Tick runs time-based work: elections, heartbeats, check-quorum and retries. All of
-// it is scheduled by durations, so Tick may be called at any rate.
+// it is scheduled by durations, so Tick may be called at any rate. Election delays count
+// from the first call of a method that takes now.
 func (n *Node) Tick(now time.Duration) {
 	n.advanceClock(now)
 	if n.role == Leader {
@@ -184,8 +186,9 @@
 	}
 }
 
-// Step processes one received message. Errors: ErrWrongMember, ErrInvalidMessage and
-// ErrDiverged; each leaves the node unchanged except for its clock.
+// Step processes one received message, whose memory the node may keep. Errors:
+// ErrWrongMember, ErrInvalidMessage and ErrDiverged; each leaves the node unchanged
+// except for its clock.
 func (n *Node) Step(now time.Duration, m Message) error {
 	n.advanceClock(now)
 	if err := n.validateMessage(m); err != nil {
@@ -205,9 +208,9 @@
 // any state.
 func (n *Node) validateMessage(m Message) error {
 	if m.To != n.config.ID {
-		return errors.Wrapf(ErrWrongMember, "%d", m.To)
+		return errors.Wrapf(ErrWrongMember, "member %d", m.To)
 	}
-	// A member that never saw an election has term 0 and sends only rejected pre-votes.
+	// A member that never entered a term has term 0 and sends only rejected pre-votes.
 	noTerm := m.Term == 0 && m.Kind != MessagePreVoteReply
 	if m.From == None || m.From == n.config.ID || !m.Kind.valid() || noTerm {
 		return errors.Wrapf(ErrInvalidMessage, "kind %d from %d in term %d", m.Kind, m.From, m.Term)
@@ -217,16 +220,17 @@
 	}
 	switch m.Kind {
 	case MessageAppend:
-		return n.checkAppend(m)
+		return n.validateAppend(m)
 	case MessageSnapshot:
-		return n.checkSnapshot(m)
+		return n.validateSnapshot(m)
 	default:
 		return nil
 	}
 }
 
 // replyToOldTerm replies to messages of an older term so that their sender learns the
-// current one: an outdated leader then steps down, an outdated candidate catches up.
+// current one: an outdated leader then steps down, an outdated candidate enters the
+// current term.
 func (n *Node) replyToOldTerm(m Message) {
 	switch m.Kind {
 	case MessagePreVote:
--- a/process/raft/oracle_test.go
+++ b/process/raft/oracle_test.go
@@ -179,7 +179,8 @@
 	}
 }
 
-// requestReads requests a read on every running member in the leader role.
+// requestReads requests a read on every member that is running and not paused; only
+// leaders accept it.
 func (o *oracle) requestReads() {
 	c := o.cluster
 	for _, m := range c.members {
--- a/process/raft/progress.go
+++ b/process/raft/progress.go
@@ -23,7 +23,7 @@
 
 	awaitingReply bool     // probe: a message is unanswered
 	inflight      []uint64 // replicate: last index of each unanswered message, ascending
-	forceAppend   bool     // send a message even without new entries, to detect lost ones
+	forceAppend   bool     // send a message even without new entries, to detect lost messages
 
 	snapshotIndex  uint64        // snapshot: its index
 	snapshotSentAt time.Duration // snapshot: when it was last sent
@@ -70,9 +70,9 @@
 	}
 }
 
-// acknowledge records that the member has persisted the log up to index. It reports
+// recordAcknowledged records that the member has persisted the log up to index. It reports
 // whether match increased.
-func (p *progress) acknowledge(index uint64) bool {
+func (p *progress) recordAcknowledged(index uint64) bool {
 	p.awaitingReply = false
 	answered, _ := slices.BinarySearch(p.inflight, index+1)
 	p.inflight = slices.Delete(p.inflight, 0, answered)
@@ -122,7 +122,8 @@
 	p.everActive = true
 }
 
-// recordHeartbeatReply unblocks append messages that wait for a lost reply.
+// recordHeartbeatReply lets one more append message be sent, because the reply that flow
+// control waits for may be lost. It does so even if nothing was lost.
 func (p *progress) recordHeartbeatReply(lastIndex uint64, maxInflight int) {
 	p.awaitingReply = false
 	if p.state == progressReplicate && len(p.inflight) >= maxInflight {
--- a/process/raft/ready.go
+++ b/process/raft/ready.go
@@ -1,7 +1,8 @@
 package raft
 
 // HasReady reports whether Ready would return any work. It is false between Ready and
-// the matching Advance.
+// the matching Advance. It first queues the leader's heartbeats and append messages that
+// are due.
 func (n *Node) HasReady() bool {
 	if n.awaitingAdvance {
 		return false
@@ -44,7 +45,8 @@
 	return ready
 }
 
-// Advance reports that everything in ready has been persisted, sent and applied.
+// Advance reports that everything in ready has been persisted, sent and applied. It does
+// nothing unless a Ready is outstanding.
 func (n *Node) Advance(ready Ready) {
 	if !n.awaitingAdvance {
 		return
--- a/process/raft/replication.go
+++ b/process/raft/replication.go
@@ -7,8 +7,9 @@
 )
 
 // Propose appends a command to the leader's log. The proposal succeeded if the entry
-// committed at index has this term; otherwise it was lost. data must not be modified
-// afterwards. Errors: ErrNotLeader, ErrTransferPending and ErrOverloaded.
+// committed at index has this term; if an entry of another term is committed there, it
+// was lost. data must not be modified afterwards. Errors: ErrNotLeader,
+// ErrTransferPending and ErrOverloaded.
 func (n *Node) Propose(now time.Duration, data []byte) (term, index uint64, err error) {
 	n.advanceClock(now)
 	if n.role != Leader {
@@ -69,8 +70,8 @@
 	}
 }
 
-// sendEntries sends one message with the entries that follow the position (term,
-// index), up to the message size limit. It returns the index of the last one.
+// sendEntries sends one message with the entries that follow the position (index,
+// term), up to the message size limit. It returns the index of the last one.
 func (n *Node) sendEntries(member MemberID, index, term uint64) uint64 {
 	entries := n.log.batch(index+1, n.config.MaxEntriesBytes)
 	n.send(Message{
@@ -84,9 +85,9 @@
 	return index + uint64(len(entries))
 }
 
-// checkAppend rejects entries that are not consecutive, that have an invalid
+// validateAppend rejects entries that are not consecutive, that have an invalid
 // configuration or that contradict committed entries.
-func (n *Node) checkAppend(m Message) error {
+func (n *Node) validateAppend(m Message) error {
 	if m.LogTerm > m.Term || !consecutive(m.Entries, m.Index, m.LogTerm, m.Term) {
 		return errors.Wrap(ErrInvalidMessage, "entries are not consecutive")
 	}
@@ -102,12 +103,12 @@
 	if m.Term < n.term {
 		return nil
 	}
-	return n.checkCommitted(m)
+	return n.validateAgainstCommitted(m)
 }
 
-// checkCommitted returns ErrDiverged if m contradicts committed entries that are still
-// in memory.
-func (n *Node) checkCommitted(m Message) error {
+// validateAgainstCommitted returns ErrDiverged if m contradicts committed entries that
+// are still in memory.
+func (n *Node) validateAgainstCommitted(m Message) error {
 	if n.contradictsCommitted(m.LogTerm, m.Index) {
 		return errors.Wrapf(ErrDiverged, "index %d from member %d", m.Index, m.From)
 	}
@@ -123,8 +124,8 @@
 	if index > n.log.committed {
 		return false
 	}
-	own, kept := n.log.term(index)
-	return kept && own != term
+	ownTerm, kept := n.log.term(index)
+	return kept && ownTerm != term
 }
 
 func (n *Node) handleAppend(m Message) error {
@@ -138,7 +139,7 @@
 	case m.Index >= n.log.committed && !n.log.matches(m.LogTerm, m.Index):
 		reply.Reject = true
 		reply.Index = m.Index
-		reply.RejectHint, reply.LogTerm = n.log.lastAtOrBelow(m.Index, m.LogTerm)
+		reply.RejectHint, reply.LogTerm = n.log.lastWithIndexAndTermAtMost(m.Index, m.LogTerm)
 	default:
 		n.acceptEntries(entriesAfter(m.Entries, n.log.committed))
 		n.commitTo(min(m.Commit, lastSent))
@@ -152,20 +153,20 @@
 // there is none, later entries in the log are kept, because the message may be older
 // than they are.
 func (n *Node) acceptEntries(entries []Entry) {
-	fresh := entries[n.log.firstConflict(entries):]
-	if len(fresh) == 0 {
+	missing := entries[n.log.firstConflict(entries):]
+	if len(missing) == 0 {
 		return
 	}
-	n.configurations.truncateFrom(fresh[0].Index)
-	n.log.replaceFrom(fresh)
-	if err := n.configurations.addEntries(fresh); err != nil {
+	n.configurations.truncateFrom(missing[0].Index)
+	n.log.replaceFrom(missing)
+	if err := n.configurations.addEntries(missing); err != nil {
 		panic(errors.Wrap(err, "raft: validated configuration cannot be decoded"))
 	}
 	n.updateRole()
 }
 
 func (n *Node) handleAppendReply(m Message) {
-	p := n.activeProgress(m.From)
+	p := n.recordReplyFrom(m.From)
 	if p == nil {
 		return
 	}
@@ -176,18 +177,18 @@
 	if m.Index > n.log.lastIndex() {
 		return // no message of this term can cause such a reply
 	}
-	raised := p.acknowledge(m.Index)
+	matchIncreased := p.recordAcknowledged(m.Index)
 	p.finishProbeOrSnapshot()
 	n.leadership.appendsDue = true
-	if raised {
+	if matchIncreased {
 		n.maybeCommit()
 	}
 	n.continueTransfer(m.From)
 }
 
-// activeProgress records that member replied and returns its progress. It returns nil
+// recordReplyFrom records that member replied and returns its progress. It returns nil
 // if the node isn't the leader or doesn't track the member.
-func (n *Node) activeProgress(member MemberID) *progress {
+func (n *Node) recordReplyFrom(member MemberID) *progress {
 	if n.leadership == nil {
 		return nil
 	}
@@ -198,9 +199,10 @@
 	return p
 }
 
-// backtrack continues the search for the matching index at a lower one. Both sides skip
-// whole terms: the follower's hint is its highest index whose term is not greater than
-// the one in the rejected message, and the leader does the same with the hint's term.
+// backtrack continues the search for the matching index at a lower one. Leader and
+// follower both skip all entries of a term at once: the follower's hint is its highest
+// index whose term is not greater than the one in the rejected message, and the leader
+// does the same with the hint's term.
 func (n *Node) backtrack(p *progress, m Message) {
 	if p.state == progressSnapshot || m.Index <= p.match {
 		return
@@ -208,7 +210,7 @@
 	if p.state == progressProbe && m.Index != p.next-1 {
 		return // a reply to an earlier probe
 	}
-	candidate, _ := n.log.lastAtOrBelow(m.RejectHint, m.LogTerm)
+	candidate, _ := n.log.lastWithIndexAndTermAtMost(m.RejectHint, m.LogTerm)
 	if m.RejectHint < n.log.baseIndex {
 		candidate = m.RejectHint
 	}
@@ -224,11 +226,11 @@
 	if n.leadership == nil {
 		return
 	}
-	reached := quorumValue(n, n.log.persisted, func(p *progress) uint64 { return p.match })
-	if term, ok := n.log.term(reached); !ok || term != n.term {
+	quorumIndex := quorumValue(n, n.log.persisted, func(p *progress) uint64 { return p.match })
+	if term, ok := n.log.term(quorumIndex); !ok || term != n.term {
 		return
 	}
-	n.commitTo(reached)
+	n.commitTo(quorumIndex)
 }
 
 // commitTo raises the commit index and updates the state that depends on it.
@@ -247,6 +249,6 @@
 	n.leadership.appendsDue = true
 	n.completeReads()
 	if latest := n.configurations.latest(); latest.index > before && latest.index <= n.log.committed {
-		n.configurationCommitted()
+		n.onConfigurationCommitted()
 	}
 }
--- a/process/raft/replication_test.go
+++ b/process/raft/replication_test.go
@@ -122,6 +122,7 @@
 	g.filter = nil
 	g.advanceTime(3 * simHeartbeatInterval)
 	must.Eq(t, g.nodes[2].log.entries, g.nodes[3].log.entries)
+	// Fewer than 10 replies: the repair must not backtrack entry by entry.
 	must.Less(t, 10, g.countSent(MessageAppendReply))
 }
 
@@ -229,7 +230,7 @@
 }
 
 // BenchmarkProposeToCommit commits entries of 128 bytes in an in-memory group of three,
-// in batches like a loaded driver, without codec, disk and network.
+// in batches of 1 and 64 as a caller under load does, without codec, disk and network.
 func BenchmarkProposeToCommit(b *testing.B) {
 	for _, batch := range []int{1, 64} {
 		b.Run(fmt.Sprintf("batch=%d", batch), func(b *testing.B) {
--- a/process/raft/simulation_test.go
+++ b/process/raft/simulation_test.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	simSeeds     = 240
+	simSeeds     = 240 // one simulation each
 	simDuration  = 6 * time.Second
-	simHealing   = 3 * time.Second
-	simMinVoters = 3
-	simMaxGroup  = 6
+	simHealing   = 3 * time.Second // after the faults end
+	simMinVoters = 3               // or one less, by seed
+	simMaxGroup  = 6               // members
 )
 
 // fault is a kind of fault to inject. inject reports whether the fault took place.
@@ -185,7 +185,8 @@
 	return true
 }
 
-// repair replaces a lost voter with a new member step by step, as an operator would.
+// repair replaces a lost voter with a new member step by step: add a learner, promote
+// it, remove the lost voter.
 func (c *cluster) repair() {
 	leader := c.leader()
 	if leader == nil {
--- a/process/raft/snapshot.go
+++ b/process/raft/snapshot.go
@@ -45,8 +45,9 @@
 	return nil
 }
 
-// sendSnapshot sends the latest snapshot to a member that needs compacted entries. An
-// unresponsive member is sent none; its next heartbeat reply triggers another attempt.
+// sendSnapshot sends the latest snapshot to a member that needs compacted entries. A
+// member that has not replied in this term or within an election timeout is sent none; its
+// next heartbeat reply triggers another attempt.
 func (n *Node) sendSnapshot(member MemberID, p *progress) {
 	if !p.everActive || !n.recentlyActive(p) {
 		p.awaitingReply = true
@@ -77,7 +78,7 @@
 	}
 }
 
-func (n *Node) checkSnapshot(m Message) error {
+func (n *Node) validateSnapshot(m Message) error {
 	snapshot := m.Snapshot
 	if snapshot == nil || snapshot.Index == 0 || snapshot.Term > m.Term {
 		return errors.Wrap(ErrInvalidMessage, "snapshot")
--- a/process/raft/transfer.go
+++ b/process/raft/transfer.go
@@ -10,7 +10,7 @@
 type transfer struct {
 	to             MemberID
 	deadline       time.Duration
-	timeoutNowSent bool // the target was told to campaign
+	timeoutNowSent bool // MessageTimeoutNow was sent to the target
 }
 
 // TransferLeadership transfers leadership to the given voter, which campaigns as soon as
@@ -23,7 +23,7 @@
 		return ErrNotLeader
 	}
 	if !n.configurations.latest().configuration.isVoter(to) {
-		return errors.Wrapf(ErrUnknownMember, "%d", to)
+		return errors.Wrapf(ErrUnknownMember, "member %d", to)
 	}
 	if pending := n.leadership.transfer; pending != nil && pending.to != to {
 		return ErrTransferPending
@@ -55,7 +55,7 @@
 // of the term, because voters grant votes to such a candidate without waiting for the
 // lease to expire, and the message may arrive at any time.
 func (n *Node) sendTimeoutNow(member MemberID) {
-	n.leadership.leaseForfeited = true
+	n.leadership.leaseDisabled = true
 	n.send(Message{Kind: MessageTimeoutNow, To: member})
 }
 
@@ -72,9 +72,9 @@
 	}
 }
 
-// transferOnRemoval tells the voter with the most entries to campaign at once, so that
-// the group doesn't wait for an election timeout after its leader was removed.
-func (n *Node) transferOnRemoval() {
+// sendTimeoutNowToBestVoter tells the voter with the highest match to campaign at once,
+// so that the group doesn't wait for an election timeout after its leader was removed.
+func (n *Node) sendTimeoutNowToBestVoter() {
 	best := None
 	for _, voter := range n.configurations.latest().configuration.Voters {
 		if best == None || n.leadership.progress[voter].match > n.leadership.progress[best].match {
--- a/process/raft/types.go
+++ b/process/raft/types.go
@@ -1,14 +1,16 @@
-// Package raft implements the Raft consensus protocol of the control group as a pure
-// state machine. Its inputs are ticks, proposals and messages; its outputs are entries
-// to persist, messages to send and committed entries to apply. It opens no files or
-// sockets and reads no clock, so the daemon and the emulator run the same code.
+// Package raft implements the Raft consensus protocol of the control group, which
+// replicates the state of the control plane, as a pure state machine. Its inputs are
+// ticks, proposals and messages; its outputs are entries to persist, messages to send and
+// committed entries to apply. It opens no files or sockets and reads no clock, so the
+// daemon and the emulator run the same code.
 //
 // It guarantees the following while fewer than half of the voters lose synced data and
-// each caller processes its Readys in order. A term has at most one leader. An entry
-// that was reported as committed on any member is never replaced or lost, and all
-// members receive the same entries in the same order. At any moment LeaseValid is true
-// on at most one member, provided that no two clocks drift apart during an election
-// timeout by more than the difference between the election timeout and the lease.
+// each caller processes its Readys in order. A term has at most one leader. An entry that
+// was reported as committed on any member is never replaced or lost, and all members
+// receive the same entries in the same order. At any moment LeaseValid is true on at most
+// one member, if it is called with a current clock reading and no two clocks drift apart
+// during an election timeout by more than the difference between the election timeout and
+// the lease.
 package raft
 
 import (
@@ -43,12 +45,12 @@
 	Data  []byte
 }
 
-// HardState is the state that must be synced before any message of the same Ready is
-// sent.
+// HardState is the state that must be persisted, and synced if Ready.MustSync is set,
+// before any message of the same Ready is sent.
 type HardState struct {
 	Term   uint64
-	Vote   MemberID
-	Commit uint64
+	Vote   MemberID // the member voted for in Term, or None
+	Commit uint64   // index of the last entry known to be committed
 }
 
 // Configuration is the membership of the group. It changes one member at a time.
@@ -65,17 +67,17 @@
 	Data          []byte
 }
 
-// ChangeKind is one step of a membership change.
+// ChangeKind is the kind of a ConfigurationChange.
 type ChangeKind uint8
 
-// Kinds of membership changes.
+// Kinds of configuration changes.
 const (
 	ChangeAddLearner ChangeKind = iota
-	ChangePromote               // learner to voter; refused until the learner has caught up
+	ChangePromote               // learner to voter; refused with ErrNotCaughtUp until the learner has caught up
 	ChangeRemove
 )
 
-// ConfigurationChange describes one step of a membership change.
+// ConfigurationChange is a change of one member's place in the configuration.
 type ConfigurationChange struct {
 	Kind   ChangeKind
 	Member MemberID
@@ -90,25 +92,26 @@
 	PreCandidate
 	Candidate
 	Leader
-	Learner
+	Learner // not a voter: a learner, a removed member, or one without a configuration
 )
 
 // Config holds the parameters of a Node. Durations refer to the monotonic clock whose
 // readings are passed to Tick.
 type Config struct {
 	ID                  MemberID
-	ElectionTimeout     time.Duration // elections are delayed by between one and two of these
+	ElectionTimeout     time.Duration // elections are delayed by one to two ElectionTimeouts, and by less after a restart
 	HeartbeatInterval   time.Duration
 	LeaseDuration       time.Duration // leader lease; shorter than ElectionTimeout by the clock-drift margin
-	MaxEntriesBytes     int           // maximum size of the entries in one append message
-	MaxInflight         int           // maximum of unanswered append messages to one follower
-	MaxUncommittedBytes int           // proposals beyond this are rejected with ErrOverloaded
-	Seed                uint64        // random seed for election timeouts
+	MaxEntriesBytes     int           // maximum size of the entries in one append message; one entry is sent whatever its size; zero means 1 MiB
+	MaxInflight         int           // maximum of unanswered append messages to one follower; zero means 64
+	MaxUncommittedBytes int           // proposals beyond this are rejected with ErrOverloaded; zero means 64 MiB
+	Seed                uint64        // random seed for election timeouts, combined with ID
 	// SnapshotRetry is how long a snapshot may remain unacknowledged before it is
 	// sent again; zero means four election timeouts.
 	SnapshotRetry time.Duration
 	// RetainedEntries is how many of the entries covered by the snapshot Compact
-	// keeps in memory, so that a slightly lagging follower needs no snapshot.
+	// keeps in memory, so that a follower at most that many entries behind needs no
+	// snapshot.
 	RetainedEntries uint64
 }
 
@@ -125,9 +128,9 @@
 }
 
 // Ready is work that the caller must do in this order: persist Snapshot, Entries and
-// HardState, and sync; restore the state machine from Snapshot; send Messages; apply
-// Committed; call Advance. The slices share memory with the node and must not be
-// modified.
+// HardState, and sync if MustSync is set; restore the state machine from Snapshot; send
+// Messages; apply Committed; call Advance. The slices share memory with the node and must
+// not be modified.
 type Ready struct {
 	HardState *HardState // nil if unchanged
 	// Snapshot is nil unless one was received. It replaces the whole stored log:
@@ -136,9 +139,9 @@
 	// Entries must be stored. They replace all stored entries from
 	// Entries[0].Index on.
 	Entries    []Entry
-	Messages   []Message
-	Committed  []Entry // empty if Snapshot is set
-	ReadStates []ReadState
+	Messages   []Message   // to be sent to their To member
+	Committed  []Entry     // to be applied, in log order; empty if Snapshot is set
+	ReadStates []ReadState // reads that may be answered
 	// AbortedReads are the request IDs of reads that will not get a ReadState,
 	// because leadership was lost.
 	AbortedReads []uint64
@@ -157,10 +160,10 @@
 	ID            MemberID
 	Role          Role
 	Term          uint64
-	Leader        MemberID
-	Commit        uint64
-	Applied       uint64
-	LastIndex     uint64
+	Leader        MemberID // None if unknown
+	Commit        uint64   // index of the last entry known to be committed
+	Applied       uint64   // index of the last entry applied, as reported to Advance
+	LastIndex     uint64   // index of the last entry in the log
 	Configuration Configuration
 	// ConfigurationPending is set if Configuration is appended but not known to be
 	// committed: if this member is lost, the previous one may take effect again.
@@ -172,7 +175,8 @@
 	RecentlyActive map[MemberID]bool
 }
 
-// Errors returned by a Node. All leave the node unchanged except for its clock.
+// Errors of this package. A Node method that returns one leaves the node unchanged except
+// for its clock.
 var (
 	ErrNotLeader       = errors.New("raft: not the leader")
 	ErrOverloaded      = errors.New("raft: too many uncommitted bytes")
@@ -186,13 +190,14 @@
 	// ErrTermNotCommitted rejects a membership change because the leader has not yet
 	// committed an entry of its own term; the caller should retry soon.
 	ErrTermNotCommitted = errors.New("raft: no entry of the leader's term is committed yet")
-	// ErrInvalidChange rejects a change that is not possible in the member's current state.
+	// ErrInvalidChange rejects a change that does not fit the member's place in the
+	// configuration: voter, learner or absent.
 	ErrInvalidChange = errors.New("raft: membership change does not fit the configuration")
 	// ErrInvalidConfig rejects a Config with invalid or contradictory values.
 	ErrInvalidConfig = errors.New("raft: invalid config")
 	// ErrInvalidState rejects an InitialState, or a snapshot, that the protocol cannot
 	// produce.
-	ErrInvalidState = errors.New("raft: invalid initial state")
+	ErrInvalidState = errors.New("raft: invalid state")
 	// ErrInvalidMessage rejects a message that no correct member sends.
 	ErrInvalidMessage = errors.New("raft: invalid message")
 	// ErrWrongMember rejects a message addressed to another MemberID.
@@ -200,7 +205,7 @@
 	// ErrDiverged reports a message that contradicts committed entries, or a second
 	// leader in the same term: some member has lost synced data. The caller should
 	// stop the member.
-	ErrDiverged = errors.New("raft: message contradicts committed entries")
+	ErrDiverged = errors.New("raft: members have diverged")
 	// ErrNotApplied rejects a snapshot that covers entries not applied yet.
 	ErrNotApplied = errors.New("raft: entries were not applied yet")
 	// ErrMalformed reports bytes that are not a valid encoding of the expected type.
