--- a/process/controller/controller.go
+++ b/process/controller/controller.go
@@ -4,6 +4,11 @@
 // I/O and keeps no state between rounds, so a new leader, or one that missed a reply,
 // continues from what it observes.
 //
+// An order binds one incarnation of an engine, that is, one run of its process, to an
+// assignment: a role, a model, a version and adapters. Its fence is greater than that of
+// every earlier order, and an engine rejects every order whose fence is not greater than
+// its own.
+//
 // An engine has at most one open order. An order is closed only on a report of its
 // engine. Resending an order is harmless, because the engine executes
 // the order of each fence at most once.
@@ -54,13 +59,16 @@
 	Machines *state.Machines
 	// Decisions are the planner's current decisions.
 	Decisions []planner.Decision
-	// Silence is the maximum age of an observation; older ones are ignored.
+	// Silence is the maximum age of an observation; older ones are ignored, with zero
+	// all that are not of the time Now.
 	Silence time.Duration
-	// FailurePause is the time before a failed assignment is retried.
+	// FailurePause is the time before a failed assignment is retried; with zero it is
+	// retried at once.
 	FailurePause time.Duration
 }
 
-// Action is one of Propose, Send, Void and Query.
+// Action is one of Propose, Send, Void and Query. The caller carries it out; after a
+// failure the next round returns what is still needed.
 type Action interface{ action() }
 
 // Propose proposes a command to the replicated log.
--- a/process/controller/engine.go
+++ b/process/controller/engine.go
@@ -28,9 +28,9 @@
 	return r.openOrderActions(observation.State)
 }
 
-// recentObservation returns the engine's observation, or nil if there is none or it is
-// too old. A reply under another name comes from another engine at the same address and
-// is ignored.
+// recentObservation returns the engine's observation, or nil if there is none, it is too
+// old or it has no incarnation. A reply under another name comes from another engine at
+// the same address and is ignored.
 func (r engineReconciler) recentObservation() *Observation {
 	observation, found := r.input.Observations[r.engine.Name]
 	if !found || observation.State.Engine != r.engine.Name || observation.State.Incarnation == 0 {
@@ -59,6 +59,7 @@
 	case current.Fence.Less(order.Fence):
 		return r.sendOrderActions(order, observation)
 	case order.Fence.Less(current.Fence):
+		// The engine has a later fence and can no longer execute the order.
 		return r.closeOrderActions(order, state.CloseVoid, current)
 	case isDone(order, current):
 		return r.closeOrderActions(order, state.CloseDone, current)
--- a/process/controller/planned.go
+++ b/process/controller/planned.go
@@ -9,7 +9,8 @@
 // PlannedEngine returns the planner's view of an engine, which combines the committed
 // state with the reported one. reported is nil if the engine has no recent observation;
 // the phase of the result is then unknown. A committed phase of leaving or gone, which
-// comes from the platform, takes precedence over the reported phase.
+// comes from the platform, takes precedence over the reported phase. Pending points into
+// committed.
 func PlannedEngine(committed *api.Engine, reported *engineapi.State) planner.Engine {
 	engine := planner.Engine{
 		Name:       committed.Name,
--- a/process/controller/world_test.go
+++ b/process/controller/world_test.go
@@ -215,7 +215,7 @@
 		return
 	}
 	if !s.accepted[reply.State.Incarnation].Less(order.Fence) {
-		t.Fatalf("%s accepted %v after %v in one incarnation", order.Engine, order.Fence, s.accepted[reply.State.Incarnation])
+		t.Fatalf("%s accepted fence %v after fence %v in the same incarnation", order.Engine, order.Fence, s.accepted[reply.State.Incarnation])
 	}
 	s.accepted[reply.State.Incarnation] = order.Fence
 	committed := s.machine.View().Engines[order.Engine].Status.OpenOrder
@@ -314,7 +314,7 @@
 			return
 		}
 	}
-	t.Fatalf("not converged: %+v", s.machine.View().Engines)
+	t.Fatalf("engines did not converge to the plan: %+v", s.machine.View().Engines)
 }
 
 func (s *simulation) converged() bool {
--- a/process/raft/codec.go
+++ b/process/raft/codec.go
@@ -44,7 +44,8 @@
 	EntryCount uint32
 }
 
-// AppendBinary appends e's encoding to b.
+// AppendBinary appends e's encoding to b. Data must be shorter than 4 GiB, because its
+// length is encoded in 32 bits.
 func (e Entry) AppendBinary(b []byte) []byte {
 	b = binary.BigEndian.AppendUint64(b, e.Term)
 	b = binary.BigEndian.AppendUint64(b, e.Index)
@@ -73,7 +74,8 @@
 	return b
 }
 
-// AppendBinary appends s's encoding to b.
+// AppendBinary appends s's encoding to b. Data must be shorter than 4 GiB, because its
+// length is encoded in 32 bits.
 func (s Snapshot) AppendBinary(b []byte) []byte {
 	b = binary.BigEndian.AppendUint64(b, s.Term)
 	b = binary.BigEndian.AppendUint64(b, s.Index)
--- a/process/raft/configuration.go
+++ b/process/raft/configuration.go
@@ -79,6 +79,7 @@
 	return next, nil
 }
 
+// deleteMember removes member from members in place.
 func deleteMember(members []MemberID, member MemberID) []MemberID {
 	return slices.DeleteFunc(members, func(other MemberID) bool { return other == member })
 }
--- a/process/raft/election.go
+++ b/process/raft/election.go
@@ -208,6 +208,7 @@
 	return granted, refused
 }
 
+// quorum returns the number of votes that form a majority of the latest configuration.
 func (n *Node) quorum() int {
 	return len(n.configurations.latest().configuration.Voters)/2 + 1
 }
--- a/process/raft/election_test.go
+++ b/process/raft/election_test.go
@@ -185,7 +185,7 @@
 	}
 }
 
-func TestRejectedPreVoteOfTermZeroIsAccepted(t *testing.T) {
+func TestRejectedPreVoteReplyOfTermZeroIsAccepted(t *testing.T) {
 	node, err := New(testConfig(1), InitialState{Configuration: voters(1, 2, 3)})
 	must.NoError(t, err)
 	must.NoError(t, node.Step(0, Message{Kind: MessagePreVoteReply, From: 2, To: 1, Reject: true}))
--- a/process/raft/lease.go
+++ b/process/raft/lease.go
@@ -79,7 +79,7 @@
 }
 
 // LeaseValid reports whether, at now, the member is the only one that can act as
-// leader. The lease starts when a heartbeat that a quorum has answered was sent. Each
+// leader. The lease starts when a heartbeat that a quorum has replied to was sent. Each
 // of these voters refuses other candidates for an election timeout from when it
 // received that heartbeat, which is later, and the lease is shorter than the election
 // timeout. Callers do the work that needs the lease, then read the clock, then
@@ -99,7 +99,7 @@
 }
 
 // ReadIndex requests a ReadState for requestID. With a valid lease it is part of the
-// next Ready; otherwise it follows once a quorum has answered a heartbeat sent after
+// next Ready; otherwise it follows once a quorum has replied to a heartbeat sent after
 // this call. The caller chooses requestID, which should be unique among its pending
 // reads. If leadership is lost first, requestID is returned in Ready.AbortedReads. The
 // error is ErrNotLeader.
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// completeReads emits ReadStates for the reads whose round a quorum has answered. It
+// completeReads emits ReadStates for the reads whose round a quorum has replied to. It
 // waits until the leader has committed in its own term, because only then does it
 // know everything that earlier terms committed.
 func (n *Node) completeReads() {
--- a/process/raft/log.go
+++ b/process/raft/log.go
@@ -148,8 +148,8 @@
 	return l.baseIndex, l.baseTerm
 }
 
-// commitTo raises committed to at most the last index. It reports whether committed
-// changed.
+// commitTo raises committed to index, but to at most the last index. It reports whether
+// committed changed.
 func (l *entryLog) commitTo(index uint64) bool {
 	index = min(index, l.lastIndex())
 	if index <= l.committed {
--- a/process/raft/membership.go
+++ b/process/raft/membership.go
@@ -57,7 +57,7 @@
 }
 
 // caughtUp reports whether the learner has persisted everything that was committed
-// when the last heartbeat it answered was sent, and that heartbeat was sent less than
+// when the last heartbeat it replied to was sent, and that heartbeat was sent less than
 // an election timeout ago.
 func (n *Node) caughtUp(member MemberID) bool {
 	p := n.leadership.progress[member]
--- a/process/raft/node.go
+++ b/process/raft/node.go
@@ -132,7 +132,7 @@
 // validate checks s, of which entries are those after the snapshot.
 func (s InitialState) validate(entries []Entry) error {
 	if !consecutive(entries, s.Snapshot.Index, s.Snapshot.Term, s.HardState.Term) {
-		return errors.Wrap(ErrInvalidState, "entries are not consecutive")
+		return errors.Wrap(ErrInvalidState, "entries are not consecutive or have invalid terms")
 	}
 	last := s.Snapshot.Index + uint64(len(entries))
 	if s.HardState.Commit > last {
@@ -267,6 +267,8 @@
 	return true
 }
 
+// dispatch passes a valid message of the current term to the handler of its kind. Pre-votes
+// and their replies may be of a higher term.
 func (n *Node) dispatch(m Message) error {
 	switch m.Kind {
 	case MessagePreVote:
--- a/process/raft/oracle_test.go
+++ b/process/raft/oracle_test.go
@@ -173,9 +173,9 @@
 	case m.applied == known+1:
 		o.stateHashes = append(o.stateHashes, m.stateHash)
 	case m.applied > known+1:
-		o.violation("state machine", "member %d is at %d, no member was at %d", m.id, m.applied, known+1)
+		o.violation("state machine", "member %d applied index %d, but no member applied index %d", m.id, m.applied, known+1)
 	case o.stateHashes[m.applied-1] != m.stateHash:
-		o.violation("state machine", "member %d has another state at %d", m.id, m.applied)
+		o.violation("state machine", "member %d has another state at index %d", m.id, m.applied)
 	}
 }
 
--- a/process/raft/progress.go
+++ b/process/raft/progress.go
@@ -31,7 +31,7 @@
 	commitSent    uint64        // commit index last sent with entries
 	lastActive    time.Duration // time of the last reply in this term
 	everActive    bool          // has replied in this term
-	ackedSequence uint64        // highest heartbeat round answered
+	ackedSequence uint64        // highest heartbeat round replied to
 	ackedSentAt   time.Duration // when that round was sent
 	ackedCommit   uint64        // commit index when that round was sent
 }
--- a/process/raft/replication.go
+++ b/process/raft/replication.go
@@ -6,10 +6,10 @@
 	"github.com/pkg/errors"
 )
 
-// Propose appends a command to the leader's log. The proposal succeeded if the entry
-// committed at index has this term; if an entry of another term is committed there, it
-// was lost. data must not be modified afterwards. Errors: ErrNotLeader,
-// ErrTransferPending and ErrOverloaded.
+// Propose appends a command to the leader's log and returns the term and index of its
+// entry. The proposal succeeded if the entry committed at index has this term; if an
+// entry of another term is committed there, it was lost. data must not be modified
+// afterwards. Errors: ErrNotLeader, ErrTransferPending and ErrOverloaded.
 func (n *Node) Propose(now time.Duration, data []byte) (term, index uint64, err error) {
 	n.advanceClock(now)
 	if n.role != Leader {
@@ -89,7 +89,7 @@
 // configuration or that contradict committed entries.
 func (n *Node) validateAppend(m Message) error {
 	if m.LogTerm > m.Term || !consecutive(m.Entries, m.Index, m.LogTerm, m.Term) {
-		return errors.Wrap(ErrInvalidMessage, "entries are not consecutive")
+		return errors.Wrap(ErrInvalidMessage, "entries are not consecutive or have invalid terms")
 	}
 	for _, entry := range m.Entries {
 		if entry.Kind != EntryConfig {
@@ -97,7 +97,7 @@
 		}
 		configuration, err := DecodeConfiguration(entry.Data)
 		if err != nil || configuration.isEmpty() || !configuration.consistent() {
-			return errors.Wrapf(ErrInvalidMessage, "configuration at index %d", entry.Index)
+			return errors.Wrapf(ErrInvalidMessage, "invalid configuration at index %d", entry.Index)
 		}
 	}
 	if m.Term < n.term {
--- a/process/raft/snapshot.go
+++ b/process/raft/snapshot.go
@@ -4,11 +4,11 @@
 	"github.com/pkg/errors"
 )
 
-// SnapshotAt returns a Snapshot of data, the state machine's state after applying
-// index, with the term and configuration at index. The caller stores it and then
-// passes it to Compact. Errors: ErrNotApplied if index is greater than
-// Status().Applied, ErrCompacted if a later snapshot exists, which may have been
-// received and be part of the next Ready.
+// SnapshotAt returns a Snapshot of data, the state machine's state after applying index,
+// with the term and configuration at index. data must not be modified afterwards. The
+// caller stores it and then passes it to Compact. Errors: ErrNotApplied if index is
+// greater than Status().Applied, ErrCompacted if a later snapshot exists, which may have
+// been received and be part of the next Ready.
 func (n *Node) SnapshotAt(index uint64, data []byte) (Snapshot, error) {
 	if index > n.log.applied {
 		return Snapshot{}, errors.Wrapf(ErrNotApplied, "index %d", index)
@@ -81,10 +81,10 @@
 func (n *Node) validateSnapshot(m Message) error {
 	snapshot := m.Snapshot
 	if snapshot == nil || snapshot.Index == 0 || snapshot.Term > m.Term {
-		return errors.Wrap(ErrInvalidMessage, "snapshot")
+		return errors.Wrap(ErrInvalidMessage, "snapshot is missing, has index 0 or has a later term than the message")
 	}
 	if snapshot.Configuration.isEmpty() || !snapshot.Configuration.consistent() {
-		return errors.Wrap(ErrInvalidMessage, "snapshot's configuration")
+		return errors.Wrap(ErrInvalidMessage, "configuration of the snapshot is empty or inconsistent")
 	}
 	if m.Term >= n.term && n.contradictsCommitted(snapshot.Term, snapshot.Index) {
 		return errors.Wrapf(ErrDiverged, "snapshot at index %d from member %d", snapshot.Index, m.From)
--- a/process/raft/types.go
+++ b/process/raft/types.go
@@ -102,7 +102,7 @@
 	ElectionTimeout     time.Duration // elections are delayed by one to two ElectionTimeouts, and by less after a restart
 	HeartbeatInterval   time.Duration
 	LeaseDuration       time.Duration // leader lease; shorter than ElectionTimeout by the clock-drift margin
-	MaxEntriesBytes     int           // maximum size of the entries in one append message; one entry is sent whatever its size; zero means 1 MiB
+	MaxEntriesBytes     int           // maximum size of the entries in one append message, at 21 bytes each plus their data; one entry is sent whatever its size; zero means 1 MiB
 	MaxInflight         int           // maximum of unanswered append messages to one follower; zero means 64
 	MaxUncommittedBytes int           // proposals beyond this are rejected with ErrOverloaded; zero means 64 MiB
 	Seed                uint64        // random seed for election timeouts, combined with ID
