--- a/lab/campaign/duties.go
+++ b/lab/campaign/duties.go
@@ -132,10 +132,10 @@
 }
 
 func (d *duties) hear(name string, answer engineapi.State, askedAt time.Duration) {
-	if last, heard := d.observed[name]; heard && last.AskedAt > askedAt {
+	if last, heard := d.observed[name]; heard && last.QueriedAt > askedAt {
 		return
 	}
-	d.observed[name] = controller.Observation{State: answer, AskedAt: askedAt, Refused: d.observed[name].Refused}
+	d.observed[name] = controller.Observation{State: answer, QueriedAt: askedAt, RejectedFence: d.observed[name].RejectedFence}
 }
 
 func (d *duties) readPlatform() {
@@ -151,15 +151,15 @@
 func (d *duties) reconcile() {
 	m := d.member
 	input := controller.Input{
-		Now:          m.clock(),
-		Engines:      m.machine.View().Engines,
-		Observations: d.observed,
-		Failures:     d.failures,
-		Platform:     d.platform,
-		Machines:     d.machines,
-		Decisions:    d.plan(),
-		Silence:      engineSilence,
-		FailurePause: failurePause,
+		Now:               m.clock(),
+		Engines:           m.machine.View().Engines,
+		Observations:      d.observed,
+		Failures:          d.failures,
+		Platform:          d.platform,
+		Machines:          d.machines,
+		Decisions:         d.plan(),
+		ObservationMaxAge: engineSilence,
+		FailurePause:      failurePause,
 	}
 	for _, action := range controller.Reconcile(input) {
 		d.carryOut(action)
@@ -252,7 +252,7 @@
 			d.hear(action.Engine, reply.State, askedAt)
 			if reply.Code == engineapi.OrderInvalid {
 				seen := d.observed[action.Engine]
-				seen.Refused = order.Fence
+				seen.RejectedFence = order.Fence
 				d.observed[action.Engine] = seen
 			}
 		})
@@ -313,10 +313,10 @@
 func (d *duties) plannedEngine(engine *api.Engine, now time.Duration) planner.Engine {
 	var said *engineapi.State
 	seen, heard := d.observed[engine.Name]
-	if heard && now-seen.AskedAt <= engineSilence {
+	if heard && now-seen.QueriedAt <= engineSilence {
 		said = &seen.State
 	}
-	planned := controller.PlannedEngine(engine, said)
+	planned := controller.PlannerEngine(engine, said)
 	planned.SinceChange = -1
 	if intent := d.member.machine.WantedIntent(engine.Name); intent != nil {
 		planned.Intent = intent.Name
--- a/lab/scale/bench_test.go
+++ b/lab/scale/bench_test.go
@@ -99,7 +99,7 @@
 // BenchmarkReconcile is one round of the leader over engines that are as wanted.
 func BenchmarkReconcile(b *testing.B) {
 	forSizes(b, func(b *testing.B, made *view.View) {
-		input := controller.Input{Engines: made.Engines, Observations: map[string]controller.Observation{}, Silence: time.Minute}
+		input := controller.Input{Engines: made.Engines, Observations: map[string]controller.Observation{}, ObservationMaxAge: time.Minute}
 		for name, engine := range made.Engines {
 			input.Observations[name] = controller.Observation{State: engineapi.State{
 				Engine: name, Incarnation: engine.Status.Incarnation, Phase: engine.Status.Phase, Assignment: engine.Status.Assignment,
--- a/process/control/duties.go
+++ b/process/control/duties.go
@@ -228,13 +228,13 @@
 	seen := term.poller.Seen()
 	now := monotonic()
 	input := controller.Input{
-		Now:          now,
-		Engines:      current.Engines,
-		Observations: term.observations(seen),
-		Platform:     d.platform.machines(current, seen, now),
-		Decisions:    d.plan(term, current, seen, now),
-		Silence:      d.group.config.Durations.silenceOf(len(current.Engines)),
-		FailurePause: d.group.config.Durations.FailurePause,
+		Now:               now,
+		Engines:           current.Engines,
+		Observations:      term.observations(seen),
+		Platform:          d.platform.machines(current, seen, now),
+		Decisions:         d.plan(term, current, seen, now),
+		ObservationMaxAge: d.group.config.Durations.silenceOf(len(current.Engines)),
+		FailurePause:      d.group.config.Durations.FailurePause,
 	}
 	term.fill(&input)
 	for _, action := range controller.Reconcile(input) {
@@ -247,9 +247,9 @@
 	observations := make(map[string]controller.Observation, len(seen))
 	for name, heard := range seen {
 		observations[name] = controller.Observation{
-			State:   heard.State,
-			AskedAt: heard.AskedAt,
-			Refused: t.actions.refused(name),
+			State:         heard.State,
+			QueriedAt:     heard.AskedAt,
+			RejectedFence: t.actions.refused(name),
 		}
 	}
 	return observations
--- a/process/control/planning.go
+++ b/process/control/planning.go
@@ -93,9 +93,9 @@
 // heard from since silentAt.
 func planEngine(committed *api.Engine, seen orders.Seen, silentAt time.Duration) planner.Engine {
 	if seen.State.Engine != committed.Name || seen.AskedAt < silentAt {
-		return controller.PlannedEngine(committed, nil)
+		return controller.PlannerEngine(committed, nil)
 	}
-	engine := controller.PlannedEngine(committed, &seen.State)
+	engine := controller.PlannerEngine(committed, &seen.State)
 	engine.Running = seen.Load.Running
 	engine.Waiting = seen.Load.Waiting
 	engine.WaitingTokens = seen.Load.WaitingTokens
--- a/process/controller/controller.go
+++ b/process/controller/controller.go
@@ -28,14 +28,14 @@
 // Observation is the last state that an engine reported.
 type Observation struct {
 	State engineapi.State
-	// AskedAt is when the query was sent, on the monotonic clock of Input.Now; the
+	// QueriedAt is when the query was sent, on the monotonic clock of Input.Now; the
 	// engine was in State at that time or later. An observation must be replaced only
-	// by one with a later AskedAt, so that a delayed reply about an old incarnation
+	// by one with a later QueriedAt, so that a delayed reply about an old incarnation
 	// cannot replace a newer one.
-	AskedAt time.Duration
-	// Refused is the fence of the last order that the engine rejected as invalid,
+	QueriedAt time.Duration
+	// RejectedFence is the fence of the last order that the engine rejected as invalid,
 	// zero if none.
-	Refused api.Fence
+	RejectedFence api.Fence
 }
 
 // Failure is an assignment that an engine failed to apply.
@@ -59,9 +59,9 @@
 	Machines *state.Machines
 	// Decisions are the planner's current decisions.
 	Decisions []planner.Decision
-	// Silence is the maximum age of an observation; older ones are ignored, with zero
+	// ObservationMaxAge is the maximum age of an observation; older ones are ignored, with zero
 	// all that are not of the time Now.
-	Silence time.Duration
+	ObservationMaxAge time.Duration
 	// FailurePause is the time before a failed assignment is retried; with zero it is
 	// retried at once.
 	FailurePause time.Duration
--- a/process/controller/controller_test.go
+++ b/process/controller/controller_test.go
@@ -42,7 +42,7 @@
 func stateWith(change func(*engineapi.State)) Observation {
 	seen := engineapi.State{Engine: "e", Incarnation: 7, Phase: api.PhaseServing, Assignment: initialAssignment, Fence: lowerFence}
 	change(&seen)
-	return Observation{State: seen, AskedAt: time.Minute}
+	return Observation{State: seen, QueriedAt: time.Minute}
 }
 
 func unchangedState(*engineapi.State) {}
@@ -102,7 +102,7 @@
 			engine: engineWith(openOrder),
 			seen: func() Observation {
 				seen := stateWith(unchangedState)
-				seen.Refused = orderFence
+				seen.RejectedFence = orderFence
 				return seen
 			}(),
 			want: "void",
@@ -111,7 +111,7 @@
 			engine: engineWith(openOrder),
 			seen: func() Observation {
 				seen := stateWith(unchangedState)
-				seen.Refused = lowerFence
+				seen.RejectedFence = lowerFence
 				return seen
 			}(),
 			want: "send",
@@ -174,12 +174,12 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			input := Input{
-				Now:          time.Minute,
-				Engines:      map[string]*api.Engine{"e": test.engine},
-				Observations: map[string]Observation{},
-				Decisions:    test.decisions,
-				Silence:      time.Second,
-				FailurePause: 30 * time.Second,
+				Now:               time.Minute,
+				Engines:           map[string]*api.Engine{"e": test.engine},
+				Observations:      map[string]Observation{},
+				Decisions:         test.decisions,
+				ObservationMaxAge: time.Second,
+				FailurePause:      30 * time.Second,
 			}
 			if test.seen.State.Engine != "" {
 				input.Observations["e"] = test.seen
--- a/process/controller/engine.go
+++ b/process/controller/engine.go
@@ -36,7 +36,7 @@
 	if !found || observation.State.Engine != r.engine.Name || observation.State.Incarnation == 0 {
 		return nil
 	}
-	if r.input.Now-observation.AskedAt > r.input.Silence {
+	if r.input.Now-observation.QueriedAt > r.input.ObservationMaxAge {
 		return nil
 	}
 	return &observation
@@ -73,7 +73,7 @@
 
 // sendOrderActions sends the order, or voids it if the engine rejected it as invalid.
 func (r engineReconciler) sendOrderActions(order api.Order, observation Observation) []Action {
-	if observation.Refused == order.Fence {
+	if observation.RejectedFence == order.Fence {
 		return r.voidActions(order, observation.State)
 	}
 	return []Action{Send{Engine: r.engine.Name, Address: r.engine.Spec.Address, Order: order}}
--- a/process/controller/example_test.go
+++ b/process/controller/example_test.go
@@ -22,10 +22,10 @@
 	}
 	round := func(heard map[string]controller.Observation) {
 		actions := controller.Reconcile(controller.Input{
-			Now:          10 * time.Second,
-			Engines:      map[string]*api.Engine{"engine-1": engine},
-			Observations: heard,
-			Silence:      5 * time.Second,
+			Now:               10 * time.Second,
+			Engines:           map[string]*api.Engine{"engine-1": engine},
+			Observations:      heard,
+			ObservationMaxAge: 5 * time.Second,
 		})
 		for _, action := range actions {
 			switch action := action.(type) {
@@ -40,7 +40,7 @@
 	}
 	observation := func(state engineapi.State) map[string]controller.Observation {
 		state.Engine, state.Incarnation = "engine-1", 7
-		return map[string]controller.Observation{"engine-1": {State: state, AskedAt: 9 * time.Second}}
+		return map[string]controller.Observation{"engine-1": {State: state, QueriedAt: 9 * time.Second}}
 	}
 
 	round(nil)
--- a/process/controller/planned.go
+++ b/process/controller/planned.go
@@ -6,12 +6,12 @@
 	"github.com/landingtrail/landingtrail/version/planner"
 )
 
-// PlannedEngine returns the planner's view of an engine, which combines the committed
+// PlannerEngine returns the planner's view of an engine, which combines the committed
 // state with the reported one. reported is nil if the engine has no recent observation;
 // the phase of the result is then unknown. A committed phase of leaving or gone, which
 // comes from the platform, takes precedence over the reported phase. Pending points into
 // committed.
-func PlannedEngine(committed *api.Engine, reported *engineapi.State) planner.Engine {
+func PlannerEngine(committed *api.Engine, reported *engineapi.State) planner.Engine {
 	engine := planner.Engine{
 		Name:       committed.Name,
 		Zone:       committed.Spec.Zone,
--- a/process/controller/world_test.go
+++ b/process/controller/world_test.go
@@ -116,7 +116,7 @@
 	actions := Reconcile(Input{
 		Now: s.now, Engines: engines, Observations: l.observations, Failures: l.failures,
 		Platform: &s.platform, Machines: l.machines, Decisions: decisions,
-		Silence: testObservationMaxAge, FailurePause: time.Minute,
+		ObservationMaxAge: testObservationMaxAge, FailurePause: time.Minute,
 	})
 	for _, action := range actions {
 		s.execute(l, action)
@@ -196,13 +196,13 @@
 		return
 	}
 	previous := r.leader.observations[r.engine]
-	if previous.State.Engine != "" && r.askedAt < previous.AskedAt {
+	if previous.State.Engine != "" && r.askedAt < previous.QueriedAt {
 		return
 	}
 	if refused.IsZero() {
-		refused = previous.Refused
+		refused = previous.RejectedFence
 	}
-	r.leader.observations[r.engine] = Observation{State: engine.State(), AskedAt: r.askedAt, Refused: refused}
+	r.leader.observations[r.engine] = Observation{State: engine.State(), QueriedAt: r.askedAt, RejectedFence: refused}
 }
 
 // testFailer is the part of testing.T that reports a failed check.
