--- a/process/control/duties.go
+++ b/process/control/duties.go
@@ -239,13 +239,13 @@
 	seen := term.poller.Seen()
 	now := monotonic()
 	input := controller.Input{
-		Now:          now,
-		Engines:      current.Engines,
-		Observations: term.observations(seen),
-		Platform:     d.platform.leavingAndGone(current, seen, now),
-		Decisions:    d.plan(term, current, seen, now),
-		Silence:      d.group.config.Durations.engineSilenceFor(len(current.Engines)),
-		FailurePause: d.group.config.Durations.FailurePause,
+		Now:               now,
+		Engines:           current.Engines,
+		Observations:      term.observations(seen),
+		Platform:          d.platform.leavingAndGone(current, seen, now),
+		Decisions:         d.plan(term, current, seen, now),
+		ObservationMaxAge: d.group.config.Durations.engineSilenceFor(len(current.Engines)),
+		FailurePause:      d.group.config.Durations.FailurePause,
 	}
 	term.addTermState(&input)
 	for _, action := range controller.Reconcile(input) {
@@ -259,9 +259,9 @@
 	observations := make(map[string]controller.Observation, len(seen))
 	for name, heard := range seen {
 		observations[name] = controller.Observation{
-			State:   heard.State,
-			AskedAt: heard.AskedAt,
-			Refused: t.actions.lastInvalidFence(name),
+			State:         heard.State,
+			QueriedAt:     heard.AskedAt,
+			RejectedFence: t.actions.lastInvalidFence(name),
 		}
 	}
 	return observations
--- a/process/controller/controller_test.go
+++ b/process/controller/controller_test.go
@@ -12,41 +12,43 @@
 )
 
 var (
-	first  = api.Assignment{Model: "storm", Version: "1", Role: api.RoleMixed}
-	second = api.Assignment{Model: "storm", Version: "2", Role: api.RoleMixed}
-	fence  = api.Fence{Term: 2, Index: 10}
-	higher = api.Fence{Term: 2, Index: 11}
-	lower  = api.Fence{Term: 1, Index: 99}
+	initialAssignment = api.Assignment{Model: "storm", Version: "1", Role: api.RoleMixed}
+	newAssignment     = api.Assignment{Model: "storm", Version: "2", Role: api.RoleMixed}
+	orderFence        = api.Fence{Term: 2, Index: 10}
+	higherFence       = api.Fence{Term: 2, Index: 11}
+	lowerFence        = api.Fence{Term: 1, Index: 99}
 )
 
-// engineWith returns the committed engine "e" of incarnation 7 that serves first.
+// engineWith returns the committed engine "e" of incarnation 7, with initialAssignment, after
+// applying change.
 func engineWith(change func(*api.Engine)) *api.Engine {
 	engine := &api.Engine{
 		Metadata: api.Metadata{Name: "e"},
 		Spec:     api.EngineSpec{Address: "10.0.0.1:1"},
-		Status:   api.EngineStatus{Phase: api.PhaseServing, Incarnation: 7, Assignment: first, Fence: lower},
+		Status:   api.EngineStatus{Phase: api.PhaseServing, Incarnation: 7, Assignment: initialAssignment, Fence: lowerFence},
 	}
 	change(engine)
 	return engine
 }
 
 func openOrder(engine *api.Engine) {
-	engine.Status.OpenOrder = &api.Order{Fence: fence, Engine: "e", Incarnation: 7, Assignment: second}
+	engine.Status.OpenOrder = &api.Order{Fence: orderFence, Engine: "e", Incarnation: 7, Assignment: newAssignment}
 }
 
-func asCommitted(*api.Engine) {}
+func unchangedEngine(*api.Engine) {}
 
-// stateWith returns what the engine "e" says, which is what is committed.
+// stateWith returns an observation of engine "e" that equals the committed state, after
+// applying change.
 func stateWith(change func(*engineapi.State)) Observation {
-	seen := engineapi.State{Engine: "e", Incarnation: 7, Phase: api.PhaseServing, Assignment: first, Fence: lower}
+	seen := engineapi.State{Engine: "e", Incarnation: 7, Phase: api.PhaseServing, Assignment: initialAssignment, Fence: lowerFence}
 	change(&seen)
-	return Observation{State: seen, AskedAt: time.Minute}
+	return Observation{State: seen, QueriedAt: time.Minute}
 }
 
-func same(*engineapi.State) {}
+func unchangedState(*engineapi.State) {}
 
-func TestOneEngine(t *testing.T) {
-	decision := []planner.Decision{{Engine: "e", Assignment: second, Reason: "load"}}
+func TestReconcileOneEngine(t *testing.T) {
+	decision := []planner.Decision{{Engine: "e", Assignment: newAssignment, Reason: "load"}}
 	cases := map[string]struct {
 		engine    *api.Engine
 		seen      Observation
@@ -56,67 +58,67 @@
 	}{
 		"silent": {engine: engineWith(openOrder), want: "query"},
 		"stale observation": {
-			engine: engineWith(openOrder), seen: stateWith(same),
+			engine: engineWith(openOrder), seen: stateWith(unchangedState),
 			adjust: func(input *Input) { input.Now += time.Hour }, want: "query",
 		},
 		"another engine at the address": {
 			engine: engineWith(openOrder),
-			seen:   stateWith(func(s *engineapi.State) { s.Engine = "other"; s.Fence = higher }), want: "query",
+			seen:   stateWith(func(s *engineapi.State) { s.Engine = "other"; s.Fence = higherFence }), want: "query",
 		},
-		"order not received":     {engine: engineWith(openOrder), seen: stateWith(same), want: "send"},
-		"order resent unchanged": {engine: engineWith(openOrder), seen: stateWith(same), decisions: decision, want: "send"},
+		"order not received":     {engine: engineWith(openOrder), seen: stateWith(unchangedState), want: "send"},
+		"order resent unchanged": {engine: engineWith(openOrder), seen: stateWith(unchangedState), decisions: decision, want: "send"},
 		"order being carried out": {
 			engine: engineWith(openOrder),
 			seen: stateWith(func(s *engineapi.State) {
-				s.Fence, s.Phase, s.Order = fence, api.PhaseDraining, &api.Order{Fence: fence}
+				s.Fence, s.Phase, s.Order = orderFence, api.PhaseDraining, &api.Order{Fence: orderFence}
 			}),
 			want: "query",
 		},
 		"another order being carried out": {
 			engine: engineWith(openOrder),
 			seen: stateWith(func(s *engineapi.State) {
-				s.Fence, s.Phase, s.Order = higher, api.PhaseDraining, &api.Order{Fence: higher}
+				s.Fence, s.Phase, s.Order = higherFence, api.PhaseDraining, &api.Order{Fence: higherFence}
 			}),
 			want: "query",
 		},
-		"busy without an order of ours": {
+		"busy without an open order": {
 			engine:    engineWith(func(e *api.Engine) { e.Status.Phase = api.PhaseChanging }),
 			seen:      stateWith(func(s *engineapi.State) { s.Phase = api.PhaseChanging }),
 			decisions: decision, want: "",
 		},
 		"still changing": {
 			engine: engineWith(openOrder),
-			seen:   stateWith(func(s *engineapi.State) { s.Fence, s.Phase = fence, api.PhaseChanging }), want: "query",
+			seen:   stateWith(func(s *engineapi.State) { s.Fence, s.Phase = orderFence, api.PhaseChanging }), want: "query",
 		},
 		"done": {
 			engine: engineWith(openOrder),
-			seen:   stateWith(func(s *engineapi.State) { s.Fence, s.Assignment = fence, second }), want: "close done",
+			seen:   stateWith(func(s *engineapi.State) { s.Fence, s.Assignment = orderFence, newAssignment }), want: "close done",
 		},
-		"ended without becoming it": {
+		"ended without the assignment": {
 			engine: engineWith(openOrder),
-			seen:   stateWith(func(s *engineapi.State) { s.Fence = fence }), want: "void",
+			seen:   stateWith(func(s *engineapi.State) { s.Fence = orderFence }), want: "void",
 		},
-		"called invalid": {
+		"rejected as invalid": {
 			engine: engineWith(openOrder),
 			seen: func() Observation {
-				seen := stateWith(same)
-				seen.Refused = fence
+				seen := stateWith(unchangedState)
+				seen.RejectedFence = orderFence
 				return seen
 			}(),
 			want: "void",
 		},
-		"an earlier order was called invalid": {
+		"an earlier order was rejected as invalid": {
 			engine: engineWith(openOrder),
 			seen: func() Observation {
-				seen := stateWith(same)
-				seen.Refused = lower
+				seen := stateWith(unchangedState)
+				seen.RejectedFence = lowerFence
 				return seen
 			}(),
 			want: "send",
 		},
 		"confirmed at a higher fence": {
 			engine: engineWith(openOrder),
-			seen:   stateWith(func(s *engineapi.State) { s.Fence = higher }), want: "close void",
+			seen:   stateWith(func(s *engineapi.State) { s.Fence = higherFence }), want: "close void",
 		},
 		"new incarnation without its fence": {
 			engine: engineWith(openOrder),
@@ -129,20 +131,20 @@
 			engine: engineWith(openOrder),
 			seen:   stateWith(func(s *engineapi.State) { s.Incarnation = 0 }), want: "query",
 		},
-		"nothing to do":         {engine: engineWith(asCommitted), seen: stateWith(same), want: ""},
-		"decision":              {engine: engineWith(asCommitted), seen: stateWith(same), decisions: decision, want: "open 2"},
-		"decision already held": {engine: engineWith(asCommitted), seen: stateWith(same), decisions: []planner.Decision{{Engine: "e", Assignment: first}}, want: ""},
+		"nothing to do":         {engine: engineWith(unchangedEngine), seen: stateWith(unchangedState), want: ""},
+		"decision":              {engine: engineWith(unchangedEngine), seen: stateWith(unchangedState), decisions: decision, want: "open 2"},
+		"decision already held": {engine: engineWith(unchangedEngine), seen: stateWith(unchangedState), decisions: []planner.Decision{{Engine: "e", Assignment: initialAssignment}}, want: ""},
 		"report before order": {
-			engine: engineWith(asCommitted), decisions: decision,
+			engine: engineWith(unchangedEngine), decisions: decision,
 			seen: stateWith(func(s *engineapi.State) { s.Incarnation = 8 }), want: "report",
 		},
 		"no intent matches": {
 			engine: engineWith(func(e *api.Engine) { e.Status.UnmatchedSince = 5 }),
-			seen:   stateWith(same), decisions: decision, want: "",
+			seen:   stateWith(unchangedState), decisions: decision, want: "",
 		},
 		"drain": {
 			engine: engineWith(func(e *api.Engine) { e.Spec.Drain = true }),
-			seen:   stateWith(same), decisions: decision, want: "open ",
+			seen:   stateWith(unchangedState), decisions: decision, want: "open ",
 		},
 		"drained": {
 			engine: engineWith(func(e *api.Engine) {
@@ -152,30 +154,32 @@
 			seen:      stateWith(func(s *engineapi.State) { s.Assignment, s.Phase = api.Assignment{}, api.PhaseIdle }),
 			decisions: decision, want: "",
 		},
-		"machine leaves": {
+		"machine is leaving": {
 			engine: engineWith(func(e *api.Engine) { e.Status.Phase, e.Status.MachinePhase = api.PhaseLeaving, api.PhaseLeaving }),
-			seen:   stateWith(same), decisions: decision, want: "",
+			seen:   stateWith(unchangedState), decisions: decision, want: "",
 		},
-		"failed lately": {
-			engine: engineWith(asCommitted), seen: stateWith(same), decisions: decision,
-			adjust: func(input *Input) { input.Failures = map[string]Failure{"e": {Assignment: second, At: input.Now}} },
-			want:   "",
+		"failed recently": {
+			engine: engineWith(unchangedEngine), seen: stateWith(unchangedState), decisions: decision,
+			adjust: func(input *Input) {
+				input.Failures = map[string]Failure{"e": {Assignment: newAssignment, At: input.Now}}
+			},
+			want: "",
 		},
 		"failed long ago": {
-			engine: engineWith(asCommitted), seen: stateWith(same), decisions: decision,
-			adjust: func(input *Input) { input.Failures = map[string]Failure{"e": {Assignment: second}} },
+			engine: engineWith(unchangedEngine), seen: stateWith(unchangedState), decisions: decision,
+			adjust: func(input *Input) { input.Failures = map[string]Failure{"e": {Assignment: newAssignment}} },
 			want:   "open 2",
 		},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			input := Input{
-				Now:          time.Minute,
-				Engines:      map[string]*api.Engine{"e": test.engine},
-				Observations: map[string]Observation{},
-				Decisions:    test.decisions,
-				Silence:      time.Second,
-				FailurePause: 30 * time.Second,
+				Now:               time.Minute,
+				Engines:           map[string]*api.Engine{"e": test.engine},
+				Observations:      map[string]Observation{},
+				Decisions:         test.decisions,
+				ObservationMaxAge: time.Second,
+				FailurePause:      30 * time.Second,
 			}
 			if test.seen.State.Engine != "" {
 				input.Observations["e"] = test.seen
@@ -183,23 +187,23 @@
 			if test.adjust != nil {
 				test.adjust(&input)
 			}
-			must.Eq(t, test.want, describe(t, Reconcile(input)))
+			must.Eq(t, test.want, describeAction(t, Reconcile(input)))
 		})
 	}
 }
 
-// describe names the only action, or returns "" for none.
-func describe(t *testing.T, actions []Action) string {
+// describeAction returns a short description of the only action, or "" if there is none.
+func describeAction(t *testing.T, actions []Action) string {
 	if len(actions) == 0 {
 		return ""
 	}
 	must.Len(t, 1, actions)
 	switch action := actions[0].(type) {
 	case Send:
-		must.Eq(t, fence, action.Order.Fence)
+		must.Eq(t, orderFence, action.Order.Fence)
 		return "send"
 	case Void:
-		must.Eq(t, fence, action.Command().VoidOrder.Fence)
+		must.Eq(t, orderFence, action.Command().VoidOrder.Fence)
 		return "void"
 	case Query:
 		return "query"
@@ -225,7 +229,7 @@
 	}
 }
 
-func TestMachinesAreProposedWhenTheyDiffer(t *testing.T) {
+func TestChangedMachineListIsProposed(t *testing.T) {
 	listed := state.Machines{Leaving: []string{"b", "a", "b"}, Gone: []string{"c"}}
 	cases := map[string]struct {
 		platform, committed *state.Machines
@@ -234,7 +238,7 @@
 		"never read":        {nil, nil, false},
 		"first list":        {&listed, nil, true},
 		"same in any order": {&listed, &state.Machines{Leaving: []string{"a", "b"}, Gone: []string{"c"}}, false},
-		"one is back":       {&state.Machines{Gone: []string{"c"}}, &listed, true},
+		"one has returned":  {&state.Machines{Gone: []string{"c"}}, &listed, true},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/process/controller/engine.go
+++ b/process/controller/engine.go
@@ -7,78 +7,79 @@
 	"github.com/landingtrail/landingtrail/version/state"
 )
 
-// engineRound decides about one engine in one round.
-type engineRound struct {
+// engineReconciler determines the actions for one engine in one round.
+type engineReconciler struct {
 	input    *Input
 	engine   *api.Engine
 	decision *planner.Decision
 }
 
-func (r engineRound) actions() []Action {
-	seen := r.observed()
-	if seen == nil {
-		return r.query()
+func (r engineReconciler) actions() []Action {
+	observation := r.recentObservation()
+	if observation == nil {
+		return r.queryActions()
 	}
 	if order := r.engine.Status.OpenOrder; order != nil {
-		return r.carryOut(*order, *seen)
+		return r.continueOrder(*order, *observation)
 	}
-	if report := reportOf(seen.State); state.ReportChanges(r.engine, report) {
+	if report := engineReport(observation.State); state.ReportChanges(r.engine, report) {
 		return []Action{Propose{state.Command{Kind: state.CommandReportEngine, EngineReport: &report}}}
 	}
-	return r.open(seen.State)
+	return r.openOrderActions(observation.State)
 }
 
-// observed returns the engine's own recent word, or nil. An answer under
-// another name comes from another engine at the same address and counts for
-// nothing.
-func (r engineRound) observed() *Observation {
-	seen, found := r.input.Observations[r.engine.Name]
-	if !found || seen.State.Engine != r.engine.Name || seen.State.Incarnation == 0 {
+// recentObservation returns the engine's observation, or nil if there is none, it is too
+// old or it has no incarnation. A reply under another name comes from another engine at
+// the same address and is ignored.
+func (r engineReconciler) recentObservation() *Observation {
+	observation, found := r.input.Observations[r.engine.Name]
+	if !found || observation.State.Engine != r.engine.Name || observation.State.Incarnation == 0 {
 		return nil
 	}
-	if r.input.Now-seen.AskedAt > r.input.Silence {
+	if r.input.Now-observation.QueriedAt > r.input.ObservationMaxAge {
 		return nil
 	}
-	return &seen
+	return &observation
 }
 
-func (r engineRound) query() []Action {
+func (r engineReconciler) queryActions() []Action {
 	return []Action{Query{Engine: r.engine.Name, Address: r.engine.Spec.Address}}
 }
 
-// carryOut continues the open order from what the engine said.
-func (r engineRound) carryOut(order api.Order, seen Observation) []Action {
-	current := seen.State
+// continueOrder returns the next actions for the open order, given the engine's state.
+func (r engineReconciler) continueOrder(order api.Order, observation Observation) []Action {
+	current := observation.State
 	switch {
 	case current.Incarnation != order.Incarnation:
-		// The incarnation that the order is bound to has ended, and with it
-		// everything that it was told; the new one refuses the order.
-		return r.close(order, state.CloseOtherIncarnation, current)
+		// The incarnation that the order is bound to has ended, along with all
+		// orders sent to it; the new incarnation rejects the order.
+		return r.closeOrderActions(order, state.CloseOtherIncarnation, current)
 	case current.Order != nil:
-		return r.query()
+		return r.queryActions()
 	case current.Fence.Less(order.Fence):
-		return r.give(order, seen)
+		return r.sendOrderActions(order, observation)
 	case order.Fence.Less(current.Fence):
-		return r.close(order, state.CloseVoid, current)
+		// The engine has a later fence and can no longer execute the order.
+		return r.closeOrderActions(order, state.CloseVoid, current)
 	case isDone(order, current):
-		return r.close(order, state.CloseDone, current)
+		return r.closeOrderActions(order, state.CloseDone, current)
 	case isSettled(current):
-		// The engine ended the order without becoming what it asks for.
-		return r.void(order, current)
+		// The engine finished the order without reaching the assignment.
+		return r.voidActions(order, current)
 	default:
-		return r.query()
+		return r.queryActions()
 	}
 }
 
-// give sends the order, unless the engine has called it invalid.
-func (r engineRound) give(order api.Order, seen Observation) []Action {
-	if seen.Refused == order.Fence {
-		return r.void(order, seen.State)
+// sendOrderActions sends the order, or voids it if the engine rejected it as invalid.
+func (r engineReconciler) sendOrderActions(order api.Order, observation Observation) []Action {
+	if observation.RejectedFence == order.Fence {
+		return r.voidActions(order, observation.State)
 	}
 	return []Action{Send{Engine: r.engine.Name, Address: r.engine.Spec.Address, Order: order}}
 }
 
-func (r engineRound) void(order api.Order, current engineapi.State) []Action {
+func (r engineReconciler) voidActions(order api.Order, current engineapi.State) []Action {
 	return []Action{Void{
 		Engine:      r.engine.Name,
 		Address:     r.engine.Spec.Address,
@@ -87,22 +88,23 @@
 	}}
 }
 
-func (r engineRound) close(order api.Order, reason state.CloseReason, current engineapi.State) []Action {
+func (r engineReconciler) closeOrderActions(order api.Order, reason state.CloseReason, current engineapi.State) []Action {
 	closing := state.CloseOrder{
 		Engine: r.engine.Name,
 		Fence:  order.Fence,
 		Reason: reason,
-		Report: reportOf(current),
+		Report: engineReport(current),
 	}
 	return []Action{Propose{state.Command{Kind: state.CommandCloseOrder, CloseOrder: &closing}}}
 }
 
-// isDone reports whether the engine is what the order asks for.
+// isDone reports whether the engine has the assignment and the fence of the order.
 func isDone(order api.Order, current engineapi.State) bool {
 	return isSettled(current) && current.Fence == order.Fence && current.Assignment.Equal(order.Assignment)
 }
 
-// isSettled reports whether the engine is neither draining nor changing.
+// isSettled reports whether the engine is neither draining nor changing and executes
+// no order. Leaving and gone engines can be settled.
 func isSettled(current engineapi.State) bool {
 	switch current.Phase {
 	case api.PhaseDraining, api.PhaseChanging:
@@ -112,12 +114,12 @@
 	}
 }
 
-// isLeaving reports whether an engine in the phase is about to end.
-func isLeaving(phase api.EnginePhase) bool {
+// isLeavingOrGone reports whether the machine of an engine in phase is leaving or gone.
+func isLeavingOrGone(phase api.EnginePhase) bool {
 	return phase == api.PhaseLeaving || phase == api.PhaseGone
 }
 
-func reportOf(current engineapi.State) state.EngineReport {
+func engineReport(current engineapi.State) state.EngineReport {
 	return state.EngineReport{
 		Engine:      current.Engine,
 		Incarnation: current.Incarnation,
@@ -127,13 +129,13 @@
 	}
 }
 
-// open proposes the engine's next order, if there is one to give.
-func (r engineRound) open(current engineapi.State) []Action {
-	if !isSettled(current) || isLeaving(r.engine.Status.Phase) || isLeaving(current.Phase) {
+// openOrderActions proposes the engine's next order, if its assignment must change.
+func (r engineReconciler) openOrderActions(current engineapi.State) []Action {
+	if !isSettled(current) || isLeavingOrGone(r.engine.Status.Phase) || isLeavingOrGone(current.Phase) {
 		return nil
 	}
-	assignment, reason, wanted := r.wanted()
-	if !wanted || assignment.Equal(current.Assignment) || r.failedLately(assignment) {
+	assignment, reason, found := r.desiredAssignment()
+	if !found || assignment.Equal(current.Assignment) || r.failedRecently(assignment) {
 		return nil
 	}
 	opening := state.OpenOrder{
@@ -145,13 +147,15 @@
 	return []Action{Propose{state.Command{Kind: state.CommandOpenOrder, OpenOrder: &opening}}}
 }
 
-// ReasonDrain is the reason of the order that empties a drained engine.
+// ReasonDrain is the reason of an order that removes the assignment of an engine being
+// drained.
 const ReasonDrain = "drain"
 
-// wanted returns what the engine should become. A drained engine becomes
-// nothing. An engine that no intent selects keeps what it has: labels move in
-// several steps, and the planner names no change for it.
-func (r engineRound) wanted() (assignment api.Assignment, reason string, wanted bool) {
+// desiredAssignment returns the assignment that the engine should have, which is empty
+// for an engine being drained. It returns false for an engine that no intent selects.
+// Such an engine keeps its assignment, because its labels may be in the middle of a change
+// that takes several steps, and the planner makes no decision for it.
+func (r engineReconciler) desiredAssignment() (assignment api.Assignment, reason string, found bool) {
 	if r.engine.Spec.Drain {
 		return api.Assignment{}, ReasonDrain, true
 	}
@@ -161,7 +165,7 @@
 	return r.decision.Assignment, r.decision.Reason, true
 }
 
-func (r engineRound) failedLately(assignment api.Assignment) bool {
+func (r engineReconciler) failedRecently(assignment api.Assignment) bool {
 	failure, found := r.input.Failures[r.engine.Name]
 	return found && failure.Assignment.Equal(assignment) && r.input.Now-failure.At < r.input.FailurePause
 }
--- a/process/controller/planned.go
+++ b/process/controller/planned.go
@@ -6,10 +6,12 @@
 	"github.com/landingtrail/landingtrail/version/planner"
 )
 
-// PlannedEngine shows the planner an engine as it is committed and as it says
-// itself; said is nil when it was not heard from lately, and its phase is then
-// unknown. The platform's word on its machine stands over the engine's.
-func PlannedEngine(committed *api.Engine, said *engineapi.State) planner.Engine {
+// PlannerEngine returns the planner's view of an engine, which combines the committed
+// state with the reported one. reported is nil if the engine has no recent observation;
+// the phase of the result is then unknown. A committed phase of leaving or gone, which
+// comes from the platform, takes precedence over the reported phase. Pending points into
+// committed.
+func PlannerEngine(committed *api.Engine, reported *engineapi.State) planner.Engine {
 	engine := planner.Engine{
 		Name:       committed.Name,
 		Zone:       committed.Spec.Zone,
@@ -20,9 +22,9 @@
 	if order := committed.Status.OpenOrder; order != nil {
 		engine.Pending = &order.Assignment
 	}
-	if said != nil {
-		engine.Phase = said.Phase
-		engine.Assignment = said.Assignment
+	if reported != nil {
+		engine.Phase = reported.Phase
+		engine.Assignment = reported.Assignment
 	}
 	if phase := committed.Status.Phase; phase == api.PhaseLeaving || phase == api.PhaseGone {
 		engine.Phase = phase
--- a/process/controller/world_test.go
+++ b/process/controller/world_test.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	engineCount   = 3
-	badVersion    = "bad" // a version that no engine can take
-	roundInterval = 200 * time.Millisecond
-	testSilence   = 5 * time.Second
+	engineCount           = 3
+	badVersion            = "bad" // a version that engines reject as invalid
+	roundInterval         = 200 * time.Millisecond
+	testObservationMaxAge = 5 * time.Second
 )
 
-// message is a request on its way to an engine, for a leader that may have lost
-// its authority since.
-type message struct {
+// request is a pending request to an engine, sent by a leader that may have been
+// replaced since.
+type request struct {
 	leader  *leader
 	askedAt time.Duration
 	engine  string
@@ -29,32 +29,33 @@
 	void    *engineapi.VoidRequest
 }
 
-// leader is one leadership: what it sees and what it keeps.
+// leader is the state of a leader in one term.
 type leader struct {
 	term         uint64
-	view         map[string]*api.Engine // what an old leader goes on believing
+	staleEngines map[string]*api.Engine // committed engines as last seen by an outdated leader
 	observations map[string]Observation
 	failures     map[string]Failure
 	machines     *state.Machines
 }
 
-// world is a group, its engines and a network that loses, delays and repeats.
-type world struct {
+// simulation is a control group, its engines and a network that loses, delays and
+// duplicates requests.
+type simulation struct {
 	machine     *state.Machine
 	term, index uint64
 	now         time.Duration
 	engines     map[string]*enginemodel.Engine
 	incarnation uint64
 	leaders     []*leader
-	messages    []message
+	requests    []request
 	platform    state.Machines
-	// done holds the fences that an engine has accepted, by incarnation.
+	// accepted holds the highest fence that an engine has accepted, by incarnation.
 	accepted map[uint64]api.Fence
 	counts   map[string]int
 }
 
-func newWorld() *world {
-	w := &world{
+func newSimulation() *simulation {
+	s := &simulation{
 		machine:  state.New(),
 		engines:  map[string]*enginemodel.Engine{},
 		accepted: map[uint64]api.Fence{},
@@ -63,8 +64,8 @@
 	transaction := &api.Transaction{OperationID: "fleet", AllowBroad: true}
 	for i := range engineCount {
 		name := fmt.Sprintf("engine-%d", i)
-		w.incarnation++
-		w.engines[name] = enginemodel.New(enginemodel.DefaultConfig(name, w.incarnation))
+		s.incarnation++
+		s.engines[name] = enginemodel.New(enginemodel.DefaultConfig(name, s.incarnation))
 		transaction.Writes = append(transaction.Writes, api.Write{Object: api.Object{Engine: &api.Engine{
 			Metadata: api.Metadata{Name: name, Labels: api.Labels{"pool": "a"}},
 			Spec:     api.EngineSpec{Address: "10.0.0.1:1", Zone: "a", Service: "narrator"},
@@ -80,199 +81,201 @@
 	}
 	transaction.Writes = append(transaction.Writes,
 		api.Write{Object: api.Object{Service: service}}, api.Write{Object: api.Object{Intent: intent}})
-	w.elect()
-	w.commit(state.Command{Kind: state.CommandTransaction, Transaction: transaction})
-	return w
+	s.elect()
+	s.apply(state.Command{Kind: state.CommandTransaction, Transaction: transaction})
+	return s
 }
 
-// elect starts a new leadership; the old leaders go on with what they knew.
-func (w *world) elect() {
-	w.term++
-	if len(w.leaders) > 0 {
-		w.current().view = w.machine.View().Engines
+// elect starts a new term. The previous leader continues with the engines committed at
+// this point.
+func (s *simulation) elect() {
+	s.term++
+	if len(s.leaders) > 0 {
+		s.current().staleEngines = s.machine.View().Engines
 	}
-	w.leaders = append(w.leaders, &leader{
-		term:         w.term,
+	s.leaders = append(s.leaders, &leader{
+		term:         s.term,
 		observations: map[string]Observation{},
 		failures:     map[string]Failure{},
 	})
 }
 
-func (w *world) current() *leader { return w.leaders[len(w.leaders)-1] }
+func (s *simulation) current() *leader { return s.leaders[len(s.leaders)-1] }
 
-func (w *world) commit(command state.Command) any {
-	w.index++
-	return w.machine.Apply(w.term, w.index, command)
+func (s *simulation) apply(command state.Command) any {
+	s.index++
+	return s.machine.Apply(s.term, s.index, command)
 }
 
-// round runs one round of the leader, which may be an old one.
-func (w *world) round(l *leader, decisions []planner.Decision) {
-	engines := l.view
-	if l == w.current() {
-		engines = w.machine.View().Engines
+// round runs one reconciliation round of l, which may be an outdated leader.
+func (s *simulation) round(l *leader, decisions []planner.Decision) {
+	engines := l.staleEngines
+	if l == s.current() {
+		engines = s.machine.View().Engines
 	}
 	actions := Reconcile(Input{
-		Now: w.now, Engines: engines, Observations: l.observations, Failures: l.failures,
-		Platform: &w.platform, Machines: l.machines, Decisions: decisions,
-		Silence: testSilence, FailurePause: time.Minute,
+		Now: s.now, Engines: engines, Observations: l.observations, Failures: l.failures,
+		Platform: &s.platform, Machines: l.machines, Decisions: decisions,
+		ObservationMaxAge: testObservationMaxAge, FailurePause: time.Minute,
 	})
 	for _, action := range actions {
-		w.carryOut(l, action)
+		s.execute(l, action)
 	}
 }
 
-func (w *world) carryOut(l *leader, action Action) {
+func (s *simulation) execute(l *leader, action Action) {
 	switch action := action.(type) {
 	case Propose:
-		if l == w.current() {
-			w.propose(l, action.Command)
+		if l == s.current() {
+			s.propose(l, action.Command)
 		}
 	case Send:
-		w.post(message{leader: l, engine: action.Engine, order: &action.Order})
+		s.enqueue(request{leader: l, engine: action.Engine, order: &action.Order})
 	case Void:
-		l.failures[action.Engine] = Failure{Assignment: action.Order.Assignment, At: w.now}
-		if l != w.current() {
+		l.failures[action.Engine] = Failure{Assignment: action.Order.Assignment, At: s.now}
+		if l != s.current() {
 			return
 		}
-		if result := w.commit(action.Command()).(state.VoidOrderResult); result.Open {
-			request := action.Request(result.Fence)
-			w.post(message{leader: l, engine: action.Engine, void: &request})
+		if result := s.apply(action.Command()).(state.VoidOrderResult); result.Open {
+			voidRequest := action.Request(result.Fence)
+			s.enqueue(request{leader: l, engine: action.Engine, void: &voidRequest})
 		}
 	case Query:
-		w.post(message{leader: l, engine: action.Engine})
+		s.enqueue(request{leader: l, engine: action.Engine})
 	}
 }
 
-func (w *world) propose(l *leader, command state.Command) {
-	result := w.commit(command)
+func (s *simulation) propose(l *leader, command state.Command) {
+	result := s.apply(command)
 	switch command.Kind {
 	case state.CommandMachines:
 		l.machines = command.Machines
 	case state.CommandOpenOrder:
 		if result.(state.OpenOrderResult).Code == state.OpenOrderOpened {
-			w.counts["opened"]++
+			s.counts["opened"]++
 		}
 	case state.CommandCloseOrder:
 		if result.(state.CloseOrderResult).Closed {
-			w.counts[fmt.Sprint("closed-", command.CloseOrder.Reason)]++
+			s.counts[fmt.Sprint("closed-", command.CloseOrder.Reason)]++
 		}
 	}
 }
 
-// maxMessages bounds the messages on their way; older ones are lost.
-const maxMessages = 64
+// maxRequests bounds the pending requests; the oldest are dropped.
+const maxRequests = 64
 
-func (w *world) post(m message) {
-	m.askedAt = w.now
-	w.messages = append(w.messages, m)
-	if len(w.messages) > maxMessages {
-		w.messages = w.messages[1:]
+func (s *simulation) enqueue(r request) {
+	r.askedAt = s.now
+	s.requests = append(s.requests, r)
+	if len(s.requests) > maxRequests {
+		s.requests = s.requests[1:]
 	}
 }
 
-// deliver hands a message to its engine; the answer reaches the leader unless
-// it is lost. Rule: an engine never accepts an order but the one that is open
-// for it, whoever sent it and however late it arrives.
-func (w *world) deliver(t failer, m message, loseAnswer bool) {
-	engine := w.engines[m.engine]
-	engine.Step(w.now)
-	if m.leader != w.current() && m.order != nil {
-		w.counts["from-old-leader"]++
+// deliver delivers a request to its engine and, unless loseAnswer, the reply to the
+// leader. It checks that an engine accepts only its open order, whichever leader sent
+// the order and however late it arrives.
+func (s *simulation) deliver(t testFailer, r request, loseAnswer bool) {
+	engine := s.engines[r.engine]
+	engine.Step(s.now)
+	if r.leader != s.current() && r.order != nil {
+		s.counts["from-old-leader"]++
 	}
 	current := engine.State()
 	refused := api.Fence{}
 	switch {
-	case m.order != nil && m.order.Assignment.Version == badVersion:
-		refused = m.order.Fence
-	case m.order != nil:
-		w.checkAccepted(t, *m.order, engine.Order(w.now, *m.order), current.Fence)
-	case m.void != nil:
-		engine.Void(w.now, *m.void)
+	case r.order != nil && r.order.Assignment.Version == badVersion:
+		refused = r.order.Fence
+	case r.order != nil:
+		s.checkAccepted(t, *r.order, engine.Order(s.now, *r.order), current.Fence)
+	case r.void != nil:
+		engine.Void(s.now, *r.void)
 	}
 	if loseAnswer {
-		w.counts["answer-lost"]++
+		s.counts["answer-lost"]++
 		return
 	}
-	seen := m.leader.observations[m.engine]
-	if seen.State.Engine != "" && m.askedAt < seen.AskedAt {
+	previous := r.leader.observations[r.engine]
+	if previous.State.Engine != "" && r.askedAt < previous.QueriedAt {
 		return
 	}
 	if refused.IsZero() {
-		refused = seen.Refused
+		refused = previous.RejectedFence
 	}
-	m.leader.observations[m.engine] = Observation{State: engine.State(), AskedAt: m.askedAt, Refused: refused}
+	r.leader.observations[r.engine] = Observation{State: engine.State(), QueriedAt: r.askedAt, RejectedFence: refused}
 }
 
-// failer is the part of a test that reports a broken rule.
-type failer interface {
+// testFailer is the part of testing.T that reports a failed check.
+type testFailer interface {
 	Fatalf(format string, arguments ...any)
 }
 
-func (w *world) checkAccepted(t failer, order api.Order, reply engineapi.OrderReply, before api.Fence) {
+func (s *simulation) checkAccepted(t testFailer, order api.Order, reply engineapi.OrderReply, before api.Fence) {
 	if reply.Code != engineapi.OrderAccepted || !before.Less(reply.State.Fence) {
 		return
 	}
-	if !w.accepted[reply.State.Incarnation].Less(order.Fence) {
-		t.Fatalf("%s accepted %v after %v in one incarnation", order.Engine, order.Fence, w.accepted[reply.State.Incarnation])
+	if !s.accepted[reply.State.Incarnation].Less(order.Fence) {
+		t.Fatalf("%s accepted fence %v after fence %v in the same incarnation", order.Engine, order.Fence, s.accepted[reply.State.Incarnation])
 	}
-	w.accepted[reply.State.Incarnation] = order.Fence
-	committed := w.machine.View().Engines[order.Engine].Status.OpenOrder
+	s.accepted[reply.State.Incarnation] = order.Fence
+	committed := s.machine.View().Engines[order.Engine].Status.OpenOrder
 	if committed == nil || committed.Fence != order.Fence {
 		t.Fatalf("%s accepted %v while %v is open", order.Engine, order, committed)
 	}
 }
 
-// checkOrders holds the committed orders against the engines: an engine that
-// carries an order out carries out the one that is open for it.
-func (w *world) checkOrders(t failer) {
-	for name, engine := range w.engines {
-		carried := engine.State().Order
-		committed := w.machine.View().Engines[name].Status.OpenOrder
-		if carried != nil && (committed == nil || committed.Fence != carried.Fence) {
-			t.Fatalf("%s carries out %v while %v is open", name, carried.Fence, committed)
+// checkOrders checks that an engine that executes an order executes the one that is
+// open for it.
+func (s *simulation) checkOrders(t testFailer) {
+	for name, engine := range s.engines {
+		executing := engine.State().Order
+		committed := s.machine.View().Engines[name].Status.OpenOrder
+		if executing != nil && (committed == nil || committed.Fence != executing.Fence) {
+			t.Fatalf("%s executes %v while %v is open", name, executing.Fence, committed)
 		}
 	}
 }
 
-func (w *world) crash(name string) {
-	w.incarnation++
-	w.engines[name].Crash(w.now, w.incarnation)
-	w.counts["crashed"]++
+func (s *simulation) crash(name string) {
+	s.incarnation++
+	s.engines[name].Crash(s.now, s.incarnation)
+	s.counts["crashed"]++
 }
 
-func (w *world) advance(by time.Duration) {
-	w.now += by
-	for _, engine := range w.engines {
-		engine.Step(w.now)
+func (s *simulation) advance(by time.Duration) {
+	s.now += by
+	for _, engine := range s.engines {
+		engine.Step(s.now)
 	}
 }
 
-// rewriteIntent changes the wanted version.
-func (w *world) rewriteIntent(version string) {
-	intent := *w.machine.View().Intents["narrate"]
+// rewriteIntent changes the version that the intent requests.
+func (s *simulation) rewriteIntent(version string) {
+	intent := *s.machine.View().Intents["narrate"]
 	intent.Spec.Version = version
-	w.write(api.Object{Intent: &intent})
+	s.write(api.Object{Intent: &intent})
 }
 
-func (w *world) rewriteEngine(name string, change func(*api.Engine)) {
-	engine := *w.machine.View().Engines[name]
+func (s *simulation) rewriteEngine(name string, change func(*api.Engine)) {
+	engine := *s.machine.View().Engines[name]
 	change(&engine)
-	w.write(api.Object{Engine: &engine})
+	s.write(api.Object{Engine: &engine})
 }
 
-func (w *world) write(object api.Object) {
+func (s *simulation) write(object api.Object) {
 	transaction := &api.Transaction{
-		OperationID: fmt.Sprintf("write-%d", w.index),
+		OperationID: fmt.Sprintf("write-%d", s.index),
 		Writes:      []api.Write{{Object: object}},
 		AllowBroad:  true,
 	}
-	w.commit(state.Command{Kind: state.CommandTransaction, Transaction: transaction})
+	s.apply(state.Command{Kind: state.CommandTransaction, Transaction: transaction})
 }
 
-// plan asks for the wanted version in the engine's fixed role.
-func (w *world) plan() []planner.Decision {
+// plan returns decisions that assign the requested version to each engine in its fixed
+// role.
+func (s *simulation) plan() []planner.Decision {
 	var decisions []planner.Decision
-	intent := w.machine.View().Intents["narrate"]
+	intent := s.machine.View().Intents["narrate"]
 	roles := []api.EngineRole{api.RolePrefill, api.RoleDecode}
 	for i := range engineCount {
 		decisions = append(decisions, planner.Decision{
@@ -284,40 +287,40 @@
 	return decisions
 }
 
-// settle runs without faults until every engine is what the plan asks for.
-func (w *world) settle(t *rapid.T) {
-	w.messages = nil
-	w.rewriteIntent("final")
+// runUntilConverged runs without faults until every engine has its planned assignment.
+func (s *simulation) runUntilConverged(t *rapid.T) {
+	s.requests = nil
+	s.rewriteIntent("final")
 	for i := range engineCount {
-		w.rewriteEngine(fmt.Sprintf("engine-%d", i), func(engine *api.Engine) {
+		s.rewriteEngine(fmt.Sprintf("engine-%d", i), func(engine *api.Engine) {
 			engine.Spec.Drain = false
 			engine.Labels = api.Labels{"pool": "a"}
 		})
 	}
-	w.platform = state.Machines{}
+	s.platform = state.Machines{}
 	const rounds = 1000
 	for range rounds {
-		w.advance(roundInterval)
-		for name := range w.engines {
-			w.post(message{leader: w.current(), engine: name})
+		s.advance(roundInterval)
+		for name := range s.engines {
+			s.enqueue(request{leader: s.current(), engine: name})
 		}
-		w.round(w.current(), w.plan())
-		for _, m := range w.messages {
-			w.deliver(t, m, false)
+		s.round(s.current(), s.plan())
+		for _, r := range s.requests {
+			s.deliver(t, r, false)
 		}
-		w.messages = nil
-		w.checkOrders(t)
-		if w.settled() {
+		s.requests = nil
+		s.checkOrders(t)
+		if s.converged() {
 			return
 		}
 	}
-	t.Fatalf("not settled: %+v", w.machine.View().Engines)
+	t.Fatalf("engines did not converge to the plan: %+v", s.machine.View().Engines)
 }
 
-func (w *world) settled() bool {
-	for _, decision := range w.plan() {
-		status := w.machine.View().Engines[decision.Engine].Status
-		actual := w.engines[decision.Engine].State()
+func (s *simulation) converged() bool {
+	for _, decision := range s.plan() {
+		status := s.machine.View().Engines[decision.Engine].Status
+		actual := s.engines[decision.Engine].State()
 		if status.OpenOrder != nil || !status.Assignment.Equal(decision.Assignment) || !actual.Assignment.Equal(decision.Assignment) {
 			return false
 		}
--- a/process/raft/cluster_test.go
+++ b/process/raft/cluster_test.go
@@ -17,17 +17,17 @@
 	simHeartbeatInterval = 20 * time.Millisecond
 	simLeaseDuration     = 80 * time.Millisecond
 	simTickInterval      = 5 * time.Millisecond
-	simSnapshotEvery     = 40 // applied entries between two compactions
+	simSnapshotEvery     = 40 // applied entries between compactions
 )
 
-// event is something that happens at a virtual time; ties go by number.
+// event is a function scheduled at a virtual time. Ties are broken by sequence.
 type event struct {
-	at     time.Duration
-	number uint64
-	member *simMember // deferred while this member is paused; nil for the cluster's own
-	life   int        // dropped when the member has crashed since
-	config bool       // carries a configuration entry
-	run    func()
+	at          time.Duration
+	sequence    uint64
+	member      *simMember // deferred while this member is paused; nil for cluster events
+	incarnation int        // the event is dropped if the member has crashed since
+	config      bool       // delivers a configuration entry
+	run         func()
 }
 
 type eventQueue []event
@@ -44,10 +44,10 @@
 	if q[i].at != q[j].at {
 		return q[i].at < q[j].at
 	}
-	return q[i].number < q[j].number
+	return q[i].sequence < q[j].sequence
 }
 
-// simDisk is what a member has stored.
+// simDisk is the stored state of a member.
 type simDisk struct {
 	hardState HardState
 	snapshot  Snapshot
@@ -69,15 +69,15 @@
 	}
 }
 
-// simMember is one process with its disk and its own drifting clock.
+// simMember is one member process with its disk and its drifting clock.
 type simMember struct {
 	id          MemberID
 	node        *Node
 	synced      simDisk // survives a crash
-	written     simDisk // lost back to synced by a crash
-	life        int
+	written     simDisk // reset to synced by a crash
+	incarnation int
 	up          bool
-	lost        bool // the disk is gone, the identity must not return
+	lost        bool // the disk is lost; the identity must not be reused
 	pausedUntil time.Duration
 	clockRate   float64
 	applied     uint64
@@ -85,25 +85,26 @@
 	role        Role
 }
 
-// cluster runs members in virtual time over a faulty network.
+// cluster simulates members in virtual time, connected by a faulty network.
 type cluster struct {
-	random  *rand.Rand
-	seed    uint64
-	now     time.Duration
-	queue   eventQueue
-	number  uint64
-	members []*simMember // in order of their identities, which are 1, 2, ...
-	cuts    map[[2]MemberID]bool
-	oracle  *oracle
-	counts  map[string]int
-
-	// The pace differs from seed to seed: only an idle group elects a member that
-	// was cut off, and only a busy one has entries to lose.
+	random       *rand.Rand
+	seed         uint64
+	now          time.Duration
+	queue        eventQueue
+	lastSequence uint64
+	members      []*simMember // ordered by ID; IDs are 1, 2, ...
+	cuts         map[[2]MemberID]bool
+	oracle       *oracle
+	counts       map[string]int
+
+	// The intervals vary by seed. With long ones the group is idle, so that a member
+	// that was partitioned has an up-to-date log and can be elected. With short ones
+	// the group is busy, so that there are uncommitted entries that can be lost.
 	proposalInterval time.Duration
 	faultInterval    time.Duration
-	minVoters        int // removals stop here
+	minVoters        int // voters are not removed below this number
 
-	faulty    bool // loss, duplication, delays and crashes in the middle of work
+	faulty    bool // enables message faults, slow writes and crashes during a Ready
 	nextValue uint64
 	trace     []string
 }
@@ -129,7 +130,7 @@
 	return c
 }
 
-func (c *cluster) note(format string, args ...any) {
+func (c *cluster) tracef(format string, args ...any) {
 	line := fmt.Sprintf("%v ", c.now) + fmt.Sprintf(format, args...)
 	c.trace = append(c.trace, line)
 	c.trace = c.trace[max(0, len(c.trace)-60):]
@@ -137,13 +138,15 @@
 
 func (c *cluster) count(kind string, id MemberID) {
 	c.counts[kind]++
-	c.note("%s %d", kind, id)
+	c.tracef("%s %d", kind, id)
 }
 
-func (c *cluster) traceText() string { return strings.Join(c.trace, "\n") }
+func (c *cluster) formatTrace() string { return strings.Join(c.trace, "\n") }
 
-// addMember starts a member with an empty disk under a new identity.
+// addMember starts a member with an empty disk and a new ID.
 func (c *cluster) addMember(bootstrap Configuration) *simMember {
+	// Clocks drift by up to 5 %, which the difference between the election timeout and the
+	// lease must cover.
 	m := &simMember{id: MemberID(len(c.members) + 1), clockRate: 0.95 + 0.1*c.random.Float64()}
 	m.synced.bootstrap = bootstrap
 	c.members = append(c.members, m)
@@ -177,14 +180,14 @@
 	m.role = Follower
 	m.applied, m.stateHash = 0, 0
 	if m.synced.snapshot.Index > 0 {
-		c.oracle.installed(m, m.synced.snapshot)
+		c.oracle.checkInstalled(m, m.synced.snapshot)
 	}
 	c.schedule(m, simTickInterval, func() { c.tick(m) })
 }
 
 func (c *cluster) crash(m *simMember) {
 	m.up = false
-	m.life++
+	m.incarnation++
 	m.written = m.synced
 }
 
@@ -197,21 +200,21 @@
 }
 
 func (c *cluster) push(e event) {
-	c.number++
-	e.number = c.number
+	c.lastSequence++
+	e.sequence = c.lastSequence
 	if e.member != nil {
-		e.life = e.member.life
+		e.incarnation = e.member.incarnation
 	}
 	heap.Push(&c.queue, e)
 }
 
-// run lets the cluster live until the given time, or a violation.
+// run processes events until the given time or the first violation.
 func (c *cluster) run(until time.Duration) {
 	for len(c.queue) > 0 && c.queue[0].at <= until && c.oracle.failure == nil {
 		e := heap.Pop(&c.queue).(event)
 		c.now = e.at
 		if m := e.member; m != nil {
-			if !m.up || m.life != e.life {
+			if !m.up || m.incarnation != e.incarnation {
 				continue
 			}
 			if m.pausedUntil > c.now {
@@ -221,20 +224,20 @@
 			}
 		}
 		e.run()
-		c.oracle.observe()
+		c.oracle.checkMembers()
 	}
 	c.now = max(c.now, until)
 }
 
 func (c *cluster) tick(m *simMember) {
 	m.node.Tick(c.clock(m))
-	c.pump(m)
+	c.startReady(m)
 	c.schedule(m, simTickInterval, func() { c.tick(m) })
 }
 
-// pump starts on the next Ready: its write takes a while, in which messages are
-// stepped, and the process may die at any point of the work.
-func (c *cluster) pump(m *simMember) {
+// startReady takes the next Ready and schedules its processing after a write delay.
+// Messages are stepped meanwhile, and the process may crash at any point.
+func (c *cluster) startReady(m *simMember) {
 	if !m.up || !m.node.HasReady() {
 		return
 	}
@@ -243,17 +246,19 @@
 	if c.faulty && c.random.IntN(50) == 0 {
 		delay = time.Duration(c.random.IntN(20)) * time.Millisecond
 	}
-	c.schedule(m, delay, func() { c.carryOut(m, ready) })
+	c.schedule(m, delay, func() { c.processReady(m, ready) })
 }
 
-func (c *cluster) carryOut(m *simMember, ready Ready) {
-	dies := -1
+func (c *cluster) processReady(m *simMember, ready Ready) {
+	// Phases: 0 before the Ready is stored, 1 when half of its messages are sent, 2
+	// after all messages are sent, 3 after Committed is applied but before Advance.
+	crashPhase := -1
 	if c.faulty && c.random.IntN(3000) == 0 {
-		dies = c.random.IntN(4)
-		c.count(fmt.Sprintf("crash in phase %d", dies), m.id)
+		crashPhase = c.random.IntN(4)
+		c.count(fmt.Sprintf("crash in phase %d", crashPhase), m.id)
 		defer c.scheduleRestart(m)
 	}
-	if dies == 0 {
+	if crashPhase == 0 {
 		c.crash(m)
 		return
 	}
@@ -261,27 +266,27 @@
 	if ready.MustSync {
 		m.synced = m.written
 	}
-	c.oracle.stored(m, ready)
+	c.oracle.checkStored(m, ready)
 	for i, message := range ready.Messages {
-		if dies == 1 && i >= len(ready.Messages)/2 {
+		if crashPhase == 1 && i >= len(ready.Messages)/2 {
 			c.crash(m)
 			return
 		}
-		c.oracle.sent(m, message)
+		c.oracle.checkSent(m, message)
 		c.transmit(message)
 	}
-	if dies == 2 {
+	if crashPhase == 2 {
 		c.crash(m)
 		return
 	}
-	c.oracle.applied(m, ready)
-	if dies == 3 {
+	c.oracle.checkApplied(m, ready)
+	if crashPhase == 3 {
 		c.crash(m)
 		return
 	}
 	m.node.Advance(ready)
 	c.maybeCompact(m)
-	c.pump(m)
+	c.startReady(m)
 }
 
 func (c *cluster) maybeCompact(m *simMember) {
@@ -290,7 +295,7 @@
 	}
 	snapshot, err := m.node.SnapshotAt(m.applied, []byte(fmt.Sprint(m.stateHash)))
 	if errors.Is(err, ErrCompacted) && m.node.log.snapshot.Index > m.applied {
-		return // a later snapshot has just been received, the next Ready brings it
+		return // the next Ready contains a later snapshot that was received
 	}
 	if err != nil {
 		c.oracle.violation("compaction", "member %d: %v", m.id, err)
@@ -304,7 +309,7 @@
 	}
 }
 
-// transmit carries one message through the network as bytes.
+// transmit sends one encoded message through the faulty network.
 func (c *cluster) transmit(message Message) {
 	copies := 1
 	if c.faulty {
@@ -329,7 +334,7 @@
 	}
 }
 
-// arrive queues a message at its receiver, who takes it in when not paused.
+// arrive schedules a message at its receiver, which processes it when not paused.
 func (c *cluster) arrive(from, to MemberID, encoded []byte) {
 	if c.cuts[[2]MemberID{from, to}] {
 		c.counts["message into a cut"]++
@@ -348,11 +353,11 @@
 		if err := m.node.Step(c.clock(m), message); err != nil {
 			c.oracle.violation("step", "member %d: %+v: %v", m.id, message, err)
 		}
-		c.pump(m)
+		c.startReady(m)
 	})
 }
 
-// leader returns the running leader of the highest term, nil when there is none.
+// leader returns the running leader with the highest term, or nil if there is none.
 func (c *cluster) leader() *simMember {
 	var found *simMember
 	for _, m := range c.members {
@@ -363,7 +368,7 @@
 	return found
 }
 
-// propose hands one unique value to every member that believes to lead.
+// propose proposes a unique value on every running member in the leader role.
 func (c *cluster) propose() {
 	for _, m := range c.members {
 		if m.up && m.pausedUntil <= c.now && m.node.role == Leader {
@@ -371,7 +376,7 @@
 			if _, _, err := m.node.Propose(c.clock(m), fmt.Appendf(nil, "value %d", c.nextValue)); err == nil {
 				c.counts["proposal"]++
 			}
-			c.pump(m)
+			c.startReady(m)
 		}
 	}
 }
--- a/process/raft/codec.go
+++ b/process/raft/codec.go
@@ -7,8 +7,9 @@
 	"github.com/pkg/errors"
 )
 
-// Encodings are big-endian fixed-size headers, each followed by the data whose
-// length it states. Every accepted input is the encoding of exactly one value.
+// Each value is encoded as a fixed-size big-endian header followed by
+// variable-length data whose length the header states. The encoding is canonical:
+// every accepted input is the encoding of exactly one value.
 
 const (
 	entryHeaderSize         = 8 + 8 + 1 + 4
@@ -19,13 +20,13 @@
 	messageHeaderSize       = 1 + 1 + 8*8 + 4
 )
 
-// Flags of a message's header.
+// Bits of messageHeader.Flags.
 const (
 	flagReject uint8 = 1 << iota
 	flagTransfer
 	flagSnapshot
-	flagUnled
-	flagsKnown = flagReject | flagTransfer | flagSnapshot | flagUnled
+	flagUnanimous
+	flagsKnown = flagReject | flagTransfer | flagSnapshot | flagUnanimous
 )
 
 // messageHeader is the fixed part of an encoded Message.
@@ -43,7 +44,8 @@
 	EntryCount uint32
 }
 
-// AppendBinary appends e's encoding to b.
+// AppendBinary appends e's encoding to b. Data must be shorter than 4 GiB, because its
+// length is encoded in 32 bits.
 func (e Entry) AppendBinary(b []byte) []byte {
 	b = binary.BigEndian.AppendUint64(b, e.Term)
 	b = binary.BigEndian.AppendUint64(b, e.Index)
@@ -72,7 +74,8 @@
 	return b
 }
 
-// AppendBinary appends s's encoding to b.
+// AppendBinary appends s's encoding to b. Data must be shorter than 4 GiB, because its
+// length is encoded in 32 bits.
 func (s Snapshot) AppendBinary(b []byte) []byte {
 	b = binary.BigEndian.AppendUint64(b, s.Term)
 	b = binary.BigEndian.AppendUint64(b, s.Index)
@@ -115,8 +118,8 @@
 	if m.Transfer {
 		header.Flags |= flagTransfer
 	}
-	if m.Unled {
-		header.Flags |= flagUnled
+	if m.Unanimous {
+		header.Flags |= flagUnanimous
 	}
 	if m.Snapshot != nil {
 		header.Flags |= flagSnapshot
@@ -124,56 +127,58 @@
 	return header
 }
 
-// DecodeEntry decodes what Entry.AppendBinary wrote. The result shares no memory
-// with b. The error is ErrMalformed with its cause, here and in all decoders.
+// DecodeEntry decodes the output of Entry.AppendBinary. The result shares no
+// memory with b. Like the other decoders, it wraps ErrMalformed on failure.
 func DecodeEntry(b []byte) (Entry, error) {
 	d := decoder{rest: b}
 	entry := d.entry()
 	return entry, d.finish("entry")
 }
 
-// DecodeHardState decodes what HardState.AppendBinary wrote.
+// DecodeHardState decodes the output of HardState.AppendBinary. Errors: ErrMalformed.
 func DecodeHardState(b []byte) (HardState, error) {
 	d := decoder{rest: b}
 	state := HardState{Term: d.uint64(), Vote: MemberID(d.uint64()), Commit: d.uint64()}
 	return state, d.finish("hard state")
 }
 
-// DecodeConfiguration decodes what Configuration.AppendBinary wrote.
+// DecodeConfiguration decodes the output of Configuration.AppendBinary. Errors:
+// ErrMalformed.
 func DecodeConfiguration(b []byte) (Configuration, error) {
 	d := decoder{rest: b}
 	configuration := d.configuration()
 	return configuration, d.finish("configuration")
 }
 
-// DecodeSnapshot decodes what Snapshot.AppendBinary wrote.
+// DecodeSnapshot decodes the output of Snapshot.AppendBinary. Errors: ErrMalformed.
 func DecodeSnapshot(b []byte) (Snapshot, error) {
 	d := decoder{rest: b}
 	snapshot := d.snapshot()
 	return snapshot, d.finish("snapshot")
 }
 
-// DecodeMessage decodes what Message.AppendBinary wrote.
+// DecodeMessage decodes the output of Message.AppendBinary. Errors: ErrMalformed.
 func DecodeMessage(b []byte) (Message, error) {
 	d := decoder{rest: b}
 	message := d.message()
 	return message, d.finish("message")
 }
 
-// decoder reads values off the front of rest. After the first failure it reads
-// zeros, so callers check once, by finish. A count or length is compared with
-// the bytes that are left before anything is allocated for it.
+// decoder reads values from the front of rest. After the first failure every
+// read returns zero, so callers check for errors once, with finish. Counts and
+// lengths are checked against the remaining input before memory is allocated.
 type decoder struct {
 	rest   []byte
 	failed bool
 }
 
+// finish returns an error if decoding failed or input is left over.
 func (d *decoder) finish(what string) error {
 	if d.failed {
 		return errors.Wrap(ErrMalformed, what)
 	}
 	if len(d.rest) > 0 {
-		return errors.Wrapf(ErrMalformed, "%s: %d bytes too many", what, len(d.rest))
+		return errors.Wrapf(ErrMalformed, "%s: %d trailing bytes", what, len(d.rest))
 	}
 	return nil
 }
@@ -213,18 +218,19 @@
 	return b[0]
 }
 
-// count checks that the announced number of elements can be there at all.
-func (d *decoder) count(announced uint32, elementSize int) int {
-	if uint64(announced)*uint64(elementSize) > uint64(len(d.rest)) {
+// checkedCount returns declared, or fails if the remaining input is too short to hold
+// that many elements of at least elementSize bytes.
+func (d *decoder) checkedCount(declared uint32, elementSize int) int {
+	if uint64(declared)*uint64(elementSize) > uint64(len(d.rest)) {
 		d.failed = true
 		return 0
 	}
-	return int(announced)
+	return int(declared)
 }
 
-// data reads a length and a copy of that many bytes; empty data is nil.
+// data reads a length-prefixed byte string and returns a copy, nil if it is empty.
 func (d *decoder) data() []byte {
-	length := d.count(d.uint32(), 1)
+	length := d.checkedCount(d.uint32(), 1)
 	taken := d.take(length)
 	if len(taken) == 0 {
 		return nil
@@ -255,9 +261,9 @@
 func (d *decoder) configuration() Configuration {
 	voters := d.uint32()
 	learners := d.uint32()
-	voterCount := d.count(voters, memberIDSize)
+	voterCount := d.checkedCount(voters, memberIDSize)
 	configuration := Configuration{Voters: d.members(voterCount)}
-	learnerCount := d.count(learners, memberIDSize)
+	learnerCount := d.checkedCount(learners, memberIDSize)
 	configuration.Learners = d.members(learnerCount)
 	return configuration
 }
@@ -300,10 +306,10 @@
 		Reject:     header.Flags&flagReject != 0,
 		RejectHint: header.RejectHint,
 		Transfer:   header.Flags&flagTransfer != 0,
-		Unled:      header.Flags&flagUnled != 0,
+		Unanimous:  header.Flags&flagUnanimous != 0,
 		Sequence:   header.Sequence,
 	}
-	if count := d.count(header.EntryCount, entryHeaderSize); count > 0 {
+	if count := d.checkedCount(header.EntryCount, entryHeaderSize); count > 0 {
 		message.Entries = make([]Entry, count)
 		for i := range message.Entries {
 			message.Entries[i] = d.entry()
--- a/process/raft/election.go
+++ b/process/raft/election.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// promotable tells whether the member may campaign: it votes in the latest
-// configuration or in the committed one. The second matters for a member whose
-// removal is not committed: it may hold the only copy of that entry, and then
-// nobody else can win.
+// promotable reports whether the member may campaign, that is, whether it is a
+// voter in the latest or in the committed configuration. The committed one counts
+// because a member whose removal is not committed may hold the only copy of that
+// entry, and then no other member can win an election.
 func (n *Node) promotable() bool {
 	if n.configurations.latest().configuration.isVoter(n.config.ID) {
 		return true
@@ -16,70 +16,76 @@
 	return n.configurations.at(n.log.committed).isVoter(n.config.ID)
 }
 
-// refreshRole adapts the role to a configuration that was appended, replaced or
-// committed.
-func (n *Node) refreshRole() {
+// updateRole switches between Learner and Follower after a configuration was
+// appended, replaced or committed.
+func (n *Node) updateRole() {
 	promotable := n.promotable()
 	switch {
 	case n.role == Leader:
 		return
 	case !promotable:
 		n.role = Learner
-		n.ballots = nil
+		n.voteReplies = nil
 	case n.role == Learner:
 		n.role = Follower
 		n.resetElectionDeadline()
 	}
 }
 
-// leaseGuarded tells whether a vote could break a lease: the member leads, or
-// has within an election timeout heard from a leader or started.
-func (n *Node) leaseGuarded() bool {
+// leaseMayBeHeld reports whether granting a vote could break a leader's lease: the
+// member is the leader, or heard from a leader or started less than an election
+// timeout ago.
+func (n *Node) leaseMayBeHeld() bool {
 	return n.role == Leader || n.now < n.leaderContact+n.config.ElectionTimeout
 }
 
-// isUnled tells whether the member is guarded by its start alone: it may have promised a
-// lease just before, to whom it does not know, and has heard of no leader since.
-func (n *Node) isUnled() bool { return n.leaseGuarded() && n.role != Leader && !n.heardLeader }
+// onlyRecentStartBlocksVote reports whether leaseMayBeHeld holds only because the member
+// started recently: it may have acknowledged a lease of an unknown leader just before
+// the restart, and has not heard from any leader since.
+func (n *Node) onlyRecentStartBlocksVote() bool {
+	return n.leaseMayBeHeld() && n.role != Leader && !n.heardLeader
+}
 
-// Parts of an election timeout after which a member that is unled asks for votes: at
-// least one in unledLeast, and up to one in unledSpread more: some 200 ms of spread, where
-// an election takes 10, keep two from asking at once four times in five.
+// After a restart, while onlyRecentStartBlocksVote, the election delay is at least
+// ElectionTimeout/restartMinDelayDivisor plus a random part of up to
+// ElectionTimeout/restartDelaySpreadDivisor. The random part makes simultaneous
+// candidacies unlikely: with a spread of 200 ms and elections that take 10 ms they are
+// avoided in about four of five cases.
 const (
-	unledLeast  = 16
-	unledSpread = 2
+	restartMinDelayDivisor    = 16
+	restartDelaySpreadDivisor = 2
 )
 
-// resetElectionDeadline waits for between one and two election timeouts from now, and
-// for much less while the member is unled.
+// resetElectionDeadline sets the next election between one and two election timeouts
+// from now, or much sooner while onlyRecentStartBlocksVote.
 func (n *Node) resetElectionDeadline() {
 	timeout := n.config.ElectionTimeout
 	least, spread := timeout, timeout
-	if n.isUnled() {
-		least, spread = timeout/unledLeast, timeout/unledSpread
+	if n.onlyRecentStartBlocksVote() {
+		least, spread = timeout/restartMinDelayDivisor, timeout/restartDelaySpreadDivisor
 	}
 	n.electionDeadline = n.now + least + time.Duration(n.random.Int64N(int64(max(spread, 1))))
 }
 
-// becomeFollower enters term, where it is newer, and follows leader, None when
-// it is not known.
+// becomeFollower enters term if it is newer and follows leader, which is None if
+// unknown. The role becomes Learner if the member may not campaign.
 func (n *Node) becomeFollower(term uint64, leader MemberID) {
 	if term > n.term {
 		n.term = term
 		n.vote = None
 	}
-	wasActive := n.role == Leader || n.role == PreCandidate || n.role == Candidate
-	n.dropLeadership()
-	n.ballots = nil
+	ledOrCampaigned := n.role == Leader || n.role == PreCandidate || n.role == Candidate
+	n.endLeadership()
+	n.voteReplies = nil
 	n.leaderID = leader
 	n.role = Follower
-	if wasActive {
+	if ledOrCampaigned {
 		n.resetElectionDeadline()
 	}
-	n.refreshRole()
+	n.updateRole()
 }
 
-// followLeader records that the term's leader was heard.
+// followLeader records a message from the leader of the current term.
 func (n *Node) followLeader(leader MemberID) {
 	if n.role == PreCandidate || n.role == Candidate || n.leaderID != leader {
 		n.becomeFollower(n.term, leader)
@@ -89,41 +95,47 @@
 	n.resetElectionDeadline()
 }
 
-// startPreElection asks whether an election could be won, before the term is
-// raised for it, so that a member that was cut off disturbs nobody.
+// startPreElection sends pre-votes to find out whether an election could be won. If the
+// member's own vote suffices, it starts the election at once. The term is raised only
+// afterwards, so that a partitioned member does not disrupt the group when it
+// reconnects.
 func (n *Node) startPreElection() {
 	n.role = PreCandidate
 	n.leaderID = None
 	n.resetElectionDeadline()
-	n.ballots = map[MemberID]bool{n.config.ID: true}
-	n.unledVoters = map[MemberID]bool{}
-	if n.electionWon() {
+	n.voteReplies = map[MemberID]bool{n.config.ID: true}
+	n.unanimousGrants = map[MemberID]bool{}
+	if n.electionIsWon() {
 		n.startElection(electionByQuorum)
 		return
 	}
 	n.requestVotes(MessagePreVote, n.term+1, electionByQuorum)
 }
 
-// electionKind tells what a candidate may count on.
+// electionKind determines which votes a candidate needs and whether voters wait for a
+// lease to expire.
 type electionKind uint8
 
 const (
-	// electionByQuorum is won by a quorum of voters who have promised no lease.
+	// electionByQuorum needs a quorum of voters, each of which grants its vote only when
+	// it can no longer be bound by a leader's lease.
 	electionByQuorum electionKind = iota
-	// electionByTransfer is won by a quorum as well: the leader that holds the lease
-	// asked for it.
+	// electionByTransfer needs a quorum too; leases do not prevent votes because the
+	// leader that holds the lease requested the election.
 	electionByTransfer
-	// electionByAll is won by the votes of all voters, and is held where only their
-	// start keeps some of them from voting, as after a stop of the whole group.
+	// electionUnanimous needs the votes of all voters. It is used if some voters
+	// refuse other elections only because they started less than an election timeout
+	// ago, as after a restart of the whole group.
 	//
-	// Invariant: no lease is broken by it. Whoever holds a lease is a voter of the
-	// latest configuration or of the committed one, so it has voted as well, and a
-	// leader that votes in a later term leads no more.
-	electionByAll
+	// Invariant: it breaks no lease. A lease holder is a voter of the latest or of the
+	// committed configuration, so it has voted too, and a leader that votes in a later
+	// term steps down.
+	electionUnanimous
 )
 
-// startElection raises the term and asks for votes in it. The member's own vote
-// is synced with the Ready that lets the requests go.
+// startElection raises the term and requests votes in it. If the member's own vote
+// suffices, it becomes the leader at once. The member's own vote is synced as part of
+// the Ready that carries the requests.
 func (n *Node) startElection(kind electionKind) {
 	n.role = Candidate
 	n.election = kind
@@ -131,23 +143,23 @@
 	n.vote = n.config.ID
 	n.leaderID = None
 	n.resetElectionDeadline()
-	n.ballots = map[MemberID]bool{n.config.ID: true}
-	if n.electionWon() {
+	n.voteReplies = map[MemberID]bool{n.config.ID: true}
+	if n.electionIsWon() {
 		n.becomeLeader()
 		return
 	}
 	n.requestVotes(MessageVote, n.term, kind)
 }
 
-// preVoteQuestion names what the member's pre-votes ask for: a successor of the leader
-// that it heard last. Answers to further rounds of the same question add up, so that one
-// can be won where an answer takes longer than a round; once a leader was heard, what
-// others said before is out of date.
-func (n *Node) preVoteQuestion() uint64 { return uint64(n.leaderContact) }
+// preVoteID identifies the member's pre-votes since its last leader contact. It is the
+// time of that contact, so it changes with the next one and older replies become invalid.
+// Replies to all pre-votes with the same ID count together, so that a pre-election can be
+// won even if replies take longer than its election delay.
+func (n *Node) preVoteID() uint64 { return uint64(n.leaderContact) }
 
 func (n *Node) requestVotes(kind MessageKind, term uint64, election electionKind) {
 	voters := n.configurations.latest().configuration.Voters
-	if kind == MessagePreVote || election == electionByAll {
+	if kind == MessagePreVote || election == electionUnanimous {
 		voters = n.allVoters()
 	}
 	for _, voter := range voters {
@@ -155,23 +167,23 @@
 			continue
 		}
 		request := Message{
-			Kind:     kind,
-			To:       voter,
-			Term:     term,
-			Index:    n.log.lastIndex(),
-			LogTerm:  n.log.lastTerm(),
-			Transfer: election == electionByTransfer,
-			Unled:    election == electionByAll,
+			Kind:      kind,
+			To:        voter,
+			Term:      term,
+			Index:     n.log.lastIndex(),
+			LogTerm:   n.log.lastTerm(),
+			Transfer:  election == electionByTransfer,
+			Unanimous: election == electionUnanimous,
 		}
 		if kind == MessagePreVote {
-			request.Sequence = n.preVoteQuestion()
+			request.Sequence = n.preVoteID()
 		}
 		n.send(request)
 	}
 }
 
-// allVoters returns the voters of the latest configuration, and those of the committed
-// one that it lacks.
+// allVoters returns the union of the voters of the latest and the committed
+// configuration.
 func (n *Node) allVoters() []MemberID {
 	voters := slices.Clone(n.configurations.latest().configuration.Voters)
 	for _, voter := range n.configurations.at(n.log.committed).Voters {
@@ -182,10 +194,10 @@
 	return voters
 }
 
-// countBallots counts the answers of the latest configuration's voters.
-func (n *Node) countBallots() (granted, refused int) {
+// countVotes counts the replies of the voters in the latest configuration.
+func (n *Node) countVotes() (granted, refused int) {
 	for _, voter := range n.configurations.latest().configuration.Voters {
-		answer, answered := n.ballots[voter]
+		answer, answered := n.voteReplies[voter]
 		switch {
 		case answered && answer:
 			granted++
@@ -196,20 +208,21 @@
 	return granted, refused
 }
 
+// quorum returns the number of votes that form a majority of the latest configuration.
 func (n *Node) quorum() int {
 	return len(n.configurations.latest().configuration.Voters)/2 + 1
 }
 
-func (n *Node) electionWon() bool {
-	if n.role == Candidate && n.election == electionByAll {
-		return n.allGrant(n.ballots)
+func (n *Node) electionIsWon() bool {
+	if n.role == Candidate && n.election == electionUnanimous {
+		return n.grantedByAll(n.voteReplies)
 	}
-	granted, _ := n.countBallots()
+	granted, _ := n.countVotes()
 	return granted >= n.quorum()
 }
 
-// allGrant tells whether each voter has granted its vote, in one of the counts.
-func (n *Node) allGrant(counts ...map[MemberID]bool) bool {
+// grantedByAll reports whether each voter has granted its vote in at least one of counts.
+func (n *Node) grantedByAll(counts ...map[MemberID]bool) bool {
 	for _, voter := range n.allVoters() {
 		if !slices.ContainsFunc(counts, func(count map[MemberID]bool) bool { return count[voter] }) {
 			return false
@@ -218,27 +231,27 @@
 	return true
 }
 
-// electionLost tells whether the voters that are left can't make a quorum.
-func (n *Node) electionLost() bool {
-	_, refused := n.countBallots()
+// electionIsLost reports whether the voters that have not refused cannot form a quorum.
+func (n *Node) electionIsLost() bool {
+	_, refused := n.countVotes()
 	return len(n.configurations.latest().configuration.Voters)-refused < n.quorum()
 }
 
-// mayVote tells whether the member takes part in votes at all. One that was
-// never sent a configuration doesn't: its disk may be a lost one. A learner does
-// when asked, because a candidate counts it only where its promotion is already
-// in the candidate's log, and then its vote may be the one that is needed.
+// mayVote reports whether the member takes part in elections at all. A member that
+// never received a configuration doesn't, because it may have lost its disk. A
+// learner votes when asked: a candidate counts its vote only if the learner's
+// promotion is already in the candidate's log. In that case the vote may be needed.
 func (n *Node) mayVote() bool {
-	return !n.configurations.latest().configuration.blank()
+	return !n.configurations.latest().configuration.isEmpty()
 }
 
 func (n *Node) handlePreVote(m Message) {
 	if !n.mayVote() {
 		return
 	}
-	granted := m.Term > n.term && (!n.leaseGuarded() || n.isUnled()) && n.log.upToDate(m.LogTerm, m.Index)
+	granted := m.Term > n.term && (!n.leaseMayBeHeld() || n.onlyRecentStartBlocksVote()) && n.log.upToDate(m.LogTerm, m.Index)
 	if granted {
-		n.send(Message{Kind: MessagePreVoteReply, To: m.From, Term: m.Term, Sequence: m.Sequence, Unled: n.isUnled()})
+		n.send(Message{Kind: MessagePreVoteReply, To: m.From, Term: m.Term, Sequence: m.Sequence, Unanimous: n.onlyRecentStartBlocksVote()})
 		return
 	}
 	n.send(Message{Kind: MessagePreVoteReply, To: m.From, Sequence: m.Sequence, Reject: true})
@@ -251,41 +264,41 @@
 	if !m.Reject && m.Term != n.term+1 {
 		return
 	}
-	// Members of an earlier version do not repeat the question.
-	if m.Sequence != 0 && m.Sequence != n.preVoteQuestion() {
+	// Members of a version without pre-vote IDs reply with a zero Sequence.
+	if m.Sequence != 0 && m.Sequence != n.preVoteID() {
 		return
 	}
-	if m.Unled {
-		n.unledVoters[m.From] = true
+	if m.Unanimous {
+		n.unanimousGrants[m.From] = true
 	} else {
-		n.ballots[m.From] = !m.Reject
+		n.voteReplies[m.From] = !m.Reject
 	}
 	switch {
-	case n.electionWon():
+	case n.electionIsWon():
 		n.startElection(electionByQuorum)
-	case n.allGrant(n.ballots, n.unledVoters):
-		n.startElection(electionByAll)
-	case n.electionLost():
+	case n.grantedByAll(n.voteReplies, n.unanimousGrants):
+		n.startElection(electionUnanimous)
+	case n.electionIsLost():
 		n.becomeFollower(n.term, None)
 	}
 }
 
-// guardedFrom tells whether a vote for the candidate could break a lease.
-func (n *Node) guardedFrom(m Message) bool {
-	if m.Transfer || m.Unled && n.isUnled() {
+// voteMayBreakLease reports whether granting the vote request m could break a lease.
+func (n *Node) voteMayBreakLease(m Message) bool {
+	if m.Transfer || m.Unanimous && n.onlyRecentStartBlocksVote() {
 		return false
 	}
-	return n.leaseGuarded()
+	return n.leaseMayBeHeld()
 }
 
-// handleVote grants at most one vote a term. The vote is part of the HardState
+// handleVote grants at most one vote per term. The vote is part of the HardState
 // that is synced before the reply is sent.
 func (n *Node) handleVote(m Message) {
 	if !n.mayVote() {
 		return
 	}
-	free := n.vote == m.From || (n.vote == None && n.leaderID == None)
-	granted := free && !n.guardedFrom(m) && n.log.upToDate(m.LogTerm, m.Index)
+	mayGrant := n.vote == m.From || (n.vote == None && n.leaderID == None)
+	granted := mayGrant && !n.voteMayBreakLease(m) && n.log.upToDate(m.LogTerm, m.Index)
 	if granted {
 		n.vote = m.From
 		n.resetElectionDeadline()
@@ -297,11 +310,11 @@
 	if n.role != Candidate {
 		return
 	}
-	n.ballots[m.From] = !m.Reject
+	n.voteReplies[m.From] = !m.Reject
 	switch {
-	case n.electionWon():
+	case n.electionIsWon():
 		n.becomeLeader()
-	case n.electionLost(), n.election == electionByAll && m.Reject:
+	case n.electionIsLost(), n.election == electionUnanimous && m.Reject:
 		n.becomeFollower(n.term, None)
 	}
 }
--- a/process/raft/election_test.go
+++ b/process/raft/election_test.go
@@ -7,19 +7,19 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestVotes asks one member, whose log ends in (term 2, index 2), for its vote.
+// TestVotes requests a vote from a member whose log ends in (term 2, index 2).
 func TestVotes(t *testing.T) {
 	late := 3 * simElectionTimeout
 	cases := []struct {
-		name     string
-		message  Message
-		vote     MemberID
-		now      time.Duration
-		contact  time.Duration // a heartbeat of member 3 in term 2 at this time, if not zero
-		blank    bool
-		learner  bool
-		granted  bool
-		answered bool
+		name         string
+		message      Message
+		vote         MemberID
+		now          time.Duration
+		contact      time.Duration // time of a heartbeat from member 3 in term 2, if not zero
+		unconfigured bool
+		learner      bool
+		granted      bool
+		answered     bool
 	}{
 		{name: "longer log, same term", message: Message{Term: 2, LogTerm: 2, Index: 3}, now: late, granted: true, answered: true},
 		{name: "longer log", message: Message{Term: 3, LogTerm: 2, Index: 3}, now: late, granted: true, answered: true},
@@ -36,8 +36,8 @@
 		{name: "heard a leader a timeout ago", message: Message{Term: 3, LogTerm: 2, Index: 9}, now: late, contact: late - simElectionTimeout, granted: true, answered: true},
 		{name: "heard a leader, transfer", message: Message{Term: 3, LogTerm: 2, Index: 9, Transfer: true}, now: late, contact: late - 1, granted: true, answered: true},
 		{name: "heard a leader of the same term a timeout ago", message: Message{Term: 2, LogTerm: 2, Index: 9}, now: late, contact: late - simElectionTimeout, answered: true},
-		{name: "no configuration yet", message: Message{Term: 3, LogTerm: 2, Index: 9}, now: late, blank: true},
-		{name: "no configuration yet, same term", message: Message{Term: 2, LogTerm: 2, Index: 9}, now: late, blank: true},
+		{name: "no configuration yet", message: Message{Term: 3, LogTerm: 2, Index: 9}, now: late, unconfigured: true},
+		{name: "no configuration yet, same term", message: Message{Term: 2, LogTerm: 2, Index: 9}, now: late, unconfigured: true},
 		{name: "learner by its own log", message: Message{Term: 3, LogTerm: 2, Index: 9}, now: late, learner: true, granted: true, answered: true},
 	}
 	for _, c := range cases {
@@ -50,7 +50,7 @@
 			if c.learner {
 				initial.Configuration = Configuration{Voters: []MemberID{2}, Learners: []MemberID{1}}
 			}
-			if c.blank {
+			if c.unconfigured {
 				initial.Configuration = Configuration{}
 			}
 			node, err := New(testConfig(1), initial)
@@ -75,9 +75,9 @@
 	}
 }
 
-// A member may learn of a higher term by other messages than a vote request. The
-// lease that it promised to the leader before still binds it in that term.
-func TestLeaseBindsAlsoAfterTheTermHasRisen(t *testing.T) {
+// A member may learn of a higher term from messages other than vote requests. The lease
+// that it acknowledged before must still prevent it from voting in that term.
+func TestLeaseHoldsAfterTermIncrease(t *testing.T) {
 	node, err := New(testConfig(1), InitialState{Configuration: voters(1, 2, 3)})
 	must.NoError(t, err)
 	contact := 3 * simElectionTimeout
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestPreVoteChangesNothing(t *testing.T) {
+func TestPreVoteDoesNotChangeState(t *testing.T) {
 	node, err := New(testConfig(1), InitialState{Configuration: voters(1, 2, 3)})
 	must.NoError(t, err)
 	node.Tick(0)
@@ -101,7 +101,7 @@
 		must.NoError(t, node.Step(now, request))
 		replies, _ := drain(node)
 		must.False(t, replies[0].Reject)
-		must.Eq(t, now < simElectionTimeout, replies[0].Unled, must.Sprint("its start binds it against all but a vote of all voters"))
+		must.Eq(t, now < simElectionTimeout, replies[0].Unanimous, must.Sprint("after a start only a unanimous election is granted"))
 		must.Eq(t, HardState{}, node.hardState())
 	}
 	must.NoError(t, node.Step(simElectionTimeout, Message{Kind: MessageHeartbeat, From: 3, To: 1, Term: 1}))
@@ -109,19 +109,19 @@
 	request.Term = 2
 	must.NoError(t, node.Step(2*simElectionTimeout-1, request))
 	replies, _ := drain(node)
-	must.True(t, replies[0].Reject, must.Sprint("a leader that was heard binds it against any"))
-	must.False(t, replies[0].Unled)
+	must.True(t, replies[0].Reject, must.Sprint("after a heartbeat no pre-vote is granted"))
+	must.False(t, replies[0].Unanimous)
 }
 
-// Asked before a leader was heard, a voter may have said that it would vote. It has heard
-// that leader by now, perhaps, and its answer raises no term against it. Members of an
-// earlier version do not say to which question they answer; theirs count as before.
-func TestPreVoteFromBeforeALeaderWasHeardDoesNotCount(t *testing.T) {
+// A voter may grant a pre-vote before a leader is heard, and acknowledge that leader's
+// lease before its reply arrives. Such a late reply must not start an election. Replies
+// of members of an earlier version carry no sequence and are always counted.
+func TestPreVoteReplyFromBeforeLeaderContactIsIgnored(t *testing.T) {
 	for name, test := range map[string]struct {
 		answers func(asked Message) uint64
 		want    Role
 	}{
-		"asked before":                   {func(asked Message) uint64 { return asked.Sequence }, PreCandidate},
+		"earlier request":                {func(asked Message) uint64 { return asked.Sequence }, PreCandidate},
 		"a member of an earlier version": {func(Message) uint64 { return 0 }, Candidate},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -154,8 +154,8 @@
 	}
 }
 
-// A voter repeats which question it answers, however it answers.
-func TestPreVoteReplyNamesItsQuestion(t *testing.T) {
+// A voter echoes the request's sequence in its reply, granted or not.
+func TestPreVoteReplyEchoesSequence(t *testing.T) {
 	node, err := New(testConfig(1), InitialState{HardState: HardState{Term: 2}, Configuration: voters(1, 2, 3)})
 	must.NoError(t, err)
 	node.Tick(0)
@@ -185,35 +185,35 @@
 	}
 }
 
-func TestRefusedPreVoteOfTermZeroIsTaken(t *testing.T) {
+func TestRejectedPreVoteReplyOfTermZeroIsAccepted(t *testing.T) {
 	node, err := New(testConfig(1), InitialState{Configuration: voters(1, 2, 3)})
 	must.NoError(t, err)
 	must.NoError(t, node.Step(0, Message{Kind: MessagePreVoteReply, From: 2, To: 1, Reject: true}))
 }
 
-func TestMemberThatWasCutOffDisturbsNobody(t *testing.T) {
+func TestReconnectedMemberDoesNotDisruptLeader(t *testing.T) {
 	g := newGroup(t, 3)
 	g.isolate(3)
-	g.pass(10 * simElectionTimeout)
+	g.advanceTime(10 * simElectionTimeout)
 	must.Eq(t, PreCandidate, g.nodes[3].role)
 	must.Eq(t, 1, g.nodes[3].term)
-	g.keep = nil
-	g.pass(3 * simElectionTimeout)
+	g.filter = nil
+	g.advanceTime(3 * simElectionTimeout)
 	must.Eq(t, Status{ID: 3, Term: 1, Leader: 1, Commit: 1, Applied: 1, LastIndex: 1, Configuration: voters(1, 2, 3)}, g.nodes[3].Status())
 }
 
-// A member that lost its disk comes back under a new identity, and which of the two is gone
-// is told by who was active within an election timeout. A leader that was held up itself,
-// for its disk or by the machine, must not keep the old one active for longer: the new one
-// would pass for the one that was replaced, and be removed.
-func TestStallOfALeaderKeepsNobodyActive(t *testing.T) {
+// A member that lost its disk returns under a new ID, and callers use RecentlyActive to
+// tell that the old ID is the one to remove. If the leader stalls, because of its disk or
+// machine, the stall must not make the old ID count as active for longer. Otherwise the
+// new ID would be taken for the one that is gone and be removed.
+func TestLeaderStallDoesNotExtendMemberActivity(t *testing.T) {
 	g := newGroup(t, 3)
-	g.pass(simHeartbeatInterval)
+	g.advanceTime(simHeartbeatInterval)
 	g.isolate(3)
 	g.now += simElectionTimeout - 2*simHeartbeatInterval
 	g.nodes[1].Tick(g.now)
-	g.settle()
-	g.pass(3 * simHeartbeatInterval)
+	g.deliverAll()
+	g.advanceTime(3 * simHeartbeatInterval)
 	must.Eq(t, Leader, g.nodes[1].role)
 	active := g.nodes[1].Status().RecentlyActive
 	must.True(t, active[2])
@@ -229,7 +229,7 @@
 	must.Eq(t, Follower, g.nodes[1].role)
 }
 
-func TestOutdatedLeaderIsTold(t *testing.T) {
+func TestOutdatedLeaderLearnsNewTerm(t *testing.T) {
 	g := newGroup(t, 3)
 	node := g.nodes[1]
 	must.NoError(t, node.Step(g.now, Message{Kind: MessageHeartbeatReply, From: 2, To: 1, Term: 5, Reject: true}))
@@ -243,21 +243,21 @@
 	g := newGroup(t, 3)
 	must.ErrorIs(t, g.nodes[2].TransferLeadership(g.now, 1), ErrNotLeader)
 	must.ErrorIs(t, g.nodes[1].TransferLeadership(g.now, 9), ErrUnknownMember)
-	g.pass(simHeartbeatInterval)
+	g.advanceTime(simHeartbeatInterval)
 	must.True(t, g.nodes[1].LeaseValid(g.now))
 	must.NoError(t, g.nodes[1].TransferLeadership(g.now, 2))
 	must.False(t, g.nodes[1].LeaseValid(g.now))
 	must.ErrorIs(t, g.nodes[1].TransferLeadership(g.now, 3), ErrTransferPending)
 	_, _, err := g.nodes[1].Propose(g.now, nil)
 	must.ErrorIs(t, err, ErrTransferPending)
-	g.settle()
+	g.deliverAll()
 	must.Eq(t, Leader, g.nodes[2].role)
 	must.Eq(t, 2, g.nodes[1].leaderID)
 }
 
-// TestTransferThatFails ends in a new election where the target may still be
-// about to campaign, and otherwise leaves the leader in place.
-func TestTransferThatFails(t *testing.T) {
+// A transfer that times out ends the leader's term if the target was told to campaign and
+// may still do so. Otherwise the leader stays in place.
+func TestFailedTransfer(t *testing.T) {
 	cases := []struct {
 		name   string
 		behind bool
@@ -274,7 +274,7 @@
 			for range 5 {
 				g.now += simHeartbeatInterval
 				g.nodes[1].Tick(g.now)
-				g.settle()
+				g.deliverAll()
 			}
 			must.Eq(t, c.role, g.nodes[1].role)
 			must.Eq(t, c.role == Leader, g.nodes[1].LeaseValid(g.now))
@@ -282,7 +282,7 @@
 	}
 }
 
-// restart makes a member anew from what it has persisted.
+// restart replaces a member by a new node with the same persisted state.
 func (g *group) restart(id MemberID, configuration Configuration) {
 	old := g.nodes[id]
 	restarted, err := New(testConfig(id), InitialState{
@@ -292,7 +292,8 @@
 	g.nodes[id] = restarted
 }
 
-// timeToLeader passes time until one of the members leads.
+// timeToLeader advances time until there is a leader. It returns the leader and the
+// elapsed time.
 func (g *group) timeToLeader(limit time.Duration) (MemberID, time.Duration) {
 	start := g.now
 	for g.now < start+limit {
@@ -300,7 +301,7 @@
 		for _, id := range g.ids {
 			g.nodes[id].Tick(g.now)
 		}
-		g.settle()
+		g.deliverAll()
 		for _, id := range g.ids {
 			if g.nodes[id].role == Leader {
 				return id, g.now - start
@@ -310,12 +311,12 @@
 	return None, limit
 }
 
-// After a stop of the whole group nobody can hold a lease, and all say so: the
-// election timeout that each would wait by itself is not waited for.
-func TestGroupThatWasStoppedIsLedAgainAtOnce(t *testing.T) {
+// After a restart of the whole group no member holds a lease. All voters confirm this by
+// their votes, so that an election need not wait for the election timeout.
+func TestRestartedGroupElectsLeaderWithoutElectionTimeout(t *testing.T) {
 	g := newGroup(t, 5)
 	g.propose("before the stop")
-	g.settle()
+	g.deliverAll()
 	for _, id := range g.ids {
 		g.restart(id, voters(1, 2, 3, 4, 5))
 	}
@@ -324,8 +325,9 @@
 	must.Less(t, simElectionTimeout, took)
 }
 
-// One voter that says nothing may hold a lease: then the others wait it out.
-func TestSilentVoterIsWaitedFor(t *testing.T) {
+// A voter that does not respond may hold a lease, so the others must wait until it has
+// expired.
+func TestElectionWaitsForLeaseOfSilentVoter(t *testing.T) {
 	g := newGroup(t, 5)
 	g.isolate(1)
 	for _, id := range []MemberID{2, 3, 4, 5} {
@@ -337,7 +339,7 @@
 		for _, id := range []MemberID{2, 3, 4, 5} {
 			g.nodes[id].Tick(g.now)
 		}
-		g.settle()
+		g.deliverAll()
 		for _, id := range []MemberID{2, 3, 4, 5} {
 			must.NotEq(t, Leader, g.nodes[id].role)
 		}
@@ -349,15 +351,15 @@
 			for _, other := range []MemberID{2, 3, 4, 5} {
 				g.nodes[other].Tick(g.now)
 			}
-			g.settle()
-			must.NotEq(t, Leader, g.nodes[id].role, must.Sprint("not before an election timeout has passed"))
+			g.deliverAll()
+			must.NotEq(t, Leader, g.nodes[id].role, must.Sprint("no leader before an election timeout has passed"))
 		}
 	}
 }
 
-// A leader that is there keeps its lease, however many of the others have restarted:
-// it gives no vote, and an election of all needs it.
-func TestElectionOfAllBreaksNoLease(t *testing.T) {
+// A running leader keeps its lease even if all other members have restarted: it grants no
+// vote, and a unanimous election needs its vote.
+func TestUnanimousElectionPreservesLease(t *testing.T) {
 	g := newGroup(t, 5)
 	for _, id := range []MemberID{2, 3, 4, 5} {
 		g.restart(id, voters(1, 2, 3, 4, 5))
@@ -367,7 +369,7 @@
 		g.nodes[id].electionDeadline = g.now
 		g.nodes[id].Tick(g.now)
 	}
-	g.settle()
+	g.deliverAll()
 	must.Eq(t, Leader, g.nodes[1].role)
 	must.Eq(t, 1, g.nodes[1].term)
 	for _, id := range []MemberID{2, 3, 4, 5} {
@@ -375,9 +377,10 @@
 	}
 }
 
-// A quorum's votes are not enough where the voters' starts alone would have kept them
-// from voting: one of the others may hold a lease that it was asked too late to give up.
-func TestElectionOfAllWantsAllVotes(t *testing.T) {
+// A quorum is not enough if the voters could not vote otherwise because of their recent
+// start: one of the remaining voters may hold a lease that it gives up only when it
+// receives the vote request.
+func TestUnanimousElectionNeedsAllVotes(t *testing.T) {
 	node, err := New(testConfig(1), InitialState{Configuration: voters(1, 2, 3)})
 	must.NoError(t, err)
 	node.Tick(0)
@@ -385,7 +388,7 @@
 	node.Tick(0)
 	for _, from := range []MemberID{2, 3} {
 		must.Eq(t, PreCandidate, node.role)
-		must.NoError(t, node.Step(0, Message{Kind: MessagePreVoteReply, From: from, To: 1, Term: 1, Unled: true}))
+		must.NoError(t, node.Step(0, Message{Kind: MessagePreVoteReply, From: from, To: 1, Term: 1, Unanimous: true}))
 	}
 	must.Eq(t, Candidate, node.role)
 	must.NoError(t, node.Step(0, Message{Kind: MessageVoteReply, From: 2, To: 1, Term: 1}))
--- a/process/raft/example_test.go
+++ b/process/raft/example_test.go
@@ -7,8 +7,8 @@
 	"github.com/landingtrail/landingtrail/process/raft"
 )
 
-// Example embeds a group of one member. A daemon does the same with a real disk,
-// network and clock: persist, send, apply, advance.
+// Example runs a group of one member. A daemon does the same with a real disk, network
+// and clock: persist, send, apply, advance.
 func Example() {
 	node, err := raft.New(raft.Config{
 		ID:                1,
@@ -53,8 +53,8 @@
 	// entries on disk: 2 lease: true
 }
 
-// A leader that is cut off loses its lease before any other member can win an
-// election: whoever checks LeaseValid after its work acts as the only leader.
+// A partitioned leader loses its lease before any other member can win an election, so
+// a member that checks LeaseValid after its work is the only one that acts as leader.
 func ExampleNode_LeaseValid() {
 	const tick = 10 * time.Millisecond
 	nodes := make(map[raft.MemberID]*raft.Node)
@@ -68,8 +68,9 @@
 		}, raft.InitialState{Configuration: configuration})
 	}
 	now := time.Duration(0)
-	cutOff := raft.None
-	// step lets one tick pass and carries all messages of members not cut off.
+	partitioned := raft.None
+	// step advances time by one tick and delivers all messages except those from and
+	// to the partitioned member.
 	step := func() {
 		now += tick
 		for _, id := range configuration.Voters {
@@ -81,7 +82,7 @@
 				for nodes[id].HasReady() {
 					ready := nodes[id].Ready() // persist, then send
 					for _, message := range ready.Messages {
-						if message.From != cutOff && message.To != cutOff {
+						if message.From != partitioned && message.To != partitioned {
 							_ = nodes[message.To].Step(now, message)
 						}
 					}
@@ -103,15 +104,15 @@
 	for len(holders()) == 0 {
 		step()
 	}
-	cutOff = holders()[0]
-	for len(holders()) > 0 && holders()[0] == cutOff {
+	partitioned = holders()[0]
+	for len(holders()) > 0 && holders()[0] == partitioned {
 		step()
 	}
 	fmt.Println("holders after the old lease:", len(holders()))
 	for len(holders()) == 0 {
 		step()
 	}
-	fmt.Println("holders after the election:", len(holders()), "the old one:", holders()[0] == cutOff)
+	fmt.Println("holders after the election:", len(holders()), "the old one:", holders()[0] == partitioned)
 	// Output:
 	// holders after the old lease: 0
 	// holders after the election: 1 the old one: false
--- a/process/raft/harness_test.go
+++ b/process/raft/harness_test.go
@@ -19,19 +19,20 @@
 
 func voters(ids ...MemberID) Configuration { return Configuration{Voters: ids} }
 
-// group is members whose messages are delivered at once, in order, unless keep
-// says otherwise; its clock moves only by hand.
+// group is a set of members whose messages are delivered immediately and in order if
+// they pass filter. Its clock advances only explicitly.
 type group struct {
-	t     testing.TB
-	now   time.Duration
-	nodes map[MemberID]*Node
-	ids   []MemberID
-	keep  func(Message) bool // nil delivers everything
-	seen  []Message
-	reads []ReadState
+	t            testing.TB
+	now          time.Duration
+	nodes        map[MemberID]*Node
+	ids          []MemberID
+	filter       func(Message) bool // nil delivers everything
+	sentMessages []Message
+	reads        []ReadState
 }
 
-// newGroup starts count voters, of which member 1 leads, and one blank member.
+// newGroup starts count voters with member 1 as leader, and one more member, number
+// count+1, without a configuration.
 func newGroup(t testing.TB, count int, adjust ...func(*Config)) *group {
 	g := &group{t: t, nodes: make(map[MemberID]*Node)}
 	configuration := Configuration{}
@@ -55,13 +56,13 @@
 	}
 	g.now = 2 * simElectionTimeout
 	g.nodes[1].Tick(g.now)
-	g.settle()
+	g.deliverAll()
 	must.Eq(t, Leader, g.nodes[1].role)
 	must.True(t, g.nodes[1].committedInTerm())
 	return g
 }
 
-// drain carries out all Readys of a node and returns their messages.
+// drain processes all Readys of a node and returns their messages and reads.
 func drain(n *Node) (messages []Message, reads []ReadState) {
 	for n.HasReady() {
 		ready := n.Ready()
@@ -72,8 +73,8 @@
 	return messages, reads
 }
 
-// settle delivers messages until nobody has anything to say.
-func (g *group) settle() {
+// deliverAll delivers messages until there are none left.
+func (g *group) deliverAll() {
 	for busy := true; busy; {
 		busy = false
 		for _, id := range g.ids {
@@ -81,8 +82,8 @@
 			g.reads = append(g.reads, reads...)
 			for _, message := range messages {
 				busy = true
-				g.seen = append(g.seen, message)
-				if g.keep == nil || g.keep(message) {
+				g.sentMessages = append(g.sentMessages, message)
+				if g.filter == nil || g.filter(message) {
 					must.NoError(g.t, g.nodes[message.To].Step(g.now, message))
 				}
 			}
@@ -90,40 +91,43 @@
 	}
 }
 
-// pass lets time go by in heartbeats that all members notice.
-func (g *group) pass(length time.Duration) {
+// advanceTime advances the clock by heartbeat intervals and ticks all members.
+func (g *group) advanceTime(length time.Duration) {
 	for end := g.now + length; g.now < end; {
 		g.now += simHeartbeatInterval
 		for _, id := range g.ids {
 			g.nodes[id].Tick(g.now)
 		}
-		g.settle()
+		g.deliverAll()
 	}
 }
 
+// propose proposes a command on member 1.
 func (g *group) propose(data string) {
 	_, _, err := g.nodes[1].Propose(g.now, []byte(data))
 	must.NoError(g.t, err)
 }
 
+// change proposes a configuration change on member 1.
 func (g *group) change(kind ChangeKind, member MemberID) {
 	_, _, err := g.nodes[1].ProposeChange(g.now, ConfigurationChange{kind, member})
 	must.NoError(g.t, err)
 }
 
-// isolate loses all messages from and to the members.
+// isolate drops all messages from and to the given members, instead of the previous
+// filter.
 func (g *group) isolate(ids ...MemberID) {
-	g.keep = func(m Message) bool { return !slices.Contains(ids, m.From) && !slices.Contains(ids, m.To) }
+	g.filter = func(m Message) bool { return !slices.Contains(ids, m.From) && !slices.Contains(ids, m.To) }
 }
 
-// sent counts the messages of a kind since the last call.
-func (g *group) sent(kind MessageKind) int {
+// countSent returns the number of messages of a kind sent since the last call.
+func (g *group) countSent(kind MessageKind) int {
 	count := 0
-	for _, message := range g.seen {
+	for _, message := range g.sentMessages {
 		if message.Kind == kind {
 			count++
 		}
 	}
-	g.seen = nil
+	g.sentMessages = nil
 	return count
 }
--- a/process/raft/node.go
+++ b/process/raft/node.go
@@ -7,26 +7,27 @@
 	"github.com/pkg/errors"
 )
 
-// Defaults of limits that a Config leaves at zero.
+// Defaults for Config limits that are zero.
 const (
 	defaultMaxEntriesBytes     = 1 << 20
 	defaultMaxInflight         = 64
 	defaultMaxUncommittedBytes = 64 << 20
-	// snapshotRetryTimeouts is the default SnapshotRetry in election timeouts.
+	// snapshotRetryTimeouts is the default SnapshotRetry, in election timeouts.
 	snapshotRetryTimeouts = 4
 )
 
-// Node is one member's protocol state. It is not safe for concurrent use: the
-// caller owns it, and calls its methods from one goroutine at a time.
+// Node is the protocol state of one member. It is not safe for concurrent use: its
+// methods must be called from one goroutine at a time.
 //
-// Every method that takes now wants a reading of the same monotonic clock, taken
-// after the caller received what it passes in. An earlier reading would date a
-// heartbeat back, and the member would break the lease it promised by answering.
+// Methods that take now need a reading of the same monotonic clock, as the time since
+// any fixed origin. The clock must be read after the message that is passed in was
+// received. With an earlier reading the member would record a heartbeat as older than it
+// is, and could vote before the lease that it acknowledged has expired.
 type Node struct {
 	config  Config
 	random  *rand.Rand
 	now     time.Duration
-	started bool // now has been set by a call
+	started bool // now has been set
 
 	term     uint64
 	vote     MemberID
@@ -36,25 +37,26 @@
 	log            *entryLog
 	configurations configurationHistory
 
-	// leaderContact is when the member last heard from a leader; a start counts
-	// as well, since the member may have answered a heartbeat just before it.
+	// leaderContact is when the member last heard from a leader. Its start counts
+	// too, because it may have answered a heartbeat just before a restart.
 	leaderContact    time.Duration
-	heardLeader      bool // since the start, or was it
+	heardLeader      bool // has heard from a leader, or been one, since the start
 	electionDeadline time.Duration
-	ballots          map[MemberID]bool // answers in the running election or pre-election
-	unledVoters      map[MemberID]bool // who would vote if all others do, in a pre-election
-	election         electionKind      // the running one, of a Candidate
+	voteReplies      map[MemberID]bool // replies in the current election or pre-election
+	unanimousGrants  map[MemberID]bool // voters that granted a pre-vote only for a unanimous election
+	election         electionKind      // of the current election, while Candidate
 	leadership       *leadership       // nil unless role is Leader
 
-	messages        []Message
-	readStates      []ReadState
-	abortedReads    []uint64
-	handedHardState HardState
-	outstanding     bool // a Ready waits for its Advance
+	messages         []Message
+	readStates       []ReadState
+	abortedReads     []uint64
+	emittedHardState HardState
+	awaitingAdvance  bool // a Ready was returned and its Advance is due
 }
 
-// New returns a Node that goes on where initial was left. It fails with
-// ErrInvalidConfig, or with ErrInvalidState where initial contradicts itself.
+// New returns a Node that resumes from initial. It fails with ErrInvalidConfig, or
+// with ErrInvalidState if initial is inconsistent. initial must not be modified
+// afterwards, because the node shares its memory.
 func New(config Config, initial InitialState) (*Node, error) {
 	config = config.withDefaults()
 	if err := config.validate(); err != nil {
@@ -65,12 +67,12 @@
 		return nil, err
 	}
 	node := &Node{
-		config:          config,
-		random:          rand.New(rand.NewPCG(config.Seed, uint64(config.ID))),
-		term:            initial.HardState.Term,
-		vote:            initial.HardState.Vote,
-		log:             newEntryLog(initial.Snapshot, entries, initial.HardState.Commit),
-		handedHardState: initial.HardState,
+		config:           config,
+		random:           rand.New(rand.NewPCG(config.Seed, uint64(config.ID))),
+		term:             initial.HardState.Term,
+		vote:             initial.HardState.Vote,
+		log:              newEntryLog(initial.Snapshot, entries, initial.HardState.Commit),
+		emittedHardState: initial.HardState,
 	}
 	node.configurations = newConfigurationHistory(0, initial.Configuration.clone())
 	if initial.Snapshot.Index > 0 {
@@ -79,7 +81,7 @@
 	if err := node.configurations.addEntries(entries); err != nil {
 		return nil, errors.Wrap(ErrInvalidState, err.Error())
 	}
-	node.refreshRole()
+	node.updateRole()
 	return node, nil
 }
 
@@ -99,8 +101,9 @@
 	return c
 }
 
-// validate checks what safety and liveness rest on: the lease must run out
-// before a follower that promised it votes again, and must outlast a heartbeat.
+// validate checks the conditions for safety and liveness: the lease must expire before
+// a follower that acknowledged it may vote again, and must be longer than the
+// heartbeat interval.
 func (c Config) validate() error {
 	switch {
 	case c.ID == None:
@@ -118,6 +121,7 @@
 	}
 }
 
+// entriesAfter returns the entries with an index greater than index.
 func entriesAfter(entries []Entry, index uint64) []Entry {
 	for len(entries) > 0 && entries[0].Index <= index {
 		entries = entries[1:]
@@ -125,26 +129,26 @@
 	return entries
 }
 
-// validate checks initial with the entries after its snapshot.
+// validate checks s, of which entries are those after the snapshot.
 func (s InitialState) validate(entries []Entry) error {
 	if !consecutive(entries, s.Snapshot.Index, s.Snapshot.Term, s.HardState.Term) {
-		return errors.Wrap(ErrInvalidState, "entries are not consecutive")
+		return errors.Wrap(ErrInvalidState, "entries are not consecutive or have invalid terms")
 	}
 	last := s.Snapshot.Index + uint64(len(entries))
 	if s.HardState.Commit > last {
 		return errors.Wrapf(ErrInvalidState, "commit index %d is beyond the last entry %d", s.HardState.Commit, last)
 	}
 	if s.Snapshot.Term > s.HardState.Term {
-		return errors.Wrap(ErrInvalidState, "snapshot is of a later term than the member")
+		return errors.Wrap(ErrInvalidState, "snapshot has a higher term than the hard state")
 	}
 	if !s.Configuration.consistent() || !s.Snapshot.Configuration.consistent() {
-		return errors.Wrap(ErrInvalidState, "configuration names a member twice or None")
+		return errors.Wrap(ErrInvalidState, "configuration lists a member twice, or None")
 	}
 	return nil
 }
 
-// consecutive tells whether entries follow the position (term, index) one by
-// one with terms that rise from its term to at most maxTerm.
+// consecutive reports whether entries directly follow the position (index, term),
+// with consecutive indexes and non-decreasing terms of at most maxTerm.
 func consecutive(entries []Entry, index, term, maxTerm uint64) bool {
 	for _, entry := range entries {
 		index++
@@ -156,8 +160,8 @@
 	return true
 }
 
-// observe moves the node's clock forward. The first reading starts it.
-func (n *Node) observe(now time.Duration) {
+// advanceClock moves the node's clock forward to now. The first reading starts it.
+func (n *Node) advanceClock(now time.Duration) {
 	if !n.started {
 		n.started = true
 		n.now = now
@@ -168,10 +172,11 @@
 	n.now = max(n.now, now)
 }
 
-// Tick lets time pass: elections, heartbeats, check-quorum and retries are due
-// by durations, so it may be called as often or as seldom as the caller likes.
+// Tick runs time-based work: elections, heartbeats, check-quorum and retries. All of
+// it is scheduled by durations, so Tick may be called at any rate. Election delays count
+// from the first call of a method that takes now.
 func (n *Node) Tick(now time.Duration) {
-	n.observe(now)
+	n.advanceClock(now)
 	if n.role == Leader {
 		n.tickLeader()
 		return
@@ -181,15 +186,16 @@
 	}
 }
 
-// Step takes in one message. Errors: ErrWrongMember, ErrInvalidMessage and
-// ErrDiverged; each leaves the node unchanged but for its clock.
+// Step processes one received message, whose memory the node may keep. Errors:
+// ErrWrongMember, ErrInvalidMessage and ErrDiverged; each leaves the node unchanged
+// except for its clock.
 func (n *Node) Step(now time.Duration, m Message) error {
-	n.observe(now)
-	if err := n.check(m); err != nil {
+	n.advanceClock(now)
+	if err := n.validateMessage(m); err != nil {
 		return err
 	}
 	if m.Term < n.term {
-		n.answerOldTerm(m)
+		n.replyToOldTerm(m)
 		return nil
 	}
 	if m.Term > n.term && !n.enterTerm(m) {
@@ -198,32 +204,34 @@
 	return n.dispatch(m)
 }
 
-// check refuses what no member sends, before anything is changed by it.
-func (n *Node) check(m Message) error {
+// validateMessage rejects messages that no correct member sends, before they change
+// any state.
+func (n *Node) validateMessage(m Message) error {
 	if m.To != n.config.ID {
-		return errors.Wrapf(ErrWrongMember, "%d", m.To)
+		return errors.Wrapf(ErrWrongMember, "member %d", m.To)
 	}
-	// Only a refused pre-vote may come from a member that never saw an election.
+	// A member that never entered a term has term 0 and sends only rejected pre-votes.
 	noTerm := m.Term == 0 && m.Kind != MessagePreVoteReply
 	if m.From == None || m.From == n.config.ID || !m.Kind.valid() || noTerm {
 		return errors.Wrapf(ErrInvalidMessage, "kind %d from %d in term %d", m.Kind, m.From, m.Term)
 	}
 	if m.Kind.fromLeader() && m.Term == n.term && n.role == Leader {
-		return errors.Wrapf(ErrDiverged, "member %d leads term %d as well", m.From, m.Term)
+		return errors.Wrapf(ErrDiverged, "member %d claims to lead term %d too", m.From, m.Term)
 	}
 	switch m.Kind {
 	case MessageAppend:
-		return n.checkAppend(m)
+		return n.validateAppend(m)
 	case MessageSnapshot:
-		return n.checkSnapshot(m)
+		return n.validateSnapshot(m)
 	default:
 		return nil
 	}
 }
 
-// answerOldTerm tells the sender of the newer term where that helps: an outdated
-// leader then steps down, an outdated candidate catches up.
-func (n *Node) answerOldTerm(m Message) {
+// replyToOldTerm replies to messages of an older term so that their sender learns the
+// current one: an outdated leader then steps down, an outdated candidate enters the
+// current term.
+func (n *Node) replyToOldTerm(m Message) {
 	switch m.Kind {
 	case MessagePreVote:
 		n.send(Message{Kind: MessagePreVoteReply, To: m.From, Sequence: m.Sequence, Reject: true})
@@ -236,18 +244,18 @@
 	}
 }
 
-// enterTerm follows m into its higher term, unless its kind or the lease forbids
-// that. It reports whether m is to be looked at further.
+// enterTerm enters the higher term of m, unless the kind of m or a lease prevents it.
+// It reports whether m should be processed.
 func (n *Node) enterTerm(m Message) bool {
 	switch m.Kind {
 	case MessagePreVote:
-		return true // asks about a term that nobody has entered
+		return true // asks about a term that no member has entered
 	case MessagePreVoteReply:
 		if !m.Reject {
-			return true // its term is the one asked for
+			return true // its term is the requested one
 		}
 	case MessageVote:
-		if n.guardedFrom(m) {
+		if n.voteMayBreakLease(m) {
 			return false
 		}
 	}
@@ -259,6 +267,8 @@
 	return true
 }
 
+// dispatch passes a valid message of the current term to the handler of its kind. Pre-votes
+// and their replies may be of a higher term.
 func (n *Node) dispatch(m Message) error {
 	switch m.Kind {
 	case MessagePreVote:
@@ -285,7 +295,7 @@
 	return nil
 }
 
-// send queues m for the next Ready. Term zero stands for the current term.
+// send queues m for the next Ready. A zero Term is replaced by the current term.
 func (n *Node) send(m Message) {
 	m.From = n.config.ID
 	if m.Term == 0 {
@@ -294,7 +304,7 @@
 	n.messages = append(n.messages, m)
 }
 
-// Status returns a copy of the public state.
+// Status returns a copy of the node's public state.
 func (n *Node) Status() Status {
 	status := Status{
 		ID:            n.config.ID,
--- a/process/raft/replication.go
+++ b/process/raft/replication.go
@@ -6,12 +6,12 @@
 	"github.com/pkg/errors"
 )
 
-// Propose appends a command of the leader. The entry (term, index) is the
-// proposal's as soon as it is committed under just this term and index; it may
-// also be lost. Errors: ErrNotLeader, ErrTransferPending and ErrOverloaded.
-// data must not be written to afterwards.
+// Propose appends a command to the leader's log and returns the term and index of its
+// entry. The proposal succeeded if the entry committed at index has this term; if an
+// entry of another term is committed there, it was lost. data must not be modified
+// afterwards. Errors: ErrNotLeader, ErrTransferPending and ErrOverloaded.
 func (n *Node) Propose(now time.Duration, data []byte) (term, index uint64, err error) {
-	n.observe(now)
+	n.advanceClock(now)
 	if n.role != Leader {
 		return 0, 0, ErrNotLeader
 	}
@@ -23,12 +23,13 @@
 	if pending > 0 && pending+size > n.config.MaxUncommittedBytes {
 		return 0, 0, ErrOverloaded
 	}
-	return n.term, n.appendOwn(EntryCommand, data), nil
+	return n.term, n.appendAsLeader(EntryCommand, data), nil
 }
 
-// appendOwn appends one entry of the leader's term. It counts towards the quorum
-// only when Advance has told that it is synced.
-func (n *Node) appendOwn(kind EntryKind, data []byte) uint64 {
+// appendAsLeader appends one entry in the leader's term and returns its index. The
+// leader counts itself towards the entry's quorum only after Advance has reported the
+// entry as synced.
+func (n *Node) appendAsLeader(kind EntryKind, data []byte) uint64 {
 	entry := Entry{Term: n.term, Index: n.log.lastIndex() + 1, Kind: kind, Data: data}
 	n.log.append(entry)
 	n.leadership.uncommittedBytes += entry.size()
@@ -36,9 +37,10 @@
 	return entry.Index
 }
 
-// flush sends what the leader owes its followers. It runs when the caller asks
-// for a Ready, so that proposals made since the last one travel together.
-func (n *Node) flush() {
+// queueLeaderMessages queues the heartbeats and append messages that are due. It runs
+// when the caller requests a Ready, so that proposals made since the last one are
+// batched.
+func (n *Node) queueLeaderMessages() {
 	if n.leadership == nil {
 		return
 	}
@@ -54,22 +56,22 @@
 	}
 }
 
-// sendAppends sends messages until the member has all entries or flow control
-// says stop.
+// sendAppends sends append messages until the member has been sent all entries or flow
+// control blocks.
 func (n *Node) sendAppends(member MemberID, p *progress) {
-	for !p.blocked(n.config.MaxInflight) && p.wants(n.log.lastIndex(), n.log.committed) {
+	for !p.blocked(n.config.MaxInflight) && p.needsAppend(n.log.lastIndex(), n.log.committed) {
 		previousTerm, kept := n.log.term(p.next - 1)
 		if !kept {
 			n.sendSnapshot(member, p)
 			return
 		}
 		lastSent := n.sendEntries(member, p.next-1, previousTerm)
-		p.sent(lastSent, n.log.committed)
+		p.recordAppendSent(lastSent, n.log.committed)
 	}
 }
 
-// sendEntries sends the entries that follow the position (term, index), as far
-// as one message holds them. It returns the index of the last one.
+// sendEntries sends one message with the entries that follow the position (index,
+// term), up to the message size limit. It returns the index of the last one.
 func (n *Node) sendEntries(member MemberID, index, term uint64) uint64 {
 	entries := n.log.batch(index+1, n.config.MaxEntriesBytes)
 	n.send(Message{
@@ -83,29 +85,30 @@
 	return index + uint64(len(entries))
 }
 
-// checkAppend refuses entries that don't follow each other, can't be decoded or
-// contradict committed ones.
-func (n *Node) checkAppend(m Message) error {
+// validateAppend rejects entries that are not consecutive, that have an invalid
+// configuration or that contradict committed entries.
+func (n *Node) validateAppend(m Message) error {
 	if m.LogTerm > m.Term || !consecutive(m.Entries, m.Index, m.LogTerm, m.Term) {
-		return errors.Wrap(ErrInvalidMessage, "entries are not consecutive")
+		return errors.Wrap(ErrInvalidMessage, "entries are not consecutive or have invalid terms")
 	}
 	for _, entry := range m.Entries {
 		if entry.Kind != EntryConfig {
 			continue
 		}
 		configuration, err := DecodeConfiguration(entry.Data)
-		if err != nil || configuration.blank() || !configuration.consistent() {
-			return errors.Wrapf(ErrInvalidMessage, "configuration at index %d", entry.Index)
+		if err != nil || configuration.isEmpty() || !configuration.consistent() {
+			return errors.Wrapf(ErrInvalidMessage, "invalid configuration at index %d", entry.Index)
 		}
 	}
 	if m.Term < n.term {
 		return nil
 	}
-	return n.checkCommitted(m)
+	return n.validateAgainstCommitted(m)
 }
 
-// checkCommitted compares m with the committed entries that are kept.
-func (n *Node) checkCommitted(m Message) error {
+// validateAgainstCommitted returns ErrDiverged if m contradicts committed entries that
+// are still in memory.
+func (n *Node) validateAgainstCommitted(m Message) error {
 	if n.contradictsCommitted(m.LogTerm, m.Index) {
 		return errors.Wrapf(ErrDiverged, "index %d from member %d", m.Index, m.From)
 	}
@@ -121,8 +124,8 @@
 	if index > n.log.committed {
 		return false
 	}
-	own, kept := n.log.term(index)
-	return kept && own != term
+	ownTerm, kept := n.log.term(index)
+	return kept && ownTerm != term
 }
 
 func (n *Node) handleAppend(m Message) error {
@@ -131,12 +134,12 @@
 	lastSent := m.Index + uint64(len(m.Entries))
 	switch {
 	case lastSent <= n.log.committed:
-		// An old message. All through the commit index matches anyway.
+		// An old message; the log matches up to the commit index in any case.
 		reply.Index = n.log.committed
 	case m.Index >= n.log.committed && !n.log.matches(m.LogTerm, m.Index):
 		reply.Reject = true
 		reply.Index = m.Index
-		reply.RejectHint, reply.LogTerm = n.log.lastAtOrBelow(m.Index, m.LogTerm)
+		reply.RejectHint, reply.LogTerm = n.log.lastWithIndexAndTermAtMost(m.Index, m.LogTerm)
 	default:
 		n.acceptEntries(entriesAfter(m.Entries, n.log.committed))
 		n.commitTo(min(m.Commit, lastSent))
@@ -146,24 +149,24 @@
 	return nil
 }
 
-// acceptEntries takes over the entries from the first one on that the log
-// doesn't have. Later ones of the log stay when there is no conflict: the
-// message may be older than they are.
+// acceptEntries stores the entries from the first one that is missing from the log. If
+// there is none, later entries in the log are kept, because the message may be older
+// than they are.
 func (n *Node) acceptEntries(entries []Entry) {
-	fresh := entries[n.log.firstConflict(entries):]
-	if len(fresh) == 0 {
+	missing := entries[n.log.firstConflict(entries):]
+	if len(missing) == 0 {
 		return
 	}
-	n.configurations.truncateFrom(fresh[0].Index)
-	n.log.replaceFrom(fresh)
-	if err := n.configurations.addEntries(fresh); err != nil {
-		panic(errors.Wrap(err, "raft: a checked configuration doesn't decode"))
+	n.configurations.truncateFrom(missing[0].Index)
+	n.log.replaceFrom(missing)
+	if err := n.configurations.addEntries(missing); err != nil {
+		panic(errors.Wrap(err, "raft: validated configuration cannot be decoded"))
 	}
-	n.refreshRole()
+	n.updateRole()
 }
 
 func (n *Node) handleAppendReply(m Message) {
-	p := n.activeProgress(m.From)
+	p := n.recordReplyFrom(m.From)
 	if p == nil {
 		return
 	}
@@ -172,41 +175,42 @@
 		return
 	}
 	if m.Index > n.log.lastIndex() {
-		return // no message of this term can have led to that
+		return // no message of this term can cause such a reply
 	}
-	raised := p.acknowledge(m.Index)
-	p.settle()
+	matchIncreased := p.recordAcknowledged(m.Index)
+	p.finishProbeOrSnapshot()
 	n.leadership.appendsDue = true
-	if raised {
+	if matchIncreased {
 		n.maybeCommit()
 	}
 	n.continueTransfer(m.From)
 }
 
-// activeProgress records that member answered. It returns nil when the node
-// doesn't lead or doesn't know the member.
-func (n *Node) activeProgress(member MemberID) *progress {
+// recordReplyFrom records that member replied and returns its progress. It returns nil
+// if the node isn't the leader or doesn't track the member.
+func (n *Node) recordReplyFrom(member MemberID) *progress {
 	if n.leadership == nil {
 		return nil
 	}
 	p := n.leadership.progress[member]
 	if p != nil {
-		p.reply(n.now)
+		p.recordReply(n.now)
 	}
 	return p
 }
 
-// backtrack looks for the matching index further down. Both sides skip whole
-// terms: the hint is the highest index at which the follower's term is not above
-// the one that was offered, and the leader does the same with the hint.
+// backtrack continues the search for the matching index at a lower one. Leader and
+// follower both skip all entries of a term at once: the follower's hint is its highest
+// index whose term is not greater than the one in the rejected message, and the leader
+// does the same with the hint's term.
 func (n *Node) backtrack(p *progress, m Message) {
 	if p.state == progressSnapshot || m.Index <= p.match {
 		return
 	}
 	if p.state == progressProbe && m.Index != p.next-1 {
-		return // an answer to an earlier probe
+		return // a reply to an earlier probe
 	}
-	candidate, _ := n.log.lastAtOrBelow(m.RejectHint, m.LogTerm)
+	candidate, _ := n.log.lastWithIndexAndTermAtMost(m.RejectHint, m.LogTerm)
 	if m.RejectHint < n.log.baseIndex {
 		candidate = m.RejectHint
 	}
@@ -214,36 +218,37 @@
 	n.leadership.appendsDue = true
 }
 
-// maybeCommit commits what a quorum has persisted. Only entries of the leader's
-// own term are committed by counting: an older one may still be replaced by a
-// later leader though a quorum holds it. Those before commit with them.
+// maybeCommit commits the entries that a quorum has persisted. Only entries of the
+// leader's own term are committed by counting replicas, because a later leader may
+// still replace an older entry even though a quorum holds it. Entries before them are
+// committed along with them.
 func (n *Node) maybeCommit() {
 	if n.leadership == nil {
 		return
 	}
-	reached := reachedByQuorum(n, n.log.persisted, func(p *progress) uint64 { return p.match })
-	if term, ok := n.log.term(reached); !ok || term != n.term {
+	quorumIndex := quorumValue(n, n.log.persisted, func(p *progress) uint64 { return p.match })
+	if term, ok := n.log.term(quorumIndex); !ok || term != n.term {
 		return
 	}
-	n.commitTo(reached)
+	n.commitTo(quorumIndex)
 }
 
-// commitTo raises the commit index and draws the consequences.
+// commitTo raises the commit index and updates the state that depends on it.
 func (n *Node) commitTo(index uint64) {
 	before := n.log.committed
 	if !n.log.commitTo(index) {
 		return
 	}
 	if n.leadership == nil {
-		n.refreshRole()
+		n.updateRole()
 		return
 	}
 	for _, entry := range n.log.slice(before, n.log.committed) {
 		n.leadership.uncommittedBytes -= entry.size()
 	}
 	n.leadership.appendsDue = true
-	n.releaseReads()
+	n.completeReads()
 	if latest := n.configurations.latest(); latest.index > before && latest.index <= n.log.committed {
-		n.configurationCommitted()
+		n.onConfigurationCommitted()
 	}
 }
--- a/process/raft/replication_test.go
+++ b/process/raft/replication_test.go
@@ -7,9 +7,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestOlderTermIsNotCommittedByCounting has a quorum hold an entry of term 1,
-// which the leader of term 3 may only commit along with one of its own.
-func TestOlderTermIsNotCommittedByCounting(t *testing.T) {
+// A quorum holds an entry of term 1. The leader of term 3 may commit it only together
+// with an entry of its own term.
+func TestOlderTermIsNotCommittedByCountingReplicas(t *testing.T) {
 	node, err := New(testConfig(1), InitialState{
 		HardState:     HardState{Term: 2},
 		Entries:       []Entry{{Term: 1, Index: 1}},
@@ -40,44 +40,44 @@
 	must.Eq(t, 2, g.nodes[1].log.committed)
 	ready = g.nodes[1].Ready()
 	must.Eq(t, &HardState{Term: 1, Vote: 1, Commit: 2}, ready.HardState)
-	must.False(t, ready.MustSync, must.Sprint("a commit index needs no sync"))
+	must.False(t, ready.MustSync, must.Sprint("a changed commit index needs no sync"))
 }
 
 func TestFlowControlAndRecoveryOfLostMessages(t *testing.T) {
 	g := newGroup(t, 3, func(c *Config) { c.MaxInflight, c.MaxEntriesBytes = 3, 1 })
 	g.isolate(2)
-	g.sent(MessageAppend)
+	g.countSent(MessageAppend)
 	for i := range 10 {
 		g.propose(fmt.Sprint(i))
 	}
-	g.settle()
+	g.deliverAll()
 	toSecond := 0
-	for _, message := range g.seen {
+	for _, message := range g.sentMessages {
 		if message.Kind == MessageAppend && message.To == 2 {
 			must.Len(t, 1, message.Entries)
 			toSecond++
 		}
 	}
 	must.Eq(t, 3, toSecond)
-	g.keep = nil
-	g.pass(4 * simHeartbeatInterval)
+	g.filter = nil
+	g.advanceTime(4 * simHeartbeatInterval)
 	must.Eq(t, 11, g.nodes[2].log.committed)
 }
 
-// TestLostMessageIsNoticedWithoutTraffic loses the last append before silence.
-func TestLostMessageIsNoticedWithoutTraffic(t *testing.T) {
+// The last append message before an idle period is lost.
+func TestLostAppendIsResentWithoutNewEntries(t *testing.T) {
 	g := newGroup(t, 3)
 	g.isolate(2)
 	g.propose("lost")
-	g.settle()
-	g.keep = nil
-	g.pass(2 * simHeartbeatInterval)
+	g.deliverAll()
+	g.filter = nil
+	g.advanceTime(2 * simHeartbeatInterval)
 	must.Eq(t, 2, g.nodes[2].log.committed)
 }
 
-// TestCommitStopsAtTheMessage has a follower keep a tail that the message says
-// nothing about, though the leader's commit index is beyond it.
-func TestCommitStopsAtTheMessage(t *testing.T) {
+// A follower must not commit entries after those in the message, even if the leader's
+// commit index covers them, because they may differ from the leader's entries.
+func TestCommitIsBoundedByMessageEntries(t *testing.T) {
 	node, err := New(testConfig(1), InitialState{
 		HardState:     HardState{Term: 1},
 		Entries:       []Entry{{Term: 1, Index: 1}, {Term: 1, Index: 2}},
@@ -89,19 +89,19 @@
 	must.Eq(t, 2, node.log.lastIndex())
 }
 
-// TestReplacedEntriesAreNotPersisted replaces an entry while its write is on.
+// An entry is replaced while it is being written.
 func TestReplacedEntriesAreNotPersisted(t *testing.T) {
 	log := newEntryLog(Snapshot{}, nil, 0)
 	written := []Entry{{Term: 1, Index: 1}, {Term: 1, Index: 2}}
 	log.append(written...)
-	log.handed = 2
+	log.emitted = 2
 	log.replaceFrom([]Entry{{Term: 2, Index: 2}})
 	log.markPersisted(written)
 	must.Eq(t, 1, log.persisted)
-	must.Eq(t, []Entry{{Term: 2, Index: 2}}, log.unhanded())
+	must.Eq(t, []Entry{{Term: 2, Index: 2}}, log.entriesToPersist())
 }
 
-// TestBacktrackSkipsTerms gives a follower a long divergent tail of old terms.
+// A follower with a long divergent tail of an old term must be repaired with few messages.
 func TestBacktrackSkipsTerms(t *testing.T) {
 	g := newGroup(t, 3)
 	var tail []Entry
@@ -109,20 +109,21 @@
 		tail = append(tail, Entry{Term: 1, Index: index, Kind: EntryCommand})
 	}
 	g.nodes[3].log.append(tail...)
-	g.keep = func(m Message) bool { return m.To != 3 }
+	g.filter = func(m Message) bool { return m.To != 3 }
 	must.NoError(t, g.nodes[1].TransferLeadership(g.now, 2))
-	g.settle()
+	g.deliverAll()
 	must.Eq(t, Leader, g.nodes[2].role)
 	for i := range 400 {
 		_, _, err := g.nodes[2].Propose(g.now, fmt.Append(nil, i))
 		must.NoError(t, err)
 	}
-	g.settle()
-	g.sent(MessageAppend)
-	g.keep = nil
-	g.pass(3 * simHeartbeatInterval)
+	g.deliverAll()
+	g.countSent(MessageAppend)
+	g.filter = nil
+	g.advanceTime(3 * simHeartbeatInterval)
 	must.Eq(t, g.nodes[2].log.entries, g.nodes[3].log.entries)
-	must.Less(t, 10, g.sent(MessageAppendReply))
+	// Fewer than 10 replies: the repair must not backtrack entry by entry.
+	must.Less(t, 10, g.countSent(MessageAppendReply))
 }
 
 func TestUncommittedBytesAreBounded(t *testing.T) {
@@ -132,18 +133,18 @@
 	}
 	_, _, err := g.nodes[1].Propose(g.now, nil)
 	must.ErrorIs(t, err, ErrOverloaded)
-	g.settle()
+	g.deliverAll()
 	must.Eq(t, 0, g.nodes[1].leadership.uncommittedBytes)
 	g.propose("more than the bound, but alone")
 }
 
-// TestSnapshotIsSentAndRetried brings back a member that is behind compaction
-// and loses the first snapshot.
+// A member needs compacted entries when it reconnects, and the first snapshot sent to it
+// is lost.
 func TestSnapshotIsSentAndRetried(t *testing.T) {
 	g := newGroup(t, 3)
 	g.isolate(3)
 	g.propose("a")
-	g.settle()
+	g.deliverAll()
 	snapshot, err := g.nodes[1].SnapshotAt(2, []byte("state"))
 	must.NoError(t, err)
 	must.NoError(t, g.nodes[1].Compact(snapshot))
@@ -151,18 +152,18 @@
 	_, err = g.nodes[1].SnapshotAt(9, nil)
 	must.ErrorIs(t, err, ErrNotApplied)
 	g.propose("b")
-	g.sent(MessageSnapshot)
-	g.keep = func(m Message) bool { return m.Kind != MessageSnapshot }
-	g.pass(3 * simElectionTimeout)
-	must.Eq(t, 1, g.sent(MessageSnapshot))
-	g.keep = nil
-	g.pass(2 * simElectionTimeout)
-	must.Eq(t, 1, g.sent(MessageSnapshot))
+	g.countSent(MessageSnapshot)
+	g.filter = func(m Message) bool { return m.Kind != MessageSnapshot }
+	g.advanceTime(3 * simElectionTimeout)
+	must.Eq(t, 1, g.countSent(MessageSnapshot))
+	g.filter = nil
+	g.advanceTime(2 * simElectionTimeout)
+	must.Eq(t, 1, g.countSent(MessageSnapshot))
 	must.Eq(t, snapshot, g.nodes[3].log.snapshot)
 	must.Eq(t, 3, g.nodes[3].log.applied)
 }
 
-// TestStepErrors checks that refused messages leave the node as it was.
+// TestStepErrors checks that rejected messages leave the node unchanged.
 func TestStepErrors(t *testing.T) {
 	entry := func(term, index uint64) Entry { return Entry{Term: term, Index: index} }
 	cases := []struct {
@@ -171,12 +172,12 @@
 		want    error
 	}{
 		{"other member", Message{Kind: MessageAppend, From: 1, To: 3, Term: 1}, ErrWrongMember},
-		{"from nobody", Message{Kind: MessageAppend, To: 2, Term: 1}, ErrInvalidMessage},
+		{"from None", Message{Kind: MessageAppend, To: 2, Term: 1}, ErrInvalidMessage},
 		{"from itself", Message{Kind: MessageAppend, From: 2, To: 2, Term: 1}, ErrInvalidMessage},
 		{"unknown kind", Message{Kind: 99, From: 1, To: 2, Term: 1}, ErrInvalidMessage},
 		{"no term", Message{Kind: MessageAppend, From: 1, To: 2}, ErrInvalidMessage},
 		{"gap", Message{Kind: MessageAppend, From: 1, To: 2, Term: 1, Entries: []Entry{entry(1, 2)}}, ErrInvalidMessage},
-		{"falling term", Message{Kind: MessageAppend, From: 1, To: 2, Term: 3, Index: 1, LogTerm: 2, Entries: []Entry{entry(1, 2)}}, ErrInvalidMessage},
+		{"decreasing term", Message{Kind: MessageAppend, From: 1, To: 2, Term: 3, Index: 1, LogTerm: 2, Entries: []Entry{entry(1, 2)}}, ErrInvalidMessage},
 		{"future term", Message{Kind: MessageAppend, From: 1, To: 2, Term: 1, Entries: []Entry{entry(2, 1)}}, ErrInvalidMessage},
 		{"bad configuration", Message{Kind: MessageAppend, From: 1, To: 2, Term: 1, Index: 1, LogTerm: 1, Entries: []Entry{{Term: 1, Index: 2, Kind: EntryConfig}}}, ErrInvalidMessage},
 		{"no snapshot", Message{Kind: MessageSnapshot, From: 1, To: 2, Term: 1}, ErrInvalidMessage},
@@ -213,7 +214,7 @@
 		{"commit beyond the log", nil, InitialState{HardState: HardState{Commit: 1}}, ErrInvalidState},
 		{"entry of a future term", nil, InitialState{Entries: []Entry{{Term: 1, Index: 1}}}, ErrInvalidState},
 		{"gap", nil, InitialState{HardState: HardState{Term: 1}, Entries: []Entry{{Term: 1, Index: 2}}}, ErrInvalidState},
-		{"member named twice", nil, InitialState{Configuration: voters(1, 1)}, ErrInvalidState},
+		{"member listed twice", nil, InitialState{Configuration: voters(1, 1)}, ErrInvalidState},
 		{"damaged configuration", nil, InitialState{HardState: HardState{Term: 1}, Entries: []Entry{{Term: 1, Index: 1, Kind: EntryConfig}}}, ErrInvalidState},
 	}
 	for _, c := range cases {
@@ -228,8 +229,8 @@
 	}
 }
 
-// BenchmarkProposeToCommit commits entries of 128 bytes in a group of three in
-// memory, in batches as a busy driver would, without codec, disk and network.
+// BenchmarkProposeToCommit commits entries of 128 bytes in an in-memory group of three,
+// in batches of 1 and 64 as a caller under load does, without codec, disk and network.
 func BenchmarkProposeToCommit(b *testing.B) {
 	for _, batch := range []int{1, 64} {
 		b.Run(fmt.Sprintf("batch=%d", batch), func(b *testing.B) {
@@ -240,8 +241,8 @@
 					_, _, err := g.nodes[1].Propose(g.now, data)
 					must.NoError(b, err)
 				}
-				g.settle()
-				g.seen = g.seen[:0]
+				g.deliverAll()
+				g.sentMessages = g.sentMessages[:0]
 				if leader := g.nodes[1]; leader.log.committed%1000 < uint64(batch) {
 					for _, id := range g.ids[:3] {
 						node := g.nodes[id]
--- a/process/raft/simulation_test.go
+++ b/process/raft/simulation_test.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	simSeeds     = 240
+	simSeeds     = 240 // one simulation each
 	simDuration  = 6 * time.Second
-	simHealing   = 3 * time.Second
-	simMinVoters = 3
-	simMaxGroup  = 6
+	simHealing   = 3 * time.Second // after the faults end
+	simMinVoters = 3               // or one less, by seed
+	simMaxGroup  = 6               // members
 )
 
-// fault is one kind of mischief; it reports whether it could strike.
+// fault is a kind of fault to inject. inject reports whether the fault took place.
 type fault struct {
 	name   string
-	strike func(*cluster, *simMember) bool
+	inject func(*cluster, *simMember) bool
 }
 
 var faults = []fault{
 	{"cut one way", func(c *cluster, m *simMember) bool {
-		c.cut(m, c.anyMember(), false)
+		c.cut(m, c.randomMember(), false)
 		return true
 	}},
 	{"cut both ways", func(c *cluster, m *simMember) bool {
@@ -35,7 +35,7 @@
 		}
 		return true
 	}},
-	{"deaf member", func(c *cluster, m *simMember) bool {
+	{"cut inbound links", func(c *cluster, m *simMember) bool {
 		for _, other := range c.members {
 			c.cut(other, m, false)
 		}
@@ -79,7 +79,7 @@
 		}
 		return c.change(ChangeAddLearner, c.addMember(Configuration{}).id)
 	}},
-	{"promote", func(c *cluster, _ *simMember) bool { return c.promoteAny() }},
+	{"promote", func(c *cluster, _ *simMember) bool { return c.promoteLearner() }},
 	{"remove voter", func(c *cluster, m *simMember) bool {
 		leader := c.leader()
 		if leader == nil {
@@ -100,9 +100,9 @@
 	}},
 }
 
-func (c *cluster) anyMember() *simMember { return c.members[c.random.IntN(len(c.members))] }
+func (c *cluster) randomMember() *simMember { return c.members[c.random.IntN(len(c.members))] }
 
-// cut stops messages for a while.
+// cut drops messages between two members for a random time.
 func (c *cluster) cut(from, to *simMember, both bool) {
 	length := time.Duration(50+c.random.IntN(700)) * time.Millisecond
 	links := [][2]MemberID{{from.id, to.id}}
@@ -116,13 +116,13 @@
 }
 
 func (c *cluster) scheduleRestart(m *simMember) {
-	life := m.life
+	incarnation := m.incarnation
 	delay := time.Duration(c.random.IntN(400)) * time.Millisecond
 	if c.random.IntN(2) == 0 {
-		delay = time.Duration(c.random.IntN(5)) * time.Millisecond // before any lease has ended
+		delay = time.Duration(c.random.IntN(5)) * time.Millisecond // before any lease has expired
 	}
 	c.push(event{at: c.now + delay, run: func() {
-		if !m.up && m.life == life && !m.lost {
+		if !m.up && m.incarnation == incarnation && !m.lost {
 			c.start(m)
 		}
 	}})
@@ -131,11 +131,11 @@
 func (c *cluster) change(kind ChangeKind, member MemberID) bool {
 	leader := c.leader()
 	_, _, err := leader.node.ProposeChange(c.clock(leader), ConfigurationChange{kind, member})
-	c.pump(leader)
+	c.startReady(leader)
 	return err == nil
 }
 
-func (c *cluster) promoteAny() bool {
+func (c *cluster) promoteLearner() bool {
 	leader := c.leader()
 	if leader == nil {
 		return false
@@ -152,8 +152,8 @@
 	return slices.ContainsFunc(configuration.members(), func(id MemberID) bool { return c.members[id-1].lost })
 }
 
-// loseDisk ends an identity for good. It strikes only where the group can bear
-// it: no other loss unrepaired, no membership change on its way.
+// loseDisk removes a member ID permanently. It does so only if the group tolerates the
+// loss: no other lost disk is unrepaired and no membership change is in progress.
 func (c *cluster) loseDisk(m *simMember) bool {
 	leader := c.leader()
 	if c.minVoters < simMinVoters || leader == nil || m.lost || !leader.node.Status().Configuration.isVoter(m.id) {
@@ -185,7 +185,8 @@
 	return true
 }
 
-// repair replaces a lost voter by a new member step by step, as an operator would.
+// repair replaces a lost voter with a new member step by step: add a learner, promote
+// it, remove the lost voter.
 func (c *cluster) repair() {
 	leader := c.leader()
 	if leader == nil {
@@ -202,33 +203,34 @@
 			c.count("replacement", MemberID(len(c.members)))
 		}
 	default:
-		c.promoteAny()
+		c.promoteLearner()
 	}
 }
 
-// every runs an action at random intervals around mean until the given time.
-func (c *cluster) every(mean, until time.Duration, action func()) {
+// scheduleRepeatedly runs action at random intervals with the given mean until the
+// given time.
+func (c *cluster) scheduleRepeatedly(mean, until time.Duration, action func()) {
 	delay := time.Duration(c.random.Int64N(int64(2 * mean)))
 	if c.now+delay > until {
 		return
 	}
 	c.push(event{at: c.now + delay, run: func() {
 		action()
-		c.every(mean, until, action)
+		c.scheduleRepeatedly(mean, until, action)
 	}})
 }
 
-// misbehave runs the cluster under all faults, then heals everything and gives
-// it time to agree.
-func (c *cluster) misbehave(duration time.Duration) {
+// runWithFaults runs the cluster while injecting random faults, then heals it and runs
+// it for simHealing so that it can converge.
+func (c *cluster) runWithFaults(duration time.Duration) {
 	c.faulty = true
-	c.every(c.proposalInterval, duration+simHealing-simElectionTimeout, c.propose)
-	c.every(15*time.Millisecond, duration, c.oracle.read)
-	c.every(50*time.Millisecond, duration+simHealing/2, c.repair)
-	c.every(c.faultInterval, duration, func() {
+	c.scheduleRepeatedly(c.proposalInterval, duration+simHealing-simElectionTimeout, c.propose)
+	c.scheduleRepeatedly(15*time.Millisecond, duration, c.oracle.requestReads)
+	c.scheduleRepeatedly(50*time.Millisecond, duration+simHealing/2, c.repair)
+	c.scheduleRepeatedly(c.faultInterval, duration, func() {
 		f := faults[c.random.IntN(len(faults))]
-		m := c.anyMember()
-		if m.up && f.strike(c, m) {
+		m := c.randomMember()
+		if m.up && f.inject(c, m) {
 			c.count(f.name, m.id)
 		}
 	})
@@ -248,7 +250,8 @@
 	}
 }
 
-// TestSimulation runs groups of three and five under faults, one seed each.
+// TestSimulation runs groups of three and five members with injected faults, one seed per
+// subtest.
 func TestSimulation(t *testing.T) {
 	var mutex sync.Mutex
 	totals := make(map[string]int)
@@ -257,12 +260,12 @@
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
 				c := newCluster(seed, simMinVoters+2*int(seed%2))
-				c.misbehave(simDuration)
+				c.runWithFaults(simDuration)
 				if failure := c.oracle.failure; failure != nil {
-					t.Fatalf("seed %d: %s: %s\n%s", seed, failure.rule, failure.detail, c.traceText())
+					t.Fatalf("seed %d: %s: %s\n%s", seed, failure.rule, failure.detail, c.formatTrace())
 				}
-				if err := c.oracle.agreed(simHealing); err != nil {
-					t.Fatalf("seed %d: liveness: %v\n%s", seed, err, c.traceText())
+				if err := c.oracle.checkConverged(simHealing); err != nil {
+					t.Fatalf("seed %d: liveness: %v\n%s", seed, err, c.formatTrace())
 				}
 				mutex.Lock()
 				defer mutex.Unlock()
@@ -270,23 +273,23 @@
 					totals[kind] += count
 				}
 				totals["committed entry"] += len(c.oracle.committed)
-				totals["answered read"] += c.oracle.answered
+				totals["answered read"] += c.oracle.answeredReads
 			})
 		}
 	})
 	t.Log(totals)
 	for _, f := range faults {
-		must.Positive(t, totals[f.name], must.Sprintf("%s never struck", f.name))
+		must.Positive(t, totals[f.name], must.Sprintf("%s was never injected", f.name))
 	}
 }
 
-// TestSimulationIsDeterministic runs one seed twice and compares all that
-// happened.
+// TestSimulationIsDeterministic runs the same seed twice and compares the events and
+// states.
 func TestSimulationIsDeterministic(t *testing.T) {
 	first, second := newCluster(3, 3), newCluster(3, 3)
-	first.misbehave(simDuration)
-	second.misbehave(simDuration)
+	first.runWithFaults(simDuration)
+	second.runWithFaults(simDuration)
 	must.Eq(t, first.counts, second.counts)
-	must.Eq(t, first.traceText(), second.traceText())
-	must.Eq(t, first.oracle.states, second.oracle.states)
+	must.Eq(t, first.formatTrace(), second.formatTrace())
+	must.Eq(t, first.oracle.stateHashes, second.oracle.stateHashes)
 }
