--- a/connection/exchange/exchange.go
+++ b/connection/exchange/exchange.go
@@ -25,13 +25,13 @@
 	// Permit, if not nil, is called once a connection is available, immediately before
 	// the request is written, because the request may have become unsendable while the
 	// connection was opened. An error ends the exchange before any byte is sent.
-	Permit func() error
+	BeforeSend func() error
 	// Overheard, if not nil, is called with each late response header: one that arrives
 	// after the exchange has failed with a response to another request, or shortly after
 	// ctx has ended. Such a header cannot be matched to the request reliably, but it comes
 	// from the server and may, for example, contain Retry-After. It may be called after Do
 	// has returned.
-	Overheard func(status int, header http.Header)
+	OnLateResponse func(status int, header http.Header)
 	// Identity matches the response to the request. A request without one and a HEAD
 	// request use a dedicated connection that carries no other request.
 	Identity Identity
@@ -48,7 +48,7 @@
 	Reused bool
 	Cause  error
 	// Foreign holds the unmatched responses, those to other requests, that arrived instead.
-	Foreign []*ForeignAnswer
+	Unmatched []*UnmatchedResponse
 }
 
 // Error returns the text of the cause.
@@ -58,7 +58,7 @@
 func (f *Failure) Unwrap() error { return f.Cause }
 
 // Answer is a response whose header was received. Read reads its body, Close ends it.
-type Answer struct {
+type Response struct {
 	Status int
 	Header http.Header
 	// Length is the length of the body, -1 if unknown.
@@ -67,9 +67,9 @@
 	Reused bool
 	// Opened is when the connection was opened, by the pool's clock: the process at the
 	// remote end of the connection has been running at least since then.
-	Opened time.Duration
+	ConnOpenedAt time.Duration
 	// Foreign holds the unmatched responses that arrived first and were skipped.
-	Foreign []*ForeignAnswer
+	Unmatched []*UnmatchedResponse
 
 	pool           *Pool
 	conn           *conn
@@ -87,7 +87,7 @@
 // *ForeignAnswer if a response to another request arrived instead; otherwise it is the
 // error of Permit, of the connection, or of reading the header. When ctx ends, the
 // connection is closed. The caller must close the returned Answer.
-func (p *Pool) Do(ctx context.Context, address string, request *Request) (*Answer, error) {
+func (p *Pool) Do(ctx context.Context, address string, request *Request) (*Response, error) {
 	used, reused, err := p.acquire(ctx, address, request)
 	if err != nil {
 		return nil, &Failure{Connecting: true, Cause: err}
@@ -110,16 +110,16 @@
 		} else {
 			used.closeAfterCancel(request)
 		}
-		return nil, &Failure{Sent: true, Reused: reused, Cause: errors.WithStack(err), Foreign: unmatched}
+		return nil, &Failure{Sent: true, Reused: reused, Cause: errors.WithStack(err), Unmatched: unmatched}
 	}
 	used.headerRead.Store(true)
-	return &Answer{
+	return &Response{
 		Status:         response.StatusCode,
 		Header:         response.Header,
 		Length:         response.ContentLength,
 		Reused:         reused,
-		Opened:         used.openedAt,
-		Foreign:        unmatched,
+		ConnOpenedAt:   used.openedAt,
+		Unmatched:      unmatched,
 		pool:           p,
 		conn:           used,
 		body:           response.Body,
@@ -131,10 +131,10 @@
 
 // checkPermit calls Permit, if set.
 func (r *Request) checkPermit() error {
-	if r.Permit == nil {
+	if r.BeforeSend == nil {
 		return nil
 	}
-	return r.Permit()
+	return r.BeforeSend()
 }
 
 // maxSyncWriteBytes is the largest request that is written before its response is read.
@@ -235,7 +235,7 @@
 
 // Read reads the body. It returns io.EOF only after a complete body; a body that is
 // delimited by the end of its connection is complete unless the connection was reset.
-func (a *Answer) Read(buffer []byte) (int, error) {
+func (a *Response) Read(buffer []byte) (int, error) {
 	count, err := a.body.Read(buffer)
 	if err == io.EOF {
 		a.bodyRead = true
@@ -246,7 +246,7 @@
 // Close ends the exchange. It must not run concurrently with Read. The connection returns to
 // the pool only if the response was read completely, the request was written completely,
 // and no data follows the response.
-func (a *Answer) Close() {
+func (a *Response) Close() {
 	if !a.closed.CompareAndSwap(false, true) {
 		return
 	}
@@ -272,7 +272,7 @@
 }
 
 // markEmptyBodyRead marks a body of length zero as read completely.
-func (a *Answer) markEmptyBodyRead() {
+func (a *Response) markEmptyBodyRead() {
 	if a.Length == 0 {
 		a.bodyRead = true
 	}
--- a/connection/exchange/exchange_test.go
+++ b/connection/exchange/exchange_test.go
@@ -399,7 +399,7 @@
 	server := newScriptedServer(t, respond(okResponse), respond(okResponse), respond(okResponse))
 	pool := NewPool(Config{MaxIdle: 2})
 	defer pool.Close()
-	var responses []*Answer
+	var responses []*Response
 	for range 3 {
 		response, err := pool.Do(t.Context(), server.address(), newGet("/"))
 		must.NoError(t, err)
--- a/connection/exchange/foreign.go
+++ b/connection/exchange/foreign.go
@@ -11,23 +11,23 @@
 
 // ForeignAnswer is the error for an unmatched response: one that carries the ID of another
 // request, or none, and arrived in place of a request's own response.
-type ForeignAnswer struct {
-	Answered string // request ID that the response carries, empty for none
-	Status   int
-	Header   http.Header
+type UnmatchedResponse struct {
+	RequestID string // request ID that the response carries, empty for none
+	Status    int
+	Header    http.Header
 }
 
 // maxRecordedIDBytes limits the recorded length of a request ID sent by the server.
 const maxRecordedIDBytes = 64
 
-func newUnmatchedResponse(response *http.Response, identity Identity) *ForeignAnswer {
+func newUnmatchedResponse(response *http.Response, identity Identity) *UnmatchedResponse {
 	id := response.Header.Get(identity.Field)
-	return &ForeignAnswer{Answered: id[:min(len(id), maxRecordedIDBytes)], Status: response.StatusCode, Header: response.Header}
+	return &UnmatchedResponse{RequestID: id[:min(len(id), maxRecordedIDBytes)], Status: response.StatusCode, Header: response.Header}
 }
 
 // Error returns a text with the status and the request ID of the response.
-func (f *ForeignAnswer) Error() string {
-	return fmt.Sprintf("exchange: response with status %d has request ID %q", f.Status, f.Answered)
+func (f *UnmatchedResponse) Error() string {
+	return fmt.Sprintf("exchange: response with status %d has request ID %q", f.Status, f.RequestID)
 }
 
 // Limits of the responses to other requests that are skipped on one connection.
@@ -42,7 +42,7 @@
 // Responses that do not match are always returned. If no matching response can follow,
 // the error is the last of them. That response is then returned as well if its body has
 // not been read, otherwise nil.
-func readMatching(from *conn, request *Request, reused bool) (matched *http.Response, unmatched []*ForeignAnswer, err error) {
+func readMatching(from *conn, request *Request, reused bool) (matched *http.Response, unmatched []*UnmatchedResponse, err error) {
 	for {
 		response, err := readHeader(from, request.Method)
 		if err != nil {
@@ -53,7 +53,7 @@
 		}
 		last := newUnmatchedResponse(response, request.Identity)
 		unmatched = append(unmatched, last)
-		surplus := reused && last.Answered != "" && len(unmatched) <= maxSkipped
+		surplus := reused && last.RequestID != "" && len(unmatched) <= maxSkipped
 		if !surplus || !canHaveSuccessor(response) {
 			return response, unmatched, last
 		}
@@ -87,7 +87,7 @@
 // read yet and the caller wants late responses, it only interrupts the reader;
 // closeAfterCancel then reads the connection for a short time and closes it.
 func (c *conn) interruptOrClose(request *Request) {
-	if request.Overheard == nil || c.headerRead.Load() {
+	if request.OnLateResponse == nil || c.headerRead.Load() {
 		_ = c.Conn.Close()
 		return
 	}
@@ -98,7 +98,7 @@
 // response header arrived. A header that arrives within lateResponseTimeout is passed to
 // Overheard first.
 func (c *conn) closeAfterCancel(request *Request) {
-	if request.Overheard == nil {
+	if request.OnLateResponse == nil {
 		_ = c.Conn.Close()
 		return
 	}
@@ -106,7 +106,7 @@
 		defer func() { _ = c.Conn.Close() }() // the connection is not reused
 		_ = c.Conn.SetReadDeadline(time.Now().Add(lateResponseTimeout))
 		if next, err := readHeader(c, request.Method); err == nil {
-			request.Overheard(next.StatusCode, next.Header)
+			request.OnLateResponse(next.StatusCode, next.Header)
 		}
 	}()
 }
@@ -115,7 +115,7 @@
 // response may still follow the unmatched one, so the headers of the responses that arrive
 // within lateResponseTimeout are passed to Overheard.
 func (c *conn) closeAfterFailure(request *Request, last *http.Response) {
-	if last == nil || request.Overheard == nil || !canHaveSuccessor(last) {
+	if last == nil || request.OnLateResponse == nil || !canHaveSuccessor(last) {
 		_ = c.Conn.Close() // the error of the exchange is already reported
 		return
 	}
@@ -130,7 +130,7 @@
 			if err != nil {
 				return
 			}
-			request.Overheard(next.StatusCode, next.Header)
+			request.OnLateResponse(next.StatusCode, next.Header)
 			if last = next; !canHaveSuccessor(last) {
 				return
 			}
--- a/connection/exchange/identity_test.go
+++ b/connection/exchange/identity_test.go
@@ -52,7 +52,7 @@
 			body, err := fetch(t, pool, server.address(), newGetWithID("second", "/2"))
 			must.Eq(t, test.body, body)
 			must.Eq(t, test.body == "", err != nil)
-			must.False(t, pool.Idle(server.address()), must.Sprint("a connection that carried a surplus response was kept"))
+			must.False(t, pool.HasIdle(server.address()), must.Sprint("a connection that carried a surplus response was kept"))
 			body, err = fetch(t, pool, server.address(), newGet("/3"))
 			must.NoError(t, err)
 			must.Eq(t, "ok", body)
@@ -68,7 +68,7 @@
 	response, err := pool.Do(t.Context(), server.address(), newGetWithID("second", "/2"))
 	must.NoError(t, err)
 	head := http.Header{"Content-Length": {"3"}, "Id": {"first"}}
-	must.Eq(t, []*ForeignAnswer{{Answered: "first", Status: http.StatusOK, Header: head}}, response.Foreign)
+	must.Eq(t, []*UnmatchedResponse{{RequestID: "first", Status: http.StatusOK, Header: head}}, response.Unmatched)
 	response.Close()
 
 	// On a connection that has carried no other request, no matching response is expected
@@ -78,10 +78,10 @@
 	must.True(t, errors.As(err, &failure))
 	must.True(t, failure.Sent)
 	head = http.Header{"Content-Length": {"1"}, "Id": {"other"}}
-	must.Eq(t, []*ForeignAnswer{{Answered: "other", Status: http.StatusOK, Header: head}}, failure.Foreign)
-	var unmatched *ForeignAnswer
+	must.Eq(t, []*UnmatchedResponse{{RequestID: "other", Status: http.StatusOK, Header: head}}, failure.Unmatched)
+	var unmatched *UnmatchedResponse
 	must.True(t, errors.As(err, &unmatched))
-	must.Eq(t, "other", unmatched.Answered)
+	must.Eq(t, "other", unmatched.RequestID)
 }
 
 // A retried request has the same ID as before. The response to its first send must not
@@ -118,7 +118,7 @@
 				_, err = io.Copy(io.Discard, response)
 				must.NoError(t, err)
 				response.Close()
-				must.Eq(t, i != 0, pool.Idle(server.address()))
+				must.Eq(t, i != 0, pool.HasIdle(server.address()))
 			}
 		})
 	}
@@ -146,7 +146,7 @@
 			must.NoError(t, err)
 			_, err = fetch(t, pool, server.address(), newGetWithID("second", "/"))
 			close(release)
-			var unmatched *ForeignAnswer
+			var unmatched *UnmatchedResponse
 			must.True(t, errors.As(err, &unmatched))
 		})
 	}
@@ -175,7 +175,7 @@
 		cancel()
 	}()
 	_, err = pool.Do(ctx, server.address(), newGetWithID("second", "/"))
-	var unmatched *ForeignAnswer
+	var unmatched *UnmatchedResponse
 	must.Error(t, err)
 	must.False(t, errors.As(err, &unmatched))
 }
@@ -208,7 +208,7 @@
 	_, err = io.ReadAll(response)
 	must.NoError(t, err)
 	response.Close()
-	must.False(t, pool.Idle(server.address()))
+	must.False(t, pool.HasIdle(server.address()))
 }
 
 // Responses that follow one to another request, which ends the exchange, cannot be matched
@@ -221,14 +221,14 @@
 	must.NoError(t, err)
 	reported := make(chan string, 1)
 	request := newGetWithID("second", "/2")
-	request.Overheard = func(status int, header http.Header) {
+	request.OnLateResponse = func(status int, header http.Header) {
 		reported <- fmt.Sprintf("%d %s", status, header.Get("Retry-After"))
 	}
 	_, err = pool.Do(t.Context(), server.address(), request)
-	var unmatched *ForeignAnswer
+	var unmatched *UnmatchedResponse
 	must.True(t, errors.As(err, &unmatched))
 	must.Eq(t, "503 3", <-reported)
-	must.False(t, pool.Idle(server.address()))
+	must.False(t, pool.HasIdle(server.address()))
 }
 
 // A refusal with Retry-After that arrives just after the request was canceled or timed out
@@ -244,7 +244,7 @@
 	})
 	reported := make(chan string, 1)
 	request := newGetWithID("first", "/1")
-	request.Overheard = func(status int, header http.Header) {
+	request.OnLateResponse = func(status int, header http.Header) {
 		reported <- fmt.Sprintf("%d %s", status, header.Get("Retry-After"))
 	}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -266,5 +266,5 @@
 	case <-time.After(10 * time.Second):
 		t.Fatal("the late response was not passed on")
 	}
-	must.False(t, pool.Idle(server.address()))
+	must.False(t, pool.HasIdle(server.address()))
 }
--- a/connection/exchange/pool.go
+++ b/connection/exchange/pool.go
@@ -163,7 +163,7 @@
 }
 
 // Idle reports whether an idle connection to the address is available.
-func (p *Pool) Idle(address string) bool {
+func (p *Pool) HasIdle(address string) bool {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	list := p.idle[address]
--- a/connection/exchange/suspension_test.go
+++ b/connection/exchange/suspension_test.go
@@ -44,7 +44,7 @@
 	sendRequest()
 	must.Eq(t, 1, connections.Load())
 	suspended.Store(int64(DefaultIdleTimeout))
-	must.False(t, pool.Idle(server.Listener.Addr().String()))
+	must.False(t, pool.HasIdle(server.Listener.Addr().String()))
 	sendRequest()
 	must.Eq(t, 2, connections.Load())
 }
--- a/connection/feed/charge.go
+++ b/connection/feed/charge.go
@@ -14,7 +14,7 @@
 	Tenant string
 	Cost   float64 // in the unit of the tenant's quota
 	// Passed marks a request that a daemon forwards for another one; it is forwarded at most once.
-	Passed bool
+	Forwarded bool
 }
 
 // ErrNotCharged says that no quota-keeping member answered, although the charge may have been made.
@@ -24,12 +24,12 @@
 func encodeChargeRequest(encoder *frame.Encoder, request ChargeRequest) []byte {
 	encoder.String(request.Tenant)
 	encoder.Float64(request.Cost)
-	encoder.Bool(request.Passed)
+	encoder.Bool(request.Forwarded)
 	return encoder.Data()
 }
 
 func decodeChargeRequest(decoder *frame.Decoder) (ChargeRequest, error) {
-	request := ChargeRequest{Tenant: decoder.String(), Cost: decoder.Float64(), Passed: decoder.Bool()}
+	request := ChargeRequest{Tenant: decoder.String(), Cost: decoder.Float64(), Forwarded: decoder.Bool()}
 	return request, decoder.Finish()
 }
 
@@ -66,7 +66,7 @@
 // chargeSession returns the session to send a charge on. Charges forwarded for another daemon go
 // to the leader only.
 func (c *Client) chargeSession(request ChargeRequest) *session {
-	if request.Passed {
+	if request.Forwarded {
 		return c.session.Load()
 	}
 	return c.placementSession()
@@ -90,7 +90,7 @@
 
 // ReturnCharge refunds the charge of a request that no replica has run. It returns false if the
 // message was dropped.
-func (c *Client) ReturnCharge(request ChargeRequest) bool {
+func (c *Client) RefundCharge(request ChargeRequest) bool {
 	current := c.chargeSession(request)
 	if current == nil {
 		return false
@@ -129,6 +129,6 @@
 	if err != nil {
 		return err
 	}
-	s.server.config.Group.ReturnCharge(request)
+	s.server.config.Group.RefundCharge(request)
 	return nil
 }
--- a/connection/feed/charge_test.go
+++ b/connection/feed/charge_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestChargeMessagesRoundTrip(t *testing.T) {
-	request := ChargeRequest{Tenant: "north", Cost: 17020, Passed: true}
+	request := ChargeRequest{Tenant: "north", Cost: 17020, Forwarded: true}
 	decoder := frame.NewDecoder(encodeCharge(7, request))
 	must.Eq(t, 7, decoder.Uint64())
 	got, err := decodeChargeRequest(decoder)
@@ -41,12 +41,12 @@
 	must.NoError(t, err)
 	must.Eq(t, group.grant, grant)
 	relay := NewPlacementRelay(client, holder)
-	relay.ReturnCharge(ChargeRequest{Tenant: "north", Cost: 3})
-	_, passed := relay.Charge(ChargeRequest{Tenant: "north", Cost: 1, Passed: true})
+	relay.RefundCharge(ChargeRequest{Tenant: "north", Cost: 3})
+	_, passed := relay.Charge(ChargeRequest{Tenant: "north", Cost: 1, Forwarded: true})
 	must.False(t, passed)
 	eventually(t, "the refund", func() bool {
 		group.lock.Lock()
 		defer group.lock.Unlock()
-		return len(group.charged) == 2 && group.charged[1] == ChargeRequest{Tenant: "north", Cost: -3, Passed: true}
+		return len(group.charged) == 2 && group.charged[1] == ChargeRequest{Tenant: "north", Cost: -3, Forwarded: true}
 	})
 }
--- a/connection/feed/client.go
+++ b/connection/feed/client.go
@@ -27,13 +27,13 @@
 	MoreAddresses func() []string
 	// Served, if set, is called whenever a session with a leader or a standby member starts to
 	// serve the client. It must not block.
-	Served func()
+	OnServed func()
 	// Resumed, if set, is called when an unresponsive leader responds again and a standby session
 	// was open meanwhile, to which placements may have been reported. It must not block.
-	Resumed func()
+	OnLeaderResumed func()
 	// Unrecorded, if set, is called with the crashes that the group could not commit, either
 	// because it has no leader or because its leader can't commit. It must not block.
-	Unrecorded func(report EndReport)
+	OnUnrecordedCrashes func(report CrashReport)
 	// Standby sends placement requests and charges to any member, the last leader first, or to a
 	// relaying daemon while no leader serves the client or the leader is unresponsive.
 	Standby bool
@@ -49,10 +49,10 @@
 	// Day, if set, is called with the group's wall-clock time from the answer to a heartbeat, in
 	// Unix milliseconds, and the local times at which that heartbeat was sent and answered. It must
 	// not block.
-	Day func(sent, answered time.Duration, day int64)
+	OnWallClock func(sent, answered time.Duration, day int64)
 	// BeatInterval is the heartbeat interval. The view lease should be several times as long.
-	BeatInterval time.Duration
-	DialTimeout  time.Duration
+	HeartbeatInterval time.Duration
+	DialTimeout       time.Duration
 	// WriteTimeout bounds each write. SilenceTimeout is the time without any frame from the leader
 	// after which another member is tried.
 	WriteTimeout   time.Duration
@@ -77,18 +77,18 @@
 
 // Defaults of ClientConfig.
 const (
-	DefaultBeatInterval   = 500 * time.Millisecond
-	DefaultDialTimeout    = 2 * time.Second
-	DefaultWriteTimeout   = 5 * time.Second
-	DefaultSilenceTimeout = 3 * time.Second
-	DefaultBackoffMin     = 50 * time.Millisecond
-	DefaultBackoffMax     = 2 * time.Second
-	DefaultHandoverWait   = 500 * time.Millisecond
-	DefaultMaxInFlight    = 1024
+	DefaultHeartbeatInterval = 500 * time.Millisecond
+	DefaultDialTimeout       = 2 * time.Second
+	DefaultWriteTimeout      = 5 * time.Second
+	DefaultSilenceTimeout    = 3 * time.Second
+	DefaultBackoffMin        = 50 * time.Millisecond
+	DefaultBackoffMax        = 2 * time.Second
+	DefaultHandoverWait      = 500 * time.Millisecond
+	DefaultMaxInFlight       = 1024
 )
 
 func (c ClientConfig) withDefaults() ClientConfig {
-	c.BeatInterval = orDefault(c.BeatInterval, DefaultBeatInterval)
+	c.HeartbeatInterval = orDefault(c.HeartbeatInterval, DefaultHeartbeatInterval)
 	c.DialTimeout = orDefault(c.DialTimeout, DefaultDialTimeout)
 	c.WriteTimeout = orDefault(c.WriteTimeout, DefaultWriteTimeout)
 	c.SilenceTimeout = orDefault(c.SilenceTimeout, DefaultSilenceTimeout)
--- a/connection/feed/ends_test.go
+++ b/connection/feed/ends_test.go
@@ -9,13 +9,13 @@
 	"github.com/shoenig/test/must"
 )
 
-func crashReport(crashes int) EndReport {
-	report := EndReport{Alive: []quarantine.Alive{{Replica: "r-9", For: time.Minute}}, Served: []quarantine.Fingerprint{quarantine.Of(quarantine.Identity{Path: "/served"})}}
+func crashReport(crashes int) CrashReport {
+	report := CrashReport{Alive: []quarantine.LiveReplica{{Replica: "r-9", RunningFor: time.Minute}}, Served: []quarantine.Fingerprint{quarantine.FingerprintOf(quarantine.RequestIdentity{Path: "/served"})}}
 	for i := range crashes {
-		report.Ended = append(report.Ended, quarantine.Aged{Age: time.Duration(i) * time.Second, Evidence: quarantine.Evidence{
-			Fingerprint: quarantine.Of(quarantine.Identity{Path: fmt.Sprint(i)}), Replica: fmt.Sprint("r-", i), Began: i%2 == 0, Read: i%3 == 0, Listens: i%4 == 0, Ran: time.Duration(i),
-			Alone: i%2 == 1, Once: i%3 == 1, Sight: uint64(i) << 40,
-			About: quarantine.About{Service: "s", Route: "r", Request: "q"},
+		report.Crashes = append(report.Crashes, quarantine.AgedEvidence{Age: time.Duration(i) * time.Second, Evidence: quarantine.Evidence{
+			Fingerprint: quarantine.FingerprintOf(quarantine.RequestIdentity{Path: fmt.Sprint(i)}), Replica: fmt.Sprint("r-", i), HadOutput: i%2 == 0, Read: i%3 == 0, StillListening: i%4 == 0, RunTime: time.Duration(i),
+			OnlyInFlight: i%2 == 1, UniqueName: i%3 == 1, ObservationID: uint64(i) << 40,
+			RequestInfo: quarantine.RequestInfo{Service: "s", Route: "r", Request: "q"},
 		}})
 	}
 	return report
@@ -23,26 +23,26 @@
 
 func TestCrashReportRoundTrip(t *testing.T) {
 	report := crashReport(3)
-	data := EncodeEnds(report)
-	decoded, err := DecodeEnds(data)
+	data := EncodeCrashReport(report)
+	decoded, err := DecodeCrashReport(data)
 	must.NoError(t, err)
 	must.Eq(t, report, decoded)
 	for i := range data {
-		_, err := DecodeEnds(data[:i])
+		_, err := DecodeCrashReport(data[:i])
 		must.Error(t, err, must.Sprint(i))
 	}
 }
 
 func TestCrashReportsAreSplitIntoMessages(t *testing.T) {
-	var together EndReport
+	var together CrashReport
 	for _, part := range crashReport(2*maxReportEntries + 1).Split() {
-		decoded, err := DecodeEnds(EncodeEnds(part))
+		decoded, err := DecodeCrashReport(EncodeCrashReport(part))
 		must.NoError(t, err)
-		must.LessEq(t, maxSubscriberPayload, len(EncodeEnds(part)))
-		together.Ended = append(together.Ended, decoded.Ended...)
+		must.LessEq(t, maxSubscriberPayload, len(EncodeCrashReport(part)))
+		together.Crashes = append(together.Crashes, decoded.Crashes...)
 		together.Alive = append(together.Alive, decoded.Alive...)
 		together.Served = append(together.Served, decoded.Served...)
 	}
 	must.Eq(t, crashReport(2*maxReportEntries+1), together)
-	must.SliceEmpty(t, EndReport{}.Split())
+	must.SliceEmpty(t, CrashReport{}.Split())
 }
--- a/connection/feed/feed_test.go
+++ b/connection/feed/feed_test.go
@@ -393,9 +393,9 @@
 	f.Add(encodeClaim(1, state.ClaimRequest{Tenant: "t", Key: "k", Proxy: "p"}))
 	f.Add(encodeOutcome(1, state.RunOutcome{Tenant: "t", Key: "k", Outcome: api.RunNotRun}))
 	f.Add(encodeDemand(DemandReport{Window: time.Second, Demands: []Demand{{Intent: "i", Class: "c", Requests: 1}}}))
-	f.Add(encodeInFlight(InFlight{Service: "s", Requests: map[uint64]placement.Placed{7: {
-		Ask:    placement.Ask{Prompt: 9, Tenant: "north", Name: "n", Parts: []placement.Part{{ID: "p", Tokens: 9}}, Connected: []string{"r"}},
-		Answer: placement.Answer{Generator: "g", Reader: "r", Unread: 9}, Age: time.Second, Step: placement.StepRead,
+	f.Add(encodeInFlight(InFlight{Service: "s", Requests: map[uint64]placement.InFlightRequest{7: {
+		Ask:    placement.Request{PromptTokens: 9, Tenant: "north", Fingerprint: "n", Parts: []placement.Part{{ID: "p", Tokens: 9}}, Connected: []string{"r"}},
+		Answer: placement.Answer{Generator: "g", Reader: "r", UnreadTokens: 9}, Age: time.Second, Step: placement.StepRead,
 	}}}))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if message, err := decodeInFlight(data); err == nil {
@@ -434,9 +434,9 @@
 	for i := range parts {
 		parts[i] = placement.Part{ID: "a-part-with-a-long-name", Tokens: i}
 	}
-	message := InFlight{Service: "s", Requests: map[uint64]placement.Placed{}}
+	message := InFlight{Service: "s", Requests: map[uint64]placement.InFlightRequest{}}
 	for number := range uint64(2 * maxInFlight) {
-		message.Requests[number] = placement.Placed{Ask: placement.Ask{Parts: parts, Connected: []string{"r"}}}
+		message.Requests[number] = placement.InFlightRequest{Ask: placement.Request{Parts: parts, Connected: []string{"r"}}}
 	}
 	encoded := encodeInFlight(message)
 	must.Less(t, maxSubscriberPayload, len(encoded))
--- a/connection/feed/foreignreply_test.go
+++ b/connection/feed/foreignreply_test.go
@@ -104,14 +104,14 @@
 func startLoggedClient(t *testing.T, views Views, address string) (*Client, *lockedBuffer) {
 	lines := &lockedBuffer{}
 	client, err := Dial(ClientConfig{
-		Daemon:         "proxy-a",
-		Addresses:      []string{address},
-		Standby:        true,
-		BeatInterval:   20 * time.Millisecond,
-		SilenceTimeout: testTimeout,
-		BackoffMin:     time.Millisecond,
-		BackoffMax:     20 * time.Millisecond,
-		Logger:         log.NewLogfmtLogger(lines),
+		Daemon:            "proxy-a",
+		Addresses:         []string{address},
+		Standby:           true,
+		HeartbeatInterval: 20 * time.Millisecond,
+		SilenceTimeout:    testTimeout,
+		BackoffMin:        time.Millisecond,
+		BackoffMax:        20 * time.Millisecond,
+		Logger:            log.NewLogfmtLogger(lines),
 	}, views)
 	must.NoError(t, err)
 	t.Cleanup(client.Close)
--- a/connection/feed/group_test.go
+++ b/connection/feed/group_test.go
@@ -144,11 +144,11 @@
 	return placement.Answer{}, false
 }
 
-func (g *fakeGroup) NotePlaced(string, PlaceNote) {}
+func (g *fakeGroup) RecordProgress(string, PlacementProgress) {}
 
-func (g *fakeGroup) NoteEnds(EndReport) {}
+func (g *fakeGroup) RecordCrashes(CrashReport) {}
 
-func (g *fakeGroup) Unrecorded() (EndReport, uint64) { return EndReport{}, 0 }
+func (g *fakeGroup) UnrecordedCrashes() (CrashReport, uint64) { return CrashReport{}, 0 }
 
 func (g *fakeGroup) Charge(request ChargeRequest) (quota.Grant, bool) {
 	g.lock.Lock()
@@ -157,14 +157,14 @@
 	return g.grant, true
 }
 
-func (g *fakeGroup) ReturnCharge(request ChargeRequest) {
+func (g *fakeGroup) RefundCharge(request ChargeRequest) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	request.Cost = -request.Cost
 	g.charged = append(g.charged, request)
 }
 
-func (g *fakeGroup) NoteUsage(report UsageReport) {
+func (g *fakeGroup) RecordUsage(report UsageReport) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	g.usage = append(g.usage, report)
@@ -173,11 +173,11 @@
 // fakeWallClock is the wall-clock time of a fakeGroup in Unix milliseconds.
 const fakeWallClock = 1_700_000_000_000
 
-func (g *fakeGroup) Day() int64 { return fakeWallClock }
+func (g *fakeGroup) WallClock() int64 { return fakeWallClock }
 
-func (g *fakeGroup) NoteKept(KeptParts) {}
+func (g *fakeGroup) RecordCachedParts(CachedParts) {}
 
-func (g *fakeGroup) NoteInFlight(string, InFlight) {}
+func (g *fakeGroup) RecordInFlight(string, InFlight) {}
 
 func (g *fakeGroup) ReportDemand(_ string, report DemandReport) {
 	g.lock.Lock()
@@ -213,13 +213,13 @@
 
 func startClient(t *testing.T, views Views, addresses ...string) *Client {
 	client, err := Dial(ClientConfig{
-		Daemon:         "proxy-a",
-		HandoverWait:   testTimeout,
-		Addresses:      addresses,
-		BeatInterval:   20 * time.Millisecond,
-		SilenceTimeout: time.Second,
-		BackoffMin:     time.Millisecond,
-		BackoffMax:     20 * time.Millisecond,
+		Daemon:            "proxy-a",
+		HandoverWait:      testTimeout,
+		Addresses:         addresses,
+		HeartbeatInterval: 20 * time.Millisecond,
+		SilenceTimeout:    time.Second,
+		BackoffMin:        time.Millisecond,
+		BackoffMax:        20 * time.Millisecond,
 	}, views)
 	must.NoError(t, err)
 	t.Cleanup(client.Close)
--- a/connection/feed/messages.go
+++ b/connection/feed/messages.go
@@ -105,7 +105,7 @@
 	Stopping bool
 	// Day is the wall-clock time of the proxy's machine at the time of the report, in Unix
 	// milliseconds.
-	Day int64
+	WallClock int64
 }
 
 func encodePresence(message Presence) []byte {
@@ -115,14 +115,14 @@
 	encoder.String(message.Zone)
 	encoder.Bool(message.Ready)
 	encoder.Bool(message.Stopping)
-	encoder.Int64(message.Day)
+	encoder.Int64(message.WallClock)
 	return encoder.Data()
 }
 
 func decodePresence(data []byte) (Presence, error) {
 	decoder := frame.NewDecoder(data)
 	message := Presence{Proxy: decoder.String(), Address: decoder.String(), Zone: decoder.String(), Ready: decoder.Bool(), Stopping: decoder.Bool()}
-	message.Day = decoder.Int64()
+	message.WallClock = decoder.Int64()
 	return message, decoder.Finish()
 }
 
--- a/connection/feed/partial.go
+++ b/connection/feed/partial.go
@@ -339,9 +339,9 @@
 }
 
 // Lister is implemented by a Group that knows replicas which are not in its view.
-type Lister interface {
+type ReplicaLookup interface {
 	// Listed returns the named replica, whether it is in the view or not, or nil if it is unknown.
-	Listed(name string) *api.Replica
+	ReplicaByName(name string) *api.Replica
 }
 
 // replicasOutsideSubset returns the named replicas that are outside the daemon's subset; if the
@@ -360,8 +360,8 @@
 	current := s.server.partial.currentShares(group)
 	var outside []*api.Replica
 	for _, name := range names {
-		if lister, isLister := group.(Lister); isLister {
-			if known := lister.Listed(name); known != nil {
+		if lister, isLister := group.(ReplicaLookup); isLister {
+			if known := lister.ReplicaByName(name); known != nil {
 				outside = append(outside, known)
 			}
 			continue
@@ -406,4 +406,4 @@
 
 // Listed returns a replica outside the daemon's subset that a recent placement reply has included,
 // or nil.
-func (c *Client) Listed(name string) *api.Replica { return c.namedReplicas.find(name) }
+func (c *Client) ReplicaByName(name string) *api.Replica { return c.namedReplicas.find(name) }
--- a/connection/feed/partial_test.go
+++ b/connection/feed/partial_test.go
@@ -59,7 +59,7 @@
 	read := &atomic.Int64{}
 	client, err := Dial(ClientConfig{
 		Daemon: daemon, Addresses: []string{address}, Partial: true,
-		BeatInterval: 20 * time.Millisecond, SilenceTimeout: testTimeout, BackoffMin: time.Millisecond, BackoffMax: 20 * time.Millisecond,
+		HeartbeatInterval: 20 * time.Millisecond, SilenceTimeout: testTimeout, BackoffMin: time.Millisecond, BackoffMax: 20 * time.Millisecond,
 		Dial: countingDial(read),
 	}, holder)
 	must.NoError(t, err)
--- a/connection/feed/placement.go
+++ b/connection/feed/placement.go
@@ -14,17 +14,17 @@
 type PlaceRequest struct {
 	Service string
 	Number  uint64 // the daemon's own number for the request, used in notes
-	Ask     placement.Ask
+	Ask     placement.Request
 	// Origin is the daemon on whose behalf another one asks, as the string form "name#instance" of
 	// its daemonKey; empty for the sender itself.
 	Origin string
 }
 
 // PlaceNote reports the progress of a placed request.
-type PlaceNote struct {
+type PlacementProgress struct {
 	Service string
 	Number  uint64
-	Note    placement.Note
+	Note    placement.ProgressReport
 	Origin  string // as in PlaceRequest
 }
 
@@ -53,13 +53,13 @@
 }
 
 // encodeAsk encodes what the member needs to place the request; see placement.Ask for the fields.
-func encodeAsk(encoder *frame.Encoder, ask *placement.Ask) {
-	encoder.Uint32(uint32(ask.Prompt))
-	encoder.Uint32(uint32(ask.Output))
+func encodeAsk(encoder *frame.Encoder, ask *placement.Request) {
+	encoder.Uint32(uint32(ask.PromptTokens))
+	encoder.Uint32(uint32(ask.MaxOutputTokens))
 	encoder.Int64(int64(ask.Priority))
 	encoder.String(ask.Zone)
 	encoder.String(ask.Tenant)
-	encoder.String(ask.Name)
+	encoder.String(ask.Fingerprint)
 	encoder.Int64(int64(ask.Objective))
 	encoder.Int64(int64(ask.Age))
 	encoder.Int64(int64(ask.Deadline))
@@ -119,14 +119,14 @@
 	return requestID, request, decoder.Finish()
 }
 
-func decodeAsk(decoder *frame.Decoder) placement.Ask {
-	var ask placement.Ask
-	ask.Prompt = int(decoder.Uint32())
-	ask.Output = int(decoder.Uint32())
+func decodeAsk(decoder *frame.Decoder) placement.Request {
+	var ask placement.Request
+	ask.PromptTokens = int(decoder.Uint32())
+	ask.MaxOutputTokens = int(decoder.Uint32())
 	ask.Priority = int(decoder.Int64())
 	ask.Zone = decoder.String()
 	ask.Tenant = decoder.String()
-	ask.Name = decoder.String()
+	ask.Fingerprint = decoder.String()
 	ask.Objective = time.Duration(decoder.Int64())
 	ask.Age = time.Duration(decoder.Int64())
 	ask.Deadline = time.Duration(decoder.Int64())
@@ -163,13 +163,13 @@
 func encodeAnswer(encoder *frame.Encoder, answer *placement.Answer) {
 	encoder.String(answer.Generator)
 	encoder.String(answer.Reader)
-	encoder.String(answer.Fetch)
-	encoder.Uint32(uint32(answer.Unread))
+	encoder.String(answer.FetchFrom)
+	encoder.Uint32(uint32(answer.UnreadTokens))
 	encoder.Int64(int64(answer.Estimate))
 	encoder.Int64(int64(answer.Wait))
 	encoder.Bool(answer.Deferred)
-	encoder.Bool(answer.Name)
-	encoder.Bool(answer.Alone)
+	encoder.Bool(answer.NeedsFingerprint)
+	encoder.Bool(answer.Isolated)
 	encoder.Bool(answer.Refused)
 	encoder.Int64(int64(answer.RetryAfter))
 }
@@ -186,36 +186,36 @@
 
 func decodeAnswer(decoder *frame.Decoder) placement.Answer {
 	return placement.Answer{
-		Generator:  decoder.String(),
-		Reader:     decoder.String(),
-		Fetch:      decoder.String(),
-		Unread:     int(decoder.Uint32()),
-		Estimate:   time.Duration(decoder.Int64()),
-		Wait:       time.Duration(decoder.Int64()),
-		Deferred:   decoder.Bool(),
-		Name:       decoder.Bool(),
-		Alone:      decoder.Bool(),
-		Refused:    decoder.Bool(),
-		RetryAfter: time.Duration(decoder.Int64()),
+		Generator:        decoder.String(),
+		Reader:           decoder.String(),
+		FetchFrom:        decoder.String(),
+		UnreadTokens:     int(decoder.Uint32()),
+		Estimate:         time.Duration(decoder.Int64()),
+		Wait:             time.Duration(decoder.Int64()),
+		Deferred:         decoder.Bool(),
+		NeedsFingerprint: decoder.Bool(),
+		Isolated:         decoder.Bool(),
+		Refused:          decoder.Bool(),
+		RetryAfter:       time.Duration(decoder.Int64()),
 	}
 }
 
 // encodePlaceNote encodes a note; see placement.Note for the fields.
-func encodePlaceNote(note PlaceNote) []byte {
+func encodePlaceNote(note PlacementProgress) []byte {
 	encoder := frame.NewEncoder(nil)
 	encoder.String(note.Service)
 	encoder.Uint64(note.Number)
 	encoder.Uint8(uint8(note.Note.Step))
 	encoder.String(note.Note.Replica)
-	encoder.Uint32(uint32(max(note.Note.Told, 0)))
+	encoder.Uint32(uint32(max(note.Note.ReportedRequests, 0)))
 	encoder.String(note.Origin)
 	return encoder.Data()
 }
 
-func decodePlaceNote(data []byte) (PlaceNote, error) {
+func decodePlaceNote(data []byte) (PlacementProgress, error) {
 	decoder := frame.NewDecoder(data)
-	note := PlaceNote{Service: decoder.String(), Number: decoder.Uint64()}
-	note.Note = placement.Note{Step: placement.Step(decoder.Uint8()), Replica: decoder.String(), Told: int(decoder.Uint32())}
+	note := PlacementProgress{Service: decoder.String(), Number: decoder.Uint64()}
+	note.Note = placement.ProgressReport{Step: placement.Step(decoder.Uint8()), Replica: decoder.String(), ReportedRequests: int(decoder.Uint32())}
 	note.Origin = decoder.String()
 	return note, decoder.Finish()
 }
@@ -259,7 +259,7 @@
 
 // NotePlaced reports the progress of a placed request to the session that places requests. It
 // returns false if the message was dropped.
-func (c *Client) NotePlaced(note PlaceNote) bool {
+func (c *Client) RecordProgress(note PlacementProgress) bool {
 	current := c.placementSessionFor(note.Origin)
 	if current == nil {
 		return false
@@ -291,7 +291,7 @@
 	reply := placeReply{requestID: requestID}
 	if s.standby || s.server.config.Group.Leadership().Leads {
 		reply.answer, reply.decided = s.server.config.Group.Place(s.originKey(request.Origin), request)
-		reply.replicas = s.replicasOutsideSubset(request.Origin, reply.answer.Generator, reply.answer.Reader, reply.answer.Fetch)
+		reply.replicas = s.replicasOutsideSubset(request.Origin, reply.answer.Generator, reply.answer.Reader, reply.answer.FetchFrom)
 	}
 	s.enqueueResponse(kindPlaceReply, encodePlaceReply(reply))
 }
@@ -309,6 +309,6 @@
 	if err != nil {
 		return err
 	}
-	s.server.config.Group.NotePlaced(s.originKey(note.Origin), note)
+	s.server.config.Group.RecordProgress(s.originKey(note.Origin), note)
 	return nil
 }
--- a/connection/feed/placementrelay.go
+++ b/connection/feed/placementrelay.go
@@ -48,31 +48,33 @@
 }
 
 // NotePlaced forwards the note to the leader.
-func (r *PlacementRelay) NotePlaced(key string, note PlaceNote) {
+func (r *PlacementRelay) RecordProgress(key string, note PlacementProgress) {
 	if note.Origin != "" {
 		return
 	}
 	note.Origin = key
-	r.client.NotePlaced(note)
+	r.client.RecordProgress(note)
 }
 
 // NoteEnds forwards the report to the leader: a daemon that is cut off from the members has no
 // other way to send it.
-func (r *PlacementRelay) NoteEnds(report EndReport) { sendCrashReport(r.client.session.Load(), report) }
+func (r *PlacementRelay) RecordCrashes(report CrashReport) {
+	sendCrashReport(r.client.session.Load(), report)
+}
 
 // Unrecorded returns nothing: only members collect crashes for other daemons.
-func (r *PlacementRelay) Unrecorded() (EndReport, uint64) { return EndReport{}, 0 }
+func (r *PlacementRelay) UnrecordedCrashes() (CrashReport, uint64) { return CrashReport{}, 0 }
 
 // NoteUsage forwards the report to the leader.
-func (r *PlacementRelay) NoteUsage(report UsageReport) { r.client.ReportUsage(report) }
+func (r *PlacementRelay) RecordUsage(report UsageReport) { r.client.ReportUsage(report) }
 
 // Charge forwards the charge to the leader. It returns false if the charge was already relayed, or
 // if the leader does not answer within relayTimeout.
 func (r *PlacementRelay) Charge(request ChargeRequest) (quota.Grant, bool) {
-	if request.Passed {
+	if request.Forwarded {
 		return quota.Grant{}, false
 	}
-	request.Passed = true
+	request.Forwarded = true
 	ctx, cancel := context.WithTimeout(context.Background(), relayTimeout)
 	defer cancel()
 	grant, err := r.client.Charge(ctx, request)
@@ -80,16 +82,16 @@
 }
 
 // ReturnCharge forwards the refund to the leader.
-func (r *PlacementRelay) ReturnCharge(request ChargeRequest) {
-	if request.Passed {
+func (r *PlacementRelay) RefundCharge(request ChargeRequest) {
+	if request.Forwarded {
 		return
 	}
-	request.Passed = true
-	r.client.ReturnCharge(request)
+	request.Forwarded = true
+	r.client.RefundCharge(request)
 }
 
 // Day returns 0, since a relay does not distribute the group's wall-clock time.
-func (r *PlacementRelay) Day() int64 { return 0 }
+func (r *PlacementRelay) WallClock() int64 { return 0 }
 
 // Version returns the version of the views while a leader serves the client, and zero otherwise,
 // since this daemon can't forward anything then.
@@ -105,11 +107,11 @@
 
 // Listed returns the replica with the name if this daemon follows it or has received it with an
 // answer.
-func (r *PlacementRelay) Listed(name string) *api.Replica {
+func (r *PlacementRelay) ReplicaByName(name string) *api.Replica {
 	if listed := r.views.Load().Replicas[name]; listed != nil {
 		return listed
 	}
-	return r.client.Listed(name)
+	return r.client.ReplicaByName(name)
 }
 
 // Leadership reports that this daemon does not lead.
@@ -137,7 +139,7 @@
 func (r *PlacementRelay) ReportPresence(Presence) {}
 
 // NoteKept drops the report.
-func (r *PlacementRelay) NoteKept(KeptParts) {}
+func (r *PlacementRelay) RecordCachedParts(CachedParts) {}
 
 // NoteInFlight drops the report: the leader itself has placed the requests relayed here.
-func (r *PlacementRelay) NoteInFlight(string, InFlight) {}
+func (r *PlacementRelay) RecordInFlight(string, InFlight) {}
--- a/connection/feed/placementrelay_test.go
+++ b/connection/feed/placementrelay_test.go
@@ -39,7 +39,7 @@
 	return placement.Answer{Generator: "leader"}, true
 }
 
-func (g *recordingGroup) NotePlaced(daemon string, _ PlaceNote) {
+func (g *recordingGroup) RecordProgress(daemon string, _ PlacementProgress) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	g.notes[daemon]++
@@ -98,16 +98,16 @@
 // startResumedClient is startRelayedClient with a Resumed callback.
 func startResumedClient(t *testing.T, resumed func(), daemon, leader string, dial *partitionDialer, views Views, relays ...string) *Client {
 	client, err := Dial(ClientConfig{
-		Daemon:         daemon,
-		Addresses:      []string{leader},
-		BeatInterval:   20 * time.Millisecond,
-		SilenceTimeout: testTimeout,
-		BackoffMin:     time.Millisecond,
-		BackoffMax:     20 * time.Millisecond,
-		Standby:        true,
-		Resumed:        resumed,
-		StandbyRelays:  func() []string { return relays },
-		Dial:           dial.dial,
+		Daemon:            daemon,
+		Addresses:         []string{leader},
+		HeartbeatInterval: 20 * time.Millisecond,
+		SilenceTimeout:    testTimeout,
+		BackoffMin:        time.Millisecond,
+		BackoffMax:        20 * time.Millisecond,
+		Standby:           true,
+		OnLeaderResumed:   resumed,
+		StandbyRelays:     func() []string { return relays },
+		Dial:              dial.dial,
 	}, views)
 	must.NoError(t, err)
 	t.Cleanup(client.Close)
@@ -134,7 +134,7 @@
 	eventually(t, "placement through the other daemon", func() bool { return !client.Connected() && placedBy(client) == "leader" })
 	name := daemonKey{daemon: "proxy-a", instance: client.instance}.String()
 	must.GreaterEq(t, 2, group.count(group.placements, name), must.Sprint(group.placements))
-	must.True(t, client.NotePlaced(PlaceNote{Service: "chat", Number: 1}))
+	must.True(t, client.RecordProgress(PlacementProgress{Service: "chat", Number: 1}))
 	eventually(t, "the note", func() bool { return group.count(group.notes, name) == 1 })
 	_, err := client.Claim(t.Context(), state.ClaimRequest{Tenant: "water", Key: "k", Nonce: 1})
 	must.ErrorIs(t, err, ErrNoQuorum)
@@ -152,23 +152,23 @@
 	relay := NewPlacementRelay(nil, view.NewHolder())
 	_, found := relay.Place("proxy-a", PlaceRequest{Service: "chat", Origin: "proxy-c"})
 	must.False(t, found)
-	relay.NotePlaced("proxy-a", PlaceNote{Service: "chat", Origin: "proxy-c"})
+	relay.RecordProgress("proxy-a", PlacementProgress{Service: "chat", Origin: "proxy-c"})
 }
 
 func TestPlacementMessagesRoundTrip(t *testing.T) {
-	request := PlaceRequest{Service: "chat", Number: 7, Origin: "proxy-a#1", Ask: placement.Ask{
-		Prompt: 9, Output: 3, Priority: 2, Zone: "a", Deadline: time.Second, Continued: true,
+	request := PlaceRequest{Service: "chat", Number: 7, Origin: "proxy-a#1", Ask: placement.Request{
+		PromptTokens: 9, MaxOutputTokens: 3, Priority: 2, Zone: "a", Deadline: time.Second, Continued: true,
 		Parts: []placement.Part{{ID: "p", Tokens: 4}}, Excluded: []string{"r"},
 	}}
 	number, decoded, err := decodePlace(encodePlace(5, request))
 	must.NoError(t, err)
 	must.Eq(t, 5, number)
 	must.Eq(t, request, decoded)
-	reply := placeReply{requestID: 5, decided: true, answer: placement.Answer{Generator: "g", Reader: "r", Fetch: "f", Unread: 4, Estimate: time.Second, Wait: time.Minute}}
+	reply := placeReply{requestID: 5, decided: true, answer: placement.Answer{Generator: "g", Reader: "r", FetchFrom: "f", UnreadTokens: 4, Estimate: time.Second, Wait: time.Minute}}
 	gotReply, err := decodePlaceReply(encodePlaceReply(reply))
 	must.NoError(t, err)
 	must.Eq(t, reply, gotReply)
-	note := PlaceNote{Service: "chat", Number: 7, Origin: "proxy-a#1", Note: placement.Note{Step: placement.StepRefused, Replica: "r", Told: 3}}
+	note := PlacementProgress{Service: "chat", Number: 7, Origin: "proxy-a#1", Note: placement.ProgressReport{Step: placement.StepRefused, Replica: "r", ReportedRequests: 3}}
 	gotNote, err := decodePlaceNote(encodePlaceNote(note))
 	must.NoError(t, err)
 	must.Eq(t, note, gotNote)
--- a/connection/feed/server.go
+++ b/connection/feed/server.go
@@ -53,24 +53,24 @@
 	// the daemon that asked. Neither blocks, except that a PlacementRelay's Place waits up to
 	// relayTimeout for the leader.
 	Place(key string, request PlaceRequest) (placement.Answer, bool)
-	NotePlaced(key string, note PlaceNote)
+	RecordProgress(key string, note PlacementProgress)
 	// NoteKept records which prompt parts a replica is believed to have cached.
-	NoteKept(cached KeptParts)
+	RecordCachedParts(cached CachedParts)
 	// NoteInFlight replaces the recorded in-flight requests of a daemon; key is as in Place.
-	NoteInFlight(key string, inFlight InFlight)
+	RecordInFlight(key string, inFlight InFlight)
 	// NoteEnds records the requests during which replicas crashed. Unrecorded returns the crashes
 	// that daemons should know but can't read from the group's committed quarantine record, empty
 	// if there are none; generation changes whenever the report does.
-	NoteEnds(report EndReport)
-	Unrecorded() (report EndReport, generation uint64)
+	RecordCrashes(report CrashReport)
+	UnrecordedCrashes() (report CrashReport, generation uint64)
 	// NoteUsage records the usage counters of an instance.
-	NoteUsage(report UsageReport)
+	RecordUsage(report UsageReport)
 	// Charge deducts the cost of a tenant's request from its quota and returns false if this
 	// member keeps no quotas. ReturnCharge refunds a request that did not run.
 	Charge(request ChargeRequest) (quota.Grant, bool)
-	ReturnCharge(request ChargeRequest)
+	RefundCharge(request ChargeRequest)
 	// Day returns the group's wall-clock time in Unix milliseconds, 0 if unknown.
-	Day() int64
+	WallClock() int64
 }
 
 // ServerConfig configures a Server. Durations and limits that are not positive use the defaults.
--- a/connection/feed/session.go
+++ b/connection/feed/session.go
@@ -147,7 +147,7 @@
 	if s.sendSubscribe(writer) != nil {
 		return
 	}
-	ticker := time.NewTicker(s.client.config.BeatInterval)
+	ticker := time.NewTicker(s.client.config.HeartbeatInterval)
 	defer ticker.Stop()
 	for {
 		var err error
@@ -367,8 +367,8 @@
 		}
 	}
 	s.heartbeatLock.Unlock()
-	if known && message.wallClock > 0 && s.client.config.Day != nil {
-		s.client.config.Day(sentAt, s.client.config.Clock(), message.wallClock)
+	if known && message.wallClock > 0 && s.client.config.OnWallClock != nil {
+		s.client.config.OnWallClock(sentAt, s.client.config.Clock(), message.wallClock)
 	}
 	if known && s.client.views.Confirm(sentAt, message.lease, message.term) {
 		s.markReady()
@@ -386,8 +386,8 @@
 		s.client.endStandby()
 		s.client.handover.leaderReady()
 		event.FeedServed.Log(s.client.config.Logger, "address", s.conn.RemoteAddr(), "revision", s.client.views.Load().Version.Revision)
-		if s.client.config.Served != nil {
-			s.client.config.Served()
+		if s.client.config.OnServed != nil {
+			s.client.config.OnServed()
 		}
 	}
 }
--- a/connection/feed/standby.go
+++ b/connection/feed/standby.go
@@ -51,8 +51,8 @@
 	if s.unanswered.Swap(0) < unansweredLimit || s.standby {
 		return
 	}
-	if s.client.endStandby() && s.client.config.Resumed != nil {
-		s.client.config.Resumed()
+	if s.client.endStandby() && s.client.config.OnLeaderResumed != nil {
+		s.client.config.OnLeaderResumed()
 	}
 }
 
@@ -225,8 +225,8 @@
 		return nil
 	}
 	event.FeedStandby.Log(s.client.config.Logger, "address", s.conn.RemoteAddr())
-	if s.client.config.Served != nil {
-		s.client.config.Served()
+	if s.client.config.OnServed != nil {
+		s.client.config.OnServed()
 	}
 	return nil
 }
--- a/connection/feed/standby_test.go
+++ b/connection/feed/standby_test.go
@@ -31,23 +31,23 @@
 	return placement.Answer{Generator: g.name}, true
 }
 
-func (g *placingGroup) NotePlaced(string, PlaceNote) { g.notes.Add(1) }
+func (g *placingGroup) RecordProgress(string, PlacementProgress) { g.notes.Add(1) }
 
-func (g *placingGroup) NoteKept(KeptParts) { g.kept.Add(1) }
+func (g *placingGroup) RecordCachedParts(CachedParts) { g.kept.Add(1) }
 
-func (g *placingGroup) NoteInFlight(string, InFlight) { g.inFlight.Add(1) }
+func (g *placingGroup) RecordInFlight(string, InFlight) { g.inFlight.Add(1) }
 
 func startStandbyClient(t *testing.T, views Views, addresses ...string) (*Client, *atomic.Int64) {
 	served := &atomic.Int64{}
 	client, err := Dial(ClientConfig{
-		Daemon:         "proxy-a",
-		Addresses:      addresses,
-		BeatInterval:   20 * time.Millisecond,
-		SilenceTimeout: time.Second,
-		BackoffMin:     time.Millisecond,
-		BackoffMax:     20 * time.Millisecond,
-		Standby:        true,
-		Served:         func() { served.Add(1) },
+		Daemon:            "proxy-a",
+		Addresses:         addresses,
+		HeartbeatInterval: 20 * time.Millisecond,
+		SilenceTimeout:    time.Second,
+		BackoffMin:        time.Millisecond,
+		BackoffMax:        20 * time.Millisecond,
+		Standby:           true,
+		OnServed:          func() { served.Add(1) },
 	}, views)
 	must.NoError(t, err)
 	t.Cleanup(client.Close)
@@ -83,8 +83,8 @@
 	eventually(t, "the loss of the leader", func() bool { return !client.Connected() })
 	eventually(t, "placement by the previous leader on standby", func() bool { return client.standby.Load() != nil && placedBy(client) == "first" })
 	must.False(t, client.Connected())
-	must.True(t, client.NotePlaced(PlaceNote{Service: "chat", Number: 1}))
-	must.True(t, client.ReportKept(KeptParts{Service: "chat", Replica: "r"}))
+	must.True(t, client.RecordProgress(PlacementProgress{Service: "chat", Number: 1}))
+	must.True(t, client.ReportCachedParts(CachedParts{Service: "chat", Replica: "r"}))
 	must.True(t, client.ReportInFlight(InFlight{Service: "chat"}))
 	eventually(t, "the notes", func() bool {
 		return first.notes.Load() == 1 && first.kept.Load() == 1 && first.inFlight.Load() == 1
--- a/connection/feed/subscriber.go
+++ b/connection/feed/subscriber.go
@@ -448,6 +448,6 @@
 	if !granted || sequence == 0 || lease <= 0 {
 		return nil
 	}
-	message := leaseGrant{sequence: sequence, lease: lease, term: current.term, wallClock: s.server.config.Group.Day()}
+	message := leaseGrant{sequence: sequence, lease: lease, term: current.term, wallClock: s.server.config.Group.WallClock()}
 	return writer.WriteFrame(kindLeaseGrant, encodeLeaseGrant(message))
 }
--- a/connection/feed/takeover.go
+++ b/connection/feed/takeover.go
@@ -15,7 +15,7 @@
 // KeptParts lists the prompt parts that a daemon believes a replica to have cached, the most
 // recently used one last. Daemons send it to a leader or standby member that has just started to
 // serve them, which otherwise would learn only from new requests which parts are cached where.
-type KeptParts struct {
+type CachedParts struct {
 	Service string
 	Replica string
 	Parts   []placement.Part
@@ -24,7 +24,7 @@
 // maxCachedParts limits the parts sent for one replica.
 const maxCachedParts = 512
 
-func encodeCachedParts(cached KeptParts) []byte {
+func encodeCachedParts(cached CachedParts) []byte {
 	encoder := frame.NewEncoder(nil)
 	encoder.String(cached.Service)
 	encoder.String(cached.Replica)
@@ -32,15 +32,15 @@
 	return encoder.Data()
 }
 
-func decodeCachedParts(data []byte) (KeptParts, error) {
+func decodeCachedParts(data []byte) (CachedParts, error) {
 	decoder := frame.NewDecoder(data)
-	cached := KeptParts{Service: decoder.String(), Replica: decoder.String(), Parts: decodeParts(decoder, maxCachedParts)}
+	cached := CachedParts{Service: decoder.String(), Replica: decoder.String(), Parts: decodeParts(decoder, maxCachedParts)}
 	return cached, decoder.Finish()
 }
 
 // ReportKept sends the parts that a replica is believed to have cached to the session that places
 // requests. It returns false if the message was dropped.
-func (c *Client) ReportKept(cached KeptParts) bool {
+func (c *Client) ReportCachedParts(cached CachedParts) bool {
 	current := c.placementSession()
 	if current == nil {
 		return false
@@ -53,7 +53,7 @@
 	if err != nil {
 		return err
 	}
-	s.server.config.Group.NoteKept(cached)
+	s.server.config.Group.RecordCachedParts(cached)
 	return nil
 }
 
@@ -63,7 +63,7 @@
 // predecessor knew.
 type InFlight struct {
 	Service  string
-	Requests map[uint64]placement.Placed
+	Requests map[uint64]placement.InFlightRequest
 }
 
 // Limits of one message. A daemon with more requests in flight omits the oldest, which then only
@@ -95,7 +95,7 @@
 }
 
 // encodePlaced omits the replica lists that only mattered for choosing the replica.
-func encodePlaced(encoder *frame.Encoder, number uint64, request placement.Placed) {
+func encodePlaced(encoder *frame.Encoder, number uint64, request placement.InFlightRequest) {
 	request.Ask.Excluded, request.Ask.Connected = nil, nil
 	encoder.Uint64(number)
 	encoder.Int64(int64(request.Age))
@@ -106,14 +106,14 @@
 
 func decodeInFlight(data []byte) (InFlight, error) {
 	decoder := frame.NewDecoder(data)
-	message := InFlight{Service: decoder.String(), Requests: map[uint64]placement.Placed{}}
+	message := InFlight{Service: decoder.String(), Requests: map[uint64]placement.InFlightRequest{}}
 	count := decoder.Count(inFlightSize)
 	if count > maxInFlight {
 		decoder.Fail(frame.ErrValue)
 	}
 	for i := 0; i < count && decoder.Err() == nil; i++ {
 		number := decoder.Uint64()
-		request := placement.Placed{Age: time.Duration(decoder.Int64()), Step: placement.Step(decoder.Uint8())}
+		request := placement.InFlightRequest{Age: time.Duration(decoder.Int64()), Step: placement.Step(decoder.Uint8())}
 		request.Ask = decodeAsk(decoder)
 		request.Answer = decodeAnswer(decoder)
 		message.Requests[number] = request
@@ -136,6 +136,6 @@
 	if err != nil {
 		return err
 	}
-	s.server.config.Group.NoteInFlight(s.key.String(), message)
+	s.server.config.Group.RecordInFlight(s.key.String(), message)
 	return nil
 }
--- a/connection/feed/unrecorded_test.go
+++ b/connection/feed/unrecorded_test.go
@@ -14,11 +14,11 @@
 type unrecordedGroup struct {
 	*fakeGroup
 	lock       sync.Mutex
-	report     EndReport
+	report     CrashReport
 	generation uint64
 }
 
-func (g *unrecordedGroup) Unrecorded() (EndReport, uint64) {
+func (g *unrecordedGroup) UnrecordedCrashes() (CrashReport, uint64) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	return g.report, g.generation
@@ -28,7 +28,7 @@
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	g.generation++
-	g.report.Ended = append(g.report.Ended, quarantine.Aged{Evidence: quarantine.Evidence{Replica: replica}, Age: time.Second})
+	g.report.Crashes = append(g.report.Crashes, quarantine.AgedEvidence{Evidence: quarantine.Evidence{Replica: replica}, Age: time.Second})
 }
 
 // Unrecorded crashes are sent to daemons by the leader that serves them and by a standby member,
@@ -39,11 +39,11 @@
 			group := &unrecordedGroup{fakeGroup: newFakeGroup()}
 			server, address := startServer(t, group)
 			group.put("water")
-			reports := make(chan EndReport, 1000)
+			reports := make(chan CrashReport, 1000)
 			client, err := Dial(ClientConfig{
-				Daemon: "proxy-a", Addresses: []string{address}, BeatInterval: 20 * time.Millisecond, SilenceTimeout: time.Second,
+				Daemon: "proxy-a", Addresses: []string{address}, HeartbeatInterval: 20 * time.Millisecond, SilenceTimeout: time.Second,
 				BackoffMin: time.Millisecond, BackoffMax: 20 * time.Millisecond, Standby: true,
-				Unrecorded: func(report EndReport) { reports <- report },
+				OnUnrecordedCrashes: func(report CrashReport) { reports <- report },
 			}, view.NewHolder())
 			must.NoError(t, err)
 			t.Cleanup(client.Close)
@@ -57,13 +57,13 @@
 			for i, replica := range []string{"r-0", "r-1"} {
 				group.addCrash(replica)
 				report := <-reports
-				must.SliceLen(t, i+1, report.Ended)
-				must.Eq(t, replica, report.Ended[i].Replica)
-				must.Eq(t, time.Second, report.Ended[i].Age)
+				must.SliceLen(t, i+1, report.Crashes)
+				must.Eq(t, replica, report.Crashes[i].Replica)
+				must.Eq(t, time.Second, report.Crashes[i].Age)
 			}
 			began := time.Now()
-			must.SliceLen(t, 2, (<-reports).Ended)
-			must.GreaterEq(t, UnrecordedPause/2, time.Since(began), must.Sprint("unchanged crashes are sent again only periodically"))
+			must.SliceLen(t, 2, (<-reports).Crashes)
+			must.GreaterEq(t, UnrecordedInterval/2, time.Since(began), must.Sprint("unchanged crashes are sent again only periodically"))
 		})
 	}
 }
--- a/connection/feed/usage.go
+++ b/connection/feed/usage.go
@@ -8,7 +8,7 @@
 // and time window. Counters only increase, so a duplicate or late report can't lower one.
 type UsageReport struct {
 	// Life identifies the instance. A restarted process has a different value.
-	Life string
+	ProcessRun string
 	// Through is the time up to which the instance has reported all its counts, in Unix
 	// milliseconds of the group's wall-clock time.
 	Through int64
@@ -30,7 +30,7 @@
 
 func encodeUsage(report UsageReport) []byte {
 	encoder := frame.NewEncoder(nil)
-	encoder.String(report.Life)
+	encoder.String(report.ProcessRun)
 	encoder.Int64(report.Through)
 	encoder.Uint32(uint32(len(report.Counts)))
 	for _, counter := range report.Counts {
@@ -43,7 +43,7 @@
 
 func decodeUsage(data []byte) (UsageReport, error) {
 	decoder := frame.NewDecoder(data)
-	report := UsageReport{Life: decoder.String(), Through: decoder.Int64()}
+	report := UsageReport{ProcessRun: decoder.String(), Through: decoder.Int64()}
 	count := decoder.Count(usageCountSize)
 	if count > maxUsageCounts {
 		decoder.Fail(frame.ErrValue)
@@ -59,7 +59,7 @@
 func (r UsageReport) split() []UsageReport {
 	var parts []UsageReport
 	for len(r.Counts) > maxUsageCounts {
-		parts = append(parts, UsageReport{Life: r.Life, Counts: r.Counts[:maxUsageCounts]})
+		parts = append(parts, UsageReport{ProcessRun: r.ProcessRun, Counts: r.Counts[:maxUsageCounts]})
 		r.Counts = r.Counts[maxUsageCounts:]
 	}
 	return append(parts, r)
@@ -85,6 +85,6 @@
 	if err != nil {
 		return err
 	}
-	s.server.config.Group.NoteUsage(report)
+	s.server.config.Group.RecordUsage(report)
 	return nil
 }
--- a/connection/feed/usage_test.go
+++ b/connection/feed/usage_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestUsageReportRoundTrip(t *testing.T) {
-	report := UsageReport{Life: "p#1", Through: 1_700_000_000_123, Counts: []UsageCount{{Window: 7, Tenant: "north", Count: 3}, {Window: 8, Tenant: "south", Count: 1}}}
+	report := UsageReport{ProcessRun: "p#1", Through: 1_700_000_000_123, Counts: []UsageCount{{Window: 7, Tenant: "north", Count: 3}, {Window: 8, Tenant: "south", Count: 1}}}
 	decoded, err := decodeUsage(encodeUsage(report))
 	must.NoError(t, err)
 	must.Eq(t, report, decoded)
@@ -21,7 +21,7 @@
 // A report that exceeds the size of a message is split into several. Only the last one sets
 // Through, when the report is complete.
 func TestLongUsageReportsAreSplit(t *testing.T) {
-	report := UsageReport{Life: "p", Through: 9}
+	report := UsageReport{ProcessRun: "p", Through: 9}
 	for i := range 2*maxUsageCounts + 5 {
 		report.Counts = append(report.Counts, UsageCount{Window: 1, Tenant: fmt.Sprint(i), Count: 1})
 	}
--- a/connection/operatorapi/operatorapi.go
+++ b/connection/operatorapi/operatorapi.go
@@ -171,7 +171,7 @@
 }
 
 // MemberSelf is a member's own status, whether or not it is the leader.
-type MemberSelf struct {
+type MemberStatus struct {
 	ID      uint64     `json:"id,string"`
 	Name    string     `json:"name"`
 	Role    MemberRole `json:"role"`
--- a/connection/orders/orders_test.go
+++ b/connection/orders/orders_test.go
@@ -115,7 +115,7 @@
 func startPoller(client EngineClient, changed func()) *Poller {
 	start := time.Now()
 	return NewPoller(PollerConfig{
-		Asker: client, Interval: 500 * time.Millisecond, Changed: changed,
+		Client: client, Interval: 500 * time.Millisecond, Changed: changed,
 		Clock: func() time.Duration { return time.Since(start) },
 	})
 }
@@ -134,7 +134,7 @@
 		}
 		poller.SetTargets(targets)
 		time.Sleep(30 * time.Second)
-		seen := poller.Seen()
+		seen := poller.Observations()
 		must.MapLen(t, engines, seen)
 		for name := range seen {
 			must.Greater(t, 2, client.count(name))
@@ -182,9 +182,9 @@
 		time.Sleep(time.Second)
 		must.Eq(t, 2, len(changes))
 		poller.SetTargets(map[string]string{"engine-1": "moved"})
-		must.MapEmpty(t, poller.Seen())
+		must.MapEmpty(t, poller.Observations())
 		time.Sleep(time.Second)
-		must.Eq(t, "moved", poller.Seen()["engine-1"].State.Engine)
+		must.Eq(t, "moved", poller.Observations()["engine-1"].State.Engine)
 	})
 }
 
@@ -199,7 +199,7 @@
 		poller.Record("silent", "silent", state(2), 2*time.Second)
 		poller.Record("silent", "silent", state(1), time.Second)
 		poller.Record("silent", "other", state(3), 3*time.Second)
-		must.Eq(t, 2, poller.Seen()["silent"].State.Incarnation)
+		must.Eq(t, 2, poller.Observations()["silent"].State.Incarnation)
 	})
 }
 
@@ -229,20 +229,20 @@
 		defer poller.Close()
 		poller.SetTargets(map[string]string{"engine-1": "engine-1"})
 		time.Sleep(time.Second)
-		must.Eq(t, 0, poller.Seen()["engine-1"].Load.Running)
+		must.Eq(t, 0, poller.Observations()["engine-1"].Load.Running)
 		engine.lagging.Store(false)
 		time.Sleep(time.Second)
-		must.Eq(t, 1, poller.Seen()["engine-1"].Load.Running)
+		must.Eq(t, 1, poller.Observations()["engine-1"].Load.Running)
 		next := engineapi.State{Engine: "engine-1", Incarnation: 3}
 		poller.Record("engine-1", "engine-1", next, time.Hour)
-		must.Eq(t, 0, poller.Seen()["engine-1"].Load.Running)
+		must.Eq(t, 0, poller.Observations()["engine-1"].Load.Running)
 	})
 }
 
 // Two load requests to an engine can be in flight if its entry was replaced by one with the
 // same address. The response to the earlier request must not replace a later one.
 func TestStaleLoadReportIsDiscarded(t *testing.T) {
-	known := &target{hasState: true, seen: Seen{State: engineapi.State{Incarnation: 3}}}
+	known := &target{hasState: true, seen: Observation{State: engineapi.State{Incarnation: 3}}}
 	known.recordLoad(engineapi.Load{Incarnation: 3, Running: 7}, 2*time.Second)
 	known.recordLoad(engineapi.Load{Incarnation: 3, Running: 1}, time.Second)
 	must.Eq(t, 7, known.seen.Load.Running)
@@ -283,11 +283,11 @@
 		poller.SetTargets(nil)
 		poller.SetTargets(targets)
 		time.Sleep(100 * time.Millisecond)
-		must.Eq(t, 2, poller.Seen()["engine-1"].Load.Running)
-		latest := poller.Seen()["engine-1"].LoadRequestedAt
+		must.Eq(t, 2, poller.Observations()["engine-1"].Load.Running)
+		latest := poller.Observations()["engine-1"].LoadRequestedAt
 		close(engine.first)
 		synctest.Wait()
-		must.Eq(t, 2, poller.Seen()["engine-1"].Load.Running)
-		must.Eq(t, latest, poller.Seen()["engine-1"].LoadRequestedAt)
+		must.Eq(t, 2, poller.Observations()["engine-1"].Load.Running)
+		must.Eq(t, latest, poller.Observations()["engine-1"].LoadRequestedAt)
 	})
 }
--- a/connection/orders/poller.go
+++ b/connection/orders/poller.go
@@ -12,10 +12,10 @@
 )
 
 // Seen is the last known state and load of an engine.
-type Seen struct {
+type Observation struct {
 	State engineapi.State
 	// AskedAt is when the state was requested, by the poller's clock.
-	AskedAt time.Duration
+	RequestedAt time.Duration
 	// Load is the last load report of the incarnation in State. LoadRequestedAt is when it was
 	// requested, 0 if there is none.
 	Load            engineapi.Load
@@ -30,7 +30,7 @@
 
 // PollerConfig configures a Poller.
 type PollerConfig struct {
-	Asker EngineClient
+	Client EngineClient
 	// Interval is the time between two polls of one engine. It is increased if there
 	// are more engines than MaxPerSecond allows. With 0, only MaxPerSecond and pollTick
 	// limit the polls.
@@ -61,7 +61,7 @@
 	dueAt    time.Duration
 	lastPoll uint64 // number of the last poll; 0 before the first
 	polling  bool
-	seen     Seen
+	seen     Observation
 	hasState bool
 }
 
@@ -140,7 +140,7 @@
 }
 
 // Poke makes the engine due immediately.
-func (p *Poller) Poke(name string) {
+func (p *Poller) PollNow(name string) {
 	shard := p.shard(name)
 	shard.Lock()
 	defer shard.Unlock()
@@ -163,14 +163,14 @@
 // recordState records the state, unless that of a later request is already known, and reports
 // whether it differs from the previous one.
 func (t *target) recordState(state engineapi.State, requestedAt time.Duration) bool {
-	if t.hasState && requestedAt < t.seen.AskedAt {
+	if t.hasState && requestedAt < t.seen.RequestedAt {
 		return false
 	}
 	changed := !t.hasState || !sameState(t.seen.State, state)
 	if t.seen.State.Incarnation != state.Incarnation {
 		t.seen.Load, t.seen.LoadRequestedAt = engineapi.Load{}, 0
 	}
-	t.seen.State, t.seen.AskedAt, t.hasState = state, requestedAt, true
+	t.seen.State, t.seen.RequestedAt, t.hasState = state, requestedAt, true
 	return changed
 }
 
@@ -189,8 +189,8 @@
 }
 
 // Seen returns a copy of the last known state of every engine that has responded.
-func (p *Poller) Seen() map[string]Seen {
-	all := map[string]Seen{}
+func (p *Poller) Observations() map[string]Observation {
+	all := map[string]Observation{}
 	for i := range p.shards {
 		p.shards[i].collectSeen(all)
 	}
@@ -198,7 +198,7 @@
 }
 
 // collectSeen adds the last known states of the shard's engines to all.
-func (s *pollerShard) collectSeen(all map[string]Seen) {
+func (s *pollerShard) collectSeen(all map[string]Observation) {
 	s.Lock()
 	defer s.Unlock()
 	for name, known := range s.targets {
@@ -279,14 +279,14 @@
 // RoundTime returns the least time that a Poller with the given interval and the default
 // maximum rate takes to poll the given number of engines once: that of engines which are
 // spread evenly over the shards and respond quickly.
-func RoundTime(interval time.Duration, engines int) time.Duration {
+func PollRoundDuration(interval time.Duration, engines int) time.Duration {
 	return limitedInterval(interval, engines, defaultMaxPerSecond)
 }
 
 // poll polls one engine. Its target may have been replaced by the time it responds.
 func (p *Poller) poll(shard *pollerShard, name string, polled *target) {
 	requestedAt := p.config.Clock()
-	state, err := p.config.Asker.State(p.context, polled.address)
+	state, err := p.config.Client.State(p.context, polled.address)
 	if err == nil {
 		p.Record(name, polled.address, state, requestedAt)
 		p.pollLoad(shard, name, polled)
@@ -300,7 +300,7 @@
 // another engine's name; the load is then polled again with the next state.
 func (p *Poller) pollLoad(shard *pollerShard, name string, polled *target) {
 	requestedAt := p.config.Clock()
-	load, err := p.config.Asker.Load(p.context, polled.address)
+	load, err := p.config.Client.Load(p.context, polled.address)
 	if err != nil || load.Engine != name {
 		return
 	}
--- a/connection/upstream/identity.go
+++ b/connection/upstream/identity.go
@@ -13,7 +13,7 @@
 // ErrForeign reports a response or stream event that belongs to another request, attempt
 // or incarnation than the expected one, or a response on a reused connection that does
 // not identify its request.
-var ErrForeign = errors.New("upstream: response or event does not match the request")
+var ErrUnmatchedResponse = errors.New("upstream: response or event does not match the request")
 
 // Identity identifies one exchange. RequestID and Attempt are sent with the request and
 // echoed in the response.
--- a/connection/upstream/identity_test.go
+++ b/connection/upstream/identity_test.go
@@ -89,7 +89,7 @@
 					continue
 				}
 				failed++
-				must.ErrorIs(t, err, ErrForeign)
+				must.ErrorIs(t, err, ErrUnmatchedResponse)
 				var failure *Failure
 				must.True(t, errors.As(err, &failure))
 				must.True(t, failure.Wrote)
@@ -137,7 +137,7 @@
 		must.NoError(t, err)
 		response, err := pool.Do(request, testIdentity)
 		must.NoError(t, err)
-		must.False(t, SurelyRefused(response))
+		must.False(t, RefusedBeforeAdmission(response))
 		drain(t, response)
 	}
 	must.Eq(t, requests, conns.Load())
@@ -260,7 +260,7 @@
 		must.NoError(t, err)
 		response, err := pool.Do(request, testIdentity)
 		if err != nil {
-			must.ErrorIs(t, err, ErrForeign)
+			must.ErrorIs(t, err, ErrUnmatchedResponse)
 			failed++
 			continue
 		}
--- a/connection/upstream/stream.go
+++ b/connection/upstream/stream.go
@@ -73,7 +73,7 @@
 	}
 	got := Identity{RequestID: event.ID, Attempt: event.Attempt, Incarnation: event.Incarnation}
 	if got != s.identity {
-		return errors.Wrapf(ErrForeign, "got %s/%d/%d, want %s/%d/%d", got.RequestID, got.Attempt, got.Incarnation,
+		return errors.Wrapf(ErrUnmatchedResponse, "got %s/%d/%d, want %s/%d/%d", got.RequestID, got.Attempt, got.Incarnation,
 			s.identity.RequestID, s.identity.Attempt, s.identity.Incarnation)
 	}
 	if event.Offset < 0 {
--- a/connection/upstream/stream_test.go
+++ b/connection/upstream/stream_test.go
@@ -29,9 +29,9 @@
 		{"bytes after the terminal event", "data: [DONE]\n\ndata: more\n\n", 0, ErrAfterTerminal},
 		{"no JSON", "data: hello\n\n", 0, ErrMalformed},
 		{"negative offset", strings.Replace(goodEvent, `"offset":0`, `"offset":-1`, 1), 0, ErrMalformed},
-		{"another request", strings.Replace(goodEvent, "r1", "r2", 1), 0, ErrForeign},
-		{"another attempt", strings.Replace(goodEvent, `"attempt":2`, `"attempt":1`, 1), 0, ErrForeign},
-		{"another incarnation", strings.Replace(goodEvent, `"7"`, `"8"`, 1), 0, ErrForeign},
+		{"another request", strings.Replace(goodEvent, "r1", "r2", 1), 0, ErrUnmatchedResponse},
+		{"another attempt", strings.Replace(goodEvent, `"attempt":2`, `"attempt":1`, 1), 0, ErrUnmatchedResponse},
+		{"another incarnation", strings.Replace(goodEvent, `"7"`, `"8"`, 1), 0, ErrUnmatchedResponse},
 		{"error event", "event: error\ndata: {\"error\":{\"message\":\"broken\"}}\n\n", 0, ErrEngine},
 		{"event too large", "data: " + strings.Repeat("x", 2000) + "\n\n", 0, ErrEventTooLarge},
 		{"event too large in many lines", strings.Repeat("data: "+strings.Repeat("x", 200)+"\n", 10) + "\n", 0, ErrEventTooLarge},
@@ -61,7 +61,7 @@
 	_, err := stream.Next()
 	must.NoError(t, err)
 	_, err = stream.Next()
-	must.ErrorIs(t, err, ErrForeign)
+	must.ErrorIs(t, err, ErrUnmatchedResponse)
 }
 
 func FuzzEventReader(f *testing.F) {
--- a/connection/upstream/upstream.go
+++ b/connection/upstream/upstream.go
@@ -35,7 +35,7 @@
 	WriteBufferSize int           // bytes per connection
 	// Foreign, if not nil, is called with each response that does not provably belong to
 	// its request, and the address of the server that sent it.
-	Foreign func(address string, cause error)
+	OnUnmatchedResponse func(address string, cause error)
 }
 
 // Default values of Config.
@@ -68,8 +68,8 @@
 	if c.WriteBufferSize <= 0 {
 		c.WriteBufferSize = defaultBufferSize
 	}
-	if c.Foreign == nil {
-		c.Foreign = func(string, error) {}
+	if c.OnUnmatchedResponse == nil {
+		c.OnUnmatchedResponse = func(string, error) {}
 	}
 	return c
 }
@@ -91,7 +91,7 @@
 	// close immediately, and a request body that they have not read then causes a
 	// connection reset before the response is read.
 	singleUse.MaxIdleConnsPerHost = noIdleConns
-	return &Pool{persistent: persistent, singleUse: singleUse, onUnmatched: config.Foreign}
+	return &Pool{persistent: persistent, singleUse: singleUse, onUnmatched: config.OnUnmatchedResponse}
 }
 
 func newTransport(config Config) *http.Transport {
@@ -290,7 +290,7 @@
 	if got == echoMatch || got == echoMissing && !reused {
 		return nil
 	}
-	return errors.Wrapf(ErrForeign, "got %q/%q, want %q/%d",
+	return errors.Wrapf(ErrUnmatchedResponse, "got %q/%q, want %q/%d",
 		header.Get(engineapi.HeaderRequestID), header.Get(engineapi.HeaderAttempt), identity.RequestID, identity.Attempt)
 }
 
@@ -341,7 +341,7 @@
 // but accepts a response without one on a dedicated connection. Such a response does not
 // prove a refusal, since a server may respond before it has read the request. For calls
 // without attempts the result is always false.
-func SurelyRefused(response *http.Response) bool {
+func RefusedBeforeAdmission(response *http.Response) bool {
 	header := response.Header
 	named := header.Get(engineapi.HeaderRequestID) != "" && header.Get(engineapi.HeaderAttempt) != ""
 	return named && response.StatusCode >= http.StatusBadRequest && header.Get(engineapi.HeaderAdmitted) == "no"
--- a/lab/campaign/holdoff_test.go
+++ b/lab/campaign/holdoff_test.go
@@ -101,7 +101,7 @@
 
 func (w *holdWorld) restart(proxy *holdProxy) {
 	proxy.life++
-	proxy.table = holdoff.NewTable(holdoff.Config{Notice: holdDrain / 2})
+	proxy.table = holdoff.NewTable(holdoff.Config{LeavingGrace: holdDrain / 2})
 	w.follow()
 }
 
@@ -116,11 +116,11 @@
 	for _, replica := range w.replicas {
 		listed = append(listed, placement.Replica{Name: replica.name, Born: replica.process.born})
 		for _, proxy := range w.proxies {
-			proxy.table.Follow(replica.name, holdoff.Process{Address: replica.name, Born: replica.process.born}, w.now)
+			proxy.table.ObserveListed(replica.name, holdoff.Process{Address: replica.name, Born: replica.process.born}, w.now)
 		}
 	}
 	if w.board != nil {
-		w.board.SetReplicas(placement.Sheet{}, listed)
+		w.board.SetReplicas(placement.ServiceParameters{}, listed)
 	}
 }
 
@@ -135,7 +135,7 @@
 	}
 	w.numbers++
 	key := placement.Key{Daemon: proxy.name, Number: w.numbers}
-	answer := w.board.Place(w.now, key, placement.Ask{Prompt: 100, Deadline: 2 * time.Second, Excluded: excluded})
+	answer := w.board.Place(w.now, key, placement.Request{PromptTokens: 100, Deadline: 2 * time.Second, Excluded: excluded})
 	at := slices.IndexFunc(w.replicas, func(r *holdReplica) bool { return r.name == answer.Generator })
 	if at < 0 {
 		w.counts["placed nowhere"]++
@@ -147,7 +147,7 @@
 	}
 	life, sentAt := proxy.life, w.now
 	w.after(dial, func() {
-		w.board.Note(w.now, key, placement.Note{Step: placement.StepEnded})
+		w.board.RecordProgress(w.now, key, placement.ProgressReport{Step: placement.StepEnded})
 		if proxy.life == life {
 			w.write(proxy, w.replicas[at], sentAt)
 		}
@@ -156,7 +156,7 @@
 
 // write sends the request if the proxy's table permits it by now.
 func (w *holdWorld) write(proxy *holdProxy, replica *holdReplica, sentAt time.Duration) {
-	if !proxy.table.Find(replica.name).Begin(w.now) {
+	if !proxy.table.Find(replica.name).TryBegin(w.now) {
 		w.counts["withheld"]++
 		return
 	}
@@ -178,7 +178,7 @@
 	if told, leaves := process.leaving[life]; leaves && sentAt > told+holdDrain {
 		w.broken = append(w.broken, fmt.Sprintf("%v: %s had told %s at %v that it leaves, and got a request of %v", w.now, replica.name, life, told, sentAt))
 	}
-	word := holdoff.Word{Leaving: replica.leaving}
+	word := holdoff.Restrictions{Leaving: replica.leaving}
 	if left := replica.pausedTill - w.now; left > 0 {
 		word.RetryAfter = left
 		process.pauses[life] = append(process.pauses[life], &holdPause{from: w.now, till: w.now + left})
@@ -187,7 +187,7 @@
 	w.after(w.draw(holdTravel), func() { w.hear(proxy, life, replica.name, process, word) })
 }
 
-func (w *holdWorld) hear(proxy *holdProxy, life, name string, process *holdProcess, word holdoff.Word) {
+func (w *holdWorld) hear(proxy *holdProxy, life, name string, process *holdProcess, word holdoff.Restrictions) {
 	if life != fmt.Sprintf("%s.%d", proxy.name, proxy.life) {
 		return // it has restarted
 	}
@@ -195,8 +195,8 @@
 		process.leaving[life] = w.now
 		w.counts["told that it leaves"]++
 	}
-	if proxy.table.Find(name).Hear(w.now, w.wall(), word) {
-		w.board.Note(w.now, placement.Key{Daemon: proxy.name}, placement.Note{Step: placement.StepLeaving, Replica: name})
+	if proxy.table.Find(name).Apply(w.now, w.wall(), word) {
+		w.board.RecordProgress(w.now, placement.Key{Daemon: proxy.name}, placement.ProgressReport{Step: placement.StepLeaving, Replica: name})
 	}
 }
 
--- a/lab/campaign/proxyrequest.go
+++ b/lab/campaign/proxyrequest.go
@@ -13,7 +13,7 @@
 // pendingRequest is one request in one proxy.
 type pendingRequest struct {
 	call  *call
-	life  *attempt.Life
+	life  *attempt.Lifecycle
 	nonce uint64
 	// claimedAgain tells that a claim without an answer was sent once more.
 	claimedAgain bool
@@ -36,7 +36,7 @@
 func (p *proxyHost) accept(c *call) {
 	request := &pendingRequest{
 		call: c,
-		life: attempt.New(attempt.Policy{Once: c.once, Attempts: maxAttempts, Resumes: maxResumes}),
+		life: attempt.New(attempt.Policy{AtMostOnce: c.once, MaxAttempts: maxAttempts, MaxResumes: maxResumes}),
 	}
 	p.requests = append(p.requests, request)
 	p.after(c.deadline, func() { p.expire(request) })
--- a/lab/emulator/flow.go
+++ b/lab/emulator/flow.go
@@ -22,7 +22,7 @@
 	id       string
 	number   int // position in the trace
 	blocks   []uint64
-	life     *attempt.Life
+	life     *attempt.Lifecycle
 	deadline time.Duration
 	excluded map[string]bool
 	retries  int
@@ -48,7 +48,7 @@
 		item:     item,
 		id:       strconv.Itoa(number),
 		number:   number,
-		life:     attempt.New(attempt.Policy{Once: item.RepeatNever, Buffered: true, Attempts: maxAttempts}),
+		life:     attempt.New(attempt.Policy{AtMostOnce: item.RepeatNever, Buffered: true, MaxAttempts: maxAttempts}),
 		deadline: r.now + item.Deadline,
 	}
 	f.blocks = enginemodel.SyntheticBlocks(item.Model, item.Prefix, item.PrefixTokens, uint64(number)+1,
--- a/lab/fleet/soak_test.go
+++ b/lab/fleet/soak_test.go
@@ -55,7 +55,7 @@
 		name     string
 		pages    []ledger.Page
 		outcomes []ended
-		members  []operatorapi.MemberSelf
+		members  []operatorapi.MemberStatus
 		views    []view.Version // of one process, in order
 		want     string         // part of the one violation; empty: none
 	}{
@@ -63,7 +63,7 @@
 			name:     "all kept",
 			pages:    []ledger.Page{page("a", started("r", 1, 5), end(ledger.EventExported, "r", 1), order(1, 1), order(1, 1), order(2, 1)), page("b", started("r", 2, 5), end(ledger.EventFinished, "r", 2))},
 			outcomes: []ended{{key: "k", prompt: 5, outcome: caller.OutcomeCompleted}, {prompt: 6, outcome: caller.OutcomeRefused}},
-			members:  []operatorapi.MemberSelf{{Term: 1, Leader: 3}, {Term: 1, Leader: 3}, {Term: 2, Leader: 4}, {Term: 2}},
+			members:  []operatorapi.MemberStatus{{Term: 1, Leader: 3}, {Term: 1, Leader: 3}, {Term: 2, Leader: 4}, {Term: 2}},
 			views:    []view.Version{{Term: 1, Revision: 4}, {Term: 1, Revision: 4}, {Term: 2, Revision: 5}},
 		},
 		{
@@ -86,7 +86,7 @@
 		{name: "wrong answer", outcomes: []ended{{prompt: 5, outcome: caller.OutcomeWrong}}, want: "wrong"},
 		{name: "cut short", pages: []ledger.Page{page("a", started("r", 1, 5), end(ledger.EventCutShort, "r", 1))}, want: "cut short"},
 		{name: "fence", pages: []ledger.Page{page("a", order(2, 7), order(2, 6))}, want: "accepted fence"},
-		{name: "two leaders", members: []operatorapi.MemberSelf{{Term: 1, Leader: 3}, {Term: 1, Leader: 4}}, want: "two leaders"},
+		{name: "two leaders", members: []operatorapi.MemberStatus{{Term: 1, Leader: 3}, {Term: 1, Leader: 4}}, want: "two leaders"},
 		{name: "view went back", views: []view.Version{{Term: 1, Revision: 4}, {Term: 2, Revision: 3}}, want: "went back"},
 	}
 	for _, c := range cases {
--- a/lab/fleet/soak_watch.go
+++ b/lab/fleet/soak_watch.go
@@ -158,7 +158,7 @@
 }
 
 // takeMember holds that a term has one leader.
-func (w *watch) takeMember(name string, self operatorapi.MemberSelf) {
+func (w *watch) takeMember(name string, self operatorapi.MemberStatus) {
 	if self.Leader == 0 {
 		return
 	}
@@ -188,7 +188,7 @@
 		w.pollLedger(one)
 	}
 	for _, member := range fleet.layout.members {
-		var self operatorapi.MemberSelf
+		var self operatorapi.MemberStatus
 		if askSoon(member.operator, operatorapi.PathMemberStatus, &self) == nil {
 			w.takeMember(member.name, self)
 		}
--- a/process/control/actions.go
+++ b/process/control/actions.go
@@ -257,7 +257,7 @@
 func (r *actionRunner) handleLostReply(engine string, err error) {
 	r.tasks.group.metrics.ordersFailed.Inc()
 	event.OrderSendFailed.Log(r.tasks.logger, "engine", engine, "err", err)
-	r.term.poller.Poke(engine)
+	r.term.poller.PollNow(engine)
 	r.backOff()
 }
 
@@ -266,6 +266,6 @@
 
 // query triggers a poll of an engine.
 func (r *actionRunner) query(action controller.Query) {
-	r.term.poller.Poke(action.Engine)
+	r.term.poller.PollNow(action.Engine)
 	_ = pause.Sleep(r.context, queryPause)
 }
--- a/process/control/config.go
+++ b/process/control/config.go
@@ -242,7 +242,7 @@
 // engines. With many engines a poll round takes longer than EngineSilence, and an engine that
 // answers every poll must not count as silent between two of them.
 func (d Durations) engineSilenceFor(engines int) time.Duration {
-	return max(d.EngineSilence, silentPollRounds*orders.RoundTime(d.Poll, engines))
+	return max(d.EngineSilence, silentPollRounds*orders.PollRoundDuration(d.Poll, engines))
 }
 
 func (l Limits) withDefaults() Limits {
--- a/process/control/duties.go
+++ b/process/control/duties.go
@@ -193,7 +193,7 @@
 	}
 	term.orders, term.cancelOrders = context.WithCancel(context.Background())
 	term.poller = orders.NewPoller(orders.PollerConfig{
-		Asker:    d.client,
+		Client:   d.client,
 		Interval: durations.Poll,
 		Clock:    monotonic,
 		Changed:  d.wake,
@@ -236,7 +236,7 @@
 		addresses[name] = engine.Spec.Address
 	}
 	term.poller.SetTargets(addresses)
-	seen := term.poller.Seen()
+	seen := term.poller.Observations()
 	now := monotonic()
 	input := controller.Input{
 		Now:          now,
@@ -255,12 +255,12 @@
 
 // observations combines the engines' reported states with the orders that each engine rejected as
 // invalid.
-func (t *termState) observations(seen map[string]orders.Seen) map[string]controller.Observation {
+func (t *termState) observations(seen map[string]orders.Observation) map[string]controller.Observation {
 	observations := make(map[string]controller.Observation, len(seen))
 	for name, heard := range seen {
 		observations[name] = controller.Observation{
 			State:   heard.State,
-			AskedAt: heard.AskedAt,
+			AskedAt: heard.RequestedAt,
 			Refused: t.actions.lastInvalidFence(name),
 		}
 	}
--- a/process/control/evidence.go
+++ b/process/control/evidence.go
@@ -94,7 +94,7 @@
 func (e *evidence) setDaemonNotifier(wake func()) { e.wake.Store(&wake) }
 
 // note adds a daemon's report, and stores and forwards what is new.
-func (e *evidence) note(report feed.EndReport, now time.Duration) {
+func (e *evidence) note(report feed.CrashReport, now time.Duration) {
 	e.publish(e.tracker.addProxyReport(report, now))
 }
 
@@ -105,7 +105,7 @@
 		e.sendAll(from)
 		return
 	}
-	report, err := feed.DecodeEnds(payload)
+	report, err := feed.DecodeCrashReport(payload)
 	if err != nil {
 		event.EvidenceUnreadable.Log(e.logger, "from", uint64(from), "err", err)
 		return
@@ -131,9 +131,9 @@
 	e.sendTo(member, e.tracker.notableObservations(monotonic()))
 }
 
-func (e *evidence) sendTo(member raft.MemberID, observations []quarantine.Aged) {
+func (e *evidence) sendTo(member raft.MemberID, observations []quarantine.AgedEvidence) {
 	if sender := e.sender.Load(); sender != nil && len(observations) > 0 {
-		(*sender).NotifyOne(feed.EncodeEnds(feed.EndReport{Ended: observations}), member)
+		(*sender).NotifyOne(feed.EncodeCrashReport(feed.CrashReport{Crashes: observations}), member)
 	}
 }
 
@@ -168,7 +168,7 @@
 // notice is sent, so that it carries their latest state.
 type pendingNotice struct {
 	ended  map[quarantine.Fingerprint]struct{}
-	alive  []quarantine.Alive
+	alive  []quarantine.LiveReplica
 	served []quarantine.Fingerprint
 }
 
@@ -195,10 +195,10 @@
 	e.unsent = pendingNotice{ended: map[quarantine.Fingerprint]struct{}{}}
 	e.lock.Unlock()
 	fingerprints := slices.Collect(maps.Keys(next.ended))
-	report := feed.EndReport{Ended: e.tracker.observationsOf(fingerprints, monotonic()), Alive: next.alive, Served: next.served}
+	report := feed.CrashReport{Crashes: e.tracker.observationsOf(fingerprints, monotonic()), Alive: next.alive, Served: next.served}
 	if sender := e.sender.Load(); sender != nil && !report.IsEmpty() {
 		for _, part := range report.Split() {
-			(*sender).Notify(feed.EncodeEnds(part))
+			(*sender).Notify(feed.EncodeCrashReport(part))
 		}
 	}
 }
@@ -227,8 +227,8 @@
 
 // save writes and syncs the known evidence, and returns the number of crash observations written.
 func (e *evidence) save(now time.Duration) (stored int, err error) {
-	report := feed.EndReport{Ended: e.tracker.observations(now)}
-	return len(report.Ended), wal.WriteFile(e.files, filepath.Join(e.folder, evidenceFile), encodeEvidence(report, time.Now()))
+	report := feed.CrashReport{Crashes: e.tracker.observations(now)}
+	return len(report.Crashes), wal.WriteFile(e.files, filepath.Join(e.folder, evidenceFile), encodeEvidence(report, time.Now()))
 }
 
 // load restores the evidence stored before a restart.
@@ -237,7 +237,7 @@
 	if errors.Is(err, fs.ErrNotExist) {
 		return
 	}
-	var report feed.EndReport
+	var report feed.CrashReport
 	if err == nil {
 		report, err = decodeEvidence(data, wall)
 	}
@@ -246,15 +246,15 @@
 		return
 	}
 	e.tracker.addEvidence(report, now)
-	event.EvidenceRecalled.Log(e.logger, "ends", len(report.Ended))
+	event.EvidenceRecalled.Log(e.logger, "ends", len(report.Crashes))
 }
 
 // encodeEvidence encodes an evidence file: a checksum, the wall-clock time, and the crash
 // observations with their ages at that time.
-func encodeEvidence(report feed.EndReport, wall time.Time) []byte {
+func encodeEvidence(report feed.CrashReport, wall time.Time) []byte {
 	body := frame.NewEncoder(nil)
 	body.Int64(wall.UnixMilli())
-	content := append(body.Data(), feed.EncodeEnds(report)...)
+	content := append(body.Data(), feed.EncodeCrashReport(report)...)
 	sum := frame.NewEncoder(nil)
 	sum.Uint32(crc32.ChecksumIEEE(content))
 	return append(sum.Data(), content...)
@@ -262,23 +262,23 @@
 
 // decodeEvidence decodes an evidence file and adds the wall-clock time elapsed since it was
 // written to the ages.
-func decodeEvidence(data []byte, wall time.Time) (feed.EndReport, error) {
+func decodeEvidence(data []byte, wall time.Time) (feed.CrashReport, error) {
 	const headSize = 4 + 8
 	if len(data) < headSize {
-		return feed.EndReport{}, errors.Wrapf(errDamagedEvidence, "%d bytes", len(data))
+		return feed.CrashReport{}, errors.Wrapf(errDamagedEvidence, "%d bytes", len(data))
 	}
 	head := frame.NewDecoder(data[:headSize])
 	sum, written := head.Uint32(), head.Int64()
 	if err := head.Finish(); err != nil {
-		return feed.EndReport{}, err
+		return feed.CrashReport{}, err
 	}
 	if sum != crc32.ChecksumIEEE(data[headSize-8:]) {
-		return feed.EndReport{}, errors.Wrap(errDamagedEvidence, "checksum")
+		return feed.CrashReport{}, errors.Wrap(errDamagedEvidence, "checksum")
 	}
-	report, err := feed.DecodeEnds(data[headSize:])
+	report, err := feed.DecodeCrashReport(data[headSize:])
 	elapsed := max(wall.Sub(time.UnixMilli(written)), 0)
-	for i := range report.Ended {
-		report.Ended[i].Age += elapsed
+	for i := range report.Crashes {
+		report.Crashes[i].Age += elapsed
 	}
 	return report, err
 }
--- a/process/control/evidence_test.go
+++ b/process/control/evidence_test.go
@@ -112,7 +112,7 @@
 // proxy starts a proxy's feed client, which reports to the leader or to a standby member.
 func (c *stallingCluster) proxy(name string) *feed.Client {
 	client, _ := c.subscribeWith(feed.ClientConfig{
-		Daemon: name, BeatInterval: 30 * time.Millisecond, SilenceTimeout: time.Second,
+		Daemon: name, HeartbeatInterval: 30 * time.Millisecond, SilenceTimeout: time.Second,
 		BackoffMax: 50 * time.Millisecond, Standby: true,
 	})
 	return client
@@ -126,7 +126,7 @@
 	}
 	report, err := decodeEvidence(data, time.Now())
 	must.NoError(c.t, err)
-	return len(report.Ended)
+	return len(report.Crashes)
 }
 
 // Guards against losing crash evidence while there is no leader: if each proxy alone knows of the
@@ -138,7 +138,7 @@
 	c.leader()
 	must.Eq(t, api.OutcomeAccepted, c.transact(api.Transaction{OperationID: "first", Writes: narratorObjects()}).Code)
 	var proxies []*feed.Client
-	for i := range quarantine.CondemningEnds {
+	for i := range quarantine.HarmfulIncidents {
 		proxies = append(proxies, c.proxy(fmt.Sprint("proxy-", i)))
 	}
 	for _, proxy := range proxies {
@@ -148,8 +148,8 @@
 	for i, proxy := range proxies {
 		seen, ended := crashReport(fatalRequest, fmt.Sprint("r-", i)), time.Now()
 		eventually(t, "the member with a working disk has stored the crash", func() bool {
-			seen.Ended[0].Age = time.Since(ended)
-			_ = proxy.ReportEnds(seen) // repeated for the next member that serves the proxy
+			seen.Crashes[0].Age = time.Since(ended)
+			_ = proxy.ReportCrashes(seen) // repeated for the next member that serves the proxy
 			return c.storedByFirst() == i+1
 		})
 		proxy.Close() // simulates a kill: the proxy's own observations are lost
--- a/process/control/group.go
+++ b/process/control/group.go
@@ -195,7 +195,7 @@
 // ReportPresence records a proxy's presence report.
 func (g *group) ReportPresence(presence feed.Presence) {
 	g.presence.record(presence, monotonic())
-	g.agreedTime.Record(presence.Proxy, presence.Day)
+	g.agreedTime.Record(presence.Proxy, presence.WallClock)
 }
 
 // Place chooses the replica for a request, with all requests of all proxies taken into account. It
@@ -206,28 +206,28 @@
 	began := monotonic()
 	tracker := g.evidence.tracker
 	alert := tracker.isAlert(request.Service, began)
-	if alert && request.Ask.Name == "" {
-		return placement.Answer{Name: true}, true
+	if alert && request.Ask.Fingerprint == "" {
+		return placement.Answer{NeedsFingerprint: true}, true
 	}
-	request.Ask.Suspect = alert && tracker.isSuspect(request.Ask.Name, began)
-	request.Ask.Judged = request.Ask.Suspect && tracker.mustWait(request.Ask.Name, began)
+	request.Ask.Suspect = alert && tracker.isSuspect(request.Ask.Fingerprint, began)
+	request.Ask.AwaitsQuarantine = request.Ask.Suspect && tracker.mustWait(request.Ask.Fingerprint, began)
 	answer, known := g.boards.place(g.machine.history.Load(), daemon, request, alert, began)
 	g.metrics.observePlacement(request.Service, answer, known, monotonic()-began)
 	return answer, known
 }
 
 // NotePlaced records the progress of a request that this member has placed.
-func (g *group) NotePlaced(daemon string, note feed.PlaceNote) {
+func (g *group) RecordProgress(daemon string, note feed.PlacementProgress) {
 	g.boards.recordProgress(daemon, note, monotonic())
 }
 
 // NoteKept records the prompt parts that a replica is believed to have cached.
-func (g *group) NoteKept(kept feed.KeptParts) {
+func (g *group) RecordCachedParts(kept feed.CachedParts) {
 	g.boards.addCachedParts(g.machine.history.Load(), kept)
 }
 
 // NoteInFlight records requests that a proxy has in flight and that another member has placed.
-func (g *group) NoteInFlight(daemon string, told feed.InFlight) {
+func (g *group) RecordInFlight(daemon string, told feed.InFlight) {
 	g.boards.addInFlight(g.machine.history.Load(), daemon, told, monotonic())
 }
 
--- a/process/control/group_test.go
+++ b/process/control/group_test.go
@@ -301,10 +301,10 @@
 func (c *cluster) subscribe(daemon string) (*feed.Client, *view.Holder) {
 	c.t.Helper()
 	return c.subscribeWith(feed.ClientConfig{
-		Daemon:         daemon,
-		BeatInterval:   30 * time.Millisecond,
-		SilenceTimeout: time.Second,
-		BackoffMax:     50 * time.Millisecond,
+		Daemon:            daemon,
+		HeartbeatInterval: 30 * time.Millisecond,
+		SilenceTimeout:    time.Second,
+		BackoffMax:        50 * time.Millisecond,
 	})
 }
 
--- a/process/control/ingress_test.go
+++ b/process/control/ingress_test.go
@@ -270,7 +270,7 @@
 		return g.call(1, http.MethodPost, operatorapi.PathMembers, request, nil) == http.StatusOK
 	})
 	eventually(t, "the founder rejoins under a new identity", func() bool {
-		var self operatorapi.MemberSelf
+		var self operatorapi.MemberStatus
 		return g.call(0, http.MethodGet, operatorapi.PathMemberStatus, nil, &self) == http.StatusOK &&
 			self.ID != old && len(self.Voters) == 5 && idOfFounder() == self.ID
 	})
@@ -461,7 +461,7 @@
 	clients := map[string]*feed.Client{}
 	for name := range ready {
 		clients[name], _ = g.subscribeWith(feed.ClientConfig{
-			Daemon: name, BeatInterval: 30 * time.Millisecond, BackoffMax: 50 * time.Millisecond,
+			Daemon: name, HeartbeatInterval: 30 * time.Millisecond, BackoffMax: 50 * time.Millisecond,
 			Presence: func() feed.Presence {
 				lock.Lock()
 				defer lock.Unlock()
@@ -494,7 +494,7 @@
 	g.start(0)
 	g.awaitVoters(1, 0)
 	client, _ := g.subscribe("proxy-1")
-	request := feed.PlaceRequest{Service: "narrator", Number: 1, Ask: placement.Ask{Prompt: 20_000, Deadline: time.Second, Zone: "a"}}
+	request := feed.PlaceRequest{Service: "narrator", Number: 1, Ask: placement.Request{PromptTokens: 20_000, Deadline: time.Second, Zone: "a"}}
 	eventually(t, "the client is subscribed", client.Connected)
 	_, err := client.Place(t.Context(), request)
 	must.ErrorIs(t, err, feed.ErrNotPlaced, must.Sprint("placed a request of an unknown service"))
@@ -511,13 +511,13 @@
 	})
 	must.Eq(t, "make", answer.Generator)
 	must.Eq(t, "read", answer.Reader)
-	must.True(t, client.NotePlaced(feed.PlaceNote{Service: "narrator", Number: 1, Note: placement.Note{Step: placement.StepEnded}}))
-	must.True(t, client.ReportKept(feed.KeptParts{Service: "narrator", Replica: "make", Parts: []placement.Part{{ID: "p", Tokens: 19_000}}}))
+	must.True(t, client.RecordProgress(feed.PlacementProgress{Service: "narrator", Number: 1, Note: placement.ProgressReport{Step: placement.StepEnded}}))
+	must.True(t, client.ReportCachedParts(feed.CachedParts{Service: "narrator", Replica: "make", Parts: []placement.Part{{ID: "p", Tokens: 19_000}}}))
 	request.Ask.Parts = []placement.Part{{ID: "p", Tokens: 19_000}, {ID: "own", Tokens: 1_000}}
 	eventually(t, "the cached part is counted", func() bool {
 		request.Number++
 		answer, err = client.Place(t.Context(), request)
-		return err == nil && answer.Unread == 1_000
+		return err == nil && answer.UnreadTokens == 1_000
 	})
 }
 
@@ -548,11 +548,11 @@
 		defer g.fleet.lock.Unlock()
 		return len(g.fleet.asked) == 1
 	})
-	ask := placement.Ask{Prompt: 6_000, Zone: "a", Deadline: time.Second, Parts: []placement.Part{{ID: "p", Tokens: 5_000}}}
+	ask := placement.Request{PromptTokens: 6_000, Zone: "a", Deadline: time.Second, Parts: []placement.Part{{ID: "p", Tokens: 5_000}}}
 	eventually(t, "the cached part is counted", func() bool {
 		current := g.running[0].member.group.Load()
 		answer, placed := current.Place("proxy-1", feed.PlaceRequest{Service: "narrator", Number: 1, Ask: ask})
-		return placed && answer.Unread == 1_000
+		return placed && answer.UnreadTokens == 1_000
 	})
 }
 
--- a/process/control/placement.go
+++ b/process/control/placement.go
@@ -35,28 +35,28 @@
 		return placement.Answer{}, false
 	}
 	if alert {
-		board.Alert(now)
+		board.RaiseAlert(now)
 	}
 	key := placement.Key{Daemon: daemon, Number: request.Number}
 	return board.Place(now, key, request.Ask), true
 }
 
 // recordProgress records the progress of a placed request.
-func (d *placementBoards) recordProgress(daemon string, note feed.PlaceNote, now time.Duration) {
+func (d *placementBoards) recordProgress(daemon string, note feed.PlacementProgress, now time.Duration) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	if board := d.boards[note.Service]; board != nil {
-		board.Note(now, placement.Key{Daemon: daemon, Number: note.Number}, note.Note)
+		board.RecordProgress(now, placement.Key{Daemon: daemon, Number: note.Number}, note.Note)
 	}
 }
 
 // addCachedParts records which prompt parts a replica has cached, according to a proxy.
-func (d *placementBoards) addCachedParts(current *view.History, kept feed.KeptParts) {
+func (d *placementBoards) addCachedParts(current *view.History, kept feed.CachedParts) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	d.update(current)
 	if board := d.boards[kept.Service]; board != nil {
-		board.Kept(kept.Replica, kept.Parts)
+		board.AddCachedParts(kept.Replica, kept.Parts)
 	}
 }
 
@@ -176,11 +176,11 @@
 // modelParameters returns the configured model parameters of a service: the KV cache size in
 // tokens, the bytes per token, the link speed in Mbit/s, and the shortest objective for the time
 // between two output tokens among the routes that lead to the service.
-func modelParameters(spec *api.IngressSpec, service *api.RouteService) placement.Sheet {
-	sheet := placement.Sheet{
-		KVTokens:    service.Model.KVTokens,
-		BytesPerTok: service.Model.KVBytesPerTok,
-		LinkMbps:    service.Model.LinkMbps,
+func modelParameters(spec *api.IngressSpec, service *api.RouteService) placement.ServiceParameters {
+	sheet := placement.ServiceParameters{
+		KVTokens:      service.Model.KVTokens,
+		BytesPerToken: service.Model.KVBytesPerTok,
+		LinkMbps:      service.Model.LinkMbps,
 	}
 	for i := range spec.Routes {
 		route := &spec.Routes[i]
--- a/process/control/placement_test.go
+++ b/process/control/placement_test.go
@@ -27,7 +27,7 @@
 }
 
 func TestOnlyModelServicesArePlaced(t *testing.T) {
-	ask := placement.Ask{Prompt: 100, Output: 10, Deadline: time.Second}
+	ask := placement.Request{PromptTokens: 100, MaxOutputTokens: 10, Deadline: time.Second}
 	cases := []struct {
 		name, service, replica, generator string
 		known                             bool
@@ -49,7 +49,7 @@
 
 func TestPlacementFollowsView(t *testing.T) {
 	boards := newPlacementBoards()
-	request := feed.PlaceRequest{Service: "chat", Number: 1, Ask: placement.Ask{Prompt: 100, Output: 10, Deadline: time.Second}}
+	request := feed.PlaceRequest{Service: "chat", Number: 1, Ask: placement.Request{PromptTokens: 100, MaxOutputTokens: 10, Deadline: time.Second}}
 	for i, replica := range []string{"r-1", "r-2", "r-3"} {
 		answer, _ := boards.place(modelView(uint64(i)+1, replica), "proxy-1", request, false, 0)
 		must.Eq(t, replica, answer.Generator)
@@ -86,7 +86,7 @@
 func TestOlderViewIsIgnored(t *testing.T) {
 	boards := newPlacementBoards()
 	older, newer := modelView(1, "r-1"), modelView(2, "r-2")
-	request := feed.PlaceRequest{Service: "chat", Number: 1, Ask: placement.Ask{Prompt: 100, Output: 10, Deadline: time.Second}}
+	request := feed.PlaceRequest{Service: "chat", Number: 1, Ask: placement.Request{PromptTokens: 100, MaxOutputTokens: 10, Deadline: time.Second}}
 	answer, _ := boards.place(newer, "proxy-1", request, false, 0)
 	must.Eq(t, "r-2", answer.Generator)
 	load := boards.serviceLoad(older, "chat", 0)
--- a/process/control/planning.go
+++ b/process/control/planning.go
@@ -36,7 +36,7 @@
 }
 
 // plan returns the planner's decisions if a plan is due, otherwise nil.
-func (d *leaderTasks) plan(term *termState, current *view.View, seen map[string]orders.Seen, now time.Duration) []planner.Decision {
+func (d *leaderTasks) plan(term *termState, current *view.View, seen map[string]orders.Observation, now time.Duration) []planner.Decision {
 	if now < term.nextPlan {
 		return nil
 	}
@@ -65,7 +65,7 @@
 	return intents
 }
 
-func (d *leaderTasks) plannedEngines(term *termState, current *view.View, seen map[string]orders.Seen, now time.Duration) []planner.Engine {
+func (d *leaderTasks) plannedEngines(term *termState, current *view.View, seen map[string]orders.Observation, now time.Duration) []planner.Engine {
 	intents := d.intentsByEngine(current)
 	engines := make([]planner.Engine, 0, len(current.Engines))
 	for _, name := range slices.Sorted(maps.Keys(current.Engines)) {
@@ -92,8 +92,8 @@
 
 // plannedEngine returns the planner's view of an engine. It includes the engine's reported state
 // and load if the engine has answered since silentAt.
-func plannedEngine(committed *api.Engine, seen orders.Seen, silentAt time.Duration) planner.Engine {
-	if seen.State.Engine != committed.Name || seen.AskedAt < silentAt {
+func plannedEngine(committed *api.Engine, seen orders.Observation, silentAt time.Duration) planner.Engine {
+	if seen.State.Engine != committed.Name || seen.RequestedAt < silentAt {
 		return controller.PlannedEngine(committed, nil)
 	}
 	engine := controller.PlannedEngine(committed, &seen.State)
--- a/process/control/quarantine.go
+++ b/process/control/quarantine.go
@@ -89,13 +89,13 @@
 // refutations are reports that remove something from the record. They are kept until the removal
 // is committed.
 type refutations struct {
-	alive      map[string]quarantine.Alive // replicas found alive, by name
-	reportedAt map[string]time.Duration    // when each was reported alive
+	alive      map[string]quarantine.LiveReplica // replicas found alive, by name
+	reportedAt map[string]time.Duration          // when each was reported alive
 	served     map[quarantine.Fingerprint]bool
 }
 
 func newRefutations() refutations {
-	return refutations{alive: map[string]quarantine.Alive{}, reportedAt: map[string]time.Duration{}, served: map[quarantine.Fingerprint]bool{}}
+	return refutations{alive: map[string]quarantine.LiveReplica{}, reportedAt: map[string]time.Duration{}, served: map[quarantine.Fingerprint]bool{}}
 }
 
 func newQuarantineTracker() *quarantineTracker {
@@ -106,7 +106,7 @@
 }
 
 // addProxyReport adds a proxy's report.
-func (d *quarantineTracker) addProxyReport(report feed.EndReport, now time.Duration) findings {
+func (d *quarantineTracker) addProxyReport(report feed.CrashReport, now time.Duration) findings {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	for _, alive := range report.Alive {
@@ -120,32 +120,32 @@
 
 // addEvidence adds evidence that another member sent or that was stored on disk. It removes nothing
 // from the record: proxies report refutations to the leader themselves.
-func (d *quarantineTracker) addEvidence(report feed.EndReport, now time.Duration) findings {
+func (d *quarantineTracker) addEvidence(report feed.CrashReport, now time.Duration) findings {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	return d.addLocked(report, now)
 }
 
 // observations returns the known crash observations, for members that need all of them.
-func (d *quarantineTracker) observations(now time.Duration) []quarantine.Aged {
+func (d *quarantineTracker) observations(now time.Duration) []quarantine.AgedEvidence {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	return d.table.Sights(now, maxEvidence)
+	return d.table.Reports(now, maxEvidence)
 }
 
 // observationsOf returns the known crash observations of the given requests.
-func (d *quarantineTracker) observationsOf(fingerprints []quarantine.Fingerprint, now time.Duration) []quarantine.Aged {
+func (d *quarantineTracker) observationsOf(fingerprints []quarantine.Fingerprint, now time.Duration) []quarantine.AgedEvidence {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	return d.table.SightsOf(fingerprints, now, maxEvidence)
+	return d.table.ReportsOf(fingerprints, now, maxEvidence)
 }
 
 // notableObservations returns the known crash observations of the requests that are worth watching:
 // those with a series of crashes, and suspects.
-func (d *quarantineTracker) notableObservations(now time.Duration) []quarantine.Aged {
+func (d *quarantineTracker) notableObservations(now time.Duration) []quarantine.AgedEvidence {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	return d.table.NotableSights(now, maxEvidence)
+	return d.table.NotableReports(now, maxEvidence)
 }
 
 // findings are the new facts of a report and, among them, those to forward to other members.
@@ -153,37 +153,37 @@
 type findings struct {
 	isNew  bool
 	ended  []quarantine.Fingerprint
-	alive  []quarantine.Alive
+	alive  []quarantine.LiveReplica
 	served []quarantine.Fingerprint
 }
 
 // addLocked adds a report to the table. The caller holds the lock.
-func (d *quarantineTracker) addLocked(report feed.EndReport, now time.Duration) (found findings) {
-	before := d.table.News()
+func (d *quarantineTracker) addLocked(report feed.CrashReport, now time.Duration) (found findings) {
+	before := d.table.Changes()
 	d.reviewUntil = now + reviewPeriod
-	for _, seen := range report.Ended {
-		known := d.table.News()
+	for _, seen := range report.Crashes {
+		known := d.table.Changes()
 		d.table.NoteAged(now, seen.Age, seen.Evidence)
-		if d.table.News() != known && d.table.IsWorthTelling(now, seen.Fingerprint) {
+		if d.table.Changes() != known && d.table.ShouldReportNow(now, seen.Fingerprint) {
 			found.ended = append(found.ended, seen.Fingerprint)
 		}
-		if d.table.IsSeries(seen.Fingerprint) && !seen.Read {
-			d.raiseAlert(seen.About.Service, now)
+		if d.table.FailedRepeatedly(seen.Fingerprint) && !seen.Read {
+			d.raiseAlert(seen.RequestInfo.Service, now)
 		}
 	}
 	for _, alive := range report.Alive {
-		if d.table.StoodInSeries(alive.Replica) {
+		if d.table.AnyRequestFailedRepeatedly(alive.Replica) {
 			found.alive = append(found.alive, alive)
 		}
-		d.table.Lives(now, alive)
+		d.table.RefuteFailures(now, alive)
 	}
 	for _, fingerprint := range report.Served {
-		if d.table.IsSeries(fingerprint) {
+		if d.table.FailedRepeatedly(fingerprint) {
 			found.served = append(found.served, fingerprint)
 		}
-		d.table.Served(now, fingerprint)
+		d.table.RecordServed(now, fingerprint)
 	}
-	found.isNew = d.table.News() != before
+	found.isNew = d.table.Changes() != before
 	if found.isNew && before == d.unrecorded.recordedChangeCount {
 		d.unrecorded.heardAt = now
 	}
@@ -217,8 +217,8 @@
 	if !d.table.IsSuspect(now, fingerprint) {
 		return false
 	}
-	if d.table.IsSeries(fingerprint) {
-		_, about := d.table.Ends(fingerprint)
+	if d.table.FailedRepeatedly(fingerprint) {
+		_, about := d.table.FailedReplicas(fingerprint)
 		d.raiseAlert(about.Service, now)
 	}
 	return true
@@ -239,7 +239,7 @@
 	if d.hasInitialReports(now) {
 		return d.isAboutToBeHeld(fingerprint, now)
 	}
-	if !d.table.IsConvicted(fingerprint) {
+	if !d.table.IsHarmfulWithoutSuccessWait(fingerprint) {
 		return false
 	}
 	before := d.sentEarly[fingerprint]
@@ -279,7 +279,7 @@
 }
 
 // NoteEnds adds a proxy's report of requests under which replicas crashed.
-func (g *group) NoteEnds(report feed.EndReport) { g.evidence.note(report, monotonic()) }
+func (g *group) RecordCrashes(report feed.CrashReport) { g.evidence.note(report, monotonic()) }
 
 // release removes a request from the quarantine record on behalf of an operator.
 func (s *operatorServer) release(w http.ResponseWriter, r *http.Request, _ []byte) {
@@ -297,7 +297,7 @@
 		writeProposalError(w, err)
 		return
 	}
-	if fingerprint, ok := quarantine.Parse(name); ok {
+	if fingerprint, ok := quarantine.ParseFingerprint(name); ok {
 		current.evidence.tracker.forget(fingerprint)
 	}
 	event.QuarantineEnded.Log(s.member.logger, "fingerprint", name, "by", "operator", "err", nil)
--- a/process/control/quarantine_review.go
+++ b/process/control/quarantine_review.go
@@ -68,7 +68,7 @@
 	d.table.Expire(now)
 	if d.loadRecord(term, current, now, wall) {
 		for _, alive := range refuted.alive { // the entries just loaded are refuted as well
-			d.table.Lives(refuted.reportedAt[alive.Replica], alive)
+			d.table.RefuteFailures(refuted.reportedAt[alive.Replica], alive)
 		}
 	}
 	var changes state.Observe
@@ -91,7 +91,7 @@
 // reviewRecorded updates one entry of the record and moves it to its next state, or removes it and
 // forgets its evidence.
 func (d *quarantineTracker) reviewRecorded(changes *state.Observe, current *view.View, known *api.Quarantine, refuted *refutations, now time.Duration, wall time.Time) {
-	fingerprint, ok := quarantine.Parse(known.Name)
+	fingerprint, ok := quarantine.ParseFingerprint(known.Name)
 	spec := d.withNewReports(known.Spec, fingerprint, refuted)
 	if !ok || refuted.served[fingerprint] || isEntryOver(&spec, wall) {
 		changes.Removed = append(changes.Removed, api.Key{Kind: api.KindQuarantine, Name: known.Name})
@@ -110,15 +110,15 @@
 func (d *quarantineTracker) withNewReports(spec api.QuarantineSpec, fingerprint quarantine.Fingerprint, refuted *refutations) api.QuarantineSpec {
 	spec.Replicas = slices.DeleteFunc(slices.Clone(spec.Replicas), func(name string) bool {
 		_, isAlive := refuted.alive[quarantine.ReplicaOf(name)]
-		return isAlive && !d.table.HasEnd(fingerprint, name)
+		return isAlive && !d.table.HasFailure(fingerprint, name)
 	})
-	crashed, about := d.table.Ends(fingerprint)
+	crashed, about := d.table.FailedReplicas(fingerprint)
 	spec.Replicas = mergeNames(spec.Replicas, crashed)
 	spec.Weak = filterWeak(spec.Replicas, d.table.Weak(fingerprint))
 	if about.Request != "" {
 		spec.Request = about.Request
 	}
-	spec.Alone = spec.Alone || d.table.EndedAlone(fingerprint)
+	spec.Alone = spec.Alone || d.table.FailedAlone(fingerprint)
 	return spec
 }
 
@@ -126,7 +126,7 @@
 // its watch has expired, or its trial has ended without a crash and it has never been held.
 func isEntryOver(spec *api.QuarantineSpec, wall time.Time) bool {
 	switch {
-	case len(spec.Replicas) < quarantine.WatchedEnds:
+	case len(spec.Replicas) < quarantine.WatchedIncidents:
 		return true
 	case spec.State == api.QuarantineWatched:
 		return isExpired(spec, wall)
@@ -139,7 +139,7 @@
 // requestsToRecord returns the requests that belong in the record, without duplicates.
 func (d *quarantineTracker) requestsToRecord(current *view.View, now time.Duration) []quarantine.Fingerprint {
 	found := d.table.Watched(now)
-	for _, fingerprint := range d.table.Tried() {
+	for _, fingerprint := range d.table.NeedingTrial() {
 		if !slices.Contains(found, fingerprint) && d.needsTrial(current, fingerprint) {
 			found = append(found, fingerprint)
 		}
@@ -178,12 +178,12 @@
 	})
 	for _, name := range names {
 		known := current.Quarantines[name]
-		fingerprint, ok := quarantine.Parse(name)
+		fingerprint, ok := quarantine.ParseFingerprint(name)
 		if !ok {
 			continue
 		}
-		d.table.Recall(now, fingerprint, quarantine.Record{
-			Replicas: known.Spec.Replicas, Weak: known.Spec.Weak, Alone: known.Spec.Alone, AtOnce: known.Spec.EndedAtOnce(), About: aboutOf(&known.Spec),
+		d.table.MergeRecord(now, fingerprint, quarantine.Record{
+			Replicas: known.Spec.Replicas, Weak: known.Spec.Weak, Alone: known.Spec.Alone, Simultaneous: known.Spec.EndedAtOnce(), About: aboutOf(&known.Spec),
 			Age: wall.Sub(time.UnixMilli(known.Spec.Since)),
 		})
 		d.table.SetHeld(fingerprint, known.Spec.State == api.QuarantineHeld)
@@ -207,8 +207,8 @@
 	}
 }
 
-func aboutOf(spec *api.QuarantineSpec) quarantine.About {
-	return quarantine.About{Service: spec.Service, Route: spec.Route, Request: spec.Request}
+func aboutOf(spec *api.QuarantineSpec) quarantine.RequestInfo {
+	return quarantine.RequestInfo{Service: spec.Service, Route: spec.Route, Request: spec.Request}
 }
 
 // filterWeak returns the recorded replicas whose crashes are weak evidence against the request: it
@@ -240,7 +240,7 @@
 // request is watched first, however many replicas have crashed. Proxies report when a watched
 // request is served, as one is that was merely in flight during the crashes.
 func (d *quarantineTracker) newEntry(current *view.View, fingerprint quarantine.Fingerprint, now time.Duration, wall time.Time) api.Object {
-	replicas, about := d.table.Ends(fingerprint)
+	replicas, about := d.table.FailedReplicas(fingerprint)
 	spec := api.QuarantineSpec{
 		State: api.QuarantineWatched, Service: about.Service, Route: about.Route, Request: about.Request,
 		Replicas: replicas, Weak: filterWeak(replicas, d.table.Weak(fingerprint)), Since: d.firstCrashAt(fingerprint, now, wall), Until: wall.Add(watchDuration).UnixMilli(),
@@ -253,7 +253,7 @@
 
 // firstCrashAt returns the wall-clock time of the first crash under a request, in milliseconds.
 func (d *quarantineTracker) firstCrashAt(fingerprint quarantine.Fingerprint, now time.Duration, wall time.Time) int64 {
-	first, found := d.table.FirstEnd(fingerprint)
+	first, found := d.table.FirstFailureAt(fingerprint)
 	if !found {
 		return wall.UnixMilli()
 	}
--- a/process/control/quarantine_settling_test.go
+++ b/process/control/quarantine_settling_test.go
@@ -32,13 +32,13 @@
 	})
 	t.Run("one of its replicas is alive", func(t *testing.T) {
 		d := begin()
-		d.tracker.addProxyReport(feed.EndReport{Alive: []quarantine.Alive{{Replica: "r-1", For: quarantine.Ever}}}, d.now)
+		d.tracker.addProxyReport(feed.CrashReport{Alive: []quarantine.LiveReplica{{Replica: "r-1", RunningFor: quarantine.AnyAge}}}, d.now)
 		d.step(1, 50*time.Millisecond)
 		must.Eq(t, api.QuarantineWatched, d.state())
 	})
 	t.Run("another request explains the crashes", func(t *testing.T) {
 		d := begin()
-		other := quarantine.Of(quarantine.Identity{Path: "/other"})
+		other := quarantine.FingerprintOf(quarantine.RequestIdentity{Path: "/other"})
 		d.tracker.addProxyReport(crashReport(other, "r-0", "r-1", "r-2", "r-3", "r-4"), d.now)
 		d.step(1, 300*time.Millisecond)
 		must.NotEq(t, api.QuarantineSettling, d.state())
--- a/process/control/quarantine_states.go
+++ b/process/control/quarantine_states.go
@@ -12,8 +12,8 @@
 // advance moves an entry to the state that follows from the table and the time. A request is
 // harmful if its standing in the table is quarantine.Condemned.
 func (d *quarantineTracker) advance(spec *api.QuarantineSpec, fingerprint quarantine.Fingerprint, current *view.View, now time.Duration, wall time.Time) {
-	standing := d.table.Standing(now, fingerprint)
-	isHarmful := standing == quarantine.Condemned && d.hasInitialReports(now)
+	standing := d.table.Verdict(now, fingerprint)
+	isHarmful := standing == quarantine.Harmful && d.hasInitialReports(now)
 	switch spec.State {
 	case api.QuarantineTried:
 		switch {
@@ -39,7 +39,7 @@
 		}
 	case api.QuarantineWatched:
 		switch {
-		case standing != quarantine.Condemned && d.hasInitialReports(now) && d.needsTrial(current, fingerprint):
+		case standing != quarantine.Harmful && d.hasInitialReports(now) && d.needsTrial(current, fingerprint):
 			d.startTrialOrSettle(spec, fingerprint, now, wall)
 		case isHarmful:
 			startHold(spec, wall)
@@ -57,8 +57,8 @@
 // isMistaken reports whether a hold is unfounded: another request, which was in flight at the same
 // crashes, explains them, or too few of the replicas have crashed because some turned out to be
 // alive.
-func (d *quarantineTracker) isMistaken(spec *api.QuarantineSpec, fingerprint quarantine.Fingerprint, standing quarantine.Standing) bool {
-	crashed, _ := d.table.Ends(fingerprint)
+func (d *quarantineTracker) isMistaken(spec *api.QuarantineSpec, fingerprint quarantine.Fingerprint, standing quarantine.Verdict) bool {
+	crashed, _ := d.table.FailedReplicas(fingerprint)
 	isExplained := len(crashed) >= minCrashesToStayHeld(spec) && standing == quarantine.Watched
 	return isExplained || len(spec.Replicas) < minCrashesToStayHeld(spec)
 }
@@ -72,7 +72,7 @@
 		startTrialTurn(spec, wall)
 	}
 	spec.Alone, spec.Weak = false, nil
-	spec.Replicas = spec.Replicas[len(spec.Replicas)-quarantine.WatchedEnds:]
+	spec.Replicas = spec.Replicas[len(spec.Replicas)-quarantine.WatchedIncidents:]
 	d.table.Restore(now, fingerprint, quarantine.Record{Replicas: spec.Replicas, About: aboutOf(spec)})
 }
 
@@ -91,9 +91,9 @@
 // takes fewer if the request was once the only one in flight at a crash.
 func minCrashesToStayHeld(spec *api.QuarantineSpec) int {
 	if spec.Alone {
-		return quarantine.WatchedEnds
+		return quarantine.WatchedIncidents
 	}
-	return quarantine.CondemningEnds
+	return quarantine.HarmfulIncidents
 }
 
 // startHold holds a request from now on.
@@ -120,7 +120,7 @@
 // isAboutToBeHeld reports whether a request will be held unless reports that are still expected
 // clear it.
 func (d *quarantineTracker) isAboutToBeHeld(fingerprint quarantine.Fingerprint, now time.Duration) bool {
-	return d.hasInitialReports(now) && d.table.IsConvicted(fingerprint)
+	return d.hasInitialReports(now) && d.table.IsHarmfulWithoutSuccessWait(fingerprint)
 }
 
 // hasInitialReports reports whether proxies have had time to report to this leader what they
@@ -148,10 +148,10 @@
 
 // needsTrial reports whether a request is to be tried by one proxy at a time.
 func (d *quarantineTracker) needsTrial(current *view.View, fingerprint quarantine.Fingerprint) bool {
-	_, about := d.table.Ends(fingerprint)
+	_, about := d.table.FailedReplicas(fingerprint)
 	routed := routedService(current, about.Service)
 	// Services with a model need no trials: placement runs their suspects on isolated replicas.
-	return d.table.IsTried(fingerprint) && routed != nil && routed.Model == nil
+	return d.table.NeedsTrial(fingerprint) && routed != nil && routed.Model == nil
 }
 
 // routedService returns the routed service with the given name, or nil. Proxies take turns only
--- a/process/control/quarantine_suspects.go
+++ b/process/control/quarantine_suspects.go
@@ -31,7 +31,7 @@
 // recordSuspects adds the single crashes that are not recorded yet, the latest first.
 func (d *quarantineTracker) recordSuspects(changes *state.Observe, current *view.View, now time.Duration, wall time.Time) {
 	left := maxSuspects - len(current.Suspects)
-	for _, fingerprint := range d.table.Lone(now) {
+	for _, fingerprint := range d.table.SingleIncidentSuspects(now) {
 		if left <= 0 {
 			return
 		}
@@ -40,7 +40,7 @@
 			continue
 		}
 		left--
-		replicas, about := d.table.Ends(fingerprint)
+		replicas, about := d.table.FailedReplicas(fingerprint)
 		changes.Put = append(changes.Put, api.Object{Suspect: &api.Suspect{Metadata: api.Metadata{Name: name}, Spec: api.SuspectSpec{
 			Service: about.Service, Route: about.Route, Request: about.Request, Replica: replicas[0],
 			EndedAt: d.firstCrashAt(fingerprint, now, wall), Until: wall.Add(suspectRecordDuration).UnixMilli(),
@@ -53,10 +53,10 @@
 // between leaders.
 func (d *quarantineTracker) reviewSuspects(changes *state.Observe, current *view.View, refuted *refutations, now time.Duration, wall time.Time) {
 	for _, name := range slices.Sorted(maps.Keys(current.Suspects)) {
-		fingerprint, ok := quarantine.Parse(name)
+		fingerprint, ok := quarantine.ParseFingerprint(name)
 		isOver := wall.UnixMilli() >= current.Suspects[name].Spec.Until
-		isRecordedElsewhere := d.table.Standing(now, fingerprint) != quarantine.Free || current.Quarantines[name] != nil
-		if !ok || isOver || isRecordedElsewhere || refuted.served[fingerprint] || d.table.CountEnds(fingerprint) == 0 {
+		isRecordedElsewhere := d.table.Verdict(now, fingerprint) != quarantine.Free || current.Quarantines[name] != nil
+		if !ok || isOver || isRecordedElsewhere || refuted.served[fingerprint] || d.table.CountFailures(fingerprint) == 0 {
 			changes.Removed = append(changes.Removed, api.Key{Kind: api.KindSuspect, Name: name})
 		}
 	}
@@ -67,13 +67,13 @@
 // it had run long enough for its crash to count as one with all other crashes at that moment.
 func (d *quarantineTracker) loadSuspects(current *view.View, now time.Duration, wall time.Time) {
 	for name, known := range current.Suspects {
-		fingerprint, ok := quarantine.Parse(name)
+		fingerprint, ok := quarantine.ParseFingerprint(name)
 		if !ok {
 			continue
 		}
 		spec := &known.Spec
 		recorded := quarantine.Record{
-			AtOnce: true, About: quarantine.About{Service: spec.Service, Route: spec.Route, Request: spec.Request},
+			Simultaneous: true, About: quarantine.RequestInfo{Service: spec.Service, Route: spec.Route, Request: spec.Request},
 		}
 		age := max(wall.Sub(time.UnixMilli(spec.EndedAt)), 0)
 		d.table.NoteAged(now, age, recorded.Evidence(fingerprint, spec.Replica))
--- a/process/control/quarantine_suspects_test.go
+++ b/process/control/quarantine_suspects_test.go
@@ -55,14 +55,14 @@
 	}
 	t.Run("served", func(t *testing.T) {
 		d := begin()
-		d.tracker.addProxyReport(feed.EndReport{Served: []quarantine.Fingerprint{fatalRequest}}, d.now)
+		d.tracker.addProxyReport(feed.CrashReport{Served: []quarantine.Fingerprint{fatalRequest}}, d.now)
 		d.step(1, 50*time.Millisecond)
 		must.Eq(t, "", d.suspect())
 	})
 	t.Run("its replica is alive", func(t *testing.T) {
 		d := begin()
 		d.tracker = newQuarantineTracker()
-		d.tracker.addProxyReport(feed.EndReport{Alive: []quarantine.Alive{{Replica: "r-0", For: quarantine.Ever}}}, d.now)
+		d.tracker.addProxyReport(feed.CrashReport{Alive: []quarantine.LiveReplica{{Replica: "r-0", RunningFor: quarantine.AnyAge}}}, d.now)
 		d.step(2, 50*time.Millisecond)
 		must.Eq(t, "", d.suspect())
 	})
@@ -89,7 +89,7 @@
 	d.now += time.Second
 	d.wall = d.wall.Add(time.Second)
 	again := simultaneousCrashReport(fatalRequest, "b")
-	again.Ended[0].Age = 1050 * time.Millisecond
+	again.Crashes[0].Age = 1050 * time.Millisecond
 	d.tracker.addProxyReport(again, d.now)
 	d.step(2, 0)
 	d.step(2, 2*time.Second)
@@ -102,19 +102,19 @@
 func TestRecordedSuspectsAreLimited(t *testing.T) {
 	d := newTrackerTest(t)
 	for _, change := range []func(*quarantine.Evidence){
-		func(seen *quarantine.Evidence) { seen.Began = true },
+		func(seen *quarantine.Evidence) { seen.HadOutput = true },
 		func(seen *quarantine.Evidence) { seen.Read = true },
-		func(seen *quarantine.Evidence) { seen.Listens = true },
+		func(seen *quarantine.Evidence) { seen.StillListening = true },
 	} {
 		report := crashReport(fatalRequest, "r-0")
-		change(&report.Ended[0].Evidence)
+		change(&report.Crashes[0].Evidence)
 		d.tracker.addProxyReport(report, d.now)
 		d.step(1, time.Second)
 		must.Eq(t, "", d.suspect())
 		d.tracker = newQuarantineTracker()
 	}
 	for i := range 10 * maxSuspects {
-		d.tracker.addProxyReport(crashReport(quarantine.Of(quarantine.Identity{Path: fmt.Sprint(i)}), fmt.Sprint("rack-", i%9)), d.now)
+		d.tracker.addProxyReport(crashReport(quarantine.FingerprintOf(quarantine.RequestIdentity{Path: fmt.Sprint(i)}), fmt.Sprint("rack-", i%9)), d.now)
 	}
 	for range 3 {
 		d.step(1, time.Second)
@@ -125,11 +125,11 @@
 // Weak evidence stays weak under the next leader, whether it is reported again or not, and
 // whether the report or the record comes first.
 func TestWeakEvidenceStaysWeakUnderNextLeader(t *testing.T) {
-	popular := func() feed.EndReport {
+	popular := func() feed.CrashReport {
 		report := crashReport(fatalRequest, "r-0", "r-1", "r-2", "r-3")
-		report.Ended[0].Began = true
-		report.Ended[1].Listens = true
-		report.Ended[2].Read = true
+		report.Crashes[0].HadOutput = true
+		report.Crashes[1].StillListening = true
+		report.Crashes[2].Read = true
 		return report
 	}
 	for name, tell := range map[string]func(d *trackerTest){
--- a/process/control/quarantine_test.go
+++ b/process/control/quarantine_test.go
@@ -17,14 +17,14 @@
 	"github.com/shoenig/test/must"
 )
 
-var fatalRequest = quarantine.Of(quarantine.Identity{Path: "/fatal"})
+var fatalRequest = quarantine.FingerprintOf(quarantine.RequestIdentity{Path: "/fatal"})
 
 // crashReport returns a report that the replicas crashed under a request.
-func crashReport(fingerprint quarantine.Fingerprint, replicas ...string) feed.EndReport {
-	var report feed.EndReport
+func crashReport(fingerprint quarantine.Fingerprint, replicas ...string) feed.CrashReport {
+	var report feed.CrashReport
 	for _, replica := range replicas {
-		report.Ended = append(report.Ended, quarantine.Aged{Evidence: quarantine.Evidence{
-			Fingerprint: fingerprint, Replica: replica, About: quarantine.About{Service: "s", Route: "r", Request: "q"},
+		report.Crashes = append(report.Crashes, quarantine.AgedEvidence{Evidence: quarantine.Evidence{
+			Fingerprint: fingerprint, Replica: replica, RequestInfo: quarantine.RequestInfo{Service: "s", Route: "r", Request: "q"},
 		}})
 	}
 	return report
@@ -141,7 +141,7 @@
 	}
 	t.Run("answered", func(t *testing.T) {
 		d := begin()
-		d.tracker.addProxyReport(feed.EndReport{Served: []quarantine.Fingerprint{fatalRequest}}, d.now)
+		d.tracker.addProxyReport(feed.CrashReport{Served: []quarantine.Fingerprint{fatalRequest}}, d.now)
 		d.step(1, time.Second)
 		must.Eq(t, "", d.state())
 	})
@@ -175,17 +175,17 @@
 	d.tracker.addProxyReport(crashReport(fatalRequest, "r-0", "r-1", "r-2"), d.now)
 	d.reviewTwice(1)
 	must.Eq(t, api.QuarantineHeld, d.state())
-	d.tracker.addProxyReport(feed.EndReport{Alive: []quarantine.Alive{{Replica: "r-1", For: quarantine.Ever}}}, d.now)
+	d.tracker.addProxyReport(feed.CrashReport{Alive: []quarantine.LiveReplica{{Replica: "r-1", RunningFor: quarantine.AnyAge}}}, d.now)
 	d.step(1, time.Second)
 	must.Eq(t, api.QuarantineWatched, d.state())
-	d.tracker.addProxyReport(feed.EndReport{Served: []quarantine.Fingerprint{fatalRequest}}, d.now)
+	d.tracker.addProxyReport(feed.CrashReport{Served: []quarantine.Fingerprint{fatalRequest}}, d.now)
 	d.step(1, time.Second)
 	must.Eq(t, "", d.state())
 
 	d = newTrackerTest(t)
 	d.tracker.addProxyReport(crashReport(fatalRequest, "r-0", "r-1"), d.now)
 	d.step(1, time.Second)
-	d.tracker.addProxyReport(feed.EndReport{Served: []quarantine.Fingerprint{fatalRequest}}, d.now)
+	d.tracker.addProxyReport(feed.CrashReport{Served: []quarantine.Fingerprint{fatalRequest}}, d.now)
 	_, refuted := d.tracker.review(1, d.machine.View(), d.now, d.wall)
 	d.tracker.restoreRefutations(refuted, d.now) // it was not committed
 	d.step(1, time.Second)
@@ -198,7 +198,7 @@
 	d := newTrackerTest(t)
 	d.tracker.addProxyReport(crashReport(fatalRequest, "r-0", "r-1"), d.now)
 	d.step(1, time.Second)
-	d.tracker.addProxyReport(feed.EndReport{Served: []quarantine.Fingerprint{fatalRequest}}, d.now)
+	d.tracker.addProxyReport(feed.CrashReport{Served: []quarantine.Fingerprint{fatalRequest}}, d.now)
 	d.step(1, time.Second)
 	must.Eq(t, "", d.state())
 	d.tracker.addProxyReport(crashReport(fatalRequest, "r-2", "r-3"), d.now)
@@ -210,7 +210,7 @@
 // not held. If it was held by mistake, it is released once the harmful request is identified.
 // Both cases were found by the soak test.
 func TestRequestInFlightBesideHeldRequest(t *testing.T) {
-	popular := quarantine.Of(quarantine.Identity{Path: "/popular"})
+	popular := quarantine.FingerprintOf(quarantine.RequestIdentity{Path: "/popular"})
 	stateOf := func(d *trackerTest, fingerprint quarantine.Fingerprint) api.QuarantineState {
 		known := d.machine.View().Quarantines[fingerprint.String()]
 		if known == nil {
@@ -218,10 +218,10 @@
 		}
 		return known.Spec.State
 	}
-	began := func(replicas ...string) feed.EndReport {
+	began := func(replicas ...string) feed.CrashReport {
 		report := crashReport(popular, replicas...)
-		for i := range report.Ended {
-			report.Ended[i].Began = i < 2
+		for i := range report.Crashes {
+			report.Crashes[i].HadOutput = i < 2
 		}
 		return report
 	}
@@ -258,8 +258,8 @@
 				if random.IntN(5) < 2 {
 					continue
 				}
-				report := crashReport(quarantine.Of(quarantine.Identity{Path: fmt.Sprint(request)}), fmt.Sprint("r-", number))
-				report.Ended[0].Alone, report.Ended[0].Began = random.IntN(6) == 0, random.IntN(4) == 0
+				report := crashReport(quarantine.FingerprintOf(quarantine.RequestIdentity{Path: fmt.Sprint(request)}), fmt.Sprint("r-", number))
+				report.Crashes[0].OnlyInFlight, report.Crashes[0].HadOutput = random.IntN(6) == 0, random.IntN(4) == 0
 				d.tracker.addProxyReport(report, d.now)
 			}
 			d.step(1, time.Duration(random.IntN(3000))*time.Millisecond)
@@ -280,7 +280,7 @@
 func TestRecordIsBounded(t *testing.T) {
 	d := newTrackerTest(t)
 	for i := range 2 * maxQuarantines {
-		request := quarantine.Of(quarantine.Identity{Path: fmt.Sprint(i)})
+		request := quarantine.FingerprintOf(quarantine.RequestIdentity{Path: fmt.Sprint(i)})
 		d.tracker.addProxyReport(crashReport(request, fmt.Sprint("a-", i), fmt.Sprint("b-", i), fmt.Sprint("c-", i)), d.now)
 	}
 	d.step(1, time.Second)
@@ -292,7 +292,7 @@
 func TestIdleReviewDoesNothing(t *testing.T) {
 	tracker, current := newQuarantineTracker(), view.New()
 	for i := range 1000 { // as after the failure of a rack
-		tracker.addProxyReport(crashReport(quarantine.Of(quarantine.Identity{Path: fmt.Sprint(i)}), "r-0"), 0)
+		tracker.addProxyReport(crashReport(quarantine.FingerprintOf(quarantine.RequestIdentity{Path: fmt.Sprint(i)}), "r-0"), 0)
 	}
 	tracker.review(1, current, 0, time.Time{})
 	idle := 2 * reviewPeriod
@@ -310,7 +310,7 @@
 	client, _ := g.subscribe("proxy-1")
 	_, other := g.subscribe("proxy-2")
 	eventually(t, "the client is connected", client.Connected)
-	must.True(t, client.ReportEnds(crashReport(fatalRequest, "r-0", "r-1", "r-2")))
+	must.True(t, client.ReportCrashes(crashReport(fatalRequest, "r-0", "r-1", "r-2")))
 	held := func() bool {
 		known := other.Load().Quarantines[fatalRequest.String()]
 		return known != nil && known.Spec.State == api.QuarantineHeld
@@ -352,8 +352,8 @@
 
 	d = newTrackerTest(t)
 	rack := crashReport(fatalRequest, "r-0", "r-1", "r-2")
-	for i := range rack.Ended {
-		rack.Ended[i].Ran = time.Second
+	for i := range rack.Crashes {
+		rack.Crashes[i].RunTime = time.Second
 	}
 	d.tracker.addProxyReport(rack, d.now)
 	must.False(t, d.tracker.isAlert("s", d.now))
@@ -398,16 +398,16 @@
 	g.start(0)
 	g.awaitVoters(1, 0)
 	current := g.running[0].member.group.Load()
-	request := feed.PlaceRequest{Service: "s", Ask: placement.Ask{Prompt: 1}}
+	request := feed.PlaceRequest{Service: "s", Ask: placement.Request{PromptTokens: 1}}
 	answer, known := current.Place("p", request)
 	must.False(t, known)
-	must.False(t, answer.Name)
-	current.NoteEnds(crashReport(fatalRequest, "r-0"))
+	must.False(t, answer.NeedsFingerprint)
+	current.RecordCrashes(crashReport(fatalRequest, "r-0"))
 	time.Sleep(20 * time.Millisecond) // so that the crashes do not count as one
-	current.NoteEnds(crashReport(fatalRequest, "r-1"))
+	current.RecordCrashes(crashReport(fatalRequest, "r-1"))
 	answer, known = current.Place("p", request)
 	must.True(t, known)
-	must.True(t, answer.Name)
+	must.True(t, answer.NeedsFingerprint)
 }
 
 // A request that was the only one in flight at a crash is held from its second crash on, and
@@ -418,7 +418,7 @@
 	d.tracker.addProxyReport(crashReport(fatalRequest, "r-0"), d.now)
 	d.step(1, time.Second)
 	alone := crashReport(fatalRequest, "r-1")
-	alone.Ended[0].Alone = true
+	alone.Crashes[0].OnlyInFlight = true
 	d.tracker.addProxyReport(alone, d.now)
 	d.reviewTwice(1)
 	must.Eq(t, api.QuarantineHeld, d.state())
@@ -433,17 +433,17 @@
 		must.Eq(t, api.QuarantineHeld, d.state())
 	}
 	must.Eq(t, 1, d.machine.View().Quarantines[fatalRequest.String()].Spec.Times)
-	d.tracker.addProxyReport(feed.EndReport{Alive: []quarantine.Alive{{Replica: "r-1", For: quarantine.Ever}}}, d.now)
+	d.tracker.addProxyReport(feed.CrashReport{Alive: []quarantine.LiveReplica{{Replica: "r-1", RunningFor: quarantine.AnyAge}}}, d.now)
 	d.step(2, time.Second)
 	must.NotEq(t, api.QuarantineHeld, d.state(), must.Sprint("held for a replica that is alive"))
 }
 
 // simultaneousCrashReport returns a report that the replicas crashed at one moment under a
 // request that had returned nothing.
-func simultaneousCrashReport(fingerprint quarantine.Fingerprint, replicas ...string) feed.EndReport {
+func simultaneousCrashReport(fingerprint quarantine.Fingerprint, replicas ...string) feed.CrashReport {
 	report := crashReport(fingerprint, replicas...)
-	for i := range report.Ended {
-		report.Ended[i].Ran = 60 * time.Millisecond
+	for i := range report.Crashes {
+		report.Crashes[i].RunTime = 60 * time.Millisecond
 	}
 	return report
 }
@@ -475,7 +475,7 @@
 		first := until(d)
 		d.step(1, trialTurn)
 		must.Eq(t, first+trialTurn.Milliseconds(), until(d))
-		d.tracker.addProxyReport(feed.EndReport{Served: []quarantine.Fingerprint{fatalRequest}}, d.now)
+		d.tracker.addProxyReport(feed.CrashReport{Served: []quarantine.Fingerprint{fatalRequest}}, d.now)
 		d.step(1, 50*time.Millisecond)
 		must.Eq(t, "", d.state())
 	})
@@ -514,7 +514,7 @@
 // requests without known crashes. Served requests are therefore remembered separately from
 // crashes.
 func TestSuccessfulAnswerClearsInAnyReportOrder(t *testing.T) {
-	served := feed.EndReport{Served: []quarantine.Fingerprint{fatalRequest}}
+	served := feed.CrashReport{Served: []quarantine.Fingerprint{fatalRequest}}
 	t.Run("before the record is loaded", func(t *testing.T) {
 		d := newTrackerTest(t)
 		d.tracker.addProxyReport(crashReport(fatalRequest, "r-0", "r-1"), d.now)
@@ -579,7 +579,7 @@
 			d.now += takeoverDelay / 4
 			must.True(t, d.tracker.mustWait(name, d.now))
 		}
-		d.tracker.addProxyReport(feed.EndReport{Served: []quarantine.Fingerprint{fatalRequest}}, d.now)
+		d.tracker.addProxyReport(feed.CrashReport{Served: []quarantine.Fingerprint{fatalRequest}}, d.now)
 		must.False(t, d.tracker.mustWait(name, d.now), must.Sprint("refused although it was served"))
 	}
 }
@@ -591,7 +591,7 @@
 	d.tracker.addProxyReport(crashReport(fatalRequest, "r-0"), d.now)
 	d.now += time.Second
 	alone := crashReport(fatalRequest, "r-1")
-	alone.Ended[0].Alone = true
+	alone.Crashes[0].OnlyInFlight = true
 	d.tracker.addProxyReport(alone, d.now)
 	must.False(t, d.tracker.mustWait(string(fatalRequest[:]), d.now))
 }
--- a/process/control/quarantine_trial_test.go
+++ b/process/control/quarantine_trial_test.go
@@ -15,8 +15,8 @@
 // refused again and again: each leader learns first of the crashes at which the request was in
 // flight, and of its successful answers only after it has started a trial (soak seed 3024).
 func TestNewLeaderStartsNoTrialBeforeInitialReports(t *testing.T) {
-	threeCrashes := func() feed.EndReport { return simultaneousCrashReport(fatalRequest, "a", "b", "c") }
-	served := feed.EndReport{Served: []quarantine.Fingerprint{fatalRequest}}
+	threeCrashes := func() feed.CrashReport { return simultaneousCrashReport(fatalRequest, "a", "b", "c") }
+	served := feed.CrashReport{Served: []quarantine.Fingerprint{fatalRequest}}
 	t.Run("served under leaders that last two seconds", func(t *testing.T) {
 		d := newTrackerTest(t)
 		d.addService(nil)
--- a/process/control/quota.go
+++ b/process/control/quota.go
@@ -72,10 +72,10 @@
 
 // ReturnCharge refunds the charge of a request that no replica has run. Grants of a member that
 // does not lead are not refunded.
-func (g *group) ReturnCharge(request feed.ChargeRequest) {
+func (g *group) RefundCharge(request feed.ChargeRequest) {
 	limit, bounded := quotaOf(g.machine.view(), request.Tenant)
 	if bounded && request.Cost >= 0 && g.Leadership().Leads {
-		g.quotas.currentAccount().Return(monotonic(), request.Tenant, limit, request.Cost)
+		g.quotas.currentAccount().Refund(monotonic(), request.Tenant, limit, request.Cost)
 	}
 }
 
@@ -88,7 +88,7 @@
 			if !tenant.Spec.Quota.IsBounded() {
 				continue
 			}
-			standing := account.Standing(now, name, tenant.Spec.Quota)
+			standing := account.AccountState(now, name, tenant.Spec.Quota)
 			list.Tenants = append(list.Tenants, operatorapi.TenantQuota{
 				Tenant: name, Quota: tenant.Spec.Quota, Left: standing.Left, Granted: standing.Granted, Refused: standing.Refused,
 			})
--- a/process/control/roles.go
+++ b/process/control/roles.go
@@ -193,8 +193,8 @@
 	d.update(current)
 	board := d.boards[service]
 	var load planner.ServiceLoad
-	load.LateShare, load.Requests = board.Late(now)
-	load.DecodeStartShare = board.Starting()
+	load.LateShare, load.Requests = board.LateShare(now)
+	load.DecodeStartShare = board.DecodeStartShare()
 	for _, shown := range board.Occupancies(now) {
 		load.Replicas = append(load.Replicas, planner.ReplicaLoad{
 			Name:     shown.Name,
@@ -218,12 +218,12 @@
 	if role == api.RolePrefill {
 		placed = placement.RolePrefill
 	}
-	d.boards[service].Change(now, replica, placed, duration, drainTimeout+duration+changeSlack)
+	d.boards[service].BeginRoleChange(now, replica, placed, duration, drainTimeout+duration+changeSlack)
 }
 
 // isIdle reports whether the replica has no requests in flight.
 func (d *placementBoards) isIdle(service, replica string) bool {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	return d.boards[service].Idle(replica)
+	return d.boards[service].IsIdle(replica)
 }
--- a/process/control/roles_test.go
+++ b/process/control/roles_test.go
@@ -121,7 +121,7 @@
 // or the change is considered failed.
 func TestNoPlacementDuringRoleChange(t *testing.T) {
 	boards := newPlacementBoards()
-	request := feed.PlaceRequest{Service: "chat", Number: 1, Ask: placement.Ask{Prompt: 100, Output: 10, Deadline: time.Second}}
+	request := feed.PlaceRequest{Service: "chat", Number: 1, Ask: placement.Request{PromptTokens: 100, MaxOutputTokens: 10, Deadline: time.Second}}
 	place := func(revision uint64, now time.Duration) string {
 		answer, _ := boards.place(modelView(revision, "r-1"), "proxy-1", request, false, now)
 		return answer.Generator
@@ -161,9 +161,9 @@
 			if current == nil || !current.Leadership().Leads {
 				continue
 			}
-			ask := placement.Ask{Prompt: 500_000, Output: 1, Zone: "a", Objective: 200 * time.Millisecond, Deadline: time.Minute}
+			ask := placement.Request{PromptTokens: 500_000, MaxOutputTokens: 1, Zone: "a", Objective: 200 * time.Millisecond, Deadline: time.Minute}
 			current.Place("proxy", feed.PlaceRequest{Service: "chat", Number: number, Ask: ask})
-			current.NotePlaced("proxy", feed.PlaceNote{Service: "chat", Number: number, Note: placement.Note{Step: placement.StepEnded}})
+			current.RecordProgress("proxy", feed.PlacementProgress{Service: "chat", Number: number, Note: placement.ProgressReport{Step: placement.StepEnded}})
 		}
 	}
 }
--- a/process/control/status.go
+++ b/process/control/status.go
@@ -121,8 +121,8 @@
 		return silent
 	}
 	oldest := monotonic() - s.member.config.Durations.engineSilenceFor(len(currentView.Engines))
-	for name, seen := range term.poller.Seen() {
-		silent[name] = seen.AskedAt < oldest || seen.State.Engine != name
+	for name, seen := range term.poller.Observations() {
+		silent[name] = seen.RequestedAt < oldest || seen.State.Engine != name
 	}
 	return silent
 }
@@ -176,7 +176,7 @@
 		return
 	}
 	status := current.replica.Status()
-	writeJSON(w, http.StatusOK, operatorapi.MemberSelf{
+	writeJSON(w, http.StatusOK, operatorapi.MemberStatus{
 		ID:       uint64(s.member.id),
 		Name:     s.member.config.Name,
 		Role:     roleOf(s.member.id, status),
@@ -201,21 +201,21 @@
 const maxMemberStatusBytes = 1 << 20
 
 // fetchMemberStatus reads the status that another member reports of itself.
-func fetchMemberStatus(ctx context.Context, operatorAddress string) (operatorapi.MemberSelf, error) {
+func fetchMemberStatus(ctx context.Context, operatorAddress string) (operatorapi.MemberStatus, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+operatorAddress+operatorapi.PathMemberStatus, nil)
 	if err != nil {
-		return operatorapi.MemberSelf{}, errors.Wrap(err, "control: fetch member status")
+		return operatorapi.MemberStatus{}, errors.Wrap(err, "control: fetch member status")
 	}
 	client := newMemberClient()
 	response, err := client.Do(request)
 	if err != nil {
-		return operatorapi.MemberSelf{}, errors.Wrap(err, "control: fetch member status")
+		return operatorapi.MemberStatus{}, errors.Wrap(err, "control: fetch member status")
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return operatorapi.MemberSelf{}, errors.Errorf("control: fetch member status: unexpected status %d", response.StatusCode)
+		return operatorapi.MemberStatus{}, errors.Errorf("control: fetch member status: unexpected status %d", response.StatusCode)
 	}
-	var self operatorapi.MemberSelf
+	var self operatorapi.MemberStatus
 	err = json.NewDecoder(io.LimitReader(response.Body, maxMemberStatusBytes)).Decode(&self)
 	return self, errors.Wrap(err, "control: fetch member status")
 }
--- a/process/control/unrecorded.go
+++ b/process/control/unrecorded.go
@@ -24,7 +24,7 @@
 	// heardAt is when the first change after that review was reported.
 	heardAt time.Duration
 	// observations are the notable observations at cachedChangeCount, with their ages at cachedAt.
-	observations      []quarantine.Aged
+	observations      []quarantine.AgedEvidence
 	cachedChangeCount uint64
 	cachedAt          time.Duration
 }
@@ -33,7 +33,7 @@
 func (d *quarantineTracker) changeCount() uint64 {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	return d.table.News()
+	return d.table.Changes()
 }
 
 // markRecorded notes that the record contains everything in the table up to a change count.
@@ -45,25 +45,25 @@
 
 // unrecordedReport returns the evidence for daemons and the change count that it corresponds to.
 // The evidence of a leader is empty until its record has lagged behind for maxRecordLag.
-func (d *quarantineTracker) unrecordedReport(leads bool, now time.Duration) (feed.EndReport, uint64) {
+func (d *quarantineTracker) unrecordedReport(leads bool, now time.Duration) (feed.CrashReport, uint64) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	cached, changeCount := &d.unrecorded, d.table.News()
+	cached, changeCount := &d.unrecorded, d.table.Changes()
 	if leads && (changeCount == cached.recordedChangeCount || now-cached.heardAt < maxRecordLag) {
-		return feed.EndReport{}, changeCount
+		return feed.CrashReport{}, changeCount
 	}
 	if cached.cachedChangeCount != changeCount {
-		cached.observations, cached.cachedChangeCount, cached.cachedAt = d.table.NotableSights(now, maxReportedEvidence), changeCount, now
+		cached.observations, cached.cachedChangeCount, cached.cachedAt = d.table.NotableReports(now, maxReportedEvidence), changeCount, now
 	}
 	observations := slices.Clone(cached.observations)
 	for i := range observations {
 		observations[i].Age += now - cached.cachedAt
 	}
-	return feed.EndReport{Ended: observations}, changeCount
+	return feed.CrashReport{Crashes: observations}, changeCount
 }
 
 // Unrecorded returns the evidence that is missing from the record, with its change count.
-func (g *group) Unrecorded() (feed.EndReport, uint64) {
+func (g *group) UnrecordedCrashes() (feed.CrashReport, uint64) {
 	return g.evidence.tracker.unrecordedReport(g.Leadership().Leads, monotonic())
 }
 
@@ -73,9 +73,9 @@
 func (d *quarantineTracker) applyRecordChange(before, current map[string]*api.Quarantine, now time.Duration) (changed bool) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	changeCount := d.table.News()
+	changeCount := d.table.Changes()
 	for name, earlier := range before {
-		fingerprint, ok := quarantine.Parse(name)
+		fingerprint, ok := quarantine.ParseFingerprint(name)
 		if !ok {
 			continue
 		}
@@ -86,9 +86,9 @@
 		case len(known.Spec.Replicas) < len(earlier.Spec.Replicas):
 			d.table.Restore(now, fingerprint, quarantine.Record{
 				Replicas: known.Spec.Replicas, Weak: known.Spec.Weak, Alone: known.Spec.Alone,
-				AtOnce: known.Spec.EndedAtOnce(), About: aboutOf(&known.Spec),
+				Simultaneous: known.Spec.EndedAtOnce(), About: aboutOf(&known.Spec),
 			})
 		}
 	}
-	return d.table.News() != changeCount
+	return d.table.Changes() != changeCount
 }
--- a/process/control/unrecorded_test.go
+++ b/process/control/unrecorded_test.go
@@ -22,7 +22,7 @@
 	d := newTrackerTest(t)
 	reported := func(leads bool) int {
 		report, _ := d.tracker.unrecordedReport(leads, d.now)
-		return len(report.Ended)
+		return len(report.Crashes)
 	}
 	d.tracker.markRecorded(d.tracker.changeCount(), d.now)
 	d.tracker.addProxyReport(crashReport(fatalRequest, "r-0"), d.now)
@@ -33,7 +33,7 @@
 	d.now += maxRecordLag
 	must.Eq(t, 2, reported(true), must.Sprint("evidence missing although the record lags behind"))
 	report, changeCount := d.tracker.unrecordedReport(true, d.now)
-	must.Eq(t, []time.Duration{time.Second + maxRecordLag, maxRecordLag}, []time.Duration{report.Ended[0].Age, report.Ended[1].Age})
+	must.Eq(t, []time.Duration{time.Second + maxRecordLag, maxRecordLag}, []time.Duration{report.Crashes[0].Age, report.Crashes[1].Age})
 	d.tracker.markRecorded(changeCount, d.now)
 	must.Zero(t, reported(true))
 	d.tracker.addProxyReport(crashReport(fatalRequest, "r-2"), d.now)
@@ -137,14 +137,14 @@
 	g.members[2].sendNotable(1)
 	must.Eq(t, []int{2, 2, 2}, g.counts())
 	g.links = map[[2]int]bool{}
-	other := quarantine.Of(quarantine.Identity{Path: "/other"})
+	other := quarantine.FingerprintOf(quarantine.RequestIdentity{Path: "/other"})
 	g.members[1].note(crashReport(other, "r-9"), monotonic())
 	must.Eq(t, []int{2, 3, 2}, g.counts())
 	g.links = map[[2]int]bool{{0, 1}: true, {1, 0}: true, {0, 2}: true, {1, 2}: true}
 	must.Eq(t, []int{2, 3, 2}, g.counts(), must.Sprint("nothing is sent twice"))
 	g.members[0].requestAll()
 	must.Eq(t, []int{3, 3, 3}, g.counts(), must.Sprint("a new leader requests all evidence and forwards it"))
-	g.members[1].note(feed.EndReport{Served: []quarantine.Fingerprint{fatalRequest, other}}, monotonic())
+	g.members[1].note(feed.CrashReport{Served: []quarantine.Fingerprint{fatalRequest, other}}, monotonic())
 	must.Eq(t, []int{1, 0, 1}, g.counts(), must.Sprint("a successful answer refutes a series at every member"))
 	g.members[0].receive(2, []byte("malformed report"))
 	must.Eq(t, []int{1, 0, 1}, g.counts())
@@ -220,14 +220,14 @@
 		tracker := newQuarantineTracker()
 		tracker.addEvidence(crashReport(fatalRequest, "r-0", "r-1", "r-2"), time.Second)
 		must.False(t, tracker.applyRecordChange(nil, recorded("r-0", "r-1", "r-2"), time.Second))
-		must.Eq(t, 3, tracker.table.CountEnds(fatalRequest))
+		must.Eq(t, 3, tracker.table.CountFailures(fatalRequest))
 		return tracker
 	}
 	tracker := begin()
 	must.True(t, tracker.applyRecordChange(recorded("r-0", "r-1", "r-2"), recorded("r-1", "r-2"), time.Second))
-	must.Eq(t, 2, tracker.table.CountEnds(fatalRequest), must.Sprint("an expired hold keeps two crashes"))
+	must.Eq(t, 2, tracker.table.CountFailures(fatalRequest), must.Sprint("an expired hold keeps two crashes"))
 	must.SliceEmpty(t, tracker.observations(time.Second), must.Sprint("the remaining crashes are in the record"))
 	tracker = begin()
 	must.True(t, tracker.applyRecordChange(recorded("r-0", "r-1", "r-2"), map[string]*api.Quarantine{}, time.Second))
-	must.Eq(t, 0, tracker.table.CountEnds(fatalRequest), must.Sprint("the request was released"))
+	must.Eq(t, 0, tracker.table.CountFailures(fatalRequest), must.Sprint("the request was released"))
 }
--- a/process/control/usage.go
+++ b/process/control/usage.go
@@ -85,11 +85,11 @@
 	u.lock.Lock()
 	defer u.lock.Unlock()
 	for _, counted := range report.Counts {
-		key := usageKey{process: report.Life, window: counted.Window, tenant: counted.Tenant}
+		key := usageKey{process: report.ProcessRun, window: counted.Window, tenant: counted.Tenant}
 		u.pending[key] = max(u.pending[key], counted.Count)
 	}
-	known := u.progress[report.Life]
-	u.progress[report.Life] = reportProgress{through: max(known.through, report.Through), at: now}
+	known := u.progress[report.ProcessRun]
+	u.progress[report.ProcessRun] = reportProgress{through: max(known.through, report.Through), at: now}
 }
 
 // take removes and returns counters to commit, the oldest windows first. It drops the counters of
@@ -175,7 +175,7 @@
 }
 
 // NoteUsage adds the usage reported by a process.
-func (g *group) NoteUsage(report feed.UsageReport) {
+func (g *group) RecordUsage(report feed.UsageReport) {
 	if g.config.Usage.Sink != nil {
 		g.usage.note(report, monotonic())
 	}
@@ -183,7 +183,7 @@
 
 // Day returns the group's wall-clock time in milliseconds, which a minority of wrong clocks
 // cannot change.
-func (g *group) Day() int64 { return g.agreedTime.Now().UnixMilli() }
+func (g *group) WallClock() int64 { return g.agreedTime.Now().UnixMilli() }
 
 // usageTermState is the state of usage reporting in one term.
 type usageTermState struct {
@@ -202,7 +202,7 @@
 	if config.Sink == nil || config.Window <= 0 || !d.countsTenants() {
 		return
 	}
-	now, day := monotonic(), d.group.Day()
+	now, day := monotonic(), d.group.WallClock()
 	length := config.Window.Milliseconds()
 	usage := &term.usage
 	if usage.firstWindow == 0 {
--- a/process/control/usage_test.go
+++ b/process/control/usage_test.go
@@ -80,7 +80,7 @@
 	g.t.Helper()
 	eventually(g.t, "the client is connected", client.Connected)
 	must.True(g.t, client.ReportUsage(feed.UsageReport{
-		Life: life, Through: time.Now().UnixMilli(), Counts: []feed.UsageCount{{Window: window, Tenant: "north", Count: count}},
+		ProcessRun: life, Through: time.Now().UnixMilli(), Counts: []feed.UsageCount{{Window: window, Tenant: "north", Count: count}},
 	}))
 }
 
@@ -116,7 +116,7 @@
 	eventually(t, "the report is repeated", func() bool { return len(sink.reportsOf(window)) > 1 })
 	g.crash(g.leader())
 	eventually(t, "another leader is elected", client.Connected)
-	_ = client.ReportUsage(feed.UsageReport{Life: "b", Counts: []feed.UsageCount{{Window: window, Tenant: "north", Count: 9}}})
+	_ = client.ReportUsage(feed.UsageReport{ProcessRun: "b", Counts: []feed.UsageCount{{Window: window, Tenant: "north", Count: 9}}})
 	sink.answer(CallDone)
 	eventually(t, "the next leader reports", func() bool {
 		reports := sink.reportsOf(window)
@@ -194,12 +194,12 @@
 // silent ones.
 func TestWindowsWaitForProxies(t *testing.T) {
 	collector := newUsageCollector()
-	collector.note(feed.UsageReport{Life: "a", Through: 900}, 0)
-	collector.note(feed.UsageReport{Life: "b", Through: 1100}, 0)
+	collector.note(feed.UsageReport{ProcessRun: "a", Through: 900}, 0)
+	collector.note(feed.UsageReport{ProcessRun: "b", Through: 1100}, 0)
 	must.False(t, collector.hasAllReports(1000, time.Second))
 	must.True(t, collector.hasAllReports(1000, usageSilenceTimeout+1), must.Sprint("the process is silent"))
 	must.True(t, collector.hasSilentProcess(1000, usageSilenceTimeout+1))
-	collector.note(feed.UsageReport{Life: "a", Through: 1000}, time.Second)
+	collector.note(feed.UsageReport{ProcessRun: "a", Through: 1000}, time.Second)
 	must.True(t, collector.hasAllReports(1000, time.Second))
 	must.False(t, collector.hasSilentProcess(1000, time.Second))
 	must.True(t, collector.hasAllReports(5000, 2*usageRetention))
@@ -216,7 +216,7 @@
 	must.True(t, d.isWindowDue(window, length, end+usageMaxDelay.Milliseconds(), 0, usageTakeoverDelay))
 	must.False(t, d.isWindowDue(window, length, end+usageMinDelay.Milliseconds()-1, 0, time.Hour))
 	must.True(t, d.isWindowDue(window, length, end+usageMinDelay.Milliseconds(), 0, time.Hour))
-	d.group.usage.note(feed.UsageReport{Life: "a", Through: end - 1}, 0)
+	d.group.usage.note(feed.UsageReport{ProcessRun: "a", Through: end - 1}, 0)
 	must.False(t, d.isWindowDue(window, length, end+usageMinDelay.Milliseconds(), 0, time.Hour), must.Sprint("a process has not reported all counts"))
 }
 
@@ -225,7 +225,7 @@
 func TestUsageCommitsAreBounded(t *testing.T) {
 	collector := newUsageCollector()
 	for i := range maxUsageCommit + 10 {
-		collector.note(feed.UsageReport{Life: fmt.Sprint(i), Counts: []feed.UsageCount{{Window: int64(10 + i%2), Tenant: "t", Count: 1}, {Window: 3, Tenant: "t", Count: 1}}}, 0)
+		collector.note(feed.UsageReport{ProcessRun: fmt.Sprint(i), Counts: []feed.UsageCount{{Window: int64(10 + i%2), Tenant: "t", Count: 1}, {Window: 3, Tenant: "t", Count: 1}}}, 0)
 	}
 	taken := collector.takePending(5)
 	must.SliceLen(t, maxUsageCommit, taken)
--- a/process/control/warm.go
+++ b/process/control/warm.go
@@ -94,7 +94,7 @@
 	if err != nil {
 		return // its cached parts are learned from its requests
 	}
-	kept := feed.KeptParts{Service: replica.Spec.Service, Replica: replica.Name, Parts: parts}
+	kept := feed.CachedParts{Service: replica.Spec.Service, Replica: replica.Name, Parts: parts}
 	d.group.boards.addCachedParts(d.group.machine.history.Load(), kept)
 }
 
@@ -106,7 +106,7 @@
 	d.update(current)
 	var names []string
 	for _, board := range d.boards {
-		names = append(names, board.Cold()...)
+		names = append(names, board.ColdReplicas()...)
 	}
 	return names
 }
--- a/process/guard/guard.go
+++ b/process/guard/guard.go
@@ -33,7 +33,7 @@
 type Reporter interface {
 	// ReportEnds reports crashes, replicas that proved to be alive, and requests that were served.
 	// It returns whether the report was sent.
-	ReportEnds(report feed.EndReport) bool
+	ReportCrashes(report feed.CrashReport) bool
 	// Connected reports whether a leader currently serves this proxy.
 	Connected() bool
 }
@@ -104,7 +104,7 @@
 	g.updateCutOff(now)
 	if g.reportedUntil > 0 { // a leader commits again, so the record decides
 		g.reportedUntil = 0
-		g.table.DropTold()
+		g.table.DropReportedByOthers()
 	}
 	before := g.recorded
 	g.recorded = current.Quarantines
@@ -173,29 +173,29 @@
 // some of the crashes were refuted or have expired, so it replaces what is known here. Otherwise
 // its crashes are added.
 func (g *Guard) applyRecord(earlier, entry *api.Quarantine, now time.Duration) {
-	fingerprint, ok := quarantine.Parse(entry.Name)
+	fingerprint, ok := quarantine.ParseFingerprint(entry.Name)
 	if !ok {
 		return
 	}
 	spec := &entry.Spec
-	about := quarantine.About{Service: spec.Service, Route: spec.Route, Request: spec.Request}
+	about := quarantine.RequestInfo{Service: spec.Service, Route: spec.Route, Request: spec.Request}
 	record := quarantine.Record{
-		Replicas: spec.Replicas, Weak: spec.Weak, Alone: spec.Alone, AtOnce: spec.EndedAtOnce(), About: about,
+		Replicas: spec.Replicas, Weak: spec.Weak, Alone: spec.Alone, Simultaneous: spec.EndedAtOnce(), About: about,
 	}
 	if earlier != nil && len(spec.Replicas) < len(earlier.Spec.Replicas) {
 		g.table.Restore(now, fingerprint, record)
 	}
 	for _, replica := range spec.Replicas {
 		evidence := record.Evidence(fingerprint, replica)
-		evidence.Alone = false // another proxy saw it, perhaps at another replica of the entry
-		g.table.Note(now, evidence)
+		evidence.OnlyInFlight = false // another proxy saw it, perhaps at another replica of the entry
+		g.table.RecordFailure(now, evidence)
 	}
 	g.table.SetHeld(fingerprint, spec.State == api.QuarantineHeld)
 }
 
 // dropRecord removes a request that is no longer on record.
 func (g *Guard) dropRecord(name string) {
-	if fingerprint, ok := quarantine.Parse(name); ok {
+	if fingerprint, ok := quarantine.ParseFingerprint(name); ok {
 		g.table.Forget(fingerprint)
 	}
 }
@@ -212,25 +212,25 @@
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	g.updateCutOff(now)
-	evidence.Sight = rand.Uint64()
-	g.table.Note(now, evidence)
-	if g.table.Standing(now, evidence.Fingerprint) != quarantine.Free {
+	evidence.ObservationID = rand.Uint64()
+	g.table.RecordFailure(now, evidence)
+	if g.table.Verdict(now, evidence.Fingerprint) != quarantine.Free {
 		g.active.Store(true)
 	}
-	g.report(feed.EndReport{Ended: []quarantine.Aged{{Evidence: evidence}}})
+	g.report(feed.CrashReport{Crashes: []quarantine.AgedEvidence{{Evidence: evidence}}})
 }
 
 // reportMaxAge is how long a member's report of unrecorded crashes is valid. While they remain
 // unrecorded, members repeat it every feed.UnrecordedPause.
-const reportMaxAge = 3 * feed.UnrecordedPause
+const reportMaxAge = 3 * feed.UnrecordedInterval
 
 // ApplyUnrecorded applies a member's report of crashes that are not on record, because there is no
 // leader or it cannot commit. Until they are recorded, only the proxies can act on them.
-func (g *Guard) ApplyUnrecorded(now time.Duration, report feed.EndReport) {
+func (g *Guard) ApplyUnrecorded(now time.Duration, report feed.CrashReport) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
-	for _, evidence := range report.Ended {
-		evidence.Told = true
+	for _, evidence := range report.Crashes {
+		evidence.ReportedByOther = true
 		g.table.NoteAged(now, evidence.Age, evidence.Evidence)
 	}
 	g.reportedUntil = now + reportMaxAge
@@ -244,22 +244,22 @@
 func (g *Guard) HasManyCrashes(now time.Duration, fingerprint quarantine.Fingerprint) bool {
 	g.lock.Lock()
 	defer g.lock.Unlock()
-	threshold := quarantine.CondemningEnds
+	threshold := quarantine.HarmfulIncidents
 	if g.updateCutOff(now) {
 		threshold++
 	}
-	return g.table.CountEnds(fingerprint) >= threshold
+	return g.table.CountFailures(fingerprint) >= threshold
 }
 
 // NoteAlive records that a replica which seemed to have crashed has answered since, and reports it
 // to the control group.
-func (g *Guard) NoteAlive(now time.Duration, alive quarantine.Alive) {
+func (g *Guard) NoteAlive(now time.Duration, alive quarantine.LiveReplica) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
-	g.table.Lives(now, alive)
+	g.table.RefuteFailures(now, alive)
 	delete(g.suspected, alive.Replica)
 	g.updateActive(now)
-	g.report(feed.EndReport{Alive: []quarantine.Alive{alive}})
+	g.report(feed.CrashReport{Alive: []quarantine.LiveReplica{alive}})
 }
 
 // NoteServed clears a request that was served completely and reports that to the control group. It
@@ -267,12 +267,12 @@
 func (g *Guard) NoteServed(now time.Duration, fingerprint quarantine.Fingerprint) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
-	evidence, _ := g.table.Ends(fingerprint)
+	evidence, _ := g.table.FailedReplicas(fingerprint)
 	if len(evidence) == 0 && g.recorded[fingerprint.String()] == nil {
 		return
 	}
-	g.table.Served(now, fingerprint)
-	g.report(feed.EndReport{Served: []quarantine.Fingerprint{fingerprint}})
+	g.table.RecordServed(now, fingerprint)
+	g.report(feed.CrashReport{Served: []quarantine.Fingerprint{fingerprint}})
 }
 
 // NoteServedIsolated clears and reports a request that was served completely while it was
@@ -281,15 +281,15 @@
 func (g *Guard) NoteServedIsolated(now time.Duration, fingerprint quarantine.Fingerprint) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
-	g.table.Served(now, fingerprint)
-	g.report(feed.EndReport{Served: []quarantine.Fingerprint{fingerprint}})
+	g.table.RecordServed(now, fingerprint)
+	g.report(feed.CrashReport{Served: []quarantine.Fingerprint{fingerprint}})
 }
 
 // report sends a report to the control group, if any. Whether it was sent does not matter: the
 // ingress calls ReportAll once a leader serves this proxy.
-func (g *Guard) report(report feed.EndReport) {
+func (g *Guard) report(report feed.CrashReport) {
 	if g.reporter != nil {
-		g.reporter.ReportEnds(report)
+		g.reporter.ReportCrashes(report)
 	}
 }
 
@@ -300,7 +300,7 @@
 func (g *Guard) ReportAll(now time.Duration) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
-	all := feed.EndReport{Ended: g.table.All(now), Served: g.table.Cleared(now)}
+	all := feed.CrashReport{Crashes: g.table.ObservedHere(now), Served: g.table.Cleared(now)}
 	if !all.IsEmpty() {
 		g.report(all)
 	}
@@ -325,10 +325,10 @@
 		return trialRetryAfter, !g.claimTrial(fingerprint, entry.Spec.Until, owner)
 	}
 	// The record alone decides, or the evidence known here does not suffice.
-	if !g.updateCutOff(now) && now >= g.reportedUntil || !g.table.IsCertain(fingerprint) {
+	if !g.updateCutOff(now) && now >= g.reportedUntil || !g.table.IsHarmfulOnPartialView(fingerprint) {
 		return 0, false
 	}
-	return max(g.table.Rest(now, fingerprint), MinHold), true
+	return max(g.table.HarmfulFor(now, fingerprint), MinHold), true
 }
 
 // RequiresLeader reports whether only the control group may place a request: enough replicas have
@@ -343,7 +343,7 @@
 	if entry == nil || entry.Spec.State != api.QuarantineWatched {
 		return false
 	}
-	return len(entry.Spec.Replicas)-len(entry.Spec.Weak) >= quarantine.WatchedEnds && !g.updateCutOff(now)
+	return len(entry.Spec.Replicas)-len(entry.Spec.Weak) >= quarantine.WatchedIncidents && !g.updateCutOff(now)
 }
 
 // HasLeader reports whether a leader currently serves this proxy.
--- a/process/guard/guard_test.go
+++ b/process/guard/guard_test.go
@@ -12,17 +12,17 @@
 	"github.com/shoenig/test/must"
 )
 
-var crashingRequest = quarantine.Of(quarantine.Identity{Path: "/fatal"})
+var crashingRequest = quarantine.FingerprintOf(quarantine.RequestIdentity{Path: "/fatal"})
 
 // fakeGroup is a control group that a test connects and disconnects.
 type fakeGroup struct {
 	connected bool
-	reports   []feed.EndReport
+	reports   []feed.CrashReport
 }
 
 func (g *fakeGroup) Connected() bool { return g.connected }
 
-func (g *fakeGroup) ReportEnds(report feed.EndReport) bool {
+func (g *fakeGroup) ReportCrashes(report feed.CrashReport) bool {
 	g.reports = append(g.reports, report)
 	return g.connected
 }
@@ -80,12 +80,12 @@
 	must.False(t, guard.holdsCrashing(later, wall), must.Sprint("the hold expired"))
 	guard.NoteCrash(later, quarantine.Evidence{Fingerprint: crashingRequest, Replica: "r-9"})
 	must.False(t, guard.holdsCrashing(later+cutOffDelay-1, wall), must.Sprint("a change of leader takes up to cutOffDelay"))
-	guard.NoteAlive(later, quarantine.Alive{Replica: "r-9", For: quarantine.Ever})
+	guard.NoteAlive(later, quarantine.LiveReplica{Replica: "r-9", RunningFor: quarantine.AnyAge})
 	guard.NoteCrash(later, quarantine.Evidence{Fingerprint: crashingRequest, Replica: "r-3"})
 	must.False(t, guard.holdsCrashing(2*later, wall), must.Sprint("a cut-off proxy sees only a part of the evidence"))
 	guard.NoteCrash(later, quarantine.Evidence{Fingerprint: crashingRequest, Replica: "r-5"})
 	must.True(t, guard.holdsCrashing(2*later, wall))
-	guard.NoteAlive(2*later, quarantine.Alive{Replica: "r-3", For: quarantine.Ever})
+	guard.NoteAlive(2*later, quarantine.LiveReplica{Replica: "r-3", RunningFor: quarantine.AnyAge})
 	must.False(t, guard.holdsCrashing(2*later, wall))
 
 	guard.NoteCrash(3*later, quarantine.Evidence{Fingerprint: crashingRequest, Replica: "r-4"})
@@ -106,8 +106,8 @@
 	leader.connected, leader.reports = true, nil
 	guard.ReportAll(later)
 	must.SliceLen(t, 1, leader.reports)
-	must.SliceLen(t, 2, leader.reports[0].Ended)
-	must.Eq(t, later, leader.reports[0].Ended[0].Age)
+	must.SliceLen(t, 2, leader.reports[0].Crashes)
+	must.Eq(t, later, leader.reports[0].Crashes[0].Age)
 }
 
 // Every proxy checks answers of replicas that are recorded as crashed.
@@ -120,7 +120,7 @@
 	must.True(t, guard.RefutesCrash("r-0", 2*time.Second))
 	must.False(t, guard.RefutesCrash("r-2", 2*time.Second))
 	must.False(t, guard.RefutesCrash("r-9", later))
-	guard.NoteAlive(later, quarantine.Alive{Replica: "r-0", For: quarantine.Ever})
+	guard.NoteAlive(later, quarantine.LiveReplica{Replica: "r-0", RunningFor: quarantine.AnyAge})
 	must.False(t, guard.RefutesCrash("r-0", later))
 }
 
--- a/process/guard/unrecorded_test.go
+++ b/process/guard/unrecorded_test.go
@@ -11,10 +11,10 @@
 )
 
 // crashReport returns a member's report of crashes during the crashing request, one second apart.
-func crashReport(replicas int) feed.EndReport {
-	var report feed.EndReport
+func crashReport(replicas int) feed.CrashReport {
+	var report feed.CrashReport
 	for i := range replicas {
-		report.Ended = append(report.Ended, quarantine.Aged{
+		report.Crashes = append(report.Crashes, quarantine.AgedEvidence{
 			Evidence: quarantine.Evidence{Fingerprint: crashingRequest, Replica: fmt.Sprint("r-", i)},
 			Age:      time.Duration(replicas-i) * time.Second,
 		})
@@ -48,7 +48,7 @@
 			must.False(t, guard.holdsCrashing(later+3*reportMaxAge, wall), must.Sprint("the record decides again"))
 			members.reports = nil
 			guard.ReportAll(later)
-			must.SliceLen(t, 1, members.reports[0].Ended, must.Sprint("crashes reported by members are not reported back to them"))
+			must.SliceLen(t, 1, members.reports[0].Crashes, must.Sprint("crashes reported by members are not reported back to them"))
 		})
 	}
 }
@@ -80,5 +80,5 @@
 	must.True(t, guard.holdsCrashing(later, wall))
 	guard.Follow(recordView(1, "", wall), later)
 	must.False(t, guard.holdsCrashing(later, wall))
-	must.Eq(t, 1, guard.table.CountEnds(crashingRequest))
+	must.Eq(t, 1, guard.table.CountFailures(crashingRequest))
 }
--- a/process/ingress/answer.go
+++ b/process/ingress/answer.go
@@ -19,7 +19,7 @@
 
 // handleAnswer evaluates the head of an answer and passes the answer on. number is the attempt's
 // number in the session's lifecycle, as in the functions below.
-func (s *session) handleAnswer(ctx context.Context, chosen plan, sent *send, number uint32, answer *exchange.Answer, reply Reply) verdict {
+func (s *session) handleAnswer(ctx context.Context, chosen plan, sent *send, number uint32, answer *exchange.Response, reply Reply) verdict {
 	target := chosen.target
 	if reply.refuses() {
 		s.lifecycle.Fail(number, attempt.FaultRefused)
@@ -52,7 +52,7 @@
 // failResume records a failed attempt: the answer to a run that was to continue a stream is an
 // error, or is not a stream. The caller already has the start of the stream, to which an error
 // answer cannot be appended.
-func (s *session) failResume(ctx context.Context, target *replica, number uint32, answer *exchange.Answer) verdict {
+func (s *session) failResume(ctx context.Context, target *replica, number uint32, answer *exchange.Response) verdict {
 	s.lifecycle.Fail(number, attempt.FaultBroken)
 	target.noteFailure()
 	fmt.Fprintf(&s.trace, " (%s: status %d)", target.name, answer.Status)
@@ -85,7 +85,7 @@
 // forwardWhole passes on an answer that is not a stream. An answer of up to maxBufferedAnswer
 // bytes is buffered completely first, so that the request can be retried elsewhere if it is
 // truncated.
-func (s *session) forwardWhole(ctx context.Context, target *replica, sent *send, number uint32, answer *exchange.Answer) verdict {
+func (s *session) forwardWhole(ctx context.Context, target *replica, sent *send, number uint32, answer *exchange.Response) verdict {
 	var buffer bytes.Buffer
 	_, err := io.CopyN(&buffer, answer, maxBufferedAnswer)
 	switch {
@@ -112,7 +112,7 @@
 
 // saveFailure records a failed attempt and keeps its answer, an error that the replica produced by
 // running the request.
-func (s *session) saveFailure(target *replica, number uint32, answer *exchange.Answer, body []byte) verdict {
+func (s *session) saveFailure(target *replica, number uint32, answer *exchange.Response, body []byte) verdict {
 	target.noteFailure()
 	s.lifecycle.Fail(number, attempt.FaultBroken)
 	s.failure = &savedAnswer{status: answer.Status, header: answer.Header, body: body}
@@ -121,7 +121,7 @@
 }
 
 // forwardLong passes on an answer that is too long to buffer.
-func (s *session) forwardLong(ctx context.Context, target *replica, sent *send, number uint32, answer *exchange.Answer, buffered []byte) verdict {
+func (s *session) forwardLong(ctx context.Context, target *replica, sent *send, number uint32, answer *exchange.Response, buffered []byte) verdict {
 	copyHeader(s.writer.Header(), answer.Header)
 	s.headSent, s.unresumable = true, true
 	s.writer.WriteHeader(answer.Status)
--- a/process/ingress/asks.go
+++ b/process/ingress/asks.go
@@ -35,7 +35,7 @@
 // accepts a request.
 func (i *Ingress) permit(to *holdoff.Replica) func() error {
 	return func() error {
-		if !to.Begin(i.now()) {
+		if !to.TryBegin(i.now()) {
 			return errWithheld
 		}
 		return nil
@@ -51,7 +51,7 @@
 	if reply.Misdirected {
 		return
 	}
-	leaves := from.Hear(s.ingress.now(), s.ingress.wallClock(), reply.Holdoff)
+	leaves := from.Apply(s.ingress.now(), s.ingress.wallClock(), reply.Holdoff)
 	if reply.Holdoff.IsZero() {
 		return
 	}
@@ -70,8 +70,8 @@
 	if i.placer == nil {
 		return
 	}
-	i.placer.NotePlaced(feed.PlaceNote{
-		Service: service, Note: placement.Note{Step: placement.StepLeaving, Replica: replica},
+	i.placer.RecordProgress(feed.PlacementProgress{
+		Service: service, Note: placement.ProgressReport{Step: placement.StepLeaving, Replica: replica},
 	})
 }
 
@@ -93,7 +93,7 @@
 	s.trace.WriteString(" withheld(" + from.name + ")")
 	s.ingress.metrics.withheldSends.WithLabelValues(s.upstream.service, stage).Inc()
 	event.SendWithheld.Log(s.ingress.logger, "request", s.call.ID, "stage", stage, "replica", from.name,
-		"pause_ms", from.holdoff.Pause(s.ingress.now()).Milliseconds(), "leaving", from.holdoff.IsLeaving())
+		"pause_ms", from.holdoff.PauseLeft(s.ingress.now()).Milliseconds(), "leaving", from.holdoff.IsLeaving())
 }
 
 // avoidedReplicas returns the replicas that the control group must not choose: those already
@@ -109,7 +109,7 @@
 		switch current.holdoff.State(now) {
 		case holdoff.Closed:
 			avoided[current.name] = true
-		case holdoff.Doubtful:
+		case holdoff.LastResort:
 			doubtful[role] = append(doubtful[role], current.name)
 		}
 	}
@@ -157,7 +157,7 @@
 			isOpen = true
 			return false
 		}
-		pause := current.holdoff.Pause(now)
+		pause := current.holdoff.PauseLeft(now)
 		// Includes a replica that has just refused this request: it may have capacity sooner.
 		isOpen = pause == 0 && current.acceptsRequests(now)
 		if pause > 0 && !current.holdoff.IsLeaving() && (first == 0 || pause < first) {
--- a/process/ingress/belief_test.go
+++ b/process/ingress/belief_test.go
@@ -88,7 +88,7 @@
 	})
 	decoder := newFakeReplica(t, "make", streamEvents(2, ""))
 	env := newModelEnv(t, prefiller, decoder, nil)
-	env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read", Unread: 9000}}
+	env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read", UnreadTokens: 9000}}
 	got := env.do(modelRequest)
 	must.NoError(t, got.err)
 	for _, request := range decoder.requests {
@@ -109,7 +109,7 @@
 	return placement.Answer{}, feed.ErrNotPlaced
 }
 
-func (p *recordingPlacer) NotePlaced(note feed.PlaceNote) bool {
+func (p *recordingPlacer) RecordProgress(note feed.PlacementProgress) bool {
 	if note.Note.Step == placement.StepEnded {
 		p.ended = append(p.ended, note.Number)
 	}
--- a/process/ingress/budget_test.go
+++ b/process/ingress/budget_test.go
@@ -56,7 +56,7 @@
 	env := newModelEnv(t, prefiller, decoder, nil)
 	env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
 	env.withReserve(0)
-	env.ingress.upstreams.get("model").budget.Force(env.ingress.now())
+	env.ingress.upstreams.get("model").budget.CountRetry(env.ingress.now())
 	must.Eq(t, eventTexts(1, 2), env.do(modelRequest).body)
 	must.Eq(t, 1, prefiller.count())
 	must.NotEq(t, "", decoder.requests[0].Header.Get(testSource))
--- a/process/ingress/cacheguess.go
+++ b/process/ingress/cacheguess.go
@@ -83,7 +83,7 @@
 	for _, upstream := range i.upstreams.all() {
 		for _, current := range upstream.fleet.inUse() {
 			if parts := current.cachedParts(); len(parts) > 0 {
-				to.ReportKept(feed.KeptParts{Service: upstream.service, Replica: current.name, Parts: parts})
+				to.ReportCachedParts(feed.CachedParts{Service: upstream.service, Replica: current.name, Parts: parts})
 			}
 		}
 	}
@@ -93,5 +93,5 @@
 // return whether the report was sent; one that is lost is sent again to the next leader.
 type groupReporter interface {
 	ReportInFlight(report feed.InFlight) bool
-	ReportKept(kept feed.KeptParts) bool
+	ReportCachedParts(kept feed.CachedParts) bool
 }
--- a/process/ingress/charge.go
+++ b/process/ingress/charge.go
@@ -16,7 +16,7 @@
 // whether the refund was sent.
 type charger interface {
 	Charge(ctx context.Context, request feed.ChargeRequest) (quota.Grant, error)
-	ReturnCharge(request feed.ChargeRequest) bool
+	RefundCharge(request feed.ChargeRequest) bool
 }
 
 // chargeTimeout is how long to wait for the control group's answer to a charge before this proxy
@@ -44,7 +44,7 @@
 	amount := quotaCharge{tenant: tenant.Name, cost: limit.Cost(call.Work.PromptTokens + call.Work.OutputTokens)}
 	grant, err := i.askCharge(ctx, amount)
 	if err == nil {
-		i.standaloneQuota.Heard(amount.tenant, limit, grant)
+		i.standaloneQuota.RecordAnswer(amount.tenant, limit, grant)
 	} else {
 		amount.standalone = true
 		grant = i.standaloneQuota.Charge(i.now(), amount.tenant, limit, amount.cost, i.sharing())
@@ -84,8 +84,8 @@
 		return
 	}
 	if spent.standalone || i.charger == nil {
-		i.standaloneQuota.Return(spent.tenant, spent.cost)
+		i.standaloneQuota.Refund(spent.tenant, spent.cost)
 		return
 	}
-	i.charger.ReturnCharge(feed.ChargeRequest{Tenant: spent.tenant, Cost: spent.cost})
+	i.charger.RefundCharge(feed.ChargeRequest{Tenant: spent.tenant, Cost: spent.cost})
 }
--- a/process/ingress/charge_test.go
+++ b/process/ingress/charge_test.go
@@ -29,7 +29,7 @@
 	return c.grant, c.err
 }
 
-func (c *fakeCharger) ReturnCharge(request feed.ChargeRequest) bool {
+func (c *fakeCharger) RefundCharge(request feed.ChargeRequest) bool {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	c.returned = append(c.returned, request)
@@ -44,7 +44,7 @@
 	bounded.Quota = api.Quota{Unit: api.QuotaTokens, PerSecond: perSecond, Burst: perSecond, PlainTokens: 20}
 	env.requireKeys(bounded, tenantKeys("south", 0, "key-s"))
 	env.ingress.config.Quotas = quota.Rule{Window: 8 * time.Second, Overshoot: 0.1}
-	env.ingress.standaloneQuota = quota.NewAlone(env.ingress.config.Quotas)
+	env.ingress.standaloneQuota = quota.NewLocalShare(env.ingress.config.Quotas)
 	charger := &fakeCharger{grant: quota.Grant{Granted: true}}
 	env.ingress.charger = charger
 	return env, charger
--- a/process/ingress/ended.go
+++ b/process/ingress/ended.go
@@ -21,14 +21,14 @@
 // seems to crash during this one, or if the control group asks for fingerprints.
 func (s *session) fingerprint() quarantine.Fingerprint {
 	if s.cachedFingerprint == nil {
-		identity := quarantine.Identity{
+		identity := quarantine.RequestIdentity{
 			Method: s.call.Method, Host: s.call.Host, Path: s.call.Path, Caller: s.call.Caller, Body: s.call.Body,
 		}
 		// A body tells what is requested; without one, the query does.
 		if len(s.call.Body) == 0 {
 			_, identity.Query, _ = strings.Cut(s.call.Target, "?")
 		}
-		computed := quarantine.Of(identity)
+		computed := quarantine.FingerprintOf(identity)
 		s.cachedFingerprint = &computed
 	}
 	return *s.cachedFingerprint
@@ -67,9 +67,9 @@
 	}
 	target.noteCrash(now)
 	s.ingress.guard.NoteCrash(now, quarantine.Evidence{
-		Fingerprint: s.fingerprint(), Replica: target.incarnation(), Began: sent.events > 0, Read: stage == stagePrefill,
-		Alone: isolated, Listens: state == addressListens, Ran: now - sent.at, Once: target.spec().Born != 0,
-		About: quarantine.About{Service: s.upstream.service, Route: s.route.Name, Request: s.call.ID},
+		Fingerprint: s.fingerprint(), Replica: target.incarnation(), HadOutput: sent.events > 0, Read: stage == stagePrefill,
+		OnlyInFlight: isolated, StillListening: state == addressListens, RunTime: now - sent.at, UniqueName: target.spec().Born != 0,
+		RequestInfo: quarantine.RequestInfo{Service: s.upstream.service, Route: s.route.Name, Request: s.call.ID},
 	})
 }
 
@@ -104,15 +104,15 @@
 // noteAlive reports that a replica is alive if an answer to a request that was sent at sentAt
 // refutes its suspected crash: the connection was opened before the crash, and the request was
 // sent after it.
-func (s *session) noteAlive(from *replica, sentAt time.Duration, answer *exchange.Answer, reply *Reply) {
+func (s *session) noteAlive(from *replica, sentAt time.Duration, answer *exchange.Response, reply *Reply) {
 	if !reply.HasRequestID || reply.Misdirected {
 		return
 	}
 	now, incarnation := s.ingress.now(), from.incarnation()
-	opened := time.Now().Add(answer.Opened - now)
-	if from.refutesCrash(sentAt, answer.Opened) || s.ingress.guard.RefutesCrashOnConnection(incarnation, sentAt, opened) {
-		event.ReplicaLives.Log(s.ingress.logger, "request", s.call.ID, "replica", incarnation, "open_ms", (now - answer.Opened).Milliseconds())
-		s.ingress.guard.NoteAlive(now, quarantine.Alive{Replica: incarnation, For: now - answer.Opened})
+	opened := time.Now().Add(answer.ConnOpenedAt - now)
+	if from.refutesCrash(sentAt, answer.ConnOpenedAt) || s.ingress.guard.RefutesCrashOnConnection(incarnation, sentAt, opened) {
+		event.ReplicaLives.Log(s.ingress.logger, "request", s.call.ID, "replica", incarnation, "open_ms", (now - answer.ConnOpenedAt).Milliseconds())
+		s.ingress.guard.NoteAlive(now, quarantine.LiveReplica{Replica: incarnation, RunningFor: now - answer.ConnOpenedAt})
 	}
 }
 
--- a/process/ingress/fleet.go
+++ b/process/ingress/fleet.go
@@ -70,7 +70,7 @@
 		switch {
 		case entry == nil:
 			f.drop(current)
-		case current.isIdle(now) && !f.pool.Idle(entry.Spec.Address):
+		case current.isIdle(now) && !f.pool.HasIdle(entry.Spec.Address):
 			delete(f.tracked, name)
 		default:
 			f.track(entry, now)
@@ -92,7 +92,7 @@
 		f.drop(current)
 		current = nil
 	}
-	pauseState := f.holdoffs.Follow(entry.Name, processOf(entry), now)
+	pauseState := f.holdoffs.ObserveListed(entry.Name, processOf(entry), now)
 	if current == nil {
 		current = newReplica(entry.Name, entry.Spec, pauseState)
 		current.usedAt = now
--- a/process/ingress/fleet_test.go
+++ b/process/ingress/fleet_test.go
@@ -67,7 +67,7 @@
 func TestPausedOrLeavingReplicaIsKept(t *testing.T) {
 	f := newTestFleet(nil)
 	f.update(listingOf(2), 0)
-	f.find("model-00000", 0).holdoff.Hear(0, time.Now(), holdoff.Word{Leaving: true})
+	f.find("model-00000", 0).holdoff.Apply(0, time.Now(), holdoff.Restrictions{Leaving: true})
 	f.update(listingOf(2), idleRetention+1)
 	must.SliceLen(t, 1, f.inUse())
 	must.True(t, f.inUse()[0].holdoff.IsLeaving())
--- a/process/ingress/foreign_test.go
+++ b/process/ingress/foreign_test.go
@@ -116,7 +116,7 @@
 	return next, nil
 }
 
-func (p *scriptedPlacer) NotePlaced(feed.PlaceNote) bool { return true }
+func (p *scriptedPlacer) RecordProgress(feed.PlacementProgress) bool { return true }
 
 func modelRequestWithID(id string) testRequest {
 	request := modelRequest
--- a/process/ingress/holdoff_test.go
+++ b/process/ingress/holdoff_test.go
@@ -109,7 +109,7 @@
 			paused := newFakeReplica(t, "make", pauseOnce(longPause, http.StatusServiceUnavailable, streamEvents(2, "")))
 			env := newModelEnv(t, prefiller, paused, nil)
 			env.withLongObjective()
-			env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read", Alone: isolated}}
+			env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read", Isolated: isolated}}
 			for i := range laterRequests {
 				must.Eq(t, http.StatusServiceUnavailable, env.do(numberedModelRequest(i)).status)
 			}
@@ -165,8 +165,8 @@
 		env := newTestEnv(t, paused)
 		env.ingress.routes()
 		pauseState := env.ingress.upstreams.holdoffs.Find("a")
-		request := &exchange.Request{Method: "GET", Target: "/", Host: "a", Permit: func() error {
-			pauseState.Hear(env.ingress.now(), time.Now(), holdoff.Word{RetryAfter: time.Minute}) // as with the answer to another request
+		request := &exchange.Request{Method: "GET", Target: "/", Host: "a", BeforeSend: func() error {
+			pauseState.Apply(env.ingress.now(), time.Now(), holdoff.Restrictions{RetryAfter: time.Minute}) // as with the answer to another request
 			return env.ingress.permit(pauseState)()
 		}}
 		_, err := env.ingress.upstreams.get("plain").pool.Do(t.Context(), paused.address(), request)
--- a/process/ingress/inflight.go
+++ b/process/ingress/inflight.go
@@ -22,7 +22,7 @@
 	ingress  *Ingress
 	service  string
 	number   uint64
-	ask      placement.Ask
+	ask      placement.Request
 	answer   placement.Answer
 	placedAt time.Duration
 	step     placement.Step // 0 before the prompt was prefilled; guarded by the table's lock
@@ -46,15 +46,15 @@
 	default:
 		delete(table.requests, p)
 	}
-	p.ingress.placer.NotePlaced(feed.PlaceNote{
+	p.ingress.placer.RecordProgress(feed.PlacementProgress{
 		Service: p.service,
 		Number:  p.number,
-		Note:    placement.Note{Step: step, Replica: replica, Told: reportedRequests},
+		Note:    placement.ProgressReport{Step: step, Replica: replica, ReportedRequests: reportedRequests},
 	})
 }
 
 // track adds a request to those in flight until its end is noted.
-func (s *session) track(ask placement.Ask, answer placement.Answer, number uint64) *trackedRequest {
+func (s *session) track(ask placement.Request, answer placement.Answer, number uint64) *trackedRequest {
 	tracked := &trackedRequest{
 		ingress: s.ingress, service: s.upstream.service, number: number,
 		ask: ask, answer: answer, placedAt: s.ingress.now(),
@@ -69,7 +69,7 @@
 	if s.ingress.placer == nil || chosen.target == nil {
 		return
 	}
-	answer := placement.Answer{Generator: chosen.target.name, Unread: chosen.uncachedTokens, Estimate: chosen.estimate}
+	answer := placement.Answer{Generator: chosen.target.name, UnreadTokens: chosen.uncachedTokens, Estimate: chosen.estimate}
 	if chosen.prefiller != nil {
 		answer.Reader = chosen.prefiller.name
 	}
@@ -97,9 +97,9 @@
 func (t *inFlightTable) addTo(reports map[string]feed.InFlight, now time.Duration) {
 	for p := range t.requests {
 		if reports[p.service].Requests == nil {
-			reports[p.service] = feed.InFlight{Service: p.service, Requests: map[uint64]placement.Placed{}}
+			reports[p.service] = feed.InFlight{Service: p.service, Requests: map[uint64]placement.InFlightRequest{}}
 		}
-		reports[p.service].Requests[p.number] = placement.Placed{
+		reports[p.service].Requests[p.number] = placement.InFlightRequest{
 			Ask: p.ask, Answer: p.answer, Age: now - p.placedAt, Step: p.step,
 		}
 	}
--- a/process/ingress/inflight_order_test.go
+++ b/process/ingress/inflight_order_test.go
@@ -23,7 +23,7 @@
 
 func newRecordingBoard(t *testing.T) *recordingBoard {
 	board := placement.NewBoard()
-	board.SetReplicas(placement.Sheet{}, []placement.Replica{
+	board.SetReplicas(placement.ServiceParameters{}, []placement.Replica{
 		{Name: "read", Role: placement.RolePrefill, Slots: 8},
 		{Name: "make", Role: placement.RoleDecode, Slots: 8},
 	})
@@ -45,12 +45,12 @@
 	return true
 }
 
-func (b *recordingBoard) NotePlaced(note feed.PlaceNote) bool {
-	b.apply(func() { b.board.Note(0, placement.Key{Daemon: "proxy", Number: note.Number}, note.Note) })
+func (b *recordingBoard) RecordProgress(note feed.PlacementProgress) bool {
+	b.apply(func() { b.board.RecordProgress(0, placement.Key{Daemon: "proxy", Number: note.Number}, note.Note) })
 	return true
 }
 
-func (b *recordingBoard) ReportKept(feed.KeptParts) bool { return true }
+func (b *recordingBoard) ReportCachedParts(feed.CachedParts) bool { return true }
 
 func (b *recordingBoard) Place(context.Context, feed.PlaceRequest) (placement.Answer, error) {
 	return placement.Answer{}, feed.ErrNotPlaced
@@ -68,8 +68,8 @@
 	env.ingress.placer = board
 	request := &trackedRequest{
 		ingress: env.ingress, service: "model", number: 1,
-		ask:      placement.Ask{Prompt: 9000, Deadline: time.Minute},
-		answer:   placement.Answer{Generator: "make", Reader: "read", Unread: 9000},
+		ask:      placement.Request{PromptTokens: 9000, Deadline: time.Minute},
+		answer:   placement.Answer{Generator: "make", Reader: "read", UnreadTokens: 9000},
 		placedAt: env.ingress.now() - time.Second,
 	}
 	env.ingress.inFlight.add(request)
--- a/process/ingress/inflight_test.go
+++ b/process/ingress/inflight_test.go
@@ -18,8 +18,8 @@
 }
 
 // lastReportFor returns the requests in the last report for the service, by number.
-func (g *recordingGroup) lastReportFor(service string) map[uint64]placement.Placed {
-	var requests map[uint64]placement.Placed
+func (g *recordingGroup) lastReportFor(service string) map[uint64]placement.InFlightRequest {
+	var requests map[uint64]placement.InFlightRequest
 	for _, report := range g.inFlight {
 		if report.Service == service {
 			requests = report.Requests
@@ -28,7 +28,7 @@
 	return requests
 }
 
-func (g *recordingGroup) ReportKept(feed.KeptParts) bool { return true }
+func (g *recordingGroup) ReportCachedParts(feed.CachedParts) bool { return true }
 
 // A new leader is told of all requests in flight, including those that this proxy placed itself,
 // and of none that has ended.
@@ -37,7 +37,7 @@
 		name   string
 		placer *fakePlacer
 	}{
-		{"placed by the group", &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read", Unread: 9000}}},
+		{"placed by the group", &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read", UnreadTokens: 9000}}},
 		{"placed by the proxy", &fakePlacer{err: feed.ErrNotPlaced}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -65,7 +65,7 @@
 			must.MapLen(t, 1, group.inFlight[0].Requests)
 			for _, request := range group.inFlight[0].Requests {
 				must.Eq(t, "make", request.Answer.Generator)
-				must.Eq(t, 9000, request.Ask.Prompt)
+				must.Eq(t, 9000, request.Ask.PromptTokens)
 				must.Eq(t, placement.Step(0), request.Step)
 			}
 			close(proceed)
--- a/process/ingress/ingress.go
+++ b/process/ingress/ingress.go
@@ -60,7 +60,7 @@
 	// charger charges requests to tenant quotas; nil without a control group. standaloneQuota is
 	// used while the control group does not answer.
 	charger         charger
-	standaloneQuota *quota.Alone
+	standaloneQuota *quota.LocalShare
 	// usage counts started requests per tenant; nil if usage is not reported.
 	usage *metering.Counter
 	// fingerprintsUntil is the time until which placement requests include the fingerprint, as a
@@ -73,7 +73,7 @@
 // calls, and returns whether the report was sent.
 type Placer interface {
 	Place(ctx context.Context, request feed.PlaceRequest) (placement.Answer, error)
-	NotePlaced(note feed.PlaceNote) bool
+	RecordProgress(note feed.PlacementProgress) bool
 }
 
 // versionedTable is the route table of one version of the view.
@@ -92,7 +92,7 @@
 	ingress := &Ingress{
 		config: config, logger: logger, views: views, clock: now, wallClock: time.Now,
 		upstreams: newUpstreams(config, now), metrics: newMetrics(), guard: guard.New(config.Name),
-		standaloneQuota: quota.NewAlone(config.Quotas),
+		standaloneQuota: quota.NewLocalShare(config.Quotas),
 	}
 	ingress.requestContext, ingress.cancelRequests = context.WithCancel(context.Background())
 	ingress.table.Store(&versionedTable{routes: newRouteTable(nil)})
@@ -319,8 +319,8 @@
 		ingress: i, writer: w, call: call, route: route, upstream: i.upstreams.get(service), random: random,
 		generation: admitted.generation, priority: admitted.priority, arrivedAt: arrivedAt, excluded: map[string]bool{}, contacted: map[string]bool{},
 		lifecycle: attempt.New(attempt.Policy{
-			Once:     !route.Idempotent(),
-			Attempts: max(route.Attempts, 1) + maxDialFailures + 1,
+			AtMostOnce:  !route.Idempotent(),
+			MaxAttempts: max(route.Attempts, 1) + maxDialFailures + 1,
 		}),
 	}
 	timeout := time.Duration(route.TimeoutMilliseconds) * time.Millisecond
@@ -343,7 +343,7 @@
 	ctx, cancel := context.WithTimeoutCause(ctx, s.remaining(), errTimeout)
 	defer cancel()
 	s.lifecycle.Dispatch()
-	s.upstream.budget.Request(arrivedAt)
+	s.upstream.budget.CountRequest(arrivedAt)
 	status := s.run(ctx)
 	s.endTrial()
 	if s.lifecycle.Ran() == attempt.RanNo {
--- a/process/ingress/lane.go
+++ b/process/ingress/lane.go
@@ -45,7 +45,7 @@
 }
 
 func newUpstreams(config Config, clock func() time.Duration) *upstreams {
-	holdoffs := holdoff.NewTable(holdoff.Config{Notice: config.LeaveNotice})
+	holdoffs := holdoff.NewTable(holdoff.Config{LeavingGrace: config.LeaveNotice})
 	return &upstreams{config: config, clock: clock, holdoffs: holdoffs, byService: map[string]*upstream{}}
 }
 
--- a/process/ingress/log_test.go
+++ b/process/ingress/log_test.go
@@ -41,7 +41,7 @@
 	decoder := newFakeReplica(t, "make", streamEvents(2, ""))
 	env := newModelEnv(t, prefiller, decoder, nil)
 	env.ingress.logger = log.NewLogfmtLogger(&lines)
-	env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read", Unread: 9000}}
+	env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read", UnreadTokens: 9000}}
 	var before []int
 	for _, replica := range []*fakeReplica{prefiller, decoder} {
 		serve := replica.server.Config.Handler
--- a/process/ingress/metrics_test.go
+++ b/process/ingress/metrics_test.go
@@ -42,14 +42,14 @@
 	return p.answer, nil
 }
 
-func (p *singleAnswerPlacer) NotePlaced(feed.PlaceNote) bool { return true }
+func (p *singleAnswerPlacer) RecordProgress(feed.PlacementProgress) bool { return true }
 
 func TestEachDecisionIsCounted(t *testing.T) {
 	prefiller := newFakeReplica(t, "read", answerPrefill)
 	refusing := newFakeReplica(t, "make-1", refuseRun)
 	decoder := newFakeReplica(t, "make-2", streamEvents(2, ""))
 	env := newModelEnv(t, prefiller, refusing, decoder)
-	env.ingress.placer = &singleAnswerPlacer{answer: placement.Answer{Generator: "make-1", Reader: "read", Unread: 9000}}
+	env.ingress.placer = &singleAnswerPlacer{answer: placement.Answer{Generator: "make-1", Reader: "read", UnreadTokens: 9000}}
 	must.Eq(t, eventTexts(1, 2), env.do(modelRequest).body)
 	got := env.ingress.metrics.values(t)
 	// When the proxy decides by itself, it may or may not choose a separate prefill, depending on
--- a/process/ingress/model_test.go
+++ b/process/ingress/model_test.go
@@ -23,8 +23,8 @@
 	err    error
 
 	lock  sync.Mutex
-	asks  []placement.Ask
-	notes []placement.Note
+	asks  []placement.Request
+	notes []placement.ProgressReport
 }
 
 func (p *fakePlacer) Place(_ context.Context, request feed.PlaceRequest) (placement.Answer, error) {
@@ -34,7 +34,7 @@
 	return p.answer, p.err
 }
 
-func (p *fakePlacer) NotePlaced(note feed.PlaceNote) bool {
+func (p *fakePlacer) RecordProgress(note feed.PlacementProgress) bool {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	p.notes = append(p.notes, note.Note)
@@ -79,7 +79,7 @@
 	prefiller := newFakeReplica(t, "read", answerPrefill)
 	decoder := newFakeReplica(t, "make", streamEvents(2, ""))
 	env := newModelEnv(t, prefiller, decoder, nil)
-	placer := &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read", Unread: 9000}}
+	placer := &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read", UnreadTokens: 9000}}
 	env.ingress.placer = placer
 	got := env.do(modelRequest)
 	must.NoError(t, got.err)
@@ -87,7 +87,7 @@
 	must.Eq(t, "1", prefiller.requests[0].Header.Get(testPrefill))
 	must.Eq(t, prefiller.address()+"/handle-7", decoder.requests[0].Header.Get(testSource))
 	must.Eq(t, "", decoder.requests[0].Header.Get(testPrefill))
-	must.Eq(t, 9000, placer.asks[0].Prompt)
+	must.Eq(t, 9000, placer.asks[0].PromptTokens)
 	must.Eq(t, []placement.Step{placement.StepRead, placement.StepStarted, placement.StepEnded}, placer.steps())
 }
 
@@ -243,11 +243,11 @@
 		step    placement.Step
 	}{
 		{"no answer", closeConnection, placement.StepFailed},
-		{"failure", answerStatus(500), placement.StepErred},
+		{"failure", answerStatus(500), placement.StepAnsweredError},
 		{"refusal", refuseRun, placement.StepRefused},
 		{"another replica at the address", answerMisdirected, placement.StepMisdirected},
-		{"another request's answer", answerForeign, placement.StepErred},
-		{"connection refused", nil, placement.StepGone},
+		{"another request's answer", answerForeign, placement.StepAnsweredError},
+		{"connection refused", nil, placement.StepUnreachable},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -280,23 +280,23 @@
 		handler http.HandlerFunc
 		step    placement.Step
 	}{
-		"refused":     {refuseRun, placement.StepUnread},
-		"failed":      {answerStatus(500), placement.StepUnread},
-		"foreign":     {answerForeign, placement.StepUnread},
-		"no handle":   {answerOK, placement.StepUnread},
+		"refused":     {refuseRun, placement.StepReadSkipped},
+		"failed":      {answerStatus(500), placement.StepReadSkipped},
+		"foreign":     {answerForeign, placement.StepReadSkipped},
+		"no handle":   {answerOK, placement.StepReadSkipped},
 		"no answer":   {closeConnection, placement.StepFailed},
 		"misdirected": {answerMisdirected, placement.StepMisdirected},
-		"not sent":    {nil, placement.StepUnread},
+		"not sent":    {nil, placement.StepReadSkipped},
 	} {
 		t.Run(name, func(t *testing.T) {
 			prefiller := newFakeReplica(t, "read", test.handler)
 			decoder := newFakeReplica(t, "make", streamEvents(2, ""))
 			env := newModelEnv(t, prefiller, decoder, nil)
-			placer := &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read", Unread: 9000}}
+			placer := &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read", UnreadTokens: 9000}}
 			env.ingress.placer = placer
 			if test.handler == nil {
 				env.withReserve(0)
-				env.ingress.upstreams.get("model").budget.Force(env.ingress.now())
+				env.ingress.upstreams.get("model").budget.CountRetry(env.ingress.now())
 				env.ingress.upstreams.get("model").find("read").failureRate = 1
 			}
 			inFlight := 0
@@ -319,10 +319,10 @@
 	env := newTestEnv(t, before)
 	must.Eq(t, http.StatusOK, env.do(testRequest{method: "GET", target: "/safe/", id: "q-1"}).status)
 	upstream := env.ingress.upstreams.get("plain")
-	must.True(t, upstream.pool.Idle(before.address()))
+	must.True(t, upstream.pool.HasIdle(before.address()))
 	env.setReplicas(now)
 	must.Eq(t, http.StatusOK, env.do(testRequest{method: "GET", target: "/safe/", id: "q-2"}).status)
-	must.False(t, upstream.pool.Idle(before.address()))
+	must.False(t, upstream.pool.HasIdle(before.address()))
 	must.Eq(t, 1, now.count())
 }
 
--- a/process/ingress/placed.go
+++ b/process/ingress/placed.go
@@ -36,7 +36,7 @@
 			return plan{}, false
 		}
 		// The control group asks for the fingerprint of the request.
-		if answer.Name {
+		if answer.NeedsFingerprint {
 			s.ingress.fingerprintsUntil.Store(int64(s.ingress.now() + fingerprintTime))
 			continue
 		}
@@ -83,8 +83,8 @@
 // be followed. Otherwise the request would be counted at its replica on the placement board, the
 // table of placed requests of the member that decides, until its deadline.
 func (s *session) abandonPlacement(number uint64) {
-	s.ingress.placer.NotePlaced(feed.PlaceNote{
-		Service: s.upstream.service, Number: number, Note: placement.Note{Step: placement.StepEnded},
+	s.ingress.placer.RecordProgress(feed.PlacementProgress{
+		Service: s.upstream.service, Number: number, Note: placement.ProgressReport{Step: placement.StepEnded},
 	})
 }
 
@@ -98,7 +98,7 @@
 const maxPlacementWait = 200 * time.Millisecond
 
 // askPlace sends a placement request and waits up to placeTimeout for the decision.
-func (s *session) askPlace(ctx context.Context, number uint64, ask placement.Ask) (placement.Answer, error) {
+func (s *session) askPlace(ctx context.Context, number uint64, ask placement.Request) (placement.Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, placeTimeout)
 	defer cancel()
 	return s.ingress.placer.Place(ctx, feed.PlaceRequest{Service: s.upstream.service, Number: number, Ask: ask})
@@ -106,7 +106,7 @@
 
 // planFromAnswer looks up the replicas that an answer names, and adds the request to those in
 // flight. It returns false if one of them cannot be used.
-func (s *session) planFromAnswer(ask placement.Ask, answer placement.Answer, number uint64) (plan, bool) {
+func (s *session) planFromAnswer(ask placement.Request, answer placement.Answer, number uint64) (plan, bool) {
 	if answer.Generator == "" {
 		return plan{}, true // no replica accepts the request
 	}
@@ -114,14 +114,14 @@
 	chosen := plan{
 		target:         s.upstream.find(answer.Generator),
 		prefiller:      s.upstream.find(answer.Reader),
-		cacheSource:    s.upstream.find(answer.Fetch),
-		uncachedTokens: answer.Unread,
+		cacheSource:    s.upstream.find(answer.FetchFrom),
+		uncachedTokens: answer.UnreadTokens,
 		estimate:       answer.Estimate,
 		tracked:        tracked,
 		deferred:       answer.Deferred,
-		isolated:       answer.Alone,
+		isolated:       answer.Isolated,
 	}
-	s.wasIsolated = s.wasIsolated || answer.Alone
+	s.wasIsolated = s.wasIsolated || answer.Isolated
 	now := s.ingress.now()
 	if !isUsable(answer.Generator, chosen.target, now) || !isUsable(answer.Reader, chosen.prefiller, now) {
 		tracked.report(placement.StepEnded, "", 0)
@@ -129,9 +129,9 @@
 		s.trace.WriteString(" unknown_replica")
 		return plan{}, false
 	}
-	fmt.Fprintf(&s.trace, " placed(%d unread, %s)", answer.Unread, answer.Estimate.Round(time.Millisecond))
-	if answer.Fetch != "" {
-		fmt.Fprintf(&s.trace, " fetch(%s)", answer.Fetch)
+	fmt.Fprintf(&s.trace, " placed(%d unread, %s)", answer.UnreadTokens, answer.Estimate.Round(time.Millisecond))
+	if answer.FetchFrom != "" {
+		fmt.Fprintf(&s.trace, " fetch(%s)", answer.FetchFrom)
 	}
 	return chosen, true
 }
@@ -164,23 +164,23 @@
 
 // placementAsk returns the description of the request on which the control group bases its
 // decision.
-func (s *session) placementAsk() placement.Ask {
-	ask := placement.Ask{
-		Prompt:    s.call.Work.PromptTokens,
-		Output:    s.call.Work.OutputTokens,
-		Priority:  s.priority,
-		Zone:      s.ingress.config.Zone,
-		Tenant:    s.call.Tenant,
-		Objective: s.objective(),
-		Age:       s.ingress.now() - s.arrivedAt,
-		Deadline:  s.firstEventTimeout(),
-		Excluded:  s.avoidedReplicas(),
-		Connected: s.upstream.connectedReplicas(),
-		Continued: s.call.ResumeAfter != "" || s.lastEventID != "",
+func (s *session) placementAsk() placement.Request {
+	ask := placement.Request{
+		PromptTokens:    s.call.Work.PromptTokens,
+		MaxOutputTokens: s.call.Work.OutputTokens,
+		Priority:        s.priority,
+		Zone:            s.ingress.config.Zone,
+		Tenant:          s.call.Tenant,
+		Objective:       s.objective(),
+		Age:             s.ingress.now() - s.arrivedAt,
+		Deadline:        s.firstEventTimeout(),
+		Excluded:        s.avoidedReplicas(),
+		Connected:       s.upstream.connectedReplicas(),
+		Continued:       s.call.ResumeAfter != "" || s.lastEventID != "",
 	}
 	if int64(s.ingress.now()) < s.ingress.fingerprintsUntil.Load() {
 		fingerprint := s.fingerprint()
-		ask.Name = string(fingerprint[:])
+		ask.Fingerprint = string(fingerprint[:])
 	}
 	for _, part := range s.call.Work.Parts {
 		ask.Parts = append(ask.Parts, placement.Part{ID: part.ID, Tokens: part.Tokens})
@@ -199,7 +199,7 @@
 		if len(names) == maxConnected {
 			break
 		}
-		if u.pool.Idle(current.spec().Address) {
+		if u.pool.HasIdle(current.spec().Address) {
 			names = append(names, current.name)
 		}
 	}
