--- a/process/ingress/prefill.go
+++ b/process/ingress/prefill.go
@@ -42,17 +42,17 @@
 func (s *session) prefill(ctx context.Context, chosen plan) Source {
 	if !chosen.prefiller.acceptsRequests(s.ingress.now()) {
 		s.noteWithheld(stagePrefill, chosen.prefiller)
-		chosen.tracked.report(placement.StepUnread, chosen.prefiller.name, 0)
+		chosen.tracked.report(placement.StepReadSkipped, chosen.prefiller.name, 0)
 		return Source{}
 	}
 	if !s.allowPrefill(chosen.prefiller) {
-		chosen.tracked.report(placement.StepUnread, chosen.prefiller.name, 0)
+		chosen.tracked.report(placement.StepReadSkipped, chosen.prefiller.name, 0)
 		return Source{}
 	}
 	s.prefillCount++
 	source, refused := s.sendPrefill(ctx, chosen)
 	if refused && s.prefillCount == 1 {
-		s.upstream.budget.Force(s.ingress.now())
+		s.upstream.budget.CountRetry(s.ingress.now())
 	}
 	return source
 }
@@ -111,17 +111,17 @@
 func (s *session) handlePrefillError(chosen plan, err error) (refused bool) {
 	if errors.Is(err, errWithheld) {
 		s.noteWithheld(stagePrefill, chosen.prefiller)
-		chosen.tracked.report(placement.StepUnread, chosen.prefiller.name, 0)
+		chosen.tracked.report(placement.StepReadSkipped, chosen.prefiller.name, 0)
 		return false
 	}
 	s.noteUnanswered(chosen.prefiller, err, s.ingress.now())
 	if isForeign(err) {
-		chosen.tracked.report(placement.StepUnread, chosen.prefiller.name, 0)
+		chosen.tracked.report(placement.StepReadSkipped, chosen.prefiller.name, 0)
 		return true
 	}
 	step := placement.StepFailed
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		step = placement.StepGone
+		step = placement.StepUnreachable
 	}
 	chosen.tracked.report(step, chosen.prefiller.name, 0)
 	return !notSent(err)
@@ -129,7 +129,7 @@
 
 // readHandle returns the handle in the answer to a prefill. If there is no valid handle, it is
 // empty, and refused is true unless the replica is known to have accepted the prefill.
-func (s *session) readHandle(chosen plan, answer *exchange.Answer, startedAt time.Duration) (handle string, refused bool) {
+func (s *session) readHandle(chosen plan, answer *exchange.Response, startedAt time.Duration) (handle string, refused bool) {
 	prefiller, now := chosen.prefiller, s.ingress.now()
 	reply := s.ingress.config.Dialect.Reply(answer.Status, answer.Header)
 	prefiller.noteAnswer(reply.ownLoad(), now)
@@ -138,7 +138,7 @@
 	if err != nil || answer.Status != http.StatusOK || !reply.HasRequestID {
 		fmt.Fprintf(&s.trace, " prefill(%s: status %d)", prefiller.name, answer.Status)
 		prefiller.noteFailure()
-		step := placement.StepUnread
+		step := placement.StepReadSkipped
 		if reply.Misdirected {
 			prefiller.suspect(now)
 			step = placement.StepMisdirected
@@ -155,7 +155,7 @@
 	}
 	if err != nil {
 		fmt.Fprintf(&s.trace, " prefill(%s: %v)", prefiller.name, err)
-		chosen.tracked.report(placement.StepUnread, prefiller.name, 0)
+		chosen.tracked.report(placement.StepReadSkipped, prefiller.name, 0)
 		return "", true
 	}
 	s.notePrefilled(chosen, now-startedAt)
@@ -222,7 +222,7 @@
 		defer cancel()
 		answer, err := upstream.pool.Do(ctx, source.Address, &exchange.Request{
 			Method: method, Target: target, Host: source.Address, Header: header,
-			Permit: s.ingress.permit(pauseState),
+			BeforeSend: s.ingress.permit(pauseState),
 		})
 		if err != nil {
 			return // the handle expires by itself
--- a/process/ingress/presence.go
+++ b/process/ingress/presence.go
@@ -10,6 +10,6 @@
 func (i *Ingress) presence() feed.Presence {
 	return feed.Presence{
 		Proxy: i.config.Name, Address: i.config.ListenAddress, Zone: i.config.Zone,
-		Ready: i.Ready(), Stopping: i.stopping.Load(), Day: time.Now().UnixMilli(),
+		Ready: i.Ready(), Stopping: i.stopping.Load(), WallClock: time.Now().UnixMilli(),
 	}
 }
--- a/process/ingress/quarantine_test.go
+++ b/process/ingress/quarantine_test.go
@@ -21,12 +21,12 @@
 type recordingReporter struct {
 	connected atomic.Bool
 	lock      sync.Mutex
-	reports   []feed.EndReport
+	reports   []feed.CrashReport
 }
 
 func (r *recordingReporter) Connected() bool { return r.connected.Load() }
 
-func (r *recordingReporter) ReportEnds(report feed.EndReport) bool {
+func (r *recordingReporter) ReportCrashes(report feed.CrashReport) bool {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.reports = append(r.reports, report)
@@ -38,7 +38,7 @@
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	for _, report := range r.reports {
-		ended += len(report.Ended)
+		ended += len(report.Crashes)
 		alive += len(report.Alive)
 		served += len(report.Served)
 	}
@@ -82,7 +82,7 @@
 // setQuarantine puts the crash request on record; the state ends when until has passed from now.
 func (env *testEnv) setQuarantine(state api.QuarantineState, until time.Duration, replicas ...string) {
 	env.views.set(func(v *view.View) {
-		name := quarantine.Of(quarantine.Identity{Method: "GET", Host: "a.example", Path: "/safe/x", Query: "q=1"}).String()
+		name := quarantine.FingerprintOf(quarantine.RequestIdentity{Method: "GET", Host: "a.example", Path: "/safe/x", Query: "q=1"}).String()
 		v.Quarantines = map[string]*api.Quarantine{name: {
 			Metadata: api.Metadata{Name: name, Revision: v.Version.Revision},
 			Spec:     api.QuarantineSpec{State: state, Replicas: replicas, Until: time.Now().Add(until).UnixMilli()},
@@ -245,7 +245,7 @@
 	}
 	names := map[string]bool{}
 	for _, report := range reporter.reports {
-		for _, evidence := range report.Ended {
+		for _, evidence := range report.Crashes {
 			names[evidence.Replica] = true
 		}
 	}
@@ -302,10 +302,10 @@
 		env := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), decoder, nil)
 		reporter := &recordingReporter{}
 		env.ingress.guard.SetReporter(reporter)
-		env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Alone: true}}
+		env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Isolated: true}}
 		env.do(modelRequest)
 		must.SliceNotEmpty(t, reporter.reports)
-		must.Eq(t, crashes, reporter.reports[0].Ended[0].Alone)
+		must.Eq(t, crashes, reporter.reports[0].Crashes[0].OnlyInFlight)
 	}
 }
 
@@ -324,7 +324,7 @@
 		env.ingress.guard.SetReporter(reporter)
 		env.do(testRequest{method: "GET", target: "/safe/x", id: "q"})
 		must.SliceNotEmpty(t, reporter.reports)
-		must.Eq(t, !crashes, reporter.reports[0].Ended[0].Listens)
+		must.Eq(t, !crashes, reporter.reports[0].Crashes[0].StillListening)
 	}
 }
 
@@ -334,14 +334,14 @@
 	env := newModelEnv(t, newFakeReplica(t, "read", answerPrefill), newFakeReplica(t, "make", streamEvents(2, "")), nil)
 	reporter := &recordingReporter{}
 	env.ingress.guard.SetReporter(reporter)
-	placer := &fingerprintPlacer{fakePlacer: fakePlacer{answer: placement.Answer{Generator: "make", Alone: true}}}
+	placer := &fingerprintPlacer{fakePlacer: fakePlacer{answer: placement.Answer{Generator: "make", Isolated: true}}}
 	env.ingress.placer = placer
 	must.Eq(t, eventTexts(1, 2), env.do(modelRequest).body)
 	_, _, served := reporter.counts()
 	must.Eq(t, 1, served)
 	must.SliceLen(t, 2, placer.asks)
-	must.Eq(t, "", placer.asks[0].Name)
-	must.Eq(t, 16, len(placer.asks[1].Name))
+	must.Eq(t, "", placer.asks[0].Fingerprint)
+	must.Eq(t, 16, len(placer.asks[1].Fingerprint))
 	env.do(modelRequest)
 	must.SliceLen(t, 3, placer.asks, must.Sprint("the next placement request includes the fingerprint at once"))
 }
@@ -371,8 +371,8 @@
 
 func (p *fingerprintPlacer) Place(ctx context.Context, request feed.PlaceRequest) (placement.Answer, error) {
 	answer, err := p.fakePlacer.Place(ctx, request)
-	if request.Ask.Name == "" {
-		return placement.Answer{Name: true}, err
+	if request.Ask.Fingerprint == "" {
+		return placement.Answer{NeedsFingerprint: true}, err
 	}
 	return answer, err
 }
@@ -384,11 +384,11 @@
 }
 
 func (p *quarantiningPlacer) Place(_ context.Context, request feed.PlaceRequest) (placement.Answer, error) {
-	if request.Ask.Name == "" {
-		return placement.Answer{Name: true}, nil
+	if request.Ask.Fingerprint == "" {
+		return placement.Answer{NeedsFingerprint: true}, nil
 	}
 	var fingerprint quarantine.Fingerprint
-	copy(fingerprint[:], request.Ask.Name)
+	copy(fingerprint[:], request.Ask.Fingerprint)
 	p.views.set(func(v *view.View) {
 		v.Quarantines = map[string]*api.Quarantine{fingerprint.String(): {
 			Metadata: api.Metadata{Name: fingerprint.String(), Revision: v.Version.Revision},
@@ -415,7 +415,7 @@
 // watchModelRequest puts the model request on record as watched.
 func (env *testEnv) watchModelRequest(replicas ...string) {
 	env.views.set(func(v *view.View) {
-		name := quarantine.Of(quarantine.Identity{Method: "POST", Host: "a.example", Path: "/model/"}).String()
+		name := quarantine.FingerprintOf(quarantine.RequestIdentity{Method: "POST", Host: "a.example", Path: "/model/"}).String()
 		v.Quarantines = map[string]*api.Quarantine{name: {
 			Metadata: api.Metadata{Name: name, Revision: v.Version.Revision},
 			Spec:     api.QuarantineSpec{State: api.QuarantineWatched, Replicas: replicas, Until: time.Now().Add(time.Hour).UnixMilli()},
--- a/process/ingress/replica.go
+++ b/process/ingress/replica.go
@@ -244,7 +244,7 @@
 
 // isSuspect reports whether the replica is chosen only if there are no others.
 func (r *replica) isSuspect(now time.Duration) bool {
-	if r.holdoff.State(now) == holdoff.Doubtful {
+	if r.holdoff.State(now) == holdoff.LastResort {
 		return true
 	}
 	r.lock.Lock()
--- a/process/ingress/run.go
+++ b/process/ingress/run.go
@@ -50,30 +50,30 @@
 	}
 	served, resumed := make(chan struct{}, 1), make(chan struct{}, 1)
 	client, err := feed.Dial(feed.ClientConfig{
-		Daemon:         config.Name,
-		Zone:           config.Zone,
-		Addresses:      config.FeedAddresses,
-		MoreAddresses:  func() []string { return append(memberAddresses(views.Load()), ingress.seeds()...) },
-		Presence:       ingress.presence,
-		Day:            day.Update,
-		Served:         func() { pause.Signal(served) },
-		Unrecorded:     ingress.noteUnrecorded,
-		Resumed:        func() { pause.Signal(resumed) },
-		Standby:        true,
-		Partial:        true,
-		StandbyRelays:  func() []string { return ingress.relays(views.Load()) },
-		BeatInterval:   beatInterval,
-		SilenceTimeout: silenceTimeout,
-		DialTimeout:    dialTimeout,
-		BackoffMax:     maxBackoff,
-		Clock:          clock.Now,
-		Logger:         logger,
+		Daemon:              config.Name,
+		Zone:                config.Zone,
+		Addresses:           config.FeedAddresses,
+		MoreAddresses:       func() []string { return append(memberAddresses(views.Load()), ingress.seeds()...) },
+		Presence:            ingress.presence,
+		OnWallClock:         day.Update,
+		OnServed:            func() { pause.Signal(served) },
+		OnUnrecordedCrashes: ingress.noteUnrecorded,
+		OnLeaderResumed:     func() { pause.Signal(resumed) },
+		Standby:             true,
+		Partial:             true,
+		StandbyRelays:       func() []string { return ingress.relays(views.Load()) },
+		HeartbeatInterval:   beatInterval,
+		SilenceTimeout:      silenceTimeout,
+		DialTimeout:         dialTimeout,
+		BackoffMax:          maxBackoff,
+		Clock:               clock.Now,
+		Logger:              logger,
 	}, views)
 	if err != nil {
 		return errors.Wrap(err, "ingress: subscribe to the control group")
 	}
 	defer client.Close()
-	ingress.upstreams.lookupUnlisted = client.Listed
+	ingress.upstreams.lookupUnlisted = client.ReplicaByName
 	ingress.placer = client
 	ingress.charger = client
 	ingress.confirmer = views
@@ -126,8 +126,8 @@
 
 // noteUnrecorded processes a member's report of replica crashes that cannot be recorded at
 // present.
-func (i *Ingress) noteUnrecorded(report feed.EndReport) {
-	event.EndsUnrecorded.Log(i.logger, "ends", len(report.Ended))
+func (i *Ingress) noteUnrecorded(report feed.CrashReport) {
+	event.EndsUnrecorded.Log(i.logger, "ends", len(report.Crashes))
 	i.guard.ApplyUnrecorded(i.now(), report)
 }
 
--- a/process/ingress/session.go
+++ b/process/ingress/session.go
@@ -20,7 +20,7 @@
 	call      Call
 	route     *api.Route
 	upstream  *upstream
-	lifecycle *attempt.Life
+	lifecycle *attempt.Lifecycle
 	random    *rand.Rand
 
 	generation     uint64 // of the Ingress object that the request was routed by
@@ -173,7 +173,7 @@
 	// quarantine it, or if they crashed at least one and enough crashes in all are known. Waiting
 	// for the control group's decision could cost another replica, whereas a harmless request
 	// loses only one retry.
-	if s.crashes >= quarantine.CondemningEnds || s.crashes > 0 && s.ingress.guard.HasManyCrashes(s.ingress.now(), s.fingerprint()) {
+	if s.crashes >= quarantine.HarmfulIncidents || s.crashes > 0 && s.ingress.guard.HasManyCrashes(s.ingress.now(), s.fingerprint()) {
 		return false
 	}
 	if s.sendCount == 0 {
--- a/process/ingress/stream.go
+++ b/process/ingress/stream.go
@@ -19,7 +19,7 @@
 // that continues another run's stream is passed on without its own head. Its events must come
 // after the last one that the caller has, which was sent by this proxy or is named by a caller
 // that resumes a stream. Otherwise the run counts as broken.
-func (s *session) forwardStream(ctx context.Context, chosen plan, sent *send, number uint32, answer *exchange.Answer) verdict {
+func (s *session) forwardStream(ctx context.Context, chosen plan, sent *send, number uint32, answer *exchange.Response) verdict {
 	target := chosen.target
 	events := newEventReader(answer)
 	flusher := http.NewResponseController(s.writer)
@@ -78,7 +78,7 @@
 }
 
 // beginStream sends the head of the answer to the caller unless one was already sent.
-func (s *session) beginStream(answer *exchange.Answer) {
+func (s *session) beginStream(answer *exchange.Response) {
 	if s.headSent {
 		return
 	}
@@ -89,7 +89,7 @@
 
 // endStream records a stream that ended normally. One without any event counts as well; its head
 // is sent here.
-func (s *session) endStream(target *replica, number uint32, answer *exchange.Answer) verdict {
+func (s *session) endStream(target *replica, number uint32, answer *exchange.Response) verdict {
 	s.beginStream(answer)
 	target.noteSuccess()
 	s.lifecycle.Finish(number)
--- a/process/ingress/try.go
+++ b/process/ingress/try.go
@@ -97,7 +97,7 @@
 	case s.withheld:
 		return placement.StepEnded
 	case result == verdictNotRun && s.connectionRefused:
-		return placement.StepGone
+		return placement.StepUnreachable
 	case (result == verdictBroken || result == verdictNotRun) && !s.answered:
 		return placement.StepFailed
 	case result == verdictNotRun && s.misdirected:
@@ -105,7 +105,7 @@
 	case result == verdictNotRun:
 		return placement.StepRefused
 	case result == verdictBroken:
-		return placement.StepErred
+		return placement.StepAnsweredError
 	default:
 		return placement.StepEnded
 	}
@@ -195,32 +195,32 @@
 // exchange sends the request to a replica. The pool compares the ID in each answer with the
 // request's ID, so that no answer to another request is returned. Pauses and departures that any
 // of the received answers announce are recorded.
-func (s *session) exchange(ctx context.Context, stage string, to *replica, request *exchange.Request) (*exchange.Answer, error) {
+func (s *session) exchange(ctx context.Context, stage string, to *replica, request *exchange.Request) (*exchange.Response, error) {
 	address := to.spec().Address
 	request.Identity.Repeated = s.contacted[address]
 	s.contacted[address] = true
-	request.Permit = s.ingress.permit(to.holdoff)
-	request.Overheard = func(status int, header http.Header) { s.recordHoldoff(stage, to.holdoff, status, header) }
+	request.BeforeSend = s.ingress.permit(to.holdoff)
+	request.OnLateResponse = func(status int, header http.Header) { s.recordHoldoff(stage, to.holdoff, status, header) }
 	answer, err := s.upstream.pool.Do(ctx, address, request)
 	if err == nil {
-		s.noteForeign(stage, to, answer.Reused, answer.Foreign)
+		s.noteForeign(stage, to, answer.Reused, answer.Unmatched)
 		s.recordHoldoff(stage, to.holdoff, answer.Status, answer.Header)
 		return answer, nil
 	}
 	var failure *exchange.Failure
 	if errors.As(err, &failure) {
-		s.noteForeign(stage, to, failure.Reused, failure.Foreign)
+		s.noteForeign(stage, to, failure.Reused, failure.Unmatched)
 	}
 	return nil, err
 }
 
 // noteForeign logs and counts foreign answers: those that arrived before this request's answer and
 // name another request or none.
-func (s *session) noteForeign(stage string, from *replica, reused bool, answers []*exchange.ForeignAnswer) {
+func (s *session) noteForeign(stage string, from *replica, reused bool, answers []*exchange.UnmatchedResponse) {
 	for _, foreign := range answers {
 		s.ingress.metrics.foreignAnswers.WithLabelValues(s.upstream.service, stage).Inc()
 		event.ForeignAnswer.Log(s.ingress.logger, "request", s.call.ID, "stage", stage, "replica", from.name,
-			"reused", reused, "answered", foreign.Answered, "status", foreign.Status)
+			"reused", reused, "answered", foreign.RequestID, "status", foreign.Status)
 		s.recordHoldoff(stage, from.holdoff, foreign.Status, foreign.Header)
 	}
 }
@@ -292,7 +292,7 @@
 }
 
 func isForeign(err error) bool {
-	var foreign *exchange.ForeignAnswer
+	var foreign *exchange.UnmatchedResponse
 	return errors.As(err, &foreign)
 }
 
--- a/process/ingress/types.go
+++ b/process/ingress/types.go
@@ -113,7 +113,7 @@
 	// Load is the replica's load, nil if not reported.
 	Load *Load
 	// Holdoff is the pause or departure that the replica announces.
-	Holdoff holdoff.Word
+	Holdoff holdoff.Restrictions
 }
 
 // refuses reports whether the answer proves that the request was not run. An answer without a
--- a/process/metering/counter.go
+++ b/process/metering/counter.go
@@ -91,7 +91,7 @@
 	// Read the time under the lock, so that anything counted later has a later time.
 	now := c.now()
 	window := windowOf(now, max(c.windowLength, time.Millisecond))
-	report = feed.UsageReport{Life: c.instanceID, Through: now.UnixMilli()}
+	report = feed.UsageReport{ProcessRun: c.instanceID, Through: now.UnixMilli()}
 	for _, changed := range slices.Sorted(maps.Keys(c.unreported)) {
 		for _, tenant := range slices.Sorted(maps.Keys(c.unreported[changed])) {
 			report.Counts = append(report.Counts, feed.UsageCount{Window: changed, Tenant: tenant, Count: c.counts[changed][tenant]})
--- a/process/metering/metering_test.go
+++ b/process/metering/metering_test.go
@@ -38,7 +38,7 @@
 	c.MarkAllUnreported()
 	report, _ = c.NextReport()
 	must.SliceLen(t, 2, report.Counts)
-	must.NotEq(t, report.Life, NewCounter("p", window, time.Now).instanceID)
+	must.NotEq(t, report.ProcessRun, NewCounter("p", window, time.Now).instanceID)
 }
 
 func TestCounterIsBounded(t *testing.T) {
--- a/process/proxy/admin.go
+++ b/process/proxy/admin.go
@@ -100,7 +100,7 @@
 			Tenant:  request.tenant,
 			State:   request.attempts.State().String(),
 			Seconds: time.Since(request.started).Seconds(),
-			Passed:  request.attempts.Passed(),
+			Passed:  request.attempts.Forwarded(),
 		}
 		for _, record := range request.attempts.Attempts() {
 			rows[i].Attempts = append(rows[i].Attempts, InFlightRecord{
--- a/process/proxy/call.go
+++ b/process/proxy/call.go
@@ -24,7 +24,7 @@
 	headers  requestHeaders
 	priority int
 	deadline time.Duration // reading of the proxy's clock
-	attempts *attempt.Life
+	attempts *attempt.Lifecycle
 	sink     sink
 	claim    *claim // nil unless the request is at-most-once
 	rng      *rand.Rand
--- a/process/proxy/cancel.go
+++ b/process/proxy/cancel.go
@@ -16,7 +16,7 @@
 	for i := range records {
 		record := &records[i] // Wrote means that a byte of the request may have reached the engine
 		last := i == len(records)-1
-		if !record.Wrote || record.Refused || (last && completed) {
+		if !record.MayHaveWritten || record.Refused || (last && completed) {
 			continue
 		}
 		target := (*c.lane.endpoints.Load())[record.Endpoint]
--- a/process/proxy/config.go
+++ b/process/proxy/config.go
@@ -151,7 +151,7 @@
 	c.Intervals.setDefaults()
 	c.Subset = cmp.Or(c.Subset, subset.DefaultSizes)
 	c.Backoff = cmp.Or(c.Backoff, retry.Backoff{Base: DefaultBackoffBase, Cap: DefaultBackoffCap})
-	c.Margin = cmp.Or(c.Margin, retry.Margin{Least: DefaultMarginLeast, Share: DefaultMarginShare})
+	c.Margin = cmp.Or(c.Margin, retry.Margin{Minimum: DefaultMarginLeast, Share: DefaultMarginShare})
 	c.DrainNotice = cmp.Or(c.DrainNotice, DefaultDrainNotice)
 	return c
 }
--- a/process/proxy/deadline_test.go
+++ b/process/proxy/deadline_test.go
@@ -21,7 +21,7 @@
 func TestDeadlineBelowMarginIsRefused(t *testing.T) {
 	backend := newFakeBackend(t)
 	config := fastConfig()
-	config.Margin = retry.Margin{Least: time.Hour}
+	config.Margin = retry.Margin{Minimum: time.Hour}
 	f := startFleet(t, config, nil, backend.server)
 	answer := f.do(http.MethodGet, pathTile, "", HeaderClass, "frame")
 	must.Eq(t, http.StatusGatewayTimeout, answer.status)
--- a/process/proxy/handle_model.go
+++ b/process/proxy/handle_model.go
@@ -86,10 +86,10 @@
 		excluded:       map[string]bool{},
 	}
 	c.attempts = attempt.New(attempt.Policy{
-		Once:     headers.atMostOnce,
-		Buffered: !parsed.request.Stream,
-		Attempts: p.config.Limits.Attempts,
-		Resumes:  p.config.Limits.Resumes,
+		AtMostOnce:  headers.atMostOnce,
+		Buffered:    !parsed.request.Stream,
+		MaxAttempts: p.config.Limits.Attempts,
+		MaxResumes:  p.config.Limits.Resumes,
 	})
 	c.sink = p.newSink(w, c)
 	w.Header().Set(HeaderRequestID, c.id)
@@ -242,7 +242,7 @@
 func (c *modelCall) countEnded(failed *failure, took time.Duration) {
 	c.proxy.metrics.observeEnd(c.lane.service, c.headers.class, failed, took)
 	if failed == nil {
-		c.proxy.answerLengths.Learn(c.headers.class, c.attempts.Passed())
+		c.proxy.answerLengths.Learn(c.headers.class, c.attempts.Forwarded())
 	}
 	c.proxy.demand.add(c.demandKey(), func(demand *feed.Demand) {
 		demand.CachedPromptTokens += float64(c.cachedTokens)
--- a/process/proxy/handle_service.go
+++ b/process/proxy/handle_service.go
@@ -28,7 +28,7 @@
 	headers    requestHeaders
 	priority   int
 	deadline   time.Duration // reading of the proxy's clock
-	attempts   *attempt.Life
+	attempts   *attempt.Lifecycle
 	claim      *claim
 	excluded   map[string]bool
 	writer     http.ResponseWriter
@@ -122,7 +122,7 @@
 	if class != nil {
 		c.priority = class.Spec.Priority
 	}
-	c.attempts = attempt.New(attempt.Policy{Once: headers.atMostOnce || !safeMethod(r.Method), Attempts: p.config.Limits.Attempts})
+	c.attempts = attempt.New(attempt.Policy{AtMostOnce: headers.atMostOnce || !safeMethod(r.Method), MaxAttempts: p.config.Limits.Attempts})
 	w.Header().Set(HeaderRequestID, c.id)
 	return c, nil
 }
--- a/process/proxy/harness_test.go
+++ b/process/proxy/harness_test.go
@@ -61,7 +61,7 @@
 	nonces   map[string]uint64
 	outcomes []state.RunOutcome
 	demands  []feed.DemandReport
-	ends     []feed.EndReport
+	ends     []feed.CrashReport
 }
 
 func newFakeControl() *fakeControl {
@@ -104,7 +104,7 @@
 // Connected implements guard.Reporter. There is no leader, so the proxy decides by itself.
 func (c *fakeControl) Connected() bool { return false }
 
-func (c *fakeControl) ReportEnds(report feed.EndReport) bool {
+func (c *fakeControl) ReportCrashes(report feed.CrashReport) bool {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	c.ends = append(c.ends, report)
--- a/process/proxy/inflight.go
+++ b/process/proxy/inflight.go
@@ -19,7 +19,7 @@
 	class        string
 	tenant       string
 	started      time.Time
-	attempts     *attempt.Life
+	attempts     *attempt.Lifecycle
 	model        string // "" for a plain backend
 	promptTokens int    // estimated prompt tokens
 }
--- a/process/proxy/lane.go
+++ b/process/proxy/lane.go
@@ -42,8 +42,8 @@
 	created := &lane{
 		service:  service.Name,
 		kind:     service.Spec.Type,
-		pool:     upstream.NewPool(upstream.Config{DialTimeout: config.Timeouts.Dial, Foreign: onForeign}),
-		pollPool: upstream.NewPool(upstream.Config{DialTimeout: config.Timeouts.Dial, MaxIdlePerHost: 2, Foreign: onForeign}),
+		pool:     upstream.NewPool(upstream.Config{DialTimeout: config.Timeouts.Dial, OnUnmatchedResponse: onForeign}),
+		pollPool: upstream.NewPool(upstream.Config{DialTimeout: config.Timeouts.Dial, MaxIdlePerHost: 2, OnUnmatchedResponse: onForeign}),
 		queue: limit.NewQueue(limit.Config{
 			MaxInFlight: maxInFlight(config, service),
 			QueueLimit:  config.Limits.QueueLimit,
--- a/process/proxy/poller.go
+++ b/process/proxy/poller.go
@@ -149,7 +149,7 @@
 	}
 	request.Header.Set("User-Agent", "") // omitted to save bytes on every poll
 	response, err := p.lane.pollPool.Do(request, newPollIdentity())
-	if errors.Is(err, upstream.ErrForeign) {
+	if errors.Is(err, upstream.ErrUnmatchedResponse) {
 		return nil, errors.Wrap(errUnusableResponse, err.Error())
 	}
 	if err != nil {
--- a/process/proxy/quarantine.go
+++ b/process/proxy/quarantine.go
@@ -34,7 +34,7 @@
 // is new for each.
 func (c *modelCall) fingerprint() quarantine.Fingerprint {
 	if c.cachedFingerprint == nil {
-		computed := quarantine.Of(quarantine.Identity{
+		computed := quarantine.FingerprintOf(quarantine.RequestIdentity{
 			Method: http.MethodPost, Path: c.parsed.path, Caller: c.headers.tenant, Body: c.parsed.body,
 		})
 		c.cachedFingerprint = &computed
@@ -64,15 +64,15 @@
 	last.target.recordSuspectedCrash(now, last.incarnation)
 	// Once: the replica is one incarnation, which can crash only once.
 	c.proxy.guard.NoteCrash(now, quarantine.Evidence{
-		Fingerprint: c.fingerprint(), Replica: replica, Began: last.events > 0, Ran: now - last.sentAt, Once: true,
-		About: quarantine.About{Service: c.lane.service, Route: c.headers.class, Request: c.id},
+		Fingerprint: c.fingerprint(), Replica: replica, HadOutput: last.events > 0, RunTime: now - last.sentAt, UniqueName: true,
+		RequestInfo: quarantine.RequestInfo{Service: c.lane.service, Route: c.headers.class, Request: c.id},
 	})
 }
 
 // isConnectionBroken reports whether the error means that the peer closed or reset the connection.
 // Errors that the engine reports itself and timeouts do not count.
 func isConnectionBroken(err error) bool {
-	if errors.Is(err, upstream.ErrForeign) || errors.Is(err, upstream.ErrMalformed) || errors.Is(err, upstream.ErrEngine) {
+	if errors.Is(err, upstream.ErrUnmatchedResponse) || errors.Is(err, upstream.ErrMalformed) || errors.Is(err, upstream.ErrEngine) {
 		return false
 	}
 	for _, cause := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE} {
@@ -87,11 +87,11 @@
 // request that was sent to it afterwards, whether this proxy or another one reported the crash.
 func (p *Proxy) reportAlive(target *endpoint, sentAt time.Duration) {
 	if incarnation, refuted := target.resolveSuspectedCrash(sentAt); refuted {
-		p.guard.NoteAlive(p.clock(), quarantine.Alive{Replica: replicaName(target.name, incarnation), For: quarantine.Ever})
+		p.guard.NoteAlive(p.clock(), quarantine.LiveReplica{Replica: replicaName(target.name, incarnation), RunningFor: quarantine.AnyAge})
 	}
 	// Another proxy may have reported the crash.
 	if replica := replicaName(target.name, target.reported().incarnation); p.guard.Active() && p.guard.RefutesCrash(replica, sentAt) {
-		p.guard.NoteAlive(p.clock(), quarantine.Alive{Replica: replica, For: quarantine.Ever})
+		p.guard.NoteAlive(p.clock(), quarantine.LiveReplica{Replica: replica, RunningFor: quarantine.AnyAge})
 	}
 }
 
@@ -99,7 +99,7 @@
 // for how long. It is so before the control group decides if CondemningEnds engines crashed during
 // this call, or if at least one did and EndsMany finds enough crashes for the fingerprint.
 func (c *modelCall) quarantined() (remaining time.Duration, isQuarantined bool) {
-	if c.crashedEngines >= quarantine.CondemningEnds || c.crashedEngines > 0 && c.proxy.guard.HasManyCrashes(c.proxy.clock(), c.fingerprint()) {
+	if c.crashedEngines >= quarantine.HarmfulIncidents || c.crashedEngines > 0 && c.proxy.guard.HasManyCrashes(c.proxy.clock(), c.fingerprint()) {
 		return guard.MinHold, true
 	}
 	if !c.proxy.guard.Active() {
--- a/process/proxy/quarantine_test.go
+++ b/process/proxy/quarantine_test.go
@@ -96,7 +96,7 @@
 	// proxy.
 	name := ""
 	for _, report := range control.ends {
-		name = report.Ended[0].Fingerprint.String()
+		name = report.Crashes[0].Fingerprint.String()
 	}
 	other := startFleet(t, fastConfig(), engines)
 	quarantined := *other.views.view.Load()
--- a/process/proxy/run.go
+++ b/process/proxy/run.go
@@ -32,17 +32,17 @@
 		return err
 	}
 	holder := view.NewHolder()
-	served, reports := make(chan struct{}, 1), make(chan feed.EndReport, maxPendingReports)
+	served, reports := make(chan struct{}, 1), make(chan feed.CrashReport, maxPendingReports)
 	client, err := feed.Dial(feed.ClientConfig{
-		Daemon:       config.ID,
-		Zone:         config.Zone,
-		Addresses:    config.FeedAddresses,
-		BeatInterval: config.Intervals.Beat,
-		Served:       func() { pause.Signal(served) },
-		Unrecorded:   func(report feed.EndReport) { trySend(reports, report) },
-		Standby:      true, // only for the reports of engine crashes; the proxy never has members place its requests
-		Clock:        clock.Now,
-		Logger:       logger,
+		Daemon:              config.ID,
+		Zone:                config.Zone,
+		Addresses:           config.FeedAddresses,
+		HeartbeatInterval:   config.Intervals.Beat,
+		OnServed:            func() { pause.Signal(served) },
+		OnUnrecordedCrashes: func(report feed.CrashReport) { trySend(reports, report) },
+		Standby:             true, // only for the reports of engine crashes; the proxy never has members place its requests
+		Clock:               clock.Now,
+		Logger:              logger,
 	}, holder)
 	if err != nil {
 		return errors.Wrap(err, "follow the control group")
@@ -59,7 +59,7 @@
 
 // trySend sends the report unless the channel is full. Control members repeat their reports, so a
 // dropped one is not lost.
-func trySend(reports chan<- feed.EndReport, report feed.EndReport) {
+func trySend(reports chan<- feed.CrashReport, report feed.CrashReport) {
 	select {
 	case reports <- report:
 	default:
@@ -69,7 +69,7 @@
 // exchangeEndReports reports all engine crashes that this proxy has seen, and the requests that ran
 // during them, to each leader of the control group that begins to serve its feed. It also handles the
 // reports that members send while they cannot record them.
-func (p *Proxy) exchangeEndReports(served <-chan struct{}, reports <-chan feed.EndReport) {
+func (p *Proxy) exchangeEndReports(served <-chan struct{}, reports <-chan feed.CrashReport) {
 	for {
 		select {
 		case <-served:
--- a/process/proxy/run_backend.go
+++ b/process/proxy/run_backend.go
@@ -185,7 +185,7 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	target.recordHeader(sentAt, c.proxy.clock(), response.Header)
-	if upstream.SurelyRefused(response) {
+	if upstream.RefusedBeforeAdmission(response) {
 		return c.endRefused(target, number, response)
 	}
 	return c.relayResponse(ctx, target, number, response)
@@ -226,7 +226,7 @@
 	}
 	c.attempts.Fail(number, fault)
 	c.excluded[target.name] = true
-	if errors.Is(err, upstream.ErrForeign) {
+	if errors.Is(err, upstream.ErrUnmatchedResponse) {
 		return upstreamFailure("the back end answered another request")
 	}
 	if ctx.Err() == nil || errors.Is(ctx.Err(), context.DeadlineExceeded) {
--- a/process/proxy/run_engine.go
+++ b/process/proxy/run_engine.go
@@ -219,7 +219,7 @@
 		fault = attempt.FaultNotWritten
 	}
 	c.attempts.Fail(number, fault)
-	if errors.Is(err, upstream.ErrForeign) {
+	if errors.Is(err, upstream.ErrUnmatchedResponse) {
 		c.exclude(target)
 		return upstreamFailure("the engine answered another request")
 	}
@@ -249,7 +249,7 @@
 func (c *modelCall) endWithStatus(target *endpoint, number uint32, response *http.Response) *failure {
 	body, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes)) // a partial body is enough
 	c.exclude(target)
-	if !upstream.SurelyRefused(response) {
+	if !upstream.RefusedBeforeAdmission(response) {
 		c.attempts.Fail(number, attempt.FaultBroken)
 		c.attempts.AbandonResume(number)
 		c.suspectOnServerError(target, response)
@@ -268,7 +268,7 @@
 // suspectOnServerError marks an engine as suspect if the response is a server
 // error rather than a refusal.
 func (c *modelCall) suspectOnServerError(target *endpoint, response *http.Response) {
-	if response.StatusCode >= http.StatusInternalServerError && !upstream.SurelyRefused(response) {
+	if response.StatusCode >= http.StatusInternalServerError && !upstream.RefusedBeforeAdmission(response) {
 		target.recordFailure(c.proxy.clock())
 	}
 }
@@ -331,7 +331,7 @@
 // endBrokenStream ends an attempt whose stream was interrupted.
 func (c *modelCall) endBrokenStream(ctx context.Context, target *endpoint, number uint32, err error) *failure {
 	c.attempts.Fail(number, attempt.FaultBroken)
-	if errors.Is(err, errTokenGap) || errors.Is(err, upstream.ErrForeign) || errors.Is(err, upstream.ErrMalformed) ||
+	if errors.Is(err, errTokenGap) || errors.Is(err, upstream.ErrUnmatchedResponse) || errors.Is(err, upstream.ErrMalformed) ||
 		errors.Is(err, upstream.ErrEngine) || errors.Is(err, upstream.ErrEventTooLarge) || errors.Is(err, upstream.ErrAfterTerminal) {
 		// A resumed stream would fail in the same way.
 		c.attempts.AbandonResume(number)
--- a/process/proxy/split.go
+++ b/process/proxy/split.go
@@ -111,7 +111,7 @@
 	if err != nil {
 		c.reportBroken(ctx, err)
 	}
-	if errors.Is(err, upstream.ErrForeign) {
+	if errors.Is(err, upstream.ErrUnmatchedResponse) {
 		return handle, err // the fault was in the connection, which has been closed
 	}
 	if err != nil {
--- a/process/relay/group.go
+++ b/process/relay/group.go
@@ -19,10 +19,10 @@
 	Claim(ctx context.Context, request state.ClaimRequest) (api.ClaimResult, error)
 	RecordOutcome(ctx context.Context, outcome state.RunOutcome) error
 	ReportPresence(presence feed.Presence) bool
-	ReportEnds(report feed.EndReport) bool
+	ReportCrashes(report feed.CrashReport) bool
 	ReportUsage(report feed.UsageReport) bool
 	Charge(ctx context.Context, request feed.ChargeRequest) (quota.Grant, error)
-	ReturnCharge(request feed.ChargeRequest) bool
+	RefundCharge(request feed.ChargeRequest) bool
 }
 
 // group represents the control group to the daemons that subscribe to the relay. It
@@ -89,26 +89,26 @@
 }
 
 // NotePlaced drops the note: a relay places no requests.
-func (g *group) NotePlaced(string, feed.PlaceNote) {}
+func (g *group) RecordProgress(string, feed.PlacementProgress) {}
 
 // NoteKept drops what a daemon reports about prompts cached by a replica: a relay
 // places no requests.
-func (g *group) NoteKept(feed.KeptParts) {}
+func (g *group) RecordCachedParts(feed.CachedParts) {}
 
 // NoteInFlight drops what a daemon reports about its requests in flight: a relay places
 // no requests.
-func (g *group) NoteInFlight(string, feed.InFlight) {}
+func (g *group) RecordInFlight(string, feed.InFlight) {}
 
 // NoteEnds forwards the report to the control group.
-func (g *group) NoteEnds(report feed.EndReport) { g.upstream.ReportEnds(report) }
+func (g *group) RecordCrashes(report feed.CrashReport) { g.upstream.ReportCrashes(report) }
 
 // Unrecorded returns an empty report. It is for ends of replicas that the group's
 // replicated record cannot show; a relay subscribes only to leaders, so its view
 // contains the record.
-func (g *group) Unrecorded() (feed.EndReport, uint64) { return feed.EndReport{}, 0 }
+func (g *group) UnrecordedCrashes() (feed.CrashReport, uint64) { return feed.CrashReport{}, 0 }
 
 // NoteUsage forwards the report to the control group.
-func (g *group) NoteUsage(report feed.UsageReport) { g.upstream.ReportUsage(report) }
+func (g *group) RecordUsage(report feed.UsageReport) { g.upstream.ReportUsage(report) }
 
 // Charge forwards the charge: a relay keeps no quotas itself.
 func (g *group) Charge(request feed.ChargeRequest) (quota.Grant, bool) {
@@ -123,11 +123,11 @@
 const chargeTimeout = 25 * time.Millisecond
 
 // ReturnCharge forwards the returned charge to the control group.
-func (g *group) ReturnCharge(request feed.ChargeRequest) { g.upstream.ReturnCharge(request) }
+func (g *group) RefundCharge(request feed.ChargeRequest) { g.upstream.RefundCharge(request) }
 
 // Day returns 0 instead of the group's wall-clock time in milliseconds since the Unix
 // epoch: a relay does not know it.
-func (g *group) Day() int64 { return 0 }
+func (g *group) WallClock() int64 { return 0 }
 
 // ReportPresence forwards the presence. It may be lost: daemons report it again with
 // every beat.
--- a/process/relay/group_test.go
+++ b/process/relay/group_test.go
@@ -91,23 +91,23 @@
 	return placement.Answer{}, false
 }
 
-func (g *leaderGroup) NotePlaced(string, feed.PlaceNote) {}
+func (g *leaderGroup) RecordProgress(string, feed.PlacementProgress) {}
 
-func (g *leaderGroup) NoteEnds(feed.EndReport) {}
+func (g *leaderGroup) RecordCrashes(feed.CrashReport) {}
 
-func (g *leaderGroup) Unrecorded() (feed.EndReport, uint64) { return feed.EndReport{}, 0 }
+func (g *leaderGroup) UnrecordedCrashes() (feed.CrashReport, uint64) { return feed.CrashReport{}, 0 }
 
 func (g *leaderGroup) Charge(feed.ChargeRequest) (quota.Grant, bool) { return quota.Grant{}, false }
 
-func (g *leaderGroup) ReturnCharge(feed.ChargeRequest) {}
+func (g *leaderGroup) RefundCharge(feed.ChargeRequest) {}
 
-func (g *leaderGroup) NoteUsage(feed.UsageReport) {}
+func (g *leaderGroup) RecordUsage(feed.UsageReport) {}
 
-func (g *leaderGroup) Day() int64 { return 0 }
+func (g *leaderGroup) WallClock() int64 { return 0 }
 
-func (g *leaderGroup) NoteKept(feed.KeptParts) {}
+func (g *leaderGroup) RecordCachedParts(feed.CachedParts) {}
 
-func (g *leaderGroup) NoteInFlight(string, feed.InFlight) {}
+func (g *leaderGroup) RecordInFlight(string, feed.InFlight) {}
 
 func (g *leaderGroup) ReportDemand(_ string, report feed.DemandReport) {
 	g.lock.Lock()
@@ -206,7 +206,7 @@
 		addresses = []string{topology.config.FeedAddress}
 	}
 	client, err := feed.Dial(feed.ClientConfig{
-		Daemon: name, Addresses: addresses, BeatInterval: testBeat, BackoffMax: testBeat, Clock: testClock,
+		Daemon: name, Addresses: addresses, HeartbeatInterval: testBeat, BackoffMax: testBeat, Clock: testClock,
 	}, views)
 	must.NoError(topology.t, err)
 	topology.t.Cleanup(client.Close)
--- a/process/relay/relay.go
+++ b/process/relay/relay.go
@@ -113,13 +113,13 @@
 // follow subscribes to the control group's feed.
 func (r *Relay) follow() error {
 	client, err := feed.Dial(feed.ClientConfig{
-		Daemon:       r.config.Name,
-		Zone:         r.config.Zone,
-		Addresses:    r.config.Control,
-		BeatInterval: r.config.BeatInterval,
-		MaxInFlight:  r.config.MaxDaemons * feed.DefaultMaxClaims,
-		Clock:        r.clock,
-		Logger:       r.logger,
+		Daemon:            r.config.Name,
+		Zone:              r.config.Zone,
+		Addresses:         r.config.Control,
+		HeartbeatInterval: r.config.BeatInterval,
+		MaxInFlight:       r.config.MaxDaemons * feed.DefaultMaxClaims,
+		Clock:             r.clock,
+		Logger:            r.logger,
 	}, r.views)
 	if err != nil {
 		return errors.Wrap(err, "relay: subscribe to the control group")
--- a/request/attempt/attempt.go
+++ b/request/attempt/attempt.go
@@ -69,7 +69,7 @@
 	// Incarnation distinguishes the successive processes of the engine; 0 means unknown.
 	Incarnation uint64
 	// Wrote is true once a byte may have been written to the engine.
-	Wrote bool
+	MayHaveWritten bool
 	// Refused is true after an explicit refusal of the run before admission. The refusal of a
 	// resume leaves it unset (see Fail).
 	Refused bool
@@ -85,23 +85,23 @@
 // certainlyNotRun reports whether the attempt certainly did not run. An open attempt may still
 // write to the engine. Frames count as admission, so a refusal before or after them does not count.
 func (r *Record) certainlyNotRun() bool {
-	return !r.Open && !r.Admitted && (!r.Wrote || r.Refused)
+	return !r.Open && !r.Admitted && (!r.MayHaveWritten || r.Refused)
 }
 
 // Policy says what may be tried for one request.
 type Policy struct {
 	// Once marks a request that must run at most once.
-	Once bool
+	AtMostOnce bool
 	// Buffered is true if nothing is sent to the caller before the answer is complete, so that an
 	// incomplete answer can be discarded.
-	Buffered bool
-	Attempts int // the maximum number of attempts, each a run on an engine; 0 means 1
-	Resumes  int // the maximum number of times that the stream of each attempt is resumed
+	Buffered    bool
+	MaxAttempts int // the maximum number of attempts, each a run on an engine; 0 means 1
+	MaxResumes  int // the maximum number of times that the stream of each attempt is resumed
 }
 
 // Life is the lifecycle of one request from arrival to completion. It is safe for concurrent use:
 // compare-and-swap decides between Dispatch and Expire, and a lock guards everything else.
-type Life struct {
+type Lifecycle struct {
 	state  atomic.Uint32
 	policy Policy
 
@@ -112,30 +112,30 @@
 }
 
 // New returns a queued request.
-func New(policy Policy) *Life {
-	if policy.Attempts <= 0 {
-		policy.Attempts = 1
+func New(policy Policy) *Lifecycle {
+	if policy.MaxAttempts <= 0 {
+		policy.MaxAttempts = 1
 	}
-	return &Life{policy: policy}
+	return &Lifecycle{policy: policy}
 }
 
 // State returns the current state of the request.
-func (l *Life) State() State { return State(l.state.Load()) }
+func (l *Lifecycle) State() State { return State(l.state.Load()) }
 
 // Dispatch takes the request out of the queue. It returns false if the request has expired.
-func (l *Life) Dispatch() bool {
+func (l *Lifecycle) Dispatch() bool {
 	return l.state.CompareAndSwap(uint32(Queued), uint32(Dispatching))
 }
 
 // Expire refuses a request that is still queued. If it returns true, the request is never
 // dispatched.
-func (l *Life) Expire() bool {
+func (l *Lifecycle) Expire() bool {
 	return l.state.CompareAndSwap(uint32(Queued), uint32(Refused))
 }
 
 // Begin opens the next attempt and returns its number, starting from 1. It returns ErrNotAllowed
 // unless Next allows a run. An incarnation of 0 means unknown.
-func (l *Life) Begin(endpoint string, incarnation uint64) (uint32, error) {
+func (l *Lifecycle) Begin(endpoint string, incarnation uint64) (uint32, error) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	if l.nextLocked().Kind != StepRun {
@@ -150,24 +150,24 @@
 }
 
 // Wrote records that a byte of the attempt may have been written. An unknown number is ignored.
-func (l *Life) Wrote(number uint32) {
+func (l *Lifecycle) Wrote(number uint32) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	if record := l.record(number); record != nil {
-		record.Wrote = true
+		record.MayHaveWritten = true
 	}
 }
 
 // Admit records that the engine has confirmed admission of the attempt, and the engine's
 // incarnation unless it is 0. An unknown number is ignored.
-func (l *Life) Admit(number uint32, incarnation uint64) {
+func (l *Lifecycle) Admit(number uint32, incarnation uint64) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	record := l.record(number)
 	if record == nil {
 		return
 	}
-	record.Wrote = true
+	record.MayHaveWritten = true
 	record.Admitted = true
 	if incarnation != 0 {
 		record.Incarnation = incarnation
@@ -177,7 +177,7 @@
 // Fail closes the attempt. A refusal counts only if the engine has not confirmed admission before,
 // and the refusal of a resume is not a refusal of the run. An unknown number or a closed attempt is
 // ignored.
-func (l *Life) Fail(number uint32, fault Fault) {
+func (l *Lifecycle) Fail(number uint32, fault Fault) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	record := l.record(number)
@@ -188,16 +188,16 @@
 	switch fault {
 	case FaultNotWritten: // leaves Wrote as it is
 	case FaultRefused:
-		record.Wrote = true
+		record.MayHaveWritten = true
 		record.Refused = !record.Admitted && record.Resumes == 0
 	default:
-		record.Wrote = true
+		record.MayHaveWritten = true
 	}
 }
 
 // Finish closes the attempt after its complete answer was forwarded. It returns false if the
 // attempt is not open or not the latest.
-func (l *Life) Finish(number uint32) bool {
+func (l *Lifecycle) Finish(number uint32) bool {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	record := l.record(number)
@@ -205,7 +205,7 @@
 		return false
 	}
 	record.Open = false
-	record.Wrote = true
+	record.MayHaveWritten = true
 	record.Admitted = true
 	l.state.Store(uint32(Done))
 	return true
@@ -214,7 +214,7 @@
 // GiveUp ends the request without a complete answer and returns what the caller may be told.
 // Attempts that are still open may have run. The state is Refused afterwards if the request
 // certainly was not run, otherwise Unknown; a request in state Done or Refused keeps its state.
-func (l *Life) GiveUp() Ran {
+func (l *Lifecycle) GiveUp() Ran {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	ran := l.ranLocked()
@@ -231,13 +231,13 @@
 
 // Ran returns what the caller may be told about whether the request was run. It is RanNo only if no
 // attempt has written a byte, or each attempt that did was explicitly refused before admission.
-func (l *Life) Ran() Ran {
+func (l *Lifecycle) Ran() Ran {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	return l.ranLocked()
 }
 
-func (l *Life) ranLocked() Ran {
+func (l *Lifecycle) ranLocked() Ran {
 	ran := RanNo
 	for i := range l.attempts {
 		record := &l.attempts[i]
@@ -252,10 +252,10 @@
 }
 
 // Done reports whether the complete answer was forwarded.
-func (l *Life) Done() bool { return l.State() == Done }
+func (l *Lifecycle) Done() bool { return l.State() == Done }
 
 // Attempts returns a copy of the records.
-func (l *Life) Attempts() []Record {
+func (l *Lifecycle) Attempts() []Record {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	return append([]Record(nil), l.attempts...)
@@ -263,14 +263,14 @@
 
 // Passed returns how many tokens of the current run were forwarded or, if the answer is buffered,
 // accepted.
-func (l *Life) Passed() int {
+func (l *Lifecycle) Forwarded() int {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	return l.forwarded
 }
 
 // record returns the attempt's record, or nil.
-func (l *Life) record(number uint32) *Record {
+func (l *Lifecycle) record(number uint32) *Record {
 	if number == 0 || int(number) > len(l.attempts) {
 		return nil
 	}
@@ -278,4 +278,4 @@
 }
 
 // isLatest reports whether the number is that of the latest attempt, open or closed.
-func (l *Life) isLatest(number uint32) bool { return int(number) == len(l.attempts) }
+func (l *Lifecycle) isLatest(number uint32) bool { return int(number) == len(l.attempts) }
--- a/request/attempt/attempt_test.go
+++ b/request/attempt/attempt_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func newBegunLife(t *testing.T, policy Policy) (*Life, uint32) {
+func newBegunLife(t *testing.T, policy Policy) (*Lifecycle, uint32) {
 	t.Helper()
 	life := New(policy)
 	must.True(t, life.Dispatch())
@@ -32,23 +32,23 @@
 func TestRan(t *testing.T) {
 	cases := []struct {
 		name string
-		do   func(life *Life, number uint32)
+		do   func(life *Lifecycle, number uint32)
 		want Ran
 	}{
-		{"open", func(*Life, uint32) {}, RanUnknown},
-		{"nothing written", func(l *Life, n uint32) { l.Fail(n, FaultNotWritten) }, RanNo},
-		{"written, then reset", func(l *Life, n uint32) { l.Wrote(n); l.Fail(n, FaultBroken) }, RanUnknown},
-		{"written, claimed as not written", func(l *Life, n uint32) { l.Wrote(n); l.Fail(n, FaultNotWritten) }, RanUnknown},
-		{"refused", func(l *Life, n uint32) { l.Wrote(n); l.Fail(n, FaultRefused) }, RanNo},
-		{"refused after admission", func(l *Life, n uint32) { l.Admit(n, 7); l.Fail(n, FaultRefused) }, RanYes},
-		{"admitted", func(l *Life, n uint32) { l.Admit(n, 7) }, RanYes},
-		{"token seen", func(l *Life, n uint32) { l.Accept(n, 0, 1) }, RanYes},
-		{"refused, but an earlier one broke", func(l *Life, n uint32) {
+		{"open", func(*Lifecycle, uint32) {}, RanUnknown},
+		{"nothing written", func(l *Lifecycle, n uint32) { l.Fail(n, FaultNotWritten) }, RanNo},
+		{"written, then reset", func(l *Lifecycle, n uint32) { l.Wrote(n); l.Fail(n, FaultBroken) }, RanUnknown},
+		{"written, claimed as not written", func(l *Lifecycle, n uint32) { l.Wrote(n); l.Fail(n, FaultNotWritten) }, RanUnknown},
+		{"refused", func(l *Lifecycle, n uint32) { l.Wrote(n); l.Fail(n, FaultRefused) }, RanNo},
+		{"refused after admission", func(l *Lifecycle, n uint32) { l.Admit(n, 7); l.Fail(n, FaultRefused) }, RanYes},
+		{"admitted", func(l *Lifecycle, n uint32) { l.Admit(n, 7) }, RanYes},
+		{"token seen", func(l *Lifecycle, n uint32) { l.Accept(n, 0, 1) }, RanYes},
+		{"refused, but an earlier one broke", func(l *Lifecycle, n uint32) {
 			l.Fail(n, FaultBroken)
 			next, _ := l.Begin("engine-2", 8)
 			l.Fail(next, FaultRefused)
 		}, RanUnknown},
-		{"both refused", func(l *Life, n uint32) {
+		{"both refused", func(l *Lifecycle, n uint32) {
 			l.Fail(n, FaultRefused)
 			next, _ := l.Begin("engine-2", 8)
 			l.Fail(next, FaultRefused)
@@ -56,7 +56,7 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			life, number := newBegunLife(t, Policy{Attempts: 3})
+			life, number := newBegunLife(t, Policy{MaxAttempts: 3})
 			test.do(life, number)
 			must.Eq(t, test.want, life.Ran())
 			must.Eq(t, test.want, life.GiveUp())
@@ -68,40 +68,40 @@
 	cases := []struct {
 		name   string
 		policy Policy
-		do     func(life *Life, number uint32)
+		do     func(life *Lifecycle, number uint32)
 		want   StepKind
 	}{
-		{"open", Policy{Attempts: 3}, func(*Life, uint32) {}, StepWait},
-		{"refused, once", Policy{Once: true, Attempts: 3}, func(l *Life, n uint32) { l.Fail(n, FaultRefused) }, StepRun},
-		{"broken, once", Policy{Once: true, Attempts: 3}, func(l *Life, n uint32) { l.Fail(n, FaultBroken) }, StepStop},
-		{"broken, repeatable", Policy{Attempts: 3}, func(l *Life, n uint32) { l.Fail(n, FaultBroken) }, StepRun},
-		{"attempts used up", Policy{Attempts: 1}, func(l *Life, n uint32) { l.Fail(n, FaultRefused) }, StepStop},
-		{"cut, resumable", Policy{Attempts: 3, Resumes: 1}, func(l *Life, n uint32) {
+		{"open", Policy{MaxAttempts: 3}, func(*Lifecycle, uint32) {}, StepWait},
+		{"refused, once", Policy{AtMostOnce: true, MaxAttempts: 3}, func(l *Lifecycle, n uint32) { l.Fail(n, FaultRefused) }, StepRun},
+		{"broken, once", Policy{AtMostOnce: true, MaxAttempts: 3}, func(l *Lifecycle, n uint32) { l.Fail(n, FaultBroken) }, StepStop},
+		{"broken, repeatable", Policy{MaxAttempts: 3}, func(l *Lifecycle, n uint32) { l.Fail(n, FaultBroken) }, StepRun},
+		{"attempts used up", Policy{MaxAttempts: 1}, func(l *Lifecycle, n uint32) { l.Fail(n, FaultRefused) }, StepStop},
+		{"cut, resumable", Policy{MaxAttempts: 3, MaxResumes: 1}, func(l *Lifecycle, n uint32) {
 			l.Accept(n, 0, 1)
 			l.Fail(n, FaultBroken)
 		}, StepResume},
-		{"cut, once, resumable", Policy{Once: true, Attempts: 3, Resumes: 1}, func(l *Life, n uint32) {
+		{"cut, once, resumable", Policy{AtMostOnce: true, MaxAttempts: 3, MaxResumes: 1}, func(l *Lifecycle, n uint32) {
 			l.Accept(n, 0, 1)
 			l.Fail(n, FaultBroken)
 		}, StepResume},
-		{"cut, token forwarded, no resume", Policy{Attempts: 3}, func(l *Life, n uint32) {
+		{"cut, token forwarded, no resume", Policy{MaxAttempts: 3}, func(l *Lifecycle, n uint32) {
 			l.Accept(n, 0, 1)
 			l.Fail(n, FaultBroken)
 		}, StepStop},
-		{"cut, buffered, no resume", Policy{Attempts: 3, Buffered: true}, func(l *Life, n uint32) {
+		{"cut, buffered, no resume", Policy{MaxAttempts: 3, Buffered: true}, func(l *Lifecycle, n uint32) {
 			l.Accept(n, 0, 1)
 			l.Fail(n, FaultBroken)
 		}, StepRun},
-		{"resume abandoned", Policy{Attempts: 3, Resumes: 1}, func(l *Life, n uint32) {
+		{"resume abandoned", Policy{MaxAttempts: 3, MaxResumes: 1}, func(l *Lifecycle, n uint32) {
 			l.Accept(n, 0, 1)
 			l.Fail(n, FaultBroken)
 			l.AbandonResume(n)
 		}, StepStop},
-		{"refused, then a frame, once", Policy{Once: true, Attempts: 3}, func(l *Life, n uint32) {
+		{"refused, then a frame, once", Policy{AtMostOnce: true, MaxAttempts: 3}, func(l *Lifecycle, n uint32) {
 			l.Fail(n, FaultRefused)
 			l.Accept(n, 0, 1)
 		}, StepStop},
-		{"finished", Policy{Attempts: 3}, func(l *Life, n uint32) { l.Finish(n) }, StepStop},
+		{"finished", Policy{MaxAttempts: 3}, func(l *Lifecycle, n uint32) { l.Finish(n) }, StepStop},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -113,7 +113,7 @@
 }
 
 func TestAccept(t *testing.T) {
-	life, first := newBegunLife(t, Policy{Attempts: 2, Resumes: 1, Buffered: true})
+	life, first := newBegunLife(t, Policy{MaxAttempts: 2, MaxResumes: 1, Buffered: true})
 	must.Eq(t, VerdictPass, life.Accept(first, 0, 2))
 	must.Eq(t, VerdictDuplicate, life.Accept(first, 0, 2))
 	must.Eq(t, VerdictDuplicate, life.Accept(first, 1, 0))
@@ -138,7 +138,7 @@
 // caller received.
 type oracle struct {
 	policy Policy
-	life   *Life
+	life   *Lifecycle
 	number uint32
 	open   bool
 	// mayRun is true for each attempt that an engine may have run.
@@ -153,7 +153,7 @@
 			possible++
 		}
 	}
-	if o.policy.Once && possible > 1 {
+	if o.policy.AtMostOnce && possible > 1 {
 		t.Fatalf("an at-most-once request may have run %d times", possible)
 	}
 	if o.life.Ran() == RanNo && possible > 0 {
@@ -171,10 +171,10 @@
 func TestLifeAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		policy := Policy{
-			Once:     rapid.Bool().Draw(t, "once"),
-			Buffered: rapid.Bool().Draw(t, "buffered"),
-			Attempts: rapid.IntRange(1, 4).Draw(t, "attempts"),
-			Resumes:  rapid.IntRange(0, 2).Draw(t, "resumes"),
+			AtMostOnce:  rapid.Bool().Draw(t, "once"),
+			Buffered:    rapid.Bool().Draw(t, "buffered"),
+			MaxAttempts: rapid.IntRange(1, 4).Draw(t, "attempts"),
+			MaxResumes:  rapid.IntRange(0, 2).Draw(t, "resumes"),
 		}
 		o := &oracle{policy: policy, life: New(policy)}
 		t.Repeat(map[string]func(*rapid.T){
--- a/request/attempt/step.go
+++ b/request/attempt/step.go
@@ -31,13 +31,13 @@
 // Next returns what may be done next. A new run is allowed after attempts that certainly did not
 // run. After an attempt that may have run, it is allowed only if Policy.Once is not set and nothing
 // was forwarded to the caller, since the answers of two runs are never combined.
-func (l *Life) Next() Step {
+func (l *Lifecycle) Next() Step {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	return l.nextLocked()
 }
 
-func (l *Life) nextLocked() Step {
+func (l *Lifecycle) nextLocked() Step {
 	state := l.State()
 	if state != Dispatching && state != Streaming {
 		return Step{Kind: StepStop}
@@ -60,8 +60,8 @@
 
 // resumeStep returns the step that resumes the attempt's stream. Only an admitted attempt with a
 // known incarnation can be resumed.
-func (l *Life) resumeStep(last *Record) (Step, bool) {
-	if !last.Admitted || last.Incarnation == 0 || last.Resumes >= l.policy.Resumes {
+func (l *Lifecycle) resumeStep(last *Record) (Step, bool) {
+	if !last.Admitted || last.Incarnation == 0 || last.Resumes >= l.policy.MaxResumes {
 		return Step{}, false
 	}
 	return Step{
@@ -74,11 +74,11 @@
 }
 
 // runAllowed reports whether a further run is allowed after the attempts so far.
-func (l *Life) runAllowed() bool {
-	if len(l.attempts) >= l.policy.Attempts || l.anyForwarded {
+func (l *Lifecycle) runAllowed() bool {
+	if len(l.attempts) >= l.policy.MaxAttempts || l.anyForwarded {
 		return false
 	}
-	if !l.policy.Once {
+	if !l.policy.AtMostOnce {
 		return true
 	}
 	for i := range l.attempts {
@@ -91,7 +91,7 @@
 
 // Resume reopens the latest attempt. It returns ErrNotAllowed unless Next returns StepResume for
 // that attempt.
-func (l *Life) Resume(number uint32) error {
+func (l *Lifecycle) Resume(number uint32) error {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	step := l.nextLocked()
@@ -106,11 +106,11 @@
 
 // AbandonResume rules out further resumes of the attempt, after its engine has refused one or is
 // gone. It sets Record.Resumes to the maximum.
-func (l *Life) AbandonResume(number uint32) {
+func (l *Lifecycle) AbandonResume(number uint32) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	if record := l.record(number); record != nil {
-		record.Resumes = l.policy.Resumes
+		record.Resumes = l.policy.MaxResumes
 	}
 }
 
@@ -134,14 +134,14 @@
 // Accept returns the verdict on a frame of the attempt that starts at offset and holds the given
 // number of tokens. Any frame, even a late one, confirms that the engine has admitted the attempt.
 // A frame with VerdictPass counts as accepted and, unless the answer is buffered, as forwarded.
-func (l *Life) Accept(number uint32, offset, tokens int) Verdict {
+func (l *Lifecycle) Accept(number uint32, offset, tokens int) Verdict {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	record := l.record(number)
 	if record == nil {
 		return VerdictLate
 	}
-	record.Wrote = true
+	record.MayHaveWritten = true
 	record.Admitted = true
 	if !record.Open || !l.isLatest(number) {
 		return VerdictLate
--- a/request/holdoff/course_test.go
+++ b/request/holdoff/course_test.go
@@ -40,7 +40,7 @@
 // the Replica that they found.
 func (s *simulation) publish(behind int) {
 	at := max(len(s.processes)-1-behind, 0)
-	found := s.table.Follow("r", s.processes[at], s.now)
+	found := s.table.ObserveListed("r", s.processes[at], s.now)
 	if at == len(s.processes)-1 {
 		s.listed = true
 	}
@@ -75,19 +75,19 @@
 			case 3:
 				if len(s.references) > 0 {
 					length := time.Duration(rapid.IntRange(100, 90_000).Draw(t, "pause")) * time.Millisecond
-					rapid.SampledFrom(s.references).Draw(t, "received by").Hear(s.now, s.wallTime(), Word{RetryAfter: length})
+					rapid.SampledFrom(s.references).Draw(t, "received by").Apply(s.now, s.wallTime(), Restrictions{RetryAfter: length})
 					s.pauseUntil = max(s.pauseUntil, s.now+length)
 				}
 			case 4:
 				if len(s.references) > 0 {
-					rapid.SampledFrom(s.references).Draw(t, "received by").Hear(s.now, s.wallTime(), Word{})
+					rapid.SampledFrom(s.references).Draw(t, "received by").Apply(s.now, s.wallTime(), Restrictions{})
 				}
 			}
 			if s.now >= s.pauseUntil {
 				continue
 			}
 			for _, found := range append(s.references, s.table.Find("r")) {
-				must.False(t, found.Begin(s.now), must.Sprint("the replica has requested a pause for another ", s.pauseUntil-s.now))
+				must.False(t, found.TryBegin(s.now), must.Sprint("the replica has requested a pause for another ", s.pauseUntil-s.now))
 			}
 		}
 	})
--- a/request/holdoff/holdoff.go
+++ b/request/holdoff/holdoff.go
@@ -41,7 +41,7 @@
 	Open State = iota
 	// Doubtful replicas are used only if there is no other. Either they are leaving and still
 	// accept requests for a short time, or their pause is over and they have not answered since.
-	Doubtful
+	LastResort
 	// Closed replicas are sent nothing.
 	Closed
 )
@@ -65,7 +65,7 @@
 type Config struct {
 	// Notice is how long a leaving replica may still be used if there is no other replica. 0 means
 	// not at all.
-	Notice time.Duration
+	LeavingGrace time.Duration
 }
 
 // Table holds the replicas known to this process, by name. It is safe for concurrent use.
@@ -92,7 +92,7 @@
 
 // Follow returns the replica with the name and records that an endpoint list now shows the given
 // process for it.
-func (t *Table) Follow(name string, process Process, now time.Duration) *Replica {
+func (t *Table) ObserveListed(name string, process Process, now time.Duration) *Replica {
 	t.lock.Lock()
 	replica := t.findLocked(name)
 	t.keepLocked(replica)
@@ -117,7 +117,7 @@
 	if replica := t.unlisted[name].Value(); replica != nil {
 		return replica
 	}
-	created := &Replica{name: name, table: t, notice: t.config.Notice}
+	created := &Replica{name: name, table: t, notice: t.config.LeavingGrace}
 	t.unlisted[name] = weak.Make(created)
 	return created
 }
@@ -197,7 +197,7 @@
 // Hear records what an answer that arrives now requests of its receiver. wallTime is the current
 // time on the clock that process start times refer to. Hear reports whether the replica has
 // announced for the first time that it is leaving.
-func (r *Replica) Hear(now time.Duration, wallTime time.Time, restrictions Word) (newlyLeaving bool) {
+func (r *Replica) Apply(now time.Duration, wallTime time.Time, restrictions Restrictions) (newlyLeaving bool) {
 	if restrictions.IsZero() && !r.restricted.Load() {
 		return false
 	}
@@ -251,7 +251,7 @@
 	case now < r.pauseEnd, r.leaving && now-r.leavingAt >= r.notice:
 		return Closed
 	case r.leaving, r.probePending && (now < r.probeFrom || now < r.probeUntil):
-		return Doubtful
+		return LastResort
 	default:
 		return Open
 	}
@@ -260,7 +260,7 @@
 // Begin reports whether a request may be sent now, which includes Doubtful replicas, and starts the
 // probe if one is pending. It is called immediately before the request is written, because an
 // answer may have arrived since the replica was chosen.
-func (r *Replica) Begin(now time.Duration) bool {
+func (r *Replica) TryBegin(now time.Duration) bool {
 	if !r.restricted.Load() {
 		return true
 	}
@@ -276,7 +276,7 @@
 }
 
 // Pause returns the time left of a pause, 0 if there is none.
-func (r *Replica) Pause(now time.Duration) time.Duration {
+func (r *Replica) PauseLeft(now time.Duration) time.Duration {
 	if !r.restricted.Load() {
 		return 0
 	}
--- a/request/holdoff/holdoff_test.go
+++ b/request/holdoff/holdoff_test.go
@@ -14,49 +14,49 @@
 )
 
 func TestPauseLastsAsLongAsRequested(t *testing.T) {
-	replica := NewTable(Config{}).Follow("r", firstProcess, 0)
-	must.True(t, replica.Begin(0))
-	must.False(t, replica.Hear(0, testStart, Word{RetryAfter: 3 * time.Second}))
-	must.False(t, replica.Hear(time.Second, testStart, Word{RetryAfter: time.Second})) // a shorter pause has no effect
-	must.False(t, replica.Hear(2*time.Second, testStart, Word{}))                      // an answer to a request sent earlier
+	replica := NewTable(Config{}).ObserveListed("r", firstProcess, 0)
+	must.True(t, replica.TryBegin(0))
+	must.False(t, replica.Apply(0, testStart, Restrictions{RetryAfter: 3 * time.Second}))
+	must.False(t, replica.Apply(time.Second, testStart, Restrictions{RetryAfter: time.Second})) // a shorter pause has no effect
+	must.False(t, replica.Apply(2*time.Second, testStart, Restrictions{}))                      // an answer to a request sent earlier
 	must.Eq(t, Closed, replica.State(3*time.Second-1))
-	must.False(t, replica.Begin(3*time.Second-1))
-	must.Eq(t, time.Second, replica.Pause(2*time.Second))
-	must.Eq(t, Doubtful, replica.State(3*time.Second))
+	must.False(t, replica.TryBegin(3*time.Second-1))
+	must.Eq(t, time.Second, replica.PauseLeft(2*time.Second))
+	must.Eq(t, LastResort, replica.State(3*time.Second))
 	must.Eq(t, Open, replica.State(3*time.Second+maxJitter))
 }
 
 // After a pause a single request probes whether the replica answers. Until then others avoid the
 // replica if they can.
 func TestOneRequestProbesAReplicaAfterItsPause(t *testing.T) {
-	replica := NewTable(Config{}).Follow("r", firstProcess, 0)
-	replica.Hear(0, testStart, Word{RetryAfter: time.Second})
+	replica := NewTable(Config{}).ObserveListed("r", firstProcess, 0)
+	replica.Apply(0, testStart, Restrictions{RetryAfter: time.Second})
 	const later = 2 * time.Second
 	must.Eq(t, Open, replica.State(later))
-	must.True(t, replica.Begin(later))
-	must.Eq(t, Doubtful, replica.State(later+1))
-	must.True(t, replica.Begin(later+1)) // if there is no other replica
+	must.True(t, replica.TryBegin(later))
+	must.Eq(t, LastResort, replica.State(later+1))
+	must.True(t, replica.TryBegin(later+1)) // if there is no other replica
 	must.Eq(t, Open, replica.State(later+1+probeTimeout))
-	replica.Hear(later+2, testStart, Word{})
+	replica.Apply(later+2, testStart, Restrictions{})
 	must.Eq(t, Open, replica.State(later+2))
 
-	replica.Hear(later+3, testStart, Word{RetryAfter: time.Second})
+	replica.Apply(later+3, testStart, Restrictions{RetryAfter: time.Second})
 	must.Eq(t, Closed, replica.State(later+4))
 }
 
 func TestLeavingReplicaGetsNoNewRequests(t *testing.T) {
-	replica := NewTable(Config{Notice: time.Second}).Follow("r", firstProcess, 0)
-	must.True(t, replica.Hear(0, testStart, Word{Leaving: true}))
-	must.False(t, replica.Hear(time.Millisecond, testStart, Word{Leaving: true}))
-	must.Eq(t, Doubtful, replica.State(time.Second-1))
-	must.False(t, replica.Hear(time.Second, testStart, Word{})) // leaving never ends
+	replica := NewTable(Config{LeavingGrace: time.Second}).ObserveListed("r", firstProcess, 0)
+	must.True(t, replica.Apply(0, testStart, Restrictions{Leaving: true}))
+	must.False(t, replica.Apply(time.Millisecond, testStart, Restrictions{Leaving: true}))
+	must.Eq(t, LastResort, replica.State(time.Second-1))
+	must.False(t, replica.Apply(time.Second, testStart, Restrictions{})) // leaving never ends
 	must.Eq(t, Closed, replica.State(time.Hour))
 	must.Eq(t, Closed, NewTable(Config{}).announceLeaving(t).State(0))
 }
 
 func (t *Table) announceLeaving(test *testing.T) *Replica {
-	replica := t.Follow("r", firstProcess, 0)
-	must.True(test, replica.Hear(0, testStart, Word{Leaving: true}))
+	replica := t.ObserveListed("r", firstProcess, 0)
+	must.True(test, replica.Apply(0, testStart, Restrictions{Leaving: true}))
 	must.Eq(test, []string{"r"}, t.Leaving())
 	return replica
 }
@@ -83,12 +83,12 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			table := NewTable(Config{})
-			pausing := table.Follow("p", firstProcess, 0)
-			pausing.Hear(0, testStart, Word{RetryAfter: time.Minute})
-			must.Eq(t, pausing, table.Follow("p", test.process, 0))
-			must.Eq(t, test.pause, pausing.Pause(0))
+			pausing := table.ObserveListed("p", firstProcess, 0)
+			pausing.Apply(0, testStart, Restrictions{RetryAfter: time.Minute})
+			must.Eq(t, pausing, table.ObserveListed("p", test.process, 0))
+			must.Eq(t, test.pause, pausing.PauseLeft(0))
 			leaving := table.announceLeaving(t)
-			table.Follow("r", test.process, 0)
+			table.ObserveListed("r", test.process, 0)
 			must.Eq(t, test.leaving, leaving.IsLeaving())
 			must.Eq(t, test.leaving, leaving.State(0) == Closed)
 		})
@@ -97,9 +97,9 @@
 
 func TestTableForgetsUnlistedReplicas(t *testing.T) {
 	table := NewTable(Config{})
-	table.Follow("r", firstProcess, 0).Hear(0, testStart, Word{RetryAfter: time.Hour})
+	table.ObserveListed("r", firstProcess, 0).Apply(0, testStart, Restrictions{RetryAfter: time.Hour})
 	table.announceLeaving(t)
-	table.Follow("gone", firstProcess, 0)
+	table.ObserveListed("gone", firstProcess, 0)
 	table.Forget(forgetAfter)
 	must.Eq(t, 2, len(table.replicas))
 	table.Forget(forgetAfter + 1)
@@ -121,15 +121,15 @@
 	worst := func(usable func(replica *Replica, now time.Duration) bool) int {
 		var all []*Replica
 		for range processes {
-			replica := NewTable(Config{}).Follow("r", firstProcess, 0)
-			replica.Hear(time.Duration(random.Int64N(int64(50*time.Millisecond))), testStart, Word{RetryAfter: pause})
+			replica := NewTable(Config{}).ObserveListed("r", firstProcess, 0)
+			replica.Apply(time.Duration(random.Int64N(int64(50*time.Millisecond))), testStart, Restrictions{RetryAfter: pause})
 			all = append(all, replica)
 		}
 		most := 0
 		for now := time.Duration(0); now < 2*pause; now += tick {
 			arrived := 0
 			for _, replica := range all {
-				if usable(replica, now) && replica.Begin(now) {
+				if usable(replica, now) && replica.TryBegin(now) {
 					arrived++
 				}
 			}
--- a/request/holdoff/word.go
+++ b/request/holdoff/word.go
@@ -7,7 +7,7 @@
 import "time"
 
 // Word holds the restrictions that an answer puts on further requests from its receiver.
-type Word struct {
+type Restrictions struct {
 	// RetryAfter is how long to send the replica no requests, 0 for no pause.
 	RetryAfter time.Duration
 	// Leaving is true if the replica is about to shut down and accepts no new requests.
@@ -15,4 +15,4 @@
 }
 
 // IsZero reports whether the answer puts no restriction on further requests.
-func (w Word) IsZero() bool { return w == Word{} }
+func (w Restrictions) IsZero() bool { return w == Restrictions{} }
--- a/request/placement/board.go
+++ b/request/placement/board.go
@@ -36,7 +36,7 @@
 
 // Board tracks all requests in flight to the replicas of one service.
 type Board struct {
-	sheet    Sheet
+	sheet    ServiceParameters
 	replicas map[string]*replica
 	names    []string // sorted
 	index    *index
@@ -60,7 +60,7 @@
 
 // placedRequest is a request in flight.
 type placedRequest struct {
-	request       Ask
+	request       Request
 	answer        Answer
 	placedAt      time.Duration
 	expiresAt     time.Duration
@@ -138,7 +138,7 @@
 
 // SetReplicas replaces the list of replicas and keeps the state of those that remain. Put and
 // Remove change single entries of the list.
-func (b *Board) SetReplicas(sheet Sheet, entries []Replica) {
+func (b *Board) SetReplicas(sheet ServiceParameters, entries []Replica) {
 	b.sheet = sheet
 	gone := maps.Clone(b.replicas)
 	for _, entry := range entries {
@@ -190,14 +190,14 @@
 
 // Place decides where the request goes and tracks it there until it ends or expires. A request
 // that has to wait or is refused is not tracked. An earlier placement with the same key ends.
-func (b *Board) Place(now time.Duration, key Key, request Ask) Answer {
+func (b *Board) Place(now time.Duration, key Key, request Request) Answer {
 	answer := b.place(now, key, request)
 	b.answers.add(&answer)
 	return answer
 }
 
 // place implements Place, without counting the reply for the summary.
-func (b *Board) place(now time.Duration, key Key, request Ask) Answer {
+func (b *Board) place(now time.Duration, key Key, request Request) Answer {
 	b.expireRequests(now)
 	b.endRequest(now, key)
 	request.surging = b.tenants.recordRequest(now, &request)
@@ -210,13 +210,13 @@
 	}
 	answer := chosen.answer()
 	if chosen.wait == 0 {
-		request.group = b.fairnessOf(now, &request).recordRequest(now, request.Prompt)
+		request.group = b.fairnessOf(now, &request).recordRequest(now, request.PromptTokens)
 	}
 	if answer.Generator == "" {
 		return answer
 	}
 	answer.Deferred = request.deferred
-	answer.Alone = request.Suspect && len(chosen.generator.running) == 0
+	answer.Isolated = request.Suspect && len(chosen.generator.running) == 0
 	p := &placedRequest{request: request, answer: answer, placedAt: now, expiresAt: now + request.Deadline + expiryGrace}
 	p.runningOn = chosen.generator
 	p.queuedOn = chosen.readingReplica()
@@ -242,7 +242,7 @@
 }
 
 // Kept adds parts that a replica is assumed to have cached, the most recently used last.
-func (b *Board) Kept(name string, parts []Part) {
+func (b *Board) AddCachedParts(name string, parts []Part) {
 	if known := b.replicas[name]; known != nil {
 		known.cache.use(parts, b.cacheLimit())
 	}
@@ -254,7 +254,7 @@
 
 // Cold returns the names of the replicas that have fewer than minWarmParts parts cached and are
 // not leaving, sorted.
-func (b *Board) Cold() []string {
+func (b *Board) ColdReplicas() []string {
 	var names []string
 	for _, name := range b.names {
 		if known := b.replicas[name]; known.cache.lru.Len() < minWarmParts && !known.isLeaving() {
@@ -266,14 +266,14 @@
 
 // Note updates the board with the progress of a request. If the request is not tracked, only what
 // the note says of the replica counts.
-func (b *Board) Note(now time.Duration, key Key, note Note) {
+func (b *Board) RecordProgress(now time.Duration, key Key, note ProgressReport) {
 	if note.Step == StepLeaving {
 		b.recordLeaving(note.Replica)
 		return
 	}
 	p := b.inFlight[key]
 	switch note.Step {
-	case StepFailed, StepErred, StepRefused, StepMisdirected, StepGone:
+	case StepFailed, StepAnsweredError, StepRefused, StepMisdirected, StepUnreachable:
 		b.recordFailure(now, note, p)
 	}
 	if p == nil {
@@ -285,13 +285,13 @@
 	}
 	switch note.Step {
 	case StepRead:
-		p.queuedOn.recordReportedLoad(now, note.Told)
+		p.queuedOn.recordReportedLoad(now, note.ReportedRequests)
 		b.recordRead(now, p)
 	case StepStarted:
-		p.runningOn.recordReportedLoad(now, note.Told)
+		p.runningOn.recordReportedLoad(now, note.ReportedRequests)
 		b.recordRead(now, p)
 		b.recordStart(now, p)
-	case StepEnded, StepFailed, StepErred, StepRefused, StepMisdirected, StepGone:
+	case StepEnded, StepFailed, StepAnsweredError, StepRefused, StepMisdirected, StepUnreachable:
 		b.endRequest(now, key)
 	}
 }
@@ -309,7 +309,7 @@
 	b.removeFromQueue(now, p)
 	p.placedAt = now
 	p.queuedOn = p.runningOn
-	p.unreadTokens = max(p.request.Prompt-p.runningOn.cache.leadingTokens(p.request.Parts), 0)
+	p.unreadTokens = max(p.request.PromptTokens-p.runningOn.cache.leadingTokens(p.request.Parts), 0)
 	p.queuedOn.enqueue(now, p)
 	p.queuedOn.cache.addPending(p.request.Parts)
 	b.index.move(p.queuedOn)
@@ -343,7 +343,7 @@
 	if reader == nil || p.readAt == 0 || p.adopted {
 		return
 	}
-	transferTime, _ := b.estimateTransfer(p.request.Prompt, reader.Zone, p.runningOn.Zone)
+	transferTime, _ := b.estimateTransfer(p.request.PromptTokens, reader.Zone, p.runningOn.Zone)
 	spent := clampOutlier(now-p.readAt-transferTime-p.backlogAtRead, b.decodeStartTime)
 	b.decodeStartTime += time.Duration(float64(spent-b.decodeStartTime) / sampleWindow(decodeStartSamples, len(b.names)))
 }
@@ -356,7 +356,7 @@
 	if at == nil {
 		return
 	}
-	if holder := b.replicas[p.answer.Fetch]; holder != nil && now-p.placedAt > staleCacheFactor*p.answer.Estimate+staleCacheSlack {
+	if holder := b.replicas[p.answer.FetchFrom]; holder != nil && now-p.placedAt > staleCacheFactor*p.answer.Estimate+staleCacheSlack {
 		holder.cache.drop(p.request.Parts)
 	}
 	b.learnRead(now, p)
--- a/request/placement/board_test.go
+++ b/request/placement/board_test.go
@@ -11,7 +11,7 @@
 
 const ms = time.Millisecond
 
-var testSheet = Sheet{KVTokens: 400_000, BytesPerTok: 18_432, LinkMbps: 370_000, GapObjective: 300 * ms}
+var testSheet = ServiceParameters{KVTokens: 400_000, BytesPerToken: 18_432, LinkMbps: 370_000, GapObjective: 300 * ms}
 
 // newTestBoard returns a board with two readers and two generators in one zone.
 func newTestBoard() *Board {
@@ -31,10 +31,10 @@
 var ownParts int
 
 // newRequest returns a request with a shared part and one of its own.
-func newRequest(shared string, sharedTokens, own int) Ask {
+func newRequest(shared string, sharedTokens, own int) Request {
 	ownParts++
-	return Ask{
-		Prompt: sharedTokens + own, Output: 100, Zone: "a", Deadline: 5 * time.Second,
+	return Request{
+		PromptTokens: sharedTokens + own, MaxOutputTokens: 100, Zone: "a", Deadline: 5 * time.Second,
 		Parts: []Part{{ID: shared, Tokens: sharedTokens}, {ID: fmt.Sprint("own-", ownParts), Tokens: own}},
 	}
 }
@@ -42,10 +42,10 @@
 // finishRequest reports all stages of a placed request.
 func finishRequest(b *Board, now time.Duration, number uint64, answer Answer) {
 	if answer.Reader != "" {
-		b.Note(now, key(number), Note{Step: StepRead})
+		b.RecordProgress(now, key(number), ProgressReport{Step: StepRead})
 	}
-	b.Note(now, key(number), Note{Step: StepStarted})
-	b.Note(now, key(number), Note{Step: StepEnded})
+	b.RecordProgress(now, key(number), ProgressReport{Step: StepStarted})
+	b.RecordProgress(now, key(number), ProgressReport{Step: StepEnded})
 }
 
 func TestOnlyLongPromptsUseASeparateReader(t *testing.T) {
@@ -53,7 +53,7 @@
 	long := b.Place(0, key(1), newRequest("p", 13_000, 4_000))
 	must.NotEq(t, "", long.Reader)
 	must.NotEq(t, "", long.Generator)
-	must.Eq(t, 17_000, long.Unread)
+	must.Eq(t, 17_000, long.UnreadTokens)
 	short := b.Place(0, key(2), newRequest("q", 0, 60))
 	must.Eq(t, "", short.Reader)
 }
@@ -70,20 +70,20 @@
 	first := b.Place(0, key(1), newRequest("p", 13_000, 100))
 	finishRequest(b, 500*ms, 1, first)
 	again := b.Place(time.Second, key(2), newRequest("p", 13_000, 200))
-	must.Eq(t, 200, again.Unread)
+	must.Eq(t, 200, again.UnreadTokens)
 }
 
 func TestCachedPartsAreFetched(t *testing.T) {
 	b := newTestBoard()
-	b.Kept("decode-1", []Part{{ID: "p", Tokens: 20_000}})
+	b.AddCachedParts("decode-1", []Part{{ID: "p", Tokens: 20_000}})
 	// decode-1 has prompts to read, so that another replica should take the request.
 	for number := range uint64(4) {
-		b.Place(0, key(100+number), Ask{Prompt: 3_000, Zone: "a", Deadline: time.Second})
+		b.Place(0, key(100+number), Request{PromptTokens: 3_000, Zone: "a", Deadline: time.Second})
 	}
 	chosen := b.Place(0, key(1), newRequest("p", 20_000, 400))
-	must.Eq(t, 400, chosen.Unread)
+	must.Eq(t, 400, chosen.UnreadTokens)
 	if chosen.Reader != "" || chosen.Generator != "decode-1" {
-		must.Eq(t, "decode-1", chosen.Fetch)
+		must.Eq(t, "decode-1", chosen.FetchFrom)
 	}
 }
 
@@ -91,30 +91,30 @@
 func TestSlowReadDropsPartsOfFetchSource(t *testing.T) {
 	b := newTestBoard()
 	parts := []Part{{ID: "p", Tokens: 20_000}}
-	b.Kept("decode-1", parts)
+	b.AddCachedParts("decode-1", parts)
 	request := newRequest("p", 20_000, 400)
 	request.Excluded = []string{"decode-1"}
-	must.Eq(t, "decode-1", b.Place(0, key(1), request).Fetch)
-	b.Note(3*time.Second, key(1), Note{Step: StepRead})
+	must.Eq(t, "decode-1", b.Place(0, key(1), request).FetchFrom)
+	b.RecordProgress(3*time.Second, key(1), ProgressReport{Step: StepRead})
 	must.Eq(t, 0, b.replicas["decode-1"].cache.leadingTokens(parts))
 }
 
 func TestSuspectedReplicasAreAvoidedButNotBanned(t *testing.T) {
 	b := newTestBoard()
-	b.Note(0, key(9), Note{Step: StepFailed, Replica: "decode-1"})
-	must.Eq(t, "decode-2", b.Place(0, key(1), Ask{Prompt: 100, Zone: "a", Deadline: time.Second}).Generator)
-	b.Note(0, key(9), Note{Step: StepFailed, Replica: "decode-2"})
-	must.NotEq(t, "", b.Place(0, key(2), Ask{Prompt: 100, Zone: "a", Deadline: time.Second}).Generator)
-	answer := b.Place(time.Minute, key(3), Ask{Prompt: 100, Zone: "a", Deadline: time.Second, Excluded: []string{"decode-2"}})
+	b.RecordProgress(0, key(9), ProgressReport{Step: StepFailed, Replica: "decode-1"})
+	must.Eq(t, "decode-2", b.Place(0, key(1), Request{PromptTokens: 100, Zone: "a", Deadline: time.Second}).Generator)
+	b.RecordProgress(0, key(9), ProgressReport{Step: StepFailed, Replica: "decode-2"})
+	must.NotEq(t, "", b.Place(0, key(2), Request{PromptTokens: 100, Zone: "a", Deadline: time.Second}).Generator)
+	answer := b.Place(time.Minute, key(3), Request{PromptTokens: 100, Zone: "a", Deadline: time.Second, Excluded: []string{"decode-2"}})
 	must.Eq(t, "decode-1", answer.Generator, must.Sprint("the suspicion has ended"))
 }
 
 // A replica that refuses all requests looks idle, and must not attract them.
 func TestRefusingReplicaGetsNoRequests(t *testing.T) {
 	b := newTestBoard()
-	short := Ask{Prompt: 100, Zone: "a", Deadline: time.Second}
+	short := Request{PromptTokens: 100, Zone: "a", Deadline: time.Second}
 	refused := func(now time.Duration) time.Duration {
-		b.Note(now, key(9), Note{Step: StepRefused, Replica: "decode-1"})
+		b.RecordProgress(now, key(9), ProgressReport{Step: StepRefused, Replica: "decode-1"})
 		return b.replicas["decode-1"].avoidedUntil
 	}
 	until := refused(0)
@@ -128,7 +128,7 @@
 		now = refused(now)
 	}
 	must.Eq(t, maxRefusal, b.replicas["decode-1"].refusalBackoff)
-	answer := b.Place(2*time.Minute, key(20), Ask{Prompt: 100, Zone: "a", Deadline: time.Second, Excluded: []string{"decode-2"}})
+	answer := b.Place(2*time.Minute, key(20), Request{PromptTokens: 100, Zone: "a", Deadline: time.Second, Excluded: []string{"decode-2"}})
 	must.Eq(t, "decode-1", answer.Generator)
 	finishRequest(b, 2*time.Minute, 20, answer)
 	must.Eq(t, 2*time.Minute+minRefusal, refused(2*time.Minute), must.Sprint("a completed request resets the backoff"))
@@ -139,18 +139,18 @@
 // are long enough it is the cheapest at any finite cost.
 func TestMisdirectedReplicaGetsNoRequests(t *testing.T) {
 	b := newTestBoard()
-	request := Ask{Prompt: 100, Zone: "a", Deadline: time.Hour}
-	alone := Ask{Prompt: 100, Zone: "a", Deadline: time.Hour, Excluded: []string{"decode-2"}}
-	b.Note(0, key(1000), Note{Step: StepMisdirected, Replica: "decode-1"})
+	request := Request{PromptTokens: 100, Zone: "a", Deadline: time.Hour}
+	alone := Request{PromptTokens: 100, Zone: "a", Deadline: time.Hour, Excluded: []string{"decode-2"}}
+	b.RecordProgress(0, key(1000), ProgressReport{Step: StepMisdirected, Replica: "decode-1"})
 	for number := range uint64(1000) {
 		must.Eq(t, "decode-2", b.Place(minBan-1, key(number), request).Generator)
 	}
 	must.Eq(t, "", b.Place(minBan-1, key(1001), alone).Generator)
-	b.Note(minBan-1, key(1000), Note{Step: StepMisdirected, Replica: "decode-1"})
+	b.RecordProgress(minBan-1, key(1000), ProgressReport{Step: StepMisdirected, Replica: "decode-1"})
 	must.Eq(t, "decode-1", b.Place(minBan, key(1002), alone).Generator, must.Sprint("a report of a request already sent must not extend the ban"))
 
 	for now := minBan; now < time.Minute; now = b.replicas["decode-1"].bannedUntil {
-		b.Note(now, key(1000), Note{Step: StepMisdirected, Replica: "decode-1"})
+		b.RecordProgress(now, key(1000), ProgressReport{Step: StepMisdirected, Replica: "decode-1"})
 	}
 	must.Eq(t, maxBan, b.replicas["decode-1"].banPeriod)
 	b.replicas["decode-1"].recordSuccess(&placedRequest{placedAt: time.Minute})
@@ -159,7 +159,7 @@
 
 func TestAnsweredFailuresRaiseNoSuspicion(t *testing.T) {
 	b := newTestBoard()
-	b.Note(0, key(9), Note{Step: StepErred, Replica: "decode-1"})
+	b.RecordProgress(0, key(9), ProgressReport{Step: StepAnsweredError, Replica: "decode-1"})
 	must.Eq(t, 0, b.replicas["decode-1"].avoidedUntil)
 	must.Greater(t, 0.0, b.replicas["decode-1"].failureRate)
 }
@@ -169,11 +169,11 @@
 	now := time.Duration(0)
 	for number := range uint64(80) {
 		prompt := 8_000 + 12_000*int(number%2)
-		answer := b.Place(now, key(number), Ask{Prompt: prompt, Zone: "a", Deadline: time.Minute})
+		answer := b.Place(now, key(number), Request{PromptTokens: prompt, Zone: "a", Deadline: time.Minute})
 		must.NotEq(t, "", answer.Reader)
 		took := initialReadOverhead + time.Duration(prompt)*10*time.Microsecond
-		b.Note(now+took, key(number), Note{Step: StepRead})
-		b.Note(now+took, key(number), Note{Step: StepEnded})
+		b.RecordProgress(now+took, key(number), ProgressReport{Step: StepRead})
+		b.RecordProgress(now+took, key(number), ProgressReport{Step: StepEnded})
 		now += time.Second
 	}
 	must.Between(t, 9*time.Microsecond, b.readTimes[RolePrefill].perToken(), 12*time.Microsecond)
@@ -181,17 +181,17 @@
 
 func TestExpiredRequestsAreRemoved(t *testing.T) {
 	b := newTestBoard()
-	answer := b.Place(0, key(1), Ask{Prompt: 10_000, Zone: "a", Deadline: time.Second})
+	answer := b.Place(0, key(1), Request{PromptTokens: 10_000, Zone: "a", Deadline: time.Second})
 	must.NotEq(t, "", answer.Reader)
-	b.Place(time.Minute, key(2), Ask{Prompt: 10, Zone: "a", Deadline: time.Second})
+	b.Place(time.Minute, key(2), Request{PromptTokens: 10, Zone: "a", Deadline: time.Second})
 	must.MapLen(t, 1, b.inFlight)
 	must.SliceEmpty(t, b.replicas[answer.Reader].queue)
 }
 
 func TestUntrackedRequestsExpire(t *testing.T) {
 	b := newTestBoard()
-	answer := b.Place(time.Second, key(1), Ask{Prompt: 10, Zone: "a", Deadline: time.Second})
-	b.Note(time.Second, key(1), Note{Step: StepStarted, Told: 41})
+	answer := b.Place(time.Second, key(1), Request{PromptTokens: 10, Zone: "a", Deadline: time.Second})
+	b.RecordProgress(time.Second, key(1), ProgressReport{Step: StepStarted, ReportedRequests: 41})
 	must.Eq(t, 40, b.replicas[answer.Generator].untrackedCount(1500*ms))
 	must.Eq(t, 0, b.replicas[answer.Generator].untrackedCount(3*time.Second))
 }
@@ -202,15 +202,15 @@
 	for i := range minWarmParts {
 		parts = append(parts, Part{ID: fmt.Sprint(i), Tokens: 10})
 	}
-	b.Kept("prefill-1", parts)
-	must.Eq(t, []string{"decode-1", "decode-2", "prefill-2"}, b.Cold())
+	b.AddCachedParts("prefill-1", parts)
+	must.Eq(t, []string{"decode-1", "decode-2", "prefill-2"}, b.ColdReplicas())
 }
 
 func TestNoUsableReplicaMeansEmptyAnswer(t *testing.T) {
 	b := NewBoard()
-	must.Eq(t, Answer{}, b.Place(0, key(1), Ask{Prompt: 100}))
+	must.Eq(t, Answer{}, b.Place(0, key(1), Request{PromptTokens: 100}))
 	b.SetReplicas(testSheet, []Replica{{Name: "m", Zone: "a", Leaving: true}})
-	must.Eq(t, Answer{}, b.Place(0, key(1), Ask{Prompt: 100}))
+	must.Eq(t, Answer{}, b.Place(0, key(1), Request{PromptTokens: 100}))
 }
 
 // Under any sequence of placements and notes, an answer names only replicas that may take the
@@ -225,13 +225,13 @@
 			now += time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * ms
 			number := rapid.Uint64Range(1, 6).Draw(t, "number")
 			if rapid.Bool().Draw(t, "note") {
-				note := Note{
-					Step:    Step(rapid.IntRange(1, int(StepRefused)).Draw(t, "step")),
-					Replica: rapid.SampledFrom([]string{"", "decode-1", "prefill-2", "gone"}).Draw(t, "replica"),
-					Told:    rapid.IntRange(0, 50).Draw(t, "told"),
+				note := ProgressReport{
+					Step:             Step(rapid.IntRange(1, int(StepRefused)).Draw(t, "step")),
+					Replica:          rapid.SampledFrom([]string{"", "decode-1", "prefill-2", "gone"}).Draw(t, "replica"),
+					ReportedRequests: rapid.IntRange(0, 50).Draw(t, "told"),
 				}
-				first.Note(now, key(number), note)
-				second.Note(now, key(number), note)
+				first.RecordProgress(now, key(number), note)
+				second.RecordProgress(now, key(number), note)
 			} else {
 				excluded := rapid.SliceOfN(rapid.SampledFrom([]string{"decode-1", "prefill-1"}), 0, 2).Draw(t, "excluded")
 				next := newRequest(rapid.SampledFrom([]string{"p", "q", "r"}).Draw(t, "part"), 9_000, rapid.IntRange(0, 9_000).Draw(t, "own"))
--- a/request/placement/change.go
+++ b/request/placement/change.go
@@ -12,7 +12,7 @@
 
 // Change keeps requests off a replica that is changing to the role, for at least minDuration and
 // until it is listed with the role. After timeout its listed role is used in any case.
-func (b *Board) Change(now time.Duration, name string, role Role, minDuration, timeout time.Duration) {
+func (b *Board) BeginRoleChange(now time.Duration, name string, role Role, minDuration, timeout time.Duration) {
 	b.changes[name] = roleChange{role: role, readyAt: now + minDuration, expiresAt: now + timeout}
 }
 
@@ -59,7 +59,7 @@
 
 // Idle reports whether the replica has no requests in flight. This is true of a replica that is
 // not listed.
-func (b *Board) Idle(name string) bool {
+func (b *Board) IsIdle(name string) bool {
 	known := b.replicas[name]
 	return known == nil || len(known.running)+len(known.queue) == 0
 }
@@ -81,7 +81,7 @@
 // Starting returns the time from the transfer of a prompt to the first token (decodeStartTime) as
 // a share of the mean objective, or 0 if no request had an objective. It rises when the generators
 // are overloaded.
-func (b *Board) Starting() float64 {
+func (b *Board) DecodeStartShare() float64 {
 	if b.objective == 0 {
 		return 0
 	}
--- a/request/placement/choose.go
+++ b/request/placement/choose.go
@@ -75,19 +75,19 @@
 	if o.wait > 0 {
 		return Answer{Wait: o.wait}
 	}
-	answer := Answer{Generator: o.generator.Name, Unread: o.unread, Estimate: o.timeToFirstToken}
+	answer := Answer{Generator: o.generator.Name, UnreadTokens: o.unread, Estimate: o.timeToFirstToken}
 	if o.reader != nil {
 		answer.Reader = o.reader.Name
 	}
 	if o.fetch != nil {
-		answer.Fetch = o.fetch.Name
+		answer.FetchFrom = o.fetch.Name
 	}
 	return answer
 }
 
 // choose returns the cheapest option for the request: placed now, or after a wait for parts
 // that are being read for other requests. It returns false if no generator can take the request.
-func (b *Board) choose(now time.Duration, request *Ask) (option, bool) {
+func (b *Board) choose(now time.Duration, request *Request) (option, bool) {
 	candidates := b.candidates(now, request)
 	best, found := b.chooseNow(now, request, candidates)
 	if !found || request.Continued {
@@ -109,7 +109,7 @@
 
 // candidates returns the replicas that are compared for the request. It starts new choices in the
 // index (index.choiceNumber).
-func (b *Board) candidates(now time.Duration, request *Ask) candidateReplicas {
+func (b *Board) candidates(now time.Duration, request *Request) candidateReplicas {
 	candidates := candidateReplicas{prefixHolders: b.prefixHolders(now, request)}
 	candidates.generators = b.shortlist(now, RoleDecode, request, candidates.prefixHolders)
 	if !request.Continued {
@@ -124,7 +124,7 @@
 // The cost of a split is the sum of the reader's cost, the generator's cost, and that of a
 // transfer, which depends only on the zones of the two. So for each pair of zones only the
 // cheapest reader and the cheapest generator are compared.
-func (b *Board) chooseNow(now time.Duration, request *Ask, candidates candidateReplicas) (option, bool) {
+func (b *Board) chooseNow(now time.Duration, request *Request, candidates candidateReplicas) (option, bool) {
 	var best option
 	found := false
 	consider := func(next option) {
@@ -155,7 +155,7 @@
 
 // generationHalf returns the half of a split that generates from a prompt read elsewhere. The
 // first token has to wait for the prompts that the generator still has to read.
-func (b *Board) generationHalf(now time.Duration, request *Ask, generator *replica) splitHalf {
+func (b *Board) generationHalf(now time.Duration, request *Request, generator *replica) splitHalf {
 	timeToFirstToken := generator.backlog(now, b.readTimes[RoleDecode].perToken(), request) + b.decodeStartTime
 	return splitHalf{
 		option: option{generator: generator, timeToFirstToken: timeToFirstToken},
@@ -198,7 +198,7 @@
 
 // prefixHolders returns, for each zone, the replica that has the longest prefix of the prompt
 // cached.
-func (b *Board) prefixHolders(now time.Duration, request *Ask) map[string]prefixHolder {
+func (b *Board) prefixHolders(now time.Duration, request *Request) map[string]prefixHolder {
 	best := map[string]prefixHolder{}
 	for last := len(request.Parts) - 1; last >= 0; last-- {
 		leading := request.Parts[:last+1]
@@ -237,13 +237,13 @@
 
 // readOption returns the option of reading the prompt on a replica, without a generator. Parts
 // that another replica has cached are fetched from there if that saves time.
-func (b *Board) readOption(now time.Duration, request *Ask, at *replica, prefixHolders map[string]prefixHolder) option {
+func (b *Board) readOption(now time.Duration, request *Request, at *replica, prefixHolders map[string]prefixHolder) option {
 	cachedTokens := at.cache.leadingTokens(request.Parts)
 	if own := prefixHolders[at.Zone]; own.replica == at {
 		cachedTokens = max(cachedTokens, own.tokens)
 	}
 	perToken := b.readTimes[at.Role].perToken()
-	best := option{reader: at, unread: max(request.Prompt-cachedTokens, 0)}
+	best := option{reader: at, unread: max(request.PromptTokens-cachedTokens, 0)}
 	best.timeToFirstToken = time.Duration(best.unread) * perToken
 	best.cost = best.timeToFirstToken
 	for _, other := range prefixHolders {
@@ -252,7 +252,7 @@
 			continue
 		}
 		transferTime, transferCost := b.estimateTransfer(saved, other.replica.Zone, at.Zone)
-		unread := max(request.Prompt-other.tokens, 0)
+		unread := max(request.PromptTokens-other.tokens, 0)
 		timeToFirstToken := transferTime + time.Duration(unread)*perToken
 		if timeToFirstToken+transferCost < best.cost || timeToFirstToken+transferCost == best.cost && other.replica.Name < nameOrEmpty(best.fetch) {
 			best = option{reader: at, fetch: other.replica, unread: unread, timeToFirstToken: timeToFirstToken, cost: timeToFirstToken + transferCost}
@@ -269,7 +269,7 @@
 }
 
 // connectionCost returns the cost of a new connection if the daemon has none to the replica.
-func (a *Ask) connectionCost(to *replica) time.Duration {
+func (a *Request) connectionCost(to *replica) time.Duration {
 	if slices.Contains(a.Connected, to.Name) {
 		return 0
 	}
@@ -302,7 +302,7 @@
 	}
 	took = transferSetup
 	if b.sheet.LinkMbps > 0 {
-		bits := float64(tokens) * float64(b.sheet.BytesPerTok) * 8
+		bits := float64(tokens) * float64(b.sheet.BytesPerToken) * 8
 		took += time.Duration(float64(factor) * bits / (b.sheet.LinkMbps * 1e6) * float64(time.Second))
 	}
 	cost = time.Duration(factor*tokens/1000) * transferCostPerThousand
@@ -310,7 +310,7 @@
 }
 
 // directOption returns the option in which the generator reads the prompt itself.
-func (b *Board) directOption(now time.Duration, request *Ask, generator *replica, prefixHolders map[string]prefixHolder) option {
+func (b *Board) directOption(now time.Duration, request *Request, generator *replica, prefixHolders map[string]prefixHolder) option {
 	next := b.readOption(now, request, generator, prefixHolders)
 	next.reader = nil
 	next.generator = generator
@@ -321,7 +321,7 @@
 // disturbanceCost returns the cost of the delay that reading a prompt causes to the streams on the
 // same replica. The replica generates their tokens between chunks of the prompt, so tokens are
 // late if the reading, with the prompts ahead of it, lasts longer than the gap objective allows.
-func (b *Board) disturbanceCost(now time.Duration, request *Ask, unread int, generator *replica) time.Duration {
+func (b *Board) disturbanceCost(now time.Duration, request *Request, unread int, generator *replica) time.Duration {
 	perToken := b.readTimes[RoleDecode].perToken()
 	gap := b.sheet.GapObjective
 	if gap <= 0 {
@@ -339,7 +339,7 @@
 }
 
 // generationCost returns the cost of generating on a replica, without the time to first token.
-func (b *Board) generationCost(now time.Duration, request *Ask, generator *replica) time.Duration {
+func (b *Board) generationCost(now time.Duration, request *Request, generator *replica) time.Duration {
 	running := len(generator.running) + generator.untrackedCount(now)
 	cost := time.Duration(running) * perStreamCost
 	if generator.Slots > 0 && running >= generator.Slots {
@@ -352,8 +352,8 @@
 }
 
 // splitOption returns the option in which one replica reads the prompt and another generates.
-func (b *Board) splitOption(request *Ask, read option, generation splitHalf) option {
-	transferTime, transferCost := b.estimateTransfer(request.Prompt, read.reader.Zone, generation.zone)
+func (b *Board) splitOption(request *Request, read option, generation splitHalf) option {
+	transferTime, transferCost := b.estimateTransfer(request.PromptTokens, read.reader.Zone, generation.zone)
 	next := read
 	next.generator = generation.option.generator
 	next.timeToFirstToken += transferTime + generation.option.timeToFirstToken
--- a/request/placement/choose_test.go
+++ b/request/placement/choose_test.go
@@ -10,7 +10,7 @@
 )
 
 // chooseAmongAll compares every pair of replicas; it is the reference for chooseNow.
-func (b *Board) chooseAmongAll(now time.Duration, request *Ask) option {
+func (b *Board) chooseAmongAll(now time.Duration, request *Request) option {
 	prefixHolders := b.prefixHolders(now, request)
 	generators := b.usableReplicas(now, RoleDecode, request)
 	var best option
@@ -48,7 +48,7 @@
 			}
 			if rapid.Bool().Draw(t, "fails") {
 				name := rapid.SampledFrom(b.names).Draw(t, "failed")
-				b.Note(now, key(number), Note{Step: StepFailed, Replica: name})
+				b.RecordProgress(now, key(number), ProgressReport{Step: StepFailed, Replica: name})
 			}
 		}
 	})
@@ -81,11 +81,11 @@
 				next.Deadline = time.Hour
 				answer := board.Place(0, key(number), next)
 				if answer.Reader != "" {
-					board.Note(0, key(number), Note{Step: StepRead})
+					board.RecordProgress(0, key(number), ProgressReport{Step: StepRead})
 				}
-				board.Note(0, key(number), Note{Step: StepStarted})
+				board.RecordProgress(0, key(number), ProgressReport{Step: StepStarted})
 				if number >= inFlight {
-					board.Note(0, key(number-inFlight), Note{Step: StepEnded})
+					board.RecordProgress(0, key(number-inFlight), ProgressReport{Step: StepEnded})
 				}
 			}
 		})
@@ -115,7 +115,7 @@
 		running := shortRequest()
 		running.Excluded = []string{"decode-1"}
 		b.Place(0, key(10+number), running)
-		b.Note(0, key(10+number), Note{Step: StepStarted})
+		b.RecordProgress(0, key(10+number), ProgressReport{Step: StepStarted})
 	}
 	answer := b.Place(0, key(2), requestWithObjective(9_000, 0))
 	must.NotEq(t, "", answer.Reader)
@@ -136,12 +136,12 @@
 		transferred.Excluded = []string{"decode-2"}
 		must.NotEq(t, "", b.Place(now, key(number), transferred).Reader)
 		now += 250 * ms
-		b.Note(now, key(number), Note{Step: StepRead})
+		b.RecordProgress(now, key(number), ProgressReport{Step: StepRead})
 		now += 90 * ms // the read on decode-1 ends
-		b.Note(now, key(1000+number), Note{Step: StepStarted})
-		b.Note(now, key(number), Note{Step: StepStarted})
-		b.Note(now, key(1000+number), Note{Step: StepEnded})
-		b.Note(now, key(number), Note{Step: StepEnded})
+		b.RecordProgress(now, key(1000+number), ProgressReport{Step: StepStarted})
+		b.RecordProgress(now, key(number), ProgressReport{Step: StepStarted})
+		b.RecordProgress(now, key(1000+number), ProgressReport{Step: StepEnded})
+		b.RecordProgress(now, key(number), ProgressReport{Step: StepEnded})
 	}
 	must.LessEq(t, initialDecodeStartTime+10*ms, b.decodeStartTime)
 }
@@ -163,7 +163,7 @@
 }
 
 // usableReplicas returns all replicas of the role that may take the request, by name.
-func (b *Board) usableReplicas(now time.Duration, role Role, request *Ask) []*replica {
+func (b *Board) usableReplicas(now time.Duration, role Role, request *Request) []*replica {
 	var usable []*replica
 	for _, name := range b.names {
 		if candidate := b.replicas[name]; candidate.Role == role && b.isUsable(now, candidate, request) {
@@ -181,7 +181,7 @@
 	b.SetReplicas(testSheet, benchmarkReplicas(12)) // three of them are readers
 	for number := range uint64(36) {
 		b.Place(0, key(number), newRequest("", 0, 100))
-		b.Note(0, key(number), Note{Step: StepStarted})
+		b.RecordProgress(0, key(number), ProgressReport{Step: StepStarted})
 	}
 	late := 0
 	for number := range uint64(30) {
--- a/request/placement/confine.go
+++ b/request/placement/confine.go
@@ -57,7 +57,7 @@
 }
 
 // Alert records that replicas crash one after the other, apparently under some request.
-func (b *Board) Alert(now time.Duration) { b.isolation.alertUntil = now + alertDuration }
+func (b *Board) RaiseAlert(now time.Duration) { b.isolation.alertUntil = now + alertDuration }
 
 // IsAlert reports whether such a series goes on, so that requests have to be identified.
 func (b *Board) IsAlert(now time.Duration) bool { return now < b.isolation.alertUntil }
@@ -66,7 +66,7 @@
 // and keeps them isolated for another isolationIdleTime if the request is a suspect. Without an
 // alert it ends the isolation and clears request.Suspect. It returns how long a suspect has to
 // wait; 0 lets the request be placed.
-func (iso *isolation) admit(b *Board, now time.Duration, request *Ask) (wait time.Duration) {
+func (iso *isolation) admit(b *Board, now time.Duration, request *Request) (wait time.Duration) {
 	if now >= iso.alertUntil {
 		iso.isolated, iso.lostAt = nil, nil
 		request.Suspect = false
@@ -76,7 +76,7 @@
 		iso.reservedUntil = now + isolationIdleTime
 	}
 	iso.update(b, now)
-	if !request.Suspect || !request.Judged && b.hasFreeIsolatedReplica(now, request) {
+	if !request.Suspect || !request.AwaitsQuarantine && b.hasFreeIsolatedReplica(now, request) {
 		return 0
 	}
 	return suspectRetryInterval
@@ -149,7 +149,7 @@
 // allows reports whether the request may go to a replica: suspects run on free isolated
 // generators, all others on any other generator. Readers take all requests, since reading a
 // prompt does not crash a replica.
-func (iso *isolation) allows(now time.Duration, at *replica, request *Ask) bool {
+func (iso *isolation) allows(now time.Duration, at *replica, request *Request) bool {
 	if now >= iso.alertUntil || at.Role != RoleDecode {
 		return true
 	}
@@ -158,7 +158,7 @@
 }
 
 // hasFreeIsolatedReplica reports whether an isolated generator can take the suspect now.
-func (b *Board) hasFreeIsolatedReplica(now time.Duration, request *Ask) bool {
+func (b *Board) hasFreeIsolatedReplica(now time.Duration, request *Request) bool {
 	return len(b.shortlist(now, RoleDecode, request, nil)) > 0
 }
 
@@ -178,7 +178,7 @@
 // delaySuspect returns the reply to a suspect that cannot be placed yet: to wait, or a refusal if
 // it has too little time left for that (less than two waits, or than suspectTimeLeftShare of its
 // age), early enough for its caller to retry.
-func (b *Board) delaySuspect(request *Ask, wait time.Duration) Answer {
+func (b *Board) delaySuspect(request *Request, wait time.Duration) Answer {
 	if request.Deadline < 2*wait || request.Deadline < fraction(request.Age, suspectTimeLeftShare) {
 		return Answer{Refused: true, RetryAfter: replicaRestartTime}
 	}
@@ -199,7 +199,7 @@
 // request waits as long as it can meet its objective, and is then refused with the time after
 // which a generator is expected. Otherwise, as when it excludes the healthy ones, it gets an empty
 // reply.
-func (b *Board) answerWithoutGenerator(now time.Duration, request *Ask) Answer {
+func (b *Board) answerWithoutGenerator(now time.Duration, request *Request) Answer {
 	listed, healthy := b.generators(now)
 	if listed == 0 || len(healthy) > 0 || request.Continued {
 		return Answer{}
--- a/request/placement/confine_test.go
+++ b/request/placement/confine_test.go
@@ -19,10 +19,10 @@
 	return b
 }
 
-func suspectRequest(name string) Ask {
+func suspectRequest(name string) Request {
 	request := newRequest("", 0, 500)
 	request.Parts = request.Parts[1:]
-	request.Name, request.Suspect = name, true
+	request.Fingerprint, request.Suspect = name, true
 	return request
 }
 
@@ -32,7 +32,7 @@
 	for number := range uint64(20) {
 		answer := b.Place(0, key(number), suspectRequest("x"))
 		must.NotEq(t, "", answer.Generator)
-		must.False(t, answer.Alone)
+		must.False(t, answer.Isolated)
 	}
 }
 
@@ -41,11 +41,11 @@
 func TestSuspectsRunAlone(t *testing.T) {
 	for _, each := range []struct{ generators, isolated int }{{2, 1}, {5, 1}, {6, 2}, {30, 10}} {
 		b := newBoardWithGenerators(each.generators)
-		b.Alert(0)
+		b.RaiseAlert(0)
 		alone := map[string]bool{}
 		for number := range uint64(4 * each.generators) {
 			if answer := b.Place(0, key(number), suspectRequest("x")); answer.Generator != "" {
-				must.True(t, answer.Alone)
+				must.True(t, answer.Isolated)
 				must.False(t, alone[answer.Generator], must.Sprint("two suspects on one replica"))
 				alone[answer.Generator] = true
 				continue
@@ -66,27 +66,27 @@
 // suspectWatchTime ago.
 func TestIsolatedReplicasRunOneSuspectAtATime(t *testing.T) {
 	b := newBoardWithGenerators(3)
-	b.Alert(0)
-	must.True(t, b.Place(0, key(1), suspectRequest("x")).Alone)
+	b.RaiseAlert(0)
+	must.True(t, b.Place(0, key(1), suspectRequest("x")).Isolated)
 	must.Positive(t, b.Place(0, key(2), suspectRequest("y")).Wait)
-	b.Note(10*ms, key(1), Note{Step: StepStarted})
+	b.RecordProgress(10*ms, key(1), ProgressReport{Step: StepStarted})
 	must.Positive(t, b.Place(20*ms, key(2), suspectRequest("y")).Wait, must.Sprint("the first suspect may still crash the replica"))
-	b.Note(30*ms, key(1), Note{Step: StepEnded})
-	must.True(t, b.Place(40*ms, key(2), suspectRequest("y")).Alone)
-	b.Note(50*ms, key(2), Note{Step: StepStarted})
+	b.RecordProgress(30*ms, key(1), ProgressReport{Step: StepEnded})
+	must.True(t, b.Place(40*ms, key(2), suspectRequest("y")).Isolated)
+	b.RecordProgress(50*ms, key(2), ProgressReport{Step: StepStarted})
 	third := b.Place(50*ms+suspectWatchTime, key(3), suspectRequest("z"))
 	must.NotEq(t, "", third.Generator)
-	must.False(t, third.Alone, must.Sprint("the previous suspect still runs there"))
+	must.False(t, third.Isolated, must.Sprint("the previous suspect still runs there"))
 }
 
 // A free isolated replica is reserved for the next suspect, which could crash anything else
 // that ran there.
 func TestFreeIsolatedReplicasAreReserved(t *testing.T) {
 	b := newBoardWithGenerators(3)
-	b.Alert(0)
+	b.RaiseAlert(0)
 	isolated := b.Place(0, key(1), suspectRequest("x")).Generator
-	b.Note(ms, key(1), Note{Step: StepStarted})
-	b.Note(2*ms, key(1), Note{Step: StepEnded})
+	b.RecordProgress(ms, key(1), ProgressReport{Step: StepStarted})
+	b.RecordProgress(2*ms, key(1), ProgressReport{Step: StepEnded})
 	for number := range uint64(30) {
 		must.NotEq(t, isolated, b.Place(3*ms, key(100+number), newRequest("", 0, 500)).Generator)
 	}
@@ -104,12 +104,12 @@
 		return len(names)
 	}
 	b := newBoardWithGenerators(6)
-	b.Alert(0)
+	b.RaiseAlert(0)
 	must.Eq(t, 6, used(b, 0), must.Sprint("no suspect was placed"))
 	b = newBoardWithGenerators(6)
-	b.Alert(0)
-	must.True(t, b.Place(0, key(1), suspectRequest("x")).Alone)
-	b.Note(ms, key(1), Note{Step: StepEnded})
+	b.RaiseAlert(0)
+	must.True(t, b.Place(0, key(1), suspectRequest("x")).Isolated)
+	b.RecordProgress(ms, key(1), ProgressReport{Step: StepEnded})
 	must.Eq(t, 4, used(b, isolationIdleTime-ms))
 	must.Eq(t, 6, used(b, isolationIdleTime))
 }
@@ -121,7 +121,7 @@
 	for number := range uint64(6) {
 		b.Place(0, key(number), newRequest("", 0, 500))
 	}
-	b.Alert(0)
+	b.RaiseAlert(0)
 	must.Positive(t, b.Place(0, key(100), suspectRequest("x")).Wait)
 	must.NotEq(t, "", b.Place(isolationDrainTime, key(100), suspectRequest("x")).Generator)
 }
@@ -133,14 +133,14 @@
 		b := newBoardWithGenerators(generators)
 		lost := 0
 		for now := time.Duration(0); now < replicaRestartTime; now += 10 * ms {
-			b.Alert(now)
+			b.RaiseAlert(now)
 			number := uint64(now)
 			answer := b.Place(now, key(number), suspectRequest("x"))
 			if answer.Generator == "" {
 				continue
 			}
 			lost++
-			b.Note(now+ms, key(number), Note{Step: StepFailed, Replica: answer.Generator})
+			b.RecordProgress(now+ms, key(number), ProgressReport{Step: StepFailed, Replica: answer.Generator})
 		}
 		must.Eq(t, max(generators/isolatedDivisor, 1), lost, must.Sprint(generators))
 		must.NotEq(t, "", b.Place(replicaRestartTime-ms, key(1), newRequest("", 0, 500)).Generator, must.Sprint("other requests are placed"))
@@ -150,7 +150,7 @@
 // A suspect with too little time left to wait is refused while its caller can still retry.
 func TestSuspectsWithLittleTimeLeftAreRefused(t *testing.T) {
 	b := newBoardWithGenerators(2)
-	b.Alert(0)
+	b.RaiseAlert(0)
 	b.Place(0, key(1), suspectRequest("x"))
 	waiting := suspectRequest("y")
 	waiting.Age, waiting.Deadline = 4*time.Second, time.Second
@@ -165,7 +165,7 @@
 	b := newBoardWithGenerators(2)
 	for number, name := range []string{"decode-00", "decode-01"} {
 		b.Place(0, key(uint64(number)), newRequest("", 0, 500))
-		b.Note(10*ms, key(uint64(number)), Note{Step: StepGone, Replica: name})
+		b.RecordProgress(10*ms, key(uint64(number)), ProgressReport{Step: StepUnreachable, Replica: name})
 	}
 	early := requestWithObjective(500, 500*ms)
 	must.Positive(t, b.Place(20*ms, key(10), early).Wait, must.Sprint("a generator may be back in time"))
@@ -181,9 +181,9 @@
 // and is refused if it has too little time left.
 func TestJudgedSuspectWaits(t *testing.T) {
 	b := newBoardWithGenerators(6)
-	b.Alert(0)
+	b.RaiseAlert(0)
 	judged := suspectRequest("x")
-	judged.Judged = true
+	judged.AwaitsQuarantine = true
 	answer := b.Place(0, key(1), judged)
 	must.Eq(t, "", answer.Generator)
 	must.Positive(t, answer.Wait)
--- a/request/placement/failure_test.go
+++ b/request/placement/failure_test.go
@@ -8,7 +8,7 @@
 )
 
 // shortRequest returns a request that its generator reads.
-func shortRequest() Ask { return Ask{Prompt: 100, Zone: "a", Deadline: 5 * time.Second} }
+func shortRequest() Request { return Request{PromptTokens: 100, Zone: "a", Deadline: 5 * time.Second} }
 
 // placeAndFail places a request on a replica, which gives no answer to it.
 func placeAndFail(b *Board, placedAt, now time.Duration, number uint64, name string) {
@@ -19,7 +19,7 @@
 		}
 	}
 	b.Place(placedAt, key(number), request)
-	b.Note(now, key(number), Note{Step: StepFailed, Replica: name})
+	b.RecordProgress(now, key(number), ProgressReport{Step: StepFailed, Replica: name})
 }
 
 // A replica that loses some answers goes on answering other requests. If it were avoided, the
@@ -31,7 +31,7 @@
 	b.Place(0, key(1), only)
 	placeAndFail(b, 0, 10*ms, 2, "decode-1")
 	must.True(t, b.replicas["decode-1"].isSuspected(11*ms))
-	b.Note(12*ms, key(1), Note{Step: StepStarted})
+	b.RecordProgress(12*ms, key(1), ProgressReport{Step: StepStarted})
 	must.False(t, b.replicas["decode-1"].isSuspected(13*ms))
 }
 
@@ -39,7 +39,7 @@
 func TestSuspicionEndsWithAnAnsweredFailure(t *testing.T) {
 	b := newTestBoard()
 	placeAndFail(b, 0, 10*ms, 1, "decode-1")
-	b.Note(12*ms, key(9), Note{Step: StepErred, Replica: "decode-1"})
+	b.RecordProgress(12*ms, key(9), ProgressReport{Step: StepAnsweredError, Replica: "decode-1"})
 	must.False(t, b.replicas["decode-1"].isSuspected(13*ms))
 	must.Greater(t, 0.0, b.replicas["decode-1"].failureRate)
 }
@@ -53,7 +53,7 @@
 		b.Place(0, key(number), only)
 	}
 	for number := range uint64(20) {
-		b.Note(10*ms+time.Duration(number)*ms, key(number), Note{Step: StepFailed, Replica: "decode-1"})
+		b.RecordProgress(10*ms+time.Duration(number)*ms, key(number), ProgressReport{Step: StepFailed, Replica: "decode-1"})
 	}
 	must.Eq(t, minSuspicion, b.replicas["decode-1"].suspicionPeriod)
 	must.False(t, b.replicas["decode-1"].isSuspected(10*ms+minSuspicion))
@@ -73,12 +73,12 @@
 	}
 	must.MapLen(t, 1, b.replicas["decode-1"].running)
 	for number := range uint64(6) {
-		b.Note(now, key(100+number), Note{Step: StepEnded})
+		b.RecordProgress(now, key(100+number), ProgressReport{Step: StepEnded})
 	}
 	must.False(t, b.replicas["decode-1"].isSuspected(now), must.Sprint("the probe ended without a result, so the next request may probe"))
 	must.Eq(t, "decode-1", b.Place(now, key(200), shortRequest()).Generator)
 	must.True(t, b.replicas["decode-1"].isSuspected(now))
-	b.Note(now+50*ms, key(200), Note{Step: StepStarted})
+	b.RecordProgress(now+50*ms, key(200), ProgressReport{Step: StepStarted})
 	must.False(t, b.replicas["decode-1"].isSuspected(now+50*ms))
 	must.Eq(t, 0, b.replicas["decode-1"].suspicionPeriod)
 }
--- a/request/placement/fairness.go
+++ b/request/placement/fairness.go
@@ -39,7 +39,7 @@
 }
 
 // class returns the class of the request.
-func (a *Ask) class() class { return class{priority: a.Priority, objective: a.Objective} }
+func (a *Request) class() class { return class{priority: a.Priority, objective: a.Objective} }
 
 // sizeGroup is a group of the requests of a class, by prompt length.
 type sizeGroup uint8
@@ -74,7 +74,7 @@
 // fairnessOf returns the statistics of the request's class, and adds them if the class is new.
 // Then it also removes the classes that have had no request for classIdleTimeout, for instance
 // because objectives were changed.
-func (b *Board) fairnessOf(now time.Duration, request *Ask) *fairness {
+func (b *Board) fairnessOf(now time.Duration, request *Request) *fairness {
 	statistics := b.fairness[request.class()]
 	if statistics != nil {
 		return statistics
--- a/request/placement/fairness_test.go
+++ b/request/placement/fairness_test.go
@@ -85,15 +85,15 @@
 		for range 8 {
 			if answer := place(2_000); !answer.Deferred {
 				now += answer.Estimate
-				b.Note(now, key(number), Note{Step: StepStarted})
+				b.RecordProgress(now, key(number), ProgressReport{Step: StepStarted})
 			}
-			b.Note(now, key(number), Note{Step: StepEnded})
+			b.RecordProgress(now, key(number), ProgressReport{Step: StepEnded})
 		}
 		for range 2 {
 			if answer := place(60_000); answer.Generator != "" && !answer.Deferred {
 				inTime++
 			}
-			b.Note(now, key(number), Note{Step: StepEnded})
+			b.RecordProgress(now, key(number), ProgressReport{Step: StepEnded})
 		}
 	}
 	must.Greater(t, 10, inTime)
--- a/request/placement/index.go
+++ b/request/placement/index.go
@@ -237,13 +237,13 @@
 	board   *Board
 	now     time.Duration
 	role    Role
-	request *Ask
+	request *Request
 	found   []*replica
 }
 
 // shortlist returns the replicas of the role that are compared for the request, sorted by name. It
 // starts a new choice in the index.
-func (b *Board) shortlist(now time.Duration, role Role, request *Ask, prefixHolders map[string]prefixHolder) []*replica {
+func (b *Board) shortlist(now time.Duration, role Role, request *Request, prefixHolders map[string]prefixHolder) []*replica {
 	list := &shortlistBuilder{board: b, now: now, role: role, request: request}
 	b.index.choiceNumber++
 	if request.Suspect && role == RoleDecode {
@@ -332,6 +332,6 @@
 }
 
 // isUsable reports whether the request may go to the replica.
-func (b *Board) isUsable(now time.Duration, r *replica, request *Ask) bool {
+func (b *Board) isUsable(now time.Duration, r *replica, request *Request) bool {
 	return r.acceptsRequests(now) && !slices.Contains(request.Excluded, r.Name) && !b.isChanging(now, r) && b.isolation.allows(now, r, request)
 }
--- a/request/placement/index_test.go
+++ b/request/placement/index_test.go
@@ -25,7 +25,7 @@
 		}
 		board.Place(0, key(number), next)
 		if number%2 == 0 {
-			board.Note(0, key(number), Note{Step: StepStarted})
+			board.RecordProgress(0, key(number), ProgressReport{Step: StepStarted})
 		}
 	}
 	return most
@@ -48,13 +48,13 @@
 	for number := range uint64(60) {
 		board.Place(0, key(number), newRequest(fmt.Sprint("part-", number%7), 9_000, 2_000))
 		if number%3 > 0 {
-			board.Note(0, key(number), Note{Step: StepStarted})
+			board.RecordProgress(0, key(number), ProgressReport{Step: StepStarted})
 		}
 	}
 	board.SetReplicas(testSheet, nil)
 	for number := range uint64(60) {
-		board.Note(time.Second, key(number), Note{Step: StepStarted})
-		board.Note(time.Second, key(number), Note{Step: StepEnded})
+		board.RecordProgress(time.Second, key(number), ProgressReport{Step: StepStarted})
+		board.RecordProgress(time.Second, key(number), ProgressReport{Step: StepEnded})
 	}
 	must.MapEmpty(t, board.index.holders)
 	must.MapEmpty(t, board.index.pending)
--- a/request/placement/leaving_test.go
+++ b/request/placement/leaving_test.go
@@ -12,13 +12,13 @@
 func TestReplicaThatAnnouncedLeavingIsUsedLast(t *testing.T) {
 	board := NewBoard()
 	entries := []Replica{{Name: "a", Role: RoleDecode}, {Name: "b", Role: RoleDecode}}
-	board.SetReplicas(Sheet{}, entries)
-	request := Ask{Prompt: 1000, Deadline: time.Minute}
+	board.SetReplicas(ServiceParameters{}, entries)
+	request := Request{PromptTokens: 1000, Deadline: time.Minute}
 	first := board.Place(0, Key{"d", 1}, request)
-	board.Note(0, Key{"d", 0}, Note{Step: StepLeaving, Replica: first.Generator})
+	board.RecordProgress(0, Key{"d", 0}, ProgressReport{Step: StepLeaving, Replica: first.Generator})
 	must.Eq(t, 1, board.Summarize(0).InFlight)
 	must.SliceLen(t, 1, board.Occupancies(0))
-	board.SetReplicas(Sheet{}, entries) // it is not listed as leaving yet
+	board.SetReplicas(ServiceParameters{}, entries) // it is not listed as leaving yet
 	for number := uint64(2); number < 8; number++ {
 		must.NotEq(t, first.Generator, board.Place(0, Key{"d", number}, request).Generator)
 	}
@@ -30,11 +30,11 @@
 	alone.Excluded = []string{other}
 	must.Eq(t, first.Generator, board.Place(0, Key{"d", 9}, alone).Generator, must.Sprint("no other replica is left"))
 	restarted := []Replica{{Name: "a", Role: RoleDecode, Born: 7}, {Name: "b", Role: RoleDecode, Born: 7}}
-	board.SetReplicas(Sheet{}, restarted)
+	board.SetReplicas(ServiceParameters{}, restarted)
 	must.SliceLen(t, 1, board.Occupancies(0), must.Sprint("a process whose Born value becomes known is the same process"))
 	for i := range restarted {
 		restarted[i].Born++
 	}
-	board.SetReplicas(Sheet{}, restarted)
+	board.SetReplicas(ServiceParameters{}, restarted)
 	must.SliceLen(t, 2, board.Occupancies(0))
 }
--- a/request/placement/order.go
+++ b/request/placement/order.go
@@ -29,7 +29,7 @@
 // chooseOrDefer returns the cheapest option for the request. It sets request.deferred and chooses
 // again if the request has to be deferred, and returns a refusal if a deferred request would miss
 // its deadline. It also records whether the request would be late.
-func (b *Board) chooseOrDefer(now time.Duration, request *Ask) (option, bool) {
+func (b *Board) chooseOrDefer(now time.Duration, request *Request) (option, bool) {
 	chosen, found := b.chooseForObjective(now, request)
 	if !found {
 		return chosen, false
@@ -53,7 +53,7 @@
 // chooseForObjective returns the cheapest option for the request. If that option is late, a lower
 // cost of disturbing streams applies, so that a request which is late on busy readers can be read
 // on a generator that runs streams. The new option is returned if it is in time.
-func (b *Board) chooseForObjective(now time.Duration, request *Ask) (option, bool) {
+func (b *Board) chooseForObjective(now time.Duration, request *Request) (option, bool) {
 	chosen, found := b.choose(now, request)
 	if !found || !request.isLate(chosen.timeToFirstToken) {
 		return chosen, found
@@ -68,7 +68,7 @@
 }
 
 // shouldDefer reports whether the request is to be read after those that can meet their objective.
-func (b *Board) shouldDefer(now time.Duration, request *Ask, late bool) bool {
+func (b *Board) shouldDefer(now time.Duration, request *Request, late bool) bool {
 	if request.surging {
 		return true // even without an overload, since deferring the surge keeps other requests in time
 	}
@@ -85,7 +85,7 @@
 
 // Late returns the recent share of requests with an objective that could not be placed in
 // time, and the decayed number of requests that the share is taken of.
-func (b *Board) Late(now time.Duration) (share, requests float64) {
+func (b *Board) LateShare(now time.Duration) (share, requests float64) {
 	return b.lateness.value(now), b.lateness.events.value(now)
 }
 
@@ -97,14 +97,14 @@
 }
 
 // isStarved reports whether requests of this size are served too rarely to be deferred.
-func (b *Board) isStarved(now time.Duration, request *Ask) bool {
+func (b *Board) isStarved(now time.Duration, request *Request) bool {
 	statistics := b.fairnessOf(now, request)
-	return statistics.isStarved(now, statistics.group(request.Prompt))
+	return statistics.isStarved(now, statistics.group(request.PromptTokens))
 }
 
 // isLate reports whether the request misses its objective if its first token comes after the
 // given time.
-func (a *Ask) isLate(timeToFirstToken time.Duration) bool {
+func (a *Request) isLate(timeToFirstToken time.Duration) bool {
 	if a.Objective == 0 || a.Continued {
 		return false
 	}
--- a/request/placement/order_test.go
+++ b/request/placement/order_test.go
@@ -10,7 +10,7 @@
 )
 
 // requestWithObjective returns a request with an objective and no shared part.
-func requestWithObjective(tokens int, objective time.Duration) Ask {
+func requestWithObjective(tokens int, objective time.Duration) Request {
 	next := newRequest("", 0, tokens)
 	next.Objective, next.Deadline = objective, 2*time.Second
 	return next
@@ -18,7 +18,7 @@
 
 // placeRequests places equal requests at the same time, and returns how many were deferred and
 // refused.
-func placeRequests(b *Board, requests int, next func() Ask) (deferred, refused int) {
+func placeRequests(b *Board, requests int, next func() Request) (deferred, refused int) {
 	for number := range uint64(requests) {
 		answer := b.Place(0, key(number), next())
 		if answer.Deferred {
@@ -33,7 +33,7 @@
 
 func TestRequestsThatWouldBeLateAreDeferred(t *testing.T) {
 	b := newTestBoard()
-	deferred, refused := placeRequests(b, 30, func() Ask {
+	deferred, refused := placeRequests(b, 30, func() Request {
 		patient := requestWithObjective(6_000, 600*ms)
 		patient.Deadline = time.Minute
 		return patient
@@ -49,7 +49,7 @@
 	for number := range uint64(20) {
 		b.Place(0, key(number), requestWithObjective(100, 10*time.Second))
 	}
-	late := func() Ask {
+	late := func() Request {
 		next := requestWithObjective(6_000, 600*ms)
 		next.Age = time.Second
 		return next
@@ -65,14 +65,14 @@
 // the same with and without them.
 func TestDeferredRequestsDelayNoOthers(t *testing.T) {
 	b := newTestBoard()
-	placeRequests(b, 12, func() Ask { return requestWithObjective(6_000, 600*ms) })
+	placeRequests(b, 12, func() Request { return requestWithObjective(6_000, 600*ms) })
 	late := requestWithObjective(6_000, 600*ms)
 	late.Age = time.Second
 	for number := range uint64(2) { // read at once, since the readers are idle
 		must.True(t, b.Place(0, key(300+number), late).Deferred)
 	}
 	before := b.Place(0, key(100), requestWithObjective(300, 600*ms))
-	b.Note(0, key(100), Note{Step: StepEnded})
+	b.RecordProgress(0, key(100), ProgressReport{Step: StepEnded})
 	for number := range uint64(3) {
 		must.True(t, b.Place(0, key(200+number), late).Deferred)
 	}
@@ -81,7 +81,7 @@
 
 func TestRequestsThatWouldMissTheirDeadlineAreRefused(t *testing.T) {
 	b := newTestBoard()
-	_, early := placeRequests(b, 200, func() Ask { return requestWithObjective(6_000, 600*ms) })
+	_, early := placeRequests(b, 200, func() Request { return requestWithObjective(6_000, 600*ms) })
 	must.Eq(t, 0, early, must.Sprint("initial estimates refuse nothing"))
 	b = newTestBoard()
 	for role := range b.readTimes {
@@ -89,7 +89,7 @@
 			b.readTimes[role].learn(readSample{4_000, b.readTimes[role].fixed() + 4_000*b.readTimes[role].perToken(), true}, 1)
 		}
 	}
-	_, refused := placeRequests(b, 200, func() Ask { return requestWithObjective(6_000, 600*ms) })
+	_, refused := placeRequests(b, 200, func() Request { return requestWithObjective(6_000, 600*ms) })
 	must.Greater(t, 0, refused)
 	placed := len(b.inFlight)
 	answer := b.Place(0, key(1000), requestWithObjective(6_000, 600*ms))
@@ -101,7 +101,7 @@
 
 func TestRequestsWithoutAnObjectiveAreNeverDeferred(t *testing.T) {
 	b := newTestBoard()
-	deferred, refused := placeRequests(b, 200, func() Ask { return requestWithObjective(6_000, 0) })
+	deferred, refused := placeRequests(b, 200, func() Request { return requestWithObjective(6_000, 0) })
 	must.Eq(t, 0, deferred)
 	must.Eq(t, 0, refused)
 	continued := requestWithObjective(6_000, 600*ms)
@@ -134,7 +134,7 @@
 			if r.current != nil {
 				must.True(t, slices.Contains(known, r.current))
 			}
-			must.LessEq(t, r.backlog(now, time.Microsecond, lastInQueue), r.backlog(now, time.Microsecond, &Ask{}))
+			must.LessEq(t, r.backlog(now, time.Microsecond, lastInQueue), r.backlog(now, time.Microsecond, &Request{}))
 		}
 	})
 }
--- a/request/placement/pace_test.go
+++ b/request/placement/pace_test.go
@@ -83,8 +83,8 @@
 	for round := range uint64(60) {
 		read := func(number uint64, tokens int) {
 			now += time.Duration(tokens) * perToken
-			b.Note(now, key(number), Note{Step: StepRead})
-			b.Note(now, key(number), Note{Step: StepEnded})
+			b.RecordProgress(now, key(number), ProgressReport{Step: StepRead})
+			b.RecordProgress(now, key(number), ProgressReport{Step: StepEnded})
 		}
 		for i, tokens := range []int{12_000, 1_000, 1_000, 1_000} {
 			request := requestWithObjective(tokens, 0)
@@ -100,10 +100,10 @@
 }
 
 // placeOnReader queues the request on a given reader, whatever Place would choose.
-func placeOnReader(b *Board, now time.Duration, number uint64, request Ask, reader string) {
+func placeOnReader(b *Board, now time.Duration, number uint64, request Request, reader string) {
 	p := &placedRequest{
 		request: request, answer: Answer{Generator: "decode-1", Reader: reader}, placedAt: now, expiresAt: now + time.Hour,
-		queuedOn: b.replicas[reader], runningOn: b.replicas["decode-1"], unreadTokens: request.Prompt,
+		queuedOn: b.replicas[reader], runningOn: b.replicas["decode-1"], unreadTokens: request.PromptTokens,
 	}
 	p.queuedOn.enqueue(now, p)
 	b.inFlight[key(number)] = p
--- a/request/placement/queue.go
+++ b/request/placement/queue.go
@@ -12,7 +12,7 @@
 // estimated, each request that it overtakes is read later, and the two effects cancel out.
 
 // isReadAfter reports whether the request is read after one that was placed earlier.
-func (a *Ask) isReadAfter(earlier *Ask) bool { return a.deferred || !earlier.deferred }
+func (a *Request) isReadAfter(earlier *Request) bool { return a.deferred || !earlier.deferred }
 
 // enqueue adds a request to the read queue of the replica.
 func (r *replica) enqueue(now time.Duration, p *placedRequest) {
@@ -42,7 +42,7 @@
 }
 
 // backlog returns the time to read all prompts that precede a new request.
-func (r *replica) backlog(now, perToken time.Duration, request *Ask) time.Duration {
+func (r *replica) backlog(now, perToken time.Duration, request *Request) time.Duration {
 	total := time.Duration(0)
 	if r.current != nil {
 		total = max(time.Duration(r.current.unreadTokens)*perToken-(now-r.currentSince), minReadRemaining)
@@ -64,4 +64,4 @@
 
 // lastInQueue is a request that is read after all queued ones. Its backlog is that of the whole
 // queue.
-var lastInQueue = &Ask{deferred: true}
+var lastInQueue = &Request{deferred: true}
--- a/request/placement/summary.go
+++ b/request/placement/summary.go
@@ -9,8 +9,8 @@
 	Late     float64 // share of recent requests with an objective that could not be placed in time
 	// Readers and Generators are the loads of the replicas of each role, without those that are
 	// leaving or changing their role.
-	Readers    Load
-	Generators Load
+	Readers    RoleLoad
+	Generators RoleLoad
 	// Cold counts the replicas that have fewer than minWarmParts parts cached, Suspect those
 	// that are avoided while others are left, since they gave no response or refused a request.
 	Cold    int
@@ -22,13 +22,13 @@
 }
 
 // Load is the work of the replicas of one role.
-type Load struct {
-	Replicas int
-	Running  int           // requests in flight with a replica of the role as their generator
-	Mean     time.Duration // mean time to read the queued prompts
-	Most     time.Duration // longest time to read the queued prompts
-	Start    time.Duration // fixed time of a read
-	PerToken time.Duration // time per token of a read
+type RoleLoad struct {
+	Replicas     int
+	Running      int           // requests in flight with a replica of the role as their generator
+	MeanBacklog  time.Duration // mean time to read the queued prompts
+	MaxBacklog   time.Duration // longest time to read the queued prompts
+	ReadOverhead time.Duration // fixed time of a read
+	PerToken     time.Duration // time per token of a read
 }
 
 // Answers counts the replies of a board to Place.
@@ -55,9 +55,9 @@
 		return
 	}
 	a.Placed++
-	a.Unread += given.Unread
+	a.Unread += given.UnreadTokens
 	a.Split += boolToInt(given.Reader != "")
-	a.Fetched += boolToInt(given.Fetch != "")
+	a.Fetched += boolToInt(given.FetchFrom != "")
 	a.Deferred += boolToInt(given.Deferred)
 }
 
@@ -74,7 +74,7 @@
 	summary := Summary{
 		InFlight: len(b.inFlight),
 		Late:     b.lateness.value(now),
-		Cold:     len(b.Cold()),
+		Cold:     len(b.ColdReplicas()),
 		Handover: b.decodeStartTime,
 		Answers:  b.answers,
 	}
@@ -97,17 +97,17 @@
 }
 
 // add adds one replica.
-func (l *Load) add(backlog time.Duration, running int) {
+func (l *RoleLoad) add(backlog time.Duration, running int) {
 	l.Replicas++
 	l.Running += running
-	l.Mean += backlog // a sum until completeLoad divides it
-	l.Most = max(l.Most, backlog)
+	l.MeanBacklog += backlog // a sum until completeLoad divides it
+	l.MaxBacklog = max(l.MaxBacklog, backlog)
 }
 
 // completeLoad turns the sum of backlogs into a mean and adds the read times.
-func (b *Board) completeLoad(l *Load, role Role) {
+func (b *Board) completeLoad(l *RoleLoad, role Role) {
 	if l.Replicas > 0 {
-		l.Mean /= time.Duration(l.Replicas)
+		l.MeanBacklog /= time.Duration(l.Replicas)
 	}
-	l.Start, l.PerToken = b.readTimes[role].fixed(), b.readTimes[role].perToken()
+	l.ReadOverhead, l.PerToken = b.readTimes[role].fixed(), b.readTimes[role].perToken()
 }
--- a/request/placement/summary_test.go
+++ b/request/placement/summary_test.go
@@ -18,7 +18,7 @@
 	must.Eq(t, 2, summary.Readers.Replicas)
 	must.Eq(t, 2, summary.Generators.Running)
 	must.Eq(t, 4, summary.Cold)
-	must.Eq(t, summary.Readers.Most/2, summary.Readers.Mean, must.Sprint("one of two readers has the whole backlog"))
-	must.Greater(t, 100*time.Millisecond, summary.Readers.Most)
+	must.Eq(t, summary.Readers.MaxBacklog/2, summary.Readers.MeanBacklog, must.Sprint("one of two readers has the whole backlog"))
+	must.Greater(t, 100*time.Millisecond, summary.Readers.MaxBacklog)
 	must.Eq(t, Answers{}, b.Summarize(0).Answers)
 }
--- a/request/placement/takeover.go
+++ b/request/placement/takeover.go
@@ -14,7 +14,7 @@
 
 // TakeOver adds the requests that a daemon reports as in flight, and removes its other requests
 // that are older than unreportedGrace. Read times are not learned from the added requests.
-func (b *Board) TakeOver(now time.Duration, daemon string, reported map[uint64]Placed) {
+func (b *Board) TakeOver(now time.Duration, daemon string, reported map[uint64]InFlightRequest) {
 	for key, p := range b.inFlight {
 		_, known := reported[key.Number]
 		if key.Daemon == daemon && !known && now-p.placedAt > unreportedGrace {
@@ -30,7 +30,7 @@
 }
 
 // adopt adds one request that another board placed, or that its daemon placed without a board.
-func (b *Board) adopt(now time.Duration, key Key, reported Placed) {
+func (b *Board) adopt(now time.Duration, key Key, reported InFlightRequest) {
 	generator := b.replicas[reported.Answer.Generator]
 	if generator == nil {
 		return
@@ -39,7 +39,7 @@
 	request.deferred = reported.Answer.Deferred
 	p := &placedRequest{
 		request: request, answer: reported.Answer, placedAt: now - reported.Age, expiresAt: now - reported.Age + request.Deadline + expiryGrace,
-		runningOn: generator, unreadTokens: reported.Answer.Unread, adopted: true,
+		runningOn: generator, unreadTokens: reported.Answer.UnreadTokens, adopted: true,
 	}
 	generator.running[p] = struct{}{}
 	b.inFlight[key] = p
--- a/request/placement/takeover_test.go
+++ b/request/placement/takeover_test.go
@@ -10,17 +10,17 @@
 // A new board that is not told what is in flight sends the next prompt to a busy reader.
 func TestTakeOverCountsRequestsOfAnotherBoard(t *testing.T) {
 	old, next := newTestBoard(), newTestBoard()
-	reports := map[string]map[uint64]Placed{}
-	var placed []Ask
+	reports := map[string]map[uint64]InFlightRequest{}
+	var placed []Request
 	for number := range uint64(5) {
 		prompt := requestWithObjective(9_000, 0)
 		placed = append(placed, prompt)
 		daemon := []string{"a", "b"}[number%2]
 		answer := old.Place(0, Key{Daemon: daemon, Number: number}, prompt)
 		if reports[daemon] == nil {
-			reports[daemon] = map[uint64]Placed{}
+			reports[daemon] = map[uint64]InFlightRequest{}
 		}
-		reports[daemon][number] = Placed{Ask: prompt, Answer: answer}
+		reports[daemon][number] = InFlightRequest{Ask: prompt, Answer: answer}
 	}
 	probe := requestWithObjective(9_000, 0)
 	want := old.Place(0, key(100), probe)
@@ -44,7 +44,7 @@
 	kept := b.inFlight[Key{Daemon: "a", Number: 2}]
 	later := unreportedGrace + ms
 	b.Place(later, Key{Daemon: "a", Number: 5}, requestWithObjective(9_000, 0)) // too recent to be reported
-	b.TakeOver(later, "a", map[uint64]Placed{
+	b.TakeOver(later, "a", map[uint64]InFlightRequest{
 		2: {Ask: kept.request, Answer: kept.answer},
 		9: {Ask: requestWithObjective(9_000, 0), Answer: Answer{Generator: "gone"}},
 	})
@@ -56,10 +56,10 @@
 // Each request is tracked according to the reported step: queued to be read, read, or generating.
 func TestTakenOverRequestsCountByTheirStep(t *testing.T) {
 	b := newTestBoard()
-	answer := Answer{Generator: "decode-1", Reader: "prefill-1", Unread: 9_000}
+	answer := Answer{Generator: "decode-1", Reader: "prefill-1", UnreadTokens: 9_000}
 	prompt := requestWithObjective(9_000, 0)
 	prompt.Deadline = time.Minute
-	b.TakeOver(time.Second, "a", map[uint64]Placed{
+	b.TakeOver(time.Second, "a", map[uint64]InFlightRequest{
 		1: {Ask: prompt, Answer: answer, Age: 100 * ms},
 		2: {Ask: prompt, Answer: answer, Age: 300 * ms, Step: StepRead},
 		3: {Ask: prompt, Answer: answer, Age: 900 * ms, Step: StepStarted},
@@ -67,12 +67,12 @@
 	must.SliceLen(t, 1, b.replicas["prefill-1"].queue)
 	must.MapLen(t, 3, b.replicas["decode-1"].running)
 	samples := b.readTimes[RolePrefill].samples
-	b.Note(2*time.Second, Key{Daemon: "a", Number: 1}, Note{Step: StepRead})
+	b.RecordProgress(2*time.Second, Key{Daemon: "a", Number: 1}, ProgressReport{Step: StepRead})
 	must.Eq(t, samples, b.readTimes[RolePrefill].samples, must.Sprint("the start of the read is unknown"))
 	must.SliceEmpty(t, b.replicas["prefill-1"].queue)
 	for number := range uint64(3) {
-		b.Note(2*time.Second, Key{Daemon: "a", Number: number + 1}, Note{Step: StepStarted})
-		b.Note(2*time.Second, Key{Daemon: "a", Number: number + 1}, Note{Step: StepEnded})
+		b.RecordProgress(2*time.Second, Key{Daemon: "a", Number: number + 1}, ProgressReport{Step: StepStarted})
+		b.RecordProgress(2*time.Second, Key{Daemon: "a", Number: number + 1}, ProgressReport{Step: StepEnded})
 	}
 	must.MapEmpty(t, b.inFlight)
 	must.MapEmpty(t, b.replicas["decode-1"].running)
--- a/request/placement/tenants.go
+++ b/request/placement/tenants.go
@@ -48,12 +48,12 @@
 
 // recordRequest counts a request, and reports whether it is part of a surge of its tenant and so
 // has to be deferred.
-func (t tenants) recordRequest(now time.Duration, request *Ask) (exceeds bool) {
+func (t tenants) recordRequest(now time.Duration, request *Request) (exceeds bool) {
 	demand := t.demandOf(now, request.Tenant)
 	if demand == nil {
 		return false
 	}
-	weight := float64(request.Prompt)
+	weight := float64(request.PromptTokens)
 	demand.requests.add(now)
 	demand.recent.addWeight(now, weight)
 	allowed := demand.allowed(now)
--- a/request/placement/tenants_test.go
+++ b/request/placement/tenants_test.go
@@ -62,9 +62,9 @@
 			return
 		}
 		delete(reading, reader)
-		b.Note(now, key(done.number), Note{Step: StepRead})
-		b.Note(now, key(done.number), Note{Step: StepStarted})
-		b.Note(now, key(done.number), Note{Step: StepEnded})
+		b.RecordProgress(now, key(done.number), ProgressReport{Step: StepRead})
+		b.RecordProgress(now, key(done.number), ProgressReport{Step: StepStarted})
+		b.RecordProgress(now, key(done.number), ProgressReport{Step: StepEnded})
 		if now >= loadSurge+time.Second {
 			count := inTime[done.tenant == "tenant-2"]
 			if count[1]++; now <= done.dueAt {
@@ -142,13 +142,13 @@
 			wave = 2
 		}
 		for range wave {
-			must.False(t, known.recordRequest(now, &Ask{Tenant: "large", Prompt: 3000}), must.Sprint(now))
+			must.False(t, known.recordRequest(now, &Request{Tenant: "large", PromptTokens: 3000}), must.Sprint(now))
 		}
 	}
-	must.False(t, known.recordRequest(time.Minute, &Ask{Tenant: "small", Prompt: 3000}))
+	must.False(t, known.recordRequest(time.Minute, &Request{Tenant: "small", PromptTokens: 3000}))
 	for i := range 15 {
-		must.False(t, known.recordRequest(2*time.Minute+time.Duration(i), &Ask{Tenant: "small", Prompt: 50_000}))
-		must.False(t, known.recordRequest(2*time.Minute+time.Duration(i), &Ask{Prompt: 50_000}))
+		must.False(t, known.recordRequest(2*time.Minute+time.Duration(i), &Request{Tenant: "small", PromptTokens: 50_000}))
+		must.False(t, known.recordRequest(2*time.Minute+time.Duration(i), &Request{PromptTokens: 50_000}))
 	}
 }
 
@@ -159,7 +159,7 @@
 	shareNotDeferred := func(from, to, each time.Duration) float64 {
 		all, kept := 0, 0
 		for now := from; now < to; now += each {
-			if all++; !known.recordRequest(now, &Ask{Tenant: "large", Prompt: 3000}) {
+			if all++; !known.recordRequest(now, &Request{Tenant: "large", PromptTokens: 3000}) {
 				kept++
 			}
 		}
@@ -174,9 +174,9 @@
 func TestTenantsAreBounded(t *testing.T) {
 	known := tenants{}
 	for i := range maxTenants + 100 {
-		known.recordRequest(time.Second, &Ask{Tenant: fmt.Sprint(i), Prompt: 1})
+		known.recordRequest(time.Second, &Request{Tenant: fmt.Sprint(i), PromptTokens: 1})
 	}
 	must.MapLen(t, maxTenants, known)
-	known.recordRequest(time.Hour, &Ask{Tenant: "later", Prompt: 1})
+	known.recordRequest(time.Hour, &Request{Tenant: "later", PromptTokens: 1})
 	must.MapLen(t, 1, known)
 }
--- a/request/placement/types.go
+++ b/request/placement/types.go
@@ -39,10 +39,10 @@
 }
 
 // Sheet holds the configured properties that all replicas of a service share.
-type Sheet struct {
-	KVTokens    int64   // KV cache capacity of one replica, in tokens; 0 if unknown
-	BytesPerTok int64   // KV cache size of one token, in bytes
-	LinkMbps    float64 // bandwidth for KV cache transfers, in Mbit/s; 0 if unknown
+type ServiceParameters struct {
+	KVTokens      int64   // KV cache capacity of one replica, in tokens; 0 if unknown
+	BytesPerToken int64   // KV cache size of one token, in bytes
+	LinkMbps      float64 // bandwidth for KV cache transfers, in Mbit/s; 0 if unknown
 	// GapObjective is the objective for the time between two tokens of a stream; 0 selects
 	// defaultGapObjective.
 	GapObjective time.Duration
@@ -56,11 +56,11 @@
 }
 
 // Ask is a request to be placed.
-type Ask struct {
-	Prompt   int    // length in tokens
-	Output   int    // maximum number of output tokens
-	Priority int    // fairness applies among requests of equal priority and objective
-	Zone     string // zone of the requesting daemon
+type Request struct {
+	PromptTokens    int    // length in tokens
+	MaxOutputTokens int    // maximum number of output tokens
+	Priority        int    // fairness applies among requests of equal priority and objective
+	Zone            string // zone of the requesting daemon
 	// Tenant identifies the caller; empty if callers are not distinguished.
 	Tenant string
 	Parts  []Part
@@ -80,14 +80,14 @@
 
 	// Name identifies the content of the request; copies and retries have the same name. It is
 	// empty unless the daemon was asked for it by Answer.Name.
-	Name string
+	Fingerprint string
 	// Suspect marks a request that may have crashed a replica; it runs on an isolated
 	// replica. The caller of Place sets it. Suspected replicas are something else: they
 	// recently gave no response.
 	Suspect bool
 	// Judged marks a suspect that was in flight at enough crashes for a quarantine: it is not
 	// placed until the quarantine has been decided. The caller of Place sets it.
-	Judged bool
+	AwaitsQuarantine bool
 
 	// deferred requests are read after all others.
 	deferred bool
@@ -110,9 +110,9 @@
 	Reader string
 	// Fetch names a replica from which the reading replica fetches the cached leading
 	// parts of the prompt; empty for none.
-	Fetch string
+	FetchFrom string
 	// Unread is the number of prompt tokens that still have to be read.
-	Unread int
+	UnreadTokens int
 	// Estimate is the expected time from the placement to the first token.
 	Estimate time.Duration
 	// Wait, if not 0, is the time after which the daemon should call Place again: the request
@@ -124,10 +124,10 @@
 	Deferred bool
 	// Name asks the caller to send the Name of the request: replicas are crashing one after
 	// the other, apparently under some request. All other fields are empty then.
-	Name bool
+	NeedsFingerprint bool
 	// Alone says that nothing else is in flight on the generator and that nothing else is
 	// placed there until suspectWatchTime after the first token of the request.
-	Alone bool
+	Isolated bool
 	// Refused marks a request that the board does not place, since it would miss its deadline;
 	// RetryAfter is the delay after which a retry may succeed. All other fields are empty then.
 	// StepRefused is a refusal by a replica instead.
@@ -140,33 +140,33 @@
 
 // Stages and outcomes of a placed request.
 const (
-	StepRead        Step = iota + 1 // the reader has read the prompt
-	StepStarted                     // the first token has arrived
-	StepEnded                       // the request has completed
-	StepFailed                      // the replica gave no response, or broke it off
-	StepErred                       // the replica responded with an error of its own
-	StepRefused                     // the replica refused to run the request
-	StepMisdirected                 // another replica responded at its address
-	StepUnread                      // the reader has not read the prompt; the generator does
-	StepGone                        // nothing listens at the address of the replica
-	StepLeaving                     // the replica announced that it will shut down; its requests continue
+	StepRead          Step = iota + 1 // the reader has read the prompt
+	StepStarted                       // the first token has arrived
+	StepEnded                         // the request has completed
+	StepFailed                        // the replica gave no response, or broke it off
+	StepAnsweredError                 // the replica responded with an error of its own
+	StepRefused                       // the replica refused to run the request
+	StepMisdirected                   // another replica responded at its address
+	StepReadSkipped                   // the reader has not read the prompt; the generator does
+	StepUnreachable                   // nothing listens at the address of the replica
+	StepLeaving                       // the replica announced that it will shut down; its requests continue
 )
 
 // Note reports progress of a request to the board. For StepFailed, StepErred, StepRefused,
 // StepMisdirected, StepUnread, StepGone and StepLeaving, Replica names the replica concerned. If
 // it is the reader of the request, the request continues on its generator.
-type Note struct {
+type ProgressReport struct {
 	Step    Step
 	Replica string
 	// Told is the number of running and waiting requests that the replica reported when it
 	// completed the step; 0 if it reported that it has none, or reported nothing.
-	Told int
+	ReportedRequests int
 }
 
 // Placed is a request in flight as known to the daemon that requested its placement. It
 // lets a board that did not place the request account for it.
-type Placed struct {
-	Ask    Ask
+type InFlightRequest struct {
+	Ask    Request
 	Answer Answer
 	// Age is the time since the placement; Step is the last stage reached, 0 before StepRead.
 	Age  time.Duration
--- a/request/placement/wait.go
+++ b/request/placement/wait.go
@@ -31,7 +31,7 @@
 // chooseAfterWait returns the cheapest option for the request if it is placed only when the parts
 // that it shares with a queued request have been read; false if no queued request shares enough
 // parts.
-func (b *Board) chooseAfterWait(now time.Duration, request *Ask, candidates candidateReplicas) (option, bool) {
+func (b *Board) chooseAfterWait(now time.Duration, request *Request, candidates candidateReplicas) (option, bool) {
 	awaited, found := b.firstPendingRead(now, request, candidates.prefixHolders)
 	if !found {
 		return option{}, false
@@ -54,7 +54,7 @@
 
 // firstPendingRead returns, of the queued requests on all replicas that will cache a longer prefix
 // of the prompt than any replica has cached, the one that is read first.
-func (b *Board) firstPendingRead(now time.Duration, request *Ask, prefixHolders map[string]prefixHolder) (pendingRead, bool) {
+func (b *Board) firstPendingRead(now time.Duration, request *Request, prefixHolders map[string]prefixHolder) (pendingRead, bool) {
 	cachedTokens := 0
 	for _, known := range prefixHolders {
 		cachedTokens = max(cachedTokens, known.tokens)
@@ -91,7 +91,7 @@
 // pendingReadOn returns the first request in the queue of one replica that will cache at least
 // minFetchTokens more than cachedTokens of the prompt; false if there is none or if the current
 // read is overdue.
-func (b *Board) pendingReadOn(now time.Duration, request *Ask, at *replica, cachedTokens int) (pendingRead, bool) {
+func (b *Board) pendingReadOn(now time.Duration, request *Request, at *replica, cachedTokens int) (pendingRead, bool) {
 	perToken := b.readTimes[at.Role].perToken()
 	readyIn := b.readTimes[at.Role].fixed()
 	for _, queued := range at.queue {
--- a/request/placement/wait_test.go
+++ b/request/placement/wait_test.go
@@ -20,7 +20,7 @@
 	must.MapLen(t, 1, b.inFlight, must.Sprint("a waiting request is not counted"))
 	finishRequest(b, 700*ms, 1, first)
 	third := b.Place(700*ms, key(2), newRequest("p", 25_000, 600))
-	must.Eq(t, 600, third.Unread)
+	must.Eq(t, 600, third.UnreadTokens)
 	must.NotEq(t, "", third.Generator)
 }
 
@@ -30,13 +30,13 @@
 	first := b.Place(0, key(1), newRequest("p", 25_000, 600))
 	second := b.Place(overdueFactor*first.Estimate+overdueSlack+time.Second, key(2), newRequest("p", 25_000, 600))
 	must.NotEq(t, "", second.Generator)
-	must.Eq(t, 25_600, second.Unread)
+	must.Eq(t, 25_600, second.UnreadTokens)
 }
 
 func TestSuspectedReplicasAreNotWaitedFor(t *testing.T) {
 	b := newTestBoard()
 	first := b.Place(0, key(1), newRequest("p", 25_000, 600))
-	b.Note(100*ms, key(9), Note{Step: StepFailed, Replica: first.Reader})
+	b.RecordProgress(100*ms, key(9), ProgressReport{Step: StepFailed, Replica: first.Reader})
 	second := b.Place(110*ms, key(2), newRequest("p", 25_000, 600))
 	must.NotEq(t, "", second.Generator)
 }
@@ -46,7 +46,7 @@
 	b := newTestBoard()
 	var last Answer
 	for number := range uint64(6) {
-		last = b.Place(0, key(number), Ask{Prompt: 40_000, Zone: "a", Deadline: time.Minute, Parts: []Part{{ID: string('a' + rune(number)), Tokens: 40_000}}})
+		last = b.Place(0, key(number), Request{PromptTokens: 40_000, Zone: "a", Deadline: time.Minute, Parts: []Part{{ID: string('a' + rune(number)), Tokens: 40_000}}})
 	}
 	b.Place(0, key(8), newRequest("p", 2_000, 100))
 	must.NotEq(t, "", last.Generator)
--- a/request/quarantine/clearance.go
+++ b/request/quarantine/clearance.go
@@ -47,7 +47,7 @@
 
 // Served records that a request received a complete answer from a replica, whether or not any
 // failures of it are known. It drops the failures and ignores further ones for clearanceDuration.
-func (t *Table) Served(now time.Duration, fingerprint Fingerprint) {
+func (t *Table) RecordServed(now time.Duration, fingerprint Fingerprint) {
 	t.Forget(fingerprint)
 	if !t.cleared.ignores(now, fingerprint) {
 		t.changes++
--- a/request/quarantine/fingerprint.go
+++ b/request/quarantine/fingerprint.go
@@ -17,7 +17,7 @@
 )
 
 // Identity holds the properties that two requests share if they are the same, whatever their IDs.
-type Identity struct {
+type RequestIdentity struct {
 	Method string
 	Host   string
 	Path   string // not decoded, without the query
@@ -34,7 +34,7 @@
 const fingerprintBytes = 16
 
 // Of returns the fingerprint of an identity.
-func Of(identity Identity) Fingerprint {
+func FingerprintOf(identity RequestIdentity) Fingerprint {
 	hash := sha256.New()
 	for _, part := range []string{identity.Method, identity.Host, identity.Path, identity.Query, identity.Caller} {
 		var length [8]byte
@@ -53,7 +53,7 @@
 
 // Parse parses the output of String. It returns false if the text is not the hex form of
 // fingerprintBytes bytes.
-func Parse(text string) (Fingerprint, bool) {
+func ParseFingerprint(text string) (Fingerprint, bool) {
 	var fingerprint Fingerprint
 	decoded, err := hex.DecodeString(text)
 	if err != nil || len(decoded) != fingerprintBytes {
--- a/request/quarantine/fingerprint_test.go
+++ b/request/quarantine/fingerprint_test.go
@@ -7,9 +7,9 @@
 )
 
 func TestFingerprintTellsRequestsApart(t *testing.T) {
-	asked := Identity{Method: "POST", Host: "h", Path: "/a/", Caller: "c", Body: []byte("body")}
-	must.Eq(t, Of(asked), Of(asked))
-	others := map[string]Identity{
+	asked := RequestIdentity{Method: "POST", Host: "h", Path: "/a/", Caller: "c", Body: []byte("body")}
+	must.Eq(t, FingerprintOf(asked), FingerprintOf(asked))
+	others := map[string]RequestIdentity{
 		"method": {Method: "PUT", Host: "h", Path: "/a/", Caller: "c", Body: []byte("body")},
 		"host":   {Method: "POST", Host: "i", Path: "/a/", Caller: "c", Body: []byte("body")},
 		"path":   {Method: "POST", Host: "h", Path: "/b/", Caller: "c", Body: []byte("body")},
@@ -19,17 +19,17 @@
 		"border": {Method: "POST", Host: "h", Path: "/a/c", Body: []byte("body")},
 	}
 	for name, other := range others {
-		must.NotEq(t, Of(asked), Of(other), must.Sprint(name))
+		must.NotEq(t, FingerprintOf(asked), FingerprintOf(other), must.Sprint(name))
 	}
 }
 
 func TestFingerprintIsReadBack(t *testing.T) {
-	made := Of(Identity{Path: "/a/"})
-	read, ok := Parse(made.String())
+	made := FingerprintOf(RequestIdentity{Path: "/a/"})
+	read, ok := ParseFingerprint(made.String())
 	must.True(t, ok)
 	must.Eq(t, made, read)
 	for _, text := range []string{"", "zz", made.String()[2:], made.String() + "00"} {
-		_, ok := Parse(text)
+		_, ok := ParseFingerprint(text)
 		must.False(t, ok, must.Sprint(text))
 	}
 }
--- a/request/quarantine/process_test.go
+++ b/request/quarantine/process_test.go
@@ -10,7 +10,7 @@
 // noteShortRun records that the replica failed 5 ms into a run of each request.
 func noteShortRun(table *Table, at time.Duration, replica string, requests ...string) {
 	for _, request := range requests {
-		table.Note(at, Evidence{Fingerprint: fingerprintOf(request), Replica: replica, Ran: 5 * time.Millisecond})
+		table.RecordFailure(at, Evidence{Fingerprint: fingerprintOf(request), Replica: replica, RunTime: 5 * time.Millisecond})
 	}
 }
 
@@ -24,13 +24,13 @@
 	noteShortRun(table, 0, "r-15", "fatal")
 	noteShortRun(table, time.Second, "r-13", "fatal")
 	noteShortRun(table, 2*time.Second, "r-15", "fatal")
-	must.Eq(t, Condemned, table.Standing(pastSettling+2*time.Second, fingerprintOf("fatal")))
-	replicas, _ := table.Ends(fingerprintOf("fatal"))
+	must.Eq(t, Harmful, table.Verdict(pastSettling+2*time.Second, fingerprintOf("fatal")))
+	replicas, _ := table.FailedReplicas(fingerprintOf("fatal"))
 	must.Eq(t, []string{"r-15#earlier-1", "r-13", "r-15"}, replicas)
-	table.Lives(3*time.Second, Alive{Replica: "r-15", For: 2 * time.Second})
-	must.Eq(t, 2, table.CountEnds(fingerprintOf("fatal")), must.Sprint("only the last failure is refuted"))
-	table.Lives(3*time.Second, Alive{Replica: "r-15", For: Ever})
-	must.Eq(t, 1, table.CountEnds(fingerprintOf("fatal")), must.Sprint("the process was running at both failures"))
+	table.RefuteFailures(3*time.Second, LiveReplica{Replica: "r-15", RunningFor: 2 * time.Second})
+	must.Eq(t, 2, table.CountFailures(fingerprintOf("fatal")), must.Sprint("only the last failure is refuted"))
+	table.RefuteFailures(3*time.Second, LiveReplica{Replica: "r-15", RunningFor: AnyAge})
+	must.Eq(t, 1, table.CountFailures(fingerprintOf("fatal")), must.Sprint("the process was running at both failures"))
 }
 
 // Requests that were in flight when the earlier process failed remain recorded for that process.
@@ -39,16 +39,16 @@
 	table := NewTable()
 	noteShortRun(table, 0, "r", "fatal", "bystander")
 	noteShortRun(table, time.Second, "r", "fatal")
-	must.True(t, table.HasEnd(fingerprintOf("bystander"), "r#earlier-1"))
-	must.False(t, table.HasEnd(fingerprintOf("bystander"), "r"))
+	must.True(t, table.HasFailure(fingerprintOf("bystander"), "r#earlier-1"))
+	must.False(t, table.HasFailure(fingerprintOf("bystander"), "r"))
 	must.MapLen(t, 2, table.inFlightAt["r#earlier-1"])
 	must.MapLen(t, 1, table.inFlightAt["r"])
 
 	resets := NewTable()
 	for i := range 5 {
-		resets.Note(time.Duration(i)*time.Second, Evidence{Fingerprint: fingerprintOf("popular"), Replica: "r", Listens: true})
+		resets.RecordFailure(time.Duration(i)*time.Second, Evidence{Fingerprint: fingerprintOf("popular"), Replica: "r", StillListening: true})
 	}
-	must.Eq(t, 1, resets.CountEnds(fingerprintOf("popular")))
+	must.Eq(t, 1, resets.CountFailures(fingerprintOf("popular")))
 }
 
 // A failure counts once although its reports arrive some milliseconds apart, or after the record
@@ -57,14 +57,14 @@
 	table := NewTable()
 	noteShortRun(table, 0, "r", "fatal")
 	noteShortRun(table, maxReportDelay, "r", "fatal")
-	must.Eq(t, 1, table.CountEnds(fingerprintOf("fatal")))
+	must.Eq(t, 1, table.CountFailures(fingerprintOf("fatal")))
 
 	restored := NewTable()
 	restored.Restore(time.Hour, fingerprintOf("fatal"), Record{Replicas: []string{"r-0", "r-1"}, Age: time.Minute})
-	restored.NoteAged(time.Hour+time.Second, 50*time.Second, Evidence{Fingerprint: fingerprintOf("fatal"), Replica: "r-1", Ran: 5 * time.Millisecond})
-	must.Eq(t, 2, restored.CountEnds(fingerprintOf("fatal")))
+	restored.NoteAged(time.Hour+time.Second, 50*time.Second, Evidence{Fingerprint: fingerprintOf("fatal"), Replica: "r-1", RunTime: 5 * time.Millisecond})
+	must.Eq(t, 2, restored.CountFailures(fingerprintOf("fatal")))
 	noteShortRun(restored, time.Hour+time.Minute, "r-0", "fatal")
-	must.Eq(t, 3, restored.CountEnds(fingerprintOf("fatal")), must.Sprint("the replica was restarted since"))
+	must.Eq(t, 3, restored.CountFailures(fingerprintOf("fatal")), must.Sprint("the replica was restarted since"))
 }
 
 // A repeated report of a failure must not count again; every new leader receives all reports. It
@@ -76,20 +76,20 @@
 	noteShortRun(table, 0, "r", "fatal", "bystander")
 	noteShortRun(table, time.Second, "r", "fatal")
 	noteShortRun(table, 0, "r", "bystander")
-	must.Eq(t, 1, table.CountEnds(fingerprintOf("bystander")))
+	must.Eq(t, 1, table.CountFailures(fingerprintOf("bystander")))
 	noteShortRun(table, 0, "r", "fatal")
-	must.Eq(t, 2, table.CountEnds(fingerprintOf("fatal")))
+	must.Eq(t, 2, table.CountFailures(fingerprintOf("fatal")))
 
 	late := NewTable()
 	noteShortRun(late, time.Second, "r", "fatal")
 	noteShortRun(late, 0, "r", "fatal")
-	must.Eq(t, 2, late.CountEnds(fingerprintOf("fatal")), must.Sprint("the later failure was reported first"))
+	must.Eq(t, 2, late.CountFailures(fingerprintOf("fatal")), must.Sprint("the later failure was reported first"))
 
 	recorded := NewTable()
 	known := Record{Replicas: []string{"r#earlier-1", "r"}}
 	for range 2 {
-		recorded.Recall(time.Hour, fingerprintOf("fatal"), known)
-		must.Eq(t, 2, recorded.CountEnds(fingerprintOf("fatal")))
+		recorded.MergeRecord(time.Hour, fingerprintOf("fatal"), known)
+		must.Eq(t, 2, recorded.CountFailures(fingerprintOf("fatal")))
 	}
 }
 
@@ -102,23 +102,23 @@
 	late := func(modify func(*Evidence)) int {
 		table := NewTable()
 		for delay := range 4 {
-			seen := Evidence{Fingerprint: fingerprintOf("popular"), Replica: "r", Ran: 5 * time.Millisecond}
+			seen := Evidence{Fingerprint: fingerprintOf("popular"), Replica: "r", RunTime: 5 * time.Millisecond}
 			modify(&seen)
 			table.NoteAged(time.Minute+time.Duration(delay)*time.Second, time.Second, seen)
 		}
-		return table.CountEnds(fingerprintOf("popular"))
+		return table.CountFailures(fingerprintOf("popular"))
 	}
-	must.Eq(t, 1, late(func(seen *Evidence) { seen.Once = true }))
-	must.Eq(t, 1, late(func(seen *Evidence) { seen.Sight = 7 }))
+	must.Eq(t, 1, late(func(seen *Evidence) { seen.UniqueName = true }))
+	must.Eq(t, 1, late(func(seen *Evidence) { seen.ObservationID = 7 }))
 	must.Eq(t, 4, late(func(*Evidence) {}), must.Sprint("they cannot be told from failures of later processes"))
 
 	others := NewTable() // two proxies observed it and each reports it repeatedly
 	for delay := range 4 {
 		for observer := range uint64(2) {
 			others.NoteAged(time.Minute+time.Duration(delay)*time.Second, time.Second, Evidence{
-				Fingerprint: fingerprintOf("popular"), Replica: "r", Ran: 5 * time.Millisecond, Sight: 1 + observer,
+				Fingerprint: fingerprintOf("popular"), Replica: "r", RunTime: 5 * time.Millisecond, ObservationID: 1 + observer,
 			})
 		}
 	}
-	must.Eq(t, 1, others.CountEnds(fingerprintOf("popular")))
+	must.Eq(t, 1, others.CountFailures(fingerprintOf("popular")))
 }
--- a/request/quarantine/property_test.go
+++ b/request/quarantine/property_test.go
@@ -35,12 +35,12 @@
 				if request != "fatal" { // with runs of 1 s, failures that are 20 ms apart form one incident
 					ran = rapid.SampledFrom([]time.Duration{time.Millisecond, time.Second}).Draw(t, "ran")
 				}
-				table.Note(now, Evidence{Fingerprint: fingerprintOf(request), Replica: fmt.Sprint("r", i), Ran: ran})
+				table.RecordFailure(now, Evidence{Fingerprint: fingerprintOf(request), Replica: fmt.Sprint("r", i), RunTime: ran})
 			}
 		}
-		must.Eq(t, Condemned, table.Standing(now+pastSettling, fingerprintOf("fatal")))
+		must.Eq(t, Harmful, table.Verdict(now+pastSettling, fingerprintOf("fatal")))
 		for name := range bystanders {
-			must.Less(t, Condemned, table.Standing(now+pastSettling, fingerprintOf(name)), must.Sprint(name))
+			must.Less(t, Harmful, table.Verdict(now+pastSettling, fingerprintOf(name)), must.Sprint(name))
 		}
 		must.True(t, slices.Contains(table.Watched(now+pastSettling), fingerprintOf("fatal")))
 	})
--- a/request/quarantine/record.go
+++ b/request/quarantine/record.go
@@ -14,21 +14,21 @@
 	// Alone is true if one of Replicas failed with nothing else in flight.
 	Alone bool
 	// AtOnce is true if all of Replicas failed in a single incident.
-	AtOnce bool
+	Simultaneous bool
 	// Age says that the first of Replicas failed at least this long ago.
 	Age   time.Duration
-	About About
+	About RequestInfo
 }
 
 // Evidence returns the evidence that the record holds for one of its replicas. The record does not
 // say which replica failed with nothing else in flight, so Alone is set for all of them.
 func (r *Record) Evidence(fingerprint Fingerprint, replica string) Evidence {
 	evidence := Evidence{
-		Fingerprint: fingerprint, Replica: replica, Alone: r.Alone, Listens: slices.Contains(r.Weak, replica), About: r.About,
+		Fingerprint: fingerprint, Replica: replica, OnlyInFlight: r.Alone, StillListening: slices.Contains(r.Weak, replica), RequestInfo: r.About,
 		fromRecord: true,
 	}
-	if r.AtOnce {
-		evidence.Ran = settleDelay // long enough that each run had started before the others failed
+	if r.Simultaneous {
+		evidence.RunTime = settleDelay // long enough that each run had started before the others failed
 	}
 	return evidence
 }
@@ -48,7 +48,7 @@
 // Recall merges the record of a request with the reports received for it. The reports take
 // precedence. All failures of the request get new sequence numbers, so a caller that recalls
 // several requests determines how their failures are ordered.
-func (t *Table) Recall(now time.Duration, fingerprint Fingerprint, record Record) {
+func (t *Table) MergeRecord(now time.Duration, fingerprint Fingerprint, record Record) {
 	var received []failure
 	if previous := t.requests[fingerprint]; previous != nil {
 		received = slices.Clone(previous.failures)
@@ -61,7 +61,7 @@
 }
 
 // Aged is an Evidence with the time since the failure.
-type Aged struct {
+type AgedEvidence struct {
 	Evidence
 	Age time.Duration
 }
@@ -70,12 +70,12 @@
 // receiver that has to rebuild its table. It omits evidence from the record: the receiver has the
 // record as well, and would treat a second copy as an observed failure. It also omits what other
 // members reported, and failures of earlier processes, which each table numbers on its own.
-func (t *Table) All(now time.Duration) []Aged {
-	var all []Aged
+func (t *Table) ObservedHere(now time.Duration) []AgedEvidence {
+	var all []AgedEvidence
 	for fingerprint, known := range t.requests {
 		for _, failed := range known.failures {
 			if !failed.fromRecord && !failed.reported && ReplicaOf(failed.replica) == failed.replica {
-				all = append(all, Aged{Evidence: failed.evidence(fingerprint, known.about), Age: now - failed.at})
+				all = append(all, AgedEvidence{Evidence: failed.evidence(fingerprint, known.about), Age: now - failed.at})
 			}
 		}
 	}
@@ -83,10 +83,10 @@
 }
 
 // evidence returns the Evidence for a failure of the request.
-func (f failure) evidence(fingerprint Fingerprint, about About) Evidence {
+func (f failure) evidence(fingerprint Fingerprint, about RequestInfo) Evidence {
 	return Evidence{
-		Fingerprint: fingerprint, Replica: f.replica, Began: f.hadOutput, Read: f.prefill, Alone: f.alone, Listens: f.listens,
-		Ran: f.at - f.sent, About: about, Once: f.uniqueName, Sight: f.observationID(), Told: f.reported, fromRecord: f.fromRecord,
+		Fingerprint: fingerprint, Replica: f.replica, HadOutput: f.hadOutput, Read: f.prefill, OnlyInFlight: f.alone, StillListening: f.listens,
+		RunTime: f.at - f.sent, RequestInfo: about, UniqueName: f.uniqueName, ObservationID: f.observationID(), ReportedByOther: f.reported, fromRecord: f.fromRecord,
 	}
 }
 
--- a/request/quarantine/sight.go
+++ b/request/quarantine/sight.go
@@ -16,7 +16,7 @@
 // converge to the same state without consensus, as long as none of them has reached its bounds.
 // Noting the failures in the returned order in another table gives the same state there, including
 // the failures of earlier processes.
-func (t *Table) Sights(now time.Duration, limit int) []Aged {
+func (t *Table) Reports(now time.Duration, limit int) []AgedEvidence {
 	hasStrong := func(known *entry) bool { return slices.ContainsFunc(known.failures, failure.isStrong) }
 	fingerprints := slices.DeleteFunc(slices.Collect(maps.Keys(t.requests)), func(fingerprint Fingerprint) bool {
 		return !hasStrong(t.requests[fingerprint])
@@ -25,25 +25,25 @@
 		first, second := t.requests[a], t.requests[b]
 		return cmp.Or(cmp.Compare(len(second.failures), len(first.failures)), cmp.Compare(second.lastAt(), first.lastAt()), slices.Compare(a[:], b[:]))
 	})
-	return t.SightsOf(fingerprints, now, limit)
+	return t.ReportsOf(fingerprints, now, limit)
 }
 
 // NotableSights is like Sights, but covers only requests that are watched or due for a trial (see
 // IsTried), including those with only weak failures.
-func (t *Table) NotableSights(now time.Duration, limit int) []Aged {
+func (t *Table) NotableReports(now time.Duration, limit int) []AgedEvidence {
 	notable := t.Watched(now)
-	for _, fingerprint := range t.Tried() {
+	for _, fingerprint := range t.NeedingTrial() {
 		if !slices.Contains(notable, fingerprint) {
 			notable = append(notable, fingerprint)
 		}
 	}
-	return t.SightsOf(notable, now, limit)
+	return t.ReportsOf(notable, now, limit)
 }
 
 // SightsOf is like Sights, but covers only the given requests, including those with only weak
 // failures. If there are too many failures, earlier requests in the list take precedence.
-func (t *Table) SightsOf(fingerprints []Fingerprint, now time.Duration, limit int) []Aged {
-	var reports []Aged
+func (t *Table) ReportsOf(fingerprints []Fingerprint, now time.Duration, limit int) []AgedEvidence {
+	var reports []AgedEvidence
 	for _, fingerprint := range fingerprints {
 		known := t.requests[fingerprint]
 		if known == nil {
@@ -55,15 +55,15 @@
 			}
 			evidence := failed.evidence(fingerprint, known.about)
 			evidence.Replica = ReplicaOf(failed.replica)
-			reports = append(reports, Aged{Evidence: evidence, Age: now - failed.at})
+			reports = append(reports, AgedEvidence{Evidence: evidence, Age: now - failed.at})
 		}
 	}
-	slices.SortStableFunc(reports, func(a, b Aged) int { return cmp.Compare(b.Age, a.Age) })
+	slices.SortStableFunc(reports, func(a, b AgedEvidence) int { return cmp.Compare(b.Age, a.Age) })
 	return reports
 }
 
 // DropTold drops the failures known only from reports of other members.
-func (t *Table) DropTold() {
+func (t *Table) DropReportedByOthers() {
 	for fingerprint, known := range t.requests {
 		for _, failed := range slices.Clone(known.failures) {
 			if failed.reported && !failed.fromRecord {
@@ -75,20 +75,20 @@
 
 // IsWorthTelling reports whether a request should be reported to others immediately. This is the
 // case if replicas failed in at least two incidents, or if a recent failure is strong evidence.
-func (t *Table) IsWorthTelling(now time.Duration, fingerprint Fingerprint) bool {
+func (t *Table) ShouldReportNow(now time.Duration, fingerprint Fingerprint) bool {
 	known := t.requests[fingerprint]
 	if known == nil {
 		return false
 	}
-	return len(known.incidents()) >= WatchedEnds || t.IsSuspect(now, fingerprint) && slices.ContainsFunc(known.failures, failure.isStrong)
+	return len(known.incidents()) >= WatchedIncidents || t.IsSuspect(now, fingerprint) && slices.ContainsFunc(known.failures, failure.isStrong)
 }
 
 // StoodInSeries reports whether any request that was in flight when the replica failed has at least
 // two incidents (see IsSeries).
-func (t *Table) StoodInSeries(replica string) bool {
+func (t *Table) AnyRequestFailedRepeatedly(replica string) bool {
 	for _, name := range t.processNames(replica) {
 		for fingerprint := range t.inFlightAt[name] {
-			if t.IsSeries(fingerprint) {
+			if t.FailedRepeatedly(fingerprint) {
 				return true
 			}
 		}
--- a/request/quarantine/sight_test.go
+++ b/request/quarantine/sight_test.go
@@ -17,7 +17,7 @@
 		if known := table.requests[fingerprintOf(name)]; known != nil {
 			incidents = len(known.incidents())
 		}
-		counts = append(counts, [2]int{table.CountEnds(fingerprintOf(name)), incidents})
+		counts = append(counts, [2]int{table.CountFailures(fingerprintOf(name)), incidents})
 	}
 	return counts
 }
@@ -29,13 +29,13 @@
 	names := []string{"fatal", "bystander", "other"}
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Hour / 2
-		var all []Aged
+		var all []AgedEvidence
 		for i := range rapid.IntRange(1, maxFailures).Draw(t, "failures") {
 			replica := fmt.Sprint("r", rapid.IntRange(0, 3).Draw(t, "replica"))
 			inFlight := rapid.SliceOfNDistinct(rapid.SampledFrom(names), 1, len(names), rapid.ID).Draw(t, "in flight")
 			for _, name := range inFlight {
-				seen := Evidence{Fingerprint: fingerprintOf(name), Replica: replica, Ran: 5 * time.Millisecond}
-				all = append(all, Aged{Evidence: seen, Age: now - time.Duration(i)*time.Second})
+				seen := Evidence{Fingerprint: fingerprintOf(name), Replica: replica, RunTime: 5 * time.Millisecond}
+				all = append(all, AgedEvidence{Evidence: seen, Age: now - time.Duration(i)*time.Second})
 			}
 		}
 		reference := NewTable()
@@ -46,14 +46,14 @@
 		for _, seen := range rapid.Permutation(all).Draw(t, "order") {
 			for range rapid.IntRange(1, 2).Draw(t, "repeats") {
 				report := seen
-				report.Told = rapid.Bool().Draw(t, "reported")
+				report.ReportedByOther = rapid.Bool().Draw(t, "reported")
 				tables[rapid.IntRange(0, 2).Draw(t, "at")].NoteAged(now, report.Age, report.Evidence)
 			}
 		}
 		for range 2 { // in the second round each table passes on what it received in the first
 			for _, from := range rapid.Permutation([]int{0, 1, 2}).Draw(t, "from") {
 				for to := range tables {
-					for _, seen := range tables[from].Sights(now, maxRequests) {
+					for _, seen := range tables[from].Reports(now, maxRequests) {
 						tables[to].NoteAged(now, seen.Age, seen.Evidence)
 					}
 				}
@@ -61,11 +61,11 @@
 		}
 		for _, table := range tables {
 			must.Eq(t, countsOf(reference, names), countsOf(table, names))
-			changes := table.News()
+			changes := table.Changes()
 			for _, seen := range all {
 				table.NoteAged(now, seen.Age, seen.Evidence)
 			}
-			must.Eq(t, changes, table.News(), must.Sprint("repeated reports change nothing"))
+			must.Eq(t, changes, table.Changes(), must.Sprint("repeated reports change nothing"))
 		}
 	})
 }
@@ -79,17 +79,17 @@
 	}
 	noteShortRun(table, time.Minute, "a", "fatal")
 	noteShortRun(table, 2*time.Minute, "b", "fatal")
-	table.Recall(time.Hour/2, fingerprintOf("recorded"), Record{Replicas: []string{"c", "d"}})
-	kept := table.Sights(3*time.Minute, 3)
+	table.MergeRecord(time.Hour/2, fingerprintOf("recorded"), Record{Replicas: []string{"c", "d"}})
+	kept := table.Reports(3*time.Minute, 3)
 	must.Eq(t, []string{"r19", "a", "b"}, replicasOf(kept))
 	must.Eq(t, []time.Duration{161 * time.Second, 2 * time.Minute, time.Minute}, []time.Duration{kept[0].Age, kept[1].Age, kept[2].Age})
-	must.Eq(t, []string{"a", "b"}, replicasOf(table.NotableSights(3*time.Minute, 3)))
-	must.False(t, slices.Contains(replicasOf(table.Sights(3*time.Minute, 99)), "c"))
-	table.Note(2*time.Minute, Evidence{Fingerprint: fingerprintOf("partial output"), Replica: "e", Began: true})
-	must.False(t, slices.Contains(replicasOf(table.Sights(3*time.Minute, 99)), "e"), must.Sprint("it is weak evidence"))
+	must.Eq(t, []string{"a", "b"}, replicasOf(table.NotableReports(3*time.Minute, 3)))
+	must.False(t, slices.Contains(replicasOf(table.Reports(3*time.Minute, 99)), "c"))
+	table.RecordFailure(2*time.Minute, Evidence{Fingerprint: fingerprintOf("partial output"), Replica: "e", HadOutput: true})
+	must.False(t, slices.Contains(replicasOf(table.Reports(3*time.Minute, 99)), "e"), must.Sprint("it is weak evidence"))
 }
 
-func replicasOf(sights []Aged) (replicas []string) {
+func replicasOf(sights []AgedEvidence) (replicas []string) {
 	for _, seen := range sights {
 		replicas = append(replicas, seen.Replica)
 	}
@@ -100,13 +100,13 @@
 func TestEvictionIsNoChange(t *testing.T) {
 	table := NewTable()
 	for i := range 2 * maxFailures {
-		before := table.News()
-		table.Note(time.Second, Evidence{Fingerprint: fingerprintOf("popular"), Replica: fmt.Sprint("rack-", i), Ran: time.Second})
-		must.Eq(t, i < maxFailures, table.News() != before, must.Sprint("failure ", i))
+		before := table.Changes()
+		table.RecordFailure(time.Second, Evidence{Fingerprint: fingerprintOf("popular"), Replica: fmt.Sprint("rack-", i), RunTime: time.Second})
+		must.Eq(t, i < maxFailures, table.Changes() != before, must.Sprint("failure ", i))
 	}
 	for i := range 2 * maxRequests {
-		before := table.News()
+		before := table.Changes()
 		noteShortRun(table, time.Minute, "r", fmt.Sprint("once ", i))
-		must.Eq(t, i < maxRequests-1, table.News() != before, must.Sprint("request ", i))
+		must.Eq(t, i < maxRequests-1, table.Changes() != before, must.Sprint("request ", i))
 	}
 }
--- a/request/quarantine/steady_test.go
+++ b/request/quarantine/steady_test.go
@@ -19,7 +19,7 @@
 	fail := func(replica string, requests ...string) {
 		at += time.Second
 		for _, request := range requests {
-			table.Note(at, Evidence{Fingerprint: fingerprintOf(request), Replica: replica, Ran: 5 * time.Millisecond})
+			table.RecordFailure(at, Evidence{Fingerprint: fingerprintOf(request), Replica: replica, RunTime: 5 * time.Millisecond})
 		}
 	}
 	fail("r-0", "bystander")
@@ -29,9 +29,9 @@
 		fail(fmt.Sprint("s-", i), "fatal")
 	}
 	table.SetHeld(fingerprintOf("fatal"), true)
-	before := table.Standing(at+pastSettling, fingerprintOf("bystander"))
+	before := table.Verdict(at+pastSettling, fingerprintOf("bystander"))
 	table.SetHeld(fingerprintOf("bystander"), true)
-	must.Eq(t, before, table.Standing(at+pastSettling, fingerprintOf("bystander")))
+	must.Eq(t, before, table.Verdict(at+pastSettling, fingerprintOf("bystander")))
 }
 
 // Judging again without new reports must change nothing, whichever requests were held or released
@@ -65,9 +65,9 @@
 		if known := table.requests[request]; random.IntN(5) < 2 || known != nil && known.isHeld() {
 			continue
 		}
-		table.Note(now, Evidence{
-			Fingerprint: request, Replica: replica, Began: random.IntN(4) == 0, Alone: random.IntN(6) == 0,
-			Ran: time.Duration(random.IntN(2000)) * time.Millisecond,
+		table.RecordFailure(now, Evidence{
+			Fingerprint: request, Replica: replica, HadOutput: random.IntN(4) == 0, OnlyInFlight: random.IntN(6) == 0,
+			RunTime: time.Duration(random.IntN(2000)) * time.Millisecond,
 		})
 	}
 }
@@ -76,7 +76,7 @@
 func holdHarmful(table *Table, now time.Duration, requests []Fingerprint) []bool {
 	var harmful []bool
 	for _, request := range requests {
-		harmful = append(harmful, table.Standing(now, request) == Condemned)
+		harmful = append(harmful, table.Verdict(now, request) == Harmful)
 		table.SetHeld(request, harmful[len(harmful)-1])
 	}
 	return harmful
--- a/request/quarantine/table.go
+++ b/request/quarantine/table.go
@@ -11,9 +11,9 @@
 	// CondemningEnds is the number of incidents with strong evidence from which a request is
 	// considered harmful (see harmfulWeight for weaker evidence). Three are more than a bystander
 	// meets by chance while its route allows two attempts, and no more than users tolerate.
-	CondemningEnds = 3
+	HarmfulIncidents = 3
 	// WatchedEnds is the number of incidents from which a request is watched.
-	WatchedEnds = 2
+	WatchedIncidents = 2
 	// certainFailures is the number of incidents from which a process with a partial view, which
 	// does not receive the failures observed by all others, considers a request harmful.
 	certainFailures = 4
@@ -36,14 +36,14 @@
 )
 
 // Standing is a verdict on a request.
-type Standing uint8
+type Verdict uint8
 
 // Standings, from harmless to harmful.
 const (
-	Free      Standing = iota
-	Watched            // replicas failed while it ran, too few to decide or explained by another request
-	Settling           // it is found harmful, but reports that change this may still arrive
-	Condemned          // harmful: it makes replicas fail
+	Free     Verdict = iota
+	Watched          // replicas failed while it ran, too few to decide or explained by another request
+	Settling         // it is found harmful, but reports that change this may still arrive
+	Harmful          // harmful: it makes replicas fail
 )
 
 // Table records which requests were running when replicas failed. It is not safe for concurrent
@@ -73,7 +73,7 @@
 type entry struct {
 	failures []failure // of different processes, in order of time
 	holds    []hold
-	about    About
+	about    RequestInfo
 }
 
 // failure is a suspected failure of one replica process while it ran a request. See Evidence for
@@ -108,13 +108,13 @@
 
 // News returns a counter that changes whenever the table's content does. Repeated reports of an
 // observed failure leave it unchanged, even if they update details, as they need not be passed on.
-func (t *Table) News() uint64 { return t.changes }
+func (t *Table) Changes() uint64 { return t.changes }
 
 // Empty reports whether the table holds no failures. It may still hold cleared requests.
 func (t *Table) Empty() bool { return len(t.requests) == 0 }
 
 // Note records a suspected replica failure, unless the request was served recently.
-func (t *Table) Note(now time.Duration, evidence Evidence) { t.noteAt(now, now, evidence) }
+func (t *Table) RecordFailure(now time.Duration, evidence Evidence) { t.noteAt(now, now, evidence) }
 
 // NoteAged is Note for a failure of the given age. It ignores negative ages and those beyond the
 // retention time.
@@ -137,14 +137,14 @@
 		t.requests[evidence.Fingerprint] = known
 	}
 	incoming := failure{
-		replica: evidence.Replica, sent: at - evidence.Ran, at: at, hadOutput: evidence.Began, prefill: evidence.Read, alone: evidence.Alone,
-		listens: evidence.Listens, uniqueName: evidence.Once, reported: evidence.Told, fromRecord: evidence.fromRecord, sequence: t.sequence,
+		replica: evidence.Replica, sent: at - evidence.RunTime, at: at, hadOutput: evidence.HadOutput, prefill: evidence.Read, alone: evidence.OnlyInFlight,
+		listens: evidence.StillListening, uniqueName: evidence.UniqueName, reported: evidence.ReportedByOther, fromRecord: evidence.fromRecord, sequence: t.sequence,
 	}
 	if evidence.fromRecord {
 		incoming.notedAt = now
 	}
-	if evidence.Sight != 0 {
-		incoming.observationIDs = []uint64{evidence.Sight}
+	if evidence.ObservationID != 0 {
+		incoming.observationIDs = []uint64{evidence.ObservationID}
 	}
 	incoming.replica = t.processNameFor(known, incoming)
 	if known.has(incoming.replica) {
@@ -153,7 +153,7 @@
 		}
 		return
 	}
-	known.about = evidence.About
+	known.about = evidence.RequestInfo
 	known.insert(incoming)
 	t.sequence++
 	t.addInFlight(evidence.Fingerprint, incoming.replica)
@@ -170,16 +170,16 @@
 }
 
 // Alive describes an answer of a replica that was suspected to have failed.
-type Alive struct {
+type LiveReplica struct {
 	Replica string
 	// For says that the answering process has been running for at least this long. An earlier
 	// process with the same name may have failed before.
-	For time.Duration
+	RunningFor time.Duration
 }
 
 // Ever is the Alive.For of a process that is the only one with its name. It covers all failures,
 // because none is kept longer than failureRetention.
-const Ever = failureRetention
+const AnyAge = failureRetention
 
 // maxReportDelay is the longest delay that is assumed between a replica failure and a report of it.
 // A process that answers refutes a failure if it started at least this long before the reported
@@ -188,10 +188,10 @@
 
 // Lives drops the failures of a replica that happened while the answering process was already
 // running.
-func (t *Table) Lives(now time.Duration, alive Alive) {
+func (t *Table) RefuteFailures(now time.Duration, alive LiveReplica) {
 	for _, name := range t.processNames(alive.Replica) {
 		for fingerprint := range t.inFlightAt[name] {
-			if failed := t.requests[fingerprint].failureOf(name); now-alive.For+maxReportDelay <= failed.at {
+			if failed := t.requests[fingerprint].failureOf(name); now-alive.RunningFor+maxReportDelay <= failed.at {
 				t.drop(fingerprint, name)
 			}
 		}
@@ -199,7 +199,7 @@
 }
 
 // HasEnd reports whether a replica is known to have failed while it ran the request.
-func (t *Table) HasEnd(fingerprint Fingerprint, replica string) bool {
+func (t *Table) HasFailure(fingerprint Fingerprint, replica string) bool {
 	known := t.requests[fingerprint]
 	return known != nil && known.has(replica)
 }
@@ -237,7 +237,7 @@
 // Failures shared with another request that is or was held do not count, because a held request
 // causes no more failures, and a trial of the bystander would refuse its callers needlessly. Weak
 // failures, such as those of replicas that keep listening, do not count either.
-func (t *Table) IsTried(fingerprint Fingerprint) bool {
+func (t *Table) NeedsTrial(fingerprint Fingerprint) bool {
 	known := t.requests[fingerprint]
 	if known == nil || !known.hasManyFailures() {
 		return false
@@ -260,10 +260,10 @@
 }
 
 // Tried returns the requests that are due for a trial, ordered by fingerprint.
-func (t *Table) Tried() []Fingerprint {
+func (t *Table) NeedingTrial() []Fingerprint {
 	var tried []Fingerprint
 	for fingerprint := range t.requests {
-		if t.IsTried(fingerprint) {
+		if t.NeedsTrial(fingerprint) {
 			tried = append(tried, fingerprint)
 		}
 	}
@@ -273,7 +273,7 @@
 
 // EndedAlone reports whether the request has at least two incidents and one of its failures
 // happened with nothing else in flight.
-func (t *Table) EndedAlone(fingerprint Fingerprint) bool {
+func (t *Table) FailedAlone(fingerprint Fingerprint) bool {
 	known := t.requests[fingerprint]
 	return known != nil && known.failedAlone()
 }
@@ -291,10 +291,10 @@
 
 // Lone returns the suspects (see IsSuspect) with a single incident that includes strong evidence.
 // The most recent come first.
-func (t *Table) Lone(now time.Duration) []Fingerprint {
+func (t *Table) SingleIncidentSuspects(now time.Duration) []Fingerprint {
 	var found []Fingerprint
 	for fingerprint, known := range t.requests {
-		if t.IsSuspect(now, fingerprint) && len(known.incidents()) < WatchedEnds && slices.ContainsFunc(known.failures, failure.isStrong) {
+		if t.IsSuspect(now, fingerprint) && len(known.incidents()) < WatchedIncidents && slices.ContainsFunc(known.failures, failure.isStrong) {
 			found = append(found, fingerprint)
 		}
 	}
@@ -309,15 +309,15 @@
 func (f failure) isStrong() bool { return !f.hadOutput && !f.prefill && !f.listens }
 
 // IsSeries reports whether the request has at least two incidents.
-func (t *Table) IsSeries(fingerprint Fingerprint) bool {
+func (t *Table) FailedRepeatedly(fingerprint Fingerprint) bool {
 	known := t.requests[fingerprint]
-	return known != nil && len(known.incidents()) >= WatchedEnds
+	return known != nil && len(known.incidents()) >= WatchedIncidents
 }
 
 // IsCertain reports whether a request is harmful by a stricter rule, for a process with a partial
 // view. The rule requires one more incident, counts no prefill runs and ignores incidents in which
 // another request of the same or a higher rank was in flight, without regard to holds.
-func (t *Table) IsCertain(fingerprint Fingerprint) bool {
+func (t *Table) IsHarmfulOnPartialView(fingerprint Fingerprint) bool {
 	known := t.requests[fingerprint]
 	if known == nil {
 		return false
@@ -330,16 +330,16 @@
 // Rest returns how long a harmful request still has CondemningEnds incidents if no more replicas
 // fail. It returns 0 if the request has fewer incidents, even if two were enough to find it
 // harmful, and may be negative until Expire is called.
-func (t *Table) Rest(now time.Duration, fingerprint Fingerprint) time.Duration {
+func (t *Table) HarmfulFor(now time.Duration, fingerprint Fingerprint) time.Duration {
 	known := t.requests[fingerprint]
 	if known == nil {
 		return 0
 	}
 	incidents := known.incidents()
-	if len(incidents) < CondemningEnds {
+	if len(incidents) < HarmfulIncidents {
 		return 0
 	}
-	return failureRetention - (now - incidents[len(incidents)-CondemningEnds][0].at)
+	return failureRetention - (now - incidents[len(incidents)-HarmfulIncidents][0].at)
 }
 
 // Watched returns the requests whose standing is not Free, including harmful ones, ordered by
@@ -347,7 +347,7 @@
 func (t *Table) Watched(now time.Duration) []Fingerprint {
 	var watched []Fingerprint
 	for fingerprint := range t.requests {
-		if t.Standing(now, fingerprint) != Free {
+		if t.Verdict(now, fingerprint) != Free {
 			watched = append(watched, fingerprint)
 		}
 	}
@@ -375,15 +375,15 @@
 // first, and the description of the request. It returns one replica per incident. If many replicas
 // failed in fewer than CondemningEnds incidents it returns all of them, so that a record of them
 // gives the same verdict.
-func (t *Table) Ends(fingerprint Fingerprint) ([]string, About) {
+func (t *Table) FailedReplicas(fingerprint Fingerprint) ([]string, RequestInfo) {
 	known := t.requests[fingerprint]
 	if known == nil {
-		return nil, About{}
+		return nil, RequestInfo{}
 	}
 	var replicas []string
 	incidents := known.incidents()
 	for _, incident := range incidents {
-		if !known.hasManyFailures() || len(incidents) >= CondemningEnds {
+		if !known.hasManyFailures() || len(incidents) >= HarmfulIncidents {
 			incident = incident[:1]
 		}
 		for _, failed := range incident {
@@ -395,7 +395,7 @@
 
 // CountEnds returns the number of replicas that failed while they ran the request, including those
 // that failed together.
-func (t *Table) CountEnds(fingerprint Fingerprint) int {
+func (t *Table) CountFailures(fingerprint Fingerprint) int {
 	if known := t.requests[fingerprint]; known != nil {
 		return len(known.failures)
 	}
@@ -403,7 +403,7 @@
 }
 
 // FirstEnd returns the time of the first known failure of a request.
-func (t *Table) FirstEnd(fingerprint Fingerprint) (at time.Duration, found bool) {
+func (t *Table) FirstFailureAt(fingerprint Fingerprint) (at time.Duration, found bool) {
 	known := t.requests[fingerprint]
 	if known == nil || len(known.failures) == 0 {
 		return 0, false
--- a/request/quarantine/table_test.go
+++ b/request/quarantine/table_test.go
@@ -8,12 +8,12 @@
 	"github.com/shoenig/test/must"
 )
 
-func fingerprintOf(name string) Fingerprint { return Of(Identity{Path: name}) }
+func fingerprintOf(name string) Fingerprint { return FingerprintOf(RequestIdentity{Path: name}) }
 
 // noteFailure records that a replica failed while it ran the requests.
 func noteFailure(table *Table, now time.Duration, replica string, requests ...string) {
 	for _, request := range requests {
-		table.Note(now, Evidence{Fingerprint: fingerprintOf(request), Replica: replica})
+		table.RecordFailure(now, Evidence{Fingerprint: fingerprintOf(request), Replica: replica})
 	}
 }
 
@@ -21,12 +21,12 @@
 
 func TestThirdFailureIsHarmful(t *testing.T) {
 	table := NewTable()
-	for i, want := range []Standing{Free, Watched, Condemned, Condemned} {
+	for i, want := range []Verdict{Free, Watched, Harmful, Harmful} {
 		noteFailure(table, 0, fmt.Sprint("r", i), "fatal")
-		must.Eq(t, want, table.Standing(pastSettling, fingerprintOf("fatal")), must.Sprint(i+1, " failures"))
+		must.Eq(t, want, table.Verdict(pastSettling, fingerprintOf("fatal")), must.Sprint(i+1, " failures"))
 	}
-	must.Eq(t, Free, table.Standing(pastSettling, fingerprintOf("other")))
-	must.Eq(t, Settling, table.Standing(settleDelay/2, fingerprintOf("fatal")))
+	must.Eq(t, Free, table.Verdict(pastSettling, fingerprintOf("other")))
+	must.Eq(t, Settling, table.Verdict(settleDelay/2, fingerprintOf("fatal")))
 }
 
 // A process with a partial view requires one more failure and does not decide between equals.
@@ -34,19 +34,19 @@
 	table := NewTable()
 	for i := range 3 {
 		noteFailure(table, 0, fmt.Sprint("r", i), "fatal")
-		must.False(t, table.IsCertain(fingerprintOf("fatal")))
+		must.False(t, table.IsHarmfulOnPartialView(fingerprintOf("fatal")))
 	}
 	noteFailure(table, 0, "r3", "fatal")
-	must.True(t, table.IsCertain(fingerprintOf("fatal")))
+	must.True(t, table.IsHarmfulOnPartialView(fingerprintOf("fatal")))
 	for i := range 5 {
-		table.Note(0, Evidence{Fingerprint: fingerprintOf("read"), Replica: fmt.Sprint("reader", i), Read: true})
+		table.RecordFailure(0, Evidence{Fingerprint: fingerprintOf("read"), Replica: fmt.Sprint("reader", i), Read: true})
 	}
-	must.False(t, table.IsCertain(fingerprintOf("read")))
+	must.False(t, table.IsHarmfulOnPartialView(fingerprintOf("read")))
 	for i := range 4 {
 		noteFailure(table, 0, fmt.Sprint("s", i), "one", "two")
 	}
-	must.False(t, table.IsCertain(fingerprintOf("one")))
-	must.False(t, table.IsCertain(fingerprintOf("other")))
+	must.False(t, table.IsHarmfulOnPartialView(fingerprintOf("one")))
+	must.False(t, table.IsHarmfulOnPartialView(fingerprintOf("other")))
 }
 
 func TestOneReplicaCountsOnce(t *testing.T) {
@@ -54,7 +54,7 @@
 	for range 5 {
 		noteFailure(table, 0, "r", "fatal")
 	}
-	must.Eq(t, Free, table.Standing(pastSettling, fingerprintOf("fatal")))
+	must.Eq(t, Free, table.Verdict(pastSettling, fingerprintOf("fatal")))
 }
 
 // A request that was in flight at failures of a request with more failures is not found harmful,
@@ -68,8 +68,8 @@
 		for i := range 3 {
 			noteFailure(table, 0, fmt.Sprint("r", i), order...)
 		}
-		must.Eq(t, Condemned, table.Standing(pastSettling, fingerprintOf("fatal")))
-		must.Eq(t, Watched, table.Standing(pastSettling, fingerprintOf("bystander")))
+		must.Eq(t, Harmful, table.Verdict(pastSettling, fingerprintOf("fatal")))
+		must.Eq(t, Watched, table.Verdict(pastSettling, fingerprintOf("bystander")))
 	}
 }
 
@@ -81,14 +81,14 @@
 		noteFailure(table, 0, fmt.Sprint("r", i), "fatal", "popular")
 	}
 	noteFailure(table, 0, "unrelated", "popular")
-	must.Eq(t, Watched, table.Standing(pastSettling, fingerprintOf("popular")))
+	must.Eq(t, Watched, table.Verdict(pastSettling, fingerprintOf("popular")))
 	for i := 2; i < 4; i++ {
 		noteFailure(table, 0, fmt.Sprint("r", i), "fatal")
-		must.Eq(t, Watched, table.Standing(pastSettling, fingerprintOf("fatal")))
+		must.Eq(t, Watched, table.Verdict(pastSettling, fingerprintOf("fatal")))
 	}
 	noteFailure(table, 0, "r4", "fatal")
-	must.Eq(t, Condemned, table.Standing(pastSettling, fingerprintOf("fatal")))
-	must.Eq(t, Watched, table.Standing(pastSettling, fingerprintOf("popular")))
+	must.Eq(t, Harmful, table.Verdict(pastSettling, fingerprintOf("fatal")))
+	must.Eq(t, Watched, table.Verdict(pastSettling, fingerprintOf("popular")))
 }
 
 // Runs that had produced output count in favour of a request that was in flight at the same
@@ -98,21 +98,21 @@
 	for i := range 3 {
 		replica := fmt.Sprint("r", i)
 		noteFailure(table, 0, replica, "fatal")
-		table.Note(0, Evidence{Fingerprint: fingerprintOf("bystander"), Replica: replica, Began: i < 2})
+		table.RecordFailure(0, Evidence{Fingerprint: fingerprintOf("bystander"), Replica: replica, HadOutput: i < 2})
 	}
-	must.Eq(t, Condemned, table.Standing(pastSettling, fingerprintOf("fatal")))
-	must.Eq(t, Watched, table.Standing(pastSettling, fingerprintOf("bystander")))
+	must.Eq(t, Harmful, table.Verdict(pastSettling, fingerprintOf("fatal")))
+	must.Eq(t, Watched, table.Verdict(pastSettling, fingerprintOf("bystander")))
 }
 
 // Two requests that are always sent together are eventually both found harmful.
 func TestInseparableRequestsAreBothHarmful(t *testing.T) {
 	table := NewTable()
 	for i := range decisiveFailures {
-		must.NotEq(t, Condemned, table.Standing(pastSettling, fingerprintOf("one")))
+		must.NotEq(t, Harmful, table.Verdict(pastSettling, fingerprintOf("one")))
 		noteFailure(table, 0, fmt.Sprint("r", i), "one", "two")
 	}
-	must.Eq(t, Condemned, table.Standing(pastSettling, fingerprintOf("one")))
-	must.Eq(t, Condemned, table.Standing(pastSettling, fingerprintOf("two")))
+	must.Eq(t, Harmful, table.Verdict(pastSettling, fingerprintOf("one")))
+	must.Eq(t, Harmful, table.Verdict(pastSettling, fingerprintOf("two")))
 }
 
 // A held request has no further failures, but remains the likelier cause of its earlier ones when a
@@ -120,14 +120,14 @@
 func TestHeldRequestRemainsTheCauseOfItsFailures(t *testing.T) {
 	table := NewTable()
 	for i := range 3 {
-		table.Note(0, Evidence{Fingerprint: fingerprintOf("fatal"), Replica: fmt.Sprint("r", i)})
-		table.Note(0, Evidence{Fingerprint: fingerprintOf("popular"), Replica: fmt.Sprint("r", i), Began: i < 2})
+		table.RecordFailure(0, Evidence{Fingerprint: fingerprintOf("fatal"), Replica: fmt.Sprint("r", i)})
+		table.RecordFailure(0, Evidence{Fingerprint: fingerprintOf("popular"), Replica: fmt.Sprint("r", i), HadOutput: i < 2})
 	}
-	must.Eq(t, Condemned, table.Standing(pastSettling, fingerprintOf("fatal")))
+	must.Eq(t, Harmful, table.Verdict(pastSettling, fingerprintOf("fatal")))
 	table.SetHeld(fingerprintOf("fatal"), true)
 	noteFailure(table, 0, "unrelated", "popular")
-	must.Eq(t, Watched, table.Standing(pastSettling, fingerprintOf("popular")))
-	must.Eq(t, Condemned, table.Standing(pastSettling, fingerprintOf("fatal")))
+	must.Eq(t, Watched, table.Verdict(pastSettling, fingerprintOf("popular")))
+	must.Eq(t, Harmful, table.Verdict(pastSettling, fingerprintOf("fatal")))
 }
 
 // A request that was held by mistake, before the harmful one was known, is no longer found harmful
@@ -140,9 +140,9 @@
 	table.SetHeld(fingerprintOf("popular"), true)
 	noteFailure(table, 0, "r3", "fatal")
 	noteFailure(table, 0, "r4", "fatal")
-	must.Eq(t, Condemned, table.Standing(pastSettling, fingerprintOf("fatal")))
+	must.Eq(t, Harmful, table.Verdict(pastSettling, fingerprintOf("fatal")))
 	table.SetHeld(fingerprintOf("fatal"), true)
-	must.Eq(t, Watched, table.Standing(pastSettling, fingerprintOf("popular")))
+	must.Eq(t, Watched, table.Verdict(pastSettling, fingerprintOf("popular")))
 }
 
 // Two harmful requests are both found.
@@ -153,8 +153,8 @@
 		noteFailure(table, 0, fmt.Sprint("a", i), "one")
 		noteFailure(table, 0, fmt.Sprint("b", i), "two")
 	}
-	must.Eq(t, Condemned, table.Standing(pastSettling, fingerprintOf("one")))
-	must.Eq(t, Condemned, table.Standing(pastSettling, fingerprintOf("two")))
+	must.Eq(t, Harmful, table.Verdict(pastSettling, fingerprintOf("one")))
+	must.Eq(t, Harmful, table.Verdict(pastSettling, fingerprintOf("two")))
 }
 
 // Replicas that fail together count once for everything in flight there. A failure counts again if
@@ -162,19 +162,19 @@
 func TestSimultaneousFailuresCountOnce(t *testing.T) {
 	table := NewTable()
 	for i := range 3 * maxFailures {
-		table.Note(time.Second+time.Duration(i)*10*time.Millisecond, Evidence{
-			Fingerprint: fingerprintOf("popular"), Replica: fmt.Sprint("rack-", i), Ran: 300 * time.Millisecond,
+		table.RecordFailure(time.Second+time.Duration(i)*10*time.Millisecond, Evidence{
+			Fingerprint: fingerprintOf("popular"), Replica: fmt.Sprint("rack-", i), RunTime: 300 * time.Millisecond,
 		})
 	}
-	must.Eq(t, Free, table.Standing(2*time.Second, fingerprintOf("popular")))
+	must.Eq(t, Free, table.Verdict(2*time.Second, fingerprintOf("popular")))
 	must.SliceEmpty(t, table.Watched(2*time.Second))
 	for i := range 2 {
-		table.Note(3*time.Second+time.Duration(i)*100*time.Millisecond, Evidence{
-			Fingerprint: fingerprintOf("popular"), Replica: fmt.Sprint("later-", i), Ran: 50 * time.Millisecond,
+		table.RecordFailure(3*time.Second+time.Duration(i)*100*time.Millisecond, Evidence{
+			Fingerprint: fingerprintOf("popular"), Replica: fmt.Sprint("later-", i), RunTime: 50 * time.Millisecond,
 		})
 	}
-	must.Eq(t, Condemned, table.Standing(5*time.Second, fingerprintOf("popular")))
-	replicas, _ := table.Ends(fingerprintOf("popular"))
+	must.Eq(t, Harmful, table.Verdict(5*time.Second, fingerprintOf("popular")))
+	replicas, _ := table.FailedReplicas(fingerprintOf("popular"))
 	must.Eq(t, []string{"rack-0", "later-0", "later-1"}, replicas)
 }
 
@@ -183,10 +183,10 @@
 	for i := range 3 {
 		noteFailure(table, 0, fmt.Sprint("r", i), "fatal")
 	}
-	table.Lives(0, Alive{Replica: "r1", For: Ever})
-	must.Eq(t, Watched, table.Standing(pastSettling, fingerprintOf("fatal")))
-	table.Lives(0, Alive{Replica: "r0", For: Ever})
-	table.Lives(0, Alive{Replica: "r2", For: Ever})
+	table.RefuteFailures(0, LiveReplica{Replica: "r1", RunningFor: AnyAge})
+	must.Eq(t, Watched, table.Verdict(pastSettling, fingerprintOf("fatal")))
+	table.RefuteFailures(0, LiveReplica{Replica: "r0", RunningFor: AnyAge})
+	table.RefuteFailures(0, LiveReplica{Replica: "r2", RunningFor: AnyAge})
 	must.True(t, table.Empty())
 	must.MapEmpty(t, table.inFlightAt)
 }
@@ -197,15 +197,15 @@
 	for i := range 2 {
 		noteFailure(table, 0, fmt.Sprint("r", i), "popular")
 	}
-	table.Served(0, fingerprintOf("popular"))
+	table.RecordServed(0, fingerprintOf("popular"))
 	for i := 2; i < 8; i++ {
 		noteFailure(table, clearanceDuration/2, fmt.Sprint("r", i), "popular")
 	}
-	must.Eq(t, Free, table.Standing(clearanceDuration/2+pastSettling, fingerprintOf("popular")))
+	must.Eq(t, Free, table.Verdict(clearanceDuration/2+pastSettling, fingerprintOf("popular")))
 	for i := range 3 {
 		noteFailure(table, 2*clearanceDuration, fmt.Sprint("s", i), "popular")
 	}
-	must.Eq(t, Condemned, table.Standing(2*clearanceDuration+pastSettling, fingerprintOf("popular")))
+	must.Eq(t, Harmful, table.Verdict(2*clearanceDuration+pastSettling, fingerprintOf("popular")))
 }
 
 func TestFailuresExpire(t *testing.T) {
@@ -229,9 +229,9 @@
 	}
 	must.LessEq(t, maxRequests, len(table.requests))
 	must.LessEq(t, maxRequests+maxFailures, len(table.inFlightAt))
-	replicas, _ := table.Ends(fingerprintOf("fatal"))
+	replicas, _ := table.FailedReplicas(fingerprintOf("fatal"))
 	must.SliceLen(t, maxFailures, replicas)
-	must.Eq(t, Condemned, table.Standing(pastSettling, fingerprintOf("fatal")))
+	must.Eq(t, Harmful, table.Verdict(pastSettling, fingerprintOf("fatal")))
 }
 
 // A table rebuilt from the evidence of another reaches the same verdict, whatever it received
@@ -242,17 +242,17 @@
 		noteFailure(table, time.Minute, fmt.Sprint("r", i), "fatal")
 	}
 	for range 2 {
-		for _, seen := range table.All(time.Minute + pastSettling) {
+		for _, seen := range table.ObservedHere(time.Minute + pastSettling) {
 			other.NoteAged(time.Hour, seen.Age, seen.Evidence)
 		}
 	}
-	must.Eq(t, Condemned, other.Standing(time.Hour, fingerprintOf("fatal")))
+	must.Eq(t, Harmful, other.Verdict(time.Hour, fingerprintOf("fatal")))
 	must.Eq(t, []Fingerprint{fingerprintOf("fatal")}, other.Watched(time.Hour))
 
 	restored := NewTable()
-	replicas, about := table.Ends(fingerprintOf("fatal"))
+	replicas, about := table.FailedReplicas(fingerprintOf("fatal"))
 	restored.Restore(0, fingerprintOf("fatal"), Record{Replicas: replicas, About: about})
-	must.Eq(t, Condemned, restored.Standing(0, fingerprintOf("fatal")))
+	must.Eq(t, Harmful, restored.Verdict(0, fingerprintOf("fatal")))
 }
 
 // A request with a failure at which nothing else was in flight is found harmful at once, even if
@@ -260,26 +260,26 @@
 // was served is no suspect any more.
 func TestFailuresAlone(t *testing.T) {
 	table := NewTable()
-	fatal, popular := Of(Identity{Path: "/fatal"}), Of(Identity{Path: "/popular"})
+	fatal, popular := FingerprintOf(RequestIdentity{Path: "/fatal"}), FingerprintOf(RequestIdentity{Path: "/popular"})
 	for _, request := range []Fingerprint{fatal, popular} {
-		table.Note(0, Evidence{Fingerprint: request, Replica: "r-1"})
-		table.Note(time.Second, Evidence{Fingerprint: request, Replica: "r-2"})
+		table.RecordFailure(0, Evidence{Fingerprint: request, Replica: "r-1"})
+		table.RecordFailure(time.Second, Evidence{Fingerprint: request, Replica: "r-2"})
 	}
-	must.Eq(t, Watched, table.Standing(2*time.Second, fatal))
+	must.Eq(t, Watched, table.Verdict(2*time.Second, fatal))
 	must.True(t, table.IsSuspect(2*time.Second, popular))
-	must.True(t, table.IsSeries(popular))
-	table.Note(2*time.Second, Evidence{Fingerprint: fatal, Replica: "r-3", Alone: true})
-	must.Eq(t, Condemned, table.Standing(2*time.Second, fatal), must.Sprint("no other reports are waited for"))
-	must.Eq(t, Watched, table.Standing(2*time.Second, popular))
-	table.Served(2*time.Second, popular)
+	must.True(t, table.FailedRepeatedly(popular))
+	table.RecordFailure(2*time.Second, Evidence{Fingerprint: fatal, Replica: "r-3", OnlyInFlight: true})
+	must.Eq(t, Harmful, table.Verdict(2*time.Second, fatal), must.Sprint("no other reports are waited for"))
+	must.Eq(t, Watched, table.Verdict(2*time.Second, popular))
+	table.RecordServed(2*time.Second, popular)
 	must.False(t, table.IsSuspect(2*time.Second, popular))
 	must.False(t, table.IsSuspect(3*suspectDuration, fatal))
 
 	table = NewTable()
-	table.Note(0, Evidence{Fingerprint: fatal, Replica: "r-1", Alone: true})
-	must.Eq(t, Free, table.Standing(time.Second, fatal), must.Sprint("a single failure may be chance"))
-	must.False(t, table.IsSeries(fatal))
-	table.Note(0, Evidence{Fingerprint: popular, Replica: "r-1", Began: true})
+	table.RecordFailure(0, Evidence{Fingerprint: fatal, Replica: "r-1", OnlyInFlight: true})
+	must.Eq(t, Free, table.Verdict(time.Second, fatal), must.Sprint("a single failure may be chance"))
+	must.False(t, table.FailedRepeatedly(fatal))
+	table.RecordFailure(0, Evidence{Fingerprint: popular, Replica: "r-1", HadOutput: true})
 	must.False(t, table.IsSuspect(time.Second, popular), must.Sprint("the run had produced output"))
 }
 
@@ -293,9 +293,9 @@
 		noteFailure(table, time.Duration(i)*time.Second, fmt.Sprint("r", i), "fatal")
 	}
 	noteFailure(table, 10*time.Second, "r0", "reset")
-	table.Lives(11*time.Second, Alive{Replica: "r0", For: 9 * time.Second})
-	must.Eq(t, Condemned, table.Standing(11*time.Second, fingerprintOf("fatal")))
-	must.False(t, table.HasEnd(fingerprintOf("reset"), "r0"))
-	table.Lives(11*time.Second, Alive{Replica: "r0", For: 11*time.Second + time.Minute})
-	must.Eq(t, Watched, table.Standing(11*time.Second, fingerprintOf("fatal")))
+	table.RefuteFailures(11*time.Second, LiveReplica{Replica: "r0", RunningFor: 9 * time.Second})
+	must.Eq(t, Harmful, table.Verdict(11*time.Second, fingerprintOf("fatal")))
+	must.False(t, table.HasFailure(fingerprintOf("reset"), "r0"))
+	table.RefuteFailures(11*time.Second, LiveReplica{Replica: "r0", RunningFor: 11*time.Second + time.Minute})
+	must.Eq(t, Watched, table.Verdict(11*time.Second, fingerprintOf("fatal")))
 }
