--- a/request/quarantine/verdict.go
+++ b/request/quarantine/verdict.go
@@ -21,7 +21,7 @@
 	decisiveFailures = 5
 	// manyFailures is the number of strong failures, however close together, from which a request
 	// is due for a trial (see IsTried). As many failures at different times make a request harmful.
-	manyFailures = CondemningEnds
+	manyFailures = HarmfulIncidents
 	// strongWeight is the weight of an incident with a strong failure (see isStrong).
 	strongWeight = 3
 	// weakWeight is the weight of any other incident. It is lower, because connections break for
@@ -49,9 +49,9 @@
 // Invariant: holding or releasing a request changes no verdict until another replica fails or a
 // failure is refuted, because a hold only affects how failures after its start are compared (see
 // rankAgainst). So without new reports the set of held requests converges.
-func (t *Table) Standing(now time.Duration, fingerprint Fingerprint) Standing {
+func (t *Table) Verdict(now time.Duration, fingerprint Fingerprint) Verdict {
 	known := t.requests[fingerprint]
-	if known == nil || len(known.incidents()) < WatchedEnds {
+	if known == nil || len(known.incidents()) < WatchedIncidents {
 		return Free
 	}
 	harmful, delay := t.isHarmful(fingerprint, known)
@@ -61,15 +61,15 @@
 	case now-known.lastAt() < delay:
 		return Settling
 	}
-	return Condemned
+	return Harmful
 }
 
 // IsConvicted reports whether the evidence is enough to hold a request at most settleDelay after
 // its last failure. It is false for a request that is harmful only after twoFailureSettleDelay, in
 // which a report of success may still arrive.
-func (t *Table) IsConvicted(fingerprint Fingerprint) bool {
+func (t *Table) IsHarmfulWithoutSuccessWait(fingerprint Fingerprint) bool {
 	known := t.requests[fingerprint]
-	if known == nil || len(known.incidents()) < WatchedEnds {
+	if known == nil || len(known.incidents()) < WatchedIncidents {
 		return false
 	}
 	harmful, delay := t.isHarmful(fingerprint, known)
@@ -85,7 +85,7 @@
 		return true, 0 // nothing else was in flight at a failure, so no reports on bystanders are waited for
 	case weightOf(own) >= harmfulWeight, t.failedAgainAfterMany(fingerprint, known):
 		return true, settleDelay
-	case len(own) >= WatchedEnds && known.failedAlone():
+	case len(own) >= WatchedIncidents && known.failedAlone():
 		return true, twoFailureSettleDelay
 	}
 	return false, 0
@@ -97,7 +97,7 @@
 func (t *Table) failedAgainAfterMany(fingerprint Fingerprint, known *entry) bool {
 	incidents := known.incidents()
 	own := countStrong(known.failures)
-	if len(incidents) < WatchedEnds || own-countStrong(incidents[len(incidents)-1]) < manyFailures {
+	if len(incidents) < WatchedIncidents || own-countStrong(incidents[len(incidents)-1]) < manyFailures {
 		return false
 	}
 	for _, failed := range known.failures {
@@ -215,7 +215,7 @@
 // failedAlone reports whether there are at least two incidents and one of the failures happened
 // with nothing else in flight.
 func (e *entry) failedAlone() bool {
-	return len(e.incidents()) >= WatchedEnds && slices.ContainsFunc(e.failures, func(failed failure) bool { return failed.alone })
+	return len(e.incidents()) >= WatchedIncidents && slices.ContainsFunc(e.failures, func(failed failure) bool { return failed.alone })
 }
 
 // hasManyFailures reports whether there are at least manyFailures strong failures.
--- a/request/quarantine/weak_test.go
+++ b/request/quarantine/weak_test.go
@@ -16,23 +16,23 @@
 // seed 3040).
 func TestWeakFailuresCountLess(t *testing.T) {
 	table := NewTable()
-	for i, seen := range []Evidence{{Read: true}, {Began: true}, {}, {Began: true}, {Listens: true}} {
+	for i, seen := range []Evidence{{Read: true}, {HadOutput: true}, {}, {HadOutput: true}, {StillListening: true}} {
 		seen.Fingerprint, seen.Replica = fingerprintOf("popular"), fmt.Sprint("r", i)
-		table.Note(time.Duration(i)*time.Second, seen)
+		table.RecordFailure(time.Duration(i)*time.Second, seen)
 	}
-	must.Eq(t, Watched, table.Standing(time.Minute, fingerprintOf("popular")))
+	must.Eq(t, Watched, table.Verdict(time.Minute, fingerprintOf("popular")))
 	noteFailure(table, 6*time.Second, "r6", "popular")
-	must.Eq(t, Condemned, table.Standing(time.Minute, fingerprintOf("popular")), must.Sprint("two strong failures and several weak ones"))
+	must.Eq(t, Harmful, table.Verdict(time.Minute, fingerprintOf("popular")), must.Sprint("two strong failures and several weak ones"))
 }
 
 // A request whose runs always fail after they have produced output is found harmful as well.
 func TestManyWeakFailuresAreHarmful(t *testing.T) {
 	table := NewTable()
 	for i := range harmfulWeight { // each failure has a weakWeight of 1
-		must.NotEq(t, Condemned, table.Standing(time.Minute, fingerprintOf("late")), must.Sprint(i, " failures"))
-		table.Note(time.Duration(i)*time.Second, Evidence{Fingerprint: fingerprintOf("late"), Replica: fmt.Sprint("r", i), Began: true})
+		must.NotEq(t, Harmful, table.Verdict(time.Minute, fingerprintOf("late")), must.Sprint(i, " failures"))
+		table.RecordFailure(time.Duration(i)*time.Second, Evidence{Fingerprint: fingerprintOf("late"), Replica: fmt.Sprint("r", i), HadOutput: true})
 	}
-	must.Eq(t, Condemned, table.Standing(time.Minute, fingerprintOf("late")))
+	must.Eq(t, Harmful, table.Verdict(time.Minute, fingerprintOf("late")))
 }
 
 // An observation replaces what the record holds but keeps its sequence number, and only
@@ -41,14 +41,14 @@
 	table := NewTable()
 	record := Record{Replicas: []string{"r0", "r1"}}
 	table.Restore(time.Minute, fingerprintOf("popular"), record)
-	must.SliceEmpty(t, table.All(time.Minute))
-	table.NoteAged(time.Minute, time.Second, Evidence{Fingerprint: fingerprintOf("popular"), Replica: "r0", Began: true})
+	must.SliceEmpty(t, table.ObservedHere(time.Minute))
+	table.NoteAged(time.Minute, time.Second, Evidence{Fingerprint: fingerprintOf("popular"), Replica: "r0", HadOutput: true})
 	must.Eq(t, []string{"r0"}, table.Weak(fingerprintOf("popular")))
-	must.SliceLen(t, 1, table.All(time.Minute))
-	table.Recall(time.Minute, fingerprintOf("popular"), record)
+	must.SliceLen(t, 1, table.ObservedHere(time.Minute))
+	table.MergeRecord(time.Minute, fingerprintOf("popular"), record)
 	must.Eq(t, []string{"r0"}, table.Weak(fingerprintOf("popular")))
-	must.Eq(t, 2, table.CountEnds(fingerprintOf("popular")))
-	must.SliceLen(t, 1, table.All(time.Minute))
+	must.Eq(t, 2, table.CountFailures(fingerprintOf("popular")))
+	must.SliceLen(t, 1, table.ObservedHere(time.Minute))
 }
 
 // A failure that is reported again after another request was held still precedes that hold.
--- a/request/quarantine/wide_test.go
+++ b/request/quarantine/wide_test.go
@@ -10,8 +10,8 @@
 // noteTogether records failures of several replicas that were all running the request at once.
 func noteTogether(table *Table, at time.Duration, request Fingerprint, replicas ...string) {
 	for i, replica := range replicas {
-		table.Note(at+time.Duration(i)*7*time.Millisecond, Evidence{
-			Fingerprint: request, Replica: replica, Ran: 60 * time.Millisecond, About: About{Service: "s"},
+		table.RecordFailure(at+time.Duration(i)*7*time.Millisecond, Evidence{
+			Fingerprint: request, Replica: replica, RunTime: 60 * time.Millisecond, RequestInfo: RequestInfo{Service: "s"},
 		})
 	}
 }
@@ -23,13 +23,13 @@
 	table := NewTable()
 	noteTogether(table, 0, fingerprintOf("fatal"), "a", "b", "c")
 	noteTogether(table, 0, fingerprintOf("bystander"), "a")
-	must.Eq(t, Free, table.Standing(time.Second, fingerprintOf("fatal")), must.Sprint("a rack may have failed"))
+	must.Eq(t, Free, table.Verdict(time.Second, fingerprintOf("fatal")), must.Sprint("a rack may have failed"))
 	noteTogether(table, 4*time.Second, fingerprintOf("fatal"), "a-again")
 	noteTogether(table, 4*time.Second, fingerprintOf("bystander"), "a-again")
-	must.Eq(t, Settling, table.Standing(4*time.Second+settleDelay/2, fingerprintOf("fatal")))
-	must.Eq(t, Condemned, table.Standing(5*time.Second, fingerprintOf("fatal")))
-	must.NotEq(t, Condemned, table.Standing(5*time.Second, fingerprintOf("bystander")))
-	replicas, _ := table.Ends(fingerprintOf("fatal"))
+	must.Eq(t, Settling, table.Verdict(4*time.Second+settleDelay/2, fingerprintOf("fatal")))
+	must.Eq(t, Harmful, table.Verdict(5*time.Second, fingerprintOf("fatal")))
+	must.NotEq(t, Harmful, table.Verdict(5*time.Second, fingerprintOf("bystander")))
+	replicas, _ := table.FailedReplicas(fingerprintOf("fatal"))
 	must.Eq(t, []string{"a", "b", "c", "a-again"}, replicas, must.Sprint("enough to reach the same verdict from the record"))
 }
 
@@ -38,9 +38,9 @@
 func TestRequestServedInBetweenIsNotHeld(t *testing.T) {
 	table := NewTable()
 	noteTogether(table, 0, fingerprintOf("fatal"), "a", "b", "c")
-	table.Served(time.Second, fingerprintOf("fatal"))
+	table.RecordServed(time.Second, fingerprintOf("fatal"))
 	noteTogether(table, 4*time.Second, fingerprintOf("fatal"), "d")
-	must.Eq(t, Free, table.Standing(5*time.Second, fingerprintOf("fatal")))
+	must.Eq(t, Free, table.Verdict(5*time.Second, fingerprintOf("fatal")))
 }
 
 // Two requests that were in flight on the same rack and at the same later failure cannot be told
@@ -51,8 +51,8 @@
 		noteTogether(table, 0, request, "a", "b", "c")
 		noteTogether(table, 4*time.Second, request, "d")
 	}
-	must.Eq(t, Watched, table.Standing(5*time.Second, fingerprintOf("fatal")))
-	must.Eq(t, Watched, table.Standing(5*time.Second, fingerprintOf("bystander")))
+	must.Eq(t, Watched, table.Verdict(5*time.Second, fingerprintOf("fatal")))
+	must.Eq(t, Watched, table.Verdict(5*time.Second, fingerprintOf("bystander")))
 }
 
 // Failures at a single time do not make a request harmful, however many there are. Neither do runs
@@ -60,13 +60,13 @@
 func TestOneIncidentIsNotHarmful(t *testing.T) {
 	table := NewTable()
 	noteTogether(table, 0, fingerprintOf("fatal"), "a", "b", "c", "d", "e")
-	must.Eq(t, Free, table.Standing(time.Second, fingerprintOf("fatal")))
+	must.Eq(t, Free, table.Verdict(time.Second, fingerprintOf("fatal")))
 	began := NewTable()
 	for i, replica := range []string{"a", "b", "c", "d"} {
 		at := time.Duration(i/3) * 4 * time.Second
-		began.Note(at, Evidence{Fingerprint: fingerprintOf("fatal"), Replica: replica, Began: true, Ran: 60 * time.Millisecond})
+		began.RecordFailure(at, Evidence{Fingerprint: fingerprintOf("fatal"), Replica: replica, HadOutput: true, RunTime: 60 * time.Millisecond})
 	}
-	must.Eq(t, Watched, began.Standing(5*time.Second, fingerprintOf("fatal")))
+	must.Eq(t, Watched, began.Verdict(5*time.Second, fingerprintOf("fatal")))
 }
 
 // A request that was merely in flight at failures of a held request is not due for a trial because
@@ -78,18 +78,18 @@
 		noteTogether(table, time.Duration(i)*time.Second, fingerprintOf("fatal"), replica)
 		noteTogether(table, time.Duration(i)*time.Second, fingerprintOf("popular"), replica)
 	}
-	must.True(t, table.IsTried(fingerprintOf("popular")))
+	must.True(t, table.NeedsTrial(fingerprintOf("popular")))
 	noteTogether(table, 4*time.Second, fingerprintOf("fatal"), "d")
 	noteTogether(table, 5*time.Second, fingerprintOf("fatal"), "e")
-	must.Eq(t, Condemned, table.Standing(6*time.Second, fingerprintOf("fatal")))
+	must.Eq(t, Harmful, table.Verdict(6*time.Second, fingerprintOf("fatal")))
 	table.SetHeld(fingerprintOf("fatal"), true)
-	must.False(t, table.IsTried(fingerprintOf("popular")))
-	must.True(t, table.IsTried(fingerprintOf("fatal")))
-	must.Eq(t, []Fingerprint{fingerprintOf("fatal")}, table.Tried())
+	must.False(t, table.NeedsTrial(fingerprintOf("popular")))
+	must.True(t, table.NeedsTrial(fingerprintOf("fatal")))
+	must.Eq(t, []Fingerprint{fingerprintOf("fatal")}, table.NeedingTrial())
 	for i, replica := range []string{"f", "g", "h"} {
 		noteTogether(table, time.Duration(10+i)*time.Millisecond+10*time.Second, fingerprintOf("popular"), replica)
 	}
-	must.True(t, table.IsTried(fingerprintOf("popular")), must.Sprint("enough failures of its own"))
+	must.True(t, table.NeedsTrial(fingerprintOf("popular")), must.Sprint("enough failures of its own"))
 }
 
 // Connections reset by replicas that keep listening are no reason for a trial. When they were,
@@ -101,12 +101,12 @@
 	table := NewTable()
 	for i, replica := range []string{"a", "b", "c"} {
 		at := time.Duration(i) * 100 * time.Millisecond
-		table.Note(at, Evidence{Fingerprint: fingerprintOf("popular"), Replica: replica, Listens: true, Ran: 5 * time.Millisecond})
+		table.RecordFailure(at, Evidence{Fingerprint: fingerprintOf("popular"), Replica: replica, StillListening: true, RunTime: 5 * time.Millisecond})
 	}
-	must.False(t, table.IsTried(fingerprintOf("popular")))
+	must.False(t, table.NeedsTrial(fingerprintOf("popular")))
 	for i, replica := range []string{"d", "e", "f"} {
 		at := time.Second + time.Duration(i)*100*time.Millisecond
-		table.Note(at, Evidence{Fingerprint: fingerprintOf("popular"), Replica: replica, Ran: 5 * time.Millisecond})
+		table.RecordFailure(at, Evidence{Fingerprint: fingerprintOf("popular"), Replica: replica, RunTime: 5 * time.Millisecond})
 	}
-	must.True(t, table.IsTried(fingerprintOf("popular")))
+	must.True(t, table.NeedsTrial(fingerprintOf("popular")))
 }
--- a/request/quota/account.go
+++ b/request/quota/account.go
@@ -50,7 +50,7 @@
 }
 
 // Return refunds the cost of a request that no replica has run.
-func (a *Account) Return(now time.Duration, tenant string, limit api.Quota, cost float64) {
+func (a *Account) Refund(now time.Duration, tenant string, limit api.Quota, cost float64) {
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	limit = a.rule.withOverrun(limit)
@@ -61,20 +61,20 @@
 }
 
 // Standing is the state of a tenant's account.
-type Standing struct {
+type AccountState struct {
 	Left    float64
 	Granted float64 // since the account started, less refunds
 	Refused int64   // refused charges since then
 }
 
 // Standing returns the state of the tenant's account at now.
-func (a *Account) Standing(now time.Duration, tenant string, limit api.Quota) Standing {
+func (a *Account) AccountState(now time.Duration, tenant string, limit api.Quota) AccountState {
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	limit = a.rule.withOverrun(limit)
 	current := a.balance(tenant)
 	current.fill(now, limit)
-	return Standing{Left: current.left, Granted: current.granted, Refused: current.refused}
+	return AccountState{Left: current.left, Granted: current.granted, Refused: current.refused}
 }
 
 func (a *Account) balance(tenant string) *balance {
--- a/request/quota/alone.go
+++ b/request/quota/alone.go
@@ -11,7 +11,7 @@
 // Alone grants charges at a proxy that is cut off: it reaches no leader, no standby member and no
 // other proxy that would forward its charges to them. The other proxies are probably cut off as
 // well, so each grants an equal part of the rate. It is safe for concurrent use.
-type Alone struct {
+type LocalShare struct {
 	rule    Rule
 	random  func() float64 // in [0, 1)
 	lock    sync.Mutex
@@ -27,12 +27,12 @@
 }
 
 // NewAlone returns an Alone without any tenants.
-func NewAlone(rule Rule) *Alone {
-	return &Alone{rule: rule, random: rand.Float64, tenants: map[string]*localShare{}}
+func NewLocalShare(rule Rule) *LocalShare {
+	return &LocalShare{rule: rule, random: rand.Float64, tenants: map[string]*localShare{}}
 }
 
 // Heard records the control group's answer to a charge of the tenant.
-func (a *Alone) Heard(tenant string, limit api.Quota, grant Grant) {
+func (a *LocalShare) RecordAnswer(tenant string, limit api.Quota, grant Grant) {
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	a.share(tenant).ample = grant.IsAmple(limit)
@@ -50,7 +50,7 @@
 // answer of the control group it is granted unless the share is negative, so that one request may
 // be granted in advance. Otherwise it is granted at random with the probability left/cost, which
 // keeps the sum over all proxies close to the quota.
-func (a *Alone) Charge(now time.Duration, tenant string, limit api.Quota, cost float64, sharing Sharing) Grant {
+func (a *LocalShare) Charge(now time.Duration, tenant string, limit api.Quota, cost float64, sharing Sharing) Grant {
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	share := a.share(tenant)
@@ -66,7 +66,7 @@
 }
 
 // Return refunds a charge granted here for a request that no replica has run.
-func (a *Alone) Return(tenant string, cost float64) {
+func (a *LocalShare) Refund(tenant string, cost float64) {
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	if share := a.tenants[tenant]; share != nil {
@@ -93,7 +93,7 @@
 }
 
 // share returns the share of a tenant. A new one is filled as if it had existed since time 0.
-func (a *Alone) share(tenant string) *localShare {
+func (a *LocalShare) share(tenant string) *localShare {
 	share := a.tenants[tenant]
 	if share == nil {
 		share = &localShare{}
--- a/request/quota/alone_test.go
+++ b/request/quota/alone_test.go
@@ -10,7 +10,7 @@
 
 // chargeAlone spreads charges at the demanded rate over proxies that are all cut off, and returns
 // what was requested and granted.
-func chargeAlone(proxies []*Alone, random *rand.Rand, demand, cost float64, duration time.Duration) (requested float64, granted ledger) {
+func chargeAlone(proxies []*LocalShare, random *rand.Rand, demand, cost float64, duration time.Duration) (requested float64, granted ledger) {
 	interval := time.Duration(cost / demand * float64(time.Second))
 	for now := time.Duration(0); now < duration; now += interval {
 		requested += cost
@@ -22,10 +22,10 @@
 	return requested, granted
 }
 
-func newProxies(count int, random *rand.Rand) []*Alone {
-	var proxies []*Alone
+func newProxies(count int, random *rand.Rand) []*LocalShare {
+	var proxies []*LocalShare
 	for range count {
-		proxy := NewAlone(testRule)
+		proxy := NewLocalShare(testRule)
 		proxy.random = random.Float64
 		proxies = append(proxies, proxy)
 	}
@@ -54,19 +54,19 @@
 	random := rand.New(rand.NewPCG(5, 6))
 	proxies := newProxies(100, random)
 	for _, proxy := range proxies {
-		proxy.Heard("north", testLimit, Grant{Granted: true, Left: 90})
+		proxy.RecordAnswer("north", testLimit, Grant{Granted: true, Left: 90})
 	}
 	requested, granted := chargeAlone(proxies, random, 0.4*testLimit.PerSecond, 20, 5*time.Second)
 	must.GreaterEq(t, 0.9*requested, granted.maxInWindow(testRule.Window))
 }
 
 func TestReturnedChargesCanBeSpentAgain(t *testing.T) {
-	proxy := NewAlone(testRule)
+	proxy := NewLocalShare(testRule)
 	proxy.Charge(0, "north", testLimit, 1, Sharing{})
 	must.True(t, proxy.Charge(time.Second, "north", testLimit, 20, Sharing{Alone: time.Second}).Granted)
-	proxy.Return("north", 20)
+	proxy.Refund("north", 20)
 	must.True(t, proxy.Charge(time.Second, "north", testLimit, 20, Sharing{Alone: time.Second}).Granted)
-	proxy.Return("nobody", 20)
+	proxy.Refund("nobody", 20)
 }
 
 // While a leader grants the rate, a proxy saves up no more than its share of the overrun.
--- a/request/quota/quota_test.go
+++ b/request/quota/quota_test.go
@@ -65,16 +65,16 @@
 	must.Eq(t, 200*time.Millisecond, refused.Wait)
 	must.True(t, account.Charge(time.Second+refused.Wait, "north", testLimit, 60).Granted, must.Sprint("the reported wait is sufficient"))
 	must.True(t, account.Charge(time.Second, "south", testLimit, 100).Granted, must.Sprint("each tenant has its own balance"))
-	must.Eq(t, Standing{Left: 0, Granted: 120, Refused: 2}, account.Standing(time.Second, "north", testLimit))
+	must.Eq(t, AccountState{Left: 0, Granted: 120, Refused: 2}, account.AccountState(time.Second, "north", testLimit))
 }
 
 func TestChargesOfRequestsThatDidNotRunAreRefunded(t *testing.T) {
 	account := NewAccount(strictRule, 0)
 	must.True(t, account.Charge(time.Second, "north", testLimit, 100).Granted)
-	account.Return(time.Second, "north", testLimit, 100)
+	account.Refund(time.Second, "north", testLimit, 100)
 	must.True(t, account.Charge(time.Second, "north", testLimit, 100).Granted)
-	account.Return(time.Second, "north", testLimit, 1000)
-	must.Eq(t, 100, account.Standing(time.Second, "north", testLimit).Left, must.Sprint("never more than the burst"))
+	account.Refund(time.Second, "north", testLimit, 1000)
+	must.Eq(t, 100, account.AccountState(time.Second, "north", testLimit).Left, must.Sprint("never more than the burst"))
 }
 
 func TestRequestLargerThanTheBurstPasses(t *testing.T) {
@@ -100,10 +100,10 @@
 func TestLimitsChange(t *testing.T) {
 	account := NewAccount(strictRule, 0)
 	lower := api.Quota{PerSecond: 10, Burst: 10}
-	must.Eq(t, 100, account.Standing(time.Second, "north", testLimit).Left)
-	must.Eq(t, 10, account.Standing(time.Second, "north", lower).Left)
-	must.Eq(t, 10, account.Standing(time.Second, "north", testLimit).Left)
-	must.Eq(t, 60, account.Standing(1500*time.Millisecond, "north", testLimit).Left)
+	must.Eq(t, 100, account.AccountState(time.Second, "north", testLimit).Left)
+	must.Eq(t, 10, account.AccountState(time.Second, "north", lower).Left)
+	must.Eq(t, 10, account.AccountState(time.Second, "north", testLimit).Left)
+	must.Eq(t, 60, account.AccountState(1500*time.Millisecond, "north", testLimit).Left)
 }
 
 // simulation models changes of the leader, standby members, proxies that reach one or the other,
--- a/request/retry/retry.go
+++ b/request/retry/retry.go
@@ -83,14 +83,14 @@
 // Margin is the time that a hop reserves for its own work and for the way back: Least or Share,
 // whichever is longer.
 type Margin struct {
-	Least time.Duration
-	Share float64 // fraction of the time left until the deadline
+	Minimum time.Duration
+	Share   float64 // fraction of the time left until the deadline
 }
 
 // Shrink returns the time to give the next hop of the time left until the deadline of this one. It
 // returns false, and a time of 0 or less, if nothing is left.
 func (m Margin) Shrink(left time.Duration) (time.Duration, bool) {
-	margin := max(m.Least, time.Duration(float64(left)*m.Share))
+	margin := max(m.Minimum, time.Duration(float64(left)*m.Share))
 	shrunk := left - margin
 	return shrunk, shrunk > 0
 }
--- a/request/retry/retry_test.go
+++ b/request/retry/retry_test.go
@@ -82,7 +82,7 @@
 }
 
 func TestShrink(t *testing.T) {
-	margin := Margin{Least: 5 * time.Millisecond, Share: 0.02}
+	margin := Margin{Minimum: 5 * time.Millisecond, Share: 0.02}
 	cases := []struct {
 		name string
 		left time.Duration
--- a/request/retry/window.go
+++ b/request/retry/window.go
@@ -64,7 +64,7 @@
 
 // Request counts the first send of a request. The time may decrease slightly between calls: a time
 // before the current bucket counts toward that bucket.
-func (w *Window) Request(now time.Duration) {
+func (w *Window) CountRequest(now time.Duration) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	w.bucket(now).requests++
@@ -85,7 +85,7 @@
 
 // Force counts a send that was found to be a retry only after it had been sent, even if the window
 // allows no more.
-func (w *Window) Force(now time.Duration) {
+func (w *Window) CountRetry(now time.Duration) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	w.bucket(now).retries++
--- a/request/retry/window_test.go
+++ b/request/retry/window_test.go
@@ -15,7 +15,7 @@
 	}
 	must.False(t, window.Withdraw(time.Second))
 	for range 10 {
-		window.Request(2 * time.Second)
+		window.CountRequest(2 * time.Second)
 	}
 	must.True(t, window.Withdraw(2*time.Second))
 	must.True(t, window.Withdraw(2*time.Second))
@@ -32,8 +32,8 @@
 
 func TestForcedSendsCount(t *testing.T) {
 	window := NewWindow(0, 2, 10*time.Second)
-	window.Force(0)
-	window.Force(0)
+	window.CountRetry(0)
+	window.CountRetry(0)
 	must.False(t, window.Withdraw(0))
 	must.True(t, window.Overdrawn(0), must.Sprint("all retries are used"))
 	must.False(t, window.Overdrawn(20*time.Second))
@@ -45,7 +45,7 @@
 	must.True(t, window.Withdraw(time.Second))
 	must.True(t, window.Withdraw(time.Second))
 	must.False(t, window.Withdraw(time.Second))
-	window.Request(time.Second)
+	window.CountRequest(time.Second)
 	must.True(t, window.Withdraw(time.Second), must.Sprint("the share of the requests is not held back"))
 	must.False(t, window.Withdraw(time.Second))
 	must.True(t, window.Withdraw(10*time.Second))
@@ -62,7 +62,7 @@
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 1500).Draw(t, "pause")) * time.Millisecond
 			if rapid.Bool().Draw(t, "request") {
-				window.Request(now)
+				window.CountRequest(now)
 				requests = append(requests, now)
 			} else if window.Withdraw(now) {
 				retries = append(retries, now)
