--- a/connection/exchange/exchange.go
+++ b/connection/exchange/exchange.go
@@ -22,11 +22,11 @@
 	Body   []byte
 	// Chunked sends the body with chunked transfer encoding instead of Content-Length.
 	Chunked bool
-	// Permit, if not nil, is called once a connection is available, immediately before
+	// BeforeSend, if not nil, is called once a connection is available, immediately before
 	// the request is written, because the request may have become unsendable while the
 	// connection was opened. An error ends the exchange before any byte is sent.
 	BeforeSend func() error
-	// Overheard, if not nil, is called with each late response header: one that arrives
+	// OnLateResponse, if not nil, is called with each late response header: one that arrives
 	// after the exchange has failed with a response to another request, or shortly after
 	// ctx has ended. Such a header cannot be matched to the request reliably, but it comes
 	// from the server and may, for example, contain Retry-After. It may be called after Do
@@ -47,7 +47,7 @@
 	// with Connecting.
 	Reused bool
 	Cause  error
-	// Foreign holds the unmatched responses, those to other requests, that arrived instead.
+	// Unmatched holds the unmatched responses, those to other requests, that arrived instead.
 	Unmatched []*UnmatchedResponse
 }
 
@@ -57,7 +57,7 @@
 // Unwrap returns the cause.
 func (f *Failure) Unwrap() error { return f.Cause }
 
-// Answer is a response whose header was received. Read reads its body, Close ends it.
+// Response is a response whose header was received. Read reads its body, Close ends it.
 type Response struct {
 	Status int
 	Header http.Header
@@ -65,10 +65,10 @@
 	Length int64
 	// Reused is true if the connection had carried other requests before.
 	Reused bool
-	// Opened is when the connection was opened, by the pool's clock: the process at the
+	// ConnOpenedAt is when the connection was opened, by the pool's clock: the process at the
 	// remote end of the connection has been running at least since then.
 	ConnOpenedAt time.Duration
-	// Foreign holds the unmatched responses that arrived first and were skipped.
+	// Unmatched holds the unmatched responses that arrived first and were skipped.
 	Unmatched []*UnmatchedResponse
 
 	pool           *Pool
@@ -84,15 +84,15 @@
 // Do writes the request once and returns the response that matches its identity,
 // after reading the response header. Informational responses are skipped and
 // redirects are not followed. The error is always a *Failure. Its cause is a
-// *ForeignAnswer if a response to another request arrived instead; otherwise it is the
-// error of Permit, of the connection, or of reading the header. When ctx ends, the
-// connection is closed. The caller must close the returned Answer.
+// *UnmatchedResponse if a response to another request arrived instead; otherwise it is the
+// error of BeforeSend, of the connection, or of reading the header. When ctx ends, the
+// connection is closed. The caller must close the returned Response.
 func (p *Pool) Do(ctx context.Context, address string, request *Request) (*Response, error) {
 	used, reused, err := p.acquire(ctx, address, request)
 	if err != nil {
 		return nil, &Failure{Connecting: true, Cause: err}
 	}
-	if err := request.checkPermit(); err != nil {
+	if err := request.checkBeforeSend(); err != nil {
 		_ = used.Conn.Close() // nothing was written on it
 		return nil, &Failure{Reused: reused, Cause: err}
 	}
@@ -129,8 +129,8 @@
 	}, nil
 }
 
-// checkPermit calls Permit, if set.
-func (r *Request) checkPermit() error {
+// checkBeforeSend calls BeforeSend, if set.
+func (r *Request) checkBeforeSend() error {
 	if r.BeforeSend == nil {
 		return nil
 	}
--- a/connection/exchange/foreign.go
+++ b/connection/exchange/foreign.go
@@ -9,7 +9,7 @@
 	"github.com/pkg/errors"
 )
 
-// ForeignAnswer is the error for an unmatched response: one that carries the ID of another
+// UnmatchedResponse is the error for an unmatched response: one that carries the ID of another
 // request, or none, and arrived in place of a request's own response.
 type UnmatchedResponse struct {
 	RequestID string // request ID that the response carries, empty for none
@@ -96,7 +96,7 @@
 
 // closeAfterCancel closes the connection of an exchange that was canceled before its
 // response header arrived. A header that arrives within lateResponseTimeout is passed to
-// Overheard first.
+// OnLateResponse first.
 func (c *conn) closeAfterCancel(request *Request) {
 	if request.OnLateResponse == nil {
 		_ = c.Conn.Close()
@@ -113,7 +113,7 @@
 
 // closeAfterFailure closes a connection on which an exchange has failed. The request's own
 // response may still follow the unmatched one, so the headers of the responses that arrive
-// within lateResponseTimeout are passed to Overheard.
+// within lateResponseTimeout are passed to OnLateResponse.
 func (c *conn) closeAfterFailure(request *Request, last *http.Response) {
 	if last == nil || request.OnLateResponse == nil || !canHaveSuccessor(last) {
 		_ = c.Conn.Close() // the error of the exchange is already reported
--- a/connection/exchange/identity_test.go
+++ b/connection/exchange/identity_test.go
@@ -153,7 +153,7 @@
 }
 
 // If the server stalls in the middle of a surplus response, the cause of the failure is
-// the stall and not the surplus response, which is only reported in Failure.Foreign.
+// the stall and not the surplus response, which is only reported in Failure.Unmatched.
 func TestStallDuringSurplusResponse(t *testing.T) {
 	release := make(chan struct{})
 	begun := make(chan struct{})
@@ -212,7 +212,7 @@
 }
 
 // Responses that follow one to another request, which ends the exchange, cannot be matched
-// to any request, but their headers come from the server and are passed to Overheard.
+// to any request, but their headers come from the server and are passed to OnLateResponse.
 func TestHeadersAfterUnmatchedResponseAreReported(t *testing.T) {
 	const refusal = "HTTP/1.1 503 Service Unavailable\r\nId: second\r\nRetry-After: 3\r\nContent-Length: 0\r\n\r\n"
 	server := newScriptedServer(t, respond(okResponse), respond("HTTP/1.1 400 Bad Request\r\nContent-Length: 4\r\n\r\nnone"+refusal))
@@ -232,7 +232,7 @@
 }
 
 // A refusal with Retry-After that arrives just after the request was canceled or timed out
-// must reach Overheard. If the connection were closed immediately, the refusal would be lost
+// must reach OnLateResponse. If the connection were closed immediately, the refusal would be lost
 // and the replica would get further requests during the pause it asked for: 3 requests in
 // 1.4 s in one run, for which this cause is an inference.
 func TestLateResponseIsReportedAfterCancellation(t *testing.T) {
--- a/connection/exchange/pool.go
+++ b/connection/exchange/pool.go
@@ -162,7 +162,7 @@
 	return list
 }
 
-// Idle reports whether an idle connection to the address is available.
+// HasIdle reports whether an idle connection to the address is available.
 func (p *Pool) HasIdle(address string) bool {
 	p.lock.Lock()
 	defer p.lock.Unlock()
--- a/connection/feed/charge.go
+++ b/connection/feed/charge.go
@@ -13,7 +13,8 @@
 type ChargeRequest struct {
 	Tenant string
 	Cost   float64 // in the unit of the tenant's quota
-	// Passed marks a request that a daemon forwards for another one; it is forwarded at most once.
+	// Forwarded marks a request that a daemon forwards for another one; it is forwarded at most
+	// once.
 	Forwarded bool
 }
 
@@ -88,7 +89,7 @@
 	return answer.grant, nil
 }
 
-// ReturnCharge refunds the charge of a request that no replica has run. It returns false if the
+// RefundCharge refunds the charge of a request that no replica has run. It returns false if the
 // message was dropped.
 func (c *Client) RefundCharge(request ChargeRequest) bool {
 	current := c.chargeSession(request)
--- a/connection/feed/charge_test.go
+++ b/connection/feed/charge_test.go
@@ -42,8 +42,8 @@
 	must.Eq(t, group.grant, grant)
 	relay := NewPlacementRelay(client, holder)
 	relay.RefundCharge(ChargeRequest{Tenant: "north", Cost: 3})
-	_, passed := relay.Charge(ChargeRequest{Tenant: "north", Cost: 1, Forwarded: true})
-	must.False(t, passed)
+	_, forwarded := relay.Charge(ChargeRequest{Tenant: "north", Cost: 1, Forwarded: true})
+	must.False(t, forwarded)
 	eventually(t, "the refund", func() bool {
 		group.lock.Lock()
 		defer group.lock.Unlock()
--- a/connection/feed/client.go
+++ b/connection/feed/client.go
@@ -25,20 +25,20 @@
 	// MoreAddresses returns additional feed addresses discovered at runtime; nil returns none. It
 	// is called before each round of connection attempts.
 	MoreAddresses func() []string
-	// Served, if set, is called whenever a session with a leader or a standby member starts to
+	// OnServed, if set, is called whenever a session with a leader or a standby member starts to
 	// serve the client. It must not block.
 	OnServed func()
-	// Resumed, if set, is called when an unresponsive leader responds again and a standby session
-	// was open meanwhile, to which placements may have been reported. It must not block.
+	// OnLeaderResumed, if set, is called when an unresponsive leader responds again and a standby
+	// session was open meanwhile, to which placements may have been reported. It must not block.
 	OnLeaderResumed func()
-	// Unrecorded, if set, is called with the crashes that the group could not commit, either
-	// because it has no leader or because its leader can't commit. It must not block.
+	// OnUnrecordedCrashes, if set, is called with the crashes that the group could not commit,
+	// either because it has no leader or because its leader can't commit. It must not block.
 	OnUnrecordedCrashes func(report CrashReport)
 	// Standby sends placement requests and charges to any member, the last leader first, or to a
 	// relaying daemon while no leader serves the client or the leader is unresponsive.
 	Standby bool
 	// Partial limits the views to the daemon's own subset of the replicas of large services. The
-	// method Listed of the Client returns other replicas that answers have named.
+	// method ReplicaByName of the Client returns other replicas that answers have named.
 	Partial bool
 	// StandbyRelays returns the feed addresses of other daemons that relay placements; nil returns
 	// none. It is called before each round of connection attempts.
@@ -46,11 +46,11 @@
 	// Presence returns the state that the daemon reports with each heartbeat; nil reports nothing.
 	// Heartbeats wait for it, so it should return quickly.
 	Presence func() Presence
-	// Day, if set, is called with the group's wall-clock time from the answer to a heartbeat, in
-	// Unix milliseconds, and the local times at which that heartbeat was sent and answered. It must
-	// not block.
-	OnWallClock func(sent, answered time.Duration, day int64)
-	// BeatInterval is the heartbeat interval. The view lease should be several times as long.
+	// OnWallClock, if set, is called with the group's wall-clock time from the answer to a
+	// heartbeat, in Unix milliseconds, and the local times at which that heartbeat was sent and
+	// answered. It must not block.
+	OnWallClock func(sent, answered time.Duration, wallClock int64)
+	// HeartbeatInterval is the heartbeat interval. The view lease should be several times as long.
 	HeartbeatInterval time.Duration
 	DialTimeout       time.Duration
 	// WriteTimeout bounds each write. SilenceTimeout is the time without any frame from the leader
--- a/connection/feed/ends.go
+++ b/connection/feed/ends.go
@@ -7,10 +7,10 @@
 	"github.com/landingtrail/landingtrail/request/quarantine"
 )
 
-// EndReport is what a daemon has observed of replicas that crashed while they processed requests.
+// CrashReport is what a daemon has observed of replicas that crashed while they processed requests.
 // It is shared so that all daemons know during which requests replicas crashed.
 type CrashReport struct {
-	// Ended lists replicas that appear to have crashed while they processed a request, with the
+	// Crashes lists replicas that appear to have crashed while they processed a request, with the
 	// time since then.
 	Crashes []quarantine.AgedEvidence
 	// Alive lists replicas that were reported as crashed and have answered since.
@@ -26,9 +26,9 @@
 // Limits of one report. maxReportEntries applies to each of its lists.
 const (
 	maxReportEntries = 512
-	// crashSize is the minimum encoded size of an entry of Ended: fingerprint and replica, five
-	// booleans, Sight, Ran, the three strings of About, and Age. aliveSize is that of an entry of
-	// Alive, and fingerprintSize that of a fingerprint.
+	// crashSize is the minimum encoded size of an entry of Crashes: fingerprint and replica, five
+	// booleans, ObservationID, RunTime, the three strings of RequestInfo, and Age. aliveSize is
+	// that of an entry of Alive, and fingerprintSize that of a fingerprint.
 	crashSize       = 4 + 4 + 5 + 8 + 8 + 3*4 + 8
 	aliveSize       = 4 + 8
 	fingerprintSize = 4
@@ -47,9 +47,9 @@
 	return parts
 }
 
-// EncodeEnds encodes a report for a frame. Members also use it for messages among themselves and
-// for the file in which they store crashes. Each list must hold at most maxReportEntries entries.
-// See quarantine.Evidence for the fields of an entry.
+// EncodeCrashReport encodes a report for a frame. Members also use it for messages among themselves
+// and for the file in which they store crashes. Each list must hold at most maxReportEntries
+// entries. See quarantine.Evidence for the fields of an entry.
 func EncodeCrashReport(report CrashReport) []byte {
 	encoder := frame.NewEncoder(nil)
 	encoder.Uint32(uint32(len(report.Crashes)))
@@ -80,8 +80,8 @@
 	return encoder.Data()
 }
 
-// DecodeEnds decodes the output of EncodeEnds. It returns an error of package frame if the data is
-// malformed or a list exceeds maxReportEntries.
+// DecodeCrashReport decodes the output of EncodeCrashReport. It returns an error of package frame
+// if the data is malformed or a list exceeds maxReportEntries.
 func DecodeCrashReport(data []byte) (CrashReport, error) {
 	decoder := frame.NewDecoder(data)
 	var report CrashReport
@@ -132,7 +132,7 @@
 	return fingerprint
 }
 
-// ReportEnds sends a report to the leader, or to a standby member if no leader is available. It
+// ReportCrashes sends a report to the leader, or to a standby member if no leader is available. It
 // returns false if there is no session or any part was dropped; the other parts were sent.
 func (c *Client) ReportCrashes(report CrashReport) bool {
 	return sendCrashReport(c.placementSession(), report)
@@ -158,10 +158,10 @@
 	return nil
 }
 
-// UnrecordedPause is the interval at which crashes that are not in the committed quarantine record
-// are sent to a daemon again. They are sent while the group has no leader or can't commit, and
-// therefore does not quarantine requests by them; a daemon decides by itself as long as it receives
-// them.
+// UnrecordedInterval is the interval at which crashes that are not in the committed quarantine
+// record are sent to a daemon again. They are sent while the group has no leader or can't commit,
+// and therefore does not quarantine requests by them; a daemon decides by itself as long as it
+// receives them.
 const UnrecordedInterval = time.Second
 
 // minUnrecordedInterval is the minimum time between two such reports to a daemon, so that several
--- a/connection/feed/messages.go
+++ b/connection/feed/messages.go
@@ -17,29 +17,29 @@
 // Frame kinds, with the sender and the payload. A subscriber sends kindSubscribe first and only
 // once.
 const (
-	kindSubscribe      frame.Kind = iota + 1 // subscriber: subscribe
-	kindDelta                                // server: view.Delta
-	kindHeartbeat                            // subscriber: heartbeat
-	kindLeaseGrant                           // server: leaseGrant
-	kindNotLeader                            // server: notLeader; the connection ends
-	kindClaim                                // subscriber: request ID, state.ClaimRequest
-	kindClaimReply                           // server: request ID, replyCode, api.ClaimResult
-	kindOutcome                              // subscriber: request ID, state.RunOutcome
-	kindOutcomeReply                         // server: request ID, replyCode
-	kindDemand                               // subscriber: DemandReport
-	kindPresence                             // subscriber: Presence
-	kindPlace                                // subscriber: request ID, PlaceRequest
-	kindPlaceReply                           // server: request ID, decided, placement.Answer, replicas
-	kindPlaceNote                            // subscriber: PlaceNote
-	kindCachedParts                          // subscriber: KeptParts
-	kindStandbyReady                         // server, to a standby subscription: empty
-	kindInFlight                             // subscriber: InFlight
-	kindCrashes                              // either side: EndReport
-	kindUsage                                // subscriber: UsageReport
-	kindCharge                               // subscriber: request ID, ChargeRequest
-	kindChargeReply                          // server: request ID, decided, quota.Grant
-	kindRefund                               // subscriber: ChargeRequest
-	kindSubsetReplicas                       // server, to a partial subscription: subsetReplicas
+	kindSubscribe         frame.Kind = iota + 1 // subscriber: subscribe
+	kindDelta                                   // server: view.Delta
+	kindHeartbeat                               // subscriber: heartbeat
+	kindLeaseGrant                              // server: leaseGrant
+	kindNotLeader                               // server: notLeader; the connection ends
+	kindClaim                                   // subscriber: request ID, state.ClaimRequest
+	kindClaimReply                              // server: request ID, replyCode, api.ClaimResult
+	kindOutcome                                 // subscriber: request ID, state.RunOutcome
+	kindOutcomeReply                            // server: request ID, replyCode
+	kindDemand                                  // subscriber: DemandReport
+	kindPresence                                // subscriber: Presence
+	kindPlace                                   // subscriber: request ID, PlaceRequest
+	kindPlaceReply                              // server: request ID, decided, placement.Answer, replicas
+	kindPlacementProgress                       // subscriber: PlacementProgress
+	kindCachedParts                             // subscriber: CachedParts
+	kindStandbyReady                            // server, to a standby subscription: empty
+	kindInFlight                                // subscriber: InFlight
+	kindCrashes                                 // either side: CrashReport
+	kindUsage                                   // subscriber: UsageReport
+	kindCharge                                  // subscriber: request ID, ChargeRequest
+	kindChargeReply                             // server: request ID, decided, quota.Grant
+	kindRefund                                  // subscriber: ChargeRequest
+	kindSubsetReplicas                          // server, to a partial subscription: subsetReplicas
 )
 
 const (
@@ -103,7 +103,7 @@
 	// Stopping is true after the start of that shutdown.
 	Ready    bool
 	Stopping bool
-	// Day is the wall-clock time of the proxy's machine at the time of the report, in Unix
+	// WallClock is the wall-clock time of the proxy's machine at the time of the report, in Unix
 	// milliseconds.
 	WallClock int64
 }
--- a/connection/feed/partial.go
+++ b/connection/feed/partial.go
@@ -338,16 +338,17 @@
 	return nil
 }
 
-// Lister is implemented by a Group that knows replicas which are not in its view.
+// ReplicaLookup is implemented by a Group that knows replicas which are not in its view.
 type ReplicaLookup interface {
-	// Listed returns the named replica, whether it is in the view or not, or nil if it is unknown.
+	// ReplicaByName returns the named replica, whether it is in the view or not, or nil if it is
+	// unknown.
 	ReplicaByName(name string) *api.Replica
 }
 
 // replicasOutsideSubset returns the named replicas that are outside the daemon's subset; if the
-// group is a Lister, whose view is itself a subset, it returns all of them that are known. It
-// returns none for a full subscription. The daemon is the origin of the request, or the subscriber
-// itself if origin is empty.
+// group is a ReplicaLookup, whose view is itself a subset, it returns all of them that are known.
+// It returns none for a full subscription. The daemon is the origin of the request, or the
+// subscriber itself if origin is empty.
 func (s *subscriber) replicasOutsideSubset(origin string, names ...string) []*api.Replica {
 	if !s.partial {
 		return nil
@@ -360,8 +361,8 @@
 	current := s.server.partial.currentShares(group)
 	var outside []*api.Replica
 	for _, name := range names {
-		if lister, isLister := group.(ReplicaLookup); isLister {
-			if known := lister.ReplicaByName(name); known != nil {
+		if lookup, isLookup := group.(ReplicaLookup); isLookup {
+			if known := lookup.ReplicaByName(name); known != nil {
 				outside = append(outside, known)
 			}
 			continue
@@ -404,6 +405,6 @@
 	return n.previous[name]
 }
 
-// Listed returns a replica outside the daemon's subset that a recent placement reply has included,
-// or nil.
+// ReplicaByName returns a replica outside the daemon's subset that a recent placement reply has
+// included, or nil.
 func (c *Client) ReplicaByName(name string) *api.Replica { return c.namedReplicas.find(name) }
--- a/connection/feed/placement.go
+++ b/connection/feed/placement.go
@@ -13,14 +13,14 @@
 // PlaceRequest asks where to send a request of a service.
 type PlaceRequest struct {
 	Service string
-	Number  uint64 // the daemon's own number for the request, used in notes
+	Number  uint64 // the daemon's own number for the request, used in progress reports
 	Ask     placement.Request
 	// Origin is the daemon on whose behalf another one asks, as the string form "name#instance" of
 	// its daemonKey; empty for the sender itself.
 	Origin string
 }
 
-// PlaceNote reports the progress of a placed request.
+// PlacementProgress reports the progress of a placed request.
 type PlacementProgress struct {
 	Service string
 	Number  uint64
@@ -47,26 +47,27 @@
 	encoder.Uint64(requestID)
 	encoder.String(request.Service)
 	encoder.Uint64(request.Number)
-	encodeAsk(encoder, &request.Ask)
+	encodePlacementRequest(encoder, &request.Ask)
 	encoder.String(request.Origin)
 	return encoder.Data()
 }
 
-// encodeAsk encodes what the member needs to place the request; see placement.Ask for the fields.
-func encodeAsk(encoder *frame.Encoder, ask *placement.Request) {
-	encoder.Uint32(uint32(ask.PromptTokens))
-	encoder.Uint32(uint32(ask.MaxOutputTokens))
-	encoder.Int64(int64(ask.Priority))
-	encoder.String(ask.Zone)
-	encoder.String(ask.Tenant)
-	encoder.String(ask.Fingerprint)
-	encoder.Int64(int64(ask.Objective))
-	encoder.Int64(int64(ask.Age))
-	encoder.Int64(int64(ask.Deadline))
-	encoder.Bool(ask.Continued)
-	encodeParts(encoder, ask.Parts[:min(len(ask.Parts), maxPromptParts)])
-	encodeNames(encoder, ask.Excluded)
-	encodeNames(encoder, ask.Connected)
+// encodePlacementRequest encodes what the member needs to place the request; see placement.Request
+// for the fields.
+func encodePlacementRequest(encoder *frame.Encoder, request *placement.Request) {
+	encoder.Uint32(uint32(request.PromptTokens))
+	encoder.Uint32(uint32(request.MaxOutputTokens))
+	encoder.Int64(int64(request.Priority))
+	encoder.String(request.Zone)
+	encoder.String(request.Tenant)
+	encoder.String(request.Fingerprint)
+	encoder.Int64(int64(request.Objective))
+	encoder.Int64(int64(request.Age))
+	encoder.Int64(int64(request.Deadline))
+	encoder.Bool(request.Continued)
+	encodeParts(encoder, request.Parts[:min(len(request.Parts), maxPromptParts)])
+	encodeNames(encoder, request.Excluded)
+	encodeNames(encoder, request.Connected)
 }
 
 func encodeParts(encoder *frame.Encoder, parts []placement.Part) {
@@ -114,27 +115,27 @@
 func decodePlace(data []byte) (uint64, PlaceRequest, error) {
 	decoder := frame.NewDecoder(data)
 	requestID := decoder.Uint64()
-	request := PlaceRequest{Service: decoder.String(), Number: decoder.Uint64(), Ask: decodeAsk(decoder)}
+	request := PlaceRequest{Service: decoder.String(), Number: decoder.Uint64(), Ask: decodePlacementRequest(decoder)}
 	request.Origin = decoder.String()
 	return requestID, request, decoder.Finish()
 }
 
-func decodeAsk(decoder *frame.Decoder) placement.Request {
-	var ask placement.Request
-	ask.PromptTokens = int(decoder.Uint32())
-	ask.MaxOutputTokens = int(decoder.Uint32())
-	ask.Priority = int(decoder.Int64())
-	ask.Zone = decoder.String()
-	ask.Tenant = decoder.String()
-	ask.Fingerprint = decoder.String()
-	ask.Objective = time.Duration(decoder.Int64())
-	ask.Age = time.Duration(decoder.Int64())
-	ask.Deadline = time.Duration(decoder.Int64())
-	ask.Continued = decoder.Bool()
-	ask.Parts = decodeParts(decoder, maxPromptParts)
-	ask.Excluded = decodeNames(decoder)
-	ask.Connected = decodeNames(decoder)
-	return ask
+func decodePlacementRequest(decoder *frame.Decoder) placement.Request {
+	var request placement.Request
+	request.PromptTokens = int(decoder.Uint32())
+	request.MaxOutputTokens = int(decoder.Uint32())
+	request.Priority = int(decoder.Int64())
+	request.Zone = decoder.String()
+	request.Tenant = decoder.String()
+	request.Fingerprint = decoder.String()
+	request.Objective = time.Duration(decoder.Int64())
+	request.Age = time.Duration(decoder.Int64())
+	request.Deadline = time.Duration(decoder.Int64())
+	request.Continued = decoder.Bool()
+	request.Parts = decodeParts(decoder, maxPromptParts)
+	request.Excluded = decodeNames(decoder)
+	request.Connected = decodeNames(decoder)
+	return request
 }
 
 // placeReply answers a placement request; decided is false if this member does not decide.
@@ -200,24 +201,24 @@
 	}
 }
 
-// encodePlaceNote encodes a note; see placement.Note for the fields.
-func encodePlaceNote(note PlacementProgress) []byte {
+// encodePlacementProgress encodes a progress report; see placement.ProgressReport for the fields.
+func encodePlacementProgress(progress PlacementProgress) []byte {
 	encoder := frame.NewEncoder(nil)
-	encoder.String(note.Service)
-	encoder.Uint64(note.Number)
-	encoder.Uint8(uint8(note.Note.Step))
-	encoder.String(note.Note.Replica)
-	encoder.Uint32(uint32(max(note.Note.ReportedRequests, 0)))
-	encoder.String(note.Origin)
+	encoder.String(progress.Service)
+	encoder.Uint64(progress.Number)
+	encoder.Uint8(uint8(progress.Note.Step))
+	encoder.String(progress.Note.Replica)
+	encoder.Uint32(uint32(max(progress.Note.ReportedRequests, 0)))
+	encoder.String(progress.Origin)
 	return encoder.Data()
 }
 
-func decodePlaceNote(data []byte) (PlacementProgress, error) {
+func decodePlacementProgress(data []byte) (PlacementProgress, error) {
 	decoder := frame.NewDecoder(data)
-	note := PlacementProgress{Service: decoder.String(), Number: decoder.Uint64()}
-	note.Note = placement.ProgressReport{Step: placement.Step(decoder.Uint8()), Replica: decoder.String(), ReportedRequests: int(decoder.Uint32())}
-	note.Origin = decoder.String()
-	return note, decoder.Finish()
+	progress := PlacementProgress{Service: decoder.String(), Number: decoder.Uint64()}
+	progress.Note = placement.ProgressReport{Step: placement.Step(decoder.Uint8()), Replica: decoder.String(), ReportedRequests: int(decoder.Uint32())}
+	progress.Origin = decoder.String()
+	return progress, decoder.Finish()
 }
 
 // Place asks the leader where to send a request, or a standby member if no leader is available. It
@@ -257,14 +258,14 @@
 	return reply{}, false
 }
 
-// NotePlaced reports the progress of a placed request to the session that places requests. It
+// RecordProgress reports the progress of a placed request to the session that places requests. It
 // returns false if the message was dropped.
-func (c *Client) RecordProgress(note PlacementProgress) bool {
-	current := c.placementSessionFor(note.Origin)
+func (c *Client) RecordProgress(progress PlacementProgress) bool {
+	current := c.placementSessionFor(progress.Origin)
 	if current == nil {
 		return false
 	}
-	return current.enqueue(&outgoing{kind: kindPlaceNote, payload: encodePlaceNote(note)})
+	return current.enqueue(&outgoing{kind: kindPlacementProgress, payload: encodePlacementProgress(progress)})
 }
 
 // receivePlace answers a placement request. A leader answers directly; on a standby subscription
@@ -304,11 +305,11 @@
 	return s.key.String()
 }
 
-func (s *subscriber) receivePlaceNote(payload []byte) error {
-	note, err := decodePlaceNote(payload)
+func (s *subscriber) receivePlacementProgress(payload []byte) error {
+	progress, err := decodePlacementProgress(payload)
 	if err != nil {
 		return err
 	}
-	s.server.config.Group.RecordProgress(s.originKey(note.Origin), note)
+	s.server.config.Group.RecordProgress(s.originKey(progress.Origin), progress)
 	return nil
 }
--- a/connection/feed/placementrelay.go
+++ b/connection/feed/placementrelay.go
@@ -16,12 +16,12 @@
 const relayTimeout = 25 * time.Millisecond
 
 // PlacementRelay is the Group of a Server that a daemon runs for other daemons that can't reach a
-// member. It forwards their placements, notes, charges, refunds, crash reports and usage reports to
-// the leader, and serves or forwards nothing else.
+// member. It forwards their placements, progress reports, charges, refunds, crash reports and usage
+// reports to the leader, and serves or forwards nothing else.
 //
 // It serves only while a leader serves its own client. To avoid forwarding loops, it refuses
-// placements, notes, charges and refunds that were already relayed. Crash and usage reports need no
-// such check, since they are sent to the leader only.
+// placements, progress reports, charges and refunds that were already relayed. Crash and usage
+// reports need no such check, since they are sent to the leader only.
 type PlacementRelay struct {
 	client *Client
 	views  Views
@@ -47,25 +47,25 @@
 	return answer, err == nil
 }
 
-// NotePlaced forwards the note to the leader.
-func (r *PlacementRelay) RecordProgress(key string, note PlacementProgress) {
-	if note.Origin != "" {
+// RecordProgress forwards the report to the leader.
+func (r *PlacementRelay) RecordProgress(key string, progress PlacementProgress) {
+	if progress.Origin != "" {
 		return
 	}
-	note.Origin = key
-	r.client.RecordProgress(note)
+	progress.Origin = key
+	r.client.RecordProgress(progress)
 }
 
-// NoteEnds forwards the report to the leader: a daemon that is cut off from the members has no
+// RecordCrashes forwards the report to the leader: a daemon that is cut off from the members has no
 // other way to send it.
 func (r *PlacementRelay) RecordCrashes(report CrashReport) {
 	sendCrashReport(r.client.session.Load(), report)
 }
 
-// Unrecorded returns nothing: only members collect crashes for other daemons.
+// UnrecordedCrashes returns nothing: only members collect crashes for other daemons.
 func (r *PlacementRelay) UnrecordedCrashes() (CrashReport, uint64) { return CrashReport{}, 0 }
 
-// NoteUsage forwards the report to the leader.
+// RecordUsage forwards the report to the leader.
 func (r *PlacementRelay) RecordUsage(report UsageReport) { r.client.ReportUsage(report) }
 
 // Charge forwards the charge to the leader. It returns false if the charge was already relayed, or
@@ -81,7 +81,7 @@
 	return grant, err == nil
 }
 
-// ReturnCharge forwards the refund to the leader.
+// RefundCharge forwards the refund to the leader.
 func (r *PlacementRelay) RefundCharge(request ChargeRequest) {
 	if request.Forwarded {
 		return
@@ -90,7 +90,7 @@
 	r.client.RefundCharge(request)
 }
 
-// Day returns 0, since a relay does not distribute the group's wall-clock time.
+// WallClock returns 0, since a relay does not distribute the group's wall-clock time.
 func (r *PlacementRelay) WallClock() int64 { return 0 }
 
 // Version returns the version of the views while a leader serves the client, and zero otherwise,
@@ -105,8 +105,8 @@
 // View returns this daemon's own view.
 func (r *PlacementRelay) View() *view.View { return r.views.Load() }
 
-// Listed returns the replica with the name if this daemon follows it or has received it with an
-// answer.
+// ReplicaByName returns the replica with the name if this daemon follows it or has received it with
+// an answer.
 func (r *PlacementRelay) ReplicaByName(name string) *api.Replica {
 	if listed := r.views.Load().Replicas[name]; listed != nil {
 		return listed
@@ -138,8 +138,8 @@
 // callers.
 func (r *PlacementRelay) ReportPresence(Presence) {}
 
-// NoteKept drops the report.
+// RecordCachedParts drops the report.
 func (r *PlacementRelay) RecordCachedParts(CachedParts) {}
 
-// NoteInFlight drops the report: the leader itself has placed the requests relayed here.
+// RecordInFlight drops the report: the leader itself has placed the requests relayed here.
 func (r *PlacementRelay) RecordInFlight(string, InFlight) {}
--- a/connection/feed/placementrelay_test.go
+++ b/connection/feed/placementrelay_test.go
@@ -15,18 +15,18 @@
 	"github.com/shoenig/test/must"
 )
 
-// recordingGroup is a leader that counts placements and notes by daemon.
+// recordingGroup is a leader that counts placements and progress reports by daemon.
 type recordingGroup struct {
 	*fakeGroup
 	lock       sync.Mutex
 	placements map[string]int
-	notes      map[string]int
+	reports    map[string]int
 	// blockPlacements, if set, blocks placement requests that were not relayed.
 	blockPlacements chan struct{}
 }
 
 func newRecordingGroup() *recordingGroup {
-	return &recordingGroup{fakeGroup: newFakeGroup(), placements: map[string]int{}, notes: map[string]int{}}
+	return &recordingGroup{fakeGroup: newFakeGroup(), placements: map[string]int{}, reports: map[string]int{}}
 }
 
 func (g *recordingGroup) Place(daemon string, request PlaceRequest) (placement.Answer, bool) {
@@ -42,7 +42,7 @@
 func (g *recordingGroup) RecordProgress(daemon string, _ PlacementProgress) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
-	g.notes[daemon]++
+	g.reports[daemon]++
 }
 
 func (g *recordingGroup) count(from map[string]int, daemon string) int {
@@ -95,7 +95,7 @@
 	return startResumedClient(t, nil, daemon, leader, dial, views, relays...)
 }
 
-// startResumedClient is startRelayedClient with a Resumed callback.
+// startResumedClient is startRelayedClient with an OnLeaderResumed callback.
 func startResumedClient(t *testing.T, resumed func(), daemon, leader string, dial *partitionDialer, views Views, relays ...string) *Client {
 	client, err := Dial(ClientConfig{
 		Daemon:            daemon,
@@ -135,7 +135,7 @@
 	name := daemonKey{daemon: "proxy-a", instance: client.instance}.String()
 	must.GreaterEq(t, 2, group.count(group.placements, name), must.Sprint(group.placements))
 	must.True(t, client.RecordProgress(PlacementProgress{Service: "chat", Number: 1}))
-	eventually(t, "the note", func() bool { return group.count(group.notes, name) == 1 })
+	eventually(t, "the progress report", func() bool { return group.count(group.reports, name) == 1 })
 	_, err := client.Claim(t.Context(), state.ClaimRequest{Tenant: "water", Key: "k", Nonce: 1})
 	must.ErrorIs(t, err, ErrNoQuorum)
 
@@ -168,10 +168,10 @@
 	gotReply, err := decodePlaceReply(encodePlaceReply(reply))
 	must.NoError(t, err)
 	must.Eq(t, reply, gotReply)
-	note := PlacementProgress{Service: "chat", Number: 7, Origin: "proxy-a#1", Note: placement.ProgressReport{Step: placement.StepRefused, Replica: "r", ReportedRequests: 3}}
-	gotNote, err := decodePlaceNote(encodePlaceNote(note))
+	progress := PlacementProgress{Service: "chat", Number: 7, Origin: "proxy-a#1", Note: placement.ProgressReport{Step: placement.StepRefused, Replica: "r", ReportedRequests: 3}}
+	gotProgress, err := decodePlacementProgress(encodePlacementProgress(progress))
 	must.NoError(t, err)
-	must.Eq(t, note, gotNote)
+	must.Eq(t, progress, gotProgress)
 }
 
 // A leader that does not answer placements is bypassed long before the silence timeout closes the
--- a/connection/feed/server.go
+++ b/connection/feed/server.go
@@ -49,27 +49,27 @@
 	// ReportPresence takes a proxy's presence report, which is repeated with each heartbeat.
 	ReportPresence(presence Presence)
 	// Place decides where to send a request and returns false if the group does not decide.
-	// NotePlaced records the progress of the request. key is the string form of the daemonKey of
-	// the daemon that asked. Neither blocks, except that a PlacementRelay's Place waits up to
+	// RecordProgress records the progress of the request. key is the string form of the daemonKey
+	// of the daemon that asked. Neither blocks, except that a PlacementRelay's Place waits up to
 	// relayTimeout for the leader.
 	Place(key string, request PlaceRequest) (placement.Answer, bool)
-	RecordProgress(key string, note PlacementProgress)
-	// NoteKept records which prompt parts a replica is believed to have cached.
+	RecordProgress(key string, progress PlacementProgress)
+	// RecordCachedParts records which prompt parts a replica is believed to have cached.
 	RecordCachedParts(cached CachedParts)
-	// NoteInFlight replaces the recorded in-flight requests of a daemon; key is as in Place.
+	// RecordInFlight replaces the recorded in-flight requests of a daemon; key is as in Place.
 	RecordInFlight(key string, inFlight InFlight)
-	// NoteEnds records the requests during which replicas crashed. Unrecorded returns the crashes
-	// that daemons should know but can't read from the group's committed quarantine record, empty
-	// if there are none; generation changes whenever the report does.
+	// RecordCrashes records the requests during which replicas crashed. UnrecordedCrashes returns
+	// the crashes that daemons should know but can't read from the group's committed quarantine
+	// record, empty if there are none; generation changes whenever the report does.
 	RecordCrashes(report CrashReport)
 	UnrecordedCrashes() (report CrashReport, generation uint64)
-	// NoteUsage records the usage counters of an instance.
+	// RecordUsage records the usage counters of an instance.
 	RecordUsage(report UsageReport)
 	// Charge deducts the cost of a tenant's request from its quota and returns false if this
-	// member keeps no quotas. ReturnCharge refunds a request that did not run.
+	// member keeps no quotas. RefundCharge refunds a request that did not run.
 	Charge(request ChargeRequest) (quota.Grant, bool)
 	RefundCharge(request ChargeRequest)
-	// Day returns the group's wall-clock time in Unix milliseconds, 0 if unknown.
+	// WallClock returns the group's wall-clock time in Unix milliseconds, 0 if unknown.
 	WallClock() int64
 }
 
--- a/connection/feed/session.go
+++ b/connection/feed/session.go
@@ -377,7 +377,7 @@
 }
 
 // markReady makes the session available for calls. The first call also ends the standby session
-// and the wait for the next leader, and calls Served. It is called only by the reading goroutine.
+// and the wait for the next leader, and calls OnServed. It is called only by the reading goroutine.
 func (s *session) markReady() {
 	if !s.ready {
 		s.ready = true
--- a/connection/feed/standby_test.go
+++ b/connection/feed/standby_test.go
@@ -15,10 +15,10 @@
 // placingGroup is a member that answers placements with its own name as the replica.
 type placingGroup struct {
 	*fakeGroup
-	name     string
-	notes    atomic.Int64
-	kept     atomic.Int64
-	inFlight atomic.Int64
+	name        string
+	reports     atomic.Int64
+	cachedParts atomic.Int64
+	inFlight    atomic.Int64
 }
 
 func newPlacingGroup(name string, leads bool) *placingGroup {
@@ -31,9 +31,9 @@
 	return placement.Answer{Generator: g.name}, true
 }
 
-func (g *placingGroup) RecordProgress(string, PlacementProgress) { g.notes.Add(1) }
+func (g *placingGroup) RecordProgress(string, PlacementProgress) { g.reports.Add(1) }
 
-func (g *placingGroup) RecordCachedParts(CachedParts) { g.kept.Add(1) }
+func (g *placingGroup) RecordCachedParts(CachedParts) { g.cachedParts.Add(1) }
 
 func (g *placingGroup) RecordInFlight(string, InFlight) { g.inFlight.Add(1) }
 
@@ -87,7 +87,7 @@
 	must.True(t, client.ReportCachedParts(CachedParts{Service: "chat", Replica: "r"}))
 	must.True(t, client.ReportInFlight(InFlight{Service: "chat"}))
 	eventually(t, "the notes", func() bool {
-		return first.notes.Load() == 1 && first.kept.Load() == 1 && first.inFlight.Load() == 1
+		return first.reports.Load() == 1 && first.cachedParts.Load() == 1 && first.inFlight.Load() == 1
 	})
 	must.Eq(t, 2, served.Load(), must.Sprint("Served is called for each member that serves placements"))
 	first.put("later")
--- a/connection/feed/subscriber.go
+++ b/connection/feed/subscriber.go
@@ -173,8 +173,8 @@
 		return s.receiveCachedParts(received.Payload)
 	case kindInFlight:
 		return s.receiveInFlight(received.Payload)
-	case kindPlaceNote:
-		return s.receivePlaceNote(received.Payload)
+	case kindPlacementProgress:
+		return s.receivePlacementProgress(received.Payload)
 	case kindCrashes:
 		return s.receiveCrashReport(received.Payload)
 	case kindUsage:
--- a/connection/feed/takeover.go
+++ b/connection/feed/takeover.go
@@ -12,7 +12,7 @@
 // The messages in this file restore the placement state of a new leader or standby member. That
 // state is lost with the previous one, and the daemons know most of it.
 
-// KeptParts lists the prompt parts that a daemon believes a replica to have cached, the most
+// CachedParts lists the prompt parts that a daemon believes a replica to have cached, the most
 // recently used one last. Daemons send it to a leader or standby member that has just started to
 // serve them, which otherwise would learn only from new requests which parts are cached where.
 type CachedParts struct {
@@ -38,8 +38,8 @@
 	return cached, decoder.Finish()
 }
 
-// ReportKept sends the parts that a replica is believed to have cached to the session that places
-// requests. It returns false if the message was dropped.
+// ReportCachedParts sends the parts that a replica is believed to have cached to the session that
+// places requests. It returns false if the message was dropped.
 func (c *Client) ReportCachedParts(cached CachedParts) bool {
 	current := c.placementSession()
 	if current == nil {
@@ -100,7 +100,7 @@
 	encoder.Uint64(number)
 	encoder.Int64(int64(request.Age))
 	encoder.Uint8(uint8(request.Step))
-	encodeAsk(encoder, &request.Ask)
+	encodePlacementRequest(encoder, &request.Ask)
 	encodeAnswer(encoder, &request.Answer)
 }
 
@@ -114,7 +114,7 @@
 	for i := 0; i < count && decoder.Err() == nil; i++ {
 		number := decoder.Uint64()
 		request := placement.InFlightRequest{Age: time.Duration(decoder.Int64()), Step: placement.Step(decoder.Uint8())}
-		request.Ask = decodeAsk(decoder)
+		request.Ask = decodePlacementRequest(decoder)
 		request.Answer = decodeAnswer(decoder)
 		message.Requests[number] = request
 	}
--- a/connection/feed/usage.go
+++ b/connection/feed/usage.go
@@ -7,7 +7,7 @@
 // UsageReport holds the number of requests that one instance counted when they started, by tenant
 // and time window. Counters only increase, so a duplicate or late report can't lower one.
 type UsageReport struct {
-	// Life identifies the instance. A restarted process has a different value.
+	// ProcessRun identifies the instance. A restarted process has a different value.
 	ProcessRun string
 	// Through is the time up to which the instance has reported all its counts, in Unix
 	// milliseconds of the group's wall-clock time.
--- a/connection/operatorapi/operatorapi.go
+++ b/connection/operatorapi/operatorapi.go
@@ -23,7 +23,7 @@
 	PathQuotas       = "/apis/v1/quotas"         // GET -> QuotaList
 	PathQuarantine   = "/apis/v1/quarantine"     // DELETE /{fingerprint} -> Released
 	PathMembers      = "/apis/v1/members"        // POST MemberRequest -> MemberReply
-	PathMemberStatus = "/apis/v1/members/status" // GET of one member itself -> MemberSelf
+	PathMemberStatus = "/apis/v1/members/status" // GET of one member itself -> MemberStatus
 	PathHealth       = "/healthz"
 	PathMetrics      = "/metrics"
 )
@@ -170,7 +170,7 @@
 	Daemons       int      `json:"daemons"`
 }
 
-// MemberSelf is a member's own status, whether or not it is the leader.
+// MemberStatus is a member's own status, whether or not it is the leader.
 type MemberStatus struct {
 	ID      uint64     `json:"id,string"`
 	Name    string     `json:"name"`
--- a/connection/orders/orders_test.go
+++ b/connection/orders/orders_test.go
@@ -134,9 +134,9 @@
 		}
 		poller.SetTargets(targets)
 		time.Sleep(30 * time.Second)
-		seen := poller.Observations()
-		must.MapLen(t, engines, seen)
-		for name := range seen {
+		observations := poller.Observations()
+		must.MapLen(t, engines, observations)
+		for name := range observations {
 			must.Greater(t, 2, client.count(name))
 		}
 	})
@@ -242,11 +242,11 @@
 // Two load requests to an engine can be in flight if its entry was replaced by one with the
 // same address. The response to the earlier request must not replace a later one.
 func TestStaleLoadReportIsDiscarded(t *testing.T) {
-	known := &target{hasState: true, seen: Observation{State: engineapi.State{Incarnation: 3}}}
+	known := &target{hasState: true, observation: Observation{State: engineapi.State{Incarnation: 3}}}
 	known.recordLoad(engineapi.Load{Incarnation: 3, Running: 7}, 2*time.Second)
 	known.recordLoad(engineapi.Load{Incarnation: 3, Running: 1}, time.Second)
-	must.Eq(t, 7, known.seen.Load.Running)
-	must.Eq(t, 2*time.Second, known.seen.LoadRequestedAt)
+	must.Eq(t, 7, known.observation.Load.Running)
+	must.Eq(t, 2*time.Second, known.observation.LoadRequestedAt)
 }
 
 // slowLoadEngine is a fake EngineClient that numbers its load reports by request and returns the first
--- a/connection/orders/poller.go
+++ b/connection/orders/poller.go
@@ -11,10 +11,10 @@
 	"github.com/landingtrail/landingtrail/connection/engineapi"
 )
 
-// Seen is the last known state and load of an engine.
+// Observation is the last known state and load of an engine.
 type Observation struct {
 	State engineapi.State
-	// AskedAt is when the state was requested, by the poller's clock.
+	// RequestedAt is when the state was requested, by the poller's clock.
 	RequestedAt time.Duration
 	// Load is the last load report of the incarnation in State. LoadRequestedAt is when it was
 	// requested, 0 if there is none.
@@ -36,7 +36,7 @@
 	// limit the polls.
 	Interval     time.Duration
 	MaxPerSecond int
-	// Clock is a monotonic clock. It must be set, as must Asker.
+	// Clock is a monotonic clock. It must be set, as must Client.
 	Clock func() time.Duration
 	// Changed is called without any lock held after the state of an engine has changed in
 	// a field that sameState compares. It may be nil.
@@ -56,13 +56,13 @@
 
 // target is one polled engine.
 type target struct {
-	name     string
-	address  string
-	dueAt    time.Duration
-	lastPoll uint64 // number of the last poll; 0 before the first
-	polling  bool
-	seen     Observation
-	hasState bool
+	name        string
+	address     string
+	dueAt       time.Duration
+	lastPoll    uint64 // number of the last poll; 0 before the first
+	polling     bool
+	observation Observation
+	hasState    bool
 }
 
 type pollerShard struct {
@@ -139,7 +139,7 @@
 	}
 }
 
-// Poke makes the engine due immediately.
+// PollNow makes the engine due immediately.
 func (p *Poller) PollNow(name string) {
 	shard := p.shard(name)
 	shard.Lock()
@@ -163,14 +163,14 @@
 // recordState records the state, unless that of a later request is already known, and reports
 // whether it differs from the previous one.
 func (t *target) recordState(state engineapi.State, requestedAt time.Duration) bool {
-	if t.hasState && requestedAt < t.seen.RequestedAt {
+	if t.hasState && requestedAt < t.observation.RequestedAt {
 		return false
 	}
-	changed := !t.hasState || !sameState(t.seen.State, state)
-	if t.seen.State.Incarnation != state.Incarnation {
-		t.seen.Load, t.seen.LoadRequestedAt = engineapi.Load{}, 0
+	changed := !t.hasState || !sameState(t.observation.State, state)
+	if t.observation.State.Incarnation != state.Incarnation {
+		t.observation.Load, t.observation.LoadRequestedAt = engineapi.Load{}, 0
 	}
-	t.seen.State, t.seen.RequestedAt, t.hasState = state, requestedAt, true
+	t.observation.State, t.observation.RequestedAt, t.hasState = state, requestedAt, true
 	return changed
 }
 
@@ -188,7 +188,7 @@
 	}
 }
 
-// Seen returns a copy of the last known state of every engine that has responded.
+// Observations returns a copy of the last known state of every engine that has responded.
 func (p *Poller) Observations() map[string]Observation {
 	all := map[string]Observation{}
 	for i := range p.shards {
@@ -203,7 +203,7 @@
 	defer s.Unlock()
 	for name, known := range s.targets {
 		if known.hasState {
-			all[name] = known.seen
+			all[name] = known.observation
 		}
 	}
 }
@@ -276,7 +276,7 @@
 	return max(interval, time.Duration(targets)*time.Second/time.Duration(perSecond))
 }
 
-// RoundTime returns the least time that a Poller with the given interval and the default
+// PollRoundDuration returns the least time that a Poller with the given interval and the default
 // maximum rate takes to poll the given number of engines once: that of engines which are
 // spread evenly over the shards and respond quickly.
 func PollRoundDuration(interval time.Duration, engines int) time.Duration {
@@ -312,7 +312,7 @@
 // recordLoad records the report, unless it belongs to an earlier incarnation of the engine,
 // since reports lag, or that of a later request is already known.
 func (t *target) recordLoad(load engineapi.Load, requestedAt time.Duration) {
-	if load.Incarnation == t.seen.State.Incarnation && requestedAt >= t.seen.LoadRequestedAt {
-		t.seen.Load, t.seen.LoadRequestedAt = load, requestedAt
+	if load.Incarnation == t.observation.State.Incarnation && requestedAt >= t.observation.LoadRequestedAt {
+		t.observation.Load, t.observation.LoadRequestedAt = load, requestedAt
 	}
 }
--- a/connection/upstream/identity.go
+++ b/connection/upstream/identity.go
@@ -10,7 +10,7 @@
 	"github.com/landingtrail/landingtrail/connection/engineapi"
 )
 
-// ErrForeign reports a response or stream event that belongs to another request, attempt
+// ErrUnmatchedResponse reports a response or stream event that belongs to another request, attempt
 // or incarnation than the expected one, or a response on a reused connection that does
 // not identify its request.
 var ErrUnmatchedResponse = errors.New("upstream: response or event does not match the request")
--- a/connection/upstream/stream.go
+++ b/connection/upstream/stream.go
@@ -41,8 +41,8 @@
 }
 
 // Next returns the next frame, or io.EOF after a complete stream. Other errors are
-// ErrEngine, ErrMalformed, ErrForeign and those of EventReader.Next; the stream is unusable
-// after them.
+// ErrEngine, ErrMalformed, ErrUnmatchedResponse and those of EventReader.Next; the stream is
+// unusable after them.
 func (s *Stream) Next() (Frame, error) {
 	event, err := s.events.Next()
 	if err != nil {
--- a/connection/upstream/upstream.go
+++ b/connection/upstream/upstream.go
@@ -33,8 +33,8 @@
 	MaxHeaderBytes  int64         // per response
 	ReadBufferSize  int           // bytes per connection
 	WriteBufferSize int           // bytes per connection
-	// Foreign, if not nil, is called with each response that does not provably belong to
-	// its request, and the address of the server that sent it.
+	// OnUnmatchedResponse, if not nil, is called with each response that does not provably belong
+	// to its request, and the address of the server that sent it.
 	OnUnmatchedResponse func(address string, cause error)
 }
 
@@ -235,7 +235,7 @@
 
 // Do sends the request once with the identity and returns the response after reading its
 // header. Redirects are not followed. The error is always a *Failure; its cause is
-// ErrForeign if the response does not provably belong to the request. The caller must
+// ErrUnmatchedResponse if the response does not provably belong to the request. The caller must
 // close the response body. If it is closed before its end, the connection is closed. Do
 // modifies the request's header; see StripHeaders.
 func (p *Pool) Do(request *http.Request, identity Identity) (*http.Response, error) {
@@ -284,8 +284,8 @@
 	}
 }
 
-// verifyEcho returns ErrForeign unless the response provably belongs to the exchange. A response
-// without an identity belongs to it if the connection has carried no other request.
+// verifyEcho returns ErrUnmatchedResponse unless the response provably belongs to the exchange. A
+// response without an identity belongs to it if the connection has carried no other request.
 func verifyEcho(got echoResult, reused bool, identity *Identity, header http.Header) error {
 	if got == echoMatch || got == echoMissing && !reused {
 		return nil
@@ -336,7 +336,7 @@
 	return b.ReadCloser.Close()
 }
 
-// SurelyRefused reports whether the response is an engine's explicit refusal before
+// RefusedBeforeAdmission reports whether the response is an engine's explicit refusal before
 // admission. It requires the identity in the response, with an attempt: Do has compared it,
 // but accepts a response without one on a dedicated connection. Such a response does not
 // prove a refusal, since a server may respond before it has read the request. For calls
--- a/lab/campaign/holdoff_test.go
+++ b/lab/campaign/holdoff_test.go
@@ -178,24 +178,24 @@
 	if told, leaves := process.leaving[life]; leaves && sentAt > told+holdDrain {
 		w.broken = append(w.broken, fmt.Sprintf("%v: %s had told %s at %v that it leaves, and got a request of %v", w.now, replica.name, life, told, sentAt))
 	}
-	word := holdoff.Restrictions{Leaving: replica.leaving}
+	restrictions := holdoff.Restrictions{Leaving: replica.leaving}
 	if left := replica.pausedTill - w.now; left > 0 {
-		word.RetryAfter = left
+		restrictions.RetryAfter = left
 		process.pauses[life] = append(process.pauses[life], &holdPause{from: w.now, till: w.now + left})
 		w.counts["asked for a pause"]++
 	}
-	w.after(w.draw(holdTravel), func() { w.hear(proxy, life, replica.name, process, word) })
+	w.after(w.draw(holdTravel), func() { w.hear(proxy, life, replica.name, process, restrictions) })
 }
 
-func (w *holdWorld) hear(proxy *holdProxy, life, name string, process *holdProcess, word holdoff.Restrictions) {
+func (w *holdWorld) hear(proxy *holdProxy, life, name string, process *holdProcess, restrictions holdoff.Restrictions) {
 	if life != fmt.Sprintf("%s.%d", proxy.name, proxy.life) {
 		return // it has restarted
 	}
-	if _, told := process.leaving[life]; word.Leaving && !told {
+	if _, told := process.leaving[life]; restrictions.Leaving && !told {
 		process.leaving[life] = w.now
 		w.counts["told that it leaves"]++
 	}
-	if proxy.table.Find(name).Apply(w.now, w.wall(), word) {
+	if proxy.table.Find(name).Apply(w.now, w.wall(), restrictions) {
 		w.board.RecordProgress(w.now, placement.Key{Daemon: proxy.name}, placement.ProgressReport{Step: placement.StepLeaving, Replica: name})
 	}
 }
--- a/lab/campaign/proxyrequest.go
+++ b/lab/campaign/proxyrequest.go
@@ -12,9 +12,9 @@
 
 // pendingRequest is one request in one proxy.
 type pendingRequest struct {
-	call  *call
-	life  *attempt.Lifecycle
-	nonce uint64
+	call      *call
+	lifecycle *attempt.Lifecycle
+	nonce     uint64
 	// claimedAgain tells that a claim without an answer was sent once more.
 	claimedAgain bool
 	claimed      bool
@@ -35,8 +35,8 @@
 // accept takes a caller's request.
 func (p *proxyHost) accept(c *call) {
 	request := &pendingRequest{
-		call: c,
-		life: attempt.New(attempt.Policy{AtMostOnce: c.once, MaxAttempts: maxAttempts, MaxResumes: maxResumes}),
+		call:      c,
+		lifecycle: attempt.New(attempt.Policy{AtMostOnce: c.once, MaxAttempts: maxAttempts, MaxResumes: maxResumes}),
 	}
 	p.requests = append(p.requests, request)
 	p.after(c.deadline, func() { p.expire(request) })
@@ -47,7 +47,7 @@
 	request.nonce = p.random.Uint64()
 	p.claim(request)
 	p.after(claimTimeout, func() {
-		if request.life.Expire() {
+		if request.lifecycle.Expire() {
 			p.settle(request, api.RunNotRun)
 			p.answer(request, attempt.RanNo)
 		}
@@ -59,7 +59,7 @@
 	if request.answered {
 		return
 	}
-	if request.life.Expire() {
+	if request.lifecycle.Expire() {
 		p.settle(request, api.RunNotRun)
 		p.answer(request, attempt.RanNo)
 		return
@@ -68,7 +68,7 @@
 }
 
 func (p *proxyHost) giveUp(request *pendingRequest) {
-	ran := request.life.GiveUp()
+	ran := request.lifecycle.GiveUp()
 	if ran == attempt.RanNo {
 		p.settle(request, api.RunNotRun)
 	} else {
@@ -102,7 +102,7 @@
 	}
 	request.claimedAgain = true
 	p.after(claimRetry, func() {
-		if !request.answered && request.life.State() == attempt.Queued {
+		if !request.answered && request.lifecycle.State() == attempt.Queued {
 			p.claim(request)
 		}
 	})
@@ -110,7 +110,7 @@
 
 // refuseClaim answers a request that no leader could claim, at once.
 func (p *proxyHost) refuseClaim(request *pendingRequest) {
-	if request.life.Expire() {
+	if request.lifecycle.Expire() {
 		p.answer(request, attempt.RanNo)
 	}
 }
@@ -124,7 +124,7 @@
 		p.dispatch(request)
 		return
 	}
-	if !request.life.Expire() {
+	if !request.lifecycle.Expire() {
 		return
 	}
 	request.settled = true // the claim is another request's
@@ -137,7 +137,7 @@
 
 // dispatch takes the request out of the queue and runs its first attempt.
 func (p *proxyHost) dispatch(request *pendingRequest) {
-	if request.life.Dispatch() {
+	if request.lifecycle.Dispatch() {
 		p.advance(request)
 	}
 }
@@ -147,14 +147,14 @@
 	if request.answered {
 		return
 	}
-	next := request.life.Next()
+	next := request.lifecycle.Next()
 	switch next.Kind {
 	case attempt.StepRun:
 		p.run(request)
 	case attempt.StepResume:
 		p.resume(request, next)
 	case attempt.StepStop:
-		if !request.life.Done() {
+		if !request.lifecycle.Done() {
 			p.giveUp(request)
 		}
 	}
@@ -177,7 +177,7 @@
 		return
 	}
 	host := p.world.engineByName(decision.Target.Name)
-	number, err := request.life.Begin(host.name, decision.Target.Incarnation)
+	number, err := request.lifecycle.Begin(host.name, decision.Target.Incarnation)
 	if err != nil {
 		p.giveUp(request)
 		return
@@ -196,7 +196,7 @@
 	request.endpoint = host
 	request.activity = p.clock()
 	request.tokens = nil
-	request.life.Wrote(number)
+	request.lifecycle.Wrote(number)
 	run := enginemodel.Request{
 		Key:          enginemodel.RunKey{ID: c.id, Attempt: number},
 		Model:        c.model,
@@ -221,7 +221,7 @@
 func (p *proxyHost) admitted(request *pendingRequest, number uint32, host *engineHost, incarnation uint64, admission enginemodel.Admission) {
 	request.activity = p.clock()
 	if admission.Admitted {
-		request.life.Admit(number, incarnation)
+		request.lifecycle.Admit(number, incarnation)
 		return
 	}
 	fault := attempt.FaultRefused
@@ -229,7 +229,7 @@
 		fault = attempt.FaultBroken
 	}
 	p.word(host.name).refusedTill = p.clock() + refusalMemory
-	request.life.Fail(number, fault)
+	request.lifecycle.Fail(number, fault)
 	p.later(request)
 }
 
@@ -240,18 +240,18 @@
 		return
 	}
 	if f.last {
-		if f.offset == len(request.tokens) && request.life.Finish(number) {
+		if f.offset == len(request.tokens) && request.lifecycle.Finish(number) {
 			p.complete(request)
 		}
 		return
 	}
-	switch request.life.Accept(number, f.offset, 1) {
+	switch request.lifecycle.Accept(number, f.offset, 1) {
 	case attempt.VerdictPass:
 		request.tokens = append(request.tokens, f.text)
 	case attempt.VerdictLate, attempt.VerdictDuplicate:
 		p.world.strike(strikeLateFrame)
 	case attempt.VerdictGap:
-		request.life.Fail(number, attempt.FaultBroken)
+		request.lifecycle.Fail(number, attempt.FaultBroken)
 		p.later(request)
 	}
 }
@@ -263,16 +263,16 @@
 }
 
 func (p *proxyHost) checkStall(request *pendingRequest, number uint32, silence time.Duration) {
-	if request.answered || request.life.Next().Kind != attempt.StepWait {
+	if request.answered || request.lifecycle.Next().Kind != attempt.StepWait {
 		return
 	}
-	records := request.life.Attempts()
+	records := request.lifecycle.Attempts()
 	if records[len(records)-1].Number != number {
 		return
 	}
 	if p.clock()-request.activity >= silence {
 		p.world.strike(strikeStall)
-		request.life.Fail(number, attempt.FaultBroken)
+		request.lifecycle.Fail(number, attempt.FaultBroken)
 		p.advance(request)
 		return
 	}
@@ -282,7 +282,7 @@
 // resume takes the stream of the last attempt up again.
 func (p *proxyHost) resume(request *pendingRequest, step attempt.Step) {
 	host := p.world.engineByName(step.Endpoint)
-	if request.life.Resume(step.Number) != nil {
+	if request.lifecycle.Resume(step.Number) != nil {
 		p.later(request)
 		return
 	}
@@ -296,8 +296,8 @@
 				p.world.strike(strikeResume)
 				return
 			}
-			request.life.Fail(step.Number, attempt.FaultBroken)
-			request.life.AbandonResume(step.Number)
+			request.lifecycle.Fail(step.Number, attempt.FaultBroken)
+			request.lifecycle.AbandonResume(step.Number)
 			p.advance(request)
 		})
 	})
--- a/lab/emulator/flow.go
+++ b/lab/emulator/flow.go
@@ -16,24 +16,24 @@
 
 // flow is one request on its way through a proxy.
 type flow struct {
-	run      *run
-	proxy    *proxy
-	item     *trace.Item
-	id       string
-	number   int // position in the trace
-	blocks   []uint64
-	life     *attempt.Lifecycle
-	deadline time.Duration
-	excluded map[string]bool
-	retries  int
-	stage    *stage // the open one
-	stages   uint32
-	runs     int // admitted by an engine that generates
-	received int // tokens of the current run
-	cached   int // prompt tokens found in caches
-	waiting  *limit.Waiting
-	release  func() // gives back the place in the lane; nil without one
-	closed   bool
+	run       *run
+	proxy     *proxy
+	item      *trace.Item
+	id        string
+	number    int // position in the trace
+	blocks    []uint64
+	lifecycle *attempt.Lifecycle
+	deadline  time.Duration
+	excluded  map[string]bool
+	retries   int
+	stage     *stage // the open one
+	stages    uint32
+	runs      int // admitted by an engine that generates
+	received  int // tokens of the current run
+	cached    int // prompt tokens found in caches
+	waiting   *limit.Waiting
+	release   func() // gives back the place in the lane; nil without one
+	closed    bool
 }
 
 const maxAttempts = 4
@@ -43,13 +43,13 @@
 func newFlow(r *run, number int) *flow {
 	item := &r.config.Items[number]
 	f := &flow{
-		run:      r,
-		proxy:    r.proxyOf(item.Zone),
-		item:     item,
-		id:       strconv.Itoa(number),
-		number:   number,
-		life:     attempt.New(attempt.Policy{AtMostOnce: item.RepeatNever, Buffered: true, MaxAttempts: maxAttempts}),
-		deadline: r.now + item.Deadline,
+		run:       r,
+		proxy:     r.proxyOf(item.Zone),
+		item:      item,
+		id:        strconv.Itoa(number),
+		number:    number,
+		lifecycle: attempt.New(attempt.Policy{AtMostOnce: item.RepeatNever, Buffered: true, MaxAttempts: maxAttempts}),
+		deadline:  r.now + item.Deadline,
 	}
 	f.blocks = enginemodel.SyntheticBlocks(item.Model, item.Prefix, item.PrefixTokens, uint64(number)+1,
 		item.PromptTokens, r.config.Engine.BlockTokens)
@@ -79,7 +79,7 @@
 		Weight:   tenantWeights[f.item.Tenant],
 		Cost:     float64(f.item.PromptTokens + f.proxy.expectedOutput(f.item.Class)),
 		Deadline: wallClock(f.deadline),
-		Gate:     f.life,
+		Gate:     f.lifecycle,
 	}
 }
 
@@ -101,7 +101,7 @@
 	if f.closed {
 		return
 	}
-	if f.life.Next().Kind != attempt.StepRun {
+	if f.lifecycle.Next().Kind != attempt.StepRun {
 		f.giveUp("no attempt left")
 		return
 	}
@@ -175,7 +175,7 @@
 // After a refusal because of a planned change it is free and comes at once.
 func (f *flow) retry(reason string, free bool) {
 	f.stage = nil
-	if f.life.Next().Kind != attempt.StepRun || f.retries >= maxAttempts {
+	if f.lifecycle.Next().Kind != attempt.StepRun || f.retries >= maxAttempts {
 		f.giveUp(reason)
 		return
 	}
@@ -214,7 +214,7 @@
 	if f.closed {
 		return
 	}
-	f.life.GiveUp()
+	f.lifecycle.GiveUp()
 	if f.stage != nil {
 		f.stage.cancel()
 		f.stage = nil
@@ -230,9 +230,9 @@
 	f.leave()
 	result := f.run.result
 	switch {
-	case f.life.State() == attempt.Done:
+	case f.lifecycle.State() == attempt.Done:
 		f.complete()
-	case f.life.State() == attempt.Refused:
+	case f.lifecycle.State() == attempt.Refused:
 		result.Refused++
 		result.Reasons[reason]++
 		if f.runs > 0 {
--- a/lab/emulator/stage.go
+++ b/lab/emulator/stage.go
@@ -40,14 +40,14 @@
 	}
 	s.sent = s.target.send(s.flow.run.now, tokens)
 	if !s.prefillOnly() {
-		number, err := s.flow.life.Begin(s.target.host.name, s.target.host.model.Incarnation())
+		number, err := s.flow.lifecycle.Begin(s.target.host.name, s.target.host.model.Incarnation())
 		if err != nil {
 			s.flow.giveUp("attempt not allowed")
 			return
 		}
 		s.attempt = number
 		s.flow.received = 0
-		s.flow.life.Wrote(number)
+		s.flow.lifecycle.Wrote(number)
 	}
 	s.flow.run.after(s.latency(), s.reach)
 }
@@ -83,7 +83,7 @@
 		return
 	}
 	s.flow.runs++
-	s.flow.life.Admit(s.attempt, host.model.Incarnation())
+	s.flow.lifecycle.Admit(s.attempt, host.model.Incarnation())
 }
 
 // refused is an explicit refusal before admission, on its way back.
@@ -101,7 +101,7 @@
 			s.flow.splitAgain(s.target.host.name)
 			return
 		}
-		s.flow.life.Fail(s.attempt, attempt.FaultRefused)
+		s.flow.lifecycle.Fail(s.attempt, attempt.FaultRefused)
 		s.flow.exclude(s.target.host.name)
 		s.flow.retry("refused by engine", byPhase)
 	})
@@ -121,7 +121,7 @@
 	if s.closed || s.flow.closed {
 		return
 	}
-	switch s.flow.life.Accept(s.attempt, event.Offset, 1) {
+	switch s.flow.lifecycle.Accept(s.attempt, event.Offset, 1) {
 	case attempt.VerdictPass:
 		s.flow.received++
 	case attempt.VerdictGap:
@@ -154,7 +154,7 @@
 		return
 	}
 	s.closed = true
-	if !s.flow.life.Finish(s.attempt) {
+	if !s.flow.lifecycle.Finish(s.attempt) {
 		return
 	}
 	s.flow.stage = nil
@@ -200,7 +200,7 @@
 		s.flow.splitAgain(s.target.host.name)
 		return
 	}
-	s.flow.life.Fail(s.attempt, attempt.FaultBroken)
+	s.flow.lifecycle.Fail(s.attempt, attempt.FaultBroken)
 	s.flow.exclude(s.target.host.name)
 	s.flow.retry("engine lost", false)
 }
--- a/process/control/duties.go
+++ b/process/control/duties.go
@@ -236,14 +236,14 @@
 		addresses[name] = engine.Spec.Address
 	}
 	term.poller.SetTargets(addresses)
-	seen := term.poller.Observations()
+	observations := term.poller.Observations()
 	now := monotonic()
 	input := controller.Input{
 		Now:          now,
 		Engines:      current.Engines,
-		Observations: term.observations(seen),
-		Platform:     d.platform.leavingAndGone(current, seen, now),
-		Decisions:    d.plan(term, current, seen, now),
+		Observations: term.observations(observations),
+		Platform:     d.platform.leavingAndGone(current, observations, now),
+		Decisions:    d.plan(term, current, observations, now),
 		Silence:      d.group.config.Durations.engineSilenceFor(len(current.Engines)),
 		FailurePause: d.group.config.Durations.FailurePause,
 	}
@@ -255,9 +255,9 @@
 
 // observations combines the engines' reported states with the orders that each engine rejected as
 // invalid.
-func (t *termState) observations(seen map[string]orders.Observation) map[string]controller.Observation {
-	observations := make(map[string]controller.Observation, len(seen))
-	for name, heard := range seen {
+func (t *termState) observations(polled map[string]orders.Observation) map[string]controller.Observation {
+	observations := make(map[string]controller.Observation, len(polled))
+	for name, heard := range polled {
 		observations[name] = controller.Observation{
 			State:   heard.State,
 			AskedAt: heard.RequestedAt,
--- a/process/control/evidence.go
+++ b/process/control/evidence.go
@@ -23,11 +23,11 @@
 	"github.com/pkg/errors"
 )
 
-// A crash observation is a report that a replica crashed under a request; a proxy's EndReport
+// A crash observation is a report that a replica crashed under a request; a proxy's CrashReport
 // contains some, and a table stores them. Observations need neither ordering nor consensus, and
 // storing one twice is harmless. So each member stores the observations it receives on its own
 // disk, whether or not there is a leader, and a new leader requests all of them. Those of requests
-// that are worth watching (see quarantine.Table.IsWorthTelling), called notable, are forwarded to
+// that are worth watching (see quarantine.Table.ShouldReportNow), called notable, are forwarded to
 // the other members at once.
 //
 // Quarantine decisions go to the record, the Quarantine and Suspect objects of the replicated
--- a/process/control/group.go
+++ b/process/control/group.go
@@ -200,8 +200,8 @@
 
 // Place chooses the replica for a request, with all requests of all proxies taken into account. It
 // returns false if the service is not known. While replicas of the service crash in series, it
-// answers a request without a fingerprint only by Name, which asks the proxy for the fingerprint:
-// suspects are isolated, and requests that are about to be held have to wait.
+// answers a request without a fingerprint only by NeedsFingerprint, which asks the proxy for the
+// fingerprint: suspects are isolated, and requests that are about to be held have to wait.
 func (g *group) Place(daemon string, request feed.PlaceRequest) (placement.Answer, bool) {
 	began := monotonic()
 	tracker := g.evidence.tracker
@@ -216,19 +216,19 @@
 	return answer, known
 }
 
-// NotePlaced records the progress of a request that this member has placed.
-func (g *group) RecordProgress(daemon string, note feed.PlacementProgress) {
-	g.boards.recordProgress(daemon, note, monotonic())
+// RecordProgress records the progress of a request that this member has placed.
+func (g *group) RecordProgress(daemon string, progress feed.PlacementProgress) {
+	g.boards.recordProgress(daemon, progress, monotonic())
 }
 
-// NoteKept records the prompt parts that a replica is believed to have cached.
-func (g *group) RecordCachedParts(kept feed.CachedParts) {
-	g.boards.addCachedParts(g.machine.history.Load(), kept)
+// RecordCachedParts records the prompt parts that a replica is believed to have cached.
+func (g *group) RecordCachedParts(cached feed.CachedParts) {
+	g.boards.addCachedParts(g.machine.history.Load(), cached)
 }
 
-// NoteInFlight records requests that a proxy has in flight and that another member has placed.
-func (g *group) RecordInFlight(daemon string, told feed.InFlight) {
-	g.boards.addInFlight(g.machine.history.Load(), daemon, told, monotonic())
+// RecordInFlight records requests that a proxy has in flight and that another member has placed.
+func (g *group) RecordInFlight(daemon string, inFlight feed.InFlight) {
+	g.boards.addInFlight(g.machine.history.Load(), daemon, inFlight, monotonic())
 }
 
 // leaseReadBatcher shares lease reads among concurrent callers. Every caller gets the result of a
--- a/process/control/ingress_test.go
+++ b/process/control/ingress_test.go
@@ -548,10 +548,10 @@
 		defer g.fleet.lock.Unlock()
 		return len(g.fleet.asked) == 1
 	})
-	ask := placement.Request{PromptTokens: 6_000, Zone: "a", Deadline: time.Second, Parts: []placement.Part{{ID: "p", Tokens: 5_000}}}
+	request := placement.Request{PromptTokens: 6_000, Zone: "a", Deadline: time.Second, Parts: []placement.Part{{ID: "p", Tokens: 5_000}}}
 	eventually(t, "the cached part is counted", func() bool {
 		current := g.running[0].member.group.Load()
-		answer, placed := current.Place("proxy-1", feed.PlaceRequest{Service: "narrator", Number: 1, Ask: ask})
+		answer, placed := current.Place("proxy-1", feed.PlaceRequest{Service: "narrator", Number: 1, Ask: request})
 		return placed && answer.UnreadTokens == 1_000
 	})
 }
--- a/process/control/placement.go
+++ b/process/control/placement.go
@@ -42,21 +42,21 @@
 }
 
 // recordProgress records the progress of a placed request.
-func (d *placementBoards) recordProgress(daemon string, note feed.PlacementProgress, now time.Duration) {
+func (d *placementBoards) recordProgress(daemon string, progress feed.PlacementProgress, now time.Duration) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	if board := d.boards[note.Service]; board != nil {
-		board.RecordProgress(now, placement.Key{Daemon: daemon, Number: note.Number}, note.Note)
+	if board := d.boards[progress.Service]; board != nil {
+		board.RecordProgress(now, placement.Key{Daemon: daemon, Number: progress.Number}, progress.Note)
 	}
 }
 
 // addCachedParts records which prompt parts a replica has cached, according to a proxy.
-func (d *placementBoards) addCachedParts(current *view.History, kept feed.CachedParts) {
+func (d *placementBoards) addCachedParts(current *view.History, cached feed.CachedParts) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	d.update(current)
-	if board := d.boards[kept.Service]; board != nil {
-		board.AddCachedParts(kept.Replica, kept.Parts)
+	if board := d.boards[cached.Service]; board != nil {
+		board.AddCachedParts(cached.Replica, cached.Parts)
 	}
 }
 
@@ -177,7 +177,7 @@
 // tokens, the bytes per token, the link speed in Mbit/s, and the shortest objective for the time
 // between two output tokens among the routes that lead to the service.
 func modelParameters(spec *api.IngressSpec, service *api.RouteService) placement.ServiceParameters {
-	sheet := placement.ServiceParameters{
+	parameters := placement.ServiceParameters{
 		KVTokens:      service.Model.KVTokens,
 		BytesPerToken: service.Model.KVBytesPerTok,
 		LinkMbps:      service.Model.LinkMbps,
@@ -185,11 +185,11 @@
 	for i := range spec.Routes {
 		route := &spec.Routes[i]
 		gap := time.Duration(route.GapMilliseconds) * time.Millisecond
-		if gap > 0 && routesTo(route, service.Name) && (sheet.GapObjective == 0 || gap < sheet.GapObjective) {
-			sheet.GapObjective = gap
+		if gap > 0 && routesTo(route, service.Name) && (parameters.GapObjective == 0 || gap < parameters.GapObjective) {
+			parameters.GapObjective = gap
 		}
 	}
-	return sheet
+	return parameters
 }
 
 func routesTo(route *api.Route, service string) bool {
--- a/process/control/placement_test.go
+++ b/process/control/placement_test.go
@@ -27,7 +27,7 @@
 }
 
 func TestOnlyModelServicesArePlaced(t *testing.T) {
-	ask := placement.Request{PromptTokens: 100, MaxOutputTokens: 10, Deadline: time.Second}
+	request := placement.Request{PromptTokens: 100, MaxOutputTokens: 10, Deadline: time.Second}
 	cases := []struct {
 		name, service, replica, generator string
 		known                             bool
@@ -40,7 +40,7 @@
 	for _, each := range cases {
 		t.Run(each.name, func(t *testing.T) {
 			boards := newPlacementBoards()
-			answer, known := boards.place(modelView(1, each.replica), "proxy-1", feed.PlaceRequest{Service: each.service, Number: 1, Ask: ask}, false, 0)
+			answer, known := boards.place(modelView(1, each.replica), "proxy-1", feed.PlaceRequest{Service: each.service, Number: 1, Ask: request}, false, 0)
 			must.Eq(t, each.known, known)
 			must.Eq(t, each.generator, answer.Generator)
 		})
--- a/process/control/planning.go
+++ b/process/control/planning.go
@@ -36,7 +36,7 @@
 }
 
 // plan returns the planner's decisions if a plan is due, otherwise nil.
-func (d *leaderTasks) plan(term *termState, current *view.View, seen map[string]orders.Observation, now time.Duration) []planner.Decision {
+func (d *leaderTasks) plan(term *termState, current *view.View, observations map[string]orders.Observation, now time.Duration) []planner.Decision {
 	if now < term.nextPlan {
 		return nil
 	}
@@ -44,7 +44,7 @@
 	return term.planner.Plan(planner.Input{
 		Now:     now,
 		Intents: d.plannedIntents(current),
-		Engines: d.plannedEngines(term, current, seen, now),
+		Engines: d.plannedEngines(term, current, observations, now),
 		Demand:  d.group.demand.sum(time.Now()),
 	})
 }
@@ -65,11 +65,11 @@
 	return intents
 }
 
-func (d *leaderTasks) plannedEngines(term *termState, current *view.View, seen map[string]orders.Observation, now time.Duration) []planner.Engine {
+func (d *leaderTasks) plannedEngines(term *termState, current *view.View, observations map[string]orders.Observation, now time.Duration) []planner.Engine {
 	intents := d.intentsByEngine(current)
 	engines := make([]planner.Engine, 0, len(current.Engines))
 	for _, name := range slices.Sorted(maps.Keys(current.Engines)) {
-		engine := plannedEngine(current.Engines[name], seen[name], now-d.group.config.Durations.engineSilenceFor(len(current.Engines)))
+		engine := plannedEngine(current.Engines[name], observations[name], now-d.group.config.Durations.engineSilenceFor(len(current.Engines)))
 		engine.Intent = intents[name]
 		engine.SinceChange = term.sinceChange(name, now)
 		engines = append(engines, engine)
@@ -92,14 +92,14 @@
 
 // plannedEngine returns the planner's view of an engine. It includes the engine's reported state
 // and load if the engine has answered since silentAt.
-func plannedEngine(committed *api.Engine, seen orders.Observation, silentAt time.Duration) planner.Engine {
-	if seen.State.Engine != committed.Name || seen.RequestedAt < silentAt {
+func plannedEngine(committed *api.Engine, observation orders.Observation, silentAt time.Duration) planner.Engine {
+	if observation.State.Engine != committed.Name || observation.RequestedAt < silentAt {
 		return controller.PlannedEngine(committed, nil)
 	}
-	engine := controller.PlannedEngine(committed, &seen.State)
-	engine.Running = seen.Load.Running
-	engine.Waiting = seen.Load.Waiting
-	engine.WaitingTokens = seen.Load.WaitingTokens
-	engine.KVUsed = seen.Load.KVUsed
+	engine := controller.PlannedEngine(committed, &observation.State)
+	engine.Running = observation.Load.Running
+	engine.Waiting = observation.Load.Waiting
+	engine.WaitingTokens = observation.Load.WaitingTokens
+	engine.KVUsed = observation.Load.KVUsed
 	return engine
 }
--- a/process/control/platform.go
+++ b/process/control/platform.go
@@ -142,7 +142,7 @@
 
 // leavingAndGone returns the leaving and gone machines among the engines and backends of the view,
 // or nil until a list was read.
-func (p *platformReader) leavingAndGone(current *view.View, seen map[string]orders.Observation, now time.Duration) *state.Machines {
+func (p *platformReader) leavingAndGone(current *view.View, observations map[string]orders.Observation, now time.Duration) *state.Machines {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	if p.listed == nil {
@@ -155,7 +155,7 @@
 		p.classify(result, machineRecord{
 			name:        name,
 			wasReported: before == api.PhaseLeaving || before == api.PhaseGone,
-			responding:  now-seen[name].RequestedAt < silence && seen[name].State.Engine == name,
+			responding:  now-observations[name].RequestedAt < silence && observations[name].State.Engine == name,
 		})
 	}
 	for _, service := range current.Services {
--- a/process/control/quarantine.go
+++ b/process/control/quarantine.go
@@ -161,14 +161,14 @@
 func (d *quarantineTracker) addLocked(report feed.CrashReport, now time.Duration) (found findings) {
 	before := d.table.Changes()
 	d.reviewUntil = now + reviewPeriod
-	for _, seen := range report.Crashes {
+	for _, crash := range report.Crashes {
 		known := d.table.Changes()
-		d.table.NoteAged(now, seen.Age, seen.Evidence)
-		if d.table.Changes() != known && d.table.ShouldReportNow(now, seen.Fingerprint) {
-			found.ended = append(found.ended, seen.Fingerprint)
+		d.table.NoteAged(now, crash.Age, crash.Evidence)
+		if d.table.Changes() != known && d.table.ShouldReportNow(now, crash.Fingerprint) {
+			found.ended = append(found.ended, crash.Fingerprint)
 		}
-		if d.table.FailedRepeatedly(seen.Fingerprint) && !seen.Read {
-			d.raiseAlert(seen.RequestInfo.Service, now)
+		if d.table.FailedRepeatedly(crash.Fingerprint) && !crash.Read {
+			d.raiseAlert(crash.RequestInfo.Service, now)
 		}
 	}
 	for _, alive := range report.Alive {
@@ -218,8 +218,8 @@
 		return false
 	}
 	if d.table.FailedRepeatedly(fingerprint) {
-		_, about := d.table.FailedReplicas(fingerprint)
-		d.raiseAlert(about.Service, now)
+		_, requestInfo := d.table.FailedReplicas(fingerprint)
+		d.raiseAlert(requestInfo.Service, now)
 	}
 	return true
 }
@@ -278,7 +278,7 @@
 	maps.Copy(d.refuted.served, refuted.served)
 }
 
-// NoteEnds adds a proxy's report of requests under which replicas crashed.
+// RecordCrashes adds a proxy's report of requests under which replicas crashed.
 func (g *group) RecordCrashes(report feed.CrashReport) { g.evidence.note(report, monotonic()) }
 
 // release removes a request from the quarantine record on behalf of an operator.
--- a/process/control/quarantine_review.go
+++ b/process/control/quarantine_review.go
@@ -112,11 +112,11 @@
 		_, isAlive := refuted.alive[quarantine.ReplicaOf(name)]
 		return isAlive && !d.table.HasFailure(fingerprint, name)
 	})
-	crashed, about := d.table.FailedReplicas(fingerprint)
+	crashed, requestInfo := d.table.FailedReplicas(fingerprint)
 	spec.Replicas = mergeNames(spec.Replicas, crashed)
 	spec.Weak = filterWeak(spec.Replicas, d.table.Weak(fingerprint))
-	if about.Request != "" {
-		spec.Request = about.Request
+	if requestInfo.Request != "" {
+		spec.Request = requestInfo.Request
 	}
 	spec.Alone = spec.Alone || d.table.FailedAlone(fingerprint)
 	return spec
@@ -240,9 +240,9 @@
 // request is watched first, however many replicas have crashed. Proxies report when a watched
 // request is served, as one is that was merely in flight during the crashes.
 func (d *quarantineTracker) newEntry(current *view.View, fingerprint quarantine.Fingerprint, now time.Duration, wall time.Time) api.Object {
-	replicas, about := d.table.FailedReplicas(fingerprint)
+	replicas, requestInfo := d.table.FailedReplicas(fingerprint)
 	spec := api.QuarantineSpec{
-		State: api.QuarantineWatched, Service: about.Service, Route: about.Route, Request: about.Request,
+		State: api.QuarantineWatched, Service: requestInfo.Service, Route: requestInfo.Route, Request: requestInfo.Request,
 		Replicas: replicas, Weak: filterWeak(replicas, d.table.Weak(fingerprint)), Since: d.firstCrashAt(fingerprint, now, wall), Until: wall.Add(watchDuration).UnixMilli(),
 	}
 	if d.hasInitialReports(now) && d.needsTrial(current, fingerprint) {
--- a/process/control/quarantine_states.go
+++ b/process/control/quarantine_states.go
@@ -10,10 +10,10 @@
 )
 
 // advance moves an entry to the state that follows from the table and the time. A request is
-// harmful if its standing in the table is quarantine.Condemned.
+// harmful if its verdict in the table is quarantine.Harmful.
 func (d *quarantineTracker) advance(spec *api.QuarantineSpec, fingerprint quarantine.Fingerprint, current *view.View, now time.Duration, wall time.Time) {
-	standing := d.table.Verdict(now, fingerprint)
-	isHarmful := standing == quarantine.Harmful && d.hasInitialReports(now)
+	verdict := d.table.Verdict(now, fingerprint)
+	isHarmful := verdict == quarantine.Harmful && d.hasInitialReports(now)
 	switch spec.State {
 	case api.QuarantineTried:
 		switch {
@@ -39,7 +39,7 @@
 		}
 	case api.QuarantineWatched:
 		switch {
-		case standing != quarantine.Harmful && d.hasInitialReports(now) && d.needsTrial(current, fingerprint):
+		case verdict != quarantine.Harmful && d.hasInitialReports(now) && d.needsTrial(current, fingerprint):
 			d.startTrialOrSettle(spec, fingerprint, now, wall)
 		case isHarmful:
 			startHold(spec, wall)
@@ -48,7 +48,7 @@
 		switch {
 		case isExpired(spec, wall):
 			d.endHold(spec, fingerprint, current, now, wall)
-		case d.isMistaken(spec, fingerprint, standing):
+		case d.isMistaken(spec, fingerprint, verdict):
 			startWatch(spec, wall)
 		}
 	}
@@ -57,15 +57,15 @@
 // isMistaken reports whether a hold is unfounded: another request, which was in flight at the same
 // crashes, explains them, or too few of the replicas have crashed because some turned out to be
 // alive.
-func (d *quarantineTracker) isMistaken(spec *api.QuarantineSpec, fingerprint quarantine.Fingerprint, standing quarantine.Verdict) bool {
+func (d *quarantineTracker) isMistaken(spec *api.QuarantineSpec, fingerprint quarantine.Fingerprint, verdict quarantine.Verdict) bool {
 	crashed, _ := d.table.FailedReplicas(fingerprint)
-	isExplained := len(crashed) >= minCrashesToStayHeld(spec) && standing == quarantine.Watched
+	isExplained := len(crashed) >= minCrashesToStayHeld(spec) && verdict == quarantine.Watched
 	return isExplained || len(spec.Replicas) < minCrashesToStayHeld(spec)
 }
 
-// endHold ends an expired hold. It keeps quarantine.WatchedEnds crashes, one less than it takes to
-// hold a request, so that a single further one, in a trial or while the request is watched, renews
-// the hold.
+// endHold ends an expired hold. It keeps quarantine.WatchedIncidents crashes, one less than it
+// takes to hold a request, so that a single further one, in a trial or while the request is
+// watched, renews the hold.
 func (d *quarantineTracker) endHold(spec *api.QuarantineSpec, fingerprint quarantine.Fingerprint, current *view.View, now time.Duration, wall time.Time) {
 	startWatch(spec, wall)
 	if routedService(current, spec.Service) != nil {
@@ -148,8 +148,8 @@
 
 // needsTrial reports whether a request is to be tried by one proxy at a time.
 func (d *quarantineTracker) needsTrial(current *view.View, fingerprint quarantine.Fingerprint) bool {
-	_, about := d.table.FailedReplicas(fingerprint)
-	routed := routedService(current, about.Service)
+	_, requestInfo := d.table.FailedReplicas(fingerprint)
+	routed := routedService(current, requestInfo.Service)
 	// Services with a model need no trials: placement runs their suspects on isolated replicas.
 	return d.table.NeedsTrial(fingerprint) && routed != nil && routed.Model == nil
 }
--- a/process/control/quarantine_suspects.go
+++ b/process/control/quarantine_suspects.go
@@ -40,9 +40,9 @@
 			continue
 		}
 		left--
-		replicas, about := d.table.FailedReplicas(fingerprint)
+		replicas, requestInfo := d.table.FailedReplicas(fingerprint)
 		changes.Put = append(changes.Put, api.Object{Suspect: &api.Suspect{Metadata: api.Metadata{Name: name}, Spec: api.SuspectSpec{
-			Service: about.Service, Route: about.Route, Request: about.Request, Replica: replicas[0],
+			Service: requestInfo.Service, Route: requestInfo.Route, Request: requestInfo.Request, Replica: replicas[0],
 			EndedAt: d.firstCrashAt(fingerprint, now, wall), Until: wall.Add(suspectRecordDuration).UnixMilli(),
 		}}})
 	}
@@ -63,8 +63,8 @@
 }
 
 // loadSuspects loads the recorded single crashes into the table when this member becomes leader.
-// How long the request had run before the crash is not recorded. AtOnce is therefore assumed: that
-// it had run long enough for its crash to count as one with all other crashes at that moment.
+// How long the request had run before the crash is not recorded. Simultaneous is therefore assumed:
+// that it had run long enough for its crash to count as one with all other crashes at that moment.
 func (d *quarantineTracker) loadSuspects(current *view.View, now time.Duration, wall time.Time) {
 	for name, known := range current.Suspects {
 		fingerprint, ok := quarantine.ParseFingerprint(name)
--- a/process/control/quota.go
+++ b/process/control/quota.go
@@ -70,7 +70,7 @@
 	return grant, true
 }
 
-// ReturnCharge refunds the charge of a request that no replica has run. Grants of a member that
+// RefundCharge refunds the charge of a request that no replica has run. Grants of a member that
 // does not lead are not refunded.
 func (g *group) RefundCharge(request feed.ChargeRequest) {
 	limit, bounded := quotaOf(g.machine.view(), request.Tenant)
@@ -88,9 +88,9 @@
 			if !tenant.Spec.Quota.IsBounded() {
 				continue
 			}
-			standing := account.AccountState(now, name, tenant.Spec.Quota)
+			accountState := account.AccountState(now, name, tenant.Spec.Quota)
 			list.Tenants = append(list.Tenants, operatorapi.TenantQuota{
-				Tenant: name, Quota: tenant.Spec.Quota, Left: standing.Left, Granted: standing.Granted, Refused: standing.Refused,
+				Tenant: name, Quota: tenant.Spec.Quota, Left: accountState.Left, Granted: accountState.Granted, Refused: accountState.Refused,
 			})
 		}
 		slices.SortFunc(list.Tenants, func(a, b operatorapi.TenantQuota) int { return strings.Compare(a.Tenant, b.Tenant) })
--- a/process/control/roles_test.go
+++ b/process/control/roles_test.go
@@ -161,8 +161,8 @@
 			if current == nil || !current.Leadership().Leads {
 				continue
 			}
-			ask := placement.Request{PromptTokens: 500_000, MaxOutputTokens: 1, Zone: "a", Objective: 200 * time.Millisecond, Deadline: time.Minute}
-			current.Place("proxy", feed.PlaceRequest{Service: "chat", Number: number, Ask: ask})
+			request := placement.Request{PromptTokens: 500_000, MaxOutputTokens: 1, Zone: "a", Objective: 200 * time.Millisecond, Deadline: time.Minute}
+			current.Place("proxy", feed.PlaceRequest{Service: "chat", Number: number, Ask: request})
 			current.RecordProgress("proxy", feed.PlacementProgress{Service: "chat", Number: number, Note: placement.ProgressReport{Step: placement.StepEnded}})
 		}
 	}
--- a/process/control/status.go
+++ b/process/control/status.go
@@ -121,8 +121,8 @@
 		return silent
 	}
 	oldest := monotonic() - s.member.config.Durations.engineSilenceFor(len(currentView.Engines))
-	for name, seen := range term.poller.Observations() {
-		silent[name] = seen.RequestedAt < oldest || seen.State.Engine != name
+	for name, observation := range term.poller.Observations() {
+		silent[name] = observation.RequestedAt < oldest || observation.State.Engine != name
 	}
 	return silent
 }
--- a/process/control/unrecorded.go
+++ b/process/control/unrecorded.go
@@ -62,7 +62,7 @@
 	return feed.CrashReport{Crashes: observations}, changeCount
 }
 
-// Unrecorded returns the evidence that is missing from the record, with its change count.
+// UnrecordedCrashes returns the evidence that is missing from the record, with its change count.
 func (g *group) UnrecordedCrashes() (feed.CrashReport, uint64) {
 	return g.evidence.tracker.unrecordedReport(g.Leadership().Leads, monotonic())
 }
--- a/process/control/usage.go
+++ b/process/control/usage.go
@@ -56,7 +56,7 @@
 
 // usageCollector collects the usage counted by proxies. Its counts are committed regularly, and all
 // of them before their window is decided. A process is one run of a proxy, which a report names in
-// its field Life.
+// its field ProcessRun.
 type usageCollector struct {
 	lock sync.Mutex
 	// pending are the uncommitted counters by process, window and tenant.
@@ -147,10 +147,10 @@
 func (u *usageCollector) hasAllReports(upTo int64, now time.Duration) bool {
 	u.lock.Lock()
 	defer u.lock.Unlock()
-	for life, known := range u.progress {
+	for processRun, known := range u.progress {
 		switch silent := now - known.at; {
 		case silent > usageRetention:
-			delete(u.progress, life)
+			delete(u.progress, processRun)
 		case silent <= usageSilenceTimeout && known.through < upTo:
 			return false
 		}
@@ -174,14 +174,14 @@
 	return false
 }
 
-// NoteUsage adds the usage reported by a process.
+// RecordUsage adds the usage reported by a process.
 func (g *group) RecordUsage(report feed.UsageReport) {
 	if g.config.Usage.Sink != nil {
 		g.usage.note(report, monotonic())
 	}
 }
 
-// Day returns the group's wall-clock time in milliseconds, which a minority of wrong clocks
+// WallClock returns the group's wall-clock time in milliseconds, which a minority of wrong clocks
 // cannot change.
 func (g *group) WallClock() int64 { return g.agreedTime.Now().UnixMilli() }
 
@@ -202,11 +202,11 @@
 	if config.Sink == nil || config.Window <= 0 || !d.countsTenants() {
 		return
 	}
-	now, day := monotonic(), d.group.WallClock()
+	now, wallClock := monotonic(), d.group.WallClock()
 	length := config.Window.Milliseconds()
 	usage := &term.usage
 	if usage.firstWindow == 0 {
-		usage.firstWindow = day / length
+		usage.firstWindow = wallClock / length
 	}
 	decided := d.usageDecided()
 	if now-usage.committedAt >= usageCommitInterval {
@@ -218,7 +218,7 @@
 		next = usage.firstWindow
 	}
 	for range maxWindowsPerRound {
-		if !d.isWindowDue(next, length, day, now, now-term.startedAt) || !d.commitUsage(ctx, decided) || !d.decideUsage(ctx, next, (next+1)*length, now) {
+		if !d.isWindowDue(next, length, wallClock, now, now-term.startedAt) || !d.commitUsage(ctx, decided) || !d.decideUsage(ctx, next, (next+1)*length, now) {
 			break
 		}
 		decided, next = next, next+1
@@ -240,12 +240,12 @@
 // isWindowDue reports whether a window of the length is to be decided at the wall-clock time day,
 // both in milliseconds. lasted is how long the term has lasted: a new leader first has to receive
 // the proxies' counts.
-func (d *leaderTasks) isWindowDue(window, length, day int64, now, lasted time.Duration) bool {
+func (d *leaderTasks) isWindowDue(window, length, wallClock int64, now, lasted time.Duration) bool {
 	end := (window + 1) * length
 	if lasted < usageTakeoverDelay {
 		return false
 	}
-	switch since := time.Duration(day-end) * time.Millisecond; {
+	switch since := time.Duration(wallClock-end) * time.Millisecond; {
 	case since < usageMinDelay:
 		return false
 	case since >= usageMaxDelay:
--- a/process/control/usage_test.go
+++ b/process/control/usage_test.go
@@ -76,11 +76,11 @@
 func futureWindow() int64 { return time.Now().UnixMilli()/testWindow.Milliseconds() + 3 }
 
 // reportCount makes a proxy report a count to the leader.
-func (g *growingGroup) reportCount(client *feed.Client, life string, window int64, count uint64) {
+func (g *growingGroup) reportCount(client *feed.Client, processRun string, window int64, count uint64) {
 	g.t.Helper()
 	eventually(g.t, "the client is connected", client.Connected)
 	must.True(g.t, client.ReportUsage(feed.UsageReport{
-		ProcessRun: life, Through: time.Now().UnixMilli(), Counts: []feed.UsageCount{{Window: window, Tenant: "north", Count: count}},
+		ProcessRun: processRun, Through: time.Now().UnixMilli(), Counts: []feed.UsageCount{{Window: window, Tenant: "north", Count: count}},
 	}))
 }
 
--- a/process/control/warm.go
+++ b/process/control/warm.go
@@ -94,12 +94,12 @@
 	if err != nil {
 		return // its cached parts are learned from its requests
 	}
-	kept := feed.CachedParts{Service: replica.Spec.Service, Replica: replica.Name, Parts: parts}
-	d.group.boards.addCachedParts(d.group.machine.history.Load(), kept)
+	cached := feed.CachedParts{Service: replica.Spec.Service, Replica: replica.Name, Parts: parts}
+	d.group.boards.addCachedParts(d.group.machine.history.Load(), cached)
 }
 
 // uncachedReplicas returns the replicas of model services of which hardly any cached prompt parts
-// are known, as placement.Board.Cold defines it.
+// are known, as placement.Board.ColdReplicas defines it.
 func (d *placementBoards) uncachedReplicas(current *view.History) []string {
 	d.lock.Lock()
 	defer d.lock.Unlock()
--- a/process/guard/guard.go
+++ b/process/guard/guard.go
@@ -31,8 +31,8 @@
 // Reporter receives reports of replica crashes for the control group; implemented by
 // *feed.Client.
 type Reporter interface {
-	// ReportEnds reports crashes, replicas that proved to be alive, and requests that were served.
-	// It returns whether the report was sent.
+	// ReportCrashes reports crashes, replicas that proved to be alive, and requests that were
+	// served. It returns whether the report was sent.
 	ReportCrashes(report feed.CrashReport) bool
 	// Connected reports whether a leader currently serves this proxy.
 	Connected() bool
@@ -90,7 +90,7 @@
 }
 
 // Active reports whether any request is suspected: it is on record, or it is known here to have
-// crashed at least quarantine.WatchedEnds replicas.
+// crashed at least quarantine.WatchedIncidents replicas.
 func (g *Guard) Active() bool { return g.active.Load() }
 
 // Follow applies the quarantine record of a view if it is newer than the last one.
@@ -178,9 +178,9 @@
 		return
 	}
 	spec := &entry.Spec
-	about := quarantine.RequestInfo{Service: spec.Service, Route: spec.Route, Request: spec.Request}
+	requestInfo := quarantine.RequestInfo{Service: spec.Service, Route: spec.Route, Request: spec.Request}
 	record := quarantine.Record{
-		Replicas: spec.Replicas, Weak: spec.Weak, Alone: spec.Alone, Simultaneous: spec.EndedAtOnce(), About: about,
+		Replicas: spec.Replicas, Weak: spec.Weak, Alone: spec.Alone, Simultaneous: spec.EndedAtOnce(), About: requestInfo,
 	}
 	if earlier != nil && len(spec.Replicas) < len(earlier.Spec.Replicas) {
 		g.table.Restore(now, fingerprint, record)
@@ -207,7 +207,8 @@
 }
 
 // NoteCrash records that a replica seems to have crashed while processing a request, and reports
-// it to the control group. The random Sight identifies the observation if it is reported again.
+// it to the control group. The random ObservationID identifies the observation if it is reported
+// again.
 func (g *Guard) NoteCrash(now time.Duration, evidence quarantine.Evidence) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -221,7 +222,7 @@
 }
 
 // reportMaxAge is how long a member's report of unrecorded crashes is valid. While they remain
-// unrecorded, members repeat it every feed.UnrecordedPause.
+// unrecorded, members repeat it every feed.UnrecordedInterval.
 const reportMaxAge = 3 * feed.UnrecordedInterval
 
 // ApplyUnrecorded applies a member's report of crashes that are not on record, because there is no
--- a/process/ingress/asks.go
+++ b/process/ingress/asks.go
@@ -31,9 +31,9 @@
 // leaving.
 var errWithheld = errors.New("ingress: request not sent: replica pauses or is leaving")
 
-// permit returns a function that checks, once the connection is open, that the replica still
+// beforeSend returns a function that checks, once the connection is open, that the replica still
 // accepts a request.
-func (i *Ingress) permit(to *holdoff.Replica) func() error {
+func (i *Ingress) beforeSend(to *holdoff.Replica) func() error {
 	return func() error {
 		if !to.TryBegin(i.now()) {
 			return errWithheld
@@ -98,22 +98,22 @@
 
 // avoidedReplicas returns the replicas that the control group must not choose: those already
 // tried, those that must be sent nothing (holdoff.Closed), and, if there is an open replica of
-// their role, those to be used only without alternative (holdoff.Doubtful: leaving but still
+// their role, those to be used only without alternative (holdoff.LastResort: leaving but still
 // accepting, or not heard of since a pause).
 func (s *session) avoidedReplicas() []string {
 	now := s.ingress.now()
 	avoided := maps.Clone(s.excluded)
-	doubtful := map[api.EngineRole][]string{}
+	lastResort := map[api.EngineRole][]string{}
 	for _, current := range s.upstream.fleet.inUse() {
 		role := current.spec().Role
 		switch current.holdoff.State(now) {
 		case holdoff.Closed:
 			avoided[current.name] = true
 		case holdoff.LastResort:
-			doubtful[role] = append(doubtful[role], current.name)
+			lastResort[role] = append(lastResort[role], current.name)
 		}
 	}
-	for role, names := range doubtful {
+	for role, names := range lastResort {
 		if !s.hasOpen(role, now) {
 			continue
 		}
--- a/process/ingress/belief_test.go
+++ b/process/ingress/belief_test.go
@@ -97,8 +97,8 @@
 	must.Eq(t, http.StatusOK, got.status)
 }
 
-// recordingPlacer records the numbers of the placement requests, and of the notes that the
-// requests are over.
+// recordingPlacer records the numbers of the placement requests, and of the progress reports that
+// the requests are over.
 type recordingPlacer struct {
 	placed []uint64
 	ended  []uint64
@@ -109,9 +109,9 @@
 	return placement.Answer{}, feed.ErrNotPlaced
 }
 
-func (p *recordingPlacer) RecordProgress(note feed.PlacementProgress) bool {
-	if note.Note.Step == placement.StepEnded {
-		p.ended = append(p.ended, note.Number)
+func (p *recordingPlacer) RecordProgress(progress feed.PlacementProgress) bool {
+	if progress.Note.Step == placement.StepEnded {
+		p.ended = append(p.ended, progress.Number)
 	}
 	return true
 }
--- a/process/ingress/cacheguess.go
+++ b/process/ingress/cacheguess.go
@@ -93,5 +93,5 @@
 // return whether the report was sent; one that is lost is sent again to the next leader.
 type groupReporter interface {
 	ReportInFlight(report feed.InFlight) bool
-	ReportCachedParts(kept feed.CachedParts) bool
+	ReportCachedParts(cached feed.CachedParts) bool
 }
--- a/process/ingress/charge.go
+++ b/process/ingress/charge.go
@@ -12,7 +12,7 @@
 )
 
 // charger charges requests to the quotas that all proxies share; implemented by *feed.Client.
-// Charge returns an error if the control group does not decide in time; ReturnCharge returns
+// Charge returns an error if the control group does not decide in time; RefundCharge returns
 // whether the refund was sent.
 type charger interface {
 	Charge(ctx context.Context, request feed.ChargeRequest) (quota.Grant, error)
--- a/process/ingress/foreign_test.go
+++ b/process/ingress/foreign_test.go
@@ -173,9 +173,9 @@
 }
 
 // An answer that names another request is logged with the ID of that request.
-func TestForeignAnswersAreLoggedAndCounted(t *testing.T) {
+func TestUnmatchedResponsesAreLoggedAndCounted(t *testing.T) {
 	var lines sharedBuffer
-	env := newTestEnv(t, newFakeReplica(t, "r-1", answerForeign))
+	env := newTestEnv(t, newFakeReplica(t, "r-1", answerUnmatched))
 	env.ingress.logger = log.NewLogfmtLogger(&lines)
 	env.do(testRequest{method: "GET", target: "/unsafe/", id: "q"})
 	must.StrContains(t, lines.String(), "name=answer_foreign request=q stage=run replica=r-1 reused=false answered=another status=200")
@@ -186,7 +186,7 @@
 // A replica that answers another request is neither avoided nor reported as silent, and a prefill
 // sent to it may count as a send.
 func TestReplicaThatAnswersAnotherRequestIsNotSilent(t *testing.T) {
-	prefiller := newFakeReplica(t, "read", answerForeign)
+	prefiller := newFakeReplica(t, "read", answerUnmatched)
 	decoder := newFakeReplica(t, "make", streamEvents(2, ""))
 	env := newModelEnv(t, prefiller, decoder, nil)
 	placer := &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read"}}
--- a/process/ingress/inflight.go
+++ b/process/ingress/inflight.go
@@ -22,7 +22,7 @@
 	ingress  *Ingress
 	service  string
 	number   uint64
-	ask      placement.Request
+	request  placement.Request
 	answer   placement.Answer
 	placedAt time.Duration
 	step     placement.Step // 0 before the prompt was prefilled; guarded by the table's lock
@@ -54,10 +54,10 @@
 }
 
 // track adds a request to those in flight until its end is noted.
-func (s *session) track(ask placement.Request, answer placement.Answer, number uint64) *trackedRequest {
+func (s *session) track(request placement.Request, answer placement.Answer, number uint64) *trackedRequest {
 	tracked := &trackedRequest{
 		ingress: s.ingress, service: s.upstream.service, number: number,
-		ask: ask, answer: answer, placedAt: s.ingress.now(),
+		request: request, answer: answer, placedAt: s.ingress.now(),
 	}
 	s.ingress.inFlight.add(tracked)
 	return tracked
@@ -73,7 +73,7 @@
 	if chosen.prefiller != nil {
 		answer.Reader = chosen.prefiller.name
 	}
-	chosen.tracked = s.track(s.placementAsk(), answer, s.ingress.placementNumbers.Add(1))
+	chosen.tracked = s.track(s.placementRequest(), answer, s.ingress.placementNumbers.Add(1))
 }
 
 // inFlightTable holds the tracked requests in flight. One lock suffices: it is held for a few
@@ -100,7 +100,7 @@
 			reports[p.service] = feed.InFlight{Service: p.service, Requests: map[uint64]placement.InFlightRequest{}}
 		}
 		reports[p.service].Requests[p.number] = placement.InFlightRequest{
-			Ask: p.ask, Answer: p.answer, Age: now - p.placedAt, Step: p.step,
+			Ask: p.request, Answer: p.answer, Age: now - p.placedAt, Step: p.step,
 		}
 	}
 }
--- a/process/ingress/inflight_order_test.go
+++ b/process/ingress/inflight_order_test.go
@@ -45,8 +45,10 @@
 	return true
 }
 
-func (b *recordingBoard) RecordProgress(note feed.PlacementProgress) bool {
-	b.apply(func() { b.board.RecordProgress(0, placement.Key{Daemon: "proxy", Number: note.Number}, note.Note) })
+func (b *recordingBoard) RecordProgress(progress feed.PlacementProgress) bool {
+	b.apply(func() {
+		b.board.RecordProgress(0, placement.Key{Daemon: "proxy", Number: progress.Number}, progress.Note)
+	})
 	return true
 }
 
@@ -68,7 +70,7 @@
 	env.ingress.placer = board
 	request := &trackedRequest{
 		ingress: env.ingress, service: "model", number: 1,
-		ask:      placement.Request{PromptTokens: 9000, Deadline: time.Minute},
+		request:  placement.Request{PromptTokens: 9000, Deadline: time.Minute},
 		answer:   placement.Answer{Generator: "make", Reader: "read", UnreadTokens: 9000},
 		placedAt: env.ingress.now() - time.Second,
 	}
--- a/process/ingress/ingress.go
+++ b/process/ingress/ingress.go
@@ -69,11 +69,11 @@
 }
 
 // Placer decides where model requests go; implemented by *feed.Client. Place returns an error if
-// there is no decision in time. NotePlaced reports the progress of a request in the order of the
-// calls, and returns whether the report was sent.
+// there is no decision in time. RecordProgress reports the progress of a request in the order of
+// the calls, and returns whether the report was sent.
 type Placer interface {
 	Place(ctx context.Context, request feed.PlaceRequest) (placement.Answer, error)
-	RecordProgress(note feed.PlacementProgress) bool
+	RecordProgress(progress feed.PlacementProgress) bool
 }
 
 // versionedTable is the route table of one version of the view.
--- a/process/ingress/ingress_test.go
+++ b/process/ingress/ingress_test.go
@@ -101,8 +101,8 @@
 		{"unsafe, failed", "unsafe", answerStatus(http.StatusInternalServerError), 1, http.StatusInternalServerError, false},
 		{"unsafe, not run", "unsafe", refuseRun, 2, http.StatusOK, false},
 		{"unsafe, one attempt, not run", "short", refuseRun, 1, http.StatusServiceUnavailable, true},
-		{"unsafe, another request's answer", "unsafe", answerForeign, 1, http.StatusBadGateway, false},
-		{"safe, another request's answer", "safe", answerForeign, 2, http.StatusOK, false},
+		{"unsafe, another request's answer", "unsafe", answerUnmatched, 1, http.StatusBadGateway, false},
+		{"safe, another request's answer", "safe", answerUnmatched, 2, http.StatusOK, false},
 		{"safe, success without proof of a run", "safe", answerUnsigned, 2, http.StatusOK, false},
 		{"unsafe, success without proof of a run", "unsafe", answerUnsigned, 1, http.StatusBadGateway, false},
 		{"safe, answer without a request ID", "safe", answerUnnamed, 2, http.StatusOK, false},
@@ -137,8 +137,8 @@
 	})
 }
 
-// answerForeign sends an answer with the ID of another request.
-func answerForeign(w http.ResponseWriter, _ *http.Request) {
+// answerUnmatched sends an answer with the ID of another request.
+func answerUnmatched(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set(testID, "another")
 	w.Header().Set(testGenuine, "signature")
 	_, _ = io.WriteString(w, "foreign answer")
--- a/process/ingress/metrics.go
+++ b/process/ingress/metrics.go
@@ -22,7 +22,7 @@
 	prefills            *prometheus.CounterVec
 	prefillSeconds      *prometheus.HistogramVec
 	retriesRefused      *prometheus.CounterVec
-	foreignAnswers      *prometheus.CounterVec
+	unmatchedResponses  *prometheus.CounterVec
 	brokenConnections   *prometheus.CounterVec
 	quarantinedRequests *prometheus.CounterVec
 	announcements       *prometheus.CounterVec
@@ -39,7 +39,7 @@
 	m.prefills = m.counter("prefills_total", "Prompts read apart from the replica that makes the tokens.", "service", "outcome")
 	m.prefillSeconds = m.histogram("prefill_seconds", "Time of a read that succeeded.", "service")
 	m.retriesRefused = m.counter("retries_refused_total", "Retries that the shared budget did not allow.", "service")
-	m.foreignAnswers = m.counter("foreign_answers_total", "Answers that name another request than the one that was asked, or none.", "service", "stage")
+	m.unmatchedResponses = m.counter("foreign_answers_total", "Answers that name another request than the one that was asked, or none.", "service", "stage")
 	m.brokenConnections = m.counter("broken_total", "Attempts whose replica closed or reset the connection while it was at work, as one that ends does.", "service", "stage")
 	m.quarantinedRequests = m.counter("held_total", "Requests that went to no replica, since replicas end under them.", "service")
 	m.announcements = m.counter("replica_asks_total", "Answers that ask for a pause, or say that their replica leaves.", "service", "stage")
--- a/process/ingress/model_test.go
+++ b/process/ingress/model_test.go
@@ -17,27 +17,27 @@
 	"github.com/shoenig/test/must"
 )
 
-// fakePlacer gives every placement request the same answer and records the notes.
+// fakePlacer gives every placement request the same answer and records the progress reports.
 type fakePlacer struct {
 	answer placement.Answer
 	err    error
 
-	lock  sync.Mutex
-	asks  []placement.Request
-	notes []placement.ProgressReport
+	lock     sync.Mutex
+	requests []placement.Request
+	reports  []placement.ProgressReport
 }
 
 func (p *fakePlacer) Place(_ context.Context, request feed.PlaceRequest) (placement.Answer, error) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	p.asks = append(p.asks, request.Ask)
+	p.requests = append(p.requests, request.Ask)
 	return p.answer, p.err
 }
 
-func (p *fakePlacer) RecordProgress(note feed.PlacementProgress) bool {
+func (p *fakePlacer) RecordProgress(progress feed.PlacementProgress) bool {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	p.notes = append(p.notes, note.Note)
+	p.reports = append(p.reports, progress.Note)
 	return true
 }
 
@@ -45,8 +45,8 @@
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	var steps []placement.Step
-	for _, note := range p.notes {
-		steps = append(steps, note.Step)
+	for _, report := range p.reports {
+		steps = append(steps, report.Step)
 	}
 	return steps
 }
@@ -87,7 +87,7 @@
 	must.Eq(t, "1", prefiller.requests[0].Header.Get(testPrefill))
 	must.Eq(t, prefiller.address()+"/handle-7", decoder.requests[0].Header.Get(testSource))
 	must.Eq(t, "", decoder.requests[0].Header.Get(testPrefill))
-	must.Eq(t, 9000, placer.asks[0].PromptTokens)
+	must.Eq(t, 9000, placer.requests[0].PromptTokens)
 	must.Eq(t, []placement.Step{placement.StepRead, placement.StepStarted, placement.StepEnded}, placer.steps())
 }
 
@@ -95,7 +95,7 @@
 func TestDecodeReplicaPrefillsAfterFailedPrefill(t *testing.T) {
 	for name, handler := range map[string]http.HandlerFunc{
 		"connection closed": closeConnection, "refused": refuseRun, "failed": answerStatus(500), "no handle": answerOK, "misdirected": answerMisdirected,
-		"handle without a request ID": answerUnnamed, "another request's answer": answerForeign,
+		"handle without a request ID": answerUnnamed, "another request's answer": answerUnmatched,
 	} {
 		t.Run(name, func(t *testing.T) {
 			prefiller := newFakeReplica(t, "read", handler)
@@ -188,7 +188,7 @@
 	answer, err := p.fakePlacer.Place(ctx, request)
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	if len(p.asks) <= p.waits {
+	if len(p.requests) <= p.waits {
 		return placement.Answer{Wait: time.Millisecond}, nil
 	}
 	return answer, err
@@ -200,7 +200,7 @@
 	placer := &waitingPlacer{fakePlacer: fakePlacer{answer: placement.Answer{Generator: "make"}}, waits: 3}
 	env.ingress.placer = placer
 	must.Eq(t, eventTexts(1, 2), env.do(modelRequest).body)
-	must.SliceLen(t, 4, placer.asks)
+	must.SliceLen(t, 4, placer.requests)
 	must.Eq(t, 1, decoder.count())
 }
 
@@ -246,7 +246,7 @@
 		{"failure", answerStatus(500), placement.StepAnsweredError},
 		{"refusal", refuseRun, placement.StepRefused},
 		{"another replica at the address", answerMisdirected, placement.StepMisdirected},
-		{"another request's answer", answerForeign, placement.StepAnsweredError},
+		{"another request's answer", answerUnmatched, placement.StepAnsweredError},
 		{"connection refused", nil, placement.StepUnreachable},
 	}
 	for _, test := range cases {
@@ -260,12 +260,12 @@
 			env.ingress.placer = placer
 			env.do(modelRequest)
 			must.Eq(t, test.step, placer.steps()[0])
-			must.Eq(t, "make", placer.notes[0].Replica)
+			must.Eq(t, "make", placer.reports[0].Replica)
 		})
 	}
 }
 
-func TestKeptPartsAreReportedOldestFirst(t *testing.T) {
+func TestCachedPartsAreReportedOldestFirst(t *testing.T) {
 	current := newReplica("r", api.ReplicaSpec{}, &holdoff.Replica{})
 	current.noteCachedParts([]Part{{ID: "a", Tokens: 1}, {ID: "b", Tokens: 2}})
 	current.noteCachedParts([]Part{{ID: "a", Tokens: 1}})
@@ -282,7 +282,7 @@
 	}{
 		"refused":     {refuseRun, placement.StepReadSkipped},
 		"failed":      {answerStatus(500), placement.StepReadSkipped},
-		"foreign":     {answerForeign, placement.StepReadSkipped},
+		"unmatched":   {answerUnmatched, placement.StepReadSkipped},
 		"no handle":   {answerOK, placement.StepReadSkipped},
 		"no answer":   {closeConnection, placement.StepFailed},
 		"misdirected": {answerMisdirected, placement.StepMisdirected},
@@ -307,7 +307,7 @@
 			})
 			must.NoError(t, env.do(modelRequest).err)
 			must.Eq(t, []placement.Step{test.step, placement.StepStarted, placement.StepEnded}, placer.steps())
-			must.Eq(t, "read", placer.notes[0].Replica)
+			must.Eq(t, "read", placer.reports[0].Replica)
 			must.Eq(t, 1, inFlight)
 		})
 	}
--- a/process/ingress/placed.go
+++ b/process/ingress/placed.go
@@ -28,8 +28,8 @@
 	number := s.ingress.placementNumbers.Add(1)
 	replacements := 0
 	for {
-		ask := s.placementAsk()
-		answer, err := s.askPlace(ctx, number, ask)
+		request := s.placementRequest()
+		answer, err := s.askPlace(ctx, number, request)
 		if err != nil {
 			s.trace.WriteString(" unplaced")
 			s.abandonPlacement(number)
@@ -44,7 +44,7 @@
 			return plan{refused: true, retryAfter: answer.RetryAfter}, true
 		}
 		if answer.Wait <= 0 {
-			chosen, found := s.planFromAnswer(ask, answer, number)
+			chosen, found := s.planFromAnswer(request, answer, number)
 			if !found && replacements < maxReplacements && s.namesClosedReplica(answer) {
 				replacements++
 				continue // the next placement request lists it as excluded
@@ -98,19 +98,19 @@
 const maxPlacementWait = 200 * time.Millisecond
 
 // askPlace sends a placement request and waits up to placeTimeout for the decision.
-func (s *session) askPlace(ctx context.Context, number uint64, ask placement.Request) (placement.Answer, error) {
+func (s *session) askPlace(ctx context.Context, number uint64, request placement.Request) (placement.Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, placeTimeout)
 	defer cancel()
-	return s.ingress.placer.Place(ctx, feed.PlaceRequest{Service: s.upstream.service, Number: number, Ask: ask})
+	return s.ingress.placer.Place(ctx, feed.PlaceRequest{Service: s.upstream.service, Number: number, Ask: request})
 }
 
 // planFromAnswer looks up the replicas that an answer names, and adds the request to those in
 // flight. It returns false if one of them cannot be used.
-func (s *session) planFromAnswer(ask placement.Request, answer placement.Answer, number uint64) (plan, bool) {
+func (s *session) planFromAnswer(request placement.Request, answer placement.Answer, number uint64) (plan, bool) {
 	if answer.Generator == "" {
 		return plan{}, true // no replica accepts the request
 	}
-	tracked := s.track(ask, answer, number)
+	tracked := s.track(request, answer, number)
 	chosen := plan{
 		target:         s.upstream.find(answer.Generator),
 		prefiller:      s.upstream.find(answer.Reader),
@@ -162,10 +162,10 @@
 	return min(s.remaining(), silence-(s.ingress.now()-s.arrivedAt))
 }
 
-// placementAsk returns the description of the request on which the control group bases its
+// placementRequest returns the description of the request on which the control group bases its
 // decision.
-func (s *session) placementAsk() placement.Request {
-	ask := placement.Request{
+func (s *session) placementRequest() placement.Request {
+	request := placement.Request{
 		PromptTokens:    s.call.Work.PromptTokens,
 		MaxOutputTokens: s.call.Work.OutputTokens,
 		Priority:        s.priority,
@@ -180,12 +180,12 @@
 	}
 	if int64(s.ingress.now()) < s.ingress.fingerprintsUntil.Load() {
 		fingerprint := s.fingerprint()
-		ask.Fingerprint = string(fingerprint[:])
+		request.Fingerprint = string(fingerprint[:])
 	}
 	for _, part := range s.call.Work.Parts {
-		ask.Parts = append(ask.Parts, placement.Part{ID: part.ID, Tokens: part.Tokens})
+		request.Parts = append(request.Parts, placement.Part{ID: part.ID, Tokens: part.Tokens})
 	}
-	return ask
+	return request
 }
 
 // maxConnected limits the number of replicas that a placement request lists as connected. Of more
--- a/process/ingress/prefill.go
+++ b/process/ingress/prefill.go
@@ -115,7 +115,7 @@
 		return false
 	}
 	s.noteUnanswered(chosen.prefiller, err, s.ingress.now())
-	if isForeign(err) {
+	if isUnmatched(err) {
 		chosen.tracked.report(placement.StepReadSkipped, chosen.prefiller.name, 0)
 		return true
 	}
@@ -222,7 +222,7 @@
 		defer cancel()
 		answer, err := upstream.pool.Do(ctx, source.Address, &exchange.Request{
 			Method: method, Target: target, Host: source.Address, Header: header,
-			BeforeSend: s.ingress.permit(pauseState),
+			BeforeSend: s.ingress.beforeSend(pauseState),
 		})
 		if err != nil {
 			return // the handle expires by itself
--- a/process/ingress/quarantine_test.go
+++ b/process/ingress/quarantine_test.go
@@ -339,11 +339,11 @@
 	must.Eq(t, eventTexts(1, 2), env.do(modelRequest).body)
 	_, _, served := reporter.counts()
 	must.Eq(t, 1, served)
-	must.SliceLen(t, 2, placer.asks)
-	must.Eq(t, "", placer.asks[0].Fingerprint)
-	must.Eq(t, 16, len(placer.asks[1].Fingerprint))
+	must.SliceLen(t, 2, placer.requests)
+	must.Eq(t, "", placer.requests[0].Fingerprint)
+	must.Eq(t, 16, len(placer.requests[1].Fingerprint))
 	env.do(modelRequest)
-	must.SliceLen(t, 3, placer.asks, must.Sprint("the next placement request includes the fingerprint at once"))
+	must.SliceLen(t, 3, placer.requests, must.Sprint("the next placement request includes the fingerprint at once"))
 }
 
 // Guards against quarantining a harmless request that is served after each crash during it. A
--- a/process/ingress/run.go
+++ b/process/ingress/run.go
@@ -21,10 +21,10 @@
 // Timing of the subscription to the control group. An unresponsive leader is abandoned after
 // silenceTimeout, so that a new configuration is not delayed much by a change of leader.
 const (
-	beatInterval   = 350 * time.Millisecond
-	silenceTimeout = 1000 * time.Millisecond
-	dialTimeout    = 250 * time.Millisecond
-	maxBackoff     = 200 * time.Millisecond
+	heartbeatInterval = 350 * time.Millisecond
+	silenceTimeout    = 1000 * time.Millisecond
+	dialTimeout       = 250 * time.Millisecond
+	maxBackoff        = 200 * time.Millisecond
 )
 
 // maxHeaderBytes is the limit on the head of a caller's request.
@@ -42,11 +42,11 @@
 	views := view.NewHolder()
 	ingress := New(config, views, clock.Now, logger)
 	defer ingress.Close()
-	day := metering.NewGroupClock(clock.Now, time.Now)
+	groupClock := metering.NewGroupClock(clock.Now, time.Now)
 	// Corrected by the control group; the machine's own wall clock may jump by seconds.
-	ingress.wallClock = day.Now
+	ingress.wallClock = groupClock.Now
 	if config.UsageWindow > 0 {
-		ingress.usage = metering.NewCounter(config.Name, config.UsageWindow, day.Now)
+		ingress.usage = metering.NewCounter(config.Name, config.UsageWindow, groupClock.Now)
 	}
 	served, resumed := make(chan struct{}, 1), make(chan struct{}, 1)
 	client, err := feed.Dial(feed.ClientConfig{
@@ -55,14 +55,14 @@
 		Addresses:           config.FeedAddresses,
 		MoreAddresses:       func() []string { return append(memberAddresses(views.Load()), ingress.seeds()...) },
 		Presence:            ingress.presence,
-		OnWallClock:         day.Update,
+		OnWallClock:         groupClock.Update,
 		OnServed:            func() { pause.Signal(served) },
-		OnUnrecordedCrashes: ingress.noteUnrecorded,
+		OnUnrecordedCrashes: ingress.recordUnrecordedCrashes,
 		OnLeaderResumed:     func() { pause.Signal(resumed) },
 		Standby:             true,
 		Partial:             true,
 		StandbyRelays:       func() []string { return ingress.relays(views.Load()) },
-		HeartbeatInterval:   beatInterval,
+		HeartbeatInterval:   heartbeatInterval,
 		SilenceTimeout:      silenceTimeout,
 		DialTimeout:         dialTimeout,
 		BackoffMax:          maxBackoff,
@@ -124,9 +124,9 @@
 	}
 }
 
-// noteUnrecorded processes a member's report of replica crashes that cannot be recorded at
+// recordUnrecordedCrashes processes a member's report of replica crashes that cannot be recorded at
 // present.
-func (i *Ingress) noteUnrecorded(report feed.CrashReport) {
+func (i *Ingress) recordUnrecordedCrashes(report feed.CrashReport) {
 	event.EndsUnrecorded.Log(i.logger, "ends", len(report.Crashes))
 	i.guard.ApplyUnrecorded(i.now(), report)
 }
--- a/process/ingress/try.go
+++ b/process/ingress/try.go
@@ -199,29 +199,29 @@
 	address := to.spec().Address
 	request.Identity.Repeated = s.contacted[address]
 	s.contacted[address] = true
-	request.BeforeSend = s.ingress.permit(to.holdoff)
+	request.BeforeSend = s.ingress.beforeSend(to.holdoff)
 	request.OnLateResponse = func(status int, header http.Header) { s.recordHoldoff(stage, to.holdoff, status, header) }
 	answer, err := s.upstream.pool.Do(ctx, address, request)
 	if err == nil {
-		s.noteForeign(stage, to, answer.Reused, answer.Unmatched)
+		s.recordUnmatched(stage, to, answer.Reused, answer.Unmatched)
 		s.recordHoldoff(stage, to.holdoff, answer.Status, answer.Header)
 		return answer, nil
 	}
 	var failure *exchange.Failure
 	if errors.As(err, &failure) {
-		s.noteForeign(stage, to, failure.Reused, failure.Unmatched)
+		s.recordUnmatched(stage, to, failure.Reused, failure.Unmatched)
 	}
 	return nil, err
 }
 
-// noteForeign logs and counts foreign answers: those that arrived before this request's answer and
-// name another request or none.
-func (s *session) noteForeign(stage string, from *replica, reused bool, answers []*exchange.UnmatchedResponse) {
-	for _, foreign := range answers {
-		s.ingress.metrics.foreignAnswers.WithLabelValues(s.upstream.service, stage).Inc()
+// recordUnmatched logs and counts unmatched responses: those that arrived before this request's
+// answer and name another request or none.
+func (s *session) recordUnmatched(stage string, from *replica, reused bool, answers []*exchange.UnmatchedResponse) {
+	for _, unmatched := range answers {
+		s.ingress.metrics.unmatchedResponses.WithLabelValues(s.upstream.service, stage).Inc()
 		event.ForeignAnswer.Log(s.ingress.logger, "request", s.call.ID, "stage", stage, "replica", from.name,
-			"reused", reused, "answered", foreign.RequestID, "status", foreign.Status)
-		s.recordHoldoff(stage, from.holdoff, foreign.Status, foreign.Header)
+			"reused", reused, "answered", unmatched.RequestID, "status", unmatched.Status)
+		s.recordHoldoff(stage, from.holdoff, unmatched.Status, unmatched.Header)
 	}
 }
 
@@ -276,7 +276,7 @@
 	if ctx.Err() != nil {
 		return verdictCallerEnd
 	}
-	s.answered = isForeign(err)
+	s.answered = isUnmatched(err)
 	s.noteUnanswered(target, err, now)
 	return verdictBroken
 }
@@ -284,16 +284,16 @@
 // noteUnanswered records that a replica did not answer the request. One that answered another
 // request instead counts as failed but not as suspect, since it is reachable.
 func (s *session) noteUnanswered(target *replica, err error, now time.Duration) {
-	if isForeign(err) {
+	if isUnmatched(err) {
 		target.noteFailure()
 		return
 	}
 	target.suspect(now)
 }
 
-func isForeign(err error) bool {
-	var foreign *exchange.UnmatchedResponse
-	return errors.As(err, &foreign)
+func isUnmatched(err error) bool {
+	var unmatched *exchange.UnmatchedResponse
+	return errors.As(err, &unmatched)
 }
 
 // watchSilence cancels an attempt if its replica has sent nothing at all for some time and the
--- a/process/proxy/lane.go
+++ b/process/proxy/lane.go
@@ -37,13 +37,14 @@
 	pollers map[string]*poller
 }
 
-// newLane returns a lane without endpoints. onForeign is called for each foreign response.
-func newLane(config *Config, service *api.Service, onForeign func(address string, cause error)) *lane {
+// newLane returns a lane without endpoints. onUnmatchedResponse is called for each unmatched
+// response.
+func newLane(config *Config, service *api.Service, onUnmatchedResponse func(address string, cause error)) *lane {
 	created := &lane{
 		service:  service.Name,
 		kind:     service.Spec.Type,
-		pool:     upstream.NewPool(upstream.Config{DialTimeout: config.Timeouts.Dial, OnUnmatchedResponse: onForeign}),
-		pollPool: upstream.NewPool(upstream.Config{DialTimeout: config.Timeouts.Dial, MaxIdlePerHost: 2, OnUnmatchedResponse: onForeign}),
+		pool:     upstream.NewPool(upstream.Config{DialTimeout: config.Timeouts.Dial, OnUnmatchedResponse: onUnmatchedResponse}),
+		pollPool: upstream.NewPool(upstream.Config{DialTimeout: config.Timeouts.Dial, MaxIdlePerHost: 2, OnUnmatchedResponse: onUnmatchedResponse}),
 		queue: limit.NewQueue(limit.Config{
 			MaxInFlight: maxInFlight(config, service),
 			QueueLimit:  config.Limits.QueueLimit,
--- a/process/proxy/lanes.go
+++ b/process/proxy/lanes.go
@@ -67,7 +67,7 @@
 	for name, service := range updated.view.Services {
 		serviceLane := old[name]
 		if serviceLane == nil || serviceLane.kind != service.Spec.Type {
-			serviceLane = newLane(&p.config, service, p.countForeign)
+			serviceLane = newLane(&p.config, service, p.countUnmatched)
 		}
 		serviceLane.queue.Resize(maxInFlight(&p.config, service))
 		next[name] = serviceLane
--- a/process/proxy/metrics.go
+++ b/process/proxy/metrics.go
@@ -14,16 +14,16 @@
 // metrics are the metrics of one proxy. Each proxy has its own registry, so that several can run in
 // one process.
 type metrics struct {
-	registry      *prometheus.Registry
-	requests      *prometheus.CounterVec
-	duration      *prometheus.HistogramVec
-	retries       prometheus.Counter
-	resumes       prometheus.Counter
-	refusals      prometheus.Counter
-	broken        prometheus.Counter // interrupted streams
-	held          prometheus.Counter // quarantined requests that were refused
-	splitFailures prometheus.Counter // failed KV cache transfers
-	foreign       prometheus.Counter // responses that do not belong to their request
+	registry           *prometheus.Registry
+	requests           *prometheus.CounterVec
+	duration           *prometheus.HistogramVec
+	retries            prometheus.Counter
+	resumes            prometheus.Counter
+	refusals           prometheus.Counter
+	broken             prometheus.Counter // interrupted streams
+	held               prometheus.Counter // quarantined requests that were refused
+	splitFailures      prometheus.Counter // failed KV cache transfers
+	unmatchedResponses prometheus.Counter // responses that do not belong to their request
 }
 
 func newMetrics() *metrics {
@@ -40,16 +40,16 @@
 			Help:      "Time from a request's arrival to its end.",
 			Buckets:   prometheus.ExponentialBuckets(0.001, 2, 16),
 		}, []string{"service", "class"}),
-		retries:       newCounter("retries_total", "Further tries of requests after a failure."),
-		resumes:       newCounter("resumes_total", "Streams that were taken up again."),
-		refusals:      newCounter("engine_refusals_total", "Explicit refusals before admission by back ends."),
-		broken:        newCounter("broken_streams_total", "Streams that ended without their terminal event."),
-		held:          newCounter("held_total", "Requests that went to no engine, since engines end under them."),
-		splitFailures: newCounter("split_failures_total", "Hand-overs of KV cache that failed."),
-		foreign:       newCounter("foreign_answers_total", "Answers of back ends that are not proven to be of the request that they came to."),
+		retries:            newCounter("retries_total", "Further tries of requests after a failure."),
+		resumes:            newCounter("resumes_total", "Streams that were taken up again."),
+		refusals:           newCounter("engine_refusals_total", "Explicit refusals before admission by back ends."),
+		broken:             newCounter("broken_streams_total", "Streams that ended without their terminal event."),
+		held:               newCounter("held_total", "Requests that went to no engine, since engines end under them."),
+		splitFailures:      newCounter("split_failures_total", "Hand-overs of KV cache that failed."),
+		unmatchedResponses: newCounter("foreign_answers_total", "Answers of back ends that are not proven to be of the request that they came to."),
 	}
 	m.registry.MustRegister(m.requests, m.duration, m.retries, m.resumes,
-		m.refusals, m.broken, m.held, m.splitFailures, m.foreign)
+		m.refusals, m.broken, m.held, m.splitFailures, m.unmatchedResponses)
 	return m
 }
 
--- a/process/proxy/proxy.go
+++ b/process/proxy/proxy.go
@@ -206,9 +206,9 @@
 // newRandom returns a random number generator for one request.
 func newRandom() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
-// countForeign counts and logs a foreign response: one that does not belong to the request it arrived
-// for.
-func (p *Proxy) countForeign(address string, cause error) {
-	p.metrics.foreign.Inc()
+// countUnmatched counts and logs an unmatched response: one that does not belong to the request it
+// arrived for.
+func (p *Proxy) countUnmatched(address string, cause error) {
+	p.metrics.unmatchedResponses.Inc()
 	event.ProxyForeignAnswer.Log(p.logger, "address", address, "err", cause)
 }
--- a/process/relay/group.go
+++ b/process/relay/group.go
@@ -88,26 +88,26 @@
 	return placement.Answer{}, false
 }
 
-// NotePlaced drops the note: a relay places no requests.
+// RecordProgress drops the report: a relay places no requests.
 func (g *group) RecordProgress(string, feed.PlacementProgress) {}
 
-// NoteKept drops what a daemon reports about prompts cached by a replica: a relay
+// RecordCachedParts drops what a daemon reports about prompts cached by a replica: a relay
 // places no requests.
 func (g *group) RecordCachedParts(feed.CachedParts) {}
 
-// NoteInFlight drops what a daemon reports about its requests in flight: a relay places
+// RecordInFlight drops what a daemon reports about its requests in flight: a relay places
 // no requests.
 func (g *group) RecordInFlight(string, feed.InFlight) {}
 
-// NoteEnds forwards the report to the control group.
+// RecordCrashes forwards the report to the control group.
 func (g *group) RecordCrashes(report feed.CrashReport) { g.upstream.ReportCrashes(report) }
 
-// Unrecorded returns an empty report. It is for ends of replicas that the group's
+// UnrecordedCrashes returns an empty report. It is for crashes of replicas that the group's
 // replicated record cannot show; a relay subscribes only to leaders, so its view
 // contains the record.
 func (g *group) UnrecordedCrashes() (feed.CrashReport, uint64) { return feed.CrashReport{}, 0 }
 
-// NoteUsage forwards the report to the control group.
+// RecordUsage forwards the report to the control group.
 func (g *group) RecordUsage(report feed.UsageReport) { g.upstream.ReportUsage(report) }
 
 // Charge forwards the charge: a relay keeps no quotas itself.
@@ -122,13 +122,13 @@
 // chargeTimeout in process/ingress.
 const chargeTimeout = 25 * time.Millisecond
 
-// ReturnCharge forwards the returned charge to the control group.
+// RefundCharge forwards the returned charge to the control group.
 func (g *group) RefundCharge(request feed.ChargeRequest) { g.upstream.RefundCharge(request) }
 
-// Day returns 0 instead of the group's wall-clock time in milliseconds since the Unix
+// WallClock returns 0 instead of the group's wall-clock time in milliseconds since the Unix
 // epoch: a relay does not know it.
 func (g *group) WallClock() int64 { return 0 }
 
 // ReportPresence forwards the presence. It may be lost: daemons report it again with
-// every beat.
+// every heartbeat.
 func (g *group) ReportPresence(presence feed.Presence) { g.upstream.ReportPresence(presence) }
--- a/process/relay/relay.go
+++ b/process/relay/relay.go
@@ -3,7 +3,7 @@
 //
 // The feed sends daemons the view, the control group's replicated configuration, as
 // deltas, and grants leases on it. Daemons renew their lease with periodic messages,
-// the beats. A version of the view is in force once no daemon uses an older one under
+// the heartbeats. A version of the view is in force once no daemon uses an older one under
 // a valid lease.
 //
 // To the control group a relay is one more daemon that subscribes to the feed; to
@@ -48,16 +48,16 @@
 
 // Relay is one running relay.
 type Relay struct {
-	config       Config
-	logger       log.Logger
-	clock        func() time.Duration
-	views        *relayedViews
-	group        *group
-	client       *feed.Client
-	server       *feed.Server
-	beatReceived chan struct{} // signals that a daemon's beat arrived
-	admin        *admin.Server
-	background   sync.WaitGroup
+	config            Config
+	logger            log.Logger
+	clock             func() time.Duration
+	views             *relayedViews
+	group             *group
+	client            *feed.Client
+	server            *feed.Server
+	heartbeatReceived chan struct{} // signals that a daemon's heartbeat arrived
+	admin             *admin.Server
+	background        sync.WaitGroup
 }
 
 // Run runs a relay until ctx ends. It returns ErrConfig for an invalid configuration,
@@ -87,11 +87,11 @@
 		return nil, err
 	}
 	r := &Relay{
-		config:       config,
-		logger:       logger,
-		clock:        clock.Now,
-		views:        &relayedViews{Relay: view.NewRelay(config.MaxLease, clock.Now())},
-		beatReceived: make(chan struct{}, 1),
+		config:            config,
+		logger:            logger,
+		clock:             clock.Now,
+		views:             &relayedViews{Relay: view.NewRelay(config.MaxLease, clock.Now())},
+		heartbeatReceived: make(chan struct{}, 1),
 	}
 	listener, err := net.Listen("tcp", config.FeedAddress)
 	if err != nil {
@@ -154,13 +154,13 @@
 // notifyBeat makes acknowledge check again without blocking; calls coalesce.
 func (r *Relay) notifyBeat() {
 	select {
-	case r.beatReceived <- struct{}{}:
+	case r.heartbeatReceived <- struct{}{}:
 	default:
 	}
 }
 
 // acknowledge notifies the control group as soon as a version is in force at all
-// daemons behind the relay, instead of with the next beat.
+// daemons behind the relay, instead of with the next heartbeat.
 func (r *Relay) acknowledge(ctx context.Context) {
 	ticker := time.NewTicker(r.config.MaxLease / ackTimeoutDivisor)
 	defer ticker.Stop()
@@ -169,7 +169,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.beatReceived:
+		case <-r.heartbeatReceived:
 		case <-ticker.C:
 		}
 		if reached := r.views.Acknowledge(r.clock()); reached != acknowledged {
--- a/request/attempt/attempt.go
+++ b/request/attempt/attempt.go
@@ -68,7 +68,7 @@
 	Endpoint string
 	// Incarnation distinguishes the successive processes of the engine; 0 means unknown.
 	Incarnation uint64
-	// Wrote is true once a byte may have been written to the engine.
+	// MayHaveWritten is true once a byte may have been written to the engine.
 	MayHaveWritten bool
 	// Refused is true after an explicit refusal of the run before admission. The refusal of a
 	// resume leaves it unset (see Fail).
@@ -90,7 +90,7 @@
 
 // Policy says what may be tried for one request.
 type Policy struct {
-	// Once marks a request that must run at most once.
+	// AtMostOnce marks a request that must run at most once.
 	AtMostOnce bool
 	// Buffered is true if nothing is sent to the caller before the answer is complete, so that an
 	// incomplete answer can be discarded.
@@ -99,8 +99,8 @@
 	MaxResumes  int // the maximum number of times that the stream of each attempt is resumed
 }
 
-// Life is the lifecycle of one request from arrival to completion. It is safe for concurrent use:
-// compare-and-swap decides between Dispatch and Expire, and a lock guards everything else.
+// Lifecycle is the lifecycle of one request from arrival to completion. It is safe for concurrent
+// use: compare-and-swap decides between Dispatch and Expire, and a lock guards everything else.
 type Lifecycle struct {
 	state  atomic.Uint32
 	policy Policy
@@ -186,7 +186,7 @@
 	}
 	record.Open = false
 	switch fault {
-	case FaultNotWritten: // leaves Wrote as it is
+	case FaultNotWritten: // leaves MayHaveWritten as it is
 	case FaultRefused:
 		record.MayHaveWritten = true
 		record.Refused = !record.Admitted && record.Resumes == 0
@@ -261,8 +261,8 @@
 	return append([]Record(nil), l.attempts...)
 }
 
-// Passed returns how many tokens of the current run were forwarded or, if the answer is buffered,
-// accepted.
+// Forwarded returns how many tokens of the current run were forwarded or, if the answer is
+// buffered, accepted.
 func (l *Lifecycle) Forwarded() int {
 	l.lock.Lock()
 	defer l.lock.Unlock()
--- a/request/attempt/attempt_test.go
+++ b/request/attempt/attempt_test.go
@@ -8,22 +8,22 @@
 	"pgregory.net/rapid"
 )
 
-func newBegunLife(t *testing.T, policy Policy) (*Lifecycle, uint32) {
+func newBegunLifecycle(t *testing.T, policy Policy) (*Lifecycle, uint32) {
 	t.Helper()
-	life := New(policy)
-	must.True(t, life.Dispatch())
-	number, err := life.Begin("engine-1", 7)
+	lifecycle := New(policy)
+	must.True(t, lifecycle.Dispatch())
+	number, err := lifecycle.Begin("engine-1", 7)
 	must.NoError(t, err)
-	return life, number
+	return lifecycle, number
 }
 
 func TestDispatchOrExpire(t *testing.T) {
 	for range 1000 {
-		life := New(Policy{})
+		lifecycle := New(Policy{})
 		var dispatched, expired bool
 		var both sync.WaitGroup
-		both.Go(func() { dispatched = life.Dispatch() })
-		both.Go(func() { expired = life.Expire() })
+		both.Go(func() { dispatched = lifecycle.Dispatch() })
+		both.Go(func() { expired = lifecycle.Expire() })
 		both.Wait()
 		must.True(t, dispatched != expired)
 	}
@@ -32,7 +32,7 @@
 func TestRan(t *testing.T) {
 	cases := []struct {
 		name string
-		do   func(life *Lifecycle, number uint32)
+		do   func(lifecycle *Lifecycle, number uint32)
 		want Ran
 	}{
 		{"open", func(*Lifecycle, uint32) {}, RanUnknown},
@@ -56,10 +56,10 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			life, number := newBegunLife(t, Policy{MaxAttempts: 3})
-			test.do(life, number)
-			must.Eq(t, test.want, life.Ran())
-			must.Eq(t, test.want, life.GiveUp())
+			lifecycle, number := newBegunLifecycle(t, Policy{MaxAttempts: 3})
+			test.do(lifecycle, number)
+			must.Eq(t, test.want, lifecycle.Ran())
+			must.Eq(t, test.want, lifecycle.GiveUp())
 		})
 	}
 }
@@ -68,7 +68,7 @@
 	cases := []struct {
 		name   string
 		policy Policy
-		do     func(life *Lifecycle, number uint32)
+		do     func(lifecycle *Lifecycle, number uint32)
 		want   StepKind
 	}{
 		{"open", Policy{MaxAttempts: 3}, func(*Lifecycle, uint32) {}, StepWait},
@@ -105,42 +105,42 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			life, number := newBegunLife(t, test.policy)
-			test.do(life, number)
-			must.Eq(t, test.want, life.Next().Kind)
+			lifecycle, number := newBegunLifecycle(t, test.policy)
+			test.do(lifecycle, number)
+			must.Eq(t, test.want, lifecycle.Next().Kind)
 		})
 	}
 }
 
 func TestAccept(t *testing.T) {
-	life, first := newBegunLife(t, Policy{MaxAttempts: 2, MaxResumes: 1, Buffered: true})
-	must.Eq(t, VerdictPass, life.Accept(first, 0, 2))
-	must.Eq(t, VerdictDuplicate, life.Accept(first, 0, 2))
-	must.Eq(t, VerdictDuplicate, life.Accept(first, 1, 0))
-	must.Eq(t, VerdictGap, life.Accept(first, 3, 1))
-	must.Eq(t, VerdictGap, life.Accept(first, 1, 2))
-	must.Eq(t, VerdictPass, life.Accept(first, 2, 0))
-	life.Fail(first, FaultBroken)
-	must.Eq(t, VerdictLate, life.Accept(first, 2, 1))
-	must.NoError(t, life.Resume(first))
-	must.Eq(t, VerdictPass, life.Accept(first, 2, 1))
-	life.Fail(first, FaultBroken)
-	second, err := life.Begin("engine-2", 9)
+	lifecycle, first := newBegunLifecycle(t, Policy{MaxAttempts: 2, MaxResumes: 1, Buffered: true})
+	must.Eq(t, VerdictPass, lifecycle.Accept(first, 0, 2))
+	must.Eq(t, VerdictDuplicate, lifecycle.Accept(first, 0, 2))
+	must.Eq(t, VerdictDuplicate, lifecycle.Accept(first, 1, 0))
+	must.Eq(t, VerdictGap, lifecycle.Accept(first, 3, 1))
+	must.Eq(t, VerdictGap, lifecycle.Accept(first, 1, 2))
+	must.Eq(t, VerdictPass, lifecycle.Accept(first, 2, 0))
+	lifecycle.Fail(first, FaultBroken)
+	must.Eq(t, VerdictLate, lifecycle.Accept(first, 2, 1))
+	must.NoError(t, lifecycle.Resume(first))
+	must.Eq(t, VerdictPass, lifecycle.Accept(first, 2, 1))
+	lifecycle.Fail(first, FaultBroken)
+	second, err := lifecycle.Begin("engine-2", 9)
 	must.NoError(t, err)
-	must.Eq(t, VerdictLate, life.Accept(first, 3, 1))
-	must.False(t, life.Finish(first))
-	must.Eq(t, VerdictPass, life.Accept(second, 0, 1))
-	must.True(t, life.Finish(second))
-	must.Eq(t, VerdictLate, life.Accept(second, 1, 1))
+	must.Eq(t, VerdictLate, lifecycle.Accept(first, 3, 1))
+	must.False(t, lifecycle.Finish(first))
+	must.Eq(t, VerdictPass, lifecycle.Accept(second, 0, 1))
+	must.True(t, lifecycle.Finish(second))
+	must.Eq(t, VerdictLate, lifecycle.Accept(second, 1, 1))
 }
 
 // oracle tracks what engines actually did: which attempts may have run, and which frames the
 // caller received.
 type oracle struct {
-	policy Policy
-	life   *Lifecycle
-	number uint32
-	open   bool
+	policy    Policy
+	lifecycle *Lifecycle
+	number    uint32
+	open      bool
 	// mayRun is true for each attempt that an engine may have run.
 	mayRun   []bool
 	received []int // numbers of the forwarded tokens, plus 1000 times the attempt number
@@ -156,7 +156,7 @@
 	if o.policy.AtMostOnce && possible > 1 {
 		t.Fatalf("an at-most-once request may have run %d times", possible)
 	}
-	if o.life.Ran() == RanNo && possible > 0 {
+	if o.lifecycle.Ran() == RanNo && possible > 0 {
 		t.Fatalf("reported as not run, but %d attempts may have run", possible)
 	}
 	if !o.policy.Buffered {
@@ -168,7 +168,7 @@
 	}
 }
 
-func TestLifeAgainstOracle(t *testing.T) {
+func TestLifecycleAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		policy := Policy{
 			AtMostOnce:  rapid.Bool().Draw(t, "once"),
@@ -176,12 +176,12 @@
 			MaxAttempts: rapid.IntRange(1, 4).Draw(t, "attempts"),
 			MaxResumes:  rapid.IntRange(0, 2).Draw(t, "resumes"),
 		}
-		o := &oracle{policy: policy, life: New(policy)}
+		o := &oracle{policy: policy, lifecycle: New(policy)}
 		t.Repeat(map[string]func(*rapid.T){
-			"dispatch": func(*rapid.T) { o.life.Dispatch() },
-			"expire":   func(*rapid.T) { o.life.Expire() },
+			"dispatch": func(*rapid.T) { o.lifecycle.Dispatch() },
+			"expire":   func(*rapid.T) { o.lifecycle.Expire() },
 			"begin": func(t *rapid.T) {
-				number, err := o.life.Begin("engine", uint64(rapid.IntRange(0, 2).Draw(t, "incarnation")))
+				number, err := o.lifecycle.Begin("engine", uint64(rapid.IntRange(0, 2).Draw(t, "incarnation")))
 				if err == nil {
 					o.number, o.open, o.mayRun = number, true, append(o.mayRun, false)
 				}
@@ -189,14 +189,14 @@
 			"write": func(*rapid.T) {
 				if o.open {
 					o.mayRun[o.number-1] = true
-					o.life.Wrote(o.number)
+					o.lifecycle.Wrote(o.number)
 				}
 			},
 			"refuse": func(*rapid.T) {
 				// An engine refuses only attempts that it has not admitted.
-				if o.open && !o.life.Attempts()[o.number-1].Admitted {
+				if o.open && !o.lifecycle.Attempts()[o.number-1].Admitted {
 					o.mayRun[o.number-1] = false
-					o.life.Fail(o.number, FaultRefused)
+					o.lifecycle.Fail(o.number, FaultRefused)
 					o.open = false
 				}
 			},
@@ -204,12 +204,12 @@
 				fault := rapid.SampledFrom([]Fault{FaultNotWritten, FaultBroken}).Draw(t, "fault")
 				if o.open {
 					o.mayRun[o.number-1] = o.mayRun[o.number-1] || fault == FaultBroken
-					o.life.Fail(o.number, fault)
+					o.lifecycle.Fail(o.number, fault)
 					o.open = false
 				}
 			},
 			"resume": func(*rapid.T) {
-				if o.number > 0 && o.life.Resume(o.number) == nil {
+				if o.number > 0 && o.lifecycle.Resume(o.number) == nil {
 					o.open = true
 				}
 			},
@@ -220,7 +220,7 @@
 				if o.open && number == o.number {
 					o.mayRun[number-1] = true
 				}
-				if o.life.Accept(number, offset, tokens) != VerdictPass {
+				if o.lifecycle.Accept(number, offset, tokens) != VerdictPass {
 					return
 				}
 				if number != o.number || !o.open {
@@ -230,7 +230,7 @@
 					o.received = append(o.received, int(number)*1000+offset+i)
 				}
 			},
-			"give up": func(*rapid.T) { o.life.GiveUp() },
+			"give up": func(*rapid.T) { o.lifecycle.GiveUp() },
 			"":        o.check,
 		})
 	})
--- a/request/attempt/step.go
+++ b/request/attempt/step.go
@@ -29,8 +29,8 @@
 }
 
 // Next returns what may be done next. A new run is allowed after attempts that certainly did not
-// run. After an attempt that may have run, it is allowed only if Policy.Once is not set and nothing
-// was forwarded to the caller, since the answers of two runs are never combined.
+// run. After an attempt that may have run, it is allowed only if Policy.AtMostOnce is not set and
+// nothing was forwarded to the caller, since the answers of two runs are never combined.
 func (l *Lifecycle) Next() Step {
 	l.lock.Lock()
 	defer l.lock.Unlock()
--- a/request/holdoff/holdoff.go
+++ b/request/holdoff/holdoff.go
@@ -39,7 +39,7 @@
 const (
 	// Open replicas have no restriction in effect.
 	Open State = iota
-	// Doubtful replicas are used only if there is no other. Either they are leaving and still
+	// LastResort replicas are used only if there is no other. Either they are leaving and still
 	// accept requests for a short time, or their pause is over and they have not answered since.
 	LastResort
 	// Closed replicas are sent nothing.
@@ -63,8 +63,8 @@
 
 // Config holds the settings of a Table.
 type Config struct {
-	// Notice is how long a leaving replica may still be used if there is no other replica. 0 means
-	// not at all.
+	// LeavingGrace is how long a leaving replica may still be used if there is no other replica. 0
+	// means not at all.
 	LeavingGrace time.Duration
 }
 
@@ -90,8 +90,8 @@
 	return &Table{config: config, replicas: map[string]*Replica{}, unlisted: map[string]weak.Pointer[Replica]{}}
 }
 
-// Follow returns the replica with the name and records that an endpoint list now shows the given
-// process for it.
+// ObserveListed returns the replica with the name and records that an endpoint list now shows the
+// given process for it.
 func (t *Table) ObserveListed(name string, process Process, now time.Duration) *Replica {
 	t.lock.Lock()
 	replica := t.findLocked(name)
@@ -117,7 +117,7 @@
 	if replica := t.unlisted[name].Value(); replica != nil {
 		return replica
 	}
-	created := &Replica{name: name, table: t, notice: t.config.LeavingGrace}
+	created := &Replica{name: name, table: t, leavingGrace: t.config.LeavingGrace}
 	t.unlisted[name] = weak.Make(created)
 	return created
 }
@@ -166,9 +166,9 @@
 
 // Replica holds the restrictions that one replica has requested from this process.
 type Replica struct {
-	name   string
-	table  *Table
-	notice time.Duration
+	name         string
+	table        *Table
+	leavingGrace time.Duration
 	// restricted is false while no restriction is in effect, so that most calls take no lock.
 	restricted atomic.Bool
 
@@ -179,10 +179,10 @@
 	pauseEnd time.Duration
 	// probePending is true from the start of a pause until an answer shows that it is over.
 	probePending bool
-	// probeFrom is the jittered end of the pause: until then the replica is Doubtful, so that it is
-	// used only if there is no other.
+	// probeFrom is the jittered end of the pause: until then the replica is LastResort, so that it
+	// is used only if there is no other.
 	probeFrom time.Duration
-	// probeUntil is until when the replica is Doubtful because a probe is in flight.
+	// probeUntil is until when the replica is LastResort because a probe is in flight.
 	probeUntil time.Duration
 	// restrictedTime is the wall clock time of the last restriction received.
 	restrictedTime time.Time
@@ -194,8 +194,8 @@
 // Name returns the replica's name.
 func (r *Replica) Name() string { return r.name }
 
-// Hear records what an answer that arrives now requests of its receiver. wallTime is the current
-// time on the clock that process start times refer to. Hear reports whether the replica has
+// Apply records what an answer that arrives now requests of its receiver. wallTime is the current
+// time on the clock that process start times refer to. Apply reports whether the replica has
 // announced for the first time that it is leaving.
 func (r *Replica) Apply(now time.Duration, wallTime time.Time, restrictions Restrictions) (newlyLeaving bool) {
 	if restrictions.IsZero() && !r.restricted.Load() {
@@ -248,7 +248,7 @@
 
 func (r *Replica) stateLocked(now time.Duration) State {
 	switch {
-	case now < r.pauseEnd, r.leaving && now-r.leavingAt >= r.notice:
+	case now < r.pauseEnd, r.leaving && now-r.leavingAt >= r.leavingGrace:
 		return Closed
 	case r.leaving, r.probePending && (now < r.probeFrom || now < r.probeUntil):
 		return LastResort
@@ -257,9 +257,9 @@
 	}
 }
 
-// Begin reports whether a request may be sent now, which includes Doubtful replicas, and starts the
-// probe if one is pending. It is called immediately before the request is written, because an
-// answer may have arrived since the replica was chosen.
+// TryBegin reports whether a request may be sent now, which includes LastResort replicas, and
+// starts the probe if one is pending. It is called immediately before the request is written,
+// because an answer may have arrived since the replica was chosen.
 func (r *Replica) TryBegin(now time.Duration) bool {
 	if !r.restricted.Load() {
 		return true
@@ -275,7 +275,7 @@
 	return true
 }
 
-// Pause returns the time left of a pause, 0 if there is none.
+// PauseLeft returns the time left of a pause, 0 if there is none.
 func (r *Replica) PauseLeft(now time.Duration) time.Duration {
 	if !r.restricted.Load() {
 		return 0
--- a/request/holdoff/word.go
+++ b/request/holdoff/word.go
@@ -6,7 +6,7 @@
 
 import "time"
 
-// Word holds the restrictions that an answer puts on further requests from its receiver.
+// Restrictions holds the restrictions that an answer puts on further requests from its receiver.
 type Restrictions struct {
 	// RetryAfter is how long to send the replica no requests, 0 for no pause.
 	RetryAfter time.Duration
@@ -14,5 +14,5 @@
 	Leaving bool
 }
 
-// IsZero reports whether the answer puts no restriction on further requests.
-func (w Restrictions) IsZero() bool { return w == Restrictions{} }
+// IsZero reports whether there is no restriction on further requests.
+func (r Restrictions) IsZero() bool { return r == Restrictions{} }
--- a/request/limit/queue.go
+++ b/request/limit/queue.go
@@ -33,7 +33,7 @@
 
 // Gate decides whether a queued request is dispatched or expires, if both happen at the same time.
 // A method returns true if it took effect. At most one of the two may ever return true.
-// attempt.Life implements it.
+// attempt.Lifecycle implements it.
 type Gate interface {
 	Dispatch() bool
 	Expire() bool
--- a/request/placement/board.go
+++ b/request/placement/board.go
@@ -23,12 +23,12 @@
 	// decodeStartSamples is the number of samples over which that time is averaged in a small
 	// service.
 	decodeStartSamples = 20
-	// defaultKVTokens is the KV cache capacity of a replica if the sheet has none.
+	// defaultKVTokens is the KV cache capacity of a replica if the service parameters have none.
 	defaultKVTokens = 400_000
 	// cachedShare is the share of the KV cache capacity that is assumed to hold cached parts.
 	cachedShare = 0.9
 	// expiryGrace is the time past its deadline after which a request that sent no further
-	// notes is dropped.
+	// progress reports is dropped.
 	expiryGrace = 2 * time.Second
 	// expiryInterval is the minimum time between two searches for such requests.
 	expiryInterval = 100 * time.Millisecond
@@ -36,11 +36,11 @@
 
 // Board tracks all requests in flight to the replicas of one service.
 type Board struct {
-	sheet    ServiceParameters
-	replicas map[string]*replica
-	names    []string // sorted
-	index    *index
-	inFlight map[Key]*placedRequest
+	parameters ServiceParameters
+	replicas   map[string]*replica
+	names      []string // sorted
+	index      *index
+	inFlight   map[Key]*placedRequest
 	// readTimes holds the measured read times by role. The measurement ends at the first token
 	// on decode replicas, and on prefill replicas when the prompt has been read.
 	readTimes [2]readTime
@@ -138,8 +138,8 @@
 
 // SetReplicas replaces the list of replicas and keeps the state of those that remain. Put and
 // Remove change single entries of the list.
-func (b *Board) SetReplicas(sheet ServiceParameters, entries []Replica) {
-	b.sheet = sheet
+func (b *Board) SetReplicas(parameters ServiceParameters, entries []Replica) {
+	b.parameters = parameters
 	gone := maps.Clone(b.replicas)
 	for _, entry := range entries {
 		b.Put(entry)
@@ -235,13 +235,13 @@
 // cacheLimit returns the number of tokens that a replica is assumed to cache. If the capacity is
 // unknown, this is defaultKVTokens, without cachedShare.
 func (b *Board) cacheLimit() int64 {
-	if b.sheet.KVTokens > 0 {
-		return int64(cachedShare * float64(b.sheet.KVTokens))
+	if b.parameters.KVTokens > 0 {
+		return int64(cachedShare * float64(b.parameters.KVTokens))
 	}
 	return defaultKVTokens
 }
 
-// Kept adds parts that a replica is assumed to have cached, the most recently used last.
+// AddCachedParts adds parts that a replica is assumed to have cached, the most recently used last.
 func (b *Board) AddCachedParts(name string, parts []Part) {
 	if known := b.replicas[name]; known != nil {
 		known.cache.use(parts, b.cacheLimit())
@@ -252,8 +252,8 @@
 // after a start already cache a few.
 const minWarmParts = 24
 
-// Cold returns the names of the replicas that have fewer than minWarmParts parts cached and are
-// not leaving, sorted.
+// ColdReplicas returns the names of the replicas that have fewer than minWarmParts parts cached and
+// are not leaving, sorted.
 func (b *Board) ColdReplicas() []string {
 	var names []string
 	for _, name := range b.names {
@@ -264,31 +264,31 @@
 	return names
 }
 
-// Note updates the board with the progress of a request. If the request is not tracked, only what
-// the note says of the replica counts.
-func (b *Board) RecordProgress(now time.Duration, key Key, note ProgressReport) {
-	if note.Step == StepLeaving {
-		b.recordLeaving(note.Replica)
+// RecordProgress updates the board with the progress of a request. If the request is not tracked,
+// only what the report says of the replica counts.
+func (b *Board) RecordProgress(now time.Duration, key Key, report ProgressReport) {
+	if report.Step == StepLeaving {
+		b.recordLeaving(report.Replica)
 		return
 	}
 	p := b.inFlight[key]
-	switch note.Step {
+	switch report.Step {
 	case StepFailed, StepAnsweredError, StepRefused, StepMisdirected, StepUnreachable:
-		b.recordFailure(now, note, p)
+		b.recordFailure(now, report, p)
 	}
 	if p == nil {
 		return
 	}
-	if note.Replica != "" && note.Replica == p.answer.Reader {
+	if report.Replica != "" && report.Replica == p.answer.Reader {
 		b.moveReadToGenerator(now, p)
 		return
 	}
-	switch note.Step {
+	switch report.Step {
 	case StepRead:
-		p.queuedOn.recordReportedLoad(now, note.ReportedRequests)
+		p.queuedOn.recordReportedLoad(now, report.ReportedRequests)
 		b.recordRead(now, p)
 	case StepStarted:
-		p.runningOn.recordReportedLoad(now, note.ReportedRequests)
+		p.runningOn.recordReportedLoad(now, report.ReportedRequests)
 		b.recordRead(now, p)
 		b.recordStart(now, p)
 	case StepEnded, StepFailed, StepAnsweredError, StepRefused, StepMisdirected, StepUnreachable:
--- a/request/placement/board_test.go
+++ b/request/placement/board_test.go
@@ -11,12 +11,12 @@
 
 const ms = time.Millisecond
 
-var testSheet = ServiceParameters{KVTokens: 400_000, BytesPerToken: 18_432, LinkMbps: 370_000, GapObjective: 300 * ms}
+var testParameters = ServiceParameters{KVTokens: 400_000, BytesPerToken: 18_432, LinkMbps: 370_000, GapObjective: 300 * ms}
 
 // newTestBoard returns a board with two readers and two generators in one zone.
 func newTestBoard() *Board {
 	b := NewBoard()
-	b.SetReplicas(testSheet, []Replica{
+	b.SetReplicas(testParameters, []Replica{
 		{Name: "prefill-1", Zone: "a", Role: RolePrefill, Slots: 64},
 		{Name: "prefill-2", Zone: "a", Role: RolePrefill, Slots: 64},
 		{Name: "decode-1", Zone: "a", Role: RoleDecode, Slots: 64},
@@ -209,13 +209,13 @@
 func TestNoUsableReplicaMeansEmptyAnswer(t *testing.T) {
 	b := NewBoard()
 	must.Eq(t, Answer{}, b.Place(0, key(1), Request{PromptTokens: 100}))
-	b.SetReplicas(testSheet, []Replica{{Name: "m", Zone: "a", Leaving: true}})
+	b.SetReplicas(testParameters, []Replica{{Name: "m", Zone: "a", Leaving: true}})
 	must.Eq(t, Answer{}, b.Place(0, key(1), Request{PromptTokens: 100}))
 }
 
-// Under any sequence of placements and notes, an answer names only replicas that may take the
-// request, the queues hold exactly the unread requests, and two boards with the same input give
-// the same answers.
+// Under any sequence of placements and progress reports, an answer names only replicas that may
+// take the request, the queues hold exactly the unread requests, and two boards with the same input
+// give the same answers.
 func TestAnswersAreValidAndDeterministic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		first, second := newTestBoard(), newTestBoard()
@@ -224,14 +224,14 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * ms
 			number := rapid.Uint64Range(1, 6).Draw(t, "number")
-			if rapid.Bool().Draw(t, "note") {
-				note := ProgressReport{
+			if rapid.Bool().Draw(t, "report") {
+				report := ProgressReport{
 					Step:             Step(rapid.IntRange(1, int(StepRefused)).Draw(t, "step")),
 					Replica:          rapid.SampledFrom([]string{"", "decode-1", "prefill-2", "gone"}).Draw(t, "replica"),
 					ReportedRequests: rapid.IntRange(0, 50).Draw(t, "told"),
 				}
-				first.RecordProgress(now, key(number), note)
-				second.RecordProgress(now, key(number), note)
+				first.RecordProgress(now, key(number), report)
+				second.RecordProgress(now, key(number), report)
 			} else {
 				excluded := rapid.SliceOfN(rapid.SampledFrom([]string{"decode-1", "prefill-1"}), 0, 2).Draw(t, "excluded")
 				next := newRequest(rapid.SampledFrom([]string{"p", "q", "r"}).Draw(t, "part"), 9_000, rapid.IntRange(0, 9_000).Draw(t, "own"))
--- a/request/placement/change.go
+++ b/request/placement/change.go
@@ -10,8 +10,9 @@
 	expiresAt time.Duration // time from which the listed role is used in any case
 }
 
-// Change keeps requests off a replica that is changing to the role, for at least minDuration and
-// until it is listed with the role. After timeout its listed role is used in any case.
+// BeginRoleChange keeps requests off a replica that is changing to the role, for at least
+// minDuration and until it is listed with the role. After timeout its listed role is used in any
+// case.
 func (b *Board) BeginRoleChange(now time.Duration, name string, role Role, minDuration, timeout time.Duration) {
 	b.changes[name] = roleChange{role: role, readyAt: now + minDuration, expiresAt: now + timeout}
 }
@@ -57,7 +58,7 @@
 	return all
 }
 
-// Idle reports whether the replica has no requests in flight. This is true of a replica that is
+// IsIdle reports whether the replica has no requests in flight. This is true of a replica that is
 // not listed.
 func (b *Board) IsIdle(name string) bool {
 	known := b.replicas[name]
@@ -78,9 +79,9 @@
 	*o += meanObjective(objectiveWeight * float64(next-time.Duration(*o)))
 }
 
-// Starting returns the time from the transfer of a prompt to the first token (decodeStartTime) as
-// a share of the mean objective, or 0 if no request had an objective. It rises when the generators
-// are overloaded.
+// DecodeStartShare returns the time from the transfer of a prompt to the first token
+// (decodeStartTime) as a share of the mean objective, or 0 if no request had an objective. It rises
+// when the generators are overloaded.
 func (b *Board) DecodeStartShare() float64 {
 	if b.objective == 0 {
 		return 0
--- a/request/placement/choose.go
+++ b/request/placement/choose.go
@@ -301,9 +301,9 @@
 		factor = crossZoneFactor
 	}
 	took = transferSetup
-	if b.sheet.LinkMbps > 0 {
-		bits := float64(tokens) * float64(b.sheet.BytesPerToken) * 8
-		took += time.Duration(float64(factor) * bits / (b.sheet.LinkMbps * 1e6) * float64(time.Second))
+	if b.parameters.LinkMbps > 0 {
+		bits := float64(tokens) * float64(b.parameters.BytesPerToken) * 8
+		took += time.Duration(float64(factor) * bits / (b.parameters.LinkMbps * 1e6) * float64(time.Second))
 	}
 	cost = time.Duration(factor*tokens/1000) * transferCostPerThousand
 	return took, cost
@@ -323,7 +323,7 @@
 // late if the reading, with the prompts ahead of it, lasts longer than the gap objective allows.
 func (b *Board) disturbanceCost(now time.Duration, request *Request, unread int, generator *replica) time.Duration {
 	perToken := b.readTimes[RoleDecode].perToken()
-	gap := b.sheet.GapObjective
+	gap := b.parameters.GapObjective
 	if gap <= 0 {
 		gap = defaultGapObjective
 	}
--- a/request/placement/choose_test.go
+++ b/request/placement/choose_test.go
@@ -34,7 +34,7 @@
 func TestChoiceEqualsExhaustiveSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewBoard()
-		b.SetReplicas(testSheet, drawReplicas(t))
+		b.SetReplicas(testParameters, drawReplicas(t))
 		for number := range rapid.Uint64Range(0, 40).Draw(t, "requests") {
 			now := time.Duration(number) * 20 * ms
 			next := newRequest(rapid.SampledFrom([]string{"p", "q"}).Draw(t, "part"), 9_000, rapid.IntRange(0, 9_000).Draw(t, "own"))
@@ -74,7 +74,7 @@
 	for _, size := range []int{9, 90, 1_000, 10_000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			board := NewBoard()
-			board.SetReplicas(testSheet, benchmarkReplicas(size))
+			board.SetReplicas(testParameters, benchmarkReplicas(size))
 			inFlight := uint64(4 * size)
 			for number := uint64(0); b.Loop(); number++ {
 				next := newRequest(fmt.Sprint("part-", number%50), 9_000, 2_000)
@@ -178,7 +178,7 @@
 // should read a prompt if that is sooner, although it reads at half the speed.
 func TestGeneratorsReadWhenReadersAreBusy(t *testing.T) {
 	b := NewBoard()
-	b.SetReplicas(testSheet, benchmarkReplicas(12)) // three of them are readers
+	b.SetReplicas(testParameters, benchmarkReplicas(12)) // three of them are readers
 	for number := range uint64(36) {
 		b.Place(0, key(number), newRequest("", 0, 100))
 		b.RecordProgress(0, key(number), ProgressReport{Step: StepStarted})
--- a/request/placement/confine.go
+++ b/request/placement/confine.go
@@ -56,7 +56,7 @@
 	lostAt        []time.Duration          // when isolated generators were lost
 }
 
-// Alert records that replicas crash one after the other, apparently under some request.
+// RaiseAlert records that replicas crash one after the other, apparently under some request.
 func (b *Board) RaiseAlert(now time.Duration) { b.isolation.alertUntil = now + alertDuration }
 
 // IsAlert reports whether such a series goes on, so that requests have to be identified.
--- a/request/placement/confine_test.go
+++ b/request/placement/confine_test.go
@@ -15,7 +15,7 @@
 	for i := range generators {
 		listed = append(listed, Replica{Name: fmt.Sprintf("decode-%02d", i), Zone: "a", Role: RoleDecode, Slots: 64})
 	}
-	b.SetReplicas(testSheet, listed)
+	b.SetReplicas(testParameters, listed)
 	return b
 }
 
@@ -179,15 +179,15 @@
 
 // A suspect under which enough replicas have crashed waits for the decision on its quarantine,
 // and is refused if it has too little time left.
-func TestJudgedSuspectWaits(t *testing.T) {
+func TestSuspectAwaitingQuarantineWaits(t *testing.T) {
 	b := newBoardWithGenerators(6)
 	b.RaiseAlert(0)
-	judged := suspectRequest("x")
-	judged.AwaitsQuarantine = true
-	answer := b.Place(0, key(1), judged)
+	awaiting := suspectRequest("x")
+	awaiting.AwaitsQuarantine = true
+	answer := b.Place(0, key(1), awaiting)
 	must.Eq(t, "", answer.Generator)
 	must.Positive(t, answer.Wait)
 	must.NotEq(t, "", b.Place(0, key(2), suspectRequest("y")).Generator)
-	judged.Deadline = suspectRetryInterval
-	must.True(t, b.Place(0, key(3), judged).Refused)
+	awaiting.Deadline = suspectRetryInterval
+	must.True(t, b.Place(0, key(3), awaiting).Refused)
 }
--- a/request/placement/failure.go
+++ b/request/placement/failure.go
@@ -30,13 +30,13 @@
 // recordFailure records a failure of a replica. p is the request that it failed, or nil if
 // the board no longer tracks it. A replica that responds with an error of its own is not suspected
 // to be gone.
-func (b *Board) recordFailure(now time.Duration, note ProgressReport, p *placedRequest) {
-	failed := b.replicas[note.Replica]
+func (b *Board) recordFailure(now time.Duration, report ProgressReport, p *placedRequest) {
+	failed := b.replicas[report.Replica]
 	if failed == nil {
 		return
 	}
 	failed.failureRate += failureWeight * (1 - failed.failureRate)
-	switch note.Step {
+	switch report.Step {
 	case StepAnsweredError:
 		failed.suspicionPeriod, failed.avoidedUntil = 0, 0
 	case StepRefused:
--- a/request/placement/index_test.go
+++ b/request/placement/index_test.go
@@ -13,7 +13,7 @@
 // on.
 func maxCandidates(size, inFlight int) int {
 	board := NewBoard()
-	board.SetReplicas(testSheet, benchmarkReplicas(size))
+	board.SetReplicas(testParameters, benchmarkReplicas(size))
 	most := 0
 	for number := range uint64(size*inFlight + 500) {
 		next := newRequest(fmt.Sprint("part-", number%50), 9_000, 2_000)
@@ -44,14 +44,14 @@
 // A replica that is no longer listed leaves no entries in the index.
 func TestIndexForgetsRemovedReplicas(t *testing.T) {
 	board := NewBoard()
-	board.SetReplicas(testSheet, benchmarkReplicas(20))
+	board.SetReplicas(testParameters, benchmarkReplicas(20))
 	for number := range uint64(60) {
 		board.Place(0, key(number), newRequest(fmt.Sprint("part-", number%7), 9_000, 2_000))
 		if number%3 > 0 {
 			board.RecordProgress(0, key(number), ProgressReport{Step: StepStarted})
 		}
 	}
-	board.SetReplicas(testSheet, nil)
+	board.SetReplicas(testParameters, nil)
 	for number := range uint64(60) {
 		board.RecordProgress(time.Second, key(number), ProgressReport{Step: StepStarted})
 		board.RecordProgress(time.Second, key(number), ProgressReport{Step: StepEnded})
--- a/request/placement/order.go
+++ b/request/placement/order.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// Late returns the recent share of requests with an objective that could not be placed in
+// LateShare returns the recent share of requests with an objective that could not be placed in
 // time, and the decayed number of requests that the share is taken of.
 func (b *Board) LateShare(now time.Duration) (share, requests float64) {
 	return b.lateness.value(now), b.lateness.events.value(now)
--- a/request/placement/read_test.go
+++ b/request/placement/read_test.go
@@ -50,7 +50,7 @@
 	b := newTestBoard()
 	placed := b.Place(0, key(1), Request{PromptTokens: 100, Zone: "a", Deadline: time.Hour, Excluded: []string{"decode-2"}})
 	must.Eq(t, "decode-1", placed.Generator)
-	b.SetReplicas(testSheet, []Replica{
+	b.SetReplicas(testParameters, []Replica{
 		{Name: "prefill-1", Zone: "a", Role: RolePrefill, Slots: 64},
 		{Name: "decode-1", Zone: "a", Role: RolePrefill, Slots: 64},
 		{Name: "decode-2", Zone: "a", Role: RoleDecode, Slots: 64},
--- a/request/placement/summary.go
+++ b/request/placement/summary.go
@@ -21,7 +21,7 @@
 	Answers  Answers
 }
 
-// Load is the work of the replicas of one role.
+// RoleLoad is the work of the replicas of one role.
 type RoleLoad struct {
 	Replicas     int
 	Running      int           // requests in flight with a replica of the role as their generator
--- a/request/placement/types.go
+++ b/request/placement/types.go
@@ -38,7 +38,7 @@
 	Born int64
 }
 
-// Sheet holds the configured properties that all replicas of a service share.
+// ServiceParameters holds the configured properties that all replicas of a service share.
 type ServiceParameters struct {
 	KVTokens      int64   // KV cache capacity of one replica, in tokens; 0 if unknown
 	BytesPerToken int64   // KV cache size of one token, in bytes
@@ -55,7 +55,7 @@
 	Tokens int
 }
 
-// Ask is a request to be placed.
+// Request is a request to be placed.
 type Request struct {
 	PromptTokens    int    // length in tokens
 	MaxOutputTokens int    // maximum number of output tokens
@@ -78,15 +78,15 @@
 	// Continued requests resume a broken stream; their generator reads the prompt.
 	Continued bool
 
-	// Name identifies the content of the request; copies and retries have the same name. It is
-	// empty unless the daemon was asked for it by Answer.Name.
+	// Fingerprint identifies the content of the request; copies and retries have the same
+	// fingerprint. It is empty unless the daemon was asked for it by Answer.NeedsFingerprint.
 	Fingerprint string
 	// Suspect marks a request that may have crashed a replica; it runs on an isolated
 	// replica. The caller of Place sets it. Suspected replicas are something else: they
 	// recently gave no response.
 	Suspect bool
-	// Judged marks a suspect that was in flight at enough crashes for a quarantine: it is not
-	// placed until the quarantine has been decided. The caller of Place sets it.
+	// AwaitsQuarantine marks a suspect that was in flight at enough crashes for a quarantine: it is
+	// not placed until the quarantine has been decided. The caller of Place sets it.
 	AwaitsQuarantine bool
 
 	// deferred requests are read after all others.
@@ -101,17 +101,17 @@
 	group sizeGroup
 }
 
-// Answer is the board's reply to an Ask: a placement, a wait, a refusal or a request for the
-// name.
+// Answer is the board's reply to a Request: a placement, a wait, a refusal or a request for the
+// fingerprint.
 type Answer struct {
 	// Generator runs the request; empty if no replica can.
 	Generator string
 	// Reader reads the prompt first; empty if the generator reads it.
 	Reader string
-	// Fetch names a replica from which the reading replica fetches the cached leading
+	// FetchFrom names a replica from which the reading replica fetches the cached leading
 	// parts of the prompt; empty for none.
 	FetchFrom string
-	// Unread is the number of prompt tokens that still have to be read.
+	// UnreadTokens is the number of prompt tokens that still have to be read.
 	UnreadTokens int
 	// Estimate is the expected time from the placement to the first token.
 	Estimate time.Duration
@@ -122,10 +122,10 @@
 	// Deferred marks a request that is read after all others, since it would miss its
 	// objective or exceeds what its tenant may ask for.
 	Deferred bool
-	// Name asks the caller to send the Name of the request: replicas are crashing one after
-	// the other, apparently under some request. All other fields are empty then.
+	// NeedsFingerprint asks the caller to send the Fingerprint of the request: replicas are
+	// crashing one after the other, apparently under some request. All other fields are empty then.
 	NeedsFingerprint bool
-	// Alone says that nothing else is in flight on the generator and that nothing else is
+	// Isolated says that nothing else is in flight on the generator and that nothing else is
 	// placed there until suspectWatchTime after the first token of the request.
 	Isolated bool
 	// Refused marks a request that the board does not place, since it would miss its deadline;
@@ -152,18 +152,18 @@
 	StepLeaving                       // the replica announced that it will shut down; its requests continue
 )
 
-// Note reports progress of a request to the board. For StepFailed, StepErred, StepRefused,
-// StepMisdirected, StepUnread, StepGone and StepLeaving, Replica names the replica concerned. If
-// it is the reader of the request, the request continues on its generator.
+// ProgressReport reports progress of a request to the board. For StepFailed, StepAnsweredError,
+// StepRefused, StepMisdirected, StepReadSkipped, StepUnreachable and StepLeaving, Replica names the
+// replica concerned. If it is the reader of the request, the request continues on its generator.
 type ProgressReport struct {
 	Step    Step
 	Replica string
-	// Told is the number of running and waiting requests that the replica reported when it
-	// completed the step; 0 if it reported that it has none, or reported nothing.
+	// ReportedRequests is the number of running and waiting requests that the replica reported when
+	// it completed the step; 0 if it reported that it has none, or reported nothing.
 	ReportedRequests int
 }
 
-// Placed is a request in flight as known to the daemon that requested its placement. It
+// InFlightRequest is a request in flight as known to the daemon that requested its placement. It
 // lets a board that did not place the request account for it.
 type InFlightRequest struct {
 	Ask    Request
--- a/request/placement/wait_test.go
+++ b/request/placement/wait_test.go
@@ -50,7 +50,7 @@
 	}
 	b.Place(0, key(8), newRequest("p", 2_000, 100))
 	must.NotEq(t, "", last.Generator)
-	b.SetReplicas(testSheet, append([]Replica{{Name: "prefill-3", Zone: "a", Role: RolePrefill, Slots: 64}}, listedReplicas(b)...))
+	b.SetReplicas(testParameters, append([]Replica{{Name: "prefill-3", Zone: "a", Role: RolePrefill, Slots: 64}}, listedReplicas(b)...))
 	next := b.Place(0, key(9), newRequest("p", 2_000, 100))
 	must.Eq(t, "prefill-3", next.Reader)
 	must.Eq(t, 0, next.Wait)
--- a/request/quarantine/clearance.go
+++ b/request/quarantine/clearance.go
@@ -45,7 +45,7 @@
 	delete(c, first)
 }
 
-// Served records that a request received a complete answer from a replica, whether or not any
+// RecordServed records that a request received a complete answer from a replica, whether or not any
 // failures of it are known. It drops the failures and ignores further ones for clearanceDuration.
 func (t *Table) RecordServed(now time.Duration, fingerprint Fingerprint) {
 	t.Forget(fingerprint)
--- a/request/quarantine/fingerprint.go
+++ b/request/quarantine/fingerprint.go
@@ -16,7 +16,8 @@
 	"encoding/hex"
 )
 
-// Identity holds the properties that two requests share if they are the same, whatever their IDs.
+// RequestIdentity holds the properties that two requests share if they are the same, whatever their
+// IDs.
 type RequestIdentity struct {
 	Method string
 	Host   string
@@ -26,14 +27,14 @@
 	Body   []byte
 }
 
-// Fingerprint is the truncated SHA-256 hash of an Identity. The hash is cryptographic, so that a
-// caller cannot craft a request with the fingerprint of another caller's request.
+// Fingerprint is the truncated SHA-256 hash of a RequestIdentity. The hash is cryptographic, so
+// that a caller cannot craft a request with the fingerprint of another caller's request.
 type Fingerprint [fingerprintBytes]byte
 
 // fingerprintBytes is how much of a SHA-256 hash is kept. With 128 bits collisions are negligible.
 const fingerprintBytes = 16
 
-// Of returns the fingerprint of an identity.
+// FingerprintOf returns the fingerprint of an identity.
 func FingerprintOf(identity RequestIdentity) Fingerprint {
 	hash := sha256.New()
 	for _, part := range []string{identity.Method, identity.Host, identity.Path, identity.Query, identity.Caller} {
@@ -51,7 +52,7 @@
 // String returns the fingerprint in hex.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// Parse parses the output of String. It returns false if the text is not the hex form of
+// ParseFingerprint parses the output of String. It returns false if the text is not the hex form of
 // fingerprintBytes bytes.
 func ParseFingerprint(text string) (Fingerprint, bool) {
 	var fingerprint Fingerprint
--- a/request/quarantine/record.go
+++ b/request/quarantine/record.go
@@ -13,7 +13,7 @@
 	Weak []string
 	// Alone is true if one of Replicas failed with nothing else in flight.
 	Alone bool
-	// AtOnce is true if all of Replicas failed in a single incident.
+	// Simultaneous is true if all of Replicas failed in a single incident.
 	Simultaneous bool
 	// Age says that the first of Replicas failed at least this long ago.
 	Age   time.Duration
@@ -45,14 +45,14 @@
 	}
 }
 
-// Recall merges the record of a request with the reports received for it. The reports take
+// MergeRecord merges the record of a request with the reports received for it. The reports take
 // precedence. All failures of the request get new sequence numbers, so a caller that recalls
 // several requests determines how their failures are ordered.
 func (t *Table) MergeRecord(now time.Duration, fingerprint Fingerprint, record Record) {
 	var received []failure
 	if previous := t.requests[fingerprint]; previous != nil {
 		received = slices.Clone(previous.failures)
-		record.About = previous.about
+		record.About = previous.requestInfo
 	}
 	t.Restore(now, fingerprint, record)
 	for _, failed := range received {
@@ -60,22 +60,23 @@
 	}
 }
 
-// Aged is an Evidence with the time since the failure.
+// AgedEvidence is an Evidence with the time since the failure.
 type AgedEvidence struct {
 	Evidence
 	Age time.Duration
 }
 
-// All returns the evidence that was reported to this table directly, in no particular order, for a
-// receiver that has to rebuild its table. It omits evidence from the record: the receiver has the
-// record as well, and would treat a second copy as an observed failure. It also omits what other
-// members reported, and failures of earlier processes, which each table numbers on its own.
+// ObservedHere returns the evidence that was reported to this table directly, in no particular
+// order, for a receiver that has to rebuild its table. It omits evidence from the record: the
+// receiver has the record as well, and would treat a second copy as an observed failure. It also
+// omits what other members reported, and failures of earlier processes, which each table numbers on
+// its own.
 func (t *Table) ObservedHere(now time.Duration) []AgedEvidence {
 	var all []AgedEvidence
 	for fingerprint, known := range t.requests {
 		for _, failed := range known.failures {
 			if !failed.fromRecord && !failed.reported && ReplicaOf(failed.replica) == failed.replica {
-				all = append(all, AgedEvidence{Evidence: failed.evidence(fingerprint, known.about), Age: now - failed.at})
+				all = append(all, AgedEvidence{Evidence: failed.evidence(fingerprint, known.requestInfo), Age: now - failed.at})
 			}
 		}
 	}
@@ -83,10 +84,10 @@
 }
 
 // evidence returns the Evidence for a failure of the request.
-func (f failure) evidence(fingerprint Fingerprint, about RequestInfo) Evidence {
+func (f failure) evidence(fingerprint Fingerprint, info RequestInfo) Evidence {
 	return Evidence{
 		Fingerprint: fingerprint, Replica: f.replica, HadOutput: f.hadOutput, Read: f.prefill, OnlyInFlight: f.alone, StillListening: f.listens,
-		RunTime: f.at - f.sent, RequestInfo: about, UniqueName: f.uniqueName, ObservationID: f.observationID(), ReportedByOther: f.reported, fromRecord: f.fromRecord,
+		RunTime: f.at - f.sent, RequestInfo: info, UniqueName: f.uniqueName, ObservationID: f.observationID(), ReportedByOther: f.reported, fromRecord: f.fromRecord,
 	}
 }
 
--- a/request/quarantine/sight.go
+++ b/request/quarantine/sight.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// Sights returns the observed failures for other tables, oldest first, including those reported by
+// Reports returns the observed failures for other tables, oldest first, including those reported by
 // other members but not those from a record. It returns at most limit failures; a negative limit
 // means all. Requests with only weak failures are omitted. If there are too many failures, requests
 // with the most failures are kept first, and among these the most recent.
 //
 // Reports may arrive in any order, by any route and more than once: tables that exchange them
 // converge to the same state without consensus, as long as none of them has reached its bounds.
-// Noting the failures in the returned order in another table gives the same state there, including
-// the failures of earlier processes.
+// Recording the failures in the returned order in another table gives the same state there,
+// including the failures of earlier processes.
 func (t *Table) Reports(now time.Duration, limit int) []AgedEvidence {
 	hasStrong := func(known *entry) bool { return slices.ContainsFunc(known.failures, failure.isStrong) }
 	fingerprints := slices.DeleteFunc(slices.Collect(maps.Keys(t.requests)), func(fingerprint Fingerprint) bool {
@@ -28,8 +28,8 @@
 	return t.ReportsOf(fingerprints, now, limit)
 }
 
-// NotableSights is like Sights, but covers only requests that are watched or due for a trial (see
-// IsTried), including those with only weak failures.
+// NotableReports is like Reports, but covers only requests that are watched or due for a trial (see
+// NeedsTrial), including those with only weak failures.
 func (t *Table) NotableReports(now time.Duration, limit int) []AgedEvidence {
 	notable := t.Watched(now)
 	for _, fingerprint := range t.NeedingTrial() {
@@ -40,7 +40,7 @@
 	return t.ReportsOf(notable, now, limit)
 }
 
-// SightsOf is like Sights, but covers only the given requests, including those with only weak
+// ReportsOf is like Reports, but covers only the given requests, including those with only weak
 // failures. If there are too many failures, earlier requests in the list take precedence.
 func (t *Table) ReportsOf(fingerprints []Fingerprint, now time.Duration, limit int) []AgedEvidence {
 	var reports []AgedEvidence
@@ -53,7 +53,7 @@
 			if failed.fromRecord || len(reports) == limit {
 				continue
 			}
-			evidence := failed.evidence(fingerprint, known.about)
+			evidence := failed.evidence(fingerprint, known.requestInfo)
 			evidence.Replica = ReplicaOf(failed.replica)
 			reports = append(reports, AgedEvidence{Evidence: evidence, Age: now - failed.at})
 		}
@@ -62,7 +62,7 @@
 	return reports
 }
 
-// DropTold drops the failures known only from reports of other members.
+// DropReportedByOthers drops the failures known only from reports of other members.
 func (t *Table) DropReportedByOthers() {
 	for fingerprint, known := range t.requests {
 		for _, failed := range slices.Clone(known.failures) {
@@ -73,7 +73,7 @@
 	}
 }
 
-// IsWorthTelling reports whether a request should be reported to others immediately. This is the
+// ShouldReportNow reports whether a request should be reported to others immediately. This is the
 // case if replicas failed in at least two incidents, or if a recent failure is strong evidence.
 func (t *Table) ShouldReportNow(now time.Duration, fingerprint Fingerprint) bool {
 	known := t.requests[fingerprint]
@@ -83,8 +83,8 @@
 	return len(known.incidents()) >= WatchedIncidents || t.IsSuspect(now, fingerprint) && slices.ContainsFunc(known.failures, failure.isStrong)
 }
 
-// StoodInSeries reports whether any request that was in flight when the replica failed has at least
-// two incidents (see IsSeries).
+// AnyRequestFailedRepeatedly reports whether any request that was in flight when the replica failed
+// has at least two incidents (see FailedRepeatedly).
 func (t *Table) AnyRequestFailedRepeatedly(replica string) bool {
 	for _, name := range t.processNames(replica) {
 		for fingerprint := range t.inFlightAt[name] {
--- a/request/quarantine/sight_test.go
+++ b/request/quarantine/sight_test.go
@@ -72,7 +72,7 @@
 
 // If there are too many failures, those of requests with the most failures are kept. Failures from
 // the record are not observations.
-func TestSightsAreBounded(t *testing.T) {
+func TestReportsAreBounded(t *testing.T) {
 	table := NewTable()
 	for i := range 20 {
 		noteShortRun(table, time.Duration(i)*time.Second, fmt.Sprint("r", i), fmt.Sprint("once ", i))
@@ -80,18 +80,18 @@
 	noteShortRun(table, time.Minute, "a", "fatal")
 	noteShortRun(table, 2*time.Minute, "b", "fatal")
 	table.MergeRecord(time.Hour/2, fingerprintOf("recorded"), Record{Replicas: []string{"c", "d"}})
-	kept := table.Reports(3*time.Minute, 3)
-	must.Eq(t, []string{"r19", "a", "b"}, replicasOf(kept))
-	must.Eq(t, []time.Duration{161 * time.Second, 2 * time.Minute, time.Minute}, []time.Duration{kept[0].Age, kept[1].Age, kept[2].Age})
+	reports := table.Reports(3*time.Minute, 3)
+	must.Eq(t, []string{"r19", "a", "b"}, replicasOf(reports))
+	must.Eq(t, []time.Duration{161 * time.Second, 2 * time.Minute, time.Minute}, []time.Duration{reports[0].Age, reports[1].Age, reports[2].Age})
 	must.Eq(t, []string{"a", "b"}, replicasOf(table.NotableReports(3*time.Minute, 3)))
 	must.False(t, slices.Contains(replicasOf(table.Reports(3*time.Minute, 99)), "c"))
 	table.RecordFailure(2*time.Minute, Evidence{Fingerprint: fingerprintOf("partial output"), Replica: "e", HadOutput: true})
 	must.False(t, slices.Contains(replicasOf(table.Reports(3*time.Minute, 99)), "e"), must.Sprint("it is weak evidence"))
 }
 
-func replicasOf(sights []AgedEvidence) (replicas []string) {
-	for _, seen := range sights {
-		replicas = append(replicas, seen.Replica)
+func replicasOf(reports []AgedEvidence) (replicas []string) {
+	for _, report := range reports {
+		replicas = append(replicas, report.Replica)
 	}
 	return replicas
 }
--- a/request/quarantine/table.go
+++ b/request/quarantine/table.go
@@ -8,11 +8,11 @@
 
 // Limits and thresholds of a Table.
 const (
-	// CondemningEnds is the number of incidents with strong evidence from which a request is
+	// HarmfulIncidents is the number of incidents with strong evidence from which a request is
 	// considered harmful (see harmfulWeight for weaker evidence). Three are more than a bystander
 	// meets by chance while its route allows two attempts, and no more than users tolerate.
 	HarmfulIncidents = 3
-	// WatchedEnds is the number of incidents from which a request is watched.
+	// WatchedIncidents is the number of incidents from which a request is watched.
 	WatchedIncidents = 2
 	// certainFailures is the number of incidents from which a process with a partial view, which
 	// does not receive the failures observed by all others, considers a request harmful.
@@ -35,7 +35,7 @@
 	clearanceDuration = time.Minute
 )
 
-// Standing is a verdict on a request.
+// Verdict is the judgement of a request by the evidence against it.
 type Verdict uint8
 
 // Standings, from harmless to harmful.
@@ -71,9 +71,9 @@
 
 // entry holds what is known of one request. It has at least one failure.
 type entry struct {
-	failures []failure // of different processes, in order of time
-	holds    []hold
-	about    RequestInfo
+	failures    []failure // of different processes, in order of time
+	holds       []hold
+	requestInfo RequestInfo
 }
 
 // failure is a suspected failure of one replica process while it ran a request. See Evidence for
@@ -106,18 +106,18 @@
 	return &Table{requests: map[Fingerprint]*entry{}, inFlightAt: map[string]map[Fingerprint]struct{}{}, cleared: clearances{}}
 }
 
-// News returns a counter that changes whenever the table's content does. Repeated reports of an
+// Changes returns a counter that changes whenever the table's content does. Repeated reports of an
 // observed failure leave it unchanged, even if they update details, as they need not be passed on.
 func (t *Table) Changes() uint64 { return t.changes }
 
 // Empty reports whether the table holds no failures. It may still hold cleared requests.
 func (t *Table) Empty() bool { return len(t.requests) == 0 }
 
-// Note records a suspected replica failure, unless the request was served recently.
+// RecordFailure records a suspected replica failure, unless the request was served recently.
 func (t *Table) RecordFailure(now time.Duration, evidence Evidence) { t.noteAt(now, now, evidence) }
 
-// NoteAged is Note for a failure of the given age. It ignores negative ages and those beyond the
-// retention time.
+// NoteAged is RecordFailure for a failure of the given age. It ignores negative ages and those
+// beyond the retention time.
 func (t *Table) NoteAged(now, age time.Duration, evidence Evidence) {
 	if age >= 0 && age < failureRetention {
 		t.noteAt(now, now-age, evidence)
@@ -153,7 +153,7 @@
 		}
 		return
 	}
-	known.about = evidence.RequestInfo
+	known.requestInfo = evidence.RequestInfo
 	known.insert(incoming)
 	t.sequence++
 	t.addInFlight(evidence.Fingerprint, incoming.replica)
@@ -169,16 +169,16 @@
 	t.changes = before
 }
 
-// Alive describes an answer of a replica that was suspected to have failed.
+// LiveReplica describes an answer of a replica that was suspected to have failed.
 type LiveReplica struct {
 	Replica string
-	// For says that the answering process has been running for at least this long. An earlier
-	// process with the same name may have failed before.
+	// RunningFor says that the answering process has been running for at least this long. An
+	// earlier process with the same name may have failed before.
 	RunningFor time.Duration
 }
 
-// Ever is the Alive.For of a process that is the only one with its name. It covers all failures,
-// because none is kept longer than failureRetention.
+// AnyAge is the LiveReplica.RunningFor of a process that is the only one with its name. It covers
+// all failures, because none is kept longer than failureRetention.
 const AnyAge = failureRetention
 
 // maxReportDelay is the longest delay that is assumed between a replica failure and a report of it.
@@ -186,8 +186,8 @@
 // time of the failure.
 const maxReportDelay = 250 * time.Millisecond
 
-// Lives drops the failures of a replica that happened while the answering process was already
-// running.
+// RefuteFailures drops the failures of a replica that happened while the answering process was
+// already running.
 func (t *Table) RefuteFailures(now time.Duration, alive LiveReplica) {
 	for _, name := range t.processNames(alive.Replica) {
 		for fingerprint := range t.inFlightAt[name] {
@@ -198,7 +198,7 @@
 	}
 }
 
-// HasEnd reports whether a replica is known to have failed while it ran the request.
+// HasFailure reports whether a replica is known to have failed while it ran the request.
 func (t *Table) HasFailure(fingerprint Fingerprint, replica string) bool {
 	known := t.requests[fingerprint]
 	return known != nil && known.has(replica)
@@ -228,8 +228,8 @@
 	}
 }
 
-// IsTried reports whether a request is due for a trial, which means that only a single copy of it
-// is sent, to find out whether a replica fails again. It is due if manyFailures replicas failed
+// NeedsTrial reports whether a request is due for a trial, which means that only a single copy of
+// it is sent, to find out whether a replica fails again. It is due if manyFailures replicas failed
 // while they ran it, which would be enough to find it harmful had they failed at different times; a
 // lost rack or machine causes the same failures. If many copies were sent at once, each could make
 // a replica fail before the result of the first is known.
@@ -259,19 +259,19 @@
 	return false
 }
 
-// Tried returns the requests that are due for a trial, ordered by fingerprint.
+// NeedingTrial returns the requests that are due for a trial, ordered by fingerprint.
 func (t *Table) NeedingTrial() []Fingerprint {
-	var tried []Fingerprint
+	var due []Fingerprint
 	for fingerprint := range t.requests {
 		if t.NeedsTrial(fingerprint) {
-			tried = append(tried, fingerprint)
+			due = append(due, fingerprint)
 		}
 	}
-	slices.SortFunc(tried, func(a, b Fingerprint) int { return slices.Compare(a[:], b[:]) })
-	return tried
+	slices.SortFunc(due, func(a, b Fingerprint) int { return slices.Compare(a[:], b[:]) })
+	return due
 }
 
-// EndedAlone reports whether the request has at least two incidents and one of its failures
+// FailedAlone reports whether the request has at least two incidents and one of its failures
 // happened with nothing else in flight.
 func (t *Table) FailedAlone(fingerprint Fingerprint) bool {
 	known := t.requests[fingerprint]
@@ -289,8 +289,8 @@
 	return len(known.failures) > 1 || !known.failures[0].hadOutput
 }
 
-// Lone returns the suspects (see IsSuspect) with a single incident that includes strong evidence.
-// The most recent come first.
+// SingleIncidentSuspects returns the suspects (see IsSuspect) with a single incident that includes
+// strong evidence. The most recent come first.
 func (t *Table) SingleIncidentSuspects(now time.Duration) []Fingerprint {
 	var found []Fingerprint
 	for fingerprint, known := range t.requests {
@@ -308,15 +308,16 @@
 // produced no output, was no prefill run, and nothing listened at the replica's address afterwards.
 func (f failure) isStrong() bool { return !f.hadOutput && !f.prefill && !f.listens }
 
-// IsSeries reports whether the request has at least two incidents.
+// FailedRepeatedly reports whether the request has at least two incidents.
 func (t *Table) FailedRepeatedly(fingerprint Fingerprint) bool {
 	known := t.requests[fingerprint]
 	return known != nil && len(known.incidents()) >= WatchedIncidents
 }
 
-// IsCertain reports whether a request is harmful by a stricter rule, for a process with a partial
-// view. The rule requires one more incident, counts no prefill runs and ignores incidents in which
-// another request of the same or a higher rank was in flight, without regard to holds.
+// IsHarmfulOnPartialView reports whether a request is harmful by a stricter rule, for a process
+// with a partial view. The rule requires one more incident, counts no prefill runs and ignores
+// incidents in which another request of the same or a higher rank was in flight, without regard to
+// holds.
 func (t *Table) IsHarmfulOnPartialView(fingerprint Fingerprint) bool {
 	known := t.requests[fingerprint]
 	if known == nil {
@@ -327,9 +328,9 @@
 	})) >= certainFailures
 }
 
-// Rest returns how long a harmful request still has CondemningEnds incidents if no more replicas
-// fail. It returns 0 if the request has fewer incidents, even if two were enough to find it
-// harmful, and may be negative until Expire is called.
+// HarmfulFor returns how long a harmful request still has HarmfulIncidents incidents if no more
+// replicas fail. It returns 0 if the request has fewer incidents, even if two were enough to find
+// it harmful, and may be negative until Expire is called.
 func (t *Table) HarmfulFor(now time.Duration, fingerprint Fingerprint) time.Duration {
 	known := t.requests[fingerprint]
 	if known == nil {
@@ -342,7 +343,7 @@
 	return failureRetention - (now - incidents[len(incidents)-HarmfulIncidents][0].at)
 }
 
-// Watched returns the requests whose standing is not Free, including harmful ones, ordered by
+// Watched returns the requests whose verdict is not Free, including harmful ones, ordered by
 // fingerprint.
 func (t *Table) Watched(now time.Duration) []Fingerprint {
 	var watched []Fingerprint
@@ -371,10 +372,10 @@
 	return weak
 }
 
-// Ends returns the process names of the replicas that failed while they ran the request, oldest
-// first, and the description of the request. It returns one replica per incident. If many replicas
-// failed in fewer than CondemningEnds incidents it returns all of them, so that a record of them
-// gives the same verdict.
+// FailedReplicas returns the process names of the replicas that failed while they ran the request,
+// oldest first, and the description of the request. It returns one replica per incident. If many
+// replicas failed in fewer than HarmfulIncidents incidents it returns all of them, so that a record
+// of them gives the same verdict.
 func (t *Table) FailedReplicas(fingerprint Fingerprint) ([]string, RequestInfo) {
 	known := t.requests[fingerprint]
 	if known == nil {
@@ -390,11 +391,11 @@
 			replicas = append(replicas, failed.replica)
 		}
 	}
-	return replicas, known.about
+	return replicas, known.requestInfo
 }
 
-// CountEnds returns the number of replicas that failed while they ran the request, including those
-// that failed together.
+// CountFailures returns the number of replicas that failed while they ran the request, including
+// those that failed together.
 func (t *Table) CountFailures(fingerprint Fingerprint) int {
 	if known := t.requests[fingerprint]; known != nil {
 		return len(known.failures)
@@ -402,7 +403,7 @@
 	return 0
 }
 
-// FirstEnd returns the time of the first known failure of a request.
+// FirstFailureAt returns the time of the first known failure of a request.
 func (t *Table) FirstFailureAt(fingerprint Fingerprint) (at time.Duration, found bool) {
 	known := t.requests[fingerprint]
 	if known == nil || len(known.failures) == 0 {
--- a/request/quarantine/table_test.go
+++ b/request/quarantine/table_test.go
@@ -250,8 +250,8 @@
 	must.Eq(t, []Fingerprint{fingerprintOf("fatal")}, other.Watched(time.Hour))
 
 	restored := NewTable()
-	replicas, about := table.FailedReplicas(fingerprintOf("fatal"))
-	restored.Restore(0, fingerprintOf("fatal"), Record{Replicas: replicas, About: about})
+	replicas, requestInfo := table.FailedReplicas(fingerprintOf("fatal"))
+	restored.Restore(0, fingerprintOf("fatal"), Record{Replicas: replicas, About: requestInfo})
 	must.Eq(t, Harmful, restored.Verdict(0, fingerprintOf("fatal")))
 }
 
--- a/request/quarantine/verdict.go
+++ b/request/quarantine/verdict.go
@@ -20,7 +20,8 @@
 	// other is ahead, so that two requests that are always sent together are both found.
 	decisiveFailures = 5
 	// manyFailures is the number of strong failures, however close together, from which a request
-	// is due for a trial (see IsTried). As many failures at different times make a request harmful.
+	// is due for a trial (see NeedsTrial). As many failures at different times make a request
+	// harmful.
 	manyFailures = HarmfulIncidents
 	// strongWeight is the weight of an incident with a strong failure (see isStrong).
 	strongWeight = 3
@@ -40,7 +41,7 @@
 	twoFailureSettleDelay = 2 * time.Second
 )
 
-// Standing returns the verdict on a request at now.
+// Verdict returns the verdict on a request at now.
 //
 // The verdict is a function of the evidence and the time only: which replicas failed while they ran
 // which requests, in what order, and which failures came while a request was held and therefore not
@@ -64,9 +65,9 @@
 	return Harmful
 }
 
-// IsConvicted reports whether the evidence is enough to hold a request at most settleDelay after
-// its last failure. It is false for a request that is harmful only after twoFailureSettleDelay, in
-// which a report of success may still arrive.
+// IsHarmfulWithoutSuccessWait reports whether the evidence is enough to hold a request at most
+// settleDelay after its last failure. It is false for a request that is harmful only after
+// twoFailureSettleDelay, in which a report of success may still arrive.
 func (t *Table) IsHarmfulWithoutSuccessWait(fingerprint Fingerprint) bool {
 	known := t.requests[fingerprint]
 	if known == nil || len(known.incidents()) < WatchedIncidents {
