--- a/request/quota/account.go
+++ b/request/quota/account.go
@@ -49,7 +49,7 @@
 	return Grant{Granted: true, Left: current.left}
 }
 
-// Return refunds the cost of a request that no replica has run.
+// Refund refunds the cost of a request that no replica has run.
 func (a *Account) Refund(now time.Duration, tenant string, limit api.Quota, cost float64) {
 	a.lock.Lock()
 	defer a.lock.Unlock()
@@ -60,14 +60,14 @@
 	current.granted -= cost
 }
 
-// Standing is the state of a tenant's account.
+// AccountState is the state of a tenant's account.
 type AccountState struct {
 	Left    float64
 	Granted float64 // since the account started, less refunds
 	Refused int64   // refused charges since then
 }
 
-// Standing returns the state of the tenant's account at now.
+// AccountState returns the state of the tenant's account at now.
 func (a *Account) AccountState(now time.Duration, tenant string, limit api.Quota) AccountState {
 	a.lock.Lock()
 	defer a.lock.Unlock()
--- a/request/quota/alone.go
+++ b/request/quota/alone.go
@@ -8,8 +8,8 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// Alone grants charges at a proxy that is cut off: it reaches no leader, no standby member and no
-// other proxy that would forward its charges to them. The other proxies are probably cut off as
+// LocalShare grants charges at a proxy that is cut off: it reaches no leader, no standby member and
+// no other proxy that would forward its charges to them. The other proxies are probably cut off as
 // well, so each grants an equal part of the rate. It is safe for concurrent use.
 type LocalShare struct {
 	rule    Rule
@@ -26,12 +26,12 @@
 	ample bool
 }
 
-// NewAlone returns an Alone without any tenants.
+// NewLocalShare returns a LocalShare without any tenants.
 func NewLocalShare(rule Rule) *LocalShare {
 	return &LocalShare{rule: rule, random: rand.Float64, tenants: map[string]*localShare{}}
 }
 
-// Heard records the control group's answer to a charge of the tenant.
+// RecordAnswer records the control group's answer to a charge of the tenant.
 func (a *LocalShare) RecordAnswer(tenant string, limit api.Quota, grant Grant) {
 	a.lock.Lock()
 	defer a.lock.Unlock()
@@ -65,7 +65,7 @@
 	return Grant{Granted: true, Left: max(share.left, 0)}
 }
 
-// Return refunds a charge granted here for a request that no replica has run.
+// Refund refunds a charge granted here for a request that no replica has run.
 func (a *LocalShare) Refund(tenant string, cost float64) {
 	a.lock.Lock()
 	defer a.lock.Unlock()
--- a/request/quota/quota.go
+++ b/request/quota/quota.go
@@ -3,7 +3,7 @@
 // The control group is the set of servers, its members, that elect a leader among them. The leader
 // keeps one Account for all tenants and charges each request to it before the request is sent
 // anywhere, so that a tenant may spend its whole quota through any single proxy. A proxy that
-// reaches no leader charges a Standby at another member or, if it reaches none, its own Alone,
+// reaches no leader charges a Standby at another member or, if it reaches none, its own LocalShare,
 // which grants a share of the rate and of the overrun.
 //
 // Terms: the allowance of a window of length Rule.Window is the rate times its length plus the
--- a/request/retry/retry.go
+++ b/request/retry/retry.go
@@ -80,7 +80,7 @@
 	return delay, delay < left
 }
 
-// Margin is the time that a hop reserves for its own work and for the way back: Least or Share,
+// Margin is the time that a hop reserves for its own work and for the way back: Minimum or Share,
 // whichever is longer.
 type Margin struct {
 	Minimum time.Duration
--- a/request/retry/window.go
+++ b/request/retry/window.go
@@ -15,10 +15,10 @@
 // limit applies to every span, whenever it starts.
 //
 // Invariant: in any span of the window's length, Withdraw grants no more retries than the share of
-// the requests in the span plus the reserve at the time of the last grant. Retries counted by Force
-// use up the same limit, but may exceed it. The sum covers all buckets that the span may overlap.
-// Of the oldest, which it may overlap in part, all retries but no requests are counted, so the sum
-// never allows too much.
+// the requests in the span plus the reserve at the time of the last grant. Retries counted by
+// CountRetry use up the same limit, but may exceed it. The sum covers all buckets that the span may
+// overlap. Of the oldest, which it may overlap in part, all retries but no requests are counted, so
+// the sum never allows too much.
 type Window struct {
 	share  float64
 	length time.Duration
@@ -62,8 +62,8 @@
 	w.reserve = reserve
 }
 
-// Request counts the first send of a request. The time may decrease slightly between calls: a time
-// before the current bucket counts toward that bucket.
+// CountRequest counts the first send of a request. The time may decrease slightly between calls: a
+// time before the current bucket counts toward that bucket.
 func (w *Window) CountRequest(now time.Duration) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
@@ -83,8 +83,8 @@
 	return true
 }
 
-// Force counts a send that was found to be a retry only after it had been sent, even if the window
-// allows no more.
+// CountRetry counts a send that was found to be a retry only after it had been sent, even if the
+// window allows no more.
 func (w *Window) CountRetry(now time.Duration) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
