--- a/connection/exchange/pool.go
+++ b/connection/exchange/pool.go
@@ -162,8 +162,8 @@
 	return list
 }
 
-// Idle reports whether an idle connection to the address is available.
-func (p *Pool) Idle(address string) bool {
+// HasIdle reports whether an idle connection to the address is available.
+func (p *Pool) HasIdle(address string) bool {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	list := p.idle[address]
--- a/connection/feed/subscriber.go
+++ b/connection/feed/subscriber.go
@@ -173,8 +173,8 @@
 		return s.receiveCachedParts(received.Payload)
 	case kindInFlight:
 		return s.receiveInFlight(received.Payload)
-	case kindPlaceNote:
-		return s.receivePlaceNote(received.Payload)
+	case kindPlacementProgress:
+		return s.receivePlacementProgress(received.Payload)
 	case kindCrashes:
 		return s.receiveCrashReport(received.Payload)
 	case kindUsage:
@@ -448,6 +448,6 @@
 	if !granted || sequence == 0 || lease <= 0 {
 		return nil
 	}
-	message := leaseGrant{sequence: sequence, lease: lease, term: current.term, wallClock: s.server.config.Group.Day()}
+	message := leaseGrant{sequence: sequence, lease: lease, term: current.term, wallClock: s.server.config.Group.WallClock()}
 	return writer.WriteFrame(kindLeaseGrant, encodeLeaseGrant(message))
 }
--- a/connection/upstream/stream.go
+++ b/connection/upstream/stream.go
@@ -41,8 +41,8 @@
 }
 
 // Next returns the next frame, or io.EOF after a complete stream. Other errors are
-// ErrEngine, ErrMalformed, ErrForeign and those of EventReader.Next; the stream is unusable
-// after them.
+// ErrEngine, ErrMalformed, ErrUnmatchedResponse and those of EventReader.Next; the stream is
+// unusable after them.
 func (s *Stream) Next() (Frame, error) {
 	event, err := s.events.Next()
 	if err != nil {
@@ -73,7 +73,7 @@
 	}
 	got := Identity{RequestID: event.ID, Attempt: event.Attempt, Incarnation: event.Incarnation}
 	if got != s.identity {
-		return errors.Wrapf(ErrForeign, "got %s/%d/%d, want %s/%d/%d", got.RequestID, got.Attempt, got.Incarnation,
+		return errors.Wrapf(ErrUnmatchedResponse, "got %s/%d/%d, want %s/%d/%d", got.RequestID, got.Attempt, got.Incarnation,
 			s.identity.RequestID, s.identity.Attempt, s.identity.Incarnation)
 	}
 	if event.Offset < 0 {
--- a/process/control/group.go
+++ b/process/control/group.go
@@ -195,40 +195,40 @@
 // ReportPresence records a proxy's presence report.
 func (g *group) ReportPresence(presence feed.Presence) {
 	g.presence.record(presence, monotonic())
-	g.agreedTime.Record(presence.Proxy, presence.Day)
+	g.agreedTime.Record(presence.Proxy, presence.WallClock)
 }
 
 // Place chooses the replica for a request, with all requests of all proxies taken into account. It
 // returns false if the service is not known. While replicas of the service crash in series, it
-// answers a request without a fingerprint only by Name, which asks the proxy for the fingerprint:
-// suspects are isolated, and requests that are about to be held have to wait.
+// answers a request without a fingerprint only by NeedsFingerprint, which asks the proxy for the
+// fingerprint: suspects are isolated, and requests that are about to be held have to wait.
 func (g *group) Place(daemon string, request feed.PlaceRequest) (placement.Answer, bool) {
 	began := monotonic()
 	tracker := g.evidence.tracker
 	alert := tracker.isAlert(request.Service, began)
-	if alert && request.Ask.Name == "" {
-		return placement.Answer{Name: true}, true
+	if alert && request.Ask.Fingerprint == "" {
+		return placement.Answer{NeedsFingerprint: true}, true
 	}
-	request.Ask.Suspect = alert && tracker.isSuspect(request.Ask.Name, began)
-	request.Ask.Judged = request.Ask.Suspect && tracker.mustWait(request.Ask.Name, began)
+	request.Ask.Suspect = alert && tracker.isSuspect(request.Ask.Fingerprint, began)
+	request.Ask.AwaitsQuarantine = request.Ask.Suspect && tracker.mustWait(request.Ask.Fingerprint, began)
 	answer, known := g.boards.place(g.machine.history.Load(), daemon, request, alert, began)
 	g.metrics.observePlacement(request.Service, answer, known, monotonic()-began)
 	return answer, known
 }
 
-// NotePlaced records the progress of a request that this member has placed.
-func (g *group) NotePlaced(daemon string, note feed.PlaceNote) {
-	g.boards.recordProgress(daemon, note, monotonic())
+// RecordProgress records the progress of a request that this member has placed.
+func (g *group) RecordProgress(daemon string, progress feed.PlacementProgress) {
+	g.boards.recordProgress(daemon, progress, monotonic())
 }
 
-// NoteKept records the prompt parts that a replica is believed to have cached.
-func (g *group) NoteKept(kept feed.KeptParts) {
-	g.boards.addCachedParts(g.machine.history.Load(), kept)
+// RecordCachedParts records the prompt parts that a replica is believed to have cached.
+func (g *group) RecordCachedParts(cached feed.CachedParts) {
+	g.boards.addCachedParts(g.machine.history.Load(), cached)
 }
 
-// NoteInFlight records requests that a proxy has in flight and that another member has placed.
-func (g *group) NoteInFlight(daemon string, told feed.InFlight) {
-	g.boards.addInFlight(g.machine.history.Load(), daemon, told, monotonic())
+// RecordInFlight records requests that a proxy has in flight and that another member has placed.
+func (g *group) RecordInFlight(daemon string, inFlight feed.InFlight) {
+	g.boards.addInFlight(g.machine.history.Load(), daemon, inFlight, monotonic())
 }
 
 // leaseReadBatcher shares lease reads among concurrent callers. Every caller gets the result of a
--- a/process/ingress/asks.go
+++ b/process/ingress/asks.go
@@ -31,11 +31,11 @@
 // leaving.
 var errWithheld = errors.New("ingress: request not sent: replica pauses or is leaving")
 
-// permit returns a function that checks, once the connection is open, that the replica still
+// beforeSend returns a function that checks, once the connection is open, that the replica still
 // accepts a request.
-func (i *Ingress) permit(to *holdoff.Replica) func() error {
+func (i *Ingress) beforeSend(to *holdoff.Replica) func() error {
 	return func() error {
-		if !to.Begin(i.now()) {
+		if !to.TryBegin(i.now()) {
 			return errWithheld
 		}
 		return nil
@@ -51,7 +51,7 @@
 	if reply.Misdirected {
 		return
 	}
-	leaves := from.Hear(s.ingress.now(), s.ingress.wallClock(), reply.Holdoff)
+	leaves := from.Apply(s.ingress.now(), s.ingress.wallClock(), reply.Holdoff)
 	if reply.Holdoff.IsZero() {
 		return
 	}
@@ -70,8 +70,8 @@
 	if i.placer == nil {
 		return
 	}
-	i.placer.NotePlaced(feed.PlaceNote{
-		Service: service, Note: placement.Note{Step: placement.StepLeaving, Replica: replica},
+	i.placer.RecordProgress(feed.PlacementProgress{
+		Service: service, Note: placement.ProgressReport{Step: placement.StepLeaving, Replica: replica},
 	})
 }
 
@@ -93,27 +93,27 @@
 	s.trace.WriteString(" withheld(" + from.name + ")")
 	s.ingress.metrics.withheldSends.WithLabelValues(s.upstream.service, stage).Inc()
 	event.SendWithheld.Log(s.ingress.logger, "request", s.call.ID, "stage", stage, "replica", from.name,
-		"pause_ms", from.holdoff.Pause(s.ingress.now()).Milliseconds(), "leaving", from.holdoff.IsLeaving())
+		"pause_ms", from.holdoff.PauseLeft(s.ingress.now()).Milliseconds(), "leaving", from.holdoff.IsLeaving())
 }
 
 // avoidedReplicas returns the replicas that the control group must not choose: those already
 // tried, those that must be sent nothing (holdoff.Closed), and, if there is an open replica of
-// their role, those to be used only without alternative (holdoff.Doubtful: leaving but still
+// their role, those to be used only without alternative (holdoff.LastResort: leaving but still
 // accepting, or not heard of since a pause).
 func (s *session) avoidedReplicas() []string {
 	now := s.ingress.now()
 	avoided := maps.Clone(s.excluded)
-	doubtful := map[api.EngineRole][]string{}
+	lastResort := map[api.EngineRole][]string{}
 	for _, current := range s.upstream.fleet.inUse() {
 		role := current.spec().Role
 		switch current.holdoff.State(now) {
 		case holdoff.Closed:
 			avoided[current.name] = true
-		case holdoff.Doubtful:
-			doubtful[role] = append(doubtful[role], current.name)
+		case holdoff.LastResort:
+			lastResort[role] = append(lastResort[role], current.name)
 		}
 	}
-	for role, names := range doubtful {
+	for role, names := range lastResort {
 		if !s.hasOpen(role, now) {
 			continue
 		}
@@ -157,7 +157,7 @@
 			isOpen = true
 			return false
 		}
-		pause := current.holdoff.Pause(now)
+		pause := current.holdoff.PauseLeft(now)
 		// Includes a replica that has just refused this request: it may have capacity sooner.
 		isOpen = pause == 0 && current.acceptsRequests(now)
 		if pause > 0 && !current.holdoff.IsLeaving() && (first == 0 || pause < first) {
--- a/process/ingress/belief_test.go
+++ b/process/ingress/belief_test.go
@@ -88,7 +88,7 @@
 	})
 	decoder := newFakeReplica(t, "make", streamEvents(2, ""))
 	env := newModelEnv(t, prefiller, decoder, nil)
-	env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read", Unread: 9000}}
+	env.ingress.placer = &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read", UnreadTokens: 9000}}
 	got := env.do(modelRequest)
 	must.NoError(t, got.err)
 	for _, request := range decoder.requests {
@@ -97,8 +97,8 @@
 	must.Eq(t, http.StatusOK, got.status)
 }
 
-// recordingPlacer records the numbers of the placement requests, and of the notes that the
-// requests are over.
+// recordingPlacer records the numbers of the placement requests, and of the progress reports that
+// the requests are over.
 type recordingPlacer struct {
 	placed []uint64
 	ended  []uint64
@@ -109,9 +109,9 @@
 	return placement.Answer{}, feed.ErrNotPlaced
 }
 
-func (p *recordingPlacer) NotePlaced(note feed.PlaceNote) bool {
-	if note.Note.Step == placement.StepEnded {
-		p.ended = append(p.ended, note.Number)
+func (p *recordingPlacer) RecordProgress(progress feed.PlacementProgress) bool {
+	if progress.Note.Step == placement.StepEnded {
+		p.ended = append(p.ended, progress.Number)
 	}
 	return true
 }
--- a/process/ingress/model_test.go
+++ b/process/ingress/model_test.go
@@ -17,27 +17,27 @@
 	"github.com/shoenig/test/must"
 )
 
-// fakePlacer gives every placement request the same answer and records the notes.
+// fakePlacer gives every placement request the same answer and records the progress reports.
 type fakePlacer struct {
 	answer placement.Answer
 	err    error
 
-	lock  sync.Mutex
-	asks  []placement.Ask
-	notes []placement.Note
+	lock     sync.Mutex
+	requests []placement.Request
+	reports  []placement.ProgressReport
 }
 
 func (p *fakePlacer) Place(_ context.Context, request feed.PlaceRequest) (placement.Answer, error) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	p.asks = append(p.asks, request.Ask)
+	p.requests = append(p.requests, request.Ask)
 	return p.answer, p.err
 }
 
-func (p *fakePlacer) NotePlaced(note feed.PlaceNote) bool {
+func (p *fakePlacer) RecordProgress(progress feed.PlacementProgress) bool {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	p.notes = append(p.notes, note.Note)
+	p.reports = append(p.reports, progress.Note)
 	return true
 }
 
@@ -45,8 +45,8 @@
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	var steps []placement.Step
-	for _, note := range p.notes {
-		steps = append(steps, note.Step)
+	for _, report := range p.reports {
+		steps = append(steps, report.Step)
 	}
 	return steps
 }
@@ -79,7 +79,7 @@
 	prefiller := newFakeReplica(t, "read", answerPrefill)
 	decoder := newFakeReplica(t, "make", streamEvents(2, ""))
 	env := newModelEnv(t, prefiller, decoder, nil)
-	placer := &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read", Unread: 9000}}
+	placer := &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read", UnreadTokens: 9000}}
 	env.ingress.placer = placer
 	got := env.do(modelRequest)
 	must.NoError(t, got.err)
@@ -87,7 +87,7 @@
 	must.Eq(t, "1", prefiller.requests[0].Header.Get(testPrefill))
 	must.Eq(t, prefiller.address()+"/handle-7", decoder.requests[0].Header.Get(testSource))
 	must.Eq(t, "", decoder.requests[0].Header.Get(testPrefill))
-	must.Eq(t, 9000, placer.asks[0].Prompt)
+	must.Eq(t, 9000, placer.requests[0].PromptTokens)
 	must.Eq(t, []placement.Step{placement.StepRead, placement.StepStarted, placement.StepEnded}, placer.steps())
 }
 
@@ -95,7 +95,7 @@
 func TestDecodeReplicaPrefillsAfterFailedPrefill(t *testing.T) {
 	for name, handler := range map[string]http.HandlerFunc{
 		"connection closed": closeConnection, "refused": refuseRun, "failed": answerStatus(500), "no handle": answerOK, "misdirected": answerMisdirected,
-		"handle without a request ID": answerUnnamed, "another request's answer": answerForeign,
+		"handle without a request ID": answerUnnamed, "another request's answer": answerUnmatched,
 	} {
 		t.Run(name, func(t *testing.T) {
 			prefiller := newFakeReplica(t, "read", handler)
@@ -188,7 +188,7 @@
 	answer, err := p.fakePlacer.Place(ctx, request)
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	if len(p.asks) <= p.waits {
+	if len(p.requests) <= p.waits {
 		return placement.Answer{Wait: time.Millisecond}, nil
 	}
 	return answer, err
@@ -200,7 +200,7 @@
 	placer := &waitingPlacer{fakePlacer: fakePlacer{answer: placement.Answer{Generator: "make"}}, waits: 3}
 	env.ingress.placer = placer
 	must.Eq(t, eventTexts(1, 2), env.do(modelRequest).body)
-	must.SliceLen(t, 4, placer.asks)
+	must.SliceLen(t, 4, placer.requests)
 	must.Eq(t, 1, decoder.count())
 }
 
@@ -243,11 +243,11 @@
 		step    placement.Step
 	}{
 		{"no answer", closeConnection, placement.StepFailed},
-		{"failure", answerStatus(500), placement.StepErred},
+		{"failure", answerStatus(500), placement.StepAnsweredError},
 		{"refusal", refuseRun, placement.StepRefused},
 		{"another replica at the address", answerMisdirected, placement.StepMisdirected},
-		{"another request's answer", answerForeign, placement.StepErred},
-		{"connection refused", nil, placement.StepGone},
+		{"another request's answer", answerUnmatched, placement.StepAnsweredError},
+		{"connection refused", nil, placement.StepUnreachable},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -260,12 +260,12 @@
 			env.ingress.placer = placer
 			env.do(modelRequest)
 			must.Eq(t, test.step, placer.steps()[0])
-			must.Eq(t, "make", placer.notes[0].Replica)
+			must.Eq(t, "make", placer.reports[0].Replica)
 		})
 	}
 }
 
-func TestKeptPartsAreReportedOldestFirst(t *testing.T) {
+func TestCachedPartsAreReportedOldestFirst(t *testing.T) {
 	current := newReplica("r", api.ReplicaSpec{}, &holdoff.Replica{})
 	current.noteCachedParts([]Part{{ID: "a", Tokens: 1}, {ID: "b", Tokens: 2}})
 	current.noteCachedParts([]Part{{ID: "a", Tokens: 1}})
@@ -280,23 +280,23 @@
 		handler http.HandlerFunc
 		step    placement.Step
 	}{
-		"refused":     {refuseRun, placement.StepUnread},
-		"failed":      {answerStatus(500), placement.StepUnread},
-		"foreign":     {answerForeign, placement.StepUnread},
-		"no handle":   {answerOK, placement.StepUnread},
+		"refused":     {refuseRun, placement.StepReadSkipped},
+		"failed":      {answerStatus(500), placement.StepReadSkipped},
+		"unmatched":   {answerUnmatched, placement.StepReadSkipped},
+		"no handle":   {answerOK, placement.StepReadSkipped},
 		"no answer":   {closeConnection, placement.StepFailed},
 		"misdirected": {answerMisdirected, placement.StepMisdirected},
-		"not sent":    {nil, placement.StepUnread},
+		"not sent":    {nil, placement.StepReadSkipped},
 	} {
 		t.Run(name, func(t *testing.T) {
 			prefiller := newFakeReplica(t, "read", test.handler)
 			decoder := newFakeReplica(t, "make", streamEvents(2, ""))
 			env := newModelEnv(t, prefiller, decoder, nil)
-			placer := &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read", Unread: 9000}}
+			placer := &fakePlacer{answer: placement.Answer{Generator: "make", Reader: "read", UnreadTokens: 9000}}
 			env.ingress.placer = placer
 			if test.handler == nil {
 				env.withReserve(0)
-				env.ingress.upstreams.get("model").budget.Force(env.ingress.now())
+				env.ingress.upstreams.get("model").budget.CountRetry(env.ingress.now())
 				env.ingress.upstreams.get("model").find("read").failureRate = 1
 			}
 			inFlight := 0
@@ -307,7 +307,7 @@
 			})
 			must.NoError(t, env.do(modelRequest).err)
 			must.Eq(t, []placement.Step{test.step, placement.StepStarted, placement.StepEnded}, placer.steps())
-			must.Eq(t, "read", placer.notes[0].Replica)
+			must.Eq(t, "read", placer.reports[0].Replica)
 			must.Eq(t, 1, inFlight)
 		})
 	}
@@ -319,10 +319,10 @@
 	env := newTestEnv(t, before)
 	must.Eq(t, http.StatusOK, env.do(testRequest{method: "GET", target: "/safe/", id: "q-1"}).status)
 	upstream := env.ingress.upstreams.get("plain")
-	must.True(t, upstream.pool.Idle(before.address()))
+	must.True(t, upstream.pool.HasIdle(before.address()))
 	env.setReplicas(now)
 	must.Eq(t, http.StatusOK, env.do(testRequest{method: "GET", target: "/safe/", id: "q-2"}).status)
-	must.False(t, upstream.pool.Idle(before.address()))
+	must.False(t, upstream.pool.HasIdle(before.address()))
 	must.Eq(t, 1, now.count())
 }
 
--- a/process/ingress/try.go
+++ b/process/ingress/try.go
@@ -97,7 +97,7 @@
 	case s.withheld:
 		return placement.StepEnded
 	case result == verdictNotRun && s.connectionRefused:
-		return placement.StepGone
+		return placement.StepUnreachable
 	case (result == verdictBroken || result == verdictNotRun) && !s.answered:
 		return placement.StepFailed
 	case result == verdictNotRun && s.misdirected:
@@ -105,7 +105,7 @@
 	case result == verdictNotRun:
 		return placement.StepRefused
 	case result == verdictBroken:
-		return placement.StepErred
+		return placement.StepAnsweredError
 	default:
 		return placement.StepEnded
 	}
@@ -195,33 +195,33 @@
 // exchange sends the request to a replica. The pool compares the ID in each answer with the
 // request's ID, so that no answer to another request is returned. Pauses and departures that any
 // of the received answers announce are recorded.
-func (s *session) exchange(ctx context.Context, stage string, to *replica, request *exchange.Request) (*exchange.Answer, error) {
+func (s *session) exchange(ctx context.Context, stage string, to *replica, request *exchange.Request) (*exchange.Response, error) {
 	address := to.spec().Address
 	request.Identity.Repeated = s.contacted[address]
 	s.contacted[address] = true
-	request.Permit = s.ingress.permit(to.holdoff)
-	request.Overheard = func(status int, header http.Header) { s.recordHoldoff(stage, to.holdoff, status, header) }
+	request.BeforeSend = s.ingress.beforeSend(to.holdoff)
+	request.OnLateResponse = func(status int, header http.Header) { s.recordHoldoff(stage, to.holdoff, status, header) }
 	answer, err := s.upstream.pool.Do(ctx, address, request)
 	if err == nil {
-		s.noteForeign(stage, to, answer.Reused, answer.Foreign)
+		s.recordUnmatched(stage, to, answer.Reused, answer.Unmatched)
 		s.recordHoldoff(stage, to.holdoff, answer.Status, answer.Header)
 		return answer, nil
 	}
 	var failure *exchange.Failure
 	if errors.As(err, &failure) {
-		s.noteForeign(stage, to, failure.Reused, failure.Foreign)
+		s.recordUnmatched(stage, to, failure.Reused, failure.Unmatched)
 	}
 	return nil, err
 }
 
-// noteForeign logs and counts foreign answers: those that arrived before this request's answer and
-// name another request or none.
-func (s *session) noteForeign(stage string, from *replica, reused bool, answers []*exchange.ForeignAnswer) {
-	for _, foreign := range answers {
-		s.ingress.metrics.foreignAnswers.WithLabelValues(s.upstream.service, stage).Inc()
+// recordUnmatched logs and counts unmatched responses: those that arrived before this request's
+// answer and name another request or none.
+func (s *session) recordUnmatched(stage string, from *replica, reused bool, answers []*exchange.UnmatchedResponse) {
+	for _, unmatched := range answers {
+		s.ingress.metrics.unmatchedResponses.WithLabelValues(s.upstream.service, stage).Inc()
 		event.ForeignAnswer.Log(s.ingress.logger, "request", s.call.ID, "stage", stage, "replica", from.name,
-			"reused", reused, "answered", foreign.Answered, "status", foreign.Status)
-		s.recordHoldoff(stage, from.holdoff, foreign.Status, foreign.Header)
+			"reused", reused, "answered", unmatched.RequestID, "status", unmatched.Status)
+		s.recordHoldoff(stage, from.holdoff, unmatched.Status, unmatched.Header)
 	}
 }
 
@@ -276,7 +276,7 @@
 	if ctx.Err() != nil {
 		return verdictCallerEnd
 	}
-	s.answered = isForeign(err)
+	s.answered = isUnmatched(err)
 	s.noteUnanswered(target, err, now)
 	return verdictBroken
 }
@@ -284,16 +284,16 @@
 // noteUnanswered records that a replica did not answer the request. One that answered another
 // request instead counts as failed but not as suspect, since it is reachable.
 func (s *session) noteUnanswered(target *replica, err error, now time.Duration) {
-	if isForeign(err) {
+	if isUnmatched(err) {
 		target.noteFailure()
 		return
 	}
 	target.suspect(now)
 }
 
-func isForeign(err error) bool {
-	var foreign *exchange.ForeignAnswer
-	return errors.As(err, &foreign)
+func isUnmatched(err error) bool {
+	var unmatched *exchange.UnmatchedResponse
+	return errors.As(err, &unmatched)
 }
 
 // watchSilence cancels an attempt if its replica has sent nothing at all for some time and the
--- a/request/holdoff/word.go
+++ b/request/holdoff/word.go
@@ -6,13 +6,13 @@
 
 import "time"
 
-// Word holds the restrictions that an answer puts on further requests from its receiver.
-type Word struct {
+// Restrictions holds the restrictions that an answer puts on further requests from its receiver.
+type Restrictions struct {
 	// RetryAfter is how long to send the replica no requests, 0 for no pause.
 	RetryAfter time.Duration
 	// Leaving is true if the replica is about to shut down and accepts no new requests.
 	Leaving bool
 }
 
-// IsZero reports whether the answer puts no restriction on further requests.
-func (w Word) IsZero() bool { return w == Word{} }
+// IsZero reports whether there is no restriction on further requests.
+func (r Restrictions) IsZero() bool { return r == Restrictions{} }
--- a/request/placement/board.go
+++ b/request/placement/board.go
@@ -23,12 +23,12 @@
 	// decodeStartSamples is the number of samples over which that time is averaged in a small
 	// service.
 	decodeStartSamples = 20
-	// defaultKVTokens is the KV cache capacity of a replica if the sheet has none.
+	// defaultKVTokens is the KV cache capacity of a replica if the service parameters have none.
 	defaultKVTokens = 400_000
 	// cachedShare is the share of the KV cache capacity that is assumed to hold cached parts.
 	cachedShare = 0.9
 	// expiryGrace is the time past its deadline after which a request that sent no further
-	// notes is dropped.
+	// progress reports is dropped.
 	expiryGrace = 2 * time.Second
 	// expiryInterval is the minimum time between two searches for such requests.
 	expiryInterval = 100 * time.Millisecond
@@ -36,11 +36,11 @@
 
 // Board tracks all requests in flight to the replicas of one service.
 type Board struct {
-	sheet    Sheet
-	replicas map[string]*replica
-	names    []string // sorted
-	index    *index
-	inFlight map[Key]*placedRequest
+	parameters ServiceParameters
+	replicas   map[string]*replica
+	names      []string // sorted
+	index      *index
+	inFlight   map[Key]*placedRequest
 	// readTimes holds the measured read times by role. The measurement ends at the first token
 	// on decode replicas, and on prefill replicas when the prompt has been read.
 	readTimes [2]readTime
@@ -60,7 +60,7 @@
 
 // placedRequest is a request in flight.
 type placedRequest struct {
-	request       Ask
+	request       Request
 	answer        Answer
 	placedAt      time.Duration
 	expiresAt     time.Duration
@@ -138,8 +138,8 @@
 
 // SetReplicas replaces the list of replicas and keeps the state of those that remain. Put and
 // Remove change single entries of the list.
-func (b *Board) SetReplicas(sheet Sheet, entries []Replica) {
-	b.sheet = sheet
+func (b *Board) SetReplicas(parameters ServiceParameters, entries []Replica) {
+	b.parameters = parameters
 	gone := maps.Clone(b.replicas)
 	for _, entry := range entries {
 		b.Put(entry)
@@ -190,14 +190,14 @@
 
 // Place decides where the request goes and tracks it there until it ends or expires. A request
 // that has to wait or is refused is not tracked. An earlier placement with the same key ends.
-func (b *Board) Place(now time.Duration, key Key, request Ask) Answer {
+func (b *Board) Place(now time.Duration, key Key, request Request) Answer {
 	answer := b.place(now, key, request)
 	b.answers.add(&answer)
 	return answer
 }
 
 // place implements Place, without counting the reply for the summary.
-func (b *Board) place(now time.Duration, key Key, request Ask) Answer {
+func (b *Board) place(now time.Duration, key Key, request Request) Answer {
 	b.expireRequests(now)
 	b.endRequest(now, key)
 	request.surging = b.tenants.recordRequest(now, &request)
@@ -210,13 +210,13 @@
 	}
 	answer := chosen.answer()
 	if chosen.wait == 0 {
-		request.group = b.fairnessOf(now, &request).recordRequest(now, request.Prompt)
+		request.group = b.fairnessOf(now, &request).recordRequest(now, request.PromptTokens)
 	}
 	if answer.Generator == "" {
 		return answer
 	}
 	answer.Deferred = request.deferred
-	answer.Alone = request.Suspect && len(chosen.generator.running) == 0
+	answer.Isolated = request.Suspect && len(chosen.generator.running) == 0
 	p := &placedRequest{request: request, answer: answer, placedAt: now, expiresAt: now + request.Deadline + expiryGrace}
 	p.runningOn = chosen.generator
 	p.queuedOn = chosen.readingReplica()
@@ -235,14 +235,14 @@
 // cacheLimit returns the number of tokens that a replica is assumed to cache. If the capacity is
 // unknown, this is defaultKVTokens, without cachedShare.
 func (b *Board) cacheLimit() int64 {
-	if b.sheet.KVTokens > 0 {
-		return int64(cachedShare * float64(b.sheet.KVTokens))
+	if b.parameters.KVTokens > 0 {
+		return int64(cachedShare * float64(b.parameters.KVTokens))
 	}
 	return defaultKVTokens
 }
 
-// Kept adds parts that a replica is assumed to have cached, the most recently used last.
-func (b *Board) Kept(name string, parts []Part) {
+// AddCachedParts adds parts that a replica is assumed to have cached, the most recently used last.
+func (b *Board) AddCachedParts(name string, parts []Part) {
 	if known := b.replicas[name]; known != nil {
 		known.cache.use(parts, b.cacheLimit())
 	}
@@ -252,9 +252,9 @@
 // after a start already cache a few.
 const minWarmParts = 24
 
-// Cold returns the names of the replicas that have fewer than minWarmParts parts cached and are
-// not leaving, sorted.
-func (b *Board) Cold() []string {
+// ColdReplicas returns the names of the replicas that have fewer than minWarmParts parts cached and
+// are not leaving, sorted.
+func (b *Board) ColdReplicas() []string {
 	var names []string
 	for _, name := range b.names {
 		if known := b.replicas[name]; known.cache.lru.Len() < minWarmParts && !known.isLeaving() {
@@ -264,34 +264,34 @@
 	return names
 }
 
-// Note updates the board with the progress of a request. If the request is not tracked, only what
-// the note says of the replica counts.
-func (b *Board) Note(now time.Duration, key Key, note Note) {
-	if note.Step == StepLeaving {
-		b.recordLeaving(note.Replica)
+// RecordProgress updates the board with the progress of a request. If the request is not tracked,
+// only what the report says of the replica counts.
+func (b *Board) RecordProgress(now time.Duration, key Key, report ProgressReport) {
+	if report.Step == StepLeaving {
+		b.recordLeaving(report.Replica)
 		return
 	}
 	p := b.inFlight[key]
-	switch note.Step {
-	case StepFailed, StepErred, StepRefused, StepMisdirected, StepGone:
-		b.recordFailure(now, note, p)
+	switch report.Step {
+	case StepFailed, StepAnsweredError, StepRefused, StepMisdirected, StepUnreachable:
+		b.recordFailure(now, report, p)
 	}
 	if p == nil {
 		return
 	}
-	if note.Replica != "" && note.Replica == p.answer.Reader {
+	if report.Replica != "" && report.Replica == p.answer.Reader {
 		b.moveReadToGenerator(now, p)
 		return
 	}
-	switch note.Step {
+	switch report.Step {
 	case StepRead:
-		p.queuedOn.recordReportedLoad(now, note.Told)
+		p.queuedOn.recordReportedLoad(now, report.ReportedRequests)
 		b.recordRead(now, p)
 	case StepStarted:
-		p.runningOn.recordReportedLoad(now, note.Told)
+		p.runningOn.recordReportedLoad(now, report.ReportedRequests)
 		b.recordRead(now, p)
 		b.recordStart(now, p)
-	case StepEnded, StepFailed, StepErred, StepRefused, StepMisdirected, StepGone:
+	case StepEnded, StepFailed, StepAnsweredError, StepRefused, StepMisdirected, StepUnreachable:
 		b.endRequest(now, key)
 	}
 }
@@ -309,7 +309,7 @@
 	b.removeFromQueue(now, p)
 	p.placedAt = now
 	p.queuedOn = p.runningOn
-	p.unreadTokens = max(p.request.Prompt-p.runningOn.cache.leadingTokens(p.request.Parts), 0)
+	p.unreadTokens = max(p.request.PromptTokens-p.runningOn.cache.leadingTokens(p.request.Parts), 0)
 	p.queuedOn.enqueue(now, p)
 	p.queuedOn.cache.addPending(p.request.Parts)
 	b.index.move(p.queuedOn)
@@ -343,7 +343,7 @@
 	if reader == nil || p.readAt == 0 || p.adopted {
 		return
 	}
-	transferTime, _ := b.estimateTransfer(p.request.Prompt, reader.Zone, p.runningOn.Zone)
+	transferTime, _ := b.estimateTransfer(p.request.PromptTokens, reader.Zone, p.runningOn.Zone)
 	spent := clampOutlier(now-p.readAt-transferTime-p.backlogAtRead, b.decodeStartTime)
 	b.decodeStartTime += time.Duration(float64(spent-b.decodeStartTime) / sampleWindow(decodeStartSamples, len(b.names)))
 }
@@ -356,7 +356,7 @@
 	if at == nil {
 		return
 	}
-	if holder := b.replicas[p.answer.Fetch]; holder != nil && now-p.placedAt > staleCacheFactor*p.answer.Estimate+staleCacheSlack {
+	if holder := b.replicas[p.answer.FetchFrom]; holder != nil && now-p.placedAt > staleCacheFactor*p.answer.Estimate+staleCacheSlack {
 		holder.cache.drop(p.request.Parts)
 	}
 	b.learnRead(now, p)
