--- a/version/apikey/apikey.go
+++ b/version/apikey/apikey.go
@@ -1,9 +1,9 @@
-// Package apikey knows callers by their API keys without keeping a key.
+// Package apikey identifies tenants by their API keys without storing the keys.
 //
-// A key is known by its digest under a secret: HMAC-SHA-256, cut to 128 bits. Whoever has
-// digests alone can neither use nor try keys. The look-up compares digests in constant
-// time, and what it does before depends on a digest that callers cannot work out, so its
-// time tells nothing of the keys that exist.
+// A key is represented by a keyed digest: HMAC-SHA-256 under a secret, truncated to 128
+// bits. The digests alone allow neither using a key nor testing guesses of it. Lookups
+// compare digests in constant time. The search before that comparison depends only on a
+// digest that callers cannot compute, so its timing reveals nothing about existing keys.
 package apikey
 
 import (
@@ -17,39 +17,40 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// SecretBytes is the length of a secret, that of the hash's output.
+// SecretBytes is the length of a secret, equal to the output size of the hash.
 const SecretBytes = sha256.Size
 
-// NewSecret draws a secret.
+// NewSecret returns a random secret.
 func NewSecret() []byte {
 	secret := make([]byte, SecretBytes)
-	_, _ = rand.Read(secret) // it never fails; see crypto/rand
+	_, _ = rand.Read(secret) // crypto/rand.Read never returns an error
 	return secret
 }
 
-// Digester makes digests under one secret. It is safe for concurrent use.
+// Digester computes key digests under one secret. It is safe for concurrent use.
 type Digester struct {
 	hashes sync.Pool
 }
 
-// NewDigester returns a Digester under the secret.
+// NewDigester returns a Digester that uses secret as its HMAC key.
 func NewDigester(secret []byte) *Digester {
 	return &Digester{hashes: sync.Pool{New: func() any { return hmac.New(sha256.New, secret) }}}
 }
 
-// Digest returns the digest of a key.
+// Digest returns the digest of key.
 func (d *Digester) Digest(key string) api.KeyDigest {
 	mac := d.hashes.Get().(hash.Hash)
 	defer d.hashes.Put(mac)
 	mac.Reset()
-	_, _ = mac.Write([]byte(key)) // a hash takes everything
+	_, _ = mac.Write([]byte(key)) // hash.Hash.Write never returns an error
 	var sum [sha256.Size]byte
 	var digest api.KeyDigest
 	copy(digest[:], mac.Sum(sum[:0]))
 	return digest
 }
 
-// Seal turns tenants with keys into such as are stored: with digests, sorted by name.
+// Seal replaces the tenants' keys by their digests under secret and returns the tenants in
+// their stored form, sorted by name. Digests are sorted and free of duplicates.
 func Seal(secret []byte, tenants []api.TenantKeys) []api.RouteTenant {
 	digester := NewDigester(secret)
 	sealed := make([]api.RouteTenant, 0, len(tenants))
@@ -58,7 +59,7 @@
 		for _, key := range tenants[i].Keys {
 			digests = append(digests, digester.Digest(key))
 		}
-		slices.SortFunc(digests, compare)
+		slices.SortFunc(digests, compareDigests)
 		digests = slices.Compact(digests)
 		sealed = append(sealed, api.RouteTenant{
 			Metadata: api.Metadata{Name: tenants[i].Name},
--- a/version/apikey/apikey_test.go
+++ b/version/apikey/apikey_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-func tenantMap(sealed []api.RouteTenant) map[string]*api.RouteTenant {
+func tenantsByName(sealed []api.RouteTenant) map[string]*api.RouteTenant {
 	tenants := map[string]*api.RouteTenant{}
 	for i := range sealed {
 		tenants[sealed[i].Name] = &sealed[i]
@@ -18,14 +18,14 @@
 	return tenants
 }
 
-func TestKeysAreFoundByTheirDigests(t *testing.T) {
+func TestFindReturnsTenantOfKey(t *testing.T) {
 	secret := NewSecret()
 	sealed := Seal(secret, []api.TenantKeys{
 		{Name: "north", Keys: []string{"n-1", "n-2", "n-1"}}, {Name: "south", Keys: []string{"s-1"}}, {Name: "none"},
 	})
-	must.Eq(t, "none", sealed[0].Name, must.Sprint("sorted, so that equal tenants have equal bytes"))
+	must.Eq(t, "none", sealed[0].Name, must.Sprint("tenants are sorted so that equal sets have equal encodings"))
 	must.Eq(t, 2, sealed[1].Spec.Keys)
-	table := NewTable().Follow(secret, tenantMap(sealed))
+	table := NewTable().Follow(secret, tenantsByName(sealed))
 	must.Eq(t, "north", table.Find("n-2").Name)
 	must.Eq(t, "south", table.Find("s-1").Name)
 	for _, unknown := range []string{"", "n-3", "N-1", "n-1 "} {
@@ -34,16 +34,16 @@
 	must.Nil(t, NewTable().Find(""))
 }
 
-// A digest under one secret is none under another one.
-func TestDigestsNeedTheirSecret(t *testing.T) {
+// A digest computed under one secret must not match under another.
+func TestDigestsDependOnSecret(t *testing.T) {
 	keys := []api.TenantKeys{{Name: "north", Keys: []string{"n-1"}}}
 	sealed := Seal(NewSecret(), keys)
-	must.Nil(t, NewTable().Follow(NewSecret(), tenantMap(sealed)).Find("n-1"))
+	must.Nil(t, NewTable().Follow(NewSecret(), tenantsByName(sealed)).Find("n-1"))
 }
 
-// Whatever changes follow each other, a table knows what one made at once knows, and the
-// tables before it know what they knew.
-func TestFollowingEqualsMakingAnew(t *testing.T) {
+// After any sequence of updates, a table must return the same results as one built from
+// scratch, and its predecessors must be unaffected.
+func TestIncrementalUpdateMatchesFullBuild(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		secret := NewSecret()
 		table := NewTable()
@@ -65,25 +65,26 @@
 			}
 			before := tenants
 			following := table.Follow(secret, next)
-			same(t, table, before)
-			same(t, following, next)
+			requireSameLookups(t, table, before)
+			requireSameLookups(t, following, next)
 			table, tenants = following, next
 		}
 	})
 }
 
-// A key that goes from one tenant to another in one change is the other one's.
-func TestKeysChangeHands(t *testing.T) {
+// A key that one update moves between tenants must belong to the new tenant, whatever the
+// order in which the tenants are processed.
+func TestKeyMovesBetweenTenants(t *testing.T) {
 	secret := NewSecret()
-	table := NewTable().Follow(secret, tenantMap(Seal(secret, []api.TenantKeys{{Name: "a", Keys: []string{"k"}}, {Name: "b"}})))
-	for range 20 { // maps are walked in any order
-		next := table.Follow(secret, tenantMap(Seal(secret, []api.TenantKeys{{Name: "a"}, {Name: "b", Keys: []string{"k"}}})))
+	table := NewTable().Follow(secret, tenantsByName(Seal(secret, []api.TenantKeys{{Name: "a", Keys: []string{"k"}}, {Name: "b"}})))
+	for range 20 { // map iteration order is random
+		next := table.Follow(secret, tenantsByName(Seal(secret, []api.TenantKeys{{Name: "a"}, {Name: "b", Keys: []string{"k"}}})))
 		must.Eq(t, "b", next.Find("k").Name)
 		must.Eq(t, "a", table.Find("k").Name)
 	}
 }
 
-func same(t *rapid.T, table *Table, tenants map[string]*api.RouteTenant) {
+func requireSameLookups(t *rapid.T, table *Table, tenants map[string]*api.RouteTenant) {
 	for number := range 4 {
 		name := fmt.Sprint("tenant-", number)
 		for k := range 40 {
@@ -96,7 +97,7 @@
 	}
 }
 
-func manyTenants(tenants, keys int) (secret []byte, made map[string]*api.RouteTenant) {
+func generateTenants(tenants, keys int) (secret []byte, made map[string]*api.RouteTenant) {
 	secret = NewSecret()
 	var given []api.TenantKeys
 	for i := range tenants {
@@ -106,12 +107,12 @@
 		}
 		given = append(given, tenant)
 	}
-	return secret, tenantMap(Seal(secret, given))
+	return secret, tenantsByName(Seal(secret, given))
 }
 
-// 3,125 tenants with 32 keys each: the target's tenants, 100,000 keys.
+// BenchmarkFind uses 3,125 tenants with 32 keys each: the target load of 100,000 keys.
 func BenchmarkFind(b *testing.B) {
-	secret, tenants := manyTenants(3125, 32)
+	secret, tenants := generateTenants(3125, 32)
 	table := NewTable().Follow(secret, tenants)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -121,9 +122,9 @@
 	}
 }
 
-// A change of 100 keys, of as many tenants.
+// BenchmarkFollow replaces one key of each of 100 tenants.
 func BenchmarkFollow(b *testing.B) {
-	secret, tenants := manyTenants(3125, 32)
+	secret, tenants := generateTenants(3125, 32)
 	table := NewTable().Follow(secret, tenants)
 	next := map[string]*api.RouteTenant{}
 	for name, known := range tenants {
@@ -134,7 +135,7 @@
 		sealed := Seal(secret, []api.TenantKeys{{Name: name, Keys: []string{fmt.Sprint("new-", i)}}})
 		added := *tenants[name]
 		added.Spec.Digests = append(slices.Clone(added.Spec.Digests[1:]), sealed[0].Spec.Digests...)
-		slices.SortFunc(added.Spec.Digests, compare)
+		slices.SortFunc(added.Spec.Digests, compareDigests)
 		next[name] = &added
 	}
 	b.ReportAllocs()
--- a/version/apikey/table.go
+++ b/version/apikey/table.go
@@ -12,44 +12,45 @@
 
 // shards is into how many parts a Table is divided by the first byte of digests. A change
 // of few keys copies few parts.
-const shards = 256
+const shardCount = 256
 
-// Table finds the tenant of a key. It is immutable: Follow returns another one that shares
-// with it what has not changed.
+// Table maps API keys to tenants. It is immutable: Follow returns a new table that shares
+// the unchanged shards with its predecessor.
 type Table struct {
 	secret   []byte
 	digester *Digester
 	tenants  map[string]*api.RouteTenant
-	shards   [shards][]entry // each sorted by digest
+	shards   [shardCount][]entry // each sorted by digest
 }
 
-// entry is one key. The tenant is named, so that one whose rank or other keys change
-// leaves the entry as it is.
+// entry maps the digest of one key to its tenant. It refers to the tenant by name, so it
+// stays valid when the tenant's priority or other keys change.
 type entry struct {
 	digest api.KeyDigest
 	tenant string
 }
 
-// NewTable returns a table that knows no key.
+// NewTable returns an empty table.
 func NewTable() *Table { return &Table{digester: NewDigester(nil)} }
 
-// Follow returns the table of a version's tenants under its secret. The map must not be
-// written to afterwards.
+// Follow returns a table of the given tenants, whose digests were computed under secret. If
+// the secret is unchanged, only the differences from t are applied; otherwise the table is
+// built from scratch. The caller must not modify the map afterwards.
 func (t *Table) Follow(secret []byte, tenants map[string]*api.RouteTenant) *Table {
 	if !bytes.Equal(secret, t.secret) {
 		t = &Table{secret: secret, digester: NewDigester(secret)}
 	}
 	next := *t
 	next.tenants = tenants
-	change := changes{table: &next}
+	editor := tableEditor{table: &next}
 	for name, known := range t.tenants {
 		if tenants[name] != known {
-			change.remove(name, without(known, tenants[name]))
+			editor.remove(name, digestDifference(known, tenants[name]))
 		}
 	}
 	for name, tenant := range tenants {
 		if known := t.tenants[name]; known != tenant {
-			change.add(name, without(tenant, known))
+			editor.add(name, digestDifference(tenant, known))
 		}
 	}
 	return &next
@@ -57,13 +58,13 @@
 
 // without returns the digests of a tenant that another version of it lacks; either may be
 // nil. Both lists are sorted.
-func without(of, other *api.RouteTenant) []api.KeyDigest {
-	if of == nil || other == nil {
-		return digestsOf(of)
+func digestDifference(tenant, other *api.RouteTenant) []api.KeyDigest {
+	if tenant == nil || other == nil {
+		return digestsOf(tenant)
 	}
 	var rest []api.KeyDigest
-	for _, digest := range of.Spec.Digests {
-		if _, found := slices.BinarySearchFunc(other.Spec.Digests, digest, compare); !found {
+	for _, digest := range tenant.Spec.Digests {
+		if _, found := slices.BinarySearchFunc(other.Spec.Digests, digest, compareDigests); !found {
 			rest = append(rest, digest)
 		}
 	}
@@ -79,12 +80,12 @@
 
 // changes writes to a table that nobody else has yet; parts that it shares with the table
 // before are copied first.
-type changes struct {
+type tableEditor struct {
 	table *Table
-	owned [shards]bool
+	owned [shardCount]bool
 }
 
-func (c *changes) shard(digest api.KeyDigest) *[]entry {
+func (c *tableEditor) shard(digest api.KeyDigest) *[]entry {
 	shard := &c.table.shards[digest[0]]
 	if !c.owned[digest[0]] {
 		*shard = slices.Clone(*shard)
@@ -93,21 +94,21 @@
 	return shard
 }
 
-func (c *changes) add(tenant string, digests []api.KeyDigest) {
+func (c *tableEditor) add(tenant string, digests []api.KeyDigest) {
 	for _, digest := range digests {
 		shard := c.shard(digest)
-		*shard = slices.Insert(*shard, place(*shard, digest), entry{digest: digest, tenant: tenant})
+		*shard = slices.Insert(*shard, lowerBound(*shard, digest), entry{digest: digest, tenant: tenant})
 	}
 }
 
-// remove takes out the entries of one tenant: a key may go from one tenant to another in
-// one change.
-func (c *changes) remove(tenant string, digests []api.KeyDigest) {
+// remove deletes the entries that match both digest and tenant. One update may move a key to
+// another tenant, so an entry of the new tenant with the same digest may already exist.
+func (c *tableEditor) remove(tenant string, digests []api.KeyDigest) {
 	for _, digest := range digests {
 		shard := c.shard(digest)
-		gone := entry{digest: digest, tenant: tenant}
-		for at := place(*shard, digest); at < len(*shard) && (*shard)[at].digest == digest; at++ {
-			if (*shard)[at] == gone {
+		removed := entry{digest: digest, tenant: tenant}
+		for at := lowerBound(*shard, digest); at < len(*shard) && (*shard)[at].digest == digest; at++ {
+			if (*shard)[at] == removed {
 				*shard = slices.Delete(*shard, at, at+1)
 				break
 			}
@@ -116,18 +117,18 @@
 }
 
 // place is where the first entry of a digest stands, or would stand.
-func place(shard []entry, digest api.KeyDigest) int {
-	return sort.Search(len(shard), func(i int) bool { return compare(shard[i].digest, digest) >= 0 })
+func lowerBound(shard []entry, digest api.KeyDigest) int {
+	return sort.Search(len(shard), func(i int) bool { return compareDigests(shard[i].digest, digest) >= 0 })
 }
 
-// Find returns the tenant that has the key, nil for none.
+// Find returns the tenant that owns key, or nil if there is none.
 func (t *Table) Find(key string) *api.RouteTenant {
 	digest := t.digester.Digest(key)
 	shard := t.shards[digest[0]]
-	first := sort.Search(len(shard), func(i int) bool { return begin(shard[i].digest) >= begin(digest) })
+	first := sort.Search(len(shard), func(i int) bool { return digestPrefix(shard[i].digest) >= digestPrefix(digest) })
 	var found *api.RouteTenant
 	for _, known := range shard[first:] {
-		if begin(known.digest) != begin(digest) {
+		if digestPrefix(known.digest) != digestPrefix(digest) {
 			break
 		}
 		if subtle.ConstantTimeCompare(known.digest[:], digest[:]) == 1 {
@@ -138,6 +139,6 @@
 }
 
 // begin is the first half of a digest as a number, by which it is looked for.
-func begin(digest api.KeyDigest) uint64 { return binary.BigEndian.Uint64(digest[:8]) }
+func digestPrefix(digest api.KeyDigest) uint64 { return binary.BigEndian.Uint64(digest[:8]) }
 
-func compare(a, b api.KeyDigest) int { return bytes.Compare(a[:], b[:]) }
+func compareDigests(a, b api.KeyDigest) int { return bytes.Compare(a[:], b[:]) }
--- a/version/binenc/binenc.go
+++ b/version/binenc/binenc.go
@@ -1,6 +1,6 @@
-// Package binenc encodes the fields of commands, snapshots and deltas. The
-// encoding is canonical: a value has exactly one encoding and the Reader
-// refuses every other, so equal states have equal bytes.
+// Package binenc implements the binary encoding of commands, snapshots and
+// deltas. The encoding is canonical: each value has exactly one encoding and the
+// Reader rejects all others, so equal states have equal bytes.
 package binenc
 
 import (
@@ -10,13 +10,13 @@
 	"github.com/pkg/errors"
 )
 
-// Errors of a Reader.
+// Errors returned by a Reader.
 var (
 	// ErrTruncated is returned when the input ends before the value does.
 	ErrTruncated = errors.New("binenc: truncated input")
 	// ErrMalformed is returned when bytes are not the canonical encoding of any value.
 	ErrMalformed = errors.New("binenc: malformed input")
-	// ErrTrailing is returned when bytes are left after the last value.
+	// ErrTrailing is returned when unread bytes follow the last value.
 	ErrTrailing = errors.New("binenc: trailing bytes")
 )
 
@@ -26,13 +26,14 @@
 // AppendInt appends v as a zigzag variable-length integer.
 func AppendInt(b []byte, v int64) []byte { return binary.AppendVarint(b, v) }
 
-// AppendFixed appends v in eight bytes; it suits hashes and drawn numbers.
+// AppendFixed appends v as eight big-endian bytes. Use it for hashes and random
+// numbers, whose variable-length encoding would usually be longer.
 func AppendFixed(b []byte, v uint64) []byte { return binary.BigEndian.AppendUint64(b, v) }
 
 // AppendFloat appends the IEEE 754 bits of v.
 func AppendFloat(b []byte, v float64) []byte { return AppendFixed(b, math.Float64bits(v)) }
 
-// AppendBool appends one byte.
+// AppendBool appends v as one byte, 0 or 1.
 func AppendBool(b []byte, v bool) []byte {
 	if v {
 		return append(b, 1)
@@ -61,8 +62,8 @@
 	return b
 }
 
-// Reader reads values from the front of a buffer. The first error is kept and
-// every later read returns zero values, so that callers check Err once.
+// Reader decodes values in sequence from a buffer. After the first error every
+// read returns a zero value, so callers need to check Err only once at the end.
 type Reader struct {
 	rest []byte
 	err  error
@@ -71,10 +72,10 @@
 // NewReader returns a Reader of b. Strings and byte slices that it returns are copies.
 func NewReader(b []byte) *Reader { return &Reader{rest: b} }
 
-// Err returns the first error.
+// Err returns the first error, if any.
 func (r *Reader) Err() error { return r.err }
 
-// Close returns the first error, or ErrTrailing if input is left.
+// Close returns the first error, or ErrTrailing if unread input remains.
 func (r *Reader) Close() error {
 	if r.err == nil && len(r.rest) > 0 {
 		r.Fail(ErrTrailing)
@@ -90,7 +91,7 @@
 	r.rest = nil
 }
 
-// Rest returns the bytes not yet read; they alias the input.
+// Rest returns the unread bytes, which alias the input.
 func (r *Reader) Rest() []byte { return r.rest }
 
 // Byte reads one byte.
@@ -130,7 +131,7 @@
 	return v
 }
 
-// Fixed reads eight bytes.
+// Fixed reads eight big-endian bytes.
 func (r *Reader) Fixed() uint64 {
 	raw := r.take(8)
 	if raw == nil {
@@ -139,10 +140,10 @@
 	return binary.BigEndian.Uint64(raw)
 }
 
-// Float reads the IEEE 754 bits of a number.
+// Float reads the IEEE 754 bits of a float64.
 func (r *Reader) Float() float64 { return math.Float64frombits(r.Fixed()) }
 
-// Bool reads one byte that is 0 or 1.
+// Bool reads one byte, which must be 0 or 1.
 func (r *Reader) Bool() bool {
 	v := r.Byte()
 	if v > 1 {
@@ -154,7 +155,7 @@
 // String reads a string.
 func (r *Reader) String() string { return string(r.take(r.Count(1))) }
 
-// Bytes reads a byte slice; an empty one is nil.
+// Bytes reads a byte slice and returns nil if it is empty.
 func (r *Reader) Bytes() []byte {
 	n := r.Count(1)
 	if n == 0 {
@@ -163,7 +164,7 @@
 	return append([]byte(nil), r.take(n)...)
 }
 
-// Strings reads a list of strings; an empty one is nil.
+// Strings reads a list of strings and returns nil if it is empty.
 func (r *Reader) Strings() []string {
 	n := r.Count(1)
 	var list []string
@@ -173,9 +174,9 @@
 	return list
 }
 
-// Count reads the number of elements that follow. It fails when so many
-// elements of at least minimum bytes cannot be in the input, which bounds what
-// a malformed count can make a caller allocate.
+// Count reads the number of elements that follow, each at least minimum bytes
+// long. It fails if the remaining input is too short for them, which limits how
+// much memory a malformed count can make the caller allocate.
 func (r *Reader) Count(minimum int) int {
 	n := r.Uint()
 	if n > uint64(len(r.rest)/max(minimum, 1)) {
@@ -185,8 +186,8 @@
 	return int(n)
 }
 
-// advance skips the n bytes of an integer as the binary package returns them;
-// it refuses encodings that are longer than needed.
+// advance skips an integer of n bytes, where n is the result of binary.Uvarint or
+// binary.Varint. It rejects encodings that are longer than necessary.
 func (r *Reader) advance(n int) bool {
 	switch {
 	case r.err != nil:
--- a/version/binenc/ingress.go
+++ b/version/binenc/ingress.go
@@ -4,7 +4,7 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// Least sizes in bytes of encoded list elements.
+// Minimum encoded sizes of list elements, in bytes.
 const (
 	minimumRouteBytes   = 12
 	minimumServiceBytes = 4
--- a/version/binenc/object.go
+++ b/version/binenc/object.go
@@ -7,7 +7,7 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// Tags of the object that follows.
+// Type tags, written before each encoded object. They are part of the stored format.
 const (
 	tagIntent byte = iota + 1
 	tagEngine
@@ -24,8 +24,8 @@
 	tagSuspect
 )
 
-// AppendObject appends the object that is set. It panics if none is, since
-// callers store and send only objects whose key was checked.
+// AppendObject appends a type tag and the object that is set. It panics if none
+// is set, because callers check the object's key before they store or send it.
 func AppendObject(b []byte, o api.Object) []byte {
 	switch {
 	case o.Intent != nil:
@@ -58,7 +58,7 @@
 	panic("binenc: object without a kind")
 }
 
-// Object reads an object.
+// Object reads a type tag and the object that follows it.
 func (r *Reader) Object() api.Object {
 	switch r.Byte() {
 	case tagIntent:
@@ -92,7 +92,8 @@
 	return api.Object{}
 }
 
-// AppendKey appends the key of an object.
+// AppendKey appends the key of an object. The kind is encoded as its position in
+// api.Kinds, counted from 1.
 func AppendKey(b []byte, key api.Key) []byte {
 	b = append(b, byte(slices.Index(api.Kinds, key.Kind)+1))
 	return AppendString(b, key.Name)
--- a/version/binenc/tenant.go
+++ b/version/binenc/tenant.go
@@ -2,7 +2,7 @@
 
 import "github.com/landingtrail/landingtrail/version/api"
 
-// AppendRouteTenant appends a tenant of the routes.
+// AppendRouteTenant appends a RouteTenant.
 func AppendRouteTenant(b []byte, o *api.RouteTenant) []byte {
 	b = appendMetadata(b, o.Metadata)
 	b = appendPriority(b, o.Spec.Priority)
@@ -14,7 +14,7 @@
 	return appendQuota(b, o.Spec.Quota)
 }
 
-// RouteTenant reads a tenant of the routes.
+// RouteTenant reads a RouteTenant.
 func (r *Reader) RouteTenant() *api.RouteTenant {
 	o := &api.RouteTenant{Metadata: r.metadata()}
 	o.Spec.Priority = r.priority()
--- a/version/compress/compress.go
+++ b/version/compress/compress.go
@@ -1,5 +1,5 @@
-// Package compress packs documents and deltas whose bytes are mostly text. It
-// wraps the standard library's DEFLATE with a bound on what is unpacked.
+// Package compress compresses documents and deltas that consist mostly of text.
+// It uses DEFLATE and limits the size of decompressed data.
 package compress
 
 import (
@@ -11,32 +11,32 @@
 	"github.com/pkg/errors"
 )
 
-// ErrTooLarge says that the unpacked bytes would be more than the limit.
+// ErrTooLarge is returned when the decompressed data exceeds the limit.
 var ErrTooLarge = errors.New("compress: unpacked bytes exceed the limit")
 
 // writers keeps packers, which hold large tables.
-var writers = sync.Pool{New: func() any {
+var writerPool = sync.Pool{New: func() any {
 	writer, err := flate.NewWriter(io.Discard, flate.BestSpeed)
 	if err != nil {
-		panic("compress: the level is a constant: " + err.Error())
+		panic("compress: create DEFLATE writer: " + err.Error())
 	}
 	return writer
 }}
 
-// Pack returns the packed bytes.
+// Pack returns data compressed with DEFLATE.
 func Pack(data []byte) []byte {
 	var packed bytes.Buffer
-	writer := writers.Get().(*flate.Writer)
-	defer writers.Put(writer)
+	writer := writerPool.Get().(*flate.Writer)
+	defer writerPool.Put(writer)
 	writer.Reset(&packed)
-	// A buffer takes everything, so neither call can fail.
+	// Writing to a bytes.Buffer returns no error, so neither call can fail.
 	_, _ = writer.Write(data)
 	_ = writer.Close()
 	return packed.Bytes()
 }
 
-// Unpack returns what was packed. It returns ErrTooLarge for more than limit
-// bytes, and otherwise an error for bytes that Pack did not make.
+// Unpack decompresses the output of Pack. It returns ErrTooLarge if the result
+// exceeds limit bytes, and another error if packed is not valid DEFLATE data.
 func Unpack(packed []byte, limit int) ([]byte, error) {
 	reader := flate.NewReader(bytes.NewReader(packed))
 	data, err := io.ReadAll(io.LimitReader(reader, int64(limit)+1))
--- a/version/compress/compress_test.go
+++ b/version/compress/compress_test.go
@@ -18,18 +18,18 @@
 	})
 }
 
-func TestTextGetsSmaller(t *testing.T) {
+func TestPackCompressesText(t *testing.T) {
 	text := []byte(strings.Repeat(`{"name":"r-1","hostname":"a.example"},`, 200))
 	must.Less(t, len(text)/10, len(Pack(text)))
 }
 
-func TestUnpackBoundsWhatItMakes(t *testing.T) {
+func TestUnpackEnforcesLimit(t *testing.T) {
 	packed := Pack(make([]byte, 1<<20))
 	_, err := Unpack(packed, 1<<10)
 	must.ErrorIs(t, err, ErrTooLarge)
 }
 
-func TestUnpackRefusesOtherBytes(t *testing.T) {
+func TestUnpackRejectsInvalidInput(t *testing.T) {
 	_, err := Unpack([]byte("no packed bytes"), 1<<10)
 	must.Error(t, err)
 	packed := Pack([]byte("whole"))
