--- a/version/api/embedding_test.go
+++ b/version/api/embedding_test.go
@@ -17,7 +17,7 @@
 	root   = "../../"
 )
 
-// embeddable lists the packages that other programs can use on their own.
+// embeddable lists the packages that other programs can import as a library.
 var embeddable = []string{
 	"process/controller", "process/raft", "process/replica", "process/snap", "process/wal",
 	"request/attempt", "request/limit", "request/prefix", "request/retry", "request/router",
@@ -25,8 +25,8 @@
 	"version/subset", "version/view",
 }
 
-// forbidden lists what they must not bring along, also not by way of another
-// package of the project: the service framework, settings, the command line, the
+// forbidden lists the import path prefixes that embeddable packages must not import,
+// directly or transitively: the service framework, settings, the command line, the
 // event log and the lab.
 var forbidden = []string{
 	"github.com/zeromicro/go-zero",
@@ -56,8 +56,8 @@
 	}
 }
 
-// visit records what the package and the project's packages below it import, and
-// which package imports it.
+// visit maps the direct and transitive imports of the package in folder to a
+// package that imports them. It follows only imports within the project.
 func visit(t *testing.T, folder string, path map[string]string) {
 	t.Helper()
 	for _, name := range goFiles(t, folder) {
@@ -77,7 +77,7 @@
 	}
 }
 
-// goFiles returns the package's files without its tests.
+// goFiles returns the paths of the package's Go files, excluding tests.
 func goFiles(t *testing.T, folder string) []string {
 	t.Helper()
 	entries, err := os.ReadDir(filepath.Join(root, folder))
--- a/version/api/ingress.go
+++ b/version/api/ingress.go
@@ -1,7 +1,7 @@
 package api
 
-// Ingress is the whole configuration of the routes that callers reach: there is
-// one, and it is replaced as a whole. The one with the highest generation holds.
+// Ingress is the configuration of all client-facing routes. There is a single
+// Ingress, which is replaced as a whole; the highest generation takes effect.
 type Ingress struct {
 	Metadata `json:"metadata" yaml:"metadata"`
 	Spec     IngressSpec `json:"spec" yaml:"spec"`
@@ -10,29 +10,30 @@
 // IngressName is the name of the only Ingress.
 const IngressName = "ingress"
 
-// IngressSpec is what an operator wants of all routes together.
+// IngressSpec is the configuration that an operator submits.
 type IngressSpec struct {
 	// Generation orders configurations. A higher one replaces a lower one.
 	Generation uint64         `json:"generation" yaml:"generation"`
 	Routes     []Route        `json:"routes" yaml:"routes"`
 	Services   []RouteService `json:"services" yaml:"services"`
 	Limits     IngressLimits  `json:"limits" yaml:"limits"`
-	// KeysRequired is true where a request brings the API key of a tenant, unless its
-	// route is public.
+	// KeysRequired makes an API key of a tenant mandatory for requests, except on public
+	// routes.
 	KeysRequired bool `json:"keysRequired,omitempty" yaml:"keysRequired,omitempty"`
-	// KeySecret is what digests of API keys are made under. The group draws it once and
-	// hands it to proxies alone.
+	// KeySecret is the HMAC key of the API key digests. The group generates it once and
+	// distributes it only to proxies.
 	KeySecret []byte `json:"-" yaml:"-"`
-	// Tenants, with their keys, stand only in a spec that is sent. The group stores them
-	// as RouteTenants, which hold digests.
+	// Tenants and their keys are set only in a submitted spec. The group stores them as
+	// RouteTenants, which hold key digests instead.
 	Tenants []TenantKeys `json:"tenants,omitempty" yaml:"tenants,omitempty"`
-	// Source is the document from which the operator's automation made the
-	// spec; it may be empty. It stands only in a spec that is sent, or that was read
-	// back: the group keeps it packed, out of views, and hands it out as it came.
+	// Source is the document from which the operator's automation generated the
+	// spec; it may be empty. It is set only in a spec that is submitted or read
+	// back: the group stores it compressed, omits it from views and returns it
+	// unchanged.
 	Source []byte `json:"source,omitempty" yaml:"source,omitempty"`
 }
 
-// RouteKind says what may be done with a request of a route.
+// RouteKind determines whether a request may be retried and how it is answered.
 type RouteKind string
 
 // Kinds of routes.
@@ -42,28 +43,28 @@
 	RouteStreaming RouteKind = "streaming" // answered by a stream of events
 )
 
-// Route takes the requests of a host whose path begins with a prefix.
+// Route matches the requests for a host whose path begins with a prefix.
 type Route struct {
 	Name string `json:"name" yaml:"name"`
 	Host string `json:"host" yaml:"host"`
-	// PathPrefix begins and ends with a slash; the longest that fits holds.
+	// PathPrefix begins and ends with a slash; the longest matching prefix wins.
 	PathPrefix string    `json:"pathPrefix" yaml:"pathPrefix"`
 	Kind       RouteKind `json:"kind" yaml:"kind"`
-	// Priority is the rank in queues and engines, 0 the most urgent.
+	// Priority is the priority in queues and engines; 0 is the most urgent.
 	Priority int `json:"priority" yaml:"priority"`
-	// TimeoutMilliseconds bounds how long a request is held.
+	// TimeoutMilliseconds limits the total time of a request.
 	TimeoutMilliseconds int64 `json:"timeoutMilliseconds" yaml:"timeoutMilliseconds"`
-	// ObjectiveMilliseconds is the latency objective: to the answer, or to the
-	// first event of a stream. GapMilliseconds is the objective between events.
+	// ObjectiveMilliseconds is the latency objective until the response, or until
+	// the first event of a stream. GapMilliseconds is the objective between events.
 	ObjectiveMilliseconds int64 `json:"objectiveMilliseconds,omitempty" yaml:"objectiveMilliseconds,omitempty"`
 	GapMilliseconds       int64 `json:"gapMilliseconds,omitempty" yaml:"gapMilliseconds,omitempty"`
-	// Attempts is how many replicas one request may be sent to.
+	// Attempts is the maximum number of replicas that one request is sent to.
 	Attempts int `json:"attempts" yaml:"attempts"`
-	// Affinity asks that requests that share a prompt prefix share a replica.
+	// Affinity routes requests with a common prompt prefix to the same replica.
 	Affinity bool `json:"affinity,omitempty" yaml:"affinity,omitempty"`
 	// Resumable streams may be continued on another replica.
 	Resumable bool `json:"resumable,omitempty" yaml:"resumable,omitempty"`
-	// Public routes take requests without an API key.
+	// Public routes accept requests without an API key.
 	Public   bool           `json:"public,omitempty" yaml:"public,omitempty"`
 	Backends []RouteBackend `json:"backends" yaml:"backends"`
 }
@@ -73,53 +74,53 @@
 	return r.Kind == RouteSafe || r.Kind == RouteStreaming && r.Resumable
 }
 
-// RouteBackend is a service that takes a share of a route's requests.
+// RouteBackend is a service that receives a weighted share of a route's requests.
 type RouteBackend struct {
 	Service string `json:"service" yaml:"service"`
 	Weight  int    `json:"weight" yaml:"weight"`
 }
 
-// RouteService is a service that routes lead to. Its replicas are found by the
-// platform's list; see Replica.
+// RouteService is a service that routes refer to. Its replicas are discovered from
+// the platform's list; see Replica.
 type RouteService struct {
 	Name       string `json:"name" yaml:"name"`
 	HealthPath string `json:"healthPath,omitempty" yaml:"healthPath,omitempty"`
-	// MaxConnections is how many connections one replica takes of all proxies.
+	// MaxConnections limits the connections to one replica from all proxies together.
 	MaxConnections int `json:"maxConnections,omitempty" yaml:"maxConnections,omitempty"`
 	// Model describes the replicas of a model service; nil for others.
 	Model *ModelSheet `json:"model,omitempty" yaml:"model,omitempty"`
-	// Scaling says how many replicas may be had, and for what; nil where their number is
-	// not ours to say.
+	// Scaling bounds the number of replicas and gives their prices; nil if the group does
+	// not control their number.
 	Scaling *ScalingSheet `json:"scaling,omitempty" yaml:"scaling,omitempty"`
 }
 
-// ScalingSheet bounds and prices the replicas of a service. Those that may be withdrawn all
-// at once in a zone cost less than those that last.
+// ScalingSheet holds the limits and prices of a service's replicas. Withdrawable replicas,
+// all of which a zone may lose at once, cost less than lasting ones.
 type ScalingSheet struct {
-	// Min and Max bound the replicas of one zone, of both kinds together.
+	// Min and Max bound the number of replicas per zone, both kinds together.
 	Min int `json:"min" yaml:"min"`
 	Max int `json:"max" yaml:"max"`
-	// BootMillis is how long a new replica takes to serve.
+	// BootMillis is the time until a new replica can serve requests.
 	BootMillis int64 `json:"bootMilliseconds" yaml:"bootMilliseconds"`
-	// WithdrawablePrice is what a replica that may be withdrawn costs of one that lasts;
-	// 0 where there are none.
+	// WithdrawablePrice is the price of a withdrawable replica as a fraction of that of a
+	// lasting one; 0 if there are no withdrawable replicas.
 	WithdrawablePrice float64 `json:"withdrawablePrice,omitempty" yaml:"withdrawablePrice,omitempty"`
-	// ZonePrices are what a lasting replica costs in each zone, in any unit.
+	// ZonePrices is the price of a lasting replica in each zone, in any unit.
 	ZonePrices map[string]float64 `json:"zonePrices,omitempty" yaml:"zonePrices,omitempty"`
 }
 
-// ModelSheet is what is said of the replicas of a model service beforehand.
+// ModelSheet holds the configured properties of a model service's replicas.
 type ModelSheet struct {
 	Slots          int     `json:"slots" yaml:"slots"`
 	KVTokens       int64   `json:"kvTokens" yaml:"kvTokens"`
 	KVBytesPerTok  int64   `json:"kvBytesPerToken" yaml:"kvBytesPerToken"`
 	LinkMbps       float64 `json:"linkMbps" yaml:"linkMbps"`
-	HandoverMillis int64   `json:"handoverMilliseconds" yaml:"handoverMilliseconds"` // how long a KV handle lasts
-	SwitchMillis   int64   `json:"switchMilliseconds" yaml:"switchMilliseconds"`     // how long a change of role takes
+	HandoverMillis int64   `json:"handoverMilliseconds" yaml:"handoverMilliseconds"` // lifetime of a KV handle
+	SwitchMillis   int64   `json:"switchMilliseconds" yaml:"switchMilliseconds"`     // duration of a role change
 	Backups        bool    `json:"backups,omitempty" yaml:"backups,omitempty"`
 }
 
-// IngressLimits bound what a caller may send and how long it may take.
+// IngressLimits bounds the size and the timing of client requests.
 type IngressLimits struct {
 	MaxHeaderBytes     int64 `json:"maxHeaderBytes,omitempty" yaml:"maxHeaderBytes,omitempty"`
 	MaxBodyBytes       int64 `json:"maxBodyBytes,omitempty" yaml:"maxBodyBytes,omitempty"`
@@ -127,20 +128,20 @@
 	IdleMilliseconds   int64 `json:"idleMilliseconds,omitempty" yaml:"idleMilliseconds,omitempty"`
 }
 
-// ReplaceCode says what became of a replacement of the Ingress.
+// ReplaceCode is the outcome of a replacement of the Ingress.
 type ReplaceCode string
 
-// Outcomes of a replacement. All but ReplaceInvalid are acknowledged.
+// Outcomes of a replacement. All except ReplaceInvalid are acknowledged.
 const (
-	ReplaceApplied    ReplaceCode = "applied"    // it holds now
-	ReplaceSuperseded ReplaceCode = "superseded" // an equal or higher generation holds; nothing has changed
-	ReplaceInvalid    ReplaceCode = "invalid"    // faults in fields; nothing has changed
+	ReplaceApplied    ReplaceCode = "applied"    // the new Ingress is in effect
+	ReplaceSuperseded ReplaceCode = "superseded" // an equal or higher generation is in effect; nothing changed
+	ReplaceInvalid    ReplaceCode = "invalid"    // validation errors; nothing changed
 )
 
-// ReplaceResult answers a replacement of the Ingress.
+// ReplaceResult is the response to a replacement of the Ingress.
 type ReplaceResult struct {
 	Code ReplaceCode `json:"code"`
-	// Generation is the one that holds now.
+	// Generation is the generation that is now in effect.
 	Generation uint64       `json:"generation"`
 	Faults     []FieldFault `json:"faults,omitempty"`
 }
--- a/version/api/metadata.go
+++ b/version/api/metadata.go
@@ -1,7 +1,8 @@
-// Package api holds the objects that operators write and the system keeps:
-// intents, engines, services, classes and tenants. Each has metadata, a spec
-// (what is wanted) and a status (what is observed); writes are compare-and-set
-// on the metadata's revision.
+// Package api defines the objects of the control group's state and their
+// validation. Operators write intents, engines, services, classes and tenants in
+// transactions; the other kinds are replaced as a whole or observed by the group.
+// Objects have metadata, a spec and, for some kinds, a status with the observed
+// state. Writes are compare-and-set on the metadata's revision.
 package api
 
 // Kind names a type of object.
@@ -28,8 +29,8 @@
 // Kinds lists every kind in the order in which tables print them.
 var Kinds = []Kind{KindIntent, KindEngine, KindService, KindClass, KindTenant, KindIngress, KindReplica, KindProxy, KindMember, KindQuarantine, KindRouteTenant, KindCapacity, KindSuspect}
 
-// IsWritable reports whether transactions write objects of the kind. The others
-// are replaced as a whole or observed by the group itself.
+// IsWritable reports whether transactions can write objects of the kind. Other
+// kinds are replaced as a whole or observed by the control group.
 func IsWritable(kind Kind) bool {
 	switch kind {
 	case KindIntent, KindEngine, KindService, KindClass, KindTenant:
@@ -45,8 +46,8 @@
 type Metadata struct {
 	Name   string `json:"name" yaml:"name"`
 	Labels Labels `json:"labels,omitempty" yaml:"labels,omitempty"`
-	// Revision is the log index of the object's last accepted write; 0 in a
-	// write means that the object must not exist yet.
+	// Revision is the log index of the object's last accepted write. In a
+	// write, 0 means that the object must not exist yet.
 	Revision uint64 `json:"revision,omitempty" yaml:"revision,omitempty"`
 }
 
@@ -59,9 +60,9 @@
 // String returns "kind/name".
 func (k Key) String() string { return string(k.Kind) + "/" + k.Name }
 
-// Selector matches labels: all of MatchLabels and all of MatchExpressions. An
-// empty selector matches nothing, so that a forgotten selector cannot take the
-// whole fleet; use the operator Exists or All to match widely.
+// Selector matches objects whose labels satisfy all of MatchLabels and all of
+// MatchExpressions. An empty selector matches nothing, so that an omitted selector
+// cannot select the whole fleet; use All or the operator Exists to match widely.
 type Selector struct {
 	MatchLabels      Labels        `json:"matchLabels,omitempty" yaml:"matchLabels,omitempty"`
 	MatchExpressions []Requirement `json:"matchExpressions,omitempty" yaml:"matchExpressions,omitempty"`
@@ -69,7 +70,7 @@
 	All bool `json:"all,omitempty" yaml:"all,omitempty"`
 }
 
-// Operator relates a label to values.
+// Operator compares a label with the values of a Requirement.
 type Operator string
 
 // Operators of a Requirement.
--- a/version/api/objects.go
+++ b/version/api/objects.go
@@ -1,10 +1,11 @@
 package api
 
-// EngineRole is the part an engine plays in serving a model.
+// EngineRole is the inference phase that an engine performs.
 type EngineRole string
 
-// Roles of an engine. A prefill engine reads prompts and exports their KV
-// cache; a decode engine imports it and generates; a mixed engine does both.
+// Roles of an engine. A prefill engine processes prompts and exports their KV
+// cache, a decode engine imports the cache and generates tokens, and a mixed
+// engine does both.
 const (
 	RoleNone    EngineRole = ""
 	RolePrefill EngineRole = "prefill"
@@ -12,8 +13,8 @@
 	RoleMixed   EngineRole = "mixed"
 )
 
-// Assignment is everything an engine is told to be: one role, one model, one
-// version and its adapters.
+// Assignment is the complete configuration that an engine is given: a role, a
+// model, its version and its adapters.
 type Assignment struct {
 	Model    string     `json:"model" yaml:"model"`
 	Version  string     `json:"version" yaml:"version"`
@@ -21,7 +22,8 @@
 	Role     EngineRole `json:"role" yaml:"role"`
 }
 
-// Equal reports whether both assignments ask for the same.
+// Equal reports whether the assignments are identical, including the order of
+// their adapters.
 func (a Assignment) Equal(b Assignment) bool {
 	if a.Model != b.Model || a.Version != b.Version || a.Role != b.Role || len(a.Adapters) != len(b.Adapters) {
 		return false
@@ -34,34 +36,34 @@
 	return true
 }
 
-// Intent says which model, adapters and version the selected engines serve, in
-// which roles, and for which classes of callers.
+// Intent declares which model, version and adapters the selected engines serve,
+// in which roles and for which request classes.
 type Intent struct {
 	Metadata `json:"metadata" yaml:"metadata"`
 	Spec     IntentSpec   `json:"spec" yaml:"spec"`
 	Status   IntentStatus `json:"status" yaml:"-"`
 }
 
-// IntentSpec is what an operator wants.
+// IntentSpec is the state that an operator wants.
 type IntentSpec struct {
 	Engines  Selector `json:"engines" yaml:"engines"`
 	Classes  Selector `json:"classes" yaml:"classes"`
 	Model    string   `json:"model" yaml:"model"`
 	Version  string   `json:"version" yaml:"version"`
 	Adapters []string `json:"adapters,omitempty" yaml:"adapters,omitempty"`
-	// Roles lists the roles the planner may give to the engines. With one
-	// role the split is fixed.
+	// Roles lists the roles that the planner may assign to the engines. With a
+	// single role the planner has no choice.
 	Roles []EngineRole `json:"roles" yaml:"roles"`
-	// MaxUnavailable is the disruption budget: how many of the engines may be
-	// away for a planned change at once. 0 means the default, 1.
+	// MaxUnavailable is the disruption budget: the number of engines that
+	// planned changes may make unavailable at the same time. 0 means the default, 1.
 	MaxUnavailable int `json:"maxUnavailable,omitempty" yaml:"maxUnavailable,omitempty"`
-	// ChangeCost weighs a role change against goodput: the seconds of one
-	// engine's work that a change must win before it is made, beside the
-	// seconds it takes the engine away.
+	// ChangeCost is the minimum gain in goodput, in seconds of one engine's
+	// work, that justifies a role change. It is added to the seconds for which
+	// the change makes the engine unavailable.
 	ChangeCost float64 `json:"changeCost,omitempty" yaml:"changeCost,omitempty"`
 }
 
-// IntentStatus is what is observed.
+// IntentStatus is the observed state of an intent's engines.
 type IntentStatus struct {
 	Engines    int `json:"engines"`
 	Assigned   int `json:"assigned"`
@@ -69,62 +71,63 @@
 	Unassigned int `json:"unassigned"`
 }
 
-// Engine is one language-model engine replica.
+// Engine is one replica of a language-model inference engine.
 type Engine struct {
 	Metadata `json:"metadata" yaml:"metadata"`
 	Spec     EngineSpec   `json:"spec" yaml:"spec"`
 	Status   EngineStatus `json:"status" yaml:"-"`
 }
 
-// EngineSpec says where an engine is.
+// EngineSpec holds the location of an engine and whether it is to be drained.
 type EngineSpec struct {
 	// Address is the IP and port of the engine's HTTP server.
 	Address string `json:"address" yaml:"address"`
 	Zone    string `json:"zone" yaml:"zone"`
 	Service string `json:"service" yaml:"service"`
-	// Drain asks that the engine take no new work; set by "landingtrail drain".
+	// Drain stops the engine from accepting new requests; set by "landingtrail drain".
 	Drain bool `json:"drain,omitempty" yaml:"drain,omitempty"`
 }
 
-// EnginePhase is where an engine stands in its life.
+// EnginePhase is the lifecycle phase of an engine.
 type EnginePhase string
 
 // Phases of an engine.
 const (
-	PhaseUnknown  EnginePhase = ""         // not heard from
+	PhaseUnknown  EnginePhase = ""         // no report received yet
 	PhaseIdle     EnginePhase = "idle"     // no assignment
 	PhaseServing  EnginePhase = "serving"  // admits requests
-	PhaseDraining EnginePhase = "draining" // finishes what it has, admits nothing
-	PhaseChanging EnginePhase = "changing" // loads or changes role
-	PhaseLeaving  EnginePhase = "leaving"  // its machine is being taken away
+	PhaseDraining EnginePhase = "draining" // finishes running requests, admits no new ones
+	PhaseChanging EnginePhase = "changing" // loads a model or changes role
+	PhaseLeaving  EnginePhase = "leaving"  // the platform is removing its machine
 	PhaseGone     EnginePhase = "gone"     // not on the platform's list
 )
 
-// EngineStatus is what was last committed about an engine.
+// EngineStatus is the last committed status of an engine.
 type EngineStatus struct {
 	Phase EnginePhase `json:"phase"`
 	// MachinePhase is PhaseLeaving or PhaseGone while the platform lists the
-	// engine's machine as such; it then stands over the engine's own word.
+	// engine's machine as such; it then overrides the phase that the engine reports.
 	MachinePhase EnginePhase `json:"machinePhase,omitempty"`
-	// Incarnation is drawn anew at each start of the engine's process.
+	// Incarnation is a random number, generated at each start of the engine's process.
 	Incarnation uint64     `json:"incarnation,string"`
 	Assignment  Assignment `json:"assignment"`
-	// Fence is the highest fence the engine has confirmed.
+	// Fence is the highest fence that the engine has acknowledged.
 	Fence Fence `json:"fence"`
-	// OpenOrder is the order committed and not yet closed, if any.
+	// OpenOrder is the committed order that is not yet completed, if any.
 	OpenOrder *Order `json:"openOrder,omitempty"`
-	// UnmatchedSince is the revision from which no intent selected the engine; 0 if one does.
+	// UnmatchedSince is the revision since which no intent has selected the engine; 0 if one does.
 	UnmatchedSince uint64 `json:"unmatchedSince,omitempty"`
 }
 
-// Fence orders the orders: a pair that is given when an order is committed and
-// never by a clock. An engine refuses every order whose fence is not above its own.
+// Fence is a fencing token that puts orders in sequence. It is assigned from the
+// log position when an order is committed, never from a clock. An engine rejects
+// an order whose fence is not greater than its own.
 type Fence struct {
 	Term  uint64 `json:"term"`
 	Index uint64 `json:"index"`
 }
 
-// Less reports whether f is older than g.
+// Less reports whether f precedes g.
 func (f Fence) Less(g Fence) bool {
 	if f.Term != g.Term {
 		return f.Term < g.Term
@@ -132,20 +135,21 @@
 	return f.Index < g.Index
 }
 
-// IsZero reports whether no fence was given yet.
+// IsZero reports whether no fence has been assigned.
 func (f Fence) IsZero() bool { return f == Fence{} }
 
-// Order tells one engine, in one incarnation, what to be.
+// Order gives an assignment to one incarnation of an engine.
 type Order struct {
 	Fence       Fence      `json:"fence"`
 	Engine      string     `json:"engine"`
 	Incarnation uint64     `json:"incarnation,string"`
 	Assignment  Assignment `json:"assignment"`
-	// Reason says why the planner asked for the change.
+	// Reason explains why the planner requested the change.
 	Reason string `json:"reason,omitempty"`
 }
 
-// ServiceType separates model work from everything that must not wait behind it.
+// ServiceType separates model services from plain ones, whose requests must not
+// queue behind model requests.
 type ServiceType string
 
 // Types of services.
@@ -154,19 +158,19 @@
 	ServiceBackend ServiceType = "backend"
 )
 
-// Service is a named group of back ends: engines, or plain HTTP servers.
+// Service is a named group of backends: engines or plain HTTP servers.
 type Service struct {
 	Metadata `json:"metadata" yaml:"metadata"`
 	Spec     ServiceSpec   `json:"spec" yaml:"spec"`
 	Status   ServiceStatus `json:"status" yaml:"-"`
 }
 
-// ServiceSpec says where a service's back ends are. Engines of a model service
-// are Engine objects that name the service.
+// ServiceSpec lists the backends of a plain service. The engines of a model
+// service are Engine objects that refer to the service by name.
 type ServiceSpec struct {
 	Type     ServiceType `json:"type" yaml:"type"`
 	Backends []Backend   `json:"backends,omitempty" yaml:"backends,omitempty"`
-	// MaxInFlight bounds the requests of one proxy in this service's lane; 0 means the default.
+	// MaxInFlight limits the concurrent requests of one proxy to this service; 0 means the default.
 	MaxInFlight int `json:"maxInFlight,omitempty" yaml:"maxInFlight,omitempty"`
 }
 
@@ -177,50 +181,50 @@
 	Zone    string `json:"zone" yaml:"zone"`
 }
 
-// ServiceStatus lists the back ends that are leaving or gone.
+// ServiceStatus lists the backends that are being removed or are gone.
 type ServiceStatus struct {
 	Leaving []string `json:"leaving,omitempty"`
 	Gone    []string `json:"gone,omitempty"`
 }
 
-// Class is a kind of request of one service.
+// Class is a class of requests to one service.
 type Class struct {
 	Metadata `json:"metadata" yaml:"metadata"`
 	Spec     ClassSpec `json:"spec" yaml:"spec"`
 }
 
-// ClassSpec says how requests of a class are treated.
+// ClassSpec defines how the requests of a class are scheduled.
 type ClassSpec struct {
 	Service string `json:"service" yaml:"service"`
-	// Priority orders classes in queues and engines; higher goes first.
+	// Priority orders classes in queues and engines; higher values go first.
 	Priority int `json:"priority" yaml:"priority"`
-	// DeadlineMilliseconds holds for requests that bring none.
+	// DeadlineMilliseconds is the deadline of requests that specify none.
 	DeadlineMilliseconds int64 `json:"deadlineMilliseconds" yaml:"deadlineMilliseconds"`
-	// RepeatNever marks every request of the class as to run at most once.
+	// RepeatNever gives every request of the class at-most-once execution.
 	RepeatNever bool `json:"repeatNever,omitempty" yaml:"repeatNever,omitempty"`
-	// QueueLimit bounds the waiting requests of the class in one proxy; 0 means the default.
+	// QueueLimit limits the queued requests of the class in one proxy; 0 means the default.
 	QueueLimit int `json:"queueLimit,omitempty" yaml:"queueLimit,omitempty"`
-	// MaxInFlight bounds the running requests of the class in one proxy; 0 means no bound of its own.
+	// MaxInFlight limits the running requests of the class in one proxy; 0 means no limit for the class.
 	MaxInFlight int `json:"maxInFlight,omitempty" yaml:"maxInFlight,omitempty"`
 }
 
-// Tenant is one payer for capacity.
+// Tenant is a customer that pays for capacity.
 type Tenant struct {
 	Metadata `json:"metadata" yaml:"metadata"`
 	Spec     TenantSpec `json:"spec" yaml:"spec"`
 }
 
-// TenantSpec bounds and weighs a tenant's share.
+// TenantSpec holds the rate limit and the scheduling weight of a tenant.
 type TenantSpec struct {
 	// Weight is the tenant's fair share under overload; 0 means 1.
 	Weight float64 `json:"weight,omitempty" yaml:"weight,omitempty"`
-	// TokensPerSecond and Burst bound prompt and output tokens through one proxy; 0 means no bound.
+	// TokensPerSecond and Burst limit prompt and output tokens through one proxy; 0 means no limit.
 	TokensPerSecond float64 `json:"tokensPerSecond,omitempty" yaml:"tokensPerSecond,omitempty"`
 	Burst           float64 `json:"burst,omitempty" yaml:"burst,omitempty"`
 }
 
-// Object is any one of the kinds; exactly one field is set. It is the form in
-// which objects stand in transactions, views and files.
+// Object holds an object of any kind; exactly one field is set. Transactions,
+// views and files represent objects in this form.
 type Object struct {
 	Intent  *Intent  `json:"intent,omitempty" yaml:"intent,omitempty"`
 	Engine  *Engine  `json:"engine,omitempty" yaml:"engine,omitempty"`
--- a/version/api/quarantine.go
+++ b/version/api/quarantine.go
@@ -1,57 +1,59 @@
 package api
 
-// Quarantine is a request under which replicas ended. Its name is the request's
-// fingerprint in hex, which is the same whatever ID the request comes with; no body is kept.
+// Quarantine records a request during which replicas ended, and which may have caused it. Its
+// name is the request's fingerprint in hex, which does not depend on the request ID; the body
+// is not stored.
 type Quarantine struct {
 	Metadata `json:"metadata" yaml:"metadata"`
 	Spec     QuarantineSpec `json:"spec" yaml:"spec"`
 }
 
-// QuarantineState says what becomes of the request.
+// QuarantineState determines how the request is handled.
 type QuarantineState string
 
 // States of a Quarantine.
 const (
-	// QuarantineWatched requests are run; one more end may show what they are.
+	// QuarantineWatched requests run normally; one more end of a replica may confirm that they
+	// are the cause.
 	QuarantineWatched QuarantineState = "watched"
-	// QuarantineTried requests go to a replica one at a time, at one proxy: several replicas
-	// ended under them in one moment, which may have been their doing or that of a lost rack,
-	// or a hold of them is over.
-	// Until is when another proxy's turn begins.
+	// QuarantineTried requests run one at a time, through a single proxy. Either several
+	// replicas ended at once while running them, which the request or the loss of a rack may
+	// have caused, or a hold has expired. At Until the trial moves to another proxy.
 	QuarantineTried QuarantineState = "tried"
-	// QuarantineSettling requests go to no replica for the moment: enough ended under them for a
-	// hold, and the words of what stood beside are under way.
+	// QuarantineSettling requests are temporarily sent to no replica: enough replicas ended to
+	// justify a hold, but reports about other requests in flight there have yet to arrive.
 	QuarantineSettling QuarantineState = "settling"
-	// QuarantineHeld requests go to no replica.
+	// QuarantineHeld requests are sent to no replica.
 	QuarantineHeld QuarantineState = "held"
 )
 
-// EndedAtOnce reports whether it is on record since replicas ended in one moment: one that is
-// tried after a hold ended them one after the other.
+// EndedAtOnce reports whether the request is on trial because several replicas ended at once.
+// A request that is tried after a hold (Times > 0) ended its replicas one after the other.
 func (s *QuarantineSpec) EndedAtOnce() bool { return s.State == QuarantineTried && s.Times == 0 }
 
-// QuarantineSpec is what the group has seen of the request.
+// QuarantineSpec is what the control group knows about the request.
 type QuarantineSpec struct {
 	State   QuarantineState `json:"state" yaml:"state"`
 	Service string          `json:"service" yaml:"service"`
 	Route   string          `json:"route" yaml:"route"`
-	// Request is the ID under which it came when it was last seen to end a replica.
+	// Request is the request ID with which it last ended a replica.
 	Request string `json:"request" yaml:"request"`
-	// Replicas are those that ended under it, by the names of their incarnations.
+	// Replicas are the incarnation names of the replicas that ended while running it.
 	Replicas []string `json:"replicas" yaml:"replicas"`
-	// Weak are those of them whose ends tell little: the run had brought something, the replica
-	// was a reader, or somebody listened there right after.
+	// Weak is the subset of Replicas whose ends are weak evidence: the run had already
+	// produced output, the replica had the prefill role, or something accepted connections
+	// at its address right after.
 	Weak []string `json:"weak,omitempty" yaml:"weak,omitempty"`
-	// Alone is true where a replica ended with nothing else in flight there: fewer ends say
-	// what the request is.
+	// Alone is set if a replica ended with no other request in flight, so fewer ends are
+	// needed to identify the request as the cause.
 	Alone bool `json:"alone,omitempty" yaml:"alone,omitempty"`
-	// Since is when the first of them ended, in milliseconds of the leader's time of day.
+	// Since is when the first of the replicas ended, in milliseconds of the leader's wall clock.
 	Since int64 `json:"since,omitempty" yaml:"since,omitempty"`
-	// Until is when the state lapses, in milliseconds of the group's time.
+	// Until is when the state expires, in milliseconds of the group's clock.
 	Until int64 `json:"until" yaml:"until"`
-	// Times is how often the request was held.
+	// Times is the number of times the request was held.
 	Times int `json:"times" yaml:"times"`
-	// TriedSince is when its trial began, in milliseconds of the leader's time of day; 0 where
-	// it is not tried.
+	// TriedSince is when its trial began, in milliseconds of the leader's wall clock; 0 if it
+	// is not on trial.
 	TriedSince int64 `json:"triedSince,omitempty" yaml:"triedSince,omitempty"`
 }
--- a/version/api/quota.go
+++ b/version/api/quota.go
@@ -5,31 +5,31 @@
 	"math"
 )
 
-// QuotaUnit is what a quota counts.
+// QuotaUnit is the unit that a quota counts.
 type QuotaUnit string
 
 // Units of quotas.
 const (
 	QuotaRequests QuotaUnit = "requests"
-	// QuotaTokens counts the tokens of a request, those that it brings and those that may
-	// come out.
+	// QuotaTokens counts the prompt tokens of a request and the output tokens that it may
+	// generate.
 	QuotaTokens QuotaUnit = "tokens"
 )
 
-// Quota bounds what a tenant may have run, by all proxies together: the rate, and a burst
-// that is saved up while less is used. The zero Quota bounds nothing.
+// Quota limits a tenant's use across all proxies by a rate and a burst, which accumulates
+// while the use is below the rate. The zero Quota sets no limit.
 type Quota struct {
 	Unit      QuotaUnit `json:"unit,omitempty" yaml:"unit,omitempty"`
 	PerSecond float64   `json:"perSecond,omitempty" yaml:"perSecond,omitempty"` // units
 	Burst     float64   `json:"burst,omitempty" yaml:"burst,omitempty"`         // units
-	// PlainTokens is what a request counts that does not tell its tokens.
+	// PlainTokens is the cost of a request whose number of tokens is unknown.
 	PlainTokens float64 `json:"plainTokens,omitempty" yaml:"plainTokens,omitempty"`
 }
 
 // IsBounded reports whether there is a limit.
 func (q Quota) IsBounded() bool { return q.PerSecond > 0 }
 
-// Cost is what a request of so many tokens counts, in the quota's unit.
+// Cost returns the cost of a request with the given number of tokens, in the quota's unit.
 func (q Quota) Cost(tokens int) float64 {
 	switch {
 	case q.Unit != QuotaTokens:
@@ -40,7 +40,7 @@
 	return q.PlainTokens
 }
 
-// faults returns what is wrong with each field, by its name.
+// faults returns the validation errors of the quota, one per invalid field.
 func (q Quota) faults() []FieldFault {
 	var faults []FieldFault
 	for _, amount := range []struct {
--- a/version/api/tenant.go
+++ b/version/api/tenant.go
@@ -1,43 +1,43 @@
 package api
 
-// KeyDigestBytes is the length of a KeyDigest: 128 bits are enough that no two keys of a
-// deployment share one by chance.
+// KeyDigestBytes is the length of a KeyDigest. 128 bits make a collision between two keys of a
+// deployment practically impossible.
 const KeyDigestBytes = 16
 
-// KeyDigest stands for an API key wherever the key itself is not needed.
+// KeyDigest identifies an API key without containing it; see package apikey.
 type KeyDigest [KeyDigestBytes]byte
 
-// TenantKeys is a tenant of the routes as an operator sends it. It holds keys: it is
-// neither stored nor logged.
+// TenantKeys is an API tenant as submitted by an operator. It contains plaintext keys, so it
+// must be neither stored nor logged.
 type TenantKeys struct {
 	Name string `json:"name" yaml:"name"`
-	// Priority replaces that of the routes for the tenant's requests; nil leaves it.
+	// Priority overrides the route's priority for the tenant's requests, unless it is nil.
 	Priority *int     `json:"priority,omitempty" yaml:"priority,omitempty"`
 	Keys     []string `json:"keys" yaml:"keys"`
-	// Quota bounds what the tenant may have run.
+	// Quota limits the tenant's use across all proxies.
 	Quota Quota `json:"quota,omitzero" yaml:"quota,omitempty"`
 }
 
-// RouteTenant is a tenant of the routes as it is stored and distributed. It is replaced
-// together with the Ingress.
+// RouteTenant is an API tenant in its stored and distributed form. It is replaced together
+// with the Ingress.
 type RouteTenant struct {
 	Metadata `json:"metadata" yaml:"metadata"`
 	Spec     RouteTenantSpec `json:"spec" yaml:"spec"`
 }
 
-// RouteTenantSpec says how the tenant is known and ranked.
+// RouteTenantSpec holds the key digests, the priority and the quota of a tenant.
 type RouteTenantSpec struct {
 	Priority *int `json:"priority,omitempty" yaml:"priority,omitempty"`
-	// Digests are those of the tenant's keys, sorted. They are shown to nobody: who had
-	// them and the secret could try keys.
+	// Digests are the sorted digests of the tenant's keys. They are never exposed, because
+	// with them and the secret an attacker could test guesses of keys.
 	Digests []KeyDigest `json:"-" yaml:"-"`
-	// Keys is how many keys the tenant has.
+	// Keys is the number of keys of the tenant.
 	Keys int `json:"keys" yaml:"keys"`
-	// Quota bounds what the tenant may have run.
+	// Quota limits the tenant's use across all proxies.
 	Quota Quota `json:"quota,omitzero" yaml:"quota,omitempty"`
 }
 
-// Equal reports whether both say the same.
+// Equal reports whether the specs are identical.
 func (s *RouteTenantSpec) Equal(other *RouteTenantSpec) bool {
 	return equalPriority(s.Priority, other.Priority) && s.Keys == other.Keys && s.Quota == other.Quota && equalDigests(s.Digests, other.Digests)
 }
--- a/version/api/usage.go
+++ b/version/api/usage.go
@@ -1,17 +1,16 @@
 package api
 
-// UsageWindow is what was counted of one window of time, by tenant: the requests that
-// replicas began in it.
+// UsageWindow counts, per tenant, the requests that replicas started in one time window.
 type UsageWindow struct {
-	// Window is the window's number: window k starts k times the window's length after the
-	// start of 1970.
+	// Window is the number of the window: window k starts k window lengths after the Unix
+	// epoch.
 	Window int64 `json:"window"`
-	// Counts are those that were decided, or are known so far while Decided is false.
+	// Counts are the final counts, or the counts known so far while Decided is false.
 	Counts map[string]uint64 `json:"counts"`
-	// Decided counts are final: they are what is reported, however often.
+	// Decided marks the counts as final, so that every repeated report sends the same.
 	Decided bool `json:"decided"`
-	// Reported is true once the platform has taken the report.
+	// Reported is set once the platform has accepted the report.
 	Reported bool `json:"reported"`
-	// Partial is true where processes were silent whose counts may lack.
+	// Partial is set if some processes did not report, so that their counts may be missing.
 	Partial bool `json:"partial,omitempty"`
 }
--- a/version/api/validate.go
+++ b/version/api/validate.go
@@ -15,15 +15,15 @@
 	MaxDeadlineMilliseconds = 24 * 3600 * 1000 // one day
 )
 
-// Roles lists the roles that an intent may ask for.
+// Roles lists the roles that an intent may request.
 var Roles = []EngineRole{RolePrefill, RoleDecode, RoleMixed}
 
 // Operators lists the operators of a Requirement.
 var Operators = []Operator{OperatorIn, OperatorNotIn, OperatorExists, OperatorDoesNotExist}
 
-// Validate returns every fault of an object's metadata and spec, in the order
-// of the fields; none means that the object is valid. The status is not looked
-// at. Fields are named from the kind on, such as "intent.spec.roles[1]".
+// Validate returns all validation errors of an object's metadata and spec, in the
+// order of the fields; the object is valid if there are none. The status is
+// ignored. Field paths start with the kind, as in "intent.spec.roles[1]".
 func Validate(o Object) []FieldFault {
 	if _, ok := o.Key(); !ok {
 		return []FieldFault{{Field: "object", Message: "exactly one of intent, engine, service, class and tenant must be set"}}
@@ -48,7 +48,7 @@
 	return c.faults
 }
 
-// ValidateSelector returns every fault of a selector; path names the selector.
+// ValidateSelector returns all validation errors of the selector at path.
 // An empty selector is valid: it matches nothing.
 func ValidateSelector(path string, s Selector) []FieldFault {
 	var c checker
@@ -56,15 +56,15 @@
 	return c.faults
 }
 
-// ValidateKey returns the faults of the name in a key, which is all that a
-// write that deletes an object needs.
+// ValidateKey returns the validation errors of the name in a key. A deletion needs
+// no further validation.
 func ValidateKey(key Key) []FieldFault {
 	var c checker
 	c.name(strings.ToLower(string(key.Kind))+".metadata.name", key.Name)
 	return c.faults
 }
 
-// checker gathers faults.
+// fieldValidator collects validation errors.
 type checker struct{ faults []FieldFault }
 
 func (c *checker) add(field, format string, args ...any) {
@@ -246,8 +246,8 @@
 	}
 }
 
-// address accepts an IP number and a port; host names would make every daemon
-// depend on a name server.
+// address requires an IP address and a port. Host names are rejected because they
+// would make every daemon depend on DNS.
 func (c *checker) address(field, address string) {
 	parsed, err := netip.ParseAddrPort(address)
 	switch {
--- a/version/api/validate_ingress.go
+++ b/version/api/validate_ingress.go
@@ -8,8 +8,8 @@
 // RouteKinds lists the kinds of routes.
 var RouteKinds = []RouteKind{RouteSafe, RouteUnsafe, RouteStreaming}
 
-// ValidateIngress returns every fault of an Ingress, in the order of its
-// fields; none means that it is valid.
+// ValidateIngress returns all validation errors of an Ingress, in the order of its
+// fields; the Ingress is valid if there are none.
 func ValidateIngress(spec *IngressSpec) []FieldFault {
 	var c checker
 	if spec.Generation == 0 {
@@ -32,13 +32,13 @@
 	return c.faults
 }
 
-// Bounds of tenants: a name stands in the heads of requests, and so does a key.
+// Limits of tenant names and API keys, both of which are sent in request headers.
 const (
 	maxTenantNameBytes = 256
 	maxKeyBytes        = 1024
 )
 
-// tenants checks the tenants of an Ingress as they were sent. No fault shows a key.
+// tenants validates the submitted tenants of an Ingress. No error message contains a key.
 func (c *checker) tenants(tenants []TenantKeys) {
 	named := map[string]int{}
 	owners := map[string]int{}
@@ -64,7 +64,7 @@
 	}
 }
 
-// fieldText checks a text that is to stand in a field of a request's head.
+// fieldText validates text that is sent as the value of a request header.
 func (c *checker) fieldText(field, text string, limit int) {
 	switch {
 	case text == "":
--- a/version/api/validate_ingress_test.go
+++ b/version/api/validate_ingress_test.go
@@ -66,7 +66,7 @@
 	must.True(t, (&Route{Kind: RouteStreaming, Resumable: true}).Idempotent())
 }
 
-// Each fault of a tenant is named by its field; none shows a key.
+// Validation errors of tenants must name the invalid field and must not reveal a key.
 func TestFaultsOfTenants(t *testing.T) {
 	key := "secret-key"
 	cases := []struct {
@@ -89,5 +89,5 @@
 		must.StrNotContains(t, faults[0].Message, key)
 	}
 	spec := IngressSpec{Generation: 1, Tenants: []TenantKeys{{Name: "a", Keys: []string{key, key}}, {Name: "b"}}}
-	must.SliceEmpty(t, ValidateIngress(&spec), must.Sprint("a key twice is the same key"))
+	must.SliceEmpty(t, ValidateIngress(&spec), must.Sprint("a key may be repeated within one tenant"))
 }
--- a/version/apikey/table.go
+++ b/version/apikey/table.go
@@ -10,8 +10,8 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// shards is into how many parts a Table is divided by the first byte of digests. A change
-// of few keys copies few parts.
+// shardCount is the number of shards of a Table, selected by the first byte of a digest. An
+// update of a few keys copies only the shards that contain them.
 const shardCount = 256
 
 // Table maps API keys to tenants. It is immutable: Follow returns a new table that shares
@@ -56,8 +56,8 @@
 	return &next
 }
 
-// without returns the digests of a tenant that another version of it lacks; either may be
-// nil. Both lists are sorted.
+// digestDifference returns the digests of tenant that are absent from other, which is another
+// version of the same tenant. Either may be nil. Both digest lists must be sorted.
 func digestDifference(tenant, other *api.RouteTenant) []api.KeyDigest {
 	if tenant == nil || other == nil {
 		return digestsOf(tenant)
@@ -78,8 +78,8 @@
 	return tenant.Spec.Digests
 }
 
-// changes writes to a table that nobody else has yet; parts that it shares with the table
-// before are copied first.
+// tableEditor modifies a table that is not yet published. It copies a shard that is shared
+// with the previous table before the first write to it.
 type tableEditor struct {
 	table *Table
 	owned [shardCount]bool
@@ -116,7 +116,7 @@
 	}
 }
 
-// place is where the first entry of a digest stands, or would stand.
+// lowerBound returns the index of the first entry whose digest is not less than digest.
 func lowerBound(shard []entry, digest api.KeyDigest) int {
 	return sort.Search(len(shard), func(i int) bool { return compareDigests(shard[i].digest, digest) >= 0 })
 }
@@ -138,7 +138,7 @@
 	return found
 }
 
-// begin is the first half of a digest as a number, by which it is looked for.
+// digestPrefix returns the first 8 bytes of a digest as an integer, the search key of Find.
 func digestPrefix(digest api.KeyDigest) uint64 { return binary.BigEndian.Uint64(digest[:8]) }
 
 func compareDigests(a, b api.KeyDigest) int { return bytes.Compare(a[:], b[:]) }
--- a/version/compress/compress.go
+++ b/version/compress/compress.go
@@ -14,7 +14,7 @@
 // ErrTooLarge is returned when the decompressed data exceeds the limit.
 var ErrTooLarge = errors.New("compress: unpacked bytes exceed the limit")
 
-// writers keeps packers, which hold large tables.
+// writerPool reuses DEFLATE writers because each allocates large tables.
 var writerPool = sync.Pool{New: func() any {
 	writer, err := flate.NewWriter(io.Discard, flate.BestSpeed)
 	if err != nil {
@@ -41,7 +41,7 @@
 	reader := flate.NewReader(bytes.NewReader(packed))
 	data, err := io.ReadAll(io.LimitReader(reader, int64(limit)+1))
 	if err != nil {
-		return nil, errors.Wrap(err, "compress")
+		return nil, errors.Wrap(err, "compress: decompress")
 	}
 	if len(data) > limit {
 		return nil, ErrTooLarge
