--- a/version/api/embedding_test.go
+++ b/version/api/embedding_test.go
@@ -40,25 +40,25 @@
 	module + "lab/",
 }
 
-func TestEmbeddablePackagesBringNoFrameworkAlong(t *testing.T) {
+func TestEmbeddablePackagesDoNotImportFrameworks(t *testing.T) {
 	for _, folder := range embeddable {
 		t.Run(folder, func(t *testing.T) {
-			path := make(map[string]string)
-			visit(t, folder, path)
-			must.MapNotEmpty(t, path)
-			for imported, from := range path {
+			importedBy := make(map[string]string)
+			collectImports(t, folder, importedBy)
+			must.MapNotEmpty(t, importedBy)
+			for imported, importer := range importedBy {
 				for _, prefix := range forbidden {
 					must.False(t, strings.HasPrefix(imported+"/", strings.TrimSuffix(prefix, "/")+"/"),
-						must.Sprintf("%s imports %s by %s", folder, imported, from))
+						must.Sprintf("%s imports %s by %s", folder, imported, importer))
 				}
 			}
 		})
 	}
 }
 
-// visit maps the direct and transitive imports of the package in folder to a
+// collectImports maps the direct and transitive imports of the package in folder to a
 // package that imports them. It follows only imports within the project.
-func visit(t *testing.T, folder string, path map[string]string) {
+func collectImports(t *testing.T, folder string, importedBy map[string]string) {
 	t.Helper()
 	for _, name := range goFiles(t, folder) {
 		file, err := parser.ParseFile(token.NewFileSet(), name, nil, parser.ImportsOnly)
@@ -66,12 +66,12 @@
 		for _, spec := range file.Imports {
 			imported, err := strconv.Unquote(spec.Path.Value)
 			must.NoError(t, err)
-			if _, visited := path[imported]; visited {
+			if _, visited := importedBy[imported]; visited {
 				continue
 			}
-			path[imported] = folder
-			if below, own := strings.CutPrefix(imported, module); own {
-				visit(t, below, path)
+			importedBy[imported] = folder
+			if dir, inProject := strings.CutPrefix(imported, module); inProject {
+				collectImports(t, dir, importedBy)
 			}
 		}
 	}
--- a/version/api/fleet.go
+++ b/version/api/fleet.go
@@ -3,8 +3,8 @@
 import "strconv"
 
 // Replica is one process of a service, as listed by the platform. A process may reuse the
-// name of an earlier one without having its state; the start time
-// in Born distinguishes the two.
+// name of an earlier one, whose state it does not have; the start time in Born distinguishes
+// the two.
 type Replica struct {
 	Metadata `json:"metadata" yaml:"metadata"`
 	Spec     ReplicaSpec `json:"spec" yaml:"spec"`
--- a/version/api/objects.go
+++ b/version/api/objects.go
@@ -113,7 +113,8 @@
 	Assignment  Assignment `json:"assignment"`
 	// Fence is the highest fence that the engine has acknowledged.
 	Fence Fence `json:"fence"`
-	// OpenOrder is the committed order that is not yet completed, if any.
+	// OpenOrder is the committed order that is still open, if any. It is closed when a report
+	// shows that the engine followed it or that it can no longer take effect.
 	OpenOrder *Order `json:"openOrder,omitempty"`
 	// UnmatchedSince is the revision since which no intent has selected the engine; 0 if one does.
 	UnmatchedSince uint64 `json:"unmatchedSince,omitempty"`
--- a/version/api/quarantine.go
+++ b/version/api/quarantine.go
@@ -21,7 +21,7 @@
 	// have caused, or a hold has expired. At Until the trial moves to another proxy.
 	QuarantineTried QuarantineState = "tried"
 	// QuarantineSettling requests are temporarily sent to no replica: enough replicas ended to
-	// justify a hold, but reports about other requests in flight there have yet to arrive.
+	// justify a hold, but the reports about other requests that were in flight there are still to arrive.
 	QuarantineSettling QuarantineState = "settling"
 	// QuarantineHeld requests are sent to no replica.
 	QuarantineHeld QuarantineState = "held"
@@ -41,8 +41,8 @@
 	// Replicas are the incarnation names of the replicas that ended while running it.
 	Replicas []string `json:"replicas" yaml:"replicas"`
 	// Weak is the subset of Replicas whose ends are weak evidence: the run had already
-	// produced output, the replica had the prefill role, or something accepted connections
-	// at its address right after.
+	// produced events, the replica only processed the prompt (prefill), or something accepted
+	// connections at its address right after.
 	Weak []string `json:"weak,omitempty" yaml:"weak,omitempty"`
 	// Alone is set if a replica ended with no other request in flight, so fewer ends are
 	// needed to identify the request as the cause.
--- a/version/api/validate.go
+++ b/version/api/validate.go
@@ -28,12 +28,12 @@
 	if _, ok := o.Key(); !ok {
 		return []FieldFault{{Field: "object", Message: "exactly one of intent, engine, service, class and tenant must be set"}}
 	}
-	var c checker
+	var c fieldValidator
 	switch {
 	case o.Ingress != nil:
-		c.add("ingress", "is replaced as a whole, not written by a transaction")
+		c.addFault("ingress", "is replaced as a whole, not written by a transaction")
 	case o.Replica != nil, o.Proxy != nil, o.Member != nil:
-		c.add("object", "is observed by the group, not written by a transaction")
+		c.addFault("object", "is observed by the group, not written by a transaction")
 	case o.Intent != nil:
 		c.intent(o.Intent)
 	case o.Engine != nil:
@@ -51,7 +51,7 @@
 // ValidateSelector returns all validation errors of the selector at path.
 // An empty selector is valid: it matches nothing.
 func ValidateSelector(path string, s Selector) []FieldFault {
-	var c checker
+	var c fieldValidator
 	c.selector(path, s)
 	return c.faults
 }
@@ -59,41 +59,41 @@
 // ValidateKey returns the validation errors of the name in a key. A deletion needs
 // no further validation.
 func ValidateKey(key Key) []FieldFault {
-	var c checker
+	var c fieldValidator
 	c.name(strings.ToLower(string(key.Kind))+".metadata.name", key.Name)
 	return c.faults
 }
 
 // fieldValidator collects validation errors.
-type checker struct{ faults []FieldFault }
+type fieldValidator struct{ faults []FieldFault }
 
-func (c *checker) add(field, format string, args ...any) {
+func (c *fieldValidator) addFault(field, format string, args ...any) {
 	c.faults = append(c.faults, FieldFault{Field: field, Message: fmt.Sprintf(format, args...)})
 }
 
-func (c *checker) metadata(path string, m Metadata) {
+func (c *fieldValidator) metadata(path string, m Metadata) {
 	c.name(path+".metadata.name", m.Name)
 	c.labels(path+".metadata.labels", m.Labels)
 }
 
-func (c *checker) name(field, name string) {
+func (c *fieldValidator) name(field, name string) {
 	switch {
 	case name == "":
-		c.add(field, "must not be empty")
+		c.addFault(field, "must not be empty")
 	case len(name) > MaxNameBytes:
-		c.add(field, "must not be longer than %d bytes", MaxNameBytes)
+		c.addFault(field, "must not be longer than %d bytes", MaxNameBytes)
 	case !isName(name):
-		c.add(field, "%q must consist of lower-case letters, digits, '-' and '.', and start and end with a letter or digit", name)
+		c.addFault(field, "%q must consist of lower-case letters, digits, '-' and '.', and start and end with a letter or digit", name)
 	}
 }
 
-func (c *checker) optionalName(field, name string) {
+func (c *fieldValidator) optionalName(field, name string) {
 	if name != "" {
 		c.name(field, name)
 	}
 }
 
-func (c *checker) labels(field string, labels Labels) {
+func (c *fieldValidator) labels(field string, labels Labels) {
 	for _, key := range sortedKeys(labels) {
 		entry := fmt.Sprintf("%s[%q]", field, key)
 		c.labelKey(entry, key)
@@ -101,21 +101,21 @@
 	}
 }
 
-func (c *checker) labelKey(field, key string) {
+func (c *fieldValidator) labelKey(field, key string) {
 	if key == "" || len(key) > MaxNameBytes || !isLabelText(key) {
-		c.add(field, "%q is not a label key: 1 to %d letters, digits, '-', '_', '.' and '/', starting and ending with a letter or digit", key, MaxNameBytes)
+		c.addFault(field, "%q is not a label key: 1 to %d letters, digits, '-', '_', '.' and '/', starting and ending with a letter or digit", key, MaxNameBytes)
 	}
 }
 
-func (c *checker) labelValue(field, value string) {
+func (c *fieldValidator) labelValue(field, value string) {
 	if value != "" && (len(value) > MaxNameBytes || !isLabelText(value)) {
-		c.add(field, "%q is not a label value: at most %d letters, digits, '-', '_', '.' and '/', starting and ending with a letter or digit", value, MaxNameBytes)
+		c.addFault(field, "%q is not a label value: at most %d letters, digits, '-', '_', '.' and '/', starting and ending with a letter or digit", value, MaxNameBytes)
 	}
 }
 
-func (c *checker) selector(field string, s Selector) {
+func (c *fieldValidator) selector(field string, s Selector) {
 	if s.All && (len(s.MatchLabels) > 0 || len(s.MatchExpressions) > 0) {
-		c.add(field+".all", "must not be set together with matchLabels or matchExpressions")
+		c.addFault(field+".all", "must not be set together with matchLabels or matchExpressions")
 	}
 	c.labels(field+".matchLabels", s.MatchLabels)
 	for i, requirement := range s.MatchExpressions {
@@ -123,26 +123,26 @@
 	}
 }
 
-func (c *checker) requirement(field string, r Requirement) {
+func (c *fieldValidator) requirement(field string, r Requirement) {
 	c.labelKey(field+".key", r.Key)
 	switch r.Operator {
 	case OperatorIn, OperatorNotIn:
 		if len(r.Values) == 0 {
-			c.add(field+".values", "must not be empty with operator %s", r.Operator)
+			c.addFault(field+".values", "must not be empty with operator %s", r.Operator)
 		}
 	case OperatorExists, OperatorDoesNotExist:
 		if len(r.Values) > 0 {
-			c.add(field+".values", "must be empty with operator %s", r.Operator)
+			c.addFault(field+".values", "must be empty with operator %s", r.Operator)
 		}
 	default:
-		c.add(field+".operator", "%q is not one of %v", r.Operator, Operators)
+		c.addFault(field+".operator", "%q is not one of %v", r.Operator, Operators)
 	}
 	for i, value := range r.Values {
 		c.labelValue(fmt.Sprintf("%s.values[%d]", field, i), value)
 	}
 }
 
-func (c *checker) intent(o *Intent) {
+func (c *fieldValidator) intent(o *Intent) {
 	c.metadata("intent", o.Metadata)
 	c.selector("intent.spec.engines", o.Spec.Engines)
 	c.selector("intent.spec.classes", o.Spec.Classes)
@@ -152,111 +152,111 @@
 		field := fmt.Sprintf("intent.spec.adapters[%d]", i)
 		c.reference(field, adapter)
 		if slices.Contains(o.Spec.Adapters[:i], adapter) {
-			c.add(field, "%q is listed twice", adapter)
+			c.addFault(field, "%q is listed twice", adapter)
 		}
 	}
 	c.roles("intent.spec.roles", o.Spec.Roles)
-	c.notNegative("intent.spec.maxUnavailable", float64(o.Spec.MaxUnavailable))
-	c.notNegative("intent.spec.changeCost", o.Spec.ChangeCost)
+	c.nonNegative("intent.spec.maxUnavailable", float64(o.Spec.MaxUnavailable))
+	c.nonNegative("intent.spec.changeCost", o.Spec.ChangeCost)
 }
 
-func (c *checker) roles(field string, roles []EngineRole) {
+func (c *fieldValidator) roles(field string, roles []EngineRole) {
 	if len(roles) == 0 {
-		c.add(field, "must list at least one role")
+		c.addFault(field, "must list at least one role")
 	}
 	for i, role := range roles {
 		entry := fmt.Sprintf("%s[%d]", field, i)
 		if !slices.Contains(Roles, role) {
-			c.add(entry, "%q is not one of %v", role, Roles)
+			c.addFault(entry, "%q is not one of %v", role, Roles)
 			continue
 		}
 		if slices.Contains(roles[:i], role) {
-			c.add(entry, "%q is listed twice", role)
+			c.addFault(entry, "%q is listed twice", role)
 		}
 	}
 }
 
-func (c *checker) reference(field, text string) {
+func (c *fieldValidator) reference(field, text string) {
 	switch {
 	case text == "":
-		c.add(field, "must not be empty")
+		c.addFault(field, "must not be empty")
 	case len(text) > MaxReferenceBytes:
-		c.add(field, "must not be longer than %d bytes", MaxReferenceBytes)
+		c.addFault(field, "must not be longer than %d bytes", MaxReferenceBytes)
 	case strings.ContainsFunc(text, func(r rune) bool { return r <= ' ' || r > '~' }):
-		c.add(field, "%q must consist of printable ASCII without spaces", text)
+		c.addFault(field, "%q must consist of printable ASCII without spaces", text)
 	}
 }
 
-func (c *checker) engine(o *Engine) {
+func (c *fieldValidator) engine(o *Engine) {
 	c.metadata("engine", o.Metadata)
 	c.address("engine.spec.address", o.Spec.Address)
 	c.optionalName("engine.spec.zone", o.Spec.Zone)
 	c.name("engine.spec.service", o.Spec.Service)
 }
 
-func (c *checker) service(o *Service) {
+func (c *fieldValidator) service(o *Service) {
 	c.metadata("service", o.Metadata)
 	if o.Spec.Type != ServiceModel && o.Spec.Type != ServiceBackend {
-		c.add("service.spec.type", "%q is not one of %v", o.Spec.Type, []ServiceType{ServiceModel, ServiceBackend})
+		c.addFault("service.spec.type", "%q is not one of %v", o.Spec.Type, []ServiceType{ServiceModel, ServiceBackend})
 	}
 	if o.Spec.Type == ServiceModel && len(o.Spec.Backends) > 0 {
-		c.add("service.spec.backends", "must be empty for a model service: its back ends are engines")
+		c.addFault("service.spec.backends", "must be empty for a model service: its back ends are engines")
 	}
 	names := make(map[string]bool, len(o.Spec.Backends))
 	for i, backend := range o.Spec.Backends {
 		c.backend(fmt.Sprintf("service.spec.backends[%d]", i), backend, names[backend.Name])
 		names[backend.Name] = true
 	}
-	c.notNegative("service.spec.maxInFlight", float64(o.Spec.MaxInFlight))
+	c.nonNegative("service.spec.maxInFlight", float64(o.Spec.MaxInFlight))
 }
 
-func (c *checker) backend(field string, b Backend, repeated bool) {
+func (c *fieldValidator) backend(field string, b Backend, repeated bool) {
 	c.name(field+".name", b.Name)
 	if repeated && b.Name != "" {
-		c.add(field+".name", "%q is listed twice", b.Name)
+		c.addFault(field+".name", "%q is listed twice", b.Name)
 	}
 	c.address(field+".address", b.Address)
 	c.optionalName(field+".zone", b.Zone)
 }
 
-func (c *checker) class(o *Class) {
+func (c *fieldValidator) class(o *Class) {
 	c.metadata("class", o.Metadata)
 	c.name("class.spec.service", o.Spec.Service)
 	deadline := o.Spec.DeadlineMilliseconds
 	if deadline < 1 || deadline > MaxDeadlineMilliseconds {
-		c.add("class.spec.deadlineMilliseconds", "%d is not between 1 and %d", deadline, MaxDeadlineMilliseconds)
+		c.addFault("class.spec.deadlineMilliseconds", "%d is not between 1 and %d", deadline, MaxDeadlineMilliseconds)
 	}
-	c.notNegative("class.spec.queueLimit", float64(o.Spec.QueueLimit))
-	c.notNegative("class.spec.maxInFlight", float64(o.Spec.MaxInFlight))
+	c.nonNegative("class.spec.queueLimit", float64(o.Spec.QueueLimit))
+	c.nonNegative("class.spec.maxInFlight", float64(o.Spec.MaxInFlight))
 }
 
-func (c *checker) tenant(o *Tenant) {
+func (c *fieldValidator) tenant(o *Tenant) {
 	c.metadata("tenant", o.Metadata)
-	c.notNegative("tenant.spec.weight", o.Spec.Weight)
-	c.notNegative("tenant.spec.tokensPerSecond", o.Spec.TokensPerSecond)
-	c.notNegative("tenant.spec.burst", o.Spec.Burst)
+	c.nonNegative("tenant.spec.weight", o.Spec.Weight)
+	c.nonNegative("tenant.spec.tokensPerSecond", o.Spec.TokensPerSecond)
+	c.nonNegative("tenant.spec.burst", o.Spec.Burst)
 	if o.Spec.TokensPerSecond == 0 && o.Spec.Burst > 0 {
-		c.add("tenant.spec.burst", "must be 0 when tokensPerSecond is 0")
+		c.addFault("tenant.spec.burst", "must be 0 when tokensPerSecond is 0")
 	}
 }
 
-func (c *checker) notNegative(field string, v float64) {
+func (c *fieldValidator) nonNegative(field string, v float64) {
 	if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
-		c.add(field, "%v is not a number of 0 or more", v)
+		c.addFault(field, "%v is not a number of 0 or more", v)
 	}
 }
 
 // address requires an IP address and a port. Host names are rejected because they
 // would make every daemon depend on DNS.
-func (c *checker) address(field, address string) {
+func (c *fieldValidator) address(field, address string) {
 	parsed, err := netip.ParseAddrPort(address)
 	switch {
 	case err != nil:
-		c.add(field, "%q is not an IP number and a port", address)
+		c.addFault(field, "%q is not an IP number and a port", address)
 	case parsed.Port() == 0:
-		c.add(field, "%q has port 0", address)
+		c.addFault(field, "%q has port 0", address)
 	case parsed.Addr().IsUnspecified(), parsed.Addr().IsMulticast():
-		c.add(field, "%q is not the address of one host", address)
+		c.addFault(field, "%q is not the address of one host", address)
 	}
 }
 
--- a/version/api/validate_ingress_test.go
+++ b/version/api/validate_ingress_test.go
@@ -30,7 +30,7 @@
 		{"no routes", func(s *IngressSpec) { s.Routes = nil }, nil},
 		{"no generation", func(s *IngressSpec) { s.Generation = 0 }, []string{"generation"}},
 		{"unknown service", func(s *IngressSpec) { s.Routes[0].Backends[0].Service = "nobody" }, []string{"routes[0].backends[0].service"}},
-		{"same place", func(s *IngressSpec) { s.Routes[1].Host, s.Routes[1].PathPrefix = "A.example", "/x/" }, []string{"routes[1]"}},
+		{"duplicate host and prefix", func(s *IngressSpec) { s.Routes[1].Host, s.Routes[1].PathPrefix = "A.example", "/x/" }, []string{"routes[1]"}},
 		{"no weight", func(s *IngressSpec) { s.Routes[0].Backends[0].Weight = 0 }, []string{"routes[0].backends"}},
 		{"negative weight", func(s *IngressSpec) { s.Routes[1].Backends[0].Weight = -1 }, []string{"routes[1].backends[0].weight"}},
 		{"no backends", func(s *IngressSpec) { s.Routes[0].Backends = nil }, []string{"routes[0].backends"}},
@@ -40,7 +40,7 @@
 		{"unknown kind", func(s *IngressSpec) { s.Routes[0].Kind = "often" }, []string{"routes[0].kind"}},
 		{"service twice", func(s *IngressSpec) { s.Services[1].Name = "narrator"; s.Routes = nil }, []string{"services[1].name"}},
 		{"service without a name", func(s *IngressSpec) { s.Services = append(s.Services, RouteService{}) }, []string{"services[2].name"}},
-		{"every fault is named", func(s *IngressSpec) {
+		{"all errors are returned", func(s *IngressSpec) {
 			s.Generation = 0
 			s.Routes[0].TimeoutMilliseconds = -1
 			s.Routes[1].Kind = ""
@@ -67,7 +67,7 @@
 }
 
 // Validation errors of tenants must name the invalid field and must not reveal a key.
-func TestFaultsOfTenants(t *testing.T) {
+func TestValidateIngressTenants(t *testing.T) {
 	key := "secret-key"
 	cases := []struct {
 		tenants []TenantKeys
--- a/version/api/validate_test.go
+++ b/version/api/validate_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestValidate(t *testing.T) {
-	good := Metadata{Name: "narrator-1", Labels: Labels{"pool": "a", "landingtrail/zone": ""}}
+	validMetadata := Metadata{Name: "narrator-1", Labels: Labels{"pool": "a", "landingtrail/zone": ""}}
 	cases := []struct {
 		name   string
 		object Object
@@ -17,7 +17,7 @@
 	}{
 		{"no object", Object{}, []string{"object"}},
 		{"two objects", Object{Class: &Class{}, Tenant: &Tenant{}}, []string{"object"}},
-		{"good intent", Object{Intent: &Intent{Metadata: good, Spec: IntentSpec{
+		{"good intent", Object{Intent: &Intent{Metadata: validMetadata, Spec: IntentSpec{
 			Model: "storm/8b:q4", Version: "2026-12", Adapters: []string{"nl", "fr"}, Roles: []EngineRole{RoleMixed, RoleDecode},
 		}}}, nil},
 		{"bad intent", Object{Intent: &Intent{Spec: IntentSpec{
@@ -29,38 +29,38 @@
 			"intent.spec.model", "intent.spec.version", "intent.spec.adapters[1]", "intent.spec.adapters[2]",
 			"intent.spec.roles[1]", "intent.spec.roles[2]", "intent.spec.roles[3]", "intent.spec.maxUnavailable", "intent.spec.changeCost",
 		}},
-		{"no roles", Object{Intent: &Intent{Metadata: good, Spec: IntentSpec{Model: "m", Version: "v"}}}, []string{"intent.spec.roles"}},
-		{"good engine", Object{Engine: &Engine{Metadata: good, Spec: EngineSpec{Address: "[::1]:80", Zone: "a", Service: "narrator"}}}, nil},
+		{"no roles", Object{Intent: &Intent{Metadata: validMetadata, Spec: IntentSpec{Model: "m", Version: "v"}}}, []string{"intent.spec.roles"}},
+		{"good engine", Object{Engine: &Engine{Metadata: validMetadata, Spec: EngineSpec{Address: "[::1]:80", Zone: "a", Service: "narrator"}}}, nil},
 		{"bad engine", Object{Engine: &Engine{
 			Metadata: Metadata{Name: "A_b", Labels: Labels{"pool": "a b", "-k": "v"}}, Spec: EngineSpec{Address: "narrator:80", Zone: "-"},
 		}}, []string{
 			"engine.metadata.name", `engine.metadata.labels["-k"]`, `engine.metadata.labels["pool"]`,
 			"engine.spec.address", "engine.spec.zone", "engine.spec.service",
 		}},
-		{"good service", Object{Service: &Service{Metadata: good, Spec: ServiceSpec{
+		{"good service", Object{Service: &Service{Metadata: validMetadata, Spec: ServiceSpec{
 			Type: ServiceBackend, Backends: []Backend{{Name: "t1", Address: "10.0.0.1:80"}},
 		}}}, nil},
-		{"bad service", Object{Service: &Service{Metadata: good, Spec: ServiceSpec{
+		{"bad service", Object{Service: &Service{Metadata: validMetadata, Spec: ServiceSpec{
 			Type: "other", MaxInFlight: -1,
 			Backends: []Backend{{Name: "t1", Address: "10.0.0.1:0"}, {Name: "t1", Address: "0.0.0.0:80", Zone: "B"}},
 		}}}, []string{
 			"service.spec.type", "service.spec.backends[0].address", "service.spec.backends[1].name",
 			"service.spec.backends[1].address", "service.spec.backends[1].zone", "service.spec.maxInFlight",
 		}},
-		{"model service with back ends", Object{Service: &Service{Metadata: good, Spec: ServiceSpec{
+		{"model service with back ends", Object{Service: &Service{Metadata: validMetadata, Spec: ServiceSpec{
 			Type: ServiceModel, Backends: []Backend{{Name: "t1", Address: "10.0.0.1:80"}},
 		}}}, []string{"service.spec.backends"}},
-		{"good class", Object{Class: &Class{Metadata: good, Spec: ClassSpec{Service: "narrator", Priority: -3, DeadlineMilliseconds: 1}}}, nil},
-		{"bad class", Object{Class: &Class{Metadata: good, Spec: ClassSpec{QueueLimit: -1, MaxInFlight: -1}}}, []string{
+		{"good class", Object{Class: &Class{Metadata: validMetadata, Spec: ClassSpec{Service: "narrator", Priority: -3, DeadlineMilliseconds: 1}}}, nil},
+		{"bad class", Object{Class: &Class{Metadata: validMetadata, Spec: ClassSpec{QueueLimit: -1, MaxInFlight: -1}}}, []string{
 			"class.spec.service", "class.spec.deadlineMilliseconds", "class.spec.queueLimit", "class.spec.maxInFlight",
 		}},
-		{"late deadline", Object{Class: &Class{Metadata: good, Spec: ClassSpec{Service: "s", DeadlineMilliseconds: MaxDeadlineMilliseconds + 1}}},
+		{"late deadline", Object{Class: &Class{Metadata: validMetadata, Spec: ClassSpec{Service: "s", DeadlineMilliseconds: MaxDeadlineMilliseconds + 1}}},
 			[]string{"class.spec.deadlineMilliseconds"}},
-		{"good tenant", Object{Tenant: &Tenant{Metadata: good, Spec: TenantSpec{Weight: 0.5, TokensPerSecond: 10, Burst: 20}}}, nil},
+		{"good tenant", Object{Tenant: &Tenant{Metadata: validMetadata, Spec: TenantSpec{Weight: 0.5, TokensPerSecond: 10, Burst: 20}}}, nil},
 		{"bad tenant", Object{Tenant: &Tenant{Metadata: Metadata{Name: strings.Repeat("a", MaxNameBytes+1)}, Spec: TenantSpec{
 			Weight: math.NaN(), TokensPerSecond: -1, Burst: -1,
 		}}}, []string{"tenant.metadata.name", "tenant.spec.weight", "tenant.spec.tokensPerSecond", "tenant.spec.burst"}},
-		{"burst without a rate", Object{Tenant: &Tenant{Metadata: good, Spec: TenantSpec{Burst: 1}}}, []string{"tenant.spec.burst"}},
+		{"burst without a rate", Object{Tenant: &Tenant{Metadata: validMetadata, Spec: TenantSpec{Burst: 1}}}, []string{"tenant.spec.burst"}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
--- a/version/apikey/table.go
+++ b/version/apikey/table.go
@@ -43,14 +43,14 @@
 	next := *t
 	next.tenants = tenants
 	editor := tableEditor{table: &next}
-	for name, known := range t.tenants {
-		if tenants[name] != known {
-			editor.remove(name, digestDifference(known, tenants[name]))
+	for name, previous := range t.tenants {
+		if tenants[name] != previous {
+			editor.remove(name, digestDifference(previous, tenants[name]))
 		}
 	}
 	for name, tenant := range tenants {
-		if known := t.tenants[name]; known != tenant {
-			editor.add(name, digestDifference(tenant, known))
+		if previous := t.tenants[name]; previous != tenant {
+			editor.add(name, digestDifference(tenant, previous))
 		}
 	}
 	return &next
@@ -85,27 +85,27 @@
 	owned [shardCount]bool
 }
 
-func (c *tableEditor) shard(digest api.KeyDigest) *[]entry {
-	shard := &c.table.shards[digest[0]]
-	if !c.owned[digest[0]] {
+func (e *tableEditor) shard(digest api.KeyDigest) *[]entry {
+	shard := &e.table.shards[digest[0]]
+	if !e.owned[digest[0]] {
 		*shard = slices.Clone(*shard)
-		c.owned[digest[0]] = true
+		e.owned[digest[0]] = true
 	}
 	return shard
 }
 
-func (c *tableEditor) add(tenant string, digests []api.KeyDigest) {
+func (e *tableEditor) add(tenant string, digests []api.KeyDigest) {
 	for _, digest := range digests {
-		shard := c.shard(digest)
+		shard := e.shard(digest)
 		*shard = slices.Insert(*shard, lowerBound(*shard, digest), entry{digest: digest, tenant: tenant})
 	}
 }
 
-// remove deletes the entries that match both digest and tenant. One update may move a key to
-// another tenant, so an entry of the new tenant with the same digest may already exist.
-func (c *tableEditor) remove(tenant string, digests []api.KeyDigest) {
+// remove deletes the entries of the given digests that belong to tenant. It leaves those of
+// other tenants, because one update may move a key from one tenant to another.
+func (e *tableEditor) remove(tenant string, digests []api.KeyDigest) {
 	for _, digest := range digests {
-		shard := c.shard(digest)
+		shard := e.shard(digest)
 		removed := entry{digest: digest, tenant: tenant}
 		for at := lowerBound(*shard, digest); at < len(*shard) && (*shard)[at].digest == digest; at++ {
 			if (*shard)[at] == removed {
@@ -127,12 +127,12 @@
 	shard := t.shards[digest[0]]
 	first := sort.Search(len(shard), func(i int) bool { return digestPrefix(shard[i].digest) >= digestPrefix(digest) })
 	var found *api.RouteTenant
-	for _, known := range shard[first:] {
-		if digestPrefix(known.digest) != digestPrefix(digest) {
+	for _, candidate := range shard[first:] {
+		if digestPrefix(candidate.digest) != digestPrefix(digest) {
 			break
 		}
-		if subtle.ConstantTimeCompare(known.digest[:], digest[:]) == 1 {
-			found = t.tenants[known.tenant]
+		if subtle.ConstantTimeCompare(candidate.digest[:], digest[:]) == 1 {
+			found = t.tenants[candidate.tenant]
 		}
 	}
 	return found
--- a/version/compress/compress.go
+++ b/version/compress/compress.go
@@ -16,6 +16,7 @@
 
 // writerPool reuses DEFLATE writers because each allocates large tables.
 var writerPool = sync.Pool{New: func() any {
+	// The level is a valid constant, the only argument that NewWriter checks.
 	writer, err := flate.NewWriter(io.Discard, flate.BestSpeed)
 	if err != nil {
 		panic("compress: create DEFLATE writer: " + err.Error())
@@ -41,7 +42,7 @@
 	reader := flate.NewReader(bytes.NewReader(packed))
 	data, err := io.ReadAll(io.LimitReader(reader, int64(limit)+1))
 	if err != nil {
-		return nil, errors.Wrap(err, "compress: decompress")
+		return nil, errors.Wrap(err, "compress")
 	}
 	if len(data) > limit {
 		return nil, ErrTooLarge
