--- a/version/api/metadata.go
+++ b/version/api/metadata.go
@@ -26,7 +26,8 @@
 	KindSuspect     Kind = "Suspect"
 )
 
-// Kinds lists every kind in the order in which tables print them.
+// Kinds lists every kind in the order in which tables print them. Package binenc encodes
+// a kind by its position in this list.
 var Kinds = []Kind{KindIntent, KindEngine, KindService, KindClass, KindTenant, KindIngress, KindReplica, KindProxy, KindMember, KindQuarantine, KindRouteTenant, KindCapacity, KindSuspect}
 
 // IsWritable reports whether transactions can write objects of the kind. Other
--- a/version/api/quarantine.go
+++ b/version/api/quarantine.go
@@ -21,7 +21,8 @@
 	// have caused, or a hold has expired. At Until the trial moves to another proxy.
 	QuarantineTried QuarantineState = "tried"
 	// QuarantineSettling requests are temporarily sent to no replica: enough replicas ended to
-	// justify a hold, but the reports about other requests that were in flight there are still to arrive.
+	// justify a hold, but the reports about other requests that were in flight there are
+	// still to arrive.
 	QuarantineSettling QuarantineState = "settling"
 	// QuarantineHeld requests are sent to no replica.
 	QuarantineHeld QuarantineState = "held"
