--- a/version/api/embedding_test.go
+++ b/version/api/embedding_test.go
@@ -27,7 +27,7 @@
 
 // forbidden lists the import path prefixes that embeddable packages must not import,
 // directly or transitively: the service framework, settings, the command line, the
-// event log and the lab.
+// event log and the test lab (lab/).
 var forbidden = []string{
 	"github.com/zeromicro/go-zero",
 	"github.com/peterbourgon/ff",
@@ -49,7 +49,7 @@
 			for imported, importer := range importedBy {
 				for _, prefix := range forbidden {
 					must.False(t, strings.HasPrefix(imported+"/", strings.TrimSuffix(prefix, "/")+"/"),
-						must.Sprintf("%s imports %s by %s", folder, imported, importer))
+						must.Sprintf("%s imports %s through %s", folder, imported, importer))
 				}
 			}
 		})
--- a/version/api/fleet.go
+++ b/version/api/fleet.go
@@ -2,9 +2,9 @@
 
 import "strconv"
 
-// Replica is one process of a service, as listed by the platform. A process may reuse the
-// name of an earlier one, whose state it does not have; the start time in Born distinguishes
-// the two.
+// Replica is one process of a service, as listed by the platform. A new process
+// may reuse the name of an earlier one but starts without its state; the start time in Born
+// distinguishes the two.
 type Replica struct {
 	Metadata `json:"metadata" yaml:"metadata"`
 	Spec     ReplicaSpec `json:"spec" yaml:"spec"`
@@ -32,7 +32,8 @@
 
 // IsAnotherProcess reports whether the two specs describe different processes with the same
 // name: both have reported a start time, and the times differ. A process without a start time
-// is assumed to be the same one until its connections show that it has ended.
+// is assumed to be the same one until its connections show that it has ended. The order of
+// the two specs does not matter.
 func (s *ReplicaSpec) IsAnotherProcess(earlier *ReplicaSpec) bool {
 	return s.Born != 0 && earlier.Born != 0 && s.Born != earlier.Born
 }
@@ -42,7 +43,8 @@
 func (r *Replica) Incarnation() string { return IncarnationName(r.Name, r.Spec.Born) }
 
 // IncarnationName returns the name of the process of a replica that started at born, in
-// milliseconds since the Unix epoch. If born is 0 (unknown), it is the replica's name.
+// milliseconds since the Unix epoch. If born is 0 (unknown), it is the replica's name,
+// otherwise "name@born".
 func IncarnationName(replica string, born int64) string {
 	if born == 0 {
 		return replica
@@ -50,16 +52,16 @@
 	return replica + "@" + strconv.FormatInt(born, 10)
 }
 
-// Capacity is the wanted number of replicas of a service in a zone. Its name is
+// Capacity is the most recent scaling decision for the replicas of a service in a zone. Its name is
 // "service/zone"; see CapacityName.
 type Capacity struct {
 	Metadata `json:"metadata" yaml:"metadata"`
 	Spec     CapacitySpec `json:"spec" yaml:"spec"`
 }
 
-// CapacitySpec is the most recent scaling decision.
+// CapacitySpec holds the wanted numbers of replicas and the reason for them.
 type CapacitySpec struct {
-	// Found is the number of replicas when the group made its first decision: the size that
+	// Found is the number of replicas at the group's first scaling decision: the size that
 	// was considered sufficient when the fleet was set up.
 	Found int `json:"found" yaml:"found"`
 	// Lasting and Withdrawable are the wanted numbers of replicas that the platform cannot
--- a/version/api/ingress.go
+++ b/version/api/ingress.go
@@ -1,6 +1,6 @@
 package api
 
-// Ingress is the configuration of all client-facing routes. There is a single
+// Ingress is the configuration of all client-facing routes (not the Kubernetes kind). There is a single
 // Ingress, which is replaced as a whole; the highest generation takes effect.
 type Ingress struct {
 	Metadata `json:"metadata" yaml:"metadata"`
@@ -38,9 +38,9 @@
 
 // Kinds of routes.
 const (
-	RouteSafe      RouteKind = "safe"      // may run more than once
+	RouteSafe      RouteKind = "safe"      // idempotent: may run more than once
 	RouteUnsafe    RouteKind = "unsafe"    // runs at most once
-	RouteStreaming RouteKind = "streaming" // answered by a stream of events
+	RouteStreaming RouteKind = "streaming" // answered by a stream of events; see Route.Idempotent
 )
 
 // Route matches the requests for a host whose path begins with a prefix.
@@ -51,11 +51,13 @@
 	PathPrefix string    `json:"pathPrefix" yaml:"pathPrefix"`
 	Kind       RouteKind `json:"kind" yaml:"kind"`
 	// Priority is the priority in queues and engines; 0 is the most urgent.
+	// ClassSpec.Priority has the opposite order.
 	Priority int `json:"priority" yaml:"priority"`
 	// TimeoutMilliseconds limits the total time of a request.
 	TimeoutMilliseconds int64 `json:"timeoutMilliseconds" yaml:"timeoutMilliseconds"`
 	// ObjectiveMilliseconds is the latency objective until the response, or until
-	// the first event of a stream. GapMilliseconds is the objective between events.
+	// the first event of a stream. GapMilliseconds is the objective between two
+	// events of a stream.
 	ObjectiveMilliseconds int64 `json:"objectiveMilliseconds,omitempty" yaml:"objectiveMilliseconds,omitempty"`
 	GapMilliseconds       int64 `json:"gapMilliseconds,omitempty" yaml:"gapMilliseconds,omitempty"`
 	// Attempts is the maximum number of replicas that one request is sent to.
@@ -94,8 +96,8 @@
 	Scaling *ScalingSheet `json:"scaling,omitempty" yaml:"scaling,omitempty"`
 }
 
-// ScalingSheet holds the limits and prices of a service's replicas. Withdrawable replicas,
-// all of which a zone may lose at once, cost less than lasting ones.
+// ScalingSheet holds the limits and prices of a service's replicas. Withdrawable replicas
+// cost less than lasting ones, but the platform may reclaim all of those in a zone at once.
 type ScalingSheet struct {
 	// Min and Max bound the number of replicas per zone, both kinds together.
 	Min int `json:"min" yaml:"min"`
@@ -105,7 +107,8 @@
 	// WithdrawablePrice is the price of a withdrawable replica as a fraction of that of a
 	// lasting one; 0 if there are no withdrawable replicas.
 	WithdrawablePrice float64 `json:"withdrawablePrice,omitempty" yaml:"withdrawablePrice,omitempty"`
-	// ZonePrices is the price of a lasting replica in each zone, in any unit.
+	// ZonePrices is the price of a lasting replica in each zone, in any unit
+	// that is the same for all zones.
 	ZonePrices map[string]float64 `json:"zonePrices,omitempty" yaml:"zonePrices,omitempty"`
 }
 
@@ -131,7 +134,8 @@
 // ReplaceCode is the outcome of a replacement of the Ingress.
 type ReplaceCode string
 
-// Outcomes of a replacement. All except ReplaceInvalid are acknowledged.
+// Outcomes of a replacement. ReplaceInvalid is the only one that does not
+// acknowledge the submitted Ingress.
 const (
 	ReplaceApplied    ReplaceCode = "applied"    // the new Ingress is in effect
 	ReplaceSuperseded ReplaceCode = "superseded" // an equal or higher generation is in effect; nothing changed
--- a/version/api/metadata.go
+++ b/version/api/metadata.go
@@ -1,6 +1,7 @@
 // Package api defines the objects of the control group's state and their
-// validation. Operators write intents, engines, services, classes and tenants in
-// transactions; the other kinds are replaced as a whole or observed by the group.
+// validation. The control group is the Raft group of controllers. Operators write
+// intents, engines, services, classes and tenants in transactions; the other kinds
+// are replaced as a whole or recorded by the group.
 // Objects have metadata, a spec and, for some kinds, a status with the observed
 // state. Writes are compare-and-set on the metadata's revision.
 package api
@@ -27,11 +28,11 @@
 )
 
 // Kinds lists every kind in the order in which tables print them. Package binenc encodes
-// a kind by its position in this list.
+// a kind by its position in this list, which is part of the stored format: append only.
 var Kinds = []Kind{KindIntent, KindEngine, KindService, KindClass, KindTenant, KindIngress, KindReplica, KindProxy, KindMember, KindQuarantine, KindRouteTenant, KindCapacity, KindSuspect}
 
 // IsWritable reports whether transactions can write objects of the kind. Other
-// kinds are replaced as a whole or observed by the control group.
+// kinds are replaced as a whole or recorded by the control group.
 func IsWritable(kind Kind) bool {
 	switch kind {
 	case KindIntent, KindEngine, KindService, KindClass, KindTenant:
@@ -47,7 +48,7 @@
 type Metadata struct {
 	Name   string `json:"name" yaml:"name"`
 	Labels Labels `json:"labels,omitempty" yaml:"labels,omitempty"`
-	// Revision is the log index of the object's last accepted write. In a
+	// Revision is the Raft log index of the object's last accepted write. In a
 	// write, 0 means that the object must not exist yet.
 	Revision uint64 `json:"revision,omitempty" yaml:"revision,omitempty"`
 }
--- a/version/api/objects.go
+++ b/version/api/objects.go
@@ -13,8 +13,8 @@
 	RoleMixed   EngineRole = "mixed"
 )
 
-// Assignment is the complete configuration that an engine is given: a role, a
-// model, its version and its adapters.
+// Assignment is the complete configuration that an engine is given: a
+// model, its version, its adapters and a role.
 type Assignment struct {
 	Model    string     `json:"model" yaml:"model"`
 	Version  string     `json:"version" yaml:"version"`
@@ -102,11 +102,11 @@
 	PhaseGone     EnginePhase = "gone"     // not on the platform's list
 )
 
-// EngineStatus is the last committed status of an engine.
+// EngineStatus is the status last committed to the Raft log of an engine.
 type EngineStatus struct {
 	Phase EnginePhase `json:"phase"`
-	// MachinePhase is PhaseLeaving or PhaseGone while the platform lists the
-	// engine's machine as such; it then overrides the phase that the engine reports.
+	// MachinePhase is PhaseLeaving or PhaseGone while the platform is
+	// removing the engine's machine or does not list it; it then overrides the phase that the engine reports.
 	MachinePhase EnginePhase `json:"machinePhase,omitempty"`
 	// Incarnation is a random number, generated at each start of the engine's process.
 	Incarnation uint64     `json:"incarnation,string"`
@@ -121,8 +121,9 @@
 }
 
 // Fence is a fencing token that puts orders in sequence. It is assigned from the
-// log position when an order is committed, never from a clock. An engine rejects
-// an order whose fence is not greater than its own.
+// Raft log position (term and index) when an order is committed, not from a clock.
+// An engine rejects an order whose fence is not greater than the highest it has
+// accepted.
 type Fence struct {
 	Term  uint64 `json:"term"`
 	Index uint64 `json:"index"`
@@ -139,7 +140,7 @@
 // IsZero reports whether no fence has been assigned.
 func (f Fence) IsZero() bool { return f == Fence{} }
 
-// Order gives an assignment to one incarnation of an engine.
+// Order is a command that gives an assignment to one incarnation of an engine.
 type Order struct {
 	Fence       Fence      `json:"fence"`
 	Engine      string     `json:"engine"`
@@ -149,8 +150,8 @@
 	Reason string `json:"reason,omitempty"`
 }
 
-// ServiceType separates model services from plain ones, whose requests must not
-// queue behind model requests.
+// ServiceType separates model services from plain ones (ServiceBackend). Requests to
+// plain services must not queue behind model requests.
 type ServiceType string
 
 // Types of services.
@@ -182,7 +183,7 @@
 	Zone    string `json:"zone" yaml:"zone"`
 }
 
-// ServiceStatus lists the backends that are being removed or are gone.
+// ServiceStatus lists the names of the backends that are being removed or are gone.
 type ServiceStatus struct {
 	Leaving []string `json:"leaving,omitempty"`
 	Gone    []string `json:"gone,omitempty"`
@@ -198,6 +199,7 @@
 type ClassSpec struct {
 	Service string `json:"service" yaml:"service"`
 	// Priority orders classes in queues and engines; higher values go first.
+	// Route.Priority has the opposite order.
 	Priority int `json:"priority" yaml:"priority"`
 	// DeadlineMilliseconds is the deadline of requests that specify none.
 	DeadlineMilliseconds int64 `json:"deadlineMilliseconds" yaml:"deadlineMilliseconds"`
@@ -209,7 +211,8 @@
 	MaxInFlight int `json:"maxInFlight,omitempty" yaml:"maxInFlight,omitempty"`
 }
 
-// Tenant is a customer that pays for capacity.
+// Tenant is a customer that pays for capacity. API tenants, which own API keys, are
+// RouteTenants.
 type Tenant struct {
 	Metadata `json:"metadata" yaml:"metadata"`
 	Spec     TenantSpec `json:"spec" yaml:"spec"`
@@ -217,7 +220,7 @@
 
 // TenantSpec holds the rate limit and the scheduling weight of a tenant.
 type TenantSpec struct {
-	// Weight is the tenant's fair share under overload; 0 means 1.
+	// Weight is the tenant's relative weight in fair sharing under overload; 0 means 1.
 	Weight float64 `json:"weight,omitempty" yaml:"weight,omitempty"`
 	// TokensPerSecond and Burst limit prompt and output tokens through one proxy; 0 means no limit.
 	TokensPerSecond float64 `json:"tokensPerSecond,omitempty" yaml:"tokensPerSecond,omitempty"`
@@ -291,7 +294,8 @@
 	return keys[0], true
 }
 
-// Metadata returns the metadata of the object that is set, or nil.
+// Metadata returns the metadata of the object that is set, not a copy,
+// or nil if none is set.
 func (o Object) Metadata() *Metadata {
 	switch {
 	case o.Intent != nil:
--- a/version/api/quarantine.go
+++ b/version/api/quarantine.go
@@ -1,6 +1,6 @@
 package api
 
-// Quarantine records a request during which replicas ended, and which may have caused it. Its
+// Quarantine records a request that was running when replicas crashed and may be the cause. Its
 // name is the request's fingerprint in hex, which does not depend on the request ID; the body
 // is not stored.
 type Quarantine struct {
@@ -13,23 +13,23 @@
 
 // States of a Quarantine.
 const (
-	// QuarantineWatched requests run normally; one more end of a replica may confirm that they
-	// are the cause.
+	// QuarantineWatched requests run normally; one more crash of a replica may confirm that
+	// they are the cause.
 	QuarantineWatched QuarantineState = "watched"
 	// QuarantineTried requests run one at a time, through a single proxy. Either several
-	// replicas ended at once while running them, which the request or the loss of a rack may
-	// have caused, or a hold has expired. At Until the trial moves to another proxy.
+	// replicas crashed at once while running them (the cause may be the request or, for
+	// example, the loss of a rack), or a hold (QuarantineHeld) has expired. At Until the trial moves to another proxy.
 	QuarantineTried QuarantineState = "tried"
-	// QuarantineSettling requests are temporarily sent to no replica: enough replicas ended to
-	// justify a hold, but the reports about other requests that were in flight there are
-	// still to arrive.
+	// QuarantineSettling requests are temporarily sent to no replica: enough replicas crashed to
+	// justify a hold, but the reports about other requests that were in flight on those
+	// replicas are still to arrive.
 	QuarantineSettling QuarantineState = "settling"
 	// QuarantineHeld requests are sent to no replica.
 	QuarantineHeld QuarantineState = "held"
 )
 
-// EndedAtOnce reports whether the request is on trial because several replicas ended at once.
-// A request that is tried after a hold (Times > 0) ended its replicas one after the other.
+// EndedAtOnce reports whether the request is on trial because several replicas crashed at once.
+// A request that is tried after a hold (Times > 0) crashed its replicas one after the other.
 func (s *QuarantineSpec) EndedAtOnce() bool { return s.State == QuarantineTried && s.Times == 0 }
 
 // QuarantineSpec is what the control group knows about the request.
@@ -37,18 +37,18 @@
 	State   QuarantineState `json:"state" yaml:"state"`
 	Service string          `json:"service" yaml:"service"`
 	Route   string          `json:"route" yaml:"route"`
-	// Request is the request ID with which it last ended a replica.
+	// Request is the request ID with which it last crashed a replica.
 	Request string `json:"request" yaml:"request"`
-	// Replicas are the incarnation names of the replicas that ended while running it.
+	// Replicas are the incarnation names of the replicas that crashed while running it.
 	Replicas []string `json:"replicas" yaml:"replicas"`
-	// Weak is the subset of Replicas whose ends are weak evidence: the run had already
+	// Weak is the subset of Replicas whose crashes are weak evidence: the run had already
 	// produced events, the replica only processed the prompt (prefill), or something accepted
 	// connections at its address right after.
 	Weak []string `json:"weak,omitempty" yaml:"weak,omitempty"`
-	// Alone is set if a replica ended with no other request in flight, so fewer ends are
+	// Alone is set if a replica crashed with no other request in flight, so fewer crashes are
 	// needed to identify the request as the cause.
 	Alone bool `json:"alone,omitempty" yaml:"alone,omitempty"`
-	// Since is when the first of the replicas ended, in milliseconds of the leader's wall clock.
+	// Since is when the first of the replicas crashed, in milliseconds of the leader's wall clock.
 	Since int64 `json:"since,omitempty" yaml:"since,omitempty"`
 	// Until is when the state expires, in milliseconds of the group's clock.
 	Until int64 `json:"until" yaml:"until"`
--- a/version/api/quota.go
+++ b/version/api/quota.go
@@ -16,12 +16,12 @@
 	QuotaTokens QuotaUnit = "tokens"
 )
 
-// Quota limits a tenant's use across all proxies by a rate and a burst, which accumulates
-// while the use is below the rate. The zero Quota sets no limit.
+// Quota limits a tenant's use across all proxies with a token bucket: it fills at
+// PerSecond up to Burst. A Quota whose PerSecond is 0 sets no limit.
 type Quota struct {
 	Unit      QuotaUnit `json:"unit,omitempty" yaml:"unit,omitempty"`
-	PerSecond float64   `json:"perSecond,omitempty" yaml:"perSecond,omitempty"` // units
-	Burst     float64   `json:"burst,omitempty" yaml:"burst,omitempty"`         // units
+	PerSecond float64   `json:"perSecond,omitempty" yaml:"perSecond,omitempty"` // in Unit; an empty Unit counts requests
+	Burst     float64   `json:"burst,omitempty" yaml:"burst,omitempty"`         // in Unit
 	// PlainTokens is the cost of a request whose number of tokens is unknown.
 	PlainTokens float64 `json:"plainTokens,omitempty" yaml:"plainTokens,omitempty"`
 }
--- a/version/api/suspect.go
+++ b/version/api/suspect.go
@@ -1,9 +1,9 @@
 package api
 
-// Suspect records a request during which one replica ended recently. That alone proves
-// nothing, and serving daemons ignore it. It is stored so that a second end is still counted as the
-// second even if all processes that observed the first are gone. It has the name of the
-// Quarantine that it may become.
+// Suspect records a request during which one replica crashed recently. One crash does not
+// show that the request is the cause, so serving daemons ignore the record. It is stored so that
+// a second crash is still counted as the second even if all processes that observed the first
+// are gone. It has the name of the Quarantine that it may become.
 type Suspect struct {
 	Metadata `json:"metadata" yaml:"metadata"`
 	Spec     SuspectSpec `json:"spec" yaml:"spec"`
@@ -15,9 +15,9 @@
 	Route   string `json:"route" yaml:"route"`
 	// Request is the request ID.
 	Request string `json:"request" yaml:"request"`
-	// Replica is the incarnation name of the replica that ended.
+	// Replica is the incarnation name of the replica that crashed.
 	Replica string `json:"replica" yaml:"replica"`
-	// EndedAt is when the replica ended and Until when the record expires, both in
+	// EndedAt is when the replica crashed and Until when the record expires, both in
 	// milliseconds of the leader's wall clock.
 	EndedAt int64 `json:"endedAt" yaml:"endedAt"`
 	Until   int64 `json:"until" yaml:"until"`
--- a/version/api/tenant.go
+++ b/version/api/tenant.go
@@ -11,7 +11,8 @@
 // must be neither stored nor logged.
 type TenantKeys struct {
 	Name string `json:"name" yaml:"name"`
-	// Priority overrides the route's priority for the tenant's requests, unless it is nil.
+	// Priority overrides the route's priority for the tenant's requests, unless it is nil;
+	// 0 is the most urgent.
 	Priority *int     `json:"priority,omitempty" yaml:"priority,omitempty"`
 	Keys     []string `json:"keys" yaml:"keys"`
 	// Quota limits the tenant's use across all proxies.
--- a/version/api/transaction.go
+++ b/version/api/transaction.go
@@ -12,7 +12,7 @@
 // Transaction is a set of writes that are accepted or rejected atomically.
 type Transaction struct {
 	// OperationID is the idempotency key: repeating it with the same body returns
-	// the first result, with a different body a conflict.
+	// the first result, with a different body OutcomeOperationConflict.
 	OperationID string  `json:"operationId"`
 	Writes      []Write `json:"writes"`
 	DryRun      bool    `json:"dryRun,omitempty"`
@@ -62,7 +62,7 @@
 // ClaimCode is the outcome of a claim.
 type ClaimCode string
 
-// Outcomes of a claim.
+// Outcomes of a claim; see Claim.
 const (
 	ClaimGranted  ClaimCode = "granted"  // this attempt, and no other, may be dispatched
 	ClaimRunning  ClaimCode = "running"  // granted before, but no outcome is recorded: it may have run
@@ -90,7 +90,7 @@
 	Outcome  RunOutcome `json:"outcome"`
 	// Answer is the recorded response, if it was small enough to store.
 	Answer []byte `json:"answer,omitempty"`
-	// GrantedAt is the group's clock (see state.Command) in milliseconds.
+	// GrantedAt is the time on the group's clock (see state.Command) in milliseconds.
 	GrantedAt int64  `json:"grantedAt"`
 	Revision  uint64 `json:"revision"`
 }
--- a/version/api/usage.go
+++ b/version/api/usage.go
@@ -7,7 +7,7 @@
 	Window int64 `json:"window"`
 	// Counts are the final counts, or the counts known so far while Decided is false.
 	Counts map[string]uint64 `json:"counts"`
-	// Decided marks the counts as final, so that every repeated report sends the same.
+	// Decided marks the counts as final, so that every report repeats the same counts.
 	Decided bool `json:"decided"`
 	// Reported is set once the platform has accepted the report.
 	Reported bool `json:"reported"`
--- a/version/api/validate.go
+++ b/version/api/validate.go
@@ -22,8 +22,10 @@
 var Operators = []Operator{OperatorIn, OperatorNotIn, OperatorExists, OperatorDoesNotExist}
 
 // Validate returns all validation errors of an object's metadata and spec, in the
-// order of the fields; the object is valid if there are none. The status is
-// ignored. Field paths start with the kind, as in "intent.spec.roles[1]".
+// order of the fields (labels in the order of their keys); the object is valid if
+// there are none. The status is ignored. Kinds that transactions cannot write are
+// rejected or, for Quarantine, RouteTenant, Capacity and Suspect, not validated;
+// see IsWritable. Field paths start with the kind, as in "intent.spec.roles[1]".
 func Validate(o Object) []FieldFault {
 	if _, ok := o.Key(); !ok {
 		return []FieldFault{{Field: "object", Message: "exactly one of intent, engine, service, class and tenant must be set"}}
@@ -56,8 +58,8 @@
 	return c.faults
 }
 
-// ValidateKey returns the validation errors of the name in a key. A deletion needs
-// no further validation.
+// ValidateKey returns the validation errors of the name in a key, which is all that
+// a deletion needs. It does not validate the kind.
 func ValidateKey(key Key) []FieldFault {
 	var c fieldValidator
 	c.name(strings.ToLower(string(key.Kind))+".metadata.name", key.Name)
--- a/version/apikey/apikey.go
+++ b/version/apikey/apikey.go
@@ -1,7 +1,7 @@
 // Package apikey identifies tenants by their API keys without storing the keys.
 //
 // A key is represented by a keyed digest: HMAC-SHA-256 under a secret, truncated to 128
-// bits. The digests alone allow neither using a key nor testing guesses of it. Lookups
+// bits. A digest cannot be used as a key, and guesses cannot be tested without the secret. Lookups
 // compare digests in constant time. The search before that comparison depends only on a
 // digest that callers cannot compute, so its timing reveals nothing about existing keys.
 package apikey
@@ -20,7 +20,7 @@
 // SecretBytes is the length of a secret, equal to the output size of the hash.
 const SecretBytes = sha256.Size
 
-// NewSecret returns a random secret.
+// NewSecret returns a random secret of SecretBytes bytes.
 func NewSecret() []byte {
 	secret := make([]byte, SecretBytes)
 	_, _ = rand.Read(secret) // crypto/rand.Read never returns an error
@@ -50,7 +50,8 @@
 }
 
 // Seal replaces the tenants' keys by their digests under secret and returns the tenants in
-// their stored form, sorted by name. Digests are sorted and free of duplicates.
+// their stored form, sorted by name. Digests are sorted and free of duplicates. The tenants'
+// names must be distinct.
 func Seal(secret []byte, tenants []api.TenantKeys) []api.RouteTenant {
 	digester := NewDigester(secret)
 	sealed := make([]api.RouteTenant, 0, len(tenants))
--- a/version/apikey/apikey_test.go
+++ b/version/apikey/apikey_test.go
@@ -97,17 +97,17 @@
 	}
 }
 
-func generateTenants(tenants, keys int) (secret []byte, made map[string]*api.RouteTenant) {
+func generateTenants(tenants, keys int) (secret []byte, byName map[string]*api.RouteTenant) {
 	secret = NewSecret()
-	var given []api.TenantKeys
+	var submitted []api.TenantKeys
 	for i := range tenants {
 		tenant := api.TenantKeys{Name: fmt.Sprint("tenant-", i)}
 		for k := range keys {
 			tenant.Keys = append(tenant.Keys, fmt.Sprintf("key-%d-%d", i, k))
 		}
-		given = append(given, tenant)
+		submitted = append(submitted, tenant)
 	}
-	return secret, tenantsByName(Seal(secret, given))
+	return secret, tenantsByName(Seal(secret, submitted))
 }
 
 // BenchmarkFind uses 3,125 tenants with 32 keys each: the target load of 100,000 keys.
--- a/version/apikey/table.go
+++ b/version/apikey/table.go
@@ -35,7 +35,8 @@
 
 // Follow returns a table of the given tenants, whose digests were computed under secret. If
 // the secret is unchanged, only the differences from t are applied; otherwise the table is
-// built from scratch. The caller must not modify the map afterwards.
+// built from scratch. Tenants are compared by pointer: the caller must not modify the
+// map, the tenants or the secret afterwards.
 func (t *Table) Follow(secret []byte, tenants map[string]*api.RouteTenant) *Table {
 	if !bytes.Equal(secret, t.secret) {
 		t = &Table{secret: secret, digester: NewDigester(secret)}
@@ -85,6 +86,7 @@
 	owned [shardCount]bool
 }
 
+// shard returns the shard of digest for writing.
 func (e *tableEditor) shard(digest api.KeyDigest) *[]entry {
 	shard := &e.table.shards[digest[0]]
 	if !e.owned[digest[0]] {
@@ -121,7 +123,8 @@
 	return sort.Search(len(shard), func(i int) bool { return compareDigests(shard[i].digest, digest) >= 0 })
 }
 
-// Find returns the tenant that owns key, or nil if there is none.
+// Find returns the tenant that owns key, or nil if there is none. If several tenants own
+// it, the last entry found wins.
 func (t *Table) Find(key string) *api.RouteTenant {
 	digest := t.digester.Digest(key)
 	shard := t.shards[digest[0]]
--- a/version/binenc/binenc.go
+++ b/version/binenc/binenc.go
@@ -1,6 +1,8 @@
-// Package binenc implements the binary encoding of commands, snapshots and
-// deltas. The encoding is canonical: each value has exactly one encoding and the
-// Reader rejects all others, so equal states have equal bytes.
+// Package binenc implements the binary encoding of Raft commands, snapshots and
+// deltas of the control group's state. The encoding is canonical: each value has exactly
+// one encoding and the Reader rejects all others, so equal states have equal bytes. Callers
+// keep lists, such as the digests of a RouteTenant, in a canonical order; the Reader does
+// not check it.
 package binenc
 
 import (
@@ -69,7 +71,8 @@
 	err  error
 }
 
-// NewReader returns a Reader of b. Strings and byte slices that it returns are copies.
+// NewReader returns a Reader of b. Strings and byte slices that it returns are copies,
+// except for those of Rest.
 func NewReader(b []byte) *Reader { return &Reader{rest: b} }
 
 // Err returns the first error, if any.
@@ -83,7 +86,7 @@
 	return r.err
 }
 
-// Fail records err unless an error was recorded before.
+// Fail records err unless an error was recorded before, and drops the unread input.
 func (r *Reader) Fail(err error) {
 	if r.err == nil {
 		r.err = err
@@ -174,12 +177,12 @@
 	return list
 }
 
-// Count reads the number of elements that follow, each at least minimum bytes
-// long. It fails if the remaining input is too short for them, which limits how
-// much memory a malformed count can make the caller allocate.
-func (r *Reader) Count(minimum int) int {
+// Count reads the number of elements that follow, each at least minimumBytes long.
+// It fails with ErrTruncated if the remaining input is too short for them, which
+// limits how much memory a malformed count can make the caller allocate.
+func (r *Reader) Count(minimumBytes int) int {
 	n := r.Uint()
-	if n > uint64(len(r.rest)/max(minimum, 1)) {
+	if n > uint64(len(r.rest)/max(minimumBytes, 1)) {
 		r.Fail(ErrTruncated)
 		return 0
 	}
@@ -203,6 +206,7 @@
 	return true
 }
 
+// take returns the next n bytes, which alias the input, or nil if there are fewer.
 func (r *Reader) take(n int) []byte {
 	if r.err != nil {
 		return nil
--- a/version/binenc/object.go
+++ b/version/binenc/object.go
@@ -7,7 +7,8 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// Type tags, written before each encoded object. They are part of the stored format.
+// Type tags, written before each encoded object. They are part of the stored format:
+// append new tags and never renumber.
 const (
 	tagIntent byte = iota + 1
 	tagEngine
@@ -93,7 +94,7 @@
 }
 
 // AppendKey appends the key of an object. The kind is encoded as its position in
-// api.Kinds, counted from 1.
+// api.Kinds, counted from 1. An unknown kind is encoded as 0, which Key rejects.
 func AppendKey(b []byte, key api.Key) []byte {
 	b = append(b, byte(slices.Index(api.Kinds, key.Kind)+1))
 	return AppendString(b, key.Name)
--- a/version/compress/compress.go
+++ b/version/compress/compress.go
@@ -16,7 +16,7 @@
 
 // writerPool reuses DEFLATE writers because each allocates large tables.
 var writerPool = sync.Pool{New: func() any {
-	// The level is a valid constant, the only argument that NewWriter checks.
+	// NewWriter fails only on an invalid level, and BestSpeed is valid.
 	writer, err := flate.NewWriter(io.Discard, flate.BestSpeed)
 	if err != nil {
 		panic("compress: create DEFLATE writer: " + err.Error())
@@ -37,7 +37,8 @@
 }
 
 // Unpack decompresses the output of Pack. It returns ErrTooLarge if the result
-// exceeds limit bytes, and another error if packed is not valid DEFLATE data.
+// exceeds limit bytes, and another error if packed is not valid DEFLATE data. Bytes
+// after the end of the DEFLATE stream are ignored.
 func Unpack(packed []byte, limit int) ([]byte, error) {
 	reader := flate.NewReader(bytes.NewReader(packed))
 	data, err := io.ReadAll(io.LimitReader(reader, int64(limit)+1))
