--- a/version/api/ingress.go
+++ b/version/api/ingress.go
@@ -60,7 +60,8 @@
 	// events of a stream.
 	ObjectiveMilliseconds int64 `json:"objectiveMilliseconds,omitempty" yaml:"objectiveMilliseconds,omitempty"`
 	GapMilliseconds       int64 `json:"gapMilliseconds,omitempty" yaml:"gapMilliseconds,omitempty"`
-	// Attempts is the maximum number of replicas that one request is sent to.
+	// Attempts is the maximum number of replicas that one request is sent to,
+	// including the first; 0 means 1.
 	Attempts int `json:"attempts" yaml:"attempts"`
 	// Affinity routes requests with a common prompt prefix to the same replica.
 	Affinity bool `json:"affinity,omitempty" yaml:"affinity,omitempty"`
@@ -112,7 +113,9 @@
 	ZonePrices map[string]float64 `json:"zonePrices,omitempty" yaml:"zonePrices,omitempty"`
 }
 
-// ModelSheet holds the configured properties of a model service's replicas.
+// ModelSheet holds the configured properties of a model service's replicas. KVTokens is the
+// number of tokens that a replica's KV cache holds, and LinkMbps the bandwidth for moving KV
+// cache between replicas, in megabits per second.
 type ModelSheet struct {
 	Slots          int     `json:"slots" yaml:"slots"`
 	KVTokens       int64   `json:"kvTokens" yaml:"kvTokens"`
--- a/version/api/objects.go
+++ b/version/api/objects.go
@@ -7,7 +7,7 @@
 // cache, a decode engine imports the cache and generates tokens, and a mixed
 // engine does both.
 const (
-	RoleNone    EngineRole = ""
+	RoleNone    EngineRole = "" // no assignment
 	RolePrefill EngineRole = "prefill"
 	RoleDecode  EngineRole = "decode"
 	RoleMixed   EngineRole = "mixed"
@@ -63,7 +63,9 @@
 	ChangeCost float64 `json:"changeCost,omitempty" yaml:"changeCost,omitempty"`
 }
 
-// IntentStatus is the observed state of an intent's engines.
+// IntentStatus counts the engines that the intent's selector matches. Changing engines have an
+// open order, drain or change; the others are Assigned if their assignment satisfies the
+// intent, and else Unassigned.
 type IntentStatus struct {
 	Engines    int `json:"engines"`
 	Assigned   int `json:"assigned"`
--- a/version/api/quarantine.go
+++ b/version/api/quarantine.go
@@ -50,7 +50,8 @@
 	Alone bool `json:"alone,omitempty" yaml:"alone,omitempty"`
 	// Since is when the first of the replicas crashed, in milliseconds of the leader's wall clock.
 	Since int64 `json:"since,omitempty" yaml:"since,omitempty"`
-	// Until is when the state expires, in milliseconds of the group's clock.
+	// Until is when the state expires or, on trial, when another proxy takes over, in
+	// milliseconds of the leader's wall clock.
 	Until int64 `json:"until" yaml:"until"`
 	// Times is the number of times the request was held.
 	Times int `json:"times" yaml:"times"`
--- a/version/api/transaction.go
+++ b/version/api/transaction.go
@@ -80,7 +80,8 @@
 	RunNotRun    RunOutcome = "not_run" // definitely not run: the key may be claimed again
 )
 
-// Claim is the stored claim of a request that must run at most once.
+// Claim is the stored claim of a request that must run at most once. Key is the client's
+// idempotency key, which is unique per tenant.
 type Claim struct {
 	Tenant   string     `json:"tenant"`
 	Key      string     `json:"key"`
