--- a/version/api/fleet.go
+++ b/version/api/fleet.go
@@ -19,7 +19,8 @@
 	Slots int `json:"slots,omitempty" yaml:"slots,omitempty"`
 	// Leaving replicas receive no new requests.
 	Leaving bool `json:"leaving,omitempty" yaml:"leaving,omitempty"`
-	// Withdrawable replicas may be reclaimed by the platform at short notice.
+	// Withdrawable replicas (spot or preemptible machines) may be reclaimed by the platform at
+	// short notice.
 	Withdrawable bool `json:"withdrawable,omitempty" yaml:"withdrawable,omitempty"`
 	// Role and Models are set for replicas of model services.
 	Role   EngineRole `json:"role,omitempty" yaml:"role,omitempty"`
--- a/version/api/validate.go
+++ b/version/api/validate.go
@@ -37,15 +37,15 @@
 	case o.Replica != nil, o.Proxy != nil, o.Member != nil:
 		c.addFault("object", "is observed by the group, not written by a transaction")
 	case o.Intent != nil:
-		c.intent(o.Intent)
+		c.validateIntent(o.Intent)
 	case o.Engine != nil:
-		c.engine(o.Engine)
+		c.validateEngine(o.Engine)
 	case o.Service != nil:
-		c.service(o.Service)
+		c.validateService(o.Service)
 	case o.Class != nil:
-		c.class(o.Class)
+		c.validateClass(o.Class)
 	case o.Tenant != nil:
-		c.tenant(o.Tenant)
+		c.validateTenant(o.Tenant)
 	}
 	return c.faults
 }
@@ -54,7 +54,7 @@
 // An empty selector is valid: it matches nothing.
 func ValidateSelector(path string, s Selector) []FieldFault {
 	var c fieldValidator
-	c.selector(path, s)
+	c.validateSelector(path, s)
 	return c.faults
 }
 
@@ -62,7 +62,7 @@
 // a deletion needs. It does not validate the kind.
 func ValidateKey(key Key) []FieldFault {
 	var c fieldValidator
-	c.name(strings.ToLower(string(key.Kind))+".metadata.name", key.Name)
+	c.validateName(strings.ToLower(string(key.Kind))+".metadata.name", key.Name)
 	return c.faults
 }
 
@@ -73,12 +73,12 @@
 	c.faults = append(c.faults, FieldFault{Field: field, Message: fmt.Sprintf(format, args...)})
 }
 
-func (c *fieldValidator) metadata(path string, m Metadata) {
-	c.name(path+".metadata.name", m.Name)
-	c.labels(path+".metadata.labels", m.Labels)
+func (c *fieldValidator) validateMetadata(path string, m Metadata) {
+	c.validateName(path+".metadata.name", m.Name)
+	c.validateLabels(path+".metadata.labels", m.Labels)
 }
 
-func (c *fieldValidator) name(field, name string) {
+func (c *fieldValidator) validateName(field, name string) {
 	switch {
 	case name == "":
 		c.addFault(field, "must not be empty")
@@ -89,44 +89,44 @@
 	}
 }
 
-func (c *fieldValidator) optionalName(field, name string) {
+func (c *fieldValidator) validateOptionalName(field, name string) {
 	if name != "" {
-		c.name(field, name)
+		c.validateName(field, name)
 	}
 }
 
-func (c *fieldValidator) labels(field string, labels Labels) {
+func (c *fieldValidator) validateLabels(field string, labels Labels) {
 	for _, key := range sortedKeys(labels) {
 		entry := fmt.Sprintf("%s[%q]", field, key)
-		c.labelKey(entry, key)
-		c.labelValue(entry, labels[key])
+		c.validateLabelKey(entry, key)
+		c.validateLabelValue(entry, labels[key])
 	}
 }
 
-func (c *fieldValidator) labelKey(field, key string) {
+func (c *fieldValidator) validateLabelKey(field, key string) {
 	if key == "" || len(key) > MaxNameBytes || !isLabelText(key) {
 		c.addFault(field, "%q is not a label key: 1 to %d letters, digits, '-', '_', '.' and '/', starting and ending with a letter or digit", key, MaxNameBytes)
 	}
 }
 
-func (c *fieldValidator) labelValue(field, value string) {
+func (c *fieldValidator) validateLabelValue(field, value string) {
 	if value != "" && (len(value) > MaxNameBytes || !isLabelText(value)) {
 		c.addFault(field, "%q is not a label value: at most %d letters, digits, '-', '_', '.' and '/', starting and ending with a letter or digit", value, MaxNameBytes)
 	}
 }
 
-func (c *fieldValidator) selector(field string, s Selector) {
+func (c *fieldValidator) validateSelector(field string, s Selector) {
 	if s.All && (len(s.MatchLabels) > 0 || len(s.MatchExpressions) > 0) {
 		c.addFault(field+".all", "must not be set together with matchLabels or matchExpressions")
 	}
-	c.labels(field+".matchLabels", s.MatchLabels)
+	c.validateLabels(field+".matchLabels", s.MatchLabels)
 	for i, requirement := range s.MatchExpressions {
-		c.requirement(fmt.Sprintf("%s.matchExpressions[%d]", field, i), requirement)
+		c.validateRequirement(fmt.Sprintf("%s.matchExpressions[%d]", field, i), requirement)
 	}
 }
 
-func (c *fieldValidator) requirement(field string, r Requirement) {
-	c.labelKey(field+".key", r.Key)
+func (c *fieldValidator) validateRequirement(field string, r Requirement) {
+	c.validateLabelKey(field+".key", r.Key)
 	switch r.Operator {
 	case OperatorIn, OperatorNotIn:
 		if len(r.Values) == 0 {
@@ -140,29 +140,29 @@
 		c.addFault(field+".operator", "%q is not one of %v", r.Operator, Operators)
 	}
 	for i, value := range r.Values {
-		c.labelValue(fmt.Sprintf("%s.values[%d]", field, i), value)
+		c.validateLabelValue(fmt.Sprintf("%s.values[%d]", field, i), value)
 	}
 }
 
-func (c *fieldValidator) intent(o *Intent) {
-	c.metadata("intent", o.Metadata)
-	c.selector("intent.spec.engines", o.Spec.Engines)
-	c.selector("intent.spec.classes", o.Spec.Classes)
-	c.reference("intent.spec.model", o.Spec.Model)
-	c.reference("intent.spec.version", o.Spec.Version)
+func (c *fieldValidator) validateIntent(o *Intent) {
+	c.validateMetadata("intent", o.Metadata)
+	c.validateSelector("intent.spec.engines", o.Spec.Engines)
+	c.validateSelector("intent.spec.classes", o.Spec.Classes)
+	c.validateReference("intent.spec.model", o.Spec.Model)
+	c.validateReference("intent.spec.version", o.Spec.Version)
 	for i, adapter := range o.Spec.Adapters {
 		field := fmt.Sprintf("intent.spec.adapters[%d]", i)
-		c.reference(field, adapter)
+		c.validateReference(field, adapter)
 		if slices.Contains(o.Spec.Adapters[:i], adapter) {
 			c.addFault(field, "%q is listed twice", adapter)
 		}
 	}
-	c.roles("intent.spec.roles", o.Spec.Roles)
-	c.nonNegative("intent.spec.maxUnavailable", float64(o.Spec.MaxUnavailable))
-	c.nonNegative("intent.spec.changeCost", o.Spec.ChangeCost)
+	c.validateRoles("intent.spec.roles", o.Spec.Roles)
+	c.validateNonNegative("intent.spec.maxUnavailable", float64(o.Spec.MaxUnavailable))
+	c.validateNonNegative("intent.spec.changeCost", o.Spec.ChangeCost)
 }
 
-func (c *fieldValidator) roles(field string, roles []EngineRole) {
+func (c *fieldValidator) validateRoles(field string, roles []EngineRole) {
 	if len(roles) == 0 {
 		c.addFault(field, "must list at least one role")
 	}
@@ -178,7 +178,7 @@
 	}
 }
 
-func (c *fieldValidator) reference(field, text string) {
+func (c *fieldValidator) validateReference(field, text string) {
 	switch {
 	case text == "":
 		c.addFault(field, "must not be empty")
@@ -189,15 +189,15 @@
 	}
 }
 
-func (c *fieldValidator) engine(o *Engine) {
-	c.metadata("engine", o.Metadata)
-	c.address("engine.spec.address", o.Spec.Address)
-	c.optionalName("engine.spec.zone", o.Spec.Zone)
-	c.name("engine.spec.service", o.Spec.Service)
+func (c *fieldValidator) validateEngine(o *Engine) {
+	c.validateMetadata("engine", o.Metadata)
+	c.validateAddress("engine.spec.address", o.Spec.Address)
+	c.validateOptionalName("engine.spec.zone", o.Spec.Zone)
+	c.validateName("engine.spec.service", o.Spec.Service)
 }
 
-func (c *fieldValidator) service(o *Service) {
-	c.metadata("service", o.Metadata)
+func (c *fieldValidator) validateService(o *Service) {
+	c.validateMetadata("service", o.Metadata)
 	if o.Spec.Type != ServiceModel && o.Spec.Type != ServiceBackend {
 		c.addFault("service.spec.type", "%q is not one of %v", o.Spec.Type, []ServiceType{ServiceModel, ServiceBackend})
 	}
@@ -206,43 +206,43 @@
 	}
 	names := make(map[string]bool, len(o.Spec.Backends))
 	for i, backend := range o.Spec.Backends {
-		c.backend(fmt.Sprintf("service.spec.backends[%d]", i), backend, names[backend.Name])
+		c.validateBackend(fmt.Sprintf("service.spec.backends[%d]", i), backend, names[backend.Name])
 		names[backend.Name] = true
 	}
-	c.nonNegative("service.spec.maxInFlight", float64(o.Spec.MaxInFlight))
+	c.validateNonNegative("service.spec.maxInFlight", float64(o.Spec.MaxInFlight))
 }
 
-func (c *fieldValidator) backend(field string, b Backend, repeated bool) {
-	c.name(field+".name", b.Name)
+func (c *fieldValidator) validateBackend(field string, b Backend, repeated bool) {
+	c.validateName(field+".name", b.Name)
 	if repeated && b.Name != "" {
 		c.addFault(field+".name", "%q is listed twice", b.Name)
 	}
-	c.address(field+".address", b.Address)
-	c.optionalName(field+".zone", b.Zone)
+	c.validateAddress(field+".address", b.Address)
+	c.validateOptionalName(field+".zone", b.Zone)
 }
 
-func (c *fieldValidator) class(o *Class) {
-	c.metadata("class", o.Metadata)
-	c.name("class.spec.service", o.Spec.Service)
+func (c *fieldValidator) validateClass(o *Class) {
+	c.validateMetadata("class", o.Metadata)
+	c.validateName("class.spec.service", o.Spec.Service)
 	deadline := o.Spec.DeadlineMilliseconds
 	if deadline < 1 || deadline > MaxDeadlineMilliseconds {
 		c.addFault("class.spec.deadlineMilliseconds", "%d is not between 1 and %d", deadline, MaxDeadlineMilliseconds)
 	}
-	c.nonNegative("class.spec.queueLimit", float64(o.Spec.QueueLimit))
-	c.nonNegative("class.spec.maxInFlight", float64(o.Spec.MaxInFlight))
+	c.validateNonNegative("class.spec.queueLimit", float64(o.Spec.QueueLimit))
+	c.validateNonNegative("class.spec.maxInFlight", float64(o.Spec.MaxInFlight))
 }
 
-func (c *fieldValidator) tenant(o *Tenant) {
-	c.metadata("tenant", o.Metadata)
-	c.nonNegative("tenant.spec.weight", o.Spec.Weight)
-	c.nonNegative("tenant.spec.tokensPerSecond", o.Spec.TokensPerSecond)
-	c.nonNegative("tenant.spec.burst", o.Spec.Burst)
+func (c *fieldValidator) validateTenant(o *Tenant) {
+	c.validateMetadata("tenant", o.Metadata)
+	c.validateNonNegative("tenant.spec.weight", o.Spec.Weight)
+	c.validateNonNegative("tenant.spec.tokensPerSecond", o.Spec.TokensPerSecond)
+	c.validateNonNegative("tenant.spec.burst", o.Spec.Burst)
 	if o.Spec.TokensPerSecond == 0 && o.Spec.Burst > 0 {
 		c.addFault("tenant.spec.burst", "must be 0 when tokensPerSecond is 0")
 	}
 }
 
-func (c *fieldValidator) nonNegative(field string, v float64) {
+func (c *fieldValidator) validateNonNegative(field string, v float64) {
 	if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
 		c.addFault(field, "%v is not a number of 0 or more", v)
 	}
@@ -250,7 +250,7 @@
 
 // address requires an IP address and a port. Host names are rejected because they
 // would make every daemon depend on DNS.
-func (c *fieldValidator) address(field, address string) {
+func (c *fieldValidator) validateAddress(field, address string) {
 	parsed, err := netip.ParseAddrPort(address)
 	switch {
 	case err != nil:
@@ -262,6 +262,7 @@
 	}
 }
 
+// isName reports whether s is empty or a valid name.
 func isName(s string) bool {
 	for i := 0; i < len(s); i++ {
 		if isLower(s[i]) || isDigit(s[i]) {
@@ -275,6 +276,7 @@
 	return true
 }
 
+// isLabelText reports whether s is empty or valid as a label key or value.
 func isLabelText(s string) bool {
 	for i := 0; i < len(s); i++ {
 		if isLower(s[i]) || isUpper(s[i]) || isDigit(s[i]) {
--- a/version/api/validate_ingress.go
+++ b/version/api/validate_ingress.go
@@ -15,12 +15,12 @@
 	if spec.Generation == 0 {
 		c.addFault("generation", "must be above 0")
 	}
-	services := c.routeServices(spec.Services)
+	services := c.validateRouteServices(spec.Services)
 	routeIndexes := map[string]int{}
 	for i := range spec.Routes {
 		field := fmt.Sprintf("routes[%d]", i)
 		route := &spec.Routes[i]
-		c.route(field, route, services)
+		c.validateRoute(field, route, services)
 		matchKey := strings.ToLower(route.Host) + route.PathPrefix
 		if earlier, taken := routeIndexes[matchKey]; taken {
 			c.addFault(field, "has the host and prefix of routes[%d]", earlier)
@@ -28,7 +28,7 @@
 		}
 		routeIndexes[matchKey] = i
 	}
-	c.tenants(spec.Tenants)
+	c.validateTenants(spec.Tenants)
 	return c.faults
 }
 
@@ -39,13 +39,13 @@
 )
 
 // tenants validates the submitted tenants of an Ingress. No error message contains a key.
-func (c *fieldValidator) tenants(tenants []TenantKeys) {
+func (c *fieldValidator) validateTenants(tenants []TenantKeys) {
 	nameIndexes := map[string]int{}
 	keyOwners := map[string]int{}
 	for i := range tenants {
 		tenant := &tenants[i]
 		field := fmt.Sprintf("tenants[%d]", i)
-		c.headerText(field+".name", tenant.Name, maxTenantNameBytes)
+		c.validateHeaderText(field+".name", tenant.Name, maxTenantNameBytes)
 		if earlier, taken := nameIndexes[tenant.Name]; taken {
 			c.addFault(field+".name", "%q is the name of tenants[%d]", tenant.Name, earlier)
 		}
@@ -55,7 +55,7 @@
 		}
 		for k, key := range tenant.Keys {
 			entry := fmt.Sprintf("%s.keys[%d]", field, k)
-			c.keyText(entry, key)
+			c.validateKeyText(entry, key)
 			if owner, taken := keyOwners[key]; taken && owner != i {
 				c.addFault(entry, "is a key of tenants[%d]", owner)
 			}
@@ -65,7 +65,7 @@
 }
 
 // headerText validates text that is sent as the value of a request header.
-func (c *fieldValidator) headerText(field, text string, limit int) {
+func (c *fieldValidator) validateHeaderText(field, text string, limit int) {
 	switch {
 	case text == "":
 		c.addFault(field, "must not be empty")
@@ -76,7 +76,7 @@
 	}
 }
 
-func (c *fieldValidator) keyText(field, key string) {
+func (c *fieldValidator) validateKeyText(field, key string) {
 	switch {
 	case key == "":
 		c.addFault(field, "must not be empty")
@@ -85,7 +85,8 @@
 	}
 }
 
-func (c *fieldValidator) routeServices(services []RouteService) map[string]bool {
+// validateRouteServices validates the services of an Ingress and returns their names.
+func (c *fieldValidator) validateRouteServices(services []RouteService) map[string]bool {
 	known := map[string]bool{}
 	for i, service := range services {
 		field := fmt.Sprintf("services[%d].name", i)
@@ -100,7 +101,7 @@
 	return known
 }
 
-func (c *fieldValidator) route(field string, route *Route, services map[string]bool) {
+func (c *fieldValidator) validateRoute(field string, route *Route, services map[string]bool) {
 	if route.Host == "" {
 		c.addFault(field+".host", "must not be empty")
 	}
@@ -113,7 +114,7 @@
 	if route.TimeoutMilliseconds <= 0 {
 		c.addFault(field+".timeoutMilliseconds", "must be above 0")
 	}
-	c.routeBackends(field+".backends", route.Backends, services)
+	c.validateRouteBackends(field+".backends", route.Backends, services)
 }
 
 func isRouteKind(kind RouteKind) bool {
@@ -125,7 +126,7 @@
 	return false
 }
 
-func (c *fieldValidator) routeBackends(field string, backends []RouteBackend, services map[string]bool) {
+func (c *fieldValidator) validateRouteBackends(field string, backends []RouteBackend, services map[string]bool) {
 	total := 0
 	for i, backend := range backends {
 		entry := fmt.Sprintf("%s[%d]", field, i)
--- a/version/apikey/apikey_test.go
+++ b/version/apikey/apikey_test.go
@@ -55,7 +55,7 @@
 			}
 			name := fmt.Sprint("tenant-", rapid.IntRange(0, 3).Draw(t, "tenant"))
 			delete(next, name)
-			if rapid.Bool().Draw(t, "there") {
+			if rapid.Bool().Draw(t, "present") {
 				var keys []string
 				for k := range rapid.IntRange(0, 40).Draw(t, "keys") {
 					keys = append(keys, fmt.Sprint(name, "-", k))
--- a/version/apikey/table.go
+++ b/version/apikey/table.go
@@ -86,8 +86,8 @@
 	owned [shardCount]bool
 }
 
-// shard returns the shard of digest for writing.
-func (e *tableEditor) shard(digest api.KeyDigest) *[]entry {
+// writableShard returns the shard of digest for writing.
+func (e *tableEditor) writableShard(digest api.KeyDigest) *[]entry {
 	shard := &e.table.shards[digest[0]]
 	if !e.owned[digest[0]] {
 		*shard = slices.Clone(*shard)
@@ -98,7 +98,7 @@
 
 func (e *tableEditor) add(tenant string, digests []api.KeyDigest) {
 	for _, digest := range digests {
-		shard := e.shard(digest)
+		shard := e.writableShard(digest)
 		*shard = slices.Insert(*shard, lowerBound(*shard, digest), entry{digest: digest, tenant: tenant})
 	}
 }
@@ -107,7 +107,7 @@
 // other tenants, because one update may move a key from one tenant to another.
 func (e *tableEditor) remove(tenant string, digests []api.KeyDigest) {
 	for _, digest := range digests {
-		shard := e.shard(digest)
+		shard := e.writableShard(digest)
 		removed := entry{digest: digest, tenant: tenant}
 		for at := lowerBound(*shard, digest); at < len(*shard) && (*shard)[at].digest == digest; at++ {
 			if (*shard)[at] == removed {
--- a/version/binenc/ingress.go
+++ b/version/binenc/ingress.go
@@ -12,7 +12,8 @@
 	minimumTenantBytes  = 3
 )
 
-// AppendIngressSpec appends the spec of an Ingress.
+// AppendIngressSpec appends the spec of an Ingress. The encoding contains the plaintext keys
+// of spec.Tenants, if there are any.
 func AppendIngressSpec(b []byte, spec *api.IngressSpec) []byte {
 	b = AppendUint(b, spec.Generation)
 	b = AppendUint(b, uint64(len(spec.Routes)))
