--- a/version/api/quarantine.go
+++ b/version/api/quarantine.go
@@ -1,9 +1,8 @@
 package api
 
 // Quarantine records a request that was running when replicas crashed and may be the cause. Its
-// name is the request's fingerprint in hex: a hash of its method, host, path, query, caller and body,
-// but not of the request ID. The body
-// is not stored.
+// name is the request's fingerprint in hex: a hash of its method, host, path, query, caller and
+// body, but not of the request ID. The body is not stored.
 type Quarantine struct {
 	Metadata `json:"metadata" yaml:"metadata"`
 	Spec     QuarantineSpec `json:"spec" yaml:"spec"`
