--- a/version/api/embedding_test.go
+++ b/version/api/embedding_test.go
@@ -17,7 +17,7 @@
 	root   = "../../"
 )
 
-// embeddable lists the packages that other programs can use on their own.
+// embeddable lists the packages that other programs can import as a library.
 var embeddable = []string{
 	"process/controller", "process/raft", "process/replica", "process/snap", "process/wal",
 	"request/attempt", "request/limit", "request/prefix", "request/retry", "request/router",
@@ -25,9 +25,9 @@
 	"version/subset", "version/view",
 }
 
-// forbidden lists what they must not bring along, also not by way of another
-// package of the project: the service framework, settings, the command line, the
-// event log and the lab.
+// forbidden lists the import path prefixes that embeddable packages must not import,
+// directly or transitively: the service framework, settings, the command line, the
+// event log and the test lab (lab/).
 var forbidden = []string{
 	"github.com/zeromicro/go-zero",
 	"github.com/peterbourgon/ff",
@@ -40,25 +40,25 @@
 	module + "lab/",
 }
 
-func TestEmbeddablePackagesBringNoFrameworkAlong(t *testing.T) {
+func TestEmbeddablePackagesDoNotImportFrameworks(t *testing.T) {
 	for _, folder := range embeddable {
 		t.Run(folder, func(t *testing.T) {
-			path := make(map[string]string)
-			visit(t, folder, path)
-			must.MapNotEmpty(t, path)
-			for imported, from := range path {
+			importedBy := make(map[string]string)
+			collectImports(t, folder, importedBy)
+			must.MapNotEmpty(t, importedBy)
+			for imported, importer := range importedBy {
 				for _, prefix := range forbidden {
 					must.False(t, strings.HasPrefix(imported+"/", strings.TrimSuffix(prefix, "/")+"/"),
-						must.Sprintf("%s imports %s by %s", folder, imported, from))
+						must.Sprintf("%s imports %s through %s", folder, imported, importer))
 				}
 			}
 		})
 	}
 }
 
-// visit records what the package and the project's packages below it import, and
-// which package imports it.
-func visit(t *testing.T, folder string, path map[string]string) {
+// collectImports maps the direct and transitive imports of the package in folder to a
+// package that imports them. It follows only imports within the project.
+func collectImports(t *testing.T, folder string, importedBy map[string]string) {
 	t.Helper()
 	for _, name := range goFiles(t, folder) {
 		file, err := parser.ParseFile(token.NewFileSet(), name, nil, parser.ImportsOnly)
@@ -66,18 +66,18 @@
 		for _, spec := range file.Imports {
 			imported, err := strconv.Unquote(spec.Path.Value)
 			must.NoError(t, err)
-			if _, visited := path[imported]; visited {
+			if _, visited := importedBy[imported]; visited {
 				continue
 			}
-			path[imported] = folder
-			if below, own := strings.CutPrefix(imported, module); own {
-				visit(t, below, path)
+			importedBy[imported] = folder
+			if dir, inProject := strings.CutPrefix(imported, module); inProject {
+				collectImports(t, dir, importedBy)
 			}
 		}
 	}
 }
 
-// goFiles returns the package's files without its tests.
+// goFiles returns the paths of the package's Go files, excluding tests.
 func goFiles(t *testing.T, folder string) []string {
 	t.Helper()
 	entries, err := os.ReadDir(filepath.Join(root, folder))
--- a/version/apikey/table.go
+++ b/version/apikey/table.go
@@ -10,60 +10,62 @@
 	"github.com/landingtrail/landingtrail/version/api"
 )
 
-// shards is into how many parts a Table is divided by the first byte of digests. A change
-// of few keys copies few parts.
-const shards = 256
+// shardCount is the number of shards of a Table, selected by the first byte of a digest. An
+// update of a few keys copies only the shards that contain them.
+const shardCount = 256
 
-// Table finds the tenant of a key. It is immutable: Follow returns another one that shares
-// with it what has not changed.
+// Table maps API keys to tenants. It is immutable: Follow returns a new table that shares
+// the unchanged shards with its predecessor.
 type Table struct {
 	secret   []byte
 	digester *Digester
 	tenants  map[string]*api.RouteTenant
-	shards   [shards][]entry // each sorted by digest
+	shards   [shardCount][]entry // each sorted by digest
 }
 
-// entry is one key. The tenant is named, so that one whose rank or other keys change
-// leaves the entry as it is.
+// entry maps the digest of one key to its tenant. It refers to the tenant by name, so it
+// stays valid when the tenant's priority or other keys change.
 type entry struct {
 	digest api.KeyDigest
 	tenant string
 }
 
-// NewTable returns a table that knows no key.
+// NewTable returns an empty table.
 func NewTable() *Table { return &Table{digester: NewDigester(nil)} }
 
-// Follow returns the table of a version's tenants under its secret. The map must not be
-// written to afterwards.
+// Follow returns a table of the given tenants, whose digests were computed under secret. If
+// the secret is unchanged, only the differences from t are applied; otherwise the table is
+// built from scratch. Tenants are compared by pointer: the caller must not modify the
+// map, the tenants or the secret afterwards.
 func (t *Table) Follow(secret []byte, tenants map[string]*api.RouteTenant) *Table {
 	if !bytes.Equal(secret, t.secret) {
 		t = &Table{secret: secret, digester: NewDigester(secret)}
 	}
 	next := *t
 	next.tenants = tenants
-	change := changes{table: &next}
-	for name, known := range t.tenants {
-		if tenants[name] != known {
-			change.remove(name, without(known, tenants[name]))
+	editor := tableEditor{table: &next}
+	for name, previous := range t.tenants {
+		if tenants[name] != previous {
+			editor.remove(name, digestDifference(previous, tenants[name]))
 		}
 	}
 	for name, tenant := range tenants {
-		if known := t.tenants[name]; known != tenant {
-			change.add(name, without(tenant, known))
+		if previous := t.tenants[name]; previous != tenant {
+			editor.add(name, digestDifference(tenant, previous))
 		}
 	}
 	return &next
 }
 
-// without returns the digests of a tenant that another version of it lacks; either may be
-// nil. Both lists are sorted.
-func without(of, other *api.RouteTenant) []api.KeyDigest {
-	if of == nil || other == nil {
-		return digestsOf(of)
+// digestDifference returns the digests of tenant that are absent from other, which is another
+// version of the same tenant. Either may be nil. Both digest lists must be sorted.
+func digestDifference(tenant, other *api.RouteTenant) []api.KeyDigest {
+	if tenant == nil || other == nil {
+		return digestsOf(tenant)
 	}
 	var rest []api.KeyDigest
-	for _, digest := range of.Spec.Digests {
-		if _, found := slices.BinarySearchFunc(other.Spec.Digests, digest, compare); !found {
+	for _, digest := range tenant.Spec.Digests {
+		if _, found := slices.BinarySearchFunc(other.Spec.Digests, digest, compareDigests); !found {
 			rest = append(rest, digest)
 		}
 	}
@@ -77,37 +79,38 @@
 	return tenant.Spec.Digests
 }
 
-// changes writes to a table that nobody else has yet; parts that it shares with the table
-// before are copied first.
-type changes struct {
+// tableEditor modifies a table that is not yet published. It copies a shard that is shared
+// with the previous table before the first write to it.
+type tableEditor struct {
 	table *Table
-	owned [shards]bool
+	owned [shardCount]bool
 }
 
-func (c *changes) shard(digest api.KeyDigest) *[]entry {
-	shard := &c.table.shards[digest[0]]
-	if !c.owned[digest[0]] {
+// writableShard returns the shard of digest for writing.
+func (e *tableEditor) writableShard(digest api.KeyDigest) *[]entry {
+	shard := &e.table.shards[digest[0]]
+	if !e.owned[digest[0]] {
 		*shard = slices.Clone(*shard)
-		c.owned[digest[0]] = true
+		e.owned[digest[0]] = true
 	}
 	return shard
 }
 
-func (c *changes) add(tenant string, digests []api.KeyDigest) {
+func (e *tableEditor) add(tenant string, digests []api.KeyDigest) {
 	for _, digest := range digests {
-		shard := c.shard(digest)
-		*shard = slices.Insert(*shard, place(*shard, digest), entry{digest: digest, tenant: tenant})
+		shard := e.writableShard(digest)
+		*shard = slices.Insert(*shard, lowerBound(*shard, digest), entry{digest: digest, tenant: tenant})
 	}
 }
 
-// remove takes out the entries of one tenant: a key may go from one tenant to another in
-// one change.
-func (c *changes) remove(tenant string, digests []api.KeyDigest) {
+// remove deletes the entries of the given digests that belong to tenant. It leaves those of
+// other tenants, because one update may move a key from one tenant to another.
+func (e *tableEditor) remove(tenant string, digests []api.KeyDigest) {
 	for _, digest := range digests {
-		shard := c.shard(digest)
-		gone := entry{digest: digest, tenant: tenant}
-		for at := place(*shard, digest); at < len(*shard) && (*shard)[at].digest == digest; at++ {
-			if (*shard)[at] == gone {
+		shard := e.writableShard(digest)
+		removed := entry{digest: digest, tenant: tenant}
+		for at := lowerBound(*shard, digest); at < len(*shard) && (*shard)[at].digest == digest; at++ {
+			if (*shard)[at] == removed {
 				*shard = slices.Delete(*shard, at, at+1)
 				break
 			}
@@ -115,29 +118,30 @@
 	}
 }
 
-// place is where the first entry of a digest stands, or would stand.
-func place(shard []entry, digest api.KeyDigest) int {
-	return sort.Search(len(shard), func(i int) bool { return compare(shard[i].digest, digest) >= 0 })
+// lowerBound returns the index of the first entry whose digest is not less than digest.
+func lowerBound(shard []entry, digest api.KeyDigest) int {
+	return sort.Search(len(shard), func(i int) bool { return compareDigests(shard[i].digest, digest) >= 0 })
 }
 
-// Find returns the tenant that has the key, nil for none.
+// Find returns the tenant that owns key, or nil if there is none. If several tenants own
+// it, the last entry found wins.
 func (t *Table) Find(key string) *api.RouteTenant {
 	digest := t.digester.Digest(key)
 	shard := t.shards[digest[0]]
-	first := sort.Search(len(shard), func(i int) bool { return begin(shard[i].digest) >= begin(digest) })
+	first := sort.Search(len(shard), func(i int) bool { return digestPrefix(shard[i].digest) >= digestPrefix(digest) })
 	var found *api.RouteTenant
-	for _, known := range shard[first:] {
-		if begin(known.digest) != begin(digest) {
+	for _, candidate := range shard[first:] {
+		if digestPrefix(candidate.digest) != digestPrefix(digest) {
 			break
 		}
-		if subtle.ConstantTimeCompare(known.digest[:], digest[:]) == 1 {
-			found = t.tenants[known.tenant]
+		if subtle.ConstantTimeCompare(candidate.digest[:], digest[:]) == 1 {
+			found = t.tenants[candidate.tenant]
 		}
 	}
 	return found
 }
 
-// begin is the first half of a digest as a number, by which it is looked for.
-func begin(digest api.KeyDigest) uint64 { return binary.BigEndian.Uint64(digest[:8]) }
+// digestPrefix returns the first 8 bytes of a digest as an integer, the search key of Find.
+func digestPrefix(digest api.KeyDigest) uint64 { return binary.BigEndian.Uint64(digest[:8]) }
 
-func compare(a, b api.KeyDigest) int { return bytes.Compare(a[:], b[:]) }
+func compareDigests(a, b api.KeyDigest) int { return bytes.Compare(a[:], b[:]) }
