--- a/process/control/roles_test.go
+++ b/process/control/roles_test.go
@@ -50,7 +50,7 @@
 	return append([]sentOrder(nil), f.sent...)
 }
 
-// newRoleDuties returns the tasks of a leader in term 7 whose lease is given by the test.
+// newRoleTasks returns the tasks of a leader in term 7 whose lease is given by the test.
 func newRoleTasks(roles RoleOrders, lease func() (uint64, bool)) (*leaderTasks, *termState) {
 	boards := newPlacementBoards()
 	boards.update(modelView(1, "r-1"))
--- a/process/control/usage.go
+++ b/process/control/usage.go
@@ -92,8 +92,8 @@
 	u.progress[report.ProcessRun] = reportProgress{through: max(known.through, report.Through), at: now}
 }
 
-// take removes and returns counters to commit, the oldest windows first. It drops the counters of
-// windows that are already decided.
+// takePending removes and returns counters to commit, the oldest windows first. It drops the
+// counters of windows that are already decided.
 func (u *usageCollector) takePending(decided int64) []state.UsageCount {
 	u.lock.Lock()
 	defer u.lock.Unlock()
--- a/process/ingress/routes.go
+++ b/process/ingress/routes.go
@@ -17,7 +17,7 @@
 	// byHost holds the routes of each host, the longest prefix first.
 	byHost   map[string][]*api.Route
 	services map[string]*api.RouteService
-	// keys maps API keys to tenants if keysRequired is set.
+	// keysRequired, if set, means that keys maps API keys to tenants.
 	keysRequired bool
 	keySecret    []byte
 	keys         *apikey.Table
--- a/process/ingress/types.go
+++ b/process/ingress/types.go
@@ -46,7 +46,7 @@
 	Tenant string
 	// Credential is the API key that was sent with the call.
 	Credential Credential
-	// Timeout is how long the caller waits; 0 if unspecified.
+	// MaxWait is how long the caller waits; 0 if unspecified.
 	MaxWait time.Duration
 	Work    Work // zero for a request without a prompt
 	// ResumeAfter is the ID of the last event that the caller received of an interrupted stream.
--- a/process/proxy/quarantine.go
+++ b/process/proxy/quarantine.go
@@ -97,7 +97,8 @@
 
 // quarantined reports whether the request is quarantined, that is must not be sent to any engine, and
 // for how long. It is so before the control group decides if HarmfulIncidents engines crashed
-// during this call, or if at least one did and EndsMany finds enough crashes for the fingerprint.
+// during this call, or if at least one did and HasManyCrashes finds enough crashes for the
+// fingerprint.
 func (c *modelCall) quarantined() (remaining time.Duration, isQuarantined bool) {
 	if c.crashedEngines >= quarantine.HarmfulIncidents || c.crashedEngines > 0 && c.proxy.guard.HasManyCrashes(c.proxy.clock(), c.fingerprint()) {
 		return guard.MinHold, true
--- a/process/replica/bench_test.go
+++ b/process/replica/bench_test.go
@@ -182,7 +182,7 @@
 	return nil
 }
 
-// counter is a state machine that only counts the commands it applied.
+// commandCounter is a state machine that only counts the commands it applied.
 type commandCounter struct{ count uint64 }
 
 func (c *commandCounter) Apply(raft.Entry) any      { c.count++; return c.count }
--- a/version/api/validate.go
+++ b/version/api/validate.go
@@ -248,7 +248,7 @@
 	}
 }
 
-// address requires an IP address and a port. Host names are rejected because they
+// validateAddress requires an IP address and a port. Host names are rejected because they
 // would make every daemon depend on DNS.
 func (c *fieldValidator) validateAddress(field, address string) {
 	parsed, err := netip.ParseAddrPort(address)
--- a/version/api/validate_ingress.go
+++ b/version/api/validate_ingress.go
@@ -38,7 +38,7 @@
 	maxKeyBytes        = 1024
 )
 
-// tenants validates the submitted tenants of an Ingress. No error message contains a key.
+// validateTenants validates the submitted tenants of an Ingress. No error message contains a key.
 func (c *fieldValidator) validateTenants(tenants []TenantKeys) {
 	nameIndexes := map[string]int{}
 	keyOwners := map[string]int{}
@@ -64,7 +64,7 @@
 	}
 }
 
-// headerText validates text that is sent as the value of a request header.
+// validateHeaderText validates text that is sent as the value of a request header.
 func (c *fieldValidator) validateHeaderText(field, text string, limit int) {
 	switch {
 	case text == "":
--- a/version/planner/split.go
+++ b/version/planner/split.go
@@ -20,7 +20,7 @@
 // Total returns the number of engines.
 func (s Split) Total() int { return s.Prefill + s.Decode + s.Mixed }
 
-// Of returns the number of engines of a role.
+// Count returns the number of engines of a role.
 func (s Split) Count(role api.EngineRole) int {
 	switch role {
 	case api.RolePrefill:
